--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -15,13 +15,22 @@
 fn ticks(pid: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("a process");
     let fields: Vec<&str> = stat.rsplit(") ").next().unwrap_or("").split(' ').collect();
-    fields[11..13].iter().filter_map(|f| f.parse::<f64>().ok()).sum()
+    fields[11..13]
+        .iter()
+        .filter_map(|f| f.parse::<f64>().ok())
+        .sum()
 }
 
 fn memory_kb(pid: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("a process");
-    let line = status.lines().find(|l| l.starts_with("VmRSS")).unwrap_or_default();
-    line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).unwrap_or(0)
+    let line = status
+        .lines()
+        .find(|l| l.starts_with("VmRSS"))
+        .unwrap_or_default();
+    line.split_whitespace()
+        .nth(1)
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(0)
 }
 
 /// One client after another operation for so long; how long each took, in microseconds.
@@ -48,10 +57,11 @@
             })
         })
         .collect();
-    all.into_iter().fold(Histogram::new(3).expect("three digits"), |mut sum, t| {
-        sum.add(t.join().expect("a client")).expect("same form");
-        sum
-    })
+    all.into_iter()
+        .fold(Histogram::new(3).expect("three digits"), |mut sum, t| {
+            sum.add(t.join().expect("a client")).expect("same form");
+            sum
+        })
 }
 
 fn median(mut values: Vec<f64>) -> f64 {
@@ -60,15 +70,28 @@
 }
 
 fn main() {
-    let numbers: Vec<u64> = std::env::args().skip(1).filter_map(|a| a.parse().ok()).collect();
-    let (legs, seconds) = (numbers.first().copied().unwrap_or(5), numbers.get(1).copied().unwrap_or(2));
+    let numbers: Vec<u64> = std::env::args()
+        .skip(1)
+        .filter_map(|a| a.parse().ok())
+        .collect();
+    let (legs, seconds) = (
+        numbers.first().copied().unwrap_or(5),
+        numbers.get(1).copied().unwrap_or(2),
+    );
     // The same load in turn at one member of three: nothing shared, shared, and with two copies.
     let variants = [("off", false, 0), ("on", true, 0), ("copies = 2", true, 2)];
     let fleets: Vec<Fleet> = variants
         .iter()
         .map(|&(_, on, copies)| {
             let limit = on.then_some(3_000);
-            Fleet::start(Plan { on, copies, limit, gossip_ms: 200, deadline_ms: 3_000, ..Plan::default() })
+            Fleet::start(Plan {
+                on,
+                copies,
+                limit,
+                gossip_ms: 200,
+                deadline_ms: 3_000,
+                ..Plan::default()
+            })
         })
         .collect();
     fleets[1..].iter().for_each(|f| {
@@ -76,11 +99,18 @@
         f.seated();
     });
     let mut cpu: Vec<Vec<f64>> = vec![Vec::new(); 3];
-    let mut took: Vec<Histogram<u64>> = (0..3).map(|_| Histogram::new(3).expect("three digits")).collect();
+    let mut took: Vec<Histogram<u64>> = (0..3)
+        .map(|_| Histogram::new(3).expect("three digits"))
+        .collect();
     for leg in 0..legs as usize {
         for v in 0..3 {
             let v = (v + leg) % 3; // each goes first as often as the others
-            let pid = fleets[v].members[0].program.as_ref().expect("it runs").child.id();
+            let pid = fleets[v].members[0]
+                .program
+                .as_ref()
+                .expect("it runs")
+                .child
+                .id();
             let before = ticks(pid);
             let got = load(fleets[v].members[0].addr, Duration::from_secs(seconds), 2);
             cpu[v].push((ticks(pid) - before) * 10_000.0 / got.len().max(1) as f64);
@@ -90,7 +120,12 @@
     let base = median(cpu[0].clone());
     println!("variant      CPU an operation, us  ratio  p50 us  p99 us  memory kB");
     for (v, (name, _, _)) in variants.iter().enumerate() {
-        let pid = fleets[v].members[0].program.as_ref().expect("it runs").child.id();
+        let pid = fleets[v].members[0]
+            .program
+            .as_ref()
+            .expect("it runs")
+            .child
+            .id();
         let us = median(cpu[v].clone());
         println!(
             "{name:<11}  {us:>20.1}  {:>5.3}  {:>6}  {:>6}  {:>9}",
@@ -103,13 +138,17 @@
     drop(fleets);
     println!("members  from healing to one tally, gossip periods of 50 ms: p50  p99");
     for members in [3, 12] {
-        let fleet = Fleet::start(Plan { members, ..Plan::default() });
+        let fleet = Fleet::start(Plan {
+            members,
+            ..Plan::default()
+        });
         fleet.joined();
         let half: Vec<usize> = (0..members / 2).collect();
         let mut periods = Vec::new();
         for _ in 0..legs * 3 {
             fleet.part(&half);
-            let clients = Clients::start(&fleet, &[0, members - 1], 1, &["t0", "t1"], Duration::ZERO);
+            let clients =
+                Clients::start(&fleet, &[0, members - 1], 1, &["t0", "t1"], Duration::ZERO);
             clients.more(100);
             clients.end();
             let healed = Instant::now();
--- a/benches/ledger.rs
+++ b/benches/ledger.rs
@@ -29,12 +29,18 @@
         .enumerate()
         .map(|(n, a)| format!("shed-{n},127.0.0.1,{},pump-house,standard\n", a.port()))
         .collect();
-    files.add("workers.csv", &format!("name,address,port,zone,kind\n{rows}"));
+    files.add(
+        "workers.csv",
+        &format!("name,address,port,zone,kind\n{rows}"),
+    );
     let mut config = config(&[]);
     let dir = files.0.join("ledger");
     let table = format!("[ledger]\ndir = '{}'\n", dir.display());
-    config["operators"] =
-        format!("[drmaa]\ninventory = 'workers.csv'\n{}", if ledger { table.as_str() } else { "" }).into();
+    config["operators"] = format!(
+        "[drmaa]\ninventory = 'workers.csv'\n{}",
+        if ledger { table.as_str() } else { "" }
+    )
+    .into();
     let program = Program::with(files, &config, None, &[]);
     if ledger {
         program.logged("the ledger is open");
@@ -54,7 +60,10 @@
                     }
                     std::thread::sleep(due.saturating_duration_since(Instant::now()));
                     let class = ["depth-log", "layer-view"][i % 2];
-                    let answer = exchange(&mut stream, &operation(class, &format!("{n:08x}{i:08x}"), 5_000));
+                    let answer = exchange(
+                        &mut stream,
+                        &operation(class, &format!("{n:08x}{i:08x}"), 5_000),
+                    );
                     match answer {
                         Some(a) if a.status() == 200 => {
                             latency.saturating_record(due.elapsed().as_micros() as u64)
@@ -69,12 +78,22 @@
         })
         .collect();
     let mut latency = Histogram::<u64>::new_with_max(60_000_000, 3).unwrap();
-    clients.into_iter().for_each(|c| latency.add(c.join().unwrap()).unwrap());
+    clients
+        .into_iter()
+        .for_each(|c| latency.add(c.join().unwrap()).unwrap());
     let per_s = latency.len() as f64 / begun.elapsed().as_secs_f64();
-    let status = std::fs::read_to_string(format!("/proc/{}/status", program.child.id())).unwrap_or_default();
-    let peak = status.lines().find(|l| l.starts_with("VmHWM")).and_then(|l| l.split_whitespace().nth(1));
+    let status =
+        std::fs::read_to_string(format!("/proc/{}/status", program.child.id())).unwrap_or_default();
+    let peak = status
+        .lines()
+        .find(|l| l.starts_with("VmHWM"))
+        .and_then(|l| l.split_whitespace().nth(1));
     let peak_mb = peak.and_then(|n| n.parse::<f64>().ok()).unwrap_or(0.0) / 1_024.0;
-    Leg { per_s, latency, peak_mb }
+    Leg {
+        per_s,
+        latency,
+        peak_mb,
+    }
 }
 
 /// The 99th percentile of one write of 4 KiB and its sync on this disk, in microseconds, and the median.
@@ -93,7 +112,10 @@
 
 fn main() {
     let words: Vec<u64> = std::env::args().filter_map(|a| a.parse().ok()).collect();
-    let (seconds, pairs) = (words.first().copied().unwrap_or(5), words.get(1).copied().unwrap_or(3));
+    let (seconds, pairs) = (
+        words.first().copied().unwrap_or(5),
+        words.get(1).copied().unwrap_or(3),
+    );
     let sheds: Vec<Shed> = (0..WORKERS).map(|_| Shed::start("serves")).collect();
     let addrs: Vec<SocketAddr> = sheds.iter().map(|s| s.addr).collect();
     for shed in sheds {
--- a/crates/configuration/src/checks.rs
+++ b/crates/configuration/src/checks.rs
@@ -35,14 +35,21 @@
 fn check_routes(configuration: &Configuration) -> Result<(), ConfigurationError> {
     let names = configuration.routes.iter().map(|route| &*route.name);
     check_names("routes", names)?;
-    let services = configuration.services.iter().map(|service| &*service.name).collect();
+    let services = configuration
+        .services
+        .iter()
+        .map(|service| &*service.name)
+        .collect();
     for (index, route) in configuration.routes.iter().enumerate() {
         check_route(index, route, &services)?;
     }
     check_prefixes(&configuration.routes)
 }
 
-fn check_names<'a>(list: &str, names: impl Iterator<Item = &'a str>) -> Result<(), ConfigurationError> {
+fn check_names<'a>(
+    list: &str,
+    names: impl Iterator<Item = &'a str>,
+) -> Result<(), ConfigurationError> {
     let mut seen = HashMap::new();
     for (index, name) in names.enumerate() {
         let field = || format!("{list}[{index}].name");
@@ -51,19 +58,31 @@
         }
         if let Some(earlier) = seen.insert(name, index) {
             let first = format!("{list}[{earlier}]");
-            return Err(ConfigurationError::DuplicateName { field: field(), value: shortened(name), first });
+            return Err(ConfigurationError::DuplicateName {
+                field: field(),
+                value: shortened(name),
+                first,
+            });
         }
     }
     Ok(())
 }
 
-fn check_route(index: usize, route: &Route, services: &HashSet<&str>) -> Result<(), ConfigurationError> {
+fn check_route(
+    index: usize,
+    route: &Route,
+    services: &HashSet<&str>,
+) -> Result<(), ConfigurationError> {
     let field = |name: &str| format!("routes[{index}].{name}");
     if plain_host(&route.host).is_empty() {
-        return Err(ConfigurationError::Empty { field: field("host") });
+        return Err(ConfigurationError::Empty {
+            field: field("host"),
+        });
     }
     if route.path_prefix.is_empty() {
-        return Err(ConfigurationError::Empty { field: field("path_prefix") });
+        return Err(ConfigurationError::Empty {
+            field: field("path_prefix"),
+        });
     }
     if !route.path_prefix.starts_with('/') {
         return Err(ConfigurationError::NoSlash {
@@ -78,7 +97,9 @@
         });
     }
     if route.timeout_ms == 0 {
-        return Err(ConfigurationError::Zero { field: field("timeout_ms") });
+        return Err(ConfigurationError::Zero {
+            field: field("timeout_ms"),
+        });
     }
     check_number(&field("timeout_ms"), route.timeout_ms)?;
     check_number(&field("target_latency_ms"), route.target_latency_ms)?;
@@ -110,7 +131,11 @@
 
 fn check_number(field: &str, value: u64) -> Result<(), ConfigurationError> {
     if value > GREATEST_NUMBER {
-        return Err(ConfigurationError::TooLarge { field: field.to_owned(), value, most: GREATEST_NUMBER });
+        return Err(ConfigurationError::TooLarge {
+            field: field.to_owned(),
+            value,
+            most: GREATEST_NUMBER,
+        });
     }
     Ok(())
 }
@@ -119,5 +144,8 @@
     if value.is_finite() && value >= 0.0 {
         return Ok(());
     }
-    Err(ConfigurationError::BadFactor { field: field.to_owned(), value: value.to_string() })
+    Err(ConfigurationError::BadFactor {
+        field: field.to_owned(),
+        value: value.to_string(),
+    })
 }
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -50,16 +50,25 @@
         remove(&mut fields, list, names)?;
     }
     for (list, text) in &change.upsert {
-        let removed = change.remove.get(list).into_iter().flatten().map(String::as_str).collect();
+        let removed = change
+            .remove
+            .get(list)
+            .into_iter()
+            .flatten()
+            .map(String::as_str)
+            .collect();
         upsert(&mut fields, list, text, &removed)?;
     }
     fields.insert("version".into(), Field::Version(change.version));
-    serde_json::to_string(&fields)
-        .map_err(|error| ConfigurationError::Unreadable { cause: error.to_string() })
+    serde_json::to_string(&fields).map_err(|error| ConfigurationError::Unreadable {
+        cause: error.to_string(),
+    })
 }
 
 fn remove(
-    fields: &mut BTreeMap<String, Field>, list: &str, names: &[String],
+    fields: &mut BTreeMap<String, Field>,
+    list: &str,
+    names: &[String],
 ) -> Result<(), ConfigurationError> {
     if names.is_empty() || !fields.contains_key(list) {
         return Ok(());
@@ -76,7 +85,10 @@
 }
 
 fn upsert<'a>(
-    fields: &mut BTreeMap<String, Field<'a>>, list: &str, text: &'a RawValue, removed: &HashSet<&str>,
+    fields: &mut BTreeMap<String, Field<'a>>,
+    list: &str,
+    text: &'a RawValue,
+    removed: &HashSet<&str>,
 ) -> Result<(), ConfigurationError> {
     if text.get() == "null" {
         return Ok(());
@@ -104,10 +116,16 @@
 }
 
 fn check_added(
-    list: &str, name: &str, added: &mut HashSet<String>, removed: &HashSet<&str>,
+    list: &str,
+    name: &str,
+    added: &mut HashSet<String>,
+    removed: &HashSet<&str>,
 ) -> Result<(), ConfigurationError> {
     if removed.contains(name) {
-        return Err(ConfigurationError::AddedAndRemoved { list: shortened(list), value: shortened(name) });
+        return Err(ConfigurationError::AddedAndRemoved {
+            list: shortened(list),
+            value: shortened(name),
+        });
     }
     if added.insert(name.to_owned()) {
         return Ok(());
@@ -122,13 +140,16 @@
 
 /// The items of a list; none where it is not there.
 fn items<'a>(
-    fields: &BTreeMap<String, Field<'a>>, list: &str,
+    fields: &BTreeMap<String, Field<'a>>,
+    list: &str,
 ) -> Result<Vec<&'a RawValue>, ConfigurationError> {
     match fields.get(list) {
         None => Ok(Vec::new()),
         Some(Field::Items(items)) => Ok(items.clone()),
         Some(Field::Text(text)) => read_list(list, text),
-        Some(Field::Version(version)) => Err(no_list(list, &version.to_string(), "expected a list")),
+        Some(Field::Version(version)) => {
+            Err(no_list(list, &version.to_string(), "expected a list"))
+        }
     }
 }
 
@@ -137,11 +158,21 @@
 }
 
 fn no_list(list: &str, value: &str, cause: &str) -> ConfigurationError {
-    ConfigurationError::Field { field: shortened(list), value: shortened(value), cause: shortened(cause) }
+    ConfigurationError::Field {
+        field: shortened(list),
+        value: shortened(value),
+        cause: shortened(cause),
+    }
 }
 
-fn places_of(list: &str, items: &[&RawValue]) -> Result<HashMap<String, usize>, ConfigurationError> {
-    let named = items.iter().enumerate().map(|(place, item)| Ok((name_of(list, item)?, place)));
+fn places_of(
+    list: &str,
+    items: &[&RawValue],
+) -> Result<HashMap<String, usize>, ConfigurationError> {
+    let named = items
+        .iter()
+        .enumerate()
+        .map(|(place, item)| Ok((name_of(list, item)?, place)));
     named.collect()
 }
 
@@ -150,7 +181,8 @@
     if !text.starts_with('{') {
         return Err(no_object(list, text));
     }
-    let named: Named = serde_json::from_str(text).map_err(|error| no_list(list, text, &error.to_string()))?;
+    let named: Named =
+        serde_json::from_str(text).map_err(|error| no_list(list, text, &error.to_string()))?;
     Ok(named.name)
 }
 
--- a/crates/configuration/src/error.rs
+++ b/crates/configuration/src/error.rs
@@ -83,7 +83,9 @@
         first: String,
     },
     /// A route names a service that is not there.
-    #[error("{field} is \"{value}\": there is no such service; add it under `services` or name another")]
+    #[error(
+        "{field} is \"{value}\": there is no such service; add it under `services` or name another"
+    )]
     UnknownService {
         /// Path of the field.
         field: String,
@@ -91,7 +93,9 @@
         value: String,
     },
     /// The version is not above the current one.
-    #[error("version is {version}: it must be above the current one, {current}; choose a higher number")]
+    #[error(
+        "version is {version}: it must be above the current one, {current}; choose a higher number"
+    )]
     VersionNotAbove {
         /// The version of the order.
         version: u64,
@@ -99,7 +103,9 @@
         current: u64,
     },
     /// An update adds and removes the same item.
-    #[error("remove.{list} names \"{value}\", which upsert.{list} adds; leave it out of one of them")]
+    #[error(
+        "remove.{list} names \"{value}\", which upsert.{list} adds; leave it out of one of them"
+    )]
     AddedAndRemoved {
         /// The list.
         list: String,
--- a/crates/configuration/src/fault.rs
+++ b/crates/configuration/src/fault.rs
@@ -20,7 +20,10 @@
     let in_upsert = || locate_in_upsert(fields.get("upsert")?);
     let in_remove = || locate_in_remove(fields.get("remove")?);
     let field = || locate_field::<Configuration>("", fields);
-    in_lists().or_else(in_upsert).or_else(in_remove).or_else(field)
+    in_lists()
+        .or_else(in_upsert)
+        .or_else(in_remove)
+        .or_else(field)
 }
 
 /// The error for a text that is to be an object and is none.
@@ -60,26 +63,33 @@
 }
 
 fn locate_item<T: DeserializeOwned + Serialize + Default>(
-    path: &str, list: &Value,
+    path: &str,
+    list: &Value,
 ) -> Option<ConfigurationError> {
     let Value::Array(items) = list else {
         return Some(error(path, list, "expected a list".into()));
     };
-    let faults =
-        items.iter().enumerate().map(|(index, item)| locate_fields::<T>(&format!("{path}[{index}]"), item));
+    let faults = items
+        .iter()
+        .enumerate()
+        .map(|(index, item)| locate_fields::<T>(&format!("{path}[{index}]"), item));
     faults.flatten().next()
 }
 
 fn locate_fields<T: DeserializeOwned + Serialize + Default>(
-    path: &str, item: &Value,
+    path: &str,
+    item: &Value,
 ) -> Option<ConfigurationError> {
     let cause = T::deserialize(item).err()?.to_string();
-    let field = item.as_object().and_then(|fields| locate_field::<T>(&format!("{path}."), fields));
+    let field = item
+        .as_object()
+        .and_then(|fields| locate_field::<T>(&format!("{path}."), fields));
     field.or_else(|| Some(error(path, item, cause)))
 }
 
 fn locate_field<T: DeserializeOwned + Serialize + Default>(
-    path: &str, fields: &Map<String, Value>,
+    path: &str,
+    fields: &Map<String, Value>,
 ) -> Option<ConfigurationError> {
     fields.iter().find_map(|(name, value)| {
         let cause = fault_of::<T>(name, value)?;
@@ -88,9 +98,14 @@
 }
 
 /// What is wrong with a valid `T` once it has this field.
-fn fault_of<T: DeserializeOwned + Serialize + Default>(name: &str, value: &Value) -> Option<String> {
+fn fault_of<T: DeserializeOwned + Serialize + Default>(
+    name: &str,
+    value: &Value,
+) -> Option<String> {
     let mut sample = serde_json::to_value(T::default()).ok()?;
-    sample.as_object_mut()?.insert(name.to_owned(), value.clone());
+    sample
+        .as_object_mut()?
+        .insert(name.to_owned(), value.clone());
     T::deserialize(sample).err().map(|error| error.to_string())
 }
 
--- a/crates/configuration/src/order.rs
+++ b/crates/configuration/src/order.rs
@@ -32,7 +32,10 @@
         OrderKind::Replace => b"r",
         OrderKind::Update => b"u",
     };
-    let digest = Sha256::new().chain_update(kind).chain_update(base.to_be_bytes()).chain_update(body);
+    let digest = Sha256::new()
+        .chain_update(kind)
+        .chain_update(base.to_be_bytes())
+        .chain_update(body);
     let mut key = String::from(ORDER_PREFIX);
     for byte in &digest.finalize()[..NAME_BYTES] {
         // Writing to a text cannot fail.
@@ -72,7 +75,9 @@
 
     /// The newest of them.
     pub fn newest(&self) -> Option<(&Arc<str>, u64)> {
-        self.by_version.last_key_value().map(|(version, key)| (key, *version))
+        self.by_version
+            .last_key_value()
+            .map(|(version, key)| (key, *version))
     }
 
     /// The version that this order has made, if it was taken.
@@ -85,18 +90,27 @@
     /// Whether an order that builds on `base` may have been taken and forgotten since. The orders that are kept build on
     /// rising versions, so it lies before all of them.
     pub fn may_have_forgotten(&self, base: u64) -> bool {
-        let oldest = self.by_version.first_key_value().and_then(|(_, key)| self.by_key.get(key));
+        let oldest = self
+            .by_version
+            .first_key_value()
+            .and_then(|(_, key)| self.by_key.get(key));
         self.by_version.len() >= MOST_ORDERS && oldest.is_some_and(|oldest| base < oldest.base)
     }
 
     /// Keeps an order; returns what to write for it and for those that are dropped.
     pub fn take(&mut self, key: Arc<str>, order: TakenOrder) -> Vec<Write> {
-        let TakenOrder { version, base, length } = order;
+        let TakenOrder {
+            version,
+            base,
+            length,
+        } = order;
         let value = format!(r#"{{"version":{version},"base":{base},"length":{length}}}"#);
         let mut writes = vec![Write::set(key.clone(), value)];
         self.insert(key, order);
         while self.by_version.len() > MOST_ORDERS {
-            let Some((_, oldest)) = self.by_version.pop_first() else { break };
+            let Some((_, oldest)) = self.by_version.pop_first() else {
+                break;
+            };
             self.by_key.remove(&oldest);
             writes.push(Write::remove(oldest));
         }
@@ -108,8 +122,10 @@
     /// # Errors
     /// [`RecordError::Damaged`] where it cannot be read.
     pub fn recover(&mut self, key: Arc<str>, value: &str) -> Result<(), RecordError> {
-        let order = serde_json::from_str(value)
-            .map_err(|error| RecordError::Damaged { key: key.to_string(), cause: error.to_string() })?;
+        let order = serde_json::from_str(value).map_err(|error| RecordError::Damaged {
+            key: key.to_string(),
+            cause: error.to_string(),
+        })?;
         self.insert(key, order);
         Ok(())
     }
--- a/crates/configuration/src/refusal.rs
+++ b/crates/configuration/src/refusal.rs
@@ -58,10 +58,13 @@
     /// # Errors
     /// [`RecordError::Damaged`] where it cannot be read.
     pub fn recover(&mut self, key: Arc<str>, value: &str) -> Result<(), RecordError> {
-        let base = value.parse().map_err(|error: std::num::ParseIntError| RecordError::Damaged {
-            key: key.to_string(),
-            cause: error.to_string(),
-        })?;
+        let base =
+            value
+                .parse()
+                .map_err(|error: std::num::ParseIntError| RecordError::Damaged {
+                    key: key.to_string(),
+                    cause: error.to_string(),
+                })?;
         self.by_key.insert(key, base);
         Ok(())
     }
--- a/crates/configuration/src/relay/archive.rs
+++ b/crates/configuration/src/relay/archive.rs
@@ -34,7 +34,11 @@
 
     /// Takes a whole configuration, and forgets changes, as there is none that leads to it.
     pub fn set_whole(&mut self, version: u64, text: Arc<RawValue>) {
-        *self = Archive { version, text: Some(text), ..Archive::default() };
+        *self = Archive {
+            version,
+            text: Some(text),
+            ..Archive::default()
+        };
     }
 
     /// Takes a change and the text that it made.
@@ -43,7 +47,9 @@
         self.changes_bytes += change.update.get().len();
         self.changes.push_back(change);
         while self.changes.len() > KEPT_CHANGES || self.changes_bytes > text.get().len() {
-            let Some(oldest) = self.changes.pop_front() else { break };
+            let Some(oldest) = self.changes.pop_front() else {
+                break;
+            };
             self.changes_bytes -= oldest.update.get().len();
         }
         self.text = Some(text);
@@ -54,8 +60,13 @@
         let text = self.text.as_ref().filter(|_| have < self.version)?;
         let known = self.changes.iter().position(|change| change.base == have);
         Some(match known {
-            Some(first) => RelayMessage::Changes(self.changes.iter().skip(first).cloned().collect()),
-            None => RelayMessage::Whole { version: self.version, text: text.clone() },
+            Some(first) => {
+                RelayMessage::Changes(self.changes.iter().skip(first).cloned().collect())
+            }
+            None => RelayMessage::Whole {
+                version: self.version,
+                text: text.clone(),
+            },
         })
     }
 
@@ -73,11 +84,13 @@
 /// # Errors
 /// Where the change, or what it makes, cannot be read or is of another version.
 pub fn changed(
-    base: &RawValue, change: &Change,
+    base: &RawValue,
+    change: &Change,
 ) -> Result<(Arc<RawValue>, Arc<Configuration>), ConfigurationError> {
     let text = apply(base.get(), change.update.get())?;
-    let text = RawValue::from_string(text)
-        .map_err(|error| ConfigurationError::Unreadable { cause: error.to_string() })?;
+    let text = RawValue::from_string(text).map_err(|error| ConfigurationError::Unreadable {
+        cause: error.to_string(),
+    })?;
     let configuration = read(&text, change.version)?;
     Ok((text.into(), configuration))
 }
--- a/crates/configuration/src/relay/distribution.rs
+++ b/crates/configuration/src/relay/distribution.rs
@@ -29,7 +29,10 @@
 impl Distribution {
     /// That of a primary that begins now.
     pub fn new(epoch: u64, now: Millis) -> Distribution {
-        Distribution { root: RelayRoot::new(epoch, now), leases: Leases::new(epoch, now) }
+        Distribution {
+            root: RelayRoot::new(epoch, now),
+            leases: Leases::new(epoch, now),
+        }
     }
 
     /// The version that was last published; 0 for none.
@@ -52,19 +55,39 @@
         self.leases.renew(now, &lease.address);
         let configuration = self.version();
         let Some(roster) = self.leases.roster() else {
-            return GateLeaseReply { configuration, ..GateLeaseReply::default() };
+            return GateLeaseReply {
+                configuration,
+                ..GateLeaseReply::default()
+            };
         };
         let is_known = lease.roster == roster.version;
         let members = (!is_known).then(|| roster.members.clone());
-        GateLeaseReply { configuration, roster: roster.version, members }
+        GateLeaseReply {
+            configuration,
+            roster: roster.version,
+            members,
+        }
     }
 
     /// Publishes a committed configuration. One whose text is no JSON was never committed, and is passed over.
     pub fn publish(&mut self, published: &Published) -> Vec<Send> {
-        let Some(text) = raw(&published.text) else { return Vec::new() };
+        let Some(text) = raw(&published.text) else {
+            return Vec::new();
+        };
         let version = published.version;
-        match published.update.as_ref().and_then(|(base, update)| Some((*base, raw(update)?))) {
-            Some((base, update)) => self.root.publish_change(Change { base, version, update }, text),
+        match published
+            .update
+            .as_ref()
+            .and_then(|(base, update)| Some((*base, raw(update)?)))
+        {
+            Some((base, update)) => self.root.publish_change(
+                Change {
+                    base,
+                    version,
+                    update,
+                },
+                text,
+            ),
             None => self.root.publish(version, text),
         }
     }
@@ -73,7 +96,9 @@
     pub fn receive(&mut self, now: Millis, envelope: Envelope) -> Vec<Send> {
         let from = envelope.from;
         let messages = envelope.messages.into_iter();
-        messages.flat_map(|message| self.root.receive(now, &from, message)).collect()
+        messages
+            .flat_map(|message| self.root.receive(now, &from, message))
+            .collect()
     }
 
     /// Does what is due.
--- a/crates/configuration/src/relay/downstream.rs
+++ b/crates/configuration/src/relay/downstream.rs
@@ -18,7 +18,11 @@
 impl Downstream {
     /// One that begins its heartbeats at `first`.
     pub fn new(first: Millis) -> Downstream {
-        Downstream { children: Vec::new(), adopted: BTreeMap::new(), next_heartbeat: first }
+        Downstream {
+            children: Vec::new(),
+            adopted: BTreeMap::new(),
+            next_heartbeat: first,
+        }
     }
 
     /// Takes the children of a new roster; former ones ask if nobody else tells them.
@@ -64,18 +68,29 @@
         let children = self.children.clone();
         let others = self.adopted.keys().cloned().collect();
         let groups = [(children, false), (others, true)];
-        let filled = groups.into_iter().filter(|(to, _): &(Vec<Peer>, bool)| !to.is_empty());
+        let filled = groups
+            .into_iter()
+            .filter(|(to, _): &(Vec<Peer>, bool)| !to.is_empty());
         filled
             .map(|(to, adopted)| Send {
                 to,
-                message: RelayMessage::Heartbeat { version, pulse, adopted, ask },
+                message: RelayMessage::Heartbeat {
+                    version,
+                    pulse,
+                    adopted,
+                    ask,
+                },
             })
             .collect()
     }
 
     /// A message to all but one.
     pub fn tell(&self, message: RelayMessage, except: Option<&Peer>) -> Option<Send> {
-        let to: Vec<Peer> = self.receivers().filter(|peer| Some(*peer) != except).cloned().collect();
+        let to: Vec<Peer> = self
+            .receivers()
+            .filter(|peer| Some(*peer) != except)
+            .cloned()
+            .collect();
         (!to.is_empty()).then_some(Send { to, message })
     }
 }
--- a/crates/configuration/src/relay/leases.rs
+++ b/crates/configuration/src/relay/leases.rs
@@ -27,7 +27,10 @@
         let version = epoch.saturating_add(1) << EPOCH_SHIFT;
         Leases {
             until: BTreeMap::new(),
-            roster: Roster { version, members: Vec::new() },
+            roster: Roster {
+                version,
+                members: Vec::new(),
+            },
             next_roster: now + GATHERING,
         }
     }
@@ -56,8 +59,10 @@
         if self.until.keys().eq(&self.roster.members) {
             return None;
         }
-        self.roster =
-            Roster { version: self.roster.version + 1, members: self.until.keys().cloned().collect() };
+        self.roster = Roster {
+            version: self.roster.version + 1,
+            members: self.until.keys().cloned().collect(),
+        };
         self.next_roster = now + ROSTER_INTERVAL;
         Some(&self.roster)
     }
--- a/crates/configuration/src/relay/message.rs
+++ b/crates/configuration/src/relay/message.rs
@@ -84,6 +84,9 @@
 impl Send {
     /// To a single receiver.
     pub fn one(to: Peer, message: RelayMessage) -> Send {
-        Send { to: vec![to], message }
+        Send {
+            to: vec![to],
+            message,
+        }
     }
 }
--- a/crates/configuration/src/relay/node.rs
+++ b/crates/configuration/src/relay/node.rs
@@ -98,7 +98,8 @@
             return Actions::default();
         }
         let tree = Tree::new(roster);
-        self.upstream.set_ancestors(now, tree.ancestors(&self.address));
+        self.upstream
+            .set_ancestors(now, tree.ancestors(&self.address));
         self.downstream.set_children(tree.children(&self.address));
         if self.roster.is_none() {
             self.upstream.ask_now(now);
@@ -125,7 +126,12 @@
     pub fn receive(&mut self, now: Millis, from: &Peer, message: RelayMessage) -> Actions {
         let woken = self.notice_freeze(now);
         let mut actions = match message {
-            RelayMessage::Heartbeat { version, pulse, adopted, ask } => {
+            RelayMessage::Heartbeat {
+                version,
+                pulse,
+                adopted,
+                ask,
+            } => {
                 self.upstream.heard(now, from, pulse, adopted);
                 if version > self.version() {
                     self.upstream.lacks(now, version, Some(from), ask);
@@ -154,7 +160,11 @@
     fn finish(&mut self, now: Millis, mut actions: Actions) -> Actions {
         actions.sends.extend(self.questions(now));
         if self.downstream.is_due(now) {
-            actions.sends.extend(self.downstream.heartbeats(self.version(), self.upstream.pulse(), false));
+            actions.sends.extend(self.downstream.heartbeats(
+                self.version(),
+                self.upstream.pulse(),
+                false,
+            ));
         }
         self.called_by = self.next_tick();
         actions
@@ -163,7 +173,10 @@
     fn questions(&mut self, now: Millis) -> Option<Send> {
         let to = self.upstream.due(now);
         let have = if self.is_damaged { 0 } else { self.version() };
-        (!to.is_empty()).then_some(Send { to, message: RelayMessage::Ask { have } })
+        (!to.is_empty()).then_some(Send {
+            to,
+            message: RelayMessage::Ask { have },
+        })
     }
 
     fn answer(&mut self, now: Millis, from: &Peer, have: u64) -> Actions {
@@ -172,10 +185,20 @@
         }
         let adopted = self.downstream.asked(now, from);
         let (version, pulse) = (self.version(), self.upstream.pulse());
-        let heartbeat = RelayMessage::Heartbeat { version, pulse, adopted, ask: false };
+        let heartbeat = RelayMessage::Heartbeat {
+            version,
+            pulse,
+            adopted,
+            ask: false,
+        };
         let messages = std::iter::once(heartbeat).chain(self.archive.since(have));
-        let sends = messages.map(|message| Send::one(from.clone(), message)).collect();
-        Actions { sends, configuration: None }
+        let sends = messages
+            .map(|message| Send::one(from.clone(), message))
+            .collect();
+        Actions {
+            sends,
+            configuration: None,
+        }
     }
 
     fn take_changes(&mut self, now: Millis, from: &Peer, changes: &[Change]) -> Actions {
@@ -193,7 +216,10 @@
 
     /// Takes a change; none where its base is not here, or where it does not fit the text that is.
     fn take_change(&mut self, change: &Change) -> Option<Arc<Configuration>> {
-        let base = self.archive.text().filter(|_| change.base == self.archive.version())?;
+        let base = self
+            .archive
+            .text()
+            .filter(|_| change.base == self.archive.version())?;
         let Ok((text, configuration)) = changed(base, change) else {
             self.is_damaged = true;
             return None;
@@ -208,23 +234,39 @@
             return Actions::default();
         }
         // One that cannot be read is dropped; it is asked for again elsewhere, as its heartbeats tell of it.
-        let Ok(configuration) = read(&text, version) else { return Actions::default() };
+        let Ok(configuration) = read(&text, version) else {
+            return Actions::default();
+        };
         self.archive.set_whole(version, text);
         self.is_damaged = false;
         self.passed_on(had, Some(configuration), from)
     }
 
     /// Passes on what brought this member from version `had` to the present one.
-    fn passed_on(&mut self, had: u64, configuration: Option<Arc<Configuration>>, from: &Peer) -> Actions {
+    fn passed_on(
+        &mut self,
+        had: u64,
+        configuration: Option<Arc<Configuration>>,
+        from: &Peer,
+    ) -> Actions {
         let version = self.version();
         self.upstream.has(version);
         if version <= had {
             return Actions::default();
         }
         let sends = match self.archive.pushed_since(had) {
-            Some(message) => self.downstream.tell(message, Some(from)).into_iter().collect(),
-            None => self.downstream.heartbeats(version, self.upstream.pulse(), true),
+            Some(message) => self
+                .downstream
+                .tell(message, Some(from))
+                .into_iter()
+                .collect(),
+            None => self
+                .downstream
+                .heartbeats(version, self.upstream.pulse(), true),
         };
-        Actions { sends, configuration }
+        Actions {
+            sends,
+            configuration,
+        }
     }
 }
--- a/crates/configuration/src/relay/root.rs
+++ b/crates/configuration/src/relay/root.rs
@@ -49,7 +49,8 @@
         if self.roster.is_some_and(|version| version >= roster.version) {
             return;
         }
-        self.downstream.set_children(Tree::new(roster).children_of_root());
+        self.downstream
+            .set_children(Tree::new(roster).children_of_root());
         self.roster = Some(roster.version);
     }
 
@@ -80,17 +81,27 @@
             return Vec::new();
         }
         self.pulse.count += 1;
-        self.downstream.heartbeats(self.version(), self.pulse, false)
+        self.downstream
+            .heartbeats(self.version(), self.pulse, false)
     }
 
     /// Takes a message; only questions come up the tree.
     pub fn receive(&mut self, now: Millis, from: &Peer, message: RelayMessage) -> Vec<Send> {
-        let RelayMessage::Ask { have } = message else { return Vec::new() };
+        let RelayMessage::Ask { have } = message else {
+            return Vec::new();
+        };
         let adopted = self.downstream.asked(now, from);
         let (version, pulse) = (self.version(), self.pulse);
-        let heartbeat = RelayMessage::Heartbeat { version, pulse, adopted, ask: false };
+        let heartbeat = RelayMessage::Heartbeat {
+            version,
+            pulse,
+            adopted,
+            ask: false,
+        };
         let messages = std::iter::once(heartbeat).chain(self.archive.since(have));
-        messages.map(|message| Send::one(from.clone(), message)).collect()
+        messages
+            .map(|message| Send::one(from.clone(), message))
+            .collect()
     }
 
     fn tell(&mut self, had: u64) -> Vec<Send> {
--- a/crates/configuration/src/relay/tree.rs
+++ b/crates/configuration/src/relay/tree.rs
@@ -25,7 +25,11 @@
 impl Tree {
     /// The tree of a roster.
     pub fn new(roster: &Roster) -> Tree {
-        let mut order: Vec<_> = roster.members.iter().map(|member| (hash(member), member.clone())).collect();
+        let mut order: Vec<_> = roster
+            .members
+            .iter()
+            .map(|member| (hash(member), member.clone()))
+            .collect();
         order.sort();
         order.dedup();
         Tree { order }
@@ -53,7 +57,11 @@
         let mut place = self.place(address).unwrap_or_else(|place| place);
         while place >= FAN_OUT {
             place = place / FAN_OUT - 1;
-            ancestors.extend(self.order.get(place).map(|(_, member)| Peer::Member(member.clone())));
+            ancestors.extend(
+                self.order
+                    .get(place)
+                    .map(|(_, member)| Peer::Member(member.clone())),
+            );
         }
         ancestors.push(Peer::Core);
         ancestors
@@ -61,7 +69,8 @@
 
     fn place(&self, address: &str) -> Result<usize, usize> {
         let wanted = (hash(address), address);
-        self.order.binary_search_by(|(hash, member)| (*hash, &**member).cmp(&wanted))
+        self.order
+            .binary_search_by(|(hash, member)| (*hash, &**member).cmp(&wanted))
     }
 
     fn places(&self, first: usize) -> Vec<Arc<str>> {
--- a/crates/configuration/src/relay/upstream.rs
+++ b/crates/configuration/src/relay/upstream.rs
@@ -2,7 +2,8 @@
 
 use super::message::{Peer, Pulse};
 use super::{
-    ASK_TIMEOUT, FIRST_PAUSE, LACK_RETRY, LONGEST_PAUSE, RENEWAL, SILENCE, STALE_BEATS, STALL, UNDERWAY,
+    ASK_TIMEOUT, FIRST_PAUSE, LACK_RETRY, LONGEST_PAUSE, RENEWAL, SILENCE, STALE_BEATS, STALL,
+    UNDERWAY,
 };
 use streamusher_protocol::Millis;
 
@@ -125,16 +126,32 @@
             Some(lack) if lack.version >= version => {
                 // Without a question on its way, the first one may go to this holder.
                 if at_once && lack.asked == 0 {
-                    *lack = Lack { version: lack.version, holder: holder.cloned(), asked: 0, at };
+                    *lack = Lack {
+                        version: lack.version,
+                        holder: holder.cloned(),
+                        asked: 0,
+                        at,
+                    };
                 }
             }
-            lack => *lack = Some(Lack { version, holder: holder.cloned(), asked: 0, at }),
+            lack => {
+                *lack = Some(Lack {
+                    version,
+                    holder: holder.cloned(),
+                    asked: 0,
+                    at,
+                })
+            }
         }
     }
 
     /// Takes note that this version is here.
     pub fn has(&mut self, version: u64) {
-        if self.lack.as_ref().is_some_and(|lack| lack.version <= version) {
+        if self
+            .lack
+            .as_ref()
+            .is_some_and(|lack| lack.version <= version)
+        {
             self.lack = None;
         }
     }
@@ -156,15 +173,24 @@
 
     /// When [`Upstream::due`] is to be called next.
     pub fn next_due(&self) -> Millis {
-        let search = self.search.as_ref().map_or_else(|| self.patience_ends(), |search| search.at);
+        let search = self
+            .search
+            .as_ref()
+            .map_or_else(|| self.patience_ends(), |search| search.at);
         let lack = self.lack.as_ref().map(|lack| lack.at);
-        let renewal = self.adopter.as_ref().map(|adopter| adopter.renewed_at + RENEWAL);
+        let renewal = self
+            .adopter
+            .as_ref()
+            .map(|adopter| adopter.renewed_at + RENEWAL);
         let others = lack.into_iter().chain(renewal);
         others.fold(search, Millis::min)
     }
 
     fn is_stale(&self, pulse: Pulse) -> bool {
-        let behind = Pulse { epoch: pulse.epoch, count: pulse.count.saturating_add(STALE_BEATS) };
+        let behind = Pulse {
+            epoch: pulse.epoch,
+            count: pulse.count.saturating_add(STALE_BEATS),
+        };
         behind < self.pulse
     }
 
@@ -176,13 +202,23 @@
         match &mut self.adopter {
             Some(adopter) if adopter.peer == *from => adopter.heard_at = now,
             Some(adopter) if now < adopter.heard_at + SILENCE => {}
-            _ => self.adopter = Some(Adopter { peer: from.clone(), heard_at: now, renewed_at: now }),
+            _ => {
+                self.adopter = Some(Adopter {
+                    peer: from.clone(),
+                    heard_at: now,
+                    renewed_at: now,
+                })
+            }
         }
     }
 
     fn search_from(&mut self, first: usize, now: Millis) {
         let next = first.min(self.ancestors.len() - 1);
-        self.search = Some(Search { next, at: now, pause: FIRST_PAUSE });
+        self.search = Some(Search {
+            next,
+            at: now,
+            pause: FIRST_PAUSE,
+        });
     }
 
     fn due_search(&mut self, now: Millis) -> Option<Peer> {
@@ -208,7 +244,10 @@
     }
 
     fn due_renewal(&mut self, now: Millis) -> Option<Peer> {
-        let adopter = self.adopter.as_mut().filter(|adopter| now >= adopter.renewed_at + RENEWAL)?;
+        let adopter = self
+            .adopter
+            .as_mut()
+            .filter(|adopter| now >= adopter.renewed_at + RENEWAL)?;
         let has_parent = self.parent_at.is_some_and(|at| now < at + SILENCE);
         if has_parent || now >= adopter.heard_at + SILENCE {
             self.adopter = None;
--- a/crates/configuration/src/routes.rs
+++ b/crates/configuration/src/routes.rs
@@ -29,11 +29,17 @@
     pub fn new(configuration: Arc<Configuration>) -> RouteTable {
         let mut by_host: HashMap<Box<str>, Vec<u32>> = HashMap::new();
         for (index, route) in (0..NONE).zip(configuration.routes.iter()) {
-            by_host.entry(plain_host(&route.host).into()).or_default().push(index);
+            by_host
+                .entry(plain_host(&route.host).into())
+                .or_default()
+                .push(index);
         }
         let linked = |(host, routes)| (host, link(&configuration, routes));
         let hosts = by_host.into_iter().map(linked).collect();
-        RouteTable { configuration, hosts }
+        RouteTable {
+            configuration,
+            hosts,
+        }
     }
 
     /// The configuration whose routes these are.
@@ -57,7 +63,9 @@
     }
 
     fn prefix(&self, entry: &Entry) -> &[u8] {
-        self.configuration.routes[entry.route as usize].path_prefix.as_bytes()
+        self.configuration.routes[entry.route as usize]
+            .path_prefix
+            .as_bytes()
     }
 }
 
@@ -67,7 +75,10 @@
     routes.sort_by_key(|&route| prefix(route));
     let mut entries: Vec<Entry> = Vec::with_capacity(routes.len());
     for route in routes {
-        let mut parent = entries.len().checked_sub(1).map_or(NONE, |last| last as u32);
+        let mut parent = entries
+            .len()
+            .checked_sub(1)
+            .map_or(NONE, |last| last as u32);
         while parent != NONE && !prefix(route).starts_with(prefix(entries[parent as usize].route)) {
             parent = entries[parent as usize].parent;
         }
@@ -77,13 +88,18 @@
 }
 
 fn common_length(left: &[u8], right: &[u8]) -> usize {
-    left.iter().zip(right).take_while(|(left, right)| left == right).count()
+    left.iter()
+        .zip(right)
+        .take_while(|(left, right)| left == right)
+        .count()
 }
 
 /// A host without its port and in lower case.
 pub fn plain_host(host: &str) -> Cow<'_, str> {
     let end_of_address = host.rfind(']').unwrap_or(0);
-    let port = host[end_of_address..].find(':').map(|colon| end_of_address + colon);
+    let port = host[end_of_address..]
+        .find(':')
+        .map(|colon| end_of_address + colon);
     let bare = &host[..port.unwrap_or(host.len())];
     if bare.bytes().any(|byte| byte.is_ascii_uppercase()) {
         return Cow::Owned(bare.to_ascii_lowercase());
--- a/crates/configuration/src/store.rs
+++ b/crates/configuration/src/store.rs
@@ -76,7 +76,9 @@
     ///
     /// # Errors
     /// Where a record is damaged, or the records do not belong together.
-    pub fn recover(records: impl Iterator<Item = (Arc<str>, Arc<str>)>) -> Result<Self, RecordError> {
+    pub fn recover(
+        records: impl Iterator<Item = (Arc<str>, Arc<str>)>,
+    ) -> Result<Self, RecordError> {
         let mut store = ConfigurationStore::new();
         for (key, value) in records {
             if &*key == CURRENT_KEY {
@@ -115,12 +117,17 @@
     pub fn newest(&self) -> Option<Published> {
         let current = self.current.as_ref()?;
         let version = current.configuration.version;
-        Some(Published { version, text: current.text.clone(), update: self.update.clone() })
+        Some(Published {
+            version,
+            text: current.text.clone(),
+            update: self.update.clone(),
+        })
     }
 
     /// The newest version; 0 for none.
     pub fn version(&self) -> u64 {
-        self.current().map_or(0, |configuration| configuration.version)
+        self.current()
+            .map_or(0, |configuration| configuration.version)
     }
 
     /// The newest configuration's routes.
@@ -130,7 +137,10 @@
 
     fn order(&mut self, kind: OrderKind, base: u64, body: &str) -> Outcome {
         let key = order_key(kind, base, body);
-        let known = self.orders.find(&key, base, body).filter(|_| !cfg!(feature = "mutant-repeats"));
+        let known = self
+            .orders
+            .find(&key, base, body)
+            .filter(|_| !cfg!(feature = "mutant-repeats"));
         if let Some(version) = known {
             return Outcome::Again { version };
         }
@@ -154,7 +164,10 @@
             return Outcome::Undecided { current };
         }
         if base <= current || cfg!(feature = "mutant-refusals") {
-            return Outcome::Stale { current, writes: Vec::new() };
+            return Outcome::Stale {
+                current,
+                writes: Vec::new(),
+            };
         }
         match self.refusals.refuse(order, base) {
             Some(writes) => Outcome::Stale { current, writes },
@@ -173,12 +186,19 @@
         };
         let configuration = parse_configuration(&text)?;
         check(&configuration, self.version())?;
-        Ok(Current { configuration: Arc::new(configuration), text })
+        Ok(Current {
+            configuration: Arc::new(configuration),
+            text,
+        })
     }
 
     fn take(&mut self, key: Arc<str>, base: u64, body: &str, next: Current) -> Outcome {
         let version = next.configuration.version;
-        let order = TakenOrder { version, base, length: body.len() as u64 };
+        let order = TakenOrder {
+            version,
+            base,
+            length: body.len() as u64,
+        };
         let mut writes = self.orders.take(key, order);
         writes.extend(self.refusals.forget_below(version));
         writes.push(Write::set(CURRENT_KEY, next.text.clone()));
@@ -197,16 +217,21 @@
             cause: error.to_string(),
         };
         let configuration = parse_configuration(&text).map_err(damaged)?;
-        self.set_current(Current { configuration: Arc::new(configuration), text });
+        self.set_current(Current {
+            configuration: Arc::new(configuration),
+            text,
+        });
         Ok(())
     }
 
     fn check_recovered(&self) -> Result<(), RecordError> {
         let current = self.version();
         match self.orders.newest() {
-            Some((key, version)) if version > current => {
-                Err(RecordError::TooNew { key: key.to_string(), version, current })
-            }
+            Some((key, version)) if version > current => Err(RecordError::TooNew {
+                key: key.to_string(),
+                version,
+                current,
+            }),
             _ => Ok(()),
         }
     }
--- a/crates/configuration/src/wire.rs
+++ b/crates/configuration/src/wire.rs
@@ -39,7 +39,9 @@
 
 /// Makes the parser's error into one that names the field, where the text is JSON at all.
 pub(crate) fn explain(body: &str, error: &serde_json::Error) -> ConfigurationError {
-    let unreadable = || ConfigurationError::Unreadable { cause: fault::shortened(&error.to_string()) };
+    let unreadable = || ConfigurationError::Unreadable {
+        cause: fault::shortened(&error.to_string()),
+    };
     match serde_json::from_str(body) {
         Ok(value) => fault::locate(&value).unwrap_or_else(unreadable),
         Err(_) => unreadable(),
--- a/crates/configuration/tests/files.rs
+++ b/crates/configuration/tests/files.rs
@@ -44,35 +44,72 @@
 #[test]
 fn given_a_good_toml_file_when_checked_then_it_is_read_whole() {
     let read = check_file(&file("good.toml", TOML)).expect("it is good");
-    assert_eq!((read.version, &*read.routes[0].name, read.routes[0].stretch), (5, "r-one", 2.5));
-    assert_eq!((read.limits.max_body_bytes, read.limits.max_header_bytes), (1000, 16_384));
+    assert_eq!(
+        (read.version, &*read.routes[0].name, read.routes[0].stretch),
+        (5, "r-one", 2.5)
+    );
+    assert_eq!(
+        (read.limits.max_body_bytes, read.limits.max_header_bytes),
+        (1000, 16_384)
+    );
     assert_eq!(read.other["note"], "kept");
     assert_eq!(read.routes[0].other["kind"], "unsafe");
 }
 
 #[rstest]
-#[case("timeout_ms = 3000", "timeout_ms = 0", "routes[0].timeout_ms is 0: it must be at least 1;")]
+#[case(
+    "timeout_ms = 3000",
+    "timeout_ms = 0",
+    "routes[0].timeout_ms is 0: it must be at least 1;"
+)]
 #[case("timeout_ms = 3000", "timeout_ms = -1", "routes[0].timeout_ms is -1: ")]
-#[case("timeout_ms = 3000", "timeout_ms = \"long\"", "routes[0].timeout_ms is \"long\": ")]
+#[case(
+    "timeout_ms = 3000",
+    "timeout_ms = \"long\"",
+    "routes[0].timeout_ms is \"long\": "
+)]
 #[case("timeout_ms = 3000", "", "routes[0] is {")]
-#[case("stretch = 2.5", "stretch = inf", "routes[0].stretch is inf: it must be a finite number")]
-#[case("stretch = 2.5", "stretch = nan", "routes[0].stretch is NaN: it must be a finite number")]
+#[case(
+    "stretch = 2.5",
+    "stretch = inf",
+    "routes[0].stretch is inf: it must be a finite number"
+)]
+#[case(
+    "stretch = 2.5",
+    "stretch = nan",
+    "routes[0].stretch is NaN: it must be a finite number"
+)]
 #[case(
     "service = \"cores\"",
     "service = \"none\"",
     "routes[0].service is \"none\": there is no such service;"
 )]
-#[case("\"/one/\"", "\"one\"", "routes[0].path_prefix is \"one\": it must begin with '/';")]
+#[case(
+    "\"/one/\"",
+    "\"one\"",
+    "routes[0].path_prefix is \"one\": it must begin with '/';"
+)]
 #[case("version = 5", "version = 0", "version is 0: it must be above")]
 #[case("version = 5", "version = \"5\"", "version is \"5\": ")]
-#[case("max_body_bytes = 1000", "max_body_bytes = -1", "limits.max_body_bytes is -1: ")]
+#[case(
+    "max_body_bytes = 1000",
+    "max_body_bytes = -1",
+    "limits.max_body_bytes is -1: "
+)]
 #[case("[limits]", "[limits", "cannot be read: ")]
 fn given_a_toml_file_with_a_fault_when_checked_then_the_field_is_named(
-    #[case] good: &str, #[case] bad: &str, #[case] message: &str,
+    #[case] good: &str,
+    #[case] bad: &str,
+    #[case] message: &str,
 ) {
-    let name =
-        format!("bad-{}.toml", bad.bytes().fold(7u32, |sum, byte| sum.wrapping_mul(31) + u32::from(byte)));
-    let error = check_file(&file(&name, &TOML.replace(good, bad))).expect_err("it is bad").to_string();
+    let name = format!(
+        "bad-{}.toml",
+        bad.bytes()
+            .fold(7u32, |sum, byte| sum.wrapping_mul(31) + u32::from(byte))
+    );
+    let error = check_file(&file(&name, &TOML.replace(good, bad)))
+        .expect_err("it is bad")
+        .to_string();
     assert!(error.starts_with(message), "{error}");
 }
 
@@ -80,8 +117,13 @@
 fn given_a_json_file_with_a_fault_when_checked_then_the_field_is_named() {
     let mut bad = sample(5);
     bad["routes"][1]["priority"] = serde_json::json!("high");
-    let error = check_file(&file("bad.json", &bad.to_string())).expect_err("it is bad").to_string();
-    assert!(error.starts_with("routes[1].priority is \"high\": "), "{error}");
+    let error = check_file(&file("bad.json", &bad.to_string()))
+        .expect_err("it is bad")
+        .to_string();
+    assert!(
+        error.starts_with("routes[1].priority is \"high\": "),
+        "{error}"
+    );
     for text in ["", "[]", "[5]", "5", "{\"version\":5", "null"] {
         assert!(check_file(&file("worse.json", text)).is_err(), "{text}");
     }
@@ -91,8 +133,17 @@
 fn given_no_such_file_or_an_unknown_format_when_checked_then_the_remedy_is_named() {
     let missing = check_file(&PathBuf::from("no-such-folder/x.toml")).expect_err("it is missing");
     assert!(matches!(missing, ConfigurationError::File { .. }));
-    assert!(missing.to_string().contains("name a file that this user can read"), "{missing}");
-    let unknown = check_file(&file("configuration.yaml", "version: 5")).expect_err("its format is unknown");
+    assert!(
+        missing
+            .to_string()
+            .contains("name a file that this user can read"),
+        "{missing}"
+    );
+    let unknown =
+        check_file(&file("configuration.yaml", "version: 5")).expect_err("its format is unknown");
     assert!(matches!(unknown, ConfigurationError::UnknownFormat { .. }));
-    assert!(unknown.to_string().contains("name it *.json or *.toml"), "{unknown}");
+    assert!(
+        unknown.to_string().contains("name it *.json or *.toml"),
+        "{unknown}"
+    );
 }
--- a/crates/configuration/tests/histories.rs
+++ b/crates/configuration/tests/histories.rs
@@ -36,7 +36,9 @@
 
 impl Model {
     fn version(&self) -> u64 {
-        self.current.as_ref().map_or(0, |current| current["version"].as_u64().expect("a number"))
+        self.current
+            .as_ref()
+            .map_or(0, |current| current["version"].as_u64().expect("a number"))
     }
 
     fn expect(&mut self, order: &Order) -> Expected {
@@ -65,7 +67,10 @@
         next["version"] = meaning["version"].clone();
         for list in ["routes", "services"] {
             let mut items = next[list].as_array().cloned().unwrap_or_default();
-            let removed = meaning["remove"][list].as_array().cloned().unwrap_or_default();
+            let removed = meaning["remove"][list]
+                .as_array()
+                .cloned()
+                .unwrap_or_default();
             items.retain(|item| !removed.contains(&item["name"]));
             for item in meaning["upsert"][list].as_array().into_iter().flatten() {
                 match items.iter_mut().find(|other| other["name"] == item["name"]) {
@@ -82,13 +87,23 @@
 
     fn is_valid(&self, next: &Value) -> bool {
         let list = |name: &str| next[name].as_array().cloned().unwrap_or_default();
-        let services: Vec<Value> = list("services").iter().map(|service| service["name"].clone()).collect();
+        let services: Vec<Value> = list("services")
+            .iter()
+            .map(|service| service["name"].clone())
+            .collect();
         let routes = list("routes");
-        let known = routes.iter().all(|route| services.contains(&route["service"]));
+        let known = routes
+            .iter()
+            .all(|route| services.contains(&route["service"]));
         let timed = routes.iter().all(|route| route["timeout_ms"] != json!(0));
-        let keys: Vec<_> = routes.iter().map(|route| (&route["host"], &route["path_prefix"])).collect();
+        let keys: Vec<_> = routes
+            .iter()
+            .map(|route| (&route["host"], &route["path_prefix"]))
+            .collect();
         let names: Vec<_> = routes.iter().map(|route| &route["name"]).collect();
-        let newer = next["version"].as_u64().is_some_and(|version| version > self.version());
+        let newer = next["version"]
+            .as_u64()
+            .is_some_and(|version| version > self.version());
         newer
             && known
             && timed
@@ -99,7 +114,10 @@
 }
 
 fn distinct<T: PartialEq>(items: &[T]) -> bool {
-    items.iter().enumerate().all(|(index, item)| !items[..index].contains(item))
+    items
+        .iter()
+        .enumerate()
+        .all(|(index, item)| !items[..index].contains(item))
 }
 
 /// A random order: mostly well-formed, on the current base or near it, at times a repeat.
@@ -107,17 +125,38 @@
     if !sent.is_empty() && numbers.below(4) == 0 {
         return numbers.one_of(sent).clone();
     }
-    let base = if numbers.below(5) == 0 { numbers.below(version + 3) } else { version };
-    let next =
-        if numbers.below(6) == 0 { numbers.below(version + 1) } else { version + 1 + numbers.below(3) };
+    let base = if numbers.below(5) == 0 {
+        numbers.below(version + 3)
+    } else {
+        version
+    };
+    let next = if numbers.below(6) == 0 {
+        numbers.below(version + 1)
+    } else {
+        version + 1 + numbers.below(3)
+    };
     let whole = numbers.below(3) == 0;
-    let meaning = if whole { draw_whole(numbers, next) } else { draw_update(numbers, next) };
+    let meaning = if whole {
+        draw_whole(numbers, next)
+    } else {
+        draw_update(numbers, next)
+    };
     let mut body = meaning.to_string();
     if numbers.below(12) == 0 {
         body.truncate(numbers.below(body.len() as u64) as usize);
-        return Order { whole, base, body, meaning: None };
+        return Order {
+            whole,
+            base,
+            body,
+            meaning: None,
+        };
+    }
+    Order {
+        whole,
+        base,
+        body,
+        meaning: Some(meaning),
     }
-    Order { whole, base, body, meaning: Some(meaning) }
 }
 
 fn draw_whole(numbers: &mut Numbers, version: u64) -> Value {
@@ -155,14 +194,21 @@
 }
 
 fn draw_services(numbers: &mut Numbers, most: u64) -> Value {
-    (0..1 + numbers.below(most)).map(|_| service(&format!("services-{}", numbers.below(5)))).collect()
+    (0..1 + numbers.below(most))
+        .map(|_| service(&format!("services-{}", numbers.below(5))))
+        .collect()
 }
 
 fn draw_routes(numbers: &mut Numbers, most: u64) -> Value {
     let routes = (0..numbers.below(most)).map(|_| {
         let prefix = format!("/p{}/", numbers.below(6));
         let service = format!("services-{}", numbers.below(5));
-        let mut route = route(&format!("routes-{}", numbers.below(5)), "host.example", &prefix, &service);
+        let mut route = route(
+            &format!("routes-{}", numbers.below(5)),
+            "host.example",
+            &prefix,
+            &service,
+        );
         if numbers.below(25) == 0 {
             route["timeout_ms"] = json!(0);
         }
@@ -207,8 +253,11 @@
     let mut counts = [0usize; 4];
     for seed in 0..HISTORIES {
         let mut numbers = Numbers(seed);
-        let (mut store, mut records, mut model) =
-            (ConfigurationStore::new(), Records::default(), Model::default());
+        let (mut store, mut records, mut model) = (
+            ConfigurationStore::new(),
+            Records::default(),
+            Model::default(),
+        );
         let mut sent: Vec<Order> = Vec::new();
         for step in 0..ORDERS {
             let order = draw(&mut numbers, model.version(), &sent);
@@ -222,7 +271,10 @@
             agree(&store, &model, seed, step);
         }
     }
-    assert!(counts.iter().all(|&count| count > 1_000), "every outcome is met often: {counts:?}");
+    assert!(
+        counts.iter().all(|&count| count > 1_000),
+        "every outcome is met often: {counts:?}"
+    );
 }
 
 fn kind(outcome: &Expected) -> usize {
@@ -235,14 +287,29 @@
 }
 
 fn agree(store: &ConfigurationStore, model: &Model, seed: u64, step: usize) {
-    let read = store.read().map(|text| serde_json::from_str::<Value>(&text).expect("JSON"));
+    let read = store
+        .read()
+        .map(|text| serde_json::from_str::<Value>(&text).expect("JSON"));
     assert_eq!(read, model.current, "seed {seed}, step {step}");
-    let routes =
-        model.current.as_ref().and_then(|current| current["routes"].as_array()).cloned().unwrap_or_default();
+    let routes = model
+        .current
+        .as_ref()
+        .and_then(|current| current["routes"].as_array())
+        .cloned()
+        .unwrap_or_default();
     for prefix in (0..6).map(|number| format!("/p{number}/")) {
-        let expected =
-            routes.iter().find(|route| route["path_prefix"] == json!(prefix)).map(|route| &route["name"]);
-        let found = store.routes().lookup("host.example", &prefix).map(|(route, _)| json!(&*route.name));
-        assert_eq!(found.as_ref(), expected, "seed {seed}, step {step}, {prefix}");
+        let expected = routes
+            .iter()
+            .find(|route| route["path_prefix"] == json!(prefix))
+            .map(|route| &route["name"]);
+        let found = store
+            .routes()
+            .lookup("host.example", &prefix)
+            .map(|(route, _)| json!(&*route.name));
+        assert_eq!(
+            found.as_ref(),
+            expected,
+            "seed {seed}, step {step}, {prefix}"
+        );
     }
 }
--- a/crates/configuration/tests/invalid.rs
+++ b/crates/configuration/tests/invalid.rs
@@ -10,7 +10,10 @@
 /// Sets one field of a configuration, named by a JSON pointer.
 fn with(mut configuration: Value, pointer: &str, value: Value) -> Value {
     let (parent, name) = pointer.rsplit_once('/').expect("a pointer");
-    match configuration.pointer_mut(parent).expect("the parent is there") {
+    match configuration
+        .pointer_mut(parent)
+        .expect("the parent is there")
+    {
         Value::Object(fields) => drop(fields.insert(name.to_owned(), value)),
         Value::Array(items) => items[name.parse::<usize>().expect("an index")] = value,
         other => panic!("{other} has no fields"),
@@ -72,7 +75,9 @@
 #[case("/limits/max_body_bytes", json!(-1), "limits.max_body_bytes is -1: ")]
 #[case("/limits/idle_timeout_ms", json!(u64::MAX), "limits.idle_timeout_ms is 18446744073709551615: the greatest")]
 fn given_version_5_when_a_configuration_with_a_bad_field_comes_then_field_and_value_are_named_and_nothing_changes(
-    #[case] pointer: &str, #[case] value: Value, #[case] message: &str,
+    #[case] pointer: &str,
+    #[case] value: Value,
+    #[case] message: &str,
 ) {
     let (mut store, _) = store_with(5);
     let body = with(sample(9), pointer, value).to_string();
@@ -80,7 +85,11 @@
     assert!(refused.starts_with(message), "{refused}");
     assert!(refused.contains("; "), "names the remedy: {refused}");
     assert_eq!(read(&store), sample(5));
-    assert_eq!(refusal(store.replace(5, &body)), refused, "a repeat is refused as well");
+    assert_eq!(
+        refusal(store.replace(5, &body)),
+        refused,
+        "a repeat is refused as well"
+    );
 }
 
 #[rstest]
@@ -89,12 +98,20 @@
 #[case("path_prefix")]
 #[case("timeout_ms")]
 #[case("service")]
-fn given_a_route_without_a_field_it_must_have_when_it_comes_then_the_field_is_named(#[case] field: &str) {
+fn given_a_route_without_a_field_it_must_have_when_it_comes_then_the_field_is_named(
+    #[case] field: &str,
+) {
     let mut configuration = sample(9);
-    configuration["routes"][1].as_object_mut().expect("a route").remove(field);
+    configuration["routes"][1]
+        .as_object_mut()
+        .expect("a route")
+        .remove(field);
     let refused = refusal(ConfigurationStore::new().replace(0, &configuration.to_string()));
     assert!(refused.starts_with("routes[1] is "), "{refused}");
-    assert!(refused.contains(&format!("missing field `{field}`")), "{refused}");
+    assert!(
+        refused.contains(&format!("missing field `{field}`")),
+        "{refused}"
+    );
 }
 
 #[test]
@@ -108,7 +125,10 @@
     let clash = with(sample(9), "/routes/1/path_prefix", json!("/one/"));
     let clash = with(clash, "/routes/1/host", json!("HOST.example:8080"));
     let refused = refusal(ConfigurationStore::new().replace(0, &clash.to_string()));
-    assert!(refused.starts_with("routes[1] has host \"host.example\""), "{refused}");
+    assert!(
+        refused.starts_with("routes[1] has host \"host.example\""),
+        "{refused}"
+    );
 }
 
 #[test]
@@ -116,17 +136,24 @@
     let body = sample(9).to_string();
     for end in 0..body.len() {
         let refused = refusal(ConfigurationStore::new().replace(0, &body[..end]));
-        assert!(refused.starts_with("cannot be read: "), "cut at {end}: {refused}");
+        assert!(
+            refused.starts_with("cannot be read: "),
+            "cut at {end}: {refused}"
+        );
     }
 }
 
 #[test]
 fn given_an_update_cut_short_anywhere_when_it_comes_then_it_is_refused() {
-    let body = r#"{"version":9,"upsert":{"services":[{"name":"x"}]},"remove":{"routes":["r-one"]}}"#;
+    let body =
+        r#"{"version":9,"upsert":{"services":[{"name":"x"}]},"remove":{"routes":["r-one"]}}"#;
     for end in 0..body.len() {
         let (mut store, _) = store_with(5);
         let refused = refusal(store.update(5, &body[..end]));
-        assert!(refused.starts_with("cannot be read: "), "cut at {end}: {refused}");
+        assert!(
+            refused.starts_with("cannot be read: "),
+            "cut at {end}: {refused}"
+        );
     }
 }
 
@@ -161,7 +188,10 @@
         let (mut store, _) = store_with(5);
         refusal(store.replace(5, &format!(r#"{{"version":9,"x":{open}{close}}}"#)));
         refusal(store.replace(5, &open));
-        refusal(store.update(5, &format!(r#"{{"version":9,"upsert":{{"x":{open}{close}}}}}"#)));
+        refusal(store.update(
+            5,
+            &format!(r#"{{"version":9,"upsert":{{"x":{open}{close}}}}}"#),
+        ));
         refusal(store.update(5, &format!(r#"{{"version":9,"upsert":{open}{close}}}"#)));
         assert_eq!(read(&store), sample(5));
     }
@@ -186,7 +216,8 @@
 #[case(json!({"version": 9, "remove": {"limits": ["x"]}}), "limits is {")]
 #[case(json!({"version": 9, "remove": {"version": ["x"]}}), "version is 5: ")]
 fn given_version_5_when_a_bad_update_comes_then_the_field_is_named_and_nothing_changes(
-    #[case] update: Value, #[case] message: &str,
+    #[case] update: Value,
+    #[case] message: &str,
 ) {
     let (mut store, _) = store_with(5);
     let refused = refusal(store.update(5, &update.to_string()));
@@ -224,6 +255,11 @@
     for update in updates {
         let (mut store, _) = store_with(5);
         let refused = refusal(store.update(5, &update.to_string()));
-        assert!(refused.len() < 1_000, "{} bytes: {}", refused.len(), &refused[..100]);
+        assert!(
+            refused.len() < 1_000,
+            "{} bytes: {}",
+            refused.len(),
+            &refused[..100]
+        );
     }
 }
--- a/crates/configuration/tests/orders_model.rs
+++ b/crates/configuration/tests/orders_model.rs
@@ -23,11 +23,31 @@
 
 /// Two operators choose the same number for different changes, one builds on a version that is not there yet, one errs.
 const ORDERS: [Order; 5] = [
-    Order { is_update: true, base: 1, body: r#"{"version":3,"remove":{"routes":["r-one"]}}"# },
-    Order { is_update: true, base: 1, body: r#"{"version":3}"# },
-    Order { is_update: false, base: 3, body: r#"{"version":5,"routes":[],"services":[]}"# },
-    Order { is_update: true, base: 3, body: r#"{"version":5}"# },
-    Order { is_update: true, base: 1, body: r#"{"version":1}"# },
+    Order {
+        is_update: true,
+        base: 1,
+        body: r#"{"version":3,"remove":{"routes":["r-one"]}}"#,
+    },
+    Order {
+        is_update: true,
+        base: 1,
+        body: r#"{"version":3}"#,
+    },
+    Order {
+        is_update: false,
+        base: 3,
+        body: r#"{"version":5,"routes":[],"services":[]}"#,
+    },
+    Order {
+        is_update: true,
+        base: 3,
+        body: r#"{"version":5}"#,
+    },
+    Order {
+        is_update: true,
+        base: 1,
+        body: r#"{"version":1}"#,
+    },
 ];
 
 /// The order that is invalid on the version on which it builds.
@@ -95,7 +115,14 @@
 fn records(state: &State) -> Records {
     let mut records = Records(state.committed.iter().cloned().collect());
     for batch in &state.appended {
-        records.commit(batch.writes.iter().cloned().map(|(key, value)| Write { key, value }).collect());
+        records.commit(
+            batch
+                .writes
+                .iter()
+                .cloned()
+                .map(|(key, value)| Write { key, value })
+                .collect(),
+        );
     }
     records
 }
@@ -103,12 +130,20 @@
 fn commit(state: &mut State) {
     let batch = state.appended.remove(0);
     let mut records = Records(state.committed.iter().cloned().collect());
-    records.commit(batch.writes.into_iter().map(|(key, value)| Write { key, value }).collect());
+    records.commit(
+        batch
+            .writes
+            .into_iter()
+            .map(|(key, value)| Write { key, value })
+            .collect(),
+    );
     state.committed = records.0.into_iter().collect();
     state.in_force.extend(batch.taken);
     let held = std::mem::take(&mut state.held);
-    state.held =
-        held.into_iter().map(|(waits, number, reply)| (waits.saturating_sub(1), number, reply)).collect();
+    state.held = held
+        .into_iter()
+        .map(|(waits, number, reply)| (waits.saturating_sub(1), number, reply))
+        .collect();
 }
 
 fn arrive(state: &mut State, number: usize) {
@@ -126,7 +161,10 @@
         Outcome::Undecided { .. } => (Reply::Unclear, None, Vec::new()),
     };
     if !writes.is_empty() {
-        let writes = writes.into_iter().map(|write| (write.key, write.value)).collect();
+        let writes = writes
+            .into_iter()
+            .map(|write| (write.key, write.value))
+            .collect();
         state.appended.push(Batch { taken, writes });
     }
     if reply != Reply::Unclear {
@@ -210,27 +248,42 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("what was acknowledged is in force", |_, state: &State| {
-                (0..ORDERS.len())
-                    .all(|number| !state.has(number, Reply::Acknowledged) || state.in_force.contains(&number))
-            }),
-            Property::always("what was refused is not in force", |_, state: &State| {
-                state.in_force.iter().all(|number| !state.has(*number, Reply::Refused))
-            }),
-            Property::always("no order is both acknowledged and refused", |_, state: &State| {
                 (0..ORDERS.len()).all(|number| {
-                    !(state.has(number, Reply::Acknowledged) && state.has(number, Reply::Refused))
+                    !state.has(number, Reply::Acknowledged) || state.in_force.contains(&number)
                 })
             }),
+            Property::always("what was refused is not in force", |_, state: &State| {
+                state
+                    .in_force
+                    .iter()
+                    .all(|number| !state.has(*number, Reply::Refused))
+            }),
+            Property::always(
+                "no order is both acknowledged and refused",
+                |_, state: &State| {
+                    (0..ORDERS.len()).all(|number| {
+                        !(state.has(number, Reply::Acknowledged)
+                            && state.has(number, Reply::Refused))
+                    })
+                },
+            ),
             Property::always("each version is built upon once", |_, state: &State| {
-                let bases: BTreeSet<u64> = state.in_force.iter().map(|number| ORDERS[*number].base).collect();
+                let bases: BTreeSet<u64> = state
+                    .in_force
+                    .iter()
+                    .map(|number| ORDERS[*number].base)
+                    .collect();
                 bases.len() == state.in_force.len()
             }),
             Property::always("what is invalid is never in force", |_, state: &State| {
                 !state.in_force.contains(&INVALID)
             }),
-            Property::sometimes("two changes on each other are acknowledged", |_, state: &State| {
-                state.has(0, Reply::Acknowledged) && state.has(2, Reply::Acknowledged)
-            }),
+            Property::sometimes(
+                "two changes on each other are acknowledged",
+                |_, state: &State| {
+                    state.has(0, Reply::Acknowledged) && state.has(2, Reply::Acknowledged)
+                },
+            ),
         ]
     }
 }
@@ -241,10 +294,20 @@
 #[case::two_on_a_version_to_come(&[0, 2, 3], 3, 2)]
 #[case::an_invalid_one_between(&[0, 2, INVALID], 3, 2)]
 fn given_two_operators_in_any_order_of_events_then_each_order_has_one_final_answer_that_holds(
-    #[case] orders: &'static [usize], #[case] most_repeats: u8, #[case] most_failovers: u8,
+    #[case] orders: &'static [usize],
+    #[case] most_repeats: u8,
+    #[case] most_failovers: u8,
 ) {
-    let model = Operators { orders, most_repeats, most_failovers };
+    let model = Operators {
+        orders,
+        most_repeats,
+        most_failovers,
+    };
     let checker = model.checker().threads(4).spawn_bfs().join();
-    println!("{orders:?}: {} states, depth {}", checker.unique_state_count(), checker.max_depth());
+    println!(
+        "{orders:?}: {} states, depth {}",
+        checker.unique_state_count(),
+        checker.max_depth()
+    );
     checker.assert_properties();
 }
--- a/crates/configuration/tests/records.rs
+++ b/crates/configuration/tests/records.rs
@@ -8,15 +8,23 @@
 use support::{read, store_with};
 
 #[test]
-fn given_a_configuration_cut_short_on_disk_when_recovered_then_the_record_is_named_with_the_remedy() {
+fn given_a_configuration_cut_short_on_disk_when_recovered_then_the_record_is_named_with_the_remedy()
+{
     let (store, _) = store_with(5);
     let text = store.read().expect("a configuration");
     for end in 0..text.len() {
         let records: [(Arc<str>, Arc<str>); 1] = [("config/current".into(), text[..end].into())];
         let error = ConfigurationStore::recover(records.into_iter()).expect_err("it is damaged");
-        let RecordError::Damaged { key, .. } = &error else { panic!("{error}") };
+        let RecordError::Damaged { key, .. } = &error else {
+            panic!("{error}")
+        };
         assert_eq!(key, "config/current");
-        assert!(error.to_string().contains("start this machine with an empty disk"), "{error}");
+        assert!(
+            error
+                .to_string()
+                .contains("start this machine with an empty disk"),
+            "{error}"
+        );
     }
 }
 
@@ -30,24 +38,38 @@
     let (_, mut records) = store_with(5);
     records.0.insert("order/00".into(), value.into());
     let error = ConfigurationStore::recover(records.0.into_iter()).expect_err("it is damaged");
-    assert!(error.to_string().starts_with("record order/00 is damaged: "), "{error}");
+    assert!(
+        error
+            .to_string()
+            .starts_with("record order/00 is damaged: "),
+        "{error}"
+    );
 }
 
 #[test]
 fn given_an_order_newer_than_the_configuration_when_recovered_then_the_records_are_refused() {
     let (_, mut records) = store_with(5);
-    records.0.insert("order/00".into(), r#"{"version":6,"base":5,"length":3}"#.into());
-    let error =
-        ConfigurationStore::recover(records.0.clone().into_iter()).expect_err("they do not belong together");
-    assert_eq!(error, RecordError::TooNew { key: "order/00".into(), version: 6, current: 5 });
+    records.0.insert(
+        "order/00".into(),
+        r#"{"version":6,"base":5,"length":3}"#.into(),
+    );
+    let error = ConfigurationStore::recover(records.0.clone().into_iter())
+        .expect_err("they do not belong together");
+    assert_eq!(
+        error,
+        RecordError::TooNew {
+            key: "order/00".into(),
+            version: 6,
+            current: 5
+        }
+    );
     records.0.remove("config/current");
     assert!(ConfigurationStore::recover(records.0.into_iter()).is_err());
 }
 
 #[test]
 fn given_a_configuration_that_todays_checks_refuse_when_recovered_then_it_is_kept() {
-    let text =
-        r#"{"version":5,"routes":[{"name":"r","host":"h","path_prefix":"/","timeout_ms":0,"service":"x"}]}"#;
+    let text = r#"{"version":5,"routes":[{"name":"r","host":"h","path_prefix":"/","timeout_ms":0,"service":"x"}]}"#;
     let records: [(Arc<str>, Arc<str>); 1] = [("config/current".into(), text.into())];
     let mut store = ConfigurationStore::recover(records.into_iter()).expect("it can be read");
     assert_eq!(store.read().as_deref(), Some(text));
--- a/crates/configuration/tests/relay.rs
+++ b/crates/configuration/tests/relay.rs
@@ -18,7 +18,8 @@
 #[case(300, 3)]
 #[case(1_000, 4)]
 fn given_all_well_when_a_version_is_published_then_each_gets_it_once_within_a_delay_for_each_level(
-    #[case] size: usize, #[case] depth: u64,
+    #[case] size: usize,
+    #[case] depth: u64,
 ) {
     let mut fleet = settled(size, 1, 5);
     for (version, whole) in [(2, false), (3, false), (7, true), (9, false)] {
@@ -50,12 +51,17 @@
     fleet.cut.clear();
     fleet.run_for(APPLY_BOUND);
     assert_eq!(fleet.without(39), [] as [Arc<str>; 0]);
-    let applied: Vec<u64> = fleet.members[&member].applied.iter().map(|(version, _)| *version).collect();
+    let applied: Vec<u64> = fleet.members[&member]
+        .applied
+        .iter()
+        .map(|(version, _)| *version)
+        .collect();
     assert_eq!(applied, [1, 39]);
 }
 
 #[test]
-fn given_a_member_that_starts_anew_when_told_the_roster_then_it_has_the_newest_version_in_a_few_delays() {
+fn given_a_member_that_starts_anew_when_told_the_roster_then_it_has_the_newest_version_in_a_few_delays(
+) {
     let mut fleet = settled(100, 5, 5);
     fleet.update(2);
     fleet.run_for(500);
@@ -126,10 +132,18 @@
     fleet.run_for(30);
     fleet.cut.clear();
     let parent = Tree::new(&fleet.roster).ancestors(&member)[0].clone();
-    for update in [r#"[2]"#, r#"{"version":3}"#, r#"{"version":2,"upsert":{"routes":[{"name":5}]}}"#, "null"]
-    {
+    for update in [
+        r#"[2]"#,
+        r#"{"version":3}"#,
+        r#"{"version":2,"upsert":{"routes":[{"name":5}]}}"#,
+        "null",
+    ] {
         let update: Arc<RawValue> = RawValue::from_string(update.into()).expect("JSON").into();
-        let change = Change { base: 1, version: 2, update };
+        let change = Change {
+            base: 1,
+            version: 2,
+            update,
+        };
         fleet.inject(&member, parent.clone(), RelayMessage::Changes(vec![change]));
     }
     fleet.run_for(2 * DELAY + 1);
@@ -139,16 +153,34 @@
 #[test]
 fn given_a_text_that_the_next_change_does_not_fit_when_it_comes_then_the_newest_is_asked_for_whole_until_it_comes(
 ) {
-    let raw = |text: &str| -> Arc<RawValue> { RawValue::from_string(text.into()).expect("JSON").into() };
+    let raw =
+        |text: &str| -> Arc<RawValue> { RawValue::from_string(text.into()).expect("JSON").into() };
     let mut node = RelayNode::new("10.0.0.1:7381".into(), 0);
-    let whole = RelayMessage::Whole { version: 1, text: raw(r#"{"version":1,"zones":5}"#) };
+    let whole = RelayMessage::Whole {
+        version: 1,
+        text: raw(r#"{"version":1,"zones":5}"#),
+    };
     node.receive(1, &Peer::Core, whole);
-    let change =
-        Change { base: 1, version: 2, update: raw(r#"{"version":2,"upsert":{"zones":[{"name":"z"}]}}"#) };
+    let change = Change {
+        base: 1,
+        version: 2,
+        update: raw(r#"{"version":2,"upsert":{"zones":[{"name":"z"}]}}"#),
+    };
     let actions = node.receive(2, &Peer::Core, RelayMessage::Changes(vec![change]));
     assert_eq!(questions(&actions.sends), [0]);
-    assert_eq!(questions(&node.tick(600).sends), [0], "again while nothing came");
-    node.receive(610, &Peer::Core, RelayMessage::Whole { version: 2, text: raw(r#"{"version":2}"#) });
+    assert_eq!(
+        questions(&node.tick(600).sends),
+        [0],
+        "again while nothing came"
+    );
+    node.receive(
+        610,
+        &Peer::Core,
+        RelayMessage::Whole {
+            version: 2,
+            text: raw(r#"{"version":2}"#),
+        },
+    );
     assert_eq!(node.version(), 2);
     assert_eq!(questions(&node.heard_of(620, 3).sends), [0; 0]);
     assert_eq!(questions(&node.tick(720).sends), [2]);
@@ -165,16 +197,39 @@
 
 #[test]
 fn given_a_roster_when_an_older_one_comes_later_then_it_is_passed_over() {
-    let addresses: Vec<Arc<str>> = (0..30).map(|index| format!("10.0.{index}.1:7381").into()).collect();
-    let newer = Roster { version: 5, members: addresses.clone() };
-    let older = Roster { version: 4, members: vec![addresses[0].clone()] };
+    let addresses: Vec<Arc<str>> = (0..30)
+        .map(|index| format!("10.0.{index}.1:7381").into())
+        .collect();
+    let newer = Roster {
+        version: 5,
+        members: addresses.clone(),
+    };
+    let older = Roster {
+        version: 4,
+        members: vec![addresses[0].clone()],
+    };
     let inner = Tree::new(&newer).children_of_root()[0].clone();
     let mut node = RelayNode::new(inner, 0);
     node.set_roster(0, &newer);
     node.set_roster(0, &older);
-    node.set_roster(0, &Roster { version: 5, ..older });
-    let told: Vec<usize> = node.tick(250).sends.iter().map(|send| send.to.len()).collect();
-    assert_eq!(told, [FAN_OUT], "heartbeats to its children by the newer one");
+    node.set_roster(
+        0,
+        &Roster {
+            version: 5,
+            ..older
+        },
+    );
+    let told: Vec<usize> = node
+        .tick(250)
+        .sends
+        .iter()
+        .map(|send| send.to.len())
+        .collect();
+    assert_eq!(
+        told,
+        [FAN_OUT],
+        "heartbeats to its children by the newer one"
+    );
 }
 
 #[test]
@@ -183,7 +238,12 @@
     fleet.update(5);
     fleet.run_for(100);
     let member = fleet.roster.members[2].clone();
-    for (version, text) in [(9, "{}"), (9, "5"), (9, r#"{"version":8}"#), (4, r#"{"version":4}"#)] {
+    for (version, text) in [
+        (9, "{}"),
+        (9, "5"),
+        (9, r#"{"version":8}"#),
+        (4, r#"{"version":4}"#),
+    ] {
         let text: Arc<RawValue> = RawValue::from_string(text.into()).expect("JSON").into();
         fleet.inject(&member, Peer::Core, RelayMessage::Whole { version, text });
     }
@@ -192,15 +252,20 @@
     fleet.inject(
         &member,
         Peer::Core,
-        RelayMessage::Heartbeat { version: 2, pulse, adopted: false, ask: true },
+        RelayMessage::Heartbeat {
+            version: 2,
+            pulse,
+            adopted: false,
+            ask: true,
+        },
     );
     fleet.run_for(1_000);
     assert_eq!(fleet.without(5), [] as [Arc<str>; 0]);
 }
 
 #[test]
-fn given_changes_of_which_some_are_here_already_when_they_come_then_the_others_are_taken_without_a_question()
-{
+fn given_changes_of_which_some_are_here_already_when_they_come_then_the_others_are_taken_without_a_question(
+) {
     let mut fleet = settled(30, 17, 3);
     let member = fleet.roster.members[9].clone();
     fleet.update(2);
@@ -211,7 +276,9 @@
     fleet.run_for(50);
     fleet.cut.clear();
     fleet.take_account();
-    let changes = (2..=4).map(|version| fleet.changes[&version].clone()).collect();
+    let changes = (2..=4)
+        .map(|version| fleet.changes[&version].clone())
+        .collect();
     fleet.inject(&member, Peer::Core, RelayMessage::Changes(changes));
     fleet.run_for(1);
     assert_eq!(fleet.without(4), [] as [Arc<str>; 0]);
@@ -238,8 +305,13 @@
 
 #[test]
 fn given_all_messages_when_written_and_read_then_they_are_the_same() {
-    let raw = |text: &str| -> Arc<RawValue> { RawValue::from_string(text.into()).expect("JSON").into() };
-    let change = Change { base: 1, version: 2, update: raw(r#"{"version": 2,  "x":1.00}"#) };
+    let raw =
+        |text: &str| -> Arc<RawValue> { RawValue::from_string(text.into()).expect("JSON").into() };
+    let change = Change {
+        base: 1,
+        version: 2,
+        update: raw(r#"{"version": 2,  "x":1.00}"#),
+    };
     let messages = [
         RelayMessage::Heartbeat {
             version: 3,
@@ -248,7 +320,10 @@
             ask: false,
         },
         RelayMessage::Changes(vec![change.clone(), change]),
-        RelayMessage::Whole { version: 3, text: raw(r#"{"version":3}"#) },
+        RelayMessage::Whole {
+            version: 3,
+            text: raw(r#"{"version":3}"#),
+        },
         RelayMessage::Ask { have: 7 },
     ];
     for message in messages {
@@ -265,6 +340,9 @@
         r#"{"Whole":{"version":1}}"#,
         r#"{"Ask":{"have":1}"#,
     ] {
-        assert!(serde_json::from_str::<RelayMessage>(text).is_err(), "{text}");
+        assert!(
+            serde_json::from_str::<RelayMessage>(text).is_err(),
+            "{text}"
+        );
     }
 }
--- a/crates/configuration/tests/relay_distribution.rs
+++ b/crates/configuration/tests/relay_distribution.rs
@@ -15,12 +15,19 @@
 }
 
 fn lease(number: u32, roster: u64) -> GateLease {
-    GateLease { address: member(number), roster }
+    GateLease {
+        address: member(number),
+        roster,
+    }
 }
 
 fn published(version: u64, update: Option<(u64, &str)>) -> Published {
     let text = format!(r#"{{"version":{version}}}"#).into();
-    Published { version, text, update: update.map(|(base, update)| (base, update.into())) }
+    Published {
+        version,
+        text,
+        update: update.map(|(base, update)| (base, update.into())),
+    }
 }
 
 /// A primary that has gathered members 1 and 2.
@@ -50,7 +57,9 @@
     assert_eq!(leases.tick(START + GATHERING - 1), None);
     leases.renew(START + GATHERING - 1, &member(1));
 
-    let members = leases.tick(START + GATHERING).map(|roster| roster.members.clone());
+    let members = leases
+        .tick(START + GATHERING)
+        .map(|roster| roster.members.clone());
 
     assert_eq!(members, Some(vec![member(1), member(2)]));
 }
@@ -88,7 +97,12 @@
     leases.renew(now + 1, &member(2));
 
     assert_eq!(leases.tick(now + ROSTER_INTERVAL - 1), None);
-    assert_eq!(leases.tick(now + ROSTER_INTERVAL).map(|roster| roster.members.len()), Some(2));
+    assert_eq!(
+        leases
+            .tick(now + ROSTER_INTERVAL)
+            .map(|roster| roster.members.len()),
+        Some(2)
+    );
 }
 
 #[test]
@@ -99,7 +113,9 @@
         for change in 0..changes {
             let now = START + GATHERING + change * LEASE;
             leases.renew(now, &member(change as u32));
-            version = leases.tick(now).map_or(version, |roster: &Roster| roster.version);
+            version = leases
+                .tick(now)
+                .map_or(version, |roster: &Roster| roster.version);
         }
         version
     };
@@ -150,13 +166,19 @@
     let fitting = distribution.publish(&published(7, Some((5, r#"{"version":7}"#))));
     let with_gap = distribution.publish(&published(11, Some((9, r#"{"version":11}"#))));
 
-    assert_eq!((kinds(&fitting), kinds(&with_gap)), (vec!["changes"], vec!["whole"]));
+    assert_eq!(
+        (kinds(&fitting), kinds(&with_gap)),
+        (vec!["changes"], vec!["whole"])
+    );
 }
 
 #[test]
 fn given_a_text_that_is_no_json_when_published_then_nothing_is_sent() {
     let (mut distribution, _) = gathered();
-    let broken = Published { text: "{".into(), ..published(5, None) };
+    let broken = Published {
+        text: "{".into(),
+        ..published(5, None)
+    };
 
     assert!(distribution.publish(&broken).is_empty());
     assert_eq!(distribution.version(), 0);
@@ -166,9 +188,17 @@
 fn given_a_member_when_it_asks_then_it_gets_a_heartbeat_and_what_is_newer() {
     let (mut distribution, now) = gathered();
     distribution.publish(&published(5, None));
-    let question =
-        |have| Envelope { from: Peer::Member(member(9)), messages: vec![RelayMessage::Ask { have }] };
+    let question = |have| Envelope {
+        from: Peer::Member(member(9)),
+        messages: vec![RelayMessage::Ask { have }],
+    };
 
-    assert_eq!(kinds(&distribution.receive(now, question(0))), ["heartbeat", "whole"]);
-    assert_eq!(kinds(&distribution.receive(now, question(5))), ["heartbeat"]);
+    assert_eq!(
+        kinds(&distribution.receive(now, question(0))),
+        ["heartbeat", "whole"]
+    );
+    assert_eq!(
+        kinds(&distribution.receive(now, question(5))),
+        ["heartbeat"]
+    );
 }
--- a/crates/configuration/tests/relay_faults.rs
+++ b/crates/configuration/tests/relay_faults.rs
@@ -40,7 +40,10 @@
         assert_eq!(fleet.without(2), [] as [Arc<str>; 0], "seed {seed}");
         slowest = slowest.max(fleet.last_applied(2) - start);
         if seed == 0 {
-            println!("{size} members, {third} lost, in 2 s: {:?}", fleet.take_account());
+            println!(
+                "{size} members, {third} lost, in 2 s: {:?}",
+                fleet.take_account()
+            );
         }
         // Adopted members stay served: the next update is as fast as in calm.
         let start = fleet.now;
@@ -52,11 +55,17 @@
 }
 
 #[test]
-fn given_a_whole_line_of_ancestors_dies_when_an_update_is_published_then_the_last_one_still_has_it_in_2_s() {
+fn given_a_whole_line_of_ancestors_dies_when_an_update_is_published_then_the_last_one_still_has_it_in_2_s(
+) {
     for seed in 0..10 {
         let mut fleet = settled(600, seed, 3);
         let tree = Tree::new(&fleet.roster);
-        let deepest = fleet.roster.members.iter().max_by_key(|member| tree.ancestors(member).len()).cloned();
+        let deepest = fleet
+            .roster
+            .members
+            .iter()
+            .max_by_key(|member| tree.ancestors(member).len())
+            .cloned();
         for ancestor in tree.ancestors(&deepest.expect("a member")) {
             if let Peer::Member(address) = ancestor {
                 fleet.kill(&address);
@@ -88,7 +97,10 @@
         lacking.sort();
         let mut expected = cut.clone();
         expected.sort();
-        assert_eq!(lacking, expected, "seed {seed}: all others have it, and none of the cut ones can");
+        assert_eq!(
+            lacking, expected,
+            "seed {seed}: all others have it, and none of the cut ones can"
+        );
         fleet.cut.clear();
         fleet.take_account();
         fleet.run_for(APPLY_BOUND);
@@ -103,7 +115,8 @@
 }
 
 #[test]
-fn given_messages_lost_repeated_and_out_of_order_when_versions_rise_then_none_goes_back_and_all_arrive() {
+fn given_messages_lost_repeated_and_out_of_order_when_versions_rise_then_none_goes_back_and_all_arrive(
+) {
     for seed in 0..12 {
         let mut fleet = settled(60, seed, 3);
         (fleet.loss, fleet.repeats, fleet.jitter) = (150, 200, 120);
@@ -124,7 +137,8 @@
 }
 
 #[test]
-fn given_random_troubles_when_they_end_then_all_live_members_have_the_newest_version_and_none_went_back() {
+fn given_random_troubles_when_they_end_then_all_live_members_have_the_newest_version_and_none_went_back(
+) {
     for seed in 0..16 {
         let size = 10 + 17 * (seed as usize % 8);
         let mut fleet = settled(size, seed, 3);
@@ -138,7 +152,12 @@
             fleet.run_for(pause);
         }
         fleet.cut.clear();
-        let unfrozen = fleet.members.values().map(|member| member.frozen_until).max().unwrap_or(0);
+        let unfrozen = fleet
+            .members
+            .values()
+            .map(|member| member.frozen_until)
+            .max()
+            .unwrap_or(0);
         fleet.run_until(unfrozen.max(fleet.now));
         fleet.run_for(APPLY_BOUND);
         assert_eq!(fleet.without(version), [] as [Arc<str>; 0], "seed {seed}");
@@ -173,13 +192,16 @@
 }
 
 #[test]
-fn given_rosters_that_arrive_at_different_times_when_an_update_is_published_then_all_have_it_in_2_s() {
+fn given_rosters_that_arrive_at_different_times_when_an_update_is_published_then_all_have_it_in_2_s(
+) {
     for seed in 0..3 {
         let mut fleet = settled(200, seed, 3);
         fleet.roster_delay = 3_000;
         let members = fleet.roster.members.clone();
         let kept = fleet.draw(members, 150);
-        let added: Vec<Arc<str>> = (0..40).map(|index| format!("10.250.0.{index}:7381").into()).collect();
+        let added: Vec<Arc<str>> = (0..40)
+            .map(|index| format!("10.250.0.{index}:7381").into())
+            .collect();
         fleet.set_roster(kept.into_iter().chain(added.clone()).collect());
         for member in &added {
             fleet.start(member);
@@ -188,7 +210,11 @@
             let start = fleet.now;
             fleet.update(version);
             fleet.run_until(start + APPLY_BOUND);
-            assert_eq!(fleet.without(version), [] as [Arc<str>; 0], "seed {seed}, version {version}");
+            assert_eq!(
+                fleet.without(version),
+                [] as [Arc<str>; 0],
+                "seed {seed}, version {version}"
+            );
         }
     }
 }
@@ -201,10 +227,18 @@
     let parent = tree.children_of_root()[0].clone();
     let children = tree.children(&parent);
     assert!(!children.is_empty());
-    for other in fleet.members.keys().filter(|other| !children.contains(other)) {
-        fleet.cut_pairs.insert((Peer::Member(parent.clone()), Peer::Member(other.clone())));
+    for other in fleet
+        .members
+        .keys()
+        .filter(|other| !children.contains(other))
+    {
+        fleet
+            .cut_pairs
+            .insert((Peer::Member(parent.clone()), Peer::Member(other.clone())));
     }
-    fleet.cut_pairs.insert((Peer::Member(parent.clone()), Peer::Core));
+    fleet
+        .cut_pairs
+        .insert((Peer::Member(parent.clone()), Peer::Core));
     let start = fleet.now;
     fleet.update(2);
     fleet.run_until(start + APPLY_BOUND);
@@ -250,13 +284,16 @@
 }
 
 #[test]
-fn given_no_primary_for_a_while_when_there_is_one_again_then_all_follow_and_the_questions_meanwhile_were_few()
-{
+fn given_no_primary_for_a_while_when_there_is_one_again_then_all_follow_and_the_questions_meanwhile_were_few(
+) {
     let mut fleet = settled(1_000, 12, 3);
     fleet.cut_roots.insert(0);
     fleet.run_for(10_000);
     let questions = fleet.take_account().questions.messages;
-    assert!(questions < 1_000 * 10 * 3, "{questions} questions of 1,000 members in 10 s");
+    assert!(
+        questions < 1_000 * 10 * 3,
+        "{questions} questions of 1,000 members in 10 s"
+    );
     println!("1,000 members without a root for 10 s: {questions} questions");
     fleet.fail_over(1);
     let start = fleet.now;
--- a/crates/configuration/tests/relay_tree.rs
+++ b/crates/configuration/tests/relay_tree.rs
@@ -9,17 +9,30 @@
 use support::Numbers;
 
 fn roster(size: usize) -> Roster {
-    Roster { version: 1, members: (0..size).map(|index| format!("10.0.{index}.1:7381").into()).collect() }
+    Roster {
+        version: 1,
+        members: (0..size)
+            .map(|index| format!("10.0.{index}.1:7381").into())
+            .collect(),
+    }
 }
 
 fn parents(tree: &Tree, members: &[Arc<str>]) -> BTreeMap<Arc<str>, Peer> {
     let mut parents = BTreeMap::new();
-    let root = tree.children_of_root().into_iter().map(|child| (child, Peer::Core));
+    let root = tree
+        .children_of_root()
+        .into_iter()
+        .map(|child| (child, Peer::Core));
     let others = members.iter().flat_map(|parent| {
-        tree.children(parent).into_iter().map(move |child| (child, Peer::Member(parent.clone())))
+        tree.children(parent)
+            .into_iter()
+            .map(move |child| (child, Peer::Member(parent.clone())))
     });
     for (child, parent) in root.chain(others) {
-        assert!(parents.insert(child.clone(), parent).is_none(), "{child} has two parents");
+        assert!(
+            parents.insert(child.clone(), parent).is_none(),
+            "{child} has two parents"
+        );
     }
     parents
 }
@@ -37,7 +50,8 @@
 #[case(4_680, 4)]
 #[case(4_681, 5)]
 fn given_a_roster_when_the_tree_is_made_then_each_has_one_parent_and_the_depth_is_least(
-    #[case] size: usize, #[case] depth: usize,
+    #[case] size: usize,
+    #[case] depth: usize,
 ) {
     let roster = roster(size);
     let tree = Tree::new(&roster);
@@ -49,11 +63,17 @@
         assert_eq!(ancestors.last(), Some(&Peer::Core));
         assert!(tree.children(member).len() <= FAN_OUT);
         for pair in ancestors.windows(2) {
-            let Peer::Member(nearer) = &pair[0] else { panic!("the core is the last") };
+            let Peer::Member(nearer) = &pair[0] else {
+                panic!("the core is the last")
+            };
             assert_eq!(parents[nearer], pair[1]);
         }
     }
-    let deepest = roster.members.iter().map(|member| tree.ancestors(member).len()).max();
+    let deepest = roster
+        .members
+        .iter()
+        .map(|member| tree.ancestors(member).len())
+        .max();
     assert_eq!(deepest.unwrap_or(0), depth);
 }
 
@@ -75,13 +95,16 @@
 }
 
 #[test]
-fn given_one_that_is_not_in_the_roster_when_it_looks_for_ancestors_then_it_stands_where_it_would_if_it_were()
-{
+fn given_one_that_is_not_in_the_roster_when_it_looks_for_ancestors_then_it_stands_where_it_would_if_it_were(
+) {
     let without = roster(100);
     let mut with = without.clone();
     with.members.push("10.9.9.9:7381".into());
     let tree = Tree::new(&without);
-    assert_eq!(tree.ancestors("10.9.9.9:7381"), Tree::new(&with).ancestors("10.9.9.9:7381"));
+    assert_eq!(
+        tree.ancestors("10.9.9.9:7381"),
+        Tree::new(&with).ancestors("10.9.9.9:7381")
+    );
     assert!(tree.children("10.9.9.9:7381").is_empty());
     assert_eq!(Tree::default().ancestors("10.9.9.9:7381"), [Peer::Core]);
 }
@@ -90,7 +113,11 @@
 #[test]
 fn given_12_addresses_when_ordered_then_the_order_is_the_one_agreed_for_ever() {
     let tree = Tree::new(&roster(12));
-    let first: Vec<String> = tree.children_of_root().iter().map(|member| member.to_string()).collect();
+    let first: Vec<String> = tree
+        .children_of_root()
+        .iter()
+        .map(|member| member.to_string())
+        .collect();
     assert_eq!(
         first,
         [
@@ -108,14 +135,22 @@
 
 /// Members with different rosters can therefore never be each other's ancestors, and nobody asks in a circle.
 #[test]
-fn given_any_two_rosters_when_one_is_the_others_ancestor_in_one_then_it_is_not_the_reverse_in_the_other() {
+fn given_any_two_rosters_when_one_is_the_others_ancestor_in_one_then_it_is_not_the_reverse_in_the_other(
+) {
     let all = roster(60).members;
     let mut above = std::collections::BTreeSet::new();
     for seed in 0..200 {
         let mut numbers = Numbers(seed);
         let share = 20 + numbers.below(80);
-        let members = all.iter().filter(|_| numbers.below(100) < share).cloned().collect();
-        let tree = Tree::new(&Roster { version: seed, members });
+        let members = all
+            .iter()
+            .filter(|_| numbers.below(100) < share)
+            .cloned()
+            .collect();
+        let tree = Tree::new(&Roster {
+            version: seed,
+            members,
+        });
         for member in &all {
             for ancestor in tree.ancestors(member) {
                 if let Peer::Member(ancestor) = ancestor {
@@ -124,6 +159,8 @@
             }
         }
     }
-    let reversed = above.iter().find(|(one, other)| above.contains(&(other.clone(), one.clone())));
+    let reversed = above
+        .iter()
+        .find(|(one, other)| above.contains(&(other.clone(), one.clone())));
     assert_eq!(reversed, None);
 }
--- a/crates/configuration/tests/routes.rs
+++ b/crates/configuration/tests/routes.rs
@@ -16,11 +16,16 @@
         path_prefix: (*prefix).into(),
         ..Route::default()
     });
-    RouteTable::new(Arc::new(Configuration { routes: routes.collect(), ..Configuration::default() }))
+    RouteTable::new(Arc::new(Configuration {
+        routes: routes.collect(),
+        ..Configuration::default()
+    }))
 }
 
 fn found<'p>(table: &RouteTable, host: &str, path: &'p str) -> Option<(String, &'p str)> {
-    table.lookup(host, path).map(|(route, rest)| (route.name.to_string(), rest))
+    table
+        .lookup(host, path)
+        .map(|(route, rest)| (route.name.to_string(), rest))
 }
 
 #[rstest]
@@ -40,10 +45,22 @@
 #[case("g", "/\u{e9}t\u{e9}", Some(("g /", "\u{e9}t\u{e9}")))]
 #[case("", "/a/id", None)]
 fn given_nested_prefixes_when_a_request_comes_then_the_longest_that_begins_its_path_is_taken(
-    #[case] host: &str, #[case] path: &str, #[case] expected: Option<(&str, &str)>,
+    #[case] host: &str,
+    #[case] path: &str,
+    #[case] expected: Option<(&str, &str)>,
 ) {
-    let table = table(&[("h", "/a/b/"), ("h", "/a/"), ("g", "/x"), ("g", "/"), ("g", "/xy"), ("h", "/z/")]);
-    assert_eq!(found(&table, host, path), expected.map(|(name, rest)| (name.to_owned(), rest)));
+    let table = table(&[
+        ("h", "/a/b/"),
+        ("h", "/a/"),
+        ("g", "/x"),
+        ("g", "/"),
+        ("g", "/xy"),
+        ("h", "/z/"),
+    ]);
+    assert_eq!(
+        found(&table, host, path),
+        expected.map(|(name, rest)| (name.to_owned(), rest))
+    );
 }
 
 #[rstest]
@@ -55,7 +72,8 @@
 #[case("]", "]")]
 #[case("\u{c9}.example:1", "\u{c9}.example")]
 fn given_a_host_header_when_made_plain_then_port_and_case_are_gone(
-    #[case] host: &str, #[case] expected: &str,
+    #[case] host: &str,
+    #[case] expected: &str,
 ) {
     assert_eq!(plain_host(host), expected);
 }
@@ -76,14 +94,19 @@
                 routes.push(candidate);
             }
         }
-        let borrowed: Vec<(&str, &str)> = routes.iter().map(|(host, prefix)| (&**host, &**prefix)).collect();
+        let borrowed: Vec<(&str, &str)> = routes
+            .iter()
+            .map(|(host, prefix)| (&**host, &**prefix))
+            .collect();
         let table = table(&borrowed);
         for _ in 0..100 {
             let (host, path) = (host(&mut numbers), path(&mut numbers, 8));
-            let fitting =
-                borrowed.iter().filter(|(other, prefix)| *other == host && path.starts_with(prefix));
+            let fitting = borrowed
+                .iter()
+                .filter(|(other, prefix)| *other == host && path.starts_with(prefix));
             let longest = fitting.max_by_key(|(_, prefix)| prefix.len());
-            let expected = longest.map(|(host, prefix)| (format!("{host} {prefix}"), &path[prefix.len()..]));
+            let expected =
+                longest.map(|(host, prefix)| (format!("{host} {prefix}"), &path[prefix.len()..]));
             assert_eq!(
                 found(&table, &host, &path),
                 expected,
--- a/crates/configuration/tests/support/fleet.rs
+++ b/crates/configuration/tests/support/fleet.rs
@@ -6,7 +6,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use streamusher_configuration::document::apply;
-use streamusher_configuration::relay::{Change, Peer, RelayMessage, RelayNode, RelayRoot, Roster, Tree};
+use streamusher_configuration::relay::{
+    Change, Peer, RelayMessage, RelayNode, RelayRoot, Roster, Tree,
+};
 use streamusher_protocol::Millis;
 
 /// One-way delay of a link.
@@ -28,7 +30,12 @@
 
 /// What happens at some time.
 pub(super) enum Event {
-    Deliver { to: Peer, from: Peer, from_root: usize, message: Arc<RelayMessage> },
+    Deliver {
+        to: Peer,
+        from: Peer,
+        from_root: usize,
+        message: Arc<RelayMessage>,
+    },
     Tick(Arc<str>),
     RootTick(usize),
     Roster(Arc<str>, Arc<Roster>),
@@ -105,7 +112,10 @@
             members: BTreeMap::new(),
             roots: vec![RelayRoot::new(0, 0)],
             acting: 0,
-            roster: Arc::new(Roster { version: 1, members: addresses.clone() }),
+            roster: Arc::new(Roster {
+                version: 1,
+                members: addresses.clone(),
+            }),
             cut: BTreeSet::new(),
             cut_roots: BTreeSet::new(),
             cut_pairs: BTreeSet::new(),
@@ -131,16 +141,27 @@
     /// Starts a member, or starts it again with a new life.
     pub fn start(&mut self, address: &Arc<str>) {
         let node = RelayNode::new(address.clone(), self.now);
-        let member =
-            Member { node, alive: true, frozen_until: 0, applied: Vec::new(), scheduled: Millis::MAX };
+        let member = Member {
+            node,
+            alive: true,
+            frozen_until: 0,
+            applied: Vec::new(),
+            scheduled: Millis::MAX,
+        };
         self.members.insert(address.clone(), member);
         self.schedule(address);
-        self.push(self.now, Event::Roster(address.clone(), self.roster.clone()));
+        self.push(
+            self.now,
+            Event::Roster(address.clone(), self.roster.clone()),
+        );
     }
 
     /// Changes the roster; each member is told after a delay of its own, the root at once.
     pub fn set_roster(&mut self, members: Vec<Arc<str>>) {
-        self.roster = Arc::new(Roster { version: self.roster.version + 1, members });
+        self.roster = Arc::new(Roster {
+            version: self.roster.version + 1,
+            members,
+        });
         let acting = self.acting;
         self.roots[acting].set_roster(&self.roster);
         let addresses: Vec<Arc<str>> = self.members.keys().cloned().collect();
@@ -154,7 +175,10 @@
     pub fn fail_over(&mut self, epoch: u64) {
         let mut root = RelayRoot::new(epoch, self.now);
         root.set_roster(&self.roster);
-        let newest = self.history.last_key_value().map(|(version, text)| (*version, text.clone()));
+        let newest = self
+            .history
+            .last_key_value()
+            .map(|(version, text)| (*version, text.clone()));
         self.roots.push(root);
         self.acting = self.roots.len() - 1;
         self.push(self.now, Event::RootTick(self.acting));
@@ -167,10 +191,19 @@
     /// Publishes a whole configuration with so many routes.
     pub fn replace(&mut self, version: u64, routes: usize) {
         let routes: Vec<_> = (0..routes)
-            .map(|index| route(&format!("r-{index}"), "host.example", &format!("/p{index}/"), "cores"))
+            .map(|index| {
+                route(
+                    &format!("r-{index}"),
+                    "host.example",
+                    &format!("/p{index}/"),
+                    "cores",
+                )
+            })
             .collect();
         let whole = json!({"version": version, "routes": routes, "services": [service("cores")]});
-        let text: Arc<RawValue> = RawValue::from_string(whole.to_string()).expect("JSON").into();
+        let text: Arc<RawValue> = RawValue::from_string(whole.to_string())
+            .expect("JSON")
+            .into();
         self.history.insert(version, text.clone());
         let sends = self.roots[self.acting].publish(version, text);
         self.send(&Peer::Core, self.acting, sends);
@@ -182,9 +215,15 @@
         let prefix = format!("/changed{version}/");
         let name = format!("r-{}", version % 11);
         let update = json!({"version": version, "upsert": {"routes": [route(&name, "host.example", &prefix, "cores")]}});
-        let update: Arc<RawValue> = RawValue::from_string(update.to_string()).expect("JSON").into();
+        let update: Arc<RawValue> = RawValue::from_string(update.to_string())
+            .expect("JSON")
+            .into();
         let changed = apply(text.get(), update.get()).expect("it fits");
-        let change = Change { base: *base, version, update };
+        let change = Change {
+            base: *base,
+            version,
+            update,
+        };
         self.changes.insert(version, change.clone());
         let text: Arc<RawValue> = RawValue::from_string(changed).expect("JSON").into();
         self.history.insert(version, text.clone());
@@ -215,20 +254,37 @@
     /// A message that comes from nowhere in particular.
     pub fn inject(&mut self, to: &Arc<str>, from: Peer, message: RelayMessage) {
         let to = Peer::Member(to.clone());
-        self.push(self.now, Event::Deliver { to, from, from_root: self.acting, message: Arc::new(message) });
+        self.push(
+            self.now,
+            Event::Deliver {
+                to,
+                from,
+                from_root: self.acting,
+                message: Arc::new(message),
+            },
+        );
     }
 
     /// Tells a member of a version as the primary's answers do.
     pub fn heard_of(&mut self, address: &Arc<str>, version: u64) {
         let now = self.now;
-        let actions = self.members.get_mut(address).expect("a member").node.heard_of(now, version);
+        let actions = self
+            .members
+            .get_mut(address)
+            .expect("a member")
+            .node
+            .heard_of(now, version);
         self.act(address, actions);
     }
 
     /// Members that tell others, by the present roster.
     pub fn inner(&self) -> Vec<Arc<str>> {
         let tree = Tree::new(&self.roster);
-        let inner = self.roster.members.iter().filter(|member| !tree.children(member).is_empty());
+        let inner = self
+            .roster
+            .members
+            .iter()
+            .filter(|member| !tree.children(member).is_empty());
         inner.cloned().collect()
     }
 
@@ -247,21 +303,34 @@
     }
 
     pub fn freeze(&mut self, address: &Arc<str>, until: Millis) {
-        self.members.get_mut(address).expect("a member").frozen_until = until;
+        self.members
+            .get_mut(address)
+            .expect("a member")
+            .frozen_until = until;
     }
 
     /// Live members that do not have this version.
     pub fn without(&self, version: u64) -> Vec<Arc<str>> {
-        let lacking =
-            self.members.iter().filter(|(_, member)| member.alive && member.node.version() != version);
+        let lacking = self
+            .members
+            .iter()
+            .filter(|(_, member)| member.alive && member.node.version() != version);
         lacking.map(|(address, _)| address.clone()).collect()
     }
 
     /// When the last live member had this version.
     pub fn last_applied(&self, version: u64) -> Millis {
         let live = self.members.values().filter(|member| member.alive);
-        let times = live.map(|member| member.applied.iter().find(|(applied, _)| *applied >= version));
-        times.map(|applied| applied.expect("every live member has it").1).max().unwrap_or(0)
+        let times = live.map(|member| {
+            member
+                .applied
+                .iter()
+                .find(|(applied, _)| *applied >= version)
+        });
+        times
+            .map(|applied| applied.expect("every live member has it").1)
+            .max()
+            .unwrap_or(0)
     }
 
     /// What was sent since the last look.
--- a/crates/configuration/tests/support/mod.rs
+++ b/crates/configuration/tests/support/mod.rs
@@ -80,14 +80,18 @@
 
 /// Takes an order that must be taken, and commits it.
 pub fn take(outcome: Outcome, records: &mut Records) -> u64 {
-    let Outcome::Taken { version, writes } = outcome else { panic!("not taken: {outcome:?}") };
+    let Outcome::Taken { version, writes } = outcome else {
+        panic!("not taken: {outcome:?}")
+    };
     records.commit(writes);
     version
 }
 
 /// Refuses an order as stale, and commits what is written for that; returns the current version.
 pub fn refuse(outcome: Outcome, records: &mut Records) -> u64 {
-    let Outcome::Stale { current, writes } = outcome else { panic!("not refused: {outcome:?}") };
+    let Outcome::Stale { current, writes } = outcome else {
+        panic!("not refused: {outcome:?}")
+    };
     records.commit(writes);
     current
 }
--- a/crates/configuration/tests/support/network.rs
+++ b/crates/configuration/tests/support/network.rs
@@ -13,20 +13,29 @@
 
     pub(super) fn play(&mut self, event: Event) {
         let owner = match &event {
-            Event::Deliver { to: Peer::Member(address), .. }
+            Event::Deliver {
+                to: Peer::Member(address),
+                ..
+            }
             | Event::Tick(address)
             | Event::Roster(address, _) => Some(address.clone()),
             _ => None,
         };
-        let Some(address) = owner else { return self.play_at_root(event) };
-        let Some(member) = self.members.get_mut(&address).filter(|member| member.alive) else { return };
+        let Some(address) = owner else {
+            return self.play_at_root(event);
+        };
+        let Some(member) = self.members.get_mut(&address).filter(|member| member.alive) else {
+            return;
+        };
         if member.frozen_until > self.now {
             let until = member.frozen_until;
             return self.push(until, event);
         }
         let now = self.now;
         let actions = match event {
-            Event::Deliver { from, message, .. } => member.node.receive(now, &from, (*message).clone()),
+            Event::Deliver { from, message, .. } => {
+                member.node.receive(now, &from, (*message).clone())
+            }
             Event::Roster(_, roster) => member.node.set_roster(now, &roster),
             Event::Tick(_) => {
                 member.scheduled = Millis::MAX;
@@ -46,7 +55,12 @@
                 let next = self.roots[index].next_tick().min(now + 100).max(now + 1);
                 self.push(next, Event::RootTick(index));
             }
-            Event::Deliver { from, from_root, message, .. } => {
+            Event::Deliver {
+                from,
+                from_root,
+                message,
+                ..
+            } => {
                 let sends = self.roots[from_root].receive(self.now, &from, (*message).clone());
                 self.send(&Peer::Core, from_root, sends);
             }
@@ -59,9 +73,16 @@
         if let Some(configuration) = actions.configuration {
             let version = configuration.version;
             let last = member.applied.last().map_or(0, |(version, _)| *version);
-            assert!(version > last, "{address} goes back from {last} to {version}");
+            assert!(
+                version > last,
+                "{address} goes back from {last} to {version}"
+            );
             let text = member.node.text().expect("it has one").get();
-            assert_eq!(text, self.history[&version].get(), "{address} has another version {version}");
+            assert_eq!(
+                text,
+                self.history[&version].get(),
+                "{address} has another version {version}"
+            );
             member.applied.push((version, self.now));
         }
         self.send(&Peer::Member(address.clone()), self.acting, actions.sends);
@@ -102,11 +123,23 @@
         if !self.is_linked(from, &to, root) || self.numbers.below(1_000) < self.loss {
             return;
         }
-        let copies = if self.numbers.below(1_000) < self.repeats { 2 } else { 1 };
+        let copies = if self.numbers.below(1_000) < self.repeats {
+            2
+        } else {
+            1
+        };
         for _ in 0..copies {
             let at = self.now + DELAY + self.numbers.below(self.jitter + 1);
             let (to, from, message) = (to.clone(), from.clone(), message.clone());
-            self.push(at, Event::Deliver { to, from, from_root: root, message });
+            self.push(
+                at,
+                Event::Deliver {
+                    to,
+                    from,
+                    from_root: root,
+                    message,
+                },
+            );
         }
     }
 
@@ -115,7 +148,8 @@
             Peer::Core => self.cut_roots.contains(&root),
             Peer::Member(address) => self.cut.contains(address),
         };
-        let pair = |one: &Peer, other: &Peer| self.cut_pairs.contains(&(one.clone(), other.clone()));
+        let pair =
+            |one: &Peer, other: &Peer| self.cut_pairs.contains(&(one.clone(), other.clone()));
         !is_cut(from) && !is_cut(to) && !pair(from, to) && !pair(to, from)
     }
 }
--- a/crates/controlplane/examples/cluster/client.rs
+++ b/crates/controlplane/examples/cluster/client.rs
@@ -26,7 +26,12 @@
 impl JobClient {
     pub fn new(gates: &[SocketAddr], host: &'static str, prefix: &'static str) -> JobClient {
         let gates = gates.iter().map(|gate| Client::new(*gate)).collect();
-        JobClient { gates, next: 0, host, prefix }
+        JobClient {
+            gates,
+            next: 0,
+            host,
+            prefix,
+        }
     }
 
     /// Hands a job in; the same id is one job, so that it can be repeated after silence.
@@ -34,7 +39,11 @@
         let answer = self.call(Method::POST, id, &job.to_string()).await?;
         match answer.status().is_success() {
             true => Ok(()),
-            false => bail!("job {id}: {} {}", answer.status(), String::from_utf8_lossy(answer.body())),
+            false => bail!(
+                "job {id}: {} {}",
+                answer.status(),
+                String::from_utf8_lossy(answer.body())
+            ),
         }
     }
 
@@ -77,12 +86,17 @@
     let mut turn = machines.iter().copied().cycle();
     let mut target = turn.next();
     while let Some(address) = target {
-        let answer = Client::new(address).call(replace(configuration)?, DEADLINE).await;
+        let answer = Client::new(address)
+            .call(replace(configuration)?, DEADLINE)
+            .await;
         target = match answer {
             Ok(answer) if answer.status() == StatusCode::OK => return Ok(()),
             Ok(answer) if answer.status() == StatusCode::TEMPORARY_REDIRECT => named(&answer),
             Ok(answer) if answer.status().is_client_error() => {
-                bail!("the configuration is refused: {}", String::from_utf8_lossy(answer.body()))
+                bail!(
+                    "the configuration is refused: {}",
+                    String::from_utf8_lossy(answer.body())
+                )
             }
             _ => {
                 tokio::time::sleep(RETRY).await;
@@ -102,5 +116,10 @@
 /// The address in `Location: http://ADDRESS/path`.
 fn named(answer: &Answer) -> Option<SocketAddr> {
     let location = answer.headers().get(LOCATION)?.to_str().ok()?;
-    location.strip_prefix("http://")?.split('/').next()?.parse().ok()
+    location
+        .strip_prefix("http://")?
+        .split('/')
+        .next()?
+        .parse()
+        .ok()
 }
--- a/crates/controlplane/examples/cluster/machines.rs
+++ b/crates/controlplane/examples/cluster/machines.rs
@@ -28,7 +28,9 @@
 
 impl Part {
     pub fn from_argument(argument: &str) -> Option<Part> {
-        [Part::Control, Part::Gate, Part::Agent].into_iter().find(|part| part.argument() == argument)
+        [Part::Control, Part::Gate, Part::Agent]
+            .into_iter()
+            .find(|part| part.argument() == argument)
     }
 
     fn argument(self) -> &'static str {
@@ -65,10 +67,18 @@
 impl Machines {
     /// Starts all processes, on empty disks.
     pub fn start() -> Result<Machines> {
-        let folder = std::env::temp_dir().join(format!("streamusher-cluster-{}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("streamusher-cluster-{}", std::process::id()));
         fs::create_dir_all(&folder).with_context(|| format!("{}", folder.display()))?;
-        let mut machines = Machines { folder, machines: Vec::new() };
-        for (part, count) in [(Part::Control, CORE), (Part::Gate, FRONT), (Part::Agent, SIDE)] {
+        let mut machines = Machines {
+            folder,
+            machines: Vec::new(),
+        };
+        for (part, count) in [
+            (Part::Control, CORE),
+            (Part::Gate, FRONT),
+            (Part::Agent, SIDE),
+        ] {
             for number in 0..count {
                 machines.start_one(part, number)?;
             }
@@ -83,18 +93,32 @@
         let settings = self.folder.join(format!("{name}.toml"));
         fs::write(&settings, self.settings(part, &name, address))?;
         let mut command = Command::new(std::env::current_exe()?);
-        command.arg(part.argument()).env("STREAMUSHER_SETTINGS", settings);
+        command
+            .arg(part.argument())
+            .env("STREAMUSHER_SETTINGS", settings);
         if std::env::var_os("STREAMUSHER_LOG").is_none() {
             command.env("STREAMUSHER_LOG", "error");
         }
-        let process = command.spawn().with_context(|| format!("starting {name}"))?;
-        self.machines.push(Machine { name, part, address, process });
+        let process = command
+            .spawn()
+            .with_context(|| format!("starting {name}"))?;
+        self.machines.push(Machine {
+            name,
+            part,
+            address,
+            process,
+        });
         Ok(())
     }
 
     fn settings(&self, part: Part, name: &str, address: Ipv4Addr) -> String {
         let seeds: Vec<String> = (0..CORE)
-            .map(|seed| format!("\"{}:{CONTROL_PORT}\"", host(Part::Control.first_host() + seed)))
+            .map(|seed| {
+                format!(
+                    "\"{}:{CONTROL_PORT}\"",
+                    host(Part::Control.first_host() + seed)
+                )
+            })
             .collect();
         let last_port = INTERNAL_PORT + 15;
         let shared = format!(
@@ -116,11 +140,15 @@
     }
 
     fn of(&self, part: Part) -> impl Iterator<Item = &Machine> {
-        self.machines.iter().filter(move |machine| machine.part == part)
+        self.machines
+            .iter()
+            .filter(move |machine| machine.part == part)
     }
 
     fn addresses(&self, part: Part, port: u16) -> Vec<SocketAddr> {
-        self.of(part).map(|machine| SocketAddr::from((machine.address, port))).collect()
+        self.of(part)
+            .map(|machine| SocketAddr::from((machine.address, port)))
+            .collect()
     }
 
     /// Internal addresses of the core machines that run.
@@ -145,8 +173,13 @@
 
     /// Kills the process of a core machine and takes it off the list.
     pub fn kill(&mut self, internal: SocketAddr) -> Result<String> {
-        let found = self.machines.iter().position(|machine| internal.ip() == machine.address);
-        let Some(index) = found else { bail!("no machine has the address {internal}") };
+        let found = self
+            .machines
+            .iter()
+            .position(|machine| internal.ip() == machine.address);
+        let Some(index) = found else {
+            bail!("no machine has the address {internal}")
+        };
         let mut machine = self.machines.remove(index);
         machine.process.kill()?;
         machine.process.wait()?;
@@ -160,16 +193,26 @@
     /// One of them did not end with 0.
     pub fn stop(&mut self) -> Result<()> {
         self.end(|machine| machine.part != Part::Control)?;
-        let core: Vec<Ipv4Addr> = self.of(Part::Control).map(|machine| machine.address).collect();
-        core.into_iter().try_for_each(|address| self.end(|machine| machine.address == address))
+        let core: Vec<Ipv4Addr> = self
+            .of(Part::Control)
+            .map(|machine| machine.address)
+            .collect();
+        core.into_iter()
+            .try_for_each(|address| self.end(|machine| machine.address == address))
     }
 
     fn end(&mut self, chosen: impl Fn(&Machine) -> bool) -> Result<()> {
-        let mut chosen: Vec<&mut Machine> =
-            self.machines.iter_mut().filter(|machine| chosen(machine)).collect();
+        let mut chosen: Vec<&mut Machine> = self
+            .machines
+            .iter_mut()
+            .filter(|machine| chosen(machine))
+            .collect();
         for machine in &chosen {
             let id = machine.process.id().to_string();
-            Command::new("kill").args(["-TERM", &id]).status().context("kill")?;
+            Command::new("kill")
+                .args(["-TERM", &id])
+                .status()
+                .context("kill")?;
         }
         for machine in &mut chosen {
             let status = machine.process.wait()?;
--- a/crates/controlplane/examples/cluster/main.rs
+++ b/crates/controlplane/examples/cluster/main.rs
@@ -26,7 +26,9 @@
     clock::steady();
     let argument = std::env::args().nth(1);
     let ended = match argument.as_deref().map(Part::from_argument) {
-        None => runtime::block_on(bounded_story()).map_err(anyhow::Error::from).flatten(),
+        None => runtime::block_on(bounded_story())
+            .map_err(anyhow::Error::from)
+            .flatten(),
         Some(Some(part)) => run_part(part),
         Some(None) => Err(anyhow::anyhow!("the example takes no arguments")),
     };
--- a/crates/controlplane/examples/cluster/story.rs
+++ b/crates/controlplane/examples/cluster/story.rs
@@ -40,7 +40,10 @@
         tokio::task::spawn_local(worker.run());
     }
     say("3 stand-in workers send heartbeats to their agents");
-    let mut watch = Watch { client: JobClient::new(&machines.gates(), HOST, PREFIX), shown: BTreeMap::new() };
+    let mut watch = Watch {
+        client: JobClient::new(&machines.gates(), HOST, PREFIX),
+        shown: BTreeMap::new(),
+    };
     calm_jobs(&mut watch).await?;
     kill_the_primary(&mut machines, &mut watch, primary).await?;
     if let Some(last) = drains.last() {
@@ -65,9 +68,17 @@
     let lasting = json!({ "spec": "600000", "steps": [
         { "count": 1, "cpu": 500, "mem_mb": 64, "long_running": true },
     ]});
-    watch.submit(TWO_STEPS, "two steps, 4 tasks and then 2", &two_steps).await?;
+    watch
+        .submit(TWO_STEPS, "two steps, 4 tasks and then 2", &two_steps)
+        .await?;
     watch.submit(GANG, "a gang of 3 tasks", &gang).await?;
-    watch.submit(CANCELLED, "a task that lasts until it is cancelled", &lasting).await?;
+    watch
+        .submit(
+            CANCELLED,
+            "a task that lasts until it is cancelled",
+            &lasting,
+        )
+        .await?;
     watch.until(CANCELLED, JobState::Running).await?;
     watch.client.cancel(CANCELLED).await?;
     say(&format!("job {CANCELLED} is cancelled by its client"));
@@ -77,11 +88,21 @@
 }
 
 /// A job that was accepted outlives its primary.
-async fn kill_the_primary(machines: &mut Machines, watch: &mut Watch, primary: SocketAddr) -> Result<()> {
+async fn kill_the_primary(
+    machines: &mut Machines,
+    watch: &mut Watch,
+    primary: SocketAddr,
+) -> Result<()> {
     let job = json!({ "spec": "1500", "steps": [
         { "count": 12, "cpu": 1_000, "mem_mb": 128, "estimated_ms": 1_500 },
     ]});
-    watch.submit(ACROSS_THE_KILL, "12 tasks, with the primary killed while they run", &job).await?;
+    watch
+        .submit(
+            ACROSS_THE_KILL,
+            "12 tasks, with the primary killed while they run",
+            &job,
+        )
+        .await?;
     watch.until(ACROSS_THE_KILL, JobState::Running).await?;
     let name = machines.kill(primary)?;
     say(&format!("the primary, {name}, is killed"));
@@ -108,7 +129,9 @@
 async fn wait_for_primary(machines: &Machines, former: Option<SocketAddr>) -> SocketAddr {
     loop {
         let answers: Answers = ask_all(machines.core()).await;
-        let acting = answers.iter().find(|(_, answer)| answer.as_ref().is_ok_and(is_acting));
+        let acting = answers
+            .iter()
+            .find(|(_, answer)| answer.as_ref().is_ok_and(is_acting));
         if let Some((address, _)) = acting.filter(|(address, _)| Some(**address) != former) {
             return *address;
         }
--- a/crates/controlplane/examples/cluster/worker.rs
+++ b/crates/controlplane/examples/cluster/worker.rs
@@ -12,7 +12,8 @@
 use streamusher_node::clock;
 use streamusher_node::http::{parse_json, Client};
 use streamusher_protocol::heartbeat::{
-    FinishedRun, Heartbeat, HeartbeatAnswer, Resources, RunningTask, StartOrder, WorkerState, HEARTBEAT_PATH,
+    FinishedRun, Heartbeat, HeartbeatAnswer, Resources, RunningTask, StartOrder, WorkerState,
+    HEARTBEAT_PATH,
 };
 use streamusher_protocol::task::{RunEnd, TaskId};
 use streamusher_protocol::Millis;
@@ -91,7 +92,15 @@
             .iter()
             .filter(|(_, work)| lapsed || over(work))
             .map(|((task, run), work)| {
-                (task.clone(), *run, if over(work) { RunEnd::Done } else { RunEnd::Lapsed })
+                (
+                    task.clone(),
+                    *run,
+                    if over(work) {
+                        RunEnd::Done
+                    } else {
+                        RunEnd::Lapsed
+                    },
+                )
             })
             .collect();
         for (task, run, how) in ended {
@@ -102,7 +111,8 @@
     fn end(&mut self, task: TaskId, run: u32, how: RunEnd) {
         self.running.remove(&(task.clone(), run));
         self.ends += 1;
-        self.finished.push(FinishedRun(self.ends, task, run, how, "".into()));
+        self.finished
+            .push(FinishedRun(self.ends, task, run, how, "".into()));
     }
 
     async fn heartbeat(&mut self, now: Millis) -> Option<HeartbeatAnswer> {
@@ -111,21 +121,39 @@
         let heartbeat = Heartbeat {
             service: self.service.clone(),
             zone: "loopback".into(),
-            capacity: Resources { cpu: 8_000, mem_mb: 16_384, gpu: 0 },
+            capacity: Resources {
+                cpu: 8_000,
+                mem_mb: 16_384,
+                gpu: 0,
+            },
             labels: vec!["a".into(), "r-1".into()],
             clock_ms: now,
-            state: if drains { WorkerState::Draining } else { WorkerState::Ready },
+            state: if drains {
+                WorkerState::Draining
+            } else {
+                WorkerState::Ready
+            },
             remaining_ms: drains.then_some(LEAVES_IN_MS),
             sequence: self.sequence,
-            running: self.running.iter().map(|(key, work)| listed(now, key, work)).collect(),
+            running: self
+                .running
+                .iter()
+                .map(|(key, work)| listed(now, key, work))
+                .collect(),
             finished: self.finished.clone(),
             ..Heartbeat::default()
         };
         let body = Bytes::from(serde_json::to_vec(&heartbeat).ok()?);
         let path = format!("{HEARTBEAT_PATH}{}", self.id);
-        let call = http::Request::post(path).header(CONTENT_TYPE, "application/json").body(body).ok()?;
+        let call = http::Request::post(path)
+            .header(CONTENT_TYPE, "application/json")
+            .body(body)
+            .ok()?;
         let answer = self.agent.call(call, ANSWER_DEADLINE).await.ok()?;
-        answer.status().is_success().then(|| parse_json(answer.body()).ok())?
+        answer
+            .status()
+            .is_success()
+            .then(|| parse_json(answer.body()).ok())?
     }
 
     fn obey(&mut self, sent_at: Millis, answer: HeartbeatAnswer) {
@@ -135,7 +163,9 @@
         self.fence_token = answer.fence_token;
         let last_seen = answer.last_seen.unwrap_or(0);
         self.finished.retain(|end| end.0 > last_seen);
-        let Some(hold_ms) = answer.hold_ms else { return };
+        let Some(hold_ms) = answer.hold_ms else {
+            return;
+        };
         self.hold_until = self.hold_until.max(sent_at + hold_ms);
         for stop in answer.stop {
             if self.running.contains_key(&(stop.0.clone(), stop.1)) {
@@ -143,10 +173,16 @@
             }
         }
         for StartOrder(task, run, spec, _) in answer.start {
-            let is_over = self.finished.iter().any(|end| end.1 == task && end.2 == run);
+            let is_over = self
+                .finished
+                .iter()
+                .any(|end| end.1 == task && end.2 == run);
             if !is_over {
                 let takes_ms = spec.parse().unwrap_or(DEFAULT_WORK_MS);
-                let work = Work { began_at: clock::steady(), takes_ms };
+                let work = Work {
+                    began_at: clock::steady(),
+                    takes_ms,
+                };
                 self.running.entry((task, run)).or_insert(work);
             }
         }
@@ -155,7 +191,10 @@
     /// Until the next heartbeat: `wanted`, or sooner where a run ends before.
     fn pause(&self, wanted: Millis) -> Millis {
         let now = clock::steady();
-        let ends = self.running.values().map(|work| work.began_at + work.takes_ms + AFTER_AN_END_MS);
+        let ends = self
+            .running
+            .values()
+            .map(|work| work.began_at + work.takes_ms + AFTER_AN_END_MS);
         let next = ends.min().map_or(wanted, |at| at.saturating_sub(now));
         next.min(wanted)
     }
@@ -163,5 +202,10 @@
 
 fn listed(now: Millis, key: &(TaskId, u32), work: &Work) -> RunningTask {
     let share = (now - work.began_at) as f64 / work.takes_ms.max(1) as f64;
-    RunningTask(key.0.clone(), key.1, "".into(), (share * 100.0).min(99.0).floor())
+    RunningTask(
+        key.0.clone(),
+        key.1,
+        "".into(),
+        (share * 100.0).min(99.0).floor(),
+    )
 }
--- a/crates/controlplane/src/calls.rs
+++ b/crates/controlplane/src/calls.rs
@@ -47,7 +47,11 @@
             Call::Agent(sync) => Some(sync.epoch),
             _ => None,
         };
-        Outstanding { mutating, refused: false, agent_epoch }
+        Outstanding {
+            mutating,
+            refused: false,
+            agent_epoch,
+        }
     }
 }
 
--- a/crates/controlplane/src/cluster_status/ask.rs
+++ b/crates/controlplane/src/cluster_status/ask.rs
@@ -29,7 +29,9 @@
         }
         while let Some(answered) = asked.join_next().await {
             // A question that failed as a task is one without an answer.
-            let Ok((address, answer)) = answered else { continue };
+            let Ok((address, answer)) = answered else {
+                continue;
+            };
             if let Ok(status) = &answer {
                 next.extend(members_in(status));
             }
@@ -45,11 +47,18 @@
     let mut call = Call::new(Bytes::new());
     *call.method_mut() = Method::GET;
     *call.uri_mut() = http::Uri::from_static(STATUS_PATH);
-    let answer = Client::new(address).call(call, DEADLINE).await.map_err(|error| error.to_string())?;
+    let answer = Client::new(address)
+        .call(call, DEADLINE)
+        .await
+        .map_err(|error| error.to_string())?;
     if !answer.status().is_success() {
-        return Err(format!("answered {}: name the internal ip:port of a process", answer.status()));
+        return Err(format!(
+            "answered {}: name the internal ip:port of a process",
+            answer.status()
+        ));
     }
-    serde_json::from_slice(answer.body()).map_err(|error| format!("the answer is not a status: {error}"))
+    serde_json::from_slice(answer.body())
+        .map_err(|error| format!("the answer is not a status: {error}"))
 }
 
 /// What the primary at `address` knows of one job or user.
@@ -58,19 +67,36 @@
     let mut call = Call::new(Bytes::from(body));
     *call.method_mut() = Method::POST;
     *call.uri_mut() = http::Uri::from_static(EXPLAIN_PATH);
-    let answer = Client::new(address).call(call, DEADLINE).await.map_err(|error| error.to_string())?;
+    let answer = Client::new(address)
+        .call(call, DEADLINE)
+        .await
+        .map_err(|error| error.to_string())?;
     if !answer.status().is_success() {
         return Err(String::from_utf8_lossy(answer.body()).trim().to_owned());
     }
-    serde_json::from_slice(answer.body()).map_err(|error| format!("the answer is not understood: {error}"))
+    serde_json::from_slice(answer.body())
+        .map_err(|error| format!("the answer is not understood: {error}"))
 }
 
 /// Internal addresses of the core machines that a status names: a core machine's record, or what a process of the data
 /// plane knows of the control plane.
 fn members_in(status: &Value) -> Vec<SocketAddr> {
-    let of_record = status.pointer("/core/record/members").and_then(Value::as_array);
-    let of_view = status.pointer("/control_plane/members").and_then(Value::as_array);
-    let record = of_record.into_iter().flatten().filter_map(|member| member.pointer("/address/internal"));
-    let view = of_view.into_iter().flatten().filter_map(|member| member.get("internal"));
-    record.chain(view).filter_map(|address| address.as_str()?.parse().ok()).collect()
+    let of_record = status
+        .pointer("/core/record/members")
+        .and_then(Value::as_array);
+    let of_view = status
+        .pointer("/control_plane/members")
+        .and_then(Value::as_array);
+    let record = of_record
+        .into_iter()
+        .flatten()
+        .filter_map(|member| member.pointer("/address/internal"));
+    let view = of_view
+        .into_iter()
+        .flatten()
+        .filter_map(|member| member.get("internal"));
+    record
+        .chain(view)
+        .filter_map(|address| address.as_str()?.parse().ok())
+        .collect()
 }
--- a/crates/controlplane/src/cluster_status/mod.rs
+++ b/crates/controlplane/src/cluster_status/mod.rs
@@ -28,7 +28,11 @@
 /// The event loop can't be made.
 pub fn run(addresses: Vec<SocketAddr>, as_json: bool) -> io::Result<(String, Health)> {
     let answers = runtime::block_on(ask::ask_all(addresses))?;
-    let text = if as_json { json(&answers) } else { report::render(&answers) };
+    let text = if as_json {
+        json(&answers)
+    } else {
+        report::render(&answers)
+    };
     Ok((text, health(&answers)))
 }
 
@@ -42,9 +46,14 @@
 
 async fn ask_primary(addresses: Vec<SocketAddr>, asked: &Explain) -> anyhow::Result<String> {
     let answers = ask::ask_all(addresses).await;
-    let acting = answers.iter().find(|(_, answer)| answer.as_ref().is_ok_and(report::is_acting));
-    let (address, _) = acting.ok_or_else(|| anyhow::anyhow!("no primary acts: look at the status"))?;
-    let known = ask::explain(*address, asked).await.map_err(anyhow::Error::msg)?;
+    let acting = answers
+        .iter()
+        .find(|(_, answer)| answer.as_ref().is_ok_and(report::is_acting));
+    let (address, _) =
+        acting.ok_or_else(|| anyhow::anyhow!("no primary acts: look at the status"))?;
+    let known = ask::explain(*address, asked)
+        .await
+        .map_err(anyhow::Error::msg)?;
     Ok(format!("{known:#}\n"))
 }
 
--- a/crates/controlplane/src/cluster_status/report.rs
+++ b/crates/controlplane/src/cluster_status/report.rs
@@ -17,11 +17,24 @@
 
 /// Whether a status is that of the primary, with a valid lease.
 pub fn is_acting(status: &Value) -> bool {
-    status.pointer("/core/acting").and_then(Value::as_bool).unwrap_or(false)
+    status
+        .pointer("/core/acting")
+        .and_then(Value::as_bool)
+        .unwrap_or(false)
 }
 
 fn machines(answers: &Answers) -> String {
-    let heads = ["ADDRESS", "ROLE", "STATE", "EPOCH", "PRIMARY", "CONFIG", "SYNCED", "CALLS", "LAST ERROR"];
+    let heads = [
+        "ADDRESS",
+        "ROLE",
+        "STATE",
+        "EPOCH",
+        "PRIMARY",
+        "CONFIG",
+        "SYNCED",
+        "CALLS",
+        "LAST ERROR",
+    ];
     let mut table = Table::new(&heads);
     for (address, answer) in answers {
         let mut cells = vec![address.to_string()];
@@ -100,8 +113,9 @@
 
 fn members(status: &Value) -> String {
     let mut table = Table::new(&["MEMBER", "DISK", "COPY", "SYNCED", "SILENT MS"]);
-    let peers: BTreeMap<String, &Value> =
-        list(status, "/core/peers").map(|peer| (text(peer, "/id"), peer)).collect();
+    let peers: BTreeMap<String, &Value> = list(status, "/core/peers")
+        .map(|peer| (text(peer, "/id"), peer))
+        .collect();
     let me = text(status, "/core/id");
     let replicas: Vec<String> = list(status, "/core/record/replicas").map(plain).collect();
     for member in list(status, "/core/record/members") {
@@ -127,7 +141,9 @@
 
 fn queues(status: &Value) -> String {
     let mut table = Table::new(&["QUEUE", "JOBS WAITING"]);
-    let queues = status.pointer("/scheduler/queues").and_then(Value::as_object);
+    let queues = status
+        .pointer("/scheduler/queues")
+        .and_then(Value::as_object);
     for (name, waiting) in queues.into_iter().flatten() {
         table.row([name.clone(), plain(waiting)]);
     }
@@ -135,7 +151,15 @@
 }
 
 fn workers(status: &Value) -> String {
-    let heads = ["WORKER", "AGENT", "SERVICE", "ZONE", "STATE", "RUNS", "LEASE LEFT MS"];
+    let heads = [
+        "WORKER",
+        "AGENT",
+        "SERVICE",
+        "ZONE",
+        "STATE",
+        "RUNS",
+        "LEASE LEFT MS",
+    ];
     let mut table = Table::new(&heads);
     for worker in list(status, "/scheduler/workers") {
         table.row([
@@ -167,7 +191,10 @@
 }
 
 fn primary_of_record(status: &Value) -> String {
-    let Some(primary) = status.pointer("/core/record/primary").filter(|id| !id.is_null()) else {
+    let Some(primary) = status
+        .pointer("/core/record/primary")
+        .filter(|id| !id.is_null())
+    else {
         return String::new();
     };
     let mut members = list(status, "/core/record/members");
@@ -176,23 +203,32 @@
 }
 
 fn last_error(status: &Value) -> String {
-    let Some(error) = status.get("last_error").filter(|error| !error.is_null()) else { return String::new() };
+    let Some(error) = status.get("last_error").filter(|error| !error.is_null()) else {
+        return String::new();
+    };
     let age = error.get("age_ms").and_then(Value::as_u64).unwrap_or(0) / 1_000;
     format!("{age} s ago: {}", text(error, "/text"))
 }
 
 fn position(value: Option<&Value>) -> String {
-    let Some(value) = value.filter(|value| !value.is_null()) else { return String::new() };
+    let Some(value) = value.filter(|value| !value.is_null()) else {
+        return String::new();
+    };
     format!("{}/{}", text(value, "/epoch"), text(value, "/sequence"))
 }
 
 /// A disk's id as the logs write it.
 fn disk_name(id: &str) -> String {
-    id.parse::<u64>().map_or_else(|_| id.to_owned(), |id| format!("{id:016x}"))
+    id.parse::<u64>()
+        .map_or_else(|_| id.to_owned(), |id| format!("{id:016x}"))
 }
 
 fn list<'a>(value: &'a Value, path: &str) -> impl Iterator<Item = &'a Value> {
-    value.pointer(path).and_then(Value::as_array).into_iter().flatten()
+    value
+        .pointer(path)
+        .and_then(Value::as_array)
+        .into_iter()
+        .flatten()
 }
 
 fn text(value: &Value, path: &str) -> String {
--- a/crates/controlplane/src/cluster_status/table.rs
+++ b/crates/controlplane/src/cluster_status/table.rs
@@ -9,12 +9,20 @@
 impl Table {
     /// A table with these heads of columns.
     pub fn new(heads: &[&str]) -> Table {
-        Table { rows: vec![heads.iter().map(|head| (*head).to_owned()).collect()] }
+        Table {
+            rows: vec![heads.iter().map(|head| (*head).to_owned()).collect()],
+        }
     }
 
     /// Adds a row; empty cells are shown as `-`.
     pub fn row(&mut self, cells: impl IntoIterator<Item = String>) {
-        let shown = |cell: String| if cell.is_empty() { "-".to_owned() } else { cell };
+        let shown = |cell: String| {
+            if cell.is_empty() {
+                "-".to_owned()
+            } else {
+                cell
+            }
+        };
         self.rows.push(cells.into_iter().map(shown).collect());
     }
 
@@ -35,7 +43,10 @@
 }
 
 fn line(row: &[String], widths: &[usize]) -> String {
-    let cells: Vec<String> =
-        row.iter().zip(widths).map(|(cell, width)| format!("{cell:<width$}", width = *width)).collect();
+    let cells: Vec<String> = row
+        .iter()
+        .zip(widths)
+        .map(|(cell, width)| format!("{cell:<width$}", width = *width))
+        .collect();
     format!("{}\n", cells.join("  ").trim_end())
 }
--- a/crates/controlplane/src/disk.rs
+++ b/crates/controlplane/src/disk.rs
@@ -43,11 +43,19 @@
     /// # Errors
     /// No thread could be made.
     pub fn start(
-        data_dir: PathBuf, store: Store, events: events::UnboundedSender<DiskEvent>,
+        data_dir: PathBuf,
+        store: Store,
+        events: events::UnboundedSender<DiskEvent>,
     ) -> io::Result<Disk> {
         let (changes, received) = mpsc::channel();
-        let worker = Worker { data_dir, store: Some(store), events };
-        thread::Builder::new().name("disk".to_owned()).spawn(move || worker.run(&received))?;
+        let worker = Worker {
+            data_dir,
+            store: Some(store),
+            events,
+        };
+        thread::Builder::new()
+            .name("disk".to_owned())
+            .spawn(move || worker.run(&received))?;
         Ok(Disk { changes })
     }
 
@@ -83,7 +91,9 @@
 
     /// Makes the store smaller where it is due; one that failed is opened anew with the next change.
     fn shrink(&mut self) {
-        let Some(store) = self.store.take_if(|store| store.is_too_large()) else { return };
+        let Some(store) = self.store.take_if(|store| store.is_too_large()) else {
+            return;
+        };
         match store.rebuild(&self.data_dir) {
             Ok(store) => self.store = Some(store),
             Err(error) => log::warn!("making the store smaller: {error}"),
--- a/crates/controlplane/src/driver.rs
+++ b/crates/controlplane/src/driver.rs
@@ -136,7 +136,9 @@
     fn take_early(&mut self, now: Now) {
         loop {
             let is_opening = !self.is_at_work(now) && self.replication.is_opening();
-            let Some(early) = self.early.pop(now.steady, is_opening) else { return };
+            let Some(early) = self.early.pop(now.steady, is_opening) else {
+                return;
+            };
             if self.is_at_work(now) && !early.is_over(now.steady) {
                 self.carry_out(now, early.request, early.call);
             } else {
@@ -217,7 +219,9 @@
     }
 
     fn run(&mut self, now: Now, event: Event, cause: Option<RequestId>) {
-        let Some(scheduler) = &mut self.scheduler else { return };
+        let Some(scheduler) = &mut self.scheduler else {
+            return;
+        };
         let Effects { writes, replies } = scheduler.handle(now, event);
         let wrote = !writes.is_empty();
         let mut outputs = Vec::new();
@@ -225,7 +229,8 @@
             outputs = self.replication.append(now.steady, writes).1;
         }
         let sequence = self.replication.appended();
-        self.publication.taken(sequence, scheduler.version(), || scheduler.newest());
+        self.publication
+            .taken(sequence, scheduler.version(), || scheduler.newest());
         for (request, reply) in replies {
             let may_refuse = !(wrote && cause == Some(request));
             self.hold(sequence, request, reply, may_refuse);
@@ -235,16 +240,24 @@
     }
 
     fn hold(&mut self, sequence: u64, request: RequestId, reply: Reply, may_refuse: bool) {
-        let Some(outstanding) = self.outstanding.get_mut(&request) else { return };
+        let Some(outstanding) = self.outstanding.get_mut(&request) else {
+            return;
+        };
         outstanding.refused = may_refuse && is_refusal(&reply);
-        self.held.push_back(Held { sequence, request, reply });
+        self.held.push_back(Held {
+            sequence,
+            request,
+            reply,
+        });
     }
 
     fn follow(&mut self, now: Now, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Send { to, message } => self.actions.push(Action::Send { to, message }),
-                Output::Persist { ticket, change } => self.actions.push(Action::Persist { ticket, change }),
+                Output::Persist { ticket, change } => {
+                    self.actions.push(Action::Persist { ticket, change })
+                }
                 Output::Committed { .. } => self.release(now),
                 Output::Elected { epoch } => self.take_office(now, epoch),
                 Output::Deposed => self.leave_office(now),
@@ -257,11 +270,21 @@
         log::info!("primary from epoch {epoch} on");
         self.recovering = Some(epoch);
         let (settings, state) = (self.settings.clone(), self.replication.state());
-        self.actions.push(Action::Recover(Recovery { epoch, now, settings, state }));
+        self.actions.push(Action::Recover(Recovery {
+            epoch,
+            now,
+            settings,
+            state,
+        }));
     }
 
     /// A recovery has ended; one of an office that was left meanwhile counts no more.
-    pub fn recovered(&mut self, now: Now, epoch: u64, scheduler: Result<S, RecoverError>) -> Vec<Action> {
+    pub fn recovered(
+        &mut self,
+        now: Now,
+        epoch: u64,
+        scheduler: Result<S, RecoverError>,
+    ) -> Vec<Action> {
         if self.recovering == Some(epoch) {
             self.recovering = None;
             match scheduler {
@@ -277,7 +300,8 @@
     /// Nothing was appended since the election, as only the scheduler writes.
     fn begin_work(&mut self, epoch: u64, scheduler: S) {
         let sequence = self.replication.appended();
-        self.publication.taken(sequence, scheduler.version(), || scheduler.newest());
+        self.publication
+            .taken(sequence, scheduler.version(), || scheduler.newest());
         self.epoch = epoch;
         self.scheduler = Some(scheduler);
     }
@@ -285,7 +309,10 @@
     fn leave_office(&mut self, now: Now) {
         self.recovering = None;
         if self.scheduler.take().is_some() {
-            log::info!("no longer primary; {} calls are answered so", self.outstanding.len());
+            log::info!(
+                "no longer primary; {} calls are answered so",
+                self.outstanding.len()
+            );
         }
         self.held.clear();
         self.publication = Publication::default();
@@ -311,23 +338,36 @@
         }
         let committed = self.replication.committed();
         self.publication.committed(committed);
-        while self.held.front().is_some_and(|held| held.sequence <= committed) {
-            let Some(held) = self.held.pop_front() else { return };
+        while self
+            .held
+            .front()
+            .is_some_and(|held| held.sequence <= committed)
+        {
+            let Some(held) = self.held.pop_front() else {
+                return;
+            };
             self.answer(now, held);
         }
     }
 
     fn answer(&mut self, now: Now, held: Held) {
-        let Some(outstanding) = self.outstanding.remove(&held.request) else { return };
+        let Some(outstanding) = self.outstanding.remove(&held.request) else {
+            return;
+        };
         let mut reply = held.reply;
         if let Reply::Agent(orders) = &mut reply {
             // An agent that knows an older epoch may know older members.
-            let is_behind = outstanding.agent_epoch.is_some_and(|epoch| epoch < orders.epoch);
+            let is_behind = outstanding
+                .agent_epoch
+                .is_some_and(|epoch| epoch < orders.epoch);
             if is_behind && orders.view.is_none() {
                 orders.view = Some(self.replication.view(now.steady));
             }
         }
-        self.actions.push(Action::Answer { request: held.request, answer: Answer::Reply(reply) });
+        self.actions.push(Action::Answer {
+            request: held.request,
+            answer: Answer::Reply(reply),
+        });
     }
 }
 
--- a/crates/controlplane/src/early.rs
+++ b/crates/controlplane/src/early.rs
@@ -43,7 +43,11 @@
 
     /// Lets a call wait.
     pub fn push(&mut self, now: Millis, request: RequestId, call: Call) {
-        self.calls.push_back(EarlyCall { request, call, until: now.saturating_add(WAIT_MS) });
+        self.calls.push_back(EarlyCall {
+            request,
+            call,
+            until: now.saturating_add(WAIT_MS),
+        });
     }
 
     /// The caller has left.
@@ -53,6 +57,7 @@
 
     /// The first of all where the machine acts now or never will; else the first whose time is over.
     pub fn pop(&mut self, now: Millis, is_opening: bool) -> Option<EarlyCall> {
-        self.calls.pop_front_if(|early| !is_opening || early.is_over(now))
+        self.calls
+            .pop_front_if(|early| !is_opening || early.is_over(now))
     }
 }
--- a/crates/controlplane/src/internal.rs
+++ b/crates/controlplane/src/internal.rs
@@ -7,8 +7,8 @@
 use serde::de::DeserializeOwned;
 use streamusher_node::http::{empty, json, parse_json, text, Answer, Call as HttpCall};
 use streamusher_protocol::internal::{
-    ClusterView, NotPrimary, AGENT_SYNC_PATH, CLIENT_CALL_PATH, CLUSTER_PATH, CLUSTER_WATCH_PATH, CORE_PATH,
-    EXPLAIN_PATH, GATE_LEASE_PATH, RELAY_PATH, STATUS_PATH,
+    ClusterView, NotPrimary, AGENT_SYNC_PATH, CLIENT_CALL_PATH, CLUSTER_PATH, CLUSTER_WATCH_PATH,
+    CORE_PATH, EXPLAIN_PATH, GATE_LEASE_PATH, RELAY_PATH, STATUS_PATH,
 };
 use streamusher_scheduler::Reply;
 
@@ -24,9 +24,10 @@
         (&Method::POST, CLUSTER_WATCH_PATH) => cluster_watch(&machine, &call).await,
         (&Method::POST, EXPLAIN_PATH) => explain(&machine, &call),
         (&Method::GET, STATUS_PATH) => json(StatusCode::OK, &machine.status()),
-        (_, path) => {
-            text(StatusCode::NOT_FOUND, format!("nothing is served at {path} on the internal port\n"))
-        }
+        (_, path) => text(
+            StatusCode::NOT_FOUND,
+            format!("nothing is served at {path} on the internal port\n"),
+        ),
     }
 }
 
@@ -83,7 +84,9 @@
 }
 
 async fn pass_on<T: DeserializeOwned>(
-    machine: &Machine, call: &HttpCall, of_body: impl FnOnce(T) -> Call,
+    machine: &Machine,
+    call: &HttpCall,
+    of_body: impl FnOnce(T) -> Call,
 ) -> Answer {
     let call = match parse_json::<T>(call.body()) {
         Ok(body) => of_body(body),
@@ -92,8 +95,13 @@
     match machine.call(call).await {
         Outcome::Reply(Reply::Agent(orders)) => json(StatusCode::OK, &orders),
         Outcome::Reply(Reply::Client(reply)) => json(StatusCode::OK, &reply),
-        Outcome::Reply(Reply::Operator(_)) => text(StatusCode::INTERNAL_SERVER_ERROR, "not an operator\n"),
+        Outcome::Reply(Reply::Operator(_)) => {
+            text(StatusCode::INTERNAL_SERVER_ERROR, "not an operator\n")
+        }
         Outcome::NotPrimary(view) => not_primary(view),
-        Outcome::Unknown => text(StatusCode::GATEWAY_TIMEOUT, "outcome unknown: repeat the call\n"),
+        Outcome::Unknown => text(
+            StatusCode::GATEWAY_TIMEOUT,
+            "outcome unknown: repeat the call\n",
+        ),
     }
 }
--- a/crates/controlplane/src/machine.rs
+++ b/crates/controlplane/src/machine.rs
@@ -59,16 +59,29 @@
         let epochs = watch::Sender::new(driver.replication().epoch());
         let shared = |me: &Weak<RefCell<Shared>>| {
             let (me, callers, relay) = (me.clone(), HashMap::new(), Relay::default());
-            RefCell::new(Shared { me, driver, callers, peers, disk, relay, epochs })
+            RefCell::new(Shared {
+                me,
+                driver,
+                callers,
+                peers,
+                disk,
+                relay,
+                epochs,
+            })
         };
-        Machine { shared: Rc::new_cyclic(shared) }
+        Machine {
+            shared: Rc::new_cyclic(shared),
+        }
     }
 
     /// Makes a call and waits for its answer. Dropping it tells the scheduler that the caller has left.
     pub async fn call(&self, call: Call) -> Answer {
         let (answered, answer) = oneshot::channel();
         let request = self.shared.borrow_mut().call(call, answered);
-        let mut caller = Caller { machine: self, request: Some(request) };
+        let mut caller = Caller {
+            machine: self,
+            request: Some(request),
+        };
         let answer = answer.await;
         caller.request = None;
         answer.unwrap_or(Answer::Unknown)
@@ -83,7 +96,10 @@
     pub fn received(&self, from: &Arc<str>, messages: Vec<Message>) {
         let mut shared = self.shared.borrow_mut();
         for message in messages {
-            shared.input(Input::Received { from: from.clone(), message });
+            shared.input(Input::Received {
+                from: from.clone(),
+                message,
+            });
         }
     }
 
@@ -116,7 +132,11 @@
 
     /// What is known of the control plane.
     pub fn view(&self) -> ClusterView {
-        self.shared.borrow().driver.replication().view(clock::steady())
+        self.shared
+            .borrow()
+            .driver
+            .replication()
+            .view(clock::steady())
     }
 
     /// The same once a newer epoch is known than the caller knows, or when its time is over.
@@ -164,11 +184,15 @@
         };
         let (known, unknown) = match asked {
             Explain::Job(id) => (
-                scheduler.explain_job(now, id).map(|job| serde_json::json!(job)),
+                scheduler
+                    .explain_job(now, id)
+                    .map(|job| serde_json::json!(job)),
                 "no such job: it was not accepted, or ended long ago",
             ),
             Explain::User(user) => (
-                scheduler.explain_user(now, user).map(|debt| serde_json::json!(debt)),
+                scheduler
+                    .explain_user(now, user)
+                    .map(|debt| serde_json::json!(debt)),
                 "debts are off: start the control plane with --share-debt or --share-debt-settings",
             ),
         };
@@ -213,7 +237,9 @@
     fn recover(&self, recovery: Recovery) {
         let (me, epoch) = (self.me.clone(), recovery.epoch);
         tokio::task::spawn_local(async move {
-            let Ok(scheduler) = tokio::task::spawn_blocking(move || recovery.run()).await else { return };
+            let Ok(scheduler) = tokio::task::spawn_blocking(move || recovery.run()).await else {
+                return;
+            };
             let Some(shared) = me.upgrade() else { return };
             let shared = &mut *shared.borrow_mut();
             let actions = shared.driver.recovered(clock::now(), epoch, scheduler);
@@ -224,12 +250,15 @@
     /// Wakes callers that wait for a newer epoch.
     fn tell_epoch(&self) {
         let newest = self.driver.replication().epoch();
-        self.epochs.send_if_modified(|known| std::mem::replace(known, newest) != newest);
+        self.epochs
+            .send_if_modified(|known| std::mem::replace(known, newest) != newest);
     }
 
     fn publish(&mut self) {
         let now = clock::steady();
-        let Some((epoch, published)) = self.driver.take_published(now) else { return };
+        let Some((epoch, published)) = self.driver.take_published(now) else {
+            return;
+        };
         for configuration in &published {
             self.relay.publish(now, epoch, configuration);
         }
@@ -250,7 +279,9 @@
         version: u64,
     }
     let text = state.get(CURRENT_KEY)?;
-    serde_json::from_str::<Versioned>(text).ok().map(|current| current.version)
+    serde_json::from_str::<Versioned>(text)
+        .ok()
+        .map(|current| current.version)
 }
 
 /// Tells that the caller has left, if it is dropped before the answer.
--- a/crates/controlplane/src/main.rs
+++ b/crates/controlplane/src/main.rs
@@ -25,15 +25,26 @@
             ExitCode::SUCCESS
         }
         Ok(Task::CheckConfiguration(path)) => check_configuration(&path),
-        Ok(Task::Status { addresses, settings, json }) => status(addresses, settings.as_deref(), json),
-        Ok(Task::Explain { asked, addresses, settings }) => explain(&asked, addresses, settings.as_deref()),
+        Ok(Task::Status {
+            addresses,
+            settings,
+            json,
+        }) => status(addresses, settings.as_deref(), json),
+        Ok(Task::Explain {
+            asked,
+            addresses,
+            settings,
+        }) => explain(&asked, addresses, settings.as_deref()),
         Ok(Task::ShowDisk(folder)) => show_disk(&folder),
         Ok(Task::CheckSettings(share_debt)) => {
             with_share_debt(share_debt, |_| with_settings(|_| ExitCode::SUCCESS))
         }
-        Ok(Task::Run { log_level, share_debt }) => {
-            with_share_debt(share_debt, |debts| with_settings(|settings| run(settings, log_level, debts)))
-        }
+        Ok(Task::Run {
+            log_level,
+            share_debt,
+        }) => with_share_debt(share_debt, |debts| {
+            with_settings(|settings| run(settings, log_level, debts))
+        }),
         Err(reason) => misuse(&reason),
     }
 }
@@ -50,7 +61,8 @@
 }
 
 fn with_share_debt(
-    source: Option<ShareDebt>, next: impl FnOnce(Option<share_debt::Settings>) -> ExitCode,
+    source: Option<ShareDebt>,
+    next: impl FnOnce(Option<share_debt::Settings>) -> ExitCode,
 ) -> ExitCode {
     match source {
         None => next(None),
@@ -63,10 +75,14 @@
 }
 
 fn run(
-    settings: settings::Settings, log_level: Option<LevelFilter>, share_debt: Option<share_debt::Settings>,
+    settings: settings::Settings,
+    log_level: Option<LevelFilter>,
+    share_debt: Option<share_debt::Settings>,
 ) -> ExitCode {
     logs::start(log_level);
-    let Err(error) = program::run(settings, share_debt) else { return ExitCode::SUCCESS };
+    let Err(error) = program::run(settings, share_debt) else {
+        return ExitCode::SUCCESS;
+    };
     if let Some(StoreError::Newer { .. }) = error.downcast_ref::<StoreError>() {
         return misuse(&error.to_string());
     }
@@ -128,7 +144,10 @@
 
 fn seeds_of(settings: &settings::Settings) -> Vec<SocketAddr> {
     let seeds = settings.core_addresses_of_seeds();
-    seeds.iter().filter_map(|seed| seed.internal.parse().ok()).collect()
+    seeds
+        .iter()
+        .filter_map(|seed| seed.internal.parse().ok())
+        .collect()
 }
 
 fn show_disk(folder: &Path) -> ExitCode {
@@ -138,8 +157,9 @@
             ExitCode::SUCCESS
         }
         Err(
-            error
-            @ (ShowError::NoStore(_) | ShowError::InUse(_) | ShowError::Store(StoreError::Newer { .. })),
+            error @ (ShowError::NoStore(_)
+            | ShowError::InUse(_)
+            | ShowError::Store(StoreError::Newer { .. })),
         ) => misuse(&error.to_string()),
         Err(error) => failure(&error.to_string()),
     }
--- a/crates/controlplane/src/operators.rs
+++ b/crates/controlplane/src/operators.rs
@@ -14,7 +14,9 @@
 /// Answers a call on the control port; `me` is this machine's control `ip:port`.
 pub async fn answer(machine: Machine, me: Arc<str>, call: HttpCall) -> Answer {
     let path = call.uri().path().to_owned();
-    let Some(kind) = kind_of(&path) else { return not_served(&path) };
+    let Some(kind) = kind_of(&path) else {
+        return not_served(&path);
+    };
     let wanted = match kind {
         OrderKind::Read => Method::GET,
         OrderKind::Replace | OrderKind::Update => Method::POST,
@@ -28,9 +30,15 @@
     };
     match machine.call(Call::Operator(order)).await {
         Outcome::Reply(Reply::Operator(reply)) => answer_of(&reply),
-        Outcome::Reply(_) => text(StatusCode::INTERNAL_SERVER_ERROR, "not an operator's reply\n"),
+        Outcome::Reply(_) => text(
+            StatusCode::INTERNAL_SERVER_ERROR,
+            "not an operator's reply\n",
+        ),
         Outcome::NotPrimary(view) => elsewhere(&view, &me, &path),
-        Outcome::Unknown => text(StatusCode::GATEWAY_TIMEOUT, "outcome unknown: send the same order again\n"),
+        Outcome::Unknown => text(
+            StatusCode::GATEWAY_TIMEOUT,
+            "outcome unknown: send the same order again\n",
+        ),
     }
 }
 
@@ -45,7 +53,11 @@
 
 fn order_of(kind: OrderKind, call: &HttpCall) -> Result<OperatorOrder, Box<Answer>> {
     if kind == OrderKind::Read {
-        return Ok(OperatorOrder { kind, base: None, body: "".into() });
+        return Ok(OperatorOrder {
+            kind,
+            base: None,
+            body: "".into(),
+        });
     }
     let Some(base) = base_version(call) else {
         let reason = format!(
@@ -54,9 +66,16 @@
         return Err(Box::new(text(StatusCode::BAD_REQUEST, reason)));
     };
     let Ok(body) = std::str::from_utf8(call.body()) else {
-        return Err(Box::new(text(StatusCode::BAD_REQUEST, "the body is not UTF-8: send JSON\n")));
+        return Err(Box::new(text(
+            StatusCode::BAD_REQUEST,
+            "the body is not UTF-8: send JSON\n",
+        )));
     };
-    Ok(OperatorOrder { kind, base: Some(base), body: body.into() })
+    Ok(OperatorOrder {
+        kind,
+        base: Some(base),
+        body: body.into(),
+    })
 }
 
 fn base_version(call: &HttpCall) -> Option<u64> {
@@ -68,32 +87,51 @@
 fn answer_of(reply: &OperatorReply) -> Answer {
     let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut answer = text(status, &*reply.body);
-    answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    answer
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     answer
 }
 
 /// Names the primary, or says that there is none just now. A primary without a lease does not name itself.
 fn elsewhere(view: &ClusterView, me: &str, path: &str) -> Answer {
-    let primary = view.primary.as_ref().filter(|primary| &*primary.control != me);
-    let location =
-        primary.and_then(|primary| HeaderValue::from_str(&format!("http://{}{path}", primary.control)).ok());
-    let Some(location) = location else { return no_primary() };
+    let primary = view
+        .primary
+        .as_ref()
+        .filter(|primary| &*primary.control != me);
+    let location = primary.and_then(|primary| {
+        HeaderValue::from_str(&format!("http://{}{path}", primary.control)).ok()
+    });
+    let Some(location) = location else {
+        return no_primary();
+    };
     let mut answer = empty(StatusCode::TEMPORARY_REDIRECT);
     answer.headers_mut().insert(LOCATION, location);
     answer
 }
 
 fn no_primary() -> Answer {
-    let mut answer = text(StatusCode::SERVICE_UNAVAILABLE, "no primary is known just now: try again\n");
-    answer.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static("1"));
+    let mut answer = text(
+        StatusCode::SERVICE_UNAVAILABLE,
+        "no primary is known just now: try again\n",
+    );
+    answer
+        .headers_mut()
+        .insert(RETRY_AFTER, HeaderValue::from_static("1"));
     answer
 }
 
 fn not_served(path: &str) -> Answer {
     if path.starts_with(HEARTBEAT_PATH) || path.starts_with(DEREGISTER_PATH) {
-        return text(StatusCode::SERVICE_UNAVAILABLE, "workers call the agent of their own machine\n");
+        return text(
+            StatusCode::SERVICE_UNAVAILABLE,
+            "workers call the agent of their own machine\n",
+        );
     }
-    text(StatusCode::NOT_FOUND, format!("nothing is served at {path} on the control port\n"))
+    text(
+        StatusCode::NOT_FOUND,
+        format!("nothing is served at {path} on the control port\n"),
+    )
 }
 
 fn wrong_method(wanted: &Method) -> Answer {
--- a/crates/controlplane/src/options.rs
+++ b/crates/controlplane/src/options.rs
@@ -61,12 +61,16 @@
 /// One line that names the argument at fault and the remedy.
 pub fn parse(arguments: &[String]) -> Result<Task, String> {
     let options = options();
-    let matches = options.parse(arguments).map_err(|error| format!("{error}: see --help"))?;
+    let matches = options
+        .parse(arguments)
+        .map_err(|error| format!("{error}: see --help"))?;
     if matches.opt_present("help") {
         return Ok(Task::Print(options.usage(BRIEF)));
     }
     if matches.opt_present("version") {
-        return Ok(Task::Print(concat!("streamusher-control ", env!("CARGO_PKG_VERSION"), "\n").to_owned()));
+        return Ok(Task::Print(
+            concat!("streamusher-control ", env!("CARGO_PKG_VERSION"), "\n").to_owned(),
+        ));
     }
     let log_level = log_level(&matches).map_err(|error| error.to_string())?;
     let Some((command, rest)) = matches.free.split_first() else {
@@ -84,14 +88,21 @@
     }
 }
 
-fn without_command(matches: &Matches, log_level: Option<LevelFilter>, share_debt: Option<ShareDebt>) -> Task {
+fn without_command(
+    matches: &Matches,
+    log_level: Option<LevelFilter>,
+    share_debt: Option<ShareDebt>,
+) -> Task {
     if let Some(path) = matches.opt_str("check-configuration") {
         return Task::CheckConfiguration(path.into());
     }
     if matches.opt_present("check") {
         return Task::CheckSettings(share_debt);
     }
-    Task::Run { log_level, share_debt }
+    Task::Run {
+        log_level,
+        share_debt,
+    }
 }
 
 fn addresses(texts: &[String]) -> Result<Vec<SocketAddr>, String> {
@@ -105,27 +116,41 @@
 fn explain(matches: &Matches, rest: &[String]) -> Result<Task, String> {
     let (asked, texts) = match rest {
         [kind, id, texts @ ..] if kind == "job" => {
-            let id = id.parse().map_err(|error| format!("explain job {id:?}: {error}"))?;
+            let id = id
+                .parse()
+                .map_err(|error| format!("explain job {id:?}: {error}"))?;
             (Explain::Job(id), texts)
         }
         [kind, name, texts @ ..] if kind == "user" => (Explain::User(name.as_str().into()), texts),
         _ => return Err("explain: write explain job ID, or explain user NAME".to_owned()),
     };
     let settings = matches.opt_str("settings").map(PathBuf::from);
-    Ok(Task::Explain { asked, addresses: addresses(texts)?, settings })
+    Ok(Task::Explain {
+        asked,
+        addresses: addresses(texts)?,
+        settings,
+    })
 }
 
 fn status(matches: &Matches, rest: &[String]) -> Result<Task, String> {
     let addresses = addresses(rest)?;
     let settings = matches.opt_str("settings").map(PathBuf::from);
-    Ok(Task::Status { addresses, settings, json: matches.opt_present("json") })
+    Ok(Task::Status {
+        addresses,
+        settings,
+        json: matches.opt_present("json"),
+    })
 }
 
 fn check(matches: &Matches, rest: &[String]) -> Result<Task, String> {
     if let Some(extra) = rest.first() {
-        return Err(format!("unexpected argument {extra:?}: write check --configuration FILE"));
+        return Err(format!(
+            "unexpected argument {extra:?}: write check --configuration FILE"
+        ));
     }
-    let configuration = matches.opt_str("configuration").or(matches.opt_str("check-configuration"));
+    let configuration = matches
+        .opt_str("configuration")
+        .or(matches.opt_str("check-configuration"));
     match configuration {
         Some(path) => Ok(Task::CheckConfiguration(path.into())),
         None => Ok(Task::CheckSettings(share_debt_source(matches)?)),
@@ -136,7 +161,9 @@
     match rest {
         [folder] => Ok(Task::ShowDisk(folder.into())),
         [] => Err("show-disk: name the data folder".to_owned()),
-        [_, extra, ..] => Err(format!("unexpected argument {extra:?}: show-disk takes one folder")),
+        [_, extra, ..] => Err(format!(
+            "unexpected argument {extra:?}: show-disk takes one folder"
+        )),
     }
 }
 
@@ -144,8 +171,13 @@
 const SHARE_DEBT_SETTINGS: &str = "share-debt-settings";
 
 fn share_debt_source(matches: &Matches) -> Result<Option<ShareDebt>, String> {
-    match (matches.opt_str(SHARE_DEBT), matches.opt_str(SHARE_DEBT_SETTINGS)) {
-        (Some(_), Some(_)) => Err(format!("--{SHARE_DEBT} and --{SHARE_DEBT_SETTINGS}: give one of them")),
+    match (
+        matches.opt_str(SHARE_DEBT),
+        matches.opt_str(SHARE_DEBT_SETTINGS),
+    ) {
+        (Some(_), Some(_)) => Err(format!(
+            "--{SHARE_DEBT} and --{SHARE_DEBT_SETTINGS}: give one of them"
+        )),
         (Some(text), None) => share_debt_of(&text).map(ShareDebt::Given).map(Some),
         (None, path) => Ok(path.map(|path| ShareDebt::File(path.into()))),
     }
@@ -153,11 +185,13 @@
 
 /// Settings by a half-life in whole seconds.
 fn share_debt_of(text: &str) -> Result<share_debt::Settings, String> {
-    let seconds: u64 = text
-        .parse()
-        .map_err(|_| format!("--{SHARE_DEBT} {text:?}: give the half-life in whole seconds, such as 600"))?;
+    let seconds: u64 = text.parse().map_err(|_| {
+        format!("--{SHARE_DEBT} {text:?}: give the half-life in whole seconds, such as 600")
+    })?;
     let settings = share_debt::Settings::with_half_life(seconds.saturating_mul(1_000));
-    settings.check().map_err(|error| format!("--{SHARE_DEBT} {text}: {error}"))?;
+    settings
+        .check()
+        .map_err(|error| format!("--{SHARE_DEBT} {text}: {error}"))?;
     Ok(settings)
 }
 
@@ -183,9 +217,24 @@
     options.optflag("h", "help", "print this text");
     options.optflag("", "version", "print the version");
     options.optflag("", "check", "check the settings file and end");
-    options.optopt("", "check-configuration", "the same as check --configuration FILE", "FILE");
-    options.optopt("", "configuration", "check: an operator's configuration, .json or .toml", "FILE");
-    options.optopt("", "settings", "status, explain: the settings file whose seeds are asked", "FILE");
+    options.optopt(
+        "",
+        "check-configuration",
+        "the same as check --configuration FILE",
+        "FILE",
+    );
+    options.optopt(
+        "",
+        "configuration",
+        "check: an operator's configuration, .json or .toml",
+        "FILE",
+    );
+    options.optopt(
+        "",
+        "settings",
+        "status, explain: the settings file whose seeds are asked",
+        "FILE",
+    );
     options.optflag("", "json", "status: print the answers as JSON");
     add_log_level(&mut options);
     options.optopt(
@@ -194,6 +243,11 @@
         "order work by recent use, which halves in so many seconds",
         "HALF_LIFE_S",
     );
-    options.optopt("", SHARE_DEBT_SETTINGS, "the same with all settings of the debts, in TOML", "FILE");
+    options.optopt(
+        "",
+        SHARE_DEBT_SETTINGS,
+        "the same with all settings of the debts, in TOML",
+        "FILE",
+    );
     options
 }
--- a/crates/controlplane/src/parameters.rs
+++ b/crates/controlplane/src/parameters.rs
@@ -45,20 +45,33 @@
     let data_dir = settings.data_dir.clone();
     Ok(Places {
         internal: settings.internal_address(CONTROL_PORT_OFFSET),
-        control: control.ok_or(missing("listen.control", "give the address for operators as ip:port"))?,
-        data_dir: data_dir.ok_or(missing("data_dir", "name the folder on this machine's disk"))?,
+        control: control.ok_or(missing(
+            "listen.control",
+            "give the address for operators as ip:port",
+        ))?,
+        data_dir: data_dir.ok_or(missing(
+            "data_dir",
+            "name the folder on this machine's disk",
+        ))?,
     })
 }
 
 impl Places {
     /// The machine as others reach it.
     pub fn core_address(&self) -> CoreAddress {
-        CoreAddress { internal: self.internal.to_string().into(), control: self.control.to_string().into() }
+        CoreAddress {
+            internal: self.internal.to_string().into(),
+            control: self.control.to_string().into(),
+        }
     }
 }
 
 /// Replication's settings.
-pub fn coordination(settings: &Settings, me: CoreAddress, random_seed: u64) -> coordination::Settings {
+pub fn coordination(
+    settings: &Settings,
+    me: CoreAddress,
+    random_seed: u64,
+) -> coordination::Settings {
     coordination::Settings {
         me,
         bootstrap: settings.bootstrap,
@@ -71,7 +84,9 @@
 
 /// The scheduler's settings.
 pub fn scheduler(
-    settings: &Settings, random_seed: u64, share_debt: Option<share_debt::Settings>,
+    settings: &Settings,
+    random_seed: u64,
+    share_debt: Option<share_debt::Settings>,
 ) -> scheduler::Settings {
     let bounds = &settings.bounds;
     let bounds = scheduler::Bounds {
@@ -86,7 +101,12 @@
         drain_ms: bounds.drain_ms,
         heartbeat_ms: settings.heartbeat_ms,
     };
-    scheduler::Settings { bounds, random_seed, share_debt, policy: scheduler::Policy::default() }
+    scheduler::Settings {
+        bounds,
+        random_seed,
+        share_debt,
+        policy: scheduler::Policy::default(),
+    }
 }
 
 /// A new seed for each start: a disk's id is drawn from it, so it must not come twice.
--- a/crates/controlplane/src/peers.rs
+++ b/crates/controlplane/src/peers.rs
@@ -42,7 +42,10 @@
 impl Peers {
     /// No peers yet; `me` is this machine's internal `ip:port`.
     pub fn new(me: Arc<str>) -> Peers {
-        Peers { me, queues: HashMap::new() }
+        Peers {
+            me,
+            queues: HashMap::new(),
+        }
     }
 
     /// Queues a message; it is dropped where the peer is not reached. Within a `LocalSet`.
@@ -58,7 +61,9 @@
 
     fn add(&mut self, to: &Arc<str>) -> bool {
         let Ok(address) = to.parse::<SocketAddr>() else {
-            log::warn!("core machine {to:?} has no address of the form ip:port; nothing is sent to it");
+            log::warn!(
+                "core machine {to:?} has no address of the form ip:port; nothing is sent to it"
+            );
             return false;
         };
         if self.queues.len() >= MOST_PEERS {
@@ -72,17 +77,28 @@
 }
 
 async fn deliver(from: Arc<str>, address: SocketAddr, mut messages: mpsc::Receiver<Message>) {
-    let limits =
-        ClientLimits { max_calls: 1, max_idle: 1, connect_timeout: CONNECT_TIMEOUT, ..Default::default() };
+    let limits = ClientLimits {
+        max_calls: 1,
+        max_idle: 1,
+        connect_timeout: CONNECT_TIMEOUT,
+        ..Default::default()
+    };
     let client = Client::with_limits(address, limits);
     while let Some(first) = messages.recv().await {
         let mut batch = vec![first];
         while batch.len() < MOST_IN_CALL {
-            let Ok(message) = messages.try_recv() else { break };
+            let Ok(message) = messages.try_recv() else {
+                break;
+            };
             batch.push(message);
         }
-        let envelope = Envelope { from: from.clone(), messages: batch };
-        let Some(call) = call_of(&envelope) else { continue };
+        let envelope = Envelope {
+            from: from.clone(),
+            messages: batch,
+        };
+        let Some(call) = call_of(&envelope) else {
+            continue;
+        };
         if let Err(error) = client.call(call, CALL_TIMEOUT).await {
             log::debug!("core machine {address}: {error}");
             // What was queued meanwhile is as old; the next messages are better.
@@ -96,6 +112,7 @@
     let mut call = Call::new(Bytes::from(body));
     *call.method_mut() = Method::POST;
     *call.uri_mut() = Uri::from_static(CORE_PATH);
-    call.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    call.headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     Some(call)
 }
--- a/crates/controlplane/src/ports.rs
+++ b/crates/controlplane/src/ports.rs
@@ -33,7 +33,12 @@
     ///
     /// # Errors
     /// The state can't be read.
-    fn recover(settings: &Settings, epoch: u64, now: Now, state: StateMap) -> Result<Self, RecoverError>;
+    fn recover(
+        settings: &Settings,
+        epoch: u64,
+        now: Now,
+        state: StateMap,
+    ) -> Result<Self, RecoverError>;
     /// Takes an event.
     fn handle(&mut self, now: Now, event: Event) -> Effects;
     /// Version of the newest configuration, committed or not; 0 for none.
@@ -81,7 +86,12 @@
 }
 
 impl StateMachine for Scheduler {
-    fn recover(settings: &Settings, epoch: u64, now: Now, state: StateMap) -> Result<Self, RecoverError> {
+    fn recover(
+        settings: &Settings,
+        epoch: u64,
+        now: Now,
+        state: StateMap,
+    ) -> Result<Self, RecoverError> {
         Scheduler::recover(settings.clone(), epoch, now, state)
     }
 
--- a/crates/controlplane/src/program.rs
+++ b/crates/controlplane/src/program.rs
@@ -41,10 +41,14 @@
 /// # Errors
 /// It can't start, or its store was lost.
 pub fn run(settings: Settings, share_debt: Option<share_debt::Settings>) -> Result<()> {
-    runtime::block_on(run_with_signals(settings, share_debt)).context("the event loop can't be made")?
+    runtime::block_on(run_with_signals(settings, share_debt))
+        .context("the event loop can't be made")?
 }
 
-async fn run_with_signals(settings: Settings, share_debt: Option<share_debt::Settings>) -> Result<()> {
+async fn run_with_signals(
+    settings: Settings,
+    share_debt: Option<share_debt::Settings>,
+) -> Result<()> {
     let mut signals = Signals::new().context("signals can't be heard")?;
     let process = Process::start(&settings, share_debt).await?;
     let (heard, orders) = mpsc::unbounded_channel();
@@ -59,7 +63,9 @@
 }
 
 fn start_machine(
-    settings: &Settings, places: &Places, share_debt: Option<share_debt::Settings>,
+    settings: &Settings,
+    places: &Places,
+    share_debt: Option<share_debt::Settings>,
 ) -> Result<(Machine, mpsc::UnboundedReceiver<DiskEvent>)> {
     let (store, image) = disk::open_at_start(&places.data_dir)?;
     let (events, disk_events) = mpsc::unbounded_channel();
@@ -68,12 +74,19 @@
     let random_seed = parameters::random_seed();
     let core = parameters::coordination(settings, places.core_address(), random_seed);
     let coordinator = Coordinator::new(core, image, clock::steady());
-    let driver = Driver::new(parameters::scheduler(settings, random_seed, share_debt), coordinator);
+    let driver = Driver::new(
+        parameters::scheduler(settings, random_seed, share_debt),
+        coordinator,
+    );
     let peers = Peers::new(places.core_address().internal);
     Ok((Machine::new(driver, peers, disk), disk_events))
 }
 
-async fn start_servers(machine: &Machine, places: &Places, most_connections: usize) -> Result<Vec<Running>> {
+async fn start_servers(
+    machine: &Machine,
+    places: &Places,
+    most_connections: usize,
+) -> Result<Vec<Running>> {
     let inside = bind(places.internal, most_connections).await?;
     let outside = bind(places.control, MOST_OPERATORS).await?;
     let me = places.core_address().control;
@@ -81,14 +94,23 @@
     let to_internal = machine.clone();
     let inside = spawn_local(inside.run(move |call| internal::answer(to_internal.clone(), call)));
     let to_control = machine.clone();
-    let outside =
-        spawn_local(outside.run(move |call| operators::answer(to_control.clone(), me.clone(), call)));
-    Ok(handles.into_iter().zip([inside, outside]).map(|(handle, task)| Running { handle, task }).collect())
+    let outside = spawn_local(
+        outside.run(move |call| operators::answer(to_control.clone(), me.clone(), call)),
+    );
+    Ok(handles
+        .into_iter()
+        .zip([inside, outside])
+        .map(|(handle, task)| Running { handle, task })
+        .collect())
 }
 
 /// Listens at `address`; an earlier process may not be gone yet.
 async fn bind(address: SocketAddr, max_connections: usize) -> Result<Server> {
-    let limits = ServerLimits { max_body: MOST_BODY, max_connections, ..Default::default() };
+    let limits = ServerLimits {
+        max_body: MOST_BODY,
+        max_connections,
+        ..Default::default()
+    };
     for _ in 1..BIND_TRIES {
         if let Ok(server) = Server::bind(address, limits.clone()) {
             return Ok(server);
@@ -117,13 +139,23 @@
     ///
     /// # Errors
     /// A setting is missing, a newer program wrote the store, or an address can't be bound.
-    pub async fn start(settings: &Settings, share_debt: Option<share_debt::Settings>) -> Result<Process> {
+    pub async fn start(
+        settings: &Settings,
+        share_debt: Option<share_debt::Settings>,
+    ) -> Result<Process> {
         let places = parameters::places(settings)?;
         let (machine, disk_events) = start_machine(settings, &places, share_debt)?;
-        let most_connections = settings.limits.connections(OWN_DESCRIPTORS + MOST_OPERATORS as u64);
+        let most_connections = settings
+            .limits
+            .connections(OWN_DESCRIPTORS + MOST_OPERATORS as u64);
         let servers = start_servers(&machine, &places, most_connections).await?;
         let longest_leave_ms = LONGEST_LEAVE_MS.min(settings.bounds.grace_ms() / 2);
-        Ok(Process { machine, servers, longest_leave_ms, disk_events })
+        Ok(Process {
+            machine,
+            servers,
+            longest_leave_ms,
+            disk_events,
+        })
     }
 
     /// Works until a signal ends it, and hands over before.
@@ -144,7 +176,8 @@
                 },
                 _ = ticks.tick() => self.machine.tick(),
             }
-            if leave_until.is_some_and(|until| self.machine.may_leave() || clock::steady() >= until) {
+            if leave_until.is_some_and(|until| self.machine.may_leave() || clock::steady() >= until)
+            {
                 self.close().await;
                 return Ok(());
             }
@@ -153,9 +186,15 @@
 
     fn on_disk(&self, event: Option<DiskEvent>) -> Result<()> {
         match event {
-            Some(DiskEvent::Persisted { ticket }) => self.machine.input(Input::Persisted { ticket }),
-            Some(DiskEvent::Failed { ticket }) => self.machine.input(Input::PersistFailed { ticket }),
-            Some(DiskEvent::Lost { error }) => return Err(error).context("the store was lost: start anew"),
+            Some(DiskEvent::Persisted { ticket }) => {
+                self.machine.input(Input::Persisted { ticket })
+            }
+            Some(DiskEvent::Failed { ticket }) => {
+                self.machine.input(Input::PersistFailed { ticket })
+            }
+            Some(DiskEvent::Lost { error }) => {
+                return Err(error).context("the store was lost: start anew")
+            }
             None => return Err(anyhow!("the disk's thread has ended: start anew")),
         }
         Ok(())
--- a/crates/controlplane/src/publication.rs
+++ b/crates/controlplane/src/publication.rs
@@ -15,12 +15,18 @@
 
 impl Publication {
     /// Takes note that `version` is the newest after the append `sequence`; `newest` is asked only where it is a new one.
-    pub fn taken(&mut self, sequence: u64, version: u64, newest: impl FnOnce() -> Option<Published>) {
+    pub fn taken(
+        &mut self,
+        sequence: u64,
+        version: u64,
+        newest: impl FnOnce() -> Option<Published>,
+    ) {
         if version <= self.taken {
             return;
         }
         self.taken = version;
-        self.pending.extend(newest().map(|published| (sequence, published)));
+        self.pending
+            .extend(newest().map(|published| (sequence, published)));
     }
 
     /// Whether something waits to be committed.
@@ -30,8 +36,13 @@
 
     /// Takes note that everything up to `sequence` is committed.
     pub fn committed(&mut self, sequence: u64) {
-        while self.pending.front().is_some_and(|(wanted, _)| *wanted <= sequence) {
-            self.committed.extend(self.pending.pop_front().map(|(_, published)| published));
+        while self
+            .pending
+            .front()
+            .is_some_and(|(wanted, _)| *wanted <= sequence)
+        {
+            self.committed
+                .extend(self.pending.pop_front().map(|(_, published)| published));
         }
     }
 
--- a/crates/controlplane/src/relay.rs
+++ b/crates/controlplane/src/relay.rs
@@ -1,6 +1,8 @@
 //! The primary's end of the relay tree at work: leases of gates, and what goes down the tree.
 
-use streamusher_configuration::relay::{Distribution, Envelope, Peer, Published, RelayMessage, Send};
+use streamusher_configuration::relay::{
+    Distribution, Envelope, Peer, Published, RelayMessage, Send,
+};
 use streamusher_node::http::Outbox;
 use streamusher_protocol::internal::{GateLease, GateLeaseReply, RELAY_PATH};
 use streamusher_protocol::Millis;
@@ -13,7 +15,10 @@
 
 impl Default for Relay {
     fn default() -> Relay {
-        Relay { reign: None, outbox: Outbox::new(RELAY_PATH, body_of) }
+        Relay {
+            reign: None,
+            outbox: Outbox::new(RELAY_PATH, body_of),
+        }
     }
 }
 
@@ -39,7 +44,9 @@
 
     /// Renews a gate's lease.
     pub fn lease(&mut self, now: Millis, epoch: u64, lease: &GateLease) -> GateLeaseReply {
-        self.reign_of(now, Some(epoch)).map(|reign| reign.lease(now, lease)).unwrap_or_default()
+        self.reign_of(now, Some(epoch))
+            .map(|reign| reign.lease(now, lease))
+            .unwrap_or_default()
     }
 
     /// Takes messages of a member.
@@ -52,7 +59,9 @@
 
     /// State for operators.
     pub fn status(&self) -> serde_json::Value {
-        let Some((_, distribution)) = &self.reign else { return serde_json::Value::Null };
+        let Some((_, distribution)) = &self.reign else {
+            return serde_json::Value::Null;
+        };
         let children: Vec<&Peer> = distribution.root().receivers().collect();
         serde_json::json!({
             "published": distribution.version(),
@@ -81,5 +90,9 @@
 }
 
 fn body_of(messages: Vec<RelayMessage>) -> Vec<u8> {
-    serde_json::to_vec(&Envelope { from: Peer::Core, messages }).unwrap_or_default()
+    serde_json::to_vec(&Envelope {
+        from: Peer::Core,
+        messages,
+    })
+    .unwrap_or_default()
 }
--- a/crates/controlplane/src/share_debt_file.rs
+++ b/crates/controlplane/src/share_debt_file.rs
@@ -34,14 +34,29 @@
 pub fn load(path: &Path) -> Result<Settings, ShareDebtFileError> {
     let unread = |error: figment::Error| {
         // The parser's own text may have several lines.
-        let reason = error.to_string().split_whitespace().collect::<Vec<_>>().join(" ");
-        ShareDebtFileError::Read { path: path.to_owned(), reason }
+        let reason = error
+            .to_string()
+            .split_whitespace()
+            .collect::<Vec<_>>()
+            .join(" ");
+        ShareDebtFileError::Read {
+            path: path.to_owned(),
+            reason,
+        }
     };
-    let half_life_ms: Millis =
-        Figment::from(Toml::file_exact(path)).extract_inner("half_life_ms").map_err(unread)?;
+    let half_life_ms: Millis = Figment::from(Toml::file_exact(path))
+        .extract_inner("half_life_ms")
+        .map_err(unread)?;
     let usual = Settings::with_half_life(half_life_ms);
-    let settings: Settings =
-        Figment::from(Serialized::defaults(usual)).merge(Toml::file_exact(path)).extract().map_err(unread)?;
-    settings.check().map_err(|error| ShareDebtFileError::Value { path: path.to_owned(), error })?;
+    let settings: Settings = Figment::from(Serialized::defaults(usual))
+        .merge(Toml::file_exact(path))
+        .extract()
+        .map_err(unread)?;
+    settings
+        .check()
+        .map_err(|error| ShareDebtFileError::Value {
+            path: path.to_owned(),
+            error,
+        })?;
     Ok(settings)
 }
