--- a/crates/controlplane/src/show_disk.rs
+++ b/crates/controlplane/src/show_disk.rs
@@ -47,8 +47,10 @@
 /// # Errors
 /// See [`ShowError`].
 pub fn show(data_dir: &Path) -> Result<String, ShowError> {
-    let unreadable =
-        |error: io::Error| ShowError::Unreadable { folder: data_dir.to_owned(), reason: error.to_string() };
+    let unreadable = |error: io::Error| ShowError::Unreadable {
+        folder: data_dir.to_owned(),
+        reason: error.to_string(),
+    };
     let folders = [FOLDER, FORMER].map(|name| data_dir.join(name));
     if !folders.iter().any(|folder| folder.is_dir()) {
         return Err(ShowError::NoStore(data_dir.to_owned()));
@@ -67,7 +69,9 @@
 fn lock_all(data_dir: &Path, folders: &[PathBuf]) -> Result<Vec<File>, ShowError> {
     let mut locks = Vec::new();
     for folder in folders {
-        let Ok(file) = File::open(folder.join(LOCK_FILE)) else { continue };
+        let Ok(file) = File::open(folder.join(LOCK_FILE)) else {
+            continue;
+        };
         match file.try_lock_shared() {
             Ok(()) => locks.push(file),
             Err(TryLockError::WouldBlock) => return Err(ShowError::InUse(data_dir.to_owned())),
@@ -79,28 +83,50 @@
 }
 
 fn describe(data_dir: &Path, bytes: u64, image: &DiskImage) -> String {
-    let mut text = format!("{}: format {FORMAT}, {bytes} bytes, good\n", data_dir.display());
+    let mut text = format!(
+        "{}: format {FORMAT}, {bytes} bytes, good\n",
+        data_dir.display()
+    );
     let mut line = |name: &str, value: String| {
         // Writing to a text can't fail.
         let _ = writeln!(text, "{name:<16}{value}");
     };
     match &image.witness {
-        None => line("disk", "empty: the process never ran to its first change".to_owned()),
+        None => line(
+            "disk",
+            "empty: the process never ran to its first change".to_owned(),
+        ),
         Some(witness) => {
             line("disk", witness.id.to_string());
             line("starts", witness.starts.to_string());
             line("epoch", describe_record(&witness.decided));
             for member in &witness.decided.members {
-                let copy = if witness.decided.is_replica(member.id) { "copy" } else { "witness" };
-                line("member", format!("{} {} {copy}", member.id, member.address.internal));
+                let copy = if witness.decided.is_replica(member.id) {
+                    "copy"
+                } else {
+                    "witness"
+                };
+                line(
+                    "member",
+                    format!("{} {} {copy}", member.id, member.address.internal),
+                );
             }
             line("promise", format!("round {}", witness.promise.round));
-            let accepted = witness.accepted.as_ref().map(|(_, record)| record.epoch.to_string());
-            line("accepted", accepted.map_or("none".to_owned(), |epoch| format!("epoch {epoch}")));
+            let accepted = witness
+                .accepted
+                .as_ref()
+                .map(|(_, record)| record.epoch.to_string());
+            line(
+                "accepted",
+                accepted.map_or("none".to_owned(), |epoch| format!("epoch {epoch}")),
+            );
         }
     }
     let position = image.position;
-    line("position", format!("epoch {}, batch {}", position.epoch, position.sequence));
+    line(
+        "position",
+        format!("epoch {}, batch {}", position.epoch, position.sequence),
+    );
     line("keys", image.state.len().to_string());
     for (prefix, (keys, bytes)) in by_prefix(&image.state) {
         line("", format!("{prefix:<12}{keys} keys, {bytes} bytes"));
@@ -109,8 +135,13 @@
 }
 
 fn describe_record(record: &EpochRecord) -> String {
-    let primary = record.primary.map_or("none".to_owned(), |id| id.to_string());
-    format!("{}, primary {primary} since epoch {}", record.epoch, record.reign)
+    let primary = record
+        .primary
+        .map_or("none".to_owned(), |id| id.to_string());
+    format!(
+        "{}, primary {primary} since epoch {}",
+        record.epoch, record.reign
+    )
 }
 
 /// Keys, and bytes of keys and values, by what stands before the first slash.
@@ -131,7 +162,11 @@
     ShowError::Store(match error {
         StoreError::Unavailable { reason, .. } => StoreError::Unavailable { folder, reason },
         StoreError::Damaged { reason, .. } => StoreError::Damaged { folder, reason },
-        StoreError::Newer { found, known, .. } => StoreError::Newer { folder, found, known },
+        StoreError::Newer { found, known, .. } => StoreError::Newer {
+            folder,
+            found,
+            known,
+        },
     })
 }
 
@@ -140,7 +175,11 @@
     for entry in fs::read_dir(folder)? {
         let entry = entry?;
         let metadata = entry.metadata()?;
-        bytes += if metadata.is_dir() { size(&entry.path())? } else { metadata.len() };
+        bytes += if metadata.is_dir() {
+            size(&entry.path())?
+        } else {
+            metadata.len()
+        };
     }
     Ok(bytes)
 }
--- a/crates/controlplane/src/store/error.rs
+++ b/crates/controlplane/src/store/error.rs
@@ -41,7 +41,10 @@
         let reason = error.to_string();
         match is_content_fault(error) {
             true => StoreError::damaged(folder, reason),
-            false => StoreError::Unavailable { folder: folder.to_owned(), reason },
+            false => StoreError::Unavailable {
+                folder: folder.to_owned(),
+                reason,
+            },
         }
     }
 
@@ -56,18 +59,27 @@
             _ => false,
         };
         match unavailable {
-            true => StoreError::Unavailable { folder: folder.to_owned(), reason },
+            true => StoreError::Unavailable {
+                folder: folder.to_owned(),
+                reason,
+            },
             false => StoreError::damaged(folder, reason),
         }
     }
 
     pub(super) fn damaged(folder: &Path, reason: impl Into<String>) -> StoreError {
-        StoreError::Damaged { folder: folder.to_owned(), reason: reason.into() }
+        StoreError::Damaged {
+            folder: folder.to_owned(),
+            reason: reason.into(),
+        }
     }
 }
 
 /// Whether an error says that a file is missing, too short or holds something else, rather than that the disk fails.
 fn is_content_fault(error: &std::io::Error) -> bool {
     use std::io::ErrorKind;
-    matches!(error.kind(), ErrorKind::UnexpectedEof | ErrorKind::NotFound | ErrorKind::InvalidData)
+    matches!(
+        error.kind(),
+        ErrorKind::UnexpectedEof | ErrorKind::NotFound | ErrorKind::InvalidData
+    )
 }
--- a/crates/controlplane/src/store/folders.rs
+++ b/crates/controlplane/src/store/folders.rs
@@ -36,7 +36,10 @@
     match has_journal(&folder)? {
         true => Ok(()),
         // The database would begin a new journal in silence, and so go back in time.
-        false => Err(io::Error::new(io::ErrorKind::NotFound, "the journal is missing")),
+        false => Err(io::Error::new(
+            io::ErrorKind::NotFound,
+            "the journal is missing",
+        )),
     }
 }
 
@@ -94,7 +97,10 @@
 fn has_journal(folder: &Path) -> io::Result<bool> {
     for entry in fs::read_dir(folder)? {
         let path = entry?.path();
-        if path.extension().is_some_and(|extension| extension == JOURNAL_EXTENSION) {
+        if path
+            .extension()
+            .is_some_and(|extension| extension == JOURNAL_EXTENSION)
+        {
             return Ok(true);
         }
     }
--- a/crates/controlplane/src/store/mod.rs
+++ b/crates/controlplane/src/store/mod.rs
@@ -98,7 +98,8 @@
     /// # Errors
     /// The disk refuses; the store is there still, or gone as a whole.
     pub fn discard(data_dir: &Path) -> Result<(), StoreError> {
-        folders::discard(data_dir).map_err(|error| StoreError::from_io(&data_dir.join(FOLDER), &error))
+        folders::discard(data_dir)
+            .map_err(|error| StoreError::from_io(&data_dir.join(FOLDER), &error))
     }
 
     /// Carries out a change and syncs it. Blocks while the disk works.
@@ -106,7 +107,10 @@
     /// # Errors
     /// The change is on disk as a whole or not at all, and the store must be opened anew.
     pub fn apply(&self, change: &DiskChange) -> Result<(), StoreError> {
-        let mut batch = self.database.batch().durability(Some(PersistMode::SyncData));
+        let mut batch = self
+            .database
+            .batch()
+            .durability(Some(PersistMode::SyncData));
         let mut bytes = 0;
         if change.replace_all {
             bytes += self.remove_state(&mut batch)?;
@@ -127,7 +131,8 @@
         if let Some(position) = &change.position {
             batch.insert(&self.keyspace, POSITION_KEY, self.encode(position)?);
         }
-        self.journal_bytes.set(self.journal_bytes.get() + (bytes + BATCH_BYTES) as u64);
+        self.journal_bytes
+            .set(self.journal_bytes.get() + (bytes + BATCH_BYTES) as u64);
         batch.commit().map_err(|error| self.failed(&error))
     }
 
@@ -156,7 +161,10 @@
         let first = build(folder);
         let database = match first {
             Err(fjall::Error::JournalRecovery(reason)) => {
-                log::warn!("store {}: {reason}: the torn end of the journal is dropped", folder.display());
+                log::warn!(
+                    "store {}: {reason}: the torn end of the journal is dropped",
+                    folder.display()
+                );
                 tail::cut(folder).map_err(|error| StoreError::from_io(folder, &error))?;
                 build(folder)
             }
@@ -164,25 +172,45 @@
         };
         let failed = |error| StoreError::from_database(folder, &error);
         let database = database.map_err(failed)?;
-        let keyspace = database.keyspace(KEYSPACE, keyspace_options).map_err(failed)?;
+        let keyspace = database
+            .keyspace(KEYSPACE, keyspace_options)
+            .map_err(failed)?;
         let journal_bytes = Cell::new(database.journal_disk_space().map_err(failed)?);
-        Ok(Store { folder: folder.to_owned(), database, keyspace, journal_bytes })
+        Ok(Store {
+            folder: folder.to_owned(),
+            database,
+            keyspace,
+            journal_bytes,
+        })
     }
 
     /// Whether the store is marked.
     fn check_format(&self) -> Result<bool, StoreError> {
-        let Some(found) = self.read::<u32>(FORMAT_KEY)? else { return Ok(false) };
+        let Some(found) = self.read::<u32>(FORMAT_KEY)? else {
+            return Ok(false);
+        };
         match found {
             1..=FORMAT => Ok(true),
             0 => Err(StoreError::damaged(&self.folder, "format 0")),
-            _ => Err(StoreError::Newer { folder: self.folder.clone(), found, known: FORMAT }),
+            _ => Err(StoreError::Newer {
+                folder: self.folder.clone(),
+                found,
+                known: FORMAT,
+            }),
         }
     }
 
     /// Marks a new store; one that holds anything has a mark, as that is its first batch.
     fn mark_format(&self) -> Result<(), StoreError> {
-        if !self.keyspace.is_empty().map_err(|error| self.failed(&error))? {
-            return Err(StoreError::damaged(&self.folder, "the format's mark is missing"));
+        if !self
+            .keyspace
+            .is_empty()
+            .map_err(|error| self.failed(&error))?
+        {
+            return Err(StoreError::damaged(
+                &self.folder,
+                "the format's mark is missing",
+            ));
         }
         let mut batch = self.database.batch().durability(Some(PersistMode::SyncAll));
         batch.insert(&self.keyspace, FORMAT_KEY, self.encode(&FORMAT)?);
@@ -194,9 +222,16 @@
         let position = self.read::<Position>(POSITION_KEY)?;
         let state = self.load_state()?;
         if witness.is_none() && (position.is_some() || !state.is_empty()) {
-            return Err(StoreError::damaged(&self.folder, "there is state, but no witness's record"));
+            return Err(StoreError::damaged(
+                &self.folder,
+                "there is state, but no witness's record",
+            ));
         }
-        Ok(DiskImage { witness, position: position.unwrap_or_default(), state })
+        Ok(DiskImage {
+            witness,
+            position: position.unwrap_or_default(),
+            state,
+        })
     }
 
     fn load_state(&self) -> Result<StateMap, StoreError> {
@@ -221,7 +256,10 @@
     }
 
     fn read<T: serde::de::DeserializeOwned>(&self, key: &[u8]) -> Result<Option<T>, StoreError> {
-        let value = self.keyspace.get(key).map_err(|error| self.failed(&error))?;
+        let value = self
+            .keyspace
+            .get(key)
+            .map_err(|error| self.failed(&error))?;
         let Some(value) = value else { return Ok(None) };
         let name = String::from_utf8_lossy(key);
         let wrong = |error| StoreError::damaged(&self.folder, format!("{name}: {error}"));
@@ -234,7 +272,8 @@
     }
 
     fn text(&self, bytes: &[u8]) -> Result<Arc<str>, StoreError> {
-        let text = std::str::from_utf8(bytes).map_err(|_| StoreError::damaged(&self.folder, "not a text"))?;
+        let text = std::str::from_utf8(bytes)
+            .map_err(|_| StoreError::damaged(&self.folder, "not a text"))?;
         Ok(text.into())
     }
 
@@ -254,5 +293,7 @@
 }
 
 fn keyspace_options() -> KeyspaceCreateOptions {
-    KeyspaceCreateOptions::default().max_memtable_size(MEMTABLE_BYTES).manual_journal_persist(true)
+    KeyspaceCreateOptions::default()
+        .max_memtable_size(MEMTABLE_BYTES)
+        .manual_journal_persist(true)
 }
--- a/crates/controlplane/src/store/tail.rs
+++ b/crates/controlplane/src/store/tail.rs
@@ -29,7 +29,10 @@
     let mut newest: Option<(u64, PathBuf)> = None;
     for entry in fs::read_dir(folder)? {
         let path = entry?.path();
-        let number = path.file_name().and_then(|name| name.to_str()).and_then(journal_number);
+        let number = path
+            .file_name()
+            .and_then(|name| name.to_str())
+            .and_then(journal_number);
         let Some(number) = number else { continue };
         if newest.as_ref().is_none_or(|(known, _)| number > *known) {
             newest = Some((number, path));
@@ -49,7 +52,10 @@
     loop {
         let start = end.saturating_sub(CHUNK);
         let bytes = read_range(file, start, end)?;
-        if let Some(at) = bytes.windows(BATCH_END.len()).rposition(|window| window == BATCH_END) {
+        if let Some(at) = bytes
+            .windows(BATCH_END.len())
+            .rposition(|window| window == BATCH_END)
+        {
             return Ok(Some(start + (at + BATCH_END.len()) as u64));
         }
         if start == 0 {
--- a/crates/controlplane/tests/cluster_example.rs
+++ b/crates/controlplane/tests/cluster_example.rs
@@ -8,15 +8,31 @@
 #[test]
 fn given_the_cluster_example_when_run_then_jobs_come_to_their_ends_and_it_ends_with_0() {
     // Cargo builds examples beside the programs before it runs all tests of a package, though not for `--test NAME`.
-    let example = Path::new(PROGRAM).with_file_name("examples").join("cluster");
+    let example = Path::new(PROGRAM)
+        .with_file_name("examples")
+        .join("cluster");
 
-    let output = Command::new(example).env("STREAMUSHER_LOG", "info").output();
-    let output = output.expect("build it first: cargo build -p streamusher-controlplane --example cluster");
+    let output = Command::new(example)
+        .env("STREAMUSHER_LOG", "info")
+        .output();
+    let output =
+        output.expect("build it first: cargo build -p streamusher-controlplane --example cluster");
 
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
-    assert_eq!(output.status.code(), Some(0), "{text}\n{}", String::from_utf8_lossy(&output.stderr));
+    assert_eq!(
+        output.status.code(),
+        Some(0),
+        "{text}\n{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     let log = String::from_utf8_lossy(&output.stderr).into_owned();
-    for part in ["a1 is Succeeded", "b2 is Succeeded", "c3 is Cancelled", "next primary", "d4 is Succeeded"] {
+    for part in [
+        "a1 is Succeeded",
+        "b2 is Succeeded",
+        "c3 is Cancelled",
+        "next primary",
+        "d4 is Succeeded",
+    ] {
         assert!(text.contains(part), "{part}: {text}");
     }
     let lines_of_changes = [
@@ -31,5 +47,8 @@
     for part in lines_of_changes {
         assert!(log.contains(part), "{part}: {log}");
     }
-    assert!(!log.contains("fjall") && !log.contains("lsm_tree"), "libraries are quiet: {log}");
+    assert!(
+        !log.contains("fjall") && !log.contains("lsm_tree"),
+        "libraries are quiet: {log}"
+    );
 }
--- a/crates/controlplane/tests/cluster_status.rs
+++ b/crates/controlplane/tests/cluster_status.rs
@@ -13,7 +13,14 @@
 const CONFIGURATION: &str = r#"{"version":4,"routes":[{"name":"r","host":"h.example","path_prefix":"/a/","timeout_ms":3000,"service":"s"}],"services":[{"name":"s"}]}"#;
 
 fn roles(answers: &Answers) -> Vec<String> {
-    let role = |status: &Value| status.pointer("/core/role").unwrap().as_str().unwrap().to_owned();
+    let role = |status: &Value| {
+        status
+            .pointer("/core/role")
+            .unwrap()
+            .as_str()
+            .unwrap()
+            .to_owned()
+    };
     let mut roles: Vec<String> = answers.values().flatten().map(role).collect();
     roles.sort();
     roles
@@ -24,7 +31,14 @@
     story(async {
         let mut cluster = Cluster::start().await;
         let primary = cluster.primary().await;
-        let taken = cluster.order(primary, "/streamusher/Config.Replace", Some("0"), CONFIGURATION).await;
+        let taken = cluster
+            .order(
+                primary,
+                "/streamusher/Config.Replace",
+                Some("0"),
+                CONFIGURATION,
+            )
+            .await;
         assert!(is_ok(&taken));
 
         let mut answers = ask_all(vec![cluster.internal(0)]).await;
@@ -35,9 +49,18 @@
 
         assert_eq!(answers.len(), 3);
         assert_eq!(health(&answers), Health::Good);
-        assert_eq!(roles(&answers).iter().filter(|role| *role == "primary").count(), 1);
+        assert_eq!(
+            roles(&answers)
+                .iter()
+                .filter(|role| *role == "primary")
+                .count(),
+            1
+        );
         for machine in 0..3 {
-            assert!(text.contains(&cluster.internal(machine).to_string()), "{text}");
+            assert!(
+                text.contains(&cluster.internal(machine).to_string()),
+                "{text}"
+            );
         }
         for part in ["acting", "configuration 4", "MEMBER", "WORKER", "QUEUE"] {
             assert!(text.contains(part), "{part}: {text}");
@@ -82,7 +105,8 @@
 }
 
 #[test]
-fn given_cells_of_several_widths_then_columns_are_as_wide_as_their_widest_and_empty_ones_show_a_dash() {
+fn given_cells_of_several_widths_then_columns_are_as_wide_as_their_widest_and_empty_ones_show_a_dash(
+) {
     let mut table = Table::new(&["A", "LONGER"]);
     table.row(["value".to_owned(), String::new()]);
 
--- a/crates/controlplane/tests/command_line.rs
+++ b/crates/controlplane/tests/command_line.rs
@@ -23,7 +23,10 @@
 
 fn command(arguments: &[&str], settings: Option<&Path>) -> Command {
     let mut command = Command::new(PROGRAM);
-    command.args(arguments).env_remove("STREAMUSHER_SETTINGS").env_remove("STREAMUSHER_LOG");
+    command
+        .args(arguments)
+        .env_remove("STREAMUSHER_SETTINGS")
+        .env_remove("STREAMUSHER_LOG");
     if let Some(path) = settings {
         command.env("STREAMUSHER_SETTINGS", path);
     }
@@ -43,7 +46,10 @@
         format!("data_dir = {:?}", folder.path().join("data")),
         format!("listen.control = \"{control}\""),
     ];
-    let kept: Vec<String> = lines.into_iter().filter(|line| !line.starts_with(without)).collect();
+    let kept: Vec<String> = lines
+        .into_iter()
+        .filter(|line| !line.starts_with(without))
+        .collect();
     let path = folder.path().join("settings.toml");
     fs::write(&path, kept.join("\n")).unwrap();
     (path, control)
@@ -80,7 +86,10 @@
     Task::Status { addresses: vec![], settings: Some("s.toml".into()), json: false })]
 #[case(&["--check-configuration", "c.json"], Task::CheckConfiguration("c.json".into()))]
 fn given_arguments_then_the_task_is_theirs(#[case] arguments: &[&str], #[case] task: Task) {
-    let arguments: Vec<String> = arguments.iter().map(|argument| argument.to_string()).collect();
+    let arguments: Vec<String> = arguments
+        .iter()
+        .map(|argument| argument.to_string())
+        .collect();
 
     assert_eq!(parse(&arguments), Ok(task));
 }
@@ -102,7 +111,8 @@
 #[case(&["show-disk"], "data folder")]
 #[case(&["show-disk", "a", "b"], "\"b\"")]
 fn given_wrong_arguments_then_one_line_names_them_and_the_code_is_2(
-    #[case] arguments: &[&str], #[case] named: &str,
+    #[case] arguments: &[&str],
+    #[case] named: &str,
 ) {
     let output = run(arguments, None);
 
@@ -150,7 +160,8 @@
 #[case(r#"{"version":"three"}"#, 2)]
 #[case(r#"{"version":"#, 2)]
 fn given_a_configuration_when_checked_then_the_code_says_whether_it_is_valid(
-    #[case] text: &str, #[case] code: i32,
+    #[case] text: &str,
+    #[case] code: i32,
 ) {
     let folder = TestFolder::new();
     let file = folder.path().join("configuration.json");
@@ -171,7 +182,9 @@
     drop(Store::open(&data).unwrap());
     let database = fjall::Database::builder(data.join(FOLDER)).open().unwrap();
     let keyspace = database.keyspace("control", Default::default).unwrap();
-    keyspace.insert("m/format", (FORMAT + 1).to_string()).unwrap();
+    keyspace
+        .insert("m/format", (FORMAT + 1).to_string())
+        .unwrap();
     database.persist(fjall::PersistMode::SyncAll).unwrap();
     drop(keyspace);
     drop(database);
@@ -186,10 +199,16 @@
 fn given_a_running_process_when_it_gets_sigterm_then_it_ends_with_0() {
     let folder = TestFolder::new();
     let (settings, control) = settings_file(&folder, "(none)");
-    let mut process = command(&[], Some(&settings)).stderr(Stdio::inherit()).spawn().unwrap();
+    let mut process = command(&[], Some(&settings))
+        .stderr(Stdio::inherit())
+        .spawn()
+        .unwrap();
     wait_until_listening(&mut process, &control);
 
-    let sent = Command::new("kill").args(["-TERM", &process.id().to_string()]).status().unwrap();
+    let sent = Command::new("kill")
+        .args(["-TERM", &process.id().to_string()])
+        .status()
+        .unwrap();
 
     assert!(sent.success());
     assert_eq!(process.wait().unwrap().code(), Some(0));
@@ -198,8 +217,14 @@
 fn wait_until_listening(process: &mut Child, address: &str) {
     let started = Instant::now();
     while TcpStream::connect(address).is_err() {
-        assert!(process.try_wait().unwrap().is_none(), "the process has ended");
-        assert!(started.elapsed() < LONGEST_WAIT, "it does not listen at {address}");
+        assert!(
+            process.try_wait().unwrap().is_none(),
+            "the process has ended"
+        );
+        assert!(
+            started.elapsed() < LONGEST_WAIT,
+            "it does not listen at {address}"
+        );
         std::thread::yield_now();
     }
 }
--- a/crates/controlplane/tests/driver.rs
+++ b/crates/controlplane/tests/driver.rs
@@ -14,7 +14,8 @@
 use streamusher_protocol::store::Write;
 use streamusher_protocol::{Millis, Now};
 use streamusher_scheduler::{
-    Bounds, Effects, Event, OperatorOrder, OperatorReply, OrderKind, RecoverError, Reply, RequestId, Settings,
+    Bounds, Effects, Event, OperatorOrder, OperatorReply, OrderKind, RecoverError, Reply,
+    RequestId, Settings,
 };
 
 /// What the replication under the driver says.
@@ -65,12 +66,19 @@
     }
 
     fn view(&self, _now: Millis) -> ClusterView {
-        ClusterView { epoch: self.0.borrow().epoch, primary: Some(address()), members: vec![address()] }
+        ClusterView {
+            epoch: self.0.borrow().epoch,
+            primary: Some(address()),
+            members: vec![address()],
+        }
     }
 }
 
 fn address() -> CoreAddress {
-    CoreAddress { internal: "10.0.0.1:7380".into(), control: "10.0.0.1:8144".into() }
+    CoreAddress {
+        internal: "10.0.0.1:7380".into(),
+        control: "10.0.0.1:8144".into(),
+    }
 }
 
 thread_local! {
@@ -95,7 +103,9 @@
             Event::Abandoned { request } => format!("abandoned {request}"),
             Event::Tick => "tick".to_owned(),
         });
-        EFFECTS.with(|effects| effects.borrow_mut().pop_front()).unwrap_or_default()
+        EFFECTS
+            .with(|effects| effects.borrow_mut().pop_front())
+            .unwrap_or_default()
     }
 }
 
@@ -127,7 +137,10 @@
 }
 
 fn now() -> Now {
-    Now { steady: 1_000, unix: 1_000_000 }
+    Now {
+        steady: 1_000,
+        unix: 1_000_000,
+    }
 }
 
 fn idle() -> Fixture {
@@ -151,16 +164,22 @@
     /// An input that brings an output.
     fn told(&mut self, output: Output) -> Vec<(RequestId, Answer)> {
         let (answers, recoveries) = self.told_without_recovery(output);
-        recoveries.into_iter().for_each(|recovery| assert!(self.recover(recovery).is_empty()));
+        recoveries
+            .into_iter()
+            .for_each(|recovery| assert!(self.recover(recovery).is_empty()));
         answers
     }
 
     /// The same, with the recoveries that are to be run.
-    fn told_without_recovery(&mut self, output: Output) -> (Vec<(RequestId, Answer)>, Vec<Recovery>) {
+    fn told_without_recovery(
+        &mut self,
+        output: Output,
+    ) -> (Vec<(RequestId, Answer)>, Vec<Recovery>) {
         self.script.0.borrow_mut().outputs.push(output);
         let actions = self.driver.input(now(), Input::Persisted { ticket: 1 });
-        let (recoveries, others): (Vec<Action>, Vec<Action>) =
-            actions.into_iter().partition(|action| matches!(action, Action::Recover(_)));
+        let (recoveries, others): (Vec<Action>, Vec<Action>) = actions
+            .into_iter()
+            .partition(|action| matches!(action, Action::Recover(_)));
         let recoveries = recoveries.into_iter().filter_map(|action| match action {
             Action::Recover(recovery) => Some(recovery),
             _ => None,
@@ -209,7 +228,13 @@
 
 fn client(method: ClientMethod) -> Call {
     let (host, path, body): (Arc<str>, Arc<str>, Arc<str>) = ("h".into(), "/q/1".into(), "".into());
-    Call::Client(ClientCall { method, host, path, body, configuration: 0 })
+    Call::Client(ClientCall {
+        method,
+        host,
+        path,
+        body,
+        configuration: 0,
+    })
 }
 
 fn agent() -> Call {
@@ -225,19 +250,33 @@
 }
 
 fn operator(kind: OrderKind) -> Call {
-    Call::Operator(OperatorOrder { kind, base: Some(0), body: "{}".into() })
+    Call::Operator(OperatorOrder {
+        kind,
+        base: Some(0),
+        body: "{}".into(),
+    })
 }
 
 fn client_reply(status: u16) -> Reply {
-    Reply::Client(ClientReply { status, body: "".into(), retry_after_ms: None })
+    Reply::Client(ClientReply {
+        status,
+        body: "".into(),
+        retry_after_ms: None,
+    })
 }
 
 fn operator_reply(status: u16) -> Reply {
-    Reply::Operator(OperatorReply { status, body: "".into() })
+    Reply::Operator(OperatorReply {
+        status,
+        body: "".into(),
+    })
 }
 
 fn agent_reply(epoch: u64) -> Reply {
-    Reply::Agent(AgentOrders { epoch, ..Default::default() })
+    Reply::Agent(AgentOrders {
+        epoch,
+        ..Default::default()
+    })
 }
 
 fn is_reply(answer: &Answer) -> bool {
@@ -253,7 +292,9 @@
 
     let answers = fixture.call(call);
 
-    assert!(matches!(&answers[..], [(1, Answer::NotPrimary(view))] if view.primary == Some(address())));
+    assert!(
+        matches!(&answers[..], [(1, Answer::NotPrimary(view))] if view.primary == Some(address()))
+    );
     assert!(events().is_empty());
 }
 
@@ -272,7 +313,12 @@
 #[test]
 fn given_an_election_then_the_scheduler_recovers_from_the_replicated_state() {
     let mut fixture = idle();
-    fixture.script.0.borrow_mut().state.insert("job/1".into(), "{}".into());
+    fixture
+        .script
+        .0
+        .borrow_mut()
+        .state
+        .insert("job/1".into(), "{}".into());
 
     fixture.told(Output::Elected { epoch: 4 });
 
@@ -280,14 +326,22 @@
 }
 
 #[test]
-fn given_an_election_when_the_scheduler_is_not_recovered_yet_then_calls_are_refused_and_nothing_is_done() {
+fn given_an_election_when_the_scheduler_is_not_recovered_yet_then_calls_are_refused_and_nothing_is_done(
+) {
     let mut fixture = idle();
     fixture.script.0.borrow_mut().lease = true;
     let (_, mut recoveries) = fixture.told_without_recovery(Output::Elected { epoch: 3 });
     let recovery = recoveries.pop().expect("a recovery");
-    for call in [client(ClientMethod::Post), agent(), operator(OrderKind::Read)] {
+    for call in [
+        client(ClientMethod::Post),
+        agent(),
+        operator(OrderKind::Read),
+    ] {
         let answers = fixture.call(call);
-        assert!(matches!(answers[..], [(_, Answer::NotPrimary(_))]), "{answers:?}");
+        assert!(
+            matches!(answers[..], [(_, Answer::NotPrimary(_))]),
+            "{answers:?}"
+        );
     }
     assert!(fixture.tick().is_empty());
     assert_eq!(events(), [] as [&str; 0]);
@@ -310,7 +364,11 @@
 fn given_an_elected_machine_when_called_before_it_may_act_then_the_calls_are_carried_out_in_order_once_it_acts(
 ) {
     let mut fixture = opening();
-    for call in [agent(), client(ClientMethod::Post), operator(OrderKind::Read)] {
+    for call in [
+        agent(),
+        client(ClientMethod::Post),
+        operator(OrderKind::Read),
+    ] {
         assert!(fixture.call(call).is_empty());
     }
     assert!(fixture.tick().is_empty());
@@ -320,7 +378,10 @@
     fixture.set_opening(false);
     next_effects(&[], vec![(1, agent_reply(3))]);
     let answers = fixture.commit(0);
-    assert!(matches!(&answers[..], [(1, Answer::Reply(_))]), "{answers:?}");
+    assert!(
+        matches!(&answers[..], [(1, Answer::Reply(_))]),
+        "{answers:?}"
+    );
     assert_eq!(events(), ["agent 1", "client 2", "operator 3"]);
 }
 
@@ -328,13 +389,20 @@
 #[case::another_is_elected(false, 0)]
 #[case::its_batch_is_not_committed_in_time(true, 1_000)]
 fn given_calls_that_came_early_when_the_machine_does_not_act_then_they_are_refused_and_nothing_is_done(
-    #[case] opening: bool, #[case] later_ms: Millis,
+    #[case] opening: bool,
+    #[case] later_ms: Millis,
 ) {
     let mut fixture = opening_with_a_call();
     fixture.set_opening(opening);
-    let later = Now { steady: now().steady + later_ms, unix: now().unix + later_ms };
+    let later = Now {
+        steady: now().steady + later_ms,
+        unix: now().unix + later_ms,
+    };
     let answers = fixture.tick_at(later);
-    assert!(matches!(&answers[..], [(1, Answer::NotPrimary(_))]), "{answers:?}");
+    assert!(
+        matches!(&answers[..], [(1, Answer::NotPrimary(_))]),
+        "{answers:?}"
+    );
     assert_eq!(events(), [] as [&str; 0]);
     fixture.set_lease(true);
     assert!(fixture.tick().is_empty());
@@ -353,7 +421,10 @@
     let mut fixture = opening();
     (0..MOST_CALLS).for_each(|_| assert!(fixture.call(client(ClientMethod::Get)).is_empty()));
     let answers = fixture.call(client(ClientMethod::Get));
-    assert!(matches!(answers[..], [(_, Answer::NotPrimary(_))]), "{answers:?}");
+    assert!(
+        matches!(answers[..], [(_, Answer::NotPrimary(_))]),
+        "{answers:?}"
+    );
 }
 
 #[test]
@@ -374,7 +445,10 @@
     fixture.told(Output::Deposed);
     fixture.recover(first.pop().expect("a recovery"));
     let answers = fixture.call(client(ClientMethod::Post));
-    assert!(matches!(answers[..], [(_, Answer::NotPrimary(_))]), "{answers:?}");
+    assert!(
+        matches!(answers[..], [(_, Answer::NotPrimary(_))]),
+        "{answers:?}"
+    );
 
     let (_, mut second) = fixture.told_without_recovery(Output::Elected { epoch: 5 });
     let (_, mut third) = fixture.told_without_recovery(Output::Elected { epoch: 7 });
@@ -410,7 +484,13 @@
     assert!(fixture.call(client(ClientMethod::Get)).is_empty());
     let answers = fixture.commit(1);
 
-    assert_eq!(answers.iter().map(|(request, _)| *request).collect::<Vec<_>>(), [1, 2]);
+    assert_eq!(
+        answers
+            .iter()
+            .map(|(request, _)| *request)
+            .collect::<Vec<_>>(),
+        [1, 2]
+    );
 }
 
 #[test]
@@ -473,7 +553,8 @@
 #[case::updated(operator(OrderKind::Update), operator_reply(200))]
 #[case::refused_with_writes(client(ClientMethod::Post), client_reply(429))]
 fn given_a_change_that_is_not_committed_when_deposed_then_its_outcome_is_unknown(
-    #[case] call: Call, #[case] reply: Reply,
+    #[case] call: Call,
+    #[case] reply: Reply,
 ) {
     let mut fixture = primary();
     next_effects(&["key"], vec![(1, reply)]);
@@ -494,7 +575,10 @@
 
     let answers = fixture.told(Output::Deposed);
 
-    assert!(matches!(&answers[..], [(1, Answer::Unknown), (2, Answer::Unknown)]));
+    assert!(matches!(
+        &answers[..],
+        [(1, Answer::Unknown), (2, Answer::Unknown)]
+    ));
 }
 
 #[test]
@@ -515,7 +599,8 @@
 #[case::report(agent(), Some(agent_reply(3)))]
 #[case::held_report(agent(), None)]
 fn given_a_call_that_changed_nothing_when_deposed_then_it_is_told_that_nothing_was_done(
-    #[case] call: Call, #[case] reply: Option<Reply>,
+    #[case] call: Call,
+    #[case] reply: Option<Reply>,
 ) {
     let mut fixture = primary();
     next_effects(&["other"], Vec::new());
@@ -543,7 +628,12 @@
 #[test]
 fn given_a_deposal_by_the_append_itself_then_the_change_is_unknown_and_no_reply_leaves() {
     let mut fixture = primary();
-    fixture.script.0.borrow_mut().after_append.push(Output::Deposed);
+    fixture
+        .script
+        .0
+        .borrow_mut()
+        .after_append
+        .push(Output::Deposed);
     next_effects(&["job/1"], vec![(1, client_reply(200))]);
 
     let answers = fixture.call(client(ClientMethod::Post));
--- a/crates/controlplane/tests/loopback.rs
+++ b/crates/controlplane/tests/loopback.rs
@@ -65,7 +65,9 @@
 async fn configured() -> (Cluster, usize) {
     let mut cluster = Cluster::start().await;
     let primary = cluster.primary().await;
-    let answer = cluster.order(primary, REPLACE_PATH, Some("0"), &configuration(5)).await;
+    let answer = cluster
+        .order(primary, REPLACE_PATH, Some("0"), &configuration(5))
+        .await;
     assert_eq!(answer.status(), StatusCode::OK, "{}", text_of(&answer));
     (cluster, primary)
 }
@@ -76,10 +78,15 @@
         let (mut cluster, primary) = configured().await;
         let control = cluster.control(primary);
         for machine in (0..3).filter(|machine| *machine != primary) {
-            let answer = cluster.order(machine, REPLACE_PATH, Some("0"), &configuration(5)).await;
+            let answer = cluster
+                .order(machine, REPLACE_PATH, Some("0"), &configuration(5))
+                .await;
 
             assert_eq!(answer.status(), StatusCode::TEMPORARY_REDIRECT);
-            assert_eq!(answer.headers()[LOCATION], format!("http://{control}{REPLACE_PATH}"));
+            assert_eq!(
+                answer.headers()[LOCATION],
+                format!("http://{control}{REPLACE_PATH}")
+            );
             let view = cluster.view(machine).await;
             assert_eq!(view.members.len(), 3);
             assert_eq!(view.primary.unwrap().control.as_ref(), control.to_string());
@@ -92,9 +99,15 @@
     story(async {
         let (mut cluster, primary) = configured().await;
 
-        let again = cluster.order(primary, REPLACE_PATH, Some("0"), &configuration(5)).await;
-        let other = cluster.order(primary, REPLACE_PATH, Some("0"), &configuration(6)).await;
-        let update = cluster.order(primary, UPDATE_PATH, Some("5"), r#"{"version":8}"#).await;
+        let again = cluster
+            .order(primary, REPLACE_PATH, Some("0"), &configuration(5))
+            .await;
+        let other = cluster
+            .order(primary, REPLACE_PATH, Some("0"), &configuration(6))
+            .await;
+        let update = cluster
+            .order(primary, UPDATE_PATH, Some("5"), r#"{"version":8}"#)
+            .await;
         let read = cluster.order(primary, READ_PATH, None, "").await;
 
         assert_eq!(again.status(), StatusCode::OK);
@@ -111,12 +124,22 @@
     story(async {
         let (mut cluster, primary) = configured().await;
 
-        let no_base = cluster.order(primary, REPLACE_PATH, None, &configuration(9)).await;
-        let wrong_base = cluster.order(primary, REPLACE_PATH, Some("five"), &configuration(9)).await;
-        let cut_short = cluster.order(primary, REPLACE_PATH, Some("5"), "{\"version\":").await;
+        let no_base = cluster
+            .order(primary, REPLACE_PATH, None, &configuration(9))
+            .await;
+        let wrong_base = cluster
+            .order(primary, REPLACE_PATH, Some("five"), &configuration(9))
+            .await;
+        let cut_short = cluster
+            .order(primary, REPLACE_PATH, Some("5"), "{\"version\":")
+            .await;
         let wrong_method = cluster.order(primary, REPLACE_PATH, None, "").await;
-        let unknown = cluster.order(primary, "/streamusher/Config.Delete", None, "").await;
-        let heartbeat = cluster.order(primary, "/streamusher/Instances.Heartbeat/i-1", None, "{}").await;
+        let unknown = cluster
+            .order(primary, "/streamusher/Config.Delete", None, "")
+            .await;
+        let heartbeat = cluster
+            .order(primary, "/streamusher/Instances.Heartbeat/i-1", None, "{}")
+            .await;
 
         assert_eq!(no_base.status(), StatusCode::BAD_REQUEST);
         assert!(text_of(&no_base).contains("streamusher-base-version"));
@@ -126,7 +149,10 @@
         assert_eq!(unknown.status(), StatusCode::NOT_FOUND);
         assert_eq!(heartbeat.status(), StatusCode::SERVICE_UNAVAILABLE);
         let read = cluster.order(primary, READ_PATH, None, "").await;
-        assert_eq!(serde_json::from_slice::<Value>(read.body()).unwrap()["version"], 5);
+        assert_eq!(
+            serde_json::from_slice::<Value>(read.body()).unwrap()["version"],
+            5
+        );
     });
 }
 
@@ -137,8 +163,12 @@
         let other = (primary + 1) % 3;
 
         let client = cluster.post(other, CLIENT_CALL_PATH, &submit()).await;
-        let agent = cluster.post(other, AGENT_SYNC_PATH, &sync(1, json!([]), json!([]))).await;
-        let malformed = cluster.post(primary, AGENT_SYNC_PATH, &json!({"agent": 7})).await;
+        let agent = cluster
+            .post(other, AGENT_SYNC_PATH, &sync(1, json!([]), json!([])))
+            .await;
+        let malformed = cluster
+            .post(primary, AGENT_SYNC_PATH, &json!({"agent": 7}))
+            .await;
 
         for answer in [client, agent] {
             assert_eq!(answer.status(), StatusCode::MISDIRECTED_REQUEST);
@@ -147,7 +177,11 @@
             assert_eq!(named.as_ref(), cluster.internal(primary).to_string());
         }
         assert_eq!(malformed.status(), StatusCode::BAD_REQUEST);
-        assert!(text_of(&malformed).contains("agent"), "{}", text_of(&malformed));
+        assert!(
+            text_of(&malformed).contains("agent"),
+            "{}",
+            text_of(&malformed)
+        );
     });
 }
 
@@ -167,7 +201,9 @@
         let orders: AgentOrders = serde_json::from_slice(ordered.body()).unwrap();
         let start = &orders.start[0];
         let ended = json!([[1, start.0, start.1, "done", ""]]);
-        cluster.post(primary, AGENT_SYNC_PATH, &sync(2, json!([]), ended)).await;
+        cluster
+            .post(primary, AGENT_SYNC_PATH, &sync(2, json!([]), ended))
+            .await;
         let get = client_call("GET", "");
         let succeeded = |answer: &Answer| is_ok(answer) && state_in(answer) == "succeeded";
         cluster.post_until(CLIENT_CALL_PATH, &get, succeeded).await;
@@ -183,17 +219,24 @@
         cluster.post_until(CLIENT_CALL_PATH, &get, succeeded).await;
         let primary = cluster.primary().await;
         let read = cluster.order(primary, READ_PATH, None, "").await;
-        assert_eq!(serde_json::from_slice::<Value>(read.body()).unwrap()["version"], 5);
+        assert_eq!(
+            serde_json::from_slice::<Value>(read.body()).unwrap()["version"],
+            5
+        );
     });
 }
 
 #[test]
-fn given_a_watch_at_another_machine_when_the_primary_hands_over_then_it_is_answered_with_the_next() {
+fn given_a_watch_at_another_machine_when_the_primary_hands_over_then_it_is_answered_with_the_next()
+{
     story(async {
         let (mut cluster, primary) = configured().await;
         let other = (0..3).find(|machine| *machine != primary).unwrap();
         let known = cluster.view(other).await;
-        let watch = ClusterWatch { epoch: known.epoch, wait_ms: 10_000 };
+        let watch = ClusterWatch {
+            epoch: known.epoch,
+            wait_ms: 10_000,
+        };
         let mut watching = cluster.watcher(other);
         let watched = tokio::task::spawn_local(async move { watching.watch(&watch).await });
 
@@ -209,19 +252,36 @@
 fn given_a_job_that_waits_when_an_operator_asks_then_the_primary_says_why() {
     story(async {
         let (mut cluster, _) = configured().await;
-        cluster.post_until(CLIENT_CALL_PATH, &submit(), |answer| client_status(answer) == 200).await;
+        cluster
+            .post_until(CLIENT_CALL_PATH, &submit(), |answer| {
+                client_status(answer) == 200
+            })
+            .await;
         let job = Explain::Job("5c0e7a21d94b36f8".parse().unwrap());
 
         let waits = cluster.post_until(EXPLAIN_PATH, &job, is_ok).await;
         let unknown = Explain::Job("0000000000000001".parse().unwrap());
-        let unknown = cluster.post_until(EXPLAIN_PATH, &unknown, |a| !is_misdirected(a)).await;
-        let user = cluster.post_until(EXPLAIN_PATH, &Explain::User("r".into()), |a| !is_misdirected(a)).await;
+        let unknown = cluster
+            .post_until(EXPLAIN_PATH, &unknown, |a| !is_misdirected(a))
+            .await;
+        let user = cluster
+            .post_until(EXPLAIN_PATH, &Explain::User("r".into()), |a| {
+                !is_misdirected(a)
+            })
+            .await;
 
         let waits: Value = serde_json::from_slice(waits.body()).unwrap();
-        assert_eq!((&waits["state"], &waits["queue"]), (&json!("pending"), &json!("r")));
+        assert_eq!(
+            (&waits["state"], &waits["queue"]),
+            (&json!("pending"), &json!("r"))
+        );
         assert_eq!(waits["waiting"][0]["reason"], "no_worker_takes_work");
         assert_eq!(unknown.status(), StatusCode::NOT_FOUND);
-        assert!(text_of(&user).contains("--share-debt"), "{}", text_of(&user));
+        assert!(
+            text_of(&user).contains("--share-debt"),
+            "{}",
+            text_of(&user)
+        );
     });
 }
 
--- a/crates/controlplane/tests/publication.rs
+++ b/crates/controlplane/tests/publication.rs
@@ -5,11 +5,19 @@
 use streamusher_controlplane::publication::Publication;
 
 fn configuration(version: u64) -> Option<Published> {
-    Some(Published { version, text: Arc::from("{}"), update: None })
+    Some(Published {
+        version,
+        text: Arc::from("{}"),
+        update: None,
+    })
 }
 
 fn versions(publication: &mut Publication) -> Vec<u64> {
-    publication.take().iter().map(|published| published.version).collect()
+    publication
+        .take()
+        .iter()
+        .map(|published| published.version)
+        .collect()
 }
 
 #[test]
--- a/crates/controlplane/tests/relay.rs
+++ b/crates/controlplane/tests/relay.rs
@@ -38,11 +38,18 @@
             bell.notify_one();
             std::future::ready(empty(StatusCode::NO_CONTENT))
         }));
-        Member { address, told, heard }
+        Member {
+            address,
+            told,
+            heard,
+        }
     }
 
     fn lease(&self, roster: u64) -> GateLease {
-        GateLease { address: self.address.to_string().into(), roster }
+        GateLease {
+            address: self.address.to_string().into(),
+            roster,
+        }
     }
 
     /// Waits for a message that fits.
@@ -52,7 +59,9 @@
                 self.heard.notified().await;
             }
         };
-        tokio::time::timeout(LONGEST_WAIT, waiting).await.expect("the message did not come in time");
+        tokio::time::timeout(LONGEST_WAIT, waiting)
+            .await
+            .expect("the message did not come in time");
     }
 }
 
@@ -62,7 +71,9 @@
 
 fn is_change(wanted: u64) -> impl Fn(&RelayMessage) -> bool {
     move |message| match message {
-        RelayMessage::Changes(changes) => changes.last().is_some_and(|change| change.version == wanted),
+        RelayMessage::Changes(changes) => changes
+            .last()
+            .is_some_and(|change| change.version == wanted),
         _ => false,
     }
 }
@@ -87,7 +98,9 @@
 async fn replace(cluster: &mut Cluster, base: &str, version: u64) {
     let primary = cluster.primary().await;
     let body = json!({"version": version, "routes": [], "services": []}).to_string();
-    let answer = cluster.order(primary, REPLACE_PATH, Some(base), &body).await;
+    let answer = cluster
+        .order(primary, REPLACE_PATH, Some(base), &body)
+        .await;
     assert!(is_ok(&answer), "{}", text_of(&answer));
 }
 
@@ -102,18 +115,23 @@
         replace(&mut cluster, "0", 5).await;
         member.until(is_whole(5)).await;
         let primary = cluster.primary().await;
-        let update = cluster.order(primary, UPDATE_PATH, Some("5"), r#"{"version":8}"#).await;
+        let update = cluster
+            .order(primary, UPDATE_PATH, Some("5"), r#"{"version":8}"#)
+            .await;
 
         assert!(is_ok(&update));
         member.until(is_change(8)).await;
-        let answer = cluster.post(primary, GATE_LEASE_PATH, &member.lease(reply.roster)).await;
+        let answer = cluster
+            .post(primary, GATE_LEASE_PATH, &member.lease(reply.roster))
+            .await;
         let renewed: GateLeaseReply = parse_json(answer.body()).unwrap();
         assert_eq!((renewed.configuration, renewed.members), (8, None));
     });
 }
 
 #[test]
-fn given_a_new_primary_when_members_renew_then_its_roster_is_newer_and_it_tells_what_was_committed() {
+fn given_a_new_primary_when_members_renew_then_its_roster_is_newer_and_it_tells_what_was_committed()
+{
     story(async {
         let mut cluster = Cluster::start().await;
         let member = Member::start();
@@ -130,9 +148,12 @@
         assert!(after.roster > before.roster);
         assert_eq!(after.configuration, 5);
         late.until(is_heartbeat(5)).await;
-        let question =
-            json!({"from": {"Member": late.address.to_string()}, "messages": [{"Ask": {"have": 0}}]});
-        cluster.post_until(RELAY_PATH, &question, |answer| answer.status() == StatusCode::NO_CONTENT).await;
+        let question = json!({"from": {"Member": late.address.to_string()}, "messages": [{"Ask": {"have": 0}}]});
+        cluster
+            .post_until(RELAY_PATH, &question, |answer| {
+                answer.status() == StatusCode::NO_CONTENT
+            })
+            .await;
         late.until(is_whole(5)).await;
         replace(&mut cluster, "5", 9).await;
         member.until(is_whole(9)).await;
@@ -151,12 +172,17 @@
 
         let lease = cluster.post(other, GATE_LEASE_PATH, &member.lease(0)).await;
         let relay = cluster.post(other, RELAY_PATH, &question).await;
-        let malformed = cluster.post(primary, GATE_LEASE_PATH, &json!({"address": 7})).await;
+        let malformed = cluster
+            .post(primary, GATE_LEASE_PATH, &json!({"address": 7}))
+            .await;
 
         for answer in [lease, relay] {
             assert_eq!(answer.status(), StatusCode::MISDIRECTED_REQUEST);
             let body: Value = parse_json(answer.body()).unwrap();
-            assert_eq!(body["view"]["primary"]["internal"], cluster.internal(primary).to_string());
+            assert_eq!(
+                body["view"]["primary"]["internal"],
+                cluster.internal(primary).to_string()
+            );
         }
         assert_eq!(malformed.status(), StatusCode::BAD_REQUEST);
     });
--- a/crates/controlplane/tests/reload.rs
+++ b/crates/controlplane/tests/reload.rs
@@ -19,7 +19,10 @@
 impl Newcomer {
     fn new() -> Newcomer {
         let pid = std::process::id();
-        Newcomer { net: format!("127.{}.{}", 180 + pid % 30, pid / 30 % 250), folder: TestFolder::new() }
+        Newcomer {
+            net: format!("127.{}.{}", 180 + pid % 30, pid / 30 % 250),
+            folder: TestFolder::new(),
+        }
     }
 
     fn internal(&self, machine: u8) -> String {
@@ -39,7 +42,9 @@
     fn start(&self) -> Process {
         let settings = self.folder.path().join("settings.toml");
         let mut command = Command::new(PROGRAM);
-        command.env("STREAMUSHER_SETTINGS", settings).env_remove("STREAMUSHER_LOG");
+        command
+            .env("STREAMUSHER_SETTINGS", settings)
+            .env_remove("STREAMUSHER_LOG");
         Process(command.stderr(Stdio::piped()).spawn().unwrap())
     }
 }
@@ -48,7 +53,10 @@
 
 impl Process {
     fn hang_up(&self) {
-        let sent = Command::new("kill").args(["-HUP", &self.0.id().to_string()]).status().unwrap();
+        let sent = Command::new("kill")
+            .args(["-HUP", &self.0.id().to_string()])
+            .status()
+            .unwrap();
         assert!(sent.success());
     }
 }
@@ -61,7 +69,10 @@
 }
 
 fn wait_for(lines: &mut impl Iterator<Item = String>, part: &str) {
-    assert!(lines.any(|line| line.contains(part)), "the log ended without {part:?}");
+    assert!(
+        lines.any(|line| line.contains(part)),
+        "the log ended without {part:?}"
+    );
 }
 
 #[test]
@@ -71,7 +82,9 @@
     let second = TcpListener::bind(machine.internal(3)).unwrap();
     machine.write_settings(&format!("\"{}.2:8144\"", machine.net));
     let mut process = machine.start();
-    let mut lines = BufReader::new(process.0.stderr.take().unwrap()).lines().map_while(Result::ok);
+    let mut lines = BufReader::new(process.0.stderr.take().unwrap())
+        .lines()
+        .map_while(Result::ok);
     // Both calls wait until the process connects.
     first.accept().unwrap();
 
--- a/crates/controlplane/tests/share_debt_file.rs
+++ b/crates/controlplane/tests/share_debt_file.rs
@@ -17,7 +17,10 @@
 
 #[test]
 fn given_a_half_life_alone_when_loaded_then_all_else_is_as_usual_for_it() {
-    assert_eq!(loaded("half_life_ms = 600000\n"), Ok(Settings::with_half_life(600_000)));
+    assert_eq!(
+        loaded("half_life_ms = 600000\n"),
+        Ok(Settings::with_half_life(600_000))
+    );
 }
 
 #[test]
@@ -26,9 +29,15 @@
 
     let settings = loaded(text).unwrap();
 
-    assert_eq!((settings.gpu_millicores, settings.weights["logs"]), (4_000, 2_000));
+    assert_eq!(
+        (settings.gpu_millicores, settings.weights["logs"]),
+        (4_000, 2_000)
+    );
     assert_eq!(&*settings.user_of(&"r-1".into()), "logs");
-    assert_eq!(settings.most_delay_ms, Settings::with_half_life(600_000).most_delay_ms);
+    assert_eq!(
+        settings.most_delay_ms,
+        Settings::with_half_life(600_000).most_delay_ms
+    );
 }
 
 #[rstest]
@@ -39,7 +48,10 @@
 #[case::out_of_range("half_life_ms = 9000\n", "give 10000")]
 #[case::weight_of_nothing("half_life_ms = 600000\n[weights]\nlogs = 0\n", "logs")]
 #[case::not_toml("half_life_ms", "debts.toml")]
-fn given_a_file_that_is_wrong_when_loaded_then_the_key_is_named(#[case] text: &str, #[case] named: &str) {
+fn given_a_file_that_is_wrong_when_loaded_then_the_key_is_named(
+    #[case] text: &str,
+    #[case] named: &str,
+) {
     let error = loaded(text).unwrap_err();
 
     assert!(error.contains(named), "{error}");
--- a/crates/controlplane/tests/show_disk.rs
+++ b/crates/controlplane/tests/show_disk.rs
@@ -16,20 +16,49 @@
 fn filled() -> TestFolder {
     let folder = TestFolder::new();
     let (store, _) = Store::open(folder.path()).unwrap();
-    let decided = EpochRecord { epoch: 7, reign: 6, primary: Some(DiskId(0xab)), ..Default::default() };
-    let witness = WitnessState { id: DiskId(0xab), starts: 3, decided: decided.into(), ..Default::default() };
-    let writes = ["job/1", "job/2", "config/current"].map(|key| Write::set(key, "{}")).to_vec();
-    let position = Some(Position { epoch: 6, sequence: 41 });
-    store.apply(&DiskChange { witness: Some(witness), position, writes, replace_all: false }).unwrap();
+    let decided = EpochRecord {
+        epoch: 7,
+        reign: 6,
+        primary: Some(DiskId(0xab)),
+        ..Default::default()
+    };
+    let witness = WitnessState {
+        id: DiskId(0xab),
+        starts: 3,
+        decided: decided.into(),
+        ..Default::default()
+    };
+    let writes = ["job/1", "job/2", "config/current"]
+        .map(|key| Write::set(key, "{}"))
+        .to_vec();
+    let position = Some(Position {
+        epoch: 6,
+        sequence: 41,
+    });
+    store
+        .apply(&DiskChange {
+            witness: Some(witness),
+            position,
+            writes,
+            replace_all: false,
+        })
+        .unwrap();
     folder
 }
 
 fn contents(folder: &Path) -> Vec<(PathBuf, Vec<u8>)> {
-    files_below(folder).into_iter().map(|file| (file.clone(), fs::read(file).unwrap())).collect()
+    files_below(folder)
+        .into_iter()
+        .map(|file| (file.clone(), fs::read(file).unwrap()))
+        .collect()
 }
 
 fn run(folder: &Path) -> Output {
-    Command::new(PROGRAM).arg("show-disk").arg(folder).output().unwrap()
+    Command::new(PROGRAM)
+        .arg("show-disk")
+        .arg(folder)
+        .output()
+        .unwrap()
 }
 
 #[test]
@@ -41,9 +70,15 @@
 
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert_eq!(output.status.code(), Some(0), "{output:?}");
-    for part in
-        ["format 1", "00000000000000ab", "7, primary", "since epoch 6", "epoch 6, batch 41", "job/", "2 keys"]
-    {
+    for part in [
+        "format 1",
+        "00000000000000ab",
+        "7, primary",
+        "since epoch 6",
+        "epoch 6, batch 41",
+        "job/",
+        "2 keys",
+    ] {
         assert!(text.contains(part), "{part}: {text}");
     }
     assert!(contents(folder.path()) == before);
@@ -68,7 +103,10 @@
     let output = run(folder.path());
 
     assert_eq!(output.status.code(), Some(2));
-    assert!(String::from_utf8_lossy(&output.stderr).contains("data_dir"), "{output:?}");
+    assert!(
+        String::from_utf8_lossy(&output.stderr).contains("data_dir"),
+        "{output:?}"
+    );
     assert!(contents(folder.path()).is_empty());
 }
 
@@ -82,7 +120,10 @@
 
     let text = show(folder.path()).unwrap();
 
-    assert!(text.contains("disk") && text.contains("epoch 0, batch 0"), "{text}");
+    assert!(
+        text.contains("disk") && text.contains("epoch 0, batch 0"),
+        "{text}"
+    );
     assert!(contents(folder.path()) == before);
 }
 
@@ -95,20 +136,33 @@
 
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(1), "{output:?}");
-    assert!(text.contains("damaged") && text.contains(folder.path().to_str().unwrap()), "{text}");
+    assert!(
+        text.contains("damaged") && text.contains(folder.path().to_str().unwrap()),
+        "{text}"
+    );
 }
 
 #[test]
 fn given_a_newer_format_when_shown_then_it_is_named() {
     let folder = filled();
-    let database = fjall::Database::builder(folder.path().join(FOLDER)).open().unwrap();
+    let database = fjall::Database::builder(folder.path().join(FOLDER))
+        .open()
+        .unwrap();
     let keyspace = database.keyspace("control", Default::default).unwrap();
-    keyspace.insert("m/format", (FORMAT + 1).to_string()).unwrap();
+    keyspace
+        .insert("m/format", (FORMAT + 1).to_string())
+        .unwrap();
     database.persist(fjall::PersistMode::SyncAll).unwrap();
     drop(keyspace);
     drop(database);
 
     let refused = show(folder.path()).unwrap_err();
 
-    assert!(matches!(refused, ShowError::Store(StoreError::Newer { found: 2, .. })), "{refused}");
+    assert!(
+        matches!(
+            refused,
+            ShowError::Store(StoreError::Newer { found: 2, .. })
+        ),
+        "{refused}"
+    );
 }
--- a/crates/controlplane/tests/store.rs
+++ b/crates/controlplane/tests/store.rs
@@ -16,7 +16,11 @@
 const LARGE_VALUE: usize = 20_000;
 
 fn witness(starts: u64) -> WitnessState {
-    WitnessState { id: DiskId(7), starts, ..Default::default() }
+    WitnessState {
+        id: DiskId(7),
+        starts,
+        ..Default::default()
+    }
 }
 
 fn change(sequence: u64, writes: Vec<Write>) -> DiskChange {
@@ -49,7 +53,10 @@
 }
 
 fn state(pairs: &[(&str, &str)]) -> StateMap {
-    pairs.iter().map(|(key, value)| (Arc::from(*key), Arc::from(*value))).collect()
+    pairs
+        .iter()
+        .map(|(key, value)| (Arc::from(*key), Arc::from(*value)))
+        .collect()
 }
 
 /// A store that was closed after `changes`.
@@ -74,19 +81,39 @@
 #[test]
 fn given_changes_when_opened_anew_then_the_newest_of_each_key_is_there() {
     let first = change(1, vec![Write::set("a", "1"), Write::set("b", "2")]);
-    let second = change(2, vec![Write::set("a", "3"), Write::remove("b"), Write::set("c", "4")]);
+    let second = change(
+        2,
+        vec![
+            Write::set("a", "3"),
+            Write::remove("b"),
+            Write::set("c", "4"),
+        ],
+    );
 
     let folder = written(&[first, second]);
 
     let image = read(folder.path());
     assert_eq!(image.witness, Some(witness(2)));
-    assert_eq!(image.position, Position { epoch: 1, sequence: 2 });
+    assert_eq!(
+        image.position,
+        Position {
+            epoch: 1,
+            sequence: 2
+        }
+    );
     assert_eq!(image.state, state(&[("a", "3"), ("c", "4")]));
 }
 
 #[test]
 fn given_a_key_written_twice_in_one_change_then_the_later_write_counts() {
-    let folder = written(&[change(1, vec![Write::set("a", "1"), Write::remove("a"), Write::set("a", "2")])]);
+    let folder = written(&[change(
+        1,
+        vec![
+            Write::set("a", "1"),
+            Write::remove("a"),
+            Write::set("a", "2"),
+        ],
+    )]);
 
     assert_eq!(read(folder.path()).state, state(&[("a", "2")]));
 }
@@ -95,16 +122,28 @@
 fn given_a_state_when_all_is_replaced_then_nothing_of_it_is_left_and_the_witness_stays() {
     let whole = DiskChange {
         witness: None,
-        position: Some(Position { epoch: 5, sequence: 9 }),
+        position: Some(Position {
+            epoch: 5,
+            sequence: 9,
+        }),
         writes: vec![Write::set("b", "new")],
         replace_all: true,
     };
 
-    let folder = written(&[change(1, vec![Write::set("a", "old"), Write::set("b", "old")]), whole]);
+    let folder = written(&[
+        change(1, vec![Write::set("a", "old"), Write::set("b", "old")]),
+        whole,
+    ]);
 
     let image = read(folder.path());
     assert_eq!(image.witness, Some(witness(1)));
-    assert_eq!(image.position, Position { epoch: 5, sequence: 9 });
+    assert_eq!(
+        image.position,
+        Position {
+            epoch: 5,
+            sequence: 9
+        }
+    );
     assert_eq!(image.state, state(&[("b", "new")]));
 }
 
@@ -141,7 +180,13 @@
     drop(store);
     let after = read(folder.path());
     let journal = without_reserve(&journal_of(folder.path()));
-    LastChange { folder, before, after, synced, journal }
+    LastChange {
+        folder,
+        before,
+        after,
+        synced,
+        journal,
+    }
 }
 
 impl LastChange {
@@ -160,13 +205,18 @@
 #[case::one_step(60, 7)]
 #[case::several_steps(LARGE_VALUE, 3_001)]
 fn given_a_last_change_cut_anywhere_then_it_is_dropped_as_a_whole(
-    #[case] value_bytes: usize, #[case] stride: usize,
+    #[case] value_bytes: usize,
+    #[case] stride: usize,
 ) {
     let last = last_change(value_bytes);
     for end in (last.synced..last.journal.len()).step_by(stride) {
         let image = last.with_journal(&last.journal[..end]);
 
-        assert!(same(&image, &last.before), "cut at {end} of {}", last.journal.len());
+        assert!(
+            same(&image, &last.before),
+            "cut at {end} of {}",
+            last.journal.len()
+        );
     }
     assert!(same(&last.with_journal(&last.journal), &last.after));
 }
@@ -175,7 +225,8 @@
 #[case::one_step(60, 16)]
 #[case::several_steps(LARGE_VALUE, 4_096)]
 fn given_a_last_change_with_a_missing_part_then_it_is_dropped_as_a_whole(
-    #[case] value_bytes: usize, #[case] hole: usize,
+    #[case] value_bytes: usize,
+    #[case] hole: usize,
 ) {
     let last = last_change(value_bytes);
     for start in (last.synced..last.journal.len()).step_by(hole) {
@@ -185,7 +236,11 @@
 
         let image = last.with_journal(&bytes);
 
-        assert!(same(&image, &last.before), "hole at {start} of {}", last.journal.len());
+        assert!(
+            same(&image, &last.before),
+            "hole at {start} of {}",
+            last.journal.len()
+        );
     }
 }
 
@@ -228,7 +283,10 @@
     let folder = written(&[numbered(1, 500), numbered(2, 500), numbered(3, 500)]);
     let journal = journal_of(folder.path());
     let mut bytes = without_reserve(&journal);
-    let inside_first = bytes.windows(10).position(|window| window == b"xxxxxxxxxx").unwrap();
+    let inside_first = bytes
+        .windows(10)
+        .position(|window| window == b"xxxxxxxxxx")
+        .unwrap();
     bytes[inside_first] = b'y';
     fs::write(&journal, bytes).unwrap();
 
@@ -281,7 +339,12 @@
 
         let is_all = same(&image, &whole);
         let is_nothing = same(&image, &DiskImage::default());
-        assert!(is_all || is_nothing, "without {}: {:?}", relative.display(), image.position);
+        assert!(
+            is_all || is_nothing,
+            "without {}: {:?}",
+            relative.display(),
+            image.position
+        );
     }
 }
 
@@ -318,7 +381,9 @@
 }
 
 fn set_format(data_dir: &Path, format: u32) {
-    let database = fjall::Database::builder(data_dir.join(FOLDER)).open().unwrap();
+    let database = fjall::Database::builder(data_dir.join(FOLDER))
+        .open()
+        .unwrap();
     let keyspace = database.keyspace("control", Default::default).unwrap();
     keyspace.insert("m/format", format.to_string()).unwrap();
     database.persist(fjall::PersistMode::SyncAll).unwrap();
@@ -332,7 +397,10 @@
 
     let refused = Store::open(&file).err().unwrap();
 
-    assert!(matches!(refused, StoreError::Unavailable { .. }), "{refused}");
+    assert!(
+        matches!(refused, StoreError::Unavailable { .. }),
+        "{refused}"
+    );
 }
 
 #[test]
@@ -340,12 +408,16 @@
     let folder = TestFolder::new();
     let (store, _) = Store::open(folder.path()).unwrap();
     for sequence in 1..=40 {
-        store.apply(&change(sequence, vec![Write::set("a", "x".repeat(20_000))])).unwrap();
+        store
+            .apply(&change(sequence, vec![Write::set("a", "x".repeat(20_000))]))
+            .unwrap();
     }
     let before = bytes_below(folder.path());
 
     let store = store.rebuild(folder.path()).unwrap();
-    store.apply(&change(41, vec![Write::set("b", "1")])).unwrap();
+    store
+        .apply(&change(41, vec![Write::set("b", "1")]))
+        .unwrap();
     drop(store);
 
     let image = read(folder.path());
@@ -360,7 +432,12 @@
     let folder = TestFolder::new();
     let (store, _) = Store::open(folder.path()).unwrap();
     for sequence in 1..=100 {
-        store.apply(&change(sequence, vec![Write::set("a", "x".repeat(100_000))])).unwrap();
+        store
+            .apply(&change(
+                sequence,
+                vec![Write::set("a", "x".repeat(100_000))],
+            ))
+            .unwrap();
     }
     drop(store);
     let before = bytes_below(folder.path());
@@ -380,7 +457,10 @@
 }
 
 fn bytes_below(folder: &Path) -> u64 {
-    files_below(folder).iter().map(|file| fs::metadata(file).unwrap().len()).sum()
+    files_below(folder)
+        .iter()
+        .map(|file| fs::metadata(file).unwrap().len())
+        .sum()
 }
 
 #[rstest]
@@ -389,7 +469,8 @@
 #[case::both_names_moved(&[(1, FORMER), (2, FOLDER)], 2)]
 #[case::only_the_former_left(&[(1, FORMER)], 1)]
 fn given_a_replacement_cut_short_when_opened_then_exactly_one_store_counts(
-    #[case] stores: &[(u64, &str)], #[case] counts: u64,
+    #[case] stores: &[(u64, &str)],
+    #[case] counts: u64,
 ) {
     let folder = TestFolder::new();
     for (sequence, name) in stores {
--- a/crates/controlplane/tests/support/cluster.rs
+++ b/crates/controlplane/tests/support/cluster.rs
@@ -62,9 +62,18 @@
     /// Starts three machines on empty disks.
     pub async fn start() -> Cluster {
         let pid = std::process::id();
-        let net = [127, (pid % 200) as u8 + 20, NEXT_NET.fetch_add(1, Ordering::Relaxed)];
+        let net = [
+            127,
+            (pid % 200) as u8 + 20,
+            NEXT_NET.fetch_add(1, Ordering::Relaxed),
+        ];
         let folders = (0..MACHINES).map(|_| TestFolder::new()).collect();
-        let mut cluster = Cluster { net, folders, running: BTreeMap::new(), clients: BTreeMap::new() };
+        let mut cluster = Cluster {
+            net,
+            folders,
+            running: BTreeMap::new(),
+            clients: BTreeMap::new(),
+        };
         for machine in 0..usize::from(MACHINES) {
             cluster.start_machine(machine, true).await;
         }
@@ -99,14 +108,22 @@
     }
 
     fn settings(&self, machine: usize, bootstrap: bool) -> Settings {
-        let seeds = (0..usize::from(MACHINES)).map(|machine| self.control(machine)).collect();
+        let seeds = (0..usize::from(MACHINES))
+            .map(|machine| self.control(machine))
+            .collect();
         Settings {
             ip: self.ip(machine),
             seeds,
             bootstrap,
             data_dir: Some(self.folders[machine].path().to_owned()),
-            listen: Listen { control: Some(self.control(machine)), ..Default::default() },
-            fault_tolerance: FaultTolerance { machines: 1, ..Default::default() },
+            listen: Listen {
+                control: Some(self.control(machine)),
+                ..Default::default()
+            },
+            fault_tolerance: FaultTolerance {
+                machines: 1,
+                ..Default::default()
+            },
             ..Default::default()
         }
     }
@@ -134,14 +151,23 @@
                 tokio::task::yield_now().await;
             }
         };
-        tokio::time::timeout(LONGEST_WAIT, waiting).await.expect("no primary in time")
+        tokio::time::timeout(LONGEST_WAIT, waiting)
+            .await
+            .expect("no primary in time")
     }
 
     async fn find_primary(&mut self) -> Option<usize> {
         let machines: Vec<usize> = self.running.keys().copied().collect();
         for machine in machines {
-            let answer =
-                self.call(self.control(machine), Method::GET, "/streamusher/Config.Read", None, b"").await;
+            let answer = self
+                .call(
+                    self.control(machine),
+                    Method::GET,
+                    "/streamusher/Config.Read",
+                    None,
+                    b"",
+                )
+                .await;
             let acts = answer.is_some_and(|answer| matches!(answer.status().as_u16(), 200 | 404));
             if acts {
                 return Some(machine);
@@ -151,14 +177,29 @@
     }
 
     pub async fn view(&mut self, machine: usize) -> ClusterView {
-        let answer = self.call(self.internal(machine), Method::GET, CLUSTER_PATH, None, b"").await.unwrap();
+        let answer = self
+            .call(self.internal(machine), Method::GET, CLUSTER_PATH, None, b"")
+            .await
+            .unwrap();
         serde_json::from_slice(answer.body()).unwrap()
     }
 
     /// An operator's order at the control port of a machine.
-    pub async fn order(&mut self, machine: usize, path: &str, base: Option<&str>, body: &str) -> Answer {
-        let method = if body.is_empty() { Method::GET } else { Method::POST };
-        self.call(self.control(machine), method, path, base, body.as_bytes()).await.unwrap()
+    pub async fn order(
+        &mut self,
+        machine: usize,
+        path: &str,
+        base: Option<&str>,
+        body: &str,
+    ) -> Answer {
+        let method = if body.is_empty() {
+            Method::GET
+        } else {
+            Method::POST
+        };
+        self.call(self.control(machine), method, path, base, body.as_bytes())
+            .await
+            .unwrap()
     }
 
     /// A caller of its own, which waits for the next epoch at a machine.
@@ -169,37 +210,56 @@
     /// A call of a gate or an agent at the internal port of a machine.
     pub async fn post<T: Serialize>(&mut self, machine: usize, path: &str, body: &T) -> Answer {
         let body = serde_json::to_vec(body).unwrap();
-        self.call(self.internal(machine), Method::POST, path, None, &body).await.unwrap()
+        self.call(self.internal(machine), Method::POST, path, None, &body)
+            .await
+            .unwrap()
     }
 
     /// Repeats a call of a gate or an agent at whoever acts, until the answer is the one that is wanted.
     pub async fn post_until<T: Serialize>(
-        &mut self, path: &str, body: &T, wanted: impl Fn(&Answer) -> bool,
+        &mut self,
+        path: &str,
+        body: &T,
+        wanted: impl Fn(&Answer) -> bool,
     ) -> Answer {
         let body = serde_json::to_vec(body).unwrap();
         let waiting = async {
             loop {
                 let machine = self.primary().await;
-                let answer = self.call(self.internal(machine), Method::POST, path, None, &body).await;
+                let answer = self
+                    .call(self.internal(machine), Method::POST, path, None, &body)
+                    .await;
                 if let Some(answer) = answer.filter(|answer| wanted(answer)) {
                     return answer;
                 }
                 tokio::task::yield_now().await;
             }
         };
-        tokio::time::timeout(LONGEST_WAIT, waiting).await.expect("the answer did not come in time")
+        tokio::time::timeout(LONGEST_WAIT, waiting)
+            .await
+            .expect("the answer did not come in time")
     }
 
     async fn call(
-        &mut self, address: SocketAddr, method: Method, path: &str, base: Option<&str>, body: &[u8],
+        &mut self,
+        address: SocketAddr,
+        method: Method,
+        path: &str,
+        base: Option<&str>,
+        body: &[u8],
     ) -> Option<Answer> {
         let mut call = Call::new(Bytes::copy_from_slice(body));
         *call.method_mut() = method;
         *call.uri_mut() = path.parse().unwrap();
         if let Some(base) = base {
-            call.headers_mut().insert(BASE_VERSION_HEADER, base.parse().unwrap());
+            call.headers_mut()
+                .insert(BASE_VERSION_HEADER, base.parse().unwrap());
         }
-        let client = self.clients.entry(address).or_insert_with(|| Client::new(address)).clone();
+        let client = self
+            .clients
+            .entry(address)
+            .or_insert_with(|| Client::new(address))
+            .clone();
         client.call(call, CALL_DEADLINE).await.ok()
     }
 }
--- a/crates/controlplane/tests/support/mod.rs
+++ b/crates/controlplane/tests/support/mod.rs
@@ -40,7 +40,10 @@
                 return copy;
             }
         }
-        panic!("{} changed during each of {MOST_COPIES} copies", original.display());
+        panic!(
+            "{} changed during each of {MOST_COPIES} copies",
+            original.display()
+        );
     }
 }
 
@@ -99,7 +102,10 @@
 
 /// The only journal of a small store.
 pub fn journal_of(data_dir: &Path) -> PathBuf {
-    files_below(data_dir).into_iter().find(|file| is_journal(file)).unwrap()
+    files_below(data_dir)
+        .into_iter()
+        .find(|file| is_journal(file))
+        .unwrap()
 }
 
 /// The bytes of a journal, without the zeros that are reserved at its end. Nothing written holds as long a run of them.
@@ -118,7 +124,10 @@
         }
         bytes.extend_from_slice(&chunk[..read]);
     }
-    let written = bytes.iter().rposition(|byte| *byte != 0).map_or(0, |last| last + 1);
+    let written = bytes
+        .iter()
+        .rposition(|byte| *byte != 0)
+        .map_or(0, |last| last + 1);
     bytes.truncate(written);
     Ok(bytes)
 }
--- a/crates/coordination/examples/embed.rs
+++ b/crates/coordination/examples/embed.rs
@@ -35,13 +35,23 @@
     let first = cluster.wait_for_primary();
     println!("{:>5} ms  machine {first} acts as primary", cluster.now);
     cluster.set(first, "greeting", "\"hello\"");
-    println!("{:>5} ms  an append is committed: it is on all replicas' disks", cluster.now);
+    println!(
+        "{:>5} ms  an append is committed: it is on all replicas' disks",
+        cluster.now
+    );
 
     cluster.machines[first].up = false;
     println!("{:>5} ms  machine {first} is lost", cluster.now);
     let second = cluster.wait_for_primary();
-    let value = cluster.machines[second].coordinator.state().get("greeting").cloned();
-    println!("{:>5} ms  machine {second} acts as primary and holds {value:?}", cluster.now);
+    let value = cluster.machines[second]
+        .coordinator
+        .state()
+        .get("greeting")
+        .cloned();
+    println!(
+        "{:>5} ms  machine {second} acts as primary and holds {value:?}",
+        cluster.now
+    );
     assert_eq!(value.as_deref(), Some("\"hello\""));
 }
 
@@ -57,9 +67,16 @@
                 lease_ms: LEASE_MS,
                 random_seed: index as u64,
             };
-            Machine { coordinator: Coordinator::new(settings, DiskImage::default(), 0), up: true }
+            Machine {
+                coordinator: Coordinator::new(settings, DiskImage::default(), 0),
+                up: true,
+            }
         };
-        Cluster { now: 0, machines: (0..3).map(machine).collect(), network: VecDeque::new() }
+        Cluster {
+            now: 0,
+            machines: (0..3).map(machine).collect(),
+            network: VecDeque::new(),
+        }
     }
 
     /// Appends a change at the primary and waits until it is committed.
@@ -110,13 +127,16 @@
                 Output::Send { to, message } => {
                     let from = address(index).internal;
                     let to = (0..self.machines.len()).find(|other| address(*other).internal == to);
-                    self.network.extend(to.map(|to| (to, Input::Received { from, message })));
+                    self.network
+                        .extend(to.map(|to| (to, Input::Received { from, message })));
                 }
                 Output::Persist { ticket, change } => {
                     write_and_sync(&change);
                     self.network.push_back((index, Input::Persisted { ticket }));
                 }
-                Output::Elected { epoch } => println!("{:>5} ms  epoch {epoch}: machine {index}", self.now),
+                Output::Elected { epoch } => {
+                    println!("{:>5} ms  epoch {epoch}: machine {index}", self.now)
+                }
                 // A program answers what waits for the commit, or drops it.
                 Output::Committed { .. } | Output::Deposed => {}
             }
@@ -129,5 +149,8 @@
 
 fn address(index: usize) -> CoreAddress {
     let name = |port: u16| -> Arc<str> { format!("10.0.0.{index}:{port}").into() };
-    CoreAddress { internal: name(1), control: name(2) }
+    CoreAddress {
+        internal: name(1),
+        control: name(2),
+    }
 }
--- a/crates/coordination/src/acceptor.rs
+++ b/crates/coordination/src/acceptor.rs
@@ -25,11 +25,18 @@
             accepted: self.witness.accepted.clone(),
             position: self.applied,
         };
-        self.disk.then(Effect::Send { to: from.clone(), message });
+        self.disk.then(Effect::Send {
+            to: from.clone(),
+            message,
+        });
     }
 
     pub(crate) fn on_accept(
-        &mut self, from: &Arc<str>, base: Arc<EpochRecord>, ballot: Ballot, value: Arc<EpochRecord>,
+        &mut self,
+        from: &Arc<str>,
+        base: Arc<EpochRecord>,
+        ballot: Ballot,
+        value: Arc<EpochRecord>,
     ) {
         if !self.votes_on(from, &base) || value.epoch != base.epoch + 1 {
             return;
@@ -37,15 +44,27 @@
         if ballot < self.witness.promise {
             return self.refuse(from);
         }
-        let is_known = self.witness.accepted.as_ref().is_some_and(|(known, _)| *known == ballot);
+        let is_known = self
+            .witness
+            .accepted
+            .as_ref()
+            .is_some_and(|(known, _)| *known == ballot);
         if !is_known {
             self.witness.promise = ballot;
-            self.witness.standing |= value.proposer == self.witness.id && value.reign == value.epoch;
+            self.witness.standing |=
+                value.proposer == self.witness.id && value.reign == value.epoch;
             self.witness.accepted = Some((ballot, value));
             self.disk.put_witness(&self.witness);
         }
-        let message = Message::Accepted { from: self.witness.id, instance: base.epoch + 1, ballot };
-        self.disk.then(Effect::Send { to: from.clone(), message });
+        let message = Message::Accepted {
+            from: self.witness.id,
+            instance: base.epoch + 1,
+            ballot,
+        };
+        self.disk.then(Effect::Send {
+            to: from.clone(),
+            message,
+        });
     }
 
     /// Whether this machine is one of those who decide the record after `base`.
@@ -60,6 +79,12 @@
 
     fn refuse(&mut self, from: &Arc<str>) {
         let instance = self.witness.decided.epoch + 1;
-        self.send(from.clone(), Message::Refused { instance, promise: self.witness.promise });
+        self.send(
+            from.clone(),
+            Message::Refused {
+                instance,
+                promise: self.witness.promise,
+            },
+        );
     }
 }
--- a/crates/coordination/src/backup.rs
+++ b/crates/coordination/src/backup.rs
@@ -25,14 +25,19 @@
         self.witness.standing = false;
         self.refusals = 0;
         self.disk.put_witness(&self.witness);
-        self.disk.then(Effect::Recorded { epoch: record.epoch });
+        self.disk.then(Effect::Recorded {
+            epoch: record.epoch,
+        });
         self.proposal = None;
         self.stand_at = None;
         self.early.clear();
         self.opening = None;
         self.promised_at = self.now;
         let me = self.witness.id;
-        let continues = self.reign.as_ref().is_some_and(|reign| reign.epoch == record.reign);
+        let continues = self
+            .reign
+            .as_ref()
+            .is_some_and(|reign| reign.epoch == record.reign);
         if continues && record.primary == Some(me) {
             return self.continue_reign();
         }
@@ -42,7 +47,9 @@
         self.primary_heard = Some(self.now);
         if record.primary == Some(me) && record.reign == record.epoch {
             self.opening = Some(record.epoch);
-            self.disk.then(Effect::Open { epoch: record.epoch });
+            self.disk.then(Effect::Open {
+                epoch: record.epoch,
+            });
         }
     }
 
@@ -67,21 +74,45 @@
         self.primary_heard = Some(self.now);
         let leaving = self.leaving.is_some();
         let (from_id, position, recorded) = (self.witness.id, self.synced, self.recorded);
-        self.send(from.clone(), Message::Alive { from: from_id, reign, sent, position, leaving, recorded });
+        self.send(
+            from.clone(),
+            Message::Alive {
+                from: from_id,
+                reign,
+                sent,
+                position,
+                leaving,
+                recorded,
+            },
+        );
     }
 
     /// Tells the primary at once that this replica leaves.
     pub(crate) fn say_leaving(&mut self) {
-        let Some(to) = self.primary_address() else { return };
+        let Some(to) = self.primary_address() else {
+            return;
+        };
         let (from, reign, position) = (self.witness.id, self.witness.decided.reign, self.synced);
         let recorded = self.recorded;
-        self.send(to, Message::Alive { from, reign, sent: 0, position, leaving: true, recorded });
+        self.send(
+            to,
+            Message::Alive {
+                from,
+                reign,
+                sent: 0,
+                position,
+                leaving: true,
+                recorded,
+            },
+        );
     }
 
     fn primary_address(&self) -> Option<Arc<str>> {
         let record = &self.witness.decided;
         let primary = record.primary.filter(|id| *id != self.witness.id)?;
-        record.member(primary).map(|member| member.address.internal.clone())
+        record
+            .member(primary)
+            .map(|member| member.address.internal.clone())
     }
 
     /// Whether data of this primary may be taken.
@@ -93,11 +124,19 @@
             self.hello(address.clone());
         }
         let record = &self.witness.decided;
-        let is_primary = record.primary == Some(id) && record.reign == reign && id != self.witness.id;
+        let is_primary =
+            record.primary == Some(id) && record.reign == reign && id != self.witness.id;
         is_primary && !self.witness.standing
     }
 
-    pub(crate) fn on_append(&mut self, address: &Arc<str>, id: DiskId, epoch: u64, reign: u64, batch: Batch) {
+    pub(crate) fn on_append(
+        &mut self,
+        address: &Arc<str>,
+        id: DiskId,
+        epoch: u64,
+        reign: u64,
+        batch: Batch,
+    ) {
         if !self.follows(address, id, epoch, reign) {
             return;
         }
@@ -131,7 +170,14 @@
         self.applied = batch.position;
         self.disk.put_writes(batch.position, &batch.writes);
         let is_copying = self.reign.as_ref().is_some_and(|reign| reign.is_copying());
-        self.recent.push(batch, if is_copying { RECENT_COPY_BYTES } else { RECENT_BYTES });
+        self.recent.push(
+            batch,
+            if is_copying {
+                RECENT_COPY_BYTES
+            } else {
+                RECENT_BYTES
+            },
+        );
     }
 
     /// Tells the primary what is synced.
@@ -139,35 +185,74 @@
         if self.witness.standing || self.reign.is_some() {
             return;
         }
-        let Some(to) = self.primary_address() else { return };
+        let Some(to) = self.primary_address() else {
+            return;
+        };
         let (from, reign, position) = (self.witness.id, self.witness.decided.reign, self.synced);
-        self.send(to, Message::Synced { from, reign, position });
+        self.send(
+            to,
+            Message::Synced {
+                from,
+                reign,
+                position,
+            },
+        );
     }
 
     pub(crate) fn on_copy(&mut self, address: &Arc<str>, message: Message) {
-        let Message::Copy { from, epoch, reign, copy, index, last, position, writes } = message else {
+        let Message::Copy {
+            from,
+            epoch,
+            reign,
+            copy,
+            index,
+            last,
+            position,
+            writes,
+        } = message
+        else {
             return;
         };
         if !self.follows(address, from, epoch, reign) {
             return;
         }
         let is_level = self.applied.epoch == reign && self.applied >= position;
-        let is_known = self.incoming.as_ref().is_some_and(|known| known.reign == reign && known.id == copy);
+        let is_known = self
+            .incoming
+            .as_ref()
+            .is_some_and(|known| known.reign == reign && known.id == copy);
         if is_level && !is_known {
             return self.acknowledge();
         }
         if !is_known {
-            if self.incoming.as_ref().is_some_and(|known| known.reign == reign && known.id > copy) {
+            if self
+                .incoming
+                .as_ref()
+                .is_some_and(|known| known.reign == reign && known.id > copy)
+            {
                 return;
             }
             self.incoming = Some(IncomingCopy::new(reign, copy, position));
         }
-        let Some(incoming) = &mut self.incoming else { return };
+        let Some(incoming) = &mut self.incoming else {
+            return;
+        };
         let completed = incoming.take(index, last, writes);
         let (next, complete, position) = (incoming.next, incoming.complete, incoming.position);
-        let installed = if completed { std::mem::take(&mut incoming.writes) } else { Vec::new() };
+        let installed = if completed {
+            std::mem::take(&mut incoming.writes)
+        } else {
+            Vec::new()
+        };
         let me = self.witness.id;
-        self.send(address.clone(), Message::CopyNext { from: me, copy, next });
+        self.send(
+            address.clone(),
+            Message::CopyNext {
+                from: me,
+                copy,
+                next,
+            },
+        );
         if completed && !is_level {
             self.install(position, installed);
         } else if complete {
@@ -176,7 +261,10 @@
     }
 
     fn install(&mut self, position: Position, writes: Vec<Write>) {
-        log::info!("whole copy installed in memory: {} keys, position {position:?}", writes.len());
+        log::info!(
+            "whole copy installed in memory: {} keys, position {position:?}",
+            writes.len()
+        );
         let mut state = StateMap::new();
         for write in &writes {
             apply_write(&mut state, write);
@@ -197,13 +285,42 @@
 }
 
 fn log_change(old: &EpochRecord, new: &EpochRecord) {
-    let names = |ids: &[DiskId]| ids.iter().map(|id| id.to_string()).collect::<Vec<_>>().join(" ");
-    let primary = new.primary.map_or_else(|| "none".to_string(), |id| id.to_string());
-    log::info!("epoch {}: primary {primary}, replicas {}", new.epoch, names(&new.replicas));
-    for member in new.members.iter().filter(|member| !old.is_member(member.id)) {
-        log::info!("epoch {}: member {} at {} added", new.epoch, member.id, member.address.internal);
+    let names = |ids: &[DiskId]| {
+        ids.iter()
+            .map(|id| id.to_string())
+            .collect::<Vec<_>>()
+            .join(" ")
+    };
+    let primary = new
+        .primary
+        .map_or_else(|| "none".to_string(), |id| id.to_string());
+    log::info!(
+        "epoch {}: primary {primary}, replicas {}",
+        new.epoch,
+        names(&new.replicas)
+    );
+    for member in new
+        .members
+        .iter()
+        .filter(|member| !old.is_member(member.id))
+    {
+        log::info!(
+            "epoch {}: member {} at {} added",
+            new.epoch,
+            member.id,
+            member.address.internal
+        );
     }
-    for member in old.members.iter().filter(|member| !new.is_member(member.id)) {
-        log::info!("epoch {}: member {} at {} removed", new.epoch, member.id, member.address.internal);
+    for member in old
+        .members
+        .iter()
+        .filter(|member| !new.is_member(member.id))
+    {
+        log::info!(
+            "epoch {}: member {} at {} removed",
+            new.epoch,
+            member.id,
+            member.address.internal
+        );
     }
 }
--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -75,7 +75,9 @@
     /// Starts from what is on disk. Nothing is said before this start is counted there.
     pub fn new(settings: Settings, image: DiskImage, now: Millis) -> Coordinator {
         let mut random = Pcg64Mcg::seed_from_u64(settings.random_seed);
-        let mut witness = image.witness.unwrap_or_else(|| first_witness(&settings, &mut random));
+        let mut witness = image
+            .witness
+            .unwrap_or_else(|| first_witness(&settings, &mut random));
         witness.starts += 1;
         let recorded = witness.decided.epoch;
         let mut disk = DiskQueue::default();
@@ -184,7 +186,10 @@
         let now = self.now;
         self.disk.excuse(now);
         if let Some(reign) = &mut self.reign {
-            reign.peers.values_mut().for_each(|peer| peer.excuse(now, gap));
+            reign
+                .peers
+                .values_mut()
+                .for_each(|peer| peer.excuse(now, gap));
         }
         if gap >= self.settings.lease_ms / 2 {
             log::info!("stood still for {gap} ms");
@@ -232,20 +237,57 @@
             Message::Hello { member, epoch } => self.on_hello(from, member, epoch),
             Message::Decided { record } => self.learn(record),
             Message::Prepare { base, ballot } => self.on_prepare(from, base, ballot),
-            Message::Promised { from, instance, ballot, accepted, position } => {
+            Message::Promised {
+                from,
+                instance,
+                ballot,
+                accepted,
+                position,
+            } => {
                 self.on_promised(from, instance, ballot, Promise { accepted, position });
             }
-            Message::Accept { base, ballot, value } => self.on_accept(from, base, ballot, value),
-            Message::Accepted { from, instance, ballot } => self.on_accepted(from, instance, ballot),
+            Message::Accept {
+                base,
+                ballot,
+                value,
+            } => self.on_accept(from, base, ballot, value),
+            Message::Accepted {
+                from,
+                instance,
+                ballot,
+            } => self.on_accepted(from, instance, ballot),
             Message::Refused { instance, promise } => self.on_refused(instance, promise),
             Message::Keepalive { record, sent } => self.on_keepalive(from, record, sent),
-            Message::Alive { from, reign, sent, position, leaving, recorded } => {
-                self.on_alive(from, reign, sent, Acknowledged { position, leaving, recorded });
+            Message::Alive {
+                from,
+                reign,
+                sent,
+                position,
+                leaving,
+                recorded,
+            } => {
+                self.on_alive(
+                    from,
+                    reign,
+                    sent,
+                    Acknowledged {
+                        position,
+                        leaving,
+                        recorded,
+                    },
+                );
             }
-            Message::Append { from: id, epoch, reign, batch } => {
-                self.on_append(from, id, epoch, reign, batch)
-            }
-            Message::Synced { from, reign, position } => self.on_synced(from, reign, position),
+            Message::Append {
+                from: id,
+                epoch,
+                reign,
+                batch,
+            } => self.on_append(from, id, epoch, reign, batch),
+            Message::Synced {
+                from,
+                reign,
+                position,
+            } => self.on_synced(from, reign, position),
             Message::Copy { .. } => self.on_copy(from, message),
             Message::CopyNext { from, copy, next } => self.on_copy_next(from, copy, next),
             Message::Vacant { from, reign } => self.on_vacant(from, reign),
--- a/crates/coordination/src/copy.rs
+++ b/crates/coordination/src/copy.rs
@@ -54,7 +54,11 @@
             self.acknowledged = 0;
             self.sent = 0;
         }
-        let known = if cfg!(feature = "mutant-late-word") { self.sent } else { self.starts.len() as u64 };
+        let known = if cfg!(feature = "mutant-late-word") {
+            self.sent
+        } else {
+            self.starts.len() as u64
+        };
         if next > self.acknowledged && next <= known {
             self.acknowledged = next;
             self.sent = self.sent.max(next);
@@ -71,7 +75,9 @@
         }
         let mut parts = Vec::new();
         while self.sent < self.acknowledged + PART_WINDOW {
-            let Some(part) = self.part(self.sent) else { break };
+            let Some(part) = self.part(self.sent) else {
+                break;
+            };
             self.sent += 1;
             parts.push(part);
         }
@@ -89,7 +95,10 @@
                 next = Some(key.clone());
                 break;
             }
-            let write = Write { key: key.clone(), value: Some(value.clone()) };
+            let write = Write {
+                key: key.clone(),
+                value: Some(value.clone()),
+            };
             bytes += write_bytes(&write);
             writes.push(write);
         }
@@ -99,7 +108,11 @@
             self.finished = last;
             self.starts.extend(next.map(Some));
         }
-        Some(Part { index, last, writes })
+        Some(Part {
+            index,
+            last,
+            writes,
+        })
     }
 }
 
@@ -120,7 +133,15 @@
 impl IncomingCopy {
     pub fn new(reign: u64, id: u64, position: Position) -> IncomingCopy {
         let (writes, early) = (Vec::new(), BTreeMap::new());
-        IncomingCopy { reign, id, position, next: 0, complete: false, writes, early }
+        IncomingCopy {
+            reign,
+            id,
+            position,
+            next: 0,
+            complete: false,
+            writes,
+            early,
+        }
     }
 
     /// Takes a part, whatever the order; says whether the copy became complete by it.
--- a/crates/coordination/src/disk.rs
+++ b/crates/coordination/src/disk.rs
@@ -50,15 +50,27 @@
 
 impl DiskQueue {
     pub fn put_witness(&mut self, witness: &WitnessState) {
-        self.put(DiskChange { witness: Some(witness.clone()), ..DiskChange::default() });
+        self.put(DiskChange {
+            witness: Some(witness.clone()),
+            ..DiskChange::default()
+        });
     }
 
     pub fn put_writes(&mut self, position: Position, writes: &[Write]) {
-        self.put(DiskChange { position: Some(position), writes: writes.to_vec(), ..DiskChange::default() });
+        self.put(DiskChange {
+            position: Some(position),
+            writes: writes.to_vec(),
+            ..DiskChange::default()
+        });
     }
 
     pub fn put_copy(&mut self, position: Position, writes: Vec<Write>) {
-        self.put(DiskChange { position: Some(position), writes, replace_all: true, witness: None });
+        self.put(DiskChange {
+            position: Some(position),
+            writes,
+            replace_all: true,
+            witness: None,
+        });
     }
 
     fn put(&mut self, change: DiskChange) {
@@ -91,7 +103,12 @@
         let change = self.waiting.take()?;
         self.last_ticket += 1;
         let ticket = self.last_ticket;
-        self.flight = Some(Flight { ticket, mark: self.mark, change: change.clone(), since: now });
+        self.flight = Some(Flight {
+            ticket,
+            mark: self.mark,
+            change: change.clone(),
+            since: now,
+        });
         Some(Output::Persist { ticket, change })
     }
 
@@ -102,7 +119,11 @@
         self.failing_since = None;
         let took = now.saturating_sub(flight.since);
         self.last_sync = took;
-        self.slow = if took > SLOW_SYNC_MS { self.slow + 1 } else { 0 };
+        self.slow = if took > SLOW_SYNC_MS {
+            self.slow + 1
+        } else {
+            0
+        };
         if took > STUCK_SYNC_MS {
             self.slow = SLOW_SYNCS;
         }
@@ -111,7 +132,9 @@
 
     /// A change was not made, or perhaps it was: it is made again, before all others.
     pub fn failed(&mut self, now: Millis, ticket: u64) {
-        let Some(flight) = self.flight.take_if(|flight| flight.ticket == ticket) else { return };
+        let Some(flight) = self.flight.take_if(|flight| flight.ticket == ticket) else {
+            return;
+        };
         let mut change = flight.change;
         if let Some(waiting) = self.waiting.take() {
             merge(&mut change, waiting);
@@ -123,14 +146,20 @@
 
     /// How long a sync takes now: the last one, or the present one where that already takes longer.
     pub fn sync_time(&self, now: Millis) -> Millis {
-        let present = self.flight.as_ref().map_or(0, |flight| now.saturating_sub(flight.since));
+        let present = self
+            .flight
+            .as_ref()
+            .map_or(0, |flight| now.saturating_sub(flight.since));
         present.max(self.last_sync)
     }
 
     /// Whether the disk is too slow for a primary.
     pub fn in_trouble(&self, now: Millis) -> bool {
         let stuck = |since: Millis| now.saturating_sub(since) > STUCK_SYNC_MS;
-        let in_flight = self.flight.as_ref().is_some_and(|flight| stuck(flight.since));
+        let in_flight = self
+            .flight
+            .as_ref()
+            .is_some_and(|flight| stuck(flight.since));
         in_flight || self.failing_since.is_some_and(stuck) || self.slow >= SLOW_SYNCS
     }
 
--- a/crates/coordination/src/election.rs
+++ b/crates/coordination/src/election.rs
@@ -26,8 +26,13 @@
     /// How many other candidates go first.
     fn rank(&self) -> Millis {
         let record = &self.witness.decided;
-        let lost = record.primary.filter(|_| self.vacant_reign != Some(record.reign));
-        let candidates = record.replicas.iter().filter(|id| **id == self.witness.id || Some(**id) != lost);
+        let lost = record
+            .primary
+            .filter(|_| self.vacant_reign != Some(record.reign));
+        let candidates = record
+            .replicas
+            .iter()
+            .filter(|id| **id == self.witness.id || Some(**id) != lost);
         candidates.take_while(|id| **id != self.witness.id).count() as Millis
     }
 
@@ -53,12 +58,23 @@
         let base = &self.witness.decided;
         let me = self.witness.id;
         let position = |id: DiskId| promises.get(&id).map(|promise| promise.position);
-        let reported: Vec<DiskId> =
-            base.replicas.iter().copied().filter(|id| position(*id).is_some()).collect();
-        let longest = reported.iter().copied().max_by_key(|id| (position(*id), *id == me));
+        let reported: Vec<DiskId> = base
+            .replicas
+            .iter()
+            .copied()
+            .filter(|id| position(*id).is_some())
+            .collect();
+        let longest = reported
+            .iter()
+            .copied()
+            .max_by_key(|id| (position(*id), *id == me));
         let primary = longest.unwrap_or(me);
         let enough = reported.len() >= self.copies_needed(base);
-        let mut replicas = if enough { reported } else { base.replicas.clone() };
+        let mut replicas = if enough {
+            reported
+        } else {
+            base.replicas.clone()
+        };
         replicas.retain(|id| *id != primary);
         replicas.insert(0, primary);
         if enough {
@@ -81,7 +97,10 @@
         if !is_mine || self.reign.is_some() || self.opening.is_some() {
             return;
         }
-        let message = Message::Vacant { from: self.witness.id, reign: record.reign };
+        let message = Message::Vacant {
+            from: self.witness.id,
+            reign: record.reign,
+        };
         self.send_to_members(message);
     }
 
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -10,7 +10,9 @@
 impl Coordinator {
     /// Whether this is the primary with a valid lease: replies may be released.
     pub fn may_act(&self, now: Millis) -> bool {
-        let Some(reign) = &self.reign else { return false };
+        let Some(reign) = &self.reign else {
+            return false;
+        };
         let is_allowed = reign.is_open() && !reign.yielded && self.has_enough_replicas();
         is_allowed && self.lease_end().is_some_and(|end| now < end)
     }
@@ -38,7 +40,13 @@
     pub(crate) fn required<'a>(&'a self, reign: &'a Reign) -> impl Iterator<Item = DiskId> + 'a {
         let counts = !cfg!(feature = "mutant-proposed");
         let proposed = reign.proposed.iter().filter(move |_| counts);
-        let replicas = self.witness.decided.replicas.iter().chain(proposed).copied();
+        let replicas = self
+            .witness
+            .decided
+            .replicas
+            .iter()
+            .chain(proposed)
+            .copied();
         replicas.filter(|id| *id != self.witness.id)
     }
 
@@ -49,7 +57,9 @@
 
     /// Copies without which nothing is committed.
     pub(crate) fn copies_needed(&self, record: &EpochRecord) -> usize {
-        (self.settings.tolerance + 1).min(record.members.len()).max(1)
+        (self.settings.tolerance + 1)
+            .min(record.members.len())
+            .max(1)
     }
 
     /// Copies that are aimed at.
@@ -63,11 +73,17 @@
         let now = self.now;
         let may_act = self.may_act(now);
         let majority = self.witness.decided.majority();
-        let Some(reign) = &mut self.reign else { return false };
+        let Some(reign) = &mut self.reign else {
+            return false;
+        };
         if may_act {
             reign.acted_at = now;
         }
-        let heard = reign.peers.values().filter(|peer| now < peer.heard + ABDICATE_MS).count();
+        let heard = reign
+            .peers
+            .values()
+            .filter(|peer| now < peer.heard + ABDICATE_MS)
+            .count();
         now >= reign.acted_at + ABDICATE_MS && heard + 1 < majority
     }
 
--- a/crates/coordination/src/peer.rs
+++ b/crates/coordination/src/peer.rs
@@ -92,7 +92,9 @@
 
     /// Begins anew after the last acknowledged batch when the time for it has come.
     pub fn rewind(&mut self, now: Millis) {
-        let Some(position) = self.position else { return };
+        let Some(position) = self.position else {
+            return;
+        };
         if now < self.repeat_at || self.sent <= position.sequence {
             return;
         }
--- a/crates/coordination/src/proposal.rs
+++ b/crates/coordination/src/proposal.rs
@@ -25,7 +25,10 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Phase {
     /// Promises are being collected.
-    Preparing { promises: BTreeMap<DiskId, Promise>, majority_at: Option<Millis> },
+    Preparing {
+        promises: BTreeMap<DiskId, Promise>,
+        majority_at: Option<Millis>,
+    },
     /// The value is chosen.
     Accepting {
         value: Arc<EpochRecord>,
@@ -49,8 +52,18 @@
 
 impl Proposal {
     pub fn new(base: Arc<EpochRecord>, ballot: Ballot, purpose: Purpose, now: Millis) -> Proposal {
-        let phase = Phase::Preparing { promises: BTreeMap::new(), majority_at: None };
-        Proposal { base, ballot, purpose, phase, started: now, repeat_at: now }
+        let phase = Phase::Preparing {
+            promises: BTreeMap::new(),
+            majority_at: None,
+        };
+        Proposal {
+            base,
+            ballot,
+            purpose,
+            phase,
+            started: now,
+            repeat_at: now,
+        }
     }
 
     pub fn instance(&self) -> u64 {
@@ -68,6 +81,10 @@
 
 /// The value that must be proposed again, if any was accepted.
 pub(crate) fn accepted_value(promises: &BTreeMap<DiskId, Promise>) -> Option<Arc<EpochRecord>> {
-    let accepted = promises.values().filter_map(|promise| promise.accepted.as_ref());
-    accepted.max_by_key(|(ballot, _)| *ballot).map(|(_, value)| value.clone())
+    let accepted = promises
+        .values()
+        .filter_map(|promise| promise.accepted.as_ref());
+    accepted
+        .max_by_key(|(ballot, _)| *ballot)
+        .map(|(_, value)| value.clone())
 }
--- a/crates/coordination/src/proposer.rs
+++ b/crates/coordination/src/proposer.rs
@@ -4,8 +4,8 @@
 use crate::message::Message;
 use crate::proposal::{accepted_value, Phase, Promise, Proposal, Purpose};
 use crate::times::{
-    BACK_OFF_MS, LONGEST_BACK_OFF_MS, MOST_BACK_OFF_DOUBLINGS, PROPOSAL_LIFE_MS, PROPOSAL_REPEAT_MS,
-    REPORT_MS,
+    BACK_OFF_MS, LONGEST_BACK_OFF_MS, MOST_BACK_OFF_DOUBLINGS, PROPOSAL_LIFE_MS,
+    PROPOSAL_REPEAT_MS, REPORT_MS,
 };
 use crate::types::{Ballot, DiskId, EpochRecord};
 use rand::Rng;
@@ -17,7 +17,11 @@
     pub(crate) fn propose(&mut self, purpose: Purpose) {
         let round = self.highest_round.max(self.witness.promise.round) + 1;
         self.highest_round = round;
-        let ballot = Ballot { round, disk: self.witness.id, start: self.witness.starts };
+        let ballot = Ballot {
+            round,
+            disk: self.witness.id,
+            start: self.witness.starts,
+        };
         let base = self.witness.decided.clone();
         self.proposal = Some(Proposal::new(base, ballot, purpose, self.now));
         self.repeat_proposal();
@@ -25,19 +29,32 @@
 
     /// Sends the messages of the present phase to those who have not answered.
     fn repeat_proposal(&mut self) {
-        let Some(proposal) = &mut self.proposal else { return };
+        let Some(proposal) = &mut self.proposal else {
+            return;
+        };
         proposal.repeat_at = self.now + PROPOSAL_REPEAT_MS;
         let (base, ballot) = (proposal.base.clone(), proposal.ballot);
         let mut sends = Vec::new();
         for member in &base.members {
             let message = match &proposal.phase {
                 Phase::Preparing { promises, .. } if !promises.contains_key(&member.id) => {
-                    Message::Prepare { base: base.clone(), ballot }
+                    Message::Prepare {
+                        base: base.clone(),
+                        ballot,
+                    }
                 }
-                Phase::Accepting { value, accepts, is_public }
-                    if !accepts.contains(&member.id) && (*is_public || member.id == self.witness.id) =>
+                Phase::Accepting {
+                    value,
+                    accepts,
+                    is_public,
+                } if !accepts.contains(&member.id)
+                    && (*is_public || member.id == self.witness.id) =>
                 {
-                    Message::Accept { base: base.clone(), ballot, value: value.clone() }
+                    Message::Accept {
+                        base: base.clone(),
+                        ballot,
+                        value: value.clone(),
+                    }
                 }
                 _ => continue,
             };
@@ -48,14 +65,26 @@
         }
     }
 
-    pub(crate) fn on_promised(&mut self, from: DiskId, instance: u64, ballot: Ballot, promise: Promise) {
+    pub(crate) fn on_promised(
+        &mut self,
+        from: DiskId,
+        instance: u64,
+        ballot: Ballot,
+        promise: Promise,
+    ) {
         let now = self.now;
-        let Some(proposal) = &mut self.proposal else { return };
+        let Some(proposal) = &mut self.proposal else {
+            return;
+        };
         if !proposal.is_about(instance, ballot) || !proposal.base.is_member(from) {
             return;
         }
         let majority = proposal.base.majority();
-        if let Phase::Preparing { promises, majority_at } = &mut proposal.phase {
+        if let Phase::Preparing {
+            promises,
+            majority_at,
+        } = &mut proposal.phase
+        {
             promises.insert(from, promise);
             if promises.len() >= majority {
                 majority_at.get_or_insert(now);
@@ -66,11 +95,25 @@
 
     /// Chooses the value when a majority has promised and the replicas had time to report.
     fn choose_if_ready(&mut self) {
-        let Some(proposal) = &self.proposal else { return };
-        let Phase::Preparing { promises, majority_at: Some(majority_at) } = &proposal.phase else { return };
-        let former = proposal.base.primary.filter(|primary| *primary != self.witness.id);
-        let all_reported =
-            proposal.base.replicas.iter().all(|id| promises.contains_key(id) || Some(*id) == former);
+        let Some(proposal) = &self.proposal else {
+            return;
+        };
+        let Phase::Preparing {
+            promises,
+            majority_at: Some(majority_at),
+        } = &proposal.phase
+        else {
+            return;
+        };
+        let former = proposal
+            .base
+            .primary
+            .filter(|primary| *primary != self.witness.id);
+        let all_reported = proposal
+            .base
+            .replicas
+            .iter()
+            .all(|id| promises.contains_key(id) || Some(*id) == former);
         let is_change = proposal.purpose == Purpose::Change;
         if !is_change && !all_reported && self.now < majority_at + REPORT_MS {
             return;
@@ -93,20 +136,35 @@
             reign.proposed.extend(value.replicas.iter().copied());
             reign.yielded |= value.primary != Some(self.witness.id);
         }
-        let Some(proposal) = &mut self.proposal else { return };
+        let Some(proposal) = &mut self.proposal else {
+            return;
+        };
         let is_public = proposal.purpose == Purpose::Change;
-        proposal.phase = Phase::Accepting { value, accepts: BTreeSet::new(), is_public };
+        proposal.phase = Phase::Accepting {
+            value,
+            accepts: BTreeSet::new(),
+            is_public,
+        };
         self.repeat_proposal();
     }
 
     pub(crate) fn on_accepted(&mut self, from: DiskId, instance: u64, ballot: Ballot) {
         let me = self.witness.id;
-        let Some(proposal) = &mut self.proposal else { return };
+        let Some(proposal) = &mut self.proposal else {
+            return;
+        };
         if !proposal.is_about(instance, ballot) || !proposal.base.is_member(from) {
             return;
         }
         let majority = proposal.base.majority();
-        let Phase::Accepting { value, accepts, is_public } = &mut proposal.phase else { return };
+        let Phase::Accepting {
+            value,
+            accepts,
+            is_public,
+        } = &mut proposal.phase
+        else {
+            return;
+        };
         accepts.insert(from);
         if accepts.len() >= majority {
             let decided = value.clone();
@@ -125,11 +183,20 @@
         self.learn(record.clone());
         let me = self.witness.id;
         for member in record.members.iter().filter(|member| member.id != me) {
-            self.send(member.address.internal.clone(), Message::Decided { record: record.clone() });
+            self.send(
+                member.address.internal.clone(),
+                Message::Decided {
+                    record: record.clone(),
+                },
+            );
         }
-        let removed = former.members.iter().filter(|member| !record.is_member(member.id));
-        let removed: Vec<(u64, Arc<str>)> =
-            removed.map(|member| (record.epoch, member.address.internal.clone())).collect();
+        let removed = former
+            .members
+            .iter()
+            .filter(|member| !record.is_member(member.id));
+        let removed: Vec<(u64, Arc<str>)> = removed
+            .map(|member| (record.epoch, member.address.internal.clone()))
+            .collect();
         match &mut self.reign {
             Some(reign) => reign.removed.extend(removed),
             None => self.tell_removed(&removed),
@@ -149,11 +216,14 @@
         let recorded = self.recorded;
         let peers = &reign.peers;
         let holders = |epoch: u64| {
-            usize::from(recorded >= epoch) + peers.values().filter(|peer| peer.recorded >= epoch).count()
+            usize::from(recorded >= epoch)
+                + peers.values().filter(|peer| peer.recorded >= epoch).count()
         };
         let is_known = |epoch: u64| holders(epoch) >= needed || cfg!(feature = "mutant-dismissal");
-        let (told, untold): (Vec<_>, Vec<_>) =
-            reign.removed.drain(..).partition(|(epoch, _)| is_known(*epoch));
+        let (told, untold): (Vec<_>, Vec<_>) = reign
+            .removed
+            .drain(..)
+            .partition(|(epoch, _)| is_known(*epoch));
         reign.removed = untold;
         self.tell_removed(&told);
     }
@@ -161,12 +231,19 @@
     fn tell_removed(&mut self, removed: &[(u64, Arc<str>)]) {
         let record = self.witness.decided.clone();
         for (_, to) in removed {
-            self.send(to.clone(), Message::Decided { record: record.clone() });
+            self.send(
+                to.clone(),
+                Message::Decided {
+                    record: record.clone(),
+                },
+            );
         }
     }
 
     pub(crate) fn on_refused(&mut self, instance: u64, promise: Ballot) {
-        let Some(proposal) = &self.proposal else { return };
+        let Some(proposal) = &self.proposal else {
+            return;
+        };
         if proposal.instance() != instance || promise <= proposal.ballot {
             return;
         }
@@ -181,11 +258,14 @@
         let least = BACK_OFF_MS.max(self.disk.sync_time(self.now));
         let most = (least * 4) << self.refusals.min(MOST_BACK_OFF_DOUBLINGS);
         self.refusals = self.refusals.saturating_add(1);
-        self.random.random_range(least..=most.min(LONGEST_BACK_OFF_MS.max(least)))
+        self.random
+            .random_range(least..=most.min(LONGEST_BACK_OFF_MS.max(least)))
     }
 
     pub(crate) fn tick_proposal(&mut self) {
-        let Some(proposal) = &self.proposal else { return };
+        let Some(proposal) = &self.proposal else {
+            return;
+        };
         if self.now > proposal.started + PROPOSAL_LIFE_MS {
             self.proposal = None;
             return;
--- a/crates/coordination/src/recent.rs
+++ b/crates/coordination/src/recent.rs
@@ -35,7 +35,10 @@
     pub fn reaches_from(&self, position: Position) -> bool {
         match self.get(position.sequence + 1) {
             Some(batch) => batch.previous == position,
-            None => self.batches.back().is_some_and(|newest| newest.position == position),
+            None => self
+                .batches
+                .back()
+                .is_some_and(|newest| newest.position == position),
         }
     }
 
--- a/crates/coordination/src/reconfiguration.rs
+++ b/crates/coordination/src/reconfiguration.rs
@@ -22,19 +22,27 @@
         }
         let known = self.witness.decided.member(member.id);
         let is_same = known.is_some_and(|known| known.address == member.address);
-        let is_me = member.id == self.witness.id || member.address.internal == self.settings.me.internal;
+        let is_me =
+            member.id == self.witness.id || member.address.internal == self.settings.me.internal;
         if self.reign.is_none() || is_same || is_me {
             return;
         }
         if self.joiners.len() < MOST_JOINERS || self.joiners.contains_key(&member.id) {
-            self.joiners.insert(member.id, Joiner { member, heard: self.now });
+            self.joiners.insert(
+                member.id,
+                Joiner {
+                    member,
+                    heard: self.now,
+                },
+            );
         }
     }
 
     /// Looks whether another record is wanted, and proposes it.
     pub(crate) fn reconsider(&mut self) {
         let now = self.now;
-        self.joiners.retain(|_, joiner| now < joiner.heard + JOINER_LIFE_MS);
+        self.joiners
+            .retain(|_, joiner| now < joiner.heard + JOINER_LIFE_MS);
         self.choose_learners();
         let Some(reign) = &mut self.reign else { return };
         if now < reign.next_change || self.proposal.is_some() || now < self.quiet_until {
@@ -83,7 +91,9 @@
                 }
                 continue;
             }
-            let Some(peer) = reign.peers.get(id) else { continue };
+            let Some(peer) = reign.peers.get(id) else {
+                continue;
+            };
             if self.keeps_up(reign, peer) {
                 wanted.push(*id);
                 sound += 1;
@@ -115,7 +125,10 @@
 
     /// Whether a learner may be named.
     fn is_level(&self, reign: &Reign, peer: &Peer) -> bool {
-        self.keeps_up(reign, peer) && self.lag(reign, peer).is_some_and(|lag| lag < LEARNER_LAG_MS)
+        self.keeps_up(reign, peer)
+            && self
+                .lag(reign, peer)
+                .is_some_and(|lag| lag < LEARNER_LAG_MS)
     }
 
     /// Age of the oldest batch that it lacks; none while it lacks something committed.
@@ -138,12 +151,14 @@
         let now = self.now;
         let wanted = self.copies_wanted();
         let Some(reign) = &self.reign else { return };
-        let sound = reign
-            .peers
-            .values()
-            .filter(|peer| peer.is_replica && (self.keeps_up(reign, peer) || self.is_levelling(reign, peer)));
+        let sound = reign.peers.values().filter(|peer| {
+            peer.is_replica && (self.keeps_up(reign, peer) || self.is_levelling(reign, peer))
+        });
         let mut missing = wanted.saturating_sub(sound.count() + 1);
-        let is_known = |peer: &Peer| peer.position.is_some_and(|position| self.recent.reaches_from(position));
+        let is_known = |peer: &Peer| {
+            peer.position
+                .is_some_and(|position| self.recent.reaches_from(position))
+        };
         let mut order: Vec<(bool, bool, DiskId)> = reign
             .peers
             .iter()
@@ -178,20 +193,26 @@
             return None;
         }
         let is_drained = reign.outstanding.is_empty() && reign.pending.is_empty();
-        let wants_leave = self.leaving.is_some_and(|since| is_drained || now >= since + LEAVE_DRAIN_MS);
+        let wants_leave = self
+            .leaving
+            .is_some_and(|since| is_drained || now >= since + LEAVE_DRAIN_MS);
         if !wants_leave && !self.disk.in_trouble(now) {
             return None;
         }
         let others = self.desired_replicas(reign, false);
         let enough = !others.contains(&self.witness.id);
-        let may_stay = self.leaving.is_none_or(|since| now >= since + LEAVE_REPLICAS_MS);
+        let may_stay = self
+            .leaving
+            .is_none_or(|since| now >= since + LEAVE_REPLICAS_MS);
         if !enough && !may_stay {
             return None;
         }
-        let fast = others
-            .iter()
-            .copied()
-            .find(|id| reign.peers.get(id).is_some_and(|peer| self.is_level(reign, peer)))?;
+        let fast = others.iter().copied().find(|id| {
+            reign
+                .peers
+                .get(id)
+                .is_some_and(|peer| self.is_level(reign, peer))
+        })?;
         let mut replicas = vec![fast];
         replicas.extend(others.into_iter().filter(|id| *id != fast));
         Some((fast, replicas))
@@ -204,12 +225,16 @@
         let mut members = self.witness.decided.members.clone();
         for joiner in self.joiners.values() {
             let same = members.iter().position(|known| {
-                known.id == joiner.member.id || known.address.internal == joiner.member.address.internal
+                known.id == joiner.member.id
+                    || known.address.internal == joiner.member.address.internal
             });
-            let place = same.or_else(|| self.absent_member(reign, &members, replicas, REPLACED_AFTER_MS));
+            let place =
+                same.or_else(|| self.absent_member(reign, &members, replicas, REPLACED_AFTER_MS));
             match place {
                 Some(index) => members[index] = joiner.member.clone(),
-                None if members.len() < MOST_MEMBERS && !self.has_doubtful_member(reign, &members) => {
+                None if members.len() < MOST_MEMBERS
+                    && !self.has_doubtful_member(reign, &members) =>
+                {
                     members.push(joiner.member.clone());
                 }
                 None => {}
@@ -225,9 +250,17 @@
 
     /// A member that leaves or has been silent for so long, and that is no replica.
     fn absent_member(
-        &self, reign: &Reign, members: &[Member], replicas: &[DiskId], silence: Millis,
+        &self,
+        reign: &Reign,
+        members: &[Member],
+        replicas: &[DiskId],
+        silence: Millis,
     ) -> Option<usize> {
-        let silence = if cfg!(feature = "mutant-absent") { MEMBER_SILENCE_MS } else { silence };
+        let silence = if cfg!(feature = "mutant-absent") {
+            MEMBER_SILENCE_MS
+        } else {
+            silence
+        };
         let leaves = |peer: &Peer| peer.leaving && !cfg!(feature = "mutant-absent");
         let is_absent = |peer: &Peer| leaves(peer) || self.now >= peer.heard + silence;
         members.iter().position(|member| {
@@ -242,10 +275,14 @@
             let is_silent = !peer.responds(self.now) && self.now < peer.heard + REPLACED_AFTER_MS;
             is_silent && !cfg!(feature = "mutant-absent")
         };
-        members.iter().any(|member| reign.peers.get(&member.id).is_some_and(is_doubtful))
+        members
+            .iter()
+            .any(|member| reign.peers.get(&member.id).is_some_and(is_doubtful))
     }
 }
 
 fn has_stuck_copy(peer: &Peer, now: Millis) -> bool {
-    peer.copy.as_ref().is_some_and(|copy| now > copy.progress_at + COPY_REST_MS)
+    peer.copy
+        .as_ref()
+        .is_some_and(|copy| now > copy.progress_at + COPY_REST_MS)
 }
--- a/crates/coordination/src/reign.rs
+++ b/crates/coordination/src/reign.rs
@@ -93,7 +93,9 @@
     /// How long ago the batch was made; 0 if there is none yet.
     pub fn batch_age(&self, sequence: u64, excused_until: Millis, now: Millis) -> Millis {
         let index = sequence.saturating_sub(self.made_from);
-        let made = usize::try_from(index).ok().and_then(|index| self.made.get(index));
+        let made = usize::try_from(index)
+            .ok()
+            .and_then(|index| self.made.get(index));
         made.map_or(0, |made| now.saturating_sub(excused_until.max(*made)))
     }
 }
--- a/crates/coordination/src/replication.rs
+++ b/crates/coordination/src/replication.rs
@@ -23,7 +23,10 @@
         self.opening = None;
         self.incoming = None;
         let previous = self.applied;
-        let position = Position { epoch, sequence: previous.sequence + 1 };
+        let position = Position {
+            epoch,
+            sequence: previous.sequence + 1,
+        };
         self.reign = Some(Reign::new(epoch, position.sequence, self.now));
         self.committed = self.appended;
         self.sync_peers();
@@ -51,7 +54,10 @@
         reign.peers.retain(|id, _| record.is_member(*id));
         for member in record.members.iter().filter(|member| member.id != me) {
             let address = member.address.internal.clone();
-            let peer = reign.peers.entry(member.id).or_insert_with(|| Peer::new(address.clone(), now));
+            let peer = reign
+                .peers
+                .entry(member.id)
+                .or_insert_with(|| Peer::new(address.clone(), now));
             peer.address = address;
             let was_replica = std::mem::replace(&mut peer.is_replica, record.is_replica(member.id));
             if was_replica && !peer.is_replica && peer.responds(now) {
@@ -75,12 +81,19 @@
         if self.is_forsaken() {
             return self.abdicate();
         }
-        if self.leaving.is_some_and(|since| now >= since + LEAVE_MOST_MS) {
+        if self
+            .leaving
+            .is_some_and(|since| now >= since + LEAVE_MOST_MS)
+        {
             if let Some(reign) = &mut self.reign {
                 reign.yielded = true;
             }
         }
-        if self.reign.as_ref().is_some_and(|reign| now >= reign.next_keepalive) {
+        if self
+            .reign
+            .as_ref()
+            .is_some_and(|reign| now >= reign.next_keepalive)
+        {
             self.send_keepalives();
         }
         self.cut_batches();
@@ -90,15 +103,25 @@
 
     pub(crate) fn on_alive(&mut self, from: DiskId, reign: u64, sent: Millis, said: Acknowledged) {
         let now = self.now;
-        let Some(mine) = self.reign.as_mut().filter(|mine| mine.epoch == reign) else { return };
-        let Some(peer) = mine.peers.get_mut(&from) else { return };
+        let Some(mine) = self.reign.as_mut().filter(|mine| mine.epoch == reign) else {
+            return;
+        };
+        let Some(peer) = mine.peers.get_mut(&from) else {
+            return;
+        };
         peer.leaving = said.leaving;
         peer.recorded = peer.recorded.max(said.recorded);
         self.dismiss_removed();
         if sent > now || said.leaving && sent == 0 {
             return;
         }
-        let Some(peer) = self.reign.as_mut().and_then(|mine| mine.peers.get_mut(&from)) else { return };
+        let Some(peer) = self
+            .reign
+            .as_mut()
+            .and_then(|mine| mine.peers.get_mut(&from))
+        else {
+            return;
+        };
         peer.heard = now;
         peer.answered = true;
         peer.lease_from = peer.lease_from.max(Some(sent));
@@ -114,7 +137,9 @@
     fn note_position(&mut self, from: DiskId, position: Position) {
         let now = self.now;
         let Some(reign) = &mut self.reign else { return };
-        let Some(peer) = reign.peers.get_mut(&from) else { return };
+        let Some(peer) = reign.peers.get_mut(&from) else {
+            return;
+        };
         if !peer.report(position, now) {
             return;
         }
@@ -128,7 +153,13 @@
     pub(crate) fn on_copy_next(&mut self, from: DiskId, copy: u64, next: u64) {
         let now = self.now;
         let Some(reign) = &mut self.reign else { return };
-        let Some(outgoing) = reign.peers.get_mut(&from).and_then(|peer| peer.copy.as_mut()) else { return };
+        let Some(outgoing) = reign
+            .peers
+            .get_mut(&from)
+            .and_then(|peer| peer.copy.as_mut())
+        else {
+            return;
+        };
         if outgoing.id == copy {
             outgoing.acknowledge(next, now);
             self.send_data();
@@ -158,9 +189,16 @@
         let now = self.now;
         let Some(reign) = &mut self.reign else { return };
         let previous = self.applied;
-        let position = Position { epoch: reign.epoch, sequence: previous.sequence + 1 };
+        let position = Position {
+            epoch: reign.epoch,
+            sequence: previous.sequence + 1,
+        };
         reign.note_batch(position.sequence, append, now);
-        self.apply(Batch { previous, position, writes: Arc::new(writes) });
+        self.apply(Batch {
+            previous,
+            position,
+            writes: Arc::new(writes),
+        });
         self.send_data();
     }
 
@@ -180,15 +218,26 @@
     fn send_data_to(&mut self, id: DiskId) {
         let (now, me, epoch) = (self.now, self.witness.id, self.witness.decided.epoch);
         let Some(reign) = &mut self.reign else { return };
-        let Some(peer) = reign.peers.get_mut(&id) else { return };
-        let Some(position) = peer.position else { return };
+        let Some(peer) = reign.peers.get_mut(&id) else {
+            return;
+        };
+        let Some(position) = peer.position else {
+            return;
+        };
         let mut messages = Vec::new();
         if self.recent.reaches_from(position) {
             peer.copy = None;
             peer.rewind(now);
             while peer.sent < (position.sequence + SEND_WINDOW).min(self.applied.sequence) {
-                let Some(batch) = self.recent.get(peer.sent + 1) else { break };
-                messages.push(Message::Append { from: me, epoch, reign: reign.epoch, batch: batch.clone() });
+                let Some(batch) = self.recent.get(peer.sent + 1) else {
+                    break;
+                };
+                messages.push(Message::Append {
+                    from: me,
+                    epoch,
+                    reign: reign.epoch,
+                    batch: batch.clone(),
+                });
                 peer.sent += 1;
             }
         } else if position != self.applied && peer.responds(now) {
@@ -196,7 +245,9 @@
             let (applied, state) = (self.applied, &self.state);
             let copy = peer.copy.get_or_insert_with(|| {
                 *last_copy += 1;
-                log::info!("whole copy {last_copy} to {id}: its position {position:?}, here {applied:?}");
+                log::info!(
+                    "whole copy {last_copy} to {id}: its position {position:?}, here {applied:?}"
+                );
                 crate::copy::OutgoingCopy::new(*last_copy, applied, state.clone(), now)
             });
             for part in copy.due(now) {
@@ -224,11 +275,17 @@
         if !self.has_enough_replicas() {
             return;
         }
-        let mut all = if self.synced.epoch == reign.epoch { self.synced.sequence } else { 0 };
+        let mut all = if self.synced.epoch == reign.epoch {
+            self.synced.sequence
+        } else {
+            0
+        };
         if !cfg!(feature = "mutant-copies") {
             for id in self.required(reign) {
                 let peer = reign.peers.get(&id);
-                let synced = peer.and_then(|peer| peer.acknowledged(reign.epoch)).unwrap_or(0);
+                let synced = peer
+                    .and_then(|peer| peer.acknowledged(reign.epoch))
+                    .unwrap_or(0);
                 all = all.min(synced);
             }
         }
@@ -242,7 +299,10 @@
         }
         reign.committed = sequence;
         let mut append = None;
-        while let Some(oldest) = reign.outstanding.pop_front_if(|oldest| oldest.sequence <= sequence) {
+        while let Some(oldest) = reign
+            .outstanding
+            .pop_front_if(|oldest| oldest.sequence <= sequence)
+        {
             append = oldest.append.or(append);
         }
         if let Some(append) = append {
--- a/crates/coordination/src/report.rs
+++ b/crates/coordination/src/report.rs
@@ -13,11 +13,18 @@
     /// What this machine knows of the control plane.
     pub fn view(&self, now: Millis) -> ClusterView {
         let record = &self.witness.decided;
-        let primary = record.primary.and_then(|id| record.member(id)).filter(|_| self.is_primary_alive(now));
+        let primary = record
+            .primary
+            .and_then(|id| record.member(id))
+            .filter(|_| self.is_primary_alive(now));
         ClusterView {
             epoch: record.epoch,
             primary: primary.map(|member| member.address.clone()),
-            members: record.members.iter().map(|member| member.address.clone()).collect(),
+            members: record
+                .members
+                .iter()
+                .map(|member| member.address.clone())
+                .collect(),
         }
     }
 
@@ -26,7 +33,9 @@
             return !reign.yielded && now < reign.acted_at + self.settings.lease_ms * 2;
         }
         let is_vacant = self.vacant_reign == Some(self.witness.decided.reign);
-        let heard = self.primary_heard.is_some_and(|heard| now < heard + self.settings.lease_ms * 3 / 2);
+        let heard = self
+            .primary_heard
+            .is_some_and(|heard| now < heard + self.settings.lease_ms * 3 / 2);
         heard && !is_vacant && self.opening.is_none()
     }
 
@@ -40,7 +49,10 @@
             applied: self.applied,
             synced: self.synced,
             committed: self.reign.as_ref().map_or(0, |reign| reign.committed),
-            peers: self.reign.as_ref().map_or_else(Vec::new, |reign| reign.peer_statuses(now)),
+            peers: self
+                .reign
+                .as_ref()
+                .map_or_else(Vec::new, |reign| reign.peer_statuses(now)),
         }
     }
 
@@ -60,7 +72,9 @@
     /// After [`Input::Leave`](crate::events::Input::Leave): no longer primary, replaced as a replica, and no member that an even number can spare; or the
     /// time for that is over.
     pub fn may_leave(&self) -> bool {
-        let Some(since) = self.leaving else { return false };
+        let Some(since) = self.leaving else {
+            return false;
+        };
         let is_over = self.now >= since + LEAVE_MOST_MS;
         let record = &self.witness.decided;
         let is_needed = record.is_replica(self.witness.id) || self.is_to_be_removed();
@@ -81,10 +95,16 @@
         self.tell_vacant();
         let is_member = self.witness.decided.is_member(self.witness.id);
         self.next_hello = self.now + if is_member { LOST_HELLO_MS } else { HELLO_MS };
-        let silent = self.primary_heard.is_none_or(|heard| self.now > heard + LOST_PRIMARY_MS);
+        let silent = self
+            .primary_heard
+            .is_none_or(|heard| self.now > heard + LOST_PRIMARY_MS);
         let is_lost = silent && !self.may_act(self.now);
         // A machine that leaves does not ask to be let in again.
-        let is_wanted = if is_member { is_lost } else { self.leaving.is_none() };
+        let is_wanted = if is_member {
+            is_lost
+        } else {
+            self.leaving.is_none()
+        };
         if !is_wanted {
             return;
         }
@@ -95,20 +115,41 @@
     }
 
     fn known_addresses(&self) -> impl Iterator<Item = Arc<str>> + '_ {
-        let members = self.witness.decided.members.iter().map(|member| &member.address);
-        let others = members.chain(&self.settings.seeds).map(|address| address.internal.clone());
+        let members = self
+            .witness
+            .decided
+            .members
+            .iter()
+            .map(|member| &member.address);
+        let others = members
+            .chain(&self.settings.seeds)
+            .map(|address| address.internal.clone());
         others.filter(|address| *address != self.settings.me.internal)
     }
 
     /// Says who this is, to be told the newest record or to be let in.
     pub(crate) fn hello(&mut self, to: Arc<str>) {
-        let member = Member { id: self.witness.id, address: self.settings.me.clone() };
-        self.send(to, Message::Hello { member, epoch: self.witness.decided.epoch });
+        let member = Member {
+            id: self.witness.id,
+            address: self.settings.me.clone(),
+        };
+        self.send(
+            to,
+            Message::Hello {
+                member,
+                epoch: self.witness.decided.epoch,
+            },
+        );
     }
 
     pub(crate) fn tell_newest(&mut self, to: &Arc<str>) {
         if !self.witness.decided.members.is_empty() {
-            self.send(to.clone(), Message::Decided { record: self.witness.decided.clone() });
+            self.send(
+                to.clone(),
+                Message::Decided {
+                    record: self.witness.decided.clone(),
+                },
+            );
         }
     }
 }
--- a/crates/coordination/src/sanity.rs
+++ b/crates/coordination/src/sanity.rs
@@ -28,27 +28,63 @@
             Message::Hello { epoch, .. } => number(*epoch),
             Message::Decided { record } => check_record(record),
             Message::Prepare { base, ballot } => check_record(base).and(check_ballot(ballot)),
-            Message::Promised { instance, ballot, accepted, position, .. } => {
-                number(*instance).and(check_ballot(ballot)).and(check_position(position))?;
-                let Some((ballot, record)) = accepted else { return Ok(()) };
+            Message::Promised {
+                instance,
+                ballot,
+                accepted,
+                position,
+                ..
+            } => {
+                number(*instance)
+                    .and(check_ballot(ballot))
+                    .and(check_position(position))?;
+                let Some((ballot, record)) = accepted else {
+                    return Ok(());
+                };
                 check_ballot(ballot).and(check_record(record))
             }
-            Message::Accept { base, ballot, value } => {
-                check_record(base).and(check_record(value)).and(check_ballot(ballot))
-            }
-            Message::Accepted { instance, ballot, .. } => number(*instance).and(check_ballot(ballot)),
+            Message::Accept {
+                base,
+                ballot,
+                value,
+            } => check_record(base)
+                .and(check_record(value))
+                .and(check_ballot(ballot)),
+            Message::Accepted {
+                instance, ballot, ..
+            } => number(*instance).and(check_ballot(ballot)),
             Message::Refused { instance, promise } => number(*instance).and(check_ballot(promise)),
             Message::Keepalive { record, sent } => check_record(record).and(check_time(*sent)),
-            Message::Alive { reign, sent, position, recorded, .. } => {
+            Message::Alive {
+                reign,
+                sent,
+                position,
+                recorded,
+                ..
+            } => {
                 number(*reign).and(number(*recorded))?;
                 check_time(*sent).and(check_position(position))
             }
-            Message::Append { epoch, reign, batch, .. } => {
+            Message::Append {
+                epoch,
+                reign,
+                batch,
+                ..
+            } => {
                 number(*epoch).and(number(*reign))?;
                 check_position(&batch.previous).and(check_position(&batch.position))
             }
-            Message::Synced { reign, position, .. } => number(*reign).and(check_position(position)),
-            Message::Copy { epoch, reign, copy, index, position, .. } => {
+            Message::Synced {
+                reign, position, ..
+            } => number(*reign).and(check_position(position)),
+            Message::Copy {
+                epoch,
+                reign,
+                copy,
+                index,
+                position,
+                ..
+            } => {
                 number(*epoch).and(number(*reign)).and(number(*copy))?;
                 number(*index).and(check_position(position))
             }
--- a/crates/coordination/src/types.rs
+++ b/crates/coordination/src/types.rs
@@ -29,7 +29,9 @@
 }
 
 /// Identifies a disk from its first use until it is lost. A machine that lost its disk has a new one.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct DiskId(pub u64);
 
 impl fmt::Display for DiskId {
@@ -98,7 +100,9 @@
 }
 
 /// Number of a proposal. Unique, since `start` is counted on the proposer's disk.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Ballot {
     /// Above all rounds that the proposer has seen.
     pub round: u64,
@@ -127,7 +131,9 @@
 }
 
 /// A point in the history of the state. Two states at the same position are identical.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Position {
     /// The epoch in which the primary took office that wrote the batch (`EpochRecord::reign`).
     pub epoch: u64,
--- a/crates/coordination/tests/cluster/checks.rs
+++ b/crates/coordination/tests/cluster/checks.rs
@@ -24,7 +24,11 @@
             process.is_some_and(|process| process.may_act(self.now))
         };
         let actors: Vec<usize> = (0..self.nodes.len()).filter(may_act).collect();
-        assert!(actors.len() <= 1, "TWO PRIMARIES {actors:?}: {}", self.describe());
+        assert!(
+            actors.len() <= 1,
+            "TWO PRIMARIES {actors:?}: {}",
+            self.describe()
+        );
     }
 
     /// Whoever knows the record of an epoch knows the same.
@@ -37,20 +41,31 @@
         }
         node.checked_epoch = epoch;
         let record = process.status(self.now).record;
-        let known = self.checks.records.entry(epoch).or_insert_with(|| record.clone()).clone();
+        let known = self
+            .checks
+            .records
+            .entry(epoch)
+            .or_insert_with(|| record.clone())
+            .clone();
         assert_eq!(known, record, "RECORDS DIFFER: {}", self.describe());
     }
 
     /// From its first act on, a primary shows all that its state holds: that counts as committed.
     pub fn note_exposed(&mut self, index: usize) {
-        let Some(process) = &self.nodes[index].process else { return };
+        let Some(process) = &self.nodes[index].process else {
+            return;
+        };
         let reign = process.status(self.now).record.reign;
         if std::mem::replace(&mut self.nodes[index].acted_in, reign) == reign {
             return;
         }
-        let Some(process) = &self.nodes[index].process else { return };
+        let Some(process) = &self.nodes[index].process else {
+            return;
+        };
         let state = process.state();
-        let numbers = state.keys().filter_map(|key| key.strip_prefix("key/")?.parse::<u64>().ok());
+        let numbers = state
+            .keys()
+            .filter_map(|key| key.strip_prefix("key/")?.parse::<u64>().ok());
         for key in numbers {
             self.checks.committed.entry(key).or_insert(reign);
         }
@@ -59,26 +74,49 @@
     /// What is committed is synced on more disks than may be lost.
     pub fn check_copies(&self, key: u64) {
         let name = format!("key/{key:08}");
-        let disks = self.nodes.iter().map(|node| &node.durable.state).chain(&self.checks.lost_disks);
-        let copies = disks.filter(|state| state.contains_key(name.as_str())).count();
-        assert!(copies > self.tolerance, "TOO FEW COPIES of {key}: {copies}: {}", self.describe());
+        let disks = self
+            .nodes
+            .iter()
+            .map(|node| &node.durable.state)
+            .chain(&self.checks.lost_disks);
+        let copies = disks
+            .filter(|state| state.contains_key(name.as_str()))
+            .count();
+        assert!(
+            copies > self.tolerance,
+            "TOO FEW COPIES of {key}: {copies}: {}",
+            self.describe()
+        );
     }
 
     /// A new primary holds all that was committed in earlier reigns. (One that stood still may find itself elected when
     /// later ones have already followed; it never acts.)
     pub fn check_state(&self, index: usize) {
-        let Some(process) = &self.nodes[index].process else { return };
+        let Some(process) = &self.nodes[index].process else {
+            return;
+        };
         let state = process.state();
         let reign = process.status(self.now).record.reign;
-        let earlier = self.checks.committed.iter().filter(|(_, committed_in)| **committed_in <= reign);
+        let earlier = self
+            .checks
+            .committed
+            .iter()
+            .filter(|(_, committed_in)| **committed_in <= reign);
         let earlier: Vec<u64> = earlier.map(|(key, _)| *key).collect();
         for key in &earlier {
             let is_there = state.contains_key(format!("key/{key:08}").as_str());
             assert!(is_there, "LOST {key} at {index}: {}", self.describe());
         }
-        let counter = state.get("counter").and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
+        let counter = state
+            .get("counter")
+            .and_then(|text| text.parse::<u64>().ok())
+            .unwrap_or(0);
         let newest = earlier.last().copied().unwrap_or(0);
-        assert!(counter >= newest, "OLD VALUE {counter} < {newest} at {index}: {}", self.describe());
+        assert!(
+            counter >= newest,
+            "OLD VALUE {counter} < {newest} at {index}: {}",
+            self.describe()
+        );
     }
 
     /// All replicas hold the same on disk; call it when nothing is under way.
@@ -86,8 +124,17 @@
         let replicas = self.replicas();
         let disk = |index: &usize| &self.nodes[*index].durable;
         for pair in replicas.windows(2) {
-            assert_eq!(disk(&pair[0]).position, disk(&pair[1]).position, "{}", self.describe());
-            assert!(disk(&pair[0]).state == disk(&pair[1]).state, "STATES DIFFER: {}", self.describe());
+            assert_eq!(
+                disk(&pair[0]).position,
+                disk(&pair[1]).position,
+                "{}",
+                self.describe()
+            );
+            assert!(
+                disk(&pair[0]).state == disk(&pair[1]).state,
+                "STATES DIFFER: {}",
+                self.describe()
+            );
         }
     }
 
@@ -97,7 +144,12 @@
             match &node.process {
                 Some(process) => {
                     let status = process.status(self.now);
-                    let names: Vec<String> = status.record.replicas.iter().map(|id| id.to_string()).collect();
+                    let names: Vec<String> = status
+                        .record
+                        .replicas
+                        .iter()
+                        .map(|id| id.to_string())
+                        .collect();
                     let members = status.record.members.len();
                     for peer in &status.peers {
                         text += &format!("   {peer:?}\n");
--- a/crates/coordination/tests/cluster/mod.rs
+++ b/crates/coordination/tests/cluster/mod.rs
@@ -27,10 +27,24 @@
 
 /// What happens at a point in time.
 enum Event {
-    Tick { node: usize, life: u64 },
-    Deliver { node: usize, from: Arc<str>, message: Message },
-    DiskDone { node: usize, life: u64, ticket: u64 },
-    Append { node: usize, life: u64 },
+    Tick {
+        node: usize,
+        life: u64,
+    },
+    Deliver {
+        node: usize,
+        from: Arc<str>,
+        message: Message,
+    },
+    DiskDone {
+        node: usize,
+        life: u64,
+        ticket: u64,
+    },
+    Append {
+        node: usize,
+        life: u64,
+    },
 }
 
 /// A machine with its disk.
@@ -88,7 +102,11 @@
     /// A cluster at its very first start: the first three machines are the seeds.
     pub fn new(size: usize, tolerance: usize, seed: u64) -> Cluster {
         let nodes: Vec<Node> = (0..size).map(new_node).collect();
-        let seeds = nodes.iter().take(3).map(|node| node.address.clone()).collect();
+        let seeds = nodes
+            .iter()
+            .take(3)
+            .map(|node| node.address.clone())
+            .collect();
         Cluster {
             now: 1_000_000,
             nodes,
@@ -139,7 +157,8 @@
     }
 
     pub fn tell(&mut self, text: impl Into<String>) {
-        self.story.push(format!("{:>6} {}", self.now - 1_000_000, text.into()));
+        self.story
+            .push(format!("{:>6} {}", self.now - 1_000_000, text.into()));
     }
 
     pub fn start(&mut self, index: usize) {
@@ -229,7 +248,8 @@
 
     fn schedule(&mut self, after: Millis, event: Event) {
         self.next_event += 1;
-        self.events.insert((self.now + after, self.next_event), event);
+        self.events
+            .insert((self.now + after, self.next_event), event);
     }
 
     pub fn run(&mut self, span: Millis) {
@@ -255,7 +275,10 @@
                 break;
             }
             let ((at, _), event) = entry.remove_entry();
-            taken += usize::from(matches!(event, Event::Deliver { .. } | Event::DiskDone { .. }));
+            taken += usize::from(matches!(
+                event,
+                Event::Deliver { .. } | Event::DiskDone { .. }
+            ));
             self.now = self.now.max(at);
             self.take(event);
         }
@@ -269,7 +292,11 @@
         self.run_until_calm(2_000);
         let before = self.checks.committed.len();
         self.run(500);
-        assert!(self.checks.committed.len() > before + 10, "no progress: {}", self.describe());
+        assert!(
+            self.checks.committed.len() > before + 10,
+            "no progress: {}",
+            self.describe()
+        );
         self.append_every_ms = 1_000_000;
         self.run(1_000);
         self.check_replicas_agree();
@@ -279,7 +306,11 @@
     }
 
     /// Runs until `done` holds, at most for `most`; returns how long that took.
-    pub fn run_until(&mut self, most: Millis, mut done: impl FnMut(&Cluster) -> bool) -> Option<Millis> {
+    pub fn run_until(
+        &mut self,
+        most: Millis,
+        mut done: impl FnMut(&Cluster) -> bool,
+    ) -> Option<Millis> {
         let start = self.now;
         while self.now < start + most {
             if done(self) {
@@ -292,37 +323,68 @@
 
     pub fn run_until_calm(&mut self, most: Millis) {
         let done = self.run_until(most, Cluster::is_calm);
-        assert!(done.is_some(), "not calm after {most} ms: {}", self.describe());
+        assert!(
+            done.is_some(),
+            "not calm after {most} ms: {}",
+            self.describe()
+        );
     }
 
     /// A primary acts, every running machine is a member, and there are as many replicas as are wanted.
     pub fn is_calm(&self) -> bool {
-        let Some(primary) = self.actor() else { return false };
-        let Some(record) = self.record(primary) else { return false };
-        let running: Vec<&Coordinator> = self.nodes.iter().filter_map(|node| node.process.as_ref()).collect();
+        let Some(primary) = self.actor() else {
+            return false;
+        };
+        let Some(record) = self.record(primary) else {
+            return false;
+        };
+        let running: Vec<&Coordinator> = self
+            .nodes
+            .iter()
+            .filter_map(|node| node.process.as_ref())
+            .collect();
         let wanted = (self.tolerance + 2).min(running.len());
-        let all_in = running.iter().all(|process| record.is_member(process.status(self.now).id));
+        let all_in = running
+            .iter()
+            .all(|process| record.is_member(process.status(self.now).id));
         all_in && record.replicas.len() >= wanted
     }
 
     /// The machine that may act.
     pub fn actor(&self) -> Option<usize> {
-        let may_act = |node: &Node| node.process.as_ref().is_some_and(|process| process.may_act(self.now));
-        self.nodes.iter().position(|node| may_act(node) && node.frozen_until <= self.now)
+        let may_act = |node: &Node| {
+            node.process
+                .as_ref()
+                .is_some_and(|process| process.may_act(self.now))
+        };
+        self.nodes
+            .iter()
+            .position(|node| may_act(node) && node.frozen_until <= self.now)
     }
 
     pub fn record(&self, index: usize) -> Option<Arc<EpochRecord>> {
-        self.nodes[index].process.as_ref().map(|process| process.status(self.now).record)
+        self.nodes[index]
+            .process
+            .as_ref()
+            .map(|process| process.status(self.now).record)
     }
 
     pub fn id(&self, index: usize) -> DiskId {
-        self.nodes[index].durable.witness.as_ref().map_or(DiskId(0), |witness| witness.id)
+        self.nodes[index]
+            .durable
+            .witness
+            .as_ref()
+            .map_or(DiskId(0), |witness| witness.id)
     }
 
     /// Machines that are replicas in the actor's record, the actor first.
     pub fn replicas(&self) -> Vec<usize> {
-        let Some(actor) = self.actor() else { return Vec::new() };
-        let Some(record) = self.record(actor) else { return Vec::new() };
+        let Some(actor) = self.actor() else {
+            return Vec::new();
+        };
+        let Some(record) = self.record(actor) else {
+            return Vec::new();
+        };
         let others = (0..self.nodes.len()).filter(|index| *index != actor);
         let others = others.filter(|index| record.is_replica(self.id(*index)));
         std::iter::once(actor).chain(others).collect()
@@ -342,7 +404,11 @@
                 self.schedule(TICK_MS, Event::Tick { node, life });
                 self.hand_in(node, Input::Tick);
             }
-            Event::Deliver { node, from, message } => self.hand_in(node, Input::Received { from, message }),
+            Event::Deliver {
+                node,
+                from,
+                message,
+            } => self.hand_in(node, Input::Received { from, message }),
             Event::DiskDone { node, life, ticket } if self.nodes[node].life == life => {
                 self.disk_done(node, ticket);
             }
@@ -359,7 +425,9 @@
         if node.process.is_none() {
             return;
         }
-        let Some((_, change)) = node.under_way.take() else { return };
+        let Some((_, change)) = node.under_way.take() else {
+            return;
+        };
         if node.disk_fails {
             return self.hand_in(index, Input::PersistFailed { ticket });
         }
@@ -370,17 +438,23 @@
     /// The primary's own work: it writes a new key and, in the same append, raises a counter.
     fn append(&mut self, index: usize) {
         let now = self.now;
-        let Some(process) = self.nodes[index].process.as_mut() else { return };
+        let Some(process) = self.nodes[index].process.as_mut() else {
+            return;
+        };
         if !process.may_act(now) || process.appended() - process.committed() > 50 {
             return;
         }
         self.note_exposed(index);
-        let Some(process) = self.nodes[index].process.as_mut() else { return };
+        let Some(process) = self.nodes[index].process.as_mut() else {
+            return;
+        };
         self.next_key += 1;
         let key = self.next_key;
         let padding = "x".repeat(self.value_bytes);
-        let writes =
-            vec![Write::set(format!("key/{key:08}"), padding), Write::set("counter", key.to_string())];
+        let writes = vec![
+            Write::set(format!("key/{key:08}"), padding),
+            Write::set("counter", key.to_string()),
+        ];
         let (sequence, outputs) = process.append(now, writes);
         self.nodes[index].appends.push_back((sequence, key));
         self.carry_out(index, outputs);
@@ -388,7 +462,9 @@
 
     pub fn hand_in(&mut self, index: usize, input: Input) {
         let now = self.now;
-        let Some(process) = self.nodes[index].process.as_mut() else { return };
+        let Some(process) = self.nodes[index].process.as_mut() else {
+            return;
+        };
         let outputs = process.handle(now, input);
         self.carry_out(index, outputs);
         self.check_actors();
@@ -411,8 +487,18 @@
     }
 
     fn transmit(&mut self, index: usize, to: Arc<str>, message: Message) {
-        let Some(target) = self.nodes.iter().position(|node| node.address.internal == to) else { return };
-        if self.loses.as_mut().is_some_and(|loses| loses(index, target, &message)) {
+        let Some(target) = self
+            .nodes
+            .iter()
+            .position(|node| node.address.internal == to)
+        else {
+            return;
+        };
+        if self
+            .loses
+            .as_mut()
+            .is_some_and(|loses| loses(index, target, &message))
+        {
             return;
         }
         let copies = 1 + usize::from(self.random.random_bool(self.doubled));
@@ -424,7 +510,14 @@
             let most = if is_late { MOST_LATE_MS } else { self.delay_ms };
             let delay = self.random.random_range(1..=most);
             let from = self.nodes[index].address.internal.clone();
-            self.schedule(delay, Event::Deliver { node: target, from, message: message.clone() });
+            self.schedule(
+                delay,
+                Event::Deliver {
+                    node: target,
+                    from,
+                    message: message.clone(),
+                },
+            );
         }
     }
 
@@ -433,7 +526,14 @@
         assert!(node.under_way.is_none(), "two changes of the disk at once");
         node.under_way = Some((ticket, change));
         let (life, sync_ms) = (node.life, node.sync_ms);
-        self.schedule(sync_ms, Event::DiskDone { node: index, life, ticket });
+        self.schedule(
+            sync_ms,
+            Event::DiskDone {
+                node: index,
+                life,
+                ticket,
+            },
+        );
     }
 
     fn committed(&mut self, index: usize, sequence: u64) {
--- a/crates/coordination/tests/cluster/schedule.rs
+++ b/crates/coordination/tests/cluster/schedule.rs
@@ -60,7 +60,9 @@
     }
 
     fn slow_disk(&mut self, victim: usize) {
-        let sync_ms = *[270, 1_000, 3_000].get(self.random.random_range(0..3)).unwrap_or(&270);
+        let sync_ms = *[270, 1_000, 3_000]
+            .get(self.random.random_range(0..3))
+            .unwrap_or(&270);
         self.tell(format!("slow disk {victim}: {sync_ms}"));
         self.nodes[victim].sync_ms = sync_ms;
     }
@@ -72,7 +74,8 @@
         self.cuts.insert((a, b));
         if self.random.random_bool(0.5) {
             // All that `a` says is lost.
-            self.cuts.extend((0..self.nodes.len()).map(|other| (a, other)));
+            self.cuts
+                .extend((0..self.nodes.len()).map(|other| (a, other)));
         }
     }
 
@@ -98,7 +101,9 @@
     /// Only while a primary acts, so that enough copies are there, and only as many as leave a majority of members.
     fn wipe_within_tolerance(&mut self) {
         let Some(actor) = self.actor() else { return };
-        let Some(record) = self.record(actor) else { return };
+        let Some(record) = self.record(actor) else {
+            return;
+        };
         let mut alive = 0;
         for index in 0..self.nodes.len() {
             let id = self.id(index);
@@ -130,7 +135,10 @@
             self.run(wait);
         }
         for index in 0..self.nodes.len() {
-            let is_gone = self.nodes[index].process.as_ref().is_none_or(|process| process.may_leave());
+            let is_gone = self.nodes[index]
+                .process
+                .as_ref()
+                .is_none_or(|process| process.may_leave());
             if is_gone && self.random.random_bool(0.5) {
                 self.restart(index);
             }
--- a/crates/coordination/tests/copies.rs
+++ b/crates/coordination/tests/copies.rs
@@ -24,8 +24,8 @@
 }
 
 #[test]
-fn given_the_first_word_of_a_receiver_that_comes_again_late_when_the_copy_goes_on_then_it_is_completed_soon()
-{
+fn given_the_first_word_of_a_receiver_that_comes_again_late_when_the_copy_goes_on_then_it_is_completed_soon(
+) {
     let (mut cluster, replica) = with_a_wiped_replica(300);
     let primary = cluster.replicas()[0];
     let words: Rc<RefCell<Vec<Message>>> = Rc::default();
@@ -38,15 +38,33 @@
     }));
     cluster.start(replica);
     let is_under_way = |_: &Cluster| words.borrow().len() >= 12;
-    assert!(cluster.run_until(3_000, is_under_way).is_some(), "no copy: {}", cluster.describe());
+    assert!(
+        cluster.run_until(3_000, is_under_way).is_some(),
+        "no copy: {}",
+        cluster.describe()
+    );
     let Some(Message::CopyNext { from, copy, .. }) = words.borrow().first().cloned() else {
         panic!("no word")
     };
     let address: Arc<str> = cluster.nodes[replica].address.internal.clone();
-    let late = Message::CopyNext { from, copy, next: 0 };
-    cluster.hand_in(primary, Input::Received { from: address, message: late });
+    let late = Message::CopyNext {
+        from,
+        copy,
+        next: 0,
+    };
+    cluster.hand_in(
+        primary,
+        Input::Received {
+            from: address,
+            message: late,
+        },
+    );
     let level = cluster.run_until(CATCH_UP_MS, Cluster::is_calm);
-    assert!(level.is_some_and(|took| took < 1_500), "{level:?}: {}", cluster.describe());
+    assert!(
+        level.is_some_and(|took| took < 1_500),
+        "{level:?}: {}",
+        cluster.describe()
+    );
 }
 
 /// A machine that has missed changes is brought up while as many more are made, and neither leads nor counts before.
--- a/crates/coordination/tests/elections.rs
+++ b/crates/coordination/tests/elections.rs
@@ -12,7 +12,12 @@
 const SLOW_SYNC_MS: Millis = 270;
 
 /// All machines but a replica with a slow disk lose power and return; returns the time until somebody acts.
-fn election_after_power_loss(size: usize, tolerance: usize, delay_ms: Millis, seed: u64) -> Option<Millis> {
+fn election_after_power_loss(
+    size: usize,
+    tolerance: usize,
+    delay_ms: Millis,
+    seed: u64,
+) -> Option<Millis> {
     let mut cluster = Cluster::calm(size, tolerance, seed);
     let replicas = cluster.replicas();
     let slow = replicas[1 + seed as usize % (replicas.len() - 1)];
@@ -30,7 +35,8 @@
 
 #[rstest]
 fn given_a_candidate_with_a_slow_disk_when_the_others_return_then_one_acts_soon(
-    #[values((5, 1), (9, 2))] (size, tolerance): (usize, usize), #[values(3, 12)] delay_ms: Millis,
+    #[values((5, 1), (9, 2))] (size, tolerance): (usize, usize),
+    #[values(3, 12)] delay_ms: Millis,
 ) {
     let times = (1..=SEEDS).map(|seed| election_after_power_loss(size, tolerance, delay_ms, seed));
     let mut times: Vec<Millis> = times.map(|time| time.unwrap_or(Millis::MAX)).collect();
--- a/crates/coordination/tests/messages.rs
+++ b/crates/coordination/tests/messages.rs
@@ -9,7 +9,10 @@
 use streamusher_protocol::store::Write;
 
 fn address(index: u64) -> CoreAddress {
-    CoreAddress { internal: format!("10.0.0.{index}:1").into(), control: format!("10.0.0.{index}:2").into() }
+    CoreAddress {
+        internal: format!("10.0.0.{index}:1").into(),
+        control: format!("10.0.0.{index}:2").into(),
+    }
 }
 
 fn settings() -> Settings {
@@ -37,7 +40,9 @@
     let mut sent = Vec::new();
     while let Some(output) = open.pop() {
         match output {
-            Output::Persist { ticket, .. } => open.extend(machine.handle(now, Input::Persisted { ticket })),
+            Output::Persist { ticket, .. } => {
+                open.extend(machine.handle(now, Input::Persisted { ticket }))
+            }
             Output::Send { message, .. } => sent.push(message),
             _ => {}
         }
@@ -46,30 +51,84 @@
 }
 
 fn receive(machine: &mut Coordinator, now: u64, message: Message) -> Vec<Message> {
-    let outputs = machine.handle(now, Input::Received { from: address(1).internal, message });
+    let outputs = machine.handle(
+        now,
+        Input::Received {
+            from: address(1).internal,
+            message,
+        },
+    );
     sync_all(machine, now, outputs)
 }
 
 fn record(machine: &Coordinator, epoch: u64) -> Arc<EpochRecord> {
     let first = machine.status(1_000).record;
-    let primary = first.members.iter().find(|member| member.address == address(1)).map(|member| member.id);
+    let primary = first
+        .members
+        .iter()
+        .find(|member| member.address == address(1))
+        .map(|member| member.id);
     let replicas = first.replicas.clone();
-    Arc::new(EpochRecord { epoch, reign: epoch, primary, replicas, ..EpochRecord::clone(&first) })
+    Arc::new(EpochRecord {
+        epoch,
+        reign: epoch,
+        primary,
+        replicas,
+        ..EpochRecord::clone(&first)
+    })
 }
 
 #[test]
 fn given_a_newer_record_when_an_older_one_is_used_then_the_newest_is_told() {
     let mut machine = started();
     let (old, new) = (record(&machine, 2), record(&machine, 5));
-    receive(&mut machine, 1_100, Message::Decided { record: new.clone() });
-    let ballot = Ballot { round: 9, ..Ballot::default() };
-    let newest = vec![Message::Decided { record: new.clone() }];
-    assert_eq!(receive(&mut machine, 1_110, Message::Keepalive { record: old.clone(), sent: 1 }), newest);
-    assert_eq!(receive(&mut machine, 1_110, Message::Prepare { base: old.clone(), ballot }), newest);
-    let accept = Message::Accept { base: old.clone(), ballot, value: record(&machine, 3) };
+    receive(
+        &mut machine,
+        1_100,
+        Message::Decided {
+            record: new.clone(),
+        },
+    );
+    let ballot = Ballot {
+        round: 9,
+        ..Ballot::default()
+    };
+    let newest = vec![Message::Decided {
+        record: new.clone(),
+    }];
+    assert_eq!(
+        receive(
+            &mut machine,
+            1_110,
+            Message::Keepalive {
+                record: old.clone(),
+                sent: 1
+            }
+        ),
+        newest
+    );
+    assert_eq!(
+        receive(
+            &mut machine,
+            1_110,
+            Message::Prepare {
+                base: old.clone(),
+                ballot
+            }
+        ),
+        newest
+    );
+    let accept = Message::Accept {
+        base: old.clone(),
+        ballot,
+        value: record(&machine, 3),
+    };
     assert_eq!(receive(&mut machine, 1_110, accept), newest);
     let member = old.members[1].clone();
-    assert_eq!(receive(&mut machine, 1_110, Message::Hello { member, epoch: 2 }), newest);
+    assert_eq!(
+        receive(&mut machine, 1_110, Message::Hello { member, epoch: 2 }),
+        newest
+    );
     assert_eq!(machine.epoch(), 5);
 }
 
@@ -77,23 +136,67 @@
 fn given_a_promise_when_a_lower_ballot_comes_then_it_is_refused() {
     let mut machine = started();
     let base = record(&machine, 5);
-    let high = Ballot { round: 9, ..Ballot::default() };
-    let low = Ballot { round: 8, ..Ballot::default() };
-    let promised = receive(&mut machine, 1_100, Message::Prepare { base: base.clone(), ballot: high });
+    let high = Ballot {
+        round: 9,
+        ..Ballot::default()
+    };
+    let low = Ballot {
+        round: 8,
+        ..Ballot::default()
+    };
+    let promised = receive(
+        &mut machine,
+        1_100,
+        Message::Prepare {
+            base: base.clone(),
+            ballot: high,
+        },
+    );
     assert!(matches!(promised[..], [Message::Promised { ballot, .. }] if ballot == high));
-    let refused = vec![Message::Refused { instance: 6, promise: high }];
-    assert_eq!(receive(&mut machine, 1_110, Message::Prepare { base: base.clone(), ballot: low }), refused);
-    let accept = Message::Accept { base: base.clone(), ballot: low, value: record(&machine, 6) };
+    let refused = vec![Message::Refused {
+        instance: 6,
+        promise: high,
+    }];
+    assert_eq!(
+        receive(
+            &mut machine,
+            1_110,
+            Message::Prepare {
+                base: base.clone(),
+                ballot: low
+            }
+        ),
+        refused
+    );
+    let accept = Message::Accept {
+        base: base.clone(),
+        ballot: low,
+        value: record(&machine, 6),
+    };
     assert_eq!(receive(&mut machine, 1_110, accept), refused);
 }
 
 #[test]
 fn given_a_change_not_yet_synced_then_no_promise_is_sent() {
     let mut machine = started();
-    let message =
-        Message::Prepare { base: record(&machine, 5), ballot: Ballot { round: 9, ..Ballot::default() } };
-    let outputs = machine.handle(1_100, Input::Received { from: address(1).internal, message });
-    let sent = outputs.iter().filter(|output| matches!(output, Output::Send { .. })).count();
+    let message = Message::Prepare {
+        base: record(&machine, 5),
+        ballot: Ballot {
+            round: 9,
+            ..Ballot::default()
+        },
+    };
+    let outputs = machine.handle(
+        1_100,
+        Input::Received {
+            from: address(1).internal,
+            message,
+        },
+    );
+    let sent = outputs
+        .iter()
+        .filter(|output| matches!(output, Output::Send { .. }))
+        .count();
     let tickets: Vec<u64> = outputs
         .iter()
         .filter_map(|output| match output {
@@ -105,9 +208,18 @@
     let failed = machine.handle(1_110, Input::PersistFailed { ticket: tickets[0] });
     assert!(failed.is_empty(), "{failed:?}");
     let retried = machine.handle(1_300, Input::Tick);
-    assert!(retried.iter().any(|output| matches!(output, Output::Persist { .. })), "{retried:?}");
+    assert!(
+        retried
+            .iter()
+            .any(|output| matches!(output, Output::Persist { .. })),
+        "{retried:?}"
+    );
     let sent = sync_all(&mut machine, 1_310, retried);
-    assert!(sent.iter().any(|message| matches!(message, Message::Promised { .. })), "{sent:?}");
+    assert!(
+        sent.iter()
+            .any(|message| matches!(message, Message::Promised { .. })),
+        "{sent:?}"
+    );
 }
 
 #[test]
@@ -115,13 +227,17 @@
     let mut machine = started();
     let (sequence, outputs) = machine.append(1_100, vec![Write::set("key", "value")]);
     assert!(outputs.is_empty());
-    assert_eq!((sequence, machine.appended(), machine.committed()), (1, 1, 0));
+    assert_eq!(
+        (sequence, machine.appended(), machine.committed()),
+        (1, 1, 0)
+    );
     assert!(machine.state().is_empty());
     assert!(!machine.may_act(1_100));
 }
 
 #[test]
-fn given_messages_as_text_when_they_are_read_back_then_they_are_the_same() -> Result<(), serde_json::Error> {
+fn given_messages_as_text_when_they_are_read_back_then_they_are_the_same(
+) -> Result<(), serde_json::Error> {
     let machine = started();
     let mut random = Pcg64Mcg::seed_from_u64(3);
     for _ in 0..500 {
@@ -133,7 +249,9 @@
 }
 
 #[rstest]
-fn given_any_messages_in_any_order_then_nothing_panics(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
+fn given_any_messages_in_any_order_then_nothing_panics(
+    #[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64,
+) {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     for _ in 0..40 {
         let mut machine = started();
@@ -172,16 +290,25 @@
     let members = machine.status(0).record.members.clone();
     match random.random_range(0..8) {
         0 => DiskId(random.random()),
-        index => members.get(index % members.len().max(1)).map_or(DiskId(1), |member| member.id),
+        index => members
+            .get(index % members.len().max(1))
+            .map_or(DiskId(1), |member| member.id),
     }
 }
 
 fn any_ballot(random: &mut Pcg64Mcg, machine: &Coordinator) -> Ballot {
-    Ballot { round: any_number(random), disk: any_id(random, machine), start: any_number(random) }
+    Ballot {
+        round: any_number(random),
+        disk: any_id(random, machine),
+        start: any_number(random),
+    }
 }
 
 fn any_position(random: &mut Pcg64Mcg) -> Position {
-    Position { epoch: any_number(random), sequence: any_number(random) }
+    Position {
+        epoch: any_number(random),
+        sequence: any_number(random),
+    }
 }
 
 fn any_record(random: &mut Pcg64Mcg, machine: &Coordinator) -> Arc<EpochRecord> {
@@ -190,21 +317,41 @@
         return known;
     }
     let next = known.epoch.saturating_add(random.random_range(0..3));
-    let epoch = if random.random_bool(0.9) { next } else { any_number(random) };
-    let reign = if random.random_bool(0.6) { epoch } else { any_number(random) };
+    let epoch = if random.random_bool(0.9) {
+        next
+    } else {
+        any_number(random)
+    };
+    let reign = if random.random_bool(0.6) {
+        epoch
+    } else {
+        any_number(random)
+    };
     let primary = random.random_bool(0.9).then(|| any_id(random, machine));
     let count = random.random_range(0..5);
     let replicas = (0..count).map(|_| any_id(random, machine)).collect();
     let count = random.random_range(0..12);
     let members = match random.random_bool(0.7) {
         true => known.members.clone(),
-        false => (0..count).map(|index| any_member(random, machine, index)).collect(),
+        false => (0..count)
+            .map(|index| any_member(random, machine, index))
+            .collect(),
     };
-    Arc::new(EpochRecord { epoch, reign, primary, replicas, members, proposer: any_id(random, machine) })
+    Arc::new(EpochRecord {
+        epoch,
+        reign,
+        primary,
+        replicas,
+        members,
+        proposer: any_id(random, machine),
+    })
 }
 
 fn any_member(random: &mut Pcg64Mcg, machine: &Coordinator, index: u64) -> Member {
-    Member { id: any_id(random, machine), address: address(index) }
+    Member {
+        id: any_id(random, machine),
+        address: address(index),
+    }
 }
 
 fn any_message(random: &mut Pcg64Mcg, machine: &Coordinator) -> Message {
@@ -217,10 +364,18 @@
     match random.random_range(0..14) {
         0 => {
             let index = random.random_range(0..6);
-            Message::Hello { member: any_member(random, machine, index), epoch: any_number(random) }
+            Message::Hello {
+                member: any_member(random, machine, index),
+                epoch: any_number(random),
+            }
         }
-        1 => Message::Decided { record: any_record(random, machine) },
-        2 => Message::Prepare { base: any_record(random, machine), ballot: any_ballot(random, machine) },
+        1 => Message::Decided {
+            record: any_record(random, machine),
+        },
+        2 => Message::Prepare {
+            base: any_record(random, machine),
+            ballot: any_ballot(random, machine),
+        },
         3 => Message::Promised {
             from,
             instance: epoch.saturating_add(1),
@@ -233,11 +388,19 @@
             ballot: any_ballot(random, machine),
             value: any_record(random, machine),
         },
-        5 => {
-            Message::Accepted { from, instance: epoch.saturating_add(1), ballot: any_ballot(random, machine) }
-        }
-        6 => Message::Refused { instance: epoch.saturating_add(1), promise: any_ballot(random, machine) },
-        7 => Message::Keepalive { record: any_record(random, machine), sent: any_number(random) },
+        5 => Message::Accepted {
+            from,
+            instance: epoch.saturating_add(1),
+            ballot: any_ballot(random, machine),
+        },
+        6 => Message::Refused {
+            instance: epoch.saturating_add(1),
+            promise: any_ballot(random, machine),
+        },
+        7 => Message::Keepalive {
+            record: any_record(random, machine),
+            sent: any_number(random),
+        },
         8 => Message::Alive {
             from,
             reign,
@@ -252,10 +415,18 @@
                 from,
                 epoch,
                 reign,
-                batch: Batch { previous, position, writes: Arc::new(writes) },
+                batch: Batch {
+                    previous,
+                    position,
+                    writes: Arc::new(writes),
+                },
             }
         }
-        10 => Message::Synced { from, reign, position: any_position(random) },
+        10 => Message::Synced {
+            from,
+            reign,
+            position: any_position(random),
+        },
         11 => Message::Copy {
             from,
             epoch,
@@ -266,7 +437,11 @@
             position: any_position(random),
             writes,
         },
-        12 => Message::CopyNext { from, copy: any_number(random), next: any_number(random) },
+        12 => Message::CopyNext {
+            from,
+            copy: any_number(random),
+            next: any_number(random),
+        },
         _ => Message::Vacant { from, reign },
     }
 }
--- a/crates/coordination/tests/newcomers.rs
+++ b/crates/coordination/tests/newcomers.rs
@@ -23,7 +23,13 @@
         let cluster = Cluster::calm(5, 1, seed);
         let replicas = cluster.replicas();
         let ids = (0..5).map(|index| cluster.id(index)).collect();
-        Story { cluster, primary: replicas[0], old: replicas[1], third: replicas[2], ids }
+        Story {
+            cluster,
+            primary: replicas[0],
+            old: replicas[1],
+            third: replicas[2],
+            ids,
+        }
     }
 
     /// The primary loses its disk and the old replica is down for a while: only the new one could be elected.
@@ -37,7 +43,9 @@
         // `Elected` checks the state of whoever is elected.
         self.cluster.run(4_000);
         self.cluster.start_all();
-        let acts = self.cluster.run_until(3_000, |cluster| cluster.actor().is_some());
+        let acts = self
+            .cluster
+            .run_until(3_000, |cluster| cluster.actor().is_some());
         assert!(acts.is_some(), "nobody acts: {}", self.cluster.describe());
         let actor = self.cluster.actor().unwrap_or(0);
         self.cluster.check_state(actor);
@@ -73,7 +81,11 @@
     }));
     story.cluster.crash(story.third);
     let done = story.cluster.run_until(3_000, |_| proposed.get().is_some());
-    assert!(done.is_some(), "no new replica: {}", story.cluster.describe());
+    assert!(
+        done.is_some(),
+        "no new replica: {}",
+        story.cluster.describe()
+    );
     story.cluster.run(200);
     // The old replica has time to bring the open proposal to its end.
     story.leave_the_new_one_alone(1_300);
@@ -108,7 +120,8 @@
 /// Too few copies are left without it, so that it stays among the replicas until another machine is level.
 #[rstest]
 fn given_a_seed_that_is_down_at_the_first_start_when_the_others_come_then_they_go_on_without_it(
-    #[values((3, 1), (5, 1), (5, 2), (9, 2))] shape: (usize, usize), #[values(0, 1, 2)] down: usize,
+    #[values((3, 1), (5, 1), (5, 2), (9, 2))] shape: (usize, usize),
+    #[values(0, 1, 2)] down: usize,
 ) {
     let mut cluster = Cluster::new(shape.0, shape.1, 5);
     for index in (0..shape.0).filter(|index| *index != down) {
--- a/crates/coordination/tests/records_model.rs
+++ b/crates/coordination/tests/records_model.rs
@@ -133,9 +133,12 @@
                 Output::Send { to, message } if decides(&message) => {
                     let receiver = (0..MEMBERS).find(|other| address(*other).internal == to);
                     let sent = receiver.map(|receiver| (index, receiver, message));
-                    self.network.extend(sent.filter(|sent| !self.network.contains(sent)));
+                    self.network
+                        .extend(sent.filter(|sent| !self.network.contains(sent)));
+                }
+                Output::Persist { ticket, change } => {
+                    self.nodes[index].under_way = Some((ticket, change))
                 }
-                Output::Persist { ticket, change } => self.nodes[index].under_way = Some((ticket, change)),
                 _ => {}
             }
         }
@@ -147,7 +150,9 @@
     }
 
     fn sync(&mut self, index: usize) {
-        let Some((ticket, change)) = self.nodes[index].under_way.take() else { return };
+        let Some((ticket, change)) = self.nodes[index].under_way.take() else {
+            return;
+        };
         carry_out(&mut self.nodes[index].durable, change);
         self.hand_in(index, Input::Persisted { ticket });
     }
@@ -171,9 +176,20 @@
     }
 
     fn named(mut self) -> State {
-        let mut sent: Vec<String> = self.network.iter().map(|sent| format!("{sent:?}")).collect();
+        let mut sent: Vec<String> = self
+            .network
+            .iter()
+            .map(|sent| format!("{sent:?}"))
+            .collect();
         sent.sort();
-        let State { now, nodes, known, crashes, steps, .. } = &self;
+        let State {
+            now,
+            nodes,
+            known,
+            crashes,
+            steps,
+            ..
+        } = &self;
         let text = format!("{now} {nodes:?} {sent:?} {known:?} {crashes} {steps}");
         let half = |salt: u8| {
             let mut hasher = DefaultHasher::new();
@@ -191,7 +207,11 @@
 
     fn init_states(&self) -> Vec<State> {
         let node = |index| Node {
-            process: Arc::new(Coordinator::new(settings(index), DiskImage::default(), 1_000)),
+            process: Arc::new(Coordinator::new(
+                settings(index),
+                DiskImage::default(),
+                1_000,
+            )),
             durable: DiskImage::default(),
             under_way: None,
         };
@@ -220,7 +240,10 @@
     fn actions(&self, state: &State, steps: &mut Vec<Step>) {
         steps.extend(state.network.iter().cloned().map(Step::Deliver));
         let node = self.crashing;
-        let is_under_way = state.nodes.get(node).is_some_and(|machine| machine.under_way.is_some());
+        let is_under_way = state
+            .nodes
+            .get(node)
+            .is_some_and(|machine| machine.under_way.is_some());
         if is_under_way {
             steps.push(Step::Sync(node));
         }
@@ -241,7 +264,13 @@
             Step::Deliver(sent) => {
                 let place = state.network.iter().position(|other| *other == sent)?;
                 let (from, to, message) = state.network.swap_remove(place);
-                state.hand_in(to, Input::Received { from: address(from).internal, message });
+                state.hand_in(
+                    to,
+                    Input::Received {
+                        from: address(from).internal,
+                        message,
+                    },
+                );
             }
             Step::Sync(node) => state.sync(node),
             Step::Crash { node, made } => state.crash(node, made),
@@ -255,13 +284,18 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("members know the same record of an epoch", |_, state: &State| {
-                state.nodes.iter().all(|node| {
-                    let record = node.process.status(state.now).record;
-                    state.known.get(&record.epoch) == Some(&record)
-                })
+            Property::always(
+                "members know the same record of an epoch",
+                |_, state: &State| {
+                    state.nodes.iter().all(|node| {
+                        let record = node.process.status(state.now).record;
+                        state.known.get(&record.epoch) == Some(&record)
+                    })
+                },
+            ),
+            Property::sometimes("a record is decided", |_, state: &State| {
+                state.known.len() > 1
             }),
-            Property::sometimes("a record is decided", |_, state: &State| state.known.len() > 1),
         ]
     }
 
@@ -275,7 +309,10 @@
 /// States that are looked at at most where the space is larger; `RECORDS_STATES` names another number.
 fn most_states() -> usize {
     const STATES: usize = 150_000;
-    std::env::var("RECORDS_STATES").ok().and_then(|text| text.parse().ok()).unwrap_or(STATES)
+    std::env::var("RECORDS_STATES")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(STATES)
 }
 
 /// No member crashes.
@@ -288,13 +325,27 @@
 #[case::a_voter_crashes(2, 2, 0)]
 #[case::time_passes(NOBODY, 0, 1)]
 fn given_two_candidates_in_any_order_of_events_then_one_record_is_decided(
-    #[case] crashing: usize, #[case] most_crashes: u8, #[case] most_steps: u8,
+    #[case] crashing: usize,
+    #[case] most_crashes: u8,
+    #[case] most_steps: u8,
 ) {
-    let model = Members { crashing, most_crashes, most_steps };
-    let checker = model.checker().threads(2).target_state_count(most_states()).spawn_dfs().join();
+    let model = Members {
+        crashing,
+        most_crashes,
+        most_steps,
+    };
+    let checker = model
+        .checker()
+        .threads(2)
+        .target_state_count(most_states())
+        .spawn_dfs()
+        .join();
     let is_whole = checker.state_count() < most_states();
     let (states, depth) = (checker.unique_state_count(), checker.max_depth());
     println!("{crashing} crashes {most_crashes} times, {most_steps} steps: {states} states, depth {depth}, whole: {is_whole}");
-    assert!(is_whole || most_steps > 0, "without steps of time the space is explored whole");
+    assert!(
+        is_whole || most_steps > 0,
+        "without steps of time the space is explored whole"
+    );
     checker.assert_properties();
 }
--- a/crates/coordination/tests/search.rs
+++ b/crates/coordination/tests/search.rs
@@ -8,7 +8,10 @@
 /// Each size and tolerance is searched with so many seeds; `COORDINATION_SEEDS` names another number.
 fn seeds() -> u64 {
     const SEEDS: u64 = 25;
-    std::env::var("COORDINATION_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(SEEDS)
+    std::env::var("COORDINATION_SEEDS")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(SEEDS)
 }
 
 #[rstest]
@@ -19,7 +22,8 @@
 #[case::six_machines_two_disks(6, 2)]
 #[case::nine_machines_two_disks(9, 2)]
 fn given_random_faults_when_they_end_then_nothing_is_lost_and_work_goes_on(
-    #[case] size: usize, #[case] tolerance: usize,
+    #[case] size: usize,
+    #[case] tolerance: usize,
 ) {
     for seed in 0..seeds() {
         search(size, tolerance, seed);
@@ -31,11 +35,14 @@
 #[case::five_machines(5, 1)]
 #[case::five_machines_two_disks(5, 2)]
 fn given_a_storm_of_faults_when_it_ends_then_nothing_is_lost_and_work_goes_on(
-    #[case] size: usize, #[case] tolerance: usize,
+    #[case] size: usize,
+    #[case] tolerance: usize,
 ) {
     for seed in 0..seeds() {
         let mut cluster = Cluster::calm(size, tolerance, seed);
-        cluster.tell(format!("storm: size {size} tolerance {tolerance} seed {seed}"));
+        cluster.tell(format!(
+            "storm: size {size} tolerance {tolerance} seed {seed}"
+        ));
         cluster.run_storm(10_000);
         cluster.settle();
     }
--- a/crates/coordination/tests/second_loss.rs
+++ b/crates/coordination/tests/second_loss.rs
@@ -15,7 +15,10 @@
 /// Every so many instants are played; `SECOND_LOSS_STRIDE=1` plays all.
 fn stride() -> usize {
     const STRIDE: usize = 53;
-    std::env::var("SECOND_LOSS_STRIDE").ok().and_then(|text| text.parse().ok()).unwrap_or(STRIDE)
+    std::env::var("SECOND_LOSS_STRIDE")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(STRIDE)
 }
 
 /// Instants that are looked at: beyond them the repair is over in every shape below.
@@ -51,7 +54,10 @@
 
 impl First {
     fn is_told_to_end(self) -> bool {
-        matches!(self, First::RetirePrimary | First::RetireReplica | First::PlanPrimary | First::PlanLast)
+        matches!(
+            self,
+            First::RetirePrimary | First::RetireReplica | First::PlanPrimary | First::PlanLast
+        )
     }
 
     /// The successor has had its time before the machine goes.
@@ -97,7 +103,10 @@
 
 impl Second {
     fn takes_a_disk(self) -> bool {
-        matches!(self, Second::WipeActor | Second::WipeReplica | Second::WipeActorAndPower)
+        matches!(
+            self,
+            Second::WipeActor | Second::WipeReplica | Second::WipeActorAndPower
+        )
     }
 }
 
@@ -116,11 +125,14 @@
         let replicas = cluster.replicas();
         let last = size - 1;
         let victim = match first {
-            First::WipePrimary | First::ReplacePrimary | First::RetirePrimary | First::PlanPrimary => {
-                replicas[0]
-            }
+            First::WipePrimary
+            | First::ReplacePrimary
+            | First::RetirePrimary
+            | First::PlanPrimary => replicas[0],
             First::WipeReplica | First::RetireReplica => replicas[1],
-            First::ReplaceWitness => (0..size).find(|index| !replicas.contains(index)).unwrap_or(last),
+            First::ReplaceWitness => (0..size)
+                .find(|index| !replicas.contains(index))
+                .unwrap_or(last),
             First::PlanLast => last,
         };
         let lost = cluster.id(victim);
@@ -135,7 +147,10 @@
         if first.is_told_to_end() {
             cluster.leave(victim);
             let may_leave = |cluster: &Cluster| {
-                cluster.nodes[victim].process.as_ref().is_none_or(|process| process.may_leave())
+                cluster.nodes[victim]
+                    .process
+                    .as_ref()
+                    .is_none_or(|process| process.may_leave())
             };
             cluster.run_until(GRACE_MS, may_leave);
         }
@@ -143,7 +158,11 @@
         if !first.returns() {
             cluster.remove(victim);
         }
-        Story { cluster, lost, back }
+        Story {
+            cluster,
+            lost,
+            back,
+        }
     }
 
     /// Lets so many instants pass; the first machine comes back meanwhile.
@@ -161,11 +180,23 @@
     /// members to decide are left then, and one that has its record on disk.
     fn is_made_good(&self) -> bool {
         let actor = self.cluster.actor();
-        let Some(record) = actor.and_then(|actor| self.cluster.record(actor)) else { return false };
-        let sound = record.members.iter().filter(|member| member.id != self.lost).count();
+        let Some(record) = actor.and_then(|actor| self.cluster.record(actor)) else {
+            return false;
+        };
+        let sound = record
+            .members
+            .iter()
+            .filter(|member| member.id != self.lost)
+            .count();
         let is_majority = sound >= record.majority() + self.cluster.tolerance;
-        let disks = self.cluster.nodes.iter().filter_map(|node| node.durable.witness.as_ref());
-        let holders = disks.filter(|witness| witness.decided.epoch >= record.epoch).count();
+        let disks = self
+            .cluster
+            .nodes
+            .iter()
+            .filter_map(|node| node.durable.witness.as_ref());
+        let holders = disks
+            .filter(|witness| witness.decided.epoch >= record.epoch)
+            .count();
         is_majority && holders > self.cluster.tolerance && !record.is_replica(self.lost)
     }
 
@@ -173,8 +204,11 @@
     fn actor_or_replica(&self) -> usize {
         let newest = (0..self.cluster.nodes.len()).filter_map(|index| self.cluster.record(index));
         let newest = newest.max_by_key(|record| record.epoch);
-        let is_replica =
-            |index: &usize| newest.as_ref().is_some_and(|record| record.is_replica(self.cluster.id(*index)));
+        let is_replica = |index: &usize| {
+            newest
+                .as_ref()
+                .is_some_and(|record| record.is_replica(self.cluster.id(*index)))
+        };
         let replica = || (0..self.cluster.nodes.len()).find(is_replica);
         self.cluster.actor().or_else(replica).unwrap_or(0)
     }
@@ -227,9 +261,9 @@
 /// Plays one pair of losses at one instant; false where the second one is not borne then.
 fn play(size: usize, tolerance: usize, first: First, second: Second, instant: usize) -> bool {
     let mut story = Story::new(size, tolerance, first);
-    story
-        .cluster
-        .tell(format!("{size} machines, tolerance {tolerance}: {first:?}, {second:?} after {instant}"));
+    story.cluster.tell(format!(
+        "{size} machines, tolerance {tolerance}: {first:?}, {second:?} after {instant}"
+    ));
     let since = story.cluster.now;
     story.pass(instant, since);
     if second.takes_a_disk() && !story.is_made_good() {
@@ -262,7 +296,10 @@
         }
     }
     println!("{shape:?} {first:?}: {played} pairs of losses");
-    assert!(played > 5 * INSTANTS / stride(), "only {played} pairs were played");
+    assert!(
+        played > 5 * INSTANTS / stride(),
+        "only {played} pairs were played"
+    );
 }
 
 /// What operators rely on: the second loss comes at the moment at which the first one does not count any more.
@@ -281,7 +318,9 @@
 ) {
     for second in SECONDS {
         let mut story = Story::new(shape.0, shape.1, first);
-        story.cluster.tell(format!("{shape:?}: {first:?}, {second:?} once it has caught up"));
+        story.cluster.tell(format!(
+            "{shape:?}: {first:?}, {second:?} once it has caught up"
+        ));
         if let Some(back) = story.back.take() {
             story.cluster.run(AWAY_MS);
             story.cluster.start(back);
--- a/crates/coordination/tests/seeds.rs
+++ b/crates/coordination/tests/seeds.rs
@@ -14,8 +14,14 @@
 
 /// A machine with an empty disk that is not let in yet.
 fn newcomer(seeds: Vec<CoreAddress>) -> Coordinator {
-    let settings =
-        Settings { me: core(9), bootstrap: false, seeds, tolerance: 1, lease_ms: 800, random_seed: 7 };
+    let settings = Settings {
+        me: core(9),
+        bootstrap: false,
+        seeds,
+        tolerance: 1,
+        lease_ms: 800,
+        random_seed: 7,
+    };
     let mut machine = Coordinator::new(settings, DiskImage::default(), 0);
     for output in machine.handle(0, Input::Tick) {
         if let Output::Persist { ticket, .. } = output {
@@ -27,9 +33,15 @@
 
 /// Whom the machine greets between two times.
 fn greeted(machine: &mut Coordinator, from: Millis, to: Millis) -> Vec<Arc<str>> {
-    let outputs = (from..to).step_by(20).flat_map(|now| machine.handle(now, Input::Tick)).collect::<Vec<_>>();
+    let outputs = (from..to)
+        .step_by(20)
+        .flat_map(|now| machine.handle(now, Input::Tick))
+        .collect::<Vec<_>>();
     let hello = |output: Output| match output {
-        Output::Send { to, message: Message::Hello { .. } } => Some(to),
+        Output::Send {
+            to,
+            message: Message::Hello { .. },
+        } => Some(to),
         _ => None,
     };
     let mut greeted: Vec<Arc<str>> = outputs.into_iter().filter_map(hello).collect();
@@ -47,6 +59,10 @@
     let after = greeted(&mut machine, 5_000, 10_000);
 
     assert_eq!(before, [core(1).internal]);
-    assert_eq!(after, [core(2).internal, core(3).internal], "itself is never asked");
+    assert_eq!(
+        after,
+        [core(2).internal, core(3).internal],
+        "itself is never asked"
+    );
     assert_eq!(machine.seeds().len(), 3);
 }
