--- a/crates/coordination/tests/stories.rs
+++ b/crates/coordination/tests/stories.rs
@@ -11,7 +11,9 @@
 const FAILOVER_MS: Millis = 1_500;
 
 fn others(cluster: &Cluster, index: usize) -> Vec<usize> {
-    (0..cluster.nodes.len()).filter(|other| *other != index).collect()
+    (0..cluster.nodes.len())
+        .filter(|other| *other != index)
+        .collect()
 }
 
 fn actor(cluster: &Cluster) -> usize {
@@ -22,15 +24,25 @@
 
 /// Runs until another machine than `former` acts.
 fn another_acts(cluster: &mut Cluster, former: usize, most: Millis) -> Millis {
-    let took = cluster.run_until(most, |cluster| cluster.actor().is_some_and(|actor| actor != former));
-    assert!(took.is_some(), "no successor in {most} ms: {}", cluster.describe());
+    let took = cluster.run_until(most, |cluster| {
+        cluster.actor().is_some_and(|actor| actor != former)
+    });
+    assert!(
+        took.is_some(),
+        "no successor in {most} ms: {}",
+        cluster.describe()
+    );
     took.unwrap_or(most)
 }
 
 /// Runs until somebody acts.
 fn somebody_acts(cluster: &mut Cluster, most: Millis) -> Millis {
     let took = cluster.run_until(most, |cluster| cluster.actor().is_some());
-    assert!(took.is_some(), "nobody acts in {most} ms: {}", cluster.describe());
+    assert!(
+        took.is_some(),
+        "nobody acts in {most} ms: {}",
+        cluster.describe()
+    );
     took.unwrap_or(most)
 }
 
@@ -38,7 +50,11 @@
 fn work_goes_on(cluster: &mut Cluster) {
     let before = cluster.checks.committed.len();
     cluster.run(500);
-    assert!(cluster.checks.committed.len() > before + 5, "no progress: {}", cluster.describe());
+    assert!(
+        cluster.checks.committed.len() > before + 5,
+        "no progress: {}",
+        cluster.describe()
+    );
 }
 
 #[rstest]
@@ -49,7 +65,8 @@
 #[case(6, 2)]
 #[case(9, 2)]
 fn given_empty_disks_when_all_start_then_one_acts_and_all_are_members(
-    #[case] size: usize, #[case] tolerance: usize,
+    #[case] size: usize,
+    #[case] tolerance: usize,
 ) {
     let mut cluster = Cluster::new(size, tolerance, 1);
     cluster.start_all();
@@ -70,7 +87,8 @@
 
 #[rstest]
 fn given_a_primary_when_it_is_killed_then_another_acts(
-    #[values(3, 5)] size: usize, #[values(1, 2, 3, 4)] seed: u64,
+    #[values(3, 5)] size: usize,
+    #[values(1, 2, 3, 4)] seed: u64,
 ) {
     let mut cluster = Cluster::calm(size, 1, seed);
     let former = actor(&cluster);
@@ -92,19 +110,26 @@
     let took = somebody_acts(&mut cluster, 400);
     assert!(took > 10, "it acted on its old record");
     let now_acting = actor(&cluster);
-    assert!(cluster.record(now_acting).is_some_and(|record| record.epoch > epoch));
+    assert!(cluster
+        .record(now_acting)
+        .is_some_and(|record| record.epoch > epoch));
     work_goes_on(&mut cluster);
 }
 
 #[rstest]
-fn given_a_primary_when_it_is_cut_off_then_it_stops_before_another_acts(#[values(1, 2, 3, 4, 5)] seed: u64) {
+fn given_a_primary_when_it_is_cut_off_then_it_stops_before_another_acts(
+    #[values(1, 2, 3, 4, 5)] seed: u64,
+) {
     let mut cluster = Cluster::calm(5, 1, seed);
     let former = actor(&cluster);
     cluster.cut(&[former]);
     another_acts(&mut cluster, former, FAILOVER_MS);
     work_goes_on(&mut cluster);
     cluster.run(5_000);
-    assert!(!cluster.nodes[former].process.as_ref().is_some_and(|process| process.may_act(cluster.now)));
+    assert!(!cluster.nodes[former]
+        .process
+        .as_ref()
+        .is_some_and(|process| process.may_act(cluster.now)));
     cluster.heal();
     cluster.run_until_calm(CATCH_UP_MS);
 }
@@ -126,7 +151,11 @@
     let mut cluster = Cluster::calm(5, 1, 3);
     let former = actor(&cluster);
     for other in others(&cluster, former) {
-        cluster.cuts.insert(if is_deaf { (other, former) } else { (former, other) });
+        cluster.cuts.insert(if is_deaf {
+            (other, former)
+        } else {
+            (former, other)
+        });
     }
     another_acts(&mut cluster, former, 2_500);
     work_goes_on(&mut cluster);
@@ -142,7 +171,10 @@
     another_acts(&mut cluster, former, FAILOVER_MS);
     work_goes_on(&mut cluster);
     cluster.run(4_000);
-    let role = cluster.nodes[former].process.as_ref().map(|process| process.status(cluster.now).role);
+    let role = cluster.nodes[former]
+        .process
+        .as_ref()
+        .map(|process| process.status(cluster.now).role);
     assert_ne!(role, Some(Role::Primary));
     cluster.run_until_calm(CATCH_UP_MS);
 }
@@ -165,7 +197,9 @@
 #[case(6, 2)]
 #[case(9, 2)]
 fn given_a_loss_of_power_with_lost_disks_when_all_are_back_then_one_acts_with_all_that_was_committed(
-    #[case] size: usize, #[case] tolerance: usize, #[values(1, 2, 3, 4, 5, 6)] seed: u64,
+    #[case] size: usize,
+    #[case] tolerance: usize,
+    #[values(1, 2, 3, 4, 5, 6)] seed: u64,
 ) {
     let mut cluster = Cluster::calm(size, tolerance, seed);
     cluster.run(seed * 17);
@@ -191,7 +225,11 @@
     let mut cluster = Cluster::calm(5, 1, 1);
     let replicas = cluster.replicas();
     // The seeds hold the state, so a machine that took its old name again would be believed.
-    let wiped = replicas.iter().copied().find(|index| *index < 3 && *index != replicas[0]).unwrap_or(1);
+    let wiped = replicas
+        .iter()
+        .copied()
+        .find(|index| *index < 3 && *index != replicas[0])
+        .unwrap_or(1);
     for index in 0..5 {
         if index == wiped {
             cluster.wipe(index);
@@ -206,7 +244,12 @@
     }
     cluster.run(5_000);
     let elected: u64 = cluster.nodes.iter().map(|node| node.elected).sum();
-    assert_eq!(elected, 1, "somebody was elected without the state: {}", cluster.describe());
+    assert_eq!(
+        elected,
+        1,
+        "somebody was elected without the state: {}",
+        cluster.describe()
+    );
     cluster.start_all();
     somebody_acts(&mut cluster, 1_500);
     cluster.run_until_calm(CATCH_UP_MS);
@@ -251,7 +294,9 @@
     cluster.start(new);
     cluster.run_until_calm(CATCH_UP_MS);
     let record = cluster.record(actor(&cluster));
-    assert!(record.as_ref().is_some_and(|record| !record.is_member(old) && record.members.len() == 5));
+    assert!(record
+        .as_ref()
+        .is_some_and(|record| !record.is_member(old) && record.members.len() == 5));
     work_goes_on(&mut cluster);
 }
 
@@ -262,15 +307,23 @@
         cluster.crash(gone);
         cluster.run(1_000);
         let new = cluster.add_machine();
-        cluster.seeds = (gone + 1..gone + 4).map(|seed| cluster.nodes[seed].address.clone()).collect();
+        cluster.seeds = (gone + 1..gone + 4)
+            .map(|seed| cluster.nodes[seed].address.clone())
+            .collect();
         cluster.start(new);
         cluster.run(8_000);
         let record = cluster.record(actor(&cluster));
-        assert!(record.is_some_and(|record| record.members.len() == 5), "{}", cluster.describe());
+        assert!(
+            record.is_some_and(|record| record.members.len() == 5),
+            "{}",
+            cluster.describe()
+        );
     }
     work_goes_on(&mut cluster);
     // The seeds are gone: a member still finds the others.
-    cluster.seeds = (0..3).map(|seed| cluster.nodes[seed].address.clone()).collect();
+    cluster.seeds = (0..3)
+        .map(|seed| cluster.nodes[seed].address.clone())
+        .collect();
     cluster.crash(5);
     cluster.run(500);
     cluster.start(5);
@@ -296,7 +349,10 @@
 #[case::stalls(3_000, false)]
 #[case::slow(270, false)]
 #[case::full(9, true)]
-fn given_a_primary_with_a_bad_disk_then_it_hands_over(#[case] sync_ms: Millis, #[case] is_full: bool) {
+fn given_a_primary_with_a_bad_disk_then_it_hands_over(
+    #[case] sync_ms: Millis,
+    #[case] is_full: bool,
+) {
     let mut cluster = Cluster::calm(5, 1, 1);
     let former = actor(&cluster);
     cluster.nodes[former].sync_ms = sync_ms;
@@ -314,21 +370,34 @@
     }
     let before = cluster.checks.committed.len();
     cluster.run(10_000);
-    assert!(cluster.checks.committed.len() > before + 100, "{}", cluster.describe());
+    assert!(
+        cluster.checks.committed.len() > before + 100,
+        "{}",
+        cluster.describe()
+    );
 }
 
 #[rstest]
 fn given_a_primary_when_it_leaves_then_it_hands_over_at_once(
-    #[values(3, 5)] size: usize, #[values(1, 2, 3)] seed: u64,
+    #[values(3, 5)] size: usize,
+    #[values(1, 2, 3)] seed: u64,
 ) {
     let mut cluster = Cluster::calm(size, 1, seed);
     let former = actor(&cluster);
     cluster.leave(former);
     let took = another_acts(&mut cluster, former, 400);
     assert!(took < 400);
-    let may_leave =
-        |cluster: &Cluster| cluster.nodes[former].process.as_ref().is_some_and(|process| process.may_leave());
-    assert!(cluster.run_until(500, may_leave).is_some(), "{}", cluster.describe());
+    let may_leave = |cluster: &Cluster| {
+        cluster.nodes[former]
+            .process
+            .as_ref()
+            .is_some_and(|process| process.may_leave())
+    };
+    assert!(
+        cluster.run_until(500, may_leave).is_some(),
+        "{}",
+        cluster.describe()
+    );
     work_goes_on(&mut cluster);
 }
 
@@ -338,9 +407,16 @@
     let replica = cluster.replicas()[1];
     cluster.leave(replica);
     let may_leave = |cluster: &Cluster| {
-        cluster.nodes[replica].process.as_ref().is_some_and(|process| process.may_leave())
+        cluster.nodes[replica]
+            .process
+            .as_ref()
+            .is_some_and(|process| process.may_leave())
     };
-    assert!(cluster.run_until(500, may_leave).is_some(), "{}", cluster.describe());
+    assert!(
+        cluster.run_until(500, may_leave).is_some(),
+        "{}",
+        cluster.describe()
+    );
     cluster.crash(replica);
     work_goes_on(&mut cluster);
     assert!(cluster.replicas().len() >= 3, "{}", cluster.describe());
@@ -352,7 +428,10 @@
     for index in 0..size {
         cluster.leave(index);
         let may_leave = |cluster: &Cluster| {
-            cluster.nodes[index].process.as_ref().is_some_and(|process| process.may_leave())
+            cluster.nodes[index]
+                .process
+                .as_ref()
+                .is_some_and(|process| process.may_leave())
         };
         cluster.run_until(3_000, may_leave);
         cluster.crash(index);
@@ -388,7 +467,11 @@
     cluster.delay_ms = 40;
     let before = cluster.checks.committed.len();
     cluster.run(10_000);
-    assert!(cluster.checks.committed.len() > before + 100, "{}", cluster.describe());
+    assert!(
+        cluster.checks.committed.len() > before + 100,
+        "{}",
+        cluster.describe()
+    );
     cluster.heal();
     cluster.run_until_calm(CATCH_UP_MS);
 }
@@ -403,7 +486,10 @@
         cluster.start(index);
     }
     somebody_acts(&mut cluster, 1_500);
-    assert_eq!(ids, (0..3).map(|index| cluster.id(index)).collect::<Vec<_>>());
+    assert_eq!(
+        ids,
+        (0..3).map(|index| cluster.id(index)).collect::<Vec<_>>()
+    );
 }
 
 #[test]
@@ -412,7 +498,11 @@
     let former = actor(&cluster);
     let witness = others(&cluster, former)[3];
     let view = |cluster: &Cluster| {
-        cluster.nodes[witness].process.as_ref().map(|process| process.view(cluster.now)).unwrap_or_default()
+        cluster.nodes[witness]
+            .process
+            .as_ref()
+            .map(|process| process.view(cluster.now))
+            .unwrap_or_default()
     };
     let address = |cluster: &Cluster, index: usize| Some(cluster.nodes[index].address.clone());
     assert_eq!(view(&cluster).primary, address(&cluster, former));
@@ -433,13 +523,17 @@
     let former = actor(&cluster);
     cluster.cut(&[former]);
     cluster.run(100);
-    let Some(process) = cluster.nodes[former].process.as_ref() else { return };
+    let Some(process) = cluster.nodes[former].process.as_ref() else {
+        return;
+    };
     let committed = process.committed();
     assert!(process.appended() > committed);
     another_acts(&mut cluster, former, FAILOVER_MS);
     cluster.heal();
     cluster.run(2_000);
-    let Some(process) = cluster.nodes[former].process.as_ref() else { return };
+    let Some(process) = cluster.nodes[former].process.as_ref() else {
+        return;
+    };
     assert_eq!(process.committed(), committed);
     assert_ne!(process.status(cluster.now).role, Role::Primary);
 }
@@ -463,9 +557,17 @@
     }
     cluster.start_all();
     cluster.run(1_900);
-    let epochs: u64 = cluster.nodes.iter().filter_map(|node| node.process.as_ref()).map(|p| p.epoch()).sum();
+    let epochs: u64 = cluster
+        .nodes
+        .iter()
+        .filter_map(|node| node.process.as_ref())
+        .map(|p| p.epoch())
+        .sum();
     assert_eq!(epochs, 0);
-    assert!(cluster.nodes.iter().all(|node| node.durable.witness == DiskImage::default().witness));
+    assert!(cluster
+        .nodes
+        .iter()
+        .all(|node| node.durable.witness == DiskImage::default().witness));
 }
 
 #[test]
@@ -484,7 +586,8 @@
 }
 
 #[test]
-fn given_one_replica_back_with_witnesses_when_it_is_wiped_before_it_acts_then_the_others_still_count() {
+fn given_one_replica_back_with_witnesses_when_it_is_wiped_before_it_acts_then_the_others_still_count(
+) {
     let mut cluster = Cluster::calm(5, 1, 1);
     let replicas = cluster.replicas();
     let first = replicas[1];
@@ -493,7 +596,11 @@
         cluster.start(index);
     }
     let is_elected = |cluster: &Cluster| cluster.nodes[first].elected == 1;
-    assert!(cluster.run_until(2_000, is_elected).is_some(), "{}", cluster.describe());
+    assert!(
+        cluster.run_until(2_000, is_elected).is_some(),
+        "{}",
+        cluster.describe()
+    );
     cluster.wipe(first);
     cluster.start_all();
     // `Elected` checks the state against all that was committed.
--- a/crates/dataplane/src/agent/answers.rs
+++ b/crates/dataplane/src/agent/answers.rs
@@ -28,16 +28,32 @@
 const NO_CONTACT_RETRY_MS: Millis = 300;
 
 /// Whether an answer now would tell the worker anything to do.
-pub(super) fn has_orders(settings: &AgentSettings, book: &OrdersBook, worker: &Worker, now: Millis) -> bool {
+pub(super) fn has_orders(
+    settings: &AgentSettings,
+    book: &OrdersBook,
+    worker: &Worker,
+    now: Millis,
+) -> bool {
     let hold_ms = hold(settings, book, worker).unwrap_or(0);
     let starts = may_start(worker, hold_ms, now)
-        && book.starts(&worker.instance).iter().any(|s| worker.wants_start(s));
-    starts || book.stops(&worker.instance).iter().any(|stop| worker.wants_stop(stop))
+        && book
+            .starts(&worker.instance)
+            .iter()
+            .any(|s| worker.wants_start(s));
+    starts
+        || book
+            .stops(&worker.instance)
+            .iter()
+            .any(|stop| worker.wants_stop(stop))
 }
 
 /// The answer to the worker's newest heartbeat; notes at the worker what it hands on.
 pub(super) fn answer(
-    settings: &AgentSettings, book: &OrdersBook, worker: &mut Worker, now: Millis, with_starts: bool,
+    settings: &AgentSettings,
+    book: &OrdersBook,
+    worker: &mut Worker,
+    now: Millis,
+    with_starts: bool,
 ) -> HeartbeatAnswer {
     let hold_ms = hold(settings, book, worker);
     let start = match with_starts && may_start(worker, hold_ms.unwrap_or(0), now) {
@@ -63,7 +79,10 @@
 
 /// The answer to a call that is not the newest, or not of this worker: nothing is ordered by it.
 pub(super) fn plain(book: &OrdersBook) -> HeartbeatAnswer {
-    HeartbeatAnswer { fence_token: book.epoch(), ..HeartbeatAnswer::default() }
+    HeartbeatAnswer {
+        fence_token: book.epoch(),
+        ..HeartbeatAnswer::default()
+    }
 }
 
 /// What may be granted in an answer to the newest heartbeat, counted from its sending, which was before its receipt.
@@ -80,12 +99,19 @@
 
 fn starts(book: &OrdersBook, worker: &Worker) -> Vec<StartOrder> {
     let ordered = book.starts(&worker.instance).iter();
-    ordered.filter(|start| worker.wants_start(start)).take(MOST_STARTS).cloned().collect()
+    ordered
+        .filter(|start| worker.wants_start(start))
+        .take(MOST_STARTS)
+        .cloned()
+        .collect()
 }
 
 fn stops(book: &OrdersBook, worker: &Worker) -> Vec<StopOrder> {
     let ordered = book.stops(&worker.instance).iter();
-    ordered.filter(|stop| worker.wants_stop(stop)).cloned().collect()
+    ordered
+        .filter(|stop| worker.wants_stop(stop))
+        .cloned()
+        .collect()
 }
 
 fn retry_after(book: &OrdersBook, worker: &Worker, now: Millis, starting: bool) -> Millis {
--- a/crates/dataplane/src/agent/machine.rs
+++ b/crates/dataplane/src/agent/machine.rs
@@ -56,7 +56,11 @@
     pub fn handle(&mut self, now: Millis, event: AgentEvent) -> Vec<AgentAction> {
         let mut actions = Vec::new();
         match event {
-            AgentEvent::Heartbeat { request, instance, heartbeat } => {
+            AgentEvent::Heartbeat {
+                request,
+                instance,
+                heartbeat,
+            } => {
                 self.heartbeat(now, request, instance, heartbeat, &mut actions);
             }
             AgentEvent::Deregister { request, instance } => {
@@ -75,7 +79,10 @@
     /// When [`AgentEvent::Tick`] is wanted at the latest.
     pub fn next_wakeup(&self) -> Option<Millis> {
         let held = self.held.map(|held| held.until);
-        [held, self.syncs.due_at(), self.silent_at()].into_iter().flatten().min()
+        [held, self.syncs.due_at(), self.silent_at()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// Answers the call that is held, without starts: the process is about to end.
@@ -83,7 +90,10 @@
         let mut actions = Vec::new();
         if let (Some(held), Some(worker)) = (self.held.take(), &mut self.worker) {
             let answer = answers::answer(&self.settings, &self.book, worker, now, false);
-            actions.push(AgentAction::Answer { request: held.request, answer });
+            actions.push(AgentAction::Answer {
+                request: held.request,
+                answer,
+            });
         }
         actions
     }
@@ -107,7 +117,11 @@
     }
 
     fn heartbeat(
-        &mut self, now: Millis, request: u64, instance: Arc<str>, heartbeat: Heartbeat,
+        &mut self,
+        now: Millis,
+        request: u64,
+        instance: Arc<str>,
+        heartbeat: Heartbeat,
         actions: &mut Vec<AgentAction>,
     ) {
         self.answer_superseded(actions);
@@ -117,7 +131,11 @@
             return;
         }
         self.take_heartbeat(now, instance, heartbeat);
-        let until = if self.may_hold(now) { now.saturating_add(HELD_MS) } else { now };
+        let until = if self.may_hold(now) {
+            now.saturating_add(HELD_MS)
+        } else {
+            now
+        };
         self.held = Some(Held { request, until });
     }
 
@@ -125,12 +143,21 @@
         if self.earlier.contains(instance) {
             return true;
         }
-        let same = self.worker.as_ref().filter(|worker| worker.instance == *instance);
-        same.is_some_and(|worker| worker.has_deregistered() || sequence <= worker.heartbeat.sequence)
+        let same = self
+            .worker
+            .as_ref()
+            .filter(|worker| worker.instance == *instance);
+        same.is_some_and(|worker| {
+            worker.has_deregistered() || sequence <= worker.heartbeat.sequence
+        })
     }
 
     fn take_heartbeat(&mut self, now: Millis, instance: Arc<str>, heartbeat: Heartbeat) {
-        let news = match self.worker.as_mut().filter(|worker| worker.instance == instance) {
+        let news = match self
+            .worker
+            .as_mut()
+            .filter(|worker| worker.instance == instance)
+        {
             Some(worker) => worker.take(now, heartbeat),
             None => {
                 let earlier_hold_over_at = self.earlier_hold_over_at();
@@ -145,11 +172,14 @@
 
     /// Until when a hold of an earlier start of this agent may last.
     fn earlier_hold_over_at(&self) -> Millis {
-        self.started_at.saturating_add(longest_hold(self.settings.longest_grant_ms()))
+        self.started_at
+            .saturating_add(longest_hold(self.settings.longest_grant_ms()))
     }
 
     fn replace_worker(&mut self, worker: Worker) {
-        let Some(before) = self.worker.replace(worker) else { return };
+        let Some(before) = self.worker.replace(worker) else {
+            return;
+        };
         self.earlier.push_back(before.instance);
         if self.earlier.len() > MOST_EARLIER {
             self.earlier.pop_front();
@@ -164,13 +194,23 @@
         self.worker.as_ref().is_some_and(idle) && self.book.lease_until() > now
     }
 
-    fn deregister(&mut self, now: Millis, request: u64, instance: Arc<str>, actions: &mut Vec<AgentAction>) {
+    fn deregister(
+        &mut self,
+        now: Millis,
+        request: u64,
+        instance: Arc<str>,
+        actions: &mut Vec<AgentAction>,
+    ) {
         actions.push(AgentAction::Acknowledge { request });
         if self.earlier.contains(&instance) {
             return;
         }
         self.answer_superseded(actions);
-        match self.worker.as_mut().filter(|worker| worker.instance == instance) {
+        match self
+            .worker
+            .as_mut()
+            .filter(|worker| worker.instance == instance)
+        {
             Some(worker) => worker.deregister(),
             None => {
                 let hold_over_at = self.earlier_hold_over_at();
@@ -186,7 +226,9 @@
     }
 
     fn orders(&mut self, sequence: u64, orders: AgentOrders) {
-        let Some(sent_at) = self.syncs.answered(sequence) else { return };
+        let Some(sent_at) = self.syncs.answered(sequence) else {
+            return;
+        };
         let taken = self.book.take(sent_at, sequence, orders);
         if taken == (Taken::Applied { withdrew: true }) {
             self.syncs.note_news();
@@ -203,7 +245,9 @@
             None => {
                 // The primary names a worker that has not called since this agent started.
                 self.book.instance()?;
-                let missed = self.started_at.saturating_add(silence(self.settings.heartbeat_ms));
+                let missed = self
+                    .started_at
+                    .saturating_add(silence(self.settings.heartbeat_ms));
                 Some(self.earlier_hold_over_at().max(missed).saturating_add(1))
             }
         }
@@ -215,7 +259,9 @@
         }
         match (&mut self.worker, self.book.instance()) {
             (Some(worker), _) => worker.note_silent(),
-            (None, Some(instance)) => self.worker = Some(Worker::only_gone(Arc::clone(instance), now)),
+            (None, Some(instance)) => {
+                self.worker = Some(Worker::only_gone(Arc::clone(instance), now))
+            }
             (None, None) => return,
         }
         self.note_gone();
@@ -223,20 +269,28 @@
 
     /// The held call is answered when its time is over or there is something to do.
     fn answer_held(&mut self, now: Millis, actions: &mut Vec<AgentAction>) {
-        let (Some(held), Some(worker)) = (self.held, &mut self.worker) else { return };
+        let (Some(held), Some(worker)) = (self.held, &mut self.worker) else {
+            return;
+        };
         if now < held.until && !answers::has_orders(&self.settings, &self.book, worker, now) {
             return;
         }
         self.held = None;
         let answer = answers::answer(&self.settings, &self.book, worker, now, true);
-        actions.push(AgentAction::Answer { request: held.request, answer });
+        actions.push(AgentAction::Answer {
+            request: held.request,
+            answer,
+        });
     }
 
     /// A newer call has come: the one that is held gets nothing to do.
     fn answer_superseded(&mut self, actions: &mut Vec<AgentAction>) {
         if let Some(held) = self.held.take() {
             let answer = answers::plain(&self.book);
-            actions.push(AgentAction::Answer { request: held.request, answer });
+            actions.push(AgentAction::Answer {
+                request: held.request,
+                answer,
+            });
         }
     }
 
--- a/crates/dataplane/src/agent/orders.rs
+++ b/crates/dataplane/src/agent/orders.rs
@@ -44,22 +44,34 @@
 
     /// The worker that the primary means.
     pub(super) fn instance(&self) -> Option<&std::sync::Arc<str>> {
-        self.held.as_ref().and_then(|orders| orders.instance.as_ref())
+        self.held
+            .as_ref()
+            .and_then(|orders| orders.instance.as_ref())
     }
 
     /// Takes the answer to a sync that was sent at `sent_at`.
-    pub(super) fn take(&mut self, sent_at: Millis, sequence: u64, mut orders: AgentOrders) -> Taken {
+    pub(super) fn take(
+        &mut self,
+        sent_at: Millis,
+        sequence: u64,
+        mut orders: AgentOrders,
+    ) -> Taken {
         if orders.epoch < self.epoch() && !cfg!(feature = "mutant-fence") {
             return Taken::Dropped;
         }
-        self.lease_until = self.lease_until.max(sent_at.saturating_add(orders.lease_ms));
+        self.lease_until = self
+            .lease_until
+            .max(sent_at.saturating_add(orders.lease_ms));
         if orders.epoch == self.epoch() && orders.revision < self.revision() {
             return Taken::LeaseOnly;
         }
         if sequence < self.starts_from {
             orders.start.clear();
         }
-        let withdrew = self.held.as_ref().is_some_and(|held| lacks_a_start(&held.start, &orders.start));
+        let withdrew = self
+            .held
+            .as_ref()
+            .is_some_and(|held| lacks_a_start(&held.start, &orders.start));
         self.held = Some(orders);
         Taken::Applied { withdrew }
     }
@@ -85,11 +97,15 @@
 
     /// Ends of this worker that were taken note of.
     pub(super) fn last_seen(&self, instance: &str) -> Option<u64> {
-        self.meant_for(instance).map(|orders| orders.last_seen).filter(|seen| *seen > 0)
+        self.meant_for(instance)
+            .map(|orders| orders.last_seen)
+            .filter(|seen| *seen > 0)
     }
 
     fn meant_for(&self, instance: &str) -> Option<&AgentOrders> {
-        self.held.as_ref().filter(|orders| orders.instance.as_deref() == Some(instance))
+        self.held
+            .as_ref()
+            .filter(|orders| orders.instance.as_deref() == Some(instance))
     }
 }
 
@@ -98,5 +114,7 @@
         return false;
     }
     let after: HashSet<(&TaskId, u32)> = after.iter().map(|start| (&start.0, start.1)).collect();
-    before.iter().any(|start| !after.contains(&(&start.0, start.1)))
+    before
+        .iter()
+        .any(|start| !after.contains(&(&start.0, start.1)))
 }
--- a/crates/dataplane/src/agent/syncs.rs
+++ b/crates/dataplane/src/agent/syncs.rs
@@ -45,11 +45,16 @@
 
     /// When the next sync is due; none while the one under way waits and there is no news.
     pub(super) fn due_at(&self) -> Option<Millis> {
-        let waits = self.under_way.iter().any(|(sequence, _)| *sequence == self.newest);
+        let waits = self
+            .under_way
+            .iter()
+            .any(|(sequence, _)| *sequence == self.newest);
         if self.under_way.len() >= MOST_UNDER_WAY || (waits && !self.news) {
             return None;
         }
-        let paced = self.last_sent_at.map_or(0, |at| at.saturating_add(LEAST_INTERVAL_MS));
+        let paced = self
+            .last_sent_at
+            .map_or(0, |at| at.saturating_add(LEAST_INTERVAL_MS));
         Some(paced.max(self.retry_at))
     }
 
@@ -75,14 +80,19 @@
         if self.end(sequence).is_none() || sequence != self.newest {
             return;
         }
-        let backoff = FIRST_BACKOFF_MS.saturating_mul(1 << self.failures.min(8)).min(LONGEST_BACKOFF_MS);
+        let backoff = FIRST_BACKOFF_MS
+            .saturating_mul(1 << self.failures.min(8))
+            .min(LONGEST_BACKOFF_MS);
         self.failures = self.failures.saturating_add(1);
         self.retry_at = now.saturating_add(backoff);
         self.news = true;
     }
 
     fn end(&mut self, sequence: u64) -> Option<Millis> {
-        let place = self.under_way.iter().position(|(under_way, _)| *under_way == sequence)?;
+        let place = self
+            .under_way
+            .iter()
+            .position(|(under_way, _)| *under_way == sequence)?;
         Some(self.under_way.swap_remove(place).1)
     }
 }
--- a/crates/dataplane/src/agent/worker.rs
+++ b/crates/dataplane/src/agent/worker.rs
@@ -45,9 +45,16 @@
 impl Worker {
     /// A worker whose first heartbeat has come. An earlier start of this agent may have granted it a hold.
     pub(super) fn new(
-        instance: Arc<str>, heartbeat: Heartbeat, now: Millis, earlier_hold_over_at: Millis,
+        instance: Arc<str>,
+        heartbeat: Heartbeat,
+        now: Millis,
+        earlier_hold_over_at: Millis,
     ) -> Worker {
-        let hold_over_at = if heartbeat.running.is_empty() { now } else { earlier_hold_over_at.max(now) };
+        let hold_over_at = if heartbeat.running.is_empty() {
+            now
+        } else {
+            earlier_hold_over_at.max(now)
+        };
         Worker {
             instance,
             heartbeat,
@@ -76,7 +83,8 @@
 
     /// Takes a newer heartbeat. Whether it tells what the primary must hear at once.
     pub(super) fn take(&mut self, now: Millis, heartbeat: Heartbeat) -> bool {
-        let news = self.is_gone() || !self.offered.is_empty() || tells_news(&self.heartbeat, &heartbeat);
+        let news =
+            self.is_gone() || !self.offered.is_empty() || tells_news(&self.heartbeat, &heartbeat);
         if heartbeat.running.is_empty() {
             // Nothing runs, and what earlier answers ordered can no longer begin: the holds they granted are without use.
             self.hold_over_at = now;
@@ -109,15 +117,25 @@
     /// worker ends.
     pub(super) fn deregister(&mut self) {
         let holds = !self.heartbeat.running.is_empty() || !self.offered.is_empty();
-        self.presence = if holds { Presence::Leaving } else { Presence::Departed };
+        self.presence = if holds {
+            Presence::Leaving
+        } else {
+            Presence::Departed
+        };
     }
 
     pub(super) fn is_running(&self, task: &TaskId, run: u32) -> bool {
-        self.heartbeat.running.iter().any(|at_work| at_work.1 == run && at_work.0 == *task)
+        self.heartbeat
+            .running
+            .iter()
+            .any(|at_work| at_work.1 == run && at_work.0 == *task)
     }
 
     pub(super) fn has_finished(&self, task: &TaskId, run: u32) -> bool {
-        self.heartbeat.finished.iter().any(|ended| ended.2 == run && ended.1 == *task)
+        self.heartbeat
+            .finished
+            .iter()
+            .any(|ended| ended.2 == run && ended.1 == *task)
     }
 
     /// Whether a start is still to be handed on.
@@ -134,7 +152,10 @@
 
     /// Notes that an answer hands these on.
     pub(super) fn note_orders(&mut self, starts: &[StartOrder], stops: &[StopOrder]) {
-        let offered = starts.iter().map(|start| RunId { task: start.0.clone(), run: start.1 });
+        let offered = starts.iter().map(|start| RunId {
+            task: start.0.clone(),
+            run: start.1,
+        });
         self.offered.extend(offered);
         self.stops_told.extend(stops.iter().cloned());
     }
@@ -149,7 +170,9 @@
     /// Notes a hold that an answer to the newest heartbeat grants.
     pub(super) fn note_hold(&mut self, hold_ms: Millis) {
         let longest = longest_hold(hold_ms);
-        self.hold_over_at = self.hold_over_at.max(self.received_at.saturating_add(longest));
+        self.hold_over_at = self
+            .hold_over_at
+            .max(self.received_at.saturating_add(longest));
     }
 
     pub(super) fn offered(&self) -> &[RunId] {
@@ -169,7 +192,11 @@
     /// Nothing is held there any more, and answers that it has not had are too late.
     pub(super) fn note_silent(&mut self) {
         self.offered.clear();
-        self.presence = if self.has_deregistered() { Presence::Departed } else { Presence::Silent };
+        self.presence = if self.has_deregistered() {
+            Presence::Departed
+        } else {
+            Presence::Silent
+        };
     }
 
     pub(super) fn report(&self, now: Millis) -> WorkerReport {
@@ -181,7 +208,11 @@
             zone: Arc::clone(&heartbeat.zone),
             capacity: heartbeat.capacity,
             labels: heartbeat.labels.clone(),
-            state: if self.has_deregistered() { WorkerState::Draining } else { heartbeat.state },
+            state: if self.has_deregistered() {
+                WorkerState::Draining
+            } else {
+                heartbeat.state
+            },
             remaining_ms: heartbeat.remaining_ms,
             gone: self.is_gone(),
             silent_ms: now.saturating_sub(self.received_at),
@@ -194,7 +225,10 @@
 
 /// How long a hold may last on the agent's clock, with slack.
 pub(super) fn longest_hold(hold_ms: Millis) -> Millis {
-    hold_ms.saturating_mul(1_000).div_ceil(SLOW_CLOCK_THOUSANDTHS).saturating_add(GONE_SLACK_MS)
+    hold_ms
+        .saturating_mul(1_000)
+        .div_ceil(SLOW_CLOCK_THOUSANDTHS)
+        .saturating_add(GONE_SLACK_MS)
 }
 
 /// How long a worker must have been silent before it may be called gone.
@@ -221,6 +255,12 @@
     if before.len() != after.len() {
         return false;
     }
-    let in_order = before.iter().zip(after).all(|(one, other)| same(one, other));
-    in_order || before.iter().all(|one| after.iter().any(|other| same(one, other)))
+    let in_order = before
+        .iter()
+        .zip(after)
+        .all(|(one, other)| same(one, other));
+    in_order
+        || before
+            .iter()
+            .all(|one| after.iter().any(|other| same(one, other)))
 }
--- a/crates/dataplane/src/agent_program.rs
+++ b/crates/dataplane/src/agent_program.rs
@@ -15,7 +15,9 @@
 use streamusher_node::logs::{self, LastError};
 use streamusher_node::settings::{self, Settings};
 use streamusher_node::signals::{Signal, Signals};
-use streamusher_protocol::heartbeat::{Heartbeat, HeartbeatAnswer, DEREGISTER_PATH, HEARTBEAT_PATH};
+use streamusher_protocol::heartbeat::{
+    Heartbeat, HeartbeatAnswer, DEREGISTER_PATH, HEARTBEAT_PATH,
+};
 use streamusher_protocol::internal::{
     AgentOrders, AgentSync, ClusterView, AGENT_PORT_OFFSET, AGENT_SYNC_PATH,
 };
@@ -51,11 +53,14 @@
 pub fn check(settings: &Settings) -> Result<(), String> {
     if !settings.serves("side") {
         let served = &settings.serves;
-        return Err(format!("key serves = {served:?}: run the agent in a role that serves \"side\""));
+        return Err(format!(
+            "key serves = {served:?}: run the agent in a role that serves \"side\""
+        ));
     }
     let Some(_address) = settings.listen.control else {
         return Err(
-            "key listen.control is missing: give the address that the machine's worker calls".to_owned()
+            "key listen.control is missing: give the address that the machine's worker calls"
+                .to_owned(),
         );
     };
     Ok(())
@@ -68,7 +73,10 @@
 pub async fn run(settings: Settings) -> anyhow::Result<()> {
     check(&settings).map_err(anyhow::Error::msg)?;
     let mut signals = Signals::new()?;
-    let address = settings.listen.control.ok_or_else(|| anyhow::anyhow!("no listen.control"))?;
+    let address = settings
+        .listen
+        .control
+        .ok_or_else(|| anyhow::anyhow!("no listen.control"))?;
     let server = process::bind(address, WORKER_LIMITS).await?;
     let program = AgentProgram::new(&settings);
     program.start(settings.internal_address(AGENT_PORT_OFFSET));
@@ -121,12 +129,18 @@
         };
         let shared = Shared {
             agent: RefCell::new(Agent::new(agent_settings, clock::steady())),
-            link: CoreLink::new(settings.core_addresses_of_seeds(), boot, RESTING_CONNECTIONS),
+            link: CoreLink::new(
+                settings.core_addresses_of_seeds(),
+                boot,
+                RESTING_CONNECTIONS,
+            ),
             waiting: RefCell::default(),
             last_request: Cell::new(0),
             wakeup_changed: Notify::new(),
         };
-        AgentProgram { shared: Rc::new(shared) }
+        AgentProgram {
+            shared: Rc::new(shared),
+        }
     }
 
     /// Begins to look for the primary, to sync and to keep time; serves the status at `status_address`.
@@ -136,7 +150,9 @@
         let program = self.clone();
         tokio::task::spawn_local(async move { program.keep_time().await });
         let program = self.clone();
-        tokio::task::spawn_local(process::serve_status(status_address, move || program.status()));
+        tokio::task::spawn_local(process::serve_status(status_address, move || {
+            program.status()
+        }));
     }
 
     /// Answers a call of the worker.
@@ -145,14 +161,18 @@
         let heartbeat = path.strip_prefix(HEARTBEAT_PATH).and_then(instance_of);
         let deregister = path.strip_prefix(DEREGISTER_PATH).and_then(instance_of);
         if call.method() != Method::POST {
-            return text(StatusCode::METHOD_NOT_ALLOWED, "heartbeats are sent with POST\n");
+            return text(
+                StatusCode::METHOD_NOT_ALLOWED,
+                "heartbeats are sent with POST\n",
+            );
         }
         match (heartbeat, deregister) {
             (Some(instance), _) => self.heartbeat(instance, &call).await,
             (None, Some(instance)) => self.deregister(instance).await,
-            (None, None) => {
-                text(StatusCode::NOT_FOUND, format!("post to {HEARTBEAT_PATH}ID or {DEREGISTER_PATH}ID\n"))
-            }
+            (None, None) => text(
+                StatusCode::NOT_FOUND,
+                format!("post to {HEARTBEAT_PATH}ID or {DEREGISTER_PATH}ID\n"),
+            ),
         }
     }
 
@@ -167,7 +187,13 @@
             Ok(heartbeat) => heartbeat,
             Err(error) => return text(StatusCode::BAD_REQUEST, format!("heartbeat: {error}\n")),
         };
-        let answered = self.ask(|request| AgentEvent::Heartbeat { request, instance, heartbeat }).await;
+        let answered = self
+            .ask(|request| AgentEvent::Heartbeat {
+                request,
+                instance,
+                heartbeat,
+            })
+            .await;
         match answered {
             Some(Some(answer)) => json(StatusCode::OK, &answer),
             _ => json(StatusCode::OK, &HeartbeatAnswer::default()),
@@ -175,7 +201,8 @@
     }
 
     async fn deregister(&self, instance: Arc<str>) -> Answer {
-        self.ask(|request| AgentEvent::Deregister { request, instance }).await;
+        self.ask(|request| AgentEvent::Deregister { request, instance })
+            .await;
         empty(StatusCode::OK)
     }
 
@@ -196,7 +223,10 @@
             let before = agent.next_wakeup();
             let actions = agent.handle(now, event);
             let after = agent.next_wakeup();
-            (actions, after.is_some_and(|after| before.is_none_or(|before| after < before)))
+            (
+                actions,
+                after.is_some_and(|after| before.is_none_or(|before| after < before)),
+            )
         };
         if earlier {
             self.shared.wakeup_changed.notify_one();
@@ -238,7 +268,9 @@
         let known_by = Instant::now() + Duration::from_millis(sync.wait_ms);
         let first = link.wait_for_primary(known_by).await?;
         let orders = self.orders_of(&first, sync).await;
-        let next = link.primary().filter(|next| orders.is_none() && next.address() != first.address());
+        let next = link
+            .primary()
+            .filter(|next| orders.is_none() && next.address() != first.address());
         match next {
             Some(next) => self.orders_of(&next, sync).await,
             None => orders,
@@ -247,7 +279,11 @@
 
     async fn orders_of(&self, target: &Target, sync: &AgentSync) -> Option<AgentOrders> {
         let deadline = Duration::from_millis(sync.wait_ms.saturating_add(SYNC_SLACK_MS));
-        let Outcome::Answered(answer) = self.shared.link.post(target, AGENT_SYNC_PATH, sync, deadline).await
+        let Outcome::Answered(answer) = self
+            .shared
+            .link
+            .post(target, AGENT_SYNC_PATH, sync, deadline)
+            .await
         else {
             return None;
         };
@@ -291,7 +327,11 @@
     }
 
     fn reload(&self) {
-        settings::reload(|settings| self.shared.link.set_seeds(settings.core_addresses_of_seeds()));
+        settings::reload(|settings| {
+            self.shared
+                .link
+                .set_seeds(settings.core_addresses_of_seeds())
+        });
     }
 
     fn status(&self) -> Status {
--- a/crates/dataplane/src/core/finder.rs
+++ b/crates/dataplane/src/core/finder.rs
@@ -68,7 +68,9 @@
 
     /// The primary, where one is known and not doubted.
     pub fn primary(&self) -> Option<&CoreAddress> {
-        self.primary.as_ref().filter(|primary| self.doubted.as_ref() != Some(&primary.internal))
+        self.primary
+            .as_ref()
+            .filter(|primary| self.doubted.as_ref() != Some(&primary.internal))
     }
 
     /// The newest epoch heard of.
@@ -83,7 +85,9 @@
 
     /// Whether a primary is known that answered within `span` before `now`.
     pub fn is_fresh(&self, now: Millis, span: Millis) -> bool {
-        let answered = self.answered_at.is_some_and(|at| now.saturating_sub(at) <= span);
+        let answered = self
+            .answered_at
+            .is_some_and(|at| now.saturating_sub(at) <= span);
         answered && self.primary().is_some()
     }
 
@@ -135,13 +139,17 @@
 
     /// Whether a call to `address` is to be given up: another process is the primary by now.
     pub fn is_superseded(&self, address: &str) -> bool {
-        self.primary().is_some_and(|primary| *primary.internal != *address)
+        self.primary()
+            .is_some_and(|primary| *primary.internal != *address)
     }
 
     /// A member besides the primary, which learns of the next epoch without it. Each process draws its own.
     pub fn watched(&self) -> Option<Arc<str>> {
-        let others: Vec<&CoreAddress> =
-            self.members.iter().filter(|member| !self.is_primary(&member.internal)).collect();
+        let others: Vec<&CoreAddress> = self
+            .members
+            .iter()
+            .filter(|member| !self.is_primary(&member.internal))
+            .collect();
         let place = self.watched.checked_rem(others.len())?;
         Some(Arc::clone(&others[place].internal))
     }
@@ -181,7 +189,9 @@
     fn ask_round(&mut self, now: Millis) -> Vec<Arc<str>> {
         let mut asked = Vec::new();
         for _ in 0..self.turn.len() {
-            let Some(address) = self.turn.pop_front() else { break };
+            let Some(address) = self.turn.pop_front() else {
+                break;
+            };
             self.turn.push_back(Arc::clone(&address));
             asked.extend(self.ask(now, address));
             if asked.len() == QUESTIONS_A_ROUND {
@@ -215,7 +225,9 @@
     }
 
     fn is_primary(&self, address: &str) -> bool {
-        self.primary.as_ref().is_some_and(|primary| *primary.internal == *address)
+        self.primary
+            .as_ref()
+            .is_some_and(|primary| *primary.internal == *address)
     }
 
     fn remember(&mut self, members: &[CoreAddress], newer: bool) {
--- a/crates/dataplane/src/core/link.rs
+++ b/crates/dataplane/src/core/link.rs
@@ -74,13 +74,18 @@
     /// member are kept while nothing is called: each takes a descriptor there too.
     pub fn new(seeds: Vec<CoreAddress>, seed: u64, resting: usize) -> CoreLink {
         let shared = Shared {
-            limits: ClientLimits { max_idle: resting, ..ClientLimits::default() },
+            limits: ClientLimits {
+                max_idle: resting,
+                ..ClientLimits::default()
+            },
             finder: RefCell::new(CoreFinder::new(seeds, seed)),
             clients: RefCell::default(),
             lost_since: Cell::new(Some(clock::steady())),
             changed: Notify::new(),
         };
-        CoreLink { shared: Rc::new(shared) }
+        CoreLink {
+            shared: Rc::new(shared),
+        }
     }
 
     /// Asks whenever the finder has questions, and watches one member for the next epoch. Never ends; within a
@@ -122,7 +127,9 @@
                 changed.await;
                 continue;
             };
-            let view = watch_question(&target.client, epoch).await.filter(|view| view.epoch >= epoch);
+            let view = watch_question(&target.client, epoch)
+                .await
+                .filter(|view| view.epoch >= epoch);
             match view {
                 Some(view) => self.learn(&target, &view),
                 None => {
@@ -146,13 +153,21 @@
 
     /// The primary, where one is known.
     pub fn primary(&self) -> Option<Target> {
-        let address = self.shared.finder.borrow().primary().map(|primary| Arc::clone(&primary.internal))?;
+        let address = self
+            .shared
+            .finder
+            .borrow()
+            .primary()
+            .map(|primary| Arc::clone(&primary.internal))?;
         self.target(&address)
     }
 
     /// How long no primary has been known; 0 while one is.
     pub fn outage(&self) -> Millis {
-        self.shared.lost_since.get().map_or(0, |since| clock::steady().saturating_sub(since))
+        self.shared
+            .lost_since
+            .get()
+            .map_or(0, |since| clock::steady().saturating_sub(since))
     }
 
     /// Waits for a primary, at most until `deadline`.
@@ -197,9 +212,15 @@
     /// Posts `body` to `target` and notes what that says of the primary. Gives up once another one is the primary: the
     /// former may never answer.
     pub async fn post<T: Serialize>(
-        &self, target: &Target, path: &str, body: &T, deadline: Duration,
+        &self,
+        target: &Target,
+        path: &str,
+        body: &T,
+        deadline: Duration,
     ) -> Outcome {
-        let Ok(call) = post_call(path, body) else { return Outcome::NotDone };
+        let Ok(call) = post_call(path, body) else {
+            return Outcome::NotDone;
+        };
         let answered = tokio::select! {
             biased;
             answered = target.client.call(call, deadline) => answered,
@@ -245,7 +266,10 @@
     /// Notes an answer of the primary. Wakes no one unless it was doubted: this is the usual case.
     fn succeeded(&self, address: &str) {
         let was_known = self.shared.finder.borrow().primary().is_some();
-        self.shared.finder.borrow_mut().succeeded(clock::steady(), address);
+        self.shared
+            .finder
+            .borrow_mut()
+            .succeeded(clock::steady(), address);
         if !was_known {
             self.note_outage();
             self.shared.changed.notify_waiters();
@@ -273,31 +297,52 @@
     fn target(&self, address: &Arc<str>) -> Option<Target> {
         let mut clients = self.shared.clients.borrow_mut();
         if let Some(client) = clients.get(address) {
-            return Some(Target { address: Arc::clone(address), client: client.clone() });
+            return Some(Target {
+                address: Arc::clone(address),
+                client: client.clone(),
+            });
         }
-        let client = Client::with_limits(address.parse::<SocketAddr>().ok()?, self.shared.limits.clone());
+        let client = Client::with_limits(
+            address.parse::<SocketAddr>().ok()?,
+            self.shared.limits.clone(),
+        );
         clients.insert(Arc::clone(address), client.clone());
-        Some(Target { address: Arc::clone(address), client })
+        Some(Target {
+            address: Arc::clone(address),
+            client,
+        })
     }
 
     /// Clients of machines that are no longer known are dropped with their connections.
     fn forget_clients(&self) {
         let finder = self.shared.finder.borrow();
-        self.shared.clients.borrow_mut().retain(|address, _| finder.knows(address));
+        self.shared
+            .clients
+            .borrow_mut()
+            .retain(|address, _| finder.knows(address));
     }
 }
 
 fn log_change(before: Option<&CoreAddress>, finder: &CoreFinder) {
     match finder.primary() {
         after if after == before => {}
-        Some(primary) => log::info!("the primary of epoch {} is {}", finder.epoch(), primary.internal),
-        None => log::info!("no primary is known: asking {} members", finder.members().len()),
+        Some(primary) => log::info!(
+            "the primary of epoch {} is {}",
+            finder.epoch(),
+            primary.internal
+        ),
+        None => log::info!(
+            "no primary is known: asking {} members",
+            finder.members().len()
+        ),
     }
 }
 
 fn post_call<T: Serialize>(path: &str, body: &T) -> Result<Call, http::Error> {
     let body = serde_json::to_vec(body).unwrap_or_default();
-    http::Request::post(path).header(CONTENT_TYPE, "application/json").body(Bytes::from(body))
+    http::Request::post(path)
+        .header(CONTENT_TYPE, "application/json")
+        .body(Bytes::from(body))
 }
 
 async fn question(client: &Client) -> Option<ClusterView> {
@@ -306,9 +351,17 @@
 }
 
 async fn watch_question(client: &Client, epoch: u64) -> Option<ClusterView> {
-    let watch = ClusterWatch { epoch, wait_ms: WATCH_MS };
+    let watch = ClusterWatch {
+        epoch,
+        wait_ms: WATCH_MS,
+    };
     let call = post_call(CLUSTER_WATCH_PATH, &watch).ok()?;
-    view(client, call, Duration::from_millis(WATCH_MS + WATCH_SLACK_MS)).await
+    view(
+        client,
+        call,
+        Duration::from_millis(WATCH_MS + WATCH_SLACK_MS),
+    )
+    .await
 }
 
 async fn view(client: &Client, call: Call, deadline: Duration) -> Option<ClusterView> {
--- a/crates/dataplane/src/gate/passing.rs
+++ b/crates/dataplane/src/gate/passing.rs
@@ -32,10 +32,15 @@
 pub async fn pass(link: &CoreLink, configuration: u64, call: &Call) -> Answer {
     let until = Instant::now() + request::deadline(call).saturating_sub(KEPT_FOR_CLIENT);
     let call = match request::read(call) {
-        Ok(call) => ClientCall { configuration, ..call },
+        Ok(call) => ClientCall {
+            configuration,
+            ..call
+        },
         Err(refusal) => return refusal.answer(),
     };
-    let Some(first) = link.primary() else { return request::not_taken(link.outage()) };
+    let Some(first) = link.primary() else {
+        return request::not_taken(link.outage());
+    };
     match attempt(link, &first, &call, until).await {
         Attempt::Answered(answer) => answer,
         Attempt::NotDone => match other_primary(link, &first) {
@@ -65,7 +70,10 @@
 
 fn reply(answer: &Answer) -> Answer {
     if !answer.status().is_success() {
-        log::warn!("the primary answered a client's call with {}", answer.status());
+        log::warn!(
+            "the primary answered a client's call with {}",
+            answer.status()
+        );
         return request::not_understood();
     }
     match parse_json::<ClientReply>(answer.body()) {
@@ -79,10 +87,16 @@
 
 /// Another primary than the one that was just tried.
 fn other_primary(link: &CoreLink, tried: &Target) -> Option<Target> {
-    link.primary().filter(|target| target.address() != tried.address())
+    link.primary()
+        .filter(|target| target.address() != tried.address())
 }
 
-async fn last_attempt(link: &CoreLink, target: &Target, call: &ClientCall, until: Instant) -> Answer {
+async fn last_attempt(
+    link: &CoreLink,
+    target: &Target,
+    call: &ClientCall,
+    until: Instant,
+) -> Answer {
     match attempt(link, target, call, until).await {
         Attempt::Answered(answer) => answer,
         Attempt::NotDone => request::not_taken(link.outage()),
@@ -94,7 +108,9 @@
 async fn repeat(link: &CoreLink, call: &ClientCall, until: Instant) -> Answer {
     let latest = until.checked_sub(WORTH_A_TRY).unwrap_or(until);
     for _ in 0..MOST_REPEATS {
-        let Some(target) = link.wait_for_primary(latest).await else { break };
+        let Some(target) = link.wait_for_primary(latest).await else {
+            break;
+        };
         if let Attempt::Answered(answer) = attempt(link, &target, call, until).await {
             return answer;
         }
--- a/crates/dataplane/src/gate/program.rs
+++ b/crates/dataplane/src/gate/program.rs
@@ -78,7 +78,8 @@
     }
     if settings.listen.ready.is_none() {
         return Err(
-            "key listen.ready is missing: give the address that the platform asks for readiness".to_owned()
+            "key listen.ready is missing: give the address that the platform asks for readiness"
+                .to_owned(),
         );
     }
     Ok(())
@@ -101,7 +102,11 @@
     let gate = Gate::new(&settings);
     gate.start(settings.internal_address(GATE_PORT_OFFSET));
     let member = gate.relay().clone();
-    tokio::task::spawn_local(follow_limits(member.clone(), front.handle(), settings.clone()));
+    tokio::task::spawn_local(follow_limits(
+        member.clone(),
+        front.handle(),
+        settings.clone(),
+    ));
     tokio::task::spawn_local(async move { member.run().await });
     let asked = gate.clone();
     tokio::task::spawn_local(ready.run(move |call| std::future::ready(asked.readiness(&call))));
@@ -114,7 +119,12 @@
     }
     log::info!("the gate leaves");
     gate.leave();
-    close(&handle, Duration::from_millis(settings.bounds.grace_ms()), served).await;
+    close(
+        &handle,
+        Duration::from_millis(settings.bounds.grace_ms()),
+        served,
+    )
+    .await;
     Ok(())
 }
 
@@ -182,8 +192,11 @@
 impl Gate {
     /// A gate that knows the settings' seeds; [`Gate::start`] makes it work.
     pub fn new(settings: &Settings) -> Gate {
-        let link =
-            CoreLink::new(settings.core_addresses_of_seeds(), process::random_number(), RESTING_CONNECTIONS);
+        let link = CoreLink::new(
+            settings.core_addresses_of_seeds(),
+            process::random_number(),
+            RESTING_CONNECTIONS,
+        );
         Gate {
             shared: Rc::new(Shared {
                 relay: Relay::new(link.clone(), settings.internal_address(GATE_PORT_OFFSET)),
@@ -206,7 +219,11 @@
 
     async fn serve_internal(self, address: std::net::SocketAddr) {
         match process::bind(address, INTERNAL_LIMITS).await {
-            Ok(server) => server.run(move |call| std::future::ready(self.internal(&call))).await,
+            Ok(server) => {
+                server
+                    .run(move |call| std::future::ready(self.internal(&call)))
+                    .await
+            }
             Err(error) => log::warn!("no internal interface: {error}"),
         }
     }
@@ -233,7 +250,11 @@
     pub async fn answer(self, call: Call) -> Answer {
         let answer = passing::pass(&self.shared.link, self.shared.relay.version(), &call).await;
         let refused = answer.status().is_server_error();
-        let counter = if refused { &self.shared.refused } else { &self.shared.passed };
+        let counter = if refused {
+            &self.shared.refused
+        } else {
+            &self.shared.passed
+        };
         counter.set(counter.get().saturating_add(1));
         answer
     }
@@ -241,7 +262,10 @@
     /// Answers the platform's question whether clients may be sent here.
     pub fn readiness(&self, call: &Call) -> Answer {
         if call.method() != Method::GET || call.uri().path() != READINESS_PATH {
-            return text(StatusCode::NOT_FOUND, format!("only GET {READINESS_PATH} is here\n"));
+            return text(
+                StatusCode::NOT_FOUND,
+                format!("only GET {READINESS_PATH} is here\n"),
+            );
         }
         match self.is_ready() {
             true => text(StatusCode::OK, "ready\n"),
@@ -259,7 +283,11 @@
     }
 
     fn reload(&self) {
-        settings::reload(|settings| self.shared.link.set_seeds(settings.core_addresses_of_seeds()));
+        settings::reload(|settings| {
+            self.shared
+                .link
+                .set_seeds(settings.core_addresses_of_seeds())
+        });
     }
 
     fn status(&self) -> Status {
--- a/crates/dataplane/src/gate/relay.rs
+++ b/crates/dataplane/src/gate/relay.rs
@@ -56,7 +56,12 @@
     pub fn new(link: CoreLink, address: SocketAddr) -> Relay {
         let address: Arc<str> = address.to_string().into();
         let from = Peer::Member(address.clone());
-        let body_of = move |messages| body(&Envelope { from: from.clone(), messages });
+        let body_of = move |messages| {
+            body(&Envelope {
+                from: from.clone(),
+                messages,
+            })
+        };
         let shared = Shared {
             link,
             node: RefCell::new(RelayNode::new(address, clock::steady())),
@@ -66,7 +71,9 @@
             planned: Cell::new(Millis::MAX),
             earlier: Notify::new(),
         };
-        Relay { shared: Rc::new(shared) }
+        Relay {
+            shared: Rc::new(shared),
+        }
     }
 
     /// The newest configuration that has come.
@@ -121,12 +128,21 @@
     async fn keep_lease(&self) {
         loop {
             let far = tokio::time::Instant::now() + Duration::from_secs(3_600);
-            let Some(target) = self.shared.link.wait_for_primary(far).await else { continue };
+            let Some(target) = self.shared.link.wait_for_primary(far).await else {
+                continue;
+            };
             let lease = {
                 let node = self.shared.node.borrow();
-                GateLease { address: node.address().clone(), roster: node.roster() }
+                GateLease {
+                    address: node.address().clone(),
+                    roster: node.roster(),
+                }
             };
-            let outcome = self.shared.link.post(&target, GATE_LEASE_PATH, &lease, CORE_DEADLINE).await;
+            let outcome = self
+                .shared
+                .link
+                .post(&target, GATE_LEASE_PATH, &lease, CORE_DEADLINE)
+                .await;
             if let Outcome::Answered(answer) = outcome {
                 match parse_json::<GateLeaseReply>(answer.body()) {
                     Ok(reply) => self.leased(reply),
@@ -138,9 +154,16 @@
     }
 
     fn leased(&self, reply: GateLeaseReply) {
-        let GateLeaseReply { configuration, roster, members } = reply;
+        let GateLeaseReply {
+            configuration,
+            roster,
+            members,
+        } = reply;
         if let Some(members) = members {
-            let roster = Roster { version: roster, members };
+            let roster = Roster {
+                version: roster,
+                members,
+            };
             self.act(|node, now| node.set_roster(now, &roster));
         }
         self.act(|node, now| node.heard_of(now, configuration));
@@ -182,7 +205,10 @@
         for to in send.to {
             match to {
                 Peer::Member(address) => {
-                    self.shared.outbox.borrow_mut().send(&address, send.message.clone());
+                    self.shared
+                        .outbox
+                        .borrow_mut()
+                        .send(&address, send.message.clone());
                 }
                 Peer::Core => self.send_to_core(send.message.clone()),
             }
@@ -190,13 +216,20 @@
     }
 
     fn send_to_core(&self, message: RelayMessage) {
-        let Some(target) = self.shared.link.primary() else { return };
+        let Some(target) = self.shared.link.primary() else {
+            return;
+        };
         let from = Peer::Member(self.shared.node.borrow().address().clone());
         let link = self.shared.link.clone();
         tokio::task::spawn_local(async move {
-            let envelope = Envelope { from, messages: vec![message] };
+            let envelope = Envelope {
+                from,
+                messages: vec![message],
+            };
             // Its answer is a message of its own.
-            let _ = link.post(&target, RELAY_PATH, &envelope, CORE_DEADLINE).await;
+            let _ = link
+                .post(&target, RELAY_PATH, &envelope, CORE_DEADLINE)
+                .await;
         });
     }
 }
--- a/crates/dataplane/src/gate/request.rs
+++ b/crates/dataplane/src/gate/request.rs
@@ -39,7 +39,9 @@
         };
         let mut answer = text(status, format!("{self}\n"));
         if self == Refusal::Method {
-            answer.headers_mut().insert(ALLOW, HeaderValue::from_static("POST, GET, DELETE"));
+            answer
+                .headers_mut()
+                .insert(ALLOW, HeaderValue::from_static("POST, GET, DELETE"));
         }
         answer
     }
@@ -57,25 +59,45 @@
         _ => return Err(Refusal::Method),
     };
     let body = std::str::from_utf8(call.body()).map_err(|_| Refusal::NotText)?;
-    let host = call.headers().get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
-    let path = call.uri().path_and_query().map_or("/", |path| path.as_str());
-    Ok(ClientCall { method, host: host.into(), path: path.into(), body: body.into(), configuration: 0 })
+    let host = call
+        .headers()
+        .get(HOST)
+        .and_then(|host| host.to_str().ok())
+        .unwrap_or_default();
+    let path = call
+        .uri()
+        .path_and_query()
+        .map_or("/", |path| path.as_str());
+    Ok(ClientCall {
+        method,
+        host: host.into(),
+        path: path.into(),
+        body: body.into(),
+        configuration: 0,
+    })
 }
 
 /// How long the client waits for its answer.
 pub(super) fn deadline(call: &Call) -> Duration {
-    let given = call.headers().get(DEADLINE_HEADER).and_then(|value| value.to_str().ok());
+    let given = call
+        .headers()
+        .get(DEADLINE_HEADER)
+        .and_then(|value| value.to_str().ok());
     let given = given.and_then(|value| value.trim().parse::<u64>().ok());
     given.map_or(DEFAULT_DEADLINE, Duration::from_millis)
 }
 
 /// The primary's reply for the client.
 pub(super) fn answer(reply: &ClientReply) -> Answer {
-    let Ok(status) = StatusCode::from_u16(reply.status) else { return not_understood() };
+    let Ok(status) = StatusCode::from_u16(reply.status) else {
+        return not_understood();
+    };
     let mut answer = Answer::new(body(&reply.body));
     *answer.status_mut() = status;
     if !reply.body.is_empty() {
-        answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+        answer
+            .headers_mut()
+            .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     }
     if let Some(retry_after_ms) = reply.retry_after_ms {
         set_retry_after(&mut answer, retry_after_ms);
@@ -90,7 +112,10 @@
 /// 503: the call was not taken, and will not be. `outage` is how long no primary has been known.
 pub(super) fn not_taken(outage: Millis) -> Answer {
     log::info!("a client's call is refused: no primary takes it");
-    let mut answer = text(StatusCode::SERVICE_UNAVAILABLE, "no primary takes calls now: come back\n");
+    let mut answer = text(
+        StatusCode::SERVICE_UNAVAILABLE,
+        "no primary takes calls now: come back\n",
+    );
     set_retry_after(&mut answer, retry_after_outage(outage));
     answer
 }
@@ -102,12 +127,18 @@
 
 /// 502: the call may have been taken.
 pub(super) fn unknown() -> Answer {
-    text(StatusCode::BAD_GATEWAY, "the primary did not answer: send the same id again\n")
+    text(
+        StatusCode::BAD_GATEWAY,
+        "the primary did not answer: send the same id again\n",
+    )
 }
 
 /// 502: the primary said what is no reply.
 pub(super) fn not_understood() -> Answer {
-    text(StatusCode::BAD_GATEWAY, "the primary's reply was not understood: send the same id again\n")
+    text(
+        StatusCode::BAD_GATEWAY,
+        "the primary's reply was not understood: send the same id again\n",
+    )
 }
 
 /// Seconds, with decimals where they are not whole, as clients of this protocol read them.
--- a/crates/dataplane/src/main.rs
+++ b/crates/dataplane/src/main.rs
@@ -36,7 +36,11 @@
         Err(error) => return misuse(&error.to_string()),
     };
     let is_gate = chosen.command == "gate";
-    let checked = if is_gate { gate::check(&settings) } else { agent_program::check(&settings) };
+    let checked = if is_gate {
+        gate::check(&settings)
+    } else {
+        agent_program::check(&settings)
+    };
     match checked {
         Err(reason) => misuse(&reason),
         Ok(()) if chosen.check => ExitCode::SUCCESS,
--- a/crates/dataplane/src/process.rs
+++ b/crates/dataplane/src/process.rs
@@ -32,7 +32,9 @@
         match Server::bind(address, limits.clone()) {
             Ok(server) => return Ok(server),
             Err(error) if tries >= BIND_TRIES => {
-                anyhow::bail!("listening at {address} failed: {error}: free the port or change the settings")
+                anyhow::bail!(
+                    "listening at {address} failed: {error}: free the port or change the settings"
+                )
             }
             Err(_) => tries += 1,
         }
@@ -59,7 +61,10 @@
     let known = call.method() == http::Method::GET && call.uri().path() == STATUS_PATH;
     match known {
         true => json(http::StatusCode::OK, &status()),
-        false => text(http::StatusCode::NOT_FOUND, format!("only GET {STATUS_PATH} is here\n")),
+        false => text(
+            http::StatusCode::NOT_FOUND,
+            format!("only GET {STATUS_PATH} is here\n"),
+        ),
     }
 }
 
--- a/crates/dataplane/tests/agent.rs
+++ b/crates/dataplane/tests/agent.rs
@@ -16,7 +16,10 @@
     story.tick();
 
     let sync = story.newest_sync();
-    assert_eq!((sync.sequence, sync.boot, sync.revision, sync.worker.clone()), (1, 7, 0, None));
+    assert_eq!(
+        (sync.sequence, sync.boot, sync.revision, sync.worker.clone()),
+        (1, 7, 0, None)
+    );
 }
 
 #[test]
@@ -25,7 +28,13 @@
 
     let answer = story.heartbeat(at_work(1, &[running(1, 1)])).unwrap();
 
-    assert_eq!(answer, HeartbeatAnswer { retry_after_ms: Some(300), ..HeartbeatAnswer::default() });
+    assert_eq!(
+        answer,
+        HeartbeatAnswer {
+            retry_after_ms: Some(300),
+            ..HeartbeatAnswer::default()
+        }
+    );
 }
 
 #[test]
@@ -41,10 +50,14 @@
 }
 
 #[test]
-fn given_a_long_lease_when_the_worker_calls_then_the_hold_lasts_a_restart_and_a_failover_and_not_longer() {
+fn given_a_long_lease_when_the_worker_calls_then_the_hold_lasts_a_restart_and_a_failover_and_not_longer(
+) {
     let mut story = Story::in_contact();
     story.tick();
-    story.answer_sync(AgentOrders { lease_ms: 60_000, ..orders(1, 2, &[]) });
+    story.answer_sync(AgentOrders {
+        lease_ms: 60_000,
+        ..orders(1, 2, &[])
+    });
 
     let answer = story.heartbeat(at_work(1, &[running(1, 1)])).unwrap();
 
@@ -60,7 +73,10 @@
 
     let answer = story.heartbeat(at_work(1, &[running(2, 1)])).unwrap();
 
-    assert_eq!((answer.hold_ms, answer.start.len(), answer.retry_after_ms), (None, 0, Some(300)));
+    assert_eq!(
+        (answer.hold_ms, answer.start.len(), answer.retry_after_ms),
+        (None, 0, Some(300))
+    );
 }
 
 #[test]
@@ -124,9 +140,18 @@
     story.heartbeat(at_work(2, &[running(1, 1)]));
     story.pass(50);
 
-    assert_eq!(offered, [RunId { task: task(1), run: 1 }]);
+    assert_eq!(
+        offered,
+        [RunId {
+            task: task(1),
+            run: 1
+        }]
+    );
     let report = story.newest_sync().worker.clone().unwrap();
-    assert_eq!((report.offered.len(), report.running.len(), report.sequence), (0, 1, 2));
+    assert_eq!(
+        (report.offered.len(), report.running.len(), report.sequence),
+        (0, 1, 2)
+    );
 }
 
 #[test]
@@ -173,7 +198,10 @@
 
     assert!(answer.start.is_empty());
     let report = story.newest_sync().worker.clone().unwrap();
-    assert_eq!(report.state, streamusher_protocol::heartbeat::WorkerState::Draining);
+    assert_eq!(
+        report.state,
+        streamusher_protocol::heartbeat::WorkerState::Draining
+    );
     assert_eq!(report.remaining_ms, Some(9_000));
 }
 
@@ -195,14 +223,23 @@
     let mut story = Story::in_contact();
     story.heartbeat(at_work(1, &[running(1, 1)]));
     story.pass(50);
-    story.answer_sync(AgentOrders { lease_ms: 1_000, ..orders(3, 1, &[]) });
+    story.answer_sync(AgentOrders {
+        lease_ms: 1_000,
+        ..orders(3, 1, &[])
+    });
     story.pass(50);
     let lease_before = story.agent.status(story.now).lease_left_ms;
 
-    story.answer_sync(AgentOrders { lease_ms: 60_000, ..orders(2, 9, &[start(1, 1)]) });
+    story.answer_sync(AgentOrders {
+        lease_ms: 60_000,
+        ..orders(2, 9, &[start(1, 1)])
+    });
 
     let status = story.agent.status(story.now);
-    assert_eq!((status.epoch, status.revision, status.lease_left_ms), (3, 1, lease_before));
+    assert_eq!(
+        (status.epoch, status.revision, status.lease_left_ms),
+        (3, 1, lease_before)
+    );
     let answer = story.heartbeat(at_work(2, &[running(2, 1)])).unwrap();
     assert_eq!((answer.fence_token, answer.start.len()), (3, 0));
 }
@@ -233,7 +270,10 @@
     let before = story.newest_sync().sequence;
     assert!(older < before && story.waiting.contains(&before));
 
-    story.event(AgentEvent::Orders { sequence: older, orders: orders(1, 3, &[]) });
+    story.event(AgentEvent::Orders {
+        sequence: older,
+        orders: orders(1, 3, &[]),
+    });
 
     let sync = story.newest_sync();
     assert_eq!((sync.sequence, sync.revision), (before + 1, 3));
@@ -253,7 +293,10 @@
 
     let answer = story.heartbeat(at_work(1, &[running(2, 1)])).unwrap();
 
-    assert_eq!((answer.start.len(), answer.stop.len(), answer.last_seen), (0, 0, None));
+    assert_eq!(
+        (answer.start.len(), answer.stop.len(), answer.last_seen),
+        (0, 0, None)
+    );
 }
 
 #[test]
@@ -261,7 +304,11 @@
     let mut story = Story::in_contact();
     story.heartbeat(at_work(1, &[running(1, 1)]));
     story.now += 50;
-    story.answer_sync(AgentOrders { stop: vec![stop(1, 1)], last_seen: 3, ..orders(1, 2, &[]) });
+    story.answer_sync(AgentOrders {
+        stop: vec![stop(1, 1)],
+        last_seen: 3,
+        ..orders(1, 2, &[])
+    });
 
     let first = story.heartbeat(at_work(2, &[running(1, 1)])).unwrap();
     let second = story.heartbeat(at_work(3, &[running(1, 1)])).unwrap();
@@ -277,7 +324,10 @@
     let mut story = Story::in_contact();
     story.heartbeat(heartbeat(1));
 
-    let actions = story.answer_sync(AgentOrders { stop: vec![stop(1, 1)], ..orders(1, 2, &[]) });
+    let actions = story.answer_sync(AgentOrders {
+        stop: vec![stop(1, 1)],
+        ..orders(1, 2, &[])
+    });
     let first = answer_to(&actions, story.request()).unwrap();
     story.now += 50;
     let second = story.heartbeat(heartbeat(2));
@@ -295,7 +345,13 @@
     let answer = story.heartbeat(heartbeat(4)).unwrap();
     story.pass(700);
 
-    assert_eq!(answer, HeartbeatAnswer { fence_token: 1, ..HeartbeatAnswer::default() });
+    assert_eq!(
+        answer,
+        HeartbeatAnswer {
+            fence_token: 1,
+            ..HeartbeatAnswer::default()
+        }
+    );
     assert_eq!(story.agent.status(story.now).running, 1);
 }
 
@@ -305,8 +361,11 @@
     story.heartbeat(heartbeat(1));
     let first = story.request();
 
-    let actions =
-        story.event(AgentEvent::Heartbeat { request: 99, instance: "i-1".into(), heartbeat: heartbeat(2) });
+    let actions = story.event(AgentEvent::Heartbeat {
+        request: 99,
+        instance: "i-1".into(),
+        heartbeat: heartbeat(2),
+    });
 
     assert_eq!(answer_to(&actions, first).unwrap().start, []);
     assert_eq!(answer_to(&actions, 99), None);
@@ -337,7 +396,9 @@
 
     let actions = story.agent.release(story.now);
 
-    assert!(matches!(&actions[..], [AgentAction::Answer { answer, .. }] if answer.start.is_empty()));
+    assert!(
+        matches!(&actions[..], [AgentAction::Answer { answer, .. }] if answer.start.is_empty())
+    );
     assert!(story.agent.release(story.now).is_empty());
 }
 
--- a/crates/dataplane/tests/agent_presence.rs
+++ b/crates/dataplane/tests/agent_presence.rs
@@ -44,9 +44,14 @@
     let received = story.now;
     story.pass(60);
     let sequence = story.waiting.pop().unwrap();
-    let long =
-        streamusher_protocol::internal::AgentOrders { lease_ms: 60_000, ..orders(1, 2, &[start(1, 1)]) };
-    story.event(streamusher_dataplane::agent::AgentEvent::Orders { sequence, orders: long });
+    let long = streamusher_protocol::internal::AgentOrders {
+        lease_ms: 60_000,
+        ..orders(1, 2, &[start(1, 1)])
+    };
+    story.event(streamusher_dataplane::agent::AgentEvent::Orders {
+        sequence,
+        orders: long,
+    });
 
     story.now = received;
     story.pass(LONGEST_GRANT_MS * 1_000 / 980 + 50);
@@ -68,13 +73,19 @@
 
     // The answer to a sync from before was on its way while the worker was called gone.
     story.heartbeat(heartbeat(2));
-    let late =
-        streamusher_protocol::internal::AgentOrders { lease_ms: 60_000, ..orders(1, 2, &[start(1, 1)]) };
-    let actions =
-        story.event(streamusher_dataplane::agent::AgentEvent::Orders { sequence: early, orders: late });
+    let late = streamusher_protocol::internal::AgentOrders {
+        lease_ms: 60_000,
+        ..orders(1, 2, &[start(1, 1)])
+    };
+    let actions = story.event(streamusher_dataplane::agent::AgentEvent::Orders {
+        sequence: early,
+        orders: late,
+    });
 
     assert!(!story.agent.status(story.now).gone);
-    let answers = actions.iter().filter(|action| matches!(action, AgentAction::Answer { .. }));
+    let answers = actions
+        .iter()
+        .filter(|action| matches!(action, AgentAction::Answer { .. }));
     assert_eq!(answers.count(), 0);
     assert_eq!(story.agent.status(story.now).offered, 0);
 }
@@ -94,7 +105,10 @@
     story.pass(60);
     let actions = story.answer_sync(orders(1, 4, &[start(1, 2)]));
 
-    assert_eq!(answer_to(&actions, story.request()).unwrap().start, [start(1, 2)]);
+    assert_eq!(
+        answer_to(&actions, story.request()).unwrap().start,
+        [start(1, 2)]
+    );
 }
 
 #[test]
@@ -113,7 +127,8 @@
 }
 
 #[test]
-fn given_runs_at_work_when_the_worker_deregisters_then_the_worker_is_gone_only_when_its_hold_is_over() {
+fn given_runs_at_work_when_the_worker_deregisters_then_the_worker_is_gone_only_when_its_hold_is_over(
+) {
     let mut story = Story::in_contact();
     story.heartbeat(heartbeat(1));
     let answer = story.heartbeat(at_work(2, &[running(1, 1)])).unwrap();
@@ -126,7 +141,10 @@
     story.pass(50);
 
     assert!(matches!(actions[0], AgentAction::Acknowledge { .. }));
-    assert_eq!((before.gone, before.state, before.running.len()), (false, WorkerState::Draining, 1));
+    assert_eq!(
+        (before.gone, before.state, before.running.len()),
+        (false, WorkerState::Draining, 1)
+    );
     assert!(story.newest_sync().worker.as_ref().unwrap().gone);
 }
 
@@ -161,7 +179,8 @@
 }
 
 #[test]
-fn given_a_restarted_agent_when_the_worker_deregisters_then_the_instance_is_gone_after_any_earlier_hold() {
+fn given_a_restarted_agent_when_the_worker_deregisters_then_the_instance_is_gone_after_any_earlier_hold(
+) {
     let mut story = Story::in_contact();
 
     story.deregister("i-5");
@@ -172,29 +191,39 @@
     let before = story.agent.status(story.now).gone;
     story.pass(100);
 
-    assert_eq!((&*first.instance, first.gone, first.state), ("i-5", false, WorkerState::Draining));
+    assert_eq!(
+        (&*first.instance, first.gone, first.state),
+        ("i-5", false, WorkerState::Draining)
+    );
     assert!(!before);
     let report = story.newest_sync().worker.clone().unwrap();
     assert_eq!((&*report.instance, report.gone), ("i-5", true));
 }
 
 #[test]
-fn given_a_new_instance_when_it_calls_then_it_replaces_the_old_one_whose_late_calls_count_no_more() {
+fn given_a_new_instance_when_it_calls_then_it_replaces_the_old_one_whose_late_calls_count_no_more()
+{
     let mut story = Story::in_contact();
     story.heartbeat(at_work(7, &[running(1, 1)]));
     story.pass(60);
 
     story.heartbeat_of("i-2", heartbeat(1));
-    let late = story.heartbeat_of("i-1", at_work(8, &[running(1, 1)])).unwrap();
+    let late = story
+        .heartbeat_of("i-1", at_work(8, &[running(1, 1)]))
+        .unwrap();
     story.pass(50);
 
     assert_eq!((late.hold_ms, late.start.len()), (None, 0));
     let report = story.newest_sync().worker.clone().unwrap();
-    assert_eq!((&*report.instance, report.running.len(), report.gone), ("i-2", 0, false));
+    assert_eq!(
+        (&*report.instance, report.running.len(), report.gone),
+        ("i-2", 0, false)
+    );
 }
 
 #[test]
-fn given_a_restarted_agent_and_a_worker_that_never_calls_when_its_hold_is_surely_over_then_it_is_gone() {
+fn given_a_restarted_agent_and_a_worker_that_never_calls_when_its_hold_is_surely_over_then_it_is_gone(
+) {
     let mut story = Story::in_contact();
 
     story.pass(LONGEST_GRANT_MS * 1_000 / 980 + 50 - 2 * SYNC_INTERVAL_MS);
@@ -240,7 +269,10 @@
     let before = story.newest_sync().sequence;
 
     let finished = vec![ended(1, 1, 1)];
-    story.heartbeat(streamusher_protocol::heartbeat::Heartbeat { finished, ..heartbeat(2) });
+    story.heartbeat(streamusher_protocol::heartbeat::Heartbeat {
+        finished,
+        ..heartbeat(2)
+    });
 
     let sync = story.newest_sync();
     assert_eq!(sync.sequence, before + 1);
@@ -262,11 +294,16 @@
         }
     }
 
-    assert!(story.syncs.len() - before <= 67, "{}", story.syncs.len() - before);
+    assert!(
+        story.syncs.len() - before <= 67,
+        "{}",
+        story.syncs.len() - before
+    );
 }
 
 #[test]
-fn given_syncs_that_fail_when_retried_then_the_pauses_grow_to_200_ms_and_the_report_is_told_again() {
+fn given_syncs_that_fail_when_retried_then_the_pauses_grow_to_200_ms_and_the_report_is_told_again()
+{
     let mut story = Story::begin();
     story.heartbeat(at_work(1, &[running(1, 1)]));
     let mut pauses = Vec::new();
@@ -301,7 +338,10 @@
     story.heartbeat(heartbeat(1));
 
     for _ in 0..200 {
-        story.now = story.agent.next_wakeup().map_or(story.now + 50, |at| at.max(story.now));
+        story.now = story
+            .agent
+            .next_wakeup()
+            .map_or(story.now + 50, |at| at.max(story.now));
         story.tick();
         if story.waiting.len() > 1 {
             story.fail_sync();
@@ -314,7 +354,10 @@
 fn given_answers_to_syncs_that_were_never_sent_when_taken_then_they_are_ignored() {
     let mut story = Story::begin();
 
-    story.event(streamusher_dataplane::agent::AgentEvent::Orders { sequence: 77, orders: orders(9, 1, &[]) });
+    story.event(streamusher_dataplane::agent::AgentEvent::Orders {
+        sequence: 77,
+        orders: orders(9, 1, &[]),
+    });
     story.event(streamusher_dataplane::agent::AgentEvent::SyncFailed { sequence: 78 });
 
     assert_eq!(story.agent.status(story.now).lease_left_ms, 0);
--- a/crates/dataplane/tests/agent_program.rs
+++ b/crates/dataplane/tests/agent_program.rs
@@ -27,7 +27,12 @@
 }
 
 fn order() -> StartOrder {
-    StartOrder("5c0e7a21d94b36f8.0.0.1".parse().unwrap(), 1, "spec".into(), "".into())
+    StartOrder(
+        "5c0e7a21d94b36f8.0.0.1".parse().unwrap(),
+        1,
+        "spec".into(),
+        "".into(),
+    )
 }
 
 /// Orders one start of any worker that has called.
@@ -38,13 +43,22 @@
     let sync: AgentSync = parse_json(call.body()).unwrap();
     let instance = sync.worker.map(|worker| worker.instance);
     let start = instance.iter().map(|_| order()).collect();
-    let orders =
-        AgentOrders { epoch: 4, revision: 1, lease_ms: LEASE_MS, instance, start, ..AgentOrders::default() };
+    let orders = AgentOrders {
+        epoch: 4,
+        revision: 1,
+        lease_ms: LEASE_MS,
+        instance,
+        start,
+        ..AgentOrders::default()
+    };
     json(StatusCode::OK, &orders)
 }
 
 async fn heartbeat(worker: &Client, body: String) -> Answer {
-    worker.call(call("POST", HEARTBEAT, body), SOON).await.unwrap()
+    worker
+        .call(call("POST", HEARTBEAT, body), SOON)
+        .await
+        .unwrap()
 }
 
 #[test]
@@ -69,7 +83,10 @@
         // The lease begins with a sync, which may be sent while the call is held; the hold begins with the call.
         let lease_over = u128::from(LEASE_MS) + called_at.elapsed().as_millis();
         let most = lease_over * 97 / 100;
-        assert!((500..=most).contains(&u128::from(answer.hold_ms.unwrap())), "{answer:?}, at most {most}");
+        assert!(
+            (500..=most).contains(&u128::from(answer.hold_ms.unwrap())),
+            "{answer:?}, at most {most}"
+        );
     });
 }
 
@@ -82,24 +99,38 @@
         let missing = heartbeat(&worker, "{\"service\":\"app\"}".to_owned()).await;
         let wrong = heartbeat(&worker, "{\"service\":\"app\",\"sequence\":-1}".to_owned()).await;
 
-        assert_eq!((missing.status(), wrong.status()), (StatusCode::BAD_REQUEST, StatusCode::BAD_REQUEST));
-        assert!(std::str::from_utf8(missing.body()).unwrap().contains("sequence"));
-        assert!(std::str::from_utf8(wrong.body()).unwrap().contains("sequence"));
+        assert_eq!(
+            (missing.status(), wrong.status()),
+            (StatusCode::BAD_REQUEST, StatusCode::BAD_REQUEST)
+        );
+        assert!(std::str::from_utf8(missing.body())
+            .unwrap()
+            .contains("sequence"));
+        assert!(std::str::from_utf8(wrong.body())
+            .unwrap()
+            .contains("sequence"));
     });
 }
 
 #[test]
 fn given_no_primary_when_a_draining_worker_calls_and_ends_then_both_are_acknowledged_at_once() {
     run(async {
-        let free = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+        let free = std::net::TcpListener::bind("127.0.0.1:0")
+            .unwrap()
+            .local_addr()
+            .unwrap();
         let worker = agent_of(free);
 
-        let body = "{\"service\":\"app\",\"sequence\":1,\"state\":\"draining\",\"remaining_ms\":4000}";
+        let body =
+            "{\"service\":\"app\",\"sequence\":1,\"state\":\"draining\",\"remaining_ms\":4000}";
         let drained = heartbeat(&worker, body.to_owned()).await;
         let end = call("POST", "/streamusher/Instances.Deregister/i-1", "");
         let ended = worker.call(end, SOON).await.unwrap();
 
-        assert_eq!((drained.status(), ended.status()), (StatusCode::OK, StatusCode::OK));
+        assert_eq!(
+            (drained.status(), ended.status()),
+            (StatusCode::OK, StatusCode::OK)
+        );
     });
 }
 
@@ -109,16 +140,25 @@
         let primary = Primary::start(|_call| std::future::pending::<Answer>());
         let worker = agent_of(primary.address);
 
-        let path = worker.call(call("POST", "/streamusher/Instances.Heartbeat/", ""), SOON).await.unwrap();
+        let path = worker
+            .call(call("POST", "/streamusher/Instances.Heartbeat/", ""), SOON)
+            .await
+            .unwrap();
         let method = worker.call(call("GET", HEARTBEAT, ""), SOON).await.unwrap();
 
-        assert_eq!((path.status(), method.status()), (StatusCode::NOT_FOUND, StatusCode::METHOD_NOT_ALLOWED));
+        assert_eq!(
+            (path.status(), method.status()),
+            (StatusCode::NOT_FOUND, StatusCode::METHOD_NOT_ALLOWED)
+        );
     });
 }
 
 #[test]
 fn given_settings_of_another_role_when_checked_then_the_error_names_the_key() {
-    let mut settings = Settings { serves: vec!["front".into()], ..Settings::default() };
+    let mut settings = Settings {
+        serves: vec!["front".into()],
+        ..Settings::default()
+    };
     assert!(check(&settings).unwrap_err().contains("serves"));
 
     settings.serves = vec!["side".into()];
--- a/crates/dataplane/tests/common/mod.rs
+++ b/crates/dataplane/tests/common/mod.rs
@@ -51,15 +51,26 @@
 }
 
 pub fn heartbeat(sequence: u64) -> Heartbeat {
-    Heartbeat { service: "app".into(), sequence, ..Heartbeat::default() }
+    Heartbeat {
+        service: "app".into(),
+        sequence,
+        ..Heartbeat::default()
+    }
 }
 
 pub fn at_work(sequence: u64, runs: &[RunningTask]) -> Heartbeat {
-    Heartbeat { running: runs.to_vec(), ..heartbeat(sequence) }
+    Heartbeat {
+        running: runs.to_vec(),
+        ..heartbeat(sequence)
+    }
 }
 
 pub fn draining(sequence: u64) -> Heartbeat {
-    Heartbeat { state: WorkerState::Draining, remaining_ms: Some(9_000), ..heartbeat(sequence) }
+    Heartbeat {
+        state: WorkerState::Draining,
+        remaining_ms: Some(9_000),
+        ..heartbeat(sequence)
+    }
 }
 
 pub fn orders(epoch: u64, revision: u64, start: &[StartOrder]) -> AgentOrders {
@@ -132,10 +143,18 @@
     }
 
     /// A heartbeat; gives what it is answered at once, if it is.
-    pub fn heartbeat_of(&mut self, instance: &str, heartbeat: Heartbeat) -> Option<HeartbeatAnswer> {
+    pub fn heartbeat_of(
+        &mut self,
+        instance: &str,
+        heartbeat: Heartbeat,
+    ) -> Option<HeartbeatAnswer> {
         self.last_request += 1;
         let request = self.last_request;
-        let actions = self.event(AgentEvent::Heartbeat { request, instance: instance.into(), heartbeat });
+        let actions = self.event(AgentEvent::Heartbeat {
+            request,
+            instance: instance.into(),
+            heartbeat,
+        });
         answer_to(&actions, request)
     }
 
@@ -145,7 +164,10 @@
 
     pub fn deregister(&mut self, instance: &str) -> Vec<AgentAction> {
         self.last_request += 1;
-        self.event(AgentEvent::Deregister { request: self.last_request, instance: instance.into() })
+        self.event(AgentEvent::Deregister {
+            request: self.last_request,
+            instance: instance.into(),
+        })
     }
 
     /// The primary answers the newest sync.
--- a/crates/dataplane/tests/common/primary.rs
+++ b/crates/dataplane/tests/common/primary.rs
@@ -11,22 +11,35 @@
 use std::time::Duration;
 use streamusher_node::http::{json, parse_json, Answer, Call, Server, ServerHandle, ServerLimits};
 use streamusher_node::settings::Settings;
-use streamusher_protocol::internal::{ClientCall, ClientReply, ClusterView, CoreAddress, CLUSTER_PATH};
+use streamusher_protocol::internal::{
+    ClientCall, ClientReply, ClusterView, CoreAddress, CLUSTER_PATH,
+};
 
 /// Bounds what should happen at once.
 pub const SOON: Duration = Duration::from_secs(20);
 
 pub fn run<F: Future<Output = ()>>(future: F) {
-    let bounded = async { tokio::time::timeout(SOON, future).await.expect("it ends in time") };
+    let bounded = async {
+        tokio::time::timeout(SOON, future)
+            .await
+            .expect("it ends in time")
+    };
     streamusher_node::runtime::block_on(bounded).unwrap();
 }
 
 pub fn core(address: SocketAddr) -> CoreAddress {
-    CoreAddress { internal: address.to_string().into(), control: "127.0.0.1:1".into() }
+    CoreAddress {
+        internal: address.to_string().into(),
+        control: "127.0.0.1:1".into(),
+    }
 }
 
 pub fn view(epoch: u64, primary: Option<SocketAddr>) -> ClusterView {
-    ClusterView { epoch, primary: primary.map(core), members: primary.map(core).into_iter().collect() }
+    ClusterView {
+        epoch,
+        primary: primary.map(core),
+        members: primary.map(core).into_iter().collect(),
+    }
 }
 
 /// Settings whose only seed is the core machine at `primary`.
@@ -46,7 +59,9 @@
 }
 
 impl Primary {
-    pub fn start<F: Future<Output = Answer> + 'static>(script: impl Fn(Call) -> F + 'static) -> Primary {
+    pub fn start<F: Future<Output = Answer> + 'static>(
+        script: impl Fn(Call) -> F + 'static,
+    ) -> Primary {
         let server = Server::bind("127.0.0.1:0".parse().unwrap(), ServerLimits::default()).unwrap();
         let address = server.local_address().unwrap();
         let handle = server.handle();
@@ -62,7 +77,11 @@
                 script(call).await
             }
         }));
-        Primary { address, handle, calls }
+        Primary {
+            address,
+            handle,
+            calls,
+        }
     }
 
     /// One that gives every client the same reply.
@@ -71,22 +90,34 @@
     }
 
     pub fn client_calls(&self) -> Vec<ClientCall> {
-        self.calls.borrow().iter().map(|call| parse_json(call.body()).unwrap()).collect()
+        self.calls
+            .borrow()
+            .iter()
+            .map(|call| parse_json(call.body()).unwrap())
+            .collect()
     }
 }
 
 pub fn reply(status: u16, body: &str) -> ClientReply {
-    ClientReply { status, body: body.into(), retry_after_ms: None }
+    ClientReply {
+        status,
+        body: body.into(),
+        retry_after_ms: None,
+    }
 }
 
 pub fn call(method: &str, path: &str, body: impl Into<Bytes>) -> Call {
-    let request = http::Request::builder().method(method).uri(path).header("host", "ficu95.example");
+    let request = http::Request::builder()
+        .method(method)
+        .uri(path)
+        .header("host", "ficu95.example");
     request.body(body.into()).unwrap()
 }
 
 /// The same with a client's deadline.
 pub fn hurried(method: &str, path: &str, deadline_ms: u64) -> Call {
     let mut call = call(method, path, "");
-    call.headers_mut().insert("streamusher-deadline-ms", deadline_ms.into());
+    call.headers_mut()
+        .insert("streamusher-deadline-ms", deadline_ms.into());
     call
 }
--- a/crates/dataplane/tests/finder.rs
+++ b/crates/dataplane/tests/finder.rs
@@ -76,7 +76,8 @@
 }
 
 #[test]
-fn given_a_call_that_failed_when_others_still_name_that_primary_then_only_its_own_word_brings_it_back() {
+fn given_a_call_that_failed_when_others_still_name_that_primary_then_only_its_own_word_brings_it_back(
+) {
     let mut finder = finder();
     finder.learn(0, &internal(1), &view(3, Some(1), &[1, 2, 3]));
 
--- a/crates/dataplane/tests/gate.rs
+++ b/crates/dataplane/tests/gate.rs
@@ -22,20 +22,32 @@
 async fn gate_of(primary: SocketAddr) -> Gate {
     let gate = Gate::new(&settings(primary));
     gate.start("127.0.0.1:0".parse().unwrap());
-    gate.link().wait_for_primary(tokio::time::Instant::now() + SOON).await.expect("a primary");
+    gate.link()
+        .wait_for_primary(tokio::time::Instant::now() + SOON)
+        .await
+        .expect("a primary");
     gate
 }
 
 fn misdirected(to: Option<SocketAddr>) -> Answer {
-    json(StatusCode::MISDIRECTED_REQUEST, &NotPrimary { view: view(2, to) })
+    json(
+        StatusCode::MISDIRECTED_REQUEST,
+        &NotPrimary { view: view(2, to) },
+    )
 }
 
 fn retry_after(answer: &Answer) -> Option<&str> {
-    answer.headers().get("retry-after").map(|value| value.to_str().unwrap())
+    answer
+        .headers()
+        .get("retry-after")
+        .map(|value| value.to_str().unwrap())
 }
 
 fn free_address() -> SocketAddr {
-    std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
+    std::net::TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap()
 }
 
 #[test]
@@ -44,13 +56,24 @@
         let primary = Primary::replying(reply(200, "{}"));
         let gate = gate_of(primary.address).await;
 
-        let answer = gate.answer(call("POST", "/lohu930/5c0e?x=%20", "{\"spec\":\"\\\"ü\"}")).await;
+        let answer = gate
+            .answer(call("POST", "/lohu930/5c0e?x=%20", "{\"spec\":\"\\\"ü\"}"))
+            .await;
 
-        assert_eq!((answer.status(), &answer.body()[..]), (StatusCode::OK, &b"{}"[..]));
-        assert_eq!(answer.headers().get("content-type").unwrap(), "application/json");
+        assert_eq!(
+            (answer.status(), &answer.body()[..]),
+            (StatusCode::OK, &b"{}"[..])
+        );
+        assert_eq!(
+            answer.headers().get("content-type").unwrap(),
+            "application/json"
+        );
         let calls = primary.client_calls();
         assert_eq!((calls.len(), calls[0].method), (1, ClientMethod::Post));
-        assert_eq!((&*calls[0].host, &*calls[0].path), ("ficu95.example", "/lohu930/5c0e?x=%20"));
+        assert_eq!(
+            (&*calls[0].host, &*calls[0].path),
+            ("ficu95.example", "/lohu930/5c0e?x=%20")
+        );
         assert_eq!(&*calls[0].body, "{\"spec\":\"\\\"ü\"}");
     });
 }
@@ -61,14 +84,23 @@
 #[case(1_000, "1")]
 #[case(1_001, "1.001")]
 #[case(0, "0.001")]
-fn given_a_refusal_when_passed_on_then_retry_after_is_in_seconds(#[case] given: u64, #[case] wanted: &str) {
+fn given_a_refusal_when_passed_on_then_retry_after_is_in_seconds(
+    #[case] given: u64,
+    #[case] wanted: &str,
+) {
     run(async {
-        let primary = Primary::replying(ClientReply { retry_after_ms: Some(given), ..reply(429, "") });
+        let primary = Primary::replying(ClientReply {
+            retry_after_ms: Some(given),
+            ..reply(429, "")
+        });
         let gate = gate_of(primary.address).await;
 
         let answer = gate.answer(call("POST", PATH, "{}")).await;
 
-        assert_eq!((answer.status(), retry_after(&answer)), (StatusCode::TOO_MANY_REQUESTS, Some(wanted)));
+        assert_eq!(
+            (answer.status(), retry_after(&answer)),
+            (StatusCode::TOO_MANY_REQUESTS, Some(wanted))
+        );
     });
 }
 
@@ -78,7 +110,8 @@
 #[case(900, 900)]
 #[case(60_000, 2_000)]
 fn given_an_outage_when_calls_are_refused_then_clients_come_back_after_as_long_again(
-    #[case] outage: u64, #[case] wanted: u64,
+    #[case] outage: u64,
+    #[case] wanted: u64,
 ) {
     assert_eq!(retry_after_outage(outage), wanted);
 }
@@ -102,7 +135,9 @@
 #[rstest]
 #[case("POST")]
 #[case("GET")]
-fn given_another_primary_when_the_first_refuses_then_the_call_is_made_there_once(#[case] method: &str) {
+fn given_another_primary_when_the_first_refuses_then_the_call_is_made_there_once(
+    #[case] method: &str,
+) {
     run(async {
         let second = Primary::replying(reply(200, "{}"));
         let there = second.address;
@@ -112,7 +147,10 @@
         let answer = gate.answer(call(method, PATH, "{}")).await;
 
         assert_eq!(answer.status(), StatusCode::OK);
-        assert_eq!((first.calls.borrow().len(), second.calls.borrow().len()), (1, 1));
+        assert_eq!(
+            (first.calls.borrow().len(), second.calls.borrow().len()),
+            (1, 1)
+        );
     });
 }
 
@@ -151,7 +189,10 @@
 
         let answer = gate.answer(hurried("POST", PATH, 300)).await;
 
-        assert_eq!((answer.status(), retry_after(&answer)), (StatusCode::BAD_GATEWAY, None));
+        assert_eq!(
+            (answer.status(), retry_after(&answer)),
+            (StatusCode::BAD_GATEWAY, None)
+        );
         assert_eq!(primary.calls.borrow().len(), 1);
     });
 }
@@ -161,7 +202,9 @@
 #[case("DELETE", StatusCode::OK, 2)]
 #[case("POST", StatusCode::BAD_GATEWAY, 1)]
 fn given_a_connection_that_breaks_after_the_call_when_repeated_then_only_what_may_be(
-    #[case] method: &str, #[case] wanted: StatusCode, #[case] wanted_calls: u32,
+    #[case] method: &str,
+    #[case] wanted: StatusCode,
+    #[case] wanted_calls: u32,
 ) {
     run(async {
         let (address, calls) = breaking_primary().await;
@@ -178,26 +221,37 @@
 #[case("DELETE", StatusCode::OK, 2)]
 #[case("POST", StatusCode::BAD_GATEWAY, 1)]
 fn given_a_primary_that_could_not_commit_when_called_then_only_what_may_be_repeated_is(
-    #[case] method: &str, #[case] wanted: StatusCode, #[case] wanted_calls: usize,
+    #[case] method: &str,
+    #[case] wanted: StatusCode,
+    #[case] wanted_calls: usize,
 ) {
     run(async {
         let first = Cell::new(true);
         let primary = Primary::start(move |_call| {
-            let status = if first.replace(false) { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::OK };
+            let status = if first.replace(false) {
+                StatusCode::GATEWAY_TIMEOUT
+            } else {
+                StatusCode::OK
+            };
             std::future::ready(json(status, &reply(200, "{}")))
         });
         let gate = gate_of(primary.address).await;
 
         let answer = gate.answer(hurried(method, PATH, 15_000)).await;
 
-        assert_eq!((answer.status(), primary.calls.borrow().len()), (wanted, wanted_calls));
+        assert_eq!(
+            (answer.status(), primary.calls.borrow().len()),
+            (wanted, wanted_calls)
+        );
     });
 }
 
 #[rstest]
 #[case(500)]
 #[case(404)]
-fn given_a_status_of_the_internal_protocol_when_it_comes_then_the_client_gets_502(#[case] status: u16) {
+fn given_a_status_of_the_internal_protocol_when_it_comes_then_the_client_gets_502(
+    #[case] status: u16,
+) {
     run(async {
         let status = StatusCode::from_u16(status).unwrap();
         let primary = Primary::start(move |_call| std::future::ready(json(status, &0)));
@@ -242,14 +296,20 @@
         let elsewhere = gate.readiness(&call("GET", "/", "")).status();
 
         let unavailable = StatusCode::SERVICE_UNAVAILABLE;
-        assert_eq!([before, ready, leaving], [unavailable, StatusCode::OK, unavailable]);
+        assert_eq!(
+            [before, ready, leaving],
+            [unavailable, StatusCode::OK, unavailable]
+        );
         assert_eq!(elsewhere, StatusCode::NOT_FOUND);
     });
 }
 
 #[test]
 fn given_settings_of_another_role_when_checked_then_the_error_names_the_key() {
-    let mut settings = Settings { serves: vec!["side".into()], ..Settings::default() };
+    let mut settings = Settings {
+        serves: vec!["side".into()],
+        ..Settings::default()
+    };
     assert!(check(&settings).unwrap_err().contains("serves"));
 
     settings.serves = vec!["front".into()];
@@ -285,7 +345,10 @@
             }
             serde_json::to_string(&reply(200, "{}")).unwrap()
         };
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+        let answer = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
         stream.write_all(answer.as_bytes()).await.unwrap();
     }
 }
@@ -296,7 +359,9 @@
         read.push(stream.read_u8().await.ok()?);
     }
     let head = String::from_utf8(read).unwrap().to_ascii_lowercase();
-    let length = head.lines().find_map(|line| line.strip_prefix("content-length: ")?.parse().ok());
+    let length = head
+        .lines()
+        .find_map(|line| line.strip_prefix("content-length: ")?.parse().ok());
     let mut body = vec![0; length.unwrap_or(0)];
     stream.read_exact(&mut body).await.ok()?;
     Some(head.replacen("get ", "GET ", 1))
--- a/crates/dataplane/tests/process.rs
+++ b/crates/dataplane/tests/process.rs
@@ -20,7 +20,10 @@
 
 impl SettingsFile {
     fn write(name: &str, text: &str) -> SettingsFile {
-        let path = std::env::temp_dir().join(format!("streamusher-data-{}-{name}.toml", std::process::id()));
+        let path = std::env::temp_dir().join(format!(
+            "streamusher-data-{}-{name}.toml",
+            std::process::id()
+        ));
         std::fs::write(&path, text).unwrap();
         SettingsFile(path)
     }
@@ -42,7 +45,10 @@
 
 fn program(arguments: &[&str], settings: &Path) -> Command {
     let mut command = Command::new(PROGRAM);
-    command.args(arguments).env("STREAMUSHER_SETTINGS", settings).env("STREAMUSHER_LOG", "info");
+    command
+        .args(arguments)
+        .env("STREAMUSHER_SETTINGS", settings)
+        .env("STREAMUSHER_LOG", "info");
     command.stdin(Stdio::null());
     command
 }
@@ -57,7 +63,10 @@
 }
 
 fn send_signal(child: &Child, name: &str) {
-    let sent = Command::new("kill").args([name, &child.id().to_string()]).status().unwrap();
+    let sent = Command::new("kill")
+        .args([name, &child.id().to_string()])
+        .status()
+        .unwrap();
     assert!(sent.success());
 }
 
@@ -68,7 +77,8 @@
 #[case::unknown_command(&["door"], 2)]
 #[case::no_settings(&["gate", "--check"], 2)]
 fn given_a_command_line_when_run_then_the_exit_code_says_how_it_went(
-    #[case] line: &[&str], #[case] code: i32,
+    #[case] line: &[&str],
+    #[case] code: i32,
 ) {
     let output = output(line, Path::new("/nonexistent/settings.toml"));
 
@@ -83,32 +93,56 @@
     let gate = output(&["gate", "--check"], &file.0);
     let agent = output(&["agent", "--check"], &file.0);
 
-    assert_eq!((gate.status.code(), agent.status.code()), (Some(0), Some(2)));
+    assert_eq!(
+        (gate.status.code(), agent.status.code()),
+        (Some(0), Some(2))
+    );
     assert!(String::from_utf8_lossy(&agent.stderr).contains("serves"));
 }
 
 #[test]
 fn given_a_gate_when_it_is_stopped_then_it_serves_on_is_not_ready_and_ends_with_success() {
     run(async {
-        let primary = Primary::start(|_call| std::future::ready(json(StatusCode::OK, &reply(200, "{}"))));
+        let primary =
+            Primary::start(|_call| std::future::ready(json(StatusCode::OK, &reply(200, "{}"))));
         let [front, ready] = free_addresses();
-        let file = SettingsFile::write("life", &gate_settings(primary.address.port(), front, ready));
-        let mut child = program(&["gate"], &file.0).stderr(Stdio::piped()).spawn().unwrap();
+        let file =
+            SettingsFile::write("life", &gate_settings(primary.address.port(), front, ready));
+        let mut child = program(&["gate"], &file.0)
+            .stderr(Stdio::piped())
+            .spawn()
+            .unwrap();
         let log = child.stderr.take().unwrap();
         let mut log = spawn_log(log);
         wait_on(&mut log, &["takes clients", "the primary of epoch"]).await;
         let question = call("GET", "/streamusher/readiness", "");
 
-        let served = Client::new(front).call(call("POST", "/a/5c0e", "{}"), SOON).await.unwrap();
-        let ready_before = Client::new(ready).call(question.clone(), SOON).await.unwrap();
+        let served = Client::new(front)
+            .call(call("POST", "/a/5c0e", "{}"), SOON)
+            .await
+            .unwrap();
+        let ready_before = Client::new(ready)
+            .call(question.clone(), SOON)
+            .await
+            .unwrap();
         send_signal(&child, "-TERM");
         wait_on(&mut log, &["the gate leaves"]).await;
         let ready_after = Client::new(ready).call(question, SOON).await.unwrap();
-        let served_after = Client::new(front).call(call("POST", "/a/5c0e", "{}"), SOON).await.unwrap();
-        let ended = tokio::task::spawn_blocking(move || child.wait().unwrap()).await.unwrap();
-        let after_the_end = Client::new(front).call(call("POST", "/a/5c0e", "{}"), SOON).await;
-
-        assert_eq!((served.status(), served_after.status()), (StatusCode::OK, StatusCode::OK));
+        let served_after = Client::new(front)
+            .call(call("POST", "/a/5c0e", "{}"), SOON)
+            .await
+            .unwrap();
+        let ended = tokio::task::spawn_blocking(move || child.wait().unwrap())
+            .await
+            .unwrap();
+        let after_the_end = Client::new(front)
+            .call(call("POST", "/a/5c0e", "{}"), SOON)
+            .await;
+
+        assert_eq!(
+            (served.status(), served_after.status()),
+            (StatusCode::OK, StatusCode::OK)
+        );
         assert_eq!(ready_before.status(), StatusCode::OK);
         assert_eq!(ready_after.status(), StatusCode::SERVICE_UNAVAILABLE);
         assert_eq!(ended.code(), Some(0));
--- a/crates/dataplane/tests/relay.rs
+++ b/crates/dataplane/tests/relay.rs
@@ -10,13 +10,16 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use streamusher_configuration::relay::{Distribution, Envelope, Peer, Published, RelayMessage, Send};
+use streamusher_configuration::relay::{
+    Distribution, Envelope, Peer, Published, RelayMessage, Send,
+};
 use streamusher_dataplane::core::CoreLink;
 use streamusher_dataplane::gate::relay::Relay;
 use streamusher_dataplane::gate::Gate;
 use streamusher_node::clock;
 use streamusher_node::http::{
-    empty, json as answer_json, parse_json, text, Answer, Call, Outbox, Server, ServerHandle, ServerLimits,
+    empty, json as answer_json, parse_json, text, Answer, Call, Outbox, Server, ServerHandle,
+    ServerLimits,
 };
 use streamusher_protocol::internal::{
     ClusterView, NotPrimary, CLUSTER_PATH, GATE_LEASE_PATH, RELAY_PATH, STATUS_PATH,
@@ -44,14 +47,23 @@
     fn start(epoch: u64) -> Core {
         let server = Server::bind("127.0.0.1:0".parse().unwrap(), ServerLimits::default()).unwrap();
         let address = server.local_address().unwrap();
-        let body = |messages| serde_json::to_vec(&Envelope { from: Peer::Core, messages }).unwrap();
+        let body = |messages| {
+            serde_json::to_vec(&Envelope {
+                from: Peer::Core,
+                messages,
+            })
+            .unwrap()
+        };
         let state = State {
             epoch,
             distribution: RefCell::new(Distribution::new(epoch, clock::steady())),
             outbox: RefCell::new(Outbox::new(RELAY_PATH, body)),
             successor: RefCell::default(),
         };
-        let core = Core { address, state: Rc::new(state) };
+        let core = Core {
+            address,
+            state: Rc::new(state),
+        };
         let serving = core.clone();
         spawn_local(server.run(move |call| std::future::ready(serving.answer(&call))));
         let ticking = core.clone();
@@ -79,7 +91,10 @@
             (_, Some(view)) => answer_json(StatusCode::MISDIRECTED_REQUEST, &NotPrimary { view }),
             (GATE_LEASE_PATH, _) => {
                 let lease = parse_json(call.body()).unwrap();
-                answer_json(StatusCode::OK, &self.state.distribution.borrow_mut().lease(now, &lease))
+                answer_json(
+                    StatusCode::OK,
+                    &self.state.distribution.borrow_mut().lease(now, &lease),
+                )
             }
             (RELAY_PATH, _) => {
                 let envelope = parse_json(call.body()).unwrap();
@@ -93,10 +108,14 @@
 
     fn publish(&self, version: u64, update_of: Option<u64>) {
         let text = json!({"version": version, "limits": {"max_body_bytes": version}}).to_string();
-        let update =
-            json!({"version": version, "upsert": {"limits": {"max_body_bytes": version}}}).to_string();
+        let update = json!({"version": version, "upsert": {"limits": {"max_body_bytes": version}}})
+            .to_string();
         let update = update_of.map(|base| (base, update.into()));
-        let published = Published { version, text: text.into(), update };
+        let published = Published {
+            version,
+            text: text.into(),
+            update,
+        };
         let sends = self.state.distribution.borrow_mut().publish(&published);
         self.send(sends);
     }
@@ -108,8 +127,13 @@
     fn send(&self, sends: Vec<Send>) {
         for send in sends {
             for to in &send.to {
-                let Peer::Member(address) = to else { panic!("the core tells members only") };
-                self.state.outbox.borrow_mut().send(address, send.message.clone());
+                let Peer::Member(address) = to else {
+                    panic!("the core tells members only")
+                };
+                self.state
+                    .outbox
+                    .borrow_mut()
+                    .send(address, send.message.clone());
             }
         }
     }
@@ -133,7 +157,12 @@
         let running = spawn_local(async move {
             tokio::join!(link.run(), member.run());
         });
-        Member { relay, server: handle, running, newest: Cell::new(0) }
+        Member {
+            relay,
+            server: handle,
+            running,
+            newest: Cell::new(0),
+        }
     }
 
     /// Waits for a version; none that comes meanwhile may be older than the one before.
@@ -141,10 +170,19 @@
         while self.relay.version() < wanted {
             self.relay.changed().await;
             let version = self.relay.version();
-            assert!(version >= self.newest.get(), "from {} back to {version}", self.newest.get());
+            assert!(
+                version >= self.newest.get(),
+                "from {} back to {version}",
+                self.newest.get()
+            );
             self.newest.set(version);
         }
-        assert_eq!(self.relay.configuration().map(|configuration| configuration.version), Some(wanted));
+        assert_eq!(
+            self.relay
+                .configuration()
+                .map(|configuration| configuration.version),
+            Some(wanted)
+        );
     }
 
     fn status(&self) -> Value {
@@ -196,7 +234,10 @@
         all_have(&members, 9).await;
         for member in &members {
             assert_eq!(member.status()["parent"], "Core");
-            assert_eq!(member.relay.configuration().unwrap().limits.max_body_bytes, 9);
+            assert_eq!(
+                member.relay.configuration().unwrap().limits.max_body_bytes,
+                9
+            );
         }
     });
 }
@@ -209,7 +250,10 @@
         core.publish(5, None);
         all_have(&members, 5).await;
         all_are_in(&members, &core).await;
-        let inner = members.iter().position(|member| member.children() >= 4).expect("an inner member");
+        let inner = members
+            .iter()
+            .position(|member| member.children() >= 4)
+            .expect("an inner member");
 
         members.swap_remove(inner).die();
         core.publish(9, Some(5));
@@ -249,7 +293,9 @@
         let core = Core::start(1);
         let member = Member::start(&core);
 
-        let malformed = member.relay.answer(&call("POST", RELAY_PATH, "{\"from\":7}"));
+        let malformed = member
+            .relay
+            .answer(&call("POST", RELAY_PATH, "{\"from\":7}"));
         let wrong_method = member.relay.answer(&call("GET", RELAY_PATH, ""));
 
         assert_eq!(malformed.status(), StatusCode::BAD_REQUEST);
--- a/crates/dataplane/tests/reload.rs
+++ b/crates/dataplane/tests/reload.rs
@@ -23,14 +23,25 @@
         let settings = std::env::temp_dir().join(name);
         write_settings(&settings, &net, command, seeds);
         let mut program = Command::new(PROGRAM);
-        program.arg(command).env("STREAMUSHER_SETTINGS", &settings).env_remove("STREAMUSHER_LOG");
+        program
+            .arg(command)
+            .env("STREAMUSHER_SETTINGS", &settings)
+            .env_remove("STREAMUSHER_LOG");
         let child = program.stderr(Stdio::piped()).spawn().unwrap();
-        Process { child, net, command, settings }
+        Process {
+            child,
+            net,
+            command,
+            settings,
+        }
     }
 
     fn reload(&self, seeds: &str) {
         write_settings(&self.settings, &self.net, self.command, seeds);
-        let sent = Command::new("kill").args(["-HUP", &self.child.id().to_string()]).status().unwrap();
+        let sent = Command::new("kill")
+            .args(["-HUP", &self.child.id().to_string()])
+            .status()
+            .unwrap();
         assert!(sent.success());
     }
 }
@@ -53,21 +64,27 @@
 }
 
 fn wait_for(lines: &mut impl Iterator<Item = String>, part: &str) {
-    assert!(lines.any(|line| line.contains(part)), "the log ended without {part:?}");
+    assert!(
+        lines.any(|line| line.contains(part)),
+        "the log ended without {part:?}"
+    );
 }
 
 #[rstest]
 #[case("gate", 130)]
 #[case("agent", 155)]
 fn given_new_seeds_when_sighup_comes_then_they_are_asked_and_a_wrong_file_changes_nothing(
-    #[case] command: &'static str, #[case] first: u32,
+    #[case] command: &'static str,
+    #[case] first: u32,
 ) {
     let pid = std::process::id();
     let net = format!("127.{}.{}", first + pid % 25, pid / 25 % 250);
     let former = TcpListener::bind(format!("{net}.2:7300")).unwrap();
     let newer = TcpListener::bind(format!("{net}.3:7300")).unwrap();
     let mut process = Process::start(net.clone(), command, &format!("\"{net}.2:8144\""));
-    let mut lines = BufReader::new(process.child.stderr.take().unwrap()).lines().map_while(Result::ok);
+    let mut lines = BufReader::new(process.child.stderr.take().unwrap())
+        .lines()
+        .map_while(Result::ok);
     // Both calls wait until the process connects.
     former.accept().unwrap();
 
--- a/crates/dataplane/tests/takeover.rs
+++ b/crates/dataplane/tests/takeover.rs
@@ -63,7 +63,11 @@
 
     fn learns(&self, epoch: u64, primary: &Member, members: &[&Member]) {
         let members = members.iter().map(|member| core(member.address)).collect();
-        *self.view.borrow_mut() = ClusterView { epoch, primary: Some(core(primary.address)), members };
+        *self.view.borrow_mut() = ClusterView {
+            epoch,
+            primary: Some(core(primary.address)),
+            members,
+        };
         self.changed.notify_waiters();
     }
 }
@@ -77,7 +81,9 @@
     let link = CoreLink::new(vec![core(first.address)], 1, 2);
     let running = link.clone();
     tokio::task::spawn_local(async move { running.run().await });
-    link.wait_for_primary(tokio::time::Instant::now() + SOON).await.expect("a primary");
+    link.wait_for_primary(tokio::time::Instant::now() + SOON)
+        .await
+        .expect("a primary");
     (first, second, link)
 }
 
@@ -95,8 +101,14 @@
         let call = link.post(&target, CALLED_PATH, &(), NEVER);
         let (outcome, ()) = tokio::join!(call, takeover);
 
-        assert!(matches!(outcome, Outcome::Unknown), "it may have been carried out: {outcome:?}");
-        assert_eq!(**link.primary().unwrap().address(), *second.address.to_string());
+        assert!(
+            matches!(outcome, Outcome::Unknown),
+            "it may have been carried out: {outcome:?}"
+        );
+        assert_eq!(
+            **link.primary().unwrap().address(),
+            *second.address.to_string()
+        );
     });
 }
 
--- a/crates/emulator/examples/losses.rs
+++ b/crates/emulator/examples/losses.rs
@@ -30,9 +30,12 @@
 fn table(arguments: &[String]) -> Result<Losses, String> {
     let mut options = Options::new();
     options.reqopt("", "site", "the deployment that was played", "FILE");
-    let usage =
-        || options.usage("losses --site FILE REPORT LOG [REPORT LOG ...]: where plays' worth was lost");
-    let matches = options.parse(arguments).map_err(|problem| format!("{problem}\n{}", usage()))?;
+    let usage = || {
+        options.usage("losses --site FILE REPORT LOG [REPORT LOG ...]: where plays' worth was lost")
+    };
+    let matches = options
+        .parse(arguments)
+        .map_err(|problem| format!("{problem}\n{}", usage()))?;
     let site = matches.opt_str("site").unwrap_or_default();
     let classes = classes_of(&site)?;
     if matches.free.is_empty() || matches.free.len() % 2 != 0 {
@@ -42,8 +45,8 @@
     let part = 1.0 / plays.len() as f64;
     let mut losses = Losses::default();
     for play in plays {
-        let report: Report =
-            serde_json::from_str(&read(&play[0])?).map_err(|problem| format!("{}: {problem}", play[0]))?;
+        let report: Report = serde_json::from_str(&read(&play[0])?)
+            .map_err(|problem| format!("{}: {problem}", play[0]))?;
         let missed = missed_in(&read(&play[1])?);
         losses.add_part(&Losses::of(&report, &classes, &missed), part);
     }
@@ -52,7 +55,9 @@
 
 fn classes_of(site: &str) -> Result<Vec<Class>, String> {
     let figment = Figment::new().merge(Toml::file_exact(site));
-    let site: Site = figment.extract().map_err(|problem| format!("{site}: {problem}"))?;
+    let site: Site = figment
+        .extract()
+        .map_err(|problem| format!("{site}: {problem}"))?;
     Ok(site.classes)
 }
 
@@ -63,6 +68,7 @@
 fn print(losses: &Losses) {
     let mut rows: Vec<_> = losses.by_cause.iter().collect();
     rows.sort_by(|a, b| b.1.total_cmp(a.1));
-    rows.into_iter().for_each(|(cause, loss)| println!("{loss:8.4}  {cause}"));
+    rows.into_iter()
+        .for_each(|(cause, loss)| println!("{loss:8.4}  {cause}"));
     println!("{:8.4}  lost", losses.total());
 }
--- a/crates/emulator/examples/policies.rs
+++ b/crates/emulator/examples/policies.rs
@@ -37,9 +37,24 @@
 
 fn options() -> Options {
     let mut options = Options::new();
-    options.optmulti("", "workload", "a workload; all where none is given", "NAME");
-    options.optmulti("", "days", "calm, workers or failover; all where none is given", "KIND");
-    options.optmulti("", "without", "a policy without this mechanism", "MECHANISM");
+    options.optmulti(
+        "",
+        "workload",
+        "a workload; all where none is given",
+        "NAME",
+    );
+    options.optmulti(
+        "",
+        "days",
+        "calm, workers or failover; all where none is given",
+        "KIND",
+    );
+    options.optmulti(
+        "",
+        "without",
+        "a policy without this mechanism",
+        "MECHANISM",
+    );
     options.optflag("", "ablation", "a policy for each mechanism, without it");
     options.optflag("", "simplest", "the policy without any mechanism");
     options.optopt("", "seeds", "days of each kind", "COUNT");
@@ -52,9 +67,13 @@
 fn plan(arguments: &[String]) -> Result<Plan, String> {
     let options = options();
     let usage = || options.usage("policies: what mechanisms of placement are worth");
-    let matches = options.parse(arguments).map_err(|problem| format!("{problem}\n{}", usage()))?;
+    let matches = options
+        .parse(arguments)
+        .map_err(|problem| format!("{problem}\n{}", usage()))?;
     let number = |name: &str, default: u64| match matches.opt_str(name) {
-        Some(text) => text.parse().map_err(|_| format!("--{name} wants a number, not {text}")),
+        Some(text) => text
+            .parse()
+            .map_err(|_| format!("--{name} wants a number, not {text}")),
         None => Ok(default),
     };
     let mut workloads = Vec::new();
@@ -72,16 +91,28 @@
         policies.push((format!("no {name}"), Policy::default().without(mechanism)));
     }
     if matches.opt_present("ablation") {
-        let without =
-            |mechanism: Mechanism| (format!("no {mechanism}"), Policy::default().without(mechanism));
+        let without = |mechanism: Mechanism| {
+            (
+                format!("no {mechanism}"),
+                Policy::default().without(mechanism),
+            )
+        };
         policies.extend(Mechanism::ALL.into_iter().map(without));
     }
     if matches.opt_present("simplest") {
         policies.push(("simplest".to_string(), Policy::simplest()));
     }
     Ok(Plan {
-        workloads: if workloads.is_empty() { presets::all() } else { workloads },
-        troubles: if troubles.is_empty() { Trouble::NAMED.to_vec() } else { troubles },
+        workloads: if workloads.is_empty() {
+            presets::all()
+        } else {
+            workloads
+        },
+        troubles: if troubles.is_empty() {
+            Trouble::NAMED.to_vec()
+        } else {
+            troubles
+        },
         policies,
         first_seed: number("from", 1)?,
         seeds: number("seeds", SEEDS)?,
@@ -103,8 +134,10 @@
                 print_line(&workload, name, &played[0], days);
                 broken += print_violations(days);
                 if plan.each_day {
-                    let figures: Vec<String> =
-                        days.iter().map(|day| format!("{:.4}", day.account.figure())).collect();
+                    let figures: Vec<String> = days
+                        .iter()
+                        .map(|day| format!("{:.4}", day.account.figure()))
+                        .collect();
                     println!("    each day: {}", figures.join(" "));
                 }
             }
@@ -118,13 +151,27 @@
 }
 
 fn print_line(workload: &Workload, name: &str, before: &[Played], after: &[Played]) {
-    let figures = |days: &[Played]| days.iter().map(|day| day.account.figure()).collect::<Vec<f64>>();
+    let figures = |days: &[Played]| {
+        days.iter()
+            .map(|day| day.account.figure())
+            .collect::<Vec<f64>>()
+    };
     let difference = Estimate::of_pairs(&figures(before), &figures(after));
     let mean = |values: Vec<f64>| Estimate::of(&values).mean;
     let whole = mean(after.iter().map(|day| day.account.whole.value()).collect());
-    let windows = mean(after.iter().map(|day| day.account.worst_windows()).collect());
+    let windows = mean(
+        after
+            .iter()
+            .map(|day| day.account.worst_windows())
+            .collect(),
+    );
     let classes = workload.classes.iter().enumerate().map(|(index, class)| {
-        let worth = mean(after.iter().map(|day| day.account.classes[index].value()).collect());
+        let worth = mean(
+            after
+                .iter()
+                .map(|day| day.account.classes[index].value())
+                .collect(),
+        );
         format!("{} {worth:.3}", class.name)
     });
     let classes: Vec<String> = classes.collect();
@@ -137,5 +184,7 @@
 
 fn print_violations(days: &[Played]) -> usize {
     let broken = days.iter().filter(|day| !day.violations.is_empty());
-    broken.inspect(|day| println!("    seed {}: {}", day.seed, day.violations[0])).count()
+    broken
+        .inspect(|day| println!("    seed {}: {}", day.seed, day.violations[0]))
+        .count()
 }
--- a/crates/emulator/src/catalog.rs
+++ b/crates/emulator/src/catalog.rs
@@ -40,8 +40,13 @@
 impl KnownJob {
     /// The work of a task, in milliseconds.
     pub fn work_of(&self, step: u32, index: u32) -> Millis {
-        let own = self.work_of_tasks.get(step as usize).and_then(|tasks| tasks.get(index as usize));
-        own.or_else(|| self.work_ms.get(step as usize)).copied().unwrap_or(0)
+        let own = self
+            .work_of_tasks
+            .get(step as usize)
+            .and_then(|tasks| tasks.get(index as usize));
+        own.or_else(|| self.work_ms.get(step as usize))
+            .copied()
+            .unwrap_or(0)
     }
 }
 
@@ -77,13 +82,16 @@
 
     /// A task's work.
     pub fn work_ms(&self, task: &TaskId) -> Millis {
-        self.jobs.get(&task.job).map_or(0, |job| job.work_of(task.step, task.index))
+        self.jobs
+            .get(&task.job)
+            .map_or(0, |job| job.work_of(task.step, task.index))
     }
 
     /// Whether a run of a task fails through the task's own fault.
     pub fn fails(&self, task: &TaskId, run: u32) -> bool {
         let fails = |job: &KnownJob| {
-            run <= job.own_failures || run == 1 && job.failing_once.contains(&(task.step, task.index))
+            run <= job.own_failures
+                || run == 1 && job.failing_once.contains(&(task.step, task.index))
         };
         self.jobs.get(&task.job).is_some_and(fails)
     }
@@ -92,7 +100,11 @@
     pub fn checkpoint_owner(&self, task: &TaskId) -> String {
         let gang = self.step(task).is_some_and(|step| step.gang);
         let step = StepId::of(task);
-        let index = if gang { String::from("gang") } else { task.index.to_string() };
+        let index = if gang {
+            String::from("gang")
+        } else {
+            task.index.to_string()
+        };
         format!("{}.{}.{}.{index}", step.job, step.iteration, step.step)
     }
 
--- a/crates/emulator/src/checker/idle.rs
+++ b/crates/emulator/src/checker/idle.rs
@@ -29,12 +29,17 @@
             .collect();
         let waits = |id: &JobId, job: &KnownJob| {
             let record = self.jobs.get(id);
-            let open = record.is_some_and(|r| r.accepted.is_some() && r.cancel_sent.is_none() && !r.hopeless);
+            let open = record
+                .is_some_and(|r| r.accepted.is_some() && r.cancel_sent.is_none() && !r.hopeless);
             let shown = record.and_then(|r| r.shown).is_some_and(JobState::is_final);
             open && !shown && !busy.contains(id) && self.could_run(now, job, id, workers)
         };
         let idle: BTreeSet<JobId> = if calm {
-            catalog.jobs().filter(|(id, job)| waits(id, job)).map(|(id, _)| id.clone()).collect()
+            catalog
+                .jobs()
+                .filter(|(id, job)| waits(id, job))
+                .map(|(id, _)| id.clone())
+                .collect()
         } else {
             BTreeSet::new()
         };
@@ -63,7 +68,11 @@
         let times = job.request.repeat_count.max(1);
         let timed = job.request.start_at_ms > 0;
         // A process that started while its clock was off goes by that: as much as ORDER allows on such days.
-        let jumping = if self.clocks_jump { JUMPING_CLOCKS_MS } else { 0 };
+        let jumping = if self.clocks_jump {
+            JUMPING_CLOCKS_MS
+        } else {
+            0
+        };
         let due = |time: u32| {
             let at = job.request.start_at_ms + u64::from(time) * job.request.interval_ms;
             !timed || UNIX_START + now >= at + jumping
@@ -78,14 +87,27 @@
     }
 
     fn step_waits(
-        &self, now: Millis, id: &JobId, job: &KnownJob, time: u32, step: u32, request: &StepRequest,
+        &self,
+        now: Millis,
+        id: &JobId,
+        job: &KnownJob,
+        time: u32,
+        step: u32,
+        request: &StepRequest,
     ) -> bool {
         let done = |task: &TaskId| self.tasks.get(task).is_some_and(TaskRecord::done);
-        let of_step =
-            |wanted: u32| tasks_of(id, &job.request.steps, time).filter(move |task| task.step == wanted);
-        let ready = request.depends_on.iter().all(|earlier| of_step(*earlier).all(|task| done(&task)));
-        let held =
-            |task: &TaskId| self.tasks.get(task).is_some_and(|record| now < record.held_until + NOTICED_MS);
+        let of_step = |wanted: u32| {
+            tasks_of(id, &job.request.steps, time).filter(move |task| task.step == wanted)
+        };
+        let ready = request
+            .depends_on
+            .iter()
+            .all(|earlier| of_step(*earlier).all(|task| done(&task)));
+        let held = |task: &TaskId| {
+            self.tasks
+                .get(task)
+                .is_some_and(|record| now < record.held_until + NOTICED_MS)
+        };
         // One member's run that may still be held keeps the whole gang from starting.
         if !ready || request.gang && of_step(step).any(|task| held(&task)) {
             return false;
@@ -96,25 +118,44 @@
     /// Whether there is twice the room that a task, or the gang, needs, and less than half of the service is in use.
     fn has_room(&self, job: &KnownJob, step: &StepRequest, workers: &[Worker]) -> bool {
         let services = self.configuration.newest_service(&job.host, &job.prefix);
-        let Some(service) = services else { return false };
-        let of_service = |w: &&Worker| w.up && w.kind.service == service && w.state == WorkerState::Ready;
-        let total =
-            workers.iter().filter(of_service).fold(Resources::default(), |s, w| s.plus(&w.kind.capacity));
-        let used = workers.iter().filter(of_service).fold(Resources::default(), |s, w| s.plus(&w.used()));
-        if !total.covers(&used.plus(&used).plus(&Resources { cpu: 1, mem_mb: 1, gpu: 0 })) {
+        let Some(service) = services else {
+            return false;
+        };
+        let of_service =
+            |w: &&Worker| w.up && w.kind.service == service && w.state == WorkerState::Ready;
+        let total = workers
+            .iter()
+            .filter(of_service)
+            .fold(Resources::default(), |s, w| s.plus(&w.kind.capacity));
+        let used = workers
+            .iter()
+            .filter(of_service)
+            .fold(Resources::default(), |s, w| s.plus(&w.used()));
+        if !total.covers(&used.plus(&used).plus(&Resources {
+            cpu: 1,
+            mem_mb: 1,
+            gpu: 0,
+        })) {
             return false;
         }
-        let fits_label =
-            |w: &&Worker| step.node_selector.as_ref().is_none_or(|label| w.kind.labels.contains(label));
-        let places = workers.iter().filter(of_service).filter(fits_label).map(|w| {
-            let free = w.kind.capacity.minus(&w.used());
-            let count = times_covered(&free, &step.resources);
-            if step.anti_affinity > 0 {
-                count.min(u64::from(step.anti_affinity))
-            } else {
-                count
-            }
-        });
+        let fits_label = |w: &&Worker| {
+            step.node_selector
+                .as_ref()
+                .is_none_or(|label| w.kind.labels.contains(label))
+        };
+        let places = workers
+            .iter()
+            .filter(of_service)
+            .filter(fits_label)
+            .map(|w| {
+                let free = w.kind.capacity.minus(&w.used());
+                let count = times_covered(&free, &step.resources);
+                if step.anti_affinity > 0 {
+                    count.min(u64::from(step.anti_affinity))
+                } else {
+                    count
+                }
+            });
         let wanted = if step.gang { u64::from(step.count) } else { 1 };
         places.sum::<u64>() >= 2 * wanted
     }
--- a/crates/emulator/src/experiment.rs
+++ b/crates/emulator/src/experiment.rs
@@ -37,12 +37,18 @@
 
 impl Trouble {
     /// All of them, with their names.
-    pub const NAMED: [(&'static str, Trouble); 3] =
-        [("calm", Trouble::Calm), ("workers", Trouble::Workers), ("failover", Trouble::Failover)];
+    pub const NAMED: [(&'static str, Trouble); 3] = [
+        ("calm", Trouble::Calm),
+        ("workers", Trouble::Workers),
+        ("failover", Trouble::Failover),
+    ];
 
     /// The trouble of a name.
     pub fn named(name: &str) -> Option<Trouble> {
-        Trouble::NAMED.into_iter().find(|(own, _)| *own == name).map(|(_, trouble)| trouble)
+        Trouble::NAMED
+            .into_iter()
+            .find(|(own, _)| *own == name)
+            .map(|(_, trouble)| trouble)
     }
 
     fn schedule(self, seed: u64, workers: usize) -> Schedule {
@@ -53,10 +59,19 @@
         }
         if self == Trouble::Failover {
             let at = random.between(TROUBLES_MS.start, TROUBLES_MS.end);
-            faults.push(Planned { at, fault: Fault::KillCore { core: Core::Primary, down_ms: 2_000 } });
+            faults.push(Planned {
+                at,
+                fault: Fault::KillCore {
+                    core: Core::Primary,
+                    down_ms: 2_000,
+                },
+            });
         }
         faults.sort_by_key(|planned| planned.at);
-        Schedule { faults, overlaps: false }
+        Schedule {
+            faults,
+            overlaps: false,
+        }
     }
 }
 
@@ -65,16 +80,41 @@
     let count = (workers / 8).max(TROUBLE_KINDS);
     let trouble = |(index, at, worker): (usize, Millis, usize)| {
         let fault = match index % TROUBLE_KINDS {
-            0 => Fault::CrashWorker { worker, back_ms: Some(TROUBLE_MS) },
-            1 => Fault::GreyWorker { worker, share: 1.0, for_ms: TROUBLE_MS },
-            2 => Fault::SlowWorker { worker, speed: 0.15, for_ms: TROUBLE_MS },
-            3 => Fault::SlowWorker { worker, speed: 0.0, for_ms: TROUBLE_MS },
-            _ => Fault::DrainWorker { worker, after_ms: 2_500, back_ms: TROUBLE_MS },
+            0 => Fault::CrashWorker {
+                worker,
+                back_ms: Some(TROUBLE_MS),
+            },
+            1 => Fault::GreyWorker {
+                worker,
+                share: 1.0,
+                for_ms: TROUBLE_MS,
+            },
+            2 => Fault::SlowWorker {
+                worker,
+                speed: 0.15,
+                for_ms: TROUBLE_MS,
+            },
+            3 => Fault::SlowWorker {
+                worker,
+                speed: 0.0,
+                for_ms: TROUBLE_MS,
+            },
+            _ => Fault::DrainWorker {
+                worker,
+                after_ms: 2_500,
+                back_ms: TROUBLE_MS,
+            },
         };
         Planned { at, fault }
     };
     let drawn: Vec<_> = (0..count)
-        .map(|index| (index, random.between(TROUBLES_MS.start, TROUBLES_MS.end), random.below(workers)))
+        .map(|index| {
+            (
+                index,
+                random.between(TROUBLES_MS.start, TROUBLES_MS.end),
+                random.below(workers),
+            )
+        })
         .collect();
     drawn.into_iter().map(trouble).collect()
 }
@@ -105,12 +145,21 @@
     let schedule = trouble.schedule(seed, workload.worker_count());
     let mut fleet = Fleet::with_workload(setup, schedule, workload.clone());
     let violations = fleet.run().to_vec();
-    Played { seed, account: account(&fleet), violations, starts: fleet.checker.starts }
+    Played {
+        seed,
+        account: account(&fleet),
+        violations,
+        starts: fleet.checker.starts,
+    }
 }
 
 /// Plays all days of the seeds under all policies; one list for each policy, in the order of the seeds.
 pub fn play_all(
-    workload: &Arc<Workload>, trouble: Trouble, policies: &[Policy], seeds: Range<u64>, threads: usize,
+    workload: &Arc<Workload>,
+    trouble: Trouble,
+    policies: &[Policy],
+    seeds: Range<u64>,
+    threads: usize,
 ) -> Vec<Vec<Played>> {
     let days = (seeds.end - seeds.start) * policies.len() as u64;
     let next = AtomicU64::new(0);
@@ -135,7 +184,9 @@
     for (policy, outcome) in played.into_inner().unwrap_or_default() {
         lists[policy].push(outcome);
     }
-    lists.iter_mut().for_each(|list| list.sort_by_key(|played| played.seed));
+    lists
+        .iter_mut()
+        .for_each(|list| list.sort_by_key(|played| played.seed));
     lists
 }
 
@@ -154,13 +205,21 @@
         let count = values.len().max(1) as f64;
         let mean = values.iter().sum::<f64>() / count;
         let squares: f64 = values.iter().map(|value| (value - mean).powi(2)).sum();
-        let error = if values.len() > 1 { (squares / (count - 1.0) / count).sqrt() } else { 0.0 };
+        let error = if values.len() > 1 {
+            (squares / (count - 1.0) / count).sqrt()
+        } else {
+            0.0
+        };
         Estimate { mean, error }
     }
 
     /// Of the differences of pairs.
     pub fn of_pairs(before: &[f64], after: &[f64]) -> Estimate {
-        let differences: Vec<f64> = before.iter().zip(after).map(|(before, after)| after - before).collect();
+        let differences: Vec<f64> = before
+            .iter()
+            .zip(after)
+            .map(|(before, after)| after - before)
+            .collect();
         Estimate::of(&differences)
     }
 }
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -35,7 +35,11 @@
     /// A core machine freezes and wakes.
     FreezeCore { core: Core, for_ms: Millis },
     /// A core machine is cut off from the other core machines; in one direction only where said.
-    CutCore { core: Core, one_way: bool, for_ms: Millis },
+    CutCore {
+        core: Core,
+        one_way: bool,
+        for_ms: Millis,
+    },
     /// A core machine is cut off from everybody.
     CutCoreWholly { core: Core, for_ms: Millis },
     /// The core is cut into two halves; all others reach both.
@@ -43,17 +47,29 @@
     /// All machines lose power, and one core machine its disk where said.
     PowerEverything { down_ms: Millis, wipe: Option<Core> },
     /// A core machine's disk takes so much longer.
-    SlowDisk { core: Core, by_ms: Millis, for_ms: Millis },
+    SlowDisk {
+        core: Core,
+        by_ms: Millis,
+        for_ms: Millis,
+    },
     /// A core machine's disk hangs.
     StallDisk { core: Core, for_ms: Millis },
     /// A core machine's disk refuses writes.
     FullDisk { core: Core, for_ms: Millis },
     /// A core machine's time of day jumps, and back.
-    StepCoreClock { core: Core, by_ms: i64, for_ms: Millis },
+    StepCoreClock {
+        core: Core,
+        by_ms: i64,
+        for_ms: Millis,
+    },
     /// One-way messages between core machines are lost now and then.
     LoseMessages { share: f64, for_ms: Millis },
     /// All ways of a core machine are slow.
-    SlowLinks { core: Core, by_ms: Millis, for_ms: Millis },
+    SlowLinks {
+        core: Core,
+        by_ms: Millis,
+        for_ms: Millis,
+    },
     /// A gate's process is killed.
     KillGate { gate: usize, down_ms: Millis },
     /// A gate freezes.
@@ -65,17 +81,36 @@
     /// An agent freezes.
     FreezeAgent { worker: usize, for_ms: Millis },
     /// A worker's machine is cut off from the core, in one direction only where said; the worker runs on.
-    CutAgent { worker: usize, one_way: bool, for_ms: Millis },
+    CutAgent {
+        worker: usize,
+        one_way: bool,
+        for_ms: Millis,
+    },
     /// All processes are killed at once.
     KillEverything { down_ms: Millis },
     /// A worker crashes; it comes back where a time is given.
-    CrashWorker { worker: usize, back_ms: Option<Millis> },
+    CrashWorker {
+        worker: usize,
+        back_ms: Option<Millis>,
+    },
     /// A worker works at this speed; 0 stands still.
-    SlowWorker { worker: usize, speed: f64, for_ms: Millis },
+    SlowWorker {
+        worker: usize,
+        speed: f64,
+        for_ms: Millis,
+    },
     /// A worker fails this share of what it starts.
-    GreyWorker { worker: usize, share: f64, for_ms: Millis },
+    GreyWorker {
+        worker: usize,
+        share: f64,
+        for_ms: Millis,
+    },
     /// A worker is emptied and leaves; another life of it comes later.
-    DrainWorker { worker: usize, after_ms: Millis, back_ms: Millis },
+    DrainWorker {
+        worker: usize,
+        after_ms: Millis,
+        back_ms: Millis,
+    },
     /// Many jobs come at once.
     Burst { jobs: usize },
     /// Jobs come that can never be done.
@@ -154,12 +189,19 @@
 
     /// The same, where more machines may be lost at once than is tolerated.
     pub fn with_overlaps(self) -> Schedule {
-        Schedule { overlaps: true, ..self }
+        Schedule {
+            overlaps: true,
+            ..self
+        }
     }
 
     /// Draws a day's troubles.
     pub fn draw(seed: u64, sizes: Sizes) -> Schedule {
-        let mut draw = Draw { random: Random::new(seed, 7), sizes, schedule: Schedule::default() };
+        let mut draw = Draw {
+            random: Random::new(seed, 7),
+            sizes,
+            schedule: Schedule::default(),
+        };
         draw.core_troubles();
         draw.other_troubles();
         draw.work();
@@ -170,7 +212,11 @@
     /// Draws a day's troubles with some of the control side among them.
     pub fn draw_control(seed: u64, sizes: Sizes) -> Schedule {
         let schedule = Schedule::draw(seed, sizes);
-        let mut draw = Draw { random: Random::new(seed, control::STREAM), sizes, schedule };
+        let mut draw = Draw {
+            random: Random::new(seed, control::STREAM),
+            sizes,
+            schedule,
+        };
         draw.control_troubles();
         draw.schedule.overlaps = true;
         draw.schedule.faults.sort_by_key(|planned| planned.at);
@@ -190,7 +236,11 @@
     }
 
     fn time(&mut self, lasting: Millis) -> Millis {
-        let last = self.sizes.until.saturating_sub(lasting).max(self.sizes.from);
+        let last = self
+            .sizes
+            .until
+            .saturating_sub(lasting)
+            .max(self.sizes.from);
         self.random.between(self.sizes.from, last)
     }
 
@@ -220,7 +270,11 @@
         for _ in 0..first {
             let fault = self.core_trouble();
             let at = self.time(3_000);
-            let fault = if self.random.chance(0.25) { self.after_acknowledgement(fault) } else { fault };
+            let fault = if self.random.chance(0.25) {
+                self.after_acknowledgement(fault)
+            } else {
+                fault
+            };
             self.add(at, fault);
             if self.random.chance(0.5) {
                 let meets = self.core_trouble();
@@ -246,14 +300,29 @@
         let core = self.core();
         let fault = match self.random.below(4) {
             0 => Fault::WipeCore { core, down_ms },
-            1 => Fault::PowerAllCore { down_ms, wipe: Some(core) },
-            2 => Fault::ReplaceCore { core, after_ms: down_ms },
+            1 => Fault::PowerAllCore {
+                down_ms,
+                wipe: Some(core),
+            },
+            2 => Fault::ReplaceCore {
+                core,
+                after_ms: down_ms,
+            },
             _ => {
-                let wipe = Fault::PowerAllCore { down_ms, wipe: Some(Core::Primary) };
+                let wipe = Fault::PowerAllCore {
+                    down_ms,
+                    wipe: Some(Core::Primary),
+                };
                 Fault::AfterAcknowledgement(Box::new(wipe))
             }
         };
-        let again = matches!(fault, Fault::WipeCore { core: Core::At(_), .. }) && self.random.chance(0.4);
+        let again = matches!(
+            fault,
+            Fault::WipeCore {
+                core: Core::At(_),
+                ..
+            }
+        ) && self.random.chance(0.4);
         if again {
             let soon = self.random.between(100, 2_000);
             self.add(at + down_ms + soon, fault.clone());
@@ -273,17 +342,36 @@
         match self.random.below(15) {
             0 | 1 => Fault::KillCore { core, down_ms },
             2 => Fault::PowerCore { core, down_ms },
-            3 => Fault::KillAllCore { down_ms: self.random.between(200, 1_000) },
-            4 => Fault::PowerAllCore { down_ms, wipe: None },
-            5 => Fault::RollCore { gap_ms: self.random.between(200, 1_500) },
+            3 => Fault::KillAllCore {
+                down_ms: self.random.between(200, 1_000),
+            },
+            4 => Fault::PowerAllCore {
+                down_ms,
+                wipe: None,
+            },
+            5 => Fault::RollCore {
+                gap_ms: self.random.between(200, 1_500),
+            },
             6 | 7 => Fault::FreezeCore { core, for_ms },
-            8 => Fault::CutCore { core, one_way: self.random.chance(0.5), for_ms },
+            8 => Fault::CutCore {
+                core,
+                one_way: self.random.chance(0.5),
+                for_ms,
+            },
             9 => Fault::CutCoreWholly { core, for_ms },
-            10 => Fault::SlowDisk { core, by_ms: self.random.between(20, 400), for_ms },
+            10 => Fault::SlowDisk {
+                core,
+                by_ms: self.random.between(20, 400),
+                for_ms,
+            },
             11 => Fault::StallDisk { core, for_ms },
             12 => Fault::FullDisk { core, for_ms },
             13 => Fault::LoseMessages { share: 0.2, for_ms },
-            _ => Fault::SlowLinks { core, by_ms: self.random.between(50, 600), for_ms },
+            _ => Fault::SlowLinks {
+                core,
+                by_ms: self.random.between(50, 600),
+                for_ms,
+            },
         }
     }
 
@@ -306,22 +394,54 @@
             2 => Fault::CutGate { gate, for_ms },
             3 | 4 => Fault::KillAgent { worker, down_ms },
             5 => Fault::FreezeAgent { worker, for_ms },
-            6 => Fault::CutAgent { worker, one_way: true, for_ms },
-            7 | 8 => Fault::CutAgent { worker, one_way: false, for_ms: for_ms + 4_000 },
-            9 => Fault::KillEverything { down_ms: self.random.between(100, 1_000) },
-            10 => Fault::CrashWorker { worker, back_ms: Some(down_ms) },
-            11 => Fault::CrashWorker { worker, back_ms: None },
-            12 => {
-                Fault::SlowWorker { worker, speed: if self.random.chance(0.5) { 0.0 } else { 0.25 }, for_ms }
-            }
-            13 => {
-                Fault::GreyWorker { worker, share: if self.random.chance(0.5) { 1.0 } else { 0.4 }, for_ms }
-            }
+            6 => Fault::CutAgent {
+                worker,
+                one_way: true,
+                for_ms,
+            },
+            7 | 8 => Fault::CutAgent {
+                worker,
+                one_way: false,
+                for_ms: for_ms + 4_000,
+            },
+            9 => Fault::KillEverything {
+                down_ms: self.random.between(100, 1_000),
+            },
+            10 => Fault::CrashWorker {
+                worker,
+                back_ms: Some(down_ms),
+            },
+            11 => Fault::CrashWorker {
+                worker,
+                back_ms: None,
+            },
+            12 => Fault::SlowWorker {
+                worker,
+                speed: if self.random.chance(0.5) { 0.0 } else { 0.25 },
+                for_ms,
+            },
+            13 => Fault::GreyWorker {
+                worker,
+                share: if self.random.chance(0.5) { 1.0 } else { 0.4 },
+                for_ms,
+            },
             14 => {
-                let by_ms = if self.random.chance(0.5) { 4_000 } else { -4_000 };
-                Fault::StepCoreClock { core: Core::Primary, by_ms, for_ms }
+                let by_ms = if self.random.chance(0.5) {
+                    4_000
+                } else {
+                    -4_000
+                };
+                Fault::StepCoreClock {
+                    core: Core::Primary,
+                    by_ms,
+                    for_ms,
+                }
             }
-            _ => Fault::DrainWorker { worker, after_ms: self.random.between(2_500, 6_000), back_ms: 1_000 },
+            _ => Fault::DrainWorker {
+                worker,
+                after_ms: self.random.between(2_500, 6_000),
+                back_ms: 1_000,
+            },
         }
     }
 
--- a/crates/emulator/src/faults/control.rs
+++ b/crates/emulator/src/faults/control.rs
@@ -25,15 +25,32 @@
         let down_ms = self.random.between(200, 1_500);
         match self.random.below(9) {
             0 | 1 => Fault::CutHalves { for_ms },
-            2 => Fault::CutCore { core, one_way: self.random.chance(0.3), for_ms: long_ms },
-            3 => Fault::CutCoreWholly { core, for_ms: long_ms },
-            4 => Fault::PowerEverything { down_ms, wipe: None },
-            5 => {
-                Fault::ManyChanges { count: 50 + self.random.below(200), gap_ms: self.random.between(20, 60) }
-            }
+            2 => Fault::CutCore {
+                core,
+                one_way: self.random.chance(0.3),
+                for_ms: long_ms,
+            },
+            3 => Fault::CutCoreWholly {
+                core,
+                for_ms: long_ms,
+            },
+            4 => Fault::PowerEverything {
+                down_ms,
+                wipe: None,
+            },
+            5 => Fault::ManyChanges {
+                count: 50 + self.random.below(200),
+                gap_ms: self.random.between(20, 60),
+            },
             6 => Fault::Chain,
-            7 => Fault::HoldUpOrders { most_ms: self.random.between(500, 5_000), for_ms: 6_000 },
-            _ => Fault::AfterAcknowledgement(Box::new(Fault::PowerEverything { down_ms, wipe: None })),
+            7 => Fault::HoldUpOrders {
+                most_ms: self.random.between(500, 5_000),
+                for_ms: 6_000,
+            },
+            _ => Fault::AfterAcknowledgement(Box::new(Fault::PowerEverything {
+                down_ms,
+                wipe: None,
+            })),
         }
     }
 }
--- a/crates/emulator/src/fleet/agent.rs
+++ b/crates/emulator/src/fleet/agent.rs
@@ -33,8 +33,15 @@
 }
 
 enum Waiting {
-    Heartbeat { worker: WorkerIndex, life: u32, sequence: u64 },
-    Deregister { worker: WorkerIndex, life: u32 },
+    Heartbeat {
+        worker: WorkerIndex,
+        life: u32,
+        sequence: u64,
+    },
+    Deregister {
+        worker: WorkerIndex,
+        life: u32,
+    },
 }
 
 impl AgentProcess {
@@ -81,7 +88,9 @@
 
     fn agent_handles(&mut self, machine: MachineId, event: AgentEvent) {
         let now = self.clocks(machine).steady;
-        let Some(process) = self.agent(machine) else { return };
+        let Some(process) = self.agent(machine) else {
+            return;
+        };
         let actions = process.agent.handle(now, event);
         self.agent_acts(machine, actions);
         self.wake_agent(machine, now);
@@ -90,8 +99,12 @@
     /// The agent is told the time when it wants to be, between the regular ticks.
     fn wake_agent(&mut self, machine: MachineId, now: Millis) {
         let (boot, true_now) = (self.machines[machine].boot, self.now);
-        let Some(process) = self.agent(machine) else { return };
-        let Some(wanted) = process.agent.next_wakeup() else { return };
+        let Some(process) = self.agent(machine) else {
+            return;
+        };
+        let Some(wanted) = process.agent.next_wakeup() else {
+            return;
+        };
         let at = true_now + wanted.saturating_sub(now).max(1);
         let regular = true_now + super::machine::TICK_MS;
         if at < regular && process.woken_at != at {
@@ -110,17 +123,40 @@
         for action in actions {
             match action {
                 AgentAction::Answer { request, answer } => {
-                    let waiting = self.agent(machine).and_then(|process| process.requests.remove(&request));
-                    let Some(Waiting::Heartbeat { worker, life, sequence }) = waiting else { continue };
+                    let waiting = self
+                        .agent(machine)
+                        .and_then(|process| process.requests.remove(&request));
+                    let Some(Waiting::Heartbeat {
+                        worker,
+                        life,
+                        sequence,
+                    }) = waiting
+                    else {
+                        continue;
+                    };
                     self.trace(|| format!("worker {worker} is answered {sequence}: {answer:?}"));
                     let answer = Arc::new(answer);
-                    self.queue
-                        .push(self.now + LOCAL_MS, Event::HeartbeatAnswer { worker, life, sequence, answer });
+                    self.queue.push(
+                        self.now + LOCAL_MS,
+                        Event::HeartbeatAnswer {
+                            worker,
+                            life,
+                            sequence,
+                            answer,
+                        },
+                    );
                 }
                 AgentAction::Acknowledge { request } => {
-                    let waiting = self.agent(machine).and_then(|process| process.requests.remove(&request));
-                    let Some(Waiting::Deregister { worker, life }) = waiting else { continue };
-                    self.queue.push(self.now + LEAVES_AFTER_MS, Event::WorkerGone { worker, life });
+                    let waiting = self
+                        .agent(machine)
+                        .and_then(|process| process.requests.remove(&request));
+                    let Some(Waiting::Deregister { worker, life }) = waiting else {
+                        continue;
+                    };
+                    self.queue.push(
+                        self.now + LEAVES_AFTER_MS,
+                        Event::WorkerGone { worker, life },
+                    );
                 }
                 AgentAction::Sync(sync) => self.agent_syncs(machine, sync),
             }
@@ -134,40 +170,92 @@
             return;
         };
         let boot = self.machines[machine].boot;
-        let caller = Caller::Agent { machine, boot, sequence };
-        self.call(caller, to, Asked::Primary(Box::new(Call::Agent(sync))), SYNC_LIMIT_MS);
+        let caller = Caller::Agent {
+            machine,
+            boot,
+            sequence,
+        };
+        self.call(
+            caller,
+            to,
+            Asked::Primary(Box::new(Call::Agent(sync))),
+            SYNC_LIMIT_MS,
+        );
     }
 
     pub(crate) fn agent_answered(
-        &mut self, machine: MachineId, from: MachineId, sequence: u64, outcome: Outcome,
+        &mut self,
+        machine: MachineId,
+        from: MachineId,
+        sequence: u64,
+        outcome: Outcome,
     ) {
         self.learn_from_call(machine, from, &outcome);
-        self.trace(|| format!("{} sync {sequence}: {outcome:?}", self.machines[machine].name));
+        self.trace(|| {
+            format!(
+                "{} sync {sequence}: {outcome:?}",
+                self.machines[machine].name
+            )
+        });
         match outcome {
             Outcome::Orders(orders) => {
-                self.agent_handles(machine, AgentEvent::Orders { sequence, orders: (*orders).clone() });
+                self.agent_handles(
+                    machine,
+                    AgentEvent::Orders {
+                        sequence,
+                        orders: (*orders).clone(),
+                    },
+                );
             }
             _ => self.agent_handles(machine, AgentEvent::SyncFailed { sequence }),
         }
     }
 
     pub(crate) fn heartbeat_arrives(
-        &mut self, machine: MachineId, worker: WorkerIndex, life: u32, heartbeat: Heartbeat,
+        &mut self,
+        machine: MachineId,
+        worker: WorkerIndex,
+        life: u32,
+        heartbeat: Heartbeat,
     ) {
         let sequence = heartbeat.sequence;
         let instance = instance_of(worker, life);
         let Some(process) = self.agent(machine) else {
-            self.queue.push(self.now + LOCAL_MS, Event::HeartbeatFailed { worker, life, sequence });
+            self.queue.push(
+                self.now + LOCAL_MS,
+                Event::HeartbeatFailed {
+                    worker,
+                    life,
+                    sequence,
+                },
+            );
             return;
         };
-        let request = process.remember(Waiting::Heartbeat { worker, life, sequence });
-        self.agent_handles(machine, AgentEvent::Heartbeat { request, instance, heartbeat });
+        let request = process.remember(Waiting::Heartbeat {
+            worker,
+            life,
+            sequence,
+        });
+        self.agent_handles(
+            machine,
+            AgentEvent::Heartbeat {
+                request,
+                instance,
+                heartbeat,
+            },
+        );
     }
 
     pub(crate) fn deregister_arrives(
-        &mut self, machine: MachineId, worker: WorkerIndex, life: u32, instance: Arc<str>,
+        &mut self,
+        machine: MachineId,
+        worker: WorkerIndex,
+        life: u32,
+        instance: Arc<str>,
     ) {
-        let Some(process) = self.agent(machine) else { return };
+        let Some(process) = self.agent(machine) else {
+            return;
+        };
         let request = process.remember(Waiting::Deregister { worker, life });
         self.agent_handles(machine, AgentEvent::Deregister { request, instance });
     }
--- a/crates/emulator/src/fleet/calls.rs
+++ b/crates/emulator/src/fleet/calls.rs
@@ -14,9 +14,17 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Caller {
     /// An agent, with the sequence of its call.
-    Agent { machine: MachineId, boot: u64, sequence: u64 },
+    Agent {
+        machine: MachineId,
+        boot: u64,
+        sequence: u64,
+    },
     /// A gate, for a client's call.
-    Gate { machine: MachineId, boot: u64, client_call: u64 },
+    Gate {
+        machine: MachineId,
+        boot: u64,
+        client_call: u64,
+    },
     /// A gate or agent that asks who is in the control plane.
     Finder { machine: MachineId, boot: u64 },
     /// An operator, for an order that was sent at this time.
@@ -26,9 +34,9 @@
 impl Caller {
     fn machine(&self) -> Option<MachineId> {
         match self {
-            Caller::Agent { machine, .. } | Caller::Gate { machine, .. } | Caller::Finder { machine, .. } => {
-                Some(*machine)
-            }
+            Caller::Agent { machine, .. }
+            | Caller::Gate { machine, .. }
+            | Caller::Finder { machine, .. } => Some(*machine),
             Caller::Operator { .. } => None,
         }
     }
@@ -75,14 +83,29 @@
 }
 
 impl Fleet {
-    pub(crate) fn call(&mut self, caller: Caller, to: MachineId, asked: Asked, limit: Millis) -> u64 {
+    pub(crate) fn call(
+        &mut self,
+        caller: Caller,
+        to: MachineId,
+        asked: Asked,
+        limit: Millis,
+    ) -> u64 {
         let call = self.next_call;
         self.next_call += 1;
         if let Some(delay) = self.delay_of(&caller, to) {
-            self.queue.push(self.now + delay, Event::Request { call, to, asked });
+            self.queue
+                .push(self.now + delay, Event::Request { call, to, asked });
         }
-        self.queue.push(self.now + limit, Event::CallTimeout { call });
-        self.calls.insert(call, OpenCall { caller, to, at_callee: None });
+        self.queue
+            .push(self.now + limit, Event::CallTimeout { call });
+        self.calls.insert(
+            call,
+            OpenCall {
+                caller,
+                to,
+                at_callee: None,
+            },
+        );
         call
     }
 
@@ -90,7 +113,8 @@
     pub(crate) fn hold_up_copy(&mut self, to: MachineId, asked: Asked, delay: Millis) {
         let call = self.next_call;
         self.next_call += 1;
-        self.queue.push(self.now + delay, Event::LateCopy { call, to, asked });
+        self.queue
+            .push(self.now + delay, Event::LateCopy { call, to, asked });
     }
 
     /// The copy arrives.
@@ -116,7 +140,10 @@
 
     /// A call arrives. One whose caller has left meanwhile is still read now and then.
     pub(crate) fn request_arrives(&mut self, call: u64, to: MachineId, asked: Asked) {
-        if let Some(thaw) = self.machines[to].frozen_until.filter(|thaw| *thaw > self.now) {
+        if let Some(thaw) = self.machines[to]
+            .frozen_until
+            .filter(|thaw| *thaw > self.now)
+        {
             self.queue.push(thaw, Event::Request { call, to, asked });
             return;
         }
@@ -148,22 +175,31 @@
 
     /// Sends an answer back.
     pub(crate) fn respond(&mut self, call: u64, outcome: Outcome) {
-        let Some(open) = self.calls.get_mut(&call) else { return };
+        let Some(open) = self.calls.get_mut(&call) else {
+            return;
+        };
         open.at_callee = None;
         let (caller, from) = (open.caller.clone(), open.to);
-        if matches!(caller, Caller::Operator { .. }) && self.operator.answers_lost_until > self.now {
+        if matches!(caller, Caller::Operator { .. }) && self.operator.answers_lost_until > self.now
+        {
             return;
         }
         if let Some(delay) = self.way_back(&caller, from) {
-            self.queue.push(self.now + delay, Event::Response { call, outcome });
+            self.queue
+                .push(self.now + delay, Event::Response { call, outcome });
         }
     }
 
     /// A call's answer reaches its caller, who may be frozen.
     pub(crate) fn response_arrives(&mut self, call: u64, outcome: Outcome) {
-        let Some(open) = self.calls.get(&call) else { return };
+        let Some(open) = self.calls.get(&call) else {
+            return;
+        };
         if let Some(machine) = open.caller.machine() {
-            if let Some(thaw) = self.machines[machine].frozen_until.filter(|thaw| *thaw > self.now) {
+            if let Some(thaw) = self.machines[machine]
+                .frozen_until
+                .filter(|thaw| *thaw > self.now)
+            {
                 self.queue.push(thaw, Event::Response { call, outcome });
                 return;
             }
@@ -172,9 +208,14 @@
     }
 
     pub(crate) fn call_timed_out(&mut self, call: u64) {
-        let Some(open) = self.calls.get(&call) else { return };
+        let Some(open) = self.calls.get(&call) else {
+            return;
+        };
         if let Some(machine) = open.caller.machine() {
-            if let Some(thaw) = self.machines[machine].frozen_until.filter(|thaw| *thaw > self.now) {
+            if let Some(thaw) = self.machines[machine]
+                .frozen_until
+                .filter(|thaw| *thaw > self.now)
+            {
                 self.queue.push(thaw, Event::CallTimeout { call });
                 return;
             }
@@ -182,18 +223,35 @@
         let (to, caller, at_callee) = (open.to, open.caller.clone(), open.at_callee);
         self.settle_call(call, Outcome::Silence);
         if let (Some((boot, request)), Some(delay)) = (at_callee, self.delay_of(&caller, to)) {
-            self.queue.push(self.now + delay, Event::Abandoned { machine: to, boot, request });
+            self.queue.push(
+                self.now + delay,
+                Event::Abandoned {
+                    machine: to,
+                    boot,
+                    request,
+                },
+            );
         }
     }
 
     fn settle_call(&mut self, call: u64, outcome: Outcome) {
-        let Some(open) = self.calls.remove(&call) else { return };
+        let Some(open) = self.calls.remove(&call) else {
+            return;
+        };
         let to = open.to;
         match open.caller {
-            Caller::Agent { machine, boot, sequence } if self.is_boot(machine, boot) => {
+            Caller::Agent {
+                machine,
+                boot,
+                sequence,
+            } if self.is_boot(machine, boot) => {
                 self.agent_answered(machine, to, sequence, outcome);
             }
-            Caller::Gate { machine, boot, client_call } if self.is_boot(machine, boot) => {
+            Caller::Gate {
+                machine,
+                boot,
+                client_call,
+            } if self.is_boot(machine, boot) => {
                 self.gate_answered(machine, to, client_call, outcome);
             }
             Caller::Finder { machine, boot } if self.is_boot(machine, boot) => {
@@ -217,11 +275,20 @@
             .map(|(id, _)| *id)
             .collect();
         for call in gone {
-            let Some(open) = self.calls.remove(&call) else { continue };
+            let Some(open) = self.calls.remove(&call) else {
+                continue;
+            };
             if let (Some((boot, request)), Some(delay)) =
                 (open.at_callee, self.network.delay(machine, open.to))
             {
-                self.queue.push(self.now + delay, Event::Abandoned { machine: open.to, boot, request });
+                self.queue.push(
+                    self.now + delay,
+                    Event::Abandoned {
+                        machine: open.to,
+                        boot,
+                        request,
+                    },
+                );
             }
         }
         if power {
--- a/crates/emulator/src/fleet/client.rs
+++ b/crates/emulator/src/fleet/client.rs
@@ -45,7 +45,10 @@
     /// A call reaches a gate.
     Arrives { call: u64 },
     /// A call was answered; none if its connection broke.
-    Answer { call: u64, reply: Option<ClientReply> },
+    Answer {
+        call: u64,
+        reply: Option<ClientReply>,
+    },
     /// The client waits no longer.
     Silence { call: u64 },
     /// Sends a job once more, seconds after it was accepted.
@@ -107,8 +110,11 @@
             return self.plan_workload(&workload);
         }
         for _ in 0..self.setup.jobs {
-            let at = self.random.between(self.setup.traffic_from, self.setup.traffic_until);
-            self.queue.push(at, Event::Client(ClientEvent::New { poison: false }));
+            let at = self
+                .random
+                .between(self.setup.traffic_from, self.setup.traffic_until);
+            self.queue
+                .push(at, Event::Client(ClientEvent::New { poison: false }));
         }
     }
 
@@ -121,13 +127,16 @@
                 if at >= self.setup.traffic_until as f64 {
                     break;
                 }
-                self.queue.push(at as Millis, Event::Client(ClientEvent::OfClass { class }));
+                self.queue
+                    .push(at as Millis, Event::Client(ClientEvent::OfClass { class }));
             }
         }
     }
 
     fn new_of_class(&mut self, class: usize) {
-        let Some(workload) = self.workload.clone() else { return };
+        let Some(workload) = self.workload.clone() else {
+            return;
+        };
         let known = draw_job(&workload, class, &mut self.random, self.now, jobs::HOST);
         self.hand_in(known);
     }
@@ -149,8 +158,11 @@
 
     fn new_job(&mut self, poison: bool) {
         let kind = Kind::draw(&mut self.random);
-        let extra =
-            if self.random.chance(0.15) { self.operator.some_extra_prefix(&mut self.random) } else { None };
+        let extra = if self.random.chance(0.15) {
+            self.operator.some_extra_prefix(&mut self.random)
+        } else {
+            None
+        };
         let (kind, prefix) = match extra {
             Some(prefix) => (Kind::Quick, prefix),
             None => (kind, kind.prefix().into()),
@@ -165,12 +177,16 @@
     /// Hands in a job; it is sent, asked for, and perhaps cancelled. Returns its identifier.
     pub fn hand_in(&mut self, known: KnownJob) -> JobId {
         let digits = format!("{:016x}", self.random.word());
-        let Ok(id) = digits.parse::<JobId>() else { unreachable!("16 hexadecimal digits") };
+        let Ok(id) = digits.parse::<JobId>() else {
+            unreachable!("16 hexadecimal digits")
+        };
         let lasting = known.request.steps.iter().any(|step| step.long_running);
         self.clients.jobs.push(ClientJob {
             id: id.clone(),
             path: format!("{}{id}", known.prefix).into(),
-            body: serde_json::to_string(&*known.request).unwrap_or_default().into(),
+            body: serde_json::to_string(&*known.request)
+                .unwrap_or_default()
+                .into(),
             prefix: known.prefix.clone(),
             lasting,
             tries: 0,
@@ -187,7 +203,8 @@
             self.submit(job);
         }
         let last = self.setup.traffic_until + self.setup.bounds.finish_ms;
-        self.queue.push(last.max(self.now), Event::Client(ClientEvent::Last { job }));
+        self.queue
+            .push(last.max(self.now), Event::Client(ClientEvent::Last { job }));
         id
     }
 
@@ -198,14 +215,23 @@
         }
         state.tries += 1;
         let (id, body) = (state.id.clone(), state.body.clone());
-        let hopeless = self.catalog.job(&id).is_some_and(|known| known.own_failures == ALWAYS);
+        let hopeless = self
+            .catalog
+            .job(&id)
+            .is_some_and(|known| known.own_failures == ALWAYS);
         self.checker.submit_sent(&id, hopeless);
         self.send(job, Purpose::Submit, ClientMethod::Post, body);
     }
 
     fn send_again(&mut self, job: usize) {
-        let (id, body) = (self.clients.jobs[job].id.clone(), self.clients.jobs[job].body.clone());
-        let hopeless = self.catalog.job(&id).is_some_and(|known| known.own_failures == ALWAYS);
+        let (id, body) = (
+            self.clients.jobs[job].id.clone(),
+            self.clients.jobs[job].body.clone(),
+        );
+        let hopeless = self
+            .catalog
+            .job(&id)
+            .is_some_and(|known| known.own_failures == ALWAYS);
         self.checker.submit_sent(&id, hopeless);
         self.send(job, Purpose::Submit, ClientMethod::Post, body);
     }
@@ -227,8 +253,14 @@
     /// Cancels some of the jobs that are not over.
     pub(crate) fn cancel_some(&mut self, count: usize) {
         let open = |(_, job): &(usize, &ClientJob)| job.accepted && !job.cancelled && !job.ended;
-        let jobs: Vec<usize> =
-            self.clients.jobs.iter().enumerate().filter(open).map(|(index, _)| index).collect();
+        let jobs: Vec<usize> = self
+            .clients
+            .jobs
+            .iter()
+            .enumerate()
+            .filter(open)
+            .map(|(index, _)| index)
+            .collect();
         for job in jobs.into_iter().rev().take(count) {
             self.cancel(job);
         }
@@ -238,7 +270,8 @@
         if self.clients.jobs[job].settled {
             return;
         }
-        let over = self.setup.traffic_until + self.setup.bounds.finish_ms + FINAL_TRIES_MS - FINAL_PAUSE_MS;
+        let over = self.setup.traffic_until + self.setup.bounds.finish_ms + FINAL_TRIES_MS
+            - FINAL_PAUSE_MS;
         if self.now > over {
             self.settle_last(job, false);
             return;
@@ -256,20 +289,47 @@
         let index = self.random.below(self.setup.gates);
         let gate = self.gate_machine(index);
         let path = self.clients.jobs[job].path.clone();
-        let call = ClientCall { method, host: jobs::HOST.into(), path, body, configuration: 0 };
+        let call = ClientCall {
+            method,
+            host: jobs::HOST.into(),
+            path,
+            body,
+            configuration: 0,
+        };
         self.clients.next_call += 1;
         let number = self.clients.next_call;
-        self.clients.open.insert(number, OpenClientCall { job, purpose, gate, sent: self.now, call });
+        self.clients.open.insert(
+            number,
+            OpenClientCall {
+                job,
+                purpose,
+                gate,
+                sent: self.now,
+                call,
+            },
+        );
         let delay = self.random.between(1, 5);
-        self.queue.push(self.now + delay, Event::Client(ClientEvent::Arrives { call: number }));
-        self.queue.push(self.now + PATIENCE_MS, Event::Client(ClientEvent::Silence { call: number }));
+        self.queue.push(
+            self.now + delay,
+            Event::Client(ClientEvent::Arrives { call: number }),
+        );
+        self.queue.push(
+            self.now + PATIENCE_MS,
+            Event::Client(ClientEvent::Silence { call: number }),
+        );
     }
 
     fn client_call_arrives(&mut self, number: u64) {
-        let Some(open) = self.clients.open.get(&number) else { return };
+        let Some(open) = self.clients.open.get(&number) else {
+            return;
+        };
         let (gate, call) = (open.gate, open.call.clone());
-        if let Some(thaw) = self.machines[gate].frozen_until.filter(|thaw| *thaw > self.now) {
-            self.queue.push(thaw, Event::Client(ClientEvent::Arrives { call: number }));
+        if let Some(thaw) = self.machines[gate]
+            .frozen_until
+            .filter(|thaw| *thaw > self.now)
+        {
+            self.queue
+                .push(thaw, Event::Client(ClientEvent::Arrives { call: number }));
             return;
         }
         if self.machines[gate].process.is_none() {
@@ -282,7 +342,10 @@
     /// Sends an answer, or the news of a broken connection, to a client.
     pub(crate) fn answer_client(&mut self, call: u64, reply: Option<ClientReply>) {
         let delay = self.random.between(1, 5);
-        self.queue.push(self.now + delay, Event::Client(ClientEvent::Answer { call, reply }));
+        self.queue.push(
+            self.now + delay,
+            Event::Client(ClientEvent::Answer { call, reply }),
+        );
     }
 
     /// A gate's process has ended: its clients' connections break.
@@ -300,7 +363,9 @@
     }
 
     fn client_answered(&mut self, number: u64, reply: Option<ClientReply>) {
-        let Some(open) = self.clients.open.remove(&number) else { return };
+        let Some(open) = self.clients.open.remove(&number) else {
+            return;
+        };
         let status = reply.as_ref().map_or(0, |reply| reply.status);
         let retry = reply.as_ref().and_then(|reply| reply.retry_after_ms);
         let id = self.clients.jobs[open.job].id.clone();
@@ -315,11 +380,18 @@
         }
     }
 
-    fn submit_answered(&mut self, open: &OpenClientCall, id: &JobId, status: u16, retry: Option<Millis>) {
+    fn submit_answered(
+        &mut self,
+        open: &OpenClientCall,
+        id: &JobId,
+        status: u16,
+        retry: Option<Millis>,
+    ) {
         self.checker.submit_answered(self.now, id, status);
         if self.in_touch(open.gate) {
             let prefix = self.clients.jobs[open.job].prefix.clone();
-            self.checker.request_handled(self.now, jobs::HOST, &prefix, open.sent, status);
+            self.checker
+                .request_handled(self.now, jobs::HOST, &prefix, open.sent, status);
         }
         let job = open.job;
         match status {
@@ -327,11 +399,13 @@
             404 | 400 => {}
             429 | 503 => {
                 let pause = retry.unwrap_or(500).max(100);
-                self.queue.push(self.now + pause, Event::Client(ClientEvent::Submit { job }));
+                self.queue
+                    .push(self.now + pause, Event::Client(ClientEvent::Submit { job }));
             }
             _ => {
                 let pause = self.random.between(50, 300);
-                self.queue.push(self.now + pause, Event::Client(ClientEvent::Submit { job }));
+                self.queue
+                    .push(self.now + pause, Event::Client(ClientEvent::Submit { job }));
             }
         }
     }
@@ -346,27 +420,40 @@
         let lasting = state.lasting;
         if self.random.chance(SENT_AGAIN) {
             let after = self.random.between(500, LATEST_AGAIN_MS);
-            self.queue.push(self.now + after, Event::Client(ClientEvent::Again { job }));
+            self.queue
+                .push(self.now + after, Event::Client(ClientEvent::Again { job }));
         }
         let soon = self.random.between(200, POLL_EVERY_MS);
-        self.queue.push(self.now + soon, Event::Client(ClientEvent::Poll { job }));
+        self.queue
+            .push(self.now + soon, Event::Client(ClientEvent::Poll { job }));
         // What a workload's jobs earn is measured: none is cancelled.
         let may_cancel = self.workload.is_none();
         if may_cancel && (lasting || self.random.chance(CANCELLED)) {
             let longest = if lasting { 8_000 } else { 3_000 };
             let after = self.random.between(0, longest);
-            self.queue.push(self.now + after, Event::Client(ClientEvent::Cancel { job }));
+            self.queue
+                .push(self.now + after, Event::Client(ClientEvent::Cancel { job }));
         }
     }
 
     fn status_answered(
-        &mut self, open: &OpenClientCall, id: &JobId, status: u16, reply: Option<ClientReply>,
+        &mut self,
+        open: &OpenClientCall,
+        id: &JobId,
+        status: u16,
+        reply: Option<ClientReply>,
     ) {
-        let read = reply.as_ref().and_then(|reply| serde_json::from_str::<JobStatus>(&reply.body).ok());
+        let read = reply
+            .as_ref()
+            .and_then(|reply| serde_json::from_str::<JobStatus>(&reply.body).ok());
         let state = read.map(|status| status.state).filter(|_| status == 200);
         let calm = self.in_touch(open.gate);
-        let asked = crate::checker::jobs::Asked { at: open.sent, calm };
-        self.checker.status_answered(self.now, &self.catalog, id, status, state, asked);
+        let asked = crate::checker::jobs::Asked {
+            at: open.sent,
+            calm,
+        };
+        self.checker
+            .status_answered(self.now, &self.catalog, id, status, state, asked);
         let job = open.job;
         if state.is_some_and(JobState::is_final) {
             self.clients.jobs[job].ended = true;
@@ -376,14 +463,22 @@
             // A dropped queue's jobs are not shown any more.
             Purpose::Last
                 if status == 404
-                    && self.checker.may_be_dropped(jobs::HOST, &self.clients.jobs[job].prefix) =>
+                    && self
+                        .checker
+                        .may_be_dropped(jobs::HOST, &self.clients.jobs[job].prefix) =>
             {
                 self.clients.jobs[job].settled = true;
             }
             Purpose::Last => {
-                self.queue.push(self.now + FINAL_PAUSE_MS, Event::Client(ClientEvent::Last { job }));
+                self.queue.push(
+                    self.now + FINAL_PAUSE_MS,
+                    Event::Client(ClientEvent::Last { job }),
+                );
             }
-            _ => self.queue.push(self.now + POLL_EVERY_MS, Event::Client(ClientEvent::Poll { job })),
+            _ => self.queue.push(
+                self.now + POLL_EVERY_MS,
+                Event::Client(ClientEvent::Poll { job }),
+            ),
         }
     }
 
@@ -392,7 +487,8 @@
             200..=299 | 410 => self.checker.cancel_acknowledged(self.now, id),
             _ => {
                 let pause = self.random.between(200, 600);
-                self.queue.push(self.now + pause, Event::Client(ClientEvent::Cancel { job }));
+                self.queue
+                    .push(self.now + pause, Event::Client(ClientEvent::Cancel { job }));
             }
         }
     }
--- a/crates/emulator/src/fleet/core.rs
+++ b/crates/emulator/src/fleet/core.rs
@@ -95,9 +95,13 @@
 
     pub(crate) fn core_tick(&mut self, machine: MachineId) {
         let now = self.clocks(machine);
-        let Some(core) = self.core(machine) else { return };
+        let Some(core) = self.core(machine) else {
+            return;
+        };
         let actions = core.driver.tick(now);
-        let over = core.leaving_since.is_some_and(|since| now.steady > since + GRACE_MS);
+        let over = core
+            .leaving_since
+            .is_some_and(|since| now.steady > since + GRACE_MS);
         let left = core.leaving_since.is_some() && core.driver.replication().may_leave();
         self.perform(machine, actions);
         if left || over {
@@ -107,7 +111,9 @@
 
     pub(crate) fn core_leave(&mut self, machine: MachineId) {
         let now = self.clocks(machine);
-        let Some(core) = self.core(machine) else { return };
+        let Some(core) = self.core(machine) else {
+            return;
+        };
         core.leaving_since.get_or_insert(now.steady);
         let actions = core.driver.input(now, Input::Leave);
         self.perform(machine, actions);
@@ -128,7 +134,9 @@
             Call::Operator(order) => order.kind != OrderKind::Read,
             Call::Agent(_) => false,
         };
-        let Some(core) = self.core(machine) else { return };
+        let Some(core) = self.core(machine) else {
+            return;
+        };
         let (request, actions) = core.driver.call(now, body);
         core.calls.insert(request, (call, acknowledges));
         self.register(call, boot, request);
@@ -140,7 +148,9 @@
             return;
         }
         let now = self.clocks(machine);
-        let Some(core) = self.core(machine) else { return };
+        let Some(core) = self.core(machine) else {
+            return;
+        };
         core.calls.remove(&request);
         let actions = core.driver.abandon(now, request);
         self.perform(machine, actions);
@@ -151,7 +161,14 @@
         let boot = self.machines[machine].boot;
         let delay = self.random.between(1, LONGEST_RECOVERY_MS);
         let recovery = Box::new(recovery);
-        self.queue.push(self.now + delay, Event::Recovered { machine, boot, recovery });
+        self.queue.push(
+            self.now + delay,
+            Event::Recovered {
+                machine,
+                boot,
+                recovery,
+            },
+        );
     }
 
     pub(crate) fn recovered(&mut self, machine: MachineId, boot: u64, recovery: Recovery) {
@@ -159,7 +176,9 @@
             return;
         }
         let now = self.clocks(machine);
-        let Some(core) = self.core(machine) else { return };
+        let Some(core) = self.core(machine) else {
+            return;
+        };
         let epoch = recovery.epoch;
         let actions = core.driver.recovered(now, epoch, recovery.run());
         self.perform(machine, actions);
@@ -169,16 +188,24 @@
         if !self.is_boot(machine, boot) {
             return;
         }
-        let Some((pending, change)) = self.machines[machine].disk.pending.take() else { return };
+        let Some((pending, change)) = self.machines[machine].disk.pending.take() else {
+            return;
+        };
         if pending != ticket {
             return;
         }
         if !failed {
             self.machines[machine].disk.apply(&change);
         }
-        let input = if failed { Input::PersistFailed { ticket } } else { Input::Persisted { ticket } };
+        let input = if failed {
+            Input::PersistFailed { ticket }
+        } else {
+            Input::Persisted { ticket }
+        };
         let now = self.clocks(machine);
-        let Some(core) = self.core(machine) else { return };
+        let Some(core) = self.core(machine) else {
+            return;
+        };
         let actions = core.driver.input(now, input);
         self.perform(machine, actions);
     }
@@ -194,7 +221,15 @@
         };
         disk.pending = Some((ticket, change));
         let at = disk.stalled_until.max(self.now) + takes;
-        self.queue.push(at, Event::Persisted { machine, boot, ticket, failed });
+        self.queue.push(
+            at,
+            Event::Persisted {
+                machine,
+                boot,
+                ticket,
+                failed,
+            },
+        );
     }
 
     fn perform(&mut self, machine: MachineId, actions: Vec<Action>) {
@@ -209,19 +244,34 @@
     }
 
     fn send_core(&mut self, machine: MachineId, to: &Arc<str>, message: Message) {
-        let Some(receiver) = self.machine_at(to) else { return };
+        let Some(receiver) = self.machine_at(to) else {
+            return;
+        };
         if self.network.loses() {
             return;
         }
-        let Some(delay) = self.network.delay(machine, receiver) else { return };
+        let Some(delay) = self.network.delay(machine, receiver) else {
+            return;
+        };
         let from = self.machines[machine].address.internal.clone();
-        self.queue.push(self.now + delay, Event::Core { to: receiver, from, message });
+        self.queue.push(
+            self.now + delay,
+            Event::Core {
+                to: receiver,
+                from,
+                message,
+            },
+        );
     }
 
     fn core_answers(&mut self, machine: MachineId, request: u64, answer: Answer) {
         // An answer given at once comes before the call's number is known here.
-        let Some(core) = self.core(machine) else { return };
-        let Some((call, acknowledges)) = core.calls.remove(&request) else { return };
+        let Some(core) = self.core(machine) else {
+            return;
+        };
+        let Some((call, acknowledges)) = core.calls.remove(&request) else {
+            return;
+        };
         let (outcome, success) = match answer {
             Answer::Reply(Reply::Client(reply)) => {
                 let success = (200..300).contains(&reply.status);
@@ -267,6 +317,9 @@
             Some(Process::Core(core)) => Some(core.status(self.clocks(id))),
             _ => None,
         };
-        self.cores().into_iter().map(|id| (self.machines[id].name.clone(), status(id))).collect()
+        self.cores()
+            .into_iter()
+            .map(|id| (self.machines[id].name.clone(), status(id)))
+            .collect()
     }
 }
--- a/crates/emulator/src/fleet/event.rs
+++ b/crates/emulator/src/fleet/event.rs
@@ -21,33 +21,81 @@
     /// An agent is told the time when it wants to be.
     Wake { machine: MachineId, boot: u64 },
     /// A change of the disk is synced, or was refused.
-    Persisted { machine: MachineId, boot: u64, ticket: u64, failed: bool },
+    Persisted {
+        machine: MachineId,
+        boot: u64,
+        ticket: u64,
+        failed: bool,
+    },
     /// A new primary's scheduler is recovered.
-    Recovered { machine: MachineId, boot: u64, recovery: Box<Recovery> },
+    Recovered {
+        machine: MachineId,
+        boot: u64,
+        recovery: Box<Recovery>,
+    },
     /// A message between core machines arrives.
-    Core { to: MachineId, from: Arc<str>, message: Message },
+    Core {
+        to: MachineId,
+        from: Arc<str>,
+        message: Message,
+    },
     /// A call arrives.
-    Request { call: u64, to: MachineId, asked: Asked },
+    Request {
+        call: u64,
+        to: MachineId,
+        asked: Asked,
+    },
     /// A copy of a call that was held up on its way arrives.
-    LateCopy { call: u64, to: MachineId, asked: Asked },
+    LateCopy {
+        call: u64,
+        to: MachineId,
+        asked: Asked,
+    },
     /// A call's answer arrives, or the news that it broke.
     Response { call: u64, outcome: Outcome },
     /// The caller waits no longer.
     CallTimeout { call: u64 },
     /// The primary learns that a caller has left.
-    Abandoned { machine: MachineId, boot: u64, request: u64 },
+    Abandoned {
+        machine: MachineId,
+        boot: u64,
+        request: u64,
+    },
     /// A worker's heartbeat arrives at its agent.
-    Heartbeat { machine: MachineId, worker: WorkerIndex, life: u32, heartbeat: Box<Heartbeat> },
+    Heartbeat {
+        machine: MachineId,
+        worker: WorkerIndex,
+        life: u32,
+        heartbeat: Box<Heartbeat>,
+    },
     /// Its answer arrives at the worker.
-    HeartbeatAnswer { worker: WorkerIndex, life: u32, sequence: u64, answer: Arc<HeartbeatAnswer> },
+    HeartbeatAnswer {
+        worker: WorkerIndex,
+        life: u32,
+        sequence: u64,
+        answer: Arc<HeartbeatAnswer>,
+    },
     /// Nobody listened.
-    HeartbeatFailed { worker: WorkerIndex, life: u32, sequence: u64 },
+    HeartbeatFailed {
+        worker: WorkerIndex,
+        life: u32,
+        sequence: u64,
+    },
     /// A worker's deregistration arrives at its agent.
-    Deregister { machine: MachineId, worker: WorkerIndex, life: u32, instance: Arc<str> },
+    Deregister {
+        machine: MachineId,
+        worker: WorkerIndex,
+        life: u32,
+        instance: Arc<str>,
+    },
     /// A worker ends after its deregistration.
     WorkerGone { worker: WorkerIndex, life: u32 },
     /// A worker's own timer.
-    WorkerTimer { worker: WorkerIndex, life: u32, timer: Timer },
+    WorkerTimer {
+        worker: WorkerIndex,
+        life: u32,
+        timer: Timer,
+    },
     /// A worker comes up.
     WorkerStart { worker: WorkerIndex },
     /// A client does something.
--- a/crates/emulator/src/fleet/finder.rs
+++ b/crates/emulator/src/fleet/finder.rs
@@ -13,7 +13,11 @@
 
 impl Fleet {
     pub(crate) fn seeds(&self) -> Vec<CoreAddress> {
-        self.machines.iter().take(self.setup.cores.min(3)).map(|m| m.address.clone()).collect()
+        self.machines
+            .iter()
+            .take(self.setup.cores.min(3))
+            .map(|m| m.address.clone())
+            .collect()
     }
 
     pub(crate) fn new_finder(&mut self) -> CoreFinder {
@@ -38,20 +42,34 @@
     /// Asks who is primary, where the finder wants to know.
     pub(crate) fn look_for_primary(&mut self, machine: MachineId) {
         let now = self.clocks(machine).steady;
-        let Some(finder) = self.finder(machine) else { return };
+        let Some(finder) = self.finder(machine) else {
+            return;
+        };
         let questions = finder.questions(now);
         let boot = self.machines[machine].boot;
         for address in questions {
             if let Some(to) = self.machine_at(&address) {
-                self.call(Caller::Finder { machine, boot }, to, Asked::View, ASK_LIMIT_MS);
+                self.call(
+                    Caller::Finder { machine, boot },
+                    to,
+                    Asked::View,
+                    ASK_LIMIT_MS,
+                );
             }
         }
     }
 
-    pub(crate) fn finder_answered(&mut self, machine: MachineId, from: MachineId, outcome: Outcome) {
+    pub(crate) fn finder_answered(
+        &mut self,
+        machine: MachineId,
+        from: MachineId,
+        outcome: Outcome,
+    ) {
         let now = self.clocks(machine).steady;
         let address = self.machines[from].address.internal.clone();
-        let Some(finder) = self.finder(machine) else { return };
+        let Some(finder) = self.finder(machine) else {
+            return;
+        };
         match outcome {
             Outcome::View(view) => finder.learn(now, &address, &view),
             _ => finder.failed(now, &address),
@@ -59,10 +77,17 @@
     }
 
     /// A call to the primary is over: what is learnt from that.
-    pub(crate) fn learn_from_call(&mut self, machine: MachineId, from: MachineId, outcome: &Outcome) {
+    pub(crate) fn learn_from_call(
+        &mut self,
+        machine: MachineId,
+        from: MachineId,
+        outcome: &Outcome,
+    ) {
         let now = self.clocks(machine).steady;
         let address = self.machines[from].address.internal.clone();
-        let Some(finder) = self.finder(machine) else { return };
+        let Some(finder) = self.finder(machine) else {
+            return;
+        };
         match outcome {
             Outcome::NotPrimary(view) => finder.refused(now, &address, view),
             Outcome::Client(_) => finder.succeeded(now, &address),
--- a/crates/emulator/src/fleet/gate.rs
+++ b/crates/emulator/src/fleet/gate.rs
@@ -29,12 +29,19 @@
 }
 
 fn reply(status: u16, retry_after_ms: Option<Millis>) -> ClientReply {
-    ClientReply { status, body: "".into(), retry_after_ms }
+    ClientReply {
+        status,
+        body: "".into(),
+        retry_after_ms,
+    }
 }
 
 impl Fleet {
     pub(crate) fn new_gate(&mut self, _machine: MachineId) -> GateProcess {
-        GateProcess { finder: self.new_finder(), open: BTreeMap::new() }
+        GateProcess {
+            finder: self.new_finder(),
+            open: BTreeMap::new(),
+        }
     }
 
     fn gate(&mut self, machine: MachineId) -> Option<&mut GateProcess> {
@@ -50,7 +57,9 @@
 
     /// A client's call has come.
     pub(crate) fn gate_called(&mut self, machine: MachineId, client_call: u64, call: ClientCall) {
-        let Some(gate) = self.gate(machine) else { return };
+        let Some(gate) = self.gate(machine) else {
+            return;
+        };
         gate.open.insert(client_call, Forwarded { call, times: 0 });
         self.forward(machine, client_call);
     }
@@ -58,34 +67,55 @@
     fn forward(&mut self, machine: MachineId, client_call: u64) {
         let to = self.primary_for(machine);
         let boot = self.machines[machine].boot;
-        let Some(gate) = self.gate(machine) else { return };
-        let Some(open) = gate.open.get_mut(&client_call) else { return };
+        let Some(gate) = self.gate(machine) else {
+            return;
+        };
+        let Some(open) = gate.open.get_mut(&client_call) else {
+            return;
+        };
         open.times += 1;
         let (call, times) = (open.call.clone(), open.times);
         match to {
             Some(to) if times <= MOST_FORWARDS => {
-                let caller = Caller::Gate { machine, boot, client_call };
-                self.call(caller, to, Asked::Primary(Box::new(Call::Client(call))), LIMIT_MS);
+                let caller = Caller::Gate {
+                    machine,
+                    boot,
+                    client_call,
+                };
+                self.call(
+                    caller,
+                    to,
+                    Asked::Primary(Box::new(Call::Client(call))),
+                    LIMIT_MS,
+                );
             }
             _ => self.gate_answers(machine, client_call, reply(503, Some(RETRY_AFTER_MS))),
         }
     }
 
     pub(crate) fn gate_answered(
-        &mut self, machine: MachineId, from: MachineId, client_call: u64, outcome: Outcome,
+        &mut self,
+        machine: MachineId,
+        from: MachineId,
+        client_call: u64,
+        outcome: Outcome,
     ) {
         self.learn_from_call(machine, from, &outcome);
         match outcome {
             Outcome::Client(reply) => self.gate_answers(machine, client_call, reply),
             Outcome::NotPrimary(_) => self.forward(machine, client_call),
-            Outcome::Refused => self.gate_answers(machine, client_call, reply(503, Some(RETRY_AFTER_MS))),
+            Outcome::Refused => {
+                self.gate_answers(machine, client_call, reply(503, Some(RETRY_AFTER_MS)))
+            }
             Outcome::Silence => self.gate_answers(machine, client_call, reply(504, None)),
             _ => self.gate_answers(machine, client_call, reply(502, None)),
         }
     }
 
     fn gate_answers(&mut self, machine: MachineId, client_call: u64, reply: ClientReply) {
-        let Some(gate) = self.gate(machine) else { return };
+        let Some(gate) = self.gate(machine) else {
+            return;
+        };
         if gate.open.remove(&client_call).is_some() {
             self.answer_client(client_call, Some(reply));
         }
--- a/crates/emulator/src/fleet/heals.rs
+++ b/crates/emulator/src/fleet/heals.rs
@@ -33,7 +33,10 @@
         self.trace(|| format!("heal {heal:?}"));
         match heal {
             Heal::Thaw(machine) => {
-                if self.machines[machine].frozen_until.is_some_and(|until| until <= self.now) {
+                if self.machines[machine]
+                    .frozen_until
+                    .is_some_and(|until| until <= self.now)
+                {
                     self.machines[machine].frozen_until = None;
                     self.trouble(machine);
                 }
@@ -83,16 +86,25 @@
             Heal::Leave(machine, rest, gap_ms) => {
                 self.trouble(machine);
                 self.core_leave(machine);
-                self.queue.push(self.now + ROLL_PAUSE_MS, Event::Heal(Heal::Left(machine, rest, gap_ms)));
+                self.queue.push(
+                    self.now + ROLL_PAUSE_MS,
+                    Event::Heal(Heal::Left(machine, rest, gap_ms)),
+                );
             }
             Heal::Left(machine, rest, gap_ms) if self.machines[machine].process.is_some() => {
-                self.queue.push(self.now + ROLL_PAUSE_MS, Event::Heal(Heal::Left(machine, rest, gap_ms)));
+                self.queue.push(
+                    self.now + ROLL_PAUSE_MS,
+                    Event::Heal(Heal::Left(machine, rest, gap_ms)),
+                );
             }
             Heal::Left(machine, mut rest, gap_ms) => {
                 self.heal_core(Heal::Back(machine));
                 if !rest.is_empty() {
                     let next = rest.remove(0);
-                    self.queue.push(self.now + gap_ms, Event::Heal(Heal::Leave(next, rest, gap_ms)));
+                    self.queue.push(
+                        self.now + gap_ms,
+                        Event::Heal(Heal::Leave(next, rest, gap_ms)),
+                    );
                 }
             }
             Heal::Back(machine) => {
@@ -100,7 +112,11 @@
                 self.trouble(machine);
             }
             Heal::NewCore => {
-                let index = self.machines.iter().filter(|m| m.role == Role::Core).count();
+                let index = self
+                    .machines
+                    .iter()
+                    .filter(|m| m.role == Role::Core)
+                    .count();
                 let machine = self.add_machine(Role::Core, index);
                 self.start_process(machine);
                 self.trouble(machine);
