--- a/crates/emulator/src/fleet/jobs.rs
+++ b/crates/emulator/src/fleet/jobs.rs
@@ -72,13 +72,20 @@
 
 fn step(count: u32, cpu: u64, mem_mb: u64, gpu: u64, work_ms: Millis) -> StepRequest {
     let resources = Resources { cpu, mem_mb, gpu };
-    StepRequest { count, resources, estimated_ms: work_ms, ..StepRequest::default() }
+    StepRequest {
+        count,
+        resources,
+        estimated_ms: work_ms,
+        ..StepRequest::default()
+    }
 }
 
 /// Draws a job for a queue.
 pub(crate) fn draw(random: &mut Random, kind: Kind, prefix: Arc<str>, now: Millis) -> KnownJob {
-    let mut request =
-        JobRequest { spec: format!("{kind:?} {}", random.word()).into(), ..JobRequest::default() };
+    let mut request = JobRequest {
+        spec: format!("{kind:?} {}", random.word()).into(),
+        ..JobRequest::default()
+    };
     request.steps = steps(random, kind);
     if kind == Kind::Timed {
         request.repeat_count = random.between(1, 3) as u32;
@@ -86,8 +93,11 @@
         request.interval_ms = random.between(400, 1_500);
     }
     // The guess is rough.
-    let work_ms: Vec<Millis> =
-        request.steps.iter().map(|s| s.estimated_ms * random.between(80, 120) / 100).collect();
+    let work_ms: Vec<Millis> = request
+        .steps
+        .iter()
+        .map(|s| s.estimated_ms * random.between(80, 120) / 100)
+        .collect();
     let own_failures = if random.chance(0.1) { 1 } else { 0 };
     KnownJob {
         request: Arc::new(request),
@@ -104,8 +114,17 @@
 fn steps(random: &mut Random, kind: Kind) -> Vec<StepRequest> {
     match kind {
         Kind::Quick => {
-            let first = step(random.between(2, 6) as u32, 240, 256, 0, random.between(300, 800));
-            let second = StepRequest { depends_on: vec![0], ..step(2, 240, 256, 0, 400) };
+            let first = step(
+                random.between(2, 6) as u32,
+                240,
+                256,
+                0,
+                random.between(300, 800),
+            );
+            let second = StepRequest {
+                depends_on: vec![0],
+                ..step(2, 240, 256, 0, 400)
+            };
             if random.chance(0.4) {
                 vec![first, second]
             } else {
@@ -114,17 +133,34 @@
         }
         Kind::Log => {
             let work = random.between(1_500, 5_000);
-            let long =
-                StepRequest { checkpoints: true, ..step(random.between(3, 10) as u32, 520, 512, 0, work) };
-            vec![long, StepRequest { depends_on: vec![0], checkpoints: true, ..step(3, 520, 512, 0, 1_000) }]
+            let long = StepRequest {
+                checkpoints: true,
+                ..step(random.between(3, 10) as u32, 520, 512, 0, work)
+            };
+            vec![
+                long,
+                StepRequest {
+                    depends_on: vec![0],
+                    checkpoints: true,
+                    ..step(3, 520, 512, 0, 1_000)
+                },
+            ]
         }
         Kind::Gang => {
             let gpu = random.between(2, 6);
             let gang = step(2, 15_000, 8_000, gpu, random.between(2_000, 5_000));
-            vec![StepRequest { gang: true, same_rack: true, checkpoints: random.chance(0.7), ..gang }]
+            vec![StepRequest {
+                gang: true,
+                same_rack: true,
+                checkpoints: random.chance(0.7),
+                ..gang
+            }]
         }
         Kind::Lasting => {
-            vec![StepRequest { long_running: true, ..step(random.between(1, 3) as u32, 300, 128, 0, 500) }]
+            vec![StepRequest {
+                long_running: true,
+                ..step(random.between(1, 3) as u32, 300, 128, 0, 500)
+            }]
         }
         Kind::Image => {
             let rack: Arc<str> = format!("r{}", random.below(2)).into();
@@ -135,10 +171,19 @@
             vec![near]
         }
         Kind::Timed => vec![step(2, 240, 128, 0, 400)],
-        Kind::Hedged => vec![StepRequest { hedged: true, ..step(3, 300, 128, 0, 600) }],
+        Kind::Hedged => vec![StepRequest {
+            hedged: true,
+            ..step(3, 300, 128, 0, 600)
+        }],
         Kind::Spread => {
-            let spread = StepRequest { anti_affinity: 1, ..step(2, 500, 128, 0, 900) };
-            let chosen = StepRequest { node_selector: Some("a".into()), ..step(2, 500, 128, 0, 700) };
+            let spread = StepRequest {
+                anti_affinity: 1,
+                ..step(2, 500, 128, 0, 900)
+            };
+            let chosen = StepRequest {
+                node_selector: Some("a".into()),
+                ..step(2, 500, 128, 0, 700)
+            };
             vec![spread, chosen]
         }
     }
--- a/crates/emulator/src/fleet/machine.rs
+++ b/crates/emulator/src/fleet/machine.rs
@@ -97,7 +97,10 @@
             control: format!("10.0.0.{id}:8000").into(),
         };
         let unix_error = self.random.between(0, 40) as i64 - 20;
-        let clock = MachineClock { steady_offset: self.random.between(1_000, 1_000_000), unix_error };
+        let clock = MachineClock {
+            steady_offset: self.random.between(1_000, 1_000_000),
+            unix_error,
+        };
         self.machines.push(Machine {
             role,
             index,
@@ -118,7 +121,10 @@
     /// What a machine's process takes the time to be.
     pub(crate) fn clocks(&self, machine: MachineId) -> Now {
         let state = &self.machines[machine];
-        let clock = MachineClock { unix_error: state.unix_error_at_start, ..state.clock };
+        let clock = MachineClock {
+            unix_error: state.unix_error_at_start,
+            ..state.clock
+        };
         clock.read(self.now)
     }
 
@@ -150,7 +156,8 @@
             Role::Agent => self.agent_tick(machine),
         }
         let late = self.random.between(0, 3);
-        self.queue.push(self.now + TICK_MS + late, Event::Tick { machine, boot });
+        self.queue
+            .push(self.now + TICK_MS + late, Event::Tick { machine, boot });
     }
 
     /// A process ends without a word. With `power` lost, what was not synced may be lost, and nobody is told.
@@ -158,7 +165,13 @@
         if self.machines[machine].process.take().is_none() {
             return;
         }
-        self.trace(|| format!("kill {}{}", self.machines[machine].name, if power { " (power)" } else { "" }));
+        self.trace(|| {
+            format!(
+                "kill {}{}",
+                self.machines[machine].name,
+                if power { " (power)" } else { "" }
+            )
+        });
         self.machines[machine].frozen_until = None;
         if let Some((_, change)) = self.machines[machine].disk.pending.take() {
             if self.random.chance(0.5) {
@@ -177,7 +190,12 @@
     /// Core machines that were not removed.
     pub(crate) fn cores(&self) -> Vec<MachineId> {
         let in_use = |(_, m): &(usize, &Machine)| m.role == Role::Core && !m.removed;
-        self.machines.iter().enumerate().filter(in_use).map(|(id, _)| id).collect()
+        self.machines
+            .iter()
+            .enumerate()
+            .filter(in_use)
+            .map(|(id, _)| id)
+            .collect()
     }
 
     pub(crate) fn gate_machine(&self, index: usize) -> MachineId {
--- a/crates/emulator/src/fleet/mod.rs
+++ b/crates/emulator/src/fleet/mod.rs
@@ -95,13 +95,23 @@
     /// A fleet that is about to start, with the workers and the traffic of a workload.
     pub fn with_workload(setup: Setup, schedule: Schedule, workload: Arc<Workload>) -> Fleet {
         let workers = workload.workers(&mut Random::new(setup.seed, 4));
-        let bounds = Bounds { far_x: workload.far_x, ..setup.bounds };
-        let setup = Setup { worker_count: workers.len(), bounds, ..setup };
+        let bounds = Bounds {
+            far_x: workload.far_x,
+            ..setup.bounds
+        };
+        let setup = Setup {
+            worker_count: workers.len(),
+            bounds,
+            ..setup
+        };
         Fleet::with(setup, schedule, workers, Some(workload))
     }
 
     fn with(
-        setup: Setup, schedule: Schedule, workers: Vec<Worker>, workload: Option<Arc<Workload>>,
+        setup: Setup,
+        schedule: Schedule,
+        workers: Vec<Worker>,
+        workload: Option<Arc<Workload>>,
     ) -> Fleet {
         let seed = setup.seed;
         let plant = Plant::new(workers, setup.bounds, seed);
@@ -173,7 +183,9 @@
     /// Plays until a time, or to the first breach.
     pub fn run_until(&mut self, until: Millis) {
         while self.checker.violations().is_empty() {
-            let Some((at, event)) = self.queue.pop(until) else { break };
+            let Some((at, event)) = self.queue.pop(until) else {
+                break;
+            };
             self.now = at;
             self.step(event);
         }
@@ -182,7 +194,10 @@
 
     fn step(&mut self, event: Event) {
         if let Some(machine) = event.machine() {
-            if let Some(thaw) = self.machines[machine].frozen_until.filter(|thaw| *thaw > self.now) {
+            if let Some(thaw) = self.machines[machine]
+                .frozen_until
+                .filter(|thaw| *thaw > self.now)
+            {
                 self.queue.push(thaw, event);
                 return;
             }
@@ -197,32 +212,69 @@
             Event::Start { machine } => self.start_process(machine),
             Event::Tick { machine, boot } => self.tick(machine, boot),
             Event::Wake { machine, boot } => self.agent_woken(machine, boot),
-            Event::Persisted { machine, boot, ticket, failed } => {
-                self.persisted(machine, boot, ticket, failed)
-            }
-            Event::Recovered { machine, boot, recovery } => self.recovered(machine, boot, *recovery),
+            Event::Persisted {
+                machine,
+                boot,
+                ticket,
+                failed,
+            } => self.persisted(machine, boot, ticket, failed),
+            Event::Recovered {
+                machine,
+                boot,
+                recovery,
+            } => self.recovered(machine, boot, *recovery),
             Event::Core { to, from, message } => self.core_received(to, from, message),
             Event::Request { call, to, asked } => self.request_arrives(call, to, asked),
             Event::LateCopy { call, to, asked } => self.late_copy_arrives(call, to, asked),
             Event::Response { call, outcome } => self.response_arrives(call, outcome),
             Event::CallTimeout { call } => self.call_timed_out(call),
-            Event::Abandoned { machine, boot, request } => self.core_abandoned(machine, boot, request),
-            Event::Heartbeat { machine, worker, life, heartbeat } => {
+            Event::Abandoned {
+                machine,
+                boot,
+                request,
+            } => self.core_abandoned(machine, boot, request),
+            Event::Heartbeat {
+                machine,
+                worker,
+                life,
+                heartbeat,
+            } => {
                 self.heartbeat_arrives(machine, worker, life, *heartbeat);
             }
-            Event::HeartbeatAnswer { worker, life, sequence, answer } => {
+            Event::HeartbeatAnswer {
+                worker,
+                life,
+                sequence,
+                answer,
+            } => {
                 let now = self.now;
-                self.plant.answered(now, &self.catalog, worker, life, sequence, &answer);
+                self.plant
+                    .answered(now, &self.catalog, worker, life, sequence, &answer);
             }
-            Event::HeartbeatFailed { worker, life, sequence } => {
-                self.plant.heartbeat_failed(self.now, worker, life, sequence);
+            Event::HeartbeatFailed {
+                worker,
+                life,
+                sequence,
+            } => {
+                self.plant
+                    .heartbeat_failed(self.now, worker, life, sequence);
             }
-            Event::Deregister { machine, worker, life, instance } => {
+            Event::Deregister {
+                machine,
+                worker,
+                life,
+                instance,
+            } => {
                 self.deregister_arrives(machine, worker, life, instance);
             }
             Event::WorkerGone { worker, life } => self.worker_gone(worker, life),
-            Event::WorkerTimer { worker, life, timer } => {
-                self.plant.fire(self.now, &self.catalog, worker, life, timer);
+            Event::WorkerTimer {
+                worker,
+                life,
+                timer,
+            } => {
+                self.plant
+                    .fire(self.now, &self.catalog, worker, life, timer);
             }
             Event::WorkerStart { worker } => self.worker_start(worker),
             Event::Client(event) => self.client_event(event),
@@ -237,8 +289,10 @@
         let calm_since = self.calm_since();
         let contact = self.setup.bounds.contact_ms;
         let calm = calm_since.is_some_and(|since| self.now >= since + contact);
-        self.checker.check_idle(self.now, &self.catalog, &self.plant.workers, calm);
-        self.checker.check_acknowledgements(self.now, calm_since.map(|since| since + contact));
+        self.checker
+            .check_idle(self.now, &self.catalog, &self.plant.workers, calm);
+        self.checker
+            .check_acknowledgements(self.now, calm_since.map(|since| since + contact));
         if calm {
             self.checker.check_cancelled(self.now);
         }
--- a/crates/emulator/src/fleet/operator.rs
+++ b/crates/emulator/src/fleet/operator.rs
@@ -93,7 +93,9 @@
         service: service.into(),
         max_attempts,
         stretch: 3.0,
-        other: [("kind".to_string(), json!("unsafe"))].into_iter().collect(),
+        other: [("kind".to_string(), json!("unsafe"))]
+            .into_iter()
+            .collect(),
     }
 }
 
@@ -101,7 +103,13 @@
     let routes = workload.classes.iter().map(|class| Route {
         target_latency_ms: class.target_latency_ms,
         stretch: class.stretch,
-        ..route(class.name, &prefix(class), class.service, class.priority, class.max_attempts)
+        ..route(
+            class.name,
+            &prefix(class),
+            class.service,
+            class.priority,
+            class.max_attempts,
+        )
     });
     Configuration {
         routes: routes.collect(),
@@ -111,12 +119,22 @@
 }
 
 fn service(name: &&str) -> Service {
-    Service { name: (*name).into(), health_path: "/health".into(), ..Service::default() }
+    Service {
+        name: (*name).into(),
+        health_path: "/health".into(),
+        ..Service::default()
+    }
 }
 
 fn first_configuration() -> Configuration {
     let routes = QUEUES.iter().map(|(prefix, service, priority, attempts)| {
-        route(&format!("r-{}", prefix.trim_matches('/')), prefix, service, *priority, *attempts)
+        route(
+            &format!("r-{}", prefix.trim_matches('/')),
+            prefix,
+            service,
+            *priority,
+            *attempts,
+        )
     });
     Configuration {
         version: 1,
@@ -129,12 +147,15 @@
 
 impl Fleet {
     pub(crate) fn plan_operator(&mut self) {
-        self.queue.push(FIRST_AT_MS, Event::Operator(OperatorEvent::First));
+        self.queue
+            .push(FIRST_AT_MS, Event::Operator(OperatorEvent::First));
         let end = self.setup.traffic_until + self.setup.bounds.finish_ms;
-        self.queue.push(end, Event::Operator(OperatorEvent::Read { last: true }));
+        self.queue
+            .push(end, Event::Operator(OperatorEvent::Read { last: true }));
         let mut at = FIRST_AT_MS;
         while at < end {
-            self.queue.push(at, Event::Operator(OperatorEvent::Read { last: false }));
+            self.queue
+                .push(at, Event::Operator(OperatorEvent::Read { last: false }));
             at += READ_EVERY_MS;
         }
     }
@@ -142,7 +163,10 @@
     pub(crate) fn operator_event(&mut self, event: OperatorEvent) {
         match event {
             OperatorEvent::First => {
-                let first = self.workload.as_deref().map_or_else(first_configuration, configuration_of);
+                let first = self
+                    .workload
+                    .as_deref()
+                    .map_or_else(first_configuration, configuration_of);
                 let first = Arc::new(first);
                 let body = serde_json::to_string(&*first).unwrap_or_default();
                 self.order(OrderKind::Replace, 0, body, Some(first));
@@ -153,12 +177,26 @@
         }
     }
 
-    fn order(&mut self, kind: OrderKind, base: u64, body: String, result: Option<Arc<Configuration>>) {
+    fn order(
+        &mut self,
+        kind: OrderKind,
+        base: u64,
+        body: String,
+        result: Option<Arc<Configuration>>,
+    ) {
         // The same change on the same version is the same order, whoever sends it.
-        if self.operator.attempts.iter().any(|sent| sent.base == Some(base) && *sent.body == *body) {
+        if self
+            .operator
+            .attempts
+            .iter()
+            .any(|sent| sent.base == Some(base) && *sent.body == *body)
+        {
             return;
         }
-        let sent = SentOrder { base, result: result.clone() };
+        let sent = SentOrder {
+            base,
+            result: result.clone(),
+        };
         let number = Some(self.checker.order_sent(self.now, sent));
         self.trace(|| format!("operator {kind:?} {number:?} on {base}: {body}"));
         self.attempt(Attempt {
@@ -201,14 +239,30 @@
             return;
         }
         attempt.tries += 1;
-        let order = OperatorOrder { kind: attempt.kind, base: attempt.base, body: attempt.body.clone() };
-        let caller = Caller::Operator { attempt: number, sent: self.now };
+        let order = OperatorOrder {
+            kind: attempt.kind,
+            base: attempt.base,
+            body: attempt.body.clone(),
+        };
+        let caller = Caller::Operator {
+            attempt: number,
+            sent: self.now,
+        };
         let to = to.unwrap_or(any);
         if let Some((most_ms, _)) = self.operator.held_up.filter(|(_, until)| self.now < *until) {
             let delay = self.random.between(100, most_ms);
-            self.hold_up_copy(to, Asked::Primary(Box::new(Call::Operator(order.clone()))), delay);
+            self.hold_up_copy(
+                to,
+                Asked::Primary(Box::new(Call::Operator(order.clone()))),
+                delay,
+            );
         }
-        self.call(caller, to, Asked::Primary(Box::new(Call::Operator(order))), PATIENCE_MS);
+        self.call(
+            caller,
+            to,
+            Asked::Primary(Box::new(Call::Operator(order))),
+            PATIENCE_MS,
+        );
     }
 
     pub(crate) fn operator_answered(&mut self, sent: Millis, attempt: usize, outcome: Outcome) {
@@ -216,7 +270,9 @@
             return;
         }
         match outcome {
-            Outcome::Operator(reply) if reply.status < 500 => self.order_answered(sent, attempt, &reply),
+            Outcome::Operator(reply) if reply.status < 500 => {
+                self.order_answered(sent, attempt, &reply)
+            }
             Outcome::NotPrimary(view) => self.redirected(attempt, view.primary),
             _ => self.retry(attempt),
         }
@@ -244,13 +300,19 @@
             return;
         }
         let pause = (50 << state.tries.min(5)).min(LONGEST_PAUSE_MS);
-        self.queue.push(self.now + pause, Event::Operator(OperatorEvent::Send { attempt }));
+        self.queue.push(
+            self.now + pause,
+            Event::Operator(OperatorEvent::Send { attempt }),
+        );
     }
 
     fn order_answered(&mut self, sent: Millis, attempt: usize, reply: &OperatorReply) {
         let state = self.operator.attempts[attempt].clone();
         self.trace(|| {
-            format!("operator {:?} {:?} answered {} {}", state.kind, state.number, reply.status, reply.body)
+            format!(
+                "operator {:?} {:?} answered {} {}",
+                state.kind, state.number, reply.status, reply.body
+            )
         });
         self.operator.attempts[attempt].done = true;
         match state.number {
@@ -283,14 +345,19 @@
 
     /// An operator changes something.
     pub(crate) fn change_configuration(&mut self, version_step: Option<u64>) {
-        let Some(known) = self.operator.known.clone() else { return };
+        let Some(known) = self.operator.known.clone() else {
+            return;
+        };
         let step = version_step.unwrap_or_else(|| self.random.between(1, 4));
         let mut next = (*known).clone();
         next.version += step;
         let (kind, body) = match self.random.below(4) {
             0 => {
                 self.retune_some_route(&mut next);
-                (OrderKind::Replace, serde_json::to_string(&next).unwrap_or_default())
+                (
+                    OrderKind::Replace,
+                    serde_json::to_string(&next).unwrap_or_default(),
+                )
             }
             1 => {
                 let route = self.retune_some_route(&mut next);
@@ -343,7 +410,9 @@
 
     /// A change, and one that builds on it before it is answered.
     pub(crate) fn chain(&mut self) {
-        let Some(known) = self.operator.known.clone() else { return };
+        let Some(known) = self.operator.known.clone() else {
+            return;
+        };
         let mut first = (*known).clone();
         first.version += 1;
         let route = self.retune_some_route(&mut first);
@@ -352,9 +421,19 @@
         self.add_route(&mut second);
         // Whole, as another operator may have made another version of that number.
         let later = serde_json::to_string(&second).unwrap_or_default();
-        self.order(OrderKind::Replace, first.version, later, Some(Arc::new(second)));
+        self.order(
+            OrderKind::Replace,
+            first.version,
+            later,
+            Some(Arc::new(second)),
+        );
         let sooner = json!({"version": first.version, "upsert": {"routes": [route]}}).to_string();
-        self.order(OrderKind::Update, known.version, sooner, Some(Arc::new(first)));
+        self.order(
+            OrderKind::Update,
+            known.version,
+            sooner,
+            Some(Arc::new(first)),
+        );
     }
 
     /// Two operators change the same version, perhaps under the same number.
@@ -366,7 +445,9 @@
 
     /// An invalid change is sent.
     pub(crate) fn bad_change(&mut self) {
-        let Some(known) = self.operator.known.clone() else { return };
+        let Some(known) = self.operator.known.clone() else {
+            return;
+        };
         let base = known.version;
         let mut next = (*known).clone();
         next.version += 1;
--- a/crates/emulator/src/fleet/setup.rs
+++ b/crates/emulator/src/fleet/setup.rs
@@ -73,17 +73,35 @@
         let (cores, tolerance) = CORES_AND_TOLERANCE[random.below(CORES_AND_TOLERANCE.len())];
         let bounds = match random.below(3) {
             0 => Bounds::default(),
-            1 => Bounds { hold_max_ms: 10_000, stop_ms: 400, restore_ms: 100, ..Bounds::default() },
-            _ => Bounds { hold_max_ms: 3_000, stop_ms: 2_000, ..Bounds::default() },
+            1 => Bounds {
+                hold_max_ms: 10_000,
+                stop_ms: 400,
+                restore_ms: 100,
+                ..Bounds::default()
+            },
+            _ => Bounds {
+                hold_max_ms: 3_000,
+                stop_ms: 2_000,
+                ..Bounds::default()
+            },
         };
         let guards = random.chance(0.25);
-        Setup { cores, tolerance, bounds, guards, worker_count: 5 + random.below(4), ..Setup::small(seed) }
+        Setup {
+            cores,
+            tolerance,
+            bounds,
+            guards,
+            worker_count: 5 + random.below(4),
+            ..Setup::small(seed)
+        }
     }
 
     /// The workers: some of each service, with racks and kinds.
     pub(crate) fn workers(&self) -> Vec<Worker> {
         let mut random = Random::new(self.seed, 4);
-        (0..self.worker_count).map(|index| self.worker(index, &mut random)).collect()
+        (0..self.worker_count)
+            .map(|index| self.worker(index, &mut random))
+            .collect()
     }
 
     fn worker(&self, index: usize, random: &mut Random) -> Worker {
@@ -91,9 +109,17 @@
         let rack: Arc<str> = format!("r{}", index / RACK_SIZE).into();
         let kind: Arc<str> = if index < 3 { "a".into() } else { "b".into() };
         let capacity = if second {
-            Resources { cpu: 32_000, mem_mb: 128_000, gpu: 8 }
+            Resources {
+                cpu: 32_000,
+                mem_mb: 128_000,
+                gpu: 8,
+            }
         } else {
-            Resources { cpu: 16_000, mem_mb: 32_000, gpu: 0 }
+            Resources {
+                cpu: 16_000,
+                mem_mb: 32_000,
+                gpu: 0,
+            }
         };
         Worker::new(WorkerKind {
             service: SERVICES[index % SERVICES.len()].into(),
@@ -103,7 +129,9 @@
             capacity,
             guards: self.guards,
             speed: 1.0,
-            clock: WorkerClock { slow_per_mille: random.between(0, 20) },
+            clock: WorkerClock {
+                slow_per_mille: random.between(0, 20),
+            },
         })
     }
 }
--- a/crates/emulator/src/fleet/touch.rs
+++ b/crates/emulator/src/fleet/touch.rs
@@ -31,8 +31,8 @@
         let now = self.now;
         self.touch.machines.entry(machine).or_default().last = now;
         if self.machines[machine].role == Role::Core {
-            let was_lost =
-                self.touch.most_lost && now < self.touch.core_event + 2 * self.setup.bounds.contact_ms;
+            let was_lost = self.touch.most_lost
+                && now < self.touch.core_event + 2 * self.setup.bounds.contact_ms;
             self.touch.core_event = now;
             self.touch.most_lost = was_lost || !self.core_has_majority();
             let rest_is_over = now >= self.touch.core_event + self.setup.bounds.recovery_ms;
@@ -52,13 +52,18 @@
             is_down || trouble.ongoing > 0 || is_recent
         };
         let machines = 0..self.machines.len();
-        machines.filter(|id| self.machines[*id].role == Role::Core).filter(is_lost).count()
+        machines
+            .filter(|id| self.machines[*id].role == Role::Core)
+            .filter(is_lost)
+            .count()
     }
 
     /// Whether any core machine is troubled now.
     fn is_any_core_troubled(&self) -> bool {
         let trouble = |id: &MachineId| self.touch.machines.get(id).copied().unwrap_or_default();
-        self.cores().iter().any(|id| !self.is_running(*id) || trouble(id).ongoing > 0)
+        self.cores()
+            .iter()
+            .any(|id| !self.is_running(*id) || trouble(id).ongoing > 0)
     }
 
     /// A trouble of a machine begins, and lasts.
@@ -93,10 +98,19 @@
     /// Core machines that run, are awake, and reach more than half of the core both ways.
     fn connected_core(&self) -> Vec<MachineId> {
         let cores = self.cores();
-        let running: Vec<MachineId> = cores.iter().copied().filter(|id| self.is_running(*id)).collect();
-        let both = |a: MachineId, b: MachineId| self.network.is_open(a, b) && self.network.is_open(b, a);
+        let running: Vec<MachineId> = cores
+            .iter()
+            .copied()
+            .filter(|id| self.is_running(*id))
+            .collect();
+        let both =
+            |a: MachineId, b: MachineId| self.network.is_open(a, b) && self.network.is_open(b, a);
         let reaches = |id: &MachineId| running.iter().filter(|other| both(*id, **other)).count();
-        running.iter().copied().filter(|id| reaches(id) * 2 > cores.len()).collect()
+        running
+            .iter()
+            .copied()
+            .filter(|id| reaches(id) * 2 > cores.len())
+            .collect()
     }
 
     fn core_has_majority(&self) -> bool {
@@ -123,17 +137,29 @@
         if !self.is_running(machine) {
             return None;
         }
-        let both = |a: MachineId, b: MachineId| self.network.is_open(a, b) && self.network.is_open(b, a);
-        if !self.connected_core().into_iter().all(|core| both(machine, core)) {
+        let both =
+            |a: MachineId, b: MachineId| self.network.is_open(a, b) && self.network.is_open(b, a);
+        if !self
+            .connected_core()
+            .into_iter()
+            .all(|core| both(machine, core))
+        {
             return None;
         }
-        let trouble = self.touch.machines.get(&machine).copied().unwrap_or_default();
+        let trouble = self
+            .touch
+            .machines
+            .get(&machine)
+            .copied()
+            .unwrap_or_default();
         (trouble.ongoing == 0).then_some(trouble.last)
     }
 
     /// Whether a machine is in touch now.
     pub(crate) fn in_touch(&self, machine: MachineId) -> bool {
-        let since = self.core_quiet_since().zip(self.machine_quiet_since(machine));
+        let since = self
+            .core_quiet_since()
+            .zip(self.machine_quiet_since(machine));
         since.is_some_and(|(core, own)| self.now >= core.max(own) + self.setup.bounds.contact_ms)
     }
 
--- a/crates/emulator/src/fleet/traffic.rs
+++ b/crates/emulator/src/fleet/traffic.rs
@@ -27,7 +27,10 @@
     /// The digest so far, in hexadecimal.
     pub fn shown(&self) -> String {
         let digest = self.hasher.clone().finalize();
-        digest[..SHOWN_BYTES].iter().map(|byte| format!("{byte:02x}")).collect()
+        digest[..SHOWN_BYTES]
+            .iter()
+            .map(|byte| format!("{byte:02x}"))
+            .collect()
     }
 
     /// Adds one encoded message of a kind, sent to or from a numbered party.
@@ -61,7 +64,9 @@
         match outcome {
             Outcome::Orders(orders) => self.add(now, 10, call, &**orders),
             Outcome::Client(reply) => self.add(now, 11, call, reply),
-            Outcome::Operator(OperatorReply { status, body }) => self.add(now, 12, call, &(status, body)),
+            Outcome::Operator(OperatorReply { status, body }) => {
+                self.add(now, 12, call, &(status, body))
+            }
             Outcome::View(view) => self.add(now, 13, call, view),
             Outcome::NotPrimary(view) => self.add(now, 14, call, view),
             Outcome::Unknown => self.add(now, 15, call, &()),
@@ -74,12 +79,26 @@
     fn add_event(&mut self, now: Millis, event: &Event) {
         match event {
             Event::Core { to, message, .. } => self.add(now, 20, *to as u64, message),
-            Event::Request { to, asked: Asked::Primary(call), .. }
-            | Event::LateCopy { to, asked: Asked::Primary(call), .. } => self.add_call(now, *to, call),
+            Event::Request {
+                to,
+                asked: Asked::Primary(call),
+                ..
+            }
+            | Event::LateCopy {
+                to,
+                asked: Asked::Primary(call),
+                ..
+            } => self.add_call(now, *to, call),
             Event::Response { call, outcome } => self.add_outcome(now, *call, outcome),
-            Event::Heartbeat { worker, heartbeat, .. } => self.add(now, 21, *worker as u64, &**heartbeat),
-            Event::HeartbeatAnswer { worker, answer, .. } => self.add(now, 22, *worker as u64, &**answer),
-            Event::Deregister { worker, instance, .. } => self.add(now, 23, *worker as u64, instance),
+            Event::Heartbeat {
+                worker, heartbeat, ..
+            } => self.add(now, 21, *worker as u64, &**heartbeat),
+            Event::HeartbeatAnswer { worker, answer, .. } => {
+                self.add(now, 22, *worker as u64, &**answer)
+            }
+            Event::Deregister {
+                worker, instance, ..
+            } => self.add(now, 23, *worker as u64, instance),
             _ => {}
         }
     }
@@ -98,8 +117,18 @@
     pub(crate) fn digest_disk_change(&mut self, machine: MachineId, change: &DiskChange) {
         let now = self.now;
         if let Some(digest) = &mut self.traffic {
-            let DiskChange { witness, position, writes, replace_all } = change;
-            digest.add(now, 30, machine as u64, &(witness, position, writes, replace_all));
+            let DiskChange {
+                witness,
+                position,
+                writes,
+                replace_all,
+            } = change;
+            digest.add(
+                now,
+                30,
+                machine as u64,
+                &(witness, position, writes, replace_all),
+            );
         }
     }
 }
--- a/crates/emulator/src/fleet/troubles.rs
+++ b/crates/emulator/src/fleet/troubles.rs
@@ -12,7 +12,9 @@
 impl Schedule {
     /// Whether some time of day jumps.
     pub(crate) fn jumps_clocks(&self) -> bool {
-        self.faults.iter().any(|planned| matches!(planned.fault, Fault::StepCoreClock { .. }))
+        self.faults
+            .iter()
+            .any(|planned| matches!(planned.fault, Fault::StepCoreClock { .. }))
     }
 }
 
@@ -108,7 +110,8 @@
                 self.kill(machine, true);
                 self.machines[machine].removed = true;
                 self.trouble(machine);
-                self.queue.push(self.now + after_ms, Event::Heal(Heal::NewCore));
+                self.queue
+                    .push(self.now + after_ms, Event::Heal(Heal::NewCore));
             }
             Fault::RollCore { gap_ms } => {
                 let mut cores = self.cores();
@@ -131,7 +134,8 @@
         }
         self.kill(machine, power);
         self.trouble(machine);
-        self.queue.push(self.now + down_ms, Event::Heal(Heal::Back(machine)));
+        self.queue
+            .push(self.now + down_ms, Event::Heal(Heal::Back(machine)));
     }
 
     fn freeze(&mut self, machine: MachineId, for_ms: Millis) {
@@ -158,7 +162,10 @@
             self.network.cut(*from, *to);
         }
         self.trouble_begins(machine);
-        self.queue.push(self.now + for_ms, Event::Heal(Heal::Ways(ways, vec![machine])));
+        self.queue.push(
+            self.now + for_ms,
+            Event::Heal(Heal::Ways(ways, vec![machine])),
+        );
     }
 
     fn strike_core(&mut self, fault: Fault, at: Option<MachineId>) {
@@ -168,7 +175,11 @@
                 let machine = self.meant(core, at);
                 self.freeze(machine, for_ms);
             }
-            Fault::CutCore { core, one_way, for_ms } => {
+            Fault::CutCore {
+                core,
+                one_way,
+                for_ms,
+            } => {
                 let machine = self.meant(core, at);
                 let cores = self.cores();
                 self.cut(machine, &cores, one_way, for_ms);
@@ -179,7 +190,11 @@
                 self.cut(machine, &all, false, for_ms);
             }
             Fault::CutHalves { for_ms } => self.cut_halves(for_ms),
-            Fault::SlowDisk { core, by_ms, for_ms } => {
+            Fault::SlowDisk {
+                core,
+                by_ms,
+                for_ms,
+            } => {
                 let machine = self.meant(core, at);
                 self.machines[machine].disk.slow_ms = by_ms;
                 self.disk_troubled(machine, for_ms);
@@ -194,23 +209,33 @@
                 self.machines[machine].disk.full = true;
                 self.disk_troubled(machine, for_ms);
             }
-            Fault::StepCoreClock { core, by_ms, for_ms } => {
+            Fault::StepCoreClock {
+                core,
+                by_ms,
+                for_ms,
+            } => {
                 let machine = self.meant(core, at);
                 self.machines[machine].clock.unix_error += by_ms;
                 self.trouble(machine);
-                self.queue.push(now + for_ms, Event::Heal(Heal::Clock(machine, by_ms)));
+                self.queue
+                    .push(now + for_ms, Event::Heal(Heal::Clock(machine, by_ms)));
             }
             Fault::LoseMessages { share, for_ms } => {
                 self.network.loss = share;
                 self.core_slowed(true);
                 self.queue.push(now + for_ms, Event::Heal(Heal::Loss));
             }
-            Fault::SlowLinks { core, by_ms, for_ms } => {
+            Fault::SlowLinks {
+                core,
+                by_ms,
+                for_ms,
+            } => {
                 let machine = self.meant(core, at);
                 self.network.set_slow(machine, by_ms);
                 self.trouble_begins(machine);
                 self.core_slowed(true);
-                self.queue.push(now + for_ms, Event::Heal(Heal::Links(machine)));
+                self.queue
+                    .push(now + for_ms, Event::Heal(Heal::Links(machine)));
             }
             _ => {}
         }
@@ -221,8 +246,15 @@
         let primary = self.core_meant(Core::Primary);
         let cores = self.cores();
         let others = cores.iter().copied().filter(|machine| *machine != primary);
-        let half: Vec<MachineId> = std::iter::once(primary).chain(others).take(cores.len() / 2).collect();
-        let rest: Vec<MachineId> = cores.iter().copied().filter(|machine| !half.contains(machine)).collect();
+        let half: Vec<MachineId> = std::iter::once(primary)
+            .chain(others)
+            .take(cores.len() / 2)
+            .collect();
+        let rest: Vec<MachineId> = cores
+            .iter()
+            .copied()
+            .filter(|machine| !half.contains(machine))
+            .collect();
         for machine in half {
             self.cut(machine, &rest, false, for_ms);
         }
@@ -234,21 +266,32 @@
     fn disk_troubled(&mut self, machine: MachineId, for_ms: Millis) {
         self.trouble_begins(machine);
         self.core_slowed(true);
-        self.queue.push(self.now + for_ms, Event::Heal(Heal::Disk(machine)));
+        self.queue
+            .push(self.now + for_ms, Event::Heal(Heal::Disk(machine)));
     }
 
     fn strike_others(&mut self, fault: Fault) {
         let now = self.now;
         match fault {
-            Fault::KillGate { gate, down_ms } => self.kill_for(self.gate_machine(gate), false, down_ms),
+            Fault::KillGate { gate, down_ms } => {
+                self.kill_for(self.gate_machine(gate), false, down_ms)
+            }
             Fault::FreezeGate { gate, for_ms } => self.freeze(self.gate_machine(gate), for_ms),
             Fault::CutGate { gate, for_ms } => {
                 let cores = self.cores();
                 self.cut(self.gate_machine(gate), &cores, false, for_ms);
             }
-            Fault::KillAgent { worker, down_ms } => self.kill_for(self.agent_machine(worker), false, down_ms),
-            Fault::FreezeAgent { worker, for_ms } => self.freeze(self.agent_machine(worker), for_ms),
-            Fault::CutAgent { worker, one_way, for_ms } => {
+            Fault::KillAgent { worker, down_ms } => {
+                self.kill_for(self.agent_machine(worker), false, down_ms)
+            }
+            Fault::FreezeAgent { worker, for_ms } => {
+                self.freeze(self.agent_machine(worker), for_ms)
+            }
+            Fault::CutAgent {
+                worker,
+                one_way,
+                for_ms,
+            } => {
                 let cores = self.cores();
                 self.cut(self.agent_machine(worker), &cores, one_way, for_ms);
             }
@@ -278,7 +321,8 @@
     fn many_jobs(&mut self, jobs: usize, poison: bool) {
         for index in 0..jobs {
             let at = self.now + 10 * index as Millis;
-            self.queue.push(at, Event::Client(ClientEvent::New { poison }));
+            self.queue
+                .push(at, Event::Client(ClientEvent::New { poison }));
         }
     }
 
@@ -292,21 +336,38 @@
                     self.queue.push(now + back, Event::WorkerStart { worker });
                 }
             }
-            Fault::SlowWorker { worker, speed, for_ms } => {
+            Fault::SlowWorker {
+                worker,
+                speed,
+                for_ms,
+            } => {
                 self.worker_trouble(worker, 1);
                 self.plant.set_speed(now, &self.catalog, worker, speed);
-                self.queue.push(now + for_ms, Event::Heal(Heal::Worker(worker)));
+                self.queue
+                    .push(now + for_ms, Event::Heal(Heal::Worker(worker)));
             }
-            Fault::GreyWorker { worker, share, for_ms } => {
+            Fault::GreyWorker {
+                worker,
+                share,
+                for_ms,
+            } => {
                 self.worker_trouble(worker, 1);
                 self.plant.workers[worker].health.failing = share;
-                self.queue.push(now + for_ms, Event::Heal(Heal::Grey(worker)));
+                self.queue
+                    .push(now + for_ms, Event::Heal(Heal::Grey(worker)));
             }
-            Fault::DrainWorker { worker, after_ms, back_ms } => {
+            Fault::DrainWorker {
+                worker,
+                after_ms,
+                back_ms,
+            } => {
                 self.worker_trouble(worker, 0);
                 self.plant.drain_worker(now, worker, after_ms);
                 // It has ended by then, whether its deregistration was acknowledged or not.
-                self.queue.push(now + after_ms + 2_500 + back_ms, Event::WorkerStart { worker });
+                self.queue.push(
+                    now + after_ms + 2_500 + back_ms,
+                    Event::WorkerStart { worker },
+                );
             }
             _ => {}
         }
--- a/crates/emulator/src/losses.rs
+++ b/crates/emulator/src/losses.rs
@@ -133,8 +133,14 @@
     /// The part of its loss that falls to each stage: by the time that was not work.
     fn by_stage(&self) -> BTreeMap<Stage, f64> {
         let total = self.line.spent.total_ms() - self.line.spent.of(Stage::Worked);
-        let spent = self.line.spent.stages().filter(|(stage, _)| *stage != Stage::Worked);
-        spent.map(|(stage, spent_ms)| (stage, spent_ms as f64 / total.max(1) as f64)).collect()
+        let spent = self
+            .line
+            .spent
+            .stages()
+            .filter(|(stage, _)| *stage != Stage::Worked);
+        spent
+            .map(|(stage, spent_ms)| (stage, spent_ms as f64 / total.max(1) as f64))
+            .collect()
     }
 }
 
@@ -161,10 +167,20 @@
     let (json, rest) = told.split_at(told.rfind('}')? + 1);
     let ended_s: f64 = before.split_whitespace().next()?.parse().ok()?;
     let line: Completion = serde_json::from_str(json).ok()?;
-    let kept_back = rest.trim().strip_prefix('(').and_then(|rest| rest.strip_suffix(MORE_SINCE));
+    let kept_back = rest
+        .trim()
+        .strip_prefix('(')
+        .and_then(|rest| rest.strip_suffix(MORE_SINCE));
     let kept_back = kept_back.and_then(|count| count.parse().ok()).unwrap_or(0);
     let due_s = ended_s - line.took_ms as f64 / MILLIS_PER_SECOND;
-    Some((Missed { due_s, line, stands_for: 1.0 }, kept_back))
+    Some((
+        Missed {
+            due_s,
+            line,
+            stands_for: 1.0,
+        },
+        kept_back,
+    ))
 }
 
 /// Worth that was lost, by cause.
@@ -180,8 +196,15 @@
         let mut losses = Losses::default();
         let all: Vec<&Group> = report.classes.iter().collect();
         losses.add_groups(&all, classes, missed, report.loss_of(WHOLE_DAY));
-        losses.add_window(report, &in_worst_windows(report, missed), report.loss_of(WORST_WINDOWS_PART));
-        let worst = report.classes.iter().min_by(|a, b| a.worth.total_cmp(&b.worth));
+        losses.add_window(
+            report,
+            &in_worst_windows(report, missed),
+            report.loss_of(WORST_WINDOWS_PART),
+        );
+        let worst = report
+            .classes
+            .iter()
+            .min_by(|a, b| a.worth.total_cmp(&b.worth));
         let worst: Vec<&Group> = worst.into_iter().collect();
         losses.add_groups(&worst, classes, missed, report.loss_of(WORST_CLASS));
         for (name, _, price) in &report.prices {
@@ -207,7 +230,8 @@
         };
         let total: f64 = groups.iter().map(|group| lost(group)).sum();
         for group in groups.iter().filter(|_| total > 0.0) {
-            let of_class = |missed: &&Missed| class_of(group).is_some_and(|class| missed.is_of(class));
+            let of_class =
+                |missed: &&Missed| class_of(group).is_some_and(|class| missed.is_of(class));
             let lines: Vec<&Missed> = missed.iter().filter(of_class).collect();
             self.add_lines(&lines, group.missed(), loss * lost(group) / total);
         }
@@ -215,7 +239,10 @@
 
     fn add_window(&mut self, report: &Report, missed: &[Missed], loss: f64) {
         let lines: Vec<&Missed> = missed.iter().collect();
-        let count = worst_windows(report).iter().map(|window| window.missed()).sum();
+        let count = worst_windows(report)
+            .iter()
+            .map(|window| window.missed())
+            .sum();
         self.add_lines(&lines, count, loss);
     }
 
@@ -226,14 +253,20 @@
         self.add(Cause::NotTold, loss * (1.0 - told));
         for line in lines {
             for (stage, part) in line.by_stage() {
-                self.add(Cause::Spent(stage), loss * told * part * line.stands_for / told_count);
+                self.add(
+                    Cause::Spent(stage),
+                    loss * told * part * line.stands_for / told_count,
+                );
             }
         }
     }
 
     /// Adds the losses of another play, each counted for a part.
     pub fn add_part(&mut self, other: &Losses, part: f64) {
-        other.by_cause.iter().for_each(|(cause, loss)| self.add(cause.clone(), loss * part));
+        other
+            .by_cause
+            .iter()
+            .for_each(|(cause, loss)| self.add(cause.clone(), loss * part));
     }
 
     /// The whole loss.
@@ -256,11 +289,23 @@
 }
 
 fn in_worst_windows(report: &Report, missed: &[Missed]) -> Vec<Missed> {
-    let starts = report.windows.iter().filter_map(|window| window.name.parse::<f64>().ok());
+    let starts = report
+        .windows
+        .iter()
+        .filter_map(|window| window.name.parse::<f64>().ok());
     let starts: Vec<f64> = starts.collect();
-    let length = starts.windows(2).map(|pair| pair[1] - pair[0]).fold(f64::INFINITY, f64::min);
-    let worst: Vec<f64> =
-        worst_windows(report).iter().filter_map(|window| window.name.parse().ok()).collect();
-    let is_in = |missed: &&Missed| worst.iter().any(|start| (*start..start + length).contains(&missed.due_s));
+    let length = starts
+        .windows(2)
+        .map(|pair| pair[1] - pair[0])
+        .fold(f64::INFINITY, f64::min);
+    let worst: Vec<f64> = worst_windows(report)
+        .iter()
+        .filter_map(|window| window.name.parse().ok())
+        .collect();
+    let is_in = |missed: &&Missed| {
+        worst
+            .iter()
+            .any(|start| (*start..start + length).contains(&missed.due_s))
+    };
     missed.iter().filter(is_in).cloned().collect()
 }
--- a/crates/emulator/src/plant/mod.rs
+++ b/crates/emulator/src/plant/mod.rs
@@ -45,21 +45,46 @@
 #[derive(Clone, Debug)]
 pub enum PlantOutput {
     /// To be told again at this time.
-    Timer { at: Millis, worker: WorkerIndex, life: u32, timer: Timer },
+    Timer {
+        at: Millis,
+        worker: WorkerIndex,
+        life: u32,
+        timer: Timer,
+    },
     /// A heartbeat to the worker's machine.
-    Heartbeat { worker: WorkerIndex, heartbeat: Box<Heartbeat> },
+    Heartbeat {
+        worker: WorkerIndex,
+        heartbeat: Box<Heartbeat>,
+    },
     /// A deregistration, to the worker's machine.
-    Deregister { worker: WorkerIndex, instance: Arc<str> },
+    Deregister {
+        worker: WorkerIndex,
+        instance: Arc<str>,
+    },
     /// A run has begun; `used` is what then runs there, itself included.
-    Started { worker: WorkerIndex, run: RunId, spec: Arc<str>, checkpoint: Arc<str>, used: Resources },
+    Started {
+        worker: WorkerIndex,
+        run: RunId,
+        spec: Arc<str>,
+        checkpoint: Arc<str>,
+        used: Resources,
+    },
     /// A run has ended, listed under this number.
-    Ended { worker: WorkerIndex, run: RunId, how: RunEnd, number: u64 },
+    Ended {
+        worker: WorkerIndex,
+        run: RunId,
+        how: RunEnd,
+        number: u64,
+    },
     /// Ends up to this number were taken note of.
     Noted { worker: WorkerIndex, up_to: u64 },
     /// The hold was over.
     HoldOver { worker: WorkerIndex },
     /// A worker is up no more; its runs are over without a listed end. They would have been held until then.
-    Down { worker: WorkerIndex, held_until: Millis },
+    Down {
+        worker: WorkerIndex,
+        held_until: Millis,
+    },
     /// A draining heartbeat was acknowledged.
     DrainAcknowledged { worker: WorkerIndex },
 }
@@ -102,11 +127,23 @@
 
     pub(crate) fn timer(&mut self, at: Millis, worker: WorkerIndex, timer: Timer) {
         let life = self.workers[worker].life;
-        self.output.push(PlantOutput::Timer { at, worker, life, timer });
+        self.output.push(PlantOutput::Timer {
+            at,
+            worker,
+            life,
+            timer,
+        });
     }
 
     /// A timer fires.
-    pub fn fire(&mut self, now: Millis, catalog: &Catalog, worker: WorkerIndex, life: u32, timer: Timer) {
+    pub fn fire(
+        &mut self,
+        now: Millis,
+        catalog: &Catalog,
+        worker: WorkerIndex,
+        life: u32,
+        timer: Timer,
+    ) {
         let state = &self.workers[worker];
         if !state.up || state.life != life {
             return;
--- a/crates/emulator/src/plant/run.rs
+++ b/crates/emulator/src/plant/run.rs
@@ -49,11 +49,19 @@
         if self.start_work <= 0.0 {
             return 0.0;
         }
-        (self.progress(now) / self.start_work * 100.0).floor().min(100.0)
+        (self.progress(now) / self.start_work * 100.0)
+            .floor()
+            .min(100.0)
     }
 
     /// The newest checkpoint, renewed with each `save_ms` of work.
-    pub(super) fn saved(&self, now: Millis, catalog: &Catalog, task: &TaskId, save_ms: Millis) -> Arc<str> {
+    pub(super) fn saved(
+        &self,
+        now: Millis,
+        catalog: &Catalog,
+        task: &TaskId,
+        save_ms: Millis,
+    ) -> Arc<str> {
         if !self.checkpoints {
             return "".into();
         }
@@ -89,20 +97,33 @@
 
 impl Plant {
     pub(super) fn start(
-        &mut self, now: Millis, catalog: &Catalog, index: WorkerIndex, id: RunId, spec: &Arc<str>,
+        &mut self,
+        now: Millis,
+        catalog: &Catalog,
+        index: WorkerIndex,
+        id: RunId,
+        spec: &Arc<str>,
         checkpoint: &Arc<str>,
     ) {
         let worker = &self.workers[index];
         if worker.running.contains_key(&id) {
             return;
         }
-        if let Some(barred) = worker.barred.get(&id.task).copied().filter(|barred| id.run <= barred.run) {
+        if let Some(barred) = worker
+            .barred
+            .get(&id.task)
+            .copied()
+            .filter(|barred| id.run <= barred.run)
+        {
             if barred.before_start && barred.run == id.run || self.lists_repeated_starts {
                 self.refuse(now, index, &id);
             }
             return;
         }
-        let resources = catalog.step(&id.task).map(|step| step.resources).unwrap_or_default();
+        let resources = catalog
+            .step(&id.task)
+            .map(|step| step.resources)
+            .unwrap_or_default();
         let fits = worker.kind.capacity.covers(&worker.used().plus(&resources));
         if worker.kind.guards && !fits {
             self.refuse(now, index, &id);
@@ -111,8 +132,15 @@
         let run = self.new_run(now, catalog, index, &id, resources, checkpoint);
         let gang = run.gang;
         self.workers[index].running.insert(id.clone(), run);
-        let (spec, checkpoint, used) = (spec.clone(), checkpoint.clone(), self.workers[index].used());
-        self.output.push(PlantOutput::Started { worker: index, run: id.clone(), spec, checkpoint, used });
+        let (spec, checkpoint, used) =
+            (spec.clone(), checkpoint.clone(), self.workers[index].used());
+        self.output.push(PlantOutput::Started {
+            worker: index,
+            run: id.clone(),
+            spec,
+            checkpoint,
+            used,
+        });
         if gang {
             self.join_gang(now, catalog, index, &id);
         } else {
@@ -122,18 +150,30 @@
     }
 
     fn new_run(
-        &mut self, now: Millis, catalog: &Catalog, index: WorkerIndex, id: &RunId, resources: Resources,
+        &mut self,
+        now: Millis,
+        catalog: &Catalog,
+        index: WorkerIndex,
+        id: &RunId,
+        resources: Resources,
         checkpoint: &Arc<str>,
     ) -> Running {
         let step = catalog.step(&id.task);
         let lasting = step.is_some_and(|step| step.long_running);
         let work = catalog.work_ms(&id.task) as f64;
         let restored = catalog.progress_of(&id.task, checkpoint).unwrap_or(0) as f64;
-        let restore_ms = if checkpoint.is_empty() { 0 } else { self.bounds.restore_ms };
+        let restore_ms = if checkpoint.is_empty() {
+            0
+        } else {
+            self.bounds.restore_ms
+        };
         let failing = self.workers[index].health.failing;
         let fails = catalog.fails(&id.task, id.run) || self.random.chance(failing);
-        let fails_after =
-            if lasting { LASTING_FAILS_AFTER_MS } else { (work - restored).max(0.0) * FAILS_AFTER };
+        let fails_after = if lasting {
+            LASTING_FAILS_AFTER_MS
+        } else {
+            (work - restored).max(0.0) * FAILS_AFTER
+        };
         Running {
             resources,
             begun: now,
@@ -162,10 +202,15 @@
         let stop_ms = self.bounds.stop_ms;
         let worker = &mut self.workers[index];
         let Some(run) = worker.running.get(id) else {
-            let barred =
-                worker.barred.entry(id.task.clone()).or_insert(Barred { run: 0, before_start: true });
+            let barred = worker.barred.entry(id.task.clone()).or_insert(Barred {
+                run: 0,
+                before_start: true,
+            });
             if barred.run < id.run {
-                *barred = Barred { run: id.run, before_start: true };
+                *barred = Barred {
+                    run: id.run,
+                    before_start: true,
+                };
             }
             return;
         };
@@ -183,7 +228,9 @@
     /// How fast a worker does this work by itself: away from its data it takes `far_x` times as long.
     pub(super) fn own_rate(&self, catalog: &Catalog, index: WorkerIndex, id: &RunId) -> f64 {
         let worker = &self.workers[index];
-        let affinity = catalog.step(&id.task).and_then(|step| step.affinity.as_ref());
+        let affinity = catalog
+            .step(&id.task)
+            .and_then(|step| step.affinity.as_ref());
         let far = affinity.is_some_and(|rack| *rack != worker.kind.rack);
         let factor = if far { self.bounds.far_x } else { 1.0 };
         worker.kind.speed * worker.health.speed / factor
@@ -191,7 +238,9 @@
 
     /// Sets how fast a run progresses, and plans its end.
     pub(super) fn set_rate(&mut self, now: Millis, index: WorkerIndex, id: &RunId, rate: f64) {
-        let Some(run) = self.workers[index].running.get_mut(id) else { return };
+        let Some(run) = self.workers[index].running.get_mut(id) else {
+            return;
+        };
         if run.stopping {
             return;
         }
@@ -207,8 +256,11 @@
 
     /// A worker becomes slower, faster, or stands still.
     pub fn set_speed(&mut self, now: Millis, catalog: &Catalog, index: WorkerIndex, speed: f64) {
-        let runs: Vec<(RunId, bool)> =
-            self.workers[index].running.iter().map(|(id, run)| (id.clone(), run.gang)).collect();
+        let runs: Vec<(RunId, bool)> = self.workers[index]
+            .running
+            .iter()
+            .map(|(id, run)| (id.clone(), run.gang))
+            .collect();
         self.workers[index].health.speed = speed;
         for (id, gang) in runs {
             if gang {
@@ -221,9 +273,16 @@
     }
 
     pub(super) fn work_due(
-        &mut self, now: Millis, catalog: &Catalog, index: WorkerIndex, id: &RunId, plan: u64,
+        &mut self,
+        now: Millis,
+        catalog: &Catalog,
+        index: WorkerIndex,
+        id: &RunId,
+        plan: u64,
     ) {
-        let Some(run) = self.workers[index].running.get(id) else { return };
+        let Some(run) = self.workers[index].running.get(id) else {
+            return;
+        };
         if run.plan != plan || run.stopping {
             return;
         }
@@ -239,11 +298,18 @@
 
     /// Ends a run and lists its end.
     pub(super) fn end(
-        &mut self, now: Millis, catalog: &Catalog, index: WorkerIndex, id: &RunId, how: RunEnd,
+        &mut self,
+        now: Millis,
+        catalog: &Catalog,
+        index: WorkerIndex,
+        id: &RunId,
+        how: RunEnd,
     ) {
         let save_ms = self.bounds.save_ms;
         let worker = &mut self.workers[index];
-        let Some(run) = worker.running.remove(id) else { return };
+        let Some(run) = worker.running.remove(id) else {
+            return;
+        };
         let saved = match how {
             RunEnd::Done => "".into(),
             RunEnd::Stopped => run.saved_at_stop(now, catalog, &id.task),
@@ -255,16 +321,36 @@
         }
     }
 
-    fn list_end(&mut self, now: Millis, index: WorkerIndex, id: &RunId, how: RunEnd, saved: Arc<str>) {
+    fn list_end(
+        &mut self,
+        now: Millis,
+        index: WorkerIndex,
+        id: &RunId,
+        how: RunEnd,
+        saved: Arc<str>,
+    ) {
         let worker = &mut self.workers[index];
         worker.ends += 1;
         let number = worker.ends;
-        worker.finished.push_back(FinishedRun(number, id.task.clone(), id.run, how, saved));
-        let barred = worker.barred.entry(id.task.clone()).or_insert(Barred { run: 0, before_start: false });
+        worker
+            .finished
+            .push_back(FinishedRun(number, id.task.clone(), id.run, how, saved));
+        let barred = worker.barred.entry(id.task.clone()).or_insert(Barred {
+            run: 0,
+            before_start: false,
+        });
         if barred.run <= id.run {
-            *barred = Barred { run: id.run, before_start: false };
+            *barred = Barred {
+                run: id.run,
+                before_start: false,
+            };
         }
-        self.output.push(PlantOutput::Ended { worker: index, run: id.clone(), how, number });
+        self.output.push(PlantOutput::Ended {
+            worker: index,
+            run: id.clone(),
+            how,
+            number,
+        });
         self.hasten_heartbeat(now, index);
     }
 }
--- a/crates/emulator/src/plant/worker.rs
+++ b/crates/emulator/src/plant/worker.rs
@@ -7,7 +7,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use streamusher_protocol::heartbeat::{
-    FinishedRun, Heartbeat, HeartbeatAnswer, Resources, RunningTask, StartOrder, StopOrder, WorkerState,
+    FinishedRun, Heartbeat, HeartbeatAnswer, Resources, RunningTask, StartOrder, StopOrder,
+    WorkerState,
 };
 use streamusher_protocol::task::{RunEnd, RunId, TaskId};
 use streamusher_protocol::Millis;
@@ -53,7 +54,10 @@
 
 impl Default for Health {
     fn default() -> Health {
-        Health { speed: 1.0, failing: 0.0 }
+        Health {
+            speed: 1.0,
+            failing: 0.0,
+        }
     }
 }
 
@@ -144,13 +148,20 @@
 
     /// What runs there takes, stops included.
     pub fn used(&self) -> Resources {
-        self.running.values().fold(Resources::default(), |sum, run| sum.plus(&run.resources))
+        self.running
+            .values()
+            .fold(Resources::default(), |sum, run| sum.plus(&run.resources))
     }
 
     fn heartbeat(&self, now: Millis, catalog: &Catalog, save_ms: Millis) -> Heartbeat {
         let listed = |(id, run): (&RunId, &Running)| {
             let percent = run.percent(now);
-            RunningTask(id.task.clone(), id.run, run.saved(now, catalog, &id.task, save_ms), percent)
+            RunningTask(
+                id.task.clone(),
+                id.run,
+                run.saved(now, catalog, &id.task, save_ms),
+                percent,
+            )
         };
         Heartbeat {
             service: self.kind.service.clone(),
@@ -177,7 +188,12 @@
         let kind = self.workers[index].kind.clone();
         let life = self.workers[index].life + 1;
         let instance = instance_of(index, life);
-        self.workers[index] = Worker { up: true, life, instance, ..Worker::new(kind) };
+        self.workers[index] = Worker {
+            up: true,
+            life,
+            instance,
+            ..Worker::new(kind)
+        };
         let at = now + self.random.between(0, 200);
         self.plan_heartbeat(index, at);
     }
@@ -191,7 +207,10 @@
         self.workers[index].running.clear();
         self.workers[index].up = false;
         let held_until = self.workers[index].hold_until;
-        self.output.push(PlantOutput::Down { worker: index, held_until });
+        self.output.push(PlantOutput::Down {
+            worker: index,
+            held_until,
+        });
         for run in runs {
             self.leave_gang(now, catalog, index, &run, RunEnd::Lapsed);
         }
@@ -215,7 +234,10 @@
 
     pub(super) fn leave(&mut self, _now: Millis, index: WorkerIndex) {
         let instance = self.workers[index].instance.clone();
-        self.output.push(PlantOutput::Deregister { worker: index, instance });
+        self.output.push(PlantOutput::Deregister {
+            worker: index,
+            instance,
+        });
     }
 
     pub(super) fn plan_heartbeat(&mut self, index: WorkerIndex, at: Millis) {
@@ -226,7 +248,13 @@
         self.timer(at, index, Timer::Heartbeat(plan));
     }
 
-    pub(super) fn heartbeat_due(&mut self, now: Millis, catalog: &Catalog, index: WorkerIndex, plan: u64) {
+    pub(super) fn heartbeat_due(
+        &mut self,
+        now: Millis,
+        catalog: &Catalog,
+        index: WorkerIndex,
+        plan: u64,
+    ) {
         let save_ms = self.bounds.save_ms;
         let worker = &mut self.workers[index];
         if worker.plan != plan || worker.outstanding.is_some() {
@@ -236,15 +264,25 @@
         worker.ended_meanwhile = false;
         let sequence = worker.sequence;
         let draining = worker.state == WorkerState::Draining;
-        worker.outstanding = Some(Outstanding { sequence, sent: now, draining });
+        worker.outstanding = Some(Outstanding {
+            sequence,
+            sent: now,
+            draining,
+        });
         let heartbeat = Box::new(worker.heartbeat(now, catalog, save_ms));
-        self.output.push(PlantOutput::Heartbeat { worker: index, heartbeat });
+        self.output.push(PlantOutput::Heartbeat {
+            worker: index,
+            heartbeat,
+        });
         let limit = self.workers[index].kind.clock.true_span(ANSWER_LIMIT_MS);
         self.timer(now + limit + 1, index, Timer::AnswerLate(sequence));
     }
 
     pub(super) fn answer_late(&mut self, now: Millis, index: WorkerIndex, sequence: u64) {
-        if self.workers[index].outstanding.is_some_and(|out| out.sequence == sequence) {
+        if self.workers[index]
+            .outstanding
+            .is_some_and(|out| out.sequence == sequence)
+        {
             self.workers[index].outstanding = None;
             self.plan_heartbeat(index, now + AFTER_END_MS);
         }
@@ -253,7 +291,9 @@
     /// Nobody listened, or the connection broke.
     pub fn heartbeat_failed(&mut self, now: Millis, index: WorkerIndex, life: u32, sequence: u64) {
         let worker = &mut self.workers[index];
-        let awaited = worker.outstanding.is_some_and(|out| out.sequence == sequence);
+        let awaited = worker
+            .outstanding
+            .is_some_and(|out| out.sequence == sequence);
         if worker.up && worker.life == life && awaited {
             worker.outstanding = None;
             self.plan_heartbeat(index, now + REFUSED_RETRY_MS);
@@ -262,17 +302,25 @@
 
     /// The answer to a heartbeat has come.
     pub fn answered(
-        &mut self, now: Millis, catalog: &Catalog, index: WorkerIndex, life: u32, sequence: u64,
+        &mut self,
+        now: Millis,
+        catalog: &Catalog,
+        index: WorkerIndex,
+        life: u32,
+        sequence: u64,
         answer: &HeartbeatAnswer,
     ) {
         let worker = &mut self.workers[index];
         if !worker.up || worker.life != life {
             return;
         }
-        let Some(out) = worker.outstanding.filter(|out| out.sequence == sequence) else { return };
+        let Some(out) = worker.outstanding.filter(|out| out.sequence == sequence) else {
+            return;
+        };
         worker.outstanding = None;
         if out.draining {
-            self.output.push(PlantOutput::DrainAcknowledged { worker: index });
+            self.output
+                .push(PlantOutput::DrainAcknowledged { worker: index });
         }
         if answer.fence_token >= self.workers[index].fence {
             self.workers[index].fence = answer.fence_token;
@@ -281,18 +329,33 @@
         self.plan_next(now, index, out.sent, answer.retry_after_ms);
     }
 
-    fn plan_next(&mut self, now: Millis, index: WorkerIndex, sent: Millis, retry_after: Option<Millis>) {
+    fn plan_next(
+        &mut self,
+        now: Millis,
+        index: WorkerIndex,
+        sent: Millis,
+        retry_after: Option<Millis>,
+    ) {
         let soon = now + AFTER_END_MS;
         let ordinary = match retry_after {
             Some(wait) => now + wait.max(1),
             None => (sent + self.bounds.heartbeat_ms).max(now + 1),
         };
-        let at = if self.workers[index].ended_meanwhile { soon.min(ordinary) } else { ordinary };
+        let at = if self.workers[index].ended_meanwhile {
+            soon.min(ordinary)
+        } else {
+            ordinary
+        };
         self.plan_heartbeat(index, at);
     }
 
     fn obey(
-        &mut self, now: Millis, catalog: &Catalog, index: WorkerIndex, sent: Millis, answer: &HeartbeatAnswer,
+        &mut self,
+        now: Millis,
+        catalog: &Catalog,
+        index: WorkerIndex,
+        sent: Millis,
+        answer: &HeartbeatAnswer,
     ) {
         if let Some(up_to) = answer.last_seen {
             self.take_note(index, up_to);
@@ -301,13 +364,30 @@
             self.hold(now, index, sent, hold);
         }
         for StopOrder(task, run) in &answer.stop {
-            self.stop(now, index, &RunId { task: task.clone(), run: *run });
+            self.stop(
+                now,
+                index,
+                &RunId {
+                    task: task.clone(),
+                    run: *run,
+                },
+            );
         }
         if answer.hold_ms.is_none() || self.workers[index].hold_until <= now {
             return;
         }
         for StartOrder(task, run, spec, checkpoint) in &answer.start {
-            self.start(now, catalog, index, RunId { task: task.clone(), run: *run }, spec, checkpoint);
+            self.start(
+                now,
+                catalog,
+                index,
+                RunId {
+                    task: task.clone(),
+                    run: *run,
+                },
+                spec,
+                checkpoint,
+            );
         }
     }
 
@@ -316,7 +396,10 @@
         while worker.finished.front().is_some_and(|end| end.0 <= up_to) {
             worker.finished.pop_front();
         }
-        self.output.push(PlantOutput::Noted { worker: index, up_to });
+        self.output.push(PlantOutput::Noted {
+            worker: index,
+            up_to,
+        });
     }
 
     fn hold(&mut self, now: Millis, index: WorkerIndex, sent: Millis, span: Millis) {
--- a/crates/emulator/src/queue.rs
+++ b/crates/emulator/src/queue.rs
@@ -38,7 +38,10 @@
 
 impl<T> Default for EventQueue<T> {
     fn default() -> EventQueue<T> {
-        EventQueue { heap: BinaryHeap::new(), order: 0 }
+        EventQueue {
+            heap: BinaryHeap::new(),
+            order: 0,
+        }
     }
 }
 
@@ -46,7 +49,11 @@
     /// Adds an event.
     pub fn push(&mut self, at: Millis, event: T) {
         self.order += 1;
-        self.heap.push(Reverse(Entry { at, order: self.order, event }));
+        self.heap.push(Reverse(Entry {
+            at,
+            order: self.order,
+            event,
+        }));
     }
 
     /// Takes the next event that is due by `until`.
@@ -54,6 +61,8 @@
         if self.heap.peek()?.0.at > until {
             return None;
         }
-        self.heap.pop().map(|Reverse(entry)| (entry.at, entry.event))
+        self.heap
+            .pop()
+            .map(|Reverse(entry)| (entry.at, entry.event))
     }
 }
--- a/crates/emulator/src/random.rs
+++ b/crates/emulator/src/random.rs
@@ -11,7 +11,8 @@
 impl Random {
     /// The source of a seed; `stream` keeps the sources of one seed apart.
     pub fn new(seed: u64, stream: u64) -> Random {
-        let mixed = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ stream.wrapping_mul(0xD1B5_4A32_D192_ED03);
+        let mixed =
+            seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ stream.wrapping_mul(0xD1B5_4A32_D192_ED03);
         Random(Pcg64Mcg::seed_from_u64(mixed))
     }
 
--- a/crates/emulator/src/search.rs
+++ b/crates/emulator/src/search.rs
@@ -81,7 +81,14 @@
     fleet.verbose = verbose;
     let violations = fleet.run().to_vec();
     let (accepted, ended) = fleet.checker.job_counts();
-    Outcome { seed, schedule, violations, starts: fleet.checker.starts, accepted, ended }
+    Outcome {
+        seed,
+        schedule,
+        violations,
+        starts: fleet.checker.starts,
+        accepted,
+        ended,
+    }
 }
 
 /// Plays the day of a seed; answers with a digest of all that was sent and stored in it.
--- a/crates/emulator/src/workload/draw.rs
+++ b/crates/emulator/src/workload/draw.rs
@@ -27,19 +27,32 @@
 }
 
 /// A job of a class, handed in now.
-pub fn draw_job(workload: &Workload, class: usize, random: &mut Random, now: Millis, host: &str) -> KnownJob {
+pub fn draw_job(
+    workload: &Workload,
+    class: usize,
+    random: &mut Random,
+    now: Millis,
+    host: &str,
+) -> KnownJob {
     let shape = &workload.classes[class];
     let steps = shape.steps.draw(random).round().clamp(1.0, MOST_STEPS) as usize;
-    let mut request =
-        JobRequest { spec: format!("{} {}", shape.name, random.word()).into(), ..JobRequest::default() };
+    let mut request = JobRequest {
+        spec: format!("{} {}", shape.name, random.word()).into(),
+        ..JobRequest::default()
+    };
     let mut work_ms = Vec::new();
     let mut work_of_tasks = Vec::new();
     let mut failing_once = BTreeSet::new();
     for step in 0..steps {
         let (mut drawn, own_ms) = draw_step(workload, shape, random);
-        drawn.depends_on = step.checked_sub(1).map(|before| before as u32).into_iter().collect();
+        drawn.depends_on = step
+            .checked_sub(1)
+            .map(|before| before as u32)
+            .into_iter()
+            .collect();
         let uneven = if drawn.gang { 0.0 } else { shape.uneven };
-        let tasks = (0..drawn.count).map(|_| (own_ms * random.log_normal(uneven)).max(1.0) as Millis);
+        let tasks =
+            (0..drawn.count).map(|_| (own_ms * random.log_normal(uneven)).max(1.0) as Millis);
         work_of_tasks.push(tasks.collect());
         for index in (0..drawn.count).filter(|_| random.chance(shape.failing)) {
             failing_once.insert((step as u32, index));
@@ -72,7 +85,10 @@
 fn draw_step(workload: &Workload, class: &Class, random: &mut Random) -> (StepRequest, f64) {
     let traits = &class.traits;
     let own_ms = class.work_ms.draw(random).max(1.0);
-    let group = workload.groups.iter().find(|group| group.service == class.service);
+    let group = workload
+        .groups
+        .iter()
+        .find(|group| group.service == class.service);
     let near = random.chance(traits.near);
     let step = StepRequest {
         count: class.width.draw(random).round().clamp(1.0, MOST_TASKS) as u32,
@@ -87,10 +103,12 @@
         long_running: traits.lasting,
         anti_affinity: u32::from(random.chance(traits.apart)),
         affinity: group.filter(|_| near).map(|group| group.some_rack(random)),
-        node_selector: group.filter(|_| random.chance(traits.selects)).and_then(|group| {
-            let kind = random.pick(&group.kinds)?;
-            Some((*kind).into())
-        }),
+        node_selector: group
+            .filter(|_| random.chance(traits.selects))
+            .and_then(|group| {
+                let kind = random.pick(&group.kinds)?;
+                Some((*kind).into())
+            }),
         checkpoints: random.chance(traits.checkpoints),
         hedged: !traits.gang && !traits.lasting && random.chance(traits.hedged),
         ..StepRequest::default()
--- a/crates/emulator/src/workload/mod.rs
+++ b/crates/emulator/src/workload/mod.rs
@@ -156,7 +156,13 @@
     /// Room of a service, in thousandths of a core.
     pub fn cpu_of(&self, service: &str) -> f64 {
         let of_service = self.groups.iter().filter(|group| group.service == service);
-        of_service.map(|group| (0..group.count).map(|i| group.capacity_of(i).cpu as f64).sum::<f64>()).sum()
+        of_service
+            .map(|group| {
+                (0..group.count)
+                    .map(|i| group.capacity_of(i).cpu as f64)
+                    .sum::<f64>()
+            })
+            .sum()
     }
 }
 
@@ -175,12 +181,17 @@
         WorkerKind {
             service: self.service.into(),
             zone: format!("z{}", index % ZONES).into(),
-            labels: vec![cycled(&self.kinds, index).unwrap_or("a").into(), rack.clone()],
+            labels: vec![
+                cycled(&self.kinds, index).unwrap_or("a").into(),
+                rack.clone(),
+            ],
             rack,
             capacity: self.capacity_of(index),
             guards: false,
             speed: cycled(&self.speeds, index).unwrap_or(1.0),
-            clock: WorkerClock { slow_per_mille: random.between(0, SLOWEST_CLOCK) },
+            clock: WorkerClock {
+                slow_per_mille: random.between(0, SLOWEST_CLOCK),
+            },
         }
     }
 
--- a/crates/emulator/src/workload/presets.rs
+++ b/crates/emulator/src/workload/presets.rs
@@ -11,7 +11,11 @@
     WorkerGroup {
         service: "batch",
         count,
-        capacity: Resources { cpu: 32_000, mem_mb: 128_000, gpu: 0 },
+        capacity: Resources {
+            cpu: 32_000,
+            mem_mb: 128_000,
+            gpu: 0,
+        },
         kinds: vec!["a", "a", "b"],
         sizes: vec![1.0, 0.5, 1.5],
         speeds: vec![1.0, 1.0, 1.3],
@@ -23,7 +27,11 @@
     WorkerGroup {
         service: "model",
         count,
-        capacity: Resources { cpu: 64_000, mem_mb: 256_000, gpu: 8 },
+        capacity: Resources {
+            cpu: 64_000,
+            mem_mb: 256_000,
+            gpu: 8,
+        },
         kinds: vec!["a", "b"],
         sizes: vec![1.0],
         speeds: vec![1.0],
@@ -52,7 +60,13 @@
         uneven: 0.3,
         estimate_off: 0.2,
         failing: 0.005,
-        traits: Traits { near: 0.3, selects: 0.1, hedged: 0.3, timed: 0.04, ..Traits::default() },
+        traits: Traits {
+            near: 0.3,
+            selects: 0.1,
+            hedged: 0.3,
+            timed: 0.04,
+            ..Traits::default()
+        },
     }
 }
 
@@ -72,7 +86,11 @@
         mem_mb: 2_000,
         estimate_off: 0.5,
         failing: 0.02,
-        traits: Traits { checkpoints: 0.8, selects: 0.1, ..Traits::default() },
+        traits: Traits {
+            checkpoints: 0.8,
+            selects: 0.1,
+            ..Traits::default()
+        },
         ..lookups(priority, rate)
     }
 }
@@ -95,7 +113,12 @@
         mem_mb: 20_000,
         gpus: vec![2, 4, 8],
         estimate_off: 0.9,
-        traits: Traits { gang: true, same_rack: 0.5, checkpoints: 0.9, ..Traits::default() },
+        traits: Traits {
+            gang: true,
+            same_rack: 0.5,
+            checkpoints: 0.9,
+            ..Traits::default()
+        },
         ..lookups(priority, rate)
     }
 }
@@ -118,7 +141,10 @@
         gpus: vec![1],
         estimate_off: 0.9,
         failing: 0.05,
-        traits: Traits { checkpoints: 0.8, ..Traits::default() },
+        traits: Traits {
+            checkpoints: 0.8,
+            ..Traits::default()
+        },
         ..lookups(priority, rate)
     }
 }
@@ -138,7 +164,11 @@
         cpu: spread(1_500.0, 0.4),
         mem_mb: 2_000,
         failing: 0.05,
-        traits: Traits { lasting: true, apart: 0.5, ..Traits::default() },
+        traits: Traits {
+            lasting: true,
+            apart: 0.5,
+            ..Traits::default()
+        },
         ..lookups(priority, rate)
     }
 }
@@ -188,13 +218,21 @@
 pub fn far_data() -> Workload {
     let mut workload = mixed("far-data", [0, 2, 1, 1, 2]);
     workload.far_x = 3.0;
-    workload.classes.iter_mut().filter(|class| !class.traits.gang).for_each(|class| class.traits.near = 0.7);
+    workload
+        .classes
+        .iter_mut()
+        .filter(|class| !class.traits.gang)
+        .for_each(|class| class.traits.near = 0.7);
     workload
 }
 
 /// Little but gangs, of two priorities.
 pub fn gangs_only() -> Workload {
-    let wide = Class { name: "wide", width: spread(5.0, 0.5), ..gangs(2, 0.25) };
+    let wide = Class {
+        name: "wide",
+        width: spread(5.0, 0.5),
+        ..gangs(2, 0.25)
+    };
     Workload {
         name: "gangs-only",
         groups: vec![processors(4), accelerators(16)],
@@ -205,12 +243,31 @@
 
 /// Long chains of narrow steps near their data, beside wide single steps.
 pub fn chains() -> Workload {
-    let chain = Class { name: "chain", steps: spread(4.0, 0.3), width: spread(3.0, 0.5), ..lookups(1, 14.0) };
-    let wide = Class { name: "wide", steps: spread(1.0, 0.0), width: spread(60.0, 0.6), ..reports(0, 0.35) };
+    let chain = Class {
+        name: "chain",
+        steps: spread(4.0, 0.3),
+        width: spread(3.0, 0.5),
+        ..lookups(1, 14.0)
+    };
+    let wide = Class {
+        name: "wide",
+        steps: spread(1.0, 0.0),
+        width: spread(60.0, 0.6),
+        ..reports(0, 0.35)
+    };
     Workload {
         name: "chains",
         groups: vec![processors(20)],
-        classes: vec![Class { traits: Traits { near: 0.8, ..chain.traits }, ..chain }, wide],
+        classes: vec![
+            Class {
+                traits: Traits {
+                    near: 0.8,
+                    ..chain.traits
+                },
+                ..chain
+            },
+            wide,
+        ],
         far_x: 2.0,
     }
 }
--- a/crates/emulator/src/worth.rs
+++ b/crates/emulator/src/worth.rs
@@ -87,22 +87,36 @@
     pub fn figure(&self) -> f64 {
         let worst_class = self.classes.iter().map(Ratio::value).fold(1.0, f64::min);
         let parts = [self.whole.value(), self.worst_windows(), worst_class];
-        parts.iter().zip(WEIGHTS).map(|(part, weight)| part * weight).sum()
+        parts
+            .iter()
+            .zip(WEIGHTS)
+            .map(|(part, weight)| part * weight)
+            .sum()
     }
 
     fn add(&mut self, class: usize, at: Millis, earned: f64, owed: f64) {
         self.whole.add(earned, owed);
         self.classes[class].add(earned, owed);
-        self.windows.entry(at / WINDOW_MS).or_default().add(earned, owed);
+        self.windows
+            .entry(at / WINDOW_MS)
+            .or_default()
+            .add(earned, owed);
     }
 }
 
 /// What the day of a fleet with a workload has earned.
 pub fn account(fleet: &Fleet) -> Account {
-    let Some(workload) = &fleet.workload else { return Account::default() };
-    let mut account =
-        Account { classes: vec![Ratio::default(); workload.classes.len()], ..Account::default() };
-    let of_workload = fleet.catalog.jobs().filter_map(|(id, job)| Some((id, job, job.submission?)));
+    let Some(workload) = &fleet.workload else {
+        return Account::default();
+    };
+    let mut account = Account {
+        classes: vec![Ratio::default(); workload.classes.len()],
+        ..Account::default()
+    };
+    let of_workload = fleet
+        .catalog
+        .jobs()
+        .filter_map(|(id, job)| Some((id, job, job.submission?)));
     let jobs: Vec<(&JobId, &KnownJob, Submission)> = of_workload.collect();
     let means = mean_work(workload, &jobs);
     for (id, job, submission) in jobs {
@@ -115,13 +129,23 @@
         for iteration in 0..times {
             let due = due_at(job, submission, iteration);
             let objective = objective_ms(workload, class, job);
-            let took = ended_at(fleet, id, job, iteration).map(|end| end.saturating_sub(due) as f64);
+            let took =
+                ended_at(fleet, id, job, iteration).map(|end| end.saturating_sub(due) as f64);
             let owed = worth / f64::from(times);
-            account.add(submission.class, due, owed * part_earned(class, took, objective), owed);
+            account.add(
+                submission.class,
+                due,
+                owed * part_earned(class, took, objective),
+                owed,
+            );
         }
     }
     for sample in &fleet.samples {
-        let Some(submission) = fleet.catalog.job(&sample.job).and_then(|job| job.submission) else {
+        let Some(submission) = fleet
+            .catalog
+            .job(&sample.job)
+            .and_then(|job| job.submission)
+        else {
             continue;
         };
         let worth = workload.classes[submission.class].worth;
@@ -135,17 +159,42 @@
     if fleet.workload.is_none() || fleet.now > fleet.setup.traffic_until {
         return Vec::new();
     }
-    let is_at_work =
-        |task: &TaskId| fleet.checker.tasks.get(task).is_some_and(|record| !record.live.is_empty());
+    let is_at_work = |task: &TaskId| {
+        fleet
+            .checker
+            .tasks
+            .get(task)
+            .is_some_and(|record| !record.live.is_empty())
+    };
     let sample = |id: &JobId, job: &KnownJob| {
-        let count = job.request.steps.first().filter(|step| step.long_running)?.count;
-        let tasks = (0..count).map(|index| TaskId { job: id.clone(), iteration: 0, step: 0, index });
+        let count = job
+            .request
+            .steps
+            .first()
+            .filter(|step| step.long_running)?
+            .count;
+        let tasks = (0..count).map(|index| TaskId {
+            job: id.clone(),
+            iteration: 0,
+            step: 0,
+            index,
+        });
         let at_work = tasks.filter(is_at_work).count();
         let share = at_work as f64 / f64::from(count.max(1));
-        let owes = job.submission.is_some_and(|submission| fleet.now >= submission.at + LASTING_FROM_MS);
-        owes.then(|| LastingSample { job: id.clone(), at: fleet.now, share })
+        let owes = job
+            .submission
+            .is_some_and(|submission| fleet.now >= submission.at + LASTING_FROM_MS);
+        owes.then(|| LastingSample {
+            job: id.clone(),
+            at: fleet.now,
+            share,
+        })
     };
-    fleet.catalog.jobs().filter_map(|(id, job)| sample(id, job)).collect()
+    fleet
+        .catalog
+        .jobs()
+        .filter_map(|(id, job)| sample(id, job))
+        .collect()
 }
 
 fn part_earned(class: &Class, took: Option<f64>, objective: f64) -> f64 {
@@ -166,21 +215,37 @@
     let mut last = 0;
     for (step, request) in job.request.steps.iter().enumerate() {
         let tasks = (0..request.count)
-            .map(|index| TaskId { job: id.clone(), iteration, step: step as u32, index })
+            .map(|index| TaskId {
+                job: id.clone(),
+                iteration,
+                step: step as u32,
+                index,
+            })
             .map(|task| fleet.checker.tasks.get(&task).and_then(done_at));
         let ends: Vec<Option<Millis>> = tasks.collect();
-        let step_end = if request.gang { ends.iter().copied().flatten().min() } else { all_done(&ends) };
+        let step_end = if request.gang {
+            ends.iter().copied().flatten().min()
+        } else {
+            all_done(&ends)
+        };
         last = last.max(step_end?);
     }
     Some(last)
 }
 
 fn all_done(ends: &[Option<Millis>]) -> Option<Millis> {
-    ends.iter().copied().try_fold(0, |last: Millis, end| Some(last.max(end?)))
+    ends.iter()
+        .copied()
+        .try_fold(0, |last: Millis, end| Some(last.max(end?)))
 }
 
 fn done_at(record: &TaskRecord) -> Option<Millis> {
-    record.ends.iter().filter(|end| end.how == RunEnd::Done).map(|end| end.at).min()
+    record
+        .ends
+        .iter()
+        .filter(|end| end.how == RunEnd::Done)
+        .map(|end| end.at)
+        .min()
 }
 
 /// `stretch` times the longest chain of work, with runs that fail through their own fault and waves of wide steps, and the
@@ -189,7 +254,9 @@
     let room = workload.cpu_of(class.service);
     let steps = job.request.steps.iter().enumerate();
     let chain = steps.map(|(step, request)| {
-        let longest = (0..request.count).map(|index| longest_ms(job, step as u32, index)).fold(0.0, f64::max);
+        let longest = (0..request.count)
+            .map(|index| longest_ms(job, step as u32, index))
+            .fold(0.0, f64::max);
         let asked = request.resources.cpu as f64 * f64::from(request.count);
         let waves = (asked / (room * SHARE_OF_WAVE).max(1.0)).ceil().max(1.0);
         longest * waves
@@ -220,8 +287,11 @@
 
 fn mean_work(workload: &Workload, jobs: &[(&JobId, &KnownJob, Submission)]) -> Vec<f64> {
     let of_class = |class: usize| {
-        let works: Vec<f64> =
-            jobs.iter().filter(|(_, _, s)| s.class == class).map(|(_, job, _)| work_of(job)).collect();
+        let works: Vec<f64> = jobs
+            .iter()
+            .filter(|(_, _, s)| s.class == class)
+            .map(|(_, job, _)| work_of(job))
+            .collect();
         works.iter().sum::<f64>() / works.len().max(1) as f64
     };
     (0..workload.classes.len()).map(of_class).collect()
--- a/crates/emulator/tests/control_side.rs
+++ b/crates/emulator/tests/control_side.rs
@@ -14,7 +14,12 @@
 
 /// A small fleet with so many core machines, whose traffic lasts through a cut of twenty seconds.
 fn long_day(seed: u64, cores: usize, tolerance: usize) -> Setup {
-    Setup { cores, tolerance, traffic_until: 28_000, ..small(seed) }
+    Setup {
+        cores,
+        tolerance,
+        traffic_until: 28_000,
+        ..small(seed)
+    }
 }
 
 // 1. A member cut off.
@@ -22,30 +27,64 @@
 #[rstest]
 fn given_a_member_cut_off_for_twenty_seconds_when_operators_and_clients_reach_it_then_it_answers_nothing_old(
     #[values(Core::Primary, Core::At(0), Core::At(1), Core::At(2))] core: Core,
-    #[values(false, true)] one_way: bool, #[values((3, 1), (5, 1), (5, 2))] shape: (usize, usize),
+    #[values(false, true)] one_way: bool,
+    #[values((3, 1), (5, 1), (5, 2))] shape: (usize, usize),
 ) {
     let schedule = quiet()
-        .with(4_000, Fault::CutCore { core, one_way, for_ms: CUT_MS })
-        .with(3_500, Fault::ManyChanges { count: 300, gap_ms: 60 });
+        .with(
+            4_000,
+            Fault::CutCore {
+                core,
+                one_way,
+                for_ms: CUT_MS,
+            },
+        )
+        .with(
+            3_500,
+            Fault::ManyChanges {
+                count: 300,
+                gap_ms: 60,
+            },
+        );
     played_with(long_day(301, shape.0, shape.1), schedule);
 }
 
 #[rstest]
 fn given_a_member_cut_off_from_everybody_for_twenty_seconds_when_it_returns_then_it_goes_on_as_one_of_them(
-    #[values(Core::Primary, Core::At(1))] core: Core, #[values((3, 1), (5, 1), (5, 2))] shape: (usize, usize),
+    #[values(Core::Primary, Core::At(1))] core: Core,
+    #[values((3, 1), (5, 1), (5, 2))] shape: (usize, usize),
 ) {
     let schedule = quiet()
-        .with(4_000, Fault::CutCoreWholly { core, for_ms: CUT_MS })
-        .with(3_500, Fault::ManyChanges { count: 300, gap_ms: 60 });
+        .with(
+            4_000,
+            Fault::CutCoreWholly {
+                core,
+                for_ms: CUT_MS,
+            },
+        )
+        .with(
+            3_500,
+            Fault::ManyChanges {
+                count: 300,
+                gap_ms: 60,
+            },
+        );
     played_with(long_day(302, shape.0, shape.1), schedule);
 }
 
 #[rstest]
 fn given_a_core_cut_into_halves_when_both_are_reached_then_neither_answers_anything_old(
-    #[values(3, 4, 5, 6)] cores: usize, #[values(310, 311, 312, 314, 318)] seed: u64,
+    #[values(3, 4, 5, 6)] cores: usize,
+    #[values(310, 311, 312, 314, 318)] seed: u64,
 ) {
     let schedule = quiet()
-        .with(4_000, Fault::ManyChanges { count: 120, gap_ms: 80 })
+        .with(
+            4_000,
+            Fault::ManyChanges {
+                count: 120,
+                gap_ms: 80,
+            },
+        )
         .with(5_000, Fault::CutHalves { for_ms: 4_000 })
         .with(17_000, Fault::CutHalves { for_ms: 2_000 });
     played_with(long_day(seed, cores, 1), schedule.with_overlaps());
@@ -55,14 +94,29 @@
 
 #[rstest]
 fn given_orders_that_are_held_up_and_come_late_when_others_follow_then_each_has_one_final_answer(
-    #[values(320, 321, 322, 323, 324, 325)] seed: u64, #[values(300, 5_000)] most_ms: Millis,
+    #[values(320, 321, 322, 323, 324, 325)] seed: u64,
+    #[values(300, 5_000)] most_ms: Millis,
 ) {
     let mut schedule = quiet()
-        .with(3_000, Fault::HoldUpOrders { most_ms, for_ms: 12_000 })
+        .with(
+            3_000,
+            Fault::HoldUpOrders {
+                most_ms,
+                for_ms: 12_000,
+            },
+        )
         .with(3_500, Fault::LoseAnswers { for_ms: 4_000 })
-        .with(6_200, Fault::KillCore { core: Core::Primary, down_ms: 800 });
+        .with(
+            6_200,
+            Fault::KillCore {
+                core: Core::Primary,
+                down_ms: 800,
+            },
+        );
     for number in 0..12 {
-        schedule = schedule.with(3_200 + 500 * number, Fault::Chain).with(3_400 + 500 * number, Fault::Race);
+        schedule = schedule
+            .with(3_200 + 500 * number, Fault::Chain)
+            .with(3_400 + 500 * number, Fault::Race);
     }
     played_with(small(seed), schedule);
 }
@@ -71,9 +125,13 @@
 
 #[rstest]
 fn given_a_disk_lost_right_after_an_acknowledgement_when_every_other_machine_loses_power_then_nothing_is_lost(
-    #[values(330, 331, 332, 333)] seed: u64, #[values((3, 1), (5, 1), (5, 2))] shape: (usize, usize),
+    #[values(330, 331, 332, 333)] seed: u64,
+    #[values((3, 1), (5, 1), (5, 2))] shape: (usize, usize),
 ) {
-    let wipe = Fault::PowerEverything { down_ms: 700, wipe: Some(Core::Primary) };
+    let wipe = Fault::PowerEverything {
+        down_ms: 700,
+        wipe: Some(Core::Primary),
+    };
     let schedule = quiet()
         .with(4_500, Fault::AfterAcknowledgement(Box::new(wipe.clone())))
         .with(13_000, Fault::AfterAcknowledgement(Box::new(wipe)));
@@ -87,8 +145,26 @@
     #[values((3, 1), (5, 1))] shape: (usize, usize),
 ) {
     let schedule = quiet()
-        .with(3_000, Fault::ManyChanges { count: 400, gap_ms: 33 })
-        .with(3_500, Fault::PowerCore { core: Core::At(1), down_ms: 10_000 })
-        .with(18_000, Fault::KillCore { core: Core::Primary, down_ms: 3_000 });
+        .with(
+            3_000,
+            Fault::ManyChanges {
+                count: 400,
+                gap_ms: 33,
+            },
+        )
+        .with(
+            3_500,
+            Fault::PowerCore {
+                core: Core::At(1),
+                down_ms: 10_000,
+            },
+        )
+        .with(
+            18_000,
+            Fault::KillCore {
+                core: Core::Primary,
+                down_ms: 3_000,
+            },
+        );
     played_with(long_day(340, shape.0, shape.1), schedule);
 }
--- a/crates/emulator/tests/decisions.rs
+++ b/crates/emulator/tests/decisions.rs
@@ -26,7 +26,10 @@
         return;
     }
     for (played, recorded) in played.lines().zip(recorded.lines()) {
-        assert_eq!(played, recorded, "another decision or another encoded form than recorded");
+        assert_eq!(
+            played, recorded,
+            "another decision or another encoded form than recorded"
+        );
     }
     assert_eq!(played.lines().count(), recorded.lines().count());
 }
@@ -68,12 +71,16 @@
     let mut lines = String::new();
     for name in ["short-first", "far-data"] {
         let workload = Arc::new(presets::named(name).expect("a workload of ours"));
-        for (number, days) in
-            play_all(&workload, Trouble::Workers, &policies, 0..3, THREADS).iter().enumerate()
+        for (number, days) in play_all(&workload, Trouble::Workers, &policies, 0..3, THREADS)
+            .iter()
+            .enumerate()
         {
             for day in days {
                 let figure = day.account.figure();
-                lines.push_str(&format!("{name} {number} {} {} {figure:?}\n", day.seed, day.starts));
+                lines.push_str(&format!(
+                    "{name} {number} {} {} {figure:?}\n",
+                    day.seed, day.starts
+                ));
             }
         }
     }
--- a/crates/emulator/tests/losses.rs
+++ b/crates/emulator/tests/losses.rs
@@ -18,7 +18,8 @@
         {"name": "0", "n": 8, "late": 0, "refused": 0, "failed": 0, "not_owed": 0, "worth": 1.0},
         {"name": "2", "n": 6, "late": 2, "refused": 0, "failed": 0, "not_owed": 0, "worth": 0.7},
         {"name": "4", "n": 6, "late": 0, "refused": 1, "failed": 0, "not_owed": 0, "worth": 0.5}]"#;
-    let parts = r#"[["whole day", 0.7, 0.9], ["worst windows", 0.15, 0.6], ["worst class", 0.15, 0.9]]"#;
+    let parts =
+        r#"[["whole day", 0.7, 0.9], ["worst windows", 0.15, 0.6], ["worst class", 0.15, 0.9]]"#;
     let text = format!(
         r#"{{"G": 0.82, "parts": {parts}, "prices": [["machine-seconds", 1.0, 0.03], ["bytes", 0.0, 0.0]],
             "classes": {classes}, "windows": {windows}}}"#
@@ -56,35 +57,67 @@
     let report = report();
     let losses = Losses::of(&report, &classes(), &missed_in(log));
     assert!(near(losses.total(), 1.0 - report.figure), "{losses:?}");
-    assert!(losses.by_cause.values().all(|loss| *loss > -0.01), "{losses:?}");
+    assert!(
+        losses.by_cause.values().all(|loss| *loss > -0.01),
+        "{losses:?}"
+    );
 }
 
 #[rstest]
 fn given_two_late_jobs_when_both_are_told_then_their_class_loss_stands_by_their_stages() {
     let log = [
         line(5.0, 2_500, r#"{"worked":1000,"waited_for_room":1500}"#),
-        line(5.5, 2_500, r#"{"worked":1000,"waited_for_room":500,"lost":1000}"#),
+        line(
+            5.5,
+            2_500,
+            r#"{"worked":1000,"waited_for_room":500,"lost":1000}"#,
+        ),
     ];
     let losses = Losses::of(&report(), &classes(), &missed_in(&log.join("\n")));
     // Of the whole day's 0.07 a quarter is the checks', by worth; of the worst windows' 0.06 and three misses two are told.
     let of_lines = 0.07 / 4.0 + 0.06 * 2.0 / 3.0 + 0.015;
     let lost = of_lines / 2.0 * (1_000.0 / 1_500.0);
-    assert!(near(loss(&losses, &Cause::Spent(Stage::Lost)), lost), "{losses:?}");
-    assert!(near(loss(&losses, &Cause::Spent(Stage::WaitedForRoom)), of_lines - lost), "{losses:?}");
-    assert!(near(loss(&losses, &Cause::NotTold), 0.07 * 0.75 + 0.02), "{losses:?}");
-    assert!(near(loss(&losses, &Cause::Price("machine-seconds".into())), 0.03), "{losses:?}");
+    assert!(
+        near(loss(&losses, &Cause::Spent(Stage::Lost)), lost),
+        "{losses:?}"
+    );
+    assert!(
+        near(
+            loss(&losses, &Cause::Spent(Stage::WaitedForRoom)),
+            of_lines - lost
+        ),
+        "{losses:?}"
+    );
+    assert!(
+        near(loss(&losses, &Cause::NotTold), 0.07 * 0.75 + 0.02),
+        "{losses:?}"
+    );
+    assert!(
+        near(loss(&losses, &Cause::Price("machine-seconds".into())), 0.03),
+        "{losses:?}"
+    );
 }
 
 #[rstest]
 fn given_a_log_that_kept_lines_back_when_it_is_read_then_the_lines_before_stand_for_them() {
     let late = |ended_s| line(ended_s, 2_500, r#"{"worked":1000,"unknown":1500}"#);
-    let log = format!("{}\n{}\n{} (6 more since)\n{}", late(5.0), late(5.1), late(16.0), late(16.1));
-    let stands_for: Vec<f64> = missed_in(&log).iter().map(|missed| missed.stands_for).collect();
+    let log = format!(
+        "{}\n{}\n{} (6 more since)\n{}",
+        late(5.0),
+        late(5.1),
+        late(16.0),
+        late(16.1)
+    );
+    let stands_for: Vec<f64> = missed_in(&log)
+        .iter()
+        .map(|missed| missed.stands_for)
+        .collect();
     assert_eq!(stands_for, vec![4.0, 4.0, 1.0, 1.0]);
 }
 
 #[rstest]
-fn given_lines_of_other_kinds_when_a_log_is_read_then_only_whole_lines_of_missed_objectives_count() {
+fn given_lines_of_other_kinds_when_a_log_is_read_then_only_whole_lines_of_missed_objectives_count()
+{
     let log = format!(
         "built in 3 s\n  1.0 core-1 INFO objective missed: {{\"job\":\n{}\n  2.0 core-1 INFO primary from epoch 2 on",
         line(5.0, 2_500, r#"{"worked":1000,"unknown":1500}"#)
--- a/crates/emulator/tests/search.rs
+++ b/crates/emulator/tests/search.rs
@@ -69,16 +69,28 @@
         assert!(outcome.violations.is_empty(), "{outcome}");
         return;
     }
-    let (from, count) = (number("EMULATOR_FROM").unwrap_or(0), number("EMULATOR_SEEDS").unwrap_or(DAYS));
+    let (from, count) = (
+        number("EMULATOR_FROM").unwrap_or(0),
+        number("EMULATOR_SEEDS").unwrap_or(DAYS),
+    );
     let outcomes = play_all(days, from, count);
-    let failed: Vec<&Outcome> = outcomes.iter().filter(|outcome| !outcome.violations.is_empty()).collect();
+    let failed: Vec<&Outcome> = outcomes
+        .iter()
+        .filter(|outcome| !outcome.violations.is_empty())
+        .collect();
     for outcome in failed.iter().take(MOST_PRINTED) {
         println!("{outcome}");
     }
     let starts: u64 = outcomes.iter().map(|outcome| outcome.starts).sum();
     let accepted: usize = outcomes.iter().map(|outcome| outcome.accepted).sum();
     let ended: usize = outcomes.iter().map(|outcome| outcome.ended).sum();
-    println!("{count} days: {starts} starts, {ended} of {accepted} jobs ended, {} days failed", failed.len());
+    println!(
+        "{count} days: {starts} starts, {ended} of {accepted} jobs ended, {} days failed",
+        failed.len()
+    );
     let seeds: Vec<u64> = failed.iter().map(|outcome| outcome.seed).collect();
-    assert!(failed.is_empty(), "rules were broken in the days of seeds {seeds:?}");
+    assert!(
+        failed.is_empty(),
+        "rules were broken in the days of seeds {seeds:?}"
+    );
 }
--- a/crates/fleet/benches/size.rs
+++ b/crates/fleet/benches/size.rs
@@ -20,8 +20,13 @@
             for i in 0..world.members.len() {
                 for n in 0..answers / 10 {
                     let tenant = (second * 31 + slice * 7 + n + i as u64) % tenants;
-                    let key = Key { period: 1, tenant: Arc::from(format!("tenant-{tenant}")) };
-                    world.members[i].node.raise(key, &Units::one(Unit::Served, 1));
+                    let key = Key {
+                        period: 1,
+                        tenant: Arc::from(format!("tenant-{tenant}")),
+                    };
+                    world.members[i]
+                        .node
+                        .raise(key, &Units::one(Unit::Served, 1));
                 }
             }
             world.run(100 * MS, &[], 0.0);
@@ -36,8 +41,15 @@
 }
 
 fn main() {
-    let sizes: Vec<usize> = std::env::args().skip(1).filter_map(|a| a.parse().ok()).collect();
-    let sizes = if sizes.is_empty() { vec![3, 12, 100] } else { sizes };
+    let sizes: Vec<usize> = std::env::args()
+        .skip(1)
+        .filter_map(|a| a.parse().ok())
+        .collect();
+    let sizes = if sizes.is_empty() {
+        vec![3, 12, 100]
+    } else {
+        sizes
+    };
     println!(
         "members  tenants  bytes/s quiet  bytes/s at work  to one tally: p50 p99 gossip periods  real s"
     );
--- a/crates/fleet/src/counts.rs
+++ b/crates/fleet/src/counts.rs
@@ -126,7 +126,13 @@
     pub fn raise(&mut self, key: Key, units: &Units) -> u64 {
         self.newest_period = self.newest_period.max(key.period);
         let me = self.me.clone();
-        let held = self.names.entry(me.name).or_default().lives.entry(me.no).or_default();
+        let held = self
+            .names
+            .entry(me.name)
+            .or_default()
+            .lives
+            .entry(me.no)
+            .or_default();
         held.version += 1;
         let row = held.rows.entry(key).or_default();
         row.0 = held.version;
@@ -141,7 +147,9 @@
 
     /// Up to which version a life is held: all of it, if it is folded.
     pub fn holds_of(&self, life: &Life) -> u64 {
-        let Some(named) = self.names.get(&life.name) else { return 0 };
+        let Some(named) = self.names.get(&life.name) else {
+            return 0;
+        };
         if life.no <= named.base.upto {
             return u64::MAX;
         }
@@ -151,7 +159,12 @@
     /// The newest life of a name that has counted anything.
     pub fn newest(&self, name: &str) -> Option<u64> {
         let named = self.names.get(name)?;
-        named.lives.keys().next_back().copied().or((named.base.upto > 0).then_some(named.base.upto))
+        named
+            .lives
+            .keys()
+            .next_back()
+            .copied()
+            .or((named.base.upto > 0).then_some(named.base.upto))
     }
 
     /// What is held of the names in an interval (after `from`, as many as `most`): the digest that others answer to.
@@ -162,15 +175,29 @@
             name: name.clone(),
             upto: named.base.upto,
             mark: mark(&named.base.rows),
-            lives: named.lives.iter().take(LIVES).map(|(no, h)| (*no, h.version)).collect(),
+            lives: named
+                .lives
+                .iter()
+                .take(LIVES)
+                .map(|(no, h)| (*no, h.version))
+                .collect(),
         };
-        self.names.range::<Arc<str>, _>(range).take(most).map(holds).collect()
+        self.names
+            .range::<Arc<str>, _>(range)
+            .take(most)
+            .map(holds)
+            .collect()
     }
 
     /// What one lacks who holds that, of the names between `from` and the last one listed (of all further ones, if
     /// `last`): at most `most` parts. Notes, besides, what `teller` has confirmed.
     pub fn lacks(
-        &mut self, teller: &Arc<str>, from: Option<&Arc<str>>, theirs: &[Holds], last: bool, most: usize,
+        &mut self,
+        teller: &Arc<str>,
+        from: Option<&Arc<str>>,
+        theirs: &[Holds],
+        last: bool,
+        most: usize,
     ) -> Vec<Delta> {
         self.confirm(teller, theirs);
         let by_name: BTreeMap<&Arc<str>, &Holds> = theirs.iter().map(|h| (&h.name, h)).collect();
@@ -187,9 +214,19 @@
                 base_parts(name, named, &mut out);
             }
             for (no, mine) in &named.lives {
-                let version = held.and_then(|h| h.lives.iter().find(|l| l.0 == *no)).map_or(0, |l| l.1);
+                let version = held
+                    .and_then(|h| h.lives.iter().find(|l| l.0 == *no))
+                    .map_or(0, |l| l.1);
                 if *no > base && mine.version > version {
-                    life_parts(&Life { name: name.clone(), no: *no }, mine, version, &mut out);
+                    life_parts(
+                        &Life {
+                            name: name.clone(),
+                            no: *no,
+                        },
+                        mine,
+                        version,
+                        &mut out,
+                    );
                 }
             }
             if out.len() >= most {
@@ -203,7 +240,11 @@
     /// What changed of own counts after a version.
     pub fn own_since(&self, version: u64) -> Vec<Delta> {
         let mut out = Vec::new();
-        if let Some(held) = self.names.get(&self.me.name).and_then(|n| n.lives.get(&self.me.no)) {
+        if let Some(held) = self
+            .names
+            .get(&self.me.name)
+            .and_then(|n| n.lives.get(&self.me.no))
+        {
             life_parts(&self.me, held, version, &mut out);
         }
         out
@@ -213,17 +254,29 @@
     /// clock can do to others.
     pub fn merge(&mut self, delta: &Delta, newest_period: u32) -> bool {
         match delta {
-            Delta::Life { life, after, upto, rows } => {
-                self.merge_life(life, *after, *upto, rows, newest_period)
-            }
-            Delta::Base { name, first, upto, total, rows } => {
-                self.merge_base(name, *first, *upto, *total, rows, newest_period)
-            }
+            Delta::Life {
+                life,
+                after,
+                upto,
+                rows,
+            } => self.merge_life(life, *after, *upto, rows, newest_period),
+            Delta::Base {
+                name,
+                first,
+                upto,
+                total,
+                rows,
+            } => self.merge_base(name, *first, *upto, *total, rows, newest_period),
         }
     }
 
     fn merge_life(
-        &mut self, life: &Life, after: u64, upto: u64, rows: &[(Key, u64, Units)], newest: u32,
+        &mut self,
+        life: &Life,
+        after: u64,
+        upto: u64,
+        rows: &[(Key, u64, Units)],
+        newest: u32,
     ) -> bool {
         if *life == self.me {
             return false; // only this life raises its counts
@@ -233,7 +286,11 @@
             self.refused_late += 1;
             return false;
         }
-        named.first = if named.first == 0 { life.no } else { named.first.min(life.no) };
+        named.first = if named.first == 0 {
+            life.no
+        } else {
+            named.first.min(life.no)
+        };
         let held = named.lives.entry(life.no).or_default();
         let mut changed = false;
         for (key, version, units) in rows.iter().filter(|(k, _, _)| k.period <= newest) {
@@ -250,7 +307,13 @@
     }
 
     fn merge_base(
-        &mut self, name: &Arc<str>, first: u64, upto: u64, total: u64, rows: &[(Key, Units)], newest: u32,
+        &mut self,
+        name: &Arc<str>,
+        first: u64,
+        upto: u64,
+        total: u64,
+        rows: &[(Key, Units)],
+        newest: u32,
     ) -> bool {
         if *name == self.me.name && upto >= self.me.no {
             return false; // nobody folds a life that lives
@@ -259,7 +322,11 @@
         if upto < named.base.upto {
             return false;
         }
-        named.first = if named.first == 0 { first } else { named.first.min(first) };
+        named.first = if named.first == 0 {
+            first
+        } else {
+            named.first.min(first)
+        };
         let coming = match &mut named.coming {
             Some(c) if c.0 == upto && c.1 == total => c,
             other => other.insert((upto, total, Rows::new())),
@@ -275,7 +342,9 @@
         let mut own = named.base.rows.clone();
         let later = named.lives.split_off(&(upto + 1));
         for held in std::mem::replace(&mut named.lives, later).into_values() {
-            held.rows.iter().for_each(|(key, (_, units))| own.entry(key.clone()).or_default().add(units));
+            held.rows
+                .iter()
+                .for_each(|(key, (_, units))| own.entry(key.clone()).or_default().add(units));
         }
         for (key, units) in &own {
             sums.entry(key.clone()).or_default().join(units);
@@ -290,8 +359,12 @@
 
     fn confirm(&mut self, teller: &Arc<str>, theirs: &[Holds]) {
         for holds in theirs {
-            let Some(named) = self.names.get(&holds.name) else { continue };
-            let Some(newest) = named.lives.keys().next_back().copied() else { continue };
+            let Some(named) = self.names.get(&holds.name) else {
+                continue;
+            };
+            let Some(newest) = named.lives.keys().next_back().copied() else {
+                continue;
+            };
             for no in named.lives.keys().filter(|no| **no < newest) {
                 let version = match holds.lives.iter().find(|l| l.0 == *no) {
                     _ if holds.upto >= *no => u64::MAX,
@@ -317,14 +390,19 @@
             while named.lives.len() > 1 {
                 let (no, held) = named.lives.iter().next().expect("more than one");
                 let no = *no;
-                let since = self.superseded.get(&(name.clone(), no)).copied().unwrap_or(now);
+                let since = self
+                    .superseded
+                    .get(&(name.clone(), no))
+                    .copied()
+                    .unwrap_or(now);
                 if now.saturating_sub(since) < settle {
                     break;
                 }
                 let told = self.confirmed.get(&(name.clone(), no));
                 let same = |m: &Arc<str>| {
                     // A member whose own life it is holds nothing of before: its word counts as any other's.
-                    told.and_then(|t| t.get(m)).is_some_and(|v| *v == held.version || *v == u64::MAX)
+                    told.and_then(|t| t.get(m))
+                        .is_some_and(|v| *v == held.version || *v == u64::MAX)
                 };
                 if !others.iter().all(same) {
                     break;
@@ -348,41 +426,69 @@
         let least = self.newest_period.saturating_sub(PERIODS);
         for named in self.names.values_mut() {
             named.base.rows.retain(|key, _| key.period >= least);
-            named.lives.values_mut().for_each(|h| h.rows.retain(|key, _| key.period >= least));
+            named
+                .lives
+                .values_mut()
+                .for_each(|h| h.rows.retain(|key, _| key.period >= least));
         }
     }
 
     /// Lives held in detail, and rows in all.
     pub fn size(&self) -> (usize, usize) {
-        let rows = |n: &Named| n.base.rows.len() + n.lives.values().map(|h| h.rows.len()).sum::<usize>();
-        (self.names.values().map(|n| n.lives.len()).sum(), self.names.values().map(rows).sum())
+        let rows =
+            |n: &Named| n.base.rows.len() + n.lives.values().map(|h| h.rows.len()).sum::<usize>();
+        (
+            self.names.values().map(|n| n.lives.len()).sum(),
+            self.names.values().map(rows).sum(),
+        )
     }
 }
 
 fn mark(rows: &Rows) -> u32 {
     let mut hash = blake3::Hasher::new();
     for (key, units) in rows {
-        hash.update(&key.period.to_le_bytes()).update(key.tenant.as_bytes()).update(&[0]);
+        hash.update(&key.period.to_le_bytes())
+            .update(key.tenant.as_bytes())
+            .update(&[0]);
         for n in units.0 {
             hash.update(&n.to_le_bytes());
         }
     }
-    u32::from_le_bytes(hash.finalize().as_bytes()[..4].try_into().expect("four bytes"))
+    u32::from_le_bytes(
+        hash.finalize().as_bytes()[..4]
+            .try_into()
+            .expect("four bytes"),
+    )
 }
 
 fn base_parts(name: &Arc<str>, named: &Named, out: &mut Vec<Delta>) {
     let (first, upto, total) = (named.first, named.base.upto, named.base.rows.len() as u64);
-    let rows: Vec<(Key, Units)> = named.base.rows.iter().map(|(k, u)| (k.clone(), *u)).collect();
+    let rows: Vec<(Key, Units)> = named
+        .base
+        .rows
+        .iter()
+        .map(|(k, u)| (k.clone(), *u))
+        .collect();
     let mut parts = rows.chunks(ROWS).map(<[_]>::to_vec).collect::<Vec<_>>();
     if parts.is_empty() {
         parts.push(Vec::new());
     }
-    out.extend(parts.into_iter().map(|rows| Delta::Base { name: name.clone(), first, upto, total, rows }));
+    out.extend(parts.into_iter().map(|rows| Delta::Base {
+        name: name.clone(),
+        first,
+        upto,
+        total,
+        rows,
+    }));
 }
 
 fn life_parts(life: &Life, held: &Held, version: u64, out: &mut Vec<Delta>) {
-    let mut rows: Vec<(u64, &Key, &Units)> =
-        held.rows.iter().filter(|(_, r)| r.0 > version).map(|(k, r)| (r.0, k, &r.1)).collect();
+    let mut rows: Vec<(u64, &Key, &Units)> = held
+        .rows
+        .iter()
+        .filter(|(_, r)| r.0 > version)
+        .map(|(k, r)| (r.0, k, &r.1))
+        .collect();
     rows.sort_by_key(|r| r.0);
     let mut after = version;
     let mut chunks = rows.chunks(ROWS).peekable();
@@ -393,11 +499,24 @@
             Some(_) => chunk.last().expect("not empty").0.min(held.version),
             None => held.version,
         };
-        let rows = chunk.iter().map(|(v, k, u)| ((*k).clone(), *v, **u)).collect();
-        out.push(Delta::Life { life: life.clone(), after, upto, rows });
+        let rows = chunk
+            .iter()
+            .map(|(v, k, u)| ((*k).clone(), *v, **u))
+            .collect();
+        out.push(Delta::Life {
+            life: life.clone(),
+            after,
+            upto,
+            rows,
+        });
         after = upto;
     }
     if rows.is_empty() && held.version > version {
-        out.push(Delta::Life { life: life.clone(), after, upto: held.version, rows: Vec::new() });
+        out.push(Delta::Life {
+            life: life.clone(),
+            after,
+            upto: held.version,
+            rows: Vec::new(),
+        });
     }
 }
--- a/crates/fleet/src/frame.rs
+++ b/crates/fleet/src/frame.rs
@@ -93,13 +93,18 @@
     /// For the fleet with this key.
     pub fn new(key: [u8; 32]) -> Sealer {
         let mark = blake3::derive_key("streamusher fleet mark 1", &key);
-        Sealer { key, mark: mark[..4].try_into().expect("four bytes") }
+        Sealer {
+            key,
+            mark: mark[..4].try_into().expect("four bytes"),
+        }
     }
 
     fn mac(&self, version: u8, body: &[u8]) -> [u8; 16] {
         let mut hash = blake3::Hasher::new_keyed(&self.key);
         hash.update(&[version]).update(body);
-        hash.finalize().as_bytes()[..16].try_into().expect("sixteen bytes")
+        hash.finalize().as_bytes()[..16]
+            .try_into()
+            .expect("sixteen bytes")
     }
 
     /// A frame's bytes; none, if they are too many.
@@ -145,12 +150,19 @@
     fn is_sound(&self) -> bool {
         let tenant = |t: &Arc<str>| t.len() <= 128;
         let rows = |d: &Delta| match d {
-            Delta::Life { life, after, upto, rows } => {
-                is_name(&life.name) && after <= upto && rows.iter().all(|(k, _, _)| tenant(&k.tenant))
-            }
-            Delta::Base { name, rows, total, .. } => {
-                is_name(name) && *total < 1 << 24 && rows.iter().all(|(k, _)| tenant(&k.tenant))
+            Delta::Life {
+                life,
+                after,
+                upto,
+                rows,
+            } => {
+                is_name(&life.name)
+                    && after <= upto
+                    && rows.iter().all(|(k, _, _)| tenant(&k.tenant))
             }
+            Delta::Base {
+                name, rows, total, ..
+            } => is_name(name) && *total < 1 << 24 && rows.iter().all(|(k, _)| tenant(&k.tenant)),
         };
         is_name(&self.from.name)
             && match &self.body {
@@ -158,9 +170,9 @@
                     from.iter().all(|f| is_name(f)) && holds.iter().all(|h| is_name(&h.name))
                 }
                 Body::Rows(deltas) => deltas.iter().all(rows),
-                Body::Words(words) => {
-                    words.iter().all(|w| is_name(&w.author.name) && (1..=128).contains(&w.worker.0.len()))
-                }
+                Body::Words(words) => words
+                    .iter()
+                    .all(|w| is_name(&w.author.name) && (1..=128).contains(&w.worker.0.len())),
                 _ => true,
             }
     }
--- a/crates/fleet/src/gossip.rs
+++ b/crates/fleet/src/gossip.rs
@@ -27,7 +27,11 @@
             let peer = self.peers.entry(to.name.clone()).or_default();
             // What was sent is not sent again before it could have been answered.
             let waits = now.saturating_sub(peer.sent.1) < self.setup.gossip / 2;
-            let from = if waits { peer.have.max(peer.sent.0) } else { peer.have };
+            let from = if waits {
+                peer.have.max(peer.sent.0)
+            } else {
+                peer.have
+            };
             if from < version {
                 peer.sent = (version, now);
                 let rows = self.counts.own_since(from);
@@ -41,15 +45,31 @@
         let mut alive: Vec<&Member> = self.members.alive().collect();
         alive.sort_by(|a, b| a.name.cmp(&b.name));
         let at = alive.partition_point(|m| m.name <= self.setup.me.name);
-        alive[at..].iter().chain(&alive[..at]).take(self.setup.copies + 1).map(|m| (*m).clone()).collect()
+        alive[at..]
+            .iter()
+            .chain(&alive[..at])
+            .take(self.setup.copies + 1)
+            .map(|m| (*m).clone())
+            .collect()
     }
 
     /// The version of own counts that enough other members hold, of those not thought dead.
     pub fn safe(&self) -> u64 {
-        let copies = if cfg!(feature = "mutant-copies") { 0 } else { self.setup.copies };
-        let Some(last) = copies.checked_sub(1) else { return self.counts.version() };
+        let copies = if cfg!(feature = "mutant-copies") {
+            0
+        } else {
+            self.setup.copies
+        };
+        let Some(last) = copies.checked_sub(1) else {
+            return self.counts.version();
+        };
         let alive = |name: &Arc<str>| self.members.alive().any(|m| m.name == *name);
-        let mut have: Vec<u64> = self.peers.iter().filter(|(n, _)| alive(n)).map(|(_, p)| p.have).collect();
+        let mut have: Vec<u64> = self
+            .peers
+            .iter()
+            .filter(|(n, _)| alive(n))
+            .map(|(_, p)| p.have)
+            .collect();
         have.sort_unstable_by(|a, b| b.cmp(a));
         have.get(last).copied().unwrap_or(0)
     }
@@ -61,9 +81,21 @@
             let mut holds = self.counts.digest(self.cursor.as_ref(), 64);
             let whole = holds.len() < 64;
             let last = fit(&mut holds) && whole;
-            let next = if last { None } else { holds.last().map(|h| h.name.clone()) };
+            let next = if last {
+                None
+            } else {
+                holds.last().map(|h| h.name.clone())
+            };
             let from = std::mem::replace(&mut self.cursor, next);
-            self.send(to, Body::Digest { from, last, holds, answer: true });
+            self.send(
+                to,
+                Body::Digest {
+                    from,
+                    last,
+                    holds,
+                    answer: true,
+                },
+            );
             let words = self.judge.words(now, WORDS);
             if !words.is_empty() {
                 self.send(to, Body::Words(words));
@@ -71,19 +103,27 @@
         }
         // Those that the file names and that are not there are called, one in each round.
         let known = |a: &SocketAddr| *a == self.setup.addr || alive.iter().any(|m| m.addr == *a);
-        let missing = self.setup.join.iter().filter(|a| !known(a)).choose(&mut self.rng).copied();
+        let missing = self
+            .setup
+            .join
+            .iter()
+            .filter(|a| !known(a))
+            .choose(&mut self.rng)
+            .copied();
         if let Some(addr) = missing.filter(|_| alive.is_empty() || self.rounds.is_multiple_of(4)) {
             self.send_to(addr, Body::Hello);
         }
         let names: Vec<Arc<str>> = alive.iter().map(|m| m.name.clone()).collect();
         for budget in 0..self.wants.len() {
             let pocket = &self.rights.pockets[budget];
-            let ((own, borrowed), used, denied) = (pocket.rights(), pocket.used(), pocket.take_denied());
+            let ((own, borrowed), used, denied) =
+                (pocket.rights(), pocket.used(), pocket.take_denied());
             let rights = own + borrowed;
             // What was denied is asked for, by half as much again at a time; what is not used goes slowly.
             self.wants[budget] = match denied {
                 0 => used.max(self.wants[budget].saturating_sub(self.wants[budget].div_ceil(10))),
-                n => (rights.max(used) + n.min(rights / 2 + 4)).min(self.setup.terms.budgets[budget].units),
+                n => (rights.max(used) + n.min(rights / 2 + 4))
+                    .min(self.setup.terms.budgets[budget].units),
             };
             for (name, ask) in self.rights.want(now, budget, self.wants[budget], &names) {
                 if let Some(to) = alive.iter().find(|m| m.name == name) {
@@ -101,6 +141,10 @@
 
     pub(crate) fn not_forgotten(&self, now: Micros) -> Vec<Arc<str>> {
         let heard = |p: &Peer| now.saturating_sub(p.heard) < self.setup.forget;
-        self.peers.iter().filter(|(_, p)| heard(p)).map(|(n, _)| n.clone()).collect()
+        self.peers
+            .iter()
+            .filter(|(_, p)| heard(p))
+            .map(|(n, _)| n.clone())
+            .collect()
     }
 }
--- a/crates/fleet/src/judge.rs
+++ b/crates/fleet/src/judge.rs
@@ -95,7 +95,14 @@
 impl Judgements {
     /// Nothing yet.
     pub fn new(me: Life) -> Judgements {
-        Judgements { me, seq: 0, words: BTreeMap::new(), kept: 0, good: BTreeMap::new(), cursor: None }
+        Judgements {
+            me,
+            seq: 0,
+            words: BTreeMap::new(),
+            kept: 0,
+            good: BTreeMap::new(),
+            cursor: None,
+        }
     }
 
     /// This member's own observation, for so long.
@@ -117,14 +124,23 @@
     fn say(&mut self, now: Micros, worker: Worker, fault: Option<Fault>, weight: u8, time: Micros) {
         self.seq += 1;
         let until = now.saturating_add(time.min(LONGEST));
-        let kept = Kept { no: self.me.no, seq: self.seq, fault, weight: weight.clamp(1, 100), until };
+        let kept = Kept {
+            no: self.me.no,
+            seq: self.seq,
+            fault,
+            weight: weight.clamp(1, 100),
+            until,
+        };
         self.keep(worker, self.me.name.clone(), kept);
     }
 
     /// Others' words. Those about itself as an author are not taken: only a life makes its own.
     pub fn hear(&mut self, now: Micros, words: &[Word]) {
         let me = self.me.name.clone();
-        for w in words.iter().filter(|w| w.author.name != me && w.left_ms > 0) {
+        for w in words
+            .iter()
+            .filter(|w| w.author.name != me && w.left_ms > 0)
+        {
             let left = (Micros::from(w.left_ms) * 1_000).min(LONGEST);
             let kept = Kept {
                 no: w.author.no,
@@ -159,8 +175,11 @@
         });
         self.kept = self.words.values().map(BTreeMap::len).sum();
         if self.kept > MOST {
-            let mut ends: Vec<Micros> =
-                self.words.values().flat_map(|by| by.values().map(|k| k.until)).collect();
+            let mut ends: Vec<Micros> = self
+                .words
+                .values()
+                .flat_map(|by| by.values().map(|k| k.until))
+                .collect();
             ends.sort_unstable_by(|a, b| b.cmp(a));
             let least = ends[MOST];
             self.words.retain(|_, by| {
@@ -175,25 +194,44 @@
     pub fn words(&mut self, now: Micros, most: usize) -> Vec<Word> {
         let word = |worker: &Worker, author: &Arc<str>, k: &Kept| Word {
             worker: worker.clone(),
-            author: Life { name: author.clone(), no: k.no },
+            author: Life {
+                name: author.clone(),
+                no: k.no,
+            },
             seq: k.seq,
             fault: k.fault,
             weight: k.weight,
             left_ms: (k.until.saturating_sub(now) / 1_000) as u32,
         };
-        let all = || self.words.iter().flat_map(|(w, by)| by.iter().map(move |(a, k)| (w, a, k)));
-        let behind = |w: &Worker, a: &Arc<str>| self.cursor.as_ref().is_some_and(|c| (w, a) <= (&c.0, &c.1));
+        let all = || {
+            self.words
+                .iter()
+                .flat_map(|(w, by)| by.iter().map(move |(a, k)| (w, a, k)))
+        };
+        let behind =
+            |w: &Worker, a: &Arc<str>| self.cursor.as_ref().is_some_and(|c| (w, a) <= (&c.0, &c.1));
         let first = all().filter(|(w, a, _)| !behind(w, a));
         let then = all().filter(|(w, a, _)| behind(w, a));
-        let chosen: Vec<Word> = first.chain(then).take(most).map(|(w, a, k)| word(w, a, k)).collect();
-        self.cursor = chosen.last().map(|w| (w.worker.clone(), w.author.name.clone()));
+        let chosen: Vec<Word> = first
+            .chain(then)
+            .take(most)
+            .map(|(w, a, k)| word(w, a, k))
+            .collect();
+        self.cursor = chosen
+            .last()
+            .map(|w| (w.worker.clone(), w.author.name.clone()));
         chosen
     }
 
     /// What all that is heard comes to, for these workers and their zones: the worst first, and of each zone no more than
     /// the rules allow. A worker that has served this member lately is not among them; its own evidence counts alone as
     /// little as anybody's.
-    pub fn verdicts(&self, now: Micros, rules: Rules, workers: &[(Worker, Arc<str>)]) -> Vec<Verdict> {
+    pub fn verdicts(
+        &self,
+        now: Micros,
+        rules: Rules,
+        workers: &[(Worker, Arc<str>)],
+    ) -> Vec<Verdict> {
         let mut found: Vec<(Verdict, &Arc<str>)> = Vec::new();
         let mut sizes: BTreeMap<&Arc<str>, usize> = BTreeMap::new();
         for (worker, zone) in workers {
@@ -202,17 +240,37 @@
                 continue;
             }
             let mut faults: BTreeMap<Fault, (u32, usize)> = BTreeMap::new();
-            for k in self.words.get(worker).into_iter().flat_map(BTreeMap::values).filter(|k| k.until > now) {
+            for k in self
+                .words
+                .get(worker)
+                .into_iter()
+                .flat_map(BTreeMap::values)
+                .filter(|k| k.until > now)
+            {
                 let Some(fault) = k.fault else { continue };
                 let sum = faults.entry(fault).or_default();
                 *sum = (sum.0 + u32::from(k.weight), sum.1 + 1);
             }
             let worst = faults.into_iter().max_by_key(|(_, sum)| *sum);
-            if let Some((fault, (weight, authors))) = worst.filter(|w| w.1 .1 >= rules.quorum.max(1)) {
-                found.push((Verdict { worker: worker.0.clone(), fault, weight, authors }, zone));
+            if let Some((fault, (weight, authors))) =
+                worst.filter(|w| w.1 .1 >= rules.quorum.max(1))
+            {
+                found.push((
+                    Verdict {
+                        worker: worker.0.clone(),
+                        fault,
+                        weight,
+                        authors,
+                    },
+                    zone,
+                ));
             }
         }
-        found.sort_by(|(a, _), (b, _)| b.weight.cmp(&a.weight).then_with(|| a.worker.cmp(&b.worker)));
+        found.sort_by(|(a, _), (b, _)| {
+            b.weight
+                .cmp(&a.weight)
+                .then_with(|| a.worker.cmp(&b.worker))
+        });
         let mut taken: BTreeMap<&Arc<str>, usize> = BTreeMap::new();
         found.retain(|(_, zone)| {
             let most = (sizes[zone] as f64 * rules.most_part) as usize;
--- a/crates/fleet/src/life.rs
+++ b/crates/fleet/src/life.rs
@@ -22,7 +22,10 @@
 impl Life {
     /// One life.
     pub fn new(name: &str, no: u64) -> Life {
-        Life { name: Arc::from(name), no }
+        Life {
+            name: Arc::from(name),
+            no,
+        }
     }
 }
 
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -3,7 +3,8 @@
 
 use crate::life::{Life, Micros};
 use foca::{
-    AccumulatingRuntime, Config, Foca, Identity, NoCustomBroadcast, OwnedNotification, PeriodicParams,
+    AccumulatingRuntime, Config, Foca, Identity, NoCustomBroadcast, OwnedNotification,
+    PeriodicParams,
 };
 use foca::{PostcardCodec, State, Timer};
 use rand::SeedableRng;
@@ -32,12 +33,20 @@
 impl Member {
     /// One that was never thought dead.
     pub fn new(name: &str, no: u64, addr: SocketAddr) -> Member {
-        Member { name: Arc::from(name), no, addr, raised: 0 }
+        Member {
+            name: Arc::from(name),
+            no,
+            addr,
+            raised: 0,
+        }
     }
 
     /// Its life.
     pub fn life(&self) -> Life {
-        Life { name: self.name.clone(), no: self.no }
+        Life {
+            name: self.name.clone(),
+            no: self.no,
+        }
     }
 }
 
@@ -45,7 +54,10 @@
     type Addr = Arc<str>;
 
     fn renew(&self) -> Option<Member> {
-        Some(Member { raised: self.raised.wrapping_add(1), ..self.clone() })
+        Some(Member {
+            raised: self.raised.wrapping_add(1),
+            ..self.clone()
+        })
     }
 
     fn addr(&self) -> Arc<str> {
@@ -170,7 +182,8 @@
     fn schedule(&mut self, now: Micros) {
         while let Some((after, timer)) = self.runtime.to_schedule() {
             self.next += 1;
-            self.timers.push(Reverse((now + after.as_micros() as Micros, self.next)));
+            self.timers
+                .push(Reverse((now + after.as_micros() as Micros, self.next)));
             self.due.insert(self.next, timer);
         }
     }
@@ -183,13 +196,17 @@
             send.push((to, bytes.to_vec()));
         }
         while let Some(told) = self.runtime.to_notify() {
-            self.changes +=
-                u64::from(matches!(told, OwnedNotification::MemberUp(_) | OwnedNotification::MemberDown(_)));
+            self.changes += u64::from(matches!(
+                told,
+                OwnedNotification::MemberUp(_) | OwnedNotification::MemberDown(_)
+            ));
             news.extend(match told {
                 OwnedNotification::MemberUp(m) => Some(News::Up(m)),
                 OwnedNotification::MemberDown(m) => Some(News::Down(m)),
                 OwnedNotification::Rename(a, b) => Some(News::Renamed(a, b)),
-                OwnedNotification::Rejoin(_) | OwnedNotification::Defunct => Some(News::ThoughtDead),
+                OwnedNotification::Rejoin(_) | OwnedNotification::Defunct => {
+                    Some(News::ThoughtDead)
+                }
                 OwnedNotification::Active | OwnedNotification::Idle => None,
             });
         }
@@ -213,6 +230,8 @@
             State::Suspect => Standing::Suspect,
             State::Down => Standing::Down,
         };
-        self.foca.iter_membership_state().map(move |m| (m.id(), standing(m.state())))
+        self.foca
+            .iter_membership_state()
+            .map(move |m| (m.id(), standing(m.state())))
     }
 }
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -96,7 +96,12 @@
 impl Node {
     /// A life that starts now, and knows nothing; a purse for each budget. `wall` is Unix time.
     pub fn new(setup: Setup, purses: Vec<Arc<Purse>>, now: Micros, wall: Micros) -> Node {
-        let me = Member { name: setup.me.name.clone(), no: setup.me.no, addr: setup.addr, raised: 0 };
+        let me = Member {
+            name: setup.me.name.clone(),
+            no: setup.me.no,
+            addr: setup.addr,
+            raised: 0,
+        };
         let probe = (setup.gossip * 5).max(100_000);
         Node {
             sealer: Sealer::new(setup.key),
@@ -137,7 +142,11 @@
     /// A datagram came. `wall` is Unix time.
     pub fn receive(&mut self, now: Micros, wall: Micros, bytes: &[u8]) {
         self.wall = wall;
-        match self.sealer.open(bytes).and_then(|frame| self.admit(now, wall, frame)) {
+        match self
+            .sealer
+            .open(bytes)
+            .and_then(|frame| self.admit(now, wall, frame))
+        {
             Ok(frame) => self.take_frame(now, frame),
             Err(bad) => *self.bad.entry(bad).or_default() += 1,
         }
@@ -157,7 +166,10 @@
             return Err(Bad::EarlierLife);
         }
         if from.no > peer.no {
-            *peer = Peer { no: from.no, ..Peer::default() };
+            *peer = Peer {
+                no: from.no,
+                ..Peer::default()
+            };
         }
         peer.heard = now;
         self.frames += 1;
@@ -170,8 +182,15 @@
         match frame.body {
             Body::Hello => self.members.greet(from),
             Body::Swim(bytes) => self.members.hear(&bytes),
-            Body::Digest { from: after, last, holds, answer } => {
-                let parts = self.counts.lacks(&from.name, after.as_ref(), &holds, last, PARTS);
+            Body::Digest {
+                from: after,
+                last,
+                holds,
+                answer,
+            } => {
+                let parts = self
+                    .counts
+                    .lacks(&from.name, after.as_ref(), &holds, last, PARTS);
                 self.send_rows(&from, parts);
                 if answer {
                     let body = Body::Digest {
@@ -188,11 +207,15 @@
                 for part in &parts {
                     self.counts.merge(part, newest);
                     if let Delta::Life { life, .. } = part {
-                        self.replaced |= life.name == self.setup.me.name && life.no > self.setup.me.no;
+                        self.replaced |=
+                            life.name == self.setup.me.name && life.no > self.setup.me.no;
                     }
                 }
                 let life = from.life();
-                if parts.iter().any(|p| matches!(p, Delta::Life { life: l, .. } if *l == life)) {
+                if parts
+                    .iter()
+                    .any(|p| matches!(p, Delta::Life { life: l, .. } if *l == life))
+                {
                     let held = self.counts.holds_of(&life);
                     self.send(&from, Body::Have(held));
                 }
@@ -231,7 +254,10 @@
         }
         self.last_tick = now;
         // One that hears nobody goes on alone after a while, with what is its own.
-        if self.stale.is_some_and(|since| now.saturating_sub(since) > lease) {
+        if self
+            .stale
+            .is_some_and(|since| now.saturating_sub(since) > lease)
+        {
             self.stale = None;
         }
         self.members.tick(now);
@@ -264,7 +290,11 @@
                 News::Up(m) | News::Renamed(_, m) => {
                     let peer = self.peers.entry(m.name.clone()).or_default();
                     if m.no > peer.no {
-                        *peer = Peer { no: m.no, heard: now, ..Peer::default() };
+                        *peer = Peer {
+                            no: m.no,
+                            heard: now,
+                            ..Peer::default()
+                        };
                     }
                 }
                 News::Down(_) => {}
@@ -294,7 +324,10 @@
     }
 
     pub(crate) fn send_to(&mut self, addr: SocketAddr, body: Body) {
-        let frame = Frame { from: self.members.me().clone(), body };
+        let frame = Frame {
+            from: self.members.me().clone(),
+            body,
+        };
         if let Some(bytes) = self.sealer.seal(&frame) {
             self.sent = (self.sent.0 + bytes.len() as u64, self.sent.1 + 1);
             self.out.push((addr, bytes));
@@ -332,7 +365,9 @@
 
     /// When it wants to be told the time at the latest.
     pub fn next_due(&self) -> Micros {
-        self.members.next_due().map_or(self.next_gossip, |d| d.min(self.next_gossip))
+        self.members
+            .next_due()
+            .map_or(self.next_gossip, |d| d.min(self.next_gossip))
     }
 
     /// The tally.
--- a/crates/fleet/src/purse.rs
+++ b/crates/fleet/src/purse.rs
@@ -30,7 +30,11 @@
 }
 
 fn open(word: u64) -> Word {
-    Word { used: word & 0xff_ffff, borrowed: (word >> 24) & MOST_UNITS, own: (word >> 44) & MOST_UNITS }
+    Word {
+        used: word & 0xff_ffff,
+        borrowed: (word >> 24) & MOST_UNITS,
+        own: (word >> 44) & MOST_UNITS,
+    }
 }
 
 fn close(w: Word) -> u64 {
@@ -66,7 +70,14 @@
             return w.own + w.borrowed;
         }
         match now < self.fresh.load(Acquire) {
-            true => w.own + if now < self.until.load(Acquire) { w.borrowed } else { 0 },
+            true => {
+                w.own
+                    + if now < self.until.load(Acquire) {
+                        w.borrowed
+                    } else {
+                        0
+                    }
+            }
             false => 0,
         }
     }
@@ -102,7 +113,11 @@
         let set = |word: u64| {
             let w = open(word);
             debug_assert!(own >= w.own && borrowed >= w.borrowed);
-            Some(close(Word { own: own.min(MOST_UNITS), borrowed: borrowed.min(MOST_UNITS), ..w }))
+            Some(close(Word {
+                own: own.min(MOST_UNITS),
+                borrowed: borrowed.min(MOST_UNITS),
+                ..w
+            }))
         };
         self.until.store(until, Release);
         let _ = self.word.fetch_update(AcqRel, Acquire, set);
@@ -127,7 +142,9 @@
         let mut taken = 0;
         let less = |word: u64| {
             let mut w = open(word);
-            taken = most.min(w.borrowed).min((w.own + w.borrowed).saturating_sub(w.used));
+            taken = most
+                .min(w.borrowed)
+                .min((w.own + w.borrowed).saturating_sub(w.used));
             w.borrowed -= taken;
             Some(close(w))
         };
@@ -137,7 +154,12 @@
 
     /// Borrowed units have ended, in use or not; what is left of them ends then.
     pub(crate) fn end_borrowed(&self, left: u64, until: Micros) {
-        let set = |word: u64| Some(close(Word { borrowed: left.min(MOST_UNITS), ..open(word) }));
+        let set = |word: u64| {
+            Some(close(Word {
+                borrowed: left.min(MOST_UNITS),
+                ..open(word)
+            }))
+        };
         let _ = self.word.fetch_update(AcqRel, Acquire, set);
         self.until.store(until, Release);
     }
--- a/crates/fleet/src/rights.rs
+++ b/crates/fleet/src/rights.rs
@@ -56,7 +56,9 @@
 impl Terms {
     /// A seat's part of a budget; nothing for a name without a seat.
     pub fn part(&self, name: &str, budget: usize) -> u64 {
-        let Some(seat) = self.seats.iter().position(|s| &**s == name) else { return 0 };
+        let Some(seat) = self.seats.iter().position(|s| &**s == name) else {
+            return 0;
+        };
         let (units, n) = (self.budgets[budget].units, self.seats.len() as u64);
         units / n + u64::from((seat as u64) < units % n)
     }
@@ -73,12 +75,18 @@
             hash.update(seat.as_bytes()).update(&[0]);
         }
         for budget in &self.budgets {
-            hash.update(budget.name.as_bytes()).update(&[1]).update(&budget.units.to_le_bytes());
+            hash.update(budget.name.as_bytes())
+                .update(&[1])
+                .update(&budget.units.to_le_bytes());
         }
         for n in [self.lease, self.hold, self.margin] {
             hash.update(&n.to_le_bytes());
         }
-        u64::from_le_bytes(hash.finalize().as_bytes()[..8].try_into().expect("eight bytes"))
+        u64::from_le_bytes(
+            hash.finalize().as_bytes()[..8]
+                .try_into()
+                .expect("eight bytes"),
+        )
     }
 }
 
@@ -211,7 +219,16 @@
     pub fn new(me: Life, terms: Arc<Terms>, pockets: Vec<P>, now: Micros) -> Rights<P> {
         debug_assert_eq!(pockets.len(), terms.budgets.len());
         let (mark, books) = (terms.mark(), vec![Book::default(); terms.budgets.len()]);
-        Rights { me, terms, mark, started: now, seated: false, seq: 0, books, pockets }
+        Rights {
+            me,
+            terms,
+            mark,
+            started: now,
+            seated: false,
+            seq: 0,
+            books,
+            pockets,
+        }
     }
 
     /// Time has passed: a seat's part comes in once no earlier life can have lent it, loans come back, and what was
@@ -222,12 +239,18 @@
             for (budget, pocket) in self.pockets.iter_mut().enumerate() {
                 let (own, borrowed) = pocket.rights();
                 let until = ends(&self.books[budget]);
-                pocket.grow(own + self.terms.part(&self.me.name, budget), borrowed, until);
+                pocket.grow(
+                    own + self.terms.part(&self.me.name, budget),
+                    borrowed,
+                    until,
+                );
             }
         }
         for (book, pocket) in self.books.iter_mut().zip(&mut self.pockets) {
             let before: u64 = book.loans.values().map(Loan::out).sum();
-            book.loans.values_mut().for_each(|l| l.grants.retain(|g| g.1 > now));
+            book.loans
+                .values_mut()
+                .for_each(|l| l.grants.retain(|g| g.1 > now));
             book.loans.retain(|_, l| !l.grants.is_empty());
             let back = before - book.loans.values().map(Loan::out).sum::<u64>();
             if back > 0 {
@@ -235,7 +258,10 @@
                 pocket.grow(own + back, borrowed, ends(book));
             }
             if book.from.values().any(|b| b.units > 0 && b.until <= now) {
-                book.from.values_mut().filter(|b| b.until <= now).for_each(|b| b.units = 0);
+                book.from
+                    .values_mut()
+                    .filter(|b| b.until <= now)
+                    .for_each(|b| b.units = 0);
                 pocket.end_borrowed(book.from.values().map(|b| b.units).sum(), ends(book));
             }
         }
@@ -244,7 +270,11 @@
     /// What the data path would have in use of a budget, and whom to call for it: members that live, but this one.
     /// Gives back what is not needed. Call it in even rounds; each makes a few calls at most.
     pub fn want(
-        &mut self, now: Micros, budget: usize, wants: u64, others: &[Arc<str>],
+        &mut self,
+        now: Micros,
+        budget: usize,
+        wants: u64,
+        others: &[Arc<str>],
     ) -> Vec<(Arc<str>, Ask)> {
         self.tick(now);
         let (lease, part) = (self.terms.lease, |n: &str| self.terms.part(n, budget));
@@ -253,8 +283,14 @@
         let (own, borrowed) = pocket.rights();
         let mut short = wants.saturating_sub(own + borrowed);
         // Too much by a quarter goes back, so that rights do not swing between members.
-        let over = (own + borrowed).saturating_sub(wants + wants / 4 + 1).min(borrowed);
-        let mut back = if over > 0 { pocket.take_borrowed(over) } else { 0 };
+        let over = (own + borrowed)
+            .saturating_sub(wants + wants / 4 + 1)
+            .min(borrowed);
+        let mut back = if over > 0 {
+            pocket.take_borrowed(over)
+        } else {
+            0
+        };
         let mut calls: Vec<(Arc<str>, u64, u64)> = Vec::new();
         for (lender, b) in &mut book.from {
             if b.units == 0 {
@@ -272,12 +308,19 @@
         }
         let mut lenders: Vec<(u64, &Arc<str>)> = Vec::new();
         if short > 0 {
-            for name in others.iter().filter(|n| part(n) > 0 && calls.iter().all(|c| c.0 != **n)) {
+            for name in others
+                .iter()
+                .filter(|n| part(n) > 0 && calls.iter().all(|c| c.0 != **n))
+            {
                 let known = book.from.get(name);
                 let recent = known.is_some_and(|b| now.saturating_sub(b.asked) < lease / 12);
                 // What a lender said holds for a while; then it may have more.
                 let stale = known.is_none_or(|b| now.saturating_sub(b.asked) > lease / 3);
-                let spare = if stale { part(name) } else { known.and_then(|b| b.spare).unwrap_or(0) };
+                let spare = if stale {
+                    part(name)
+                } else {
+                    known.and_then(|b| b.spare).unwrap_or(0)
+                };
                 if spare > 0 && !recent {
                     lenders.push((spare, name));
                 }
@@ -293,7 +336,17 @@
             self.seq += 1;
             let b = book.from.entry(name.clone()).or_default();
             (b.seq, b.asked, b.answered) = (self.seq, now, false);
-            (name, Ask { terms: self.mark, budget: budget as u16, seq: self.seq, at: now, keeps, wants })
+            (
+                name,
+                Ask {
+                    terms: self.mark,
+                    budget: budget as u16,
+                    seq: self.seq,
+                    at: now,
+                    keeps,
+                    wants,
+                },
+            )
         });
         let out = out.collect();
         debug_assert!(book.from.values().map(|b| b.units).sum::<u64>() >= pocket.rights().1);
@@ -315,7 +368,9 @@
         loan.seq = ask.seq;
         // From this call on the asker spends no more than it keeps, and grants for earlier calls are void.
         let before = loan.out();
-        loan.grants.iter_mut().for_each(|g| g.0 = g.0.min(ask.keeps));
+        loan.grants
+            .iter_mut()
+            .for_each(|g| g.0 = g.0.min(ask.keeps));
         loan.grants.retain(|g| g.0 > 0);
         let keeps = loan.out(); // what it says it keeps beyond what it was granted was never this lender's
         let back = before - keeps;
@@ -324,7 +379,9 @@
             pocket.grow(own + back, borrowed, ends(book));
         }
         let (own, _) = pocket.rights();
-        let need = book.wants.max(self.terms.floor.min(self.terms.part(&self.me.name, budget)));
+        let need = book
+            .wants
+            .max(self.terms.floor.min(self.terms.part(&self.me.name, budget)));
         let spare = own.saturating_sub(need);
         let loan = book.loans.get_mut(from).expect("just there");
         let units = if spare == 0 && own < need {
@@ -341,7 +398,14 @@
             loan.grants.push((0, now + self.terms.away()));
         }
         let spare = pocket.rights().0.saturating_sub(need);
-        Some(Grant { terms: self.mark, budget: ask.budget, seq: ask.seq, at: ask.at, units, spare })
+        Some(Grant {
+            terms: self.mark,
+            budget: ask.budget,
+            seq: ask.seq,
+            at: ask.at,
+            units,
+            spare,
+        })
     }
 
     /// A lender has answered.
@@ -353,7 +417,9 @@
         }
         let (book, pocket) = (&mut self.books[budget], &mut self.pockets[budget]);
         let until = grant.at + self.terms.lease;
-        let Some(b) = book.from.get_mut(from) else { return };
+        let Some(b) = book.from.get_mut(from) else {
+            return;
+        };
         // Only the last call's, once, and not when its time has passed on the way.
         if b.seq != grant.seq || b.asked != grant.at || b.answered || until <= now {
             return;
@@ -381,8 +447,16 @@
     /// What is lent, and to whom; what is borrowed, and from whom: units by name, for a budget.
     pub fn books(&self, budget: usize) -> (Shares, Shares) {
         let book = &self.books[budget];
-        let lent = book.loans.iter().map(|(l, loan)| (l.to_string(), loan.out())).filter(|l| l.1 > 0);
-        let from = book.from.iter().map(|(n, b)| (n.to_string(), b.units)).filter(|b| b.1 > 0);
+        let lent = book
+            .loans
+            .iter()
+            .map(|(l, loan)| (l.to_string(), loan.out()))
+            .filter(|l| l.1 > 0);
+        let from = book
+            .from
+            .iter()
+            .map(|(n, b)| (n.to_string(), b.units))
+            .filter(|b| b.1 > 0);
         (lent.collect(), from.collect())
     }
 
@@ -399,5 +473,10 @@
 
 /// The earliest end of what is borrowed; as late as can be, if nothing is.
 fn ends(book: &Book) -> Micros {
-    book.from.values().filter(|b| b.units > 0).map(|b| b.until).min().unwrap_or(Micros::MAX)
+    book.from
+        .values()
+        .filter(|b| b.units > 0)
+        .map(|b| b.until)
+        .min()
+        .unwrap_or(Micros::MAX)
 }
--- a/crates/fleet/src/show.rs
+++ b/crates/fleet/src/show.rs
@@ -92,7 +92,9 @@
                 name: m.name.to_string(),
                 life: m.no,
                 standing,
-                silent_ms: peer.filter(|p| p.heard > 0).map(|p| now.saturating_sub(p.heard) / 1_000),
+                silent_ms: peer
+                    .filter(|p| p.heard > 0)
+                    .map(|p| now.saturating_sub(p.heard) / 1_000),
                 lag: peer.map_or(version, |p| version.saturating_sub(p.have)),
             }
         };
@@ -103,7 +105,15 @@
             let ((own, borrowed), (lent, from)) = (pocket.rights(), self.rights.books(b));
             let name = terms.budgets[b].name.to_string();
             let units = terms.budgets[b].units;
-            Held { name, units, own, borrowed, used: pocket.used(), lent, from }
+            Held {
+                name,
+                units,
+                own,
+                borrowed,
+                used: pocket.used(),
+                lent,
+                from,
+            }
         };
         let (lives, rows) = self.counts.size();
         Show {
--- a/crates/fleet/src/tally.rs
+++ b/crates/fleet/src/tally.rs
@@ -21,29 +21,50 @@
     pub fn tally(&self) -> Tally {
         let mut rows: BTreeMap<Key, (Units, u64)> = BTreeMap::new();
         let doubts = |u: &Units| {
-            u.get(Unit::Served).saturating_sub(u.get(Unit::Written)).saturating_sub(u.get(Unit::Unwritten))
+            u.get(Unit::Served)
+                .saturating_sub(u.get(Unit::Written))
+                .saturating_sub(u.get(Unit::Unwritten))
         };
         for named in self.names.values() {
             let newest = named.lives.keys().next_back().copied();
-            let lives = named
-                .lives
+            let lives = named.lives.iter().flat_map(|(no, h)| {
+                h.rows
+                    .iter()
+                    .map(move |(k, r)| (k, &r.1, Some(*no) != newest))
+            });
+            for (key, units, gone) in named
+                .base
+                .rows
                 .iter()
-                .flat_map(|(no, h)| h.rows.iter().map(move |(k, r)| (k, &r.1, Some(*no) != newest)));
-            for (key, units, gone) in named.base.rows.iter().map(|(k, u)| (k, u, true)).chain(lives) {
+                .map(|(k, u)| (k, u, true))
+                .chain(lives)
+            {
                 let row = rows.entry(key.clone()).or_default();
                 row.0.add(units);
                 row.1 = row.1.saturating_add(if gone { doubts(units) } else { 0 });
             }
         }
-        let since = self.names.values().map(|n| n.first).filter(|f| *f > 0).min().unwrap_or(self.me.no);
+        let since = self
+            .names
+            .values()
+            .map(|n| n.first)
+            .filter(|f| *f > 0)
+            .min()
+            .unwrap_or(self.me.no);
         let mut hash = blake3::Hasher::new();
         for (key, (units, doubtful)) in &rows {
-            hash.update(&key.period.to_le_bytes()).update(&(key.tenant.len() as u64).to_le_bytes());
-            hash.update(key.tenant.as_bytes()).update(&doubtful.to_le_bytes());
+            hash.update(&key.period.to_le_bytes())
+                .update(&(key.tenant.len() as u64).to_le_bytes());
+            hash.update(key.tenant.as_bytes())
+                .update(&doubtful.to_le_bytes());
             for n in units.0 {
                 hash.update(&n.to_le_bytes());
             }
         }
-        Tally { since, digest: hash.finalize().to_hex()[..16].to_string(), rows }
+        Tally {
+            since,
+            digest: hash.finalize().to_hex()[..16].to_string(),
+            rows,
+        }
     }
 }
--- a/crates/fleet/src/units.rs
+++ b/crates/fleet/src/units.rs
@@ -65,13 +65,19 @@
 
     /// Adds; a member that lies about its own counts cannot make a sum wrap.
     pub fn add(&mut self, other: &Units) {
-        self.0.iter_mut().zip(other.0).for_each(|(a, b)| *a = a.saturating_add(b));
+        self.0
+            .iter_mut()
+            .zip(other.0)
+            .for_each(|(a, b)| *a = a.saturating_add(b));
     }
 
     /// The larger of each; whether that changed anything.
     pub(crate) fn join(&mut self, other: &Units) -> bool {
         let before = *self;
-        self.0.iter_mut().zip(other.0).for_each(|(a, b)| *a = (*a).max(b));
+        self.0
+            .iter_mut()
+            .zip(other.0)
+            .for_each(|(a, b)| *a = (*a).max(b));
         *self != before
     }
 }
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -14,7 +14,10 @@
 use world::{World, MS, SECOND, UNITS};
 
 fn number(name: &str, default: u64) -> u64 {
-    std::env::var(name).map_or(default, |v| v.parse().unwrap_or_else(|_| panic!("{name}: not a number: {v}")))
+    std::env::var(name).map_or(default, |v| {
+        v.parse()
+            .unwrap_or_else(|_| panic!("{name}: not a number: {v}"))
+    })
 }
 
 /// Rights flow to where the demand is: one of twelve members with all the traffic.
@@ -24,12 +27,20 @@
     world.run(3 * SECOND, &[], 0.0);
     let before: u64 = world.bytes;
     world.run(2 * SECOND, &[3], 3.0);
-    assert!(world.used() >= UNITS * 9 / 10, "{} of {UNITS}", world.used());
+    assert!(
+        world.used() >= UNITS * 9 / 10,
+        "{} of {UNITS}",
+        world.used()
+    );
     let storm = (world.bytes - before) / 12 / 2;
     assert!(storm < 40_000, "{storm} bytes a second for each member");
     // And on, when the traffic moves.
     world.run(4 * SECOND, &[8], 3.0);
-    assert!(world.used() >= UNITS * 9 / 10, "{} of {UNITS}", world.used());
+    assert!(
+        world.used() >= UNITS * 9 / 10,
+        "{} of {UNITS}",
+        world.used()
+    );
 }
 
 /// A half that hears nothing serves what it holds, then its own; afterwards there is one tally.
@@ -44,7 +55,11 @@
     world.run(15 * SECOND, &[0, 1, 2, 3, 4, 5], 1.0);
     world.cut.clear();
     let took = world.settle();
-    assert!((0..6).all(|i| world.served(i) == world.raised), "{} raised", world.raised);
+    assert!(
+        (0..6).all(|i| world.served(i) == world.raised),
+        "{} raised",
+        world.raised
+    );
     assert!(took < 20 * SECOND, "{took}");
 }
 
@@ -63,7 +78,10 @@
     assert_eq!(spent, 0, "it spends before it has looked round");
     assert!(world.used() <= UNITS, "{}", world.used());
     world.run(3 * SECOND, &[0, 1, 2, 3], 2.0);
-    assert!(world.members[2].purses[0].used() > 0, "then it serves again");
+    assert!(
+        world.members[2].purses[0].used() > 0,
+        "then it serves again"
+    );
 }
 
 /// A member that nobody hears takes work and is killed: what its clients were answered is in the tally.
@@ -76,9 +94,16 @@
     world.kill(0);
     world.cut.clear();
     let (answered, raised) = (world.answered, world.raised);
-    assert!(answered > 500 && raised > answered, "{answered} answered of {raised}");
+    assert!(
+        answered > 500 && raised > answered,
+        "{answered} answered of {raised}"
+    );
     world.settle();
-    assert!(world.served(1) >= answered, "{} in the tally, {answered} answered", world.served(1));
+    assert!(
+        world.served(1) >= answered,
+        "{} in the tally, {answered} answered",
+        world.served(1)
+    );
 }
 
 /// A life that had lent and one that had borrowed are killed at once; both begin again.
@@ -93,9 +118,17 @@
     world.begin(0);
     world.begin(1);
     world.run(500 * MS, &[0, 1, 2], 2.0);
-    assert_eq!(world.members[0].purses[0].rights().0, 0, "its earlier life may have lent all it had");
+    assert_eq!(
+        world.members[0].purses[0].rights().0,
+        0,
+        "its earlier life may have lent all it had"
+    );
     world.run(5 * SECOND, &[2], 3.0);
-    assert!(world.used() >= UNITS * 9 / 10, "all is back: {}", world.used());
+    assert!(
+        world.used() >= UNITS * 9 / 10,
+        "all is back: {}",
+        world.used()
+    );
 }
 
 /// A hears B, B does not hear A: the members stay as they are.
@@ -103,7 +136,11 @@
 fn a_one_way_cut_does_not_flap() {
     let mut world = World::new(5, 0, 9);
     world.run(5 * SECOND, &[], 0.0);
-    let before: Vec<u64> = world.members.iter().map(|m| m.node.show(0).membership_changes).collect();
+    let before: Vec<u64> = world
+        .members
+        .iter()
+        .map(|m| m.node.show(0).membership_changes)
+        .collect();
     world.cut.insert((0, 1), Micros::MAX);
     world.run(60 * SECOND, &[], 0.0);
     for (m, before) in world.members.iter().zip(before) {
@@ -123,7 +160,9 @@
     }
     world.run(3 * SECOND, &[0, 1, 2], 0.5);
     world.run(2 * SECOND, &[], 0.0);
-    let digests: Vec<String> = (0..7).map(|i| world.members[i].node.tally().digest).collect();
+    let digests: Vec<String> = (0..7)
+        .map(|i| world.members[i].node.tally().digest)
+        .collect();
     assert!(digests.windows(2).all(|d| d[0] == d[1]), "{digests:?}");
     world.cut.clear();
     world.settle();
@@ -144,11 +183,21 @@
         world.kill(i);
         world.begin(i);
         // The one that is away is forgotten here, as it would be after ten minutes.
-        world.members.iter_mut().take(3).for_each(|m| m.node.forget_now("m3"));
+        world
+            .members
+            .iter_mut()
+            .take(3)
+            .for_each(|m| m.node.forget_now("m3"));
     }
     world.run(30 * SECOND, &[0, 1, 2], 0.1);
-    let (lives, rows) = (world.members[0].node.show(0).lives, world.members[0].node.show(0).rows);
-    assert!(lives <= 8 && rows <= 16, "{lives} lives, {rows} rows after 60 restarts");
+    let (lives, rows) = (
+        world.members[0].node.show(0).lives,
+        world.members[0].node.show(0).rows,
+    );
+    assert!(
+        lives <= 8 && rows <= 16,
+        "{lives} lives, {rows} rows after 60 restarts"
+    );
     world.cut.clear();
     world.settle();
     for i in 0..4 {
@@ -165,7 +214,12 @@
 impl World {
     fn settle_answers(&mut self) {
         for _ in 0..5_000 {
-            if self.members.iter().enumerate().all(|(i, m)| i == 3 || m.dead || m.held.is_empty()) {
+            if self
+                .members
+                .iter()
+                .enumerate()
+                .all(|(i, m)| i == 3 || m.dead || m.held.is_empty())
+            {
                 return;
             }
             self.step(&[], 0.0);
@@ -178,7 +232,10 @@
 #[test]
 fn rows_of_a_folded_life_that_come_late_count_once() {
     let name = |n: &str| -> Arc<str> { Arc::from(n) };
-    let key = Key { period: 1, tenant: name("t0") };
+    let key = Key {
+        period: 1,
+        tenant: name("t0"),
+    };
     let mut first = Counts::new(Life::new("a", 1));
     first.raise(key.clone(), &Units::one(Unit::Served, 5));
     let late = first.own_since(0);
@@ -193,12 +250,18 @@
     });
     // The new life hears of its first from b, and tells it so.
     let theirs = second.digest(None, 9);
-    b.lacks(&name("a"), None, &theirs, true, 9).iter().for_each(|d| {
-        second.merge(d, 9);
-    });
+    b.lacks(&name("a"), None, &theirs, true, 9)
+        .iter()
+        .for_each(|d| {
+            second.merge(d, 9);
+        });
     let theirs = second.digest(None, 9);
     b.lacks(&name("a"), None, &theirs, true, 9);
-    assert_eq!(b.fold(0, 0, &[name("a")]), 1, "final: superseded, and held by all to the same version");
+    assert_eq!(
+        b.fold(0, 0, &[name("a")]),
+        1,
+        "final: superseded, and held by all to the same version"
+    );
     late.iter().for_each(|d| {
         b.merge(d, 9);
     });
@@ -209,7 +272,10 @@
 /// Random faults from seeds: no budget is ever exceeded, and what was answered is in the one tally at the end.
 #[test]
 fn random_faults_from_seeds() {
-    let (seed, rounds) = (number("STREAMUSHER_SEED", 1), number("STREAMUSHER_ROUNDS", 6));
+    let (seed, rounds) = (
+        number("STREAMUSHER_SEED", 1),
+        number("STREAMUSHER_ROUNDS", 6),
+    );
     for seed in seed..seed + rounds {
         println!("seed {seed}");
         let mut world = World::new(5, 1, seed);
@@ -232,18 +298,31 @@
                     world.members[i].stopped_until = world.now + rng.random_range(100..4_000) * MS;
                 }
                 2 => world.part(&[rng.random_range(0..5), rng.random_range(0..5)]),
-                3 => drop(world.cut.insert((rng.random_range(0..5), rng.random_range(0..5)), Micros::MAX)),
-                4 => (world.loss, world.delay) = (rng.random_range(0.0..0.3), rng.random_range(2..200) * MS),
+                3 => drop(world.cut.insert(
+                    (rng.random_range(0..5), rng.random_range(0..5)),
+                    Micros::MAX,
+                )),
+                4 => {
+                    (world.loss, world.delay) =
+                        (rng.random_range(0.0..0.3), rng.random_range(2..200) * MS)
+                }
                 _ => {
                     world.cut.clear();
                     (world.loss, world.delay) = (0.0, 2 * MS);
                 }
             }
-            world.run(rng.random_range(50..1_500) * MS, &at, rng.random_range(0.0..2.0));
+            world.run(
+                rng.random_range(50..1_500) * MS,
+                &at,
+                rng.random_range(0.0..2.0),
+            );
             // Heal before the next kill, as the copies of two kills at once are one too few.
             world.cut.clear();
             (world.loss, world.delay) = (0.0, 2 * MS);
-            world.members.iter_mut().for_each(|m| m.stopped_until = m.stopped_until.min(world.now + 10 * MS));
+            world
+                .members
+                .iter_mut()
+                .for_each(|m| m.stopped_until = m.stopped_until.min(world.now + 10 * MS));
             world.run(1_500 * MS, &at, 0.2);
         }
         world.settle();
@@ -265,13 +344,18 @@
 fn counts_converge_whatever_overtakes_what() {
     for seed in 0..40 {
         let mut rng = Pcg64::seed_from_u64(seed);
-        let mut all: Vec<Counts> = (0..4).map(|i| Counts::new(Life::new(&format!("m{i}"), 1))).collect();
+        let mut all: Vec<Counts> = (0..4)
+            .map(|i| Counts::new(Life::new(&format!("m{i}"), 1)))
+            .collect();
         let name = |i: usize| -> Arc<str> { Arc::from(format!("m{i}")) };
         let mut travelling: Vec<(usize, streamusher_fleet::counts::Delta)> = Vec::new();
         for _ in 0..400 {
             let (i, j) = (rng.random_range(0..4), rng.random_range(0..4));
             if rng.random_bool(0.5) {
-                let key = Key { period: 1, tenant: Arc::from(format!("t{}", rng.random_range(0..30))) };
+                let key = Key {
+                    period: 1,
+                    tenant: Arc::from(format!("t{}", rng.random_range(0..30))),
+                };
                 all[0].raise(key, &Units::one(Unit::Served, 1));
             }
             if i != j {
@@ -299,6 +383,9 @@
             }
         }
         let owner = all[0].tally();
-        assert!(all.iter().all(|c| c.tally().digest == owner.digest), "seed {seed}");
+        assert!(
+            all.iter().all(|c| c.tally().digest == owner.digest),
+            "seed {seed}"
+        );
     }
 }
--- a/crates/fleet/tests/frame.rs
+++ b/crates/fleet/tests/frame.rs
@@ -11,12 +11,17 @@
 fn mac(key: [u8; 32], version: u8, body: &[u8]) -> [u8; 16] {
     let mut hash = blake3::Hasher::new_keyed(&key);
     hash.update(&[version]).update(body);
-    hash.finalize().as_bytes()[..16].try_into().expect("sixteen bytes")
+    hash.finalize().as_bytes()[..16]
+        .try_into()
+        .expect("sixteen bytes")
 }
 
 fn frame() -> Frame {
     let from = Member::new("a", 7, "127.0.0.1:9".parse().expect("an address"));
-    Frame { from, body: Body::Have(3) }
+    Frame {
+        from,
+        body: Body::Have(3),
+    }
 }
 
 #[test]
@@ -29,7 +34,11 @@
     assert_eq!(ours.open(&good[..good.len() - 1]), Err(Bad::Spoilt));
     let mut other = good.clone();
     other[2] = 9;
-    assert_eq!(ours.open(&other), Err(Bad::Spoilt), "the version stands under the MAC");
+    assert_eq!(
+        ours.open(&other),
+        Err(Bad::Spoilt),
+        "the version stands under the MAC"
+    );
     other[7..23].copy_from_slice(&mac([1; 32], 9, &good[HEAD..]));
     assert_eq!(ours.open(&other), Err(Bad::Version(9)));
 }
--- a/crates/fleet/tests/judge.rs
+++ b/crates/fleet/tests/judge.rs
@@ -5,7 +5,10 @@
 use streamusher_fleet::judge::*;
 use streamusher_fleet::{Life, Micros};
 
-const RULES: Rules = Rules { quorum: 3, most_part: 0.34 };
+const RULES: Rules = Rules {
+    quorum: 3,
+    most_part: 0.34,
+};
 const SECOND: Micros = 1_000_000;
 
 fn worker(n: usize) -> Worker {
@@ -13,7 +16,9 @@
 }
 
 fn workers(n: usize) -> Vec<(Worker, Arc<str>)> {
-    (0..n).map(|i| (worker(i), Arc::from(if i < n / 2 { "a" } else { "b" }))).collect()
+    (0..n)
+        .map(|i| (worker(i), Arc::from(if i < n / 2 { "a" } else { "b" })))
+        .collect()
 }
 
 fn member(n: usize, life: u64) -> Judgements {
@@ -36,7 +41,10 @@
 fn few_authors_are_not_believed_and_none_counts_twice() {
     assert_eq!(judged(2).1, []);
     let (mut all, verdicts) = judged(3);
-    assert_eq!((verdicts.len(), verdicts[0].authors, verdicts[0].weight), (1, 3, 150));
+    assert_eq!(
+        (verdicts.len(), verdicts[0].authors, verdicts[0].weight),
+        (1, 3, 150)
+    );
     // Two of them again, one by a new life: still three authors.
     for (n, life) in [(0, 1), (1, 2)] {
         let mut m = member(n, life);
@@ -51,9 +59,21 @@
     let (mut all, _) = judged(4);
     assert_eq!(all.verdicts(9 * SECOND, RULES, &workers(8)).len(), 1);
     all.vindicate(9 * SECOND, worker(0), SECOND / 2);
-    assert_eq!(all.verdicts(9 * SECOND, RULES, &workers(8)), [], "it has just served here");
-    assert_eq!(all.verdicts(9 * SECOND + SECOND / 2, RULES, &workers(8)).len(), 1);
-    assert_eq!(all.verdicts(10 * SECOND, RULES, &workers(8)), [], "the words have ended");
+    assert_eq!(
+        all.verdicts(9 * SECOND, RULES, &workers(8)),
+        [],
+        "it has just served here"
+    );
+    assert_eq!(
+        all.verdicts(9 * SECOND + SECOND / 2, RULES, &workers(8))
+            .len(),
+        1
+    );
+    assert_eq!(
+        all.verdicts(10 * SECOND, RULES, &workers(8)),
+        [],
+        "the words have ended"
+    );
     all.tick(10 * SECOND);
     assert!(all.is_empty());
     // A worker that begins again is another life, of which nothing was said.
@@ -68,7 +88,10 @@
     let said = one.words(0, 9);
     other.hear(0, &said);
     other.hear(SECOND, &said);
-    let rules = Rules { quorum: 1, most_part: 1.0 };
+    let rules = Rules {
+        quorum: 1,
+        most_part: 1.0,
+    };
     assert_eq!(other.verdicts(2 * SECOND, rules, &workers(4)), []);
     one.vindicate(SECOND, worker(0), 0);
     other.hear(SECOND, &one.words(SECOND, 9));
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -33,7 +33,9 @@
         taken
     }
     fn take_borrowed(&mut self, most: u64) -> u64 {
-        let taken = most.min(self.borrowed).min((self.own + self.borrowed).saturating_sub(self.used));
+        let taken = most
+            .min(self.borrowed)
+            .min((self.own + self.borrowed).saturating_sub(self.used));
         self.borrowed -= taken;
         taken
     }
@@ -88,7 +90,10 @@
 
 impl Fleet {
     fn new(until: Micros, without_lease: bool) -> Fleet {
-        let budget = |n: &str, units| Budget { name: Arc::from(n), units };
+        let budget = |n: &str, units| Budget {
+            name: Arc::from(n),
+            units,
+        };
         let terms = Terms {
             seats: vec![name(0), name(1)],
             budgets: vec![budget("t0", 2), budget("t1", 1)],
@@ -97,11 +102,20 @@
             hold: 1,
             margin: 1,
         };
-        Fleet { terms: Arc::new(terms), until, without_lease }
+        Fleet {
+            terms: Arc::new(terms),
+            until,
+            without_lease,
+        }
     }
 
     fn life(&self, i: usize, no: u64, now: Micros) -> Rights<Plain> {
-        Rights::new(Life { name: name(i), no }, self.terms.clone(), vec![Plain::default(); 2], now)
+        Rights::new(
+            Life { name: name(i), no },
+            self.terms.clone(),
+            vec![Plain::default(); 2],
+            now,
+        )
     }
 }
 
@@ -115,7 +129,16 @@
         let now = self.terms.away();
         members.iter_mut().for_each(|m| m.tick(now));
         let (jobs, frames) = (Vec::new(), BTreeSet::new());
-        vec![State { now, members, jobs, frames, lives: vec![1; 3], paused: None, crashes: 0, pauses: 0 }]
+        vec![State {
+            now,
+            members,
+            jobs,
+            frames,
+            lives: vec![1; 3],
+            paused: None,
+            crashes: 0,
+            pauses: 0,
+        }]
     }
 
     fn actions(&self, s: &State, out: &mut Vec<Step>) {
@@ -130,7 +153,11 @@
                     0 if !self.without_lease => vec![Step::Want(0, 0, 2)],
                     0 | 1 => vec![],
                     _ if self.without_lease => vec![Step::Want(2, 0, 2)],
-                    _ => vec![Step::Want(2, 0, 0), Step::Want(2, 0, 2), Step::Want(2, 1, 1)],
+                    _ => vec![
+                        Step::Want(2, 0, 0),
+                        Step::Want(2, 0, 2),
+                        Step::Want(2, 1, 1),
+                    ],
                 });
             }
             out.extend((0..2 - usize::from(self.without_lease)).map(|b| Step::Spend(i, b)));
@@ -143,7 +170,13 @@
         }
         out.extend(s.paused.map(|_| Step::Wake));
         let there = |(_, to, _, _): &&(usize, usize, Life, Frame)| runs(to);
-        out.extend(s.frames.iter().filter(there).cloned().map(|(a, b, l, f)| Step::Deliver(a, b, l, f)));
+        out.extend(
+            s.frames
+                .iter()
+                .filter(there)
+                .cloned()
+                .map(|(a, b, l, f)| Step::Deliver(a, b, l, f)),
+        );
     }
 
     fn next_state(&self, last: &State, step: Step) -> Option<State> {
@@ -151,7 +184,10 @@
         let others = |i: usize| -> Vec<Arc<str>> { (0..3).filter(|j| *j != i).map(name).collect() };
         match step {
             Step::Want(i, budget, n) => {
-                let life = Life { name: name(i), no: s.lives[i] };
+                let life = Life {
+                    name: name(i),
+                    no: s.lives[i],
+                };
                 for (to, ask) in s.members[i].want(s.now, budget, n, &others(i)) {
                     let to = (0..3).find(|j| name(*j) == to).expect("a member");
                     s.frames.insert((i, to, life.clone(), Frame::Ask(ask)));
@@ -160,7 +196,10 @@
             Step::Deliver(from, to, life, frame) => match frame {
                 Frame::Ask(ask) => {
                     let grant = s.members[to].asked(s.now, &life, &ask)?;
-                    let own = Life { name: name(to), no: s.lives[to] };
+                    let own = Life {
+                        name: name(to),
+                        no: s.lives[to],
+                    };
                     s.frames.insert((to, from, own, Frame::Grant(grant)));
                 }
                 // A grant goes to the life that lives now: its calls count anew, and the time on it is another's.
@@ -200,7 +239,10 @@
                 s.crashes += 1;
                 s.lives[i] += 1;
                 s.members[i] = self.life(i, s.lives[i], s.now);
-                s.jobs.iter_mut().filter(|j| j.0 == Some(i)).for_each(|j| j.0 = None);
+                s.jobs
+                    .iter_mut()
+                    .filter(|j| j.0 == Some(i))
+                    .for_each(|j| j.0 = None);
             }
             Step::Pause(i) => {
                 s.pauses += 1;
@@ -218,9 +260,10 @@
                 let used = |b: usize| s.jobs.iter().filter(|j| j.1 == b).count() as u64;
                 (0..2).all(|b| used(b) <= fleet.terms.budgets[b].units)
             }),
-            Property::<Self>::sometimes("a member without a seat spends what it borrowed", |_, s| {
-                s.jobs.iter().any(|j| j.0 == Some(2))
-            }),
+            Property::<Self>::sometimes(
+                "a member without a seat spends what it borrowed",
+                |_, s| s.jobs.iter().any(|j| j.0 == Some(2)),
+            ),
             Property::<Self>::sometimes("all of a budget is spent by one", |_, s| {
                 s.jobs.iter().filter(|j| j.0 == Some(2) && j.1 == 0).count() == 2
             }),
@@ -229,19 +272,34 @@
 }
 
 fn depth() -> usize {
-    std::env::var("STREAMUSHER_DEPTH").map_or(9, |v| v.parse().expect("STREAMUSHER_DEPTH: not a number"))
+    std::env::var("STREAMUSHER_DEPTH")
+        .map_or(9, |v| v.parse().expect("STREAMUSHER_DEPTH: not a number"))
 }
 
 #[test]
 fn no_order_of_events_exceeds_a_budget() {
-    let checker = Fleet::new(8, false).checker().threads(4).target_max_depth(depth()).spawn_bfs().join();
-    println!("{} states, {} of them different", checker.state_count(), checker.unique_state_count());
+    let checker = Fleet::new(8, false)
+        .checker()
+        .threads(4)
+        .target_max_depth(depth())
+        .spawn_bfs()
+        .join();
+    println!(
+        "{} states, {} of them different",
+        checker.state_count(),
+        checker.unique_state_count()
+    );
     checker.assert_properties();
 }
 
 /// A test for the test: without the lease the model finds the schedule that overspends.
 #[test]
 fn without_the_lease_the_model_finds_the_fault() {
-    let found = Fleet::new(8, true).checker().threads(4).target_max_depth(14).spawn_bfs().join();
+    let found = Fleet::new(8, true)
+        .checker()
+        .threads(4)
+        .target_max_depth(14)
+        .spawn_bfs()
+        .join();
     assert!(found.discovery("no budget is exceeded").is_some());
 }
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -55,15 +55,23 @@
 }
 
 pub fn addr(i: usize) -> SocketAddr {
-    format!("10.0.{}.{}:7000", i / 200, i % 200 + 1).parse().expect("an address")
+    format!("10.0.{}.{}:7000", i / 200, i % 200 + 1)
+        .parse()
+        .expect("an address")
 }
 
 pub fn terms(n: usize) -> Arc<Terms> {
     Arc::new(Terms {
         seats: (0..n).map(|i| Arc::from(format!("m{i}"))).collect(),
         budgets: vec![
-            Budget { name: Arc::from("t0"), units: UNITS },
-            Budget { name: Arc::from("t1"), units: 7 },
+            Budget {
+                name: Arc::from("t0"),
+                units: UNITS,
+            },
+            Budget {
+                name: Arc::from("t1"),
+                units: 7,
+            },
         ],
         floor: 1,
         lease: SECOND,
@@ -114,7 +122,12 @@
         };
         // Clocks of members run at different speeds and from different moments.
         let clock = 1.0 + self.rng.random_range(-4e-4..4e-4);
-        let node = Node::new(setup, purses.clone(), (self.now as f64 * clock) as Micros, WALL + self.now);
+        let node = Node::new(
+            setup,
+            purses.clone(),
+            (self.now as f64 * clock) as Micros,
+            WALL + self.now,
+        );
         Member {
             node,
             purses,
@@ -141,7 +154,9 @@
 
     pub fn post(&mut self, i: usize) {
         for (to, bytes) in self.members[i].node.take_out() {
-            let to = (0..self.members.len()).find(|j| addr(*j) == to).expect("a member's address");
+            let to = (0..self.members.len())
+                .find(|j| addr(*j) == to)
+                .expect("a member's address");
             self.bytes += bytes.len() as u64;
             let slow = match self.cut.get(&(i, to)) {
                 Some(&Micros::MAX) => continue,
@@ -152,7 +167,8 @@
                 if !self.rng.random_bool(self.loss) {
                     let at = self.now + slow + self.rng.random_range(100..=self.delay);
                     self.no += 1;
-                    self.frames.push(Reverse((at, self.no, i, to, bytes.clone())));
+                    self.frames
+                        .push(Reverse((at, self.no, i, to, bytes.clone())));
                 }
             }
         }
@@ -189,7 +205,10 @@
             for _ in 0..arrivals {
                 if m.purses[0].spend(own) {
                     m.jobs.push_back((now + hold * 9 / 10, 0));
-                    let key = Key { period: m.node.period(WALL + now), tenant: Arc::from("t0") };
+                    let key = Key {
+                        period: m.node.period(WALL + now),
+                        tenant: Arc::from("t0"),
+                    };
                     let mut units = Units::one(Unit::Served, 1);
                     units.add(&Units::one(Unit::Attempts, 1));
                     let version = m.node.raise(key, &units);
@@ -213,13 +232,23 @@
         self.in_use_of_the_dead.retain(|j| j.0 > self.now);
         let used = self.used();
         self.most_used = self.most_used.max(used);
-        assert!(used <= UNITS, "{used} of {UNITS} in use at {} ms", self.now / MS);
+        assert!(
+            used <= UNITS,
+            "{used} of {UNITS} in use at {} ms",
+            self.now / MS
+        );
     }
 
     /// Units of budget 0 in use in truth: jobs that have not ended at the workers.
     pub fn used(&self) -> u64 {
-        let running = |jobs: &VecDeque<(Micros, usize)>| jobs.iter().filter(|j| j.0 > self.now).count();
-        let all: usize = self.members.iter().filter(|m| !m.dead).map(|m| running(&m.jobs)).sum();
+        let running =
+            |jobs: &VecDeque<(Micros, usize)>| jobs.iter().filter(|j| j.0 > self.now).count();
+        let all: usize = self
+            .members
+            .iter()
+            .filter(|m| !m.dead)
+            .map(|m| running(&m.jobs))
+            .sum();
         (all + self.in_use_of_the_dead.len()) as u64
     }
 
@@ -269,6 +298,12 @@
     }
 
     pub fn served(&self, i: usize) -> u64 {
-        self.members[i].node.tally().rows.values().map(|(u, _)| u.get(Unit::Served)).sum()
+        self.members[i]
+            .node
+            .tally()
+            .rows
+            .values()
+            .map(|(u, _)| u.get(Unit::Served))
+            .sum()
     }
 }
--- a/crates/jobs/src/assigned.rs
+++ b/crates/jobs/src/assigned.rs
@@ -21,7 +21,13 @@
         }
     }
 
-    fn newest_run(&self, iteration: u32, index: usize, step: &Step, member: usize) -> Option<AssignedRun> {
+    fn newest_run(
+        &self,
+        iteration: u32,
+        index: usize,
+        step: &Step,
+        member: usize,
+    ) -> Option<AssignedRun> {
         let holder = &step.members[member];
         let unit = &step.units[step.unit_of(member)];
         let sits = EarlierRun {
@@ -33,18 +39,32 @@
         self.assigned_run(iteration, index, step, member, sits)
     }
 
-    fn earlier_run(&self, iteration: u32, index: usize, step: &Step, member: usize) -> Option<AssignedRun> {
+    fn earlier_run(
+        &self,
+        iteration: u32,
+        index: usize,
+        step: &Step,
+        member: usize,
+    ) -> Option<AssignedRun> {
         let sits = step.members[member].earlier.clone()?;
         self.assigned_run(iteration, index, step, member, sits)
     }
 
     fn assigned_run(
-        &self, iteration: u32, index: usize, step: &Step, member: usize, sits: EarlierRun,
+        &self,
+        iteration: u32,
+        index: usize,
+        step: &Step,
+        member: usize,
+        sits: EarlierRun,
     ) -> Option<AssignedRun> {
         let request = self.plan.request.steps.get(index)?;
         Some(AssignedRun {
             worker: sits.worker,
-            run: RunId { task: self.task_id(iteration, index, member), run: sits.run },
+            run: RunId {
+                task: self.task_id(iteration, index, member),
+                run: sits.run,
+            },
             resources: request.resources,
             queue: self.terms.queue.clone(),
             slack_ms: self.slack_of(request.estimated_ms),
--- a/crates/jobs/src/book.rs
+++ b/crates/jobs/src/book.rs
@@ -34,12 +34,22 @@
 impl JobBook {
     /// An empty record.
     pub fn new(settings: Settings) -> JobBook {
-        JobBook { settings, jobs: HashMap::new(), pending: HashMap::new(), fx: Effects::default(), steady: 0 }
+        JobBook {
+            settings,
+            jobs: HashMap::new(),
+            pending: HashMap::new(),
+            fx: Effects::default(),
+            steady: 0,
+        }
     }
 
     /// Takes a job, once for each identifier whatever the body.
     pub fn submit(
-        &mut self, now: Now, id: &JobId, request: JobRequest, terms: &QueueTerms,
+        &mut self,
+        now: Now,
+        id: &JobId,
+        request: JobRequest,
+        terms: &QueueTerms,
     ) -> Result<Submitted, SubmitError> {
         self.note(now);
         if self.jobs.contains_key(id) {
@@ -57,7 +67,9 @@
     /// Ends a job at once; its runs are to be stopped.
     pub fn cancel(&mut self, now: Now, id: &JobId) -> Cancelled {
         self.note(now);
-        let Some(state) = self.status(id) else { return Cancelled::Unknown };
+        let Some(state) = self.status(id) else {
+            return Cancelled::Unknown;
+        };
         if state.is_final() {
             return Cancelled::Already(state);
         }
@@ -87,7 +99,13 @@
             let Entry::Kept(job) = entry else { continue };
             let newer = lookup(&job.terms.queue).map(|terms| sound(&terms));
             if let Some(terms) = newer.filter(|terms| job.end.is_none() && *terms != job.terms) {
-                changed.push((id.clone(), QueueTerms { queue: job.terms.queue.clone(), ..terms }));
+                changed.push((
+                    id.clone(),
+                    QueueTerms {
+                        queue: job.terms.queue.clone(),
+                        ..terms
+                    },
+                ));
             }
         }
         changed.sort_unstable_by(|a, b| a.0.cmp(&b.0));
@@ -124,7 +142,8 @@
     /// is empty) if the unit does not wait or `on` is not exactly its tasks.
     pub fn begin(&mut self, now: Now, unit: &UnitId, on: &[(TaskId, WorkerId)]) -> Vec<StartedRun> {
         self.note(now);
-        self.change(&unit.step.job, |job, fx| job.begin(now, unit, on, fx)).unwrap_or_default()
+        self.change(&unit.step.job, |job, fx| job.begin(now, unit, on, fx))
+            .unwrap_or_default()
     }
 
     /// Records a run's end as its worker listed it. False if the run is not recorded as assigned: nothing changed.
@@ -149,35 +168,62 @@
 
     /// Records where the time of a unit went that is about to begin: it waited, for these causes.
     pub fn waited(&mut self, now: Now, unit: &UnitId, waits: &[(Stage, Millis)]) {
-        let Some(job) = self.kept_mut(&unit.step.job) else { return };
+        let Some(job) = self.kept_mut(&unit.step.job) else {
+            return;
+        };
         let (step, index) = (unit.step.step as usize, unit.index.unwrap_or(0) as usize);
-        let Some(entry) = job.step_mut(unit.step.iteration, step) else { return };
+        let Some(entry) = job.step_mut(unit.step.iteration, step) else {
+            return;
+        };
         // While a hedged task's first run goes on, its time is that run's.
-        let runs = entry.members_of(index).any(|member| entry.members[member].earlier.is_some());
-        let Some(state) = entry.units.get_mut(index).filter(|_| !runs) else { return };
-        waits.iter().for_each(|(stage, waited_ms)| state.spent.add(*stage, *waited_ms));
+        let runs = entry
+            .members_of(index)
+            .any(|member| entry.members[member].earlier.is_some());
+        let Some(state) = entry.units.get_mut(index).filter(|_| !runs) else {
+            return;
+        };
+        waits
+            .iter()
+            .for_each(|(stage, waited_ms)| state.spent.add(*stage, *waited_ms));
         state.told_until = now.steady;
     }
 
     /// Records how a run went that has ended, before [`JobBook::ended`] records its end.
     pub fn ran(&mut self, run: &RunId, times: RunTimes) {
-        let Some(job) = self.kept_mut(&run.task.job) else { return };
-        let Some(place) = job.place_of_run(run) else { return };
+        let Some(job) = self.kept_mut(&run.task.job) else {
+            return;
+        };
+        let Some(place) = job.place_of_run(run) else {
+            return;
+        };
         let state = job.unit_mut(place.iteration, place.step, place.unit);
-        state.into_iter().for_each(|state| state.run_times = Some(times));
+        state
+            .into_iter()
+            .for_each(|state| state.run_times = Some(times));
     }
 
-    fn over(&mut self, now: Now, run: &RunId, outcome: Outcome, vain: Stage, checkpoint: &str) -> bool {
+    fn over(
+        &mut self,
+        now: Now,
+        run: &RunId,
+        outcome: Outcome,
+        vain: Stage,
+        checkpoint: &str,
+    ) -> bool {
         self.note(now);
         let end = RunOver { outcome, vain };
-        let changed = self.change(&run.task.job, |job, fx| job.over(now, run, end, checkpoint, fx));
+        let changed = self.change(&run.task.job, |job, fx| {
+            job.over(now, run, end, checkpoint, fx)
+        });
         changed.unwrap_or(false)
     }
 
     /// Records the checkpoint that a run reported while at work. It is written at the run's end or loss: until then
     /// its worker reports it again to whoever asks.
     pub fn checkpointed(&mut self, run: &RunId, checkpoint: &str) {
-        let Some(job) = self.kept_mut(&run.task.job) else { return };
+        let Some(job) = self.kept_mut(&run.task.job) else {
+            return;
+        };
         if let Some(place) = job.place_of_run(run) {
             job.note_checkpoint(place, checkpoint);
         }
@@ -192,14 +238,21 @@
     /// first counts, and the other one is stopped. False where the run is not its task's only one, or the step is not
     /// hedged.
     pub fn hedge(&mut self, run: &RunId) -> bool {
-        self.change(&run.task.job, |job, fx| job.hedge(run, fx)).unwrap_or(false)
+        self.change(&run.task.job, |job, fx| job.hedge(run, fx))
+            .unwrap_or(false)
     }
 
     /// Whether a run is assigned and its result wanted.
     pub fn is_current(&self, run: &RunId) -> bool {
-        let Some(job) = self.kept(&run.task.job).filter(|job| job.end.is_none()) else { return false };
-        let Some(place) = job.place_of_run(run) else { return false };
-        let Some((_, member)) = job.state_of(place) else { return false };
+        let Some(job) = self.kept(&run.task.job).filter(|job| job.end.is_none()) else {
+            return false;
+        };
+        let Some(place) = job.place_of_run(run) else {
+            return false;
+        };
+        let Some((_, member)) = job.state_of(place) else {
+            return false;
+        };
         match &member.earlier {
             Some(earlier) if place.is_earlier => !earlier.stopping,
             _ => !member.stopping,
@@ -222,13 +275,22 @@
     pub fn take_changes(&mut self) -> Changes {
         let mut writes = Vec::new();
         for id in std::mem::take(&mut self.fx.jobs) {
-            let value = self.jobs.get(&id).map(|entry| record::write(&entry.record()).into());
-            writes.push(Write { key: record::job_key(&id).into(), value });
+            let value = self
+                .jobs
+                .get(&id)
+                .map(|entry| record::write(&entry.record()).into());
+            writes.push(Write {
+                key: record::job_key(&id).into(),
+                value,
+            });
         }
         for task in std::mem::take(&mut self.fx.tasks) {
             let stored = self.kept(&task.job).and_then(|job| job.task_record(&task));
             let value = stored.map(|stored| record::write(&stored).into());
-            writes.push(Write { key: record::task_key(&task).into(), value });
+            writes.push(Write {
+                key: record::task_key(&task).into(),
+                value,
+            });
         }
         let ready = std::mem::take(&mut self.fx.ready);
         Changes {
@@ -265,8 +327,14 @@
 
     /// Changes a job and then brings the indexes in line: the count of pending jobs, the next release, and the
     /// reduction of a job that has ended and of which no run is left.
-    fn change<R>(&mut self, id: &JobId, action: impl FnOnce(&mut Job, &mut Effects) -> R) -> Option<R> {
-        let Some(Entry::Kept(job)) = self.jobs.get_mut(id) else { return None };
+    fn change<R>(
+        &mut self,
+        id: &JobId,
+        action: impl FnOnce(&mut Job, &mut Effects) -> R,
+    ) -> Option<R> {
+        let Some(Entry::Kept(job)) = self.jobs.get_mut(id) else {
+            return None;
+        };
         let before = job.state();
         let result = action(job, &mut self.fx);
         job.plan_release(&mut self.fx);
@@ -279,7 +347,9 @@
     }
 
     fn count_begun(&mut self, queue: &Arc<str>) {
-        let Some(count) = self.pending.get_mut(queue) else { return };
+        let Some(count) = self.pending.get_mut(queue) else {
+            return;
+        };
         *count = count.saturating_sub(1);
         if *count == 0 {
             self.pending.remove(queue);
@@ -287,33 +357,47 @@
     }
 
     fn reduce(&mut self, id: &JobId) {
-        let Some(Entry::Kept(job)) = self.jobs.get(id) else { return };
-        let Some(state) = job.end.filter(|_| job.assigned == 0) else { return };
+        let Some(Entry::Kept(job)) = self.jobs.get(id) else {
+            return;
+        };
+        let Some(state) = job.end.filter(|_| job.assigned == 0) else {
+            return;
+        };
         for &iteration in job.iterations.keys() {
             job.forget_tasks(iteration, &mut self.fx);
         }
         let queue = job.terms.queue.clone();
         self.jobs.insert(id.clone(), Entry::Ended { queue, state });
         self.fx.jobs.insert(id.clone());
-        self.fx.timers.expire_at(self.steady.saturating_add(self.settings.status_ms), id);
+        self.fx
+            .timers
+            .expire_at(self.steady.saturating_add(self.settings.status_ms), id);
     }
 
     /// Adds a job as it was stored.
     pub(crate) fn insert_restored(&mut self, now: Now, id: JobId, entry: Entry) {
         self.note(now);
         if matches!(entry, Entry::Ended { .. }) {
-            self.fx.timers.expire_at(now.steady.saturating_add(self.settings.status_ms), &id);
+            self.fx
+                .timers
+                .expire_at(now.steady.saturating_add(self.settings.status_ms), &id);
         }
         self.jobs.insert(id, entry);
     }
 
     /// After all records were restored: lets every job go on.
     pub(crate) fn resume_all(&mut self, now: Now) {
-        let kept = self.jobs.iter().filter(|(_, entry)| matches!(entry, Entry::Kept(_)));
+        let kept = self
+            .jobs
+            .iter()
+            .filter(|(_, entry)| matches!(entry, Entry::Kept(_)));
         let mut ids: Vec<JobId> = kept.map(|(id, _)| id.clone()).collect();
         ids.sort_unstable();
         for id in ids {
-            if let Some(job) = self.kept(&id).filter(|job| job.state() == JobState::Pending) {
+            if let Some(job) = self
+                .kept(&id)
+                .filter(|job| job.state() == JobState::Pending)
+            {
                 let queue = job.terms.queue.clone();
                 *self.pending.entry(queue).or_default() += 1;
             }
@@ -324,6 +408,13 @@
 
 /// The same terms with a stretch that a record can hold.
 fn sound(terms: &QueueTerms) -> QueueTerms {
-    let stretch = if terms.stretch.is_finite() { terms.stretch } else { 0.0 };
-    QueueTerms { stretch, ..terms.clone() }
+    let stretch = if terms.stretch.is_finite() {
+        terms.stretch
+    } else {
+        0.0
+    };
+    QueueTerms {
+        stretch,
+        ..terms.clone()
+    }
 }
--- a/crates/jobs/src/check.rs
+++ b/crates/jobs/src/check.rs
@@ -28,7 +28,10 @@
         return Err(SubmitError::NoSteps);
     }
     if request.steps.len() > MOST_STEPS {
-        return Err(SubmitError::TooManySteps { found: request.steps.len(), most: MOST_STEPS });
+        return Err(SubmitError::TooManySteps {
+            found: request.steps.len(),
+            most: MOST_STEPS,
+        });
     }
     for (index, step) in request.steps.iter().enumerate() {
         check_step(index, step)?;
@@ -56,11 +59,21 @@
 fn check_size(request: &JobRequest) -> Result<(), SubmitError> {
     let tasks: u64 = request.steps.iter().map(|s| u64::from(s.count)).sum();
     if tasks > MOST_TASKS {
-        return Err(SubmitError::TooManyTasks { found: tasks, most: MOST_TASKS });
+        return Err(SubmitError::TooManyTasks {
+            found: tasks,
+            most: MOST_TASKS,
+        });
     }
-    let most = if request.interval_ms == 0 { MOST_TASKS / tasks.max(1) } else { MOST_REPEATS };
+    let most = if request.interval_ms == 0 {
+        MOST_TASKS / tasks.max(1)
+    } else {
+        MOST_REPEATS
+    };
     if u64::from(request.repeat_count) > most {
-        return Err(SubmitError::TooManyRepeats { found: request.repeat_count, most });
+        return Err(SubmitError::TooManyRepeats {
+            found: request.repeat_count,
+            most,
+        });
     }
     Ok(())
 }
@@ -80,7 +93,11 @@
 fn short(field: String, text: Option<&str>) -> Result<(), SubmitError> {
     let found = text.map_or(0, str::len);
     if found > MOST_LABEL_BYTES {
-        return Err(SubmitError::TextTooLong { field, found, most: MOST_LABEL_BYTES });
+        return Err(SubmitError::TextTooLong {
+            field,
+            found,
+            most: MOST_LABEL_BYTES,
+        });
     }
     Ok(())
 }
--- a/crates/jobs/src/completion.rs
+++ b/crates/jobs/src/completion.rs
@@ -48,7 +48,11 @@
     /// How an iteration ended that ends now. What of its time was not seen is unknown; the objective counts the work on the
     /// chain as it turned out, and the estimated one where most was not seen.
     pub(crate) fn completion(
-        &self, now: Now, iteration: u32, is_done: bool, mut spent: TimeSpent,
+        &self,
+        now: Now,
+        iteration: u32,
+        is_done: bool,
+        mut spent: TimeSpent,
     ) -> Completion {
         let due_unix_ms = self.plan.due_at(iteration).max(self.submitted);
         let took_ms = now.unix.saturating_sub(due_unix_ms);
--- a/crates/jobs/src/due.rs
+++ b/crates/jobs/src/due.rs
@@ -49,9 +49,18 @@
 
     /// How long nothing is due, in milliseconds from `now`.
     pub fn next_in(&self, now: Now) -> Option<Millis> {
-        let release = self.releases.first().map(|(at, _)| at.saturating_sub(now.unix));
-        let pause = self.pauses.first().map(|(at, _)| at.saturating_sub(now.steady));
-        let expiry = self.expiries.first().map(|(at, _)| at.saturating_sub(now.steady));
+        let release = self
+            .releases
+            .first()
+            .map(|(at, _)| at.saturating_sub(now.unix));
+        let pause = self
+            .pauses
+            .first()
+            .map(|(at, _)| at.saturating_sub(now.steady));
+        let expiry = self
+            .expiries
+            .first()
+            .map(|(at, _)| at.saturating_sub(now.steady));
         [release, pause, expiry].into_iter().flatten().min()
     }
 }
--- a/crates/jobs/src/entry.rs
+++ b/crates/jobs/src/entry.rs
@@ -40,9 +40,11 @@
     pub fn record(&self) -> JobRecord {
         match self {
             Entry::Kept(job) => job.record(),
-            Entry::Ended { queue, state } => {
-                JobRecord { queue: queue.clone(), state: Some(*state), open: None }
-            }
+            Entry::Ended { queue, state } => JobRecord {
+                queue: queue.clone(),
+                state: Some(*state),
+                open: None,
+            },
         }
     }
 }
