--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -96,7 +96,11 @@
 
     /// The state that clients are shown.
     pub fn state(&self) -> JobState {
-        let open = if self.begun { JobState::Running } else { JobState::Pending };
+        let open = if self.begun {
+            JobState::Running
+        } else {
+            JobState::Pending
+        };
         self.end.unwrap_or(open)
     }
 
@@ -128,7 +132,8 @@
         if self.done.contains(iteration) {
             return;
         }
-        self.iterations.insert(iteration, Iteration::new(&self.plan));
+        self.iterations
+            .insert(iteration, Iteration::new(&self.plan));
         for step in 0..self.plan.blockers.len() {
             if self.plan.blockers[step] == 0 {
                 self.step_ready(now, iteration, step, fx);
@@ -145,12 +150,24 @@
     }
 
     /// Lets a unit wait for a worker, now or after a pause; it ends the job if the unit has no attempt left.
-    pub fn unit_ready(&mut self, now: Now, iteration: u32, step: usize, unit: usize, fx: &mut Effects) {
+    pub fn unit_ready(
+        &mut self,
+        now: Now,
+        iteration: u32,
+        step: usize,
+        unit: usize,
+        fx: &mut Effects,
+    ) {
         let lasts = self.lasts(step);
         let limit = self.terms.max_attempts;
         let id = self.unit_id(iteration, step, unit);
-        let chain = self.iterations.get(&iteration).map(|content| content.latest.clone());
-        let Some(state) = self.unit_mut(iteration, step, unit) else { return };
+        let chain = self
+            .iterations
+            .get(&iteration)
+            .map(|content| content.latest.clone());
+        let Some(state) = self.unit_mut(iteration, step, unit) else {
+            return;
+        };
         if matches!(state.phase, Phase::Done | Phase::Abandoned) {
             return;
         }
@@ -162,7 +179,11 @@
         if state.phase == Phase::Blocked {
             state.follow(now.steady, chain.unwrap_or_default());
         }
-        let pause = if lasts { restart_pause(state.failed) } else { 0 };
+        let pause = if lasts {
+            restart_pause(state.failed)
+        } else {
+            0
+        };
         if pause > 0 {
             let until = now.steady.saturating_add(pause);
             state.phase = Phase::Paused(until);
@@ -176,7 +197,8 @@
     /// Ends the job as one of its units has no attempt left.
     pub fn fail(&mut self, now: Now, iteration: u32, spent: TimeSpent, fx: &mut Effects) {
         if self.end.is_none() {
-            fx.completions.push(self.completion(now, iteration, false, spent));
+            fx.completions
+                .push(self.completion(now, iteration, false, spent));
         }
         self.finish(JobState::Failed, fx);
     }
@@ -184,7 +206,9 @@
     /// Ends the pause of a unit, if it is the one planned for that time.
     pub fn resume(&mut self, now: Now, planned: Millis, id: &UnitId, fx: &mut Effects) {
         let unit = id.index.unwrap_or(0) as usize;
-        let Some(state) = self.unit_mut(id.step.iteration, id.step.step as usize, unit) else { return };
+        let Some(state) = self.unit_mut(id.step.iteration, id.step.step as usize, unit) else {
+            return;
+        };
         if state.phase == Phase::Paused(planned) {
             state.tell(now.steady, Stage::Paused);
             state.phase = Phase::Waiting;
@@ -232,8 +256,13 @@
     /// objective leaves beside the estimated work.
     pub fn slack_of(&self, estimated_ms: Millis) -> Millis {
         let chain_ms = self.plan.chain_ms as f64;
-        let slack_ms = self.terms.target_latency_ms as f64 + (self.terms.stretch - 1.0).max(0.0) * chain_ms;
-        let share = if chain_ms > 0.0 { (estimated_ms as f64 / chain_ms).min(1.0) } else { 1.0 };
+        let slack_ms =
+            self.terms.target_latency_ms as f64 + (self.terms.stretch - 1.0).max(0.0) * chain_ms;
+        let share = if chain_ms > 0.0 {
+            (estimated_ms as f64 / chain_ms).min(1.0)
+        } else {
+            1.0
+        };
         (share * slack_ms) as Millis
     }
 
@@ -243,18 +272,28 @@
         let request = self.plan.step(id.step.step)?;
         let entry = self.step_at(iteration, step)?;
         let unit = id.index.unwrap_or(0) as usize;
-        let state = entry.units.get(unit).filter(|s| s.phase == Phase::Waiting)?;
+        let state = entry
+            .units
+            .get(unit)
+            .filter(|s| s.phase == Phase::Waiting)?;
         let due = self.plan.due_at(iteration).max(self.submitted);
-        let spare = entry.members_of(unit).any(|m| entry.members[m].earlier.is_some());
+        let spare = entry
+            .members_of(unit)
+            .any(|m| entry.members[m].earlier.is_some());
         let behind = if spare { SPARE_BEHIND_MS } else { 0 };
         Some(Unit {
             id: id.clone(),
-            tasks: entry.members_of(unit).map(|m| self.task_id(iteration, step, m)).collect(),
+            tasks: entry
+                .members_of(unit)
+                .map(|m| self.task_id(iteration, step, m))
+                .collect(),
             resources: request.resources,
             service: self.terms.service.clone(),
             queue: self.terms.queue.clone(),
             priority: self.terms.priority,
-            order: due.saturating_add(self.terms.target_latency_ms).saturating_add(behind),
+            order: due
+                .saturating_add(self.terms.target_latency_ms)
+                .saturating_add(behind),
             slack_ms: self.slack_of(request.estimated_ms),
             node_selector: request.node_selector.clone(),
             affinity: request.affinity.clone(),
@@ -276,8 +315,16 @@
         let members = entry.members_of(unit);
         for index in members.clone() {
             if let Some(earlier) = &entry.members[index].earlier {
-                let task = TaskId { job: job.clone(), iteration, step: step as u32, index: index as u32 };
-                fx.stop.insert(RunId { task, run: earlier.run });
+                let task = TaskId {
+                    job: job.clone(),
+                    iteration,
+                    step: step as u32,
+                    index: index as u32,
+                };
+                fx.stop.insert(RunId {
+                    task,
+                    run: earlier.run,
+                });
             }
         }
         let state = &mut entry.units[unit];
@@ -285,9 +332,17 @@
             Phase::Waiting => fx.revoke(unit_id(job, iteration, step, unit, entry.gang)),
             Phase::Assigned => {
                 let run = state.run;
-                let at = |index| TaskId { job: job.clone(), iteration, step: step as u32, index };
+                let at = |index| TaskId {
+                    job: job.clone(),
+                    iteration,
+                    step: step as u32,
+                    index,
+                };
                 for member in members.filter(|&m| entry.members[m].worker.is_some()) {
-                    fx.stop.insert(RunId { task: at(member as u32), run });
+                    fx.stop.insert(RunId {
+                        task: at(member as u32),
+                        run,
+                    });
                 }
             }
             _ => {}
--- a/crates/jobs/src/place.rs
+++ b/crates/jobs/src/place.rs
@@ -31,7 +31,13 @@
         }
         let unit = step.unit_of(member);
         let (iteration, step) = (task.iteration, task.step as usize);
-        Some(Place { iteration, step, unit, member, is_earlier: false })
+        Some(Place {
+            iteration,
+            step,
+            unit,
+            member,
+            is_earlier: false,
+        })
     }
 
     /// Where a run stands that is recorded as assigned.
@@ -41,8 +47,14 @@
         if member.worker.is_some() && unit.run == run.run {
             return Some(place);
         }
-        let is_earlier = member.earlier.as_ref().is_some_and(|earlier| earlier.run == run.run);
-        is_earlier.then_some(Place { is_earlier, ..place })
+        let is_earlier = member
+            .earlier
+            .as_ref()
+            .is_some_and(|earlier| earlier.run == run.run);
+        is_earlier.then_some(Place {
+            is_earlier,
+            ..place
+        })
     }
 
     /// A step of an iteration that is not over.
@@ -68,12 +80,20 @@
 
     /// Whether a step's tasks run until the job is cancelled.
     pub fn lasts(&self, step: usize) -> bool {
-        self.plan.request.steps.get(step).is_some_and(|s| s.long_running)
+        self.plan
+            .request
+            .steps
+            .get(step)
+            .is_some_and(|s| s.long_running)
     }
 
     /// Whether copies of a step's tasks may run at the same time.
     pub fn is_hedged(&self, step: usize) -> bool {
-        self.plan.request.steps.get(step).is_some_and(|s| s.hedged && !s.gang && !s.long_running)
+        self.plan
+            .request
+            .steps
+            .get(step)
+            .is_some_and(|s| s.hedged && !s.gang && !s.long_running)
     }
 
     /// A unit's identifier.
@@ -84,6 +104,11 @@
 
     /// A task's identifier.
     pub fn task_id(&self, iteration: u32, step: usize, member: usize) -> TaskId {
-        TaskId { job: self.id.clone(), iteration, step: step as u32, index: member as u32 }
+        TaskId {
+            job: self.id.clone(),
+            iteration,
+            step: step as u32,
+            index: member as u32,
+        }
     }
 }
--- a/crates/jobs/src/plan.rs
+++ b/crates/jobs/src/plan.rs
@@ -33,7 +33,13 @@
         }
         let tasks = request.steps.iter().map(|s| u64::from(s.count)).sum();
         let chain_ms = longest_chain(&request, &dependents);
-        Plan { request, dependents, blockers, chain_ms, tasks }
+        Plan {
+            request,
+            dependents,
+            blockers,
+            chain_ms,
+            tasks,
+        }
     }
 
     /// How many iterations there are.
@@ -57,7 +63,11 @@
 fn longest_chain(request: &JobRequest, dependents: &[Vec<u32>]) -> Millis {
     let mut rest_ms: Vec<Millis> = vec![0; request.steps.len()];
     for (index, step) in request.steps.iter().enumerate().rev() {
-        let after = dependents[index].iter().map(|&later| rest_ms[later as usize]).max().unwrap_or(0);
+        let after = dependents[index]
+            .iter()
+            .map(|&later| rest_ms[later as usize])
+            .max()
+            .unwrap_or(0);
         rest_ms[index] = step.estimated_ms.saturating_add(after);
     }
     rest_ms.into_iter().max().unwrap_or(0)
--- a/crates/jobs/src/record.rs
+++ b/crates/jobs/src/record.rs
@@ -96,9 +96,17 @@
 impl Key {
     /// Reads a key.
     pub fn parse(key: &Arc<str>) -> Result<Key, RecordError> {
-        let job = key.strip_prefix(JOB_PREFIX).and_then(|id| id.parse().ok()).map(Key::Job);
-        let task = || key.strip_prefix(TASK_PREFIX).and_then(|id| id.parse().ok()).map(Key::Task);
-        job.or_else(task).ok_or_else(|| RecordError::Key(key.clone()))
+        let job = key
+            .strip_prefix(JOB_PREFIX)
+            .and_then(|id| id.parse().ok())
+            .map(Key::Job);
+        let task = || {
+            key.strip_prefix(TASK_PREFIX)
+                .and_then(|id| id.parse().ok())
+                .map(Key::Task)
+        };
+        job.or_else(task)
+            .ok_or_else(|| RecordError::Key(key.clone()))
     }
 }
 
@@ -114,7 +122,10 @@
 
 /// Reads a value.
 pub(crate) fn read<T: DeserializeOwned>(key: &Arc<str>, value: &str) -> Result<T, RecordError> {
-    serde_json::from_str(value).map_err(|e| RecordError::Value { key: key.clone(), reason: e.to_string() })
+    serde_json::from_str(value).map_err(|e| RecordError::Value {
+        key: key.clone(),
+        reason: e.to_string(),
+    })
 }
 
 /// Writes a value. The forms of this module have only text keys and numbers that JSON can hold, so that this cannot
--- a/crates/jobs/src/recover.rs
+++ b/crates/jobs/src/recover.rs
@@ -16,7 +16,9 @@
     /// order. Units that wait are given out by the next [`JobBook::take_changes`]. An ended job's state is kept for
     /// the whole time again, as the clock by which it ended is gone.
     pub fn recover(
-        settings: Settings, now: Now, records: impl Iterator<Item = (Arc<str>, Arc<str>)>,
+        settings: Settings,
+        now: Now,
+        records: impl Iterator<Item = (Arc<str>, Arc<str>)>,
     ) -> Result<JobBook, RecordError> {
         let mut book = JobBook::new(settings);
         let mut tasks = Vec::new();
@@ -45,14 +47,28 @@
     match (state, open) {
         (state, Some(open)) => {
             check(&open.request).map_err(|e| e.to_string())?;
-            Ok(Entry::Kept(Box::new(Job::restore(id.clone(), queue, state, open))))
+            Ok(Entry::Kept(Box::new(Job::restore(
+                id.clone(),
+                queue,
+                state,
+                open,
+            ))))
         }
         (Some(state), None) => Ok(Entry::Ended { queue, state }),
         (None, None) => Err("neither state nor open is there".into()),
     }
 }
 
-fn restore_task(book: &mut JobBook, now: Now, task: &TaskId, record: TaskRecord) -> Result<(), RecordError> {
-    let restored = book.kept_mut(&task.job).is_some_and(|job| job.restore_task(now, task, record));
-    restored.then_some(()).ok_or_else(|| RecordError::Orphan(record::task_key(task).into()))
+fn restore_task(
+    book: &mut JobBook,
+    now: Now,
+    task: &TaskId,
+    record: TaskRecord,
+) -> Result<(), RecordError> {
+    let restored = book
+        .kept_mut(&task.job)
+        .is_some_and(|job| job.restore_task(now, task, record));
+    restored
+        .then_some(())
+        .ok_or_else(|| RecordError::Orphan(record::task_key(task).into()))
 }
--- a/crates/jobs/src/runs.rs
+++ b/crates/jobs/src/runs.rs
@@ -50,16 +50,28 @@
 impl Job {
     /// Assigns a waiting unit to workers, one for each of its tasks.
     pub fn begin(
-        &mut self, now: Now, id: &UnitId, on: &[(TaskId, WorkerId)], fx: &mut Effects,
+        &mut self,
+        now: Now,
+        id: &UnitId,
+        on: &[(TaskId, WorkerId)],
+        fx: &mut Effects,
     ) -> Vec<StartedRun> {
         let (iteration, step) = (id.step.iteration, id.step.step as usize);
         let unit = id.index.unwrap_or(0) as usize;
         let spec = self.plan.request.spec.clone();
-        let Some(entry) = self.iterations.get_mut(&iteration).and_then(|i| i.steps.get_mut(step)) else {
+        let Some(entry) = self
+            .iterations
+            .get_mut(&iteration)
+            .and_then(|i| i.steps.get_mut(step))
+        else {
+            return Vec::new();
+        };
+        let Some(run) = next_run(entry, id, unit) else {
+            return Vec::new();
+        };
+        let Some(workers) = workers_by_member(entry, id, unit, on) else {
             return Vec::new();
         };
-        let Some(run) = next_run(entry, id, unit) else { return Vec::new() };
-        let Some(workers) = workers_by_member(entry, id, unit, on) else { return Vec::new() };
         let state = &mut entry.units[unit];
         state.run = run;
         state.phase = Phase::Assigned;
@@ -75,10 +87,20 @@
             holder.worker = Some(worker.clone());
             holder.stopping = false;
             holder.reported = None;
-            let task = TaskId { job: self.id.clone(), iteration, step: step as u32, index: member as u32 };
+            let task = TaskId {
+                job: self.id.clone(),
+                iteration,
+                step: step as u32,
+                index: member as u32,
+            };
             fx.tasks.insert(task.clone());
             let run = RunId { task, run };
-            started.push(StartedRun { run, worker, spec: spec.clone(), checkpoint: checkpoint.clone() });
+            started.push(StartedRun {
+                run,
+                worker,
+                spec: spec.clone(),
+                checkpoint: checkpoint.clone(),
+            });
         }
         self.count_assigned(iteration, started.len() as u32);
         self.begun = true;
@@ -93,8 +115,17 @@
     }
 
     /// Records that a run is over; false if it is not recorded as assigned.
-    pub fn over(&mut self, now: Now, run: &RunId, how: RunOver, checkpoint: &str, fx: &mut Effects) -> bool {
-        let Some(place) = self.place_of_run(run) else { return false };
+    pub fn over(
+        &mut self,
+        now: Now,
+        run: &RunId,
+        how: RunOver,
+        checkpoint: &str,
+        fx: &mut Effects,
+    ) -> bool {
+        let Some(place) = self.place_of_run(run) else {
+            return false;
+        };
         self.note_checkpoint(place, checkpoint);
         let worker = self.release_worker(place, run, fx);
         if self.end.is_none() {
@@ -106,12 +137,19 @@
 
     /// Takes the newest checkpoint over, which counts for the whole unit.
     pub fn note_checkpoint(&mut self, place: Place, checkpoint: &str) {
-        let writes = self.plan.request.steps.get(place.step).is_some_and(|s| s.checkpoints);
+        let writes = self
+            .plan
+            .request
+            .steps
+            .get(place.step)
+            .is_some_and(|s| s.checkpoints);
         // The newest run's checkpoints count: two runs that report in turn would write the record each time.
         if !writes || checkpoint.is_empty() || place.is_earlier {
             return;
         }
-        let Some(step) = self.step_mut(place.iteration, place.step) else { return };
+        let Some(step) = self.step_mut(place.iteration, place.step) else {
+            return;
+        };
         let (unit, member) = (&mut step.units[place.unit], &mut step.members[place.member]);
         let before = member.reported.as_deref().unwrap_or(&unit.started_from);
         if before != checkpoint {
@@ -139,15 +177,25 @@
         self.assigned -= 1;
         fx.stop.remove(run);
         fx.tasks.insert(run.task.clone());
-        fx.tasks.insert(self.task_id(place.iteration, place.step, first));
+        fx.tasks
+            .insert(self.task_id(place.iteration, place.step, first));
         worker
     }
 
-    fn judge(&mut self, now: Now, place: Place, how: RunOver, worker: Option<WorkerId>, fx: &mut Effects) {
+    fn judge(
+        &mut self,
+        now: Now,
+        place: Place,
+        how: RunOver,
+        worker: Option<WorkerId>,
+        fx: &mut Effects,
+    ) {
         let RunOver { outcome, vain } = how;
         let lasts = self.lasts(place.step);
         let limit = self.terms.max_attempts.max(1);
-        let Some(state) = self.unit_mut(place.iteration, place.step, place.unit) else { return };
+        let Some(state) = self.unit_mut(place.iteration, place.step, place.unit) else {
+            return;
+        };
         if state.phase == Phase::Done {
             return;
         }
@@ -166,7 +214,11 @@
             });
             // All members of a gang share a run, which counts once; an earlier run is a single task's.
             if place.is_earlier || state.counted != state.run {
-                state.counted = if place.is_earlier { state.counted } else { state.run };
+                state.counted = if place.is_earlier {
+                    state.counted
+                } else {
+                    state.run
+                };
                 state.failed = state.failed.saturating_add(1);
             }
         }
@@ -194,23 +246,34 @@
     /// Lets a second run of a hedged task wait for a worker while the only one goes on. False where the run is not the
     /// only one, or its task is not hedged.
     pub fn hedge(&mut self, run: &RunId, fx: &mut Effects) -> bool {
-        let Some(place) = self.place_of_run(run).filter(|place| !place.is_earlier) else { return false };
+        let Some(place) = self.place_of_run(run).filter(|place| !place.is_earlier) else {
+            return false;
+        };
         if self.end.is_some() || !self.is_hedged(place.step) {
             return false;
         }
         let id = self.unit_id(place.iteration, place.step, place.unit);
-        let Some(step) = self.step_mut(place.iteration, place.step) else { return false };
+        let Some(step) = self.step_mut(place.iteration, place.step) else {
+            return false;
+        };
         let (unit, member) = (&mut step.units[place.unit], &mut step.members[place.member]);
         if unit.phase != Phase::Assigned || member.stopping || member.earlier.is_some() {
             return false;
         }
-        let Some(worker) = member.worker.take() else { return false };
+        let Some(worker) = member.worker.take() else {
+            return false;
+        };
         unit.avoid(&worker);
         unit.assigned -= 1;
         unit.phase = Phase::Waiting;
         member.reported = None;
         let started_from = unit.started_from.clone();
-        member.earlier = Some(EarlierRun { run: unit.run, worker, stopping: false, started_from });
+        member.earlier = Some(EarlierRun {
+            run: unit.run,
+            worker,
+            stopping: false,
+            started_from,
+        });
         fx.tasks.insert(run.task.clone());
         fx.ready.insert(id);
         true
@@ -218,7 +281,9 @@
 
     /// Stops the members that are left; with none left, the unit waits again.
     fn stop_or_wait(&mut self, now: Now, place: Place, fx: &mut Effects) {
-        let Some(step) = self.step_at(place.iteration, place.step) else { return };
+        let Some(step) = self.step_at(place.iteration, place.step) else {
+            return;
+        };
         if step.units[place.unit].assigned == 0 {
             self.unit_ready(now, place.iteration, place.step, place.unit, fx);
             return;
@@ -231,22 +296,35 @@
     /// Marks all members that are left, and gives those that were not marked before.
     fn mark_stopping(&mut self, place: Place, fx: &mut Effects) -> Vec<RunId> {
         let job = self.id.clone();
-        let Some(step) = self.step_mut(place.iteration, place.step) else { return Vec::new() };
+        let Some(step) = self.step_mut(place.iteration, place.step) else {
+            return Vec::new();
+        };
         let run = step.units[place.unit].run;
         let mut marked = Vec::new();
         for index in step.members_of(place.unit) {
             let member = &mut step.members[index];
             let (iteration, step) = (place.iteration, place.step as u32);
-            let task = TaskId { job: job.clone(), iteration, step, index: index as u32 };
+            let task = TaskId {
+                job: job.clone(),
+                iteration,
+                step,
+                index: index as u32,
+            };
             if member.worker.is_some() && !member.stopping {
                 member.stopping = true;
                 fx.tasks.insert(task.clone());
-                marked.push(RunId { task: task.clone(), run });
+                marked.push(RunId {
+                    task: task.clone(),
+                    run,
+                });
             }
             if let Some(earlier) = member.earlier.as_mut().filter(|earlier| !earlier.stopping) {
                 earlier.stopping = true;
                 fx.tasks.insert(task.clone());
-                marked.push(RunId { task, run: earlier.run });
+                marked.push(RunId {
+                    task,
+                    run: earlier.run,
+                });
             }
         }
         marked
@@ -264,7 +342,9 @@
         if state.is_some_and(|state| state.phase == Phase::Waiting) {
             fx.revoke(id);
         }
-        let Some(content) = self.iterations.get_mut(&place.iteration) else { return };
+        let Some(content) = self.iterations.get_mut(&place.iteration) else {
+            return;
+        };
         let freed = content.unit_done(&self.plan, place.step, place.unit);
         let is_complete = content.open_steps == 0;
         let spent = content.latest.clone();
@@ -273,7 +353,8 @@
         }
         if is_complete {
             self.completed += 1;
-            fx.completions.push(self.completion(now, place.iteration, true, spent));
+            fx.completions
+                .push(self.completion(now, place.iteration, true, spent));
         }
         if self.completed == self.plan.iterations() {
             self.finish(JobState::Succeeded, fx);
@@ -294,7 +375,9 @@
 
     /// Marks the records of an iteration's tasks as changed, to be removed with it.
     pub fn forget_tasks(&self, iteration: u32, fx: &mut Effects) {
-        let Some(content) = self.iterations.get(&iteration) else { return };
+        let Some(content) = self.iterations.get(&iteration) else {
+            return;
+        };
         for (step, entry) in content.steps.iter().enumerate() {
             for member in 0..entry.members.len() {
                 if entry.units[entry.unit_of(member)].run > 0 {
@@ -306,14 +389,25 @@
 
     /// Remembers that a run makes no progress at its worker.
     pub fn stalled(&mut self, run: &RunId, fx: &mut Effects) {
-        let Some(place) = self.place_of_run(run) else { return };
-        let Some(step) = self.step_mut(place.iteration, place.step) else { return };
+        let Some(place) = self.place_of_run(run) else {
+            return;
+        };
+        let Some(step) = self.step_mut(place.iteration, place.step) else {
+            return;
+        };
         let member = &step.members[place.member];
         let earlier = member.earlier.as_ref().filter(|_| place.is_earlier);
-        let Some(worker) = earlier.map(|e| &e.worker).or(member.worker.as_ref()).cloned() else { return };
+        let Some(worker) = earlier
+            .map(|e| &e.worker)
+            .or(member.worker.as_ref())
+            .cloned()
+        else {
+            return;
+        };
         let first = step.first_member(place.unit);
         if step.units[place.unit].avoid(&worker) {
-            fx.tasks.insert(self.task_id(place.iteration, place.step, first));
+            fx.tasks
+                .insert(self.task_id(place.iteration, place.step, first));
         }
     }
 }
@@ -328,7 +422,10 @@
 
 /// The workers in order of the unit's tasks; none unless `on` names each of them once and nothing else.
 fn workers_by_member(
-    step: &Step, id: &UnitId, unit: usize, on: &[(TaskId, WorkerId)],
+    step: &Step,
+    id: &UnitId,
+    unit: usize,
+    on: &[(TaskId, WorkerId)],
 ) -> Option<Vec<WorkerId>> {
     let members = step.members_of(unit);
     if on.len() != members.len() {
@@ -336,10 +433,13 @@
     }
     let mut workers = vec![None; members.len()];
     for (task, worker) in on {
-        let is_of_step =
-            task.job == id.step.job && task.iteration == id.step.iteration && task.step == id.step.step;
+        let is_of_step = task.job == id.step.job
+            && task.iteration == id.step.iteration
+            && task.step == id.step.step;
         let offset = (task.index as usize).checked_sub(members.start)?;
-        let slot = workers.get_mut(offset).filter(|slot| is_of_step && slot.is_none())?;
+        let slot = workers
+            .get_mut(offset)
+            .filter(|slot| is_of_step && slot.is_none())?;
         *slot = Some(worker.clone());
     }
     workers.into_iter().collect()
--- a/crates/jobs/src/spent.rs
+++ b/crates/jobs/src/spent.rs
@@ -77,14 +77,19 @@
 
     /// The stages with any time.
     pub fn stages(&self) -> impl Iterator<Item = (Stage, Millis)> + '_ {
-        Stage::ALL.into_iter().map(|stage| (stage, self.of(stage))).filter(|(_, spent_ms)| *spent_ms > 0)
+        Stage::ALL
+            .into_iter()
+            .map(|stage| (stage, self.of(stage)))
+            .filter(|(_, spent_ms)| *spent_ms > 0)
     }
 }
 
 impl From<BTreeMap<Stage, Millis>> for TimeSpent {
     fn from(stages: BTreeMap<Stage, Millis>) -> TimeSpent {
         let mut spent = TimeSpent::default();
-        stages.into_iter().for_each(|(stage, spent_ms)| spent.add(stage, spent_ms));
+        stages
+            .into_iter()
+            .for_each(|(stage, spent_ms)| spent.add(stage, spent_ms));
         spent
     }
 }
--- a/crates/jobs/src/steps.rs
+++ b/crates/jobs/src/steps.rs
@@ -183,17 +183,22 @@
 impl Iteration {
     /// An iteration of which nothing has begun.
     pub fn new(plan: &Plan) -> Iteration {
-        let steps = plan.request.steps.iter().zip(&plan.blockers).map(|(request, &blockers)| {
-            let count = request.count as usize;
-            let units = if request.gang { 1 } else { count };
-            Step {
-                gang: request.gang,
-                blockers,
-                open: units as u32,
-                units: vec![UnitState::default(); units],
-                members: vec![Member::default(); count],
-            }
-        });
+        let steps = plan
+            .request
+            .steps
+            .iter()
+            .zip(&plan.blockers)
+            .map(|(request, &blockers)| {
+                let count = request.count as usize;
+                let units = if request.gang { 1 } else { count };
+                Step {
+                    gang: request.gang,
+                    blockers,
+                    open: units as u32,
+                    units: vec![UnitState::default(); units],
+                    members: vec![Member::default(); count],
+                }
+            });
         Iteration {
             steps: steps.collect(),
             open_steps: plan.request.steps.len() as u32,
--- a/crates/jobs/src/stored.rs
+++ b/crates/jobs/src/stored.rs
@@ -25,7 +25,11 @@
             done_above: self.done.above.iter().copied().collect(),
             request: self.plan.request.clone(),
         };
-        JobRecord { queue: self.terms.queue.clone(), state: self.end, open: Some(open) }
+        JobRecord {
+            queue: self.terms.queue.clone(),
+            state: self.end,
+            open: Some(open),
+        }
     }
 
     /// A task's record; none if nothing of it has begun.
@@ -67,7 +71,10 @@
         };
         let mut job = Job::new(id, terms, Plan::new(open.request), open.submitted_ms);
         job.end = end;
-        job.done = DoneIterations { below: open.done_below, above: open.done_above.into_iter().collect() };
+        job.done = DoneIterations {
+            below: open.done_below,
+            above: open.done_above.into_iter().collect(),
+        };
         job.completed = job.done.count();
         job.begun = job.completed > 0;
         job
@@ -75,12 +82,19 @@
 
     /// Takes a task's record over. False if the job has no such task.
     pub fn restore_task(&mut self, now: Now, task: &TaskId, record: TaskRecord) -> bool {
-        if record.run == 0 || task.iteration >= self.plan.iterations() || self.done.contains(task.iteration) {
+        if record.run == 0
+            || task.iteration >= self.plan.iterations()
+            || self.done.contains(task.iteration)
+        {
             return false;
         }
         self.restore_iterations(task.iteration);
-        let Some(place) = self.place(task) else { return false };
-        let Some(content) = self.iterations.get_mut(&place.iteration) else { return false };
+        let Some(place) = self.place(task) else {
+            return false;
+        };
+        let Some(content) = self.iterations.get_mut(&place.iteration) else {
+            return false;
+        };
         let step = &mut content.steps[place.step];
         let is_first = step.first_member(place.unit) == place.member;
         let (unit, member) = (&mut step.units[place.unit], &mut step.members[place.member]);
@@ -106,7 +120,9 @@
             unit.phase = if record.done { Phase::Done } else { unit.phase };
             unit.failed = record.failed;
             unit.counted = record.counted;
-            unit.started_from = record.started_from.unwrap_or_else(|| record.checkpoint.clone());
+            unit.started_from = record
+                .started_from
+                .unwrap_or_else(|| record.checkpoint.clone());
             unit.checkpoint = record.checkpoint;
             unit.avoid = record.avoid;
         }
@@ -117,13 +133,16 @@
     /// Iterations are released in order, so those before one that has begun were released too.
     fn restore_iterations(&mut self, last: u32) {
         if self.end.is_some() {
-            self.iterations.entry(last).or_insert_with(|| Iteration::new(&self.plan));
+            self.iterations
+                .entry(last)
+                .or_insert_with(|| Iteration::new(&self.plan));
             return;
         }
         self.next = self.next.max(self.done.below);
         while self.next <= last {
             if !self.done.contains(self.next) {
-                self.iterations.insert(self.next, Iteration::new(&self.plan));
+                self.iterations
+                    .insert(self.next, Iteration::new(&self.plan));
             }
             self.next += 1;
         }
@@ -140,7 +159,9 @@
     }
 
     fn resume_iteration(&mut self, now: Now, iteration: u32, fx: &mut Effects) {
-        let Some(content) = self.iterations.get_mut(&iteration) else { return };
+        let Some(content) = self.iterations.get_mut(&iteration) else {
+            return;
+        };
         for step in 0..content.steps.len() {
             for unit in 0..content.steps[step].units.len() {
                 let state = &mut content.steps[step].units[unit];
@@ -157,7 +178,10 @@
             self.completed += 1;
         }
         let steps = 0..self.plan.blockers.len();
-        let free = |s: &usize| self.step_at(iteration, *s).is_some_and(|step| step.blockers == 0);
+        let free = |s: &usize| {
+            self.step_at(iteration, *s)
+                .is_some_and(|step| step.blockers == 0)
+        };
         let free_steps: Vec<usize> = steps.filter(free).collect();
         for step in free_steps {
             self.resume_step(now, iteration, step, fx);
--- a/crates/jobs/tests/accounts.rs
+++ b/crates/jobs/tests/accounts.rs
@@ -18,14 +18,26 @@
 }
 
 /// Lets a run's order and the run itself take so long, and ends it.
-fn run_for(world: &mut World, run: &RunId, ordered_ms: Millis, ran_ms: Millis, slowness: f64, how: RunEnd) {
+fn run_for(
+    world: &mut World,
+    run: &RunId,
+    ordered_ms: Millis,
+    ran_ms: Millis,
+    slowness: f64,
+    how: RunEnd,
+) {
     world.pass(ordered_ms + ran_ms);
     world.book.ran(run, RunTimes { ran_ms, slowness });
     assert!(world.end(run, how));
 }
 
 fn completion(world: &World) -> Completion {
-    assert_eq!(world.last.completions.len(), 1, "{:?}", world.last.completions);
+    assert_eq!(
+        world.last.completions.len(),
+        1,
+        "{:?}",
+        world.last.completions
+    );
     world.last.completions[0].clone()
 }
 
@@ -37,12 +49,27 @@
 fn given_two_steps_when_the_last_task_of_each_decides_then_the_time_is_that_of_their_chain() {
     let mut world = World::new();
     world.submit(1, request(vec![step(2), after(1, &[0])]));
-    let fast = wait_and_begin(&mut world, &unit(1, 0, 0, Some(0)), Stage::WaitedForRoom, 50);
-    let slow = wait_and_begin(&mut world, &unit(1, 0, 0, Some(1)), Stage::WaitedWithRoomFree, 50);
+    let fast = wait_and_begin(
+        &mut world,
+        &unit(1, 0, 0, Some(0)),
+        Stage::WaitedForRoom,
+        50,
+    );
+    let slow = wait_and_begin(
+        &mut world,
+        &unit(1, 0, 0, Some(1)),
+        Stage::WaitedWithRoomFree,
+        50,
+    );
     run_for(&mut world, &fast, 10, 100, 1.0, RunEnd::Done);
     run_for(&mut world, &slow, 0, 240, 1.0, RunEnd::Done);
     assert!(world.last.completions.is_empty());
-    let last = wait_and_begin(&mut world, &unit(1, 0, 1, Some(0)), Stage::WaitedForReservation, 30);
+    let last = wait_and_begin(
+        &mut world,
+        &unit(1, 0, 1, Some(0)),
+        Stage::WaitedForReservation,
+        30,
+    );
     run_for(&mut world, &last, 20, 300, 1.5, RunEnd::Done);
 
     let completion = completion(&world);
@@ -67,7 +94,8 @@
 #[case::stopped(RunEnd::Stopped, Stage::Stopped)]
 #[case::lapsed(RunEnd::Lapsed, Stage::Lost)]
 fn given_a_run_in_vain_when_the_task_is_done_later_then_its_time_counts_by_how_it_ended(
-    #[case] how: RunEnd, #[case] stage: Stage,
+    #[case] how: RunEnd,
+    #[case] stage: Stage,
 ) {
     let mut world = World::new();
     world.submit(1, request(vec![step(1)]));
@@ -77,7 +105,11 @@
     let second = wait_and_begin(&mut world, &id, Stage::WaitedForRoom, 200);
     run_for(&mut world, &second, 0, 900, 1.0, RunEnd::Done);
 
-    let expected = vec![(Stage::WaitedForRoom, 300), (Stage::Worked, 900), (stage, 450)];
+    let expected = vec![
+        (Stage::WaitedForRoom, 300),
+        (Stage::Worked, 900),
+        (stage, 450),
+    ];
     let mut told = stages(&completion(&world));
     told.sort();
     assert_eq!(told, expected);
@@ -93,7 +125,11 @@
     world.lose(&first);
     let second = wait_and_begin(&mut world, &id, Stage::WaitedForWorker, 20);
     run_for(&mut world, &second, 0, 100, 1.0, RunEnd::Done);
-    let expected = vec![(Stage::WaitedForWorker, 30), (Stage::Worked, 100), (Stage::Lost, 700)];
+    let expected = vec![
+        (Stage::WaitedForWorker, 30),
+        (Stage::Worked, 100),
+        (Stage::Lost, 700),
+    ];
     assert_eq!(stages(&completion(&world)), expected);
 }
 
@@ -108,13 +144,22 @@
     }
     let completion = completion(&world);
     assert!(!completion.is_done && !completion.is_in_time());
-    assert_eq!(stages(&completion), vec![(Stage::WaitedForRoom, 20), (Stage::Failed, 600)]);
+    assert_eq!(
+        stages(&completion),
+        vec![(Stage::WaitedForRoom, 20), (Stage::Failed, 600)]
+    );
 }
 
 #[test]
 fn given_a_hedged_task_when_its_second_run_is_ordered_then_the_first_ones_time_goes_on() {
     let mut world = World::new();
-    world.submit(1, request(vec![StepRequest { hedged: true, ..step(1) }]));
+    world.submit(
+        1,
+        request(vec![StepRequest {
+            hedged: true,
+            ..step(1)
+        }]),
+    );
     let id = unit(1, 0, 0, Some(0));
     let first = wait_and_begin(&mut world, &id, Stage::WaitedForRoom, 10);
     world.pass(400);
@@ -132,12 +177,20 @@
 fn given_a_successor_when_it_sees_the_end_of_a_job_then_what_it_did_not_see_is_unknown() {
     let mut world = World::new();
     world.submit(1, request(vec![step(1)]));
-    let run = wait_and_begin(&mut world, &unit(1, 0, 0, Some(0)), Stage::WaitedForRoom, 40);
+    let run = wait_and_begin(
+        &mut world,
+        &unit(1, 0, 0, Some(0)),
+        Stage::WaitedForRoom,
+        40,
+    );
     world.pass(3_000);
     let mut world = world.recovered();
     run_for(&mut world, &run, 0, 200, 1.0, RunEnd::Done);
     let completion = completion(&world);
-    assert_eq!(stages(&completion), vec![(Stage::Worked, 200), (Stage::Unknown, 3_040)]);
+    assert_eq!(
+        stages(&completion),
+        vec![(Stage::Worked, 200), (Stage::Unknown, 3_040)]
+    );
     assert_eq!(completion.objective_ms, 800 + (2.5 * 900.0) as Millis);
 }
 
--- a/crates/jobs/tests/bad_input.rs
+++ b/crates/jobs/tests/bad_input.rs
@@ -10,11 +10,22 @@
 use streamusher_protocol::job::{JobRequest, StepRequest};
 
 fn repeated(repeat_count: u32, interval_ms: u64, tasks: u32) -> JobRequest {
-    JobRequest { repeat_count, interval_ms, ..request(vec![step(tasks)]) }
+    JobRequest {
+        repeat_count,
+        interval_ms,
+        ..request(vec![step(tasks)])
+    }
 }
 
 fn with_cpu(cpu: u64) -> JobRequest {
-    request(vec![StepRequest { resources: Resources { cpu, mem_mb: 1, gpu: 0 }, ..step(1) }])
+    request(vec![StepRequest {
+        resources: Resources {
+            cpu,
+            mem_mb: 1,
+            gpu: 0,
+        },
+        ..step(1)
+    }])
 }
 
 #[rstest]
@@ -38,12 +49,19 @@
     "steps[0].node_selector has 300 bytes"
 )]
 fn given_a_job_that_cannot_be_run_when_it_is_submitted_then_the_field_is_named_and_nothing_is_kept(
-    #[case] body: JobRequest, #[case] named: &str,
+    #[case] body: JobRequest,
+    #[case] named: &str,
 ) {
     let mut world = World::new();
-    let refused = world.book.submit(world.now, &job(1), body, &terms("scans")).expect_err("it is refused");
+    let refused = world
+        .book
+        .submit(world.now, &job(1), body, &terms("scans"))
+        .expect_err("it is refused");
     assert!(refused.to_string().contains(named), "{refused}");
-    assert!(refused.to_string().contains("send ") || refused.to_string().contains("name "), "{refused}");
+    assert!(
+        refused.to_string().contains("send ") || refused.to_string().contains("name "),
+        "{refused}"
+    );
     world.take();
     assert!(world.state.is_empty() && world.ready.is_empty());
     assert_eq!(world.status(1), None);
@@ -53,17 +71,40 @@
 #[test]
 fn given_jobs_at_the_limits_when_they_are_submitted_then_they_are_taken() {
     let mut world = World::new();
-    world.submit(1, JobRequest { spec: "x".repeat(4_000).into(), ..request(vec![step(10_000)]) });
+    world.submit(
+        1,
+        JobRequest {
+            spec: "x".repeat(4_000).into(),
+            ..request(vec![step(10_000)])
+        },
+    );
     world.submit(2, repeated(1_000_000, 1_000_000_000_000, 1));
-    world.submit(3, request((0..1_000).map(|i| after(1, &(0..i).collect::<Vec<u32>>())).collect()));
-    assert_eq!(world.status(3), Some(streamusher_protocol::job::JobState::Pending));
+    world.submit(
+        3,
+        request(
+            (0..1_000)
+                .map(|i| after(1, &(0..i).collect::<Vec<u32>>()))
+                .collect(),
+        ),
+    );
+    assert_eq!(
+        world.status(3),
+        Some(streamusher_protocol::job::JobState::Pending)
+    );
     assert_eq!(world.recovered().ready, world.ready);
 }
 
 #[test]
 fn given_a_stretch_that_is_no_number_when_the_job_is_recovered_then_its_record_can_be_read() {
     let mut world = World::new();
-    world.submit_to(1, request(vec![step(1)]), &QueueTerms { stretch: f64::NAN, ..terms("scans") });
+    world.submit_to(
+        1,
+        request(vec![step(1)]),
+        &QueueTerms {
+            stretch: f64::NAN,
+            ..terms("scans")
+        },
+    );
     assert_eq!(world.recovered().ready, world.ready);
 }
 
@@ -74,8 +115,10 @@
 }
 
 fn recover(records: &[(&str, &str)]) -> Result<JobBook, RecordError> {
-    let records: Vec<(Arc<str>, Arc<str>)> =
-        records.iter().map(|(k, v)| (Arc::from(*k), Arc::from(*v))).collect();
+    let records: Vec<(Arc<str>, Arc<str>)> = records
+        .iter()
+        .map(|(k, v)| (Arc::from(*k), Arc::from(*v)))
+        .collect();
     JobBook::recover(settings(), START, records.into_iter())
 }
 
@@ -95,7 +138,10 @@
     #[case] records: &[(&str, &str)],
 ) {
     let refused = recover(records).expect_err("it is refused").to_string();
-    assert!(records.iter().any(|(key, _)| refused.contains(key)), "{refused}");
+    assert!(
+        records.iter().any(|(key, _)| refused.contains(key)),
+        "{refused}"
+    );
     assert!(refused.contains("another replica"), "{refused}");
 }
 
@@ -106,14 +152,17 @@
 #[case::beyond_the_job(open("1"), r#"{"run":1}"#, "task/0000000000000001.0.1.0")]
 #[case::beyond_its_times(open("1"), r#"{"run":1}"#, "task/0000000000000001.4294967295.0.0")]
 fn given_a_record_that_does_not_fit_its_job_when_it_is_recovered_then_nothing_is_built(
-    #[case] job: String, #[case] record: &str, #[case] key: &str,
+    #[case] job: String,
+    #[case] record: &str,
+    #[case] key: &str,
 ) {
     assert!(recover(&[(JOB, &job), (key, record)]).is_err());
 }
 
 #[test]
 fn given_records_in_any_order_when_they_are_recovered_then_the_order_does_not_matter() {
-    let book = recover(&[(TASK, r#"{"run":3,"worker":"w"}"#), (JOB, &open("1"))]).expect("it can be read");
+    let book =
+        recover(&[(TASK, r#"{"run":3,"worker":"w"}"#), (JOB, &open("1"))]).expect("it can be read");
     assert_eq!(book.assigned().len(), 1);
     assert_eq!(book.assigned()[0].run.run, 3);
 }
--- a/crates/jobs/tests/common/mod.rs
+++ b/crates/jobs/tests/common/mod.rs
@@ -14,10 +14,16 @@
 use streamusher_protocol::{Millis, Now};
 
 pub const STATUS_MS: Millis = 60_000;
-pub const START: Now = Now { steady: 5_000, unix: 1_700_000_000_000 };
+pub const START: Now = Now {
+    steady: 5_000,
+    unix: 1_700_000_000_000,
+};
 
 pub fn settings() -> Settings {
-    Settings { status_ms: STATUS_MS, early_ms: 250 }
+    Settings {
+        status_ms: STATUS_MS,
+        early_ms: 250,
+    }
 }
 
 pub fn job(number: u64) -> JobId {
@@ -25,11 +31,23 @@
 }
 
 pub fn task(number: u64, iteration: u32, step: u32, index: u32) -> TaskId {
-    TaskId { job: job(number), iteration, step, index }
+    TaskId {
+        job: job(number),
+        iteration,
+        step,
+        index,
+    }
 }
 
 pub fn unit(number: u64, iteration: u32, step: u32, index: Option<u32>) -> UnitId {
-    UnitId { step: StepId { job: job(number), iteration, step }, index }
+    UnitId {
+        step: StepId {
+            job: job(number),
+            iteration,
+            step,
+        },
+        index,
+    }
 }
 
 pub fn run(task: TaskId, run: u32) -> RunId {
@@ -50,22 +68,37 @@
 pub fn step(count: u32) -> StepRequest {
     StepRequest {
         count,
-        resources: Resources { cpu: 500, mem_mb: 256, gpu: 0 },
+        resources: Resources {
+            cpu: 500,
+            mem_mb: 256,
+            gpu: 0,
+        },
         estimated_ms: 900,
         ..StepRequest::default()
     }
 }
 
 pub fn after(count: u32, depends_on: &[u32]) -> StepRequest {
-    StepRequest { depends_on: depends_on.to_vec(), ..step(count) }
+    StepRequest {
+        depends_on: depends_on.to_vec(),
+        ..step(count)
+    }
 }
 
 pub fn gang(count: u32) -> StepRequest {
-    StepRequest { gang: true, checkpoints: true, ..step(count) }
+    StepRequest {
+        gang: true,
+        checkpoints: true,
+        ..step(count)
+    }
 }
 
 pub fn request(steps: Vec<StepRequest>) -> JobRequest {
-    JobRequest { spec: "scan 7".into(), steps, ..JobRequest::default() }
+    JobRequest {
+        spec: "scan 7".into(),
+        steps,
+        ..JobRequest::default()
+    }
 }
 
 pub struct World {
@@ -100,14 +133,21 @@
         let changes = self.book.take_changes();
         let mut keys = BTreeSet::new();
         for write in &changes.writes {
-            assert!(keys.insert(write.key.clone()), "{} is written twice in a batch", write.key);
+            assert!(
+                keys.insert(write.key.clone()),
+                "{} is written twice in a batch",
+                write.key
+            );
             match &write.value {
                 Some(value) => self.state.insert(write.key.clone(), value.clone()),
                 None => self.state.remove(&write.key),
             };
         }
         for id in &changes.revoked {
-            assert!(self.ready.remove(id).is_some(), "{id:?} was not given out before it was revoked");
+            assert!(
+                self.ready.remove(id).is_some(),
+                "{id:?} was not given out before it was revoked"
+            );
         }
         for unit in &changes.ready {
             assert!(
@@ -131,15 +171,24 @@
     }
 
     pub fn submit_to(&mut self, number: u64, request: JobRequest, terms: &QueueTerms) {
-        self.book.submit(self.now, &job(number), request, terms).expect("the job is taken");
+        self.book
+            .submit(self.now, &job(number), request, terms)
+            .expect("the job is taken");
         self.take();
     }
 
     /// Begins a unit, member i at worker `wi`.
     pub fn begin(&mut self, id: &UnitId) -> Vec<StartedRun> {
-        let unit = self.ready.remove(id).unwrap_or_else(|| panic!("{id:?} does not wait"));
-        let on: Vec<(TaskId, WorkerId)> =
-            unit.tasks.iter().enumerate().map(|(i, t)| (t.clone(), format!("w{i}").into())).collect();
+        let unit = self
+            .ready
+            .remove(id)
+            .unwrap_or_else(|| panic!("{id:?} does not wait"));
+        let on: Vec<(TaskId, WorkerId)> = unit
+            .tasks
+            .iter()
+            .enumerate()
+            .map(|(i, t)| (t.clone(), format!("w{i}").into()))
+            .collect();
         let started = self.book.begin(self.now, id, &on);
         self.take();
         started
@@ -190,7 +239,12 @@
     pub fn recovered(&self) -> World {
         let records = self.state.iter().map(|(k, v)| (k.clone(), v.clone()));
         let book = JobBook::recover(settings(), self.now, records).expect("the state can be read");
-        let mut world = World { book, now: self.now, state: self.state.clone(), ..World::new() };
+        let mut world = World {
+            book,
+            now: self.now,
+            state: self.state.clone(),
+            ..World::new()
+        };
         world.take();
         world
     }
--- a/crates/jobs/tests/common/oracle.rs
+++ b/crates/jobs/tests/common/oracle.rs
@@ -44,11 +44,23 @@
             }
         }
         let submitted = now.unix;
-        JobFacts { request, terms, submitted, end: None, ended_at: 0, begun: false, units }
+        JobFacts {
+            request,
+            terms,
+            submitted,
+            end: None,
+            ended_at: 0,
+            begun: false,
+            units,
+        }
     }
 
     pub fn state(&self) -> JobState {
-        self.end.unwrap_or(if self.begun { JobState::Running } else { JobState::Pending })
+        self.end.unwrap_or(if self.begun {
+            JobState::Running
+        } else {
+            JobState::Pending
+        })
     }
 
     pub fn step(&self, step: u32) -> &StepRequest {
@@ -60,7 +72,9 @@
     }
 
     pub fn step_done(&self, iteration: u32, step: u32) -> bool {
-        self.units.range((iteration, step, 0)..(iteration, step + 1, 0)).all(|(_, u)| u.done)
+        self.units
+            .range((iteration, step, 0)..(iteration, step + 1, 0))
+            .all(|(_, u)| u.done)
     }
 
     /// Whether a unit's turn has come, and nothing of it runs.
@@ -82,7 +96,11 @@
     }
 
     pub fn begin(&mut self, key: (u32, u32, u32), started: &[StartedRun]) {
-        let members = if self.step(key.1).gang { self.step(key.1).count } else { 1 };
+        let members = if self.step(key.1).gang {
+            self.step(key.1).count
+        } else {
+            1
+        };
         let has_checkpoints = self.step(key.1).checkpoints;
         let spec = self.request.spec.clone();
         let max_attempts = self.terms.max_attempts;
@@ -94,14 +112,23 @@
         unit.run += 1;
         unit.broken = false;
         for run in started {
-            assert_eq!(run.run.run, unit.run, "run numbers rise by one and are shared");
+            assert_eq!(
+                run.run.run, unit.run,
+                "run numbers rise by one and are shared"
+            );
             assert_eq!(run.spec, spec);
-            assert_eq!(run.checkpoint, started[0].checkpoint, "all bring the same checkpoint");
+            assert_eq!(
+                run.checkpoint, started[0].checkpoint,
+                "all bring the same checkpoint"
+            );
             assert!(unit.held.insert(run.run.task.index));
         }
         let checkpoint = started[0].checkpoint.to_string();
         let is_own = unit.checkpoints.contains(&checkpoint);
-        assert!(checkpoint.is_empty() || (has_checkpoints && is_own), "UNASKED: {checkpoint:?}");
+        assert!(
+            checkpoint.is_empty() || (has_checkpoints && is_own),
+            "UNASKED: {checkpoint:?}"
+        );
         self.begun = true;
     }
 
--- a/crates/jobs/tests/gangs.rs
+++ b/crates/jobs/tests/gangs.rs
@@ -24,14 +24,19 @@
     assert_eq!(world.ready[&id].tasks.len(), 3);
     let started = world.begin(&id);
     assert_eq!(started.len(), 3);
-    assert!(started.iter().all(|s| s.run.run == 1 && s.checkpoint.is_empty()));
+    assert!(started
+        .iter()
+        .all(|s| s.run.run == 1 && s.checkpoint.is_empty()));
     world.book.checkpointed(run_of(&started, 1), "c1");
     world.book.checkpointed(run_of(&started, 0), "c2");
     world.book.checkpointed(run_of(&started, 1), "c1");
     started.iter().for_each(|s| world.lose(&s.run));
     let again = world.begin(&id);
     assert!(again.iter().all(|s| s.run.run == 2));
-    assert!(again.iter().all(|s| &*s.checkpoint == "c2"), "a repeated older report is not the newest");
+    assert!(
+        again.iter().all(|s| &*s.checkpoint == "c2"),
+        "a repeated older report is not the newest"
+    );
 }
 
 #[test]
@@ -39,9 +44,21 @@
     let (mut world, id) = gang_world();
     let at = |index| (task(1, 0, 0, index), "w".into());
     assert!(world.book.begin(world.now, &id, &[at(0), at(1)]).is_empty());
-    assert!(world.book.begin(world.now, &id, &[at(0), at(1), at(1)]).is_empty());
-    assert!(world.book.begin(world.now, &unit(1, 0, 0, Some(0)), &[at(0)]).is_empty());
-    assert_eq!(world.book.begin(world.now, &id, &[at(2), at(1), at(0)]).len(), 3);
+    assert!(world
+        .book
+        .begin(world.now, &id, &[at(0), at(1), at(1)])
+        .is_empty());
+    assert!(world
+        .book
+        .begin(world.now, &unit(1, 0, 0, Some(0)), &[at(0)])
+        .is_empty());
+    assert_eq!(
+        world
+            .book
+            .begin(world.now, &id, &[at(2), at(1), at(0)])
+            .len(),
+        3
+    );
 }
 
 #[test]
@@ -81,7 +98,10 @@
     let (mut world, id) = gang_world();
     let started = world.begin(&id);
     world.end(run_of(&started, 0), RunEnd::Broken);
-    assert_eq!(world.last.stop, vec![run_of(&started, 1).clone(), run_of(&started, 2).clone()]);
+    assert_eq!(
+        world.last.stop,
+        vec![run_of(&started, 1).clone(), run_of(&started, 2).clone()]
+    );
     assert!(!world.book.is_current(run_of(&started, 1)));
     assert!(world.waits().is_empty());
     let mut recovered = world.recovered();
@@ -102,7 +122,9 @@
 fn given_a_gang_when_several_members_of_a_run_fail_then_it_is_one_attempt() {
     let (mut world, id) = gang_world();
     let started = world.begin(&id);
-    started.iter().for_each(|s| assert!(world.end(&s.run, RunEnd::Failed)));
+    started
+        .iter()
+        .for_each(|s| assert!(world.end(&s.run, RunEnd::Failed)));
     assert_eq!(world.status(1), Some(JobState::Running));
     assert_eq!(world.waits(), vec![id.clone()]);
     let mut recovered = world.recovered();
@@ -128,7 +150,8 @@
 }
 
 #[test]
-fn given_a_gang_that_was_counted_when_a_recovery_comes_between_two_failures_of_a_run_then_it_counts_once() {
+fn given_a_gang_that_was_counted_when_a_recovery_comes_between_two_failures_of_a_run_then_it_counts_once(
+) {
     let (mut world, id) = gang_world();
     let started = world.begin(&id);
     world.end(run_of(&started, 0), RunEnd::Failed);
@@ -151,7 +174,13 @@
 #[test]
 fn given_a_gang_that_lasts_when_a_member_ends_then_all_start_anew() {
     let mut world = World::new();
-    world.submit(1, request(vec![StepRequest { long_running: true, ..gang(2) }]));
+    world.submit(
+        1,
+        request(vec![StepRequest {
+            long_running: true,
+            ..gang(2)
+        }]),
+    );
     let id = unit(1, 0, 0, None);
     let started = world.begin(&id);
     world.end(run_of(&started, 0), RunEnd::Done);
@@ -172,6 +201,10 @@
     let mut recovered = world.recovered();
     recovered.book.checkpointed(run_of(&second, 0), "c2");
     for world in [&world, &recovered] {
-        assert!(world.book.assigned().iter().all(|a| &*a.checkpoint == "c1" && &*a.spec == "scan 7"));
+        assert!(world
+            .book
+            .assigned()
+            .iter()
+            .all(|a| &*a.checkpoint == "c1" && &*a.spec == "scan 7"));
     }
 }
--- a/crates/jobs/tests/hedging.rs
+++ b/crates/jobs/tests/hedging.rs
@@ -8,7 +8,10 @@
 use streamusher_protocol::task::{RunEnd, RunId};
 
 fn hedged(count: u32) -> StepRequest {
-    StepRequest { hedged: true, ..step(count) }
+    StepRequest {
+        hedged: true,
+        ..step(count)
+    }
 }
 
 /// A job whose only task is at work, and a copy of which waits.
@@ -41,7 +44,9 @@
 #[case::not_hedged(step(1))]
 #[case::gang(StepRequest { hedged: true, ..gang(2) })]
 #[case::lasting(StepRequest { long_running: true, ..hedged(1) })]
-fn given_a_step_that_may_not_run_twice_when_a_copy_is_wanted_then_there_is_none(#[case] step: StepRequest) {
+fn given_a_step_that_may_not_run_twice_when_a_copy_is_wanted_then_there_is_none(
+    #[case] step: StepRequest,
+) {
     let index = if step.gang { None } else { Some(0) };
     let mut world = World::new();
     world.submit(1, request(vec![step]));
@@ -60,16 +65,25 @@
 #[rstest]
 #[case::the_earlier(true)]
 #[case::the_newer(false)]
-fn given_two_runs_when_one_is_done_then_the_job_succeeds_and_the_other_is_stopped(#[case] earlier: bool) {
+fn given_two_runs_when_one_is_done_then_the_job_succeeds_and_the_other_is_stopped(
+    #[case] earlier: bool,
+) {
     let (mut world, first, second) = given_two_runs();
-    let (winner, loser) = if earlier { (&first, &second) } else { (&second, &first) };
+    let (winner, loser) = if earlier {
+        (&first, &second)
+    } else {
+        (&second, &first)
+    };
 
     assert!(world.end(winner, RunEnd::Done));
 
     assert_eq!(world.status(1), Some(JobState::Succeeded));
     assert_eq!(world.last.stop, std::slice::from_ref(loser));
     assert!(!world.book.is_current(loser));
-    assert!(world.end(loser, RunEnd::Stopped), "its room is held until it is over");
+    assert!(
+        world.end(loser, RunEnd::Stopped),
+        "its room is held until it is over"
+    );
     assert_eq!(world.status(1), Some(JobState::Succeeded));
 }
 
@@ -85,7 +99,9 @@
 #[case(RunEnd::Failed)]
 #[case(RunEnd::Lapsed)]
 #[case(RunEnd::Stopped)]
-fn given_a_copy_that_waits_when_the_run_ends_otherwise_then_it_waits_as_the_only_one(#[case] how: RunEnd) {
+fn given_a_copy_that_waits_when_the_run_ends_otherwise_then_it_waits_as_the_only_one(
+    #[case] how: RunEnd,
+) {
     let (mut world, first) = given_a_copy_that_waits();
     assert!(world.end(&first, how));
     let waiting = &world.ready[&unit(1, 0, 0, Some(0))];
@@ -123,7 +139,12 @@
     let (world, first, second) = given_two_runs();
     let mut successor = world.recovered();
 
-    let held: Vec<RunId> = successor.book.assigned().into_iter().map(|run| run.run).collect();
+    let held: Vec<RunId> = successor
+        .book
+        .assigned()
+        .into_iter()
+        .map(|run| run.run)
+        .collect();
     assert_eq!(held, [first.clone(), second.clone()]);
     assert!(successor.waits().is_empty());
 
@@ -143,7 +164,10 @@
 fn given_a_done_step_whose_other_copy_is_not_over_when_it_is_then_the_jobs_record_is_reduced() {
     let (mut world, first, second) = given_two_runs();
     world.end(&second, RunEnd::Done);
-    assert!(world.keys().iter().any(|key| key.starts_with("task/")), "the run still takes room");
+    assert!(
+        world.keys().iter().any(|key| key.starts_with("task/")),
+        "the run still takes room"
+    );
     world.lose(&first);
     assert!(!world.keys().iter().any(|key| key.starts_with("task/")));
 }
--- a/crates/jobs/tests/runs.rs
+++ b/crates/jobs/tests/runs.rs
@@ -15,13 +15,26 @@
     let started = world.begin(&unit(1, 0, 0, Some(0)));
     assert_eq!(started.len(), 1);
     assert_eq!(started[0].run, run(task(1, 0, 0, 0), 1));
-    assert_eq!((&*started[0].worker, &*started[0].spec, &*started[0].checkpoint), ("w0", "scan 7", ""));
+    assert_eq!(
+        (
+            &*started[0].worker,
+            &*started[0].spec,
+            &*started[0].checkpoint
+        ),
+        ("w0", "scan 7", "")
+    );
     assert!(
-        world.state.contains_key(&*format!("task/{}", task(1, 0, 0, 0))),
+        world
+            .state
+            .contains_key(&*format!("task/{}", task(1, 0, 0, 0))),
         "it is written before it starts"
     );
     assert!(world.book.is_current(&started[0].run));
-    let again = world.book.begin(world.now, &unit(1, 0, 0, Some(0)), &[(task(1, 0, 0, 0), "w9".into())]);
+    let again = world.book.begin(
+        world.now,
+        &unit(1, 0, 0, Some(0)),
+        &[(task(1, 0, 0, 0), "w9".into())],
+    );
     assert!(again.is_empty(), "a task has one run at most");
 }
 
@@ -30,19 +43,52 @@
     let mut world = World::new();
     world.submit(1, request(vec![step(2)]));
     let id = unit(1, 0, 0, Some(0));
-    let (own, other) = ((task(1, 0, 0, 0), "w0".into()), (task(1, 0, 0, 1), "w1".into()));
+    let (own, other) = (
+        (task(1, 0, 0, 0), "w0".into()),
+        (task(1, 0, 0, 1), "w1".into()),
+    );
     assert!(world.book.begin(world.now, &id, &[]).is_empty());
-    assert!(world.book.begin(world.now, &id, std::slice::from_ref(&other)).is_empty());
-    assert!(world.book.begin(world.now, &id, &[own.clone(), other]).is_empty());
-    assert!(world.book.begin(world.now, &unit(1, 0, 0, None), std::slice::from_ref(&own)).is_empty());
-    assert!(world.book.begin(world.now, &unit(1, 0, 9, Some(0)), std::slice::from_ref(&own)).is_empty());
-    assert!(world.book.begin(world.now, &unit(2, 0, 0, Some(0)), std::slice::from_ref(&own)).is_empty());
+    assert!(world
+        .book
+        .begin(world.now, &id, std::slice::from_ref(&other))
+        .is_empty());
+    assert!(world
+        .book
+        .begin(world.now, &id, &[own.clone(), other])
+        .is_empty());
+    assert!(world
+        .book
+        .begin(world.now, &unit(1, 0, 0, None), std::slice::from_ref(&own))
+        .is_empty());
+    assert!(world
+        .book
+        .begin(
+            world.now,
+            &unit(1, 0, 9, Some(0)),
+            std::slice::from_ref(&own)
+        )
+        .is_empty());
+    assert!(world
+        .book
+        .begin(
+            world.now,
+            &unit(2, 0, 0, Some(0)),
+            std::slice::from_ref(&own)
+        )
+        .is_empty());
     assert_eq!(world.book.begin(world.now, &id, &[own]).len(), 1);
 }
 
 #[rstest]
 fn given_a_run_when_it_ends_neither_done_nor_failed_then_no_attempt_counts_and_it_waits_again(
-    #[values(RunEnd::Stopped, RunEnd::Lapsed, RunEnd::Broken, RunEnd::Alone, RunEnd::Refused)] how: RunEnd,
+    #[values(
+        RunEnd::Stopped,
+        RunEnd::Lapsed,
+        RunEnd::Broken,
+        RunEnd::Alone,
+        RunEnd::Refused
+    )]
+    how: RunEnd,
 ) {
     let mut world = World::new();
     world.submit(1, request(vec![step(1)]));
@@ -56,7 +102,8 @@
 }
 
 #[test]
-fn given_a_task_when_it_has_failed_as_often_as_allowed_then_the_job_has_failed_and_the_rest_is_stopped() {
+fn given_a_task_when_it_has_failed_as_often_as_allowed_then_the_job_has_failed_and_the_rest_is_stopped(
+) {
     let mut world = World::new();
     world.submit(1, request(vec![step(3)]));
     let other = world.begin(&unit(1, 0, 0, Some(1)));
@@ -67,7 +114,11 @@
     assert!(world.waits().is_empty());
     assert_eq!(world.last.stop, vec![other[0].run.clone()]);
     assert!(world.end(&other[0].run, RunEnd::Done));
-    assert_eq!(world.status(1), Some(JobState::Failed), "a final state stays");
+    assert_eq!(
+        world.status(1),
+        Some(JobState::Failed),
+        "a final state stays"
+    );
 }
 
 #[test]
@@ -83,7 +134,10 @@
     assert!(!world.book.is_current(&first[0].run));
     assert!(world.book.is_current(&second[0].run));
     assert!(!world.end(&run(task(7, 0, 0, 0), 1), RunEnd::Done));
-    assert!(!world.end(&run(task(1, 4_000_000_000, 70, 4_000_000_000), 1), RunEnd::Done));
+    assert!(!world.end(
+        &run(task(1, 4_000_000_000, 70, 4_000_000_000), 1),
+        RunEnd::Done
+    ));
 }
 
 #[test]
@@ -97,7 +151,8 @@
 }
 
 #[test]
-fn given_a_run_when_it_is_lost_or_withdrawn_then_its_number_is_not_used_again_also_after_a_recovery() {
+fn given_a_run_when_it_is_lost_or_withdrawn_then_its_number_is_not_used_again_also_after_a_recovery(
+) {
     let mut world = World::new();
     world.submit(1, request(vec![step(1)]));
     let id = unit(1, 0, 0, Some(0));
@@ -111,9 +166,16 @@
 }
 
 #[test]
-fn given_a_step_with_checkpoints_when_its_run_is_stopped_or_lost_then_the_next_continues_from_the_newest() {
+fn given_a_step_with_checkpoints_when_its_run_is_stopped_or_lost_then_the_next_continues_from_the_newest(
+) {
     let mut world = World::new();
-    world.submit(1, request(vec![StepRequest { checkpoints: true, ..step(2) }]));
+    world.submit(
+        1,
+        request(vec![StepRequest {
+            checkpoints: true,
+            ..step(2)
+        }]),
+    );
     let id = unit(1, 0, 0, Some(0));
     let first = world.begin(&id);
     world.book.checkpointed(&first[0].run, "c1");
@@ -124,7 +186,11 @@
     world.book.checkpointed(&second[0].run, "");
     world.lose(&second[0].run);
     assert_eq!(&*world.begin(&id)[0].checkpoint, "c3");
-    assert_eq!(&*world.begin(&unit(1, 0, 0, Some(1)))[0].checkpoint, "", "another task's is never taken");
+    assert_eq!(
+        &*world.begin(&unit(1, 0, 0, Some(1)))[0].checkpoint,
+        "",
+        "another task's is never taken"
+    );
 }
 
 #[test]
@@ -141,7 +207,13 @@
 #[test]
 fn given_a_checkpoint_of_an_earlier_run_when_it_comes_late_then_it_is_not_used() {
     let mut world = World::new();
-    world.submit(1, request(vec![StepRequest { checkpoints: true, ..step(1) }]));
+    world.submit(
+        1,
+        request(vec![StepRequest {
+            checkpoints: true,
+            ..step(1)
+        }]),
+    );
     let id = unit(1, 0, 0, Some(0));
     let first = world.begin(&id);
     world.end_with(&first[0].run, RunEnd::Stopped, "c5");
@@ -152,18 +224,28 @@
 }
 
 #[test]
-fn given_runs_that_failed_or_stood_still_when_the_task_waits_again_then_it_avoids_the_newest_four_workers() {
+fn given_runs_that_failed_or_stood_still_when_the_task_waits_again_then_it_avoids_the_newest_four_workers(
+) {
     let mut world = World::new();
-    let patient = QueueTerms { max_attempts: 9, ..terms("scans") };
+    let patient = QueueTerms {
+        max_attempts: 9,
+        ..terms("scans")
+    };
     world.submit_to(1, request(vec![step(1)]), &patient);
     let id = unit(1, 0, 0, Some(0));
     for worker in ["a", "b", "c", "d", "e"] {
-        let started = world.book.begin(world.now, &id, &[(task(1, 0, 0, 0), worker.into())]);
+        let started = world
+            .book
+            .begin(world.now, &id, &[(task(1, 0, 0, 0), worker.into())]);
         if worker == "b" {
             world.book.stalled(&started[0].run);
-            world.book.ended(world.now, &started[0].run, RunEnd::Stopped, "");
+            world
+                .book
+                .ended(world.now, &started[0].run, RunEnd::Stopped, "");
         } else {
-            world.book.ended(world.now, &started[0].run, RunEnd::Failed, "");
+            world
+                .book
+                .ended(world.now, &started[0].run, RunEnd::Failed, "");
         }
     }
     world.ready.clear();
@@ -174,15 +256,22 @@
 }
 
 #[test]
-fn given_a_worker_at_which_a_task_failed_again_and_again_when_it_waits_then_others_are_not_forgotten_for_it()
-{
+fn given_a_worker_at_which_a_task_failed_again_and_again_when_it_waits_then_others_are_not_forgotten_for_it(
+) {
     let mut world = World::new();
-    let patient = QueueTerms { max_attempts: 9, ..terms("scans") };
+    let patient = QueueTerms {
+        max_attempts: 9,
+        ..terms("scans")
+    };
     world.submit_to(1, request(vec![step(1)]), &patient);
     let id = unit(1, 0, 0, Some(0));
     for worker in ["a", "b", "b", "b", "b"] {
-        let started = world.book.begin(world.now, &id, &[(task(1, 0, 0, 0), worker.into())]);
-        assert!(world.book.ended(world.now, &started[0].run, RunEnd::Failed, ""));
+        let started = world
+            .book
+            .begin(world.now, &id, &[(task(1, 0, 0, 0), worker.into())]);
+        assert!(world
+            .book
+            .ended(world.now, &started[0].run, RunEnd::Failed, ""));
     }
     world.ready.clear();
     world.take();
@@ -195,7 +284,13 @@
     #[values(RunEnd::Done, RunEnd::Failed, RunEnd::Stopped, RunEnd::Lapsed)] how: RunEnd,
 ) {
     let mut world = World::new();
-    world.submit(1, request(vec![StepRequest { long_running: true, ..step(1) }]));
+    world.submit(
+        1,
+        request(vec![StepRequest {
+            long_running: true,
+            ..step(1)
+        }]),
+    );
     let id = unit(1, 0, 0, Some(0));
     for number in 1..=20 {
         world.pass(2_000);
@@ -209,13 +304,23 @@
 #[test]
 fn given_a_task_that_lasts_when_it_fails_again_and_again_then_its_pause_grows_to_two_seconds() {
     let mut world = World::new();
-    world.submit(1, request(vec![StepRequest { long_running: true, ..step(1) }]));
+    world.submit(
+        1,
+        request(vec![StepRequest {
+            long_running: true,
+            ..step(1)
+        }]),
+    );
     let id = unit(1, 0, 0, Some(0));
     let mut pauses = Vec::new();
     for _ in 0..8 {
         world.play(&id, RunEnd::Failed);
         let waits = world.ready.contains_key(&id);
-        let pause = if waits { 0 } else { world.book.next_in(world.now).expect("a pause is planned") };
+        let pause = if waits {
+            0
+        } else {
+            world.book.next_in(world.now).expect("a pause is planned")
+        };
         pauses.push(pause);
         if pause > 0 {
             world.pass(pause - 1);
@@ -227,13 +332,23 @@
     let started = world.begin(&id);
     world.pass(10_000);
     world.end(&started[0].run, RunEnd::Failed);
-    assert_eq!(world.waits(), vec![id], "after a sound run the first failure costs no pause");
+    assert_eq!(
+        world.waits(),
+        vec![id],
+        "after a sound run the first failure costs no pause"
+    );
 }
 
 #[test]
 fn given_a_task_that_lasts_and_pauses_when_its_job_is_cancelled_then_it_never_waits_again() {
     let mut world = World::new();
-    world.submit(1, request(vec![StepRequest { long_running: true, ..step(1) }]));
+    world.submit(
+        1,
+        request(vec![StepRequest {
+            long_running: true,
+            ..step(1)
+        }]),
+    );
     world.play(&unit(1, 0, 0, Some(0)), RunEnd::Failed);
     world.play(&unit(1, 0, 0, Some(0)), RunEnd::Failed);
     world.cancel(1);
@@ -246,7 +361,12 @@
     let mut world = World::new();
     world.submit(1, request(vec![step(2)]));
     world.play(&unit(1, 0, 0, Some(0)), RunEnd::Failed);
-    world.book.retune(&|_| Some(QueueTerms { max_attempts: 1, ..terms("scans") }));
+    world.book.retune(&|_| {
+        Some(QueueTerms {
+            max_attempts: 1,
+            ..terms("scans")
+        })
+    });
     world.take();
     assert_eq!(world.status(1), Some(JobState::Failed));
     assert!(world.waits().is_empty());
@@ -258,7 +378,12 @@
     world.submit(1, request(vec![step(1)]));
     world.play(&unit(1, 0, 0, Some(0)), RunEnd::Failed);
     let second = world.begin(&unit(1, 0, 0, Some(0)));
-    world.book.retune(&|_| Some(QueueTerms { max_attempts: 1, ..terms("scans") }));
+    world.book.retune(&|_| {
+        Some(QueueTerms {
+            max_attempts: 1,
+            ..terms("scans")
+        })
+    });
     world.take();
     assert_eq!(world.status(1), Some(JobState::Running));
     world.end(&second[0].run, RunEnd::Done);
--- a/crates/jobs/tests/search.rs
+++ b/crates/jobs/tests/search.rs
@@ -58,8 +58,13 @@
     }
 
     fn random_request(&mut self) -> JobRequest {
-        let steps = (0..1 + self.random.below(4) as u32).map(|i| self.random_step(i)).collect();
-        let mut body = JobRequest { spec: format!("spec {}", self.submitted).into(), ..request(steps) };
+        let steps = (0..1 + self.random.below(4) as u32)
+            .map(|i| self.random_step(i))
+            .collect();
+        let mut body = JobRequest {
+            spec: format!("spec {}", self.submitted).into(),
+            ..request(steps)
+        };
         if self.random.chance(30) {
             body.repeat_count = 1 + self.random.below(4) as u32;
             body.interval_ms = self.random.below(4_000);
@@ -74,22 +79,33 @@
         let body = self.random_request();
         let queue = QUEUES[self.random.below(3) as usize];
         let terms = self.terms[queue].clone();
-        self.facts.insert(number, JobFacts::new(body.clone(), terms.clone(), self.world.now));
+        self.facts.insert(
+            number,
+            JobFacts::new(body.clone(), terms.clone(), self.world.now),
+        );
         self.world.submit_to(number, body, &terms);
     }
 
     fn submit_again(&mut self) {
         let known: Vec<u64> = self.facts.keys().copied().collect();
-        let Some(&number) = self.random.pick(&known) else { return };
-        self.world.submit_to(number, request(vec![step(1)]), &terms("scans"));
+        let Some(&number) = self.random.pick(&known) else {
+            return;
+        };
+        self.world
+            .submit_to(number, request(vec![step(1)]), &terms("scans"));
         assert!(self.world.last.writes.is_empty());
     }
 
     fn begin(&mut self) {
         let waiting = self.world.waits();
-        let Some(id) = self.random.pick(&waiting).cloned() else { return };
+        let Some(id) = self.random.pick(&waiting).cloned() else {
+            return;
+        };
         let started: Vec<StartedRun> = self.world.begin(&id);
-        let facts = self.facts.get_mut(&number_of(&id.step.job)).expect("a submitted job");
+        let facts = self
+            .facts
+            .get_mut(&number_of(&id.step.job))
+            .expect("a submitted job");
         assert!(facts.turn(key_of(&id), self.world.now), "ORDER: {id:?}");
         facts.begin(key_of(&id), &started);
         for run in started {
@@ -103,7 +119,10 @@
         for (&number, facts) in &self.facts {
             for (&key, unit) in &facts.units {
                 for &index in &unit.held {
-                    let run = RunId { task: task(number, key.0, key.1, index), run: unit.run };
+                    let run = RunId {
+                        task: task(number, key.0, key.1, index),
+                        run: unit.run,
+                    };
                     held.push((number, key, run));
                 }
             }
@@ -113,20 +132,40 @@
 
     fn report(&mut self) {
         let held = self.held();
-        let Some((number, key, run)) = self.random.pick(&held).cloned() else { return };
+        let Some((number, key, run)) = self.random.pick(&held).cloned() else {
+            return;
+        };
         self.reported += 1;
         let text = format!("c{}", self.reported);
         let facts = self.facts.get_mut(&number).expect("a job");
-        facts.units.get_mut(&key).expect("a unit").checkpoints.insert(text.clone());
+        facts
+            .units
+            .get_mut(&key)
+            .expect("a unit")
+            .checkpoints
+            .insert(text.clone());
         self.world.book.checkpointed(&run, &text);
         self.newest.insert(run, text);
     }
 
     fn over(&mut self) {
         let held = self.held();
-        let Some((number, key, run)) = self.random.pick(&held).cloned() else { return };
-        let ends = [RunEnd::Done, RunEnd::Done, RunEnd::Done, RunEnd::Failed, RunEnd::Stopped];
-        let others = [RunEnd::Lapsed, RunEnd::Broken, RunEnd::Alone, RunEnd::Refused];
+        let Some((number, key, run)) = self.random.pick(&held).cloned() else {
+            return;
+        };
+        let ends = [
+            RunEnd::Done,
+            RunEnd::Done,
+            RunEnd::Done,
+            RunEnd::Failed,
+            RunEnd::Stopped,
+        ];
+        let others = [
+            RunEnd::Lapsed,
+            RunEnd::Broken,
+            RunEnd::Alone,
+            RunEnd::Refused,
+        ];
         let how = match self.random.below(10) {
             0 => None,
             1 => Some(others[self.random.below(4) as usize]),
@@ -152,7 +191,9 @@
 
     fn cancel(&mut self) {
         let known: Vec<u64> = self.facts.keys().copied().collect();
-        let Some(&number) = self.random.pick(&known) else { return };
+        let Some(&number) = self.random.pick(&known) else {
+            return;
+        };
         self.world.cancel(number);
         let facts = self.facts.get_mut(&number).expect("a job");
         if facts.end.is_none() {
@@ -168,7 +209,9 @@
         (entry.service, entry.priority) = (service, priority);
         let is_removed = self.random.chance(20);
         let terms = self.terms.clone();
-        self.world.book.retune(&|q| terms.get(q).filter(|_| !is_removed || q != queue).cloned());
+        self.world
+            .book
+            .retune(&|q| terms.get(q).filter(|_| !is_removed || q != queue).cloned());
         self.world.take();
         for facts in self.facts.values_mut().filter(|f| f.end.is_none()) {
             if !is_removed || &*facts.terms.queue != queue {
@@ -184,7 +227,10 @@
         self.facts.retain(|&number, facts| {
             let is_old = facts.end.is_some() && !facts.holds_runs();
             let is_gone = is_old && self.world.book.status(&job(number)).is_none();
-            assert!(!is_gone || now.steady >= facts.ended_at + STATUS_MS, "an ended job went too early");
+            assert!(
+                !is_gone || now.steady >= facts.ended_at + STATUS_MS,
+                "an ended job went too early"
+            );
             !is_gone
         });
     }
@@ -192,27 +238,50 @@
     fn recover(&mut self) {
         self.world.pass(0);
         let mut recovered = self.world.recovered();
-        assert!(recovered.last.writes.is_empty(), "a recovery changes nothing: {:?}", recovered.last.writes);
+        assert!(
+            recovered.last.writes.is_empty(),
+            "a recovery changes nothing: {:?}",
+            recovered.last.writes
+        );
         for (run, checkpoint) in &self.newest {
             recovered.book.checkpointed(run, checkpoint);
         }
         assert_eq!(recovered.book.assigned(), self.world.book.assigned());
         for &number in self.facts.keys() {
             assert_eq!(recovered.status(number), self.world.status(number));
-            assert_eq!(recovered.book.queue_of(&job(number)), self.world.book.queue_of(&job(number)));
+            assert_eq!(
+                recovered.book.queue_of(&job(number)),
+                self.world.book.queue_of(&job(number))
+            );
         }
         for queue in QUEUES {
-            assert_eq!(recovered.book.waiting(queue), self.world.book.waiting(queue));
+            assert_eq!(
+                recovered.book.waiting(queue),
+                self.world.book.waiting(queue)
+            );
         }
-        let rests = |id: &UnitId| self.facts[&number_of(&id.step.job)].step(id.step.step).long_running;
-        let sure = |w: &World| -> Vec<_> { w.ready.values().filter(|u| !rests(&u.id)).cloned().collect() };
+        let rests = |id: &UnitId| {
+            self.facts[&number_of(&id.step.job)]
+                .step(id.step.step)
+                .long_running
+        };
+        let sure = |w: &World| -> Vec<_> {
+            w.ready
+                .values()
+                .filter(|u| !rests(&u.id))
+                .cloned()
+                .collect()
+        };
         assert_eq!(sure(&recovered), sure(&self.world));
         if self.random.chance(50) {
             recovered.stops = std::mem::take(&mut self.world.stops);
             self.world = recovered;
             for facts in self.facts.values_mut() {
                 // A pause begins anew with the recovery.
-                facts.units.values_mut().for_each(|u| u.over_at = self.world.now.steady);
+                facts
+                    .units
+                    .values_mut()
+                    .for_each(|u| u.over_at = self.world.now.steady);
             }
         }
     }
@@ -220,7 +289,11 @@
     fn check(&self) {
         let mut waiting = BTreeMap::<&str, u64>::new();
         for (&number, facts) in &self.facts {
-            assert_eq!(self.world.status(number), Some(facts.state()), "job {number}");
+            assert_eq!(
+                self.world.status(number),
+                Some(facts.state()),
+                "job {number}"
+            );
             if facts.state() == JobState::Pending {
                 *waiting.entry(&facts.terms.queue).or_default() += 1;
             }
@@ -228,9 +301,17 @@
             self.check_keys(number, facts);
         }
         for queue in QUEUES {
-            assert_eq!(self.world.book.waiting(queue), waiting.get(queue).copied().unwrap_or(0));
+            assert_eq!(
+                self.world.book.waiting(queue),
+                waiting.get(queue).copied().unwrap_or(0)
+            );
         }
-        let known: BTreeSet<u64> = self.world.ready.keys().map(|id| number_of(&id.step.job)).collect();
+        let known: BTreeSet<u64> = self
+            .world
+            .ready
+            .keys()
+            .map(|id| number_of(&id.step.job))
+            .collect();
         assert!(known.iter().all(|number| self.facts.contains_key(number)));
     }
 
@@ -241,7 +322,10 @@
             let given = self.world.ready.get(&id);
             let turn = facts.turn(key, self.world.now);
             let is_late = self.released_later(facts, key.0);
-            assert!(turn || given.is_none(), "{id:?} waits before its turn or after its job's end");
+            assert!(
+                turn || given.is_none(),
+                "{id:?} waits before its turn or after its job's end"
+            );
             assert!(
                 !turn || given.is_some() || is_late || facts.may_rest(key, self.world.now),
                 "{id:?} is lost"
@@ -253,12 +337,21 @@
                 assert_eq!(given.order, due + facts.terms.target_latency_ms);
             }
             for &index in &unit.held {
-                let run = RunId { task: task(number, key.0, key.1, index), run: unit.run };
+                let run = RunId {
+                    task: task(number, key.0, key.1, index),
+                    run: unit.run,
+                };
                 let wanted = facts.end.is_none() && !unit.done && !unit.broken;
                 assert_eq!(self.world.book.is_current(&run), wanted, "{run:?}");
                 let must_stop = !unit.done && !wanted;
-                assert!(!must_stop || self.world.stops.contains(&run), "{run:?} is not stopped");
-                assert!(!wanted || !self.world.stops.contains(&run), "{run:?} is stopped without cause");
+                assert!(
+                    !must_stop || self.world.stops.contains(&run),
+                    "{run:?} is not stopped"
+                );
+                assert!(
+                    !wanted || !self.world.stops.contains(&run),
+                    "{run:?} is stopped without cause"
+                );
             }
         }
     }
@@ -271,14 +364,22 @@
     fn check_keys(&self, number: u64, facts: &JobFacts) {
         let is_over = facts.end.is_some() && !facts.holds_runs();
         let prefix = format!("task/{}.", job(number));
-        let stored = self
-            .world
-            .state
-            .range::<str, _>((std::ops::Bound::Included(prefix.as_str()), std::ops::Bound::Unbounded));
-        let tasks = stored.take_while(|(key, _)| key.starts_with(&prefix)).count();
-        assert!(!is_over || tasks == 0, "job {number} is over and has {tasks} tasks stored");
+        let stored = self.world.state.range::<str, _>((
+            std::ops::Bound::Included(prefix.as_str()),
+            std::ops::Bound::Unbounded,
+        ));
+        let tasks = stored
+            .take_while(|(key, _)| key.starts_with(&prefix))
+            .count();
+        assert!(
+            !is_over || tasks == 0,
+            "job {number} is over and has {tasks} tasks stored"
+        );
         let record = &self.world.state[&*format!("job/{}", job(number))];
-        assert!(!is_over || record.len() < 60, "the record of an ended job is {record}");
+        assert!(
+            !is_over || record.len() < 60,
+            "the record of an ended job is {record}"
+        );
     }
 
     fn round(&mut self) {
@@ -323,7 +424,8 @@
 }
 
 #[test]
-fn given_a_hundred_thousand_jobs_when_one_more_lives_and_ends_then_it_costs_no_look_at_the_others() {
+fn given_a_hundred_thousand_jobs_when_one_more_lives_and_ends_then_it_costs_no_look_at_the_others()
+{
     let mut world = World::new();
     for number in 0..100_000 {
         world.submit(number, request(vec![step(1)]));
@@ -334,7 +436,9 @@
         let id = common::unit(number, 0, 0, Some(0));
         let on: [(TaskId, WorkerId); 1] = [(task(number, 0, 0, 0), "w".into())];
         let started = world.book.begin(world.now, &id, &on);
-        assert!(world.book.ended(world.now, &started[0].run, RunEnd::Done, ""));
+        assert!(world
+            .book
+            .ended(world.now, &started[0].run, RunEnd::Done, ""));
     }
     assert_eq!(world.book.waiting("scans"), 0);
     world.ready.clear();
--- a/crates/jobs/tests/steps.rs
+++ b/crates/jobs/tests/steps.rs
@@ -12,7 +12,10 @@
 fn given_a_new_job_when_it_is_submitted_then_its_first_step_waits_and_its_record_is_written() {
     let mut world = World::new();
     world.submit(1, request(vec![step(2), after(1, &[0])]));
-    assert_eq!(world.waits(), vec![unit(1, 0, 0, Some(0)), unit(1, 0, 0, Some(1))]);
+    assert_eq!(
+        world.waits(),
+        vec![unit(1, 0, 0, Some(0)), unit(1, 0, 0, Some(1))]
+    );
     assert_eq!(world.keys(), vec![format!("job/{}", job(1))]);
     assert_eq!(world.status(1), Some(JobState::Pending));
     assert_eq!(world.book.waiting("scans"), 1);
@@ -23,13 +26,17 @@
 fn given_a_known_id_when_it_is_submitted_again_with_another_body_then_it_stays_one_job() {
     let mut world = World::new();
     world.submit(1, request(vec![step(1)]));
-    let again = world.book.submit(world.now, &job(1), request(vec![step(5)]), &terms("scans"));
+    let again = world
+        .book
+        .submit(world.now, &job(1), request(vec![step(5)]), &terms("scans"));
     assert_eq!(again, Ok(Submitted::Known));
     world.take();
     assert!(world.last.writes.is_empty());
     assert_eq!(world.waits().len(), 1);
     world.play(&unit(1, 0, 0, Some(0)), RunEnd::Done);
-    let after_end = world.book.submit(world.now, &job(1), request(vec![step(1)]), &terms("scans"));
+    let after_end = world
+        .book
+        .submit(world.now, &job(1), request(vec![step(1)]), &terms("scans"));
     assert_eq!(after_end, Ok(Submitted::Known));
 }
 
@@ -72,7 +79,12 @@
 fn given_a_timed_job_when_time_passes_then_each_iteration_waits_at_its_time_and_never_before() {
     let mut world = World::new();
     let start_at_ms = START.unix + 1_000;
-    let timed = JobRequest { repeat_count: 2, start_at_ms, interval_ms: 500, ..request(vec![step(1)]) };
+    let timed = JobRequest {
+        repeat_count: 2,
+        start_at_ms,
+        interval_ms: 500,
+        ..request(vec![step(1)])
+    };
     world.submit(1, timed);
     assert!(world.waits().is_empty());
     assert_eq!(world.book.next_in(world.now), Some(1_000));
@@ -83,7 +95,10 @@
     world.pass(499);
     assert_eq!(world.waits().len(), 1);
     world.pass(1);
-    assert_eq!(world.waits(), vec![unit(1, 0, 0, Some(0)), unit(1, 1, 0, Some(0))]);
+    assert_eq!(
+        world.waits(),
+        vec![unit(1, 0, 0, Some(0)), unit(1, 1, 0, Some(0))]
+    );
     world.play(&unit(1, 1, 0, Some(0)), RunEnd::Done);
     assert_eq!(world.status(1), Some(JobState::Running));
     world.play(&unit(1, 0, 0, Some(0)), RunEnd::Done);
@@ -102,7 +117,11 @@
     world.submit(1, timed);
     world.play(&unit(1, 0, 0, Some(0)), RunEnd::Done);
     assert_eq!(world.status(1), Some(JobState::Running));
-    assert_eq!(world.keys(), vec![format!("job/{}", job(1))], "the tasks of the iteration are forgotten");
+    assert_eq!(
+        world.keys(),
+        vec![format!("job/{}", job(1))],
+        "the tasks of the iteration are forgotten"
+    );
     let mut recovered = world.recovered();
     assert!(recovered.waits().is_empty());
     assert_eq!(recovered.status(1), Some(JobState::Running));
@@ -111,17 +130,27 @@
 }
 
 #[test]
-fn given_an_iteration_that_has_begun_when_a_recovery_reads_an_earlier_time_of_day_then_it_is_kept() {
+fn given_an_iteration_that_has_begun_when_a_recovery_reads_an_earlier_time_of_day_then_it_is_kept()
+{
     let mut world = World::new();
     let start_at_ms = START.unix + 1_000;
-    let timed = JobRequest { repeat_count: 3, start_at_ms, interval_ms: 500, ..request(vec![step(1)]) };
+    let timed = JobRequest {
+        repeat_count: 3,
+        start_at_ms,
+        interval_ms: 500,
+        ..request(vec![step(1)])
+    };
     world.submit(1, timed);
     world.pass(1_500);
     world.begin(&unit(1, 1, 0, Some(0)));
     world.now.unix -= 5_000;
     let mut recovered = world.recovered();
     assert_eq!(recovered.book.assigned().len(), 1);
-    assert_eq!(recovered.waits(), vec![unit(1, 0, 0, Some(0))], "released before a later one, so due");
+    assert_eq!(
+        recovered.waits(),
+        vec![unit(1, 0, 0, Some(0))],
+        "released before a later one, so due"
+    );
     recovered.pass(5_499);
     assert_eq!(recovered.waits().len(), 1);
     recovered.pass(1);
@@ -131,7 +160,13 @@
 #[test]
 fn given_a_start_time_without_repeats_when_it_comes_then_the_job_waits() {
     let mut world = World::new();
-    world.submit(1, JobRequest { start_at_ms: START.unix + 10, ..request(vec![step(1)]) });
+    world.submit(
+        1,
+        JobRequest {
+            start_at_ms: START.unix + 10,
+            ..request(vec![step(1)])
+        },
+    );
     world.pass(9);
     assert!(world.waits().is_empty());
     world.pass(1);
@@ -141,7 +176,11 @@
 #[test]
 fn given_many_iterations_that_are_overdue_when_they_are_released_then_open_tasks_stay_bounded() {
     let mut world = World::new();
-    let overdue = JobRequest { repeat_count: 100, interval_ms: 1, ..request(vec![step(4_000)]) };
+    let overdue = JobRequest {
+        repeat_count: 100,
+        interval_ms: 1,
+        ..request(vec![step(4_000)])
+    };
     world.submit(1, overdue);
     assert_eq!(world.waits().len(), 8_000);
     for index in 0..4_000 {
@@ -188,7 +227,8 @@
 }
 
 #[test]
-fn given_an_ended_job_when_its_last_run_is_over_then_only_its_state_is_stored_and_that_for_its_time() {
+fn given_an_ended_job_when_its_last_run_is_over_then_only_its_state_is_stored_and_that_for_its_time(
+) {
     let mut world = World::new();
     world.submit(1, request(vec![step(2)]));
     let first = world.begin(&unit(1, 0, 0, Some(0)));
@@ -198,7 +238,10 @@
     world.lose(&first[0].run);
     assert_eq!(world.keys(), vec![format!("job/{}", job(1))]);
     let stored = world.state.values().next().map(|v| v.to_string());
-    assert_eq!(stored.as_deref(), Some(r#"{"queue":"scans","state":"cancelled"}"#));
+    assert_eq!(
+        stored.as_deref(),
+        Some(r#"{"queue":"scans","state":"cancelled"}"#)
+    );
     world.pass(STATUS_MS - 1);
     assert_eq!(world.status(1), Some(JobState::Cancelled));
     assert_eq!(world.recovered().status(1), Some(JobState::Cancelled));
@@ -213,8 +256,14 @@
     world.submit(1, request(vec![step(2)]));
     world.submit_to(2, request(vec![step(1)]), &terms("removed"));
     let started = world.begin(&unit(1, 0, 0, Some(0)));
-    let newer = streamusher_jobs::QueueTerms { service: "other".into(), priority: 0, ..terms("scans") };
-    world.book.retune(&|queue| (queue == "scans").then(|| newer.clone()));
+    let newer = streamusher_jobs::QueueTerms {
+        service: "other".into(),
+        priority: 0,
+        ..terms("scans")
+    };
+    world
+        .book
+        .retune(&|queue| (queue == "scans").then(|| newer.clone()));
     world.take();
     assert_eq!(world.last.revoked, vec![unit(1, 0, 0, Some(1))]);
     assert_eq!(&*world.ready[&unit(1, 0, 0, Some(1))].service, "other");
@@ -226,9 +275,15 @@
     );
     assert!(world.book.is_current(&started[0].run));
     assert_eq!(world.recovered().ready, world.ready);
-    world.book.retune(&|queue| (queue == "scans").then(|| newer.clone()));
+    world
+        .book
+        .retune(&|queue| (queue == "scans").then(|| newer.clone()));
     world.take();
-    assert_eq!(world.last, Default::default(), "the same terms again change nothing");
+    assert_eq!(
+        world.last,
+        Default::default(),
+        "the same terms again change nothing"
+    );
 }
 
 #[test]
@@ -237,7 +292,10 @@
     world.submit(1, request(vec![step(200)]));
     world.play(&unit(1, 0, 0, Some(7)), RunEnd::Done);
     assert_eq!(world.last.writes.len(), 1);
-    assert_eq!(world.last.writes[0].key.to_string(), format!("task/{}", task(1, 0, 0, 7)));
+    assert_eq!(
+        world.last.writes[0].key.to_string(),
+        format!("task/{}", task(1, 0, 0, 7))
+    );
 }
 
 #[rstest]
@@ -246,16 +304,31 @@
 #[case::second_of_two(&[3_000, 1_000], 1, (800 + 6_000) / 4)]
 #[case::no_estimate(&[0], 0, 800)]
 fn given_estimates_when_a_unit_is_given_out_then_its_slack_is_its_part_of_the_jobs(
-    #[case] estimates_ms: &[u64], #[case] step_asked: u32, #[case] slack_ms: u64,
+    #[case] estimates_ms: &[u64],
+    #[case] step_asked: u32,
+    #[case] slack_ms: u64,
 ) {
     let mut world = World::new();
-    let steps = estimates_ms.iter().enumerate().map(|(index, &estimated_ms)| {
-        let before: Vec<u32> = index.checked_sub(1).map(|before| before as u32).into_iter().collect();
-        StepRequest { estimated_ms, ..after(1, &before) }
-    });
+    let steps = estimates_ms
+        .iter()
+        .enumerate()
+        .map(|(index, &estimated_ms)| {
+            let before: Vec<u32> = index
+                .checked_sub(1)
+                .map(|before| before as u32)
+                .into_iter()
+                .collect();
+            StepRequest {
+                estimated_ms,
+                ..after(1, &before)
+            }
+        });
     world.submit(1, request(steps.collect()));
     for before in 0..step_asked {
         world.play(&unit(1, 0, before, Some(0)), RunEnd::Done);
     }
-    assert_eq!(world.ready[&unit(1, 0, step_asked, Some(0))].slack_ms, slack_ms);
+    assert_eq!(
+        world.ready[&unit(1, 0, step_asked, Some(0))].slack_ms,
+        slack_ms
+    );
 }
--- a/crates/ledger/benches/scale.rs
+++ b/crates/ledger/benches/scale.rs
@@ -94,25 +94,47 @@
     let all = scan(&[root.join("out")], THREADS, |_| {}).unwrap();
     assert_eq!(all.findings, vec![]);
     assert_eq!(all.merged.entries(), entries / INSTANCES * INSTANCES);
-    let billed: i128 = all.merged.bill(str::to_string).unwrap().values().map(|u| u.billed()).sum();
+    let billed: i128 = all
+        .merged
+        .bill(str::to_string)
+        .unwrap()
+        .values()
+        .map(|u| u.billed())
+        .sum();
     assert_eq!(billed, i128::from(all.merged.entries()));
 }
 
 fn peak_mb() -> f64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = text.lines().find(|l| l.starts_with("VmHWM")).unwrap_or("VmHWM: 0 kB");
-    line.split_whitespace().nth(1).and_then(|n| n.parse::<f64>().ok()).unwrap_or(0.0) / 1_024.0
+    let line = text
+        .lines()
+        .find(|l| l.starts_with("VmHWM"))
+        .unwrap_or("VmHWM: 0 kB");
+    line.split_whitespace()
+        .nth(1)
+        .and_then(|n| n.parse::<f64>().ok())
+        .unwrap_or(0.0)
+        / 1_024.0
 }
 
 fn size(path: &Path) -> u64 {
     let entries = std::fs::read_dir(path).into_iter().flatten().flatten();
     entries
-        .map(|e| if e.path().is_dir() { size(&e.path()) } else { e.metadata().map_or(0, |m| m.len()) })
+        .map(|e| {
+            if e.path().is_dir() {
+                size(&e.path())
+            } else {
+                e.metadata().map_or(0, |m| m.len())
+            }
+        })
         .sum()
 }
 
 fn main() {
-    let words: Vec<String> = std::env::args().skip(1).filter(|a| a != "--bench").collect();
+    let words: Vec<String> = std::env::args()
+        .skip(1)
+        .filter(|a| a != "--bench")
+        .collect();
     if let [phase, root, entries] = &words[..] {
         if let Ok(entries) = entries.parse::<u64>() {
             let (root, begun) = (Path::new(root), Instant::now());
@@ -140,7 +162,11 @@
                 .args([name, root.path().to_str().unwrap(), &n.to_string()])
                 .output()
                 .unwrap();
-            assert!(done.status.success(), "{name}: {}", String::from_utf8_lossy(&done.stderr));
+            assert!(
+                done.status.success(),
+                "{name}: {}",
+                String::from_utf8_lossy(&done.stderr)
+            );
             let text = String::from_utf8(done.stdout).unwrap();
             let mut figures = text.split_whitespace().map(|f| f.parse::<f64>().unwrap());
             (n as f64 / figures.next().unwrap(), figures.next().unwrap())
--- a/crates/ledger/benches/stores.rs
+++ b/crates/ledger/benches/stores.rs
@@ -47,8 +47,16 @@
 impl Commits for Redb {
     fn commit(&mut self, entries: &[Entry]) {
         let write = self.0.begin_write().unwrap();
-        write.open_table(BLOCKS).unwrap().insert((1, entries[0].seq), block(entries).as_slice()).unwrap();
-        write.open_table(MARKS).unwrap().insert(1, &entries[0].seq.to_le_bytes()[..]).unwrap();
+        write
+            .open_table(BLOCKS)
+            .unwrap()
+            .insert((1, entries[0].seq), block(entries).as_slice())
+            .unwrap();
+        write
+            .open_table(MARKS)
+            .unwrap()
+            .insert(1, &entries[0].seq.to_le_bytes()[..])
+            .unwrap();
         write.commit().unwrap();
     }
 }
@@ -71,7 +79,9 @@
         "redb" => Box::new(Redb(redb::Database::create(dir.join("redb")).unwrap())),
         _ => {
             let db = Database::builder(dir.join("fjall")).open().unwrap();
-            let blocks = db.keyspace("blocks", KeyspaceCreateOptions::default).unwrap();
+            let blocks = db
+                .keyspace("blocks", KeyspaceCreateOptions::default)
+                .unwrap();
             Box::new(Fjall(db, blocks))
         }
     }
@@ -80,12 +90,20 @@
 fn bytes_in(dir: &Path) -> u64 {
     let entries = std::fs::read_dir(dir).into_iter().flatten().flatten();
     entries
-        .map(|e| if e.path().is_dir() { bytes_in(&e.path()) } else { e.metadata().map_or(0, |m| m.len()) })
+        .map(|e| {
+            if e.path().is_dir() {
+                bytes_in(&e.path())
+            } else {
+                e.metadata().map_or(0, |m| m.len())
+            }
+        })
         .sum()
 }
 
 fn entries(from: u64, count: u64) -> Vec<Entry> {
-    (from..from + count).map(|n| entry(n, DECEMBER + n * 500, "hydrology", Answer::Served)).collect()
+    (from..from + count)
+        .map(|n| entry(n, DECEMBER + n * 500, "hydrology", Answer::Served))
+        .collect()
 }
 
 fn sizes() {
@@ -98,14 +116,20 @@
             (0..count / size).for_each(|n| store.commit(&entries(1 + n * size, size)));
             drop(store);
             if kind == "sqlite" {
-                Store::command(dir.path(), KEY).unwrap().checkpoint().unwrap();
+                Store::command(dir.path(), KEY)
+                    .unwrap()
+                    .checkpoint()
+                    .unwrap();
             }
             if kind == "redb" {
                 let mut db = redb::Database::open(dir.path().join("redb")).unwrap();
                 db.compact().unwrap();
                 let _ = db.begin_read().unwrap();
             }
-            println!("  {kind:6} commits of {size:4}: {:6.1}", bytes_in(dir.path()) as f64 / count as f64);
+            println!(
+                "  {kind:6} commits of {size:4}: {:6.1}",
+                bytes_in(dir.path()) as f64 / count as f64
+            );
         }
     }
 }
@@ -113,7 +137,10 @@
 fn commits(c: &mut Criterion) {
     sizes();
     let mut group = c.benchmark_group("commit");
-    group.sample_size(20).measurement_time(Duration::from_secs(3)).warm_up_time(Duration::from_millis(500));
+    group
+        .sample_size(20)
+        .measurement_time(Duration::from_secs(3))
+        .warm_up_time(Duration::from_millis(500));
     for size in SIZES {
         group.throughput(Throughput::Elements(size));
         for kind in ["sqlite", "redb", "fjall"] {
--- a/crates/ledger/src/correction.rs
+++ b/crates/ledger/src/correction.rs
@@ -66,7 +66,9 @@
                 return Err(format!("{name}: must not be empty"));
             }
             if text.len() > TEXT || text.chars().any(char::is_control) {
-                return Err(format!("{name}: at most {TEXT} bytes, without control characters"));
+                return Err(format!(
+                    "{name}: at most {TEXT} bytes, without control characters"
+                ));
             }
         }
         Ok(())
--- a/crates/ledger/src/entry.rs
+++ b/crates/ledger/src/entry.rs
@@ -198,7 +198,11 @@
 impl<'a> Unpack<'a> {
     /// Over a block's bytes; `before` as in [`pack`] for its first row.
     pub fn new(block: &'a [u8], before: (u64, Micros)) -> Unpack<'a> {
-        Unpack { rest: block, before, index: 0 }
+        Unpack {
+            rest: block,
+            before,
+            index: 0,
+        }
     }
 
     fn row(&mut self) -> Option<Row> {
--- a/crates/ledger/src/export.rs
+++ b/crates/ledger/src/export.rs
@@ -129,7 +129,10 @@
 /// Exports a closed period into a folder; the manifest. Run again it changes nothing. `at` hears of each stage, and
 /// ends the export there by saying false.
 pub fn export(
-    store: &Store, period: Period, to: &Path, mut at: impl FnMut(Stage) -> bool,
+    store: &Store,
+    period: Period,
+    to: &Path,
+    mut at: impl FnMut(Stage) -> bool,
 ) -> Result<Option<Manifest>, ExportError> {
     let seal = store.seal_of(period)?.ok_or(ExportError::Open(period))?;
     let stem = format!("{}_{period}", store.instance());
@@ -200,23 +203,49 @@
         return Ok(None);
     }
     std::fs::rename(&beside, &manifest_path).map_err(file_error(&manifest_path))?;
-    File::open(to).and_then(|folder| folder.sync_all()).map_err(file_error(to))?;
+    File::open(to)
+        .and_then(|folder| folder.sync_all())
+        .map_err(file_error(to))?;
     Ok(Some(manifest))
 }
 
 /// The lines of a manifest.
 pub fn lines(sums: Lines) -> Vec<Line> {
-    sums.into_iter().map(|((tenant, class), sums)| Line { tenant, class, sums }).collect()
+    sums.into_iter()
+        .map(|((tenant, class), sums)| Line {
+            tenant,
+            class,
+            sums,
+        })
+        .collect()
 }
 
 fn content(
-    store: &Store, period: Period, head: &Head, file: File, path: &Path,
+    store: &Store,
+    period: Period,
+    head: &Head,
+    file: File,
+    path: &Path,
 ) -> Result<(String, String, File), ExportError> {
-    let failed = |why| ExportError::File { path: path.to_path_buf(), why };
-    let outer = Hashing { inner: BufWriter::with_capacity(1 << 16, file), hash: blake3::Hasher::new() };
+    let failed = |why| ExportError::File {
+        path: path.to_path_buf(),
+        why,
+    };
+    let outer = Hashing {
+        inner: BufWriter::with_capacity(1 << 16, file),
+        hash: blake3::Hasher::new(),
+    };
     let zstd = zstd::Encoder::new(outer, LEVEL).map_err(failed)?;
-    let mut out = Hashing { inner: zstd, hash: blake3::Hasher::new() };
-    let mut write = |parts: &[&[u8]]| parts.iter().try_for_each(|p| out.write_all(p)).map_err(failed);
+    let mut out = Hashing {
+        inner: zstd,
+        hash: blake3::Hasher::new(),
+    };
+    let mut write = |parts: &[&[u8]]| {
+        parts
+            .iter()
+            .try_for_each(|p| out.write_all(p))
+            .map_err(failed)
+    };
     let bytes = postcard::to_stdvec(head).expect("plain data");
     write(&[MAGIC, &(bytes.len() as u64).to_le_bytes(), &bytes])?;
     store.blocks(period, |block| {
@@ -233,7 +262,10 @@
     let id = to_hex(out.hash.finalize().as_bytes());
     let outer = out.inner.finish().map_err(failed)?;
     let file_hash = to_hex(outer.hash.finalize().as_bytes());
-    let file = outer.inner.into_inner().map_err(|e| failed(e.into_error()))?;
+    let file = outer
+        .inner
+        .into_inner()
+        .map_err(|e| failed(e.into_error()))?;
     Ok((id, file_hash, file))
 }
 
@@ -243,10 +275,15 @@
         let at = path.display();
         let file = File::open(path).map_err(|e| format!("{at}: {e}"))?;
         let mut text = String::new();
-        file.take(LONGEST).read_to_string(&mut text).map_err(|e| format!("{at}: {e}"))?;
+        file.take(LONGEST)
+            .read_to_string(&mut text)
+            .map_err(|e| format!("{at}: {e}"))?;
         let manifest: Manifest = serde_json::from_str(&text).map_err(|e| format!("{at}: {e}"))?;
         if manifest.version != VERSION {
-            return Err(format!("{at}: version {}, and this program knows {VERSION}", manifest.version));
+            return Err(format!(
+                "{at}: version {}, and this program knows {VERSION}",
+                manifest.version
+            ));
         }
         // Guards against a name that leads out of the folder.
         if manifest.file.contains(['/', '\\']) || manifest.file.starts_with('.') {
@@ -285,7 +322,8 @@
 /// Reads the magic, the length and the head of a file's content.
 pub(crate) fn read_head(from: &mut impl Read) -> Result<Head, String> {
     let mut start = [0; 16];
-    from.read_exact(&mut start).map_err(|_| "it is cut off".to_string())?;
+    from.read_exact(&mut start)
+        .map_err(|_| "it is cut off".to_string())?;
     if &start[..8] != MAGIC {
         return Err("not an export of a ledger".into());
     }
@@ -300,7 +338,10 @@
         return Err("a length in it is not what was written".into());
     }
     let mut bytes = Vec::new();
-    let n = from.take(length).read_to_end(&mut bytes).map_err(|e| e.to_string())?;
+    let n = from
+        .take(length)
+        .read_to_end(&mut bytes)
+        .map_err(|e| e.to_string())?;
     if n as u64 != length {
         return Err("it is cut off".into());
     }
--- a/crates/ledger/src/gate.rs
+++ b/crates/ledger/src/gate.rs
@@ -81,8 +81,15 @@
             return Verdict::Unbooked;
         }
         self.waiting += 1;
-        let until = if self.trusted { now.saturating_add(self.hold_us).min(by.max(now)) } else { now };
-        Verdict::Hold { seq: self.last, until }
+        let until = if self.trusted {
+            now.saturating_add(self.hold_us).min(by.max(now))
+        } else {
+            now
+        };
+        Verdict::Hold {
+            seq: self.last,
+            until,
+        }
     }
 
     /// So many more entries, up to this number, are durable.
--- a/crates/ledger/src/marks.rs
+++ b/crates/ledger/src/marks.rs
@@ -37,12 +37,18 @@
 
     /// Whether the number is in it.
     pub fn has(&self, n: u64) -> bool {
-        self.0.range(..=n).next_back().is_some_and(|(_, &last)| n <= last)
+        self.0
+            .range(..=n)
+            .next_back()
+            .is_some_and(|(_, &last)| n <= last)
     }
 
     /// Whether all numbers from the first to the last are in it.
     pub fn covers(&self, first: u64, last: u64) -> bool {
-        self.0.range(..=first).next_back().is_some_and(|(_, &end)| last <= end)
+        self.0
+            .range(..=first)
+            .next_back()
+            .is_some_and(|(_, &end)| last <= end)
     }
 
     /// The ranges, upwards.
--- a/crates/ledger/src/period.rs
+++ b/crates/ledger/src/period.rs
@@ -100,7 +100,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let at = civil_of(self.start_s);
         match self.span {
-            Span::Hour => write!(f, "{:04}-{:02}-{:02}T{:02}", at.year(), at.month(), at.day(), at.hour()),
+            Span::Hour => write!(
+                f,
+                "{:04}-{:02}-{:02}T{:02}",
+                at.year(),
+                at.month(),
+                at.day(),
+                at.hour()
+            ),
             Span::Day => write!(f, "{:04}-{:02}-{:02}", at.year(), at.month(), at.day()),
             Span::Month => write!(f, "{:04}-{:02}", at.year(), at.month()),
         }
--- a/crates/ledger/src/receipts.rs
+++ b/crates/ledger/src/receipts.rs
@@ -25,15 +25,28 @@
     let sought: HashSet<&str> = doubts.iter().map(|d| d.row.operation.as_str()).collect();
     let file = std::fs::File::open(path).map_err(|e| bad(e.to_string()))?;
     let (file, quotes) = Watched::new(file, Quotes::new(b',', None));
-    let mut rows = csv::ReaderBuilder::new().trim(csv::Trim::All).flexible(false).from_reader(file);
+    let mut rows = csv::ReaderBuilder::new()
+        .trim(csv::Trim::All)
+        .flexible(false)
+        .from_reader(file);
     let heading = rows.headers().map_err(|e| bad(e.to_string()))?;
-    let column = heading.iter().position(|h| h.trim_start_matches('\u{feff}') == "operation");
+    let column = heading
+        .iter()
+        .position(|h| h.trim_start_matches('\u{feff}') == "operation");
     let column = column.ok_or_else(|| bad("line 1: no column 'operation'".into()))?;
     let mut found = HashSet::new();
     let mut row = csv::StringRecord::new();
     // A quote left open swallows the rest: its place is the mistake, not what the reader makes of the row.
-    let open = || quotes.borrow().open().map(|p| bad(format!("line {}: a quote without its end", p.line)));
-    while rows.read_record(&mut row).map_err(|e| open().unwrap_or_else(|| bad(e.to_string())))? {
+    let open = || {
+        quotes
+            .borrow()
+            .open()
+            .map(|p| bad(format!("line {}: a quote without its end", p.line)))
+    };
+    while rows
+        .read_record(&mut row)
+        .map_err(|e| open().unwrap_or_else(|| bad(e.to_string())))?
+    {
         let operation = row.get(column).unwrap_or_default();
         if sought.contains(operation) {
             found.insert(operation.to_string());
@@ -53,10 +66,17 @@
 
 /// Settles doubts, each by `how`, in one commit. Those that another has settled meanwhile stay as they are.
 pub fn settle(
-    store: &mut Store, doubts: &[Doubt], now: Micros, author: &str, reason: &str,
+    store: &mut Store,
+    doubts: &[Doubt],
+    now: Micros,
+    author: &str,
+    reason: &str,
     how: impl Fn(&Doubt) -> Settle,
 ) -> Result<Settled, StoreError> {
-    let corrections: Vec<_> = doubts.iter().map(|d| d.settle(how(d), now, author, reason)).collect();
+    let corrections: Vec<_> = doubts
+        .iter()
+        .map(|d| d.settle(how(d), now, author, reason))
+        .collect();
     let mut done = Settled::default();
     for (doubt, no) in doubts.iter().zip(store.correct_all(&corrections)?) {
         match (no, how(doubt)) {
--- a/crates/ledger/src/reconcile.rs
+++ b/crates/ledger/src/reconcile.rs
@@ -123,13 +123,20 @@
 impl Merged {
     /// Adds one exported period. Adding it again changes nothing.
     pub fn add(&mut self, part: Part) {
-        let same = self.0.entry((part.instance.clone(), part.period)).or_default();
+        let same = self
+            .0
+            .entry((part.instance.clone(), part.period))
+            .or_default();
         same.entry(part.id.clone()).or_insert(part);
     }
 
     /// Adds all of another one.
     pub fn merge(&mut self, other: Merged) {
-        other.0.into_values().flat_map(BTreeMap::into_values).for_each(|p| self.add(p));
+        other
+            .0
+            .into_values()
+            .flat_map(BTreeMap::into_values)
+            .for_each(|p| self.add(p));
     }
 
     /// Exported periods in it.
@@ -149,7 +156,10 @@
 
     /// Those that stand alone for their instance and period.
     fn parts(&self) -> impl Iterator<Item = &Part> {
-        self.0.values().filter(|same| same.len() == 1).flat_map(BTreeMap::values)
+        self.0
+            .values()
+            .filter(|same| same.len() == 1)
+            .flat_map(BTreeMap::values)
     }
 
     /// The bill of all that fits. `now_called` gives a tenant's present name.
@@ -157,7 +167,9 @@
         let mut bill = Bill::new();
         for part in self.parts() {
             for ((tenant, class), sums) in &part.lines {
-                let line = bill.entry((now_called(tenant), class.clone(), part.period)).or_default();
+                let line = bill
+                    .entry((now_called(tenant), class.clone(), part.period))
+                    .or_default();
                 line.add(sums)?;
             }
         }
@@ -169,32 +181,49 @@
         let mut findings = Vec::new();
         for ((instance, period), same) in self.0.iter().filter(|(_, same)| same.len() > 1) {
             let (instance, ids) = (instance.clone(), same.keys().cloned().collect());
-            findings.push(Finding::Conflict { instance, period: *period, ids });
+            findings.push(Finding::Conflict {
+                instance,
+                period: *period,
+                ids,
+            });
         }
         let mut by_instance: BTreeMap<&str, Vec<&Part>> = BTreeMap::new();
-        self.parts().for_each(|p| by_instance.entry(&p.instance).or_default().push(p));
+        self.parts()
+            .for_each(|p| by_instance.entry(&p.instance).or_default().push(p));
         for (instance, parts) in by_instance {
             let mut before = ZEROS;
             let mut numbers: BTreeMap<u64, Ranges> = BTreeMap::new();
             let mut settled = BTreeSet::new();
             for part in &parts {
                 if part.before != before {
-                    findings.push(Finding::Missing { instance: instance.into(), before: part.period });
+                    findings.push(Finding::Missing {
+                        instance: instance.into(),
+                        before: part.period,
+                    });
                 }
                 before = &part.seal;
-                part.numbers.iter().for_each(|(e, n)| numbers.entry(*e).or_default().merge(n));
+                part.numbers
+                    .iter()
+                    .for_each(|(e, n)| numbers.entry(*e).or_default().merge(n));
                 settled.extend(part.settles.iter().filter_map(|about| match about {
                     About::Use => None,
-                    About::Billed { epoch, seq } | About::Waived { epoch, seq } => Some((*epoch, *seq)),
+                    About::Billed { epoch, seq } | About::Waived { epoch, seq } => {
+                        Some((*epoch, *seq))
+                    }
                 }));
             }
             for (epoch, numbers) in numbers {
-                findings.extend(numbers.gaps(1).into_iter().map(|(first, last)| Finding::Gap {
-                    instance: instance.into(),
-                    epoch,
-                    first,
-                    last,
-                }));
+                findings.extend(
+                    numbers
+                        .gaps(1)
+                        .into_iter()
+                        .map(|(first, last)| Finding::Gap {
+                            instance: instance.into(),
+                            epoch,
+                            first,
+                            last,
+                        }),
+                );
             }
             let doubts = parts.iter().flat_map(|p| &p.doubts);
             let open = doubts.filter(|d| !settled.contains(&(d.place.epoch, d.place.seq)));
--- a/crates/ledger/src/scan.rs
+++ b/crates/ledger/src/scan.rs
@@ -40,14 +40,20 @@
     let mut seen = BTreeSet::new();
     for dir in dirs {
         let (mut names, mut files): (Vec<PathBuf>, BTreeSet<String>) = Default::default();
-        let entries =
-            std::fs::read_dir(dir).map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", dir.display())));
+        let entries = std::fs::read_dir(dir)
+            .map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", dir.display())));
         for entry in entries? {
             let path = entry?.path();
-            let name = path.file_name().unwrap_or_default().to_string_lossy().into_owned();
+            let name = path
+                .file_name()
+                .unwrap_or_default()
+                .to_string_lossy()
+                .into_owned();
             match name.ends_with(".json") && !name.starts_with('.') {
                 true => names.push(path),
-                false if name.ends_with(".ledger.zst") && !name.starts_with('.') => drop(files.insert(name)),
+                false if name.ends_with(".ledger.zst") && !name.starts_with('.') => {
+                    drop(files.insert(name))
+                }
                 false => {}
             }
         }
@@ -57,7 +63,12 @@
                 Ok(m) => {
                     files.remove(&m.file);
                     // The same export in two folders is read once.
-                    if seen.insert((m.instance.clone(), m.period, m.id.clone(), m.file_hash.clone())) {
+                    if seen.insert((
+                        m.instance.clone(),
+                        m.period,
+                        m.id.clone(),
+                        m.file_hash.clone(),
+                    )) {
                         found.push((dir.join(&m.file), m));
                     }
                 }
@@ -65,8 +76,10 @@
             }
         }
         for name in files {
-            let why =
-                format!("{}: no manifest beside it: an export was interrupted", dir.join(name).display());
+            let why = format!(
+                "{}: no manifest beside it: an export was interrupted",
+                dir.join(name).display()
+            );
             done.findings.push(Finding::Changed { why });
         }
     }
@@ -76,9 +89,14 @@
         for _ in 0..threads.clamp(1, found.len().max(1)) {
             scope.spawn(|| loop {
                 let n = next.fetch_add(1, Ordering::Relaxed);
-                let Some((path, manifest)) = found.get(n) else { return };
+                let Some((path, manifest)) = found.get(n) else {
+                    return;
+                };
                 let part = read(path, manifest, n as u32, &keys);
-                parts.lock().expect("no thread panics with it").push((n, part));
+                parts
+                    .lock()
+                    .expect("no thread panics with it")
+                    .push((n, part));
                 each(found.len());
             });
         }
@@ -107,9 +125,18 @@
 /// Reads one export whole and checks it against its manifest and its own seal.
 fn read(path: &Path, manifest: &Manifest, number: u32, keys: &Keys) -> Result<Part, String> {
     let file = File::open(path).map_err(|e| e.to_string())?;
-    let outer = Hashing { inner: file, hash: blake3::Hasher::new() };
+    let outer = Hashing {
+        inner: file,
+        hash: blake3::Hasher::new(),
+    };
     let zstd = zstd::Decoder::new(outer).map_err(|e| e.to_string())?;
-    let mut from = BufReader::with_capacity(1 << 16, Hashing { inner: zstd, hash: blake3::Hasher::new() });
+    let mut from = BufReader::with_capacity(
+        1 << 16,
+        Hashing {
+            inner: zstd,
+            hash: blake3::Hasher::new(),
+        },
+    );
     let head = read_head(&mut from)?;
     let period: Period = head.period.parse()?;
     let marks = head.marks().ok_or("its marks cannot be read")?;
@@ -128,27 +155,54 @@
     };
     let mut sums: HashMap<(u32, u32), Use> = HashMap::new();
     let mut spilled = Vec::new();
-    let name = |n: u32| head.names.get(&n).cloned().ok_or_else(|| format!("no name {n}"));
+    let name = |n: u32| {
+        head.names
+            .get(&n)
+            .cloned()
+            .ok_or_else(|| format!("no name {n}"))
+    };
     let mut length = [0; 1];
     while from.read(&mut length).map_err(|e| e.to_string())? == 1 {
         let block = read_bytes(&mut from, u64::from(length[0]))?;
-        let block: BlockHead = postcard::from_bytes(&block).map_err(|_| "a block's head cannot be read")?;
+        let block: BlockHead =
+            postcard::from_bytes(&block).map_err(|_| "a block's head cannot be read")?;
         let body = read_bytes(&mut from, block.bytes)?;
-        let BlockHead { epoch, first, last, entries, .. } = block;
-        let hash = seal::block(&seal::Place { period, epoch, first, last, entries }, &body);
+        let BlockHead {
+            epoch,
+            first,
+            last,
+            entries,
+            ..
+        } = block;
+        let hash = seal::block(
+            &seal::Place {
+                period,
+                epoch,
+                first,
+                last,
+                entries,
+            },
+            &body,
+        );
         chain.block(epoch, first, &hash);
         let known = marks.get(&block.epoch);
         let base = (block.first, period.start_s() as u64 * 1_000_000);
         let (mut count, mut run) = (0, None::<(u64, u64)>);
         for row in Unpack::new(&body, base) {
             let row = row.map_err(|bad| {
-                format!("entry {} of epoch {} is not what was written", block.first + bad.0, block.epoch)
+                format!(
+                    "entry {} of epoch {} is not what was written",
+                    block.first + bad.0,
+                    block.epoch
+                )
             })?;
             count += 1;
             run = match run {
                 Some((first, last)) if last + 1 == row.seq => Some((first, row.seq)),
                 earlier => {
-                    earlier.into_iter().for_each(|(a, b)| numbers(&mut part, block.epoch, a, b));
+                    earlier
+                        .into_iter()
+                        .for_each(|(a, b)| numbers(&mut part, block.epoch, a, b));
                     Some((row.seq, row.seq))
                 }
             };
@@ -160,10 +214,18 @@
             if row.answer != Answer::Served {
                 continue;
             }
-            let place =
-                |instance: &str| Place { instance: instance.into(), epoch: block.epoch, seq: row.seq };
+            let place = |instance: &str| Place {
+                instance: instance.into(),
+                epoch: block.epoch,
+                seq: row.seq,
+            };
             if let Some(key) = row.key {
-                spilled.push(Spilled { key, number, epoch: block.epoch, seq: row.seq });
+                spilled.push(Spilled {
+                    key,
+                    number,
+                    epoch: block.epoch,
+                    seq: row.seq,
+                });
             }
             if delivery == Delivery::InDoubt {
                 part.doubts.push(OpenDoubt {
@@ -176,9 +238,13 @@
                 });
             }
         }
-        run.into_iter().for_each(|(a, b)| numbers(&mut part, block.epoch, a, b));
+        run.into_iter()
+            .for_each(|(a, b)| numbers(&mut part, block.epoch, a, b));
         if count != block.entries {
-            return Err(format!("a block holds {count} entries, not {}", block.entries));
+            return Err(format!(
+                "a block holds {count} entries, not {}",
+                block.entries
+            ));
         }
         part.entries += count;
         keys.spill(&mut spilled).map_err(|e| e.to_string())?;
@@ -194,7 +260,8 @@
             postcard::from_bytes(bytes).map_err(|_| format!("correction {no} cannot be read"))?;
         part.settles.push(c.about);
         let line = part.lines.entry((c.tenant, c.class)).or_default();
-        line.correct(c.operations, c.slot_us).map_err(|e| e.to_string())?;
+        line.correct(c.operations, c.slot_us)
+            .map_err(|e| e.to_string())?;
     }
     // What follows the last frame counts too: the hash of the file is that of all its bytes.
     let hashing = from.into_inner();
@@ -202,13 +269,25 @@
     let mut outer = hashing.inner.finish().into_inner();
     io::copy(&mut outer, &mut io::sink()).map_err(|e| e.to_string())?;
     let fits = [
-        ("the file", to_hex(outer.hash.finalize().as_bytes()) == manifest.file_hash),
+        (
+            "the file",
+            to_hex(outer.hash.finalize().as_bytes()) == manifest.file_hash,
+        ),
         ("its content", id == manifest.id),
-        ("its seal", chain.end()[..] == head.seal[..] && part.seal == manifest.seal),
+        (
+            "its seal",
+            chain.end()[..] == head.seal[..] && part.seal == manifest.seal,
+        ),
         ("the seal before", part.before == manifest.before),
-        ("its instance", part.instance == manifest.instance && part.period == manifest.period),
+        (
+            "its instance",
+            part.instance == manifest.instance && part.period == manifest.period,
+        ),
         ("its count", part.entries == manifest.entries),
-        ("its corrections", head.corrections.len() as u64 == manifest.corrections),
+        (
+            "its corrections",
+            head.corrections.len() as u64 == manifest.corrections,
+        ),
         ("its sums", lines(part.lines.clone()) == manifest.lines),
     ];
     match fits.iter().find(|(_, fits)| !fits) {
@@ -218,7 +297,10 @@
 }
 
 fn numbers(part: &mut Part, epoch: u64, first: u64, last: u64) {
-    part.numbers.entry(epoch).or_default().add_range(first, last);
+    part.numbers
+        .entry(epoch)
+        .or_default()
+        .add_range(first, last);
 }
 
 #[derive(Serialize, Deserialize)]
@@ -234,14 +316,21 @@
 
 impl Keys {
     fn new() -> io::Result<Keys> {
-        let file = |_| Ok(Mutex::new(BufWriter::with_capacity(8 << 10, tempfile::tempfile()?)));
+        let file = |_| {
+            Ok(Mutex::new(BufWriter::with_capacity(
+                8 << 10,
+                tempfile::tempfile()?,
+            )))
+        };
         Ok(Keys((0..BUCKETS).map(file).collect::<io::Result<_>>()?))
     }
 
     fn spill(&self, keys: &mut Vec<Spilled>) -> io::Result<()> {
         for one in keys.drain(..) {
             let bytes = postcard::to_stdvec(&one).expect("plain data");
-            let mut file = self.0[usize::from(one.key[0])].lock().expect("no thread panics with it");
+            let mut file = self.0[usize::from(one.key[0])]
+                .lock()
+                .expect("no thread panics with it");
             file.write_all(&[bytes.len() as u8])?;
             file.write_all(&bytes)?;
         }
@@ -249,9 +338,17 @@
     }
 
     /// Keys with entries of several instances, among the exports that are whole.
-    fn repeats(self, whole: &BTreeSet<u32>, instances: &[&str], done: &mut Scanned) -> io::Result<()> {
+    fn repeats(
+        self,
+        whole: &BTreeSet<u32>,
+        instances: &[&str],
+        done: &mut Scanned,
+    ) -> io::Result<()> {
         for file in self.0 {
-            let mut file = file.into_inner().expect("no thread panics with it").into_inner()?;
+            let mut file = file
+                .into_inner()
+                .expect("no thread panics with it")
+                .into_inner()?;
             file.rewind()?;
             let mut bytes = Vec::new();
             file.read_to_end(&mut bytes)?;
@@ -260,7 +357,9 @@
             while let Some((length, more)) = rest.split_first() {
                 let (one, more) = more.split_at(usize::from(*length).min(more.len()));
                 all.extend(
-                    postcard::from_bytes(one).into_iter().filter(|s: &Spilled| whole.contains(&s.number)),
+                    postcard::from_bytes(one)
+                        .into_iter()
+                        .filter(|s: &Spilled| whole.contains(&s.number)),
                 );
                 rest = more;
             }
@@ -270,12 +369,20 @@
                 if same.iter().all(|s| instance(s) == instance(&same[0])) {
                     continue;
                 }
-                let told = done.findings.iter().filter(|f| matches!(f, Finding::Repeated { .. })).count();
+                let told = done
+                    .findings
+                    .iter()
+                    .filter(|f| matches!(f, Finding::Repeated { .. }))
+                    .count();
                 if told >= TOLD {
                     done.more_repeats += 1;
                     continue;
                 }
-                let place = |s: &Spilled| Place { instance: instance(s).into(), epoch: s.epoch, seq: s.seq };
+                let place = |s: &Spilled| Place {
+                    instance: instance(s).into(),
+                    epoch: s.epoch,
+                    seq: s.seq,
+                };
                 let places: BTreeSet<Place> = same.iter().map(place).collect();
                 let (key, places) = (to_hex(&same[0].key), places.into_iter().collect());
                 done.findings.push(Finding::Repeated { key, places });
--- a/crates/ledger/src/store/error.rs
+++ b/crates/ledger/src/store/error.rs
@@ -63,15 +63,22 @@
             Some(ErrorCode::ReadOnly | ErrorCode::PermissionDenied | ErrorCode::CannotOpen) => {
                 StoreError::ReadOnly(path)
             }
-            Some(ErrorCode::DatabaseCorrupt | ErrorCode::NotADatabase) => {
-                StoreError::Damaged { path, what: one_line(&e) }
-            }
+            Some(ErrorCode::DatabaseCorrupt | ErrorCode::NotADatabase) => StoreError::Damaged {
+                path,
+                what: one_line(&e),
+            },
             Some(ErrorCode::DatabaseBusy | ErrorCode::DatabaseLocked) => StoreError::InUse(path),
-            _ => StoreError::Io { path, why: one_line(&e) },
+            _ => StoreError::Io {
+                path,
+                why: one_line(&e),
+            },
         }
     }
 }
 
 fn one_line(e: &impl std::fmt::Display) -> String {
-    e.to_string().split_whitespace().collect::<Vec<_>>().join(" ")
+    e.to_string()
+        .split_whitespace()
+        .collect::<Vec<_>>()
+        .join(" ")
 }
--- a/crates/ledger/src/store/mod.rs
+++ b/crates/ledger/src/store/mod.rs
@@ -86,7 +86,11 @@
     pub fn open(options: &Options, now: Micros) -> Result<Store, StoreError> {
         let lock_at = options.dir.join(LOCK);
         std::fs::create_dir_all(&options.dir).map_err(|e| io(&options.dir, &e))?;
-        let lock = File::options().create(true).truncate(false).write(true).open(&lock_at);
+        let lock = File::options()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .open(&lock_at);
         let lock = lock.map_err(|e| io(&lock_at, &e))?;
         match lock.try_lock() {
             Ok(()) => {}
@@ -94,8 +98,10 @@
             Err(TryLockError::Error(e)) => return Err(io(&lock_at, &e)),
         }
         no_commits_lost(&options.dir.join(FILE))?;
-        let mut store =
-            Store::at(options, OpenFlags::SQLITE_OPEN_READ_WRITE | OpenFlags::SQLITE_OPEN_CREATE)?;
+        let mut store = Store::at(
+            options,
+            OpenFlags::SQLITE_OPEN_READ_WRITE | OpenFlags::SQLITE_OPEN_CREATE,
+        )?;
         store._lock = Some(lock);
         store.checkpoint()?;
         cut_off(&store.path)?;
@@ -116,8 +122,13 @@
         if !lock_held(&path) {
             no_commits_lost(&path)?;
         }
-        let options =
-            Options { dir: dir.into(), instance: String::new(), span: Span::Month, key, most_bytes: None };
+        let options = Options {
+            dir: dir.into(),
+            instance: String::new(),
+            span: Span::Month,
+            key,
+            most_bytes: None,
+        };
         let mut store = Store::at(&options, OpenFlags::SQLITE_OPEN_READ_WRITE)?;
         store.instance = store.about("instance")?;
         store.span = span(&store.about("span")?).ok_or_else(|| store.damaged("about: span"))?;
@@ -131,21 +142,37 @@
         let flags = flags | OpenFlags::SQLITE_OPEN_NO_MUTEX;
         let db = Connection::open_with_flags(&path, flags).map_err(failed)?;
         db.busy_timeout(PATIENCE).map_err(failed)?;
-        let found: i64 = db.pragma_query_value(None, "user_version", |r| r.get(0)).map_err(failed)?;
-        let whose: i64 = db.pragma_query_value(None, "application_id", |r| r.get(0)).map_err(failed)?;
+        let found: i64 = db
+            .pragma_query_value(None, "user_version", |r| r.get(0))
+            .map_err(failed)?;
+        let whose: i64 = db
+            .pragma_query_value(None, "application_id", |r| r.get(0))
+            .map_err(failed)?;
         if found > VERSION {
-            return Err(StoreError::Newer { path, found, known: VERSION });
+            return Err(StoreError::Newer {
+                path,
+                found,
+                known: VERSION,
+            });
         }
         if found > 0 && whose != APPLICATION {
-            return Err(StoreError::Other { path, what: "not a ledger of this program".into() });
+            return Err(StoreError::Other {
+                path,
+                what: "not a ledger of this program".into(),
+            });
         }
         // 2 MB of pages: the process's memory must not grow with the ledger.
-        db.execute_batch("PRAGMA journal_mode = WAL; PRAGMA synchronous = FULL; PRAGMA cache_size = -2048;")
-            .map_err(failed)?;
+        db.execute_batch(
+            "PRAGMA journal_mode = WAL; PRAGMA synchronous = FULL; PRAGMA cache_size = -2048;",
+        )
+        .map_err(failed)?;
         if let Some(most) = options.most_bytes {
-            let page: i64 = db.pragma_query_value(None, "page_size", |r| r.get(0)).map_err(failed)?;
+            let page: i64 = db
+                .pragma_query_value(None, "page_size", |r| r.get(0))
+                .map_err(failed)?;
             let pages = (most / page.max(1) as u64).max(1);
-            db.query_row(&format!("PRAGMA max_page_count = {pages}"), [], |_| Ok(())).map_err(failed)?;
+            db.query_row(&format!("PRAGMA max_page_count = {pages}"), [], |_| Ok(()))
+                .map_err(failed)?;
         }
         Ok(Store {
             db,
@@ -182,8 +209,15 @@
     }
 
     fn about(&self, name: &str) -> Result<String, StoreError> {
-        let found = self.db.query_row("SELECT value FROM about WHERE name = ?1", [name], |r| r.get(0));
-        found.optional().map_err(self.failed())?.ok_or_else(|| self.damaged(format!("about: no {name}")))
+        let found = self
+            .db
+            .query_row("SELECT value FROM about WHERE name = ?1", [name], |r| {
+                r.get(0)
+            });
+        found
+            .optional()
+            .map_err(self.failed())?
+            .ok_or_else(|| self.damaged(format!("about: no {name}")))
     }
 
     /// Guards against sums over two lengths of period, two instances' numbers, or MACs that nobody can check.
@@ -196,7 +230,10 @@
             let theirs = self.about(name)?;
             if theirs != ours {
                 let what = format!("this ledger was made for {name} {theirs}, not {ours}");
-                return Err(StoreError::Other { path: self.path.clone(), what });
+                return Err(StoreError::Other {
+                    path: self.path.clone(),
+                    what,
+                });
             }
         }
         Ok(())
@@ -227,7 +264,10 @@
     }
 
     fn damaged(&self, what: impl Into<String>) -> StoreError {
-        StoreError::Damaged { path: self.path.clone(), what: what.into() }
+        StoreError::Damaged {
+            path: self.path.clone(),
+            what: what.into(),
+        }
     }
 
     fn period(&self, start_s: i64) -> Result<Period, StoreError> {
@@ -242,7 +282,10 @@
     match e.kind() {
         K::PermissionDenied | K::ReadOnlyFilesystem => StoreError::ReadOnly(path),
         K::StorageFull | K::QuotaExceeded => StoreError::Full(path),
-        _ => StoreError::Io { path, why: e.to_string() },
+        _ => StoreError::Io {
+            path,
+            why: e.to_string(),
+        },
     }
 }
 
@@ -261,14 +304,20 @@
     if std::fs::metadata(log_of(path)).is_ok_and(|log| log.len() > 0) {
         return Ok(());
     }
-    let Ok(mut file) = File::open(path) else { return Ok(()) };
+    let Ok(mut file) = File::open(path) else {
+        return Ok(());
+    };
     let length = file.metadata().map_err(|e| io(path, &e))?.len();
     if length == 0 {
         return Ok(());
     }
     let mut head = [0u8; 100];
-    let damaged = |what: String| StoreError::Damaged { path: path.to_path_buf(), what };
-    file.read_exact(&mut head).map_err(|_| damaged(format!("it has {length} bytes")))?;
+    let damaged = |what: String| StoreError::Damaged {
+        path: path.to_path_buf(),
+        what,
+    };
+    file.read_exact(&mut head)
+        .map_err(|_| damaged(format!("it has {length} bytes")))?;
     if !head.starts_with(b"SQLite format 3\0") {
         return Err(damaged("not a database".into()));
     }
@@ -276,7 +325,10 @@
     let page = if page == 1 { 65_536 } else { page };
     let pages = u64::from(u32::from_be_bytes([head[28], head[29], head[30], head[31]]));
     if length < page * pages {
-        return Err(damaged(format!("it has {length} bytes of {}", page * pages)));
+        return Err(damaged(format!(
+            "it has {length} bytes of {}",
+            page * pages
+        )));
     }
     Ok(())
 }
@@ -292,8 +344,12 @@
     match wal::commits_cut_off(&log_of(path)) {
         Ok(0 | 1) => Ok(()),
         Ok(n) => {
-            let what = format!("its log of changes is not what was written, {n} commits would be lost");
-            Err(StoreError::Damaged { path: path.to_path_buf(), what })
+            let what =
+                format!("its log of changes is not what was written, {n} commits would be lost");
+            Err(StoreError::Damaged {
+                path: path.to_path_buf(),
+                what,
+            })
         }
         Err(e) => Err(io(path, &e)),
     }
@@ -308,7 +364,9 @@
 }
 
 fn span(name: &str) -> Option<Span> {
-    [Span::Hour, Span::Day, Span::Month].into_iter().find(|s| span_name(*s) == name)
+    [Span::Hour, Span::Day, Span::Month]
+        .into_iter()
+        .find(|s| span_name(*s) == name)
 }
 
 /// Names a key without telling it.
--- a/crates/ledger/src/store/read.rs
+++ b/crates/ledger/src/store/read.rs
@@ -103,7 +103,15 @@
             let number = |n| row.get::<_, i64>(n).map(|n| n as u64).map_err(&failed);
             let bytes = |n| row.get(n).map_err(&failed);
             let (closed, entries, before, hash) = (number(1)?, number(2)?, bytes(4)?, bytes(5)?);
-            seals.push(Seal { period, closed, entries, marks, marks_bytes, before, hash });
+            seals.push(Seal {
+                period,
+                closed,
+                entries,
+                marks,
+                marks_bytes,
+                before,
+                hash,
+            });
         }
         Ok(seals)
     }
@@ -115,13 +123,18 @@
 
     /// The periods with entries or corrections that are not closed, the oldest first.
     pub fn open_periods(&self) -> Result<Vec<Period>, StoreError> {
-        let sql = "SELECT DISTINCT period FROM (SELECT period FROM blocks WHERE period > ?1 UNION ALL
+        let sql =
+            "SELECT DISTINCT period FROM (SELECT period FROM blocks WHERE period > ?1 UNION ALL
             SELECT period FROM corrections WHERE period > ?1) ORDER BY period";
         let failed = self.failed();
-        let sealed = self.db.query_row("SELECT max(period) FROM seals", [], |r| r.get(0));
+        let sealed = self
+            .db
+            .query_row("SELECT max(period) FROM seals", [], |r| r.get(0));
         let sealed: Option<i64> = sealed.map_err(&failed)?;
         let mut found = self.db.prepare_cached(sql).map_err(&failed)?;
-        let starts = found.query_map([sealed.unwrap_or(-1)], |r| r.get::<_, i64>(0)).map_err(&failed)?;
+        let starts = found
+            .query_map([sealed.unwrap_or(-1)], |r| r.get::<_, i64>(0))
+            .map_err(&failed)?;
         starts.map(|s| self.period(s.map_err(&failed)?)).collect()
     }
 
@@ -133,8 +146,11 @@
 
     /// All entries in it, by the blocks' own counts.
     pub fn entries(&self) -> Result<u64, StoreError> {
-        let all =
-            self.db.query_row("SELECT coalesce(sum(entries), 0) FROM blocks", [], |r| r.get::<_, i64>(0));
+        let all = self
+            .db
+            .query_row("SELECT coalesce(sum(entries), 0) FROM blocks", [], |r| {
+                r.get::<_, i64>(0)
+            });
         Ok(all.map_err(self.failed())? as u64)
     }
 
@@ -146,13 +162,20 @@
         let mut rows = found.query([]).map_err(&failed)?;
         let mut epochs = Vec::new();
         while let Some(row) = rows.next().map_err(&failed)? {
-            let read =
-                || -> rusqlite::Result<(i64, i64, Vec<u8>)> { Ok((row.get(0)?, row.get(1)?, row.get(2)?)) };
+            let read = || -> rusqlite::Result<(i64, i64, Vec<u8>)> {
+                Ok((row.get(0)?, row.get(1)?, row.get(2)?))
+            };
             let (epoch, last, marks) = read().map_err(&failed)?;
             let marks = marked::from_bytes(epoch as u64, &marks).ok_or_else(|| {
-                self.damaged(format!("the marks of epoch {epoch} are not what was written"))
+                self.damaged(format!(
+                    "the marks of epoch {epoch} are not what was written"
+                ))
             })?;
-            epochs.push(Epoch { epoch: epoch as u64, last: last as u64, marks });
+            epochs.push(Epoch {
+                epoch: epoch as u64,
+                last: last as u64,
+                marks,
+            });
         }
         Ok(epochs)
     }
@@ -160,7 +183,11 @@
     /// The epoch that a dispatcher writes now: what it has not marked yet is in hand, not in doubt.
     pub fn live_epoch(&self) -> Result<Option<u64>, StoreError> {
         let held = lock_held(&self.path);
-        let last = self.db.query_row("SELECT max(epoch) FROM epochs WHERE ended = 0", [], |r| r.get(0));
+        let last = self
+            .db
+            .query_row("SELECT max(epoch) FROM epochs WHERE ended = 0", [], |r| {
+                r.get(0)
+            });
         let last: Option<i64> = last.map_err(self.failed())?;
         Ok(last.filter(|_| held).map(|e| e as u64))
     }
@@ -168,8 +195,13 @@
     /// The names by their numbers.
     pub fn names(&self) -> Result<BTreeMap<u32, String>, StoreError> {
         let failed = self.failed();
-        let mut found = self.db.prepare_cached("SELECT id, name, sum FROM names").map_err(&failed)?;
-        let rows = found.query_map([], |r| Ok((r.get(0)?, r.get(1)?, r.get(2)?))).map_err(&failed)?;
+        let mut found = self
+            .db
+            .prepare_cached("SELECT id, name, sum FROM names")
+            .map_err(&failed)?;
+        let rows = found
+            .query_map([], |r| Ok((r.get(0)?, r.get(1)?, r.get(2)?)))
+            .map_err(&failed)?;
         let checked = |row: rusqlite::Result<(u32, String, u32)>| {
             let (n, name, sum) = row.map_err(&failed)?;
             match marked::name(n, &name) == sum {
@@ -182,7 +214,9 @@
 
     /// Goes through the blocks of a period in order. Each is checked first: no sum is made over what was changed.
     pub fn blocks<E: From<StoreError>>(
-        &self, period: Period, mut each: impl FnMut(Block) -> Result<(), E>,
+        &self,
+        period: Period,
+        mut each: impl FnMut(Block) -> Result<(), E>,
     ) -> Result<(), E> {
         let failed = self.failed();
         let sql = "SELECT epoch, first, last, entries, hash, body FROM blocks WHERE period = ?1
@@ -214,8 +248,25 @@
     }
 
     fn check_block(&self, period: Period, block: &Block) -> Result<(), StoreError> {
-        let &Block { epoch, first, last, entries, .. } = block;
-        if seal::block(&seal::Place { period, epoch, first, last, entries }, block.body)[..] == *block.hash {
+        let &Block {
+            epoch,
+            first,
+            last,
+            entries,
+            ..
+        } = block;
+        if seal::block(
+            &seal::Place {
+                period,
+                epoch,
+                first,
+                last,
+                entries,
+            },
+            block.body,
+        )[..]
+            == *block.hash
+        {
             return Ok(());
         }
         match block.rows().find_map(Result::err) {
@@ -231,7 +282,11 @@
     pub fn marks(&self, period: Period) -> Result<BTreeMap<u64, Marks>, StoreError> {
         Ok(match self.seal_of(period)? {
             Some(seal) => seal.marks,
-            None => self.epochs()?.into_iter().map(|e| (e.epoch, e.marks)).collect(),
+            None => self
+                .epochs()?
+                .into_iter()
+                .map(|e| (e.epoch, e.marks))
+                .collect(),
         })
     }
 
@@ -250,19 +305,29 @@
                 let row = row.map_err(|bad| self.bad_row(&block, bad.0))?;
                 let delivery = marks.map_or(Delivery::InDoubt, |m| m.of(row.seq));
                 let line = by_number.entry((row.tenant, row.class)).or_default();
-                line.count(&row, delivery).map_err(|e| self.damaged(e.to_string()))?;
+                line.count(&row, delivery)
+                    .map_err(|e| self.damaged(e.to_string()))?;
             }
             Ok::<(), StoreError>(())
         })?;
-        let used: BTreeSet<u32> = by_number.keys().flat_map(|&(tenant, class)| [tenant, class]).collect();
+        let used: BTreeSet<u32> = by_number
+            .keys()
+            .flat_map(|&(tenant, class)| [tenant, class])
+            .collect();
         let mut lines = Lines::new();
         for ((tenant, class), sum) in by_number {
-            let name = |n| names.get(&n).cloned().ok_or_else(|| self.damaged(format!("no name {n}")));
+            let name = |n| {
+                names
+                    .get(&n)
+                    .cloned()
+                    .ok_or_else(|| self.damaged(format!("no name {n}")))
+            };
             lines.insert((name(tenant)?, name(class)?), sum);
         }
         for (_, c) in self.corrections(period)? {
             let line = lines.entry((c.tenant, c.class)).or_default();
-            line.correct(c.operations, c.slot_us).map_err(|e| self.damaged(e.to_string()))?;
+            line.correct(c.operations, c.slot_us)
+                .map_err(|e| self.damaged(e.to_string()))?;
         }
         names.retain(|n, _| used.contains(n));
         Ok((lines, names))
@@ -282,7 +347,8 @@
         raw.into_iter()
             .map(|(no, body)| {
                 let c = postcard::from_bytes(&body);
-                c.map(|c| (no, c)).map_err(|_| self.damaged(format!("correction {no} cannot be read")))
+                c.map(|c| (no, c))
+                    .map_err(|_| self.damaged(format!("correction {no} cannot be read")))
             })
             .collect()
     }
@@ -308,7 +374,9 @@
     pub fn settled(&self, epoch: u64, seq: u64) -> Result<Option<u64>, StoreError> {
         let sql = "SELECT correction FROM settled WHERE epoch = ?1 AND seq = ?2";
         let mut found = self.db.prepare_cached(sql).map_err(self.failed())?;
-        let no = found.query_row([epoch as i64, seq as i64], |r| r.get::<_, i64>(0)).optional();
+        let no = found
+            .query_row([epoch as i64, seq as i64], |r| r.get::<_, i64>(0))
+            .optional();
         Ok(no.map_err(self.failed())?.map(|n| n as u64))
     }
 
@@ -316,7 +384,12 @@
     /// settled. Those that a running dispatcher has in hand are not among them.
     pub fn doubts(&self) -> Result<Vec<Doubt>, StoreError> {
         let (names, live) = (self.names()?, self.live_epoch()?);
-        let name = |n: u32| names.get(&n).cloned().ok_or_else(|| self.damaged(format!("no name {n}")));
+        let name = |n: u32| {
+            names
+                .get(&n)
+                .cloned()
+                .ok_or_else(|| self.damaged(format!("no name {n}")))
+        };
         let mut doubts = Vec::new();
         for period in self.periods()? {
             let marks = self.marks(period)?;
@@ -328,10 +401,17 @@
                 }
                 for row in block.rows() {
                     let row = row.map_err(|bad| self.bad_row(&block, bad.0))?;
-                    let open = row.answer == Answer::Served && known.of(row.seq) == Delivery::InDoubt;
+                    let open =
+                        row.answer == Answer::Served && known.of(row.seq) == Delivery::InDoubt;
                     if open && self.settled(block.epoch, row.seq)?.is_none() {
                         let (tenant, class) = (name(row.tenant)?, name(row.class)?);
-                        doubts.push(Doubt { period, epoch: block.epoch, row, tenant, class });
+                        doubts.push(Doubt {
+                            period,
+                            epoch: block.epoch,
+                            row,
+                            tenant,
+                            class,
+                        });
                     }
                 }
                 Ok::<(), StoreError>(())
@@ -356,7 +436,11 @@
     pub fn settle(&self, how: Settle, now: Micros, author: &str, reason: &str) -> Correction {
         let (epoch, seq) = (self.epoch, self.row.seq);
         let (about, operations, slot_us) = match how {
-            Settle::Bill => (About::Billed { epoch, seq }, 1, i128::from(self.row.slot_us())),
+            Settle::Bill => (
+                About::Billed { epoch, seq },
+                1,
+                i128::from(self.row.slot_us()),
+            ),
             Settle::Waive => (About::Waived { epoch, seq }, 0, 0),
         };
         Correction {
--- a/crates/ledger/src/store/verify.rs
+++ b/crates/ledger/src/store/verify.rs
@@ -19,8 +19,10 @@
     /// Checks all of it. `each` hears of every block, with its entries. The first thing that does not hold is the
     /// error, and names the entry if it is one.
     pub fn verify(&self, mut each: impl FnMut(u64)) -> Result<Verified, StoreError> {
-        let sound: String =
-            self.db.query_row("PRAGMA integrity_check(1)", [], |r| r.get(0)).map_err(self.failed())?;
+        let sound: String = self
+            .db
+            .query_row("PRAGMA integrity_check(1)", [], |r| r.get(0))
+            .map_err(self.failed())?;
         let mut done = Verified::default();
         let names = self.names()?;
         let mut before = vec![0u8; 32];
--- a/crates/ledger/src/store/wal.rs
+++ b/crates/ledger/src/store/wal.rs
@@ -37,7 +37,9 @@
 
 /// Commits of the log that was written last which its reader would leave out; one of them may be torn.
 pub(super) fn commits_cut_off(path: &Path) -> io::Result<usize> {
-    let Ok(file) = File::open(path) else { return Ok(0) };
+    let Ok(file) = File::open(path) else {
+        return Ok(0);
+    };
     let mut file = BufReader::with_capacity(1 << 16, file);
     let mut head = [0; HEAD];
     if file.read_exact(&mut head).is_err() || word(&head, 0) & !1 != MAGIC {
--- a/crates/ledger/src/store/write.rs
+++ b/crates/ledger/src/store/write.rs
@@ -22,7 +22,8 @@
 impl Store {
     /// Runs one transaction. Takes the write lock at once: guards against one that fails only at its end.
     fn whole<T>(
-        &mut self, f: impl FnOnce(&Transaction, &mut HashMap<Arc<str>, u32>) -> rusqlite::Result<T>,
+        &mut self,
+        f: impl FnOnce(&Transaction, &mut HashMap<Arc<str>, u32>) -> rusqlite::Result<T>,
     ) -> Result<T, StoreError> {
         let (db, names, path) = (&mut self.db, &mut self.names, &self.path);
         let run = || {
@@ -43,7 +44,8 @@
     pub(super) fn begin_epoch(&mut self, now: Micros) -> Result<(), StoreError> {
         let marks = Marks::default();
         let epoch = self.whole(|t, _| {
-            let last: Option<i64> = t.query_row("SELECT max(epoch) FROM epochs", [], |r| r.get(0))?;
+            let last: Option<i64> =
+                t.query_row("SELECT max(epoch) FROM epochs", [], |r| r.get(0))?;
             let epoch = (now as i64).max(last.unwrap_or(0) + 1);
             t.execute("UPDATE epochs SET ended = ?1 WHERE ended = 0", [now as i64])?;
             t.execute(
@@ -58,17 +60,28 @@
 
     /// Writes entries and marks in one commit; they are on the disk when it returns. An entry whose period is closed
     /// already is booked in the first that is open: a clock that steps back opens nothing again.
-    pub fn commit(&mut self, entries: &[Entry], written: &[u64], broke: &[u64]) -> Result<(), StoreError> {
+    pub fn commit(
+        &mut self,
+        entries: &[Entry],
+        written: &[u64],
+        broke: &[u64],
+    ) -> Result<(), StoreError> {
         let span = self.span;
-        let (epoch, last, old) = self.epoch.clone().ok_or_else(|| self.damaged("opened for commands"))?;
+        let (epoch, last, old) = self
+            .epoch
+            .clone()
+            .ok_or_else(|| self.damaged("opened for commands"))?;
         let mut marks = old;
         written.iter().for_each(|n| marks.written.add(*n));
         broke.iter().for_each(|n| marks.broke.add(*n));
         let last = entries.last().map_or(last, |e| e.seq).max(last);
         let bytes = marked::to_bytes(epoch, &marks);
         self.whole(|t, names| {
-            let sealed: Option<i64> = t.query_row("SELECT max(period) FROM seals", [], |r| r.get(0))?;
-            let first_open = sealed.and_then(|s| Period::starting(span, s)).map(Period::next);
+            let sealed: Option<i64> =
+                t.query_row("SELECT max(period) FROM seals", [], |r| r.get(0))?;
+            let first_open = sealed
+                .and_then(|s| Period::starting(span, s))
+                .map(Period::next);
             let mut by_period: BTreeMap<Period, Vec<Row>> = BTreeMap::new();
             for e in entries {
                 let own = Period::of(span, e.time_us);
@@ -76,7 +89,8 @@
                 let row = Row::of(e, number(t, names, &e.tenant)?, number(t, names, &e.class)?);
                 by_period.entry(period).or_default().push(row);
             }
-            let mut add = t.prepare_cached("INSERT INTO blocks VALUES(?1, ?2, ?3, ?4, ?5, ?6, ?7)")?;
+            let mut add =
+                t.prepare_cached("INSERT INTO blocks VALUES(?1, ?2, ?3, ?4, ?5, ?6, ?7)")?;
             for (period, rows) in by_period {
                 let mut body = Vec::with_capacity(rows.len() * 48);
                 let (first, end) = (rows[0].seq, rows[rows.len() - 1].seq);
@@ -85,7 +99,13 @@
                     pack(row, before, &mut body);
                     before = (row.seq, row.time_us);
                 }
-                let at = seal::Place { period, epoch, first, last: end, entries: rows.len() as u64 };
+                let at = seal::Place {
+                    period,
+                    epoch,
+                    first,
+                    last: end,
+                    entries: rows.len() as u64,
+                };
                 let hash = seal::block(&at, &body);
                 add.execute(params![
                     period.start_s(),
@@ -97,7 +117,8 @@
                     body
                 ])?;
             }
-            let mut mark = t.prepare_cached("UPDATE epochs SET last = ?1, marks = ?2 WHERE epoch = ?3")?;
+            let mut mark =
+                t.prepare_cached("UPDATE epochs SET last = ?1, marks = ?2 WHERE epoch = ?3")?;
             mark.execute(params![last as i64, bytes, epoch as i64])?;
             Ok(())
         })?;
@@ -106,7 +127,11 @@
     }
 
     /// Closes all periods with anything in them that ended `lateness_us` ago or earlier, the oldest first.
-    pub fn close_due(&mut self, now: Micros, lateness_us: Micros) -> Result<Vec<Closed>, StoreError> {
+    pub fn close_due(
+        &mut self,
+        now: Micros,
+        lateness_us: Micros,
+    ) -> Result<Vec<Closed>, StoreError> {
         let mut closed = Vec::new();
         for period in self.open_periods()? {
             if period.end_us().saturating_add(lateness_us) > now {
@@ -125,7 +150,13 @@
             return Err(StoreError::InUse(self.path.clone()));
         }
         let due = self.open_periods()?.into_iter().take_while(|p| *p <= last);
-        due.map(|period| Ok(Closed { period, hash: self.seal(period, now)? })).collect()
+        due.map(|period| {
+            Ok(Closed {
+                period,
+                hash: self.seal(period, now)?,
+            })
+        })
+        .collect()
     }
 
     /// Seals one period: what is in it, and what is known of its answers, is what it stays. Its seal chains to the
@@ -184,12 +215,17 @@
     pub fn correct_all(&mut self, corrections: &[Correction]) -> Result<Vec<u64>, StoreError> {
         let (span, key, instance) = (self.span, self.key, self.instance.clone());
         self.whole(|t, _| {
-            let sealed: Option<i64> = t.query_row("SELECT max(period) FROM seals", [], |r| r.get(0))?;
-            let first_open = sealed.and_then(|s| Period::starting(span, s)).map(Period::next);
+            let sealed: Option<i64> =
+                t.query_row("SELECT max(period) FROM seals", [], |r| r.get(0))?;
+            let first_open = sealed
+                .and_then(|s| Period::starting(span, s))
+                .map(Period::next);
             let mut numbers = Vec::new();
             for c in corrections {
-                let no = 1 + t
-                    .query_row("SELECT coalesce(max(no), 0) FROM corrections", [], |r| r.get::<_, i64>(0))?;
+                let no =
+                    1 + t.query_row("SELECT coalesce(max(no), 0) FROM corrections", [], |r| {
+                        r.get::<_, i64>(0)
+                    })?;
                 if let About::Billed { epoch, seq } | About::Waived { epoch, seq } = c.about {
                     let new = t.execute(
                         "INSERT OR IGNORE INTO settled VALUES(?1, ?2, ?3)",
@@ -218,7 +254,10 @@
     pub fn end_epoch(&mut self, now: Micros) -> Result<(), StoreError> {
         if let Some((epoch, ..)) = self.epoch.take() {
             self.whole(|t, _| {
-                t.execute("UPDATE epochs SET ended = ?1 WHERE epoch = ?2", [now as i64, epoch as i64])
+                t.execute(
+                    "UPDATE epochs SET ended = ?1 WHERE epoch = ?2",
+                    [now as i64, epoch as i64],
+                )
             })?;
         }
         Ok(())
@@ -226,20 +265,33 @@
 
     /// Writes the log of changes back into the file: after it, the file alone holds all.
     pub fn checkpoint(&mut self) -> Result<(), StoreError> {
-        let done = self.db.query_row("PRAGMA wal_checkpoint(TRUNCATE)", [], |_| Ok(()));
+        let done = self
+            .db
+            .query_row("PRAGMA wal_checkpoint(TRUNCATE)", [], |_| Ok(()));
         done.map_err(self.failed())
     }
 }
 
 fn all_marks(t: &Transaction, epoch: i64) -> rusqlite::Result<Marks> {
-    let bytes: Vec<u8> = t.query_row("SELECT marks FROM epochs WHERE epoch = ?1", [epoch], |r| r.get(0))?;
+    let bytes: Vec<u8> =
+        t.query_row("SELECT marks FROM epochs WHERE epoch = ?1", [epoch], |r| {
+            r.get(0)
+        })?;
     marked::from_bytes(epoch as u64, &bytes).ok_or_else(|| {
-        rusqlite::Error::FromSqlConversionFailure(0, rusqlite::types::Type::Blob, "marks of an epoch".into())
+        rusqlite::Error::FromSqlConversionFailure(
+            0,
+            rusqlite::types::Type::Blob,
+            "marks of an epoch".into(),
+        )
     })
 }
 
 /// The number of a name, which is given one if it is new.
-fn number(t: &Transaction, names: &mut HashMap<Arc<str>, u32>, name: &Arc<str>) -> rusqlite::Result<u32> {
+fn number(
+    t: &Transaction,
+    names: &mut HashMap<Arc<str>, u32>,
+    name: &Arc<str>,
+) -> rusqlite::Result<u32> {
     if let Some(n) = names.get(name) {
         return Ok(*n);
     }
--- a/crates/ledger/src/sums.rs
+++ b/crates/ledger/src/sums.rs
@@ -40,7 +40,9 @@
         let slot_us = u128::from(row.slot_us());
         let (count, amount) = match (row.answer, delivery) {
             (Answer::Served, Delivery::Written) => (&mut self.served, Some(&mut self.slot_us)),
-            (Answer::Served, Delivery::InDoubt) => (&mut self.doubts, Some(&mut self.doubt_slot_us)),
+            (Answer::Served, Delivery::InDoubt) => {
+                (&mut self.doubts, Some(&mut self.doubt_slot_us))
+            }
             (Answer::Served, Delivery::Broke) | (Answer::Gone, _) => (&mut self.gone, None),
             (Answer::Busy, _) => (&mut self.busy, None),
             (Answer::Failed, _) => (&mut self.failed, None),
@@ -49,14 +51,20 @@
         if let Some(amount) = amount {
             *amount = amount.checked_add(slot_us).ok_or(Overflow)?;
         }
-        self.wasted_us = self.wasted_us.checked_add(u128::from(row.wasted_us)).ok_or(Overflow)?;
+        self.wasted_us = self
+            .wasted_us
+            .checked_add(u128::from(row.wasted_us))
+            .ok_or(Overflow)?;
         Ok(())
     }
 
     /// Counts a correction.
     pub fn correct(&mut self, operations: i64, slot_us: i128) -> Result<(), Overflow> {
         self.corrected = self.corrected.checked_add(operations).ok_or(Overflow)?;
-        self.corrected_slot_us = self.corrected_slot_us.checked_add(slot_us).ok_or(Overflow)?;
+        self.corrected_slot_us = self
+            .corrected_slot_us
+            .checked_add(slot_us)
+            .ok_or(Overflow)?;
         Ok(())
     }
 
@@ -74,7 +82,10 @@
             doubts: n(self.doubts, o.doubts)?,
             doubt_slot_us: w(self.doubt_slot_us, o.doubt_slot_us)?,
             corrected: self.corrected.checked_add(o.corrected).ok_or(Overflow)?,
-            corrected_slot_us: self.corrected_slot_us.checked_add(o.corrected_slot_us).ok_or(Overflow)?,
+            corrected_slot_us: self
+                .corrected_slot_us
+                .checked_add(o.corrected_slot_us)
+                .ok_or(Overflow)?,
         };
         Ok(())
     }
@@ -86,7 +97,10 @@
 
     /// Slot-microseconds to be billed, corrections included.
     pub fn billed_slot_us(&self) -> Result<i128, Overflow> {
-        i128::try_from(self.slot_us).ok().and_then(|s| s.checked_add(self.corrected_slot_us)).ok_or(Overflow)
+        i128::try_from(self.slot_us)
+            .ok()
+            .and_then(|s| s.checked_add(self.corrected_slot_us))
+            .ok_or(Overflow)
     }
 
     /// Entries counted.
--- a/crates/ledger/src/writer.rs
+++ b/crates/ledger/src/writer.rs
@@ -71,15 +71,29 @@
 impl Writer {
     /// Starts the thread. `wall` reads Unix time in microseconds.
     pub fn start(
-        options: Options, duties: Duties, wall: impl Fn() -> Micros + Send + 'static,
+        options: Options,
+        duties: Duties,
+        wall: impl Fn() -> Micros + Send + 'static,
         tell: impl Fn(Told) + Send + 'static,
     ) -> std::io::Result<Writer> {
         let (notes, noted) = channel();
         let thread = std::thread::Builder::new().name("ledger".into());
         let thread = thread.spawn(move || {
-            Work { options, duties, wall, tell, store: None, upto: 0, why: String::new() }.run(&noted)
+            Work {
+                options,
+                duties,
+                wall,
+                tell,
+                store: None,
+                upto: 0,
+                why: String::new(),
+            }
+            .run(&noted)
         })?;
-        Ok(Writer { notes: Some(notes), thread: Some(thread) })
+        Ok(Writer {
+            notes: Some(notes),
+            thread: Some(thread),
+        })
     }
 
     /// Notes something. Never blocks.
@@ -159,13 +173,19 @@
         }
         if let Some(mut store) = self.store.take() {
             // In this order; a process that ends between them has its epoch ended by the next one.
-            let _ = store.end_epoch((self.wall)()).and_then(|()| store.checkpoint());
+            let _ = store
+                .end_epoch((self.wall)())
+                .and_then(|()| store.checkpoint());
         }
     }
 
     /// Waits for something to write and takes what is there. Some once nothing more will come.
     fn gather(&self, noted: &Receiver<Note>, batch: &mut Batch) -> Option<Instant> {
-        let mut wait = if batch.is_empty() { CLOSE } else { Duration::ZERO };
+        let mut wait = if batch.is_empty() {
+            CLOSE
+        } else {
+            Duration::ZERO
+        };
         let mut by = None;
         loop {
             match noted.recv_timeout(wait) {
@@ -190,7 +210,9 @@
         if self.store.is_none() {
             match Store::open(&self.options, (self.wall)()) {
                 Ok(store) => {
-                    (self.tell)(Told::Opened { epoch: store.epoch() });
+                    (self.tell)(Told::Opened {
+                        epoch: store.epoch(),
+                    });
                     self.store = Some(store);
                     self.why.clear();
                 }
@@ -209,13 +231,18 @@
     }
 
     fn commit(&mut self, batch: &mut Batch) -> bool {
-        let Some(store) = self.store() else { return false };
+        let Some(store) = self.store() else {
+            return false;
+        };
         match store.commit(&batch.entries, &batch.written, &batch.broke) {
             Ok(()) => {
                 let failed = !std::mem::take(&mut self.why).is_empty();
                 self.upto = batch.entries.last().map_or(self.upto, |e| e.seq);
                 if failed || !batch.entries.is_empty() {
-                    (self.tell)(Told::Durable { upto: self.upto, entries: batch.entries.len() });
+                    (self.tell)(Told::Durable {
+                        upto: self.upto,
+                        entries: batch.entries.len(),
+                    });
                 }
                 *batch = Batch::default();
                 true
@@ -234,14 +261,19 @@
 
     fn close(&mut self) {
         let (now, lateness, rule) = ((self.wall)(), self.duties.lateness_us, self.duties.doubts);
-        let Some(store) = self.store.as_mut() else { return };
+        let Some(store) = self.store.as_mut() else {
+            return;
+        };
         let closed = store.close_due(now, lateness);
         let settled = match (&closed, rule) {
             (Ok(closed), Some(rule)) if !closed.is_empty() => {
                 let all = store.doubts().and_then(|doubts| {
-                    let due = doubts.iter().filter(|d| closed.iter().any(|c| c.period == d.period));
-                    let due: Vec<_> =
-                        due.map(|d| d.settle(rule, now, "streamusher", "the rule for doubts")).collect();
+                    let due = doubts
+                        .iter()
+                        .filter(|d| closed.iter().any(|c| c.period == d.period));
+                    let due: Vec<_> = due
+                        .map(|d| d.settle(rule, now, "streamusher", "the rule for doubts"))
+                        .collect();
                     store.correct_all(&due)
                 });
                 all.map(drop)
--- a/crates/ledger/tests/common/mod.rs
+++ b/crates/ledger/tests/common/mod.rs
@@ -14,7 +14,13 @@
 pub const HOUR: Micros = 3_600 * SECOND;
 
 pub fn options(dir: &Path, instance: &str) -> Options {
-    Options { dir: dir.into(), instance: instance.into(), span: Span::Hour, key: KEY, most_bytes: None }
+    Options {
+        dir: dir.into(),
+        instance: instance.into(),
+        span: Span::Hour,
+        key: KEY,
+        most_bytes: None,
+    }
 }
 
 pub fn open(dir: &Path) -> Store {
@@ -27,20 +33,28 @@
         time_us,
         operation: format!("{:016x}", seq.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
         tenant: Arc::from(tenant),
-        class: Arc::from(if seq.is_multiple_of(3) { "sample-entry" } else { "depth-log" }),
+        class: Arc::from(if seq.is_multiple_of(3) {
+            "sample-entry"
+        } else {
+            "depth-log"
+        }),
         answer,
         joined: false,
         slots_milli: 1_500,
         run_us: 200_000 + seq,
         wasted_us: seq % 7,
         attempts: 1,
-        key: seq.is_multiple_of(3).then(|| key_hash(&KEY, &seq.to_string())),
+        key: seq
+            .is_multiple_of(3)
+            .then(|| key_hash(&KEY, &seq.to_string())),
     }
 }
 
 /// Entries of one tenant, all served and written.
 pub fn fill(store: &mut Store, numbers: std::ops::RangeInclusive<u64>, time_us: Micros) {
-    let entries: Vec<Entry> = numbers.map(|n| entry(n, time_us + n, "hydrology", Answer::Served)).collect();
+    let entries: Vec<Entry> = numbers
+        .map(|n| entry(n, time_us + n, "hydrology", Answer::Served))
+        .collect();
     let written: Vec<u64> = entries.iter().map(|e| e.seq).collect();
     store.commit(&entries, &written, &[]).expect("a commit");
 }
--- a/crates/ledger/tests/pure.rs
+++ b/crates/ledger/tests/pure.rs
@@ -18,11 +18,26 @@
 #[case::leap_february("2028-02", 1_832_976_000, "2028-03")]
 #[case::day("2026-12-31", 1_798_675_200, "2027-01-01")]
 #[case::hour("2026-12-31T23", 1_798_758_000, "2027-01-01T00")]
-fn a_period_has_a_name_a_start_and_a_next_one(#[case] name: &str, #[case] start: i64, #[case] next: &str) {
+fn a_period_has_a_name_a_start_and_a_next_one(
+    #[case] name: &str,
+    #[case] start: i64,
+    #[case] next: &str,
+) {
     let period: Period = name.parse().unwrap();
-    assert_eq!((period.start_s(), period.next().to_string().as_str()), (start, next));
-    assert_eq!(Period::of(period.span(), period.end_us() - 1), period, "half-open: its last moment");
-    assert_eq!(Period::of(period.span(), period.end_us()), period.next(), "half-open: the first one after");
+    assert_eq!(
+        (period.start_s(), period.next().to_string().as_str()),
+        (start, next)
+    );
+    assert_eq!(
+        Period::of(period.span(), period.end_us() - 1),
+        period,
+        "half-open: its last moment"
+    );
+    assert_eq!(
+        Period::of(period.span(), period.end_us()),
+        period.next(),
+        "half-open: the first one after"
+    );
 }
 
 #[rstest]
@@ -51,7 +66,8 @@
         all.into_iter()
             .map(|(step, n, answer, operation, key, joined)| {
                 seq += step;
-                let answer = [Answer::Served, Answer::Busy, Answer::Failed, Answer::Gone][answer as usize];
+                let answer =
+                    [Answer::Served, Answer::Busy, Answer::Failed, Answer::Gone][answer as usize];
                 let (tenant, class, slots_milli) = (n, n % 5, n);
                 let (run_us, wasted_us, attempts) = (u64::from(n) * 3, u64::from(n), n % 5);
                 // Times go back too: the clock may.
@@ -179,7 +195,10 @@
 }
 
 fn part(instance: u8, period: u8, id: u8) -> Part {
-    let sums = Use { served: 1, ..Use::default() };
+    let sums = Use {
+        served: 1,
+        ..Use::default()
+    };
     Part {
         instance: format!("n{instance}"),
         period: Period::of(Span::Hour, DECEMBER + u64::from(period) * HOUR),
@@ -197,7 +216,13 @@
 #[test]
 fn a_disk_that_comes_back_is_trusted_again() {
     let mut gate = Gate::new(OnFailure::Refuse, 2_000, 3);
-    assert_eq!(gate.book(0, 9_000), Verdict::Hold { seq: 1, until: 2_000 });
+    assert_eq!(
+        gate.book(0, 9_000),
+        Verdict::Hold {
+            seq: 1,
+            until: 2_000
+        }
+    );
     gate.failed();
     assert!(!gate.takes_work());
     assert_eq!(
@@ -210,13 +235,28 @@
     assert_eq!(gate.book(30, 9_000), Verdict::Unbooked, "no more are kept");
     gate.durable(3, 3);
     assert!(gate.takes_work() && !gate.overdue(3));
-    assert_eq!(gate.book(40, 9_000), Verdict::Hold { seq: 5, until: 2_040 }, "the unbooked one leaves a gap");
+    assert_eq!(
+        gate.book(40, 9_000),
+        Verdict::Hold {
+            seq: 5,
+            until: 2_040
+        },
+        "the unbooked one leaves a gap"
+    );
     assert_eq!((gate.late, gate.unbooked), (1, 1));
 }
 
 #[test]
 fn sums_do_not_overflow_in_silence() {
-    let mut most = Use { slot_us: u128::MAX, ..Use::default() };
-    assert!(most.add(&Use { slot_us: 1, ..Use::default() }).is_err());
+    let mut most = Use {
+        slot_us: u128::MAX,
+        ..Use::default()
+    };
+    assert!(most
+        .add(&Use {
+            slot_us: 1,
+            ..Use::default()
+        })
+        .is_err());
     assert!(most.billed_slot_us().is_err());
 }
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -21,11 +21,17 @@
 pub fn now() -> Now {
     let start = start();
     let steady = elapsed(start);
-    Now { steady, unix: start.unix.saturating_add(steady) }
+    Now {
+        steady,
+        unix: start.unix.saturating_add(steady),
+    }
 }
 
 fn start() -> &'static Start {
-    START.get_or_init(|| Start { steady: Instant::now(), unix: time_of_day() })
+    START.get_or_init(|| Start {
+        steady: Instant::now(),
+        unix: time_of_day(),
+    })
 }
 
 fn elapsed(start: &Start) -> Millis {
@@ -33,5 +39,7 @@
 }
 
 fn time_of_day() -> Millis {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as Millis)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since| since.as_millis() as Millis)
 }
--- a/crates/node/src/http/answers.rs
+++ b/crates/node/src/http/answers.rs
@@ -26,21 +26,30 @@
 
 /// A plain text.
 pub fn text(status: StatusCode, body: impl Into<String>) -> Answer {
-    with_body(status, "text/plain; charset=utf-8", Bytes::from(body.into()))
+    with_body(
+        status,
+        "text/plain; charset=utf-8",
+        Bytes::from(body.into()),
+    )
 }
 
 /// A value as JSON; 500 if it can't be written as such.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Answer {
     match serde_json::to_vec(value) {
         Ok(body) => with_body(status, "application/json", Bytes::from(body)),
-        Err(error) => text(StatusCode::INTERNAL_SERVER_ERROR, format!("the answer is not JSON: {error}\n")),
+        Err(error) => text(
+            StatusCode::INTERNAL_SERVER_ERROR,
+            format!("the answer is not JSON: {error}\n"),
+        ),
     }
 }
 
 fn with_body(status: StatusCode, kind: &'static str, body: Bytes) -> Answer {
     let mut answer = Answer::new(body);
     *answer.status_mut() = status;
-    answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(kind));
+    answer
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static(kind));
     answer
 }
 
@@ -55,7 +64,9 @@
 fn body_error(body: &[u8], error: &serde_json::Error) -> BodyError {
     let reason = error.to_string();
     let quoted = quoted_name(&reason);
-    let field = quoted.or_else(|| last_key_before(body, error)).unwrap_or_else(|| "(body)".to_owned());
+    let field = quoted
+        .or_else(|| last_key_before(body, error))
+        .unwrap_or_else(|| "(body)".to_owned());
     BodyError { field, reason }
 }
 
@@ -69,7 +80,14 @@
 fn last_key_before(body: &[u8], error: &serde_json::Error) -> Option<String> {
     let line_start = match error.line().checked_sub(1)? {
         0 => 0,
-        lines => body.iter().enumerate().filter(|(_, byte)| **byte == b'\n').nth(lines - 1)?.0 + 1,
+        lines => {
+            body.iter()
+                .enumerate()
+                .filter(|(_, byte)| **byte == b'\n')
+                .nth(lines - 1)?
+                .0
+                + 1
+        }
     };
     let read = body.get(..line_start.saturating_add(error.column()).min(body.len()))?;
     let read = String::from_utf8_lossy(read);
--- a/crates/node/src/http/client.rs
+++ b/crates/node/src/http/client.rs
@@ -89,7 +89,16 @@
         let places = Semaphore::new(limits.max_calls.clamp(1, Semaphore::MAX_PERMITS));
         let pool = RefCell::new(Pool::default());
         let ids = CallIds::default();
-        Client { shared: Rc::new(Shared { address, host, limits, places, pool, ids }) }
+        Client {
+            shared: Rc::new(Shared {
+                address,
+                host,
+                limits,
+                places,
+                pool,
+                ids,
+            }),
+        }
     }
 
     /// Whom it calls.
@@ -126,7 +135,9 @@
             let mut error = match sent.await {
                 Err(_) => return Err(CallError::Unknown("the deadline is over".to_owned())),
                 Ok(Ok(answer)) if !belongs(answer.headers(), &id) => {
-                    return Err(CallError::Unknown("the answer is that of another call".to_owned()));
+                    return Err(CallError::Unknown(
+                        "the answer is that of another call".to_owned(),
+                    ));
                 }
                 Ok(Ok(answer)) => return self.read(answer, sender, generation, until).await,
                 Ok(Err(error)) => error,
@@ -156,7 +167,10 @@
         loop {
             let idle = self.pool.borrow_mut().idle.pop();
             let Some(mut sender) = idle else { break };
-            if matches!(tokio::time::timeout_at(until, sender.ready()).await, Ok(Ok(()))) {
+            if matches!(
+                tokio::time::timeout_at(until, sender.ready()).await,
+                Ok(Ok(()))
+            ) {
                 return Ok((sender, false));
             }
         }
@@ -169,7 +183,11 @@
     }
 
     async fn read(
-        &self, answer: ::http::Response<Incoming>, sender: Sender, generation: u64, until: Instant,
+        &self,
+        answer: ::http::Response<Incoming>,
+        sender: Sender,
+        generation: u64,
+        until: Instant,
     ) -> Result<Answer, CallError> {
         let (head, body) = answer.into_parts();
         let collected = Limited::new(body, self.limits.max_body).collect();
@@ -184,7 +202,10 @@
 
     fn keep(&self, sender: Sender, generation: u64) {
         let mut pool = self.pool.borrow_mut();
-        if pool.generation == generation && pool.idle.len() < self.limits.max_idle && !sender.is_closed() {
+        if pool.generation == generation
+            && pool.idle.len() < self.limits.max_idle
+            && !sender.is_closed()
+        {
             pool.idle.push(sender);
         }
     }
@@ -192,7 +213,9 @@
 
 async fn connect(address: SocketAddr) -> io::Result<Sender> {
     let stream = sockets::connect(address).await?;
-    let handshake = http1::Builder::new().max_buf_size(BUFFER).handshake(Stream(stream));
+    let handshake = http1::Builder::new()
+        .max_buf_size(BUFFER)
+        .handshake(Stream(stream));
     let (sender, connection) = handshake.await.map_err(io::Error::other)?;
     tokio::task::spawn_local(async move {
         // Its errors are told to the call that was under way.
--- a/crates/node/src/http/outbox.rs
+++ b/crates/node/src/http/outbox.rs
@@ -37,13 +37,23 @@
 impl<T: 'static> Outbox<T> {
     /// An outbox whose calls go to `path` with the JSON that `encode` makes.
     pub fn new(path: &'static str, encode: impl Fn(Vec<T>) -> Vec<u8> + 'static) -> Outbox<T> {
-        Outbox { path: Uri::from_static(path), encode: Rc::new(encode), queues: HashMap::new() }
+        Outbox {
+            path: Uri::from_static(path),
+            encode: Rc::new(encode),
+            queues: HashMap::new(),
+        }
     }
 
     /// Queues a message for `to`, an `ip:port`; it is lost where that is not reached. Within a `LocalSet`.
     pub fn send(&mut self, to: &Arc<str>, message: T) {
-        let queue = self.queues.get(to).filter(|queue| !queue.is_closed()).cloned();
-        let Some(queue) = queue.or_else(|| self.add(to)) else { return };
+        let queue = self
+            .queues
+            .get(to)
+            .filter(|queue| !queue.is_closed())
+            .cloned();
+        let Some(queue) = queue.or_else(|| self.add(to)) else {
+            return;
+        };
         // A full queue drops: its receiver is slow or gone.
         let _ = queue.try_send(message);
     }
@@ -65,14 +75,25 @@
 }
 
 /// Ends when the outbox is dropped or the receiver is sent nothing any more.
-async fn deliver<T>(address: SocketAddr, path: Uri, encode: Rc<Encode<T>>, mut messages: mpsc::Receiver<T>) {
-    let limits =
-        ClientLimits { max_calls: 1, max_idle: 1, connect_timeout: CONNECT_TIMEOUT, ..Default::default() };
+async fn deliver<T>(
+    address: SocketAddr,
+    path: Uri,
+    encode: Rc<Encode<T>>,
+    mut messages: mpsc::Receiver<T>,
+) {
+    let limits = ClientLimits {
+        max_calls: 1,
+        max_idle: 1,
+        connect_timeout: CONNECT_TIMEOUT,
+        ..Default::default()
+    };
     let client = Client::with_limits(address, limits);
     while let Ok(Some(first)) = tokio::time::timeout(IDLE, messages.recv()).await {
         let mut batch = vec![first];
         while batch.len() < MOST_IN_CALL {
-            let Ok(message) = messages.try_recv() else { break };
+            let Ok(message) = messages.try_recv() else {
+                break;
+            };
             batch.push(message);
         }
         let call = call_of(&path, encode(batch));
@@ -88,6 +109,7 @@
     let mut call = Call::new(Bytes::from(body));
     *call.method_mut() = Method::POST;
     *call.uri_mut() = path.clone();
-    call.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    call.headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     call
 }
--- a/crates/node/src/http/server.rs
+++ b/crates/node/src/http/server.rs
@@ -117,8 +117,16 @@
     pub fn bind(address: SocketAddr, limits: ServerLimits) -> io::Result<Server> {
         let (sender, phase) = watch::channel(Phase::Serving);
         let limits: SharedLimits = Rc::new(RefCell::new(Rc::new(limits)));
-        let handle = ServerHandle { phase: Rc::new(sender), limits: Rc::clone(&limits) };
-        Ok(Server { listener: sockets::listen(address)?, limits, handle, phase })
+        let handle = ServerHandle {
+            phase: Rc::new(sender),
+            limits: Rc::clone(&limits),
+        };
+        Ok(Server {
+            listener: sockets::listen(address)?,
+            limits,
+            handle,
+            phase,
+        })
     }
 
     /// Where it listens.
@@ -140,7 +148,11 @@
         H: Fn(Call) -> F + Clone + 'static,
         F: Future<Output = Answer> + 'static,
     {
-        let most = self.limits.borrow().max_connections.clamp(1, MOST_CONNECTIONS as usize) as u32;
+        let most = self
+            .limits
+            .borrow()
+            .max_connections
+            .clamp(1, MOST_CONNECTIONS as usize) as u32;
         let places = Arc::new(Semaphore::new(most as usize));
         let mut phase = self.phase.clone();
         loop {
@@ -175,7 +187,8 @@
 }
 
 async fn next_connection(
-    listener: &TcpListener, places: &Arc<Semaphore>,
+    listener: &TcpListener,
+    places: &Arc<Semaphore>,
 ) -> (TcpStream, Option<OwnedSemaphorePermit>) {
     let place = Arc::clone(places).acquire_owned().await.ok();
     loop {
@@ -237,7 +250,10 @@
 }
 
 async fn answer<H, F>(
-    limits: &ServerLimits, phase: &watch::Receiver<Phase>, handler: H, request: ::http::Request<Incoming>,
+    limits: &ServerLimits,
+    phase: &watch::Receiver<Phase>,
+    handler: H,
+    request: ::http::Request<Incoming>,
 ) -> ::http::Response<Full<Bytes>>
 where
     H: Fn(Call) -> F,
@@ -250,7 +266,9 @@
     };
     return_id(id, answer.headers_mut());
     if *phase.borrow() >= Phase::Leaving {
-        answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        answer
+            .headers_mut()
+            .insert(CONNECTION, HeaderValue::from_static("close"));
     }
     answer.map(Full::new)
 }
@@ -261,8 +279,12 @@
     if body.is_end_stream() {
         return Ok(Call::from_parts(head, Bytes::new()));
     }
-    let too_long =
-        || refusal(StatusCode::PAYLOAD_TOO_LARGE, "the body is longer than the limit: send less\n");
+    let too_long = || {
+        refusal(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            "the body is longer than the limit: send less\n",
+        )
+    };
     if body.size_hint().lower() > limits.max_body as u64 {
         return Err(too_long());
     }
@@ -270,13 +292,21 @@
     match tokio::time::timeout(limits.body_timeout, collected).await {
         Ok(Ok(body)) => Ok(Call::from_parts(head, body.to_bytes())),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(too_long()),
-        Ok(Err(_)) => Err(refusal(StatusCode::BAD_REQUEST, "the body broke off: send it again\n")),
-        Err(_) => Err(refusal(StatusCode::REQUEST_TIMEOUT, "the body came too slowly: send it again\n")),
+        Ok(Err(_)) => Err(refusal(
+            StatusCode::BAD_REQUEST,
+            "the body broke off: send it again\n",
+        )),
+        Err(_) => Err(refusal(
+            StatusCode::REQUEST_TIMEOUT,
+            "the body came too slowly: send it again\n",
+        )),
     }
 }
 
 fn refusal(status: StatusCode, reason: &'static str) -> Answer {
     let mut answer = text(status, reason);
-    answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    answer
+        .headers_mut()
+        .insert(CONNECTION, HeaderValue::from_static("close"));
     answer
 }
--- a/crates/node/src/http/sockets.rs
+++ b/crates/node/src/http/sockets.rs
@@ -25,7 +25,11 @@
 
 /// Listens at `address`, also right after an earlier process there has ended.
 pub(super) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
-    let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+    let socket = Socket::new(
+        Domain::for_address(address),
+        Type::STREAM,
+        Some(Protocol::TCP),
+    )?;
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
@@ -44,8 +48,10 @@
 pub(super) fn tune(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    let probes =
-        TcpKeepalive::new().with_time(PROBE_AFTER).with_interval(PROBE_INTERVAL).with_retries(PROBES);
+    let probes = TcpKeepalive::new()
+        .with_time(PROBE_AFTER)
+        .with_interval(PROBE_INTERVAL)
+        .with_retries(PROBES);
     socket.set_tcp_keepalive(&probes)?;
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))
 }
--- a/crates/node/src/http/stream.rs
+++ b/crates/node/src/http/stream.rs
@@ -14,7 +14,9 @@
 
 impl hyper::rt::Read for Stream {
     fn poll_read(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>, mut cursor: ReadBufCursor<'_>,
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        mut cursor: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         // Zeroed, so that no unsafe code is needed; the buffers are small.
         let mut chunk = [0_u8; CHUNK];
@@ -31,7 +33,9 @@
 
 impl hyper::rt::Write for Stream {
     fn poll_write(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8],
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.0).poll_write(context, bytes)
     }
@@ -49,7 +53,9 @@
     }
 
     fn poll_write_vectored(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>, parts: &[io::IoSlice<'_>],
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.0).poll_write_vectored(context, parts)
     }
@@ -65,7 +71,9 @@
     }
 
     fn sleep_until(&self, deadline: Instant) -> Pin<Box<dyn Sleep>> {
-        Box::pin(LoopSleep(Box::pin(tokio::time::sleep_until(deadline.into()))))
+        Box::pin(LoopSleep(Box::pin(tokio::time::sleep_until(
+            deadline.into(),
+        ))))
     }
 }
 
--- a/crates/node/src/logs/bound.rs
+++ b/crates/node/src/logs/bound.rs
@@ -53,7 +53,11 @@
 impl RateBound {
     /// At most one line in `interval_ms`.
     pub const fn new(interval_ms: Millis) -> RateBound {
-        RateBound { interval_ms, next_at: Cell::new(0), left_out: Cell::new(0) }
+        RateBound {
+            interval_ms,
+            next_at: Cell::new(0),
+            left_out: Cell::new(0),
+        }
     }
 
     /// Whether a line may be written at `now`, and how many were left out since the last one.
--- a/crates/node/src/logs/layout.rs
+++ b/crates/node/src/logs/layout.rs
@@ -9,7 +9,11 @@
 pub(super) struct LineLayout;
 
 impl Layout for LineLayout {
-    fn format(&self, record: &Record<'_>, _diagnostics: &[Box<dyn Diagnostic>]) -> Result<Vec<u8>, Error> {
+    fn format(
+        &self,
+        record: &Record<'_>,
+        _diagnostics: &[Box<dyn Diagnostic>],
+    ) -> Result<Vec<u8>, Error> {
         let time = utc(record.time());
         let level = record.level().name();
         // Lines of one process are told apart by their ends: a text must not bring any of its own.
--- a/crates/node/src/logs/mod.rs
+++ b/crates/node/src/logs/mod.rs
@@ -54,7 +54,11 @@
     let kept = KEPT.lock().unwrap_or_else(PoisonError::into_inner);
     let kept = kept.as_ref()?;
     let age_ms = clock::steady().saturating_sub(kept.at);
-    Some(LastError { age_ms, level: kept.level, text: kept.text.clone() })
+    Some(LastError {
+        age_ms,
+        level: kept.level,
+        text: kept.text.clone(),
+    })
 }
 
 struct Bridge {
@@ -75,7 +79,10 @@
         match self.left_out(record) {
             None => {}
             Some(0) => self.write(record, *record.args()),
-            Some(count) => self.write(record, format_args!("{} ({count} more since)", record.args())),
+            Some(count) => self.write(
+                record,
+                format_args!("{} ({count} more since)", record.args()),
+            ),
         }
     }
 
@@ -90,7 +97,10 @@
         if record.level() > log::Level::Info {
             return Some(0);
         }
-        let site = (record.module_path_static().unwrap_or_default(), record.line().unwrap_or_default());
+        let site = (
+            record.module_path_static().unwrap_or_default(),
+            record.line().unwrap_or_default(),
+        );
         let mut bounds = self.bounds.lock().unwrap_or_else(PoisonError::into_inner);
         bounds.allow(clock::steady(), site)
     }
@@ -117,7 +127,11 @@
     let mut text = record.args().to_string();
     let end = text.floor_char_boundary(MOST_KEPT_BYTES);
     text.truncate(end);
-    let kept = Kept { at: clock::steady(), level: record.level().as_str(), text };
+    let kept = Kept {
+        at: clock::steady(),
+        level: record.level().as_str(),
+        text,
+    };
     *KEPT.lock().unwrap_or_else(PoisonError::into_inner) = Some(kept);
 }
 
@@ -134,12 +148,19 @@
 /// Sends the lines of this process to standard error, at `level` or else at that of [`LEVEL_VARIABLE`]. Later calls change
 /// nothing.
 pub fn start(level: Option<LevelFilter>) {
-    let variable = std::env::var(LEVEL_VARIABLE).ok().filter(|text| !text.is_empty());
+    let variable = std::env::var(LEVEL_VARIABLE)
+        .ok()
+        .filter(|text| !text.is_empty());
     let of_variable = variable.as_deref().and_then(|text| text.parse().ok());
     let level = level.or(of_variable).unwrap_or(DEFAULT_LEVEL);
     let to_stderr = logforth::append::Stderr::default().with_layout(layout::LineLayout);
-    let logger = logforth::core::builder().dispatch(|dispatch| dispatch.append(to_stderr)).build();
-    let bridge = Bridge { logger, bounds: Mutex::default() };
+    let logger = logforth::core::builder()
+        .dispatch(|dispatch| dispatch.append(to_stderr))
+        .build();
+    let bridge = Bridge {
+        logger,
+        bounds: Mutex::default(),
+    };
     if log::set_boxed_logger(Box::new(bridge)).is_err() {
         return;
     }
--- a/crates/node/src/options.rs
+++ b/crates/node/src/options.rs
@@ -67,21 +67,35 @@
 /// See [`OptionsError`].
 pub fn parse(program: &Program, arguments: &[String]) -> Result<Invocation, OptionsError> {
     let options = options();
-    let matches = options.parse(arguments).map_err(|error| OptionsError::Option(error.to_string()))?;
+    let matches = options
+        .parse(arguments)
+        .map_err(|error| OptionsError::Option(error.to_string()))?;
     if matches.opt_present("help") {
         return Ok(Invocation::Print(help(program, &options)));
     }
     if matches.opt_present("version") {
-        return Ok(Invocation::Print(format!("{} {}", program.name, program.version)));
+        return Ok(Invocation::Print(format!(
+            "{} {}",
+            program.name, program.version
+        )));
     }
     let command = command_of(program, &matches.free)?;
     let log_level = log_level(&matches)?;
-    Ok(Invocation::Run(Chosen { command, check: matches.opt_present("check"), log_level }))
+    Ok(Invocation::Run(Chosen {
+        command,
+        check: matches.opt_present("check"),
+        log_level,
+    }))
 }
 
 /// Adds the option `--log-level`.
 pub fn add_log_level(options: &mut Options) {
-    options.optopt("", "log-level", "off, error, warn, info (the default), debug or trace", "LEVEL");
+    options.optopt(
+        "",
+        "log-level",
+        "off, error, warn, info (the default), debug or trace",
+        "LEVEL",
+    );
 }
 
 /// The level that `--log-level` gives.
@@ -90,13 +104,19 @@
 /// There is no such level.
 pub fn log_level(matches: &Matches) -> Result<Option<LevelFilter>, OptionsError> {
     let given = matches.opt_str("log-level");
-    given.map(|text| text.parse().map_err(|_| OptionsError::LogLevel(text))).transpose()
+    given
+        .map(|text| text.parse().map_err(|_| OptionsError::LogLevel(text)))
+        .transpose()
 }
 
 fn options() -> Options {
     let mut options = Options::new();
     options.optflag("h", "help", "print this text");
-    options.optflag("", "check", "check the settings file and end: code 0, or 2 if it is wrong");
+    options.optflag(
+        "",
+        "check",
+        "check the settings file and end: code 0, or 2 if it is wrong",
+    );
     options.optflag("", "version", "print the version");
     add_log_level(&mut options);
     options
@@ -111,19 +131,36 @@
         return Ok("");
     }
     let given = free.first();
-    let known = program.commands.iter().find(|(name, _)| given.is_some_and(|given| given == name));
-    known.map(|(name, _)| *name).ok_or_else(|| wrong_command(program, given))
+    let known = program
+        .commands
+        .iter()
+        .find(|(name, _)| given.is_some_and(|given| given == name));
+    known
+        .map(|(name, _)| *name)
+        .ok_or_else(|| wrong_command(program, given))
 }
 
 fn wrong_command(program: &Program, given: Option<&String>) -> OptionsError {
     let names: Vec<&str> = program.commands.iter().map(|(name, _)| *name).collect();
-    let found = given.map_or("no command".to_owned(), |given| format!("unknown command {given:?}"));
-    OptionsError::Command { found, known: names.join(", ") }
+    let found = given.map_or("no command".to_owned(), |given| {
+        format!("unknown command {given:?}")
+    });
+    OptionsError::Command {
+        found,
+        known: names.join(", "),
+    }
 }
 
 fn help(program: &Program, options: &Options) -> String {
-    let command = if program.commands.is_empty() { "" } else { " COMMAND" };
-    let mut brief = format!("{}\n\nUsage: {} [options]{command}\n", program.summary, program.name);
+    let command = if program.commands.is_empty() {
+        ""
+    } else {
+        " COMMAND"
+    };
+    let mut brief = format!(
+        "{}\n\nUsage: {} [options]{command}\n",
+        program.summary, program.name
+    );
     for (name, summary) in program.commands {
         brief.push_str(&format!("\n    {name:<10} {summary}"));
     }
--- a/crates/node/src/runtime.rs
+++ b/crates/node/src/runtime.rs
@@ -9,6 +9,9 @@
 /// # Errors
 /// The event loop could not be made, as when descriptors are used up.
 pub fn block_on<F: Future>(future: F) -> io::Result<F::Output> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_io().enable_time().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_io()
+        .enable_time()
+        .build()?;
     Ok(LocalSet::new().block_on(&runtime, future))
 }
