--- a/crates/node/src/settings/load.rs
+++ b/crates/node/src/settings/load.rs
@@ -60,8 +60,10 @@
 /// See [`SettingsError`].
 pub fn load_from(path: &Path) -> Result<Settings, SettingsError> {
     let name = path.display().to_string();
-    let text = std::fs::read_to_string(path)
-        .map_err(|error| SettingsError::Unreadable { path: name.clone(), reason: error.to_string() })?;
+    let text = std::fs::read_to_string(path).map_err(|error| SettingsError::Unreadable {
+        path: name.clone(),
+        reason: error.to_string(),
+    })?;
     parse(&text, &name)
 }
 
@@ -82,7 +84,9 @@
 /// See [`SettingsError`].
 pub fn parse(text: &str, path: &str) -> Result<Settings, SettingsError> {
     let figment = Figment::from(Toml::string(text));
-    let settings = figment.extract::<Settings>().map_err(|error| key_error(path, &figment, error))?;
+    let settings = figment
+        .extract::<Settings>()
+        .map_err(|error| key_error(path, &figment, error))?;
     check(&settings, path)?;
     Ok(settings)
 }
@@ -92,14 +96,32 @@
     let path = path.to_owned();
     let key = error.path.join(".");
     if let Kind::MissingField(field) = &error.kind {
-        let key = if key.is_empty() { field.to_string() } else { format!("{key}.{field}") };
-        return SettingsError::Key { path, key, value: "(missing)".to_owned(), remedy: "add it".to_owned() };
+        let key = if key.is_empty() {
+            field.to_string()
+        } else {
+            format!("{key}.{field}")
+        };
+        return SettingsError::Key {
+            path,
+            key,
+            value: "(missing)".to_owned(),
+            remedy: "add it".to_owned(),
+        };
     }
     if key.is_empty() {
-        return SettingsError::Syntax { path, reason: error.kind.to_string() };
+        return SettingsError::Syntax {
+            path,
+            reason: error.kind.to_string(),
+        };
+    }
+    let value =
+        value_at(figment, &error.path).map_or("(unknown)".to_owned(), |value| shown(&value));
+    SettingsError::Key {
+        path,
+        key,
+        value,
+        remedy: format!("{}: write a value of that kind", error.kind),
     }
-    let value = value_at(figment, &error.path).map_or("(unknown)".to_owned(), |value| shown(&value));
-    SettingsError::Key { path, key, value, remedy: format!("{}: write a value of that kind", error.kind) }
 }
 
 /// The value at a path of keys and, in arrays, places.
@@ -121,8 +143,13 @@
         Value::String(_, text) => format!("{text:?}"),
         Value::Bool(_, value) => value.to_string(),
         Value::Num(_, Num::F64(value)) => value.to_string(),
-        Value::Num(_, number) => number.to_i128().map_or("(a number)".to_owned(), |value| value.to_string()),
-        Value::Array(_, items) => format!("[{}]", items.iter().map(shown).collect::<Vec<_>>().join(", ")),
+        Value::Num(_, number) => number
+            .to_i128()
+            .map_or("(a number)".to_owned(), |value| value.to_string()),
+        Value::Array(_, items) => format!(
+            "[{}]",
+            items.iter().map(shown).collect::<Vec<_>>().join(", ")
+        ),
         _ => "(a table)".to_owned(),
     }
 }
@@ -145,13 +172,25 @@
         );
     }
     if settings.seeds.is_empty() {
-        return wrong("seeds", "[]".to_owned(), "name at least one control address as ip:port");
+        return wrong(
+            "seeds",
+            "[]".to_owned(),
+            "name at least one control address as ip:port",
+        );
     }
     if settings.heartbeat_ms == 0 {
-        return wrong("heartbeat_ms", "0".to_owned(), "give the time between two heartbeats, above 0");
+        return wrong(
+            "heartbeat_ms",
+            "0".to_owned(),
+            "give the time between two heartbeats, above 0",
+        );
     }
     if settings.bounds.hold_max_ms == 0 {
-        return wrong("bounds.hold_max_ms", "0".to_owned(), "give how long a worker holds runs, above 0");
+        return wrong(
+            "bounds.hold_max_ms",
+            "0".to_owned(),
+            "give how long a worker holds runs, above 0",
+        );
     }
     Ok(())
 }
--- a/crates/node/src/settings/mod.rs
+++ b/crates/node/src/settings/mod.rs
@@ -294,7 +294,9 @@
     value.max(0.0).round() as Millis
 }
 
-fn path_or_none<'de, D: serde::Deserializer<'de>>(deserializer: D) -> Result<Option<PathBuf>, D::Error> {
+fn path_or_none<'de, D: serde::Deserializer<'de>>(
+    deserializer: D,
+) -> Result<Option<PathBuf>, D::Error> {
     let text = Option::<String>::deserialize(deserializer)?;
     Ok(text.filter(|text| !text.is_empty()).map(PathBuf::from))
 }
--- a/crates/node/tests/answers.rs
+++ b/crates/node/tests/answers.rs
@@ -32,12 +32,20 @@
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             let mut byte = [0];
-            assert_eq!(self.stream.read(&mut byte).await.unwrap(), 1, "the caller closed");
+            assert_eq!(
+                self.stream.read(&mut byte).await.unwrap(),
+                1,
+                "the caller closed"
+            );
             head.push(byte[0]);
         }
         let head = String::from_utf8(head).unwrap();
         let path = head.split(' ').nth(1).unwrap().to_owned();
-        let id = head.lines().find_map(|line| line.strip_prefix("streamusher-call: ")).unwrap().to_owned();
+        let id = head
+            .lines()
+            .find_map(|line| line.strip_prefix("streamusher-call: "))
+            .unwrap()
+            .to_owned();
         self.seen.borrow_mut().push(path.clone());
         (path, id)
     }
@@ -55,7 +63,10 @@
 }
 
 fn answer(body: &str, id: &str) -> String {
-    format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\nstreamusher-call: {id}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 200 OK\r\ncontent-length: {}\r\nstreamusher-call: {id}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 fn get(path: &str) -> Call {
@@ -81,10 +92,18 @@
         tokio::task::spawn_local(async move {
             for number in 0.. {
                 let (stream, _) = listener.accept().await.unwrap();
-                tokio::task::spawn_local(script(number, Connection { stream, seen: noted.clone() }));
+                tokio::task::spawn_local(script(
+                    number,
+                    Connection {
+                        stream,
+                        seen: noted.clone(),
+                    },
+                ));
             }
         });
-        tokio::time::timeout(SOON, caller(Client::new(address), seen)).await.expect("bounded");
+        tokio::time::timeout(SOON, caller(Client::new(address), seen))
+            .await
+            .expect("bounded");
     })
     .unwrap();
 }
@@ -114,7 +133,11 @@
         let second = client.call(get("/two"), SOON).await;
         assert!(matches!(second, Err(CallError::Unknown(_))), "{second:?}");
         assert_eq!(body_of(client.call(get("/three"), SOON).await), "/three");
-        assert_eq!(*seen.borrow(), ["/one", "/two", "/three"], "none was sent twice");
+        assert_eq!(
+            *seen.borrow(),
+            ["/one", "/two", "/three"],
+            "none was sent twice"
+        );
     });
 }
 
@@ -125,7 +148,9 @@
             return serve_well(connection).await;
         }
         let (path, id) = connection.call().await;
-        connection.write(&(answer(&path, &id) + &answer("/wrong", &id))).await;
+        connection
+            .write(&(answer(&path, &id) + &answer("/wrong", &id)))
+            .await;
         connection.closed().await;
     };
     run(script, |client, seen| async move {
@@ -135,7 +160,10 @@
             Ok(answer) => assert_eq!(answer.body(), "/two"),
             Err(error) => assert!(matches!(error, CallError::Unknown(_)), "{error}"),
         }
-        assert!(seen.borrow().iter().filter(|path| *path == "/two").count() <= 1, "it was sent twice");
+        assert!(
+            seen.borrow().iter().filter(|path| *path == "/two").count() <= 1,
+            "it was sent twice"
+        );
     });
 }
 
@@ -168,7 +196,10 @@
         let (path, id) = connection.call().await;
         tokio::time::sleep(SHORT * 2).await;
         // The caller may have closed: then there is nobody to answer.
-        let _ = connection.stream.write_all(answer(&path, &id).as_bytes()).await;
+        let _ = connection
+            .stream
+            .write_all(answer(&path, &id).as_bytes())
+            .await;
         connection.closed().await;
     };
     run(script, |client, seen| async move {
@@ -192,9 +223,14 @@
         connection.write(&early).await;
     };
     run(script, |client, seen| async move {
-        let call = http::Request::post("/one").body(Bytes::from(vec![b'x'; 4_000])).unwrap();
+        let call = http::Request::post("/one")
+            .body(Bytes::from(vec![b'x'; 4_000]))
+            .unwrap();
         let first = client.call(call, SOON).await;
-        assert!(first.is_ok() || matches!(first, Err(CallError::Unknown(_))), "{first:?}");
+        assert!(
+            first.is_ok() || matches!(first, Err(CallError::Unknown(_))),
+            "{first:?}"
+        );
         assert_eq!(body_of(client.call(get("/two"), SOON).await), "/two");
         assert_eq!(*seen.borrow(), ["/one", "/two"]);
     });
@@ -234,12 +270,17 @@
         let first = client.call(get("/one"), SOON).await;
         assert!(matches!(first, Err(CallError::Unknown(_))), "{first:?}");
         assert_eq!(body_of(client.call(get("/two"), SOON).await), "/two");
-        assert_eq!(*seen.borrow(), ["/one", "/two"], "the first was not sent again");
+        assert_eq!(
+            *seen.borrow(),
+            ["/one", "/two"],
+            "the first was not sent again"
+        );
     });
 }
 
 #[test]
-fn given_a_peer_that_closes_as_its_connection_is_used_again_then_each_call_is_carried_out_once_at_most() {
+fn given_a_peer_that_closes_as_its_connection_is_used_again_then_each_call_is_carried_out_once_at_most(
+) {
     let script = |_, mut connection: Connection| async move {
         let (path, id) = connection.call().await;
         connection.write(&answer(&path, &id)).await;
@@ -272,7 +313,9 @@
     let script = |_, mut connection: Connection| async move {
         loop {
             let (path, _) = connection.call().await;
-            connection.write(&answer(&path, "").replace("streamusher-call: \r\n", "")).await;
+            connection
+                .write(&answer(&path, "").replace("streamusher-call: \r\n", ""))
+                .await;
         }
     };
     run(script, |client, _seen| async move {
--- a/crates/node/tests/http.rs
+++ b/crates/node/tests/http.rs
@@ -17,7 +17,8 @@
 const SOON: Duration = Duration::from_secs(20);
 
 fn run<F: Future<Output = ()>>(future: F) {
-    runtime::block_on(async { tokio::time::timeout(SOON, future).await.expect("bounded") }).unwrap();
+    runtime::block_on(async { tokio::time::timeout(SOON, future).await.expect("bounded") })
+        .unwrap();
 }
 
 fn get(path: &str) -> Call {
@@ -36,7 +37,11 @@
     let server = Server::bind("127.0.0.1:0".parse().unwrap(), limits).unwrap();
     let address = server.local_address().unwrap();
     let handle = server.handle();
-    (address, handle, tokio::task::spawn_local(server.run(handler)))
+    (
+        address,
+        handle,
+        tokio::task::spawn_local(server.run(handler)),
+    )
 }
 
 async fn echo(call: Call) -> Answer {
@@ -60,11 +65,17 @@
 #[test]
 fn given_a_body_over_the_limit_when_sent_then_413() {
     run(async {
-        let limits = ServerLimits { max_body: 100, ..ServerLimits::default() };
+        let limits = ServerLimits {
+            max_body: 100,
+            ..ServerLimits::default()
+        };
         let (address, _handle, _running) = serve(limits, echo);
         let client = Client::new(address);
 
-        let answer = client.call(post("/a", vec![b'x'; 101]), SOON).await.unwrap();
+        let answer = client
+            .call(post("/a", vec![b'x'; 101]), SOON)
+            .await
+            .unwrap();
 
         assert_eq!(answer.status(), StatusCode::PAYLOAD_TOO_LARGE);
     });
@@ -73,7 +84,10 @@
 #[test]
 fn given_many_calls_one_after_another_when_called_then_one_connection_serves_them() {
     run(async {
-        let limits = ServerLimits { max_connections: 1, ..ServerLimits::default() };
+        let limits = ServerLimits {
+            max_connections: 1,
+            ..ServerLimits::default()
+        };
         let (address, _handle, _running) = serve(limits, echo);
         let client = Client::new(address);
 
@@ -86,7 +100,10 @@
 #[test]
 fn given_a_dead_port_when_called_then_not_sent() {
     run(async {
-        let free = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+        let free = std::net::TcpListener::bind("127.0.0.1:0")
+            .unwrap()
+            .local_addr()
+            .unwrap();
 
         let error = Client::new(free).call(get("/"), SOON).await.unwrap_err();
 
@@ -97,10 +114,14 @@
 #[test]
 fn given_a_server_that_never_answers_when_the_deadline_is_over_then_unknown() {
     run(async {
-        let (address, _handle, _running) =
-            serve(ServerLimits::default(), |_call| std::future::pending::<Answer>());
+        let (address, _handle, _running) = serve(ServerLimits::default(), |_call| {
+            std::future::pending::<Answer>()
+        });
 
-        let error = Client::new(address).call(get("/"), Duration::from_millis(50)).await.unwrap_err();
+        let error = Client::new(address)
+            .call(get("/"), Duration::from_millis(50))
+            .await
+            .unwrap_err();
 
         assert!(matches!(error, CallError::Unknown(_)), "{error}");
     });
@@ -164,7 +185,10 @@
 #[test]
 fn given_more_calls_than_connections_when_called_at_once_then_all_are_answered() {
     run(async {
-        let limits = ServerLimits { max_connections: 2, ..ServerLimits::default() };
+        let limits = ServerLimits {
+            max_connections: 2,
+            ..ServerLimits::default()
+        };
         let (address, _handle, _running) = serve(limits, echo);
         let answered = Rc::new(Cell::new(0));
         let calls: Vec<_> = (0..10)
@@ -200,14 +224,22 @@
 
 #[test]
 fn given_a_field_of_another_type_when_parsed_then_the_error_names_it() {
-    let error = parse_json::<Body>(b"{\"other\":\n1,\n\"sequence\":\"four\",\"more\":2}").unwrap_err();
+    let error =
+        parse_json::<Body>(b"{\"other\":\n1,\n\"sequence\":\"four\",\"more\":2}").unwrap_err();
 
     assert_eq!(error.field, "sequence");
 }
 
 #[test]
 fn given_what_is_no_json_when_parsed_then_an_error_and_no_panic() {
-    for body in [&b""[..], b"{", b"\xff\xfe\":", b"[\"a\":", b"\":\":\"", b"\n\n\n{]"] {
+    for body in [
+        &b""[..],
+        b"{",
+        b"\xff\xfe\":",
+        b"[\"a\":",
+        b"\":\":\"",
+        b"\n\n\n{]",
+    ] {
         parse_json::<Body>(body).unwrap_err();
     }
 }
@@ -216,26 +248,50 @@
 fn given_a_value_when_answered_as_json_then_the_type_says_so() {
     let answer = json(StatusCode::OK, &[1, 2]);
 
-    assert_eq!(answer.headers().get("content-type").unwrap(), "application/json");
+    assert_eq!(
+        answer.headers().get("content-type").unwrap(),
+        "application/json"
+    );
     assert_eq!(answer.body(), "[1,2]");
 }
 
 #[test]
 fn given_new_limits_when_a_body_comes_then_the_next_request_is_held_to_them() {
     run(async {
-        let limits = ServerLimits { max_body: 100, ..ServerLimits::default() };
+        let limits = ServerLimits {
+            max_body: 100,
+            ..ServerLimits::default()
+        };
         let (address, handle, _running) = serve(limits.clone(), echo);
         let client = Client::new(address);
         assert_eq!(
-            client.call(post("/a", vec![b'x'; 101]), SOON).await.unwrap().status(),
+            client
+                .call(post("/a", vec![b'x'; 101]), SOON)
+                .await
+                .unwrap()
+                .status(),
             StatusCode::PAYLOAD_TOO_LARGE
         );
 
-        handle.set_limits(ServerLimits { max_body: 200, ..limits });
+        handle.set_limits(ServerLimits {
+            max_body: 200,
+            ..limits
+        });
 
-        assert_eq!(client.call(post("/a", vec![b'x'; 200]), SOON).await.unwrap().status(), StatusCode::OK);
         assert_eq!(
-            client.call(post("/a", vec![b'x'; 201]), SOON).await.unwrap().status(),
+            client
+                .call(post("/a", vec![b'x'; 200]), SOON)
+                .await
+                .unwrap()
+                .status(),
+            StatusCode::OK
+        );
+        assert_eq!(
+            client
+                .call(post("/a", vec![b'x'; 201]), SOON)
+                .await
+                .unwrap()
+                .status(),
             StatusCode::PAYLOAD_TOO_LARGE
         );
     });
--- a/crates/node/tests/outbox.rs
+++ b/crates/node/tests/outbox.rs
@@ -13,7 +13,11 @@
 const SOON: Duration = Duration::from_secs(20);
 
 fn run<F: std::future::Future<Output = ()>>(story: F) {
-    let bounded = async { tokio::time::timeout(SOON, story).await.expect("it ends in time") };
+    let bounded = async {
+        tokio::time::timeout(SOON, story)
+            .await
+            .expect("it ends in time")
+    };
     runtime::block_on(bounded).unwrap();
 }
 
@@ -37,7 +41,11 @@
             bell.notify_one();
             std::future::ready(empty(StatusCode::NO_CONTENT))
         }));
-        Receiver { address, received, heard }
+        Receiver {
+            address,
+            received,
+            heard,
+        }
     }
 
     async fn until(&self, count: usize) -> Vec<Vec<u32>> {
@@ -72,7 +80,10 @@
 fn given_a_receiver_that_is_gone_or_has_no_address_then_others_get_their_messages() {
     run(async {
         let receiver = Receiver::start();
-        let gone: SocketAddr = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+        let gone: SocketAddr = std::net::TcpListener::bind("127.0.0.1:0")
+            .unwrap()
+            .local_addr()
+            .unwrap();
         let mut outbox = outbox();
 
         outbox.send(&gone.to_string().into(), 1);
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -45,7 +45,10 @@
     let settings = read(GIVEN).unwrap();
 
     assert_eq!(&*settings.node_name, "front-1");
-    assert_eq!(settings.listen.front, Some("10.1.0.38:8149".parse().unwrap()));
+    assert_eq!(
+        settings.listen.front,
+        Some("10.1.0.38:8149".parse().unwrap())
+    );
     assert_eq!(settings.listen.control, None);
     assert_eq!(settings.bounds.grace_ms(), 6_500);
     assert_eq!(settings.bounds.hold_max_ms, 6_000);
@@ -70,29 +73,50 @@
 
     assert_eq!(&*seeds[0].control, "10.1.0.43:8144");
     assert_eq!(&*seeds[0].internal, "10.1.0.43:7380");
-    assert_eq!(settings.internal_address(2), "10.1.0.38:7382".parse().unwrap());
+    assert_eq!(
+        settings.internal_address(2),
+        "10.1.0.38:7382".parse().unwrap()
+    );
 }
 
 #[rstest]
-#[case::wrong_type("heartbeat_ms = 1500", "heartbeat_ms = \"soon\"", "heartbeat_ms", "\"soon\"")]
+#[case::wrong_type(
+    "heartbeat_ms = 1500",
+    "heartbeat_ms = \"soon\"",
+    "heartbeat_ms",
+    "\"soon\""
+)]
 #[case::no_address("ip = \"10.1.0.38\"", "ip = \"here\"", "ip", "\"here\"")]
 #[case::missing("ip = \"10.1.0.38\"", "", "ip", "(missing)")]
 #[case::in_a_table("grace_s = 6.5", "grace_s = [6]", "bounds.grace_s", "[6]")]
 #[case::below_zero("early_ms = 250", "early_ms = -1", "bounds.early_ms", "-1")]
-#[case::no_seeds("seeds = [\"10.1.0.43:8144\", \"10.2.0.45:8144\"]", "seeds = []", "seeds", "[]")]
+#[case::no_seeds(
+    "seeds = [\"10.1.0.43:8144\", \"10.2.0.45:8144\"]",
+    "seeds = []",
+    "seeds",
+    "[]"
+)]
 #[case::bad_seed("\"10.2.0.45:8144\"", "\"elsewhere\"", "seeds.1", "\"elsewhere\"")]
 #[case::turned_range("[7380, 7395]", "[7395, 7380]", "port_range", "[7395, 7380]")]
 #[case::no_heartbeat("heartbeat_ms = 1500", "heartbeat_ms = 0", "heartbeat_ms", "0")]
 #[case::no_hold("hold_max_ms = 6000.0", "hold_max_ms = 0", "bounds.hold_max_ms", "0")]
 fn given_a_key_of_no_use_when_read_then_the_error_names_key_value_and_remedy(
-    #[case] found: &str, #[case] instead: &str, #[case] wanted_key: &str, #[case] wanted_value: &str,
+    #[case] found: &str,
+    #[case] instead: &str,
+    #[case] wanted_key: &str,
+    #[case] wanted_value: &str,
 ) {
     let text = GIVEN.replacen(found, instead, 1);
     assert_ne!(text, GIVEN);
 
     let error = read(&text).unwrap_err();
 
-    let SettingsError::Key { key, value, remedy, .. } = &error else { panic!("{error}") };
+    let SettingsError::Key {
+        key, value, remedy, ..
+    } = &error
+    else {
+        panic!("{error}")
+    };
     assert_eq!((key.as_str(), value.as_str()), (wanted_key, wanted_value));
     assert!(!remedy.is_empty() && error.to_string().contains(remedy));
 }
@@ -104,10 +128,14 @@
 
 #[test]
 fn given_no_file_when_loaded_then_the_error_names_the_variable() {
-    let error = streamusher_node::settings::load_from(std::path::Path::new("/nonexistent/settings.toml"))
-        .unwrap_err();
-
-    assert!(error.to_string().contains("STREAMUSHER_SETTINGS"), "{error}");
+    let error =
+        streamusher_node::settings::load_from(std::path::Path::new("/nonexistent/settings.toml"))
+            .unwrap_err();
+
+    assert!(
+        error.to_string().contains("STREAMUSHER_SETTINGS"),
+        "{error}"
+    );
 }
 
 #[rstest]
@@ -115,9 +143,14 @@
 #[case::few(600, 556, 44)]
 #[case::too_few(256, 556, 16)]
 fn given_descriptors_when_a_server_takes_its_part_then_the_rest_is_for_connections(
-    #[case] max_fds: u64, #[case] besides: u64, #[case] connections: usize,
+    #[case] max_fds: u64,
+    #[case] besides: u64,
+    #[case] connections: usize,
 ) {
-    let limits = MachineLimits { max_fds, ..MachineLimits::default() };
+    let limits = MachineLimits {
+        max_fds,
+        ..MachineLimits::default()
+    };
 
     assert_eq!(limits.connections(besides), connections);
 }
--- a/crates/placement/benches/cost.rs
+++ b/crates/placement/benches/cost.rs
@@ -27,17 +27,27 @@
         service: "s".into(),
         zone: "z".into(),
         labels: vec!["a".into(), format!("r{}", number / 3).into()],
-        capacity: Resources { cpu: 16_000, mem_mb: 32_768, gpu: 0 },
+        capacity: Resources {
+            cpu: 16_000,
+            mem_mb: 32_768,
+            gpu: 0,
+        },
         open: true,
     }
 }
 
 fn unit(number: u64, random: &mut Pcg32, mean_run_ms: u64) -> Unit {
-    let task: TaskId = format!("{number:016x}.0.0.0").parse().expect("a task's name");
+    let task: TaskId = format!("{number:016x}.0.0.0")
+        .parse()
+        .expect("a task's name");
     Unit {
         id: UnitId::of_task(&task),
         tasks: vec![task],
-        resources: Resources { cpu: random.random_range(200..1_000), mem_mb: 900, gpu: 0 },
+        resources: Resources {
+            cpu: random.random_range(200..1_000),
+            mem_mb: 900,
+            gpu: 0,
+        },
         service: "s".into(),
         queue: "q".into(),
         priority: random.random_range(0..3),
@@ -75,17 +85,26 @@
     while now < case.seconds * 1_000 {
         now += TICK_MS;
         let due = case.arrivals_per_s * now / 1_000;
-        let new: Vec<Unit> = (number..due).map(|n| unit(n + 1, &mut random, case.mean_run_ms)).collect();
+        let new: Vec<Unit> = (number..due)
+            .map(|n| unit(n + 1, &mut random, case.mean_run_ms))
+            .collect();
         number = due;
-        run_ms.extend(new.iter().map(|unit| (unit.tasks[0].clone(), unit.estimated_ms)));
+        run_ms.extend(
+            new.iter()
+                .map(|unit| (unit.tasks[0].clone(), unit.estimated_ms)),
+        );
         let later = ends.split_off(&(now + 1));
         let over = std::mem::replace(&mut ends, later);
         let begin = Instant::now();
         for (task, at) in over.into_values().flatten() {
-            let how = Release::Ended { how: RunEnd::Done, ran_ms: case.mean_run_ms };
+            let how = Release::Ended {
+                how: RunEnd::Done,
+                ran_ms: case.mean_run_ms,
+            };
             placement.release(now, &task, &at, how);
         }
-        new.into_iter().for_each(|unit| placement.enqueue(now, unit));
+        new.into_iter()
+            .for_each(|unit| placement.enqueue(now, unit));
         let decisions = placement.place(now);
         let took = begin.elapsed().as_secs_f64();
         spent += took;
--- a/crates/placement/src/amounts.rs
+++ b/crates/placement/src/amounts.rs
@@ -6,7 +6,11 @@
 pub(crate) type Amounts = [f64; 3];
 
 pub(crate) fn amounts(resources: &Resources) -> Amounts {
-    [resources.cpu as f64, resources.mem_mb as f64, resources.gpu as f64]
+    [
+        resources.cpu as f64,
+        resources.mem_mb as f64,
+        resources.gpu as f64,
+    ]
 }
 
 /// What so many tasks take together.
@@ -21,5 +25,8 @@
 /// The largest share of a capacity that is taken, over all kinds of room. 0 of 0 is no share.
 pub(crate) fn dominant_share(taken: &Resources, capacity: &Resources) -> f64 {
     let pairs = amounts(taken).into_iter().zip(amounts(capacity));
-    pairs.filter(|(taken, _)| *taken > 0.0).map(|(taken, all)| taken / all.max(0.5)).fold(0.0, f64::max)
+    pairs
+        .filter(|(taken, _)| *taken > 0.0)
+        .map(|(taken, all)| taken / all.max(0.5))
+        .fold(0.0, f64::max)
 }
--- a/crates/placement/src/claim.rs
+++ b/crates/placement/src/claim.rs
@@ -30,12 +30,16 @@
     /// Whether a single task may start at a worker now.
     pub(crate) fn admits(&self, now: Millis, key: Key, waiting: &Waiting, slot: Slot) -> bool {
         let unit = &waiting.unit;
-        let Some(worker) = self.workers.get(slot).filter(|worker| worker.info.open) else { return false };
+        let Some(worker) = self.workers.get(slot).filter(|worker| worker.info.open) else {
+            return false;
+        };
         let is_barred = worker.runs_copy_of(unit) || !spreads(worker, waiting);
         if is_barred || !worker.free().covers(&unit.resources) {
             return false;
         }
-        let Some(service) = self.services.get(&unit.service) else { return false };
+        let Some(service) = self.services.get(&unit.service) else {
+            return false;
+        };
         if unit.spare && !service.is_lightly_used() {
             return false;
         }
@@ -59,12 +63,17 @@
     /// What of a worker's room must stay free of a unit. One that has waited for part of its slack goes before what is no more
     /// urgent.
     pub(crate) fn kept_against<'a>(
-        &'a self, now: Millis, waiting: &'a Waiting, service: &'a Service,
+        &'a self,
+        now: Millis,
+        waiting: &'a Waiting,
+        service: &'a Service,
     ) -> impl Iterator<Item = Kept> + 'a {
         let insists = self.spare_ms(now, waiting) <= 0.0;
         let waited = waiting.waited(now) as f64 / patience_ms(waiting).max(1.0);
-        let kept =
-            service.headroom.against(waiting.patience, waited).filter(|_| self.uses(Mechanism::Headroom));
+        let kept = service
+            .headroom
+            .against(waiting.patience, waited)
+            .filter(|_| self.uses(Mechanism::Headroom));
         kept.filter(move |kept| !insists || kept.most_urgent < waiting.unit.priority)
     }
 
@@ -74,13 +83,21 @@
     }
 
     /// Whether what is kept free for work that can wait less stays free. A worker without runs that can wait longer takes one.
-    fn leaves_headroom(&self, now: Millis, worker: &Worker, service: &Service, waiting: &Waiting) -> bool {
+    fn leaves_headroom(
+        &self,
+        now: Millis,
+        worker: &Worker,
+        service: &Service,
+        waiting: &Waiting,
+    ) -> bool {
         let capacity = amounts(&worker.info.capacity);
         let asked = amounts(&waiting.unit.resources);
         self.kept_against(now, waiting, service).all(|kept| {
             let behind = worker.used_behind(kept.up_to);
             let used = amounts(&behind);
-            let fits = |kind: usize| used[kind] + asked[kind] <= capacity[kind] * (1.0 - kept.shares[kind]);
+            let fits = |kind: usize| {
+                used[kind] + asked[kind] <= capacity[kind] * (1.0 - kept.shares[kind])
+            };
             behind == Resources::default() || (0..3).all(fits)
         })
     }
@@ -96,7 +113,11 @@
     /// How much a unit may take of what is kept at a worker. What was stopped for others goes to small tasks only:
     /// a large one would have it stopped again.
     pub(crate) fn insistence(
-        &self, now: Millis, waiting: &Waiting, service: &Service, worker: &Worker,
+        &self,
+        now: Millis,
+        waiting: &Waiting,
+        service: &Service,
+        worker: &Worker,
     ) -> Insistence {
         if !self.takes_any(now, waiting, service) {
             Insistence::Usual
@@ -108,18 +129,34 @@
     }
 
     /// Lets the workers with changes take what fits, up to a place in the order.
-    pub(crate) fn scan_changed(&mut self, now: Millis, until: Option<Key>, out: &mut Vec<Decision>) {
+    pub(crate) fn scan_changed(
+        &mut self,
+        now: Millis,
+        until: Option<Key>,
+        out: &mut Vec<Decision>,
+    ) {
         let slots: Vec<Slot> = self.dirty.iter().copied().collect();
-        slots.into_iter().for_each(|slot| self.scan(now, slot, until, out));
+        slots
+            .into_iter()
+            .for_each(|slot| self.scan(now, slot, until, out));
     }
 
     fn scan(&mut self, now: Millis, slot: Slot, until: Option<Key>, out: &mut Vec<Decision>) {
         loop {
-            let Some(worker) = self.workers.get(slot).filter(|worker| worker.info.open) else { return };
+            let Some(worker) = self.workers.get(slot).filter(|worker| worker.info.open) else {
+                return;
+            };
             let in_order = |key: &&Key| until.is_none_or(|until| **key < until);
-            let keys: Vec<Key> = worker.queue.iter().take_while(in_order).take(LOOKED_AT).copied().collect();
+            let keys: Vec<Key> = worker
+                .queue
+                .iter()
+                .take_while(in_order)
+                .take(LOOKED_AT)
+                .copied()
+                .collect();
             let before = out.len();
-            keys.into_iter().for_each(|key| self.claim(now, key, slot, out));
+            keys.into_iter()
+                .for_each(|key| self.claim(now, key, slot, out));
             if out.len() == before {
                 return;
             }
@@ -128,42 +165,68 @@
 
     /// Starts a waiting task at a worker if it may.
     pub(crate) fn claim(&mut self, now: Millis, key: Key, slot: Slot, out: &mut Vec<Decision>) {
-        let Some(waiting) = self.queue.get(key).filter(|waiting| !waiting.is_gang()) else { return };
+        let Some(waiting) = self.queue.get(key).filter(|waiting| !waiting.is_gang()) else {
+            return;
+        };
         if !self.admits(now, key, waiting, slot) {
             return;
         }
-        let on = waiting.unit.tasks.iter().map(|task| (task.clone(), slot)).collect();
+        let on = waiting
+            .unit
+            .tasks
+            .iter()
+            .map(|task| (task.clone(), slot))
+            .collect();
         self.start(now, key, on, out);
     }
 
     /// Withdraws all copies of a unit and takes room for its tasks.
-    pub(crate) fn start(&mut self, now: Millis, key: Key, on: Vec<(TaskId, Slot)>, out: &mut Vec<Decision>) {
+    pub(crate) fn start(
+        &mut self,
+        now: Millis,
+        key: Key,
+        on: Vec<(TaskId, Slot)>,
+        out: &mut Vec<Decision>,
+    ) {
         if !self.has_room_for(key, &on) {
             return;
         }
-        let Some(waiting) = self.taken_from_queue(key, &on) else { return };
+        let Some(waiting) = self.taken_from_queue(key, &on) else {
+            return;
+        };
         let mut placed = Vec::with_capacity(on.len());
         for (task, slot) in on {
             let mut run = Run::new(now, Held::from(&waiting.unit), waiting.patience);
             run.far_x = self.far_x(&waiting.unit, slot);
-            let Some(worker) = self.workers.get_mut(slot) else { continue };
+            let Some(worker) = self.workers.get_mut(slot) else {
+                continue;
+            };
             let id = worker.info.id.clone();
             worker.take(&task, run);
             self.refile(slot);
             placed.push((task, id));
         }
         let waits = waiting.waits.ended(now);
-        out.push(Decision::Start { unit: waiting.unit.id, on: placed, waits });
+        out.push(Decision::Start {
+            unit: waiting.unit.id,
+            on: placed,
+            waits,
+        });
     }
 
     /// The last check before room is taken, whoever chose the workers: no worker is filled beyond its room.
     fn has_room_for(&self, key: Key, on: &[(TaskId, Slot)]) -> bool {
-        let Some(waiting) = self.queue.get(key) else { return false };
+        let Some(waiting) = self.queue.get(key) else {
+            return false;
+        };
         let mut counts: BTreeMap<Slot, u64> = BTreeMap::new();
-        on.iter().for_each(|(_, slot)| *counts.entry(*slot).or_insert(0) += 1);
+        on.iter()
+            .for_each(|(_, slot)| *counts.entry(*slot).or_insert(0) += 1);
         counts.into_iter().all(|(slot, count)| {
             let asked = times(&waiting.unit.resources, count);
-            self.workers.get(slot).is_some_and(|worker| worker.free().covers(&asked))
+            self.workers
+                .get(slot)
+                .is_some_and(|worker| worker.free().covers(&asked))
         })
     }
 
--- a/crates/placement/src/copies.rs
+++ b/crates/placement/src/copies.rs
@@ -22,26 +22,38 @@
     pub(crate) fn spread(&mut self, now: Millis, key: Key) {
         let ranked = self.ranked(now, key);
         let acceptable = self.acceptable(now, key, &ranked);
-        let (Some(first), Some(waiting)) = (ranked.first(), self.queue.get(key)) else { return };
+        let (Some(first), Some(waiting)) = (ranked.first(), self.queue.get(key)) else {
+            return;
+        };
         let before = waiting.copies.len();
         let wanted = if first.wait_ms == 0.0 || !self.uses(Mechanism::Copies) {
             1
         } else if waiting.waited(now) >= COPIES_EVERYWHERE_MS {
             MOST_COPIES
         } else {
-            let ahead = self.workers.get(first.slot).map_or(0, |worker| worker.queue.len());
+            let ahead = self
+                .workers
+                .get(first.slot)
+                .map_or(0, |worker| worker.queue.len());
             (1 + ahead).min(MOST_AT_FIRST).max(2 * before)
         };
         if before >= MOST_COPIES {
             self.withdraw_copies(key);
         }
-        acceptable.into_iter().take(wanted.min(MOST_COPIES)).for_each(|slot| self.add_copy(key, slot));
+        acceptable
+            .into_iter()
+            .take(wanted.min(MOST_COPIES))
+            .for_each(|slot| self.add_copy(key, slot));
     }
 
     /// The workers at which the unit would be done no later than by waiting for the best, best first.
     pub(crate) fn acceptable(&self, now: Millis, key: Key, ranked: &[Ranked]) -> Vec<Slot> {
-        let (Some(first), Some(waiting)) = (ranked.first(), self.queue.get(key)) else { return Vec::new() };
-        let Some(service) = self.services.get(&waiting.unit.service) else { return Vec::new() };
+        let (Some(first), Some(waiting)) = (ranked.first(), self.queue.get(key)) else {
+            return Vec::new();
+        };
+        let Some(service) = self.services.get(&waiting.unit.service) else {
+            return Vec::new();
+        };
         let waited = waiting.waited(now);
         let patience = (waited as f64 + first.wait_ms) / self.run_ms(&waiting.unit, service);
         let patient = self.uses(Mechanism::Patience);
@@ -52,12 +64,20 @@
         } else {
             first.penalty + patience.min(PENALTY_OF_AVOIDED / 2.0)
         };
-        ranked.iter().filter(|other| other.penalty <= limit).map(|other| other.slot).collect()
+        ranked
+            .iter()
+            .filter(|other| other.penalty <= limit)
+            .map(|other| other.slot)
+            .collect()
     }
 
     pub(crate) fn add_copy(&mut self, key: Key, slot: Slot) {
-        let Some(waiting) = self.queue.get_mut(key) else { return };
-        let Some(worker) = self.workers.get_mut(slot) else { return };
+        let Some(waiting) = self.queue.get_mut(key) else {
+            return;
+        };
+        let Some(worker) = self.workers.get_mut(slot) else {
+            return;
+        };
         if worker.add_copy(key, &waiting.unit.resources) {
             waiting.copies.push(slot);
             self.refile(slot);
@@ -67,7 +87,9 @@
 
     /// Takes a unit's copies out of all queues.
     pub(crate) fn withdraw_copies(&mut self, key: Key) {
-        let Some(waiting) = self.queue.get_mut(key) else { return };
+        let Some(waiting) = self.queue.get_mut(key) else {
+            return;
+        };
         let copies = std::mem::take(&mut waiting.copies);
         let asked = waiting.unit.resources;
         for slot in copies {
--- a/crates/placement/src/explain.rs
+++ b/crates/placement/src/explain.rs
@@ -57,9 +57,15 @@
         let is_labelled =
             |label: &std::sync::Arc<str>| open.iter().any(|(_, worker)| worker.has_label(label));
         let has_label = wanted.node_selector.as_ref().is_none_or(is_labelled);
-        let eligible: Vec<_> = open.iter().filter(|(slot, _)| self.is_eligible(wanted, *slot)).collect();
+        let eligible: Vec<_> = open
+            .iter()
+            .filter(|(slot, _)| self.is_eligible(wanted, *slot))
+            .collect();
         let fits_now = |worker: &crate::room::Worker| worker.free().covers(&wanted.resources);
-        let with_room = eligible.iter().filter(|(_, worker)| fits_now(worker)).count();
+        let with_room = eligible
+            .iter()
+            .filter(|(_, worker)| fits_now(worker))
+            .count();
         Some(WaitingUnit {
             reason: reason(waiting, open.len(), has_label, eligible.len(), with_room),
             waited_ms: waiting.waited(now),
@@ -72,7 +78,13 @@
     }
 }
 
-fn reason(waiting: &Waiting, open: usize, has_label: bool, eligible: usize, with_room: usize) -> WaitReason {
+fn reason(
+    waiting: &Waiting,
+    open: usize,
+    has_label: bool,
+    eligible: usize,
+    with_room: usize,
+) -> WaitReason {
     match () {
         () if open == 0 => WaitReason::NoWorkerTakesWork,
         () if !has_label => WaitReason::NoWorkerHasItsLabel,
--- a/crates/placement/src/gang.rs
+++ b/crates/placement/src/gang.rs
@@ -25,7 +25,9 @@
         let racks = self.racks_for(now, key);
         let all = self.whole_pool_for(now, key);
         let groups: Vec<Group> = racks.into_iter().chain(all).collect();
-        let Some(waiting) = self.queue.get(key) else { return };
+        let Some(waiting) = self.queue.get(key) else {
+            return;
+        };
         let plan = self.cheapest(now, key, waiting, &groups, Reach::Now);
         if let Some(plan) = plan.filter(|plan| self.may_take(now, waiting, plan)) {
             self.start_gang(now, key, plan, out);
@@ -49,13 +51,27 @@
     }
 
     fn is_among_first(&self, key: Key) -> bool {
-        let service = self.queue.get(key).and_then(|waiting| self.services.get(&waiting.unit.service));
-        service.is_some_and(|service| service.gangs.iter().take(GATHERING).any(|gang| *gang == key))
+        let service = self
+            .queue
+            .get(key)
+            .and_then(|waiting| self.services.get(&waiting.unit.service));
+        service.is_some_and(|service| {
+            service
+                .gangs
+                .iter()
+                .take(GATHERING)
+                .any(|gang| *gang == key)
+        })
     }
 
     fn start_gang(&mut self, now: Millis, key: Key, plan: Plan, out: &mut Vec<Decision>) {
-        let Some(waiting) = self.queue.get(key) else { return };
-        let spots = plan.sites.iter().flat_map(|site| (0..site.members).map(|_| site.slot));
+        let Some(waiting) = self.queue.get(key) else {
+            return;
+        };
+        let spots = plan
+            .sites
+            .iter()
+            .flat_map(|site| (0..site.members).map(|_| site.slot));
         let on = waiting.unit.tasks.iter().cloned().zip(spots).collect();
         self.start(now, key, on, out);
     }
@@ -66,12 +82,19 @@
         let Some(waiting) = self.queue.get(key).filter(wants_rack) else {
             return Vec::new();
         };
-        let Some(service) = self.services.get(&waiting.unit.service) else { return Vec::new() };
+        let Some(service) = self.services.get(&waiting.unit.service) else {
+            return Vec::new();
+        };
         let mut racks: Vec<&Pool> = service.racks().collect();
         if racks.len() > MOST_RACKS {
-            racks = racks.choose_multiple(&mut self.rng, MOST_RACKS).copied().collect();
+            racks = racks
+                .choose_multiple(&mut self.rng, MOST_RACKS)
+                .copied()
+                .collect();
         }
-        let groups = racks.into_iter().map(|rack| self.group(now, key, waiting, service, &rack.members));
+        let groups = racks
+            .into_iter()
+            .map(|rack| self.group(now, key, waiting, service, &rack.members));
         groups.filter(|group| !group.is_empty()).collect()
     }
 
@@ -84,7 +107,10 @@
         }
         let pool = service.pool(waiting.unit.node_selector.as_deref())?;
         let drawn: Vec<Slot> = if pool.members.len() > MOST_WORKERS {
-            pool.members.choose_multiple(&mut self.rng, MOST_WORKERS).copied().collect()
+            pool.members
+                .choose_multiple(&mut self.rng, MOST_WORKERS)
+                .copied()
+                .collect()
         } else {
             pool.members.clone()
         };
@@ -102,10 +128,17 @@
 
     /// Whether a rack holds all members when it is empty.
     fn could_hold(&self, waiting: &Waiting, rack: &Pool) -> bool {
-        let eligible = rack.members.iter().filter(|slot| self.is_eligible(&waiting.unit, **slot));
+        let eligible = rack
+            .members
+            .iter()
+            .filter(|slot| self.is_eligible(&waiting.unit, **slot));
         let members = eligible.filter_map(|slot| {
             let share = waiting.share_of(self.workers.get(*slot)?);
-            let by_room = if share > 0.0 { (1.0 / share + 1e-9).floor() } else { f64::INFINITY };
+            let by_room = if share > 0.0 {
+                (1.0 / share + 1e-9).floor()
+            } else {
+                f64::INFINITY
+            };
             let by_step = match waiting.unit.anti_affinity {
                 0 => f64::INFINITY,
                 most => f64::from(most),
@@ -115,8 +148,17 @@
         members.sum::<f64>() >= waiting.unit.tasks.len() as f64
     }
 
-    fn group(&self, now: Millis, key: Key, waiting: &Waiting, service: &Service, slots: &[Slot]) -> Group {
-        let eligible = slots.iter().filter(|slot| self.is_eligible(&waiting.unit, **slot));
+    fn group(
+        &self,
+        now: Millis,
+        key: Key,
+        waiting: &Waiting,
+        service: &Service,
+        slots: &[Slot],
+    ) -> Group {
+        let eligible = slots
+            .iter()
+            .filter(|slot| self.is_eligible(&waiting.unit, **slot));
         let ranked = eligible.filter_map(|slot| self.rank(now, key, waiting, service, *slot));
         ranked.map(|worker| (worker.rank, worker.slot)).collect()
     }
--- a/crates/placement/src/gather.rs
+++ b/crates/placement/src/gather.rs
@@ -69,7 +69,10 @@
         let freed = amounts(&run.held.resources);
         add(&mut self.total, &freed, 1.0);
         let counted = |under: &&mut Under| run.patience > under.up_to;
-        self.under.iter_mut().filter(counted).for_each(|under| add(&mut under.used, &freed, -1.0));
+        self.under
+            .iter_mut()
+            .filter(counted)
+            .for_each(|under| add(&mut under.used, &freed, -1.0));
     }
 
     fn holds(&self, asked: &Amounts, members: u32) -> bool {
@@ -83,7 +86,9 @@
 }
 
 fn add(sum: &mut Amounts, part: &Amounts, sign: f64) {
-    sum.iter_mut().zip(part).for_each(|(sum, part)| *sum += sign * part);
+    sum.iter_mut()
+        .zip(part)
+        .for_each(|(sum, part)| *sum += sign * part);
 }
 
 /// A worker that may take members.
@@ -111,7 +116,9 @@
         let mut price = 0.0;
         let mut stopped = self.stopped;
         while !left.holds(asked, self.members + 1) {
-            let Some((cost, _, run)) = self.victims.get(stopped) else { return };
+            let Some((cost, _, run)) = self.victims.get(stopped) else {
+                return;
+            };
             left.free(run);
             price += cost;
             stopped += 1;
@@ -120,8 +127,12 @@
     }
 
     fn take(&mut self, asked: &Amounts) -> f64 {
-        let Some((price, stopped)) = self.next else { return 0.0 };
-        self.victims[self.stopped..stopped].iter().for_each(|(_, _, run)| self.left.free(run));
+        let Some((price, stopped)) = self.next else {
+            return 0.0;
+        };
+        self.victims[self.stopped..stopped]
+            .iter()
+            .for_each(|(_, _, run)| self.left.free(run));
         self.stopped = stopped;
         self.members += 1;
         self.look(asked);
@@ -143,8 +154,18 @@
             }
         }
         let price = needed.iter().map(|index| self.victims[*index].0).sum();
-        let victims = needed.iter().map(|index| self.victims[*index].1.clone()).collect();
-        (Site { slot: self.slot, members: self.members, victims }, price)
+        let victims = needed
+            .iter()
+            .map(|index| self.victims[*index].1.clone())
+            .collect();
+        (
+            Site {
+                slot: self.slot,
+                members: self.members,
+                victims,
+            },
+            price,
+        )
     }
 }
 
@@ -153,18 +174,27 @@
         let taken = amounts(&run.held.resources);
         add(&mut self.total, &taken, -1.0);
         let counted = |under: &&mut Under| run.patience > under.up_to;
-        self.under.iter_mut().filter(counted).for_each(|under| add(&mut under.used, &taken, 1.0));
+        self.under
+            .iter_mut()
+            .filter(counted)
+            .for_each(|under| add(&mut under.used, &taken, 1.0));
     }
 }
 
 impl Placement {
     /// Where all members of a unit fit, at the least price.
     pub(crate) fn plan(
-        &self, now: Millis, key: Key, waiting: &Waiting, workers: &[(f64, Slot)], reach: Reach,
+        &self,
+        now: Millis,
+        key: Key,
+        waiting: &Waiting,
+        workers: &[(f64, Slot)],
+        reach: Reach,
     ) -> Option<Plan> {
         let service = self.services.get(&waiting.unit.service)?;
         let asked = amounts(&waiting.unit.resources);
-        let host = |(rank, slot): &(f64, Slot)| self.host(now, key, waiting, service, *slot, *rank, reach);
+        let host =
+            |(rank, slot): &(f64, Slot)| self.host(now, key, waiting, service, *slot, *rank, reach);
         let mut hosts: Vec<Host> = workers.iter().filter_map(host).collect();
         hosts.iter_mut().for_each(|host| host.look(&asked));
         for _ in 0..waiting.unit.tasks.len() {
@@ -172,25 +202,40 @@
             let cost = |host: &Host| (host.next.map_or(f64::INFINITY, |next| next.0), host.rank);
             let cheaper = |a: &&mut Host, b: &&mut Host| {
                 let ((price_a, rank_a), (price_b, rank_b)) = (cost(a), cost(b));
-                price_a.total_cmp(&price_b).then(rank_a.total_cmp(&rank_b)).then(a.slot.cmp(&b.slot))
+                price_a
+                    .total_cmp(&price_b)
+                    .then(rank_a.total_cmp(&rank_b))
+                    .then(a.slot.cmp(&b.slot))
             };
             open.min_by(cheaper)?.take(&asked);
         }
         let chosen: Vec<&Host> = hosts.iter().filter(|host| host.members > 0).collect();
         let rank = chosen.iter().map(|host| host.rank).sum();
-        let (sites, prices): (Vec<Site>, Vec<f64>) = chosen.iter().map(|host| host.site(&asked)).unzip();
-        Some(Plan { sites, price: prices.iter().sum(), rank })
+        let (sites, prices): (Vec<Site>, Vec<f64>) =
+            chosen.iter().map(|host| host.site(&asked)).unzip();
+        Some(Plan {
+            sites,
+            price: prices.iter().sum(),
+            rank,
+        })
     }
 
     #[allow(clippy::too_many_arguments)]
     fn host<'a>(
-        &'a self, now: Millis, key: Key, waiting: &Waiting, service: &Service, slot: Slot, rank: f64,
+        &'a self,
+        now: Millis,
+        key: Key,
+        waiting: &Waiting,
+        service: &Service,
+        slot: Slot,
+        rank: f64,
         reach: Reach,
     ) -> Option<Host<'a>> {
         let worker = self.workers.get(slot)?;
         let insistence = self.insistence(now, waiting, service, worker);
         if !worker.info.open
-            || insistence == Insistence::Usual && self.most_runs(now, worker, service) <= worker.runs.len()
+            || insistence == Insistence::Usual
+                && self.most_runs(now, worker, service) <= worker.runs.len()
         {
             return None;
         }
@@ -215,7 +260,12 @@
 
     /// Counts as free what the reach allows, and lists what may be stopped.
     fn free_by_reach<'a>(
-        &'a self, now: Millis, worker: &'a Worker, service: &Service, priority: u32, reach: Reach,
+        &'a self,
+        now: Millis,
+        worker: &'a Worker,
+        service: &Service,
+        priority: u32,
+        reach: Reach,
         host: &mut Host<'a>,
     ) {
         let (within_ms, stops, gangs) = match reach {
@@ -228,16 +278,27 @@
             // Room of more urgent work is soon taken by its like.
             if rest_ms <= within_ms && run.held.priority >= priority {
                 host.left.free(run);
-            } else if stops && !run.stopping && run.held.priority > priority && (gangs || !run.held.gang) {
-                host.victims.push((run.price_of_stop(now, &self.settings), task, run));
+            } else if stops
+                && !run.stopping
+                && run.held.priority > priority
+                && (gangs || !run.held.gang)
+            {
+                host.victims
+                    .push((run.price_of_stop(now, &self.settings), task, run));
             }
         }
-        host.victims.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(b.1)));
+        host.victims
+            .sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(b.1)));
     }
 
     /// Room left now, with what is kept for earlier units and for work that can wait less taken off.
     fn left_at(
-        &self, now: Millis, key: Key, worker: &Worker, service: &Service, insistence: Insistence,
+        &self,
+        now: Millis,
+        key: Key,
+        worker: &Worker,
+        service: &Service,
+        insistence: Insistence,
         waiting: &Waiting,
     ) -> Left {
         let capacity = amounts(&worker.info.capacity);
@@ -247,13 +308,19 @@
         let kept = worker.reservations.iter().filter(holds);
         kept.for_each(|kept| add(&mut total, &amounts(&kept.resources), -1.0));
         if insistence > Insistence::Usual {
-            return Left { total, under: Vec::new() };
+            return Left {
+                total,
+                under: Vec::new(),
+            };
         }
         let under = self.kept_against(now, waiting, service).map(|kept| Under {
             up_to: kept.up_to,
             most: [0, 1, 2].map(|kind| capacity[kind] * (1.0 - kept.shares[kind])),
             used: amounts(&worker.used_behind(kept.up_to)),
         });
-        Left { total, under: under.collect() }
+        Left {
+            total,
+            under: under.collect(),
+        }
     }
 }
--- a/crates/placement/src/headroom.rs
+++ b/crates/placement/src/headroom.rs
@@ -92,8 +92,13 @@
 impl Taken {
     fn kept_against(&self, class: Patience, swings: f64) -> Kept {
         let part = (f64::from(class - self.up_to) / WHOLE_DISTANCE).min(1.0);
-        let share = |kind: usize| part * (self.mean[kind] + swings * self.swing[kind]).min(MOST_KEPT);
-        Kept { up_to: self.up_to, most_urgent: self.most_urgent, shares: [0, 1, 2].map(share) }
+        let share =
+            |kind: usize| part * (self.mean[kind] + swings * self.swing[kind]).min(MOST_KEPT);
+        Kept {
+            up_to: self.up_to,
+            most_urgent: self.most_urgent,
+            shares: [0, 1, 2].map(share),
+        }
     }
 }
 
@@ -113,7 +118,11 @@
         if self.queues.len() >= MOST_QUEUES && !self.queues.contains_key(queue) {
             self.queues.clear();
         }
-        let first = || QueuePatience { mean: observed, class: observed.round() as Patience, priority };
+        let first = || QueuePatience {
+            mean: observed,
+            class: observed.round() as Patience,
+            priority,
+        };
         let known = self.queues.entry(queue.clone()).or_insert_with(first);
         known.priority = priority;
         known.learn(observed);
@@ -124,8 +133,18 @@
     pub fn change(&mut self, now: Millis, class: Patience, amounts: Amounts, sign: f64) {
         if !self.demands.contains_key(&class) {
             // So far the classes up to this one were those up to the one before.
-            let before = self.demands.range(..class).next_back().map(|(_, demand)| *demand);
-            self.demands.insert(class, before.unwrap_or(Demand { at: now, ..Demand::default() }));
+            let before = self
+                .demands
+                .range(..class)
+                .next_back()
+                .map(|(_, demand)| *demand);
+            self.demands.insert(
+                class,
+                before.unwrap_or(Demand {
+                    at: now,
+                    ..Demand::default()
+                }),
+            );
         }
         for demand in self.demands.range_mut(class..).map(|(_, demand)| demand) {
             demand.carry(now);
@@ -140,18 +159,27 @@
         self.taken.clear();
         for (&up_to, demand) in &mut self.demands {
             demand.carry(now);
-            let share = |amounts: Amounts| [0, 1, 2].map(|kind| amounts[kind] / capacity[kind].max(1.0));
+            let share =
+                |amounts: Amounts| [0, 1, 2].map(|kind| amounts[kind] / capacity[kind].max(1.0));
             let queues = self.queues.values().filter(|queue| queue.class <= up_to);
             let most_urgent = queues.map(|queue| queue.priority).min().unwrap_or(0);
             let (mean, swing) = (share(demand.mean), share(demand.swing));
-            self.taken.push(Taken { up_to, most_urgent, mean, swing });
+            self.taken.push(Taken {
+                up_to,
+                most_urgent,
+                mean,
+                swing,
+            });
         }
     }
 
     /// What must stay free of a unit that has waited for this part of its patience, and of which classes.
     pub fn against(&self, class: Patience, waited: f64) -> impl Iterator<Item = Kept> + '_ {
         let swings = MOST_SWINGS - (MOST_SWINGS - LEAST_SWINGS) * waited.clamp(0.0, 1.0);
-        let nearer = self.taken.iter().take_while(move |taken| taken.up_to < class);
+        let nearer = self
+            .taken
+            .iter()
+            .take_while(move |taken| taken.up_to < class);
         nearer.map(move |taken| taken.kept_against(class, swings))
     }
 }
--- a/crates/placement/src/learning.rs
+++ b/crates/placement/src/learning.rs
@@ -49,7 +49,10 @@
 impl Charge {
     /// One that another primary has learnt.
     pub fn inherited(now: Millis, value: f64) -> Charge {
-        Charge { value: value.clamp(0.0, HIGHEST_CHARGE), at: now }
+        Charge {
+            value: value.clamp(0.0, HIGHEST_CHARGE),
+            at: now,
+        }
     }
 
     pub fn at(&self, now: Millis) -> f64 {
@@ -62,9 +65,17 @@
     /// Learns from an end; answers by how much the charge has changed.
     pub fn learn(&mut self, now: Millis, how: Release) -> f64 {
         let (kept, added) = match how {
-            Release::Ended { how: RunEnd::Done, .. } => (KEPT_AFTER_SUCCESS, 0.0),
-            Release::Ended { how: RunEnd::Failed, .. } => (1.0, CHARGE_OF_FAILURE),
-            Release::Ended { how: RunEnd::Refused, .. } => (1.0, CHARGE_OF_REFUSAL),
+            Release::Ended {
+                how: RunEnd::Done, ..
+            } => (KEPT_AFTER_SUCCESS, 0.0),
+            Release::Ended {
+                how: RunEnd::Failed,
+                ..
+            } => (1.0, CHARGE_OF_FAILURE),
+            Release::Ended {
+                how: RunEnd::Refused,
+                ..
+            } => (1.0, CHARGE_OF_REFUSAL),
             _ => return 0.0,
         };
         self.change(now, kept, added)
@@ -78,13 +89,19 @@
     fn change(&mut self, now: Millis, kept: f64, added: f64) -> f64 {
         let before = self.at(now);
         let after = (before * kept + added).min(HIGHEST_CHARGE);
-        *self = Charge { value: after, at: now };
+        *self = Charge {
+            value: after,
+            at: now,
+        };
         after - before
     }
 
     /// Adds to a sum of charges, which fades as each of them does.
     pub fn add(&mut self, now: Millis, change: f64) {
-        *self = Charge { value: (self.at(now) + change).max(0.0), at: now };
+        *self = Charge {
+            value: (self.at(now) + change).max(0.0),
+            at: now,
+        };
     }
 }
 
@@ -144,7 +161,9 @@
         }
         let distance = self.mean - usual.mean;
         let sure = (distance.abs() - NOISE * usual.deviation() / weight.sqrt()).max(0.0);
-        (sure * distance.signum()).exp().clamp(1.0 / SLOWEST, SLOWEST)
+        (sure * distance.signum())
+            .exp()
+            .clamp(1.0 / SLOWEST, SLOWEST)
     }
 }
 
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -79,7 +79,11 @@
     /// A worker is new, or what it says of itself has changed.
     pub fn worker(&mut self, now: Millis, info: WorkerInfo) {
         let known = self.workers.slot_of(&info.id);
-        let same = |slot| self.workers.get(slot).is_some_and(|worker| worker.info == info);
+        let same = |slot| {
+            self.workers
+                .get(slot)
+                .is_some_and(|worker| worker.info == info)
+        };
         if known.is_some_and(same) {
             return;
         }
@@ -87,7 +91,9 @@
             Some(slot) => slot,
             None => self.workers.add(Worker::new(info.clone())),
         };
-        let Some(worker) = self.workers.get_mut(slot) else { return };
+        let Some(worker) = self.workers.get_mut(slot) else {
+            return;
+        };
         if known.is_some() {
             if let Some(service) = self.services.get_mut(&worker.info.service) {
                 service.remove(slot, worker);
@@ -95,7 +101,10 @@
         }
         worker.info = info;
         worker.filed_load = filed_load(worker);
-        self.services.entry(worker.info.service.clone()).or_default().add(slot, worker);
+        self.services
+            .entry(worker.info.service.clone())
+            .or_default()
+            .add(slot, worker);
         self.freed.insert(worker.info.service.clone());
         self.dirty.insert(slot);
         self.apply_inherited(now, slot);
@@ -103,19 +112,30 @@
 
     /// A former primary held this against a worker, in tasks: it counts once the worker is told of, and fades from now on.
     pub fn inherit_charge(&mut self, now: Millis, worker: WorkerId, charge: f64) {
-        self.inherited.insert(worker, Charge::inherited(now, charge));
+        self.inherited
+            .insert(worker, Charge::inherited(now, charge));
     }
 
     /// What speaks against each worker now, in tasks.
     pub fn charges(&self, now: Millis) -> impl Iterator<Item = (&WorkerId, f64)> {
-        let known = self.workers.iter().map(move |(_, worker)| (&worker.info.id, worker.charge.at(now)));
-        let inherited = self.inherited.iter().map(move |(id, charge)| (id, charge.at(now)));
+        let known = self
+            .workers
+            .iter()
+            .map(move |(_, worker)| (&worker.info.id, worker.charge.at(now)));
+        let inherited = self
+            .inherited
+            .iter()
+            .map(move |(id, charge)| (id, charge.at(now)));
         known.chain(inherited)
     }
 
     fn apply_inherited(&mut self, now: Millis, slot: Slot) {
-        let Some(worker) = self.workers.get_mut(slot) else { return };
-        let Some(charge) = self.inherited.remove(&worker.info.id) else { return };
+        let Some(worker) = self.workers.get_mut(slot) else {
+            return;
+        };
+        let Some(charge) = self.inherited.remove(&worker.info.id) else {
+            return;
+        };
         let change = charge.at(now) - worker.charge.at(now);
         worker.charge = charge;
         if let Some(service) = self.services.get_mut(&worker.info.service) {
@@ -126,14 +146,21 @@
     /// A worker is gone, with all that took room there.
     pub fn worker_gone(&mut self, now: Millis, id: &WorkerId) {
         self.inherited.remove(id);
-        let Some(slot) = self.workers.slot_of(id) else { return };
-        let Some(mut worker) = self.workers.remove(slot) else { return };
+        let Some(slot) = self.workers.slot_of(id) else {
+            return;
+        };
+        let Some(mut worker) = self.workers.remove(slot) else {
+            return;
+        };
         if let Some(service) = self.services.get_mut(&worker.info.service) {
             service.remove(slot, &mut worker);
             service.change_charges(now, -worker.charge.at(now));
         }
         self.dirty.remove(&slot);
-        worker.runs.values().for_each(|run| self.note_demand(now, &run.held, run.patience, -1.0));
+        worker
+            .runs
+            .values()
+            .for_each(|run| self.note_demand(now, &run.held, run.patience, -1.0));
         for key in &worker.queue {
             if let Some(waiting) = self.queue.get_mut(*key) {
                 waiting.copies.retain(|copy| *copy != slot);
@@ -154,10 +181,18 @@
         if self.workers.slot_of(worker).is_none() {
             self.worker(now, unknown_worker(worker, &held.service));
         }
-        let Some(slot) = self.workers.slot_of(worker) else { return };
-        let Some(found) = self.workers.get_mut(slot) else { return };
-        let Some(service) = self.services.get_mut(&held.service) else { return };
-        let patience = service.headroom.learn_slack(&held.queue, held.priority, held.slack_ms);
+        let Some(slot) = self.workers.slot_of(worker) else {
+            return;
+        };
+        let Some(found) = self.workers.get_mut(slot) else {
+            return;
+        };
+        let Some(service) = self.services.get_mut(&held.service) else {
+            return;
+        };
+        let patience = service
+            .headroom
+            .learn_slack(&held.queue, held.priority, held.slack_ms);
         if !found.take(task, Run::new(now, held.clone(), patience)) {
             return;
         }
@@ -167,9 +202,15 @@
 
     /// A run gives its room back; how it ended is learnt from.
     pub fn release(&mut self, now: Millis, task: &TaskId, worker: &WorkerId, how: Release) {
-        let Some(slot) = self.workers.slot_of(worker) else { return };
-        let Some(found) = self.workers.get_mut(slot) else { return };
-        let Some(run) = found.give_back(task) else { return };
+        let Some(slot) = self.workers.slot_of(worker) else {
+            return;
+        };
+        let Some(found) = self.workers.get_mut(slot) else {
+            return;
+        };
+        let Some(run) = found.give_back(task) else {
+            return;
+        };
         self.note_demand(now, &run.held, run.patience, -1.0);
         self.learn(now, slot, &run, how);
         self.refile(slot);
@@ -179,7 +220,9 @@
 
     /// A run was told to stop: it still takes its room, and is never preempted again.
     pub fn stopping(&mut self, task: &TaskId, worker: &WorkerId) {
-        let Some(slot) = self.workers.slot_of(worker) else { return };
+        let Some(slot) = self.workers.slot_of(worker) else {
+            return;
+        };
         if let Some(found) = self.workers.get_mut(slot) {
             found.stop(task);
         }
@@ -190,8 +233,12 @@
         if !self.uses(Mechanism::Charges) {
             return;
         }
-        let Some(slot) = self.workers.slot_of(worker) else { return };
-        let Some(found) = self.workers.get_mut(slot) else { return };
+        let Some(slot) = self.workers.slot_of(worker) else {
+            return;
+        };
+        let Some(found) = self.workers.get_mut(slot) else {
+            return;
+        };
         let change = found.charge.learn_standstill(now);
         if let Some(service) = self.services.get_mut(&found.info.service) {
             service.change_charges(now, change);
@@ -200,10 +247,18 @@
 
     /// A run has done this share of its work, in percent.
     pub fn progress(&mut self, now: Millis, task: &TaskId, worker: &WorkerId, percent: f64) {
-        let Some(slot) = self.workers.slot_of(worker) else { return };
-        let Some(found) = self.workers.get_mut(slot) else { return };
-        let Some(run) = found.runs.get_mut(task) else { return };
-        let Some(near_ms) = run.progress(now, percent) else { return };
+        let Some(slot) = self.workers.slot_of(worker) else {
+            return;
+        };
+        let Some(found) = self.workers.get_mut(slot) else {
+            return;
+        };
+        let Some(run) = found.runs.get_mut(task) else {
+            return;
+        };
+        let Some(near_ms) = run.progress(now, percent) else {
+            return;
+        };
         let held = run.held.clone();
         if let Some(service) = self.services.get_mut(&found.info.service) {
             service.learn_speed(now, &held, near_ms, &mut found.speed);
@@ -215,7 +270,9 @@
         self.now = self.now.max(now);
         self.withdraw(&unit.id);
         let service = self.services.entry(unit.service.clone()).or_default();
-        let patience = service.headroom.learn_slack(&unit.queue, unit.priority, unit.slack_ms);
+        let patience = service
+            .headroom
+            .learn_slack(&unit.queue, unit.priority, unit.slack_ms);
         self.note_demand(now, &Held::from(&unit), patience, 1.0);
         let gang_of = unit.service.clone();
         let key = self.queue.add(now, unit, patience);
@@ -228,8 +285,12 @@
 
     /// A unit is no longer to be started.
     pub fn withdraw(&mut self, unit: &UnitId) {
-        let Some(key) = self.queue.key_of(unit) else { return };
-        let Some(waiting) = self.drop_waiting(key) else { return };
+        let Some(key) = self.queue.key_of(unit) else {
+            return;
+        };
+        let Some(waiting) = self.drop_waiting(key) else {
+            return;
+        };
         self.note_demand(self.now, &Held::from(&waiting.unit), waiting.patience, -1.0);
     }
 
@@ -240,15 +301,21 @@
         if unchanged && !self.queue.is_due(now) {
             return Vec::new();
         }
-        self.services.values_mut().for_each(|service| service.settle(now));
+        self.services
+            .values_mut()
+            .for_each(|service| service.settle(now));
         self.plans_left = MOST_PLANS;
         let mut looked_at = self.take_fresh();
         looked_at.extend(self.queue.take_due(now, MOST_DUE));
-        let (gangs, singles): (BTreeSet<Key>, BTreeSet<Key>) =
-            looked_at.into_iter().partition(|key| self.queue.get(*key).is_some_and(Waiting::is_gang));
+        let (gangs, singles): (BTreeSet<Key>, BTreeSet<Key>) = looked_at
+            .into_iter()
+            .partition(|key| self.queue.get(*key).is_some_and(Waiting::is_gang));
         let gangs = self.with_gangs_of_freed(gangs);
         let mut out = Vec::new();
-        gangs.iter().chain(&singles).for_each(|key| self.note_share(now, *key));
+        gangs
+            .iter()
+            .chain(&singles)
+            .for_each(|key| self.note_share(now, *key));
         singles.iter().for_each(|key| self.spread(now, *key));
         for key in gangs {
             self.scan_changed(now, Some(key), &mut out);
@@ -256,7 +323,9 @@
         }
         self.scan_changed(now, None, &mut out);
         self.dirty.clear();
-        singles.into_iter().for_each(|key| self.relieve(now, key, &mut out));
+        singles
+            .into_iter()
+            .for_each(|key| self.relieve(now, key, &mut out));
         out
     }
 
@@ -267,9 +336,17 @@
     }
 
     fn note_share(&mut self, now: Millis, key: Key) {
-        let Some(waiting) = self.queue.get(key) else { return };
-        let Some(service) = self.services.get_mut(&waiting.unit.service) else { return };
-        let some = service.all.members.first().and_then(|slot| self.workers.get(*slot));
+        let Some(waiting) = self.queue.get(key) else {
+            return;
+        };
+        let Some(service) = self.services.get_mut(&waiting.unit.service) else {
+            return;
+        };
+        let some = service
+            .all
+            .members
+            .first()
+            .and_then(|slot| self.workers.get(*slot));
         if let Some(worker) = some {
             let share = dominant_share(&waiting.unit.resources, &worker.info.capacity);
             service.note_share(now, share);
@@ -278,7 +355,9 @@
 
     fn with_gangs_of_freed(&mut self, mut gangs: BTreeSet<Key>) -> BTreeSet<Key> {
         for name in std::mem::take(&mut self.freed) {
-            let Some(service) = self.services.get(&name) else { continue };
+            let Some(service) = self.services.get(&name) else {
+                continue;
+            };
             gangs.extend(service.gangs.iter().take(GANGS_TRIED));
         }
         gangs
@@ -286,16 +365,26 @@
 
     /// How much longer than usual a worker's runs have lately taken; 1 where nothing tells.
     pub fn slowness(&self, now: Millis, worker: &WorkerId) -> f64 {
-        let found = self.workers.slot_of(worker).and_then(|slot| self.workers.get(slot));
+        let found = self
+            .workers
+            .slot_of(worker)
+            .and_then(|slot| self.workers.get(slot));
         let usual = found.and_then(|worker| self.services.get(&worker.info.service));
-        found.zip(usual).map_or(1.0, |(worker, usual)| self.slowness_at(now, worker, usual))
+        found
+            .zip(usual)
+            .map_or(1.0, |(worker, usual)| self.slowness_at(now, worker, usual))
     }
 
     /// How much longer a run at a worker is taken to last than at a usual worker near its data. Whether a run that a former
     /// primary has ordered is away from its data is not known.
     pub fn slowness_of_run(&self, now: Millis, task: &TaskId, worker: &WorkerId) -> f64 {
-        let found = self.workers.slot_of(worker).and_then(|slot| self.workers.get(slot));
-        let far_x = found.and_then(|worker| worker.runs.get(task)).map_or(1.0, |run| run.far_x);
+        let found = self
+            .workers
+            .slot_of(worker)
+            .and_then(|slot| self.workers.get(slot));
+        let far_x = found
+            .and_then(|worker| worker.runs.get(task))
+            .map_or(1.0, |run| run.far_x);
         far_x * self.slowness(now, worker)
     }
 
@@ -312,7 +401,10 @@
     /// Every worker, as operators see it.
     pub fn workers(&self) -> impl Iterator<Item = WorkerStatus> + '_ {
         self.workers.iter().map(move |(_, worker)| {
-            let usual = self.services.get(&worker.info.service).map(|service| service.speed);
+            let usual = self
+                .services
+                .get(&worker.info.service)
+                .map(|service| service.speed);
             WorkerStatus {
                 info: worker.info.clone(),
                 used: worker.used,
@@ -338,10 +430,14 @@
 
     /// Files a worker under its present load, and counts what it holds.
     pub(crate) fn refile(&mut self, slot: Slot) {
-        let Some(worker) = self.workers.get_mut(slot) else { return };
+        let Some(worker) = self.workers.get_mut(slot) else {
+            return;
+        };
         let load = filed_load(worker);
         let before = std::mem::replace(&mut worker.filed_load, load);
-        let Some(service) = self.services.get_mut(&worker.info.service) else { return };
+        let Some(service) = self.services.get_mut(&worker.info.service) else {
+            return;
+        };
         service.recount(worker);
         if before != load {
             service.file(slot, worker, before);
@@ -353,23 +449,41 @@
             return;
         }
         if let Some(service) = self.services.get_mut(&held.service) {
-            service.headroom.change(now, patience, amounts(&held.resources), sign);
+            service
+                .headroom
+                .change(now, patience, amounts(&held.resources), sign);
         }
     }
 
     fn learn(&mut self, now: Millis, slot: Slot, run: &Run, how: Release) {
         let held = &run.held;
         let charges = self.uses(Mechanism::Charges);
-        let Some(worker) = self.workers.get_mut(slot) else { return };
-        let change = if charges { worker.charge.learn(now, how) } else { 0.0 };
+        let Some(worker) = self.workers.get_mut(slot) else {
+            return;
+        };
+        let change = if charges {
+            worker.charge.learn(now, how)
+        } else {
+            0.0
+        };
         if let Some(service) = self.services.get_mut(&worker.info.service) {
             service.change_charges(now, change);
         }
-        let Release::Ended { how: RunEnd::Done, ran_ms } = how else { return };
+        let Release::Ended {
+            how: RunEnd::Done,
+            ran_ms,
+        } = how
+        else {
+            return;
+        };
         // A run that continued from a checkpoint did not run its whole time.
         let tells_speed = !held.checkpoints && !held.long_running;
         let near_ms = ran_ms.max(1) as f64 / run.far_x;
-        let Some(service) = self.services.get_mut(&held.service).filter(|_| !held.long_running) else {
+        let Some(service) = self
+            .services
+            .get_mut(&held.service)
+            .filter(|_| !held.long_running)
+        else {
             return;
         };
         if tells_speed {
--- a/crates/placement/src/policy.rs
+++ b/crates/placement/src/policy.rs
@@ -62,7 +62,9 @@
 
     /// The mechanism of a name, as [`fmt::Display`] writes it.
     pub fn named(name: &str) -> Option<Mechanism> {
-        Mechanism::ALL.into_iter().find(|mechanism| mechanism.to_string() == name)
+        Mechanism::ALL
+            .into_iter()
+            .find(|mechanism| mechanism.to_string() == name)
     }
 
     const fn bit(self) -> u32 {
@@ -86,14 +88,18 @@
     /// The same policy without a mechanism.
     #[must_use]
     pub const fn without(self, mechanism: Mechanism) -> Policy {
-        Policy { off: self.off | mechanism.bit() }
+        Policy {
+            off: self.off | mechanism.bit(),
+        }
     }
 
     /// First room that fits, in the order of the queue, as something to measure against. Without [`Mechanism::Patience`] units
     /// may wait for longer than the rules allow.
     #[must_use]
     pub fn simplest() -> Policy {
-        Mechanism::ALL.into_iter().fold(Policy::default(), Policy::without)
+        Mechanism::ALL
+            .into_iter()
+            .fold(Policy::default(), Policy::without)
     }
 
     /// Whether a mechanism is in use.
--- a/crates/placement/src/preempt.rs
+++ b/crates/placement/src/preempt.rs
@@ -35,7 +35,10 @@
 impl Placement {
     /// Helps a single task that found no room: any acceptable worker, then kept room, then stops.
     pub(crate) fn relieve(&mut self, now: Millis, key: Key, out: &mut Vec<Decision>) {
-        let copies = self.queue.get(key).map_or(Vec::new(), |waiting| waiting.copies.clone());
+        let copies = self
+            .queue
+            .get(key)
+            .map_or(Vec::new(), |waiting| waiting.copies.clone());
         if self.claim_any(now, key, &copies, out) {
             return;
         }
@@ -48,14 +51,23 @@
         }
         if !self.is_kept(now, key) && self.is_worth_a_plan(key, &copies) {
             let ranked = self.ranked(now, key);
-            let group: Group = ranked.iter().map(|worker| (worker.rank, worker.slot)).collect();
+            let group: Group = ranked
+                .iter()
+                .map(|worker| (worker.rank, worker.slot))
+                .collect();
             self.make_room(now, key, &[group], out);
         }
         self.look_again(now, key);
     }
 
     /// Whether one of the workers took the task.
-    fn claim_any(&mut self, now: Millis, key: Key, slots: &[Slot], out: &mut Vec<Decision>) -> bool {
+    fn claim_any(
+        &mut self,
+        now: Millis,
+        key: Key,
+        slots: &[Slot],
+        out: &mut Vec<Decision>,
+    ) -> bool {
         for slot in slots {
             self.claim(now, key, *slot, out);
             if self.queue.get(key).is_none() {
@@ -67,7 +79,9 @@
 
     /// Whether a plan could lead to anything: looked up before workers are ranked.
     fn is_worth_a_plan(&self, key: Key, slots: &[Slot]) -> bool {
-        let Some(waiting) = self.queue.get(key).filter(|waiting| !waiting.unit.spare) else { return false };
+        let Some(waiting) = self.queue.get(key).filter(|waiting| !waiting.unit.spare) else {
+            return false;
+        };
         self.plans_left > 0 && (self.may_stop(waiting, slots) || self.may_keep(waiting, slots))
     }
 
@@ -83,18 +97,35 @@
 
     pub(crate) fn look_again(&mut self, now: Millis, key: Key) {
         self.note_wait(now, key);
-        let Some(waiting) = self.queue.get(key) else { return };
-        let latest = if waiting.reserved.is_empty() { Millis::MAX } else { waiting.reserved_until };
+        let Some(waiting) = self.queue.get(key) else {
+            return;
+        };
+        let latest = if waiting.reserved.is_empty() {
+            Millis::MAX
+        } else {
+            waiting.reserved_until
+        };
         self.queue.look_again(now, key, latest);
     }
 
     /// Finds the nearest and cheapest way to room, and goes it.
-    pub(crate) fn make_room(&mut self, now: Millis, key: Key, groups: &[Group], out: &mut Vec<Decision>) {
+    pub(crate) fn make_room(
+        &mut self,
+        now: Millis,
+        key: Key,
+        groups: &[Group],
+        out: &mut Vec<Decision>,
+    ) {
         self.plans_left = self.plans_left.saturating_sub(1);
-        let Some(waiting) = self.queue.get(key) else { return };
+        let Some(waiting) = self.queue.get(key) else {
+            return;
+        };
         for reach in self.reaches(now, waiting, groups) {
             let most = most_price(waiting);
-            if let Some(plan) = self.cheapest(now, key, waiting, groups, reach).filter(|p| p.price <= most) {
+            if let Some(plan) = self
+                .cheapest(now, key, waiting, groups, reach)
+                .filter(|p| p.price <= most)
+            {
                 return self.carry_out(now, key, plan, reach, out);
             }
         }
@@ -102,9 +133,16 @@
 
     /// The best plan over the groups: an earlier group's if it has any.
     pub(crate) fn cheapest(
-        &self, now: Millis, key: Key, waiting: &Waiting, groups: &[Group], reach: Reach,
+        &self,
+        now: Millis,
+        key: Key,
+        waiting: &Waiting,
+        groups: &[Group],
+        reach: Reach,
     ) -> Option<Plan> {
-        let plans = groups.iter().filter_map(|group| self.plan(now, key, waiting, group, reach));
+        let plans = groups
+            .iter()
+            .filter_map(|group| self.plan(now, key, waiting, group, reach));
         plans.min_by(|a, b| a.price.total_cmp(&b.price).then(a.rank.total_cmp(&b.rank)))
     }
 
@@ -123,12 +161,21 @@
             reaches.push(Reach::Within(spare_ms));
         }
         if stops && (keeps || spare_ms <= 0.0) {
-            reaches.push(Reach::Stopping { within_ms: SOON_MS, gangs: false });
+            reaches.push(Reach::Stopping {
+                within_ms: SOON_MS,
+                gangs: false,
+            });
             if gang {
-                reaches.push(Reach::Stopping { within_ms: AHEAD_MS[0], gangs: false });
+                reaches.push(Reach::Stopping {
+                    within_ms: AHEAD_MS[0],
+                    gangs: false,
+                });
             }
             if urgent {
-                reaches.push(Reach::Stopping { within_ms: SOON_MS, gangs: true });
+                reaches.push(Reach::Stopping {
+                    within_ms: SOON_MS,
+                    gangs: true,
+                });
             }
         }
         if keeps && waited >= KEEP_AFTER_MS {
@@ -141,42 +188,71 @@
     fn may_stop(&self, waiting: &Waiting, slots: &[Slot]) -> bool {
         let below = |slot: Slot| {
             let worker = self.workers.get(slot);
-            worker.is_some_and(|worker| worker.used_below(waiting.unit.priority) != Default::default())
+            worker.is_some_and(|worker| {
+                worker.used_below(waiting.unit.priority) != Default::default()
+            })
         };
         self.uses(Mechanism::Preemption) && slots.iter().any(|slot| below(*slot))
     }
 
     /// Whether room may be kept: for gangs and large tasks, and for few units at once.
     fn may_keep(&self, waiting: &Waiting, slots: &[Slot]) -> bool {
-        let Some(service) = self.services.get(&waiting.unit.service) else { return false };
+        let Some(service) = self.services.get(&waiting.unit.service) else {
+            return false;
+        };
         let most = 1 + service.all.members.len() / WORKERS_PER_KEPT;
         let first = slots.first().and_then(|slot| self.workers.get(*slot));
-        let large = waiting.is_gang() || first.is_some_and(|w| waiting.share_of(w) >= LEAST_SHARE_KEPT);
+        let large =
+            waiting.is_gang() || first.is_some_and(|w| waiting.share_of(w) >= LEAST_SHARE_KEPT);
         self.uses(Mechanism::Reservations) && large && service.reserving.len() < most
     }
 
-    fn carry_out(&mut self, now: Millis, key: Key, plan: Plan, reach: Reach, out: &mut Vec<Decision>) {
-        let (Reach::Within(within_ms) | Reach::Stopping { within_ms, .. }) = reach else { return };
+    fn carry_out(
+        &mut self,
+        now: Millis,
+        key: Key,
+        plan: Plan,
+        reach: Reach,
+        out: &mut Vec<Decision>,
+    ) {
+        let (Reach::Within(within_ms) | Reach::Stopping { within_ms, .. }) = reach else {
+            return;
+        };
         let stops = plan.sites.iter().any(|site| !site.victims.is_empty());
         let stop_ms = if stops { self.settings.stop_ms } else { 0 };
         let ready_at = now.saturating_add(stop_ms.max(within_ms as Millis));
         let until = ready_at.saturating_add(GRACE_MS);
         for site in plan.sites {
             self.reserve(key, &site, ready_at, until);
-            let Some(worker) = self.workers.get_mut(site.slot) else { continue };
+            let Some(worker) = self.workers.get_mut(site.slot) else {
+                continue;
+            };
             for task in site.victims {
                 worker.stop(&task);
-                out.push(Decision::Preempt { task, worker: worker.info.id.clone() });
+                out.push(Decision::Preempt {
+                    task,
+                    worker: worker.info.id.clone(),
+                });
             }
         }
     }
 
     fn reserve(&mut self, key: Key, site: &Site, ready_at: Millis, until: Millis) {
-        let Some(waiting) = self.queue.get_mut(key) else { return };
-        let Some(worker) = self.workers.get_mut(site.slot) else { return };
+        let Some(waiting) = self.queue.get_mut(key) else {
+            return;
+        };
+        let Some(worker) = self.workers.get_mut(site.slot) else {
+            return;
+        };
         let resources = times(&waiting.unit.resources, u64::from(site.members));
         let firm = !site.victims.is_empty();
-        worker.reserve(Reservation { key, resources, ready_at, until, firm });
+        worker.reserve(Reservation {
+            key,
+            resources,
+            ready_at,
+            until,
+            firm,
+        });
         waiting.reserved.push(site.slot);
         waiting.reserved_until = until;
         let single = !waiting.is_gang();
@@ -190,7 +266,9 @@
 
     /// Room is no longer kept for a unit; others may take it.
     pub(crate) fn unreserve(&mut self, key: Key) {
-        let Some(waiting) = self.queue.get_mut(key) else { return };
+        let Some(waiting) = self.queue.get_mut(key) else {
+            return;
+        };
         let reserved = std::mem::take(&mut waiting.reserved);
         if let Some(service) = self.services.get_mut(&waiting.unit.service) {
             service.reserving.remove(&key);
--- a/crates/placement/src/queue.rs
+++ b/crates/placement/src/queue.rs
@@ -58,7 +58,11 @@
 impl Queue {
     pub fn add(&mut self, now: Millis, unit: Unit, patience: Patience) -> Key {
         self.serial += 1;
-        let key = Key { priority: unit.priority, order: unit.order, serial: self.serial };
+        let key = Key {
+            priority: unit.priority,
+            order: unit.order,
+            serial: self.serial,
+        };
         self.keys.insert(unit.id.clone(), key);
         let waiting = Waiting {
             unit,
@@ -116,7 +120,9 @@
 
     /// Sets the unit's next look: after a wait that doubles, or earlier if asked for.
     pub fn look_again(&mut self, now: Millis, key: Key, latest: Millis) {
-        let Some(waiting) = self.units.get_mut(&key) else { return };
+        let Some(waiting) = self.units.get_mut(&key) else {
+            return;
+        };
         let due = now.saturating_add(waiting.wait_ms).min(latest.max(now + 1));
         waiting.wait_ms = (waiting.wait_ms * 2).min(LAST_WAIT_MS);
         if let Some(before) = waiting.due.replace(due) {
@@ -139,8 +145,12 @@
     pub fn take_due(&mut self, now: Millis, most: usize) -> Vec<Key> {
         let mut keys = Vec::new();
         while keys.len() < most && self.is_due(now) {
-            let Some((_, key)) = self.timers.pop_first() else { break };
-            self.units.entry(key).and_modify(|waiting| waiting.due = None);
+            let Some((_, key)) = self.timers.pop_first() else {
+                break;
+            };
+            self.units
+                .entry(key)
+                .and_modify(|waiting| waiting.due = None);
             keys.push(key);
         }
         keys
--- a/crates/placement/src/ranking.rs
+++ b/crates/placement/src/ranking.rs
@@ -44,43 +44,69 @@
 impl Placement {
     /// What hardly changes while the unit waits: service, label, size, and that no copy of it is there.
     pub(crate) fn is_eligible(&self, unit: &Unit, slot: Slot) -> bool {
-        let Some(worker) = self.workers.get(slot) else { return false };
+        let Some(worker) = self.workers.get(slot) else {
+            return false;
+        };
         worker.info.open
             && worker.info.service == unit.service
             && worker.info.capacity.covers(&unit.resources)
-            && unit.node_selector.as_ref().is_none_or(|label| worker.has_label(label))
+            && unit
+                .node_selector
+                .as_ref()
+                .is_none_or(|label| worker.has_label(label))
             && !worker.runs_copy_of(unit)
     }
 
     /// Eligible workers, best first; avoided ones come last.
     pub(crate) fn ranked(&mut self, now: Millis, key: Key) -> Vec<Ranked> {
-        let Some(waiting) = self.queue.get(key) else { return Vec::new() };
-        let Some(service) = self.services.get(&waiting.unit.service) else { return Vec::new() };
-        let Some(pool) = service.pool(waiting.unit.node_selector.as_deref()) else { return Vec::new() };
+        let Some(waiting) = self.queue.get(key) else {
+            return Vec::new();
+        };
+        let Some(service) = self.services.get(&waiting.unit.service) else {
+            return Vec::new();
+        };
+        let Some(pool) = service.pool(waiting.unit.node_selector.as_deref()) else {
+            return Vec::new();
+        };
         let drawn: Vec<Slot> = if pool.members.len() > SMALL_POOL {
-            pool.members.choose_multiple(&mut self.rng, SAMPLE).copied().collect()
+            pool.members
+                .choose_multiple(&mut self.rng, SAMPLE)
+                .copied()
+                .collect()
         } else {
             Vec::new()
         };
         let (queue, now) = (&self.queue, now);
-        let Some(waiting) = queue.get(key) else { return Vec::new() };
-        let Some(service) = self.services.get(&waiting.unit.service) else { return Vec::new() };
+        let Some(waiting) = queue.get(key) else {
+            return Vec::new();
+        };
+        let Some(service) = self.services.get(&waiting.unit.service) else {
+            return Vec::new();
+        };
         let slots = self.candidates(&waiting.unit, service, drawn);
-        let mut ranked: Vec<Ranked> =
-            slots.into_iter().filter_map(|slot| self.rank(now, key, waiting, service, slot)).collect();
+        let mut ranked: Vec<Ranked> = slots
+            .into_iter()
+            .filter_map(|slot| self.rank(now, key, waiting, service, slot))
+            .collect();
         ranked.sort_by(|a, b| a.rank.total_cmp(&b.rank).then(a.slot.cmp(&b.slot)));
         ranked
     }
 
     fn candidates(&self, unit: &Unit, service: &Service, drawn: Vec<Slot>) -> Vec<Slot> {
-        let Some(pool) = service.pool(unit.node_selector.as_deref()) else { return Vec::new() };
+        let Some(pool) = service.pool(unit.node_selector.as_deref()) else {
+            return Vec::new();
+        };
         let mut slots = drawn;
         if pool.members.len() <= SMALL_POOL {
             slots.extend(&pool.members);
         } else {
             self.remember(unit, pool, &mut slots);
-            let near = unit.affinity.as_deref().and_then(|rack| service.pool(Some(rack)));
-            near.into_iter().for_each(|near| self.remember(unit, near, &mut slots));
+            let near = unit
+                .affinity
+                .as_deref()
+                .and_then(|rack| service.pool(Some(rack)));
+            near.into_iter()
+                .for_each(|near| self.remember(unit, near, &mut slots));
         }
         slots.retain(|slot| self.is_eligible(unit, *slot));
         slots.sort_unstable();
@@ -91,27 +117,56 @@
     /// Adds the least loaded and the most loaded of a pool that may still have room.
     fn remember(&self, unit: &Unit, pool: &Pool, slots: &mut Vec<Slot>) {
         let eligible = |(_, slot): &&(u32, Slot)| self.is_eligible(unit, *slot);
-        let least = pool.by_load.iter().take(LOOKED_AT).filter(eligible).take(REMEMBERED);
+        let least = pool
+            .by_load
+            .iter()
+            .take(LOOKED_AT)
+            .filter(eligible)
+            .take(REMEMBERED);
         slots.extend(least.map(|(_, slot)| slot));
         let below_full = pool.by_load.range(..(FULL, 0)).rev();
-        slots.extend(below_full.take(LOOKED_AT).filter(eligible).take(REMEMBERED).map(|(_, slot)| slot));
+        slots.extend(
+            below_full
+                .take(LOOKED_AT)
+                .filter(eligible)
+                .take(REMEMBERED)
+                .map(|(_, slot)| slot),
+        );
     }
 
     pub(crate) fn rank(
-        &self, now: Millis, key: Key, waiting: &Waiting, service: &Service, slot: Slot,
+        &self,
+        now: Millis,
+        key: Key,
+        waiting: &Waiting,
+        service: &Service,
+        slot: Slot,
     ) -> Option<Ranked> {
         let worker = self.workers.get(slot)?;
         let run_ms = self.run_ms(&waiting.unit, service);
         let penalty = self.penalty(now, &waiting.unit, worker, service);
         let admitted = self.admits(now, key, waiting, slot);
-        let wait_ms = if admitted { 0.0 } else { wait_ms(worker, service, waiting) };
+        let wait_ms = if admitted {
+            0.0
+        } else {
+            wait_ms(worker, service, waiting)
+        };
         let share = worker.load();
         let packs = self.uses(Mechanism::Packing)
             && service.largest_share(now) >= LARGE_SHARE
             && waiting.share_of(worker) < LARGE_SHARE;
-        let load = if packs && admitted { 1.0 - share } else { share + waiting.share_of(worker) };
+        let load = if packs && admitted {
+            1.0 - share
+        } else {
+            share + waiting.share_of(worker)
+        };
         let rank = penalty + wait_ms / run_ms + WEIGHT_OF_LOAD * load;
-        Some(Ranked { rank, penalty, wait_ms, slot })
+        Some(Ranked {
+            rank,
+            penalty,
+            wait_ms,
+            slot,
+        })
     }
 
     /// Run time that the unit is expected to take at a usual worker near its data.
@@ -133,7 +188,11 @@
 
     /// How much longer than usual the unit takes at a worker, in its run times: wrong rack, slow, failing.
     fn penalty(&self, now: Millis, unit: &Unit, worker: &Worker, service: &Service) -> f64 {
-        let far_x = if self.uses(Mechanism::Distance) { self.far_x_at(unit, worker) } else { 1.0 };
+        let far_x = if self.uses(Mechanism::Distance) {
+            self.far_x_at(unit, worker)
+        } else {
+            1.0
+        };
         let slowness = self.slowness_at(now, worker, service);
         let avoided = if self.uses(Mechanism::Avoidance) && unit.avoid.contains(&worker.info.id) {
             PENALTY_OF_AVOIDED
@@ -145,11 +204,16 @@
 
     /// How much longer a run takes at a worker than near its data.
     pub(crate) fn far_x(&self, unit: &Unit, slot: Slot) -> f64 {
-        self.workers.get(slot).map_or(1.0, |worker| self.far_x_at(unit, worker))
+        self.workers
+            .get(slot)
+            .map_or(1.0, |worker| self.far_x_at(unit, worker))
     }
 
     fn far_x_at(&self, unit: &Unit, worker: &Worker) -> f64 {
-        let is_far = unit.affinity.as_ref().is_some_and(|rack| !worker.has_label(rack));
+        let is_far = unit
+            .affinity
+            .as_ref()
+            .is_some_and(|rack| !worker.has_label(rack));
         if is_far {
             self.settings.far_x.max(1.0)
         } else {
@@ -158,7 +222,13 @@
     }
 
     /// How long the unit would take at a worker.
-    pub(crate) fn expected_ms(&self, now: Millis, unit: &Unit, worker: &Worker, service: &Service) -> f64 {
+    pub(crate) fn expected_ms(
+        &self,
+        now: Millis,
+        unit: &Unit,
+        worker: &Worker,
+        service: &Service,
+    ) -> f64 {
         if unit.long_running {
             return f64::INFINITY;
         }
--- a/crates/placement/src/reorder.rs
+++ b/crates/placement/src/reorder.rs
@@ -16,8 +16,12 @@
     /// room is kept for, and a unit that runs were stopped for, keep their place. Room kept for another unit is given up
     /// and kept anew at its next look. True where the place was changed.
     pub fn reorder(&mut self, unit: &UnitId, order: u64) -> bool {
-        let Some(key) = self.queue.key_of(unit) else { return false };
-        let Some(waiting) = self.queue.get(key) else { return false };
+        let Some(key) = self.queue.key_of(unit) else {
+            return false;
+        };
+        let Some(waiting) = self.queue.get(key) else {
+            return false;
+        };
         if waiting.unit.order == order || self.keeps_place(key, waiting) {
             return false;
         }
@@ -28,16 +32,27 @@
     fn keeps_place(&self, key: Key, waiting: &Waiting) -> bool {
         let is_firm = |slot: &Slot| {
             let worker = self.workers.get(*slot);
-            worker.is_some_and(|worker| worker.reservations.iter().any(|kept| kept.key == key && kept.firm))
+            worker.is_some_and(|worker| {
+                worker
+                    .reservations
+                    .iter()
+                    .any(|kept| kept.key == key && kept.firm)
+            })
         };
         !waiting.reserved.is_empty() && (waiting.is_gang() || waiting.reserved.iter().any(is_firm))
     }
 
     fn file_under(&mut self, key: Key, order: u64) -> bool {
-        let Some(waiting) = self.queue.get(key) else { return false };
-        let Some(service) = self.services.get_mut(&waiting.unit.service) else { return false };
+        let Some(waiting) = self.queue.get(key) else {
+            return false;
+        };
+        let Some(service) = self.services.get_mut(&waiting.unit.service) else {
+            return false;
+        };
         let copies = waiting.copies.clone();
-        let Some(changed) = self.queue.reorder(key, order) else { return false };
+        let Some(changed) = self.queue.reorder(key, order) else {
+            return false;
+        };
         if service.gangs.remove(&key) {
             service.gangs.insert(changed);
         }
@@ -45,7 +60,9 @@
             self.fresh.insert(changed);
         }
         for slot in copies {
-            let Some(worker) = self.workers.get_mut(slot) else { continue };
+            let Some(worker) = self.workers.get_mut(slot) else {
+                continue;
+            };
             if worker.queue.remove(&key) {
                 worker.queue.insert(changed);
             }
--- a/crates/placement/src/room.rs
+++ b/crates/placement/src/room.rs
@@ -131,7 +131,9 @@
 
     /// Notes that a run was told to stop.
     pub fn stop(&mut self, task: &TaskId) {
-        let Some(run) = self.runs.get_mut(task).filter(|run| !run.stopping) else { return };
+        let Some(run) = self.runs.get_mut(task).filter(|run| !run.stopping) else {
+            return;
+        };
         run.stopping = true;
         if cfg!(feature = "mutant-stopping-room") {
             self.used = self.used.minus(&run.held.resources);
@@ -143,16 +145,30 @@
     }
 
     /// Whether a task fits without delaying what room is kept for. To insist, there must be twice the room.
-    pub fn fits(&self, now: Millis, key: Key, asked: &Resources, ends_at: f64, wants: Insistence) -> bool {
+    pub fn fits(
+        &self,
+        now: Millis,
+        key: Key,
+        asked: &Resources,
+        ends_at: f64,
+        wants: Insistence,
+    ) -> bool {
         let free = self.free();
         if !free.covers(asked) {
             return false;
         }
-        let wants = if free.covers(&times(asked, 2)) { wants } else { Insistence::Usual };
-        let in_the_way =
-            |kept: &&Reservation| kept.holds_against(now, key, wants) && ends_at > kept.ready_at as f64;
+        let wants = if free.covers(&times(asked, 2)) {
+            wants
+        } else {
+            Insistence::Usual
+        };
+        let in_the_way = |kept: &&Reservation| {
+            kept.holds_against(now, key, wants) && ends_at > kept.ready_at as f64
+        };
         let delayed = self.reservations.iter().filter(in_the_way);
-        delayed.fold(free, |free, kept| free.minus(&kept.resources)).covers(asked)
+        delayed
+            .fold(free, |free, kept| free.minus(&kept.resources))
+            .covers(asked)
     }
 
     /// Tasks of a step that have room here.
--- a/crates/placement/src/run.rs
+++ b/crates/placement/src/run.rs
@@ -50,7 +50,11 @@
 
     /// Notes a report; answers once with the run's whole time near its data, when that is known.
     pub fn progress(&mut self, now: Millis, percent: f64) -> Option<f64> {
-        let percent = if percent.is_finite() { percent.clamp(0.0, 100.0) } else { return None };
+        let percent = if percent.is_finite() {
+            percent.clamp(0.0, 100.0)
+        } else {
+            return None;
+        };
         self.first_report.get_or_insert((now, percent));
         self.last_report = Some((now, percent));
         let whole_ms = self.whole_ms()?;
@@ -75,7 +79,11 @@
         if self.held.long_running {
             return f64::INFINITY;
         }
-        let estimated = if self.held.estimated_ms > 0 { self.held.estimated_ms as f64 } else { usual_ms };
+        let estimated = if self.held.estimated_ms > 0 {
+            self.held.estimated_ms as f64
+        } else {
+            usual_ms
+        };
         let elapsed = now.saturating_sub(self.since) as f64;
         match (self.last_report, self.whole_ms()) {
             (Some((at, percent)), whole) => {
@@ -91,8 +99,13 @@
     pub fn price_of_stop(&self, now: Millis, settings: &Settings) -> f64 {
         let elapsed = now.saturating_sub(self.since);
         // A stop saves; then only continuing costs.
-        let lost_ms = if self.held.checkpoints { elapsed.min(settings.restore_ms) } else { elapsed };
-        let cores = self.held.resources.cpu as f64 / 1000.0 + self.held.resources.gpu as f64 * CORES_PER_GPU;
+        let lost_ms = if self.held.checkpoints {
+            elapsed.min(settings.restore_ms)
+        } else {
+            elapsed
+        };
+        let cores = self.held.resources.cpu as f64 / 1000.0
+            + self.held.resources.gpu as f64 * CORES_PER_GPU;
         PRICE_OF_STOP + PRICE_OF_CORE_SECOND * cores * lost_ms as f64 / 1000.0
     }
 }
--- a/crates/placement/src/service.rs
+++ b/crates/placement/src/service.rs
@@ -61,7 +61,10 @@
     pub fn add(&mut self, slot: Slot, worker: &mut Worker) {
         self.all.add(slot, worker.filed_load);
         for label in &worker.info.labels {
-            self.by_label.entry(label.clone()).or_default().add(slot, worker.filed_load);
+            self.by_label
+                .entry(label.clone())
+                .or_default()
+                .add(slot, worker.filed_load);
         }
         if let Some(rack) = worker.info.labels.get(RACK_LABEL) {
             *self.racks.entry(rack.clone()).or_insert(0) += 1;
@@ -73,7 +76,9 @@
     pub fn remove(&mut self, slot: Slot, worker: &mut Worker) {
         self.all.remove(slot, worker.filed_load);
         for label in &worker.info.labels {
-            let Some(pool) = self.by_label.get_mut(label) else { continue };
+            let Some(pool) = self.by_label.get_mut(label) else {
+                continue;
+            };
             pool.remove(slot, worker.filed_load);
             if pool.members.is_empty() {
                 self.by_label.remove(label);
@@ -102,7 +107,11 @@
 
     /// Counts what an open worker holds now.
     pub fn recount(&mut self, worker: &mut Worker) {
-        let holds = if worker.info.open { worker.used } else { Resources::default() };
+        let holds = if worker.info.open {
+            worker.used
+        } else {
+            Resources::default()
+        };
         add(&mut self.used, &worker.counted, -1.0);
         add(&mut self.used, &holds, 1.0);
         worker.counted = holds;
@@ -132,11 +141,17 @@
     /// Whether much of the room is free.
     pub fn is_lightly_used(&self) -> bool {
         let pairs = self.used.iter().zip(self.capacity);
-        pairs.map(|(used, all)| used / all.max(1.0)).fold(0.0, f64::max) < LIGHT_USE
+        pairs
+            .map(|(used, all)| used / all.max(1.0))
+            .fold(0.0, f64::max)
+            < LIGHT_USE
     }
 
     pub fn settle(&mut self, now: Millis) {
-        if self.settled_at.is_some_and(|at| now < at.saturating_add(SETTLE_MS)) {
+        if self
+            .settled_at
+            .is_some_and(|at| now < at.saturating_add(SETTLE_MS))
+        {
             return;
         }
         self.settled_at = Some(now);
@@ -157,7 +172,10 @@
         if charge == 0.0 {
             return usize::MAX;
         }
-        most_runs(charge, self.charges.at(now) / self.all.members.len().max(1) as f64)
+        most_runs(
+            charge,
+            self.charges.at(now) / self.all.members.len().max(1) as f64,
+        )
     }
 
     pub fn learn_run(&mut self, ran_ms: Millis) {
@@ -172,7 +190,9 @@
         }
         let by_step = self.paces.compare(&held.unit.step, near_ms);
         let by_estimate = || (held.estimated_ms > 0).then(|| near_ms / held.estimated_ms as f64);
-        let Some(ratio) = by_step.or_else(by_estimate) else { return };
+        let Some(ratio) = by_step.or_else(by_estimate) else {
+            return;
+        };
         worker.learn(now, ratio);
         self.speed.learn(now, ratio);
     }
--- a/crates/placement/src/waits.rs
+++ b/crates/placement/src/waits.rs
@@ -19,7 +19,11 @@
 impl Waits {
     /// A unit that begins to wait.
     pub fn new(now: Millis) -> Waits {
-        Waits { reason: None, since: now, told: Vec::new() }
+        Waits {
+            reason: None,
+            since: now,
+            told: Vec::new(),
+        }
     }
 
     /// A look found that the unit waits for this from now on.
@@ -36,7 +40,9 @@
 
     fn close(&mut self, now: Millis) {
         let waited_ms = now.saturating_sub(std::mem::replace(&mut self.since, now));
-        let Some(reason) = self.reason.filter(|_| waited_ms > 0) else { return };
+        let Some(reason) = self.reason.filter(|_| waited_ms > 0) else {
+            return;
+        };
         match self.told.iter_mut().find(|(told, _)| *told == reason) {
             Some((_, total_ms)) => *total_ms += waited_ms,
             None => self.told.push((reason, waited_ms)),
@@ -47,7 +53,9 @@
 impl Placement {
     /// Notes why a unit waits that was looked at and did not start.
     pub(crate) fn note_wait(&mut self, now: Millis, key: Key) {
-        let Some(reason) = self.wait_reason(key) else { return };
+        let Some(reason) = self.wait_reason(key) else {
+            return;
+        };
         if let Some(waiting) = self.queue.get_mut(key) {
             waiting.waits.found(now, reason);
         }
@@ -62,9 +70,13 @@
         let service = self.services.get(&waiting.unit.service)?;
         let copies = waiting.copies.iter().copied();
         let pool = service.pool(waiting.unit.node_selector.as_deref());
-        let members = pool.into_iter().flat_map(|pool| pool.members.iter().copied());
+        let members = pool
+            .into_iter()
+            .flat_map(|pool| pool.members.iter().copied());
         let slots = copies.chain(members).take(MOST_LOOKED_AT);
-        let mut eligible = slots.filter(|slot| self.is_eligible(&waiting.unit, *slot)).peekable();
+        let mut eligible = slots
+            .filter(|slot| self.is_eligible(&waiting.unit, *slot))
+            .peekable();
         let has_room = |slot: Slot| {
             let worker = self.workers.get(slot);
             worker.is_some_and(|worker| worker.free().covers(&waiting.unit.resources))
--- a/crates/placement/tests/claims.rs
+++ b/crates/placement/tests/claims.rs
@@ -30,7 +30,9 @@
 #[case::lacks_the_label(WorkerInfo { labels: vec!["b".into(), "r1".into()], ..worker("w1", 4_000, "r1") })]
 #[case::without_labels(WorkerInfo { labels: vec![], ..worker("w1", 4_000, "r1") })]
 #[case::too_small(worker("w1", 400, "r1"))]
-fn given_a_worker_that_may_not_when_a_task_waits_long_then_it_gets_nothing(#[case] info: WorkerInfo) {
+fn given_a_worker_that_may_not_when_a_task_waits_long_then_it_gets_nothing(
+    #[case] info: WorkerInfo,
+) {
     let mut cluster = Cluster::new(1, [info]);
     let mut wanted = unit(1, 500, 2);
     wanted.node_selector = Some("a".into());
@@ -47,7 +49,10 @@
     cluster.place();
     cluster.stop(&task(1), "w1");
     cluster.enqueue(unit(2, 800, 0));
-    assert!(cluster.run_for(STOP_MS).is_empty(), "its room is not free yet");
+    assert!(
+        cluster.run_for(STOP_MS).is_empty(),
+        "its room is not free yet"
+    );
     cluster.end(&task(1), &"w1".into(), RunEnd::Stopped);
     assert_eq!(cluster.place(), [(task(2), "w1".into())]);
 }
@@ -60,11 +65,19 @@
     assert_eq!(cluster.place().len(), 4);
     cluster.enqueue(unit(5, 400, 2));
     assert!(cluster.run_for(700).is_empty());
-    let queued: Vec<usize> = cluster.placement.workers().map(|status| status.queued).collect();
+    let queued: Vec<usize> = cluster
+        .placement
+        .workers()
+        .map(|status| status.queued)
+        .collect();
     assert_eq!(queued, [1; 4], "a copy at each worker");
     names.iter().for_each(|id| cluster.end_all_at(id));
     assert_eq!(cluster.run_for(2_000).len(), 1);
-    let queued: Vec<usize> = cluster.placement.workers().map(|status| status.queued).collect();
+    let queued: Vec<usize> = cluster
+        .placement
+        .workers()
+        .map(|status| status.queued)
+        .collect();
     assert_eq!(queued, [0; 4], "no copy is left");
 }
 
@@ -120,7 +133,11 @@
 
 #[test]
 fn given_workers_of_unlike_size_when_many_tasks_come_then_the_small_take_less() {
-    let workers = [worker("half", 8_000, "r1"), worker("one", 16_000, "r1"), worker("two", 32_000, "r1")];
+    let workers = [
+        worker("half", 8_000, "r1"),
+        worker("one", 16_000, "r1"),
+        worker("two", 32_000, "r1"),
+    ];
     let mut cluster = Cluster::new(1, workers);
     (1..=70).for_each(|number| cluster.enqueue(unit(number, 400, 2)));
     cluster.place();
@@ -133,7 +150,10 @@
 
 #[test]
 fn given_a_rack_with_the_data_when_it_has_room_then_it_is_taken() {
-    let mut cluster = Cluster::new(1, [worker("near", 4_000, "r1"), worker("far", 32_000, "r2")]);
+    let mut cluster = Cluster::new(
+        1,
+        [worker("near", 4_000, "r1"), worker("far", 32_000, "r2")],
+    );
     for number in 1..=4 {
         let mut one = unit(number, 500, 2);
         one.affinity = Some("r1".into());
@@ -146,12 +166,22 @@
 #[test]
 fn given_a_full_rack_when_waiting_costs_more_than_distance_then_another_is_taken() {
     let mut cluster = Cluster::new(1, [worker("near", 1_000, "r1"), worker("far", 4_000, "r2")]);
-    cluster.enqueue(Unit { affinity: Some("r1".into()), ..unit(1, 1_000, 2) });
+    cluster.enqueue(Unit {
+        affinity: Some("r1".into()),
+        ..unit(1, 1_000, 2)
+    });
     cluster.place();
     assert_eq!(cluster.where_is(1), Some("near"));
-    cluster.enqueue(Unit { affinity: Some("r1".into()), ..unit(2, 1_000, 2) });
+    cluster.enqueue(Unit {
+        affinity: Some("r1".into()),
+        ..unit(2, 1_000, 2)
+    });
     cluster.run_for(600);
-    assert_eq!(cluster.where_is(2), Some("far"), "half a run time is what the distance costs");
+    assert_eq!(
+        cluster.where_is(2),
+        Some("far"),
+        "half a run time is what the distance costs"
+    );
 }
 
 #[test]
@@ -170,14 +200,26 @@
 fn given_runs_known_before_their_worker_when_it_reports_then_their_room_is_taken() {
     let mut cluster = Cluster::new(1, []);
     let before = unit(1, 700, 2);
-    cluster.placement.occupy(cluster.now, &task(1), &"w1".into(), Held::from(&before));
+    cluster
+        .placement
+        .occupy(cluster.now, &task(1), &"w1".into(), Held::from(&before));
     cluster.worker(worker("w1", 1_000, "r1"));
     cluster.enqueue(unit(2, 400, 2));
     assert!(cluster.run_for(200).is_empty());
-    let used: Vec<u64> = cluster.placement.workers().map(|status| status.used.cpu).collect();
+    let used: Vec<u64> = cluster
+        .placement
+        .workers()
+        .map(|status| status.used.cpu)
+        .collect();
     assert_eq!(used, [700]);
-    cluster.placement.occupy(cluster.now, &task(1), &"w1".into(), Held::from(&before));
-    let used: Vec<u64> = cluster.placement.workers().map(|status| status.used.cpu).collect();
+    cluster
+        .placement
+        .occupy(cluster.now, &task(1), &"w1".into(), Held::from(&before));
+    let used: Vec<u64> = cluster
+        .placement
+        .workers()
+        .map(|status| status.used.cpu)
+        .collect();
     assert_eq!(used, [700], "told twice, counted once");
 }
 
@@ -190,9 +232,14 @@
     for number in 10..110 {
         cluster.enqueue(unit(number, 1_000, 2));
         cluster.run_for(125);
-        let oldest = cluster.runs.iter().filter(|(_, run)| run.since + 1_000 <= cluster.now);
+        let oldest = cluster
+            .runs
+            .iter()
+            .filter(|(_, run)| run.since + 1_000 <= cluster.now);
         let ended: Vec<_> = oldest.map(|(key, _)| key.clone()).collect();
-        ended.iter().for_each(|(task, at)| cluster.end(task, at, RunEnd::Done));
+        ended
+            .iter()
+            .for_each(|(task, at)| cluster.end(task, at, RunEnd::Done));
         if cluster.where_is(9).is_some() {
             return;
         }
@@ -203,15 +250,28 @@
 #[test]
 fn given_kept_room_when_a_short_task_ends_before_it_is_needed_then_it_may_use_it() {
     let mut cluster = Cluster::new(1, [worker("w1", 4_000, "r1")]);
-    cluster.enqueue(Unit { estimated_ms: 10_000, ..unit(1, 3_000, 2) });
+    cluster.enqueue(Unit {
+        estimated_ms: 10_000,
+        ..unit(1, 3_000, 2)
+    });
     cluster.place();
     cluster.enqueue(unit(2, 4_000, 2));
     cluster.run_for(1_000);
-    cluster.enqueue(Unit { estimated_ms: 500, ..unit(3, 500, 2) });
-    cluster.enqueue(Unit { estimated_ms: 60_000, ..unit(4, 500, 2) });
+    cluster.enqueue(Unit {
+        estimated_ms: 500,
+        ..unit(3, 500, 2)
+    });
+    cluster.enqueue(Unit {
+        estimated_ms: 60_000,
+        ..unit(4, 500, 2)
+    });
     cluster.place();
     assert_eq!(cluster.where_is(3), Some("w1"));
-    assert_eq!(cluster.where_is(4), None, "it would delay the task before it");
+    assert_eq!(
+        cluster.where_is(4),
+        None,
+        "it would delay the task before it"
+    );
 }
 
 #[test]
@@ -221,7 +281,10 @@
         let mut cluster = Cluster::new(7, workers);
         let mut all: Vec<Decision> = Vec::new();
         for number in 1..=400 {
-            cluster.placement.enqueue(cluster.now, unit(number, 300 + number % 700, (number % 3) as u32));
+            cluster.placement.enqueue(
+                cluster.now,
+                unit(number, 300 + number % 700, (number % 3) as u32),
+            );
             cluster.now += 7;
             all.extend(cluster.placement.place(cluster.now));
         }
@@ -238,8 +301,15 @@
     (1..=TASKS).for_each(|number| cluster.enqueue(unit(number, 10, 2)));
     cluster.enqueue(unit(TASKS + 1, 10, 0));
     let first = cluster.place();
-    assert!(first.contains(&(task(TASKS + 1), "w1".into())), "the urgent one comes first");
-    assert!(first.len() < TASKS as usize, "{} were looked at in one call", first.len());
+    assert!(
+        first.contains(&(task(TASKS + 1), "w1".into())),
+        "the urgent one comes first"
+    );
+    assert!(
+        first.len() < TASKS as usize,
+        "{} were looked at in one call",
+        first.len()
+    );
     let mut started = first.len();
     for _ in 0..3 {
         started += cluster.place().len();
--- a/crates/placement/tests/common/mod.rs
+++ b/crates/placement/tests/common/mod.rs
@@ -3,7 +3,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use streamusher_placement::{Decision, Placement, Policy, Release, Settings, WaitReason, WorkerInfo};
+use streamusher_placement::{
+    Decision, Placement, Policy, Release, Settings, WaitReason, WorkerInfo,
+};
 use streamusher_protocol::heartbeat::Resources;
 use streamusher_protocol::task::{RunEnd, TaskId};
 use streamusher_protocol::unit::{StepId, Unit, UnitId, WorkerId};
@@ -46,13 +48,27 @@
 
 /// A unit of one task, in order of its number.
 pub fn unit(number: u64, cpu: u64, priority: u32) -> Unit {
-    unit_of(vec![task(number)], UnitId::of_task(&task(number)), cpu, priority, number)
+    unit_of(
+        vec![task(number)],
+        UnitId::of_task(&task(number)),
+        cpu,
+        priority,
+        number,
+    )
 }
 
 /// A gang of so many tasks.
 pub fn gang(number: u64, members: u32, cpu: u64, priority: u32) -> Unit {
-    let tasks: Vec<TaskId> = (0..members).map(|index| TaskId { index, ..task(number) }).collect();
-    let id = UnitId { step: StepId::of(&tasks[0]), index: None };
+    let tasks: Vec<TaskId> = (0..members)
+        .map(|index| TaskId {
+            index,
+            ..task(number)
+        })
+        .collect();
+    let id = UnitId {
+        step: StepId::of(&tasks[0]),
+        index: None,
+    };
     unit_of(tasks, id, cpu, priority, number)
 }
 
@@ -163,45 +179,76 @@
     }
 
     fn check_start(&mut self, id: &UnitId, on: &[(TaskId, WorkerId)]) {
-        let unit = self.waiting.remove(id).unwrap_or_else(|| panic!("started twice or never asked: {id:?}"));
+        let unit = self
+            .waiting
+            .remove(id)
+            .unwrap_or_else(|| panic!("started twice or never asked: {id:?}"));
         let wanted: BTreeSet<&TaskId> = unit.tasks.iter().collect();
         let placed: BTreeSet<&TaskId> = on.iter().map(|(task, _)| task).collect();
         assert_eq!(wanted, placed, "a unit is started whole");
         assert_eq!(on.len(), unit.tasks.len(), "each task once");
         for (task, at) in on {
-            let entry = Entry { unit: unit.clone(), since: self.now, stopping: false };
-            assert!(self.runs.insert((task.clone(), at.clone()), entry).is_none());
+            let entry = Entry {
+                unit: unit.clone(),
+                since: self.now,
+                stopping: false,
+            };
+            assert!(self
+                .runs
+                .insert((task.clone(), at.clone()), entry)
+                .is_none());
             self.check_worker(&unit, at);
         }
         self.starts += on.len();
     }
 
     fn check_worker(&self, unit: &Unit, at: &WorkerId) {
-        let info = self.workers.get(at).unwrap_or_else(|| panic!("{at} is not known"));
+        let info = self
+            .workers
+            .get(at)
+            .unwrap_or_else(|| panic!("{at} is not known"));
         assert!(info.open, "{at} takes no work");
         assert_eq!(info.service, unit.service, "its own service");
         let has = |label: &Arc<str>| info.labels.contains(label);
-        assert!(unit.node_selector.as_ref().is_none_or(has), "{at} lacks the label");
+        assert!(
+            unit.node_selector.as_ref().is_none_or(has),
+            "{at} lacks the label"
+        );
         let used = self.used(at);
-        assert!(info.capacity.covers(&used), "{at} holds {used:?} of {:?}", info.capacity);
+        assert!(
+            info.capacity.covers(&used),
+            "{at} holds {used:?} of {:?}",
+            info.capacity
+        );
         if unit.anti_affinity > 0 {
             let count = self.count_of(&unit.id.step, at);
-            assert!(count <= unit.anti_affinity, "{at} holds {count} of {:?}", unit.id.step);
+            assert!(
+                count <= unit.anti_affinity,
+                "{at} holds {count} of {:?}",
+                unit.id.step
+            );
         }
     }
 
     pub fn used(&self, at: &WorkerId) -> Resources {
         let here = self.runs.iter().filter(|((_, id), _)| id == at);
-        here.fold(Resources::default(), |sum, (_, entry)| sum.plus(&entry.unit.resources))
+        here.fold(Resources::default(), |sum, (_, entry)| {
+            sum.plus(&entry.unit.resources)
+        })
     }
 
     pub fn count_of(&self, step: &StepId, at: &WorkerId) -> u32 {
-        let same = |((_, id), entry): &(&(TaskId, WorkerId), &Entry)| id == at && entry.unit.id.step == *step;
+        let same = |((_, id), entry): &(&(TaskId, WorkerId), &Entry)| {
+            id == at && entry.unit.id.step == *step
+        };
         self.runs.iter().filter(same).count() as u32
     }
 
     fn preempt(&mut self, task: TaskId, worker: WorkerId) {
-        let entry = self.runs.get_mut(&(task.clone(), worker.clone())).expect("runs there");
+        let entry = self
+            .runs
+            .get_mut(&(task.clone(), worker.clone()))
+            .expect("runs there");
         assert!(!entry.stopping, "{task} is preempted twice");
         entry.stopping = true;
         self.placement.stopping(&task, &worker);
@@ -210,18 +257,29 @@
 
     pub fn stop(&mut self, task: &TaskId, worker: &str) {
         let worker: WorkerId = worker.into();
-        self.runs.get_mut(&(task.clone(), worker.clone())).expect("runs there").stopping = true;
+        self.runs
+            .get_mut(&(task.clone(), worker.clone()))
+            .expect("runs there")
+            .stopping = true;
         self.placement.stopping(task, &worker);
     }
 
     pub fn end(&mut self, task: &TaskId, worker: &WorkerId, how: RunEnd) {
-        let entry = self.runs.remove(&(task.clone(), worker.clone())).expect("runs there");
-        let how = Release::Ended { how, ran_ms: self.now - entry.since };
+        let entry = self
+            .runs
+            .remove(&(task.clone(), worker.clone()))
+            .expect("runs there");
+        let how = Release::Ended {
+            how,
+            ran_ms: self.now - entry.since,
+        };
         self.placement.release(self.now, task, worker, how);
     }
 
     pub fn release(&mut self, task: &TaskId, worker: &WorkerId, how: Release) {
-        self.runs.remove(&(task.clone(), worker.clone())).expect("runs there");
+        self.runs
+            .remove(&(task.clone(), worker.clone()))
+            .expect("runs there");
         self.placement.release(self.now, task, worker, how);
     }
 
@@ -232,9 +290,14 @@
 
     /// Ends all that runs at a worker.
     pub fn end_all_at(&mut self, worker: &str) {
-        let here: Vec<TaskId> =
-            self.runs.keys().filter(|(_, at)| &**at == worker).map(|(task, _)| task.clone()).collect();
-        here.iter().for_each(|task| self.end(task, &worker.into(), RunEnd::Done));
+        let here: Vec<TaskId> = self
+            .runs
+            .keys()
+            .filter(|(_, at)| &**at == worker)
+            .map(|(task, _)| task.clone())
+            .collect();
+        here.iter()
+            .for_each(|task| self.end(task, &worker.into(), RunEnd::Done));
     }
 
     pub fn at(&self, worker: &str) -> usize {
@@ -242,6 +305,9 @@
     }
 
     pub fn where_is(&self, number: u64) -> Option<&str> {
-        self.runs.keys().find(|(run, _)| run.job == task(number).job).map(|(_, at)| &**at)
+        self.runs
+            .keys()
+            .find(|(run, _)| run.job == task(number).job)
+            .map(|(_, at)| &**at)
     }
 }
--- a/crates/placement/tests/explain.rs
+++ b/crates/placement/tests/explain.rs
@@ -8,20 +8,36 @@
 use streamusher_protocol::unit::Unit;
 
 fn closed(info: WorkerInfo) -> WorkerInfo {
-    WorkerInfo { open: false, ..info }
+    WorkerInfo {
+        open: false,
+        ..info
+    }
 }
 
 fn explained(cluster: &Cluster, number: u64) -> streamusher_placement::WaitingUnit {
-    cluster.placement.explain(cluster.now, &unit(number, 500, 1).id).expect("it waits")
+    cluster
+        .placement
+        .explain(cluster.now, &unit(number, 500, 1).id)
+        .expect("it waits")
 }
 
 #[rstest]
-#[case::closed(closed(worker("w1", 1_000, "r1")), unit(1, 500, 1), WaitReason::NoWorkerTakesWork)]
+#[case::closed(
+    closed(worker("w1", 1_000, "r1")),
+    unit(1, 500, 1),
+    WaitReason::NoWorkerTakesWork
+)]
 #[case::label(worker("w1", 1_000, "r1"), Unit { node_selector: Some("z".into()), ..unit(1, 500, 1) },
     WaitReason::NoWorkerHasItsLabel)]
-#[case::too_large(worker("w1", 1_000, "r1"), unit(1, 2_000, 1), WaitReason::NoWorkerIsLargeEnough)]
+#[case::too_large(
+    worker("w1", 1_000, "r1"),
+    unit(1, 2_000, 1),
+    WaitReason::NoWorkerIsLargeEnough
+)]
 fn given_no_worker_that_could_run_a_unit_when_asked_then_the_reason_is_told(
-    #[case] info: WorkerInfo, #[case] waiting: Unit, #[case] reason: WaitReason,
+    #[case] info: WorkerInfo,
+    #[case] waiting: Unit,
+    #[case] reason: WaitReason,
 ) {
     let mut cluster = Cluster::new(1, [info]);
     cluster.enqueue(waiting);
@@ -39,8 +55,18 @@
     cluster.enqueue(unit(3, 500, 1));
     assert!(cluster.place().is_empty());
     let explained = explained(&cluster, 3);
-    assert_eq!((explained.reason, explained.ahead), (WaitReason::NoRoomIsFree, 1));
-    assert_eq!((explained.open_workers, explained.eligible_workers, explained.workers_with_room), (1, 1, 0));
+    assert_eq!(
+        (explained.reason, explained.ahead),
+        (WaitReason::NoRoomIsFree, 1)
+    );
+    assert_eq!(
+        (
+            explained.open_workers,
+            explained.eligible_workers,
+            explained.workers_with_room
+        ),
+        (1, 1, 0)
+    );
 }
 
 #[test]
@@ -48,5 +74,8 @@
     let mut cluster = Cluster::new(1, [worker("w1", 1_000, "r1")]);
     cluster.enqueue(unit(1, 500, 1));
     assert_eq!(cluster.place().len(), 1);
-    assert_eq!(cluster.placement.explain(cluster.now, &unit(1, 500, 1).id), None);
+    assert_eq!(
+        cluster.placement.explain(cluster.now, &unit(1, 500, 1).id),
+        None
+    );
 }
--- a/crates/placement/tests/lessons.rs
+++ b/crates/placement/tests/lessons.rs
@@ -8,16 +8,28 @@
 use streamusher_protocol::unit::Unit;
 
 /// Tasks come evenly for the span; each runs 200 ms, at "w1" as told. Answers how many "w1" got and all.
-fn share_of_w1(cluster: &mut Cluster, first: u64, rounds: u64, how: RunEnd, run_ms: u64) -> (usize, usize) {
+fn share_of_w1(
+    cluster: &mut Cluster,
+    first: u64,
+    rounds: u64,
+    how: RunEnd,
+    run_ms: u64,
+) -> (usize, usize) {
     let (mut there, mut all) = (0, 0);
     for number in first..first + rounds {
-        cluster.enqueue(Unit { estimated_ms: 200, ..unit(number, 500, 2) });
+        cluster.enqueue(Unit {
+            estimated_ms: 200,
+            ..unit(number, 500, 2)
+        });
         for (_, at) in cluster.run_for(20) {
             there += usize::from(&*at == "w1");
             all += 1;
         }
         let takes = |at: &str| if at == "w1" { run_ms } else { 200 };
-        let over = cluster.runs.iter().filter(|((_, at), run)| run.since + takes(at) <= cluster.now);
+        let over = cluster
+            .runs
+            .iter()
+            .filter(|((_, at), run)| run.since + takes(at) <= cluster.now);
         let over: Vec<_> = over.map(|(key, _)| key.clone()).collect();
         for (task, at) in over {
             let how = if &*at == "w1" { how } else { RunEnd::Done };
@@ -73,13 +85,17 @@
 #[case::others_have_room(true, "w2")]
 #[case::there_is_no_other(false, "w1")]
 fn given_a_worker_to_avoid_when_placed_then_it_is_taken_only_without_others(
-    #[case] other: bool, #[case] expected: &str,
+    #[case] other: bool,
+    #[case] expected: &str,
 ) {
     let mut cluster = Cluster::new(1, [worker("w1", 9_000, "r1")]);
     if other {
         cluster.worker(worker("w2", 1_000, "r1"));
     }
-    cluster.enqueue(Unit { avoid: vec!["w1".into()], ..unit(1, 500, 2) });
+    cluster.enqueue(Unit {
+        avoid: vec!["w1".into()],
+        ..unit(1, 500, 2)
+    });
     cluster.run_for(200);
     assert_eq!(cluster.where_is(1), Some(expected));
 }
@@ -101,12 +117,19 @@
 #[test]
 fn given_reports_of_progress_when_a_run_is_nearly_done_then_it_is_not_stopped_for_an_urgent_task() {
     let mut cluster = Cluster::new(1, [worker("w1", 1_000, "r1")]);
-    cluster.enqueue(Unit { estimated_ms: 20_000, ..unit(1, 1_000, 2) });
+    cluster.enqueue(Unit {
+        estimated_ms: 20_000,
+        ..unit(1, 1_000, 2)
+    });
     cluster.place();
     cluster.now += 1_000;
-    cluster.placement.progress(cluster.now, &task(1), &"w1".into(), 50.0);
+    cluster
+        .placement
+        .progress(cluster.now, &task(1), &"w1".into(), 50.0);
     cluster.now += 900;
-    cluster.placement.progress(cluster.now, &task(1), &"w1".into(), 95.0);
+    cluster
+        .placement
+        .progress(cluster.now, &task(1), &"w1".into(), 95.0);
     cluster.enqueue(unit(2, 1_000, 0));
     cluster.run_for(100);
     assert!(cluster.preempted.is_empty());
--- a/crates/placement/tests/patience.rs
+++ b/crates/placement/tests/patience.rs
@@ -24,10 +24,16 @@
     for second in 1..=20_u64 {
         (0..14).for_each(|index| cluster.enqueue(unit(1_000 * second + index, 1_000, 0)));
         cluster.run_for(500);
-        ["w1", "w2"].into_iter().for_each(|id| cluster.end_all_at(id));
+        ["w1", "w2"]
+            .into_iter()
+            .for_each(|id| cluster.end_all_at(id));
         cluster.run_for(500);
     }
-    let long = |number| Unit { slack_ms: 60_000, estimated_ms: 60_000, ..unit(number, 3_000, 2) };
+    let long = |number| Unit {
+        slack_ms: 60_000,
+        estimated_ms: 60_000,
+        ..unit(number, 3_000, 2)
+    };
     (1..=2).for_each(|number| cluster.enqueue(long(number)));
     cluster.run_for(BOUND_MS);
     cluster
@@ -40,7 +46,8 @@
         cluster.enqueue(unit(number, 1_000, 2));
         cluster.place();
         let at: Option<Arc<str>> = cluster.where_is(number).map(Into::into);
-        at.into_iter().for_each(|at| cluster.end(&task(number), &at, RunEnd::Failed));
+        at.into_iter()
+            .for_each(|at| cluster.end(&task(number), &at, RunEnd::Failed));
     }
     cluster
 }
@@ -48,9 +55,17 @@
 /// A gang waits for the whole of a worker: its room is reserved as runs end.
 fn room_is_reserved() -> Cluster {
     let mut cluster = two_workers();
-    (1..=2).for_each(|number| cluster.enqueue(Unit { estimated_ms: 60_000, ..unit(number, 4_000, 1) }));
+    (1..=2).for_each(|number| {
+        cluster.enqueue(Unit {
+            estimated_ms: 60_000,
+            ..unit(number, 4_000, 1)
+        })
+    });
     cluster.place();
-    cluster.enqueue(Unit { slack_ms: 60_000, ..gang(3, 2, 9_000, 1) });
+    cluster.enqueue(Unit {
+        slack_ms: 60_000,
+        ..gang(3, 2, 9_000, 1)
+    });
     cluster.run_for(1_000);
     cluster
 }
@@ -58,7 +73,12 @@
 /// The same, and runs are being stopped for it.
 fn runs_were_stopped() -> Cluster {
     let mut cluster = two_workers();
-    (1..=2).for_each(|number| cluster.enqueue(Unit { estimated_ms: 60_000, ..unit(number, 4_000, 2) }));
+    (1..=2).for_each(|number| {
+        cluster.enqueue(Unit {
+            estimated_ms: 60_000,
+            ..unit(number, 4_000, 2)
+        })
+    });
     cluster.place();
     cluster.enqueue(gang(3, 2, 9_000, 1));
     cluster.run_for(500);
@@ -72,9 +92,13 @@
 #[case::reservation(room_is_reserved(), 1_500)]
 #[case::stops(runs_were_stopped(), 1_500)]
 fn given_room_that_is_kept_from_a_unit_when_more_than_half_is_free_then_it_starts_within_three_seconds(
-    #[case] mut cluster: Cluster, #[case] cpu: u64,
+    #[case] mut cluster: Cluster,
+    #[case] cpu: u64,
 ) {
-    cluster.enqueue(Unit { slack_ms: 60_000, ..unit(WAITING, cpu, 2) });
+    cluster.enqueue(Unit {
+        slack_ms: 60_000,
+        ..unit(WAITING, cpu, 2)
+    });
     cluster.run_for(BOUND_MS);
     assert!(cluster.where_is(WAITING).is_some(), "it waits still");
 }
@@ -82,7 +106,13 @@
 #[test]
 fn given_headroom_when_a_unit_that_can_wait_comes_then_it_waits_at_first() {
     let mut cluster = headroom_is_kept();
-    cluster.enqueue(Unit { slack_ms: 60_000, ..unit(WAITING, 3_000, 2) });
+    cluster.enqueue(Unit {
+        slack_ms: 60_000,
+        ..unit(WAITING, 3_000, 2)
+    });
     cluster.run_for(1_000);
-    assert!(cluster.where_is(WAITING).is_none(), "nothing was kept from it: the bound above shows nothing");
+    assert!(
+        cluster.where_is(WAITING).is_none(),
+        "nothing was kept from it: the bound above shows nothing"
+    );
 }
--- a/crates/placement/tests/reorder.rs
+++ b/crates/placement/tests/reorder.rs
@@ -11,7 +11,9 @@
     let mut placement = Placement::new(settings(1));
     placement.worker(0, worker("w", 1_000, "r"));
     placement.occupy(0, &task(999), &"w".into(), Held::from(&unit(999, 1_000, 1)));
-    units.iter().for_each(|unit| placement.enqueue(0, unit.clone()));
+    units
+        .iter()
+        .for_each(|unit| placement.enqueue(0, unit.clone()));
     assert!(placement.place(300).is_empty());
     placement
 }
@@ -77,7 +79,10 @@
     let mut placement = given_waiting(&[one.clone(), two.clone()]);
     placement.reorder(&two.id, 0);
     placement.withdraw(&two.id);
-    assert_eq!(placement.workers().next().map(|worker| worker.queued), Some(1));
+    assert_eq!(
+        placement.workers().next().map(|worker| worker.queued),
+        Some(1)
+    );
     assert_eq!(placement.waiting(), 1);
     assert!(starts(first_start(&mut placement), &one));
 }
--- a/crates/placement/tests/search.rs
+++ b/crates/placement/tests/search.rs
@@ -43,9 +43,21 @@
         let failing = random.random_bool(0.3);
         let cluster = Cluster::new(seed, []);
         let idle_since = BTreeMap::new();
-        let mut day =
-            Day { cluster, random, number: 0, ends: BTreeMap::new(), idle_since, load, failing, born: 0 };
-        let count = if day.random.random_bool(0.1) { 90 } else { day.random.random_range(2..14) };
+        let mut day = Day {
+            cluster,
+            random,
+            number: 0,
+            ends: BTreeMap::new(),
+            idle_since,
+            load,
+            failing,
+            born: 0,
+        };
+        let count = if day.random.random_bool(0.1) {
+            90
+        } else {
+            day.random.random_range(2..14)
+        };
         (0..count).for_each(|_| day.new_worker());
         day
     }
@@ -54,11 +66,19 @@
         self.born += 1;
         let size = [8_000, 16_000, 16_000, 32_000][self.random.random_range(0..4)];
         let rack = format!("r{}", self.random.random_range(0..4));
-        let kind = if self.random.random_bool(0.5) { "a" } else { "b" };
+        let kind = if self.random.random_bool(0.5) {
+            "a"
+        } else {
+            "b"
+        };
         let gpu = if size == 32_000 { 8 } else { 0 };
         self.cluster.worker(WorkerInfo {
             id: format!("w{}", self.born).into(),
-            service: if self.random.random_bool(0.8) { "s".into() } else { "t".into() },
+            service: if self.random.random_bool(0.8) {
+                "s".into()
+            } else {
+                "t".into()
+            },
             zone: "z".into(),
             labels: vec![kind.into(), rack.into()],
             capacity: room(size, size * 2, gpu),
@@ -76,8 +96,16 @@
         } else {
             unit(self.number, cpu, priority)
         };
-        new.resources = room(cpu, random.random_range(0..cpu * 2 + 1), u64::from(random.random_bool(0.1)));
-        new.service = if random.random_bool(0.8) { "s".into() } else { "t".into() };
+        new.resources = room(
+            cpu,
+            random.random_range(0..cpu * 2 + 1),
+            u64::from(random.random_bool(0.1)),
+        );
+        new.service = if random.random_bool(0.8) {
+            "s".into()
+        } else {
+            "t".into()
+        };
         new.estimated_ms = [0, 300, 700, 3_000, 6_000][random.random_range(0..5)];
         new.checkpoints = random.random_bool(0.5);
         new.long_running = random.random_bool(0.03);
@@ -92,11 +120,16 @@
         for (task, at) in self.cluster.place() {
             let entry = &self.cluster.runs[&(task.clone(), at.clone())];
             self.idle_since.remove(&entry.unit.id);
-            let usual = if entry.unit.long_running { 8_000 } else { entry.unit.estimated_ms.max(200) };
+            let usual = if entry.unit.long_running {
+                8_000
+            } else {
+                entry.unit.estimated_ms.max(200)
+            };
             let takes = (usual as f64 * self.random.random_range(0.3..2.0)) as Millis;
             let fails = self.failing && &*at == "w1" || self.random.random_bool(0.03);
             let how = if fails { RunEnd::Failed } else { RunEnd::Done };
-            self.ends.insert((task, at), (self.cluster.now + takes, how));
+            self.ends
+                .insert((task, at), (self.cluster.now + takes, how));
         }
         for task in std::mem::take(&mut self.cluster.preempted) {
             let stopped = self.cluster.now + self.random.random_range(1..=STOP_MS);
@@ -128,7 +161,10 @@
 
     /// A unit did not end well: its other members end too, and it waits anew.
     fn again(&mut self, mut unit: Unit, at: &WorkerId) {
-        let members = self.ends.keys().filter(|(task, _)| unit.tasks.contains(task));
+        let members = self
+            .ends
+            .keys()
+            .filter(|(task, _)| unit.tasks.contains(task));
         for (task, other) in members.cloned().collect::<Vec<_>>() {
             self.ends.remove(&(task.clone(), other.clone()));
             self.cluster.end(&task, &other, RunEnd::Broken);
@@ -141,8 +177,9 @@
         let ids: Vec<WorkerId> = self.cluster.workers.keys().cloned().collect();
         let id = ids[self.random.random_range(0..ids.len())].clone();
         let here = self.cluster.runs.iter().filter(|((_, at), _)| *at == id);
-        let units: BTreeMap<UnitId, Unit> =
-            here.map(|(_, entry)| (entry.unit.id.clone(), entry.unit.clone())).collect();
+        let units: BTreeMap<UnitId, Unit> = here
+            .map(|(_, entry)| (entry.unit.id.clone(), entry.unit.clone()))
+            .collect();
         self.ends.retain(|(_, at), _| *at != id);
         self.cluster.gone(&id);
         units.into_values().for_each(|unit| self.again(unit, &id));
@@ -153,7 +190,10 @@
         let ids: Vec<WorkerId> = self.cluster.workers.keys().cloned().collect();
         let id = &ids[self.random.random_range(0..ids.len())];
         let info = self.cluster.workers[id].clone();
-        self.cluster.worker(WorkerInfo { open: !info.open, ..info });
+        self.cluster.worker(WorkerInfo {
+            open: !info.open,
+            ..info
+        });
     }
 
     fn report(&mut self) {
@@ -199,26 +239,48 @@
         if !self.cluster.now.is_multiple_of(CHECK_MS) {
             return;
         }
-        let used: BTreeMap<WorkerId, Resources> =
-            self.cluster.workers.keys().map(|id| (id.clone(), self.cluster.used(id))).collect();
-        let light: BTreeMap<&str, bool> =
-            ["s", "t"].into_iter().map(|service| (service, self.is_half_free(service, &used))).collect();
+        let used: BTreeMap<WorkerId, Resources> = self
+            .cluster
+            .workers
+            .keys()
+            .map(|id| (id.clone(), self.cluster.used(id)))
+            .collect();
+        let light: BTreeMap<&str, bool> = ["s", "t"]
+            .into_iter()
+            .map(|service| (service, self.is_half_free(service, &used)))
+            .collect();
         let has_room = |unit: &Unit| light[&*unit.service] && self.has_twice_the_room(unit, &used);
-        let waiting = self.cluster.waiting.iter().filter(|(_, unit)| has_room(unit));
+        let waiting = self
+            .cluster
+            .waiting
+            .iter()
+            .filter(|(_, unit)| has_room(unit));
         let idle: Vec<UnitId> = waiting.map(|(id, _)| id.clone()).collect();
         self.idle_since.retain(|id, _| idle.contains(id));
         for id in idle {
-            let since = *self.idle_since.entry(id.clone()).or_insert(self.cluster.now);
+            let since = *self
+                .idle_since
+                .entry(id.clone())
+                .or_insert(self.cluster.now);
             let waited = self.cluster.now - since;
-            assert!(waited < LONGEST_WAIT_MS, "{:?} waits with room", self.cluster.waiting[&id]);
+            assert!(
+                waited < LONGEST_WAIT_MS,
+                "{:?} waits with room",
+                self.cluster.waiting[&id]
+            );
         }
     }
 
     fn is_half_free(&self, service: &str, used: &BTreeMap<WorkerId, Resources>) -> bool {
-        let own = self.cluster.workers.values().filter(|info| info.open && &*info.service == service);
-        let sums = own.fold((Resources::default(), Resources::default()), |(all, taken), info| {
-            (all.plus(&info.capacity), taken.plus(&used[&info.id]))
-        });
+        let own = self
+            .cluster
+            .workers
+            .values()
+            .filter(|info| info.open && &*info.service == service);
+        let sums = own.fold(
+            (Resources::default(), Resources::default()),
+            |(all, taken), info| (all.plus(&info.capacity), taken.plus(&used[&info.id])),
+        );
         sums.0.covers(&sums.1.plus(&sums.1))
     }
 
@@ -226,7 +288,10 @@
         let members = self.cluster.workers.values().map(|info| {
             let fits = info.open
                 && info.service == unit.service
-                && unit.node_selector.as_ref().is_none_or(|label| info.labels.contains(label));
+                && unit
+                    .node_selector
+                    .as_ref()
+                    .is_none_or(|label| info.labels.contains(label));
             if !fits {
                 return 0;
             }
@@ -256,8 +321,11 @@
         }
         self.failing = false;
         let turn: Vec<WorkerInfo> = self.cluster.workers.values().cloned().collect();
-        turn.into_iter().for_each(|info| self.cluster.worker(WorkerInfo { open: true, ..info }));
-        while self.cluster.now < DAY_MS + REST_MS && !(self.ends.is_empty() && self.nothing_can_start()) {
+        turn.into_iter()
+            .for_each(|info| self.cluster.worker(WorkerInfo { open: true, ..info }));
+        while self.cluster.now < DAY_MS + REST_MS
+            && !(self.ends.is_empty() && self.nothing_can_start())
+        {
             self.cluster.now += TICK_MS;
             self.end_what_is_over();
             self.place();
@@ -267,24 +335,47 @@
     }
 
     fn nothing_can_start(&self) -> bool {
-        let nothing =
-            BTreeMap::from_iter(self.cluster.workers.keys().map(|id| (id.clone(), Resources::default())));
-        !self.cluster.waiting.values().any(|unit| self.has_twice_the_room(unit, &nothing))
+        let nothing = BTreeMap::from_iter(
+            self.cluster
+                .workers
+                .keys()
+                .map(|id| (id.clone(), Resources::default())),
+        );
+        !self
+            .cluster
+            .waiting
+            .values()
+            .any(|unit| self.has_twice_the_room(unit, &nothing))
     }
 
     fn check_end(&self) {
-        assert!(self.ends.is_empty() && self.nothing_can_start(), "{} wait", self.cluster.waiting.len());
+        assert!(
+            self.ends.is_empty() && self.nothing_can_start(),
+            "{} wait",
+            self.cluster.waiting.len()
+        );
         assert_eq!(self.cluster.placement.waiting(), self.cluster.waiting.len());
         for status in self.cluster.placement.workers() {
-            assert_eq!((status.used, status.runs), (Resources::default(), 0), "{:?}", status.info.id);
+            assert_eq!(
+                (status.used, status.runs),
+                (Resources::default(), 0),
+                "{:?}",
+                status.info.id
+            );
         }
     }
 }
 
 #[test]
 fn given_days_with_all_events_when_played_then_every_rule_holds() {
-    let seeds = std::env::var("PLACEMENT_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(SEEDS);
-    let first = std::env::var("PLACEMENT_FIRST").ok().and_then(|text| text.parse().ok()).unwrap_or(0);
+    let seeds = std::env::var("PLACEMENT_SEEDS")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(SEEDS);
+    let first = std::env::var("PLACEMENT_FIRST")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(0);
     for seed in first..first + seeds {
         let played = std::panic::catch_unwind(|| Day::new(seed).play());
         if let Err(cause) = played {
--- a/crates/placement/tests/waits.rs
+++ b/crates/placement/tests/waits.rs
@@ -27,7 +27,8 @@
 }
 
 #[test]
-fn given_a_full_worker_when_its_run_ends_then_the_next_unit_has_waited_for_room_and_then_for_what_is_kept() {
+fn given_a_full_worker_when_its_run_ends_then_the_next_unit_has_waited_for_room_and_then_for_what_is_kept(
+) {
     let mut cluster = Cluster::new(1, [worker("w1", 1_000, "r1")]);
     cluster.enqueue(unit(1, 1_000, 1));
     cluster.place();
@@ -36,7 +37,10 @@
     cluster.end_all_at("w1");
     cluster.place();
     let waits = waits_of(&cluster, 2);
-    assert_eq!(reasons(&waits), vec![WaitReason::NoRoomIsFree, WaitReason::RoomIsKept]);
+    assert_eq!(
+        reasons(&waits),
+        vec![WaitReason::NoRoomIsFree, WaitReason::RoomIsKept]
+    );
     assert_eq!(total_ms(&waits), 640);
 }
 
@@ -45,7 +49,10 @@
     let mut cluster = Cluster::new(1, [worker("w1", 1_000, "r1")]);
     cluster.enqueue(unit(1, 1_000, 1));
     cluster.place();
-    cluster.worker(streamusher_placement::WorkerInfo { open: false, ..worker("w1", 1_000, "r1") });
+    cluster.worker(streamusher_placement::WorkerInfo {
+        open: false,
+        ..worker("w1", 1_000, "r1")
+    });
     cluster.enqueue(unit(2, 500, 1));
     cluster.run_for(1_000);
     cluster.worker(worker("w1", 1_000, "r1"));
@@ -53,6 +60,9 @@
     cluster.end_all_at("w1");
     cluster.place();
     let waits = waits_of(&cluster, 2);
-    assert_eq!(reasons(&waits), vec![WaitReason::NoWorkerTakesWork, WaitReason::RoomIsKept]);
+    assert_eq!(
+        reasons(&waits),
+        vec![WaitReason::NoWorkerTakesWork, WaitReason::RoomIsKept]
+    );
     assert_eq!(total_ms(&waits), 2_000);
 }
--- a/crates/protocol/src/job.rs
+++ b/crates/protocol/src/job.rs
@@ -86,7 +86,10 @@
 impl JobState {
     /// Whether the state is final.
     pub fn is_final(self) -> bool {
-        matches!(self, JobState::Succeeded | JobState::Failed | JobState::Cancelled)
+        matches!(
+            self,
+            JobState::Succeeded | JobState::Failed | JobState::Cancelled
+        )
     }
 }
 
--- a/crates/protocol/src/store.rs
+++ b/crates/protocol/src/store.rs
@@ -15,11 +15,17 @@
 impl Write {
     /// Sets a key.
     pub fn set(key: impl Into<Arc<str>>, value: impl Into<Arc<str>>) -> Write {
-        Write { key: key.into(), value: Some(value.into()) }
+        Write {
+            key: key.into(),
+            value: Some(value.into()),
+        }
     }
 
     /// Removes a key.
     pub fn remove(key: impl Into<Arc<str>>) -> Write {
-        Write { key: key.into(), value: None }
+        Write {
+            key: key.into(),
+            value: None,
+        }
     }
 }
--- a/crates/protocol/src/task.rs
+++ b/crates/protocol/src/task.rs
@@ -68,8 +68,18 @@
         let bad = || IdError::Task(text.chars().take(80).collect());
         let mut parts = text.split('.');
         let job = parts.next().ok_or_else(bad)?.parse()?;
-        let mut number = || parts.next().and_then(|p| p.parse::<u32>().ok()).ok_or_else(bad);
-        let task = TaskId { job, iteration: number()?, step: number()?, index: number()? };
+        let mut number = || {
+            parts
+                .next()
+                .and_then(|p| p.parse::<u32>().ok())
+                .ok_or_else(bad)
+        };
+        let task = TaskId {
+            job,
+            iteration: number()?,
+            step: number()?,
+            index: number()?,
+        };
         match parts.next() {
             Some(_) => Err(bad()),
             None => Ok(task),
@@ -79,7 +89,11 @@
 
 impl fmt::Display for TaskId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{}.{}.{}", self.job, self.iteration, self.step, self.index)
+        write!(
+            f,
+            "{}.{}.{}.{}",
+            self.job, self.iteration, self.step, self.index
+        )
     }
 }
 
--- a/crates/protocol/src/unit.rs
+++ b/crates/protocol/src/unit.rs
@@ -73,13 +73,20 @@
 impl UnitId {
     /// The unit of a single task.
     pub fn of_task(task: &TaskId) -> UnitId {
-        UnitId { step: StepId::of(task), index: Some(task.index) }
+        UnitId {
+            step: StepId::of(task),
+            index: Some(task.index),
+        }
     }
 }
 
 impl StepId {
     /// The step that a task belongs to.
     pub fn of(task: &TaskId) -> StepId {
-        StepId { job: task.job.clone(), iteration: task.iteration, step: task.step }
+        StepId {
+            job: task.job.clone(),
+            iteration: task.iteration,
+            step: task.step,
+        }
     }
 }
--- a/crates/quotes/src/lib.rs
+++ b/crates/quotes/src/lib.rs
@@ -43,7 +43,12 @@
 impl Quotes {
     /// At the beginning of a text with this delimiter, and lines that begin with `comment` passed over.
     pub fn new(delimiter: u8, comment: Option<u8>) -> Quotes {
-        Quotes { delimiter, comment, state: State::Row, at: Place { line: 1, column: 1 } }
+        Quotes {
+            delimiter,
+            comment,
+            state: State::Row,
+            at: Place { line: 1, column: 1 },
+        }
     }
 
     /// The next byte.
@@ -61,7 +66,12 @@
             _ => State::Plain,
         };
         match byte {
-            b'\n' => self.at = Place { line: self.at.line + 1, column: 1 },
+            b'\n' => {
+                self.at = Place {
+                    line: self.at.line + 1,
+                    column: 1,
+                }
+            }
             0x80..=0xbf => {} // the rest of a character
             _ => self.at.column += 1,
         }
@@ -93,7 +103,13 @@
     /// Reads from there; the other half tells where a quote was left open once all is read.
     pub fn new(from: R, quotes: Quotes) -> (Watched<R>, Rc<RefCell<Quotes>>) {
         let quotes = Rc::new(RefCell::new(quotes));
-        (Watched { from, quotes: quotes.clone() }, quotes)
+        (
+            Watched {
+                from,
+                quotes: quotes.clone(),
+            },
+            quotes,
+        )
     }
 }
 
--- a/crates/roster/benches/roster.rs
+++ b/crates/roster/benches/roster.rs
@@ -38,12 +38,24 @@
 
 fn reading(c: &mut Criterion) {
     let mut group = c.benchmark_group("read 5,000 hosts");
-    group.sample_size(10).measurement_time(Duration::from_secs(2)).warm_up_time(Duration::from_millis(300));
-    for (to, name) in [(To::Csv, "a.csv"), (To::Yaml, "a.yml"), (To::Ini, "a.ini"), (To::Json, "a.json")] {
+    group
+        .sample_size(10)
+        .measurement_time(Duration::from_secs(2))
+        .warm_up_time(Duration::from_millis(300));
+    for (to, name) in [
+        (To::Csv, "a.csv"),
+        (To::Yaml, "a.yml"),
+        (To::Ini, "a.ini"),
+        (To::Json, "a.json"),
+    ] {
         let file = One(write(&hosts(5_000, 1.0), to));
         group.bench_function(name, |b| {
             b.iter(|| {
-                black_box(read(&file, Path::new(name), &Known::default()).map(|r| r.hosts.len()).unwrap_or(0))
+                black_box(
+                    read(&file, Path::new(name), &Known::default())
+                        .map(|r| r.hosts.len())
+                        .unwrap_or(0),
+                )
             })
         });
     }
@@ -52,11 +64,20 @@
 
 fn changes(c: &mut Criterion) {
     let mut group = c.benchmark_group("a change");
-    group.sample_size(20).measurement_time(Duration::from_secs(2)).warm_up_time(Duration::from_millis(300));
+    group
+        .sample_size(20)
+        .measurement_time(Duration::from_secs(2))
+        .warm_up_time(Duration::from_millis(300));
     for count in [10, 500, 5_000] {
-        let rules = Rules { drain_us: 5_000_000, most_drained: 0.3, empty: false };
+        let rules = Rules {
+            drain_us: 5_000_000,
+            most_drained: 0.3,
+            empty: false,
+        };
         let mut start = Membership::new(rules, 1);
-        start.word(0, 0, hosts(count, 1.0), false).expect("a first word");
+        start
+            .word(0, 0, hosts(count, 1.0), false)
+            .expect("a first word");
         let mut one = hosts(count, 1.0);
         one[3].weight = 2.0;
         for (what, word) in [("1", one), ("all", hosts(count, 2.0))] {
--- a/crates/roster/src/ansible/ini.rs
+++ b/crates/roster/src/ansible/ini.rs
@@ -14,11 +14,22 @@
     let mut inventory = Inventory::default();
     let (mut group, mut section) = ("ungrouped".to_string(), Section::Hosts);
     let text = texts.text(file);
-    for (n, whole) in text.strip_prefix('\u{feff}').unwrap_or(text).lines().enumerate() {
+    for (n, whole) in text
+        .strip_prefix('\u{feff}')
+        .unwrap_or(text)
+        .lines()
+        .enumerate()
+    {
         let indent = whole.len() - whole.trim_start().len();
         let at = |offset: usize| {
-            let column = whole.get(..indent + offset).map_or(1, |before| before.chars().count() + 1);
-            At { file, line: n as u32 + 1, column: column as u32 }
+            let column = whole
+                .get(..indent + offset)
+                .map_or(1, |before| before.chars().count() + 1);
+            At {
+                file,
+                line: n as u32 + 1,
+                column: column as u32,
+            }
         };
         let line = whole.trim();
         if line.is_empty() || line.starts_with(['#', ';']) {
@@ -48,15 +59,24 @@
         match section {
             Section::Children => {
                 let child = line.split(['#', ';']).next().unwrap_or("").trim();
-                inventory.group(&group, at(0)).children.insert(child.to_string());
+                inventory
+                    .group(&group, at(0))
+                    .children
+                    .insert(child.to_string());
                 inventory.group(child, at(0));
             }
             Section::Vars => match line.split_once('=') {
                 Some((key, value)) => {
                     let offset = line.len() - value.trim_start().len();
                     let value = unquoted(value.trim()).to_string();
-                    let scalar = Scalar { text: value, at: at(offset) };
-                    inventory.group(&group, at(0)).vars.insert(key.trim().to_string(), scalar);
+                    let scalar = Scalar {
+                        text: value,
+                        at: at(offset),
+                    };
+                    inventory
+                        .group(&group, at(0))
+                        .vars
+                        .insert(key.trim().to_string(), scalar);
                 }
                 None => found.add(texts, at(0), None, Some(&group), "not key=value"),
             },
@@ -67,26 +87,43 @@
 }
 
 fn host(
-    inventory: &mut Inventory, group: &str, line: &str, at: &impl Fn(usize) -> At, texts: &Texts,
+    inventory: &mut Inventory,
+    group: &str,
+    line: &str,
+    at: &impl Fn(usize) -> At,
+    texts: &Texts,
     found: &mut Found,
 ) {
     let words = match words(line) {
         Ok(words) => words,
         Err(offset) => return found.add(texts, at(offset), None, None, "a quote without its end"),
     };
-    let Some(((start, pattern), rest)) = words.split_first() else { return };
+    let Some(((start, pattern), rest)) = words.split_first() else {
+        return;
+    };
     let mut vars = Vars::new();
     for (offset, word) in rest {
         match word.split_once('=') {
             Some((key, value)) => {
-                let value = Scalar { text: value.to_string(), at: at(offset + key.len() + 1) };
+                let value = Scalar {
+                    text: value.to_string(),
+                    at: at(offset + key.len() + 1),
+                };
                 vars.insert(key.to_string(), value);
             }
-            None => found.add(texts, at(*offset), Some(pattern), None, format!("not key=value: {word:?}")),
+            None => found.add(
+                texts,
+                at(*offset),
+                Some(pattern),
+                None,
+                format!("not key=value: {word:?}"),
+            ),
         }
     }
     match expand(pattern) {
-        Ok(names) => names.iter().for_each(|name| inventory.host(group, name, at(*start), &vars)),
+        Ok(names) => names
+            .iter()
+            .for_each(|name| inventory.host(group, name, at(*start), &vars)),
         Err(why) => found.add(texts, at(*start), Some(pattern), None, why),
     }
 }
@@ -99,7 +136,11 @@
     for (i, c) in line.char_indices() {
         match (within, c) {
             (Some((quote, _)), _) if c == quote => within = None,
-            (Some(_), _) => words.last_mut().expect("a quote stands in a word").1.push(c),
+            (Some(_), _) => words
+                .last_mut()
+                .expect("a quote stands in a word")
+                .1
+                .push(c),
             (None, '#') if !open => break,
             (None, _) if c.is_whitespace() => open = false,
             (None, _) => {
--- a/crates/roster/src/ansible/mod.rs
+++ b/crates/roster/src/ansible/mod.rs
@@ -57,13 +57,22 @@
 impl Inventory {
     /// The group of this name, made where it is not there.
     pub fn group(&mut self, name: &str, at: At) -> &mut Group {
-        self.groups.entry(name.to_string()).or_insert_with(|| Group { at, ..Group::default() })
+        self.groups
+            .entry(name.to_string())
+            .or_insert_with(|| Group {
+                at,
+                ..Group::default()
+            })
     }
 
     /// Adds a host to a group, with variables of its own; what was said of it first holds.
     pub fn host(&mut self, group: &str, name: &str, at: At, vars: &Vars) {
         self.group(group, at).hosts.insert(name.to_string());
-        let own = &mut self.hosts.entry(name.to_string()).or_insert_with(|| (at, Vars::new())).1;
+        let own = &mut self
+            .hosts
+            .entry(name.to_string())
+            .or_insert_with(|| (at, Vars::new()))
+            .1;
         for (key, value) in vars {
             own.entry(key.clone()).or_insert_with(|| value.clone());
         }
@@ -71,7 +80,8 @@
 
     /// How deep each group lies below `all`: as deep as the longest way to it. A circle is told, and left out.
     fn depths(&self, texts: &Texts, found: &mut Found) -> BTreeMap<&str, usize> {
-        let mut depths: BTreeMap<&str, usize> = self.groups.keys().map(|g| (g.as_str(), 1)).collect();
+        let mut depths: BTreeMap<&str, usize> =
+            self.groups.keys().map(|g| (g.as_str(), 1)).collect();
         depths.insert("all", 0);
         // Longest ways by repeated loosening: a circle never settles.
         for round in 0..=DEPTH {
@@ -79,7 +89,8 @@
             for (name, group) in self.groups.iter().filter(|(name, _)| *name != "all") {
                 let depth = depths[name.as_str()];
                 for child in group.children.iter().filter(|c| c.as_str() != "all") {
-                    let Some(own) = depths.get_mut(child.as_str()).filter(|own| **own <= depth) else {
+                    let Some(own) = depths.get_mut(child.as_str()).filter(|own| **own <= depth)
+                    else {
                         continue;
                     };
                     *own = depth + 1;
@@ -100,7 +111,10 @@
     pub fn resolve(&self, beside: &Beside, texts: &Texts, found: &mut Found) -> Vec<Raw> {
         let depths = self.depths(texts, found);
         let priority = |g: &str| {
-            let own = self.groups.get(g).and_then(|g| g.vars.get("ansible_group_priority"));
+            let own = self
+                .groups
+                .get(g)
+                .and_then(|g| g.vars.get("ansible_group_priority"));
             own.and_then(|p| p.text.parse::<i64>().ok()).unwrap_or(1)
         };
         let mut order: Vec<&str> = depths.keys().copied().collect();
@@ -108,7 +122,10 @@
         // The groups of each host, its own and those around them.
         let mut parents: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
         for (name, group) in &self.groups {
-            group.children.iter().for_each(|c| parents.entry(c).or_default().push(name));
+            group
+                .children
+                .iter()
+                .for_each(|c| parents.entry(c).or_default().push(name));
         }
         let mut of_host: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
         for (name, group) in &self.groups {
@@ -116,16 +133,28 @@
             let mut next = vec![name.as_str()];
             while let Some(g) = next.pop() {
                 if around.insert(g) || g == "all" && next.is_empty() {
-                    next.extend(parents.get(g).into_iter().flatten().filter(|p| !around.contains(*p)));
+                    next.extend(
+                        parents
+                            .get(g)
+                            .into_iter()
+                            .flatten()
+                            .filter(|p| !around.contains(*p)),
+                    );
                 }
             }
-            group.hosts.iter().for_each(|h| of_host.entry(h).or_default().extend(&around));
+            group
+                .hosts
+                .iter()
+                .for_each(|h| of_host.entry(h).or_default().extend(&around));
         }
         let none = Vars::new();
         let raw = |(name, (at, own)): (&String, &(At, Vars))| {
             let groups = of_host.get(name.as_str());
-            let in_order =
-                || order.iter().filter(|g| groups.is_some_and(|all| all.contains(*g)) || **g == "all");
+            let in_order = || {
+                order
+                    .iter()
+                    .filter(|g| groups.is_some_and(|all| all.contains(*g)) || **g == "all")
+            };
             let from_inventory = in_order().map(|g| self.groups.get(*g).map_or(&none, |g| &g.vars));
             let from_folder = in_order().map(|g| beside.groups.get(*g).unwrap_or(&none));
             let last = [own, beside.hosts.get(name).unwrap_or(&none)];
@@ -133,7 +162,13 @@
             for layer in from_inventory.chain(from_folder).chain(last) {
                 vars.extend(layer.iter().map(|(k, v)| (k.as_str(), v)));
             }
-            Raw { name: Scalar { text: name.clone(), at: *at }, fields: fields(&vars) }
+            Raw {
+                name: Scalar {
+                    text: name.clone(),
+                    at: *at,
+                },
+                fields: fields(&vars),
+            }
         };
         self.hosts.iter().map(raw).collect()
     }
@@ -143,10 +178,14 @@
 fn fields(vars: &BTreeMap<&str, &Scalar>) -> BTreeMap<Field, Scalar> {
     let mut best: BTreeMap<Field, (usize, &Scalar)> = BTreeMap::new();
     for (word, value) in vars {
-        let Some((field, rank)) = Field::of(word).filter(|(f, _)| *f != Field::Name) else { continue };
+        let Some((field, rank)) = Field::of(word).filter(|(f, _)| *f != Field::Name) else {
+            continue;
+        };
         if best.get(&field).is_none_or(|(earlier, _)| rank < *earlier) {
             best.insert(field, (rank, value));
         }
     }
-    best.into_iter().map(|(field, (_, value))| (field, value.clone())).collect()
+    best.into_iter()
+        .map(|(field, (_, value))| (field, value.clone()))
+        .collect()
 }
--- a/crates/roster/src/ansible/range.rs
+++ b/crates/roster/src/ansible/range.rs
@@ -8,13 +8,19 @@
     let mut names = vec![String::new()];
     let mut rest = pattern;
     while let Some(open) = rest.find('[') {
-        let close = rest[open..].find(']').map(|n| open + n).ok_or("a range without its ']'")?;
+        let close = rest[open..]
+            .find(']')
+            .map(|n| open + n)
+            .ok_or("a range without its ']'")?;
         let parts = range(&rest[open + 1..close])?;
         if names.len() * parts.len() > MOST {
             return Err(format!("more than {MOST} hosts in one name"));
         }
         let before = &rest[..open];
-        names = names.iter().flat_map(|n| parts.iter().map(move |p| format!("{n}{before}{p}"))).collect();
+        names = names
+            .iter()
+            .flat_map(|n| parts.iter().map(move |p| format!("{n}{before}{p}")))
+            .collect();
         rest = &rest[close + 1..];
     }
     if rest.contains(']') {
@@ -28,7 +34,10 @@
     let mut parts = text.split(':');
     let bad = || format!("not a range: [{text}]");
     let (from, to) = (parts.next().unwrap_or(""), parts.next().ok_or_else(bad)?);
-    let step = parts.next().map_or(Ok(1), |s| s.parse::<usize>()).map_err(|_| bad())?;
+    let step = parts
+        .next()
+        .map_or(Ok(1), |s| s.parse::<usize>())
+        .map_err(|_| bad())?;
     if step == 0 || parts.next().is_some() {
         return Err(bad());
     }
@@ -36,18 +45,28 @@
     let from = if from.is_empty() { "0" } else { from };
     let digits = |s: &str| !s.is_empty() && s.len() <= 9 && s.bytes().all(|b| b.is_ascii_digit());
     if digits(from) && digits(to) {
-        let width = if from.len() > 1 && from.starts_with('0') { from.len() } else { 0 };
+        let width = if from.len() > 1 && from.starts_with('0') {
+            from.len()
+        } else {
+            0
+        };
         if width > 0 && from.len() != to.len() {
             return Err(format!("its ends are not of one length: [{text}]"));
         }
-        let (a, b) = (from.parse::<usize>().map_err(|_| bad())?, to.parse::<usize>().map_err(|_| bad())?);
+        let (a, b) = (
+            from.parse::<usize>().map_err(|_| bad())?,
+            to.parse::<usize>().map_err(|_| bad())?,
+        );
         if a > b {
             return Err(format!("it runs backwards: [{text}]"));
         }
         if (b - a) / step >= MOST {
             return Err(format!("more than {MOST} hosts in one name"));
         }
-        return Ok((a..=b).step_by(step).map(|n| format!("{n:0width$}")).collect());
+        return Ok((a..=b)
+            .step_by(step)
+            .map(|n| format!("{n:0width$}"))
+            .collect());
     }
     let letter = |s: &str| s.len() == 1 && s.as_bytes()[0].is_ascii_alphabetic();
     if !letter(from) || !letter(to) {
@@ -57,5 +76,8 @@
     if a > b || a.is_ascii_lowercase() != b.is_ascii_lowercase() {
         return Err(format!("it runs backwards: [{text}]"));
     }
-    Ok((a..=b).step_by(step).map(|b| char::from(b).to_string()).collect())
+    Ok((a..=b)
+        .step_by(step)
+        .map(|b| char::from(b).to_string())
+        .collect())
 }
--- a/crates/roster/src/ansible/yaml.rs
+++ b/crates/roster/src/ansible/yaml.rs
@@ -89,14 +89,25 @@
     match serde_saphyr::from_str_with_options::<Spanned<Node>>(texts.text(file), options) {
         Ok(node) => Some(node),
         Err(e) => {
-            let at = e.location().map_or(At { file, line: 1, column: 1 }, |l| At {
-                file,
-                line: l.line() as u32,
-                column: l.column() as u32,
-            });
+            let at = e.location().map_or(
+                At {
+                    file,
+                    line: 1,
+                    column: 1,
+                },
+                |l| At {
+                    file,
+                    line: l.line() as u32,
+                    column: l.column() as u32,
+                },
+            );
             let why = e.to_string();
-            let why =
-                why.lines().next().unwrap_or("it cannot be read").trim_start_matches("error: ").to_string();
+            let why = why
+                .lines()
+                .next()
+                .unwrap_or("it cannot be read")
+                .trim_start_matches("error: ")
+                .to_string();
             // The place is told by itself.
             let why = why
                 .split_once(": ")
@@ -117,8 +128,15 @@
 
 /// Reads an inventory.
 pub fn read(texts: &Texts, file: u32, found: &mut Found) -> Inventory {
-    let Some(document) = parse(texts, file, found) else { return Inventory::default() };
-    let mut reader = Reader { texts, file, found, inventory: Inventory::default() };
+    let Some(document) = parse(texts, file, found) else {
+        return Inventory::default();
+    };
+    let mut reader = Reader {
+        texts,
+        file,
+        found,
+        inventory: Inventory::default(),
+    };
     match document.value {
         Node::Nothing => {}
         Node::Map(groups) => {
@@ -136,7 +154,11 @@
 
 impl Reader<'_> {
     fn at(&self, location: &serde_saphyr::Location) -> At {
-        At { file: self.file, line: location.line() as u32, column: location.column() as u32 }
+        At {
+            file: self.file,
+            line: location.line() as u32,
+            column: location.column() as u32,
+        }
     }
 
     fn wrong(&mut self, location: &serde_saphyr::Location, key: Option<&str>, why: &str) {
@@ -148,14 +170,22 @@
         let at = self.at(&name.referenced);
         self.inventory.group(&name.value, at);
         if depth >= DEPTH {
-            return self.wrong(&name.referenced, Some(&name.value), "too many groups inside each other");
+            return self.wrong(
+                &name.referenced,
+                Some(&name.value),
+                "too many groups inside each other",
+            );
         }
         let parts = match node.value {
             Node::Nothing => return,
             Node::Map(parts) => parts,
             // The JSON form may give a group as the list of its hosts.
-            Node::List(hosts) => return hosts.into_iter().for_each(|h| self.listed(&name.value, h)),
-            Node::Scalar(_) => return self.wrong(&node.referenced, Some(&name.value), "not a group"),
+            Node::List(hosts) => {
+                return hosts.into_iter().for_each(|h| self.listed(&name.value, h))
+            }
+            Node::Scalar(_) => {
+                return self.wrong(&node.referenced, Some(&name.value), "not a group")
+            }
         };
         for (part, node) in parts {
             match (part.value.as_str(), node.value) {
@@ -166,10 +196,15 @@
                         self.hosts(&name.value, &host, &vars);
                     }
                 }
-                ("hosts", Node::List(hosts)) => hosts.into_iter().for_each(|h| self.listed(&name.value, h)),
+                ("hosts", Node::List(hosts)) => {
+                    hosts.into_iter().for_each(|h| self.listed(&name.value, h))
+                }
                 ("children", Node::Map(children)) => {
                     for (child, node) in children {
-                        self.inventory.group(&name.value, at).children.insert(child.value.clone());
+                        self.inventory
+                            .group(&name.value, at)
+                            .children
+                            .insert(child.value.clone());
                         self.group(&child, node, depth + 1);
                     }
                 }
@@ -178,10 +213,17 @@
                         let place = self.at(&child.referenced);
                         match child.value {
                             Node::Scalar(text) => {
-                                self.inventory.group(&name.value, at).children.insert(text.clone());
+                                self.inventory
+                                    .group(&name.value, at)
+                                    .children
+                                    .insert(text.clone());
                                 self.inventory.group(&text, place);
                             }
-                            _ => self.wrong(&child.referenced, Some("children"), "not a group's name"),
+                            _ => self.wrong(
+                                &child.referenced,
+                                Some("children"),
+                                "not a group's name",
+                            ),
                         }
                     }
                 }
@@ -197,7 +239,11 @@
                 ),
                 (other, _) => {
                     let other = other.to_string();
-                    self.wrong(&part.referenced, Some(&other), "neither hosts, children nor vars")
+                    self.wrong(
+                        &part.referenced,
+                        Some(&other),
+                        "neither hosts, children nor vars",
+                    )
                 }
             }
         }
@@ -205,9 +251,11 @@
 
     fn listed(&mut self, group: &str, host: Spanned<Node>) {
         match host.value {
-            Node::Scalar(name) => {
-                self.hosts(group, &Spanned::new(name, host.referenced, host.defined), &Vars::new())
-            }
+            Node::Scalar(name) => self.hosts(
+                group,
+                &Spanned::new(name, host.referenced, host.defined),
+                &Vars::new(),
+            ),
             _ => self.wrong(&host.referenced, Some(group), "not a host's name"),
         }
     }
@@ -215,19 +263,29 @@
     fn hosts(&mut self, group: &str, pattern: &Spanned<String>, vars: &Vars) {
         let at = self.at(&pattern.referenced);
         match expand(&pattern.value) {
-            Ok(names) => names.iter().for_each(|name| self.inventory.host(group, name, at, vars)),
-            Err(why) => self.found.add(self.texts, at, Some(&pattern.value), None, why),
+            Ok(names) => names
+                .iter()
+                .for_each(|name| self.inventory.host(group, name, at, vars)),
+            Err(why) => self
+                .found
+                .add(self.texts, at, Some(&pattern.value), None, why),
         }
     }
 
     /// `_meta.hostvars`, as `ansible-inventory --list` has the hosts' variables.
     fn meta(&mut self, node: Spanned<Node>) {
         let Node::Map(parts) = node.value else { return };
-        for (_, node) in parts.into_iter().filter(|(part, _)| part.value == "hostvars") {
-            let Node::Map(hosts) = node.value else { continue };
+        for (_, node) in parts
+            .into_iter()
+            .filter(|(part, _)| part.value == "hostvars")
+        {
+            let Node::Map(hosts) = node.value else {
+                continue;
+            };
             for (host, vars) in hosts {
                 let vars = self.vars(vars, Some(&host.value));
-                self.inventory.host("all", &host.value, self.at(&host.referenced), &vars);
+                self.inventory
+                    .host("all", &host.value, self.at(&host.referenced), &vars);
             }
         }
     }
@@ -238,7 +296,8 @@
             Node::Map(entries) => vars(entries, self.file),
             _ => {
                 let at = self.at(&node.referenced);
-                self.found.add(self.texts, at, host, None, "not variables by their names");
+                self.found
+                    .add(self.texts, at, host, None, "not variables by their names");
                 Vars::new()
             }
         }
@@ -249,8 +308,11 @@
 fn vars(entries: Vec<(Spanned<String>, Spanned<Node>)>, file: u32) -> Vars {
     let plain = |(key, node): (Spanned<String>, Spanned<Node>)| match node.value {
         Node::Scalar(text) => {
-            let at =
-                At { file, line: node.referenced.line() as u32, column: node.referenced.column() as u32 };
+            let at = At {
+                file,
+                line: node.referenced.line() as u32,
+                column: node.referenced.column() as u32,
+            };
             Some((key.value, Scalar { text, at }))
         }
         _ => None,
@@ -264,7 +326,17 @@
         Some((_, Node::Map(entries))) => vars(entries, file),
         None | Some((_, Node::Nothing)) => Vars::new(),
         Some(_) => {
-            found.add(texts, At { file, line: 1, column: 1 }, None, None, "not variables by their names");
+            found.add(
+                texts,
+                At {
+                    file,
+                    line: 1,
+                    column: 1,
+                },
+                None,
+                None,
+                "not variables by their names",
+            );
             Vars::new()
         }
     }
--- a/crates/roster/src/csv.rs
+++ b/crates/roster/src/csv.rs
@@ -9,13 +9,22 @@
     let whole = texts.text(file);
     let text = whole.strip_prefix('\u{feff}').unwrap_or(whole);
     let at = |line: u32, column: u32| At { file, line, column };
-    let Some(heading) = text.lines().find(|l| !l.trim().is_empty() && !l.starts_with('#')) else {
+    let Some(heading) = text
+        .lines()
+        .find(|l| !l.trim().is_empty() && !l.starts_with('#'))
+    else {
         return Vec::new();
     };
     let delimiter = delimiter(heading);
     if let Some(open) = streamusher_quotes::left_open(text.as_bytes(), delimiter, Some(b'#')) {
         // All rows behind it would be taken for one field.
-        found.add(texts, at(open.line, open.column), None, None, "a quote without its end");
+        found.add(
+            texts,
+            at(open.line, open.column),
+            None,
+            None,
+            "a quote without its end",
+        );
         return Vec::new();
     }
     let mut rows = csv::ReaderBuilder::new()
@@ -38,32 +47,58 @@
                 break;
             }
         }
-        let position = record.position().expect("a record that was read has one").clone();
+        let position = record
+            .position()
+            .expect("a record that was read has one")
+            .clone();
         if record.iter().all(str::is_empty) {
             continue; // spreadsheets leave rows of bare delimiters
         }
-        let places =
-            places(&text[position.byte() as usize..], delimiter, position.line() as u32, record.len());
-        let place = |n: usize| places.get(n).map_or(at(position.line() as u32, 1), |&(l, c)| at(l, c));
+        let places = places(
+            &text[position.byte() as usize..],
+            delimiter,
+            position.line() as u32,
+            record.len(),
+        );
+        let place = |n: usize| {
+            places
+                .get(n)
+                .map_or(at(position.line() as u32, 1), |&(l, c)| at(l, c))
+        };
         let Some(columns) = &columns else {
             columns = Some(headings(&record, texts, &place, found, notes));
             continue;
         };
-        if record.len() > columns.len() && record.iter().skip(columns.len()).any(|f| !f.is_empty()) {
-            let why = format!("{} fields, and the heading has {}", record.len(), columns.len());
+        if record.len() > columns.len() && record.iter().skip(columns.len()).any(|f| !f.is_empty())
+        {
+            let why = format!(
+                "{} fields, and the heading has {}",
+                record.len(),
+                columns.len()
+            );
             found.add(texts, place(columns.len()), None, None, why);
             continue;
         }
         let mut fields: BTreeMap<Field, (usize, Scalar)> = BTreeMap::new();
-        for (n, text) in record.iter().enumerate().filter(|(_, text)| !text.is_empty()) {
-            let Some(Some((field, rank))) = columns.get(n) else { continue };
-            let scalar = Scalar { text: text.to_string(), at: place(n) };
+        for (n, text) in record
+            .iter()
+            .enumerate()
+            .filter(|(_, text)| !text.is_empty())
+        {
+            let Some(Some((field, rank))) = columns.get(n) else {
+                continue;
+            };
+            let scalar = Scalar {
+                text: text.to_string(),
+                at: place(n),
+            };
             match fields.get(field) {
                 Some((earlier, _)) if earlier < rank => {}
                 _ => drop(fields.insert(*field, (*rank, scalar))),
             }
         }
-        let mut fields: BTreeMap<Field, Scalar> = fields.into_iter().map(|(f, (_, s))| (f, s)).collect();
+        let mut fields: BTreeMap<Field, Scalar> =
+            fields.into_iter().map(|(f, (_, s))| (f, s)).collect();
         match fields.remove(&Field::Name) {
             Some(name) => raws.push(Raw { name, fields }),
             None => found.add(texts, place(0), None, Some("name"), "a row without a name"),
@@ -73,21 +108,42 @@
 }
 
 fn headings(
-    record: &csv::StringRecord, texts: &Texts, place: &impl Fn(usize) -> At, found: &mut Found,
+    record: &csv::StringRecord,
+    texts: &Texts,
+    place: &impl Fn(usize) -> At,
+    found: &mut Found,
     notes: &mut Vec<String>,
 ) -> Vec<Option<(Field, usize)>> {
     let columns: Vec<Option<(Field, usize)>> = record.iter().map(Field::of).collect();
     for (n, heading) in record.iter().enumerate() {
         match columns[n] {
-            None if !heading.is_empty() => notes.push(format!("column {heading:?} means nothing here")),
+            None if !heading.is_empty() => {
+                notes.push(format!("column {heading:?} means nothing here"))
+            }
             Some(same) if columns[..n].contains(&Some(same)) => {
-                found.add(texts, place(n), None, Some(same.0.word()), "a heading that stands twice");
+                found.add(
+                    texts,
+                    place(n),
+                    None,
+                    Some(same.0.word()),
+                    "a heading that stands twice",
+                );
             }
             _ => {}
         }
     }
-    if !columns.iter().flatten().any(|(field, _)| *field == Field::Name) {
-        found.add(texts, place(0), None, Some("name"), "no such column in the heading");
+    if !columns
+        .iter()
+        .flatten()
+        .any(|(field, _)| *field == Field::Name)
+    {
+        found.add(
+            texts,
+            place(0),
+            None,
+            Some("name"),
+            "no such column in the heading",
+        );
     }
     columns
 }
--- a/crates/roster/src/diff.rs
+++ b/crates/roster/src/diff.rs
@@ -39,7 +39,11 @@
             };
             list.push(name.clone());
         }
-        diff.drained = old.keys().filter(|name| !new.contains_key(*name)).cloned().collect();
+        diff.drained = old
+            .keys()
+            .filter(|name| !new.contains_key(*name))
+            .cloned()
+            .collect();
         diff
     }
 
--- a/crates/roster/src/disk.rs
+++ b/crates/roster/src/disk.rs
@@ -17,7 +17,9 @@
             return other("not a file".into());
         }
         let mut bytes = Vec::new();
-        File::open(path)?.take(MOST_BYTES + 1).read_to_end(&mut bytes)?;
+        File::open(path)?
+            .take(MOST_BYTES + 1)
+            .read_to_end(&mut bytes)?;
         match bytes.len() as u64 > MOST_BYTES {
             true => other(format!("over {} MB", MOST_BYTES >> 20)),
             false => Ok(bytes),
@@ -28,6 +30,8 @@
         if !dir.is_dir() {
             return Ok(Vec::new());
         }
-        std::fs::read_dir(dir)?.map(|e| e.map(|e| e.path())).collect()
+        std::fs::read_dir(dir)?
+            .map(|e| e.map(|e| e.path()))
+            .collect()
     }
 }
--- a/crates/roster/src/host.rs
+++ b/crates/roster/src/host.rs
@@ -51,8 +51,20 @@
 /// What tools call the fields, in small letters and with `_` for blanks and hyphens. The first is ours. Of several in
 /// one place the one that stands further to the front here counts.
 const WORDS: [(Field, &[&str]); 7] = [
-    (Field::Name, &["name", "host", "hostname", "host_name", "inventory_hostname"]),
-    (Field::Address, &["address", "addr", "ip", "ip_address", "ansible_host"]),
+    (
+        Field::Name,
+        &[
+            "name",
+            "host",
+            "hostname",
+            "host_name",
+            "inventory_hostname",
+        ],
+    ),
+    (
+        Field::Address,
+        &["address", "addr", "ip", "ip_address", "ansible_host"],
+    ),
     (Field::Port, &["port", "drmaa_port", "ansible_port"]),
     (Field::Zone, &["zone", "building"]),
     (Field::Kind, &["kind", "machine_kind", "machine"]),
@@ -66,14 +78,25 @@
         let word: String = word
             .trim()
             .chars()
-            .map(|c| if c == ' ' || c == '-' { '_' } else { c.to_ascii_lowercase() })
+            .map(|c| {
+                if c == ' ' || c == '-' {
+                    '_'
+                } else {
+                    c.to_ascii_lowercase()
+                }
+            })
             .collect();
-        WORDS.iter().find_map(|(field, words)| words.iter().position(|w| *w == word).map(|n| (*field, n)))
+        WORDS
+            .iter()
+            .find_map(|(field, words)| words.iter().position(|w| *w == word).map(|n| (*field, n)))
     }
 
     /// Its name here.
     pub fn word(self) -> &'static str {
-        WORDS.iter().find(|(field, _)| *field == self).map_or("", |(_, words)| words[0])
+        WORDS
+            .iter()
+            .find(|(field, _)| *field == self)
+            .map_or("", |(_, words)| words[0])
     }
 }
 
@@ -114,7 +137,13 @@
     for (at, host) in &hosts {
         let told = Some(host.name.as_str());
         if let Some(first) = names.insert(&host.name, *at) {
-            found.add(texts, *at, told, None, format!("named twice, first in line {}", first.line));
+            found.add(
+                texts,
+                *at,
+                told,
+                None,
+                format!("named twice, first in line {}", first.line),
+            );
             continue;
         }
         if let Some(other) = addrs.insert(host.addr, &host.name) {
@@ -138,22 +167,42 @@
         found.add_with(texts, at, Some(name), Some(field.word()), why, help);
     };
     if name.is_empty() || name.len() > NAME || !name.bytes().all(|b| b.is_ascii_graphic()) {
-        wrong(Field::Name, raw.name.at, format!("visible ASCII, 1 to {NAME} bytes: {name:?}"), None);
+        wrong(
+            Field::Name,
+            raw.name.at,
+            format!("visible ASCII, 1 to {NAME} bytes: {name:?}"),
+            None,
+        );
     }
     let get = |field: Field| raw.fields.get(&field).filter(|s| !s.text.is_empty());
     let host = get(Field::Address).unwrap_or(&raw.name);
     let ip = host.text.parse::<IpAddr>().ok();
     if ip.is_none() {
-        let help =
-            get(Field::Address).is_none().then(|| "without an address the name has to be one".to_string());
-        wrong(Field::Address, host.at, format!("not an IP address: {:?}", host.text), help);
+        let help = get(Field::Address)
+            .is_none()
+            .then(|| "without an address the name has to be one".to_string());
+        wrong(
+            Field::Address,
+            host.at,
+            format!("not an IP address: {:?}", host.text),
+            help,
+        );
     }
     let number = |field: Field, s: &Scalar| s.text.parse::<u32>().map_err(|_| (field, s.at));
     let mut port = PORT;
     if let Some(s) = get(Field::Port) {
-        match number(Field::Port, s).ok().and_then(|n| u16::try_from(n).ok()).filter(|n| *n > 0) {
+        match number(Field::Port, s)
+            .ok()
+            .and_then(|n| u16::try_from(n).ok())
+            .filter(|n| *n > 0)
+        {
             Some(n) => port = n,
-            None => wrong(Field::Port, s.at, format!("not a port, 1 to 65535: {:?}", s.text), None),
+            None => wrong(
+                Field::Port,
+                s.at,
+                format!("not a port, 1 to 65535: {:?}", s.text),
+                None,
+            ),
         }
     }
     let mut cell = 0;
@@ -165,11 +214,24 @@
     }
     let mut weight = 1.0;
     if let Some(s) = get(Field::Weight) {
-        match s.text.parse::<f64>().ok().filter(|w| *w > 0.0 && w.is_finite() && *w <= 1e6) {
+        match s
+            .text
+            .parse::<f64>()
+            .ok()
+            .filter(|w| *w > 0.0 && w.is_finite() && *w <= 1e6)
+        {
             Some(w) => weight = w,
             None => {
-                let help = s.text.contains(',').then(|| "a decimal point is wanted".to_string());
-                wrong(Field::Weight, s.at, format!("not a number above 0: {:?}", s.text), help);
+                let help = s
+                    .text
+                    .contains(',')
+                    .then(|| "a decimal point is wanted".to_string());
+                wrong(
+                    Field::Weight,
+                    s.at,
+                    format!("not a number above 0: {:?}", s.text),
+                    help,
+                );
             }
         }
     }
@@ -179,7 +241,12 @@
             String::new()
         }
         Some(s) if !list.is_empty() && !list.contains(&s.text) => {
-            wrong(field, s.at, format!("unknown: {:?}", s.text), nearest(&s.text, list));
+            wrong(
+                field,
+                s.at,
+                format!("unknown: {:?}", s.text),
+                nearest(&s.text, list),
+            );
             String::new()
         }
         Some(s) => s.text.clone(),
@@ -191,11 +258,19 @@
         _ => named(Field::Kind, &known.kinds),
     };
     let addr = SocketAddr::new(ip?, port);
-    (found.count() == before).then(|| Host { name: name.into(), addr, zone, kind, cell, weight })
+    (found.count() == before).then(|| Host {
+        name: name.into(),
+        addr,
+        zone,
+        kind,
+        cell,
+        weight,
+    })
 }
 
 fn nearest(text: &str, list: &[String]) -> Option<String> {
-    let near = |known: &&String| strsim::damerau_levenshtein(&text.to_lowercase(), &known.to_lowercase());
+    let near =
+        |known: &&String| strsim::damerau_levenshtein(&text.to_lowercase(), &known.to_lowercase());
     let best = list.iter().min_by_key(near)?;
     (near(&best) <= 1 + best.len() / 3).then(|| format!("did you mean {best:?}?"))
 }
--- a/crates/roster/src/membership.rs
+++ b/crates/roster/src/membership.rs
@@ -76,7 +76,10 @@
         match self {
             Refused::Empty => f.write_str("it names nobody"),
             Refused::TooMany { zone, drained, of } => {
-                write!(f, "it would drain {drained} of {of} workers of {zone} at once")
+                write!(
+                    f,
+                    "it would drain {drained} of {of} workers of {zone} at once"
+                )
             }
         }
     }
@@ -102,7 +105,11 @@
 impl Membership {
     /// So many sources, the one that goes first first. None has said anything yet.
     pub fn new(rules: Rules, sources: usize) -> Membership {
-        Membership { rules, words: vec![Word::default(); sources], set: Set::default() }
+        Membership {
+            rules,
+            words: vec![Word::default(); sources],
+            set: Set::default(),
+        }
     }
 
     /// The set in force.
@@ -118,10 +125,16 @@
     /// A source has a new word: it is taken whole or not at all. `force` lets it drain any number. True if the set
     /// has changed.
     pub fn word(
-        &mut self, now: Micros, source: usize, hosts: Vec<Host>, force: bool,
+        &mut self,
+        now: Micros,
+        source: usize,
+        hosts: Vec<Host>,
+        force: bool,
     ) -> Result<bool, Refused> {
-        let hosts: BTreeMap<Arc<str>, Arc<Host>> =
-            hosts.into_iter().map(|h| (Arc::from(h.name.as_str()), Arc::new(h))).collect();
+        let hosts: BTreeMap<Arc<str>, Arc<Host>> = hosts
+            .into_iter()
+            .map(|h| (Arc::from(h.name.as_str()), Arc::new(h)))
+            .collect();
         let refused = self.check(source, &hosts, force);
         let word = &mut self.words[source];
         if let Err(why) = refused {
@@ -129,14 +142,30 @@
             return Err(why);
         }
         // The first word of all is what was there before this process: none of them is cold.
-        let born = if self.words.iter().any(|w| w.heard) { now } else { 0 };
+        let born = if self.words.iter().any(|w| w.heard) {
+            now
+        } else {
+            0
+        };
         let word = &mut self.words[source];
-        let old = std::mem::replace(word, Word { hosts, stale: None, heard: true }).hosts;
+        let old = std::mem::replace(
+            word,
+            Word {
+                hosts,
+                stale: None,
+                heard: true,
+            },
+        )
+        .hosts;
         let new = &self.words[source].hosts;
         // Only what differs is looked at: one change among thousands costs little.
         let differs = |name: &&Arc<str>| old.get(*name) != new.get(*name);
-        let touched: Vec<Arc<str>> =
-            old.keys().chain(new.keys().filter(|n| !old.contains_key(*n))).filter(differs).cloned().collect();
+        let touched: Vec<Arc<str>> = old
+            .keys()
+            .chain(new.keys().filter(|n| !old.contains_key(*n)))
+            .filter(differs)
+            .cloned()
+            .collect();
         Ok(self.settle(now, born, &touched))
     }
 
@@ -151,9 +180,15 @@
             State::Ready => false,
             State::Draining(since) => now >= since.saturating_add(self.rules.drain_us),
         };
-        let gone: Vec<Arc<str>> =
-            self.set.seats.iter().filter(|(_, s)| over(s)).map(|(n, _)| n.clone()).collect();
-        gone.iter().for_each(|name| drop(self.set.seats.remove(name)));
+        let gone: Vec<Arc<str>> = self
+            .set
+            .seats
+            .iter()
+            .filter(|(_, s)| over(s))
+            .map(|(n, _)| n.clone())
+            .collect();
+        gone.iter()
+            .for_each(|name| drop(self.set.seats.remove(name)));
         self.set.generation += u64::from(!gone.is_empty());
         !gone.is_empty()
     }
@@ -168,7 +203,10 @@
     }
 
     fn check(
-        &self, source: usize, hosts: &BTreeMap<Arc<str>, Arc<Host>>, force: bool,
+        &self,
+        source: usize,
+        hosts: &BTreeMap<Arc<str>, Arc<Host>>,
+        force: bool,
     ) -> Result<(), Refused> {
         if hosts.is_empty() && !self.rules.empty {
             return Err(Refused::Empty);
@@ -177,17 +215,30 @@
             return Ok(());
         }
         let mut zones: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-        for (name, seat) in self.set.seats.iter().filter(|(_, s)| s.state == State::Ready) {
+        for (name, seat) in self
+            .set
+            .seats
+            .iter()
+            .filter(|(_, s)| s.state == State::Ready)
+        {
             let (drained, of) = zones.entry(&seat.host.zone).or_default();
             *of += 1;
-            let elsewhere =
-                || self.words.iter().enumerate().any(|(n, w)| n != source && w.hosts.contains_key(name));
+            let elsewhere = || {
+                self.words
+                    .iter()
+                    .enumerate()
+                    .any(|(n, w)| n != source && w.hosts.contains_key(name))
+            };
             *drained += usize::from(!hosts.contains_key(name) && !elsewhere());
         }
         for (zone, (drained, of)) in zones {
             let most = ((of as f64 * self.rules.most_drained) as usize).max(1);
             if drained > most {
-                return Err(Refused::TooMany { zone: zone.into(), drained, of });
+                return Err(Refused::TooMany {
+                    zone: zone.into(),
+                    drained,
+                    of,
+                });
             }
         }
         Ok(())
@@ -197,17 +248,36 @@
     fn settle(&mut self, now: Micros, born: Micros, names: &[Arc<str>]) -> bool {
         let mut changed = false;
         for name in names {
-            let said = self.words.iter().enumerate().find_map(|(n, w)| Some((n, w.hosts.get(name)?.clone())));
+            let said = self
+                .words
+                .iter()
+                .enumerate()
+                .find_map(|(n, w)| Some((n, w.hosts.get(name)?.clone())));
             let seat = self.set.seats.get(name);
             let next = match (said, seat) {
-                (Some((source, host)), None) => Seat { host, source, state: State::Ready, since: born },
+                (Some((source, host)), None) => Seat {
+                    host,
+                    source,
+                    state: State::Ready,
+                    since: born,
+                },
                 (Some((source, host)), Some(seat)) => {
-                    let since = if seat.host.addr == host.addr { seat.since } else { now };
-                    Seat { host, source, state: State::Ready, since }
-                }
-                (None, Some(seat)) if seat.state == State::Ready => {
-                    Seat { state: State::Draining(now), ..seat.clone() }
+                    let since = if seat.host.addr == host.addr {
+                        seat.since
+                    } else {
+                        now
+                    };
+                    Seat {
+                        host,
+                        source,
+                        state: State::Ready,
+                        since,
+                    }
                 }
+                (None, Some(seat)) if seat.state == State::Ready => Seat {
+                    state: State::Draining(now),
+                    ..seat.clone()
+                },
                 (None, _) => continue,
             };
             if seat != Some(&next) {
@@ -216,7 +286,10 @@
             }
         }
         self.set.generation += u64::from(changed);
-        debug_assert!(self.is_sound(), "a worker is ready only where a source names it");
+        debug_assert!(
+            self.is_sound(),
+            "a worker is ready only where a source names it"
+        );
         changed
     }
 
@@ -224,7 +297,12 @@
     pub fn is_sound(&self) -> bool {
         let named = |name: &Arc<str>| self.words.iter().any(|w| w.hosts.contains_key(name));
         let all = self.words.iter().flat_map(|w| w.hosts.keys());
-        self.set.seats.iter().all(|(name, seat)| (seat.state == State::Ready) == named(name))
-            && all.into_iter().all(|name| self.set.seats.contains_key(name))
+        self.set
+            .seats
+            .iter()
+            .all(|(name, seat)| (seat.state == State::Ready) == named(name))
+            && all
+                .into_iter()
+                .all(|name| self.set.seats.contains_key(name))
     }
 }
