--- a/crates/roster/src/problem.rs
+++ b/crates/roster/src/problem.rs
@@ -107,14 +107,24 @@
 impl Found {
     /// A mistake at a place.
     pub fn add(
-        &mut self, texts: &Texts, at: At, host: Option<&str>, key: Option<&str>, why: impl Into<String>,
+        &mut self,
+        texts: &Texts,
+        at: At,
+        host: Option<&str>,
+        key: Option<&str>,
+        why: impl Into<String>,
     ) {
         self.add_with(texts, at, host, key, why, None);
     }
 
     /// The same, with what may have been meant.
     pub fn add_with(
-        &mut self, texts: &Texts, at: At, host: Option<&str>, key: Option<&str>, why: impl Into<String>,
+        &mut self,
+        texts: &Texts,
+        at: At,
+        host: Option<&str>,
+        key: Option<&str>,
+        why: impl Into<String>,
         help: Option<String>,
     ) {
         if self.list.len() >= MOST {
@@ -146,23 +156,43 @@
     /// All of it, in order.
     pub fn end(mut self, texts: Texts) -> Problems {
         self.list.sort_by_key(|(at, _)| *at);
-        Problems { list: self.list.into_iter().map(|(_, p)| p).collect(), more: self.more, texts }
+        Problems {
+            list: self.list.into_iter().map(|(_, p)| p).collect(),
+            more: self.more,
+            texts,
+        }
     }
 }
 
 impl Problems {
     /// For people: each with the line that it is in and a mark below it.
     pub fn shown(&self, colours: bool) -> String {
-        let renderer = if colours { Renderer::styled() } else { Renderer::plain() };
+        let renderer = if colours {
+            Renderer::styled()
+        } else {
+            Renderer::plain()
+        };
         let mut shown: Vec<String> = Vec::new();
         for p in &self.list {
-            let text = self.texts.0.iter().find(|(name, _)| *name == p.file).map_or("", |(_, text)| text);
+            let text = self
+                .texts
+                .0
+                .iter()
+                .find(|(name, _)| *name == p.file)
+                .map_or("", |(_, text)| text);
             let label = [p.host.as_ref().map(|h| format!("host {h}")), p.key.clone()];
-            let title = label.into_iter().flatten().chain([p.why.clone()]).collect::<Vec<_>>().join(": ");
+            let title = label
+                .into_iter()
+                .flatten()
+                .chain([p.why.clone()])
+                .collect::<Vec<_>>()
+                .join(": ");
             let span = span(text, p.line, p.column);
-            let snippet = Snippet::source(text)
-                .path(p.file.as_str())
-                .annotation(AnnotationKind::Primary.span(span).label(p.help.as_deref().unwrap_or("")));
+            let snippet = Snippet::source(text).path(p.file.as_str()).annotation(
+                AnnotationKind::Primary
+                    .span(span)
+                    .label(p.help.as_deref().unwrap_or("")),
+            );
             let group = Level::ERROR.primary_title(title.as_str()).element(snippet);
             match p.line {
                 0 => shown.push(format!("error: {p}")),
@@ -179,7 +209,9 @@
 impl fmt::Display for Problems {
     /// One line: the first, and how many there are.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Some(first) = self.list.first() else { return Ok(()) };
+        let Some(first) = self.list.first() else {
+            return Ok(());
+        };
         write!(f, "{first}")?;
         match self.list.len() + self.more - 1 {
             0 => Ok(()),
@@ -190,11 +222,24 @@
 
 /// The bytes of the word that stands at a place, to be marked.
 fn span(text: &str, line: u32, column: u32) -> std::ops::Range<usize> {
-    let start: usize = text.split_inclusive('\n').take(line.saturating_sub(1) as usize).map(str::len).sum();
+    let start: usize = text
+        .split_inclusive('\n')
+        .take(line.saturating_sub(1) as usize)
+        .map(str::len)
+        .sum();
     let rest = &text[start..];
     let rest = rest.split('\n').next().unwrap_or("");
-    let from = rest.char_indices().nth(column.saturating_sub(1) as usize).map_or(rest.len(), |(i, _)| i);
-    let word = rest[from..].find([' ', ',', ';', '\t', ':', '\r', '#']).unwrap_or(rest.len() - from);
-    let word = if word == 0 { rest[from..].chars().next().map_or(0, char::len_utf8) } else { word };
+    let from = rest
+        .char_indices()
+        .nth(column.saturating_sub(1) as usize)
+        .map_or(rest.len(), |(i, _)| i);
+    let word = rest[from..]
+        .find([' ', ',', ';', '\t', ':', '\r', '#'])
+        .unwrap_or(rest.len() - from);
+    let word = if word == 0 {
+        rest[from..].chars().next().map_or(0, char::len_utf8)
+    } else {
+        word
+    };
     start + from..start + from + word
 }
--- a/crates/roster/src/read.rs
+++ b/crates/roster/src/read.rs
@@ -42,14 +42,21 @@
 
 /// The form of a file: by its ending, or by how it begins.
 pub fn form(path: &Path, text: &str) -> Form {
-    match path.extension().and_then(|e| e.to_str()).map(str::to_ascii_lowercase).as_deref() {
+    match path
+        .extension()
+        .and_then(|e| e.to_str())
+        .map(str::to_ascii_lowercase)
+        .as_deref()
+    {
         Some("csv" | "tsv" | "tab") => return Form::Csv,
         Some("yml" | "yaml" | "json") => return Form::Yaml,
         Some("ini" | "cfg") => return Form::Ini,
         _ => {}
     }
     let lines = || text.trim_start_matches('\u{feff}').lines().map(str::trim);
-    let first = lines().find(|l| !l.is_empty() && !l.starts_with(['#', ';'])).unwrap_or("");
+    let first = lines()
+        .find(|l| !l.is_empty() && !l.starts_with(['#', ';']))
+        .unwrap_or("");
     match first {
         l if l.starts_with(['{', '-', '%']) || l.ends_with(':') => Form::Yaml,
         l if l.contains([',', ';', '\t']) && !l.contains('=') => Form::Csv,
@@ -64,7 +71,9 @@
     let mut hash = blake3::Hasher::new();
     let mut notes = Vec::new();
     let raws = match take(source, path, &mut texts, &mut found, &mut hash) {
-        Some(file) => raws(source, path, file, &mut texts, &mut found, &mut hash, &mut notes),
+        Some(file) => raws(
+            source, path, file, &mut texts, &mut found, &mut hash, &mut notes,
+        ),
         None => Vec::new(),
     };
     let mut hosts = check(&raws, known, &texts, &mut found);
@@ -72,13 +81,22 @@
         return Err(found.end(texts));
     }
     hosts.sort_by(|a, b| a.name.cmp(&b.name));
-    Ok(Roster { hosts, notes, hash: *hash.finalize().as_bytes() })
+    Ok(Roster {
+        hosts,
+        notes,
+        hash: *hash.finalize().as_bytes(),
+    })
 }
 
 #[allow(clippy::too_many_arguments)]
 fn raws(
-    source: &impl Source, path: &Path, file: u32, texts: &mut Texts, found: &mut Found,
-    hash: &mut blake3::Hasher, notes: &mut Vec<String>,
+    source: &impl Source,
+    path: &Path,
+    file: u32,
+    texts: &mut Texts,
+    found: &mut Found,
+    hash: &mut blake3::Hasher,
+    notes: &mut Vec<String>,
 ) -> Vec<Raw> {
     let inventory = match form(path, texts.text(file)) {
         Form::Csv => return crate::csv::read(texts, file, found, notes),
@@ -103,15 +121,29 @@
 
 /// The files of `group_vars` or `host_vars`, each with the group or host that it is about: `name`, `name.yml`, or any
 /// below a folder `name`, in order.
-fn beside(source: &impl Source, dir: &Path, texts: &Texts, found: &mut Found) -> Vec<(String, PathBuf)> {
+fn beside(
+    source: &impl Source,
+    dir: &Path,
+    texts: &Texts,
+    found: &mut Found,
+) -> Vec<(String, PathBuf)> {
     let mut files = Vec::new();
     let mut list = |dir: &Path| {
         let listed = source.list(dir).unwrap_or_else(|e| {
-            found.add(texts, At::default(), None, None, format!("{}: {e}", dir.display()));
+            found.add(
+                texts,
+                At::default(),
+                None,
+                None,
+                format!("{}: {e}", dir.display()),
+            );
             Vec::new()
         });
-        let visible =
-            |p: &PathBuf| p.file_name().and_then(|n| n.to_str()).is_some_and(|n| !n.starts_with('.'));
+        let visible = |p: &PathBuf| {
+            p.file_name()
+                .and_then(|n| n.to_str())
+                .is_some_and(|n| !n.starts_with('.'))
+        };
         let mut listed: Vec<PathBuf> = listed.into_iter().filter(visible).collect();
         listed.sort();
         listed
@@ -132,21 +164,43 @@
 
 /// Reads one file as text.
 fn take(
-    source: &impl Source, path: &Path, texts: &mut Texts, found: &mut Found, hash: &mut blake3::Hasher,
+    source: &impl Source,
+    path: &Path,
+    texts: &mut Texts,
+    found: &mut Found,
+    hash: &mut blake3::Hasher,
 ) -> Option<u32> {
     let name = path.display().to_string();
-    let told = source.read(path).map_err(|e| e.to_string()).and_then(|bytes| {
-        hash.update(name.as_bytes()).update(&(bytes.len() as u64).to_le_bytes()).update(&bytes);
-        String::from_utf8(bytes).map_err(|e| {
-            let good = &e.as_bytes()[..e.utf8_error().valid_up_to()];
-            format!("line {}: not UTF-8", 1 + good.iter().filter(|b| **b == b'\n').count())
-        })
-    });
+    let told = source
+        .read(path)
+        .map_err(|e| e.to_string())
+        .and_then(|bytes| {
+            hash.update(name.as_bytes())
+                .update(&(bytes.len() as u64).to_le_bytes())
+                .update(&bytes);
+            String::from_utf8(bytes).map_err(|e| {
+                let good = &e.as_bytes()[..e.utf8_error().valid_up_to()];
+                format!(
+                    "line {}: not UTF-8",
+                    1 + good.iter().filter(|b| **b == b'\n').count()
+                )
+            })
+        });
     match told {
         Ok(text) => Some(texts.add(&name, text)),
         Err(why) => {
             let file = texts.add(&name, String::new());
-            found.add(texts, At { file, line: 0, column: 0 }, None, None, why);
+            found.add(
+                texts,
+                At {
+                    file,
+                    line: 0,
+                    column: 0,
+                },
+                None,
+                None,
+                why,
+            );
             None
         }
     }
--- a/crates/roster/src/write.rs
+++ b/crates/roster/src/write.rs
@@ -31,9 +31,21 @@
     let head = rows.write_record(["name", "address", "port", "zone", "kind", "cell", "weight"]);
     let all = hosts.iter().try_for_each(|h| {
         let (ip, port) = (h.addr.ip().to_string(), h.addr.port().to_string());
-        rows.write_record([&h.name, &ip, &port, &h.zone, &h.kind, &h.cell.to_string(), &h.weight.to_string()])
+        rows.write_record([
+            &h.name,
+            &ip,
+            &port,
+            &h.zone,
+            &h.kind,
+            &h.cell.to_string(),
+            &h.weight.to_string(),
+        ])
     });
-    let bytes = head.and(all).ok().and_then(|()| rows.into_inner().ok()).unwrap_or_default();
+    let bytes = head
+        .and(all)
+        .ok()
+        .and_then(|()| rows.into_inner().ok())
+        .unwrap_or_default();
     String::from_utf8(bytes).unwrap_or_default()
 }
 
--- a/crates/roster/tests/corpus.rs
+++ b/crates/roster/tests/corpus.rs
@@ -17,18 +17,31 @@
 
 impl Files {
     fn new(files: &[(&str, &str)]) -> Files {
-        Files(files.iter().map(|(name, text)| (name.into(), text.as_bytes().to_vec())).collect())
+        Files(
+            files
+                .iter()
+                .map(|(name, text)| (name.into(), text.as_bytes().to_vec()))
+                .collect(),
+        )
     }
 }
 
 impl Source for Files {
     fn read(&self, path: &Path) -> io::Result<Vec<u8>> {
-        self.0.get(path).cloned().ok_or_else(|| io::Error::new(io::ErrorKind::NotFound, "no such file"))
+        self.0
+            .get(path)
+            .cloned()
+            .ok_or_else(|| io::Error::new(io::ErrorKind::NotFound, "no such file"))
     }
 
     fn list(&self, dir: &Path) -> io::Result<Vec<PathBuf>> {
         let inside = |p: &PathBuf| Some(dir.join(p.strip_prefix(dir).ok()?.components().next()?));
-        let mut all: Vec<PathBuf> = self.0.keys().filter(|p| *p != dir).filter_map(inside).collect();
+        let mut all: Vec<PathBuf> = self
+            .0
+            .keys()
+            .filter(|p| *p != dir)
+            .filter_map(inside)
+            .collect();
         all.dedup();
         Ok(all)
     }
@@ -36,7 +49,10 @@
 
 fn known() -> Known {
     let all = |names: &[&str]| names.iter().map(|n| n.to_string()).collect();
-    Known { zones: all(&["harbour-st", "pump-house", "north-yard"]), kinds: all(&["standard", "older"]) }
+    Known {
+        zones: all(&["harbour-st", "pump-house", "north-yard"]),
+        kinds: all(&["standard", "older"]),
+    }
 }
 
 fn roster(files: &[(&str, &str)]) -> Result<Roster, Problems> {
@@ -45,12 +61,19 @@
 
 /// Hosts in short: name, address, zone, kind, cell and weight.
 fn short(hosts: &[Host]) -> Vec<String> {
-    let one = |h: &Host| format!("{} {} {} {} {} {}", h.name, h.addr, h.zone, h.kind, h.cell, h.weight);
+    let one = |h: &Host| {
+        format!(
+            "{} {} {} {} {} {}",
+            h.name, h.addr, h.zone, h.kind, h.cell, h.weight
+        )
+    };
     hosts.iter().map(one).collect()
 }
 
-const TWO: [&str; 2] =
-    ["core-1 10.1.0.18:6444 north-yard standard 3 1.5", "core-2 10.1.0.19:7000 pump-house older 0 1"];
+const TWO: [&str; 2] = [
+    "core-1 10.1.0.18:6444 north-yard standard 3 1.5",
+    "core-2 10.1.0.19:7000 pump-house older 0 1",
+];
 
 #[rstest]
 #[case::comma("a.csv", "name,address,port,zone,kind,cell,weight\ncore-1,10.1.0.18,,north-yard,standard,3,1.5\ncore-2,10.1.0.19,7000,pump-house,older,,\n")]
@@ -144,7 +167,11 @@
 ])]
 #[case::circle("a.yml", "a:\n  children: {b: }\nb:\n  children: {a: }\n", &["a.yml:1:1: a: it is inside itself, or more than 16 groups deep"])]
 #[case::unknown_part("a.yml", "all:\n  host: {}\n", &["a.yml:2:3: host: neither hosts, children nor vars"])]
-fn every_mistake_is_told_with_its_place(#[case] name: &str, #[case] text: &str, #[case] told: &[&str]) {
+fn every_mistake_is_told_with_its_place(
+    #[case] name: &str,
+    #[case] text: &str,
+    #[case] told: &[&str],
+) {
     let problems = roster(&[(name, text)]).expect_err("mistakes");
     let mut lines: Vec<String> = problems.list.iter().map(|p| p.to_string()).collect();
     let mut told: Vec<String> = told.iter().map(|t| t.to_string()).collect();
@@ -164,7 +191,9 @@
         "2 | core-1,10.0.0.1,north-yard,standart,,,",
         "  |                            ^^^^^^^^ did you mean \"standard\"?",
     ];
-    wanted.iter().for_each(|line| assert!(shown.contains(line), "{shown}"));
+    wanted
+        .iter()
+        .for_each(|line| assert!(shown.contains(line), "{shown}"));
 }
 
 #[rstest]
@@ -187,7 +216,9 @@
 #[test]
 fn bytes_that_are_no_text_are_told_with_their_line() {
     let mut files = Files::new(&[("a.csv", "name\na\n")]);
-    files.0.insert("a.csv".into(), b"name,zone\na,\xff\n".to_vec());
+    files
+        .0
+        .insert("a.csv".into(), b"name,zone\na,\xff\n".to_vec());
     let problems = read(&files, Path::new("a.csv"), &known()).unwrap_err();
     assert_eq!(problems.to_string(), "a.csv: line 2: not UTF-8");
     let problems = read(&files, Path::new("b.csv"), &known()).unwrap_err();
@@ -229,7 +260,11 @@
                 name: format!("core-{n:02}"),
                 addr: (ip, port).into(),
                 // A cell is in one zone.
-                zone: if cell == 0 { zone.trim().to_string() } else { "yard".into() },
+                zone: if cell == 0 {
+                    zone.trim().to_string()
+                } else {
+                    "yard".into()
+                },
                 kind,
                 cell,
                 weight: f64::from(weight) / 8.0,
--- a/crates/roster/tests/membership.rs
+++ b/crates/roster/tests/membership.rs
@@ -10,7 +10,14 @@
 fn host(n: u32, port: u16, weight: f64) -> Host {
     let zone = ["harbour-st", "pump-house", "north-yard"][n as usize % 3].to_string();
     let addr = ([10, 0, (n >> 8) as u8, n as u8], port).into();
-    Host { name: format!("core-{n}"), addr, zone, kind: "standard".into(), cell: 0, weight }
+    Host {
+        name: format!("core-{n}"),
+        addr,
+        zone,
+        kind: "standard".into(),
+        cell: 0,
+        weight,
+    }
 }
 
 fn hosts(numbers: impl IntoIterator<Item = u32>) -> Vec<Host> {
@@ -18,11 +25,18 @@
 }
 
 fn rules() -> Rules {
-    Rules { drain_us: 5 * SECOND, most_drained: 1.0 / 3.0, empty: false }
+    Rules {
+        drain_us: 5 * SECOND,
+        most_drained: 1.0 / 3.0,
+        empty: false,
+    }
 }
 
 fn seat(m: &Membership, n: u32) -> Option<(State, u64)> {
-    m.set().seats.get(format!("core-{n}").as_str()).map(|s| (s.state, s.since))
+    m.set()
+        .seats
+        .get(format!("core-{n}").as_str())
+        .map(|s| (s.state, s.since))
 }
 
 #[test]
@@ -33,9 +47,16 @@
     assert_eq!(seat(&m, 8), Some((State::Draining(2 * SECOND), 0)));
     assert_eq!(m.next_due(), Some(7 * SECOND));
     assert!(!m.tick(7 * SECOND - 1) && m.tick(7 * SECOND));
-    assert_eq!((seat(&m, 8), m.next_due(), m.set().generation), (None, None, 3));
+    assert_eq!(
+        (seat(&m, 8), m.next_due(), m.set().generation),
+        (None, None, 3)
+    );
     assert_eq!(m.word(8 * SECOND, 0, hosts(0..9), false), Ok(true));
-    assert_eq!(seat(&m, 8), Some((State::Ready, 8 * SECOND)), "it comes back in a new life, and is cold");
+    assert_eq!(
+        seat(&m, 8),
+        Some((State::Ready, 8 * SECOND)),
+        "it comes back in a new life, and is cold"
+    );
 }
 
 #[test]
@@ -64,7 +85,8 @@
 fn the_first_source_goes_first_and_a_worker_stays_while_any_names_it() {
     let mut m = Membership::new(rules(), 2);
     m.word(0, 0, hosts([1]), false).unwrap();
-    m.word(0, 1, vec![host(1, 9_999, 2.0), host(2, 6_444, 1.0)], false).unwrap();
+    m.word(0, 1, vec![host(1, 9_999, 2.0), host(2, 6_444, 1.0)], false)
+        .unwrap();
     let weight = |m: &Membership, n: u32| m.set().seats[format!("core-{n}").as_str()].host.weight;
     assert_eq!(weight(&m, 1), 1.0);
     m.word(SECOND, 0, hosts([3]), false).unwrap();
@@ -75,7 +97,11 @@
     );
     m.failed(1, "no such file");
     assert_eq!((m.stale(0), m.stale(1)), (None, Some("no such file")));
-    assert_eq!(seat(&m, 2).unwrap().0, State::Ready, "its last word stays in force");
+    assert_eq!(
+        seat(&m, 2).unwrap().0,
+        State::Ready,
+        "its last word stays in force"
+    );
 }
 
 #[test]
@@ -89,12 +115,19 @@
     let zone = "harbour-st".to_string();
     assert_eq!(
         m.word(SECOND, 0, hosts(fewer.clone()), false),
-        Err(Refused::TooMany { zone, drained: 3, of: 6 })
+        Err(Refused::TooMany {
+            zone,
+            drained: 3,
+            of: 6
+        })
     );
     assert_eq!(m.set(), &before);
     assert!(m.stale(0).unwrap().contains("3 of 6 workers of harbour-st"));
     assert_eq!(m.word(SECOND, 0, hosts(fewer), true), Ok(true));
-    assert_eq!((m.stale(0), m.set().generation), (None, before.generation + 1));
+    assert_eq!(
+        (m.stale(0), m.set().generation),
+        (None, before.generation + 1)
+    );
 }
 
 #[test]
@@ -111,7 +144,11 @@
     assert_eq!((weight(&old), weight(m.set())), (1.0, 2.0));
     let all: Vec<Host> = (0..5_000).map(|n| host(n, 7_000, 3.0)).collect();
     m.word(2 * SECOND, 0, all, false).unwrap();
-    assert!(m.set().seats.values().all(|s| s.since == 2 * SECOND && s.state == State::Ready));
+    assert!(m
+        .set()
+        .seats
+        .values()
+        .all(|s| s.since == 2 * SECOND && s.state == State::Ready));
 }
 
 proptest! {
--- a/crates/scheduler/examples/takeover.rs
+++ b/crates/scheduler/examples/takeover.rs
@@ -28,14 +28,22 @@
 }
 
 fn now(steady: u64) -> Now {
-    Now { steady, unix: 1_790_000_000_000 + steady }
+    Now {
+        steady,
+        unix: 1_790_000_000_000 + steady,
+    }
 }
 
 /// The state that so many jobs leave.
 fn state_of(jobs: u64) -> BTreeMap<Arc<str>, Arc<str>> {
-    let mut scheduler = Scheduler::recover(settings(), 1, now(0), Vec::new()).expect("an empty state");
+    let mut scheduler =
+        Scheduler::recover(settings(), 1, now(0), Vec::new()).expect("an empty state");
     let mut state = BTreeMap::new();
-    let order = OperatorOrder { kind: OrderKind::Replace, base: Some(0), body: CONFIGURATION.into() };
+    let order = OperatorOrder {
+        kind: OrderKind::Replace,
+        base: Some(0),
+        body: CONFIGURATION.into(),
+    };
     let events = (0..jobs).map(|number| Event::Client {
         request: number,
         call: ClientCall {
@@ -46,7 +54,12 @@
             configuration: 0,
         },
     });
-    for event in std::iter::once(Event::Operator { request: jobs, order }).chain(events) {
+    for event in std::iter::once(Event::Operator {
+        request: jobs,
+        order,
+    })
+    .chain(events)
+    {
         for write in scheduler.handle(now(0), event).writes {
             match write.value {
                 Some(value) => state.insert(write.key, value),
@@ -58,13 +71,19 @@
 }
 
 fn main() {
-    let sizes = std::env::args().skip(1).filter_map(|text| text.parse::<u64>().ok());
+    let sizes = std::env::args()
+        .skip(1)
+        .filter_map(|text| text.parse::<u64>().ok());
     for jobs in sizes {
         let state = state_of(jobs);
-        let bytes: usize = state.iter().map(|(key, value)| key.len() + value.len()).sum();
+        let bytes: usize = state
+            .iter()
+            .map(|(key, value)| key.len() + value.len())
+            .sum();
         let keys = state.len();
         let begun = Instant::now();
-        let mut scheduler = Scheduler::recover(settings(), 2, now(1_000), state).expect("a sound state");
+        let mut scheduler =
+            Scheduler::recover(settings(), 2, now(1_000), state).expect("a sound state");
         let recovered = begun.elapsed();
         let begun = Instant::now();
         scheduler.handle(now(1_020), Event::Tick);
--- a/crates/scheduler/src/accounts.rs
+++ b/crates/scheduler/src/accounts.rs
@@ -12,7 +12,13 @@
 
 impl Scheduler {
     /// Tells the job record how a run went that has ended at a worker.
-    pub(crate) fn note_times(&mut self, now: Millis, worker: &WorkerId, run: &RunId, ran_ms: Millis) {
+    pub(crate) fn note_times(
+        &mut self,
+        now: Millis,
+        worker: &WorkerId,
+        run: &RunId,
+        ran_ms: Millis,
+    ) {
         let slowness = self.placement.slowness_of_run(now, &run.task, worker);
         self.jobs.ran(run, RunTimes { ran_ms, slowness });
     }
@@ -26,14 +32,20 @@
     match serde_json::to_string(completion) {
         Ok(json) => log::info!("{MISSED_OBJECTIVE}{json}"),
         Err(error) => {
-            log::warn!("job {} missed its objective, and its line cannot be written: {error}", completion.job)
+            log::warn!(
+                "job {} missed its objective, and its line cannot be written: {error}",
+                completion.job
+            )
         }
     }
 }
 
 /// What a unit waited for, as the job record tells it.
 pub(crate) fn stages_of(waits: &[(WaitReason, Millis)]) -> Vec<(Stage, Millis)> {
-    waits.iter().map(|(reason, waited_ms)| (stage_of(*reason), *waited_ms)).collect()
+    waits
+        .iter()
+        .map(|(reason, waited_ms)| (stage_of(*reason), *waited_ms))
+        .collect()
 }
 
 fn stage_of(reason: WaitReason) -> Stage {
--- a/crates/scheduler/src/clients.rs
+++ b/crates/scheduler/src/clients.rs
@@ -42,12 +42,26 @@
 
     fn queue_reply(&self, method: ClientMethod, terms: &QueueTerms) -> ClientReply {
         match method {
-            ClientMethod::Get => json(200, &QueueStatus { waiting: self.jobs.waiting(&terms.queue) }),
-            _ => problem(405, "a queue can only be read; name a job by its 16 hexadecimal digits"),
+            ClientMethod::Get => json(
+                200,
+                &QueueStatus {
+                    waiting: self.jobs.waiting(&terms.queue),
+                },
+            ),
+            _ => problem(
+                405,
+                "a queue can only be read; name a job by its 16 hexadecimal digits",
+            ),
         }
     }
 
-    fn job_reply(&mut self, now: Now, call: &ClientCall, id: &JobId, terms: &QueueTerms) -> ClientReply {
+    fn job_reply(
+        &mut self,
+        now: Now,
+        call: &ClientCall,
+        id: &JobId,
+        terms: &QueueTerms,
+    ) -> ClientReply {
         match call.method {
             ClientMethod::Get => self.show(id),
             ClientMethod::Delete => self.cancel(now, id),
@@ -101,10 +115,18 @@
 
 fn json<T: serde::Serialize>(status: u16, body: &T) -> ClientReply {
     let body = serde_json::to_string(body).unwrap_or_default();
-    ClientReply { status, body: body.into(), retry_after_ms: None }
+    ClientReply {
+        status,
+        body: body.into(),
+        retry_after_ms: None,
+    }
 }
 
 fn problem(status: u16, text: &str) -> ClientReply {
     let body: Arc<str> = serde_json::json!({ "error": text }).to_string().into();
-    ClientReply { status, body, retry_after_ms: None }
+    ClientReply {
+        status,
+        body,
+        retry_after_ms: None,
+    }
 }
--- a/crates/scheduler/src/explain.rs
+++ b/crates/scheduler/src/explain.rs
@@ -81,7 +81,9 @@
             job: id.clone(),
             queue: self.jobs.queue_of(id),
             state,
-            user: self.user_of(id).and_then(|user| self.explain_user(now, &user)),
+            user: self
+                .user_of(id)
+                .and_then(|user| self.explain_user(now, &user)),
             more_runs: all_runs - runs.len(),
             more_waiting: all_waiting - waiting.len(),
             runs,
@@ -109,12 +111,27 @@
     }
 
     fn units_of(&self, now: Millis, id: &JobId) -> Vec<JobUnit> {
-        let first = UnitId { step: StepId { job: id.clone(), iteration: 0, step: 0 }, index: None };
-        let units = self.waiting.range(first..).take_while(|(unit, _)| unit.step.job == *id);
+        let first = UnitId {
+            step: StepId {
+                job: id.clone(),
+                iteration: 0,
+                step: 0,
+            },
+            index: None,
+        };
+        let units = self
+            .waiting
+            .range(first..)
+            .take_while(|(unit, _)| unit.step.job == *id);
         let explained = units.filter_map(|(unit, _)| {
             let (iteration, step, index) = (unit.step.iteration, unit.step.step, unit.index);
             let waiting = self.placement.explain(now, unit)?;
-            Some(JobUnit { iteration, step, index, waiting })
+            Some(JobUnit {
+                iteration,
+                step,
+                index,
+                waiting,
+            })
         });
         explained.collect()
     }
--- a/crates/scheduler/src/hedging.rs
+++ b/crates/scheduler/src/hedging.rs
@@ -31,20 +31,30 @@
             return;
         }
         let may_be = |run: &Run| run.hedged && !run.stopping;
-        let hedged = self.runs.all().filter(|(_, run)| may_be(run) && self.is_doubtful(now, run));
+        let hedged = self
+            .runs
+            .all()
+            .filter(|(_, run)| may_be(run) && self.is_doubtful(now, run));
         let doubtful: Vec<RunId> = hedged.map(|(id, _)| id.clone()).collect();
         for id in doubtful {
             if let Some(run) = self.runs.get_mut(&id) {
                 run.hedged = false;
             }
             if self.jobs.hedge(&id) {
-                log::debug!("run {} of {} is in doubt: another copy may start", id.run, id.task);
+                log::debug!(
+                    "run {} of {} is in doubt: another copy may start",
+                    id.run,
+                    id.task
+                );
             }
         }
     }
 
     fn is_doubtful(&self, now: Millis, run: &Run) -> bool {
-        let is_gone = self.workers.get(&run.worker).is_none_or(|worker| worker.gone);
+        let is_gone = self
+            .workers
+            .get(&run.worker)
+            .is_none_or(|worker| worker.gone);
         // A new primary hears all agents before it doubts any of them.
         let is_known_for = now.saturating_sub(run.since);
         if is_gone || self.silence_of(now, &run.worker) > HEARD_MS {
--- a/crates/scheduler/src/judgements.rs
+++ b/crates/scheduler/src/judgements.rs
@@ -36,23 +36,34 @@
 
 impl Judgements {
     /// What a former primary has written.
-    pub(crate) fn recover(now: Millis, records: impl Iterator<Item = (Arc<str>, Arc<str>)>) -> Judgements {
+    pub(crate) fn recover(
+        now: Millis,
+        records: impl Iterator<Item = (Arc<str>, Arc<str>)>,
+    ) -> Judgements {
         let read = |(key, value): (Arc<str>, Arc<str>)| {
             let worker: WorkerId = key.strip_prefix(PREFIX)?.into();
             Some((worker, value.parse().ok()?))
         };
         let written = records.filter_map(read).collect();
-        Judgements { written, next_look: now, settled_at: now + HEARD_WITHIN_MS }
+        Judgements {
+            written,
+            next_look: now,
+            settled_at: now + HEARD_WITHIN_MS,
+        }
     }
 
     /// Each worker with what speaks against it, in tasks.
     pub(crate) fn charges(&self) -> impl Iterator<Item = (&WorkerId, f64)> {
-        self.written.iter().map(|(worker, tenths)| (worker, f64::from(*tenths) / 10.0))
+        self.written
+            .iter()
+            .map(|(worker, tenths)| (worker, f64::from(*tenths) / 10.0))
     }
 
     /// A worker is gone for good.
     pub(crate) fn forget(&mut self, worker: &WorkerId) -> Option<Write> {
-        self.written.remove(worker).map(|_| Write::remove(format!("{PREFIX}{worker}")))
+        self.written
+            .remove(worker)
+            .map(|_| Write::remove(format!("{PREFIX}{worker}")))
     }
 
     fn changes(&mut self, now: Millis, charges: &BTreeMap<WorkerId, u32>) -> Vec<Write> {
@@ -66,7 +77,10 @@
             }
             keeps
         });
-        for (worker, charge) in charges.iter().filter(|(_, charge)| **charge >= LEAST_WRITTEN) {
+        for (worker, charge) in charges
+            .iter()
+            .filter(|(_, charge)| **charge >= LEAST_WRITTEN)
+        {
             let before = self.written.get(worker).copied().unwrap_or(0);
             if before.abs_diff(*charge) * CHANGED_PART > before {
                 self.written.insert(worker.clone(), *charge);
@@ -85,7 +99,8 @@
         }
         self.judgements.next_look = now + LOOK_EVERY_MS;
         let charges = self.placement.charges(now);
-        let tenths = charges.map(|(worker, charge)| (worker.clone(), (charge * 10.0).round() as u32));
+        let tenths =
+            charges.map(|(worker, charge)| (worker.clone(), (charge * 10.0).round() as u32));
         let tenths = tenths.filter(|(_, tenths)| *tenths > 0).collect();
         let writes = self.judgements.changes(now, &tenths);
         self.write(writes);
--- a/crates/scheduler/src/operators.rs
+++ b/crates/scheduler/src/operators.rs
@@ -45,7 +45,10 @@
             Outcome::Again { version } => answer(200, json!({ "version": version })),
             Outcome::Stale { current, writes } => {
                 self.write(writes);
-                answer(412, json!({ "error": "another version is current", "version": current }))
+                answer(
+                    412,
+                    json!({ "error": "another version is current", "version": current }),
+                )
             }
             Outcome::Undecided { current } => answer(
                 503,
@@ -59,9 +62,14 @@
     }
 
     fn retune(&mut self) {
-        let Some(configuration) = self.configuration.current().cloned() else { return };
+        let Some(configuration) = self.configuration.current().cloned() else {
+            return;
+        };
         let lookup = |queue: &str| {
-            let route = configuration.routes.iter().find(|route| &*route.name == queue);
+            let route = configuration
+                .routes
+                .iter()
+                .find(|route| &*route.name == queue);
             route.map(terms_of)
         };
         self.jobs.retune(&lookup);
@@ -69,5 +77,8 @@
 }
 
 fn answer(status: u16, body: serde_json::Value) -> OperatorReply {
-    OperatorReply { status, body: body.to_string().into() }
+    OperatorReply {
+        status,
+        body: body.to_string().into(),
+    }
 }
--- a/crates/scheduler/src/orders.rs
+++ b/crates/scheduler/src/orders.rs
@@ -28,7 +28,9 @@
 
     fn answer_if_due(&mut self, now: Now, name: &Arc<str>) {
         self.renew_orders(name);
-        let Some(agent) = self.agents.get_mut(name) else { return };
+        let Some(agent) = self.agents.get_mut(name) else {
+            return;
+        };
         let is_news = agent.confirmed < agent.revision;
         let is_due = |parked: &mut Parked| is_news || parked.until <= now.steady;
         if let Some(parked) = agent.parked.take_if(is_due) {
@@ -39,7 +41,9 @@
     /// Answers a call with the present orders.
     pub(crate) fn answer_now(&mut self, request: RequestId, name: &Arc<str>) {
         self.renew_orders(name);
-        let Some(agent) = self.agents.get(name) else { return };
+        let Some(agent) = self.agents.get(name) else {
+            return;
+        };
         let orders = AgentOrders {
             epoch: self.epoch,
             revision: agent.revision,
@@ -54,12 +58,16 @@
     }
 
     fn renew_orders(&mut self, name: &Arc<str>) {
-        let Some(agent) = self.agents.get(name).filter(|agent| agent.dirty) else { return };
+        let Some(agent) = self.agents.get(name).filter(|agent| agent.dirty) else {
+            return;
+        };
         let content = match agent.worker.clone() {
             Some(worker) => self.content_for(&worker),
             None => Content::default(),
         };
-        let Some(agent) = self.agents.get_mut(name) else { return };
+        let Some(agent) = self.agents.get_mut(name) else {
+            return;
+        };
         agent.dirty = false;
         if agent.content != content || agent.revision == 0 {
             agent.content = content;
@@ -68,8 +76,13 @@
     }
 
     fn content_for(&self, id: &WorkerId) -> Content {
-        let mut content = Content { instance: Some(id.clone()), ..Content::default() };
-        let Some(worker) = self.workers.get(id) else { return content };
+        let mut content = Content {
+            instance: Some(id.clone()),
+            ..Content::default()
+        };
+        let Some(worker) = self.workers.get(id) else {
+            return content;
+        };
         content.last_seen = worker.last_seen;
         content.stop = worker.strays.clone();
         for (run_id, run) in self.runs.at(id) {
@@ -77,7 +90,12 @@
             match run.phase {
                 _ if run.stopping => content.stop.push(StopOrder(task, number)),
                 Phase::Ordered => {
-                    content.start.push(StartOrder(task, number, run.spec.clone(), run.checkpoint.clone()));
+                    content.start.push(StartOrder(
+                        task,
+                        number,
+                        run.spec.clone(),
+                        run.checkpoint.clone(),
+                    ));
                 }
                 Phase::Running => {}
             }
--- a/crates/scheduler/src/recovery.rs
+++ b/crates/scheduler/src/recovery.rs
@@ -30,7 +30,10 @@
 impl Scheduler {
     /// Takes over. Leases granted by a former primary last `hold_max_ms` from now at most.
     pub fn recover(
-        settings: Settings, epoch: u64, now: Now, state: impl IntoIterator<Item = (Arc<str>, Arc<str>)>,
+        settings: Settings,
+        epoch: u64,
+        now: Now,
+        state: impl IntoIterator<Item = (Arc<str>, Arc<str>)>,
     ) -> Result<Scheduler, RecoverError> {
         let records: Vec<(Arc<str>, Arc<str>)> = state.into_iter().collect();
         let of = |prefixes: &'static [&'static str]| {
@@ -39,10 +42,9 @@
         };
         let jobs = JobBook::recover(job_settings(&settings), now, of(&["job/", "task/"]))?;
         let configuration = ConfigurationStore::recover(of(&["config/", "order/", "refused/"]))?;
-        let share_debt = settings
-            .share_debt
-            .clone()
-            .map(|settings| ShareDebt::recover(settings, epoch, now.steady, of(&["debt/", "debt-version"])));
+        let share_debt = settings.share_debt.clone().map(|settings| {
+            ShareDebt::recover(settings, epoch, now.steady, of(&["debt/", "debt-version"]))
+        });
         let judgements = Judgements::recover(now.steady, of(&[judgements::PREFIX]));
         let mut placement = Placement::new(placement_settings(&settings));
         for (worker, charge) in judgements.charges() {
@@ -85,9 +87,17 @@
     fn adopt_workers(&mut self, now: Millis, records: impl Iterator<Item = (Arc<str>, Arc<str>)>) {
         let lease_until = self.leases_end(now);
         for (key, value) in records {
-            let Some(id) = key.strip_prefix("worker/") else { continue };
-            let Ok(agent) = serde_json::from_str::<Arc<str>>(&value) else { continue };
-            let worker = Worker { agent: Some(agent), agent_silent: true, ..Worker::new(lease_until) };
+            let Some(id) = key.strip_prefix("worker/") else {
+                continue;
+            };
+            let Ok(agent) = serde_json::from_str::<Arc<str>>(&value) else {
+                continue;
+            };
+            let worker = Worker {
+                agent: Some(agent),
+                agent_silent: true,
+                ..Worker::new(lease_until)
+            };
             self.workers.insert(id.into(), worker);
         }
     }
@@ -97,9 +107,11 @@
         for assigned in self.jobs.assigned() {
             let worker = assigned.worker.clone();
             if !self.workers.contains_key(&worker) {
-                self.workers.insert(worker.clone(), Worker::new(lease_until));
+                self.workers
+                    .insert(worker.clone(), Worker::new(lease_until));
             }
-            self.placement.occupy(now, &assigned.run.task, &worker, held(&assigned));
+            self.placement
+                .occupy(now, &assigned.run.task, &worker, held(&assigned));
             if assigned.stopping {
                 self.placement.stopping(&assigned.run.task, &worker);
             }
@@ -142,7 +154,10 @@
 }
 
 fn job_settings(settings: &Settings) -> streamusher_jobs::Settings {
-    streamusher_jobs::Settings { status_ms: settings.bounds.status_ms, early_ms: settings.bounds.early_ms }
+    streamusher_jobs::Settings {
+        status_ms: settings.bounds.status_ms,
+        early_ms: settings.bounds.early_ms,
+    }
 }
 
 fn placement_settings(settings: &Settings) -> streamusher_placement::Settings {
--- a/crates/scheduler/src/reports.rs
+++ b/crates/scheduler/src/reports.rs
@@ -46,7 +46,10 @@
     }
 
     fn end_former_call(&mut self, name: &Arc<str>) {
-        let parked = self.agents.get_mut(name).and_then(|agent| agent.parked.take());
+        let parked = self
+            .agents
+            .get_mut(name)
+            .and_then(|agent| agent.parked.take());
         if let Some(parked) = parked {
             self.answer_now(parked.request, name);
         }
@@ -60,7 +63,11 @@
         }
         agent.sequence = sync.sequence;
         agent.heard_at = now;
-        agent.confirmed = if sync.epoch == epoch { sync.revision } else { 0 };
+        agent.confirmed = if sync.epoch == epoch {
+            sync.revision
+        } else {
+            0
+        };
         if agent.worker.is_none() {
             self.name_recorded_worker(&sync.agent);
         }
@@ -83,7 +90,10 @@
         }
         self.supersede(now, name, &id);
         let lease_until = now.steady + self.settings.bounds.hold_max_ms;
-        let worker = self.workers.entry(id.clone()).or_insert_with(|| Worker::new(lease_until));
+        let worker = self
+            .workers
+            .entry(id.clone())
+            .or_insert_with(|| Worker::new(lease_until));
         log_changes(name, worker, report);
         worker.lease_until = lease_until;
         if report.sequence < worker.sequence {
@@ -122,14 +132,19 @@
 
     /// A machine has one worker: another instance there proves that the former one is dead.
     fn supersede(&mut self, now: Now, name: &Arc<str>, id: &WorkerId) {
-        let Some(agent) = self.agents.get_mut(name) else { return };
+        let Some(agent) = self.agents.get_mut(name) else {
+            return;
+        };
         if agent.worker.as_ref() == Some(id) {
             return;
         }
         agent.worker = Some(id.clone());
         agent.dirty = true;
         let of_agent = |w: &Worker| w.agent.as_ref() == Some(name);
-        let former = self.workers.iter().filter(|(other, w)| *other != id && of_agent(w));
+        let former = self
+            .workers
+            .iter()
+            .filter(|(other, w)| *other != id && of_agent(w));
         let former: Vec<WorkerId> = former.map(|(other, _)| other.clone()).collect();
         for other in former {
             self.bury(now, &other);
@@ -151,7 +166,10 @@
         let mut newest = noted;
         for end in report.finished.iter().filter(|end| end.0 > noted) {
             newest = newest.max(end.0);
-            let id = RunId { task: end.1.clone(), run: end.2 };
+            let id = RunId {
+                task: end.1.clone(),
+                run: end.2,
+            };
             self.note_end(now, worker, &id, end.3, &end.4);
         }
         if let Some(w) = self.workers.get_mut(worker) {
@@ -175,7 +193,10 @@
     fn note_running(&mut self, now: Now, worker: &WorkerId, report: &WorkerReport) {
         let mut strays = Vec::new();
         for RunningTask(task, number, checkpoint, percent) in &report.running {
-            let id = RunId { task: task.clone(), run: *number };
+            let id = RunId {
+                task: task.clone(),
+                run: *number,
+            };
             match self.runs.get_mut(&id).filter(|run| run.worker == *worker) {
                 None => strays.push(StopOrder(task.clone(), *number)),
                 Some(run) => {
@@ -211,12 +232,16 @@
         let offered = report.offered.iter().map(|o| (&o.task, o.run));
         let present: BTreeSet<_> = running.chain(finished).chain(offered).collect();
         let agent = self.workers.get(worker).and_then(|w| w.agent.as_ref());
-        let confirmed = agent.and_then(|a| self.agents.get(a)).map_or(0, |a| a.confirmed);
+        let confirmed = agent
+            .and_then(|a| self.agents.get(a))
+            .map_or(0, |a| a.confirmed);
         for id in self.runs.ids_at(worker) {
             if present.contains(&(&id.task, id.run)) {
                 continue;
             }
-            let Some(run) = self.runs.get_mut(&id) else { continue };
+            let Some(run) = self.runs.get_mut(&id) else {
+                continue;
+            };
             match run.phase {
                 Phase::Ordered if run.withdrawn.is_some_and(|revision| confirmed >= revision) => {
                     self.jobs.withdrawn(now, &id);
@@ -240,7 +265,11 @@
 fn log_changes(agent: &str, worker: &Worker, report: &WorkerReport) {
     let id = &report.instance;
     if worker.agent.is_none() {
-        log::info!("worker {id} of service {} is known, at {agent} in {}", report.service, report.zone);
+        log::info!(
+            "worker {id} of service {} is known, at {agent} in {}",
+            report.service,
+            report.zone
+        );
     }
     if report.state == WorkerState::Draining && worker.state != WorkerState::Draining {
         let left = report.remaining_ms.unwrap_or_default();
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -64,7 +64,10 @@
 
 impl Runs {
     pub(crate) fn insert(&mut self, id: RunId, run: Run) {
-        self.by_worker.entry(run.worker.clone()).or_default().insert(id.clone());
+        self.by_worker
+            .entry(run.worker.clone())
+            .or_default()
+            .insert(id.clone());
         self.runs.insert(id, run);
     }
 
@@ -95,19 +98,38 @@
 
     /// Identifiers of the runs at a worker.
     pub(crate) fn ids_at(&self, worker: &WorkerId) -> Vec<RunId> {
-        self.by_worker.get(worker).into_iter().flatten().cloned().collect()
+        self.by_worker
+            .get(worker)
+            .into_iter()
+            .flatten()
+            .cloned()
+            .collect()
     }
 
     /// The run of a task at a worker.
     pub(crate) fn of_task(&self, task: &TaskId, worker: &WorkerId) -> Option<RunId> {
-        let first = RunId { task: task.clone(), run: 0 };
-        let last = RunId { task: task.clone(), run: u32::MAX };
-        self.runs.range(first..=last).find(|(_, run)| run.worker == *worker).map(|(id, _)| id.clone())
+        let first = RunId {
+            task: task.clone(),
+            run: 0,
+        };
+        let last = RunId {
+            task: task.clone(),
+            run: u32::MAX,
+        };
+        self.runs
+            .range(first..=last)
+            .find(|(_, run)| run.worker == *worker)
+            .map(|(id, _)| id.clone())
     }
 
     /// The runs of a job.
     pub(crate) fn of_job(&self, job: &JobId) -> impl Iterator<Item = (&RunId, &Run)> {
-        let task = TaskId { job: job.clone(), iteration: 0, step: 0, index: 0 };
+        let task = TaskId {
+            job: job.clone(),
+            iteration: 0,
+            step: 0,
+            index: 0,
+        };
         let of_job = self.runs.range(RunId { task, run: 0 }..);
         let job = job.clone();
         of_job.take_while(move |(id, _)| id.task.job == job)
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -146,10 +146,18 @@
 
     /// Pending jobs of each queue that has any.
     fn waiting_by_queue(&self) -> BTreeMap<Arc<str>, u64> {
-        let routes = self.configuration.current().map(|current| current.routes.as_slice());
-        let waiting =
-            routes.unwrap_or_default().iter().map(|route| (&route.name, self.jobs.waiting(&route.name)));
-        waiting.filter(|(_, jobs)| *jobs > 0).map(|(name, jobs)| (name.clone(), jobs)).collect()
+        let routes = self
+            .configuration
+            .current()
+            .map(|current| current.routes.as_slice());
+        let waiting = routes
+            .unwrap_or_default()
+            .iter()
+            .map(|route| (&route.name, self.jobs.waiting(&route.name)));
+        waiting
+            .filter(|(_, jobs)| *jobs > 0)
+            .map(|(name, jobs)| (name.clone(), jobs))
+            .collect()
     }
 
     pub(crate) fn reply(&mut self, request: RequestId, reply: Reply) {
@@ -241,22 +249,29 @@
 
     /// Room was taken for a unit that is not to be started: it is free again.
     fn give_back(&mut self, now: Millis, id: &UnitId, on: &[(TaskId, WorkerId)]) {
-        log::error!("{id:?} was placed though it does not wait; its room is given back: report this");
+        log::error!(
+            "{id:?} was placed though it does not wait; its room is given back: report this"
+        );
         for (task, worker) in on {
-            self.placement.release(now, task, worker, Release::Withdrawn);
+            self.placement
+                .release(now, task, worker, Release::Withdrawn);
         }
     }
 
     /// Has a run stopped, or withdrawn where it has not begun yet. Its room stays taken until its end is proven.
     pub(crate) fn stop_run(&mut self, id: &RunId) {
-        let Some(run) = self.runs.get_mut(id) else { return };
+        let Some(run) = self.runs.get_mut(id) else {
+            return;
+        };
         if run.stopping {
             return;
         }
         run.stopping = true;
         let worker = run.worker.clone();
         let agent = self.workers.get(&worker).and_then(|w| w.agent.clone());
-        let revision = agent.and_then(|a| self.agents.get(&a)).map_or(0, |a| a.revision);
+        let revision = agent
+            .and_then(|a| self.agents.get(&a))
+            .map_or(0, |a| a.revision);
         run.withdrawn = Some(revision + 1);
         self.placement.stopping(&id.task, &worker);
         self.touch(&worker);
@@ -291,7 +306,9 @@
 
     /// The orders for a worker's agent must be made anew.
     pub(crate) fn touch(&mut self, worker: &WorkerId) {
-        let Some(name) = self.workers.get(worker).and_then(|w| w.agent.clone()) else { return };
+        let Some(name) = self.workers.get(worker).and_then(|w| w.agent.clone()) else {
+            return;
+        };
         if let Some(agent) = self.agents.get_mut(&name) {
             agent.dirty = true;
             self.agents_to_look_at.insert(name);
@@ -300,7 +317,9 @@
 
     /// Tells placement what is known of a worker.
     pub(crate) fn tell_placement(&mut self, now: Millis, id: &WorkerId) {
-        let Some(worker) = self.workers.get_mut(id) else { return };
+        let Some(worker) = self.workers.get_mut(id) else {
+            return;
+        };
         let takes_work = worker.takes_work();
         if worker.open && !takes_work && worker.state == WorkerState::Ready {
             log::info!("worker {id} is silent or gone: it is given no more work until it is heard");
--- a/crates/scheduler/src/share_debt.rs
+++ b/crates/scheduler/src/share_debt.rs
@@ -26,18 +26,31 @@
 
 impl ShareDebt {
     pub(crate) fn recover(
-        settings: Settings, epoch: u64, now: Millis, records: impl IntoIterator<Item = (Arc<str>, Arc<str>)>,
+        settings: Settings,
+        epoch: u64,
+        now: Millis,
+        records: impl IntoIterator<Item = (Arc<str>, Arc<str>)>,
     ) -> ShareDebt {
         let book = DebtBook::recover(settings, epoch, now, records);
         if !book.damaged().is_empty() {
-            log::warn!("share debt: {} records cannot be read; their users begin anew", book.damaged().len());
+            log::warn!(
+                "share debt: {} records cannot be read; their users begin anew",
+                book.damaged().len()
+            );
+        }
+        ShareDebt {
+            book,
+            ordering: None,
         }
-        ShareDebt { book, ordering: None }
     }
 
     /// The version, its age, and the users with the largest debts.
     pub(crate) fn status(&self, now: Millis) -> serde_json::Value {
-        let mut users: Vec<_> = self.book.users().map(|user| self.book.show(now, user)).collect();
+        let mut users: Vec<_> = self
+            .book
+            .users()
+            .map(|user| self.book.show(now, user))
+            .collect();
         users.sort_by_key(|shown| std::cmp::Reverse(shown.present_core_ms));
         let count = users.len();
         users.truncate(SHOWN_USERS);
@@ -60,7 +73,9 @@
 impl Scheduler {
     /// A unit's order within its priority.
     pub(crate) fn order_by_debt(&self, unit: &Unit) -> u64 {
-        let Some(debt) = &self.share_debt else { return unit.order };
+        let Some(debt) = &self.share_debt else {
+            return unit.order;
+        };
         match self.user_of(&unit.id.step.job) {
             Some(user) => debt.book.order_key(&user, unit.priority, unit.order),
             None => unit.order,
@@ -69,7 +84,9 @@
 
     /// A run takes its room.
     pub(crate) fn debt_begins(&mut self, now: Millis, run: &RunId, resources: &Resources) {
-        let Some(user) = self.user_of(&run.task.job) else { return };
+        let Some(user) = self.user_of(&run.task.job) else {
+            return;
+        };
         if let Some(debt) = &mut self.share_debt {
             debt.book.began(now, &user, run.clone(), resources);
         }
@@ -102,7 +119,9 @@
 
     /// Makes a version where one is due, and goes on ordering what waits by the newest.
     pub(crate) fn watch_debts(&mut self, now: Millis) {
-        let Some(debt) = &mut self.share_debt else { return };
+        let Some(debt) = &mut self.share_debt else {
+            return;
+        };
         let writes = debt.book.advance(now);
         let newest = debt.book.version();
         // A pass that is not over goes to its end first, or the last ones of a long queue would never be looked at.
@@ -115,8 +134,12 @@
 
     fn order_anew(&mut self) {
         use std::ops::Bound::{Excluded, Unbounded};
-        let Some(debt) = &mut self.share_debt else { return };
-        let Some((version, last)) = debt.ordering.take() else { return };
+        let Some(debt) = &mut self.share_debt else {
+            return;
+        };
+        let Some((version, last)) = debt.ordering.take() else {
+            return;
+        };
         let least_move = debt.least_move();
         let newest = debt.book.version();
         let after = last.map_or(Unbounded, Excluded);
--- a/crates/scheduler/src/watch.rs
+++ b/crates/scheduler/src/watch.rs
@@ -45,7 +45,11 @@
     /// The caller of an agent's call has left.
     pub(crate) fn abandoned(&mut self, request: RequestId) {
         for agent in self.agents.values_mut() {
-            if agent.parked.as_ref().is_some_and(|parked| parked.request == request) {
+            if agent
+                .parked
+                .as_ref()
+                .is_some_and(|parked| parked.request == request)
+            {
                 agent.parked = None;
             }
         }
@@ -105,7 +109,11 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in leaving {
-            log::info!("run {} of {} is moved: its worker leaves before it can end", id.run, id.task);
+            log::info!(
+                "run {} of {} is moved: its worker leaves before it can end",
+                id.run,
+                id.task
+            );
             self.stop_run(&id);
         }
     }
@@ -115,7 +123,10 @@
     fn withdraw_from_silent(&mut self, now: Now) {
         let is_late = |run: &Run| now.steady > run.since + LATE_START_MS;
         let is_due = |run: &Run| {
-            let worker = self.workers.get(&run.worker).filter(|worker| !worker.agent_silent);
+            let worker = self
+                .workers
+                .get(&run.worker)
+                .filter(|worker| !worker.agent_silent);
             worker.is_some_and(|worker| worker.silent || worker.gone || is_late(run))
         };
         let unbegun: Vec<RunId> = self
@@ -126,7 +137,11 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in unbegun {
-            log::debug!("run {} of {} has not begun and is withdrawn", id.run, id.task);
+            log::debug!(
+                "run {} of {} has not begun and is withdrawn",
+                id.run,
+                id.task
+            );
             self.stop_run(&id);
         }
     }
@@ -145,7 +160,10 @@
         if !self.settings.policy.has(Mechanism::Standstill) {
             return false;
         }
-        if run.phase != Phase::Running || run.stopping || self.silence_of(now, &run.worker) > HEARD_MS {
+        if run.phase != Phase::Running
+            || run.stopping
+            || self.silence_of(now, &run.worker) > HEARD_MS
+        {
             return false;
         }
         if run.long_running && run.percent >= AT_WORK_PERCENT {
@@ -153,14 +171,22 @@
         }
         let bounds = &self.settings.bounds;
         let together = if run.gang { bounds.gang_ms } else { 0 };
-        let restored = if run.checkpoint.is_empty() { 0 } else { bounds.restore_ms };
-        let patience = STANDS_STILL_MS.max(run.estimated_ms * SLOW_PERCENTS / 100) + together + restored;
+        let restored = if run.checkpoint.is_empty() {
+            0
+        } else {
+            bounds.restore_ms
+        };
+        let patience =
+            STANDS_STILL_MS.max(run.estimated_ms * SLOW_PERCENTS / 100) + together + restored;
         now.saturating_sub(run.moved_at) > patience
     }
 
     /// While a worker is not heard nothing is known of its runs: that time does not count as one without progress.
     fn pause_progress_of_unheard(&mut self, now: Millis) {
-        let unheard = self.workers.keys().filter(|id| self.silence_of(now, id) > HEARD_MS);
+        let unheard = self
+            .workers
+            .keys()
+            .filter(|id| self.silence_of(now, id) > HEARD_MS);
         let runs: Vec<RunId> = unheard.flat_map(|id| self.runs.ids_at(id)).collect();
         for id in runs {
             if let Some(run) = self.runs.get_mut(&id) {
@@ -171,7 +197,9 @@
 
     /// How long ago the newest known heartbeat of a worker was; the longest time where nothing is known of it.
     pub(crate) fn silence_of(&self, now: Millis, worker: &WorkerId) -> Millis {
-        let Some(worker) = self.workers.get(worker) else { return Millis::MAX };
+        let Some(worker) = self.workers.get(worker) else {
+            return Millis::MAX;
+        };
         let agent = worker.agent.as_ref().and_then(|name| self.agents.get(name));
         let since_report = agent.map_or(Millis::MAX, |agent| now.saturating_sub(agent.heard_at));
         since_report.saturating_add(worker.silent_ms)
@@ -181,7 +209,12 @@
         if !self.settings.policy.has(Mechanism::Moves) {
             return false;
         }
-        let leaves_at = self.workers.get(&run.worker).and_then(|worker| worker.leaves_at);
-        leaves_at.is_some_and(|at| run.long_running || now + run.expected_rest(now) + LEAVING_MARGIN_MS > at)
+        let leaves_at = self
+            .workers
+            .get(&run.worker)
+            .and_then(|worker| worker.leaves_at);
+        leaves_at.is_some_and(|at| {
+            run.long_running || now + run.expected_rest(now) + LEAVING_MARGIN_MS > at
+        })
     }
 }
--- a/crates/scheduler/src/workers.rs
+++ b/crates/scheduler/src/workers.rs
@@ -130,8 +130,14 @@
     pub(crate) fn restart(&mut self, boot: u64) {
         let worker = self.worker.take();
         let first_revision = self.revision + 1;
-        *self =
-            Agent { boot, first_revision, revision: first_revision, worker, dirty: true, ..Agent::default() };
+        *self = Agent {
+            boot,
+            first_revision,
+            revision: first_revision,
+            worker,
+            dirty: true,
+            ..Agent::default()
+        };
     }
 
     /// Whether the newest call came from the start that is at work now: one of an earlier start may come late.
--- a/crates/scheduler/tests/accounts.rs
+++ b/crates/scheduler/tests/accounts.rs
@@ -42,7 +42,8 @@
 }
 
 #[test]
-fn given_a_run_whose_order_came_late_when_its_job_ends_late_then_a_line_tells_where_the_time_went() {
+fn given_a_run_whose_order_came_late_when_its_job_ends_late_then_a_line_tells_where_the_time_went()
+{
     capture();
     let (mut world, mut agent) = given_an_ordered_task();
     world.wait(4_000);
@@ -58,7 +59,13 @@
     assert!(missed.is_done);
     assert_eq!(missed.took_ms, 4_500);
     assert_eq!(missed.spent.total_ms(), missed.took_ms);
-    assert_eq!((missed.spent.of(Stage::Ordered), missed.spent.of(Stage::Worked)), (4_000, 500));
+    assert_eq!(
+        (
+            missed.spent.of(Stage::Ordered),
+            missed.spent.of(Stage::Worked)
+        ),
+        (4_000, 500)
+    );
 }
 
 #[test]
--- a/crates/scheduler/tests/doubt.rs
+++ b/crates/scheduler/tests/doubt.rs
@@ -13,7 +13,11 @@
     let (mut world, mut agent) = given_a_running_task();
     agent.boot = 2;
     world.sync_without_worker(&mut agent);
-    agent.report = WorkerReport { sequence: 0, running: Vec::new(), ..agent.report };
+    agent.report = WorkerReport {
+        sequence: 0,
+        running: Vec::new(),
+        ..agent.report
+    };
     world.settle(&mut agent);
     (world, agent)
 }
@@ -37,7 +41,10 @@
 fn a_late_call_of_an_agents_earlier_start_is_not_taken_for_news() {
     let (mut world, mut agent) = given_a_restarted_agent_that_hears_no_worker();
     let mut earlier = TestAgent::new("side-1", "i-1");
-    earlier.report = WorkerReport { gone: true, ..agent.report.clone() };
+    earlier.report = WorkerReport {
+        gone: true,
+        ..agent.report.clone()
+    };
 
     world.sync(&mut earlier);
 
@@ -45,20 +52,31 @@
     world.settle(&mut second);
     world.wait(300);
     world.settle(&mut second);
-    assert!(second.start.is_empty(), "the run may still be held at the first worker");
+    assert!(
+        second.start.is_empty(),
+        "the run may still be held at the first worker"
+    );
     agent.report.gone = true;
     world.settle(&mut agent);
     world.wait(300);
     world.settle(&mut second);
-    assert_eq!(second.start.len(), 1, "the start that is at work is heard again");
+    assert_eq!(
+        second.start.len(),
+        1,
+        "the start that is at work is heard again"
+    );
 }
 
-const ONE_HEDGED_TASK: &str = r#"[{"count":1,"cpu":600,"mem_mb":10,"estimated_ms":500,"hedged":true}]"#;
+const ONE_HEDGED_TASK: &str =
+    r#"[{"count":1,"cpu":600,"mem_mb":10,"estimated_ms":500,"hedged":true}]"#;
 
 /// A hedged task runs at the first worker; a second one is idle.
 fn given_a_hedged_run_and_an_idle_worker() -> (World, TestAgent, TestAgent) {
     let mut world = World::new();
-    let (mut first, mut second) = (TestAgent::new("side-1", "i-1"), TestAgent::new("side-2", "i-2"));
+    let (mut first, mut second) = (
+        TestAgent::new("side-1", "i-1"),
+        TestAgent::new("side-2", "i-2"),
+    );
     world.settle(&mut first);
     assert_eq!(world.submit(ONE_HEDGED_TASK).status, 200);
     world.settle(&mut first);
@@ -75,13 +93,20 @@
         world.wait(250);
         world.settle(&mut second);
     }
-    assert_eq!(second.start.len(), 1, "a second copy while the lease of the first lasts");
+    assert_eq!(
+        second.start.len(),
+        1,
+        "a second copy while the lease of the first lasts"
+    );
 
     first.end_all(RunEnd::Done);
     world.settle(&mut first);
     world.settle(&mut second);
 
-    assert!(world.state_of_job().contains("succeeded"), "whichever is done first counts");
+    assert!(
+        world.state_of_job().contains("succeeded"),
+        "whichever is done first counts"
+    );
     assert!(second.start.is_empty(), "the other copy is withdrawn");
 }
 
@@ -117,7 +142,8 @@
 #[case::in_its_start(30.0, true)]
 #[case::at_work(99.0, false)]
 fn a_task_that_lasts_is_moved_only_while_it_stands_still_in_its_start(
-    #[case] percent: f64, #[case] is_moved: bool,
+    #[case] percent: f64,
+    #[case] is_moved: bool,
 ) {
     let mut world = World::new();
     let mut agent = TestAgent::new("side-1", "i-1");
--- a/crates/scheduler/tests/judgements.rs
+++ b/crates/scheduler/tests/judgements.rs
@@ -11,7 +11,12 @@
 
 fn submit(world: &mut World, number: u64) {
     let body = format!(r#"{{"spec":"text","steps":{ONE_TASK}}}"#);
-    assert_eq!(world.call(ClientMethod::Post, &format!("/q/{number:016x}"), &body).status, 200);
+    assert_eq!(
+        world
+            .call(ClientMethod::Post, &format!("/q/{number:016x}"), &body)
+            .status,
+        200
+    );
 }
 
 /// A worker at which four runs have failed; the others of its service do well.
--- a/crates/scheduler/tests/share_debt.rs
+++ b/crates/scheduler/tests/share_debt.rs
@@ -20,7 +20,10 @@
         half_delay_core_s: 10,
         ..streamusher_share_debt::Settings::with_half_life(60_000)
     };
-    Settings { share_debt: Some(debts), ..settings() }
+    Settings {
+        share_debt: Some(debts),
+        ..settings()
+    }
 }
 
 /// A world with a worker and a second queue, `/p/`, of this priority.
@@ -30,8 +33,15 @@
         r#"{{"version":2,"upsert":{{"routes":[{{"name":"p","host":"h","path_prefix":"/p/","timeout_ms":3000,
             "target_latency_ms":800,"priority":{priority},"service":"s","max_attempts":2,"stretch":1.5}}]}}}}"#
     );
-    let order = OperatorOrder { kind: OrderKind::Update, base: Some(1), body: body.into() };
-    world.handle(Event::Operator { request: 1_000_000, order });
+    let order = OperatorOrder {
+        kind: OrderKind::Update,
+        base: Some(1),
+        body: body.into(),
+    };
+    world.handle(Event::Operator {
+        request: 1_000_000,
+        order,
+    });
     let mut agent = TestAgent::new("side-1", "i-1");
     world.settle(&mut agent);
     (world, agent)
@@ -78,9 +88,14 @@
 #[case::on(Some(()), CHECK)]
 #[case::off(None, SCANS)]
 fn given_a_user_with_recent_use_when_room_comes_free_then_the_other_goes_first_only_with_debts(
-    #[case] on: Option<()>, #[case] first: &str,
+    #[case] on: Option<()>,
+    #[case] first: &str,
 ) {
-    let settings = if on.is_some() { with_debts() } else { settings() };
+    let settings = if on.is_some() {
+        with_debts()
+    } else {
+        settings()
+    };
     let (mut world, mut agent) = given_heavy_use_and_two_that_wait(settings);
     assert_eq!(next_start(&mut world, &mut agent), first);
 }
@@ -92,11 +107,21 @@
     world.fail_over();
     let after = world.scheduler.status(world.now)["share_debt"].clone();
     assert_eq!(after["version"], before["version"]);
-    assert_eq!(after["users"][0]["debt_core_ms"], before["users"][0]["debt_core_ms"]);
-    assert_eq!(after["users"][0]["rate_millicores"], 1_000 + 1, "what runs accrues on: a core, and 10 MB");
+    assert_eq!(
+        after["users"][0]["debt_core_ms"],
+        before["users"][0]["debt_core_ms"]
+    );
+    assert_eq!(
+        after["users"][0]["rate_millicores"],
+        1_000 + 1,
+        "what runs accrues on: a core, and 10 MB"
+    );
     world.settle(&mut agent);
     work(&mut world, &mut agent, 2_000);
-    assert_eq!(world.scheduler.status(world.now)["share_debt"]["version"]["epoch"], 2);
+    assert_eq!(
+        world.scheduler.status(world.now)["share_debt"]["version"]["epoch"],
+        2
+    );
     assert_eq!(next_start(&mut world, &mut agent), CHECK);
 }
 
@@ -138,8 +163,13 @@
 #[test]
 fn given_debts_when_work_runs_then_at_most_one_version_a_second_is_written() {
     let (world, _) = given_heavy_use_and_two_that_wait(with_debts());
-    let number =
-        world.scheduler.status(world.now)["share_debt"]["version"]["number"].as_u64().expect("a number");
-    assert!((8..=10).contains(&number), "{number} versions in {} ms", world.now);
+    let number = world.scheduler.status(world.now)["share_debt"]["version"]["number"]
+        .as_u64()
+        .expect("a number");
+    assert!(
+        (8..=10).contains(&number),
+        "{number} versions in {} ms",
+        world.now
+    );
     assert!(world.state.contains_key("debt/r") && world.state.contains_key("debt-version"));
 }
--- a/crates/scheduler/tests/stories.rs
+++ b/crates/scheduler/tests/stories.rs
@@ -26,7 +26,10 @@
     assert_eq!(world.submit(ONE_TASK).status, 200);
     world.wait(500);
     world.settle(&mut agent);
-    assert!(agent.start.is_empty(), "nothing is started for the second call");
+    assert!(
+        agent.start.is_empty(),
+        "nothing is started for the second call"
+    );
 }
 
 #[test]
@@ -48,15 +51,27 @@
     let (mut world, mut agent) = given_an_ordered_task();
     agent.offer_all();
     world.settle(&mut agent);
-    assert_eq!(world.call(ClientMethod::Delete, &format!("/q/{JOB}"), "").status, 200);
+    assert_eq!(
+        world
+            .call(ClientMethod::Delete, &format!("/q/{JOB}"), "")
+            .status,
+        200
+    );
     let other = "0000000000000001";
     let body = format!(r#"{{"spec":"text","steps":{ONE_TASK}}}"#);
     world.call(ClientMethod::Post, &format!("/q/{other}"), &body);
     world.settle(&mut agent);
-    assert!(agent.start.is_empty(), "600 of 1,000 may be taken: the other task does not fit");
+    assert!(
+        agent.start.is_empty(),
+        "600 of 1,000 may be taken: the other task does not fit"
+    );
     agent.beat_without();
     world.settle(&mut agent);
-    assert_eq!(agent.start.len(), 1, "the cancelled run never began: its room is free");
+    assert_eq!(
+        agent.start.len(),
+        1,
+        "the cancelled run never began: its room is free"
+    );
 }
 
 #[test]
@@ -66,7 +81,11 @@
     let until = world.now + HOLD_MAX_MS;
     while world.now < until {
         world.settle(&mut second);
-        assert!(second.start.is_empty(), "at {} the task may still run at the silent machine", world.now);
+        assert!(
+            second.start.is_empty(),
+            "at {} the task may still run at the silent machine",
+            world.now
+        );
         world.wait(100);
     }
     world.wait(300);
@@ -75,7 +94,10 @@
     assert_eq!(second.start[0].1, 2, "a new run");
     first.end_all(RunEnd::Done);
     world.settle(&mut first);
-    assert!(!world.state_of_job().contains("succeeded"), "an end from beyond the lease is not used");
+    assert!(
+        !world.state_of_job().contains("succeeded"),
+        "an end from beyond the lease is not used"
+    );
 }
 
 #[test]
@@ -87,7 +109,11 @@
     let until = world.now + HOLD_MAX_MS;
     while world.now < until {
         world.settle(&mut second);
-        assert!(second.start.is_empty(), "at {} the task may still run at the silent machine", world.now);
+        assert!(
+            second.start.is_empty(),
+            "at {} the task may still run at the silent machine",
+            world.now
+        );
         world.wait(100);
     }
     world.wait(300);
@@ -95,7 +121,11 @@
     assert_eq!(second.start.len(), 1);
     assert_eq!(first.running().len(), 1);
     world.settle(&mut first);
-    assert_eq!(first.stop.len(), 1, "a run that is over for us is told to stop");
+    assert_eq!(
+        first.stop.len(),
+        1,
+        "a run that is over for us is told to stop"
+    );
 }
 
 #[test]
@@ -116,7 +146,10 @@
     world.fail_over();
     agent.beat_without();
     world.settle(&mut agent);
-    assert_eq!(agent.start, first, "the same run, which was recorded before it was ordered");
+    assert_eq!(
+        agent.start, first,
+        "the same run, which was recorded before it was ordered"
+    );
 }
 
 #[test]
@@ -195,10 +228,23 @@
 fn calls_that_make_no_sense_are_answered_with_the_fault() {
     let mut world = World::new();
     assert_eq!(world.call(ClientMethod::Get, "/nowhere/", "").status, 404);
-    assert_eq!(world.call(ClientMethod::Get, &format!("/q/{JOB}"), "").status, 410);
+    assert_eq!(
+        world
+            .call(ClientMethod::Get, &format!("/q/{JOB}"), "")
+            .status,
+        410
+    );
     assert_eq!(world.call(ClientMethod::Post, "/q/xyz", "{}").status, 400);
-    assert_eq!(world.call(ClientMethod::Post, &format!("/q/{JOB}"), "{\"steps\":").status, 400);
-    assert_eq!(world.call(ClientMethod::Get, "/q/", "").body.as_ref(), r#"{"waiting":0}"#);
+    assert_eq!(
+        world
+            .call(ClientMethod::Post, &format!("/q/{JOB}"), "{\"steps\":")
+            .status,
+        400
+    );
+    assert_eq!(
+        world.call(ClientMethod::Get, "/q/", "").body.as_ref(),
+        r#"{"waiting":0}"#
+    );
 }
 
 #[test]
@@ -210,10 +256,17 @@
     world.settle(&mut first);
     world.wait(200);
     world.settle(&mut second);
-    assert!(second.start.is_empty(), "the agent may still hand the order on");
+    assert!(
+        second.start.is_empty(),
+        "the agent may still hand the order on"
+    );
     world.settle(&mut first);
     world.settle(&mut second);
-    assert_eq!(second.start.len(), 1, "the agent holds orders without it and has not offered it");
+    assert_eq!(
+        second.start.len(),
+        1,
+        "the agent holds orders without it and has not offered it"
+    );
 }
 
 #[test]
@@ -248,7 +301,10 @@
     world.wait(3_000);
     agent.begin_all();
     world.settle(&mut agent);
-    assert!(agent.stop.is_empty(), "the worker was at work on it while its agent was cut off");
+    assert!(
+        agent.stop.is_empty(),
+        "the worker was at work on it while its agent was cut off"
+    );
 }
 
 #[test]
@@ -260,9 +316,18 @@
     agent.beat_without();
     world.settle(&mut agent);
     let body = format!(r#"{{"spec":"text","steps":{ONE_TASK}}}"#);
-    assert_eq!(world.call(ClientMethod::Post, "/q/0000000000000001", &body).status, 200);
+    assert_eq!(
+        world
+            .call(ClientMethod::Post, "/q/0000000000000001", &body)
+            .status,
+        200
+    );
     world.settle(&mut agent);
-    assert_eq!(agent.start.len(), 1, "the stopped run never began: its room is free");
+    assert_eq!(
+        agent.start.len(),
+        1,
+        "the stopped run never began: its room is free"
+    );
 }
 
 #[test]
@@ -271,7 +336,9 @@
     world.fail_over();
     let mut restarted = TestAgent::new("side-1", "i-1");
     restarted.boot = 2;
-    let orders = world.sync_without_worker(&mut restarted).expect("the agent holds no orders yet");
+    let orders = world
+        .sync_without_worker(&mut restarted)
+        .expect("the agent holds no orders yet");
     assert_eq!(orders.instance.as_deref(), Some("i-1"));
 }
 
@@ -283,12 +350,23 @@
     world.call(ClientMethod::Post, &format!("/q/{second}"), &body);
     world.settle(&mut agent);
 
-    let runs = world.scheduler.explain_job(world.now, &JOB.parse().unwrap()).unwrap();
-    let waits = world.scheduler.explain_job(world.now, &second.parse().unwrap()).unwrap();
+    let runs = world
+        .scheduler
+        .explain_job(world.now, &JOB.parse().unwrap())
+        .unwrap();
+    let waits = world
+        .scheduler
+        .explain_job(world.now, &second.parse().unwrap())
+        .unwrap();
 
     assert_eq!((runs.runs.len(), runs.waiting.len()), (1, 0));
     assert!(runs.runs[0].begun && &*runs.runs[0].worker == "i-1");
     assert_eq!((waits.runs.len(), waits.waiting.len()), (0, 1));
     assert_eq!(waits.waiting[0].waiting.reason, WaitReason::NoRoomIsFree);
-    assert_eq!(world.scheduler.explain_job(world.now, &"0000000000000009".parse().unwrap()), None);
+    assert_eq!(
+        world
+            .scheduler
+            .explain_job(world.now, &"0000000000000009".parse().unwrap()),
+        None
+    );
 }
--- a/crates/scheduler/tests/support/mod.rs
+++ b/crates/scheduler/tests/support/mod.rs
@@ -5,7 +5,9 @@
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use streamusher_protocol::heartbeat::{FinishedRun, Resources, RunningTask, StartOrder, WorkerState};
+use streamusher_protocol::heartbeat::{
+    FinishedRun, Resources, RunningTask, StartOrder, WorkerState,
+};
 use streamusher_protocol::internal::{
     AgentOrders, AgentSync, ClientCall, ClientMethod, ClientReply, WorkerReport,
 };
@@ -18,8 +20,16 @@
 const UNIX_START: Millis = 1_790_000_000_000;
 
 pub fn settings() -> Settings {
-    let bounds = Bounds { hold_max_ms: HOLD_MAX_MS, ..Bounds::default() };
-    Settings { bounds, random_seed: 1, share_debt: None, policy: streamusher_scheduler::Policy::default() }
+    let bounds = Bounds {
+        hold_max_ms: HOLD_MAX_MS,
+        ..Bounds::default()
+    };
+    Settings {
+        bounds,
+        random_seed: 1,
+        share_debt: None,
+        policy: streamusher_scheduler::Policy::default(),
+    }
 }
 
 pub struct World {
@@ -39,7 +49,8 @@
     }
 
     pub fn with(settings: Settings) -> World {
-        let scheduler = Scheduler::recover(settings.clone(), 1, clock(0), Vec::new()).expect("empty state");
+        let scheduler =
+            Scheduler::recover(settings.clone(), 1, clock(0), Vec::new()).expect("empty state");
         let mut world = World {
             scheduler,
             state: BTreeMap::new(),
@@ -52,7 +63,11 @@
         let body = r#"{"version":1,"routes":[{"name":"r","host":"h","path_prefix":"/q/","timeout_ms":3000,
             "target_latency_ms":800,"priority":0,"service":"s","max_attempts":2,"stretch":1.5}],
             "services":[{"name":"s","guards":false}]}"#;
-        let order = OperatorOrder { kind: OrderKind::Replace, base: Some(0), body: body.into() };
+        let order = OperatorOrder {
+            kind: OrderKind::Replace,
+            base: Some(0),
+            body: body.into(),
+        };
         let request = world.request();
         world.handle(Event::Operator { request, order });
         world
@@ -88,14 +103,20 @@
         self.epoch += 1;
         let state = self.state.clone();
         self.scheduler =
-            Scheduler::recover(self.settings.clone(), self.epoch, clock(self.now), state).expect("own state");
+            Scheduler::recover(self.settings.clone(), self.epoch, clock(self.now), state)
+                .expect("own state");
         self.replies.clear();
     }
 
     pub fn call(&mut self, method: ClientMethod, path: &str, body: &str) -> ClientReply {
         let request = self.request();
-        let call =
-            ClientCall { method, host: "h".into(), path: path.into(), body: body.into(), configuration: 1 };
+        let call = ClientCall {
+            method,
+            host: "h".into(),
+            path: path.into(),
+            body: body.into(),
+            configuration: 1,
+        };
         self.handle(Event::Client { request, call });
         match self.replies.remove(&request) {
             Some(Reply::Client(reply)) => reply,
@@ -129,7 +150,10 @@
     /// The call of an agent whose worker has not called it yet.
     pub fn sync_without_worker(&mut self, agent: &mut TestAgent) -> Option<AgentOrders> {
         let request = self.request();
-        let sync = AgentSync { worker: None, ..agent.next_call() };
+        let sync = AgentSync {
+            worker: None,
+            ..agent.next_call()
+        };
         self.handle(Event::Agent { request, sync });
         match self.replies.remove(&request) {
             Some(Reply::Agent(orders)) => Some(orders),
@@ -148,7 +172,10 @@
 }
 
 pub fn clock(now: Millis) -> Now {
-    Now { steady: now, unix: UNIX_START + now }
+    Now {
+        steady: now,
+        unix: UNIX_START + now,
+    }
 }
 
 /// An agent and its worker, driven by the test.
@@ -172,7 +199,11 @@
             sequence: 1,
             service: "s".into(),
             zone: "z".into(),
-            capacity: Resources { cpu: 1_000, mem_mb: 1_000, gpu: 0 },
+            capacity: Resources {
+                cpu: 1_000,
+                mem_mb: 1_000,
+                gpu: 0,
+            },
             labels: vec!["a".into(), "r1".into()],
             state: WorkerState::Ready,
             remaining_ms: None,
@@ -215,7 +246,14 @@
         }
         (self.epoch, self.revision) = (orders.epoch, orders.revision);
         self.start = orders.start.clone();
-        self.stop = orders.stop.iter().map(|s| RunId { task: s.0.clone(), run: s.1 }).collect();
+        self.stop = orders
+            .stop
+            .iter()
+            .map(|s| RunId {
+                task: s.0.clone(),
+                run: s.1,
+            })
+            .collect();
         self.last_seen = orders.last_seen;
     }
 
@@ -224,13 +262,22 @@
         self.report.sequence += 1;
         self.report.offered.clear();
         for start in std::mem::take(&mut self.start) {
-            self.report.running.push(RunningTask(start.0, start.1, "".into(), 0.0));
+            self.report
+                .running
+                .push(RunningTask(start.0, start.1, "".into(), 0.0));
         }
     }
 
     /// Ordered starts stand in an answer on its way to the worker.
     pub fn offer_all(&mut self) {
-        self.report.offered = self.start.iter().map(|s| RunId { task: s.0.clone(), run: s.1 }).collect();
+        self.report.offered = self
+            .start
+            .iter()
+            .map(|s| RunId {
+                task: s.0.clone(),
+                run: s.1,
+            })
+            .collect();
     }
 
     /// The worker's next heartbeat: what was on its way did not begin.
@@ -244,18 +291,27 @@
         self.report.sequence += 1;
         for run in std::mem::take(&mut self.report.running) {
             self.ends += 1;
-            self.report.finished.push(FinishedRun(self.ends, run.0, run.1, how, "".into()));
+            self.report
+                .finished
+                .push(FinishedRun(self.ends, run.0, run.1, how, "".into()));
         }
     }
 
     /// Another instance on the same machine.
     pub fn replace_worker(&mut self, instance: &str) {
         let zone = self.report.zone.clone();
-        self.report = WorkerReport { zone, ..TestAgent::new("", instance).report };
+        self.report = WorkerReport {
+            zone,
+            ..TestAgent::new("", instance).report
+        };
         self.ends = 0;
     }
 
     pub fn running(&self) -> Vec<(TaskId, u32)> {
-        self.report.running.iter().map(|r| (r.0.clone(), r.1)).collect()
+        self.report
+            .running
+            .iter()
+            .map(|r| (r.0.clone(), r.1))
+            .collect()
     }
 }
--- a/crates/share-debt/src/book.rs
+++ b/crates/share-debt/src/book.rs
@@ -89,16 +89,30 @@
     /// A new primary's book, from the replicated records: others than its own are passed over. It goes on from the
     /// newest committed version; tell it with [`DebtBook::began`] of all that runs.
     pub fn recover(
-        settings: Settings, epoch: u64, now: Millis, records: impl IntoIterator<Item = (Arc<str>, Arc<str>)>,
+        settings: Settings,
+        epoch: u64,
+        now: Millis,
+        records: impl IntoIterator<Item = (Arc<str>, Arc<str>)>,
     ) -> DebtBook {
         let settings = settings.clamped();
         let found = record::read(records);
-        let written =
-            if found.version.half_life_ms > 0 { found.version.half_life_ms } else { settings.half_life_ms };
-        let latest = found.debts.iter().filter_map(|(_, debt)| debt.latest()).max();
+        let written = if found.version.half_life_ms > 0 {
+            found.version.half_life_ms
+        } else {
+            settings.half_life_ms
+        };
+        let latest = found
+            .debts
+            .iter()
+            .filter_map(|(_, debt)| debt.latest())
+            .max();
         // Where the version's record is lost, the latest use tells the time, to a half-life.
         let known = found.version.half_life_ms > 0;
-        let time = if known { found.version.time } else { latest.unwrap_or(0).saturating_mul(written) };
+        let time = if known {
+            found.version.time
+        } else {
+            latest.unwrap_or(0).saturating_mul(written)
+        };
         let carried = |(user, debt): (Arc<str>, Debt)| {
             let debt = if written == settings.half_life_ms {
                 debt
@@ -108,8 +122,11 @@
             (user, debt)
         };
         let debts: Debts = found.debts.into_iter().map(carried).collect();
-        let changed =
-            if written == settings.half_life_ms { BTreeSet::new() } else { debts.keys().cloned().collect() };
+        let changed = if written == settings.half_life_ms {
+            BTreeSet::new()
+        } else {
+            debts.keys().cloned().collect()
+        };
         let settings = Arc::new(settings);
         let ranking = Ranking::new(settings.clone(), found.version.version, time, debts.clone());
         DebtBook {
@@ -137,12 +154,21 @@
         let meter = self.meters.entry(user.clone()).or_default();
         meter.since = from;
         meter.rate = meter.rate.saturating_add(rate);
-        self.runs.insert(run, Running { user: user.clone(), rate, from });
+        self.runs.insert(
+            run,
+            Running {
+                user: user.clone(),
+                rate,
+                from,
+            },
+        );
     }
 
     /// A run gives its room back. One that is not known changes nothing.
     pub fn ended(&mut self, now: Millis, run: &RunId, charge: Charge) {
-        let Some(Running { user, rate, from }) = self.runs.remove(run) else { return };
+        let Some(Running { user, rate, from }) = self.runs.remove(run) else {
+            return;
+        };
         let until = self.clock.at(now);
         self.settle(&user, until);
         if let Some(meter) = self.meters.get_mut(&user) {
@@ -231,7 +257,10 @@
 
     /// Every user that owes something or runs something.
     pub fn users(&self) -> impl Iterator<Item = &Arc<str>> {
-        let running = self.meters.keys().filter(|user| !self.debts.contains_key(*user));
+        let running = self
+            .meters
+            .keys()
+            .filter(|user| !self.debts.contains_key(*user));
         self.debts.keys().chain(running)
     }
 
@@ -247,7 +276,9 @@
 
     /// Charges what a user's runs have taken up to `until`.
     fn settle(&mut self, user: &Arc<str>, until: Millis) {
-        let Some(meter) = self.meters.get_mut(user) else { return };
+        let Some(meter) = self.meters.get_mut(user) else {
+            return;
+        };
         let (rate, from) = (meter.rate, meter.since);
         meter.since = until;
         if rate == 0 || from >= until {
@@ -261,7 +292,9 @@
     }
 
     fn refund(&mut self, user: &Arc<str>, rate: u64, from: Millis, until: Millis) {
-        let Some(debt) = self.debts.get_mut(user) else { return };
+        let Some(debt) = self.debts.get_mut(user) else {
+            return;
+        };
         debt.take_back(self.settings.half_life_ms, rate, from, until);
         self.changed.insert(user.clone());
     }
@@ -270,8 +303,12 @@
     fn drop_faded(&mut self, time: Millis) {
         use std::ops::Bound::{Excluded, Unbounded};
         let after = self.looked_at.take().map_or(Unbounded, Excluded);
-        let next: Vec<Arc<str>> =
-            self.debts.range((after, Unbounded)).take(LOOKED_AT).map(|(user, _)| user.clone()).collect();
+        let next: Vec<Arc<str>> = self
+            .debts
+            .range((after, Unbounded))
+            .take(LOOKED_AT)
+            .map(|(user, _)| user.clone())
+            .collect();
         if next.len() == LOOKED_AT {
             self.looked_at = next.last().cloned();
         }
@@ -284,10 +321,17 @@
 
     fn has_faded(&self, user: &Arc<str>, time: Millis) -> bool {
         let half_life = self.settings.half_life_ms;
-        let Some(debt) = self.debts.get(user).filter(|_| !self.meters.contains_key(user)) else {
+        let Some(debt) = self
+            .debts
+            .get(user)
+            .filter(|_| !self.meters.contains_key(user))
+        else {
             return false;
         };
-        if debt.latest().is_some_and(|latest| latest.saturating_add(1) >= time / half_life) {
+        if debt
+            .latest()
+            .is_some_and(|latest| latest.saturating_add(1) >= time / half_life)
+        {
             return false;
         }
         let owed = debt.at(half_life, time);
@@ -301,10 +345,16 @@
             return;
         }
         let half_life = self.settings.half_life_ms;
-        let mut users: Vec<(u64, Arc<str>)> =
-            self.debts.iter().map(|(user, debt)| (debt.at(half_life, time), user.clone())).collect();
+        let mut users: Vec<(u64, Arc<str>)> = self
+            .debts
+            .iter()
+            .map(|(user, debt)| (debt.at(half_life, time), user.clone()))
+            .collect();
         users.select_nth_unstable(surplus - 1);
-        users.into_iter().take(surplus).for_each(|(_, user)| self.drop_user(user));
+        users
+            .into_iter()
+            .take(surplus)
+            .for_each(|(_, user)| self.drop_user(user));
     }
 
     fn drop_user(&mut self, user: Arc<str>) {
@@ -313,12 +363,21 @@
     }
 
     fn make_version(&mut self, time: Millis) -> Vec<Write> {
-        let version = Version { epoch: self.epoch, number: self.version().number.saturating_add(1) };
+        let version = Version {
+            epoch: self.epoch,
+            number: self.version().number.saturating_add(1),
+        };
         let changed: Vec<Arc<str>> = std::mem::take(&mut self.changed).into_iter().collect();
-        let mut writes: Vec<Write> =
-            changed.iter().map(|user| record::user_write(user, self.debts.get(user))).collect();
+        let mut writes: Vec<Write> = changed
+            .iter()
+            .map(|user| record::user_write(user, self.debts.get(user)))
+            .collect();
         let half_life_ms = self.settings.half_life_ms;
-        writes.push(record::version_write(&VersionRecord { version, time, half_life_ms }));
+        writes.push(record::version_write(&VersionRecord {
+            version,
+            time,
+            half_life_ms,
+        }));
         let ranking = Ranking::new(self.settings.clone(), version, time, self.debts.clone());
         self.log.advance(ranking, changed);
         writes
--- a/crates/share-debt/src/bounds.rs
+++ b/crates/share-debt/src/bounds.rs
@@ -21,14 +21,25 @@
 pub fn largest_inversion_ms(settings: &Settings, age: Millis) -> Millis {
     let most = u128::from(settings.most_delay_ms);
     let age = u128::from(age);
-    let least_weight = settings.weights.values().min().copied().unwrap_or(USUAL_WEIGHT);
+    let least_weight = settings
+        .weights
+        .values()
+        .min()
+        .copied()
+        .unwrap_or(USUAL_WEIGHT);
     let weight = u128::from(least_weight.clamp(1, USUAL_WEIGHT));
     // In thousandths of a core-millisecond, as the weight is in thousandths.
     let half = u128::from(settings.half_delay_core_s) * u128::from(USUAL_WEIGHT) * weight;
-    let growth = (u128::from(settings.largest_rate_cores) * age).saturating_mul(u128::from(USUAL_WEIGHT));
-    let grown = most.saturating_mul(growth).div_ceil(growth.saturating_add(half).max(1));
+    let growth =
+        (u128::from(settings.largest_rate_cores) * age).saturating_mul(u128::from(USUAL_WEIGHT));
+    let grown = most
+        .saturating_mul(growth)
+        .div_ceil(growth.saturating_add(half).max(1));
     let half_life = u128::from(settings.half_life_ms.max(1));
-    let faded = most.saturating_mul(LN_2).saturating_mul(age).div_ceil(4_000 * half_life);
+    let faded = most
+        .saturating_mul(LN_2)
+        .saturating_mul(age)
+        .div_ceil(4_000 * half_life);
     let sum = grown.saturating_add(faded).min(most) + ROUNDING_MS;
     sum as Millis
 }
--- a/crates/share-debt/src/clock.rs
+++ b/crates/share-debt/src/clock.rs
@@ -15,7 +15,11 @@
 impl AgreedClock {
     /// Goes on from `base` at the steady time `now` of this process.
     pub(crate) fn continue_from(base: Millis, now: Millis) -> AgreedClock {
-        AgreedClock { base, started_at: now, latest: base }
+        AgreedClock {
+            base,
+            started_at: now,
+            latest: base,
+        }
     }
 
     /// The agreed time at a steady time; an earlier one than told before gives the latest again.
--- a/crates/share-debt/src/debt.rs
+++ b/crates/share-debt/src/debt.rs
@@ -65,7 +65,11 @@
     pub fn at(&self, half_life: Millis, now: Millis) -> u64 {
         let half_life = half_life.max(1);
         let present = now / half_life;
-        let total: u128 = self.sums.iter().map(|(number, sum)| aligned(*number, *sum, present)).sum();
+        let total: u128 = self
+            .sums
+            .iter()
+            .map(|(number, sum)| aligned(*number, *sum, present))
+            .sum();
         // Below 2^91 with all sums at their largest: 32 more bits are room enough.
         let scaled = total * u128::from(faded(now % half_life, half_life));
         let millicore_ms = scaled >> (32 + WINDOW as u32 + WEIGHT_BITS);
@@ -103,7 +107,10 @@
     }
 
     fn sum_mut(&mut self, number: u64) -> &mut u64 {
-        let index = match self.sums.binary_search_by_key(&number, |(number, _)| *number) {
+        let index = match self
+            .sums
+            .binary_search_by_key(&number, |(number, _)| *number)
+        {
             Ok(index) => index,
             Err(index) => {
                 self.sums.insert(index, (number, 0));
@@ -133,7 +140,11 @@
     if age > WINDOW {
         return 0;
     }
-    let age = if cfg!(feature = "mutant-fade") { 0 } else { age };
+    let age = if cfg!(feature = "mutant-fade") {
+        0
+    } else {
+        age
+    };
     u128::from(sum) << (WINDOW + ahead - age)
 }
 
@@ -150,6 +161,9 @@
         let begins = number.saturating_mul(half_life);
         let start = from.max(begins) - begins;
         let end = (to - begins).min(half_life);
-        part(number, weight_up_to(end, half_life).saturating_sub(weight_up_to(start, half_life)));
+        part(
+            number,
+            weight_up_to(end, half_life).saturating_sub(weight_up_to(start, half_life)),
+        );
     }
 }
--- a/crates/share-debt/src/follower.rs
+++ b/crates/share-debt/src/follower.rs
@@ -33,7 +33,11 @@
 impl Follower {
     /// A node that has heard nothing.
     pub fn new(settings: Settings) -> Follower {
-        Follower { settings: Arc::new(settings.clamped()), log: None, told: (0, 0) }
+        Follower {
+            settings: Arc::new(settings.clamped()),
+            log: None,
+            told: (0, 0),
+        }
     }
 
     /// Takes an update that answers a question sent at the node's steady time `asked_at`. The time on the way is
--- a/crates/share-debt/src/log.rs
+++ b/crates/share-debt/src/log.rs
@@ -23,7 +23,11 @@
 
 impl Log {
     pub(crate) fn new(ranking: Ranking) -> Log {
-        Log { ranking, changes: VecDeque::new(), remembered: 0 }
+        Log {
+            ranking,
+            changes: VecDeque::new(),
+            remembered: 0,
+        }
     }
 
     /// Goes on to a version that differs from the newest in these users.
@@ -32,7 +36,9 @@
         self.changes.push_back((self.ranking.version(), changed));
         self.ranking = ranking;
         while self.changes.len() > MOST_REMEMBERED || self.remembered > MOST_CHANGES {
-            let Some((_, dropped)) = self.changes.pop_front() else { break };
+            let Some((_, dropped)) = self.changes.pop_front() else {
+                break;
+            };
             self.remembered -= dropped.len();
         }
     }
@@ -42,12 +48,21 @@
         let known = held.filter(|held| *held == self.ranking.version() || self.remembers(*held));
         let debts = match known {
             Some(held) => self.difference(held),
-            None => {
-                self.ranking.debts().iter().map(|(user, debt)| (user.clone(), Some(debt.clone()))).collect()
-            }
+            None => self
+                .ranking
+                .debts()
+                .iter()
+                .map(|(user, debt)| (user.clone(), Some(debt.clone())))
+                .collect(),
         };
         let (version, time) = (self.ranking.version(), self.ranking.time());
-        Update { base: known, version, time, age_ms, debts }
+        Update {
+            base: known,
+            version,
+            time,
+            age_ms,
+            debts,
+        }
     }
 
     fn remembers(&self, version: Version) -> bool {
@@ -55,8 +70,14 @@
     }
 
     fn difference(&self, held: Version) -> Vec<(Arc<str>, Option<Debt>)> {
-        let after = self.changes.iter().skip_while(|(before, _)| *before != held);
+        let after = self
+            .changes
+            .iter()
+            .skip_while(|(before, _)| *before != held);
         let users: BTreeSet<&Arc<str>> = after.flat_map(|(_, changed)| changed).collect();
-        users.into_iter().map(|user| (user.clone(), self.ranking.debts().get(user).cloned())).collect()
+        users
+            .into_iter()
+            .map(|user| (user.clone(), self.ranking.debts().get(user).cloned()))
+            .collect()
     }
 }
--- a/crates/share-debt/src/ranking.rs
+++ b/crates/share-debt/src/ranking.rs
@@ -26,8 +26,18 @@
 }
 
 impl Ranking {
-    pub(crate) fn new(settings: Arc<Settings>, version: Version, time: Millis, debts: Debts) -> Ranking {
-        Ranking { settings, version, time, debts }
+    pub(crate) fn new(
+        settings: Arc<Settings>,
+        version: Version,
+        time: Millis,
+        debts: Debts,
+    ) -> Ranking {
+        Ranking {
+            settings,
+            version,
+            time,
+            debts,
+        }
     }
 
     /// The version by which it orders.
@@ -42,7 +52,9 @@
 
     /// A user's debt in this version, in core-milliseconds; 0 for one that is not known.
     pub fn debt(&self, user: &str) -> u64 {
-        self.debts.get(user).map_or(0, |debt| debt.at(self.settings.half_life_ms, self.time))
+        self.debts
+            .get(user)
+            .map_or(0, |debt| debt.at(self.settings.half_life_ms, self.time))
     }
 
     /// How far a user's units are put back, in milliseconds; less than the largest delay.
@@ -54,7 +66,9 @@
     /// by its user's delay. The key does not change while the unit waits, so whoever came `most_delay_ms` later never
     /// goes before it, whatever the debts.
     pub fn order_key(&self, user: &str, priority: u32, submitted_at: Millis) -> u64 {
-        let time = submitted_at.saturating_add(self.delay_ms(user)).min(LAST_TIME);
+        let time = submitted_at
+            .saturating_add(self.delay_ms(user))
+            .min(LAST_TIME);
         u64::from(priority.min(LAST_PRIORITY)) << TIME_BITS | time
     }
 
--- a/crates/share-debt/src/record.rs
+++ b/crates/share-debt/src/record.rs
@@ -22,7 +22,10 @@
 }
 
 pub(crate) fn version_write(record: &VersionRecord) -> Write {
-    Write::set(VERSION_KEY, serde_json::to_string(record).unwrap_or_default())
+    Write::set(
+        VERSION_KEY,
+        serde_json::to_string(record).unwrap_or_default(),
+    )
 }
 
 pub(crate) fn user_write(user: &str, debt: Option<&Debt>) -> Write {
--- a/crates/share-debt/src/settings.rs
+++ b/crates/share-debt/src/settings.rs
@@ -86,7 +86,9 @@
             gpu_millicores: GPU_MILLICORES,
             gb_millicores: GB_MILLICORES,
             most_delay_ms: half_life_ms,
-            half_delay_core_s: (half_life_ms / 1_000).saturating_mul(HALF_DELAY_CORES).max(1),
+            half_delay_core_s: (half_life_ms / 1_000)
+                .saturating_mul(HALF_DELAY_CORES)
+                .max(1),
             version_every_ms: SHORTEST_VERSION_MS,
             most_age_ms: 5 * SHORTEST_VERSION_MS,
             largest_rate_cores: LARGEST_RATE_CORES,
@@ -102,13 +104,28 @@
     /// The first setting outside its range.
     pub fn check(&self) -> Result<(), SettingsError> {
         let span = |key, value, least, most| in_range(key, value, least, most);
-        span("half_life_ms", self.half_life_ms, SHORTEST_HALF_LIFE_MS, LONGEST_HALF_LIFE_MS)?;
+        span(
+            "half_life_ms",
+            self.half_life_ms,
+            SHORTEST_HALF_LIFE_MS,
+            LONGEST_HALF_LIFE_MS,
+        )?;
         span("gpu_millicores", self.gpu_millicores, 0, 1_000_000)?;
         span("gb_millicores", self.gb_millicores, 0, 1_000_000)?;
         span("most_delay_ms", self.most_delay_ms, 1, LONGEST_DELAY_MS)?;
         span("half_delay_core_s", self.half_delay_core_s, 1, 1 << 40)?;
-        span("version_every_ms", self.version_every_ms, SHORTEST_VERSION_MS, self.half_life_ms)?;
-        span("most_age_ms", self.most_age_ms, 2 * self.version_every_ms.min(1 << 40), 1 << 41)?;
+        span(
+            "version_every_ms",
+            self.version_every_ms,
+            SHORTEST_VERSION_MS,
+            self.half_life_ms,
+        )?;
+        span(
+            "most_age_ms",
+            self.most_age_ms,
+            2 * self.version_every_ms.min(1 << 40),
+            1 << 41,
+        )?;
         span("largest_rate_cores", self.largest_rate_cores, 1, 1 << 30)?;
         span("most_users", self.most_users as u64, 1, MOST_USERS as u64)?;
         match self.weights.iter().find(|(_, weight)| **weight == 0) {
@@ -119,7 +136,9 @@
 
     /// With the times that arithmetic rests on brought into their ranges; unchanged where `check` finds no fault.
     pub(crate) fn clamped(mut self) -> Settings {
-        self.half_life_ms = self.half_life_ms.clamp(SHORTEST_HALF_LIFE_MS, LONGEST_HALF_LIFE_MS);
+        self.half_life_ms = self
+            .half_life_ms
+            .clamp(SHORTEST_HALF_LIFE_MS, LONGEST_HALF_LIFE_MS);
         self.most_delay_ms = self.most_delay_ms.min(LONGEST_DELAY_MS);
         self
     }
@@ -140,7 +159,11 @@
 
     /// A user's weight, in thousandths.
     pub(crate) fn weight_of(&self, user: &str) -> u32 {
-        self.weights.get(user).copied().unwrap_or(USUAL_WEIGHT).max(1)
+        self.weights
+            .get(user)
+            .copied()
+            .unwrap_or(USUAL_WEIGHT)
+            .max(1)
     }
 }
 
@@ -148,6 +171,11 @@
     if (least..=most).contains(&value) {
         Ok(())
     } else {
-        Err(SettingsError::Range { key, value, least, most })
+        Err(SettingsError::Range {
+            key,
+            value,
+            least,
+            most,
+        })
     }
 }
--- a/crates/share-debt/src/version.rs
+++ b/crates/share-debt/src/version.rs
@@ -7,7 +7,9 @@
 
 /// Names one state of all debts. The order is the agreed one: a later primary's version goes before an earlier one's,
 /// whatever their numbers, so what a deposed primary made and could not commit never wins.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Version {
     /// Epoch of the primary that made it.
     pub epoch: u64,
--- a/crates/share-debt/tests/book.rs
+++ b/crates/share-debt/tests/book.rs
@@ -24,7 +24,10 @@
     book.began(0, &user("scans"), run(1), &cores(10));
     book.advance(30_000);
     let shown = book.show(30_000, &user("scans"));
-    assert!(shown.debt_core_ms > 250_000 && shown.debt_core_ms < 300_000, "{shown:?}");
+    assert!(
+        shown.debt_core_ms > 250_000 && shown.debt_core_ms < 300_000,
+        "{shown:?}"
+    );
     assert_eq!(shown.rate_millicores, 10_000);
     assert!(book.order_key("scans", 1, 100) > book.order_key("newcomer", 1, 100));
 }
@@ -35,7 +38,10 @@
 #[case::memory_by_weight(0, 4_096, 0, 500)]
 #[case::all(250, 1_024, 2, 16_375)]
 fn given_resources_when_charged_then_by_their_weights(
-    #[case] cpu: u64, #[case] mem_mb: u64, #[case] gpu: u64, #[case] rate: u64,
+    #[case] cpu: u64,
+    #[case] mem_mb: u64,
+    #[case] gpu: u64,
+    #[case] rate: u64,
 ) {
     assert_eq!(settings().rate_of(&Resources { cpu, mem_mb, gpu }), rate);
 }
@@ -99,13 +105,18 @@
         }
         assert!(book.age(now) < 1_000 + 20);
     }
-    assert_eq!(versions, (1..=10).map(|n| (n * 1_000, n)).collect::<Vec<_>>());
+    assert_eq!(
+        versions,
+        (1..=10).map(|n| (n * 1_000, n)).collect::<Vec<_>>()
+    );
 }
 
 #[test]
 fn given_nothing_owed_when_time_passes_then_nothing_is_written() {
     let mut book = book();
-    assert!((0..100_000).step_by(100).all(|now| book.advance(now).is_empty()));
+    assert!((0..100_000)
+        .step_by(100)
+        .all(|now| book.advance(now).is_empty()));
 }
 
 #[test]
@@ -116,7 +127,11 @@
     book.ended(10_000, &run(1), Charge::Used);
     for now in (10_000..13 * HALF_LIFE).step_by(100) {
         apply(&mut state, book.advance(now));
-        assert!(state.is_empty() || !state.contains_key("debt/a") || book.age(now) <= settings().most_age_ms);
+        assert!(
+            state.is_empty()
+                || !state.contains_key("debt/a")
+                || book.age(now) <= settings().most_age_ms
+        );
     }
     assert!(!state.contains_key("debt/a"), "faded: {state:?}");
     assert_eq!(book.users().count(), 0);
@@ -133,7 +148,10 @@
     }
     book.advance(31_000);
     let debt = book.ranking().debt("a");
-    assert!(debt > 2_000 && debt < 3_000, "a tenth of a core for 30 s: {debt}");
+    assert!(
+        debt > 2_000 && debt < 3_000,
+        "a tenth of a core for 30 s: {debt}"
+    );
 }
 
 #[test]
@@ -141,20 +159,43 @@
     let mut state = State::new();
     let mut book = book();
     book.began(0, &user("a"), run(1), &cores(3));
-    (0..=20_000).step_by(1_000).for_each(|now| apply(&mut state, book.advance(now)));
-    let before = (book.ranking().debt("a"), book.version(), book.agreed_time(20_000));
+    (0..=20_000)
+        .step_by(1_000)
+        .for_each(|now| apply(&mut state, book.advance(now)));
+    let before = (
+        book.ranking().debt("a"),
+        book.version(),
+        book.agreed_time(20_000),
+    );
     // Another machine: its steady clock began at another time.
     let mut next = DebtBook::recover(settings(), 2, 777_000_000, records(&state));
-    assert_eq!((next.ranking().debt("a"), next.version(), next.agreed_time(777_000_000)), before);
+    assert_eq!(
+        (
+            next.ranking().debt("a"),
+            next.version(),
+            next.agreed_time(777_000_000)
+        ),
+        before
+    );
     next.began(777_000_000, &user("a"), run(1), &cores(3));
     let writes = next.advance(777_005_000);
     assert!(!writes.is_empty());
-    assert_eq!(next.version(), Version { epoch: 2, number: before.1.number + 1 });
+    assert_eq!(
+        next.version(),
+        Version {
+            epoch: 2,
+            number: before.1.number + 1
+        }
+    );
     assert_eq!(next.agreed_time(777_005_000), 25_000);
     let mut whole = DebtBook::new(settings(), 1, 0);
     whole.began(0, &user("a"), run(1), &cores(3));
     whole.advance(25_000);
-    assert_eq!(next.ranking().debt("a"), whole.ranking().debt("a"), "as if there had been one primary");
+    assert_eq!(
+        next.ranking().debt("a"),
+        whole.ranking().debt("a"),
+        "as if there had been one primary"
+    );
 }
 
 #[test]
@@ -194,19 +235,39 @@
     let mut book = book();
     book.began(0, &user("a"), run(1), &cores(3));
     apply(&mut state, book.advance(71_234));
-    let mut next = DebtBook::recover(Settings::with_half_life(3 * HALF_LIFE), 2, 0, records(&state));
+    let mut next = DebtBook::recover(
+        Settings::with_half_life(3 * HALF_LIFE),
+        2,
+        0,
+        records(&state),
+    );
     let (found, wanted) = (next.ranking().debt("a"), book.ranking().debt("a"));
     assert!(found.abs_diff(wanted) <= 1, "{found}, before {wanted}");
     let writes = next.advance(1_000);
-    assert!(writes.iter().any(|write| &*write.key == "debt/a"), "{writes:?}");
+    assert!(
+        writes.iter().any(|write| &*write.key == "debt/a"),
+        "{writes:?}"
+    );
 }
 
 #[test]
 fn given_more_users_than_may_be_kept_when_a_version_is_made_then_the_least_debts_go() {
-    let mut book = DebtBook::new(Settings { most_users: 100, ..settings() }, 1, 0);
+    let mut book = DebtBook::new(
+        Settings {
+            most_users: 100,
+            ..settings()
+        },
+        1,
+        0,
+    );
     let mut state = State::new();
     for number in 0..150 {
-        book.began(0, &user(&format!("u{number:03}")), run(number), &cores(number + 1));
+        book.began(
+            0,
+            &user(&format!("u{number:03}")),
+            run(number),
+            &cores(number + 1),
+        );
     }
     apply(&mut state, book.advance(10_000));
     assert_eq!(book.ranking().users(), 100);
@@ -219,7 +280,12 @@
     let mut book = book();
     let mut state = State::new();
     for number in 0..100_000 {
-        book.began(number / 100, &user(&format!("u{number}")), run(number), &cores(2));
+        book.began(
+            number / 100,
+            &user(&format!("u{number}")),
+            run(number),
+            &cores(2),
+        );
     }
     for number in 0..100_000 {
         book.ended(number / 100 + 2_000, &run(number), Charge::Used);
@@ -235,7 +301,9 @@
 #[test]
 fn given_queues_with_a_team_when_charged_then_the_team_is_the_user() {
     let mut settings = settings();
-    settings.user_of_queue.insert("r-1".into(), "geology".into());
+    settings
+        .user_of_queue
+        .insert("r-1".into(), "geology".into());
     assert_eq!(&*settings.user_of(&user("r-1")), "geology");
     assert_eq!(&*settings.user_of(&user("r-2")), "r-2");
 }
@@ -247,7 +315,8 @@
 #[case::users(Settings { most_users: 0, ..settings() }, "most_users is 0: give 1")]
 #[case::half(Settings { half_delay_core_s: 0, ..settings() }, "half_delay_core_s is 0: give 1")]
 fn given_a_setting_out_of_range_when_checked_then_the_remedy_is_named(
-    #[case] settings: Settings, #[case] text: &str,
+    #[case] settings: Settings,
+    #[case] text: &str,
 ) {
     let error = settings.check().expect_err("out of range").to_string();
     assert!(error.contains(text), "{error}");
@@ -272,7 +341,11 @@
         largest_rate_cores: u64::MAX,
         ..settings()
     };
-    let all = Resources { cpu: u64::MAX, mem_mb: u64::MAX, gpu: u64::MAX };
+    let all = Resources {
+        cpu: u64::MAX,
+        mem_mb: u64::MAX,
+        gpu: u64::MAX,
+    };
     let mut book = DebtBook::new(wild.clone(), u64::MAX, u64::MAX);
     book.began(u64::MAX, &user("a"), run(1), &all);
     book.advance(u64::MAX);
--- a/crates/share-debt/tests/debt.rs
+++ b/crates/share-debt/tests/debt.rs
@@ -21,7 +21,8 @@
 
 fn sum(uses: &[Use], half_life: u64) -> Debt {
     let mut debt = Debt::default();
-    uses.iter().for_each(|(rate, from, to)| debt.add(half_life, *rate, *from, *to));
+    uses.iter()
+        .for_each(|(rate, from, to)| debt.add(half_life, *rate, *from, *to));
     debt
 }
 
@@ -56,7 +57,10 @@
     let mut debt = Debt::default();
     debt.add(half_life, 8_000, 0, 10_000);
     let before = debt.at(half_life, 10_000);
-    assert!(before > 57_000 && before < 58_000, "8 cores for 10 s, fading meanwhile: {before}");
+    assert!(
+        before > 57_000 && before < 58_000,
+        "8 cores for 10 s, fading meanwhile: {before}"
+    );
     assert_eq!(debt.at(half_life, 20_000), before / 2);
     assert_eq!(debt.at(half_life, 10_000 + 10 * half_life), before / 1_024);
 }
--- a/crates/share-debt/tests/follower.rs
+++ b/crates/share-debt/tests/follower.rs
@@ -26,7 +26,9 @@
     let follower = Follower::new(settings());
     assert!(follower.is_stale(0));
     assert!(
-        follower.ranking().is_none() && follower.held().is_none() && follower.update_since(0, None).is_none()
+        follower.ranking().is_none()
+            && follower.held().is_none()
+            && follower.update_since(0, None).is_none()
     );
 }
 
@@ -34,7 +36,10 @@
 fn given_an_update_when_taken_then_the_node_ranks_as_the_primary_does() {
     let mut book = book();
     let mut follower = Follower::new(settings());
-    assert_eq!(follower.take(500, &book.update_since(1_000, None)), Taken::Yes);
+    assert_eq!(
+        follower.take(500, &book.update_since(1_000, None)),
+        Taken::Yes
+    );
     for now in [2_000, 3_000, 9_000] {
         book.advance(now);
         let update = book.update_since(now, follower.held());
@@ -70,7 +75,13 @@
     book.advance(2_000);
     follower.take(0, &book.update_since(2_000, None));
     assert_eq!(follower.take(0, &late), Taken::Old);
-    assert_eq!(follower.held(), Some(Version { epoch: 1, number: 2 }));
+    assert_eq!(
+        follower.held(),
+        Some(Version {
+            epoch: 1,
+            number: 2
+        })
+    );
 }
 
 #[test]
@@ -86,13 +97,26 @@
     next.advance(1_000);
     let mut follower = Follower::new(settings());
     follower.take(0, &book.update_since(9_000, None));
-    assert_eq!(follower.take(0, &next.update_since(1_000, follower.held())), Taken::Yes);
-    assert_eq!(follower.held(), Some(Version { epoch: 2, number: 2 }));
-    assert_eq!(follower.take(0, &book.update_since(9_000, follower.held())), Taken::Old);
+    assert_eq!(
+        follower.take(0, &next.update_since(1_000, follower.held())),
+        Taken::Yes
+    );
+    assert_eq!(
+        follower.held(),
+        Some(Version {
+            epoch: 2,
+            number: 2
+        })
+    );
+    assert_eq!(
+        follower.take(0, &book.update_since(9_000, follower.held())),
+        Taken::Old
+    );
 }
 
 #[test]
-fn given_silence_when_time_passes_then_the_age_counts_from_the_question_and_the_node_says_that_it_is_stale() {
+fn given_silence_when_time_passes_then_the_age_counts_from_the_question_and_the_node_says_that_it_is_stale(
+) {
     let mut book = book();
     book.advance(2_000);
     let mut follower = Follower::new(settings());
@@ -103,8 +127,13 @@
     assert!(!follower.is_stale(12_000) && follower.is_stale(15_000));
     assert!(follower.ranking().is_some(), "it ranks by the last version");
     // The same version, told by a node that knows its age less well, and one that knows it better.
-    follower
-        .take(11_000, &streamusher_share_debt::Update { age_ms: 9_000, ..book.update_since(2_400, None) });
+    follower.take(
+        11_000,
+        &streamusher_share_debt::Update {
+            age_ms: 9_000,
+            ..book.update_since(2_400, None)
+        },
+    );
     assert!(follower.age(12_000) < 2_500);
     follower.take(11_900, &book.update_since(2_400, None));
     assert!(follower.age(12_000) < 600);
@@ -118,7 +147,10 @@
     relay.take(50_000, &book.update_since(2_100, None));
     node.take(0, &relay.update_since(50_700, None).expect("an update"));
     assert!(node.age(0) >= 800);
-    assert_eq!(node.ranking().expect("a version").debt("a"), book.ranking().debt("a"));
+    assert_eq!(
+        node.ranking().expect("a version").debt("a"),
+        book.ranking().debt("a")
+    );
 }
 
 #[test]
@@ -130,7 +162,10 @@
     let update = book.update_since(60_000, follower.held());
     assert_eq!(update.base, None);
     assert_eq!(follower.take(0, &update), Taken::Yes);
-    assert_eq!(follower.ranking().expect("a version").debt("b"), book.ranking().debt("b"));
+    assert_eq!(
+        follower.ranking().expect("a version").debt("b"),
+        book.ranking().debt("b")
+    );
 }
 
 #[test]
@@ -138,5 +173,8 @@
     let book = book();
     let update = book.update_since(1_234, None);
     let text = serde_json::to_string(&update).expect("text");
-    assert_eq!(serde_json::from_str::<streamusher_share_debt::Update>(&text).expect("an update"), update);
+    assert_eq!(
+        serde_json::from_str::<streamusher_share_debt::Update>(&text).expect("an update"),
+        update
+    );
 }
--- a/crates/share-debt/tests/ranking.rs
+++ b/crates/share-debt/tests/ranking.rs
@@ -31,7 +31,10 @@
     let book = owing(Settings::with_half_life(HALF_LIFE));
     assert!(book.order_key("a", 0, u64::MAX) < book.order_key("newcomer", 1, 0));
     assert!(book.order_key("a", 65_534, u64::MAX) < book.order_key("newcomer", 65_535, 0));
-    assert_eq!(book.order_key("newcomer", 65_535, 5), book.order_key("newcomer", u32::MAX, 5));
+    assert_eq!(
+        book.order_key("newcomer", 65_535, 5),
+        book.order_key("newcomer", u32::MAX, 5)
+    );
 }
 
 #[test]
@@ -39,7 +42,11 @@
     let mut book = owing(Settings::with_half_life(HALF_LIFE));
     let before = book.order_key("newcomer", 1, 5_000);
     book.advance(90_000);
-    assert_eq!(book.order_key("newcomer", 1, 5_000), before, "a gang that waits keeps its place");
+    assert_eq!(
+        book.order_key("newcomer", 1, 5_000),
+        before,
+        "a gang that waits keeps its place"
+    );
 }
 
 #[test]
@@ -47,16 +54,26 @@
     let mut settings = Settings::with_half_life(HALF_LIFE);
     settings.weights.insert("a".into(), 10_000);
     let book = owing(settings);
-    let apart = book.ranking().delay_ms("a").abs_diff(book.ranking().delay_ms("b"));
-    assert!(apart <= 1, "ten times the debt at ten times the weight: {apart}");
+    let apart = book
+        .ranking()
+        .delay_ms("a")
+        .abs_diff(book.ranking().delay_ms("b"));
+    assert!(
+        apart <= 1,
+        "ten times the debt at ten times the weight: {apart}"
+    );
 }
 
 /// One worker, one user that owes without end, others that bring new work all the time and owe nothing.
 #[test]
-fn given_a_user_with_the_largest_debt_when_newcomers_never_end_then_it_waits_no_longer_than_the_bound() {
+fn given_a_user_with_the_largest_debt_when_newcomers_never_end_then_it_waits_no_longer_than_the_bound(
+) {
     for seed in 0..50 {
         let mut rng = Pcg32::seed_from_u64(seed);
-        let settings = Settings { most_delay_ms: 20_000, ..Settings::with_half_life(HALF_LIFE) };
+        let settings = Settings {
+            most_delay_ms: 20_000,
+            ..Settings::with_half_life(HALF_LIFE)
+        };
         let mut book = DebtBook::new(settings, 1, 0);
         book.began(0, &user("heavy"), run(0), &cores(900));
         let mut waiting: BTreeSet<(u64, u64, bool)> = BTreeSet::new();
@@ -70,12 +87,17 @@
             if rng.random_range(0..20) == 0 {
                 waiting.insert((book.order_key("heavy", 1, now), number + 1, true));
             }
-            let Some((_, number, is_heavy)) = waiting.pop_first() else { continue };
+            let Some((_, number, is_heavy)) = waiting.pop_first() else {
+                continue;
+            };
             let came = number / 2;
             if is_heavy {
                 starts_of_heavy += 1;
                 // Behind it at most what came up to the bound later, and the heavy units among that.
-                assert!(now - came <= 20_000 * 2, "seed {seed}: came {came}, starts {now}");
+                assert!(
+                    now - came <= 20_000 * 2,
+                    "seed {seed}: came {came}, starts {now}"
+                );
             }
         }
         assert!(starts_of_heavy > 20, "seed {seed}: {starts_of_heavy}");
@@ -84,12 +106,21 @@
 }
 
 #[test]
-fn given_any_debts_when_two_units_are_ordered_then_none_passes_one_that_came_the_largest_delay_before() {
-    let settings = Settings { most_delay_ms: 5_000, ..Settings::with_half_life(HALF_LIFE) };
+fn given_any_debts_when_two_units_are_ordered_then_none_passes_one_that_came_the_largest_delay_before(
+) {
+    let settings = Settings {
+        most_delay_ms: 5_000,
+        ..Settings::with_half_life(HALF_LIFE)
+    };
     let mut rng = Pcg32::seed_from_u64(1);
     let mut book = DebtBook::new(settings, 1, 0);
     for number in 0..50 {
-        book.began(0, &user(&format!("u{number}")), run(number), &cores(rng.random_range(0..10_000)));
+        book.began(
+            0,
+            &user(&format!("u{number}")),
+            run(number),
+            &cores(rng.random_range(0..10_000)),
+        );
     }
     book.advance(600_000);
     for _ in 0..2_000 {
--- a/crates/share-debt/tests/simulation.rs
+++ b/crates/share-debt/tests/simulation.rs
@@ -6,7 +6,10 @@
 
 /// `SHARE_DEBT_SEEDS` names another number of days, and `SHARE_DEBT_FIRST` the first of them.
 fn number(variable: &str, usual: u64) -> u64 {
-    std::env::var(variable).ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
+    std::env::var(variable)
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(usual)
 }
 
 #[test]
@@ -22,5 +25,8 @@
         inverted += day.inversions_within_bound;
     }
     println!("{starts} starts, {stale} of them by stale versions, {failovers} failovers, {inverted} inversions in bound");
-    assert!(starts > 0 && stale > 0 && failovers > 0 && inverted > 0, "the days had none of something");
+    assert!(
+        starts > 0 && stale > 0 && failovers > 0 && inverted > 0,
+        "the days had none of something"
+    );
 }
--- a/crates/share-debt/tests/support/mod.rs
+++ b/crates/share-debt/tests/support/mod.rs
@@ -13,12 +13,18 @@
 pub type State = BTreeMap<Arc<str>, Arc<str>>;
 
 pub fn run(number: u64) -> RunId {
-    let task = format!("{number:016x}.0.0.0").parse().expect("a task's name");
+    let task = format!("{number:016x}.0.0.0")
+        .parse()
+        .expect("a task's name");
     RunId { task, run: 1 }
 }
 
 pub fn cores(count: u64) -> Resources {
-    Resources { cpu: count * 1_000, mem_mb: 0, gpu: 0 }
+    Resources {
+        cpu: count * 1_000,
+        mem_mb: 0,
+        gpu: 0,
+    }
 }
 
 pub fn user(name: &str) -> Arc<str> {
@@ -35,5 +41,8 @@
 }
 
 pub fn records(state: &State) -> Vec<(Arc<str>, Arc<str>)> {
-    state.iter().map(|(key, value)| (key.clone(), value.clone())).collect()
+    state
+        .iter()
+        .map(|(key, value)| (key.clone(), value.clone()))
+        .collect()
 }
--- a/crates/share-debt/tests/support/simulation.rs
+++ b/crates/share-debt/tests/support/simulation.rs
@@ -150,13 +150,17 @@
         if self.book.is_none() && self.now >= self.returns_at {
             self.take_over();
         }
-        let Some((book, origin)) = self.book.as_mut() else { return };
+        let Some((book, origin)) = self.book.as_mut() else {
+            return;
+        };
         // A steady clock read late is no harm.
         let clock = *origin + self.now - self.rng.random_range(0..3) * 40;
         let writes = book.advance(clock);
         apply(&mut self.state, writes);
         self.agreed = book.agreed_time(*origin + self.now);
-        self.told.entry(book.version()).or_insert((book.ranking().time(), Vec::new()));
+        self.told
+            .entry(book.version())
+            .or_insert((book.ranking().time(), Vec::new()));
         if self.rng.random_range(0..300) == 0 {
             self.fail();
         }
@@ -188,7 +192,12 @@
         self.epoch += 1;
         let origin = self.rng.random_range(0..1_000_000);
         let clock = origin + self.now;
-        let mut book = DebtBook::recover(self.settings.clone(), self.epoch, clock, records(&self.state));
+        let mut book = DebtBook::recover(
+            self.settings.clone(),
+            self.epoch,
+            clock,
+            records(&self.state),
+        );
         let time = self.agreed;
         for running in self.nodes.iter_mut().flat_map(|node| &mut node.runs) {
             // What the former primary charged stays charged; the new one begins at the version's time.
@@ -196,7 +205,13 @@
             former.to = Some(time);
             let (user, cores_taken) = (former.user, former.cores);
             running.record = self.uses.len();
-            self.uses.push(Use { user, cores: cores_taken, from: time, to: None, refunded_at: None });
+            self.uses.push(Use {
+                user,
+                cores: cores_taken,
+                from: time,
+                to: None,
+                refunded_at: None,
+            });
             book.began(clock, &name(user), run(running.number), &cores(cores_taken));
         }
         self.book = Some((book, origin));
@@ -206,10 +221,18 @@
         // The first users bring most of the work.
         let busy = self.rng.random_range(0..10) < 3;
         if busy {
-            let user = self.rng.random_range(0..USERS).min(self.rng.random_range(0..USERS)) as usize;
+            let user = self
+                .rng
+                .random_range(0..USERS)
+                .min(self.rng.random_range(0..USERS)) as usize;
             let cores = self.rng.random_range(1..8);
             let lasts = self.rng.random_range(200..12_000);
-            self.waiting.push(Unit { user, cores, came: self.now, lasts });
+            self.waiting.push(Unit {
+                user,
+                cores,
+                came: self.now,
+                lasts,
+            });
         }
         if self.waiting.len() > 30 {
             let index = self.rng.random_range(0..self.waiting.len());
@@ -230,7 +253,11 @@
             self.nodes[index].asks_at = self.now + self.rng.random_range(100..900);
             self.ask(index);
         }
-        while let Some(letter) = self.letters.first_entry().filter(|entry| entry.key().0 <= self.now) {
+        while let Some(letter) = self
+            .letters
+            .first_entry()
+            .filter(|entry| entry.key().0 <= self.now)
+        {
             let letter = letter.remove();
             let node = &mut self.nodes[letter.to];
             if self.now >= node.cut_until {
@@ -247,13 +274,19 @@
             let other = &self.nodes[from];
             other.follower.update_since(other.clock(self.now), held)
         } else {
-            self.book.as_ref().map(|(book, origin)| book.update_since(origin + self.now, held))
+            self.book
+                .as_ref()
+                .map(|(book, origin)| book.update_since(origin + self.now, held))
         };
         let Some(update) = update else { return };
         for _ in 0..self.rng.random_range(0..3) {
             let at = self.now + self.rng.random_range(0..1_500);
             self.sent += 1;
-            let letter = Letter { to: index, asked_at, update: update.clone() };
+            let letter = Letter {
+                to: index,
+                asked_at,
+                update: update.clone(),
+            };
             self.letters.insert((at, self.sent), letter);
         }
     }
@@ -279,8 +312,14 @@
         let agreed = self.agreed;
         let used = &mut self.uses[running.record];
         used.to = Some(agreed.max(used.from));
-        let Some((book, origin)) = self.book.as_mut() else { return };
-        let charge = if thrown_away { Charge::ThrownAway } else { Charge::Used };
+        let Some((book, origin)) = self.book.as_mut() else {
+            return;
+        };
+        let charge = if thrown_away {
+            Charge::ThrownAway
+        } else {
+            Charge::Used
+        };
         book.ended(*origin + self.now, &run(running.number), charge);
         if thrown_away {
             used.refunded_at = Some(agreed);
@@ -290,10 +329,14 @@
     fn start_work(&mut self, index: usize) {
         loop {
             let node = &self.nodes[index];
-            let Some(ranking) = node.follower.ranking() else { return };
+            let Some(ranking) = node.follower.ranking() else {
+                return;
+            };
             let key = |unit: &Unit| ranking.order_key(&name(unit.user), 1, unit.came);
             let first = (0..self.waiting.len()).min_by_key(|at| (key(&self.waiting[*at]), *at));
-            let Some(first) = first.filter(|at| self.waiting[*at].cores <= node.free) else { return };
+            let Some(first) = first.filter(|at| self.waiting[*at].cores <= node.free) else {
+                return;
+            };
             self.check_version(index);
             self.check_order(index, first);
             self.begin(index, first);
@@ -306,10 +349,25 @@
         self.run_number += 1;
         let record = self.uses.len();
         let (user, cores_taken) = (unit.user, unit.cores);
-        self.uses.push(Use { user, cores: cores_taken, from: self.agreed, to: None, refunded_at: None });
-        let running = Running { number: self.run_number, ends: self.now + unit.lasts, record };
+        self.uses.push(Use {
+            user,
+            cores: cores_taken,
+            from: self.agreed,
+            to: None,
+            refunded_at: None,
+        });
+        let running = Running {
+            number: self.run_number,
+            ends: self.now + unit.lasts,
+            record,
+        };
         if let Some((book, origin)) = self.book.as_mut() {
-            book.began(*origin + self.now, &name(user), run(running.number), &cores(cores_taken));
+            book.began(
+                *origin + self.now,
+                &name(user),
+                run(running.number),
+                &cores(cores_taken),
+            );
         }
         let node = &mut self.nodes[index];
         node.free -= cores_taken;
@@ -320,17 +378,37 @@
     fn check_version(&mut self, index: usize) {
         let node = &self.nodes[index];
         let ranking = node.follower.ranking().expect("a version");
-        let keys: Vec<u64> = (0..USERS).map(|user| ranking.order_key(&name(user as usize), 1, 0)).collect();
+        let keys: Vec<u64> = (0..USERS)
+            .map(|user| ranking.order_key(&name(user as usize), 1, 0))
+            .collect();
         let version = ranking.version();
-        let (time, known) = self.told.get_mut(&version).expect("a version that was made");
-        assert_eq!(*time, ranking.time(), "seed {} at {}: time of {version:?}", self.seed, self.now);
+        let (time, known) = self
+            .told
+            .get_mut(&version)
+            .expect("a version that was made");
+        assert_eq!(
+            *time,
+            ranking.time(),
+            "seed {} at {}: time of {version:?}",
+            self.seed,
+            self.now
+        );
         if known.is_empty() {
             known.clone_from(&keys);
         }
-        assert_eq!(*known, keys, "seed {} at {}: {version:?} differs between nodes", self.seed, self.now);
+        assert_eq!(
+            *known, keys,
+            "seed {} at {}: {version:?} differs between nodes",
+            self.seed, self.now
+        );
         let age = node.follower.age(node.clock(self.now));
         let true_age = self.agreed.saturating_sub(*time);
-        assert!(age >= true_age, "seed {} at {}: age {age}, in truth {true_age}", self.seed, self.now);
+        assert!(
+            age >= true_age,
+            "seed {} at {}: age {age}, in truth {true_age}",
+            self.seed,
+            self.now
+        );
         if node.follower.is_stale(node.clock(self.now)) {
             self.stale_starts += 1;
         } else {
@@ -343,20 +421,29 @@
         let node = &self.nodes[index];
         let version_time = node.follower.ranking().expect("a version").time();
         let age = node.follower.age(node.clock(self.now));
-        let at_version: Vec<f64> =
-            (0..USERS).map(|user| self.delay(user as usize, version_time, version_time)).collect();
-        let at_start: Vec<f64> =
-            (0..USERS).map(|user| self.delay(user as usize, self.agreed, version_time)).collect();
+        let at_version: Vec<f64> = (0..USERS)
+            .map(|user| self.delay(user as usize, version_time, version_time))
+            .collect();
+        let at_start: Vec<f64> = (0..USERS)
+            .map(|user| self.delay(user as usize, self.agreed, version_time))
+            .collect();
         let bound = largest_inversion_ms(&self.settings, age) as f64;
         let one = &self.waiting[started];
         for other in &self.waiting {
-            let apart =
-                |delays: &[f64]| one.came as f64 + delays[one.user] - other.came as f64 - delays[other.user];
+            let apart = |delays: &[f64]| {
+                one.came as f64 + delays[one.user] - other.came as f64 - delays[other.user]
+            };
             let by_version = apart(&at_version);
             let place = format!("seed {} at {}", self.seed, self.now);
-            assert!(by_version <= ROUNDING_MS, "{place}: not the order of its version, by {by_version} ms");
+            assert!(
+                by_version <= ROUNDING_MS,
+                "{place}: not the order of its version, by {by_version} ms"
+            );
             let inverted = apart(&at_start);
-            assert!(inverted <= bound, "{place}: inversion of {inverted} ms, age {age}, bound {bound}");
+            assert!(
+                inverted <= bound,
+                "{place}: inversion of {inverted} ms, age {age}, bound {bound}"
+            );
             self.inversions_within_bound += u64::from(inverted > 0.0);
         }
     }
@@ -365,13 +452,21 @@
     fn delay(&self, user: usize, time: u64, version_time: u64) -> f64 {
         let half_life = self.settings.half_life_ms as f64;
         let mut debt = 0.0;
-        for used in self.uses.iter().filter(|used| used.user == user && used.from < time) {
-            let from = used.refunded_at.filter(|at| *at < version_time).map_or(used.from, |at| at.min(time));
+        for used in self
+            .uses
+            .iter()
+            .filter(|used| used.user == user && used.from < time)
+        {
+            let from = used
+                .refunded_at
+                .filter(|at| *at < version_time)
+                .map_or(used.from, |at| at.min(time));
             let from = from.max(used.from);
             let to = used.to.unwrap_or(time).min(time);
             let left = |at: u64| (-((time - at) as f64) / half_life).exp2();
             if from < to {
-                debt += used.cores as f64 * half_life / std::f64::consts::LN_2 * (left(to) - left(from));
+                debt += used.cores as f64 * half_life / std::f64::consts::LN_2
+                    * (left(to) - left(from));
             }
         }
         let half = self.settings.half_delay_core_s as f64 * 1_000.0;
--- a/examples/fleet.rs
+++ b/examples/fleet.rs
@@ -26,7 +26,11 @@
             .into_iter()
             .flatten()
             .map(|m| {
-                format!("{} {}", m["name"].as_str().unwrap_or("?"), m["standing"].as_str().unwrap_or("?"))
+                format!(
+                    "{} {}",
+                    m["name"].as_str().unwrap_or("?"),
+                    m["standing"].as_str().unwrap_or("?")
+                )
             })
             .collect();
         let digest = tally["digest"].as_str().unwrap_or("?");
@@ -40,14 +44,33 @@
 
 fn play() -> bool {
     let begun = Instant::now();
-    let mut fleet = Fleet::start(Plan { copies: 1, ..Plan::default() });
+    let mut fleet = Fleet::start(Plan {
+        copies: 1,
+        ..Plan::default()
+    });
     fleet.joined();
-    let clients = Clients::start(&fleet, &[0, 1, 2], 2, &["t0", "t1"], Duration::from_millis(2));
+    let clients = Clients::start(
+        &fleet,
+        &[0, 1, 2],
+        2,
+        &["t0", "t1"],
+        Duration::from_millis(2),
+    );
     clients.more(500);
-    show(&fleet, &clients, "three dispatchers, each with its worker", begun);
+    show(
+        &fleet,
+        &clients,
+        "three dispatchers, each with its worker",
+        begun,
+    );
     fleet.part(&[2]);
     clients.more(500);
-    show(&fleet, &clients, "m2 hears nobody: its answers wait for a copy, until their time is up", begun);
+    show(
+        &fleet,
+        &clients,
+        "m2 hears nobody: its answers wait for a copy, until their time is up",
+        begun,
+    );
     fleet.heal();
     clients.more(500);
     show(&fleet, &clients, "healed", begun);
@@ -56,12 +79,21 @@
     fleet.begin(1);
     fleet.joined();
     clients.more(500);
-    show(&fleet, &clients, "m1 was killed and has begun again, from nothing", begun);
+    show(
+        &fleet,
+        &clients,
+        "m1 was killed and has begun again, from nothing",
+        begun,
+    );
     let got = clients.end();
     let tally = fleet.one_tally();
     let of = |unit| sum(&tally, unit, None);
     let (counted, doubtful) = (of("served") - of("unwritten"), of("doubtful"));
-    println!("{:>5.1} s  one tally at all members: {}", begun.elapsed().as_secs_f64(), tally["digest"]);
+    println!(
+        "{:>5.1} s  one tally at all members: {}",
+        begun.elapsed().as_secs_f64(),
+        tally["digest"]
+    );
     println!(
         "         {} receipts; {counted} counted, {doubtful} of them in doubt, {} unsure",
         got.all(),
--- a/src/balance/admission.rs
+++ b/src/balance/admission.rs
@@ -22,15 +22,30 @@
         }
         let over_share = self.beyond_share(now, request.tenant);
         let open = self.open[class];
-        let homes = request.key.map_or_else(Vec::new, |k| self.pools.homes(&self.workers, open, k, HOMES));
-        let job = Job { request, class, homes, open, arrived: now, over_share, ..Job::default() };
+        let homes = request.key.map_or_else(Vec::new, |k| {
+            self.pools.homes(&self.workers, open, k, HOMES)
+        });
+        let job = Job {
+            request,
+            class,
+            homes,
+            open,
+            arrived: now,
+            over_share,
+            ..Job::default()
+        };
         // The timer comes up to a tick late; the slack must bear that.
         let early = (2 * self.set.tick_us).saturating_sub(self.set.answer_slack_us);
         out.push(job.timer(job.request.expires_in_us.saturating_sub(early), 0));
         if self.set.reports_on_probe {
             // Nothing is told unasked: a few are asked first, and the lowest ranked of them remembered.
-            let asked = self.pools.of(Pool::All(open)).choose_multiple(&mut self.rng, MEMORY);
-            out.extend(asked.map(|&w| Action::Probe { worker: WorkerId(w) }));
+            let asked = self
+                .pools
+                .of(Pool::All(open))
+                .choose_multiple(&mut self.rng, MEMORY);
+            out.extend(asked.map(|&w| Action::Probe {
+                worker: WorkerId(w),
+            }));
             out.push(job.timer(self.set.shortest_aim() / ASK_PART, 1));
         }
         let beyond_quota = job.request.quota_free.is_some_and(|free| free <= 0.0);
@@ -47,11 +62,22 @@
     pub(super) fn beyond_share(&mut self, now: Micros, tenant: Option<TenantId>) -> bool {
         self.rates.age(now);
         let seen = tenant.and_then(|t| self.rates.tenants.get_mut(t.0 as usize));
-        let Some((own, TenantId(t))) = seen.zip(tenant) else { return false };
+        let Some((own, TenantId(t))) = seen.zip(tenant) else {
+            return false;
+        };
         *own += 1.0;
         let quota = |t: usize| self.set.tenants[t].quota_rps.max(1e-9);
-        let mut used: Vec<f64> = self.rates.tenants.iter().enumerate().map(|(t, n)| n / quota(t)).collect();
-        let (own, chance) = (used[t as usize], 2.0 * (used[t as usize] / quota(t as usize)).sqrt());
+        let mut used: Vec<f64> = self
+            .rates
+            .tenants
+            .iter()
+            .enumerate()
+            .map(|(t, n)| n / quota(t))
+            .collect();
+        let (own, chance) = (
+            used[t as usize],
+            2.0 * (used[t as usize] / quota(t as usize)).sqrt(),
+        );
         used.sort_by(f64::total_cmp);
         let most = used[(used.len() - 1) / 2] * OVER_SHARE;
         own - chance > most && self.rng.random::<f64>() * own > most
@@ -71,10 +97,15 @@
 
     /// The one place that answers: refused where that is harmless by the rules, else failed.
     pub(super) fn answer(&mut self, id: JobId, out: &mut Vec<Action>) {
-        let Some(job) = self.jobs.get(&id).filter(|j| j.owed()) else { return };
+        let Some(job) = self.jobs.get(&id).filter(|j| j.owed()) else {
+            return;
+        };
         let hold_off_us = self.set.shortest_aim().min(self.set.max_retry_after_us);
         out.push(if self.harmless(job) {
-            Action::Refuse { job: id, hold_off_us }
+            Action::Refuse {
+                job: id,
+                hold_off_us,
+            }
         } else {
             Action::Fail { job: id }
         });
@@ -84,7 +115,14 @@
     /// Whether the rules bear a refusal, after which the client may ask again.
     pub(super) fn harmless(&self, job: &Job) -> bool {
         match (self.set.classes[job.class].repeat, self.bound(job)) {
-            (Repeat::Free, _) | (_, None) | (Repeat::Keyed { scope: Scope::All, .. }, _) => true,
+            (Repeat::Free, _)
+            | (_, None)
+            | (
+                Repeat::Keyed {
+                    scope: Scope::All, ..
+                },
+                _,
+            ) => true,
             (Repeat::Keyed { .. } | Repeat::Once, Some(_)) => false,
         }
     }
@@ -92,7 +130,9 @@
     /// The request is over: nothing more is sent for it, and what is out is called back. It stays known until
     /// each of its attempts has ended, for the counts.
     pub(super) fn ended(&mut self, id: JobId, out: &mut Vec<Action>) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
         job.answered = true;
         cancel(&self.set, job, |_| true, out);
         if !job.is_out() {
--- a/src/balance/learning.rs
+++ b/src/balance/learning.rs
@@ -11,8 +11,12 @@
 
 impl Balancer {
     pub(super) fn started(&mut self, now: Micros, id: JobId, attempt: u32) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
-        let Some(a) = job.attempts.get_mut(attempt as usize).filter(|a| a.waits()) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
+        let Some(a) = job.attempts.get_mut(attempt as usize).filter(|a| a.waits()) else {
+            return;
+        };
         a.started = Some(now);
         let (worker, wait_us) = (a.worker, now.saturating_sub(a.sent) as f64);
         // The shortest usual delay: falls at once, rises slowly.
@@ -32,19 +36,34 @@
     /// workers have room to spare those that run may go on, and the first finish wins (Theorem 1).
     pub(super) fn settled(&mut self, now: Micros, out: &mut Vec<Action>) {
         for id in take(&mut self.just_started) {
-            let Some(job) = self.jobs.get(&id).filter(|j| !j.answered && !j.streaming) else { continue };
+            let Some(job) = self.jobs.get(&id).filter(|j| !j.answered && !j.streaming) else {
+                continue;
+            };
             let runs = |a: &Attempt| a.started.is_some() && a.end.is_none() && !a.cancelled;
-            let roomy = |a: &Attempt| runs(a) && self.load_of(now, &self.workers[a.worker as usize]) < 0.5;
+            let roomy =
+                |a: &Attempt| runs(a) && self.load_of(now, &self.workers[a.worker as usize]) < 0.5;
             let roomy: Vec<bool> = job.attempts.iter().map(roomy).collect();
             let begun = (0..roomy.len()).filter(|&i| runs(&job.attempts[i]));
-            let Some(keep) = begun.choose(&mut self.rng) else { continue };
-            self.jobs.entry(id).and_modify(|j| cancel(&self.set, j, |i| i != keep && !roomy[i], out));
+            let Some(keep) = begun.choose(&mut self.rng) else {
+                continue;
+            };
+            self.jobs
+                .entry(id)
+                .and_modify(|j| cancel(&self.set, j, |i| i != keep && !roomy[i], out));
         }
     }
 
     pub(super) fn outcome(&mut self, now: Micros, o: Outcome, out: &mut Vec<Action>) {
-        let Some(job) = self.jobs.get_mut(&o.job) else { return };
-        let Some(a) = job.attempts.get_mut(o.attempt as usize).filter(|a| a.end.is_none()) else { return };
+        let Some(job) = self.jobs.get_mut(&o.job) else {
+            return;
+        };
+        let Some(a) = job
+            .attempts
+            .get_mut(o.attempt as usize)
+            .filter(|a| a.end.is_none())
+        else {
+            return;
+        };
         a.end = Some(o.code);
         let (worker, clear, ran) = (a.worker, a.clear, a.started.is_some());
         let (began, class, hint) = (a.started.unwrap_or(a.sent), job.class, job.request.hint_us);
@@ -78,7 +97,9 @@
             Code::Revoked if ran || !self.set.tells_start => self.burned.add(1.0),
             _ => {}
         }
-        let Some(job) = self.jobs.get(&o.job) else { return };
+        let Some(job) = self.jobs.get(&o.job) else {
+            return;
+        };
         if o.complete || job.answered {
             self.ended(o.job, out);
         } else if !job.is_out() {
@@ -92,18 +113,26 @@
 
     pub(super) fn note_run(&mut self, worker: u32, class: usize, hint: Option<Micros>, run: f64) {
         let (mean, log) = &mut self.run[class];
-        let usual = hint.map_or(if log.n > 0.0 { log.mean } else { run.ln() }, |h| (h.max(1) as f64).ln());
+        let usual = hint.map_or(if log.n > 0.0 { log.mean } else { run.ln() }, |h| {
+            (h.max(1) as f64).ln()
+        });
         mean.add(run);
         log.add(run.ln());
         let w = &mut self.workers[worker as usize];
         let kind = self.kinds.entry(w.entry.kind).or_default();
-        [&mut w.slow, &mut kind.slow].into_iter().for_each(|slow| slow.add(run.ln() - usual));
+        [&mut w.slow, &mut kind.slow]
+            .into_iter()
+            .for_each(|slow| slow.add(run.ln() - usual));
     }
 
     pub(super) fn note_report(&mut self, now: Micros, worker: u32, report: Option<Report>) {
-        let Some((r, w)) = report.zip(self.workers.get(worker as usize)) else { return };
+        let Some((r, w)) = report.zip(self.workers.get(worker as usize)) else {
+            return;
+        };
         let kind = self.kinds.entry(w.entry.kind).or_default();
-        r.free_slots.into_iter().for_each(|free| kind.note_slots(free, r.active, r.waiting));
+        r.free_slots
+            .into_iter()
+            .for_each(|free| kind.note_slots(free, r.active, r.waiting));
         let load = match (r.free_slots, r.waiting, r.active, r.busy) {
             (Some(free), _, _, _) if free >= 0.5 => 1.0 / (1.0 + free),
             (_, Some(waiting), _, _) => 1.0 + waiting,
@@ -120,7 +149,11 @@
 
     pub(super) fn note_load(&mut self, now: Micros, worker: u32, load: f64) {
         let w = &mut self.workers[worker as usize];
-        let load = if load > 0.0 { load.min(CHARGE_MOST) } else { 0.0 }; // a NaN counts as none
+        let load = if load > 0.0 {
+            load.min(CHARGE_MOST)
+        } else {
+            0.0
+        }; // a NaN counts as none
         w.seen = Some((now, load));
         self.kinds.entry(w.entry.kind).or_default().load.add(load);
     }
@@ -130,12 +163,16 @@
         let charge = self.charge_of(now, &self.workers[worker as usize], class) * keep + jobs;
         self.workers[worker as usize].charges[class] = Some((now, charge.min(CHARGE_MOST)));
         let (all, best) = (class == self.best.len(), self.best.iter_mut().enumerate());
-        best.for_each(|(c, best)| best.retain(|&b| b != worker || jobs == 0.0 || !(all || c == class)));
+        best.for_each(|(c, best)| {
+            best.retain(|&b| b != worker || jobs == 0.0 || !(all || c == class))
+        });
     }
 
     /// A worker that serves a class, or is at work on it: less speaks against it, for that class and for all.
     pub(super) fn clear(&mut self, now: Micros, worker: u32, class: usize) {
-        [class, self.best.len()].into_iter().for_each(|c| self.charge(now, worker, c, 0.5, 0.0));
+        [class, self.best.len()]
+            .into_iter()
+            .for_each(|c| self.charge(now, worker, c, 0.5, 0.0));
     }
 
     /// Remembers a worker that has served or answered; of more than fit, the highest ranked is forgotten.
--- a/src/balance/mod.rs
+++ b/src/balance/mod.rs
@@ -57,11 +57,20 @@
             workers: Vec::new(),
             pools: Pools::default(),
             best: vec![Vec::new(); set.classes.len()],
-            open: set.classes.iter().enumerate().map(|(i, c)| usize::from(c.is_bound()) * (i + 1)).collect(),
+            open: set
+                .classes
+                .iter()
+                .enumerate()
+                .map(|(i, c)| usize::from(c.is_bound()) * (i + 1))
+                .collect(),
             fails: vec![Mean::default(); set.classes.len()],
             jobs: BTreeMap::new(),
             just_started: Vec::new(),
-            run: set.classes.iter().map(|c| (Mean::guess(c.aim_us), Mean::default())).collect(),
+            run: set
+                .classes
+                .iter()
+                .map(|c| (Mean::guess(c.aim_us), Mean::default()))
+                .collect(),
             kinds: BTreeMap::new(),
             work: Mean::guess(set.shortest_aim()),
             prompt_us: 10.0 * set.tick_us as f64,
@@ -79,9 +88,13 @@
             self.fails.push(Mean::default());
             self.run.push((Mean::guess(c.aim_us), Mean::default()));
         }
-        self.workers.iter_mut().for_each(|w| w.charges.resize(self.best.len() + 1, None));
+        self.workers
+            .iter_mut()
+            .for_each(|w| w.charges.resize(self.best.len() + 1, None));
         self.set = set;
-        self.pools.fill(&self.workers, &self.open, |open, e| open_to(&self.set, open, e));
+        self.pools.fill(&self.workers, &self.open, |open, e| {
+            open_to(&self.set, open, e)
+        });
     }
 
     /// Takes one event and adds what is to be done about it to `out`.
@@ -94,13 +107,17 @@
             // A worker that tells progress is not silent.
             Event::Progress { job, attempt, .. } => {
                 let job = self.jobs.get(&job);
-                let at = job.and_then(|j| Some((j.attempts.get(attempt as usize)?.worker, j.class)));
-                at.into_iter().for_each(|(w, class)| self.clear(now, w, class));
+                let at =
+                    job.and_then(|j| Some((j.attempts.get(attempt as usize)?.worker, j.class)));
+                at.into_iter()
+                    .for_each(|(w, class)| self.clear(now, w, class));
+            }
+            Event::StreamBegan { job, attempt } => {
+                self.jobs.get_mut(&job).into_iter().for_each(|job| {
+                    job.streaming = true;
+                    cancel(&self.set, job, |i| i != attempt as usize, out);
+                })
             }
-            Event::StreamBegan { job, attempt } => self.jobs.get_mut(&job).into_iter().for_each(|job| {
-                job.streaming = true;
-                cancel(&self.set, job, |i| i != attempt as usize, out);
-            }),
             Event::Outcome(outcome) => self.outcome(now, outcome, out),
             Event::ClientGone { job } => self.ended(job, out),
             Event::Timer { token: LIST } => out.push(Action::Subscribe),
@@ -112,12 +129,20 @@
         }
     }
 
-    pub(super) fn list(&mut self, now: Micros, complete: bool, entries: Vec<Entry>, out: &mut Vec<Action>) {
+    pub(super) fn list(
+        &mut self,
+        now: Micros,
+        complete: bool,
+        entries: Vec<Entry>,
+        out: &mut Vec<Action>,
+    ) {
         if self.workers.is_empty() && self.set.list_must_be_asked {
             self.ask_within(8, out); // a whole tier may have started just now
         }
         if complete {
-            self.workers.iter_mut().for_each(|w| w.entry.stage = Stage::Gone);
+            self.workers
+                .iter_mut()
+                .for_each(|w| w.entry.stage = Stage::Gone);
         }
         for e in entries {
             let id = e.worker.0 as usize;
@@ -126,31 +151,60 @@
             }
             if id == self.workers.len() || self.workers[id].entry.since != e.since {
                 // A new process: what an old one held or did wrong is void.
-                let (life, slow) = self.workers.get(id).map(|w| (w.life + 1, w.slow)).unwrap_or_default();
-                let ramp = Ramp::begin(now, self.present_share(now, &e), self.rng.random(), self.work.mean);
+                let (life, slow) = self
+                    .workers
+                    .get(id)
+                    .map(|w| (w.life + 1, w.slow))
+                    .unwrap_or_default();
+                let ramp = Ramp::begin(
+                    now,
+                    self.present_share(now, &e),
+                    self.rng.random(),
+                    self.work.mean,
+                );
                 let charges = vec![None; self.best.len() + 1];
-                let new = Worker { life, slow, ramp, charges, ..Worker::default() };
-                self.workers.splice(id..self.workers.len().min(id + 1), [new]);
+                let new = Worker {
+                    life,
+                    slow,
+                    ramp,
+                    charges,
+                    ..Worker::default()
+                };
+                self.workers
+                    .splice(id..self.workers.len().min(id + 1), [new]);
             }
             self.workers[id].entry = e;
         }
-        self.pools.fill(&self.workers, &self.open, |open, e| open_to(&self.set, open, e));
+        self.pools.fill(&self.workers, &self.open, |open, e| {
+            open_to(&self.set, open, e)
+        });
     }
 
     /// Asks for the list within this part of the time allowed, at random: hundreds may want it at once.
     pub(super) fn ask_within(&mut self, part: Micros, out: &mut Vec<Action>) {
         let within = self.set.ask_within_us / part;
         let wait_us = self.rng.random_range(within / 8..=within);
-        out.push(Action::Schedule { wait_us, token: LIST });
+        out.push(Action::Schedule {
+            wait_us,
+            token: LIST,
+        });
     }
 }
 
 /// Placement: whether the worker is among the permitted destinations, whatever state they are in.
 fn open_to(set: &Settings, opening: usize, e: &Entry) -> bool {
-    let Some(class) = opening.checked_sub(1).map(|c| &set.classes[c]) else { return true };
+    let Some(class) = opening.checked_sub(1).map(|c| &set.classes[c]) else {
+        return true;
+    };
     class.kind.is_none_or(|k| k == e.kind)
-        && class.kinds.as_ref().is_none_or(|kinds| kinds.contains(&e.kind))
-        && class.zones.as_ref().is_none_or(|zones| zones.contains(&e.zone))
+        && class
+            .kinds
+            .as_ref()
+            .is_none_or(|kinds| kinds.contains(&e.kind))
+        && class
+            .zones
+            .as_ref()
+            .is_none_or(|zones| zones.contains(&e.zone))
 }
 
 /// Early cancel of the attempts named that are still out.
@@ -158,7 +212,10 @@
     for (i, a) in job.attempts.iter_mut().enumerate() {
         if set.cancel && a.end.is_none() && !a.cancelled && which(i) {
             a.cancelled = true;
-            out.push(Action::Cancel { job: job.request.job, attempt: i as u32 });
+            out.push(Action::Cancel {
+                job: job.request.job,
+                attempt: i as u32,
+            });
         }
     }
 }
--- a/src/balance/ramp.rs
+++ b/src/balance/ramp.rs
@@ -23,7 +23,12 @@
     pub fn of(set: &Settings, capacity: f64, share: f64, usual: f64, call: f64) -> Part {
         let bears = set.tip_multiple * LARGER / (TAKE_UP + ROOM + TAKE_UP * KEPT);
         let even = capacity / f64::from(set.dispatchers.max(1)) * TAKE_UP * bears;
-        Part(share, even.max(usual * ROOM * bears), even * share * KEPT * set.fall_us as f64, call.max(1.0))
+        Part(
+            share,
+            even.max(usual * ROOM * bears),
+            even * share * KEPT * set.fall_us as f64,
+            call.max(1.0),
+        )
     }
 }
 
--- a/src/balance/ranking.rs
+++ b/src/balance/ranking.rs
@@ -19,8 +19,13 @@
     /// Own jobs at the worker; in jobs too, its charges and, to break ties, others' load, slowness, distance.
     pub(super) fn rank(&self, now: Micros, id: u32, class: usize) -> f64 {
         let w = &self.workers[id as usize];
-        let crossing = if w.entry.zone == self.set.my_zone { 0.0 } else { CROSSING };
-        let connecting = f64::from(w.out >= w.carries(now, &self.set)) * WORTH * self.set.connection_cost;
+        let crossing = if w.entry.zone == self.set.my_zone {
+            0.0
+        } else {
+            CROSSING
+        };
+        let connecting =
+            f64::from(w.out >= w.carries(now, &self.set)) * WORTH * self.set.connection_cost;
         let others = (self.load_of(now, w) + 0.5) * self.slowness(w);
         w.out as f64
             + self.charge_of(now, w, class)
@@ -33,13 +38,23 @@
     /// What speaks against a worker for a class: what was seen fades to what is usual for the class.
     pub(super) fn charge_of(&self, now: Micros, w: &Worker, class: usize) -> f64 {
         let usual = self.fails.get(class).map_or(0.0, |f| f.mean * CHARGE);
-        fading(w.charges[class], usual, now, self.set.warm_after_us.max(1_000_000) as f64 / LN_2)
+        fading(
+            w.charges[class],
+            usual,
+            now,
+            self.set.warm_after_us.max(1_000_000) as f64 / LN_2,
+        )
     }
 
     /// Load by others: what was seen fades to the usual of its kind; one for all would jam fast ones unseen.
     pub(super) fn load_of(&self, now: Micros, w: &Worker) -> f64 {
         let usual = self.kinds.get(&w.entry.kind).map_or(0.0, |k| k.load.mean);
-        fading(w.seen, (1.0 + usual) * self.held(w) - 1.0, now, 2.0 * self.work.mean)
+        fading(
+            w.seen,
+            (1.0 + usual) * self.held(w) - 1.0,
+            now,
+            2.0 * self.work.mean,
+        )
     }
 
     /// Where only those asked tell their load, a live weight tells it of all: size over one and jobs held.
@@ -54,8 +69,14 @@
 
     /// Running time here over the usual: of the worker, while little is known of its kind, then as listed.
     pub(super) fn slowness(&self, w: &Worker) -> f64 {
-        let listed = -(self.pools.size(w) * self.held(w)).max(1e-9).ln().clamp(-1.0, 1.0);
-        let kind = self.kinds.get(&w.entry.kind).map_or(listed, |k| k.slow.or(listed));
+        let listed = -(self.pools.size(w) * self.held(w))
+            .max(1e-9)
+            .ln()
+            .clamp(-1.0, 1.0);
+        let kind = self
+            .kinds
+            .get(&w.entry.kind)
+            .map_or(listed, |k| k.slow.or(listed));
         w.slow.or(kind).exp()
     }
 
@@ -65,22 +86,51 @@
 
     /// Eligible workers for the next attempt of a job, lowest rank first: a sample and the best remembered.
     pub(super) fn ranked(&mut self, now: Micros, id: JobId) -> Vec<u32> {
-        let Some(job) = self.jobs.get(&id) else { return Vec::new() };
-        let first = self.bound(job).map(|a| &self.workers[a.worker as usize].entry);
+        let Some(job) = self.jobs.get(&id) else {
+            return Vec::new();
+        };
+        let first = self
+            .bound(job)
+            .map(|a| &self.workers[a.worker as usize].entry);
         let pool = match (self.set.classes[job.class].repeat, first) {
-            (Repeat::Keyed { scope: Scope::Cell, .. }, Some(e)) => Pool::Cell(job.open, e.cell),
-            (Repeat::Keyed { scope: Scope::Zone, .. }, Some(e)) => Pool::Zone(job.open, e.zone),
+            (
+                Repeat::Keyed {
+                    scope: Scope::Cell, ..
+                },
+                Some(e),
+            ) => Pool::Cell(job.open, e.cell),
+            (
+                Repeat::Keyed {
+                    scope: Scope::Zone, ..
+                },
+                Some(e),
+            ) => Pool::Zone(job.open, e.zone),
             _ => Pool::All(job.open),
         };
         let (all, best) = (self.pools.of(pool), &self.best[job.class]);
         let own_zone = Pool::Zone(job.open, self.set.my_zone);
-        let near = self.pools.of(if matches!(pool, Pool::All(_)) { own_zone } else { pool });
+        let near = self.pools.of(if matches!(pool, Pool::All(_)) {
+            own_zone
+        } else {
+            pool
+        });
         // Away from its homes a subject's data must be fetched; of workers not asked no load is known.
-        let known = if job.homes.is_empty() && self.set.reports_on_probe { best } else { &job.homes };
-        let mut picks: Vec<u32> = known.iter().copied().filter(|&w| self.eligible(now, job, w)).collect();
+        let known = if job.homes.is_empty() && self.set.reports_on_probe {
+            best
+        } else {
+            &job.homes
+        };
+        let mut picks: Vec<u32> = known
+            .iter()
+            .copied()
+            .filter(|&w| self.eligible(now, job, w))
+            .collect();
         if picks.is_empty() {
             let cold = |w: &u32| self.present_share(now, &self.workers[*w as usize].entry) < 1.0;
-            let cold = all.iter().copied().filter(|w| cold(w) && self.eligible(now, job, *w));
+            let cold = all
+                .iter()
+                .copied()
+                .filter(|w| cold(w) && self.eligible(now, job, *w));
             picks = cold.collect(); // those with credit are few, and stand idle
             picks.extend(all.choose_multiple(&mut self.rng, SAMPLE));
             picks.extend(near.choose_multiple(&mut self.rng, SAMPLE));
@@ -90,7 +140,12 @@
             picks.dedup();
         }
         if picks.is_empty() {
-            picks = all.iter().copied().filter(|&w| self.eligible(now, job, w)).take(SAMPLE).collect();
+            picks = all
+                .iter()
+                .copied()
+                .filter(|&w| self.eligible(now, job, w))
+                .take(SAMPLE)
+                .collect();
         }
         picks.shuffle(&mut self.rng); // ties go at random
         self.sort(now, job.class, &mut picks);
@@ -102,9 +157,14 @@
         let w = &self.workers[id as usize];
         w.entry.stage == Stage::Ready
             && open_to(&self.set, job.open, &w.entry)
-            && !job.attempts.iter().any(|a| a.worker == id && a.life == w.life)
+            && !job
+                .attempts
+                .iter()
+                .any(|a| a.worker == id && a.life == w.life)
             && (self.set.may_duplicate || !job.is_out())
-            && self.bound(job).is_none_or(|a| self.bears(now, job, a, &w.entry))
+            && self
+                .bound(job)
+                .is_none_or(|a| self.bears(now, job, a, &w.entry))
             && self.cold_room(now, job, w)
     }
 
@@ -136,12 +196,24 @@
     /// Whether an attempt that was decided on may still begin. Asked when its connection is there, which may
     /// be late: by then the job may be answered, the worker leaving or another life, and a window over.
     pub fn may_begin(&self, now: Micros, job: JobId, attempt: u32) -> bool {
-        let found = self.jobs.get(&job).and_then(|j| Some((j, j.attempts.get(attempt as usize)?)));
-        let open = |(j, a): &(&Job, &Attempt)| !j.answered && !j.time_is_up(now) && a.waits() && !a.cancelled;
-        let Some((job, a)) = found.filter(open) else { return false };
+        let found = self
+            .jobs
+            .get(&job)
+            .and_then(|j| Some((j, j.attempts.get(attempt as usize)?)));
+        let open = |(j, a): &(&Job, &Attempt)| {
+            !j.answered && !j.time_is_up(now) && a.waits() && !a.cancelled
+        };
+        let Some((job, a)) = found.filter(open) else {
+            return false;
+        };
         let w = &self.workers[a.worker as usize];
-        let mut others = job.attempts.iter().filter(|b| !std::ptr::eq(*b, a) && !self.never_ran(b));
-        w.entry.stage == Stage::Ready && w.life == a.life && others.all(|b| self.bears(now, job, b, &w.entry))
+        let mut others = job
+            .attempts
+            .iter()
+            .filter(|b| !std::ptr::eq(*b, a) && !self.never_ran(b));
+        w.entry.stage == Stage::Ready
+            && w.life == a.life
+            && others.all(|b| self.bears(now, job, b, &w.entry))
     }
 
     /// Guards a cold worker: nothing that could be too heavy for it alone, and no more than its present share
@@ -150,7 +222,8 @@
         let share = self.present_share(now, &w.entry);
         let bearable = share * self.set.tip_multiple * self.set.fall_us as f64;
         share >= 1.0
-            || (self.work_of(job) * HEAVY <= bearable && w.ramp.left(now, self.part_of(now, w)) >= 0.0)
+            || (self.work_of(job) * HEAVY <= bearable
+                && w.ramp.left(now, self.part_of(now, w)) >= 0.0)
     }
 
     pub(super) fn present_share(&self, now: Micros, e: &Entry) -> f64 {
@@ -161,13 +234,26 @@
 
     /// This dispatcher's part of a cold worker.
     pub(super) fn part_of(&self, now: Micros, w: &Worker) -> Part {
-        let size = if self.set.weights == Weights::Size { self.pools.size(w) } else { 1.0 };
+        let size = if self.set.weights == Weights::Size {
+            self.pools.size(w)
+        } else {
+            1.0
+        };
         let usual = self.rates.work / RATE_US / self.pools.of(Pool::All(0)).len() as f64 * size;
-        Part::of(&self.set, self.slots(w), self.present_share(now, &w.entry), usual, self.work.mean)
+        Part::of(
+            &self.set,
+            self.slots(w),
+            self.present_share(now, &w.entry),
+            usual,
+            self.work.mean,
+        )
     }
 
     /// Work expected of a job: its hint, or the usual of its class; at first the aim, which is of that order.
     pub(super) fn work_of(&self, job: &Job) -> f64 {
-        job.request.hint_us.map_or(self.run[job.class].0.mean, |h| h as f64).max(1.0)
+        job.request
+            .hint_us
+            .map_or(self.run[job.class].0.mean, |h| h as f64)
+            .max(1.0)
     }
 }
--- a/src/billing.rs
+++ b/src/billing.rs
@@ -37,11 +37,17 @@
 
 /// Unix time by the system's clock, in microseconds. Entries are booked by it, and it may step.
 pub(crate) fn wall() -> Micros {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_micros() as Micros)
 }
 
 /// Has all final answers booked from now on.
-pub(crate) fn attach(hub: &Rc<Hub>, config: LedgerConfig, name: &str) -> Result<Rc<Billing>, String> {
+pub(crate) fn attach(
+    hub: &Rc<Hub>,
+    config: LedgerConfig,
+    name: &str,
+) -> Result<Rc<Billing>, String> {
     let instance = config.instance.clone().unwrap_or_else(|| name.to_string());
     crate::config::operators::check_instance(&instance)?;
     let key = config.key(true)?;
@@ -52,21 +58,36 @@
         key,
         most_bytes: (config.max_mb > 0).then_some(config.max_mb << 20),
     };
-    let duties = Duties { lateness_us: config.lateness_s * 1_000_000, doubts: config.doubts.rule() };
+    let duties = Duties {
+        lateness_us: config.lateness_s * 1_000_000,
+        doubts: config.doubts.rule(),
+    };
     let (tell, told) = async_channel::unbounded();
     let writer = Writer::start(options, duties, wall, move |t| drop(tell.try_send(t)));
     let writer = writer.map_err(|e| format!("[ledger]: no thread for it: {e}"))?;
     let billing = Rc::new(Billing {
-        gate: RefCell::new(Gate::new(config.on_failure, config.hold_ms * 1_000, MOST_WAITING)),
+        gate: RefCell::new(Gate::new(
+            config.on_failure,
+            config.hold_ms * 1_000,
+            MOST_WAITING,
+        )),
         writer: RefCell::new(Some(writer)),
         key,
-        classes: RefCell::new(hub.classes.borrow().iter().map(|c| Arc::from(c.name.as_str())).collect()),
+        classes: RefCell::new(
+            hub.classes
+                .borrow()
+                .iter()
+                .map(|c| Arc::from(c.name.as_str()))
+                .collect(),
+        ),
         hub: Rc::downgrade(hub),
         number: std::cell::Cell::new(0),
         nobody: Arc::from(NOBODY),
         log: hub.log.clone(),
     });
-    billing.number.set(hub.with(|core, _| core.attach_bookkeeper(billing.clone())));
+    billing
+        .number
+        .set(hub.with(|core, _| core.attach_bookkeeper(billing.clone())));
     let (heard, all) = (hub.clone(), billing.clone());
     hub.spawn(async move {
         while let Ok(told) = told.recv().await {
@@ -110,7 +131,10 @@
     }
 
     fn note(&self, note: Note) {
-        self.writer.borrow().iter().for_each(|w| w.note(note.clone()));
+        self.writer
+            .borrow()
+            .iter()
+            .for_each(|w| w.note(note.clone()));
     }
 }
 
@@ -122,7 +146,10 @@
             let known = classes.len().min(infos.len());
             classes.extend(infos[known..].iter().map(|c| Arc::from(c.name.as_str())));
         }
-        classes.get(number).cloned().unwrap_or_else(|| Arc::from("?"))
+        classes
+            .get(number)
+            .cloned()
+            .unwrap_or_else(|| Arc::from("?"))
     }
 }
 
@@ -165,6 +192,10 @@
     }
 
     fn written(&self, number: u64, whole: bool) {
-        self.note(if whole { Note::Written(number) } else { Note::Broke(number) });
+        self.note(if whole {
+            Note::Written(number)
+        } else {
+            Note::Broke(number)
+        });
     }
 }
--- a/src/closing.rs
+++ b/src/closing.rs
@@ -37,7 +37,9 @@
 impl Closing {
     /// In order: the other side has time to read what was written last, and to end too.
     pub fn in_order() -> Closing {
-        Closing::Telling { linger_us: LINGER_US }
+        Closing::Telling {
+            linger_us: LINGER_US,
+        }
     }
 
     /// Of a connection that rests, or gives an attempt up: there is nothing that the other side has yet to read.
@@ -53,9 +55,10 @@
     /// The end is told.
     pub fn told(self, now: Micros) -> Closing {
         match self {
-            Closing::Telling { linger_us } => {
-                Closing::Draining { until: now.saturating_add(linger_us), left: MOST }
-            }
+            Closing::Telling { linger_us } => Closing::Draining {
+                until: now.saturating_add(linger_us),
+                left: MOST,
+            },
             other => other,
         }
     }
@@ -63,9 +66,10 @@
     /// So much was read: nothing means that the other side has ended.
     pub fn read(self, bytes: usize) -> Closing {
         match self {
-            Closing::Draining { until, left } if bytes > 0 && bytes < left => {
-                Closing::Draining { until, left: left - bytes }
-            }
+            Closing::Draining { until, left } if bytes > 0 && bytes < left => Closing::Draining {
+                until,
+                left: left - bytes,
+            },
             Closing::Telling { .. } => unreachable!("nothing is read before the end is told"),
             _ => Closing::Closed,
         }
--- a/src/command/ledger.rs
+++ b/src/command/ledger.rs
@@ -147,17 +147,32 @@
 
 impl Place {
     fn operators(&self) -> Result<Option<Operators>, Failure> {
-        Ok(self.config.as_deref().map(|f| Operators::load(f, &Known::default())).transpose()?)
+        Ok(self
+            .config
+            .as_deref()
+            .map(|f| Operators::load(f, &Known::default()))
+            .transpose()?)
     }
 
     /// The store, and how long after its end a period may be closed.
     fn open(&self) -> Result<(Store, u64), Failure> {
         if let Some(operators) = self.operators()? {
-            let config = operators.ledger.ok_or("the operators' file has no table [ledger]")?;
-            return Ok((Store::command(&config.dir, config.key(false)?)?, config.lateness_s * 1_000_000));
+            let config = operators
+                .ledger
+                .ok_or("the operators' file has no table [ledger]")?;
+            return Ok((
+                Store::command(&config.dir, config.key(false)?)?,
+                config.lateness_s * 1_000_000,
+            ));
         }
-        let dir = self.dir.as_ref().ok_or("which ledger? --config FILE or --dir DIR")?;
-        let key_file = self.key_file.clone().unwrap_or_else(|| dir.join("ledger.key"));
+        let dir = self
+            .dir
+            .as_ref()
+            .ok_or("which ledger? --config FILE or --dir DIR")?;
+        let key_file = self
+            .key_file
+            .clone()
+            .unwrap_or_else(|| dir.join("ledger.key"));
         Ok((Store::command(dir, key::load(&key_file)?)?, 300_000_000))
     }
 
@@ -188,16 +203,39 @@
         let place = &self.place;
         match self.what {
             What::Show { period, tenant } => show(place, period, tenant),
-            What::Correct { of, tenant, class, operations, slot_us, by } => {
+            What::Correct {
+                of,
+                tenant,
+                class,
+                operations,
+                slot_us,
+                by,
+            } => {
                 let By { author, reason } = by;
                 let (time_us, about) = (wall(), About::Use);
                 correct(
                     place,
-                    Correction { time_us, of, about, tenant, class, operations, slot_us, author, reason },
+                    Correction {
+                        time_us,
+                        of,
+                        about,
+                        tenant,
+                        class,
+                        operations,
+                        slot_us,
+                        author,
+                        reason,
+                    },
                 )
             }
             What::Close { through } => close(place, through),
-            What::Doubts { settle, receipts, tenant, author, reason } => {
+            What::Doubts {
+                settle,
+                receipts,
+                tenant,
+                author,
+                reason,
+            } => {
                 let how = match (settle, receipts) {
                     (Some(how), _) => Some(Judge::Rule(how.into())),
                     (None, Some(file)) => Some(Judge::Receipts(file)),
@@ -221,19 +259,37 @@
 fn show(place: &Place, period: Option<Period>, tenant: Option<String>) -> Done {
     let (store, _) = place.open()?;
     let mut shown = Vec::new();
-    for p in store.periods()?.into_iter().filter(|p| period.is_none_or(|only| only == *p)) {
+    for p in store
+        .periods()?
+        .into_iter()
+        .filter(|p| period.is_none_or(|only| only == *p))
+    {
         let closed = store.seal_of(p)?.is_some();
         let mut all = lines(store.sums(p)?);
         all.retain(|l| tenant.as_ref().is_none_or(|t| *t == l.tenant));
-        shown.push(Shown { period: p, closed, lines: all });
+        shown.push(Shown {
+            period: p,
+            closed,
+            lines: all,
+        });
     }
     let rows = || {
         let row = |s: &Shown, l: &Line| {
             let state = if s.closed { "closed" } else { "open" };
-            [vec![s.period.to_string(), state.into(), l.tenant.clone(), l.class.clone()], use_cells(&l.sums)]
-                .concat()
+            [
+                vec![
+                    s.period.to_string(),
+                    state.into(),
+                    l.tenant.clone(),
+                    l.class.clone(),
+                ],
+                use_cells(&l.sums),
+            ]
+            .concat()
         };
-        let rows = shown.iter().flat_map(|s| s.lines.iter().map(move |l| row(s, l)));
+        let rows = shown
+            .iter()
+            .flat_map(|s| s.lines.iter().map(move |l| row(s, l)));
         let head = [&["period", "state", "tenant", "class"][..], &USE].concat();
         table(&head, rows)
     };
@@ -245,11 +301,17 @@
     correction.check()?;
     let (mut store, _) = place.open()?;
     if correction.of.span() != store.span() {
-        return Err(format!("--of: this ledger's periods are not of that length: {}", correction.of).into());
+        return Err(format!(
+            "--of: this ledger's periods are not of that length: {}",
+            correction.of
+        )
+        .into());
     }
     checked_key(&store)?;
     let no = store.correct(&correction)?;
-    place.say(&json!({"correction": no}), || format!("correction {no} is booked"));
+    place.say(&json!({"correction": no}), || {
+        format!("correction {no} is booked")
+    });
     Ok(())
 }
 
@@ -265,7 +327,9 @@
     let (mut store, lateness) = place.open()?;
     let closed = match through {
         Some(last) if last.span() != store.span() => {
-            return Err(format!("--through: this ledger's periods are not of that length: {last}").into())
+            return Err(
+                format!("--through: this ledger's periods are not of that length: {last}").into(),
+            )
         }
         Some(last) => store.close_through(last, wall())?,
         None => store.close_due(wall(), lateness)?,
@@ -278,7 +342,13 @@
     Ok(())
 }
 
-fn doubts(place: &Place, how: Option<Judge>, tenant: Option<String>, author: &str, reason: &str) -> Done {
+fn doubts(
+    place: &Place,
+    how: Option<Judge>,
+    tenant: Option<String>,
+    author: &str,
+    reason: &str,
+) -> Done {
     let (mut store, _) = place.open()?;
     let mut doubts = store.doubts()?;
     doubts.retain(|d| tenant.as_ref().is_none_or(|t| *t == d.tenant));
@@ -302,8 +372,12 @@
                     d.row.slot_us().to_string(),
                 ]
             });
-            place
-                .say(&listed, || table(&["period", "time", "operation", "tenant", "class", "slot-us"], rows));
+            place.say(&listed, || {
+                table(
+                    &["period", "time", "operation", "tenant", "class", "slot-us"],
+                    rows,
+                )
+            });
             return Ok(());
         }
         Some(_) if author.trim().is_empty() => return Err("--author: must not be empty".into()),
@@ -314,14 +388,17 @@
         Some(Judge::Receipts(file)) => {
             checked_key(&store)?;
             let found = receipts::found(&file, &doubts)?;
-            let how = |d: &streamusher_ledger::store::Doubt| match found.contains(&d.row.operation) {
+            let how = |d: &streamusher_ledger::store::Doubt| match found.contains(&d.row.operation)
+            {
                 true => Settle::Bill,
                 false => Settle::Waive,
             };
             receipts::settle(&mut store, &doubts, wall(), author, reason, how)?
         }
     };
-    place.say(&settled, || format!("billed {}, waived {}", settled.billed, settled.waived));
+    place.say(&settled, || {
+        format!("billed {}, waived {}", settled.billed, settled.waived)
+    });
     Ok(())
 }
 
@@ -354,10 +431,17 @@
         bar.inc(1);
     }
     bar.finish_and_clear();
-    let rows = manifests
-        .iter()
-        .map(|m| vec![m.period.to_string(), m.entries.to_string(), m.file.clone(), m.id.clone()]);
-    place.say(&manifests, || table(&["period", "entries", "file", "id"], rows));
+    let rows = manifests.iter().map(|m| {
+        vec![
+            m.period.to_string(),
+            m.entries.to_string(),
+            m.file.clone(),
+            m.id.clone(),
+        ]
+    });
+    place.say(&manifests, || {
+        table(&["period", "entries", "file", "id"], rows)
+    });
     Ok(())
 }
 
@@ -377,26 +461,57 @@
         bar.inc(1);
     })?;
     bar.finish_and_clear();
-    let now_called = |name: &str| tenants.as_ref().map_or(name.to_string(), |t| t.tenants.now_called(name));
+    let now_called = |name: &str| {
+        tenants
+            .as_ref()
+            .map_or(name.to_string(), |t| t.tenants.now_called(name))
+    };
     let bill = all.merged.bill(now_called)?;
     let bill: Vec<BillLine> = bill
         .into_iter()
-        .map(|((tenant, class, period), sums)| BillLine { tenant, class, period, sums })
+        .map(|((tenant, class, period), sums)| BillLine {
+            tenant,
+            class,
+            period,
+            sums,
+        })
         .collect();
     let said = json!({"exports": all.merged.len(), "entries": all.merged.entries(), "more_repeats": all.more_repeats,
         "findings": serde_json::to_value(&all.findings)?});
     if place.json {
         // Sums may be wider than JSON values of the library, so the lines are written as they are.
-        println!("{{\"bill\":{},\"report\":{said}}}", serde_json::to_string(&bill)?);
+        println!(
+            "{{\"bill\":{},\"report\":{said}}}",
+            serde_json::to_string(&bill)?
+        );
     } else {
         let row = |l: &BillLine| {
-            [vec![l.tenant.clone(), l.class.clone(), l.period.to_string()], use_cells(&l.sums)].concat()
+            [
+                vec![l.tenant.clone(), l.class.clone(), l.period.to_string()],
+                use_cells(&l.sums),
+            ]
+            .concat()
         };
-        println!("{}", table(&[&["tenant", "class", "period"][..], &USE].concat(), bill.iter().map(row)));
-        println!("{} exports, {} entries", all.merged.len(), all.merged.entries());
-        all.findings.iter().for_each(|f| println!("! {}", plain(&finding(f))));
+        println!(
+            "{}",
+            table(
+                &[&["tenant", "class", "period"][..], &USE].concat(),
+                bill.iter().map(row)
+            )
+        );
+        println!(
+            "{} exports, {} entries",
+            all.merged.len(),
+            all.merged.entries()
+        );
+        all.findings
+            .iter()
+            .for_each(|f| println!("! {}", plain(&finding(f))));
         if all.more_repeats > 0 {
-            println!("! {} more keys were answered by several instances", all.more_repeats);
+            println!(
+                "! {} more keys were answered by several instances",
+                all.more_repeats
+            );
         }
     }
     match all.findings.is_empty() {
--- a/src/command/report.rs
+++ b/src/command/report.rs
@@ -19,7 +19,9 @@
 
 /// The sums of a line, below those headings.
 pub(super) fn use_cells(u: &Use) -> Vec<String> {
-    let billed = u.billed_slot_us().map_or_else(|e| e.to_string(), |b| b.to_string());
+    let billed = u
+        .billed_slot_us()
+        .map_or_else(|e| e.to_string(), |b| b.to_string());
     vec![
         u.served.to_string(),
         u.slot_us.to_string(),
@@ -38,11 +40,25 @@
 pub(super) fn finding(f: &Finding) -> String {
     match f {
         Finding::Changed { why } => format!("not counted: {why}"),
-        Finding::Conflict { instance, period, ids } => {
-            format!("not counted: {instance} has {} different exports of {period}", ids.len())
+        Finding::Conflict {
+            instance,
+            period,
+            ids,
+        } => {
+            format!(
+                "not counted: {instance} has {} different exports of {period}",
+                ids.len()
+            )
         }
-        Finding::Missing { instance, before } => format!("{instance}: an export before {before} is missing"),
-        Finding::Gap { instance, epoch, first, last } => {
+        Finding::Missing { instance, before } => {
+            format!("{instance}: an export before {before} is missing")
+        }
+        Finding::Gap {
+            instance,
+            epoch,
+            first,
+            last,
+        } => {
             format!("{instance}: entries {first} to {last} of epoch {epoch} are in no export")
         }
         Finding::Repeated { key, places } => {
--- a/src/command/servers.rs
+++ b/src/command/servers.rs
@@ -82,7 +82,9 @@
             Some(path) => {
                 let text = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
                 let config = Config::parse(&text, |_| None);
-                config.map_err(|e| format!("{}: {e}", path.display()))?.known_names()
+                config
+                    .map_err(|e| format!("{}: {e}", path.display()))?
+                    .known_names()
             }
         };
         match &self.what {
@@ -93,7 +95,10 @@
                 Ok(())
             }
             What::Diff { old, new } => {
-                let diff = Diff::of(&self.read(old, &known)?.hosts, &self.read(new, &known)?.hosts);
+                let diff = Diff::of(
+                    &self.read(old, &known)?.hosts,
+                    &self.read(new, &known)?.hosts,
+                );
                 self.say(&diff, || differences(&diff));
                 Ok(())
             }
@@ -117,10 +122,19 @@
                     Some(r) => println!("{name}: {} workers", r.hosts.len()),
                     None => eprintln!("{}", shown(&problems)),
                 }
-                roster.iter().flat_map(|r| &r.notes).for_each(|n| println!("{name}: {}", plain(n)));
+                roster
+                    .iter()
+                    .flat_map(|r| &r.notes)
+                    .for_each(|n| println!("{name}: {}", plain(n)));
             }
             let (hosts, notes) = roster.map_or((0, Vec::new()), |r| (r.hosts.len(), r.notes));
-            all.push(Checked { file: name, hosts, notes, problems: problems.list, more: problems.more });
+            all.push(Checked {
+                file: name,
+                hosts,
+                notes,
+                problems: problems.list,
+                more: problems.more,
+            });
         }
         if self.json {
             println!("{}", serde_json::to_string(&all)?);
@@ -135,7 +149,10 @@
     fn read(&self, file: &Path, known: &Known) -> Result<Roster, Failure> {
         read(&Disk, file, known).map_err(|problems| {
             match self.json {
-                true => eprintln!("{}", json!({"problems": problems.list, "more": problems.more})),
+                true => eprintln!(
+                    "{}",
+                    json!({"problems": problems.list, "more": problems.more})
+                ),
                 false => eprintln!("{}", shown(&problems)),
             }
             Failure::Findings
@@ -157,9 +174,19 @@
 fn hosts(hosts: &[Host]) -> String {
     let row = |h: &Host| {
         let (addr, cell, weight) = (h.addr.to_string(), h.cell.to_string(), h.weight.to_string());
-        vec![h.name.clone(), addr, h.zone.clone(), h.kind.clone(), cell, weight]
+        vec![
+            h.name.clone(),
+            addr,
+            h.zone.clone(),
+            h.kind.clone(),
+            cell,
+            weight,
+        ]
     };
-    table(&["name", "address", "zone", "kind", "cell", "weight"], hosts.iter().map(row))
+    table(
+        &["name", "address", "zone", "kind", "cell", "weight"],
+        hosts.iter().map(row),
+    )
 }
 
 fn differences(diff: &Diff) -> String {
--- a/src/command/table.rs
+++ b/src/command/table.rs
@@ -5,13 +5,18 @@
 /// A table with these headings; numbers go to the right.
 pub(super) fn table(headings: &[&str], rows: impl IntoIterator<Item = Vec<String>>) -> String {
     let mut table = Table::new();
-    table.load_style(presets::NOTHING).set_content_arrangement(ContentArrangement::Disabled);
+    table
+        .load_style(presets::NOTHING)
+        .set_content_arrangement(ContentArrangement::Disabled);
     table.set_header(headings);
     let mut numbers = vec![true; headings.len()];
     for row in rows {
         let row: Vec<String> = row.iter().map(|c| plain(c)).collect();
         for (number, cell) in numbers.iter_mut().zip(&row) {
-            *number &= cell.trim_start_matches('-').bytes().all(|b| b.is_ascii_digit() || b == b'.');
+            *number &= cell
+                .trim_start_matches('-')
+                .bytes()
+                .all(|b| b.is_ascii_digit() || b == b'.');
         }
         table.add_row(row);
     }
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -114,35 +114,50 @@
 
 impl FleetFile {
     pub(super) fn check(self, path: &Path) -> Result<FleetConfig, String> {
-        let within = |key: &str, value: u64, least: u64, most: u64| match (least..=most).contains(&value) {
-            true => Ok(value),
-            false => Err(format!("{key}: must lie between {least} and {most}")),
-        };
-        let join = self.join.iter().enumerate().map(|(i, a)| address(&format!("join[{i}]"), a));
+        let within =
+            |key: &str, value: u64, least: u64, most: u64| match (least..=most).contains(&value) {
+                true => Ok(value),
+                false => Err(format!("{key}: must lie between {least} and {most}")),
+            };
+        let join = self
+            .join
+            .iter()
+            .enumerate()
+            .map(|(i, a)| address(&format!("join[{i}]"), a));
         for (i, seat) in self.seats.iter().enumerate() {
             if !is_name(seat) || self.seats[..i].contains(seat) {
                 return Err(format!("seats[{i}]: no name, or given twice: {seat:?}"));
             }
         }
         if let Some(name) = self.name.as_ref().filter(|n| !is_name(n)) {
-            return Err(format!("name: 1 to 64 letters, digits, '-', '_' and '.': {name:?}"));
+            return Err(format!(
+                "name: 1 to 64 letters, digits, '-', '_' and '.': {name:?}"
+            ));
         }
         if !self.limits.is_empty() && self.seats.is_empty() {
-            return Err("seats: missing, and there are limits: they are divided among the seats".into());
+            return Err(
+                "seats: missing, and there are limits: they are divided among the seats".into(),
+            );
         }
         for (tenant, units) in &self.limits {
             within(&format!("limits.{tenant}"), *units, 1, MOST_UNITS)?;
             // The floors come to the budget at most: each is no more than the seat's part.
             let part = units / self.seats.len() as u64;
             if self.floor > part.max(1) {
-                return Err(format!("floor: over a seat's part of limits.{tenant}, which is {part}"));
+                return Err(format!(
+                    "floor: over a seat's part of limits.{tenant}, which is {part}"
+                ));
             }
         }
         let key = streamusher_ledger::key::load(&beside(path, &self.key_file));
         let key = key.map_err(|e| format!("key_file: {e}"))?;
         Ok(FleetConfig {
             listen: address("listen", &self.listen)?,
-            advertise: self.advertise.as_deref().map(|a| address("advertise", a)).transpose()?,
+            advertise: self
+                .advertise
+                .as_deref()
+                .map(|a| address("advertise", a))
+                .transpose()?,
             join: join.collect::<Result<_, _>>()?,
             key: Secret(key),
             name: self.name,
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -56,7 +56,10 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { sockets: 1_024, memory_mb: 192 }
+        Limits {
+            sockets: 1_024,
+            memory_mb: 192,
+        }
     }
 }
 
@@ -137,8 +140,12 @@
 
 impl Config {
     /// Reads all of it. `env` looks up a variable of the environment; `drmaa` names the file of that front.
-    pub fn load(env: impl Fn(&str) -> Option<String>, drmaa: Option<&Path>) -> Result<Config, String> {
-        let path = env("NODE_CONFIG").ok_or("NODE_CONFIG: not set; it names the configuration file")?;
+    pub fn load(
+        env: impl Fn(&str) -> Option<String>,
+        drmaa: Option<&Path>,
+    ) -> Result<Config, String> {
+        let path =
+            env("NODE_CONFIG").ok_or("NODE_CONFIG: not set; it names the configuration file")?;
         let text = std::fs::read(&path).map_err(|e| format!("NODE_CONFIG: {path}: {e}"))?;
         let mut config = Config::parse(&text, env)?;
         let known = config.known_names();
@@ -148,7 +155,10 @@
 
     /// The zones and machine kinds that the settings list.
     pub fn known_names(&self) -> Known {
-        Known { zones: self.setup.zones.clone(), kinds: self.setup.kinds.clone() }
+        Known {
+            zones: self.setup.zones.clone(),
+            kinds: self.setup.kinds.clone(),
+        }
     }
 
     /// The platform's part, from the text of its file.
@@ -168,11 +178,16 @@
         Ok(Config {
             name: or("NODE_NAME", file.name),
             listen: address("listen", &or("NODE_LISTEN", file.listen))?,
-            discovery: (!discovery.is_empty()).then(|| address("discovery", &discovery)).transpose()?,
-            mgmt: (!mgmt.is_empty()).then(|| address("mgmt", &mgmt)).transpose()?,
+            discovery: (!discovery.is_empty())
+                .then(|| address("discovery", &discovery))
+                .transpose()?,
+            mgmt: (!mgmt.is_empty())
+                .then(|| address("mgmt", &mgmt))
+                .transpose()?,
             seed: match file.seed.as_str() {
                 "" => 1,
-                hex => u64::from_str_radix(hex, 16).map_err(|_| format!("seed: not a hex number: {hex}"))?,
+                hex => u64::from_str_radix(hex, 16)
+                    .map_err(|_| format!("seed: not a hex number: {hex}"))?,
             },
             limits: file.limits,
             known: file.known,
@@ -204,7 +219,10 @@
             (None, Some(addr)) => Some(address("NODE_DISCOVERY", &addr)?),
             (None, None) => None,
         };
-        Ok(Reload { discovery, setup: config.setup })
+        Ok(Reload {
+            discovery,
+            setup: config.setup,
+        })
     }
 }
 
@@ -212,7 +230,8 @@
     /// Reads the file of the DRMAA front and the inventory that it names, beside it.
     pub fn load(path: &Path, known: &Known) -> Result<Drmaa, String> {
         let file: operators::DrmaaFile = operators::decode(path)?;
-        file.check(path, known).map_err(|e| format!("{}: {e}", path.display()))
+        file.check(path, known)
+            .map_err(|e| format!("{}: {e}", path.display()))
     }
 }
 
@@ -243,7 +262,8 @@
 }
 
 pub(crate) fn address(key: &str, text: &str) -> Result<SocketAddr, String> {
-    text.parse().map_err(|_| format!("{key}: not an address and port: {text:?}"))
+    text.parse()
+        .map_err(|_| format!("{key}: not an address and port: {text:?}"))
 }
 
 /// What no type says. The decisions divide by some of these and index by others.
@@ -257,10 +277,16 @@
             return bad(&format!("requestClasses[{i}].name"), "empty or given twice");
         }
         if c.deadline_us == 0 {
-            return bad(&format!("requestClasses[{i}].deadlineUs"), "must be above 0");
+            return bad(
+                &format!("requestClasses[{i}].deadlineUs"),
+                "must be above 0",
+            );
         }
         if !["free", "guarded", "single_shot"].contains(&c.semantics.as_str()) {
-            return bad(&format!("requestClasses[{i}].semantics"), "neither free, guarded nor single_shot");
+            return bad(
+                &format!("requestClasses[{i}].semantics"),
+                "neither free, guarded nor single_shot",
+            );
         }
     }
     if s.my_zone.is_empty() {
--- a/src/config/operators.rs
+++ b/src/config/operators.rs
@@ -187,7 +187,9 @@
 pub(super) fn decode<T: serde::de::DeserializeOwned>(path: &Path) -> Result<T, String> {
     let at = path.display();
     let text = std::fs::read_to_string(path).map_err(|e| format!("{at}: {e}"))?;
-    let file = toml::Deserializer::parse(&text).map_err(|e| e.to_string()).and_then(keyed);
+    let file = toml::Deserializer::parse(&text)
+        .map_err(|e| e.to_string())
+        .and_then(keyed);
     file.map_err(|e| format!("{at}: {}", one_line(&e)))
 }
 
@@ -197,10 +199,26 @@
         let file: OperatorsFile = decode(path)?;
         let at = |table: &str, e: String| format!("{}: {table}.{e}", path.display());
         Ok(Operators {
-            drmaa: file.drmaa.map(|d| d.check(path, known)).transpose().map_err(|e| at("drmaa", e))?,
-            tenants: file.tenants.map(TenantsFile::check).transpose().map_err(|e| at("tenants", e))?,
-            ledger: file.ledger.map(|l| l.check(path)).transpose().map_err(|e| at("ledger", e))?,
-            fleet: file.fleet.map(|f| f.check(path)).transpose().map_err(|e| at("fleet", e))?,
+            drmaa: file
+                .drmaa
+                .map(|d| d.check(path, known))
+                .transpose()
+                .map_err(|e| at("drmaa", e))?,
+            tenants: file
+                .tenants
+                .map(TenantsFile::check)
+                .transpose()
+                .map_err(|e| at("tenants", e))?,
+            ledger: file
+                .ledger
+                .map(|l| l.check(path))
+                .transpose()
+                .map_err(|e| at("ledger", e))?,
+            fleet: file
+                .fleet
+                .map(|f| f.check(path))
+                .transpose()
+                .map_err(|e| at("fleet", e))?,
         })
     }
 
@@ -226,9 +244,20 @@
         if !(0.0..=86_400.0).contains(&self.keep_s) {
             return Err("keep_s: must lie between 0 and 86400".into());
         }
-        let workers = self.inventory.as_ref().map(|n| servers::load(&beside(path, Path::new(n)), known));
-        let workers = workers.transpose().map_err(|e| format!("inventory: {e}"))?.unwrap_or_default();
-        Ok(Drmaa { listen, max_jobs: self.max_jobs, keep_s: self.keep_s, workers })
+        let workers = self
+            .inventory
+            .as_ref()
+            .map(|n| servers::load(&beside(path, Path::new(n)), known));
+        let workers = workers
+            .transpose()
+            .map_err(|e| format!("inventory: {e}"))?
+            .unwrap_or_default();
+        Ok(Drmaa {
+            listen,
+            max_jobs: self.max_jobs,
+            keep_s: self.keep_s,
+            workers,
+        })
     }
 }
 
@@ -236,23 +265,35 @@
     fn check(self) -> Result<TenantsConfig, String> {
         let token = |b: u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b);
         // Headers that mean something else already.
-        let taken = ONCE.iter().chain(&["host", "connection"]).any(|t| t.eq_ignore_ascii_case(&self.header));
+        let taken = ONCE
+            .iter()
+            .chain(&["host", "connection"])
+            .any(|t| t.eq_ignore_ascii_case(&self.header));
         if self.header.is_empty() || !self.header.bytes().all(token) || taken {
-            return Err(format!("header: not the name of a free header: {:?}", self.header));
+            return Err(format!(
+                "header: not the name of a free header: {:?}",
+                self.header
+            ));
         }
         let rest = matches!(self.unlisted, Unlisted::Book).then_some(self.default.as_str());
         let renamed: Vec<(String, String)> = self.renamed.into_iter().collect();
         let tenants = Tenants::new(&self.list, &renamed, rest).map_err(|e| format!("list: {e}"))?;
-        Ok(TenantsConfig { header: self.header, tenants })
+        Ok(TenantsConfig {
+            header: self.header,
+            tenants,
+        })
     }
 }
 
 /// Instances' names stand in names of files.
 pub(crate) fn check_instance(name: &str) -> Result<(), String> {
     let plain = |b: u8| b.is_ascii_alphanumeric() || b"-.".contains(&b);
-    match !name.is_empty() && name.len() <= 64 && !name.starts_with('.') && name.bytes().all(plain) {
+    match !name.is_empty() && name.len() <= 64 && !name.starts_with('.') && name.bytes().all(plain)
+    {
         true => Ok(()),
-        false => Err(format!("ledger.instance: letters, digits, '-' and '.' alone, 64 at most: {name:?}")),
+        false => Err(format!(
+            "ledger.instance: letters, digits, '-' and '.' alone, 64 at most: {name:?}"
+        )),
     }
 }
 
@@ -285,7 +326,10 @@
     /// The key of MACs and of idempotency keys' hashes. One that no file is named for lies in the ledger's folder,
     /// and is made at the first start.
     pub fn key(&self, make: bool) -> Result<[u8; 32], String> {
-        let path = self.key_file.clone().unwrap_or_else(|| self.dir.join("ledger.key"));
+        let path = self
+            .key_file
+            .clone()
+            .unwrap_or_else(|| self.dir.join("ledger.key"));
         if make && self.key_file.is_none() && !path.exists() {
             streamusher_ledger::key::make(&path)?;
         }
