--- a/src/core/booking.rs
+++ b/src/core/booking.rs
@@ -85,13 +85,17 @@
 impl Receipt {
     /// The answer was written to the last byte.
     pub fn written(mut self) {
-        self.0.drain(..).for_each(|(keeper, number)| keeper.written(number, true));
+        self.0
+            .drain(..)
+            .for_each(|(keeper, number)| keeper.written(number, true));
     }
 }
 
 impl Drop for Receipt {
     fn drop(&mut self) {
-        self.0.drain(..).for_each(|(keeper, number)| keeper.written(number, false));
+        self.0
+            .drain(..)
+            .for_each(|(keeper, number)| keeper.written(number, false));
     }
 }
 
@@ -148,9 +152,15 @@
         for (i, step) in self.steps.iter().enumerate() {
             let wins = self.winner == Some(i);
             // A winner whose start was never told ran since it was sent, as far as is known.
-            let Some(from) = step.started.or(wins.then_some(step.sent)) else { continue };
+            let Some(from) = step.started.or(wins.then_some(step.sent)) else {
+                continue;
+            };
             let ran = step.ended_at.unwrap_or(now).saturating_sub(from);
-            *if wins { &mut used.run_us } else { &mut used.wasted_us } += ran;
+            *if wins {
+                &mut used.run_us
+            } else {
+                &mut used.wasted_us
+            } += ran;
         }
         used
     }
@@ -183,7 +193,10 @@
     fn let_go(&mut self, keeper: usize, there: impl Fn(&Booked) -> bool) {
         let mut free = Vec::new();
         for (no, held) in &mut self.held {
-            let mut entries = held.booked.iter_mut().filter(|b| b.waits && b.keeper == keeper);
+            let mut entries = held
+                .booked
+                .iter_mut()
+                .filter(|b| b.waits && b.keeper == keeper);
             // Numbers rise with the answers: behind one that is not there yet none is.
             match entries.next() {
                 Some(entry) if there(entry) => entry.waits = false,
@@ -199,7 +212,9 @@
 
     /// The time of an answer is up: it goes out, whoever has not booked it yet.
     pub(super) fn overdue(&mut self, no: u64) {
-        let Some(held) = self.held.get(&no) else { return };
+        let Some(held) = self.held.get(&no) else {
+            return;
+        };
         for booked in held.booked.iter().filter(|b| b.waits) {
             self.counters.answers_before_booked += 1;
             self.keepers[booked.keeper].overdue(booked.number);
@@ -227,7 +242,15 @@
         }
         self.held_no += 1;
         let no = self.held_no;
-        self.held.insert(no, Held { front, ticket, answer: answer.clone(), booked });
+        self.held.insert(
+            no,
+            Held {
+                front,
+                ticket,
+                answer: answer.clone(),
+                booked,
+            },
+        );
         match until > now {
             true => self.at(until, Due::Held(no)),
             false => self.overdue(no),
@@ -240,7 +263,13 @@
     }
 
     /// The entries, and until when the answer waits for those that it waits for.
-    fn book(&mut self, now: Micros, used: &Used, waiter: &Waiter, ended: Ended) -> (Vec<Booked>, Micros) {
+    fn book(
+        &mut self,
+        now: Micros,
+        used: &Used,
+        waiter: &Waiter,
+        ended: Ended,
+    ) -> (Vec<Booked>, Micros) {
         let own = |n: Micros| if waiter.joined { 0 } else { n };
         let account = Account {
             operation: &waiter.id,
@@ -258,10 +287,18 @@
         for (keeper, k) in self.keepers.iter().enumerate() {
             match k.book(now, used.by, &account) {
                 Booking::Hold { number, until } => {
-                    entries.push(Booked { keeper, number, waits: true });
+                    entries.push(Booked {
+                        keeper,
+                        number,
+                        waits: true,
+                    });
                     latest = latest.max(until);
                 }
-                Booking::Open { number } => entries.push(Booked { keeper, number, waits: false }),
+                Booking::Open { number } => entries.push(Booked {
+                    keeper,
+                    number,
+                    waits: false,
+                }),
                 Booking::Unbooked => self.counters.answers_unbooked += 1,
             }
         }
@@ -271,7 +308,10 @@
     /// The one place where final answers go out.
     fn hand_out(&mut self, front: &Rc<dyn Front>, ticket: u64, answer: &Answer, booked: &[Booked]) {
         self.counters.answer(answer);
-        let receipt = booked.iter().map(|b| (self.keepers[b.keeper].clone(), b.number)).collect();
+        let receipt = booked
+            .iter()
+            .map(|b| (self.keepers[b.keeper].clone(), b.number))
+            .collect();
         front.answer(ticket, answer, Receipt(receipt));
     }
 }
@@ -279,6 +319,14 @@
 impl Used {
     /// For a repeat that is answered as an earlier operation ended: nothing ran for it.
     pub(super) fn nothing(class: ClassId, slots: f64, key: Option<String>, by: Micros) -> Used {
-        Used { class, slots, key, by, run_us: 0, wasted_us: 0, attempts: 0 }
+        Used {
+            class,
+            slots,
+            key,
+            by,
+            run_us: 0,
+            wasted_us: 0,
+            attempts: 0,
+        }
     }
 }
--- a/src/core/intake.rs
+++ b/src/core/intake.rs
@@ -17,14 +17,19 @@
 impl Core {
     /// Takes an operation; `front` gets its one final answer under the number `ticket`.
     pub fn submit(
-        &mut self, now: Micros, mut operation: Operation, front: Rc<dyn Front>, ticket: u64,
+        &mut self,
+        now: Micros,
+        mut operation: Operation,
+        front: Rc<dyn Front>,
+        ticket: u64,
     ) -> Result<JobId, NotTaken> {
         if let Some(tenants) = &self.tenants {
-            operation.tenant =
-                Some(tenants.resolve(operation.tenant.as_deref()).map_err(|why| match why {
+            operation.tenant = Some(tenants.resolve(operation.tenant.as_deref()).map_err(
+                |why| match why {
                     NoTenant::Malformed => NotTaken::BadTenant,
                     NoTenant::Unlisted => NotTaken::Unlisted,
-                })?);
+                },
+            )?);
         }
         if now >= self.last_call {
             return Err(NotTaken::Stopping);
@@ -41,16 +46,30 @@
             joined,
         };
         let kept_back = self.kept_back(operation.left_us);
-        let deadline = now.saturating_add(operation.left_us.saturating_sub(kept_back)).min(self.last_call);
+        let deadline = now
+            .saturating_add(operation.left_us.saturating_sub(kept_back))
+            .min(self.last_call);
         let by = deadline.saturating_add(kept_back.saturating_sub(WAY_US));
-        let key = operation.idempotency_key.clone().filter(|_| self.joins_repeats);
-        let key = key.filter(|_| self.is_keyed(operation.class)).map(|k| (operation.class.0, k));
-        if let Some(kept) = key.as_ref().and_then(|k| self.kept.get(k)).filter(|k| now < k.until) {
+        let key = operation
+            .idempotency_key
+            .clone()
+            .filter(|_| self.joins_repeats);
+        let key = key
+            .filter(|_| self.is_keyed(operation.class))
+            .map(|k| (operation.class.0, k));
+        if let Some(kept) = key
+            .as_ref()
+            .and_then(|k| self.kept.get(k))
+            .filter(|k| now < k.until)
+        {
             // Guards against a second run of a keyed job that was handed in twice, by whichever front.
             let (job, answer) = (kept.job, kept.answer.clone());
             self.counters.operations += 1;
             self.counters.repeats_joined += 1;
-            match (answer, self.operations.get_mut(&job).filter(|o| !o.answered)) {
+            match (
+                answer,
+                self.operations.get_mut(&job).filter(|o| !o.answered),
+            ) {
                 (None, Some(entered)) => {
                     if entered.started {
                         front.started(ticket);
@@ -81,12 +100,29 @@
         self.by_id.insert(operation.id.clone(), job);
         if let Some(key) = key {
             self.forget_old_keys(now);
-            self.kept.insert(key, Kept { job, until: Micros::MAX, answer: None });
+            self.kept.insert(
+                key,
+                Kept {
+                    job,
+                    until: Micros::MAX,
+                    answer: None,
+                },
+            );
         }
         let (waiting, operation) = (vec![waiter(false)], Arc::new(operation));
         let (steps, winner) = (Vec::new(), None);
         let (answered, started, right) = (false, false, None);
-        let entered = Entered { operation, waiting, steps, winner, deadline, by, answered, started, right };
+        let entered = Entered {
+            operation,
+            waiting,
+            steps,
+            winner,
+            deadline,
+            by,
+            answered,
+            started,
+            right,
+        };
         self.operations.insert(job, entered);
         self.enter(now, job, deadline);
         Ok(job)
@@ -110,7 +146,11 @@
     /// Those that waited for the first pool config go on once there is one, or none is to be had.
     pub(super) fn admit_early(&mut self) {
         if !self.early.is_empty() && !self.awaits_first() {
-            self.inputs.extend(std::mem::take(&mut self.early).into_iter().map(Input::Arrived));
+            self.inputs.extend(
+                std::mem::take(&mut self.early)
+                    .into_iter()
+                    .map(Input::Arrived),
+            );
         }
     }
 
@@ -124,7 +164,12 @@
 
     /// Kept back of a client's time.
     fn kept_back(&self, left_us: Micros) -> Micros {
-        MARGIN_US + if self.keepers.is_empty() { 0 } else { BOOKING_US.min(left_us / 8) }
+        MARGIN_US
+            + if self.keepers.is_empty() {
+                0
+            } else {
+                BOOKING_US.min(left_us / 8)
+            }
     }
 
     /// Whatever is in hand, or still comes, is answered by then. Guards against operations that a stop would leave
@@ -132,17 +177,24 @@
     pub fn answer_all_by(&mut self, when: Micros) {
         self.last_call = when;
         let mut cut = Vec::new();
-        for (job, entered) in self.operations.iter_mut().filter(|(_, o)| !o.answered && o.deadline > when) {
+        for (job, entered) in self
+            .operations
+            .iter_mut()
+            .filter(|(_, o)| !o.answered && o.deadline > when)
+        {
             entered.deadline = when;
             entered.by = entered.by.min(when.saturating_add(BOOKING_US));
             cut.push(*job);
         }
-        cut.into_iter().for_each(|job| self.at(when, Due::Deadline(job)));
+        cut.into_iter()
+            .for_each(|job| self.at(when, Due::Deadline(job)));
     }
 
     /// The client behind one ticket has gone away; others may still wait for the same operation.
     pub fn gone(&mut self, now: Micros, job: JobId, front: &Rc<dyn Front>, ticket: u64) {
-        let Some(entered) = self.operations.get_mut(&job).filter(|o| !o.answered) else { return };
+        let Some(entered) = self.operations.get_mut(&job).filter(|o| !o.answered) else {
+            return;
+        };
         let is_it = |w: &Waiter| w.ticket == ticket && Rc::ptr_eq(&w.front, front);
         let Some(at) = entered.waiting.iter().position(is_it) else {
             return;
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -89,7 +89,11 @@
     Arrived(JobId),
     Gone(JobId),
     Step(StepId, StepNews),
-    List { source: usize, complete: bool, members: Vec<Member> },
+    List {
+        source: usize,
+        complete: bool,
+        members: Vec<Member>,
+    },
     ListFailed,
     Probed(WorkerId, bool, Option<Report>),
     Judged(WorkerId, u32),
@@ -183,11 +187,21 @@
     }
 
     /// A core that knows no workers yet. `joins_repeats`: see [`crate::config`].
-    pub(crate) fn new(mut site: Site, max_open: usize, joins_repeats: bool, seed: u64, now: Micros) -> Core {
+    pub(crate) fn new(
+        mut site: Site,
+        max_open: usize,
+        joins_repeats: bool,
+        seed: u64,
+        now: Micros,
+    ) -> Core {
         if joins_repeats {
             // Workers are not known to drop repeats for each other: an attempt that may have run is the last.
             let keyed = |c: &&mut Class| matches!(c.repeat, Repeat::Keyed { .. });
-            site.settings.classes.iter_mut().filter(keyed).for_each(|c| c.repeat = Repeat::Once);
+            site.settings
+                .classes
+                .iter_mut()
+                .filter(keyed)
+                .for_each(|c| c.repeat = Repeat::Once);
         }
         Core {
             balancer: Balancer::new(site.settings.clone(), seed, now),
@@ -287,7 +301,8 @@
     /// The route step that a worker's call-back means: by the operation's id and the worker's name.
     pub fn find_step(&self, id: &str, worker: &str) -> Option<StepId> {
         let job = *self.by_id.get(id)?;
-        let at = |s: &RouteStep| self.workers[s.worker.0 as usize].member.name == worker && !s.ended;
+        let at =
+            |s: &RouteStep| self.workers[s.worker.0 as usize].member.name == worker && !s.ended;
         let attempt = self.operations.get(&job)?.steps.iter().rposition(at)? as u32;
         Some(StepId { job, attempt })
     }
--- a/src/core/operation.rs
+++ b/src/core/operation.rs
@@ -69,7 +69,9 @@
             Ending::Served(_) => Code::Delivered,
             Ending::WorkerFailed => Code::AppError,
             Ending::TurnedAway => Code::Shed,
-            Ending::ConnectRefused | Ending::ConnectTimedOut | Ending::BrokeUnsent => Code::DialFailed,
+            Ending::ConnectRefused | Ending::ConnectTimedOut | Ending::BrokeUnsent => {
+                Code::DialFailed
+            }
             Ending::BrokeSent | Ending::Lost => Code::Dropped,
             Ending::TimedOut => Code::Expired,
             Ending::GivenUp => Code::Revoked,
--- a/src/core/pool.rs
+++ b/src/core/pool.rs
@@ -6,7 +6,11 @@
 impl Core {
     /// A pool config, or the changes to one. `source` is the driver that reaches these workers.
     pub fn pool_config(&mut self, source: usize, complete: bool, members: Vec<Member>) {
-        self.inputs.push(Input::List { source, complete, members });
+        self.inputs.push(Input::List {
+            source,
+            complete,
+            members,
+        });
     }
 
     /// A pool config could not be had, or its watch broke.
@@ -21,8 +25,13 @@
 
     /// Workers on the list that are not gone, and those of them that are avoided as they drain.
     pub fn pool_figures(&self) -> (usize, usize) {
-        let listed = self.workers.iter().filter(|w| w.member.stage != Stage::Gone);
-        listed.fold((0, 0), |(n, d), w| (n + 1, d + usize::from(w.member.stage == Stage::Draining)))
+        let listed = self
+            .workers
+            .iter()
+            .filter(|w| w.member.stage != Stage::Gone);
+        listed.fold((0, 0), |(n, d), w| {
+            (n + 1, d + usize::from(w.member.stage == Stage::Draining))
+        })
     }
 
     pub(super) fn list(&mut self, source: usize, complete: bool, members: Vec<Member>) -> Event {
@@ -32,13 +41,22 @@
             let others = self.workers.iter().filter(|w| w.source != source);
             let kept: Vec<Member> = others.map(|w| w.member.clone()).collect();
             entries.extend(kept.iter().map(|m| self.entry(m)));
-            let named: std::collections::HashSet<&str> = members.iter().map(|m| m.name.as_str()).collect();
-            let missing = |w: &&mut Worker| w.source == source && !named.contains(w.member.name.as_str());
-            self.workers.iter_mut().filter(missing).for_each(|w| w.member.stage = Stage::Gone);
+            let named: std::collections::HashSet<&str> =
+                members.iter().map(|m| m.name.as_str()).collect();
+            let missing =
+                |w: &&mut Worker| w.source == source && !named.contains(w.member.name.as_str());
+            self.workers
+                .iter_mut()
+                .filter(missing)
+                .for_each(|w| w.member.stage = Stage::Gone);
         }
         for member in members {
             let entry = self.entry(&member);
-            let worker = Worker { member, source, driver: source };
+            let worker = Worker {
+                member,
+                source,
+                driver: source,
+            };
             match self.workers.get_mut(entry.worker.0 as usize) {
                 Some(known) => *known = worker,
                 None => self.workers.push(worker),
@@ -51,6 +69,17 @@
 
     pub(super) fn entry(&mut self, m: &Member) -> Entry {
         let (stage, since, cell, weight) = (m.stage, m.since, m.cell, m.weight);
-        self.site.entry(&m.name, &m.zone, &m.kind, Entry { stage, since, cell, weight, ..Entry::default() })
+        self.site.entry(
+            &m.name,
+            &m.zone,
+            &m.kind,
+            Entry {
+                stage,
+                since,
+                cell,
+                weight,
+                ..Entry::default()
+            },
+        )
     }
 }
--- a/src/core/repeats.rs
+++ b/src/core/repeats.rs
@@ -18,13 +18,21 @@
 impl Core {
     /// Nothing more is owed for an operation. A keyed one that may have run stays known for its window.
     pub(super) fn close(&mut self, now: Micros, job: JobId, answer: Answer) {
-        let Some(entered) = self.operations.get_mut(&job) else { return };
+        let Some(entered) = self.operations.get_mut(&job) else {
+            return;
+        };
         entered.answered = true;
         entered.right = None;
         self.owed -= 1;
-        let Some(key) = entered.operation.idempotency_key.clone() else { return };
+        let Some(key) = entered.operation.idempotency_key.clone() else {
+            return;
+        };
         let key = (entered.operation.class.0, key);
-        let Some(kept) = self.kept.get_mut(&key).filter(|k| k.job == job && k.answer.is_none()) else {
+        let Some(kept) = self
+            .kept
+            .get_mut(&key)
+            .filter(|k| k.job == job && k.answer.is_none())
+        else {
             return;
         };
         let Some(first) = entered.steps.iter().find(|s| !s.ended || s.ran) else {
@@ -35,8 +43,13 @@
         // would have waited.
         let window = self.site.windows[key.0 as usize];
         kept.until = first.sent.saturating_add(window).max(now);
-        let served = matches!(&answer, Answer::Served(r) if self.kept_bytes + r.len() <= KEPT_BYTES);
-        let answer = if served { answer } else { Answer::Failed { late: false } };
+        let served =
+            matches!(&answer, Answer::Served(r) if self.kept_bytes + r.len() <= KEPT_BYTES);
+        let answer = if served {
+            answer
+        } else {
+            Answer::Failed { late: false }
+        };
         if let Answer::Served(result) = &answer {
             self.kept_bytes += result.len();
         }
@@ -49,7 +62,13 @@
             return;
         }
         self.kept.retain(|_, k| now < k.until);
-        let size = |k: &Kept| if let Some(Answer::Served(r)) = &k.answer { r.len() } else { 0 };
+        let size = |k: &Kept| {
+            if let Some(Answer::Served(r)) = &k.answer {
+                r.len()
+            } else {
+                0
+            }
+        };
         self.kept_bytes = self.kept.values().map(size).sum();
     }
 }
--- a/src/core/steps.rs
+++ b/src/core/steps.rs
@@ -8,12 +8,18 @@
     pub(super) fn step_news(&mut self, now: Micros, step: StepId, news: StepNews) -> Option<Event> {
         let StepId { job, attempt } = step;
         let entered = self.operations.get_mut(&job)?;
-        let s = entered.steps.get_mut(attempt as usize).filter(|s| !s.ended)?;
+        let s = entered
+            .steps
+            .get_mut(attempt as usize)
+            .filter(|s| !s.ended)?;
         Some(match news {
             StepNews::Started => {
                 entered.started = true;
                 s.started = s.started.or(Some(now));
-                entered.waiting.iter().for_each(|w| w.front.started(w.ticket));
+                entered
+                    .waiting
+                    .iter()
+                    .for_each(|w| w.front.started(w.ticket));
                 Event::Started { job, attempt }
             }
             StepNews::Progress(done) => Event::Progress { job, attempt, done },
@@ -30,7 +36,13 @@
                     self.finish(now, job, Answer::Served(result));
                 }
                 let complete = self.operations[&job].answered;
-                Event::Outcome(Outcome { job, attempt, code, complete, report })
+                Event::Outcome(Outcome {
+                    job,
+                    attempt,
+                    code,
+                    complete,
+                    report,
+                })
             }
         })
     }
@@ -40,18 +52,29 @@
             Action::Send { job, worker } => self.send(now, job, worker),
             Action::Cancel { job, attempt } => {
                 let step = StepId { job, attempt };
-                let Some(entered) = self.operations.get(&job) else { return };
-                if entered.steps.get(attempt as usize).is_some_and(|s| !s.ended) {
+                let Some(entered) = self.operations.get(&job) else {
+                    return;
+                };
+                if entered
+                    .steps
+                    .get(attempt as usize)
+                    .is_some_and(|s| !s.ended)
+                {
                     self.call_off(step);
-                    self.inputs.push(Input::Step(step, StepNews::Ended(Ending::GivenUp, None)));
+                    self.inputs
+                        .push(Input::Step(step, StepNews::Ended(Ending::GivenUp, None)));
                 }
             }
-            Action::Refuse { job, hold_off_us } => self.finish(now, job, Answer::Busy { hold_off_us }),
+            Action::Refuse { job, hold_off_us } => {
+                self.finish(now, job, Answer::Busy { hold_off_us })
+            }
             Action::Fail { job } => {
                 let late = self.operations.get(&job).is_some_and(|o| now >= o.deadline);
                 self.finish(now, job, Answer::Failed { late });
             }
-            Action::Schedule { wait_us, token } => self.at(now.saturating_add(wait_us), Due::Module(token)),
+            Action::Schedule { wait_us, token } => {
+                self.at(now.saturating_add(wait_us), Due::Module(token))
+            }
             Action::Probe { worker } => {
                 let w = &self.workers[worker.0 as usize];
                 self.drivers[w.driver].probe(worker, &w.member);
@@ -61,10 +84,18 @@
     }
 
     pub(super) fn send(&mut self, now: Micros, job: JobId, worker: WorkerId) {
-        let Some(entered) = self.operations.get_mut(&job) else { return };
-        let step = StepId { job, attempt: entered.steps.len() as u32 };
+        let Some(entered) = self.operations.get_mut(&job) else {
+            return;
+        };
+        let step = StepId {
+            job,
+            attempt: entered.steps.len() as u32,
+        };
         // A worker gets one attempt of an operation at a time: one to its earlier life died with it.
-        let earlier = entered.steps.iter().position(|s| s.worker == worker && !s.ended);
+        let earlier = entered
+            .steps
+            .iter()
+            .position(|s| s.worker == worker && !s.ended);
         let useless = entered.answered || now >= entered.deadline;
         entered.steps.push(RouteStep {
             worker,
@@ -78,10 +109,12 @@
         if let Some(attempt) = earlier.map(|a| a as u32) {
             let step = StepId { job, attempt };
             self.call_off(step);
-            self.inputs.push(Input::Step(step, StepNews::Ended(Ending::Lost, None)));
+            self.inputs
+                .push(Input::Step(step, StepNews::Ended(Ending::Lost, None)));
         }
         if useless {
-            self.inputs.push(Input::Step(step, StepNews::Ended(Ending::NeverSent, None)));
+            self.inputs
+                .push(Input::Step(step, StepNews::Ended(Ending::NeverSent, None)));
             return;
         }
         self.counters.steps += 1;
@@ -96,14 +129,19 @@
     pub fn may_begin(&self, now: Micros, step: StepId) -> Option<Micros> {
         let entered = self.operations.get(&step.job)?;
         let wanted = !entered.answered && !entered.waiting.is_empty() && now < entered.deadline;
-        let out = entered.steps.get(step.attempt as usize).is_some_and(|s| !s.ended);
+        let out = entered
+            .steps
+            .get(step.attempt as usize)
+            .is_some_and(|s| !s.ended);
         let may = wanted && out && self.balancer.may_begin(now, step.job, step.attempt);
         may.then(|| entered.deadline - now)
     }
 
     /// Has the driver give a step up that is still out.
     pub(super) fn call_off(&self, step: StepId) {
-        let Some(entered) = self.operations.get(&step.job) else { return };
+        let Some(entered) = self.operations.get(&step.job) else {
+            return;
+        };
         let s = &entered.steps[step.attempt as usize];
         if !s.handed {
             return; // no driver has heard of it
--- a/src/core/tenants.rs
+++ b/src/core/tenants.rs
@@ -33,12 +33,19 @@
     /// Those listed; `renamed` has earlier names and the present ones. `rest`: see [`Tenants::resolve`]. The error
     /// names the name.
     pub fn new(
-        listed: &[String], renamed: &[(String, String)], rest: Option<&str>,
+        listed: &[String],
+        renamed: &[(String, String)],
+        rest: Option<&str>,
     ) -> Result<Tenants, String> {
-        let mut tenants = Tenants { names: HashMap::new(), rest: rest.map(Arc::from) };
+        let mut tenants = Tenants {
+            names: HashMap::new(),
+            rest: rest.map(Arc::from),
+        };
         for name in listed.iter().map(String::as_str).chain(rest) {
             if !is_name(name) {
-                return Err(format!("{name:?}: empty, over {LONGEST} bytes, or with control characters"));
+                return Err(format!(
+                    "{name:?}: empty, over {LONGEST} bytes, or with control characters"
+                ));
             }
         }
         for name in listed {
@@ -48,11 +55,18 @@
             }
         }
         for (old, new) in renamed {
-            let present = tenants.names.get(new.as_str()).filter(|n| n.as_ref() == new.as_str());
-            let present =
-                present.ok_or_else(|| format!("{old:?}: its present name {new:?} is not listed"))?;
+            let present = tenants
+                .names
+                .get(new.as_str())
+                .filter(|n| n.as_ref() == new.as_str());
+            let present = present
+                .ok_or_else(|| format!("{old:?}: its present name {new:?} is not listed"))?;
             let present = present.clone();
-            if tenants.names.insert(Arc::from(old.as_str()), present).is_some() {
+            if tenants
+                .names
+                .insert(Arc::from(old.as_str()), present)
+                .is_some()
+            {
                 return Err(format!("{old:?}: an earlier name, and a listed one too"));
             }
         }
@@ -65,7 +79,10 @@
             return Err(NoTenant::Malformed);
         }
         let listed = name.and_then(|n| self.names.get(n));
-        listed.or(self.rest.as_ref()).cloned().ok_or(NoTenant::Unlisted)
+        listed
+            .or(self.rest.as_ref())
+            .cloned()
+            .ok_or(NoTenant::Unlisted)
     }
 
     /// A tenant's present name; any other name as it is.
--- a/src/core/turn.rs
+++ b/src/core/turn.rs
@@ -79,15 +79,24 @@
         let event = match input {
             Input::Arrived(job) => {
                 // One that waited for the first list may have been answered, or its client have gone.
-                let Some(entered) = self.operations.get_mut(&job).filter(|o| !o.answered) else { return };
+                let Some(entered) = self.operations.get_mut(&job).filter(|o| !o.answered) else {
+                    return;
+                };
                 let o = &entered.operation;
-                let taken = self.quotas.as_ref().map_or(Taken::Unbound, |q| q.take(now, o.tenant.as_deref()));
+                let taken = self
+                    .quotas
+                    .as_ref()
+                    .map_or(Taken::Unbound, |q| q.take(now, o.tenant.as_deref()));
                 let quota_free = taken.free();
                 entered.right = taken.right(self.quotas.as_ref());
                 Event::Arrived(Request {
                     job,
                     class: o.class,
-                    tenant: o.tenant.as_deref().and_then(|t| self.site.tenants.known(t)).map(TenantId),
+                    tenant: o
+                        .tenant
+                        .as_deref()
+                        .and_then(|t| self.site.tenants.known(t))
+                        .map(TenantId),
                     quota_free,
                     expires_in_us: entered.deadline.saturating_sub(now),
                     hint_us: None,
@@ -96,7 +105,9 @@
                 })
             }
             Input::Gone(job) => {
-                let Some(entered) = self.operations.get_mut(&job) else { return };
+                let Some(entered) = self.operations.get_mut(&job) else {
+                    return;
+                };
                 if entered.answered || !entered.waiting.is_empty() {
                     return; // answered meanwhile, or a repeat has joined
                 }
@@ -107,17 +118,27 @@
                 Some(event) => event,
                 None => return,
             },
-            Input::List { source, complete, members } => self.list(source, complete, members),
+            Input::List {
+                source,
+                complete,
+                members,
+            } => self.list(source, complete, members),
             Input::ListFailed => Event::ListFailed,
             Input::Probed(worker, ok, report) => Event::Probed { worker, ok, report },
             Input::Judged(worker, weight) => Event::Judged { worker, weight },
             Input::Timer(token) => Event::Timer { token },
             Input::Deadline(job) => {
-                let Some(entered) = self.operations.get(&job) else { return };
+                let Some(entered) = self.operations.get(&job) else {
+                    return;
+                };
                 for attempt in (0..entered.steps.len()).filter(|&i| !entered.steps[i].ended) {
-                    let step = StepId { job, attempt: attempt as u32 };
+                    let step = StepId {
+                        job,
+                        attempt: attempt as u32,
+                    };
                     self.call_off(step);
-                    self.inputs.push(Input::Step(step, StepNews::Ended(Ending::TimedOut, None)));
+                    self.inputs
+                        .push(Input::Step(step, StepNews::Ended(Ending::TimedOut, None)));
                 }
                 return;
             }
@@ -127,9 +148,13 @@
 
     /// The one place that hands out final answers, once an operation.
     pub(super) fn finish(&mut self, now: Micros, job: JobId, answer: Answer) {
-        let Some(entered) = self.operations.get_mut(&job).filter(|o| !o.answered) else { return };
+        let Some(entered) = self.operations.get_mut(&job).filter(|o| !o.answered) else {
+            return;
+        };
         let (waiting, used) = (std::mem::take(&mut entered.waiting), entered.used(now));
-        waiting.into_iter().for_each(|waiter| self.give(now, &used, waiter, &answer));
+        waiting
+            .into_iter()
+            .for_each(|waiter| self.give(now, &used, waiter, &answer));
         self.close(now, job, answer);
     }
 
--- a/src/core/witness.rs
+++ b/src/core/witness.rs
@@ -22,13 +22,18 @@
     /// The workers that take work are told.
     pub(super) fn tell_list(&self) {
         let ready = |m: &&Member| m.stage == Stage::Ready;
-        self.witness.iter().for_each(|w| w.listed(&mut self.workers.iter().map(|w| &w.member).filter(ready)));
+        self.witness
+            .iter()
+            .for_each(|w| w.listed(&mut self.workers.iter().map(|w| &w.member).filter(ready)));
     }
 
     /// What others together say of workers, by name and weight; of all that are not named nothing is said any more.
     pub fn judged(&mut self, verdicts: &[(&str, u32)]) {
         for (id, worker) in self.workers.iter().enumerate() {
-            let weight = verdicts.iter().find(|v| v.0 == worker.member.name).map_or(0, |v| v.1);
+            let weight = verdicts
+                .iter()
+                .find(|v| v.0 == worker.member.name)
+                .map_or(0, |v| v.1);
             self.inputs.push(Input::Judged(WorkerId(id as u32), weight));
         }
     }
--- a/src/drmaa/front/mod.rs
+++ b/src/drmaa/front/mod.rs
@@ -74,7 +74,9 @@
     fn answer(&self, ticket: u64, answer: &Answer, receipt: Receipt) {
         let now = self.seconds();
         let mut jobs = self.jobs.borrow_mut();
-        let Some(job) = jobs.get_mut(&ticket).filter(|j| !j.is_over()) else { return };
+        let Some(job) = jobs.get_mut(&ticket).filter(|j| !j.is_over()) else {
+            return;
+        };
         job.receipt = receipt;
         job.info.finish_time = Some(now);
         let state = match answer {
@@ -91,7 +93,11 @@
                 JobState::Failed
             }
             Answer::Failed { late } => {
-                job.info.error = Some(if *late { Error::Timeout } else { Error::Internal });
+                job.info.error = Some(if *late {
+                    Error::Timeout
+                } else {
+                    Error::Internal
+                });
                 JobState::Failed
             }
         };
@@ -101,7 +107,10 @@
     fn started(&self, ticket: u64) {
         let now = self.seconds();
         let mut jobs = self.jobs.borrow_mut();
-        if let Some(job) = jobs.get_mut(&ticket).filter(|j| j.info.job_state == JobState::Queued) {
+        if let Some(job) = jobs
+            .get_mut(&ticket)
+            .filter(|j| j.info.job_state == JobState::Queued)
+        {
             job.info.dispatch_time = Some(now);
             job.enter(JobState::Running);
         }
@@ -135,9 +144,13 @@
             if jobs.len() < self.max_jobs && held + bytes <= KEPT_BYTES {
                 return true;
             }
-            let oldest =
-                jobs.iter().filter_map(|(n, j)| Some((over(j)?, *n))).min_by(|a, b| a.0.total_cmp(&b.0));
-            let Some((_, number)) = oldest else { return false };
+            let oldest = jobs
+                .iter()
+                .filter_map(|(n, j)| Some((over(j)?, *n)))
+                .min_by(|a, b| a.0.total_cmp(&b.0));
+            let Some((_, number)) = oldest else {
+                return false;
+            };
             jobs.remove(&number);
         }
     }
@@ -177,22 +190,32 @@
         };
         self.jobs.borrow_mut().insert(number, job);
         let front = self.front();
-        match self.hub.with(|core, now| core.submit(now, operation, front, number)) {
+        match self
+            .hub
+            .with(|core, now| core.submit(now, operation, front, number))
+        {
             Ok(job) => {
                 let mut jobs = self.jobs.borrow_mut();
                 if let Some(entry) = jobs.get_mut(&number) {
                     entry.operation = Some(job);
                 }
-                Ok(Said { job_id: Some(job_id), ..Said::default() })
+                Ok(Said {
+                    job_id: Some(job_id),
+                    ..Said::default()
+                })
             }
             Err(why) => {
                 self.jobs.borrow_mut().remove(&number);
                 match why {
-                    NotTaken::SameId | NotTaken::Full => refuse(Error::TryLater, "too many operations"),
+                    NotTaken::SameId | NotTaken::Full => {
+                        refuse(Error::TryLater, "too many operations")
+                    }
                     NotTaken::Unbilled => refuse(Error::TryLater, "use cannot be booked now"),
                     NotTaken::Stopping => refuse(Error::TryLater, "this dispatcher ends"),
                     NotTaken::BadTenant => refuse(Error::InvalidArgument, "accountingId: no name"),
-                    NotTaken::Unlisted => refuse(Error::DeniedByDrms, "accountingId: no such tenant"),
+                    NotTaken::Unlisted => {
+                        refuse(Error::DeniedByDrms, "accountingId: no such tenant")
+                    }
                 }
             }
         }
@@ -214,15 +237,19 @@
         let mut parts = path.split('/').skip(1);
         let named = parts.next().unwrap_or("");
         let category = t.job_category.as_deref().unwrap_or(named);
-        let class = self.hub.with(|core, _| core.class(category)).filter(|_| category == named);
+        let class = self
+            .hub
+            .with(|core, _| core.class(category))
+            .filter(|_| category == named);
         let Some(class) = class else {
             return refuse(
                 Error::InvalidArgument,
                 "jobCategory: no such class, or not that of remoteCommand",
             );
         };
-        let (keyed, deadline_us) =
-            self.hub.with(|core, _| (core.is_keyed(class), core.class_settings(class).deadline_us));
+        let (keyed, deadline_us) = self
+            .hub
+            .with(|core, _| (core.is_keyed(class), core.class_settings(class).deadline_us));
         let key = t.idempotency_key.filter(|k| !k.is_empty());
         if key.as_deref().map_or(keyed, |k| !visible(k)) {
             return refuse(
@@ -235,7 +262,9 @@
             return refuse(Error::InvalidArgument, "minSlots: must be above 0");
         }
         let left_us = match t.deadline_time {
-            Some(at) if !at.is_finite() => return refuse(Error::InvalidArgument, "deadlineTime: not a time"),
+            Some(at) if !at.is_finite() => {
+                return refuse(Error::InvalidArgument, "deadlineTime: not a time")
+            }
             Some(at) => ((at - self.seconds()).clamp(0.0, 86_400.0) * 1e6) as Micros,
             None => deadline_us,
         };
@@ -247,7 +276,12 @@
             (Some(text), None) => text.into_bytes(),
             (None, Some(hex)) => match from_hex(&hex) {
                 Some(bytes) => bytes,
-                None => return refuse(Error::InvalidArgument, "streamusher_inputHex: not hex digits"),
+                None => {
+                    return refuse(
+                        Error::InvalidArgument,
+                        "streamusher_inputHex: not hex digits",
+                    )
+                }
             },
             (None, None) => Vec::new(),
         };
@@ -270,8 +304,12 @@
 
     fn look<T>(&self, id: &str, at: impl FnOnce(&mut Job) -> T) -> Result<T, (Error, String)> {
         let mut jobs = self.jobs.borrow_mut();
-        let job = id.parse().ok().and_then(|number: u64| jobs.get_mut(&number));
-        job.map(at).ok_or((Error::InvalidArgument, "jobId: no such job".to_string()))
+        let job = id
+            .parse()
+            .ok()
+            .and_then(|number: u64| jobs.get_mut(&number));
+        job.map(at)
+            .ok_or((Error::InvalidArgument, "jobId: no such job".to_string()))
     }
 
     /// A job that is over cannot be terminated; one that is not gets its one end here.
@@ -291,7 +329,8 @@
             return refuse(Error::InvalidState, "the job is over");
         };
         let front = self.front();
-        self.hub.with(|core, now| core.gone(now, operation, &front, number));
+        self.hub
+            .with(|core, now| core.gone(now, operation, &front, number));
         Ok(Said::default())
     }
 
@@ -308,7 +347,12 @@
                     }
                 })?;
                 match there {
-                    Ok(info) => return Ok(Said { job_info: Some(info), ..Said::default() }),
+                    Ok(info) => {
+                        return Ok(Said {
+                            job_info: Some(info),
+                            ..Said::default()
+                        })
+                    }
                     Err(changed) => drop(changed.recv().await),
                 }
             }
--- a/src/drmaa/front/session.rs
+++ b/src/drmaa/front/session.rs
@@ -23,7 +23,9 @@
     /// A session was told this. How a job ended is known to its client once a session was told all of it.
     fn told(&self, said: &Said) {
         let over = |i: &&JobInfo| matches!(i.job_state, JobState::Done | JobState::Failed);
-        let Some(info) = said.job_info.as_ref().filter(over) else { return };
+        let Some(info) = said.job_info.as_ref().filter(over) else {
+            return;
+        };
         if let Ok(receipt) = self.look(&info.job_id, |job| std::mem::take(&mut job.receipt)) {
             receipt.written();
         }
@@ -31,22 +33,35 @@
 
     /// One call; those that wait are answered from a task of their own.
     fn call(
-        &self, call: Call, session: &Sender<Said>, ended: &Receiver<()>, waits: &Rc<Cell<usize>>,
+        &self,
+        call: Call,
+        session: &Sender<Said>,
+        ended: &Receiver<()>,
+        waits: &Rc<Cell<usize>>,
     ) -> Option<Reply> {
         Some(match call.what {
             What::RunJob { job_template } => self.run_job(job_template, session),
             What::Terminate { job_id } => self.terminate(&job_id),
             What::GetState { job_id } => {
                 let state = self.look(&job_id, |job| job.info.job_state);
-                state.map(|s| Said { job_state: Some(s), ..Said::default() })
+                state.map(|s| Said {
+                    job_state: Some(s),
+                    ..Said::default()
+                })
             }
             What::GetInfo { job_id } => {
                 let info = self.look(&job_id, |job| job.info.clone());
-                info.map(|i| Said { job_info: Some(i), ..Said::default() })
+                info.map(|i| Said {
+                    job_info: Some(i),
+                    ..Said::default()
+                })
             }
             What::Reap { job_id } => match self.look(&job_id, |job| job.is_over()) {
                 Ok(true) => {
-                    job_id.parse().ok().and_then(|n: u64| self.jobs.borrow_mut().remove(&n));
+                    job_id
+                        .parse()
+                        .ok()
+                        .and_then(|n: u64| self.jobs.borrow_mut().remove(&n));
                     Ok(Said::default())
                 }
                 Ok(false) => refuse(Error::InvalidState, "the job is not over"),
@@ -63,16 +78,26 @@
                 self.answer_later(call.seq, job_id, timeout, false, session, ended, waits);
                 return None;
             }
-            What::Suspend { .. } | What::Resume { .. } | What::Hold { .. } | What::Release { .. } => {
-                refuse(Error::UnsupportedOperation, "jobs are neither held nor suspended here")
-            }
+            What::Suspend { .. }
+            | What::Resume { .. }
+            | What::Hold { .. }
+            | What::Release { .. } => refuse(
+                Error::UnsupportedOperation,
+                "jobs are neither held nor suspended here",
+            ),
         })
     }
 
     #[allow(clippy::too_many_arguments)]
     fn answer_later(
-        &self, seq: u64, id: String, timeout: f64, until_started: bool, session: &Sender<Said>,
-        ended: &Receiver<()>, waits: &Rc<Cell<usize>>,
+        &self,
+        seq: u64,
+        id: String,
+        timeout: f64,
+        until_started: bool,
+        session: &Sender<Said>,
+        ended: &Receiver<()>,
+        waits: &Rc<Cell<usize>>,
     ) {
         let me = self.me.upgrade().expect("called through an Rc");
         let (session, ended, waits) = (session.clone(), ended.clone(), waits.clone());
@@ -111,7 +136,12 @@
                 }
             };
             let turn = future::or(
-                async { to_say.recv().await.map_or(Turn::End(None), |s| Turn::Say(Box::new(s))) },
+                async {
+                    to_say
+                        .recv()
+                        .await
+                        .map_or(Turn::End(None), |s| Turn::Say(Box::new(s)))
+                },
                 call,
             )
             .await;
@@ -119,7 +149,9 @@
                 Turn::Say(text) => *text,
                 Turn::End(None) => return,
                 Turn::End(Some(why)) => {
-                    let _ = conn.write(&line(&said(0, refuse(Error::InvalidArgument, why)))).await;
+                    let _ = conn
+                        .write(&line(&said(0, refuse(Error::InvalidArgument, why))))
+                        .await;
                     return;
                 }
                 Turn::Call(text) => match serde_json::from_slice::<Call>(&text) {
@@ -134,7 +166,10 @@
                         // Guards against a silent end: a caller is told which of its calls was not understood.
                         let seq = serde_json::from_slice::<serde_json::Value>(&text).ok();
                         let seq = seq.and_then(|v| v.get("seq")?.as_u64()).unwrap_or(0);
-                        said(seq, refuse(Error::InvalidArgument, format!("not a call: {e}")))
+                        said(
+                            seq,
+                            refuse(Error::InvalidArgument, format!("not a call: {e}")),
+                        )
                     }
                 },
             };
@@ -152,15 +187,25 @@
         message: Some(why),
         ..Said::default()
     });
-    Said { seq: Some(seq), ..said }
+    Said {
+        seq: Some(seq),
+        ..said
+    }
 }
 
 /// Listens and serves from now on.
 pub(crate) fn listen(
-    hub: &Rc<Hub>, addr: SocketAddr, drmaa: &Drmaa, most: usize,
+    hub: &Rc<Hub>,
+    addr: SocketAddr,
+    drmaa: &Drmaa,
+    most: usize,
 ) -> Result<Rc<JobTable>, String> {
-    let listener = Async::<TcpListener>::bind(addr).map_err(|e| format!("drmaa listen: {addr}: {e}"))?;
-    let addr = listener.get_ref().local_addr().map_err(|e| format!("drmaa listen: {addr}: {e}"))?;
+    let listener =
+        Async::<TcpListener>::bind(addr).map_err(|e| format!("drmaa listen: {addr}: {e}"))?;
+    let addr = listener
+        .get_ref()
+        .local_addr()
+        .map_err(|e| format!("drmaa listen: {addr}: {e}"))?;
     info!(hub.log, "serving DRMAA"; "listen" => %addr);
     let table = Rc::new_cyclic(|me| JobTable {
         me: me.clone(),
--- a/src/drmaa/front/template.rs
+++ b/src/drmaa/front/template.rs
@@ -30,12 +30,23 @@
 
 /// Reads a template. What this front does not bear is refused by name.
 pub(super) fn read_template(template: serde_json::Value) -> Result<JobTemplate, (Error, String)> {
-    let known = ["remoteCommand", "jobCategory", "jobName", "minSlots", "deadlineTime", "accountingId"];
+    let known = [
+        "remoteCommand",
+        "jobCategory",
+        "jobName",
+        "minSlots",
+        "deadlineTime",
+        "accountingId",
+    ];
     for name in template.as_object().into_iter().flat_map(|t| t.keys()) {
         if UNSUPPORTED.contains(&name.as_str()) {
             return refuse(Error::UnsupportedAttribute, name.clone());
         }
-        let ours = ["streamusher_idempotencyKey", "streamusher_input", "streamusher_inputHex"];
+        let ours = [
+            "streamusher_idempotencyKey",
+            "streamusher_input",
+            "streamusher_inputHex",
+        ];
         if !known.contains(&name.as_str()) && !ours.contains(&name.as_str()) {
             return refuse(Error::InvalidArgument, format!("{name}: no such attribute"));
         }
--- a/src/drmaa/mod.rs
+++ b/src/drmaa/mod.rs
@@ -18,12 +18,19 @@
 
 /// Attaches the driver and its workers, and the front if it is to listen.
 pub(crate) fn attach(
-    hub: &Rc<Hub>, drmaa: Drmaa, pool: Rc<Pool>, sessions: usize,
+    hub: &Rc<Hub>,
+    drmaa: Drmaa,
+    pool: Rc<Pool>,
+    sessions: usize,
 ) -> Result<Option<Rc<front::JobTable>>, String> {
-    let driver = hub.with(|core, _| core.attach_driver(worker::DrmaaDriver::new(hub.clone(), pool)));
+    let driver =
+        hub.with(|core, _| core.attach_driver(worker::DrmaaDriver::new(hub.clone(), pool)));
     let members: Vec<Member> = drmaa.workers.clone();
     hub.with(|core, _| core.pool_config(driver, true, members));
-    drmaa.listen.map(|addr| front::listen(hub, addr, &drmaa, sessions)).transpose()
+    drmaa
+        .listen
+        .map(|addr| front::listen(hub, addr, &drmaa, sessions))
+        .transpose()
 }
 
 /// The states of a job.
@@ -79,12 +86,18 @@
     /// Unix time in seconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(crate) deadline_time: Option<f64>,
-    #[serde(rename = "streamusher_idempotencyKey", skip_serializing_if = "Option::is_none")]
+    #[serde(
+        rename = "streamusher_idempotencyKey",
+        skip_serializing_if = "Option::is_none"
+    )]
     pub(crate) idempotency_key: Option<String>,
     #[serde(rename = "streamusher_input", skip_serializing_if = "Option::is_none")]
     pub(crate) input: Option<String>,
     /// The input in hex digits, where it is not text.
-    #[serde(rename = "streamusher_inputHex", skip_serializing_if = "Option::is_none")]
+    #[serde(
+        rename = "streamusher_inputHex",
+        skip_serializing_if = "Option::is_none"
+    )]
     pub(crate) input_hex: Option<String>,
 }
 
@@ -109,13 +122,25 @@
     pub(crate) dispatch_time: Option<f64>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub(crate) finish_time: Option<f64>,
-    #[serde(default, rename = "streamusher_output", skip_serializing_if = "Option::is_none")]
+    #[serde(
+        default,
+        rename = "streamusher_output",
+        skip_serializing_if = "Option::is_none"
+    )]
     pub(crate) output: Option<String>,
     /// Why it failed.
-    #[serde(default, rename = "streamusher_error", skip_serializing_if = "Option::is_none")]
+    #[serde(
+        default,
+        rename = "streamusher_error",
+        skip_serializing_if = "Option::is_none"
+    )]
     pub(crate) error: Option<Error>,
     /// Seconds to stay away for, where it was turned away unstarted.
-    #[serde(default, rename = "streamusher_retryAfter", skip_serializing_if = "Option::is_none")]
+    #[serde(
+        default,
+        rename = "streamusher_retryAfter",
+        skip_serializing_if = "Option::is_none"
+    )]
     pub(crate) retry_after: Option<f64>,
 }
 
@@ -130,7 +155,11 @@
 
 /// What is called for. `timeout` is in seconds; below 0, without end.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-#[serde(tag = "call", rename_all = "camelCase", rename_all_fields = "camelCase")]
+#[serde(
+    tag = "call",
+    rename_all = "camelCase",
+    rename_all_fields = "camelCase"
+)]
 pub(crate) enum What {
     RunJob { job_template: serde_json::Value },
     WaitStarted { job_id: String, timeout: f64 },
--- a/src/drmaa/worker.rs
+++ b/src/drmaa/worker.rs
@@ -29,12 +29,21 @@
 
 impl DrmaaDriver {
     pub(crate) fn new(hub: Rc<Hub>, pool: Rc<Pool>) -> Rc<DrmaaDriver> {
-        Rc::new_cyclic(|me| DrmaaDriver { me: me.clone(), hub, pool, out: RefCell::default() })
+        Rc::new_cyclic(|me| DrmaaDriver {
+            me: me.clone(),
+            hub,
+            pool,
+            out: RefCell::default(),
+        })
     }
 
     /// One job from hand-over to end. `job` is filled once the worker has named it.
     async fn run(
-        &self, step: StepId, addr: SocketAddr, operation: &Operation, lent: &mut Option<Lent>,
+        &self,
+        step: StepId,
+        addr: SocketAddr,
+        operation: &Operation,
+        lent: &mut Option<Lent>,
         job: &mut Option<String>,
     ) -> Ending {
         let mut taken = match self.pool.take(addr, Use::Work).await {
@@ -42,21 +51,30 @@
             Err(ending) => return ending,
         };
         // The connection may have come up late: see the platform's driver.
-        let Some(deadline) = self.hub.with(|core, now| core.may_begin(now, step).map(|left| now + left))
+        let Some(deadline) = self
+            .hub
+            .with(|core, now| core.may_begin(now, step).map(|left| now + left))
         else {
             self.pool.give_back(addr, taken);
             return Ending::NeverSent;
         };
         let job_template =
             serde_json::to_value(template(operation, deadline as f64 / 1e6)).expect("plain data");
-        let call = line(&Call { seq: 1, what: What::RunJob { job_template } });
+        let call = line(&Call {
+            seq: 1,
+            what: What::RunJob { job_template },
+        });
         if taken.conn.write(&call).await.is_err() {
             return Ending::BrokeUnsent;
         }
         let conn = &mut lent.insert(taken).conn;
         let mut early = None;
         loop {
-            let said = match conn.line(LINE).await.map(|l| serde_json::from_slice::<Said>(&l)) {
+            let said = match conn
+                .line(LINE)
+                .await
+                .map(|l| serde_json::from_slice::<Said>(&l))
+            {
                 Ok(Ok(said)) => said,
                 _ => return Ending::BrokeSent,
             };
@@ -72,13 +90,22 @@
                 (None, _) => {}
                 (Some(1), Some(error)) => return turned_down(error),
                 (Some(1), None) => {
-                    let Some(id) = said.job_id else { return Ending::WorkerFailed };
-                    let wait = What::WaitTerminated { job_id: id.clone(), timeout: -1.0 };
+                    let Some(id) = said.job_id else {
+                        return Ending::WorkerFailed;
+                    };
+                    let wait = What::WaitTerminated {
+                        job_id: id.clone(),
+                        timeout: -1.0,
+                    };
                     if early.as_ref() == Some(&id) {
                         self.started(step);
                     }
                     *job = Some(id);
-                    if conn.write(&line(&Call { seq: 2, what: wait })).await.is_err() {
+                    if conn
+                        .write(&line(&Call { seq: 2, what: wait }))
+                        .await
+                        .is_err()
+                    {
                         return Ending::BrokeSent;
                     }
                 }
@@ -102,7 +129,10 @@
             }
         }
         self.hub.with(|core, _| core.counters.cancels += 1);
-        let call = Call { seq: 3, what: What::Terminate { job_id: job? } };
+        let call = Call {
+            seq: 3,
+            what: What::Terminate { job_id: job? },
+        };
         lent.conn.write(&line(&call)).await.ok()?;
         loop {
             let said: Said = serde_json::from_slice(&lent.conn.line(LINE).await.ok()?).ok()?;
@@ -112,7 +142,13 @@
         }
     }
 
-    async fn step(&self, step: StepId, addr: SocketAddr, operation: Arc<Operation>, given_up: Receiver<()>) {
+    async fn step(
+        &self,
+        step: StepId,
+        addr: SocketAddr,
+        operation: Arc<Operation>,
+        given_up: Receiver<()>,
+    ) {
         let (mut lent, mut job) = (None, None);
         let run = async { Some(self.run(step, addr, &operation, &mut lent, &mut job).await) };
         let cancelled = async {
@@ -123,11 +159,15 @@
         self.out.borrow_mut().remove(&step);
         match (ended, lent) {
             (Some(ending), lent) => {
-                let whole = matches!(ending, Ending::Served(_) | Ending::WorkerFailed | Ending::TurnedAway);
+                let whole = matches!(
+                    ending,
+                    Ending::Served(_) | Ending::WorkerFailed | Ending::TurnedAway
+                );
                 if let Some(lent) = lent.filter(|_| whole) {
                     self.pool.give_back(addr, lent);
                 }
-                self.hub.with(|core, _| core.step(step, StepNews::Ended(ending, None)));
+                self.hub
+                    .with(|core, _| core.step(step, StepNews::Ended(ending, None)));
             }
             (None, Some(mut lent)) => {
                 let terminate = async {
@@ -187,9 +227,9 @@
         self.hub.spawn(async move {
             match addr {
                 Ok(addr) => me.step(step, addr, operation, given_up).await,
-                Err(_) => {
-                    me.hub.with(|core, _| core.step(step, StepNews::Ended(Ending::ConnectRefused, None)))
-                }
+                Err(_) => me
+                    .hub
+                    .with(|core, _| core.step(step, StepNews::Ended(Ending::ConnectRefused, None))),
             }
         });
     }
@@ -201,6 +241,7 @@
     /// DRMAA knows no probe: the answer is that there is none.
     fn probe(&self, worker: WorkerId, _member: &Member) {
         let hub = self.hub.clone();
-        self.hub.spawn(async move { hub.with(|core, _| core.probed(worker, false, None)) });
+        self.hub
+            .spawn(async move { hub.with(|core, _| core.probed(worker, false, None)) });
     }
 }
--- a/src/fleet/books.rs
+++ b/src/fleet/books.rs
@@ -57,7 +57,10 @@
 
 impl Books {
     pub(super) fn new(
-        notes: Producer<Note>, state: Thread, terms: Arc<Terms>, purses: Vec<Arc<Purse>>,
+        notes: Producer<Note>,
+        state: Thread,
+        terms: Arc<Terms>,
+        purses: Vec<Arc<Purse>>,
         config: &FleetConfig,
     ) -> Books {
         Books {
@@ -66,7 +69,12 @@
             waiting: RefCell::default(),
             last: Cell::new(0),
             out: RefCell::default(),
-            budgets: terms.budgets.iter().enumerate().map(|(i, b)| (b.name.clone(), i)).collect(),
+            budgets: terms
+                .budgets
+                .iter()
+                .enumerate()
+                .map(|(i, b)| (b.name.clone(), i))
+                .collect(),
             purses,
             copies: config.copies,
             hold: config.hold_us,
@@ -93,7 +101,13 @@
             return;
         }
         let rows = std::mem::take(&mut *waiting).into_iter().collect();
-        if notes.push(Note::Counts { upto: self.last.get(), rows }).is_ok() {
+        if notes
+            .push(Note::Counts {
+                upto: self.last.get(),
+                rows,
+            })
+            .is_ok()
+        {
             // Where nobody waits for them, counts are taken as the state's thread next looks: waking it for each one
             // cost a third of an operation's processor time.
             if self.copies > 0 || notes.slots() < NOTES / 2 {
@@ -111,7 +125,10 @@
 
     fn key(&self, tenant: Option<&Arc<str>>) -> Key {
         let period = (crate::billing::wall() / self.period) as u32;
-        Key { period, tenant: tenant.unwrap_or(&self.nobody).clone() }
+        Key {
+            period,
+            tenant: tenant.unwrap_or(&self.nobody).clone(),
+        }
     }
 }
 
@@ -134,38 +151,61 @@
         units.add(&Units::one(Unit::UsedUs, a.run_us));
         units.add(&Units::one(Unit::WastedUs, a.wasted_us));
         if a.ended != Ended::Gone {
-            self.out.borrow_mut().insert(number, (key.clone(), a.ended == Ended::Served));
+            self.out
+                .borrow_mut()
+                .insert(number, (key.clone(), a.ended == Ended::Served));
         }
         self.count(key, &units);
         match self.copies {
             0 => Booking::Open { number },
-            _ => Booking::Hold { number, until: now.saturating_add(self.hold).min(by.max(now)) },
+            _ => Booking::Hold {
+                number,
+                until: now.saturating_add(self.hold).min(by.max(now)),
+            },
         }
     }
 
     fn overdue(&self, number: u64) {
         let key = self.out.borrow().get(&number).map(|o| o.0.clone());
-        key.into_iter().for_each(|key| self.count(key, &Units::one(Unit::Unsure, 1)));
+        key.into_iter()
+            .for_each(|key| self.count(key, &Units::one(Unit::Unsure, 1)));
     }
 
     fn written(&self, number: u64, whole: bool) {
-        let Some((key, served)) = self.out.borrow_mut().remove(&number) else { return };
+        let Some((key, served)) = self.out.borrow_mut().remove(&number) else {
+            return;
+        };
         if served {
-            self.count(key, &Units::one(if whole { Unit::Written } else { Unit::Unwritten }, 1));
+            self.count(
+                key,
+                &Units::one(
+                    if whole {
+                        Unit::Written
+                    } else {
+                        Unit::Unwritten
+                    },
+                    1,
+                ),
+            );
         }
     }
 }
 
 impl Quotas for Books {
     fn take(&self, now: Micros, tenant: Option<&str>) -> Taken {
-        let Some(budget) = tenant.and_then(|t| self.budgets.get(t)).copied() else { return Taken::Unbound };
+        let Some(budget) = tenant.and_then(|t| self.budgets.get(t)).copied() else {
+            return Taken::Unbound;
+        };
         let purse = &self.purses[budget];
         let free = purse.free(now);
         if !purse.spend(now) {
             return Taken::None;
         }
         let rights = purse.rights();
-        Taken::One { budget, free: free.max(1) as f64 / (rights.0 + rights.1).max(1) as f64 }
+        Taken::One {
+            budget,
+            free: free.max(1) as f64 / (rights.0 + rights.1).max(1) as f64,
+        }
     }
 
     fn give_back(&self, budget: usize) {
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -69,24 +69,37 @@
 /// Attaches it: answers are counted from now on, and the tenants' quotas hold. `longest` is the longest time that an
 /// operation may be in hand.
 pub(crate) fn attach(
-    hub: &Rc<Hub>, config: FleetConfig, name: &str, seed: u64, longest: Micros,
+    hub: &Rc<Hub>,
+    config: FleetConfig,
+    name: &str,
+    seed: u64,
+    longest: Micros,
 ) -> Result<Fleet, String> {
     let name = config.name.clone().unwrap_or_else(|| name.to_string());
     if !streamusher_fleet::life::is_name(&name) {
-        return Err(format!("fleet.name: 1 to 64 letters, digits, '-', '_' and '.': {name:?}"));
+        return Err(format!(
+            "fleet.name: 1 to 64 letters, digits, '-', '_' and '.': {name:?}"
+        ));
     }
     if !config.limits.is_empty() && !config.seats.contains(&name) {
-        return Err(format!("fleet.seats: {name:?} is not among them, and there are limits"));
+        return Err(format!(
+            "fleet.seats: {name:?} is not among them, and there are limits"
+        ));
     }
-    let socket =
-        UdpSocket::bind(config.listen).map_err(|e| format!("fleet.listen: {}: {e}", config.listen))?;
-    let addr = socket.local_addr().map_err(|e| format!("fleet.listen: {e}"))?;
+    let socket = UdpSocket::bind(config.listen)
+        .map_err(|e| format!("fleet.listen: {}: {e}", config.listen))?;
+    let addr = socket
+        .local_addr()
+        .map_err(|e| format!("fleet.listen: {e}"))?;
     let terms = Arc::new(Terms {
         seats: config.seats.iter().map(|s| Arc::from(s.as_str())).collect(),
         budgets: config
             .limits
             .iter()
-            .map(|(t, n)| Budget { name: Arc::from(t.as_str()), units: *n })
+            .map(|(t, n)| Budget {
+                name: Arc::from(t.as_str()),
+                units: *n,
+            })
             .collect(),
         floor: config.floor,
         lease: config.lease_us,
@@ -110,7 +123,12 @@
     info!(hub.log, "the fleet"; "name" => &name, "udp" => %addr, "advertised" => %setup.addr,
         "life" => setup.me.no, "copies" => config.copies, "limits" => terms.budgets.len());
     let node = Node::new(setup, purses.clone(), clock(), crate::billing::wall());
-    let view = View { upto: 0, show: node.show(clock()), tally: node.tally(), verdicts: Vec::new() };
+    let view = View {
+        upto: 0,
+        show: node.show(clock()),
+        tally: node.tally(),
+        verdicts: Vec::new(),
+    };
     let common = Arc::new(Common {
         waited_for: config.copies > 0,
         safe: AtomicU64::new(0),
@@ -122,8 +140,16 @@
     });
     let (notes, noted) = rtrb::RingBuffer::new(books::NOTES);
     let (wake, woken) = async_channel::bounded(1);
-    let (threads, state) = threads::start(node, socket, common.clone(), noted, wake, clock, hub.log.clone())
-        .map_err(|e| format!("fleet: no thread for it: {e}"))?;
+    let (threads, state) = threads::start(
+        node,
+        socket,
+        common.clone(),
+        noted,
+        wake,
+        clock,
+        hub.log.clone(),
+    )
+    .map_err(|e| format!("fleet: no thread for it: {e}"))?;
     let books = Rc::new(Books::new(notes, state.clone(), terms, purses, &config));
     let keeper = hub.with(|core, _| {
         if !config.limits.is_empty() {
@@ -140,13 +166,23 @@
             heard.with(|core, _| core.durable(keeper, upto));
             if safe.judged.swap(false, Ordering::AcqRel) {
                 let view = safe.view.load();
-                let verdicts: Vec<(&str, u32)> =
-                    view.verdicts.iter().map(|v| (&*v.worker, v.weight)).collect();
+                let verdicts: Vec<(&str, u32)> = view
+                    .verdicts
+                    .iter()
+                    .map(|v| (&*v.worker, v.weight))
+                    .collect();
                 heard.with(|core, _| core.judged(&verdicts));
             }
         }
     });
-    Ok(Fleet { common, books, period: config.period_us, copies: config.copies, state, threads })
+    Ok(Fleet {
+        common,
+        books,
+        period: config.period_us,
+        copies: config.copies,
+        state,
+        threads,
+    })
 }
 
 impl Fleet {
--- a/src/fleet/threads.rs
+++ b/src/fleet/threads.rs
@@ -27,32 +27,54 @@
 /// The view is made anew so often, where anything changed.
 const VIEW: Micros = 50_000;
 /// Few members are not believed, and all together shun no more than a third of a zone.
-const RULES: Rules = Rules { quorum: 3, most_part: 0.34 };
+const RULES: Rules = Rules {
+    quorum: 3,
+    most_part: 0.34,
+};
 /// How long the end waits for another member to hold all counts.
 const HAND_OVER: Micros = 600_000;
 
 /// Starts both; the state's thread is the one to wake.
 pub(super) fn start(
-    node: Node, socket: UdpSocket, common: Arc<Common>, notes: Consumer<Note>, wake: Sender<()>,
-    clock: impl Fn() -> Micros + Send + 'static, log: Logger,
+    node: Node,
+    socket: UdpSocket,
+    common: Arc<Common>,
+    notes: Consumer<Note>,
+    wake: Sender<()>,
+    clock: impl Fn() -> Micros + Send + 'static,
+    log: Logger,
 ) -> io::Result<(Vec<JoinHandle<()>>, Thread)> {
     let hears = socket.try_clone()?;
     hears.set_read_timeout(Some(LOOK))?;
     let (frames, heard) = RingBuffer::new(FRAMES);
-    let mut state =
-        State { node, socket, common: common.clone(), notes, heard, wake, clock, rules: RULES, log };
-    let state = Builder::new().name("fleet-state".into()).spawn(move || state.run())?;
+    let mut state = State {
+        node,
+        socket,
+        common: common.clone(),
+        notes,
+        heard,
+        wake,
+        clock,
+        rules: RULES,
+        log,
+    };
+    let state = Builder::new()
+        .name("fleet-state".into())
+        .spawn(move || state.run())?;
     let thread = state.thread().clone();
     let woken = thread.clone();
-    let hears =
-        Builder::new().name("fleet-socket".into()).spawn(move || hear(&hears, &common, frames, &woken))?;
+    let hears = Builder::new()
+        .name("fleet-socket".into())
+        .spawn(move || hear(&hears, &common, frames, &woken))?;
     Ok((vec![state, hears], thread))
 }
 
 fn hear(socket: &UdpSocket, common: &Common, mut frames: Producer<Vec<u8>>, state: &Thread) {
     let mut bytes = [0u8; MOST_BYTES + 1];
     while !common.stop.load(Ordering::Acquire) {
-        let Ok((n, _)) = socket.recv_from(&mut bytes) else { continue }; // nothing for a while, or an ICMP error
+        let Ok((n, _)) = socket.recv_from(&mut bytes) else {
+            continue;
+        }; // nothing for a while, or an ICMP error
         match frames.push(bytes[..n].to_vec()) {
             Ok(()) => state.unpark(),
             Err(_) => drop(common.dropped.fetch_add(1, Ordering::Relaxed)),
@@ -87,17 +109,27 @@
             while let Ok(note) = self.notes.pop() {
                 match note {
                     Note::Counts { upto, rows } => {
-                        let version =
-                            rows.into_iter().map(|(key, units)| self.node.raise(key, &units)).last();
-                        version.into_iter().for_each(|v| versions.push_back((upto, v)));
+                        let version = rows
+                            .into_iter()
+                            .map(|(key, units)| self.node.raise(key, &units))
+                            .last();
+                        version
+                            .into_iter()
+                            .for_each(|v| versions.push_back((upto, v)));
                         taken = upto;
                     }
-                    Note::Saw { worker, fault: Some(fault), weight } => {
+                    Note::Saw {
+                        worker,
+                        fault: Some(fault),
+                        weight,
+                    } => {
                         self.node.judge.observe(now, worker, fault, weight, HOLDS);
                     }
-                    Note::Saw { worker, fault: None, .. } => {
-                        self.node.judge.vindicate(now, worker, HOLDS / 4)
-                    }
+                    Note::Saw {
+                        worker,
+                        fault: None,
+                        ..
+                    } => self.node.judge.vindicate(now, worker, HOLDS / 4),
                 }
             }
             self.node.tick(now, wall);
@@ -125,7 +157,12 @@
                 let verdicts = self.node.judge.verdicts(now, self.rules, &roster);
                 let changed = verdicts != self.common.view.load().verdicts;
                 let (show, tally) = (self.node.show(now), self.node.tally());
-                self.common.view.store(Arc::new(View { upto: taken, show, tally, verdicts }));
+                self.common.view.store(Arc::new(View {
+                    upto: taken,
+                    show,
+                    tally,
+                    verdicts,
+                }));
                 if changed {
                     self.common.judged.store(true, Ordering::Release);
                     let _ = self.wake.try_send(());
@@ -144,14 +181,23 @@
                     break;
                 }
             }
-            let due = self.node.next_due().saturating_sub((self.clock)()).min(VIEW);
+            let due = self
+                .node
+                .next_due()
+                .saturating_sub((self.clock)())
+                .min(VIEW);
             if self.heard.is_empty() && self.notes.is_empty() {
                 std::thread::park_timeout(Duration::from_micros(due.max(200)));
             }
         }
         let now = (self.clock)();
         let (show, tally) = (self.node.show(now), self.node.tally());
-        self.common.view.store(Arc::new(View { upto: taken, show, tally, verdicts: Vec::new() }));
+        self.common.view.store(Arc::new(View {
+            upto: taken,
+            show,
+            tally,
+            verdicts: Vec::new(),
+        }));
         self.node.leave(now);
         for (to, bytes) in self.node.take_out() {
             let _ = self.socket.send_to(&bytes, to);
--- a/src/fleet/witness.rs
+++ b/src/fleet/witness.rs
@@ -38,7 +38,11 @@
 
 impl Eyes {
     pub(super) fn new(books: Rc<Books>, common: Arc<Common>) -> Eyes {
-        Eyes { books, common, seen: RefCell::default() }
+        Eyes {
+            books,
+            common,
+            seen: RefCell::default(),
+        }
     }
 }
 
@@ -54,9 +58,11 @@
         }
         Ending::TurnedAway => Some(Fault::Full),
         Ending::TimedOut => Some(Fault::Slow),
-        Ending::Served(_) | Ending::BrokeUnsent | Ending::BrokeSent | Ending::GivenUp | Ending::NeverSent => {
-            None
-        }
+        Ending::Served(_)
+        | Ending::BrokeUnsent
+        | Ending::BrokeSent
+        | Ending::GivenUp
+        | Ending::NeverSent => None,
     }
 }
 
@@ -68,20 +74,35 @@
         }
         let seen = all.get_mut(&m.name).expect("just there");
         if seen.since != m.since {
-            *seen = Seen { since: m.since, ..Seen::default() }; // another life: nothing was seen of it
+            *seen = Seen {
+                since: m.since,
+                ..Seen::default()
+            }; // another life: nothing was seen of it
         }
         match (against(ending), ending) {
             (Some(fault), _) => {
-                seen.row = if seen.fault == Some(fault) { seen.row + 1 } else { 1 };
+                seen.row = if seen.fault == Some(fault) {
+                    seen.row + 1
+                } else {
+                    1
+                };
                 (seen.fault, seen.served) = (Some(fault), 0);
                 if seen.row >= ROW {
                     let weight = (SURE * seen.row).min(100) as u8;
-                    self.books.saw(Note::Saw { worker: worker(m), fault: Some(fault), weight });
+                    self.books.saw(Note::Saw {
+                        worker: worker(m),
+                        fault: Some(fault),
+                        weight,
+                    });
                 }
             }
             (None, Ending::Served(_)) => {
                 if seen.row >= ROW || seen.served.is_multiple_of(AGAIN) {
-                    self.books.saw(Note::Saw { worker: worker(m), fault: None, weight: 1 });
+                    self.books.saw(Note::Saw {
+                        worker: worker(m),
+                        fault: None,
+                        weight: 1,
+                    });
                 }
                 (seen.fault, seen.row, seen.served) = (None, 0, seen.served.wrapping_add(1));
             }
@@ -90,7 +111,9 @@
     }
 
     fn listed(&self, workers: &mut dyn Iterator<Item = &Member>) {
-        let roster = workers.map(|m| (worker(m), Arc::from(m.zone.as_str()))).collect();
+        let roster = workers
+            .map(|m| (worker(m), Arc::from(m.zone.as_str())))
+            .collect();
         self.common.roster.store(Arc::new(roster));
     }
 }
--- a/src/handle.rs
+++ b/src/handle.rs
@@ -32,13 +32,26 @@
 
 impl Handle {
     /// Starts a dispatcher on a thread of its own. The thread ends with an error if it cannot serve.
-    pub fn start(config: Config, log: Logger) -> io::Result<(Handle, JoinHandle<Result<(), String>>)> {
+    pub fn start(
+        config: Config,
+        log: Logger,
+    ) -> io::Result<(Handle, JoinHandle<Result<(), String>>)> {
         let classes = Site::new(config.setup.clone()).class_infos().into();
-        let tenant_header = config.tenants.as_ref().map(|t| Arc::from(t.header.as_str()));
+        let tenant_header = config
+            .tenants
+            .as_ref()
+            .map(|t| Arc::from(t.header.as_str()));
         let (calls, taken) = bounded(QUEUE);
         let thread = std::thread::Builder::new().name("streamusher".into());
         let thread = thread.spawn(move || start(config, log, Some(taken)))?;
-        Ok((Handle { calls, classes, tenant_header }, thread))
+        Ok((
+            Handle {
+                calls,
+                classes,
+                tenant_header,
+            },
+            thread,
+        ))
     }
 
     /// Has an operation done. None if it was not taken: nothing of it has run. Dropping the future gives the
@@ -51,9 +64,15 @@
     /// ended.
     pub async fn try_call(&self, operation: Operation) -> Result<Answer, NotTaken> {
         let (answer, answered) = bounded(1);
-        self.calls.send(Call { operation, answer }).await.map_err(|_| NotTaken::Full)?;
+        self.calls
+            .send(Call { operation, answer })
+            .await
+            .map_err(|_| NotTaken::Full)?;
         // A dispatcher that ends without an answer may have had the operation run.
-        answered.recv().await.unwrap_or(Ok(Answer::Failed { late: false }))
+        answered
+            .recv()
+            .await
+            .unwrap_or(Ok(Answer::Failed { late: false }))
     }
 }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -413,7 +413,12 @@
 impl Settings {
     /// The shortest aim of any class: the time scale of the site's requests.
     pub fn shortest_aim(&self) -> Micros {
-        self.classes.iter().map(|c| c.aim_us).min().unwrap_or(100_000).max(1)
+        self.classes
+            .iter()
+            .map(|c| c.aim_us)
+            .min()
+            .unwrap_or(100_000)
+            .max(1)
     }
 }
 
--- a/src/list_clock.rs
+++ b/src/list_clock.rs
@@ -99,7 +99,11 @@
         (Source::Asked, Event::Reachable(at)) => at.saturating_add(TOLD_US),
         (Source::Pushed, Event::Unasked(at, _)) => at,
         (Source::Asked, Event::Unasked(at, times)) => {
-            let within = if ask_within_us == 0 { TOLD_US } else { ask_within_us.saturating_mul(times) };
+            let within = if ask_within_us == 0 {
+                TOLD_US
+            } else {
+                ask_within_us.saturating_mul(times)
+            };
             at.saturating_add(within.min(TOLD_US))
         }
         (_, Event::Silent(at)) => at.saturating_add(TOLD_US),
@@ -135,12 +139,25 @@
 
 impl ListClock {
     /// For one of `fleet` dispatchers that starts now, whose settings allow `ask_within_us` between two calls.
-    pub fn new(source: Source, fleet: u32, ask_within_us: Micros, seed: u64, now: Micros) -> ListClock {
+    pub fn new(
+        source: Source,
+        fleet: u32,
+        ask_within_us: Micros,
+        seed: u64,
+        now: Micros,
+    ) -> ListClock {
         let by_fleet = PER_DISPATCHER_US * Micros::from(fleet.max(1));
-        let in_time = if ask_within_us == 0 { MOST_CEILING_US } else { ask_within_us / 2 };
+        let in_time = if ask_within_us == 0 {
+            MOST_CEILING_US
+        } else {
+            ask_within_us / 2
+        };
         let ceiling_us = match source {
             Source::Pushed => AGENT_PAUSE_US,
-            Source::Asked => by_fleet.clamp(LEAST_CEILING_US, MOST_CEILING_US).min(in_time).max(FIRST_US),
+            Source::Asked => by_fleet
+                .clamp(LEAST_CEILING_US, MOST_CEILING_US)
+                .min(in_time)
+                .max(FIRST_US),
         };
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x9e37_79b9_7f4a_7c15);
         let first = match source {
@@ -148,13 +165,25 @@
             Source::Pushed => 0,
             // A fleet started at once does not call at once.
             Source::Asked => {
-                let allowed = if ask_within_us == 0 { FIRST_SPREAD_US } else { ask_within_us / FIRST_PART };
+                let allowed = if ask_within_us == 0 {
+                    FIRST_SPREAD_US
+                } else {
+                    ask_within_us / FIRST_PART
+                };
                 let spread = allowed.min(FIRST_SPREAD_US);
                 rng.random_range(spread / 8..=spread)
             }
         };
         let state = State::Resting(now.saturating_add(first));
-        ListClock { source, state, ceiling_us, failures: 0, heard: false, first: true, rng }
+        ListClock {
+            source,
+            state,
+            ceiling_us,
+            failures: 0,
+            heard: false,
+            first: true,
+            rng,
+        }
     }
 
     /// When something is to be done: the next call begun, or this one given up.
@@ -175,7 +204,10 @@
 
     /// A call begins: a connection is opened.
     pub fn call(&mut self, now: Micros) {
-        debug_assert!(matches!(self.state, State::Resting(_)), "one call at a time: {self:?}");
+        debug_assert!(
+            matches!(self.state, State::Resting(_)),
+            "one call at a time: {self:?}"
+        );
         (self.state, self.heard) = (State::Dialing(now), false);
     }
 
@@ -194,7 +226,8 @@
     /// A list came on the watch, or the empty line that stands for none.
     pub fn heard(&mut self, now: Micros) {
         debug_assert!(matches!(self.state, State::Watching(_)), "{self:?}");
-        (self.state, self.heard, self.failures, self.first) = (State::Watching(now), true, 0, false);
+        (self.state, self.heard, self.failures, self.first) =
+            (State::Watching(now), true, 0, false);
     }
 
     /// The call failed or was given up, or the watch broke; gives the pause until the next call.
@@ -206,7 +239,9 @@
         } else {
             self.failures = (self.failures + 1).min(MOST_DOUBLINGS);
             // The first pause is a quarter of the ceiling: a fleet whose calls fail together must spread at once.
-            let grown = (self.ceiling_us / 4).max(FIRST_US).saturating_mul(1 << (self.failures - 1));
+            let grown = (self.ceiling_us / 4)
+                .max(FIRST_US)
+                .saturating_mul(1 << (self.failures - 1));
             self.spread(grown.min(self.ceiling_us), 0.1)
         };
         debug_assert!(pause <= self.ceiling_us);
--- a/src/middleware.rs
+++ b/src/middleware.rs
@@ -48,7 +48,10 @@
     type Service = Dispatch<S>;
 
     fn layer(&self, inner: S) -> Dispatch<S> {
-        Dispatch { dispatcher: self.0.clone(), inner }
+        Dispatch {
+            dispatcher: self.0.clone(),
+            inner,
+        }
     }
 }
 
@@ -83,10 +86,13 @@
         }
         let dispatcher = self.dispatcher.clone();
         Box::pin(async move {
-            let reply = dispatch(&dispatcher, asked).await.unwrap_or_else(|reply| reply);
+            let reply = dispatch(&dispatcher, asked)
+                .await
+                .unwrap_or_else(|reply| reply);
             let mut response = Response::new(R::from(reply.body.to_vec()));
             *response.status_mut() = http::StatusCode::from_u16(reply.status).unwrap_or_default();
-            if let Some((name, value)) = reply.header.and_then(|(n, v)| Some((n, v.parse().ok()?))) {
+            if let Some((name, value)) = reply.header.and_then(|(n, v)| Some((n, v.parse().ok()?)))
+            {
                 response.headers_mut().insert(name, value);
             }
             Ok(response)
@@ -100,12 +106,19 @@
     B::Error: Into<Box<dyn Error + Send + Sync>>,
 {
     let (head, body) = asked.into_parts();
-    let (method, target) = (head.method.as_str(), head.uri.path_and_query().map_or("/", |t| t.as_str()));
+    let (method, target) = (
+        head.method.as_str(),
+        head.uri.path_and_query().map_or("/", |t| t.as_str()),
+    );
     request::check(&dispatcher.classes, method, target)?;
-    let body = Limited::new(body, BODY).collect().await.map_err(|e| match e.is::<LengthLimitError>() {
-        true => Reply::plain(413, "the body is over 64 KiB"),
-        false => Reply::plain(400, "the body broke off"),
-    })?;
+    let body =
+        Limited::new(body, BODY)
+            .collect()
+            .await
+            .map_err(|e| match e.is::<LengthLimitError>() {
+                true => Reply::plain(413, "the body is over 64 KiB"),
+                false => Reply::plain(400, "the body broke off"),
+            })?;
     let tenant = match head.extensions.get::<Tenant>() {
         Some(Tenant(name)) => Some(name.clone()),
         None => tenant(dispatcher, &head.headers)?,
@@ -113,15 +126,26 @@
     let get = |name: &str| head.headers.get(name).and_then(|v| v.to_str().ok());
     let body = body.to_bytes().to_vec();
     let operation = request::operation(&dispatcher.classes, method, target, get, body)?;
-    let answer = dispatcher.try_call(Operation { tenant, ..operation }).await;
+    let answer = dispatcher
+        .try_call(Operation {
+            tenant,
+            ..operation
+        })
+        .await;
     Ok(answer.map_or_else(request::not_taken, request::reply))
 }
 
 /// Whose a request is, by the header that the operators' file names.
 fn tenant(dispatcher: &Handle, headers: &http::HeaderMap) -> Result<Option<Arc<str>>, Reply> {
-    let Some(name) = dispatcher.tenant_header.as_deref() else { return Ok(None) };
-    let values = headers.get_all(name).iter().map(|v| std::str::from_utf8(v.as_bytes()));
-    let values: Vec<&str> =
-        values.collect::<Result<_, _>>().map_err(|_| Reply::plain(400, "a header that is not text"))?;
+    let Some(name) = dispatcher.tenant_header.as_deref() else {
+        return Ok(None);
+    };
+    let values = headers
+        .get_all(name)
+        .iter()
+        .map(|v| std::str::from_utf8(v.as_bytes()));
+    let values: Vec<&str> = values
+        .collect::<Result<_, _>>()
+        .map_err(|_| Reply::plain(400, "a header that is not text"))?;
     request::tenant(values.into_iter())
 }
--- a/src/net/callback.rs
+++ b/src/net/callback.rs
@@ -69,7 +69,9 @@
         core.counters.callbacks += 1;
         let Some(step) = core.find_step(&call.id, &call.from) else {
             match hub.other.get().filter(|_| pass_on) {
-                Some(other) if handover::post(other, body).is_ok() => core.counters.callbacks_passed_on += 1,
+                Some(other) if handover::post(other, body).is_ok() => {
+                    core.counters.callbacks_passed_on += 1
+                }
                 _ => core.counters.callbacks_unmatched += 1,
             }
             return;
--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -126,7 +126,10 @@
             _ => true,
         };
         let candidates = entries.iter().filter(|(_, e)| gives_way(e));
-        let Some(number) = candidates.min_by_key(|(_, e)| (e.at, e.since)).map(|(n, _)| *n) else {
+        let Some(number) = candidates
+            .min_by_key(|(_, e)| (e.at, e.since))
+            .map(|(n, _)| *n)
+        else {
             return false;
         };
         entries.remove(&number).is_some()
@@ -136,7 +139,9 @@
     /// connection for each request and keep them all: they may hold so many in all, and could open no more.
     fn trim_idle(&self) {
         let mut entries = self.entries.borrow_mut();
-        let idle = entries.iter().filter(|(_, e)| e.at == Activity::Idle && !e.worker);
+        let idle = entries
+            .iter()
+            .filter(|(_, e)| e.at == Activity::Idle && !e.worker);
         let mut idle: Vec<(Instant, u64)> = idle.map(|(number, e)| (e.since, *number)).collect();
         idle.sort_unstable();
         for (_, number) in &idle[..idle.len().saturating_sub(self.most_idle)] {
@@ -179,10 +184,22 @@
     pub(super) fn new(all: &Rc<ClientConnections>) -> ClientConnection {
         let (keep, closed) = bounded::<()>(1);
         let number = all.next.replace(all.next.get() + 1);
-        let entry = Entry { at: Activity::Silent, since: Instant::now(), worker: false, _keep: keep };
+        let entry = Entry {
+            at: Activity::Silent,
+            since: Instant::now(),
+            worker: false,
+            _keep: keep,
+        };
         all.entries.borrow_mut().insert(number, entry);
         all.open.set(all.open.get() + 1);
-        ClientConnection { all: all.clone(), number, closed, worker: false, proven: false, reserved: false }
+        ClientConnection {
+            all: all.clone(),
+            number,
+            closed,
+            worker: false,
+            proven: false,
+            reserved: false,
+        }
     }
 
     pub(super) fn mark_worker(&mut self) {
@@ -218,7 +235,11 @@
             if clients && (!self.worker || workers) {
                 return false;
             }
-            self.set_activity(if self.proven { Activity::Idle } else { Activity::Asked });
+            self.set_activity(if self.proven {
+                Activity::Idle
+            } else {
+                Activity::Asked
+            });
             self.all.trim_idle();
         }
         // A usual client keeps its connection for as long as it likes; one that never asked for work is not one.
@@ -240,7 +261,9 @@
     fn drop(&mut self) {
         self.all.entries.borrow_mut().remove(&self.number);
         self.all.open.set(self.all.open.get() - 1);
-        self.all.workers.set(self.all.workers.get() - usize::from(self.worker));
+        self.all
+            .workers
+            .set(self.all.workers.get() - usize::from(self.worker));
     }
 }
 
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -97,7 +97,11 @@
 
 impl Watch {
     pub(crate) fn new(
-        hub: Rc<Hub>, addr: Option<SocketAddr>, source: usize, version: u64, clock: ListClock,
+        hub: Rc<Hub>,
+        addr: Option<SocketAddr>,
+        source: usize,
+        version: u64,
+        clock: ListClock,
     ) -> Rc<Watch> {
         let (version, running, addr) = (Cell::new(version), Cell::new(false), Cell::new(addr));
         let (moved, hurried, clock) = (bounded(1), bounded(1), RefCell::new(clock));
@@ -190,7 +194,9 @@
             addr
         );
         let head = self.within(async {
-            conn.write(query.as_bytes()).await.map_err(|e| e.to_string())?;
+            conn.write(query.as_bytes())
+                .await
+                .map_err(|e| e.to_string())?;
             conn.answer().await.map_err(say)
         });
         let head = head.await?;
@@ -200,7 +206,9 @@
         self.clock.borrow_mut().opened(self.hub.now());
         let (mut splitter, mut said) = (Splitter::new(), Vec::new());
         loop {
-            let piece = self.within(async { conn.chunk().await.map_err(say) }).await?;
+            let piece = self
+                .within(async { conn.chunk().await.map_err(say) })
+                .await?;
             splitter
                 .feed(&piece.ok_or("it was ended")?, &mut said)
                 .map_err(|e| format!("not a list: {e:?}"))?;
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -31,7 +31,9 @@
 
 /// Listens and serves from now on.
 pub(crate) fn listen(
-    hub: &Rc<Hub>, addr: SocketAddr, limits: &Limits,
+    hub: &Rc<Hub>,
+    addr: SocketAddr,
+    limits: &Limits,
 ) -> io::Result<(Rc<ClientConnections>, SocketAddr)> {
     let listener = Async::new(shared_listener(addr)?)?;
     let addr = listener.get_ref().local_addr()?;
@@ -48,7 +50,9 @@
                 Err(e) if e.kind() == io::ErrorKind::ConnectionAborted && all.is_handed_over() => {
                     // What waits in the queue is taken, then the listener closes: later ones reach the successor.
                     while let Ok((stream, _)) = listener.get_ref().accept() {
-                        let Ok(stream) = Async::new(stream) else { continue };
+                        let Ok(stream) = Async::new(stream) else {
+                            continue;
+                        };
                         let (served, socket) = (hub.clone(), ClientConnection::new(&all));
                         hub.with(|core, _| core.counters.front_sockets += 1);
                         hub.spawn(async move { serve(served, stream, socket).await });
@@ -93,7 +97,11 @@
 /// A listener that a second process of the same user may share while it replaces this one.
 fn shared_listener(addr: SocketAddr) -> io::Result<TcpListener> {
     use rustix::net::{sockopt, AddressFamily, SocketFlags, SocketType};
-    let family = if addr.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
+    let family = if addr.is_ipv4() {
+        AddressFamily::INET
+    } else {
+        AddressFamily::INET6
+    };
     let fd = rustix::net::socket_with(family, SocketType::STREAM, SocketFlags::CLOEXEC, None)?;
     sockopt::set_socket_reuseaddr(&fd, true)?;
     sockopt::set_socket_reuseport(&fd, true)?;
@@ -111,7 +119,9 @@
 
 /// Reads a request. An error that its head alone shows is told before its body is read.
 async fn receive(
-    hub: &Hub, conn: &mut Conn, socket: &ClientConnection,
+    hub: &Hub,
+    conn: &mut Conn,
+    socket: &ClientConnection,
 ) -> Result<Result<Received, Reply>, Bad> {
     let head = conn.request().await?;
     let mut held = None;
@@ -130,7 +140,11 @@
         // one at a time.
         return Err(Bad::Malformed("more than one request at a time"));
     }
-    Ok(Ok(Received { head, body, _held: held }))
+    Ok(Ok(Received {
+        head,
+        body,
+        _held: held,
+    }))
 }
 
 async fn serve(hub: Rc<Hub>, stream: Async<TcpStream>, mut socket: ClientConnection) {
@@ -150,7 +164,11 @@
             socket.given_up().await;
             Err(Bad::Ended)
         };
-        let read = future::or(receive(&hub, &mut conn, &socket), future::or(late, given_up)).await;
+        let read = future::or(
+            receive(&hub, &mut conn, &socket),
+            future::or(late, given_up),
+        )
+        .await;
         socket.set_activity(Activity::Busy);
         let mut receipt = Receipt::default();
         let (reply, close) = match read {
@@ -178,10 +196,13 @@
         }
         let close = close || bad || socket.all.is_closing() && !socket.worker;
         // Guards against a client that does not read: it would hold its socket for ever.
-        let written = future::or(async { conn.write(&bytes(&reply, close)).await.is_ok() }, async {
-            after(ANSWER).await;
-            false
-        });
+        let written = future::or(
+            async { conn.write(&bytes(&reply, close)).await.is_ok() },
+            async {
+                after(ANSWER).await;
+                false
+            },
+        );
         if !written.await {
             return;
         }
@@ -242,7 +263,11 @@
 
 /// Answers one request; none if its client has gone away.
 async fn respond(
-    hub: &Rc<Hub>, conn: &mut Conn, socket: &mut ClientConnection, head: &Head, body: Vec<u8>,
+    hub: &Rc<Hub>,
+    conn: &mut Conn,
+    socket: &mut ClientConnection,
+    head: &Head,
+    body: Vec<u8>,
 ) -> Option<(Reply, Receipt)> {
     let reply = match (path(&head.target), head.method.as_str()) {
         (CALL_BACKS, "POST") => {
@@ -263,18 +288,35 @@
 }
 
 fn operation(hub: &Hub, head: &Head, body: Vec<u8>) -> Result<Operation, Reply> {
-    let tenant = hub.tenant_header.as_deref().map(|name| request::tenant(head.all(name)));
-    let operation =
-        request::operation(&hub.classes.borrow(), &head.method, &head.target, |n| head.get(n), body)?;
-    Ok(Operation { tenant: tenant.transpose()?.flatten(), ..operation })
+    let tenant = hub
+        .tenant_header
+        .as_deref()
+        .map(|name| request::tenant(head.all(name)));
+    let operation = request::operation(
+        &hub.classes.borrow(),
+        &head.method,
+        &head.target,
+        |n| head.get(n),
+        body,
+    )?;
+    Ok(Operation {
+        tenant: tenant.transpose()?.flatten(),
+        ..operation
+    })
 }
 
 async fn dispatch(
-    hub: &Rc<Hub>, conn: &mut Conn, socket: &mut ClientConnection, operation: Operation,
+    hub: &Rc<Hub>,
+    conn: &mut Conn,
+    socket: &mut ClientConnection,
+    operation: Operation,
 ) -> Option<(Reply, Receipt)> {
     let class = operation.class.0 as usize;
     let told = |reply: &Reply| {
-        hub.with(|core, _| core.counters.responded(&hub.classes.borrow()[class].name, reply.status))
+        hub.with(|core, _| {
+            core.counters
+                .responded(&hub.classes.borrow()[class].name, reply.status)
+        })
     };
     let pending = match hub.submit(operation) {
         Ok(pending) => pending,
@@ -289,7 +331,9 @@
         conn.ended().await;
         None
     });
-    let (reply, receipt) = answer.await.map(|(answer, receipt)| (request::reply(answer), receipt))?;
+    let (reply, receipt) = answer
+        .await
+        .map(|(answer, receipt)| (request::reply(answer), receipt))?;
     told(&reply);
     Some((reply, receipt))
 }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -10,7 +10,9 @@
 use std::path::PathBuf;
 
 fn tmp() -> Option<PathBuf> {
-    std::env::var_os("TMPDIR").filter(|d| !d.is_empty()).map(PathBuf::from)
+    std::env::var_os("TMPDIR")
+        .filter(|d| !d.is_empty())
+        .map(PathBuf::from)
 }
 
 /// Whether there is a place that two processes share.
@@ -35,13 +37,18 @@
 /// The living process other than this one that the note names.
 fn named(listen: SocketAddr) -> Option<u32> {
     let text = std::fs::read_to_string(note(listen)?).ok()?;
-    text.trim().parse::<u32>().ok().filter(|&pid| pid != std::process::id() && alive(pid))
+    text.trim()
+        .parse::<u32>()
+        .ok()
+        .filter(|&pid| pid != std::process::id() && alive(pid))
 }
 
 /// This process serves at `listen` from now on; gives the process that served there before, if it lives. Without
 /// `$TMPDIR` there is nowhere to say so, and nothing is said.
 pub(crate) fn announce(listen: SocketAddr) -> std::io::Result<Option<u32>> {
-    let Some(path) = note(listen) else { return Ok(None) };
+    let Some(path) = note(listen) else {
+        return Ok(None);
+    };
     let before = named(listen);
     if let Some(own) = mailbox(std::process::id()) {
         std::fs::create_dir_all(own)?;
@@ -69,14 +76,25 @@
 
 /// Takes what was posted to this process, oldest first as far as names tell.
 pub(crate) fn collect() -> Vec<Vec<u8>> {
-    let Some(dir) = mailbox(std::process::id()) else { return Vec::new() };
-    let Ok(entries) = std::fs::read_dir(&dir) else { return Vec::new() };
-    let mut paths: Vec<PathBuf> =
-        entries.flatten().map(|e| e.path()).filter(|p| p.extension().is_some_and(|x| x == "json")).collect();
+    let Some(dir) = mailbox(std::process::id()) else {
+        return Vec::new();
+    };
+    let Ok(entries) = std::fs::read_dir(&dir) else {
+        return Vec::new();
+    };
+    let mut paths: Vec<PathBuf> = entries
+        .flatten()
+        .map(|e| e.path())
+        .filter(|p| p.extension().is_some_and(|x| x == "json"))
+        .collect();
     paths.sort();
     paths
         .into_iter()
-        .filter_map(|p| std::fs::read(&p).ok().inspect(|_| drop(std::fs::remove_file(&p))))
+        .filter_map(|p| {
+            std::fs::read(&p)
+                .ok()
+                .inspect(|_| drop(std::fs::remove_file(&p)))
+        })
         .collect()
 }
 
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -63,7 +63,10 @@
 
     /// The values of a header.
     pub fn all<'a, 'n>(&'a self, name: &'n str) -> impl Iterator<Item = &'a str> + use<'a, 'n> {
-        self.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
+        self.headers
+            .iter()
+            .filter(|(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|(_, v)| v.as_str())
     }
 }
 
@@ -85,7 +88,11 @@
     pub fn new(stream: Async<TcpStream>) -> Conn {
         // Guards against small answers waiting for acknowledgements.
         let _ = stream.get_ref().set_nodelay(true);
-        Conn { stream, buf: Vec::new(), overrun: false }
+        Conn {
+            stream,
+            buf: Vec::new(),
+            overrun: false,
+        }
     }
 
     /// The stream below.
@@ -182,15 +189,25 @@
             let mut request = httparse::Request::new(&mut headers);
             match request.parse(&self.buf) {
                 Ok(httparse::Status::Complete(length)) => {
-                    let (method, target) = (request.method.unwrap_or(""), request.path.unwrap_or(""));
+                    let (method, target) =
+                        (request.method.unwrap_or(""), request.path.unwrap_or(""));
                     // Passed on as it is: guards against a target that a worker could not read.
                     if !target.bytes().all(|b| b.is_ascii_graphic()) {
                         return Err(Bad::Malformed("the target is not plain ASCII"));
                     }
                     let (method, target) = (method.to_string(), target.to_string());
-                    let head = Head { method, target, ..head(request.headers, request.version)? };
-                    let twice =
-                        |n: &&str| head.headers.iter().filter(|(h, _)| h.eq_ignore_ascii_case(n)).count() > 1;
+                    let head = Head {
+                        method,
+                        target,
+                        ..head(request.headers, request.version)?
+                    };
+                    let twice = |n: &&str| {
+                        head.headers
+                            .iter()
+                            .filter(|(h, _)| h.eq_ignore_ascii_case(n))
+                            .count()
+                            > 1
+                    };
                     if ONCE.iter().any(twice) {
                         return Err(Bad::Malformed("a header that must not come twice"));
                     }
@@ -214,7 +231,10 @@
             match response.parse(&self.buf) {
                 Ok(httparse::Status::Complete(length)) => {
                     let status = response.code.unwrap_or(0);
-                    let head = Head { status, ..head(response.headers, response.version)? };
+                    let head = Head {
+                        status,
+                        ..head(response.headers, response.version)?
+                    };
                     self.buf.drain(..length);
                     if status >= 200 {
                         return Ok(head);
@@ -242,7 +262,9 @@
             Framing::Length(n) if n > BODY => Err(Bad::TooLarge),
             Framing::Length(n) => {
                 if n > self.buf.len()
-                    && head.get("expect").is_some_and(|e| e.eq_ignore_ascii_case("100-continue"))
+                    && head
+                        .get("expect")
+                        .is_some_and(|e| e.eq_ignore_ascii_case("100-continue"))
                 {
                     self.write(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
                 }
@@ -281,7 +303,10 @@
         loop {
             match httparse::parse_chunk_size(&self.buf) {
                 Ok(httparse::Status::Complete((start, size))) => {
-                    let size = usize::try_from(size).ok().filter(|&s| s <= most).ok_or(Bad::TooLarge)?;
+                    let size = usize::try_from(size)
+                        .ok()
+                        .filter(|&s| s <= most)
+                        .ok_or(Bad::TooLarge)?;
                     while self.buf.len() < start + size + 2 {
                         if self.fill().await? == 0 {
                             return Err(Bad::Ended);
@@ -303,14 +328,20 @@
 
 fn head(headers: &[httparse::Header], version: Option<u8>) -> Result<Head, Bad> {
     let text = |h: &httparse::Header| {
-        let value = std::str::from_utf8(h.value).map_err(|_| Bad::Malformed("a header that is not text"))?;
+        let value = std::str::from_utf8(h.value)
+            .map_err(|_| Bad::Malformed("a header that is not text"))?;
         Ok((h.name.to_string(), value.trim().to_string()))
     };
     let headers = headers.iter().map(text).collect::<Result<Vec<_>, Bad>>()?;
-    let mut head = Head { headers, ..Head::default() };
+    let mut head = Head {
+        headers,
+        ..Head::default()
+    };
     let says = |word: &str| {
         let has = |c: &str| c.split(',').any(|w| w.trim().eq_ignore_ascii_case(word));
-        head.headers.iter().any(|(n, v)| n.eq_ignore_ascii_case("connection") && has(v))
+        head.headers
+            .iter()
+            .any(|(n, v)| n.eq_ignore_ascii_case("connection") && has(v))
     };
     head.close = says("close") || version == Some(0) && !says("keep-alive");
     Ok(head)
@@ -326,7 +357,10 @@
 }
 
 fn framing(head: &Head) -> Result<Framing, Bad> {
-    let lengths = head.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case("content-length"));
+    let lengths = head
+        .headers
+        .iter()
+        .filter(|(n, _)| n.eq_ignore_ascii_case("content-length"));
     let mut lengths = lengths.map(|(_, v)| v.as_str());
     match (head.get("transfer-encoding"), lengths.next()) {
         (Some(_), Some(_)) => Err(Bad::Malformed("both Content-Length and Transfer-Encoding")),
--- a/src/net/lists.rs
+++ b/src/net/lists.rs
@@ -35,7 +35,10 @@
 impl Splitter {
     /// At the beginning of a watch.
     pub fn new() -> Splitter {
-        Splitter { blank: true, ..Splitter::default() }
+        Splitter {
+            blank: true,
+            ..Splitter::default()
+        }
     }
 
     /// Takes a piece; what it completes is added to `out`.
--- a/src/net/mgmt.rs
+++ b/src/net/mgmt.rs
@@ -62,11 +62,18 @@
             }
         }
     };
-    let Some(call) = future::or(read, after(CALL, None)).await else { return };
+    let Some(call) = future::or(read, after(CALL, None)).await else {
+        return;
+    };
     if let Call::Unknown(why) = &call {
         slog::info!(hub.log, "an operator's call is not known"; "why" => why);
     }
-    let text = telemetry::answer(&call, hub.readiness(), || hub.figures(), |call| hub.of_the_fleet(call));
+    let text = telemetry::answer(
+        &call,
+        hub.readiness(),
+        || hub.figures(),
+        |call| hub.of_the_fleet(call),
+    );
     let written = async { stream.write_all(text.as_bytes()).await.is_ok() };
     if !future::or(written, after(AFTER, false)).await {
         return;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -57,12 +57,17 @@
 pub(crate) fn load_from_header(text: &str) -> HashMap<String, f64> {
     let pair = |p: &str| {
         let (name, value) = p.split_once('=')?;
-        Some((settings_word(name.trim()).to_string(), value.trim().parse().ok()?))
+        Some((
+            settings_word(name.trim()).to_string(),
+            value.trim().parse().ok()?,
+        ))
     };
     text.split(',').filter_map(pair).collect()
 }
 
 /// Reads a load report that is a JSON object.
 pub(crate) fn load_from_json(load: &HashMap<String, f64>) -> HashMap<String, f64> {
-    load.iter().map(|(name, value)| (settings_word(name).to_string(), *value)).collect()
+    load.iter()
+        .map(|(name, value)| (settings_word(name).to_string(), *value))
+        .collect()
 }
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -55,7 +55,12 @@
 
 impl Pool {
     pub(crate) fn new(hub: Rc<Hub>, figures: Figures) -> Rc<Pool> {
-        let pool = Rc::new(Pool { hub, figures, idle: RefCell::default(), open: Rc::default() });
+        let pool = Rc::new(Pool {
+            hub,
+            figures,
+            idle: RefCell::default(),
+            open: Rc::default(),
+        });
         let kept = Rc::downgrade(&pool);
         pool.hub.spawn(async move {
             // Guards against a request written to a connection that the other side has just closed as idle.
@@ -107,10 +112,18 @@
             Counted(open.clone())
         };
         if let Some(conn) = self.rested(addr) {
-            return Ok(Lent { conn, _counted: counted(&self.open) });
+            return Ok(Lent {
+                conn,
+                _counted: counted(&self.open),
+            });
         }
         let idle: usize = self.idle.borrow().values().map(Vec::len).sum();
-        let most = self.figures.sockets + if what == Use::Cancel { self.figures.reserve } else { 0 };
+        let most = self.figures.sockets
+            + if what == Use::Cancel {
+                self.figures.reserve
+            } else {
+                0
+            };
         if self.open.get() + idle >= most && !self.drop_oldest() {
             return Err(Ending::NeverSent); // no descriptor to spare; another worker would need one too
         }
@@ -122,8 +135,12 @@
         };
         match future::or(dial, late).await {
             Ok(Some(stream)) => {
-                self.hub.with(|core, _| core.counters.worker_connections += 1);
-                Ok(Lent { conn: Conn::new(stream), _counted: counted })
+                self.hub
+                    .with(|core, _| core.counters.worker_connections += 1);
+                Ok(Lent {
+                    conn: Conn::new(stream),
+                    _counted: counted,
+                })
             }
             Ok(None) => Err(Ending::ConnectTimedOut),
             Err(e) if no_descriptors(&e) => Err(Ending::NeverSent),
@@ -142,14 +159,25 @@
 
     /// Takes a connection back after a whole exchange.
     pub(crate) fn give_back(&self, addr: SocketAddr, lent: Lent) {
-        self.idle.borrow_mut().entry(addr).or_default().push((Instant::now(), lent.conn));
+        self.idle
+            .borrow_mut()
+            .entry(addr)
+            .or_default()
+            .push((Instant::now(), lent.conn));
     }
 
     fn drop_oldest(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.iter().filter_map(|(a, c)| c.first().map(|(since, _)| (*since, *a))).min();
-        let Some((_, addr)) = oldest else { return false };
-        let Some(conns) = idle.get_mut(&addr) else { return false };
+        let oldest = idle
+            .iter()
+            .filter_map(|(a, c)| c.first().map(|(since, _)| (*since, *a)))
+            .min();
+        let Some((_, addr)) = oldest else {
+            return false;
+        };
+        let Some(conns) = idle.get_mut(&addr) else {
+            return false;
+        };
         conns.remove(0); // its descriptor is wanted at once
         true
     }
--- a/src/net/request.rs
+++ b/src/net/request.rs
@@ -27,8 +27,16 @@
 
 impl Reply {
     pub(crate) fn plain(status: u16, text: &str) -> Reply {
-        let body = if text.is_empty() { Vec::new() } else { format!("{text}\n").into_bytes() };
-        Reply { status, header: None, body: body.into() }
+        let body = if text.is_empty() {
+            Vec::new()
+        } else {
+            format!("{text}\n").into_bytes()
+        };
+        Reply {
+            status,
+            header: None,
+            body: body.into(),
+        }
     }
 
     pub(crate) fn with(mut self, name: &'static str, value: String) -> Reply {
@@ -64,7 +72,11 @@
 
 /// The operation that a request asks for.
 pub(crate) fn operation<'a>(
-    classes: &[ClassInfo], method: &str, target: &str, get: impl Fn(&str) -> Option<&'a str>, body: Vec<u8>,
+    classes: &[ClassInfo],
+    method: &str,
+    target: &str,
+    get: impl Fn(&str) -> Option<&'a str>,
+    body: Vec<u8>,
 ) -> Result<Operation, Reply> {
     let class = check(classes, method, target)?;
     let info = &classes[class];
@@ -77,7 +89,9 @@
         Some(ms) if !ms.bytes().all(|b| b.is_ascii_digit()) => {
             return Err(bad("X-Time-Left-Ms: not a number"))
         }
-        Some(ms) => ms.parse::<Micros>().map_err(|_| bad("X-Time-Left-Ms: not whole milliseconds"))?,
+        Some(ms) => ms
+            .parse::<Micros>()
+            .map_err(|_| bad("X-Time-Left-Ms: not whole milliseconds"))?,
         None => info.deadline_us / 1_000,
     };
     let idempotency_key = get("idempotency-key").map(str::to_string);
@@ -85,22 +99,39 @@
         return Err(bad("Idempotency-Key: too long"));
     }
     // Passed on as it is: guards against a key that a worker could not read.
-    if idempotency_key.as_ref().is_some_and(|k| !k.bytes().all(|b| b.is_ascii_graphic())) {
+    if idempotency_key
+        .as_ref()
+        .is_some_and(|k| !k.bytes().all(|b| b.is_ascii_graphic()))
+    {
         return Err(bad("Idempotency-Key: not plain ASCII"));
     }
     if info.keyed && idempotency_key.as_ref().is_none_or(|k| k.is_empty()) {
         return Err(bad("no Idempotency-Key"));
     }
     let mut slots = 1.0;
-    for fact in get("x-facts").unwrap_or("").split(',').filter(|f| !f.trim().is_empty()) {
-        let (name, value) = fact.split_once('=').ok_or_else(|| bad("X-Facts: not name=value"))?;
-        let value = value.trim().parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0);
+    for fact in get("x-facts")
+        .unwrap_or("")
+        .split(',')
+        .filter(|f| !f.trim().is_empty())
+    {
+        let (name, value) = fact
+            .split_once('=')
+            .ok_or_else(|| bad("X-Facts: not name=value"))?;
+        let value = value
+            .trim()
+            .parse::<f64>()
+            .ok()
+            .filter(|v| v.is_finite() && *v >= 0.0);
         let value = value.ok_or_else(|| bad("X-Facts: not a number"))?;
         if name.trim() == "slots" {
             slots = value;
         }
     }
-    let parts: Vec<&str> = path(target).split('/').skip(2).filter(|p| !p.is_empty()).collect();
+    let parts: Vec<&str> = path(target)
+        .split('/')
+        .skip(2)
+        .filter(|p| !p.is_empty())
+        .collect();
     Ok(Operation {
         id: id.to_string(),
         class: ClassId(class as u32),
@@ -115,7 +146,9 @@
 }
 
 /// Whose an operation is, by the values of the header that names it.
-pub(crate) fn tenant<'a>(mut values: impl Iterator<Item = &'a str>) -> Result<Option<Arc<str>>, Reply> {
+pub(crate) fn tenant<'a>(
+    mut values: impl Iterator<Item = &'a str>,
+) -> Result<Option<Arc<str>>, Reply> {
     let tenant = values.next();
     match values.next() {
         Some(_) => Err(Reply::plain(400, "a header that must not come twice")),
@@ -143,17 +176,22 @@
 fn is_id(id: &str) -> bool {
     !id.is_empty()
         && id.len() <= 128
-        && id.bytes().all(|b| b.is_ascii_alphanumeric() || b"-._~:".contains(&b))
+        && id
+            .bytes()
+            .all(|b| b.is_ascii_alphanumeric() || b"-._~:".contains(&b))
 }
 
 /// How a final answer looks. Busy replies are the only 429s, and 503 stands for nothing that may have run.
 pub(crate) fn reply(answer: Answer) -> Reply {
     match answer {
-        Answer::Served(body) => Reply { status: 200, header: None, body },
+        Answer::Served(body) => Reply {
+            status: 200,
+            header: None,
+            body,
+        },
         Answer::Busy { hold_off_us: 0 } => Reply::plain(429, "busy"),
-        Answer::Busy { hold_off_us } => {
-            Reply::plain(429, "busy").with("Retry-After", format!("{:.3}", hold_off_us as f64 / 1e6))
-        }
+        Answer::Busy { hold_off_us } => Reply::plain(429, "busy")
+            .with("Retry-After", format!("{:.3}", hold_off_us as f64 / 1e6)),
         Answer::Failed { late: false } => Reply::plain(502, "failed"),
         Answer::Failed { late: true } => Reply::plain(504, "out of time"),
     }
--- a/src/net/route.rs
+++ b/src/net/route.rs
@@ -37,7 +37,12 @@
 
 impl HttpDriver {
     pub(crate) fn new(hub: Rc<Hub>, pool: Rc<Pool>) -> Rc<HttpDriver> {
-        Rc::new_cyclic(|me| HttpDriver { me: me.clone(), hub, pool, handing: RefCell::default() })
+        Rc::new_cyclic(|me| HttpDriver {
+            me: me.clone(),
+            hub,
+            pool,
+            handing: RefCell::default(),
+        })
     }
 
     fn me(&self) -> Rc<HttpDriver> {
@@ -46,9 +51,17 @@
 
     /// Hands the job over. `Ok` when the worker has taken it. `lent` holds the connection once all is written.
     async fn hand_over(
-        &self, step: StepId, addr: SocketAddr, operation: &Operation, lent: &mut Option<Lent>,
+        &self,
+        step: StepId,
+        addr: SocketAddr,
+        operation: &Operation,
+        lent: &mut Option<Lent>,
     ) -> Result<(), (Ending, Option<Report>)> {
-        let mut taken = self.pool.take(addr, Use::Work).await.map_err(|e| (e, None))?;
+        let mut taken = self
+            .pool
+            .take(addr, Use::Work)
+            .await
+            .map_err(|e| (e, None))?;
         // The connection may have come up late: guards against an attempt for a client that has gone, at a worker
         // that leaves, or past a key's window.
         let Some(left_us) = self.hub.with(|core, now| core.may_begin(now, step)) else {
@@ -56,16 +69,29 @@
             return Err((Ending::NeverSent, None));
         };
         let request = request(operation, addr, left_us);
-        let class = self.hub.classes.borrow()[operation.class.0 as usize].name.clone();
+        let class = self.hub.classes.borrow()[operation.class.0 as usize]
+            .name
+            .clone();
         // Nothing is sent again from here: whether there is another attempt is not decided here.
-        taken.conn.write(&request).await.map_err(|_| (Ending::BrokeUnsent, None))?;
+        taken
+            .conn
+            .write(&request)
+            .await
+            .map_err(|_| (Ending::BrokeUnsent, None))?;
         self.hub.with(|core, _| core.counters.tried(&class));
         drop(request); // the wait may be long
-        let (head, _) = self.exchange(lent.insert(taken)).await.map_err(|_| (Ending::BrokeSent, None))?;
-        let report = head.get("x-backend-load").map(|l| self.report(load_from_header(l)));
+        let (head, _) = self
+            .exchange(lent.insert(taken))
+            .await
+            .map_err(|_| (Ending::BrokeSent, None))?;
+        let report = head
+            .get("x-backend-load")
+            .map(|l| self.report(load_from_header(l)));
         let taken = match head.status {
             202 => Ok(()),
-            503 | 504 if head.get("x-unprocessed") == Some("1") => Err((Ending::TurnedAway, report)),
+            503 | 504 if head.get("x-unprocessed") == Some("1") => {
+                Err((Ending::TurnedAway, report))
+            }
             _ => Err((Ending::WorkerFailed, report)),
         };
         self.keep(addr, lent, &head);
@@ -98,7 +124,12 @@
 
     async fn cancel_taken(&self, addr: SocketAddr, id: &str) {
         self.hub.with(|core, _| core.counters.cancels += 1);
-        self.ask(addr, format!("DELETE /jobs/{id} HTTP/1.1\r\nHost: {addr}\r\n\r\n"), Use::Cancel).await;
+        self.ask(
+            addr,
+            format!("DELETE /jobs/{id} HTTP/1.1\r\nHost: {addr}\r\n\r\n"),
+            Use::Cancel,
+        )
+        .await;
     }
 
     /// Reads one answer whole.
@@ -110,8 +141,11 @@
 
     /// Gives a connection back if it can carry another request after this answer.
     fn keep(&self, addr: SocketAddr, lent: &mut Option<Lent>, head: &Head) {
-        let framed =
-            head.status == 204 || head.get("content-length").or(head.get("transfer-encoding")).is_some();
+        let framed = head.status == 204
+            || head
+                .get("content-length")
+                .or(head.get("transfer-encoding"))
+                .is_some();
         if let Some(lent) = lent.take().filter(|_| framed && !head.close) {
             self.pool.give_back(addr, lent);
         }
@@ -128,7 +162,9 @@
                 match self.pool.take(addr, what).await {
                     Ok(lent) => break lent,
                     // A cancel is owed: it waits for a descriptor. A probe is not.
-                    Err(Ending::NeverSent) if what == Use::Cancel => drop(Timer::after(AGAIN).await),
+                    Err(Ending::NeverSent) if what == Use::Cancel => {
+                        drop(Timer::after(AGAIN).await)
+                    }
                     Err(_) => return None,
                 }
             };
@@ -166,11 +202,17 @@
     fn send(&self, step: StepId, operation: &Arc<Operation>, worker: &Member, left_us: Micros) {
         let (give_up, given_up) = bounded::<()>(1);
         self.handing.borrow_mut().insert(step, give_up);
-        let (me, operation, addr) = (self.me(), operation.clone(), worker.addr.parse::<SocketAddr>());
+        let (me, operation, addr) = (
+            self.me(),
+            operation.clone(),
+            worker.addr.parse::<SocketAddr>(),
+        );
         self.hub.spawn(async move {
             let Ok(addr) = addr else {
                 me.handing.borrow_mut().remove(&step);
-                return me.hub.with(|core, _| core.step(step, StepNews::Ended(Ending::ConnectRefused, None)));
+                return me.hub.with(|core, _| {
+                    core.step(step, StepNews::Ended(Ending::ConnectRefused, None))
+                });
             };
             let mut lent = None;
             let handed = async { Some(me.hand_over(step, addr, &operation, &mut lent).await) };
@@ -189,9 +231,9 @@
                 // The 202 came in the moment in which the step was given up: it was left to this task to see to it.
                 (Some(Ok(())), _) if given_up => me.cancel_taken(addr, &operation.id).await,
                 (Some(Ok(())), _) => {}
-                (Some(Err((ending, report))), _) => {
-                    me.hub.with(|core, _| core.step(step, StepNews::Ended(ending, report)))
-                }
+                (Some(Err((ending, report))), _) => me
+                    .hub
+                    .with(|core, _| core.step(step, StepNews::Ended(ending, report))),
                 (None, Some(lent)) => drop(me.take_back(addr, &operation.id, lent).await),
                 (None, None) => {} // not written whole: the worker never began it
             }
@@ -202,23 +244,34 @@
         if self.handing.borrow_mut().remove(&step).is_some() {
             return; // its own task sees to it
         }
-        let Ok(addr) = worker.addr.parse::<SocketAddr>() else { return };
+        let Ok(addr) = worker.addr.parse::<SocketAddr>() else {
+            return;
+        };
         let (me, operation) = (self.me(), operation.clone());
-        self.hub.spawn(async move { me.cancel_taken(addr, &operation.id).await });
+        self.hub
+            .spawn(async move { me.cancel_taken(addr, &operation.id).await });
     }
 
     fn probe(&self, worker: WorkerId, member: &Member) {
-        let Ok(addr) = member.addr.parse::<SocketAddr>() else { return };
+        let Ok(addr) = member.addr.parse::<SocketAddr>() else {
+            return;
+        };
         let request = format!("GET /metrics/load HTTP/1.1\r\nHost: {addr}\r\n\r\n");
         let me = self.me();
         self.hub.spawn(async move {
-            let answer = me.ask(addr, request, Use::Work).await.filter(|(head, _)| head.status == 200);
-            let report = answer.as_ref().map(|(_, body)| match serde_json::from_slice(body) {
-                Ok(load) => load_from_json(&load),
-                Err(_) => load_from_header(&String::from_utf8_lossy(body)),
-            });
+            let answer = me
+                .ask(addr, request, Use::Work)
+                .await
+                .filter(|(head, _)| head.status == 200);
+            let report = answer
+                .as_ref()
+                .map(|(_, body)| match serde_json::from_slice(body) {
+                    Ok(load) => load_from_json(&load),
+                    Err(_) => load_from_header(&String::from_utf8_lossy(body)),
+                });
             let report = report.map(|load| me.report(load));
-            me.hub.with(|core, _| core.probed(worker, answer.is_some(), report));
+            me.hub
+                .with(|core, _| core.probed(worker, answer.is_some(), report));
         });
     }
 }
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -78,13 +78,22 @@
     /// What operators are told of the fleet, as one line; none, where this dispatcher is alone.
     pub(crate) fn of_the_fleet(&self, call: &crate::telemetry::Call) -> Option<String> {
         let fleet = self.fleet.borrow();
-        fleet.as_ref().map(|f| if *call == crate::telemetry::Call::Tally { f.tally() } else { f.show() })
+        fleet.as_ref().map(|f| {
+            if *call == crate::telemetry::Call::Tally {
+                f.tally()
+            } else {
+                f.show()
+            }
+        })
     }
 
     /// Has a client's connection that can best be done without closed; false if there is none. Guards against idle
     /// clients that hold all descriptors while discovery, a worker or a cancel needs one.
     pub(crate) fn make_room(&self) -> bool {
-        self.sockets.borrow().as_ref().is_some_and(|s| s.make_room())
+        self.sockets
+            .borrow()
+            .as_ref()
+            .is_some_and(|s| s.make_room())
     }
 
     /// When this process began, in microseconds of Unix time.
@@ -138,7 +147,12 @@
         let (tx, answer) = bounded(1);
         let front: Rc<dyn Front> = Rc::new(Waiting(tx));
         let job = self.with(|core, now| core.submit(now, operation, front.clone(), 0))?;
-        Ok(Pending { hub: self.clone(), job, front, answer })
+        Ok(Pending {
+            hub: self.clone(),
+            job,
+            front,
+            answer,
+        })
     }
 
     /// Batches: as soon as something has come in, or a timer is due.
@@ -188,13 +202,17 @@
 impl Pending {
     /// The answer, and the receipt that is to be told when it is written.
     pub(crate) async fn answer(&self) -> (Answer, Receipt) {
-        self.answer.recv().await.unwrap_or((Answer::Failed { late: false }, Receipt::default()))
+        self.answer
+            .recv()
+            .await
+            .unwrap_or((Answer::Failed { late: false }, Receipt::default()))
     }
 }
 
 impl Drop for Pending {
     fn drop(&mut self) {
-        self.hub.with(|core, now| core.gone(now, self.job, &self.front, 0));
+        self.hub
+            .with(|core, now| core.gone(now, self.job, &self.front, 0));
     }
 }
 
@@ -205,13 +223,24 @@
 
 /// The same, with a channel for operations from inside the process; it ends when the channel is closed.
 pub(crate) fn start(
-    config: Config, log: Logger, calls: Option<Receiver<crate::handle::Call>>,
+    config: Config,
+    log: Logger,
+    calls: Option<Receiver<crate::handle::Call>>,
 ) -> Result<(), String> {
     let executor = Rc::new(LocalExecutor::new());
-    let base = SystemTime::now().duration_since(UNIX_EPOCH).map_or(1 << 40, |d| d.as_micros() as Micros);
-    let clock = Clock { base, start: Instant::now() };
+    let base = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(1 << 40, |d| d.as_micros() as Micros);
+    let clock = Clock {
+        base,
+        start: Instant::now(),
+    };
     let (fleet, within) = (config.setup.balancers, config.setup.rules.ask_within_us);
-    let source = if config.setup.discovery == "pushed" { Source::Pushed } else { Source::Asked };
+    let source = if config.setup.discovery == "pushed" {
+        Source::Pushed
+    } else {
+        Source::Asked
+    };
     let list_clock = ListClock::new(source, fleet, within, config.seed, base);
     let site = Site::new(config.setup);
     let classes = site.class_infos();
@@ -237,9 +266,18 @@
     if let Some(t) = config.tenants {
         hub.with(|core, _| core.set_tenants(t.tenants));
     }
-    let billing = config.ledger.map(|l| billing::attach(&hub, l, &config.name)).transpose()?;
+    let billing = config
+        .ledger
+        .map(|l| billing::attach(&hub, l, &config.name))
+        .transpose()?;
     if let Some(f) = config.fleet {
-        let longest = hub.classes.borrow().iter().map(|c| c.deadline_us).max().unwrap_or(0);
+        let longest = hub
+            .classes
+            .borrow()
+            .iter()
+            .map(|c| c.deadline_us)
+            .max()
+            .unwrap_or(0);
         *hub.fleet.borrow_mut() = Some(fleet::attach(&hub, f, &config.name, config.seed, longest)?);
     }
     let main = async {
@@ -248,16 +286,20 @@
             Some(_) => None,
             None => Some(Signals::new()),
         };
-        let signals = signals.transpose().map_err(|e| format!("signals cannot be heard: {e}"))?;
+        let signals = signals
+            .transpose()
+            .map_err(|e| format!("signals cannot be heard: {e}"))?;
         let pool = net::pool::Pool::new(hub.clone(), net);
-        let driver =
-            hub.with(|core, _| core.attach_driver(net::route::HttpDriver::new(hub.clone(), pool.clone())));
+        let driver = hub.with(|core, _| {
+            core.attach_driver(net::route::HttpDriver::new(hub.clone(), pool.clone()))
+        });
         let known: Vec<Member> = config.known.servers.iter().map(|s| s.member()).collect();
         hub.with(|core, _| core.pool_config(driver, true, known));
         info!(log, "discovery's calls"; "source" => ?source, "fleet" => fleet, "ask_within_ms" => within / 1_000,
             "longest_pause_ms" => list_clock.ceiling_us() / 1_000);
         let version = config.known.version;
-        let watch = net::discovery::Watch::new(hub.clone(), config.discovery, driver, version, list_clock);
+        let watch =
+            net::discovery::Watch::new(hub.clone(), config.discovery, driver, version, list_clock);
         hub.with(|core, _| core.attach_source(watch.clone()));
         crate::core::PoolSource::subscribe(&*watch); // a change may count as told from the first moment
         let jobs = match config.drmaa {
@@ -348,10 +390,18 @@
 /// open: until shortly before the end, as a client that loses its connection finds nobody here until the restart.
 /// All that is taken is answered before the end.
 async fn drain(
-    hub: &Rc<Hub>, sockets: &net::connections::ClientConnections, addr: std::net::SocketAddr,
+    hub: &Rc<Hub>,
+    sockets: &net::connections::ClientConnections,
+    addr: std::net::SocketAddr,
     jobs: Option<&drmaa::front::JobTable>,
 ) {
-    let longest = hub.classes.borrow().iter().map(|c| c.deadline_us).max().unwrap_or(0);
+    let longest = hub
+        .classes
+        .borrow()
+        .iter()
+        .map(|c| c.deadline_us)
+        .max()
+        .unwrap_or(0);
     let kill = Duration::from_micros(longest).min(LONGEST) + THE_REST;
     let begun = Instant::now();
     let last_call = kill.saturating_sub(SPARE).max(STILL_COMING);
@@ -366,7 +416,10 @@
     }
     hub.with(|core, now| core.answer_all_by(now.saturating_add(last_call.as_micros() as Micros)));
     while begun.elapsed() < close_at {
-        if sockets.clients() == 0 && begun.elapsed() >= STILL_COMING && hub.core.borrow().owed() == 0 {
+        if sockets.clients() == 0
+            && begun.elapsed() >= STILL_COMING
+            && hub.core.borrow().owed() == 0
+        {
             break; // nobody is left who could send anything
         }
         Timer::after(Duration::from_millis(20)).await;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -173,7 +173,9 @@
 
 /// A number for a name, the same everywhere (FNV-1a).
 pub(crate) fn mark(name: &str) -> u64 {
-    name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3))
+    name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)
+    })
 }
 
 /// A list of the only permitted ones; an empty list restricts nothing.
@@ -203,24 +205,49 @@
             deadline_us: c.deadline_us,
             worth: c.worth,
             late_share: c.late_share,
-            kind: fam.class_kind.get(i).and_then(|&k| u32::try_from(k).ok()).map(KindId),
+            kind: fam
+                .class_kind
+                .get(i)
+                .and_then(|&k| u32::try_from(k).ok())
+                .map(KindId),
             kinds: some(c.served_on.iter().map(|k| KindId(kinds.id(k))).collect()),
-            zones: some(c.zones_allowed.iter().map(|z| ZoneId(zones.id(z))).collect()),
+            zones: some(
+                c.zones_allowed
+                    .iter()
+                    .map(|z| ZoneId(zones.id(z)))
+                    .collect(),
+            ),
             priority: fam.class_priority.get(i).copied().unwrap_or(0),
         };
-        let classes = setup.request_classes.iter().enumerate().map(&mut class).collect();
+        let classes = setup
+            .request_classes
+            .iter()
+            .enumerate()
+            .map(&mut class)
+            .collect();
         let my_zone = ZoneId(zones.id(&setup.my_zone));
         let settings = Settings {
             dispatchers: setup.balancers,
             my_zone,
             tick_us: setup.tick_us,
             classes,
-            tenants: setup.realms.iter().map(|r| Tenant { quota_rps: r.quota_rps, share: r.share }).collect(),
+            tenants: setup
+                .realms
+                .iter()
+                .map(|r| Tenant {
+                    quota_rps: r.quota_rps,
+                    share: r.share,
+                })
+                .collect(),
             over_share_worth: setup.over_share_worth,
             worth_by_work: setup.value_by == "work",
             list_must_be_asked: setup.discovery == "on_request",
             reports_on_probe: setup.feedback.via == "on_probe" && setup.limits.probes,
-            reports_count_jobs: setup.feedback.fields.iter().any(|f| f == "active" || f == "waiting"),
+            reports_count_jobs: setup
+                .feedback
+                .fields
+                .iter()
+                .any(|f| f == "active" || f == "waiting"),
             tells_start: fam.tells_start,
             progress_us: fam.progress_us,
             cancel: setup.limits.cancel,
@@ -229,7 +256,11 @@
             streams: setup.limits.multiplex.max(1),
             idle_close_us: setup.limits.idle_close_us,
             connection_cost: setup.costs.handshake,
-            max_retry_after_us: if setup.limits.retry_after { setup.limits.max_retry_after_us } else { 0 },
+            max_retry_after_us: if setup.limits.retry_after {
+                setup.limits.max_retry_after_us
+            } else {
+                0
+            },
             answer_slack_us: setup.rules.answer_slack_us,
             ask_within_us: setup.rules.ask_within_us,
             full_may_have_run: setup.rules.full_may_have_run,
@@ -255,8 +286,16 @@
             } else {
                 250_000
             },
-            max_open: if setup.limits.max_open > 0 { setup.limits.max_open as usize } else { 30_000 },
-            keyed: setup.request_classes.iter().map(|c| c.semantics == "guarded").collect(),
+            max_open: if setup.limits.max_open > 0 {
+                setup.limits.max_open as usize
+            } else {
+                30_000
+            },
+            keyed: setup
+                .request_classes
+                .iter()
+                .map(|c| c.semantics == "guarded")
+                .collect(),
             windows: setup.request_classes.iter().map(|c| c.window_us).collect(),
             x0_is_free: setup.feedback.via != "off" && fam.report_x0.contains("slots"),
             settings,
@@ -271,10 +310,17 @@
         if fresh.zones.1 != self.zones.1 || fresh.kinds.1 != self.kinds.1 {
             return Err("settings.zones, settings.kinds: a change takes a restart".into());
         }
-        let dropped: Vec<Arc<str>> =
-            self.classes.0.keys().filter(|n| fresh.classes.known(n).is_none()).cloned().collect();
+        let dropped: Vec<Arc<str>> = self
+            .classes
+            .0
+            .keys()
+            .filter(|n| fresh.classes.known(n).is_none())
+            .cloned()
+            .collect();
         if self.settings.classes.len() + fresh.settings.classes.len() > MOST_CLASSES {
-            return Err(format!("settings.requestClasses: more than {MOST_CLASSES} classes since the start"));
+            return Err(format!(
+                "settings.requestClasses: more than {MOST_CLASSES} classes since the start"
+            ));
         }
         let mut added = 0;
         for (i, class) in fresh.settings.classes.iter().enumerate() {
@@ -294,9 +340,15 @@
             }
         }
         dropped.iter().for_each(|name| self.classes.retire(name));
-        let (classes, tenants) =
-            (std::mem::take(&mut self.settings.classes), std::mem::take(&mut self.settings.tenants));
-        self.settings = Settings { classes, tenants, ..fresh.settings };
+        let (classes, tenants) = (
+            std::mem::take(&mut self.settings.classes),
+            std::mem::take(&mut self.settings.tenants),
+        );
+        self.settings = Settings {
+            classes,
+            tenants,
+            ..fresh.settings
+        };
         self.connect_timeout_us = fresh.connect_timeout_us;
         Ok(added)
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -49,7 +49,11 @@
     pub fn ended(&mut self, now: Micros, ran: bool, connected: bool) {
         self.out = self.out.saturating_sub(1);
         self.started = self.started.saturating_sub(ran as u32);
-        self.open = if connected { (now, self.open.1) } else { (self.open.0, self.open.1.saturating_sub(1)) };
+        self.open = if connected {
+            (now, self.open.1)
+        } else {
+            (self.open.0, self.open.1.saturating_sub(1))
+        };
     }
 }
 
@@ -76,7 +80,9 @@
     /// does not say what waits, nothing does while two slots are free: all held are at work, in a slot each or more.
     pub fn note_slots(&mut self, free: f64, held: Option<f64>, waiting: Option<f64>) {
         let held = held.unwrap_or(0.0).max(0.0);
-        let at_work = waiting.map_or(if free >= 1.5 { held } else { 0.0 }, |w| (held - w).max(0.0));
+        let at_work = waiting.map_or(if free >= 1.5 { held } else { 0.0 }, |w| {
+            (held - w).max(0.0)
+        });
         self.shown = self.shown.max((free + at_work).round());
         if free < 0.5 {
             self.held = self.held.max(held.round());
@@ -145,7 +151,10 @@
     }
 
     pub fn timer(&self, wait_us: Micros, stall: u64) -> Action {
-        Action::Schedule { wait_us, token: self.request.job.0.wrapping_mul(2).wrapping_add(stall) }
+        Action::Schedule {
+            wait_us,
+            token: self.request.job.0.wrapping_mul(2).wrapping_add(stall),
+        }
     }
 }
 
@@ -159,7 +168,10 @@
 impl Mean {
     /// Stands until the first value.
     pub fn guess(value: u64) -> Mean {
-        Mean { n: 0.0, mean: value as f64 }
+        Mean {
+            n: 0.0,
+            mean: value as f64,
+        }
     }
 
     pub fn add(&mut self, value: f64) {
@@ -193,7 +205,12 @@
 }
 
 impl Pools {
-    pub fn fill(&mut self, workers: &[Worker], bound: &[usize], open_to: impl Fn(usize, &Entry) -> bool) {
+    pub fn fill(
+        &mut self,
+        workers: &[Worker],
+        bound: &[usize],
+        open_to: impl Fn(usize, &Entry) -> bool,
+    ) {
         self.pools.clear();
         self.circle.clear();
         let mut sum = 0.0;
@@ -201,14 +218,22 @@
             if e.stage == Stage::Ready {
                 let open = bound.iter().copied().filter(|&o| o > 0 && open_to(o, e));
                 for open in open.chain([0]) {
-                    for pool in [Pool::All(open), Pool::Zone(open, e.zone), Pool::Cell(open, e.cell)] {
+                    for pool in [
+                        Pool::All(open),
+                        Pool::Zone(open, e.zone),
+                        Pool::Cell(open, e.cell),
+                    ] {
                         self.pools.entry(pool).or_default().push(i as u32);
                     }
                 }
                 sum += e.weight;
             }
         }
-        self.mean_weight = if sum > 0.0 { sum / self.of(Pool::All(0)).len() as f64 } else { 1.0 };
+        self.mean_weight = if sum > 0.0 {
+            sum / self.of(Pool::All(0)).len() as f64
+        } else {
+            1.0
+        };
     }
 
     /// Listed weight over the usual.
@@ -223,7 +248,8 @@
     /// The first ready workers after a key on the circle.
     pub fn homes(&mut self, workers: &[Worker], open: usize, key: u64, count: usize) -> Vec<u32> {
         let ready = self.pools.get(&Pool::All(open)).map_or(&[][..], |p| p);
-        let points = |&w: &u32| (0..POINTS).map(move |i| (mix(workers[w as usize].entry.mark, i), w));
+        let points =
+            |&w: &u32| (0..POINTS).map(move |i| (mix(workers[w as usize].entry.mark, i), w));
         let circle = self.circle.entry(open).or_insert_with(|| {
             let mut circle: Vec<_> = ready.iter().flat_map(points).collect();
             circle.sort_unstable();
@@ -231,7 +257,11 @@
         });
         let start = circle.partition_point(|p| p.0 < mix(key, 0));
         let mut homes = Vec::with_capacity(count);
-        for &(_, w) in circle[start..].iter().chain(&circle[..start]).take(POINTS as usize * count) {
+        for &(_, w) in circle[start..]
+            .iter()
+            .chain(&circle[..start])
+            .take(POINTS as usize * count)
+        {
             if homes.len() < count && !homes.contains(&w) {
                 homes.push(w);
             }
@@ -263,7 +293,11 @@
 
 impl Rates {
     pub fn new(tenants: usize, at: Micros) -> Rates {
-        Rates { tenants: vec![0.0; tenants], work: 0.0, at }
+        Rates {
+            tenants: vec![0.0; tenants],
+            work: 0.0,
+            at,
+        }
     }
 
     pub fn age(&mut self, now: Micros) {
--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -71,7 +71,9 @@
 /// then a line `END`; for `fleet` and `tally` the same with what `fleet` says, or NO where nothing is shared. `figures`
 /// is asked only for `telemetry`.
 pub fn answer(
-    call: &Call, ready: Readiness, figures: impl FnOnce() -> Figures,
+    call: &Call,
+    ready: Readiness,
+    figures: impl FnOnce() -> Figures,
     fleet: impl FnOnce(&Call) -> Option<String>,
 ) -> String {
     match (call, ready) {
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -64,15 +64,44 @@
 
 /// One outgoing line.
 #[derive(Serialize)]
-#[serde(tag = "type", rename_all = "SCREAMING_SNAKE_CASE", rename_all_fields = "camelCase")]
+#[serde(
+    tag = "type",
+    rename_all = "SCREAMING_SNAKE_CASE",
+    rename_all_fields = "camelCase"
+)]
 enum Reply<'a> {
-    Send { dispatcher: u64, job: u64, worker: &'a str },
-    Abandon { dispatcher: u64, job: u64, round_no: u32 },
-    Deny { dispatcher: u64, job: u64, hold_off_us: u64 },
-    GiveUp { dispatcher: u64, job: u64 },
-    Schedule { dispatcher: u64, wait_us: u64, ctx: String },
-    AskLoad { dispatcher: u64, worker: &'a str },
-    Listen { dispatcher: u64, want: bool },
+    Send {
+        dispatcher: u64,
+        job: u64,
+        worker: &'a str,
+    },
+    Abandon {
+        dispatcher: u64,
+        job: u64,
+        round_no: u32,
+    },
+    Deny {
+        dispatcher: u64,
+        job: u64,
+        hold_off_us: u64,
+    },
+    GiveUp {
+        dispatcher: u64,
+        job: u64,
+    },
+    Schedule {
+        dispatcher: u64,
+        wait_us: u64,
+        ctx: String,
+    },
+    AskLoad {
+        dispatcher: u64,
+        worker: &'a str,
+    },
+    Listen {
+        dispatcher: u64,
+        want: bool,
+    },
 }
 
 struct Instance {
@@ -125,9 +154,15 @@
     for line in input.split(b'\n') {
         number += 1;
         let line = line.map_err(|e| format!("line {number}: cannot be read: {e}"))?;
-        let over = host.line(&line, &mut reply).map_err(|e| format!("line {number}: {e}"))?;
+        let over = host
+            .line(&line, &mut reply)
+            .map_err(|e| format!("line {number}: {e}"))?;
         if over {
-            if output.write_all(&reply).and_then(|()| output.flush()).is_err() {
+            if output
+                .write_all(&reply)
+                .and_then(|()| output.flush())
+                .is_err()
+            {
                 return Ok(()); // nobody listens any more
             }
             reply.clear();
@@ -164,7 +199,10 @@
             }
             ("LIST", Some(_)) => {
                 let number = line.roster_id.ok_or("LIST without rosterId")?;
-                self.lists.insert(number, Arc::new(line.elements.ok_or("LIST without elements")?));
+                self.lists.insert(
+                    number,
+                    Arc::new(line.elements.ok_or("LIST without elements")?),
+                );
             }
             (_, Some(now)) => self.message(line, now, reply)?,
         }
@@ -173,7 +211,9 @@
 
     fn message(&mut self, line: Line, now: u64, reply: &mut Vec<u8>) -> Res<()> {
         let kind = line.kind.as_ref();
-        let id = line.dispatcher.ok_or_else(|| format!("{kind} without dispatcher"))?;
+        let id = line
+            .dispatcher
+            .ok_or_else(|| format!("{kind} without dispatcher"))?;
         match kind {
             "CONFIGURE" => {
                 let setup = line.setup.ok_or("CONFIGURE without setup")?;
@@ -188,27 +228,49 @@
             }
             _ => {}
         }
-        let job = || line.job.map(JobId).ok_or_else(|| format!("{kind} without job"));
-        let attempt = || line.round_no.ok_or_else(|| format!("{kind} without roundNo"));
+        let job = || {
+            line.job
+                .map(JobId)
+                .ok_or_else(|| format!("{kind} without job"))
+        };
+        let attempt = || {
+            line.round_no
+                .ok_or_else(|| format!("{kind} without roundNo"))
+        };
         let Some(it) = self.instances.get_mut(&id) else {
-            return Err(format!("{kind} for dispatcher {id}, which was not configured"));
+            return Err(format!(
+                "{kind} for dispatcher {id}, which was not configured"
+            ));
         };
         let event = match kind {
             "DISCOVERY" => match line.scope.as_deref() {
                 Some("Error") => Event::ListFailed,
                 Some(scope @ ("Partial" | "Complete" | "Persisted")) => {
                     let number = line.roster_id.ok_or("DISCOVERY without rosterId")?;
-                    let list = self.lists.get(&number).ok_or_else(|| format!("no LIST {number}"))?;
+                    let list = self
+                        .lists
+                        .get(&number)
+                        .ok_or_else(|| format!("no LIST {number}"))?;
                     let entries = list.iter().map(|e| it.entry(e)).collect::<Res<Vec<_>>>()?;
-                    Event::List { complete: scope != "Partial", entries }
+                    Event::List {
+                        complete: scope != "Partial",
+                        entries,
+                    }
                 }
                 other => return Err(format!("DISCOVERY with scope {other:?}")),
             },
             "KNOCK" => {
                 let profile = line.profile.as_deref().ok_or("KNOCK without profile")?;
-                let class = it.site.classes.known(profile).ok_or_else(|| format!("no class {profile}"))?;
-                let tenant =
-                    line.account.as_ref().and_then(|a| a.as_str()).and_then(|a| it.site.tenants.known(a));
+                let class = it
+                    .site
+                    .classes
+                    .known(profile)
+                    .ok_or_else(|| format!("no class {profile}"))?;
+                let tenant = line
+                    .account
+                    .as_ref()
+                    .and_then(|a| a.as_str())
+                    .and_then(|a| it.site.tenants.known(a));
                 let wait = line.expires_in_us.ok_or("KNOCK without expiresInUs")?;
                 let hinted = line.attrs.is_none_or(|a| a & 1 != 0);
                 Event::Arrived(Request {
@@ -217,23 +279,38 @@
                     tenant: tenant.map(TenantId),
                     quota_free: None,
                     expires_in_us: wait.max(0) as u64,
-                    hint_us: line.weight_hint_us.filter(|&h| hinted && h > 0.0).map(|h| h as u64),
+                    hint_us: line
+                        .weight_hint_us
+                        .filter(|&h| hinted && h > 0.0)
+                        .map(|h| h as u64),
                     slots: line.slots.unwrap_or(1.0),
                     key: line.target_key.as_deref().map(mark),
                 })
             }
-            "HEADERS" => Event::StreamBegan { job: job()?, attempt: attempt()? },
+            "HEADERS" => Event::StreamBegan {
+                job: job()?,
+                attempt: attempt()?,
+            },
             "STATUS_NOTE" => match line.what {
-                Some(1) => Event::Started { job: job()?, attempt: attempt()? },
-                Some(2) => {
-                    Event::Progress { job: job()?, attempt: attempt()?, done: line.level.unwrap_or(0.0) }
-                }
+                Some(1) => Event::Started {
+                    job: job()?,
+                    attempt: attempt()?,
+                },
+                Some(2) => Event::Progress {
+                    job: job()?,
+                    attempt: attempt()?,
+                    done: line.level.unwrap_or(0.0),
+                },
                 _ => return Ok(()), // a note of a kind to come
             },
             "OUTCOME" => Event::Outcome(Outcome {
                 job: job()?,
                 attempt: attempt()?,
-                code: code(line.state_code.as_deref().ok_or("OUTCOME without stateCode")?)?,
+                code: code(
+                    line.state_code
+                        .as_deref()
+                        .ok_or("OUTCOME without stateCode")?,
+                )?,
                 complete: line.complete.unwrap_or(false),
                 report: line.usage.as_ref().map(|u| it.site.report(u)),
             }),
@@ -243,8 +320,13 @@
                 Err(_) => return Ok(()), // not one of ours
             },
             "CHECK_RESULT" => {
-                let name = line.worker.as_deref().ok_or("CHECK_RESULT without worker")?;
-                let Some(worker) = it.site.workers.known(name) else { return Ok(()) };
+                let name = line
+                    .worker
+                    .as_deref()
+                    .ok_or("CHECK_RESULT without worker")?;
+                let Some(worker) = it.site.workers.known(name) else {
+                    return Ok(());
+                };
                 Event::Probed {
                     worker: WorkerId(worker),
                     ok: line.state_code.as_deref() == Some("delivered"),
@@ -259,26 +341,45 @@
     }
 
     fn event(&mut self, id: u64, now: u64, event: Event, reply: &mut Vec<u8>) -> Res<()> {
-        let Some(it) = self.instances.get_mut(&id) else { return Ok(()) };
+        let Some(it) = self.instances.get_mut(&id) else {
+            return Ok(());
+        };
         it.balancer.handle(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
             let dispatcher = id;
             let line = match action {
-                Action::Send { job, worker } => {
-                    Reply::Send { dispatcher, job: job.0, worker: it.site.workers.name(worker.0) }
-                }
-                Action::Cancel { job, attempt } => {
-                    Reply::Abandon { dispatcher, job: job.0, round_no: attempt }
-                }
-                Action::Refuse { job, hold_off_us } => Reply::Deny { dispatcher, job: job.0, hold_off_us },
-                Action::Fail { job } => Reply::GiveUp { dispatcher, job: job.0 },
-                Action::Schedule { wait_us, token } => {
-                    Reply::Schedule { dispatcher, wait_us, ctx: token.to_string() }
-                }
-                Action::Probe { worker } => {
-                    Reply::AskLoad { dispatcher, worker: it.site.workers.name(worker.0) }
-                }
-                Action::Subscribe => Reply::Listen { dispatcher, want: true },
+                Action::Send { job, worker } => Reply::Send {
+                    dispatcher,
+                    job: job.0,
+                    worker: it.site.workers.name(worker.0),
+                },
+                Action::Cancel { job, attempt } => Reply::Abandon {
+                    dispatcher,
+                    job: job.0,
+                    round_no: attempt,
+                },
+                Action::Refuse { job, hold_off_us } => Reply::Deny {
+                    dispatcher,
+                    job: job.0,
+                    hold_off_us,
+                },
+                Action::Fail { job } => Reply::GiveUp {
+                    dispatcher,
+                    job: job.0,
+                },
+                Action::Schedule { wait_us, token } => Reply::Schedule {
+                    dispatcher,
+                    wait_us,
+                    ctx: token.to_string(),
+                },
+                Action::Probe { worker } => Reply::AskLoad {
+                    dispatcher,
+                    worker: it.site.workers.name(worker.0),
+                },
+                Action::Subscribe => Reply::Listen {
+                    dispatcher,
+                    want: true,
+                },
             };
             serde_json::to_writer(&mut *reply, &line).map_err(|e| e.to_string())?;
             reply.push(b'\n');
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -25,9 +25,15 @@
         tick_us: 4 * MS,
         classes: vec![
             class(Repeat::Free),
-            class(Repeat::Keyed { scope: Scope::Cell, window_us }),
+            class(Repeat::Keyed {
+                scope: Scope::Cell,
+                window_us,
+            }),
             class(Repeat::Once),
-            class(Repeat::Keyed { scope: Scope::All, window_us }),
+            class(Repeat::Keyed {
+                scope: Scope::All,
+                window_us,
+            }),
         ],
         tells_start: true,
         cancel: true,
@@ -72,7 +78,11 @@
 impl Desk {
     pub fn new(settings: Settings, workers: u32) -> Desk {
         let now = 1_000 * SECOND;
-        let mut desk = Desk { balancer: Balancer::new(settings, 7, now), now, log: Vec::new() };
+        let mut desk = Desk {
+            balancer: Balancer::new(settings, 7, now),
+            now,
+            log: Vec::new(),
+        };
         desk.list(true, (0..workers).map(entry).collect());
         desk
     }
@@ -122,11 +132,20 @@
 }
 
 pub fn ended(job: u64, attempt: u32, code: Code, complete: bool) -> Event {
-    Event::Outcome(Outcome { job: JobId(job), attempt, code, complete, report: None })
+    Event::Outcome(Outcome {
+        job: JobId(job),
+        attempt,
+        code,
+        complete,
+        report: None,
+    })
 }
 
 pub fn started(job: u64, attempt: u32) -> Event {
-    Event::Started { job: JobId(job), attempt }
+    Event::Started {
+        job: JobId(job),
+        attempt,
+    }
 }
 
 /// Workers sent to, in order.
@@ -147,9 +166,15 @@
 }
 
 pub fn refused(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).count()
+    actions
+        .iter()
+        .filter(|a| matches!(a, Action::Refuse { .. }))
+        .count()
 }
 
 pub fn failed(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Fail { .. })).count()
+    actions
+        .iter()
+        .filter(|a| matches!(a, Action::Fail { .. }))
+        .count()
 }
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -53,17 +53,34 @@
     let mut core = Core::from_settings(settings.as_bytes(), 42, 0).expect("settings");
     let (desk, runner) = (Rc::new(Desk::default()), Rc::new(Runner::default()));
     let driver = core.attach_driver(runner.clone());
-    let member = |n| Member { name: format!("s-{n}"), zone: "z".into(), weight: 1.0, ..Member::default() };
+    let member = |n| Member {
+        name: format!("s-{n}"),
+        zone: "z".into(),
+        weight: 1.0,
+        ..Member::default()
+    };
     core.pool_config(driver, true, (0..workers).map(member).collect());
-    Site { core, desk, runner, driver }
+    Site {
+        core,
+        desk,
+        runner,
+        driver,
+    }
 }
 
 impl Site {
     fn submit(&mut self, now: Micros, id: &str) -> JobNo {
         let class = self.core.class("c").unwrap();
-        let operation =
-            Operation { id: id.into(), class, slots: 1.0, left_us: 5_000_000, ..Operation::default() };
-        self.core.submit(now, operation, self.desk.clone(), 7).expect("taken")
+        let operation = Operation {
+            id: id.into(),
+            class,
+            slots: 1.0,
+            left_us: 5_000_000,
+            ..Operation::default()
+        };
+        self.core
+            .submit(now, operation, self.desk.clone(), 7)
+            .expect("taken")
     }
 
     fn gone(&mut self, now: Micros, job: JobNo) {
@@ -103,7 +120,8 @@
     )]
     with: With,
     #[values(true, false)] departure_first: bool,
-    #[values("free", "guarded", "single_shot")] semantics: &str, #[values(true, false)] cancel: bool,
+    #[values("free", "guarded", "single_shot")] semantics: &str,
+    #[values(true, false)] cancel: bool,
 ) {
     let mut s = site(6, semantics, cancel);
     let job = s.submit(1_000, "a1");
@@ -116,10 +134,19 @@
     match with {
         With::Nothing => {}
         With::Start => s.core.step(first, StepNews::Started),
-        With::TurnedAway => s.core.step(first, StepNews::Ended(Ending::TurnedAway, None)),
-        With::Failed => s.core.step(first, StepNews::Ended(Ending::WorkerFailed, None)),
-        With::NotConnected => s.core.step(first, StepNews::Ended(Ending::ConnectRefused, None)),
-        With::Served => s.core.step(first, StepNews::Ended(Ending::Served(Arc::from(*b"log")), None)),
+        With::TurnedAway => s
+            .core
+            .step(first, StepNews::Ended(Ending::TurnedAway, None)),
+        With::Failed => s
+            .core
+            .step(first, StepNews::Ended(Ending::WorkerFailed, None)),
+        With::NotConnected => s
+            .core
+            .step(first, StepNews::Ended(Ending::ConnectRefused, None)),
+        With::Served => s.core.step(
+            first,
+            StepNews::Ended(Ending::Served(Arc::from(*b"log")), None),
+        ),
         With::RetryTimer => now = s.core.next_due().expect("a timer"),
         With::Deadline => now = 5_000_000,
     }
@@ -128,16 +155,31 @@
     }
     let before = s.runner.sent.borrow().len();
     s.core.turn(now);
-    assert_eq!(s.core.may_begin(now, first), None, "its connection may come up later");
+    assert_eq!(
+        s.core.may_begin(now, first),
+        None,
+        "its connection may come up later"
+    );
     for later in 1..=200 {
         s.core.turn(now + later * 50_000);
     }
-    assert_eq!(s.runner.sent.borrow().len(), before, "an attempt for a client that has gone");
-    assert!(s.desk.0.borrow().is_empty(), "an answer to nobody: {:?}", s.desk.0.borrow());
+    assert_eq!(
+        s.runner.sent.borrow().len(),
+        before,
+        "an attempt for a client that has gone"
+    );
+    assert!(
+        s.desk.0.borrow().is_empty(),
+        "an answer to nobody: {:?}",
+        s.desk.0.borrow()
+    );
     assert_eq!((s.core.counters.clients_gone, s.core.owed()), (1, 0));
     let sent = s.runner.sent.borrow();
     let cancelled = s.runner.cancelled.borrow();
-    assert!(cancelled.iter().all(|c| sent.contains(c)), "a cancel of what no driver was given");
+    assert!(
+        cancelled.iter().all(|c| sent.contains(c)),
+        "a cancel of what no driver was given"
+    );
 }
 
 /// Guards against a waiting operation that keeps its place after its client went: nothing is left of it, and when a worker
@@ -151,7 +193,12 @@
     s.gone(2_000, job);
     s.core.turn(2_000);
     assert_eq!(s.core.owed(), 0);
-    let late = Member { name: "s-1".into(), zone: "z".into(), weight: 1.0, ..Member::default() };
+    let late = Member {
+        name: "s-1".into(),
+        zone: "z".into(),
+        weight: 1.0,
+        ..Member::default()
+    };
     s.core.pool_config(s.driver, false, vec![late]);
     (0..100).for_each(|n| s.core.turn(3_000 + n * 50_000));
     assert!(s.runner.sent.borrow().is_empty());
@@ -166,10 +213,22 @@
     let mut s = site(workers, "single_shot", true);
     s.core.turn(900);
     let class = s.core.class("c").unwrap();
-    let late = Operation { id: "a1".into(), class, slots: 1.0, left_us: 25_001, ..Operation::default() };
-    s.core.submit(1_000, late, s.desk.clone(), 7).expect("taken");
+    let late = Operation {
+        id: "a1".into(),
+        class,
+        slots: 1.0,
+        left_us: 25_001,
+        ..Operation::default()
+    };
+    s.core
+        .submit(1_000, late, s.desk.clone(), 7)
+        .expect("taken");
     s.core.turn(1_020);
-    assert!(matches!(s.desk.0.borrow()[..], [Answer::Busy { .. }]), "{:?}", s.desk.0.borrow());
+    assert!(
+        matches!(s.desk.0.borrow()[..], [Answer::Busy { .. }]),
+        "{:?}",
+        s.desk.0.borrow()
+    );
     assert!(s.runner.sent.borrow().is_empty());
 }
 
@@ -182,7 +241,10 @@
 #[case::its_own_window_is_its_own("guarded", None, 900_000, true)]
 #[case::the_time_is_up("free", None, 4_990_000, false)]
 fn a_late_connection_asks_whether_it_may_begin(
-    #[case] semantics: &str, #[case] change: Option<(Stage, Micros)>, #[case] now: Micros, #[case] may: bool,
+    #[case] semantics: &str,
+    #[case] change: Option<(Stage, Micros)>,
+    #[case] now: Micros,
+    #[case] may: bool,
 ) {
     let mut s = site(1, semantics, true);
     s.submit(1_000, "a1");
@@ -190,8 +252,21 @@
     let first = s.runner.sent.borrow()[0];
     assert_eq!(s.core.may_begin(1_000, first), Some(4_975_000));
     if let Some((stage, since)) = change {
-        let known = Member { name: "s-0".into(), zone: "z".into(), weight: 1.0, ..Member::default() };
-        s.core.pool_config(s.driver, false, vec![Member { stage, since, ..known }]);
+        let known = Member {
+            name: "s-0".into(),
+            zone: "z".into(),
+            weight: 1.0,
+            ..Member::default()
+        };
+        s.core.pool_config(
+            s.driver,
+            false,
+            vec![Member {
+                stage,
+                since,
+                ..known
+            }],
+        );
         s.core.turn(50_000);
     }
     assert_eq!(s.core.may_begin(now, first).is_some(), may);
@@ -202,7 +277,11 @@
 #[case(Ending::BrokeSent, 399_000, true)]
 #[case(Ending::BrokeSent, 402_000, false)]
 #[case(Ending::TurnedAway, 402_000, true)]
-fn a_late_connection_keeps_to_the_window(#[case] ending: Ending, #[case] after: Micros, #[case] may: bool) {
+fn a_late_connection_keeps_to_the_window(
+    #[case] ending: Ending,
+    #[case] after: Micros,
+    #[case] may: bool,
+) {
     let mut s = site(6, "guarded", true);
     s.submit(1_000, "a1");
     s.core.turn(1_000);
@@ -258,11 +337,19 @@
     let job = s.submit(1_000, "a1");
     s.core.turn(1_000);
     s.core.turn(at - 1);
-    assert!(s.runner.sent.borrow().is_empty(), "sent by the list of an earlier life");
+    assert!(
+        s.runner.sent.borrow().is_empty(),
+        "sent by the list of an earlier life"
+    );
     assert_eq!(source.hurried.get(), 1);
     match first {
         First::Comes => {
-            let new = Member { name: "s-9".into(), zone: "z".into(), weight: 1.0, ..Member::default() };
+            let new = Member {
+                name: "s-9".into(),
+                zone: "z".into(),
+                weight: 1.0,
+                ..Member::default()
+            };
             s.core.pool_config(s.driver, true, vec![new]);
             source.spoken.set(true);
         }
@@ -288,7 +375,16 @@
     s.core.turn(at + 1);
     s.core.turn(3_000_000);
     assert_eq!(s.core.counters.operations, 1);
-    assert!(s.runner.sent.borrow().iter().filter(|step| step.attempt == 0).count() <= 1, "taken in twice");
+    assert!(
+        s.runner
+            .sent
+            .borrow()
+            .iter()
+            .filter(|step| step.attempt == 0)
+            .count()
+            <= 1,
+        "taken in twice"
+    );
 }
 
 use streamusher::interface::Stage;
@@ -296,13 +392,21 @@
 #[test]
 fn a_close_tells_its_end_and_then_reads_for_a_bounded_time_and_length() {
     let told = Closing::in_order().told(5);
-    let Closing::Draining { until, left } = told else { panic!("{told:?}") };
+    let Closing::Draining { until, left } = told else {
+        panic!("{told:?}")
+    };
     assert!(until > 5 && left > 64 << 10);
     assert_eq!(told.quiet(until - 1), told);
     assert_eq!(told.quiet(until), Closing::Closed);
     assert_eq!(told.read(0), Closing::Closed, "the other side has ended");
     assert_eq!(told.read(left), Closing::Closed, "a flood has an end");
-    assert_eq!(told.read(1), Closing::Draining { until, left: left - 1 });
+    assert_eq!(
+        told.read(1),
+        Closing::Draining {
+            until,
+            left: left - 1
+        }
+    );
     // To make room nothing is waited for, but what has come is read.
     let room = Closing::at_once().told(5);
     assert!(matches!(room.read(100), Closing::Draining { until: 5, .. }));
--- a/tests/drmaa.rs
+++ b/tests/drmaa.rs
@@ -22,14 +22,21 @@
 impl Session {
     fn open(program: &Program) -> Session {
         let stream = BufReader::new(connect(program.drmaa.expect("the front listens")));
-        Session { stream, seq: 0, told: Vec::new() }
+        Session {
+            stream,
+            seq: 0,
+            told: Vec::new(),
+        }
     }
 
     fn say(&mut self, call: Value) -> u64 {
         self.seq += 1;
         let mut call = call;
         call["seq"] = self.seq.into();
-        self.stream.get_mut().write_all(format!("{call}\n").as_bytes()).unwrap();
+        self.stream
+            .get_mut()
+            .write_all(format!("{call}\n").as_bytes())
+            .unwrap();
         self.seq
     }
 
@@ -54,7 +61,10 @@
         let template = json!({"remoteCommand": command, "streamusher_input": "core",
             "streamusher_idempotencyKey": key});
         let said = self.call(json!({"call": "runJob", "jobTemplate": template}));
-        said["jobId"].as_str().unwrap_or_else(|| panic!("{said}")).to_string()
+        said["jobId"]
+            .as_str()
+            .unwrap_or_else(|| panic!("{said}"))
+            .to_string()
     }
 
     fn wait(&mut self, job: &str, what: &str) -> Value {
@@ -69,7 +79,10 @@
         .iter()
         .enumerate()
         .map(|(i, s)| format!("{i},127.0.0.1,{},standard,pump-house\n", s.addr.port()));
-    files.add("workers.csv", &("name,address,port,kind,zone\n".to_string() + &rows.collect::<String>()));
+    files.add(
+        "workers.csv",
+        &("name,address,port,kind,zone\n".to_string() + &rows.collect::<String>()),
+    );
     let text = format!("{LISTEN}inventory = \"workers.csv\"\n");
     Program::with(files, &config(workers), Some(&text), workers)
 }
@@ -81,14 +94,38 @@
     let mut session = Session::open(&program);
     let job = session.run("/depth-log/bh-7", "");
     let info = session.wait(&job, "waitTerminated");
-    assert_eq!((&info["jobState"], &info["exitStatus"]), (&json!("DONE"), &json!(0)), "{info}");
-    assert!(info["streamusher_output"].as_str().unwrap().starts_with("log of drmaa-"), "{info}");
+    assert_eq!(
+        (&info["jobState"], &info["exitStatus"]),
+        (&json!("DONE"), &json!(0)),
+        "{info}"
+    );
+    assert!(
+        info["streamusher_output"]
+            .as_str()
+            .unwrap()
+            .starts_with("log of drmaa-"),
+        "{info}"
+    );
     // Another session may ask too, until the job is reaped.
     let mut other = Session::open(&program);
-    assert_eq!(other.call(json!({"call": "getState", "jobId": job}))["jobState"], "DONE");
-    assert_eq!(other.call(json!({"call": "terminate", "jobId": job}))["error"], "INVALID_STATE");
-    assert_eq!(other.call(json!({"call": "reap", "jobId": job})).get("error"), None);
-    assert_eq!(other.call(json!({"call": "getInfo", "jobId": job}))["error"], "INVALID_ARGUMENT");
+    assert_eq!(
+        other.call(json!({"call": "getState", "jobId": job}))["jobState"],
+        "DONE"
+    );
+    assert_eq!(
+        other.call(json!({"call": "terminate", "jobId": job}))["error"],
+        "INVALID_STATE"
+    );
+    assert_eq!(
+        other
+            .call(json!({"call": "reap", "jobId": job}))
+            .get("error"),
+        None
+    );
+    assert_eq!(
+        other.call(json!({"call": "getInfo", "jobId": job}))["error"],
+        "INVALID_ARGUMENT"
+    );
     let states: Vec<&Value> = session.told.iter().map(|t| &t["jobState"]).collect();
     assert_eq!(states, [&json!("RUNNING"), &json!("DONE")]);
 }
@@ -106,9 +143,18 @@
 fn templates_are_checked(#[case] template: Value, #[case] error: &str) {
     let program = program(&[], &[]);
     let mut session = Session::open(&program);
-    assert_eq!(session.call(json!({"call": "runJob", "jobTemplate": template}))["error"], error);
-    assert_eq!(session.call(json!({"call": "hold", "jobId": "1"}))["error"], "UNSUPPORTED_OPERATION");
-    assert_eq!(session.call(json!({"call": "dance"}))["error"], "INVALID_ARGUMENT");
+    assert_eq!(
+        session.call(json!({"call": "runJob", "jobTemplate": template}))["error"],
+        error
+    );
+    assert_eq!(
+        session.call(json!({"call": "hold", "jobId": "1"}))["error"],
+        "UNSUPPORTED_OPERATION"
+    );
+    assert_eq!(
+        session.call(json!({"call": "dance"}))["error"],
+        "INVALID_ARGUMENT"
+    );
     assert_eq!(program.counters()["operations"], 0);
 }
 
@@ -117,17 +163,25 @@
 #[case::turned_away(BUSY, 0.4, &["TRY_LATER"])]
 #[case::failed(Manner { answer: Some(TAKEN), early: &[], then: &["started", "failed"] }, 0.4, &["TRY_LATER"])]
 fn a_job_that_is_not_served_fails_in_time(
-    #[case] manner: Manner, #[case] left: f64, #[case] errors: &[&str],
+    #[case] manner: Manner,
+    #[case] left: f64,
+    #[case] errors: &[&str],
 ) {
     let worker = Worker::start("s-1", manner);
     let program = program(&[&worker], &[]);
     let mut session = Session::open(&program);
-    let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_secs_f64();
+    let now = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .unwrap()
+        .as_secs_f64();
     let template = json!({"remoteCommand": "/depth-log/x", "deadlineTime": now + left});
     let job = session.call(json!({"call": "runJob", "jobTemplate": template}))["jobId"].clone();
     let info = session.wait(job.as_str().unwrap(), "waitTerminated");
     assert_eq!(info["jobState"], "FAILED");
-    assert!(errors.iter().any(|e| info["streamusher_error"] == *e), "{info}");
+    assert!(
+        errors.iter().any(|e| info["streamusher_error"] == *e),
+        "{info}"
+    );
 }
 
 #[rstest]
@@ -135,19 +189,39 @@
 #[case::drmaa(false)]
 fn a_cancel_after_the_start_ends_in_exactly_one_answer(#[case] platform: bool) {
     let (worker, shed) = (Worker::start("s-1", RUNS_ON), Shed::start("runs on"));
-    let program = if platform { program(&[&worker], &[]) } else { program(&[], &[&shed]) };
+    let program = if platform {
+        program(&[&worker], &[])
+    } else {
+        program(&[], &[&shed])
+    };
     let sent = if platform { &worker.sent } else { &shed.sent };
     let mut session = Session::open(&program);
     let job = session.run("/depth-log/bh-7", "");
     assert_eq!(session.wait(&job, "waitStarted")["jobState"], "RUNNING");
-    let Sent::Job { id, .. } = sent.recv_timeout(LONG).unwrap() else { panic!("a job") };
-    assert_eq!(session.call(json!({"call": "terminate", "jobId": job})).get("error"), None);
+    let Sent::Job { id, .. } = sent.recv_timeout(LONG).unwrap() else {
+        panic!("a job")
+    };
+    assert_eq!(
+        session
+            .call(json!({"call": "terminate", "jobId": job}))
+            .get("error"),
+        None
+    );
     assert_eq!(sent.recv_timeout(LONG).unwrap(), Sent::Cancel(id.clone()));
     assert_eq!(call_back(program.addr, &id, "s-1", "done"), 204); // too late: it changes nothing
     let info = session.wait(&job, "waitTerminated");
-    assert_eq!((&info["jobState"], &info["terminatingSignal"]), (&json!("FAILED"), &json!("SIGTERM")));
-    assert_eq!(session.call(json!({"call": "terminate", "jobId": job}))["error"], "INVALID_STATE");
-    let ends = session.told.iter().filter(|t| t["jobState"] == "FAILED" || t["jobState"] == "DONE");
+    assert_eq!(
+        (&info["jobState"], &info["terminatingSignal"]),
+        (&json!("FAILED"), &json!("SIGTERM"))
+    );
+    assert_eq!(
+        session.call(json!({"call": "terminate", "jobId": job}))["error"],
+        "INVALID_STATE"
+    );
+    let ends = session
+        .told
+        .iter()
+        .filter(|t| t["jobState"] == "FAILED" || t["jobState"] == "DONE");
     assert_eq!(ends.count(), 1);
     assert_eq!(program.counters()["served"], 0);
 }
@@ -172,25 +246,41 @@
     });
     let mut session = Session::open(&program);
     let class = |n: usize| ["/layer-view/bh-1", "/sample-entry/bh-2"][n % 2];
-    let jobs: Vec<String> = (0..JOBS).map(|n| session.run(class(n), &format!("d{n}"))).collect();
+    let jobs: Vec<String> = (0..JOBS)
+        .map(|n| session.run(class(n), &format!("d{n}")))
+        .collect();
     let terminated = [3, 8];
     for n in terminated {
         session.call(json!({"call": "terminate", "jobId": jobs[n]}));
     }
-    let infos: Vec<Value> = jobs.iter().map(|j| session.wait(j, "waitTerminated")).collect();
+    let infos: Vec<Value> = jobs
+        .iter()
+        .map(|j| session.wait(j, "waitTerminated"))
+        .collect();
     let statuses = http.join().expect("the client");
     let mut ends: HashMap<String, usize> = HashMap::new();
     for told in &session.told {
         if told["jobState"] == "DONE" || told["jobState"] == "FAILED" {
-            *ends.entry(told["jobId"].as_str().unwrap().to_string()).or_default() += 1;
+            *ends
+                .entry(told["jobId"].as_str().unwrap().to_string())
+                .or_default() += 1;
         }
     }
     assert!(jobs.iter().all(|j| ends[j] == 1), "{ends:?}");
-    assert!(infos.iter().all(|i| i["jobState"] == "DONE" || i["jobState"] == "FAILED"), "{infos:?}");
+    assert!(
+        infos
+            .iter()
+            .all(|i| i["jobState"] == "DONE" || i["jobState"] == "FAILED"),
+        "{infos:?}"
+    );
     let c = program.counters();
     let count = |name: &str| c[name].as_u64().unwrap() as usize;
     let answered = count("served") + count("busy_replies") + count("failed") + count("failed_late");
-    assert_eq!((count("operations"), answered + count("clients_gone")), (2 * JOBS, 2 * JOBS), "{c}");
+    assert_eq!(
+        (count("operations"), answered + count("clients_gone")),
+        (2 * JOBS, 2 * JOBS),
+        "{c}"
+    );
     assert_eq!(statuses.len(), JOBS);
     let served = statuses.iter().filter(|s| **s == 200).count();
     assert!(served > 0 && infos.iter().any(|i| i["jobState"] == "DONE"));
@@ -206,17 +296,27 @@
     let mut session = Session::open(&program);
     let mut drmaa = || {
         let job = session.run("/sample-entry/bh-7", "key-a1");
-        session.wait(&job, "waitTerminated")["streamusher_output"].as_str().unwrap().to_string()
+        session.wait(&job, "waitTerminated")["streamusher_output"]
+            .as_str()
+            .unwrap()
+            .to_string()
     };
     let http = || {
         let answer = ask(program.addr, &operation("sample-entry", "a1", 4000));
         assert_eq!(answer.status(), 200);
         answer.body
     };
-    let (first, second) = if platform_first { (http(), drmaa()) } else { (drmaa(), http()) };
+    let (first, second) = if platform_first {
+        (http(), drmaa())
+    } else {
+        (drmaa(), http())
+    };
     assert_eq!(first, second);
     assert_eq!(drmaa(), first);
-    assert_eq!(worker.sent.try_iter().count() + shed.sent.try_iter().count(), 1);
+    assert_eq!(
+        worker.sent.try_iter().count() + shed.sent.try_iter().count(),
+        1
+    );
     assert_eq!(program.counters()["repeats_joined"], 2);
 }
 
@@ -228,9 +328,14 @@
     let worker = Worker::start("s-1", RUNS_ON);
     let program = program(&[&worker], &[]);
     let mut session = Session::open(&program);
-    let (one, two) = (session.run("/sample-entry/b", "k"), session.run("/sample-entry/b", "k"));
+    let (one, two) = (
+        session.run("/sample-entry/b", "k"),
+        session.run("/sample-entry/b", "k"),
+    );
     assert_eq!(session.wait(&one, "waitStarted")["jobState"], "RUNNING");
-    let Sent::Job { id, .. } = worker.next() else { panic!("a job") };
+    let Sent::Job { id, .. } = worker.next() else {
+        panic!("a job")
+    };
     // One that joined may leave again: the other goes on.
     session.call(json!({"call": "terminate", "jobId": two}));
     let three = session.run("/sample-entry/b", "k");
@@ -248,14 +353,20 @@
     let mut program = program(&[&worker], &[]);
     let mut session = Session::open(&program);
     let job = session.run("/depth-log/bh-7", "");
-    let Sent::Job { id, .. } = worker.next() else { panic!("a job") };
+    let Sent::Job { id, .. } = worker.next() else {
+        panic!("a job")
+    };
     let wait = session.say(json!({"call": "waitTerminated", "jobId": job, "timeout": -1}));
     program.signal("TERM");
     program.logged("stopping");
     let late = session.run("/layer-view/bh-8", "");
-    let Sent::Job { id: second, .. } = worker.next() else { panic!("a job") };
+    let Sent::Job { id: second, .. } = worker.next() else {
+        panic!("a job")
+    };
     let wait_late = session.say(json!({"call": "waitTerminated", "jobId": late, "timeout": -1}));
-    [id, second].iter().for_each(|id| assert_eq!(call_back(program.addr, id, "s-1", "done"), 204));
+    [id, second]
+        .iter()
+        .for_each(|id| assert_eq!(call_back(program.addr, id, "s-1", "done"), 204));
     let mut done = 0;
     while done < 2 {
         let said = session.hear();
@@ -273,7 +384,10 @@
 fn workers_come_from_a_yaml_inventory_too() {
     let shed = Shed::start("serves");
     let files = Files::new();
-    files.add("workers.yml", &YAML.replace("PORT", &shed.addr.port().to_string()));
+    files.add(
+        "workers.yml",
+        &YAML.replace("PORT", &shed.addr.port().to_string()),
+    );
     let text = format!("{LISTEN}inventory = \"workers.yml\"\n");
     let program = Program::with(files, &config(&[]), Some(&text), &[]);
     let answer = ask(program.addr, &operation("depth-log", "a1", 4000));
@@ -292,16 +406,29 @@
     "name,address,zone,kind\nshed-a,127.0.0.1,pump-house,standart\n",
     "did you mean \"standard\"?"
 )]
-#[case::heading("workers.csv", "zone\npump-house\n", "workers.csv:1:1: name: no such column")]
-#[case::address("workers.yml", "all:\n  hosts:\n    shed-a: {ansible_host: nowhere}\n", "host shed-a: ")]
+#[case::heading(
+    "workers.csv",
+    "zone\npump-house\n",
+    "workers.csv:1:1: name: no such column"
+)]
+#[case::address(
+    "workers.yml",
+    "all:\n  hosts:\n    shed-a: {ansible_host: nowhere}\n",
+    "host shed-a: "
+)]
 #[case::no_yaml("workers.yml", "all: [\n", "workers.yml:1:6: ")]
 fn a_bad_inventory_names_its_row(#[case] name: &str, #[case] text: &str, #[case] want: &str) {
     let files = Files::new();
     files.add(name, text);
     let drmaa = format!("{LISTEN}inventory = \"{name}\"\n");
-    let done = command(&files, &config(&[]), Some(&drmaa)).output().unwrap();
+    let done = command(&files, &config(&[]), Some(&drmaa))
+        .output()
+        .unwrap();
     let said = String::from_utf8(done.stderr).unwrap();
-    assert!(!done.status.success() && said.lines().count() == 1 && said.contains(want), "{said}");
+    assert!(
+        !done.status.success() && said.lines().count() == 1 && said.contains(want),
+        "{said}"
+    );
 }
 
 #[rstest]
@@ -312,5 +439,8 @@
     let files = Files::new();
     let done = command(&files, &config(&[]), Some(text)).output().unwrap();
     let said = String::from_utf8(done.stderr).unwrap();
-    assert!(!done.status.success() && said.lines().count() == 1 && said.contains(want), "{said}");
+    assert!(
+        !done.status.success() && said.lines().count() == 1 && said.contains(want),
+        "{said}"
+    );
 }
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -40,7 +40,11 @@
             }
             assert!(filled.len() < 64, "its queue takes any number");
         }
-        Slow { listener: TcpListener::from(fd), addr, filled }
+        Slow {
+            listener: TcpListener::from(fd),
+            addr,
+            filled,
+        }
     }
 
     fn line(&self, name: &str) -> Value {
@@ -63,7 +67,10 @@
                 std::thread::spawn(move || {
                     let mut reader = BufReader::new(stream);
                     while let Some(request) = read_message(&mut reader) {
-                        let id = request.get("x-correlation-id").unwrap_or(&request.line).to_string();
+                        let id = request
+                            .get("x-correlation-id")
+                            .unwrap_or(&request.line)
+                            .to_string();
                         let _ = tell.send(id);
                         let _ = reader.get_mut().write_all(TAKEN.as_bytes());
                     }
@@ -109,15 +116,22 @@
     config["settings"]["limits"]["cancel"] = false.into();
     let program = Program::with(Files::new(), &config, None, &[]);
     let mut client = connect(program.addr);
-    client.write_all(operation("depth-log", "a1", 20_000).as_bytes()).unwrap();
+    client
+        .write_all(operation("depth-log", "a1", 20_000).as_bytes())
+        .unwrap();
     program.until("steps", 1);
     drop(client);
     program.until("clients_gone", 1);
     let ids = slow.open();
     let mut next = connect(program.addr);
-    next.write_all(operation("depth-log", "a2", 20_000).as_bytes()).unwrap();
+    next.write_all(operation("depth-log", "a2", 20_000).as_bytes())
+        .unwrap();
     assert_eq!(ids.recv_timeout(LONG).expect("a job"), "a2");
-    assert_eq!(program.counters()["classes"]["depth-log"]["tries"], 1, "the job of a client that has gone");
+    assert_eq!(
+        program.counters()["classes"]["depth-log"]["tries"],
+        1,
+        "the job of a client that has gone"
+    );
 }
 
 /// Guards against new work to a worker that was told to leave while the connection to it came up. The class may not be
@@ -133,15 +147,27 @@
     let mut watch = discovery.watch(1, &[unchanged()]);
     program.logged("pool config");
     let mut client = connect(program.addr);
-    client.write_all(operation("depth-log", "a1", 20_000).as_bytes()).unwrap();
+    client
+        .write_all(operation("depth-log", "a1", 20_000).as_bytes())
+        .unwrap();
     program.until("steps", 1);
     let mut leaving = slow.line("s-1");
     leaving["state"] = "draining".into();
-    say(&mut watch, &json!({"version": 2, "full": false, "servers": [leaving, new.line("ready")]}));
+    say(
+        &mut watch,
+        &json!({"version": 2, "full": false, "servers": [leaving, new.line("ready")]}),
+    );
     program.logged("pool config");
     let ids = slow.open();
-    assert_eq!(read_message(&mut BufReader::new(client)).unwrap().body, "log of a1");
-    assert_eq!(ids.try_recv().ok(), None, "new work to a worker that leaves");
+    assert_eq!(
+        read_message(&mut BufReader::new(client)).unwrap().body,
+        "log of a1"
+    );
+    assert_eq!(
+        ids.try_recv().ok(),
+        None,
+        "new work to a worker that leaves"
+    );
 }
 
 /// Guards against a repeat past a key's window: decided on within it, begun after it.
@@ -159,10 +185,15 @@
     let mut watch = discovery.watch(1, &[unchanged()]);
     program.logged("pool config");
     let mut client = connect(program.addr);
-    client.write_all(operation("sample-entry", "a1", 20_000).as_bytes()).unwrap();
+    client
+        .write_all(operation("sample-entry", "a1", 20_000).as_bytes())
+        .unwrap();
     let handed = accept(&breaks);
     assert!(read_message(&mut BufReader::new(&handed)).is_some());
-    say(&mut watch, &json!({"version": 2, "full": false, "servers": [slow.line("s-1")]}));
+    say(
+        &mut watch,
+        &json!({"version": 2, "full": false, "servers": [slow.line("s-1")]}),
+    );
     program.logged("pool config");
     drop(handed); // it may have run; a repeat is decided on at once, and its connection does not come up
     program.until("steps", 2);
@@ -180,7 +211,9 @@
     let worker = Worker::start("s-1", RUNS_ON);
     let program = Program::start(&[&worker]);
     let mut client = connect(program.addr);
-    client.write_all(operation("depth-log", "a1", 60_000).as_bytes()).unwrap();
+    client
+        .write_all(operation("depth-log", "a1", 60_000).as_bytes())
+        .unwrap();
     assert!(matches!(worker.next(), Sent::Job { .. }));
     client.write_all(&[b'x'; 100 << 10]).unwrap();
     drop(client);
@@ -207,7 +240,9 @@
                     let _ = (&stream).write_all(answer.as_bytes());
                     let _ = tell.send(id);
                     // The second answer stands before the next request's, or comes by itself if none is there soon.
-                    stream.set_read_timeout(Some(Duration::from_millis(8))).unwrap();
+                    stream
+                        .set_read_timeout(Some(Duration::from_millis(8)))
+                        .unwrap();
                     if reader.get_ref().peek(&mut [0]).is_err() {
                         let _ = (&stream).write_all(BUSY.answer.unwrap().as_bytes());
                     }
@@ -224,11 +259,16 @@
     let mut client = connect(program.addr);
     for n in 0..8 {
         let id = format!("a{n}");
-        client.write_all(operation("depth-log", &id, 20_000).as_bytes()).unwrap();
+        client
+            .write_all(operation("depth-log", &id, 20_000).as_bytes())
+            .unwrap();
         assert_eq!(jobs.recv_timeout(LONG).expect("a job"), id);
         assert_eq!(call_back(program.addr, &id, "s-0", "done"), 204);
         let answer = read_message(&mut BufReader::new(&client)).expect("an answer");
-        assert_eq!((answer.status(), answer.body), (200, format!("log of {id}")));
+        assert_eq!(
+            (answer.status(), answer.body),
+            (200, format!("log of {id}"))
+        );
     }
     assert_eq!(program.counters()["steps"], 8, "an attempt each");
     assert!(jobs.try_recv().is_err(), "it ran twice");
@@ -264,7 +304,8 @@
     let ask_for = |n: u32| {
         let mut client = connect(program.addr);
         // Each of another subject, as those of one go to a few workers.
-        let text = operation("depth-log", &format!("a{n}"), 60_000).replace("bh-7", &format!("bh-{n}"));
+        let text =
+            operation("depth-log", &format!("a{n}"), 60_000).replace("bh-7", &format!("bh-{n}"));
         client.write_all(text.as_bytes()).unwrap();
         client
     };
@@ -273,11 +314,16 @@
     // (96 - 40) * 6 / 16 connections to workers at most: as many hand-overs hold them all.
     let held: Vec<TcpStream> = (1..=21).map(ask_for).collect();
     for _ in &held {
-        let line = heard.recv_timeout(LONG).unwrap_or_else(|e| panic!("{e}: {}", program.counters()));
+        let line = heard
+            .recv_timeout(LONG)
+            .unwrap_or_else(|e| panic!("{e}: {}", program.counters()));
         assert!(line.starts_with("POST"));
     }
     drop(first);
-    assert_eq!(heard.recv_timeout(LONG).expect("a cancel"), "DELETE /jobs/a0 HTTP/1.1");
+    assert_eq!(
+        heard.recv_timeout(LONG).expect("a cancel"),
+        "DELETE /jobs/a0 HTTP/1.1"
+    );
 }
 
 /// Guards against idle clients that hold all descriptors of the system while discovery is down: it could not be called
@@ -303,18 +349,27 @@
         let mut client = connect(program.addr);
         let text = operation("depth-log", &format!("a{}", resting.len()), 40);
         // One that is closed to make room before it was read comes again, as clients do.
-        let Some(answer) = exchange(&mut client, &text) else { continue };
+        let Some(answer) = exchange(&mut client, &text) else {
+            continue;
+        };
         assert_eq!(answer.status(), 429);
         resting.push(client);
         assert!(resting.len() < 200, "the descriptors have no end");
     }
     rustix::net::listen(&down, 16).unwrap();
     let discovery = Discovery(TcpListener::from(down));
-    let _watch =
-        discovery.watch(1, &[json!({"version": 2, "full": true, "servers": [worker.line("ready")]})]);
+    let _watch = discovery.watch(
+        1,
+        &[json!({"version": 2, "full": true, "servers": [worker.line("ready")]})],
+    );
     program.logged("pool config");
     let client = resting.last_mut().unwrap();
-    assert_eq!(exchange(client, &operation("depth-log", "b1", 20_000)).expect("an answer").status(), 200);
+    assert_eq!(
+        exchange(client, &operation("depth-log", "b1", 20_000))
+            .expect("an answer")
+            .status(),
+        200
+    );
 }
 
 /// Guards against a close over unread bytes: a client that rests until a stop ends its connection sends a request in that very
@@ -324,21 +379,38 @@
     let worker = Worker::start("s-1", SERVES);
     let mut program = Program::start(&[&worker]);
     let mut client = connect(program.addr);
-    assert_eq!(exchange(&mut client, &operation("depth-log", "a1", 2_000)).unwrap().status(), 200);
+    assert_eq!(
+        exchange(&mut client, &operation("depth-log", "a1", 2_000))
+            .unwrap()
+            .status(),
+        200
+    );
     assert!(matches!(worker.next(), Sent::Job { .. }));
     program.signal("TERM");
     assert_eq!(client.read(&mut [0]).expect("an end in order"), 0);
-    client.write_all(operation("depth-log", "a2", 2_000).as_bytes()).unwrap();
+    client
+        .write_all(operation("depth-log", "a2", 2_000).as_bytes())
+        .unwrap();
     client.shutdown(Shutdown::Write).unwrap();
     assert_eq!(client.read(&mut [0]).expect("no reset"), 0);
     assert!(program.child.wait().unwrap().success());
-    assert!(worker.sent.try_recv().is_err(), "a request read after the end was sent on");
+    assert!(
+        worker.sent.try_recv().is_err(),
+        "a request read after the end was sent on"
+    );
 }
 
 /// Where there is no room for a connection whose request is there already it hears so, not a reset.
 #[test]
 fn a_connection_without_room_is_answered_and_not_reset() {
-    let worker = Worker::start("s-1", Manner { answer: Some(TAKEN), early: &[], then: &[] });
+    let worker = Worker::start(
+        "s-1",
+        Manner {
+            answer: Some(TAKEN),
+            early: &[],
+            then: &[],
+        },
+    );
     let mut config = config(&[&worker]);
     config["limits"]["sockets"] = 64.into();
     config["known"]["servers"] = many(worker.addr, 24);
@@ -349,7 +421,8 @@
         .map(|n| {
             let mut client = connect(program.addr);
             // Each of another subject, as those of one go to a few workers, which would look full.
-            let text = operation("depth-log", &format!("a{n}"), 60_000).replace("bh-7", &format!("bh-{n}"));
+            let text = operation("depth-log", &format!("a{n}"), 60_000)
+                .replace("bh-7", &format!("bh-{n}"));
             client.write_all(text.as_bytes()).unwrap();
             // One after another: there are nine connections to workers, and each hand-over takes one for a moment.
             assert!(matches!(worker.next(), Sent::Job { .. }));
@@ -360,30 +433,50 @@
     program.signal("STOP");
     let mut late: Vec<TcpStream> = (0..24).map(|_| connect(program.addr)).collect();
     for (n, client) in late.iter_mut().enumerate() {
-        client.write_all(operation("depth-log", &format!("b{n}"), 60_000).as_bytes()).unwrap();
+        client
+            .write_all(operation("depth-log", &format!("b{n}"), 60_000).as_bytes())
+            .unwrap();
     }
     program.signal("CONT");
     for client in &mut late {
         let mut text = String::new();
-        client.read_to_string(&mut text).expect("an answer and an end, no reset");
+        client
+            .read_to_string(&mut text)
+            .expect("an answer and an end, no reset");
         assert!(text.starts_with("HTTP/1.1 503 "), "{text}");
     }
 }
 
 /// What a worker does with a job whose class may not be repeated, and whether that proves that it never ran.
 #[rstest]
-#[case::turned_away("HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 4\r\n\r\nbusy", false, true)]
-#[case::turned_away_late("HTTP/1.1 504 Late\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", false, true)]
+#[case::turned_away(
+    "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 4\r\n\r\nbusy",
+    false,
+    true
+)]
+#[case::turned_away_late(
+    "HTTP/1.1 504 Late\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n",
+    false,
+    true
+)]
 #[case::nothing("", false, false)]
 #[case::reset("", true, false)]
 #[case::half_a_head("HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nConte", false, false)]
-#[case::half_a_body("HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 4\r\n\r\nbu", false, false)]
+#[case::half_a_body(
+    "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 4\r\n\r\nbu",
+    false,
+    false
+)]
 #[case::half_a_body_and_reset(
     "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 4\r\n\r\nbu",
     true,
     false
 )]
-#[case::a_body_to_the_end_that_is_reset("HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\n\r\nbusy", true, false)]
+#[case::a_body_to_the_end_that_is_reset(
+    "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\n\r\nbusy",
+    true,
+    false
+)]
 #[case::half_a_chunk(
     "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbu",
     false,
@@ -395,10 +488,16 @@
     false
 )]
 #[case::no_word_that_it_never_ran("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", false, false)]
-#[case::another_word("HTTP/1.1 503 Busy\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n", false, false)]
+#[case::another_word(
+    "HTTP/1.1 503 Busy\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n",
+    false,
+    false
+)]
 #[case::no_http("busy\r\n\r\n", false, false)]
 fn an_unsafe_job_is_sent_again_only_where_it_never_ran(
-    #[case] says: &'static str, #[case] resets: bool, #[case] again: bool,
+    #[case] says: &'static str,
+    #[case] resets: bool,
+    #[case] again: bool,
 ) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
@@ -406,7 +505,9 @@
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let mut reader = BufReader::new(stream.try_clone().unwrap());
-            let Some(request) = read_message(&mut reader) else { continue };
+            let Some(request) = read_message(&mut reader) else {
+                continue;
+            };
             drop(reader);
             tell.send(request.line).unwrap();
             (&stream).write_all(says.as_bytes()).unwrap();
@@ -442,10 +543,18 @@
     let mut watch = discovery.watch(1, &[unchanged()]);
     program.logged("pool config");
     let mut client = connect(program.addr);
-    client.write_all(operation("depth-log", "a1", 20_000).as_bytes()).unwrap();
+    client
+        .write_all(operation("depth-log", "a1", 20_000).as_bytes())
+        .unwrap();
     program.until("steps", 1);
-    say(&mut watch, &json!({"version": 2, "full": false, "servers": [other.line("ready")]}));
-    assert_eq!(read_message(&mut BufReader::new(client)).unwrap().body, "log of a1");
+    say(
+        &mut watch,
+        &json!({"version": 2, "full": false, "servers": [other.line("ready")]}),
+    );
+    assert_eq!(
+        read_message(&mut BufReader::new(client)).unwrap().body,
+        "log of a1"
+    );
     assert_eq!(program.counters()["endings"]["not_connected"], 1);
 }
 
@@ -479,7 +588,9 @@
     let program = Program::with(Files::new(), &config, None, &[]);
     for n in 0..600u32 {
         let mut client = connect(program.addr);
-        client.write_all(operation("depth-log", &format!("a{n}"), 60_000).as_bytes()).unwrap();
+        client
+            .write_all(operation("depth-log", &format!("a{n}"), 60_000).as_bytes())
+            .unwrap();
         let mut handed = jobs.recv_timeout(LONG).expect("a job");
         let together = std::sync::Barrier::new(2);
         std::thread::scope(|scope| {
@@ -494,7 +605,9 @@
             }
             let _ = handed.write_all(TAKEN.as_bytes());
         });
-        let cancel = cancels.recv_timeout(LONG).unwrap_or_else(|_| panic!("no cancel of a{n}"));
+        let cancel = cancels
+            .recv_timeout(LONG)
+            .unwrap_or_else(|_| panic!("no cancel of a{n}"));
         assert_eq!(cancel, format!("DELETE /jobs/a{n} HTTP/1.1"));
     }
 }
