--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -12,7 +12,11 @@
     for job in 1..60 {
         for (attempt, worker) in sends(&desk.arrive(job, ONCE)).into_iter().enumerate() {
             to_bad += (worker == 2) as usize;
-            let code = if worker == 2 { Code::AppError } else { Code::Delivered };
+            let code = if worker == 2 {
+                Code::AppError
+            } else {
+                Code::Delivered
+            };
             desk.now += 20 * MS;
             desk.end(job, attempt as u32, code);
         }
@@ -24,18 +28,34 @@
 #[test]
 fn a_kind_known_to_be_jammed_is_not_taken_for_idle_where_unseen() {
     let mut desk = Desk::new(settings(), 0);
-    let weighted = |id: u32| Entry { weight: if id.is_multiple_of(2) { 2.0 } else { 1.0 }, ..entry(id) };
+    let weighted = |id: u32| Entry {
+        weight: if id.is_multiple_of(2) { 2.0 } else { 1.0 },
+        ..entry(id)
+    };
     desk.list(true, (0..40).map(weighted).collect());
     for worker in 0..20 {
         // Even ones are the fast kind: jammed. Odd ones have room.
         let free_slots = Some(f64::from(worker % 2));
-        let report = Some(Report { free_slots, waiting: Some(9.0), ..Report::default() });
-        desk.give(Event::Probed { worker: WorkerId(worker), ok: true, report });
+        let report = Some(Report {
+            free_slots,
+            waiting: Some(9.0),
+            ..Report::default()
+        });
+        desk.give(Event::Probed {
+            worker: WorkerId(worker),
+            ok: true,
+            report,
+        });
     }
     desk.now += 60 * SECOND; // what was seen of single workers is out of date
-    let sent: Vec<u32> = (1..10).flat_map(|job| sends(&desk.arrive(job, ONCE))).collect();
+    let sent: Vec<u32> = (1..10)
+        .flat_map(|job| sends(&desk.arrive(job, ONCE)))
+        .collect();
     assert_eq!(sent.len(), 9);
-    assert!(sent.iter().filter(|w| !w.is_multiple_of(2)).count() >= 8, "{sent:?}");
+    assert!(
+        sent.iter().filter(|w| !w.is_multiple_of(2)).count() >= 8,
+        "{sent:?}"
+    );
 }
 
 /// Under overload jobs filled queues in which they were late before they began: what could only be late wherever it
@@ -49,52 +69,114 @@
 #[case::what_may_wait_is_not_shown(&[(1.0, 12.0)], 16.0, None, true)]
 #[case::what_waits_is_told(&[], 16.0, Some(8.0), false)]
 fn a_job_that_is_hopeless_everywhere_is_refused_at_once(
-    #[case] shown: &[(f64, f64)], #[case] held_when_full: f64, #[case] waiting: Option<f64>,
+    #[case] shown: &[(f64, f64)],
+    #[case] held_when_full: f64,
+    #[case] waiting: Option<f64>,
     #[case] hopeless: bool,
 ) {
-    let mut desk = Desk::new(Settings { reports_count_jobs: true, ..settings() }, 4);
+    let mut desk = Desk::new(
+        Settings {
+            reports_count_jobs: true,
+            ..settings()
+        },
+        4,
+    );
     let tell = |desk: &mut Desk, free: f64, held: f64, waiting: Option<f64>| {
         for worker in 0..4 {
             let free_slots = Some(free);
-            let report = Some(Report { free_slots, active: Some(held), waiting, ..Report::default() });
-            desk.give(Event::Probed { worker: WorkerId(worker), ok: true, report });
+            let report = Some(Report {
+                free_slots,
+                active: Some(held),
+                waiting,
+                ..Report::default()
+            });
+            desk.give(Event::Probed {
+                worker: WorkerId(worker),
+                ok: true,
+                report,
+            });
         }
     };
-    shown.iter().for_each(|&(free, held)| tell(&mut desk, free, held, None));
+    shown
+        .iter()
+        .for_each(|&(free, held)| tell(&mut desk, free, held, None));
     tell(&mut desk, 0.0, held_when_full, waiting);
     let out = desk.arrive(1, ONCE);
-    assert_eq!((sends(&out).len(), refused(&out)), if hopeless { (0, 1) } else { (1, 0) });
+    assert_eq!(
+        (sends(&out).len(), refused(&out)),
+        if hopeless { (0, 1) } else { (1, 0) }
+    );
 }
 
 /// The same newcomer, told by an answer 'full': what was turned away is no queue of its own.
 #[test]
 fn a_newcomer_that_is_turned_away_tries_elsewhere() {
-    let mut desk = Desk::new(Settings { reports_count_jobs: true, ..settings() }, 4);
-    let full = Some(Report { free_slots: Some(0.0), active: Some(7.0), ..Report::default() });
+    let mut desk = Desk::new(
+        Settings {
+            reports_count_jobs: true,
+            ..settings()
+        },
+        4,
+    );
+    let full = Some(Report {
+        free_slots: Some(0.0),
+        active: Some(7.0),
+        ..Report::default()
+    });
     let mut sent = sends(&desk.arrive(1, FREE));
     for attempt in 0..3 {
-        let end = Outcome { job: JobId(1), attempt, code: Code::Shed, complete: false, report: full };
+        let end = Outcome {
+            job: JobId(1),
+            attempt,
+            code: Code::Shed,
+            complete: false,
+            report: full,
+        };
         sent.extend(sends(&desk.give(Event::Outcome(end))));
     }
     assert_eq!(sent.len(), 4, "all attempts are used: {sent:?}");
     let next = desk.arrive(2, FREE);
-    assert!(!sends(&next).is_empty() && refused(&next) == 0, "the next job is sent too: {next:?}");
+    assert!(
+        !sends(&next).is_empty() && refused(&next) == 0,
+        "the next job is sent too: {next:?}"
+    );
 }
 
 #[test]
 fn a_tenant_far_beyond_the_others_is_refused_while_there_is_no_room() {
-    let tenant = Tenant { quota_rps: 10.0, share: 0.25 };
-    let mut desk = Desk::new(Settings { tenants: vec![tenant; 4], ..patient() }, 4);
+    let tenant = Tenant {
+        quota_rps: 10.0,
+        share: 0.25,
+    };
+    let mut desk = Desk::new(
+        Settings {
+            tenants: vec![tenant; 4],
+            ..patient()
+        },
+        4,
+    );
     for worker in 0..4 {
-        let report = Some(Report { free_slots: Some(0.0), ..Report::default() });
-        desk.give(Event::Probed { worker: WorkerId(worker), ok: true, report });
+        let report = Some(Report {
+            free_slots: Some(0.0),
+            ..Report::default()
+        });
+        desk.give(Event::Probed {
+            worker: WorkerId(worker),
+            ok: true,
+            report,
+        });
     }
     let (mut job, mut turned_away) = (0, [0; 4]);
     for _ in 0..50 {
         for tenant in [0, 0, 0, 0, 0, 1, 2, 3] {
             job += 1;
-            let Event::Arrived(request) = arrival(job, ONCE) else { unreachable!() };
-            let out = desk.give(Event::Arrived(Request { tenant: Some(TenantId(tenant)), ..request }));
+            let Event::Arrived(request) = arrival(job, ONCE) else {
+                unreachable!()
+            };
+            let out = desk.give(Event::Arrived(Request {
+                tenant: Some(TenantId(tenant)),
+                ..request
+            }));
             turned_away[tenant as usize] += refused(&out);
             if refused(&out) == 0 {
                 desk.end(job, 0, Code::Delivered);
@@ -102,7 +184,10 @@
         }
     }
     assert!(turned_away[0] > 100, "{turned_away:?}");
-    assert!(turned_away[1..].iter().sum::<usize>() <= 3, "{turned_away:?}");
+    assert!(
+        turned_away[1..].iter().sum::<usize>() <= 3,
+        "{turned_away:?}"
+    );
 }
 
 /// A restarted worker is a new process: its old attempts must not count, nor its old charges.
@@ -113,7 +198,13 @@
         desk.arrive(job, ONCE);
     }
     desk.end(1, 0, Code::AppError);
-    desk.list(false, vec![Entry { since: desk.now - 60 * SECOND, ..entry(0) }]);
+    desk.list(
+        false,
+        vec![Entry {
+            since: desk.now - 60 * SECOND,
+            ..entry(0)
+        }],
+    );
     desk.end(2, 0, Code::Dropped);
     assert_eq!(sends(&desk.arrive(9, FREE)), [0]);
     assert_eq!(sends(&desk.arrive(10, FREE)).len(), 1);
@@ -121,7 +212,13 @@
 
 #[test]
 fn the_list_is_asked_at_the_start_and_again_after_an_error() {
-    let mut desk = Desk::new(Settings { list_must_be_asked: true, ..settings() }, 4);
+    let mut desk = Desk::new(
+        Settings {
+            list_must_be_asked: true,
+            ..settings()
+        },
+        4,
+    );
     let due = |out: &[Action]| match out {
         [Action::Schedule { wait_us, token }] => (*wait_us, *token),
         other => panic!("{other:?}"),
@@ -140,15 +237,36 @@
 /// At one job a second a tenant is often twice the others by chance; that made a dispatcher refuse good work.
 #[test]
 fn a_tenant_is_not_beyond_its_share_by_chance() {
-    let tenant = Tenant { quota_rps: 10.0, share: 0.25 };
-    let mut desk = Desk::new(Settings { tenants: vec![tenant; 4], ..patient() }, 4);
+    let tenant = Tenant {
+        quota_rps: 10.0,
+        share: 0.25,
+    };
+    let mut desk = Desk::new(
+        Settings {
+            tenants: vec![tenant; 4],
+            ..patient()
+        },
+        4,
+    );
     for worker in 0..4 {
-        let report = Some(Report { free_slots: Some(0.0), ..Report::default() });
-        desk.give(Event::Probed { worker: WorkerId(worker), ok: true, report });
+        let report = Some(Report {
+            free_slots: Some(0.0),
+            ..Report::default()
+        });
+        desk.give(Event::Probed {
+            worker: WorkerId(worker),
+            ok: true,
+            report,
+        });
     }
     for (job, tenant) in [0, 1, 0, 2, 0, 3, 0, 1, 2, 0].into_iter().enumerate() {
-        let Event::Arrived(request) = arrival(job as u64, ONCE) else { unreachable!() };
-        let out = desk.give(Event::Arrived(Request { tenant: Some(TenantId(tenant)), ..request }));
+        let Event::Arrived(request) = arrival(job as u64, ONCE) else {
+            unreachable!()
+        };
+        let out = desk.give(Event::Arrived(Request {
+            tenant: Some(TenantId(tenant)),
+            ..request
+        }));
         assert_eq!((sends(&out).len(), refused(&out)), (1, 0), "job {job}");
         desk.end(job as u64, 0, Code::Delivered);
     }
@@ -157,12 +275,26 @@
 /// Where workers must be asked, those not asked keep an old usual load, and ranked ahead of those known to be busy.
 #[test]
 fn where_workers_must_be_asked_only_those_that_answered_are_ranked() {
-    let mut desk = Desk::new(Settings { reports_on_probe: true, ..patient() }, 40);
+    let mut desk = Desk::new(
+        Settings {
+            reports_on_probe: true,
+            ..patient()
+        },
+        40,
+    );
     for job in 1..30 {
         desk.arrive(job, ONCE);
         for worker in [3, 7] {
-            let report = Some(Report { free_slots: Some(0.0), waiting: Some(3.0), ..Report::default() });
-            desk.give(Event::Probed { worker: WorkerId(worker), ok: true, report });
+            let report = Some(Report {
+                free_slots: Some(0.0),
+                waiting: Some(3.0),
+                ..Report::default()
+            });
+            desk.give(Event::Probed {
+                worker: WorkerId(worker),
+                ok: true,
+                report,
+            });
         }
         let sent = sends(&desk.wake(10 * MS, 2 * job + 1));
         assert!(sent == [3] || sent == [7], "{sent:?}");
@@ -175,7 +307,9 @@
 fn a_job_that_has_waited_past_its_aim_is_given_up_and_called_back() {
     let strict = |late_share| {
         let mut set = settings();
-        set.classes.iter_mut().for_each(|c| c.late_share = late_share);
+        set.classes
+            .iter_mut()
+            .for_each(|c| c.late_share = late_share);
         set
     };
     let wait = |set: Settings, class, begun: bool| {
@@ -191,18 +325,39 @@
     };
     for class in [ONCE, KEYED] {
         let out = wait(strict(0.0), class, false);
-        assert_eq!((failed(&out), cancels(&out).as_slice()), (1, [0].as_slice()), "at once, and called back");
+        assert_eq!(
+            (failed(&out), cancels(&out).as_slice()),
+            (1, [0].as_slice()),
+            "at once, and called back"
+        );
         for out in [
-            wait(strict(0.0), class, true),                                     // it runs
+            wait(strict(0.0), class, true),  // it runs
             wait(strict(0.5), class, false), // late is still worth something
-            wait(Settings { cancel: false, ..strict(0.0) }, class, false), // it would run all the same
-            wait(Settings { tells_start: false, ..strict(0.0) }, class, false), // it may be running
+            wait(
+                Settings {
+                    cancel: false,
+                    ..strict(0.0)
+                },
+                class,
+                false,
+            ), // it would run all the same
+            wait(
+                Settings {
+                    tells_start: false,
+                    ..strict(0.0)
+                },
+                class,
+                false,
+            ), // it may be running
         ] {
             assert_eq!((failed(&out), cancels(&out).len()), (0, 0));
         }
     }
     // Its client would ask again, so that it would come back later still.
-    assert_eq!(failed(&wait(strict(0.0), FREE, false)) + failed(&wait(strict(0.0), KEYED_ALL, false)), 0);
+    assert_eq!(
+        failed(&wait(strict(0.0), FREE, false)) + failed(&wait(strict(0.0), KEYED_ALL, false)),
+        0
+    );
 }
 
 /// One record for all classes let the others' successes wipe it off, or shut out their good work.
@@ -220,41 +375,74 @@
             for (attempt, worker) in workers.into_iter().enumerate() {
                 to_bad[usize::from(class == ONCE)] += usize::from(worker == 2);
                 let bad = worker == 2 && class == ONCE;
-                desk.end(job, attempt as u32, if bad { Code::AppError } else { Code::Delivered });
+                desk.end(
+                    job,
+                    attempt as u32,
+                    if bad { Code::AppError } else { Code::Delivered },
+                );
             }
         }
     }
-    assert!(to_bad[1] >= 1 && to_bad[0] >= 3 * to_bad[1], "{to_bad:?} of 240 each");
+    assert!(
+        to_bad[1] >= 1 && to_bad[0] >= 3 * to_bad[1],
+        "{to_bad:?} of 240 each"
+    );
 }
 
 /// Where half of the workers turn one class away though they show room, an unsafe job is lost at each such try.
 #[test]
 fn a_worker_that_says_full_though_it_shows_room_is_left_to_other_classes() {
-    let set = Settings { full_may_have_run: true, ..settings() };
+    let set = Settings {
+        full_may_have_run: true,
+        ..settings()
+    };
     let mut desk = Desk::new(set, 8);
     let (mut lost, mut others) = (0, 0);
     for job in 1..200 {
         let class = [FREE, ONCE][job as usize % 2];
         for (attempt, worker) in sends(&desk.arrive(job, class)).into_iter().enumerate() {
             let struck = worker >= 4;
-            let code = if struck && class == ONCE { Code::Shed } else { Code::Delivered };
+            let code = if struck && class == ONCE {
+                Code::Shed
+            } else {
+                Code::Delivered
+            };
             lost += usize::from(code == Code::Shed);
             others += usize::from(struck && class == FREE);
             desk.now += 20 * MS;
-            let report = Some(Report { free_slots: Some(3.0), ..Report::default() });
+            let report = Some(Report {
+                free_slots: Some(3.0),
+                ..Report::default()
+            });
             let (job, attempt, complete) = (JobId(job), attempt as u32, code == Code::Delivered);
-            desk.give(Event::Outcome(Outcome { job, attempt, code, complete, report }));
+            desk.give(Event::Outcome(Outcome {
+                job,
+                attempt,
+                code,
+                complete,
+                report,
+            }));
         }
     }
     assert!(lost <= 14, "{lost} of 100 lost");
-    assert!(others >= 35, "{others} of 100 at the struck ones: they have room for the other class");
+    assert!(
+        others >= 35,
+        "{others} of 100 at the struck ones: they have room for the other class"
+    );
 }
 
 /// Each request at a worker of its own opened a connection for each.
 #[test]
 fn an_idle_connection_is_used_again_where_a_new_one_costs() {
     let met = |connection_cost| {
-        let mut desk = Desk::new(Settings { connection_cost, my_zone: ZoneId(1), ..settings() }, 40);
+        let mut desk = Desk::new(
+            Settings {
+                connection_cost,
+                my_zone: ZoneId(1),
+                ..settings()
+            },
+            40,
+        );
         let mut met = Vec::new();
         for job in 1..60 {
             met.extend(sends(&desk.arrive(job, ONCE)));
@@ -265,7 +453,12 @@
         met.dedup();
         met.len()
     };
-    assert!(met(0.08) <= 4 && met(0.0) >= 12, "{} and {}", met(0.08), met(0.0));
+    assert!(
+        met(0.08) <= 4 && met(0.0) >= 12,
+        "{} and {}",
+        met(0.08),
+        met(0.0)
+    );
 }
 
 /// Where reports show only whether a slot is free, a jam was not seen, and work queued that was late already.
@@ -282,10 +475,20 @@
         }
         refused(&desk.arrive(9, ONCE))
     };
-    assert_eq!(refusals(settings(), 2 * SECOND), 1, "twenty jobs ahead at each");
+    assert_eq!(
+        refusals(settings(), 2 * SECOND),
+        1,
+        "twenty jobs ahead at each"
+    );
     assert_eq!(refusals(settings(), 20 * MS), 0);
     assert_eq!(
-        refusals(Settings { reports_count_jobs: true, ..settings() }, 2 * SECOND),
+        refusals(
+            Settings {
+                reports_count_jobs: true,
+                ..settings()
+            },
+            2 * SECOND
+        ),
         0,
         "reports tell it"
     );
@@ -294,8 +497,19 @@
 /// Live weights were taken for speed, which measured runs outweigh: the list's one sight of all was not used.
 #[test]
 fn a_live_weight_tells_how_busy_a_worker_is() {
-    let mut desk = Desk::new(Settings { weights: Weights::Live, reports_on_probe: true, ..patient() }, 0);
-    let weighted = |id, weight| Entry { weight, kind: KindId(0), ..entry(id) };
+    let mut desk = Desk::new(
+        Settings {
+            weights: Weights::Live,
+            reports_on_probe: true,
+            ..patient()
+        },
+        0,
+    );
+    let weighted = |id, weight| Entry {
+        weight,
+        kind: KindId(0),
+        ..entry(id)
+    };
     desk.list(true, vec![weighted(0, 1.0), weighted(1, 1.0)]);
     let place = |desk: &mut Desk, job| {
         desk.arrive(job, ONCE);
@@ -305,13 +519,26 @@
         desk.end(job, 0, Code::Delivered);
         sent
     };
-    let room = Some(Report { free_slots: Some(3.0), ..Report::default() });
+    let room = Some(Report {
+        free_slots: Some(3.0),
+        ..Report::default()
+    });
     for (worker, away) in [(1, 0), (0, 1)] {
         desk.list(
             false,
-            vec![Entry { stage: Stage::Draining, ..weighted(away, 1.0) }, weighted(worker, 1.0)],
+            vec![
+                Entry {
+                    stage: Stage::Draining,
+                    ..weighted(away, 1.0)
+                },
+                weighted(worker, 1.0),
+            ],
         );
-        desk.give(Event::Probed { worker: WorkerId(worker), ok: true, report: room });
+        desk.give(Event::Probed {
+            worker: WorkerId(worker),
+            ok: true,
+            report: room,
+        });
         let first = u64::from(worker) * 100;
         assert!((first..first + 50).all(|job| place(&mut desk, job) == [worker]));
     }
@@ -319,5 +546,9 @@
     desk.now += 60 * SECOND; // what was seen is out of date
     assert_eq!(place(&mut desk, 300), [0], "alike, and near");
     desk.list(false, vec![weighted(0, 0.2)]);
-    assert_eq!(place(&mut desk, 301), [1], "the near one holds four jobs a core more");
+    assert_eq!(
+        place(&mut desk, 301),
+        [1],
+        "the near one holds four jobs a core more"
+    );
 }
--- a/tests/fleet_faults.rs
+++ b/tests/fleet_faults.rs
@@ -15,7 +15,10 @@
 const NONE: Duration = Duration::ZERO;
 
 fn number(name: &str, default: u64) -> u64 {
-    std::env::var(name).map_or(default, |v| v.parse().unwrap_or_else(|_| panic!("{name}: not a number: {v}")))
+    std::env::var(name).map_or(default, |v| {
+        v.parse()
+            .unwrap_or_else(|_| panic!("{name}: not a number: {v}"))
+    })
 }
 
 fn ms(n: u64) -> Duration {
@@ -31,17 +34,30 @@
     let got = clients.end();
     let tally = fleet.one_tally();
     for tenant in ["t0", "t1"] {
-        assert_eq!(sum(&tally, "served", Some(tenant)), got.served[tenant], "{tally}");
+        assert_eq!(
+            sum(&tally, "served", Some(tenant)),
+            got.served[tenant],
+            "{tally}"
+        );
     }
     assert_eq!(sum(&tally, "written", None), got.all());
-    assert_eq!(sum(&tally, "doubtful", None) + sum(&tally, "unsure", None), 0);
+    assert_eq!(
+        sum(&tally, "doubtful", None) + sum(&tally, "unsure", None),
+        0
+    );
     assert_eq!(sum(&tally, "refused", None), got.refused);
 }
 
 /// Case 1: Half of the fleet hears nothing under full load of one tenant.
 #[test]
 fn a_cut_off_half_serves_its_floor_and_the_budget_holds() {
-    let plan = Plan { members: 4, limit: Some(24), deadline_ms: 500, work: ms(20), ..Plan::default() };
+    let plan = Plan {
+        members: 4,
+        limit: Some(24),
+        deadline_ms: 500,
+        work: ms(20),
+        ..Plan::default()
+    };
     let fleet = Fleet::start(plan);
     fleet.joined();
     fleet.seated();
@@ -52,8 +68,14 @@
     let (from, mut shares) = (Instant::now(), Vec::new());
     while from.elapsed() < ms(number("STREAMUSHER_CUT_MS", 4_000)) {
         clients.more(20);
-        let used: u64 =
-            [0, 1].iter().map(|&i| fleet.call(i, "fleet")["budgets"][0]["used"].as_u64().unwrap()).sum();
+        let used: u64 = [0, 1]
+            .iter()
+            .map(|&i| {
+                fleet.call(i, "fleet")["budgets"][0]["used"]
+                    .as_u64()
+                    .unwrap()
+            })
+            .sum();
         shares.push(used);
     }
     assert!(
@@ -98,8 +120,10 @@
     // The others have it back and use all of it, while clients wait at the one that is stopped.
     let others = Clients::start(&fleet, &[1, 2], 12, &["t0"], NONE);
     fleet.wait("rights have come back", |f| {
-        let own: u64 =
-            [1, 2].iter().map(|&i| f.call(i, "fleet")["budgets"][0]["own"].as_u64().unwrap()).sum();
+        let own: u64 = [1, 2]
+            .iter()
+            .map(|&i| f.call(i, "fleet")["budgets"][0]["own"].as_u64().unwrap())
+            .sum();
         if own == 8 {
             Ok(())
         } else {
@@ -144,7 +168,12 @@
         let held = |i| f.call(i, "fleet")["budgets"][0].clone();
         let (own, lent): (u64, u64) = (0..3).fold((0, 0), |sum, i| {
             let h = held(i);
-            let lent: u64 = h["lent"].as_array().unwrap().iter().filter_map(|l| l[1].as_u64()).sum();
+            let lent: u64 = h["lent"]
+                .as_array()
+                .unwrap()
+                .iter()
+                .filter_map(|l| l[1].as_u64())
+                .sum();
             (sum.0 + h["own"].as_u64().unwrap(), sum.1 + lent)
         });
         if own + lent == 12 {
@@ -164,7 +193,12 @@
 #[test]
 fn restarts_one_after_another_lose_no_unit() {
     let (members, rounds) = (6, number("STREAMUSHER_ROUNDS", 2));
-    let mut fleet = Fleet::start(Plan { members, copies: 2, hold_ms: 2_500, ..Plan::default() });
+    let mut fleet = Fleet::start(Plan {
+        members,
+        copies: 2,
+        hold_ms: 2_500,
+        ..Plan::default()
+    });
     fleet.joined();
     let all: Vec<usize> = (0..members).collect();
     let clients = Clients::start(&fleet, &all, 1, &["t0", "t1"], ms(2));
@@ -186,8 +220,16 @@
         got.all(),
         sum(&tally, "unsure", None)
     );
-    assert_eq!(sum(&tally, "unsure", None), 0, "no answer went out before its copies were there");
-    assert!(got.all() <= served - unwritten, "nothing that was answered is lost: {} {tally}", got.all());
+    assert_eq!(
+        sum(&tally, "unsure", None),
+        0,
+        "no answer went out before its copies were there"
+    );
+    assert!(
+        got.all() <= served - unwritten,
+        "nothing that was answered is lost: {} {tally}",
+        got.all()
+    );
     assert!(
         got.all() + doubtful >= served - unwritten,
         "and each difference is named: {} {tally}",
@@ -198,7 +240,11 @@
 /// Case 4b: Stopped in order, one after another: equal to the unit, with nothing in doubt, and without copies.
 #[test]
 fn orderly_restarts_are_equal_to_the_unit() {
-    let mut fleet = Fleet::start(Plan { members: 3, deadline_ms: 400, ..Plan::default() });
+    let mut fleet = Fleet::start(Plan {
+        members: 3,
+        deadline_ms: 400,
+        ..Plan::default()
+    });
     fleet.joined();
     let clients = Clients::start(&fleet, &[0, 1, 2], 2, &["t0", "t1", "t2"], ms(1));
     for i in 0..3 {
@@ -210,20 +256,39 @@
     let got = clients.end();
     let tally = fleet.one_tally();
     let (served, unwritten) = (sum(&tally, "served", None), sum(&tally, "unwritten", None));
-    assert_eq!((served - unwritten, sum(&tally, "doubtful", None)), (got.all(), 0), "{tally}");
-    assert_eq!(got.failed, 0, "what comes after the last answers gets a busy reply: nothing of it has run");
+    assert_eq!(
+        (served - unwritten, sum(&tally, "doubtful", None)),
+        (got.all(), 0),
+        "{tally}"
+    );
+    assert_eq!(
+        got.failed, 0,
+        "what comes after the last answers gets a busy reply: nothing of it has run"
+    );
 }
 
 /// Case 5: A hears B, B does not hear A: membership stays as it is.
 #[test]
 fn a_one_way_cut_does_not_flap() {
-    let fleet = Fleet::start(Plan { members: 4, ..Plan::default() });
+    let fleet = Fleet::start(Plan {
+        members: 4,
+        ..Plan::default()
+    });
     fleet.joined();
     let changes = |f: &Fleet| -> Vec<u64> {
-        (0..4).map(|i| f.call(i, "fleet")["membership_changes"].as_u64().unwrap()).collect()
+        (0..4)
+            .map(|i| f.call(i, "fleet")["membership_changes"].as_u64().unwrap())
+            .collect()
     };
     let before = changes(&fleet);
-    fleet.link(0, 1, Link { cut: true, ..Link::default() });
+    fleet.link(
+        0,
+        1,
+        Link {
+            cut: true,
+            ..Link::default()
+        },
+    );
     let from = fleet.members[1].relay.passed.load(Ordering::Relaxed);
     fleet.wait("frames go on", |f| {
         let n = f.members[1].relay.passed.load(Ordering::Relaxed) - from;
@@ -254,17 +319,26 @@
     clients.more(30);
     let got = clients.end();
     let after = fleet.one_tally();
-    assert!(after["since_us"].as_u64() > before["since_us"].as_u64(), "{before} {after}");
+    assert!(
+        after["since_us"].as_u64() > before["since_us"].as_u64(),
+        "{before} {after}"
+    );
     assert_eq!(sum(&after, "served", None), got.all());
 }
 
 /// Case 8: A member whose frames are all 3 s late does not slow the others.
 #[test]
 fn a_slow_peer_does_not_slow_the_others() {
-    let fleet = Fleet::start(Plan { members: 4, ..Plan::default() });
+    let fleet = Fleet::start(Plan {
+        members: 4,
+        ..Plan::default()
+    });
     fleet.joined();
     for i in 0..3 {
-        let late = Link { late: ms(3_000), ..Link::default() };
+        let late = Link {
+            late: ms(3_000),
+            ..Link::default()
+        };
         fleet.link(3, i, late);
         fleet.link(i, 3, late);
     }
@@ -273,7 +347,9 @@
     let got = clients.end();
     let from = Instant::now();
     fleet.wait("the three have one tally", |f| {
-        let served: Vec<u64> = (0..3).map(|i| sum(&f.call(i, "tally"), "served", None)).collect();
+        let served: Vec<u64> = (0..3)
+            .map(|i| sum(&f.call(i, "tally"), "served", None))
+            .collect();
         if served.iter().all(|s| *s == got.all()) {
             Ok(())
         } else {
@@ -290,11 +366,17 @@
 /// Case 9: Garbage, a foreign fleet's frames, and a flood of them: they are counted by cause, and work goes on.
 #[test]
 fn garbage_and_foreign_frames_are_dropped_and_counted() {
-    let fleet = Fleet::start(Plan { members: 3, ..Plan::default() });
+    let fleet = Fleet::start(Plan {
+        members: 3,
+        ..Plan::default()
+    });
     fleet.joined();
     let clients = Clients::start(&fleet, &[0], 2, &["t0"], NONE);
     clients.more(50);
-    let (socket, to) = (std::net::UdpSocket::bind("127.0.0.1:0").unwrap(), fleet.members[0].udp);
+    let (socket, to) = (
+        std::net::UdpSocket::bind("127.0.0.1:0").unwrap(),
+        fleet.members[0].udp,
+    );
     for n in 0..10_000u32 {
         let bytes: Vec<u8> = match n % 4 {
             0 => vec![0; 7],
@@ -321,8 +403,13 @@
 /// not believed.
 #[test]
 fn what_several_have_seen_of_a_worker_all_know() {
-    let fleet =
-        Fleet::start(Plan { members: 4, shared: true, bad: Some(1), work: ms(20), ..Plan::default() });
+    let fleet = Fleet::start(Plan {
+        members: 4,
+        shared: true,
+        bad: Some(1),
+        work: ms(20),
+        ..Plan::default()
+    });
     fleet.joined();
     let seen = |f: &Fleet, i: usize| f.call(i, "fleet")["observations"].as_u64().unwrap_or(0);
     let two = Clients::start(&fleet, &[0, 1], 16, &["t0"], NONE);
@@ -334,7 +421,11 @@
             Err(format!("{n} observations"))
         }
     });
-    assert_eq!(fleet.call(3, "fleet")["verdicts"], serde_json::json!([]), "two are not believed");
+    assert_eq!(
+        fleet.call(3, "fleet")["verdicts"],
+        serde_json::json!([]),
+        "two are not believed"
+    );
     let third = Clients::start(&fleet, &[2], 16, &["t0"], NONE);
     fleet.wait("all know", |f| {
         let verdicts = f.call(3, "fleet")["verdicts"].clone();
@@ -352,7 +443,11 @@
 /// With the ledger on as well both have the same answers, to the unit.
 #[test]
 fn the_ledger_and_the_tally_agree() {
-    let mut fleet = Fleet::start(Plan { ledger: true, copies: 1, ..Plan::default() });
+    let mut fleet = Fleet::start(Plan {
+        ledger: true,
+        copies: 1,
+        ..Plan::default()
+    });
     fleet.joined();
     let clients = Clients::start(&fleet, &[0, 1, 2], 1, &["t0", "t1"], NONE);
     clients.more(60);
@@ -368,15 +463,25 @@
         let shown: serde_json::Value = serde_json::from_str(&text).expect("json");
         booked += served_in(&shown);
     }
-    assert_eq!((booked, sum(&tally, "served", None)), (got.all(), got.all()));
+    assert_eq!(
+        (booked, sum(&tally, "served", None)),
+        (got.all(), got.all())
+    );
 }
 
 /// The sum of all that is called `served` in what the ledger shows.
 fn served_in(shown: &serde_json::Value) -> u64 {
     match shown {
-        serde_json::Value::Object(map) => {
-            map.iter().map(|(k, v)| if k == "served" { v.as_u64().unwrap_or(0) } else { served_in(v) }).sum()
-        }
+        serde_json::Value::Object(map) => map
+            .iter()
+            .map(|(k, v)| {
+                if k == "served" {
+                    v.as_u64().unwrap_or(0)
+                } else {
+                    served_in(v)
+                }
+            })
+            .sum(),
         serde_json::Value::Array(all) => all.iter().map(served_in).sum(),
         _ => 0,
     }
@@ -387,24 +492,41 @@
 #[case("listen = 'x'\nkey_file = 'k'", "fleet.listen: not an address")]
 #[case("listen = '127.0.0.1:0'", "missing field `key_file`")]
 #[case("listen = '127.0.0.1:0'\nkey_file = 'none'", "fleet.key_file")]
-#[case("listen = '127.0.0.1:0'\nkey_file = 'k'\ncopies = 99", "fleet.copies: must lie between 0 and 16")]
-#[case("listen = '127.0.0.1:0'\nkey_file = 'k'\n[fleet.limits]\nt0 = 5", "fleet.seats: missing")]
-#[case("listen = '127.0.0.1:0'\nkey_file = 'k'\nseats = ['a', 'a']", "fleet.seats[1]")]
+#[case(
+    "listen = '127.0.0.1:0'\nkey_file = 'k'\ncopies = 99",
+    "fleet.copies: must lie between 0 and 16"
+)]
+#[case(
+    "listen = '127.0.0.1:0'\nkey_file = 'k'\n[fleet.limits]\nt0 = 5",
+    "fleet.seats: missing"
+)]
+#[case(
+    "listen = '127.0.0.1:0'\nkey_file = 'k'\nseats = ['a', 'a']",
+    "fleet.seats[1]"
+)]
 #[case(
     "listen = '127.0.0.1:0'\nkey_file = 'k'\nseats = ['x']\n[fleet.limits]\nt0 = 5",
     "fleet.seats: \"n1\" is not among them"
 )]
-#[case("listen = '127.0.0.1:0'\nkey_file = 'k'\ngossip = 5", "unknown field `gossip`")]
+#[case(
+    "listen = '127.0.0.1:0'\nkey_file = 'k'\ngossip = 5",
+    "unknown field `gossip`"
+)]
 fn mistakes_are_named(#[case] table: &str, #[case] why: &str) {
     let files = Files::new();
     files.add("k", &"a7".repeat(32));
     let mut config = support::config(&[]);
     config["operators"] = format!("[fleet]\n{table}\n").into();
-    let done = support::command(&files, &config, None).output().expect("the program starts");
+    let done = support::command(&files, &config, None)
+        .output()
+        .expect("the program starts");
     let text = String::from_utf8(done.stderr).expect("text");
     let last = text.lines().last().unwrap_or_default();
     assert_eq!(done.status.code(), Some(1), "{text}");
-    assert!(last.starts_with("streamusher:") && last.contains(why), "{last}");
+    assert!(
+        last.starts_with("streamusher:") && last.contains(why),
+        "{last}"
+    );
 }
 
 /// A fault of the random schedule.
@@ -426,11 +548,26 @@
         2 => Fault::Pause(i, rng.random_range(100..2_500)),
         3 => Fault::Part(i, j),
         4 => Fault::OneWay(i, j),
-        5 => Fault::Rough(i, Link { slow: true, ..Link::default() }),
+        5 => Fault::Rough(
+            i,
+            Link {
+                slow: true,
+                ..Link::default()
+            },
+        ),
         _ => {
             let (lost, twice) = (rng.random_range(0..400), rng.random_range(0..400));
             let (late, jitter) = (ms(rng.random_range(0..300)), ms(rng.random_range(0..300)));
-            Fault::Rough(i, Link { lost, twice, late, jitter, ..Link::default() })
+            Fault::Rough(
+                i,
+                Link {
+                    lost,
+                    twice,
+                    late,
+                    jitter,
+                    ..Link::default()
+                },
+            )
         }
     }
 }
@@ -439,7 +576,10 @@
 /// tally, in which each receipt is counted and each difference named.
 #[test]
 fn random_faults_keep_budget_and_tally() {
-    let (seed, rounds) = (number("STREAMUSHER_SEED", 7), number("STREAMUSHER_ROUNDS", 6));
+    let (seed, rounds) = (
+        number("STREAMUSHER_SEED", 7),
+        number("STREAMUSHER_ROUNDS", 6),
+    );
     let (members, limit) = (5, 30);
     let mut rng = Pcg64::seed_from_u64(seed);
     let schedule: Vec<Fault> = (0..rounds).map(|_| draw(&mut rng, members)).collect();
@@ -478,7 +618,14 @@
                 fleet.signal(i, "CONT");
             }
             Fault::Part(i, j) => fleet.part(&[i, j]),
-            Fault::OneWay(i, j) => fleet.link(i, j, Link { cut: true, ..Link::default() }),
+            Fault::OneWay(i, j) => fleet.link(
+                i,
+                j,
+                Link {
+                    cut: true,
+                    ..Link::default()
+                },
+            ),
             Fault::Rough(i, link) => (0..members).for_each(|j| {
                 fleet.link(i, j, link);
                 fleet.link(j, i, link);
@@ -489,12 +636,16 @@
         // Copies = 1 bear one kill at a time: the next comes when what there is has spread.
         fleet.joined();
         let most = fleet.running.most.load(Ordering::SeqCst);
-        assert!(most <= limit, "seed {seed}, round {round}, {fault:?}: {most} jobs at once");
+        assert!(
+            most <= limit,
+            "seed {seed}, round {round}, {fault:?}: {most} jobs at once"
+        );
     }
     let got = clients.end();
     let tally = fleet.one_tally();
     let of = |unit| sum(&tally, unit, None);
-    let (counted, doubtful, unsure) = (of("served") - of("unwritten"), of("doubtful"), of("unsure"));
+    let (counted, doubtful, unsure) =
+        (of("served") - of("unwritten"), of("doubtful"), of("unsure"));
     println!(
         "seed {seed}, {rounds} rounds: {} receipts, {counted} counted, {doubtful} in doubt, {unsure} unsure, {} refused, {} failed",
         got.all(),
@@ -502,6 +653,14 @@
         got.failed
     );
     // An answer that went out unsure may be lost with its process; no other may.
-    assert!(got.all() <= counted + unsure, "seed {seed}: {} receipts, {tally}", got.all());
-    assert!(got.all() + doubtful >= counted, "seed {seed}: {} receipts, {tally}", got.all());
+    assert!(
+        got.all() <= counted + unsure,
+        "seed {seed}: {} receipts, {tally}",
+        got.all()
+    );
+    assert!(
+        got.all() + doubtful >= counted,
+        "seed {seed}: {} receipts, {tally}",
+        got.all()
+    );
 }
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -9,7 +9,8 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-const TENANTS: &str = "[tenants]\nlist = ['hydrology', 'a, \"b\"']\nrenamed = { water = 'hydrology' }\n";
+const TENANTS: &str =
+    "[tenants]\nlist = ['hydrology', 'a, \"b\"']\nrenamed = { water = 'hydrology' }\n";
 
 /// For how long answers wait for the disk, where a test is not about that: longer than a busy machine's disk takes for a
 /// sync, and shorter than clients wait.
@@ -41,10 +42,18 @@
     let (code, text) = ledger(dir, &["show", "--json"]);
     assert_eq!(code, 0, "{text}");
     let shown: Value = serde_json::from_str(&text).unwrap();
-    let lines = shown.as_array().unwrap().iter().flat_map(|p| p["lines"].as_array().unwrap());
+    let lines = shown
+        .as_array()
+        .unwrap()
+        .iter()
+        .flat_map(|p| p["lines"].as_array().unwrap());
     let line = |l: &Value| {
         let text = |k: &str| l[k].as_str().unwrap().to_string();
-        (text("tenant"), text("class"), l["sums"][pick].as_u64().unwrap())
+        (
+            text("tenant"),
+            text("class"),
+            l["sums"][pick].as_u64().unwrap(),
+        )
     };
     lines.map(line).filter(|(.., n)| *n > 0).collect()
 }
@@ -61,14 +70,27 @@
     let dir = files.0.join("ledger");
     let program = start(&[&worker], &operators(&dir, ""));
     for (id, tenant) in [("a1", "hydrology"), ("a2", "water"), ("a3", "a, \"b\"")] {
-        assert_eq!(ask(program.addr, &asked("depth-log", id, tenant)).status(), 200);
+        assert_eq!(
+            ask(program.addr, &asked("depth-log", id, tenant)).status(),
+            200
+        );
     }
     let doubts = ledger(&dir, &["doubts", "--json"]);
-    assert_eq!(doubts, (0, "[]\n".into()), "what a running dispatcher has in hand is in no doubt");
+    assert_eq!(
+        doubts,
+        (0, "[]\n".into()),
+        "what a running dispatcher has in hand is in no doubt"
+    );
     stop(program);
     let of = |t: &str, n| (t.to_string(), "depth-log".to_string(), n);
-    assert_eq!(sums(&dir, "served"), [of("a, \"b\"", 1), of("hydrology", 2)]);
-    assert!(sums(&dir, "slot_us").iter().all(|(.., us)| *us > 0), "running time is billed");
+    assert_eq!(
+        sums(&dir, "served"),
+        [of("a, \"b\"", 1), of("hydrology", 2)]
+    );
+    assert!(
+        sums(&dir, "slot_us").iter().all(|(.., us)| *us > 0),
+        "running time is billed"
+    );
     assert_eq!(ledger(&dir, &["doubts", "--json"]).1, "[]\n");
     assert_eq!(ledger(&dir, &["verify"]).0, 0);
 }
@@ -85,7 +107,8 @@
 fn what_names_no_tenant_is_refused_and_does_not_run(#[case] header: &str, #[case] status: u16) {
     let (worker, files) = (Worker::start("s-1", SERVES), Files::new());
     let program = start(&[&worker], &operators(&files.0.join("ledger"), ""));
-    let text = operation("depth-log", "a1", 4000).replace("Host: x\r\n", &format!("Host: x\r\n{header}"));
+    let text =
+        operation("depth-log", "a1", 4000).replace("Host: x\r\n", &format!("Host: x\r\n{header}"));
     assert_eq!(ask(program.addr, &text).status(), status);
     assert!(worker.sent.try_recv().is_err());
     assert_eq!(program.counters()["operations"], 0);
@@ -95,11 +118,23 @@
 fn work_of_others_is_booked_under_the_default_where_the_file_says_so() {
     let (worker, files) = (Worker::start("s-1", SERVES), Files::new());
     let dir = files.0.join("ledger");
-    let program = start(&[&worker], &operators(&dir, "unlisted = 'book'\ndefault = 'rest'"));
-    assert_eq!(ask(program.addr, &asked("layer-view", "a1", "render")).status(), 200);
-    assert_eq!(ask(program.addr, &operation("layer-view", "a2", 4000)).status(), 200);
+    let program = start(
+        &[&worker],
+        &operators(&dir, "unlisted = 'book'\ndefault = 'rest'"),
+    );
+    assert_eq!(
+        ask(program.addr, &asked("layer-view", "a1", "render")).status(),
+        200
+    );
+    assert_eq!(
+        ask(program.addr, &operation("layer-view", "a2", 4000)).status(),
+        200
+    );
     stop(program);
-    assert_eq!(sums(&dir, "served"), [("rest".to_string(), "layer-view".to_string(), 2)]);
+    assert_eq!(
+        sums(&dir, "served"),
+        [("rest".to_string(), "layer-view".to_string(), 2)]
+    );
 }
 
 #[rstest]
@@ -110,10 +145,16 @@
 fn drmaa_names_a_tenant_by_its_accounting_id(#[case] tenant: &str, #[case] error: Value) {
     let (worker, files) = (Worker::start("s-1", SERVES), Files::new());
     let dir = files.0.join("ledger");
-    let program = start(&[&worker], &(operators(&dir, "") + "[drmaa]\nlisten = '127.0.0.1:0'\n"));
+    let program = start(
+        &[&worker],
+        &(operators(&dir, "") + "[drmaa]\nlisten = '127.0.0.1:0'\n"),
+    );
     let mut session = BufReader::new(connect(program.drmaa.unwrap()));
     let mut call = |call: Value| {
-        session.get_mut().write_all(format!("{call}\n").as_bytes()).unwrap();
+        session
+            .get_mut()
+            .write_all(format!("{call}\n").as_bytes())
+            .unwrap();
         loop {
             let mut line = String::new();
             session.read_line(&mut line).unwrap();
@@ -123,15 +164,19 @@
             }
         }
     };
-    let template =
-        json!({"remoteCommand": "/depth-log/bh-7", "streamusher_input": "core", "accountingId": tenant});
+    let template = json!({"remoteCommand": "/depth-log/bh-7", "streamusher_input": "core", "accountingId": tenant});
     let said = call(json!({"seq": 1, "call": "runJob", "jobTemplate": template}));
     assert_eq!(said["error"], error);
     if error.is_null() {
-        let ended = call(json!({"seq": 2, "call": "waitTerminated", "jobId": said["jobId"], "timeout": 10}));
+        let ended = call(
+            json!({"seq": 2, "call": "waitTerminated", "jobId": said["jobId"], "timeout": 10}),
+        );
         assert_eq!(ended["jobInfo"]["jobState"], "DONE");
         stop(program);
-        assert_eq!(sums(&dir, "served"), [(tenant.to_string(), "depth-log".to_string(), 1)]);
+        assert_eq!(
+            sums(&dir, "served"),
+            [(tenant.to_string(), "depth-log".to_string(), 1)]
+        );
     } else {
         assert!(worker.sent.try_recv().is_err());
     }
@@ -143,12 +188,17 @@
     let dir = files.0.join("ledger");
     let program = start(&[&worker], &operators(&dir, ""));
     let mut client = connect(program.addr);
-    client.write_all(asked("depth-log", "a1", "hydrology").as_bytes()).unwrap();
+    client
+        .write_all(asked("depth-log", "a1", "hydrology").as_bytes())
+        .unwrap();
     assert!(matches!(worker.next(), Sent::Job { .. }));
     drop(client);
     assert_eq!(worker.next(), Sent::Cancel("a1".into()));
     stop(program);
-    assert_eq!(sums(&dir, "gone"), [("hydrology".to_string(), "depth-log".to_string(), 1)]);
+    assert_eq!(
+        sums(&dir, "gone"),
+        [("hydrology".to_string(), "depth-log".to_string(), 1)]
+    );
     assert_eq!(sums(&dir, "served"), []);
 }
 
@@ -156,19 +206,34 @@
 #[case::refuse("refuse", 503)]
 #[case::serve("serve_unbilled", 200)]
 fn a_store_that_cannot_be_opened_is_told_and_the_file_says_what_then(
-    #[case] rule: &str, #[case] status: u16,
+    #[case] rule: &str,
+    #[case] status: u16,
 ) {
     let (worker, files) = (Worker::start("s-1", SERVES), Files::new());
     let dir = files.0.join("ledger");
     std::fs::create_dir(&dir).unwrap();
     files.add("ledger/ledger.db", &"not a database ".repeat(100));
-    let program = start(&[&worker], &(operators(&dir, "") + &format!("on_failure = '{rule}'\n")));
+    let program = start(
+        &[&worker],
+        &(operators(&dir, "") + &format!("on_failure = '{rule}'\n")),
+    );
     let told = program.logged("the ledger cannot be written");
-    assert!(told.contains("ledger.db: damaged: not a database"), "{told}");
+    assert!(
+        told.contains("ledger.db: damaged: not a database"),
+        "{told}"
+    );
     let answer = ask(program.addr, &asked("depth-log", "a1", "hydrology"));
     assert_eq!(answer.status(), status);
-    assert_eq!(answer.get("retry-after").is_some(), status == 503, "a busy reply says when to come back");
-    assert_eq!(worker.sent.try_recv().is_ok(), status == 200, "what is refused does not run");
+    assert_eq!(
+        answer.get("retry-after").is_some(),
+        status == 503,
+        "a busy reply says when to come back"
+    );
+    assert_eq!(
+        worker.sent.try_recv().is_ok(),
+        status == 200,
+        "what is refused does not run"
+    );
 }
 
 #[test]
@@ -180,18 +245,39 @@
     let lock = rusqlite::Connection::open(dir.join("ledger.db")).unwrap();
     lock.execute_batch("BEGIN IMMEDIATE").unwrap();
     let begun = Instant::now();
-    assert_eq!(ask(program.addr, &asked("depth-log", "a1", "hydrology")).status(), 200);
-    assert!(begun.elapsed() >= Duration::from_millis(SHORT_HOLD_MS), "it was held for the disk");
+    assert_eq!(
+        ask(program.addr, &asked("depth-log", "a1", "hydrology")).status(),
+        200
+    );
+    assert!(
+        begun.elapsed() >= Duration::from_millis(SHORT_HOLD_MS),
+        "it was held for the disk"
+    );
     program.logged("before it was known to be booked");
     let refused = ask(program.addr, &asked("depth-log", "a2", "hydrology"));
-    assert_eq!((refused.status(), refused.get("retry-after")), (503, Some("1")));
+    assert_eq!(
+        (refused.status(), refused.get("retry-after")),
+        (503, Some("1"))
+    );
     lock.execute_batch("COMMIT").unwrap();
     program.logged("the ledger is written again");
-    assert_eq!(ask(program.addr, &asked("depth-log", "a3", "hydrology")).status(), 200);
+    assert_eq!(
+        ask(program.addr, &asked("depth-log", "a3", "hydrology")).status(),
+        200
+    );
     let counters = program.counters();
-    assert_eq!((&counters["answers_before_booked"], &counters["refused_unbilled"]), (&1.into(), &1.into()));
+    assert_eq!(
+        (
+            &counters["answers_before_booked"],
+            &counters["refused_unbilled"]
+        ),
+        (&1.into(), &1.into())
+    );
     stop(program);
-    assert_eq!(sums(&dir, "served"), [("hydrology".to_string(), "depth-log".to_string(), 2)]);
+    assert_eq!(
+        sums(&dir, "served"),
+        [("hydrology".to_string(), "depth-log".to_string(), 2)]
+    );
 }
 
 #[test]
@@ -204,16 +290,34 @@
     let program = start(&[&worker], &(operators(&dir, "") + "max_mb = 1\n"));
     program.logged("the ledger is open");
     // What is left of the last pages takes some more; the one that finds the disk full is answered all the same.
-    let mut answers =
-        (0..2_000).map(|n| ask(program.addr, &asked("depth-log", &format!("a{n}"), "hydrology")).status());
+    let mut answers = (0..2_000).map(|n| {
+        ask(
+            program.addr,
+            &asked("depth-log", &format!("a{n}"), "hydrology"),
+        )
+        .status()
+    });
     let served = answers.by_ref().take_while(|status| *status == 200).count() as u64;
     assert!((1..2_000).contains(&served), "{served}");
-    assert!(program.logged("the ledger cannot be written").contains("the disk is full"));
+    assert!(program
+        .logged("the ledger cannot be written")
+        .contains("the disk is full"));
     let counters = program.counters();
-    assert_eq!((&counters["served"], &counters["refused_unbilled"]), (&served.into(), &1.into()));
+    assert_eq!(
+        (&counters["served"], &counters["refused_unbilled"]),
+        (&served.into(), &1.into())
+    );
     stop(program);
-    let booked: u64 = sums(&dir, "served").iter().filter(|l| l.0 == "hydrology").map(|l| l.2).sum();
-    assert_eq!(booked, served - 1, "to the unit, but for the one that could not be written");
+    let booked: u64 = sums(&dir, "served")
+        .iter()
+        .filter(|l| l.0 == "hydrology")
+        .map(|l| l.2)
+        .sum();
+    assert_eq!(
+        booked,
+        served - 1,
+        "to the unit, but for the one that could not be written"
+    );
     assert_eq!(ledger(&dir, &["verify"]).0, 0);
 }
 
@@ -221,8 +325,17 @@
 fn fill(dir: &Path, bytes: u64) {
     use streamusher_ledger::{entry, period::Span, store};
     let (instance, key) = ("n1".to_string(), [7; 32]);
-    let options = store::Options { dir: dir.into(), instance, span: Span::Hour, key, most_bytes: None };
-    let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_micros() as u64;
+    let options = store::Options {
+        dir: dir.into(),
+        instance,
+        span: Span::Hour,
+        key,
+        most_bytes: None,
+    };
+    let now = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .unwrap()
+        .as_micros() as u64;
     let mut store = store::Store::open(&options, now).unwrap();
     let entry = |seq| entry::Entry {
         seq,
@@ -251,17 +364,30 @@
 
 #[test]
 fn a_second_dispatcher_on_one_store_waits_until_the_first_is_gone() {
-    let (worker, other, files) = (Worker::start("s-1", SERVES), Worker::start("s-1", SERVES), Files::new());
+    let (worker, other, files) = (
+        Worker::start("s-1", SERVES),
+        Worker::start("s-1", SERVES),
+        Files::new(),
+    );
     let dir = files.0.join("ledger");
     let first = start(&[&worker], &operators(&dir, ""));
     first.logged("the ledger is open");
     let second = start(&[&other], &operators(&dir, ""));
     second.logged("another process writes to this ledger");
-    assert_eq!(ask(second.addr, &asked("depth-log", "a1", "hydrology")).status(), 503);
-    assert_eq!(ask(first.addr, &asked("depth-log", "a2", "hydrology")).status(), 200);
+    assert_eq!(
+        ask(second.addr, &asked("depth-log", "a1", "hydrology")).status(),
+        503
+    );
+    assert_eq!(
+        ask(first.addr, &asked("depth-log", "a2", "hydrology")).status(),
+        200
+    );
     drop(first); // killed
     second.logged("the ledger is open");
-    assert_eq!(ask(second.addr, &asked("depth-log", "a3", "hydrology")).status(), 200);
+    assert_eq!(
+        ask(second.addr, &asked("depth-log", "a3", "hydrology")).status(),
+        200
+    );
 }
 
 #[test]
@@ -271,38 +397,76 @@
     let program = start(&[&worker], &operators(&dir, ""));
     program.logged("the ledger is open");
     // The entry is durable before the answer comes; its mark may or may not be when the kill comes.
-    assert_eq!(ask(program.addr, &asked("depth-log", "a1", "hydrology")).status(), 200);
+    assert_eq!(
+        ask(program.addr, &asked("depth-log", "a1", "hydrology")).status(),
+        200
+    );
     drop(program);
     let doubts: Value = serde_json::from_str(&ledger(&dir, &["doubts", "--json"]).1).unwrap();
     let receipts = files.add("receipts.csv", "operation,tenant\na1,hydrology\n");
     let file = receipts.to_str().unwrap();
-    let (code, text) = ledger(&dir, &["doubts", "--receipts", file, "--author", "A. Weir", "--json"]);
+    let (code, text) = ledger(
+        &dir,
+        &[
+            "doubts",
+            "--receipts",
+            file,
+            "--author",
+            "A. Weir",
+            "--json",
+        ],
+    );
     let settled: Value = serde_json::from_str(&text).unwrap();
-    assert_eq!((code, settled["billed"].as_u64()), (0, Some(doubts.as_array().unwrap().len() as u64)));
+    assert_eq!(
+        (code, settled["billed"].as_u64()),
+        (0, Some(doubts.as_array().unwrap().len() as u64))
+    );
     let billed = sums(&dir, "served").len() as u64 + settled["billed"].as_u64().unwrap();
-    assert_eq!(billed, 1, "billed once, whether the kill came before its mark or after");
+    assert_eq!(
+        billed, 1,
+        "billed once, whether the kill came before its mark or after"
+    );
 }
 
 #[rstest]
 #[case::unknown_table("[ledgers]\n", "unknown field `ledgers`")]
 #[case::unknown_key("[ledger]\ndir = 'x'\nfolder = 'y'\n", "unknown field `folder`")]
 #[case::period("[ledger]\ndir = 'x'\nperiod = 'week'\n", "unknown variant `week`")]
-#[case::lateness("[ledger]\ndir = 'x'\nlateness_s = 1\n", "ledger.lateness_s: must lie between")]
-#[case::instance("[ledger]\ndir = 'x'\ninstance = '../n1'\n", "ledger.instance: letters")]
-#[case::header("[tenants]\nheader = 'Content-Length'\n", "tenants.header: not the name of a free header")]
+#[case::lateness(
+    "[ledger]\ndir = 'x'\nlateness_s = 1\n",
+    "ledger.lateness_s: must lie between"
+)]
+#[case::instance(
+    "[ledger]\ndir = 'x'\ninstance = '../n1'\n",
+    "ledger.instance: letters"
+)]
+#[case::header(
+    "[tenants]\nheader = 'Content-Length'\n",
+    "tenants.header: not the name of a free header"
+)]
 #[case::name(
     "[tenants]\nlist = ['a\\n']\nrenamed = { x = 'y' }\n",
     "tenants.list: \"x\": its present name \"y\""
 )]
 #[case::twice("[tenants]\nlist = ['a', 'a']\n", "tenants.list: \"a\": given twice")]
-fn a_mistake_in_the_operators_file_is_one_line_with_file_and_key(#[case] text: &str, #[case] why: &str) {
+fn a_mistake_in_the_operators_file_is_one_line_with_file_and_key(
+    #[case] text: &str,
+    #[case] why: &str,
+) {
     let files = Files::new();
     let mut config = config(&[]);
     config["operators"] = text.into();
     let done = command(&files, &config, None).output().unwrap();
     let told = String::from_utf8(done.stderr).unwrap();
-    assert_eq!((done.status.code(), told.lines().count()), (Some(1), 1), "{told}");
-    assert!(told.contains("streamusher.toml: ") && told.contains(why), "{told}");
+    assert_eq!(
+        (done.status.code(), told.lines().count()),
+        (Some(1), 1),
+        "{told}"
+    );
+    assert!(
+        told.contains("streamusher.toml: ") && told.contains(why),
+        "{told}"
+    );
 }
 
 #[rstest]
@@ -310,7 +474,11 @@
 #[case::bad_period(&["show", "--period", "2026-13"], 2, "not a period")]
 #[case::no_author(&["correct", "--of", "2026-12", "--tenant", "x", "--class", "y", "--author", "", "--reason", "z"], 1, "author: must not be empty")]
 #[case::unknown(&["burn"], 2, "unrecognized subcommand")]
-fn a_command_that_cannot_be_done_says_why(#[case] words: &[&str], #[case] code: i32, #[case] why: &str) {
+fn a_command_that_cannot_be_done_says_why(
+    #[case] words: &[&str],
+    #[case] code: i32,
+    #[case] why: &str,
+) {
     let files = Files::new();
     files.add("ledger.key", &"07".repeat(32));
     let (exit, text) = ledger(&files.0, words);
--- a/tests/ledger_restarts.rs
+++ b/tests/ledger_restarts.rs
@@ -33,12 +33,16 @@
 }
 
 fn number(name: &str, default: u64) -> u64 {
-    std::env::var(name).map_or(default, |v| v.parse().unwrap_or_else(|_| panic!("{name}: not a number: {v}")))
+    std::env::var(name).map_or(default, |v| {
+        v.parse()
+            .unwrap_or_else(|_| panic!("{name}: not a number: {v}"))
+    })
 }
 
 /// An address of its own for each instance: it is the same after a restart.
 fn free(instance: usize) -> SocketAddr {
-    let listener = TcpListener::bind(format!("127.0.77.{}:0", instance + 1)).expect("a loopback address");
+    let listener =
+        TcpListener::bind(format!("127.0.77.{}:0", instance + 1)).expect("a loopback address");
     listener.local_addr().unwrap()
 }
 
@@ -46,7 +50,10 @@
     let files = Files::new();
     files.add(
         "workers.csv",
-        &format!("name,address,port,zone,kind\nshed-a,127.0.0.1,{},pump-house,standard\n", shed.port()),
+        &format!(
+            "name,address,port,zone,kind\nshed-a,127.0.0.1,{},pump-house,standard\n",
+            shed.port()
+        ),
     );
     let mut config = config(&[]);
     config["name"] = format!("n{instance}").into();
@@ -72,25 +79,42 @@
         }
         let id = format!("{:016x}", shared.next.fetch_add(1, Ordering::Relaxed));
         let (tenant, class, key) = again.take().unwrap_or_else(|| {
-            let tenant = if rng.random_bool(0.9) { 0 } else { rng.random_range(1..50) };
-            (format!("t{tenant}"), CLASSES[rng.random_range(0..3)].to_string(), id.clone())
+            let tenant = if rng.random_bool(0.9) {
+                0
+            } else {
+                rng.random_range(1..50)
+            };
+            (
+                format!("t{tenant}"),
+                CLASSES[rng.random_range(0..3)].to_string(),
+                id.clone(),
+            )
         });
         let text = format!(
             "POST /{class}/bh-7 HTTP/1.1\r\nHost: x\r\nX-Tenant: {tenant}\r\nX-Correlation-Id: {id}\r\n\
              X-Time-Left-Ms: 4000\r\nIdempotency-Key: {key}\r\nContent-Length: 4\r\n\r\ncore"
         );
-        let connected = stream.take().or_else(|| TcpStream::connect(shared.addrs[at]).ok());
+        let connected = stream
+            .take()
+            .or_else(|| TcpStream::connect(shared.addrs[at]).ok());
         let answer = connected.and_then(|mut s| {
             s.set_read_timeout(Some(LONG)).unwrap();
             let answer = exchange(&mut s, &text)?;
-            if !answer.get("connection").is_some_and(|c| c.eq_ignore_ascii_case("close")) {
+            if !answer
+                .get("connection")
+                .is_some_and(|c| c.eq_ignore_ascii_case("close"))
+            {
                 stream = Some(s);
             }
             Some(answer)
         });
         match answer {
             Some(a) if a.status() == 200 => {
-                assert_eq!(a.body, format!("log of {id}"), "a result is the worker's own, whole");
+                assert_eq!(
+                    a.body,
+                    format!("log of {id}"),
+                    "a result is the worker's own, whole"
+                );
                 shared.receipts.lock().unwrap().push((id, tenant, class));
             }
             // Busy or failed: nothing was got, and nothing may be billed. Another may serve.
@@ -109,7 +133,11 @@
 }
 
 fn json(dir: &Path, words: &[&str], key: &str) -> Value {
-    let words: Vec<&str> = words.iter().copied().chain(["--json", "--key-file", key]).collect();
+    let words: Vec<&str> = words
+        .iter()
+        .copied()
+        .chain(["--json", "--key-file", key])
+        .collect();
     let (code, text) = ledger(dir, &words);
     assert!(code == 0 || code == 3, "{words:?}: {text}");
     serde_json::from_str(&text).unwrap_or_else(|e| panic!("{words:?}: {e}: {text}"))
@@ -117,7 +145,10 @@
 
 #[test]
 fn exports_and_receipts_agree_to_the_unit_after_random_restarts() {
-    let (seed, rounds) = (number("STREAMUSHER_SEED", 7), number("STREAMUSHER_ROUNDS", 20));
+    let (seed, rounds) = (
+        number("STREAMUSHER_SEED", 7),
+        number("STREAMUSHER_ROUNDS", 20),
+    );
     let mut rng = Pcg64::seed_from_u64(seed);
     let (shed, root) = (Shed::start("serves"), Files::new());
     let shed_addr = shed.addr;
@@ -130,12 +161,16 @@
         receipts: Mutex::default(),
         retried_elsewhere: AtomicU64::new(0),
     });
-    let mut programs: Vec<Program> =
-        (0..INSTANCES).map(|i| start(i, shared.addrs[i], &root.0, shed_addr)).collect();
+    let mut programs: Vec<Program> = (0..INSTANCES)
+        .map(|i| start(i, shared.addrs[i], &root.0, shed_addr))
+        .collect();
     let drained = std::thread::spawn(move || while shed.sent.recv().is_ok() {});
     let clients: Vec<_> = (0..INSTANCES * CLIENTS)
         .map(|n| {
-            let (shared, rng) = (shared.clone(), Pcg64::seed_from_u64(seed ^ (n as u64 + 1) << 32));
+            let (shared, rng) = (
+                shared.clone(),
+                Pcg64::seed_from_u64(seed ^ (n as u64 + 1) << 32),
+            );
             std::thread::spawn(move || client(&shared, rng, n % INSTANCES))
         })
         .collect();
@@ -157,37 +192,68 @@
     drop(drained);
 
     let receipts = shared.receipts.lock().unwrap();
-    let rows: String =
-        receipts.iter().map(|(id, tenant, class)| format!("{id},{tenant},{class}\n")).collect();
+    let rows: String = receipts
+        .iter()
+        .map(|(id, tenant, class)| format!("{id},{tenant},{class}\n"))
+        .collect();
     let file = root.add("receipts.csv", &format!("operation,tenant,class\n{rows}"));
     let out = root.0.join("exports");
     let mut settled = (0, 0);
     for n in 0..INSTANCES {
         let dir = root.0.join(format!("n{n}"));
-        let done = json(&dir, &["doubts", "--receipts", file.to_str().unwrap(), "--author", "test"], key);
+        let done = json(
+            &dir,
+            &[
+                "doubts",
+                "--receipts",
+                file.to_str().unwrap(),
+                "--author",
+                "test",
+            ],
+            key,
+        );
         settled.0 += done["billed"].as_u64().unwrap();
         settled.1 += done["waived"].as_u64().unwrap();
         // A close and an export that are killed wherever they are, then run again.
         let killed = |words: &[&str], after: u64| {
             let mut cut = Command::new(env!("CARGO_BIN_EXE_streamusher"));
-            cut.arg("ledger").args(words).args(["--key-file", key, "--dir"]).arg(&dir);
+            cut.arg("ledger")
+                .args(words)
+                .args(["--key-file", key, "--dir"])
+                .arg(&dir);
             let mut cut = cut.stdout(std::process::Stdio::null()).spawn().unwrap();
             std::thread::sleep(Duration::from_millis(after));
             let _ = cut.kill();
             let _ = cut.wait();
         };
-        killed(&["close", "--through", "2999-12-31T23"], rng.random_range(0..10));
+        killed(
+            &["close", "--through", "2999-12-31T23"],
+            rng.random_range(0..10),
+        );
         json(&dir, &["close", "--through", "2999-12-31T23"], key);
         json(&dir, &["verify"], key);
-        killed(&["export", "--to", out.to_str().unwrap()], rng.random_range(0..20));
+        killed(
+            &["export", "--to", out.to_str().unwrap()],
+            rng.random_range(0..20),
+        );
         let first = json(&dir, &["export", "--to", out.to_str().unwrap()], key);
-        assert_eq!(json(&dir, &["export", "--to", out.to_str().unwrap()], key), first, "the same again");
+        assert_eq!(
+            json(&dir, &["export", "--to", out.to_str().unwrap()], key),
+            first,
+            "the same again"
+        );
     }
     // The corrections that settle doubts stand in an open period, or in the closed ones of this export.
     let all = json(&root.0, &["reconcile", out.to_str().unwrap()], key);
     let findings = all["report"]["findings"].as_array().unwrap();
-    let kinds: BTreeSet<&str> = findings.iter().map(|f| f["what"].as_str().unwrap()).collect();
-    assert!(kinds.is_subset(&BTreeSet::from(["repeated"])), "{findings:?}");
+    let kinds: BTreeSet<&str> = findings
+        .iter()
+        .map(|f| f["what"].as_str().unwrap())
+        .collect();
+    assert!(
+        kinds.is_subset(&BTreeSet::from(["repeated"])),
+        "{findings:?}"
+    );
     let mut billed: BTreeMap<(String, String), i64> = BTreeMap::new();
     for line in all["bill"].as_array().unwrap() {
         let text = |k: &str| line[k].as_str().unwrap().to_string();
@@ -197,7 +263,9 @@
     }
     billed.retain(|_, n| *n != 0);
     let mut got: BTreeMap<(String, String), i64> = BTreeMap::new();
-    receipts.iter().for_each(|(_, t, c)| *got.entry((t.clone(), c.clone())).or_default() += 1);
+    receipts
+        .iter()
+        .for_each(|(_, t, c)| *got.entry((t.clone(), c.clone())).or_default() += 1);
     println!(
         "seed {seed}, {rounds} restarts: {} receipts, {} entries, {} retried elsewhere, doubts {} billed, {} waived, {} keys \
          answered twice",
@@ -208,8 +276,14 @@
         settled.1,
         findings.len() as u64 + all["report"]["more_repeats"].as_u64().unwrap(),
     );
-    let total =
-        |k: &str| all["bill"].as_array().unwrap().iter().filter_map(|l| l["sums"][k].as_u64()).sum::<u64>();
+    let total = |k: &str| {
+        all["bill"]
+            .as_array()
+            .unwrap()
+            .iter()
+            .filter_map(|l| l["sums"][k].as_u64())
+            .sum::<u64>()
+    };
     println!(
         "served {}, busy {}, failed {}, gone {}",
         total("served"),
--- a/tests/list_clock.rs
+++ b/tests/list_clock.rs
@@ -21,9 +21,17 @@
 #[case::silent_agent(Source::Pushed, Event::Silent(9 * S), 10 * S, 15 * S)]
 #[case::moved(Source::Asked, Event::Moved(9 * S), 10 * S, 13 * S)]
 #[case::moved_agent(Source::Pushed, Event::Moved(9 * S), 10 * S, 13 * S)]
-#[case::the_end_of_time(Source::Asked, Event::Unasked(Micros::MAX, 4), Micros::MAX, Micros::MAX)]
+#[case::the_end_of_time(
+    Source::Asked,
+    Event::Unasked(Micros::MAX, 4),
+    Micros::MAX,
+    Micros::MAX
+)]
 fn a_change_counts_as_told(
-    #[case] source: Source, #[case] event: Event, #[case] within: Micros, #[case] want: Micros,
+    #[case] source: Source,
+    #[case] event: Event,
+    #[case] within: Micros,
+    #[case] want: Micros,
 ) {
     assert_eq!(told_at(source, event, within), want);
 }
@@ -37,7 +45,10 @@
 #[case(Source::Asked, 0, 1, 100_000)]
 #[case(Source::Pushed, 300, 20 * S, 100_000)]
 fn the_longest_pause_follows_the_fleet_and_leaves_time_for_a_call(
-    #[case] source: Source, #[case] fleet: u32, #[case] within: Micros, #[case] want: Micros,
+    #[case] source: Source,
+    #[case] fleet: u32,
+    #[case] within: Micros,
+    #[case] want: Micros,
 ) {
     let mut clock = ListClock::new(source, fleet, within, 1, 0);
     assert_eq!(clock.ceiling_us(), want);
@@ -62,7 +73,10 @@
     };
     let pauses: Vec<Micros> = (0..12).map(|_| fail(&mut clock, &mut now)).collect();
     assert!(pauses[0] <= clock.ceiling_us() / 4, "{pauses:?}");
-    assert!(pauses[6..].iter().any(|p| *p > clock.ceiling_us() / 2), "spread over all of it: {pauses:?}");
+    assert!(
+        pauses[6..].iter().any(|p| *p > clock.ceiling_us() / 2),
+        "spread over all of it: {pauses:?}"
+    );
     clock.call(now);
     clock.connected(now);
     clock.opened(now);
@@ -94,7 +108,10 @@
             clock.ended(now + S); // discovery's own time-out
         }
     }
-    assert!(first.iter().max().unwrap() - first.iter().min().unwrap() > S, "the first calls are spread");
+    assert!(
+        first.iter().max().unwrap() - first.iter().min().unwrap() > S,
+        "the first calls are spread"
+    );
     let most = calls[20..50].iter().max().unwrap();
     assert!(*most < 75, "calls a second: {calls:?}");
 }
@@ -129,8 +146,10 @@
 #[case(Trouble::Mute)]
 #[case(Trouble::Reset)]
 fn the_list_is_heard_in_time(
-    #[case] trouble: Trouble, #[values(Source::Asked, Source::Pushed)] source: Source,
-    #[values(1, 30, 300)] fleet: u32, #[values(2 * S, 10 * S)] within: Micros,
+    #[case] trouble: Trouble,
+    #[values(Source::Asked, Source::Pushed)] source: Source,
+    #[values(1, 30, 300)] fleet: u32,
+    #[values(2 * S, 10 * S)] within: Micros,
 ) {
     for seed in 0..400u64 {
         let mut clock = ListClock::new(source, fleet, within, seed, 0);
@@ -191,13 +210,18 @@
         };
         // Eight tenths of the grace: the strictest that any deployment here names.
         let by = told + GRACE_US / 10 * 8;
-        assert!(heard <= by, "{trouble:?} {source:?} seed {seed}: heard {} us after {by}", heard - by);
+        assert!(
+            heard <= by,
+            "{trouble:?} {source:?} seed {seed}: heard {} us after {by}",
+            heard - by
+        );
     }
 }
 
 #[rstest]
 fn operations_wait_for_the_first_list_and_hurry_its_call(
-    #[values(Source::Asked, Source::Pushed)] source: Source, #[values(true, false)] comes: bool,
+    #[values(Source::Asked, Source::Pushed)] source: Source,
+    #[values(true, false)] comes: bool,
 ) {
     let mut clock = ListClock::new(source, 300, 10 * S, 7, S);
     assert!(clock.awaits_first());
@@ -214,7 +238,10 @@
         assert!(!clock.awaits_first());
     }
     let pause = clock.ended(S + 5);
-    assert!(!clock.awaits_first(), "there is a list, or none is to be had");
+    assert!(
+        !clock.awaits_first(),
+        "there is a list, or none is to be had"
+    );
     clock.hurry(S + 6);
     assert_eq!(clock.due(), S + 5 + pause, "a later call takes its pause");
 }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -16,7 +16,9 @@
 #[test]
 fn jobs_go_where_fewest_own_jobs_are() {
     let mut desk = Desk::new(patient(), 4);
-    let mut seen: Vec<u32> = (1..5).flat_map(|job| sends(&desk.arrive(job, ONCE))).collect();
+    let mut seen: Vec<u32> = (1..5)
+        .flat_map(|job| sends(&desk.arrive(job, ONCE)))
+        .collect();
     seen.sort_unstable();
     assert_eq!(seen, [0, 1, 2, 3]);
 }
@@ -48,7 +50,13 @@
 
 #[test]
 fn without_start_notices_two_own_jobs_count_as_waiting() {
-    let mut desk = Desk::new(Settings { tells_start: false, ..patient() }, 2);
+    let mut desk = Desk::new(
+        Settings {
+            tells_start: false,
+            ..patient()
+        },
+        2,
+    );
     for job in 1..3 {
         assert_eq!(sends(&desk.arrive(job, FREE)).len(), 1);
     }
@@ -66,7 +74,10 @@
     }
     assert_eq!(sends(&desk.arrive(100, FREE)).len(), 3);
     assert_eq!(cancels(&desk.give(started(100, 1))), [0, 2]);
-    assert!(cancels(&desk.give(started(100, 0))).is_empty(), "too late: it is called back already");
+    assert!(
+        cancels(&desk.give(started(100, 0))).is_empty(),
+        "too late: it is called back already"
+    );
 }
 
 #[test]
@@ -74,8 +85,15 @@
     let mut kept = [0; 3];
     let mut desk = Desk::new(patient(), 8);
     for worker in 0..8 {
-        let report = Some(Report { free_slots: Some(0.0), ..Report::default() });
-        desk.give(Event::Probed { worker: WorkerId(worker), ok: true, report });
+        let report = Some(Report {
+            free_slots: Some(0.0),
+            ..Report::default()
+        });
+        desk.give(Event::Probed {
+            worker: WorkerId(worker),
+            ok: true,
+            report,
+        });
     }
     for job in 1..40 {
         desk.arrive(job, ONCE);
@@ -87,7 +105,11 @@
         assert_eq!(gone.len(), 2);
         let keep = (0..3).find(|a| !gone.contains(a)).unwrap();
         kept[keep as usize] += 1;
-        desk.batch(gone.iter().map(|&a| ended(job, a, Code::Unused, false)).collect());
+        desk.batch(
+            gone.iter()
+                .map(|&a| ended(job, a, Code::Unused, false))
+                .collect(),
+        );
         desk.end(job, keep, Code::Delivered);
     }
     assert!(kept.iter().all(|&k| k >= 5), "{kept:?}");
@@ -107,7 +129,10 @@
     let mut desk = Desk::new(patient(), 8);
     desk.arrive(1, FREE);
     desk.wake(SECOND, 3);
-    assert!(sends(&desk.end(1, 0, Code::Shed)).is_empty(), "one copy is still out");
+    assert!(
+        sends(&desk.end(1, 0, Code::Shed)).is_empty(),
+        "one copy is still out"
+    );
     assert_eq!(sends(&desk.end(1, 1, Code::Shed)).len(), 1);
 }
 
@@ -121,19 +146,33 @@
     for job in 100..200 {
         last = sends(&desk.arrive(job, FREE)).len();
         desk.batch((0..last as u32).map(|a| started(job, a)).collect());
-        desk.batch((0..last as u32).map(|a| ended(job, a, Code::Revoked, a + 1 == last as u32)).collect());
+        desk.batch(
+            (0..last as u32)
+                .map(|a| ended(job, a, Code::Revoked, a + 1 == last as u32))
+                .collect(),
+        );
     }
     assert_eq!(last, 1);
 }
 
 fn about(job: u64, class: u32, key: u64) -> Event {
-    let Event::Arrived(request) = arrival(job, class) else { unreachable!() };
-    Event::Arrived(Request { key: Some(key), ..request })
+    let Event::Arrived(request) = arrival(job, class) else {
+        unreachable!()
+    };
+    Event::Arrived(Request {
+        key: Some(key),
+        ..request
+    })
 }
 
 /// Entries as a list would have them: each with a mark of its own.
 fn marked(workers: u32) -> Vec<Entry> {
-    (0..workers).map(|id| Entry { mark: u64::from(id) * 77 + 5, ..entry(id) }).collect()
+    (0..workers)
+        .map(|id| Entry {
+            mark: u64::from(id) * 77 + 5,
+            ..entry(id)
+        })
+        .collect()
 }
 
 #[test]
@@ -144,7 +183,9 @@
         let mut list = marked(30);
         if order == 1 {
             list.reverse(); // another dispatcher met the workers in another order, so its numbers differ
-            list.iter_mut().enumerate().for_each(|(i, e)| e.worker = WorkerId(i as u32));
+            list.iter_mut()
+                .enumerate()
+                .for_each(|(i, e)| e.worker = WorkerId(i as u32));
         }
         desk.list(true, list);
         for job in 1..60 {
@@ -162,7 +203,9 @@
 fn subjects_spread_over_the_workers() {
     let mut desk = Desk::new(patient(), 0);
     desk.list(true, marked(30));
-    let mut met: Vec<u32> = (1..200).flat_map(|job| sends(&desk.give(about(job, ONCE, job)))).collect();
+    let mut met: Vec<u32> = (1..200)
+        .flat_map(|job| sends(&desk.give(about(job, ONCE, job))))
+        .collect();
     met.sort_unstable();
     met.dedup();
     assert!(met.len() >= 28, "{met:?}");
@@ -177,8 +220,17 @@
         seen.extend(sends(&desk.end(1, attempt, Code::Shed)));
     }
     assert_eq!(seen.len(), 4, "the last attempt leaves the three homes");
-    let drained: Vec<Entry> = marked(30).into_iter().filter(|e| seen[..3].contains(&e.worker.0)).collect();
-    let drained = drained.into_iter().map(|e| Entry { stage: Stage::Draining, ..e }).collect();
+    let drained: Vec<Entry> = marked(30)
+        .into_iter()
+        .filter(|e| seen[..3].contains(&e.worker.0))
+        .collect();
+    let drained = drained
+        .into_iter()
+        .map(|e| Entry {
+            stage: Stage::Draining,
+            ..e
+        })
+        .collect();
     desk.list(false, drained);
     let next = sends(&desk.give(about(2, FREE, 9)));
     assert!(next.len() == 1 && !seen[..3].contains(&next[0]));
@@ -187,7 +239,13 @@
 /// A copy away from home would start first, where the data must be fetched, and cancel the better one.
 #[test]
 fn copies_for_a_subject_stay_at_its_homes() {
-    let mut desk = Desk::new(Settings { max_attempts: 6, ..patient() }, 0);
+    let mut desk = Desk::new(
+        Settings {
+            max_attempts: 6,
+            ..patient()
+        },
+        0,
+    );
     desk.list(true, marked(30));
     for job in 1..40 {
         desk.give(about(job, ONCE, 9));
@@ -206,16 +264,34 @@
 
 #[test]
 fn where_reports_come_only_by_probes_a_few_workers_are_asked_first() {
-    let mut desk = Desk::new(Settings { reports_on_probe: true, ..patient() }, 30);
+    let mut desk = Desk::new(
+        Settings {
+            reports_on_probe: true,
+            ..patient()
+        },
+        30,
+    );
     for job in 1..20 {
         let out = desk.arrive(job, ONCE);
         let asked = probes(&out);
-        assert_eq!((asked.len(), sends(&out).len()), (4, 0), "asked, and not sent yet");
+        assert_eq!(
+            (asked.len(), sends(&out).len()),
+            (4, 0),
+            "asked, and not sent yet"
+        );
         let idle = asked[job as usize % 4];
         for &worker in &asked {
             let free_slots = Some(if worker == idle { 8.0 } else { 0.0 });
-            let report = Some(Report { free_slots, waiting: Some(3.0), ..Report::default() });
-            desk.give(Event::Probed { worker: WorkerId(worker), ok: true, report });
+            let report = Some(Report {
+                free_slots,
+                waiting: Some(3.0),
+                ..Report::default()
+            });
+            desk.give(Event::Probed {
+                worker: WorkerId(worker),
+                ok: true,
+                report,
+            });
         }
         let out = desk.wake(10 * MS, 2 * job + 1);
         assert_eq!(sends(&out).len(), 1);
@@ -229,7 +305,13 @@
 
 #[test]
 fn a_job_goes_out_though_no_probe_is_answered() {
-    let mut desk = Desk::new(Settings { reports_on_probe: true, ..patient() }, 3);
+    let mut desk = Desk::new(
+        Settings {
+            reports_on_probe: true,
+            ..patient()
+        },
+        3,
+    );
     desk.arrive(1, ONCE);
     assert_eq!(sends(&desk.wake(10 * MS, 3)).len(), 1);
 }
--- a/tests/middleware.rs
+++ b/tests/middleware.rs
@@ -14,20 +14,31 @@
 use tower::ServiceExt;
 
 fn dispatcher(
-    shed: &Shed, tenants: Option<TenantsConfig>,
+    shed: &Shed,
+    tenants: Option<TenantsConfig>,
 ) -> (Handle, std::thread::JoinHandle<Result<(), String>>) {
     let files = Files::new();
-    let row =
-        format!("name,address,port,zone,kind\nshed-a,127.0.0.1,{},pump-house,standard\n", shed.addr.port());
+    let row = format!(
+        "name,address,port,zone,kind\nshed-a,127.0.0.1,{},pump-house,standard\n",
+        shed.addr.port()
+    );
     let workers = servers::load(&files.add("workers.csv", &row), &Known::default()).unwrap();
     let mut config = Config::parse(config(&[]).to_string().as_bytes(), |_| None).unwrap();
     config.tenants = tenants;
-    config.drmaa = Some(Drmaa { listen: None, max_jobs: 10, keep_s: 1.0, workers });
+    config.drmaa = Some(Drmaa {
+        listen: None,
+        max_jobs: 10,
+        keep_s: 1.0,
+        workers,
+    });
     Handle::start(config, slog::Logger::root(slog::Discard, slog::o!())).unwrap()
 }
 
 fn request(path: &str, id: &str, body: String) -> Request<Body> {
-    Request::post(path).header("X-Correlation-Id", id).body(Body::from(body)).unwrap()
+    Request::post(path)
+        .header("X-Correlation-Id", id)
+        .body(Body::from(body))
+        .unwrap()
 }
 
 #[rstest]
@@ -38,13 +49,22 @@
 #[case::large("/depth-log/bh-7", "a1", 65537, 413, "the body is over 64 KiB\n")]
 #[tokio::test]
 async fn requests_for_a_class_are_dispatched_and_others_go_on(
-    #[case] path: &str, #[case] id: &str, #[case] length: usize, #[case] status: u16, #[case] body: &str,
+    #[case] path: &str,
+    #[case] id: &str,
+    #[case] length: usize,
+    #[case] status: u16,
+    #[case] body: &str,
 ) {
     let shed = Shed::start("serves");
     let (handle, thread) = dispatcher(&shed, None);
     let help = get(|| async { "help" }).post(|| async { "help" });
-    let app = Router::new().route("/help", help).layer(DispatchLayer::new(handle));
-    let answer = app.oneshot(request(path, id, "x".repeat(length))).await.unwrap();
+    let app = Router::new()
+        .route("/help", help)
+        .layer(DispatchLayer::new(handle));
+    let answer = app
+        .oneshot(request(path, id, "x".repeat(length)))
+        .await
+        .unwrap();
     assert_eq!(answer.status(), StatusCode::from_u16(status).unwrap());
     assert_eq!(answer.into_body().collect().await.unwrap().to_bytes(), body);
     // With its last handle gone the dispatcher ends in order.
@@ -61,12 +81,22 @@
 #[case::no_name(Some("a\tb"), None, 400)]
 #[tokio::test]
 async fn a_host_names_the_tenant_and_goes_before_the_header(
-    #[case] header: Option<&str>, #[case] extension: Option<&str>, #[case] status: u16,
+    #[case] header: Option<&str>,
+    #[case] extension: Option<&str>,
+    #[case] status: u16,
 ) {
     let shed = Shed::start("serves");
     let tenants = Tenants::new(&["hydrology".into()], &[], None).unwrap();
-    let (handle, thread) = dispatcher(&shed, Some(TenantsConfig { header: "X-Dept".into(), tenants }));
-    let app = Router::new().route("/help", get(|| async { "help" })).layer(DispatchLayer::new(handle));
+    let (handle, thread) = dispatcher(
+        &shed,
+        Some(TenantsConfig {
+            header: "X-Dept".into(),
+            tenants,
+        }),
+    );
+    let app = Router::new()
+        .route("/help", get(|| async { "help" }))
+        .layer(DispatchLayer::new(handle));
     let mut asked = request("/depth-log/bh-7", "a1", "core".into());
     if let Some(name) = header {
         asked.headers_mut().insert("x-dept", name.parse().unwrap());
@@ -76,7 +106,11 @@
     }
     let answer = app.oneshot(asked).await.unwrap();
     assert_eq!(answer.status(), StatusCode::from_u16(status).unwrap());
-    assert_eq!(shed.sent.try_recv().is_ok(), status == 200, "what is refused does not run");
+    assert_eq!(
+        shed.sent.try_recv().is_ok(),
+        status == 200,
+        "what is refused does not run"
+    );
     assert_eq!(thread.join().unwrap(), Ok(()));
 }
 
@@ -84,7 +118,9 @@
 async fn a_dropped_call_is_cancelled_at_its_worker() {
     let shed = Shed::start("runs on");
     let (handle, thread) = dispatcher(&shed, None);
-    let app = Router::new().route("/help", get(|| async { "help" })).layer(DispatchLayer::new(handle));
+    let app = Router::new()
+        .route("/help", get(|| async { "help" }))
+        .layer(DispatchLayer::new(handle));
     let call = tokio::spawn(app.oneshot(request("/depth-log/bh-7", "a1", "core".into())));
     let sent = tokio::task::spawn_blocking(move || {
         let first = shed.sent.recv_timeout(LONG).expect("a job");
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -15,13 +15,20 @@
         stream.flush().unwrap();
     }
     let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("an answer and the end");
+    stream
+        .read_to_string(&mut answer)
+        .expect("an answer and the end");
     answer
 }
 
 fn mgmt_of(program: &Program) -> SocketAddr {
     let line = program.logged("operators' calls");
-    line.rsplit("mgmt: ").next().unwrap().trim().parse().expect("an address")
+    line.rsplit("mgmt: ")
+        .next()
+        .unwrap()
+        .trim()
+        .parse()
+        .expect("an address")
 }
 
 /// One worker and a program whose operators' calls listen on an ephemeral port.
@@ -50,10 +57,17 @@
     assert_eq!(figures["tries"].as_u64(), Some(1));
     let depth = &figures["responses"]["depth-log"];
     assert_eq!(
-        (depth["ok"].as_u64(), depth["tries"].as_u64(), depth["shed"].as_u64()),
+        (
+            depth["ok"].as_u64(),
+            depth["tries"].as_u64(),
+            depth["shed"].as_u64()
+        ),
         (Some(1), Some(1), Some(0))
     );
-    assert_eq!((figures["active"].as_u64(), figures["pool_size"].as_u64()), (Some(0), Some(1)));
+    assert_eq!(
+        (figures["active"].as_u64(), figures["pool_size"].as_u64()),
+        (Some(0), Some(1))
+    );
     assert_eq!(figures["responses"]["layer-view"]["ok"].as_u64(), Some(0));
     drop(silent);
 }
@@ -92,7 +106,10 @@
     assert!(old.logged("stopping").contains("replaced: true"));
     old.logged("left to the successor"); // a connection that comes while the listener closes may be reset
     for n in 0..8 {
-        assert_eq!(ask(new.addr, &operation("depth-log", &format!("b{n}"), 4000)).status(), 200);
+        assert_eq!(
+            ask(new.addr, &operation("depth-log", &format!("b{n}"), 4000)).status(),
+            200
+        );
     }
     let mut old = old;
     assert!(old.child.wait().expect("it ends").success());
@@ -105,7 +122,9 @@
     let (tmp, first) = (Files::new(), shared(&worker));
     let old = first_of_two(&tmp, &first, &worker);
     let mut client = connect(old.addr);
-    client.write_all(operation("depth-log", "a1", 8000).as_bytes()).unwrap();
+    client
+        .write_all(operation("depth-log", "a1", 8000).as_bytes())
+        .unwrap();
     assert!(matches!(worker.next(), Sent::Job { .. }));
     worker.told.recv_timeout(LONG).expect("it has started");
 
@@ -114,7 +133,8 @@
     old.signal("TERM");
     old.logged("left to the successor"); // from here on only the new process hears the address
     assert_eq!(call_back(new.addr, "a1", "s-1", "done"), 204);
-    let answer = read_message(&mut std::io::BufReader::new(&client)).expect("the old process answers");
+    let answer =
+        read_message(&mut std::io::BufReader::new(&client)).expect("the old process answers");
     assert_eq!((answer.status(), answer.body.as_str()), (200, "log of a1"));
     assert_eq!(new.counters()["callbacks_passed_on"].as_u64(), Some(1));
 }
@@ -122,18 +142,30 @@
 #[test]
 fn settings_are_retuned_at_sighup_and_a_broken_file_changes_nothing() {
     let (_worker, config, program, mgmt) = with_mgmt();
-    assert_eq!(ask(program.addr, &operation("core-scan", "a1", 4000)).status(), 404);
+    assert_eq!(
+        ask(program.addr, &operation("core-scan", "a1", 4000)).status(),
+        404
+    );
 
     let mut retuned = config.clone();
     let mut scan = retuned["settings"]["requestClasses"][0].clone();
     scan["name"] = "core-scan".into();
-    retuned["settings"]["requestClasses"].as_array_mut().unwrap().push(scan);
+    retuned["settings"]["requestClasses"]
+        .as_array_mut()
+        .unwrap()
+        .push(scan);
     retuned["settings"]["requestClasses"][1]["deadlineUs"] = 3_000_000.into();
     program.reload(&retuned.to_string());
     let line = program.logged("new configuration");
     assert!(line.contains("classes renumbered: 2"), "{line}");
-    assert_eq!(ask(program.addr, &operation("core-scan", "a2", 4000)).status(), 200);
-    assert_eq!(ask(program.addr, &operation("layer-view", "a3", 4000)).status(), 200);
+    assert_eq!(
+        ask(program.addr, &operation("core-scan", "a2", 4000)).status(),
+        200
+    );
+    assert_eq!(
+        ask(program.addr, &operation("layer-view", "a3", 4000)).status(),
+        200
+    );
 
     let mut broken = retuned.clone();
     broken["settings"]["requestClasses"][0]["deadlineUs"] = (-5).into();
@@ -143,7 +175,16 @@
     program.logged("cannot be used");
     let told = call(mgmt, &["telemetry\n"]);
     let figures: Value = serde_json::from_str(told.lines().next().unwrap()).expect("json");
-    assert_eq!((figures["config_applied"].as_u64(), figures["config_rejected"].as_u64()), (Some(1), Some(2)));
+    assert_eq!(
+        (
+            figures["config_applied"].as_u64(),
+            figures["config_rejected"].as_u64()
+        ),
+        (Some(1), Some(2))
+    );
     assert_eq!(figures["responses"]["core-scan"]["ok"].as_u64(), Some(1));
-    assert_eq!(ask(program.addr, &operation("core-scan", "a4", 4000)).status(), 200);
+    assert_eq!(
+        ask(program.addr, &operation("core-scan", "a4", 4000)).status(),
+        200
+    );
 }
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -51,7 +51,9 @@
     fn take(&mut self, now: Micros, actions: Vec<Action>, serial: &mut u64) {
         for action in actions {
             self.digest.update(now.to_be_bytes());
-            numbers(&action).iter().for_each(|number| self.digest.update(number.to_be_bytes()));
+            numbers(&action)
+                .iter()
+                .for_each(|number| self.digest.update(number.to_be_bytes()));
             match action {
                 Action::Schedule { wait_us, token } => {
                     *serial += 1;
@@ -68,9 +70,15 @@
                 }
                 Action::Refuse { job, .. } => {
                     let j = &self.jobs[&job.0];
-                    let harmless = j.sent.iter().all(|s| s.end.is_some_and(|e| never_ran(&self.set, e)));
+                    let harmless = j
+                        .sent
+                        .iter()
+                        .all(|s| s.end.is_some_and(|e| never_ran(&self.set, e)));
                     match self.set.classes[j.class].repeat {
-                        Repeat::Free | Repeat::Keyed { scope: Scope::All, .. } => {}
+                        Repeat::Free
+                        | Repeat::Keyed {
+                            scope: Scope::All, ..
+                        } => {}
                         _ => assert!(harmless, "refused what may have run"),
                     }
                     self.finish(now, job.0);
@@ -83,7 +91,10 @@
     fn finish(&mut self, now: Micros, job: u64) {
         let j = self.jobs.get_mut(&job).unwrap();
         assert!(j.over_since.is_none(), "answered twice");
-        assert!(now <= j.deadline + self.set.answer_slack_us, "answered too late");
+        assert!(
+            now <= j.deadline + self.set.answer_slack_us,
+            "answered too late"
+        );
         j.over_since = Some(now);
         self.answers += 1;
     }
@@ -93,17 +104,43 @@
         let j = self.jobs.get_mut(&job).unwrap();
         assert!(j.over_since.is_none(), "sent after the end");
         assert!(now < j.deadline);
-        assert_eq!(self.stage[worker as usize], Stage::Ready, "sent to one that drains or is gone");
+        assert_eq!(
+            self.stage[worker as usize],
+            Stage::Ready,
+            "sent to one that drains or is gone"
+        );
         assert!((j.sent.len() as u32) < self.set.max_attempts);
         // Zone and kind of a worker are its number modulo 2 and 3 here.
         let class = &self.set.classes[j.class];
-        let zones = class.zones.iter().flatten().map(|z| z.0).collect::<Vec<_>>();
-        assert!(zones.is_empty() || zones.contains(&(worker % 2)), "a zone that is not permitted");
-        let kinds = class.kinds.iter().flatten().map(|k| k.0).collect::<Vec<_>>();
-        assert!(kinds.is_empty() || kinds.contains(&(worker % 3)), "a kind that is not permitted");
-        assert!(self.set.may_duplicate || j.sent.iter().all(|s| s.end.is_some()), "two out together");
-        let risky: Vec<&Sent> =
-            j.sent.iter().filter(|s| !s.end.is_some_and(|e| never_ran(&self.set, e))).collect();
+        let zones = class
+            .zones
+            .iter()
+            .flatten()
+            .map(|z| z.0)
+            .collect::<Vec<_>>();
+        assert!(
+            zones.is_empty() || zones.contains(&(worker % 2)),
+            "a zone that is not permitted"
+        );
+        let kinds = class
+            .kinds
+            .iter()
+            .flatten()
+            .map(|k| k.0)
+            .collect::<Vec<_>>();
+        assert!(
+            kinds.is_empty() || kinds.contains(&(worker % 3)),
+            "a kind that is not permitted"
+        );
+        assert!(
+            self.set.may_duplicate || j.sent.iter().all(|s| s.end.is_some()),
+            "two out together"
+        );
+        let risky: Vec<&Sent> = j
+            .sent
+            .iter()
+            .filter(|s| !s.end.is_some_and(|e| never_ran(&self.set, e)))
+            .collect();
         match self.set.classes[j.class].repeat {
             Repeat::Free => {}
             Repeat::Once => assert!(risky.is_empty(), "ran twice"),
@@ -118,12 +155,19 @@
                 }
             }
         }
-        j.sent.push(Sent { worker, at: now, end: None, begun: false, cancelled: false });
+        j.sent.push(Sent {
+            worker,
+            at: now,
+            end: None,
+            begun: false,
+            cancelled: false,
+        });
     }
 }
 
 fn never_ran(set: &Settings, code: Code) -> bool {
-    matches!(code, Code::DialFailed | Code::Unused) || (code == Code::Shed && !set.full_may_have_run)
+    matches!(code, Code::DialFailed | Code::Unused)
+        || (code == Code::Shed && !set.full_may_have_run)
 }
 
 /// Digest of all actions on the seeds of the test below. A change of policy replaces it and says so in its commit.
@@ -140,11 +184,19 @@
     set.reports_on_probe = rng.random_bool(0.3);
     set.full_may_have_run = rng.random();
     for class in &mut set.classes {
-        class.zones = rng.random_bool(0.3).then(|| vec![ZoneId(rng.random_range(0..2))]);
-        class.kinds = rng.random_bool(0.3).then(|| vec![KindId(rng.random_range(0..3)), KindId(1)]);
+        class.zones = rng
+            .random_bool(0.3)
+            .then(|| vec![ZoneId(rng.random_range(0..2))]);
+        class.kinds = rng
+            .random_bool(0.3)
+            .then(|| vec![KindId(rng.random_range(0..3)), KindId(1)]);
     }
     if let Repeat::Keyed { scope, .. } = &mut set.classes[KEYED as usize].repeat {
-        *scope = if rng.random() { Scope::Zone } else { Scope::Cell };
+        *scope = if rng.random() {
+            Scope::Zone
+        } else {
+            Scope::Cell
+        };
     }
     let tick = set.tick_us;
     let n = rng.random_range(1..20u32);
@@ -178,12 +230,17 @@
                 if !first && !complete && rng.random_bool(0.7) {
                     continue;
                 }
-                c.stage[i] =
-                    [Stage::Ready, Stage::Ready, Stage::Ready, Stage::Draining][rng.random_range(0..4)];
+                c.stage[i] = [Stage::Ready, Stage::Ready, Stage::Ready, Stage::Draining]
+                    [rng.random_range(0..4)];
                 if rng.random_bool(0.1) {
                     since[i] = now - rng.random_range(0..20) * SECOND;
                 }
-                entries.push(Entry { stage: c.stage[i], since: since[i], kind: KindId(id % 3), ..entry(id) });
+                entries.push(Entry {
+                    stage: c.stage[i],
+                    since: since[i],
+                    kind: KindId(id % 3),
+                    ..entry(id)
+                });
             }
             first = false;
             events.push(Event::List { complete, entries });
@@ -198,7 +255,11 @@
         }
         c.take(now, std::mem::take(&mut out), &mut serial);
 
-        let due: Vec<_> = c.timers.range(..=(now, u64::MAX)).map(|(k, v)| (*k, *v)).collect();
+        let due: Vec<_> = c
+            .timers
+            .range(..=(now, u64::MAX))
+            .map(|(k, v)| (*k, *v))
+            .collect();
         for (key, token) in due {
             c.timers.remove(&key);
             balancer.handle(now, Event::Timer { token }, &mut out);
@@ -210,7 +271,12 @@
             let wait = rng.random_range(0..3 * SECOND);
             c.jobs.insert(
                 next_job,
-                Owed { class: class as usize, deadline: now + wait, over_since: None, sent: Vec::new() },
+                Owed {
+                    class: class as usize,
+                    deadline: now + wait,
+                    over_since: None,
+                    sent: Vec::new(),
+                },
             );
             let request = Request {
                 job: JobId(next_job),
@@ -240,10 +306,13 @@
                 let code = match () {
                     _ if now >= deadline => Code::Expired,
                     _ if s.cancelled && rng.random() => Code::Revoked,
-                    _ if rng.random_bool(0.03) => {
-                        [Code::Delivered, Code::AppError, Code::Shed, Code::DialFailed, Code::Dropped]
-                            [rng.random_range(0..5)]
-                    }
+                    _ if rng.random_bool(0.03) => [
+                        Code::Delivered,
+                        Code::AppError,
+                        Code::Shed,
+                        Code::DialFailed,
+                        Code::Dropped,
+                    ][rng.random_range(0..5)],
                     _ => continue,
                 };
                 s.end = Some(code);
@@ -274,7 +343,10 @@
         }
         now += tick;
     }
-    assert!(c.jobs.values().all(|j| j.over_since.is_some()), "all answered in the end");
+    assert!(
+        c.jobs.values().all(|j| j.over_since.is_some()),
+        "all answered in the end"
+    );
     (c.sends, c.answers, c.digest)
 }
 
@@ -288,9 +360,18 @@
         answers += a;
         all.update(digest.finalize());
     }
-    let digest: String = all.finalize()[..8].iter().map(|byte| format!("{byte:02x}")).collect();
-    assert_eq!(digest, RECORDED, "another decision than recorded: a change of names alone keeps it");
-    assert!(sends > 20_000 && answers > 20_000, "{sends} sends, {answers} answers: too few to tell");
+    let digest: String = all.finalize()[..8]
+        .iter()
+        .map(|byte| format!("{byte:02x}"))
+        .collect();
+    assert_eq!(
+        digest, RECORDED,
+        "another decision than recorded: a change of names alone keeps it"
+    );
+    assert!(
+        sends > 20_000 && answers > 20_000,
+        "{sends} sends, {answers} answers: too few to tell"
+    );
 }
 
 /// Any events in any order, ids out of range and settings that make no sense: no panic.
@@ -298,7 +379,11 @@
 fn nonsense_does_no_harm() {
     for seed in 0..200 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut set = if seed % 3 == 0 { Settings::default() } else { settings() };
+        let mut set = if seed % 3 == 0 {
+            Settings::default()
+        } else {
+            settings()
+        };
         if seed % 2 == 0 {
             set.tick_us = 0;
             set.warm_after_us = 0;
@@ -314,9 +399,18 @@
             let job = JobId([rng.random_range(0..6), rng.random()][rng.random_range(0..2)]);
             let attempt = rng.random_range(0..4);
             let worker = WorkerId(rng.random_range(0..5));
-            let report =
-                Some(Report { free_slots: Some(f64::NAN), waiting: Some(-1.0), ..Report::default() });
-            let codes = [Code::Delivered, Code::Shed, Code::AppError, Code::Revoked, Code::Expired];
+            let report = Some(Report {
+                free_slots: Some(f64::NAN),
+                waiting: Some(-1.0),
+                ..Report::default()
+            });
+            let codes = [
+                Code::Delivered,
+                Code::Shed,
+                Code::AppError,
+                Code::Revoked,
+                Code::Expired,
+            ];
             let code = codes[rng.random_range(0..5)];
             let e = Entry {
                 worker,
@@ -325,10 +419,14 @@
                 ..entry(0)
             };
             let event = match rng.random_range(0..12) {
-                0 => Event::List { complete: rng.random(), entries: vec![e] },
+                0 => Event::List {
+                    complete: rng.random(),
+                    entries: vec![e],
+                },
                 1 => Event::ListFailed,
                 2..=4 => Event::Arrived(Request {
-                    quota_free: (rng.random_range(0..10) == 0).then(|| rng.random_range(0..3) as f64 / 2.0),
+                    quota_free: (rng.random_range(0..10) == 0)
+                        .then(|| rng.random_range(0..3) as f64 / 2.0),
                     job,
                     class: ClassId(rng.random_range(0..6)),
                     tenant: Some(TenantId(rng.random_range(0..3))),
@@ -338,12 +436,28 @@
                     key: rng.random::<bool>().then(|| rng.random()),
                 }),
                 5 => Event::Started { job, attempt },
-                6 => Event::Progress { job, attempt, done: f64::NAN },
+                6 => Event::Progress {
+                    job,
+                    attempt,
+                    done: f64::NAN,
+                },
                 7 => Event::StreamBegan { job, attempt },
-                8 => Event::Outcome(Outcome { job, attempt, code, complete: rng.random(), report }),
+                8 => Event::Outcome(Outcome {
+                    job,
+                    attempt,
+                    code,
+                    complete: rng.random(),
+                    report,
+                }),
                 9 => Event::ClientGone { job },
-                10 => Event::Timer { token: [job.0, u64::MAX, u64::MAX - 1][rng.random_range(0..3)] },
-                _ => Event::Probed { worker, ok: rng.random(), report },
+                10 => Event::Timer {
+                    token: [job.0, u64::MAX, u64::MAX - 1][rng.random_range(0..3)],
+                },
+                _ => Event::Probed {
+                    worker,
+                    ok: rng.random(),
+                    report,
+                },
             };
             balancer.handle(now, event, &mut out);
             balancer.handle(now, Event::Settled, &mut out);
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -57,16 +57,26 @@
         Demand::Sparse
     )]
     demand: Demand,
-    #[values(1.0, 4.0)] unevenness: f64, #[values(2.5, 3.0)] tip: f64,
+    #[values(1.0, 4.0)] unevenness: f64,
+    #[values(2.5, 3.0)] tip: f64,
 ) {
     let (slots, call, window) = (5.0, 250_000.0, 1_500 * MS);
-    let set = Settings { dispatchers: fleet, tip_multiple: tip, fall_us: window, ..settings() };
+    let set = Settings {
+        dispatchers: fleet,
+        tip_multiple: tip,
+        fall_us: window,
+        ..settings()
+    };
     let calls_at = |age| tip * slots * share(age) * window as f64 / call;
     for seed in 0..40u64 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let traffic: Vec<f64> = (0..fleet).map(|_| rng.random::<f64>().powf(unevenness)).collect();
+        let traffic: Vec<f64> = (0..fleet)
+            .map(|_| rng.random::<f64>().powf(unevenness))
+            .collect();
         let all: f64 = traffic.iter().sum();
-        let mut ramps: Vec<Ramp> = (0..fleet).map(|_| Ramp::begin(0, START, rng.random(), call)).collect();
+        let mut ramps: Vec<Ramp> = (0..fleet)
+            .map(|_| Ramp::begin(0, START, rng.random(), call))
+            .collect();
         let mut sent = Vec::new();
         for now in (0..WARM).step_by(5_000) {
             for (ramp, t) in ramps.iter_mut().zip(&traffic) {
@@ -98,7 +108,12 @@
 #[test]
 fn shares_below_a_call_go_by_chance() {
     let (slots, call, window, fleet) = (5.0, 250_000.0, 1_500 * MS, 300u32);
-    let set = Settings { dispatchers: fleet, tip_multiple: 3.0, fall_us: window, ..settings() };
+    let set = Settings {
+        dispatchers: fleet,
+        tip_multiple: 3.0,
+        fall_us: window,
+        ..settings()
+    };
     let (mut sent, mut parts) = (0u32, 0.0);
     for seed in 0..u64::from(fleet) {
         let mut ramp = Ramp::begin(0, START, Pcg64Mcg::seed_from_u64(seed).random(), call);
@@ -112,19 +127,27 @@
         }
     }
     assert!(parts > 5.0 && parts < 30.0, "{parts}");
-    assert!((f64::from(sent) - parts).abs() <= 2.0 * parts.sqrt() + 2.0, "{sent} calls, {parts} by right");
+    assert!(
+        (f64::from(sent) - parts).abs() <= 2.0 * parts.sqrt() + 2.0,
+        "{sent} calls, {parts} by right"
+    );
 }
 
 /// Whole dispatchers: a fleet that served at full load, pauses, is told of a cold worker all at once, and then has more
 /// than enough for it.
 #[rstest]
 fn a_fleet_that_wakes_does_not_push_a_cold_worker_over(
-    #[values(20, 30, 300)] fleet: u64, #[values(2, 5)] pause_s: u64,
+    #[values(20, 30, 300)] fleet: u64,
+    #[values(2, 5)] pause_s: u64,
 ) {
     let (workers, cold) = (20u32, 2u32);
-    let set = Settings { dispatchers: fleet as u32, ..patient() };
+    let set = Settings {
+        dispatchers: fleet as u32,
+        ..patient()
+    };
     // Of 200 jobs a second, four in five come to a fifth of the dispatchers.
-    let pause_of = |n: u64| (fleet * 5_000 / if n.is_multiple_of(5) { 800 } else { 50 }).max(1) * MS;
+    let pause_of =
+        |n: u64| (fleet * 5_000 / if n.is_multiple_of(5) { 800 } else { 50 }).max(1) * MS;
     let mut sent = Vec::new();
     for n in 0..fleet {
         let mut desk = Desk::new(set.clone(), workers);
@@ -141,7 +164,13 @@
         }
         let since = begin + 11 * SECOND;
         desk.now = since;
-        desk.list(false, vec![Entry { since, ..entry(cold) }]);
+        desk.list(
+            false,
+            vec![Entry {
+                since,
+                ..entry(cold)
+            }],
+        );
         desk.now += pause_s * SECOND;
         let mut running = std::collections::VecDeque::new();
         // Work without end, all at once: what the warm ones have no room for goes to the cold one if it may.
@@ -167,5 +196,9 @@
     let calls_at = |age| set.tip_multiple * share(age) * set.fall_us as f64 / 100_000.0;
     let most = worst(&sent, set.fall_us, calls_at);
     assert!(sent.len() > 3, "it must get some work: {}", sent.len());
-    assert!(most <= 1.0, "{most:.2} of the budget in the worst window, {} calls", sent.len());
+    assert!(
+        most <= 1.0,
+        "{most:.2} of the budget in the worst window, {} calls",
+        sent.len()
+    );
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -24,7 +24,11 @@
     });
     assert!(due.expect("a timer for the deadline") <= 5 * SECOND);
     let out = desk.wake(5 * SECOND, 2);
-    assert_eq!((refused(&out), failed(&out)), (1, 0), "it never ran, so trying again is harmless");
+    assert_eq!(
+        (refused(&out), failed(&out)),
+        (1, 0),
+        "it never ran, so trying again is harmless"
+    );
 }
 
 #[test]
@@ -32,7 +36,8 @@
     let mut desk = Desk::new(settings(), 0);
     desk.arrive(1, FREE);
     desk.list(false, vec![entry(0)]);
-    let held = |a: &Action| matches!(a, Action::Schedule { token: 3, wait_us } if *wait_us <= 20 * MS);
+    let held =
+        |a: &Action| matches!(a, Action::Schedule { token: 3, wait_us } if *wait_us <= 20 * MS);
     assert!(desk.log.iter().any(held), "a timer for the held request");
     let out = desk.wake(20 * MS, 3);
     assert_eq!(sends(&out), [0]);
@@ -42,7 +47,10 @@
 fn nothing_is_sent_or_answered_after_the_end() {
     let mut desk = Desk::new(settings(), 4);
     desk.arrive(1, FREE);
-    let out = desk.batch(vec![Event::ClientGone { job: JobId(1) }, ended(1, 0, Code::AppError, true)]);
+    let out = desk.batch(vec![
+        Event::ClientGone { job: JobId(1) },
+        ended(1, 0, Code::AppError, true),
+    ]);
     assert_eq!((sends(&out).len(), refused(&out), failed(&out)), (0, 0, 0));
     for token in [2, 3] {
         assert!(desk.wake(5 * SECOND, token).is_empty());
@@ -54,7 +62,10 @@
     let mut desk = Desk::new(settings(), 4);
     desk.arrive(1, FREE);
     desk.now += 5 * SECOND;
-    let out = desk.batch(vec![Event::Timer { token: 2 }, ended(1, 0, Code::Expired, false)]);
+    let out = desk.batch(vec![
+        Event::Timer { token: 2 },
+        ended(1, 0, Code::Expired, false),
+    ]);
     assert_eq!(refused(&out) + failed(&out), 1);
 }
 
@@ -69,7 +80,11 @@
         let mut desk = Desk::new(settings(), 4);
         desk.arrive(1, ONCE);
         let out = desk.end(1, 0, code);
-        assert_eq!((sends(&out).len(), refused(&out), failed(&out)), (0, 0, 1), "{code:?}");
+        assert_eq!(
+            (sends(&out).len(), refused(&out), failed(&out)),
+            (0, 0, 1),
+            "{code:?}"
+        );
     }
 }
 
@@ -97,7 +112,11 @@
         desk.arrive(1, KEYED);
         desk.now += 2 * SECOND;
         let out = desk.end(1, 0, code);
-        assert_eq!((sends(&out).len(), refused(&out), failed(&out)), (0, 0, 1), "{code:?} past the window");
+        assert_eq!(
+            (sends(&out).len(), refused(&out), failed(&out)),
+            (0, 0, 1),
+            "{code:?} past the window"
+        );
     }
 }
 
@@ -109,7 +128,11 @@
         seen.extend(sends(&desk.end(1, attempt, Code::Shed)));
     }
     assert_eq!(seen.len(), 4);
-    assert_eq!(refused(&desk.end(1, 3, Code::Shed)), 1, "all refused it: harmless to try again");
+    assert_eq!(
+        refused(&desk.end(1, 3, Code::Shed)),
+        1,
+        "all refused it: harmless to try again"
+    );
 }
 
 #[test]
@@ -153,7 +176,13 @@
 
 #[test]
 fn no_two_attempts_are_out_together_where_that_is_forbidden() {
-    let mut desk = Desk::new(Settings { may_duplicate: false, ..settings() }, 4);
+    let mut desk = Desk::new(
+        Settings {
+            may_duplicate: false,
+            ..settings()
+        },
+        4,
+    );
     for job in 1..30 {
         assert!(sends(&desk.arrive(job, FREE)).len() <= 1);
         assert!(sends(&desk.wake(SECOND / 4, 2 * job + 1)).is_empty());
@@ -176,7 +205,10 @@
     let (tiers, workers, work) = (100u64, 20u32, 100_000.0);
     let mut to_cold = 0;
     let mut to_all = 0;
-    let fleet = Settings { dispatchers: tiers as u32, ..settings() };
+    let fleet = Settings {
+        dispatchers: tiers as u32,
+        ..settings()
+    };
     for seed in 0..tiers {
         let mut desk = Desk::new(fleet.clone(), workers);
         desk.balancer = streamusher::Balancer::new(fleet.clone(), seed, desk.now);
@@ -184,7 +216,13 @@
         desk.log.clear();
         for job in 0..60u64 {
             if job == 40 {
-                desk.list(false, vec![Entry { since: desk.now, ..entry(2) }]);
+                desk.list(
+                    false,
+                    vec![Entry {
+                        since: desk.now,
+                        ..entry(2)
+                    }],
+                );
                 desk.log.clear();
             }
             desk.arrive(job, FREE);
@@ -200,7 +238,10 @@
     let even = to_all as f64 / f64::from(workers);
     assert!(to_all as f64 * work > 1e6);
     assert!(to_cold > 0, "it must get some work, or it never warms");
-    assert!((to_cold as f64) < 0.8 * even, "{to_cold} to the cold one, {even} to a warm one");
+    assert!(
+        (to_cold as f64) < 0.8 * even,
+        "{to_cold} to the cold one, {even} to a warm one"
+    );
 }
 
 /// A fleet of a hundred, each with a job every 2 s, whose warm workers are all full: the cold one is taken up to
@@ -208,20 +249,33 @@
 #[test]
 fn a_fleet_takes_a_cold_worker_up_to_what_it_bears() {
     let (fleet, workers, cold) = (100u64, 20u32, 2u32);
-    let set = Settings { dispatchers: fleet as u32, ..patient() };
+    let set = Settings {
+        dispatchers: fleet as u32,
+        ..patient()
+    };
     let (mut to_cold, window) = (0, 8 * SECOND);
     for seed in 0..fleet {
         let mut desk = Desk::new(set.clone(), workers);
         desk.balancer = streamusher::Balancer::new(set.clone(), seed, desk.now);
         desk.list(true, (0..workers).map(entry).collect());
         let since = desk.now;
-        desk.list(false, vec![Entry { since, ..entry(cold) }]);
+        desk.list(
+            false,
+            vec![Entry {
+                since,
+                ..entry(cold)
+            }],
+        );
         desk.log.clear();
         for job in 0..window / (2 * SECOND) {
             let mut out = desk.arrive(job, FREE);
             let mut sent = 0;
             while let Some(&w) = sends(&out).first() {
-                let code = if w == cold { Code::Delivered } else { Code::Shed };
+                let code = if w == cold {
+                    Code::Delivered
+                } else {
+                    Code::Shed
+                };
                 out = desk.end(job, sent, code);
                 sent += 1;
             }
@@ -231,8 +285,14 @@
     }
     // Jobs of the aim, 100 ms, over a slot that warms from 0.3 to all in 8 s: 5.2 s of work in the window.
     let (work, bears) = (to_cold as f64 * 0.1, (0.3 + 1.0) / 2.0 * 8.0);
-    assert!(work >= 0.5 * bears, "{work} s of work to the cold one, which bears {bears}");
-    assert!(work <= bears, "{work} s of work to the cold one, which bears {bears}");
+    assert!(
+        work >= 0.5 * bears,
+        "{work} s of work to the cold one, which bears {bears}"
+    );
+    assert!(
+        work <= bears,
+        "{work} s of work to the cold one, which bears {bears}"
+    );
 }
 
 /// The same where ten of the hundred have all the traffic: their even parts alone would leave the cold one idle, while
@@ -240,7 +300,10 @@
 #[test]
 fn a_cold_worker_takes_its_part_where_traffic_is_uneven() {
     let (fleet, busy, workers, cold) = (100u64, 10u64, 20u32, 2u32);
-    let set = Settings { dispatchers: fleet as u32, ..patient() };
+    let set = Settings {
+        dispatchers: fleet as u32,
+        ..patient()
+    };
     let (mut to_cold, window, pause) = (0, 8 * SECOND, 60 * MS);
     for seed in 0..busy {
         let mut desk = Desk::new(set.clone(), workers);
@@ -252,7 +315,13 @@
             desk.end(job, 0, Code::Delivered);
         }
         let since = desk.now;
-        desk.list(false, vec![Entry { since, ..entry(cold) }]);
+        desk.list(
+            false,
+            vec![Entry {
+                since,
+                ..entry(cold)
+            }],
+        );
         desk.log.clear();
         for job in (0..window / pause).map(|j| 1_000_000 + j) {
             let (mut out, mut sent) = (desk.arrive(job, FREE), 0);
@@ -269,8 +338,14 @@
     }
     // As above: 5.2 s of work in the window. The ten served half of what a warm one does; even parts alone come to 0.5 s.
     let (work, bears) = (to_cold as f64 * 0.06, (0.3 + 1.0) / 2.0 * 8.0);
-    assert!(work >= 0.2 * bears, "{work} s of work to the cold one, which bears {bears}");
-    assert!(work <= 1.5 * bears, "{work} s of work to the cold one, which bears {bears}");
+    assert!(
+        work >= 0.2 * bears,
+        "{work} s of work to the cold one, which bears {bears}"
+    );
+    assert!(
+        work <= 1.5 * bears,
+        "{work} s of work to the cold one, which bears {bears}"
+    );
 }
 
 /// However much credit there is: a single job of a heavy class may cost many times the usual.
@@ -279,7 +354,12 @@
     let mut desk = Desk::new(patient(), 2);
     let with_hint = |job, hint| {
         let (expires_in_us, hint_us) = (5 * SECOND, Some(hint));
-        Event::Arrived(Request { job: JobId(job), hint_us, expires_in_us, ..Request::default() })
+        Event::Arrived(Request {
+            job: JobId(job),
+            hint_us,
+            expires_in_us,
+            ..Request::default()
+        })
     };
     for job in 0..400 {
         desk.give(with_hint(job, SECOND / 2));
@@ -292,22 +372,43 @@
     assert!(sends(&desk.give(with_hint(1_000, 2 * SECOND))).is_empty());
     assert_eq!(sends(&desk.give(with_hint(1_001, SECOND / 2))), [0]);
     desk.now += 8 * SECOND;
-    assert_eq!(sends(&desk.give(with_hint(1_002, 2 * SECOND))), [0], "warm by now");
+    assert_eq!(
+        sends(&desk.give(with_hint(1_002, 2 * SECOND))),
+        [0],
+        "warm by now"
+    );
 }
 
 /// In an overload each warm worker is sent more than it can do; a cold one must not get its part of that.
 #[test]
 fn an_overload_does_not_raise_what_a_cold_worker_gets() {
-    let mut desk = Desk::new(Settings { dispatchers: 2, ..patient() }, 4);
+    let mut desk = Desk::new(
+        Settings {
+            dispatchers: 2,
+            ..patient()
+        },
+        4,
+    );
     let hinted = |job| {
         let (expires_in_us, hint_us) = (60 * SECOND, Some(SECOND / 4));
-        Event::Arrived(Request { job: JobId(job), hint_us, expires_in_us, ..Request::default() })
+        Event::Arrived(Request {
+            job: JobId(job),
+            hint_us,
+            expires_in_us,
+            ..Request::default()
+        })
     };
     for job in 0..400 {
         desk.give(hinted(job)); // ten times what four workers with a slot each can do
         desk.now += 6 * MS;
     }
-    desk.list(false, vec![Entry { since: desk.now, ..entry(0) }]);
+    desk.list(
+        false,
+        vec![Entry {
+            since: desk.now,
+            ..entry(0)
+        }],
+    );
     desk.log.clear();
     for job in 400..800 {
         desk.give(hinted(job));
@@ -334,16 +435,29 @@
 fn a_bound_class_goes_to_its_own_workers_on_every_attempt() {
     for by_zone in [true, false] {
         for class in [FREE, KEYED, ONCE, KEYED_ALL] {
-            let mut desk = Desk::new(Settings { max_attempts: 6, ..bound(by_zone) }, 16);
+            let mut desk = Desk::new(
+                Settings {
+                    max_attempts: 6,
+                    ..bound(by_zone)
+                },
+                16,
+            );
             for job in 1..40 {
                 desk.arrive(job, class);
                 desk.wake(SECOND / 10, 2 * job + 1); // not started: a copy
                 for attempt in 0..6 {
-                    desk.end(job, attempt, [Code::AppError, Code::DialFailed][attempt as usize % 2]);
+                    desk.end(
+                        job,
+                        attempt,
+                        [Code::AppError, Code::DialFailed][attempt as usize % 2],
+                    );
                 }
             }
             let sent = sends(&desk.log);
-            assert!(sent.len() >= 39 && sent.iter().all(|w| w % 2 == 1), "{sent:?}");
+            assert!(
+                sent.len() >= 39 && sent.iter().all(|w| w % 2 == 1),
+                "{sent:?}"
+            );
         }
     }
 }
@@ -351,18 +465,43 @@
 #[test]
 fn a_bound_class_is_held_and_then_ended_when_its_own_workers_are_gone() {
     let mut desk = Desk::new(bound(true), 8);
-    desk.list(false, [1, 3, 5, 7].map(|id| Entry { stage: Stage::Gone, ..entry(id) }).to_vec());
+    desk.list(
+        false,
+        [1, 3, 5, 7]
+            .map(|id| Entry {
+                stage: Stage::Gone,
+                ..entry(id)
+            })
+            .to_vec(),
+    );
     let out = desk.arrive(1, FREE);
-    assert_eq!((sends(&out).len(), refused(&out), failed(&out)), (0, 0, 0), "held");
+    assert_eq!(
+        (sends(&out).len(), refused(&out), failed(&out)),
+        (0, 0, 0),
+        "held"
+    );
     let out = desk.wake(50 * MS, 3);
-    assert_eq!((sends(&out).len(), refused(&out)), (0, 0), "it can still be in time");
+    assert_eq!(
+        (sends(&out).len(), refused(&out)),
+        (0, 0),
+        "it can still be in time"
+    );
     let out = desk.wake(SECOND, 3);
-    assert_eq!((sends(&out).len(), refused(&out)), (0, 1), "it cannot be in time any more");
+    assert_eq!(
+        (sends(&out).len(), refused(&out)),
+        (0, 1),
+        "it cannot be in time any more"
+    );
 }
 
 #[test]
 fn zones_kinds_and_the_required_kind_combine() {
-    let class = |kind, kinds, zones| Class { kind, kinds, zones, ..patient().classes[FREE as usize].clone() };
+    let class = |kind, kinds, zones| Class {
+        kind,
+        kinds,
+        zones,
+        ..patient().classes[FREE as usize].clone()
+    };
     let (even, odd, unseen) = (KindId(0), KindId(1), KindId(7));
     for (class, open) in [
         (class(None, Some(vec![odd]), Some(vec![ZoneId(1)])), true),
@@ -374,14 +513,25 @@
         let mut set = patient();
         set.classes[FREE as usize] = class;
         let mut desk = Desk::new(set, 8);
-        let sent: Vec<u32> = (1..20).flat_map(|job| sends(&desk.arrive(job, FREE))).collect();
-        assert!(sent.is_empty() != open && sent.iter().all(|w| w % 2 == 1), "{sent:?}");
+        let sent: Vec<u32> = (1..20)
+            .flat_map(|job| sends(&desk.arrive(job, FREE)))
+            .collect();
+        assert!(
+            sent.is_empty() != open && sent.iter().all(|w| w % 2 == 1),
+            "{sent:?}"
+        );
     }
     // A kind that is seen later is a kind like any other.
     let mut set = patient();
     set.classes[FREE as usize].kinds = Some(vec![unseen]);
     let mut desk = Desk::new(set, 8);
-    desk.list(false, vec![Entry { kind: unseen, ..entry(8) }]);
+    desk.list(
+        false,
+        vec![Entry {
+            kind: unseen,
+            ..entry(8)
+        }],
+    );
     assert_eq!(sends(&desk.arrive(1, FREE)), [8]);
 }
 
@@ -389,51 +539,86 @@
 fn a_keyed_group_without_a_permitted_worker_gets_nothing_more() {
     let mut desk = Desk::new(bound(true), 4);
     assert_eq!(sends(&desk.arrive(1, KEYED)).len(), 1); // 1 or 3, in the cell of 0 to 3
-    assert_eq!(sends(&desk.end(1, 0, Code::AppError)).len(), 1, "the other one");
+    assert_eq!(
+        sends(&desk.end(1, 0, Code::AppError)).len(),
+        1,
+        "the other one"
+    );
     let out = desk.end(1, 1, Code::AppError);
-    assert_eq!((sends(&out).len(), failed(&out)), (0, 1), "0 and 2 are of the cell and not permitted");
+    assert_eq!(
+        (sends(&out).len(), failed(&out)),
+        (0, 1),
+        "0 and 2 are of the cell and not permitted"
+    );
 }
 
 /// A few permitted workers among hundreds: drawn from, not found by luck.
 #[test]
 fn a_bound_class_finds_its_few_workers_and_asks_no_others() {
-    let few =
-        |id| Entry { zone: ZoneId(if id % 100 == 7 { 5 } else { 0 }), mark: u64::from(id), ..entry(id) };
+    let few = |id| Entry {
+        zone: ZoneId(if id % 100 == 7 { 5 } else { 0 }),
+        mark: u64::from(id),
+        ..entry(id)
+    };
     for (reports_on_probe, key) in [(false, None), (true, None), (false, Some(77))] {
-        let mut set = Settings { reports_on_probe, ..patient() };
+        let mut set = Settings {
+            reports_on_probe,
+            ..patient()
+        };
         set.classes[ONCE as usize].zones = Some(vec![ZoneId(5)]);
         let mut desk = Desk::new(set, 0);
         desk.list(true, (0..400).map(few).collect());
         let mut met = Vec::new();
         for job in 1..30 {
             desk.arrive(1_000 + job, FREE);
-            let Event::Arrived(request) = arrival(job, ONCE) else { unreachable!() };
+            let Event::Arrived(request) = arrival(job, ONCE) else {
+                unreachable!()
+            };
             let mut out = desk.give(Event::Arrived(Request { key, ..request }));
-            let asked: Vec<_> = out.iter().filter(|a| matches!(a, Action::Probe { .. })).cloned().collect();
+            let asked: Vec<_> = out
+                .iter()
+                .filter(|a| matches!(a, Action::Probe { .. }))
+                .cloned()
+                .collect();
             assert_eq!(asked.len(), if reports_on_probe { 4 } else { 0 });
-            assert!(asked.iter().all(|a| matches!(a, Action::Probe { worker } if worker.0 % 100 == 7)));
+            assert!(asked
+                .iter()
+                .all(|a| matches!(a, Action::Probe { worker } if worker.0 % 100 == 7)));
             if reports_on_probe {
                 out = desk.wake(10 * MS, 2 * job + 1);
             }
             met.extend(sends(&out));
         }
-        assert!(met.len() == 29 && met.iter().all(|w| w % 100 == 7), "{met:?}");
+        assert!(
+            met.len() == 29 && met.iter().all(|w| w % 100 == 7),
+            "{met:?}"
+        );
     }
 }
 
 #[test]
 fn where_full_may_have_run_it_counts_as_an_attempt_that_may_have() {
-    let set = || Settings { full_may_have_run: true, ..settings() };
+    let set = || Settings {
+        full_may_have_run: true,
+        ..settings()
+    };
     let mut desk = Desk::new(set(), 8);
     desk.arrive(1, ONCE);
     let out = desk.end(1, 0, Code::Shed);
-    assert_eq!((sends(&out).len(), refused(&out), failed(&out)), (0, 0, 1), "no other attempt, no refusal");
+    assert_eq!(
+        (sends(&out).len(), refused(&out), failed(&out)),
+        (0, 0, 1),
+        "no other attempt, no refusal"
+    );
 
     let mut desk = Desk::new(set(), 40);
     let first = sends(&desk.arrive(1, KEYED))[0];
     for attempt in 0..3 {
         let again = sends(&desk.end(1, attempt, Code::Shed));
-        assert!(again.len() == 1 && again[0] / 4 == first / 4, "inside its cell: {again:?}");
+        assert!(
+            again.len() == 1 && again[0] / 4 == first / 4,
+            "inside its cell: {again:?}"
+        );
     }
     let out = desk.end(1, 3, Code::Shed);
     assert_eq!((sends(&out).len(), refused(&out), failed(&out)), (0, 0, 1));
@@ -442,16 +627,28 @@
     desk.arrive(1, KEYED);
     desk.now += 2 * SECOND;
     let out = desk.end(1, 0, Code::Shed);
-    assert_eq!((sends(&out).len(), refused(&out), failed(&out)), (0, 0, 1), "past the window");
+    assert_eq!(
+        (sends(&out).len(), refused(&out), failed(&out)),
+        (0, 0, 1),
+        "past the window"
+    );
 
     for class in [FREE, KEYED_ALL] {
         let mut desk = Desk::new(set(), 1);
         desk.arrive(1, class);
-        assert_eq!(refused(&desk.end(1, 0, Code::Shed)), 1, "harmless for any outcome");
+        assert_eq!(
+            refused(&desk.end(1, 0, Code::Shed)),
+            1,
+            "harmless for any outcome"
+        );
     }
     let mut desk = Desk::new(set(), 8);
     desk.arrive(1, ONCE);
-    assert_eq!(sends(&desk.end(1, 0, Code::DialFailed)).len(), 1, "never connected is still proof");
+    assert_eq!(
+        sends(&desk.end(1, 0, Code::DialFailed)).len(),
+        1,
+        "never connected is still proof"
+    );
 }
 
 /// Whatever decides that no attempt will follow, the answer comes with it and is not kept back.
@@ -461,7 +658,14 @@
     let mut desk = Desk::new(settings(), 8);
     let first = sends(&desk.arrive(1, KEYED))[0];
     let cell = (0..8).filter(|id| id / 4 == first / 4);
-    desk.list(false, cell.map(|id| Entry { stage: Stage::Draining, ..entry(id) }).collect());
+    desk.list(
+        false,
+        cell.map(|id| Entry {
+            stage: Stage::Draining,
+            ..entry(id)
+        })
+        .collect(),
+    );
     let out = desk.end(1, 0, Code::Dropped);
     assert_eq!((sends(&out).len(), failed(&out)), (0, 1));
     // Held from a first 'full' on, as no other worker is there, and past its aim when the next comes back:
@@ -478,6 +682,13 @@
     let mut desk = Desk::new(bound(true), 2);
     assert_eq!(sends(&desk.arrive(1, FREE)), [1]);
     desk.end(1, 0, Code::Delivered);
-    desk.list(false, vec![Entry { zone: ZoneId(0), since: desk.now - 60 * SECOND, ..entry(1) }]);
+    desk.list(
+        false,
+        vec![Entry {
+            zone: ZoneId(0),
+            since: desk.now - 60 * SECOND,
+            ..entry(1)
+        }],
+    );
     assert!(sends(&desk.arrive(2, FREE)).is_empty());
 }
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -13,19 +13,33 @@
 /// Exit code, what was printed, and what was told of errors.
 fn servers(dir: &Path, words: &[&str]) -> (i32, String, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_streamusher"));
-    let done = command.arg("servers").args(words).current_dir(dir).output().expect("the program starts");
+    let done = command
+        .arg("servers")
+        .args(words)
+        .current_dir(dir)
+        .output()
+        .expect("the program starts");
     let text = |bytes| String::from_utf8(bytes).expect("text");
-    (done.status.code().unwrap_or(-1), text(done.stdout), text(done.stderr))
+    (
+        done.status.code().unwrap_or(-1),
+        text(done.stdout),
+        text(done.stderr),
+    )
 }
 
 #[test]
 fn every_mistake_of_every_file_is_told_for_people_and_for_programs() {
     let files = Files::new();
     files.add("good.csv", GOOD);
-    files.add("bad.csv", "name,ip,building\na,10.0.0.1,\nb,nowhere,pump-hose\n");
+    files.add(
+        "bad.csv",
+        "name,ip,building\na,10.0.0.1,\nb,nowhere,pump-hose\n",
+    );
     files.add("config.json", &config(&[]).to_string());
-    let (code, said, told) =
-        servers(&files.0, &["check", "good.csv", "bad.csv", "--settings", "config.json"]);
+    let (code, said, told) = servers(
+        &files.0,
+        &["check", "good.csv", "bad.csv", "--settings", "config.json"],
+    );
     assert_eq!((code, said.as_str()), (3, "good.csv: 2 workers\n"));
     for line in [
         "host a: zone: missing",
@@ -59,7 +73,10 @@
     }
     files.add("new.csv", "name,ip,zone,kind,weight\ncore-1,10.0.0.1,pump-house,standard,3\ncore-3,10.0.0.3,pump-house,standard,\n");
     let (code, said, _) = servers(&files.0, &["diff", "old.csv", "new.csv"]);
-    assert_eq!((code, said.as_str()), (0, "added: core-3\ndrained: core-2\nreweighted: core-1\n"));
+    assert_eq!(
+        (code, said.as_str()),
+        (0, "added: core-3\ndrained: core-2\nreweighted: core-1\n")
+    );
 }
 
 #[rstest]
@@ -71,10 +88,16 @@
 fn what_is_no_inventory_is_told_at_once(#[case] name: &str, #[case] why: &str) {
     let files = Files::new();
     std::fs::create_dir(files.0.join("folder.csv")).unwrap();
-    let made = Command::new("mkfifo").arg(files.0.join("fifo.csv")).status().unwrap();
+    let made = Command::new("mkfifo")
+        .arg(files.0.join("fifo.csv"))
+        .status()
+        .unwrap();
     assert!(made.success());
     std::os::unix::fs::symlink("loop.csv", files.0.join("loop.csv")).unwrap();
-    std::fs::File::create(files.0.join("large.csv")).unwrap().set_len(100 << 20).unwrap();
+    std::fs::File::create(files.0.join("large.csv"))
+        .unwrap()
+        .set_len(100 << 20)
+        .unwrap();
     let (code, said, told) = servers(&files.0, &["check", name]);
     assert_eq!(code, 3, "{told}");
     assert!((said + &told).contains(why), "{told}");
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -70,13 +70,20 @@
                 random
             };
             while let Ok((n, from)) = socket.recv_from(&mut bytes) {
-                let link = known.lock().unwrap().get(&from.port()).copied().unwrap_or_default();
+                let link = known
+                    .lock()
+                    .unwrap()
+                    .get(&from.port())
+                    .copied()
+                    .unwrap_or_default();
                 if link.cut || dice() % 1_000 < link.lost {
                     continue;
                 }
                 if link.slow {
                     let now = Instant::now();
-                    if last.get(&from.port()).is_some_and(|l| now.duration_since(*l) < Duration::from_secs(1))
+                    if last
+                        .get(&from.port())
+                        .is_some_and(|l| now.duration_since(*l) < Duration::from_secs(1))
                     {
                         continue;
                     }
@@ -88,12 +95,17 @@
                         let _ = now_out.send_to(&bytes[..n], member);
                     } else {
                         let jitter = link.jitter.mul_f64((dice() % 1_000) as f64 / 1_000.0);
-                        let _ = late_tx.send((Instant::now() + link.late + jitter, bytes[..n].to_vec()));
+                        let _ = late_tx
+                            .send((Instant::now() + link.late + jitter, bytes[..n].to_vec()));
                     }
                 }
             }
         });
-        Relay { addr, links, passed }
+        Relay {
+            addr,
+            links,
+            passed,
+        }
     }
 }
 
@@ -220,13 +232,17 @@
                 vec![json!({"seq": seq, "jobInfo": {"jobId": "j", "jobState": "FAILED"}})]
             }
             "waitTerminated" => {
-                vec![json!({"seq": seq, "jobInfo": {"jobId": "j", "jobState": "DONE",
-                    "streamusher_output": format!("log of {named}")}})]
+                vec![
+                    json!({"seq": seq, "jobInfo": {"jobId": "j", "jobState": "DONE",
+                    "streamusher_output": format!("log of {named}")}}),
+                ]
             }
             "terminate" => vec![json!({"seq": seq})],
             _ => continue,
         };
-        said.iter().try_for_each(|s| stream.write_all(format!("{s}\n").as_bytes())).ok()?;
+        said.iter()
+            .try_for_each(|s| stream.write_all(format!("{s}\n").as_bytes()))
+            .ok()?;
     }
     Some(())
 }
@@ -248,9 +264,16 @@
                 relay: Relay::start(udp, plan.seed ^ (i as u64 + 1) << 20),
             });
         }
-        let sheds =
-            (0..plan.members).map(|i| shed(running.clone(), plan.work, plan.bad == Some(i))).collect();
-        let mut fleet = Fleet { plan, members, files, sheds, running };
+        let sheds = (0..plan.members)
+            .map(|i| shed(running.clone(), plan.work, plan.bad == Some(i)))
+            .collect();
+        let mut fleet = Fleet {
+            plan,
+            members,
+            files,
+            sheds,
+            running,
+        };
         (0..fleet.members.len()).for_each(|i| fleet.begin(i));
         fleet
     }
@@ -258,7 +281,12 @@
     fn operators(&self, i: usize) -> String {
         let (plan, m) = (&self.plan, &self.members[i]);
         let names: Vec<String> = (0..plan.members).map(|n| format!("'m{n}'")).collect();
-        let join: Vec<String> = self.members.iter().take(3).map(|m| format!("'{}'", m.relay.addr)).collect();
+        let join: Vec<String> = self
+            .members
+            .iter()
+            .take(3)
+            .map(|m| format!("'{}'", m.relay.addr))
+            .collect();
         let mut text = String::from(
             "[drmaa]\ninventory = 'workers.csv'\n[tenants]\nlist = ['t0', 't1', 't2']\nunlisted = 'book'\n",
         );
@@ -284,7 +312,9 @@
                 plan.copies,
                 plan.hold_ms
             );
-            text += &plan.limit.map_or(String::new(), |n| format!("[fleet.limits]\nt0 = {n}\n"));
+            text += &plan
+                .limit
+                .map_or(String::new(), |n| format!("[fleet.limits]\nt0 = {n}\n"));
         }
         text
     }
@@ -293,13 +323,23 @@
     pub fn begin(&mut self, i: usize) {
         let files = Files::new();
         let known = (0..self.sheds.len()).filter(|n| self.plan.shared || *n == i);
-        let row = |n: usize| format!("shed-{n},127.0.0.1,{},pump-house,standard\n", self.sheds[n].port());
+        let row = |n: usize| {
+            format!(
+                "shed-{n},127.0.0.1,{},pump-house,standard\n",
+                self.sheds[n].port()
+            )
+        };
         let rows: String = known.map(row).collect();
-        files.add("workers.csv", &format!("name,address,port,zone,kind\n{rows}"));
+        files.add(
+            "workers.csv",
+            &format!("name,address,port,zone,kind\n{rows}"),
+        );
         let mut config = config(&[]);
         let m = &self.members[i];
-        (config["name"], config["seed"]) =
-            (format!("m{i}").into(), format!("{:x}", self.plan.seed + i as u64).into());
+        (config["name"], config["seed"]) = (
+            format!("m{i}").into(),
+            format!("{:x}", self.plan.seed + i as u64).into(),
+        );
         (config["listen"], config["mgmt"]) = (m.addr.to_string().into(), m.mgmt.to_string().into());
         for class in config["settings"]["requestClasses"].as_array_mut().unwrap() {
             class["deadlineUs"] = (self.plan.deadline_ms * 1_000).into();
@@ -322,26 +362,44 @@
     }
 
     pub fn signal(&self, i: usize, name: &str) {
-        self.members[i].program.as_ref().expect("it runs").signal(name);
+        self.members[i]
+            .program
+            .as_ref()
+            .expect("it runs")
+            .signal(name);
     }
 
     /// What the relay of `to` does with the frames of `from`.
     pub fn link(&self, from: usize, to: usize, link: Link) {
         let port = self.members[from].udp.port();
-        self.members[to].relay.links.lock().unwrap().insert(port, link);
+        self.members[to]
+            .relay
+            .links
+            .lock()
+            .unwrap()
+            .insert(port, link);
     }
 
     /// Cuts these off from all others, both ways.
     pub fn part(&self, one: &[usize]) {
         for i in 0..self.members.len() {
             for j in (0..self.members.len()).filter(|j| one.contains(&i) != one.contains(j)) {
-                self.link(i, j, Link { cut: true, ..Link::default() });
+                self.link(
+                    i,
+                    j,
+                    Link {
+                        cut: true,
+                        ..Link::default()
+                    },
+                );
             }
         }
     }
 
     pub fn heal(&self) {
-        self.members.iter().for_each(|m| m.relay.links.lock().unwrap().clear());
+        self.members
+            .iter()
+            .for_each(|m| m.relay.links.lock().unwrap().clear());
     }
 
     /// An operators' call: its line of JSON.
@@ -349,7 +407,9 @@
         let mut stream = connect(self.members[i].mgmt);
         stream.write_all(format!("{what}\n").as_bytes()).unwrap();
         let mut answer = String::new();
-        stream.read_to_string(&mut answer).expect("an answer and the end");
+        stream
+            .read_to_string(&mut answer)
+            .expect("an answer and the end");
         let (json, end) = answer.split_once('\n').expect("two lines");
         assert_eq!(end, "END\n", "{answer}");
         serde_json::from_str(json).expect("json")
@@ -368,7 +428,9 @@
     }
 
     pub fn live(&self) -> Vec<usize> {
-        (0..self.members.len()).filter(|i| self.members[*i].program.is_some()).collect()
+        (0..self.members.len())
+            .filter(|i| self.members[*i].program.is_some())
+            .collect()
     }
 
     /// Waits until each member that runs sees all others that do.
@@ -377,8 +439,12 @@
             let live = fleet.live();
             for &i in &live {
                 let show = fleet.call(i, "fleet");
-                let alive =
-                    show["members"].as_array().unwrap().iter().filter(|m| m["standing"] == "alive").count();
+                let alive = show["members"]
+                    .as_array()
+                    .unwrap()
+                    .iter()
+                    .filter(|m| m["standing"] == "alive")
+                    .count();
                 if alive + 1 < live.len() {
                     return Err(show.to_string());
                 }
@@ -390,7 +456,10 @@
     /// Waits until the parts of the budgets have come in everywhere.
     pub fn seated(&self) {
         self.wait("all are seated", |fleet| {
-            let all = fleet.live().iter().all(|&i| fleet.call(i, "fleet")["seated"] == true);
+            let all = fleet
+                .live()
+                .iter()
+                .all(|&i| fleet.call(i, "fleet")["seated"] == true);
             all.then_some(()).ok_or("not yet".into())
         });
     }
@@ -400,7 +469,9 @@
         let mut last = Value::Null;
         self.wait("one tally", |fleet| {
             let live = fleet.live();
-            let counted = live.iter().all(|&i| fleet.call(i, "fleet")["uncounted"] == 0);
+            let counted = live
+                .iter()
+                .all(|&i| fleet.call(i, "fleet")["uncounted"] == 0);
             let tallies: Vec<Value> = live.iter().map(|&i| fleet.call(i, "tally")).collect();
             last = tallies[0].clone();
             match counted
@@ -419,7 +490,9 @@
 /// The sum of a unit over the tally's rows; of one tenant, if one is named.
 pub fn sum(tally: &Value, unit: &str, tenant: Option<&str>) -> u64 {
     let rows = tally["rows"].as_array().expect("rows").iter();
-    rows.filter(|r| tenant.is_none_or(|t| r["tenant"] == t)).filter_map(|r| r[unit].as_u64()).sum()
+    rows.filter(|r| tenant.is_none_or(|t| r["tenant"] == t))
+        .filter_map(|r| r[unit].as_u64())
+        .sum()
 }
 
 /// Clients that send one operation after another, each to its own member or to any, and keep receipts.
@@ -441,15 +514,23 @@
 impl Clients {
     /// `n` clients at each of `at`, for these tenants in turn.
     pub fn start(
-        fleet: &Fleet, at: &[usize], n: usize, tenants: &'static [&'static str], pause: Duration,
+        fleet: &Fleet,
+        at: &[usize],
+        n: usize,
+        tenants: &'static [&'static str],
+        pause: Duration,
     ) -> Clients {
         static NEXT: AtomicU64 = AtomicU64::new(1);
-        let (stop, served) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
+        let (stop, served) = (
+            Arc::new(AtomicBool::new(false)),
+            Arc::new(AtomicU64::new(0)),
+        );
         let left_ms = fleet.plan.deadline_ms;
         let mut threads = Vec::new();
         for &member in at {
             for c in 0..n {
-                let (addr, stop, served) = (fleet.members[member].addr, stop.clone(), served.clone());
+                let (addr, stop, served) =
+                    (fleet.members[member].addr, stop.clone(), served.clone());
                 threads.push(spawn(move || {
                     let (mut got, mut stream, mut turn) = (Receipts::default(), None::<TcpStream>, c);
                     while !stop.load(Ordering::Relaxed) {
@@ -492,7 +573,11 @@
                 }));
             }
         }
-        Clients { stop, threads, served }
+        Clients {
+            stop,
+            threads,
+            served,
+        }
     }
 
     /// Waits until so many more were served.
@@ -509,7 +594,9 @@
         let mut all = Receipts::default();
         for thread in self.threads {
             let got = thread.join().expect("a client");
-            got.served.into_iter().for_each(|(t, n)| *all.served.entry(t).or_default() += n);
+            got.served
+                .into_iter()
+                .for_each(|(t, n)| *all.served.entry(t).or_default() += n);
             (all.refused, all.failed) = (all.refused + got.refused, all.failed + got.failed);
             all.broken += got.broken;
         }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -23,11 +23,18 @@
 
 impl Message {
     pub fn status(&self) -> u16 {
-        self.line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.line
+            .split(' ')
+            .nth(1)
+            .and_then(|s| s.parse().ok())
+            .unwrap_or(0)
     }
 
     pub fn get(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
+        self.headers
+            .iter()
+            .find(|(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|(_, v)| v.as_str())
     }
 }
 
@@ -41,11 +48,20 @@
     let mut headers = Vec::new();
     loop {
         let header = next()?;
-        let Some((name, value)) = header.split_once(':') else { break };
+        let Some((name, value)) = header.split_once(':') else {
+            break;
+        };
         headers.push((name.to_string(), value.trim().to_string()));
     }
-    let mut message = Message { line, headers, body: String::new() };
-    let length = message.get("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
+    let mut message = Message {
+        line,
+        headers,
+        body: String::new(),
+    };
+    let length = message
+        .get("content-length")
+        .and_then(|l| l.parse().ok())
+        .unwrap_or(0);
     let mut body = vec![0; length];
     from.read_exact(&mut body).ok()?;
     message.body = String::from_utf8(body).ok()?;
@@ -79,7 +95,11 @@
 /// What a worker was sent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Sent {
-    Job { id: String, key: Option<String>, body: String },
+    Job {
+        id: String,
+        key: Option<String>,
+        body: String,
+    },
     Cancel(String),
 }
 
@@ -93,14 +113,26 @@
 }
 
 pub const TAKEN: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
-pub const SERVES: Manner = Manner { answer: Some(TAKEN), early: &[], then: &["started", "done"] };
+pub const SERVES: Manner = Manner {
+    answer: Some(TAKEN),
+    early: &[],
+    then: &["started", "done"],
+};
 pub const BUSY: Manner = Manner {
     answer: Some("HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"),
     early: &[],
     then: &[],
 };
-pub const SILENT: Manner = Manner { answer: None, early: &[], then: &[] };
-pub const RUNS_ON: Manner = Manner { answer: Some(TAKEN), early: &[], then: &["started"] };
+pub const SILENT: Manner = Manner {
+    answer: None,
+    early: &[],
+    then: &[],
+};
+pub const RUNS_ON: Manner = Manner {
+    answer: Some(TAKEN),
+    early: &[],
+    then: &["started"],
+};
 
 /// A stand-in worker of the platform's protocol.
 pub struct Worker {
@@ -119,8 +151,10 @@
         call["result"] = format!("log of {id}").into();
     }
     let body = call.to_string();
-    let text =
-        format!("POST /v1/job-events HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    let text = format!(
+        "POST /v1/job-events HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
     ask(dispatcher, &text).status()
 }
 
@@ -133,15 +167,25 @@
         let (known, me) = (dispatcher.clone(), name.to_string());
         spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (known, me, tell) = (known.clone(), me.clone(), (tell.clone(), tell_told.clone()));
+                let (known, me, tell) =
+                    (known.clone(), me.clone(), (tell.clone(), tell_told.clone()));
                 spawn(move || Worker::serve(stream, &me, manner, &known, &tell));
             }
         });
-        Worker { name: name.into(), addr, sent, told, dispatcher }
+        Worker {
+            name: name.into(),
+            addr,
+            sent,
+            told,
+            dispatcher,
+        }
     }
 
     fn serve(
-        mut stream: TcpStream, me: &str, manner: Manner, known: &OnceLock<SocketAddr>,
+        mut stream: TcpStream,
+        me: &str,
+        manner: Manner,
+        known: &OnceLock<SocketAddr>,
         (tell, told): &(Sender<Sent>, Sender<String>),
     ) -> Option<()> {
         let mut reader = BufReader::new(stream.try_clone().ok()?);
@@ -154,7 +198,12 @@
             }
             let id = request.get("x-correlation-id")?.to_string();
             let key = request.get("idempotency-key").map(String::from);
-            tell.send(Sent::Job { id: id.clone(), key, body: request.body }).ok()?;
+            tell.send(Sent::Job {
+                id: id.clone(),
+                key,
+                body: request.body,
+            })
+            .ok()?;
             let report = |states: &[&str]| {
                 for state in states {
                     assert_eq!(call_back(*known.wait(), &id, me, state), 204);
@@ -204,7 +253,10 @@
         let mut asked = String::new();
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         while !asked.ends_with("\r\n\r\n") {
-            assert!(reader.read_line(&mut asked).unwrap() > 0, "a call broke off: {asked:?}");
+            assert!(
+                reader.read_line(&mut asked).unwrap() > 0,
+                "a call broke off: {asked:?}"
+            );
         }
         (stream, asked)
     }
@@ -218,7 +270,9 @@
             // In two chunks, as a line need not come in one.
             let line = format!("{line}\n");
             let (a, b) = line.split_at(line.len() / 2);
-            [a, b].iter().for_each(|p| write_chunk(&mut stream, p.as_bytes()));
+            [a, b]
+                .iter()
+                .for_each(|p| write_chunk(&mut stream, p.as_bytes()));
         }
         stream
     }
@@ -276,7 +330,8 @@
         static NEXT: Mutex<u32> = Mutex::new(0);
         let mut next = NEXT.lock().unwrap();
         *next += 1;
-        let path = std::env::temp_dir().join(format!("streamusher-test-{}-{next}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("streamusher-test-{}-{next}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
         Files(path)
     }
@@ -341,7 +396,9 @@
     if let Some(most) = config["limits"]["ulimit"].as_u64() {
         let program = command.get_program().to_owned();
         command = Command::new("sh");
-        command.args(["-c", &format!("ulimit -n {most}; exec \"$0\" \"$@\"")]).arg(program);
+        command
+            .args(["-c", &format!("ulimit -n {most}; exec \"$0\" \"$@\"")])
+            .arg(program);
     }
     command.env("NODE_CONFIG", files.add("config.json", &config.to_string()));
     for variable in ["NODE_NAME", "NODE_LISTEN", "NODE_DISCOVERY"] {
@@ -351,7 +408,9 @@
         command.env(variable, value.as_str().unwrap());
     }
     if let Some(text) = config["operators"].as_str() {
-        command.args(["run", "--config"]).arg(files.add("streamusher.toml", text));
+        command
+            .args(["run", "--config"])
+            .arg(files.add("streamusher.toml", text));
     }
     if let Some(text) = drmaa {
         command.arg("--drmaa").arg(files.add("drmaa.toml", text));
@@ -367,27 +426,59 @@
     }
 
     pub fn with(files: Files, config: &Value, drmaa: Option<&str>, workers: &[&Worker]) -> Program {
-        let mut child = command(&files, config, drmaa).spawn().expect("the program starts");
+        let mut child = command(&files, config, drmaa)
+            .spawn()
+            .expect("the program starts");
         let (tell, log) = channel();
         let errors = BufReader::new(child.stderr.take().unwrap());
-        spawn(move || errors.lines().map_while(Result::ok).try_for_each(|l| tell.send(l)));
-        let mut program = Program { child, addr: ([127, 0, 0, 1], 0).into(), drmaa: None, log, files };
-        let at = |line: String| line.rsplit("listen: ").next().unwrap().trim().parse().expect("an address");
+        spawn(move || {
+            errors
+                .lines()
+                .map_while(Result::ok)
+                .try_for_each(|l| tell.send(l))
+        });
+        let mut program = Program {
+            child,
+            addr: ([127, 0, 0, 1], 0).into(),
+            drmaa: None,
+            log,
+            files,
+        };
+        let at = |line: String| {
+            line.rsplit("listen: ")
+                .next()
+                .unwrap()
+                .trim()
+                .parse()
+                .expect("an address")
+        };
         // [fleet] listens too, but its table stands behind those of fronts in the tests' files.
-        let operators = config["operators"].as_str().and_then(|o| o.split("[fleet]").next());
+        let operators = config["operators"]
+            .as_str()
+            .and_then(|o| o.split("[fleet]").next());
         if drmaa.or(operators).is_some_and(|d| d.contains("listen")) {
             program.drmaa = Some(at(program.logged("serving DRMAA")));
         }
         let serving = program.logged("serving,");
-        program.addr = serving.split(", ").find_map(|p| p.strip_prefix("listen: ")).unwrap().parse().unwrap();
-        workers.iter().for_each(|w| w.dispatcher.set(program.addr).unwrap());
+        program.addr = serving
+            .split(", ")
+            .find_map(|p| p.strip_prefix("listen: "))
+            .unwrap()
+            .parse()
+            .unwrap();
+        workers
+            .iter()
+            .for_each(|w| w.dispatcher.set(program.addr).unwrap());
         program
     }
 
     /// Waits for a line of the log.
     pub fn logged(&self, what: &str) -> String {
         loop {
-            let line = self.log.recv_timeout(LONG).unwrap_or_else(|e| panic!("not logged: {what}: {e}"));
+            let line = self
+                .log
+                .recv_timeout(LONG)
+                .unwrap_or_else(|e| panic!("not logged: {what}: {e}"));
             if line.contains(what) {
                 return line;
             }
@@ -397,7 +488,10 @@
     /// Waits for the first line of the log that holds any of these.
     pub fn logged_first(&self, whats: &[&str]) -> String {
         loop {
-            let line = self.log.recv_timeout(LONG).unwrap_or_else(|e| panic!("not logged: {whats:?}: {e}"));
+            let line = self
+                .log
+                .recv_timeout(LONG)
+                .unwrap_or_else(|e| panic!("not logged: {whats:?}: {e}"));
             if whats.iter().any(|w| line.contains(w)) {
                 return line;
             }
@@ -405,7 +499,9 @@
     }
 
     pub fn signal(&self, name: &str) {
-        let done = Command::new("kill").args(["-s", name, &self.child.id().to_string()]).status();
+        let done = Command::new("kill")
+            .args(["-s", name, &self.child.id().to_string()])
+            .status();
         assert!(done.expect("kill").success());
     }
 
@@ -428,16 +524,30 @@
     }
 
     pub fn counters(&self) -> Value {
-        serde_json::from_str(&ask(self.addr, "GET /counters HTTP/1.1\r\nHost: x\r\n\r\n").body).unwrap()
+        serde_json::from_str(&ask(self.addr, "GET /counters HTTP/1.1\r\nHost: x\r\n\r\n").body)
+            .unwrap()
     }
 }
 
 /// Runs `streamusher ledger` on the ledger in this folder; its exit code and what it printed.
 pub fn ledger(dir: &std::path::Path, words: &[&str]) -> (i32, String) {
     let mut command = program();
-    let done = command.arg("ledger").args(words).arg("--dir").arg(dir).output().expect("the program starts");
-    let text = if done.stdout.is_empty() { done.stderr } else { done.stdout };
-    (done.status.code().unwrap_or(-1), String::from_utf8(text).expect("text"))
+    let done = command
+        .arg("ledger")
+        .args(words)
+        .arg("--dir")
+        .arg(dir)
+        .output()
+        .expect("the program starts");
+    let text = if done.stdout.is_empty() {
+        done.stderr
+    } else {
+        done.stdout
+    };
+    (
+        done.status.code().unwrap_or(-1),
+        String::from_utf8(text).expect("text"),
+    )
 }
 
 impl Drop for Program {
@@ -480,7 +590,12 @@
                     named = t["jobName"].as_str()?.to_string();
                     let key = t["streamusher_idempotencyKey"].as_str().map(String::from);
                     let body = t["streamusher_input"].as_str()?.to_string();
-                    tell.send(Sent::Job { id: named.clone(), key, body }).ok()?;
+                    tell.send(Sent::Job {
+                        id: named.clone(),
+                        key,
+                        body,
+                    })
+                    .ok()?;
                     match manner {
                         "breaks" => return None,
                         "turns away" => vec![json!({"seq": seq, "error": "TRY_LATER"})],
@@ -508,7 +623,9 @@
                 _ => continue,
             };
             // A dispatcher that was killed hears no more.
-            said.iter().try_for_each(|s| stream.write_all(format!("{s}\n").as_bytes())).ok()?;
+            said.iter()
+                .try_for_each(|s| stream.write_all(format!("{s}\n").as_bytes()))
+                .ok()?;
         }
         Some(())
     }
--- a/tests/telemetry.rs
+++ b/tests/telemetry.rs
@@ -11,9 +11,13 @@
 fn lines_in_pieces(#[case] pieces: &[&str], #[case] last: Read) {
     let mut reader = LineReader::default();
     let (init, tail) = pieces.split_at(pieces.len() - 1);
-    init.iter().for_each(|p| assert_eq!(reader.feed(p.as_bytes()), Read::More));
+    init.iter()
+        .for_each(|p| assert_eq!(reader.feed(p.as_bytes()), Read::More));
     assert_eq!(reader.feed(tail[0].as_bytes()), last);
-    assert_eq!(LineReader::default().feed(b"\xff\n"), Read::Line(Call::Unknown("not text".into())));
+    assert_eq!(
+        LineReader::default().feed(b"\xff\n"),
+        Read::Line(Call::Unknown("not text".into()))
+    );
 }
 
 #[test]
@@ -25,9 +29,18 @@
 
 #[test]
 fn answers_begin_with_yes_or_no() {
-    let figures = || Figures { active: 3, ..Figures::default() };
-    assert_eq!(answer(&Call::Ready, Readiness::Serving, figures, |_| None), "YES\n");
-    assert_eq!(answer(&Call::Ready, Readiness::Stopping, figures, |_| None), "NO stopping\n");
+    let figures = || Figures {
+        active: 3,
+        ..Figures::default()
+    };
+    assert_eq!(
+        answer(&Call::Ready, Readiness::Serving, figures, |_| None),
+        "YES\n"
+    );
+    assert_eq!(
+        answer(&Call::Ready, Readiness::Stopping, figures, |_| None),
+        "NO stopping\n"
+    );
     let told = answer(&Call::Telemetry, Readiness::Starting, figures, |_| None);
     let lines: Vec<&str> = told.lines().collect();
     assert_eq!((lines[1], lines.len()), ("END", 2));
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -15,11 +15,17 @@
 
 fn list(number: u32, workers: &[u32]) -> String {
     let elements: Vec<String> = workers.iter().map(|&n| entry(n)).collect();
-    format!(r#"{{"type":"LIST","rosterId":{number},"elements":[{}]}}"#, elements.join(","))
+    format!(
+        r#"{{"type":"LIST","rosterId":{number},"elements":[{}]}}"#,
+        elements.join(",")
+    )
 }
 
 fn batch(at: u64, lines: &[String]) -> String {
-    format!("{{\"type\":\"SYNC\",\"atTimeUs\":{at}}}\n{}\n{{\"type\":\"OVER_TO_YOU\"}}\n", lines.join("\n"))
+    format!(
+        "{{\"type\":\"SYNC\",\"atTimeUs\":{at}}}\n{}\n{{\"type\":\"OVER_TO_YOU\"}}\n",
+        lines.join("\n")
+    )
 }
 
 fn begin(dispatcher: u32, number: u32) -> Vec<String> {
@@ -59,7 +65,9 @@
 
 fn session(dispatchers: &[u32], number: u32, workers: &[u32]) -> String {
     let mut first = vec![list(number, workers)];
-    dispatchers.iter().for_each(|&d| first.extend(begin(d, number)));
+    dispatchers
+        .iter()
+        .for_each(|&d| first.extend(begin(d, number)));
     let mut text = batch(1_000, &first);
     for job in 0..40u64 {
         let lines: Vec<String> = dispatchers
@@ -104,7 +112,9 @@
     let want = r#"{"type":"SEND","dispatcher":3,"job":4049554428826052,"worker":"10.0.0.1:9000"}"#;
     assert!(out.lines().any(|l| l == want), "{out}");
     assert!(
-        out.contains(r#"{"type":"SCHEDULE","dispatcher":3,"waitUs":5000000,"ctx":"8099108857652104"}"#),
+        out.contains(
+            r#"{"type":"SCHEDULE","dispatcher":3,"waitUs":5000000,"ctx":"8099108857652104"}"#
+        ),
         "{out}"
     );
     assert!(out.ends_with("{\"type\":\"READY\"}\n"));
@@ -170,15 +180,36 @@
     let configured = start.to_string() + &list(0, &[1]) + "\n" + &begin(3, 0).join("\n") + "\n";
     for (input, reason) in [
         (start.to_string() + "nonsense\n", "line 2: not a message"),
-        (start.to_string() + "{\"type\":\"WHAT\",\"dispatcher\":1}\n", "line 2: WHAT for dispatcher 1"),
-        (configured.clone() + "{\"type\":\"WHAT\",\"dispatcher\":3}\n", "line 5: unknown message WHAT"),
-        (start.to_string() + "{\"atTimeUs\":5}\n", "line 2: a message without a type"),
+        (
+            start.to_string() + "{\"type\":\"WHAT\",\"dispatcher\":1}\n",
+            "line 2: WHAT for dispatcher 1",
+        ),
+        (
+            configured.clone() + "{\"type\":\"WHAT\",\"dispatcher\":3}\n",
+            "line 5: unknown message WHAT",
+        ),
+        (
+            start.to_string() + "{\"atTimeUs\":5}\n",
+            "line 2: a message without a type",
+        ),
         (start.to_string() + start, "line 2: SYNC inside a batch"),
-        ("{\"type\":\"OVER_TO_YOU\"}\n".into(), "line 1: OVER_TO_YOU outside a batch"),
+        (
+            "{\"type\":\"OVER_TO_YOU\"}\n".into(),
+            "line 1: OVER_TO_YOU outside a batch",
+        ),
         (start.to_string(), "line 1: the input ends inside a batch"),
-        (configured.clone() + &knock(3, 1, "unheard"), "line 5: no class unheard"),
-        (configured.clone() + &outcome(3, 1, "odd", false), "line 5: unknown outcome odd"),
-        (configured + "{\"type\":\"KNOCK\",\"dispatcher\":3,\"job\":-4}", "line 5: not a message"),
+        (
+            configured.clone() + &knock(3, 1, "unheard"),
+            "line 5: no class unheard",
+        ),
+        (
+            configured.clone() + &outcome(3, 1, "odd", false),
+            "line 5: unknown outcome odd",
+        ),
+        (
+            configured + "{\"type\":\"KNOCK\",\"dispatcher\":3,\"job\":-4}",
+            "line 5: not a message",
+        ),
     ] {
         let error = fails(&input);
         assert!(error.starts_with(reason), "{error}, wanted {reason}");
@@ -212,7 +243,12 @@
             .stderr(Stdio::piped())
             .spawn()
             .expect("the adapter starts");
-        child.stdin.take().unwrap().write_all(input.as_bytes()).expect("written");
+        child
+            .stdin
+            .take()
+            .unwrap()
+            .write_all(input.as_bytes())
+            .expect("written");
         let done = child.wait_with_output().expect("it ends");
         let said = String::from_utf8_lossy(&done.stderr).into_owned();
         assert_eq!(done.status.success(), good, "{said}");
@@ -227,14 +263,19 @@
     let with = |change: [(&str, &str); 2]| {
         let mut lines = vec![list(0, &[1, 2, 4, 6])];
         lines.extend(begin(3, 0));
-        change.iter().for_each(|(from, to)| lines[1] = lines[1].replacen(from, to, 1));
+        change
+            .iter()
+            .for_each(|(from, to)| lines[1] = lines[1].replacen(from, to, 1));
         lines.extend((0..12).map(|job| knock(3, job, "free")));
         let more: Vec<String> = vec![knock(3, 90, "once")];
         let shed = vec![outcome(3, 90, "shed", false)];
         ok(&(batch(1_000, &lines) + &batch(9_000, &more) + &batch(19_000, &shed)))
     };
     let free = |placement: &str| {
-        let out = with([("{\"deadlineUs\":5000000,\"keyScope\":\"all\"", placement), ("news", "more news")]);
+        let out = with([
+            ("{\"deadlineUs\":5000000,\"keyScope\":\"all\"", placement),
+            ("news", "more news"),
+        ]);
         let sent: Vec<String> = out
             .lines()
             .filter(|l| l.contains("SEND") && !l.contains("\"job\":90"))
@@ -243,16 +284,31 @@
         sent
     };
     let class = "{\"deadlineUs\":5000000,\"keyScope\":\"all\"";
-    assert!(free(&format!("{class},\"zonesAllowed\":[\"west\"]")).iter().all(|w| w == "1"));
-    assert!(free(&format!("{class},\"servedOn\":[\"b\"]")).iter().all(|w| w == "1"));
+    assert!(free(&format!("{class},\"zonesAllowed\":[\"west\"]"))
+        .iter()
+        .all(|w| w == "1"));
+    assert!(free(&format!("{class},\"servedOn\":[\"b\"]"))
+        .iter()
+        .all(|w| w == "1"));
     assert!(free(&format!("{class},\"servedOn\":[\"unseen\"]")).is_empty());
     for any in ["", ",\"zonesAllowed\":[],\"servedOn\":[]"] {
         let sent = free(&format!("{class}{any}"));
-        assert!(sent.len() >= 12 && sent.iter().any(|w| w != "1"), "{sent:?}");
+        assert!(
+            sent.len() >= 12 && sent.iter().any(|w| w != "1"),
+            "{sent:?}"
+        );
     }
     let news = ("news", "more news");
-    assert!(!with([news, ("drainGraceUs", "fullMayHaveRun\":false,\"drainGraceUs")]).contains("GIVE_UP"));
-    assert!(with([news, ("drainGraceUs", "fullMayHaveRun\":true,\"drainGraceUs")]).contains("GIVE_UP"));
+    assert!(!with([
+        news,
+        ("drainGraceUs", "fullMayHaveRun\":false,\"drainGraceUs")
+    ])
+    .contains("GIVE_UP"));
+    assert!(with([
+        news,
+        ("drainGraceUs", "fullMayHaveRun\":true,\"drainGraceUs")
+    ])
+    .contains("GIVE_UP"));
 }
 
 #[test]
