--- a/crates/controlplane/examples/cluster/client.rs
+++ b/crates/controlplane/examples/cluster/client.rs
@@ -7,9 +7,9 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
-use streamusher_node::http::{Answer, Call, Client};
 use streamusher_protocol::config::{BASE_VERSION_HEADER, REPLACE_PATH};
 use streamusher_protocol::job::{JobState, JobStatus};
+use streamusher_runtime::http::{Answer, Call, Client};
 
 const DEADLINE: Duration = Duration::from_secs(3);
 /// Before a call without a clear answer is made again.
--- a/crates/controlplane/examples/cluster/main.rs
+++ b/crates/controlplane/examples/cluster/main.rs
@@ -17,7 +17,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 use streamusher_dataplane::{agent_program, gate, process};
-use streamusher_node::{clock, logs, runtime, settings};
+use streamusher_runtime::{clock, logs, runtime, settings};
 
 /// The story takes some ten seconds; a busy machine may need longer.
 const LONGEST: Duration = Duration::from_secs(90);
--- a/crates/controlplane/examples/cluster/story.rs
+++ b/crates/controlplane/examples/cluster/story.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 use streamusher_controlplane::cluster_status::ask::{ask_all, Answers};
 use streamusher_controlplane::cluster_status::report::{is_acting, render};
-use streamusher_node::clock;
 use streamusher_protocol::job::JobState;
+use streamusher_runtime::clock;
 
 const HOST: &str = "jobs.example";
 const PREFIX: &str = "/demo/";
--- a/crates/controlplane/examples/cluster/worker.rs
+++ b/crates/controlplane/examples/cluster/worker.rs
@@ -9,14 +9,14 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
-use streamusher_node::clock;
-use streamusher_node::http::{parse_json, Client};
 use streamusher_protocol::heartbeat::{
     FinishedRun, Heartbeat, HeartbeatAnswer, Resources, RunningTask, StartOrder, WorkerState,
     HEARTBEAT_PATH,
 };
 use streamusher_protocol::task::{RunEnd, TaskId};
 use streamusher_protocol::Millis;
+use streamusher_runtime::clock;
+use streamusher_runtime::http::{parse_json, Client};
 
 /// An answer that takes longer is not used.
 const ANSWER_DEADLINE: Duration = Duration::from_secs(1);
--- a/crates/controlplane/src/cluster_status/ask.rs
+++ b/crates/controlplane/src/cluster_status/ask.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
-use streamusher_node::http::{Call, Client};
 use streamusher_protocol::internal::{Explain, EXPLAIN_PATH, STATUS_PATH};
+use streamusher_runtime::http::{Call, Client};
 use tokio::task::JoinSet;
 
 /// How long an answer may take: a machine that is up answers within milliseconds, also when it is busy.
--- a/crates/controlplane/src/cluster_status/mod.rs
+++ b/crates/controlplane/src/cluster_status/mod.rs
@@ -10,8 +10,8 @@
 use ask::Answers;
 use std::io;
 use std::net::SocketAddr;
-use streamusher_node::runtime;
 use streamusher_protocol::internal::Explain;
+use streamusher_runtime::runtime;
 
 /// What came of the questions, for the exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/controlplane/src/internal.rs
+++ b/crates/controlplane/src/internal.rs
@@ -5,11 +5,11 @@
 use crate::peers::Envelope;
 use http::{Method, StatusCode};
 use serde::de::DeserializeOwned;
-use streamusher_node::http::{empty, json, parse_json, text, Answer, Call as HttpCall};
 use streamusher_protocol::internal::{
     ClusterView, NotPrimary, AGENT_SYNC_PATH, CLIENT_CALL_PATH, CLUSTER_PATH, CLUSTER_WATCH_PATH,
     CORE_PATH, EXPLAIN_PATH, GATE_LEASE_PATH, RELAY_PATH, STATUS_PATH,
 };
+use streamusher_runtime::http::{empty, json, parse_json, text, Answer, Call as HttpCall};
 use streamusher_scheduler::Reply;
 
 /// Answers a call on the internal port.
--- a/crates/controlplane/src/machine.rs
+++ b/crates/controlplane/src/machine.rs
@@ -12,11 +12,11 @@
 use streamusher_configuration::relay::Envelope;
 use streamusher_configuration::store::CURRENT_KEY;
 use streamusher_coordination::{Coordinator, Input, Message, StateMap};
-use streamusher_node::{clock, logs};
 use streamusher_protocol::internal::{
     ClusterView, ClusterWatch, CoreAddress, Explain, GateLease, GateLeaseReply,
 };
 use streamusher_protocol::Millis;
+use streamusher_runtime::{clock, logs};
 use streamusher_scheduler::{RequestId, Scheduler};
 use tokio::sync::{oneshot, watch};
 use tokio::time::timeout;
--- a/crates/controlplane/src/main.rs
+++ b/crates/controlplane/src/main.rs
@@ -12,10 +12,10 @@
 use streamusher_controlplane::share_debt_file;
 use streamusher_controlplane::show_disk::{self, ShowError};
 use streamusher_controlplane::store::StoreError;
-use streamusher_node::options::EXIT_MISUSE;
-use streamusher_node::{logs, settings};
+use streamusher_fair_share as share_debt;
 use streamusher_protocol::internal::Explain;
-use streamusher_share_debt as share_debt;
+use streamusher_runtime::options::EXIT_MISUSE;
+use streamusher_runtime::{logs, settings};
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
--- a/crates/controlplane/src/operators.rs
+++ b/crates/controlplane/src/operators.rs
@@ -5,10 +5,10 @@
 use http::header::{ALLOW, CONTENT_TYPE, LOCATION, RETRY_AFTER};
 use http::{HeaderValue, Method, StatusCode};
 use std::sync::Arc;
-use streamusher_node::http::{empty, text, Answer, Call as HttpCall};
 use streamusher_protocol::config::{BASE_VERSION_HEADER, READ_PATH, REPLACE_PATH, UPDATE_PATH};
 use streamusher_protocol::heartbeat::{DEREGISTER_PATH, HEARTBEAT_PATH};
 use streamusher_protocol::internal::ClusterView;
+use streamusher_runtime::http::{empty, text, Answer, Call as HttpCall};
 use streamusher_scheduler::{OperatorOrder, OperatorReply, OrderKind, Reply};
 
 /// Answers a call on the control port; `me` is this machine's control `ip:port`.
--- a/crates/controlplane/src/options.rs
+++ b/crates/controlplane/src/options.rs
@@ -4,9 +4,9 @@
 use log::LevelFilter;
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use streamusher_node::options::{add_log_level, log_level};
+use streamusher_fair_share as share_debt;
 use streamusher_protocol::internal::Explain;
-use streamusher_share_debt as share_debt;
+use streamusher_runtime::options::{add_log_level, log_level};
 
 /// Where the settings of the debts come from.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/controlplane/src/parameters.rs
+++ b/crates/controlplane/src/parameters.rs
@@ -6,11 +6,11 @@
 use std::path::PathBuf;
 use std::time::SystemTime;
 use streamusher_coordination as coordination;
-use streamusher_node::settings::Settings;
+use streamusher_fair_share as share_debt;
 use streamusher_protocol::internal::{CoreAddress, CONTROL_PORT_OFFSET};
 use streamusher_protocol::Millis;
+use streamusher_runtime::settings::Settings;
 use streamusher_scheduler as scheduler;
-use streamusher_share_debt as share_debt;
 
 /// How long a replica's acknowledgement binds it: some forty messages of a calm network, and a fraction of the second
 /// that callers wait.
--- a/crates/controlplane/src/peers.rs
+++ b/crates/controlplane/src/peers.rs
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 use streamusher_coordination::Message;
-use streamusher_node::http::{Call, Client, ClientLimits};
 use streamusher_protocol::internal::CORE_PATH;
+use streamusher_runtime::http::{Call, Client, ClientLimits};
 use tokio::sync::mpsc;
 
 /// A machine that is up takes the connection within a round trip.
--- a/crates/controlplane/src/relay.rs
+++ b/crates/controlplane/src/relay.rs
@@ -3,9 +3,9 @@
 use streamusher_configuration::relay::{
     Distribution, Envelope, Peer, Published, RelayMessage, Send,
 };
-use streamusher_node::http::Outbox;
 use streamusher_protocol::internal::{GateLease, GateLeaseReply, RELAY_PATH};
 use streamusher_protocol::Millis;
+use streamusher_runtime::http::Outbox;
 
 /// Root and leases while this machine is the primary, and the queues to the members.
 pub struct Relay {
--- a/crates/controlplane/src/share_debt_file.rs
+++ b/crates/controlplane/src/share_debt_file.rs
@@ -3,8 +3,8 @@
 use figment::providers::{Format, Serialized, Toml};
 use figment::Figment;
 use std::path::{Path, PathBuf};
+use streamusher_fair_share::{Settings, SettingsError};
 use streamusher_protocol::Millis;
-use streamusher_share_debt::{Settings, SettingsError};
 
 /// The file cannot be used.
 #[derive(Debug, thiserror::Error)]
--- a/crates/controlplane/tests/command_line.rs
+++ b/crates/controlplane/tests/command_line.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 use streamusher_controlplane::options::{parse, ShareDebt, Task};
 use streamusher_controlplane::store::{Store, FOLDER, FORMAT};
+use streamusher_fair_share as share_debt;
 use streamusher_protocol::internal::Explain;
-use streamusher_share_debt as share_debt;
 use support::TestFolder;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_streamusher-control");
--- a/crates/controlplane/tests/loopback.rs
+++ b/crates/controlplane/tests/loopback.rs
@@ -5,11 +5,11 @@
 use http::header::LOCATION;
 use http::StatusCode;
 use serde_json::{json, Value};
-use streamusher_node::http::Answer;
 use streamusher_protocol::config::{READ_PATH, REPLACE_PATH, UPDATE_PATH};
 use streamusher_protocol::internal::{
     AgentOrders, ClusterWatch, Explain, NotPrimary, AGENT_SYNC_PATH, CLIENT_CALL_PATH, EXPLAIN_PATH,
 };
+use streamusher_runtime::http::Answer;
 use support::cluster::{is_ok, story, text_of, Cluster};
 
 const JOB: &str = "/queue/5c0e7a21d94b36f8";
--- a/crates/controlplane/tests/relay.rs
+++ b/crates/controlplane/tests/relay.rs
@@ -9,9 +9,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 use streamusher_configuration::relay::{Envelope, RelayMessage};
-use streamusher_node::http::{empty, parse_json, Call, Server, ServerLimits};
 use streamusher_protocol::config::{REPLACE_PATH, UPDATE_PATH};
 use streamusher_protocol::internal::{GateLease, GateLeaseReply, GATE_LEASE_PATH, RELAY_PATH};
+use streamusher_runtime::http::{empty, parse_json, Call, Server, ServerLimits};
 use support::cluster::{is_ok, story, text_of, Cluster};
 use tokio::sync::Notify;
 
--- a/crates/controlplane/tests/share_debt_file.rs
+++ b/crates/controlplane/tests/share_debt_file.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use std::fs;
 use streamusher_controlplane::share_debt_file::load;
-use streamusher_share_debt::Settings;
+use streamusher_fair_share::Settings;
 use support::TestFolder;
 
 fn loaded(text: &str) -> Result<Settings, String> {
--- a/crates/controlplane/tests/support/cluster.rs
+++ b/crates/controlplane/tests/support/cluster.rs
@@ -12,12 +12,12 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::Duration;
 use streamusher_controlplane::program::Process;
-use streamusher_node::http::{Answer, Call, Client};
-use streamusher_node::runtime;
-use streamusher_node::settings::{FaultTolerance, Listen, Settings};
-use streamusher_node::signals::Signal;
 use streamusher_protocol::config::BASE_VERSION_HEADER;
 use streamusher_protocol::internal::{ClusterView, ClusterWatch, CLUSTER_PATH, CLUSTER_WATCH_PATH};
+use streamusher_runtime::http::{Answer, Call, Client};
+use streamusher_runtime::runtime;
+use streamusher_runtime::settings::{FaultTolerance, Listen, Settings};
+use streamusher_runtime::signals::Signal;
 use tokio::sync::mpsc;
 use tokio::task::{spawn_local, JoinHandle};
 
--- a/crates/quotes/tests/quotes.rs
+++ b/crates/csv-quotes/tests/quotes.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 use std::io::Read;
-use streamusher_quotes::*;
+use streamusher_csv_quotes::*;
 
 #[rstest]
 #[case::closed("a,\"b\"\n", None)]
--- a/crates/dataplane/src/agent_program.rs
+++ b/crates/dataplane/src/agent_program.rs
@@ -10,11 +10,6 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
-use streamusher_node::clock;
-use streamusher_node::http::{empty, json, parse_json, text, Answer, Call, ServerLimits};
-use streamusher_node::logs::{self, LastError};
-use streamusher_node::settings::{self, Settings};
-use streamusher_node::signals::{Signal, Signals};
 use streamusher_protocol::heartbeat::{
     Heartbeat, HeartbeatAnswer, DEREGISTER_PATH, HEARTBEAT_PATH,
 };
@@ -22,6 +17,11 @@
     AgentOrders, AgentSync, ClusterView, AGENT_PORT_OFFSET, AGENT_SYNC_PATH,
 };
 use streamusher_protocol::Millis;
+use streamusher_runtime::clock;
+use streamusher_runtime::http::{empty, json, parse_json, text, Answer, Call, ServerLimits};
+use streamusher_runtime::logs::{self, LastError};
+use streamusher_runtime::settings::{self, Settings};
+use streamusher_runtime::signals::{Signal, Signals};
 use tokio::sync::{oneshot, Notify};
 use tokio::time::Instant;
 
--- a/crates/dataplane/src/core/link.rs
+++ b/crates/dataplane/src/core/link.rs
@@ -11,12 +11,12 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
-use streamusher_node::clock;
-use streamusher_node::http::{parse_json, Answer, Call, CallError, Client, ClientLimits};
 use streamusher_protocol::internal::{
     ClusterView, ClusterWatch, CoreAddress, NotPrimary, CLUSTER_PATH, CLUSTER_WATCH_PATH,
 };
 use streamusher_protocol::Millis;
+use streamusher_runtime::clock;
+use streamusher_runtime::http::{parse_json, Answer, Call, CallError, Client, ClientLimits};
 use tokio::sync::Notify;
 
 /// How long a question may take.
--- a/crates/dataplane/src/gate/passing.rs
+++ b/crates/dataplane/src/gate/passing.rs
@@ -3,8 +3,8 @@
 use super::request;
 use crate::core::{CoreLink, Outcome, Target};
 use std::time::Duration;
-use streamusher_node::http::{parse_json, Answer, Call};
 use streamusher_protocol::internal::{ClientCall, ClientMethod, ClientReply, CLIENT_CALL_PATH};
+use streamusher_runtime::http::{parse_json, Answer, Call};
 use tokio::time::Instant;
 
 /// Kept of the client's time for the way back.
--- a/crates/dataplane/src/gate/program.rs
+++ b/crates/dataplane/src/gate/program.rs
@@ -9,13 +9,13 @@
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
-use streamusher_node::http::{text, Answer, Call, ServerHandle, ServerLimits};
-use streamusher_node::logs::{self, LastError};
-use streamusher_node::settings::{self, Settings};
-use streamusher_node::signals::{Signal, Signals};
 use streamusher_protocol::config::Limits;
 use streamusher_protocol::internal::{ClusterView, GATE_PORT_OFFSET, RELAY_PATH};
 use streamusher_protocol::Millis;
+use streamusher_runtime::http::{text, Answer, Call, ServerHandle, ServerLimits};
+use streamusher_runtime::logs::{self, LastError};
+use streamusher_runtime::settings::{self, Settings};
+use streamusher_runtime::signals::{Signal, Signals};
 
 /// What the platform asks each second.
 pub const READINESS_PATH: &str = "/streamusher/readiness";
--- a/crates/dataplane/src/gate/relay.rs
+++ b/crates/dataplane/src/gate/relay.rs
@@ -11,11 +11,11 @@
 use streamusher_configuration::relay::{
     Actions, Envelope, Peer, RelayMessage, RelayNode, Roster, Send, LEASE_RENEWAL,
 };
-use streamusher_node::clock;
-use streamusher_node::http::{empty, parse_json, text, Answer, Call, Outbox};
 use streamusher_protocol::config::Configuration;
 use streamusher_protocol::internal::{GateLease, GateLeaseReply, GATE_LEASE_PATH, RELAY_PATH};
 use streamusher_protocol::Millis;
+use streamusher_runtime::clock;
+use streamusher_runtime::http::{empty, parse_json, text, Answer, Call, Outbox};
 use tokio::sync::Notify;
 
 /// As long as a client's call may wait: a primary that is slow is not thought lost for a lease.
--- a/crates/dataplane/src/gate/request.rs
+++ b/crates/dataplane/src/gate/request.rs
@@ -4,9 +4,9 @@
 use http::{Method, StatusCode};
 use std::sync::Arc;
 use std::time::Duration;
-use streamusher_node::http::{text, Answer, Call};
 use streamusher_protocol::internal::{ClientCall, ClientMethod, ClientReply};
 use streamusher_protocol::Millis;
+use streamusher_runtime::http::{text, Answer, Call};
 
 /// Header that tells how long the client waits, in milliseconds from its sending.
 pub const DEADLINE_HEADER: &str = "streamusher-deadline-ms";
--- a/crates/dataplane/src/main.rs
+++ b/crates/dataplane/src/main.rs
@@ -2,9 +2,9 @@
 
 use std::process::ExitCode;
 use streamusher_dataplane::{agent_program, gate, process};
-use streamusher_node::options::{self, Chosen, Invocation, Program, EXIT_MISUSE};
-use streamusher_node::settings::{self, Settings};
-use streamusher_node::{clock, logs};
+use streamusher_runtime::options::{self, Chosen, Invocation, Program, EXIT_MISUSE};
+use streamusher_runtime::settings::{self, Settings};
+use streamusher_runtime::{clock, logs};
 
 const PROGRAM: Program = Program {
     name: "streamusher-data",
--- a/crates/dataplane/src/process.rs
+++ b/crates/dataplane/src/process.rs
@@ -6,8 +6,8 @@
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
-use streamusher_node::http::{json, text, Answer, Call, Server, ServerLimits};
 use streamusher_protocol::internal::STATUS_PATH;
+use streamusher_runtime::http::{json, text, Answer, Call, Server, ServerLimits};
 
 /// Tries to bind an address, and the pause between two: an earlier process may not be gone yet.
 const BIND_TRIES: u32 = 20;
@@ -83,6 +83,6 @@
 /// # Errors
 /// The event loop could not be made, or the program failed.
 pub fn run(program: impl Future<Output = anyhow::Result<()>>) -> anyhow::Result<()> {
-    let ended: io::Result<anyhow::Result<()>> = streamusher_node::runtime::block_on(program);
+    let ended: io::Result<anyhow::Result<()>> = streamusher_runtime::runtime::block_on(program);
     ended?
 }
--- a/crates/dataplane/tests/agent_program.rs
+++ b/crates/dataplane/tests/agent_program.rs
@@ -8,10 +8,12 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 use streamusher_dataplane::agent_program::{check, AgentProgram};
-use streamusher_node::http::{empty, json, parse_json, Answer, Call, Client, Server, ServerLimits};
-use streamusher_node::settings::Settings;
 use streamusher_protocol::heartbeat::{HeartbeatAnswer, StartOrder};
 use streamusher_protocol::internal::{AgentOrders, AgentSync, AGENT_SYNC_PATH};
+use streamusher_runtime::http::{
+    empty, json, parse_json, Answer, Call, Client, Server, ServerLimits,
+};
+use streamusher_runtime::settings::Settings;
 
 const LEASE_MS: u64 = 4_000;
 const HEARTBEAT: &str = "/streamusher/Instances.Heartbeat/i-1";
--- a/crates/dataplane/tests/common/primary.rs
+++ b/crates/dataplane/tests/common/primary.rs
@@ -9,11 +9,13 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use streamusher_node::http::{json, parse_json, Answer, Call, Server, ServerHandle, ServerLimits};
-use streamusher_node::settings::Settings;
 use streamusher_protocol::internal::{
     ClientCall, ClientReply, ClusterView, CoreAddress, CLUSTER_PATH,
 };
+use streamusher_runtime::http::{
+    json, parse_json, Answer, Call, Server, ServerHandle, ServerLimits,
+};
+use streamusher_runtime::settings::Settings;
 
 /// Bounds what should happen at once.
 pub const SOON: Duration = Duration::from_secs(20);
@@ -24,7 +26,7 @@
             .await
             .expect("it ends in time")
     };
-    streamusher_node::runtime::block_on(bounded).unwrap();
+    streamusher_runtime::runtime::block_on(bounded).unwrap();
 }
 
 pub fn core(address: SocketAddr) -> CoreAddress {
--- a/crates/dataplane/tests/gate.rs
+++ b/crates/dataplane/tests/gate.rs
@@ -10,9 +10,9 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use streamusher_dataplane::gate::{check, retry_after_outage, Gate};
-use streamusher_node::http::{json, Answer};
-use streamusher_node::settings::Settings;
 use streamusher_protocol::internal::{ClientMethod, ClientReply, NotPrimary};
+use streamusher_runtime::http::{json, Answer};
+use streamusher_runtime::settings::Settings;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
--- a/crates/dataplane/tests/process.rs
+++ b/crates/dataplane/tests/process.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
-use streamusher_node::http::{json, CallError, Client};
+use streamusher_runtime::http::{json, CallError, Client};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_streamusher-data");
 
--- a/crates/dataplane/tests/relay.rs
+++ b/crates/dataplane/tests/relay.rs
@@ -16,14 +16,14 @@
 use streamusher_dataplane::core::CoreLink;
 use streamusher_dataplane::gate::relay::Relay;
 use streamusher_dataplane::gate::Gate;
-use streamusher_node::clock;
-use streamusher_node::http::{
-    empty, json as answer_json, parse_json, text, Answer, Call, Outbox, Server, ServerHandle,
-    ServerLimits,
-};
 use streamusher_protocol::internal::{
     ClusterView, NotPrimary, CLUSTER_PATH, GATE_LEASE_PATH, RELAY_PATH, STATUS_PATH,
 };
+use streamusher_runtime::clock;
+use streamusher_runtime::http::{
+    empty, json as answer_json, parse_json, text, Answer, Call, Outbox, Server, ServerHandle,
+    ServerLimits,
+};
 use tokio::task::{spawn_local, JoinHandle};
 
 /// How often the stand-in tells its state machine the time.
--- a/crates/dataplane/tests/takeover.rs
+++ b/crates/dataplane/tests/takeover.rs
@@ -10,8 +10,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 use streamusher_dataplane::core::{CoreLink, Outcome};
-use streamusher_node::http::{json, parse_json, Answer, Call, Server, ServerLimits};
 use streamusher_protocol::internal::{ClusterView, ClusterWatch, CLUSTER_PATH, CLUSTER_WATCH_PATH};
+use streamusher_runtime::http::{json, parse_json, Answer, Call, Server, ServerLimits};
 use tokio::sync::Notify;
 
 const CALLED_PATH: &str = "/called";
--- a/crates/share-debt/tests/book.rs
+++ b/crates/fair-share/tests/book.rs
@@ -4,8 +4,8 @@
 
 use rstest::rstest;
 use std::collections::BTreeSet;
+use streamusher_fair_share::{Charge, DebtBook, Settings, SettingsError, Version};
 use streamusher_protocol::heartbeat::Resources;
-use streamusher_share_debt::{Charge, DebtBook, Settings, SettingsError, Version};
 use support::*;
 
 const HALF_LIFE: u64 = 60_000;
@@ -354,7 +354,7 @@
     book.advance(u64::MAX);
     book.ended(u64::MAX, &run(1), Charge::Kept(u64::MAX));
     let _ = book.order_key("a", u32::MAX, u64::MAX);
-    let _ = streamusher_share_debt::bounds::largest_inversion_ms(&wild, u64::MAX);
+    let _ = streamusher_fair_share::bounds::largest_inversion_ms(&wild, u64::MAX);
 }
 
 #[test]
--- a/crates/share-debt/tests/debt.rs
+++ b/crates/fair-share/tests/debt.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use rstest::rstest;
-use streamusher_share_debt::debt::{Debt, WINDOW};
+use streamusher_fair_share::debt::{Debt, WINDOW};
 use support::exact::{self, Use};
 
 fn uses(rng: &mut Pcg32, half_life: u64) -> Vec<Use> {
--- a/crates/share-debt/tests/follower.rs
+++ b/crates/fair-share/tests/follower.rs
@@ -2,8 +2,8 @@
 
 mod support;
 
-use streamusher_share_debt::follower::Taken;
-use streamusher_share_debt::{DebtBook, Follower, Settings, Version};
+use streamusher_fair_share::follower::Taken;
+use streamusher_fair_share::{DebtBook, Follower, Settings, Version};
 use support::*;
 
 const HALF_LIFE: u64 = 60_000;
@@ -129,7 +129,7 @@
     // The same version, told by a node that knows its age less well, and one that knows it better.
     follower.take(
         11_000,
-        &streamusher_share_debt::Update {
+        &streamusher_fair_share::Update {
             age_ms: 9_000,
             ..book.update_since(2_400, None)
         },
@@ -174,7 +174,7 @@
     let update = book.update_since(1_234, None);
     let text = serde_json::to_string(&update).expect("text");
     assert_eq!(
-        serde_json::from_str::<streamusher_share_debt::Update>(&text).expect("an update"),
+        serde_json::from_str::<streamusher_fair_share::Update>(&text).expect("an update"),
         update
     );
 }
--- a/crates/share-debt/tests/ranking.rs
+++ b/crates/fair-share/tests/ranking.rs
@@ -5,7 +5,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::BTreeSet;
-use streamusher_share_debt::{Charge, DebtBook, Settings};
+use streamusher_fair_share::{Charge, DebtBook, Settings};
 use support::*;
 
 const HALF_LIFE: u64 = 60_000;
--- a/crates/share-debt/tests/support/simulation.rs
+++ b/crates/fair-share/tests/support/simulation.rs
@@ -4,8 +4,8 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
-use streamusher_share_debt::bounds::largest_inversion_ms;
-use streamusher_share_debt::{Charge, DebtBook, Follower, Settings, Update, Version};
+use streamusher_fair_share::bounds::largest_inversion_ms;
+use streamusher_fair_share::{Charge, DebtBook, Follower, Settings, Update, Version};
 
 const STEP_MS: u64 = 100;
 const DAY_MS: u64 = 90_000;
--- a/crates/roster/benches/roster.rs
+++ b/crates/inventory/benches/roster.rs
@@ -1,16 +1,16 @@
 //! Reading 5,000 hosts in each form, and what a change costs: 1 of 5,000 workers, and all of them.
 //!
-//! `cargo bench -p streamusher-roster`
+//! `cargo bench -p streamusher-inventory`
 
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion};
 use std::hint::black_box;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use streamusher_roster::host::{Host, Known};
-use streamusher_roster::membership::{Membership, Rules};
-use streamusher_roster::read::{read, Source};
-use streamusher_roster::write::{write, To};
+use streamusher_inventory::host::{Host, Known};
+use streamusher_inventory::membership::{Membership, Rules};
+use streamusher_inventory::read::{read, Source};
+use streamusher_inventory::write::{write, To};
 
 struct One(String);
 
--- a/crates/roster/src/lib.rs
+++ b/crates/inventory/src/lib.rs
@@ -7,7 +7,7 @@
 //!
 //! ```
 //! use std::{io, path::{Path, PathBuf}};
-//! use streamusher_roster::{host::Known, read::{read, Source}};
+//! use streamusher_inventory::{host::Known, read::{read, Source}};
 //!
 //! struct One(&'static str);
 //! impl Source for One {
--- a/crates/roster/tests/corpus.rs
+++ b/crates/inventory/tests/corpus.rs
@@ -5,12 +5,12 @@
 use std::collections::BTreeMap;
 use std::io;
 use std::path::{Path, PathBuf};
-use streamusher_roster::ansible::expand;
-use streamusher_roster::diff::Diff;
-use streamusher_roster::host::{Host, Known};
-use streamusher_roster::problem::Problems;
-use streamusher_roster::read::{read, Roster, Source};
-use streamusher_roster::write::{write, To};
+use streamusher_inventory::ansible::expand;
+use streamusher_inventory::diff::Diff;
+use streamusher_inventory::host::{Host, Known};
+use streamusher_inventory::problem::Problems;
+use streamusher_inventory::read::{read, Roster, Source};
+use streamusher_inventory::write::{write, To};
 
 /// Files in memory.
 struct Files(BTreeMap<PathBuf, Vec<u8>>);
--- a/crates/roster/tests/membership.rs
+++ b/crates/inventory/tests/membership.rs
@@ -2,8 +2,8 @@
 
 use proptest::prelude::*;
 use std::collections::BTreeMap;
-use streamusher_roster::host::Host;
-use streamusher_roster::membership::{Membership, Refused, Rules, State};
+use streamusher_inventory::host::Host;
+use streamusher_inventory::membership::{Membership, Refused, Rules, State};
 
 const SECOND: u64 = 1_000_000;
 
@@ -140,7 +140,7 @@
     let mut one = hosts(0..5_000);
     one[77].weight = 2.0;
     assert_eq!(m.word(SECOND, 0, one, false), Ok(true));
-    let weight = |s: &streamusher_roster::membership::Set| s.seats["core-77"].host.weight;
+    let weight = |s: &streamusher_inventory::membership::Set| s.seats["core-77"].host.weight;
     assert_eq!((weight(&old), weight(m.set())), (1.0, 2.0));
     let all: Vec<Host> = (0..5_000).map(|n| host(n, 7_000, 3.0)).collect();
     m.word(2 * SECOND, 0, all, false).unwrap();
--- a/crates/ledger/src/receipts.rs
+++ b/crates/ledger/src/receipts.rs
@@ -4,7 +4,7 @@
 use crate::store::{Doubt, Settle, Store, StoreError};
 use std::collections::HashSet;
 use std::path::Path;
-use streamusher_quotes::{Quotes, Watched};
+use streamusher_csv_quotes::{Quotes, Watched};
 
 /// Why doubts could not be settled.
 #[derive(Debug, thiserror::Error)]
--- a/crates/node/tests/answers.rs
+++ b/crates/runtime/tests/answers.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use streamusher_node::http::{Answer, Call, CallError, Client};
-use streamusher_node::runtime;
+use streamusher_runtime::http::{Answer, Call, CallError, Client};
+use streamusher_runtime::runtime;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
--- a/crates/node/tests/http.rs
+++ b/crates/runtime/tests/http.rs
@@ -7,10 +7,10 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use streamusher_node::http::{
+use streamusher_runtime::http::{
     json, parse_json, text, Answer, Call, CallError, Client, Server, ServerHandle, ServerLimits,
 };
-use streamusher_node::runtime;
+use streamusher_runtime::runtime;
 use tokio::sync::Notify;
 use tokio::task::JoinHandle;
 
--- a/crates/node/tests/logs.rs
+++ b/crates/runtime/tests/logs.rs
@@ -1,7 +1,7 @@
 //! The logger of a process: what is written, and what is kept for the status. One test, as a process has one logger.
 
 use log::LevelFilter;
-use streamusher_node::logs;
+use streamusher_runtime::logs;
 
 #[test]
 fn given_warnings_and_lower_lines_then_the_newest_warning_is_kept_and_libraries_are_quiet() {
--- a/crates/node/tests/outbox.rs
+++ b/crates/runtime/tests/outbox.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
-use streamusher_node::http::{empty, parse_json, Call, Outbox, Server, ServerLimits};
-use streamusher_node::runtime;
+use streamusher_runtime::http::{empty, parse_json, Call, Outbox, Server, ServerLimits};
+use streamusher_runtime::runtime;
 use tokio::sync::Notify;
 
 const SOON: Duration = Duration::from_secs(20);
--- a/crates/node/tests/process.rs
+++ b/crates/runtime/tests/process.rs
@@ -1,11 +1,11 @@
 //! Command lines, clocks, signals and the bound on log lines.
 
 use rstest::rstest;
-use streamusher_node::clock;
-use streamusher_node::logs::bound::SiteBounds;
-use streamusher_node::logs::RateBound;
-use streamusher_node::options::{parse, Chosen, Invocation, OptionsError, Program};
-use streamusher_node::signals::{Signal, Signals};
+use streamusher_runtime::clock;
+use streamusher_runtime::logs::bound::SiteBounds;
+use streamusher_runtime::logs::RateBound;
+use streamusher_runtime::options::{parse, Chosen, Invocation, OptionsError, Program};
+use streamusher_runtime::signals::{Signal, Signals};
 
 const PROGRAM: Program = Program {
     name: "tool",
@@ -122,7 +122,7 @@
 ) {
     let time = std::time::UNIX_EPOCH + std::time::Duration::from_millis(unix_ms);
 
-    assert_eq!(streamusher_node::logs::layout::utc(time), text);
+    assert_eq!(streamusher_runtime::logs::layout::utc(time), text);
 }
 
 #[rstest]
@@ -160,7 +160,7 @@
 
 #[test]
 fn given_a_signal_when_raised_then_it_is_heard() {
-    streamusher_node::runtime::block_on(async {
+    streamusher_runtime::runtime::block_on(async {
         let mut signals = Signals::new().unwrap();
 
         signal_hook::low_level::raise(signal_hook::consts::SIGHUP).unwrap();
--- a/crates/node/tests/settings.rs
+++ b/crates/runtime/tests/settings.rs
@@ -1,7 +1,7 @@
 //! The settings file: what is read, what is ignored, and what errors say.
 
 use rstest::rstest;
-use streamusher_node::settings::{parse, MachineLimits, Settings, SettingsError};
+use streamusher_runtime::settings::{parse, MachineLimits, Settings, SettingsError};
 
 const GIVEN: &str = r#"
 node_name = "front-1"
@@ -128,9 +128,10 @@
 
 #[test]
 fn given_no_file_when_loaded_then_the_error_names_the_variable() {
-    let error =
-        streamusher_node::settings::load_from(std::path::Path::new("/nonexistent/settings.toml"))
-            .unwrap_err();
+    let error = streamusher_runtime::settings::load_from(std::path::Path::new(
+        "/nonexistent/settings.toml",
+    ))
+    .unwrap_err();
 
     assert!(
         error.to_string().contains("STREAMUSHER_SETTINGS"),
--- a/crates/scheduler/src/explain.rs
+++ b/crates/scheduler/src/explain.rs
@@ -4,12 +4,12 @@
 use crate::scheduler::Scheduler;
 use serde::Serialize;
 use std::sync::Arc;
+use streamusher_fair_share::Shown;
 use streamusher_placement::WaitingUnit;
 use streamusher_protocol::job::JobState;
 use streamusher_protocol::task::{JobId, TaskId};
 use streamusher_protocol::unit::{StepId, UnitId, WorkerId};
 use streamusher_protocol::Millis;
-use streamusher_share_debt::Shown;
 
 /// Runs and waiting units of a job that are listed; the rest is counted.
 const MOST_LISTED: usize = 50;
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -9,6 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use streamusher_configuration::ConfigurationStore;
+use streamusher_fair_share::Charge;
 use streamusher_jobs::JobBook;
 use streamusher_placement::{Decision, Placement, Policy, Release, WorkerInfo};
 use streamusher_protocol::heartbeat::WorkerState;
@@ -16,7 +17,6 @@
 use streamusher_protocol::task::{RunId, TaskId};
 use streamusher_protocol::unit::{Unit, UnitId, WorkerId};
 use streamusher_protocol::{Millis, Now};
-use streamusher_share_debt::Charge;
 
 /// Bounds of the deployment, from the settings file.
 #[derive(Clone, Copy, Debug)]
@@ -69,7 +69,7 @@
     /// For random choices.
     pub random_seed: u64,
     /// Debts by recent use order work within a priority; none: by time alone.
-    pub share_debt: Option<streamusher_share_debt::Settings>,
+    pub share_debt: Option<streamusher_fair_share::Settings>,
     /// The mechanisms that take part in decisions.
     pub policy: Policy,
 }
--- a/crates/scheduler/src/share_debt.rs
+++ b/crates/scheduler/src/share_debt.rs
@@ -3,12 +3,12 @@
 use crate::scheduler::Scheduler;
 use serde_json::json;
 use std::sync::Arc;
+use streamusher_fair_share::{Charge, DebtBook, Settings, Shown, Version};
 use streamusher_protocol::heartbeat::Resources;
 use streamusher_protocol::job::JobState;
 use streamusher_protocol::task::{JobId, RunEnd, RunId};
 use streamusher_protocol::unit::{Unit, UnitId};
 use streamusher_protocol::Millis;
-use streamusher_share_debt::{Charge, DebtBook, Settings, Shown, Version};
 
 /// Waiting units that are looked at after each watch: bounded work, however many wait.
 const LOOKED_AT: usize = 256;
--- a/crates/scheduler/tests/share_debt.rs
+++ b/crates/scheduler/tests/share_debt.rs
@@ -15,10 +15,10 @@
 const CHECK: &str = "00000000000000b1";
 
 fn with_debts() -> Settings {
-    let debts = streamusher_share_debt::Settings {
+    let debts = streamusher_fair_share::Settings {
         most_delay_ms: 60_000,
         half_delay_core_s: 10,
-        ..streamusher_share_debt::Settings::with_half_life(60_000)
+        ..streamusher_fair_share::Settings::with_half_life(60_000)
     };
     Settings {
         share_debt: Some(debts),
--- a/src/command/ledger.rs
+++ b/src/command/ledger.rs
@@ -10,13 +10,13 @@
 use serde::Serialize;
 use serde_json::json;
 use std::path::PathBuf;
+use streamusher_inventory::host::Known;
 use streamusher_ledger::correction::{About, Correction};
 use streamusher_ledger::export::{export, lines, Line};
 use streamusher_ledger::period::{moment, Period};
 use streamusher_ledger::store::{Settle, Store};
 use streamusher_ledger::sums::Use;
 use streamusher_ledger::{key, receipts, scan};
-use streamusher_roster::host::Known;
 
 type Done = Result<(), Failure>;
 
--- a/src/command/servers.rs
+++ b/src/command/servers.rs
@@ -8,12 +8,12 @@
 use serde_json::json;
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
-use streamusher_roster::diff::Diff;
-use streamusher_roster::disk::Disk;
-use streamusher_roster::host::{Host, Known};
-use streamusher_roster::problem::Problems;
-use streamusher_roster::read::{read, Roster};
-use streamusher_roster::write::{write, To};
+use streamusher_inventory::diff::Diff;
+use streamusher_inventory::disk::Disk;
+use streamusher_inventory::host::{Host, Known};
+use streamusher_inventory::problem::Problems;
+use streamusher_inventory::read::{read, Roster};
+use streamusher_inventory::write::{write, To};
 
 #[derive(Args)]
 pub(super) struct Servers {
@@ -71,7 +71,7 @@
     file: String,
     hosts: usize,
     notes: Vec<String>,
-    problems: Vec<streamusher_roster::problem::Problem>,
+    problems: Vec<streamusher_inventory::problem::Problem>,
     more: usize,
 }
 
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -15,7 +15,7 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
-use streamusher_roster::host::Known;
+use streamusher_inventory::host::Known;
 
 /// Everything that the program is told at its start.
 pub struct Config {
--- a/src/config/operators.rs
+++ b/src/config/operators.rs
@@ -9,10 +9,10 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
+use streamusher_inventory::host::Known;
 use streamusher_ledger::gate::OnFailure;
 use streamusher_ledger::period::Span;
 use streamusher_ledger::store::Settle;
-use streamusher_roster::host::Known;
 
 /// All that the file says.
 #[derive(Clone, Debug, Default)]
--- a/src/servers.rs
+++ b/src/servers.rs
@@ -3,9 +3,9 @@
 use crate::core::Member;
 use crate::interface::Stage;
 use std::path::Path;
-use streamusher_roster::disk::Disk;
-use streamusher_roster::host::{Host, Known};
-use streamusher_roster::read::read;
+use streamusher_inventory::disk::Disk;
+use streamusher_inventory::host::{Host, Known};
+use streamusher_inventory::read::read;
 
 /// Reads an inventory, whole or not at all. The message names file, line, host and key of the first mistake, and how
 /// many more there are; `streamusher servers check` tells all.
--- a/tests/middleware.rs
+++ b/tests/middleware.rs
@@ -9,7 +9,7 @@
 use streamusher::config::{operators::TenantsConfig, Config, Drmaa};
 use streamusher::core::tenants::{Tenant, Tenants};
 use streamusher::{handle::Handle, middleware::DispatchLayer, servers};
-use streamusher_roster::host::Known;
+use streamusher_inventory::host::Known;
 use support::{config, Files, Sent, Shed, LONG};
 use tower::ServiceExt;
 
