--- a/crates/ledger/src/scan.rs
+++ b/crates/ledger/src/scan.rs
@@ -52,7 +52,7 @@
             match name.ends_with(".json") && !name.starts_with('.') {
                 true => names.push(path),
                 false if name.ends_with(".ledger.zst") && !name.starts_with('.') => {
-                    drop(files.insert(name))
+                    files.insert(name);
                 }
                 false => {}
             }
