--- a/src/net/route.rs
+++ b/src/net/route.rs
@@ -163,7 +163,7 @@
                     Ok(lent) => break lent,
                     // A cancel is owed: it waits for a descriptor. A probe is not.
                     Err(Ending::NeverSent) if what == Use::Cancel => {
-                        drop(Timer::after(AGAIN).await)
+                        Timer::after(AGAIN).await;
                     }
                     Err(_) => return None,
                 }
