--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -28,4 +28,4 @@
 pub use error::{ConfigurationError, RecordError};
 pub use file::check_file;
 pub use routes::RouteTable;
-pub use store::{ConfigurationStore, Outcome};
+pub use store::{ChangeOutcome, ConfigurationStore};
--- a/crates/configuration/src/order.rs
+++ b/crates/configuration/src/order.rs
@@ -19,7 +19,7 @@
 
 /// The two kinds of change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OrderKind {
+pub enum ChangeKind {
     /// A whole configuration.
     Replace,
     /// A change of named items.
@@ -27,10 +27,10 @@
 }
 
 /// The key of an order's record: the same for the same kind, base version and body, on every machine and for ever.
-pub fn order_key(kind: OrderKind, base: u64, body: &str) -> Arc<str> {
+pub fn order_key(kind: ChangeKind, base: u64, body: &str) -> Arc<str> {
     let kind = match kind {
-        OrderKind::Replace => b"r",
-        OrderKind::Update => b"u",
+        ChangeKind::Replace => b"r",
+        ChangeKind::Update => b"u",
     };
     let digest = Sha256::new()
         .chain_update(kind)
@@ -46,7 +46,7 @@
 
 /// An order that was taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TakenOrder {
+pub struct AppliedChange {
     /// The version that it made.
     pub version: u64,
     /// The version on which it built.
@@ -57,12 +57,12 @@
 
 /// The orders that were taken, by key and by the version that they made.
 #[derive(Clone, Debug, Default)]
-pub struct TakenOrders {
-    by_key: HashMap<Arc<str>, TakenOrder>,
+pub struct AppliedChanges {
+    by_key: HashMap<Arc<str>, AppliedChange>,
     by_version: BTreeMap<u64, Arc<str>>,
 }
 
-impl TakenOrders {
+impl AppliedChanges {
     /// How many are kept.
     pub fn len(&self) -> usize {
         self.by_key.len()
@@ -98,8 +98,8 @@
     }
 
     /// Keeps an order; returns what to write for it and for those that are dropped.
-    pub fn take(&mut self, key: Arc<str>, order: TakenOrder) -> Vec<Write> {
-        let TakenOrder {
+    pub fn take(&mut self, key: Arc<str>, order: AppliedChange) -> Vec<Write> {
+        let AppliedChange {
             version,
             base,
             length,
@@ -130,7 +130,7 @@
         Ok(())
     }
 
-    fn insert(&mut self, key: Arc<str>, order: TakenOrder) {
+    fn insert(&mut self, key: Arc<str>, order: AppliedChange) {
         self.by_version.insert(order.version, key.clone());
         self.by_key.insert(key, order);
     }
--- a/crates/configuration/src/refusal.rs
+++ b/crates/configuration/src/refusal.rs
@@ -21,11 +21,11 @@
 
 /// Refused orders that build on versions to come, by key, with the version on which each builds.
 #[derive(Clone, Debug, Default)]
-pub struct Refusals {
+pub struct RejectedChanges {
     by_key: BTreeMap<Arc<str>, u64>,
 }
 
-impl Refusals {
+impl RejectedChanges {
     /// Whether the order with this key was refused.
     pub fn contains(&self, order: &str) -> bool {
         !self.by_key.is_empty() && self.by_key.contains_key(&refusal_key(order))
--- a/crates/configuration/src/relay/archive.rs
+++ b/crates/configuration/src/relay/archive.rs
@@ -1,6 +1,6 @@
 //! The newest configuration as text, with the latest changes for those that lack only these.
 
-use super::message::{Change, RelayMessage};
+use super::message::{ConfigurationDelta, RelayMessage};
 use super::{KEPT_CHANGES, PUSHED_BYTES};
 use crate::document::apply;
 use crate::error::ConfigurationError;
@@ -16,7 +16,7 @@
     version: u64,
     text: Option<Arc<RawValue>>,
     /// Each builds on the one before; the last one made the text.
-    changes: VecDeque<Change>,
+    changes: VecDeque<ConfigurationDelta>,
     /// Their length together, in bytes.
     changes_bytes: usize,
 }
@@ -42,7 +42,7 @@
     }
 
     /// Takes a change and the text that it made.
-    pub fn set_changed(&mut self, change: Change, text: Arc<RawValue>) {
+    pub fn set_changed(&mut self, change: ConfigurationDelta, text: Arc<RawValue>) {
         self.version = change.version;
         self.changes_bytes += change.update.get().len();
         self.changes.push_back(change);
@@ -85,7 +85,7 @@
 /// Where the change, or what it makes, cannot be read or is of another version.
 pub fn changed(
     base: &RawValue,
-    change: &Change,
+    change: &ConfigurationDelta,
 ) -> Result<(Arc<RawValue>, Arc<Configuration>), ConfigurationError> {
     let text = apply(base.get(), change.update.get())?;
     let text = RawValue::from_string(text).map_err(|error| ConfigurationError::Unreadable {
--- a/crates/configuration/src/relay/distribution.rs
+++ b/crates/configuration/src/relay/distribution.rs
@@ -1,11 +1,11 @@
 //! The primary's end of the relay tree for the time of one primary: its root, and the members' leases.
 
-use super::leases::Leases;
-use super::message::{Change, Envelope, Send};
+use super::leases::MemberLeases;
+use super::message::{ConfigurationDelta, OutboundMessage, RelayEnvelope};
 use super::root::RelayRoot;
 use serde_json::value::RawValue;
 use std::sync::Arc;
-use streamusher_protocol::internal::{GateLease, GateLeaseReply};
+use streamusher_protocol::internal::{GateLeaseRequest, GateLeaseResponse};
 use streamusher_protocol::Millis;
 
 /// A configuration that is committed.
@@ -21,17 +21,17 @@
 
 /// Root and leases of one primary.
 #[derive(Clone, Debug)]
-pub struct Distribution {
+pub struct ConfigurationPublisher {
     root: RelayRoot,
-    leases: Leases,
+    leases: MemberLeases,
 }
 
-impl Distribution {
+impl ConfigurationPublisher {
     /// That of a primary that begins now.
-    pub fn new(epoch: u64, now: Millis) -> Distribution {
-        Distribution {
+    pub fn new(epoch: u64, now: Millis) -> ConfigurationPublisher {
+        ConfigurationPublisher {
             root: RelayRoot::new(epoch, now),
-            leases: Leases::new(epoch, now),
+            leases: MemberLeases::new(epoch, now),
         }
     }
 
@@ -46,23 +46,23 @@
     }
 
     /// The leases of the members.
-    pub fn leases(&self) -> &Leases {
+    pub fn leases(&self) -> &MemberLeases {
         &self.leases
     }
 
     /// Renews a lease.
-    pub fn lease(&mut self, now: Millis, lease: &GateLease) -> GateLeaseReply {
+    pub fn lease(&mut self, now: Millis, lease: &GateLeaseRequest) -> GateLeaseResponse {
         self.leases.renew(now, &lease.address);
         let configuration = self.version();
         let Some(roster) = self.leases.roster() else {
-            return GateLeaseReply {
+            return GateLeaseResponse {
                 configuration,
-                ..GateLeaseReply::default()
+                ..GateLeaseResponse::default()
             };
         };
         let is_known = lease.roster == roster.version;
         let members = (!is_known).then(|| roster.members.clone());
-        GateLeaseReply {
+        GateLeaseResponse {
             configuration,
             roster: roster.version,
             members,
@@ -70,7 +70,7 @@
     }
 
     /// Publishes a committed configuration. One whose text is no JSON was never committed, and is passed over.
-    pub fn publish(&mut self, published: &Published) -> Vec<Send> {
+    pub fn publish(&mut self, published: &Published) -> Vec<OutboundMessage> {
         let Some(text) = raw(&published.text) else {
             return Vec::new();
         };
@@ -81,7 +81,7 @@
             .and_then(|(base, update)| Some((*base, raw(update)?)))
         {
             Some((base, update)) => self.root.publish_change(
-                Change {
+                ConfigurationDelta {
                     base,
                     version,
                     update,
@@ -93,7 +93,7 @@
     }
 
     /// Takes messages of a member.
-    pub fn receive(&mut self, now: Millis, envelope: Envelope) -> Vec<Send> {
+    pub fn receive(&mut self, now: Millis, envelope: RelayEnvelope) -> Vec<OutboundMessage> {
         let from = envelope.from;
         let messages = envelope.messages.into_iter();
         messages
@@ -102,7 +102,7 @@
     }
 
     /// Does what is due.
-    pub fn tick(&mut self, now: Millis) -> Vec<Send> {
+    pub fn tick(&mut self, now: Millis) -> Vec<OutboundMessage> {
         if let Some(roster) = self.leases.tick(now) {
             self.root.set_roster(roster);
         }
--- a/crates/configuration/src/relay/downstream.rs
+++ b/crates/configuration/src/relay/downstream.rs
@@ -1,6 +1,6 @@
 //! Those that a process tells: its children by the roster, and those that have asked it.
 
-use super::message::{Peer, Pulse, RelayMessage, Send};
+use super::message::{OutboundMessage, RelayMessage, RelayPeer, RootHeartbeat};
 use super::{ADOPTION, HEARTBEAT_INTERVAL};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,9 +9,9 @@
 /// Receivers of heartbeats and updates.
 #[derive(Clone, Debug)]
 pub struct Downstream {
-    children: Vec<Peer>,
+    children: Vec<RelayPeer>,
     /// Until when each of the others is told.
-    adopted: BTreeMap<Peer, Millis>,
+    adopted: BTreeMap<RelayPeer, Millis>,
     next_heartbeat: Millis,
 }
 
@@ -27,17 +27,17 @@
 
     /// Takes the children of a new roster; former ones ask if nobody else tells them.
     pub fn set_children(&mut self, children: Vec<Arc<str>>) {
-        self.children = children.into_iter().map(Peer::Member).collect();
+        self.children = children.into_iter().map(RelayPeer::Member).collect();
         self.adopted.retain(|peer, _| !self.children.contains(peer));
     }
 
     /// All that are told now: children, and those that have asked.
-    pub fn receivers(&self) -> impl Iterator<Item = &Peer> {
+    pub fn receivers(&self) -> impl Iterator<Item = &RelayPeer> {
         self.children.iter().chain(self.adopted.keys())
     }
 
     /// Takes note that this one asked; returns whether it is adopted rather than a child.
-    pub fn asked(&mut self, now: Millis, peer: &Peer) -> bool {
+    pub fn asked(&mut self, now: Millis, peer: &RelayPeer) -> bool {
         if self.children.contains(peer) {
             return false;
         }
@@ -64,15 +64,20 @@
     }
 
     /// Heartbeats to all.
-    pub fn heartbeats(&self, version: u64, pulse: Pulse, ask: bool) -> Vec<Send> {
+    pub fn heartbeats(
+        &self,
+        version: u64,
+        pulse: RootHeartbeat,
+        ask: bool,
+    ) -> Vec<OutboundMessage> {
         let children = self.children.clone();
         let others = self.adopted.keys().cloned().collect();
         let groups = [(children, false), (others, true)];
         let filled = groups
             .into_iter()
-            .filter(|(to, _): &(Vec<Peer>, bool)| !to.is_empty());
+            .filter(|(to, _): &(Vec<RelayPeer>, bool)| !to.is_empty());
         filled
-            .map(|(to, adopted)| Send {
+            .map(|(to, adopted)| OutboundMessage {
                 to,
                 message: RelayMessage::Heartbeat {
                     version,
@@ -85,12 +90,16 @@
     }
 
     /// A message to all but one.
-    pub fn tell(&self, message: RelayMessage, except: Option<&Peer>) -> Option<Send> {
-        let to: Vec<Peer> = self
+    pub fn tell(
+        &self,
+        message: RelayMessage,
+        except: Option<&RelayPeer>,
+    ) -> Option<OutboundMessage> {
+        let to: Vec<RelayPeer> = self
             .receivers()
             .filter(|peer| Some(*peer) != except)
             .cloned()
             .collect();
-        (!to.is_empty()).then_some(Send { to, message })
+        (!to.is_empty()).then_some(OutboundMessage { to, message })
     }
 }
--- a/crates/configuration/src/relay/leases.rs
+++ b/crates/configuration/src/relay/leases.rs
@@ -2,7 +2,7 @@
 //!
 //! Kept in memory only: members renew at a new primary at once, which waits [`GATHERING`] for them.
 
-use super::tree::Roster;
+use super::tree::RelayMembership;
 use super::{GATHERING, LEASE, ROSTER_INTERVAL};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,21 +13,21 @@
 
 /// The leases at one primary, and the roster that they make.
 #[derive(Clone, Debug)]
-pub struct Leases {
+pub struct MemberLeases {
     /// When each lease is over.
     until: BTreeMap<Arc<str>, Millis>,
-    roster: Roster,
+    roster: RelayMembership,
     /// When the roster may change next.
     next_roster: Millis,
 }
 
-impl Leases {
+impl MemberLeases {
     /// The leases of a primary that begins now. Its rosters are newer than those of any earlier epoch.
-    pub fn new(epoch: u64, now: Millis) -> Leases {
+    pub fn new(epoch: u64, now: Millis) -> MemberLeases {
         let version = epoch.saturating_add(1) << EPOCH_SHIFT;
-        Leases {
+        MemberLeases {
             until: BTreeMap::new(),
-            roster: Roster {
+            roster: RelayMembership {
                 version,
                 members: Vec::new(),
             },
@@ -46,12 +46,12 @@
     }
 
     /// The newest roster; none before the first one.
-    pub fn roster(&self) -> Option<&Roster> {
+    pub fn roster(&self) -> Option<&RelayMembership> {
         (!self.roster.members.is_empty()).then_some(&self.roster)
     }
 
     /// Ends leases that are over; gives the roster where it has changed.
-    pub fn tick(&mut self, now: Millis) -> Option<&Roster> {
+    pub fn tick(&mut self, now: Millis) -> Option<&RelayMembership> {
         if now < self.next_roster {
             return None;
         }
@@ -59,7 +59,7 @@
         if self.until.keys().eq(&self.roster.members) {
             return None;
         }
-        self.roster = Roster {
+        self.roster = RelayMembership {
             version: self.roster.version + 1,
             members: self.until.keys().cloned().collect(),
         };
--- a/crates/configuration/src/relay/message.rs
+++ b/crates/configuration/src/relay/message.rs
@@ -6,7 +6,7 @@
 
 /// One end of a message.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Peer {
+pub enum RelayPeer {
     /// The primary, wherever it is now.
     Core,
     /// A member, by its address.
@@ -15,7 +15,7 @@
 
 /// Rises with each heartbeat of the root and is passed down: who hears a newer one is connected to the root.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Pulse {
+pub struct RootHeartbeat {
     /// The primary's epoch.
     pub epoch: u64,
     /// Heartbeats of this primary.
@@ -24,7 +24,7 @@
 
 /// An operator's update that was taken.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Change {
+pub struct ConfigurationDelta {
     /// The version on which it builds.
     pub base: u64,
     /// The version that it makes.
@@ -41,14 +41,14 @@
         /// The sender's version; 0 for none.
         version: u64,
         /// The newest pulse that the sender knows.
-        pulse: Pulse,
+        pulse: RootHeartbeat,
         /// The receiver is no child by the sender's roster, and has to ask again within [`super::ADOPTION`].
         adopted: bool,
         /// The sender will not send this version unasked.
         ask: bool,
     },
     /// Down the tree: changes, each on top of the one before.
-    Changes(Vec<Change>),
+    Changes(Vec<ConfigurationDelta>),
     /// Down the tree: a whole configuration.
     Whole {
         /// Its version.
@@ -65,26 +65,26 @@
 
 /// The body of a call: messages of one sender, in the order in which they were sent.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Envelope {
+pub struct RelayEnvelope {
     /// The sender.
-    pub from: Peer,
+    pub from: RelayPeer,
     /// Its messages.
     pub messages: Vec<RelayMessage>,
 }
 
 /// A message to be sent to each of `to`.
 #[derive(Clone, Debug)]
-pub struct Send {
+pub struct OutboundMessage {
     /// The receivers.
-    pub to: Vec<Peer>,
+    pub to: Vec<RelayPeer>,
     /// The message.
     pub message: RelayMessage,
 }
 
-impl Send {
+impl OutboundMessage {
     /// To a single receiver.
-    pub fn one(to: Peer, message: RelayMessage) -> Send {
-        Send {
+    pub fn one(to: RelayPeer, message: RelayMessage) -> OutboundMessage {
+        OutboundMessage {
             to: vec![to],
             message,
         }
--- a/crates/configuration/src/relay/mod.rs
+++ b/crates/configuration/src/relay/mod.rs
@@ -4,12 +4,12 @@
 //! roster computes the same tree ([`tree::Tree`]). A change goes down as the operator's update, or whole where the receiver
 //! lacks its base. Three means make up for dead, frozen and cut members:
 //!
-//! - Each member sends heartbeats to its children, with its version and the newest [`Pulse`] of the root that it knows. Who
+//! - Each member sends heartbeats to its children, with its version and the newest [`RootHeartbeat`] of the root that it knows. Who
 //!   hears nothing for [`SILENCE`], or no newer pulse for [`STALL`], asks its ancestors one after the other, the core last.
 //! - Whoever is asked adopts the caller: it sends it heartbeats and updates too, until a heartbeat of its own parent ends that.
 //! - Who hears of a version that does not come asks for it.
 //!
-//! Members are those that renew a lease at the primary ([`Leases`]); its answers bring them the roster. [`Distribution`] joins
+//! Members are those that renew a lease at the primary ([`MemberLeases`]); its answers bring them the roster. [`ConfigurationPublisher`] joins
 //! root and leases for the time of one primary.
 //!
 //! Versions only rise within a life. Everything is told the time; nothing here draws random numbers or does I/O.
@@ -24,12 +24,14 @@
 pub mod tree;
 mod upstream;
 
-pub use distribution::{Distribution, Published};
-pub use leases::Leases;
-pub use message::{Change, Envelope, Peer, Pulse, RelayMessage, Send};
-pub use node::{Actions, RelayNode};
+pub use distribution::{ConfigurationPublisher, Published};
+pub use leases::MemberLeases;
+pub use message::{
+    ConfigurationDelta, OutboundMessage, RelayEnvelope, RelayMessage, RelayPeer, RootHeartbeat,
+};
+pub use node::{RelayActions, RelayNode};
 pub use root::RelayRoot;
-pub use tree::{Roster, Tree};
+pub use tree::{RelayMembership, Tree};
 
 use streamusher_protocol::Millis;
 
--- a/crates/configuration/src/relay/node.rs
+++ b/crates/configuration/src/relay/node.rs
@@ -2,8 +2,8 @@
 
 use super::archive::{changed, read, Archive};
 use super::downstream::Downstream;
-use super::message::{Change, Peer, RelayMessage, Send};
-use super::tree::{hash, Roster, Tree};
+use super::message::{ConfigurationDelta, OutboundMessage, RelayMessage, RelayPeer};
+use super::tree::{hash, RelayMembership, Tree};
 use super::upstream::Upstream;
 use super::{HEARTBEAT_INTERVAL, SILENCE};
 use serde_json::value::RawValue;
@@ -16,9 +16,9 @@
 
 /// What a member is to do now.
 #[derive(Debug, Default)]
-pub struct Actions {
+pub struct RelayActions {
     /// Messages to send. One that cannot be delivered is dropped.
-    pub sends: Vec<Send>,
+    pub sends: Vec<OutboundMessage>,
     /// A newer configuration, to act by from now on.
     pub configuration: Option<Arc<Configuration>>,
 }
@@ -73,17 +73,17 @@
     }
 
     /// Its parent by the roster.
-    pub fn parent(&self) -> Option<&Peer> {
+    pub fn parent(&self) -> Option<&RelayPeer> {
         self.upstream.parent()
     }
 
     /// Who tells it because it asked.
-    pub fn adopter(&self) -> Option<&Peer> {
+    pub fn adopter(&self) -> Option<&RelayPeer> {
         self.upstream.adopter()
     }
 
     /// Those that it tells.
-    pub fn receivers(&self) -> impl Iterator<Item = &Peer> {
+    pub fn receivers(&self) -> impl Iterator<Item = &RelayPeer> {
         self.downstream.receivers()
     }
 
@@ -93,9 +93,9 @@
     }
 
     /// Takes a roster; one that is not newer than the last one is passed over.
-    pub fn set_roster(&mut self, now: Millis, roster: &Roster) -> Actions {
+    pub fn set_roster(&mut self, now: Millis, roster: &RelayMembership) -> RelayActions {
         if self.roster.is_some_and(|version| version >= roster.version) {
-            return Actions::default();
+            return RelayActions::default();
         }
         let tree = Tree::new(roster);
         self.upstream
@@ -105,25 +105,30 @@
             self.upstream.ask_now(now);
         }
         self.roster = Some(roster.version);
-        self.finish(now, Actions::default())
+        self.finish(now, RelayActions::default())
     }
 
     /// Takes note that there is such a version, as learned elsewhere (in the primary's answer to a call).
-    pub fn heard_of(&mut self, now: Millis, version: u64) -> Actions {
+    pub fn heard_of(&mut self, now: Millis, version: u64) -> RelayActions {
         if version > self.version() {
             self.upstream.lacks(now, version, None, false);
         }
-        self.finish(now, Actions::default())
+        self.finish(now, RelayActions::default())
     }
 
     /// Does what is due.
-    pub fn tick(&mut self, now: Millis) -> Actions {
+    pub fn tick(&mut self, now: Millis) -> RelayActions {
         let actions = self.notice_freeze(now);
         self.finish(now, actions)
     }
 
     /// Takes a message.
-    pub fn receive(&mut self, now: Millis, from: &Peer, message: RelayMessage) -> Actions {
+    pub fn receive(
+        &mut self,
+        now: Millis,
+        from: &RelayPeer,
+        message: RelayMessage,
+    ) -> RelayActions {
         let woken = self.notice_freeze(now);
         let mut actions = match message {
             RelayMessage::Heartbeat {
@@ -136,7 +141,7 @@
                 if version > self.version() {
                     self.upstream.lacks(now, version, Some(from), ask);
                 }
-                Actions::default()
+                RelayActions::default()
             }
             RelayMessage::Changes(changes) => self.take_changes(now, from, &changes),
             RelayMessage::Whole { version, text } => self.take_whole(from, version, text),
@@ -147,8 +152,8 @@
     }
 
     /// Asks the parent at once after a freeze, before a heartbeat that waited meanwhile can make that seem needless.
-    fn notice_freeze(&mut self, now: Millis) -> Actions {
-        let mut actions = Actions::default();
+    fn notice_freeze(&mut self, now: Millis) -> RelayActions {
+        let mut actions = RelayActions::default();
         if now > self.called_by + SILENCE {
             self.upstream.ask_now(now);
             actions.sends.extend(self.questions(now));
@@ -157,7 +162,7 @@
     }
 
     /// Adds the questions and heartbeats that are due.
-    fn finish(&mut self, now: Millis, mut actions: Actions) -> Actions {
+    fn finish(&mut self, now: Millis, mut actions: RelayActions) -> RelayActions {
         actions.sends.extend(self.questions(now));
         if self.downstream.is_due(now) {
             actions.sends.extend(self.downstream.heartbeats(
@@ -170,16 +175,16 @@
         actions
     }
 
-    fn questions(&mut self, now: Millis) -> Option<Send> {
+    fn questions(&mut self, now: Millis) -> Option<OutboundMessage> {
         let to = self.upstream.due(now);
         let have = if self.is_damaged { 0 } else { self.version() };
-        (!to.is_empty()).then_some(Send {
+        (!to.is_empty()).then_some(OutboundMessage {
             to,
             message: RelayMessage::Ask { have },
         })
     }
 
-    fn answer(&mut self, now: Millis, from: &Peer, have: u64) -> Actions {
+    fn answer(&mut self, now: Millis, from: &RelayPeer, have: u64) -> RelayActions {
         if have > self.version() {
             self.upstream.lacks(now, have, None, false);
         }
@@ -193,15 +198,20 @@
         };
         let messages = std::iter::once(heartbeat).chain(self.archive.since(have));
         let sends = messages
-            .map(|message| Send::one(from.clone(), message))
+            .map(|message| OutboundMessage::one(from.clone(), message))
             .collect();
-        Actions {
+        RelayActions {
             sends,
             configuration: None,
         }
     }
 
-    fn take_changes(&mut self, now: Millis, from: &Peer, changes: &[Change]) -> Actions {
+    fn take_changes(
+        &mut self,
+        now: Millis,
+        from: &RelayPeer,
+        changes: &[ConfigurationDelta],
+    ) -> RelayActions {
         let had = self.version();
         let mut configuration = None;
         for change in changes.iter().filter(|change| change.version > had) {
@@ -215,7 +225,7 @@
     }
 
     /// Takes a change; none where its base is not here, or where it does not fit the text that is.
-    fn take_change(&mut self, change: &Change) -> Option<Arc<Configuration>> {
+    fn take_change(&mut self, change: &ConfigurationDelta) -> Option<Arc<Configuration>> {
         let base = self
             .archive
             .text()
@@ -228,14 +238,14 @@
         Some(configuration)
     }
 
-    fn take_whole(&mut self, from: &Peer, version: u64, text: Arc<RawValue>) -> Actions {
+    fn take_whole(&mut self, from: &RelayPeer, version: u64, text: Arc<RawValue>) -> RelayActions {
         let had = self.version();
         if version <= had {
-            return Actions::default();
+            return RelayActions::default();
         }
         // One that cannot be read is dropped; it is asked for again elsewhere, as its heartbeats tell of it.
         let Ok(configuration) = read(&text, version) else {
-            return Actions::default();
+            return RelayActions::default();
         };
         self.archive.set_whole(version, text);
         self.is_damaged = false;
@@ -247,12 +257,12 @@
         &mut self,
         had: u64,
         configuration: Option<Arc<Configuration>>,
-        from: &Peer,
-    ) -> Actions {
+        from: &RelayPeer,
+    ) -> RelayActions {
         let version = self.version();
         self.upstream.has(version);
         if version <= had {
-            return Actions::default();
+            return RelayActions::default();
         }
         let sends = match self.archive.pushed_since(had) {
             Some(message) => self
@@ -264,7 +274,7 @@
                 .downstream
                 .heartbeats(version, self.upstream.pulse(), true),
         };
-        Actions {
+        RelayActions {
             sends,
             configuration,
         }
--- a/crates/configuration/src/relay/root.rs
+++ b/crates/configuration/src/relay/root.rs
@@ -2,8 +2,8 @@
 
 use super::archive::Archive;
 use super::downstream::Downstream;
-use super::message::{Change, Peer, Pulse, RelayMessage, Send};
-use super::tree::{Roster, Tree};
+use super::message::{ConfigurationDelta, OutboundMessage, RelayMessage, RelayPeer, RootHeartbeat};
+use super::tree::{RelayMembership, Tree};
 use serde_json::value::RawValue;
 use std::sync::Arc;
 use streamusher_protocol::Millis;
@@ -11,7 +11,7 @@
 /// The state machine of the primary's end.
 #[derive(Clone, Debug)]
 pub struct RelayRoot {
-    pulse: Pulse,
+    pulse: RootHeartbeat,
     roster: Option<u64>,
     downstream: Downstream,
     archive: Archive,
@@ -22,7 +22,7 @@
     pub fn new(epoch: u64, now: Millis) -> RelayRoot {
         RelayRoot {
             // Above the pulse of those that have heard none, also in epoch 0.
-            pulse: Pulse { epoch, count: 1 },
+            pulse: RootHeartbeat { epoch, count: 1 },
             roster: None,
             downstream: Downstream::new(now),
             archive: Archive::default(),
@@ -35,7 +35,7 @@
     }
 
     /// Those that it tells.
-    pub fn receivers(&self) -> impl Iterator<Item = &Peer> {
+    pub fn receivers(&self) -> impl Iterator<Item = &RelayPeer> {
         self.downstream.receivers()
     }
 
@@ -45,7 +45,7 @@
     }
 
     /// Takes a roster; one that is not newer than the last one is passed over.
-    pub fn set_roster(&mut self, roster: &Roster) {
+    pub fn set_roster(&mut self, roster: &RelayMembership) {
         if self.roster.is_some_and(|version| version >= roster.version) {
             return;
         }
@@ -55,7 +55,7 @@
     }
 
     /// Publishes a configuration that is committed; one that is not newer is passed over.
-    pub fn publish(&mut self, version: u64, text: Arc<RawValue>) -> Vec<Send> {
+    pub fn publish(&mut self, version: u64, text: Arc<RawValue>) -> Vec<OutboundMessage> {
         let had = self.version();
         if version > had {
             self.archive.set_whole(version, text);
@@ -64,7 +64,11 @@
     }
 
     /// Publishes the committed result of an update.
-    pub fn publish_change(&mut self, change: Change, text: Arc<RawValue>) -> Vec<Send> {
+    pub fn publish_change(
+        &mut self,
+        change: ConfigurationDelta,
+        text: Arc<RawValue>,
+    ) -> Vec<OutboundMessage> {
         let had = self.version();
         if change.base != had {
             return self.publish(change.version, text);
@@ -76,7 +80,7 @@
     }
 
     /// Does what is due.
-    pub fn tick(&mut self, now: Millis) -> Vec<Send> {
+    pub fn tick(&mut self, now: Millis) -> Vec<OutboundMessage> {
         if !self.downstream.is_due(now) {
             return Vec::new();
         }
@@ -86,7 +90,12 @@
     }
 
     /// Takes a message; only questions come up the tree.
-    pub fn receive(&mut self, now: Millis, from: &Peer, message: RelayMessage) -> Vec<Send> {
+    pub fn receive(
+        &mut self,
+        now: Millis,
+        from: &RelayPeer,
+        message: RelayMessage,
+    ) -> Vec<OutboundMessage> {
         let RelayMessage::Ask { have } = message else {
             return Vec::new();
         };
@@ -100,11 +109,11 @@
         };
         let messages = std::iter::once(heartbeat).chain(self.archive.since(have));
         messages
-            .map(|message| Send::one(from.clone(), message))
+            .map(|message| OutboundMessage::one(from.clone(), message))
             .collect()
     }
 
-    fn tell(&mut self, had: u64) -> Vec<Send> {
+    fn tell(&mut self, had: u64) -> Vec<OutboundMessage> {
         let version = self.version();
         if version <= had {
             return Vec::new();
--- a/crates/configuration/src/relay/tree.rs
+++ b/crates/configuration/src/relay/tree.rs
@@ -2,14 +2,14 @@
 //!
 //! Members stand in the order of a hash of their address; the first [`FAN_OUT`] are the root's children, and so on.
 
-use super::message::Peer;
+use super::message::RelayPeer;
 use super::FAN_OUT;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
 /// The live processes of the data plane, as the core knows them by their leases.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Roster {
+pub struct RelayMembership {
     /// Rises with each change.
     pub version: u64,
     /// Their addresses, in any order.
@@ -24,7 +24,7 @@
 
 impl Tree {
     /// The tree of a roster.
-    pub fn new(roster: &Roster) -> Tree {
+    pub fn new(roster: &RelayMembership) -> Tree {
         let mut order: Vec<_> = roster
             .members
             .iter()
@@ -52,7 +52,7 @@
     ///
     /// One that is not in the roster yet stands where it would if it were. An ancestor thus always comes before in the
     /// agreed order, and members with different rosters never ask in a circle.
-    pub fn ancestors(&self, address: &str) -> Vec<Peer> {
+    pub fn ancestors(&self, address: &str) -> Vec<RelayPeer> {
         let mut ancestors = Vec::new();
         let mut place = self.place(address).unwrap_or_else(|place| place);
         while place >= FAN_OUT {
@@ -60,10 +60,10 @@
             ancestors.extend(
                 self.order
                     .get(place)
-                    .map(|(_, member)| Peer::Member(member.clone())),
+                    .map(|(_, member)| RelayPeer::Member(member.clone())),
             );
         }
-        ancestors.push(Peer::Core);
+        ancestors.push(RelayPeer::Core);
         ancestors
     }
 
--- a/crates/configuration/src/relay/upstream.rs
+++ b/crates/configuration/src/relay/upstream.rs
@@ -1,6 +1,6 @@
 //! Where a member gets its news from: notices silence, and says whom to ask and when.
 
-use super::message::{Peer, Pulse};
+use super::message::{RelayPeer, RootHeartbeat};
 use super::{
     ASK_TIMEOUT, FIRST_PAUSE, LACK_RETRY, LONGEST_PAUSE, RENEWAL, SILENCE, STALE_BEATS, STALL,
     UNDERWAY,
@@ -11,10 +11,10 @@
 #[derive(Clone, Debug)]
 pub struct Upstream {
     /// Parent first, the core last.
-    ancestors: Vec<Peer>,
+    ancestors: Vec<RelayPeer>,
     /// Added to [`STALL`], so that not all members ask at the same moment.
     jitter: Millis,
-    pulse: Pulse,
+    pulse: RootHeartbeat,
     /// When the pulse last rose.
     pulse_at: Millis,
     /// Last heartbeat of anyone who is not cut off.
@@ -29,7 +29,7 @@
 /// Who tells this member because it asked.
 #[derive(Clone, Debug)]
 struct Adopter {
-    peer: Peer,
+    peer: RelayPeer,
     heard_at: Millis,
     renewed_at: Millis,
 }
@@ -49,7 +49,7 @@
 struct Lack {
     version: u64,
     /// Who has it, where that is known.
-    holder: Option<Peer>,
+    holder: Option<RelayPeer>,
     /// Questions so far.
     asked: usize,
     /// When it is asked for next.
@@ -60,9 +60,9 @@
     /// One that knows of the core only.
     pub fn new(now: Millis, jitter: Millis) -> Upstream {
         Upstream {
-            ancestors: vec![Peer::Core],
+            ancestors: vec![RelayPeer::Core],
             jitter,
-            pulse: Pulse::default(),
+            pulse: RootHeartbeat::default(),
             pulse_at: now,
             heard_at: now,
             parent_at: None,
@@ -73,22 +73,22 @@
     }
 
     /// The parent by the newest roster; the core while there is none.
-    pub fn parent(&self) -> Option<&Peer> {
+    pub fn parent(&self) -> Option<&RelayPeer> {
         self.ancestors.first()
     }
 
     /// Who tells this member because it asked.
-    pub fn adopter(&self) -> Option<&Peer> {
+    pub fn adopter(&self) -> Option<&RelayPeer> {
         self.adopter.as_ref().map(|adopter| &adopter.peer)
     }
 
     /// The newest pulse.
-    pub fn pulse(&self) -> Pulse {
+    pub fn pulse(&self) -> RootHeartbeat {
         self.pulse
     }
 
     /// Takes the ancestors of a new roster. The new parent gets the usual time for its first heartbeat.
-    pub fn set_ancestors(&mut self, now: Millis, ancestors: Vec<Peer>) {
+    pub fn set_ancestors(&mut self, now: Millis, ancestors: Vec<RelayPeer>) {
         self.ancestors = ancestors;
         self.heard_at = now;
         if self.search.is_some() {
@@ -102,7 +102,7 @@
     }
 
     /// Takes note of a heartbeat.
-    pub fn heard(&mut self, now: Millis, from: &Peer, pulse: Pulse, adopted: bool) {
+    pub fn heard(&mut self, now: Millis, from: &RelayPeer, pulse: RootHeartbeat, adopted: bool) {
         if self.is_stale(pulse) {
             return;
         }
@@ -120,7 +120,7 @@
     }
 
     /// Takes note of a version that is newer than this member's. At once means that it will not come unasked.
-    pub fn lacks(&mut self, now: Millis, version: u64, holder: Option<&Peer>, at_once: bool) {
+    pub fn lacks(&mut self, now: Millis, version: u64, holder: Option<&RelayPeer>, at_once: bool) {
         let at = if at_once { now } else { now + UNDERWAY };
         match &mut self.lack {
             Some(lack) if lack.version >= version => {
@@ -157,7 +157,7 @@
     }
 
     /// Whom to ask now.
-    pub fn due(&mut self, now: Millis) -> Vec<Peer> {
+    pub fn due(&mut self, now: Millis) -> Vec<RelayPeer> {
         if self.search.is_none() && now >= self.patience_ends() {
             // The first one is the parent, which has just been found silent.
             self.search_from(1, now);
@@ -186,8 +186,8 @@
         others.fold(search, Millis::min)
     }
 
-    fn is_stale(&self, pulse: Pulse) -> bool {
-        let behind = Pulse {
+    fn is_stale(&self, pulse: RootHeartbeat) -> bool {
+        let behind = RootHeartbeat {
             epoch: pulse.epoch,
             count: pulse.count.saturating_add(STALE_BEATS),
         };
@@ -198,7 +198,7 @@
         Millis::min(self.heard_at + SILENCE, self.pulse_at + STALL + self.jitter)
     }
 
-    fn heard_adopter(&mut self, now: Millis, from: &Peer) {
+    fn heard_adopter(&mut self, now: Millis, from: &RelayPeer) {
         match &mut self.adopter {
             Some(adopter) if adopter.peer == *from => adopter.heard_at = now,
             Some(adopter) if now < adopter.heard_at + SILENCE => {}
@@ -221,7 +221,7 @@
         });
     }
 
-    fn due_search(&mut self, now: Millis) -> Option<Peer> {
+    fn due_search(&mut self, now: Millis) -> Option<RelayPeer> {
         let search = self.search.as_mut().filter(|search| now >= search.at)?;
         if let Some(peer) = self.ancestors.get(search.next) {
             search.next += 1;
@@ -234,16 +234,16 @@
         None
     }
 
-    fn due_lack(&mut self, now: Millis) -> Option<Peer> {
+    fn due_lack(&mut self, now: Millis) -> Option<RelayPeer> {
         let lack = self.lack.as_mut().filter(|lack| now >= lack.at)?;
-        let candidates: Vec<&Peer> = lack.holder.iter().chain(&self.ancestors).collect();
+        let candidates: Vec<&RelayPeer> = lack.holder.iter().chain(&self.ancestors).collect();
         let peer = candidates[lack.asked % candidates.len()].clone();
         lack.asked += 1;
         lack.at = now + LACK_RETRY;
         Some(peer)
     }
 
-    fn due_renewal(&mut self, now: Millis) -> Option<Peer> {
+    fn due_renewal(&mut self, now: Millis) -> Option<RelayPeer> {
         let adopter = self
             .adopter
             .as_mut()
--- a/crates/configuration/src/store.rs
+++ b/crates/configuration/src/store.rs
@@ -3,8 +3,8 @@
 use crate::checks::check;
 use crate::document;
 use crate::error::{ConfigurationError, RecordError};
-use crate::order::{order_key, OrderKind, TakenOrder, TakenOrders, ORDER_PREFIX};
-use crate::refusal::{Refusals, REFUSAL_PREFIX};
+use crate::order::{order_key, AppliedChange, AppliedChanges, ChangeKind, ORDER_PREFIX};
+use crate::refusal::{RejectedChanges, REFUSAL_PREFIX};
 use crate::relay::Published;
 use crate::routes::RouteTable;
 use crate::wire::{parse_configuration, WHITE_SPACE};
@@ -17,7 +17,7 @@
 
 /// What became of an order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Outcome {
+pub enum ChangeOutcome {
     /// It was taken: 200, once the writes are committed.
     Taken {
         /// The version that it made.
@@ -53,8 +53,8 @@
     current: Option<Current>,
     /// The version on which the current one builds and the update that made it, where it was an update.
     update: Option<(u64, Arc<str>)>,
-    orders: TakenOrders,
-    refusals: Refusals,
+    orders: AppliedChanges,
+    refusals: RejectedChanges,
     routes: RouteTable,
 }
 
@@ -94,13 +94,13 @@
     }
 
     /// Takes a whole configuration that builds on version `base`.
-    pub fn replace(&mut self, base: u64, body: &str) -> Outcome {
-        self.order(OrderKind::Replace, base, body)
+    pub fn replace(&mut self, base: u64, body: &str) -> ChangeOutcome {
+        self.order(ChangeKind::Replace, base, body)
     }
 
     /// Takes a change of named items that builds on version `base`.
-    pub fn update(&mut self, base: u64, body: &str) -> Outcome {
-        self.order(OrderKind::Update, base, body)
+    pub fn update(&mut self, base: u64, body: &str) -> ChangeOutcome {
+        self.order(ChangeKind::Update, base, body)
     }
 
     /// The newest configuration.
@@ -135,14 +135,14 @@
         &self.routes
     }
 
-    fn order(&mut self, kind: OrderKind, base: u64, body: &str) -> Outcome {
+    fn order(&mut self, kind: ChangeKind, base: u64, body: &str) -> ChangeOutcome {
         let key = order_key(kind, base, body);
         let known = self
             .orders
             .find(&key, base, body)
             .filter(|_| !cfg!(feature = "mutant-repeats"));
         if let Some(version) = known {
-            return Outcome::Again { version };
+            return ChangeOutcome::Again { version };
         }
         let current = self.version();
         if base != current || self.refusals.contains(&key) {
@@ -150,36 +150,36 @@
         }
         match self.result_of(kind, body) {
             Ok(next) => {
-                self.update = (kind == OrderKind::Update).then(|| (base, body.into()));
+                self.update = (kind == ChangeKind::Update).then(|| (base, body.into()));
                 self.take(key, base, body, next)
             }
-            Err(error) => Outcome::Invalid(error),
+            Err(error) => ChangeOutcome::Invalid(error),
         }
     }
 
     /// Refuses an order that does not build on the current version. A repeat that comes late must be refused as well, so one
     /// that builds on a version to come is remembered.
-    fn refuse(&mut self, order: &str, base: u64, current: u64) -> Outcome {
+    fn refuse(&mut self, order: &str, base: u64, current: u64) -> ChangeOutcome {
         if base < current && self.orders.may_have_forgotten(base) {
-            return Outcome::Undecided { current };
+            return ChangeOutcome::Undecided { current };
         }
         if base <= current || cfg!(feature = "mutant-refusals") {
-            return Outcome::Stale {
+            return ChangeOutcome::Stale {
                 current,
                 writes: Vec::new(),
             };
         }
         match self.refusals.refuse(order, base) {
-            Some(writes) => Outcome::Stale { current, writes },
-            None => Outcome::Undecided { current },
+            Some(writes) => ChangeOutcome::Stale { current, writes },
+            None => ChangeOutcome::Undecided { current },
         }
     }
 
     /// The configuration that an order makes, checked.
-    fn result_of(&self, kind: OrderKind, body: &str) -> Result<Current, ConfigurationError> {
+    fn result_of(&self, kind: ChangeKind, body: &str) -> Result<Current, ConfigurationError> {
         let text: Arc<str> = match kind {
-            OrderKind::Replace => body.trim_matches(WHITE_SPACE).into(),
-            OrderKind::Update => {
+            ChangeKind::Replace => body.trim_matches(WHITE_SPACE).into(),
+            ChangeKind::Update => {
                 let base = self.current.as_ref().map_or("{}", |current| &current.text);
                 document::apply(base, body)?.into()
             }
@@ -192,9 +192,9 @@
         })
     }
 
-    fn take(&mut self, key: Arc<str>, base: u64, body: &str, next: Current) -> Outcome {
+    fn take(&mut self, key: Arc<str>, base: u64, body: &str, next: Current) -> ChangeOutcome {
         let version = next.configuration.version;
-        let order = TakenOrder {
+        let order = AppliedChange {
             version,
             base,
             length: body.len() as u64,
@@ -203,7 +203,7 @@
         writes.extend(self.refusals.forget_below(version));
         writes.push(Write::set(CURRENT_KEY, next.text.clone()));
         self.set_current(next);
-        Outcome::Taken { version, writes }
+        ChangeOutcome::Taken { version, writes }
     }
 
     fn set_current(&mut self, next: Current) {
--- a/crates/configuration/tests/histories.rs
+++ b/crates/configuration/tests/histories.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use serde_json::{json, Map, Value};
-use streamusher_configuration::{ConfigurationStore, Outcome};
+use streamusher_configuration::{ChangeOutcome, ConfigurationStore};
 use support::{route, sample, service, Numbers, Records};
 
 const HISTORIES: u64 = 150;
@@ -234,17 +234,17 @@
         store.update(order.base, &order.body)
     };
     match outcome {
-        Outcome::Taken { version, writes } => {
+        ChangeOutcome::Taken { version, writes } => {
             records.commit(writes);
             Expected::Taken(version)
         }
-        Outcome::Again { version } => Expected::Again(version),
-        Outcome::Stale { current, writes } => {
+        ChangeOutcome::Again { version } => Expected::Again(version),
+        ChangeOutcome::Stale { current, writes } => {
             records.commit(writes);
             Expected::Stale(current)
         }
-        Outcome::Undecided { current } => panic!("undecided on {current}"),
-        Outcome::Invalid(_) => Expected::Invalid,
+        ChangeOutcome::Undecided { current } => panic!("undecided on {current}"),
+        ChangeOutcome::Invalid(_) => Expected::Invalid,
     }
 }
 
--- a/crates/configuration/tests/invalid.rs
+++ b/crates/configuration/tests/invalid.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use serde_json::{json, Value};
-use streamusher_configuration::{ConfigurationStore, Outcome};
+use streamusher_configuration::{ChangeOutcome, ConfigurationStore};
 use support::{read, sample, store_with};
 
 /// Sets one field of a configuration, named by a JSON pointer.
@@ -21,9 +21,9 @@
     configuration
 }
 
-fn refusal(outcome: Outcome) -> String {
+fn refusal(outcome: ChangeOutcome) -> String {
     match outcome {
-        Outcome::Invalid(error) => error.to_string(),
+        ChangeOutcome::Invalid(error) => error.to_string(),
         other => panic!("not refused as invalid: {other:?}"),
     }
 }
--- a/crates/configuration/tests/orders.rs
+++ b/crates/configuration/tests/orders.rs
@@ -3,13 +3,13 @@
 mod support;
 
 use serde_json::json;
-use streamusher_configuration::order::{order_key, OrderKind, MOST_ORDERS};
+use streamusher_configuration::order::{order_key, ChangeKind, MOST_ORDERS};
 use streamusher_configuration::refusal::MOST_REFUSALS;
-use streamusher_configuration::{ConfigurationStore, Outcome};
+use streamusher_configuration::{ChangeOutcome, ConfigurationStore};
 use support::{read, refuse, route, sample, service, store_with, take, Records};
 
-fn stale(current: u64) -> Outcome {
-    Outcome::Stale {
+fn stale(current: u64) -> ChangeOutcome {
+    ChangeOutcome::Stale {
         current,
         writes: Vec::new(),
     }
@@ -23,7 +23,7 @@
         (0, None, None)
     );
     let body = format!(" \r\n{}\n", sample(5));
-    let Outcome::Taken { version, writes } = store.replace(0, &body) else {
+    let ChangeOutcome::Taken { version, writes } = store.replace(0, &body) else {
         panic!("not taken")
     };
     assert_eq!((version, store.version()), (5, 5));
@@ -69,7 +69,7 @@
     let update = json!({"version": 2, "upsert": {"services": [service("a")], "routes": [route("r", "h", "/", "a")]}});
     assert!(matches!(
         store.update(0, &update.to_string()),
-        Outcome::Taken { version: 2, .. }
+        ChangeOutcome::Taken { version: 2, .. }
     ));
     assert_eq!(
         read(&store),
@@ -93,7 +93,7 @@
     take(store.update(5, &first), &mut records);
     assert_eq!(store.update(5, &second), stale(7));
     assert_eq!(read(&store)["routes"][0]["name"], "r-two");
-    assert_eq!(store.update(5, &first), Outcome::Again { version: 7 });
+    assert_eq!(store.update(5, &first), ChangeOutcome::Again { version: 7 });
 }
 
 #[test]
@@ -107,11 +107,11 @@
     }
     assert_eq!(
         store.replace(0, &sample(5).to_string()),
-        Outcome::Again { version: 5 }
+        ChangeOutcome::Again { version: 5 }
     );
     assert_eq!(
         store.update(5, r#"{"version":6}"#),
-        Outcome::Again { version: 6 }
+        ChangeOutcome::Again { version: 6 }
     );
     assert_eq!(store.version(), 299);
 }
@@ -128,11 +128,11 @@
     assert_eq!(successor.current(), store.current());
     assert_eq!(
         successor.replace(0, &sample(5).to_string()),
-        Outcome::Again { version: 5 }
+        ChangeOutcome::Again { version: 5 }
     );
     assert_eq!(
         successor.update(5, r#"{"version":7,"remove":{"routes":["r-one"]}}"#),
-        Outcome::Again { version: 7 }
+        ChangeOutcome::Again { version: 7 }
     );
     assert_eq!(successor.update(5, r#"{"version":7}"#), stale(7));
     assert!(successor
@@ -150,12 +150,12 @@
     let (mut store, records) = store_with(5);
     assert!(matches!(
         store.update(5, r#"{"version":7}"#),
-        Outcome::Taken { .. }
+        ChangeOutcome::Taken { .. }
     ));
     let mut successor = records.recover();
     assert!(matches!(
         successor.update(5, r#"{"version":7}"#),
-        Outcome::Taken { version: 7, .. }
+        ChangeOutcome::Taken { version: 7, .. }
     ));
 }
 
@@ -190,7 +190,7 @@
     let (mut store, mut records) = store_with(5);
     assert!(matches!(
         store.update(7, r#"{"version":9}"#),
-        Outcome::Stale { .. }
+        ChangeOutcome::Stale { .. }
     ));
     let mut successor = records.recover();
     take(successor.update(5, r#"{"version":7}"#), &mut records);
@@ -215,7 +215,7 @@
     }
     assert_eq!(
         store.update(99, r#"{"version":9999}"#),
-        Outcome::Undecided { current: 5 }
+        ChangeOutcome::Undecided { current: 5 }
     );
     assert_eq!(
         store.update(100, r#"{"version":9999}"#),
@@ -252,18 +252,18 @@
     );
     assert_eq!(
         store.replace(0, &sample(1).to_string()),
-        Outcome::Undecided {
+        ChangeOutcome::Undecided {
             current: MOST_ORDERS as u64 + 1
         }
     );
     assert_eq!(
         store.update(1, r#"{"version":2}"#),
-        Outcome::Again { version: 2 }
+        ChangeOutcome::Again { version: 2 }
     );
     let mut successor = records.recover();
     assert_eq!(
         successor.update(1, r#"{"version":2}"#),
-        Outcome::Again { version: 2 }
+        ChangeOutcome::Again { version: 2 }
     );
     let next = MOST_ORDERS as u64 + 2;
     take(
@@ -272,7 +272,7 @@
     );
     assert_eq!(
         successor.update(1, r#"{"version":2}"#),
-        Outcome::Undecided { current: next }
+        ChangeOutcome::Undecided { current: next }
     );
     assert_eq!(records.0.len(), MOST_ORDERS + 1);
 }
@@ -291,10 +291,10 @@
         (1000, "87524eb1d790408e937155f27971ae2d"),
     ];
     for (length, name) in known {
-        let key = order_key(OrderKind::Replace, 5, &"a".repeat(length));
+        let key = order_key(ChangeKind::Replace, 5, &"a".repeat(length));
         assert_eq!(&*key, format!("order/{name}"), "length {length}");
     }
-    let key = order_key(OrderKind::Update, (1 << 63) + 7, "é{\"version\":9}");
+    let key = order_key(ChangeKind::Update, (1 << 63) + 7, "é{\"version\":9}");
     assert_eq!(&*key, "order/3f27f48fc6b4bc388540e3875cad898f");
 }
 
--- a/crates/configuration/tests/orders_model.rs
+++ b/crates/configuration/tests/orders_model.rs
@@ -10,7 +10,7 @@
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 use std::sync::Arc;
-use streamusher_configuration::{ConfigurationStore, Outcome};
+use streamusher_configuration::{ChangeOutcome, ConfigurationStore};
 use streamusher_protocol::store::Write;
 use support::Records;
 
@@ -154,11 +154,11 @@
         false => store.replace(order.base, order.body),
     };
     let (reply, taken, writes) = match outcome {
-        Outcome::Taken { writes, .. } => (Reply::Acknowledged, Some(number), writes),
-        Outcome::Again { .. } => (Reply::Acknowledged, None, Vec::new()),
-        Outcome::Stale { writes, .. } => (Reply::Refused, None, writes),
-        Outcome::Invalid(_) => (Reply::Refused, None, Vec::new()),
-        Outcome::Undecided { .. } => (Reply::Unclear, None, Vec::new()),
+        ChangeOutcome::Taken { writes, .. } => (Reply::Acknowledged, Some(number), writes),
+        ChangeOutcome::Again { .. } => (Reply::Acknowledged, None, Vec::new()),
+        ChangeOutcome::Stale { writes, .. } => (Reply::Refused, None, writes),
+        ChangeOutcome::Invalid(_) => (Reply::Refused, None, Vec::new()),
+        ChangeOutcome::Undecided { .. } => (Reply::Unclear, None, Vec::new()),
     };
     if !writes.is_empty() {
         let writes = writes
--- a/crates/configuration/tests/records.rs
+++ b/crates/configuration/tests/records.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use std::sync::Arc;
-use streamusher_configuration::{ConfigurationStore, Outcome, RecordError};
+use streamusher_configuration::{ChangeOutcome, ConfigurationStore, RecordError};
 use support::{read, store_with};
 
 #[test]
@@ -74,6 +74,9 @@
     let mut store = ConfigurationStore::recover(records.into_iter()).expect("it can be read");
     assert_eq!(store.read().as_deref(), Some(text));
     let repaired = r#"{"version":6,"remove":{"routes":["r"]}}"#;
-    assert!(matches!(store.update(5, repaired), Outcome::Taken { .. }));
+    assert!(matches!(
+        store.update(5, repaired),
+        ChangeOutcome::Taken { .. }
+    ));
     assert_eq!(read(&store)["routes"], serde_json::json!([]));
 }
--- a/crates/configuration/tests/relay.rs
+++ b/crates/configuration/tests/relay.rs
@@ -6,7 +6,8 @@
 use serde_json::value::RawValue;
 use std::sync::Arc;
 use streamusher_configuration::relay::{
-    Change, Peer, Pulse, RelayMessage, RelayNode, Roster, Send, Tree, FAN_OUT,
+    ConfigurationDelta, OutboundMessage, RelayMembership, RelayMessage, RelayNode, RelayPeer,
+    RootHeartbeat, Tree, FAN_OUT,
 };
 use support::fleet::{settled, APPLY_BOUND, DELAY};
 
@@ -139,7 +140,7 @@
         "null",
     ] {
         let update: Arc<RawValue> = RawValue::from_string(update.into()).expect("JSON").into();
-        let change = Change {
+        let change = ConfigurationDelta {
             base: 1,
             version: 2,
             update,
@@ -160,13 +161,13 @@
         version: 1,
         text: raw(r#"{"version":1,"zones":5}"#),
     };
-    node.receive(1, &Peer::Core, whole);
-    let change = Change {
+    node.receive(1, &RelayPeer::Core, whole);
+    let change = ConfigurationDelta {
         base: 1,
         version: 2,
         update: raw(r#"{"version":2,"upsert":{"zones":[{"name":"z"}]}}"#),
     };
-    let actions = node.receive(2, &Peer::Core, RelayMessage::Changes(vec![change]));
+    let actions = node.receive(2, &RelayPeer::Core, RelayMessage::Changes(vec![change]));
     assert_eq!(questions(&actions.sends), [0]);
     assert_eq!(
         questions(&node.tick(600).sends),
@@ -175,7 +176,7 @@
     );
     node.receive(
         610,
-        &Peer::Core,
+        &RelayPeer::Core,
         RelayMessage::Whole {
             version: 2,
             text: raw(r#"{"version":2}"#),
@@ -187,7 +188,7 @@
 }
 
 /// The versions given in questions.
-fn questions(sends: &[Send]) -> Vec<u64> {
+fn questions(sends: &[OutboundMessage]) -> Vec<u64> {
     let asked = sends.iter().filter_map(|send| match send.message {
         RelayMessage::Ask { have } => Some(have),
         _ => None,
@@ -200,11 +201,11 @@
     let addresses: Vec<Arc<str>> = (0..30)
         .map(|index| format!("10.0.{index}.1:7381").into())
         .collect();
-    let newer = Roster {
+    let newer = RelayMembership {
         version: 5,
         members: addresses.clone(),
     };
-    let older = Roster {
+    let older = RelayMembership {
         version: 4,
         members: vec![addresses[0].clone()],
     };
@@ -214,7 +215,7 @@
     node.set_roster(0, &older);
     node.set_roster(
         0,
-        &Roster {
+        &RelayMembership {
             version: 5,
             ..older
         },
@@ -245,13 +246,17 @@
         (4, r#"{"version":4}"#),
     ] {
         let text: Arc<RawValue> = RawValue::from_string(text.into()).expect("JSON").into();
-        fleet.inject(&member, Peer::Core, RelayMessage::Whole { version, text });
+        fleet.inject(
+            &member,
+            RelayPeer::Core,
+            RelayMessage::Whole { version, text },
+        );
     }
-    fleet.inject(&member, Peer::Core, RelayMessage::Changes(Vec::new()));
-    let pulse = Pulse { epoch: 0, count: 0 };
+    fleet.inject(&member, RelayPeer::Core, RelayMessage::Changes(Vec::new()));
+    let pulse = RootHeartbeat { epoch: 0, count: 0 };
     fleet.inject(
         &member,
-        Peer::Core,
+        RelayPeer::Core,
         RelayMessage::Heartbeat {
             version: 2,
             pulse,
@@ -279,7 +284,7 @@
     let changes = (2..=4)
         .map(|version| fleet.changes[&version].clone())
         .collect();
-    fleet.inject(&member, Peer::Core, RelayMessage::Changes(changes));
+    fleet.inject(&member, RelayPeer::Core, RelayMessage::Changes(changes));
     fleet.run_for(1);
     assert_eq!(fleet.without(4), [] as [Arc<str>; 0]);
     assert_eq!(fleet.take_account().questions.messages, 0);
@@ -307,7 +312,7 @@
 fn given_all_messages_when_written_and_read_then_they_are_the_same() {
     let raw =
         |text: &str| -> Arc<RawValue> { RawValue::from_string(text.into()).expect("JSON").into() };
-    let change = Change {
+    let change = ConfigurationDelta {
         base: 1,
         version: 2,
         update: raw(r#"{"version": 2,  "x":1.00}"#),
@@ -315,7 +320,7 @@
     let messages = [
         RelayMessage::Heartbeat {
             version: 3,
-            pulse: Pulse { epoch: 1, count: 2 },
+            pulse: RootHeartbeat { epoch: 1, count: 2 },
             adopted: true,
             ask: false,
         },
--- a/crates/configuration/tests/relay_distribution.rs
+++ b/crates/configuration/tests/relay_distribution.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 use streamusher_configuration::relay::{
-    Distribution, Envelope, Leases, Peer, Published, RelayMessage, Roster, Send, GATHERING, LEASE,
-    ROSTER_INTERVAL,
+    ConfigurationPublisher, MemberLeases, OutboundMessage, Published, RelayEnvelope,
+    RelayMembership, RelayMessage, RelayPeer, GATHERING, LEASE, ROSTER_INTERVAL,
 };
-use streamusher_protocol::internal::GateLease;
+use streamusher_protocol::internal::GateLeaseRequest;
 use streamusher_protocol::Millis;
 
 const START: Millis = 1_000;
@@ -14,8 +14,8 @@
     format!("10.0.0.{number}:7381").into()
 }
 
-fn lease(number: u32, roster: u64) -> GateLease {
-    GateLease {
+fn lease(number: u32, roster: u64) -> GateLeaseRequest {
+    GateLeaseRequest {
         address: member(number),
         roster,
     }
@@ -31,8 +31,8 @@
 }
 
 /// A primary that has gathered members 1 and 2.
-fn gathered() -> (Distribution, Millis) {
-    let mut distribution = Distribution::new(3, START);
+fn gathered() -> (ConfigurationPublisher, Millis) {
+    let mut distribution = ConfigurationPublisher::new(3, START);
     distribution.lease(START, &lease(1, 0));
     distribution.lease(START, &lease(2, 0));
     let now = START + GATHERING;
@@ -40,8 +40,8 @@
     (distribution, now)
 }
 
-fn kinds(sends: &[Send]) -> Vec<&'static str> {
-    let kind = |send: &Send| match &send.message {
+fn kinds(sends: &[OutboundMessage]) -> Vec<&'static str> {
+    let kind = |send: &OutboundMessage| match &send.message {
         RelayMessage::Heartbeat { .. } => "heartbeat",
         RelayMessage::Changes(_) => "changes",
         RelayMessage::Whole { .. } => "whole",
@@ -52,7 +52,7 @@
 
 #[test]
 fn given_a_new_primary_when_members_renew_then_their_first_roster_waits_until_all_could() {
-    let mut leases = Leases::new(3, START);
+    let mut leases = MemberLeases::new(3, START);
     leases.renew(START, &member(2));
     assert_eq!(leases.tick(START + GATHERING - 1), None);
     leases.renew(START + GATHERING - 1, &member(1));
@@ -66,7 +66,7 @@
 
 #[test]
 fn given_a_roster_when_nothing_changes_then_its_version_stays() {
-    let mut leases = Leases::new(3, START);
+    let mut leases = MemberLeases::new(3, START);
     leases.renew(START, &member(1));
     let first = leases.tick(START + GATHERING).cloned();
     leases.renew(START + GATHERING, &member(1));
@@ -77,7 +77,7 @@
 
 #[test]
 fn given_a_member_when_its_lease_is_over_then_it_leaves_the_roster() {
-    let mut leases = Leases::new(3, START);
+    let mut leases = MemberLeases::new(3, START);
     leases.renew(START, &member(1));
     leases.renew(START + GATHERING, &member(2));
     let before = leases.tick(START + GATHERING).cloned().unwrap_or_default();
@@ -90,7 +90,7 @@
 
 #[test]
 fn given_members_that_come_one_after_the_other_then_rosters_keep_their_interval() {
-    let mut leases = Leases::new(3, START);
+    let mut leases = MemberLeases::new(3, START);
     leases.renew(START, &member(1));
     let now = START + GATHERING;
     leases.tick(now);
@@ -108,14 +108,14 @@
 #[test]
 fn given_a_later_epoch_then_its_first_roster_is_newer_than_any_of_the_former() {
     let newest = |epoch: u64, changes: Millis| {
-        let mut leases = Leases::new(epoch, START);
+        let mut leases = MemberLeases::new(epoch, START);
         let mut version = 0;
         for change in 0..changes {
             let now = START + GATHERING + change * LEASE;
             leases.renew(now, &member(change as u32));
             version = leases
                 .tick(now)
-                .map_or(version, |roster: &Roster| roster.version);
+                .map_or(version, |roster: &RelayMembership| roster.version);
         }
         version
     };
@@ -137,7 +137,7 @@
 
 #[test]
 fn given_a_primary_that_gathers_when_a_lease_is_renewed_then_the_former_roster_stays_in_use() {
-    let mut distribution = Distribution::new(3, START);
+    let mut distribution = ConfigurationPublisher::new(3, START);
 
     let reply = distribution.lease(START, &lease(1, 77));
 
@@ -188,8 +188,8 @@
 fn given_a_member_when_it_asks_then_it_gets_a_heartbeat_and_what_is_newer() {
     let (mut distribution, now) = gathered();
     distribution.publish(&published(5, None));
-    let question = |have| Envelope {
-        from: Peer::Member(member(9)),
+    let question = |have| RelayEnvelope {
+        from: RelayPeer::Member(member(9)),
         messages: vec![RelayMessage::Ask { have }],
     };
 
--- a/crates/configuration/tests/relay_faults.rs
+++ b/crates/configuration/tests/relay_faults.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use std::sync::Arc;
-use streamusher_configuration::relay::{Peer, Tree};
+use streamusher_configuration::relay::{RelayPeer, Tree};
 use support::fleet::{settled, Fleet, APPLY_BOUND, DELAY};
 
 #[rstest]
@@ -67,7 +67,7 @@
             .max_by_key(|member| tree.ancestors(member).len())
             .cloned();
         for ancestor in tree.ancestors(&deepest.expect("a member")) {
-            if let Peer::Member(address) = ancestor {
+            if let RelayPeer::Member(address) = ancestor {
                 fleet.kill(&address);
             }
         }
@@ -232,13 +232,14 @@
         .keys()
         .filter(|other| !children.contains(other))
     {
-        fleet
-            .cut_pairs
-            .insert((Peer::Member(parent.clone()), Peer::Member(other.clone())));
+        fleet.cut_pairs.insert((
+            RelayPeer::Member(parent.clone()),
+            RelayPeer::Member(other.clone()),
+        ));
     }
     fleet
         .cut_pairs
-        .insert((Peer::Member(parent.clone()), Peer::Core));
+        .insert((RelayPeer::Member(parent.clone()), RelayPeer::Core));
     let start = fleet.now;
     fleet.update(2);
     fleet.run_until(start + APPLY_BOUND);
--- a/crates/configuration/tests/relay_tree.rs
+++ b/crates/configuration/tests/relay_tree.rs
@@ -5,11 +5,11 @@
 use rstest::rstest;
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use streamusher_configuration::relay::{Peer, Roster, Tree, FAN_OUT};
+use streamusher_configuration::relay::{RelayMembership, RelayPeer, Tree, FAN_OUT};
 use support::Numbers;
 
-fn roster(size: usize) -> Roster {
-    Roster {
+fn roster(size: usize) -> RelayMembership {
+    RelayMembership {
         version: 1,
         members: (0..size)
             .map(|index| format!("10.0.{index}.1:7381").into())
@@ -17,16 +17,16 @@
     }
 }
 
-fn parents(tree: &Tree, members: &[Arc<str>]) -> BTreeMap<Arc<str>, Peer> {
+fn parents(tree: &Tree, members: &[Arc<str>]) -> BTreeMap<Arc<str>, RelayPeer> {
     let mut parents = BTreeMap::new();
     let root = tree
         .children_of_root()
         .into_iter()
-        .map(|child| (child, Peer::Core));
+        .map(|child| (child, RelayPeer::Core));
     let others = members.iter().flat_map(|parent| {
         tree.children(parent)
             .into_iter()
-            .map(move |child| (child, Peer::Member(parent.clone())))
+            .map(move |child| (child, RelayPeer::Member(parent.clone())))
     });
     for (child, parent) in root.chain(others) {
         assert!(
@@ -60,10 +60,10 @@
     for member in &roster.members {
         let ancestors = tree.ancestors(member);
         assert_eq!(ancestors[0], parents[member]);
-        assert_eq!(ancestors.last(), Some(&Peer::Core));
+        assert_eq!(ancestors.last(), Some(&RelayPeer::Core));
         assert!(tree.children(member).len() <= FAN_OUT);
         for pair in ancestors.windows(2) {
-            let Peer::Member(nearer) = &pair[0] else {
+            let RelayPeer::Member(nearer) = &pair[0] else {
                 panic!("the core is the last")
             };
             assert_eq!(parents[nearer], pair[1]);
@@ -106,7 +106,10 @@
         Tree::new(&with).ancestors("10.9.9.9:7381")
     );
     assert!(tree.children("10.9.9.9:7381").is_empty());
-    assert_eq!(Tree::default().ancestors("10.9.9.9:7381"), [Peer::Core]);
+    assert_eq!(
+        Tree::default().ancestors("10.9.9.9:7381"),
+        [RelayPeer::Core]
+    );
 }
 
 /// Processes of different releases must agree. Computed by another implementation of the hash, in Python.
@@ -147,13 +150,13 @@
             .filter(|_| numbers.below(100) < share)
             .cloned()
             .collect();
-        let tree = Tree::new(&Roster {
+        let tree = Tree::new(&RelayMembership {
             version: seed,
             members,
         });
         for member in &all {
             for ancestor in tree.ancestors(member) {
-                if let Peer::Member(ancestor) = ancestor {
+                if let RelayPeer::Member(ancestor) = ancestor {
                     above.insert((ancestor, member.clone()));
                 }
             }
--- a/crates/configuration/tests/support/fleet.rs
+++ b/crates/configuration/tests/support/fleet.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use streamusher_configuration::document::apply;
 use streamusher_configuration::relay::{
-    Change, Peer, RelayMessage, RelayNode, RelayRoot, Roster, Tree,
+    ConfigurationDelta, RelayMembership, RelayMessage, RelayNode, RelayPeer, RelayRoot, Tree,
 };
 use streamusher_protocol::Millis;
 
@@ -31,14 +31,14 @@
 /// What happens at some time.
 pub(super) enum Event {
     Deliver {
-        to: Peer,
-        from: Peer,
+        to: RelayPeer,
+        from: RelayPeer,
         from_root: usize,
         message: Arc<RelayMessage>,
     },
     Tick(Arc<str>),
     RootTick(usize),
-    Roster(Arc<str>, Arc<Roster>),
+    Roster(Arc<str>, Arc<RelayMembership>),
 }
 
 /// One process of the data plane.
@@ -76,13 +76,13 @@
     pub roots: Vec<RelayRoot>,
     /// The root that members reach as the core.
     pub acting: usize,
-    pub roster: Arc<Roster>,
+    pub roster: Arc<RelayMembership>,
     /// Members with no link to anyone.
     pub cut: BTreeSet<Arc<str>>,
     /// Roots that reach nobody.
     pub cut_roots: BTreeSet<usize>,
     /// Pairs without a link, in both directions.
-    pub cut_pairs: BTreeSet<(Peer, Peer)>,
+    pub cut_pairs: BTreeSet<(RelayPeer, RelayPeer)>,
     /// Messages are lost with this chance in a thousand.
     pub loss: u64,
     /// Messages are sent twice with this chance in a thousand.
@@ -91,7 +91,7 @@
     pub jitter: Millis,
     pub account: Account,
     /// The change that made each version, where one did.
-    pub changes: BTreeMap<u64, Change>,
+    pub changes: BTreeMap<u64, ConfigurationDelta>,
     /// The text of each version.
     pub history: BTreeMap<u64, Arc<RawValue>>,
     /// Members that are told of a new roster get it within this time.
@@ -112,7 +112,7 @@
             members: BTreeMap::new(),
             roots: vec![RelayRoot::new(0, 0)],
             acting: 0,
-            roster: Arc::new(Roster {
+            roster: Arc::new(RelayMembership {
                 version: 1,
                 members: addresses.clone(),
             }),
@@ -158,7 +158,7 @@
 
     /// Changes the roster; each member is told after a delay of its own, the root at once.
     pub fn set_roster(&mut self, members: Vec<Arc<str>>) {
-        self.roster = Arc::new(Roster {
+        self.roster = Arc::new(RelayMembership {
             version: self.roster.version + 1,
             members,
         });
@@ -184,7 +184,7 @@
         self.push(self.now, Event::RootTick(self.acting));
         if let Some((version, text)) = newest {
             let sends = self.roots[self.acting].publish(version, text);
-            self.send(&Peer::Core, self.acting, sends);
+            self.send(&RelayPeer::Core, self.acting, sends);
         }
     }
 
@@ -206,7 +206,7 @@
             .into();
         self.history.insert(version, text.clone());
         let sends = self.roots[self.acting].publish(version, text);
-        self.send(&Peer::Core, self.acting, sends);
+        self.send(&RelayPeer::Core, self.acting, sends);
     }
 
     /// Publishes a change on top of the newest version: each touches another item, so that none can be left out.
@@ -219,7 +219,7 @@
             .expect("JSON")
             .into();
         let changed = apply(text.get(), update.get()).expect("it fits");
-        let change = Change {
+        let change = ConfigurationDelta {
             base: *base,
             version,
             update,
@@ -228,7 +228,7 @@
         let text: Arc<RawValue> = RawValue::from_string(changed).expect("JSON").into();
         self.history.insert(version, text.clone());
         let sends = self.roots[self.acting].publish_change(change, text);
-        self.send(&Peer::Core, self.acting, sends);
+        self.send(&RelayPeer::Core, self.acting, sends);
     }
 
     /// Lets time pass.
@@ -252,8 +252,8 @@
     }
 
     /// A message that comes from nowhere in particular.
-    pub fn inject(&mut self, to: &Arc<str>, from: Peer, message: RelayMessage) {
-        let to = Peer::Member(to.clone());
+    pub fn inject(&mut self, to: &Arc<str>, from: RelayPeer, message: RelayMessage) {
+        let to = RelayPeer::Member(to.clone());
         self.push(
             self.now,
             Event::Deliver {
--- a/crates/configuration/tests/support/mod.rs
+++ b/crates/configuration/tests/support/mod.rs
@@ -7,7 +7,7 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use streamusher_configuration::{ConfigurationStore, Outcome};
+use streamusher_configuration::{ChangeOutcome, ConfigurationStore};
 use streamusher_protocol::store::Write;
 
 /// Numbers drawn from a seed (SplitMix64).
@@ -79,8 +79,8 @@
 }
 
 /// Takes an order that must be taken, and commits it.
-pub fn take(outcome: Outcome, records: &mut Records) -> u64 {
-    let Outcome::Taken { version, writes } = outcome else {
+pub fn take(outcome: ChangeOutcome, records: &mut Records) -> u64 {
+    let ChangeOutcome::Taken { version, writes } = outcome else {
         panic!("not taken: {outcome:?}")
     };
     records.commit(writes);
@@ -88,8 +88,8 @@
 }
 
 /// Refuses an order as stale, and commits what is written for that; returns the current version.
-pub fn refuse(outcome: Outcome, records: &mut Records) -> u64 {
-    let Outcome::Stale { current, writes } = outcome else {
+pub fn refuse(outcome: ChangeOutcome, records: &mut Records) -> u64 {
+    let ChangeOutcome::Stale { current, writes } = outcome else {
         panic!("not refused: {outcome:?}")
     };
     records.commit(writes);
--- a/crates/configuration/tests/support/network.rs
+++ b/crates/configuration/tests/support/network.rs
@@ -2,7 +2,7 @@
 
 use super::fleet::{Event, Fleet, DELAY};
 use std::sync::Arc;
-use streamusher_configuration::relay::{Actions, Peer, RelayMessage, Send};
+use streamusher_configuration::relay::{OutboundMessage, RelayActions, RelayMessage, RelayPeer};
 use streamusher_protocol::Millis;
 
 impl Fleet {
@@ -14,7 +14,7 @@
     pub(super) fn play(&mut self, event: Event) {
         let owner = match &event {
             Event::Deliver {
-                to: Peer::Member(address),
+                to: RelayPeer::Member(address),
                 ..
             }
             | Event::Tick(address)
@@ -51,7 +51,7 @@
             Event::RootTick(index) => {
                 let now = self.now;
                 let sends = self.roots[index].tick(now);
-                self.send(&Peer::Core, index, sends);
+                self.send(&RelayPeer::Core, index, sends);
                 let next = self.roots[index].next_tick().min(now + 100).max(now + 1);
                 self.push(next, Event::RootTick(index));
             }
@@ -62,13 +62,13 @@
                 ..
             } => {
                 let sends = self.roots[from_root].receive(self.now, &from, (*message).clone());
-                self.send(&Peer::Core, from_root, sends);
+                self.send(&RelayPeer::Core, from_root, sends);
             }
             _ => {}
         }
     }
 
-    pub(super) fn act(&mut self, address: &Arc<str>, actions: Actions) {
+    pub(super) fn act(&mut self, address: &Arc<str>, actions: RelayActions) {
         let member = self.members.get_mut(address).expect("a member");
         if let Some(configuration) = actions.configuration {
             let version = configuration.version;
@@ -85,7 +85,11 @@
             );
             member.applied.push((version, self.now));
         }
-        self.send(&Peer::Member(address.clone()), self.acting, actions.sends);
+        self.send(
+            &RelayPeer::Member(address.clone()),
+            self.acting,
+            actions.sends,
+        );
         self.schedule(address);
     }
 
@@ -98,8 +102,8 @@
         }
     }
 
-    pub(super) fn send(&mut self, from: &Peer, root: usize, sends: Vec<Send>) {
-        for Send { to, message } in sends {
+    pub(super) fn send(&mut self, from: &RelayPeer, root: usize, sends: Vec<OutboundMessage>) {
+        for OutboundMessage { to, message } in sends {
             let bytes = serde_json::to_string(&message).expect("JSON").len() as u64;
             let message = Arc::new(message);
             for to in to {
@@ -119,7 +123,13 @@
         traffic.bytes += bytes;
     }
 
-    fn transmit(&mut self, from: &Peer, to: Peer, root: usize, message: &Arc<RelayMessage>) {
+    fn transmit(
+        &mut self,
+        from: &RelayPeer,
+        to: RelayPeer,
+        root: usize,
+        message: &Arc<RelayMessage>,
+    ) {
         if !self.is_linked(from, &to, root) || self.numbers.below(1_000) < self.loss {
             return;
         }
@@ -143,13 +153,14 @@
         }
     }
 
-    fn is_linked(&self, from: &Peer, to: &Peer, root: usize) -> bool {
-        let is_cut = |peer: &Peer| match peer {
-            Peer::Core => self.cut_roots.contains(&root),
-            Peer::Member(address) => self.cut.contains(address),
+    fn is_linked(&self, from: &RelayPeer, to: &RelayPeer, root: usize) -> bool {
+        let is_cut = |peer: &RelayPeer| match peer {
+            RelayPeer::Core => self.cut_roots.contains(&root),
+            RelayPeer::Member(address) => self.cut.contains(address),
+        };
+        let pair = |one: &RelayPeer, other: &RelayPeer| {
+            self.cut_pairs.contains(&(one.clone(), other.clone()))
         };
-        let pair =
-            |one: &Peer, other: &Peer| self.cut_pairs.contains(&(one.clone(), other.clone()));
         !is_cut(from) && !is_cut(to) && !pair(from, to) && !pair(to, from)
     }
 }
--- a/crates/configuration/tests/updates.rs
+++ b/crates/configuration/tests/updates.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{json, Value};
 use streamusher_configuration::document::apply;
-use streamusher_configuration::{ConfigurationStore, Outcome};
+use streamusher_configuration::{ChangeOutcome, ConfigurationStore};
 use support::{read, route, sample, service, store_with, take, Records};
 
 fn updated(update: Value) -> Value {
@@ -126,11 +126,14 @@
 fn given_numbers_beyond_any_type_when_updated_then_they_come_back_digit_by_digit() {
     let mut store = ConfigurationStore::new();
     let whole = r#"{"version":1,"exact":123456789012345678901234567890.10,"services":[{"name":"a","n":1.0e-400}]}"#;
-    assert!(matches!(store.replace(0, whole), Outcome::Taken { .. }));
+    assert!(matches!(
+        store.replace(0, whole),
+        ChangeOutcome::Taken { .. }
+    ));
     assert_eq!(store.read().as_deref(), Some(whole));
     assert!(matches!(
         store.update(1, r#"{"version":2,"upsert":{"services":[{"name":"b"}]}}"#),
-        Outcome::Taken { .. }
+        ChangeOutcome::Taken { .. }
     ));
     let text = store.read().expect("a configuration");
     assert!(
@@ -143,9 +146,15 @@
 fn given_escaped_names_when_updated_then_they_are_the_names_that_they_spell() {
     let mut store = ConfigurationStore::new();
     let whole = r#"{"version":1,"services":[{"name":"\u0061"},{"n\u0061me":"b"}]}"#;
-    assert!(matches!(store.replace(0, whole), Outcome::Taken { .. }));
+    assert!(matches!(
+        store.replace(0, whole),
+        ChangeOutcome::Taken { .. }
+    ));
     let update = r#"{"version":2,"upsert":{"servi\u0063es":[{"name":"a","x":1}]},"remove":{"services":["b"]}}"#;
-    assert!(matches!(store.update(1, update), Outcome::Taken { .. }));
+    assert!(matches!(
+        store.update(1, update),
+        ChangeOutcome::Taken { .. }
+    ));
     assert_eq!(
         read(&store),
         json!({"version": 2, "services": [{"name": "a", "x": 1}]})
--- a/crates/controlplane/examples/cluster/client.rs
+++ b/crates/controlplane/examples/cluster/client.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use streamusher_protocol::config::{BASE_VERSION_HEADER, REPLACE_PATH};
 use streamusher_protocol::job::{JobState, JobStatus};
-use streamusher_runtime::http::{Answer, Call, Client};
+use streamusher_runtime::http::{Client, Request, Response};
 
 const DEADLINE: Duration = Duration::from_secs(3);
 /// Before a call without a clear answer is made again.
@@ -63,7 +63,7 @@
         Ok(serde_json::from_slice::<JobStatus>(answer.body())?.state)
     }
 
-    async fn call(&mut self, method: Method, id: &str, body: &str) -> Result<Answer> {
+    async fn call(&mut self, method: Method, id: &str, body: &str) -> Result<Response> {
         loop {
             let gate = self.gates[self.next % self.gates.len()].clone();
             self.next += 1;
@@ -73,7 +73,7 @@
                 .header(HOST, self.host)
                 .header(CONTENT_TYPE, "application/json")
                 .body(Bytes::copy_from_slice(body.as_bytes()))?;
-            match gate.call(call, DEADLINE).await {
+            match gate.send(call, DEADLINE).await {
                 Ok(answer) if !answer.status().is_server_error() => return Ok(answer),
                 _ => tokio::time::sleep(RETRY).await,
             }
@@ -87,7 +87,7 @@
     let mut target = turn.next();
     while let Some(address) = target {
         let answer = Client::new(address)
-            .call(replace(configuration)?, DEADLINE)
+            .send(replace(configuration)?, DEADLINE)
             .await;
         target = match answer {
             Ok(answer) if answer.status() == StatusCode::OK => return Ok(()),
@@ -107,14 +107,14 @@
     bail!("no core machine to call")
 }
 
-fn replace(configuration: &Value) -> Result<Call> {
+fn replace(configuration: &Value) -> Result<Request> {
     let body = Bytes::from(configuration.to_string());
     let call = http::Request::post(REPLACE_PATH).header(CONTENT_TYPE, "application/json");
     Ok(call.header(BASE_VERSION_HEADER, "0").body(body)?)
 }
 
 /// The address in `Location: http://ADDRESS/path`.
-fn named(answer: &Answer) -> Option<SocketAddr> {
+fn named(answer: &Response) -> Option<SocketAddr> {
     let location = answer.headers().get(LOCATION)?.to_str().ok()?;
     location
         .strip_prefix("http://")?
--- a/crates/controlplane/examples/cluster/worker.rs
+++ b/crates/controlplane/examples/cluster/worker.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use streamusher_protocol::heartbeat::{
-    FinishedRun, Heartbeat, HeartbeatAnswer, Resources, RunningTask, StartOrder, WorkerState,
+    FinishedRun, Heartbeat, HeartbeatResponse, Resources, RunningTask, StartCommand, WorkerState,
     HEARTBEAT_PATH,
 };
 use streamusher_protocol::task::{RunEnd, TaskId};
@@ -98,7 +98,7 @@
                     if over(work) {
                         RunEnd::Done
                     } else {
-                        RunEnd::Lapsed
+                        RunEnd::LeaseExpired
                     },
                 )
             })
@@ -115,7 +115,7 @@
             .push(FinishedRun(self.ends, task, run, how, "".into()));
     }
 
-    async fn heartbeat(&mut self, now: Millis) -> Option<HeartbeatAnswer> {
+    async fn heartbeat(&mut self, now: Millis) -> Option<HeartbeatResponse> {
         self.sequence += 1;
         let drains = self.drains.get();
         let heartbeat = Heartbeat {
@@ -149,14 +149,14 @@
             .header(CONTENT_TYPE, "application/json")
             .body(body)
             .ok()?;
-        let answer = self.agent.call(call, ANSWER_DEADLINE).await.ok()?;
+        let answer = self.agent.send(call, ANSWER_DEADLINE).await.ok()?;
         answer
             .status()
             .is_success()
             .then(|| parse_json(answer.body()).ok())?
     }
 
-    fn obey(&mut self, sent_at: Millis, answer: HeartbeatAnswer) {
+    fn obey(&mut self, sent_at: Millis, answer: HeartbeatResponse) {
         if answer.fence_token < self.fence_token {
             return;
         }
@@ -172,7 +172,7 @@
                 self.end(stop.0, stop.1, RunEnd::Stopped);
             }
         }
-        for StartOrder(task, run, spec, _) in answer.start {
+        for StartCommand(task, run, spec, _) in answer.start {
             let is_over = self
                 .finished
                 .iter()
--- a/crates/controlplane/src/calls.rs
+++ b/crates/controlplane/src/calls.rs
@@ -1,24 +1,24 @@
 //! Calls of gates, agents and operators, how they end, and what is remembered of one that is not answered yet.
 
-use streamusher_protocol::internal::{AgentSync, ClientCall, ClientMethod, ClusterView};
-use streamusher_scheduler::{OperatorOrder, OrderKind, Reply};
+use streamusher_protocol::internal::{AgentSync, ClientMethod, ClientRequest, ClusterView};
+use streamusher_scheduler::{OperatorRequest, OperatorRequestKind, SchedulerResponse};
 
 /// A call from outside.
 #[derive(Clone, Debug)]
-pub enum Call {
+pub enum ControlRequest {
     /// Of a gate, for a client.
-    Client(ClientCall),
+    Client(ClientRequest),
     /// Of an agent.
     Agent(AgentSync),
     /// Of an operator.
-    Operator(OperatorOrder),
+    Operator(OperatorRequest),
 }
 
 /// How a call ends.
 #[derive(Clone, Debug)]
-pub enum Answer {
+pub enum ControlOutcome {
     /// As the scheduler says; committed.
-    Reply(Reply),
+    Reply(SchedulerResponse),
     /// Nothing was done.
     NotPrimary(ClusterView),
     /// It may come into force, or may not.
@@ -37,14 +37,14 @@
 
 impl Outstanding {
     /// What matters of a call.
-    pub fn of(call: &Call) -> Outstanding {
+    pub fn of(call: &ControlRequest) -> Outstanding {
         let mutating = match call {
-            Call::Client(call) => call.method != ClientMethod::Get,
-            Call::Agent(_) => false,
-            Call::Operator(order) => order.kind != OrderKind::Read,
+            ControlRequest::Client(call) => call.method != ClientMethod::Get,
+            ControlRequest::Agent(_) => false,
+            ControlRequest::Operator(order) => order.kind != OperatorRequestKind::Read,
         };
         let agent_epoch = match call {
-            Call::Agent(sync) => Some(sync.epoch),
+            ControlRequest::Agent(sync) => Some(sync.epoch),
             _ => None,
         };
         Outstanding {
@@ -56,10 +56,10 @@
 }
 
 /// Whether the reply says that nothing was changed.
-pub(crate) fn is_refusal(reply: &Reply) -> bool {
+pub(crate) fn is_refusal(reply: &SchedulerResponse) -> bool {
     match reply {
-        Reply::Client(reply) => !(200..300).contains(&reply.status),
-        Reply::Operator(reply) => !(200..300).contains(&reply.status),
-        Reply::Agent(_) => false,
+        SchedulerResponse::Client(reply) => !(200..300).contains(&reply.status),
+        SchedulerResponse::Operator(reply) => !(200..300).contains(&reply.status),
+        SchedulerResponse::Agent(_) => false,
     }
 }
--- a/crates/controlplane/src/cluster_status/ask.rs
+++ b/crates/controlplane/src/cluster_status/ask.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
-use streamusher_protocol::internal::{Explain, EXPLAIN_PATH, STATUS_PATH};
-use streamusher_runtime::http::{Call, Client};
+use streamusher_protocol::internal::{ExplainRequest, EXPLAIN_PATH, STATUS_PATH};
+use streamusher_runtime::http::{Client, Request};
 use tokio::task::JoinSet;
 
 /// How long an answer may take: a machine that is up answers within milliseconds, also when it is busy.
@@ -44,11 +44,11 @@
 }
 
 async fn ask(address: SocketAddr) -> Result<Value, String> {
-    let mut call = Call::new(Bytes::new());
+    let mut call = Request::new(Bytes::new());
     *call.method_mut() = Method::GET;
     *call.uri_mut() = http::Uri::from_static(STATUS_PATH);
     let answer = Client::new(address)
-        .call(call, DEADLINE)
+        .send(call, DEADLINE)
         .await
         .map_err(|error| error.to_string())?;
     if !answer.status().is_success() {
@@ -62,13 +62,13 @@
 }
 
 /// What the primary at `address` knows of one job or user.
-pub async fn explain(address: SocketAddr, asked: &Explain) -> Result<Value, String> {
+pub async fn explain(address: SocketAddr, asked: &ExplainRequest) -> Result<Value, String> {
     let body = serde_json::to_vec(asked).map_err(|error| error.to_string())?;
-    let mut call = Call::new(Bytes::from(body));
+    let mut call = Request::new(Bytes::from(body));
     *call.method_mut() = Method::POST;
     *call.uri_mut() = http::Uri::from_static(EXPLAIN_PATH);
     let answer = Client::new(address)
-        .call(call, DEADLINE)
+        .send(call, DEADLINE)
         .await
         .map_err(|error| error.to_string())?;
     if !answer.status().is_success() {
--- a/crates/controlplane/src/cluster_status/mod.rs
+++ b/crates/controlplane/src/cluster_status/mod.rs
@@ -10,7 +10,7 @@
 use ask::Answers;
 use std::io;
 use std::net::SocketAddr;
-use streamusher_protocol::internal::Explain;
+use streamusher_protocol::internal::ExplainRequest;
 use streamusher_runtime::runtime;
 
 /// What came of the questions, for the exit code.
@@ -40,11 +40,11 @@
 ///
 /// # Errors
 /// The event loop can't be made, no primary acts, or it knows nothing of what is asked.
-pub fn explain(addresses: Vec<SocketAddr>, asked: &Explain) -> anyhow::Result<String> {
+pub fn explain(addresses: Vec<SocketAddr>, asked: &ExplainRequest) -> anyhow::Result<String> {
     runtime::block_on(ask_primary(addresses, asked))?
 }
 
-async fn ask_primary(addresses: Vec<SocketAddr>, asked: &Explain) -> anyhow::Result<String> {
+async fn ask_primary(addresses: Vec<SocketAddr>, asked: &ExplainRequest) -> anyhow::Result<String> {
     let answers = ask::ask_all(addresses).await;
     let acting = answers
         .iter()
--- a/crates/controlplane/src/driver.rs
+++ b/crates/controlplane/src/driver.rs
@@ -1,11 +1,11 @@
 //! The primary's rule of release, as a pure state machine that joins replication and scheduler.
 //!
 //! A reply rests on the appends made up to its own event. It is released when they are committed and the lease is valid
-//! at that moment. A primary that is deposed before answers what surely did nothing with [`Answer::NotPrimary`], and a
-//! call that may come into force all the same with [`Answer::Unknown`].
+//! at that moment. A primary that is deposed before answers what surely did nothing with [`ControlOutcome::NotPrimary`], and a
+//! call that may come into force all the same with [`ControlOutcome::Unknown`].
 
 use crate::calls::{is_refusal, Outstanding};
-pub use crate::calls::{Answer, Call};
+pub use crate::calls::{ControlOutcome, ControlRequest};
 use crate::early::EarlyCalls;
 use crate::ports::{Replication, StateMachine};
 use crate::publication::Publication;
@@ -15,7 +15,9 @@
 use streamusher_coordination::{Coordinator, DiskChange, Input, Message, Output, StateMap};
 use streamusher_protocol::internal::CoreAddress;
 use streamusher_protocol::{Millis, Now};
-use streamusher_scheduler::{Effects, Event, RecoverError, Reply, RequestId, Scheduler, Settings};
+use streamusher_scheduler::{
+    Effects, Event, RecoverError, RequestId, Scheduler, SchedulerResponse, SchedulerSettings,
+};
 
 /// What the program has to do.
 #[derive(Debug)]
@@ -41,7 +43,7 @@
         /// The call.
         request: RequestId,
         /// The answer.
-        answer: Answer,
+        answer: ControlOutcome,
     },
 }
 
@@ -53,7 +55,7 @@
     pub epoch: u64,
     /// When it was elected: leases of former primaries were granted before.
     pub now: Now,
-    settings: Settings,
+    settings: SchedulerSettings,
     state: StateMap,
 }
 
@@ -71,12 +73,12 @@
     /// Commits that the reply rests on.
     sequence: u64,
     request: RequestId,
-    reply: Reply,
+    reply: SchedulerResponse,
 }
 
 /// One core machine: replication, and the scheduler while this is the primary.
 pub struct Driver<R = Coordinator, S = Scheduler> {
-    settings: Settings,
+    settings: SchedulerSettings,
     replication: R,
     scheduler: Option<S>,
     /// The epoch for which a scheduler is being recovered.
@@ -93,7 +95,7 @@
 
 impl<R: Replication, S: StateMachine> Driver<R, S> {
     /// A machine that is not primary yet.
-    pub fn new(settings: Settings, replication: R) -> Driver<R, S> {
+    pub fn new(settings: SchedulerSettings, replication: R) -> Driver<R, S> {
         Driver {
             settings,
             replication,
@@ -110,7 +112,7 @@
     }
 
     /// Takes a call; its number comes back in [`Action::Answer`], perhaps at once.
-    pub fn call(&mut self, now: Now, call: Call) -> (RequestId, Vec<Action>) {
+    pub fn call(&mut self, now: Now, call: ControlRequest) -> (RequestId, Vec<Action>) {
         let request = self.next_request;
         self.next_request += 1;
         if self.is_at_work(now) {
@@ -128,7 +130,7 @@
     }
 
     fn refuse(&mut self, now: Now, request: RequestId) {
-        let answer = Answer::NotPrimary(self.replication.view(now.steady));
+        let answer = ControlOutcome::NotPrimary(self.replication.view(now.steady));
         self.actions.push(Action::Answer { request, answer });
     }
 
@@ -147,12 +149,12 @@
         }
     }
 
-    fn carry_out(&mut self, now: Now, request: RequestId, call: Call) {
+    fn carry_out(&mut self, now: Now, request: RequestId, call: ControlRequest) {
         self.outstanding.insert(request, Outstanding::of(&call));
         let event = match call {
-            Call::Client(call) => Event::Client { request, call },
-            Call::Agent(sync) => Event::Agent { request, sync },
-            Call::Operator(order) => Event::Operator { request, order },
+            ControlRequest::Client(call) => Event::Client { request, call },
+            ControlRequest::Agent(sync) => Event::Agent { request, sync },
+            ControlRequest::Operator(order) => Event::Operator { request, order },
         };
         self.run(now, event, Some(request));
     }
@@ -239,7 +241,13 @@
         self.release(now);
     }
 
-    fn hold(&mut self, sequence: u64, request: RequestId, reply: Reply, may_refuse: bool) {
+    fn hold(
+        &mut self,
+        sequence: u64,
+        request: RequestId,
+        reply: SchedulerResponse,
+        may_refuse: bool,
+    ) {
         let Some(outstanding) = self.outstanding.get_mut(&request) else {
             return;
         };
@@ -319,8 +327,8 @@
         let view = self.replication.view(now.steady);
         for (request, outstanding) in std::mem::take(&mut self.outstanding) {
             let answer = match outstanding.mutating && !outstanding.refused {
-                true => Answer::Unknown,
-                false => Answer::NotPrimary(view.clone()),
+                true => ControlOutcome::Unknown,
+                false => ControlOutcome::NotPrimary(view.clone()),
             };
             self.actions.push(Action::Answer { request, answer });
         }
@@ -355,7 +363,7 @@
             return;
         };
         let mut reply = held.reply;
-        if let Reply::Agent(orders) = &mut reply {
+        if let SchedulerResponse::Agent(orders) = &mut reply {
             // An agent that knows an older epoch may know older members.
             let is_behind = outstanding
                 .agent_epoch
@@ -366,7 +374,7 @@
         }
         self.actions.push(Action::Answer {
             request: held.request,
-            answer: Answer::Reply(reply),
+            answer: ControlOutcome::Reply(reply),
         });
     }
 }
--- a/crates/controlplane/src/early.rs
+++ b/crates/controlplane/src/early.rs
@@ -1,6 +1,6 @@
 //! Calls that reach a machine after its election and before it may act. Nothing of them was done yet.
 
-use crate::calls::Call;
+use crate::calls::ControlRequest;
 use std::collections::VecDeque;
 use streamusher_protocol::Millis;
 use streamusher_scheduler::RequestId;
@@ -18,7 +18,7 @@
     /// Its number.
     pub request: RequestId,
     /// What it asks for.
-    pub call: Call,
+    pub call: ControlRequest,
     until: Millis,
 }
 
@@ -42,7 +42,7 @@
     }
 
     /// Lets a call wait.
-    pub fn push(&mut self, now: Millis, request: RequestId, call: Call) {
+    pub fn push(&mut self, now: Millis, request: RequestId, call: ControlRequest) {
         self.calls.push_back(EarlyCall {
             request,
             call,
--- a/crates/controlplane/src/internal.rs
+++ b/crates/controlplane/src/internal.rs
@@ -1,6 +1,6 @@
 //! The internal interface: core machines, agents and gates.
 
-use crate::driver::{Answer as Outcome, Call};
+use crate::driver::{ControlOutcome, ControlRequest};
 use crate::machine::{Explained, Machine};
 use crate::peers::Envelope;
 use http::{Method, StatusCode};
@@ -9,15 +9,15 @@
     ClusterView, NotPrimary, AGENT_SYNC_PATH, CLIENT_CALL_PATH, CLUSTER_PATH, CLUSTER_WATCH_PATH,
     CORE_PATH, EXPLAIN_PATH, GATE_LEASE_PATH, RELAY_PATH, STATUS_PATH,
 };
-use streamusher_runtime::http::{empty, json, parse_json, text, Answer, Call as HttpCall};
-use streamusher_scheduler::Reply;
+use streamusher_runtime::http::{empty, json, parse_json, text, Request, Response};
+use streamusher_scheduler::SchedulerResponse;
 
 /// Answers a call on the internal port.
-pub async fn answer(machine: Machine, call: HttpCall) -> Answer {
+pub async fn answer(machine: Machine, call: Request) -> Response {
     match (call.method(), call.uri().path()) {
         (&Method::POST, CORE_PATH) => core_messages(&machine, &call),
-        (&Method::POST, AGENT_SYNC_PATH) => pass_on(&machine, &call, Call::Agent).await,
-        (&Method::POST, CLIENT_CALL_PATH) => pass_on(&machine, &call, Call::Client).await,
+        (&Method::POST, AGENT_SYNC_PATH) => pass_on(&machine, &call, ControlRequest::Agent).await,
+        (&Method::POST, CLIENT_CALL_PATH) => pass_on(&machine, &call, ControlRequest::Client).await,
         (&Method::POST, GATE_LEASE_PATH) => gate_lease(&machine, &call),
         (&Method::POST, RELAY_PATH) => relay(&machine, &call),
         (&Method::GET, CLUSTER_PATH) => json(StatusCode::OK, &machine.view()),
@@ -31,7 +31,7 @@
     }
 }
 
-fn core_messages(machine: &Machine, call: &HttpCall) -> Answer {
+fn core_messages(machine: &Machine, call: &Request) -> Response {
     match parse_json::<Envelope>(call.body()) {
         Ok(envelope) => {
             machine.received(&envelope.from, envelope.messages);
@@ -41,7 +41,7 @@
     }
 }
 
-fn gate_lease(machine: &Machine, call: &HttpCall) -> Answer {
+fn gate_lease(machine: &Machine, call: &Request) -> Response {
     match parse_json(call.body()) {
         Ok(lease) => match machine.gate_lease(&lease) {
             Some(reply) => json(StatusCode::OK, &reply),
@@ -51,7 +51,7 @@
     }
 }
 
-fn relay(machine: &Machine, call: &HttpCall) -> Answer {
+fn relay(machine: &Machine, call: &Request) -> Response {
     match parse_json(call.body()) {
         Ok(envelope) => match machine.relay(envelope) {
             Some(()) => empty(StatusCode::NO_CONTENT),
@@ -61,14 +61,14 @@
     }
 }
 
-async fn cluster_watch(machine: &Machine, call: &HttpCall) -> Answer {
+async fn cluster_watch(machine: &Machine, call: &Request) -> Response {
     match parse_json(call.body()) {
         Ok(watch) => json(StatusCode::OK, &machine.view_after(watch).await),
         Err(error) => text(StatusCode::BAD_REQUEST, format!("{error}\n")),
     }
 }
 
-fn explain(machine: &Machine, call: &HttpCall) -> Answer {
+fn explain(machine: &Machine, call: &Request) -> Response {
     match parse_json(call.body()) {
         Ok(asked) => match machine.explain(&asked) {
             Explained::Known(value) => json(StatusCode::OK, &value),
@@ -79,27 +79,27 @@
     }
 }
 
-fn not_primary(view: ClusterView) -> Answer {
+fn not_primary(view: ClusterView) -> Response {
     json(StatusCode::MISDIRECTED_REQUEST, &NotPrimary { view })
 }
 
 async fn pass_on<T: DeserializeOwned>(
     machine: &Machine,
-    call: &HttpCall,
-    of_body: impl FnOnce(T) -> Call,
-) -> Answer {
+    call: &Request,
+    of_body: impl FnOnce(T) -> ControlRequest,
+) -> Response {
     let call = match parse_json::<T>(call.body()) {
         Ok(body) => of_body(body),
         Err(error) => return text(StatusCode::BAD_REQUEST, format!("{error}\n")),
     };
     match machine.call(call).await {
-        Outcome::Reply(Reply::Agent(orders)) => json(StatusCode::OK, &orders),
-        Outcome::Reply(Reply::Client(reply)) => json(StatusCode::OK, &reply),
-        Outcome::Reply(Reply::Operator(_)) => {
+        ControlOutcome::Reply(SchedulerResponse::Agent(orders)) => json(StatusCode::OK, &orders),
+        ControlOutcome::Reply(SchedulerResponse::Client(reply)) => json(StatusCode::OK, &reply),
+        ControlOutcome::Reply(SchedulerResponse::Operator(_)) => {
             text(StatusCode::INTERNAL_SERVER_ERROR, "not an operator\n")
         }
-        Outcome::NotPrimary(view) => not_primary(view),
-        Outcome::Unknown => text(
+        ControlOutcome::NotPrimary(view) => not_primary(view),
+        ControlOutcome::Unknown => text(
             StatusCode::GATEWAY_TIMEOUT,
             "outcome unknown: repeat the call\n",
         ),
--- a/crates/controlplane/src/machine.rs
+++ b/crates/controlplane/src/machine.rs
@@ -1,7 +1,7 @@
 //! One core machine at work: the driver, and the queues that its actions go to.
 
 use crate::disk::Disk;
-use crate::driver::{Action, Answer, Call, Driver, Recovery};
+use crate::driver::{Action, ControlOutcome, ControlRequest, Driver, Recovery};
 use crate::peers::Peers;
 use crate::relay::Relay;
 use std::cell::RefCell;
@@ -9,11 +9,11 @@
 use std::rc::{Rc, Weak};
 use std::sync::Arc;
 use std::time::Duration;
-use streamusher_configuration::relay::Envelope;
+use streamusher_configuration::relay::RelayEnvelope;
 use streamusher_configuration::store::CURRENT_KEY;
 use streamusher_coordination::{Coordinator, Input, Message, StateMap};
 use streamusher_protocol::internal::{
-    ClusterView, ClusterWatch, CoreAddress, Explain, GateLease, GateLeaseReply,
+    ClusterView, ClusterWatch, CoreAddress, ExplainRequest, GateLeaseRequest, GateLeaseResponse,
 };
 use streamusher_protocol::Millis;
 use streamusher_runtime::{clock, logs};
@@ -31,7 +31,7 @@
     /// Itself, for what comes back from other threads.
     me: Weak<RefCell<Shared>>,
     driver: Driver<Coordinator, Scheduler>,
-    callers: HashMap<RequestId, oneshot::Sender<Answer>>,
+    callers: HashMap<RequestId, oneshot::Sender<ControlOutcome>>,
     peers: Peers,
     disk: Disk,
     relay: Relay,
@@ -75,7 +75,7 @@
     }
 
     /// Makes a call and waits for its answer. Dropping it tells the scheduler that the caller has left.
-    pub async fn call(&self, call: Call) -> Answer {
+    pub async fn call(&self, call: ControlRequest) -> ControlOutcome {
         let (answered, answer) = oneshot::channel();
         let request = self.shared.borrow_mut().call(call, answered);
         let mut caller = Caller {
@@ -84,7 +84,7 @@
         };
         let answer = answer.await;
         caller.request = None;
-        answer.unwrap_or(Answer::Unknown)
+        answer.unwrap_or(ControlOutcome::Unknown)
     }
 
     /// Takes an input of replication.
@@ -114,7 +114,7 @@
     }
 
     /// Renews a gate's lease; none where this is not the primary.
-    pub fn gate_lease(&self, lease: &GateLease) -> Option<GateLeaseReply> {
+    pub fn gate_lease(&self, lease: &GateLeaseRequest) -> Option<GateLeaseResponse> {
         let now = clock::steady();
         let shared = &mut *self.shared.borrow_mut();
         let epoch = shared.driver.reign(now)?;
@@ -122,7 +122,7 @@
     }
 
     /// Takes messages of a member of the relay tree; none where this is not the primary.
-    pub fn relay(&self, envelope: Envelope) -> Option<()> {
+    pub fn relay(&self, envelope: RelayEnvelope) -> Option<()> {
         let now = clock::steady();
         let shared = &mut *self.shared.borrow_mut();
         let epoch = shared.driver.reign(now)?;
@@ -175,7 +175,7 @@
     }
 
     /// What is known of one job or user.
-    pub fn explain(&self, asked: &Explain) -> Explained {
+    pub fn explain(&self, asked: &ExplainRequest) -> Explained {
         let now = clock::steady();
         let shared = self.shared.borrow();
         let acts = shared.driver.reign(now).is_some();
@@ -183,13 +183,13 @@
             return Explained::NotPrimary;
         };
         let (known, unknown) = match asked {
-            Explain::Job(id) => (
+            ExplainRequest::Job(id) => (
                 scheduler
                     .explain_job(now, id)
                     .map(|job| serde_json::json!(job)),
                 "no such job: it was not accepted, or ended long ago",
             ),
-            Explain::User(user) => (
+            ExplainRequest::User(user) => (
                 scheduler
                     .explain_user(now, user)
                     .map(|debt| serde_json::json!(debt)),
@@ -208,7 +208,11 @@
 }
 
 impl Shared {
-    fn call(&mut self, call: Call, answered: oneshot::Sender<Answer>) -> RequestId {
+    fn call(
+        &mut self,
+        call: ControlRequest,
+        answered: oneshot::Sender<ControlOutcome>,
+    ) -> RequestId {
         let (request, actions) = self.driver.call(clock::now(), call);
         self.callers.insert(request, answered);
         self.perform(actions);
@@ -264,7 +268,7 @@
         }
     }
 
-    fn answer(&mut self, request: RequestId, answer: Answer) {
+    fn answer(&mut self, request: RequestId, answer: ControlOutcome) {
         if let Some(caller) = self.callers.remove(&request) {
             // A caller that has left needs no answer.
             let _ = caller.send(answer);
--- a/crates/controlplane/src/main.rs
+++ b/crates/controlplane/src/main.rs
@@ -13,7 +13,7 @@
 use streamusher_controlplane::show_disk::{self, ShowError};
 use streamusher_controlplane::store::StoreError;
 use streamusher_fair_share as share_debt;
-use streamusher_protocol::internal::Explain;
+use streamusher_protocol::internal::ExplainRequest;
 use streamusher_runtime::options::EXIT_MISUSE;
 use streamusher_runtime::{logs, settings};
 
@@ -49,7 +49,7 @@
     }
 }
 
-fn with_settings(next: impl FnOnce(settings::Settings) -> ExitCode) -> ExitCode {
+fn with_settings(next: impl FnOnce(settings::ProcessSettings) -> ExitCode) -> ExitCode {
     let settings = match settings::load() {
         Ok(settings) => settings,
         Err(error) => return misuse(&error.to_string()),
@@ -62,7 +62,7 @@
 
 fn with_share_debt(
     source: Option<ShareDebt>,
-    next: impl FnOnce(Option<share_debt::Settings>) -> ExitCode,
+    next: impl FnOnce(Option<share_debt::FairShareSettings>) -> ExitCode,
 ) -> ExitCode {
     match source {
         None => next(None),
@@ -75,9 +75,9 @@
 }
 
 fn run(
-    settings: settings::Settings,
+    settings: settings::ProcessSettings,
     log_level: Option<LevelFilter>,
-    share_debt: Option<share_debt::Settings>,
+    share_debt: Option<share_debt::FairShareSettings>,
 ) -> ExitCode {
     logs::start(log_level);
     let Err(error) = program::run(settings, share_debt) else {
@@ -110,7 +110,7 @@
         .map_err(|error| format!("{error}, or name the address of a process"))
 }
 
-fn explain(asked: &Explain, addresses: Vec<SocketAddr>, file: Option<&Path>) -> ExitCode {
+fn explain(asked: &ExplainRequest, addresses: Vec<SocketAddr>, file: Option<&Path>) -> ExitCode {
     let addresses = match first_asked(addresses, file) {
         Ok(addresses) => addresses,
         Err(error) => return misuse(&error),
@@ -142,7 +142,7 @@
     }
 }
 
-fn seeds_of(settings: &settings::Settings) -> Vec<SocketAddr> {
+fn seeds_of(settings: &settings::ProcessSettings) -> Vec<SocketAddr> {
     let seeds = settings.core_addresses_of_seeds();
     seeds
         .iter()
--- a/crates/controlplane/src/operators.rs
+++ b/crates/controlplane/src/operators.rs
@@ -1,6 +1,6 @@
 //! The control interface: operators' orders, carried out by the primary; the others name it.
 
-use crate::driver::{Answer as Outcome, Call};
+use crate::driver::{ControlOutcome, ControlRequest};
 use crate::machine::Machine;
 use http::header::{ALLOW, CONTENT_TYPE, LOCATION, RETRY_AFTER};
 use http::{HeaderValue, Method, StatusCode};
@@ -8,18 +8,20 @@
 use streamusher_protocol::config::{BASE_VERSION_HEADER, READ_PATH, REPLACE_PATH, UPDATE_PATH};
 use streamusher_protocol::heartbeat::{DEREGISTER_PATH, HEARTBEAT_PATH};
 use streamusher_protocol::internal::ClusterView;
-use streamusher_runtime::http::{empty, text, Answer, Call as HttpCall};
-use streamusher_scheduler::{OperatorOrder, OperatorReply, OrderKind, Reply};
+use streamusher_runtime::http::{empty, text, Request, Response};
+use streamusher_scheduler::{
+    OperatorRequest, OperatorRequestKind, OperatorResponse, SchedulerResponse,
+};
 
 /// Answers a call on the control port; `me` is this machine's control `ip:port`.
-pub async fn answer(machine: Machine, me: Arc<str>, call: HttpCall) -> Answer {
+pub async fn answer(machine: Machine, me: Arc<str>, call: Request) -> Response {
     let path = call.uri().path().to_owned();
     let Some(kind) = kind_of(&path) else {
         return not_served(&path);
     };
     let wanted = match kind {
-        OrderKind::Read => Method::GET,
-        OrderKind::Replace | OrderKind::Update => Method::POST,
+        OperatorRequestKind::Read => Method::GET,
+        OperatorRequestKind::Replace | OperatorRequestKind::Update => Method::POST,
     };
     if call.method() != wanted {
         return wrong_method(&wanted);
@@ -28,32 +30,32 @@
         Ok(order) => order,
         Err(refusal) => return *refusal,
     };
-    match machine.call(Call::Operator(order)).await {
-        Outcome::Reply(Reply::Operator(reply)) => answer_of(&reply),
-        Outcome::Reply(_) => text(
+    match machine.call(ControlRequest::Operator(order)).await {
+        ControlOutcome::Reply(SchedulerResponse::Operator(reply)) => answer_of(&reply),
+        ControlOutcome::Reply(_) => text(
             StatusCode::INTERNAL_SERVER_ERROR,
             "not an operator's reply\n",
         ),
-        Outcome::NotPrimary(view) => elsewhere(&view, &me, &path),
-        Outcome::Unknown => text(
+        ControlOutcome::NotPrimary(view) => elsewhere(&view, &me, &path),
+        ControlOutcome::Unknown => text(
             StatusCode::GATEWAY_TIMEOUT,
             "outcome unknown: send the same order again\n",
         ),
     }
 }
 
-fn kind_of(path: &str) -> Option<OrderKind> {
+fn kind_of(path: &str) -> Option<OperatorRequestKind> {
     match path {
-        REPLACE_PATH => Some(OrderKind::Replace),
-        UPDATE_PATH => Some(OrderKind::Update),
-        READ_PATH => Some(OrderKind::Read),
+        REPLACE_PATH => Some(OperatorRequestKind::Replace),
+        UPDATE_PATH => Some(OperatorRequestKind::Update),
+        READ_PATH => Some(OperatorRequestKind::Read),
         _ => None,
     }
 }
 
-fn order_of(kind: OrderKind, call: &HttpCall) -> Result<OperatorOrder, Box<Answer>> {
-    if kind == OrderKind::Read {
-        return Ok(OperatorOrder {
+fn order_of(kind: OperatorRequestKind, call: &Request) -> Result<OperatorRequest, Box<Response>> {
+    if kind == OperatorRequestKind::Read {
+        return Ok(OperatorRequest {
             kind,
             base: None,
             body: "".into(),
@@ -71,20 +73,20 @@
             "the body is not UTF-8: send JSON\n",
         )));
     };
-    Ok(OperatorOrder {
+    Ok(OperatorRequest {
         kind,
         base: Some(base),
         body: body.into(),
     })
 }
 
-fn base_version(call: &HttpCall) -> Option<u64> {
+fn base_version(call: &Request) -> Option<u64> {
     let mut values = call.headers().get_all(BASE_VERSION_HEADER).iter();
     let value = values.next()?.to_str().ok()?.trim().parse().ok()?;
     values.next().is_none().then_some(value)
 }
 
-fn answer_of(reply: &OperatorReply) -> Answer {
+fn answer_of(reply: &OperatorResponse) -> Response {
     let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut answer = text(status, &*reply.body);
     answer
@@ -94,7 +96,7 @@
 }
 
 /// Names the primary, or says that there is none just now. A primary without a lease does not name itself.
-fn elsewhere(view: &ClusterView, me: &str, path: &str) -> Answer {
+fn elsewhere(view: &ClusterView, me: &str, path: &str) -> Response {
     let primary = view
         .primary
         .as_ref()
@@ -110,7 +112,7 @@
     answer
 }
 
-fn no_primary() -> Answer {
+fn no_primary() -> Response {
     let mut answer = text(
         StatusCode::SERVICE_UNAVAILABLE,
         "no primary is known just now: try again\n",
@@ -121,7 +123,7 @@
     answer
 }
 
-fn not_served(path: &str) -> Answer {
+fn not_served(path: &str) -> Response {
     if path.starts_with(HEARTBEAT_PATH) || path.starts_with(DEREGISTER_PATH) {
         return text(
             StatusCode::SERVICE_UNAVAILABLE,
@@ -134,7 +136,7 @@
     )
 }
 
-fn wrong_method(wanted: &Method) -> Answer {
+fn wrong_method(wanted: &Method) -> Response {
     let mut answer = text(StatusCode::METHOD_NOT_ALLOWED, format!("use {wanted}\n"));
     if let Ok(allowed) = HeaderValue::from_str(wanted.as_str()) {
         answer.headers_mut().insert(ALLOW, allowed);
--- a/crates/controlplane/src/options.rs
+++ b/crates/controlplane/src/options.rs
@@ -5,14 +5,14 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use streamusher_fair_share as share_debt;
-use streamusher_protocol::internal::Explain;
+use streamusher_protocol::internal::ExplainRequest;
 use streamusher_runtime::options::{add_log_level, log_level};
 
 /// Where the settings of the debts come from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ShareDebt {
     /// From the command line: a half-life, and defaults.
-    Given(share_debt::Settings),
+    Given(share_debt::FairShareSettings),
     /// From a file.
     File(PathBuf),
 }
@@ -43,7 +43,7 @@
     /// Ask the primary about one job or user.
     Explain {
         /// What is asked.
-        asked: Explain,
+        asked: ExplainRequest,
         /// Internal addresses to ask first; with none, those of the settings' seeds.
         addresses: Vec<SocketAddr>,
         /// The settings file that names the seeds, where it is not the usual one.
@@ -119,9 +119,11 @@
             let id = id
                 .parse()
                 .map_err(|error| format!("explain job {id:?}: {error}"))?;
-            (Explain::Job(id), texts)
+            (ExplainRequest::Job(id), texts)
+        }
+        [kind, name, texts @ ..] if kind == "user" => {
+            (ExplainRequest::User(name.as_str().into()), texts)
         }
-        [kind, name, texts @ ..] if kind == "user" => (Explain::User(name.as_str().into()), texts),
         _ => return Err("explain: write explain job ID, or explain user NAME".to_owned()),
     };
     let settings = matches.opt_str("settings").map(PathBuf::from);
@@ -184,11 +186,11 @@
 }
 
 /// Settings by a half-life in whole seconds.
-fn share_debt_of(text: &str) -> Result<share_debt::Settings, String> {
+fn share_debt_of(text: &str) -> Result<share_debt::FairShareSettings, String> {
     let seconds: u64 = text.parse().map_err(|_| {
         format!("--{SHARE_DEBT} {text:?}: give the half-life in whole seconds, such as 600")
     })?;
-    let settings = share_debt::Settings::with_half_life(seconds.saturating_mul(1_000));
+    let settings = share_debt::FairShareSettings::with_half_life(seconds.saturating_mul(1_000));
     settings
         .check()
         .map_err(|error| format!("--{SHARE_DEBT} {text}: {error}"))?;
--- a/crates/controlplane/src/parameters.rs
+++ b/crates/controlplane/src/parameters.rs
@@ -9,7 +9,7 @@
 use streamusher_fair_share as share_debt;
 use streamusher_protocol::internal::{CoreAddress, CONTROL_PORT_OFFSET};
 use streamusher_protocol::Millis;
-use streamusher_runtime::settings::Settings;
+use streamusher_runtime::settings::ProcessSettings;
 use streamusher_scheduler as scheduler;
 
 /// How long a replica's acknowledgement binds it: some forty messages of a calm network, and a fraction of the second
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 /// A key is missing.
-pub fn places(settings: &Settings) -> Result<Places, MissingSetting> {
+pub fn places(settings: &ProcessSettings) -> Result<Places, MissingSetting> {
     let missing = |key, remedy| MissingSetting { key, remedy };
     let control = settings.listen.control;
     let data_dir = settings.data_dir.clone();
@@ -68,12 +68,12 @@
 
 /// Replication's settings.
 pub fn coordination(
-    settings: &Settings,
+    settings: &ProcessSettings,
     me: CoreAddress,
     random_seed: u64,
-) -> coordination::Settings {
-    coordination::Settings {
-        me,
+) -> coordination::CoordinatorSettings {
+    coordination::CoordinatorSettings {
+        address: me,
         bootstrap: settings.bootstrap,
         seeds: settings.core_addresses_of_seeds(),
         tolerance: settings.fault_tolerance.machines as usize,
@@ -84,12 +84,12 @@
 
 /// The scheduler's settings.
 pub fn scheduler(
-    settings: &Settings,
+    settings: &ProcessSettings,
     random_seed: u64,
-    share_debt: Option<share_debt::Settings>,
-) -> scheduler::Settings {
+    share_debt: Option<share_debt::FairShareSettings>,
+) -> scheduler::SchedulerSettings {
     let bounds = &settings.bounds;
-    let bounds = scheduler::Bounds {
+    let bounds = scheduler::SchedulerLimits {
         hold_max_ms: bounds.hold_max_ms,
         stop_ms: bounds.stop_ms,
         gang_ms: bounds.gang_ms,
@@ -101,8 +101,8 @@
         drain_ms: bounds.drain_ms,
         heartbeat_ms: settings.heartbeat_ms,
     };
-    scheduler::Settings {
-        bounds,
+    scheduler::SchedulerSettings {
+        limits: bounds,
         random_seed,
         share_debt,
         policy: scheduler::Policy::default(),
--- a/crates/controlplane/src/peers.rs
+++ b/crates/controlplane/src/peers.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use streamusher_coordination::Message;
 use streamusher_protocol::internal::CORE_PATH;
-use streamusher_runtime::http::{Call, Client, ClientLimits};
+use streamusher_runtime::http::{Client, ClientLimits, Request};
 use tokio::sync::mpsc;
 
 /// A machine that is up takes the connection within a round trip.
@@ -99,7 +99,7 @@
         let Some(call) = call_of(&envelope) else {
             continue;
         };
-        if let Err(error) = client.call(call, CALL_TIMEOUT).await {
+        if let Err(error) = client.send(call, CALL_TIMEOUT).await {
             log::debug!("core machine {address}: {error}");
             // What was queued meanwhile is as old; the next messages are better.
             while messages.try_recv().is_ok() {}
@@ -107,9 +107,9 @@
     }
 }
 
-fn call_of(envelope: &Envelope) -> Option<Call> {
+fn call_of(envelope: &Envelope) -> Option<Request> {
     let body = serde_json::to_vec(envelope).ok()?;
-    let mut call = Call::new(Bytes::from(body));
+    let mut call = Request::new(Bytes::from(body));
     *call.method_mut() = Method::POST;
     *call.uri_mut() = Uri::from_static(CORE_PATH);
     call.headers_mut()
--- a/crates/controlplane/src/ports.rs
+++ b/crates/controlplane/src/ports.rs
@@ -5,7 +5,7 @@
 use streamusher_protocol::internal::ClusterView;
 use streamusher_protocol::store::Write;
 use streamusher_protocol::{Millis, Now};
-use streamusher_scheduler::{Effects, Event, RecoverError, Scheduler, Settings};
+use streamusher_scheduler::{Effects, Event, RecoverError, Scheduler, SchedulerSettings};
 
 /// What the driver needs of replication.
 pub trait Replication {
@@ -34,7 +34,7 @@
     /// # Errors
     /// The state can't be read.
     fn recover(
-        settings: &Settings,
+        settings: &SchedulerSettings,
         epoch: u64,
         now: Now,
         state: StateMap,
@@ -87,7 +87,7 @@
 
 impl StateMachine for Scheduler {
     fn recover(
-        settings: &Settings,
+        settings: &SchedulerSettings,
         epoch: u64,
         now: Now,
         state: StateMap,
--- a/crates/controlplane/src/program.rs
+++ b/crates/controlplane/src/program.rs
@@ -13,7 +13,7 @@
 use streamusher_fair_share as share_debt;
 use streamusher_protocol::Millis;
 use streamusher_runtime::http::{Server, ServerHandle, ServerLimits};
-use streamusher_runtime::settings::{self, Settings};
+use streamusher_runtime::settings::{self, ProcessSettings};
 use streamusher_runtime::signals::{Signal, Signals};
 use streamusher_runtime::{clock, runtime};
 use tokio::sync::mpsc;
@@ -40,14 +40,17 @@
 ///
 /// # Errors
 /// It can't start, or its store was lost.
-pub fn run(settings: Settings, share_debt: Option<share_debt::Settings>) -> Result<()> {
+pub fn run(
+    settings: ProcessSettings,
+    share_debt: Option<share_debt::FairShareSettings>,
+) -> Result<()> {
     runtime::block_on(run_with_signals(settings, share_debt))
         .context("the event loop can't be made")?
 }
 
 async fn run_with_signals(
-    settings: Settings,
-    share_debt: Option<share_debt::Settings>,
+    settings: ProcessSettings,
+    share_debt: Option<share_debt::FairShareSettings>,
 ) -> Result<()> {
     let mut signals = Signals::new().context("signals can't be heard")?;
     let process = Process::start(&settings, share_debt).await?;
@@ -63,9 +66,9 @@
 }
 
 fn start_machine(
-    settings: &Settings,
+    settings: &ProcessSettings,
     places: &Places,
-    share_debt: Option<share_debt::Settings>,
+    share_debt: Option<share_debt::FairShareSettings>,
 ) -> Result<(Machine, mpsc::UnboundedReceiver<DiskEvent>)> {
     let (store, image) = disk::open_at_start(&places.data_dir)?;
     let (events, disk_events) = mpsc::unbounded_channel();
@@ -140,8 +143,8 @@
     /// # Errors
     /// A setting is missing, a newer program wrote the store, or an address can't be bound.
     pub async fn start(
-        settings: &Settings,
-        share_debt: Option<share_debt::Settings>,
+        settings: &ProcessSettings,
+        share_debt: Option<share_debt::FairShareSettings>,
     ) -> Result<Process> {
         let places = parameters::places(settings)?;
         let (machine, disk_events) = start_machine(settings, &places, share_debt)?;
--- a/crates/controlplane/src/relay.rs
+++ b/crates/controlplane/src/relay.rs
@@ -1,15 +1,15 @@
 //! The primary's end of the relay tree at work: leases of gates, and what goes down the tree.
 
 use streamusher_configuration::relay::{
-    Distribution, Envelope, Peer, Published, RelayMessage, Send,
+    ConfigurationPublisher, OutboundMessage, Published, RelayEnvelope, RelayMessage, RelayPeer,
 };
-use streamusher_protocol::internal::{GateLease, GateLeaseReply, RELAY_PATH};
+use streamusher_protocol::internal::{GateLeaseRequest, GateLeaseResponse, RELAY_PATH};
 use streamusher_protocol::Millis;
 use streamusher_runtime::http::Outbox;
 
 /// Root and leases while this machine is the primary, and the queues to the members.
 pub struct Relay {
-    reign: Option<(u64, Distribution)>,
+    reign: Option<(u64, ConfigurationPublisher)>,
     outbox: Outbox<RelayMessage>,
 }
 
@@ -43,14 +43,19 @@
     }
 
     /// Renews a gate's lease.
-    pub fn lease(&mut self, now: Millis, epoch: u64, lease: &GateLease) -> GateLeaseReply {
+    pub fn lease(
+        &mut self,
+        now: Millis,
+        epoch: u64,
+        lease: &GateLeaseRequest,
+    ) -> GateLeaseResponse {
         self.reign_of(now, Some(epoch))
             .map(|reign| reign.lease(now, lease))
             .unwrap_or_default()
     }
 
     /// Takes messages of a member.
-    pub fn receive(&mut self, now: Millis, epoch: u64, envelope: Envelope) {
+    pub fn receive(&mut self, now: Millis, epoch: u64, envelope: RelayEnvelope) {
         if let Some(distribution) = self.reign_of(now, Some(epoch)) {
             let sends = distribution.receive(now, envelope);
             self.send(sends);
@@ -62,7 +67,7 @@
         let Some((_, distribution)) = &self.reign else {
             return serde_json::Value::Null;
         };
-        let children: Vec<&Peer> = distribution.root().receivers().collect();
+        let children: Vec<&RelayPeer> = distribution.root().receivers().collect();
         serde_json::json!({
             "published": distribution.version(),
             "roster": distribution.leases().roster(),
@@ -70,18 +75,18 @@
         })
     }
 
-    fn reign_of(&mut self, now: Millis, epoch: Option<u64>) -> Option<&mut Distribution> {
+    fn reign_of(&mut self, now: Millis, epoch: Option<u64>) -> Option<&mut ConfigurationPublisher> {
         let epoch = epoch?;
         if self.reign.as_ref().is_none_or(|(of, _)| *of != epoch) {
-            self.reign = Some((epoch, Distribution::new(epoch, now)));
+            self.reign = Some((epoch, ConfigurationPublisher::new(epoch, now)));
         }
         self.reign.as_mut().map(|(_, distribution)| distribution)
     }
 
-    fn send(&mut self, sends: Vec<Send>) {
+    fn send(&mut self, sends: Vec<OutboundMessage>) {
         for send in sends {
             for to in send.to {
-                if let Peer::Member(address) = to {
+                if let RelayPeer::Member(address) = to {
                     self.outbox.send(&address, send.message.clone());
                 }
             }
@@ -90,8 +95,8 @@
 }
 
 fn body_of(messages: Vec<RelayMessage>) -> Vec<u8> {
-    serde_json::to_vec(&Envelope {
-        from: Peer::Core,
+    serde_json::to_vec(&RelayEnvelope {
+        from: RelayPeer::Core,
         messages,
     })
     .unwrap_or_default()
--- a/crates/controlplane/src/share_debt_file.rs
+++ b/crates/controlplane/src/share_debt_file.rs
@@ -3,7 +3,7 @@
 use figment::providers::{Format, Serialized, Toml};
 use figment::Figment;
 use std::path::{Path, PathBuf};
-use streamusher_fair_share::{Settings, SettingsError};
+use streamusher_fair_share::{FairShareSettings, SettingsError};
 use streamusher_protocol::Millis;
 
 /// The file cannot be used.
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 /// See [`ShareDebtFileError`].
-pub fn load(path: &Path) -> Result<Settings, ShareDebtFileError> {
+pub fn load(path: &Path) -> Result<FairShareSettings, ShareDebtFileError> {
     let unread = |error: figment::Error| {
         // The parser's own text may have several lines.
         let reason = error
@@ -47,8 +47,8 @@
     let half_life_ms: Millis = Figment::from(Toml::file_exact(path))
         .extract_inner("half_life_ms")
         .map_err(unread)?;
-    let usual = Settings::with_half_life(half_life_ms);
-    let settings: Settings = Figment::from(Serialized::defaults(usual))
+    let usual = FairShareSettings::with_half_life(half_life_ms);
+    let settings: FairShareSettings = Figment::from(Serialized::defaults(usual))
         .merge(Toml::file_exact(path))
         .extract()
         .map_err(unread)?;
--- a/crates/controlplane/src/show_disk.rs
+++ b/crates/controlplane/src/show_disk.rs
@@ -140,7 +140,7 @@
         .map_or("none".to_owned(), |id| id.to_string());
     format!(
         "{}, primary {primary} since epoch {}",
-        record.epoch, record.reign
+        record.epoch, record.term
     )
 }
 
--- a/crates/controlplane/src/store/mod.rs
+++ b/crates/controlplane/src/store/mod.rs
@@ -15,7 +15,7 @@
 use std::cell::Cell;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
-use streamusher_coordination::{DiskChange, DiskImage, Position, StateMap, WitnessState};
+use streamusher_coordination::{DiskChange, DiskImage, LogPosition, StateMap, WitnessState};
 
 /// Format of the store; rises when older programs can't read it any more.
 pub const FORMAT: u32 = 1;
@@ -219,7 +219,7 @@
 
     fn load(&self) -> Result<DiskImage, StoreError> {
         let witness = self.read::<WitnessState>(WITNESS_KEY)?;
-        let position = self.read::<Position>(POSITION_KEY)?;
+        let position = self.read::<LogPosition>(POSITION_KEY)?;
         let state = self.load_state()?;
         if witness.is_none() && (position.is_some() || !state.is_empty()) {
             return Err(StoreError::damaged(
--- a/crates/controlplane/tests/command_line.rs
+++ b/crates/controlplane/tests/command_line.rs
@@ -11,7 +11,7 @@
 use streamusher_controlplane::options::{parse, ShareDebt, Task};
 use streamusher_controlplane::store::{Store, FOLDER, FORMAT};
 use streamusher_fair_share as share_debt;
-use streamusher_protocol::internal::Explain;
+use streamusher_protocol::internal::ExplainRequest;
 use support::TestFolder;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_streamusher-control");
@@ -65,7 +65,7 @@
 #[case(&[], Task::Run { log_level: None, share_debt: None })]
 #[case(&["--log-level", "debug"], Task::Run { log_level: Some(log::LevelFilter::Debug), share_debt: None })]
 #[case(&["--share-debt", "600"],
-    Task::Run { log_level: None, share_debt: Some(ShareDebt::Given(share_debt::Settings::with_half_life(600_000))) })]
+    Task::Run { log_level: None, share_debt: Some(ShareDebt::Given(share_debt::FairShareSettings::with_half_life(600_000))) })]
 #[case(&["--share-debt-settings", "debts.toml"],
     Task::Run { log_level: None, share_debt: Some(ShareDebt::File("debts.toml".into())) })]
 #[case(&["--check"], Task::CheckSettings(None))]
@@ -73,9 +73,9 @@
 #[case(&["check", "--share-debt-settings", "debts.toml"],
     Task::CheckSettings(Some(ShareDebt::File("debts.toml".into()))))]
 #[case(&["explain", "job", "5c0e7a21d94b36f8"], Task::Explain {
-    asked: Explain::Job("5c0e7a21d94b36f8".parse().unwrap()), addresses: Vec::new(), settings: None })]
+    asked: ExplainRequest::Job("5c0e7a21d94b36f8".parse().unwrap()), addresses: Vec::new(), settings: None })]
 #[case(&["explain", "user", "scans", "10.0.0.1:7300", "--settings", "core.toml"], Task::Explain {
-    asked: Explain::User("scans".into()), addresses: vec!["10.0.0.1:7300".parse().unwrap()],
+    asked: ExplainRequest::User("scans".into()), addresses: vec!["10.0.0.1:7300".parse().unwrap()],
     settings: Some("core.toml".into()) })]
 #[case(&["check", "--configuration", "c.toml"], Task::CheckConfiguration("c.toml".into()))]
 #[case(&["show-disk", "data"], Task::ShowDisk("data".into()))]
--- a/crates/controlplane/tests/driver.rs
+++ b/crates/controlplane/tests/driver.rs
@@ -5,17 +5,17 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::sync::Arc;
-use streamusher_controlplane::driver::{Action, Answer, Call, Driver, Recovery};
+use streamusher_controlplane::driver::{Action, ControlOutcome, ControlRequest, Driver, Recovery};
 use streamusher_controlplane::ports::{Replication, StateMachine};
 use streamusher_coordination::{Input, Output, StateMap};
 use streamusher_protocol::internal::{
-    AgentOrders, AgentSync, ClientCall, ClientMethod, ClientReply, ClusterView, CoreAddress,
+    AgentCommands, AgentSync, ClientMethod, ClientRequest, ClientResponse, ClusterView, CoreAddress,
 };
 use streamusher_protocol::store::Write;
 use streamusher_protocol::{Millis, Now};
 use streamusher_scheduler::{
-    Bounds, Effects, Event, OperatorOrder, OperatorReply, OrderKind, RecoverError, Reply,
-    RequestId, Settings,
+    Effects, Event, OperatorRequest, OperatorRequestKind, OperatorResponse, RecoverError,
+    RequestId, SchedulerLimits, SchedulerResponse, SchedulerSettings,
 };
 
 /// What the replication under the driver says.
@@ -90,7 +90,12 @@
 struct Machine;
 
 impl StateMachine for Machine {
-    fn recover(_: &Settings, epoch: u64, _: Now, state: StateMap) -> Result<Self, RecoverError> {
+    fn recover(
+        _: &SchedulerSettings,
+        epoch: u64,
+        _: Now,
+        state: StateMap,
+    ) -> Result<Self, RecoverError> {
         record(format!("recover {epoch} {}", state.len()));
         Ok(Machine)
     }
@@ -117,7 +122,7 @@
     EVENTS.with(|events| std::mem::take(&mut *events.borrow_mut()))
 }
 
-fn next_effects(writes: &[&str], replies: Vec<(RequestId, Reply)>) {
+fn next_effects(writes: &[&str], replies: Vec<(RequestId, SchedulerResponse)>) {
     let writes = writes.iter().map(|key| Write::set(*key, "1")).collect();
     EFFECTS.with(|effects| effects.borrow_mut().push_back(Effects { writes, replies }));
 }
@@ -127,9 +132,9 @@
     driver: Driver<Scripted, Machine>,
 }
 
-fn settings() -> Settings {
-    Settings {
-        bounds: Bounds::default(),
+fn settings() -> SchedulerSettings {
+    SchedulerSettings {
+        limits: SchedulerLimits::default(),
         random_seed: 1,
         share_debt: None,
         policy: streamusher_scheduler::Policy::default(),
@@ -162,7 +167,7 @@
 
 impl Fixture {
     /// An input that brings an output.
-    fn told(&mut self, output: Output) -> Vec<(RequestId, Answer)> {
+    fn told(&mut self, output: Output) -> Vec<(RequestId, ControlOutcome)> {
         let (answers, recoveries) = self.told_without_recovery(output);
         recoveries
             .into_iter()
@@ -174,7 +179,7 @@
     fn told_without_recovery(
         &mut self,
         output: Output,
-    ) -> (Vec<(RequestId, Answer)>, Vec<Recovery>) {
+    ) -> (Vec<(RequestId, ControlOutcome)>, Vec<Recovery>) {
         self.script.0.borrow_mut().outputs.push(output);
         let actions = self.driver.input(now(), Input::Persisted { ticket: 1 });
         let (recoveries, others): (Vec<Action>, Vec<Action>) = actions
@@ -187,12 +192,12 @@
         (answers(others), recoveries.collect())
     }
 
-    fn recover(&mut self, recovery: Recovery) -> Vec<(RequestId, Answer)> {
+    fn recover(&mut self, recovery: Recovery) -> Vec<(RequestId, ControlOutcome)> {
         let epoch = recovery.epoch;
         answers(self.driver.recovered(now(), epoch, recovery.run()))
     }
 
-    fn commit(&mut self, sequence: u64) -> Vec<(RequestId, Answer)> {
+    fn commit(&mut self, sequence: u64) -> Vec<(RequestId, ControlOutcome)> {
         self.script.0.borrow_mut().committed = sequence;
         self.told(Output::Committed { sequence })
     }
@@ -201,15 +206,15 @@
         self.script.0.borrow_mut().lease = lease;
     }
 
-    fn call(&mut self, call: Call) -> Vec<(RequestId, Answer)> {
+    fn call(&mut self, call: ControlRequest) -> Vec<(RequestId, ControlOutcome)> {
         answers(self.driver.call(now(), call).1)
     }
 
-    fn tick(&mut self) -> Vec<(RequestId, Answer)> {
+    fn tick(&mut self) -> Vec<(RequestId, ControlOutcome)> {
         self.tick_at(now())
     }
 
-    fn tick_at(&mut self, now: Now) -> Vec<(RequestId, Answer)> {
+    fn tick_at(&mut self, now: Now) -> Vec<(RequestId, ControlOutcome)> {
         answers(self.driver.tick(now))
     }
 
@@ -218,7 +223,7 @@
     }
 }
 
-fn answers(actions: Vec<Action>) -> Vec<(RequestId, Answer)> {
+fn answers(actions: Vec<Action>) -> Vec<(RequestId, ControlOutcome)> {
     let answer = |action| match action {
         Action::Answer { request, answer } => Some((request, answer)),
         _ => None,
@@ -226,9 +231,9 @@
     actions.into_iter().filter_map(answer).collect()
 }
 
-fn client(method: ClientMethod) -> Call {
+fn client(method: ClientMethod) -> ControlRequest {
     let (host, path, body): (Arc<str>, Arc<str>, Arc<str>) = ("h".into(), "/q/1".into(), "".into());
-    Call::Client(ClientCall {
+    ControlRequest::Client(ClientRequest {
         method,
         host,
         path,
@@ -237,8 +242,8 @@
     })
 }
 
-fn agent() -> Call {
-    Call::Agent(AgentSync {
+fn agent() -> ControlRequest {
+    ControlRequest::Agent(AgentSync {
         agent: "side-1".into(),
         boot: 1,
         sequence: 1,
@@ -249,51 +254,51 @@
     })
 }
 
-fn operator(kind: OrderKind) -> Call {
-    Call::Operator(OperatorOrder {
+fn operator(kind: OperatorRequestKind) -> ControlRequest {
+    ControlRequest::Operator(OperatorRequest {
         kind,
         base: Some(0),
         body: "{}".into(),
     })
 }
 
-fn client_reply(status: u16) -> Reply {
-    Reply::Client(ClientReply {
+fn client_reply(status: u16) -> SchedulerResponse {
+    SchedulerResponse::Client(ClientResponse {
         status,
         body: "".into(),
         retry_after_ms: None,
     })
 }
 
-fn operator_reply(status: u16) -> Reply {
-    Reply::Operator(OperatorReply {
+fn operator_reply(status: u16) -> SchedulerResponse {
+    SchedulerResponse::Operator(OperatorResponse {
         status,
         body: "".into(),
     })
 }
 
-fn agent_reply(epoch: u64) -> Reply {
-    Reply::Agent(AgentOrders {
+fn agent_reply(epoch: u64) -> SchedulerResponse {
+    SchedulerResponse::Agent(AgentCommands {
         epoch,
         ..Default::default()
     })
 }
 
-fn is_reply(answer: &Answer) -> bool {
-    matches!(answer, Answer::Reply(_))
+fn is_reply(answer: &ControlOutcome) -> bool {
+    matches!(answer, ControlOutcome::Reply(_))
 }
 
 #[rstest]
 #[case(client(ClientMethod::Post))]
 #[case(agent())]
-#[case(operator(OrderKind::Replace))]
-fn given_no_primary_when_called_then_it_says_so_at_once(#[case] call: Call) {
+#[case(operator(OperatorRequestKind::Replace))]
+fn given_no_primary_when_called_then_it_says_so_at_once(#[case] call: ControlRequest) {
     let mut fixture = idle();
 
     let answers = fixture.call(call);
 
     assert!(
-        matches!(&answers[..], [(1, Answer::NotPrimary(view))] if view.primary == Some(address()))
+        matches!(&answers[..], [(1, ControlOutcome::NotPrimary(view))] if view.primary == Some(address()))
     );
     assert!(events().is_empty());
 }
@@ -306,7 +311,7 @@
 
     let answers = fixture.call(client(ClientMethod::Post));
 
-    assert!(matches!(&answers[..], [(1, Answer::NotPrimary(_))]));
+    assert!(matches!(&answers[..], [(1, ControlOutcome::NotPrimary(_))]));
     assert!(events().is_empty());
 }
 
@@ -335,11 +340,11 @@
     for call in [
         client(ClientMethod::Post),
         agent(),
-        operator(OrderKind::Read),
+        operator(OperatorRequestKind::Read),
     ] {
         let answers = fixture.call(call);
         assert!(
-            matches!(answers[..], [(_, Answer::NotPrimary(_))]),
+            matches!(answers[..], [(_, ControlOutcome::NotPrimary(_))]),
             "{answers:?}"
         );
     }
@@ -367,7 +372,7 @@
     for call in [
         agent(),
         client(ClientMethod::Post),
-        operator(OrderKind::Read),
+        operator(OperatorRequestKind::Read),
     ] {
         assert!(fixture.call(call).is_empty());
     }
@@ -379,7 +384,7 @@
     next_effects(&[], vec![(1, agent_reply(3))]);
     let answers = fixture.commit(0);
     assert!(
-        matches!(&answers[..], [(1, Answer::Reply(_))]),
+        matches!(&answers[..], [(1, ControlOutcome::Reply(_))]),
         "{answers:?}"
     );
     assert_eq!(events(), ["agent 1", "client 2", "operator 3"]);
@@ -400,7 +405,7 @@
     };
     let answers = fixture.tick_at(later);
     assert!(
-        matches!(&answers[..], [(1, Answer::NotPrimary(_))]),
+        matches!(&answers[..], [(1, ControlOutcome::NotPrimary(_))]),
         "{answers:?}"
     );
     assert_eq!(events(), [] as [&str; 0]);
@@ -422,7 +427,7 @@
     (0..MOST_CALLS).for_each(|_| assert!(fixture.call(client(ClientMethod::Get)).is_empty()));
     let answers = fixture.call(client(ClientMethod::Get));
     assert!(
-        matches!(answers[..], [(_, Answer::NotPrimary(_))]),
+        matches!(answers[..], [(_, ControlOutcome::NotPrimary(_))]),
         "{answers:?}"
     );
 }
@@ -446,7 +451,7 @@
     fixture.recover(first.pop().expect("a recovery"));
     let answers = fixture.call(client(ClientMethod::Post));
     assert!(
-        matches!(answers[..], [(_, Answer::NotPrimary(_))]),
+        matches!(answers[..], [(_, ControlOutcome::NotPrimary(_))]),
         "{answers:?}"
     );
 
@@ -455,7 +460,7 @@
     fixture.recover(second.pop().expect("a recovery"));
     let answers = fixture.call(client(ClientMethod::Post));
     assert!(
-        matches!(answers[..], [(_, Answer::NotPrimary(_))]),
+        matches!(answers[..], [(_, ControlOutcome::NotPrimary(_))]),
         "the scheduler of an earlier office: {answers:?}"
     );
     fixture.recover(third.pop().expect("a recovery"));
@@ -549,12 +554,12 @@
 #[rstest]
 #[case::accepted(client(ClientMethod::Post), client_reply(200))]
 #[case::cancelled(client(ClientMethod::Delete), client_reply(200))]
-#[case::replaced(operator(OrderKind::Replace), operator_reply(200))]
-#[case::updated(operator(OrderKind::Update), operator_reply(200))]
+#[case::replaced(operator(OperatorRequestKind::Replace), operator_reply(200))]
+#[case::updated(operator(OperatorRequestKind::Update), operator_reply(200))]
 #[case::refused_with_writes(client(ClientMethod::Post), client_reply(429))]
 fn given_a_change_that_is_not_committed_when_deposed_then_its_outcome_is_unknown(
-    #[case] call: Call,
-    #[case] reply: Reply,
+    #[case] call: ControlRequest,
+    #[case] reply: SchedulerResponse,
 ) {
     let mut fixture = primary();
     next_effects(&["key"], vec![(1, reply)]);
@@ -562,7 +567,7 @@
 
     let answers = fixture.told(Output::Deposed);
 
-    assert!(matches!(&answers[..], [(1, Answer::Unknown)]));
+    assert!(matches!(&answers[..], [(1, ControlOutcome::Unknown)]));
 }
 
 #[test]
@@ -577,7 +582,7 @@
 
     assert!(matches!(
         &answers[..],
-        [(1, Answer::Unknown), (2, Answer::Unknown)]
+        [(1, ControlOutcome::Unknown), (2, ControlOutcome::Unknown)]
     ));
 }
 
@@ -588,19 +593,19 @@
 
     let answers = fixture.told(Output::Deposed);
 
-    assert!(matches!(&answers[..], [(1, Answer::Unknown)]));
+    assert!(matches!(&answers[..], [(1, ControlOutcome::Unknown)]));
 }
 
 #[rstest]
 #[case::read(client(ClientMethod::Get), Some(client_reply(200)))]
 #[case::refused(client(ClientMethod::Post), Some(client_reply(429)))]
-#[case::lost_race(operator(OrderKind::Replace), Some(operator_reply(412)))]
-#[case::configuration_read(operator(OrderKind::Read), Some(operator_reply(200)))]
+#[case::lost_race(operator(OperatorRequestKind::Replace), Some(operator_reply(412)))]
+#[case::configuration_read(operator(OperatorRequestKind::Read), Some(operator_reply(200)))]
 #[case::report(agent(), Some(agent_reply(3)))]
 #[case::held_report(agent(), None)]
 fn given_a_call_that_changed_nothing_when_deposed_then_it_is_told_that_nothing_was_done(
-    #[case] call: Call,
-    #[case] reply: Option<Reply>,
+    #[case] call: ControlRequest,
+    #[case] reply: Option<SchedulerResponse>,
 ) {
     let mut fixture = primary();
     next_effects(&["other"], Vec::new());
@@ -610,7 +615,7 @@
 
     let answers = fixture.told(Output::Deposed);
 
-    assert!(matches!(&answers[..], [(1, Answer::NotPrimary(_))]));
+    assert!(matches!(&answers[..], [(1, ControlOutcome::NotPrimary(_))]));
 }
 
 #[test]
@@ -638,7 +643,7 @@
 
     let answers = fixture.call(client(ClientMethod::Post));
 
-    assert!(matches!(&answers[..], [(1, Answer::Unknown)]));
+    assert!(matches!(&answers[..], [(1, ControlOutcome::Unknown)]));
 }
 
 #[test]
@@ -685,7 +690,7 @@
     let answers = fixture.call(agent());
 
     let view = match &answers[..] {
-        [(1, Answer::Reply(Reply::Agent(orders)))] => orders.view.clone(),
+        [(1, ControlOutcome::Reply(SchedulerResponse::Agent(orders)))] => orders.view.clone(),
         _ => None,
     };
     assert_eq!(view.map(|view| view.epoch), Some(3));
--- a/crates/controlplane/tests/loopback.rs
+++ b/crates/controlplane/tests/loopback.rs
@@ -7,9 +7,10 @@
 use serde_json::{json, Value};
 use streamusher_protocol::config::{READ_PATH, REPLACE_PATH, UPDATE_PATH};
 use streamusher_protocol::internal::{
-    AgentOrders, ClusterWatch, Explain, NotPrimary, AGENT_SYNC_PATH, CLIENT_CALL_PATH, EXPLAIN_PATH,
+    AgentCommands, ClusterWatch, ExplainRequest, NotPrimary, AGENT_SYNC_PATH, CLIENT_CALL_PATH,
+    EXPLAIN_PATH,
 };
-use streamusher_runtime::http::Answer;
+use streamusher_runtime::http::Response;
 use support::cluster::{is_ok, story, text_of, Cluster};
 
 const JOB: &str = "/queue/5c0e7a21d94b36f8";
@@ -49,7 +50,7 @@
     })
 }
 
-fn state_in(answer: &Answer) -> String {
+fn state_in(answer: &Response) -> String {
     let reply: Value = serde_json::from_slice(answer.body()).unwrap();
     let body = reply["body"].as_str().unwrap_or_default();
     let status: Value = serde_json::from_str(body).unwrap_or_default();
@@ -57,7 +58,7 @@
 }
 
 /// The client's status inside a gate's answer.
-fn client_status(answer: &Answer) -> u64 {
+fn client_status(answer: &Response) -> u64 {
     let reply: Value = serde_json::from_slice(answer.body()).unwrap_or_default();
     reply["status"].as_u64().unwrap_or_default()
 }
@@ -194,18 +195,18 @@
 
         let ordered = cluster
             .post_until(AGENT_SYNC_PATH, &sync(1, json!([]), json!([])), |answer| {
-                serde_json::from_slice::<AgentOrders>(answer.body())
+                serde_json::from_slice::<AgentCommands>(answer.body())
                     .is_ok_and(|orders| !orders.start.is_empty())
             })
             .await;
-        let orders: AgentOrders = serde_json::from_slice(ordered.body()).unwrap();
+        let orders: AgentCommands = serde_json::from_slice(ordered.body()).unwrap();
         let start = &orders.start[0];
         let ended = json!([[1, start.0, start.1, "done", ""]]);
         cluster
             .post(primary, AGENT_SYNC_PATH, &sync(2, json!([]), ended))
             .await;
         let get = client_call("GET", "");
-        let succeeded = |answer: &Answer| is_ok(answer) && state_in(answer) == "succeeded";
+        let succeeded = |answer: &Response| is_ok(answer) && state_in(answer) == "succeeded";
         cluster.post_until(CLIENT_CALL_PATH, &get, succeeded).await;
 
         cluster.stop_machine(primary).await;
@@ -257,15 +258,15 @@
                 client_status(answer) == 200
             })
             .await;
-        let job = Explain::Job("5c0e7a21d94b36f8".parse().unwrap());
+        let job = ExplainRequest::Job("5c0e7a21d94b36f8".parse().unwrap());
 
         let waits = cluster.post_until(EXPLAIN_PATH, &job, is_ok).await;
-        let unknown = Explain::Job("0000000000000001".parse().unwrap());
+        let unknown = ExplainRequest::Job("0000000000000001".parse().unwrap());
         let unknown = cluster
             .post_until(EXPLAIN_PATH, &unknown, |a| !is_misdirected(a))
             .await;
         let user = cluster
-            .post_until(EXPLAIN_PATH, &Explain::User("r".into()), |a| {
+            .post_until(EXPLAIN_PATH, &ExplainRequest::User("r".into()), |a| {
                 !is_misdirected(a)
             })
             .await;
@@ -285,6 +286,6 @@
     });
 }
 
-fn is_misdirected(answer: &Answer) -> bool {
+fn is_misdirected(answer: &Response) -> bool {
     answer.status() == StatusCode::MISDIRECTED_REQUEST
 }
--- a/crates/controlplane/tests/relay.rs
+++ b/crates/controlplane/tests/relay.rs
@@ -8,10 +8,12 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use streamusher_configuration::relay::{Envelope, RelayMessage};
+use streamusher_configuration::relay::{RelayEnvelope, RelayMessage};
 use streamusher_protocol::config::{REPLACE_PATH, UPDATE_PATH};
-use streamusher_protocol::internal::{GateLease, GateLeaseReply, GATE_LEASE_PATH, RELAY_PATH};
-use streamusher_runtime::http::{empty, parse_json, Call, Server, ServerLimits};
+use streamusher_protocol::internal::{
+    GateLeaseRequest, GateLeaseResponse, GATE_LEASE_PATH, RELAY_PATH,
+};
+use streamusher_runtime::http::{empty, parse_json, Request, Server, ServerLimits};
 use support::cluster::{is_ok, story, text_of, Cluster};
 use tokio::sync::Notify;
 
@@ -31,8 +33,8 @@
         let told: Rc<RefCell<Vec<RelayMessage>>> = Rc::default();
         let heard = Rc::new(Notify::new());
         let (notes, bell) = (Rc::clone(&told), Rc::clone(&heard));
-        tokio::task::spawn_local(server.run(move |call: Call| {
-            let envelope: Envelope = parse_json(call.body()).unwrap();
+        tokio::task::spawn_local(server.run(move |call: Request| {
+            let envelope: RelayEnvelope = parse_json(call.body()).unwrap();
             assert_eq!(call.uri().path(), RELAY_PATH);
             notes.borrow_mut().extend(envelope.messages);
             bell.notify_one();
@@ -45,8 +47,8 @@
         }
     }
 
-    fn lease(&self, roster: u64) -> GateLease {
-        GateLease {
+    fn lease(&self, roster: u64) -> GateLeaseRequest {
+        GateLeaseRequest {
             address: self.address.to_string().into(),
             roster,
         }
@@ -83,11 +85,11 @@
 }
 
 /// Renews a member's lease until a roster names it.
-async fn join(cluster: &mut Cluster, member: &Member, roster: u64) -> GateLeaseReply {
+async fn join(cluster: &mut Cluster, member: &Member, roster: u64) -> GateLeaseResponse {
     let address = member.address.to_string();
     let answer = cluster
         .post_until(GATE_LEASE_PATH, &member.lease(roster), |answer| {
-            let reply = parse_json::<GateLeaseReply>(answer.body()).unwrap_or_default();
+            let reply = parse_json::<GateLeaseResponse>(answer.body()).unwrap_or_default();
             let members = reply.members.unwrap_or_default();
             members.iter().any(|member| **member == *address)
         })
@@ -124,7 +126,7 @@
         let answer = cluster
             .post(primary, GATE_LEASE_PATH, &member.lease(reply.roster))
             .await;
-        let renewed: GateLeaseReply = parse_json(answer.body()).unwrap();
+        let renewed: GateLeaseResponse = parse_json(answer.body()).unwrap();
         assert_eq!((renewed.configuration, renewed.members), (8, None));
     });
 }
--- a/crates/controlplane/tests/share_debt_file.rs
+++ b/crates/controlplane/tests/share_debt_file.rs
@@ -5,10 +5,10 @@
 use rstest::rstest;
 use std::fs;
 use streamusher_controlplane::share_debt_file::load;
-use streamusher_fair_share::Settings;
+use streamusher_fair_share::FairShareSettings;
 use support::TestFolder;
 
-fn loaded(text: &str) -> Result<Settings, String> {
+fn loaded(text: &str) -> Result<FairShareSettings, String> {
     let folder = TestFolder::new();
     let path = folder.path().join("debts.toml");
     fs::write(&path, text).unwrap();
@@ -19,7 +19,7 @@
 fn given_a_half_life_alone_when_loaded_then_all_else_is_as_usual_for_it() {
     assert_eq!(
         loaded("half_life_ms = 600000\n"),
-        Ok(Settings::with_half_life(600_000))
+        Ok(FairShareSettings::with_half_life(600_000))
     );
 }
 
@@ -36,7 +36,7 @@
     assert_eq!(&*settings.user_of(&"r-1".into()), "logs");
     assert_eq!(
         settings.most_delay_ms,
-        Settings::with_half_life(600_000).most_delay_ms
+        FairShareSettings::with_half_life(600_000).most_delay_ms
     );
 }
 
--- a/crates/controlplane/tests/show_disk.rs
+++ b/crates/controlplane/tests/show_disk.rs
@@ -7,7 +7,7 @@
 use std::process::{Command, Output};
 use streamusher_controlplane::show_disk::{show, ShowError};
 use streamusher_controlplane::store::{Store, StoreError, FOLDER, FORMAT};
-use streamusher_coordination::{DiskChange, DiskId, EpochRecord, Position, WitnessState};
+use streamusher_coordination::{DiskChange, DiskId, EpochRecord, LogPosition, WitnessState};
 use streamusher_protocol::store::Write;
 use support::{files_below, journal_of, without_reserve, TestFolder};
 
@@ -18,7 +18,7 @@
     let (store, _) = Store::open(folder.path()).unwrap();
     let decided = EpochRecord {
         epoch: 7,
-        reign: 6,
+        term: 6,
         primary: Some(DiskId(0xab)),
         ..Default::default()
     };
@@ -31,7 +31,7 @@
     let writes = ["job/1", "job/2", "config/current"]
         .map(|key| Write::set(key, "{}"))
         .to_vec();
-    let position = Some(Position {
+    let position = Some(LogPosition {
         epoch: 6,
         sequence: 41,
     });
--- a/crates/controlplane/tests/store.rs
+++ b/crates/controlplane/tests/store.rs
@@ -8,7 +8,9 @@
 use std::sync::Arc;
 use streamusher_controlplane::disk::open_at_start;
 use streamusher_controlplane::store::{Store, StoreError, DISCARDED, FOLDER, FORMAT, FORMER, NEXT};
-use streamusher_coordination::{DiskChange, DiskId, DiskImage, Position, StateMap, WitnessState};
+use streamusher_coordination::{
+    DiskChange, DiskId, DiskImage, LogPosition, StateMap, WitnessState,
+};
 use streamusher_protocol::store::Write;
 use support::{files_below, journal_of, without_reserve, TestFolder};
 
@@ -26,7 +28,7 @@
 fn change(sequence: u64, writes: Vec<Write>) -> DiskChange {
     DiskChange {
         witness: Some(witness(sequence)),
-        position: Some(Position { epoch: 1, sequence }),
+        position: Some(LogPosition { epoch: 1, sequence }),
         writes,
         replace_all: false,
     }
@@ -96,7 +98,7 @@
     assert_eq!(image.witness, Some(witness(2)));
     assert_eq!(
         image.position,
-        Position {
+        LogPosition {
             epoch: 1,
             sequence: 2
         }
@@ -122,7 +124,7 @@
 fn given_a_state_when_all_is_replaced_then_nothing_of_it_is_left_and_the_witness_stays() {
     let whole = DiskChange {
         witness: None,
-        position: Some(Position {
+        position: Some(LogPosition {
             epoch: 5,
             sequence: 9,
         }),
@@ -139,7 +141,7 @@
     assert_eq!(image.witness, Some(witness(1)));
     assert_eq!(
         image.position,
-        Position {
+        LogPosition {
             epoch: 5,
             sequence: 9
         }
--- a/crates/controlplane/tests/support/cluster.rs
+++ b/crates/controlplane/tests/support/cluster.rs
@@ -14,9 +14,9 @@
 use streamusher_controlplane::program::Process;
 use streamusher_protocol::config::BASE_VERSION_HEADER;
 use streamusher_protocol::internal::{ClusterView, ClusterWatch, CLUSTER_PATH, CLUSTER_WATCH_PATH};
-use streamusher_runtime::http::{Answer, Call, Client};
+use streamusher_runtime::http::{Client, Request, Response};
 use streamusher_runtime::runtime;
-use streamusher_runtime::settings::{FaultTolerance, Listen, Settings};
+use streamusher_runtime::settings::{FaultTolerance, Listen, ProcessSettings};
 use streamusher_runtime::signals::Signal;
 use tokio::sync::mpsc;
 use tokio::task::{spawn_local, JoinHandle};
@@ -107,11 +107,11 @@
         self.clients.clear();
     }
 
-    fn settings(&self, machine: usize, bootstrap: bool) -> Settings {
+    fn settings(&self, machine: usize, bootstrap: bool) -> ProcessSettings {
         let seeds = (0..usize::from(MACHINES))
             .map(|machine| self.control(machine))
             .collect();
-        Settings {
+        ProcessSettings {
             ip: self.ip(machine),
             seeds,
             bootstrap,
@@ -191,7 +191,7 @@
         path: &str,
         base: Option<&str>,
         body: &str,
-    ) -> Answer {
+    ) -> Response {
         let method = if body.is_empty() {
             Method::GET
         } else {
@@ -208,7 +208,7 @@
     }
 
     /// A call of a gate or an agent at the internal port of a machine.
-    pub async fn post<T: Serialize>(&mut self, machine: usize, path: &str, body: &T) -> Answer {
+    pub async fn post<T: Serialize>(&mut self, machine: usize, path: &str, body: &T) -> Response {
         let body = serde_json::to_vec(body).unwrap();
         self.call(self.internal(machine), Method::POST, path, None, &body)
             .await
@@ -220,8 +220,8 @@
         &mut self,
         path: &str,
         body: &T,
-        wanted: impl Fn(&Answer) -> bool,
-    ) -> Answer {
+        wanted: impl Fn(&Response) -> bool,
+    ) -> Response {
         let body = serde_json::to_vec(body).unwrap();
         let waiting = async {
             loop {
@@ -247,8 +247,8 @@
         path: &str,
         base: Option<&str>,
         body: &[u8],
-    ) -> Option<Answer> {
-        let mut call = Call::new(Bytes::copy_from_slice(body));
+    ) -> Option<Response> {
+        let mut call = Request::new(Bytes::copy_from_slice(body));
         *call.method_mut() = method;
         *call.uri_mut() = path.parse().unwrap();
         if let Some(base) = base {
@@ -260,7 +260,7 @@
             .entry(address)
             .or_insert_with(|| Client::new(address))
             .clone();
-        client.call(call, CALL_DEADLINE).await.ok()
+        client.send(call, CALL_DEADLINE).await.ok()
     }
 }
 
@@ -271,10 +271,10 @@
     /// Watches until there is one.
     pub async fn watch(&mut self, watch: &ClusterWatch) -> ClusterView {
         loop {
-            let mut call = Call::new(Bytes::from(serde_json::to_vec(watch).unwrap()));
+            let mut call = Request::new(Bytes::from(serde_json::to_vec(watch).unwrap()));
             *call.method_mut() = Method::POST;
             *call.uri_mut() = CLUSTER_WATCH_PATH.parse().unwrap();
-            let answer = self.0.call(call, CALL_DEADLINE).await.unwrap();
+            let answer = self.0.send(call, CALL_DEADLINE).await.unwrap();
             let view: ClusterView = serde_json::from_slice(answer.body()).unwrap();
             if view.epoch > watch.epoch {
                 return view;
@@ -283,10 +283,10 @@
     }
 }
 
-pub fn is_ok(answer: &Answer) -> bool {
+pub fn is_ok(answer: &Response) -> bool {
     answer.status() == StatusCode::OK
 }
 
-pub fn text_of(answer: &Answer) -> String {
+pub fn text_of(answer: &Response) -> String {
     String::from_utf8_lossy(answer.body()).into_owned()
 }
--- a/crates/coordination/examples/embed.rs
+++ b/crates/coordination/examples/embed.rs
@@ -8,7 +8,9 @@
 
 use std::collections::VecDeque;
 use std::sync::Arc;
-use streamusher_coordination::{Coordinator, DiskChange, DiskImage, Input, Output, Settings};
+use streamusher_coordination::{
+    Coordinator, CoordinatorSettings, DiskChange, DiskImage, Input, Output,
+};
 use streamusher_protocol::internal::CoreAddress;
 use streamusher_protocol::store::Write;
 use streamusher_protocol::Millis;
@@ -59,8 +61,8 @@
     fn new() -> Cluster {
         let seeds: Vec<CoreAddress> = (0..3).map(address).collect();
         let machine = |index: usize| {
-            let settings = Settings {
-                me: address(index),
+            let settings = CoordinatorSettings {
+                address: address(index),
                 bootstrap: true,
                 seeds: seeds.clone(),
                 tolerance: 1,
--- a/crates/coordination/src/acceptor.rs
+++ b/crates/coordination/src/acceptor.rs
@@ -3,11 +3,16 @@
 use crate::coordinator::Coordinator;
 use crate::disk::Effect;
 use crate::message::Message;
-use crate::types::{Ballot, EpochRecord};
+use crate::types::{EpochRecord, ProposalNumber};
 use std::sync::Arc;
 
 impl Coordinator {
-    pub(crate) fn on_prepare(&mut self, from: &Arc<str>, base: Arc<EpochRecord>, ballot: Ballot) {
+    pub(crate) fn on_prepare(
+        &mut self,
+        from: &Arc<str>,
+        base: Arc<EpochRecord>,
+        ballot: ProposalNumber,
+    ) {
         if !self.votes_on(from, &base) {
             return;
         }
@@ -35,7 +40,7 @@
         &mut self,
         from: &Arc<str>,
         base: Arc<EpochRecord>,
-        ballot: Ballot,
+        ballot: ProposalNumber,
         value: Arc<EpochRecord>,
     ) {
         if !self.votes_on(from, &base) || value.epoch != base.epoch + 1 {
@@ -51,8 +56,8 @@
             .is_some_and(|(known, _)| *known == ballot);
         if !is_known {
             self.witness.promise = ballot;
-            self.witness.standing |=
-                value.proposer == self.witness.id && value.reign == value.epoch;
+            self.witness.candidate |=
+                value.proposer == self.witness.id && value.term == value.epoch;
             self.witness.accepted = Some((ballot, value));
             self.disk.put_witness(&self.witness);
         }
--- a/crates/coordination/src/backup.rs
+++ b/crates/coordination/src/backup.rs
@@ -7,7 +7,7 @@
 use crate::message::{Batch, Message};
 use crate::proposal::Purpose;
 use crate::times::{RECENT_BYTES, RECENT_COPY_BYTES, SEND_WINDOW};
-use crate::types::{DiskId, EpochRecord, Position, StateMap};
+use crate::types::{DiskId, EpochRecord, LogPosition, StateMap};
 use std::sync::Arc;
 use streamusher_protocol::store::Write;
 use streamusher_protocol::Millis;
@@ -22,7 +22,7 @@
         self.witness.decided = record.clone();
         self.witness.promise = Default::default();
         self.witness.accepted = None;
-        self.witness.standing = false;
+        self.witness.candidate = false;
         self.refusals = 0;
         self.disk.put_witness(&self.witness);
         self.disk.then(Effect::Recorded {
@@ -37,7 +37,7 @@
         let continues = self
             .reign
             .as_ref()
-            .is_some_and(|reign| reign.epoch == record.reign);
+            .is_some_and(|reign| reign.epoch == record.term);
         if continues && record.primary == Some(me) {
             return self.continue_reign();
         }
@@ -45,7 +45,7 @@
             self.out.push(Output::Deposed);
         }
         self.primary_heard = Some(self.now);
-        if record.primary == Some(me) && record.reign == record.epoch {
+        if record.primary == Some(me) && record.term == record.epoch {
             self.opening = Some(record.epoch);
             self.disk.then(Effect::Open {
                 epoch: record.epoch,
@@ -54,13 +54,13 @@
     }
 
     pub(crate) fn on_keepalive(&mut self, from: &Arc<str>, record: Arc<EpochRecord>, sent: Millis) {
-        let (epoch, reign) = (record.epoch, record.reign);
+        let (epoch, reign) = (record.epoch, record.term);
         self.learn(record);
         if epoch < self.witness.decided.epoch {
             return self.tell_newest(from);
         }
         let is_own = self.witness.decided.primary == Some(self.witness.id);
-        if is_own || self.witness.standing {
+        if is_own || self.witness.candidate {
             return;
         }
         let stands = self
@@ -92,7 +92,7 @@
         let Some(to) = self.primary_address() else {
             return;
         };
-        let (from, reign, position) = (self.witness.id, self.witness.decided.reign, self.synced);
+        let (from, reign, position) = (self.witness.id, self.witness.decided.term, self.synced);
         let recorded = self.recorded;
         self.send(
             to,
@@ -125,8 +125,8 @@
         }
         let record = &self.witness.decided;
         let is_primary =
-            record.primary == Some(id) && record.reign == reign && id != self.witness.id;
-        is_primary && !self.witness.standing
+            record.primary == Some(id) && record.term == reign && id != self.witness.id;
+        is_primary && !self.witness.candidate
     }
 
     pub(crate) fn on_append(
@@ -182,13 +182,13 @@
 
     /// Tells the primary what is synced.
     pub(crate) fn acknowledge(&mut self) {
-        if self.witness.standing || self.reign.is_some() {
+        if self.witness.candidate || self.reign.is_some() {
             return;
         }
         let Some(to) = self.primary_address() else {
             return;
         };
-        let (from, reign, position) = (self.witness.id, self.witness.decided.reign, self.synced);
+        let (from, reign, position) = (self.witness.id, self.witness.decided.term, self.synced);
         self.send(
             to,
             Message::Synced {
@@ -260,7 +260,7 @@
         }
     }
 
-    fn install(&mut self, position: Position, writes: Vec<Write>) {
+    fn install(&mut self, position: LogPosition, writes: Vec<Write>) {
         log::info!(
             "whole copy installed in memory: {} keys, position {position:?}",
             writes.len()
--- a/crates/coordination/src/bootstrap.rs
+++ b/crates/coordination/src/bootstrap.rs
@@ -8,16 +8,16 @@
 
 /// The seeds of the first start are the members of epoch 0; anybody else is a stranger
 /// with an id of its own.
-pub(crate) fn first_witness(settings: &Settings, random: &mut Pcg64Mcg) -> WitnessState {
+pub(crate) fn first_witness(settings: &CoordinatorSettings, random: &mut Pcg64Mcg) -> WitnessState {
     let is_seed = settings
         .seeds
         .iter()
-        .any(|seed| seed.internal == settings.me.internal);
+        .any(|seed| seed.internal == settings.address.internal);
     let keeps_id = (settings.bootstrap || cfg!(feature = "mutant-wiped")) && is_seed;
     let drawn =
-        DiskId(random.random::<u64>() ^ address_id(&settings.me.internal).0.rotate_left(17));
+        DiskId(random.random::<u64>() ^ address_id(&settings.address.internal).0.rotate_left(17));
     let id = if keeps_id {
-        address_id(&settings.me.internal)
+        address_id(&settings.address.internal)
     } else {
         drawn
     };
--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -29,7 +29,7 @@
 /// Epochs, leases and replication of one core machine.
 #[derive(Clone, Debug)]
 pub struct Coordinator {
-    pub(crate) settings: Settings,
+    pub(crate) settings: CoordinatorSettings,
     pub(crate) random: Pcg64Mcg,
     /// Time of the present input.
     pub(crate) now: Millis,
@@ -42,12 +42,12 @@
     pub(crate) recorded: u64,
     /// The state in memory and its position; the disk follows.
     pub(crate) state: StateMap,
-    pub(crate) applied: Position,
-    pub(crate) synced: Position,
+    pub(crate) applied: LogPosition,
+    pub(crate) synced: LogPosition,
     pub(crate) recent: Recent,
     pub(crate) incoming: Option<IncomingCopy>,
     /// Batches that came too early, by the position that they follow.
-    pub(crate) early: BTreeMap<Position, Batch>,
+    pub(crate) early: BTreeMap<LogPosition, Batch>,
     /// When this machine last promised not to stand for election.
     pub(crate) promised_at: Millis,
     /// When the primary was last heard of.
@@ -56,7 +56,7 @@
     pub(crate) stand_at: Option<Millis>,
     pub(crate) quiet_until: Millis,
     pub(crate) highest_round: u64,
-    /// Refusals of proposals of the present instance, one after another.
+    /// RejectedChanges of proposals of the present instance, one after another.
     pub(crate) refusals: u32,
     pub(crate) proposal: Option<Proposal>,
     /// Epoch of a record that names this machine primary and is being synced.
@@ -73,7 +73,7 @@
 
 impl Coordinator {
     /// Starts from what is on disk. Nothing is said before this start is counted there.
-    pub fn new(settings: Settings, image: DiskImage, now: Millis) -> Coordinator {
+    pub fn new(settings: CoordinatorSettings, image: DiskImage, now: Millis) -> Coordinator {
         let mut random = Pcg64Mcg::seed_from_u64(settings.random_seed);
         let mut witness = image
             .witness
@@ -295,7 +295,7 @@
     }
 
     pub(crate) fn send(&mut self, to: Arc<str>, message: Message) {
-        if to == self.settings.me.internal {
+        if to == self.settings.address.internal {
             self.loopback.push_back(message);
         } else {
             self.out.push(Output::Send { to, message });
@@ -313,7 +313,7 @@
     fn finish(&mut self) -> Vec<Output> {
         loop {
             if let Some(message) = self.loopback.pop_front() {
-                let me = self.settings.me.internal.clone();
+                let me = self.settings.address.internal.clone();
                 self.receive(&me, message);
             } else if let Some(effect) = self.disk.ready() {
                 self.carry_out(effect);
--- a/crates/coordination/src/copy.rs
+++ b/crates/coordination/src/copy.rs
@@ -2,7 +2,7 @@
 
 use crate::recent::write_bytes;
 use crate::times::{PART_BYTES, PART_WINDOW, REPEAT_MS};
-use crate::types::{Position, StateMap};
+use crate::types::{LogPosition, StateMap};
 use std::collections::BTreeMap;
 use std::ops::Bound;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct OutgoingCopy {
     pub id: u64,
-    pub position: Position,
+    pub position: LogPosition,
     /// When it began, or when a part was last acknowledged.
     pub progress_at: Millis,
     state: StateMap,
@@ -33,7 +33,7 @@
 }
 
 impl OutgoingCopy {
-    pub fn new(id: u64, position: Position, state: StateMap, now: Millis) -> OutgoingCopy {
+    pub fn new(id: u64, position: LogPosition, state: StateMap, now: Millis) -> OutgoingCopy {
         OutgoingCopy {
             id,
             position,
@@ -121,7 +121,7 @@
 pub(crate) struct IncomingCopy {
     pub reign: u64,
     pub id: u64,
-    pub position: Position,
+    pub position: LogPosition,
     /// The part wanted next.
     pub next: u64,
     pub complete: bool,
@@ -131,7 +131,7 @@
 }
 
 impl IncomingCopy {
-    pub fn new(reign: u64, id: u64, position: Position) -> IncomingCopy {
+    pub fn new(reign: u64, id: u64, position: LogPosition) -> IncomingCopy {
         let (writes, early) = (Vec::new(), BTreeMap::new());
         IncomingCopy {
             reign,
--- a/crates/coordination/src/disk.rs
+++ b/crates/coordination/src/disk.rs
@@ -3,7 +3,7 @@
 use crate::events::Output;
 use crate::message::Message;
 use crate::times::{DISK_RETRY_MS, SLOW_SYNCS, SLOW_SYNC_MS, STUCK_SYNC_MS};
-use crate::types::{DiskChange, Position, WitnessState};
+use crate::types::{DiskChange, LogPosition, WitnessState};
 use std::collections::VecDeque;
 use std::sync::Arc;
 use streamusher_protocol::store::Write;
@@ -56,7 +56,7 @@
         });
     }
 
-    pub fn put_writes(&mut self, position: Position, writes: &[Write]) {
+    pub fn put_writes(&mut self, position: LogPosition, writes: &[Write]) {
         self.put(DiskChange {
             position: Some(position),
             writes: writes.to_vec(),
@@ -64,7 +64,7 @@
         });
     }
 
-    pub fn put_copy(&mut self, position: Position, writes: Vec<Write>) {
+    pub fn put_copy(&mut self, position: LogPosition, writes: Vec<Write>) {
         self.put(DiskChange {
             position: Some(position),
             writes,
@@ -113,7 +113,7 @@
     }
 
     /// A change is synced; returns the position that it made.
-    pub fn persisted(&mut self, now: Millis, ticket: u64) -> Option<Position> {
+    pub fn persisted(&mut self, now: Millis, ticket: u64) -> Option<LogPosition> {
         let flight = self.flight.take_if(|flight| flight.ticket == ticket)?;
         self.durable = flight.mark;
         self.failing_since = None;
--- a/crates/coordination/src/election.rs
+++ b/crates/coordination/src/election.rs
@@ -13,7 +13,7 @@
     /// Whether nobody acts in the present record any more, as far as this replica can know.
     fn is_vacant(&self) -> bool {
         let record = &self.witness.decided;
-        if record.epoch == 0 || self.witness.standing || self.vacant_reign == Some(record.reign) {
+        if record.epoch == 0 || self.witness.candidate || self.vacant_reign == Some(record.term) {
             return true;
         }
         if record.primary == Some(self.witness.id) {
@@ -28,7 +28,7 @@
         let record = &self.witness.decided;
         let lost = record
             .primary
-            .filter(|_| self.vacant_reign != Some(record.reign));
+            .filter(|_| self.vacant_reign != Some(record.term));
         let candidates = record
             .replicas
             .iter()
@@ -82,7 +82,7 @@
         }
         EpochRecord {
             epoch: base.epoch + 1,
-            reign: base.epoch + 1,
+            term: base.epoch + 1,
             primary: Some(primary),
             replicas,
             members: base.members.clone(),
@@ -99,14 +99,14 @@
         }
         let message = Message::Vacant {
             from: self.witness.id,
-            reign: record.reign,
+            reign: record.term,
         };
         self.send_to_members(message);
     }
 
     pub(crate) fn on_vacant(&mut self, from: DiskId, reign: u64) {
         let record = &self.witness.decided;
-        if record.primary == Some(from) && record.reign == reign && from != self.witness.id {
+        if record.primary == Some(from) && record.term == reign && from != self.witness.id {
             self.vacant_reign = Some(reign);
         }
     }
--- a/crates/coordination/src/message.rs
+++ b/crates/coordination/src/message.rs
@@ -1,6 +1,6 @@
 //! Messages between core machines. Each may be lost, doubled, reordered and delayed.
 
-use crate::types::{Ballot, DiskId, EpochRecord, Member, Position};
+use crate::types::{DiskId, EpochRecord, LogPosition, Member, ProposalNumber};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 use streamusher_protocol::store::Write;
@@ -10,9 +10,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Batch {
     /// The position to which it applies.
-    pub previous: Position,
+    pub previous: LogPosition,
     /// The position that it makes.
-    pub position: Position,
+    pub position: LogPosition,
     /// The writes; none opens a reign.
     pub writes: Arc<Vec<Write>>,
 }
@@ -37,7 +37,7 @@
         /// The newest decided record, whose members decide.
         base: Arc<EpochRecord>,
         /// The proposal.
-        ballot: Ballot,
+        ballot: ProposalNumber,
     },
     /// Answer to `Prepare`, synced.
     Promised {
@@ -46,18 +46,18 @@
         /// Epoch of the record to be decided.
         instance: u64,
         /// The proposal.
-        ballot: Ballot,
+        ballot: ProposalNumber,
         /// What the acceptor has accepted before.
-        accepted: Option<(Ballot, Arc<EpochRecord>)>,
+        accepted: Option<(ProposalNumber, Arc<EpochRecord>)>,
         /// Position of its state.
-        position: Position,
+        position: LogPosition,
     },
     /// Second phase.
     Accept {
         /// The newest decided record, whose members decide.
         base: Arc<EpochRecord>,
         /// The proposal.
-        ballot: Ballot,
+        ballot: ProposalNumber,
         /// The record proposed.
         value: Arc<EpochRecord>,
     },
@@ -68,14 +68,14 @@
         /// Epoch of the record to be decided.
         instance: u64,
         /// The proposal.
-        ballot: Ballot,
+        ballot: ProposalNumber,
     },
     /// A higher ballot was promised.
     Refused {
         /// Epoch of the record to be decided.
         instance: u64,
         /// The ballot promised.
-        promise: Ballot,
+        promise: ProposalNumber,
     },
     /// The primary is there.
     Keepalive {
@@ -93,7 +93,7 @@
         /// `sent` of the keepalive.
         sent: Millis,
         /// The position that the sender has synced.
-        position: Position,
+        position: LogPosition,
         /// It is about to end.
         leaving: bool,
         /// Epoch of the newest record on its disk; 0 from a machine of an earlier release.
@@ -118,7 +118,7 @@
         /// Reign of the primary that it follows.
         reign: u64,
         /// The position.
-        position: Position,
+        position: LogPosition,
     },
     /// A part of a whole copy of the state.
     Copy {
@@ -135,7 +135,7 @@
         /// No part follows.
         last: bool,
         /// Position of the whole copy.
-        position: Position,
+        position: LogPosition,
         /// The part.
         writes: Vec<Write>,
     },
--- a/crates/coordination/src/peer.rs
+++ b/crates/coordination/src/peer.rs
@@ -2,7 +2,7 @@
 
 use crate::copy::OutgoingCopy;
 use crate::times::{MOST_REPEAT_MS, REPEAT_MS, REPLICA_SILENCE_MS};
-use crate::types::Position;
+use crate::types::LogPosition;
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Acknowledged {
     /// The position that it has synced.
-    pub position: Position,
+    pub position: LogPosition,
     /// It is about to end.
     pub leaving: bool,
     /// Epoch of the newest record on its disk.
@@ -28,7 +28,7 @@
     /// When the newest keepalive that it acknowledged was sent.
     pub lease_from: Option<Millis>,
     /// What it has synced, once reported.
-    pub position: Option<Position>,
+    pub position: Option<LogPosition>,
     /// The last batch sent.
     pub sent: u64,
     pub repeat_at: Millis,
@@ -79,7 +79,7 @@
     }
 
     /// Takes note of what it has synced; says whether that is news.
-    pub fn report(&mut self, position: Position, now: Millis) -> bool {
+    pub fn report(&mut self, position: LogPosition, now: Millis) -> bool {
         if self.position.is_some_and(|known| known >= position) {
             return false;
         }
--- a/crates/coordination/src/proposal.rs
+++ b/crates/coordination/src/proposal.rs
@@ -1,6 +1,6 @@
 //! A proposal of the next record on its way through both phases.
 
-use crate::types::{Ballot, DiskId, EpochRecord, Position};
+use crate::types::{DiskId, EpochRecord, LogPosition, ProposalNumber};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use streamusher_protocol::Millis;
@@ -17,8 +17,8 @@
 /// An answer to the first phase.
 #[derive(Clone, Debug)]
 pub(crate) struct Promise {
-    pub accepted: Option<(Ballot, Arc<EpochRecord>)>,
-    pub position: Position,
+    pub accepted: Option<(ProposalNumber, Arc<EpochRecord>)>,
+    pub position: LogPosition,
 }
 
 /// How far a proposal is.
@@ -43,7 +43,7 @@
 pub(crate) struct Proposal {
     /// The record before, whose members decide.
     pub base: Arc<EpochRecord>,
-    pub ballot: Ballot,
+    pub ballot: ProposalNumber,
     pub purpose: Purpose,
     pub phase: Phase,
     pub started: Millis,
@@ -51,7 +51,12 @@
 }
 
 impl Proposal {
-    pub fn new(base: Arc<EpochRecord>, ballot: Ballot, purpose: Purpose, now: Millis) -> Proposal {
+    pub fn new(
+        base: Arc<EpochRecord>,
+        ballot: ProposalNumber,
+        purpose: Purpose,
+        now: Millis,
+    ) -> Proposal {
         let phase = Phase::Preparing {
             promises: BTreeMap::new(),
             majority_at: None,
@@ -70,7 +75,7 @@
         self.base.epoch + 1
     }
 
-    pub fn is_about(&self, instance: u64, ballot: Ballot) -> bool {
+    pub fn is_about(&self, instance: u64, ballot: ProposalNumber) -> bool {
         self.instance() == instance && self.ballot == ballot
     }
 
--- a/crates/coordination/src/proposer.rs
+++ b/crates/coordination/src/proposer.rs
@@ -7,7 +7,7 @@
     BACK_OFF_MS, LONGEST_BACK_OFF_MS, MOST_BACK_OFF_DOUBLINGS, PROPOSAL_LIFE_MS,
     PROPOSAL_REPEAT_MS, REPORT_MS,
 };
-use crate::types::{Ballot, DiskId, EpochRecord};
+use crate::types::{DiskId, EpochRecord, ProposalNumber};
 use rand::Rng;
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
     pub(crate) fn propose(&mut self, purpose: Purpose) {
         let round = self.highest_round.max(self.witness.promise.round) + 1;
         self.highest_round = round;
-        let ballot = Ballot {
+        let ballot = ProposalNumber {
             round,
             disk: self.witness.id,
             start: self.witness.starts,
@@ -69,7 +69,7 @@
         &mut self,
         from: DiskId,
         instance: u64,
-        ballot: Ballot,
+        ballot: ProposalNumber,
         promise: Promise,
     ) {
         let now = self.now;
@@ -148,7 +148,7 @@
         self.repeat_proposal();
     }
 
-    pub(crate) fn on_accepted(&mut self, from: DiskId, instance: u64, ballot: Ballot) {
+    pub(crate) fn on_accepted(&mut self, from: DiskId, instance: u64, ballot: ProposalNumber) {
         let me = self.witness.id;
         let Some(proposal) = &mut self.proposal else {
             return;
@@ -240,7 +240,7 @@
         }
     }
 
-    pub(crate) fn on_refused(&mut self, instance: u64, promise: Ballot) {
+    pub(crate) fn on_refused(&mut self, instance: u64, promise: ProposalNumber) {
         let Some(proposal) = &self.proposal else {
             return;
         };
--- a/crates/coordination/src/recent.rs
+++ b/crates/coordination/src/recent.rs
@@ -1,7 +1,7 @@
 //! The newest batches, kept for replicas that lack them.
 
 use crate::message::Batch;
-use crate::types::Position;
+use crate::types::LogPosition;
 use std::collections::VecDeque;
 use streamusher_protocol::store::Write;
 
@@ -32,7 +32,7 @@
     }
 
     /// Whether a state at this position is brought to the newest by batches held here.
-    pub fn reaches_from(&self, position: Position) -> bool {
+    pub fn reaches_from(&self, position: LogPosition) -> bool {
         match self.get(position.sequence + 1) {
             Some(batch) => batch.previous == position,
             None => self
--- a/crates/coordination/src/reconfiguration.rs
+++ b/crates/coordination/src/reconfiguration.rs
@@ -22,8 +22,8 @@
         }
         let known = self.witness.decided.member(member.id);
         let is_same = known.is_some_and(|known| known.address == member.address);
-        let is_me =
-            member.id == self.witness.id || member.address.internal == self.settings.me.internal;
+        let is_me = member.id == self.witness.id
+            || member.address.internal == self.settings.address.internal;
         if self.reign.is_none() || is_same || is_me {
             return;
         }
@@ -65,7 +65,7 @@
         record.replicas = self.desired_replicas(reign, true);
         record.members = self.desired_members(reign, &record.replicas);
         if let Some((successor, replicas)) = self.successor(reign) {
-            record.reign = record.epoch;
+            record.term = record.epoch;
             record.primary = Some(successor);
             record.replicas = replicas;
             return Some(record);
--- a/crates/coordination/src/replication.rs
+++ b/crates/coordination/src/replication.rs
@@ -7,7 +7,7 @@
 use crate::recent::write_bytes;
 use crate::reign::Reign;
 use crate::times::{BATCH_BYTES, LEAVE_MOST_MS, MOST_OUTSTANDING, SEND_WINDOW, SLOW_REST_MS};
-use crate::types::{DiskId, PeerStatus, Position};
+use crate::types::{DiskId, LogPosition, PeerStatus};
 use std::sync::Arc;
 use streamusher_protocol::store::Write;
 use streamusher_protocol::Millis;
@@ -23,7 +23,7 @@
         self.opening = None;
         self.incoming = None;
         let previous = self.applied;
-        let position = Position {
+        let position = LogPosition {
             epoch,
             sequence: previous.sequence + 1,
         };
@@ -128,13 +128,13 @@
         self.note_position(from, said.position);
     }
 
-    pub(crate) fn on_synced(&mut self, from: DiskId, reign: u64, position: Position) {
+    pub(crate) fn on_synced(&mut self, from: DiskId, reign: u64, position: LogPosition) {
         if self.reign.as_ref().is_some_and(|mine| mine.epoch == reign) {
             self.note_position(from, position);
         }
     }
 
-    fn note_position(&mut self, from: DiskId, position: Position) {
+    fn note_position(&mut self, from: DiskId, position: LogPosition) {
         let now = self.now;
         let Some(reign) = &mut self.reign else { return };
         let Some(peer) = reign.peers.get_mut(&from) else {
@@ -189,7 +189,7 @@
         let now = self.now;
         let Some(reign) = &mut self.reign else { return };
         let previous = self.applied;
-        let position = Position {
+        let position = LogPosition {
             epoch: reign.epoch,
             sequence: previous.sequence + 1,
         };
--- a/crates/coordination/src/report.rs
+++ b/crates/coordination/src/report.rs
@@ -32,7 +32,7 @@
         if let Some(reign) = &self.reign {
             return !reign.yielded && now < reign.acted_at + self.settings.lease_ms * 2;
         }
-        let is_vacant = self.vacant_reign == Some(self.witness.decided.reign);
+        let is_vacant = self.vacant_reign == Some(self.witness.decided.term);
         let heard = self
             .primary_heard
             .is_some_and(|heard| now < heard + self.settings.lease_ms * 3 / 2);
@@ -40,8 +40,8 @@
     }
 
     /// Status for operators.
-    pub fn status(&self, now: Millis) -> Status {
-        Status {
+    pub fn status(&self, now: Millis) -> CoordinatorStatus {
+        CoordinatorStatus {
             id: self.witness.id,
             role: self.role(),
             acting: self.may_act(now),
@@ -124,14 +124,14 @@
         let others = members
             .chain(&self.settings.seeds)
             .map(|address| address.internal.clone());
-        others.filter(|address| *address != self.settings.me.internal)
+        others.filter(|address| *address != self.settings.address.internal)
     }
 
     /// Says who this is, to be told the newest record or to be let in.
     pub(crate) fn hello(&mut self, to: Arc<str>) {
         let member = Member {
             id: self.witness.id,
-            address: self.settings.me.clone(),
+            address: self.settings.address.clone(),
         };
         self.send(
             to,
--- a/crates/coordination/src/sanity.rs
+++ b/crates/coordination/src/sanity.rs
@@ -2,7 +2,7 @@
 
 use crate::message::Message;
 use crate::times::MOST_MEMBERS;
-use crate::types::{Ballot, EpochRecord, Position};
+use crate::types::{EpochRecord, LogPosition, ProposalNumber};
 use streamusher_protocol::Millis;
 
 /// Counted numbers stay far below; above this, JSON readers lose digits.
@@ -105,16 +105,16 @@
     number(time)
 }
 
-fn check_position(position: &Position) -> Result<(), Insane> {
+fn check_position(position: &LogPosition) -> Result<(), Insane> {
     number(position.epoch).and(number(position.sequence))
 }
 
-fn check_ballot(ballot: &Ballot) -> Result<(), Insane> {
+fn check_ballot(ballot: &ProposalNumber) -> Result<(), Insane> {
     number(ballot.round).and(number(ballot.start))
 }
 
 fn check_record(record: &EpochRecord) -> Result<(), Insane> {
-    number(record.epoch).and(number(record.reign))?;
+    number(record.epoch).and(number(record.term))?;
     let count = record.members.len();
     let is_twice = |index: usize| {
         let (member, others) = (&record.members[index], &record.members[index + 1..]);
@@ -122,7 +122,7 @@
     };
     let has_twice = count <= MOST_MEMBERS && (0..count).any(is_twice);
     let is_sized = (1..=MOST_MEMBERS).contains(&count) && record.replicas.len() <= MOST_REPLICAS;
-    if !is_sized || has_twice || record.reign > record.epoch {
+    if !is_sized || has_twice || record.term > record.epoch {
         return Err(Insane::Record);
     }
     Ok(())
--- a/crates/coordination/src/types.rs
+++ b/crates/coordination/src/types.rs
@@ -12,9 +12,9 @@
 
 /// Settings of one core machine.
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct CoordinatorSettings {
     /// Where the others reach this machine.
-    pub me: CoreAddress,
+    pub address: CoreAddress,
     /// The very first start of the whole system, on empty disks.
     pub bootstrap: bool,
     /// Core machines that were there when the settings were written; the members of epoch 0 at the first start.
@@ -56,7 +56,8 @@
     pub epoch: u64,
     /// The epoch in which the primary took office. Below `epoch` where the same primary only changed replicas or
     /// members.
-    pub reign: u64,
+    #[serde(rename = "reign")]
+    pub term: u64,
     /// The primary; none in epoch 0.
     pub primary: Option<DiskId>,
     /// Who must have synced a batch before it is committed, the primary included.
@@ -103,7 +104,7 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Ballot {
+pub struct ProposalNumber {
     /// Above all rounds that the proposer has seen.
     pub round: u64,
     /// The proposer.
@@ -122,19 +123,20 @@
     /// The newest record that is known to be decided.
     pub decided: Arc<EpochRecord>,
     /// No proposal of the next record below this one is accepted.
-    pub promise: Ballot,
+    pub promise: ProposalNumber,
     /// The proposal of the next record that was accepted last.
-    pub accepted: Option<(Ballot, Arc<EpochRecord>)>,
+    pub accepted: Option<(ProposalNumber, Arc<EpochRecord>)>,
     /// This machine has proposed an election for the next record. It may come into force at any time, so no
     /// primary of the present record is acknowledged any more.
-    pub standing: bool,
+    #[serde(rename = "standing")]
+    pub candidate: bool,
 }
 
 /// A point in the history of the state. Two states at the same position are identical.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Position {
+pub struct LogPosition {
     /// The epoch in which the primary took office that wrote the batch (`EpochRecord::reign`).
     pub epoch: u64,
     /// Number of the batch; rises by one, over all epochs.
@@ -147,7 +149,7 @@
     /// None: the disk is empty.
     pub witness: Option<WitnessState>,
     /// Position of `state`.
-    pub position: Position,
+    pub position: LogPosition,
     /// The replicated state.
     pub state: StateMap,
 }
@@ -158,7 +160,7 @@
     /// Replaces the witness's state.
     pub witness: Option<WitnessState>,
     /// Replaces the position.
-    pub position: Option<Position>,
+    pub position: Option<LogPosition>,
     /// Changes of the state, in order.
     pub writes: Vec<Write>,
     /// The state is cleared before `writes`.
@@ -185,14 +187,14 @@
     /// Its disk.
     pub id: DiskId,
     /// The newest position that it has synced.
-    pub position: Position,
+    pub position: LogPosition,
     /// Milliseconds since its last acknowledgement.
     pub silent_ms: Millis,
 }
 
 /// Status for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Status {
+pub struct CoordinatorStatus {
     /// This machine's disk.
     pub id: DiskId,
     /// What it is.
@@ -202,9 +204,9 @@
     /// The newest record known.
     pub record: Arc<EpochRecord>,
     /// Position of the state in memory.
-    pub applied: Position,
+    pub applied: LogPosition,
     /// Position of the state on disk.
-    pub synced: Position,
+    pub synced: LogPosition,
     /// Position up to which batches are committed, at the primary.
     pub committed: u64,
     /// The other members, at the primary.
--- a/crates/coordination/tests/cluster/checks.rs
+++ b/crates/coordination/tests/cluster/checks.rs
@@ -55,7 +55,7 @@
         let Some(process) = &self.nodes[index].process else {
             return;
         };
-        let reign = process.status(self.now).record.reign;
+        let reign = process.status(self.now).record.term;
         if std::mem::replace(&mut self.nodes[index].acted_in, reign) == reign {
             return;
         }
@@ -96,7 +96,7 @@
             return;
         };
         let state = process.state();
-        let reign = process.status(self.now).record.reign;
+        let reign = process.status(self.now).record.term;
         let earlier = self
             .checks
             .committed
@@ -161,7 +161,7 @@
                         status.role,
                         status.acting,
                         status.record.epoch,
-                        status.record.reign,
+                        status.record.term,
                         status.record.primary.map(|id| id.to_string()),
                         status.applied,
                         status.synced,
--- a/crates/coordination/tests/cluster/mod.rs
+++ b/crates/coordination/tests/cluster/mod.rs
@@ -163,8 +163,8 @@
 
     pub fn start(&mut self, index: usize) {
         self.tell(format!("start {index}"));
-        let settings = Settings {
-            me: self.nodes[index].address.clone(),
+        let settings = CoordinatorSettings {
+            address: self.nodes[index].address.clone(),
             bootstrap: self.bootstrap,
             seeds: self.seeds.clone(),
             tolerance: self.tolerance,
@@ -543,7 +543,7 @@
             }
             self.nodes[index].appends.pop_front();
             self.check_copies(key);
-            let reign = self.record(index).map_or(0, |record| record.reign);
+            let reign = self.record(index).map_or(0, |record| record.term);
             self.checks.committed.insert(key, reign);
         }
     }
--- a/crates/coordination/tests/messages.rs
+++ b/crates/coordination/tests/messages.rs
@@ -15,9 +15,9 @@
     }
 }
 
-fn settings() -> Settings {
-    Settings {
-        me: address(0),
+fn settings() -> CoordinatorSettings {
+    CoordinatorSettings {
+        address: address(0),
         bootstrap: true,
         seeds: (0..3).map(address).collect(),
         tolerance: 1,
@@ -71,7 +71,7 @@
     let replicas = first.replicas.clone();
     Arc::new(EpochRecord {
         epoch,
-        reign: epoch,
+        term: epoch,
         primary,
         replicas,
         ..EpochRecord::clone(&first)
@@ -89,9 +89,9 @@
             record: new.clone(),
         },
     );
-    let ballot = Ballot {
+    let ballot = ProposalNumber {
         round: 9,
-        ..Ballot::default()
+        ..ProposalNumber::default()
     };
     let newest = vec![Message::Decided {
         record: new.clone(),
@@ -136,13 +136,13 @@
 fn given_a_promise_when_a_lower_ballot_comes_then_it_is_refused() {
     let mut machine = started();
     let base = record(&machine, 5);
-    let high = Ballot {
+    let high = ProposalNumber {
         round: 9,
-        ..Ballot::default()
+        ..ProposalNumber::default()
     };
-    let low = Ballot {
+    let low = ProposalNumber {
         round: 8,
-        ..Ballot::default()
+        ..ProposalNumber::default()
     };
     let promised = receive(
         &mut machine,
@@ -181,9 +181,9 @@
     let mut machine = started();
     let message = Message::Prepare {
         base: record(&machine, 5),
-        ballot: Ballot {
+        ballot: ProposalNumber {
             round: 9,
-            ..Ballot::default()
+            ..ProposalNumber::default()
         },
     };
     let outputs = machine.handle(
@@ -296,16 +296,16 @@
     }
 }
 
-fn any_ballot(random: &mut Pcg64Mcg, machine: &Coordinator) -> Ballot {
-    Ballot {
+fn any_ballot(random: &mut Pcg64Mcg, machine: &Coordinator) -> ProposalNumber {
+    ProposalNumber {
         round: any_number(random),
         disk: any_id(random, machine),
         start: any_number(random),
     }
 }
 
-fn any_position(random: &mut Pcg64Mcg) -> Position {
-    Position {
+fn any_position(random: &mut Pcg64Mcg) -> LogPosition {
+    LogPosition {
         epoch: any_number(random),
         sequence: any_number(random),
     }
@@ -339,7 +339,7 @@
     };
     Arc::new(EpochRecord {
         epoch,
-        reign,
+        term: reign,
         primary,
         replicas,
         members,
@@ -357,7 +357,7 @@
 fn any_message(random: &mut Pcg64Mcg, machine: &Coordinator) -> Message {
     let from = any_id(random, machine);
     let (epoch, reign) = match random.random_bool(0.8) {
-        true => (machine.epoch(), machine.status(0).record.reign),
+        true => (machine.epoch(), machine.status(0).record.term),
         false => (any_number(random), any_number(random)),
     };
     let writes = vec![Write::set("key", "value"), Write::remove("other")];
--- a/crates/coordination/tests/records_model.rs
+++ b/crates/coordination/tests/records_model.rs
@@ -10,7 +10,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
 use streamusher_coordination::{
-    Coordinator, DiskChange, DiskImage, EpochRecord, Input, Message, Output, Settings,
+    Coordinator, CoordinatorSettings, DiskChange, DiskImage, EpochRecord, Input, Message, Output,
 };
 use streamusher_protocol::internal::CoreAddress;
 use streamusher_protocol::Millis;
@@ -90,9 +90,9 @@
     }
 }
 
-fn settings(index: usize) -> Settings {
-    Settings {
-        me: address(index),
+fn settings(index: usize) -> CoordinatorSettings {
+    CoordinatorSettings {
+        address: address(index),
         bootstrap: true,
         seeds: (0..MEMBERS).map(address).collect(),
         tolerance: 1,
--- a/crates/coordination/tests/seeds.rs
+++ b/crates/coordination/tests/seeds.rs
@@ -1,7 +1,9 @@
 //! New seeds while the process runs, as after a change of the settings file.
 
 use std::sync::Arc;
-use streamusher_coordination::{Coordinator, DiskImage, Input, Message, Output, Settings};
+use streamusher_coordination::{
+    Coordinator, CoordinatorSettings, DiskImage, Input, Message, Output,
+};
 use streamusher_protocol::internal::CoreAddress;
 use streamusher_protocol::Millis;
 
@@ -14,8 +16,8 @@
 
 /// A machine with an empty disk that is not let in yet.
 fn newcomer(seeds: Vec<CoreAddress>) -> Coordinator {
-    let settings = Settings {
-        me: core(9),
+    let settings = CoordinatorSettings {
+        address: core(9),
         bootstrap: false,
         seeds,
         tolerance: 1,
--- a/crates/dataplane/src/agent/answers.rs
+++ b/crates/dataplane/src/agent/answers.rs
@@ -3,7 +3,7 @@
 use super::orders::OrdersBook;
 use super::worker::Worker;
 use super::AgentSettings;
-use streamusher_protocol::heartbeat::{HeartbeatAnswer, StartOrder, StopOrder};
+use streamusher_protocol::heartbeat::{HeartbeatResponse, StartCommand, StopCommand};
 use streamusher_protocol::Millis;
 
 /// Part of what is left of the lease that is granted, in thousandths: the worker's clock may run 2% slow.
@@ -54,7 +54,7 @@
     worker: &mut Worker,
     now: Millis,
     with_starts: bool,
-) -> HeartbeatAnswer {
+) -> HeartbeatResponse {
     let hold_ms = hold(settings, book, worker);
     let start = match with_starts && may_start(worker, hold_ms.unwrap_or(0), now) {
         true => starts(book, worker),
@@ -67,7 +67,7 @@
     if let Some(hold_ms) = hold_ms {
         worker.note_hold(hold_ms);
     }
-    HeartbeatAnswer {
+    HeartbeatResponse {
         hold_ms,
         last_seen: book.last_seen(&worker.instance),
         fence_token: book.epoch(),
@@ -78,10 +78,10 @@
 }
 
 /// The answer to a call that is not the newest, or not of this worker: nothing is ordered by it.
-pub(super) fn plain(book: &OrdersBook) -> HeartbeatAnswer {
-    HeartbeatAnswer {
+pub(super) fn plain(book: &OrdersBook) -> HeartbeatResponse {
+    HeartbeatResponse {
         fence_token: book.epoch(),
-        ..HeartbeatAnswer::default()
+        ..HeartbeatResponse::default()
     }
 }
 
@@ -97,7 +97,7 @@
     worker.is_ready() && in_time && hold_ms >= LEAST_HOLD_FOR_START_MS
 }
 
-fn starts(book: &OrdersBook, worker: &Worker) -> Vec<StartOrder> {
+fn starts(book: &OrdersBook, worker: &Worker) -> Vec<StartCommand> {
     let ordered = book.starts(&worker.instance).iter();
     ordered
         .filter(|start| worker.wants_start(start))
@@ -106,7 +106,7 @@
         .collect()
 }
 
-fn stops(book: &OrdersBook, worker: &Worker) -> Vec<StopOrder> {
+fn stops(book: &OrdersBook, worker: &Worker) -> Vec<StopCommand> {
     let ordered = book.stops(&worker.instance).iter();
     ordered
         .filter(|stop| worker.wants_stop(stop))
--- a/crates/dataplane/src/agent/machine.rs
+++ b/crates/dataplane/src/agent/machine.rs
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 use streamusher_protocol::heartbeat::{Heartbeat, WorkerState};
-use streamusher_protocol::internal::{AgentOrders, AgentSync};
+use streamusher_protocol::internal::{AgentCommands, AgentSync};
 use streamusher_protocol::Millis;
 
 /// How long an idle worker's call is held for orders: with the way there and back within the second that it waits.
@@ -225,7 +225,7 @@
         self.syncs.note_news();
     }
 
-    fn orders(&mut self, sequence: u64, orders: AgentOrders) {
+    fn orders(&mut self, sequence: u64, orders: AgentCommands) {
         let Some(sent_at) = self.syncs.answered(sequence) else {
             return;
         };
--- a/crates/dataplane/src/agent/mod.rs
+++ b/crates/dataplane/src/agent/mod.rs
@@ -14,8 +14,8 @@
 
 use serde::Serialize;
 use std::sync::Arc;
-use streamusher_protocol::heartbeat::{Heartbeat, HeartbeatAnswer};
-use streamusher_protocol::internal::{AgentOrders, AgentSync};
+use streamusher_protocol::heartbeat::{Heartbeat, HeartbeatResponse};
+use streamusher_protocol::internal::{AgentCommands, AgentSync};
 use streamusher_protocol::Millis;
 
 /// What an agent is told at its start.
@@ -68,7 +68,7 @@
         /// The sync's sequence.
         sequence: u64,
         /// The answer.
-        orders: AgentOrders,
+        orders: AgentCommands,
     },
     /// A sync got no answer that can be used.
     SyncFailed {
@@ -87,7 +87,7 @@
         /// The call.
         request: u64,
         /// The answer.
-        answer: HeartbeatAnswer,
+        answer: HeartbeatResponse,
     },
     /// Acknowledge a worker's deregistration.
     Acknowledge {
--- a/crates/dataplane/src/agent/orders.rs
+++ b/crates/dataplane/src/agent/orders.rs
@@ -1,8 +1,8 @@
 //! The primary's newest orders and the lease that came with them.
 
 use std::collections::HashSet;
-use streamusher_protocol::heartbeat::{StartOrder, StopOrder};
-use streamusher_protocol::internal::AgentOrders;
+use streamusher_protocol::heartbeat::{StartCommand, StopCommand};
+use streamusher_protocol::internal::AgentCommands;
 use streamusher_protocol::task::TaskId;
 use streamusher_protocol::Millis;
 
@@ -22,7 +22,7 @@
 
 #[derive(Debug, Default)]
 pub(super) struct OrdersBook {
-    held: Option<AgentOrders>,
+    held: Option<AgentCommands>,
     lease_until: Millis,
     /// Starts are taken only from answers to syncs from this sequence on.
     starts_from: u64,
@@ -54,7 +54,7 @@
         &mut self,
         sent_at: Millis,
         sequence: u64,
-        mut orders: AgentOrders,
+        mut orders: AgentCommands,
     ) -> Taken {
         if orders.epoch < self.epoch() && !cfg!(feature = "mutant-fence") {
             return Taken::Dropped;
@@ -86,12 +86,12 @@
     }
 
     /// Starts ordered of this worker.
-    pub(super) fn starts(&self, instance: &str) -> &[StartOrder] {
+    pub(super) fn starts(&self, instance: &str) -> &[StartCommand] {
         self.meant_for(instance).map_or(&[], |orders| &orders.start)
     }
 
     /// Stops ordered of this worker.
-    pub(super) fn stops(&self, instance: &str) -> &[StopOrder] {
+    pub(super) fn stops(&self, instance: &str) -> &[StopCommand] {
         self.meant_for(instance).map_or(&[], |orders| &orders.stop)
     }
 
@@ -102,14 +102,14 @@
             .filter(|seen| *seen > 0)
     }
 
-    fn meant_for(&self, instance: &str) -> Option<&AgentOrders> {
+    fn meant_for(&self, instance: &str) -> Option<&AgentCommands> {
         self.held
             .as_ref()
             .filter(|orders| orders.instance.as_deref() == Some(instance))
     }
 }
 
-fn lacks_a_start(before: &[StartOrder], after: &[StartOrder]) -> bool {
+fn lacks_a_start(before: &[StartCommand], after: &[StartCommand]) -> bool {
     if before.is_empty() {
         return false;
     }
