--- a/crates/dataplane/src/agent/worker.rs
+++ b/crates/dataplane/src/agent/worker.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use streamusher_protocol::heartbeat::{
-    FinishedRun, Heartbeat, RunningTask, StartOrder, StopOrder, WorkerState,
+    FinishedRun, Heartbeat, RunningTask, StartCommand, StopCommand, WorkerState,
 };
 use streamusher_protocol::internal::WorkerReport;
 use streamusher_protocol::task::{RunId, TaskId};
@@ -38,7 +38,7 @@
     /// After this nothing that it was granted is held any more.
     hold_over_at: Millis,
     offered: Vec<RunId>,
-    stops_told: BTreeSet<StopOrder>,
+    stops_told: BTreeSet<StopCommand>,
     presence: Presence,
 }
 
@@ -139,19 +139,19 @@
     }
 
     /// Whether a start is still to be handed on.
-    pub(super) fn wants_start(&self, start: &StartOrder) -> bool {
+    pub(super) fn wants_start(&self, start: &StartCommand) -> bool {
         !self.is_running(&start.0, start.1) && !self.has_finished(&start.0, start.1)
     }
 
     /// Whether a stop is still to be handed on: until the run is no longer at work, and once if it never was, so that
     /// a start that is under way is rejected.
-    pub(super) fn wants_stop(&self, stop: &StopOrder) -> bool {
+    pub(super) fn wants_stop(&self, stop: &StopCommand) -> bool {
         let untold = !self.stops_told.contains(stop) && !self.has_finished(&stop.0, stop.1);
         untold || self.is_running(&stop.0, stop.1)
     }
 
     /// Notes that an answer hands these on.
-    pub(super) fn note_orders(&mut self, starts: &[StartOrder], stops: &[StopOrder]) {
+    pub(super) fn note_orders(&mut self, starts: &[StartCommand], stops: &[StopCommand]) {
         let offered = starts.iter().map(|start| RunId {
             task: start.0.clone(),
             run: start.1,
@@ -161,7 +161,7 @@
     }
 
     /// Forgets which stops were told among those that are no longer ordered.
-    pub(super) fn keep_stops_told(&mut self, ordered: &[StopOrder]) {
+    pub(super) fn keep_stops_told(&mut self, ordered: &[StopCommand]) {
         if !self.stops_told.is_empty() {
             self.stops_told.retain(|stop| ordered.contains(stop));
         }
--- a/crates/dataplane/src/agent_program.rs
+++ b/crates/dataplane/src/agent_program.rs
@@ -1,7 +1,7 @@
 //! The agent as a process: carries heartbeats to the state machine and its syncs to the primary.
 
 use crate::agent::{Agent, AgentAction, AgentEvent, AgentSettings, AgentStatus};
-use crate::core::{CoreLink, Outcome, Target};
+use crate::core::{ControlPlaneClient, Endpoint, RequestOutcome};
 use crate::process;
 use http::{Method, StatusCode};
 use serde::Serialize;
@@ -11,16 +11,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 use streamusher_protocol::heartbeat::{
-    Heartbeat, HeartbeatAnswer, DEREGISTER_PATH, HEARTBEAT_PATH,
+    Heartbeat, HeartbeatResponse, DEREGISTER_PATH, HEARTBEAT_PATH,
 };
 use streamusher_protocol::internal::{
-    AgentOrders, AgentSync, ClusterView, AGENT_PORT_OFFSET, AGENT_SYNC_PATH,
+    AgentCommands, AgentSync, ClusterView, AGENT_PORT_OFFSET, AGENT_SYNC_PATH,
 };
 use streamusher_protocol::Millis;
 use streamusher_runtime::clock;
-use streamusher_runtime::http::{empty, json, parse_json, text, Answer, Call, ServerLimits};
+use streamusher_runtime::http::{empty, json, parse_json, text, Request, Response, ServerLimits};
 use streamusher_runtime::logs::{self, LastError};
-use streamusher_runtime::settings::{self, Settings};
+use streamusher_runtime::settings::{self, ProcessSettings};
 use streamusher_runtime::signals::{Signal, Signals};
 use tokio::sync::{oneshot, Notify};
 use tokio::time::Instant;
@@ -50,7 +50,7 @@
 ///
 /// # Errors
 /// The message names key, value and remedy.
-pub fn check(settings: &Settings) -> Result<(), String> {
+pub fn check(settings: &ProcessSettings) -> Result<(), String> {
     if !settings.serves("side") {
         let served = &settings.serves;
         return Err(format!(
@@ -70,7 +70,7 @@
 ///
 /// # Errors
 /// The settings are not an agent's, the address can't be bound, or signals can't be heard.
-pub async fn run(settings: Settings) -> anyhow::Result<()> {
+pub async fn run(settings: ProcessSettings) -> anyhow::Result<()> {
     check(&settings).map_err(anyhow::Error::msg)?;
     let mut signals = Signals::new()?;
     let address = settings
@@ -102,8 +102,8 @@
 
 struct Shared {
     agent: RefCell<Agent>,
-    link: CoreLink,
-    waiting: RefCell<BTreeMap<u64, oneshot::Sender<Option<HeartbeatAnswer>>>>,
+    link: ControlPlaneClient,
+    waiting: RefCell<BTreeMap<u64, oneshot::Sender<Option<HeartbeatResponse>>>>,
     last_request: Cell<u64>,
     wakeup_changed: Notify,
 }
@@ -118,7 +118,7 @@
 
 impl AgentProgram {
     /// An agent that knows the settings' seeds; [`AgentProgram::start`] makes it work.
-    pub fn new(settings: &Settings) -> AgentProgram {
+    pub fn new(settings: &ProcessSettings) -> AgentProgram {
         let boot = process::random_number();
         let agent_settings = AgentSettings {
             name: Arc::clone(&settings.node_name),
@@ -129,7 +129,7 @@
         };
         let shared = Shared {
             agent: RefCell::new(Agent::new(agent_settings, clock::steady())),
-            link: CoreLink::new(
+            link: ControlPlaneClient::new(
                 settings.core_addresses_of_seeds(),
                 boot,
                 RESTING_CONNECTIONS,
@@ -156,7 +156,7 @@
     }
 
     /// Answers a call of the worker.
-    pub async fn answer(self, call: Call) -> Answer {
+    pub async fn answer(self, call: Request) -> Response {
         let path = call.uri().path();
         let heartbeat = path.strip_prefix(HEARTBEAT_PATH).and_then(instance_of);
         let deregister = path.strip_prefix(DEREGISTER_PATH).and_then(instance_of);
@@ -182,7 +182,7 @@
         self.carry_out(actions);
     }
 
-    async fn heartbeat(&self, instance: Arc<str>, call: &Call) -> Answer {
+    async fn heartbeat(&self, instance: Arc<str>, call: &Request) -> Response {
         let heartbeat: Heartbeat = match parse_json(call.body()) {
             Ok(heartbeat) => heartbeat,
             Err(error) => return text(StatusCode::BAD_REQUEST, format!("heartbeat: {error}\n")),
@@ -196,18 +196,21 @@
             .await;
         match answered {
             Some(Some(answer)) => json(StatusCode::OK, &answer),
-            _ => json(StatusCode::OK, &HeartbeatAnswer::default()),
+            _ => json(StatusCode::OK, &HeartbeatResponse::default()),
         }
     }
 
-    async fn deregister(&self, instance: Arc<str>) -> Answer {
+    async fn deregister(&self, instance: Arc<str>) -> Response {
         self.ask(|request| AgentEvent::Deregister { request, instance })
             .await;
         empty(StatusCode::OK)
     }
 
     /// Hands a call to the state machine and waits for what it says.
-    async fn ask(&self, event: impl FnOnce(u64) -> AgentEvent) -> Option<Option<HeartbeatAnswer>> {
+    async fn ask(
+        &self,
+        event: impl FnOnce(u64) -> AgentEvent,
+    ) -> Option<Option<HeartbeatResponse>> {
         let request = self.shared.last_request.get() + 1;
         self.shared.last_request.set(request);
         let (sender, answered) = oneshot::channel();
@@ -247,7 +250,7 @@
         }
     }
 
-    fn reply(&self, request: u64, answer: Option<HeartbeatAnswer>) {
+    fn reply(&self, request: u64, answer: Option<HeartbeatResponse>) {
         if let Some(sender) = self.shared.waiting.borrow_mut().remove(&request) {
             // A caller that is gone asks again by itself.
             let _ = sender.send(answer);
@@ -263,7 +266,7 @@
     }
 
     /// The primary's answer; of the next primary, where there is one before that comes.
-    async fn orders(&self, sync: &AgentSync) -> Option<AgentOrders> {
+    async fn orders(&self, sync: &AgentSync) -> Option<AgentCommands> {
         let link = &self.shared.link;
         let known_by = Instant::now() + Duration::from_millis(sync.wait_ms);
         let first = link.wait_for_primary(known_by).await?;
@@ -277,9 +280,9 @@
         }
     }
 
-    async fn orders_of(&self, target: &Target, sync: &AgentSync) -> Option<AgentOrders> {
+    async fn orders_of(&self, target: &Endpoint, sync: &AgentSync) -> Option<AgentCommands> {
         let deadline = Duration::from_millis(sync.wait_ms.saturating_add(SYNC_SLACK_MS));
-        let Outcome::Answered(answer) = self
+        let RequestOutcome::Answered(answer) = self
             .shared
             .link
             .post(target, AGENT_SYNC_PATH, sync, deadline)
@@ -290,7 +293,7 @@
         if !answer.status().is_success() {
             return None;
         }
-        let orders: AgentOrders = match parse_json(answer.body()) {
+        let orders: AgentCommands = match parse_json(answer.body()) {
             Ok(orders) => orders,
             Err(error) => {
                 log::warn!("orders of {}: {error}", target.address());
--- a/crates/dataplane/src/core/finder.rs
+++ b/crates/dataplane/src/core/finder.rs
@@ -21,7 +21,7 @@
 
 /// Finds the primary and notes how fresh that knowledge is.
 #[derive(Debug)]
-pub struct CoreFinder {
+pub struct PrimaryDiscovery {
     seeds: Vec<CoreAddress>,
     members: Vec<CoreAddress>,
     epoch: u64,
@@ -39,10 +39,10 @@
     jitter: Jitter,
 }
 
-impl CoreFinder {
+impl PrimaryDiscovery {
     /// Begins with the seeds; `seed` draws the pauses.
-    pub fn new(seeds: Vec<CoreAddress>, seed: u64) -> CoreFinder {
-        let mut finder = CoreFinder {
+    pub fn new(seeds: Vec<CoreAddress>, seed: u64) -> PrimaryDiscovery {
+        let mut finder = PrimaryDiscovery {
             seeds: Vec::new(),
             members: Vec::new(),
             epoch: 0,
@@ -159,8 +159,8 @@
         self.watched = self.watched.wrapping_add(1);
     }
 
-    /// Whom to ask now for the cluster's view. Each is asked once at a time: tell [`CoreFinder::learn`] or
-    /// [`CoreFinder::failed`] what came of it.
+    /// Whom to ask now for the cluster's view. Each is asked once at a time: tell [`PrimaryDiscovery::learn`] or
+    /// [`PrimaryDiscovery::failed`] what came of it.
     pub fn questions(&mut self, now: Millis) -> Vec<Arc<str>> {
         if now < self.due_at() {
             return Vec::new();
@@ -172,7 +172,7 @@
         }
     }
 
-    /// When [`CoreFinder::questions`] has some.
+    /// When [`PrimaryDiscovery::questions`] has some.
     pub fn due_at(&self) -> Millis {
         match (self.primary(), self.answered_at) {
             (Some(_), Some(at)) => self.next_round_at.max(at.saturating_add(PROBE_AFTER_MS)),
--- a/crates/dataplane/src/core/link.rs
+++ b/crates/dataplane/src/core/link.rs
@@ -1,6 +1,6 @@
 //! The finder at work: questions to core machines, and calls to the primary.
 
-use super::CoreFinder;
+use super::PrimaryDiscovery;
 use bytes::Bytes;
 use http::header::CONTENT_TYPE;
 use http::StatusCode;
@@ -16,7 +16,9 @@
 };
 use streamusher_protocol::Millis;
 use streamusher_runtime::clock;
-use streamusher_runtime::http::{parse_json, Answer, Call, CallError, Client, ClientLimits};
+use streamusher_runtime::http::{
+    parse_json, Client, ClientLimits, Request, RequestError, Response,
+};
 use tokio::sync::Notify;
 
 /// How long a question may take.
@@ -31,12 +33,12 @@
 
 /// A process to call: its address, and the client that does.
 #[derive(Clone)]
-pub struct Target {
+pub struct Endpoint {
     address: Arc<str>,
     client: Client,
 }
 
-impl Target {
+impl Endpoint {
     /// Its internal address.
     pub fn address(&self) -> &Arc<str> {
         &self.address
@@ -45,9 +47,9 @@
 
 /// What came of a call to the primary.
 #[derive(Debug)]
-pub enum Outcome {
+pub enum RequestOutcome {
     /// It answered; any status but 421 and 504.
-    Answered(Answer),
+    Answered(Response),
     /// Nothing was done: it is not the primary, or no byte reached it.
     NotDone,
     /// It may have been carried out.
@@ -56,34 +58,34 @@
 
 /// Follows the primary; clones share what is known.
 #[derive(Clone)]
-pub struct CoreLink {
+pub struct ControlPlaneClient {
     shared: Rc<Shared>,
 }
 
 struct Shared {
     limits: ClientLimits,
-    finder: RefCell<CoreFinder>,
+    finder: RefCell<PrimaryDiscovery>,
     clients: RefCell<BTreeMap<Arc<str>, Client>>,
     /// Since when no primary is known.
     lost_since: Cell<Option<Millis>>,
     changed: Notify,
 }
 
-impl CoreLink {
-    /// A link that knows the seeds; [`CoreLink::run`] makes it find the primary. `resting` is how many connections to one
+impl ControlPlaneClient {
+    /// A link that knows the seeds; [`ControlPlaneClient::run`] makes it find the primary. `resting` is how many connections to one
     /// member are kept while nothing is called: each takes a descriptor there too.
-    pub fn new(seeds: Vec<CoreAddress>, seed: u64, resting: usize) -> CoreLink {
+    pub fn new(seeds: Vec<CoreAddress>, seed: u64, resting: usize) -> ControlPlaneClient {
         let shared = Shared {
             limits: ClientLimits {
                 max_idle: resting,
                 ..ClientLimits::default()
             },
-            finder: RefCell::new(CoreFinder::new(seeds, seed)),
+            finder: RefCell::new(PrimaryDiscovery::new(seeds, seed)),
             clients: RefCell::default(),
             lost_since: Cell::new(Some(clock::steady())),
             changed: Notify::new(),
         };
-        CoreLink {
+        ControlPlaneClient {
             shared: Rc::new(shared),
         }
     }
@@ -141,7 +143,7 @@
     }
 
     /// Comes back once another process than `target` is the primary.
-    async fn superseded(&self, target: &Target) {
+    async fn superseded(&self, target: &Endpoint) {
         loop {
             let changed = self.shared.changed.notified();
             if self.shared.finder.borrow().is_superseded(&target.address) {
@@ -152,7 +154,7 @@
     }
 
     /// The primary, where one is known.
-    pub fn primary(&self) -> Option<Target> {
+    pub fn primary(&self) -> Option<Endpoint> {
         let address = self
             .shared
             .finder
@@ -171,7 +173,7 @@
     }
 
     /// Waits for a primary, at most until `deadline`.
-    pub async fn wait_for_primary(&self, deadline: tokio::time::Instant) -> Option<Target> {
+    pub async fn wait_for_primary(&self, deadline: tokio::time::Instant) -> Option<Endpoint> {
         let found = async {
             loop {
                 let changed = self.shared.changed.notified();
@@ -205,7 +207,7 @@
     }
 
     /// Takes a view that came with an answer from `target`.
-    pub fn learn(&self, target: &Target, view: &ClusterView) {
+    pub fn learn(&self, target: &Endpoint, view: &ClusterView) {
         self.change(|finder, now| finder.learn(now, &target.address, view));
     }
 
@@ -213,40 +215,40 @@
     /// former may never answer.
     pub async fn post<T: Serialize>(
         &self,
-        target: &Target,
+        target: &Endpoint,
         path: &str,
         body: &T,
         deadline: Duration,
-    ) -> Outcome {
+    ) -> RequestOutcome {
         let Ok(call) = post_call(path, body) else {
-            return Outcome::NotDone;
+            return RequestOutcome::NotDone;
         };
         let answered = tokio::select! {
             biased;
-            answered = target.client.call(call, deadline) => answered,
-            () = self.superseded(target) => return Outcome::Unknown,
+            answered = target.client.send(call, deadline) => answered,
+            () = self.superseded(target) => return RequestOutcome::Unknown,
         };
         match answered {
             Ok(answer) if answer.status() == StatusCode::MISDIRECTED_REQUEST => {
                 let refusal = parse_json::<NotPrimary>(answer.body()).unwrap_or_default();
                 self.change(|finder, now| finder.refused(now, &target.address, &refusal.view));
-                Outcome::NotDone
+                RequestOutcome::NotDone
             }
             Ok(answer) if answer.status() == StatusCode::GATEWAY_TIMEOUT => {
                 // It could not commit: it is about to give up its office, and its own word brings it back.
                 self.change(|finder, now| finder.failed(now, &target.address));
-                Outcome::Unknown
+                RequestOutcome::Unknown
             }
             Ok(answer) => {
                 self.succeeded(&target.address);
-                Outcome::Answered(answer)
+                RequestOutcome::Answered(answer)
             }
             Err(error) => {
                 log::debug!("call to {}: {error}", target.address);
                 self.change(|finder, now| finder.failed(now, &target.address));
                 match error {
-                    CallError::NotSent(_) => Outcome::NotDone,
-                    CallError::Unknown(_) => Outcome::Unknown,
+                    RequestError::NotSent(_) => RequestOutcome::NotDone,
+                    RequestError::Unknown(_) => RequestOutcome::Unknown,
                 }
             }
         }
@@ -282,7 +284,7 @@
         self.shared.lost_since.set((!known).then_some(since));
     }
 
-    fn change(&self, change: impl FnOnce(&mut CoreFinder, Millis)) {
+    fn change(&self, change: impl FnOnce(&mut PrimaryDiscovery, Millis)) {
         {
             let mut finder = self.shared.finder.borrow_mut();
             let before = finder.primary().cloned();
@@ -294,10 +296,10 @@
         self.shared.changed.notify_waiters();
     }
 
-    fn target(&self, address: &Arc<str>) -> Option<Target> {
+    fn target(&self, address: &Arc<str>) -> Option<Endpoint> {
         let mut clients = self.shared.clients.borrow_mut();
         if let Some(client) = clients.get(address) {
-            return Some(Target {
+            return Some(Endpoint {
                 address: Arc::clone(address),
                 client: client.clone(),
             });
@@ -307,7 +309,7 @@
             self.shared.limits.clone(),
         );
         clients.insert(Arc::clone(address), client.clone());
-        Some(Target {
+        Some(Endpoint {
             address: Arc::clone(address),
             client,
         })
@@ -323,7 +325,7 @@
     }
 }
 
-fn log_change(before: Option<&CoreAddress>, finder: &CoreFinder) {
+fn log_change(before: Option<&CoreAddress>, finder: &PrimaryDiscovery) {
     match finder.primary() {
         after if after == before => {}
         Some(primary) => log::info!(
@@ -338,7 +340,7 @@
     }
 }
 
-fn post_call<T: Serialize>(path: &str, body: &T) -> Result<Call, http::Error> {
+fn post_call<T: Serialize>(path: &str, body: &T) -> Result<Request, http::Error> {
     let body = serde_json::to_vec(body).unwrap_or_default();
     http::Request::post(path)
         .header(CONTENT_TYPE, "application/json")
@@ -364,8 +366,8 @@
     .await
 }
 
-async fn view(client: &Client, call: Call, deadline: Duration) -> Option<ClusterView> {
-    let answer = client.call(call, deadline).await.ok()?;
+async fn view(client: &Client, call: Request, deadline: Duration) -> Option<ClusterView> {
+    let answer = client.send(call, deadline).await.ok()?;
     if !answer.status().is_success() {
         return None;
     }
--- a/crates/dataplane/src/core/mod.rs
+++ b/crates/dataplane/src/core/mod.rs
@@ -3,5 +3,5 @@
 mod finder;
 mod link;
 
-pub use finder::CoreFinder;
-pub use link::{CoreLink, Outcome, Target};
+pub use finder::PrimaryDiscovery;
+pub use link::{ControlPlaneClient, Endpoint, RequestOutcome};
--- a/crates/dataplane/src/gate/passing.rs
+++ b/crates/dataplane/src/gate/passing.rs
@@ -1,10 +1,12 @@
 //! Passing a client's call to the primary, and what the client is told when that fails.
 
 use super::request;
-use crate::core::{CoreLink, Outcome, Target};
+use crate::core::{ControlPlaneClient, Endpoint, RequestOutcome};
 use std::time::Duration;
-use streamusher_protocol::internal::{ClientCall, ClientMethod, ClientReply, CLIENT_CALL_PATH};
-use streamusher_runtime::http::{parse_json, Answer, Call};
+use streamusher_protocol::internal::{
+    ClientMethod, ClientRequest, ClientResponse, CLIENT_CALL_PATH,
+};
+use streamusher_runtime::http::{parse_json, Request, Response};
 use tokio::time::Instant;
 
 /// Kept of the client's time for the way back.
@@ -29,10 +31,10 @@
 /// be carried out twice, so they are tried again while the client's time lasts.
 ///
 /// `configuration` is the version of the gate's copy; the primary decides by its own.
-pub async fn pass(link: &CoreLink, configuration: u64, call: &Call) -> Answer {
+pub async fn pass(link: &ControlPlaneClient, configuration: u64, call: &Request) -> Response {
     let until = Instant::now() + request::deadline(call).saturating_sub(KEPT_FOR_CLIENT);
     let call = match request::read(call) {
-        Ok(call) => ClientCall {
+        Ok(call) => ClientRequest {
             configuration,
             ..call
         },
@@ -53,22 +55,27 @@
 }
 
 enum Attempt {
-    Answered(Answer),
+    Answered(Response),
     NotDone,
     Unknown,
 }
 
-async fn attempt(link: &CoreLink, target: &Target, call: &ClientCall, until: Instant) -> Attempt {
+async fn attempt(
+    link: &ControlPlaneClient,
+    target: &Endpoint,
+    call: &ClientRequest,
+    until: Instant,
+) -> Attempt {
     let left = until.saturating_duration_since(Instant::now());
     let deadline = left.clamp(SHORTEST_TRY, LONGEST_TRY);
     match link.post(target, CLIENT_CALL_PATH, call, deadline).await {
-        Outcome::Answered(answer) => Attempt::Answered(reply(&answer)),
-        Outcome::NotDone => Attempt::NotDone,
-        Outcome::Unknown => Attempt::Unknown,
+        RequestOutcome::Answered(answer) => Attempt::Answered(reply(&answer)),
+        RequestOutcome::NotDone => Attempt::NotDone,
+        RequestOutcome::Unknown => Attempt::Unknown,
     }
 }
 
-fn reply(answer: &Answer) -> Answer {
+fn reply(answer: &Response) -> Response {
     if !answer.status().is_success() {
         log::warn!(
             "the primary answered a client's call with {}",
@@ -76,7 +83,7 @@
         );
         return request::not_understood();
     }
-    match parse_json::<ClientReply>(answer.body()) {
+    match parse_json::<ClientResponse>(answer.body()) {
         Ok(reply) => request::answer(&reply),
         Err(error) => {
             log::warn!("the primary's reply to a client: {error}");
@@ -86,17 +93,17 @@
 }
 
 /// Another primary than the one that was just tried.
-fn other_primary(link: &CoreLink, tried: &Target) -> Option<Target> {
+fn other_primary(link: &ControlPlaneClient, tried: &Endpoint) -> Option<Endpoint> {
     link.primary()
         .filter(|target| target.address() != tried.address())
 }
 
 async fn last_attempt(
-    link: &CoreLink,
-    target: &Target,
-    call: &ClientCall,
+    link: &ControlPlaneClient,
+    target: &Endpoint,
+    call: &ClientRequest,
     until: Instant,
-) -> Answer {
+) -> Response {
     match attempt(link, target, call, until).await {
         Attempt::Answered(answer) => answer,
         Attempt::NotDone => request::not_taken(link.outage()),
@@ -105,7 +112,7 @@
 }
 
 /// Further tries of a call that can be repeated, whenever a primary answers.
-async fn repeat(link: &CoreLink, call: &ClientCall, until: Instant) -> Answer {
+async fn repeat(link: &ControlPlaneClient, call: &ClientRequest, until: Instant) -> Response {
     let latest = until.checked_sub(WORTH_A_TRY).unwrap_or(until);
     for _ in 0..MOST_REPEATS {
         let Some(target) = link.wait_for_primary(latest).await else {
--- a/crates/dataplane/src/gate/program.rs
+++ b/crates/dataplane/src/gate/program.rs
@@ -2,7 +2,7 @@
 
 use super::passing;
 use super::relay::{Relay, RelayStatus};
-use crate::core::CoreLink;
+use crate::core::ControlPlaneClient;
 use crate::process;
 use http::{Method, StatusCode};
 use serde::Serialize;
@@ -12,9 +12,9 @@
 use streamusher_protocol::config::Limits;
 use streamusher_protocol::internal::{ClusterView, GATE_PORT_OFFSET, RELAY_PATH};
 use streamusher_protocol::Millis;
-use streamusher_runtime::http::{text, Answer, Call, ServerHandle, ServerLimits};
+use streamusher_runtime::http::{text, Request, Response, ServerHandle, ServerLimits};
 use streamusher_runtime::logs::{self, LastError};
-use streamusher_runtime::settings::{self, Settings};
+use streamusher_runtime::settings::{self, ProcessSettings};
 use streamusher_runtime::signals::{Signal, Signals};
 
 /// What the platform asks each second.
@@ -66,7 +66,7 @@
 ///
 /// # Errors
 /// The message names key, value and remedy.
-pub fn check(settings: &Settings) -> Result<(), String> {
+pub fn check(settings: &ProcessSettings) -> Result<(), String> {
     if !settings.serves("front") {
         return Err(format!(
             "key serves = {:?}: run the gate in a role that serves \"front\"",
@@ -89,7 +89,7 @@
 ///
 /// # Errors
 /// The settings are not a gate's, an address can't be bound, or signals can't be heard.
-pub async fn run(settings: Settings) -> anyhow::Result<()> {
+pub async fn run(settings: ProcessSettings) -> anyhow::Result<()> {
     check(&settings).map_err(anyhow::Error::msg)?;
     let missing = || anyhow::anyhow!("no listen.front or listen.ready");
     let mut signals = Signals::new()?;
@@ -143,7 +143,7 @@
 }
 
 /// Applies the limits of each configuration that comes. Never ends.
-async fn follow_limits(relay: Relay, server: ServerHandle, settings: Settings) {
+async fn follow_limits(relay: Relay, server: ServerHandle, settings: ProcessSettings) {
     loop {
         relay.changed().await;
         if let Some(configuration) = relay.configuration() {
@@ -152,7 +152,7 @@
     }
 }
 
-fn client_limits(settings: &Settings, limits: &Limits) -> ServerLimits {
+fn client_limits(settings: &ProcessSettings, limits: &Limits) -> ServerLimits {
     let max_connections = settings.limits.connections(OWN_DESCRIPTORS);
     ServerLimits {
         max_body: limits.max_body_bytes.min(MOST_BODY) as usize,
@@ -170,7 +170,7 @@
 }
 
 struct Shared {
-    link: CoreLink,
+    link: ControlPlaneClient,
     relay: Relay,
     leaving: Cell<bool>,
     passed: Cell<u64>,
@@ -191,8 +191,8 @@
 
 impl Gate {
     /// A gate that knows the settings' seeds; [`Gate::start`] makes it work.
-    pub fn new(settings: &Settings) -> Gate {
-        let link = CoreLink::new(
+    pub fn new(settings: &ProcessSettings) -> Gate {
+        let link = ControlPlaneClient::new(
             settings.core_addresses_of_seeds(),
             process::random_number(),
             RESTING_CONNECTIONS,
@@ -229,7 +229,7 @@
     }
 
     /// Answers a call at the internal interface.
-    pub fn internal(&self, call: &Call) -> Answer {
+    pub fn internal(&self, call: &Request) -> Response {
         match call.uri().path() {
             RELAY_PATH => self.shared.relay.answer(call),
             _ => process::answer_status(call, || self.status()),
@@ -242,12 +242,12 @@
     }
 
     /// The link to the control plane.
-    pub fn link(&self) -> &CoreLink {
+    pub fn link(&self) -> &ControlPlaneClient {
         &self.shared.link
     }
 
     /// Answers a client.
-    pub async fn answer(self, call: Call) -> Answer {
+    pub async fn answer(self, call: Request) -> Response {
         let answer = passing::pass(&self.shared.link, self.shared.relay.version(), &call).await;
         let refused = answer.status().is_server_error();
         let counter = if refused {
@@ -260,7 +260,7 @@
     }
 
     /// Answers the platform's question whether clients may be sent here.
-    pub fn readiness(&self, call: &Call) -> Answer {
+    pub fn readiness(&self, call: &Request) -> Response {
         if call.method() != Method::GET || call.uri().path() != READINESS_PATH {
             return text(
                 StatusCode::NOT_FOUND,
--- a/crates/dataplane/src/gate/relay.rs
+++ b/crates/dataplane/src/gate/relay.rs
@@ -1,6 +1,6 @@
 //! The gate as a member of the relay tree: its lease at the primary, and its copy of the configuration.
 
-use crate::core::{CoreLink, Outcome};
+use crate::core::{ControlPlaneClient, RequestOutcome};
 use http::{Method, StatusCode};
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
@@ -9,13 +9,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 use streamusher_configuration::relay::{
-    Actions, Envelope, Peer, RelayMessage, RelayNode, Roster, Send, LEASE_RENEWAL,
+    OutboundMessage, RelayActions, RelayEnvelope, RelayMembership, RelayMessage, RelayNode,
+    RelayPeer, LEASE_RENEWAL,
 };
 use streamusher_protocol::config::Configuration;
-use streamusher_protocol::internal::{GateLease, GateLeaseReply, GATE_LEASE_PATH, RELAY_PATH};
+use streamusher_protocol::internal::{
+    GateLeaseRequest, GateLeaseResponse, GATE_LEASE_PATH, RELAY_PATH,
+};
 use streamusher_protocol::Millis;
 use streamusher_runtime::clock;
-use streamusher_runtime::http::{empty, parse_json, text, Answer, Call, Outbox};
+use streamusher_runtime::http::{empty, parse_json, text, Outbox, Request, Response};
 use tokio::sync::Notify;
 
 /// As long as a client's call may wait: a primary that is slow is not thought lost for a lease.
@@ -28,7 +31,7 @@
 }
 
 struct Shared {
-    link: CoreLink,
+    link: ControlPlaneClient,
     node: RefCell<RelayNode>,
     outbox: RefCell<Outbox<RelayMessage>>,
     configuration: RefCell<Option<Arc<Configuration>>>,
@@ -46,18 +49,18 @@
     address: Arc<str>,
     configuration: u64,
     roster: u64,
-    parent: Option<Peer>,
-    adopter: Option<Peer>,
-    told: Vec<Peer>,
+    parent: Option<RelayPeer>,
+    adopter: Option<RelayPeer>,
+    told: Vec<RelayPeer>,
 }
 
 impl Relay {
     /// A member that others reach at `address`; [`Relay::run`] makes it one.
-    pub fn new(link: CoreLink, address: SocketAddr) -> Relay {
+    pub fn new(link: ControlPlaneClient, address: SocketAddr) -> Relay {
         let address: Arc<str> = address.to_string().into();
-        let from = Peer::Member(address.clone());
+        let from = RelayPeer::Member(address.clone());
         let body_of = move |messages| {
-            body(&Envelope {
+            body(&RelayEnvelope {
                 from: from.clone(),
                 messages,
             })
@@ -105,11 +108,11 @@
     }
 
     /// Answers a call at [`RELAY_PATH`].
-    pub fn answer(&self, call: &Call) -> Answer {
+    pub fn answer(&self, call: &Request) -> Response {
         if call.method() != Method::POST {
             return text(StatusCode::METHOD_NOT_ALLOWED, "use POST\n");
         }
-        match parse_json::<Envelope>(call.body()) {
+        match parse_json::<RelayEnvelope>(call.body()) {
             Ok(envelope) => {
                 for message in envelope.messages {
                     self.act(|node, now| node.receive(now, &envelope.from, message));
@@ -133,7 +136,7 @@
             };
             let lease = {
                 let node = self.shared.node.borrow();
-                GateLease {
+                GateLeaseRequest {
                     address: node.address().clone(),
                     roster: node.roster(),
                 }
@@ -143,8 +146,8 @@
                 .link
                 .post(&target, GATE_LEASE_PATH, &lease, CORE_DEADLINE)
                 .await;
-            if let Outcome::Answered(answer) = outcome {
-                match parse_json::<GateLeaseReply>(answer.body()) {
+            if let RequestOutcome::Answered(answer) = outcome {
+                match parse_json::<GateLeaseResponse>(answer.body()) {
                     Ok(reply) => self.leased(reply),
                     Err(error) => log::debug!("the primary's answer to a lease: {error}"),
                 }
@@ -153,14 +156,14 @@
         }
     }
 
-    fn leased(&self, reply: GateLeaseReply) {
-        let GateLeaseReply {
+    fn leased(&self, reply: GateLeaseResponse) {
+        let GateLeaseResponse {
             configuration,
             roster,
             members,
         } = reply;
         if let Some(members) = members {
-            let roster = Roster {
+            let roster = RelayMembership {
                 version: roster,
                 members,
             };
@@ -182,7 +185,7 @@
         }
     }
 
-    fn act(&self, change: impl FnOnce(&mut RelayNode, Millis) -> Actions) {
+    fn act(&self, change: impl FnOnce(&mut RelayNode, Millis) -> RelayActions) {
         let (actions, due) = {
             let mut node = self.shared.node.borrow_mut();
             let actions = change(&mut node, clock::steady());
@@ -201,16 +204,16 @@
         }
     }
 
-    fn send(&self, send: Send) {
+    fn send(&self, send: OutboundMessage) {
         for to in send.to {
             match to {
-                Peer::Member(address) => {
+                RelayPeer::Member(address) => {
                     self.shared
                         .outbox
                         .borrow_mut()
                         .send(&address, send.message.clone());
                 }
-                Peer::Core => self.send_to_core(send.message.clone()),
+                RelayPeer::Core => self.send_to_core(send.message.clone()),
             }
         }
     }
@@ -219,10 +222,10 @@
         let Some(target) = self.shared.link.primary() else {
             return;
         };
-        let from = Peer::Member(self.shared.node.borrow().address().clone());
+        let from = RelayPeer::Member(self.shared.node.borrow().address().clone());
         let link = self.shared.link.clone();
         tokio::task::spawn_local(async move {
-            let envelope = Envelope {
+            let envelope = RelayEnvelope {
                 from,
                 messages: vec![message],
             };
@@ -234,6 +237,6 @@
     }
 }
 
-fn body(envelope: &Envelope) -> Vec<u8> {
+fn body(envelope: &RelayEnvelope) -> Vec<u8> {
     serde_json::to_vec(envelope).unwrap_or_default()
 }
--- a/crates/dataplane/src/gate/request.rs
+++ b/crates/dataplane/src/gate/request.rs
@@ -4,9 +4,9 @@
 use http::{Method, StatusCode};
 use std::sync::Arc;
 use std::time::Duration;
-use streamusher_protocol::internal::{ClientCall, ClientMethod, ClientReply};
+use streamusher_protocol::internal::{ClientMethod, ClientRequest, ClientResponse};
 use streamusher_protocol::Millis;
-use streamusher_runtime::http::{text, Answer, Call};
+use streamusher_runtime::http::{text, Request, Response};
 
 /// Header that tells how long the client waits, in milliseconds from its sending.
 pub const DEADLINE_HEADER: &str = "streamusher-deadline-ms";
@@ -32,7 +32,7 @@
 
 impl Refusal {
     /// What the client is told.
-    pub fn answer(self) -> Answer {
+    pub fn answer(self) -> Response {
         let status = match self {
             Refusal::Method => StatusCode::METHOD_NOT_ALLOWED,
             Refusal::NotText => StatusCode::BAD_REQUEST,
@@ -51,7 +51,7 @@
 ///
 /// # Errors
 /// Another method, or a body that is not text.
-pub fn read(call: &Call) -> Result<ClientCall, Refusal> {
+pub fn read(call: &Request) -> Result<ClientRequest, Refusal> {
     let method = match *call.method() {
         Method::GET => ClientMethod::Get,
         Method::POST => ClientMethod::Post,
@@ -68,7 +68,7 @@
         .uri()
         .path_and_query()
         .map_or("/", |path| path.as_str());
-    Ok(ClientCall {
+    Ok(ClientRequest {
         method,
         host: host.into(),
         path: path.into(),
@@ -78,7 +78,7 @@
 }
 
 /// How long the client waits for its answer.
-pub(super) fn deadline(call: &Call) -> Duration {
+pub(super) fn deadline(call: &Request) -> Duration {
     let given = call
         .headers()
         .get(DEADLINE_HEADER)
@@ -88,11 +88,11 @@
 }
 
 /// The primary's reply for the client.
-pub(super) fn answer(reply: &ClientReply) -> Answer {
+pub(super) fn answer(reply: &ClientResponse) -> Response {
     let Ok(status) = StatusCode::from_u16(reply.status) else {
         return not_understood();
     };
-    let mut answer = Answer::new(body(&reply.body));
+    let mut answer = Response::new(body(&reply.body));
     *answer.status_mut() = status;
     if !reply.body.is_empty() {
         answer
@@ -110,7 +110,7 @@
 }
 
 /// 503: the call was not taken, and will not be. `outage` is how long no primary has been known.
-pub(super) fn not_taken(outage: Millis) -> Answer {
+pub(super) fn not_taken(outage: Millis) -> Response {
     log::info!("a client's call is refused: no primary takes it");
     let mut answer = text(
         StatusCode::SERVICE_UNAVAILABLE,
@@ -126,7 +126,7 @@
 }
 
 /// 502: the call may have been taken.
-pub(super) fn unknown() -> Answer {
+pub(super) fn unknown() -> Response {
     text(
         StatusCode::BAD_GATEWAY,
         "the primary did not answer: send the same id again\n",
@@ -134,7 +134,7 @@
 }
 
 /// 502: the primary said what is no reply.
-pub(super) fn not_understood() -> Answer {
+pub(super) fn not_understood() -> Response {
     text(
         StatusCode::BAD_GATEWAY,
         "the primary's reply was not understood: send the same id again\n",
@@ -142,7 +142,7 @@
 }
 
 /// Seconds, with decimals where they are not whole, as clients of this protocol read them.
-fn set_retry_after(answer: &mut Answer, retry_after_ms: Millis) {
+fn set_retry_after(answer: &mut Response, retry_after_ms: Millis) {
     let seconds = retry_after_ms.max(1) as f64 / 1_000.0;
     if let Ok(value) = HeaderValue::try_from(seconds.to_string()) {
         answer.headers_mut().insert(RETRY_AFTER, value);
--- a/crates/dataplane/src/main.rs
+++ b/crates/dataplane/src/main.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 use streamusher_dataplane::{agent_program, gate, process};
 use streamusher_runtime::options::{self, Chosen, Invocation, Program, EXIT_MISUSE};
-use streamusher_runtime::settings::{self, Settings};
+use streamusher_runtime::settings::{self, ProcessSettings};
 use streamusher_runtime::{clock, logs};
 
 const PROGRAM: Program = Program {
@@ -48,7 +48,7 @@
     }
 }
 
-fn run(is_gate: bool, settings: Settings) -> ExitCode {
+fn run(is_gate: bool, settings: ProcessSettings) -> ExitCode {
     let ended = match is_gate {
         true => process::run(gate::run(settings)),
         false => process::run(agent_program::run(settings)),
--- a/crates/dataplane/src/process.rs
+++ b/crates/dataplane/src/process.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use streamusher_protocol::internal::STATUS_PATH;
-use streamusher_runtime::http::{json, text, Answer, Call, Server, ServerLimits};
+use streamusher_runtime::http::{json, text, Request, Response, Server, ServerLimits};
 
 /// Tries to bind an address, and the pause between two: an earlier process may not be gone yet.
 const BIND_TRIES: u32 = 20;
@@ -49,7 +49,7 @@
     T: serde::Serialize + 'static,
     S: Fn() -> T + Clone + 'static,
 {
-    let handler = move |call: Call| std::future::ready(answer_status(&call, &status));
+    let handler = move |call: Request| std::future::ready(answer_status(&call, &status));
     match bind(address, STATUS_LIMITS).await {
         Ok(server) => server.run(handler).await,
         Err(error) => log::warn!("no status interface: {error}"),
@@ -57,7 +57,7 @@
 }
 
 /// Answers `GET /internal/status` with what `status` gives, and anything else with 404.
-pub fn answer_status<T: serde::Serialize>(call: &Call, status: impl Fn() -> T) -> Answer {
+pub fn answer_status<T: serde::Serialize>(call: &Request, status: impl Fn() -> T) -> Response {
     let known = call.method() == http::Method::GET && call.uri().path() == STATUS_PATH;
     match known {
         true => json(http::StatusCode::OK, &status()),
--- a/crates/dataplane/tests/agent.rs
+++ b/crates/dataplane/tests/agent.rs
@@ -5,8 +5,8 @@
 use common::*;
 use rstest::rstest;
 use streamusher_dataplane::agent::{Agent, AgentAction, AgentEvent};
-use streamusher_protocol::heartbeat::{HeartbeatAnswer, RunningTask};
-use streamusher_protocol::internal::AgentOrders;
+use streamusher_protocol::heartbeat::{HeartbeatResponse, RunningTask};
+use streamusher_protocol::internal::AgentCommands;
 use streamusher_protocol::task::RunId;
 
 #[test]
@@ -30,9 +30,9 @@
 
     assert_eq!(
         answer,
-        HeartbeatAnswer {
+        HeartbeatResponse {
             retry_after_ms: Some(300),
-            ..HeartbeatAnswer::default()
+            ..HeartbeatResponse::default()
         }
     );
 }
@@ -54,7 +54,7 @@
 ) {
     let mut story = Story::in_contact();
     story.tick();
-    story.answer_sync(AgentOrders {
+    story.answer_sync(AgentCommands {
         lease_ms: 60_000,
         ..orders(1, 2, &[])
     });
@@ -223,14 +223,14 @@
     let mut story = Story::in_contact();
     story.heartbeat(at_work(1, &[running(1, 1)]));
     story.pass(50);
-    story.answer_sync(AgentOrders {
+    story.answer_sync(AgentCommands {
         lease_ms: 1_000,
         ..orders(3, 1, &[])
     });
     story.pass(50);
     let lease_before = story.agent.status(story.now).lease_left_ms;
 
-    story.answer_sync(AgentOrders {
+    story.answer_sync(AgentCommands {
         lease_ms: 60_000,
         ..orders(2, 9, &[start(1, 1)])
     });
@@ -284,7 +284,7 @@
 fn given_orders_for_another_instance_when_the_worker_calls_then_they_are_not_its_own() {
     let mut story = Story::in_contact();
     story.tick();
-    story.answer_sync(AgentOrders {
+    story.answer_sync(AgentCommands {
         instance: Some("i-0".into()),
         last_seen: 40,
         stop: vec![stop(2, 1)],
@@ -304,7 +304,7 @@
     let mut story = Story::in_contact();
     story.heartbeat(at_work(1, &[running(1, 1)]));
     story.now += 50;
-    story.answer_sync(AgentOrders {
+    story.answer_sync(AgentCommands {
         stop: vec![stop(1, 1)],
         last_seen: 3,
         ..orders(1, 2, &[])
@@ -324,7 +324,7 @@
     let mut story = Story::in_contact();
     story.heartbeat(heartbeat(1));
 
-    let actions = story.answer_sync(AgentOrders {
+    let actions = story.answer_sync(AgentCommands {
         stop: vec![stop(1, 1)],
         ..orders(1, 2, &[])
     });
@@ -347,9 +347,9 @@
 
     assert_eq!(
         answer,
-        HeartbeatAnswer {
+        HeartbeatResponse {
             fence_token: 1,
-            ..HeartbeatAnswer::default()
+            ..HeartbeatResponse::default()
         }
     );
     assert_eq!(story.agent.status(story.now).running, 1);
--- a/crates/dataplane/tests/agent_presence.rs
+++ b/crates/dataplane/tests/agent_presence.rs
@@ -44,7 +44,7 @@
     let received = story.now;
     story.pass(60);
     let sequence = story.waiting.pop().unwrap();
-    let long = streamusher_protocol::internal::AgentOrders {
+    let long = streamusher_protocol::internal::AgentCommands {
         lease_ms: 60_000,
         ..orders(1, 2, &[start(1, 1)])
     };
@@ -73,7 +73,7 @@
 
     // The answer to a sync from before was on its way while the worker was called gone.
     story.heartbeat(heartbeat(2));
-    let late = streamusher_protocol::internal::AgentOrders {
+    let late = streamusher_protocol::internal::AgentCommands {
         lease_ms: 60_000,
         ..orders(1, 2, &[start(1, 1)])
     };
--- a/crates/dataplane/tests/agent_program.rs
+++ b/crates/dataplane/tests/agent_program.rs
@@ -8,12 +8,12 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 use streamusher_dataplane::agent_program::{check, AgentProgram};
-use streamusher_protocol::heartbeat::{HeartbeatAnswer, StartOrder};
-use streamusher_protocol::internal::{AgentOrders, AgentSync, AGENT_SYNC_PATH};
+use streamusher_protocol::heartbeat::{HeartbeatResponse, StartCommand};
+use streamusher_protocol::internal::{AgentCommands, AgentSync, AGENT_SYNC_PATH};
 use streamusher_runtime::http::{
-    empty, json, parse_json, Answer, Call, Client, Server, ServerLimits,
+    empty, json, parse_json, Client, Request, Response, Server, ServerLimits,
 };
-use streamusher_runtime::settings::Settings;
+use streamusher_runtime::settings::ProcessSettings;
 
 const LEASE_MS: u64 = 4_000;
 const HEARTBEAT: &str = "/streamusher/Instances.Heartbeat/i-1";
@@ -28,8 +28,8 @@
     Client::new(address)
 }
 
-fn order() -> StartOrder {
-    StartOrder(
+fn order() -> StartCommand {
+    StartCommand(
         "5c0e7a21d94b36f8.0.0.1".parse().unwrap(),
         1,
         "spec".into(),
@@ -38,27 +38,27 @@
 }
 
 /// Orders one start of any worker that has called.
-fn ordering(call: Call) -> Answer {
+fn ordering(call: Request) -> Response {
     if call.uri().path() != AGENT_SYNC_PATH {
         return empty(StatusCode::NOT_FOUND);
     }
     let sync: AgentSync = parse_json(call.body()).unwrap();
     let instance = sync.worker.map(|worker| worker.instance);
     let start = instance.iter().map(|_| order()).collect();
-    let orders = AgentOrders {
+    let orders = AgentCommands {
         epoch: 4,
         revision: 1,
         lease_ms: LEASE_MS,
         instance,
         start,
-        ..AgentOrders::default()
+        ..AgentCommands::default()
     };
     json(StatusCode::OK, &orders)
 }
 
-async fn heartbeat(worker: &Client, body: String) -> Answer {
+async fn heartbeat(worker: &Client, body: String) -> Response {
     worker
-        .call(call("POST", HEARTBEAT, body), SOON)
+        .send(call("POST", HEARTBEAT, body), SOON)
         .await
         .unwrap()
 }
@@ -69,7 +69,7 @@
         let primary = Primary::start(|call| std::future::ready(ordering(call)));
         let worker = agent_of(primary.address);
 
-        let mut answer = HeartbeatAnswer::default();
+        let mut answer = HeartbeatResponse::default();
         let mut called_at = Instant::now();
         for sequence in 1.. {
             let body = format!("{{\"service\":\"app\",\"sequence\":{sequence}}}");
@@ -95,7 +95,7 @@
 #[test]
 fn given_a_malformed_heartbeat_when_it_comes_then_400_names_the_field() {
     run(async {
-        let primary = Primary::start(|_call| std::future::pending::<Answer>());
+        let primary = Primary::start(|_call| std::future::pending::<Response>());
         let worker = agent_of(primary.address);
 
         let missing = heartbeat(&worker, "{\"service\":\"app\"}".to_owned()).await;
@@ -127,7 +127,7 @@
             "{\"service\":\"app\",\"sequence\":1,\"state\":\"draining\",\"remaining_ms\":4000}";
         let drained = heartbeat(&worker, body.to_owned()).await;
         let end = call("POST", "/streamusher/Instances.Deregister/i-1", "");
-        let ended = worker.call(end, SOON).await.unwrap();
+        let ended = worker.send(end, SOON).await.unwrap();
 
         assert_eq!(
             (drained.status(), ended.status()),
@@ -139,14 +139,14 @@
 #[test]
 fn given_another_path_or_method_when_called_then_404_or_405() {
     run(async {
-        let primary = Primary::start(|_call| std::future::pending::<Answer>());
+        let primary = Primary::start(|_call| std::future::pending::<Response>());
         let worker = agent_of(primary.address);
 
         let path = worker
-            .call(call("POST", "/streamusher/Instances.Heartbeat/", ""), SOON)
+            .send(call("POST", "/streamusher/Instances.Heartbeat/", ""), SOON)
             .await
             .unwrap();
-        let method = worker.call(call("GET", HEARTBEAT, ""), SOON).await.unwrap();
+        let method = worker.send(call("GET", HEARTBEAT, ""), SOON).await.unwrap();
 
         assert_eq!(
             (path.status(), method.status()),
@@ -157,9 +157,9 @@
 
 #[test]
 fn given_settings_of_another_role_when_checked_then_the_error_names_the_key() {
-    let mut settings = Settings {
+    let mut settings = ProcessSettings {
         serves: vec!["front".into()],
-        ..Settings::default()
+        ..ProcessSettings::default()
     };
     assert!(check(&settings).unwrap_err().contains("serves"));
 
--- a/crates/dataplane/tests/common/mod.rs
+++ b/crates/dataplane/tests/common/mod.rs
@@ -4,9 +4,9 @@
 
 use streamusher_dataplane::agent::{Agent, AgentAction, AgentEvent, AgentSettings};
 use streamusher_protocol::heartbeat::{
-    FinishedRun, Heartbeat, HeartbeatAnswer, RunningTask, StartOrder, StopOrder, WorkerState,
+    FinishedRun, Heartbeat, HeartbeatResponse, RunningTask, StartCommand, StopCommand, WorkerState,
 };
-use streamusher_protocol::internal::{AgentOrders, AgentSync};
+use streamusher_protocol::internal::{AgentCommands, AgentSync};
 use streamusher_protocol::task::{RunEnd, TaskId};
 use streamusher_protocol::Millis;
 
@@ -34,8 +34,8 @@
     format!("5c0e7a21d94b36f8.0.0.{index}").parse().unwrap()
 }
 
-pub fn start(index: u32, run: u32) -> StartOrder {
-    StartOrder(task(index), run, "spec".into(), "".into())
+pub fn start(index: u32, run: u32) -> StartCommand {
+    StartCommand(task(index), run, "spec".into(), "".into())
 }
 
 pub fn running(index: u32, run: u32) -> RunningTask {
@@ -46,8 +46,8 @@
     FinishedRun(number, task(index), run, RunEnd::Done, "".into())
 }
 
-pub fn stop(index: u32, run: u32) -> StopOrder {
-    StopOrder(task(index), run)
+pub fn stop(index: u32, run: u32) -> StopCommand {
+    StopCommand(task(index), run)
 }
 
 pub fn heartbeat(sequence: u64) -> Heartbeat {
@@ -73,14 +73,14 @@
     }
 }
 
-pub fn orders(epoch: u64, revision: u64, start: &[StartOrder]) -> AgentOrders {
-    AgentOrders {
+pub fn orders(epoch: u64, revision: u64, start: &[StartCommand]) -> AgentCommands {
+    AgentCommands {
         epoch,
         revision,
         lease_ms: LEASE_MS,
         instance: Some("i-1".into()),
         start: start.to_vec(),
-        ..AgentOrders::default()
+        ..AgentCommands::default()
     }
 }
 
@@ -147,7 +147,7 @@
         &mut self,
         instance: &str,
         heartbeat: Heartbeat,
-    ) -> Option<HeartbeatAnswer> {
+    ) -> Option<HeartbeatResponse> {
         self.last_request += 1;
         let request = self.last_request;
         let actions = self.event(AgentEvent::Heartbeat {
@@ -158,7 +158,7 @@
         answer_to(&actions, request)
     }
 
-    pub fn heartbeat(&mut self, heartbeat: Heartbeat) -> Option<HeartbeatAnswer> {
+    pub fn heartbeat(&mut self, heartbeat: Heartbeat) -> Option<HeartbeatResponse> {
         self.heartbeat_of("i-1", heartbeat)
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// The primary answers the newest sync.
-    pub fn answer_sync(&mut self, orders: AgentOrders) -> Vec<AgentAction> {
+    pub fn answer_sync(&mut self, orders: AgentCommands) -> Vec<AgentAction> {
         let sequence = self.waiting.pop().expect("a sync waits");
         self.event(AgentEvent::Orders { sequence, orders })
     }
@@ -199,7 +199,7 @@
     }
 }
 
-pub fn answer_to(actions: &[AgentAction], wanted: u64) -> Option<HeartbeatAnswer> {
+pub fn answer_to(actions: &[AgentAction], wanted: u64) -> Option<HeartbeatResponse> {
     actions.iter().find_map(|action| match action {
         AgentAction::Answer { request, answer } if *request == wanted => Some(answer.clone()),
         _ => None,
--- a/crates/dataplane/tests/common/primary.rs
+++ b/crates/dataplane/tests/common/primary.rs
@@ -10,12 +10,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 use streamusher_protocol::internal::{
-    ClientCall, ClientReply, ClusterView, CoreAddress, CLUSTER_PATH,
+    ClientRequest, ClientResponse, ClusterView, CoreAddress, CLUSTER_PATH,
 };
 use streamusher_runtime::http::{
-    json, parse_json, Answer, Call, Server, ServerHandle, ServerLimits,
+    json, parse_json, Request, Response, Server, ServerHandle, ServerLimits,
 };
-use streamusher_runtime::settings::Settings;
+use streamusher_runtime::settings::ProcessSettings;
 
 /// Bounds what should happen at once.
 pub const SOON: Duration = Duration::from_secs(20);
@@ -45,11 +45,11 @@
 }
 
 /// Settings whose only seed is the core machine at `primary`.
-pub fn settings(primary: SocketAddr) -> Settings {
-    Settings {
+pub fn settings(primary: SocketAddr) -> ProcessSettings {
+    ProcessSettings {
         port_range: [primary.port(), primary.port().saturating_add(15)],
         seeds: vec!["127.0.0.1:1".parse().unwrap()],
-        ..Settings::default()
+        ..ProcessSettings::default()
     }
 }
 
@@ -57,19 +57,19 @@
 pub struct Primary {
     pub address: SocketAddr,
     pub handle: ServerHandle,
-    pub calls: Rc<RefCell<Vec<Call>>>,
+    pub calls: Rc<RefCell<Vec<Request>>>,
 }
 
 impl Primary {
-    pub fn start<F: Future<Output = Answer> + 'static>(
-        script: impl Fn(Call) -> F + 'static,
+    pub fn start<F: Future<Output = Response> + 'static>(
+        script: impl Fn(Request) -> F + 'static,
     ) -> Primary {
         let server = Server::bind("127.0.0.1:0".parse().unwrap(), ServerLimits::default()).unwrap();
         let address = server.local_address().unwrap();
         let handle = server.handle();
-        let calls: Rc<RefCell<Vec<Call>>> = Rc::default();
+        let calls: Rc<RefCell<Vec<Request>>> = Rc::default();
         let (heard, script) = (Rc::clone(&calls), Rc::new(script));
-        tokio::task::spawn_local(server.run(move |call: Call| {
+        tokio::task::spawn_local(server.run(move |call: Request| {
             let (heard, script) = (Rc::clone(&heard), Rc::clone(&script));
             async move {
                 if call.uri().path() == CLUSTER_PATH {
@@ -87,11 +87,11 @@
     }
 
     /// One that gives every client the same reply.
-    pub fn replying(reply: ClientReply) -> Primary {
+    pub fn replying(reply: ClientResponse) -> Primary {
         Primary::start(move |_call| std::future::ready(json(StatusCode::OK, &reply)))
     }
 
-    pub fn client_calls(&self) -> Vec<ClientCall> {
+    pub fn client_calls(&self) -> Vec<ClientRequest> {
         self.calls
             .borrow()
             .iter()
@@ -100,15 +100,15 @@
     }
 }
 
-pub fn reply(status: u16, body: &str) -> ClientReply {
-    ClientReply {
+pub fn reply(status: u16, body: &str) -> ClientResponse {
+    ClientResponse {
         status,
         body: body.into(),
         retry_after_ms: None,
     }
 }
 
-pub fn call(method: &str, path: &str, body: impl Into<Bytes>) -> Call {
+pub fn call(method: &str, path: &str, body: impl Into<Bytes>) -> Request {
     let request = http::Request::builder()
         .method(method)
         .uri(path)
@@ -117,7 +117,7 @@
 }
 
 /// The same with a client's deadline.
-pub fn hurried(method: &str, path: &str, deadline_ms: u64) -> Call {
+pub fn hurried(method: &str, path: &str, deadline_ms: u64) -> Request {
     let mut call = call(method, path, "");
     call.headers_mut()
         .insert("streamusher-deadline-ms", deadline_ms.into());
--- a/crates/dataplane/tests/finder.rs
+++ b/crates/dataplane/tests/finder.rs
@@ -1,7 +1,7 @@
 //! Stories of the finder in virtual time: who the primary is, and whom to ask.
 
 use std::sync::Arc;
-use streamusher_dataplane::core::CoreFinder;
+use streamusher_dataplane::core::PrimaryDiscovery;
 use streamusher_protocol::internal::{ClusterView, CoreAddress};
 use streamusher_protocol::Millis;
 
@@ -24,12 +24,12 @@
     }
 }
 
-fn finder() -> CoreFinder {
-    CoreFinder::new(vec![core(1), core(2), core(3)], 42)
+fn finder() -> PrimaryDiscovery {
+    PrimaryDiscovery::new(vec![core(1), core(2), core(3)], 42)
 }
 
 /// All addresses asked until `end`, with every question failing.
-fn asked_until(finder: &mut CoreFinder, from: Millis, end: Millis) -> Vec<Arc<str>> {
+fn asked_until(finder: &mut PrimaryDiscovery, from: Millis, end: Millis) -> Vec<Arc<str>> {
     let mut asked = Vec::new();
     let mut now = from;
     while now <= end {
@@ -183,7 +183,7 @@
 
 #[test]
 fn given_no_seeds_when_asked_then_nothing_and_no_panic() {
-    let mut finder = CoreFinder::new(Vec::new(), 1);
+    let mut finder = PrimaryDiscovery::new(Vec::new(), 1);
 
     assert!(finder.questions(0).is_empty());
     assert!(finder.due_at() > 0);
--- a/crates/dataplane/tests/gate.rs
+++ b/crates/dataplane/tests/gate.rs
@@ -10,9 +10,9 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use streamusher_dataplane::gate::{check, retry_after_outage, Gate};
-use streamusher_protocol::internal::{ClientMethod, ClientReply, NotPrimary};
-use streamusher_runtime::http::{json, Answer};
-use streamusher_runtime::settings::Settings;
+use streamusher_protocol::internal::{ClientMethod, ClientResponse, NotPrimary};
+use streamusher_runtime::http::{json, Response};
+use streamusher_runtime::settings::ProcessSettings;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
@@ -29,14 +29,14 @@
     gate
 }
 
-fn misdirected(to: Option<SocketAddr>) -> Answer {
+fn misdirected(to: Option<SocketAddr>) -> Response {
     json(
         StatusCode::MISDIRECTED_REQUEST,
         &NotPrimary { view: view(2, to) },
     )
 }
 
-fn retry_after(answer: &Answer) -> Option<&str> {
+fn retry_after(answer: &Response) -> Option<&str> {
     answer
         .headers()
         .get("retry-after")
@@ -89,7 +89,7 @@
     #[case] wanted: &str,
 ) {
     run(async {
-        let primary = Primary::replying(ClientReply {
+        let primary = Primary::replying(ClientResponse {
             retry_after_ms: Some(given),
             ..reply(429, "")
         });
@@ -184,7 +184,7 @@
 #[test]
 fn given_a_primary_that_is_silent_when_a_job_is_handed_in_then_502_and_no_second_try() {
     run(async {
-        let primary = Primary::start(|_call| std::future::pending::<Answer>());
+        let primary = Primary::start(|_call| std::future::pending::<Response>());
         let gate = gate_of(primary.address).await;
 
         let answer = gate.answer(hurried("POST", PATH, 300)).await;
@@ -306,9 +306,9 @@
 
 #[test]
 fn given_settings_of_another_role_when_checked_then_the_error_names_the_key() {
-    let mut settings = Settings {
+    let mut settings = ProcessSettings {
         serves: vec!["side".into()],
-        ..Settings::default()
+        ..ProcessSettings::default()
     };
     assert!(check(&settings).unwrap_err().contains("serves"));
 
--- a/crates/dataplane/tests/process.rs
+++ b/crates/dataplane/tests/process.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
-use streamusher_runtime::http::{json, CallError, Client};
+use streamusher_runtime::http::{json, Client, RequestError};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_streamusher-data");
 
@@ -118,25 +118,25 @@
         let question = call("GET", "/streamusher/readiness", "");
 
         let served = Client::new(front)
-            .call(call("POST", "/a/5c0e", "{}"), SOON)
+            .send(call("POST", "/a/5c0e", "{}"), SOON)
             .await
             .unwrap();
         let ready_before = Client::new(ready)
-            .call(question.clone(), SOON)
+            .send(question.clone(), SOON)
             .await
             .unwrap();
         send_signal(&child, "-TERM");
         wait_on(&mut log, &["the gate leaves"]).await;
-        let ready_after = Client::new(ready).call(question, SOON).await.unwrap();
+        let ready_after = Client::new(ready).send(question, SOON).await.unwrap();
         let served_after = Client::new(front)
-            .call(call("POST", "/a/5c0e", "{}"), SOON)
+            .send(call("POST", "/a/5c0e", "{}"), SOON)
             .await
             .unwrap();
         let ended = tokio::task::spawn_blocking(move || child.wait().unwrap())
             .await
             .unwrap();
         let after_the_end = Client::new(front)
-            .call(call("POST", "/a/5c0e", "{}"), SOON)
+            .send(call("POST", "/a/5c0e", "{}"), SOON)
             .await;
 
         assert_eq!(
@@ -146,7 +146,7 @@
         assert_eq!(ready_before.status(), StatusCode::OK);
         assert_eq!(ready_after.status(), StatusCode::SERVICE_UNAVAILABLE);
         assert_eq!(ended.code(), Some(0));
-        assert!(matches!(after_the_end, Err(CallError::NotSent(_))));
+        assert!(matches!(after_the_end, Err(RequestError::NotSent(_))));
     });
 }
 
--- a/crates/dataplane/tests/relay.rs
+++ b/crates/dataplane/tests/relay.rs
@@ -11,9 +11,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 use streamusher_configuration::relay::{
-    Distribution, Envelope, Peer, Published, RelayMessage, Send,
+    ConfigurationPublisher, OutboundMessage, Published, RelayEnvelope, RelayMessage, RelayPeer,
 };
-use streamusher_dataplane::core::CoreLink;
+use streamusher_dataplane::core::ControlPlaneClient;
 use streamusher_dataplane::gate::relay::Relay;
 use streamusher_dataplane::gate::Gate;
 use streamusher_protocol::internal::{
@@ -21,7 +21,7 @@
 };
 use streamusher_runtime::clock;
 use streamusher_runtime::http::{
-    empty, json as answer_json, parse_json, text, Answer, Call, Outbox, Server, ServerHandle,
+    empty, json as answer_json, parse_json, text, Outbox, Request, Response, Server, ServerHandle,
     ServerLimits,
 };
 use tokio::task::{spawn_local, JoinHandle};
@@ -38,7 +38,7 @@
 
 struct State {
     epoch: u64,
-    distribution: RefCell<Distribution>,
+    distribution: RefCell<ConfigurationPublisher>,
     outbox: RefCell<Outbox<RelayMessage>>,
     successor: RefCell<Option<ClusterView>>,
 }
@@ -48,15 +48,15 @@
         let server = Server::bind("127.0.0.1:0".parse().unwrap(), ServerLimits::default()).unwrap();
         let address = server.local_address().unwrap();
         let body = |messages| {
-            serde_json::to_vec(&Envelope {
-                from: Peer::Core,
+            serde_json::to_vec(&RelayEnvelope {
+                from: RelayPeer::Core,
                 messages,
             })
             .unwrap()
         };
         let state = State {
             epoch,
-            distribution: RefCell::new(Distribution::new(epoch, clock::steady())),
+            distribution: RefCell::new(ConfigurationPublisher::new(epoch, clock::steady())),
             outbox: RefCell::new(Outbox::new(RELAY_PATH, body)),
             successor: RefCell::default(),
         };
@@ -80,7 +80,7 @@
         }
     }
 
-    fn answer(&self, call: &Call) -> Answer {
+    fn answer(&self, call: &Request) -> Response {
         let now = clock::steady();
         let successor = self.state.successor.borrow().clone();
         match (call.uri().path(), successor) {
@@ -124,10 +124,10 @@
         *self.state.successor.borrow_mut() = Some(view(to.state.epoch, Some(to.address)));
     }
 
-    fn send(&self, sends: Vec<Send>) {
+    fn send(&self, sends: Vec<OutboundMessage>) {
         for send in sends {
             for to in &send.to {
-                let Peer::Member(address) = to else {
+                let RelayPeer::Member(address) = to else {
                     panic!("the core tells members only")
                 };
                 self.state
@@ -149,7 +149,7 @@
 impl Member {
     fn start(core: &Core) -> Member {
         let server = Server::bind("127.0.0.1:0".parse().unwrap(), ServerLimits::default()).unwrap();
-        let link = CoreLink::new(settings(core.address).core_addresses_of_seeds(), 7, 2);
+        let link = ControlPlaneClient::new(settings(core.address).core_addresses_of_seeds(), 7, 2);
         let relay = Relay::new(link.clone(), server.local_address().unwrap());
         let handle = server.handle();
         let (serving, member) = (relay.clone(), relay.clone());
--- a/crates/dataplane/tests/takeover.rs
+++ b/crates/dataplane/tests/takeover.rs
@@ -9,9 +9,9 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use streamusher_dataplane::core::{CoreLink, Outcome};
+use streamusher_dataplane::core::{ControlPlaneClient, RequestOutcome};
 use streamusher_protocol::internal::{ClusterView, ClusterWatch, CLUSTER_PATH, CLUSTER_WATCH_PATH};
-use streamusher_runtime::http::{json, parse_json, Answer, Call, Server, ServerLimits};
+use streamusher_runtime::http::{json, parse_json, Request, Response, Server, ServerLimits};
 use tokio::sync::Notify;
 
 const CALLED_PATH: &str = "/called";
@@ -39,11 +39,11 @@
             watches: Rc::default(),
         };
         let serving = member.clone();
-        tokio::task::spawn_local(server.run(move |call: Call| serving.clone().answer(call)));
+        tokio::task::spawn_local(server.run(move |call: Request| serving.clone().answer(call)));
         member
     }
 
-    async fn answer(self, call: Call) -> Answer {
+    async fn answer(self, call: Request) -> Response {
         match call.uri().path() {
             CLUSTER_PATH => {}
             CLUSTER_WATCH_PATH => {
@@ -73,12 +73,12 @@
 }
 
 /// A primary, another member, and a process that has found the primary.
-async fn given_a_found_primary() -> (Member, Member, CoreLink) {
+async fn given_a_found_primary() -> (Member, Member, ControlPlaneClient) {
     let (first, second) = (Member::start(), Member::start());
     for member in [&first, &second] {
         member.learns(1, &first, &[&first, &second]);
     }
-    let link = CoreLink::new(vec![core(first.address)], 1, 2);
+    let link = ControlPlaneClient::new(vec![core(first.address)], 1, 2);
     let running = link.clone();
     tokio::task::spawn_local(async move { running.run().await });
     link.wait_for_primary(tokio::time::Instant::now() + SOON)
@@ -102,7 +102,7 @@
         let (outcome, ()) = tokio::join!(call, takeover);
 
         assert!(
-            matches!(outcome, Outcome::Unknown),
+            matches!(outcome, RequestOutcome::Unknown),
             "it may have been carried out: {outcome:?}"
         );
         assert_eq!(
--- a/crates/emulator/src/checker/idle.rs
+++ b/crates/emulator/src/checker/idle.rs
@@ -126,12 +126,14 @@
         let total = workers
             .iter()
             .filter(of_service)
-            .fold(Resources::default(), |s, w| s.plus(&w.kind.capacity));
+            .fold(Resources::default(), |s, w| {
+                s.saturating_add(&w.kind.capacity)
+            });
         let used = workers
             .iter()
             .filter(of_service)
-            .fold(Resources::default(), |s, w| s.plus(&w.used()));
-        if !total.covers(&used.plus(&used).plus(&Resources {
+            .fold(Resources::default(), |s, w| s.saturating_add(&w.used()));
+        if !total.covers(&used.saturating_add(&used).saturating_add(&Resources {
             cpu: 1,
             mem_mb: 1,
             gpu: 0,
@@ -148,7 +150,7 @@
             .filter(of_service)
             .filter(fits_label)
             .map(|w| {
-                let free = w.kind.capacity.minus(&w.used());
+                let free = w.kind.capacity.saturating_sub(&w.used());
                 let count = times_covered(&free, &step.resources);
                 if step.anti_affinity > 0 {
                     count.min(u64::from(step.anti_affinity))
--- a/crates/emulator/src/checker/tasks.rs
+++ b/crates/emulator/src/checker/tasks.rs
@@ -368,7 +368,7 @@
             .jobs
             .get(&id.task.job)
             .is_some_and(|job| job.cancel_sent.is_some() || job.hopeless);
-        if how == RunEnd::Alone && calm && view.in_touch && !cancelled {
+        if how == RunEnd::GangIncomplete && calm && view.in_touch && !cancelled {
             self.breach(
                 now,
                 Rule::Gang,
--- a/crates/emulator/src/fleet/agent.rs
+++ b/crates/emulator/src/fleet/agent.rs
@@ -9,9 +9,9 @@
 use crate::plant::WorkerIndex;
 use std::collections::HashMap;
 use std::sync::Arc;
-use streamusher_controlplane::driver::Call;
+use streamusher_controlplane::driver::ControlRequest;
 use streamusher_dataplane::agent::{Agent, AgentAction, AgentEvent, AgentSettings};
-use streamusher_dataplane::core::CoreFinder;
+use streamusher_dataplane::core::PrimaryDiscovery;
 use streamusher_protocol::heartbeat::Heartbeat;
 use streamusher_protocol::internal::AgentSync;
 use streamusher_protocol::Millis;
@@ -26,7 +26,7 @@
 /// An agent's process.
 pub(crate) struct AgentProcess {
     agent: Agent,
-    pub(crate) finder: CoreFinder,
+    pub(crate) finder: PrimaryDiscovery,
     requests: HashMap<u64, Waiting>,
     next_request: u64,
     woken_at: Millis,
@@ -178,7 +178,7 @@
         self.call(
             caller,
             to,
-            Asked::Primary(Box::new(Call::Agent(sync))),
+            Asked::Primary(Box::new(ControlRequest::Agent(sync))),
             SYNC_LIMIT_MS,
         );
     }
--- a/crates/emulator/src/fleet/calls.rs
+++ b/crates/emulator/src/fleet/calls.rs
@@ -5,10 +5,10 @@
 use super::Fleet;
 use crate::network::MachineId;
 use std::sync::Arc;
-use streamusher_controlplane::driver::Call;
-use streamusher_protocol::internal::{AgentOrders, ClientReply, ClusterView};
+use streamusher_controlplane::driver::ControlRequest;
+use streamusher_protocol::internal::{AgentCommands, ClientResponse, ClusterView};
 use streamusher_protocol::Millis;
-use streamusher_scheduler::OperatorReply;
+use streamusher_scheduler::OperatorResponse;
 
 /// Who calls.
 #[derive(Clone, Debug)]
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Asked {
     /// Of the primary.
-    Primary(Box<Call>),
+    Primary(Box<ControlRequest>),
     /// Who is in the control plane.
     View,
 }
@@ -55,11 +55,11 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Outcome {
     /// The answer to an agent.
-    Orders(Arc<AgentOrders>),
+    Orders(Arc<AgentCommands>),
     /// The answer to a gate.
-    Client(ClientReply),
+    Client(ClientResponse),
     /// The answer to an operator.
-    Operator(OperatorReply),
+    Operator(OperatorResponse),
     /// Who is in the control plane.
     View(ClusterView),
     /// It is not the primary; nothing was done.
--- a/crates/emulator/src/fleet/client.rs
+++ b/crates/emulator/src/fleet/client.rs
@@ -8,7 +8,7 @@
 use crate::workload::{draw_job, Workload};
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use streamusher_protocol::internal::{ClientCall, ClientMethod, ClientReply};
+use streamusher_protocol::internal::{ClientMethod, ClientRequest, ClientResponse};
 use streamusher_protocol::job::{JobState, JobStatus};
 use streamusher_protocol::task::JobId;
 use streamusher_protocol::Millis;
@@ -47,7 +47,7 @@
     /// A call was answered; none if its connection broke.
     Answer {
         call: u64,
-        reply: Option<ClientReply>,
+        reply: Option<ClientResponse>,
     },
     /// The client waits no longer.
     Silence { call: u64 },
@@ -90,7 +90,7 @@
     purpose: Purpose,
     gate: MachineId,
     sent: Millis,
-    call: ClientCall,
+    call: ClientRequest,
 }
 
 /// All clients of a day.
@@ -289,7 +289,7 @@
         let index = self.random.below(self.setup.gates);
         let gate = self.gate_machine(index);
         let path = self.clients.jobs[job].path.clone();
-        let call = ClientCall {
+        let call = ClientRequest {
             method,
             host: jobs::HOST.into(),
             path,
@@ -340,7 +340,7 @@
     }
 
     /// Sends an answer, or the news of a broken connection, to a client.
-    pub(crate) fn answer_client(&mut self, call: u64, reply: Option<ClientReply>) {
+    pub(crate) fn answer_client(&mut self, call: u64, reply: Option<ClientResponse>) {
         let delay = self.random.between(1, 5);
         self.queue.push(
             self.now + delay,
@@ -362,7 +362,7 @@
         }
     }
 
-    fn client_answered(&mut self, number: u64, reply: Option<ClientReply>) {
+    fn client_answered(&mut self, number: u64, reply: Option<ClientResponse>) {
         let Some(open) = self.clients.open.remove(&number) else {
             return;
         };
@@ -441,7 +441,7 @@
         open: &OpenClientCall,
         id: &JobId,
         status: u16,
-        reply: Option<ClientReply>,
+        reply: Option<ClientResponse>,
     ) {
         let read = reply
             .as_ref()
--- a/crates/emulator/src/fleet/core.rs
+++ b/crates/emulator/src/fleet/core.rs
@@ -8,11 +8,13 @@
 use crate::network::MachineId;
 use std::collections::HashMap;
 use std::sync::Arc;
-use streamusher_controlplane::driver::{Action, Answer, Call, Driver, Recovery};
+use streamusher_controlplane::driver::{Action, ControlOutcome, ControlRequest, Driver, Recovery};
 use streamusher_coordination::{Coordinator, DiskChange, Input, Message};
 use streamusher_protocol::internal::{ClientMethod, ClusterView};
 use streamusher_protocol::{Millis, Now};
-use streamusher_scheduler::{Bounds, OrderKind, Reply, Scheduler, Settings};
+use streamusher_scheduler::{
+    OperatorRequestKind, Scheduler, SchedulerLimits, SchedulerResponse, SchedulerSettings,
+};
 
 /// How long a refused write takes to be refused.
 const REFUSED_WRITE_MS: Millis = 20;
@@ -53,16 +55,16 @@
         let random_seed = self.random.word();
         let bounds = self.setup.bounds;
         let state = &self.machines[machine];
-        let replication = streamusher_coordination::Settings {
-            me: state.address.clone(),
+        let replication = streamusher_coordination::CoordinatorSettings {
+            address: state.address.clone(),
             bootstrap: state.bootstrap && state.boot == 1,
             seeds: self.seeds(),
             tolerance: self.setup.tolerance,
             lease_ms: self.setup.lease_ms,
             random_seed,
         };
-        let scheduler = Settings {
-            bounds: Bounds {
+        let scheduler = SchedulerSettings {
+            limits: SchedulerLimits {
                 hold_max_ms: bounds.hold_max_ms,
                 stop_ms: bounds.stop_ms,
                 gang_ms: bounds.gang_ms,
@@ -126,13 +128,13 @@
         self.perform(to, actions);
     }
 
-    pub(crate) fn core_called(&mut self, machine: MachineId, call: u64, body: Call) {
+    pub(crate) fn core_called(&mut self, machine: MachineId, call: u64, body: ControlRequest) {
         let now = self.clocks(machine);
         let boot = self.machines[machine].boot;
         let acknowledges = match &body {
-            Call::Client(call) => call.method != ClientMethod::Get,
-            Call::Operator(order) => order.kind != OrderKind::Read,
-            Call::Agent(_) => false,
+            ControlRequest::Client(call) => call.method != ClientMethod::Get,
+            ControlRequest::Operator(order) => order.kind != OperatorRequestKind::Read,
+            ControlRequest::Agent(_) => false,
         };
         let Some(core) = self.core(machine) else {
             return;
@@ -264,7 +266,7 @@
         );
     }
 
-    fn core_answers(&mut self, machine: MachineId, request: u64, answer: Answer) {
+    fn core_answers(&mut self, machine: MachineId, request: u64, answer: ControlOutcome) {
         // An answer given at once comes before the call's number is known here.
         let Some(core) = self.core(machine) else {
             return;
@@ -273,17 +275,19 @@
             return;
         };
         let (outcome, success) = match answer {
-            Answer::Reply(Reply::Client(reply)) => {
+            ControlOutcome::Reply(SchedulerResponse::Client(reply)) => {
                 let success = (200..300).contains(&reply.status);
                 (Outcome::Client(reply), success)
             }
-            Answer::Reply(Reply::Operator(reply)) => {
+            ControlOutcome::Reply(SchedulerResponse::Operator(reply)) => {
                 let success = (200..300).contains(&reply.status);
                 (Outcome::Operator(reply), success)
             }
-            Answer::Reply(Reply::Agent(orders)) => (Outcome::Orders(Arc::new(orders)), false),
-            Answer::NotPrimary(view) => (Outcome::NotPrimary(view), false),
-            Answer::Unknown => (Outcome::Unknown, false),
+            ControlOutcome::Reply(SchedulerResponse::Agent(orders)) => {
+                (Outcome::Orders(Arc::new(orders)), false)
+            }
+            ControlOutcome::NotPrimary(view) => (Outcome::NotPrimary(view), false),
+            ControlOutcome::Unknown => (Outcome::Unknown, false),
         };
         self.respond(call, outcome);
         if success && acknowledges {
--- a/crates/emulator/src/fleet/event.rs
+++ b/crates/emulator/src/fleet/event.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use streamusher_controlplane::driver::Recovery;
 use streamusher_coordination::Message;
-use streamusher_protocol::heartbeat::{Heartbeat, HeartbeatAnswer};
+use streamusher_protocol::heartbeat::{Heartbeat, HeartbeatResponse};
 
 /// Something that happens at a time.
 #[derive(Debug)]
@@ -73,7 +73,7 @@
         worker: WorkerIndex,
         life: u32,
         sequence: u64,
-        answer: Arc<HeartbeatAnswer>,
+        answer: Arc<HeartbeatResponse>,
     },
     /// Nobody listened.
     HeartbeatFailed {
--- a/crates/emulator/src/fleet/finder.rs
+++ b/crates/emulator/src/fleet/finder.rs
@@ -4,7 +4,7 @@
 use super::machine::Process;
 use super::Fleet;
 use crate::network::MachineId;
-use streamusher_dataplane::core::CoreFinder;
+use streamusher_dataplane::core::PrimaryDiscovery;
 use streamusher_protocol::internal::CoreAddress;
 use streamusher_protocol::Millis;
 
@@ -20,12 +20,12 @@
             .collect()
     }
 
-    pub(crate) fn new_finder(&mut self) -> CoreFinder {
+    pub(crate) fn new_finder(&mut self) -> PrimaryDiscovery {
         let seed = self.random.word();
-        CoreFinder::new(self.seeds(), seed)
+        PrimaryDiscovery::new(self.seeds(), seed)
     }
 
-    fn finder(&mut self, machine: MachineId) -> Option<&mut CoreFinder> {
+    fn finder(&mut self, machine: MachineId) -> Option<&mut PrimaryDiscovery> {
         match self.machines[machine].process.as_mut()? {
             Process::Gate(gate) => Some(&mut gate.finder),
             Process::Agent(agent) => Some(&mut agent.finder),
--- a/crates/emulator/src/fleet/gate.rs
+++ b/crates/emulator/src/fleet/gate.rs
@@ -5,9 +5,9 @@
 use super::Fleet;
 use crate::network::MachineId;
 use std::collections::BTreeMap;
-use streamusher_controlplane::driver::Call;
-use streamusher_dataplane::core::CoreFinder;
-use streamusher_protocol::internal::{ClientCall, ClientReply};
+use streamusher_controlplane::driver::ControlRequest;
+use streamusher_dataplane::core::PrimaryDiscovery;
+use streamusher_protocol::internal::{ClientRequest, ClientResponse};
 use streamusher_protocol::Millis;
 
 /// How long the primary may take.
@@ -19,17 +19,17 @@
 
 /// A gate's process.
 pub(crate) struct GateProcess {
-    pub(crate) finder: CoreFinder,
+    pub(crate) finder: PrimaryDiscovery,
     open: BTreeMap<u64, Forwarded>,
 }
 
 struct Forwarded {
-    call: ClientCall,
+    call: ClientRequest,
     times: u32,
 }
 
-fn reply(status: u16, retry_after_ms: Option<Millis>) -> ClientReply {
-    ClientReply {
+fn reply(status: u16, retry_after_ms: Option<Millis>) -> ClientResponse {
+    ClientResponse {
         status,
         body: "".into(),
         retry_after_ms,
@@ -56,7 +56,12 @@
     }
 
     /// A client's call has come.
-    pub(crate) fn gate_called(&mut self, machine: MachineId, client_call: u64, call: ClientCall) {
+    pub(crate) fn gate_called(
+        &mut self,
+        machine: MachineId,
+        client_call: u64,
+        call: ClientRequest,
+    ) {
         let Some(gate) = self.gate(machine) else {
             return;
         };
@@ -85,7 +90,7 @@
                 self.call(
                     caller,
                     to,
-                    Asked::Primary(Box::new(Call::Client(call))),
+                    Asked::Primary(Box::new(ControlRequest::Client(call))),
                     LIMIT_MS,
                 );
             }
@@ -112,7 +117,7 @@
         }
     }
 
-    fn gate_answers(&mut self, machine: MachineId, client_call: u64, reply: ClientReply) {
+    fn gate_answers(&mut self, machine: MachineId, client_call: u64, reply: ClientResponse) {
         let Some(gate) = self.gate(machine) else {
             return;
         };
--- a/crates/emulator/src/fleet/operator.rs
+++ b/crates/emulator/src/fleet/operator.rs
@@ -11,11 +11,11 @@
 use crate::workload::{prefix, Workload};
 use serde_json::json;
 use std::sync::Arc;
-use streamusher_controlplane::driver::Call;
+use streamusher_controlplane::driver::ControlRequest;
 use streamusher_protocol::config::{Configuration, Limits, Route, Service};
 use streamusher_protocol::internal::CoreAddress;
 use streamusher_protocol::Millis;
-use streamusher_scheduler::{OperatorOrder, OperatorReply, OrderKind};
+use streamusher_scheduler::{OperatorRequest, OperatorRequestKind, OperatorResponse};
 
 /// How long an operator waits for an answer.
 const PATIENCE_MS: Millis = 1_000;
@@ -43,7 +43,7 @@
 
 #[derive(Clone, Debug)]
 struct Attempt {
-    kind: OrderKind,
+    kind: OperatorRequestKind,
     /// The order's number at the checker; none for a reading.
     number: Option<usize>,
     last_reading: bool,
@@ -169,7 +169,7 @@
                     .map_or_else(first_configuration, configuration_of);
                 let first = Arc::new(first);
                 let body = serde_json::to_string(&*first).unwrap_or_default();
-                self.order(OrderKind::Replace, 0, body, Some(first));
+                self.order(OperatorRequestKind::Replace, 0, body, Some(first));
             }
             OperatorEvent::Read { last } => self.read_configuration(last),
             OperatorEvent::Send { attempt } => self.send_order(attempt, None),
@@ -179,7 +179,7 @@
 
     fn order(
         &mut self,
-        kind: OrderKind,
+        kind: OperatorRequestKind,
         base: u64,
         body: String,
         result: Option<Arc<Configuration>>,
@@ -214,7 +214,7 @@
 
     pub(crate) fn read_configuration(&mut self, last: bool) {
         self.attempt(Attempt {
-            kind: OrderKind::Read,
+            kind: OperatorRequestKind::Read,
             number: None,
             last_reading: last,
             base: None,
@@ -239,7 +239,7 @@
             return;
         }
         attempt.tries += 1;
-        let order = OperatorOrder {
+        let order = OperatorRequest {
             kind: attempt.kind,
             base: attempt.base,
             body: attempt.body.clone(),
@@ -253,14 +253,14 @@
             let delay = self.random.between(100, most_ms);
             self.hold_up_copy(
                 to,
-                Asked::Primary(Box::new(Call::Operator(order.clone()))),
+                Asked::Primary(Box::new(ControlRequest::Operator(order.clone()))),
                 delay,
             );
         }
         self.call(
             caller,
             to,
-            Asked::Primary(Box::new(Call::Operator(order))),
+            Asked::Primary(Box::new(ControlRequest::Operator(order))),
             PATIENCE_MS,
         );
     }
@@ -306,7 +306,7 @@
         );
     }
 
-    fn order_answered(&mut self, sent: Millis, attempt: usize, reply: &OperatorReply) {
+    fn order_answered(&mut self, sent: Millis, attempt: usize, reply: &OperatorResponse) {
         let state = self.operator.attempts[attempt].clone();
         self.trace(|| {
             format!(
@@ -355,28 +355,28 @@
             0 => {
                 self.retune_some_route(&mut next);
                 (
-                    OrderKind::Replace,
+                    OperatorRequestKind::Replace,
                     serde_json::to_string(&next).unwrap_or_default(),
                 )
             }
             1 => {
                 let route = self.retune_some_route(&mut next);
                 (
-                    OrderKind::Update,
+                    OperatorRequestKind::Update,
                     json!({"version": next.version, "upsert": {"routes": [route]}}).to_string(),
                 )
             }
             2 if next.routes.len() > QUEUES.len() => {
                 let removed = next.routes.pop().map(|route| route.name);
                 (
-                    OrderKind::Update,
+                    OperatorRequestKind::Update,
                     json!({"version": next.version, "remove": {"routes": [removed]}}).to_string(),
                 )
             }
             _ => {
                 let route = self.add_route(&mut next);
                 (
-                    OrderKind::Update,
+                    OperatorRequestKind::Update,
                     json!({"version": next.version, "upsert": {"routes": [route]}}).to_string(),
                 )
             }
@@ -422,14 +422,14 @@
         // Whole, as another operator may have made another version of that number.
         let later = serde_json::to_string(&second).unwrap_or_default();
         self.order(
-            OrderKind::Replace,
+            OperatorRequestKind::Replace,
             first.version,
             later,
             Some(Arc::new(second)),
         );
         let sooner = json!({"version": first.version, "upsert": {"routes": [route]}}).to_string();
         self.order(
-            OrderKind::Update,
+            OperatorRequestKind::Update,
             known.version,
             sooner,
             Some(Arc::new(first)),
@@ -459,11 +459,11 @@
             _ => {
                 let whole = serde_json::to_string(&next).unwrap_or_default();
                 let cut = whole[..whole.len() / 2].to_string();
-                self.order(OrderKind::Replace, base, cut, None);
+                self.order(OperatorRequestKind::Replace, base, cut, None);
                 return;
             }
         }
         let body = serde_json::to_string(&next).unwrap_or_default();
-        self.order(OrderKind::Replace, base, body, None);
+        self.order(OperatorRequestKind::Replace, base, body, None);
     }
 }
--- a/crates/emulator/src/fleet/traffic.rs
+++ b/crates/emulator/src/fleet/traffic.rs
@@ -7,10 +7,10 @@
 use crate::network::MachineId;
 use serde::Serialize;
 use sha2::{Digest, Sha256};
-use streamusher_controlplane::driver::Call;
+use streamusher_controlplane::driver::ControlRequest;
 use streamusher_coordination::DiskChange;
 use streamusher_protocol::Millis;
-use streamusher_scheduler::{OperatorReply, OrderKind};
+use streamusher_scheduler::{OperatorRequestKind, OperatorResponse};
 
 /// Bytes of the digest that are shown.
 const SHOWN_BYTES: usize = 8;
@@ -44,16 +44,16 @@
         self.entries += 1;
     }
 
-    fn add_call(&mut self, now: Millis, to: MachineId, call: &Call) {
+    fn add_call(&mut self, now: Millis, to: MachineId, call: &ControlRequest) {
         let to = to as u64;
         match call {
-            Call::Client(call) => self.add(now, 1, to, call),
-            Call::Agent(sync) => self.add(now, 2, to, sync),
-            Call::Operator(order) => {
+            ControlRequest::Client(call) => self.add(now, 1, to, call),
+            ControlRequest::Agent(sync) => self.add(now, 2, to, sync),
+            ControlRequest::Operator(order) => {
                 let kind = match order.kind {
-                    OrderKind::Replace => 0,
-                    OrderKind::Update => 1,
-                    OrderKind::Read => 2,
+                    OperatorRequestKind::Replace => 0,
+                    OperatorRequestKind::Update => 1,
+                    OperatorRequestKind::Read => 2,
                 };
                 self.add(now, 3, to, &(kind, order.base, &order.body));
             }
@@ -64,7 +64,7 @@
         match outcome {
             Outcome::Orders(orders) => self.add(now, 10, call, &**orders),
             Outcome::Client(reply) => self.add(now, 11, call, reply),
-            Outcome::Operator(OperatorReply { status, body }) => {
+            Outcome::Operator(OperatorResponse { status, body }) => {
                 self.add(now, 12, call, &(status, body))
             }
             Outcome::View(view) => self.add(now, 13, call, view),
--- a/crates/emulator/src/losses.rs
+++ b/crates/emulator/src/losses.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::fmt;
-use streamusher_jobs::{Completion, Stage};
+use streamusher_jobs::{Completion, LatencyStage};
 use streamusher_scheduler::accounts::MISSED_OBJECTIVE;
 
 /// Parts of the figure, as reports name them.
@@ -89,7 +89,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
     /// A job that was accepted spent time in a stage.
-    Spent(Stage),
+    Spent(LatencyStage),
     /// No line tells: refused, not accepted in time, never ended, or a lasting job's tasks were not at work.
     NotTold,
     /// A price.
@@ -131,13 +131,13 @@
     }
 
     /// The part of its loss that falls to each stage: by the time that was not work.
-    fn by_stage(&self) -> BTreeMap<Stage, f64> {
-        let total = self.line.spent.total_ms() - self.line.spent.of(Stage::Worked);
+    fn by_stage(&self) -> BTreeMap<LatencyStage, f64> {
+        let total = self.line.spent.total_ms() - self.line.spent.of(LatencyStage::Worked);
         let spent = self
             .line
             .spent
             .stages()
-            .filter(|(stage, _)| *stage != Stage::Worked);
+            .filter(|(stage, _)| *stage != LatencyStage::Worked);
         spent
             .map(|(stage, spent_ms)| (stage, spent_ms as f64 / total.max(1) as f64))
             .collect()
--- a/crates/emulator/src/plant/gang.rs
+++ b/crates/emulator/src/plant/gang.rs
@@ -79,7 +79,7 @@
             .get(id)
             .is_none_or(|run| run.stopping);
         if waits && !stopping {
-            self.end(now, catalog, index, id, RunEnd::Alone);
+            self.end(now, catalog, index, id, RunEnd::GangIncomplete);
         }
     }
 
@@ -126,7 +126,7 @@
                 .get(&member)
                 .is_some_and(|run| run.stopping);
             if !stopping {
-                self.end(now, catalog, worker, &member, RunEnd::Broken);
+                self.end(now, catalog, worker, &member, RunEnd::GangBroken);
             }
         }
     }
--- a/crates/emulator/src/plant/run.rs
+++ b/crates/emulator/src/plant/run.rs
@@ -124,7 +124,10 @@
             .step(&id.task)
             .map(|step| step.resources)
             .unwrap_or_default();
-        let fits = worker.kind.capacity.covers(&worker.used().plus(&resources));
+        let fits = worker
+            .kind
+            .capacity
+            .covers(&worker.used().saturating_add(&resources));
         if worker.kind.guards && !fits {
             self.refuse(now, index, &id);
             return;
@@ -195,7 +198,7 @@
 
     /// Lists a run as not started.
     fn refuse(&mut self, now: Millis, index: WorkerIndex, id: &RunId) {
-        self.list_end(now, index, id, RunEnd::Refused, "".into());
+        self.list_end(now, index, id, RunEnd::Rejected, "".into());
     }
 
     pub(super) fn stop(&mut self, now: Millis, index: WorkerIndex, id: &RunId) {
--- a/crates/emulator/src/plant/worker.rs
+++ b/crates/emulator/src/plant/worker.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use streamusher_protocol::heartbeat::{
-    FinishedRun, Heartbeat, HeartbeatAnswer, Resources, RunningTask, StartOrder, StopOrder,
+    FinishedRun, Heartbeat, HeartbeatResponse, Resources, RunningTask, StartCommand, StopCommand,
     WorkerState,
 };
 use streamusher_protocol::task::{RunEnd, RunId, TaskId};
@@ -150,7 +150,9 @@
     pub fn used(&self) -> Resources {
         self.running
             .values()
-            .fold(Resources::default(), |sum, run| sum.plus(&run.resources))
+            .fold(Resources::default(), |sum, run| {
+                sum.saturating_add(&run.resources)
+            })
     }
 
     fn heartbeat(&self, now: Millis, catalog: &Catalog, save_ms: Millis) -> Heartbeat {
@@ -212,7 +214,7 @@
             held_until,
         });
         for run in runs {
-            self.leave_gang(now, catalog, index, &run, RunEnd::Lapsed);
+            self.leave_gang(now, catalog, index, &run, RunEnd::LeaseExpired);
         }
     }
 
@@ -308,7 +310,7 @@
         index: WorkerIndex,
         life: u32,
         sequence: u64,
-        answer: &HeartbeatAnswer,
+        answer: &HeartbeatResponse,
     ) {
         let worker = &mut self.workers[index];
         if !worker.up || worker.life != life {
@@ -355,7 +357,7 @@
         catalog: &Catalog,
         index: WorkerIndex,
         sent: Millis,
-        answer: &HeartbeatAnswer,
+        answer: &HeartbeatResponse,
     ) {
         if let Some(up_to) = answer.last_seen {
             self.take_note(index, up_to);
@@ -363,7 +365,7 @@
         if let Some(hold) = answer.hold_ms {
             self.hold(now, index, sent, hold);
         }
-        for StopOrder(task, run) in &answer.stop {
+        for StopCommand(task, run) in &answer.stop {
             self.stop(
                 now,
                 index,
@@ -376,7 +378,7 @@
         if answer.hold_ms.is_none() || self.workers[index].hold_until <= now {
             return;
         }
-        for StartOrder(task, run, spec, checkpoint) in &answer.start {
+        for StartCommand(task, run, spec, checkpoint) in &answer.start {
             self.start(
                 now,
                 catalog,
@@ -422,7 +424,7 @@
         self.output.push(PlantOutput::HoldOver { worker: index });
         let runs: Vec<RunId> = self.workers[index].running.keys().cloned().collect();
         for run in runs {
-            self.end(now, catalog, index, &run, RunEnd::Lapsed);
+            self.end(now, catalog, index, &run, RunEnd::LeaseExpired);
         }
     }
 
--- a/crates/emulator/tests/losses.rs
+++ b/crates/emulator/tests/losses.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use streamusher_emulator::losses::{missed_in, Cause, Class, Losses, Report};
-use streamusher_jobs::Stage;
+use streamusher_jobs::LatencyStage;
 
 const CLASSES: &str = r#"[
     {"name": "check", "worth": 1.0, "aim_ms": 800, "priority": 0, "jobs": {"stretch": 1.5}},
@@ -78,12 +78,12 @@
     let of_lines = 0.07 / 4.0 + 0.06 * 2.0 / 3.0 + 0.015;
     let lost = of_lines / 2.0 * (1_000.0 / 1_500.0);
     assert!(
-        near(loss(&losses, &Cause::Spent(Stage::Lost)), lost),
+        near(loss(&losses, &Cause::Spent(LatencyStage::Lost)), lost),
         "{losses:?}"
     );
     assert!(
         near(
-            loss(&losses, &Cause::Spent(Stage::WaitedForRoom)),
+            loss(&losses, &Cause::Spent(LatencyStage::WaitedForRoom)),
             of_lines - lost
         ),
         "{losses:?}"
--- a/crates/fair-share/src/book.rs
+++ b/crates/fair-share/src/book.rs
@@ -1,12 +1,12 @@
 //! The primary's debts: what runs, what it has cost, and the versions made of it.
 
 use crate::clock::AgreedClock;
-use crate::debt::Debt;
+use crate::debt::DecayedUsage;
 use crate::log::Log;
-use crate::ranking::{delay_ms, Debts, Ranking};
+use crate::ranking::{delay_ms, Debts, FairShareRanking};
 use crate::record::{self, VersionRecord};
-use crate::settings::Settings;
-use crate::version::{Update, Version};
+use crate::settings::FairShareSettings;
+use crate::version::{RankingUpdate, RankingVersion};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 
 /// What a run that has ended costs its user.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Charge {
+pub enum UsageCharge {
     /// All of its time: it did what the user asked, or failed.
     Used,
     /// Its first milliseconds: the work that a checkpoint kept.
@@ -34,7 +34,7 @@
 
 /// A user's debt as operators see it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Shown {
+pub struct UserUsage {
     /// The user.
     pub user: Arc<str>,
     /// Its debt in the newest version, in core-milliseconds.
@@ -46,7 +46,7 @@
     /// What it uses now, in thousandths of a core.
     pub rate_millicores: u64,
     /// The version.
-    pub version: Version,
+    pub version: RankingVersion,
 }
 
 #[derive(Clone, Debug)]
@@ -65,8 +65,8 @@
 
 /// The primary's state machine of the debts.
 #[derive(Clone, Debug)]
-pub struct DebtBook {
-    settings: Arc<Settings>,
+pub struct FairShareAccounts {
+    settings: Arc<FairShareSettings>,
     epoch: u64,
     clock: AgreedClock,
     debts: Debts,
@@ -80,20 +80,20 @@
     damaged: Vec<Arc<str>>,
 }
 
-impl DebtBook {
+impl FairShareAccounts {
     /// Nobody owes anything; the agreed time is 0 at the steady time `now`.
-    pub fn new(settings: Settings, epoch: u64, now: Millis) -> DebtBook {
-        DebtBook::recover(settings, epoch, now, [])
+    pub fn new(settings: FairShareSettings, epoch: u64, now: Millis) -> FairShareAccounts {
+        FairShareAccounts::recover(settings, epoch, now, [])
     }
 
     /// A new primary's book, from the replicated records: others than its own are passed over. It goes on from the
-    /// newest committed version; tell it with [`DebtBook::began`] of all that runs.
+    /// newest committed version; tell it with [`FairShareAccounts::on_run_started`] of all that runs.
     pub fn recover(
-        settings: Settings,
+        settings: FairShareSettings,
         epoch: u64,
         now: Millis,
         records: impl IntoIterator<Item = (Arc<str>, Arc<str>)>,
-    ) -> DebtBook {
+    ) -> FairShareAccounts {
         let settings = settings.clamped();
         let found = record::read(records);
         let written = if found.version.half_life_ms > 0 {
@@ -113,11 +113,11 @@
         } else {
             latest.unwrap_or(0).saturating_mul(written)
         };
-        let carried = |(user, debt): (Arc<str>, Debt)| {
+        let carried = |(user, debt): (Arc<str>, DecayedUsage)| {
             let debt = if written == settings.half_life_ms {
                 debt
             } else {
-                Debt::of_value(debt.at(written, time), settings.half_life_ms, time)
+                DecayedUsage::of_value(debt.at(written, time), settings.half_life_ms, time)
             };
             (user, debt)
         };
@@ -128,8 +128,9 @@
             debts.keys().cloned().collect()
         };
         let settings = Arc::new(settings);
-        let ranking = Ranking::new(settings.clone(), found.version.version, time, debts.clone());
-        DebtBook {
+        let ranking =
+            FairShareRanking::new(settings.clone(), found.version.version, time, debts.clone());
+        FairShareAccounts {
             settings,
             epoch,
             clock: AgreedClock::continue_from(time, now),
@@ -144,7 +145,13 @@
     }
 
     /// A run takes its room from now on. Told again of the same run, nothing changes.
-    pub fn began(&mut self, now: Millis, user: &Arc<str>, run: RunId, resources: &Resources) {
+    pub fn on_run_started(
+        &mut self,
+        now: Millis,
+        user: &Arc<str>,
+        run: RunId,
+        resources: &Resources,
+    ) {
         if self.runs.contains_key(&run) {
             return;
         }
@@ -165,7 +172,7 @@
     }
 
     /// A run gives its room back. One that is not known changes nothing.
-    pub fn ended(&mut self, now: Millis, run: &RunId, charge: Charge) {
+    pub fn on_run_finished(&mut self, now: Millis, run: &RunId, charge: UsageCharge) {
         let Some(Running { user, rate, from }) = self.runs.remove(run) else {
             return;
         };
@@ -178,9 +185,9 @@
             }
         }
         let kept_until = match charge {
-            Charge::Used => until,
-            Charge::Kept(span) => from.saturating_add(span).min(until),
-            Charge::ThrownAway => from,
+            UsageCharge::Used => until,
+            UsageCharge::Kept(span) => from.saturating_add(span).min(until),
+            UsageCharge::ThrownAway => from,
         };
         if kept_until < until {
             self.refund(&user, rate, kept_until, until);
@@ -208,12 +215,12 @@
     }
 
     /// The order by the newest version.
-    pub fn ranking(&self) -> &Ranking {
+    pub fn ranking(&self) -> &FairShareRanking {
         &self.log.ranking
     }
 
     /// The newest version.
-    pub fn version(&self) -> Version {
+    pub fn version(&self) -> RankingVersion {
         self.log.ranking.version()
     }
 
@@ -227,25 +234,25 @@
         self.clock.read(now)
     }
 
-    /// Where a unit stands by the newest version: see [`Ranking::order_key`].
+    /// Where a unit stands by the newest version: see [`FairShareRanking::order_key`].
     pub fn order_key(&self, user: &str, priority: u32, submitted_at: Millis) -> u64 {
         self.log.ranking.order_key(user, priority, submitted_at)
     }
 
     /// What brings a node that holds a version, or none, to the newest one.
-    pub fn update_since(&self, now: Millis, held: Option<Version>) -> Update {
+    pub fn update_since(&self, now: Millis, held: Option<RankingVersion>) -> RankingUpdate {
         self.log.update_since(held, self.age(now))
     }
 
     /// A user's debt, for operators.
-    pub fn show(&self, now: Millis, user: &Arc<str>) -> Shown {
+    pub fn show(&self, now: Millis, user: &Arc<str>) -> UserUsage {
         let time = self.clock.read(now);
         let ranking = &self.log.ranking;
         let mut present = self.debts.get(user).cloned().unwrap_or_default();
         let meter = self.meters.get(user).copied().unwrap_or_default();
         present.add(self.settings.half_life_ms, meter.rate, meter.since, time);
         let debt_core_ms = ranking.debt(user);
-        Shown {
+        UserUsage {
             user: user.clone(),
             debt_core_ms,
             delay_ms: delay_ms(&self.settings, user, debt_core_ms),
@@ -270,7 +277,7 @@
     }
 
     /// The settings.
-    pub fn settings(&self) -> &Settings {
+    pub fn settings(&self) -> &FairShareSettings {
         &self.settings
     }
 
@@ -363,7 +370,7 @@
     }
 
     fn make_version(&mut self, time: Millis) -> Vec<Write> {
-        let version = Version {
+        let version = RankingVersion {
             epoch: self.epoch,
             number: self.version().number.saturating_add(1),
         };
@@ -378,7 +385,8 @@
             time,
             half_life_ms,
         }));
-        let ranking = Ranking::new(self.settings.clone(), version, time, self.debts.clone());
+        let ranking =
+            FairShareRanking::new(self.settings.clone(), version, time, self.debts.clone());
         self.log.advance(ranking, changed);
         writes
     }
--- a/crates/fair-share/src/bounds.rs
+++ b/crates/fair-share/src/bounds.rs
@@ -8,7 +8,7 @@
 //! debts read in core-milliseconds, add at most 3 ms. What the system gives back to a user for work thrown away counts
 //! from the first version that holds it.
 
-use crate::settings::{Settings, USUAL_WEIGHT};
+use crate::settings::{FairShareSettings, USUAL_WEIGHT};
 use streamusher_protocol::Millis;
 
 /// ln 2, in thousandths, rounded up.
@@ -18,7 +18,7 @@
 
 /// The largest difference of true keys, in milliseconds, by which a start may precede a unit that should have gone
 /// before it, when the version that ranked both had this age. Never above the largest delay, plus rounding.
-pub fn largest_inversion_ms(settings: &Settings, age: Millis) -> Millis {
+pub fn largest_inversion_ms(settings: &FairShareSettings, age: Millis) -> Millis {
     let most = u128::from(settings.most_delay_ms);
     let age = u128::from(age);
     let least_weight = settings
--- a/crates/fair-share/src/debt.rs
+++ b/crates/fair-share/src/debt.rs
@@ -20,12 +20,12 @@
 /// forgotten by its half-life alone, so it does not matter whether that is before or after a merge.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Vec<(u64, u64)>", into = "Vec<(u64, u64)>")]
-pub struct Debt {
+pub struct DecayedUsage {
     /// Number of the half-life, and its sum; by number, none twice.
     sums: Vec<(u64, u64)>,
 }
 
-impl Debt {
+impl DecayedUsage {
     /// Adds the use of `rate` thousandths of a core from one agreed time to another.
     pub fn add(&mut self, half_life: Millis, rate: u64, from: Millis, to: Millis) {
         for_each_part(half_life, from, to, |number, weight| {
@@ -34,7 +34,7 @@
         });
     }
 
-    /// Takes back what [`Debt::add`] added with the same arguments.
+    /// Takes back what [`DecayedUsage::add`] added with the same arguments.
     pub fn take_back(&mut self, half_life: Millis, rate: u64, from: Millis, to: Millis) {
         for_each_part(half_life, from, to, |number, weight| {
             let sum = self.sum_mut(number);
@@ -44,7 +44,7 @@
     }
 
     /// Adds another part's debt of the same user.
-    pub fn merge(&mut self, other: &Debt) {
+    pub fn merge(&mut self, other: &DecayedUsage) {
         for (number, sum) in &other.sums {
             let mine = self.sum_mut(*number);
             if cfg!(feature = "mutant-merge") {
@@ -77,11 +77,11 @@
     }
 
     /// A debt that reads as `core_ms` at a time; to carry debts over to another half-life. Rounded.
-    pub(crate) fn of_value(core_ms: u64, half_life: Millis, now: Millis) -> Debt {
+    pub(crate) fn of_value(core_ms: u64, half_life: Millis, now: Millis) -> DecayedUsage {
         let half_life = half_life.max(1);
         let growth = u128::from(power_of_two(now % half_life, half_life) >> (POWER_BITS - 32));
         let sum = (u128::from(core_ms) * MILLICORES * growth) >> (32 - WEIGHT_BITS);
-        Debt::of_sums([(now / half_life, u64::try_from(sum).unwrap_or(u64::MAX))])
+        DecayedUsage::of_sums([(now / half_life, u64::try_from(sum).unwrap_or(u64::MAX))])
     }
 
     /// Number of the latest half-life with a use.
@@ -95,8 +95,8 @@
     }
 
     /// From sums in any order; those of one half-life are added, and only the latest are kept.
-    pub(crate) fn of_sums(sums: impl IntoIterator<Item = (u64, u64)>) -> Debt {
-        let mut debt = Debt::default();
+    pub(crate) fn of_sums(sums: impl IntoIterator<Item = (u64, u64)>) -> DecayedUsage {
+        let mut debt = DecayedUsage::default();
         for (number, sum) in sums {
             let mine = debt.sum_mut(number);
             *mine = mine.saturating_add(sum);
@@ -121,14 +121,14 @@
     }
 }
 
-impl From<Vec<(u64, u64)>> for Debt {
-    fn from(sums: Vec<(u64, u64)>) -> Debt {
-        Debt::of_sums(sums)
+impl From<Vec<(u64, u64)>> for DecayedUsage {
+    fn from(sums: Vec<(u64, u64)>) -> DecayedUsage {
+        DecayedUsage::of_sums(sums)
     }
 }
 
-impl From<Debt> for Vec<(u64, u64)> {
-    fn from(debt: Debt) -> Vec<(u64, u64)> {
+impl From<DecayedUsage> for Vec<(u64, u64)> {
+    fn from(debt: DecayedUsage) -> Vec<(u64, u64)> {
         debt.sums
     }
 }
--- a/crates/fair-share/src/follower.rs
+++ b/crates/fair-share/src/follower.rs
@@ -1,9 +1,9 @@
 //! The newest version that reached a node.
 
 use crate::log::Log;
-use crate::ranking::{Debts, Ranking};
-use crate::settings::Settings;
-use crate::version::{Update, Version};
+use crate::ranking::{Debts, FairShareRanking};
+use crate::settings::FairShareSettings;
+use crate::version::{RankingUpdate, RankingVersion};
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
@@ -23,17 +23,17 @@
 
 /// Ranks work at a node by the newest version that reached it; it may tell others in turn.
 #[derive(Clone, Debug)]
-pub struct Follower {
-    settings: Arc<Settings>,
+pub struct RankingReplica {
+    settings: Arc<FairShareSettings>,
     log: Option<Log>,
     /// Age of the version when it was told, at most, and the node's steady time then.
     told: (Millis, Millis),
 }
 
-impl Follower {
+impl RankingReplica {
     /// A node that has heard nothing.
-    pub fn new(settings: Settings) -> Follower {
-        Follower {
+    pub fn new(settings: FairShareSettings) -> RankingReplica {
+        RankingReplica {
             settings: Arc::new(settings.clamped()),
             log: None,
             told: (0, 0),
@@ -42,7 +42,7 @@
 
     /// Takes an update that answers a question sent at the node's steady time `asked_at`. The time on the way is
     /// unknown, so the version is taken to be as old as if the answer had been sent at once.
-    pub fn take(&mut self, asked_at: Millis, update: &Update) -> Taken {
+    pub fn take(&mut self, asked_at: Millis, update: &RankingUpdate) -> Taken {
         let held = self.held();
         let is_old = held.is_some_and(|held| update.version < held);
         if is_old && !cfg!(feature = "mutant-version") {
@@ -61,13 +61,13 @@
     }
 
     /// The version held, to be named when asking.
-    pub fn held(&self) -> Option<Version> {
+    pub fn held(&self) -> Option<RankingVersion> {
         self.log.as_ref().map(|log| log.ranking.version())
     }
 
     /// The order by the version held; none before the first one came. Also when it is too old: a node that hears
     /// nothing goes on with what it has.
-    pub fn ranking(&self) -> Option<&Ranking> {
+    pub fn ranking(&self) -> Option<&FairShareRanking> {
         self.log.as_ref().map(|log| &log.ranking)
     }
 
@@ -82,7 +82,7 @@
     }
 
     /// What brings another node to the version held here.
-    pub fn update_since(&self, now: Millis, held: Option<Version>) -> Option<Update> {
+    pub fn update_since(&self, now: Millis, held: Option<RankingVersion>) -> Option<RankingUpdate> {
         let log = self.log.as_ref()?;
         Some(log.update_since(held, self.age(now)))
     }
@@ -95,7 +95,7 @@
         }
     }
 
-    fn adopt(&mut self, update: &Update) {
+    fn adopt(&mut self, update: &RankingUpdate) {
         let before = self.log.as_ref().filter(|_| update.base.is_some());
         let mut debts = before.map_or_else(Debts::new, |log| log.ranking.debts().clone());
         for (user, debt) in &update.debts {
@@ -104,7 +104,8 @@
                 None => debts.remove(user),
             };
         }
-        let ranking = Ranking::new(self.settings.clone(), update.version, update.time, debts);
+        let ranking =
+            FairShareRanking::new(self.settings.clone(), update.version, update.time, debts);
         let changed = update.debts.iter().map(|(user, _)| user.clone()).collect();
         match self.log.as_mut().filter(|_| update.base.is_some()) {
             Some(log) => log.advance(ranking, changed),
--- a/crates/fair-share/src/lib.rs
+++ b/crates/fair-share/src/lib.rs
@@ -1,9 +1,9 @@
 //! What each user has lately used, fading with time, and the order of work that follows from it.
 //!
 //! A user is a team, a tenant or, where nothing else tells, a queue. Its debt grows while its tasks run and halves in
-//! each half-life. [`DebtBook`] is the primary's state machine: told the time and which runs began and ended, it gives
-//! out writes to the replicated state and an agreed sequence of versions. A [`Ranking`] orders work by one version and
-//! names it. A [`Follower`] holds the newest version that reached a node, by updates that may be lost, late or
+//! each half-life. [`FairShareAccounts`] is the primary's state machine: told the time and which runs began and ended, it gives
+//! out writes to the replicated state and an agreed sequence of versions. A [`FairShareRanking`] orders work by one version and
+//! names it. A [`RankingReplica`] holds the newest version that reached a node, by updates that may be lost, late or
 //! repeated. All arithmetic is in integers; no part performs I/O or reads a clock.
 //!
 //! - [`settings`]: half-life, weights, caps.
@@ -26,9 +26,9 @@
 pub mod settings;
 pub mod version;
 
-pub use book::{Charge, DebtBook, Shown};
-pub use debt::Debt;
-pub use follower::Follower;
-pub use ranking::Ranking;
-pub use settings::{Settings, SettingsError};
-pub use version::{Update, Version};
+pub use book::{FairShareAccounts, UsageCharge, UserUsage};
+pub use debt::DecayedUsage;
+pub use follower::RankingReplica;
+pub use ranking::FairShareRanking;
+pub use settings::{FairShareSettings, SettingsError};
+pub use version::{RankingUpdate, RankingVersion};
--- a/crates/fair-share/src/log.rs
+++ b/crates/fair-share/src/log.rs
@@ -1,8 +1,8 @@
 //! The newest version and which users the versions before it changed: what is needed to tell others of it.
 
-use crate::debt::Debt;
-use crate::ranking::Ranking;
-use crate::version::{Update, Version};
+use crate::debt::DecayedUsage;
+use crate::ranking::FairShareRanking;
+use crate::version::{RankingUpdate, RankingVersion};
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
 use streamusher_protocol::Millis;
@@ -15,14 +15,14 @@
 /// The newest version with the changes that led to it.
 #[derive(Clone, Debug)]
 pub(crate) struct Log {
-    pub(crate) ranking: Ranking,
+    pub(crate) ranking: FairShareRanking,
     /// Versions before the newest, oldest first, each with the users that the version after it changed.
-    changes: VecDeque<(Version, Vec<Arc<str>>)>,
+    changes: VecDeque<(RankingVersion, Vec<Arc<str>>)>,
     remembered: usize,
 }
 
 impl Log {
-    pub(crate) fn new(ranking: Ranking) -> Log {
+    pub(crate) fn new(ranking: FairShareRanking) -> Log {
         Log {
             ranking,
             changes: VecDeque::new(),
@@ -31,7 +31,7 @@
     }
 
     /// Goes on to a version that differs from the newest in these users.
-    pub(crate) fn advance(&mut self, ranking: Ranking, changed: Vec<Arc<str>>) {
+    pub(crate) fn advance(&mut self, ranking: FairShareRanking, changed: Vec<Arc<str>>) {
         self.remembered += changed.len();
         self.changes.push_back((self.ranking.version(), changed));
         self.ranking = ranking;
@@ -44,7 +44,11 @@
     }
 
     /// What brings a node that holds `held` to the newest version.
-    pub(crate) fn update_since(&self, held: Option<Version>, age_ms: Millis) -> Update {
+    pub(crate) fn update_since(
+        &self,
+        held: Option<RankingVersion>,
+        age_ms: Millis,
+    ) -> RankingUpdate {
         let known = held.filter(|held| *held == self.ranking.version() || self.remembers(*held));
         let debts = match known {
             Some(held) => self.difference(held),
@@ -56,7 +60,7 @@
                 .collect(),
         };
         let (version, time) = (self.ranking.version(), self.ranking.time());
-        Update {
+        RankingUpdate {
             base: known,
             version,
             time,
@@ -65,11 +69,11 @@
         }
     }
 
-    fn remembers(&self, version: Version) -> bool {
+    fn remembers(&self, version: RankingVersion) -> bool {
         self.changes.iter().any(|(before, _)| *before == version)
     }
 
-    fn difference(&self, held: Version) -> Vec<(Arc<str>, Option<Debt>)> {
+    fn difference(&self, held: RankingVersion) -> Vec<(Arc<str>, Option<DecayedUsage>)> {
         let after = self
             .changes
             .iter()
--- a/crates/fair-share/src/ranking.rs
+++ b/crates/fair-share/src/ranking.rs
@@ -1,13 +1,13 @@
 //! The order of work by one version of the debts.
 
-use crate::debt::Debt;
-use crate::settings::{Settings, USUAL_WEIGHT};
-use crate::version::Version;
+use crate::debt::DecayedUsage;
+use crate::settings::{FairShareSettings, USUAL_WEIGHT};
+use crate::version::RankingVersion;
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
 /// All debts, cheap to copy.
-pub(crate) type Debts = im::OrdMap<Arc<str>, Debt>;
+pub(crate) type Debts = im::OrdMap<Arc<str>, DecayedUsage>;
 
 /// Bits of an order key that hold the time; above them is the priority.
 const TIME_BITS: u32 = 48;
@@ -18,21 +18,21 @@
 
 /// Orders work by one version, which it names. Nodes with the same version and settings give the same order.
 #[derive(Clone, Debug)]
-pub struct Ranking {
-    settings: Arc<Settings>,
-    version: Version,
+pub struct FairShareRanking {
+    settings: Arc<FairShareSettings>,
+    version: RankingVersion,
     time: Millis,
     debts: Debts,
 }
 
-impl Ranking {
+impl FairShareRanking {
     pub(crate) fn new(
-        settings: Arc<Settings>,
-        version: Version,
+        settings: Arc<FairShareSettings>,
+        version: RankingVersion,
         time: Millis,
         debts: Debts,
-    ) -> Ranking {
-        Ranking {
+    ) -> FairShareRanking {
+        FairShareRanking {
             settings,
             version,
             time,
@@ -41,7 +41,7 @@
     }
 
     /// The version by which it orders.
-    pub fn version(&self) -> Version {
+    pub fn version(&self) -> RankingVersion {
         self.version
     }
 
@@ -83,7 +83,7 @@
 }
 
 /// The delay by a debt in core-milliseconds: half of the largest at `half_delay_core_s`, rising ever more slowly.
-pub(crate) fn delay_ms(settings: &Settings, user: &str, debt: u64) -> Millis {
+pub(crate) fn delay_ms(settings: &FairShareSettings, user: &str, debt: u64) -> Millis {
     let weight = u128::from(settings.weight_of(user));
     let debt = u128::from(debt) * u128::from(USUAL_WEIGHT) / weight;
     let half = u128::from(settings.half_delay_core_s) * u128::from(SECOND);
--- a/crates/fair-share/src/record.rs
+++ b/crates/fair-share/src/record.rs
@@ -1,7 +1,7 @@
 //! The replicated form: a record for each user, and one for the newest version.
 
-use crate::debt::Debt;
-use crate::version::Version;
+use crate::debt::DecayedUsage;
+use crate::version::RankingVersion;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 use streamusher_protocol::store::Write;
@@ -15,7 +15,7 @@
 /// The newest version and its agreed time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct VersionRecord {
-    pub(crate) version: Version,
+    pub(crate) version: RankingVersion,
     pub(crate) time: Millis,
     /// The debts count by this half-life; those of another cannot be read.
     pub(crate) half_life_ms: Millis,
@@ -28,7 +28,7 @@
     )
 }
 
-pub(crate) fn user_write(user: &str, debt: Option<&Debt>) -> Write {
+pub(crate) fn user_write(user: &str, debt: Option<&DecayedUsage>) -> Write {
     let key = format!("{USER_PREFIX}{user}");
     match debt {
         Some(debt) => Write::set(key, serde_json::to_string(debt).unwrap_or_default()),
@@ -40,7 +40,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Read {
     pub(crate) version: VersionRecord,
-    pub(crate) debts: Vec<(Arc<str>, Debt)>,
+    pub(crate) debts: Vec<(Arc<str>, DecayedUsage)>,
     /// Users whose record is not readable.
     pub(crate) damaged: Vec<Arc<str>>,
 }
@@ -56,7 +56,7 @@
                 Err(_) => found.damaged.push(key),
             }
         } else if let Some(user) = key.strip_prefix(USER_PREFIX) {
-            match serde_json::from_str::<Debt>(&value) {
+            match serde_json::from_str::<DecayedUsage>(&value) {
                 Ok(debt) => found.debts.push((user.into(), debt)),
                 Err(_) => found.damaged.push(user.into()),
             }
--- a/crates/fair-share/src/settings.rs
+++ b/crates/fair-share/src/settings.rs
@@ -31,7 +31,7 @@
 /// Settings of the debts; the same on every node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Settings {
+pub struct FairShareSettings {
     /// A debt halves in this time, in milliseconds.
     pub half_life_ms: Millis,
     /// What a GPU counts, in thousandths of a core.
@@ -78,10 +78,10 @@
     Weight(Arc<str>),
 }
 
-impl Settings {
+impl FairShareSettings {
     /// The defaults for a half-life, in milliseconds.
-    pub fn with_half_life(half_life_ms: Millis) -> Settings {
-        Settings {
+    pub fn with_half_life(half_life_ms: Millis) -> FairShareSettings {
+        FairShareSettings {
             half_life_ms,
             gpu_millicores: GPU_MILLICORES,
             gb_millicores: GB_MILLICORES,
@@ -135,7 +135,7 @@
     }
 
     /// With the times that arithmetic rests on brought into their ranges; unchanged where `check` finds no fault.
-    pub(crate) fn clamped(mut self) -> Settings {
+    pub(crate) fn clamped(mut self) -> FairShareSettings {
         self.half_life_ms = self
             .half_life_ms
             .clamp(SHORTEST_HALF_LIFE_MS, LONGEST_HALF_LIFE_MS);
--- a/crates/fair-share/src/version.rs
+++ b/crates/fair-share/src/version.rs
@@ -1,6 +1,6 @@
 //! Names of versions, and how one is told.
 
-use crate::debt::Debt;
+use crate::debt::DecayedUsage;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 use streamusher_protocol::Millis;
@@ -10,7 +10,7 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Version {
+pub struct RankingVersion {
     /// Epoch of the primary that made it.
     pub epoch: u64,
     /// Rises by one from version to version, over all epochs.
@@ -19,15 +19,15 @@
 
 /// A version as told from node to node: whole, or as the difference from another version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Update {
+pub struct RankingUpdate {
     /// The version on which `debts` builds; none where all debts are given.
-    pub base: Option<Version>,
+    pub base: Option<RankingVersion>,
     /// The version told.
-    pub version: Version,
+    pub version: RankingVersion,
     /// The agreed time at which it was made.
     pub time: Millis,
     /// Its age when this update was sent, in milliseconds, at most.
     pub age_ms: Millis,
     /// Debts that differ from the base; none where the user is dropped.
-    pub debts: Vec<(Arc<str>, Option<Debt>)>,
+    pub debts: Vec<(Arc<str>, Option<DecayedUsage>)>,
 }
--- a/crates/fair-share/tests/book.rs
+++ b/crates/fair-share/tests/book.rs
@@ -4,24 +4,26 @@
 
 use rstest::rstest;
 use std::collections::BTreeSet;
-use streamusher_fair_share::{Charge, DebtBook, Settings, SettingsError, Version};
+use streamusher_fair_share::{
+    FairShareAccounts, FairShareSettings, RankingVersion, SettingsError, UsageCharge,
+};
 use streamusher_protocol::heartbeat::Resources;
 use support::*;
 
 const HALF_LIFE: u64 = 60_000;
 
-fn settings() -> Settings {
-    Settings::with_half_life(HALF_LIFE)
+fn settings() -> FairShareSettings {
+    FairShareSettings::with_half_life(HALF_LIFE)
 }
 
-fn book() -> DebtBook {
-    DebtBook::new(settings(), 1, 0)
+fn book() -> FairShareAccounts {
+    FairShareAccounts::new(settings(), 1, 0)
 }
 
 #[test]
 fn given_a_long_task_when_it_still_runs_then_its_user_pays_already() {
     let mut book = book();
-    book.began(0, &user("scans"), run(1), &cores(10));
+    book.on_run_started(0, &user("scans"), run(1), &cores(10));
     book.advance(30_000);
     let shown = book.show(30_000, &user("scans"));
     assert!(
@@ -51,12 +53,12 @@
     let mut book = book();
     let mut other = book.clone();
     for book in [&mut book, &mut other] {
-        book.began(0, &user("a"), run(1), &cores(1));
+        book.on_run_started(0, &user("a"), run(1), &cores(1));
     }
-    book.began(5_000, &user("a"), run(2), &cores(16));
+    book.on_run_started(5_000, &user("a"), run(2), &cores(16));
     book.advance(20_000);
     book.advance(40_000);
-    book.ended(50_000, &run(2), Charge::ThrownAway);
+    book.on_run_finished(50_000, &run(2), UsageCharge::ThrownAway);
     book.advance(60_000);
     other.advance(60_000);
     assert_eq!(book.ranking().debt("a"), other.ranking().debt("a"));
@@ -65,10 +67,10 @@
 #[test]
 fn given_a_checkpoint_when_the_rest_is_thrown_away_then_the_user_pays_what_was_kept() {
     let (mut book, mut other) = (book(), book());
-    book.began(0, &user("a"), run(1), &cores(4));
-    other.began(0, &user("a"), run(1), &cores(4));
-    book.ended(30_000, &run(1), Charge::Kept(12_000));
-    other.ended(12_000, &run(1), Charge::Used);
+    book.on_run_started(0, &user("a"), run(1), &cores(4));
+    other.on_run_started(0, &user("a"), run(1), &cores(4));
+    book.on_run_finished(30_000, &run(1), UsageCharge::Kept(12_000));
+    other.on_run_finished(12_000, &run(1), UsageCharge::Used);
     book.advance(30_000);
     other.advance(30_000);
     assert_eq!(book.ranking().debt("a"), other.ranking().debt("a"));
@@ -77,13 +79,13 @@
 #[test]
 fn given_events_told_twice_or_of_unknown_runs_when_taken_then_nothing_changes() {
     let mut book = book();
-    book.ended(0, &run(9), Charge::ThrownAway);
-    book.began(0, &user("a"), run(1), &cores(1));
-    book.began(0, &user("a"), run(1), &cores(1));
-    book.began(0, &user("b"), run(1), &cores(1));
+    book.on_run_finished(0, &run(9), UsageCharge::ThrownAway);
+    book.on_run_started(0, &user("a"), run(1), &cores(1));
+    book.on_run_started(0, &user("a"), run(1), &cores(1));
+    book.on_run_started(0, &user("b"), run(1), &cores(1));
     assert_eq!(book.show(0, &user("a")).rate_millicores, 1_000);
-    book.ended(1_000, &run(1), Charge::Used);
-    book.ended(9_000, &run(1), Charge::ThrownAway);
+    book.on_run_finished(1_000, &run(1), UsageCharge::Used);
+    book.on_run_finished(9_000, &run(1), UsageCharge::ThrownAway);
     assert_eq!(book.show(9_000, &user("a")).rate_millicores, 0);
     assert!(book.show(9_000, &user("a")).present_core_ms > 800);
     assert_eq!(book.show(9_000, &user("b")).present_core_ms, 0);
@@ -92,8 +94,8 @@
 #[test]
 fn given_work_when_time_passes_then_versions_come_each_second_with_one_write_for_a_changed_user() {
     let mut book = book();
-    book.began(0, &user("a"), run(1), &cores(1));
-    book.began(0, &user("b"), run(2), &cores(2));
+    book.on_run_started(0, &user("a"), run(1), &cores(1));
+    book.on_run_started(0, &user("b"), run(2), &cores(2));
     let mut versions = Vec::new();
     for now in (0..=10_000).step_by(20) {
         let writes = book.advance(now);
@@ -123,8 +125,8 @@
 fn given_debts_but_no_work_when_time_passes_then_versions_stay_young_and_users_fade_out() {
     let mut book = book();
     let mut state = State::new();
-    book.began(0, &user("a"), run(1), &cores(1));
-    book.ended(10_000, &run(1), Charge::Used);
+    book.on_run_started(0, &user("a"), run(1), &cores(1));
+    book.on_run_finished(10_000, &run(1), UsageCharge::Used);
     for now in (10_000..13 * HALF_LIFE).step_by(100) {
         apply(&mut state, book.advance(now));
         assert!(
@@ -142,8 +144,8 @@
     let mut book = book();
     for number in 0..30 {
         let now = number * 1_000;
-        book.began(now, &user("a"), run(number), &cores(1));
-        book.ended(now + 100, &run(number), Charge::Used);
+        book.on_run_started(now, &user("a"), run(number), &cores(1));
+        book.on_run_finished(now + 100, &run(number), UsageCharge::Used);
         book.advance(now + 999);
     }
     book.advance(31_000);
@@ -158,7 +160,7 @@
 fn given_a_new_primary_when_it_recovers_then_debts_time_and_versions_go_on() {
     let mut state = State::new();
     let mut book = book();
-    book.began(0, &user("a"), run(1), &cores(3));
+    book.on_run_started(0, &user("a"), run(1), &cores(3));
     (0..=20_000)
         .step_by(1_000)
         .for_each(|now| apply(&mut state, book.advance(now)));
@@ -168,7 +170,7 @@
         book.agreed_time(20_000),
     );
     // Another machine: its steady clock began at another time.
-    let mut next = DebtBook::recover(settings(), 2, 777_000_000, records(&state));
+    let mut next = FairShareAccounts::recover(settings(), 2, 777_000_000, records(&state));
     assert_eq!(
         (
             next.ranking().debt("a"),
@@ -177,19 +179,19 @@
         ),
         before
     );
-    next.began(777_000_000, &user("a"), run(1), &cores(3));
+    next.on_run_started(777_000_000, &user("a"), run(1), &cores(3));
     let writes = next.advance(777_005_000);
     assert!(!writes.is_empty());
     assert_eq!(
         next.version(),
-        Version {
+        RankingVersion {
             epoch: 2,
             number: before.1.number + 1
         }
     );
     assert_eq!(next.agreed_time(777_005_000), 25_000);
-    let mut whole = DebtBook::new(settings(), 1, 0);
-    whole.began(0, &user("a"), run(1), &cores(3));
+    let mut whole = FairShareAccounts::new(settings(), 1, 0);
+    whole.on_run_started(0, &user("a"), run(1), &cores(3));
     whole.advance(25_000);
     assert_eq!(
         next.ranking().debt("a"),
@@ -201,11 +203,11 @@
 #[test]
 fn given_a_steady_time_told_late_when_taken_then_the_agreed_time_does_not_go_back() {
     let mut book = book();
-    book.began(5_000, &user("a"), run(1), &cores(1));
+    book.on_run_started(5_000, &user("a"), run(1), &cores(1));
     book.advance(9_000);
     let before = (book.agreed_time(9_000), book.version());
     assert!(book.advance(3_000).is_empty());
-    book.ended(2_000, &run(1), Charge::Used);
+    book.on_run_finished(2_000, &run(1), UsageCharge::Used);
     assert_eq!((book.agreed_time(2_000), book.version()), before);
 }
 
@@ -213,18 +215,18 @@
 fn given_damaged_records_when_recovered_then_only_those_users_begin_anew() {
     let mut state = State::new();
     let mut book = book();
-    book.began(0, &user("a"), run(1), &cores(3));
-    book.began(0, &user("b/c"), run(2), &cores(3));
+    book.on_run_started(0, &user("a"), run(1), &cores(3));
+    book.on_run_started(0, &user("b/c"), run(2), &cores(3));
     apply(&mut state, book.advance(70_000));
     state.insert("debt/a".into(), "{".into());
     state.insert("job/x".into(), "[1]".into());
-    let next = DebtBook::recover(settings(), 2, 5, records(&state));
+    let next = FairShareAccounts::recover(settings(), 2, 5, records(&state));
     assert_eq!(next.damaged(), [user("a")]);
     assert_eq!(next.ranking().debt("a"), 0);
     assert_eq!(next.ranking().debt("b/c"), book.ranking().debt("b/c"));
     // Without the version's record the time is known to a half-life, by what was used.
     state.insert("debt-version".into(), "7".into());
-    let next = DebtBook::recover(settings(), 3, 5, records(&state));
+    let next = FairShareAccounts::recover(settings(), 3, 5, records(&state));
     assert_eq!(next.agreed_time(5), HALF_LIFE);
     assert!(next.ranking().debt("b/c") > 0);
 }
@@ -233,10 +235,10 @@
 fn given_another_half_life_when_recovered_then_debts_read_the_same_and_are_written_anew() {
     let mut state = State::new();
     let mut book = book();
-    book.began(0, &user("a"), run(1), &cores(3));
+    book.on_run_started(0, &user("a"), run(1), &cores(3));
     apply(&mut state, book.advance(71_234));
-    let mut next = DebtBook::recover(
-        Settings::with_half_life(3 * HALF_LIFE),
+    let mut next = FairShareAccounts::recover(
+        FairShareSettings::with_half_life(3 * HALF_LIFE),
         2,
         0,
         records(&state),
@@ -252,8 +254,8 @@
 
 #[test]
 fn given_more_users_than_may_be_kept_when_a_version_is_made_then_the_least_debts_go() {
-    let mut book = DebtBook::new(
-        Settings {
+    let mut book = FairShareAccounts::new(
+        FairShareSettings {
             most_users: 100,
             ..settings()
         },
@@ -262,7 +264,7 @@
     );
     let mut state = State::new();
     for number in 0..150 {
-        book.began(
+        book.on_run_started(
             0,
             &user(&format!("u{number:03}")),
             run(number),
@@ -280,7 +282,7 @@
     let mut book = book();
     let mut state = State::new();
     for number in 0..100_000 {
-        book.began(
+        book.on_run_started(
             number / 100,
             &user(&format!("u{number}")),
             run(number),
@@ -288,7 +290,7 @@
         );
     }
     for number in 0..100_000 {
-        book.ended(number / 100 + 2_000, &run(number), Charge::Used);
+        book.on_run_finished(number / 100 + 2_000, &run(number), UsageCharge::Used);
     }
     apply(&mut state, book.advance(5_000));
     assert_eq!(state.len(), 100_001);
@@ -309,13 +311,13 @@
 }
 
 #[rstest]
-#[case::half_life(Settings { half_life_ms: 9_999, ..settings() }, "half_life_ms is 9999: give 10000 to 2592000000")]
-#[case::versions(Settings { version_every_ms: 10, ..settings() }, "version_every_ms is 10: give 1000 to 60000")]
-#[case::age(Settings { most_age_ms: 10, ..settings() }, "most_age_ms is 10: give 2000")]
-#[case::users(Settings { most_users: 0, ..settings() }, "most_users is 0: give 1")]
-#[case::half(Settings { half_delay_core_s: 0, ..settings() }, "half_delay_core_s is 0: give 1")]
+#[case::half_life(FairShareSettings { half_life_ms: 9_999, ..settings() }, "half_life_ms is 9999: give 10000 to 2592000000")]
+#[case::versions(FairShareSettings { version_every_ms: 10, ..settings() }, "version_every_ms is 10: give 1000 to 60000")]
+#[case::age(FairShareSettings { most_age_ms: 10, ..settings() }, "most_age_ms is 10: give 2000")]
+#[case::users(FairShareSettings { most_users: 0, ..settings() }, "most_users is 0: give 1")]
+#[case::half(FairShareSettings { half_delay_core_s: 0, ..settings() }, "half_delay_core_s is 0: give 1")]
 fn given_a_setting_out_of_range_when_checked_then_the_remedy_is_named(
-    #[case] settings: Settings,
+    #[case] settings: FairShareSettings,
     #[case] text: &str,
 ) {
     let error = settings.check().expect_err("out of range").to_string();
@@ -332,7 +334,7 @@
 
 #[test]
 fn given_settings_never_checked_when_used_then_nothing_panics() {
-    let wild = Settings {
+    let wild = FairShareSettings {
         half_life_ms: 0,
         gpu_millicores: u64::MAX,
         gb_millicores: u64::MAX,
@@ -346,13 +348,13 @@
         mem_mb: u64::MAX,
         gpu: u64::MAX,
     };
-    let mut book = DebtBook::new(wild.clone(), u64::MAX, u64::MAX);
-    book.began(u64::MAX, &user("a"), run(1), &all);
+    let mut book = FairShareAccounts::new(wild.clone(), u64::MAX, u64::MAX);
+    book.on_run_started(u64::MAX, &user("a"), run(1), &all);
     book.advance(u64::MAX);
-    let mut book = DebtBook::new(wild.clone(), 1, 0);
-    book.began(0, &user("a"), run(1), &all);
+    let mut book = FairShareAccounts::new(wild.clone(), 1, 0);
+    book.on_run_started(0, &user("a"), run(1), &all);
     book.advance(u64::MAX);
-    book.ended(u64::MAX, &run(1), Charge::Kept(u64::MAX));
+    book.on_run_finished(u64::MAX, &run(1), UsageCharge::Kept(u64::MAX));
     let _ = book.order_key("a", u32::MAX, u64::MAX);
     let _ = streamusher_fair_share::bounds::largest_inversion_ms(&wild, u64::MAX);
 }
@@ -361,7 +363,7 @@
 fn given_a_user_that_always_works_when_written_then_its_record_stays_small() {
     let mut book = book();
     let mut state = State::new();
-    book.began(0, &user("a"), run(1), &cores(100));
+    book.on_run_started(0, &user("a"), run(1), &cores(100));
     for now in (0..40 * HALF_LIFE).step_by(1_000) {
         apply(&mut state, book.advance(now));
     }
--- a/crates/fair-share/tests/debt.rs
+++ b/crates/fair-share/tests/debt.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use rstest::rstest;
-use streamusher_fair_share::debt::{Debt, WINDOW};
+use streamusher_fair_share::debt::{DecayedUsage, WINDOW};
 use support::exact::{self, Use};
 
 fn uses(rng: &mut Pcg32, half_life: u64) -> Vec<Use> {
@@ -19,8 +19,8 @@
     (0..rng.random_range(1..40)).map(|_| draw(rng)).collect()
 }
 
-fn sum(uses: &[Use], half_life: u64) -> Debt {
-    let mut debt = Debt::default();
+fn sum(uses: &[Use], half_life: u64) -> DecayedUsage {
+    let mut debt = DecayedUsage::default();
     uses.iter()
         .for_each(|(rate, from, to)| debt.add(half_life, *rate, *from, *to));
     debt
@@ -54,7 +54,7 @@
 #[test]
 fn given_a_debt_when_a_half_life_passes_then_half_of_it_is_left() {
     let half_life = 10_000;
-    let mut debt = Debt::default();
+    let mut debt = DecayedUsage::default();
     debt.add(half_life, 8_000, 0, 10_000);
     let before = debt.at(half_life, 10_000);
     assert!(
@@ -72,7 +72,7 @@
         let mut rng = Pcg32::seed_from_u64(seed);
         let uses = uses(&mut rng, half_life);
         let whole = sum(&uses, half_life);
-        let mut parts: Vec<Debt> = vec![Debt::default(); 5];
+        let mut parts: Vec<DecayedUsage> = vec![DecayedUsage::default(); 5];
         for (rate, from, to) in &uses {
             // Each use is cut at random, and its pieces fall to any parts.
             let cut = rng.random_range(*from..=*to);
@@ -93,7 +93,7 @@
 fn given_use_out_of_the_window_when_forgotten_before_or_after_a_merge_then_the_result_is_one() {
     let half_life = 10_000;
     let now = half_life * 20 + 1_234;
-    let (mut first, mut second) = (Debt::default(), Debt::default());
+    let (mut first, mut second) = (DecayedUsage::default(), DecayedUsage::default());
     first.add(half_life, 3_000, 0, now);
     second.add(half_life, 5_000, half_life * 2, half_life * 9);
     let mut merged = first.clone();
@@ -108,7 +108,7 @@
 #[test]
 fn given_a_use_when_it_is_taken_back_then_nothing_of_it_is_left() {
     let half_life = 10_000;
-    let mut debt = Debt::default();
+    let mut debt = DecayedUsage::default();
     debt.add(half_life, 2_000, 500, 23_456);
     let before = debt.clone();
     debt.add(half_life, 7_777, 1_234, 43_210);
@@ -120,7 +120,7 @@
 fn given_the_largest_sums_when_added_merged_and_read_then_they_saturate_in_any_order() {
     let text = |sums: &[(u64, u64)]| serde_json::to_string(sums).expect("text");
     let largest: Vec<(u64, u64)> = (0..40).map(|number| (number, u64::MAX)).collect();
-    let mut one: Debt = serde_json::from_str(&text(&largest)).expect("a debt");
+    let mut one: DecayedUsage = serde_json::from_str(&text(&largest)).expect("a debt");
     let mut other = one.clone();
     other.add(10_000, u64::MAX, 0, u64::MAX);
     one.merge(&other);
--- a/crates/fair-share/tests/support/simulation.rs
+++ b/crates/fair-share/tests/support/simulation.rs
@@ -5,7 +5,10 @@
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
 use streamusher_fair_share::bounds::largest_inversion_ms;
-use streamusher_fair_share::{Charge, DebtBook, Follower, Settings, Update, Version};
+use streamusher_fair_share::{
+    FairShareAccounts, FairShareSettings, RankingReplica, RankingUpdate, RankingVersion,
+    UsageCharge,
+};
 
 const STEP_MS: u64 = 100;
 const DAY_MS: u64 = 90_000;
@@ -41,7 +44,7 @@
 }
 
 struct Node {
-    follower: Follower,
+    follower: RankingReplica,
     /// Its steady clock minus the simulation's time, and by how many thousandths it is slow.
     offset: u64,
     slow: u64,
@@ -60,17 +63,17 @@
 struct Letter {
     to: usize,
     asked_at: u64,
-    update: Update,
+    update: RankingUpdate,
 }
 
 /// One seeded day.
 pub struct Simulation {
     seed: u64,
     rng: Pcg32,
-    settings: Settings,
+    settings: FairShareSettings,
     now: u64,
     /// The primary's book and the origin of its steady clock; none while there is no primary.
-    book: Option<(DebtBook, u64)>,
+    book: Option<(FairShareAccounts, u64)>,
     returns_at: u64,
     epoch: u64,
     state: State,
@@ -82,7 +85,7 @@
     sent: u64,
     run_number: u64,
     /// Agreed time of each version, and its keys as the first node that used it had them.
-    told: BTreeMap<Version, (u64, Vec<u64>)>,
+    told: BTreeMap<RankingVersion, (u64, Vec<u64>)>,
     pub starts: u64,
     pub stale_starts: u64,
     pub failovers: u64,
@@ -93,14 +96,14 @@
     pub fn new(seed: u64) -> Simulation {
         let mut rng = Pcg32::seed_from_u64(seed);
         let half_life = rng.random_range(10..60) * 1_000;
-        let settings = Settings {
+        let settings = FairShareSettings {
             most_delay_ms: rng.random_range(5_000..60_000),
             half_delay_core_s: rng.random_range(50..600),
             largest_rate_cores: MOST_CORES,
-            ..Settings::with_half_life(half_life)
+            ..FairShareSettings::with_half_life(half_life)
         };
         let node = |rng: &mut Pcg32| Node {
-            follower: Follower::new(settings.clone()),
+            follower: RankingReplica::new(settings.clone()),
             offset: rng.random_range(0..1_000_000),
             slow: rng.random_range(0..20),
             free: MOST_CORES / NODES as u64,
@@ -110,7 +113,7 @@
         };
         let nodes = (0..NODES).map(|_| node(&mut rng)).collect();
         let origin = rng.random_range(0..1_000_000);
-        let book = DebtBook::new(settings.clone(), 1, origin);
+        let book = FairShareAccounts::new(settings.clone(), 1, origin);
         Simulation {
             seed,
             rng,
@@ -183,7 +186,7 @@
     }
 
     fn committed_time(&self) -> u64 {
-        let next = DebtBook::recover(self.settings.clone(), 0, 0, records(&self.state));
+        let next = FairShareAccounts::recover(self.settings.clone(), 0, 0, records(&self.state));
         next.agreed_time(0)
     }
 
@@ -192,7 +195,7 @@
         self.epoch += 1;
         let origin = self.rng.random_range(0..1_000_000);
         let clock = origin + self.now;
-        let mut book = DebtBook::recover(
+        let mut book = FairShareAccounts::recover(
             self.settings.clone(),
             self.epoch,
             clock,
@@ -212,7 +215,7 @@
                 to: None,
                 refunded_at: None,
             });
-            book.began(clock, &name(user), run(running.number), &cores(cores_taken));
+            book.on_run_started(clock, &name(user), run(running.number), &cores(cores_taken));
         }
         self.book = Some((book, origin));
     }
@@ -316,11 +319,11 @@
             return;
         };
         let charge = if thrown_away {
-            Charge::ThrownAway
+            UsageCharge::ThrownAway
         } else {
-            Charge::Used
+            UsageCharge::Used
         };
-        book.ended(*origin + self.now, &run(running.number), charge);
+        book.on_run_finished(*origin + self.now, &run(running.number), charge);
         if thrown_away {
             used.refunded_at = Some(agreed);
         }
@@ -362,7 +365,7 @@
             record,
         };
         if let Some((book, origin)) = self.book.as_mut() {
-            book.began(
+            book.on_run_started(
                 *origin + self.now,
                 &name(user),
                 run(running.number),
--- a/crates/jobs/src/answers.rs
+++ b/crates/jobs/src/answers.rs
@@ -4,7 +4,7 @@
 
 /// What became of a job that was handed in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Submitted {
+pub enum SubmitOutcome {
     /// It is new.
     New,
     /// Its identifier is known already; nothing changed.
@@ -13,7 +13,7 @@
 
 /// What became of an order to cancel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cancelled {
+pub enum CancelOutcome {
     /// It is cancelled now.
     Now,
     /// It had ended before.
--- a/crates/jobs/src/book.rs
+++ b/crates/jobs/src/book.rs
@@ -1,7 +1,7 @@
 //! The record of all jobs.
 
-use crate::answers::{Cancelled, Submitted};
-use crate::changes::{AssignedRun, Changes, StartedRun};
+use crate::answers::{CancelOutcome, SubmitOutcome};
+use crate::changes::{AssignedRun, JobChanges, StartedRun};
 use crate::check::check;
 use crate::effects::Effects;
 use crate::entry::Entry;
@@ -10,8 +10,8 @@
 use crate::plan::Plan;
 use crate::record;
 use crate::runs::{Outcome, RunOver};
-use crate::spent::{RunTimes, Stage};
-use crate::terms::{QueueTerms, Settings};
+use crate::spent::{LatencyStage, RunTimings};
+use crate::terms::{JobSettings, QueuePolicy};
 use std::collections::HashMap;
 use std::sync::Arc;
 use streamusher_protocol::job::{JobRequest, JobState};
@@ -22,8 +22,8 @@
 
 /// The record of all jobs.
 #[derive(Debug)]
-pub struct JobBook {
-    settings: Settings,
+pub struct JobTable {
+    settings: JobSettings,
     jobs: HashMap<JobId, Entry>,
     pending: HashMap<Arc<str>, u64>,
     fx: Effects,
@@ -31,10 +31,10 @@
     steady: Millis,
 }
 
-impl JobBook {
+impl JobTable {
     /// An empty record.
-    pub fn new(settings: Settings) -> JobBook {
-        JobBook {
+    pub fn new(settings: JobSettings) -> JobTable {
+        JobTable {
             settings,
             jobs: HashMap::new(),
             pending: HashMap::new(),
@@ -49,11 +49,11 @@
         now: Now,
         id: &JobId,
         request: JobRequest,
-        terms: &QueueTerms,
-    ) -> Result<Submitted, SubmitError> {
+        terms: &QueuePolicy,
+    ) -> Result<SubmitOutcome, SubmitError> {
         self.note(now);
         if self.jobs.contains_key(id) {
-            return Ok(Submitted::Known);
+            return Ok(SubmitOutcome::Known);
         }
         check(&request)?;
         let job = Job::new(id.clone(), sound(terms), Plan::new(request), now.unix);
@@ -61,20 +61,20 @@
         *self.pending.entry(job.terms.queue.clone()).or_default() += 1;
         self.jobs.insert(id.clone(), Entry::Kept(Box::new(job)));
         self.change(id, |job, fx| job.release_due(now, fx));
-        Ok(Submitted::New)
+        Ok(SubmitOutcome::New)
     }
 
     /// Ends a job at once; its runs are to be stopped.
-    pub fn cancel(&mut self, now: Now, id: &JobId) -> Cancelled {
+    pub fn cancel(&mut self, now: Now, id: &JobId) -> CancelOutcome {
         self.note(now);
         let Some(state) = self.status(id) else {
-            return Cancelled::Unknown;
+            return CancelOutcome::Unknown;
         };
         if state.is_final() {
-            return Cancelled::Already(state);
+            return CancelOutcome::Already(state);
         }
         self.change(id, |job, fx| job.finish(JobState::Cancelled, fx));
-        Cancelled::Now
+        CancelOutcome::Now
     }
 
     /// A job's state; none if it is not known.
@@ -88,12 +88,12 @@
     }
 
     /// Jobs of a queue that are pending.
-    pub fn waiting(&self, queue: &str) -> u64 {
+    pub fn pending_count(&self, queue: &str) -> u64 {
         self.pending.get(queue).copied().unwrap_or(0)
     }
 
     /// Applies a new configuration to all jobs that have not ended. A removed queue's jobs keep their terms.
-    pub fn retune(&mut self, lookup: &dyn Fn(&str) -> Option<QueueTerms>) {
+    pub fn apply_configuration(&mut self, lookup: &dyn Fn(&str) -> Option<QueuePolicy>) {
         let mut changed = Vec::new();
         for (id, entry) in &self.jobs {
             let Entry::Kept(job) = entry else { continue };
@@ -101,7 +101,7 @@
             if let Some(terms) = newer.filter(|terms| job.end.is_none() && *terms != job.terms) {
                 changed.push((
                     id.clone(),
-                    QueueTerms {
+                    QueuePolicy {
                         queue: job.terms.queue.clone(),
                         ..terms
                     },
@@ -115,7 +115,7 @@
     }
 
     /// Releases iterations that are due and pauses that are over; drops jobs that ended long ago.
-    pub fn advance(&mut self, now: Now) {
+    pub fn tick(&mut self, now: Now) {
         self.note(now);
         while let Some(id) = self.fx.timers.due_release(now) {
             self.change(&id, |job, fx| {
@@ -133,41 +133,52 @@
         }
     }
 
-    /// How long [`JobBook::advance`] has nothing to do, in milliseconds from `now`; none if nothing is planned.
+    /// How long [`JobTable::tick`] has nothing to do, in milliseconds from `now`; none if nothing is planned.
     pub fn next_in(&self, now: Now) -> Option<Millis> {
         self.fx.timers.next_in(now)
     }
 
     /// Records that a unit was claimed: `on` names a worker for each of its tasks. Nothing is started (and the list
     /// is empty) if the unit does not wait or `on` is not exactly its tasks.
-    pub fn begin(&mut self, now: Now, unit: &UnitId, on: &[(TaskId, WorkerId)]) -> Vec<StartedRun> {
+    pub fn start_unit(
+        &mut self,
+        now: Now,
+        unit: &UnitId,
+        on: &[(TaskId, WorkerId)],
+    ) -> Vec<StartedRun> {
         self.note(now);
         self.change(&unit.step.job, |job, fx| job.begin(now, unit, on, fx))
             .unwrap_or_default()
     }
 
     /// Records a run's end as its worker listed it. False if the run is not recorded as assigned: nothing changed.
-    pub fn ended(&mut self, now: Now, run: &RunId, how: RunEnd, checkpoint: &str) -> bool {
+    pub fn on_run_finished(
+        &mut self,
+        now: Now,
+        run: &RunId,
+        how: RunEnd,
+        checkpoint: &str,
+    ) -> bool {
         let vain = match how {
-            RunEnd::Failed => Stage::Failed,
-            RunEnd::Stopped => Stage::Stopped,
-            _ => Stage::Lost,
+            RunEnd::Failed => LatencyStage::Failed,
+            RunEnd::Stopped => LatencyStage::Stopped,
+            _ => LatencyStage::Lost,
         };
         self.over(now, run, how.into(), vain, checkpoint)
     }
 
     /// Records that a run is over without a noted end, as its worker is gone or its lease is over.
-    pub fn lost(&mut self, now: Now, run: &RunId) {
-        self.over(now, run, Outcome::Over, Stage::Lost, "");
+    pub fn on_run_lost(&mut self, now: Now, run: &RunId) {
+        self.over(now, run, Outcome::Over, LatencyStage::Lost, "");
     }
 
     /// Records that a run never began and never will.
-    pub fn withdrawn(&mut self, now: Now, run: &RunId) {
-        self.over(now, run, Outcome::Over, Stage::Stopped, "");
+    pub fn on_run_withdrawn(&mut self, now: Now, run: &RunId) {
+        self.over(now, run, Outcome::Over, LatencyStage::Stopped, "");
     }
 
     /// Records where the time of a unit went that is about to begin: it waited, for these causes.
-    pub fn waited(&mut self, now: Now, unit: &UnitId, waits: &[(Stage, Millis)]) {
+    pub fn record_wait(&mut self, now: Now, unit: &UnitId, waits: &[(LatencyStage, Millis)]) {
         let Some(job) = self.kept_mut(&unit.step.job) else {
             return;
         };
@@ -188,8 +199,8 @@
         state.told_until = now.steady;
     }
 
-    /// Records how a run went that has ended, before [`JobBook::ended`] records its end.
-    pub fn ran(&mut self, run: &RunId, times: RunTimes) {
+    /// Records how a run went that has ended, before [`JobTable::on_run_finished`] records its end.
+    pub fn record_run_timings(&mut self, run: &RunId, times: RunTimings) {
         let Some(job) = self.kept_mut(&run.task.job) else {
             return;
         };
@@ -207,7 +218,7 @@
         now: Now,
         run: &RunId,
         outcome: Outcome,
-        vain: Stage,
+        vain: LatencyStage,
         checkpoint: &str,
     ) -> bool {
         self.note(now);
@@ -220,7 +231,7 @@
 
     /// Records the checkpoint that a run reported while at work. It is written at the run's end or loss: until then
     /// its worker reports it again to whoever asks.
-    pub fn checkpointed(&mut self, run: &RunId, checkpoint: &str) {
+    pub fn on_checkpoint(&mut self, run: &RunId, checkpoint: &str) {
         let Some(job) = self.kept_mut(&run.task.job) else {
             return;
         };
@@ -230,7 +241,7 @@
     }
 
     /// Records that a run makes no progress at its worker: the unit avoids that worker from now on.
-    pub fn stalled(&mut self, run: &RunId) {
+    pub fn on_run_stalled(&mut self, run: &RunId) {
         self.change(&run.task.job, |job, fx| job.stalled(run, fx));
     }
 
@@ -272,7 +283,7 @@
     }
 
     /// Takes what changed since the last call.
-    pub fn take_changes(&mut self) -> Changes {
+    pub fn take_changes(&mut self) -> JobChanges {
         let mut writes = Vec::new();
         for id in std::mem::take(&mut self.fx.jobs) {
             let value = self
@@ -293,7 +304,7 @@
             });
         }
         let ready = std::mem::take(&mut self.fx.ready);
-        Changes {
+        JobChanges {
             writes,
             ready: ready.iter().filter_map(|id| self.unit(id)).collect(),
             revoked: std::mem::take(&mut self.fx.revoked).into_iter().collect(),
@@ -407,13 +418,13 @@
 }
 
 /// The same terms with a stretch that a record can hold.
-fn sound(terms: &QueueTerms) -> QueueTerms {
+fn sound(terms: &QueuePolicy) -> QueuePolicy {
     let stretch = if terms.stretch.is_finite() {
         terms.stretch
     } else {
         0.0
     };
-    QueueTerms {
+    QueuePolicy {
         stretch,
         ..terms.clone()
     }
--- a/crates/jobs/src/changes.rs
+++ b/crates/jobs/src/changes.rs
@@ -11,7 +11,7 @@
 /// Everything that changed since the last call. Take back `revoked` first, then place `ready`: a unit given out anew
 /// is in both.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Changes {
+pub struct JobChanges {
     /// Changes to the replicated state, in one batch; each key at most once.
     pub writes: Vec<Write>,
     /// Units whose turn has come.
--- a/crates/jobs/src/check.rs
+++ b/crates/jobs/src/check.rs
@@ -1,7 +1,7 @@
 //! Checks of a request before it is taken.
 
 use crate::error::SubmitError;
-use streamusher_protocol::job::{JobRequest, StepRequest, MOST_SPEC_BYTES};
+use streamusher_protocol::job::{JobRequest, StepRequest, MAX_SPEC_BYTES};
 use streamusher_protocol::Millis;
 
 /// Tasks of a job that may be open at one time: bounds the memory and the record of a single job.
@@ -21,7 +21,7 @@
 
 /// Refuses what cannot be run or would cost beyond reason.
 pub(crate) fn check(request: &JobRequest) -> Result<(), SubmitError> {
-    if request.spec.len() > MOST_SPEC_BYTES {
+    if request.spec.len() > MAX_SPEC_BYTES {
         return Err(SubmitError::SpecTooLong(request.spec.len()));
     }
     if request.steps.is_empty() {
--- a/crates/jobs/src/completion.rs
+++ b/crates/jobs/src/completion.rs
@@ -1,7 +1,7 @@
 //! How an iteration of a job ended, beside what its queue asks for.
 
 use crate::job::Job;
-use crate::spent::{Stage, TimeSpent};
+use crate::spent::{LatencyBreakdown, LatencyStage};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 use streamusher_protocol::task::JobId;
@@ -34,7 +34,7 @@
     pub objective_ms: Millis,
     /// Where the time went along the chain of tasks that its end waited for; the sum is `took_ms`.
     #[serde(rename = "spent_ms")]
-    pub spent: TimeSpent,
+    pub spent: LatencyBreakdown,
 }
 
 impl Completion {
@@ -52,14 +52,14 @@
         now: Now,
         iteration: u32,
         is_done: bool,
-        mut spent: TimeSpent,
+        mut spent: LatencyBreakdown,
     ) -> Completion {
         let due_unix_ms = self.plan.due_at(iteration).max(self.submitted);
         let took_ms = now.unix.saturating_sub(due_unix_ms);
         let unknown_ms = took_ms.saturating_sub(spent.total_ms());
-        spent.add(Stage::Unknown, unknown_ms);
+        spent.add(LatencyStage::Unknown, unknown_ms);
         let is_seen = is_done && 2 * unknown_ms < took_ms;
-        let seen_ms = spent.of(Stage::Worked) + spent.of(Stage::Failed);
+        let seen_ms = spent.of(LatencyStage::Worked) + spent.of(LatencyStage::Failed);
         let work_ms = if is_seen { seen_ms } else { self.plan.chain_ms };
         let stretched_ms = (self.terms.stretch.max(0.0) * work_ms as f64) as Millis;
         Completion {
--- a/crates/jobs/src/error.rs
+++ b/crates/jobs/src/error.rs
@@ -1,13 +1,13 @@
 //! Why a job is refused, and why a stored record cannot be used.
 
 use std::sync::Arc;
-use streamusher_protocol::job::MOST_SPEC_BYTES;
+use streamusher_protocol::job::MAX_SPEC_BYTES;
 
 /// Why a job is refused. The text names the field and the remedy; nothing of the job was kept.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SubmitError {
     /// The spec is too long.
-    #[error("spec has {0} bytes: send at most {MOST_SPEC_BYTES}")]
+    #[error("spec has {0} bytes: send at most {MAX_SPEC_BYTES}")]
     SpecTooLong(usize),
     /// There is no step.
     #[error("steps is empty: send at least one step")]
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -5,9 +5,9 @@
 use crate::names::unit_id;
 use crate::pause::restart_pause;
 use crate::plan::Plan;
-use crate::spent::{Stage, TimeSpent};
+use crate::spent::{LatencyBreakdown, LatencyStage};
 use crate::steps::{Iteration, Phase, Step};
-use crate::terms::QueueTerms;
+use crate::terms::QueuePolicy;
 use std::collections::{BTreeMap, BTreeSet};
 use streamusher_protocol::job::JobState;
 use streamusher_protocol::task::{JobId, RunId, TaskId};
@@ -23,7 +23,7 @@
     /// Its identifier.
     pub id: JobId,
     /// Its queue's terms.
-    pub terms: QueueTerms,
+    pub terms: QueuePolicy,
     /// Its request.
     pub plan: Plan,
     /// When it was handed in, since 1970.
@@ -77,7 +77,7 @@
 
 impl Job {
     /// A job that was just handed in.
-    pub fn new(id: JobId, terms: QueueTerms, plan: Plan, submitted: Millis) -> Job {
+    pub fn new(id: JobId, terms: QueuePolicy, plan: Plan, submitted: Millis) -> Job {
         Job {
             id,
             terms,
@@ -195,7 +195,7 @@
     }
 
     /// Ends the job as one of its units has no attempt left.
-    pub fn fail(&mut self, now: Now, iteration: u32, spent: TimeSpent, fx: &mut Effects) {
+    pub fn fail(&mut self, now: Now, iteration: u32, spent: LatencyBreakdown, fx: &mut Effects) {
         if self.end.is_none() {
             fx.completions
                 .push(self.completion(now, iteration, false, spent));
@@ -210,7 +210,7 @@
             return;
         };
         if state.phase == Phase::Paused(planned) {
-            state.tell(now.steady, Stage::Paused);
+            state.tell(now.steady, LatencyStage::Paused);
             state.phase = Phase::Waiting;
             fx.ready.insert(id.clone());
         }
@@ -231,7 +231,7 @@
     }
 
     /// Takes new terms. Units that wait are given out anew, and the job ends if one has no attempt left.
-    pub fn retune(&mut self, terms: QueueTerms, fx: &mut Effects) {
+    pub fn retune(&mut self, terms: QueuePolicy, fx: &mut Effects) {
         self.terms = terms;
         fx.jobs.insert(self.id.clone());
         let mut hopeless = false;
@@ -277,10 +277,10 @@
             .get(unit)
             .filter(|s| s.phase == Phase::Waiting)?;
         let due = self.plan.due_at(iteration).max(self.submitted);
-        let spare = entry
+        let speculative = entry
             .members_of(unit)
             .any(|m| entry.members[m].earlier.is_some());
-        let behind = if spare { SPARE_BEHIND_MS } else { 0 };
+        let behind = if speculative { SPARE_BEHIND_MS } else { 0 };
         Some(Unit {
             id: id.clone(),
             tasks: entry
@@ -303,7 +303,7 @@
             checkpoints: request.checkpoints,
             long_running: request.long_running,
             hedged: self.is_hedged(step),
-            spare,
+            speculative,
             avoid: state.avoid.clone(),
         })
     }
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -1,9 +1,9 @@
 //! The job record: which jobs are known, which of their tasks may run now, where they run and how often they failed.
 //!
-//! [`JobBook`] is a state machine without I/O. It is told the time and what happened, and hands out through
-//! [`JobBook::take_changes`] the writes to the replicated state, the units that became ready or were taken back, and
+//! [`JobTable`] is a state machine without I/O. It is told the time and what happened, and hands out through
+//! [`JobTable::take_changes`] the writes to the replicated state, the units that became ready or were taken back, and
 //! the runs to stop. The book holds for every task that at most one run of it is assigned at any time (two where its
-//! step is hedged and [`JobBook::hedge`] asks for it), that run numbers rise and never repeat, that a step waits for the
+//! step is hedged and [`JobTable::hedge`] asks for it), that run numbers rise and never repeat, that a step waits for the
 //! steps it depends on, and that attempts are limited.
 
 mod answers;
@@ -29,10 +29,10 @@
 mod stored;
 mod terms;
 
-pub use answers::{Cancelled, Submitted};
-pub use book::JobBook;
-pub use changes::{AssignedRun, Changes, StartedRun};
+pub use answers::{CancelOutcome, SubmitOutcome};
+pub use book::JobTable;
+pub use changes::{AssignedRun, JobChanges, StartedRun};
 pub use completion::Completion;
 pub use error::{RecordError, SubmitError};
-pub use spent::{RunTimes, Stage, TimeSpent};
-pub use terms::{QueueTerms, Settings};
+pub use spent::{LatencyBreakdown, LatencyStage, RunTimings};
+pub use terms::{JobSettings, QueuePolicy};
--- a/crates/jobs/src/record.rs
+++ b/crates/jobs/src/record.rs
@@ -31,13 +31,13 @@
 pub(crate) struct OpenRecord {
     /// The queue's terms.
     pub service: Arc<str>,
-    /// See [`crate::QueueTerms`].
+    /// See [`crate::QueuePolicy`].
     pub priority: u32,
-    /// See [`crate::QueueTerms`].
+    /// See [`crate::QueuePolicy`].
     pub max_attempts: u32,
-    /// See [`crate::QueueTerms`].
+    /// See [`crate::QueuePolicy`].
     pub stretch: f64,
-    /// See [`crate::QueueTerms`].
+    /// See [`crate::QueuePolicy`].
     pub target_latency_ms: Millis,
     /// When it was handed in, since 1970.
     pub submitted_ms: Millis,
--- a/crates/jobs/src/recover.rs
+++ b/crates/jobs/src/recover.rs
@@ -1,26 +1,26 @@
 //! The record rebuilt from the replicated state.
 
-use crate::book::JobBook;
+use crate::book::JobTable;
 use crate::check::check;
 use crate::entry::Entry;
 use crate::error::RecordError;
 use crate::job::Job;
 use crate::record::{self, JobRecord, Key, TaskRecord};
-use crate::terms::Settings;
+use crate::terms::JobSettings;
 use std::sync::Arc;
 use streamusher_protocol::task::{JobId, TaskId};
 use streamusher_protocol::Now;
 
-impl JobBook {
+impl JobTable {
     /// The record as it was written: `records` are all keys `job/...` and `task/...` of the replicated state, in any
-    /// order. Units that wait are given out by the next [`JobBook::take_changes`]. An ended job's state is kept for
+    /// order. Units that wait are given out by the next [`JobTable::take_changes`]. An ended job's state is kept for
     /// the whole time again, as the clock by which it ended is gone.
     pub fn recover(
-        settings: Settings,
+        settings: JobSettings,
         now: Now,
         records: impl Iterator<Item = (Arc<str>, Arc<str>)>,
-    ) -> Result<JobBook, RecordError> {
-        let mut book = JobBook::new(settings);
+    ) -> Result<JobTable, RecordError> {
+        let mut book = JobTable::new(settings);
         let mut tasks = Vec::new();
         for (key, value) in records {
             match Key::parse(&key)? {
@@ -60,7 +60,7 @@
 }
 
 fn restore_task(
-    book: &mut JobBook,
+    book: &mut JobTable,
     now: Now,
     task: &TaskId,
     record: TaskRecord,
--- a/crates/jobs/src/runs.rs
+++ b/crates/jobs/src/runs.rs
@@ -4,7 +4,7 @@
 use crate::effects::Effects;
 use crate::job::Job;
 use crate::place::Place;
-use crate::spent::Stage;
+use crate::spent::LatencyStage;
 use crate::steps::{EarlierRun, Iteration, Phase, Step};
 use std::sync::Arc;
 use streamusher_protocol::job::JobState;
@@ -32,7 +32,7 @@
     /// What it means for its unit.
     pub outcome: Outcome,
     /// What its time was spent on, if not on work that is done.
-    pub vain: Stage,
+    pub vain: LatencyStage,
 }
 
 impl From<RunEnd> for Outcome {
@@ -40,9 +40,11 @@
         match how {
             RunEnd::Done => Outcome::Done,
             RunEnd::Failed => Outcome::Failed,
-            RunEnd::Stopped | RunEnd::Lapsed | RunEnd::Broken | RunEnd::Alone | RunEnd::Refused => {
-                Outcome::Over
-            }
+            RunEnd::Stopped
+            | RunEnd::LeaseExpired
+            | RunEnd::GangBroken
+            | RunEnd::GangIncomplete
+            | RunEnd::Rejected => Outcome::Over,
         }
     }
 }
--- a/crates/jobs/src/spent.rs
+++ b/crates/jobs/src/spent.rs
@@ -7,7 +7,7 @@
 /// What a unit spends its time on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Stage {
+pub enum LatencyStage {
     /// Waited while no worker took its work, or none that it may run at.
     WaitedForWorker,
     /// Waited while no worker that could run it had the room free.
@@ -34,39 +34,42 @@
     Unknown,
 }
 
-impl Stage {
+impl LatencyStage {
     /// All of them.
-    pub const ALL: [Stage; 12] = [
-        Stage::WaitedForWorker,
-        Stage::WaitedForRoom,
-        Stage::WaitedForReservation,
-        Stage::WaitedWithRoomFree,
-        Stage::Paused,
-        Stage::Ordered,
-        Stage::Worked,
-        Stage::RanSlowly,
-        Stage::Failed,
-        Stage::Stopped,
-        Stage::Lost,
-        Stage::Unknown,
+    pub const ALL: [LatencyStage; 12] = [
+        LatencyStage::WaitedForWorker,
+        LatencyStage::WaitedForRoom,
+        LatencyStage::WaitedForReservation,
+        LatencyStage::WaitedWithRoomFree,
+        LatencyStage::Paused,
+        LatencyStage::Ordered,
+        LatencyStage::Worked,
+        LatencyStage::RanSlowly,
+        LatencyStage::Failed,
+        LatencyStage::Stopped,
+        LatencyStage::Lost,
+        LatencyStage::Unknown,
     ];
 }
 
 /// Milliseconds in each stage; stored as a map of the stages with any.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(from = "BTreeMap<Stage, Millis>", into = "BTreeMap<Stage, Millis>")]
-pub struct TimeSpent([u32; Stage::ALL.len()]);
+#[serde(
+    from = "BTreeMap<LatencyStage, Millis>",
+    into = "BTreeMap<LatencyStage, Millis>"
+)]
+pub struct LatencyBreakdown([u32; LatencyStage::ALL.len()]);
 
-impl TimeSpent {
+impl LatencyBreakdown {
     /// Adds to a stage.
-    pub fn add(&mut self, stage: Stage, spent_ms: Millis) {
+    pub fn add(&mut self, stage: LatencyStage, spent_ms: Millis) {
         let spent_ms = u32::try_from(spent_ms).unwrap_or(u32::MAX);
         let total = &mut self.0[stage as usize];
         *total = total.saturating_add(spent_ms);
     }
 
     /// Time in a stage, in milliseconds.
-    pub fn of(&self, stage: Stage) -> Millis {
+    pub fn of(&self, stage: LatencyStage) -> Millis {
         self.0[stage as usize].into()
     }
 
@@ -76,17 +79,17 @@
     }
 
     /// The stages with any time.
-    pub fn stages(&self) -> impl Iterator<Item = (Stage, Millis)> + '_ {
-        Stage::ALL
+    pub fn stages(&self) -> impl Iterator<Item = (LatencyStage, Millis)> + '_ {
+        LatencyStage::ALL
             .into_iter()
             .map(|stage| (stage, self.of(stage)))
             .filter(|(_, spent_ms)| *spent_ms > 0)
     }
 }
 
-impl From<BTreeMap<Stage, Millis>> for TimeSpent {
-    fn from(stages: BTreeMap<Stage, Millis>) -> TimeSpent {
-        let mut spent = TimeSpent::default();
+impl From<BTreeMap<LatencyStage, Millis>> for LatencyBreakdown {
+    fn from(stages: BTreeMap<LatencyStage, Millis>) -> LatencyBreakdown {
+        let mut spent = LatencyBreakdown::default();
         stages
             .into_iter()
             .for_each(|(stage, spent_ms)| spent.add(stage, spent_ms));
@@ -94,28 +97,28 @@
     }
 }
 
-impl From<TimeSpent> for BTreeMap<Stage, Millis> {
-    fn from(spent: TimeSpent) -> BTreeMap<Stage, Millis> {
+impl From<LatencyBreakdown> for BTreeMap<LatencyStage, Millis> {
+    fn from(spent: LatencyBreakdown) -> BTreeMap<LatencyStage, Millis> {
         spent.stages().collect()
     }
 }
 
 /// How a run went, as far as its worker's reports tell.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RunTimes {
+pub struct RunTimings {
     /// From the first report that showed it to its end.
     pub ran_ms: Millis,
     /// How much longer than at a usual worker near its data it took; 1 where nothing tells.
     pub slowness: f64,
 }
 
-impl RunTimes {
+impl RunTimings {
     /// Splits the time from a run's order to its end.
-    pub(crate) fn add_done(self, held_ms: Millis, spent: &mut TimeSpent) {
+    pub(crate) fn add_done(self, held_ms: Millis, spent: &mut LatencyBreakdown) {
         let ran_ms = self.ran_ms.min(held_ms);
         let worked_ms = (ran_ms as f64 / self.slowness.max(1.0)) as Millis;
-        spent.add(Stage::Ordered, held_ms - ran_ms);
-        spent.add(Stage::Worked, worked_ms);
-        spent.add(Stage::RanSlowly, ran_ms - worked_ms);
+        spent.add(LatencyStage::Ordered, held_ms - ran_ms);
+        spent.add(LatencyStage::Worked, worked_ms);
+        spent.add(LatencyStage::RanSlowly, ran_ms - worked_ms);
     }
 }
--- a/crates/jobs/src/steps.rs
+++ b/crates/jobs/src/steps.rs
@@ -4,7 +4,7 @@
 //! a member has only the worker at which the unit's newest run of it sits.
 
 use crate::plan::Plan;
-use crate::spent::{RunTimes, Stage, TimeSpent};
+use crate::spent::{LatencyBreakdown, LatencyStage, RunTimings};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 use streamusher_protocol::unit::WorkerId;
@@ -49,9 +49,9 @@
     /// Up to when its time is told in `spent`, by the steady clock.
     pub told_until: Millis,
     /// Where its time went, with that of the chain of units before it.
-    pub spent: TimeSpent,
+    pub spent: LatencyBreakdown,
     /// How its newest run went, once the run has ended.
-    pub run_times: Option<RunTimes>,
+    pub run_times: Option<RunTimings>,
     /// The newest checkpoint known.
     pub checkpoint: Arc<str>,
     /// What the newest run was started with.
@@ -62,13 +62,13 @@
 
 impl UnitState {
     /// Its turn has come after units that spent this time, the last before it.
-    pub fn follow(&mut self, now: Millis, chain: TimeSpent) {
+    pub fn follow(&mut self, now: Millis, chain: LatencyBreakdown) {
         self.spent = chain;
         self.told_until = now;
     }
 
     /// What it did since its time was last told.
-    pub fn tell(&mut self, now: Millis, stage: Stage) {
+    pub fn tell(&mut self, now: Millis, stage: LatencyStage) {
         self.spent.add(stage, now.saturating_sub(self.told_until));
         self.told_until = now;
     }
@@ -77,7 +77,7 @@
     pub fn tell_done(&mut self, now: Millis) {
         match self.run_times.take() {
             Some(times) => times.add_done(now.saturating_sub(self.told_until), &mut self.spent),
-            None => self.tell(now, Stage::Worked),
+            None => self.tell(now, LatencyStage::Worked),
         }
         self.told_until = now;
     }
@@ -177,7 +177,7 @@
     /// Tasks that are assigned.
     pub assigned: u32,
     /// Where the time of the unit went that was done last, and of the chain before it.
-    pub latest: TimeSpent,
+    pub latest: LatencyBreakdown,
 }
 
 impl Iteration {
@@ -203,7 +203,7 @@
             steps: steps.collect(),
             open_steps: plan.request.steps.len() as u32,
             assigned: 0,
-            latest: TimeSpent::default(),
+            latest: LatencyBreakdown::default(),
         }
     }
 
--- a/crates/jobs/src/stored.rs
+++ b/crates/jobs/src/stored.rs
@@ -5,7 +5,7 @@
 use crate::plan::Plan;
 use crate::record::{JobRecord, OpenRecord, TaskRecord};
 use crate::steps::{Iteration, Phase};
-use crate::terms::QueueTerms;
+use crate::terms::QueuePolicy;
 use std::sync::Arc;
 use streamusher_protocol::job::JobState;
 use streamusher_protocol::task::{JobId, TaskId};
@@ -61,7 +61,7 @@
 
     /// A job as it was stored; its tasks' records follow by [`Job::restore_task`].
     pub fn restore(id: JobId, queue: Arc<str>, end: Option<JobState>, open: OpenRecord) -> Job {
-        let terms = QueueTerms {
+        let terms = QueuePolicy {
             queue,
             service: open.service,
             priority: open.priority,
--- a/crates/jobs/src/terms.rs
+++ b/crates/jobs/src/terms.rs
@@ -5,7 +5,7 @@
 
 /// Bounds of the deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Settings {
+pub struct JobSettings {
     /// How long an ended job's state can be asked for, in milliseconds.
     pub status_ms: Millis,
     /// How far ahead of its time an iteration may start, in milliseconds. Iterations are released at their time and
@@ -15,7 +15,7 @@
 
 /// What the configuration says of a queue, as far as its jobs need it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct QueueTerms {
+pub struct QueuePolicy {
     /// The route's name.
     pub queue: Arc<str>,
     /// Whose workers run the tasks.
--- a/crates/jobs/tests/accounts.rs
+++ b/crates/jobs/tests/accounts.rs
@@ -4,16 +4,16 @@
 
 use common::*;
 use rstest::rstest;
-use streamusher_jobs::{Completion, RunTimes, Stage};
+use streamusher_jobs::{Completion, LatencyStage, RunTimings};
 use streamusher_protocol::job::StepRequest;
 use streamusher_protocol::task::{RunEnd, RunId};
 use streamusher_protocol::unit::UnitId;
 use streamusher_protocol::Millis;
 
 /// Waits for a cause, and begins.
-fn wait_and_begin(world: &mut World, id: &UnitId, stage: Stage, waited_ms: Millis) -> RunId {
+fn wait_and_begin(world: &mut World, id: &UnitId, stage: LatencyStage, waited_ms: Millis) -> RunId {
     world.pass(waited_ms);
-    world.book.waited(world.now, id, &[(stage, waited_ms)]);
+    world.book.record_wait(world.now, id, &[(stage, waited_ms)]);
     world.begin(id)[0].run.clone()
 }
 
@@ -27,7 +27,9 @@
     how: RunEnd,
 ) {
     world.pass(ordered_ms + ran_ms);
-    world.book.ran(run, RunTimes { ran_ms, slowness });
+    world
+        .book
+        .record_run_timings(run, RunTimings { ran_ms, slowness });
     assert!(world.end(run, how));
 }
 
@@ -41,7 +43,7 @@
     world.last.completions[0].clone()
 }
 
-fn stages(completion: &Completion) -> Vec<(Stage, Millis)> {
+fn stages(completion: &Completion) -> Vec<(LatencyStage, Millis)> {
     completion.spent.stages().collect()
 }
 
@@ -52,13 +54,13 @@
     let fast = wait_and_begin(
         &mut world,
         &unit(1, 0, 0, Some(0)),
-        Stage::WaitedForRoom,
+        LatencyStage::WaitedForRoom,
         50,
     );
     let slow = wait_and_begin(
         &mut world,
         &unit(1, 0, 0, Some(1)),
-        Stage::WaitedWithRoomFree,
+        LatencyStage::WaitedWithRoomFree,
         50,
     );
     run_for(&mut world, &fast, 10, 100, 1.0, RunEnd::Done);
@@ -67,7 +69,7 @@
     let last = wait_and_begin(
         &mut world,
         &unit(1, 0, 1, Some(0)),
-        Stage::WaitedForReservation,
+        LatencyStage::WaitedForReservation,
         30,
     );
     run_for(&mut world, &last, 20, 300, 1.5, RunEnd::Done);
@@ -77,12 +79,12 @@
     assert_eq!(completion.took_ms, 50 + 50 + 350 + 30 + 320);
     assert_eq!(completion.spent.total_ms(), completion.took_ms);
     let expected = vec![
-        (Stage::WaitedForReservation, 30),
-        (Stage::WaitedWithRoomFree, 50),
-        (Stage::Ordered, 110 + 20),
-        (Stage::Worked, 240 + 200),
-        (Stage::RanSlowly, 100),
-        (Stage::Unknown, 50),
+        (LatencyStage::WaitedForReservation, 30),
+        (LatencyStage::WaitedWithRoomFree, 50),
+        (LatencyStage::Ordered, 110 + 20),
+        (LatencyStage::Worked, 240 + 200),
+        (LatencyStage::RanSlowly, 100),
+        (LatencyStage::Unknown, 50),
     ];
     assert_eq!(stages(&completion), expected);
     assert_eq!(completion.objective_ms, 800 + (2.5 * 440.0) as Millis);
@@ -90,24 +92,24 @@
 }
 
 #[rstest]
-#[case::failed(RunEnd::Failed, Stage::Failed)]
-#[case::stopped(RunEnd::Stopped, Stage::Stopped)]
-#[case::lapsed(RunEnd::Lapsed, Stage::Lost)]
+#[case::failed(RunEnd::Failed, LatencyStage::Failed)]
+#[case::stopped(RunEnd::Stopped, LatencyStage::Stopped)]
+#[case::lapsed(RunEnd::LeaseExpired, LatencyStage::Lost)]
 fn given_a_run_in_vain_when_the_task_is_done_later_then_its_time_counts_by_how_it_ended(
     #[case] how: RunEnd,
-    #[case] stage: Stage,
+    #[case] stage: LatencyStage,
 ) {
     let mut world = World::new();
     world.submit(1, request(vec![step(1)]));
     let id = unit(1, 0, 0, Some(0));
-    let first = wait_and_begin(&mut world, &id, Stage::WaitedForRoom, 100);
+    let first = wait_and_begin(&mut world, &id, LatencyStage::WaitedForRoom, 100);
     run_for(&mut world, &first, 50, 400, 1.0, how);
-    let second = wait_and_begin(&mut world, &id, Stage::WaitedForRoom, 200);
+    let second = wait_and_begin(&mut world, &id, LatencyStage::WaitedForRoom, 200);
     run_for(&mut world, &second, 0, 900, 1.0, RunEnd::Done);
 
     let expected = vec![
-        (Stage::WaitedForRoom, 300),
-        (Stage::Worked, 900),
+        (LatencyStage::WaitedForRoom, 300),
+        (LatencyStage::Worked, 900),
         (stage, 450),
     ];
     let mut told = stages(&completion(&world));
@@ -120,15 +122,15 @@
     let mut world = World::new();
     world.submit(1, request(vec![step(1)]));
     let id = unit(1, 0, 0, Some(0));
-    let first = wait_and_begin(&mut world, &id, Stage::WaitedForWorker, 10);
+    let first = wait_and_begin(&mut world, &id, LatencyStage::WaitedForWorker, 10);
     world.pass(700);
     world.lose(&first);
-    let second = wait_and_begin(&mut world, &id, Stage::WaitedForWorker, 20);
+    let second = wait_and_begin(&mut world, &id, LatencyStage::WaitedForWorker, 20);
     run_for(&mut world, &second, 0, 100, 1.0, RunEnd::Done);
     let expected = vec![
-        (Stage::WaitedForWorker, 30),
-        (Stage::Worked, 100),
-        (Stage::Lost, 700),
+        (LatencyStage::WaitedForWorker, 30),
+        (LatencyStage::Worked, 100),
+        (LatencyStage::Lost, 700),
     ];
     assert_eq!(stages(&completion(&world)), expected);
 }
@@ -139,14 +141,17 @@
     world.submit(1, request(vec![step(2)]));
     let id = unit(1, 0, 0, Some(0));
     for _ in 0..terms("scans").max_attempts {
-        let run = wait_and_begin(&mut world, &id, Stage::WaitedForRoom, 10);
+        let run = wait_and_begin(&mut world, &id, LatencyStage::WaitedForRoom, 10);
         run_for(&mut world, &run, 0, 300, 1.0, RunEnd::Failed);
     }
     let completion = completion(&world);
     assert!(!completion.is_done && !completion.is_in_time());
     assert_eq!(
         stages(&completion),
-        vec![(Stage::WaitedForRoom, 20), (Stage::Failed, 600)]
+        vec![
+            (LatencyStage::WaitedForRoom, 20),
+            (LatencyStage::Failed, 600)
+        ]
     );
 }
 
@@ -161,16 +166,16 @@
         }]),
     );
     let id = unit(1, 0, 0, Some(0));
-    let first = wait_and_begin(&mut world, &id, Stage::WaitedForRoom, 10);
+    let first = wait_and_begin(&mut world, &id, LatencyStage::WaitedForRoom, 10);
     world.pass(400);
     assert!(world.book.hedge(&first));
     world.take();
-    wait_and_begin(&mut world, &id, Stage::WaitedForRoom, 100);
+    wait_and_begin(&mut world, &id, LatencyStage::WaitedForRoom, 100);
     world.pass(150);
     run_for(&mut world, &first, 0, 50, 1.0, RunEnd::Done);
     let completion = completion(&world);
     assert_eq!(completion.spent.total_ms(), 10 + 400 + 100 + 150 + 50);
-    assert_eq!(completion.spent.of(Stage::Unknown), 0);
+    assert_eq!(completion.spent.of(LatencyStage::Unknown), 0);
 }
 
 #[test]
@@ -180,7 +185,7 @@
     let run = wait_and_begin(
         &mut world,
         &unit(1, 0, 0, Some(0)),
-        Stage::WaitedForRoom,
+        LatencyStage::WaitedForRoom,
         40,
     );
     world.pass(3_000);
@@ -189,7 +194,7 @@
     let completion = completion(&world);
     assert_eq!(
         stages(&completion),
-        vec![(Stage::Worked, 200), (Stage::Unknown, 3_040)]
+        vec![(LatencyStage::Worked, 200), (LatencyStage::Unknown, 3_040)]
     );
     assert_eq!(completion.objective_ms, 800 + (2.5 * 900.0) as Millis);
 }
@@ -208,7 +213,7 @@
     for iteration in 0..2 {
         world.pass(due + 5_000 * u64::from(iteration) - world.now.unix);
         let id = unit(1, iteration, 0, Some(0));
-        let run = wait_and_begin(&mut world, &id, Stage::WaitedForRoom, 100);
+        let run = wait_and_begin(&mut world, &id, LatencyStage::WaitedForRoom, 100);
         run_for(&mut world, &run, 0, 200, 1.0, RunEnd::Done);
         let completion = completion(&world);
         assert_eq!((completion.iteration, completion.took_ms), (iteration, 300));
--- a/crates/jobs/tests/bad_input.rs
+++ b/crates/jobs/tests/bad_input.rs
@@ -5,7 +5,7 @@
 use common::*;
 use rstest::rstest;
 use std::sync::Arc;
-use streamusher_jobs::{JobBook, QueueTerms, RecordError};
+use streamusher_jobs::{JobTable, QueuePolicy, RecordError};
 use streamusher_protocol::heartbeat::Resources;
 use streamusher_protocol::job::{JobRequest, StepRequest};
 
@@ -65,7 +65,7 @@
     world.take();
     assert!(world.state.is_empty() && world.ready.is_empty());
     assert_eq!(world.status(1), None);
-    assert_eq!(world.book.waiting("scans"), 0);
+    assert_eq!(world.book.pending_count("scans"), 0);
 }
 
 #[test]
@@ -100,7 +100,7 @@
     world.submit_to(
         1,
         request(vec![step(1)]),
-        &QueueTerms {
+        &QueuePolicy {
             stretch: f64::NAN,
             ..terms("scans")
         },
@@ -114,12 +114,12 @@
     format!(r#"{{"queue":"q","open":{}}}"#, OPEN.replace("COUNT", count))
 }
 
-fn recover(records: &[(&str, &str)]) -> Result<JobBook, RecordError> {
+fn recover(records: &[(&str, &str)]) -> Result<JobTable, RecordError> {
     let records: Vec<(Arc<str>, Arc<str>)> = records
         .iter()
         .map(|(k, v)| (Arc::from(*k), Arc::from(*v)))
         .collect();
-    JobBook::recover(settings(), START, records.into_iter())
+    JobTable::recover(settings(), START, records.into_iter())
 }
 
 const JOB: &str = "job/0000000000000001";
--- a/crates/jobs/tests/common/mod.rs
+++ b/crates/jobs/tests/common/mod.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use streamusher_jobs::{Changes, JobBook, QueueTerms, Settings, StartedRun};
+use streamusher_jobs::{JobChanges, JobSettings, JobTable, QueuePolicy, StartedRun};
 use streamusher_protocol::heartbeat::Resources;
 use streamusher_protocol::job::{JobRequest, JobState, StepRequest};
 use streamusher_protocol::task::{JobId, RunEnd, RunId, TaskId};
@@ -19,8 +19,8 @@
     unix: 1_700_000_000_000,
 };
 
-pub fn settings() -> Settings {
-    Settings {
+pub fn settings() -> JobSettings {
+    JobSettings {
         status_ms: STATUS_MS,
         early_ms: 250,
     }
@@ -54,8 +54,8 @@
     RunId { task, run }
 }
 
-pub fn terms(queue: &str) -> QueueTerms {
-    QueueTerms {
+pub fn terms(queue: &str) -> QueuePolicy {
+    QueuePolicy {
         queue: queue.into(),
         service: "imaging".into(),
         priority: 1,
@@ -102,12 +102,12 @@
 }
 
 pub struct World {
-    pub book: JobBook,
+    pub book: JobTable,
     pub now: Now,
     pub state: BTreeMap<Arc<str>, Arc<str>>,
     pub ready: BTreeMap<UnitId, Unit>,
     pub stops: BTreeSet<RunId>,
-    pub last: Changes,
+    pub last: JobChanges,
 }
 
 impl Default for World {
@@ -119,12 +119,12 @@
 impl World {
     pub fn new() -> World {
         World {
-            book: JobBook::new(settings()),
+            book: JobTable::new(settings()),
             now: START,
             state: BTreeMap::new(),
             ready: BTreeMap::new(),
             stops: BTreeSet::new(),
-            last: Changes::default(),
+            last: JobChanges::default(),
         }
     }
 
@@ -162,7 +162,7 @@
     pub fn pass(&mut self, span: Millis) {
         self.now.steady += span;
         self.now.unix += span;
-        self.book.advance(self.now);
+        self.book.tick(self.now);
         self.take();
     }
 
@@ -170,7 +170,7 @@
         self.submit_to(number, request, &terms("scans"));
     }
 
-    pub fn submit_to(&mut self, number: u64, request: JobRequest, terms: &QueueTerms) {
+    pub fn submit_to(&mut self, number: u64, request: JobRequest, terms: &QueuePolicy) {
         self.book
             .submit(self.now, &job(number), request, terms)
             .expect("the job is taken");
@@ -189,7 +189,7 @@
             .enumerate()
             .map(|(i, t)| (t.clone(), format!("w{i}").into()))
             .collect();
-        let started = self.book.begin(self.now, id, &on);
+        let started = self.book.start_unit(self.now, id, &on);
         self.take();
         started
     }
@@ -199,7 +199,7 @@
     }
 
     pub fn end_with(&mut self, run: &RunId, how: RunEnd, checkpoint: &str) -> bool {
-        let known = self.book.ended(self.now, run, how, checkpoint);
+        let known = self.book.on_run_finished(self.now, run, how, checkpoint);
         self.take();
         known
     }
@@ -213,11 +213,11 @@
     }
 
     pub fn lose(&mut self, run: &RunId) {
-        self.book.lost(self.now, run);
+        self.book.on_run_lost(self.now, run);
         self.take();
     }
 
-    pub fn cancel(&mut self, number: u64) -> streamusher_jobs::Cancelled {
+    pub fn cancel(&mut self, number: u64) -> streamusher_jobs::CancelOutcome {
         let cancelled = self.book.cancel(self.now, &job(number));
         self.take();
         cancelled
@@ -238,7 +238,7 @@
     /// The record rebuilt from the state, with the units that it gives out.
     pub fn recovered(&self) -> World {
         let records = self.state.iter().map(|(k, v)| (k.clone(), v.clone()));
-        let book = JobBook::recover(settings(), self.now, records).expect("the state can be read");
+        let book = JobTable::recover(settings(), self.now, records).expect("the state can be read");
         let mut world = World {
             book,
             now: self.now,
--- a/crates/jobs/tests/common/oracle.rs
+++ b/crates/jobs/tests/common/oracle.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub struct JobFacts {
     pub request: JobRequest,
-    pub terms: QueueTerms,
+    pub terms: QueuePolicy,
     pub submitted: Millis,
     pub end: Option<JobState>,
     pub ended_at: Millis,
@@ -33,7 +33,7 @@
 }
 
 impl JobFacts {
-    pub fn new(request: JobRequest, terms: QueueTerms, now: Now) -> JobFacts {
+    pub fn new(request: JobRequest, terms: QueuePolicy, now: Now) -> JobFacts {
         let mut units = BTreeMap::new();
         for iteration in 0..request.repeat_count.max(1) {
             for (step, content) in request.steps.iter().enumerate() {
--- a/crates/jobs/tests/gangs.rs
+++ b/crates/jobs/tests/gangs.rs
@@ -27,9 +27,9 @@
     assert!(started
         .iter()
         .all(|s| s.run.run == 1 && s.checkpoint.is_empty()));
-    world.book.checkpointed(run_of(&started, 1), "c1");
-    world.book.checkpointed(run_of(&started, 0), "c2");
-    world.book.checkpointed(run_of(&started, 1), "c1");
+    world.book.on_checkpoint(run_of(&started, 1), "c1");
+    world.book.on_checkpoint(run_of(&started, 0), "c2");
+    world.book.on_checkpoint(run_of(&started, 1), "c1");
     started.iter().for_each(|s| world.lose(&s.run));
     let again = world.begin(&id);
     assert!(again.iter().all(|s| s.run.run == 2));
@@ -43,19 +43,22 @@
 fn given_a_gang_when_a_member_is_missing_or_named_twice_then_nothing_begins() {
     let (mut world, id) = gang_world();
     let at = |index| (task(1, 0, 0, index), "w".into());
-    assert!(world.book.begin(world.now, &id, &[at(0), at(1)]).is_empty());
     assert!(world
         .book
-        .begin(world.now, &id, &[at(0), at(1), at(1)])
+        .start_unit(world.now, &id, &[at(0), at(1)])
         .is_empty());
     assert!(world
         .book
-        .begin(world.now, &unit(1, 0, 0, Some(0)), &[at(0)])
+        .start_unit(world.now, &id, &[at(0), at(1), at(1)])
+        .is_empty());
+    assert!(world
+        .book
+        .start_unit(world.now, &unit(1, 0, 0, Some(0)), &[at(0)])
         .is_empty());
     assert_eq!(
         world
             .book
-            .begin(world.now, &id, &[at(2), at(1), at(0)])
+            .start_unit(world.now, &id, &[at(2), at(1), at(0)])
             .len(),
         3
     );
@@ -97,7 +100,7 @@
 fn given_a_gang_when_one_member_ends_otherwise_then_the_others_are_stopped_and_awaited() {
     let (mut world, id) = gang_world();
     let started = world.begin(&id);
-    world.end(run_of(&started, 0), RunEnd::Broken);
+    world.end(run_of(&started, 0), RunEnd::GangBroken);
     assert_eq!(
         world.last.stop,
         vec![run_of(&started, 1).clone(), run_of(&started, 2).clone()]
@@ -111,7 +114,7 @@
     for world in [&mut world, &mut recovered] {
         world.end(run_of(&started, 1), RunEnd::Stopped);
         assert!(world.waits().is_empty(), "one member is left");
-        world.book.withdrawn(world.now, run_of(&started, 2));
+        world.book.on_run_withdrawn(world.now, run_of(&started, 2));
         world.take();
         assert_eq!(world.waits(), vec![id.clone()]);
         assert_eq!(world.begin(&id)[0].run.run, 2);
@@ -141,8 +144,8 @@
     let (mut world, id) = gang_world();
     for _ in 0..2 {
         let started = world.begin(&id);
-        world.end(run_of(&started, 0), RunEnd::Broken);
-        world.end(run_of(&started, 1), RunEnd::Broken);
+        world.end(run_of(&started, 0), RunEnd::GangBroken);
+        world.end(run_of(&started, 1), RunEnd::GangBroken);
         assert_ne!(world.status(1), Some(JobState::Failed));
         world.end(run_of(&started, 2), RunEnd::Failed);
     }
@@ -197,9 +200,9 @@
         world.end_with(&s.run, RunEnd::Stopped, "c1");
     });
     let second = world.begin(&id);
-    world.book.checkpointed(run_of(&second, 0), "c2");
+    world.book.on_checkpoint(run_of(&second, 0), "c2");
     let mut recovered = world.recovered();
-    recovered.book.checkpointed(run_of(&second, 0), "c2");
+    recovered.book.on_checkpoint(run_of(&second, 0), "c2");
     for world in [&world, &recovered] {
         assert!(world
             .book
--- a/crates/jobs/tests/hedging.rs
+++ b/crates/jobs/tests/hedging.rs
@@ -35,7 +35,7 @@
 fn given_a_hedged_run_when_a_copy_is_wanted_then_it_waits_for_spare_room_away_from_it() {
     let (world, first) = given_a_copy_that_waits();
     let waiting = &world.ready[&unit(1, 0, 0, Some(0))];
-    assert!(waiting.spare && waiting.hedged);
+    assert!(waiting.speculative && waiting.hedged);
     assert_eq!(waiting.avoid, ["w0".into()]);
     assert!(world.book.is_current(&first));
 }
@@ -97,7 +97,7 @@
 
 #[rstest]
 #[case(RunEnd::Failed)]
-#[case(RunEnd::Lapsed)]
+#[case(RunEnd::LeaseExpired)]
 #[case(RunEnd::Stopped)]
 fn given_a_copy_that_waits_when_the_run_ends_otherwise_then_it_waits_as_the_only_one(
     #[case] how: RunEnd,
@@ -105,14 +105,17 @@
     let (mut world, first) = given_a_copy_that_waits();
     assert!(world.end(&first, how));
     let waiting = &world.ready[&unit(1, 0, 0, Some(0))];
-    assert!(!waiting.spare, "it may now take room as any task does");
+    assert!(
+        !waiting.speculative,
+        "it may now take room as any task does"
+    );
 }
 
 #[test]
 fn given_two_runs_when_the_newer_is_lost_then_another_copy_waits_and_the_earlier_goes_on() {
     let (mut world, first, second) = given_two_runs();
     world.lose(&second);
-    assert!(world.ready[&unit(1, 0, 0, Some(0))].spare);
+    assert!(world.ready[&unit(1, 0, 0, Some(0))].speculative);
     assert!(world.end(&first, RunEnd::Done));
     assert_eq!(world.status(1), Some(JobState::Succeeded));
 }
@@ -156,7 +159,7 @@
 fn given_a_copy_that_waits_when_another_machine_takes_over_then_it_waits_there() {
     let (world, first) = given_a_copy_that_waits();
     let successor = world.recovered();
-    assert!(successor.ready[&unit(1, 0, 0, Some(0))].spare);
+    assert!(successor.ready[&unit(1, 0, 0, Some(0))].speculative);
     assert_eq!(successor.book.assigned()[0].run, first);
 }
 
--- a/crates/jobs/tests/runs.rs
+++ b/crates/jobs/tests/runs.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use rstest::rstest;
-use streamusher_jobs::QueueTerms;
+use streamusher_jobs::QueuePolicy;
 use streamusher_protocol::job::{JobState, StepRequest};
 use streamusher_protocol::task::RunEnd;
 
@@ -30,7 +30,7 @@
         "it is written before it starts"
     );
     assert!(world.book.is_current(&started[0].run));
-    let again = world.book.begin(
+    let again = world.book.start_unit(
         world.now,
         &unit(1, 0, 0, Some(0)),
         &[(task(1, 0, 0, 0), "w9".into())],
@@ -47,22 +47,22 @@
         (task(1, 0, 0, 0), "w0".into()),
         (task(1, 0, 0, 1), "w1".into()),
     );
-    assert!(world.book.begin(world.now, &id, &[]).is_empty());
+    assert!(world.book.start_unit(world.now, &id, &[]).is_empty());
     assert!(world
         .book
-        .begin(world.now, &id, std::slice::from_ref(&other))
+        .start_unit(world.now, &id, std::slice::from_ref(&other))
         .is_empty());
     assert!(world
         .book
-        .begin(world.now, &id, &[own.clone(), other])
+        .start_unit(world.now, &id, &[own.clone(), other])
         .is_empty());
     assert!(world
         .book
-        .begin(world.now, &unit(1, 0, 0, None), std::slice::from_ref(&own))
+        .start_unit(world.now, &unit(1, 0, 0, None), std::slice::from_ref(&own))
         .is_empty());
     assert!(world
         .book
-        .begin(
+        .start_unit(
             world.now,
             &unit(1, 0, 9, Some(0)),
             std::slice::from_ref(&own)
@@ -70,23 +70,23 @@
         .is_empty());
     assert!(world
         .book
-        .begin(
+        .start_unit(
             world.now,
             &unit(2, 0, 0, Some(0)),
             std::slice::from_ref(&own)
         )
         .is_empty());
-    assert_eq!(world.book.begin(world.now, &id, &[own]).len(), 1);
+    assert_eq!(world.book.start_unit(world.now, &id, &[own]).len(), 1);
 }
 
 #[rstest]
 fn given_a_run_when_it_ends_neither_done_nor_failed_then_no_attempt_counts_and_it_waits_again(
     #[values(
         RunEnd::Stopped,
-        RunEnd::Lapsed,
-        RunEnd::Broken,
-        RunEnd::Alone,
-        RunEnd::Refused
+        RunEnd::LeaseExpired,
+        RunEnd::GangBroken,
+        RunEnd::GangIncomplete,
+        RunEnd::Rejected
     )]
     how: RunEnd,
 ) {
@@ -159,7 +159,7 @@
     let first = world.begin(&id);
     world.lose(&first[0].run);
     let second = world.begin(&id);
-    world.book.withdrawn(world.now, &second[0].run);
+    world.book.on_run_withdrawn(world.now, &second[0].run);
     world.take();
     let mut recovered = world.recovered();
     assert_eq!(recovered.begin(&id)[0].run.run, 3);
@@ -178,12 +178,12 @@
     );
     let id = unit(1, 0, 0, Some(0));
     let first = world.begin(&id);
-    world.book.checkpointed(&first[0].run, "c1");
+    world.book.on_checkpoint(&first[0].run, "c1");
     world.end_with(&first[0].run, RunEnd::Stopped, "c2");
     let second = world.begin(&id);
     assert_eq!(&*second[0].checkpoint, "c2");
-    world.book.checkpointed(&second[0].run, "c3");
-    world.book.checkpointed(&second[0].run, "");
+    world.book.on_checkpoint(&second[0].run, "c3");
+    world.book.on_checkpoint(&second[0].run, "");
     world.lose(&second[0].run);
     assert_eq!(&*world.begin(&id)[0].checkpoint, "c3");
     assert_eq!(
@@ -199,7 +199,7 @@
     world.submit(1, request(vec![step(1)]));
     let id = unit(1, 0, 0, Some(0));
     let first = world.begin(&id);
-    world.book.checkpointed(&first[0].run, "c1");
+    world.book.on_checkpoint(&first[0].run, "c1");
     world.end_with(&first[0].run, RunEnd::Stopped, "c2");
     assert_eq!(&*world.begin(&id)[0].checkpoint, "");
 }
@@ -218,7 +218,7 @@
     let first = world.begin(&id);
     world.end_with(&first[0].run, RunEnd::Stopped, "c5");
     let second = world.begin(&id);
-    world.book.checkpointed(&first[0].run, "c1");
+    world.book.on_checkpoint(&first[0].run, "c1");
     world.lose(&second[0].run);
     assert_eq!(&*world.begin(&id)[0].checkpoint, "c5");
 }
@@ -227,7 +227,7 @@
 fn given_runs_that_failed_or_stood_still_when_the_task_waits_again_then_it_avoids_the_newest_four_workers(
 ) {
     let mut world = World::new();
-    let patient = QueueTerms {
+    let patient = QueuePolicy {
         max_attempts: 9,
         ..terms("scans")
     };
@@ -236,16 +236,16 @@
     for worker in ["a", "b", "c", "d", "e"] {
         let started = world
             .book
-            .begin(world.now, &id, &[(task(1, 0, 0, 0), worker.into())]);
+            .start_unit(world.now, &id, &[(task(1, 0, 0, 0), worker.into())]);
         if worker == "b" {
-            world.book.stalled(&started[0].run);
+            world.book.on_run_stalled(&started[0].run);
             world
                 .book
-                .ended(world.now, &started[0].run, RunEnd::Stopped, "");
+                .on_run_finished(world.now, &started[0].run, RunEnd::Stopped, "");
         } else {
             world
                 .book
-                .ended(world.now, &started[0].run, RunEnd::Failed, "");
+                .on_run_finished(world.now, &started[0].run, RunEnd::Failed, "");
         }
     }
     world.ready.clear();
@@ -259,7 +259,7 @@
 fn given_a_worker_at_which_a_task_failed_again_and_again_when_it_waits_then_others_are_not_forgotten_for_it(
 ) {
     let mut world = World::new();
-    let patient = QueueTerms {
+    let patient = QueuePolicy {
         max_attempts: 9,
         ..terms("scans")
     };
@@ -268,10 +268,10 @@
     for worker in ["a", "b", "b", "b", "b"] {
         let started = world
             .book
-            .begin(world.now, &id, &[(task(1, 0, 0, 0), worker.into())]);
+            .start_unit(world.now, &id, &[(task(1, 0, 0, 0), worker.into())]);
         assert!(world
             .book
-            .ended(world.now, &started[0].run, RunEnd::Failed, ""));
+            .on_run_finished(world.now, &started[0].run, RunEnd::Failed, ""));
     }
     world.ready.clear();
     world.take();
@@ -281,7 +281,7 @@
 
 #[rstest]
 fn given_a_task_that_lasts_when_it_ends_in_any_way_then_it_waits_again_and_the_job_goes_on(
-    #[values(RunEnd::Done, RunEnd::Failed, RunEnd::Stopped, RunEnd::Lapsed)] how: RunEnd,
+    #[values(RunEnd::Done, RunEnd::Failed, RunEnd::Stopped, RunEnd::LeaseExpired)] how: RunEnd,
 ) {
     let mut world = World::new();
     world.submit(
@@ -361,8 +361,8 @@
     let mut world = World::new();
     world.submit(1, request(vec![step(2)]));
     world.play(&unit(1, 0, 0, Some(0)), RunEnd::Failed);
-    world.book.retune(&|_| {
-        Some(QueueTerms {
+    world.book.apply_configuration(&|_| {
+        Some(QueuePolicy {
             max_attempts: 1,
             ..terms("scans")
         })
@@ -378,8 +378,8 @@
     world.submit(1, request(vec![step(1)]));
     world.play(&unit(1, 0, 0, Some(0)), RunEnd::Failed);
     let second = world.begin(&unit(1, 0, 0, Some(0)));
-    world.book.retune(&|_| {
-        Some(QueueTerms {
+    world.book.apply_configuration(&|_| {
+        Some(QueuePolicy {
             max_attempts: 1,
             ..terms("scans")
         })
