--- a/crates/jobs/tests/search.rs
+++ b/crates/jobs/tests/search.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use streamusher_jobs::{QueueTerms, StartedRun};
+use streamusher_jobs::{QueuePolicy, StartedRun};
 use streamusher_protocol::job::{JobRequest, JobState, StepRequest};
 use streamusher_protocol::task::{RunEnd, RunId, TaskId};
 use streamusher_protocol::unit::{UnitId, WorkerId};
@@ -19,7 +19,7 @@
     random: Random,
     facts: BTreeMap<u64, JobFacts>,
     submitted: u64,
-    terms: BTreeMap<String, QueueTerms>,
+    terms: BTreeMap<String, QueuePolicy>,
     reported: u64,
     /// Newest checkpoint that each run at work reported: workers report it again to a new primary.
     newest: BTreeMap<RunId, String>,
@@ -144,7 +144,7 @@
             .expect("a unit")
             .checkpoints
             .insert(text.clone());
-        self.world.book.checkpointed(&run, &text);
+        self.world.book.on_checkpoint(&run, &text);
         self.newest.insert(run, text);
     }
 
@@ -161,10 +161,10 @@
             RunEnd::Stopped,
         ];
         let others = [
-            RunEnd::Lapsed,
-            RunEnd::Broken,
-            RunEnd::Alone,
-            RunEnd::Refused,
+            RunEnd::LeaseExpired,
+            RunEnd::GangBroken,
+            RunEnd::GangIncomplete,
+            RunEnd::Rejected,
         ];
         let how = match self.random.below(10) {
             0 => None,
@@ -178,7 +178,7 @@
             }
             None if self.random.chance(50) => self.world.lose(&run),
             None => {
-                self.world.book.withdrawn(self.world.now, &run);
+                self.world.book.on_run_withdrawn(self.world.now, &run);
                 self.world.take();
             }
         }
@@ -211,7 +211,7 @@
         let terms = self.terms.clone();
         self.world
             .book
-            .retune(&|q| terms.get(q).filter(|_| !is_removed || q != queue).cloned());
+            .apply_configuration(&|q| terms.get(q).filter(|_| !is_removed || q != queue).cloned());
         self.world.take();
         for facts in self.facts.values_mut().filter(|f| f.end.is_none()) {
             if !is_removed || &*facts.terms.queue != queue {
@@ -244,7 +244,7 @@
             recovered.last.writes
         );
         for (run, checkpoint) in &self.newest {
-            recovered.book.checkpointed(run, checkpoint);
+            recovered.book.on_checkpoint(run, checkpoint);
         }
         assert_eq!(recovered.book.assigned(), self.world.book.assigned());
         for &number in self.facts.keys() {
@@ -256,8 +256,8 @@
         }
         for queue in QUEUES {
             assert_eq!(
-                recovered.book.waiting(queue),
-                self.world.book.waiting(queue)
+                recovered.book.pending_count(queue),
+                self.world.book.pending_count(queue)
             );
         }
         let rests = |id: &UnitId| {
@@ -302,7 +302,7 @@
         }
         for queue in QUEUES {
             assert_eq!(
-                self.world.book.waiting(queue),
+                self.world.book.pending_count(queue),
                 waiting.get(queue).copied().unwrap_or(0)
             );
         }
@@ -430,17 +430,17 @@
     for number in 0..100_000 {
         world.submit(number, request(vec![step(1)]));
     }
-    assert_eq!(world.book.waiting("scans"), 100_000);
+    assert_eq!(world.book.pending_count("scans"), 100_000);
     // A look at all others in each of these steps would be 2 * 10^10 of them.
     for number in 0..100_000 {
         let id = common::unit(number, 0, 0, Some(0));
         let on: [(TaskId, WorkerId); 1] = [(task(number, 0, 0, 0), "w".into())];
-        let started = world.book.begin(world.now, &id, &on);
+        let started = world.book.start_unit(world.now, &id, &on);
         assert!(world
             .book
-            .ended(world.now, &started[0].run, RunEnd::Done, ""));
+            .on_run_finished(world.now, &started[0].run, RunEnd::Done, ""));
     }
-    assert_eq!(world.book.waiting("scans"), 0);
+    assert_eq!(world.book.pending_count("scans"), 0);
     world.ready.clear();
     world.take();
     world.pass(STATUS_MS);
--- a/crates/jobs/tests/steps.rs
+++ b/crates/jobs/tests/steps.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use rstest::rstest;
-use streamusher_jobs::{Cancelled, Submitted};
+use streamusher_jobs::{CancelOutcome, SubmitOutcome};
 use streamusher_protocol::job::{JobRequest, JobState, StepRequest};
 use streamusher_protocol::task::RunEnd;
 
@@ -18,7 +18,7 @@
     );
     assert_eq!(world.keys(), vec![format!("job/{}", job(1))]);
     assert_eq!(world.status(1), Some(JobState::Pending));
-    assert_eq!(world.book.waiting("scans"), 1);
+    assert_eq!(world.book.pending_count("scans"), 1);
     assert_eq!(world.book.queue_of(&job(1)).as_deref(), Some("scans"));
 }
 
@@ -29,7 +29,7 @@
     let again = world
         .book
         .submit(world.now, &job(1), request(vec![step(5)]), &terms("scans"));
-    assert_eq!(again, Ok(Submitted::Known));
+    assert_eq!(again, Ok(SubmitOutcome::Known));
     world.take();
     assert!(world.last.writes.is_empty());
     assert_eq!(world.waits().len(), 1);
@@ -37,7 +37,7 @@
     let after_end = world
         .book
         .submit(world.now, &job(1), request(vec![step(1)]), &terms("scans"));
-    assert_eq!(after_end, Ok(Submitted::Known));
+    assert_eq!(after_end, Ok(SubmitOutcome::Known));
 }
 
 #[test]
@@ -68,11 +68,11 @@
     let mut world = World::new();
     world.submit(1, request(vec![step(1)]));
     world.submit(2, request(vec![step(1)]));
-    assert_eq!(world.book.waiting("scans"), 2);
+    assert_eq!(world.book.pending_count("scans"), 2);
     world.begin(&unit(1, 0, 0, Some(0)));
-    assert_eq!(world.book.waiting("scans"), 1);
+    assert_eq!(world.book.pending_count("scans"), 1);
     world.cancel(2);
-    assert_eq!(world.book.waiting("scans"), 0);
+    assert_eq!(world.book.pending_count("scans"), 0);
 }
 
 #[test]
@@ -211,7 +211,7 @@
     let mut world = World::new();
     world.submit(1, request(vec![step(2), after(1, &[0])]));
     let started = world.begin(&unit(1, 0, 0, Some(0)));
-    assert_eq!(world.cancel(1), Cancelled::Now);
+    assert_eq!(world.cancel(1), CancelOutcome::Now);
     assert_eq!(world.status(1), Some(JobState::Cancelled));
     assert!(world.waits().is_empty());
     assert_eq!(world.last.stop, vec![started[0].run.clone()]);
@@ -219,8 +219,8 @@
     assert!(world.book.assigned()[0].stopping);
     let recovered = world.recovered();
     assert_eq!(recovered.book.assigned(), world.book.assigned());
-    assert_eq!(world.cancel(1), Cancelled::Already(JobState::Cancelled));
-    assert_eq!(world.cancel(9), Cancelled::Unknown);
+    assert_eq!(world.cancel(1), CancelOutcome::Already(JobState::Cancelled));
+    assert_eq!(world.cancel(9), CancelOutcome::Unknown);
     world.end(&started[0].run, RunEnd::Stopped);
     assert!(world.waits().is_empty());
     assert!(world.book.assigned().is_empty());
@@ -256,14 +256,14 @@
     world.submit(1, request(vec![step(2)]));
     world.submit_to(2, request(vec![step(1)]), &terms("removed"));
     let started = world.begin(&unit(1, 0, 0, Some(0)));
-    let newer = streamusher_jobs::QueueTerms {
+    let newer = streamusher_jobs::QueuePolicy {
         service: "other".into(),
         priority: 0,
         ..terms("scans")
     };
     world
         .book
-        .retune(&|queue| (queue == "scans").then(|| newer.clone()));
+        .apply_configuration(&|queue| (queue == "scans").then(|| newer.clone()));
     world.take();
     assert_eq!(world.last.revoked, vec![unit(1, 0, 0, Some(1))]);
     assert_eq!(&*world.ready[&unit(1, 0, 0, Some(1))].service, "other");
@@ -277,7 +277,7 @@
     assert_eq!(world.recovered().ready, world.ready);
     world
         .book
-        .retune(&|queue| (queue == "scans").then(|| newer.clone()));
+        .apply_configuration(&|queue| (queue == "scans").then(|| newer.clone()));
     world.take();
     assert_eq!(
         world.last,
--- a/crates/placement/benches/cost.rs
+++ b/crates/placement/benches/cost.rs
@@ -6,7 +6,7 @@
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
 use std::time::Instant;
-use streamusher_placement::{Decision, Placement, Release, Settings, WorkerInfo};
+use streamusher_placement::{Decision, Placement, PlacementSettings, ReleaseReason, WorkerInfo};
 use streamusher_protocol::heartbeat::Resources;
 use streamusher_protocol::task::{RunEnd, TaskId};
 use streamusher_protocol::unit::{Unit, UnitId, WorkerId};
@@ -32,7 +32,7 @@
             mem_mb: 32_768,
             gpu: 0,
         },
-        open: true,
+        schedulable: true,
     }
 }
 
@@ -61,13 +61,13 @@
         checkpoints: random.random_bool(0.5),
         long_running: false,
         hedged: false,
-        spare: false,
+        speculative: false,
         avoid: Vec::new(),
     }
 }
 
 fn play(case: &Case) {
-    let settings = Settings {
+    let settings = PlacementSettings {
         random_seed: 1,
         far_x: 1.5,
         stop_ms: 900,
@@ -76,7 +76,7 @@
         policy: streamusher_placement::Policy::default(),
     };
     let mut placement = Placement::new(settings);
-    (0..case.workers).for_each(|number| placement.worker(0, worker(number)));
+    (0..case.workers).for_each(|number| placement.update_worker(0, worker(number)));
     let mut random = Pcg32::seed_from_u64(1);
     let mut ends: BTreeMap<u64, Vec<(TaskId, WorkerId)>> = BTreeMap::new();
     let mut run_ms: BTreeMap<TaskId, u64> = BTreeMap::new();
@@ -97,7 +97,7 @@
         let over = std::mem::replace(&mut ends, later);
         let begin = Instant::now();
         for (task, at) in over.into_values().flatten() {
-            let how = Release::Ended {
+            let how = ReleaseReason::Ended {
                 how: RunEnd::Done,
                 ran_ms: case.mean_run_ms,
             };
--- a/crates/placement/src/claim.rs
+++ b/crates/placement/src/claim.rs
@@ -10,7 +10,7 @@
 use crate::room::{Insistence, Worker};
 use crate::run::Run;
 use crate::service::Service;
-use crate::types::{Decision, Held};
+use crate::types::{Allocation, Decision};
 use std::collections::BTreeMap;
 use streamusher_protocol::heartbeat::Resources;
 use streamusher_protocol::task::TaskId;
@@ -30,7 +30,11 @@
     /// Whether a single task may start at a worker now.
     pub(crate) fn admits(&self, now: Millis, key: Key, waiting: &Waiting, slot: Slot) -> bool {
         let unit = &waiting.unit;
-        let Some(worker) = self.workers.get(slot).filter(|worker| worker.info.open) else {
+        let Some(worker) = self
+            .workers
+            .get(slot)
+            .filter(|worker| worker.info.schedulable)
+        else {
             return false;
         };
         let is_barred = worker.runs_copy_of(unit) || !spreads(worker, waiting);
@@ -40,7 +44,7 @@
         let Some(service) = self.services.get(&unit.service) else {
             return false;
         };
-        if unit.spare && !service.is_lightly_used() {
+        if unit.speculative && !service.is_lightly_used() {
             return false;
         }
         let insistence = self.insistence(now, waiting, service, worker);
@@ -105,7 +109,7 @@
     /// A unit that has waited long in a service with much free room takes any room that there is.
     pub(crate) fn takes_any(&self, now: Millis, waiting: &Waiting, service: &Service) -> bool {
         self.uses(Mechanism::Patience)
-            && !waiting.unit.spare
+            && !waiting.unit.speculative
             && waiting.waited(now) >= ANYWHERE_MS
             && service.is_lightly_used()
     }
@@ -143,7 +147,11 @@
 
     fn scan(&mut self, now: Millis, slot: Slot, until: Option<Key>, out: &mut Vec<Decision>) {
         loop {
-            let Some(worker) = self.workers.get(slot).filter(|worker| worker.info.open) else {
+            let Some(worker) = self
+                .workers
+                .get(slot)
+                .filter(|worker| worker.info.schedulable)
+            else {
                 return;
             };
             let in_order = |key: &&Key| until.is_none_or(|until| **key < until);
@@ -196,7 +204,7 @@
         };
         let mut placed = Vec::with_capacity(on.len());
         for (task, slot) in on {
-            let mut run = Run::new(now, Held::from(&waiting.unit), waiting.patience);
+            let mut run = Run::new(now, Allocation::from(&waiting.unit), waiting.patience);
             run.far_x = self.far_x(&waiting.unit, slot);
             let Some(worker) = self.workers.get_mut(slot) else {
                 continue;
--- a/crates/placement/src/explain.rs
+++ b/crates/placement/src/explain.rs
@@ -52,7 +52,7 @@
         let open: Vec<_> = self
             .workers
             .iter()
-            .filter(|(_, worker)| worker.info.open && worker.info.service == wanted.service)
+            .filter(|(_, worker)| worker.info.schedulable && worker.info.service == wanted.service)
             .collect();
         let is_labelled =
             |label: &std::sync::Arc<str>| open.iter().any(|(_, worker)| worker.has_label(label));
--- a/crates/placement/src/gather.rs
+++ b/crates/placement/src/gather.rs
@@ -233,7 +233,7 @@
     ) -> Option<Host<'a>> {
         let worker = self.workers.get(slot)?;
         let insistence = self.insistence(now, waiting, service, worker);
-        if !worker.info.open
+        if !worker.info.schedulable
             || insistence == Insistence::Usual
                 && self.most_runs(now, worker, service) <= worker.runs.len()
         {
--- a/crates/placement/src/learning.rs
+++ b/crates/placement/src/learning.rs
@@ -1,6 +1,6 @@
 //! What ends and reports teach of a worker: charges for failures that fade, and its speed.
 
-use crate::types::Release;
+use crate::types::ReleaseReason;
 use streamusher_protocol::task::RunEnd;
 use streamusher_protocol::Millis;
 
@@ -63,17 +63,17 @@
     }
 
     /// Learns from an end; answers by how much the charge has changed.
-    pub fn learn(&mut self, now: Millis, how: Release) -> f64 {
+    pub fn learn(&mut self, now: Millis, how: ReleaseReason) -> f64 {
         let (kept, added) = match how {
-            Release::Ended {
+            ReleaseReason::Ended {
                 how: RunEnd::Done, ..
             } => (KEPT_AFTER_SUCCESS, 0.0),
-            Release::Ended {
+            ReleaseReason::Ended {
                 how: RunEnd::Failed,
                 ..
             } => (1.0, CHARGE_OF_FAILURE),
-            Release::Ended {
-                how: RunEnd::Refused,
+            ReleaseReason::Ended {
+                how: RunEnd::Rejected,
                 ..
             } => (1.0, CHARGE_OF_REFUSAL),
             _ => return 0.0,
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -36,4 +36,4 @@
 pub use explain::{WaitReason, WaitingUnit};
 pub use placement::Placement;
 pub use policy::{Mechanism, Policy};
-pub use types::{Decision, Held, Release, Settings, WorkerInfo, WorkerStatus};
+pub use types::{Allocation, Decision, PlacementSettings, ReleaseReason, WorkerInfo, WorkerStatus};
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -9,7 +9,9 @@
 use crate::room::{Worker, Workers};
 use crate::run::Run;
 use crate::service::Service;
-use crate::types::{Decision, Held, Release, Settings, WorkerInfo, WorkerStatus};
+use crate::types::{
+    Allocation, Decision, PlacementSettings, ReleaseReason, WorkerInfo, WorkerStatus,
+};
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet};
@@ -39,7 +41,7 @@
 /// [`Placement::release`] only, so a worker is never filled beyond its capacity.
 #[derive(Debug)]
 pub struct Placement {
-    pub(crate) settings: Settings,
+    pub(crate) settings: PlacementSettings,
     pub(crate) rng: Pcg32,
     pub(crate) workers: Workers,
     pub(crate) services: BTreeMap<Arc<str>, Service>,
@@ -60,7 +62,7 @@
 
 impl Placement {
     /// An empty placement.
-    pub fn new(settings: Settings) -> Placement {
+    pub fn new(settings: PlacementSettings) -> Placement {
         Placement {
             rng: Pcg32::seed_from_u64(settings.random_seed),
             settings,
@@ -77,7 +79,7 @@
     }
 
     /// A worker is new, or what it says of itself has changed.
-    pub fn worker(&mut self, now: Millis, info: WorkerInfo) {
+    pub fn update_worker(&mut self, now: Millis, info: WorkerInfo) {
         let known = self.workers.slot_of(&info.id);
         let same = |slot| {
             self.workers
@@ -111,13 +113,13 @@
     }
 
     /// A former primary held this against a worker, in tasks: it counts once the worker is told of, and fades from now on.
-    pub fn inherit_charge(&mut self, now: Millis, worker: WorkerId, charge: f64) {
+    pub fn restore_penalty(&mut self, now: Millis, worker: WorkerId, charge: f64) {
         self.inherited
             .insert(worker, Charge::inherited(now, charge));
     }
 
     /// What speaks against each worker now, in tasks.
-    pub fn charges(&self, now: Millis) -> impl Iterator<Item = (&WorkerId, f64)> {
+    pub fn penalties(&self, now: Millis) -> impl Iterator<Item = (&WorkerId, f64)> {
         let known = self
             .workers
             .iter()
@@ -144,7 +146,7 @@
     }
 
     /// A worker is gone, with all that took room there.
-    pub fn worker_gone(&mut self, now: Millis, id: &WorkerId) {
+    pub fn remove_worker(&mut self, now: Millis, id: &WorkerId) {
         self.inherited.remove(id);
         let Some(slot) = self.workers.slot_of(id) else {
             return;
@@ -177,9 +179,9 @@
     /// A run is known to take room at a worker. `place` does this itself for what it starts.
     ///
     /// A worker that is not known yet is kept as one that takes no new work until `worker` tells of it.
-    pub fn occupy(&mut self, now: Millis, task: &TaskId, worker: &WorkerId, held: Held) {
+    pub fn restore_run(&mut self, now: Millis, task: &TaskId, worker: &WorkerId, held: Allocation) {
         if self.workers.slot_of(worker).is_none() {
-            self.worker(now, unknown_worker(worker, &held.service));
+            self.update_worker(now, unknown_worker(worker, &held.service));
         }
         let Some(slot) = self.workers.slot_of(worker) else {
             return;
@@ -201,7 +203,7 @@
     }
 
     /// A run gives its room back; how it ended is learnt from.
-    pub fn release(&mut self, now: Millis, task: &TaskId, worker: &WorkerId, how: Release) {
+    pub fn release(&mut self, now: Millis, task: &TaskId, worker: &WorkerId, how: ReleaseReason) {
         let Some(slot) = self.workers.slot_of(worker) else {
             return;
         };
@@ -219,7 +221,7 @@
     }
 
     /// A run was told to stop: it still takes its room, and is never preempted again.
-    pub fn stopping(&mut self, task: &TaskId, worker: &WorkerId) {
+    pub fn mark_stopping(&mut self, task: &TaskId, worker: &WorkerId) {
         let Some(slot) = self.workers.slot_of(worker) else {
             return;
         };
@@ -229,7 +231,7 @@
     }
 
     /// A run makes no progress at its worker: others are kept from there at once, before its own end is proven.
-    pub fn stands_still(&mut self, now: Millis, worker: &WorkerId) {
+    pub fn on_run_stalled(&mut self, now: Millis, worker: &WorkerId) {
         if !self.uses(Mechanism::Charges) {
             return;
         }
@@ -246,7 +248,7 @@
     }
 
     /// A run has done this share of its work, in percent.
-    pub fn progress(&mut self, now: Millis, task: &TaskId, worker: &WorkerId, percent: f64) {
+    pub fn update_progress(&mut self, now: Millis, task: &TaskId, worker: &WorkerId, percent: f64) {
         let Some(slot) = self.workers.slot_of(worker) else {
             return;
         };
@@ -273,7 +275,7 @@
         let patience = service
             .headroom
             .learn_slack(&unit.queue, unit.priority, unit.slack_ms);
-        self.note_demand(now, &Held::from(&unit), patience, 1.0);
+        self.note_demand(now, &Allocation::from(&unit), patience, 1.0);
         let gang_of = unit.service.clone();
         let key = self.queue.add(now, unit, patience);
         let is_gang = self.queue.get(key).is_some_and(Waiting::is_gang);
@@ -291,7 +293,12 @@
         let Some(waiting) = self.drop_waiting(key) else {
             return;
         };
-        self.note_demand(self.now, &Held::from(&waiting.unit), waiting.patience, -1.0);
+        self.note_demand(
+            self.now,
+            &Allocation::from(&waiting.unit),
+            waiting.patience,
+            -1.0,
+        );
     }
 
     /// What can be started or preempted now. Cheap when nothing has changed and nothing is due.
@@ -410,7 +417,7 @@
                 used: worker.used,
                 runs: worker.runs.len(),
                 queued: worker.queue.len(),
-                charge: worker.charge.at(self.now),
+                penalty: worker.charge.at(self.now),
                 slowness: usual.map_or(1.0, |usual| worker.speed.slowness(self.now, &usual)),
             }
         })
@@ -444,7 +451,7 @@
         }
     }
 
-    fn note_demand(&mut self, now: Millis, held: &Held, patience: Patience, sign: f64) {
+    fn note_demand(&mut self, now: Millis, held: &Allocation, patience: Patience, sign: f64) {
         if !counts_as_demand(held.gang, held.long_running) {
             return;
         }
@@ -455,7 +462,7 @@
         }
     }
 
-    fn learn(&mut self, now: Millis, slot: Slot, run: &Run, how: Release) {
+    fn learn(&mut self, now: Millis, slot: Slot, run: &Run, how: ReleaseReason) {
         let held = &run.held;
         let charges = self.uses(Mechanism::Charges);
         let Some(worker) = self.workers.get_mut(slot) else {
@@ -469,7 +476,7 @@
         if let Some(service) = self.services.get_mut(&worker.info.service) {
             service.change_charges(now, change);
         }
-        let Release::Ended {
+        let ReleaseReason::Ended {
             how: RunEnd::Done,
             ran_ms,
         } = how
@@ -509,6 +516,6 @@
         zone: "".into(),
         labels: Vec::new(),
         capacity: Resources::default(),
-        open: false,
+        schedulable: false,
     }
 }
--- a/crates/placement/src/preempt.rs
+++ b/crates/placement/src/preempt.rs
@@ -79,7 +79,11 @@
 
     /// Whether a plan could lead to anything: looked up before workers are ranked.
     fn is_worth_a_plan(&self, key: Key, slots: &[Slot]) -> bool {
-        let Some(waiting) = self.queue.get(key).filter(|waiting| !waiting.unit.spare) else {
+        let Some(waiting) = self
+            .queue
+            .get(key)
+            .filter(|waiting| !waiting.unit.speculative)
+        else {
             return false;
         };
         self.plans_left > 0 && (self.may_stop(waiting, slots) || self.may_keep(waiting, slots))
--- a/crates/placement/src/ranking.rs
+++ b/crates/placement/src/ranking.rs
@@ -47,7 +47,7 @@
         let Some(worker) = self.workers.get(slot) else {
             return false;
         };
-        worker.info.open
+        worker.info.schedulable
             && worker.info.service == unit.service
             && worker.info.capacity.covers(&unit.resources)
             && unit
--- a/crates/placement/src/room.rs
+++ b/crates/placement/src/room.rs
@@ -97,11 +97,11 @@
         if self.runs.contains_key(task) {
             return false;
         }
-        self.used = self.used.plus(&run.held.resources);
+        self.used = self.used.saturating_add(&run.held.resources);
         let same = self.by_priority.entry(run.held.priority).or_default();
-        *same = same.plus(&run.held.resources);
+        *same = same.saturating_add(&run.held.resources);
         let alike = self.by_patience.entry(run.patience).or_default();
-        *alike = alike.plus(&run.held.resources);
+        *alike = alike.saturating_add(&run.held.resources);
         *self.steps.entry(run.held.unit.step.clone()).or_insert(0) += 1;
         self.runs.insert(task.clone(), run);
         true
@@ -112,13 +112,13 @@
         let run = self.runs.remove(task)?;
         let counted = !(cfg!(feature = "mutant-stopping-room") && run.stopping);
         if counted {
-            self.used = self.used.minus(&run.held.resources);
+            self.used = self.used.saturating_sub(&run.held.resources);
         }
         if let Some(same) = self.by_priority.get_mut(&run.held.priority) {
-            *same = same.minus(&run.held.resources);
+            *same = same.saturating_sub(&run.held.resources);
         }
         if let Some(alike) = self.by_patience.get_mut(&run.patience) {
-            *alike = alike.minus(&run.held.resources);
+            *alike = alike.saturating_sub(&run.held.resources);
         }
         if let Some(count) = self.steps.get_mut(&run.held.unit.step) {
             *count -= 1;
@@ -136,12 +136,12 @@
         };
         run.stopping = true;
         if cfg!(feature = "mutant-stopping-room") {
-            self.used = self.used.minus(&run.held.resources);
+            self.used = self.used.saturating_sub(&run.held.resources);
         }
     }
 
     pub fn free(&self) -> Resources {
-        self.info.capacity.minus(&self.used)
+        self.info.capacity.saturating_sub(&self.used)
     }
 
     /// Whether a task fits without delaying what room is kept for. To insist, there must be twice the room.
@@ -167,7 +167,7 @@
         };
         let delayed = self.reservations.iter().filter(in_the_way);
         delayed
-            .fold(free, |free, kept| free.minus(&kept.resources))
+            .fold(free, |free, kept| free.saturating_sub(&kept.resources))
             .covers(asked)
     }
 
@@ -179,18 +179,22 @@
     /// Room taken by what is less urgent than the priority.
     pub fn used_below(&self, priority: u32) -> Resources {
         let below = self.by_priority.range(priority.saturating_add(1)..);
-        below.fold(Resources::default(), |sum, (_, used)| sum.plus(used))
+        below.fold(Resources::default(), |sum, (_, used)| {
+            sum.saturating_add(used)
+        })
     }
 
     /// Room taken by runs whose queues can wait longer than a class.
     pub fn used_behind(&self, class: Patience) -> Resources {
         let behind = self.by_patience.range(class.saturating_add(1)..);
-        behind.fold(Resources::default(), |sum, (_, used)| sum.plus(used))
+        behind.fold(Resources::default(), |sum, (_, used)| {
+            sum.saturating_add(used)
+        })
     }
 
     /// Share of the room that is taken, and asked for by copies that wait.
     pub fn load(&self) -> f64 {
-        dominant_share(&self.used.plus(&self.queued), &self.info.capacity)
+        dominant_share(&self.used.saturating_add(&self.queued), &self.info.capacity)
     }
 
     pub fn has_label(&self, label: &str) -> bool {
@@ -199,20 +203,20 @@
 
     /// Whether a run of one of the unit's tasks is here: of a hedged task another one may be sought.
     pub fn runs_copy_of(&self, unit: &Unit) -> bool {
-        unit.spare && unit.tasks.iter().any(|task| self.runs.contains_key(task))
+        unit.speculative && unit.tasks.iter().any(|task| self.runs.contains_key(task))
     }
 
     pub fn add_copy(&mut self, key: Key, asked: &Resources) -> bool {
         let new = self.queue.insert(key);
         if new {
-            self.queued = self.queued.plus(asked);
+            self.queued = self.queued.saturating_add(asked);
         }
         new
     }
 
     pub fn remove_copy(&mut self, key: Key, asked: &Resources) {
         if self.queue.remove(&key) {
-            self.queued = self.queued.minus(asked);
+            self.queued = self.queued.saturating_sub(asked);
         }
     }
 
--- a/crates/placement/src/run.rs
+++ b/crates/placement/src/run.rs
@@ -1,7 +1,7 @@
 //! A run that takes room: how long it will last, and what stopping it would lose.
 
 use crate::headroom::Patience;
-use crate::types::{Held, Settings};
+use crate::types::{Allocation, PlacementSettings};
 use streamusher_protocol::Millis;
 
 /// Price of a core-second of work that is lost, in units of a small job's worth.
@@ -20,7 +20,7 @@
 /// A run that takes room.
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
-    pub held: Held,
+    pub held: Allocation,
     /// How long its queue could wait when it was queued.
     pub patience: Patience,
     /// When its room was taken.
@@ -35,7 +35,7 @@
 }
 
 impl Run {
-    pub fn new(now: Millis, held: Held, patience: Patience) -> Run {
+    pub fn new(now: Millis, held: Allocation, patience: Patience) -> Run {
         Run {
             held,
             patience,
@@ -72,7 +72,7 @@
     }
 
     /// How much longer it is expected to take its room, in milliseconds.
-    pub fn rest_ms(&self, now: Millis, usual_ms: f64, settings: &Settings) -> f64 {
+    pub fn rest_ms(&self, now: Millis, usual_ms: f64, settings: &PlacementSettings) -> f64 {
         if self.stopping {
             return settings.stop_ms as f64;
         }
@@ -96,7 +96,7 @@
     }
 
     /// What stopping it now would lose, in units of a small job's worth.
-    pub fn price_of_stop(&self, now: Millis, settings: &Settings) -> f64 {
+    pub fn price_of_stop(&self, now: Millis, settings: &PlacementSettings) -> f64 {
         let elapsed = now.saturating_sub(self.since);
         // A stop saves; then only continuing costs.
         let lost_ms = if self.held.checkpoints {
--- a/crates/placement/src/service.rs
+++ b/crates/placement/src/service.rs
@@ -6,7 +6,7 @@
 use crate::learning::{most_runs, Charge, Mean, Speed};
 use crate::pace::Paces;
 use crate::room::Worker;
-use crate::types::Held;
+use crate::types::Allocation;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use streamusher_protocol::heartbeat::Resources;
@@ -98,7 +98,7 @@
     }
 
     fn count_capacity(&mut self, worker: &Worker, sign: f64) {
-        if !worker.info.open {
+        if !worker.info.schedulable {
             return;
         }
         self.settled_at = None;
@@ -107,7 +107,7 @@
 
     /// Counts what an open worker holds now.
     pub fn recount(&mut self, worker: &mut Worker) {
-        let holds = if worker.info.open {
+        let holds = if worker.info.schedulable {
             worker.used
         } else {
             Resources::default()
@@ -184,7 +184,13 @@
 
     /// A run takes, or took, this time near its data: tells the speed of its worker by the step's other tasks, or by its
     /// estimate where there is none. A gang's members all take the time of the slowest.
-    pub fn learn_speed(&mut self, now: Millis, held: &Held, near_ms: f64, worker: &mut Speed) {
+    pub fn learn_speed(
+        &mut self,
+        now: Millis,
+        held: &Allocation,
+        near_ms: f64,
+        worker: &mut Speed,
+    ) {
         if held.gang {
             return;
         }
--- a/crates/placement/src/types.rs
+++ b/crates/placement/src/types.rs
@@ -10,7 +10,7 @@
 
 /// What the operators' pages fix.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Settings {
+pub struct PlacementSettings {
     /// Seed of the random choices.
     pub random_seed: u64,
     /// A task away from its rack runs this many times as long.
@@ -39,12 +39,12 @@
     /// Its whole room.
     pub capacity: Resources,
     /// Whether it takes new work.
-    pub open: bool,
+    pub schedulable: bool,
 }
 
 /// What is known of a run that takes room.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Held {
+pub struct Allocation {
     /// The unit that it belongs to.
     pub unit: UnitId,
     /// What it takes.
@@ -67,10 +67,10 @@
     pub estimated_ms: Millis,
 }
 
-impl From<&Unit> for Held {
+impl From<&Unit> for Allocation {
     /// What a run of a task of this unit takes.
-    fn from(unit: &Unit) -> Held {
-        Held {
+    fn from(unit: &Unit) -> Allocation {
+        Allocation {
             unit: unit.id.clone(),
             resources: unit.resources,
             service: unit.service.clone(),
@@ -87,7 +87,7 @@
 
 /// How a run gave its room back.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Release {
+pub enum ReleaseReason {
     /// Its worker listed its end.
     Ended {
         /// How it ended.
@@ -134,7 +134,7 @@
     /// Copies in its queue.
     pub queued: usize,
     /// What its failures add to its rank, in tasks.
-    pub charge: f64,
+    pub penalty: f64,
     /// Run time here over the usual.
     pub slowness: f64,
 }
--- a/crates/placement/tests/claims.rs
+++ b/crates/placement/tests/claims.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use rstest::rstest;
-use streamusher_placement::{Decision, Held, WorkerInfo};
+use streamusher_placement::{Allocation, Decision, WorkerInfo};
 use streamusher_protocol::task::RunEnd;
 use streamusher_protocol::unit::Unit;
 
@@ -25,7 +25,7 @@
 }
 
 #[rstest]
-#[case::closed(WorkerInfo { open: false, ..worker("w1", 4_000, "r1") })]
+#[case::closed(WorkerInfo { schedulable: false, ..worker("w1", 4_000, "r1") })]
 #[case::another_service(WorkerInfo { service: "t".into(), ..worker("w1", 4_000, "r1") })]
 #[case::lacks_the_label(WorkerInfo { labels: vec!["b".into(), "r1".into()], ..worker("w1", 4_000, "r1") })]
 #[case::without_labels(WorkerInfo { labels: vec![], ..worker("w1", 4_000, "r1") })]
@@ -200,9 +200,12 @@
 fn given_runs_known_before_their_worker_when_it_reports_then_their_room_is_taken() {
     let mut cluster = Cluster::new(1, []);
     let before = unit(1, 700, 2);
-    cluster
-        .placement
-        .occupy(cluster.now, &task(1), &"w1".into(), Held::from(&before));
+    cluster.placement.restore_run(
+        cluster.now,
+        &task(1),
+        &"w1".into(),
+        Allocation::from(&before),
+    );
     cluster.worker(worker("w1", 1_000, "r1"));
     cluster.enqueue(unit(2, 400, 2));
     assert!(cluster.run_for(200).is_empty());
@@ -212,9 +215,12 @@
         .map(|status| status.used.cpu)
         .collect();
     assert_eq!(used, [700]);
-    cluster
-        .placement
-        .occupy(cluster.now, &task(1), &"w1".into(), Held::from(&before));
+    cluster.placement.restore_run(
+        cluster.now,
+        &task(1),
+        &"w1".into(),
+        Allocation::from(&before),
+    );
     let used: Vec<u64> = cluster
         .placement
         .workers()
--- a/crates/placement/tests/common/mod.rs
+++ b/crates/placement/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use streamusher_placement::{
-    Decision, Placement, Policy, Release, Settings, WaitReason, WorkerInfo,
+    Decision, Placement, PlacementSettings, Policy, ReleaseReason, WaitReason, WorkerInfo,
 };
 use streamusher_protocol::heartbeat::Resources;
 use streamusher_protocol::task::{RunEnd, TaskId};
@@ -14,8 +14,8 @@
 pub const STOP_MS: Millis = 900;
 pub const TICK_MS: Millis = 20;
 
-pub fn settings(random_seed: u64) -> Settings {
-    Settings {
+pub fn settings(random_seed: u64) -> PlacementSettings {
+    PlacementSettings {
         random_seed,
         far_x: 1.5,
         stop_ms: STOP_MS,
@@ -37,7 +37,7 @@
         zone: "z".into(),
         labels: vec!["a".into(), rack.into()],
         capacity: room(cpu, cpu * 2, 0),
-        open: true,
+        schedulable: true,
     }
 }
 
@@ -90,7 +90,7 @@
         checkpoints: false,
         long_running: false,
         hedged: false,
-        spare: false,
+        speculative: false,
         avoid: Vec::new(),
     }
 }
@@ -131,14 +131,14 @@
 
     pub fn worker(&mut self, info: WorkerInfo) {
         self.workers.insert(info.id.clone(), info.clone());
-        self.placement.worker(self.now, info);
+        self.placement.update_worker(self.now, info);
     }
 
     pub fn gone(&mut self, id: &str) {
         let id: WorkerId = id.into();
         self.workers.remove(&id);
         self.runs.retain(|(_, at), _| *at != id);
-        self.placement.worker_gone(self.now, &id);
+        self.placement.remove_worker(self.now, &id);
     }
 
     pub fn enqueue(&mut self, unit: Unit) {
@@ -207,7 +207,7 @@
             .workers
             .get(at)
             .unwrap_or_else(|| panic!("{at} is not known"));
-        assert!(info.open, "{at} takes no work");
+        assert!(info.schedulable, "{at} takes no work");
         assert_eq!(info.service, unit.service, "its own service");
         let has = |label: &Arc<str>| info.labels.contains(label);
         assert!(
@@ -233,7 +233,7 @@
     pub fn used(&self, at: &WorkerId) -> Resources {
         let here = self.runs.iter().filter(|((_, id), _)| id == at);
         here.fold(Resources::default(), |sum, (_, entry)| {
-            sum.plus(&entry.unit.resources)
+            sum.saturating_add(&entry.unit.resources)
         })
     }
 
@@ -251,7 +251,7 @@
             .expect("runs there");
         assert!(!entry.stopping, "{task} is preempted twice");
         entry.stopping = true;
-        self.placement.stopping(&task, &worker);
+        self.placement.mark_stopping(&task, &worker);
         self.preempted.push(task);
     }
 
@@ -261,7 +261,7 @@
             .get_mut(&(task.clone(), worker.clone()))
             .expect("runs there")
             .stopping = true;
-        self.placement.stopping(task, &worker);
+        self.placement.mark_stopping(task, &worker);
     }
 
     pub fn end(&mut self, task: &TaskId, worker: &WorkerId, how: RunEnd) {
@@ -269,14 +269,14 @@
             .runs
             .remove(&(task.clone(), worker.clone()))
             .expect("runs there");
-        let how = Release::Ended {
+        let how = ReleaseReason::Ended {
             how,
             ran_ms: self.now - entry.since,
         };
         self.placement.release(self.now, task, worker, how);
     }
 
-    pub fn release(&mut self, task: &TaskId, worker: &WorkerId, how: Release) {
+    pub fn release(&mut self, task: &TaskId, worker: &WorkerId, how: ReleaseReason) {
         self.runs
             .remove(&(task.clone(), worker.clone()))
             .expect("runs there");
@@ -285,7 +285,7 @@
 
     /// A run at a worker makes no progress.
     pub fn stands_still(&mut self, worker: &WorkerId) {
-        self.placement.stands_still(self.now, worker);
+        self.placement.on_run_stalled(self.now, worker);
     }
 
     /// Ends all that runs at a worker.
--- a/crates/placement/tests/explain.rs
+++ b/crates/placement/tests/explain.rs
@@ -9,7 +9,7 @@
 
 fn closed(info: WorkerInfo) -> WorkerInfo {
     WorkerInfo {
-        open: false,
+        schedulable: false,
         ..info
     }
 }
--- a/crates/placement/tests/lessons.rs
+++ b/crates/placement/tests/lessons.rs
@@ -125,11 +125,11 @@
     cluster.now += 1_000;
     cluster
         .placement
-        .progress(cluster.now, &task(1), &"w1".into(), 50.0);
+        .update_progress(cluster.now, &task(1), &"w1".into(), 50.0);
     cluster.now += 900;
     cluster
         .placement
-        .progress(cluster.now, &task(1), &"w1".into(), 95.0);
+        .update_progress(cluster.now, &task(1), &"w1".into(), 95.0);
     cluster.enqueue(unit(2, 1_000, 0));
     cluster.run_for(100);
     assert!(cluster.preempted.is_empty());
--- a/crates/placement/tests/reorder.rs
+++ b/crates/placement/tests/reorder.rs
@@ -3,14 +3,19 @@
 mod common;
 
 use common::*;
-use streamusher_placement::{Decision, Held, Placement, Release};
+use streamusher_placement::{Allocation, Decision, Placement, ReleaseReason};
 use streamusher_protocol::unit::Unit;
 
 /// A worker that is full, and units that wait for it.
 fn given_waiting(units: &[Unit]) -> Placement {
     let mut placement = Placement::new(settings(1));
-    placement.worker(0, worker("w", 1_000, "r"));
-    placement.occupy(0, &task(999), &"w".into(), Held::from(&unit(999, 1_000, 1)));
+    placement.update_worker(0, worker("w", 1_000, "r"));
+    placement.restore_run(
+        0,
+        &task(999),
+        &"w".into(),
+        Allocation::from(&unit(999, 1_000, 1)),
+    );
     units
         .iter()
         .for_each(|unit| placement.enqueue(0, unit.clone()));
@@ -19,7 +24,7 @@
 }
 
 fn first_start(placement: &mut Placement) -> Option<Decision> {
-    placement.release(400, &task(999), &"w".into(), Release::Lost);
+    placement.release(400, &task(999), &"w".into(), ReleaseReason::Lost);
     placement.place(400).into_iter().next()
 }
 
@@ -48,11 +53,11 @@
 fn given_two_gangs_when_their_order_is_swapped_then_the_other_starts_first() {
     let (one, two) = (gang(1, 2, 500, 1), gang(2, 2, 500, 1));
     let mut placement = Placement::new(settings(1));
-    placement.worker(0, worker("w", 900, "r"));
+    placement.update_worker(0, worker("w", 900, "r"));
     placement.enqueue(0, one.clone());
     placement.enqueue(0, two.clone());
     placement.reorder(&one.id, 3);
-    placement.worker(10, worker("w", 1_000, "r"));
+    placement.update_worker(10, worker("w", 1_000, "r"));
     assert!(starts(placement.place(10).into_iter().next(), &two));
 }
 
--- a/crates/placement/tests/search.rs
+++ b/crates/placement/tests/search.rs
@@ -82,7 +82,7 @@
             zone: "z".into(),
             labels: vec![kind.into(), rack.into()],
             capacity: room(size, size * 2, gpu),
-            open: true,
+            schedulable: true,
         });
     }
 
@@ -167,7 +167,7 @@
             .filter(|(task, _)| unit.tasks.contains(task));
         for (task, other) in members.cloned().collect::<Vec<_>>() {
             self.ends.remove(&(task.clone(), other.clone()));
-            self.cluster.end(&task, &other, RunEnd::Broken);
+            self.cluster.end(&task, &other, RunEnd::GangBroken);
         }
         unit.avoid.push(at.clone());
         self.cluster.enqueue(unit);
@@ -191,7 +191,7 @@
         let id = &ids[self.random.random_range(0..ids.len())];
         let info = self.cluster.workers[id].clone();
         self.cluster.worker(WorkerInfo {
-            open: !info.open,
+            schedulable: !info.schedulable,
             ..info
         });
     }
@@ -201,7 +201,7 @@
         for ((task, at), (end, _)) in &self.ends {
             let since = self.cluster.runs[&(task.clone(), at.clone())].since;
             let done = 100.0 * (now - since) as f64 / (end - since).max(1) as f64;
-            self.cluster.placement.progress(now, task, at, done);
+            self.cluster.placement.update_progress(now, task, at, done);
         }
     }
 
@@ -276,17 +276,22 @@
             .cluster
             .workers
             .values()
-            .filter(|info| info.open && &*info.service == service);
+            .filter(|info| info.schedulable && &*info.service == service);
         let sums = own.fold(
             (Resources::default(), Resources::default()),
-            |(all, taken), info| (all.plus(&info.capacity), taken.plus(&used[&info.id])),
+            |(all, taken), info| {
+                (
+                    all.saturating_add(&info.capacity),
+                    taken.saturating_add(&used[&info.id]),
+                )
+            },
         );
-        sums.0.covers(&sums.1.plus(&sums.1))
+        sums.0.covers(&sums.1.saturating_add(&sums.1))
     }
 
     fn has_twice_the_room(&self, unit: &Unit, used: &BTreeMap<WorkerId, Resources>) -> bool {
         let members = self.cluster.workers.values().map(|info| {
-            let fits = info.open
+            let fits = info.schedulable
                 && info.service == unit.service
                 && unit
                     .node_selector
@@ -295,7 +300,7 @@
             if !fits {
                 return 0;
             }
-            let free = info.capacity.minus(&used[&info.id]);
+            let free = info.capacity.saturating_sub(&used[&info.id]);
             let by = |free: u64, asked: u64| free.checked_div(asked).unwrap_or(u64::MAX);
             let by_room = by(free.cpu, unit.resources.cpu)
                 .min(by(free.mem_mb, unit.resources.mem_mb))
@@ -321,8 +326,12 @@
         }
         self.failing = false;
         let turn: Vec<WorkerInfo> = self.cluster.workers.values().cloned().collect();
-        turn.into_iter()
-            .for_each(|info| self.cluster.worker(WorkerInfo { open: true, ..info }));
+        turn.into_iter().for_each(|info| {
+            self.cluster.worker(WorkerInfo {
+                schedulable: true,
+                ..info
+            })
+        });
         while self.cluster.now < DAY_MS + REST_MS
             && !(self.ends.is_empty() && self.nothing_can_start())
         {
--- a/crates/placement/tests/waits.rs
+++ b/crates/placement/tests/waits.rs
@@ -50,7 +50,7 @@
     cluster.enqueue(unit(1, 1_000, 1));
     cluster.place();
     cluster.worker(streamusher_placement::WorkerInfo {
-        open: false,
+        schedulable: false,
         ..worker("w1", 1_000, "r1")
     });
     cluster.enqueue(unit(2, 500, 1));
--- a/crates/protocol/src/heartbeat.rs
+++ b/crates/protocol/src/heartbeat.rs
@@ -31,7 +31,7 @@
     }
 
     /// The sum of both.
-    pub fn plus(&self, other: &Resources) -> Resources {
+    pub fn saturating_add(&self, other: &Resources) -> Resources {
         Resources {
             cpu: self.cpu.saturating_add(other.cpu),
             mem_mb: self.mem_mb.saturating_add(other.mem_mb),
@@ -40,7 +40,7 @@
     }
 
     /// What is left after `other` is taken away; never below zero.
-    pub fn minus(&self, other: &Resources) -> Resources {
+    pub fn saturating_sub(&self, other: &Resources) -> Resources {
         Resources {
             cpu: self.cpu.saturating_sub(other.cpu),
             mem_mb: self.mem_mb.saturating_sub(other.mem_mb),
@@ -115,15 +115,15 @@
 
 /// A run to start: task, run, spec, checkpoint to continue from.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StartOrder(pub TaskId, pub u32, pub Arc<str>, pub Arc<str>);
+pub struct StartCommand(pub TaskId, pub u32, pub Arc<str>, pub Arc<str>);
 
 /// A run to stop: task, run.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct StopOrder(pub TaskId, pub u32);
+pub struct StopCommand(pub TaskId, pub u32);
 
 /// The answer to a heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeartbeatAnswer {
+pub struct HeartbeatResponse {
     /// How long runs are held, counted from the sending of the heartbeat; without it nothing is held on or started.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub hold_ms: Option<Millis>,
@@ -135,10 +135,10 @@
     pub fence_token: u64,
     /// Runs to start.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub start: Vec<StartOrder>,
+    pub start: Vec<StartCommand>,
     /// Runs to stop.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub stop: Vec<StopOrder>,
+    pub stop: Vec<StopCommand>,
     /// When the next heartbeat is wanted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<Millis>,
--- a/crates/protocol/src/internal.rs
+++ b/crates/protocol/src/internal.rs
@@ -1,16 +1,18 @@
 //! What gates and agents say to the control plane, over HTTP/1.1 with JSON bodies on the internal port.
 
-use crate::heartbeat::{FinishedRun, Resources, RunningTask, StartOrder, StopOrder, WorkerState};
+use crate::heartbeat::{
+    FinishedRun, Resources, RunningTask, StartCommand, StopCommand, WorkerState,
+};
 use crate::task::{JobId, RunId};
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// An agent reports its worker and waits for orders: [`AgentSync`] to [`AgentOrders`].
+/// An agent reports its worker and waits for orders: [`AgentSync`] to [`AgentCommands`].
 pub const AGENT_SYNC_PATH: &str = "/internal/agent/sync";
-/// A gate passes on a client's call: [`ClientCall`] to [`ClientReply`].
+/// A gate passes on a client's call: [`ClientRequest`] to [`ClientResponse`].
 pub const CLIENT_CALL_PATH: &str = "/internal/client/call";
-/// A gate renews its lease: [`GateLease`] to [`GateLeaseReply`].
+/// A gate renews its lease: [`GateLeaseRequest`] to [`GateLeaseResponse`].
 pub const GATE_LEASE_PATH: &str = "/internal/gate/lease";
 /// Messages of the configuration's relay tree.
 pub const RELAY_PATH: &str = "/internal/relay";
@@ -23,7 +25,7 @@
 /// Status of any process, for operators.
 pub const STATUS_PATH: &str = "/internal/status";
 
-/// What the primary knows of one job or user: [`Explain`].
+/// What the primary knows of one job or user: [`ExplainRequest`].
 pub const EXPLAIN_PATH: &str = "/internal/explain";
 
 /// Offset in the machine's port range of the control plane's internal port.
@@ -65,7 +67,7 @@
 /// An operator asks the primary about one thing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Explain {
+pub enum ExplainRequest {
     /// Where a job stands, and why what waits of it waits.
     Job(JobId),
     /// What a user has lately used.
@@ -136,7 +138,7 @@
 
 /// The primary's orders. `start` and `stop` replace those of earlier revisions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AgentOrders {
+pub struct AgentCommands {
     /// The primary's epoch; handed to the worker as its fencing token.
     pub epoch: u64,
     /// Rises with each change of what is ordered of this agent's worker.
@@ -149,10 +151,10 @@
     pub last_seen: u64,
     /// Runs to start that were not seen at the worker yet.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub start: Vec<StartOrder>,
+    pub start: Vec<StartCommand>,
     /// Runs to stop.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub stop: Vec<StopOrder>,
+    pub stop: Vec<StopCommand>,
     /// Where the control plane is.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub view: Option<ClusterView>,
@@ -172,7 +174,7 @@
 
 /// A client's call, passed on by a gate. The primary chooses the route by its own configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ClientCall {
+pub struct ClientRequest {
     /// What is asked.
     pub method: ClientMethod,
     /// The Host header.
@@ -189,7 +191,7 @@
 
 /// The primary's answer to a client's call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ClientReply {
+pub struct ClientResponse {
     /// HTTP status for the client.
     pub status: u16,
     /// JSON body for the client; empty for none.
@@ -202,16 +204,16 @@
 
 /// A gate renews its lease as a member of the relay tree.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GateLease {
+pub struct GateLeaseRequest {
     /// Internal `ip:port` of the gate.
     pub address: Arc<str>,
     /// Version of the roster that it knows; 0 for none.
     pub roster: u64,
 }
 
-/// The primary's answer to a [`GateLease`].
+/// The primary's answer to a [`GateLeaseRequest`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GateLeaseReply {
+pub struct GateLeaseResponse {
     /// The newest configuration that is committed; 0 for none.
     pub configuration: u64,
     /// Version of the newest roster; 0 while a new primary has none.
--- a/crates/protocol/src/job.rs
+++ b/crates/protocol/src/job.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 /// The longest `spec`, in bytes.
-pub const MOST_SPEC_BYTES: usize = 4_000;
+pub const MAX_SPEC_BYTES: usize = 4_000;
 
 /// A job as its client hands it in.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
--- a/crates/protocol/src/task.rs
+++ b/crates/protocol/src/task.rs
@@ -117,13 +117,17 @@
     /// It was told to stop.
     Stopped,
     /// Its hold was over.
-    Lapsed,
+    #[serde(rename = "lapsed")]
+    LeaseExpired,
     /// Another member of its gang ended.
-    Broken,
+    #[serde(rename = "broken")]
+    GangBroken,
     /// It waited for the other members of its gang in vain.
-    Alone,
+    #[serde(rename = "alone")]
+    GangIncomplete,
     /// It was not started.
-    Refused,
+    #[serde(rename = "refused")]
+    Rejected,
 }
 
 macro_rules! as_text {
--- a/crates/protocol/src/unit.rs
+++ b/crates/protocol/src/unit.rs
@@ -65,7 +65,7 @@
     pub hedged: bool,
     /// A copy of a hedged task that is at work: it takes room that is free, at another worker, and nothing is stopped for
     /// it.
-    pub spare: bool,
+    pub speculative: bool,
     /// Workers at which a run of it failed or stood still: taken only where no other can.
     pub avoid: Vec<WorkerId>,
 }
--- a/crates/runtime/src/http/answers.rs
+++ b/crates/runtime/src/http/answers.rs
@@ -1,6 +1,6 @@
 //! Answers as they are usually made, and bodies as they are usually read.
 
-use super::Answer;
+use super::Response;
 use ::http::header::{HeaderValue, CONTENT_TYPE};
 use ::http::StatusCode;
 use bytes::Bytes;
@@ -18,14 +18,14 @@
 }
 
 /// An answer without a body.
-pub fn empty(status: StatusCode) -> Answer {
-    let mut answer = Answer::new(Bytes::new());
+pub fn empty(status: StatusCode) -> Response {
+    let mut answer = Response::new(Bytes::new());
     *answer.status_mut() = status;
     answer
 }
 
 /// A plain text.
-pub fn text(status: StatusCode, body: impl Into<String>) -> Answer {
+pub fn text(status: StatusCode, body: impl Into<String>) -> Response {
     with_body(
         status,
         "text/plain; charset=utf-8",
@@ -34,7 +34,7 @@
 }
 
 /// A value as JSON; 500 if it can't be written as such.
-pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Answer {
+pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response {
     match serde_json::to_vec(value) {
         Ok(body) => with_body(status, "application/json", Bytes::from(body)),
         Err(error) => text(
@@ -44,8 +44,8 @@
     }
 }
 
-fn with_body(status: StatusCode, kind: &'static str, body: Bytes) -> Answer {
-    let mut answer = Answer::new(body);
+fn with_body(status: StatusCode, kind: &'static str, body: Bytes) -> Response {
+    let mut answer = Response::new(body);
     *answer.status_mut() = status;
     answer
         .headers_mut()
--- a/crates/runtime/src/http/client.rs
+++ b/crates/runtime/src/http/client.rs
@@ -3,7 +3,7 @@
 use super::call_id::{belongs, CallIds};
 use super::sockets;
 use super::stream::Stream;
-use super::{Answer, Call};
+use super::{Request, Response};
 use ::http::header::{HeaderValue, HOST};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -44,7 +44,7 @@
 
 /// Why there is no answer.
 #[derive(Debug, thiserror::Error)]
-pub enum CallError {
+pub enum RequestError {
     /// No byte of the call reached the peer's program: it can be made elsewhere.
     #[error("not sent: {0}: call another address")]
     NotSent(String),
@@ -109,11 +109,12 @@
     /// Makes a call and waits for the whole answer, at most for `deadline`. A call that is dropped closes its connection.
     ///
     /// # Errors
-    /// No answer came: see [`CallError`].
-    pub async fn call(&self, call: Call, deadline: Duration) -> Result<Answer, CallError> {
+    /// No answer came: see [`RequestError`].
+    pub async fn send(&self, call: Request, deadline: Duration) -> Result<Response, RequestError> {
         let until = Instant::now() + deadline;
         let waited = tokio::time::timeout_at(until, self.shared.places.acquire()).await;
-        let _place = waited.map_err(|_| CallError::NotSent("too many calls at once".to_owned()))?;
+        let _place =
+            waited.map_err(|_| RequestError::NotSent("too many calls at once".to_owned()))?;
         self.shared.call(call, until).await
     }
 
@@ -126,16 +127,16 @@
 }
 
 impl Shared {
-    async fn call(&self, call: Call, until: Instant) -> Result<Answer, CallError> {
+    async fn call(&self, call: Request, until: Instant) -> Result<Response, RequestError> {
         let (mut request, id) = self.prepare(call);
         loop {
             let generation = self.pool.borrow().generation;
             let (mut sender, fresh) = self.connection(until).await?;
             let sent = tokio::time::timeout_at(until, sender.try_send_request(request));
             let mut error = match sent.await {
-                Err(_) => return Err(CallError::Unknown("the deadline is over".to_owned())),
+                Err(_) => return Err(RequestError::Unknown("the deadline is over".to_owned())),
                 Ok(Ok(answer)) if !belongs(answer.headers(), &id) => {
-                    return Err(CallError::Unknown(
+                    return Err(RequestError::Unknown(
                         "the answer is that of another call".to_owned(),
                     ));
                 }
@@ -144,16 +145,16 @@
             };
             // Only a request that is handed back was surely not written.
             let Some(back) = error.take_message() else {
-                return Err(CallError::Unknown(error.into_error().to_string()));
+                return Err(RequestError::Unknown(error.into_error().to_string()));
             };
             if fresh {
-                return Err(CallError::NotSent(error.into_error().to_string()));
+                return Err(RequestError::NotSent(error.into_error().to_string()));
             }
             request = back;
         }
     }
 
-    fn prepare(&self, call: Call) -> (::http::Request<Full<Bytes>>, HeaderValue) {
+    fn prepare(&self, call: Request) -> (::http::Request<Full<Bytes>>, HeaderValue) {
         let mut request = call.map(Full::new);
         let id = self.ids.stamp(request.headers_mut());
         if let (false, Some(host)) = (request.headers().contains_key(HOST), &self.host) {
@@ -163,7 +164,7 @@
     }
 
     /// A connection that takes a request, and whether it is new.
-    async fn connection(&self, until: Instant) -> Result<(Sender, bool), CallError> {
+    async fn connection(&self, until: Instant) -> Result<(Sender, bool), RequestError> {
         loop {
             let idle = self.pool.borrow_mut().idle.pop();
             let Some(mut sender) = idle else { break };
@@ -177,8 +178,8 @@
         let limit = until.min(Instant::now() + self.limits.connect_timeout);
         match tokio::time::timeout_at(limit, connect(self.address)).await {
             Ok(Ok(sender)) => Ok((sender, true)),
-            Ok(Err(error)) => Err(CallError::NotSent(error.to_string())),
-            Err(_) => Err(CallError::NotSent("connecting took too long".to_owned())),
+            Ok(Err(error)) => Err(RequestError::NotSent(error.to_string())),
+            Err(_) => Err(RequestError::NotSent("connecting took too long".to_owned())),
         }
     }
 
@@ -188,16 +189,16 @@
         sender: Sender,
         generation: u64,
         until: Instant,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<Response, RequestError> {
         let (head, body) = answer.into_parts();
         let collected = Limited::new(body, self.limits.max_body).collect();
         let body = match tokio::time::timeout_at(until, collected).await {
             Ok(Ok(body)) => body.to_bytes(),
-            Ok(Err(error)) => return Err(CallError::Unknown(error.to_string())),
-            Err(_) => return Err(CallError::Unknown("the deadline is over".to_owned())),
+            Ok(Err(error)) => return Err(RequestError::Unknown(error.to_string())),
+            Err(_) => return Err(RequestError::Unknown("the deadline is over".to_owned())),
         };
         self.keep(sender, generation);
-        Ok(Answer::from_parts(head, body))
+        Ok(Response::from_parts(head, body))
     }
 
     fn keep(&self, sender: Sender, generation: u64) {
--- a/crates/runtime/src/http/mod.rs
+++ b/crates/runtime/src/http/mod.rs
@@ -10,14 +10,14 @@
 
 pub use answers::{empty, json, parse_json, text, BodyError};
 pub use call_id::CALL_ID;
-pub use client::{CallError, Client, ClientLimits};
+pub use client::{Client, ClientLimits, RequestError};
 pub use outbox::Outbox;
 pub use server::{Server, ServerHandle, ServerLimits};
 
 use bytes::Bytes;
 
 /// A request with its whole body.
-pub type Call = ::http::Request<Bytes>;
+pub type Request = ::http::Request<Bytes>;
 
 /// An answer with its whole body.
-pub type Answer = ::http::Response<Bytes>;
+pub type Response = ::http::Response<Bytes>;
--- a/crates/runtime/src/http/outbox.rs
+++ b/crates/runtime/src/http/outbox.rs
@@ -1,6 +1,6 @@
 //! Messages that may be lost: one queue and one connection for each receiver, and everything queued in one call.
 
-use super::{Call, Client, ClientLimits};
+use super::{Client, ClientLimits, Request};
 use ::http::header::CONTENT_TYPE;
 use ::http::{HeaderValue, Method, Uri};
 use bytes::Bytes;
@@ -97,7 +97,7 @@
             batch.push(message);
         }
         let call = call_of(&path, encode(batch));
-        if let Err(error) = client.call(call, CALL_TIMEOUT).await {
+        if let Err(error) = client.send(call, CALL_TIMEOUT).await {
             log::debug!("messages to {address}: {error}");
             // What was queued meanwhile is as old; the next messages are better.
             while messages.try_recv().is_ok() {}
@@ -105,8 +105,8 @@
     }
 }
 
-fn call_of(path: &Uri, body: Vec<u8>) -> Call {
-    let mut call = Call::new(Bytes::from(body));
+fn call_of(path: &Uri, body: Vec<u8>) -> Request {
+    let mut call = Request::new(Bytes::from(body));
     *call.method_mut() = Method::POST;
     *call.uri_mut() = path.clone();
     call.headers_mut()
--- a/crates/runtime/src/http/server.rs
+++ b/crates/runtime/src/http/server.rs
@@ -3,7 +3,7 @@
 use super::call_id::{return_id, CALL_ID};
 use super::sockets;
 use super::stream::{LoopTimer, Stream};
-use super::{text, Answer, Call};
+use super::{text, Request, Response};
 use ::http::header::{HeaderValue, CONNECTION};
 use ::http::StatusCode;
 use bytes::Bytes;
@@ -145,8 +145,8 @@
     /// Serves with local tasks until it was closed and every connection has ended. Within a `LocalSet`.
     pub async fn run<H, F>(self, handler: H)
     where
-        H: Fn(Call) -> F + Clone + 'static,
-        F: Future<Output = Answer> + 'static,
+        H: Fn(Request) -> F + Clone + 'static,
+        F: Future<Output = Response> + 'static,
     {
         let most = self
             .limits
@@ -210,8 +210,8 @@
 
 impl<H, F> Connection<H>
 where
-    H: Fn(Call) -> F + Clone + 'static,
-    F: Future<Output = Answer> + 'static,
+    H: Fn(Request) -> F + Clone + 'static,
+    F: Future<Output = Response> + 'static,
 {
     async fn serve(self, stream: TcpStream) {
         if sockets::tune(&stream).is_err() {
@@ -256,8 +256,8 @@
     request: ::http::Request<Incoming>,
 ) -> ::http::Response<Full<Bytes>>
 where
-    H: Fn(Call) -> F,
-    F: Future<Output = Answer>,
+    H: Fn(Request) -> F,
+    F: Future<Output = Response>,
 {
     let id = request.headers().get(CALL_ID).cloned();
     let mut answer = match whole(limits, request).await {
@@ -274,10 +274,13 @@
 }
 
 /// Reads the body, or says why not; the connection of a body that was not read whole is not used again.
-async fn whole(limits: &ServerLimits, request: ::http::Request<Incoming>) -> Result<Call, Answer> {
+async fn whole(
+    limits: &ServerLimits,
+    request: ::http::Request<Incoming>,
+) -> Result<Request, Response> {
     let (head, body) = request.into_parts();
     if body.is_end_stream() {
-        return Ok(Call::from_parts(head, Bytes::new()));
+        return Ok(Request::from_parts(head, Bytes::new()));
     }
     let too_long = || {
         refusal(
@@ -290,7 +293,7 @@
     }
     let collected = Limited::new(body, limits.max_body).collect();
     match tokio::time::timeout(limits.body_timeout, collected).await {
-        Ok(Ok(body)) => Ok(Call::from_parts(head, body.to_bytes())),
+        Ok(Ok(body)) => Ok(Request::from_parts(head, body.to_bytes())),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(too_long()),
         Ok(Err(_)) => Err(refusal(
             StatusCode::BAD_REQUEST,
@@ -303,7 +306,7 @@
     }
 }
 
-fn refusal(status: StatusCode, reason: &'static str) -> Answer {
+fn refusal(status: StatusCode, reason: &'static str) -> Response {
     let mut answer = text(status, reason);
     answer
         .headers_mut()
--- a/crates/runtime/src/settings/load.rs
+++ b/crates/runtime/src/settings/load.rs
@@ -1,6 +1,6 @@
 //! Reading the settings file, and saying what is wrong with it.
 
-use super::Settings;
+use super::ProcessSettings;
 use figment::providers::{Format, Toml};
 use figment::value::{Num, Value};
 use figment::Figment;
@@ -49,7 +49,7 @@
 ///
 /// # Errors
 /// See [`SettingsError`].
-pub fn load() -> Result<Settings, SettingsError> {
+pub fn load() -> Result<ProcessSettings, SettingsError> {
     let path = std::env::var_os(PATH_VARIABLE).map_or(PathBuf::from(DEFAULT_PATH), PathBuf::from);
     load_from(&path)
 }
@@ -58,7 +58,7 @@
 ///
 /// # Errors
 /// See [`SettingsError`].
-pub fn load_from(path: &Path) -> Result<Settings, SettingsError> {
+pub fn load_from(path: &Path) -> Result<ProcessSettings, SettingsError> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|error| SettingsError::Unreadable {
         path: name.clone(),
@@ -68,7 +68,7 @@
 }
 
 /// Reads the file again, as after SIGHUP, and hands it to `take_over`. A file that is wrong is told and changes nothing.
-pub fn reload(take_over: impl FnOnce(&Settings)) {
+pub fn reload(take_over: impl FnOnce(&ProcessSettings)) {
     match load() {
         Ok(settings) => {
             log::info!("settings read again: seeds {:?}", settings.seeds);
@@ -82,10 +82,10 @@
 ///
 /// # Errors
 /// See [`SettingsError`].
-pub fn parse(text: &str, path: &str) -> Result<Settings, SettingsError> {
+pub fn parse(text: &str, path: &str) -> Result<ProcessSettings, SettingsError> {
     let figment = Figment::from(Toml::string(text));
     let settings = figment
-        .extract::<Settings>()
+        .extract::<ProcessSettings>()
         .map_err(|error| key_error(path, &figment, error))?;
     check(&settings, path)?;
     Ok(settings)
@@ -154,7 +154,7 @@
     }
 }
 
-fn check(settings: &Settings, path: &str) -> Result<(), SettingsError> {
+fn check(settings: &ProcessSettings, path: &str) -> Result<(), SettingsError> {
     let wrong = |key: &str, value: String, remedy: &str| {
         Err(SettingsError::Key {
             path: path.to_owned(),
--- a/crates/runtime/src/settings/mod.rs
+++ b/crates/runtime/src/settings/mod.rs
@@ -14,7 +14,7 @@
 
 /// The settings of a process.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Settings {
+pub struct ProcessSettings {
     /// Name of the machine.
     #[serde(default)]
     pub node_name: Arc<str>,
@@ -72,7 +72,7 @@
     pub fault_tolerance: FaultTolerance,
     /// Figures of the rules.
     #[serde(default)]
-    pub bounds: Bounds,
+    pub bounds: DeploymentLimits,
 }
 
 /// Addresses of what the role serves.
@@ -146,7 +146,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 #[allow(missing_docs)] // The names are the platform's, and its pages explain them.
-pub struct Bounds {
+pub struct DeploymentLimits {
     pub seed_lag_s: f64,
     pub reuse_after_s: f64,
     #[serde(deserialize_with = "milliseconds")]
@@ -186,9 +186,9 @@
     pub restore_ms: Millis,
 }
 
-impl Default for Bounds {
-    fn default() -> Bounds {
-        Bounds {
+impl Default for DeploymentLimits {
+    fn default() -> DeploymentLimits {
+        DeploymentLimits {
             seed_lag_s: 3.0,
             reuse_after_s: 2.0,
             contact_ms: 3_000,
@@ -216,14 +216,14 @@
     }
 }
 
-impl Bounds {
+impl DeploymentLimits {
     /// `grace_s` in milliseconds: how long a process has from SIGTERM to SIGKILL.
     pub fn grace_ms(&self) -> Millis {
         whole_millis(self.grace_s * 1_000.0)
     }
 }
 
-impl Settings {
+impl ProcessSettings {
     /// An address of this machine for what processes say to each other, `offset` above the range's first port.
     pub fn internal_address(&self, offset: u16) -> SocketAddr {
         SocketAddr::new(self.ip, self.internal_port(offset))
@@ -249,10 +249,10 @@
     }
 }
 
-impl Default for Settings {
+impl Default for ProcessSettings {
     /// Settings of a lone process on the local machine, for tests.
-    fn default() -> Settings {
-        Settings {
+    fn default() -> ProcessSettings {
+        ProcessSettings {
             node_name: "node".into(),
             role: "".into(),
             machine_class: "".into(),
@@ -272,7 +272,7 @@
             listen: Listen::default(),
             limits: MachineLimits::default(),
             fault_tolerance: FaultTolerance::default(),
-            bounds: Bounds::default(),
+            bounds: DeploymentLimits::default(),
         }
     }
 }
--- a/crates/runtime/tests/answers.rs
+++ b/crates/runtime/tests/answers.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use streamusher_runtime::http::{Answer, Call, CallError, Client};
+use streamusher_runtime::http::{Client, Request, RequestError, Response};
 use streamusher_runtime::runtime;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -69,11 +69,11 @@
     )
 }
 
-fn get(path: &str) -> Call {
+fn get(path: &str) -> Request {
     http::Request::get(path).body(Bytes::new()).unwrap()
 }
 
-fn body_of(answer: Result<Answer, CallError>) -> String {
+fn body_of(answer: Result<Response, RequestError>) -> String {
     String::from_utf8(answer.unwrap().into_body().to_vec()).unwrap()
 }
 
@@ -129,10 +129,13 @@
         connection.closed().await;
     };
     run(script, |client, seen| async move {
-        assert_eq!(body_of(client.call(get("/one"), SOON).await), "/one");
-        let second = client.call(get("/two"), SOON).await;
-        assert!(matches!(second, Err(CallError::Unknown(_))), "{second:?}");
-        assert_eq!(body_of(client.call(get("/three"), SOON).await), "/three");
+        assert_eq!(body_of(client.send(get("/one"), SOON).await), "/one");
+        let second = client.send(get("/two"), SOON).await;
+        assert!(
+            matches!(second, Err(RequestError::Unknown(_))),
+            "{second:?}"
+        );
+        assert_eq!(body_of(client.send(get("/three"), SOON).await), "/three");
         assert_eq!(
             *seen.borrow(),
             ["/one", "/two", "/three"],
@@ -154,11 +157,11 @@
         connection.closed().await;
     };
     run(script, |client, seen| async move {
-        assert_eq!(body_of(client.call(get("/one"), SOON).await), "/one");
+        assert_eq!(body_of(client.send(get("/one"), SOON).await), "/one");
         // Whether the second answer has come yet or comes after the call, it is never that call's.
-        match client.call(get("/two"), SOON).await {
+        match client.send(get("/two"), SOON).await {
             Ok(answer) => assert_eq!(answer.body(), "/two"),
-            Err(error) => assert!(matches!(error, CallError::Unknown(_)), "{error}"),
+            Err(error) => assert!(matches!(error, RequestError::Unknown(_)), "{error}"),
         }
         assert!(
             seen.borrow().iter().filter(|path| *path == "/two").count() <= 1,
@@ -179,10 +182,10 @@
         connection.closed().await;
     };
     run(script, |client, seen| async move {
-        assert_eq!(body_of(client.call(get("/one"), SOON).await), "/one");
+        assert_eq!(body_of(client.send(get("/one"), SOON).await), "/one");
         // The connection's task reads what has come, and closes it.
         tokio::time::sleep(SHORT).await;
-        assert_eq!(body_of(client.call(get("/two"), SOON).await), "/two");
+        assert_eq!(body_of(client.send(get("/two"), SOON).await), "/two");
         assert_eq!(*seen.borrow(), ["/one", "/two"]);
     });
 }
@@ -203,11 +206,11 @@
         connection.closed().await;
     };
     run(script, |client, seen| async move {
-        let first = client.call(get("/one"), SHORT).await;
-        assert!(matches!(first, Err(CallError::Unknown(_))), "{first:?}");
-        assert_eq!(body_of(client.call(get("/two"), SOON).await), "/two");
+        let first = client.send(get("/one"), SHORT).await;
+        assert!(matches!(first, Err(RequestError::Unknown(_))), "{first:?}");
+        assert_eq!(body_of(client.send(get("/two"), SOON).await), "/two");
         tokio::time::sleep(SHORT * 3).await;
-        assert_eq!(body_of(client.call(get("/three"), SOON).await), "/three");
+        assert_eq!(body_of(client.send(get("/three"), SOON).await), "/three");
         assert_eq!(*seen.borrow(), ["/one", "/two", "/three"]);
     });
 }
@@ -226,12 +229,12 @@
         let call = http::Request::post("/one")
             .body(Bytes::from(vec![b'x'; 4_000]))
             .unwrap();
-        let first = client.call(call, SOON).await;
+        let first = client.send(call, SOON).await;
         assert!(
-            first.is_ok() || matches!(first, Err(CallError::Unknown(_))),
+            first.is_ok() || matches!(first, Err(RequestError::Unknown(_))),
             "{first:?}"
         );
-        assert_eq!(body_of(client.call(get("/two"), SOON).await), "/two");
+        assert_eq!(body_of(client.send(get("/two"), SOON).await), "/two");
         assert_eq!(*seen.borrow(), ["/one", "/two"]);
     });
 }
@@ -247,7 +250,7 @@
         connection.closed().await;
     };
     run(script, |client, _seen| async move {
-        assert_eq!(body_of(client.call(get("/one"), SOON).await), "/one");
+        assert_eq!(body_of(client.send(get("/one"), SOON).await), "/one");
     });
 }
 
@@ -267,9 +270,9 @@
         }
     };
     run(script, |client, seen| async move {
-        let first = client.call(get("/one"), SOON).await;
-        assert!(matches!(first, Err(CallError::Unknown(_))), "{first:?}");
-        assert_eq!(body_of(client.call(get("/two"), SOON).await), "/two");
+        let first = client.send(get("/one"), SOON).await;
+        assert!(matches!(first, Err(RequestError::Unknown(_))), "{first:?}");
+        assert_eq!(body_of(client.send(get("/two"), SOON).await), "/two");
         assert_eq!(
             *seen.borrow(),
             ["/one", "/two"],
@@ -289,14 +292,14 @@
         let mut answered = 0;
         for number in 0..200 {
             let path = format!("/{number}");
-            match client.call(get(&path), SOON).await {
+            match client.send(get(&path), SOON).await {
                 Ok(answer) => {
                     assert_eq!(answer.body(), path.as_bytes());
                     answered += 1;
                 }
                 Err(error) => {
                     let times = seen.borrow().iter().filter(|seen| **seen == path).count();
-                    let is_told = matches!(error, CallError::Unknown(_)) || times == 0;
+                    let is_told = matches!(error, RequestError::Unknown(_)) || times == 0;
                     assert!(is_told, "{path}, carried out {times} times: {error}");
                 }
             }
@@ -319,7 +322,7 @@
         }
     };
     run(script, |client, _seen| async move {
-        assert_eq!(body_of(client.call(get("/one"), SOON).await), "/one");
-        assert_eq!(body_of(client.call(get("/two"), SOON).await), "/two");
+        assert_eq!(body_of(client.send(get("/one"), SOON).await), "/one");
+        assert_eq!(body_of(client.send(get("/two"), SOON).await), "/two");
     });
 }
--- a/crates/runtime/tests/http.rs
+++ b/crates/runtime/tests/http.rs
@@ -8,7 +8,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 use streamusher_runtime::http::{
-    json, parse_json, text, Answer, Call, CallError, Client, Server, ServerHandle, ServerLimits,
+    json, parse_json, text, Client, Request, RequestError, Response, Server, ServerHandle,
+    ServerLimits,
 };
 use streamusher_runtime::runtime;
 use tokio::sync::Notify;
@@ -21,18 +22,18 @@
         .unwrap();
 }
 
-fn get(path: &str) -> Call {
+fn get(path: &str) -> Request {
     http::Request::get(path).body(Bytes::new()).unwrap()
 }
 
-fn post(path: &str, body: Vec<u8>) -> Call {
+fn post(path: &str, body: Vec<u8>) -> Request {
     http::Request::post(path).body(Bytes::from(body)).unwrap()
 }
 
 fn serve<H, F>(limits: ServerLimits, handler: H) -> (SocketAddr, ServerHandle, JoinHandle<()>)
 where
-    H: Fn(Call) -> F + Clone + 'static,
-    F: Future<Output = Answer> + 'static,
+    H: Fn(Request) -> F + Clone + 'static,
+    F: Future<Output = Response> + 'static,
 {
     let server = Server::bind("127.0.0.1:0".parse().unwrap(), limits).unwrap();
     let address = server.local_address().unwrap();
@@ -44,8 +45,8 @@
     )
 }
 
-async fn echo(call: Call) -> Answer {
-    Answer::new(call.into_body())
+async fn echo(call: Request) -> Response {
+    Response::new(call.into_body())
 }
 
 #[test]
@@ -55,7 +56,7 @@
         let client = Client::new(address);
         let body = vec![b'x'; 300_000];
 
-        let answer = client.call(post("/a", body.clone()), SOON).await.unwrap();
+        let answer = client.send(post("/a", body.clone()), SOON).await.unwrap();
 
         assert_eq!(answer.status(), StatusCode::OK);
         assert_eq!(answer.body(), &Bytes::from(body));
@@ -73,7 +74,7 @@
         let client = Client::new(address);
 
         let answer = client
-            .call(post("/a", vec![b'x'; 101]), SOON)
+            .send(post("/a", vec![b'x'; 101]), SOON)
             .await
             .unwrap();
 
@@ -92,7 +93,7 @@
         let client = Client::new(address);
 
         for _ in 0..20 {
-            client.call(get("/"), SOON).await.unwrap();
+            client.send(get("/"), SOON).await.unwrap();
         }
     });
 }
@@ -105,9 +106,9 @@
             .local_addr()
             .unwrap();
 
-        let error = Client::new(free).call(get("/"), SOON).await.unwrap_err();
+        let error = Client::new(free).send(get("/"), SOON).await.unwrap_err();
 
-        assert!(matches!(error, CallError::NotSent(_)), "{error}");
+        assert!(matches!(error, RequestError::NotSent(_)), "{error}");
     });
 }
 
@@ -115,15 +116,15 @@
 fn given_a_server_that_never_answers_when_the_deadline_is_over_then_unknown() {
     run(async {
         let (address, _handle, _running) = serve(ServerLimits::default(), |_call| {
-            std::future::pending::<Answer>()
+            std::future::pending::<Response>()
         });
 
         let error = Client::new(address)
-            .call(get("/"), Duration::from_millis(50))
+            .send(get("/"), Duration::from_millis(50))
             .await
             .unwrap_err();
 
-        assert!(matches!(error, CallError::Unknown(_)), "{error}");
+        assert!(matches!(error, RequestError::Unknown(_)), "{error}");
     });
 }
 
@@ -132,13 +133,13 @@
     run(async {
         let (address, handle, running) = serve(ServerLimits::default(), echo);
         let client = Client::new(address);
-        client.call(get("/"), SOON).await.unwrap();
+        client.send(get("/"), SOON).await.unwrap();
         handle.close();
         running.await.unwrap();
 
-        let error = client.call(get("/"), SOON).await.unwrap_err();
+        let error = client.send(get("/"), SOON).await.unwrap_err();
 
-        assert!(matches!(error, CallError::NotSent(_)), "{error}");
+        assert!(matches!(error, RequestError::NotSent(_)), "{error}");
     });
 }
 
@@ -157,7 +158,7 @@
         });
         let client = Client::new(address);
         let caller = client.clone();
-        let call = tokio::task::spawn_local(async move { caller.call(get("/"), SOON).await });
+        let call = tokio::task::spawn_local(async move { caller.send(get("/"), SOON).await });
         begun.notified().await;
 
         handle.close();
@@ -175,7 +176,7 @@
         let (address, handle, _running) = serve(ServerLimits::default(), echo);
         handle.leave();
 
-        let answer = Client::new(address).call(get("/"), SOON).await.unwrap();
+        let answer = Client::new(address).send(get("/"), SOON).await.unwrap();
 
         assert_eq!(answer.status(), StatusCode::OK);
         assert_eq!(answer.headers().get("connection").unwrap(), "close");
@@ -195,7 +196,7 @@
             .map(|_| {
                 let answered = Rc::clone(&answered);
                 tokio::task::spawn_local(async move {
-                    Client::new(address).call(get("/"), SOON).await.unwrap();
+                    Client::new(address).send(get("/"), SOON).await.unwrap();
                     answered.set(answered.get() + 1);
                 })
             })
@@ -266,7 +267,7 @@
         let client = Client::new(address);
         assert_eq!(
             client
-                .call(post("/a", vec![b'x'; 101]), SOON)
+                .send(post("/a", vec![b'x'; 101]), SOON)
                 .await
                 .unwrap()
                 .status(),
@@ -280,7 +281,7 @@
 
         assert_eq!(
             client
-                .call(post("/a", vec![b'x'; 200]), SOON)
+                .send(post("/a", vec![b'x'; 200]), SOON)
                 .await
                 .unwrap()
                 .status(),
@@ -288,7 +289,7 @@
         );
         assert_eq!(
             client
-                .call(post("/a", vec![b'x'; 201]), SOON)
+                .send(post("/a", vec![b'x'; 201]), SOON)
                 .await
                 .unwrap()
                 .status(),
--- a/crates/runtime/tests/outbox.rs
+++ b/crates/runtime/tests/outbox.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
-use streamusher_runtime::http::{empty, parse_json, Call, Outbox, Server, ServerLimits};
+use streamusher_runtime::http::{empty, parse_json, Outbox, Request, Server, ServerLimits};
 use streamusher_runtime::runtime;
 use tokio::sync::Notify;
 
@@ -35,7 +35,7 @@
         let received: Rc<RefCell<Vec<Vec<u32>>>> = Rc::default();
         let heard = Rc::new(Notify::new());
         let (notes, bell) = (Rc::clone(&received), Rc::clone(&heard));
-        tokio::task::spawn_local(server.run(move |call: Call| {
+        tokio::task::spawn_local(server.run(move |call: Request| {
             assert_eq!(call.uri().path(), "/messages");
             notes.borrow_mut().push(parse_json(call.body()).unwrap());
             bell.notify_one();
--- a/crates/runtime/tests/settings.rs
+++ b/crates/runtime/tests/settings.rs
@@ -1,7 +1,7 @@
 //! The settings file: what is read, what is ignored, and what errors say.
 
 use rstest::rstest;
-use streamusher_runtime::settings::{parse, MachineLimits, Settings, SettingsError};
+use streamusher_runtime::settings::{parse, MachineLimits, ProcessSettings, SettingsError};
 
 const GIVEN: &str = r#"
 node_name = "front-1"
@@ -36,7 +36,7 @@
 a_new_bound = true
 "#;
 
-fn read(text: &str) -> Result<Settings, SettingsError> {
+fn read(text: &str) -> Result<ProcessSettings, SettingsError> {
     parse(text, "settings.toml")
 }
 
--- a/crates/scheduler/examples/takeover.rs
+++ b/crates/scheduler/examples/takeover.rs
@@ -9,18 +9,20 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Instant;
-use streamusher_protocol::internal::{ClientCall, ClientMethod};
+use streamusher_protocol::internal::{ClientMethod, ClientRequest};
 use streamusher_protocol::Now;
-use streamusher_scheduler::{Bounds, Event, OperatorOrder, OrderKind, Scheduler, Settings};
+use streamusher_scheduler::{
+    Event, OperatorRequest, OperatorRequestKind, Scheduler, SchedulerLimits, SchedulerSettings,
+};
 
 const CONFIGURATION: &str = r#"{"version":1,"routes":[{"name":"r","host":"h","path_prefix":"/q/","timeout_ms":3000,
     "target_latency_ms":800,"priority":0,"service":"s","max_attempts":2,"stretch":1.5}],"services":[{"name":"s"}]}"#;
 const JOB: &str = r#"{"spec":"a text that says what is to be done, of some hundred bytes, as operators' clients send",
     "steps":[{"count":4,"cpu":500,"mem_mb":256,"estimated_ms":900}]}"#;
 
-fn settings() -> Settings {
-    Settings {
-        bounds: Bounds::default(),
+fn settings() -> SchedulerSettings {
+    SchedulerSettings {
+        limits: SchedulerLimits::default(),
         random_seed: 1,
         share_debt: None,
         policy: streamusher_scheduler::Policy::default(),
@@ -39,14 +41,14 @@
     let mut scheduler =
         Scheduler::recover(settings(), 1, now(0), Vec::new()).expect("an empty state");
     let mut state = BTreeMap::new();
-    let order = OperatorOrder {
-        kind: OrderKind::Replace,
+    let order = OperatorRequest {
+        kind: OperatorRequestKind::Replace,
         base: Some(0),
         body: CONFIGURATION.into(),
     };
     let events = (0..jobs).map(|number| Event::Client {
         request: number,
-        call: ClientCall {
+        call: ClientRequest {
             method: ClientMethod::Post,
             host: "h".into(),
             path: format!("/q/{number:016x}").into(),
--- a/crates/scheduler/src/accounts.rs
+++ b/crates/scheduler/src/accounts.rs
@@ -1,7 +1,7 @@
 //! Where the time of jobs went: told to the job record as units wait and run, and logged for jobs that missed their objective.
 
 use crate::scheduler::Scheduler;
-use streamusher_jobs::{Completion, RunTimes, Stage};
+use streamusher_jobs::{Completion, LatencyStage, RunTimings};
 use streamusher_placement::WaitReason;
 use streamusher_protocol::task::RunId;
 use streamusher_protocol::unit::WorkerId;
@@ -20,7 +20,8 @@
         ran_ms: Millis,
     ) {
         let slowness = self.placement.slowness_of_run(now, &run.task, worker);
-        self.jobs.ran(run, RunTimes { ran_ms, slowness });
+        self.jobs
+            .record_run_timings(run, RunTimings { ran_ms, slowness });
     }
 }
 
@@ -41,20 +42,20 @@
 }
 
 /// What a unit waited for, as the job record tells it.
-pub(crate) fn stages_of(waits: &[(WaitReason, Millis)]) -> Vec<(Stage, Millis)> {
+pub(crate) fn stages_of(waits: &[(WaitReason, Millis)]) -> Vec<(LatencyStage, Millis)> {
     waits
         .iter()
         .map(|(reason, waited_ms)| (stage_of(*reason), *waited_ms))
         .collect()
 }
 
-fn stage_of(reason: WaitReason) -> Stage {
+fn stage_of(reason: WaitReason) -> LatencyStage {
     match reason {
         WaitReason::NoWorkerTakesWork
         | WaitReason::NoWorkerHasItsLabel
-        | WaitReason::NoWorkerIsLargeEnough => Stage::WaitedForWorker,
-        WaitReason::NoRoomIsFree => Stage::WaitedForRoom,
-        WaitReason::RoomIsKept => Stage::WaitedForReservation,
-        WaitReason::RoomIsKeptForOthers => Stage::WaitedWithRoomFree,
+        | WaitReason::NoWorkerIsLargeEnough => LatencyStage::WaitedForWorker,
+        WaitReason::NoRoomIsFree => LatencyStage::WaitedForRoom,
+        WaitReason::RoomIsKept => LatencyStage::WaitedForReservation,
+        WaitReason::RoomIsKeptForOthers => LatencyStage::WaitedWithRoomFree,
     }
 }
--- a/crates/scheduler/src/clients.rs
+++ b/crates/scheduler/src/clients.rs
@@ -1,11 +1,11 @@
 //! Clients' calls, as gates pass them on.
 
-use crate::event::{Reply, RequestId};
+use crate::event::{RequestId, SchedulerResponse};
 use crate::scheduler::Scheduler;
 use std::sync::Arc;
-use streamusher_jobs::{Cancelled, QueueTerms};
+use streamusher_jobs::{CancelOutcome, QueuePolicy};
 use streamusher_protocol::config::Route;
-use streamusher_protocol::internal::{ClientCall, ClientMethod, ClientReply};
+use streamusher_protocol::internal::{ClientMethod, ClientRequest, ClientResponse};
 use streamusher_protocol::job::{JobRequest, JobStatus, QueueStatus};
 use streamusher_protocol::task::JobId;
 use streamusher_protocol::{Millis, Now};
@@ -15,14 +15,14 @@
 
 impl Scheduler {
     /// Answers a client's call at once; the caller releases the answer when it is committed.
-    pub(crate) fn client(&mut self, now: Now, request: RequestId, call: ClientCall) {
+    pub(crate) fn client(&mut self, now: Now, request: RequestId, call: ClientRequest) {
         let reply = self.client_reply(now, &call);
-        self.reply(request, Reply::Client(reply));
+        self.reply(request, SchedulerResponse::Client(reply));
     }
 
-    fn client_reply(&mut self, now: Now, call: &ClientCall) -> ClientReply {
+    fn client_reply(&mut self, now: Now, call: &ClientRequest) -> ClientResponse {
         if self.configuration.current().is_none() {
-            return ClientReply {
+            return ClientResponse {
                 retry_after_ms: Some(UNCONFIGURED_RETRY_MS),
                 ..problem(503, "no configuration yet")
             };
@@ -40,12 +40,12 @@
         }
     }
 
-    fn queue_reply(&self, method: ClientMethod, terms: &QueueTerms) -> ClientReply {
+    fn queue_reply(&self, method: ClientMethod, terms: &QueuePolicy) -> ClientResponse {
         match method {
             ClientMethod::Get => json(
                 200,
                 &QueueStatus {
-                    waiting: self.jobs.waiting(&terms.queue),
+                    waiting: self.jobs.pending_count(&terms.queue),
                 },
             ),
             _ => problem(
@@ -58,10 +58,10 @@
     fn job_reply(
         &mut self,
         now: Now,
-        call: &ClientCall,
+        call: &ClientRequest,
         id: &JobId,
-        terms: &QueueTerms,
-    ) -> ClientReply {
+        terms: &QueuePolicy,
+    ) -> ClientResponse {
         match call.method {
             ClientMethod::Get => self.show(id),
             ClientMethod::Delete => self.cancel(now, id),
@@ -69,21 +69,21 @@
         }
     }
 
-    fn show(&self, id: &JobId) -> ClientReply {
+    fn show(&self, id: &JobId) -> ClientResponse {
         match self.jobs.status(id) {
             Some(state) => json(200, &JobStatus { state }),
             None => problem(410, "no such job"),
         }
     }
 
-    fn cancel(&mut self, now: Now, id: &JobId) -> ClientReply {
+    fn cancel(&mut self, now: Now, id: &JobId) -> ClientResponse {
         match self.jobs.cancel(now, id) {
-            Cancelled::Unknown => problem(410, "no such job"),
+            CancelOutcome::Unknown => problem(410, "no such job"),
             _ => self.show(id),
         }
     }
 
-    fn submit(&mut self, now: Now, id: &JobId, body: &str, terms: &QueueTerms) -> ClientReply {
+    fn submit(&mut self, now: Now, id: &JobId, body: &str, terms: &QueuePolicy) -> ClientResponse {
         let job: JobRequest = match serde_json::from_str(body) {
             Ok(job) => job,
             Err(error) => return refuse(id, &format!("the job cannot be read: {error}")),
@@ -96,14 +96,14 @@
 }
 
 /// A job that is not taken, with the cause.
-fn refuse(id: &JobId, cause: &str) -> ClientReply {
+fn refuse(id: &JobId, cause: &str) -> ClientResponse {
     log::info!("job {id} refused: {cause}");
     problem(400, cause)
 }
 
 /// What the job record needs of a queue.
-pub(crate) fn terms_of(route: &Route) -> QueueTerms {
-    QueueTerms {
+pub(crate) fn terms_of(route: &Route) -> QueuePolicy {
+    QueuePolicy {
         queue: route.name.clone(),
         service: route.service.clone(),
         priority: route.priority,
@@ -113,18 +113,18 @@
     }
 }
 
-fn json<T: serde::Serialize>(status: u16, body: &T) -> ClientReply {
+fn json<T: serde::Serialize>(status: u16, body: &T) -> ClientResponse {
     let body = serde_json::to_string(body).unwrap_or_default();
-    ClientReply {
+    ClientResponse {
         status,
         body: body.into(),
         retry_after_ms: None,
     }
 }
 
-fn problem(status: u16, text: &str) -> ClientReply {
+fn problem(status: u16, text: &str) -> ClientResponse {
     let body: Arc<str> = serde_json::json!({ "error": text }).to_string().into();
-    ClientReply {
+    ClientResponse {
         status,
         body,
         retry_after_ms: None,
--- a/crates/scheduler/src/event.rs
+++ b/crates/scheduler/src/event.rs
@@ -1,7 +1,7 @@
 //! What the scheduler is told and what it wants done.
 
 use std::sync::Arc;
-use streamusher_protocol::internal::{AgentOrders, AgentSync, ClientCall, ClientReply};
+use streamusher_protocol::internal::{AgentCommands, AgentSync, ClientRequest, ClientResponse};
 use streamusher_protocol::store::Write;
 
 /// Number that the caller gives to a request; replies carry it.
@@ -15,7 +15,7 @@
         /// Its number.
         request: RequestId,
         /// The call.
-        call: ClientCall,
+        call: ClientRequest,
     },
     /// An agent reports and waits for orders.
     Agent {
@@ -29,7 +29,7 @@
         /// Its number.
         request: RequestId,
         /// The order.
-        order: OperatorOrder,
+        order: OperatorRequest,
     },
     /// The caller of a request has left; a reply would reach nobody.
     Abandoned {
@@ -42,7 +42,7 @@
 
 /// What an operator wants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OrderKind {
+pub enum OperatorRequestKind {
     /// A whole configuration.
     Replace,
     /// A change of named items.
@@ -53,9 +53,9 @@
 
 /// An operator's order.
 #[derive(Clone, Debug)]
-pub struct OperatorOrder {
+pub struct OperatorRequest {
     /// What is wanted.
-    pub kind: OrderKind,
+    pub kind: OperatorRequestKind,
     /// The version on which a change builds.
     pub base: Option<u64>,
     /// The body as it came.
@@ -64,7 +64,7 @@
 
 /// The answer to an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OperatorReply {
+pub struct OperatorResponse {
     /// HTTP status.
     pub status: u16,
     /// JSON body.
@@ -73,13 +73,13 @@
 
 /// The answer to a request.
 #[derive(Clone, Debug)]
-pub enum Reply {
+pub enum SchedulerResponse {
     /// To a gate.
-    Client(ClientReply),
+    Client(ClientResponse),
     /// To an agent.
-    Agent(AgentOrders),
+    Agent(AgentCommands),
     /// To an operator.
-    Operator(OperatorReply),
+    Operator(OperatorResponse),
 }
 
 /// What is to be done about an event.
@@ -88,7 +88,7 @@
     /// Changes of the replicated state: one batch.
     pub writes: Vec<Write>,
     /// Replies, to be released once everything appended so far, `writes` included, is committed.
-    pub replies: Vec<(RequestId, Reply)>,
+    pub replies: Vec<(RequestId, SchedulerResponse)>,
 }
 
 impl Effects {
--- a/crates/scheduler/src/explain.rs
+++ b/crates/scheduler/src/explain.rs
@@ -4,7 +4,7 @@
 use crate::scheduler::Scheduler;
 use serde::Serialize;
 use std::sync::Arc;
-use streamusher_fair_share::Shown;
+use streamusher_fair_share::UserUsage;
 use streamusher_placement::WaitingUnit;
 use streamusher_protocol::job::JobState;
 use streamusher_protocol::task::{JobId, TaskId};
@@ -24,7 +24,7 @@
     /// Its state.
     pub state: JobState,
     /// What its user has lately used, where debts order work.
-    pub user: Option<Shown>,
+    pub user: Option<UserUsage>,
     /// Runs that take room.
     pub runs: Vec<JobRun>,
     /// Runs that are not listed.
@@ -92,7 +92,7 @@
     }
 
     /// What a user has lately used; none where debts are switched off.
-    pub fn explain_user(&self, now: Millis, user: &Arc<str>) -> Option<Shown> {
+    pub fn explain_user(&self, now: Millis, user: &Arc<str>) -> Option<UserUsage> {
         self.share_debt.as_ref().map(|debt| debt.show(now, user))
     }
 
--- a/crates/scheduler/src/judgements.rs
+++ b/crates/scheduler/src/judgements.rs
@@ -98,7 +98,7 @@
             return;
         }
         self.judgements.next_look = now + LOOK_EVERY_MS;
-        let charges = self.placement.charges(now);
+        let charges = self.placement.penalties(now);
         let tenths =
             charges.map(|(worker, charge)| (worker.clone(), (charge * 10.0).round() as u32));
         let tenths = tenths.filter(|(_, tenths)| *tenths > 0).collect();
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -31,7 +31,10 @@
 mod watch;
 mod workers;
 
-pub use event::{Effects, Event, OperatorOrder, OperatorReply, OrderKind, Reply, RequestId};
+pub use event::{
+    Effects, Event, OperatorRequest, OperatorRequestKind, OperatorResponse, RequestId,
+    SchedulerResponse,
+};
 pub use recovery::RecoverError;
-pub use scheduler::{Bounds, Scheduler, Settings};
+pub use scheduler::{Scheduler, SchedulerLimits, SchedulerSettings};
 pub use streamusher_placement::{Mechanism, Policy};
--- a/crates/scheduler/src/operators.rs
+++ b/crates/scheduler/src/operators.rs
@@ -1,60 +1,62 @@
 //! Operators' orders.
 
 use crate::clients::terms_of;
-use crate::event::{OperatorOrder, OperatorReply, OrderKind, Reply, RequestId};
+use crate::event::{
+    OperatorRequest, OperatorRequestKind, OperatorResponse, RequestId, SchedulerResponse,
+};
 use crate::scheduler::Scheduler;
 use serde_json::json;
-use streamusher_configuration::Outcome;
+use streamusher_configuration::ChangeOutcome;
 
 impl Scheduler {
     /// Carries out an operator's order; the answer is released when the change is committed.
-    pub(crate) fn operator(&mut self, request: RequestId, order: OperatorOrder) {
+    pub(crate) fn operator(&mut self, request: RequestId, order: OperatorRequest) {
         let reply = match (order.kind, order.base) {
-            (OrderKind::Read, _) => self.read_configuration(),
+            (OperatorRequestKind::Read, _) => self.read_configuration(),
             (_, None) => answer(
                 400,
                 json!({ "error": "the header Streamusher-Base-Version must name the current version" }),
             ),
-            (OrderKind::Replace, Some(base)) => {
+            (OperatorRequestKind::Replace, Some(base)) => {
                 let outcome = self.configuration.replace(base, &order.body);
                 self.change(outcome)
             }
-            (OrderKind::Update, Some(base)) => {
+            (OperatorRequestKind::Update, Some(base)) => {
                 let outcome = self.configuration.update(base, &order.body);
                 self.change(outcome)
             }
         };
-        self.reply(request, Reply::Operator(reply));
+        self.reply(request, SchedulerResponse::Operator(reply));
     }
 
-    fn read_configuration(&self) -> OperatorReply {
+    fn read_configuration(&self) -> OperatorResponse {
         match self.configuration.read() {
-            Some(body) => OperatorReply { status: 200, body },
+            Some(body) => OperatorResponse { status: 200, body },
             None => answer(404, json!({ "error": "no configuration was taken yet" })),
         }
     }
 
-    fn change(&mut self, outcome: Outcome) -> OperatorReply {
+    fn change(&mut self, outcome: ChangeOutcome) -> OperatorResponse {
         match outcome {
-            Outcome::Taken { version, writes } => {
+            ChangeOutcome::Taken { version, writes } => {
                 log::info!("configuration {version} taken");
                 self.write(writes);
                 self.retune();
                 answer(200, json!({ "version": version }))
             }
-            Outcome::Again { version } => answer(200, json!({ "version": version })),
-            Outcome::Stale { current, writes } => {
+            ChangeOutcome::Again { version } => answer(200, json!({ "version": version })),
+            ChangeOutcome::Stale { current, writes } => {
                 self.write(writes);
                 answer(
                     412,
                     json!({ "error": "another version is current", "version": current }),
                 )
             }
-            Outcome::Undecided { current } => answer(
+            ChangeOutcome::Undecided { current } => answer(
                 503,
                 json!({ "error": "no longer known whether this was taken: read the configuration", "version": current }),
             ),
-            Outcome::Invalid(error) => {
+            ChangeOutcome::Invalid(error) => {
                 log::info!("configuration refused: {error}");
                 answer(400, json!({ "error": error.to_string() }))
             }
@@ -72,12 +74,12 @@
                 .find(|route| &*route.name == queue);
             route.map(terms_of)
         };
-        self.jobs.retune(&lookup);
+        self.jobs.apply_configuration(&lookup);
     }
 }
 
-fn answer(status: u16, body: serde_json::Value) -> OperatorReply {
-    OperatorReply {
+fn answer(status: u16, body: serde_json::Value) -> OperatorResponse {
+    OperatorResponse {
         status,
         body: body.to_string().into(),
     }
--- a/crates/scheduler/src/orders.rs
+++ b/crates/scheduler/src/orders.rs
@@ -1,12 +1,12 @@
 //! Orders to agents: made anew when something changed, sent when a call waits for them.
 
-use crate::event::{Reply, RequestId};
+use crate::event::{RequestId, SchedulerResponse};
 use crate::runs::Phase;
 use crate::scheduler::Scheduler;
 use crate::workers::{Content, Parked};
 use std::sync::Arc;
-use streamusher_protocol::heartbeat::{StartOrder, StopOrder};
-use streamusher_protocol::internal::AgentOrders;
+use streamusher_protocol::heartbeat::{StartCommand, StopCommand};
+use streamusher_protocol::internal::AgentCommands;
 use streamusher_protocol::unit::WorkerId;
 use streamusher_protocol::Now;
 
@@ -44,17 +44,17 @@
         let Some(agent) = self.agents.get(name) else {
             return;
         };
-        let orders = AgentOrders {
+        let orders = AgentCommands {
             epoch: self.epoch,
             revision: agent.revision,
-            lease_ms: self.settings.bounds.hold_max_ms,
+            lease_ms: self.settings.limits.hold_max_ms,
             instance: agent.content.instance.clone(),
             last_seen: agent.content.last_seen,
             start: agent.content.start.clone(),
             stop: agent.content.stop.clone(),
             view: None,
         };
-        self.reply(request, Reply::Agent(orders));
+        self.reply(request, SchedulerResponse::Agent(orders));
     }
 
     fn renew_orders(&mut self, name: &Arc<str>) {
@@ -88,9 +88,9 @@
         for (run_id, run) in self.runs.at(id) {
             let (task, number) = (run_id.task.clone(), run_id.run);
             match run.phase {
-                _ if run.stopping => content.stop.push(StopOrder(task, number)),
+                _ if run.stopping => content.stop.push(StopCommand(task, number)),
                 Phase::Ordered => {
-                    content.start.push(StartOrder(
+                    content.start.push(StartCommand(
                         task,
                         number,
                         run.spec.clone(),
--- a/crates/scheduler/src/recovery.rs
+++ b/crates/scheduler/src/recovery.rs
@@ -3,14 +3,14 @@
 use crate::event::Effects;
 use crate::judgements::{self, Judgements};
 use crate::runs::{Phase, Run, Runs};
-use crate::scheduler::{Scheduler, Settings};
+use crate::scheduler::{Scheduler, SchedulerSettings};
 use crate::share_debt::ShareDebt;
 use crate::workers::Worker;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use streamusher_configuration::ConfigurationStore;
-use streamusher_jobs::{AssignedRun, JobBook};
-use streamusher_placement::{Held, Placement};
+use streamusher_jobs::{AssignedRun, JobTable};
+use streamusher_placement::{Allocation, Placement};
 use streamusher_protocol::{Millis, Now};
 
 /// The replicated state cannot be read.
@@ -30,7 +30,7 @@
 impl Scheduler {
     /// Takes over. Leases granted by a former primary last `hold_max_ms` from now at most.
     pub fn recover(
-        settings: Settings,
+        settings: SchedulerSettings,
         epoch: u64,
         now: Now,
         state: impl IntoIterator<Item = (Arc<str>, Arc<str>)>,
@@ -40,7 +40,7 @@
             let wanted = move |key: &str| prefixes.iter().any(|prefix| key.starts_with(prefix));
             records.iter().filter(move |(key, _)| wanted(key)).cloned()
         };
-        let jobs = JobBook::recover(job_settings(&settings), now, of(&["job/", "task/"]))?;
+        let jobs = JobTable::recover(job_settings(&settings), now, of(&["job/", "task/"]))?;
         let configuration = ConfigurationStore::recover(of(&["config/", "order/", "refused/"]))?;
         let share_debt = settings.share_debt.clone().map(|settings| {
             ShareDebt::recover(settings, epoch, now.steady, of(&["debt/", "debt-version"]))
@@ -48,7 +48,7 @@
         let judgements = Judgements::recover(now.steady, of(&[judgements::PREFIX]));
         let mut placement = Placement::new(placement_settings(&settings));
         for (worker, charge) in judgements.charges() {
-            placement.inherit_charge(now.steady, worker.clone(), charge);
+            placement.restore_penalty(now.steady, worker.clone(), charge);
         }
         let mut scheduler = Scheduler {
             settings,
@@ -79,7 +79,7 @@
     fn leases_end(&self, now: Millis) -> Millis {
         match cfg!(feature = "mutant-takeover-wait") {
             true => now,
-            false => now + self.settings.bounds.hold_max_ms,
+            false => now + self.settings.limits.hold_max_ms,
         }
     }
 
@@ -111,9 +111,9 @@
                     .insert(worker.clone(), Worker::new(lease_until));
             }
             self.placement
-                .occupy(now, &assigned.run.task, &worker, held(&assigned));
+                .restore_run(now, &assigned.run.task, &worker, held(&assigned));
             if assigned.stopping {
-                self.placement.stopping(&assigned.run.task, &worker);
+                self.placement.mark_stopping(&assigned.run.task, &worker);
             }
             self.debt_begins(now, &assigned.run, &assigned.resources);
             let run = Run {
@@ -138,8 +138,8 @@
     }
 }
 
-fn held(assigned: &AssignedRun) -> Held {
-    Held {
+fn held(assigned: &AssignedRun) -> Allocation {
+    Allocation {
         unit: assigned.unit.clone(),
         resources: assigned.resources,
         service: assigned.service.clone(),
@@ -153,20 +153,20 @@
     }
 }
 
-fn job_settings(settings: &Settings) -> streamusher_jobs::Settings {
-    streamusher_jobs::Settings {
-        status_ms: settings.bounds.status_ms,
-        early_ms: settings.bounds.early_ms,
+fn job_settings(settings: &SchedulerSettings) -> streamusher_jobs::JobSettings {
+    streamusher_jobs::JobSettings {
+        status_ms: settings.limits.status_ms,
+        early_ms: settings.limits.early_ms,
     }
 }
 
-fn placement_settings(settings: &Settings) -> streamusher_placement::Settings {
-    streamusher_placement::Settings {
+fn placement_settings(settings: &SchedulerSettings) -> streamusher_placement::PlacementSettings {
+    streamusher_placement::PlacementSettings {
         random_seed: settings.random_seed,
-        far_x: settings.bounds.far_x,
-        stop_ms: settings.bounds.stop_ms,
-        save_ms: settings.bounds.save_ms,
-        restore_ms: settings.bounds.restore_ms,
+        far_x: settings.limits.far_x,
+        stop_ms: settings.limits.stop_ms,
+        save_ms: settings.limits.save_ms,
+        restore_ms: settings.limits.restore_ms,
         policy: settings.policy,
     }
 }
--- a/crates/scheduler/src/reports.rs
+++ b/crates/scheduler/src/reports.rs
@@ -6,8 +6,8 @@
 use crate::workers::{Agent, Parked, Worker};
 use std::collections::BTreeSet;
 use std::sync::Arc;
-use streamusher_placement::Release;
-use streamusher_protocol::heartbeat::{RunningTask, StopOrder, WorkerState};
+use streamusher_placement::ReleaseReason;
+use streamusher_protocol::heartbeat::{RunningTask, StopCommand, WorkerState};
 use streamusher_protocol::internal::{AgentSync, WorkerReport};
 use streamusher_protocol::task::{RunEnd, RunId};
 use streamusher_protocol::unit::WorkerId;
@@ -89,7 +89,7 @@
             return;
         }
         self.supersede(now, name, &id);
-        let lease_until = now.steady + self.settings.bounds.hold_max_ms;
+        let lease_until = now.steady + self.settings.limits.hold_max_ms;
         let worker = self
             .workers
             .entry(id.clone())
@@ -186,8 +186,8 @@
         let ran_ms = now.steady.saturating_sub(run.since);
         self.debt_of_end(now.steady, id, how, checkpoint);
         self.note_times(now.steady, worker, id, ran_ms);
-        self.jobs.ended(now, id, how, checkpoint);
-        self.free(now.steady, id, Release::Ended { how, ran_ms });
+        self.jobs.on_run_finished(now, id, how, checkpoint);
+        self.free(now.steady, id, ReleaseReason::Ended { how, ran_ms });
     }
 
     fn note_running(&mut self, now: Now, worker: &WorkerId, report: &WorkerReport) {
@@ -198,7 +198,7 @@
                 run: *number,
             };
             match self.runs.get_mut(&id).filter(|run| run.worker == *worker) {
-                None => strays.push(StopOrder(task.clone(), *number)),
+                None => strays.push(StopCommand(task.clone(), *number)),
                 Some(run) => {
                     run.missing = 0;
                     if run.phase == Phase::Ordered {
@@ -209,10 +209,11 @@
                     if *percent > run.percent {
                         run.percent = *percent;
                         run.moved_at = now.steady;
-                        self.placement.progress(now.steady, task, worker, *percent);
+                        self.placement
+                            .update_progress(now.steady, task, worker, *percent);
                     }
                     if !checkpoint.is_empty() {
-                        self.jobs.checkpointed(&id, checkpoint);
+                        self.jobs.on_checkpoint(&id, checkpoint);
                     }
                 }
             }
@@ -244,16 +245,16 @@
             };
             match run.phase {
                 Phase::Ordered if run.withdrawn.is_some_and(|revision| confirmed >= revision) => {
-                    self.jobs.withdrawn(now, &id);
-                    self.free(now.steady, &id, Release::Withdrawn);
+                    self.jobs.on_run_withdrawn(now, &id);
+                    self.free(now.steady, &id, ReleaseReason::Withdrawn);
                 }
                 Phase::Ordered => {}
                 Phase::Running if !is_newer || report.finished.len() >= CUT_LIST => {}
                 Phase::Running => {
                     run.missing = run.missing.saturating_add(1);
                     if run.missing >= MISSING_REPORTS {
-                        self.jobs.lost(now, &id);
-                        self.free(now.steady, &id, Release::Lost);
+                        self.jobs.on_run_lost(now, &id);
+                        self.free(now.steady, &id, ReleaseReason::Lost);
                     }
                 }
             }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,7 +1,7 @@
 //! The scheduler itself: takes events, joins the parts, gives out effects.
 
 use crate::accounts::{log_missed, stages_of};
-use crate::event::{Effects, Event, Reply, RequestId};
+use crate::event::{Effects, Event, RequestId, SchedulerResponse};
 use crate::judgements::Judgements;
 use crate::runs::{Phase, Run, Runs};
 use crate::share_debt::ShareDebt;
@@ -9,9 +9,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use streamusher_configuration::ConfigurationStore;
-use streamusher_fair_share::Charge;
-use streamusher_jobs::JobBook;
-use streamusher_placement::{Decision, Placement, Policy, Release, WorkerInfo};
+use streamusher_fair_share::UsageCharge;
+use streamusher_jobs::JobTable;
+use streamusher_placement::{Decision, Placement, Policy, ReleaseReason, WorkerInfo};
 use streamusher_protocol::heartbeat::WorkerState;
 use streamusher_protocol::store::Write;
 use streamusher_protocol::task::{RunId, TaskId};
@@ -20,7 +20,7 @@
 
 /// Bounds of the deployment, from the settings file.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct SchedulerLimits {
     /// The longest hold of a run without contact.
     pub hold_max_ms: Millis,
     /// How long a stop takes at most.
@@ -43,10 +43,10 @@
     pub heartbeat_ms: Millis,
 }
 
-impl Default for Bounds {
+impl Default for SchedulerLimits {
     /// Those of a small deployment in one region.
-    fn default() -> Bounds {
-        Bounds {
+    fn default() -> SchedulerLimits {
+        SchedulerLimits {
             hold_max_ms: 6_000,
             stop_ms: 900,
             gang_ms: 3_000,
@@ -63,22 +63,22 @@
 
 /// What a scheduler is told at its start.
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct SchedulerSettings {
     /// Bounds of the deployment.
-    pub bounds: Bounds,
+    pub limits: SchedulerLimits,
     /// For random choices.
     pub random_seed: u64,
     /// Debts by recent use order work within a priority; none: by time alone.
-    pub share_debt: Option<streamusher_fair_share::Settings>,
+    pub share_debt: Option<streamusher_fair_share::FairShareSettings>,
     /// The mechanisms that take part in decisions.
     pub policy: Policy,
 }
 
 /// The primary's state machine.
 pub struct Scheduler {
-    pub(crate) settings: Settings,
+    pub(crate) settings: SchedulerSettings,
     pub(crate) epoch: u64,
-    pub(crate) jobs: JobBook,
+    pub(crate) jobs: JobTable,
     pub(crate) placement: Placement,
     pub(crate) configuration: ConfigurationStore,
     pub(crate) runs: Runs,
@@ -153,14 +153,14 @@
         let waiting = routes
             .unwrap_or_default()
             .iter()
-            .map(|route| (&route.name, self.jobs.waiting(&route.name)));
+            .map(|route| (&route.name, self.jobs.pending_count(&route.name)));
         waiting
             .filter(|(_, jobs)| *jobs > 0)
             .map(|(name, jobs)| (name.clone(), jobs))
             .collect()
     }
 
-    pub(crate) fn reply(&mut self, request: RequestId, reply: Reply) {
+    pub(crate) fn reply(&mut self, request: RequestId, reply: SchedulerResponse) {
         self.effects.replies.push((request, reply));
     }
 
@@ -203,7 +203,7 @@
     fn carry_out(&mut self, now: Now, decision: Decision) {
         match decision {
             Decision::Start { unit, on, waits } => {
-                self.jobs.waited(now, &unit, &stages_of(&waits));
+                self.jobs.record_wait(now, &unit, &stages_of(&waits));
                 self.begin(now, &unit, &on);
             }
             Decision::Preempt { task, worker } => {
@@ -219,7 +219,7 @@
 
     fn begin(&mut self, now: Now, id: &UnitId, on: &[(TaskId, WorkerId)]) {
         let unit = self.waiting.remove(id);
-        let started = self.jobs.begin(now, id, on);
+        let started = self.jobs.start_unit(now, id, on);
         let Some(unit) = unit.filter(|_| !started.is_empty()) else {
             return self.give_back(now.steady, id, on);
         };
@@ -254,7 +254,7 @@
         );
         for (task, worker) in on {
             self.placement
-                .release(now, task, worker, Release::Withdrawn);
+                .release(now, task, worker, ReleaseReason::Withdrawn);
         }
     }
 
@@ -273,14 +273,14 @@
             .and_then(|a| self.agents.get(&a))
             .map_or(0, |a| a.revision);
         run.withdrawn = Some(revision + 1);
-        self.placement.stopping(&id.task, &worker);
+        self.placement.mark_stopping(&id.task, &worker);
         self.touch(&worker);
     }
 
     /// A run is over: its room is free.
-    pub(crate) fn free(&mut self, now: Millis, id: &RunId, how: Release) {
+    pub(crate) fn free(&mut self, now: Millis, id: &RunId, how: ReleaseReason) {
         if let Some(run) = self.runs.remove(id) {
-            self.debt_ends(now, id, Charge::ThrownAway);
+            self.debt_ends(now, id, UsageCharge::ThrownAway);
             self.placement.release(now, &id.task, &run.worker, how);
             self.touch(&run.worker);
         }
@@ -289,8 +289,8 @@
     /// All runs of a worker are over without a listed end.
     pub(crate) fn lose_runs(&mut self, now: Now, worker: &WorkerId) {
         for id in self.runs.ids_at(worker) {
-            self.jobs.lost(now, &id);
-            self.free(now.steady, &id, Release::Lost);
+            self.jobs.on_run_lost(now, &id);
+            self.free(now.steady, &id, ReleaseReason::Lost);
         }
     }
 
@@ -298,7 +298,7 @@
     pub(crate) fn drop_worker(&mut self, now: Now, id: &WorkerId) {
         self.lose_runs(now, id);
         self.workers.remove(id);
-        self.placement.worker_gone(now.steady, id);
+        self.placement.remove_worker(now.steady, id);
         let judgement = self.judgements.forget(id);
         self.write(judgement);
         self.write([Write::remove(format!("worker/{id}"))]);
@@ -331,9 +331,9 @@
             zone: worker.zone.clone(),
             labels: worker.labels.clone(),
             capacity: worker.capacity,
-            open: worker.open,
+            schedulable: worker.open,
         };
-        self.placement.worker(now, info);
+        self.placement.update_worker(now, info);
     }
 
     /// The machine of each worker that runs something is replicated: a successor there proves that it is dead.
--- a/crates/scheduler/src/share_debt.rs
+++ b/crates/scheduler/src/share_debt.rs
@@ -3,7 +3,9 @@
 use crate::scheduler::Scheduler;
 use serde_json::json;
 use std::sync::Arc;
-use streamusher_fair_share::{Charge, DebtBook, Settings, Shown, Version};
+use streamusher_fair_share::{
+    FairShareAccounts, FairShareSettings, RankingVersion, UsageCharge, UserUsage,
+};
 use streamusher_protocol::heartbeat::Resources;
 use streamusher_protocol::job::JobState;
 use streamusher_protocol::task::{JobId, RunEnd, RunId};
@@ -19,19 +21,19 @@
 
 /// The debts, and how far the order of what waits follows them.
 pub(crate) struct ShareDebt {
-    book: DebtBook,
+    book: FairShareAccounts,
     /// The version by which waiting units are being ordered anew, and the last of them that was looked at.
-    ordering: Option<(Version, Option<UnitId>)>,
+    ordering: Option<(RankingVersion, Option<UnitId>)>,
 }
 
 impl ShareDebt {
     pub(crate) fn recover(
-        settings: Settings,
+        settings: FairShareSettings,
         epoch: u64,
         now: Millis,
         records: impl IntoIterator<Item = (Arc<str>, Arc<str>)>,
     ) -> ShareDebt {
-        let book = DebtBook::recover(settings, epoch, now, records);
+        let book = FairShareAccounts::recover(settings, epoch, now, records);
         if !book.damaged().is_empty() {
             log::warn!(
                 "share debt: {} records cannot be read; their users begin anew",
@@ -60,7 +62,7 @@
     }
 
     /// What a user has lately used.
-    pub(crate) fn show(&self, now: Millis, user: &Arc<str>) -> Shown {
+    pub(crate) fn show(&self, now: Millis, user: &Arc<str>) -> UserUsage {
         self.book.show(now, user)
     }
 
@@ -88,14 +90,14 @@
             return;
         };
         if let Some(debt) = &mut self.share_debt {
-            debt.book.began(now, &user, run.clone(), resources);
+            debt.book.on_run_started(now, &user, run.clone(), resources);
         }
     }
 
     /// A run's room is free. Told again, nothing changes.
-    pub(crate) fn debt_ends(&mut self, now: Millis, run: &RunId, charge: Charge) {
+    pub(crate) fn debt_ends(&mut self, now: Millis, run: &RunId, charge: UsageCharge) {
         if let Some(debt) = &mut self.share_debt {
-            debt.book.ended(now, run, charge);
+            debt.book.on_run_finished(now, run, charge);
         }
     }
 
@@ -107,12 +109,14 @@
         let state = self.jobs.status(&run.task.job);
         let is_unwanted = matches!(state, Some(JobState::Cancelled | JobState::Failed));
         let charge = match how {
-            RunEnd::Done | RunEnd::Failed => Charge::Used,
+            RunEnd::Done | RunEnd::Failed => UsageCharge::Used,
             // The user had it stopped, its own job failed, or nothing of its work is lost.
-            RunEnd::Stopped if is_unwanted || !checkpoint.is_empty() => Charge::Used,
-            RunEnd::Stopped | RunEnd::Lapsed | RunEnd::Broken | RunEnd::Alone | RunEnd::Refused => {
-                Charge::ThrownAway
-            }
+            RunEnd::Stopped if is_unwanted || !checkpoint.is_empty() => UsageCharge::Used,
+            RunEnd::Stopped
+            | RunEnd::LeaseExpired
+            | RunEnd::GangBroken
+            | RunEnd::GangIncomplete
+            | RunEnd::Rejected => UsageCharge::ThrownAway,
         };
         self.debt_ends(now, run, charge);
     }
--- a/crates/scheduler/src/watch.rs
+++ b/crates/scheduler/src/watch.rs
@@ -31,7 +31,7 @@
 impl Scheduler {
     /// Time has passed.
     pub(crate) fn watch(&mut self, now: Now) {
-        self.jobs.advance(now);
+        self.jobs.tick(now);
         if now.steady < self.next_watch {
             return;
         }
@@ -149,9 +149,9 @@
     fn move_from_standstill(&mut self, now: Millis, id: &RunId) {
         log::warn!("run {} of {} stands still and is moved", id.run, id.task);
         if let Some(run) = self.runs.get(id) {
-            self.placement.stands_still(now, &run.worker);
+            self.placement.on_run_stalled(now, &run.worker);
         }
-        self.jobs.stalled(id);
+        self.jobs.on_run_stalled(id);
         self.stop_run(id);
     }
 
@@ -169,7 +169,7 @@
         if run.long_running && run.percent >= AT_WORK_PERCENT {
             return false;
         }
-        let bounds = &self.settings.bounds;
+        let bounds = &self.settings.limits;
         let together = if run.gang { bounds.gang_ms } else { 0 };
         let restored = if run.checkpoint.is_empty() {
             0
--- a/crates/scheduler/src/workers.rs
+++ b/crates/scheduler/src/workers.rs
@@ -2,7 +2,7 @@
 
 use crate::event::RequestId;
 use std::sync::Arc;
-use streamusher_protocol::heartbeat::{Resources, StartOrder, StopOrder, WorkerState};
+use streamusher_protocol::heartbeat::{Resources, StartCommand, StopCommand, WorkerState};
 use streamusher_protocol::internal::{AgentSync, WorkerReport};
 use streamusher_protocol::unit::WorkerId;
 use streamusher_protocol::Millis;
@@ -34,7 +34,7 @@
     /// By then nothing runs there unless the agent calls again.
     pub(crate) lease_until: Millis,
     /// Runs that it lists and that nobody ordered, or that are over for us: to be stopped.
-    pub(crate) strays: Vec<StopOrder>,
+    pub(crate) strays: Vec<StopCommand>,
     /// Whether placement was told that it takes work.
     pub(crate) open: bool,
 }
@@ -98,8 +98,8 @@
 pub(crate) struct Content {
     pub(crate) instance: Option<WorkerId>,
     pub(crate) last_seen: u64,
-    pub(crate) start: Vec<StartOrder>,
-    pub(crate) stop: Vec<StopOrder>,
+    pub(crate) start: Vec<StartCommand>,
+    pub(crate) stop: Vec<StopCommand>,
 }
 
 /// An agent.
--- a/crates/scheduler/tests/accounts.rs
+++ b/crates/scheduler/tests/accounts.rs
@@ -4,7 +4,7 @@
 
 use std::cell::RefCell;
 use std::sync::Once;
-use streamusher_jobs::{Completion, Stage};
+use streamusher_jobs::{Completion, LatencyStage};
 use streamusher_protocol::task::RunEnd;
 use streamusher_scheduler::accounts::MISSED_OBJECTIVE;
 use support::given::given_an_ordered_task;
@@ -61,8 +61,8 @@
     assert_eq!(missed.spent.total_ms(), missed.took_ms);
     assert_eq!(
         (
-            missed.spent.of(Stage::Ordered),
-            missed.spent.of(Stage::Worked)
+            missed.spent.of(LatencyStage::Ordered),
+            missed.spent.of(LatencyStage::Worked)
         ),
         (4_000, 500)
     );
--- a/crates/scheduler/tests/share_debt.rs
+++ b/crates/scheduler/tests/share_debt.rs
@@ -6,7 +6,7 @@
 use streamusher_protocol::internal::ClientMethod;
 use streamusher_protocol::task::RunEnd;
 use streamusher_protocol::Millis;
-use streamusher_scheduler::{Event, OperatorOrder, OrderKind, Settings};
+use streamusher_scheduler::{Event, OperatorRequest, OperatorRequestKind, SchedulerSettings};
 use support::{settings, TestAgent, World, JOB};
 
 /// A task that takes the whole worker.
@@ -14,27 +14,27 @@
 const SCANS: &str = "00000000000000a1";
 const CHECK: &str = "00000000000000b1";
 
-fn with_debts() -> Settings {
-    let debts = streamusher_fair_share::Settings {
+fn with_debts() -> SchedulerSettings {
+    let debts = streamusher_fair_share::FairShareSettings {
         most_delay_ms: 60_000,
         half_delay_core_s: 10,
-        ..streamusher_fair_share::Settings::with_half_life(60_000)
+        ..streamusher_fair_share::FairShareSettings::with_half_life(60_000)
     };
-    Settings {
+    SchedulerSettings {
         share_debt: Some(debts),
         ..settings()
     }
 }
 
 /// A world with a worker and a second queue, `/p/`, of this priority.
-fn given_two_queues(settings: Settings, priority: u32) -> (World, TestAgent) {
+fn given_two_queues(settings: SchedulerSettings, priority: u32) -> (World, TestAgent) {
     let mut world = World::with(settings);
     let body = format!(
         r#"{{"version":2,"upsert":{{"routes":[{{"name":"p","host":"h","path_prefix":"/p/","timeout_ms":3000,
             "target_latency_ms":800,"priority":{priority},"service":"s","max_attempts":2,"stretch":1.5}}]}}}}"#
     );
-    let order = OperatorOrder {
-        kind: OrderKind::Update,
+    let order = OperatorRequest {
+        kind: OperatorRequestKind::Update,
         base: Some(1),
         body: body.into(),
     };
@@ -64,7 +64,7 @@
 }
 
 /// A job of queue `/q/` runs; after it one of `/q/` waits, and one of `/p/` that came later.
-fn given_heavy_use_and_two_that_wait(settings: Settings) -> (World, TestAgent) {
+fn given_heavy_use_and_two_that_wait(settings: SchedulerSettings) -> (World, TestAgent) {
     let (mut world, mut agent) = given_two_queues(settings, 0);
     submit(&mut world, &format!("/q/{JOB}"));
     world.settle(&mut agent);
--- a/crates/scheduler/tests/support/mod.rs
+++ b/crates/scheduler/tests/support/mod.rs
@@ -6,26 +6,29 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use streamusher_protocol::heartbeat::{
-    FinishedRun, Resources, RunningTask, StartOrder, WorkerState,
+    FinishedRun, Resources, RunningTask, StartCommand, WorkerState,
 };
 use streamusher_protocol::internal::{
-    AgentOrders, AgentSync, ClientCall, ClientMethod, ClientReply, WorkerReport,
+    AgentCommands, AgentSync, ClientMethod, ClientRequest, ClientResponse, WorkerReport,
 };
 use streamusher_protocol::task::{RunEnd, RunId, TaskId};
 use streamusher_protocol::{Millis, Now};
-use streamusher_scheduler::{Bounds, Event, OperatorOrder, OrderKind, Reply, Scheduler, Settings};
+use streamusher_scheduler::{
+    Event, OperatorRequest, OperatorRequestKind, Scheduler, SchedulerLimits, SchedulerResponse,
+    SchedulerSettings,
+};
 
 pub const HOLD_MAX_MS: Millis = 6_000;
 pub const JOB: &str = "5c0e7a21d94b36f8";
 const UNIX_START: Millis = 1_790_000_000_000;
 
-pub fn settings() -> Settings {
-    let bounds = Bounds {
+pub fn settings() -> SchedulerSettings {
+    let limits = SchedulerLimits {
         hold_max_ms: HOLD_MAX_MS,
-        ..Bounds::default()
+        ..SchedulerLimits::default()
     };
-    Settings {
-        bounds,
+    SchedulerSettings {
+        limits,
         random_seed: 1,
         share_debt: None,
         policy: streamusher_scheduler::Policy::default(),
@@ -36,10 +39,10 @@
     pub scheduler: Scheduler,
     pub state: BTreeMap<Arc<str>, Arc<str>>,
     pub now: Millis,
-    settings: Settings,
+    settings: SchedulerSettings,
     epoch: u64,
     requests: u64,
-    replies: BTreeMap<u64, Reply>,
+    replies: BTreeMap<u64, SchedulerResponse>,
 }
 
 impl World {
@@ -48,7 +51,7 @@
         World::with(settings())
     }
 
-    pub fn with(settings: Settings) -> World {
+    pub fn with(settings: SchedulerSettings) -> World {
         let scheduler =
             Scheduler::recover(settings.clone(), 1, clock(0), Vec::new()).expect("empty state");
         let mut world = World {
@@ -63,8 +66,8 @@
         let body = r#"{"version":1,"routes":[{"name":"r","host":"h","path_prefix":"/q/","timeout_ms":3000,
             "target_latency_ms":800,"priority":0,"service":"s","max_attempts":2,"stretch":1.5}],
             "services":[{"name":"s","guards":false}]}"#;
-        let order = OperatorOrder {
-            kind: OrderKind::Replace,
+        let order = OperatorRequest {
+            kind: OperatorRequestKind::Replace,
             base: Some(0),
             body: body.into(),
         };
@@ -108,9 +111,9 @@
         self.replies.clear();
     }
 
-    pub fn call(&mut self, method: ClientMethod, path: &str, body: &str) -> ClientReply {
+    pub fn call(&mut self, method: ClientMethod, path: &str, body: &str) -> ClientResponse {
         let request = self.request();
-        let call = ClientCall {
+        let call = ClientRequest {
             method,
             host: "h".into(),
             path: path.into(),
@@ -119,12 +122,12 @@
         };
         self.handle(Event::Client { request, call });
         match self.replies.remove(&request) {
-            Some(Reply::Client(reply)) => reply,
+            Some(SchedulerResponse::Client(reply)) => reply,
             other => panic!("no reply to a client's call: {other:?}"),
         }
     }
 
-    pub fn submit(&mut self, steps: &str) -> ClientReply {
+    pub fn submit(&mut self, steps: &str) -> ClientResponse {
         let body = format!(r#"{{"spec":"text","steps":{steps}}}"#);
         self.call(ClientMethod::Post, &format!("/q/{JOB}"), &body)
     }
@@ -135,12 +138,12 @@
     }
 
     /// An agent's call; the answer if it came at once.
-    pub fn sync(&mut self, agent: &mut TestAgent) -> Option<AgentOrders> {
+    pub fn sync(&mut self, agent: &mut TestAgent) -> Option<AgentCommands> {
         let request = self.request();
         let sync = agent.next_call();
         self.handle(Event::Agent { request, sync });
         let orders = match self.replies.remove(&request) {
-            Some(Reply::Agent(orders)) => orders,
+            Some(SchedulerResponse::Agent(orders)) => orders,
             _ => return None,
         };
         agent.obey(&orders);
@@ -148,7 +151,7 @@
     }
 
     /// The call of an agent whose worker has not called it yet.
-    pub fn sync_without_worker(&mut self, agent: &mut TestAgent) -> Option<AgentOrders> {
+    pub fn sync_without_worker(&mut self, agent: &mut TestAgent) -> Option<AgentCommands> {
         let request = self.request();
         let sync = AgentSync {
             worker: None,
@@ -156,7 +159,7 @@
         };
         self.handle(Event::Agent { request, sync });
         match self.replies.remove(&request) {
-            Some(Reply::Agent(orders)) => Some(orders),
+            Some(SchedulerResponse::Agent(orders)) => Some(orders),
             _ => None,
         }
     }
@@ -186,7 +189,7 @@
     epoch: u64,
     revision: u64,
     pub report: WorkerReport,
-    pub start: Vec<StartOrder>,
+    pub start: Vec<StartCommand>,
     pub stop: Vec<RunId>,
     pub last_seen: u64,
     ends: u64,
@@ -240,7 +243,7 @@
         }
     }
 
-    fn obey(&mut self, orders: &AgentOrders) {
+    fn obey(&mut self, orders: &AgentCommands) {
         if (orders.epoch, orders.revision) < (self.epoch, self.revision) {
             return;
         }
