--- a/crates/controlplane/tests/support/cluster.rs
+++ b/crates/controlplane/tests/support/cluster.rs
@@ -61,6 +61,15 @@
 impl Cluster {
     /// Starts three machines on empty disks.
     pub async fn start() -> Cluster {
+        let mut cluster = Cluster::without_machines();
+        for machine in 0..usize::from(MACHINES) {
+            cluster.start_machine(machine, true).await;
+        }
+        cluster
+    }
+
+    /// Addresses and empty disks for three machines, none of which runs.
+    pub fn without_machines() -> Cluster {
         let pid = std::process::id();
         let net = [
             127,
@@ -68,16 +77,12 @@
             NEXT_NET.fetch_add(1, Ordering::Relaxed),
         ];
         let folders = (0..MACHINES).map(|_| TestFolder::new()).collect();
-        let mut cluster = Cluster {
+        Cluster {
             net,
             folders,
             running: BTreeMap::new(),
             clients: BTreeMap::new(),
-        };
-        for machine in 0..usize::from(MACHINES) {
-            cluster.start_machine(machine, true).await;
         }
-        cluster
     }
 
     pub async fn start_machine(&mut self, machine: usize, bootstrap: bool) {
@@ -202,6 +207,11 @@
             .unwrap()
     }
 
+    /// A request without a body.
+    pub async fn send(&mut self, address: SocketAddr, method: Method, path: &str) -> Response {
+        self.call(address, method, path, None, b"").await.unwrap()
+    }
+
     /// A caller of its own, which waits for the next epoch at a machine.
     pub fn watcher(&self, machine: usize) -> Watcher {
         Watcher(Client::new(self.internal(machine)))
