--- a/crates/scheduler/tests/support/mod.rs
+++ b/crates/scheduler/tests/support/mod.rs
@@ -14,7 +14,7 @@
 use streamusher_protocol::task::{RunEnd, RunId, TaskId};
 use streamusher_protocol::{Millis, Now};
 use streamusher_scheduler::{
-    Event, OperatorRequest, OperatorRequestKind, Scheduler, SchedulerLimits, SchedulerResponse,
+    Effects, Event, OperatorRequest, OperatorRequestKind, Scheduler, SchedulerLimits, SchedulerResponse,
     SchedulerSettings,
 };
 
@@ -39,6 +39,8 @@
     pub scheduler: Scheduler,
     pub state: BTreeMap<Arc<str>, Arc<str>>,
     pub now: Millis,
+    /// What the scheduler wanted done, in order.
+    pub effects: Vec<Effects>,
     settings: SchedulerSettings,
     epoch: u64,
     requests: u64,
@@ -58,6 +60,7 @@
             scheduler,
             state: BTreeMap::new(),
             now: 0,
+            effects: Vec::new(),
             settings,
             epoch: 1,
             requests: 0,
@@ -83,6 +86,9 @@
 
     pub fn handle(&mut self, event: Event) {
         let effects = self.scheduler.handle(clock(self.now), event);
+        if !effects.is_empty() {
+            self.effects.push(effects.clone());
+        }
         for write in effects.writes {
             match write.value {
                 Some(value) => self.state.insert(write.key, value),
