--- /dev/null
+++ b/crates/configuration/tests/encoded.rs
@@ -0,0 +1,218 @@
+//! Encoded forms, byte for byte: messages of the relay tree, stored records, and the messages of errors.
+//!
+//! Members of different releases exchange these messages, a new release reads the records of the one before, and operators'
+//! pages quote the errors. The fixtures were written by an earlier release; they are never written anew.
+
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use serde_json::value::RawValue;
+use std::fmt::Debug;
+use std::sync::Arc;
+use streamusher_configuration::relay::{
+    ConfigurationDelta, RelayEnvelope, RelayMembership, RelayMessage, RelayPeer, RootHeartbeat,
+};
+use streamusher_configuration::{
+    ChangeOutcome, ConfigurationError, ConfigurationStore, RecordError,
+};
+use streamusher_protocol::store::Write;
+
+const RELAY: &str = include_str!("fixtures/encoded/relay.jsonl");
+const RECORDS: &str = include_str!("fixtures/encoded/records.jsonl");
+const ERRORS: &str = include_str!("fixtures/encoded/errors.txt");
+
+fn raw(text: &str) -> Arc<RawValue> {
+    RawValue::from_string(text.to_owned()).expect("JSON").into()
+}
+
+/// Compares values with the lines of a fixture, both ways. Values that hold raw texts are compared as `Debug` shows them.
+fn check_lines<T: Serialize + DeserializeOwned + Debug>(values: &[T], lines: &[&str]) {
+    assert_eq!(values.len(), lines.len());
+    for (value, line) in values.iter().zip(lines) {
+        assert_eq!(serde_json::to_string(value).expect("JSON"), *line);
+        let decoded: T = serde_json::from_str(line).expect("it is read");
+        assert_eq!(format!("{decoded:?}"), format!("{value:?}"));
+    }
+}
+
+fn relay_messages() -> Vec<RelayMessage> {
+    let delta = |base, version, update: &str| ConfigurationDelta {
+        base,
+        version,
+        update: raw(update),
+    };
+    let heartbeat = |adopted, ask| RelayMessage::Heartbeat {
+        version: 3,
+        pulse: RootHeartbeat { epoch: 1, count: 2 },
+        adopted,
+        ask,
+    };
+    vec![
+        heartbeat(true, false),
+        heartbeat(false, true),
+        RelayMessage::Changes(vec![]),
+        RelayMessage::Changes(vec![
+            delta(1, 2, r#"{"version": 2,  "x":1.00}"#),
+            delta(2, 5, r#"{"version":5,"upsert":{"routes":[]}}"#),
+        ]),
+        RelayMessage::Whole {
+            version: 3,
+            text: raw(r#"{"version":3, "note":1e400}"#),
+        },
+        RelayMessage::Ask { have: 7 },
+    ]
+}
+
+#[test]
+fn encoded_forms_are_as_recorded_for_relay_messages() {
+    let lines: Vec<&str> = RELAY.lines().collect();
+    let peers = [RelayPeer::Core, RelayPeer::Member("10.0.0.1:7381".into())];
+    let messages = relay_messages();
+    let envelopes = peers.clone().map(|from| RelayEnvelope {
+        from,
+        messages: messages.clone(),
+    });
+    let memberships = [
+        RelayMembership::default(),
+        RelayMembership {
+            version: 4_294_967_297,
+            members: vec!["10.0.0.1:7381".into(), "10.0.0.2:7381".into()],
+        },
+    ];
+    let (peer_lines, rest) = lines.split_at(peers.len());
+    let (message_lines, rest) = rest.split_at(messages.len());
+    let (envelope_lines, membership_lines) = rest.split_at(envelopes.len());
+    check_lines(&peers, peer_lines);
+    check_lines(&messages, message_lines);
+    check_lines(&envelopes, envelope_lines);
+    check_lines(&memberships, membership_lines);
+}
+
+/// What a store writes for a replacement, two rejected changes, an update that makes the first of these stale, and a repeat.
+fn recorded_batches() -> Vec<Vec<Write>> {
+    let mut store = ConfigurationStore::new();
+    let outcomes = [
+        store.replace(0, r#"{"version":5,"services":[{"name":"a"}]}"#),
+        store.update(6, r#"{"version":8}"#),
+        store.replace(9, r#"{"version":12}"#),
+        store.update(5, r#"{"version":7,"upsert":{"services":[{"name":"b"}]}}"#),
+        store.update(5, r#"{"version":7,"upsert":{"services":[{"name":"b"}]}}"#),
+    ];
+    outcomes
+        .into_iter()
+        .map(|outcome| match outcome {
+            ChangeOutcome::Taken { writes, .. } | ChangeOutcome::Stale { writes, .. } => writes,
+            _ => Vec::new(),
+        })
+        .collect()
+}
+
+#[test]
+fn encoded_forms_are_as_recorded_for_stored_records() {
+    let batches = recorded_batches();
+    let lines: Vec<&str> = RECORDS.lines().collect();
+    check_lines(&batches, &lines);
+    let mut records = std::collections::BTreeMap::new();
+    for write in lines
+        .iter()
+        .flat_map(|line| serde_json::from_str::<Vec<Write>>(line).expect("it is read"))
+    {
+        match write.value {
+            Some(value) => records.insert(write.key, value),
+            None => records.remove(&write.key),
+        };
+    }
+    let mut store = ConfigurationStore::recover(records.into_iter()).expect("it is whole");
+    assert_eq!(store.version(), 7);
+    assert_eq!(
+        store.replace(0, r#"{"version":5,"services":[{"name":"a"}]}"#),
+        ChangeOutcome::Again { version: 5 }
+    );
+    assert_eq!(
+        store.replace(9, r#"{"version":12}"#),
+        ChangeOutcome::Stale {
+            current: 7,
+            writes: Vec::new()
+        },
+        "its rejection is known"
+    );
+}
+
+fn configuration_errors() -> Vec<ConfigurationError> {
+    let field = || "routes[3].name".to_owned();
+    let value = || "x".to_owned();
+    let cause = || "invalid type".to_owned();
+    vec![
+        ConfigurationError::Unreadable { cause: cause() },
+        ConfigurationError::Field {
+            field: field(),
+            value: value(),
+            cause: cause(),
+        },
+        ConfigurationError::Empty { field: field() },
+        ConfigurationError::Zero { field: field() },
+        ConfigurationError::TooLarge {
+            field: field(),
+            value: 9,
+            most: 8,
+        },
+        ConfigurationError::BadFactor {
+            field: field(),
+            value: value(),
+        },
+        ConfigurationError::NoSlash {
+            field: field(),
+            value: value(),
+        },
+        ConfigurationError::DuplicateName {
+            field: field(),
+            value: value(),
+            first: "routes[1]".to_owned(),
+        },
+        ConfigurationError::SharedPrefix {
+            field: field(),
+            host: "h".to_owned(),
+            prefix: "/p/".to_owned(),
+            first: "routes[1]".to_owned(),
+        },
+        ConfigurationError::UnknownService {
+            field: field(),
+            value: value(),
+        },
+        ConfigurationError::VersionNotAbove {
+            version: 4,
+            current: 5,
+        },
+        ConfigurationError::AddedAndRemoved {
+            list: "routes".to_owned(),
+            value: value(),
+        },
+        ConfigurationError::File {
+            path: "a/b.toml".into(),
+            cause: cause(),
+        },
+        ConfigurationError::UnknownFormat {
+            path: "a/b.yaml".into(),
+        },
+    ]
+}
+
+#[test]
+fn encoded_forms_are_as_recorded_for_error_messages() {
+    let record_errors = [
+        RecordError::Damaged {
+            key: "order/00".to_owned(),
+            cause: "EOF".to_owned(),
+        },
+        RecordError::TooNew {
+            key: "order/00".to_owned(),
+            version: 6,
+            current: 5,
+        },
+    ];
+    let messages = configuration_errors()
+        .iter()
+        .map(ToString::to_string)
+        .chain(record_errors.iter().map(ToString::to_string))
+        .collect::<Vec<_>>();
+    assert_eq!(messages, ERRORS.lines().collect::<Vec<_>>());
+}
