--- a/crates/emulator/src/losses.rs
+++ b/crates/emulator/src/losses.rs
@@ -132,10 +132,11 @@
 
     /// The part of its loss that falls to each stage: by the time that was not work.
     fn by_stage(&self) -> BTreeMap<LatencyStage, f64> {
-        let total = self.line.spent.total_ms() - self.line.spent.of(LatencyStage::Worked);
+        let total =
+            self.line.breakdown.total_ms() - self.line.breakdown.in_stage(LatencyStage::Worked);
         let spent = self
             .line
-            .spent
+            .breakdown
             .stages()
             .filter(|(stage, _)| *stage != LatencyStage::Worked);
         spent
@@ -172,7 +173,7 @@
         .strip_prefix('(')
         .and_then(|rest| rest.strip_suffix(MORE_SINCE));
     let kept_back = kept_back.and_then(|count| count.parse().ok()).unwrap_or(0);
-    let due_s = ended_s - line.took_ms as f64 / MILLIS_PER_SECOND;
+    let due_s = ended_s - line.latency_ms as f64 / MILLIS_PER_SECOND;
     Some((
         Missed {
             due_s,
--- a/crates/emulator/tests/losses.rs
+++ b/crates/emulator/tests/losses.rs
@@ -83,7 +83,7 @@
     );
     assert!(
         near(
-            loss(&losses, &Cause::Spent(LatencyStage::WaitedForRoom)),
+            loss(&losses, &Cause::Spent(LatencyStage::WaitedForCapacity)),
             of_lines - lost
         ),
         "{losses:?}"
--- a/crates/jobs/src/answers.rs
+++ b/crates/jobs/src/answers.rs
@@ -6,18 +6,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmitOutcome {
     /// It is new.
-    New,
+    Accepted,
     /// Its identifier is known already; nothing changed.
-    Known,
+    AlreadyKnown,
 }
 
 /// What became of an order to cancel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelOutcome {
     /// It is cancelled now.
-    Now,
+    Cancelled,
     /// It had ended before.
-    Already(JobState),
+    AlreadyEnded(JobState),
     /// There is no such job.
-    Unknown,
+    UnknownJob,
 }
--- a/crates/jobs/src/book.rs
+++ b/crates/jobs/src/book.rs
@@ -53,7 +53,7 @@
     ) -> Result<SubmitOutcome, SubmitError> {
         self.note(now);
         if self.jobs.contains_key(id) {
-            return Ok(SubmitOutcome::Known);
+            return Ok(SubmitOutcome::AlreadyKnown);
         }
         check(&request)?;
         let job = Job::new(id.clone(), sound(terms), Plan::new(request), now.unix);
@@ -61,20 +61,20 @@
         *self.pending.entry(job.terms.queue.clone()).or_default() += 1;
         self.jobs.insert(id.clone(), Entry::Kept(Box::new(job)));
         self.change(id, |job, fx| job.release_due(now, fx));
-        Ok(SubmitOutcome::New)
+        Ok(SubmitOutcome::Accepted)
     }
 
     /// Ends a job at once; its runs are to be stopped.
     pub fn cancel(&mut self, now: Now, id: &JobId) -> CancelOutcome {
         self.note(now);
         let Some(state) = self.status(id) else {
-            return CancelOutcome::Unknown;
+            return CancelOutcome::UnknownJob;
         };
         if state.is_final() {
-            return CancelOutcome::Already(state);
+            return CancelOutcome::AlreadyEnded(state);
         }
         self.change(id, |job, fx| job.finish(JobState::Cancelled, fx));
-        CancelOutcome::Now
+        CancelOutcome::Cancelled
     }
 
     /// A job's state; none if it is not known.
@@ -134,7 +134,7 @@
     }
 
     /// How long [`JobTable::tick`] has nothing to do, in milliseconds from `now`; none if nothing is planned.
-    pub fn next_in(&self, now: Now) -> Option<Millis> {
+    pub fn time_to_next_timer(&self, now: Now) -> Option<Millis> {
         self.fx.timers.next_in(now)
     }
 
@@ -271,7 +271,7 @@
     }
 
     /// All runs that occupy a worker, for use after a recovery: it looks at every job.
-    pub fn assigned(&self) -> Vec<AssignedRun> {
+    pub fn assigned_runs(&self) -> Vec<AssignedRun> {
         let mut list = Vec::new();
         for entry in self.jobs.values() {
             if let Entry::Kept(job) = entry {
@@ -306,9 +306,9 @@
         let ready = std::mem::take(&mut self.fx.ready);
         JobChanges {
             writes,
-            ready: ready.iter().filter_map(|id| self.unit(id)).collect(),
-            revoked: std::mem::take(&mut self.fx.revoked).into_iter().collect(),
-            stop: std::mem::take(&mut self.fx.stop).into_iter().collect(),
+            ready_units: ready.iter().filter_map(|id| self.unit(id)).collect(),
+            revoked_units: std::mem::take(&mut self.fx.revoked).into_iter().collect(),
+            runs_to_stop: std::mem::take(&mut self.fx.stop).into_iter().collect(),
             completions: std::mem::take(&mut self.fx.completions),
         }
     }
@@ -382,7 +382,7 @@
         self.fx.jobs.insert(id.clone());
         self.fx
             .timers
-            .expire_at(self.steady.saturating_add(self.settings.status_ms), id);
+            .expire_at(self.steady.saturating_add(self.settings.retention_ms), id);
     }
 
     /// Adds a job as it was stored.
@@ -391,7 +391,7 @@
         if matches!(entry, Entry::Ended { .. }) {
             self.fx
                 .timers
-                .expire_at(now.steady.saturating_add(self.settings.status_ms), &id);
+                .expire_at(now.steady.saturating_add(self.settings.retention_ms), &id);
         }
         self.jobs.insert(id, entry);
     }
--- a/crates/jobs/src/changes.rs
+++ b/crates/jobs/src/changes.rs
@@ -15,11 +15,11 @@
     /// Changes to the replicated state, in one batch; each key at most once.
     pub writes: Vec<Write>,
     /// Units whose turn has come.
-    pub ready: Vec<Unit>,
+    pub ready_units: Vec<Unit>,
     /// Units given out before that must not start any more.
-    pub revoked: Vec<UnitId>,
+    pub revoked_units: Vec<UnitId>,
     /// Runs to stop.
-    pub stop: Vec<RunId>,
+    pub runs_to_stop: Vec<RunId>,
     /// Iterations that ended, with where their time went.
     pub completions: Vec<Completion>,
 }
--- a/crates/jobs/src/completion.rs
+++ b/crates/jobs/src/completion.rs
@@ -25,22 +25,24 @@
     /// Factor of the objective on the work, from its queue.
     pub stretch: f64,
     /// Every task is done; otherwise an attempt too many failed.
-    pub is_done: bool,
+    #[serde(rename = "is_done")]
+    pub succeeded: bool,
     /// When it was due or, if that was later, handed in; since 1970.
     pub due_unix_ms: Millis,
     /// From then to its end.
-    pub took_ms: Millis,
+    #[serde(rename = "took_ms")]
+    pub latency_ms: Millis,
     /// How long it might take by its queue's terms, with the work as it turned out.
     pub objective_ms: Millis,
     /// Where the time went along the chain of tasks that its end waited for; the sum is `took_ms`.
     #[serde(rename = "spent_ms")]
-    pub spent: LatencyBreakdown,
+    pub breakdown: LatencyBreakdown,
 }
 
 impl Completion {
     /// Whether it ended well and in time.
-    pub fn is_in_time(&self) -> bool {
-        self.is_done && self.took_ms <= self.objective_ms
+    pub fn met_objective(&self) -> bool {
+        self.succeeded && self.latency_ms <= self.objective_ms
     }
 }
 
@@ -59,7 +61,7 @@
         let unknown_ms = took_ms.saturating_sub(spent.total_ms());
         spent.add(LatencyStage::Unknown, unknown_ms);
         let is_seen = is_done && 2 * unknown_ms < took_ms;
-        let seen_ms = spent.of(LatencyStage::Worked) + spent.of(LatencyStage::Failed);
+        let seen_ms = spent.in_stage(LatencyStage::Worked) + spent.in_stage(LatencyStage::Failed);
         let work_ms = if is_seen { seen_ms } else { self.plan.chain_ms };
         let stretched_ms = (self.terms.stretch.max(0.0) * work_ms as f64) as Millis;
         Completion {
@@ -70,11 +72,11 @@
             priority: self.terms.priority,
             target_latency_ms: self.terms.target_latency_ms,
             stretch: self.terms.stretch,
-            is_done,
+            succeeded: is_done,
             due_unix_ms,
-            took_ms,
+            latency_ms: took_ms,
             objective_ms: self.terms.target_latency_ms.saturating_add(stretched_ms),
-            spent,
+            breakdown: spent,
         }
     }
 }
--- a/crates/jobs/src/error.rs
+++ b/crates/jobs/src/error.rs
@@ -74,10 +74,10 @@
 pub enum RecordError {
     /// The key is neither a job's nor a task's.
     #[error("key {0:?} is neither job/ID nor task/ID.TIME.STEP.INDEX: take the state from another replica")]
-    Key(Arc<str>),
+    InvalidKey(Arc<str>),
     /// The value cannot be read.
     #[error("record {key:?} cannot be read ({reason}): take the state from another replica")]
-    Value {
+    InvalidValue {
         /// The key.
         key: Arc<str>,
         /// What is wrong with its value.
@@ -85,5 +85,5 @@
     },
     /// A task's job or step is not there.
     #[error("record {0:?} belongs to no stored job: take the state from another replica")]
-    Orphan(Arc<str>),
+    TaskWithoutJob(Arc<str>),
 }
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -210,7 +210,7 @@
             return;
         };
         if state.phase == Phase::Paused(planned) {
-            state.tell(now.steady, LatencyStage::Paused);
+            state.tell(now.steady, LatencyStage::BackedOff);
             state.phase = Phase::Waiting;
             fx.ready.insert(id.clone());
         }
--- a/crates/jobs/src/record.rs
+++ b/crates/jobs/src/record.rs
@@ -106,7 +106,7 @@
                 .map(Key::Task)
         };
         job.or_else(task)
-            .ok_or_else(|| RecordError::Key(key.clone()))
+            .ok_or_else(|| RecordError::InvalidKey(key.clone()))
     }
 }
 
@@ -122,7 +122,7 @@
 
 /// Reads a value.
 pub(crate) fn read<T: DeserializeOwned>(key: &Arc<str>, value: &str) -> Result<T, RecordError> {
-    serde_json::from_str(value).map_err(|e| RecordError::Value {
+    serde_json::from_str(value).map_err(|e| RecordError::InvalidValue {
         key: key.clone(),
         reason: e.to_string(),
     })
--- a/crates/jobs/src/recover.rs
+++ b/crates/jobs/src/recover.rs
@@ -27,7 +27,8 @@
                 Key::Job(id) => {
                     let record: JobRecord = record::read(&key, &value)?;
                     let entry = restored_entry(&id, record);
-                    let entry = entry.map_err(|reason| RecordError::Value { key, reason })?;
+                    let entry =
+                        entry.map_err(|reason| RecordError::InvalidValue { key, reason })?;
                     book.insert_restored(now, id, entry);
                 }
                 Key::Task(id) => tasks.push((id, record::read::<TaskRecord>(&key, &value)?)),
@@ -70,5 +71,5 @@
         .is_some_and(|job| job.restore_task(now, task, record));
     restored
         .then_some(())
-        .ok_or_else(|| RecordError::Orphan(record::task_key(task).into()))
+        .ok_or_else(|| RecordError::TaskWithoutJob(record::task_key(task).into()))
 }
--- a/crates/jobs/src/spent.rs
+++ b/crates/jobs/src/spent.rs
@@ -11,15 +11,19 @@
     /// Waited while no worker took its work, or none that it may run at.
     WaitedForWorker,
     /// Waited while no worker that could run it had the room free.
-    WaitedForRoom,
+    #[serde(rename = "waited_for_room")]
+    WaitedForCapacity,
     /// Waited while room was being gathered for it.
     WaitedForReservation,
     /// Waited with room free, which was kept for others or at workers that are avoided.
-    WaitedWithRoomFree,
+    #[serde(rename = "waited_with_room_free")]
+    WaitedWithCapacityFree,
     /// Waited after a failure before it was restarted.
-    Paused,
+    #[serde(rename = "paused")]
+    BackedOff,
     /// From the decision to the first report of the run, and from the run's end to its report.
-    Ordered,
+    #[serde(rename = "ordered")]
+    Dispatched,
     /// Ran, up to what the run would have taken at a usual worker near its data.
     Worked,
     /// Ran for longer than that: at a slow or sick worker, or away from its data.
@@ -38,11 +42,11 @@
     /// All of them.
     pub const ALL: [LatencyStage; 12] = [
         LatencyStage::WaitedForWorker,
-        LatencyStage::WaitedForRoom,
+        LatencyStage::WaitedForCapacity,
         LatencyStage::WaitedForReservation,
-        LatencyStage::WaitedWithRoomFree,
-        LatencyStage::Paused,
-        LatencyStage::Ordered,
+        LatencyStage::WaitedWithCapacityFree,
+        LatencyStage::BackedOff,
+        LatencyStage::Dispatched,
         LatencyStage::Worked,
         LatencyStage::RanSlowly,
         LatencyStage::Failed,
@@ -69,7 +73,7 @@
     }
 
     /// Time in a stage, in milliseconds.
-    pub fn of(&self, stage: LatencyStage) -> Millis {
+    pub fn in_stage(&self, stage: LatencyStage) -> Millis {
         self.0[stage as usize].into()
     }
 
@@ -82,7 +86,7 @@
     pub fn stages(&self) -> impl Iterator<Item = (LatencyStage, Millis)> + '_ {
         LatencyStage::ALL
             .into_iter()
-            .map(|stage| (stage, self.of(stage)))
+            .map(|stage| (stage, self.in_stage(stage)))
             .filter(|(_, spent_ms)| *spent_ms > 0)
     }
 }
@@ -117,7 +121,7 @@
     pub(crate) fn add_done(self, held_ms: Millis, spent: &mut LatencyBreakdown) {
         let ran_ms = self.ran_ms.min(held_ms);
         let worked_ms = (ran_ms as f64 / self.slowness.max(1.0)) as Millis;
-        spent.add(LatencyStage::Ordered, held_ms - ran_ms);
+        spent.add(LatencyStage::Dispatched, held_ms - ran_ms);
         spent.add(LatencyStage::Worked, worked_ms);
         spent.add(LatencyStage::RanSlowly, ran_ms - worked_ms);
     }
--- a/crates/jobs/src/terms.rs
+++ b/crates/jobs/src/terms.rs
@@ -7,10 +7,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JobSettings {
     /// How long an ended job's state can be asked for, in milliseconds.
-    pub status_ms: Millis,
-    /// How far ahead of its time an iteration may start, in milliseconds. Iterations are released at their time and
-    /// not before, so that the whole allowance is left for the difference between clocks.
-    pub early_ms: Millis,
+    pub retention_ms: Millis,
 }
 
 /// What the configuration says of a queue, as far as its jobs need it.
--- a/crates/jobs/tests/accounts.rs
+++ b/crates/jobs/tests/accounts.rs
@@ -44,7 +44,7 @@
 }
 
 fn stages(completion: &Completion) -> Vec<(LatencyStage, Millis)> {
-    completion.spent.stages().collect()
+    completion.breakdown.stages().collect()
 }
 
 #[test]
@@ -54,13 +54,13 @@
     let fast = wait_and_begin(
         &mut world,
         &unit(1, 0, 0, Some(0)),
-        LatencyStage::WaitedForRoom,
+        LatencyStage::WaitedForCapacity,
         50,
     );
     let slow = wait_and_begin(
         &mut world,
         &unit(1, 0, 0, Some(1)),
-        LatencyStage::WaitedWithRoomFree,
+        LatencyStage::WaitedWithCapacityFree,
         50,
     );
     run_for(&mut world, &fast, 10, 100, 1.0, RunEnd::Done);
@@ -75,20 +75,20 @@
     run_for(&mut world, &last, 20, 300, 1.5, RunEnd::Done);
 
     let completion = completion(&world);
-    assert!(completion.is_done);
-    assert_eq!(completion.took_ms, 50 + 50 + 350 + 30 + 320);
-    assert_eq!(completion.spent.total_ms(), completion.took_ms);
+    assert!(completion.succeeded);
+    assert_eq!(completion.latency_ms, 50 + 50 + 350 + 30 + 320);
+    assert_eq!(completion.breakdown.total_ms(), completion.latency_ms);
     let expected = vec![
         (LatencyStage::WaitedForReservation, 30),
-        (LatencyStage::WaitedWithRoomFree, 50),
-        (LatencyStage::Ordered, 110 + 20),
+        (LatencyStage::WaitedWithCapacityFree, 50),
+        (LatencyStage::Dispatched, 110 + 20),
         (LatencyStage::Worked, 240 + 200),
         (LatencyStage::RanSlowly, 100),
         (LatencyStage::Unknown, 50),
     ];
     assert_eq!(stages(&completion), expected);
     assert_eq!(completion.objective_ms, 800 + (2.5 * 440.0) as Millis);
-    assert!(completion.is_in_time());
+    assert!(completion.met_objective());
 }
 
 #[rstest]
@@ -102,13 +102,13 @@
     let mut world = World::new();
     world.submit(1, request(vec![step(1)]));
     let id = unit(1, 0, 0, Some(0));
-    let first = wait_and_begin(&mut world, &id, LatencyStage::WaitedForRoom, 100);
+    let first = wait_and_begin(&mut world, &id, LatencyStage::WaitedForCapacity, 100);
     run_for(&mut world, &first, 50, 400, 1.0, how);
-    let second = wait_and_begin(&mut world, &id, LatencyStage::WaitedForRoom, 200);
+    let second = wait_and_begin(&mut world, &id, LatencyStage::WaitedForCapacity, 200);
     run_for(&mut world, &second, 0, 900, 1.0, RunEnd::Done);
 
     let expected = vec![
-        (LatencyStage::WaitedForRoom, 300),
+        (LatencyStage::WaitedForCapacity, 300),
         (LatencyStage::Worked, 900),
         (stage, 450),
     ];
@@ -141,15 +141,15 @@
     world.submit(1, request(vec![step(2)]));
     let id = unit(1, 0, 0, Some(0));
     for _ in 0..terms("scans").max_attempts {
-        let run = wait_and_begin(&mut world, &id, LatencyStage::WaitedForRoom, 10);
+        let run = wait_and_begin(&mut world, &id, LatencyStage::WaitedForCapacity, 10);
         run_for(&mut world, &run, 0, 300, 1.0, RunEnd::Failed);
     }
     let completion = completion(&world);
-    assert!(!completion.is_done && !completion.is_in_time());
+    assert!(!completion.succeeded && !completion.met_objective());
     assert_eq!(
         stages(&completion),
         vec![
-            (LatencyStage::WaitedForRoom, 20),
+            (LatencyStage::WaitedForCapacity, 20),
             (LatencyStage::Failed, 600)
         ]
     );
@@ -166,16 +166,16 @@
         }]),
     );
     let id = unit(1, 0, 0, Some(0));
-    let first = wait_and_begin(&mut world, &id, LatencyStage::WaitedForRoom, 10);
+    let first = wait_and_begin(&mut world, &id, LatencyStage::WaitedForCapacity, 10);
     world.pass(400);
     assert!(world.book.hedge(&first));
     world.take();
-    wait_and_begin(&mut world, &id, LatencyStage::WaitedForRoom, 100);
+    wait_and_begin(&mut world, &id, LatencyStage::WaitedForCapacity, 100);
     world.pass(150);
     run_for(&mut world, &first, 0, 50, 1.0, RunEnd::Done);
     let completion = completion(&world);
-    assert_eq!(completion.spent.total_ms(), 10 + 400 + 100 + 150 + 50);
-    assert_eq!(completion.spent.of(LatencyStage::Unknown), 0);
+    assert_eq!(completion.breakdown.total_ms(), 10 + 400 + 100 + 150 + 50);
+    assert_eq!(completion.breakdown.in_stage(LatencyStage::Unknown), 0);
 }
 
 #[test]
@@ -185,7 +185,7 @@
     let run = wait_and_begin(
         &mut world,
         &unit(1, 0, 0, Some(0)),
-        LatencyStage::WaitedForRoom,
+        LatencyStage::WaitedForCapacity,
         40,
     );
     world.pass(3_000);
@@ -213,9 +213,12 @@
     for iteration in 0..2 {
         world.pass(due + 5_000 * u64::from(iteration) - world.now.unix);
         let id = unit(1, iteration, 0, Some(0));
-        let run = wait_and_begin(&mut world, &id, LatencyStage::WaitedForRoom, 100);
+        let run = wait_and_begin(&mut world, &id, LatencyStage::WaitedForCapacity, 100);
         run_for(&mut world, &run, 0, 200, 1.0, RunEnd::Done);
         let completion = completion(&world);
-        assert_eq!((completion.iteration, completion.took_ms), (iteration, 300));
+        assert_eq!(
+            (completion.iteration, completion.latency_ms),
+            (iteration, 300)
+        );
     }
 }
--- a/crates/jobs/tests/bad_input.rs
+++ b/crates/jobs/tests/bad_input.rs
@@ -163,6 +163,6 @@
 fn given_records_in_any_order_when_they_are_recovered_then_the_order_does_not_matter() {
     let book =
         recover(&[(TASK, r#"{"run":3,"worker":"w"}"#), (JOB, &open("1"))]).expect("it can be read");
-    assert_eq!(book.assigned().len(), 1);
-    assert_eq!(book.assigned()[0].run.run, 3);
+    assert_eq!(book.assigned_runs().len(), 1);
+    assert_eq!(book.assigned_runs()[0].run.run, 3);
 }
--- a/crates/jobs/tests/common/mod.rs
+++ b/crates/jobs/tests/common/mod.rs
@@ -21,8 +21,7 @@
 
 pub fn settings() -> JobSettings {
     JobSettings {
-        status_ms: STATUS_MS,
-        early_ms: 250,
+        retention_ms: STATUS_MS,
     }
 }
 
@@ -143,19 +142,19 @@
                 None => self.state.remove(&write.key),
             };
         }
-        for id in &changes.revoked {
+        for id in &changes.revoked_units {
             assert!(
                 self.ready.remove(id).is_some(),
                 "{id:?} was not given out before it was revoked"
             );
         }
-        for unit in &changes.ready {
+        for unit in &changes.ready_units {
             assert!(
                 self.ready.insert(unit.id.clone(), unit.clone()).is_none(),
                 "{unit:?} is given out twice"
             );
         }
-        self.stops.extend(changes.stop.iter().cloned());
+        self.stops.extend(changes.runs_to_stop.iter().cloned());
         self.last = changes;
     }
 
--- a/crates/jobs/tests/encoded_forms.rs
+++ b/crates/jobs/tests/encoded_forms.rs
@@ -273,7 +273,11 @@
         decoded.take();
         assert!(decoded.last.writes.is_empty(), "{name}");
         assert_eq!(decoded.ready, world.ready, "{name}");
-        assert_eq!(decoded.book.assigned(), world.book.assigned(), "{name}");
+        assert_eq!(
+            decoded.book.assigned_runs(),
+            world.book.assigned_runs(),
+            "{name}"
+        );
         for number in 1..=3 {
             assert_eq!(decoded.status(number), world.status(number), "{name}");
             let (queue, expected) = (
@@ -325,15 +329,15 @@
         priority: 2,
         target_latency_ms: 800,
         stretch: 2.5,
-        is_done: true,
+        succeeded: true,
         due_unix_ms: START.unix,
-        took_ms: 78,
+        latency_ms: 78,
         objective_ms: 3_050,
-        spent: every_stage,
+        breakdown: every_stage,
     };
     let second = Completion {
-        is_done: false,
-        spent: LatencyBreakdown::default(),
+        succeeded: false,
+        breakdown: LatencyBreakdown::default(),
         ..first.clone()
     };
     vec![first, second]
--- a/crates/jobs/tests/gangs.rs
+++ b/crates/jobs/tests/gangs.rs
@@ -73,13 +73,13 @@
     assert_eq!(world.waits(), vec![unit(1, 0, 1, Some(0))]);
     assert!(world.stops.is_empty());
     assert!(!world.book.is_current(run_of(&started, 0)));
-    let left = world.book.assigned();
+    let left = world.book.assigned_runs();
     assert_eq!(left.len(), 2);
     assert!(left.iter().all(|a| a.stopping && a.gang));
-    assert_eq!(world.recovered().book.assigned(), left);
+    assert_eq!(world.recovered().book.assigned_runs(), left);
     world.end(run_of(&started, 0), RunEnd::Failed);
     world.lose(run_of(&started, 2));
-    assert!(world.book.assigned().is_empty());
+    assert!(world.book.assigned_runs().is_empty());
     assert_eq!(world.waits(), vec![unit(1, 0, 1, Some(0))]);
 }
 
@@ -90,7 +90,10 @@
     world.end(run_of(&started, 2), RunEnd::Done);
     assert_eq!(world.status(1), Some(JobState::Succeeded));
     assert_eq!(world.recovered().status(1), Some(JobState::Succeeded));
-    assert_eq!(world.recovered().book.assigned(), world.book.assigned());
+    assert_eq!(
+        world.recovered().book.assigned_runs(),
+        world.book.assigned_runs()
+    );
     world.end(run_of(&started, 0), RunEnd::Done);
     world.end(run_of(&started, 1), RunEnd::Done);
     assert_eq!(world.keys(), vec![format!("job/{}", job(1))]);
@@ -102,15 +105,15 @@
     let started = world.begin(&id);
     world.end(run_of(&started, 0), RunEnd::GangBroken);
     assert_eq!(
-        world.last.stop,
+        world.last.runs_to_stop,
         vec![run_of(&started, 1).clone(), run_of(&started, 2).clone()]
     );
     assert!(!world.book.is_current(run_of(&started, 1)));
     assert!(world.waits().is_empty());
     let mut recovered = world.recovered();
     assert!(recovered.waits().is_empty());
-    assert_eq!(recovered.book.assigned(), world.book.assigned());
-    assert!(recovered.book.assigned().iter().all(|a| a.stopping));
+    assert_eq!(recovered.book.assigned_runs(), world.book.assigned_runs());
+    assert!(recovered.book.assigned_runs().iter().all(|a| a.stopping));
     for world in [&mut world, &mut recovered] {
         world.end(run_of(&started, 1), RunEnd::Stopped);
         assert!(world.waits().is_empty(), "one member is left");
@@ -187,7 +190,7 @@
     let id = unit(1, 0, 0, None);
     let started = world.begin(&id);
     world.end(run_of(&started, 0), RunEnd::Done);
-    assert_eq!(world.last.stop, vec![run_of(&started, 1).clone()]);
+    assert_eq!(world.last.runs_to_stop, vec![run_of(&started, 1).clone()]);
     world.end(run_of(&started, 1), RunEnd::Stopped);
     assert_eq!(world.waits(), vec![id]);
 }
@@ -206,7 +209,7 @@
     for world in [&world, &recovered] {
         assert!(world
             .book
-            .assigned()
+            .assigned_runs()
             .iter()
             .all(|a| &*a.checkpoint == "c1" && &*a.spec == "scan 7"));
     }
--- a/crates/jobs/tests/hedging.rs
+++ b/crates/jobs/tests/hedging.rs
@@ -78,7 +78,7 @@
     assert!(world.end(winner, RunEnd::Done));
 
     assert_eq!(world.status(1), Some(JobState::Succeeded));
-    assert_eq!(world.last.stop, std::slice::from_ref(loser));
+    assert_eq!(world.last.runs_to_stop, std::slice::from_ref(loser));
     assert!(!world.book.is_current(loser));
     assert!(
         world.end(loser, RunEnd::Stopped),
@@ -134,7 +134,7 @@
 fn given_two_runs_when_the_job_is_cancelled_then_both_are_stopped() {
     let (mut world, first, second) = given_two_runs();
     world.cancel(1);
-    assert_eq!(world.last.stop, [first, second]);
+    assert_eq!(world.last.runs_to_stop, [first, second]);
 }
 
 #[test]
@@ -144,7 +144,7 @@
 
     let held: Vec<RunId> = successor
         .book
-        .assigned()
+        .assigned_runs()
         .into_iter()
         .map(|run| run.run)
         .collect();
@@ -152,7 +152,7 @@
     assert!(successor.waits().is_empty());
 
     assert!(successor.end(&first, RunEnd::Done));
-    assert_eq!(successor.last.stop, [second]);
+    assert_eq!(successor.last.runs_to_stop, [second]);
 }
 
 #[test]
@@ -160,7 +160,7 @@
     let (world, first) = given_a_copy_that_waits();
     let successor = world.recovered();
     assert!(successor.ready[&unit(1, 0, 0, Some(0))].speculative);
-    assert_eq!(successor.book.assigned()[0].run, first);
+    assert_eq!(successor.book.assigned_runs()[0].run, first);
 }
 
 #[test]
--- a/crates/jobs/tests/runs.rs
+++ b/crates/jobs/tests/runs.rs
@@ -112,7 +112,7 @@
     world.play(&unit(1, 0, 0, Some(0)), RunEnd::Failed);
     assert_eq!(world.status(1), Some(JobState::Failed));
     assert!(world.waits().is_empty());
-    assert_eq!(world.last.stop, vec![other[0].run.clone()]);
+    assert_eq!(world.last.runs_to_stop, vec![other[0].run.clone()]);
     assert!(world.end(&other[0].run, RunEnd::Done));
     assert_eq!(
         world.status(1),
@@ -319,7 +319,10 @@
         let pause = if waits {
             0
         } else {
-            world.book.next_in(world.now).expect("a pause is planned")
+            world
+                .book
+                .time_to_next_timer(world.now)
+                .expect("a pause is planned")
         };
         pauses.push(pause);
         if pause > 0 {
--- a/crates/jobs/tests/search.rs
+++ b/crates/jobs/tests/search.rs
@@ -246,7 +246,10 @@
         for (run, checkpoint) in &self.newest {
             recovered.book.on_checkpoint(run, checkpoint);
         }
-        assert_eq!(recovered.book.assigned(), self.world.book.assigned());
+        assert_eq!(
+            recovered.book.assigned_runs(),
+            self.world.book.assigned_runs()
+        );
         for &number in self.facts.keys() {
             assert_eq!(recovered.status(number), self.world.status(number));
             assert_eq!(
--- a/crates/jobs/tests/steps.rs
+++ b/crates/jobs/tests/steps.rs
@@ -29,7 +29,7 @@
     let again = world
         .book
         .submit(world.now, &job(1), request(vec![step(5)]), &terms("scans"));
-    assert_eq!(again, Ok(SubmitOutcome::Known));
+    assert_eq!(again, Ok(SubmitOutcome::AlreadyKnown));
     world.take();
     assert!(world.last.writes.is_empty());
     assert_eq!(world.waits().len(), 1);
@@ -37,7 +37,7 @@
     let after_end = world
         .book
         .submit(world.now, &job(1), request(vec![step(1)]), &terms("scans"));
-    assert_eq!(after_end, Ok(SubmitOutcome::Known));
+    assert_eq!(after_end, Ok(SubmitOutcome::AlreadyKnown));
 }
 
 #[test]
@@ -87,7 +87,7 @@
     };
     world.submit(1, timed);
     assert!(world.waits().is_empty());
-    assert_eq!(world.book.next_in(world.now), Some(1_000));
+    assert_eq!(world.book.time_to_next_timer(world.now), Some(1_000));
     world.pass(999);
     assert!(world.waits().is_empty());
     world.pass(1);
@@ -145,7 +145,7 @@
     world.begin(&unit(1, 1, 0, Some(0)));
     world.now.unix -= 5_000;
     let mut recovered = world.recovered();
-    assert_eq!(recovered.book.assigned().len(), 1);
+    assert_eq!(recovered.book.assigned_runs().len(), 1);
     assert_eq!(
         recovered.waits(),
         vec![unit(1, 0, 0, Some(0))],
@@ -211,19 +211,22 @@
     let mut world = World::new();
     world.submit(1, request(vec![step(2), after(1, &[0])]));
     let started = world.begin(&unit(1, 0, 0, Some(0)));
-    assert_eq!(world.cancel(1), CancelOutcome::Now);
+    assert_eq!(world.cancel(1), CancelOutcome::Cancelled);
     assert_eq!(world.status(1), Some(JobState::Cancelled));
     assert!(world.waits().is_empty());
-    assert_eq!(world.last.stop, vec![started[0].run.clone()]);
+    assert_eq!(world.last.runs_to_stop, vec![started[0].run.clone()]);
     assert!(!world.book.is_current(&started[0].run));
-    assert!(world.book.assigned()[0].stopping);
+    assert!(world.book.assigned_runs()[0].stopping);
     let recovered = world.recovered();
-    assert_eq!(recovered.book.assigned(), world.book.assigned());
-    assert_eq!(world.cancel(1), CancelOutcome::Already(JobState::Cancelled));
-    assert_eq!(world.cancel(9), CancelOutcome::Unknown);
+    assert_eq!(recovered.book.assigned_runs(), world.book.assigned_runs());
+    assert_eq!(
+        world.cancel(1),
+        CancelOutcome::AlreadyEnded(JobState::Cancelled)
+    );
+    assert_eq!(world.cancel(9), CancelOutcome::UnknownJob);
     world.end(&started[0].run, RunEnd::Stopped);
     assert!(world.waits().is_empty());
-    assert!(world.book.assigned().is_empty());
+    assert!(world.book.assigned_runs().is_empty());
 }
 
 #[test]
@@ -265,7 +268,7 @@
         .book
         .apply_configuration(&|queue| (queue == "scans").then(|| newer.clone()));
     world.take();
-    assert_eq!(world.last.revoked, vec![unit(1, 0, 0, Some(1))]);
+    assert_eq!(world.last.revoked_units, vec![unit(1, 0, 0, Some(1))]);
     assert_eq!(&*world.ready[&unit(1, 0, 0, Some(1))].service, "other");
     assert_eq!(world.ready[&unit(1, 0, 0, Some(1))].priority, 0);
     assert_eq!(
--- a/crates/scheduler/src/accounts.rs
+++ b/crates/scheduler/src/accounts.rs
@@ -27,7 +27,7 @@
 
 /// Writes a line for what missed its objective.
 pub(crate) fn log_missed(completion: &Completion) {
-    if completion.is_in_time() {
+    if completion.met_objective() {
         return;
     }
     match serde_json::to_string(completion) {
@@ -54,8 +54,8 @@
         WaitReason::NoWorkerTakesWork
         | WaitReason::NoWorkerHasItsLabel
         | WaitReason::NoWorkerIsLargeEnough => LatencyStage::WaitedForWorker,
-        WaitReason::NoRoomIsFree => LatencyStage::WaitedForRoom,
+        WaitReason::NoRoomIsFree => LatencyStage::WaitedForCapacity,
         WaitReason::RoomIsKept => LatencyStage::WaitedForReservation,
-        WaitReason::RoomIsKeptForOthers => LatencyStage::WaitedWithRoomFree,
+        WaitReason::RoomIsKeptForOthers => LatencyStage::WaitedWithCapacityFree,
     }
 }
--- a/crates/scheduler/src/clients.rs
+++ b/crates/scheduler/src/clients.rs
@@ -78,7 +78,7 @@
 
     fn cancel(&mut self, now: Now, id: &JobId) -> ClientResponse {
         match self.jobs.cancel(now, id) {
-            CancelOutcome::Unknown => problem(410, "no such job"),
+            CancelOutcome::UnknownJob => problem(410, "no such job"),
             _ => self.show(id),
         }
     }
--- a/crates/scheduler/src/recovery.rs
+++ b/crates/scheduler/src/recovery.rs
@@ -104,7 +104,7 @@
 
     fn adopt_runs(&mut self, now: Millis) {
         let lease_until = self.leases_end(now);
-        for assigned in self.jobs.assigned() {
+        for assigned in self.jobs.assigned_runs() {
             let worker = assigned.worker.clone();
             if !self.workers.contains_key(&worker) {
                 self.workers
@@ -155,8 +155,7 @@
 
 fn job_settings(settings: &SchedulerSettings) -> streamusher_jobs::JobSettings {
     streamusher_jobs::JobSettings {
-        status_ms: settings.limits.status_ms,
-        early_ms: settings.limits.early_ms,
+        retention_ms: settings.limits.status_ms,
     }
 }
 
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -185,16 +185,16 @@
     pub(crate) fn take_job_changes(&mut self, now: Now) {
         let changes = self.jobs.take_changes();
         self.write(changes.writes);
-        for unit in changes.revoked {
+        for unit in changes.revoked_units {
             self.waiting.remove(&unit);
             self.placement.withdraw(&unit);
         }
-        for unit in changes.ready {
+        for unit in changes.ready_units {
             self.waiting.insert(unit.id.clone(), unit.clone());
             let order = self.order_by_debt(&unit);
             self.placement.enqueue(now.steady, Unit { order, ..unit });
         }
-        for run in changes.stop {
+        for run in changes.runs_to_stop {
             self.stop_run(&run);
         }
         changes.completions.iter().for_each(log_missed);
--- a/crates/scheduler/tests/accounts.rs
+++ b/crates/scheduler/tests/accounts.rs
@@ -56,13 +56,13 @@
     let missed = missed();
     assert_eq!(missed.len(), 1);
     let missed = &missed[0];
-    assert!(missed.is_done);
-    assert_eq!(missed.took_ms, 4_500);
-    assert_eq!(missed.spent.total_ms(), missed.took_ms);
+    assert!(missed.succeeded);
+    assert_eq!(missed.latency_ms, 4_500);
+    assert_eq!(missed.breakdown.total_ms(), missed.latency_ms);
     assert_eq!(
         (
-            missed.spent.of(LatencyStage::Ordered),
-            missed.spent.of(LatencyStage::Worked)
+            missed.breakdown.in_stage(LatencyStage::Dispatched),
+            missed.breakdown.in_stage(LatencyStage::Worked)
         ),
         (4_000, 500)
     );
