--- a/crates/emulator/examples/policies.rs
+++ b/crates/emulator/examples/policies.rs
@@ -87,7 +87,8 @@
     }
     let mut policies = vec![("all".to_string(), Policy::default())];
     for name in matches.opt_strs("without") {
-        let mechanism = Mechanism::named(&name).ok_or(format!("no mechanism is called {name}"))?;
+        let mechanism =
+            Mechanism::from_name(&name).ok_or(format!("no mechanism is called {name}"))?;
         policies.push((format!("no {name}"), Policy::default().without(mechanism)));
     }
     if matches.opt_present("ablation") {
@@ -100,7 +101,7 @@
         policies.extend(Mechanism::ALL.into_iter().map(without));
     }
     if matches.opt_present("simplest") {
-        policies.push(("simplest".to_string(), Policy::simplest()));
+        policies.push(("simplest".to_string(), Policy::first_fit()));
     }
     Ok(Plan {
         workloads: if workloads.is_empty() {
--- a/crates/emulator/tests/decisions.rs
+++ b/crates/emulator/tests/decisions.rs
@@ -67,7 +67,7 @@
 
 #[test]
 fn policies_start_and_earn_the_same_on_fixed_days_as_recorded() {
-    let policies = [Policy::default(), Policy::simplest()];
+    let policies = [Policy::default(), Policy::first_fit()];
     let mut lines = String::new();
     for name in ["short-first", "far-data"] {
         let workload = Arc::new(presets::named(name).expect("a workload of ours"));
--- a/crates/emulator/tests/policy.rs
+++ b/crates/emulator/tests/policy.rs
@@ -45,7 +45,7 @@
     let days = played(
         workload,
         Trouble::Workers,
-        &[Policy::default(), Policy::simplest()],
+        &[Policy::default(), Policy::first_fit()],
     );
     let gain = Estimate::of_pairs(&figures(&days[1]), &figures(&days[0]));
     assert!(
--- a/crates/placement/benches/cost.rs
+++ b/crates/placement/benches/cost.rs
@@ -6,7 +6,9 @@
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
 use std::time::Instant;
-use streamusher_placement::{Decision, Placement, PlacementSettings, ReleaseReason, WorkerInfo};
+use streamusher_placement::{
+    Decision, Placement, PlacementSettings, ReleaseReason, TaskAssignment, WorkerInfo,
+};
 use streamusher_protocol::heartbeat::Resources;
 use streamusher_protocol::task::{RunEnd, TaskId};
 use streamusher_protocol::unit::{Unit, UnitId, WorkerId};
@@ -69,10 +71,9 @@
 fn play(case: &Case) {
     let settings = PlacementSettings {
         random_seed: 1,
-        far_x: 1.5,
-        stop_ms: 900,
-        save_ms: 2_000,
-        restore_ms: 600,
+        remote_slowdown: 1.5,
+        max_stop_ms: 900,
+        checkpoint_restore_ms: 600,
         policy: streamusher_placement::Policy::default(),
     };
     let mut placement = Placement::new(settings);
@@ -97,8 +98,8 @@
         let over = std::mem::replace(&mut ends, later);
         let begin = Instant::now();
         for (task, at) in over.into_values().flatten() {
-            let how = ReleaseReason::Ended {
-                how: RunEnd::Done,
+            let how = ReleaseReason::Finished {
+                outcome: RunEnd::Done,
                 ran_ms: case.mean_run_ms,
             };
             placement.release(now, &task, &at, how);
@@ -111,13 +112,15 @@
         longest = longest.max(took);
         for decision in decisions {
             let (on, takes) = match decision {
-                Decision::Start { on, .. } => (on, None),
-                Decision::Preempt { task, worker } => (vec![(task, worker)], Some(400)),
+                Decision::Start { assignments, .. } => (assignments, None),
+                Decision::Preempt { task, worker } => {
+                    (vec![TaskAssignment { task, worker }], Some(400))
+                }
             };
-            for (task, at) in on {
+            for TaskAssignment { task, worker } in on {
                 starts += u64::from(takes.is_none());
                 let takes = takes.or_else(|| run_ms.remove(&task)).unwrap_or(400);
-                ends.entry(now + takes).or_default().push((task, at));
+                ends.entry(now + takes).or_default().push((task, worker));
             }
         }
     }
@@ -126,7 +129,7 @@
         case.name,
         case.workers,
         starts as f64 / case.seconds as f64,
-        placement.waiting(),
+        placement.pending_count(),
         spent * 1e6 / starts as f64,
         spent * 100.0 / case.seconds as f64,
         longest * 1e3,
--- a/crates/placement/src/claim.rs
+++ b/crates/placement/src/claim.rs
@@ -10,7 +10,7 @@
 use crate::room::{Insistence, Worker};
 use crate::run::Run;
 use crate::service::Service;
-use crate::types::{Allocation, Decision};
+use crate::types::{Allocation, Decision, TaskAssignment};
 use std::collections::BTreeMap;
 use streamusher_protocol::heartbeat::Resources;
 use streamusher_protocol::task::TaskId;
@@ -57,7 +57,7 @@
 
     /// How many runs a worker may have at once, by its failures.
     pub(crate) fn most_runs(&self, now: Millis, worker: &Worker, service: &Service) -> usize {
-        if self.uses(Mechanism::Trial) {
+        if self.uses(Mechanism::Probation) {
             service.most_runs(now, worker)
         } else {
             usize::MAX
@@ -83,7 +83,10 @@
 
     /// How much longer a unit may wait for room before stops that are ordered for it would come too late.
     pub(crate) fn spare_ms(&self, now: Millis, waiting: &Waiting) -> f64 {
-        patience_ms(waiting) - waiting.waited(now).saturating_add(self.settings.stop_ms) as f64
+        patience_ms(waiting)
+            - waiting
+                .waited(now)
+                .saturating_add(self.settings.max_stop_ms) as f64
     }
 
     /// Whether what is kept free for work that can wait less stays free. A worker without runs that can wait longer takes one.
@@ -108,7 +111,7 @@
 
     /// A unit that has waited long in a service with much free room takes any room that there is.
     pub(crate) fn takes_any(&self, now: Millis, waiting: &Waiting, service: &Service) -> bool {
-        self.uses(Mechanism::Patience)
+        self.uses(Mechanism::WaitEscalation)
             && !waiting.unit.speculative
             && waiting.waited(now) >= ANYWHERE_MS
             && service.is_lightly_used()
@@ -212,12 +215,12 @@
             let id = worker.info.id.clone();
             worker.take(&task, run);
             self.refile(slot);
-            placed.push((task, id));
+            placed.push(TaskAssignment { task, worker: id });
         }
         let waits = waiting.waits.ended(now);
         out.push(Decision::Start {
             unit: waiting.unit.id,
-            on: placed,
+            assignments: placed,
             waits,
         });
     }
--- a/crates/placement/src/copies.rs
+++ b/crates/placement/src/copies.rs
@@ -26,7 +26,7 @@
             return;
         };
         let before = waiting.copies.len();
-        let wanted = if first.wait_ms == 0.0 || !self.uses(Mechanism::Copies) {
+        let wanted = if first.wait_ms == 0.0 || !self.uses(Mechanism::QueueCopies) {
             1
         } else if waiting.waited(now) >= COPIES_EVERYWHERE_MS {
             MOST_COPIES
@@ -56,7 +56,7 @@
         };
         let waited = waiting.waited(now);
         let patience = (waited as f64 + first.wait_ms) / self.run_ms(&waiting.unit, service);
-        let patient = self.uses(Mechanism::Patience);
+        let patient = self.uses(Mechanism::WaitEscalation);
         let limit = if self.takes_any(now, waiting, service) || waited >= EVEN_AVOIDED_MS {
             f64::INFINITY
         } else if waited >= ANYWHERE_MS && patient {
--- a/crates/placement/src/explain.rs
+++ b/crates/placement/src/explain.rs
@@ -11,41 +11,50 @@
 #[serde(rename_all = "snake_case")]
 pub enum WaitReason {
     /// No worker of its service takes work.
-    NoWorkerTakesWork,
+    #[serde(rename = "no_worker_takes_work")]
+    NoSchedulableWorker,
     /// None of those has the label that it asks for.
-    NoWorkerHasItsLabel,
+    #[serde(rename = "no_worker_has_its_label")]
+    NoMatchingLabel,
     /// None of those is large enough, however empty.
-    NoWorkerIsLargeEnough,
+    #[serde(rename = "no_worker_is_large_enough")]
+    NoWorkerLargeEnough,
     /// Room is kept for it at workers where it comes free soon.
-    RoomIsKept,
+    #[serde(rename = "room_is_kept")]
+    CapacityReserved,
     /// No worker that could run it has the room free.
-    NoRoomIsFree,
+    #[serde(rename = "no_room_is_free")]
+    NoFreeCapacity,
     /// There is room, but it is kept for others, or the workers with room are avoided for failures.
-    RoomIsKeptForOthers,
+    #[serde(rename = "room_is_kept_for_others")]
+    CapacityReservedForOthers,
 }
 
 /// How a unit waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WaitingUnit {
+pub struct WaitExplanation {
     /// Why.
     pub reason: WaitReason,
     /// For how long, in milliseconds.
     pub waited_ms: Millis,
     /// Units of all services that come before it.
-    pub ahead: usize,
+    #[serde(rename = "ahead")]
+    pub units_ahead: usize,
     /// Workers of its service that take work.
-    pub open_workers: usize,
+    #[serde(rename = "open_workers")]
+    pub schedulable_workers: usize,
     /// Those that could run it if they were empty.
     pub eligible_workers: usize,
     /// Those of them with the room free.
-    pub workers_with_room: usize,
+    #[serde(rename = "workers_with_room")]
+    pub workers_with_free_capacity: usize,
     /// Workers in whose queues a copy of it waits.
     pub copies: usize,
 }
 
 impl Placement {
     /// How a unit waits; none where it does not. Looks at every worker of the service and every unit before it.
-    pub fn explain(&self, now: Millis, unit: &UnitId) -> Option<WaitingUnit> {
+    pub fn explain(&self, now: Millis, unit: &UnitId) -> Option<WaitExplanation> {
         let key = self.queue.key_of(unit)?;
         let waiting = self.queue.get(key)?;
         let wanted = &waiting.unit;
@@ -66,13 +75,13 @@
             .iter()
             .filter(|(_, worker)| fits_now(worker))
             .count();
-        Some(WaitingUnit {
+        Some(WaitExplanation {
             reason: reason(waiting, open.len(), has_label, eligible.len(), with_room),
             waited_ms: waiting.waited(now),
-            ahead: self.queue.before(key),
-            open_workers: open.len(),
+            units_ahead: self.queue.before(key),
+            schedulable_workers: open.len(),
             eligible_workers: eligible.len(),
-            workers_with_room: with_room,
+            workers_with_free_capacity: with_room,
             copies: waiting.copies.len(),
         })
     }
@@ -86,11 +95,11 @@
     with_room: usize,
 ) -> WaitReason {
     match () {
-        () if open == 0 => WaitReason::NoWorkerTakesWork,
-        () if !has_label => WaitReason::NoWorkerHasItsLabel,
-        () if eligible == 0 => WaitReason::NoWorkerIsLargeEnough,
-        () if !waiting.reserved.is_empty() => WaitReason::RoomIsKept,
-        () if with_room == 0 => WaitReason::NoRoomIsFree,
-        () => WaitReason::RoomIsKeptForOthers,
+        () if open == 0 => WaitReason::NoSchedulableWorker,
+        () if !has_label => WaitReason::NoMatchingLabel,
+        () if eligible == 0 => WaitReason::NoWorkerLargeEnough,
+        () if !waiting.reserved.is_empty() => WaitReason::CapacityReserved,
+        () if with_room == 0 => WaitReason::NoFreeCapacity,
+        () => WaitReason::CapacityReservedForOthers,
     }
 }
--- a/crates/placement/src/gang.rs
+++ b/crates/placement/src/gang.rs
@@ -78,7 +78,8 @@
 
     /// The groups of workers on one rack each, for a gang that wants one.
     fn racks_for(&mut self, now: Millis, key: Key) -> Vec<Group> {
-        let wants_rack = |waiting: &&Waiting| waiting.unit.same_rack && self.uses(Mechanism::Racks);
+        let wants_rack =
+            |waiting: &&Waiting| waiting.unit.same_rack && self.uses(Mechanism::RackLocality);
         let Some(waiting) = self.queue.get(key).filter(wants_rack) else {
             return Vec::new();
         };
@@ -119,9 +120,10 @@
 
     /// Waiting for one rack is worth what the slower run on several would cost.
     fn may_cross_racks(&self, now: Millis, waiting: &Waiting, service: &Service) -> bool {
-        let patience = (self.settings.far_x - 1.0).max(0.0) * self.run_ms(&waiting.unit, service);
+        let patience =
+            (self.settings.remote_slowdown - 1.0).max(0.0) * self.run_ms(&waiting.unit, service);
         !waiting.unit.same_rack
-            || !self.uses(Mechanism::Racks)
+            || !self.uses(Mechanism::RackLocality)
             || waiting.waited(now) as f64 >= patience.min(ANYWHERE_MS as f64)
             || !service.racks().any(|rack| self.could_hold(waiting, rack))
     }
--- a/crates/placement/src/gather.rs
+++ b/crates/placement/src/gather.rs
@@ -281,7 +281,7 @@
             } else if stops
                 && !run.stopping
                 && run.held.priority > priority
-                && (gangs || !run.held.gang)
+                && (gangs || !run.held.gang_member)
             {
                 host.victims
                     .push((run.price_of_stop(now, &self.settings), task, run));
--- a/crates/placement/src/learning.rs
+++ b/crates/placement/src/learning.rs
@@ -65,15 +65,16 @@
     /// Learns from an end; answers by how much the charge has changed.
     pub fn learn(&mut self, now: Millis, how: ReleaseReason) -> f64 {
         let (kept, added) = match how {
-            ReleaseReason::Ended {
-                how: RunEnd::Done, ..
+            ReleaseReason::Finished {
+                outcome: RunEnd::Done,
+                ..
             } => (KEPT_AFTER_SUCCESS, 0.0),
-            ReleaseReason::Ended {
-                how: RunEnd::Failed,
+            ReleaseReason::Finished {
+                outcome: RunEnd::Failed,
                 ..
             } => (1.0, CHARGE_OF_FAILURE),
-            ReleaseReason::Ended {
-                how: RunEnd::Rejected,
+            ReleaseReason::Finished {
+                outcome: RunEnd::Rejected,
                 ..
             } => (1.0, CHARGE_OF_REFUSAL),
             _ => return 0.0,
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -33,7 +33,10 @@
 mod types;
 mod waits;
 
-pub use explain::{WaitReason, WaitingUnit};
+pub use explain::{WaitExplanation, WaitReason};
 pub use placement::Placement;
 pub use policy::{Mechanism, Policy};
-pub use types::{Allocation, Decision, PlacementSettings, ReleaseReason, WorkerInfo, WorkerStatus};
+pub use types::{
+    Allocation, Decision, PlacementSettings, ReleaseReason, TaskAssignment, TimeWaited, WorkerInfo,
+    WorkerStatus,
+};
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -232,7 +232,7 @@
 
     /// A run makes no progress at its worker: others are kept from there at once, before its own end is proven.
     pub fn on_run_stalled(&mut self, now: Millis, worker: &WorkerId) {
-        if !self.uses(Mechanism::Charges) {
+        if !self.uses(Mechanism::Penalties) {
             return;
         }
         let Some(slot) = self.workers.slot_of(worker) else {
@@ -371,7 +371,7 @@
     }
 
     /// How much longer than usual a worker's runs have lately taken; 1 where nothing tells.
-    pub fn slowness(&self, now: Millis, worker: &WorkerId) -> f64 {
+    pub fn worker_slowness(&self, now: Millis, worker: &WorkerId) -> f64 {
         let found = self
             .workers
             .slot_of(worker)
@@ -384,7 +384,7 @@
 
     /// How much longer a run at a worker is taken to last than at a usual worker near its data. Whether a run that a former
     /// primary has ordered is away from its data is not known.
-    pub fn slowness_of_run(&self, now: Millis, task: &TaskId, worker: &WorkerId) -> f64 {
+    pub fn run_slowness(&self, now: Millis, task: &TaskId, worker: &WorkerId) -> f64 {
         let found = self
             .workers
             .slot_of(worker)
@@ -392,16 +392,16 @@
         let far_x = found
             .and_then(|worker| worker.runs.get(task))
             .map_or(1.0, |run| run.far_x);
-        far_x * self.slowness(now, worker)
+        far_x * self.worker_slowness(now, worker)
     }
 
     /// Whether a mechanism is in use.
     pub(crate) fn uses(&self, mechanism: Mechanism) -> bool {
-        self.settings.policy.has(mechanism)
+        self.settings.policy.is_enabled(mechanism)
     }
 
     /// How many units wait.
-    pub fn waiting(&self) -> usize {
+    pub fn pending_count(&self) -> usize {
         self.queue.len()
     }
 
@@ -452,7 +452,7 @@
     }
 
     fn note_demand(&mut self, now: Millis, held: &Allocation, patience: Patience, sign: f64) {
-        if !counts_as_demand(held.gang, held.long_running) {
+        if !counts_as_demand(held.gang_member, held.long_running) {
             return;
         }
         if let Some(service) = self.services.get_mut(&held.service) {
@@ -464,7 +464,7 @@
 
     fn learn(&mut self, now: Millis, slot: Slot, run: &Run, how: ReleaseReason) {
         let held = &run.held;
-        let charges = self.uses(Mechanism::Charges);
+        let charges = self.uses(Mechanism::Penalties);
         let Some(worker) = self.workers.get_mut(slot) else {
             return;
         };
@@ -476,8 +476,8 @@
         if let Some(service) = self.services.get_mut(&worker.info.service) {
             service.change_charges(now, change);
         }
-        let ReleaseReason::Ended {
-            how: RunEnd::Done,
+        let ReleaseReason::Finished {
+            outcome: RunEnd::Done,
             ran_ms,
         } = how
         else {
--- a/crates/placement/src/policy.rs
+++ b/crates/placement/src/policy.rs
@@ -6,17 +6,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mechanism {
     /// Copies of a unit in more queues than that of its best worker.
-    Copies,
+    QueueCopies,
     /// Failures, standstills and refusals count against a worker.
-    Charges,
+    Penalties,
     /// A worker with many charges runs one task at a time, or none.
-    Trial,
+    Probation,
     /// A worker's own speed, by its runs' times and reports.
-    Speed,
+    RelativeSpeed,
     /// Small tasks go to the fullest worker while large ones are expected.
     Packing,
     /// A worker away from the data's rack ranks lower.
-    Distance,
+    DataLocality,
     /// Room is kept free for more urgent work.
     Headroom,
     /// Room is kept for a gang or a large task as runs end.
@@ -24,47 +24,69 @@
     /// Less urgent runs are stopped for more urgent units.
     Preemption,
     /// A gang that wants one rack looks for one.
-    Racks,
+    RackLocality,
     /// Workers at which a run failed or stood still are avoided by its task.
     Avoidance,
     /// What has waited long takes workers and room that it would not take at first.
-    Patience,
+    WaitEscalation,
     /// A second copy of a hedged task whose run is in doubt.
     Hedging,
     /// A run without progress is moved.
-    Standstill,
+    StallDetection,
     /// Runs are moved from a worker that leaves before they can end.
-    Moves,
+    Migration,
     /// A new primary inherits what speaks against workers.
-    Judgements,
+    PenaltyInheritance,
 }
 
 impl Mechanism {
     /// All of them.
     pub const ALL: [Mechanism; 16] = [
-        Mechanism::Copies,
-        Mechanism::Charges,
-        Mechanism::Trial,
-        Mechanism::Speed,
+        Mechanism::QueueCopies,
+        Mechanism::Penalties,
+        Mechanism::Probation,
+        Mechanism::RelativeSpeed,
         Mechanism::Packing,
-        Mechanism::Distance,
+        Mechanism::DataLocality,
         Mechanism::Headroom,
         Mechanism::Reservations,
         Mechanism::Preemption,
-        Mechanism::Racks,
+        Mechanism::RackLocality,
         Mechanism::Avoidance,
-        Mechanism::Patience,
+        Mechanism::WaitEscalation,
         Mechanism::Hedging,
-        Mechanism::Standstill,
-        Mechanism::Moves,
-        Mechanism::Judgements,
+        Mechanism::StallDetection,
+        Mechanism::Migration,
+        Mechanism::PenaltyInheritance,
     ];
 
     /// The mechanism of a name, as [`fmt::Display`] writes it.
-    pub fn named(name: &str) -> Option<Mechanism> {
+    pub fn from_name(name: &str) -> Option<Mechanism> {
         Mechanism::ALL
             .into_iter()
-            .find(|mechanism| mechanism.to_string() == name)
+            .find(|mechanism| mechanism.name() == name)
+    }
+
+    /// The name of this mechanism on command lines and in experiment tables.
+    pub const fn name(self) -> &'static str {
+        match self {
+            Mechanism::QueueCopies => "copies",
+            Mechanism::Penalties => "charges",
+            Mechanism::Probation => "trial",
+            Mechanism::RelativeSpeed => "speed",
+            Mechanism::Packing => "packing",
+            Mechanism::DataLocality => "distance",
+            Mechanism::Headroom => "headroom",
+            Mechanism::Reservations => "reservations",
+            Mechanism::Preemption => "preemption",
+            Mechanism::RackLocality => "racks",
+            Mechanism::Avoidance => "avoidance",
+            Mechanism::WaitEscalation => "patience",
+            Mechanism::Hedging => "hedging",
+            Mechanism::StallDetection => "standstill",
+            Mechanism::Migration => "moves",
+            Mechanism::PenaltyInheritance => "judgements",
+        }
     }
 
     const fn bit(self) -> u32 {
@@ -74,7 +96,7 @@
 
 impl fmt::Display for Mechanism {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}", format!("{self:?}").to_lowercase())
+        f.write_str(self.name())
     }
 }
 
@@ -96,14 +118,14 @@
     /// First room that fits, in the order of the queue, as something to measure against. Without [`Mechanism::Patience`] units
     /// may wait for longer than the rules allow.
     #[must_use]
-    pub fn simplest() -> Policy {
+    pub fn first_fit() -> Policy {
         Mechanism::ALL
             .into_iter()
             .fold(Policy::default(), Policy::without)
     }
 
     /// Whether a mechanism is in use.
-    pub const fn has(self, mechanism: Mechanism) -> bool {
+    pub const fn is_enabled(self, mechanism: Mechanism) -> bool {
         self.off & mechanism.bit() == 0
     }
 }
--- a/crates/placement/src/preempt.rs
+++ b/crates/placement/src/preempt.rs
@@ -223,7 +223,7 @@
             return;
         };
         let stops = plan.sites.iter().any(|site| !site.victims.is_empty());
-        let stop_ms = if stops { self.settings.stop_ms } else { 0 };
+        let stop_ms = if stops { self.settings.max_stop_ms } else { 0 };
         let ready_at = now.saturating_add(stop_ms.max(within_ms as Millis));
         let until = ready_at.saturating_add(GRACE_MS);
         for site in plan.sites {
--- a/crates/placement/src/ranking.rs
+++ b/crates/placement/src/ranking.rs
@@ -179,7 +179,7 @@
 
     /// How much longer than usual a worker's runs have lately taken.
     pub(crate) fn slowness_at(&self, now: Millis, worker: &Worker, service: &Service) -> f64 {
-        if self.uses(Mechanism::Speed) {
+        if self.uses(Mechanism::RelativeSpeed) {
             worker.speed.slowness(now, &service.speed)
         } else {
             1.0
@@ -188,7 +188,7 @@
 
     /// How much longer than usual the unit takes at a worker, in its run times: wrong rack, slow, failing.
     fn penalty(&self, now: Millis, unit: &Unit, worker: &Worker, service: &Service) -> f64 {
-        let far_x = if self.uses(Mechanism::Distance) {
+        let far_x = if self.uses(Mechanism::DataLocality) {
             self.far_x_at(unit, worker)
         } else {
             1.0
@@ -215,7 +215,7 @@
             .as_ref()
             .is_some_and(|rack| !worker.has_label(rack));
         if is_far {
-            self.settings.far_x.max(1.0)
+            self.settings.remote_slowdown.max(1.0)
         } else {
             1.0
         }
--- a/crates/placement/src/run.rs
+++ b/crates/placement/src/run.rs
@@ -74,7 +74,7 @@
     /// How much longer it is expected to take its room, in milliseconds.
     pub fn rest_ms(&self, now: Millis, usual_ms: f64, settings: &PlacementSettings) -> f64 {
         if self.stopping {
-            return settings.stop_ms as f64;
+            return settings.max_stop_ms as f64;
         }
         if self.held.long_running {
             return f64::INFINITY;
@@ -100,7 +100,7 @@
         let elapsed = now.saturating_sub(self.since);
         // A stop saves; then only continuing costs.
         let lost_ms = if self.held.checkpoints {
-            elapsed.min(settings.restore_ms)
+            elapsed.min(settings.checkpoint_restore_ms)
         } else {
             elapsed
         };
--- a/crates/placement/src/service.rs
+++ b/crates/placement/src/service.rs
@@ -191,7 +191,7 @@
         near_ms: f64,
         worker: &mut Speed,
     ) {
-        if held.gang {
+        if held.gang_member {
             return;
         }
         let by_step = self.paces.compare(&held.unit.step, near_ms);
--- a/crates/placement/src/types.rs
+++ b/crates/placement/src/types.rs
@@ -14,13 +14,11 @@
     /// Seed of the random choices.
     pub random_seed: u64,
     /// A task away from its rack runs this many times as long.
-    pub far_x: f64,
+    pub remote_slowdown: f64,
     /// The longest that a stop takes.
-    pub stop_ms: Millis,
-    /// Work between two checkpoints.
-    pub save_ms: Millis,
+    pub max_stop_ms: Millis,
     /// What continuing from a checkpoint takes.
-    pub restore_ms: Millis,
+    pub checkpoint_restore_ms: Millis,
     /// The mechanisms that are in use.
     pub policy: Policy,
 }
@@ -62,7 +60,7 @@
     /// It runs until its job is cancelled.
     pub long_running: bool,
     /// It is a member of a gang.
-    pub gang: bool,
+    pub gang_member: bool,
     /// Guess of its run time.
     pub estimated_ms: Millis,
 }
@@ -79,7 +77,7 @@
             priority: unit.priority,
             checkpoints: unit.checkpoints,
             long_running: unit.long_running,
-            gang: unit.id.index.is_none(),
+            gang_member: unit.id.index.is_none(),
             estimated_ms: unit.estimated_ms,
         }
     }
@@ -89,9 +87,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ReleaseReason {
     /// Its worker listed its end.
-    Ended {
+    Finished {
         /// How it ended.
-        how: RunEnd,
+        outcome: RunEnd,
         /// How long it ran.
         ran_ms: Millis,
     },
@@ -101,6 +99,24 @@
     Withdrawn,
 }
 
+/// A task with the worker that it is placed on.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct TaskAssignment {
+    /// The task.
+    pub task: TaskId,
+    /// Its worker.
+    pub worker: WorkerId,
+}
+
+/// The total time that a unit has waited for one reason.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct TimeWaited {
+    /// The reason.
+    pub reason: WaitReason,
+    /// The total, in milliseconds.
+    pub waited_ms: Millis,
+}
+
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
@@ -109,9 +125,9 @@
         /// The unit.
         unit: UnitId,
         /// Each of its tasks with its worker.
-        on: Vec<(TaskId, WorkerId)>,
+        assignments: Vec<TaskAssignment>,
         /// What it waited for, as far as it waited.
-        waits: Vec<(WaitReason, Millis)>,
+        waits: Vec<TimeWaited>,
     },
     /// Stop a run so that a unit of higher priority gets its room; call `stopping` when the stop is ordered.
     Preempt {
--- a/crates/placement/src/waits.rs
+++ b/crates/placement/src/waits.rs
@@ -3,6 +3,7 @@
 use crate::explain::WaitReason;
 use crate::key::{Key, Slot};
 use crate::placement::Placement;
+use crate::types::TimeWaited;
 use streamusher_protocol::Millis;
 
 /// Workers that are looked at for the reason of a wait: its copies' first.
@@ -13,7 +14,7 @@
 pub(crate) struct Waits {
     reason: Option<WaitReason>,
     since: Millis,
-    told: Vec<(WaitReason, Millis)>,
+    told: Vec<TimeWaited>,
 }
 
 impl Waits {
@@ -33,7 +34,7 @@
     }
 
     /// All of it, as the unit starts now.
-    pub fn ended(mut self, now: Millis) -> Vec<(WaitReason, Millis)> {
+    pub fn ended(mut self, now: Millis) -> Vec<TimeWaited> {
         self.close(now);
         self.told
     }
@@ -43,9 +44,9 @@
         let Some(reason) = self.reason.filter(|_| waited_ms > 0) else {
             return;
         };
-        match self.told.iter_mut().find(|(told, _)| *told == reason) {
-            Some((_, total_ms)) => *total_ms += waited_ms,
-            None => self.told.push((reason, waited_ms)),
+        match self.told.iter_mut().find(|total| total.reason == reason) {
+            Some(total) => total.waited_ms += waited_ms,
+            None => self.told.push(TimeWaited { reason, waited_ms }),
         }
     }
 }
@@ -65,7 +66,7 @@
     fn wait_reason(&self, key: Key) -> Option<WaitReason> {
         let waiting = self.queue.get(key)?;
         if !waiting.reserved.is_empty() {
-            return Some(WaitReason::RoomIsKept);
+            return Some(WaitReason::CapacityReserved);
         }
         let service = self.services.get(&waiting.unit.service)?;
         let copies = waiting.copies.iter().copied();
@@ -82,9 +83,11 @@
             worker.is_some_and(|worker| worker.free().covers(&waiting.unit.resources))
         };
         Some(match () {
-            () if eligible.peek().is_none() => WaitReason::NoWorkerTakesWork,
-            () if !waiting.is_gang() && eligible.any(has_room) => WaitReason::RoomIsKeptForOthers,
-            () => WaitReason::NoRoomIsFree,
+            () if eligible.peek().is_none() => WaitReason::NoSchedulableWorker,
+            () if !waiting.is_gang() && eligible.any(has_room) => {
+                WaitReason::CapacityReservedForOthers
+            }
+            () => WaitReason::NoFreeCapacity,
         })
     }
 }
--- a/crates/placement/tests/claims.rs
+++ b/crates/placement/tests/claims.rs
@@ -13,7 +13,7 @@
     let mut cluster = Cluster::new(1, [worker("w1", 4_000, "r1")]);
     cluster.enqueue(unit(1, 500, 2));
     assert_eq!(cluster.place(), [(task(1), "w1".into())]);
-    assert_eq!(cluster.placement.waiting(), 0);
+    assert_eq!(cluster.placement.pending_count(), 0);
 }
 
 #[test]
@@ -90,7 +90,7 @@
     cluster.end_all_at("w1");
     cluster.end_all_at("w2");
     assert!(cluster.run_for(2_000).is_empty());
-    assert_eq!(cluster.placement.waiting(), 0);
+    assert_eq!(cluster.placement.pending_count(), 0);
 }
 
 #[test]
--- a/crates/placement/tests/common/mod.rs
+++ b/crates/placement/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use streamusher_placement::{
-    Decision, Placement, PlacementSettings, Policy, ReleaseReason, WaitReason, WorkerInfo,
+    Decision, Placement, PlacementSettings, Policy, ReleaseReason, TimeWaited, WorkerInfo,
 };
 use streamusher_protocol::heartbeat::Resources;
 use streamusher_protocol::task::{RunEnd, TaskId};
@@ -17,10 +17,9 @@
 pub fn settings(random_seed: u64) -> PlacementSettings {
     PlacementSettings {
         random_seed,
-        far_x: 1.5,
-        stop_ms: STOP_MS,
-        save_ms: 2_000,
-        restore_ms: 100,
+        remote_slowdown: 1.5,
+        max_stop_ms: STOP_MS,
+        checkpoint_restore_ms: 100,
         policy: Policy::default(),
     }
 }
@@ -109,7 +108,7 @@
     pub waiting: BTreeMap<UnitId, Unit>,
     pub starts: usize,
     /// What each started unit has waited for.
-    pub waits: BTreeMap<UnitId, Vec<(WaitReason, Millis)>>,
+    pub waits: BTreeMap<UnitId, Vec<TimeWaited>>,
     pub preempted: Vec<TaskId>,
 }
 
@@ -156,10 +155,18 @@
         let mut started = Vec::new();
         for decision in self.placement.place(self.now) {
             match decision {
-                Decision::Start { unit, on, waits } => {
-                    self.check_start(&unit, &on);
+                Decision::Start {
+                    unit,
+                    assignments,
+                    waits,
+                } => {
+                    let assignments: Vec<(TaskId, WorkerId)> = assignments
+                        .into_iter()
+                        .map(|assignment| (assignment.task, assignment.worker))
+                        .collect();
+                    self.check_start(&unit, &assignments);
                     self.waits.insert(unit, waits);
-                    started.extend(on);
+                    started.extend(assignments);
                 }
                 Decision::Preempt { task, worker } => self.preempt(task, worker),
             }
@@ -269,8 +276,8 @@
             .runs
             .remove(&(task.clone(), worker.clone()))
             .expect("runs there");
-        let how = ReleaseReason::Ended {
-            how,
+        let how = ReleaseReason::Finished {
+            outcome: how,
             ran_ms: self.now - entry.since,
         };
         self.placement.release(self.now, task, worker, how);
--- a/crates/placement/tests/encoded_forms.rs
+++ b/crates/placement/tests/encoded_forms.rs
@@ -5,31 +5,31 @@
     reason = "a test fails by panicking"
 )]
 
-use streamusher_placement::{Mechanism, WaitReason, WaitingUnit};
+use streamusher_placement::{Mechanism, WaitExplanation, WaitReason};
 
 const WAITING_UNITS: &str = include_str!("fixtures/encoded/waiting_units.jsonl");
 const MECHANISMS: &str = include_str!("fixtures/encoded/mechanisms.txt");
 
 const REASONS: [WaitReason; 6] = [
-    WaitReason::NoWorkerTakesWork,
-    WaitReason::NoWorkerHasItsLabel,
-    WaitReason::NoWorkerIsLargeEnough,
-    WaitReason::RoomIsKept,
-    WaitReason::NoRoomIsFree,
-    WaitReason::RoomIsKeptForOthers,
+    WaitReason::NoSchedulableWorker,
+    WaitReason::NoMatchingLabel,
+    WaitReason::NoWorkerLargeEnough,
+    WaitReason::CapacityReserved,
+    WaitReason::NoFreeCapacity,
+    WaitReason::CapacityReservedForOthers,
 ];
 
 /// One value for each reason; all fields differ, so that none can stand for another.
-fn waiting_units() -> Vec<WaitingUnit> {
+fn waiting_units() -> Vec<WaitExplanation> {
     let numbered = (1..).zip(REASONS);
     numbered
-        .map(|(number, reason)| WaitingUnit {
+        .map(|(number, reason)| WaitExplanation {
             reason,
             waited_ms: 1_000 + number,
-            ahead: 7,
-            open_workers: 6,
+            units_ahead: 7,
+            schedulable_workers: 6,
             eligible_workers: 5,
-            workers_with_room: 4,
+            workers_with_free_capacity: 4,
             copies: 3,
         })
         .collect()
@@ -43,7 +43,7 @@
         .map(|value| serde_json::to_string(value).unwrap())
         .collect();
     assert_eq!(lines.join("\n") + "\n", WAITING_UNITS);
-    let decoded: Vec<WaitingUnit> = WAITING_UNITS
+    let decoded: Vec<WaitExplanation> = WAITING_UNITS
         .lines()
         .map(|line| serde_json::from_str(line).unwrap())
         .collect();
@@ -54,8 +54,8 @@
 fn mechanism_names_are_as_recorded() {
     let names: Vec<String> = Mechanism::ALL.iter().map(ToString::to_string).collect();
     assert_eq!(names.join("\n") + "\n", MECHANISMS);
-    let decoded: Vec<Option<Mechanism>> = MECHANISMS.lines().map(Mechanism::named).collect();
+    let decoded: Vec<Option<Mechanism>> = MECHANISMS.lines().map(Mechanism::from_name).collect();
     assert_eq!(decoded, Mechanism::ALL.map(Some));
-    assert_eq!(Mechanism::named("Headroom"), None);
-    assert_eq!(Mechanism::named(""), None);
+    assert_eq!(Mechanism::from_name("Headroom"), None);
+    assert_eq!(Mechanism::from_name(""), None);
 }
--- a/crates/placement/tests/explain.rs
+++ b/crates/placement/tests/explain.rs
@@ -14,7 +14,7 @@
     }
 }
 
-fn explained(cluster: &Cluster, number: u64) -> streamusher_placement::WaitingUnit {
+fn explained(cluster: &Cluster, number: u64) -> streamusher_placement::WaitExplanation {
     cluster
         .placement
         .explain(cluster.now, &unit(number, 500, 1).id)
@@ -25,14 +25,14 @@
 #[case::closed(
     closed(worker("w1", 1_000, "r1")),
     unit(1, 500, 1),
-    WaitReason::NoWorkerTakesWork
+    WaitReason::NoSchedulableWorker
 )]
 #[case::label(worker("w1", 1_000, "r1"), Unit { node_selector: Some("z".into()), ..unit(1, 500, 1) },
-    WaitReason::NoWorkerHasItsLabel)]
+    WaitReason::NoMatchingLabel)]
 #[case::too_large(
     worker("w1", 1_000, "r1"),
     unit(1, 2_000, 1),
-    WaitReason::NoWorkerIsLargeEnough
+    WaitReason::NoWorkerLargeEnough
 )]
 fn given_no_worker_that_could_run_a_unit_when_asked_then_the_reason_is_told(
     #[case] info: WorkerInfo,
@@ -56,14 +56,14 @@
     assert!(cluster.place().is_empty());
     let explained = explained(&cluster, 3);
     assert_eq!(
-        (explained.reason, explained.ahead),
-        (WaitReason::NoRoomIsFree, 1)
+        (explained.reason, explained.units_ahead),
+        (WaitReason::NoFreeCapacity, 1)
     );
     assert_eq!(
         (
-            explained.open_workers,
+            explained.schedulable_workers,
             explained.eligible_workers,
-            explained.workers_with_room
+            explained.workers_with_free_capacity
         ),
         (1, 1, 0)
     );
--- a/crates/placement/tests/reorder.rs
+++ b/crates/placement/tests/reorder.rs
@@ -88,6 +88,6 @@
         placement.workers().next().map(|worker| worker.queued),
         Some(1)
     );
-    assert_eq!(placement.waiting(), 1);
+    assert_eq!(placement.pending_count(), 1);
     assert!(starts(first_start(&mut placement), &one));
 }
--- a/crates/placement/tests/search.rs
+++ b/crates/placement/tests/search.rs
@@ -363,7 +363,10 @@
             "{} wait",
             self.cluster.waiting.len()
         );
-        assert_eq!(self.cluster.placement.waiting(), self.cluster.waiting.len());
+        assert_eq!(
+            self.cluster.placement.pending_count(),
+            self.cluster.waiting.len()
+        );
         for status in self.cluster.placement.workers() {
             assert_eq!(
                 (status.used, status.runs),
--- a/crates/placement/tests/speed.rs
+++ b/crates/placement/tests/speed.rs
@@ -132,7 +132,7 @@
 #[test]
 fn given_data_on_one_rack_when_runs_away_from_it_take_longer_then_no_worker_is_taken_for_slow() {
     let mut cluster = two_racks();
-    let far_x = settings(1).far_x;
+    let far_x = settings(1).remote_slowdown;
     play(
         &mut cluster,
         &with_wrong_estimates(Some("r1")),
@@ -169,9 +169,9 @@
             at.to_string(),
             cluster
                 .placement
-                .slowness_of_run(cluster.now, &task(number), &at.into()),
+                .run_slowness(cluster.now, &task(number), &at.into()),
         )
     };
     assert_eq!(slowness(1), ("w1".to_string(), 1.0));
-    assert_eq!(slowness(2), ("w3".to_string(), settings(1).far_x));
+    assert_eq!(slowness(2), ("w3".to_string(), settings(1).remote_slowdown));
 }
--- a/crates/placement/tests/waits.rs
+++ b/crates/placement/tests/waits.rs
@@ -3,19 +3,19 @@
 mod common;
 
 use common::*;
-use streamusher_placement::WaitReason;
+use streamusher_placement::{TimeWaited, WaitReason};
 use streamusher_protocol::Millis;
 
-fn waits_of(cluster: &Cluster, number: u64) -> Vec<(WaitReason, Millis)> {
+fn waits_of(cluster: &Cluster, number: u64) -> Vec<TimeWaited> {
     cluster.waits[&unit(number, 1, 1).id].clone()
 }
 
-fn reasons(waits: &[(WaitReason, Millis)]) -> Vec<WaitReason> {
-    waits.iter().map(|(reason, _)| *reason).collect()
+fn reasons(waits: &[TimeWaited]) -> Vec<WaitReason> {
+    waits.iter().map(|wait| wait.reason).collect()
 }
 
-fn total_ms(waits: &[(WaitReason, Millis)]) -> Millis {
-    waits.iter().map(|(_, waited_ms)| waited_ms).sum()
+fn total_ms(waits: &[TimeWaited]) -> Millis {
+    waits.iter().map(|wait| wait.waited_ms).sum()
 }
 
 #[test]
@@ -39,7 +39,7 @@
     let waits = waits_of(&cluster, 2);
     assert_eq!(
         reasons(&waits),
-        vec![WaitReason::NoRoomIsFree, WaitReason::RoomIsKept]
+        vec![WaitReason::NoFreeCapacity, WaitReason::CapacityReserved]
     );
     assert_eq!(total_ms(&waits), 640);
 }
@@ -62,7 +62,10 @@
     let waits = waits_of(&cluster, 2);
     assert_eq!(
         reasons(&waits),
-        vec![WaitReason::NoWorkerTakesWork, WaitReason::RoomIsKept]
+        vec![
+            WaitReason::NoSchedulableWorker,
+            WaitReason::CapacityReserved
+        ]
     );
     assert_eq!(total_ms(&waits), 2_000);
 }
--- a/crates/scheduler/src/accounts.rs
+++ b/crates/scheduler/src/accounts.rs
@@ -2,7 +2,7 @@
 
 use crate::scheduler::Scheduler;
 use streamusher_jobs::{Completion, LatencyStage, RunTimings};
-use streamusher_placement::WaitReason;
+use streamusher_placement::{TimeWaited, WaitReason};
 use streamusher_protocol::task::RunId;
 use streamusher_protocol::unit::WorkerId;
 use streamusher_protocol::Millis;
@@ -19,7 +19,7 @@
         run: &RunId,
         ran_ms: Millis,
     ) {
-        let slowness = self.placement.slowness_of_run(now, &run.task, worker);
+        let slowness = self.placement.run_slowness(now, &run.task, worker);
         self.jobs
             .record_run_timings(run, RunTimings { ran_ms, slowness });
     }
@@ -42,20 +42,20 @@
 }
 
 /// What a unit waited for, as the job record tells it.
-pub(crate) fn stages_of(waits: &[(WaitReason, Millis)]) -> Vec<(LatencyStage, Millis)> {
+pub(crate) fn stages_of(waits: &[TimeWaited]) -> Vec<(LatencyStage, Millis)> {
     waits
         .iter()
-        .map(|(reason, waited_ms)| (stage_of(*reason), *waited_ms))
+        .map(|wait| (stage_of(wait.reason), wait.waited_ms))
         .collect()
 }
 
 fn stage_of(reason: WaitReason) -> LatencyStage {
     match reason {
-        WaitReason::NoWorkerTakesWork
-        | WaitReason::NoWorkerHasItsLabel
-        | WaitReason::NoWorkerIsLargeEnough => LatencyStage::WaitedForWorker,
-        WaitReason::NoRoomIsFree => LatencyStage::WaitedForCapacity,
-        WaitReason::RoomIsKept => LatencyStage::WaitedForReservation,
-        WaitReason::RoomIsKeptForOthers => LatencyStage::WaitedWithCapacityFree,
+        WaitReason::NoSchedulableWorker
+        | WaitReason::NoMatchingLabel
+        | WaitReason::NoWorkerLargeEnough => LatencyStage::WaitedForWorker,
+        WaitReason::NoFreeCapacity => LatencyStage::WaitedForCapacity,
+        WaitReason::CapacityReserved => LatencyStage::WaitedForReservation,
+        WaitReason::CapacityReservedForOthers => LatencyStage::WaitedWithCapacityFree,
     }
 }
--- a/crates/scheduler/src/explain.rs
+++ b/crates/scheduler/src/explain.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use std::sync::Arc;
 use streamusher_fair_share::UserUsage;
-use streamusher_placement::WaitingUnit;
+use streamusher_placement::WaitExplanation;
 use streamusher_protocol::job::JobState;
 use streamusher_protocol::task::{JobId, TaskId};
 use streamusher_protocol::unit::{StepId, UnitId, WorkerId};
@@ -65,7 +65,7 @@
     pub index: Option<u32>,
     /// Why, and for how long.
     #[serde(flatten)]
-    pub waiting: WaitingUnit,
+    pub waiting: WaitExplanation,
 }
 
 impl Scheduler {
--- a/crates/scheduler/src/hedging.rs
+++ b/crates/scheduler/src/hedging.rs
@@ -27,7 +27,7 @@
 impl Scheduler {
     /// Asks for second copies of the hedged runs that are in doubt; once for each.
     pub(crate) fn hedge_doubtful(&mut self, now: Millis) {
-        if !self.settings.policy.has(Mechanism::Hedging) {
+        if !self.settings.policy.is_enabled(Mechanism::Hedging) {
             return;
         }
         let may_be = |run: &Run| run.hedged && !run.stopping;
@@ -71,7 +71,7 @@
         if run.percent < TELLING_PERCENT {
             return false;
         }
-        let slowness = self.placement.slowness(now, &run.worker);
+        let slowness = self.placement.worker_slowness(now, &run.worker);
         let ran = now.saturating_sub(run.since) as f64;
         let whole = ran * 100.0 / run.percent;
         slowness >= SLOW_FACTOR && whole - ran > whole / slowness + START_OF_COPY_MS
--- a/crates/scheduler/src/judgements.rs
+++ b/crates/scheduler/src/judgements.rs
@@ -94,7 +94,12 @@
 impl Scheduler {
     /// Writes what has come to speak against workers, and removes what has faded.
     pub(crate) fn watch_judgements(&mut self, now: Millis) {
-        if now < self.judgements.next_look || !self.settings.policy.has(Mechanism::Judgements) {
+        if now < self.judgements.next_look
+            || !self
+                .settings
+                .policy
+                .is_enabled(Mechanism::PenaltyInheritance)
+        {
             return;
         }
         self.judgements.next_look = now + LOOK_EVERY_MS;
--- a/crates/scheduler/src/recovery.rs
+++ b/crates/scheduler/src/recovery.rs
@@ -148,7 +148,7 @@
         priority: assigned.priority,
         checkpoints: assigned.checkpoints,
         long_running: assigned.long_running,
-        gang: assigned.gang,
+        gang_member: assigned.gang,
         estimated_ms: assigned.estimated_ms,
     }
 }
@@ -162,10 +162,9 @@
 fn placement_settings(settings: &SchedulerSettings) -> streamusher_placement::PlacementSettings {
     streamusher_placement::PlacementSettings {
         random_seed: settings.random_seed,
-        far_x: settings.limits.far_x,
-        stop_ms: settings.limits.stop_ms,
-        save_ms: settings.limits.save_ms,
-        restore_ms: settings.limits.restore_ms,
+        remote_slowdown: settings.limits.far_x,
+        max_stop_ms: settings.limits.stop_ms,
+        checkpoint_restore_ms: settings.limits.restore_ms,
         policy: settings.policy,
     }
 }
--- a/crates/scheduler/src/reports.rs
+++ b/crates/scheduler/src/reports.rs
@@ -187,7 +187,14 @@
         self.debt_of_end(now.steady, id, how, checkpoint);
         self.note_times(now.steady, worker, id, ran_ms);
         self.jobs.on_run_finished(now, id, how, checkpoint);
-        self.free(now.steady, id, ReleaseReason::Ended { how, ran_ms });
+        self.free(
+            now.steady,
+            id,
+            ReleaseReason::Finished {
+                outcome: how,
+                ran_ms,
+            },
+        );
     }
 
     fn note_running(&mut self, now: Now, worker: &WorkerId, report: &WorkerReport) {
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -202,8 +202,16 @@
 
     fn carry_out(&mut self, now: Now, decision: Decision) {
         match decision {
-            Decision::Start { unit, on, waits } => {
+            Decision::Start {
+                unit,
+                assignments,
+                waits,
+            } => {
                 self.jobs.record_wait(now, &unit, &stages_of(&waits));
+                let on: Vec<(TaskId, WorkerId)> = assignments
+                    .into_iter()
+                    .map(|assignment| (assignment.task, assignment.worker))
+                    .collect();
                 self.begin(now, &unit, &on);
             }
             Decision::Preempt { task, worker } => {
--- a/crates/scheduler/src/watch.rs
+++ b/crates/scheduler/src/watch.rs
@@ -157,7 +157,7 @@
 
     /// Whether a run makes no progress although its worker is heard.
     fn stands_still(&self, now: Millis, run: &Run) -> bool {
-        if !self.settings.policy.has(Mechanism::Standstill) {
+        if !self.settings.policy.is_enabled(Mechanism::StallDetection) {
             return false;
         }
         if run.phase != Phase::Running
@@ -206,7 +206,7 @@
     }
 
     fn ends_too_late(&self, now: Millis, run: &Run) -> bool {
-        if !self.settings.policy.has(Mechanism::Moves) {
+        if !self.settings.policy.is_enabled(Mechanism::Migration) {
             return false;
         }
         let leaves_at = self
--- a/crates/scheduler/tests/stories.rs
+++ b/crates/scheduler/tests/stories.rs
@@ -362,7 +362,7 @@
     assert_eq!((runs.runs.len(), runs.waiting.len()), (1, 0));
     assert!(runs.runs[0].begun && &*runs.runs[0].worker == "i-1");
     assert_eq!((waits.runs.len(), waits.waiting.len()), (0, 1));
-    assert_eq!(waits.waiting[0].waiting.reason, WaitReason::NoRoomIsFree);
+    assert_eq!(waits.waiting[0].waiting.reason, WaitReason::NoFreeCapacity);
     assert_eq!(
         world
             .scheduler
