--- /dev/null
+++ b/crates/dataplane/tests/encoded_forms.rs
@@ -0,0 +1,457 @@
+//! Encoded forms that others depend on, byte for byte: messages between data plane and control plane, heartbeats, status
+//! documents, and the responses that gate and agent give by themselves.
+
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
+
+mod common;
+#[path = "common/primary.rs"]
+mod primary;
+
+use common::{orders, running, start, stop, task, Story};
+use http::header::{HeaderName, ALLOW, CONTENT_TYPE, RETRY_AFTER};
+use http::StatusCode;
+use primary::{call, core, run, settings, view, Primary};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use serde_json::Value;
+use std::fmt::Debug;
+use std::net::SocketAddr;
+use streamusher_dataplane::agent_program::{self, AgentProgram};
+use streamusher_dataplane::gate::{self, Gate};
+use streamusher_protocol::heartbeat::{
+    FinishedRun, Heartbeat, HeartbeatResponse, Resources, RunningTask, WorkerState,
+};
+use streamusher_protocol::internal::{
+    AgentCommands, AgentSync, ClientMethod, ClientRequest, ClientResponse, ClusterView,
+    ClusterWatch, GateLeaseRequest, GateLeaseResponse, NotPrimary, WorkerReport, AGENT_PORT_OFFSET,
+    STATUS_PATH,
+};
+use streamusher_protocol::task::{RunEnd, RunId};
+use streamusher_runtime::http::{json, Client, Request, Response};
+use streamusher_runtime::settings::ProcessSettings;
+
+const MESSAGES: &str = include_str!("fixtures/encoded/messages.tsv");
+const STATUS: &str = include_str!("fixtures/encoded/status.tsv");
+const RESPONSES: &str = include_str!("fixtures/encoded/responses.tsv");
+
+/// Lines of a fixture, each a name, a tab and the encoded form.
+struct Recorded {
+    fixture: &'static str,
+    encoded: String,
+}
+
+impl Recorded {
+    fn new(fixture: &'static str) -> Recorded {
+        Recorded {
+            fixture,
+            encoded: String::new(),
+        }
+    }
+
+    fn line(&mut self, name: &str, encoded: &str) {
+        self.encoded.push_str(&format!("{name}\t{encoded}\n"));
+    }
+
+    /// Encodes `value`, and decodes what was recorded under `name`.
+    fn value<T: Serialize + DeserializeOwned + PartialEq + Debug>(
+        &mut self,
+        name: &str,
+        value: &T,
+    ) {
+        self.line(name, &serde_json::to_string(value).unwrap());
+        let recorded = self
+            .fixture
+            .lines()
+            .find_map(|line| line.strip_prefix(name)?.strip_prefix('\t'))
+            .unwrap_or_else(|| panic!("{name} is not recorded"));
+        assert_eq!(&serde_json::from_str::<T>(recorded).unwrap(), value);
+    }
+
+    fn response(&mut self, name: &str, response: &Response) {
+        let header = |name: HeaderName| {
+            let value = response.headers().get(name);
+            value
+                .map_or("-", |value| value.to_str().unwrap())
+                .to_owned()
+        };
+        let fields = [
+            response.status().as_u16().to_string(),
+            header(CONTENT_TYPE),
+            header(ALLOW),
+            header(RETRY_AFTER),
+            serde_json::to_string(&String::from_utf8_lossy(response.body())).unwrap(),
+        ];
+        self.line(name, &fields.join("\t"));
+    }
+
+    fn check(&self) {
+        assert_eq!(self.encoded, self.fixture);
+    }
+}
+
+fn address(port: u16) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], port))
+}
+
+fn full_heartbeat() -> Heartbeat {
+    let ends = [
+        RunEnd::Done,
+        RunEnd::Failed,
+        RunEnd::Stopped,
+        RunEnd::LeaseExpired,
+        RunEnd::GangBroken,
+        RunEnd::GangIncomplete,
+        RunEnd::Rejected,
+    ];
+    let finished = ends
+        .into_iter()
+        .zip(1_u32..)
+        .map(|(end, number)| FinishedRun(u64::from(number), task(number), 2, end, "7".into()));
+    Heartbeat {
+        service: "app".into(),
+        address: "10.0.0.1:80".into(),
+        zone: "hall-a".into(),
+        version: "v2".into(),
+        slots: 3,
+        state: WorkerState::Draining,
+        warmup_left_ms: 12,
+        capacity: Resources {
+            cpu: 4,
+            mem_mb: 512,
+            gpu: 1,
+        },
+        labels: vec!["ssd".into(), "big".into()],
+        clock_ms: 99,
+        sequence: 8,
+        remaining_ms: Some(4_000),
+        running: vec![RunningTask(task(9), 1, "saved".into(), 0.5), running(10, 2)],
+        finished: finished.collect(),
+    }
+}
+
+fn full_report() -> WorkerReport {
+    let heartbeat = full_heartbeat();
+    WorkerReport {
+        instance: "i-1".into(),
+        sequence: heartbeat.sequence,
+        service: heartbeat.service,
+        zone: heartbeat.zone,
+        capacity: heartbeat.capacity,
+        labels: heartbeat.labels,
+        state: heartbeat.state,
+        remaining_ms: heartbeat.remaining_ms,
+        gone: true,
+        silent_ms: 31,
+        running: heartbeat.running,
+        finished: heartbeat.finished,
+        offered: vec![RunId {
+            task: task(3),
+            run: 1,
+        }],
+    }
+}
+
+fn full_commands() -> AgentCommands {
+    AgentCommands {
+        last_seen: 5,
+        stop: vec![stop(2, 1)],
+        view: Some(view(3, Some(address(7_300)))),
+        ..orders(3, 4, &[start(1, 1)])
+    }
+}
+
+fn full_sync() -> AgentSync {
+    AgentSync {
+        agent: "side-1".into(),
+        boot: 7,
+        sequence: 2,
+        epoch: 3,
+        revision: 4,
+        wait_ms: 350,
+        worker: Some(full_report()),
+    }
+}
+
+#[test]
+fn encoded_forms_of_messages_are_as_recorded() {
+    let mut recorded = Recorded::new(MESSAGES);
+    recorded.value("heartbeat", &full_heartbeat());
+    recorded.value("heartbeat default", &Heartbeat::default());
+    recorded.value(
+        "heartbeat response",
+        &HeartbeatResponse {
+            hold_ms: Some(3_880),
+            last_seen: Some(5),
+            fence_token: 3,
+            start: vec![start(1, 1)],
+            stop: vec![stop(2, 1)],
+            retry_after_ms: Some(20),
+        },
+    );
+    recorded.value("heartbeat response default", &HeartbeatResponse::default());
+    recorded.value("agent sync", &full_sync());
+    recorded.value(
+        "agent sync without worker",
+        &AgentSync {
+            worker: None,
+            ..full_sync()
+        },
+    );
+    recorded.value(
+        "agent sync of new worker",
+        &AgentSync {
+            worker: Some(WorkerReport {
+                state: WorkerState::Ready,
+                remaining_ms: None,
+                gone: false,
+                offered: Vec::new(),
+                ..full_report()
+            }),
+            ..full_sync()
+        },
+    );
+    recorded.value("agent commands", &full_commands());
+    recorded.value("agent commands default", &AgentCommands::default());
+    for method in [ClientMethod::Get, ClientMethod::Post, ClientMethod::Delete] {
+        let request = ClientRequest {
+            method,
+            host: "ficu95.example".into(),
+            path: "/lohu930/5c0e?x=%20".into(),
+            body: if method == ClientMethod::Post {
+                "{}"
+            } else {
+                ""
+            }
+            .into(),
+            configuration: 6,
+        };
+        recorded.value(&format!("client request {method:?}"), &request);
+    }
+    recorded.value(
+        "client response",
+        &ClientResponse {
+            status: 429,
+            body: "{}".into(),
+            retry_after_ms: Some(500),
+        },
+    );
+    recorded.value("client response minimal", &primary::reply(200, ""));
+    recorded.value(
+        "cluster watch",
+        &ClusterWatch {
+            epoch: 4,
+            wait_ms: 3_000,
+        },
+    );
+    recorded.value("cluster view", &view(3, Some(address(7_300))));
+    recorded.value("cluster view default", &ClusterView::default());
+    recorded.value(
+        "not primary",
+        &NotPrimary {
+            view: view(3, Some(address(7_300))),
+        },
+    );
+    recorded.value(
+        "gate lease request",
+        &GateLeaseRequest {
+            address: "127.0.0.1:7301".into(),
+            roster: 9,
+        },
+    );
+    recorded.value(
+        "gate lease response",
+        &GateLeaseResponse {
+            configuration: 11,
+            roster: 9,
+            members: Some(vec!["127.0.0.1:7301".into()]),
+        },
+    );
+    recorded.value("gate lease response default", &GateLeaseResponse::default());
+    recorded.check();
+}
+
+#[test]
+fn encoded_forms_of_status_documents_are_as_recorded() {
+    let mut recorded = Recorded::new(STATUS);
+    let mut story = Story::begin();
+    let encode = |story: &Story| serde_json::to_string(&story.agent.status(story.now)).unwrap();
+    recorded.line("new agent", &encode(&story));
+    story.tick();
+    story.answer_sync(full_commands());
+    story.heartbeat(common::at_work(1, &[running(1, 1), running(2, 1)]));
+    story.now += 10;
+    recorded.line("agent with worker", &encode(&story));
+    story.pass(20_000);
+    recorded.line("agent with gone worker", &encode(&story));
+    run(async move {
+        let gate = Gate::new(&settings(address(7_300)));
+        let status = gate.internal(&call("GET", STATUS_PATH, ""));
+        recorded.line("gate", std::str::from_utf8(status.body()).unwrap());
+        gate.leave();
+        let _refused = gate.clone().answer(call("GET", "/", "")).await;
+        let _refused = gate.clone().answer(call("PUT", "/", "")).await;
+        gate.link().set_seeds(vec![core(address(1))]);
+        let status = gate.internal(&call("GET", STATUS_PATH, ""));
+        recorded.line(
+            "gate that leaves",
+            std::str::from_utf8(status.body()).unwrap(),
+        );
+        recorded.line("agent process", &status_of_agent_process().await);
+        recorded.check();
+    });
+}
+
+/// The status of an agent's process, with zeros for what differs from start to start.
+async fn status_of_agent_process() -> String {
+    let free = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let status_address = free.local_addr().unwrap();
+    drop(free);
+    let program = AgentProgram::new(&settings(address(1)));
+    program.start(status_address);
+    tokio::task::yield_now().await;
+    let client = Client::new(status_address);
+    let response = loop {
+        let sent = client
+            .send(call("GET", STATUS_PATH, ""), primary::SOON)
+            .await;
+        match sent {
+            Ok(response) => break response,
+            Err(_) => tokio::task::yield_now().await,
+        }
+    };
+    let mut status: Value = serde_json::from_slice(response.body()).unwrap();
+    let text = std::str::from_utf8(response.body()).unwrap().to_owned();
+    let boot = status["agent"]["boot"].take().to_string();
+    let syncs = format!(
+        "\"syncs_under_way\":{},\"syncs\":{}",
+        status["agent"]["syncs_under_way"], status["agent"]["syncs"]
+    );
+    text.replace(&boot, "0")
+        .replace(&syncs, "\"syncs_under_way\":0,\"syncs\":0")
+}
+
+#[test]
+fn responses_that_gate_and_agent_give_by_themselves_are_as_recorded() {
+    run(async {
+        let mut recorded = Recorded::new(RESPONSES);
+        gate_responses(&mut recorded).await;
+        agent_responses(&mut recorded).await;
+        settings_errors(&mut recorded);
+        recorded.check();
+    });
+}
+
+async fn gate_responses(recorded: &mut Recorded) {
+    let gate = Gate::new(&settings(address(1)));
+    let wrong_method = gate.clone().answer(call("PUT", "/", "")).await;
+    recorded.response("gate: method", &wrong_method);
+    let not_text = gate.clone().answer(call("POST", "/", vec![0xff])).await;
+    recorded.response("gate: body is not text", &not_text);
+    for path in ["/streamusher/readiness", "/other"] {
+        recorded.response(
+            &format!("gate: readiness {path}"),
+            &gate.readiness(&call("GET", path, "")),
+        );
+    }
+    for (method, path) in [("GET", "/other"), ("POST", STATUS_PATH)] {
+        let response = gate.internal(&call(method, path, ""));
+        recorded.response(&format!("gate: internal {method} {path}"), &response);
+    }
+    for (method, body) in [("GET", ""), ("POST", "{\"from\":7}")] {
+        let response = gate.relay().answer(&call(method, "/internal/relay", body));
+        recorded.response(&format!("gate: relay {method}"), &response);
+    }
+    let replies = [
+        primary::reply(200, "{}"),
+        primary::reply(204, ""),
+        primary::reply(99, "{}"),
+        ClientResponse {
+            retry_after_ms: Some(1_250),
+            ..primary::reply(503, "{}")
+        },
+    ];
+    for reply in replies {
+        let status = reply.status;
+        let primary = Primary::replying(reply);
+        recorded.response(
+            &format!("gate: primary says {status}"),
+            &forwarded(&primary).await,
+        );
+    }
+    let primary = Primary::start(|_call| std::future::ready(json(StatusCode::OK, &0)));
+    recorded.response("gate: not understood", &forwarded(&primary).await);
+    let primary = Primary::start(|_call: Request| std::future::pending::<Response>());
+    let gate = found(&primary).await;
+    let silent = gate.answer(primary::hurried("POST", "/a", 600)).await;
+    recorded.response("gate: primary is silent", &silent);
+}
+
+async fn found(primary: &Primary) -> Gate {
+    let gate = Gate::new(&settings(primary.address));
+    gate.start("127.0.0.1:0".parse().unwrap());
+    let until = tokio::time::Instant::now() + primary::SOON;
+    gate.link().wait_for_primary(until).await.unwrap();
+    gate
+}
+
+async fn forwarded(primary: &Primary) -> Response {
+    found(primary).await.answer(call("POST", "/a", "{}")).await
+}
+
+async fn agent_responses(recorded: &mut Recorded) {
+    let program = AgentProgram::new(&settings(address(1)));
+    let requests = [
+        ("GET", "/streamusher/Instances.Heartbeat/i-1", ""),
+        ("POST", "/streamusher/Instances.Heartbeat/", "{}"),
+        ("POST", "/streamusher/Instances.Heartbeat/a/b", "{}"),
+        ("POST", "/streamusher/Instances.Heartbeat/i-1", "{"),
+        (
+            "POST",
+            "/streamusher/Instances.Heartbeat/i-1",
+            "{\"service\":\"app\"}",
+        ),
+        (
+            "POST",
+            "/streamusher/Instances.Heartbeat/i-1",
+            "{\"service\":\"app\",\"sequence\":1}",
+        ),
+        ("POST", "/streamusher/Instances.Deregister/i-1", ""),
+    ];
+    for (method, path, body) in requests {
+        let response = program.clone().answer(call(method, path, body)).await;
+        recorded.response(&format!("agent: {method} {path} {body}"), &response);
+    }
+}
+
+fn settings_errors(recorded: &mut Recorded) {
+    let serving = |party: &str| ProcessSettings {
+        serves: vec![party.into()],
+        ..ProcessSettings::default()
+    };
+    let mut front = serving("front");
+    recorded.line(
+        "settings: gate",
+        &gate::check(&serving("side")).unwrap_err().to_string(),
+    );
+    recorded.line(
+        "settings: front",
+        &gate::check(&front).unwrap_err().to_string(),
+    );
+    front.listen.front = Some(address(80));
+    recorded.line(
+        "settings: ready",
+        &gate::check(&front).unwrap_err().to_string(),
+    );
+    let agent = agent_program::check(&front).unwrap_err().to_string();
+    recorded.line("settings: agent", &agent);
+    let control = agent_program::check(&serving("side"))
+        .unwrap_err()
+        .to_string();
+    recorded.line("settings: control", &control);
+    let status = settings(address(7_300)).internal_address(AGENT_PORT_OFFSET);
+    recorded.line("status address of an agent", &status.to_string());
+}
