--- a/crates/controlplane/tests/encoded_forms.rs
+++ b/crates/controlplane/tests/encoded_forms.rs
@@ -250,7 +250,9 @@
 fn headers_of(headers: &HeaderMap) -> String {
     let mut lines: Vec<String> = headers
         .iter()
-        .filter(|(name, _)| !["date", "content-length", "streamusher-call"].contains(&name.as_str()))
+        .filter(|(name, _)| {
+            !["date", "content-length", "streamusher-call"].contains(&name.as_str())
+        })
         .map(|(name, value)| format!("{name}: {}\n", value.to_str().unwrap()))
         .collect();
     lines.sort();
--- a/crates/dataplane/src/agent/machine.rs
+++ b/crates/dataplane/src/agent/machine.rs
@@ -57,16 +57,17 @@
         let mut actions = Vec::new();
         match event {
             AgentEvent::Heartbeat {
-                request,
+                request_id: request,
                 instance,
                 heartbeat,
             } => {
                 self.heartbeat(now, request, instance, heartbeat, &mut actions);
             }
-            AgentEvent::Deregister { request, instance } => {
-                self.deregister(now, request, instance, &mut actions)
-            }
-            AgentEvent::Orders { sequence, orders } => self.orders(sequence, orders),
+            AgentEvent::Deregister {
+                request_id: request,
+                instance,
+            } => self.deregister(now, request, instance, &mut actions),
+            AgentEvent::SyncResponse { sequence, commands } => self.orders(sequence, commands),
             AgentEvent::SyncFailed { sequence } => self.syncs.failed(now, sequence),
             AgentEvent::Tick => {}
         }
@@ -86,13 +87,13 @@
     }
 
     /// Answers the call that is held, without starts: the process is about to end.
-    pub fn release(&mut self, now: Millis) -> Vec<AgentAction> {
+    pub fn shut_down(&mut self, now: Millis) -> Vec<AgentAction> {
         let mut actions = Vec::new();
         if let (Some(held), Some(worker)) = (self.held.take(), &mut self.worker) {
             let answer = answers::answer(&self.settings, &self.book, worker, now, false);
-            actions.push(AgentAction::Answer {
-                request: held.request,
-                answer,
+            actions.push(AgentAction::Respond {
+                request_id: held.request,
+                response: answer,
             });
         }
         actions
@@ -127,7 +128,10 @@
         self.answer_superseded(actions);
         if self.is_late(&instance, heartbeat.sequence) {
             let answer = answers::plain(&self.book);
-            actions.push(AgentAction::Answer { request, answer });
+            actions.push(AgentAction::Respond {
+                request_id: request,
+                response: answer,
+            });
             return;
         }
         self.take_heartbeat(now, instance, heartbeat);
@@ -201,7 +205,9 @@
         instance: Arc<str>,
         actions: &mut Vec<AgentAction>,
     ) {
-        actions.push(AgentAction::Acknowledge { request });
+        actions.push(AgentAction::AcknowledgeDeregistration {
+            request_id: request,
+        });
         if self.earlier.contains(&instance) {
             return;
         }
@@ -277,9 +283,9 @@
         }
         self.held = None;
         let answer = answers::answer(&self.settings, &self.book, worker, now, true);
-        actions.push(AgentAction::Answer {
-            request: held.request,
-            answer,
+        actions.push(AgentAction::Respond {
+            request_id: held.request,
+            response: answer,
         });
     }
 
@@ -287,9 +293,9 @@
     fn answer_superseded(&mut self, actions: &mut Vec<AgentAction>) {
         if let Some(held) = self.held.take() {
             let answer = answers::plain(&self.book);
-            actions.push(AgentAction::Answer {
-                request: held.request,
-                answer,
+            actions.push(AgentAction::Respond {
+                request_id: held.request,
+                response: answer,
             });
         }
     }
@@ -299,7 +305,7 @@
             return;
         }
         let sequence = self.syncs.begin(now);
-        actions.push(AgentAction::Sync(AgentSync {
+        actions.push(AgentAction::SendSync(AgentSync {
             agent: Arc::clone(&self.settings.name),
             boot: self.settings.boot,
             sequence,
--- a/crates/dataplane/src/agent/mod.rs
+++ b/crates/dataplane/src/agent/mod.rs
@@ -50,7 +50,7 @@
     /// Its worker called.
     Heartbeat {
         /// Names the call in the answer.
-        request: u64,
+        request_id: u64,
         /// The worker's id.
         instance: Arc<str>,
         /// What it said.
@@ -59,16 +59,16 @@
     /// Its worker deregisters.
     Deregister {
         /// Names the call in the acknowledgement.
-        request: u64,
+        request_id: u64,
         /// The worker's id.
         instance: Arc<str>,
     },
     /// The primary answered a sync.
-    Orders {
+    SyncResponse {
         /// The sync's sequence.
         sequence: u64,
         /// The answer.
-        orders: AgentCommands,
+        commands: AgentCommands,
     },
     /// A sync got no answer that can be used.
     SyncFailed {
@@ -83,19 +83,19 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum AgentAction {
     /// Answer a heartbeat.
-    Answer {
+    Respond {
         /// The call.
-        request: u64,
+        request_id: u64,
         /// The answer.
-        answer: HeartbeatResponse,
+        response: HeartbeatResponse,
     },
     /// Acknowledge a worker's deregistration.
-    Acknowledge {
+    AcknowledgeDeregistration {
         /// The call.
-        request: u64,
+        request_id: u64,
     },
     /// Send this to the primary.
-    Sync(AgentSync),
+    SendSync(AgentSync),
 }
 
 /// What an operator sees of an agent.
--- a/crates/dataplane/src/agent_program.rs
+++ b/crates/dataplane/src/agent_program.rs
@@ -1,7 +1,7 @@
 //! The agent as a process: carries heartbeats to the state machine and its syncs to the primary.
 
 use crate::agent::{Agent, AgentAction, AgentEvent, AgentSettings, AgentStatus};
-use crate::core::{ControlPlaneClient, Endpoint, RequestOutcome};
+use crate::control_plane::{ControlPlaneClient, Endpoint, RequestOutcome};
 use crate::process;
 use http::{Method, StatusCode};
 use serde::Serialize;
@@ -178,7 +178,7 @@
 
     /// Answers what is held: the process is about to end.
     pub fn release(&self) {
-        let actions = self.shared.agent.borrow_mut().release(clock::steady());
+        let actions = self.shared.agent.borrow_mut().shut_down(clock::steady());
         self.carry_out(actions);
     }
 
@@ -188,8 +188,8 @@
             Err(error) => return text(StatusCode::BAD_REQUEST, format!("heartbeat: {error}\n")),
         };
         let answered = self
-            .ask(|request| AgentEvent::Heartbeat {
-                request,
+            .ask(|request_id| AgentEvent::Heartbeat {
+                request_id,
                 instance,
                 heartbeat,
             })
@@ -201,8 +201,11 @@
     }
 
     async fn deregister(&self, instance: Arc<str>) -> Response {
-        self.ask(|request| AgentEvent::Deregister { request, instance })
-            .await;
+        self.ask(|request_id| AgentEvent::Deregister {
+            request_id,
+            instance,
+        })
+        .await;
         empty(StatusCode::OK)
     }
 
@@ -240,9 +243,14 @@
     fn carry_out(&self, actions: Vec<AgentAction>) {
         for action in actions {
             match action {
-                AgentAction::Answer { request, answer } => self.reply(request, Some(answer)),
-                AgentAction::Acknowledge { request } => self.reply(request, None),
-                AgentAction::Sync(sync) => {
+                AgentAction::Respond {
+                    request_id,
+                    response,
+                } => self.reply(request_id, Some(response)),
+                AgentAction::AcknowledgeDeregistration { request_id } => {
+                    self.reply(request_id, None)
+                }
+                AgentAction::SendSync(sync) => {
                     let program = self.clone();
                     tokio::task::spawn_local(async move { program.sync(sync).await });
                 }
@@ -260,7 +268,10 @@
     async fn sync(&self, sync: AgentSync) {
         let sequence = sync.sequence;
         match self.orders(&sync).await {
-            Some(orders) => self.handle(AgentEvent::Orders { sequence, orders }),
+            Some(orders) => self.handle(AgentEvent::SyncResponse {
+                sequence,
+                commands: orders,
+            }),
             None => self.handle(AgentEvent::SyncFailed { sequence }),
         }
     }
@@ -282,7 +293,7 @@
 
     async fn orders_of(&self, target: &Endpoint, sync: &AgentSync) -> Option<AgentCommands> {
         let deadline = Duration::from_millis(sync.wait_ms.saturating_add(SYNC_SLACK_MS));
-        let RequestOutcome::Answered(answer) = self
+        let RequestOutcome::Responded(answer) = self
             .shared
             .link
             .post(target, AGENT_SYNC_PATH, sync, deadline)
@@ -301,7 +312,7 @@
             }
         };
         if let Some(view) = &orders.view {
-            self.shared.link.learn(target, view);
+            self.shared.link.on_view(target, view);
         }
         Some(orders)
     }
--- a/crates/dataplane/src/core/link.rs
+++ b/crates/dataplane/src/control_plane/client.rs
@@ -49,9 +49,9 @@
 #[derive(Debug)]
 pub enum RequestOutcome {
     /// It answered; any status but 421 and 504.
-    Answered(Response),
+    Responded(Response),
     /// Nothing was done: it is not the primary, or no byte reached it.
-    NotDone,
+    NotExecuted,
     /// It may have been carried out.
     Unknown,
 }
@@ -102,7 +102,7 @@
             let now = clock::steady();
             let (questions, due_at) = {
                 let mut finder = self.shared.finder.borrow_mut();
-                (finder.questions(now), finder.due_at())
+                (finder.take_due_probes(now), finder.next_probe_at())
             };
             for address in questions {
                 let link = self.clone();
@@ -123,7 +123,7 @@
             let changed = self.shared.changed.notified();
             let (watched, epoch) = {
                 let finder = self.shared.finder.borrow();
-                (finder.watched(), finder.epoch())
+                (finder.watch_target(), finder.epoch())
             };
             let Some(target) = watched.and_then(|address| self.target(&address)) else {
                 changed.await;
@@ -133,9 +133,9 @@
                 .await
                 .filter(|view| view.epoch >= epoch);
             match view {
-                Some(view) => self.learn(&target, &view),
+                Some(view) => self.on_view(&target, &view),
                 None => {
-                    self.shared.finder.borrow_mut().watch_another();
+                    self.shared.finder.borrow_mut().advance_watch_target();
                     tokio::time::sleep(WATCH_PAUSE).await;
                 }
             }
@@ -165,7 +165,7 @@
     }
 
     /// How long no primary has been known; 0 while one is.
-    pub fn outage(&self) -> Millis {
+    pub fn outage_ms(&self) -> Millis {
         self.shared
             .lost_since
             .get()
@@ -207,8 +207,8 @@
     }
 
     /// Takes a view that came with an answer from `target`.
-    pub fn learn(&self, target: &Endpoint, view: &ClusterView) {
-        self.change(|finder, now| finder.learn(now, &target.address, view));
+    pub fn on_view(&self, target: &Endpoint, view: &ClusterView) {
+        self.change(|finder, now| finder.on_view(now, &target.address, view));
     }
 
     /// Posts `body` to `target` and notes what that says of the primary. Gives up once another one is the primary: the
@@ -221,7 +221,7 @@
         deadline: Duration,
     ) -> RequestOutcome {
         let Ok(call) = post_call(path, body) else {
-            return RequestOutcome::NotDone;
+            return RequestOutcome::NotExecuted;
         };
         let answered = tokio::select! {
             biased;
@@ -231,23 +231,25 @@
         match answered {
             Ok(answer) if answer.status() == StatusCode::MISDIRECTED_REQUEST => {
                 let refusal = parse_json::<NotPrimary>(answer.body()).unwrap_or_default();
-                self.change(|finder, now| finder.refused(now, &target.address, &refusal.view));
-                RequestOutcome::NotDone
+                self.change(|finder, now| {
+                    finder.on_not_primary(now, &target.address, &refusal.view)
+                });
+                RequestOutcome::NotExecuted
             }
             Ok(answer) if answer.status() == StatusCode::GATEWAY_TIMEOUT => {
                 // It could not commit: it is about to give up its office, and its own word brings it back.
-                self.change(|finder, now| finder.failed(now, &target.address));
+                self.change(|finder, now| finder.on_request_failed(now, &target.address));
                 RequestOutcome::Unknown
             }
             Ok(answer) => {
                 self.succeeded(&target.address);
-                RequestOutcome::Answered(answer)
+                RequestOutcome::Responded(answer)
             }
             Err(error) => {
                 log::debug!("call to {}: {error}", target.address);
-                self.change(|finder, now| finder.failed(now, &target.address));
+                self.change(|finder, now| finder.on_request_failed(now, &target.address));
                 match error {
-                    RequestError::NotSent(_) => RequestOutcome::NotDone,
+                    RequestError::NotSent(_) => RequestOutcome::NotExecuted,
                     RequestError::Unknown(_) => RequestOutcome::Unknown,
                 }
             }
@@ -260,8 +262,8 @@
             None => None,
         };
         self.change(|finder, now| match view {
-            Some(view) => finder.learn(now, &address, &view),
-            None => finder.failed(now, &address),
+            Some(view) => finder.on_view(now, &address, &view),
+            None => finder.on_request_failed(now, &address),
         });
     }
 
@@ -271,7 +273,7 @@
         self.shared
             .finder
             .borrow_mut()
-            .succeeded(clock::steady(), address);
+            .on_response(clock::steady(), address);
         if !was_known {
             self.note_outage();
             self.shared.changed.notify_waiters();
@@ -321,7 +323,7 @@
         self.shared
             .clients
             .borrow_mut()
-            .retain(|address, _| finder.knows(address));
+            .retain(|address, _| finder.is_known(address));
     }
 }
 
--- a/crates/dataplane/src/core/finder.rs
+++ b/crates/dataplane/src/control_plane/discovery.rs
@@ -92,7 +92,7 @@
     }
 
     /// The process at `from` (an internal address) told what it knows.
-    pub fn learn(&mut self, now: Millis, from: &str, view: &ClusterView) {
+    pub fn on_view(&mut self, now: Millis, from: &str, view: &ClusterView) {
         self.asked.remove(from);
         if view.epoch < self.epoch {
             return;
@@ -110,7 +110,7 @@
     }
 
     /// The primary answered a call.
-    pub fn succeeded(&mut self, now: Millis, address: &str) {
+    pub fn on_response(&mut self, now: Millis, address: &str) {
         self.asked.remove(address);
         if self.is_primary(address) {
             self.doubted = None;
@@ -119,7 +119,7 @@
     }
 
     /// A call to `address` failed. If it is the primary's, others are asked at once.
-    pub fn failed(&mut self, now: Millis, address: &str) {
+    pub fn on_request_failed(&mut self, now: Millis, address: &str) {
         self.asked.remove(address);
         if self.is_primary(address) && self.doubted.as_deref() != Some(address) {
             self.doubted = Some(address.into());
@@ -128,9 +128,9 @@
     }
 
     /// The process at `address` said that it is not the primary: `view` is what it knows.
-    pub fn refused(&mut self, now: Millis, address: &str, view: &ClusterView) {
-        self.failed(now, address);
-        self.learn(now, address, view);
+    pub fn on_not_primary(&mut self, now: Millis, address: &str, view: &ClusterView) {
+        self.on_request_failed(now, address);
+        self.on_view(now, address, view);
         let still_itself = self.is_primary(address);
         if still_itself {
             self.doubted = Some(address.into());
@@ -144,7 +144,7 @@
     }
 
     /// A member besides the primary, which learns of the next epoch without it. Each process draws its own.
-    pub fn watched(&self) -> Option<Arc<str>> {
+    pub fn watch_target(&self) -> Option<Arc<str>> {
         let others: Vec<&CoreAddress> = self
             .members
             .iter()
@@ -155,14 +155,14 @@
     }
 
     /// The member that was watched does not answer, or knows less than this process: the next one is watched.
-    pub fn watch_another(&mut self) {
+    pub fn advance_watch_target(&mut self) {
         self.watched = self.watched.wrapping_add(1);
     }
 
     /// Whom to ask now for the cluster's view. Each is asked once at a time: tell [`PrimaryDiscovery::learn`] or
     /// [`PrimaryDiscovery::failed`] what came of it.
-    pub fn questions(&mut self, now: Millis) -> Vec<Arc<str>> {
-        if now < self.due_at() {
+    pub fn take_due_probes(&mut self, now: Millis) -> Vec<Arc<str>> {
+        if now < self.next_probe_at() {
             return Vec::new();
         }
         self.next_round_at = now.saturating_add(self.jitter.draw(ROUND_MS));
@@ -173,7 +173,7 @@
     }
 
     /// When [`PrimaryDiscovery::questions`] has some.
-    pub fn due_at(&self) -> Millis {
+    pub fn next_probe_at(&self) -> Millis {
         match (self.primary(), self.answered_at) {
             (Some(_), Some(at)) => self.next_round_at.max(at.saturating_add(PROBE_AFTER_MS)),
             _ => self.next_round_at,
@@ -181,7 +181,7 @@
     }
 
     /// Whether an internal address is that of a seed, a member or the primary.
-    pub fn knows(&self, address: &str) -> bool {
+    pub fn is_known(&self, address: &str) -> bool {
         let mut known = self.seeds.iter().chain(&self.members).chain(&self.primary);
         known.any(|core| *core.internal == *address)
     }
--- a/crates/dataplane/src/gate/passing.rs
+++ b/crates/dataplane/src/gate/passing.rs
@@ -1,7 +1,7 @@
 //! Passing a client's call to the primary, and what the client is told when that fails.
 
 use super::request;
-use crate::core::{ControlPlaneClient, Endpoint, RequestOutcome};
+use crate::control_plane::{ControlPlaneClient, Endpoint, RequestOutcome};
 use std::time::Duration;
 use streamusher_protocol::internal::{
     ClientMethod, ClientRequest, ClientResponse, CLIENT_CALL_PATH,
@@ -41,13 +41,13 @@
         Err(refusal) => return refusal.answer(),
     };
     let Some(first) = link.primary() else {
-        return request::not_taken(link.outage());
+        return request::not_taken(link.outage_ms());
     };
     match attempt(link, &first, &call, until).await {
         Attempt::Answered(answer) => answer,
         Attempt::NotDone => match other_primary(link, &first) {
             Some(second) => last_attempt(link, &second, &call, until).await,
-            None => request::not_taken(link.outage()),
+            None => request::not_taken(link.outage_ms()),
         },
         Attempt::Unknown if call.method == ClientMethod::Post => request::unknown(),
         Attempt::Unknown => repeat(link, &call, until).await,
@@ -69,8 +69,8 @@
     let left = until.saturating_duration_since(Instant::now());
     let deadline = left.clamp(SHORTEST_TRY, LONGEST_TRY);
     match link.post(target, CLIENT_CALL_PATH, call, deadline).await {
-        RequestOutcome::Answered(answer) => Attempt::Answered(reply(&answer)),
-        RequestOutcome::NotDone => Attempt::NotDone,
+        RequestOutcome::Responded(answer) => Attempt::Answered(reply(&answer)),
+        RequestOutcome::NotExecuted => Attempt::NotDone,
         RequestOutcome::Unknown => Attempt::Unknown,
     }
 }
@@ -106,7 +106,7 @@
 ) -> Response {
     match attempt(link, target, call, until).await {
         Attempt::Answered(answer) => answer,
-        Attempt::NotDone => request::not_taken(link.outage()),
+        Attempt::NotDone => request::not_taken(link.outage_ms()),
         Attempt::Unknown => request::unknown(),
     }
 }
--- a/crates/dataplane/src/gate/program.rs
+++ b/crates/dataplane/src/gate/program.rs
@@ -2,7 +2,7 @@
 
 use super::passing;
 use super::relay::{Relay, RelayStatus};
-use crate::core::ControlPlaneClient;
+use crate::control_plane::ControlPlaneClient;
 use crate::process;
 use http::{Method, StatusCode};
 use serde::Serialize;
--- a/crates/dataplane/src/gate/relay.rs
+++ b/crates/dataplane/src/gate/relay.rs
@@ -1,6 +1,6 @@
 //! The gate as a member of the relay tree: its lease at the primary, and its copy of the configuration.
 
-use crate::core::{ControlPlaneClient, RequestOutcome};
+use crate::control_plane::{ControlPlaneClient, RequestOutcome};
 use http::{Method, StatusCode};
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
@@ -146,7 +146,7 @@
                 .link
                 .post(&target, GATE_LEASE_PATH, &lease, CORE_DEADLINE)
                 .await;
-            if let RequestOutcome::Answered(answer) = outcome {
+            if let RequestOutcome::Responded(answer) = outcome {
                 match parse_json::<GateLeaseResponse>(answer.body()) {
                     Ok(reply) => self.leased(reply),
                     Err(error) => log::debug!("the primary's answer to a lease: {error}"),
--- a/crates/dataplane/src/lib.rs
+++ b/crates/dataplane/src/lib.rs
@@ -2,11 +2,11 @@
 //!
 //! - [`agent`]: the agent's state machine; told the time, without I/O.
 //! - [`agent_program`]: the agent as a process.
-//! - [`core`]: finding and following the control plane's primary.
+//! - [`control_plane`]: finding and following the control plane's primary.
 //! - [`gate`]: the gate as a process.
 
 pub mod agent;
 pub mod agent_program;
-pub mod core;
+pub mod control_plane;
 pub mod gate;
 pub mod process;
--- a/crates/dataplane/tests/agent.rs
+++ b/crates/dataplane/tests/agent.rs
@@ -270,9 +270,9 @@
     let before = story.newest_sync().sequence;
     assert!(older < before && story.waiting.contains(&before));
 
-    story.event(AgentEvent::Orders {
+    story.event(AgentEvent::SyncResponse {
         sequence: older,
-        orders: orders(1, 3, &[]),
+        commands: orders(1, 3, &[]),
     });
 
     let sync = story.newest_sync();
@@ -362,7 +362,7 @@
     let first = story.request();
 
     let actions = story.event(AgentEvent::Heartbeat {
-        request: 99,
+        request_id: 99,
         instance: "i-1".into(),
         heartbeat: heartbeat(2),
     });
@@ -394,12 +394,12 @@
     let mut story = Story::in_contact();
     story.heartbeat(heartbeat(1));
 
-    let actions = story.agent.release(story.now);
+    let actions = story.agent.shut_down(story.now);
 
     assert!(
-        matches!(&actions[..], [AgentAction::Answer { answer, .. }] if answer.start.is_empty())
+        matches!(&actions[..], [AgentAction::Respond { response, .. }] if response.start.is_empty())
     );
-    assert!(story.agent.release(story.now).is_empty());
+    assert!(story.agent.shut_down(story.now).is_empty());
 }
 
 #[test]
--- a/crates/dataplane/tests/agent_presence.rs
+++ b/crates/dataplane/tests/agent_presence.rs
@@ -48,9 +48,9 @@
         lease_ms: 60_000,
         ..orders(1, 2, &[start(1, 1)])
     };
-    story.event(streamusher_dataplane::agent::AgentEvent::Orders {
+    story.event(streamusher_dataplane::agent::AgentEvent::SyncResponse {
         sequence,
-        orders: long,
+        commands: long,
     });
 
     story.now = received;
@@ -77,15 +77,15 @@
         lease_ms: 60_000,
         ..orders(1, 2, &[start(1, 1)])
     };
-    let actions = story.event(streamusher_dataplane::agent::AgentEvent::Orders {
+    let actions = story.event(streamusher_dataplane::agent::AgentEvent::SyncResponse {
         sequence: early,
-        orders: late,
+        commands: late,
     });
 
     assert!(!story.agent.status(story.now).gone);
     let answers = actions
         .iter()
-        .filter(|action| matches!(action, AgentAction::Answer { .. }));
+        .filter(|action| matches!(action, AgentAction::Respond { .. }));
     assert_eq!(answers.count(), 0);
     assert_eq!(story.agent.status(story.now).offered, 0);
 }
@@ -120,7 +120,10 @@
     let actions = story.deregister("i-1");
     story.pass(50);
 
-    assert!(matches!(actions[0], AgentAction::Acknowledge { .. }));
+    assert!(matches!(
+        actions[0],
+        AgentAction::AcknowledgeDeregistration { .. }
+    ));
     assert!(story.newest_sync().worker.as_ref().unwrap().gone);
     story.heartbeat(heartbeat(2));
     assert!(story.agent.status(story.now).gone);
@@ -140,7 +143,10 @@
     story.end_older_syncs();
     story.pass(50);
 
-    assert!(matches!(actions[0], AgentAction::Acknowledge { .. }));
+    assert!(matches!(
+        actions[0],
+        AgentAction::AcknowledgeDeregistration { .. }
+    ));
     assert_eq!(
         (before.gone, before.state, before.running.len()),
         (false, WorkerState::Draining, 1)
@@ -290,7 +296,10 @@
         while story.waiting.len() > 1 {
             let sequence = story.waiting.remove(0);
             let orders = orders(1, 2, &[]);
-            story.event(streamusher_dataplane::agent::AgentEvent::Orders { sequence, orders });
+            story.event(streamusher_dataplane::agent::AgentEvent::SyncResponse {
+                sequence,
+                commands: orders,
+            });
         }
     }
 
@@ -354,9 +363,9 @@
 fn given_answers_to_syncs_that_were_never_sent_when_taken_then_they_are_ignored() {
     let mut story = Story::begin();
 
-    story.event(streamusher_dataplane::agent::AgentEvent::Orders {
+    story.event(streamusher_dataplane::agent::AgentEvent::SyncResponse {
         sequence: 77,
-        orders: orders(9, 1, &[]),
+        commands: orders(9, 1, &[]),
     });
     story.event(streamusher_dataplane::agent::AgentEvent::SyncFailed { sequence: 78 });
 
--- a/crates/dataplane/tests/common/mod.rs
+++ b/crates/dataplane/tests/common/mod.rs
@@ -118,7 +118,7 @@
     pub fn event(&mut self, event: AgentEvent) -> Vec<AgentAction> {
         let actions = self.agent.handle(self.now, event);
         for action in &actions {
-            if let AgentAction::Sync(sync) = action {
+            if let AgentAction::SendSync(sync) = action {
                 self.waiting.push(sync.sequence);
                 self.syncs.push(sync.clone());
             }
@@ -149,13 +149,13 @@
         heartbeat: Heartbeat,
     ) -> Option<HeartbeatResponse> {
         self.last_request += 1;
-        let request = self.last_request;
+        let request_id = self.last_request;
         let actions = self.event(AgentEvent::Heartbeat {
-            request,
+            request_id,
             instance: instance.into(),
             heartbeat,
         });
-        answer_to(&actions, request)
+        answer_to(&actions, request_id)
     }
 
     pub fn heartbeat(&mut self, heartbeat: Heartbeat) -> Option<HeartbeatResponse> {
@@ -165,7 +165,7 @@
     pub fn deregister(&mut self, instance: &str) -> Vec<AgentAction> {
         self.last_request += 1;
         self.event(AgentEvent::Deregister {
-            request: self.last_request,
+            request_id: self.last_request,
             instance: instance.into(),
         })
     }
@@ -173,7 +173,10 @@
     /// The primary answers the newest sync.
     pub fn answer_sync(&mut self, orders: AgentCommands) -> Vec<AgentAction> {
         let sequence = self.waiting.pop().expect("a sync waits");
-        self.event(AgentEvent::Orders { sequence, orders })
+        self.event(AgentEvent::SyncResponse {
+            sequence,
+            commands: orders,
+        })
     }
 
     pub fn fail_sync(&mut self) -> Vec<AgentAction> {
@@ -201,7 +204,10 @@
 
 pub fn answer_to(actions: &[AgentAction], wanted: u64) -> Option<HeartbeatResponse> {
     actions.iter().find_map(|action| match action {
-        AgentAction::Answer { request, answer } if *request == wanted => Some(answer.clone()),
+        AgentAction::Respond {
+            request_id,
+            response,
+        } if *request_id == wanted => Some(response.clone()),
         _ => None,
     })
 }
--- a/crates/dataplane/tests/relay.rs
+++ b/crates/dataplane/tests/relay.rs
@@ -13,7 +13,7 @@
 use streamusher_configuration::relay::{
     ConfigurationPublisher, OutboundMessage, Published, RelayEnvelope, RelayMessage, RelayPeer,
 };
-use streamusher_dataplane::core::ControlPlaneClient;
+use streamusher_dataplane::control_plane::ControlPlaneClient;
 use streamusher_dataplane::gate::relay::Relay;
 use streamusher_dataplane::gate::Gate;
 use streamusher_protocol::internal::{
--- a/crates/dataplane/tests/takeover.rs
+++ b/crates/dataplane/tests/takeover.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use streamusher_dataplane::core::{ControlPlaneClient, RequestOutcome};
+use streamusher_dataplane::control_plane::{ControlPlaneClient, RequestOutcome};
 use streamusher_protocol::internal::{ClusterView, ClusterWatch, CLUSTER_PATH, CLUSTER_WATCH_PATH};
 use streamusher_runtime::http::{json, parse_json, Request, Response, Server, ServerLimits};
 use tokio::sync::Notify;
--- a/crates/emulator/src/fleet/agent.rs
+++ b/crates/emulator/src/fleet/agent.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use streamusher_controlplane::driver::ControlRequest;
 use streamusher_dataplane::agent::{Agent, AgentAction, AgentEvent, AgentSettings};
-use streamusher_dataplane::core::PrimaryDiscovery;
+use streamusher_dataplane::control_plane::PrimaryDiscovery;
 use streamusher_protocol::heartbeat::Heartbeat;
 use streamusher_protocol::internal::AgentSync;
 use streamusher_protocol::Millis;
@@ -122,10 +122,13 @@
     fn agent_acts(&mut self, machine: MachineId, actions: Vec<AgentAction>) {
         for action in actions {
             match action {
-                AgentAction::Answer { request, answer } => {
+                AgentAction::Respond {
+                    request_id,
+                    response: answer,
+                } => {
                     let waiting = self
                         .agent(machine)
-                        .and_then(|process| process.requests.remove(&request));
+                        .and_then(|process| process.requests.remove(&request_id));
                     let Some(Waiting::Heartbeat {
                         worker,
                         life,
@@ -146,10 +149,10 @@
                         },
                     );
                 }
-                AgentAction::Acknowledge { request } => {
+                AgentAction::AcknowledgeDeregistration { request_id } => {
                     let waiting = self
                         .agent(machine)
-                        .and_then(|process| process.requests.remove(&request));
+                        .and_then(|process| process.requests.remove(&request_id));
                     let Some(Waiting::Deregister { worker, life }) = waiting else {
                         continue;
                     };
@@ -158,7 +161,7 @@
                         Event::WorkerGone { worker, life },
                     );
                 }
-                AgentAction::Sync(sync) => self.agent_syncs(machine, sync),
+                AgentAction::SendSync(sync) => self.agent_syncs(machine, sync),
             }
         }
     }
@@ -201,9 +204,9 @@
             Outcome::Orders(orders) => {
                 self.agent_handles(
                     machine,
-                    AgentEvent::Orders {
+                    AgentEvent::SyncResponse {
                         sequence,
-                        orders: (*orders).clone(),
+                        commands: (*orders).clone(),
                     },
                 );
             }
@@ -231,7 +234,7 @@
             );
             return;
         };
-        let request = process.remember(Waiting::Heartbeat {
+        let request_id = process.remember(Waiting::Heartbeat {
             worker,
             life,
             sequence,
@@ -239,7 +242,7 @@
         self.agent_handles(
             machine,
             AgentEvent::Heartbeat {
-                request,
+                request_id,
                 instance,
                 heartbeat,
             },
@@ -256,7 +259,13 @@
         let Some(process) = self.agent(machine) else {
             return;
         };
-        let request = process.remember(Waiting::Deregister { worker, life });
-        self.agent_handles(machine, AgentEvent::Deregister { request, instance });
+        let request_id = process.remember(Waiting::Deregister { worker, life });
+        self.agent_handles(
+            machine,
+            AgentEvent::Deregister {
+                request_id,
+                instance,
+            },
+        );
     }
 }
--- a/crates/emulator/src/fleet/finder.rs
+++ b/crates/emulator/src/fleet/finder.rs
@@ -4,7 +4,7 @@
 use super::machine::Process;
 use super::Fleet;
 use crate::network::MachineId;
-use streamusher_dataplane::core::PrimaryDiscovery;
+use streamusher_dataplane::control_plane::PrimaryDiscovery;
 use streamusher_protocol::internal::CoreAddress;
 use streamusher_protocol::Millis;
 
@@ -45,7 +45,7 @@
         let Some(finder) = self.finder(machine) else {
             return;
         };
-        let questions = finder.questions(now);
+        let questions = finder.take_due_probes(now);
         let boot = self.machines[machine].boot;
         for address in questions {
             if let Some(to) = self.machine_at(&address) {
@@ -71,8 +71,8 @@
             return;
         };
         match outcome {
-            Outcome::View(view) => finder.learn(now, &address, &view),
-            _ => finder.failed(now, &address),
+            Outcome::View(view) => finder.on_view(now, &address, &view),
+            _ => finder.on_request_failed(now, &address),
         }
     }
 
@@ -89,15 +89,15 @@
             return;
         };
         match outcome {
-            Outcome::NotPrimary(view) => finder.refused(now, &address, view),
-            Outcome::Client(_) => finder.succeeded(now, &address),
+            Outcome::NotPrimary(view) => finder.on_not_primary(now, &address, view),
+            Outcome::Client(_) => finder.on_response(now, &address),
             Outcome::Orders(orders) => {
-                finder.succeeded(now, &address);
+                finder.on_response(now, &address);
                 if let Some(view) = &orders.view {
-                    finder.learn(now, &address, view);
+                    finder.on_view(now, &address, view);
                 }
             }
-            _ => finder.failed(now, &address),
+            _ => finder.on_request_failed(now, &address),
         }
         self.look_for_primary(machine);
     }
--- a/crates/emulator/src/fleet/gate.rs
+++ b/crates/emulator/src/fleet/gate.rs
@@ -6,7 +6,7 @@
 use crate::network::MachineId;
 use std::collections::BTreeMap;
 use streamusher_controlplane::driver::ControlRequest;
-use streamusher_dataplane::core::PrimaryDiscovery;
+use streamusher_dataplane::control_plane::PrimaryDiscovery;
 use streamusher_protocol::internal::{ClientRequest, ClientResponse};
 use streamusher_protocol::Millis;
 
