--- a/crates/configuration/src/relay/distribution.rs
+++ b/crates/configuration/src/relay/distribution.rs
@@ -53,18 +53,18 @@
     /// Renews a lease.
     pub fn lease(&mut self, now: Millis, lease: &GateLeaseRequest) -> GateLeaseResponse {
         self.leases.renew(now, &lease.address);
-        let configuration = self.version();
+        let configuration_version = self.version();
         let Some(roster) = self.leases.roster() else {
             return GateLeaseResponse {
-                configuration,
+                configuration_version,
                 ..GateLeaseResponse::default()
             };
         };
-        let is_known = lease.roster == roster.version;
+        let is_known = lease.membership_version == roster.version;
         let members = (!is_known).then(|| roster.members.clone());
         GateLeaseResponse {
-            configuration,
-            roster: roster.version,
+            configuration_version,
+            membership_version: roster.version,
             members,
         }
     }
--- a/crates/configuration/tests/relay_distribution.rs
+++ b/crates/configuration/tests/relay_distribution.rs
@@ -14,10 +14,10 @@
     format!("10.0.0.{number}:7381").into()
 }
 
-fn lease(number: u32, roster: u64) -> GateLeaseRequest {
+fn lease(number: u32, membership_version: u64) -> GateLeaseRequest {
     GateLeaseRequest {
         address: member(number),
-        roster,
+        membership_version,
     }
 }
 
@@ -129,10 +129,13 @@
     let (mut distribution, now) = gathered();
 
     let first = distribution.lease(now, &lease(1, 0));
-    let second = distribution.lease(now, &lease(1, first.roster));
+    let second = distribution.lease(now, &lease(1, first.membership_version));
 
     assert_eq!(first.members, Some(vec![member(1), member(2)]));
-    assert_eq!((second.roster, second.members), (first.roster, None));
+    assert_eq!(
+        (second.membership_version, second.members),
+        (first.membership_version, None)
+    );
 }
 
 #[test]
@@ -141,7 +144,7 @@
 
     let reply = distribution.lease(START, &lease(1, 77));
 
-    assert_eq!((reply.roster, reply.members), (0, None));
+    assert_eq!((reply.membership_version, reply.members), (0, None));
 }
 
 #[test]
@@ -155,7 +158,10 @@
     assert_eq!(kinds(&sends), ["whole"]);
     assert_eq!(sends[0].to.len(), 2);
     assert!(again.is_empty() && older.is_empty());
-    assert_eq!(distribution.lease(now, &lease(1, 0)).configuration, 5);
+    assert_eq!(
+        distribution.lease(now, &lease(1, 0)).configuration_version,
+        5
+    );
 }
 
 #[test]
--- a/crates/controlplane/examples/cluster/worker.rs
+++ b/crates/controlplane/examples/cluster/worker.rs
@@ -111,8 +111,13 @@
     fn end(&mut self, task: TaskId, run: u32, how: RunEnd) {
         self.running.remove(&(task.clone(), run));
         self.ends += 1;
-        self.finished
-            .push(FinishedRun(self.ends, task, run, how, "".into()));
+        self.finished.push(FinishedRun {
+            number: self.ends,
+            task,
+            run,
+            end: how,
+            checkpoint: "".into(),
+        });
     }
 
     async fn heartbeat(&mut self, now: Millis) -> Option<HeartbeatResponse> {
@@ -162,21 +167,24 @@
         }
         self.fence_token = answer.fence_token;
         let last_seen = answer.last_seen.unwrap_or(0);
-        self.finished.retain(|end| end.0 > last_seen);
+        self.finished.retain(|end| end.number > last_seen);
         let Some(hold_ms) = answer.hold_ms else {
             return;
         };
         self.hold_until = self.hold_until.max(sent_at + hold_ms);
         for stop in answer.stop {
-            if self.running.contains_key(&(stop.0.clone(), stop.1)) {
-                self.end(stop.0, stop.1, RunEnd::Stopped);
+            if self.running.contains_key(&(stop.task.clone(), stop.run)) {
+                self.end(stop.task, stop.run, RunEnd::Stopped);
             }
         }
-        for StartCommand(task, run, spec, _) in answer.start {
+        for StartCommand {
+            task, run, spec, ..
+        } in answer.start
+        {
             let is_over = self
                 .finished
                 .iter()
-                .any(|end| end.1 == task && end.2 == run);
+                .any(|end| end.task == task && end.run == run);
             if !is_over {
                 let takes_ms = spec.parse().unwrap_or(DEFAULT_WORK_MS);
                 let work = Work {
@@ -202,10 +210,10 @@
 
 fn listed(now: Millis, key: &(TaskId, u32), work: &Work) -> RunningTask {
     let share = (now - work.began_at) as f64 / work.takes_ms.max(1) as f64;
-    RunningTask(
-        key.0.clone(),
-        key.1,
-        "".into(),
-        (share * 100.0).min(99.0).floor(),
-    )
+    RunningTask {
+        task: key.0.clone(),
+        run: key.1,
+        checkpoint: "".into(),
+        percent: (share * 100.0).min(99.0).floor(),
+    }
 }
--- a/crates/controlplane/src/driver.rs
+++ b/crates/controlplane/src/driver.rs
@@ -118,7 +118,7 @@
         if self.is_at_work(now) {
             self.carry_out(now, request, call);
         } else if self.replication.is_opening() && self.early.has_room() {
-            self.early.push(now.steady, request, call);
+            self.early.push(now.steady_ms, request, call);
         } else {
             self.refuse(now, request);
         }
@@ -126,11 +126,11 @@
     }
 
     fn is_at_work(&self, now: Now) -> bool {
-        self.scheduler.is_some() && self.may_answer(now.steady)
+        self.scheduler.is_some() && self.may_answer(now.steady_ms)
     }
 
     fn refuse(&mut self, now: Now, request: RequestId) {
-        let answer = ControlOutcome::NotPrimary(self.replication.view(now.steady));
+        let answer = ControlOutcome::NotPrimary(self.replication.view(now.steady_ms));
         self.actions.push(Action::Answer { request, answer });
     }
 
@@ -138,10 +138,10 @@
     fn take_early(&mut self, now: Now) {
         loop {
             let is_opening = !self.is_at_work(now) && self.replication.is_opening();
-            let Some(early) = self.early.pop(now.steady, is_opening) else {
+            let Some(early) = self.early.pop(now.steady_ms, is_opening) else {
                 return;
             };
-            if self.is_at_work(now) && !early.is_over(now.steady) {
+            if self.is_at_work(now) && !early.is_over(now.steady_ms) {
                 self.carry_out(now, early.request, early.call);
             } else {
                 self.refuse(now, early.request);
@@ -170,7 +170,7 @@
 
     /// Takes an input of replication.
     pub fn input(&mut self, now: Now, input: Input) -> Vec<Action> {
-        let outputs = self.replication.handle(now.steady, input);
+        let outputs = self.replication.handle(now.steady_ms, input);
         self.follow(now, outputs);
         self.release(now);
         self.take_early(now);
@@ -179,9 +179,9 @@
 
     /// Time has passed; wanted about every 20 ms.
     pub fn tick(&mut self, now: Now) -> Vec<Action> {
-        let outputs = self.replication.handle(now.steady, Input::Tick);
+        let outputs = self.replication.handle(now.steady_ms, Input::Tick);
         self.follow(now, outputs);
-        if self.replication.may_act(now.steady) {
+        if self.replication.may_act(now.steady_ms) {
             self.run(now, Event::Tick, None);
         }
         self.release(now);
@@ -228,7 +228,7 @@
         let wrote = !writes.is_empty();
         let mut outputs = Vec::new();
         if wrote {
-            outputs = self.replication.append(now.steady, writes).1;
+            outputs = self.replication.append(now.steady_ms, writes).1;
         }
         let sequence = self.replication.appended();
         self.publication
@@ -324,7 +324,7 @@
         }
         self.held.clear();
         self.publication = Publication::default();
-        let view = self.replication.view(now.steady);
+        let view = self.replication.view(now.steady_ms);
         for (request, outstanding) in std::mem::take(&mut self.outstanding) {
             let answer = match outstanding.mutating && !outstanding.refused {
                 true => ControlOutcome::Unknown,
@@ -341,7 +341,7 @@
 
     fn release(&mut self, now: Now) {
         let waits = !self.held.is_empty() || self.publication.is_pending();
-        if !waits || !self.may_answer(now.steady) {
+        if !waits || !self.may_answer(now.steady_ms) {
             return;
         }
         let committed = self.replication.committed();
@@ -369,7 +369,7 @@
                 .agent_epoch
                 .is_some_and(|epoch| epoch < orders.epoch);
             if is_behind && orders.view.is_none() {
-                orders.view = Some(self.replication.view(now.steady));
+                orders.view = Some(self.replication.view(now.steady_ms));
             }
         }
         self.actions.push(Action::Answer {
--- a/crates/controlplane/src/internal.rs
+++ b/crates/controlplane/src/internal.rs
@@ -6,8 +6,8 @@
 use http::{Method, StatusCode};
 use serde::de::DeserializeOwned;
 use streamusher_protocol::internal::{
-    ClusterView, NotPrimary, AGENT_SYNC_PATH, CLIENT_CALL_PATH, CLUSTER_PATH, CLUSTER_WATCH_PATH,
-    CORE_PATH, EXPLAIN_PATH, GATE_LEASE_PATH, RELAY_PATH, STATUS_PATH,
+    ClusterView, NotPrimary, AGENT_SYNC_PATH, CLIENT_REQUEST_PATH, CLUSTER_PATH,
+    CLUSTER_WATCH_PATH, COORDINATION_PATH, EXPLAIN_PATH, GATE_LEASE_PATH, RELAY_PATH, STATUS_PATH,
 };
 use streamusher_runtime::http::{empty, json, parse_json, text, Request, Response};
 use streamusher_scheduler::SchedulerResponse;
@@ -15,9 +15,11 @@
 /// Answers a call on the internal port.
 pub async fn answer(machine: Machine, call: Request) -> Response {
     match (call.method(), call.uri().path()) {
-        (&Method::POST, CORE_PATH) => core_messages(&machine, &call),
+        (&Method::POST, COORDINATION_PATH) => core_messages(&machine, &call),
         (&Method::POST, AGENT_SYNC_PATH) => pass_on(&machine, &call, ControlRequest::Agent).await,
-        (&Method::POST, CLIENT_CALL_PATH) => pass_on(&machine, &call, ControlRequest::Client).await,
+        (&Method::POST, CLIENT_REQUEST_PATH) => {
+            pass_on(&machine, &call, ControlRequest::Client).await
+        }
         (&Method::POST, GATE_LEASE_PATH) => gate_lease(&machine, &call),
         (&Method::POST, RELAY_PATH) => relay(&machine, &call),
         (&Method::GET, CLUSTER_PATH) => json(StatusCode::OK, &machine.view()),
--- a/crates/controlplane/src/machine.rs
+++ b/crates/controlplane/src/machine.rs
@@ -109,8 +109,8 @@
         let now = clock::now();
         let actions = shared.driver.tick(now);
         shared.perform(actions);
-        let epoch = shared.driver.reign(now.steady);
-        shared.relay.tick(now.steady, epoch);
+        let epoch = shared.driver.reign(now.steady_ms);
+        shared.relay.tick(now.steady_ms, epoch);
     }
 
     /// Renews a gate's lease; none where this is not the primary.
--- a/crates/controlplane/src/peers.rs
+++ b/crates/controlplane/src/peers.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use streamusher_coordination::Message;
-use streamusher_protocol::internal::CORE_PATH;
+use streamusher_protocol::internal::COORDINATION_PATH;
 use streamusher_runtime::http::{Client, ClientLimits, Request};
 use tokio::sync::mpsc;
 
@@ -111,7 +111,7 @@
     let body = serde_json::to_vec(envelope).ok()?;
     let mut call = Request::new(Bytes::from(body));
     *call.method_mut() = Method::POST;
-    *call.uri_mut() = Uri::from_static(CORE_PATH);
+    *call.uri_mut() = Uri::from_static(COORDINATION_PATH);
     call.headers_mut()
         .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     Some(call)
--- a/crates/controlplane/tests/driver.rs
+++ b/crates/controlplane/tests/driver.rs
@@ -143,8 +143,8 @@
 
 fn now() -> Now {
     Now {
-        steady: 1_000,
-        unix: 1_000_000,
+        steady_ms: 1_000,
+        unix_ms: 1_000_000,
     }
 }
 
@@ -238,7 +238,7 @@
         host,
         path,
         body,
-        configuration: 0,
+        configuration_version: 0,
     })
 }
 
@@ -400,8 +400,8 @@
     let mut fixture = opening_with_a_call();
     fixture.set_opening(opening);
     let later = Now {
-        steady: now().steady + later_ms,
-        unix: now().unix + later_ms,
+        steady_ms: now().steady_ms + later_ms,
+        unix_ms: now().unix_ms + later_ms,
     };
     let answers = fixture.tick_at(later);
     assert!(
--- a/crates/controlplane/tests/encoded_forms.rs
+++ b/crates/controlplane/tests/encoded_forms.rs
@@ -18,8 +18,8 @@
     DiskChange, DiskId, EpochRecord, LogPosition, Member, Message, ProposalNumber, WitnessState,
 };
 use streamusher_protocol::internal::{
-    CoreAddress, AGENT_SYNC_PATH, CLIENT_CALL_PATH, CLUSTER_PATH, CLUSTER_WATCH_PATH, CORE_PATH,
-    EXPLAIN_PATH, GATE_LEASE_PATH, RELAY_PATH, STATUS_PATH,
+    CoreAddress, AGENT_SYNC_PATH, CLIENT_REQUEST_PATH, CLUSTER_PATH, CLUSTER_WATCH_PATH,
+    COORDINATION_PATH, EXPLAIN_PATH, GATE_LEASE_PATH, RELAY_PATH, STATUS_PATH,
 };
 use streamusher_protocol::store::Write;
 use streamusher_runtime::http::Response;
@@ -340,18 +340,18 @@
     for (title, path, body) in [
         (
             "messages of a control machine",
-            CORE_PATH,
+            COORDINATION_PATH,
             &json!({"from": "10.9.9.9:1", "messages": []}),
         ),
         ("sync of an agent", AGENT_SYNC_PATH, &agent_sync()),
         (
             "submission of a client",
-            CLIENT_CALL_PATH,
+            CLIENT_REQUEST_PATH,
             &client_request("POST"),
         ),
         (
             "question of a client",
-            CLIENT_CALL_PATH,
+            CLIENT_REQUEST_PATH,
             &client_request("GET"),
         ),
         ("lease of a gate", GATE_LEASE_PATH, &lease),
--- a/crates/controlplane/tests/loopback.rs
+++ b/crates/controlplane/tests/loopback.rs
@@ -7,7 +7,7 @@
 use serde_json::{json, Value};
 use streamusher_protocol::config::{READ_PATH, REPLACE_PATH, UPDATE_PATH};
 use streamusher_protocol::internal::{
-    AgentCommands, ClusterWatch, ExplainRequest, NotPrimary, AGENT_SYNC_PATH, CLIENT_CALL_PATH,
+    AgentCommands, ClusterWatch, ExplainRequest, NotPrimary, AGENT_SYNC_PATH, CLIENT_REQUEST_PATH,
     EXPLAIN_PATH,
 };
 use streamusher_runtime::http::Response;
@@ -163,7 +163,7 @@
         let (mut cluster, primary) = configured().await;
         let other = (primary + 1) % 3;
 
-        let client = cluster.post(other, CLIENT_CALL_PATH, &submit()).await;
+        let client = cluster.post(other, CLIENT_REQUEST_PATH, &submit()).await;
         let agent = cluster
             .post(other, AGENT_SYNC_PATH, &sync(1, json!([]), json!([])))
             .await;
@@ -190,7 +190,7 @@
 fn given_a_job_when_a_worker_runs_it_then_it_succeeds_and_outlives_hand_over_and_restart() {
     story(async {
         let (mut cluster, primary) = configured().await;
-        let accepted = cluster.post(primary, CLIENT_CALL_PATH, &submit()).await;
+        let accepted = cluster.post(primary, CLIENT_REQUEST_PATH, &submit()).await;
         assert_eq!(client_status(&accepted), 200, "{}", text_of(&accepted));
 
         let ordered = cluster
@@ -201,23 +201,29 @@
             .await;
         let orders: AgentCommands = serde_json::from_slice(ordered.body()).unwrap();
         let start = &orders.start[0];
-        let ended = json!([[1, start.0, start.1, "done", ""]]);
+        let ended = json!([[1, start.task, start.run, "done", ""]]);
         cluster
             .post(primary, AGENT_SYNC_PATH, &sync(2, json!([]), ended))
             .await;
         let get = client_call("GET", "");
         let succeeded = |answer: &Response| is_ok(answer) && state_in(answer) == "succeeded";
-        cluster.post_until(CLIENT_CALL_PATH, &get, succeeded).await;
+        cluster
+            .post_until(CLIENT_REQUEST_PATH, &get, succeeded)
+            .await;
 
         cluster.stop_machine(primary).await;
-        cluster.post_until(CLIENT_CALL_PATH, &get, succeeded).await;
+        cluster
+            .post_until(CLIENT_REQUEST_PATH, &get, succeeded)
+            .await;
         assert_ne!(cluster.primary().await, primary);
 
         cluster.stop_all().await;
         for machine in 0..3 {
             cluster.start_machine(machine, false).await;
         }
-        cluster.post_until(CLIENT_CALL_PATH, &get, succeeded).await;
+        cluster
+            .post_until(CLIENT_REQUEST_PATH, &get, succeeded)
+            .await;
         let primary = cluster.primary().await;
         let read = cluster.order(primary, READ_PATH, None, "").await;
         assert_eq!(
@@ -254,7 +260,7 @@
     story(async {
         let (mut cluster, _) = configured().await;
         cluster
-            .post_until(CLIENT_CALL_PATH, &submit(), |answer| {
+            .post_until(CLIENT_REQUEST_PATH, &submit(), |answer| {
                 client_status(answer) == 200
             })
             .await;
--- a/crates/controlplane/tests/relay.rs
+++ b/crates/controlplane/tests/relay.rs
@@ -47,10 +47,10 @@
         }
     }
 
-    fn lease(&self, roster: u64) -> GateLeaseRequest {
+    fn lease(&self, membership_version: u64) -> GateLeaseRequest {
         GateLeaseRequest {
             address: self.address.to_string().into(),
-            roster,
+            membership_version,
         }
     }
 
@@ -112,7 +112,7 @@
         let mut cluster = Cluster::start().await;
         let member = Member::start();
         let reply = join(&mut cluster, &member, 0).await;
-        assert_eq!(reply.configuration, 0);
+        assert_eq!(reply.configuration_version, 0);
 
         replace(&mut cluster, "0", 5).await;
         member.until(is_whole(5)).await;
@@ -124,10 +124,14 @@
         assert!(is_ok(&update));
         member.until(is_change(8)).await;
         let answer = cluster
-            .post(primary, GATE_LEASE_PATH, &member.lease(reply.roster))
+            .post(
+                primary,
+                GATE_LEASE_PATH,
+                &member.lease(reply.membership_version),
+            )
             .await;
         let renewed: GateLeaseResponse = parse_json(answer.body()).unwrap();
-        assert_eq!((renewed.configuration, renewed.members), (8, None));
+        assert_eq!((renewed.configuration_version, renewed.members), (8, None));
     });
 }
 
@@ -144,11 +148,11 @@
         let former = cluster.primary().await;
         cluster.stop_machine(former).await;
         let late = Member::start();
-        join(&mut cluster, &member, before.roster).await;
+        join(&mut cluster, &member, before.membership_version).await;
         let after = join(&mut cluster, &late, 0).await;
 
-        assert!(after.roster > before.roster);
-        assert_eq!(after.configuration, 5);
+        assert!(after.membership_version > before.membership_version);
+        assert_eq!(after.configuration_version, 5);
         late.until(is_heartbeat(5)).await;
         let question = json!({"from": {"Member": late.address.to_string()}, "messages": [{"Ask": {"have": 0}}]});
         cluster
--- a/crates/dataplane/src/agent/orders.rs
+++ b/crates/dataplane/src/agent/orders.rs
@@ -113,8 +113,9 @@
     if before.is_empty() {
         return false;
     }
-    let after: HashSet<(&TaskId, u32)> = after.iter().map(|start| (&start.0, start.1)).collect();
+    let after: HashSet<(&TaskId, u32)> =
+        after.iter().map(|start| (&start.task, start.run)).collect();
     before
         .iter()
-        .any(|start| !after.contains(&(&start.0, start.1)))
+        .any(|start| !after.contains(&(&start.task, start.run)))
 }
--- a/crates/dataplane/src/agent/worker.rs
+++ b/crates/dataplane/src/agent/worker.rs
@@ -128,33 +128,33 @@
         self.heartbeat
             .running
             .iter()
-            .any(|at_work| at_work.1 == run && at_work.0 == *task)
+            .any(|at_work| at_work.run == run && at_work.task == *task)
     }
 
     pub(super) fn has_finished(&self, task: &TaskId, run: u32) -> bool {
         self.heartbeat
             .finished
             .iter()
-            .any(|ended| ended.2 == run && ended.1 == *task)
+            .any(|ended| ended.run == run && ended.task == *task)
     }
 
     /// Whether a start is still to be handed on.
     pub(super) fn wants_start(&self, start: &StartCommand) -> bool {
-        !self.is_running(&start.0, start.1) && !self.has_finished(&start.0, start.1)
+        !self.is_running(&start.task, start.run) && !self.has_finished(&start.task, start.run)
     }
 
     /// Whether a stop is still to be handed on: until the run is no longer at work, and once if it never was, so that
     /// a start that is under way is rejected.
     pub(super) fn wants_stop(&self, stop: &StopCommand) -> bool {
-        let untold = !self.stops_told.contains(stop) && !self.has_finished(&stop.0, stop.1);
-        untold || self.is_running(&stop.0, stop.1)
+        let untold = !self.stops_told.contains(stop) && !self.has_finished(&stop.task, stop.run);
+        untold || self.is_running(&stop.task, stop.run)
     }
 
     /// Notes that an answer hands these on.
     pub(super) fn note_orders(&mut self, starts: &[StartCommand], stops: &[StopCommand]) {
         let offered = starts.iter().map(|start| RunId {
-            task: start.0.clone(),
-            run: start.1,
+            task: start.task.clone(),
+            run: start.run,
         });
         self.offered.extend(offered);
         self.stops_told.extend(stops.iter().cloned());
@@ -247,11 +247,12 @@
 }
 
 fn newest_end(finished: &[FinishedRun]) -> u64 {
-    finished.iter().map(|ended| ended.0).max().unwrap_or(0)
+    finished.iter().map(|ended| ended.number).max().unwrap_or(0)
 }
 
 fn same_runs(before: &[RunningTask], after: &[RunningTask]) -> bool {
-    let same = |one: &RunningTask, other: &RunningTask| one.1 == other.1 && one.0 == other.0;
+    let same =
+        |one: &RunningTask, other: &RunningTask| one.run == other.run && one.task == other.task;
     if before.len() != after.len() {
         return false;
     }
--- a/crates/dataplane/src/gate/passing.rs
+++ b/crates/dataplane/src/gate/passing.rs
@@ -4,7 +4,7 @@
 use crate::control_plane::{ControlPlaneClient, Endpoint, RequestOutcome};
 use std::time::Duration;
 use streamusher_protocol::internal::{
-    ClientMethod, ClientRequest, ClientResponse, CLIENT_CALL_PATH,
+    ClientMethod, ClientRequest, ClientResponse, CLIENT_REQUEST_PATH,
 };
 use streamusher_runtime::http::{parse_json, Request, Response};
 use tokio::time::Instant;
@@ -30,12 +30,16 @@
 /// that may have been is answered with 502 if it hands a job in: the client sends the same id again. GET and DELETE may
 /// be carried out twice, so they are tried again while the client's time lasts.
 ///
-/// `configuration` is the version of the gate's copy; the primary decides by its own.
-pub async fn pass(link: &ControlPlaneClient, configuration: u64, call: &Request) -> Response {
+/// `configuration_version` is the version of the gate's copy; the primary decides by its own.
+pub async fn pass(
+    link: &ControlPlaneClient,
+    configuration_version: u64,
+    call: &Request,
+) -> Response {
     let until = Instant::now() + request::deadline(call).saturating_sub(KEPT_FOR_CLIENT);
     let call = match request::read(call) {
         Ok(call) => ClientRequest {
-            configuration,
+            configuration_version,
             ..call
         },
         Err(refusal) => return refusal.answer(),
@@ -68,7 +72,7 @@
 ) -> Attempt {
     let left = until.saturating_duration_since(Instant::now());
     let deadline = left.clamp(SHORTEST_TRY, LONGEST_TRY);
-    match link.post(target, CLIENT_CALL_PATH, call, deadline).await {
+    match link.post(target, CLIENT_REQUEST_PATH, call, deadline).await {
         RequestOutcome::Responded(answer) => Attempt::Answered(reply(&answer)),
         RequestOutcome::NotExecuted => Attempt::NotDone,
         RequestOutcome::Unknown => Attempt::Unknown,
--- a/crates/dataplane/src/gate/relay.rs
+++ b/crates/dataplane/src/gate/relay.rs
@@ -138,7 +138,7 @@
                 let node = self.shared.node.borrow();
                 GateLeaseRequest {
                     address: node.address().clone(),
-                    roster: node.roster(),
+                    membership_version: node.roster(),
                 }
             };
             let outcome = self
@@ -158,18 +158,18 @@
 
     fn leased(&self, reply: GateLeaseResponse) {
         let GateLeaseResponse {
-            configuration,
-            roster,
+            configuration_version,
+            membership_version,
             members,
         } = reply;
         if let Some(members) = members {
             let roster = RelayMembership {
-                version: roster,
+                version: membership_version,
                 members,
             };
             self.act(|node, now| node.set_roster(now, &roster));
         }
-        self.act(|node, now| node.heard_of(now, configuration));
+        self.act(|node, now| node.heard_of(now, configuration_version));
     }
 
     async fn keep_time(&self) {
--- a/crates/dataplane/src/gate/request.rs
+++ b/crates/dataplane/src/gate/request.rs
@@ -73,7 +73,7 @@
         host: host.into(),
         path: path.into(),
         body: body.into(),
-        configuration: 0,
+        configuration_version: 0,
     })
 }
 
--- a/crates/dataplane/tests/agent.rs
+++ b/crates/dataplane/tests/agent.rs
@@ -406,7 +406,15 @@
 fn given_checkpoints_at_work_when_it_syncs_then_the_primary_hears_of_them_soon() {
     let mut story = Story::in_contact();
 
-    story.heartbeat(at_work(1, &[RunningTask(task(1), 1, "saved".into(), 50.0)]));
+    story.heartbeat(at_work(
+        1,
+        &[RunningTask {
+            task: task(1),
+            run: 1,
+            checkpoint: "saved".into(),
+            percent: 50.0,
+        }],
+    ));
     story.pass(50);
 
     assert!(story.newest_sync().wait_ms <= 400);
--- a/crates/dataplane/tests/agent_presence.rs
+++ b/crates/dataplane/tests/agent_presence.rs
@@ -261,7 +261,15 @@
     story.pass(60);
     let before = story.syncs.len();
 
-    story.heartbeat(at_work(2, &[RunningTask(task(1), 1, "".into(), 60.0)]));
+    story.heartbeat(at_work(
+        2,
+        &[RunningTask {
+            task: task(1),
+            run: 1,
+            checkpoint: "".into(),
+            percent: 60.0,
+        }],
+    ));
     story.pass(300);
 
     assert_eq!(story.syncs.len(), before);
--- a/crates/dataplane/tests/agent_program.rs
+++ b/crates/dataplane/tests/agent_program.rs
@@ -29,12 +29,12 @@
 }
 
 fn order() -> StartCommand {
-    StartCommand(
-        "5c0e7a21d94b36f8.0.0.1".parse().unwrap(),
-        1,
-        "spec".into(),
-        "".into(),
-    )
+    StartCommand {
+        task: "5c0e7a21d94b36f8.0.0.1".parse().unwrap(),
+        run: 1,
+        spec: "spec".into(),
+        checkpoint: "".into(),
+    }
 }
 
 /// Orders one start of any worker that has called.
--- a/crates/dataplane/tests/common/mod.rs
+++ b/crates/dataplane/tests/common/mod.rs
@@ -35,19 +35,38 @@
 }
 
 pub fn start(index: u32, run: u32) -> StartCommand {
-    StartCommand(task(index), run, "spec".into(), "".into())
+    StartCommand {
+        task: task(index),
+        run,
+        spec: "spec".into(),
+        checkpoint: "".into(),
+    }
 }
 
 pub fn running(index: u32, run: u32) -> RunningTask {
-    RunningTask(task(index), run, "".into(), 10.0)
+    RunningTask {
+        task: task(index),
+        run,
+        checkpoint: "".into(),
+        percent: 10.0,
+    }
 }
 
 pub fn ended(number: u64, index: u32, run: u32) -> FinishedRun {
-    FinishedRun(number, task(index), run, RunEnd::Done, "".into())
+    FinishedRun {
+        number,
+        task: task(index),
+        run,
+        end: RunEnd::Done,
+        checkpoint: "".into(),
+    }
 }
 
 pub fn stop(index: u32, run: u32) -> StopCommand {
-    StopCommand(task(index), run)
+    StopCommand {
+        task: task(index),
+        run,
+    }
 }
 
 pub fn heartbeat(sequence: u64) -> Heartbeat {
--- a/crates/dataplane/tests/encoded_forms.rs
+++ b/crates/dataplane/tests/encoded_forms.rs
@@ -110,7 +110,13 @@
     let finished = ends
         .into_iter()
         .zip(1_u32..)
-        .map(|(end, number)| FinishedRun(u64::from(number), task(number), 2, end, "7".into()));
+        .map(|(end, number)| FinishedRun {
+            number: u64::from(number),
+            task: task(number),
+            run: 2,
+            end,
+            checkpoint: "7".into(),
+        });
     Heartbeat {
         service: "app".into(),
         address: "10.0.0.1:80".into(),
@@ -128,7 +134,15 @@
         clock_ms: 99,
         sequence: 8,
         remaining_ms: Some(4_000),
-        running: vec![RunningTask(task(9), 1, "saved".into(), 0.5), running(10, 2)],
+        running: vec![
+            RunningTask {
+                task: task(9),
+                run: 1,
+                checkpoint: "saved".into(),
+                percent: 0.5,
+            },
+            running(10, 2),
+        ],
         finished: finished.collect(),
     }
 }
@@ -227,7 +241,7 @@
                 ""
             }
             .into(),
-            configuration: 6,
+            configuration_version: 6,
         };
         recorded.value(&format!("client request {method:?}"), &request);
     }
@@ -259,14 +273,14 @@
         "gate lease request",
         &GateLeaseRequest {
             address: "127.0.0.1:7301".into(),
-            roster: 9,
+            membership_version: 9,
         },
     );
     recorded.value(
         "gate lease response",
         &GateLeaseResponse {
-            configuration: 11,
-            roster: 9,
+            configuration_version: 11,
+            membership_version: 9,
             members: Some(vec!["127.0.0.1:7301".into()]),
         },
     );
--- a/crates/emulator/src/catalog.rs
+++ b/crates/emulator/src/catalog.rs
@@ -99,7 +99,7 @@
     /// The name under which checkpoints of a task, or of its gang, are known.
     pub fn checkpoint_owner(&self, task: &TaskId) -> String {
         let gang = self.step(task).is_some_and(|step| step.gang);
-        let step = StepId::of(task);
+        let step = StepId::of_task(task);
         let index = if gang {
             String::from("gang")
         } else {
--- a/crates/emulator/src/checker/tasks.rs
+++ b/crates/emulator/src/checker/tasks.rs
@@ -313,8 +313,8 @@
         id: &RunId,
         step: &StepRequest,
     ) {
-        let wanted = StepId::of(&id.task);
-        let same = |task: &TaskId| StepId::of(task) == wanted;
+        let wanted = StepId::of_task(&id.task);
+        let same = |task: &TaskId| StepId::of_task(task) == wanted;
         let there = |start: &&Start| start.worker == view.index && start.life == view.life;
         let records = self.tasks.iter().filter(|(task, _)| same(task));
         let count = records
--- a/crates/emulator/src/clock.rs
+++ b/crates/emulator/src/clock.rs
@@ -18,8 +18,8 @@
     /// Both clocks at a true time.
     pub fn read(&self, now: Millis) -> Now {
         Now {
-            steady: now + self.steady_offset,
-            unix: (UNIX_START + now).saturating_add_signed(self.unix_error),
+            steady_ms: now + self.steady_offset,
+            unix_ms: (UNIX_START + now).saturating_add_signed(self.unix_error),
         }
     }
 }
--- a/crates/emulator/src/fleet/agent.rs
+++ b/crates/emulator/src/fleet/agent.rs
@@ -63,7 +63,7 @@
             heartbeat_ms: bounds.heartbeat_ms,
             stop_ms: bounds.stop_ms,
         };
-        let now = self.clocks(machine).steady;
+        let now = self.clocks(machine).steady_ms;
         let finder = self.new_finder();
         AgentProcess {
             agent: Agent::new(settings, now),
@@ -87,7 +87,7 @@
     }
 
     fn agent_handles(&mut self, machine: MachineId, event: AgentEvent) {
-        let now = self.clocks(machine).steady;
+        let now = self.clocks(machine).steady_ms;
         let Some(process) = self.agent(machine) else {
             return;
         };
--- a/crates/emulator/src/fleet/client.rs
+++ b/crates/emulator/src/fleet/client.rs
@@ -294,7 +294,7 @@
             host: jobs::HOST.into(),
             path,
             body,
-            configuration: 0,
+            configuration_version: 0,
         };
         self.clients.next_call += 1;
         let number = self.clients.next_call;
--- a/crates/emulator/src/fleet/core.rs
+++ b/crates/emulator/src/fleet/core.rs
@@ -33,18 +33,18 @@
 
 impl CoreProcess {
     pub(crate) fn view(&self, now: Now) -> ClusterView {
-        self.driver.replication().view(now.steady)
+        self.driver.replication().view(now.steady_ms)
     }
 
     pub(crate) fn acts(&self, now: Now) -> bool {
-        self.driver.replication().may_act(now.steady)
+        self.driver.replication().may_act(now.steady_ms)
     }
 
     /// What it tells operators of itself.
     pub(crate) fn status(&self, now: Now) -> serde_json::Value {
         serde_json::json!({
-            "core": self.driver.replication().status(now.steady),
-            "scheduler": self.driver.scheduler().map(|scheduler| scheduler.status(now.steady)),
+            "core": self.driver.replication().status(now.steady_ms),
+            "scheduler": self.driver.scheduler().map(|scheduler| scheduler.status(now.steady_ms)),
         })
     }
 }
@@ -80,7 +80,7 @@
             share_debt: None,
             policy: self.setup.policy,
         };
-        let coordinator = Coordinator::new(replication, state.disk.image.clone(), now.steady);
+        let coordinator = Coordinator::new(replication, state.disk.image.clone(), now.steady_ms);
         CoreProcess {
             driver: Driver::new(scheduler, coordinator),
             calls: HashMap::new(),
@@ -103,7 +103,7 @@
         let actions = core.driver.tick(now);
         let over = core
             .leaving_since
-            .is_some_and(|since| now.steady > since + GRACE_MS);
+            .is_some_and(|since| now.steady_ms > since + GRACE_MS);
         let left = core.leaving_since.is_some() && core.driver.replication().may_leave();
         self.perform(machine, actions);
         if left || over {
@@ -116,7 +116,7 @@
         let Some(core) = self.core(machine) else {
             return;
         };
-        core.leaving_since.get_or_insert(now.steady);
+        core.leaving_since.get_or_insert(now.steady_ms);
         let actions = core.driver.input(now, Input::Leave);
         self.perform(machine, actions);
     }
--- a/crates/emulator/src/fleet/finder.rs
+++ b/crates/emulator/src/fleet/finder.rs
@@ -41,7 +41,7 @@
 
     /// Asks who is primary, where the finder wants to know.
     pub(crate) fn look_for_primary(&mut self, machine: MachineId) {
-        let now = self.clocks(machine).steady;
+        let now = self.clocks(machine).steady_ms;
         let Some(finder) = self.finder(machine) else {
             return;
         };
@@ -65,7 +65,7 @@
         from: MachineId,
         outcome: Outcome,
     ) {
-        let now = self.clocks(machine).steady;
+        let now = self.clocks(machine).steady_ms;
         let address = self.machines[from].address.internal.clone();
         let Some(finder) = self.finder(machine) else {
             return;
@@ -83,7 +83,7 @@
         from: MachineId,
         outcome: &Outcome,
     ) {
-        let now = self.clocks(machine).steady;
+        let now = self.clocks(machine).steady_ms;
         let address = self.machines[from].address.internal.clone();
         let Some(finder) = self.finder(machine) else {
             return;
--- a/crates/emulator/src/plant/gang.rs
+++ b/crates/emulator/src/plant/gang.rs
@@ -16,7 +16,7 @@
 }
 
 fn key(id: &RunId) -> (StepId, u32) {
-    (StepId::of(&id.task), id.run)
+    (StepId::of_task(&id.task), id.run)
 }
 
 impl Plant {
--- a/crates/emulator/src/plant/run.rs
+++ b/crates/emulator/src/plant/run.rs
@@ -335,9 +335,13 @@
         let worker = &mut self.workers[index];
         worker.ends += 1;
         let number = worker.ends;
-        worker
-            .finished
-            .push_back(FinishedRun(number, id.task.clone(), id.run, how, saved));
+        worker.finished.push_back(FinishedRun {
+            number,
+            task: id.task.clone(),
+            run: id.run,
+            end: how,
+            checkpoint: saved,
+        });
         let barred = worker.barred.entry(id.task.clone()).or_insert(Barred {
             run: 0,
             before_start: false,
--- a/crates/emulator/src/plant/worker.rs
+++ b/crates/emulator/src/plant/worker.rs
@@ -158,12 +158,12 @@
     fn heartbeat(&self, now: Millis, catalog: &Catalog, save_ms: Millis) -> Heartbeat {
         let listed = |(id, run): (&RunId, &Running)| {
             let percent = run.percent(now);
-            RunningTask(
-                id.task.clone(),
-                id.run,
-                run.saved(now, catalog, &id.task, save_ms),
+            RunningTask {
+                task: id.task.clone(),
+                run: id.run,
+                checkpoint: run.saved(now, catalog, &id.task, save_ms),
                 percent,
-            )
+            }
         };
         Heartbeat {
             service: self.kind.service.clone(),
@@ -365,7 +365,7 @@
         if let Some(hold) = answer.hold_ms {
             self.hold(now, index, sent, hold);
         }
-        for StopCommand(task, run) in &answer.stop {
+        for StopCommand { task, run } in &answer.stop {
             self.stop(
                 now,
                 index,
@@ -378,7 +378,13 @@
         if answer.hold_ms.is_none() || self.workers[index].hold_until <= now {
             return;
         }
-        for StartCommand(task, run, spec, checkpoint) in &answer.start {
+        for StartCommand {
+            task,
+            run,
+            spec,
+            checkpoint,
+        } in &answer.start
+        {
             self.start(
                 now,
                 catalog,
@@ -395,7 +401,11 @@
 
     fn take_note(&mut self, index: WorkerIndex, up_to: u64) {
         let worker = &mut self.workers[index];
-        while worker.finished.front().is_some_and(|end| end.0 <= up_to) {
+        while worker
+            .finished
+            .front()
+            .is_some_and(|end| end.number <= up_to)
+        {
             worker.finished.pop_front();
         }
         self.output.push(PlantOutput::Noted {
--- a/crates/jobs/src/book.rs
+++ b/crates/jobs/src/book.rs
@@ -56,7 +56,7 @@
             return Ok(SubmitOutcome::AlreadyKnown);
         }
         check(&request)?;
-        let job = Job::new(id.clone(), sound(terms), Plan::new(request), now.unix);
+        let job = Job::new(id.clone(), sound(terms), Plan::new(request), now.unix_ms);
         self.fx.jobs.insert(id.clone());
         *self.pending.entry(job.terms.queue.clone()).or_default() += 1;
         self.jobs.insert(id.clone(), Entry::Kept(Box::new(job)));
@@ -196,7 +196,7 @@
         waits
             .iter()
             .for_each(|(stage, waited_ms)| state.spent.add(*stage, *waited_ms));
-        state.told_until = now.steady;
+        state.told_until = now.steady_ms;
     }
 
     /// Records how a run went that has ended, before [`JobTable::on_run_finished`] records its end.
@@ -333,7 +333,7 @@
     }
 
     fn note(&mut self, now: Now) {
-        self.steady = self.steady.max(now.steady);
+        self.steady = self.steady.max(now.steady_ms);
     }
 
     /// Changes a job and then brings the indexes in line: the count of pending jobs, the next release, and the
@@ -389,9 +389,10 @@
     pub(crate) fn insert_restored(&mut self, now: Now, id: JobId, entry: Entry) {
         self.note(now);
         if matches!(entry, Entry::Ended { .. }) {
-            self.fx
-                .timers
-                .expire_at(now.steady.saturating_add(self.settings.retention_ms), &id);
+            self.fx.timers.expire_at(
+                now.steady_ms.saturating_add(self.settings.retention_ms),
+                &id,
+            );
         }
         self.jobs.insert(id, entry);
     }
--- a/crates/jobs/src/completion.rs
+++ b/crates/jobs/src/completion.rs
@@ -57,7 +57,7 @@
         mut spent: LatencyBreakdown,
     ) -> Completion {
         let due_unix_ms = self.plan.due_at(iteration).max(self.submitted);
-        let took_ms = now.unix.saturating_sub(due_unix_ms);
+        let took_ms = now.unix_ms.saturating_sub(due_unix_ms);
         let unknown_ms = took_ms.saturating_sub(spent.total_ms());
         spent.add(LatencyStage::Unknown, unknown_ms);
         let is_seen = is_done && 2 * unknown_ms < took_ms;
--- a/crates/jobs/src/due.rs
+++ b/crates/jobs/src/due.rs
@@ -34,17 +34,17 @@
 
     /// Takes the next job with an iteration that is due.
     pub fn due_release(&mut self, now: Now) -> Option<JobId> {
-        take_due(&mut self.releases, now.unix).map(|(_, job)| job)
+        take_due(&mut self.releases, now.unix_ms).map(|(_, job)| job)
     }
 
     /// Takes the next unit with a pause that is over, and the time for which that was planned.
     pub fn due_resume(&mut self, now: Now) -> Option<(Millis, UnitId)> {
-        take_due(&mut self.pauses, now.steady)
+        take_due(&mut self.pauses, now.steady_ms)
     }
 
     /// Takes the next job to drop.
     pub fn due_expiry(&mut self, now: Now) -> Option<JobId> {
-        take_due(&mut self.expiries, now.steady).map(|(_, job)| job)
+        take_due(&mut self.expiries, now.steady_ms).map(|(_, job)| job)
     }
 
     /// How long nothing is due, in milliseconds from `now`.
@@ -52,15 +52,15 @@
         let release = self
             .releases
             .first()
-            .map(|(at, _)| at.saturating_sub(now.unix));
+            .map(|(at, _)| at.saturating_sub(now.unix_ms));
         let pause = self
             .pauses
             .first()
-            .map(|(at, _)| at.saturating_sub(now.steady));
+            .map(|(at, _)| at.saturating_sub(now.steady_ms));
         let expiry = self
             .expiries
             .first()
-            .map(|(at, _)| at.saturating_sub(now.steady));
+            .map(|(at, _)| at.saturating_sub(now.steady_ms));
         [release, pause, expiry].into_iter().flatten().min()
     }
 }
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -106,7 +106,8 @@
 
     /// Releases all iterations that are due, as far as the bound of open tasks allows.
     pub fn release_due(&mut self, now: Now, fx: &mut Effects) {
-        while self.end.is_none() && self.may_release() && self.plan.due_at(self.next) <= now.unix {
+        while self.end.is_none() && self.may_release() && self.plan.due_at(self.next) <= now.unix_ms
+        {
             self.release_next(now, fx);
         }
     }
@@ -177,7 +178,7 @@
             return;
         }
         if state.phase == Phase::Blocked {
-            state.follow(now.steady, chain.unwrap_or_default());
+            state.follow(now.steady_ms, chain.unwrap_or_default());
         }
         let pause = if lasts {
             restart_pause(state.failed)
@@ -185,7 +186,7 @@
             0
         };
         if pause > 0 {
-            let until = now.steady.saturating_add(pause);
+            let until = now.steady_ms.saturating_add(pause);
             state.phase = Phase::Paused(until);
             fx.timers.resume_at(until, id);
             return;
@@ -210,7 +211,7 @@
             return;
         };
         if state.phase == Phase::Paused(planned) {
-            state.tell(now.steady, LatencyStage::BackedOff);
+            state.tell(now.steady_ms, LatencyStage::BackedOff);
             state.phase = Phase::Waiting;
             fx.ready.insert(id.clone());
         }
--- a/crates/jobs/src/runs.rs
+++ b/crates/jobs/src/runs.rs
@@ -77,7 +77,7 @@
         let state = &mut entry.units[unit];
         state.run = run;
         state.phase = Phase::Assigned;
-        state.began = now.steady;
+        state.began = now.steady_ms;
         state.run_times = None;
         state.assigned = workers.len() as u32;
         state.started_from = state.checkpoint.clone();
@@ -202,14 +202,14 @@
             return;
         }
         if outcome == Outcome::Done && !lasts {
-            state.tell_done(now.steady);
+            state.tell_done(now.steady_ms);
             self.unit_done(now, place, fx);
             return;
         }
-        if lasts && now.steady.saturating_sub(state.began) >= SOUND_RUN_MS {
+        if lasts && now.steady_ms.saturating_sub(state.began) >= SOUND_RUN_MS {
             state.failed = 0;
         }
-        state.tell(now.steady, vain);
+        state.tell(now.steady_ms, vain);
         if outcome == Outcome::Failed {
             worker.iter().for_each(|w| {
                 state.avoid(w);
--- a/crates/jobs/src/stored.rs
+++ b/crates/jobs/src/stored.rs
@@ -102,8 +102,8 @@
             return false;
         }
         unit.run = record.run;
-        unit.began = now.steady;
-        unit.told_until = now.steady;
+        unit.began = now.steady_ms;
+        unit.told_until = now.steady_ms;
         if record.worker.is_some() {
             unit.assigned += 1;
             content.assigned += 1;
--- a/crates/jobs/tests/accounts.rs
+++ b/crates/jobs/tests/accounts.rs
@@ -202,7 +202,7 @@
 #[test]
 fn given_iterations_when_each_is_done_then_each_is_told_from_when_it_was_due() {
     let mut world = World::new();
-    let due = START.unix + 1_000;
+    let due = START.unix_ms + 1_000;
     let repeated = streamusher_protocol::job::JobRequest {
         start_at_ms: due,
         interval_ms: 5_000,
@@ -211,7 +211,7 @@
     };
     world.submit(1, repeated);
     for iteration in 0..2 {
-        world.pass(due + 5_000 * u64::from(iteration) - world.now.unix);
+        world.pass(due + 5_000 * u64::from(iteration) - world.now.unix_ms);
         let id = unit(1, iteration, 0, Some(0));
         let run = wait_and_begin(&mut world, &id, LatencyStage::WaitedForCapacity, 100);
         run_for(&mut world, &run, 0, 200, 1.0, RunEnd::Done);
--- a/crates/jobs/tests/common/mod.rs
+++ b/crates/jobs/tests/common/mod.rs
@@ -15,8 +15,8 @@
 
 pub const STATUS_MS: Millis = 60_000;
 pub const START: Now = Now {
-    steady: 5_000,
-    unix: 1_700_000_000_000,
+    steady_ms: 5_000,
+    unix_ms: 1_700_000_000_000,
 };
 
 pub fn settings() -> JobSettings {
@@ -159,8 +159,8 @@
     }
 
     pub fn pass(&mut self, span: Millis) {
-        self.now.steady += span;
-        self.now.unix += span;
+        self.now.steady_ms += span;
+        self.now.unix_ms += span;
         self.book.tick(self.now);
         self.take();
     }
--- a/crates/jobs/tests/common/oracle.rs
+++ b/crates/jobs/tests/common/oracle.rs
@@ -43,7 +43,7 @@
                 }
             }
         }
-        let submitted = now.unix;
+        let submitted = now.unix_ms;
         JobFacts {
             request,
             terms,
@@ -83,7 +83,7 @@
         let unit = &self.units[&key];
         let depends_on = &self.step(step).depends_on;
         self.end.is_none()
-            && self.due(iteration) <= now.unix
+            && self.due(iteration) <= now.unix_ms
             && depends_on.iter().all(|&on| self.step_done(iteration, on))
             && !unit.done
             && unit.held.is_empty()
@@ -92,7 +92,7 @@
     /// Whether a unit may rest between failures.
     pub fn may_rest(&self, key: (u32, u32, u32), now: Now) -> bool {
         let unit = &self.units[&key];
-        self.step(key.1).long_running && unit.failed > 1 && now.steady < unit.over_at + 2_000
+        self.step(key.1).long_running && unit.failed > 1 && now.steady_ms < unit.over_at + 2_000
     }
 
     pub fn begin(&mut self, key: (u32, u32, u32), started: &[StartedRun]) {
@@ -137,7 +137,7 @@
         let lasts = self.step(key.1).long_running;
         let unit = self.units.get_mut(&key).expect("a unit of the job");
         assert!(unit.held.remove(&index));
-        unit.over_at = now.steady;
+        unit.over_at = now.steady_ms;
         if self.end.is_some() || unit.done {
             return;
         }
@@ -160,7 +160,7 @@
 
     pub fn finish(&mut self, state: JobState, now: Now) {
         self.end = Some(state);
-        self.ended_at = now.steady;
+        self.ended_at = now.steady_ms;
     }
 
     pub fn holds_runs(&self) -> bool {
--- a/crates/jobs/tests/encoded_forms.rs
+++ b/crates/jobs/tests/encoded_forms.rs
@@ -50,7 +50,7 @@
     };
     let all_fields = JobRequest {
         repeat_count: 3,
-        start_at_ms: START.unix,
+        start_at_ms: START.unix_ms,
         interval_ms: 60_000,
         ..request(vec![first, second])
     };
@@ -144,7 +144,7 @@
     let mut world = World::new();
     let repeated = JobRequest {
         repeat_count: 5,
-        start_at_ms: START.unix,
+        start_at_ms: START.unix_ms,
         interval_ms: 1_000,
         ..request(vec![step(1)])
     };
@@ -330,7 +330,7 @@
         target_latency_ms: 800,
         stretch: 2.5,
         succeeded: true,
-        due_unix_ms: START.unix,
+        due_unix_ms: START.unix_ms,
         latency_ms: 78,
         objective_ms: 3_050,
         breakdown: every_stage,
--- a/crates/jobs/tests/search.rs
+++ b/crates/jobs/tests/search.rs
@@ -68,7 +68,7 @@
         if self.random.chance(30) {
             body.repeat_count = 1 + self.random.below(4) as u32;
             body.interval_ms = self.random.below(4_000);
-            body.start_at_ms = self.world.now.unix + self.random.below(3_000) - 1_000;
+            body.start_at_ms = self.world.now.unix_ms + self.random.below(3_000) - 1_000;
         }
         body
     }
@@ -228,7 +228,7 @@
             let is_old = facts.end.is_some() && !facts.holds_runs();
             let is_gone = is_old && self.world.book.status(&job(number)).is_none();
             assert!(
-                !is_gone || now.steady >= facts.ended_at + STATUS_MS,
+                !is_gone || now.steady_ms >= facts.ended_at + STATUS_MS,
                 "an ended job went too early"
             );
             !is_gone
@@ -284,7 +284,7 @@
                 facts
                     .units
                     .values_mut()
-                    .for_each(|u| u.over_at = self.world.now.steady);
+                    .for_each(|u| u.over_at = self.world.now.steady_ms);
             }
         }
     }
@@ -361,7 +361,7 @@
 
     /// Iterations are released by `advance` and at the submission, and time may have passed since.
     fn released_later(&self, facts: &JobFacts, iteration: u32) -> bool {
-        self.world.now.unix < facts.due(iteration)
+        self.world.now.unix_ms < facts.due(iteration)
     }
 
     fn check_keys(&self, number: u64, facts: &JobFacts) {
--- a/crates/jobs/tests/steps.rs
+++ b/crates/jobs/tests/steps.rs
@@ -78,7 +78,7 @@
 #[test]
 fn given_a_timed_job_when_time_passes_then_each_iteration_waits_at_its_time_and_never_before() {
     let mut world = World::new();
-    let start_at_ms = START.unix + 1_000;
+    let start_at_ms = START.unix_ms + 1_000;
     let timed = JobRequest {
         repeat_count: 2,
         start_at_ms,
@@ -110,7 +110,7 @@
     let mut world = World::new();
     let timed = JobRequest {
         repeat_count: 2,
-        start_at_ms: START.unix,
+        start_at_ms: START.unix_ms,
         interval_ms: 60_000,
         ..request(vec![step(1)])
     };
@@ -133,7 +133,7 @@
 fn given_an_iteration_that_has_begun_when_a_recovery_reads_an_earlier_time_of_day_then_it_is_kept()
 {
     let mut world = World::new();
-    let start_at_ms = START.unix + 1_000;
+    let start_at_ms = START.unix_ms + 1_000;
     let timed = JobRequest {
         repeat_count: 3,
         start_at_ms,
@@ -143,7 +143,7 @@
     world.submit(1, timed);
     world.pass(1_500);
     world.begin(&unit(1, 1, 0, Some(0)));
-    world.now.unix -= 5_000;
+    world.now.unix_ms -= 5_000;
     let mut recovered = world.recovered();
     assert_eq!(recovered.book.assigned_runs().len(), 1);
     assert_eq!(
@@ -163,7 +163,7 @@
     world.submit(
         1,
         JobRequest {
-            start_at_ms: START.unix + 10,
+            start_at_ms: START.unix_ms + 10,
             ..request(vec![step(1)])
         },
     );
@@ -202,7 +202,7 @@
     world.play(&unit(1, 0, 0, Some(0)), RunEnd::Done);
     let older = &world.ready[&unit(1, 0, 1, Some(0))];
     let newer = &world.ready[&unit(2, 0, 0, Some(0))];
-    assert_eq!(older.order, START.unix + 800);
+    assert_eq!(older.order, START.unix_ms + 800);
     assert!(older.order < newer.order);
 }
 
--- a/crates/placement/tests/common/mod.rs
+++ b/crates/placement/tests/common/mod.rs
@@ -65,7 +65,7 @@
         })
         .collect();
     let id = UnitId {
-        step: StepId::of(&tasks[0]),
+        step: StepId::of_task(&tasks[0]),
         index: None,
     };
     unit_of(tasks, id, cpu, priority, number)
--- a/crates/placement/tests/speed.rs
+++ b/crates/placement/tests/speed.rs
@@ -26,7 +26,7 @@
         });
         let unit_of = |task: TaskId| Unit {
             id: UnitId {
-                step: StepId::of(&task),
+                step: StepId::of_task(&task),
                 index: Some(task.index),
             },
             tasks: vec![task],
--- a/crates/protocol/src/heartbeat.rs
+++ b/crates/protocol/src/heartbeat.rs
@@ -60,13 +60,35 @@
     Draining,
 }
 
-/// A run at work: task, run, checkpoint, percent done.
+/// A run that is being executed; on the wire the array `[task, run, checkpoint, percent]`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RunningTask(pub TaskId, pub u32, pub Arc<str>, pub f64);
+#[serde(from = "array::RunningTask", into = "array::RunningTask")]
+pub struct RunningTask {
+    /// The task.
+    pub task: TaskId,
+    /// Which start of the task.
+    pub run: u32,
+    /// The newest checkpoint that the run has saved; empty for none.
+    pub checkpoint: Arc<str>,
+    /// Progress, from 0 to 100.
+    pub percent: f64,
+}
 
-/// A run that has ended: number in the worker's list, task, run, how, checkpoint.
+/// A run that has ended; on the wire the array `[number, task, run, end, checkpoint]`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FinishedRun(pub u64, pub TaskId, pub u32, pub RunEnd, pub Arc<str>);
+#[serde(from = "array::FinishedRun", into = "array::FinishedRun")]
+pub struct FinishedRun {
+    /// Position in the worker's list of ended runs, from 1; acknowledged by [`HeartbeatResponse::last_seen`].
+    pub number: u64,
+    /// The task.
+    pub task: TaskId,
+    /// Which start of the task.
+    pub run: u32,
+    /// How the run ended.
+    pub end: RunEnd,
+    /// The newest checkpoint that the run has saved; empty for none.
+    pub checkpoint: Arc<str>,
+}
 
 /// A worker's heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -113,13 +135,29 @@
     pub finished: Vec<FinishedRun>,
 }
 
-/// A run to start: task, run, spec, checkpoint to continue from.
+/// Command to start a run; on the wire the array `[task, run, spec, checkpoint]`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StartCommand(pub TaskId, pub u32, pub Arc<str>, pub Arc<str>);
+#[serde(from = "array::StartCommand", into = "array::StartCommand")]
+pub struct StartCommand {
+    /// The task.
+    pub task: TaskId,
+    /// Which start of the task.
+    pub run: u32,
+    /// What to run, as the client submitted it.
+    pub spec: Arc<str>,
+    /// The checkpoint to continue from; empty to start from the beginning.
+    pub checkpoint: Arc<str>,
+}
 
-/// A run to stop: task, run.
+/// Command to stop a run; on the wire the array `[task, run]`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct StopCommand(pub TaskId, pub u32);
+#[serde(from = "array::StopCommand", into = "array::StopCommand")]
+pub struct StopCommand {
+    /// The task.
+    pub task: TaskId,
+    /// Which start of the task.
+    pub run: u32,
+}
 
 /// The answer to a heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -143,3 +181,40 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<Millis>,
 }
+
+/// The encoded form of the structs that workers list as arrays: tuple structs of the same names, so that a decoding error
+/// names the message.
+mod array {
+    use crate::task::{RunEnd, TaskId};
+    use serde::{Deserialize, Serialize};
+    use std::sync::Arc;
+
+    macro_rules! encoded_as_array {
+        ($name:ident { $($field:ident: $type:ty),+ }) => {
+            #[derive(Serialize, Deserialize)]
+            pub(super) struct $name($($type),+);
+
+            impl From<super::$name> for $name {
+                fn from(named: super::$name) -> $name {
+                    let super::$name { $($field),+ } = named;
+                    $name($($field),+)
+                }
+            }
+
+            impl From<$name> for super::$name {
+                fn from(array: $name) -> super::$name {
+                    let $name($($field),+) = array;
+                    super::$name { $($field),+ }
+                }
+            }
+        };
+    }
+
+    encoded_as_array!(RunningTask { task: TaskId, run: u32, checkpoint: Arc<str>, percent: f64 });
+    encoded_as_array!(FinishedRun { number: u64, task: TaskId, run: u32, end: RunEnd, checkpoint: Arc<str> });
+    encoded_as_array!(StartCommand { task: TaskId, run: u32, spec: Arc<str>, checkpoint: Arc<str> });
+    encoded_as_array!(StopCommand {
+        task: TaskId,
+        run: u32
+    });
+}
--- a/crates/protocol/src/internal.rs
+++ b/crates/protocol/src/internal.rs
@@ -11,7 +11,7 @@
 /// An agent reports its worker and waits for orders: [`AgentSync`] to [`AgentCommands`].
 pub const AGENT_SYNC_PATH: &str = "/internal/agent/sync";
 /// A gate passes on a client's call: [`ClientRequest`] to [`ClientResponse`].
-pub const CLIENT_CALL_PATH: &str = "/internal/client/call";
+pub const CLIENT_REQUEST_PATH: &str = "/internal/client/call";
 /// A gate renews its lease: [`GateLeaseRequest`] to [`GateLeaseResponse`].
 pub const GATE_LEASE_PATH: &str = "/internal/gate/lease";
 /// Messages of the configuration's relay tree.
@@ -21,7 +21,7 @@
 /// The same as soon as a newer epoch is known: [`ClusterWatch`] to [`ClusterView`].
 pub const CLUSTER_WATCH_PATH: &str = "/internal/cluster/watch";
 /// Messages between core machines.
-pub const CORE_PATH: &str = "/internal/core/messages";
+pub const COORDINATION_PATH: &str = "/internal/core/messages";
 /// Status of any process, for operators.
 pub const STATUS_PATH: &str = "/internal/status";
 
@@ -186,7 +186,8 @@
     pub body: Arc<str>,
     /// Version of the configuration by which the gate acts.
     #[serde(default)]
-    pub configuration: u64,
+    #[serde(rename = "configuration")]
+    pub configuration_version: u64,
 }
 
 /// The primary's answer to a client's call.
@@ -208,16 +209,19 @@
     /// Internal `ip:port` of the gate.
     pub address: Arc<str>,
     /// Version of the roster that it knows; 0 for none.
-    pub roster: u64,
+    #[serde(rename = "roster")]
+    pub membership_version: u64,
 }
 
 /// The primary's answer to a [`GateLeaseRequest`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GateLeaseResponse {
     /// The newest configuration that is committed; 0 for none.
-    pub configuration: u64,
+    #[serde(rename = "configuration")]
+    pub configuration_version: u64,
     /// Version of the newest roster; 0 while a new primary has none.
-    pub roster: u64,
+    #[serde(rename = "roster")]
+    pub membership_version: u64,
     /// The newest roster's members, where the gate knows another version.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub members: Option<Vec<Arc<str>>>,
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Now {
     /// Steady clock since some start of its own; never steps.
-    pub steady: Millis,
+    pub steady_ms: Millis,
     /// Time of day since 1970, as derived by the caller; may be wrong by seconds.
-    pub unix: Millis,
+    pub unix_ms: Millis,
 }
--- a/crates/protocol/src/unit.rs
+++ b/crates/protocol/src/unit.rs
@@ -74,7 +74,7 @@
     /// The unit of a single task.
     pub fn of_task(task: &TaskId) -> UnitId {
         UnitId {
-            step: StepId::of(task),
+            step: StepId::of_task(task),
             index: Some(task.index),
         }
     }
@@ -82,7 +82,7 @@
 
 impl StepId {
     /// The step that a task belongs to.
-    pub fn of(task: &TaskId) -> StepId {
+    pub fn of_task(task: &TaskId) -> StepId {
         StepId {
             job: task.job.clone(),
             iteration: task.iteration,
--- a/crates/protocol/tests/encoded.rs
+++ b/crates/protocol/tests/encoded.rs
@@ -83,19 +83,38 @@
 }
 
 fn running() -> RunningTask {
-    RunningTask(task(0), 3, "saved \"here\"".into(), 62.5)
+    RunningTask {
+        task: task(0),
+        run: 3,
+        checkpoint: "saved \"here\"".into(),
+        percent: 62.5,
+    }
 }
 
 fn finished(number: u64, end: RunEnd) -> FinishedRun {
-    FinishedRun(number, task(1), 4, end, "".into())
+    FinishedRun {
+        number,
+        task: task(1),
+        run: 4,
+        end,
+        checkpoint: "".into(),
+    }
 }
 
 fn start() -> StartCommand {
-    StartCommand(task(2), 1, "spec".into(), "saved".into())
+    StartCommand {
+        task: task(2),
+        run: 1,
+        spec: "spec".into(),
+        checkpoint: "saved".into(),
+    }
 }
 
 fn stop() -> StopCommand {
-    StopCommand(task(3), 9)
+    StopCommand {
+        task: task(3),
+        run: 9,
+    }
 }
 
 const ENDS: [RunEnd; 7] = [
@@ -276,12 +295,12 @@
     encoded.add("explain-user", &ExplainRequest::User("anna".into()));
     let lease = GateLeaseRequest {
         address: "10.0.0.3:7001".into(),
-        roster: 3,
+        membership_version: 3,
     };
     encoded.add("gate-lease-request", &lease);
     let full = GateLeaseResponse {
-        configuration: 4,
-        roster: 3,
+        configuration_version: 4,
+        membership_version: 3,
         members: Some(vec!["10.0.0.3:7001".into()]),
     };
     encoded.add("gate-lease-response-full", &full);
@@ -297,7 +316,7 @@
         host: "jobs.example".into(),
         path: "/v1/jobs".into(),
         body: body.into(),
-        configuration: 4,
+        configuration_version: 4,
     };
     encoded.add("client-request-full", &request("{\"steps\":[]}"));
     encoded.add("client-request-least", &request(""));
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -20,10 +20,10 @@
 /// is stepped later does not matter.
 pub fn now() -> Now {
     let start = start();
-    let steady = elapsed(start);
+    let steady_ms = elapsed(start);
     Now {
-        steady,
-        unix: start.unix.saturating_add(steady),
+        steady_ms,
+        unix_ms: start.unix.saturating_add(steady_ms),
     }
 }
 
--- a/crates/runtime/tests/process.rs
+++ b/crates/runtime/tests/process.rs
@@ -154,8 +154,11 @@
 fn given_the_clocks_when_read_twice_then_they_never_go_back_and_keep_their_distance() {
     let (first, second) = (clock::now(), clock::now());
 
-    assert!(second.steady >= first.steady);
-    assert_eq!(second.unix - second.steady, first.unix - first.steady);
+    assert!(second.steady_ms >= first.steady_ms);
+    assert_eq!(
+        second.unix_ms - second.steady_ms,
+        first.unix_ms - first.steady_ms
+    );
 }
 
 #[test]
--- a/crates/scheduler/examples/takeover.rs
+++ b/crates/scheduler/examples/takeover.rs
@@ -29,10 +29,10 @@
     }
 }
 
-fn now(steady: u64) -> Now {
+fn now(steady_ms: u64) -> Now {
     Now {
-        steady,
-        unix: 1_790_000_000_000 + steady,
+        steady_ms,
+        unix_ms: 1_790_000_000_000 + steady_ms,
     }
 }
 
@@ -53,7 +53,7 @@
             host: "h".into(),
             path: format!("/q/{number:016x}").into(),
             body: JOB.into(),
-            configuration: 0,
+            configuration_version: 0,
         },
     });
     for event in std::iter::once(Event::Operator {
--- a/crates/scheduler/src/orders.rs
+++ b/crates/scheduler/src/orders.rs
@@ -15,7 +15,7 @@
     pub(crate) fn answer_agents(&mut self, now: Now) {
         let mut names = std::mem::take(&mut self.agents_to_look_at);
         while let Some((until, name)) = self.calls_by_end.pop_first() {
-            if until > now.steady {
+            if until > now.steady_ms {
                 self.calls_by_end.insert((until, name));
                 break;
             }
@@ -32,7 +32,7 @@
             return;
         };
         let is_news = agent.confirmed < agent.revision;
-        let is_due = |parked: &mut Parked| is_news || parked.until <= now.steady;
+        let is_due = |parked: &mut Parked| is_news || parked.until <= now.steady_ms;
         if let Some(parked) = agent.parked.take_if(is_due) {
             self.answer_now(parked.request, name);
         }
@@ -88,14 +88,14 @@
         for (run_id, run) in self.runs.at(id) {
             let (task, number) = (run_id.task.clone(), run_id.run);
             match run.phase {
-                _ if run.stopping => content.stop.push(StopCommand(task, number)),
+                _ if run.stopping => content.stop.push(StopCommand { task, run: number }),
                 Phase::Ordered => {
-                    content.start.push(StartCommand(
+                    content.start.push(StartCommand {
                         task,
-                        number,
-                        run.spec.clone(),
-                        run.checkpoint.clone(),
-                    ));
+                        run: number,
+                        spec: run.spec.clone(),
+                        checkpoint: run.checkpoint.clone(),
+                    });
                 }
                 Phase::Running => {}
             }
--- a/crates/scheduler/src/recovery.rs
+++ b/crates/scheduler/src/recovery.rs
@@ -43,12 +43,17 @@
         let jobs = JobTable::recover(job_settings(&settings), now, of(&["job/", "task/"]))?;
         let configuration = ConfigurationStore::recover(of(&["config/", "order/", "refused/"]))?;
         let share_debt = settings.share_debt.clone().map(|settings| {
-            ShareDebt::recover(settings, epoch, now.steady, of(&["debt/", "debt-version"]))
+            ShareDebt::recover(
+                settings,
+                epoch,
+                now.steady_ms,
+                of(&["debt/", "debt-version"]),
+            )
         });
-        let judgements = Judgements::recover(now.steady, of(&[judgements::PREFIX]));
+        let judgements = Judgements::recover(now.steady_ms, of(&[judgements::PREFIX]));
         let mut placement = Placement::new(placement_settings(&settings));
         for (worker, charge) in judgements.charges() {
-            placement.restore_penalty(now.steady, worker.clone(), charge);
+            placement.restore_penalty(now.steady_ms, worker.clone(), charge);
         }
         let mut scheduler = Scheduler {
             settings,
@@ -65,11 +70,11 @@
             calls_by_end: BTreeSet::new(),
             share_debt,
             judgements,
-            next_watch: now.steady,
+            next_watch: now.steady_ms,
             effects: Effects::default(),
         };
-        scheduler.adopt_workers(now.steady, of(&["worker/"]));
-        scheduler.adopt_runs(now.steady);
+        scheduler.adopt_workers(now.steady_ms, of(&["worker/"]));
+        scheduler.adopt_runs(now.steady_ms);
         // All that waits is queued here: recovery runs beside the event loop, the first event does not.
         scheduler.take_job_changes(now);
         Ok(scheduler)
--- a/crates/scheduler/src/reports.rs
+++ b/crates/scheduler/src/reports.rs
@@ -34,12 +34,12 @@
             return;
         }
         self.end_former_call(&sync.agent);
-        self.note_call(now.steady, &sync);
+        self.note_call(now.steady_ms, &sync);
         if let Some(report) = &sync.worker {
             self.report(now, &sync.agent, report);
         }
         let agent = self.agents.entry(sync.agent.clone()).or_default();
-        let until = now.steady + sync.wait_ms.min(MOST_WAIT_MS);
+        let until = now.steady_ms + sync.wait_ms.min(MOST_WAIT_MS);
         agent.parked = Some(Parked { request, until });
         self.calls_by_end.insert((until, sync.agent.clone()));
         self.agents_to_look_at.insert(sync.agent);
@@ -89,7 +89,7 @@
             return;
         }
         self.supersede(now, name, &id);
-        let lease_until = now.steady + self.settings.limits.hold_max_ms;
+        let lease_until = now.steady_ms + self.settings.limits.hold_max_ms;
         let worker = self
             .workers
             .entry(id.clone())
@@ -108,9 +108,9 @@
         worker.silent = report.silent_ms > SILENT_WORKER_MS;
         worker.silent_ms = report.silent_ms;
         worker.agent_silent = false;
-        let changed = worker.describe(now.steady, report);
+        let changed = worker.describe(now.steady_ms, report);
         if changed || worker.open != worker.takes_work() {
-            self.tell_placement(now.steady, &id);
+            self.tell_placement(now.steady_ms, &id);
         }
         self.note_ends(now, &id, report);
         self.note_running(now, &id, report);
@@ -126,7 +126,7 @@
         if let Some(worker) = self.workers.get_mut(id) {
             worker.gone = true;
         }
-        self.tell_placement(now.steady, id);
+        self.tell_placement(now.steady_ms, id);
         self.lose_runs(now, id);
     }
 
@@ -164,13 +164,13 @@
     fn note_ends(&mut self, now: Now, worker: &WorkerId, report: &WorkerReport) {
         let noted = self.workers.get(worker).map_or(0, |w| w.last_seen);
         let mut newest = noted;
-        for end in report.finished.iter().filter(|end| end.0 > noted) {
-            newest = newest.max(end.0);
+        for end in report.finished.iter().filter(|end| end.number > noted) {
+            newest = newest.max(end.number);
             let id = RunId {
-                task: end.1.clone(),
-                run: end.2,
+                task: end.task.clone(),
+                run: end.run,
             };
-            self.note_end(now, worker, &id, end.3, &end.4);
+            self.note_end(now, worker, &id, end.end, &end.checkpoint);
         }
         if let Some(w) = self.workers.get_mut(worker) {
             w.last_seen = newest;
@@ -183,12 +183,12 @@
     fn note_end(&mut self, now: Now, worker: &WorkerId, id: &RunId, how: RunEnd, checkpoint: &str) {
         let known = self.runs.get(id).filter(|run| run.worker == *worker);
         let Some(run) = known else { return };
-        let ran_ms = now.steady.saturating_sub(run.since);
-        self.debt_of_end(now.steady, id, how, checkpoint);
-        self.note_times(now.steady, worker, id, ran_ms);
+        let ran_ms = now.steady_ms.saturating_sub(run.since);
+        self.debt_of_end(now.steady_ms, id, how, checkpoint);
+        self.note_times(now.steady_ms, worker, id, ran_ms);
         self.jobs.on_run_finished(now, id, how, checkpoint);
         self.free(
-            now.steady,
+            now.steady_ms,
             id,
             ReleaseReason::Finished {
                 outcome: how,
@@ -199,25 +199,34 @@
 
     fn note_running(&mut self, now: Now, worker: &WorkerId, report: &WorkerReport) {
         let mut strays = Vec::new();
-        for RunningTask(task, number, checkpoint, percent) in &report.running {
+        for RunningTask {
+            task,
+            run: number,
+            checkpoint,
+            percent,
+        } in &report.running
+        {
             let id = RunId {
                 task: task.clone(),
                 run: *number,
             };
             match self.runs.get_mut(&id).filter(|run| run.worker == *worker) {
-                None => strays.push(StopCommand(task.clone(), *number)),
+                None => strays.push(StopCommand {
+                    task: task.clone(),
+                    run: *number,
+                }),
                 Some(run) => {
                     run.missing = 0;
                     if run.phase == Phase::Ordered {
                         run.phase = Phase::Running;
-                        run.since = now.steady;
-                        run.moved_at = now.steady;
+                        run.since = now.steady_ms;
+                        run.moved_at = now.steady_ms;
                     }
                     if *percent > run.percent {
                         run.percent = *percent;
-                        run.moved_at = now.steady;
+                        run.moved_at = now.steady_ms;
                         self.placement
-                            .update_progress(now.steady, task, worker, *percent);
+                            .update_progress(now.steady_ms, task, worker, *percent);
                     }
                     if !checkpoint.is_empty() {
                         self.jobs.on_checkpoint(&id, checkpoint);
@@ -235,8 +244,8 @@
 
     /// Runs that the report does not contain: withdrawn before they began, or over.
     fn note_absent(&mut self, now: Now, worker: &WorkerId, report: &WorkerReport, is_newer: bool) {
-        let running = report.running.iter().map(|r| (&r.0, r.1));
-        let finished = report.finished.iter().map(|f| (&f.1, f.2));
+        let running = report.running.iter().map(|r| (&r.task, r.run));
+        let finished = report.finished.iter().map(|f| (&f.task, f.run));
         let offered = report.offered.iter().map(|o| (&o.task, o.run));
         let present: BTreeSet<_> = running.chain(finished).chain(offered).collect();
         let agent = self.workers.get(worker).and_then(|w| w.agent.as_ref());
@@ -253,7 +262,7 @@
             match run.phase {
                 Phase::Ordered if run.withdrawn.is_some_and(|revision| confirmed >= revision) => {
                     self.jobs.on_run_withdrawn(now, &id);
-                    self.free(now.steady, &id, ReleaseReason::Withdrawn);
+                    self.free(now.steady_ms, &id, ReleaseReason::Withdrawn);
                 }
                 Phase::Ordered => {}
                 Phase::Running if !is_newer || report.finished.len() >= CUT_LIST => {}
@@ -261,7 +270,7 @@
                     run.missing = run.missing.saturating_add(1);
                     if run.missing >= MISSING_REPORTS {
                         self.jobs.on_run_lost(now, &id);
-                        self.free(now.steady, &id, ReleaseReason::Lost);
+                        self.free(now.steady_ms, &id, ReleaseReason::Lost);
                     }
                 }
             }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -172,7 +172,7 @@
     pub(crate) fn settle(&mut self, now: Now) {
         loop {
             self.take_job_changes(now);
-            let decisions = self.placement.place(now.steady);
+            let decisions = self.placement.place(now.steady_ms);
             if decisions.is_empty() {
                 break;
             }
@@ -192,7 +192,8 @@
         for unit in changes.ready_units {
             self.waiting.insert(unit.id.clone(), unit.clone());
             let order = self.order_by_debt(&unit);
-            self.placement.enqueue(now.steady, Unit { order, ..unit });
+            self.placement
+                .enqueue(now.steady_ms, Unit { order, ..unit });
         }
         for run in changes.runs_to_stop {
             self.stop_run(&run);
@@ -229,7 +230,7 @@
         let unit = self.waiting.remove(id);
         let started = self.jobs.start_unit(now, id, on);
         let Some(unit) = unit.filter(|_| !started.is_empty()) else {
-            return self.give_back(now.steady, id, on);
+            return self.give_back(now.steady_ms, id, on);
         };
         for started in started {
             self.remember_agent_of(&started.worker);
@@ -244,12 +245,12 @@
                 long_running: unit.long_running,
                 gang: unit.id.index.is_none(),
                 hedged: unit.hedged,
-                since: now.steady,
+                since: now.steady_ms,
                 percent: 0.0,
-                moved_at: now.steady,
+                moved_at: now.steady_ms,
                 missing: 0,
             };
-            self.debt_begins(now.steady, &started.run, &unit.resources);
+            self.debt_begins(now.steady_ms, &started.run, &unit.resources);
             self.runs.insert(started.run, run);
             self.touch(&started.worker);
         }
@@ -298,7 +299,7 @@
     pub(crate) fn lose_runs(&mut self, now: Now, worker: &WorkerId) {
         for id in self.runs.ids_at(worker) {
             self.jobs.on_run_lost(now, &id);
-            self.free(now.steady, &id, ReleaseReason::Lost);
+            self.free(now.steady_ms, &id, ReleaseReason::Lost);
         }
     }
 
@@ -306,7 +307,7 @@
     pub(crate) fn drop_worker(&mut self, now: Now, id: &WorkerId) {
         self.lose_runs(now, id);
         self.workers.remove(id);
-        self.placement.remove_worker(now.steady, id);
+        self.placement.remove_worker(now.steady_ms, id);
         let judgement = self.judgements.forget(id);
         self.write(judgement);
         self.write([Write::remove(format!("worker/{id}"))]);
--- a/crates/scheduler/src/watch.rs
+++ b/crates/scheduler/src/watch.rs
@@ -32,14 +32,14 @@
     /// Time has passed.
     pub(crate) fn watch(&mut self, now: Now) {
         self.jobs.tick(now);
-        if now.steady < self.next_watch {
+        if now.steady_ms < self.next_watch {
             return;
         }
-        self.next_watch = now.steady + WATCH_EVERY_MS;
+        self.next_watch = now.steady_ms + WATCH_EVERY_MS;
         self.watch_workers(now);
         self.watch_runs(now);
-        self.watch_judgements(now.steady);
-        self.watch_debts(now.steady);
+        self.watch_judgements(now.steady_ms);
+        self.watch_debts(now.steady_ms);
     }
 
     /// The caller of an agent's call has left.
@@ -56,7 +56,7 @@
     }
 
     fn watch_workers(&mut self, now: Now) {
-        let over = |until: Millis| now.steady > until + LEASE_MARGIN_MS;
+        let over = |until: Millis| now.steady_ms > until + LEASE_MARGIN_MS;
         let ended = self.workers.iter().filter(|(_, w)| over(w.lease_until));
         let ended: Vec<WorkerId> = ended.map(|(id, _)| id.clone()).collect();
         for id in ended {
@@ -65,14 +65,14 @@
         let silent: Vec<WorkerId> = self
             .workers
             .iter()
-            .filter(|(_, w)| w.open && self.is_agent_silent(now.steady, w.agent.as_deref()))
+            .filter(|(_, w)| w.open && self.is_agent_silent(now.steady_ms, w.agent.as_deref()))
             .map(|(id, _)| id.clone())
             .collect();
         for id in silent {
             if let Some(worker) = self.workers.get_mut(&id) {
                 worker.agent_silent = true;
             }
-            self.tell_placement(now.steady, &id);
+            self.tell_placement(now.steady_ms, &id);
         }
     }
 
@@ -90,22 +90,22 @@
     }
 
     fn watch_runs(&mut self, now: Now) {
-        self.pause_progress_of_unheard(now.steady);
+        self.pause_progress_of_unheard(now.steady_ms);
         let still: Vec<RunId> = self
             .runs
             .all()
-            .filter(|(_, run)| self.stands_still(now.steady, run))
+            .filter(|(_, run)| self.stands_still(now.steady_ms, run))
             .map(|(id, _)| id.clone())
             .collect();
         for id in still {
-            self.move_from_standstill(now.steady, &id);
+            self.move_from_standstill(now.steady_ms, &id);
         }
         self.withdraw_from_silent(now);
-        self.hedge_doubtful(now.steady);
+        self.hedge_doubtful(now.steady_ms);
         let leaving: Vec<RunId> = self
             .runs
             .all()
-            .filter(|(_, run)| !run.stopping && self.ends_too_late(now.steady, run))
+            .filter(|(_, run)| !run.stopping && self.ends_too_late(now.steady_ms, run))
             .map(|(id, _)| id.clone())
             .collect();
         for id in leaving {
@@ -121,7 +121,7 @@
     /// What has not begun at a silent worker runs elsewhere as soon as its agent confirms that it never will there. While
     /// the agent itself is not heard nothing is known: what was ordered may well be at work.
     fn withdraw_from_silent(&mut self, now: Now) {
-        let is_late = |run: &Run| now.steady > run.since + LATE_START_MS;
+        let is_late = |run: &Run| now.steady_ms > run.since + LATE_START_MS;
         let is_due = |run: &Run| {
             let worker = self
                 .workers
--- a/crates/scheduler/tests/doubt.rs
+++ b/crates/scheduler/tests/doubt.rs
@@ -34,7 +34,7 @@
     world.settle(&mut second);
 
     assert_eq!(second.start.len(), 1);
-    assert_eq!(second.start[0].1, 2, "a new run");
+    assert_eq!(second.start[0].run, 2, "a new run");
 }
 
 #[test]
@@ -130,7 +130,7 @@
     let (mut world, mut first, mut second) = given_a_hedged_run_and_an_idle_worker();
     for percent in 1..10 {
         first.report.sequence += 1;
-        first.report.running[0].3 = f64::from(percent * 10);
+        first.report.running[0].percent = f64::from(percent * 10);
         world.settle(&mut first);
         world.settle(&mut second);
         world.wait(250);
@@ -152,7 +152,7 @@
     assert_eq!(world.submit(lasting).status, 200);
     world.settle(&mut agent);
     agent.begin_all();
-    agent.report.running[0].3 = percent;
+    agent.report.running[0].percent = percent;
     for _ in 0..20 {
         agent.report.sequence += 1;
         world.settle(&mut agent);
--- a/crates/scheduler/tests/encoded.rs
+++ b/crates/scheduler/tests/encoded.rs
@@ -153,8 +153,8 @@
     first.end_all(RunEnd::Done);
     course.world.settle(&mut first);
     first.begin_all();
-    first.report.running[0].2 = "saved".into();
-    first.report.running[0].3 = 12.5;
+    first.report.running[0].checkpoint = "saved".into();
+    first.report.running[0].percent = 12.5;
     course.world.settle(&mut first);
     course.end_scene("second step");
     course.world.wait(1_000);
--- a/crates/scheduler/tests/share_debt.rs
+++ b/crates/scheduler/tests/share_debt.rs
@@ -58,7 +58,11 @@
     while world.now < until {
         world.wait(250);
         agent.report.sequence += 1;
-        agent.report.running.iter_mut().for_each(|run| run.3 += 1.0);
+        agent
+            .report
+            .running
+            .iter_mut()
+            .for_each(|run| run.percent += 1.0);
         world.settle(agent);
     }
 }
@@ -81,7 +85,7 @@
     agent.end_all(RunEnd::Done);
     world.settle(agent);
     assert_eq!(agent.start.len(), 1);
-    agent.start[0].0.job.to_string()
+    agent.start[0].task.job.to_string()
 }
 
 #[rstest]
--- a/crates/scheduler/tests/stories.rs
+++ b/crates/scheduler/tests/stories.rs
@@ -91,7 +91,7 @@
     world.wait(300);
     world.settle(&mut second);
     assert_eq!(second.start.len(), 1);
-    assert_eq!(second.start[0].1, 2, "a new run");
+    assert_eq!(second.start[0].run, 2, "a new run");
     first.end_all(RunEnd::Done);
     world.settle(&mut first);
     assert!(
@@ -158,7 +158,7 @@
     agent.replace_worker("i-9");
     world.settle(&mut agent);
     assert_eq!(agent.start.len(), 1);
-    assert_eq!(agent.start[0].1, 2);
+    assert_eq!(agent.start[0].run, 2);
 }
 
 #[test]
@@ -198,7 +198,7 @@
 fn a_run_that_nobody_ordered_is_stopped() {
     let (mut world, mut agent) = given_a_running_task();
     let mut stray = agent.report.running[0].clone();
-    stray.1 = 7;
+    stray.run = 7;
     agent.report.sequence += 1;
     agent.report.running.push(stray);
     world.settle(&mut agent);
--- a/crates/scheduler/tests/support/mod.rs
+++ b/crates/scheduler/tests/support/mod.rs
@@ -14,8 +14,8 @@
 use streamusher_protocol::task::{RunEnd, RunId, TaskId};
 use streamusher_protocol::{Millis, Now};
 use streamusher_scheduler::{
-    Effects, Event, OperatorRequest, OperatorRequestKind, Scheduler, SchedulerLimits, SchedulerResponse,
-    SchedulerSettings,
+    Effects, Event, OperatorRequest, OperatorRequestKind, Scheduler, SchedulerLimits,
+    SchedulerResponse, SchedulerSettings,
 };
 
 pub const HOLD_MAX_MS: Millis = 6_000;
@@ -124,7 +124,7 @@
             host: "h".into(),
             path: path.into(),
             body: body.into(),
-            configuration: 1,
+            configuration_version: 1,
         };
         self.handle(Event::Client { request, call });
         match self.replies.remove(&request) {
@@ -182,8 +182,8 @@
 
 pub fn clock(now: Millis) -> Now {
     Now {
-        steady: now,
-        unix: UNIX_START + now,
+        steady_ms: now,
+        unix_ms: UNIX_START + now,
     }
 }
 
@@ -259,8 +259,8 @@
             .stop
             .iter()
             .map(|s| RunId {
-                task: s.0.clone(),
-                run: s.1,
+                task: s.task.clone(),
+                run: s.run,
             })
             .collect();
         self.last_seen = orders.last_seen;
@@ -271,9 +271,12 @@
         self.report.sequence += 1;
         self.report.offered.clear();
         for start in std::mem::take(&mut self.start) {
-            self.report
-                .running
-                .push(RunningTask(start.0, start.1, "".into(), 0.0));
+            self.report.running.push(RunningTask {
+                task: start.task,
+                run: start.run,
+                checkpoint: "".into(),
+                percent: 0.0,
+            });
         }
     }
 
@@ -283,8 +286,8 @@
             .start
             .iter()
             .map(|s| RunId {
-                task: s.0.clone(),
-                run: s.1,
+                task: s.task.clone(),
+                run: s.run,
             })
             .collect();
     }
@@ -300,9 +303,13 @@
         self.report.sequence += 1;
         for run in std::mem::take(&mut self.report.running) {
             self.ends += 1;
-            self.report
-                .finished
-                .push(FinishedRun(self.ends, run.0, run.1, how, "".into()));
+            self.report.finished.push(FinishedRun {
+                number: self.ends,
+                task: run.task,
+                run: run.run,
+                end: how,
+                checkpoint: "".into(),
+            });
         }
     }
 
@@ -320,7 +327,7 @@
         self.report
             .running
             .iter()
-            .map(|r| (r.0.clone(), r.1))
+            .map(|r| (r.task.clone(), r.run))
             .collect()
     }
 }
