--- a/crates/controlplane/examples/cluster/main.rs
+++ b/crates/controlplane/examples/cluster/main.rs
@@ -46,7 +46,7 @@
     logs::start(None);
     let settings = settings::load()?;
     match part {
-        Part::Control => streamusher_controlplane::program::run(settings, None),
+        Part::Control => Ok(streamusher_controlplane::process::run(&settings, None)?),
         Part::Gate => process::run(gate::run(settings)),
         Part::Agent => process::run(agent_program::run(settings)),
     }
--- a/crates/controlplane/examples/cluster/story.rs
+++ b/crates/controlplane/examples/cluster/story.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
-use streamusher_controlplane::cluster_status::ask::{ask_all, Answers};
+use streamusher_controlplane::cluster_status::query::{query_all, StatusResponses};
 use streamusher_controlplane::cluster_status::report::{is_acting, render};
 use streamusher_protocol::job::JobState;
 use streamusher_runtime::clock;
@@ -51,7 +51,7 @@
     }
     wait_for_drain(&machines).await;
     say("a worker drains: it is given no more work");
-    println!("\n{}", render(&ask_all(machines.core()).await));
+    println!("\n{}", render(&query_all(machines.core()).await));
     machines.stop()?;
     say("all processes have ended with 0");
     Ok(())
@@ -128,7 +128,7 @@
 /// Waits until a core machine acts as primary, other than `former`.
 async fn wait_for_primary(machines: &Machines, former: Option<SocketAddr>) -> SocketAddr {
     loop {
-        let answers: Answers = ask_all(machines.core()).await;
+        let answers: StatusResponses = query_all(machines.core()).await;
         let acting = answers
             .iter()
             .find(|(_, answer)| answer.as_ref().is_ok_and(is_acting));
@@ -141,7 +141,7 @@
 
 /// Waits until the primary knows of a worker that drains.
 async fn wait_for_drain(machines: &Machines) {
-    while !render(&ask_all(machines.core()).await).contains("draining") {
+    while !render(&query_all(machines.core()).await).contains("draining") {
         tokio::time::sleep(POLL).await;
     }
 }
--- a/crates/controlplane/src/cluster_status/mod.rs
+++ b/crates/controlplane/src/cluster_status/mod.rs
@@ -1,83 +1,67 @@
-//! `streamusher-control status`: asks every core machine for its status and prints the whole cluster.
+//! `streamusher-control status` and `explain`: queries every control machine and prints the whole cluster, or what the
+//! primary knows of one job or user.
 //!
-//! - [`ask`]: the questions; further members are found from the answers.
-//! - [`report`], [`table`]: the answers as tables.
+//! - [`query`]: the queries.
+//! - [`report`], [`table`]: the responses as tables.
 
-pub mod ask;
+pub mod query;
 pub mod report;
 pub mod table;
 
-use ask::Answers;
-use std::io;
+use query::{ExplainError, StatusResponses};
+use serde_json::{json, Map, Value};
 use std::net::SocketAddr;
 use streamusher_protocol::internal::ExplainRequest;
-use streamusher_runtime::runtime;
 
-/// What came of the questions, for the exit code.
+/// The health of the cluster, for the exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// All machines that were found answered, and one of them acts as primary.
+    /// All processes that were found responded, and one of them acts as primary.
     Good,
-    /// A machine did not answer, or none acts as primary.
+    /// A process did not respond, or none acts as primary.
     Impaired,
 }
 
-/// Asks the processes at `addresses` (internal `ip:port`) and all that they name; gives the text to print.
+/// Asks the acting primary about one job or user; returns the text to print. `addresses` are those of
+/// [`query::query_all`]. Within a `LocalSet`.
 ///
 /// # Errors
-/// The event loop can't be made.
-pub fn run(addresses: Vec<SocketAddr>, as_json: bool) -> io::Result<(String, Health)> {
-    let answers = runtime::block_on(ask::ask_all(addresses))?;
-    let text = if as_json {
-        json(&answers)
-    } else {
-        report::render(&answers)
-    };
-    Ok((text, health(&answers)))
-}
-
-/// Asks the acting primary about one job or user; gives the text to print.
-///
-/// # Errors
-/// The event loop can't be made, no primary acts, or it knows nothing of what is asked.
-pub fn explain(addresses: Vec<SocketAddr>, asked: &ExplainRequest) -> anyhow::Result<String> {
-    runtime::block_on(ask_primary(addresses, asked))?
+/// No process acts as primary, or it knows nothing of the subject.
+pub async fn explain(
+    addresses: Vec<SocketAddr>,
+    question: &ExplainRequest,
+) -> Result<String, ExplainError> {
+    let responses = query::query_all(addresses).await;
+    let primary = acting_primary(&responses).ok_or(ExplainError::NoPrimary)?;
+    let explanation = query::explain(primary, question).await?;
+    Ok(format!("{explanation:#}\n"))
 }
 
-async fn ask_primary(addresses: Vec<SocketAddr>, asked: &ExplainRequest) -> anyhow::Result<String> {
-    let answers = ask::ask_all(addresses).await;
-    let acting = answers
-        .iter()
-        .find(|(_, answer)| answer.as_ref().is_ok_and(report::is_acting));
-    let (address, _) =
-        acting.ok_or_else(|| anyhow::anyhow!("no primary acts: look at the status"))?;
-    let known = ask::explain(*address, asked)
-        .await
-        .map_err(anyhow::Error::msg)?;
-    Ok(format!("{known:#}\n"))
-}
-
-/// Whether all answered and one acts.
-pub fn health(answers: &Answers) -> Health {
-    let all = !answers.is_empty() && answers.values().all(Result::is_ok);
-    let acts = answers.values().flatten().any(report::is_acting);
-    if all && acts {
+/// Whether all processes responded and one acts as primary.
+pub fn health(responses: &StatusResponses) -> Health {
+    let all_responded = !responses.is_empty() && responses.values().all(Result::is_ok);
+    if all_responded && acting_primary(responses).is_some() {
         Health::Good
     } else {
         Health::Impaired
     }
 }
 
-fn json(answers: &Answers) -> String {
-    let machines: serde_json::Map<String, serde_json::Value> = answers
-        .iter()
-        .map(|(address, answer)| {
-            let value = match answer {
-                Ok(status) => status.clone(),
-                Err(reason) => serde_json::json!({ "error": reason }),
-            };
-            (address.to_string(), value)
-        })
-        .collect();
-    format!("{:#}\n", serde_json::json!({ "machines": machines }))
+/// All responses as JSON, the output of `status --json`.
+pub fn to_json(responses: &StatusResponses) -> String {
+    let mut machines = Map::new();
+    for (address, response) in responses {
+        let value = match response {
+            Ok(status) => status.clone(),
+            Err(error) => json!({ "error": error.to_string() }),
+        };
+        machines.insert(address.to_string(), value);
+    }
+    format!("{:#}\n", json!({ "machines": machines }))
+}
+
+fn acting_primary(responses: &StatusResponses) -> Option<SocketAddr> {
+    let is_acting = |response: &Result<Value, _>| response.as_ref().is_ok_and(report::is_acting);
+    let (address, _) = responses.iter().find(|(_, response)| is_acting(response))?;
+    Some(*address)
 }
--- a/crates/controlplane/src/cluster_status/table.rs
+++ b/crates/controlplane/src/cluster_status/table.rs
@@ -1,52 +1,70 @@
-//! Text tables: a head, and columns as wide as their widest cell.
+//! Text tables: a header, and columns as wide as their widest cell.
+
+/// Stands for an empty cell.
+const EMPTY_CELL: &str = "-";
+const COLUMN_SEPARATOR: &str = "  ";
 
 /// A table of texts.
 #[derive(Clone, Debug)]
 pub struct Table {
+    header: Vec<String>,
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// A table with these heads of columns.
-    pub fn new(heads: &[&str]) -> Table {
+    /// A table with this header.
+    pub fn new(header: &[&str]) -> Table {
         Table {
-            rows: vec![heads.iter().map(|head| (*head).to_owned()).collect()],
+            header: header.iter().map(|cell| (*cell).to_owned()).collect(),
+            rows: Vec::new(),
         }
     }
 
     /// Adds a row; empty cells are shown as `-`.
-    pub fn row(&mut self, cells: impl IntoIterator<Item = String>) {
-        let shown = |cell: String| {
+    pub fn add_row(&mut self, cells: impl IntoIterator<Item = String>) {
+        let row = cells.into_iter().map(|cell| {
             if cell.is_empty() {
-                "-".to_owned()
+                EMPTY_CELL.to_owned()
             } else {
                 cell
             }
-        };
-        self.rows.push(cells.into_iter().map(shown).collect());
+        });
+        self.rows.push(row.collect());
     }
 
-    /// The table as lines; one without rows says so.
+    /// The table as lines; one without rows says so in a line.
     pub fn render(&self) -> String {
-        if let [heads] = self.rows.as_slice() {
-            return format!("{}: none\n", heads.first().map_or("", String::as_str));
+        if self.rows.is_empty() {
+            let title = self.header.first().map_or("", String::as_str);
+            return format!("{title}: none\n");
+        }
+        let widths = self.column_widths();
+        let mut text = render_row(&self.header, &widths);
+        for row in &self.rows {
+            text.push_str(&render_row(row, &widths));
         }
-        let columns = self.rows.iter().map(Vec::len).max().unwrap_or(0);
-        let widths: Vec<usize> = (0..columns).map(|column| self.width(column)).collect();
-        self.rows.iter().map(|row| line(row, &widths)).collect()
+        text
     }
 
-    fn width(&self, column: usize) -> usize {
-        let cells = self.rows.iter().filter_map(|row| row.get(column));
-        cells.map(|cell| cell.chars().count()).max().unwrap_or(0)
+    fn column_widths(&self) -> Vec<usize> {
+        let mut widths = Vec::new();
+        for row in std::iter::once(&self.header).chain(&self.rows) {
+            for (column, cell) in row.iter().enumerate() {
+                if column == widths.len() {
+                    widths.push(0);
+                }
+                widths[column] = widths[column].max(cell.chars().count());
+            }
+        }
+        widths
     }
 }
 
-fn line(row: &[String], widths: &[usize]) -> String {
+fn render_row(row: &[String], widths: &[usize]) -> String {
     let cells: Vec<String> = row
         .iter()
         .zip(widths)
-        .map(|(cell, width)| format!("{cell:<width$}", width = *width))
+        .map(|(cell, &width)| format!("{cell:<width$}"))
         .collect();
-    format!("{}\n", cells.join("  ").trim_end())
+    format!("{}\n", cells.join(COLUMN_SEPARATOR).trim_end())
 }
--- /dev/null
+++ b/crates/controlplane/src/component_settings.rs
@@ -0,0 +1,74 @@
+//! The settings of replication and scheduler, from those of the process.
+
+use std::collections::hash_map::RandomState;
+use std::hash::{BuildHasher, Hash, Hasher};
+use std::time::SystemTime;
+use streamusher_coordination::CoordinatorSettings;
+use streamusher_fair_share::FairShareSettings;
+use streamusher_protocol::internal::CoreAddress;
+use streamusher_protocol::Millis;
+use streamusher_runtime::settings::ProcessSettings;
+use streamusher_scheduler::{Policy, SchedulerLimits, SchedulerSettings};
+
+/// How long a replica's acknowledgement binds it: some forty messages of a calm network, and a fraction of the second
+/// that callers wait.
+const LEASE_MS: Millis = 600;
+
+/// Settings of replication; `address` is where the others reach this machine.
+pub fn coordinator_settings(
+    settings: &ProcessSettings,
+    address: CoreAddress,
+    random_seed: u64,
+) -> CoordinatorSettings {
+    CoordinatorSettings {
+        address,
+        bootstrap: settings.bootstrap,
+        seeds: settings.core_addresses_of_seeds(),
+        tolerance: settings.fault_tolerance.machines as usize,
+        lease_ms: LEASE_MS,
+        random_seed,
+    }
+}
+
+/// Settings of the scheduler; without `fair_share` work is not ordered by recent use.
+pub fn scheduler_settings(
+    settings: &ProcessSettings,
+    random_seed: u64,
+    fair_share: Option<FairShareSettings>,
+) -> SchedulerSettings {
+    let bounds = &settings.bounds;
+    let limits = SchedulerLimits {
+        hold_max_ms: bounds.hold_max_ms,
+        stop_ms: bounds.stop_ms,
+        gang_ms: bounds.gang_ms,
+        status_ms: milliseconds(bounds.status_s),
+        early_ms: bounds.early_ms,
+        far_x: bounds.far_x,
+        save_ms: milliseconds(bounds.save_s),
+        restore_ms: bounds.restore_ms,
+        drain_ms: bounds.drain_ms,
+        heartbeat_ms: settings.heartbeat_ms,
+    };
+    SchedulerSettings {
+        limits,
+        random_seed,
+        share_debt: fair_share,
+        policy: Policy::default(),
+    }
+}
+
+/// A new seed for each start: a disk's id is drawn from it, so no two starts may draw the same.
+pub fn draw_random_seed() -> u64 {
+    let mut hasher = RandomState::new().build_hasher();
+    SystemTime::now().hash(&mut hasher);
+    std::process::id().hash(&mut hasher);
+    hasher.finish()
+}
+
+#[expect(
+    clippy::cast_possible_truncation,
+    reason = "a cast from a float saturates, and settings are far below that"
+)]
+fn milliseconds(seconds: f64) -> Millis {
+    (seconds.max(0.0) * 1_000.0).round() as Millis
+}
--- /dev/null
+++ b/crates/controlplane/src/driver/in_flight.rs
@@ -0,0 +1,134 @@
+//! Requests that the scheduler has and whose outcome has not left yet, and the responses that wait for their commit.
+
+use crate::requests::{is_rejection, ControlRequest};
+use std::collections::{BTreeMap, VecDeque};
+use streamusher_scheduler::{RequestId, SchedulerResponse};
+
+/// What a request may have done to the replicated state, as far as its caller has to know when this machine steps down.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum RequestEffect {
+    /// Nothing: it only reads.
+    ReadOnly,
+    /// The change that it asks for may take effect, also under the next primary.
+    Mutating,
+    /// Nothing: the change was rejected, and the rejection rests on no write of this request.
+    Rejected,
+}
+
+#[derive(Debug)]
+struct InFlightRequest {
+    effect: RequestEffect,
+    agent_epoch: Option<u64>,
+}
+
+/// A response of the scheduler that may leave when the batch `sequence` is committed.
+#[derive(Debug)]
+pub(super) struct PendingResponse {
+    pub(super) request: RequestId,
+    pub(super) response: SchedulerResponse,
+    /// The newest batch at the time of the response.
+    pub(super) sequence: u64,
+    /// Whether the event that brought the response was this request, and wrote something.
+    pub(super) has_own_writes: bool,
+}
+
+/// A response whose batch is committed.
+#[derive(Debug)]
+pub(super) struct CommittedResponse {
+    pub(super) request: RequestId,
+    pub(super) response: SchedulerResponse,
+    /// The epoch that the requesting agent knows; none for other callers.
+    pub(super) agent_epoch: Option<u64>,
+}
+
+/// A request that was in flight when this machine stepped down.
+#[derive(Debug)]
+pub(super) struct InterruptedRequest {
+    pub(super) request: RequestId,
+    pub(super) effect: RequestEffect,
+}
+
+/// All requests in flight.
+///
+/// Responses leave in the order in which the scheduler gave them: `sequence` never falls from one to the next.
+#[derive(Debug, Default)]
+pub(super) struct InFlightRequests {
+    requests: BTreeMap<RequestId, InFlightRequest>,
+    responses: VecDeque<PendingResponse>,
+}
+
+impl InFlightRequests {
+    /// Adds a request that is about to be handed to the scheduler.
+    pub(super) fn insert(&mut self, id: RequestId, request: &ControlRequest) {
+        let effect = if request.is_mutating() {
+            RequestEffect::Mutating
+        } else {
+            RequestEffect::ReadOnly
+        };
+        let in_flight = InFlightRequest {
+            effect,
+            agent_epoch: request.agent_epoch(),
+        };
+        self.requests.insert(id, in_flight);
+    }
+
+    /// Removes a request whose caller has disconnected; whether there was one.
+    pub(super) fn remove(&mut self, id: RequestId) -> bool {
+        self.requests.remove(&id).is_some()
+    }
+
+    /// How many requests are in flight.
+    pub(super) fn len(&self) -> usize {
+        self.requests.len()
+    }
+
+    /// Adds a response; one to a request that is not in flight is dropped.
+    pub(super) fn add_response(&mut self, pending: PendingResponse) {
+        let Some(in_flight) = self.requests.get_mut(&pending.request) else {
+            return;
+        };
+        if in_flight.effect != RequestEffect::ReadOnly {
+            let is_without_effect = !pending.has_own_writes && is_rejection(&pending.response);
+            in_flight.effect = if is_without_effect {
+                RequestEffect::Rejected
+            } else {
+                RequestEffect::Mutating
+            };
+        }
+        self.responses.push_back(pending);
+    }
+
+    /// Whether a response waits for its commit.
+    pub(super) fn has_responses(&self) -> bool {
+        !self.responses.is_empty()
+    }
+
+    /// Takes out the next response whose batch is committed, with its request.
+    pub(super) fn pop_committed(&mut self, committed: u64) -> Option<CommittedResponse> {
+        loop {
+            let pending = self
+                .responses
+                .pop_front_if(|pending| pending.sequence <= committed)?;
+            // A caller that has disconnected needs no response.
+            if let Some(in_flight) = self.requests.remove(&pending.request) {
+                return Some(CommittedResponse {
+                    request: pending.request,
+                    response: pending.response,
+                    agent_epoch: in_flight.agent_epoch,
+                });
+            }
+        }
+    }
+
+    /// Takes out all requests, and drops the responses that wait.
+    pub(super) fn interrupt_all(&mut self) -> Vec<InterruptedRequest> {
+        self.responses.clear();
+        std::mem::take(&mut self.requests)
+            .into_iter()
+            .map(|(request, in_flight)| InterruptedRequest {
+                request,
+                effect: in_flight.effect,
+            })
+            .collect()
+    }
+}
--- a/crates/controlplane/src/lib.rs
+++ b/crates/controlplane/src/lib.rs
@@ -1,29 +1,93 @@
-//! The control plane: primary, replicas and witnesses on the core machines.
-//!
-//! - [`driver`]: the rule by which replies leave, joining replication and scheduler; pure.
-//! - [`publication`], [`relay`]: which configurations may be told, and the root of the tree that tells them.
-//! - [`ports`]: what the driver needs of both.
-//! - [`store`], [`disk`]: what is kept on disk, and the thread that writes it.
-//! - [`machine`]: the driver with its queues, shared by the servers.
-//! - [`peers`], [`internal`], [`operators`]: messages between core machines, and both servers' answers.
-//! - [`parameters`], [`options`], [`program`]: settings, command line, and the process.
-//! - [`cluster_status`], [`show_disk`]: the operators' commands.
+//! The control plane: the process of a control machine, which is primary, replica or witness.
+//!
+//! The machines elect a primary and replicate its state ([`streamusher_coordination`]). The primary runs the scheduler
+//! ([`streamusher_scheduler`]) on that state and serves gates, agents and operators; a response leaves only when the writes
+//! that it rests on are committed.
+//!
+//! The rule of release is the pure state machine [`driver::Driver`], which the emulator of the whole system embeds as well:
+//!
+//! - [`driver`]: joins replication and scheduler; `requests`, `deferred`: its requests, and those queued until the machine
+//!   acts as primary.
+//! - [`pending_configurations`]: configurations that may be published once they are committed.
+//!
+//! Around it is the process:
+//!
+//! - [`process`]: start, event loop and shutdown; `servers`: its HTTP servers.
+//! - [`control_machine`]: the driver with the queues that its actions go to, shared by servers and event loop.
+//! - [`internal_api`], [`control_api`]: the two interfaces.
+//! - [`peer_messages`], [`primary_relay`]: messages to other control machines, and to the relay tree.
+//! - [`store`]: what is kept on disk, and the thread that writes it.
+//! - [`machine_settings`], [`component_settings`], [`fair_share_file`]: settings.
+//!
+//! And the operators' program:
+//!
+//! - [`options`]: the command line.
+//! - [`cluster_status`], [`show_disk`]: its commands.
+//!
+//! # Example
+//!
+//! A driver without network and disk: a machine on an empty disk, whose seeds it cannot reach, is no primary.
+//!
+//! ```
+//! use streamusher_controlplane::driver::{Action, ControlOutcome, ControlRequest, Driver};
+//! use streamusher_coordination::{Coordinator, CoordinatorSettings, DiskImage};
+//! use streamusher_protocol::internal::CoreAddress;
+//! use streamusher_protocol::Now;
+//! use streamusher_scheduler::{
+//!     OperatorRequest, OperatorRequestKind, Policy, Scheduler, SchedulerLimits, SchedulerSettings,
+//! };
+//!
+//! let address = CoreAddress {
+//!     internal: "10.0.0.1:7300".into(),
+//!     control: "10.0.0.1:8144".into(),
+//! };
+//! let coordinator_settings = CoordinatorSettings {
+//!     address: address.clone(),
+//!     bootstrap: false,
+//!     seeds: vec![address],
+//!     tolerance: 1,
+//!     lease_ms: 600,
+//!     random_seed: 7,
+//! };
+//! let scheduler_settings = SchedulerSettings {
+//!     limits: SchedulerLimits::default(),
+//!     random_seed: 7,
+//!     share_debt: None,
+//!     policy: Policy::default(),
+//! };
+//! let now = Now { steady_ms: 0, unix_ms: 1_700_000_000_000 };
+//! let coordinator = Coordinator::new(coordinator_settings, DiskImage::default(), now.steady_ms);
+//! let mut driver: Driver<Coordinator, Scheduler> = Driver::new(scheduler_settings, coordinator);
+//!
+//! let read = ControlRequest::Operator(OperatorRequest {
+//!     kind: OperatorRequestKind::Read,
+//!     base: None,
+//!     body: "".into(),
+//! });
+//! let (id, actions) = driver.on_request(now, read);
+//!
+//! let [Action::Respond { request, outcome }] = &actions[..] else {
+//!     panic!("one response: {actions:?}");
+//! };
+//! assert_eq!(*request, id);
+//! assert!(matches!(outcome, ControlOutcome::NotPrimary(_)));
+//! ```
 
-mod calls;
 pub mod cluster_status;
-pub mod disk;
+pub mod component_settings;
+pub mod control_api;
+pub mod control_machine;
+mod deferred;
 pub mod driver;
-mod early;
-pub mod internal;
-pub mod machine;
-pub mod operators;
+pub mod fair_share_file;
+pub mod internal_api;
+pub mod machine_settings;
 pub mod options;
-pub mod parameters;
-pub mod peers;
-pub mod ports;
-pub mod program;
-pub mod publication;
-pub mod relay;
-pub mod share_debt_file;
+pub mod peer_messages;
+pub mod pending_configurations;
+pub mod primary_relay;
+pub mod process;
+mod requests;
+mod servers;
 pub mod show_disk;
 pub mod store;
--- a/crates/controlplane/src/main.rs
+++ b/crates/controlplane/src/main.rs
@@ -1,176 +1,162 @@
-//! `streamusher-control`: the control plane's process on a core machine.
+//! `streamusher-control`: the control plane's process on a control machine, and its operators' commands.
+//!
+//! Exit codes: 0 for success, 1 for a failure, 2 for a wrong command line, settings, configuration or store format.
 
+use anyhow::anyhow;
 use log::LevelFilter;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::ExitCode;
 use streamusher_configuration::check_file;
-use streamusher_controlplane::cluster_status::{self, Health};
-use streamusher_controlplane::options::{parse, ShareDebt, Task};
-use streamusher_controlplane::parameters::places;
-use streamusher_controlplane::program;
-use streamusher_controlplane::share_debt_file;
-use streamusher_controlplane::show_disk::{self, ShowError};
+use streamusher_controlplane::cluster_status::{self, query, report, Health};
+use streamusher_controlplane::machine_settings::MachineSettings;
+use streamusher_controlplane::options::{
+    self, ClusterAddresses, Command, FairShareSource, StatusFormat,
+};
+use streamusher_controlplane::show_disk::{self, ShowDiskError};
 use streamusher_controlplane::store::StoreError;
-use streamusher_fair_share as share_debt;
+use streamusher_controlplane::{fair_share_file, process};
+use streamusher_fair_share::FairShareSettings;
 use streamusher_protocol::internal::ExplainRequest;
 use streamusher_runtime::options::EXIT_MISUSE;
-use streamusher_runtime::{logs, settings};
+use streamusher_runtime::settings::{self, ProcessSettings};
+use streamusher_runtime::{logs, runtime};
+
+/// Why the program ends without success.
+enum Failure {
+    /// Something outside went wrong.
+    Failed(anyhow::Error),
+    /// The command line, the settings, a configuration or the store's format are wrong.
+    Misuse(anyhow::Error),
+}
+
+fn failed(error: impl Into<anyhow::Error>) -> Failure {
+    Failure::Failed(error.into())
+}
+
+fn misuse(error: impl Into<anyhow::Error>) -> Failure {
+    Failure::Misuse(error.into())
+}
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    match parse(&arguments) {
-        Ok(Task::Print(text)) => {
-            print!("{text}");
-            ExitCode::SUCCESS
-        }
-        Ok(Task::CheckConfiguration(path)) => check_configuration(&path),
-        Ok(Task::Status {
-            addresses,
-            settings,
-            json,
-        }) => status(addresses, settings.as_deref(), json),
-        Ok(Task::Explain {
-            asked,
-            addresses,
-            settings,
-        }) => explain(&asked, addresses, settings.as_deref()),
-        Ok(Task::ShowDisk(folder)) => show_disk(&folder),
-        Ok(Task::CheckSettings(share_debt)) => {
-            with_share_debt(share_debt, |_| with_settings(|_| ExitCode::SUCCESS))
-        }
-        Ok(Task::Run {
-            log_level,
-            share_debt,
-        }) => with_share_debt(share_debt, |debts| {
-            with_settings(|settings| run(settings, log_level, debts))
-        }),
-        Err(reason) => misuse(&reason),
-    }
+    let (code, error) = match execute(&arguments) {
+        Ok(code) => return code,
+        Err(Failure::Failed(error)) => (ExitCode::FAILURE, format!("{error:#}")),
+        Err(Failure::Misuse(error)) => (misuse_code(), error.to_string()),
+    };
+    eprintln!("streamusher-control: {error}");
+    code
 }
 
-fn with_settings(next: impl FnOnce(settings::ProcessSettings) -> ExitCode) -> ExitCode {
-    let settings = match settings::load() {
-        Ok(settings) => settings,
-        Err(error) => return misuse(&error.to_string()),
-    };
-    match places(&settings) {
-        Ok(_) => next(settings),
-        Err(error) => misuse(&error.to_string()),
-    }
+fn misuse_code() -> ExitCode {
+    ExitCode::from(u8::try_from(EXIT_MISUSE).unwrap_or(2))
 }
 
-fn with_share_debt(
-    source: Option<ShareDebt>,
-    next: impl FnOnce(Option<share_debt::FairShareSettings>) -> ExitCode,
-) -> ExitCode {
-    match source {
-        None => next(None),
-        Some(ShareDebt::Given(settings)) => next(Some(settings)),
-        Some(ShareDebt::File(path)) => match share_debt_file::load(&path) {
-            Ok(settings) => next(Some(settings)),
-            Err(error) => misuse(&error.to_string()),
-        },
+fn execute(arguments: &[String]) -> Result<ExitCode, Failure> {
+    match options::parse(arguments).map_err(misuse)? {
+        Command::Print(text) => print!("{text}"),
+        Command::Run {
+            log_level,
+            fair_share,
+        } => run(log_level, fair_share)?,
+        Command::CheckSettings(fair_share) => {
+            load_fair_share(fair_share)?;
+            load_settings()?;
+        }
+        Command::CheckConfiguration(path) => check_configuration(&path)?,
+        Command::Status { cluster, format } => return status(cluster, format),
+        Command::Explain { request, cluster } => explain(&request, cluster)?,
+        Command::ShowDisk(folder) => show_disk(&folder)?,
     }
+    Ok(ExitCode::SUCCESS)
 }
 
-fn run(
-    settings: settings::ProcessSettings,
-    log_level: Option<LevelFilter>,
-    share_debt: Option<share_debt::FairShareSettings>,
-) -> ExitCode {
+fn run(log_level: Option<LevelFilter>, fair_share: Option<FairShareSource>) -> Result<(), Failure> {
+    let fair_share = load_fair_share(fair_share)?;
+    let settings = load_settings()?;
     logs::start(log_level);
-    let Err(error) = program::run(settings, share_debt) else {
-        return ExitCode::SUCCESS;
-    };
-    if let Some(StoreError::Newer { .. }) = error.downcast_ref::<StoreError>() {
-        return misuse(&error.to_string());
-    }
-    failure(&format!("{error:#}"))
+    process::run(&settings, fair_share).map_err(|error| {
+        if error.is_newer_format() {
+            misuse(error)
+        } else {
+            failed(error)
+        }
+    })
 }
 
-fn check_configuration(path: &Path) -> ExitCode {
-    match check_file(path) {
-        Ok(configuration) => {
-            println!("version {}: valid", configuration.version);
-            ExitCode::SUCCESS
-        }
-        Err(error) => misuse(&error.to_string()),
-    }
+/// Loads the settings of the process, and checks that they have what a control machine needs.
+fn load_settings() -> Result<ProcessSettings, Failure> {
+    let settings = settings::load().map_err(misuse)?;
+    MachineSettings::from_process(&settings).map_err(misuse)?;
+    Ok(settings)
 }
 
-/// The addresses to ask first: those given, or the seeds of the settings file.
-fn first_asked(given: Vec<SocketAddr>, file: Option<&Path>) -> Result<Vec<SocketAddr>, String> {
-    if !given.is_empty() {
-        return Ok(given);
+fn load_fair_share(source: Option<FairShareSource>) -> Result<Option<FairShareSettings>, Failure> {
+    match source {
+        None => Ok(None),
+        Some(FairShareSource::CommandLine(settings)) => Ok(Some(settings)),
+        Some(FairShareSource::File(path)) => fair_share_file::load(&path).map(Some).map_err(misuse),
     }
-    let settings = file.map_or_else(settings::load, settings::load_from);
-    settings
-        .map(|settings| seeds_of(&settings))
-        .map_err(|error| format!("{error}, or name the address of a process"))
 }
 
-fn explain(asked: &ExplainRequest, addresses: Vec<SocketAddr>, file: Option<&Path>) -> ExitCode {
-    let addresses = match first_asked(addresses, file) {
-        Ok(addresses) => addresses,
-        Err(error) => return misuse(&error),
-    };
-    match cluster_status::explain(addresses, asked) {
-        Ok(text) => {
-            print!("{text}");
-            ExitCode::SUCCESS
-        }
-        Err(error) => failure(&error.to_string()),
-    }
+fn check_configuration(path: &Path) -> Result<(), Failure> {
+    let configuration = check_file(path).map_err(misuse)?;
+    println!("version {}: valid", configuration.version);
+    Ok(())
 }
 
-fn status(addresses: Vec<SocketAddr>, file: Option<&Path>, json: bool) -> ExitCode {
-    let addresses = match first_asked(addresses, file) {
-        Ok(addresses) => addresses,
-        Err(error) => return misuse(&error),
-    };
-    match cluster_status::run(addresses, json) {
-        Ok((text, health)) => {
-            print!("{text}");
-            if health == Health::Good {
-                ExitCode::SUCCESS
-            } else {
-                ExitCode::FAILURE
-            }
-        }
-        Err(error) => failure(&error.to_string()),
+fn status(cluster: ClusterAddresses, format: StatusFormat) -> Result<ExitCode, Failure> {
+    let addresses = addresses_to_query(cluster)?;
+    let responses = runtime::block_on(query::query_all(addresses)).map_err(failed)?;
+    match format {
+        StatusFormat::Tables => print!("{}", report::render(&responses)),
+        StatusFormat::Json => print!("{}", cluster_status::to_json(&responses)),
     }
+    Ok(match cluster_status::health(&responses) {
+        Health::Good => ExitCode::SUCCESS,
+        Health::Impaired => ExitCode::FAILURE,
+    })
 }
 
-fn seeds_of(settings: &settings::ProcessSettings) -> Vec<SocketAddr> {
-    let seeds = settings.core_addresses_of_seeds();
-    seeds
-        .iter()
-        .filter_map(|seed| seed.internal.parse().ok())
-        .collect()
+fn explain(request: &ExplainRequest, cluster: ClusterAddresses) -> Result<(), Failure> {
+    let addresses = addresses_to_query(cluster)?;
+    let text = runtime::block_on(cluster_status::explain(addresses, request))
+        .map_err(failed)?
+        .map_err(failed)?;
+    print!("{text}");
+    Ok(())
 }
 
-fn show_disk(folder: &Path) -> ExitCode {
-    match show_disk::show(folder) {
-        Ok(text) => {
-            print!("{text}");
-            ExitCode::SUCCESS
-        }
-        Err(
-            error @ (ShowError::NoStore(_)
-            | ShowError::InUse(_)
-            | ShowError::Store(StoreError::Newer { .. })),
-        ) => misuse(&error.to_string()),
-        Err(error) => failure(&error.to_string()),
+/// The addresses given, or those of the seeds in the settings file.
+fn addresses_to_query(cluster: ClusterAddresses) -> Result<Vec<SocketAddr>, Failure> {
+    if !cluster.addresses.is_empty() {
+        return Ok(cluster.addresses);
     }
+    let settings = match &cluster.settings {
+        Some(path) => settings::load_from(path),
+        None => settings::load(),
+    };
+    let settings =
+        settings.map_err(|error| misuse(anyhow!("{error}, or name the address of a process")))?;
+    Ok(seed_addresses(&settings))
 }
 
-fn failure(reason: &str) -> ExitCode {
-    eprintln!("streamusher-control: {reason}");
-    ExitCode::FAILURE
+fn seed_addresses(settings: &ProcessSettings) -> Vec<SocketAddr> {
+    settings
+        .core_addresses_of_seeds()
+        .iter()
+        .filter_map(|seed| seed.internal.parse().ok())
+        .collect()
 }
 
-fn misuse(reason: &str) -> ExitCode {
-    eprintln!("streamusher-control: {reason}");
-    ExitCode::from(u8::try_from(EXIT_MISUSE).unwrap_or(2))
+fn show_disk(folder: &Path) -> Result<(), Failure> {
+    let text = show_disk::show(folder).map_err(|error| match error {
+        ShowDiskError::NoStore(_)
+        | ShowDiskError::InUse(_)
+        | ShowDiskError::Store(StoreError::NewerFormat { .. }) => misuse(error),
+        ShowDiskError::Unreadable { .. } | ShowDiskError::Store(_) => failed(error),
+    })?;
+    print!("{text}");
+    Ok(())
 }
--- /dev/null
+++ b/crates/controlplane/src/options/usage.rs
@@ -0,0 +1,67 @@
+//! The options of the program and its help.
+
+use getopts::Options;
+use streamusher_runtime::options::add_log_level;
+
+pub(super) const FAIR_SHARE_OPTION: &str = "share-debt";
+pub(super) const FAIR_SHARE_SETTINGS_OPTION: &str = "share-debt-settings";
+
+pub(super) const VERSION: &str = concat!("streamusher-control ", env!("CARGO_PKG_VERSION"), "\n");
+
+pub(super) const BRIEF: &str = "The control plane of streamusher: primary, replica or witness on a core machine.
+
+Usage: streamusher-control [options] [COMMAND]
+
+Without a command it runs as the process of a core machine. Commands:
+    status [ADDRESS...]             print the whole cluster; ADDRESS is the internal ip:port of any process, and
+                                    without one the seeds of the settings file are asked
+    explain job ID [ADDRESS...]     print where a job stands, and why what waits of it waits
+    explain user NAME [ADDRESS...]  print what a user has lately used
+    check [--configuration FILE]    check the settings file, or an operator's configuration (.json or .toml)
+    show-disk DIR                   check and show the data folder of a process that does not run
+
+The settings file is named by STREAMUSHER_SETTINGS; STREAMUSHER_LOG sets the level of the logs.
+It ends with 0 after SIGTERM or where all is well, with 1 after a failure (status: a machine does not answer, or no
+primary acts; explain: no primary acts, or nothing is known; show-disk: the store is damaged), and with 2 for a wrong command line, settings, configuration or store
+format.";
+
+/// All options, also those that only one command takes.
+pub(super) fn options() -> Options {
+    let mut options = Options::new();
+    options.optflag("h", "help", "print this text");
+    options.optflag("", "version", "print the version");
+    options.optflag("", "check", "check the settings file and end");
+    options.optopt(
+        "",
+        "check-configuration",
+        "the same as check --configuration FILE",
+        "FILE",
+    );
+    options.optopt(
+        "",
+        "configuration",
+        "check: an operator's configuration, .json or .toml",
+        "FILE",
+    );
+    options.optopt(
+        "",
+        "settings",
+        "status, explain: the settings file whose seeds are asked",
+        "FILE",
+    );
+    options.optflag("", "json", "status: print the answers as JSON");
+    add_log_level(&mut options);
+    options.optopt(
+        "",
+        FAIR_SHARE_OPTION,
+        "order work by recent use, which halves in so many seconds",
+        "HALF_LIFE_S",
+    );
+    options.optopt(
+        "",
+        FAIR_SHARE_SETTINGS_OPTION,
+        "the same with all settings of the debts, in TOML",
+        "FILE",
+    );
+    options
+}
--- /dev/null
+++ b/crates/controlplane/src/peer_messages.rs
@@ -0,0 +1,128 @@
+//! Messages to the other control machines: one queue and one connection for each, and everything queued in one request.
+
+use bytes::Bytes;
+use http::header::CONTENT_TYPE;
+use http::{HeaderValue, Method, Uri};
+use serde::{Deserialize, Serialize};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+use streamusher_coordination::Message;
+use streamusher_protocol::internal::COORDINATION_PATH;
+use streamusher_runtime::http::{Client, ClientLimits, Request};
+use tokio::sync::mpsc;
+
+/// A machine that is up accepts the connection within a round trip.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// About a lease: an older response is of no use.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
+/// Messages that wait for one peer; more are dropped, as the sender repeats what matters.
+const MAX_QUEUED_MESSAGES: usize = 1_024;
+/// Messages in one request.
+const MAX_MESSAGES_PER_REQUEST: usize = 128;
+/// Peers at once; control machines are few, and addresses come from messages.
+const MAX_PEERS: usize = 64;
+
+/// Messages of one control machine to another.
+#[derive(Debug, Serialize, Deserialize)]
+pub struct PeerEnvelope {
+    /// Internal `ip:port` of the sender.
+    pub from: Arc<str>,
+    /// In the order in which they were sent.
+    pub messages: Vec<Message>,
+}
+
+/// The queues to the other control machines.
+pub struct PeerQueues {
+    own_address: Arc<str>,
+    queues: HashMap<Arc<str>, mpsc::Sender<Message>>,
+}
+
+impl PeerQueues {
+    /// No queues yet; `own_address` is this machine's internal `ip:port`.
+    pub fn new(own_address: Arc<str>) -> PeerQueues {
+        PeerQueues {
+            own_address,
+            queues: HashMap::new(),
+        }
+    }
+
+    /// Queues a message; it is dropped where the peer is not reachable. Within a `LocalSet`.
+    pub fn send(&mut self, to: &Arc<str>, message: Message) {
+        if !self.queues.contains_key(to) && !self.add_peer(to) {
+            return;
+        }
+        if let Some(queue) = self.queues.get(to) {
+            // A full queue drops: replication repeats what was not acknowledged.
+            let _ = queue.try_send(message);
+        }
+    }
+
+    /// Starts a queue; whether the address can be used.
+    fn add_peer(&mut self, to: &Arc<str>) -> bool {
+        let Ok(address) = to.parse::<SocketAddr>() else {
+            log::warn!("control machine {to:?}: not an ip:port address: sending nothing to it");
+            return false;
+        };
+        if self.queues.len() >= MAX_PEERS {
+            self.queues.clear();
+        }
+        let (queue, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        self.queues.insert(to.clone(), queue);
+        tokio::task::spawn_local(deliver(self.own_address.clone(), address, messages));
+        true
+    }
+}
+
+/// Sends what comes through `messages`, until the queue is dropped.
+async fn deliver(from: Arc<str>, address: SocketAddr, mut messages: mpsc::Receiver<Message>) {
+    let limits = ClientLimits {
+        max_calls: 1,
+        max_idle: 1,
+        connect_timeout: CONNECT_TIMEOUT,
+        ..Default::default()
+    };
+    let client = Client::with_limits(address, limits);
+    while let Some(first) = messages.recv().await {
+        let envelope = PeerEnvelope {
+            from: from.clone(),
+            messages: batch_of(first, &mut messages),
+        };
+        let Some(request) = request_with(&envelope) else {
+            continue;
+        };
+        if let Err(error) = client.send(request, REQUEST_TIMEOUT).await {
+            log::debug!("control machine {address}: {error}");
+            discard_queued(&mut messages);
+        }
+    }
+}
+
+/// A message with those that are queued after it.
+fn batch_of(first: Message, messages: &mut mpsc::Receiver<Message>) -> Vec<Message> {
+    let mut batch = vec![first];
+    while batch.len() < MAX_MESSAGES_PER_REQUEST {
+        let Ok(message) = messages.try_recv() else {
+            break;
+        };
+        batch.push(message);
+    }
+    batch
+}
+
+/// What was queued during a failed request is as old as that request; the next messages are of more use.
+fn discard_queued(messages: &mut mpsc::Receiver<Message>) {
+    while messages.try_recv().is_ok() {}
+}
+
+fn request_with(envelope: &PeerEnvelope) -> Option<Request> {
+    let body = serde_json::to_vec(envelope).ok()?;
+    let mut request = Request::new(Bytes::from(body));
+    *request.method_mut() = Method::POST;
+    *request.uri_mut() = Uri::from_static(COORDINATION_PATH);
+    request
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    Some(request)
+}
--- /dev/null
+++ b/crates/controlplane/src/process.rs
@@ -0,0 +1,221 @@
+//! The process of a control machine, from its start to its end.
+
+use crate::component_settings::{coordinator_settings, draw_random_seed, scheduler_settings};
+use crate::control_machine::ControlMachine;
+use crate::driver::Driver;
+use crate::machine_settings::{MachineSettings, MissingSetting};
+use crate::peer_messages::PeerQueues;
+use crate::servers::{BindError, Servers, MAX_CONTROL_CONNECTIONS};
+use crate::store::writer::{DiskEvent, StoreWriter};
+use crate::store::{Store, StoreError};
+use std::io;
+use std::time::Duration;
+use streamusher_coordination::{Coordinator, Input};
+use streamusher_fair_share::FairShareSettings;
+use streamusher_protocol::Millis;
+use streamusher_runtime::settings::{self, ProcessSettings};
+use streamusher_runtime::signals::{Signal, Signals};
+use streamusher_runtime::{clock, runtime};
+use tokio::sync::mpsc;
+use tokio::task::spawn_local;
+use tokio::time::{interval, Interval, MissedTickBehavior};
+
+/// Interval of the state machines' ticks: a lease has thirty of them, and each one costs a wake-up.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// How long the leadership transfer may take after SIGTERM.
+const MAX_LEADERSHIP_TRANSFER_MS: Millis = 3_000;
+/// Descriptors for the store, the other control machines and the rest of the process.
+const OTHER_DESCRIPTORS: u64 = 300;
+
+/// Why a control machine's process cannot start or has to end.
+#[derive(Debug, thiserror::Error)]
+pub enum ProcessError {
+    /// The event loop cannot be made.
+    #[error("cannot start the event loop")]
+    EventLoop(#[source] io::Error),
+    /// The handlers of signals cannot be installed.
+    #[error("cannot install the signal handlers")]
+    Signals(#[source] io::Error),
+    /// A key is missing in the settings.
+    #[error(transparent)]
+    Settings(#[from] MissingSetting),
+    /// The store cannot be used.
+    #[error(transparent)]
+    Store(StoreError),
+    /// The store's thread cannot be started.
+    #[error("cannot start the store's writer thread")]
+    WriterThread(#[source] io::Error),
+    /// An address cannot be bound.
+    #[error(transparent)]
+    Bind(#[from] BindError),
+    /// The store was lost while the process ran.
+    #[error("lost the store: restart the process")]
+    StoreLost(#[source] StoreError),
+    /// The store's thread has ended by itself.
+    #[error("the store's writer thread has exited: restart the process")]
+    WriterThreadExited,
+}
+
+impl ProcessError {
+    /// Whether a newer program wrote the store: a failure that no restart of this program mends.
+    pub fn is_newer_format(&self) -> bool {
+        matches!(
+            self,
+            ProcessError::Store(StoreError::NewerFormat { .. })
+                | ProcessError::StoreLost(StoreError::NewerFormat { .. })
+        )
+    }
+}
+
+/// Runs the process until a signal ends it. Without `fair_share` work is not ordered by recent use.
+///
+/// # Errors
+/// It cannot start, or its store was lost.
+pub fn run(
+    settings: &ProcessSettings,
+    fair_share: Option<FairShareSettings>,
+) -> Result<(), ProcessError> {
+    runtime::block_on(run_with_signals(settings, fair_share)).map_err(ProcessError::EventLoop)?
+}
+
+async fn run_with_signals(
+    settings: &ProcessSettings,
+    fair_share: Option<FairShareSettings>,
+) -> Result<(), ProcessError> {
+    let mut signals = Signals::new().map_err(ProcessError::Signals)?;
+    let process = ControlProcess::start(settings, fair_share).await?;
+    let (sender, receiver) = mpsc::unbounded_channel();
+    spawn_local(async move {
+        while let Ok(signal) = signals.next().await {
+            if sender.send(signal).is_err() {
+                return;
+            }
+        }
+    });
+    process.run(receiver).await
+}
+
+/// A control machine's process at work, within a `LocalSet`.
+pub struct ControlProcess {
+    machine: ControlMachine,
+    servers: Servers,
+    max_leadership_transfer_ms: Millis,
+    disk_events: mpsc::UnboundedReceiver<DiskEvent>,
+}
+
+impl ControlProcess {
+    /// Opens the store and listens.
+    ///
+    /// # Errors
+    /// A setting is missing, a newer program wrote the store, or an address cannot be bound.
+    pub async fn start(
+        settings: &ProcessSettings,
+        fair_share: Option<FairShareSettings>,
+    ) -> Result<ControlProcess, ProcessError> {
+        let machine_settings = MachineSettings::from_process(settings)?;
+        let (sender, disk_events) = mpsc::unbounded_channel();
+        let machine = start_machine(settings, &machine_settings, fair_share, sender)?;
+        let max_internal_connections = settings
+            .limits
+            .connections(OTHER_DESCRIPTORS + MAX_CONTROL_CONNECTIONS as u64);
+        let servers = Servers::start(&machine, &machine_settings, max_internal_connections).await?;
+        let max_leadership_transfer_ms =
+            MAX_LEADERSHIP_TRANSFER_MS.min(settings.bounds.grace_ms() / 2);
+        Ok(ControlProcess {
+            machine,
+            servers,
+            max_leadership_transfer_ms,
+            disk_events,
+        })
+    }
+
+    /// Runs until a signal ends the process, which transfers the leadership first.
+    ///
+    /// # Errors
+    /// The store was lost.
+    pub async fn run(
+        mut self,
+        mut signals: mpsc::UnboundedReceiver<Signal>,
+    ) -> Result<(), ProcessError> {
+        let mut ticks = tick_interval();
+        let mut deadline: Option<Millis> = None;
+        loop {
+            tokio::select! {
+                biased;
+                event = self.disk_events.recv() => self.on_disk_event(event)?,
+                Some(signal) = signals.recv() => match signal {
+                    Signal::Reload => reload_settings(&self.machine),
+                    Signal::Terminate | Signal::Interrupt => {
+                        deadline = deadline.or_else(|| Some(self.begin_shutdown()));
+                    }
+                },
+                _ = ticks.tick() => self.machine.tick(),
+            }
+            if deadline.is_some_and(|deadline| self.may_exit(deadline)) {
+                self.servers.close().await;
+                return Ok(());
+            }
+        }
+    }
+
+    fn on_disk_event(&self, event: Option<DiskEvent>) -> Result<(), ProcessError> {
+        let input = match event {
+            Some(DiskEvent::Persisted { ticket }) => Input::Persisted { ticket },
+            Some(DiskEvent::Failed { ticket }) => Input::PersistFailed { ticket },
+            Some(DiskEvent::Lost { error }) => return Err(ProcessError::StoreLost(error)),
+            None => return Err(ProcessError::WriterThreadExited),
+        };
+        self.machine.handle_input(input);
+        Ok(())
+    }
+
+    /// Begins the leadership transfer; returns the time at which the process ends at the latest.
+    fn begin_shutdown(&self) -> Millis {
+        log::info!("shutting down: transferring leadership");
+        self.machine.handle_input(Input::Leave);
+        self.servers.begin_shutdown();
+        clock::steady() + self.max_leadership_transfer_ms
+    }
+
+    fn may_exit(&self, deadline: Millis) -> bool {
+        self.machine.may_leave() || clock::steady() >= deadline
+    }
+}
+
+/// Opens the store, starts its thread, and makes the machine. The thread's reports go to `disk_events`.
+fn start_machine(
+    settings: &ProcessSettings,
+    machine_settings: &MachineSettings,
+    fair_share: Option<FairShareSettings>,
+    disk_events: mpsc::UnboundedSender<DiskEvent>,
+) -> Result<ControlMachine, ProcessError> {
+    let data_dir = &machine_settings.data_dir;
+    let (store, image) = Store::open_at_startup(data_dir).map_err(ProcessError::Store)?;
+    let store_writer = StoreWriter::start(data_dir.clone(), store, disk_events)
+        .map_err(ProcessError::WriterThread)?;
+    let random_seed = draw_random_seed();
+    let address = machine_settings.core_address();
+    let peers = PeerQueues::new(address.internal.clone());
+    let coordinator = Coordinator::new(
+        coordinator_settings(settings, address, random_seed),
+        image,
+        clock::steady(),
+    );
+    let driver = Driver::new(
+        scheduler_settings(settings, random_seed, fair_share),
+        coordinator,
+    );
+    Ok(ControlMachine::new(driver, peers, store_writer))
+}
+
+fn tick_interval() -> Interval {
+    let mut ticks = interval(TICK_INTERVAL);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    ticks
+}
+
+/// Reads the settings again and applies the seeds. Addresses and bounds hold for a process's life; a file that is wrong is
+/// logged and changes nothing.
+fn reload_settings(machine: &ControlMachine) {
+    settings::reload(|settings| machine.set_seeds(settings.core_addresses_of_seeds()));
+}
--- a/crates/controlplane/src/store/error.rs
+++ b/crates/controlplane/src/store/error.rs
@@ -1,5 +1,6 @@
-//! Why the store on disk can't be used.
+//! Why the store on disk cannot be used.
 
+use std::io;
 use std::path::{Path, PathBuf};
 
 /// A failure of the store. Each kind asks for a remedy of its own.
@@ -25,7 +26,7 @@
     },
     /// A newer program wrote the store.
     #[error("store {folder} has format {found}, this program knows up to {known}: run the newer program, or empty the folder to join as a new machine")]
-    Newer {
+    NewerFormat {
         /// The store's folder.
         folder: PathBuf,
         /// The format on disk.
@@ -36,15 +37,27 @@
 }
 
 impl StoreError {
+    /// The same error of a store at `folder`, as for a copy that stands for its original.
+    #[must_use]
+    pub fn at_folder(self, folder: PathBuf) -> StoreError {
+        match self {
+            StoreError::Unavailable { reason, .. } => StoreError::Unavailable { folder, reason },
+            StoreError::Damaged { reason, .. } => StoreError::Damaged { folder, reason },
+            StoreError::NewerFormat { found, known, .. } => StoreError::NewerFormat {
+                folder,
+                found,
+                known,
+            },
+        }
+    }
+
     /// A failure of a file operation at `folder`.
-    pub(super) fn from_io(folder: &Path, error: &std::io::Error) -> StoreError {
+    pub(super) fn from_io(folder: &Path, error: &io::Error) -> StoreError {
         let reason = error.to_string();
-        match is_content_fault(error) {
-            true => StoreError::damaged(folder, reason),
-            false => StoreError::Unavailable {
-                folder: folder.to_owned(),
-                reason,
-            },
+        if is_content_error(error) {
+            StoreError::damaged(folder, reason)
+        } else {
+            StoreError::unavailable(folder, reason)
         }
     }
 
@@ -52,18 +65,17 @@
     pub(super) fn from_database(folder: &Path, error: &fjall::Error) -> StoreError {
         use fjall::Error;
         let reason = error.to_string();
-        let unavailable = match error {
-            Error::Io(cause) => !is_content_fault(cause),
-            Error::Storage(fjall::LsmError::Io(cause)) => !is_content_fault(cause),
+        let is_unavailable = match error {
+            Error::Io(cause) | Error::Storage(fjall::LsmError::Io(cause)) => {
+                !is_content_error(cause)
+            }
             Error::Poisoned | Error::Locked => true,
             _ => false,
         };
-        match unavailable {
-            true => StoreError::Unavailable {
-                folder: folder.to_owned(),
-                reason,
-            },
-            false => StoreError::damaged(folder, reason),
+        if is_unavailable {
+            StoreError::unavailable(folder, reason)
+        } else {
+            StoreError::damaged(folder, reason)
         }
     }
 
@@ -73,13 +85,19 @@
             reason: reason.into(),
         }
     }
+
+    fn unavailable(folder: &Path, reason: String) -> StoreError {
+        StoreError::Unavailable {
+            folder: folder.to_owned(),
+            reason,
+        }
+    }
 }
 
 /// Whether an error says that a file is missing, too short or holds something else, rather than that the disk fails.
-fn is_content_fault(error: &std::io::Error) -> bool {
-    use std::io::ErrorKind;
+fn is_content_error(error: &io::Error) -> bool {
     matches!(
         error.kind(),
-        ErrorKind::UnexpectedEof | ErrorKind::NotFound | ErrorKind::InvalidData
+        io::ErrorKind::UnexpectedEof | io::ErrorKind::NotFound | io::ErrorKind::InvalidData
     )
 }
--- a/crates/controlplane/src/store/mod.rs
+++ b/crates/controlplane/src/store/mod.rs
@@ -1,46 +1,46 @@
-//! What a core machine keeps on disk: the witness's record, and a copy of the replicated state with its position.
+//! What a control machine keeps on disk: the witness's state, and its replica of the state with the log position.
 //!
-//! All of it lies in one keyspace of a fjall database in the folder [`FOLDER`] under `data_dir`, so that a change is one
-//! batch and the loss of the keyspace's files is the loss of everything, never of a part. A change is synced before the
-//! next one begins; hence at most the last batch of the journal can be torn by a loss of power, and it is dropped.
+//! All of it is in a fjall database in the folder [`STORE_FOLDER`] under `data_dir`. A change is one batch, and is synced
+//! before the next one begins; hence a loss of power can tear at most the last batch of the journal, which is dropped.
+//!
+//! - `database`: the database with its format; `torn_journal`: its repair.
+//! - `folders`: the folders, and how one store replaces another.
+//! - [`writer`]: the thread that writes.
 
+mod database;
 mod error;
 mod folders;
-mod tail;
+mod torn_journal;
+pub mod writer;
 
+pub use database::FORMAT;
 pub use error::StoreError;
-pub use folders::{DISCARDED, FOLDER, FORMER, NEXT};
+pub use folders::{DISCARDED_FOLDER, FORMER_FOLDER, REPLACEMENT_FOLDER, STORE_FOLDER};
 
-use fjall::{CompressionType, Database, Keyspace, KeyspaceCreateOptions, PersistMode};
+use database::StoreDatabase;
+use fjall::{OwnedWriteBatch, PersistMode};
 use std::cell::Cell;
-use std::path::{Path, PathBuf};
-use std::sync::Arc;
+use std::io;
+use std::path::Path;
+use std::thread;
+use std::time::Duration;
 use streamusher_coordination::{DiskChange, DiskImage, LogPosition, StateMap, WitnessState};
-
-/// Format of the store; rises when older programs can't read it any more.
-pub const FORMAT: u32 = 1;
-
-/// The state is read once, at the start, and then held in memory: the cache only serves compactions.
-const CACHE_BYTES: u64 = 1 << 20;
-/// Written state is held here until it goes to a table; memory is priced.
-const MEMTABLE_BYTES: u64 = 2 << 20;
-/// The least that fjall takes.
-const JOURNAL_BYTES: u64 = 64 << 20;
-/// Flushes and compactions; fjall needs one thread.
-const WORKER_THREADS: usize = 1;
+use streamusher_protocol::store::Write;
 
 /// fjall keeps up to 64 MB of journal, reserves as much again for the next, and reads all of it at a start. A store with
-/// more than this is made anew while the process runs: disks are small, and making it holds up one change.
-const MOST_JOURNAL_BYTES: u64 = 40 << 20;
-/// At a start, when nobody waits for the disk yet, less is enough.
-const MOST_JOURNAL_BYTES_AT_START: u64 = 8 << 20;
+/// more than this is rewritten while the process runs: disks are small, and rewriting it delays one change.
+const MAX_JOURNAL_BYTES: u64 = 40 << 20;
+/// At a start, when nobody waits for the disk yet, the store is rewritten earlier.
+const MAX_JOURNAL_BYTES_AT_START: u64 = 8 << 20;
 
-/// What a journal adds to the key and the value of each entry, and what the rest of a batch takes with its position.
-const ENTRY_BYTES: usize = 22;
-const BATCH_BYTES: usize = 100;
+/// What a journal adds to the key and the value of each entry.
+const ENTRY_OVERHEAD_BYTES: usize = 22;
+/// What the rest of a batch takes in a journal, its position included.
+const BATCH_OVERHEAD_BYTES: usize = 100;
+
+/// Pause before a store that cannot be opened is opened again.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-const KEYSPACE: &str = "control";
-const FORMAT_KEY: &[u8] = b"m/format";
 const WITNESS_KEY: &[u8] = b"m/witness";
 const POSITION_KEY: &[u8] = b"m/position";
 /// Before each key of the replicated state.
@@ -48,48 +48,70 @@
 
 /// The opened store.
 pub struct Store {
-    folder: PathBuf,
-    database: Database,
-    keyspace: Keyspace,
+    database: StoreDatabase,
     /// About the length of the journals. Asking the database costs a system call for each change.
     journal_bytes: Cell<u64>,
 }
 
 impl Store {
-    /// Opens the store under `data_dir`, or makes an empty one, and reads all that it holds.
+    /// Opens the store under `data_dir`, or creates an empty one, and reads all that it holds.
     ///
     /// # Errors
     /// See [`StoreError`]; a damaged store is left as it is, for [`Store::discard`].
     pub fn open(data_dir: &Path) -> Result<(Store, DiskImage), StoreError> {
-        let folder = data_dir.join(FOLDER);
-        folders::prepare(data_dir).map_err(|error| StoreError::from_io(&folder, &error))?;
+        let folder = data_dir.join(STORE_FOLDER);
+        let io_error = |error: io::Error| StoreError::from_io(&folder, &error);
+        folders::prepare(data_dir).map_err(io_error)?;
         let mut store = Store::open_at(&folder)?;
-        folders::sync_all(data_dir).map_err(|error| StoreError::from_io(&folder, &error))?;
+        folders::sync_all(data_dir).map_err(io_error)?;
         let image = store.load()?;
-        if store.journal_bytes.get() > MOST_JOURNAL_BYTES_AT_START {
-            store = store.rebuild(data_dir)?;
+        if store.journal_bytes.get() > MAX_JOURNAL_BYTES_AT_START {
+            store = store.compact(data_dir)?;
         }
         Ok((store, image))
     }
 
-    /// Whether [`Store::rebuild`] is due.
-    pub fn is_too_large(&self) -> bool {
-        self.journal_bytes.get() > MOST_JOURNAL_BYTES
+    /// Opens the store at the start of the process. A damaged one is logged and emptied. An unavailable one is opened again
+    /// and again, as the process can do nothing without it. Blocks.
+    ///
+    /// # Errors
+    /// [`StoreError::NewerFormat`]: a newer program wrote the store.
+    pub fn open_at_startup(data_dir: &Path) -> Result<(Store, DiskImage), StoreError> {
+        loop {
+            let error = match Store::open(data_dir) {
+                Ok(opened) => return Ok(opened),
+                Err(error @ StoreError::NewerFormat { .. }) => return Err(error),
+                Err(error) => error,
+            };
+            log::error!("{error}");
+            let is_discarded = matches!(error, StoreError::Damaged { .. })
+                && Store::discard(data_dir)
+                    .inspect_err(|error| log::error!("{error}"))
+                    .is_ok();
+            if !is_discarded {
+                thread::sleep(RETRY_PAUSE);
+            }
+        }
+    }
+
+    /// Whether [`Store::compact`] is due.
+    pub fn needs_compaction(&self) -> bool {
+        self.journal_bytes.get() > MAX_JOURNAL_BYTES
     }
 
-    /// Makes the store anew with the newest value of each key alone, and puts it in the place of this one.
+    /// Rewrites the store with the newest value of each key alone, and puts the result in the place of this one.
     ///
     /// # Errors
     /// See [`StoreError`]; the store must be opened anew, and holds all that it held.
-    pub fn rebuild(self, data_dir: &Path) -> Result<Store, StoreError> {
-        let folder = data_dir.join(FOLDER);
-        let failed = |error: std::io::Error| StoreError::from_io(&folder, &error);
-        folders::prepare(data_dir).map_err(failed)?;
-        let next = Store::open_at(&data_dir.join(NEXT))?;
-        self.copy_to(&next)?;
-        drop(next);
+    pub fn compact(self, data_dir: &Path) -> Result<Store, StoreError> {
+        let folder = data_dir.join(STORE_FOLDER);
+        let io_error = |error: io::Error| StoreError::from_io(&folder, &error);
+        folders::prepare(data_dir).map_err(io_error)?;
+        let replacement = Store::open_at(&data_dir.join(REPLACEMENT_FOLDER))?;
+        self.database.copy_to(&replacement.database)?;
+        drop(replacement);
         drop(self);
-        folders::replace(data_dir).map_err(failed)?;
+        folders::replace(data_dir).map_err(io_error)?;
         Store::open_at(&folder)
     }
 
@@ -99,133 +121,51 @@
     /// The disk refuses; the store is there still, or gone as a whole.
     pub fn discard(data_dir: &Path) -> Result<(), StoreError> {
         folders::discard(data_dir)
-            .map_err(|error| StoreError::from_io(&data_dir.join(FOLDER), &error))
+            .map_err(|error| StoreError::from_io(&data_dir.join(STORE_FOLDER), &error))
     }
 
-    /// Carries out a change and syncs it. Blocks while the disk works.
+    /// Writes a change and syncs it. Blocks while the disk works.
     ///
     /// # Errors
     /// The change is on disk as a whole or not at all, and the store must be opened anew.
     pub fn apply(&self, change: &DiskChange) -> Result<(), StoreError> {
-        let mut batch = self
-            .database
-            .batch()
-            .durability(Some(PersistMode::SyncData));
-        let mut bytes = 0;
+        let mut batch = self.database.batch(PersistMode::SyncData);
+        let mut bytes = BATCH_OVERHEAD_BYTES;
         if change.replace_all {
             bytes += self.remove_state(&mut batch)?;
         }
         for write in &change.writes {
-            let key = [STATE_PREFIX, write.key.as_bytes()].concat();
-            bytes += ENTRY_BYTES + key.len() + write.value.as_ref().map_or(0, |value| value.len());
-            match &write.value {
-                Some(value) => batch.insert(&self.keyspace, key, value.as_bytes()),
-                None => batch.remove(&self.keyspace, key),
-            }
+            bytes += self.add_write(&mut batch, write);
         }
         if let Some(witness) = &change.witness {
-            let value = self.encode(witness)?;
-            bytes += ENTRY_BYTES + value.len();
-            batch.insert(&self.keyspace, WITNESS_KEY, value);
+            bytes += self.add_witness(&mut batch, witness)?;
         }
         if let Some(position) = &change.position {
-            batch.insert(&self.keyspace, POSITION_KEY, self.encode(position)?);
+            let value = self.database.encode(position)?;
+            batch.insert(&self.database.keyspace, POSITION_KEY, value);
         }
         self.journal_bytes
-            .set(self.journal_bytes.get() + (bytes + BATCH_BYTES) as u64);
-        batch.commit().map_err(|error| self.failed(&error))
+            .set(self.journal_bytes.get() + bytes as u64);
+        self.database.commit(batch)
     }
 
-    /// Opens a marked store, or makes one. A new one is opened twice, as the second opening gives back the 64 MB that
-    /// fjall reserves for a new journal.
     fn open_at(folder: &Path) -> Result<Store, StoreError> {
-        let store = Store::open_database(folder)?;
-        if store.check_format()? {
-            return Ok(store);
-        }
-        store.mark_format()?;
-        drop(store);
-        Store::open_database(folder)
-    }
-
-    fn copy_to(&self, next: &Store) -> Result<(), StoreError> {
-        let mut batch = next.database.batch().durability(Some(PersistMode::SyncAll));
-        for guard in self.keyspace.iter() {
-            let (key, value) = guard.into_inner().map_err(|error| self.failed(&error))?;
-            batch.insert(&next.keyspace, key, value);
-        }
-        batch.commit().map_err(|error| next.failed(&error))
-    }
-
-    fn open_database(folder: &Path) -> Result<Store, StoreError> {
-        let first = build(folder);
-        let database = match first {
-            Err(fjall::Error::JournalRecovery(reason)) => {
-                log::warn!(
-                    "store {}: {reason}: the torn end of the journal is dropped",
-                    folder.display()
-                );
-                tail::cut(folder).map_err(|error| StoreError::from_io(folder, &error))?;
-                build(folder)
-            }
-            other => other,
-        };
-        let failed = |error| StoreError::from_database(folder, &error);
-        let database = database.map_err(failed)?;
-        let keyspace = database
-            .keyspace(KEYSPACE, keyspace_options)
-            .map_err(failed)?;
-        let journal_bytes = Cell::new(database.journal_disk_space().map_err(failed)?);
+        let database = StoreDatabase::open(folder)?;
+        let journal_bytes = Cell::new(database.journal_bytes()?);
         Ok(Store {
-            folder: folder.to_owned(),
             database,
-            keyspace,
             journal_bytes,
         })
     }
 
-    /// Whether the store is marked.
-    fn check_format(&self) -> Result<bool, StoreError> {
-        let Some(found) = self.read::<u32>(FORMAT_KEY)? else {
-            return Ok(false);
-        };
-        match found {
-            1..=FORMAT => Ok(true),
-            0 => Err(StoreError::damaged(&self.folder, "format 0")),
-            _ => Err(StoreError::Newer {
-                folder: self.folder.clone(),
-                found,
-                known: FORMAT,
-            }),
-        }
-    }
-
-    /// Marks a new store; one that holds anything has a mark, as that is its first batch.
-    fn mark_format(&self) -> Result<(), StoreError> {
-        if !self
-            .keyspace
-            .is_empty()
-            .map_err(|error| self.failed(&error))?
-        {
-            return Err(StoreError::damaged(
-                &self.folder,
-                "the format's mark is missing",
-            ));
-        }
-        let mut batch = self.database.batch().durability(Some(PersistMode::SyncAll));
-        batch.insert(&self.keyspace, FORMAT_KEY, self.encode(&FORMAT)?);
-        batch.commit().map_err(|error| self.failed(&error))
-    }
-
     fn load(&self) -> Result<DiskImage, StoreError> {
-        let witness = self.read::<WitnessState>(WITNESS_KEY)?;
-        let position = self.read::<LogPosition>(POSITION_KEY)?;
+        let witness = self.database.read::<WitnessState>(WITNESS_KEY)?;
+        let position = self.database.read::<LogPosition>(POSITION_KEY)?;
         let state = self.load_state()?;
         if witness.is_none() && (position.is_some() || !state.is_empty()) {
-            return Err(StoreError::damaged(
-                &self.folder,
-                "there is state, but no witness's record",
-            ));
+            return Err(self
+                .database
+                .damaged("there is state, but no witness's record"));
         }
         Ok(DiskImage {
             witness,
@@ -236,64 +176,48 @@
 
     fn load_state(&self) -> Result<StateMap, StoreError> {
         let mut state = StateMap::new();
-        for guard in self.keyspace.prefix(STATE_PREFIX) {
-            let (key, value) = guard.into_inner().map_err(|error| self.failed(&error))?;
-            let key = self.text(&key[STATE_PREFIX.len()..])?;
-            state.insert(key, self.text(&value)?);
+        for guard in self.database.keyspace.prefix(STATE_PREFIX) {
+            let (key, value) = guard
+                .into_inner()
+                .map_err(|error| self.database.error(&error))?;
+            let key = self.database.decode_text(&key[STATE_PREFIX.len()..])?;
+            state.insert(key, self.database.decode_text(&value)?);
         }
         Ok(state)
     }
 
-    /// Gives the bytes that it adds to the journal.
-    fn remove_state(&self, batch: &mut fjall::OwnedWriteBatch) -> Result<usize, StoreError> {
+    /// Adds the removal of the whole state to a batch; returns the bytes that it adds to the journal.
+    fn remove_state(&self, batch: &mut OwnedWriteBatch) -> Result<usize, StoreError> {
         let mut bytes = 0;
-        for guard in self.keyspace.prefix(STATE_PREFIX) {
-            let key = guard.key().map_err(|error| self.failed(&error))?;
-            bytes += ENTRY_BYTES + key.len();
-            batch.remove(&self.keyspace, key);
+        for guard in self.database.keyspace.prefix(STATE_PREFIX) {
+            let key = guard.key().map_err(|error| self.database.error(&error))?;
+            bytes += ENTRY_OVERHEAD_BYTES + key.len();
+            batch.remove(&self.database.keyspace, key);
         }
         Ok(bytes)
     }
 
-    fn read<T: serde::de::DeserializeOwned>(&self, key: &[u8]) -> Result<Option<T>, StoreError> {
-        let value = self
-            .keyspace
-            .get(key)
-            .map_err(|error| self.failed(&error))?;
-        let Some(value) = value else { return Ok(None) };
-        let name = String::from_utf8_lossy(key);
-        let wrong = |error| StoreError::damaged(&self.folder, format!("{name}: {error}"));
-        serde_json::from_slice(&value).map(Some).map_err(wrong)
-    }
-
-    fn encode<T: serde::Serialize>(&self, value: &T) -> Result<Vec<u8>, StoreError> {
-        let wrong = |error: serde_json::Error| StoreError::damaged(&self.folder, error.to_string());
-        serde_json::to_vec(value).map_err(wrong)
-    }
-
-    fn text(&self, bytes: &[u8]) -> Result<Arc<str>, StoreError> {
-        let text = std::str::from_utf8(bytes)
-            .map_err(|_| StoreError::damaged(&self.folder, "not a text"))?;
-        Ok(text.into())
-    }
-
-    fn failed(&self, error: &fjall::Error) -> StoreError {
-        StoreError::from_database(&self.folder, error)
+    /// Adds a write of the state to a batch; returns the bytes that it adds to the journal.
+    fn add_write(&self, batch: &mut OwnedWriteBatch, write: &Write) -> usize {
+        let key = [STATE_PREFIX, write.key.as_bytes()].concat();
+        let value_bytes = write.value.as_ref().map_or(0, |value| value.len());
+        let bytes = ENTRY_OVERHEAD_BYTES + key.len() + value_bytes;
+        match &write.value {
+            Some(value) => batch.insert(&self.database.keyspace, key, value.as_bytes()),
+            None => batch.remove(&self.database.keyspace, key),
+        }
+        bytes
+    }
+
+    /// Adds the witness's state to a batch; returns the bytes that it adds to the journal.
+    fn add_witness(
+        &self,
+        batch: &mut OwnedWriteBatch,
+        witness: &WitnessState,
+    ) -> Result<usize, StoreError> {
+        let value = self.database.encode(witness)?;
+        let bytes = ENTRY_OVERHEAD_BYTES + value.len();
+        batch.insert(&self.database.keyspace, WITNESS_KEY, value);
+        Ok(bytes)
     }
 }
-
-fn build(folder: &Path) -> fjall::Result<Database> {
-    Database::builder(folder)
-        .cache_size(CACHE_BYTES)
-        .max_journaling_size(JOURNAL_BYTES)
-        .worker_threads(WORKER_THREADS)
-        .journal_compression(CompressionType::None)
-        .manual_journal_persist(true)
-        .open()
-}
-
-fn keyspace_options() -> KeyspaceCreateOptions {
-    KeyspaceCreateOptions::default()
-        .max_memtable_size(MEMTABLE_BYTES)
-        .manual_journal_persist(true)
-}
--- a/crates/controlplane/tests/cluster_example.rs
+++ b/crates/controlplane/tests/cluster_example.rs
@@ -37,12 +37,12 @@
     }
     let lines_of_changes = [
         ": primary ",
-        "primary from epoch ",
+        "became primary in epoch ",
         "the primary of epoch ",
         "configuration 1 taken",
         "is known, at agent-1",
         "drains: it is given no more work",
-        "asked to end: handing over",
+        "shutting down: transferring leadership",
     ];
     for part in lines_of_changes {
         assert!(log.contains(part), "{part}: {log}");
--- a/crates/controlplane/tests/cluster_status.rs
+++ b/crates/controlplane/tests/cluster_status.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{json, Value};
 use std::net::SocketAddr;
-use streamusher_controlplane::cluster_status::ask::{ask_all, Answers};
+use streamusher_controlplane::cluster_status::query::{query_all, StatusResponses};
 use streamusher_controlplane::cluster_status::report::{is_acting, render};
 use streamusher_controlplane::cluster_status::table::Table;
 use streamusher_controlplane::cluster_status::{health, Health};
@@ -12,7 +12,7 @@
 
 const CONFIGURATION: &str = r#"{"version":4,"routes":[{"name":"r","host":"h.example","path_prefix":"/a/","timeout_ms":3000,"service":"s"}],"services":[{"name":"s"}]}"#;
 
-fn roles(answers: &Answers) -> Vec<String> {
+fn roles(answers: &StatusResponses) -> Vec<String> {
     let role = |status: &Value| {
         status
             .pointer("/core/role")
@@ -41,9 +41,9 @@
             .await;
         assert!(is_ok(&taken));
 
-        let mut answers = ask_all(vec![cluster.internal(0)]).await;
+        let mut answers = query_all(vec![cluster.internal(0)]).await;
         while !answers.values().flatten().any(is_acting) {
-            answers = ask_all(vec![cluster.internal(0)]).await;
+            answers = query_all(vec![cluster.internal(0)]).await;
         }
         let text = render(&answers);
 
@@ -77,11 +77,11 @@
         let other = (primary + 1) % 3;
         cluster.stop_machine(other).await;
 
-        let answers = ask_all(vec![cluster.internal(primary)]).await;
+        let answers = query_all(vec![cluster.internal(primary)]).await;
 
         assert!(answers[&cluster.internal(other)].is_err());
         assert_eq!(health(&answers), Health::Impaired);
-        assert!(render(&answers).contains("no answer"));
+        assert!(render(&answers).contains("no response"));
         cluster.stop_all().await;
     });
 }
@@ -98,7 +98,7 @@
         json!({ "core": { "acting": true }, "scheduler": { "workers": { "a": 1 }, "queues": [2] } }),
     ];
     for (port, shape) in (1..).zip(shapes) {
-        let answers = Answers::from([(address(port), Ok(shape))]);
+        let answers = StatusResponses::from([(address(port), Ok(shape))]);
 
         assert!(render(&answers).contains("ADDRESS"));
     }
@@ -108,7 +108,7 @@
 fn given_cells_of_several_widths_then_columns_are_as_wide_as_their_widest_and_empty_ones_show_a_dash(
 ) {
     let mut table = Table::new(&["A", "LONGER"]);
-    table.row(["value".to_owned(), String::new()]);
+    table.add_row(["value".to_owned(), String::new()]);
 
     assert_eq!(table.render(), "A      LONGER\nvalue  -\n");
     assert_eq!(Table::new(&["A", "B"]).render(), "A: none\n");
--- a/crates/controlplane/tests/command_line.rs
+++ b/crates/controlplane/tests/command_line.rs
@@ -8,9 +8,9 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
-use streamusher_controlplane::options::{parse, ShareDebt, Task};
-use streamusher_controlplane::store::{Store, FOLDER, FORMAT};
-use streamusher_fair_share as share_debt;
+use streamusher_controlplane::options::{self, ClusterAddresses, FairShareSource, StatusFormat};
+use streamusher_controlplane::store::{Store, FORMAT, STORE_FOLDER};
+use streamusher_fair_share::FairShareSettings;
 use streamusher_protocol::internal::ExplainRequest;
 use support::TestFolder;
 
@@ -61,37 +61,49 @@
     text
 }
 
+fn cluster(addresses: &[&str], settings: Option<&str>) -> ClusterAddresses {
+    ClusterAddresses {
+        addresses: addresses
+            .iter()
+            .map(|address| address.parse().unwrap())
+            .collect(),
+        settings: settings.map(PathBuf::from),
+    }
+}
+
 #[rstest]
-#[case(&[], Task::Run { log_level: None, share_debt: None })]
-#[case(&["--log-level", "debug"], Task::Run { log_level: Some(log::LevelFilter::Debug), share_debt: None })]
+#[case(&[], options::Command::Run { log_level: None, fair_share: None })]
+#[case(&["--log-level", "debug"], options::Command::Run { log_level: Some(log::LevelFilter::Debug), fair_share: None })]
 #[case(&["--share-debt", "600"],
-    Task::Run { log_level: None, share_debt: Some(ShareDebt::Given(share_debt::FairShareSettings::with_half_life(600_000))) })]
+    options::Command::Run { log_level: None, fair_share: Some(FairShareSource::CommandLine(FairShareSettings::with_half_life(600_000))) })]
 #[case(&["--share-debt-settings", "debts.toml"],
-    Task::Run { log_level: None, share_debt: Some(ShareDebt::File("debts.toml".into())) })]
-#[case(&["--check"], Task::CheckSettings(None))]
-#[case(&["check"], Task::CheckSettings(None))]
+    options::Command::Run { log_level: None, fair_share: Some(FairShareSource::File("debts.toml".into())) })]
+#[case(&["--check"], options::Command::CheckSettings(None))]
+#[case(&["check"], options::Command::CheckSettings(None))]
 #[case(&["check", "--share-debt-settings", "debts.toml"],
-    Task::CheckSettings(Some(ShareDebt::File("debts.toml".into()))))]
-#[case(&["explain", "job", "5c0e7a21d94b36f8"], Task::Explain {
-    asked: ExplainRequest::Job("5c0e7a21d94b36f8".parse().unwrap()), addresses: Vec::new(), settings: None })]
-#[case(&["explain", "user", "scans", "10.0.0.1:7300", "--settings", "core.toml"], Task::Explain {
-    asked: ExplainRequest::User("scans".into()), addresses: vec!["10.0.0.1:7300".parse().unwrap()],
-    settings: Some("core.toml".into()) })]
-#[case(&["check", "--configuration", "c.toml"], Task::CheckConfiguration("c.toml".into()))]
-#[case(&["show-disk", "data"], Task::ShowDisk("data".into()))]
-#[case(&["status"], Task::Status { addresses: vec![], settings: None, json: false })]
+    options::Command::CheckSettings(Some(FairShareSource::File("debts.toml".into()))))]
+#[case(&["explain", "job", "5c0e7a21d94b36f8"], options::Command::Explain {
+    request: ExplainRequest::Job("5c0e7a21d94b36f8".parse().unwrap()), cluster: cluster(&[], None) })]
+#[case(&["explain", "user", "scans", "10.0.0.1:7300", "--settings", "core.toml"], options::Command::Explain {
+    request: ExplainRequest::User("scans".into()), cluster: cluster(&["10.0.0.1:7300"], Some("core.toml")) })]
+#[case(&["check", "--configuration", "c.toml"], options::Command::CheckConfiguration("c.toml".into()))]
+#[case(&["show-disk", "data"], options::Command::ShowDisk("data".into()))]
+#[case(&["status"], options::Command::Status { cluster: cluster(&[], None), format: StatusFormat::Tables })]
 #[case(&["status", "--json", "127.0.0.1:7300"],
-    Task::Status { addresses: vec!["127.0.0.1:7300".parse().unwrap()], settings: None, json: true })]
+    options::Command::Status { cluster: cluster(&["127.0.0.1:7300"], None), format: StatusFormat::Json })]
 #[case(&["status", "--settings", "s.toml"],
-    Task::Status { addresses: vec![], settings: Some("s.toml".into()), json: false })]
-#[case(&["--check-configuration", "c.json"], Task::CheckConfiguration("c.json".into()))]
-fn given_arguments_then_the_task_is_theirs(#[case] arguments: &[&str], #[case] task: Task) {
+    options::Command::Status { cluster: cluster(&[], Some("s.toml")), format: StatusFormat::Tables })]
+#[case(&["--check-configuration", "c.json"], options::Command::CheckConfiguration("c.json".into()))]
+fn given_arguments_then_the_task_is_theirs(
+    #[case] arguments: &[&str],
+    #[case] command: options::Command,
+) {
     let arguments: Vec<String> = arguments
         .iter()
         .map(|argument| argument.to_string())
         .collect();
 
-    assert_eq!(parse(&arguments), Ok(task));
+    assert_eq!(options::parse(&arguments), Ok(command));
 }
 
 #[rstest]
@@ -180,7 +192,9 @@
     let (settings, _) = settings_file(&folder, "(none)");
     let data = folder.path().join("data");
     drop(Store::open(&data).unwrap());
-    let database = fjall::Database::builder(data.join(FOLDER)).open().unwrap();
+    let database = fjall::Database::builder(data.join(STORE_FOLDER))
+        .open()
+        .unwrap();
     let keyspace = database.keyspace("control", Default::default).unwrap();
     keyspace
         .insert("m/format", (FORMAT + 1).to_string())
--- a/crates/controlplane/tests/driver.rs
+++ b/crates/controlplane/tests/driver.rs
@@ -5,8 +5,9 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::sync::Arc;
-use streamusher_controlplane::driver::{Action, ControlOutcome, ControlRequest, Driver, Recovery};
-use streamusher_controlplane::ports::{Replication, StateMachine};
+use streamusher_controlplane::driver::{
+    Action, ControlOutcome, ControlRequest, Driver, Recovery, Replication, StateMachine,
+};
 use streamusher_coordination::{Input, Output, StateMap};
 use streamusher_protocol::internal::{
     AgentCommands, AgentSync, ClientMethod, ClientRequest, ClientResponse, ClusterView, CoreAddress,
@@ -39,25 +40,25 @@
         std::mem::take(&mut self.0.borrow_mut().outputs)
     }
 
-    fn append(&mut self, _now: Millis, _writes: Vec<Write>) -> (u64, Vec<Output>) {
+    fn append(&mut self, _now: Millis, _writes: Vec<Write>) -> Vec<Output> {
         let mut script = self.0.borrow_mut();
         script.appended += 1;
-        (script.appended, std::mem::take(&mut script.after_append))
+        std::mem::take(&mut script.after_append)
     }
 
     fn may_act(&self, _now: Millis) -> bool {
         self.0.borrow().lease
     }
 
-    fn is_opening(&self) -> bool {
+    fn is_becoming_primary(&self) -> bool {
         self.0.borrow().opening
     }
 
-    fn appended(&self) -> u64 {
+    fn last_appended(&self) -> u64 {
         self.0.borrow().appended
     }
 
-    fn committed(&self) -> u64 {
+    fn last_committed(&self) -> u64 {
         self.0.borrow().committed
     }
 
@@ -181,7 +182,9 @@
         output: Output,
     ) -> (Vec<(RequestId, ControlOutcome)>, Vec<Recovery>) {
         self.script.0.borrow_mut().outputs.push(output);
-        let actions = self.driver.input(now(), Input::Persisted { ticket: 1 });
+        let actions = self
+            .driver
+            .handle_input(now(), Input::Persisted { ticket: 1 });
         let (recoveries, others): (Vec<Action>, Vec<Action>) = actions
             .into_iter()
             .partition(|action| matches!(action, Action::Recover(_)));
@@ -194,7 +197,7 @@
 
     fn recover(&mut self, recovery: Recovery) -> Vec<(RequestId, ControlOutcome)> {
         let epoch = recovery.epoch;
-        answers(self.driver.recovered(now(), epoch, recovery.run()))
+        answers(self.driver.on_recovered(now(), epoch, recovery.run()))
     }
 
     fn commit(&mut self, sequence: u64) -> Vec<(RequestId, ControlOutcome)> {
@@ -207,7 +210,7 @@
     }
 
     fn call(&mut self, call: ControlRequest) -> Vec<(RequestId, ControlOutcome)> {
-        answers(self.driver.call(now(), call).1)
+        answers(self.driver.on_request(now(), call).1)
     }
 
     fn tick(&mut self) -> Vec<(RequestId, ControlOutcome)> {
@@ -225,7 +228,7 @@
 
 fn answers(actions: Vec<Action>) -> Vec<(RequestId, ControlOutcome)> {
     let answer = |action| match action {
-        Action::Answer { request, answer } => Some((request, answer)),
+        Action::Respond { request, outcome } => Some((request, outcome)),
         _ => None,
     };
     actions.into_iter().filter_map(answer).collect()
@@ -285,7 +288,7 @@
 }
 
 fn is_reply(answer: &ControlOutcome) -> bool {
-    matches!(answer, ControlOutcome::Reply(_))
+    matches!(answer, ControlOutcome::Response(_))
 }
 
 #[rstest]
@@ -384,7 +387,7 @@
     next_effects(&[], vec![(1, agent_reply(3))]);
     let answers = fixture.commit(0);
     assert!(
-        matches!(&answers[..], [(1, ControlOutcome::Reply(_))]),
+        matches!(&answers[..], [(1, ControlOutcome::Response(_))]),
         "{answers:?}"
     );
     assert_eq!(events(), ["agent 1", "client 2", "operator 3"]);
@@ -435,7 +438,7 @@
 #[test]
 fn given_a_call_that_came_early_when_its_caller_leaves_then_it_is_not_carried_out() {
     let mut fixture = opening_with_a_call();
-    assert!(answers(fixture.driver.abandon(now(), 1)).is_empty());
+    assert!(answers(fixture.driver.on_caller_disconnected(now(), 1)).is_empty());
     fixture.set_lease(true);
     fixture.set_opening(false);
     assert!(fixture.tick().is_empty());
@@ -627,7 +630,7 @@
     fixture.told(Output::Elected { epoch: 5 });
 
     assert!(fixture.commit(1).is_empty());
-    assert_eq!(fixture.driver.outstanding(), 0);
+    assert_eq!(fixture.driver.in_flight_requests(), 0);
 }
 
 #[test]
@@ -653,10 +656,10 @@
     fixture.call(client(ClientMethod::Post));
     events();
 
-    assert!(fixture.driver.abandon(now(), 1).is_empty());
+    assert!(fixture.driver.on_caller_disconnected(now(), 1).is_empty());
     assert_eq!(events(), ["abandoned 1"]);
     assert!(fixture.commit(1).is_empty());
-    assert!(fixture.driver.abandon(now(), 1).is_empty());
+    assert!(fixture.driver.on_caller_disconnected(now(), 1).is_empty());
     assert!(events().is_empty());
 }
 
@@ -690,7 +693,7 @@
     let answers = fixture.call(agent());
 
     let view = match &answers[..] {
-        [(1, ControlOutcome::Reply(SchedulerResponse::Agent(orders)))] => orders.view.clone(),
+        [(1, ControlOutcome::Response(SchedulerResponse::Agent(orders)))] => orders.view.clone(),
         _ => None,
     };
     assert_eq!(view.map(|view| view.epoch), Some(3));
--- a/crates/controlplane/tests/encoded_forms.rs
+++ b/crates/controlplane/tests/encoded_forms.rs
@@ -12,7 +12,7 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::Arc;
-use streamusher_controlplane::peers::Envelope;
+use streamusher_controlplane::peer_messages::PeerEnvelope;
 use streamusher_controlplane::store::Store;
 use streamusher_coordination::{
     DiskChange, DiskId, EpochRecord, LogPosition, Member, Message, ProposalNumber, WitnessState,
@@ -199,7 +199,7 @@
 
 #[test]
 fn encoded_forms_are_as_recorded() {
-    let envelope = Envelope {
+    let envelope = PeerEnvelope {
         from: "10.0.0.1:7300".into(),
         messages: vec![
             Message::Hello {
@@ -211,7 +211,7 @@
             },
         ],
     };
-    let empty = Envelope {
+    let empty = PeerEnvelope {
         from: "10.0.0.2:7300".into(),
         messages: Vec::new(),
     };
@@ -220,7 +220,7 @@
 
     let recorded = fs::read_to_string(fixtures().join("encoded/envelope.jsonl")).unwrap();
     for (line, sent) in recorded.lines().zip([envelope, empty]) {
-        let received: Envelope = serde_json::from_str(line).unwrap();
+        let received: PeerEnvelope = serde_json::from_str(line).unwrap();
         assert_eq!(received.from, sent.from);
         assert_eq!(received.messages, sent.messages);
     }
--- a/crates/controlplane/tests/share_debt_file.rs
+++ b/crates/controlplane/tests/fair_share_file.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use std::fs;
-use streamusher_controlplane::share_debt_file::load;
+use streamusher_controlplane::fair_share_file::load;
 use streamusher_fair_share::FairShareSettings;
 use support::TestFolder;
 
--- a/crates/controlplane/tests/publication.rs
+++ b/crates/controlplane/tests/pending_configurations.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 use streamusher_configuration::relay::Published;
-use streamusher_controlplane::publication::Publication;
+use streamusher_controlplane::pending_configurations::PendingConfigurations;
 
 fn configuration(version: u64) -> Option<Published> {
     Some(Published {
@@ -12,9 +12,9 @@
     })
 }
 
-fn versions(publication: &mut Publication) -> Vec<u64> {
+fn versions(publication: &mut PendingConfigurations) -> Vec<u64> {
     publication
-        .take()
+        .take_committed()
         .iter()
         .map(|published| published.version)
         .collect()
@@ -22,12 +22,12 @@
 
 #[test]
 fn given_a_configuration_when_its_append_is_not_committed_then_it_is_not_told() {
-    let mut publication = Publication::default();
-    publication.taken(7, 5, || configuration(5));
+    let mut publication = PendingConfigurations::default();
+    publication.observe(7, 5, || configuration(5));
 
-    publication.committed(6);
-    assert!(!publication.is_ready());
-    publication.committed(7);
+    publication.on_committed(6);
+    assert!(!publication.has_committed());
+    publication.on_committed(7);
 
     assert_eq!(versions(&mut publication), [5]);
     assert_eq!(versions(&mut publication), [] as [u64; 0]);
@@ -35,23 +35,23 @@
 
 #[test]
 fn given_two_configurations_when_committed_together_then_both_are_told_in_their_order() {
-    let mut publication = Publication::default();
-    publication.taken(7, 5, || configuration(5));
-    publication.taken(8, 9, || configuration(9));
+    let mut publication = PendingConfigurations::default();
+    publication.observe(7, 5, || configuration(5));
+    publication.observe(8, 9, || configuration(9));
 
-    publication.committed(8);
+    publication.on_committed(8);
 
     assert_eq!(versions(&mut publication), [5, 9]);
-    assert!(!publication.is_pending());
+    assert!(!publication.has_uncommitted());
 }
 
 #[test]
 fn given_a_version_that_was_taken_when_events_follow_then_it_rests_on_its_first_append() {
-    let mut publication = Publication::default();
-    publication.taken(7, 5, || configuration(5));
+    let mut publication = PendingConfigurations::default();
+    publication.observe(7, 5, || configuration(5));
 
-    publication.taken(12, 5, || panic!("asked again"));
-    publication.committed(7);
+    publication.observe(12, 5, || panic!("asked again"));
+    publication.on_committed(7);
 
     assert_eq!(versions(&mut publication), [5]);
 }
--- a/crates/controlplane/tests/show_disk.rs
+++ b/crates/controlplane/tests/show_disk.rs
@@ -5,8 +5,8 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
-use streamusher_controlplane::show_disk::{show, ShowError};
-use streamusher_controlplane::store::{Store, StoreError, FOLDER, FORMAT};
+use streamusher_controlplane::show_disk::{show, ShowDiskError};
+use streamusher_controlplane::store::{Store, StoreError, FORMAT, STORE_FOLDER};
 use streamusher_coordination::{DiskChange, DiskId, EpochRecord, LogPosition, WitnessState};
 use streamusher_protocol::store::Write;
 use support::{files_below, journal_of, without_reserve, TestFolder};
@@ -92,7 +92,7 @@
     let refused = show(folder.path()).unwrap_err();
     drop(store);
 
-    assert!(matches!(refused, ShowError::InUse(_)), "{refused}");
+    assert!(matches!(refused, ShowDiskError::InUse(_)), "{refused}");
     assert!(show(folder.path()).is_ok());
 }
 
@@ -145,7 +145,7 @@
 #[test]
 fn given_a_newer_format_when_shown_then_it_is_named() {
     let folder = filled();
-    let database = fjall::Database::builder(folder.path().join(FOLDER))
+    let database = fjall::Database::builder(folder.path().join(STORE_FOLDER))
         .open()
         .unwrap();
     let keyspace = database.keyspace("control", Default::default).unwrap();
@@ -161,7 +161,7 @@
     assert!(
         matches!(
             refused,
-            ShowError::Store(StoreError::Newer { found: 2, .. })
+            ShowDiskError::Store(StoreError::NewerFormat { found: 2, .. })
         ),
         "{refused}"
     );
--- a/crates/controlplane/tests/store.rs
+++ b/crates/controlplane/tests/store.rs
@@ -6,8 +6,9 @@
 use std::fs;
 use std::path::Path;
 use std::sync::Arc;
-use streamusher_controlplane::disk::open_at_start;
-use streamusher_controlplane::store::{Store, StoreError, DISCARDED, FOLDER, FORMAT, FORMER, NEXT};
+use streamusher_controlplane::store::{
+    Store, StoreError, DISCARDED_FOLDER, FORMAT, FORMER_FOLDER, REPLACEMENT_FOLDER, STORE_FOLDER,
+};
 use streamusher_coordination::{
     DiskChange, DiskId, DiskImage, LogPosition, StateMap, WitnessState,
 };
@@ -295,7 +296,7 @@
     let refused = Store::open(folder.path()).err().unwrap();
 
     assert!(matches!(refused, StoreError::Damaged { .. }), "{refused}");
-    assert!(refused.to_string().contains(FOLDER), "{refused}");
+    assert!(refused.to_string().contains(STORE_FOLDER), "{refused}");
 }
 
 #[test]
@@ -313,12 +314,12 @@
     let folder = written(&[numbered(1, 10)]);
     fs::remove_file(journal_of(folder.path())).unwrap();
 
-    let (store, image) = open_at_start(folder.path()).unwrap();
+    let (store, image) = Store::open_at_startup(folder.path()).unwrap();
     drop(store);
 
     assert!(same(&image, &DiskImage::default()));
     assert!(same(&read(folder.path()), &DiskImage::default()));
-    assert!(!folder.path().join(DISCARDED).exists());
+    assert!(!folder.path().join(DISCARDED_FOLDER).exists());
 }
 
 #[test]
@@ -336,7 +337,7 @@
         let relative = file.strip_prefix(folder.path()).unwrap();
         fs::remove_file(copy.path().join(relative)).unwrap();
 
-        let (store, image) = open_at_start(copy.path()).unwrap();
+        let (store, image) = Store::open_at_startup(copy.path()).unwrap();
         drop(store);
 
         let is_all = same(&image, &whole);
@@ -354,7 +355,7 @@
 fn given_a_store_that_was_being_made_when_power_was_lost_then_it_is_made_anew() {
     let folder = TestFolder::new();
     drop(Store::open(folder.path()).unwrap());
-    fs::remove_file(folder.path().join(FOLDER).join("version")).unwrap();
+    fs::remove_file(folder.path().join(STORE_FOLDER).join("version")).unwrap();
 
     assert!(same(&read(folder.path()), &DiskImage::default()));
 }
@@ -362,10 +363,14 @@
 #[test]
 fn given_a_discarded_store_half_removed_when_opened_then_its_rest_is_gone() {
     let folder = written(&[numbered(1, 10)]);
-    fs::rename(folder.path().join(FOLDER), folder.path().join(DISCARDED)).unwrap();
+    fs::rename(
+        folder.path().join(STORE_FOLDER),
+        folder.path().join(DISCARDED_FOLDER),
+    )
+    .unwrap();
 
     assert!(same(&read(folder.path()), &DiskImage::default()));
-    assert!(!folder.path().join(DISCARDED).exists());
+    assert!(!folder.path().join(DISCARDED_FOLDER).exists());
 }
 
 #[test]
@@ -373,17 +378,17 @@
     let folder = written(&[numbered(1, 10)]);
     set_format(folder.path(), FORMAT + 1);
 
-    let refused = open_at_start(folder.path()).err().unwrap();
+    let refused = Store::open_at_startup(folder.path()).err().unwrap();
 
     assert!(
-        matches!(refused, StoreError::Newer { found, known, .. } if found == FORMAT + 1 && known == FORMAT)
+        matches!(refused, StoreError::NewerFormat { found, known, .. } if found == FORMAT + 1 && known == FORMAT)
     );
     set_format(folder.path(), FORMAT);
     assert_eq!(read(folder.path()).position.sequence, 1);
 }
 
 fn set_format(data_dir: &Path, format: u32) {
-    let database = fjall::Database::builder(data_dir.join(FOLDER))
+    let database = fjall::Database::builder(data_dir.join(STORE_FOLDER))
         .open()
         .unwrap();
     let keyspace = database.keyspace("control", Default::default).unwrap();
@@ -416,7 +421,7 @@
     }
     let before = bytes_below(folder.path());
 
-    let store = store.rebuild(folder.path()).unwrap();
+    let store = store.compact(folder.path()).unwrap();
     store
         .apply(&change(41, vec![Write::set("b", "1")]))
         .unwrap();
@@ -466,10 +471,10 @@
 }
 
 #[rstest]
-#[case::next_not_complete(&[(1, FOLDER), (2, NEXT)], 1)]
-#[case::first_name_moved(&[(1, FORMER), (2, NEXT)], 1)]
-#[case::both_names_moved(&[(1, FORMER), (2, FOLDER)], 2)]
-#[case::only_the_former_left(&[(1, FORMER)], 1)]
+#[case::next_not_complete(&[(1, STORE_FOLDER), (2, REPLACEMENT_FOLDER)], 1)]
+#[case::first_name_moved(&[(1, FORMER_FOLDER), (2, REPLACEMENT_FOLDER)], 1)]
+#[case::both_names_moved(&[(1, FORMER_FOLDER), (2, STORE_FOLDER)], 2)]
+#[case::only_the_former_left(&[(1, FORMER_FOLDER)], 1)]
 fn given_a_replacement_cut_short_when_opened_then_exactly_one_store_counts(
     #[case] stores: &[(u64, &str)],
     #[case] counts: u64,
@@ -477,12 +482,12 @@
     let folder = TestFolder::new();
     for (sequence, name) in stores {
         let made = written(&[numbered(*sequence, 10)]);
-        fs::rename(made.path().join(FOLDER), folder.path().join(name)).unwrap();
+        fs::rename(made.path().join(STORE_FOLDER), folder.path().join(name)).unwrap();
     }
 
     let image = read(folder.path());
 
     assert_eq!(image.position.sequence, counts);
-    assert!(!folder.path().join(NEXT).exists());
-    assert!(!folder.path().join(FORMER).exists());
+    assert!(!folder.path().join(REPLACEMENT_FOLDER).exists());
+    assert!(!folder.path().join(FORMER_FOLDER).exists());
 }
--- a/crates/controlplane/tests/support/cluster.rs
+++ b/crates/controlplane/tests/support/cluster.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::Duration;
-use streamusher_controlplane::program::Process;
+use streamusher_controlplane::process::{ControlProcess, ProcessError};
 use streamusher_protocol::config::BASE_VERSION_HEADER;
 use streamusher_protocol::internal::{ClusterView, ClusterWatch, CLUSTER_PATH, CLUSTER_WATCH_PATH};
 use streamusher_runtime::http::{Client, Request, Response};
@@ -40,7 +40,7 @@
 
 struct Running {
     orders: mpsc::UnboundedSender<Signal>,
-    task: JoinHandle<anyhow::Result<()>>,
+    task: JoinHandle<Result<(), ProcessError>>,
 }
 
 /// Runs a story within the runtime that the programs have.
@@ -87,7 +87,7 @@
 
     pub async fn start_machine(&mut self, machine: usize, bootstrap: bool) {
         let settings = self.settings(machine, bootstrap);
-        let process = Process::start(&settings, None).await.unwrap();
+        let process = ControlProcess::start(&settings, None).await.unwrap();
         let (orders, received) = mpsc::unbounded_channel();
         let task = spawn_local(process.run(received));
         self.running.insert(machine, Running { orders, task });
--- a/crates/emulator/src/fleet/core.rs
+++ b/crates/emulator/src/fleet/core.rs
@@ -117,14 +117,16 @@
             return;
         };
         core.leaving_since.get_or_insert(now.steady_ms);
-        let actions = core.driver.input(now, Input::Leave);
+        let actions = core.driver.handle_input(now, Input::Leave);
         self.perform(machine, actions);
     }
 
     pub(crate) fn core_received(&mut self, to: MachineId, from: Arc<str>, message: Message) {
         let now = self.clocks(to);
         let Some(core) = self.core(to) else { return };
-        let actions = core.driver.input(now, Input::Received { from, message });
+        let actions = core
+            .driver
+            .handle_input(now, Input::Received { from, message });
         self.perform(to, actions);
     }
 
@@ -139,7 +141,7 @@
         let Some(core) = self.core(machine) else {
             return;
         };
-        let (request, actions) = core.driver.call(now, body);
+        let (request, actions) = core.driver.on_request(now, body);
         core.calls.insert(request, (call, acknowledges));
         self.register(call, boot, request);
         self.perform(machine, actions);
@@ -154,7 +156,7 @@
             return;
         };
         core.calls.remove(&request);
-        let actions = core.driver.abandon(now, request);
+        let actions = core.driver.on_caller_disconnected(now, request);
         self.perform(machine, actions);
     }
 
@@ -182,7 +184,7 @@
             return;
         };
         let epoch = recovery.epoch;
-        let actions = core.driver.recovered(now, epoch, recovery.run());
+        let actions = core.driver.on_recovered(now, epoch, recovery.run());
         self.perform(machine, actions);
     }
 
@@ -208,7 +210,7 @@
         let Some(core) = self.core(machine) else {
             return;
         };
-        let actions = core.driver.input(now, input);
+        let actions = core.driver.handle_input(now, input);
         self.perform(machine, actions);
     }
 
@@ -240,7 +242,9 @@
                 Action::Send { to, message } => self.send_core(machine, &to, message),
                 Action::Persist { ticket, change } => self.persist(machine, ticket, change),
                 Action::Recover(recovery) => self.begin_recovery(machine, recovery),
-                Action::Answer { request, answer } => self.core_answers(machine, request, answer),
+                Action::Respond { request, outcome } => {
+                    self.core_answers(machine, request, outcome)
+                }
             }
         }
     }
@@ -275,15 +279,15 @@
             return;
         };
         let (outcome, success) = match answer {
-            ControlOutcome::Reply(SchedulerResponse::Client(reply)) => {
+            ControlOutcome::Response(SchedulerResponse::Client(reply)) => {
                 let success = (200..300).contains(&reply.status);
                 (Outcome::Client(reply), success)
             }
-            ControlOutcome::Reply(SchedulerResponse::Operator(reply)) => {
+            ControlOutcome::Response(SchedulerResponse::Operator(reply)) => {
                 let success = (200..300).contains(&reply.status);
                 (Outcome::Operator(reply), success)
             }
-            ControlOutcome::Reply(SchedulerResponse::Agent(orders)) => {
+            ControlOutcome::Response(SchedulerResponse::Agent(orders)) => {
                 (Outcome::Orders(Arc::new(orders)), false)
             }
             ControlOutcome::NotPrimary(view) => (Outcome::NotPrimary(view), false),
