--- a/crates/controlplane/src/component_settings.rs
+++ b/crates/controlplane/src/component_settings.rs
@@ -38,21 +38,17 @@
 ) -> SchedulerSettings {
     let bounds = &settings.bounds;
     let limits = SchedulerLimits {
-        hold_max_ms: bounds.hold_max_ms,
-        stop_ms: bounds.stop_ms,
-        gang_ms: bounds.gang_ms,
-        status_ms: milliseconds(bounds.status_s),
-        early_ms: bounds.early_ms,
-        far_x: bounds.far_x,
-        save_ms: milliseconds(bounds.save_s),
-        restore_ms: bounds.restore_ms,
-        drain_ms: bounds.drain_ms,
-        heartbeat_ms: settings.heartbeat_ms,
+        max_lease_ms: bounds.hold_max_ms,
+        max_stop_ms: bounds.stop_ms,
+        gang_timeout_ms: bounds.gang_ms,
+        status_retention_ms: milliseconds(bounds.status_s),
+        remote_slowdown: bounds.far_x,
+        checkpoint_restore_ms: bounds.restore_ms,
     };
     SchedulerSettings {
         limits,
         random_seed,
-        share_debt: fair_share,
+        fair_share,
         policy: Policy::default(),
     }
 }
--- a/crates/controlplane/src/driver/mod.rs
+++ b/crates/controlplane/src/driver/mod.rs
@@ -24,7 +24,8 @@
 use streamusher_protocol::internal::CoreAddress;
 use streamusher_protocol::{Millis, Now};
 use streamusher_scheduler::{
-    Effects, Event, RecoverError, RequestId, Scheduler, SchedulerResponse, SchedulerSettings,
+    Effects, Event, PendingResponse, RecoverError, RequestId, Scheduler, SchedulerResponse,
+    SchedulerSettings,
 };
 
 /// Configurations that were committed in one term.
@@ -89,7 +90,7 @@
     pub fn on_caller_disconnected(&mut self, now: Now, request: RequestId) -> Vec<Action> {
         self.deferred.remove(request);
         if self.in_flight.remove(request) {
-            self.run_event(now, Event::Abandoned { request }, None);
+            self.run_event(now, Event::RequestAbandoned { id: request }, None);
         }
         self.take_actions()
     }
@@ -210,9 +211,15 @@
     fn execute(&mut self, now: Now, request: RequestId, body: ControlRequest) {
         self.in_flight.insert(request, &body);
         let event = match body {
-            ControlRequest::Client(call) => Event::Client { request, call },
-            ControlRequest::Agent(sync) => Event::Agent { request, sync },
-            ControlRequest::Operator(order) => Event::Operator { request, order },
+            ControlRequest::Client(call) => Event::ClientRequest {
+                id: request,
+                request: call,
+            },
+            ControlRequest::Agent(sync) => Event::AgentSync { id: request, sync },
+            ControlRequest::Operator(order) => Event::OperatorRequest {
+                id: request,
+                request: order,
+            },
         };
         self.run_event(now, event, Some(request));
     }
@@ -222,7 +229,7 @@
         let Some(scheduler) = &mut self.scheduler else {
             return;
         };
-        let Effects { writes, replies } = scheduler.handle(now, event);
+        let Effects { writes, responses } = scheduler.handle(now, event);
         let has_writes = !writes.is_empty();
         let mut outputs = Vec::new();
         if has_writes {
@@ -230,7 +237,7 @@
         }
         self.observe_configuration();
         let sequence = self.replication.last_appended();
-        for (request, response) in replies {
+        for PendingResponse { request, response } in responses {
             self.in_flight.add_response(PendingResponse {
                 request,
                 response,
--- a/crates/controlplane/tests/driver.rs
+++ b/crates/controlplane/tests/driver.rs
@@ -15,8 +15,8 @@
 use streamusher_protocol::store::Write;
 use streamusher_protocol::{Millis, Now};
 use streamusher_scheduler::{
-    Effects, Event, OperatorRequest, OperatorRequestKind, OperatorResponse, RecoverError,
-    RequestId, SchedulerLimits, SchedulerResponse, SchedulerSettings,
+    Effects, Event, OperatorRequest, OperatorRequestKind, OperatorResponse, PendingResponse,
+    RecoverError, RequestId, SchedulerLimits, SchedulerResponse, SchedulerSettings,
 };
 
 /// What the replication under the driver says.
@@ -103,10 +103,10 @@
 
     fn handle(&mut self, _now: Now, event: Event) -> Effects {
         record(match event {
-            Event::Client { request, .. } => format!("client {request}"),
-            Event::Agent { request, .. } => format!("agent {request}"),
-            Event::Operator { request, .. } => format!("operator {request}"),
-            Event::Abandoned { request } => format!("abandoned {request}"),
+            Event::ClientRequest { id: request, .. } => format!("client {request}"),
+            Event::AgentSync { id: request, .. } => format!("agent {request}"),
+            Event::OperatorRequest { id: request, .. } => format!("operator {request}"),
+            Event::RequestAbandoned { id: request } => format!("abandoned {request}"),
             Event::Tick => "tick".to_owned(),
         });
         EFFECTS
@@ -125,7 +125,15 @@
 
 fn next_effects(writes: &[&str], replies: Vec<(RequestId, SchedulerResponse)>) {
     let writes = writes.iter().map(|key| Write::set(*key, "1")).collect();
-    EFFECTS.with(|effects| effects.borrow_mut().push_back(Effects { writes, replies }));
+    let responses = replies
+        .into_iter()
+        .map(|(request, response)| PendingResponse { request, response })
+        .collect();
+    EFFECTS.with(|effects| {
+        effects
+            .borrow_mut()
+            .push_back(Effects { writes, responses })
+    });
 }
 
 struct Fixture {
@@ -137,7 +145,7 @@
     SchedulerSettings {
         limits: SchedulerLimits::default(),
         random_seed: 1,
-        share_debt: None,
+        fair_share: None,
         policy: streamusher_scheduler::Policy::default(),
     }
 }
--- a/crates/emulator/src/fleet/core.rs
+++ b/crates/emulator/src/fleet/core.rs
@@ -65,19 +65,15 @@
         };
         let scheduler = SchedulerSettings {
             limits: SchedulerLimits {
-                hold_max_ms: bounds.hold_max_ms,
-                stop_ms: bounds.stop_ms,
-                gang_ms: bounds.gang_ms,
-                status_ms: bounds.status_ms,
-                early_ms: bounds.early_ms,
-                far_x: bounds.far_x,
-                save_ms: bounds.save_ms,
-                restore_ms: bounds.restore_ms,
-                drain_ms: bounds.drain_ms,
-                heartbeat_ms: bounds.heartbeat_ms,
+                max_lease_ms: bounds.hold_max_ms,
+                max_stop_ms: bounds.stop_ms,
+                gang_timeout_ms: bounds.gang_ms,
+                status_retention_ms: bounds.status_ms,
+                remote_slowdown: bounds.far_x,
+                checkpoint_restore_ms: bounds.restore_ms,
             },
             random_seed,
-            share_debt: None,
+            fair_share: None,
             policy: self.setup.policy,
         };
         let coordinator = Coordinator::new(replication, state.disk.image.clone(), now.steady_ms);
--- a/crates/emulator/src/losses.rs
+++ b/crates/emulator/src/losses.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 use streamusher_jobs::{Completion, LatencyStage};
-use streamusher_scheduler::accounts::MISSED_OBJECTIVE;
+use streamusher_scheduler::OBJECTIVE_MISSED_PREFIX;
 
 /// Parts of the figure, as reports name them.
 const WHOLE_DAY: &str = "whole day";
@@ -164,7 +164,7 @@
 
 /// A line, and how many before it the log kept back.
 fn parse(text: &str) -> Option<(Missed, u32)> {
-    let (before, told) = text.split_once(MISSED_OBJECTIVE)?;
+    let (before, told) = text.split_once(OBJECTIVE_MISSED_PREFIX)?;
     let (json, rest) = told.split_at(told.rfind('}')? + 1);
     let ended_s: f64 = before.split_whitespace().next()?.parse().ok()?;
     let line: Completion = serde_json::from_str(json).ok()?;
--- a/crates/scheduler/examples/takeover.rs
+++ b/crates/scheduler/examples/takeover.rs
@@ -24,7 +24,7 @@
     SchedulerSettings {
         limits: SchedulerLimits::default(),
         random_seed: 1,
-        share_debt: None,
+        fair_share: None,
         policy: streamusher_scheduler::Policy::default(),
     }
 }
@@ -46,9 +46,9 @@
         base: Some(0),
         body: CONFIGURATION.into(),
     };
-    let events = (0..jobs).map(|number| Event::Client {
-        request: number,
-        call: ClientRequest {
+    let events = (0..jobs).map(|number| Event::ClientRequest {
+        id: number,
+        request: ClientRequest {
             method: ClientMethod::Post,
             host: "h".into(),
             path: format!("/q/{number:016x}").into(),
@@ -56,9 +56,9 @@
             configuration_version: 0,
         },
     });
-    for event in std::iter::once(Event::Operator {
-        request: jobs,
-        order,
+    for event in std::iter::once(Event::OperatorRequest {
+        id: jobs,
+        request: order,
     })
     .chain(events)
     {
--- /dev/null
+++ b/crates/scheduler/src/agent_sync.rs
@@ -0,0 +1,50 @@
+//! Agents' requests: a report of the worker, answered with commands.
+
+use crate::agents::DeferredSync;
+use crate::cluster_state::ClusterState;
+use crate::commands;
+use crate::event::RequestId;
+use crate::worker_report;
+use std::sync::Arc;
+use streamusher_protocol::internal::AgentSync;
+use streamusher_protocol::{Millis, Now};
+
+/// Longest time for which an agent's request is deferred, whatever it asks for.
+const MAX_DEFERRAL_MS: Millis = 1_000;
+
+/// Takes an agent's report, and defers its request until there are new commands.
+pub(crate) fn on_agent_sync(state: &mut ClusterState, now: Now, id: RequestId, sync: &AgentSync) {
+    if state.agents.get_or_insert(&sync.agent).is_overtaken(sync) {
+        commands::respond(state, id, &sync.agent);
+        return;
+    }
+    if let Some(former) = state.agents.take_deferred(&sync.agent) {
+        commands::respond(state, former.request, &sync.agent);
+    }
+    update_session(state, now.steady_ms, sync);
+    if let Some(report) = &sync.worker {
+        worker_report::on_worker_report(state, now, &sync.agent, report);
+    }
+    let deferred = DeferredSync {
+        request: id,
+        deadline: now.steady_ms + sync.wait_ms.min(MAX_DEFERRAL_MS),
+    };
+    state.agents.defer(&sync.agent, deferred);
+}
+
+fn update_session(state: &mut ClusterState, now: Millis, sync: &AgentSync) {
+    let epoch = state.epoch;
+    let session = state.agents.get_or_insert(&sync.agent);
+    session.on_sync(now, epoch, sync);
+    if session.worker.is_none() {
+        assign_recorded_worker(state, &sync.agent);
+    }
+}
+
+/// Names the recorded worker to an agent that has reported none: the agent can then report that it is gone.
+fn assign_recorded_worker(state: &mut ClusterState, agent: &Arc<str>) {
+    let recorded = state.workers.ids_of_agent(agent).next().cloned();
+    if let (Some(worker), Some(session)) = (recorded, state.agents.get_mut(agent)) {
+        session.assign_worker(worker);
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/agents.rs
@@ -0,0 +1,225 @@
+//! Sessions of agents: their deferred requests, and the commands that they are to hold.
+//!
+//! Nothing here is replicated. Each primary counts an agent's command revisions anew; its epoch tells them apart from
+//! those of other primaries.
+
+use crate::event::RequestId;
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+use streamusher_protocol::heartbeat::{StartCommand, StopCommand};
+use streamusher_protocol::internal::{AgentCommands, AgentSync};
+use streamusher_protocol::unit::WorkerId;
+use streamusher_protocol::Millis;
+
+/// An agent's request that is held until there are new commands, or until its deadline.
+#[derive(Debug)]
+pub(crate) struct DeferredSync {
+    pub(crate) request: RequestId,
+    pub(crate) deadline: Millis,
+}
+
+/// The content of an agent's commands; each change of it gets a new revision.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub(crate) struct CommandSet {
+    pub(crate) worker: Option<WorkerId>,
+    /// Finished runs up to this sequence number are processed.
+    pub(crate) last_finished: u64,
+    pub(crate) start: Vec<StartCommand>,
+    pub(crate) stop: Vec<StopCommand>,
+}
+
+/// An agent as this primary knows it.
+#[derive(Debug, Default)]
+pub(crate) struct AgentSession {
+    /// Identifies the start of the agent's process.
+    boot: u64,
+    /// The first revision made since this start called: who confirms it is not an earlier start.
+    first_revision: u64,
+    /// Sequence number of the newest request of this start.
+    sequence: u64,
+    /// The worker that it reports, or that the replicated state names for it.
+    pub(crate) worker: Option<WorkerId>,
+    pub(crate) last_sync_at: Millis,
+    deferred: Option<DeferredSync>,
+    revision: u64,
+    commands: CommandSet,
+    /// The newest revision that the agent is known to hold.
+    confirmed_revision: u64,
+    /// Its commands must be computed anew.
+    commands_stale: bool,
+}
+
+impl AgentSession {
+    /// Whether a request was overtaken by a newer one of the same start.
+    pub(crate) fn is_overtaken(&self, sync: &AgentSync) -> bool {
+        self.boot == sync.boot && sync.sequence <= self.sequence
+    }
+
+    /// Takes note of a request that is not overtaken, at a primary of this epoch.
+    pub(crate) fn on_sync(&mut self, now: Millis, epoch: u64, sync: &AgentSync) {
+        if self.boot != sync.boot {
+            self.restart(sync.boot);
+        }
+        self.sequence = sync.sequence;
+        self.last_sync_at = now;
+        self.confirmed_revision = if sync.epoch == epoch {
+            sync.revision
+        } else {
+            0
+        };
+    }
+
+    /// Another start of the agent has called: only its worker and the count of revisions go on.
+    fn restart(&mut self, boot: u64) {
+        let worker = self.worker.take();
+        let first_revision = self.revision + 1;
+        *self = AgentSession {
+            boot,
+            first_revision,
+            revision: first_revision,
+            worker,
+            commands_stale: true,
+            ..AgentSession::default()
+        };
+    }
+
+    /// Names the worker that the commands are for.
+    pub(crate) fn assign_worker(&mut self, worker: WorkerId) {
+        self.worker = Some(worker);
+        self.commands_stale = true;
+    }
+
+    /// Whether the newest request surely came from the present start: one of an earlier start may arrive late.
+    pub(crate) fn is_confirmed_by_present_start(&self) -> bool {
+        self.confirmed_revision >= self.first_revision
+    }
+
+    pub(crate) fn confirmed_revision(&self) -> u64 {
+        self.confirmed_revision
+    }
+
+    /// The revision that the next change of commands gets.
+    pub(crate) fn next_revision(&self) -> u64 {
+        self.revision + 1
+    }
+}
+
+/// All agents that have called this primary.
+pub(crate) struct AgentTable {
+    epoch: u64,
+    lease_ms: Millis,
+    sessions: BTreeMap<Arc<str>, AgentSession>,
+    /// Agents that called, or whose commands became stale, since deferred requests were last answered.
+    to_review: BTreeSet<Arc<str>>,
+    /// Deadlines of deferred requests; those of requests that were answered meanwhile may still be listed.
+    deadlines: BTreeSet<(Millis, Arc<str>)>,
+}
+
+impl AgentTable {
+    /// No agent has called yet; the commands carry this epoch and this lease.
+    pub(crate) fn new(epoch: u64, lease_ms: Millis) -> AgentTable {
+        AgentTable {
+            epoch,
+            lease_ms,
+            sessions: BTreeMap::new(),
+            to_review: BTreeSet::new(),
+            deadlines: BTreeSet::new(),
+        }
+    }
+
+    pub(crate) fn get(&self, name: &str) -> Option<&AgentSession> {
+        self.sessions.get(name)
+    }
+
+    pub(crate) fn get_mut(&mut self, name: &str) -> Option<&mut AgentSession> {
+        self.sessions.get_mut(name)
+    }
+
+    pub(crate) fn get_or_insert(&mut self, name: &Arc<str>) -> &mut AgentSession {
+        self.sessions.entry(name.clone()).or_default()
+    }
+
+    /// Holds a request until its deadline.
+    pub(crate) fn defer(&mut self, name: &Arc<str>, deferred: DeferredSync) {
+        self.deadlines.insert((deferred.deadline, name.clone()));
+        self.to_review.insert(name.clone());
+        self.get_or_insert(name).deferred = Some(deferred);
+    }
+
+    /// Ends the deferral of an agent's request, whatever its deadline.
+    pub(crate) fn take_deferred(&mut self, name: &str) -> Option<DeferredSync> {
+        self.sessions.get_mut(name)?.deferred.take()
+    }
+
+    /// Ends the deferral of an agent's request if its deadline is over or the agent lacks the newest commands.
+    pub(crate) fn take_due(&mut self, now: Millis, name: &str) -> Option<DeferredSync> {
+        let session = self.sessions.get_mut(name)?;
+        let has_news = session.confirmed_revision < session.revision;
+        session
+            .deferred
+            .take_if(|deferred| has_news || deferred.deadline <= now)
+    }
+
+    /// Drops a deferred request that nobody waits for any more.
+    pub(crate) fn drop_deferred(&mut self, request: RequestId) {
+        for session in self.sessions.values_mut() {
+            session
+                .deferred
+                .take_if(|deferred| deferred.request == request);
+        }
+    }
+
+    /// Takes the names of the agents whose deferred request may be due, in order.
+    pub(crate) fn take_to_review(&mut self, now: Millis) -> BTreeSet<Arc<str>> {
+        let mut names = std::mem::take(&mut self.to_review);
+        while let Some((deadline, name)) = self.deadlines.pop_first() {
+            if deadline > now {
+                self.deadlines.insert((deadline, name));
+                break;
+            }
+            names.insert(name);
+        }
+        names
+    }
+
+    /// An agent's commands must be computed anew.
+    pub(crate) fn invalidate_commands(&mut self, name: &Arc<str>) {
+        if let Some(session) = self.sessions.get_mut(name) {
+            session.commands_stale = true;
+            self.to_review.insert(name.clone());
+        }
+    }
+
+    /// The agent's session, if its commands must be computed anew.
+    pub(crate) fn stale(&self, name: &str) -> Option<&AgentSession> {
+        self.get(name).filter(|session| session.commands_stale)
+    }
+
+    /// Sets an agent's commands; a change, or the first ones, get a new revision.
+    pub(crate) fn set_commands(&mut self, name: &str, commands: CommandSet) {
+        let Some(session) = self.sessions.get_mut(name) else {
+            return;
+        };
+        session.commands_stale = false;
+        if session.commands != commands || session.revision == 0 {
+            session.commands = commands;
+            session.revision += 1;
+        }
+    }
+
+    /// An agent's present commands, in their wire form.
+    pub(crate) fn commands(&self, name: &str) -> Option<AgentCommands> {
+        let session = self.get(name)?;
+        let commands = &session.commands;
+        Some(AgentCommands {
+            epoch: self.epoch,
+            revision: session.revision,
+            lease_ms: self.lease_ms,
+            instance: commands.worker.clone(),
+            last_seen: commands.last_finished,
+            start: commands.start.clone(),
+            stop: commands.stop.clone(),
+            view: None,
+        })
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/cluster_state.rs
@@ -0,0 +1,341 @@
+//! State of the cluster as the primary knows it, and the transitions that keep its parts consistent.
+//!
+//! A run is in the job table, holds capacity in placement, is in the run table, accrues usage in fair share and stands in
+//! its agent's commands. The transitions here change all of them together; what happened, and what is to be done about
+//! it, is decided by the modules that call them.
+
+use crate::agents::AgentTable;
+use crate::event::{Effects, PendingResponse, RequestId, SchedulerResponse};
+use crate::fair_share::FairShare;
+use crate::objective_report::{latency_stages, log_if_missed};
+use crate::penalty_store::PenaltyStore;
+use crate::runs::{ActiveRun, RunProfile, RunTable};
+use crate::settings::SchedulerSettings;
+use crate::workers::WorkerTable;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use streamusher_jobs::{JobTable, StartedRun};
+use streamusher_placement::{Decision, Placement, ReleaseReason, WorkerInfo};
+use streamusher_protocol::heartbeat::WorkerState;
+use streamusher_protocol::store::Write;
+use streamusher_protocol::task::{RunEnd, RunId, TaskId};
+use streamusher_protocol::unit::{Unit, UnitId, WorkerId};
+use streamusher_protocol::{Millis, Now};
+
+/// Keys of the replicated state that name the agent of a worker; the worker's identifier follows.
+pub(crate) const WORKER_KEY_PREFIX: &str = "worker/";
+
+/// State of the cluster.
+pub(crate) struct ClusterState {
+    pub(crate) settings: SchedulerSettings,
+    pub(crate) epoch: u64,
+    pub(crate) jobs: JobTable,
+    pub(crate) placement: Placement,
+    pub(crate) runs: RunTable,
+    pub(crate) workers: WorkerTable,
+    pub(crate) agents: AgentTable,
+    /// Units that are ready and have no worker; placement forgets a unit as it places it.
+    pub(crate) pending_units: BTreeMap<UnitId, Unit>,
+    /// None where fair share is switched off.
+    pub(crate) fair_share: Option<FairShare>,
+    pub(crate) penalties: PenaltyStore,
+    effects: Effects,
+}
+
+impl ClusterState {
+    /// Without runs, workers and agents.
+    pub(crate) fn new(
+        settings: SchedulerSettings,
+        epoch: u64,
+        jobs: JobTable,
+        fair_share: Option<FairShare>,
+        penalties: PenaltyStore,
+    ) -> ClusterState {
+        ClusterState {
+            placement: Placement::new(settings.for_placement()),
+            agents: AgentTable::new(epoch, settings.limits.max_lease_ms),
+            settings,
+            epoch,
+            jobs,
+            runs: RunTable::default(),
+            workers: WorkerTable::default(),
+            pending_units: BTreeMap::new(),
+            fair_share,
+            penalties,
+            effects: Effects::default(),
+        }
+    }
+
+    /// Takes the effects of all that was done since the last call.
+    pub(crate) fn take_effects(&mut self) -> Effects {
+        std::mem::take(&mut self.effects)
+    }
+
+    /// Answers a request once all writes so far are committed.
+    pub(crate) fn respond(&mut self, request: RequestId, response: SchedulerResponse) {
+        self.effects
+            .responses
+            .push(PendingResponse { request, response });
+    }
+
+    /// Changes the replicated state.
+    pub(crate) fn write(&mut self, writes: impl IntoIterator<Item = Write>) {
+        self.effects.writes.extend(writes);
+    }
+
+    /// Moves changes between the job table and placement until there are none.
+    pub(crate) fn schedule(&mut self, now: Now) {
+        loop {
+            self.apply_job_changes(now);
+            let decisions = self.placement.place(now.steady_ms);
+            if decisions.is_empty() {
+                break;
+            }
+            for decision in decisions {
+                self.apply_decision(now, decision);
+            }
+        }
+    }
+
+    /// Applies what the job table wants done.
+    pub(crate) fn apply_job_changes(&mut self, now: Now) {
+        let changes = self.jobs.take_changes();
+        self.write(changes.writes);
+        for unit in changes.revoked_units {
+            self.pending_units.remove(&unit);
+            self.placement.withdraw(&unit);
+        }
+        for unit in changes.ready_units {
+            self.enqueue_unit(now.steady_ms, unit);
+        }
+        for run in changes.runs_to_stop {
+            self.stop_run(&run);
+        }
+        for completion in &changes.completions {
+            log_if_missed(completion);
+        }
+    }
+
+    fn enqueue_unit(&mut self, now: Millis, unit: Unit) {
+        self.pending_units.insert(unit.id.clone(), unit.clone());
+        let order = match &self.fair_share {
+            Some(fair_share) => fair_share.order_key(&self.jobs, &unit),
+            None => unit.order,
+        };
+        self.placement.enqueue(now, Unit { order, ..unit });
+    }
+
+    fn apply_decision(&mut self, now: Now, decision: Decision) {
+        match decision {
+            Decision::Start {
+                unit,
+                assignments,
+                waits,
+            } => {
+                self.jobs.record_wait(now, &unit, &latency_stages(&waits));
+                let placed: Vec<(TaskId, WorkerId)> = assignments
+                    .into_iter()
+                    .map(|assignment| (assignment.task, assignment.worker))
+                    .collect();
+                self.start_unit(now, &unit, &placed);
+            }
+            Decision::Preempt { task, worker } => {
+                if let Some(run) = self.runs.find(&task, &worker) {
+                    log::info!(
+                        "task {task} at worker {worker} preempted by a unit of higher priority"
+                    );
+                    self.stop_run(&run);
+                }
+            }
+        }
+    }
+
+    fn start_unit(&mut self, now: Now, id: &UnitId, placed: &[(TaskId, WorkerId)]) {
+        let unit = self.pending_units.remove(id);
+        let started = self.jobs.start_unit(now, id, placed);
+        let Some(unit) = unit.filter(|_| !started.is_empty()) else {
+            return self.release_unstarted(now.steady_ms, id, placed);
+        };
+        for started in started {
+            self.start_run(now.steady_ms, &unit, started);
+        }
+    }
+
+    fn start_run(&mut self, now: Millis, unit: &Unit, started: StartedRun) {
+        self.record_agent(&started.worker);
+        if let Some(fair_share) = &mut self.fair_share {
+            fair_share.on_run_started(now, &self.jobs, &started.run, &unit.resources);
+        }
+        let profile = RunProfile {
+            estimated_ms: unit.estimated_ms,
+            long_running: unit.long_running,
+            in_gang: unit.id.index.is_none(),
+            may_hedge: unit.hedged,
+        };
+        let worker = started.worker.clone();
+        let run = ActiveRun::starting(
+            now,
+            started.worker,
+            started.spec,
+            started.checkpoint,
+            profile,
+        );
+        self.runs.insert(started.run, run);
+        self.invalidate_commands(&worker);
+    }
+
+    /// Releases the capacity of a unit that was placed and must not start.
+    fn release_unstarted(&mut self, now: Millis, id: &UnitId, placed: &[(TaskId, WorkerId)]) {
+        log::error!(
+            "bug: unit {id:?} was placed without being pending: its allocation is released, please report this"
+        );
+        for (task, worker) in placed {
+            self.placement
+                .release(now, task, worker, ReleaseReason::Withdrawn);
+        }
+    }
+
+    /// Replicates the agent of a worker that gets its first run: a successor on its machine proves that the worker is lost.
+    fn record_agent(&mut self, worker: &WorkerId) {
+        if self.runs.at_worker(worker).next().is_some() {
+            return;
+        }
+        let Some(agent) = self.workers.agent_of(worker) else {
+            return;
+        };
+        let value = serde_json::Value::from(&**agent).to_string();
+        self.write([Write::set(format!("{WORKER_KEY_PREFIX}{worker}"), value)]);
+    }
+
+    /// Has a run stopped, or its start withdrawn. It holds its capacity until it is proven to be over.
+    pub(crate) fn stop_run(&mut self, id: &RunId) {
+        let Some(run) = self.runs.get_mut(id).filter(|run| !run.is_stopping()) else {
+            return;
+        };
+        let worker = run.worker.clone();
+        let session = self
+            .workers
+            .agent_of(&worker)
+            .and_then(|agent| self.agents.get(agent));
+        run.stop_revision = Some(session.map_or(1, |session| session.next_revision()));
+        self.placement.mark_stopping(&id.task, &worker);
+        self.invalidate_commands(&worker);
+    }
+
+    /// A worker reports that a run of it has finished.
+    pub(crate) fn finish_run(
+        &mut self,
+        now: Now,
+        worker: &WorkerId,
+        id: &RunId,
+        outcome: RunEnd,
+        checkpoint: &str,
+    ) {
+        let Some(run) = self.runs.get(id).filter(|run| run.worker == *worker) else {
+            return;
+        };
+        let ran_ms = run.phase_duration_ms(now.steady_ms);
+        if let Some(fair_share) = &mut self.fair_share {
+            fair_share.on_run_finished(now.steady_ms, &self.jobs, id, outcome, checkpoint);
+        }
+        let slowness = self.placement.run_slowness(now.steady_ms, &id.task, worker);
+        let timings = streamusher_jobs::RunTimings { ran_ms, slowness };
+        self.jobs.record_run_timings(id, timings);
+        self.jobs.on_run_finished(now, id, outcome, checkpoint);
+        let reason = ReleaseReason::Finished { outcome, ran_ms };
+        self.release_run(now.steady_ms, id, reason);
+    }
+
+    /// The agent confirms that a run which is to be stopped never started and never will.
+    pub(crate) fn withdraw_run(&mut self, now: Now, id: &RunId) {
+        self.jobs.on_run_withdrawn(now, id);
+        self.release_run(now.steady_ms, id, ReleaseReason::Withdrawn);
+    }
+
+    /// A run is over without a reported outcome.
+    pub(crate) fn lose_run(&mut self, now: Now, id: &RunId) {
+        self.jobs.on_run_lost(now, id);
+        self.release_run(now.steady_ms, id, ReleaseReason::Lost);
+    }
+
+    /// All runs of a worker are over without a reported outcome.
+    pub(crate) fn lose_runs(&mut self, now: Now, worker: &WorkerId) {
+        for id in self.runs.ids_at_worker(worker) {
+            self.lose_run(now, &id);
+        }
+    }
+
+    /// Releases the capacity that a run held.
+    fn release_run(&mut self, now: Millis, id: &RunId, reason: ReleaseReason) {
+        let Some(run) = self.runs.remove(id) else {
+            return;
+        };
+        if let Some(fair_share) = &mut self.fair_share {
+            fair_share.on_run_released(now, id);
+        }
+        self.placement.release(now, &id.task, &run.worker, reason);
+        self.invalidate_commands(&run.worker);
+    }
+
+    /// Removes a worker at which nothing runs any more and nothing that was commanded will start.
+    pub(crate) fn remove_worker(&mut self, now: Now, id: &WorkerId) {
+        self.lose_runs(now, id);
+        self.workers.remove(id);
+        self.placement.remove_worker(now.steady_ms, id);
+        let penalty = self.penalties.forget(id);
+        self.write(penalty);
+        self.write([Write::remove(format!("{WORKER_KEY_PREFIX}{id}"))]);
+    }
+
+    /// The commands of a worker's agent must be computed anew.
+    pub(crate) fn invalidate_commands(&mut self, worker: &WorkerId) {
+        if let Some(agent) = self.workers.agent_of(worker) {
+            self.agents.invalidate_commands(agent);
+        }
+    }
+
+    /// Hands placement what is known of a worker.
+    pub(crate) fn update_placement(&mut self, now: Millis, id: &WorkerId) {
+        let Some(worker) = self.workers.get_mut(id) else {
+            return;
+        };
+        let is_schedulable = worker.is_schedulable();
+        if worker.schedulable && !is_schedulable && worker.state == WorkerState::Ready {
+            log::info!(
+                "worker {id} is unresponsive or terminated: unschedulable until it is heard again"
+            );
+        }
+        worker.schedulable = is_schedulable;
+        let info = WorkerInfo {
+            id: id.clone(),
+            service: worker.service.clone(),
+            zone: worker.zone.clone(),
+            labels: worker.labels.clone(),
+            capacity: worker.capacity,
+            schedulable: worker.schedulable,
+        };
+        self.placement.update_worker(now, info);
+    }
+
+    /// The user that is charged for a job; none where fair share is switched off or the job is unknown.
+    pub(crate) fn user_of(&self, job: &streamusher_protocol::task::JobId) -> Option<Arc<str>> {
+        self.fair_share.as_ref()?.user_of(&self.jobs, job)
+    }
+
+    /// Publishes a new ranking where one is due, and reorders pending units by it, a bounded number at a time.
+    pub(crate) fn update_fair_share(&mut self, now: Millis) {
+        let Some(fair_share) = &mut self.fair_share else {
+            return;
+        };
+        let writes = fair_share.publish_ranking(now);
+        let reordered = fair_share.next_reordered(&self.jobs, &self.pending_units);
+        let min_shift_ms = fair_share.min_shift_ms();
+        self.write(writes);
+        for (unit, order) in reordered {
+            let present = self.placement.order_of(&unit);
+            if present.is_some_and(|present| present.abs_diff(order) > min_shift_ms) {
+                self.placement.reorder(&unit, order);
+            }
+        }
+    }
+}
--- a/crates/scheduler/src/event.rs
+++ b/crates/scheduler/src/event.rs
@@ -1,68 +1,69 @@
-//! What the scheduler is told and what it wants done.
+//! Input events of the scheduler and the effects that it asks for.
 
 use std::sync::Arc;
 use streamusher_protocol::internal::{AgentCommands, AgentSync, ClientRequest, ClientResponse};
 use streamusher_protocol::store::Write;
 
-/// Number that the caller gives to a request; replies carry it.
+/// Identifies a request; chosen by the caller, unique among its open requests.
 pub type RequestId = u64;
 
-/// What happened.
+/// An input of [`Scheduler::handle`](crate::Scheduler::handle).
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A gate passes on a client's call.
-    Client {
-        /// Its number.
-        request: RequestId,
-        /// The call.
-        call: ClientRequest,
+    /// A gate forwards a client's request. It is answered at once.
+    ClientRequest {
+        /// Identifies the request.
+        id: RequestId,
+        /// The request.
+        request: ClientRequest,
     },
-    /// An agent reports and waits for orders.
-    Agent {
-        /// Its number.
-        request: RequestId,
+    /// An agent reports its worker and asks for commands. It is answered at once where there is something new to tell,
+    /// otherwise deferred for [`AgentSync::wait_ms`] at most.
+    AgentSync {
+        /// Identifies the request.
+        id: RequestId,
         /// The report.
         sync: AgentSync,
     },
-    /// An operator changes or reads the configuration.
-    Operator {
-        /// Its number.
-        request: RequestId,
-        /// The order.
-        order: OperatorRequest,
+    /// An operator changes or reads the configuration. It is answered at once.
+    OperatorRequest {
+        /// Identifies the request.
+        id: RequestId,
+        /// The request.
+        request: OperatorRequest,
     },
-    /// The caller of a request has left; a reply would reach nobody.
-    Abandoned {
-        /// The request's number.
-        request: RequestId,
+    /// The caller of a request has disconnected; a response would reach nobody.
+    RequestAbandoned {
+        /// Identifies the request.
+        id: RequestId,
     },
-    /// Time has passed; some forty times a second.
+    /// Time has passed; expected some forty times a second.
     Tick,
 }
 
-/// What an operator wants.
+/// What an operator asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorRequestKind {
-    /// A whole configuration.
+    /// Replaces the whole configuration.
     Replace,
-    /// A change of named items.
+    /// Inserts, changes and removes named items.
     Update,
-    /// The newest configuration.
+    /// Reads the newest configuration.
     Read,
 }
 
-/// An operator's order.
+/// An operator's request about the configuration.
 #[derive(Clone, Debug)]
 pub struct OperatorRequest {
-    /// What is wanted.
+    /// What is asked for.
     pub kind: OperatorRequestKind,
-    /// The version on which a change builds.
+    /// The version on which a change builds; required of every change.
     pub base: Option<u64>,
-    /// The body as it came.
+    /// The body as it was received.
     pub body: Arc<str>,
 }
 
-/// The answer to an operator.
+/// The response to an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OperatorResponse {
     /// HTTP status.
@@ -71,10 +72,10 @@
     pub body: Arc<str>,
 }
 
-/// The answer to a request.
+/// The response to a request.
 #[derive(Clone, Debug)]
 pub enum SchedulerResponse {
-    /// To a gate.
+    /// To a client, by way of a gate.
     Client(ClientResponse),
     /// To an agent.
     Agent(AgentCommands),
@@ -82,18 +83,27 @@
     Operator(OperatorResponse),
 }
 
-/// What is to be done about an event.
+/// A response that must not be sent before all writes appended so far are committed.
+#[derive(Clone, Debug)]
+pub struct PendingResponse {
+    /// The request that it answers.
+    pub request: RequestId,
+    /// The response.
+    pub response: SchedulerResponse,
+}
+
+/// What the caller is to do about an event.
 #[derive(Clone, Debug, Default)]
 pub struct Effects {
-    /// Changes of the replicated state: one batch.
+    /// Changes of the replicated state; appended as one batch.
     pub writes: Vec<Write>,
-    /// Replies, to be released once everything appended so far, `writes` included, is committed.
-    pub replies: Vec<(RequestId, SchedulerResponse)>,
+    /// Responses, to be sent once everything appended so far, `writes` included, is committed.
+    pub responses: Vec<PendingResponse>,
 }
 
 impl Effects {
-    /// Whether nothing is to be done.
+    /// Whether there is nothing to do.
     pub fn is_empty(&self) -> bool {
-        self.writes.is_empty() && self.replies.is_empty()
+        self.writes.is_empty() && self.responses.is_empty()
     }
 }
--- a/crates/scheduler/src/explain.rs
+++ b/crates/scheduler/src/explain.rs
@@ -1,7 +1,7 @@
-//! Answers to operators: why a job stands where it does, and what a user has lately used.
+//! Explanations for operators: where a job stands, and why its pending units have no worker.
 
-use crate::runs::Phase;
-use crate::scheduler::Scheduler;
+use crate::cluster_state::ClusterState;
+use crate::runs::RunPhase;
 use serde::Serialize;
 use std::sync::Arc;
 use streamusher_fair_share::UserUsage;
@@ -11,128 +11,135 @@
 use streamusher_protocol::unit::{StepId, UnitId, WorkerId};
 use streamusher_protocol::Millis;
 
-/// Runs and waiting units of a job that are listed; the rest is counted.
-const MOST_LISTED: usize = 50;
+/// Runs and pending units of a job that are listed; the rest is counted.
+const MAX_LISTED: usize = 50;
 
-/// Where a job stands.
+/// Where a job stands. The JSON keys are an interface of operators' tools.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct JobExplanation {
     /// The job.
     pub job: JobId,
-    /// The queue that it was handed to.
+    /// The queue that it was submitted to.
     pub queue: Option<Arc<str>>,
     /// Its state.
     pub state: JobState,
-    /// What its user has lately used, where debts order work.
+    /// Its user's decayed usage; none where fair share is switched off.
     pub user: Option<UserUsage>,
-    /// Runs that take room.
-    pub runs: Vec<JobRun>,
-    /// Runs that are not listed.
+    /// Runs that hold capacity of a worker.
+    pub runs: Vec<RunExplanation>,
+    /// Number of runs that are not listed.
     pub more_runs: usize,
-    /// Units whose turn has come and that have no worker.
-    pub waiting: Vec<JobUnit>,
-    /// Units that are not listed.
-    pub more_waiting: usize,
+    /// Units that are ready and have no worker.
+    #[serde(rename = "waiting")]
+    pub pending: Vec<PendingUnitExplanation>,
+    /// Number of pending units that are not listed.
+    #[serde(rename = "more_waiting")]
+    pub more_pending: usize,
 }
 
-/// A run that takes room.
+/// A run that holds capacity of a worker.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct JobRun {
+pub struct RunExplanation {
     /// Its task.
     pub task: TaskId,
     /// Its number.
     pub run: u32,
-    /// Where it sits.
+    /// Its worker.
     pub worker: WorkerId,
-    /// It was seen at work there.
-    pub begun: bool,
-    /// It is told to stop.
+    /// The worker has reported it as running.
+    #[serde(rename = "begun")]
+    pub running: bool,
+    /// It is to be stopped.
     pub stopping: bool,
-    /// How much of its work it has done.
+    /// Progress in percent.
     pub percent: f64,
-    /// For how long it has been ordered or, once seen, at work, in milliseconds.
-    pub for_ms: Millis,
+    /// Time since its start was commanded or, once it runs, since it was first reported, in milliseconds.
+    #[serde(rename = "for_ms")]
+    pub elapsed_ms: Millis,
 }
 
-/// A unit that waits.
+/// A unit that is ready and has no worker.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct JobUnit {
-    /// Which of the job's times.
+pub struct PendingUnitExplanation {
+    /// The iteration of the job.
     pub iteration: u32,
-    /// Which of its steps.
+    /// The step.
     pub step: u32,
-    /// The task; none for the whole step as a gang.
+    /// The task; none for a whole step as a gang.
     pub index: Option<u32>,
-    /// Why, and for how long.
+    /// What it waits for, and for how long.
     #[serde(flatten)]
     pub waiting: WaitExplanation,
 }
 
-impl Scheduler {
-    /// Where a job stands; none if it is not known.
-    pub fn explain_job(&self, now: Millis, id: &JobId) -> Option<JobExplanation> {
-        let state = self.jobs.status(id)?;
-        let mut runs: Vec<JobRun> = self.runs_of(now, id);
-        let mut waiting: Vec<JobUnit> = self.units_of(now, id);
-        let (all_runs, all_waiting) = (runs.len(), waiting.len());
-        runs.truncate(MOST_LISTED);
-        waiting.truncate(MOST_LISTED);
-        Some(JobExplanation {
-            job: id.clone(),
-            queue: self.jobs.queue_of(id),
-            state,
-            user: self
-                .user_of(id)
-                .and_then(|user| self.explain_user(now, &user)),
-            more_runs: all_runs - runs.len(),
-            more_waiting: all_waiting - waiting.len(),
-            runs,
-            waiting,
-        })
-    }
+/// Where a job stands; none if it is not known.
+pub(crate) fn explain_job(state: &ClusterState, now: Millis, id: &JobId) -> Option<JobExplanation> {
+    let job_state = state.jobs.status(id)?;
+    let mut runs = explain_runs(state, now, id);
+    let mut pending = explain_pending(state, now, id);
+    let more_runs = runs.len().saturating_sub(MAX_LISTED);
+    let more_pending = pending.len().saturating_sub(MAX_LISTED);
+    runs.truncate(MAX_LISTED);
+    pending.truncate(MAX_LISTED);
+    let user = state.user_of(id);
+    Some(JobExplanation {
+        job: id.clone(),
+        queue: state.jobs.queue_of(id),
+        state: job_state,
+        user: user.and_then(|user| explain_user(state, now, &user)),
+        runs,
+        more_runs,
+        pending,
+        more_pending,
+    })
+}
 
-    /// What a user has lately used; none where debts are switched off.
-    pub fn explain_user(&self, now: Millis, user: &Arc<str>) -> Option<UserUsage> {
-        self.share_debt.as_ref().map(|debt| debt.show(now, user))
-    }
+/// A user's decayed usage; none where fair share is switched off.
+pub(crate) fn explain_user(
+    state: &ClusterState,
+    now: Millis,
+    user: &Arc<str>,
+) -> Option<UserUsage> {
+    let fair_share = state.fair_share.as_ref()?;
+    Some(fair_share.usage_of(now, user))
+}
 
-    fn runs_of(&self, now: Millis, id: &JobId) -> Vec<JobRun> {
-        let runs = self.runs.of_job(id);
-        let shown = runs.map(|(run_id, run)| JobRun {
+fn explain_runs(state: &ClusterState, now: Millis, id: &JobId) -> Vec<RunExplanation> {
+    state
+        .runs
+        .of_job(id)
+        .map(|(run_id, run)| RunExplanation {
             task: run_id.task.clone(),
             run: run_id.run,
             worker: run.worker.clone(),
-            begun: run.phase == Phase::Running,
-            stopping: run.stopping,
+            running: run.phase == RunPhase::Running,
+            stopping: run.is_stopping(),
             percent: run.percent,
-            for_ms: now.saturating_sub(run.since),
-        });
-        shown.collect()
-    }
+            elapsed_ms: run.phase_duration_ms(now),
+        })
+        .collect()
+}
 
-    fn units_of(&self, now: Millis, id: &JobId) -> Vec<JobUnit> {
-        let first = UnitId {
-            step: StepId {
-                job: id.clone(),
-                iteration: 0,
-                step: 0,
-            },
-            index: None,
-        };
-        let units = self
-            .waiting
-            .range(first..)
-            .take_while(|(unit, _)| unit.step.job == *id);
-        let explained = units.filter_map(|(unit, _)| {
-            let (iteration, step, index) = (unit.step.iteration, unit.step.step, unit.index);
-            let waiting = self.placement.explain(now, unit)?;
-            Some(JobUnit {
-                iteration,
-                step,
-                index,
-                waiting,
+fn explain_pending(state: &ClusterState, now: Millis, id: &JobId) -> Vec<PendingUnitExplanation> {
+    let first = UnitId {
+        step: StepId {
+            job: id.clone(),
+            iteration: 0,
+            step: 0,
+        },
+        index: None,
+    };
+    state
+        .pending_units
+        .range(first..)
+        .take_while(|(unit, _)| unit.step.job == *id)
+        .filter_map(|(unit, _)| {
+            Some(PendingUnitExplanation {
+                iteration: unit.step.iteration,
+                step: unit.step.step,
+                index: unit.index,
+                waiting: state.placement.explain(now, unit)?,
             })
-        });
-        explained.collect()
-    }
+        })
+        .collect()
 }
--- a/crates/scheduler/src/hedging.rs
+++ b/crates/scheduler/src/hedging.rs
@@ -1,84 +1,74 @@
-//! Second copies of hedged tasks whose run is in doubt.
+//! Speculative second runs of hedged tasks.
 //!
-//! A hedged task may run twice at once, and whichever run is done first counts. A second copy takes only room that is free, so it
-//! costs others nothing; it is asked for as soon as the first run looks as if it would end late: its worker or agent is
-//! silent, it has not begun, it stands still, or its worker is slow.
+//! A hedged task may run twice at once, and whichever run finishes first counts. The second run takes only capacity that
+//! is free, so it costs others nothing. It is requested as soon as the first one looks as if it would finish late: its
+//! worker or agent is unresponsive, it has not started, it has stalled, or its worker is slow.
 
-use crate::runs::{Phase, Run};
-use crate::scheduler::Scheduler;
-use crate::watch::HEARD_MS;
+use crate::cluster_state::ClusterState;
+use crate::runs::{ActiveRun, RunPhase, MIN_PERCENT_TO_EXTRAPOLATE};
+use crate::worker_liveness::{heartbeat_age_ms, HEARTBEAT_TIMEOUT_MS};
 use streamusher_placement::Mechanism;
-use streamusher_protocol::task::RunId;
 use streamusher_protocol::Millis;
 
-/// An order usually begins within 0.1 s, and within 0.6 s where much is ordered at once.
-const DOUBTFUL_START_MS: Millis = 800;
-/// A run whose progress does not rise for so long, at three reports a second, does not just run slowly.
-const DOUBTFUL_STILL_MS: Millis = 900;
-/// Progress is told in percent: a slow run may take this many hundredths of its estimate for one.
-const SLOW_PERCENTS: Millis = 12;
-/// Percent from which progress tells how long the rest takes.
-const TELLING_PERCENT: f64 = 8.0;
-/// Workers differ by a quarter in speed, and estimates are rough: only from this factor on a worker counts as slow.
+/// A run usually starts within 0.1 s of its command, and within 0.6 s where many are started at once.
+const START_TIMEOUT_MS: Millis = 800;
+/// A run whose progress does not rise for so long, at three reports a second, is not merely slow.
+const MIN_STALL_TIMEOUT_MS: Millis = 900;
+/// Workers differ by a quarter in speed, and estimates are rough: from this factor on a worker counts as slow.
 const SLOW_FACTOR: f64 = 2.0;
-/// What a second copy takes beyond its run: to be ordered, and to begin.
-const START_OF_COPY_MS: f64 = 200.0;
+/// What a second run takes beyond the task's work: to be commanded, and to start.
+const START_OF_SECOND_RUN_MS: f64 = 200.0;
 
-impl Scheduler {
-    /// Asks for second copies of the hedged runs that are in doubt; once for each.
-    pub(crate) fn hedge_doubtful(&mut self, now: Millis) {
-        if !self.settings.policy.is_enabled(Mechanism::Hedging) {
-            return;
-        }
-        let may_be = |run: &Run| run.hedged && !run.stopping;
-        let hedged = self
-            .runs
-            .all()
-            .filter(|(_, run)| may_be(run) && self.is_doubtful(now, run));
-        let doubtful: Vec<RunId> = hedged.map(|(id, _)| id.clone()).collect();
-        for id in doubtful {
-            if let Some(run) = self.runs.get_mut(&id) {
-                run.hedged = false;
-            }
-            if self.jobs.hedge(&id) {
-                log::debug!(
-                    "run {} of {} is in doubt: another copy may start",
-                    id.run,
-                    id.task
-                );
-            }
-        }
+/// Requests speculative second runs of the hedged runs that look late; once for each.
+pub(crate) fn request_second_runs(state: &mut ClusterState, now: Millis) {
+    if !state.settings.policy.is_enabled(Mechanism::Hedging) {
+        return;
     }
-
-    fn is_doubtful(&self, now: Millis, run: &Run) -> bool {
-        let is_gone = self
-            .workers
-            .get(&run.worker)
-            .is_none_or(|worker| worker.gone);
-        // A new primary hears all agents before it doubts any of them.
-        let is_known_for = now.saturating_sub(run.since);
-        if is_gone || self.silence_of(now, &run.worker) > HEARD_MS {
-            return is_known_for > HEARD_MS;
+    let late = state.runs.ids_where(|run| {
+        run.profile.may_hedge && !run.is_stopping() && looks_late(state, now, run)
+    });
+    for id in late {
+        if let Some(run) = state.runs.get_mut(&id) {
+            run.profile.may_hedge = false;
         }
-        match run.phase {
-            Phase::Ordered => is_known_for > DOUBTFUL_START_MS,
-            Phase::Running => stands_still(now, run) || self.is_slow(now, run),
+        if state.jobs.hedge(&id) {
+            log::debug!(
+                "run {} of task {} looks late: requesting a speculative second run",
+                id.run,
+                id.task
+            );
         }
     }
+}
 
-    /// Whether a usual worker would be done sooner, though it begins now.
-    fn is_slow(&self, now: Millis, run: &Run) -> bool {
-        if run.percent < TELLING_PERCENT {
-            return false;
-        }
-        let slowness = self.placement.worker_slowness(now, &run.worker);
-        let ran = now.saturating_sub(run.since) as f64;
-        let whole = ran * 100.0 / run.percent;
-        slowness >= SLOW_FACTOR && whole - ran > whole / slowness + START_OF_COPY_MS
+fn looks_late(state: &ClusterState, now: Millis, run: &ActiveRun) -> bool {
+    let is_terminated = state
+        .workers
+        .get(&run.worker)
+        .is_none_or(|worker| worker.terminated);
+    let heartbeat_age_ms = heartbeat_age_ms(&state.workers, &state.agents, now, &run.worker);
+    let known_for_ms = run.phase_duration_ms(now);
+    if is_terminated || heartbeat_age_ms > HEARTBEAT_TIMEOUT_MS {
+        // A new primary hears all agents before it takes any run for late.
+        return known_for_ms > HEARTBEAT_TIMEOUT_MS;
     }
+    match run.phase {
+        RunPhase::Starting => known_for_ms > START_TIMEOUT_MS,
+        RunPhase::Running => has_stalled(now, run) || is_slow(state, now, run),
+    }
+}
+
+fn has_stalled(now: Millis, run: &ActiveRun) -> bool {
+    run.stalled_ms(now) > MIN_STALL_TIMEOUT_MS.max(run.max_ms_per_percent())
 }
 
-fn stands_still(now: Millis, run: &Run) -> bool {
-    let patience = DOUBTFUL_STILL_MS.max(run.estimated_ms * SLOW_PERCENTS / 100);
-    now.saturating_sub(run.moved_at) > patience
+/// Whether a worker of usual speed would finish sooner, though it would start now.
+fn is_slow(state: &ClusterState, now: Millis, run: &ActiveRun) -> bool {
+    if run.percent < MIN_PERCENT_TO_EXTRAPOLATE {
+        return false;
+    }
+    let slowness = state.placement.worker_slowness(now, &run.worker);
+    let ran_ms = run.phase_duration_ms(now) as f64;
+    let total_ms = ran_ms * 100.0 / run.percent;
+    slowness >= SLOW_FACTOR && total_ms - ran_ms > total_ms / slowness + START_OF_SECOND_RUN_MS
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,40 +1,87 @@
-//! The primary's state machine: job record, placement, configuration and worker leases joined.
-//!
-//! It performs no I/O and is told the time. Each event yields [`Effects`]: changes of the replicated state, and replies
-//! that may leave only when all changes up to them are committed and the primary's lease is valid. That rule is the
-//! caller's; with it nothing that is told outside can be lost, and nothing is ordered twice.
-//!
-//! - [`event`]: what comes in and goes out.
-//! - `runs`: the runs that take room at workers, from the order to the proven end.
-//! - `workers`: workers and the agents beside them: reports, leases, orders.
-//! - [`accounts`]: where the time of jobs went that missed their objective.
-//! - `clients`, `operators`: the calls of clients and operators.
-//! - `hedging`: second copies of hedged tasks whose run is in doubt.
-//! - [`explain`]: answers to operators about one job or user.
-//! - `judgements`: what speaks against workers, kept for the next primary.
-//! - `share_debt`: what users have lately used, where it is switched on.
-//! - `watch`: what happens by time alone: leases that end, tasks that stand still, workers that leave.
+//! The control plane's scheduler: the state machine of the elected primary.
+//!
+//! [`Scheduler`] joins jobs, placement, the configuration, workers' leases and fair share. It performs no I/O and takes
+//! the current time as an argument. Each [`Event`] yields [`Effects`]: changes of the replicated state, and responses
+//! that may be sent only when all changes up to them are committed and the primary's lease is valid. That rule is the
+//! caller's. With it, nothing that was told to anyone can be lost, and no task is started twice by two primaries.
+//!
+//! A primary begins with [`Scheduler::recover`] from the replicated state, and learns the rest from agents' reports.
+//!
+//! ```
+//! use streamusher_protocol::internal::{ClientMethod, ClientRequest};
+//! use streamusher_protocol::Now;
+//! use streamusher_scheduler::{Event, Policy, Scheduler, SchedulerLimits, SchedulerResponse, SchedulerSettings};
+//!
+//! let settings = SchedulerSettings {
+//!     limits: SchedulerLimits::default(),
+//!     random_seed: 1,
+//!     fair_share: None,
+//!     policy: Policy::default(),
+//! };
+//! let now = Now { steady_ms: 0, unix_ms: 1_790_000_000_000 };
+//! let mut scheduler = Scheduler::recover(settings, 1, now, Vec::new()).expect("an empty state");
+//! let request = ClientRequest {
+//!     method: ClientMethod::Get,
+//!     host: "example.org".into(),
+//!     path: "/reports/".into(),
+//!     body: "".into(),
+//!     configuration_version: 0,
+//! };
+//!
+//! let effects = scheduler.handle(now, Event::ClientRequest { id: 7, request });
+//!
+//! assert!(effects.writes.is_empty());
+//! assert_eq!(effects.responses[0].request, 7);
+//! match &effects.responses[0].response {
+//!     SchedulerResponse::Client(response) => assert_eq!(response.status, 503),
+//!     other => panic!("not a client's response: {other:?}"),
+//! }
+//! ```
+//!
+//! # Modules
+//!
+//! Each layer uses only those below it:
+//!
+//! - `scheduler`: dispatches events.
+//! - `client_requests`, `operator_requests`, `agent_sync`, `worker_report`, `commands`: one kind of request each, and
+//!   the responses.
+//! - `worker_liveness`, `run_timeouts`, `hedging`: what happens as time passes.
+//! - `recovery`, `explain`: takeover by a new primary; explanations for operators.
+//! - `cluster_state`: the state, and the transitions that keep its parts consistent.
+//! - `runs`, `workers`, `agents`, `fair_share`, `penalty_store`, `objective_report`: the parts of the state, each with
+//!   what it owns.
+//! - `event`, `settings`, `status`: types of the interface.
 
-pub mod accounts;
-mod clients;
-pub mod event;
-pub mod explain;
+mod agent_sync;
+mod agents;
+mod client_requests;
+mod cluster_state;
+mod commands;
+mod event;
+mod explain;
+mod fair_share;
 mod hedging;
-mod judgements;
-mod operators;
-mod orders;
+mod objective_report;
+mod operator_requests;
+mod penalty_store;
 mod recovery;
-mod reports;
+mod run_timeouts;
 mod runs;
 mod scheduler;
-mod share_debt;
-mod watch;
+mod settings;
+mod status;
+mod worker_liveness;
+mod worker_report;
 mod workers;
 
 pub use event::{
-    Effects, Event, OperatorRequest, OperatorRequestKind, OperatorResponse, RequestId,
-    SchedulerResponse,
+    Effects, Event, OperatorRequest, OperatorRequestKind, OperatorResponse, PendingResponse,
+    RequestId, SchedulerResponse,
 };
+pub use explain::{JobExplanation, PendingUnitExplanation, RunExplanation};
+pub use objective_report::OBJECTIVE_MISSED_PREFIX;
 pub use recovery::RecoverError;
-pub use scheduler::{Scheduler, SchedulerLimits, SchedulerSettings};
+pub use scheduler::Scheduler;
+pub use settings::{SchedulerLimits, SchedulerSettings};
+pub use status::{FairShareStatus, SchedulerStatus, WorkerStatus};
 pub use streamusher_placement::{Mechanism, Policy};
--- /dev/null
+++ b/crates/scheduler/src/objective_report.rs
@@ -0,0 +1,44 @@
+//! Log lines of jobs that missed their latency objective, and the stages by which they account for the time.
+
+use streamusher_jobs::{Completion, LatencyStage};
+use streamusher_placement::{TimeWaited, WaitReason};
+use streamusher_protocol::Millis;
+
+/// Precedes the JSON of a [`Completion`] in the log line of a job that failed or ended later than its queue's objective.
+/// Tools parse the line.
+pub const OBJECTIVE_MISSED_PREFIX: &str = "objective missed: ";
+
+/// Logs a job that missed its objective.
+pub(crate) fn log_if_missed(completion: &Completion) {
+    if completion.met_objective() {
+        return;
+    }
+    match serde_json::to_string(completion) {
+        Ok(json) => log::info!("{OBJECTIVE_MISSED_PREFIX}{json}"),
+        Err(error) => {
+            log::warn!(
+                "job {} missed its objective; its latency breakdown cannot be encoded: {error}",
+                completion.job
+            );
+        }
+    }
+}
+
+/// The latency stages of what a unit waited for.
+pub(crate) fn latency_stages(waits: &[TimeWaited]) -> Vec<(LatencyStage, Millis)> {
+    waits
+        .iter()
+        .map(|wait| (latency_stage(wait.reason), wait.waited_ms))
+        .collect()
+}
+
+fn latency_stage(reason: WaitReason) -> LatencyStage {
+    match reason {
+        WaitReason::NoSchedulableWorker
+        | WaitReason::NoMatchingLabel
+        | WaitReason::NoWorkerLargeEnough => LatencyStage::WaitedForWorker,
+        WaitReason::NoFreeCapacity => LatencyStage::WaitedForCapacity,
+        WaitReason::CapacityReserved => LatencyStage::WaitedForReservation,
+        WaitReason::CapacityReservedForOthers => LatencyStage::WaitedWithCapacityFree,
+    }
+}
--- a/crates/scheduler/src/recovery.rs
+++ b/crates/scheduler/src/recovery.rs
@@ -1,150 +1,139 @@
-//! A new primary's start: from the replicated state, and from what agents will tell.
+//! Takeover by a new primary, from the replicated state.
+//!
+//! The replicated state holds jobs, tasks with their assigned runs, the configuration, the agents of workers that run
+//! something, penalties and users' usage. All else is learnt from agents' reports.
 
-use crate::event::Effects;
-use crate::judgements::{self, Judgements};
-use crate::runs::{Phase, Run, Runs};
-use crate::scheduler::{Scheduler, SchedulerSettings};
-use crate::share_debt::ShareDebt;
+use crate::cluster_state::{ClusterState, WORKER_KEY_PREFIX};
+use crate::fair_share::{self, FairShare};
+use crate::penalty_store::{self, PenaltyStore};
+use crate::runs::{ActiveRun, RunProfile};
+use crate::settings::SchedulerSettings;
 use crate::workers::Worker;
-use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use streamusher_configuration::ConfigurationStore;
 use streamusher_jobs::{AssignedRun, JobTable};
-use streamusher_placement::{Allocation, Placement};
+use streamusher_placement::Allocation;
+use streamusher_protocol::unit::WorkerId;
 use streamusher_protocol::{Millis, Now};
 
+/// Keys of the replicated state that belong to the job table.
+const JOB_KEY_PREFIXES: &[&str] = &["job/", "task/"];
+/// Keys of the replicated state that belong to the configuration.
+const CONFIGURATION_KEY_PREFIXES: &[&str] = &["config/", "order/", "refused/"];
+/// The first command revision of each agent: the commands of a new primary leave out at once what is to be stopped.
+const FIRST_REVISION: u64 = 1;
+
 /// The replicated state cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum RecoverError {
-    /// A job or task.
+    /// The record of a job or task.
     #[error("job record: {0}")]
     Jobs(#[from] streamusher_jobs::RecordError),
-    /// The configuration.
+    /// A record of the configuration.
     #[error("configuration: {0}")]
     Configuration(#[from] streamusher_configuration::RecordError),
 }
 
-/// Of an agent's orders, counted by each primary anew.
-const FIRST_REVISION: u64 = 1;
+/// A key and its value.
+type Record = (Arc<str>, Arc<str>);
 
-impl Scheduler {
-    /// Takes over. Leases granted by a former primary last `hold_max_ms` from now at most.
-    pub fn recover(
-        settings: SchedulerSettings,
-        epoch: u64,
-        now: Now,
-        state: impl IntoIterator<Item = (Arc<str>, Arc<str>)>,
-    ) -> Result<Scheduler, RecoverError> {
-        let records: Vec<(Arc<str>, Arc<str>)> = state.into_iter().collect();
-        let of = |prefixes: &'static [&'static str]| {
-            let wanted = move |key: &str| prefixes.iter().any(|prefix| key.starts_with(prefix));
-            records.iter().filter(move |(key, _)| wanted(key)).cloned()
-        };
-        let jobs = JobTable::recover(job_settings(&settings), now, of(&["job/", "task/"]))?;
-        let configuration = ConfigurationStore::recover(of(&["config/", "order/", "refused/"]))?;
-        let share_debt = settings.share_debt.clone().map(|settings| {
-            ShareDebt::recover(
-                settings,
-                epoch,
-                now.steady_ms,
-                of(&["debt/", "debt-version"]),
-            )
-        });
-        let judgements = Judgements::recover(now.steady_ms, of(&[judgements::PREFIX]));
-        let mut placement = Placement::new(placement_settings(&settings));
-        for (worker, charge) in judgements.charges() {
-            placement.restore_penalty(now.steady_ms, worker.clone(), charge);
-        }
-        let mut scheduler = Scheduler {
-            settings,
-            epoch,
-            jobs,
-            placement,
-            configuration,
-            runs: Runs::default(),
-            workers: BTreeMap::new(),
-            agents: BTreeMap::new(),
-            dead: Vec::new(),
-            waiting: BTreeMap::new(),
-            agents_to_look_at: BTreeSet::new(),
-            calls_by_end: BTreeSet::new(),
-            share_debt,
-            judgements,
-            next_watch: now.steady_ms,
-            effects: Effects::default(),
-        };
-        scheduler.adopt_workers(now.steady_ms, of(&["worker/"]));
-        scheduler.adopt_runs(now.steady_ms);
-        // All that waits is queued here: recovery runs beside the event loop, the first event does not.
-        scheduler.take_job_changes(now);
-        Ok(scheduler)
+/// Reads the replicated state, and enqueues all that is pending.
+pub(crate) fn recover(
+    settings: SchedulerSettings,
+    epoch: u64,
+    now: Now,
+    records: &[Record],
+) -> Result<(ClusterState, ConfigurationStore), RecoverError> {
+    let jobs = JobTable::recover(
+        settings.for_jobs(),
+        now,
+        with_prefix(records, JOB_KEY_PREFIXES),
+    )?;
+    let configuration =
+        ConfigurationStore::recover(with_prefix(records, CONFIGURATION_KEY_PREFIXES))?;
+    let fair_share = settings.fair_share.clone().map(|fair_share| {
+        let records = with_prefix(records, fair_share::KEY_PREFIXES);
+        FairShare::recover(fair_share, epoch, now.steady_ms, records)
+    });
+    let penalties = PenaltyStore::recover(
+        now.steady_ms,
+        with_prefix(records, &[penalty_store::KEY_PREFIX]),
+    );
+    let mut state = ClusterState::new(settings, epoch, jobs, fair_share, penalties);
+    for (worker, penalty) in state.penalties.penalties() {
+        state
+            .placement
+            .restore_penalty(now.steady_ms, worker.clone(), penalty);
     }
+    restore_workers(&mut state, now.steady_ms, records);
+    restore_runs(&mut state, now.steady_ms);
+    // All that is pending is enqueued here: recovery runs beside the event loop, the first event does not.
+    state.apply_job_changes(now);
+    Ok((state, configuration))
+}
 
-    /// When the leases that former primaries granted are over at the latest.
-    fn leases_end(&self, now: Millis) -> Millis {
-        match cfg!(feature = "mutant-takeover-wait") {
-            true => now,
-            false => now + self.settings.limits.hold_max_ms,
-        }
+fn with_prefix<'a>(
+    records: &'a [Record],
+    prefixes: &'a [&'a str],
+) -> impl Iterator<Item = Record> + 'a {
+    let is_wanted = |key: &str| prefixes.iter().any(|prefix| key.starts_with(prefix));
+    records
+        .iter()
+        .filter(move |(key, _)| is_wanted(key))
+        .cloned()
+}
+
+/// When the leases that former primaries granted have expired at the latest.
+fn former_leases_expire_at(state: &ClusterState, now: Millis) -> Millis {
+    if cfg!(feature = "mutant-takeover-wait") {
+        now
+    } else {
+        now + state.settings.limits.max_lease_ms
     }
+}
 
-    /// Workers that ran something: which machine they are on is known, all else is told by their agents.
-    fn adopt_workers(&mut self, now: Millis, records: impl Iterator<Item = (Arc<str>, Arc<str>)>) {
-        let lease_until = self.leases_end(now);
-        for (key, value) in records {
-            let Some(id) = key.strip_prefix("worker/") else {
-                continue;
-            };
-            let Ok(agent) = serde_json::from_str::<Arc<str>>(&value) else {
-                continue;
-            };
-            let worker = Worker {
-                agent: Some(agent),
-                agent_silent: true,
-                ..Worker::new(lease_until)
-            };
-            self.workers.insert(id.into(), worker);
+/// Workers that had runs: the agent of each is known, all else will be reported.
+fn restore_workers(state: &mut ClusterState, now: Millis, records: &[Record]) {
+    let lease_expires_at = former_leases_expire_at(state, now);
+    for (key, value) in records {
+        let Some(id) = key.strip_prefix(WORKER_KEY_PREFIX) else {
+            continue;
+        };
+        if let Ok(agent) = serde_json::from_str::<Arc<str>>(value) {
+            let worker = Worker::recorded(agent, lease_expires_at);
+            state.workers.insert(id.into(), worker);
         }
     }
+}
 
-    fn adopt_runs(&mut self, now: Millis) {
-        let lease_until = self.leases_end(now);
-        for assigned in self.jobs.assigned_runs() {
-            let worker = assigned.worker.clone();
-            if !self.workers.contains_key(&worker) {
-                self.workers
-                    .insert(worker.clone(), Worker::new(lease_until));
-            }
-            self.placement
-                .restore_run(now, &assigned.run.task, &worker, held(&assigned));
-            if assigned.stopping {
-                self.placement.mark_stopping(&assigned.run.task, &worker);
-            }
-            self.debt_begins(now, &assigned.run, &assigned.resources);
-            let run = Run {
-                worker,
-                phase: Phase::Ordered,
-                spec: assigned.spec,
-                checkpoint: assigned.checkpoint,
-                // The first orders of this primary leave out what is to be stopped.
-                withdrawn: assigned.stopping.then_some(FIRST_REVISION),
-                stopping: assigned.stopping,
-                estimated_ms: assigned.estimated_ms,
-                long_running: assigned.long_running,
-                gang: assigned.gang,
-                hedged: assigned.hedged,
-                since: now,
-                percent: 0.0,
-                moved_at: now,
-                missing: 0,
-            };
-            self.runs.insert(assigned.run, run);
+fn restore_runs(state: &mut ClusterState, now: Millis) {
+    let lease_expires_at = former_leases_expire_at(state, now);
+    for assigned in state.jobs.assigned_runs() {
+        let worker = assigned.worker.clone();
+        state.workers.get_or_insert(&worker, lease_expires_at);
+        restore_allocation(state, now, &worker, &assigned);
+        if let Some(fair_share) = &mut state.fair_share {
+            fair_share.on_run_started(now, &state.jobs, &assigned.run, &assigned.resources);
         }
+        let profile = RunProfile {
+            estimated_ms: assigned.estimated_ms,
+            long_running: assigned.long_running,
+            in_gang: assigned.gang,
+            may_hedge: assigned.hedged,
+        };
+        let mut run = ActiveRun::starting(now, worker, assigned.spec, assigned.checkpoint, profile);
+        run.stop_revision = assigned.stopping.then_some(FIRST_REVISION);
+        state.runs.insert(assigned.run, run);
     }
 }
 
-fn held(assigned: &AssignedRun) -> Allocation {
-    Allocation {
+fn restore_allocation(
+    state: &mut ClusterState,
+    now: Millis,
+    worker: &WorkerId,
+    assigned: &AssignedRun,
+) {
+    let allocation = Allocation {
         unit: assigned.unit.clone(),
         resources: assigned.resources,
         service: assigned.service.clone(),
@@ -155,21 +144,10 @@
         long_running: assigned.long_running,
         gang_member: assigned.gang,
         estimated_ms: assigned.estimated_ms,
-    }
-}
-
-fn job_settings(settings: &SchedulerSettings) -> streamusher_jobs::JobSettings {
-    streamusher_jobs::JobSettings {
-        retention_ms: settings.limits.status_ms,
-    }
-}
-
-fn placement_settings(settings: &SchedulerSettings) -> streamusher_placement::PlacementSettings {
-    streamusher_placement::PlacementSettings {
-        random_seed: settings.random_seed,
-        remote_slowdown: settings.limits.far_x,
-        max_stop_ms: settings.limits.stop_ms,
-        checkpoint_restore_ms: settings.limits.restore_ms,
-        policy: settings.policy,
+    };
+    let task = &assigned.run.task;
+    state.placement.restore_run(now, task, worker, allocation);
+    if assigned.stopping {
+        state.placement.mark_stopping(task, worker);
     }
 }
--- /dev/null
+++ b/crates/scheduler/src/run_timeouts.rs
@@ -0,0 +1,142 @@
+//! Runs that are stopped to be rescheduled: they stall, do not start in time, or would outlast their worker.
+
+use crate::cluster_state::ClusterState;
+use crate::runs::{ActiveRun, RunPhase};
+use crate::worker_liveness::{heartbeat_age_ms, HEARTBEAT_TIMEOUT_MS};
+use crate::workers::Contact;
+use streamusher_placement::Mechanism;
+use streamusher_protocol::task::RunId;
+use streamusher_protocol::unit::WorkerId;
+use streamusher_protocol::Millis;
+
+/// A run whose progress does not rise for so long is stalled, where its estimate does not allow more: progress is
+/// reported three times a second.
+const MIN_STALL_TIMEOUT_MS: Millis = 1_500;
+/// A long-running task has started up from here on and reports no more progress. Rounding may leave it a little below
+/// 100.
+const STARTED_UP_PERCENT: f64 = 95.0;
+/// A run that has not started after so long is withdrawn: agents forward commands within a second.
+const START_TIMEOUT_MS: Millis = 2_000;
+/// Kept between the expected end of a run and the time at which its worker leaves.
+const DRAIN_MARGIN_MS: Millis = 300;
+
+/// Stops stalled runs. While a worker is not heard nothing is known of its runs: that time does not count as stalled.
+pub(crate) fn check_stalled(state: &mut ClusterState, now: Millis) {
+    exclude_unheard_time(state, now);
+    let stalled = state.runs.ids_where(|run| is_stalled(state, now, run));
+    for id in stalled {
+        on_run_stalled(state, now, &id);
+    }
+}
+
+fn exclude_unheard_time(state: &mut ClusterState, now: Millis) {
+    let unheard: Vec<RunId> = state
+        .workers
+        .iter()
+        .filter(|(id, _)| is_unheard(state, now, id))
+        .flat_map(|(id, _)| state.runs.ids_at_worker(id))
+        .collect();
+    for id in unheard {
+        if let Some(run) = state.runs.get_mut(&id) {
+            run.progressed_at = now;
+        }
+    }
+}
+
+fn is_unheard(state: &ClusterState, now: Millis, worker: &WorkerId) -> bool {
+    heartbeat_age_ms(&state.workers, &state.agents, now, worker) > HEARTBEAT_TIMEOUT_MS
+}
+
+fn is_stalled(state: &ClusterState, now: Millis, run: &ActiveRun) -> bool {
+    if !state.settings.policy.is_enabled(Mechanism::StallDetection) {
+        return false;
+    }
+    let may_stall = run.phase == RunPhase::Running
+        && !run.is_stopping()
+        && !is_unheard(state, now, &run.worker);
+    let has_started_up = run.profile.long_running && run.percent >= STARTED_UP_PERCENT;
+    may_stall && !has_started_up && run.stalled_ms(now) > stall_timeout_ms(state, run)
+}
+
+/// Longest time without progress: by the estimate, and with the time that is spent before the first progress.
+fn stall_timeout_ms(state: &ClusterState, run: &ActiveRun) -> Millis {
+    let limits = &state.settings.limits;
+    let gang_ms = if run.profile.in_gang {
+        limits.gang_timeout_ms
+    } else {
+        0
+    };
+    let restore_ms = if run.checkpoint.is_empty() {
+        0
+    } else {
+        limits.checkpoint_restore_ms
+    };
+    MIN_STALL_TIMEOUT_MS.max(run.max_ms_per_percent()) + gang_ms + restore_ms
+}
+
+fn on_run_stalled(state: &mut ClusterState, now: Millis, id: &RunId) {
+    if let Some(run) = state.runs.get(id) {
+        log::warn!(
+            "run {} of task {} stalled at worker {}: stopping it to reschedule",
+            id.run,
+            id.task,
+            run.worker
+        );
+        state.placement.on_run_stalled(now, &run.worker);
+    }
+    state.jobs.on_run_stalled(id);
+    state.stop_run(id);
+}
+
+/// Withdraws what has not started at an unresponsive worker or in time. It is rescheduled as soon as the agent confirms
+/// that it will not start there. While the agent itself is not heard nothing is known: the run may well have started.
+pub(crate) fn check_unstarted(state: &mut ClusterState, now: Millis) {
+    let unstarted = state.runs.ids_where(|run| {
+        run.phase == RunPhase::Starting && !run.is_stopping() && is_start_overdue(state, now, run)
+    });
+    for id in unstarted {
+        log::debug!(
+            "run {} of task {} has not started: withdrawing its start command",
+            id.run,
+            id.task
+        );
+        state.stop_run(&id);
+    }
+}
+
+fn is_start_overdue(state: &ClusterState, now: Millis, run: &ActiveRun) -> bool {
+    let Some(worker) = state.workers.get(&run.worker) else {
+        return false;
+    };
+    match worker.contact {
+        Contact::AgentUnresponsive => false,
+        Contact::WorkerUnresponsive => true,
+        Contact::Responsive => worker.terminated || now > run.phase_began_at + START_TIMEOUT_MS,
+    }
+}
+
+/// Stops runs that would outlast their draining worker.
+pub(crate) fn check_draining(state: &mut ClusterState, now: Millis) {
+    if !state.settings.policy.is_enabled(Mechanism::Migration) {
+        return;
+    }
+    let outlasting = state
+        .runs
+        .ids_where(|run| !run.is_stopping() && outlasts_worker(state, now, run));
+    for id in outlasting {
+        log::info!(
+            "run {} of task {} would outlast its draining worker: stopping it to reschedule",
+            id.run,
+            id.task
+        );
+        state.stop_run(&id);
+    }
+}
+
+fn outlasts_worker(state: &ClusterState, now: Millis, run: &ActiveRun) -> bool {
+    let worker = state.workers.get(&run.worker);
+    let Some(leaves_at) = worker.and_then(|worker| worker.leaves_at) else {
+        return false;
+    };
+    run.profile.long_running || now + run.expected_remaining_ms(now) + DRAIN_MARGIN_MS > leaves_at
+}
--- /dev/null
+++ b/crates/scheduler/src/settings.rs
@@ -0,0 +1,68 @@
+//! Settings of the scheduler, and those that it derives for its parts.
+
+use streamusher_fair_share::FairShareSettings;
+use streamusher_jobs::JobSettings;
+use streamusher_placement::{PlacementSettings, Policy};
+use streamusher_protocol::Millis;
+
+/// Time limits and cost factors of the deployment.
+#[derive(Clone, Copy, Debug)]
+pub struct SchedulerLimits {
+    /// Longest time for which a worker may run tasks without contact; also the length of an agent's lease.
+    pub max_lease_ms: Millis,
+    /// Longest time that a worker takes to stop a run.
+    pub max_stop_ms: Millis,
+    /// Longest time that a gang's member waits for the other members.
+    pub gang_timeout_ms: Millis,
+    /// For how long the state of an ended job can be read.
+    pub status_retention_ms: Millis,
+    /// Factor by which a run takes longer at a worker that is remote from its data.
+    pub remote_slowdown: f64,
+    /// Time that a run takes to continue from a checkpoint.
+    pub checkpoint_restore_ms: Millis,
+}
+
+impl Default for SchedulerLimits {
+    /// Limits of a small deployment in one region.
+    fn default() -> SchedulerLimits {
+        SchedulerLimits {
+            max_lease_ms: 6_000,
+            max_stop_ms: 900,
+            gang_timeout_ms: 3_000,
+            status_retention_ms: 120_000,
+            remote_slowdown: 1.5,
+            checkpoint_restore_ms: 600,
+        }
+    }
+}
+
+/// Settings of a [`Scheduler`](crate::Scheduler).
+#[derive(Clone, Debug)]
+pub struct SchedulerSettings {
+    /// Limits of the deployment.
+    pub limits: SchedulerLimits,
+    /// Seed of all random choices.
+    pub random_seed: u64,
+    /// Orders units of one priority by their users' decayed usage; none: by submission time alone.
+    pub fair_share: Option<FairShareSettings>,
+    /// The scheduling mechanisms in use.
+    pub policy: Policy,
+}
+
+impl SchedulerSettings {
+    pub(crate) fn for_jobs(&self) -> JobSettings {
+        JobSettings {
+            retention_ms: self.limits.status_retention_ms,
+        }
+    }
+
+    pub(crate) fn for_placement(&self) -> PlacementSettings {
+        PlacementSettings {
+            random_seed: self.random_seed,
+            remote_slowdown: self.limits.remote_slowdown,
+            max_stop_ms: self.limits.max_stop_ms,
+            checkpoint_restore_ms: self.limits.checkpoint_restore_ms,
+            policy: self.policy,
+        }
+    }
+}
--- a/crates/scheduler/tests/accounts.rs
+++ b/crates/scheduler/tests/accounts.rs
@@ -6,7 +6,7 @@
 use std::sync::Once;
 use streamusher_jobs::{Completion, LatencyStage};
 use streamusher_protocol::task::RunEnd;
-use streamusher_scheduler::accounts::MISSED_OBJECTIVE;
+use streamusher_scheduler::OBJECTIVE_MISSED_PREFIX;
 use support::given::given_an_ordered_task;
 
 thread_local! {
@@ -37,7 +37,8 @@
 }
 
 fn missed() -> Vec<Completion> {
-    let parse = |line: &String| serde_json::from_str(line.strip_prefix(MISSED_OBJECTIVE)?).ok();
+    let parse =
+        |line: &String| serde_json::from_str(line.strip_prefix(OBJECTIVE_MISSED_PREFIX)?).ok();
     LINES.with_borrow(|lines| lines.iter().filter_map(parse).collect())
 }
 
--- a/crates/scheduler/tests/encoded.rs
+++ b/crates/scheduler/tests/encoded.rs
@@ -27,7 +27,7 @@
         ..streamusher_fair_share::FairShareSettings::with_half_life(60_000)
     };
     SchedulerSettings {
-        share_debt: Some(fair_share),
+        fair_share: Some(fair_share),
         ..settings()
     }
 }
@@ -40,8 +40,9 @@
         }
         .expect("a string takes all");
     }
-    for (request, response) in &effects.replies {
-        let shown = match response {
+    for pending in &effects.responses {
+        let request = pending.request;
+        let shown = match &pending.response {
             SchedulerResponse::Client(response) => {
                 format!("client {}", serde_json::to_string(response).expect("JSON"))
             }
@@ -104,9 +105,9 @@
             base,
             body: body.into(),
         };
-        self.world.handle(Event::Operator {
-            request: 1_000_000,
-            order,
+        self.world.handle(Event::OperatorRequest {
+            id: 1_000_000,
+            request: order,
         });
     }
 }
@@ -204,7 +205,7 @@
     course.world.settle(first);
     course.world.wait(7_000);
     course.end_scene("lost");
-    course.world.handle(Event::Abandoned { request: 1 });
+    course.world.handle(Event::RequestAbandoned { id: 1 });
     course.world.wait(15_000);
     course.end_scene("all leases expired");
 }
--- a/crates/scheduler/tests/share_debt.rs
+++ b/crates/scheduler/tests/share_debt.rs
@@ -9,6 +9,11 @@
 use streamusher_scheduler::{Event, OperatorRequest, OperatorRequestKind, SchedulerSettings};
 use support::{settings, TestAgent, World, JOB};
 
+/// The status as operators read it.
+fn status(world: &World) -> serde_json::Value {
+    serde_json::to_value(world.scheduler.status(world.now)).expect("JSON")
+}
+
 /// A task that takes the whole worker.
 const WHOLE: &str = r#"[{"count":1,"cpu":1000,"mem_mb":10,"estimated_ms":20000}]"#;
 const SCANS: &str = "00000000000000a1";
@@ -21,7 +26,7 @@
         ..streamusher_fair_share::FairShareSettings::with_half_life(60_000)
     };
     SchedulerSettings {
-        share_debt: Some(debts),
+        fair_share: Some(debts),
         ..settings()
     }
 }
@@ -38,9 +43,9 @@
         base: Some(1),
         body: body.into(),
     };
-    world.handle(Event::Operator {
-        request: 1_000_000,
-        order,
+    world.handle(Event::OperatorRequest {
+        id: 1_000_000,
+        request: order,
     });
     let mut agent = TestAgent::new("side-1", "i-1");
     world.settle(&mut agent);
@@ -107,9 +112,9 @@
 #[test]
 fn given_debts_when_another_machine_takes_over_then_they_are_known_there() {
     let (mut world, mut agent) = given_heavy_use_and_two_that_wait(with_debts());
-    let before = world.scheduler.status(world.now)["share_debt"].clone();
+    let before = status(&world)["share_debt"].clone();
     world.fail_over();
-    let after = world.scheduler.status(world.now)["share_debt"].clone();
+    let after = status(&world)["share_debt"].clone();
     assert_eq!(after["version"], before["version"]);
     assert_eq!(
         after["users"][0]["debt_core_ms"],
@@ -122,10 +127,7 @@
     );
     world.settle(&mut agent);
     work(&mut world, &mut agent, 2_000);
-    assert_eq!(
-        world.scheduler.status(world.now)["share_debt"]["version"]["epoch"],
-        2
-    );
+    assert_eq!(status(&world)["share_debt"]["version"]["epoch"], 2);
     assert_eq!(next_start(&mut world, &mut agent), CHECK);
 }
 
@@ -149,25 +151,25 @@
     world.settle(&mut agent);
     agent.begin_all();
     work(&mut world, &mut agent, 9_000);
-    let users = world.scheduler.status(world.now)["share_debt"]["users"].clone();
+    let users = status(&world)["share_debt"]["users"].clone();
     assert!(users[0]["debt_core_ms"].as_u64() > Some(7_000), "{users}");
     agent.replace_worker("i-2");
     world.settle(&mut agent);
-    let users = world.scheduler.status(world.now)["share_debt"]["users"].clone();
+    let users = status(&world)["share_debt"]["users"].clone();
     assert_eq!(users[0]["present_core_ms"], 0, "{users}");
 }
 
 #[test]
 fn given_debts_switched_off_when_work_runs_then_nothing_of_them_is_written_or_shown() {
     let (world, _) = given_heavy_use_and_two_that_wait(settings());
-    assert!(world.scheduler.status(world.now)["share_debt"].is_null());
+    assert!(status(&world)["share_debt"].is_null());
     assert!(!world.state.keys().any(|key| key.starts_with("debt")));
 }
 
 #[test]
 fn given_debts_when_work_runs_then_at_most_one_version_a_second_is_written() {
     let (world, _) = given_heavy_use_and_two_that_wait(with_debts());
-    let number = world.scheduler.status(world.now)["share_debt"]["version"]["number"]
+    let number = status(&world)["share_debt"]["version"]["number"]
         .as_u64()
         .expect("a number");
     assert!(
--- a/crates/scheduler/tests/stories.rs
+++ b/crates/scheduler/tests/stories.rs
@@ -7,7 +7,7 @@
 use streamusher_protocol::internal::ClientMethod;
 use streamusher_protocol::task::RunEnd;
 use support::given::{given_a_running_task, given_an_ordered_task, ONE_TASK};
-use support::{TestAgent, World, HOLD_MAX_MS, JOB};
+use support::{TestAgent, World, JOB, MAX_LEASE_MS};
 
 #[test]
 fn a_job_runs_and_is_shown_as_succeeded() {
@@ -78,7 +78,7 @@
 fn a_silent_machine_keeps_its_task_until_its_lease_is_over() {
     let (mut world, mut first) = given_a_running_task();
     let mut second = TestAgent::new("side-2", "i-2");
-    let until = world.now + HOLD_MAX_MS;
+    let until = world.now + MAX_LEASE_MS;
     while world.now < until {
         world.settle(&mut second);
         assert!(
@@ -106,7 +106,7 @@
     world.wait(3_000);
     world.fail_over();
     let mut second = TestAgent::new("side-2", "i-2");
-    let until = world.now + HOLD_MAX_MS;
+    let until = world.now + MAX_LEASE_MS;
     while world.now < until {
         world.settle(&mut second);
         assert!(
@@ -359,10 +359,10 @@
         .explain_job(world.now, &second.parse().unwrap())
         .unwrap();
 
-    assert_eq!((runs.runs.len(), runs.waiting.len()), (1, 0));
-    assert!(runs.runs[0].begun && &*runs.runs[0].worker == "i-1");
-    assert_eq!((waits.runs.len(), waits.waiting.len()), (0, 1));
-    assert_eq!(waits.waiting[0].waiting.reason, WaitReason::NoFreeCapacity);
+    assert_eq!((runs.runs.len(), runs.pending.len()), (1, 0));
+    assert!(runs.runs[0].running && &*runs.runs[0].worker == "i-1");
+    assert_eq!((waits.runs.len(), waits.pending.len()), (0, 1));
+    assert_eq!(waits.pending[0].waiting.reason, WaitReason::NoFreeCapacity);
     assert_eq!(
         world
             .scheduler
--- a/crates/scheduler/tests/support/mod.rs
+++ b/crates/scheduler/tests/support/mod.rs
@@ -18,19 +18,19 @@
     SchedulerResponse, SchedulerSettings,
 };
 
-pub const HOLD_MAX_MS: Millis = 6_000;
+pub const MAX_LEASE_MS: Millis = 6_000;
 pub const JOB: &str = "5c0e7a21d94b36f8";
 const UNIX_START: Millis = 1_790_000_000_000;
 
 pub fn settings() -> SchedulerSettings {
     let limits = SchedulerLimits {
-        hold_max_ms: HOLD_MAX_MS,
+        max_lease_ms: MAX_LEASE_MS,
         ..SchedulerLimits::default()
     };
     SchedulerSettings {
         limits,
         random_seed: 1,
-        share_debt: None,
+        fair_share: None,
         policy: streamusher_scheduler::Policy::default(),
     }
 }
@@ -75,7 +75,10 @@
             body: body.into(),
         };
         let request = world.request();
-        world.handle(Event::Operator { request, order });
+        world.handle(Event::OperatorRequest {
+            id: request,
+            request: order,
+        });
         world
     }
 
@@ -95,7 +98,9 @@
                 None => self.state.remove(&write.key),
             };
         }
-        self.replies.extend(effects.replies);
+        let responses = effects.responses.into_iter();
+        self.replies
+            .extend(responses.map(|pending| (pending.request, pending.response)));
     }
 
     /// Lets time pass, in ticks.
@@ -126,7 +131,10 @@
             body: body.into(),
             configuration_version: 1,
         };
-        self.handle(Event::Client { request, call });
+        self.handle(Event::ClientRequest {
+            id: request,
+            request: call,
+        });
         match self.replies.remove(&request) {
             Some(SchedulerResponse::Client(reply)) => reply,
             other => panic!("no reply to a client's call: {other:?}"),
@@ -147,7 +155,7 @@
     pub fn sync(&mut self, agent: &mut TestAgent) -> Option<AgentCommands> {
         let request = self.request();
         let sync = agent.next_call();
-        self.handle(Event::Agent { request, sync });
+        self.handle(Event::AgentSync { id: request, sync });
         let orders = match self.replies.remove(&request) {
             Some(SchedulerResponse::Agent(orders)) => orders,
             _ => return None,
@@ -163,7 +171,7 @@
             worker: None,
             ..agent.next_call()
         };
-        self.handle(Event::Agent { request, sync });
+        self.handle(Event::AgentSync { id: request, sync });
         match self.replies.remove(&request) {
             Some(SchedulerResponse::Agent(orders)) => Some(orders),
             _ => None,
