--- a/crates/controlplane/src/driver/mod.rs
+++ b/crates/controlplane/src/driver/mod.rs
@@ -24,8 +24,7 @@
 use streamusher_protocol::internal::CoreAddress;
 use streamusher_protocol::{Millis, Now};
 use streamusher_scheduler::{
-    Effects, Event, PendingResponse, RecoverError, RequestId, Scheduler, SchedulerResponse,
-    SchedulerSettings,
+    Effects, Event, RecoverError, RequestId, Scheduler, SchedulerResponse, SchedulerSettings,
 };
 
 /// Configurations that were committed in one term.
@@ -237,12 +236,12 @@
         }
         self.observe_configuration();
         let sequence = self.replication.last_appended();
-        for PendingResponse { request, response } in responses {
+        for pending in responses {
             self.in_flight.add_response(PendingResponse {
-                request,
-                response,
+                request: pending.request,
+                response: pending.response,
                 sequence,
-                has_own_writes: has_writes && cause == Some(request),
+                has_own_writes: has_writes && cause == Some(pending.request),
             });
         }
         self.apply_outputs(now, outputs);
