--- a/crates/jobs/src/completion.rs
+++ b/crates/jobs/src/completion.rs
@@ -1,7 +1,7 @@
 //! How an iteration of a job ended, beside what its queue asks for.
 
 use crate::job::Job;
-use crate::spent::{LatencyBreakdown, LatencyStage};
+use crate::latency::{LatencyBreakdown, LatencyStage};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 use streamusher_protocol::task::JobId;
--- a/crates/jobs/src/effects.rs
+++ b/crates/jobs/src/effects.rs
@@ -1,7 +1,7 @@
 //! What a change to a job brings about outside of it, collected until it is taken.
 
 use crate::completion::Completion;
-use crate::due::Timers;
+use crate::timers::Timers;
 use std::collections::BTreeSet;
 use streamusher_protocol::task::{JobId, RunId, TaskId};
 use streamusher_protocol::unit::UnitId;
--- a/crates/jobs/src/stored.rs
+++ b/crates/jobs/src/encoding.rs
@@ -3,9 +3,9 @@
 use crate::effects::Effects;
 use crate::job::{DoneIterations, Job};
 use crate::plan::Plan;
+use crate::policy::QueuePolicy;
 use crate::record::{JobRecord, OpenRecord, TaskRecord};
-use crate::steps::{Iteration, Phase};
-use crate::terms::QueuePolicy;
+use crate::step::{Iteration, Phase};
 use std::sync::Arc;
 use streamusher_protocol::job::JobState;
 use streamusher_protocol::task::{JobId, TaskId};
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -1,13 +1,13 @@
 //! One job: its terms, its iterations, which units of it wait, and how it ends.
 
-use crate::check::MOST_TASKS;
+use crate::backoff::restart_pause;
 use crate::effects::Effects;
+use crate::latency::{LatencyBreakdown, LatencyStage};
 use crate::names::unit_id;
-use crate::pause::restart_pause;
 use crate::plan::Plan;
-use crate::spent::{LatencyBreakdown, LatencyStage};
-use crate::steps::{Iteration, Phase, Step};
-use crate::terms::QueuePolicy;
+use crate::policy::QueuePolicy;
+use crate::step::{Iteration, Phase, Step};
+use crate::validation::MOST_TASKS;
 use std::collections::{BTreeMap, BTreeSet};
 use streamusher_protocol::job::JobState;
 use streamusher_protocol::task::{JobId, RunId, TaskId};
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -6,33 +6,33 @@
 //! step is hedged and [`JobTable::hedge`] asks for it), that run numbers rise and never repeat, that a step waits for the
 //! steps it depends on, and that attempts are limited.
 
-mod answers;
-mod assigned;
-mod book;
+mod backoff;
 mod changes;
-mod check;
 mod completion;
-mod due;
 mod effects;
+mod encoding;
 mod entry;
 mod error;
 mod job;
+mod latency;
 mod names;
-mod pause;
-mod place;
+mod outcomes;
 mod plan;
+mod policy;
+mod position;
 mod record;
-mod recover;
-mod runs;
-mod spent;
-mod steps;
-mod stored;
-mod terms;
+mod recovery;
+mod run_events;
+mod step;
+mod table;
+mod timers;
+mod validation;
+mod views;
 
-pub use answers::{CancelOutcome, SubmitOutcome};
-pub use book::JobTable;
 pub use changes::{AssignedRun, JobChanges, StartedRun};
 pub use completion::Completion;
 pub use error::{RecordError, SubmitError};
-pub use spent::{LatencyBreakdown, LatencyStage, RunTimings};
-pub use terms::{JobSettings, QueuePolicy};
+pub use latency::{LatencyBreakdown, LatencyStage, RunTimings};
+pub use outcomes::{CancelOutcome, SubmitOutcome};
+pub use policy::{JobSettings, QueuePolicy};
+pub use table::JobTable;
--- a/crates/jobs/src/place.rs
+++ b/crates/jobs/src/position.rs
@@ -2,7 +2,7 @@
 
 use crate::job::Job;
 use crate::names::unit_id;
-use crate::steps::{Member, Step, UnitState};
+use crate::step::{Member, Step, UnitState};
 use streamusher_protocol::task::{RunId, TaskId};
 use streamusher_protocol::unit::UnitId;
 
--- a/crates/jobs/src/record.rs
+++ b/crates/jobs/src/record.rs
@@ -1,7 +1,7 @@
 //! The stored forms of jobs and tasks, as JSON under `job/ID` and `task/ID.TIME.STEP.INDEX`.
 
 use crate::error::RecordError;
-use crate::steps::EarlierRun;
+use crate::step::EarlierRun;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
--- a/crates/jobs/src/recover.rs
+++ b/crates/jobs/src/recovery.rs
@@ -1,12 +1,12 @@
 //! The record rebuilt from the replicated state.
 
-use crate::book::JobTable;
-use crate::check::check;
 use crate::entry::Entry;
 use crate::error::RecordError;
 use crate::job::Job;
+use crate::policy::JobSettings;
 use crate::record::{self, JobRecord, Key, TaskRecord};
-use crate::terms::JobSettings;
+use crate::table::JobTable;
+use crate::validation::check;
 use std::sync::Arc;
 use streamusher_protocol::task::{JobId, TaskId};
 use streamusher_protocol::Now;
--- a/crates/jobs/src/runs.rs
+++ b/crates/jobs/src/run_events.rs
@@ -3,9 +3,9 @@
 use crate::changes::StartedRun;
 use crate::effects::Effects;
 use crate::job::Job;
-use crate::place::Place;
-use crate::spent::LatencyStage;
-use crate::steps::{EarlierRun, Iteration, Phase, Step};
+use crate::latency::LatencyStage;
+use crate::position::Place;
+use crate::step::{EarlierRun, Iteration, Phase, Step};
 use std::sync::Arc;
 use streamusher_protocol::job::JobState;
 use streamusher_protocol::task::{RunEnd, RunId, TaskId};
--- a/crates/jobs/src/steps.rs
+++ b/crates/jobs/src/step.rs
@@ -3,8 +3,8 @@
 //! A unit is what starts together: a task, or all tasks of a gang. Runs, attempts and checkpoint belong to the unit;
 //! a member has only the worker at which the unit's newest run of it sits.
 
+use crate::latency::{LatencyBreakdown, LatencyStage, RunTimings};
 use crate::plan::Plan;
-use crate::spent::{LatencyBreakdown, LatencyStage, RunTimings};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 use streamusher_protocol::unit::WorkerId;
--- a/crates/jobs/src/book.rs
+++ b/crates/jobs/src/table.rs
@@ -1,17 +1,17 @@
 //! The record of all jobs.
 
-use crate::answers::{CancelOutcome, SubmitOutcome};
 use crate::changes::{AssignedRun, JobChanges, StartedRun};
-use crate::check::check;
 use crate::effects::Effects;
 use crate::entry::Entry;
 use crate::error::SubmitError;
 use crate::job::Job;
+use crate::latency::{LatencyStage, RunTimings};
+use crate::outcomes::{CancelOutcome, SubmitOutcome};
 use crate::plan::Plan;
+use crate::policy::{JobSettings, QueuePolicy};
 use crate::record;
-use crate::runs::{Outcome, RunOver};
-use crate::spent::{LatencyStage, RunTimings};
-use crate::terms::{JobSettings, QueuePolicy};
+use crate::run_events::{Outcome, RunOver};
+use crate::validation::check;
 use std::collections::HashMap;
 use std::sync::Arc;
 use streamusher_protocol::job::{JobRequest, JobState};
--- a/crates/jobs/src/assigned.rs
+++ b/crates/jobs/src/views.rs
@@ -2,7 +2,7 @@
 
 use crate::changes::AssignedRun;
 use crate::job::Job;
-use crate::steps::{EarlierRun, Step};
+use crate::step::{EarlierRun, Step};
 use streamusher_protocol::task::RunId;
 
 impl Job {
