--- a/crates/jobs/src/effects.rs
+++ b/crates/jobs/src/effects.rs
@@ -1,4 +1,4 @@
-//! What a change to a job brings about outside of it, collected until it is taken.
+//! What changes to jobs bring about outside of them, collected until it is taken.
 
 use crate::completion::Completion;
 use crate::timers::Timers;
@@ -6,38 +6,38 @@
 use streamusher_protocol::task::{JobId, RunId, TaskId};
 use streamusher_protocol::unit::UnitId;
 
-/// Effects since the last call of `take_changes`, and what is planned. Records are named here and written out only
-/// when taken, so that several changes to one of them cost one write.
+/// Effects since the last call of [`JobTable::take_changes`](crate::JobTable::take_changes), and the timers that are
+/// set. Records are only named here and encoded when taken, so that several changes to one of them cost one write.
 #[derive(Debug, Default)]
 pub(crate) struct Effects {
     /// Jobs whose record changed.
-    pub jobs: BTreeSet<JobId>,
+    pub(crate) changed_jobs: BTreeSet<JobId>,
     /// Tasks whose record changed.
-    pub tasks: BTreeSet<TaskId>,
-    /// Units to give out.
-    pub ready: BTreeSet<UnitId>,
-    /// Units given out before, to be taken back.
-    pub revoked: BTreeSet<UnitId>,
+    pub(crate) changed_tasks: BTreeSet<TaskId>,
+    /// Units that became ready for placement.
+    pub(crate) ready_units: BTreeSet<UnitId>,
+    /// Units that were taken as ready before and must not start any more.
+    pub(crate) revoked_units: BTreeSet<UnitId>,
     /// Runs to stop.
-    pub stop: BTreeSet<RunId>,
+    pub(crate) runs_to_stop: BTreeSet<RunId>,
     /// Iterations that ended.
-    pub completions: Vec<Completion>,
-    /// What is to be done later.
-    pub timers: Timers,
+    pub(crate) completions: Vec<Completion>,
+    /// What is to be done at a later time.
+    pub(crate) timers: Timers,
 }
 
 impl Effects {
-    /// Takes a waiting unit back.
-    pub fn revoke(&mut self, unit: UnitId) {
-        if !self.ready.remove(&unit) {
-            self.revoked.insert(unit);
+    /// Revokes a unit that is ready.
+    pub(crate) fn revoke_unit(&mut self, unit: UnitId) {
+        if !self.ready_units.remove(&unit) {
+            self.revoked_units.insert(unit);
         }
     }
 
-    /// Gives a waiting unit out anew.
-    pub fn renew(&mut self, unit: UnitId) {
-        if self.ready.insert(unit.clone()) {
-            self.revoked.insert(unit);
+    /// Revokes a ready unit and makes it ready again, as placement has to see what changed of it.
+    pub(crate) fn reissue_unit(&mut self, unit: UnitId) {
+        if self.ready_units.insert(unit.clone()) {
+            self.revoked_units.insert(unit);
         }
     }
 }
--- a/crates/jobs/src/entry.rs
+++ b/crates/jobs/src/entry.rs
@@ -1,50 +1,37 @@
-//! What is kept of a job: all of it, or only how it ended.
+//! What is kept of a job: all of it while it is open, then only its final state.
 
 use crate::job::Job;
-use crate::record::JobRecord;
 use std::sync::Arc;
 use streamusher_protocol::job::JobState;
 
 /// What is kept of a job.
 #[derive(Debug)]
-pub(crate) enum Entry {
-    /// It has not ended, or runs of it are left.
-    Kept(Box<Job>),
-    /// It has ended.
+pub(crate) enum JobEntry {
+    /// The job has not ended, or runs of it are left.
+    Open(Box<Job>),
+    /// The job has ended and no run of it is left.
     Ended {
-        /// The queue it was handed to.
+        /// The queue it was submitted to.
         queue: Arc<str>,
         /// Its final state.
         state: JobState,
     },
 }
 
-impl Entry {
-    /// The state that clients are shown.
-    pub fn state(&self) -> JobState {
+impl JobEntry {
+    /// The job's state, as shown to clients.
+    pub(crate) fn state(&self) -> JobState {
         match self {
-            Entry::Kept(job) => job.state(),
-            Entry::Ended { state, .. } => *state,
+            JobEntry::Open(job) => job.state(),
+            JobEntry::Ended { state, .. } => *state,
         }
     }
 
-    /// The queue that the job was handed to.
-    pub fn queue(&self) -> &Arc<str> {
+    /// The queue that the job was submitted to.
+    pub(crate) fn queue(&self) -> &Arc<str> {
         match self {
-            Entry::Kept(job) => &job.terms.queue,
-            Entry::Ended { queue, .. } => queue,
-        }
-    }
-
-    /// The stored form.
-    pub fn record(&self) -> JobRecord {
-        match self {
-            Entry::Kept(job) => job.record(),
-            Entry::Ended { queue, state } => JobRecord {
-                queue: queue.clone(),
-                state: Some(*state),
-                open: None,
-            },
+            JobEntry::Open(job) => &job.policy.queue,
+            JobEntry::Ended { queue, .. } => queue,
         }
     }
 }
--- a/crates/jobs/src/latency.rs
+++ b/crates/jobs/src/latency.rs
@@ -1,5 +1,7 @@
-//! Where the time of an iteration went: along the chain of units that its end waited for, each millisecond in one stage.
+//! Latency breakdown: where the time of an iteration went along the chain of units that its end waited for, each
+//! millisecond in one stage.
 
+use crate::millis::saturating_millis;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use streamusher_protocol::Millis;
@@ -8,38 +10,38 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LatencyStage {
-    /// Waited while no worker took its work, or none that it may run at.
+    /// Waited while no worker accepted work, or none that the unit may run at.
     WaitedForWorker,
-    /// Waited while no worker that could run it had the room free.
+    /// Waited while no worker that could run it had the capacity free.
     #[serde(rename = "waited_for_room")]
     WaitedForCapacity,
-    /// Waited while room was being gathered for it.
+    /// Waited while capacity was being reserved for it.
     WaitedForReservation,
-    /// Waited with room free, which was kept for others or at workers that are avoided.
+    /// Waited while capacity was free that was reserved for others, or at workers that the unit avoids.
     #[serde(rename = "waited_with_room_free")]
     WaitedWithCapacityFree,
-    /// Waited after a failure before it was restarted.
+    /// Waited for the end of the backoff after a failure.
     #[serde(rename = "paused")]
     BackedOff,
-    /// From the decision to the first report of the run, and from the run's end to its report.
+    /// From the placement decision to the first report of the run, and from the run's end to its report.
     #[serde(rename = "ordered")]
     Dispatched,
-    /// Ran, up to what the run would have taken at a usual worker near its data.
+    /// Ran, up to what the run would have taken at a worker of usual speed near its data.
     Worked,
-    /// Ran for longer than that: at a slow or sick worker, or away from its data.
+    /// Ran for longer than that: at a slow worker, or away from its data.
     RanSlowly,
     /// Ran in vain: the run failed.
     Failed,
-    /// Ran in vain: the run was stopped, for a more urgent one or to be moved.
+    /// Ran in vain: the run was stopped, for one of higher priority or to be moved.
     Stopped,
-    /// Ran in vain: the run was lost with its worker, or its lease ended.
+    /// Ran in vain: the run was lost with its worker, or its lease expired.
     Lost,
-    /// Not told: before the present primary took over, or before the unit was put back into the queue with other terms.
+    /// Not observed: before the present primary took over, or before the unit was revoked and made ready again.
     Unknown,
 }
 
 impl LatencyStage {
-    /// All of them.
+    /// All stages, in the order of their declaration.
     pub const ALL: [LatencyStage; 12] = [
         LatencyStage::WaitedForWorker,
         LatencyStage::WaitedForCapacity,
@@ -56,7 +58,7 @@
     ];
 }
 
-/// Milliseconds in each stage; stored as a map of the stages with any.
+/// Milliseconds in each stage, at most `u32::MAX` in one; encoded as a map of the stages that have any.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(
     from = "BTreeMap<LatencyStage, Millis>",
@@ -65,7 +67,7 @@
 pub struct LatencyBreakdown([u32; LatencyStage::ALL.len()]);
 
 impl LatencyBreakdown {
-    /// Adds to a stage.
+    /// Adds time to a stage.
     pub fn add(&mut self, stage: LatencyStage, spent_ms: Millis) {
         let spent_ms = u32::try_from(spent_ms).unwrap_or(u32::MAX);
         let total = &mut self.0[stage as usize];
@@ -77,12 +79,12 @@
         self.0[stage as usize].into()
     }
 
-    /// Time in all stages.
+    /// Time in all stages, in milliseconds.
     pub fn total_ms(&self) -> Millis {
         self.0.iter().map(|spent_ms| Millis::from(*spent_ms)).sum()
     }
 
-    /// The stages with any time.
+    /// The stages that have any time, with their milliseconds, in the order of [`LatencyStage::ALL`].
     pub fn stages(&self) -> impl Iterator<Item = (LatencyStage, Millis)> + '_ {
         LatencyStage::ALL
             .into_iter()
@@ -93,36 +95,36 @@
 
 impl From<BTreeMap<LatencyStage, Millis>> for LatencyBreakdown {
     fn from(stages: BTreeMap<LatencyStage, Millis>) -> LatencyBreakdown {
-        let mut spent = LatencyBreakdown::default();
-        stages
-            .into_iter()
-            .for_each(|(stage, spent_ms)| spent.add(stage, spent_ms));
-        spent
+        let mut breakdown = LatencyBreakdown::default();
+        for (stage, spent_ms) in stages {
+            breakdown.add(stage, spent_ms);
+        }
+        breakdown
     }
 }
 
 impl From<LatencyBreakdown> for BTreeMap<LatencyStage, Millis> {
-    fn from(spent: LatencyBreakdown) -> BTreeMap<LatencyStage, Millis> {
-        spent.stages().collect()
+    fn from(breakdown: LatencyBreakdown) -> BTreeMap<LatencyStage, Millis> {
+        breakdown.stages().collect()
     }
 }
 
-/// How a run went, as far as its worker's reports tell.
+/// How long a run took, as far as its worker's reports show.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RunTimings {
-    /// From the first report that showed it to its end.
+    /// From the first report that showed the run to its end, in milliseconds.
     pub ran_ms: Millis,
-    /// How much longer than at a usual worker near its data it took; 1 where nothing tells.
+    /// Factor by which it took longer than at a worker of usual speed near its data; 1 where that is not known.
     pub slowness: f64,
 }
 
 impl RunTimings {
-    /// Splits the time from a run's order to its end.
-    pub(crate) fn add_done(self, held_ms: Millis, spent: &mut LatencyBreakdown) {
-        let ran_ms = self.ran_ms.min(held_ms);
-        let worked_ms = (ran_ms as f64 / self.slowness.max(1.0)) as Millis;
-        spent.add(LatencyStage::Dispatched, held_ms - ran_ms);
-        spent.add(LatencyStage::Worked, worked_ms);
-        spent.add(LatencyStage::RanSlowly, ran_ms - worked_ms);
+    /// Splits the time of a finished run, from the placement decision to its end, into stages.
+    pub(crate) fn add_to(self, breakdown: &mut LatencyBreakdown, elapsed_ms: Millis) {
+        let ran_ms = self.ran_ms.min(elapsed_ms);
+        let worked_ms = saturating_millis(ran_ms as f64 / self.slowness.max(1.0));
+        breakdown.add(LatencyStage::Dispatched, elapsed_ms - ran_ms);
+        breakdown.add(LatencyStage::Worked, worked_ms);
+        breakdown.add(LatencyStage::RanSlowly, ran_ms - worked_ms);
     }
 }
--- a/crates/jobs/src/outcomes.rs
+++ b/crates/jobs/src/outcomes.rs
@@ -1,23 +1,23 @@
-//! Answers to what clients ask of the record.
+//! Outcomes of clients' requests.
 
 use streamusher_protocol::job::JobState;
 
-/// What became of a job that was handed in.
+/// Outcome of a valid submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmitOutcome {
-    /// It is new.
+    /// The job is new.
     Accepted,
-    /// Its identifier is known already; nothing changed.
+    /// A job with this identifier is known already, whatever its request; nothing changed.
     AlreadyKnown,
 }
 
-/// What became of an order to cancel.
+/// Outcome of a cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelOutcome {
-    /// It is cancelled now.
+    /// The job is cancelled now.
     Cancelled,
-    /// It had ended before.
+    /// The job had ended before, in this state.
     AlreadyEnded(JobState),
-    /// There is no such job.
+    /// No such job is known.
     UnknownJob,
 }
--- /dev/null
+++ b/crates/jobs/src/pending.rs
@@ -0,0 +1,33 @@
+//! Number of pending jobs of each queue.
+
+use std::collections::HashMap;
+use std::sync::Arc;
+
+/// Jobs of which nothing has started, counted by queue.
+#[derive(Debug, Default)]
+pub(crate) struct PendingCounts {
+    by_queue: HashMap<Arc<str>, u64>,
+}
+
+impl PendingCounts {
+    /// Counts a job.
+    pub(crate) fn add(&mut self, queue: Arc<str>) {
+        *self.by_queue.entry(queue).or_default() += 1;
+    }
+
+    /// Takes a job off the count.
+    pub(crate) fn remove(&mut self, queue: &str) {
+        let Some(count) = self.by_queue.get_mut(queue) else {
+            return;
+        };
+        *count = count.saturating_sub(1);
+        if *count == 0 {
+            self.by_queue.remove(queue);
+        }
+    }
+
+    /// Pending jobs of a queue.
+    pub(crate) fn count(&self, queue: &str) -> u64 {
+        self.by_queue.get(queue).copied().unwrap_or(0)
+    }
+}
--- a/crates/jobs/src/plan.rs
+++ b/crates/jobs/src/plan.rs
@@ -1,74 +1,104 @@
-//! What stays the same for all iterations of a job: its request and the order of its steps.
+//! What stays the same for all iterations of a job: its request, and the graph of its steps.
 
 use streamusher_protocol::job::{JobRequest, StepRequest};
 use streamusher_protocol::Millis;
 
-/// A request with its dependencies turned round, so that the end of a step finds what waits for it.
+/// A request with its dependencies reversed, so that the end of a step finds the steps that wait for it.
 #[derive(Debug)]
-pub(crate) struct Plan {
-    /// The request, as it was taken.
-    pub request: JobRequest,
+pub(crate) struct JobPlan {
+    /// The request as it was submitted.
+    pub(crate) request: JobRequest,
     /// For each step, the steps that depend on it.
-    pub dependents: Vec<Vec<u32>>,
-    /// For each step, on how many distinct steps it depends.
-    pub blockers: Vec<u32>,
-    /// The longest chain of estimated work of one iteration, in milliseconds.
-    pub chain_ms: Millis,
+    pub(crate) dependents: Vec<Vec<u32>>,
+    /// For each step, the number of distinct steps it depends on.
+    pub(crate) dependency_counts: Vec<u32>,
+    /// Estimated work on the critical path of one iteration, in milliseconds.
+    pub(crate) critical_path_ms: Millis,
     /// Tasks of one iteration.
-    pub tasks: u64,
+    pub(crate) tasks_per_iteration: u64,
 }
 
-impl Plan {
-    /// A plan for a checked request; a dependency that names no earlier step is ignored.
-    pub fn new(request: JobRequest) -> Plan {
+impl JobPlan {
+    /// The plan of a validated request; a dependency on a step that is not earlier is ignored.
+    pub(crate) fn new(request: JobRequest) -> JobPlan {
         let mut dependents = vec![Vec::new(); request.steps.len()];
-        let mut blockers = Vec::with_capacity(request.steps.len());
-        for (index, step) in request.steps.iter().enumerate() {
-            let mut on: Vec<usize> = step.depends_on.iter().map(|&d| d as usize).collect();
-            on.sort_unstable();
-            on.dedup();
-            on.retain(|&d| d < index);
-            blockers.push(on.len() as u32);
-            on.iter().for_each(|&d| dependents[d].push(index as u32));
+        let mut dependency_counts = Vec::with_capacity(request.steps.len());
+        for (index, step) in (0..).zip(&request.steps) {
+            let dependencies = distinct_dependencies(index, step);
+            let mut dependency_count = 0;
+            for dependency in dependencies {
+                dependents[dependency as usize].push(index);
+                dependency_count += 1;
+            }
+            dependency_counts.push(dependency_count);
         }
-        let tasks = request.steps.iter().map(|s| u64::from(s.count)).sum();
-        let chain_ms = longest_chain(&request, &dependents);
-        Plan {
+        let tasks_per_iteration = request.steps.iter().map(|s| u64::from(s.count)).sum();
+        let critical_path_ms = critical_path_ms(&request, &dependents);
+        JobPlan {
             request,
             dependents,
-            blockers,
-            chain_ms,
-            tasks,
+            dependency_counts,
+            critical_path_ms,
+            tasks_per_iteration,
         }
     }
 
-    /// How many iterations there are.
-    pub fn iterations(&self) -> u32 {
+    /// Number of iterations; at least 1.
+    pub(crate) fn iteration_count(&self) -> u32 {
         self.request.repeat_count.max(1)
     }
 
     /// When an iteration is due, in milliseconds since 1970.
-    pub fn due_at(&self, iteration: u32) -> Millis {
-        let later = u64::from(iteration).saturating_mul(self.request.interval_ms);
-        self.request.start_at_ms.saturating_add(later)
+    pub(crate) fn due_unix_ms(&self, iteration: u32) -> Millis {
+        let offset_ms = u64::from(iteration).saturating_mul(self.request.interval_ms);
+        self.request.start_at_ms.saturating_add(offset_ms)
+    }
+
+    /// Number of steps of an iteration.
+    pub(crate) fn step_count(&self) -> u32 {
+        u32::try_from(self.request.steps.len()).unwrap_or(u32::MAX)
     }
 
     /// A step's request.
-    pub fn step(&self, step: u32) -> Option<&StepRequest> {
+    pub(crate) fn step(&self, step: u32) -> Option<&StepRequest> {
         self.request.steps.get(step as usize)
     }
+
+    /// Whether a step's tasks run until the job is cancelled.
+    pub(crate) fn is_long_running(&self, step: u32) -> bool {
+        self.step(step).is_some_and(|request| request.long_running)
+    }
+
+    /// Whether a step's tasks may have a speculative second run.
+    pub(crate) fn is_hedged(&self, step: u32) -> bool {
+        self.step(step)
+            .is_some_and(|request| request.hedged && !request.gang && !request.long_running)
+    }
+
+    /// Whether a step's tasks write checkpoints.
+    pub(crate) fn has_checkpoints(&self, step: u32) -> bool {
+        self.step(step).is_some_and(|request| request.checkpoints)
+    }
+}
+
+fn distinct_dependencies(index: u32, step: &StepRequest) -> Vec<u32> {
+    let mut dependencies = step.depends_on.clone();
+    dependencies.sort_unstable();
+    dependencies.dedup();
+    dependencies.retain(|&dependency| dependency < index);
+    dependencies
 }
 
-/// The longest chain of estimated work; what depends on a step comes later in the list.
-fn longest_chain(request: &JobRequest, dependents: &[Vec<u32>]) -> Millis {
-    let mut rest_ms: Vec<Millis> = vec![0; request.steps.len()];
+/// The longest chain of estimated work. Dependents come later in the list, so it is walked from its end.
+fn critical_path_ms(request: &JobRequest, dependents: &[Vec<u32>]) -> Millis {
+    let mut remaining_ms: Vec<Millis> = vec![0; request.steps.len()];
     for (index, step) in request.steps.iter().enumerate().rev() {
-        let after = dependents[index]
+        let after_ms = dependents[index]
             .iter()
-            .map(|&later| rest_ms[later as usize])
+            .map(|&dependent| remaining_ms[dependent as usize])
             .max()
             .unwrap_or(0);
-        rest_ms[index] = step.estimated_ms.saturating_add(after);
+        remaining_ms[index] = step.estimated_ms.saturating_add(after_ms);
     }
-    rest_ms.into_iter().max().unwrap_or(0)
+    remaining_ms.into_iter().max().unwrap_or(0)
 }
--- a/crates/jobs/src/position.rs
+++ b/crates/jobs/src/position.rs
@@ -1,114 +1,84 @@
-//! Where tasks, runs and units stand in their job.
+//! Positions of units, tasks and runs within their job.
+//!
+//! They mirror the identifiers of the protocol without the job, and are checked against the job's steps once.
 
-use crate::job::Job;
-use crate::names::unit_id;
-use crate::step::{Member, Step, UnitState};
-use streamusher_protocol::task::{RunId, TaskId};
-use streamusher_protocol::unit::UnitId;
+use streamusher_protocol::task::{JobId, TaskId};
+use streamusher_protocol::unit::{StepId, UnitId};
 
-/// A task's place in its job.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct Place {
+/// A unit's position in its job.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct UnitPosition {
     /// The iteration.
-    pub iteration: u32,
-    /// The step.
-    pub step: usize,
-    /// The unit within the step.
-    pub unit: usize,
-    /// The task within the step.
-    pub member: usize,
-    /// The run meant is the one beside which a newer one waits or runs.
-    pub is_earlier: bool,
+    pub(crate) iteration: u32,
+    /// The step within the iteration.
+    pub(crate) step: u32,
+    /// The unit within the step; 0 for a gang.
+    pub(crate) unit: u32,
 }
 
-impl Job {
-    /// Where a task stands.
-    pub fn place(&self, task: &TaskId) -> Option<Place> {
-        let step = self.step_at(task.iteration, task.step as usize)?;
-        let member = task.index as usize;
-        if member >= step.members.len() {
-            return None;
+impl UnitPosition {
+    /// The position that an identifier names.
+    pub(crate) fn of(id: &UnitId) -> UnitPosition {
+        UnitPosition {
+            iteration: id.step.iteration,
+            step: id.step.step,
+            unit: id.index.unwrap_or(0),
         }
-        let unit = step.unit_of(member);
-        let (iteration, step) = (task.iteration, task.step as usize);
-        Some(Place {
-            iteration,
-            step,
-            unit,
-            member,
-            is_earlier: false,
-        })
     }
 
-    /// Where a run stands that is recorded as assigned.
-    pub fn place_of_run(&self, run: &RunId) -> Option<Place> {
-        let place = self.place(&run.task)?;
-        let (unit, member) = self.state_of(place)?;
-        if member.worker.is_some() && unit.run == run.run {
-            return Some(place);
+    /// The unit's identifier.
+    pub(crate) fn id(self, job: &JobId, is_gang: bool) -> UnitId {
+        UnitId {
+            step: StepId {
+                job: job.clone(),
+                iteration: self.iteration,
+                step: self.step,
+            },
+            index: (!is_gang).then_some(self.unit),
         }
-        let is_earlier = member
-            .earlier
-            .as_ref()
-            .is_some_and(|earlier| earlier.run == run.run);
-        is_earlier.then_some(Place {
-            is_earlier,
-            ..place
-        })
-    }
-
-    /// A step of an iteration that is not over.
-    pub fn step_at(&self, iteration: u32, step: usize) -> Option<&Step> {
-        self.iterations.get(&iteration)?.steps.get(step)
-    }
-
-    /// The same, to change it.
-    pub fn step_mut(&mut self, iteration: u32, step: usize) -> Option<&mut Step> {
-        self.iterations.get_mut(&iteration)?.steps.get_mut(step)
     }
 
-    /// A unit.
-    pub fn unit_mut(&mut self, iteration: u32, step: usize, unit: usize) -> Option<&mut UnitState> {
-        self.step_mut(iteration, step)?.units.get_mut(unit)
-    }
-
-    /// A task's unit and its own state.
-    pub fn state_of(&self, place: Place) -> Option<(&UnitState, &Member)> {
-        let step = self.step_at(place.iteration, place.step)?;
-        Some((step.units.get(place.unit)?, step.members.get(place.member)?))
+    /// The identifier of a task of the unit.
+    pub(crate) fn task_id(self, job: &JobId, task: u32) -> TaskId {
+        TaskId {
+            job: job.clone(),
+            iteration: self.iteration,
+            step: self.step,
+            index: task,
+        }
     }
+}
 
-    /// Whether a step's tasks run until the job is cancelled.
-    pub fn lasts(&self, step: usize) -> bool {
-        self.plan
-            .request
-            .steps
-            .get(step)
-            .is_some_and(|s| s.long_running)
-    }
+/// A task's position in its job.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct TaskPosition {
+    /// The unit that the task is part of.
+    pub(crate) unit: UnitPosition,
+    /// The task within the step.
+    pub(crate) task: u32,
+}
 
-    /// Whether copies of a step's tasks may run at the same time.
-    pub fn is_hedged(&self, step: usize) -> bool {
-        self.plan
-            .request
-            .steps
-            .get(step)
-            .is_some_and(|s| s.hedged && !s.gang && !s.long_running)
-    }
+/// Which of a task's runs is meant.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum RunSlot {
+    /// The newest one, or the only one.
+    Newest,
+    /// Of a hedged task: the one beside which a newer one waits or runs.
+    Earlier,
+}
 
-    /// A unit's identifier.
-    pub fn unit_id(&self, iteration: u32, step: usize, unit: usize) -> UnitId {
-        let gang = self.plan.request.steps.get(step).is_some_and(|s| s.gang);
-        unit_id(&self.id, iteration, step, unit, gang)
-    }
+/// The position of a run that is assigned to a worker.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct RunPosition {
+    /// The task.
+    pub(crate) task: TaskPosition,
+    /// Which of its runs.
+    pub(crate) slot: RunSlot,
+}
 
-    /// A task's identifier.
-    pub fn task_id(&self, iteration: u32, step: usize, member: usize) -> TaskId {
-        TaskId {
-            job: self.id.clone(),
-            iteration,
-            step: step as u32,
-            index: member as u32,
-        }
+impl RunPosition {
+    /// The unit that the run's task is part of.
+    pub(crate) fn unit(self) -> UnitPosition {
+        self.task.unit
     }
 }
--- a/crates/jobs/src/record.rs
+++ b/crates/jobs/src/record.rs
@@ -1,7 +1,9 @@
-//! The stored forms of jobs and tasks, as JSON under `job/ID` and `task/ID.TIME.STEP.INDEX`.
+//! Stored forms of jobs and tasks: JSON under `job/ID` and `task/ID.ITERATION.STEP.INDEX` in the replicated state.
+//!
+//! Their keys and field names are those of every version: a new primary may read what a former version wrote.
 
-use crate::error::RecordError;
-use crate::step::EarlierRun;
+use crate::error::{InvalidRecord, RecordError};
+use crate::run_assignment::RunAssignment;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -13,131 +15,130 @@
 const JOB_PREFIX: &str = "job/";
 const TASK_PREFIX: &str = "task/";
 
-/// A job's record. `open` is there until the job has ended and no run of it is left.
+/// A job's record.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct JobRecord {
-    /// The route's name.
-    pub queue: Arc<str>,
-    /// The final state, once there is one.
+    /// Name of the queue's route.
+    pub(crate) queue: Arc<str>,
+    /// The final state, once the job has ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub state: Option<JobState>,
-    /// All that is needed to go on.
+    pub(crate) state: Option<JobState>,
+    /// All that is needed to go on; there until the job has ended and no run of it is left.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub open: Option<OpenRecord>,
+    pub(crate) open: Option<OpenJobRecord>,
 }
 
-/// What is needed to go on with a job.
+/// What is needed to go on with a job. The policy's fields are those of [`QueuePolicy`](crate::QueuePolicy).
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct OpenRecord {
-    /// The queue's terms.
-    pub service: Arc<str>,
-    /// See [`crate::QueuePolicy`].
-    pub priority: u32,
-    /// See [`crate::QueuePolicy`].
-    pub max_attempts: u32,
-    /// See [`crate::QueuePolicy`].
-    pub stretch: f64,
-    /// See [`crate::QueuePolicy`].
-    pub target_latency_ms: Millis,
-    /// When it was handed in, since 1970.
-    pub submitted_ms: Millis,
-    /// All iterations before this one are done.
-    #[serde(default, skip_serializing_if = "is_zero")]
-    pub done_below: u32,
-    /// Later iterations that are done.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub done_above: Vec<u32>,
+pub(crate) struct OpenJobRecord {
+    /// From the queue's policy.
+    pub(crate) service: Arc<str>,
+    /// From the queue's policy.
+    pub(crate) priority: u32,
+    /// From the queue's policy.
+    pub(crate) max_attempts: u32,
+    /// From the queue's policy; finite, as JSON holds no other numbers.
+    pub(crate) stretch: f64,
+    /// From the queue's policy.
+    pub(crate) target_latency_ms: Millis,
+    /// When the job was submitted, since 1970.
+    #[serde(rename = "submitted_ms")]
+    pub(crate) submitted_unix_ms: Millis,
+    /// All iterations before this one are finished.
+    #[serde(rename = "done_below", default, skip_serializing_if = "is_zero")]
+    pub(crate) finished_below: u32,
+    /// Later iterations that are finished.
+    #[serde(rename = "done_above", default, skip_serializing_if = "Vec::is_empty")]
+    pub(crate) finished_above: Vec<u32>,
     /// The request.
-    pub request: JobRequest,
+    pub(crate) request: JobRequest,
 }
 
-/// A task's record. The state of a gang stands in the record of its first task.
+/// A task's record. The state of a gang is in the record of its first task.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct TaskRecord {
-    /// The newest run.
-    pub run: u32,
-    /// Where that run sits, until it is over.
+    /// Number of the newest run.
+    pub(crate) run: u32,
+    /// Worker that this run is assigned to, until it is over.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub worker: Option<WorkerId>,
+    pub(crate) worker: Option<WorkerId>,
     /// Its result is not wanted any more.
-    #[serde(default, skip_serializing_if = "is_false")]
-    pub stopping: bool,
+    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
+    pub(crate) stopping: bool,
     /// The unit is done.
-    #[serde(default, skip_serializing_if = "is_false")]
-    pub done: bool,
+    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
+    pub(crate) done: bool,
     /// Failed attempts of the unit.
-    #[serde(default, skip_serializing_if = "is_zero")]
-    pub failed: u32,
-    /// The newest run counted as a failed attempt.
-    #[serde(default, skip_serializing_if = "is_zero")]
-    pub counted: u32,
+    #[serde(rename = "failed", default, skip_serializing_if = "is_zero")]
+    pub(crate) failed_attempts: u32,
+    /// The newest run that counted as a failed attempt.
+    #[serde(rename = "counted", default, skip_serializing_if = "is_zero")]
+    pub(crate) last_failed_run: u32,
     /// The newest checkpoint.
     #[serde(default, skip_serializing_if = "str::is_empty")]
-    pub checkpoint: Arc<str>,
-    /// What the newest run was started with, where that is no longer the newest checkpoint.
+    pub(crate) checkpoint: Arc<str>,
+    /// Checkpoint that the newest run was started with, where that is not the newest one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub started_from: Option<Arc<str>>,
-    /// Workers to avoid.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub avoid: Vec<WorkerId>,
-    /// A run that goes on beside the newest.
+    pub(crate) started_from: Option<Arc<str>>,
+    /// Workers to avoid, the newest last.
+    #[serde(rename = "avoid", default, skip_serializing_if = "Vec::is_empty")]
+    pub(crate) avoided_workers: Vec<WorkerId>,
+    /// Of a hedged task: a run that goes on beside the newest.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub earlier: Option<EarlierRun>,
+    pub(crate) earlier: Option<RunAssignment>,
 }
 
-/// What a key names.
-pub(crate) enum Key {
-    /// A job's record.
+/// What the key of a record names.
+pub(crate) enum RecordKey {
+    /// A job.
     Job(JobId),
-    /// A task's record.
+    /// A task.
     Task(TaskId),
 }
 
-impl Key {
-    /// Reads a key.
-    pub fn parse(key: &Arc<str>) -> Result<Key, RecordError> {
-        let job = key
-            .strip_prefix(JOB_PREFIX)
-            .and_then(|id| id.parse().ok())
-            .map(Key::Job);
-        let task = || {
-            key.strip_prefix(TASK_PREFIX)
-                .and_then(|id| id.parse().ok())
-                .map(Key::Task)
-        };
-        job.or_else(task)
+impl RecordKey {
+    /// Parses a key.
+    pub(crate) fn parse(key: &Arc<str>) -> Result<RecordKey, RecordError> {
+        let job = key.strip_prefix(JOB_PREFIX).and_then(|id| id.parse().ok());
+        if let Some(job) = job {
+            return Ok(RecordKey::Job(job));
+        }
+        let task = key.strip_prefix(TASK_PREFIX).and_then(|id| id.parse().ok());
+        task.map(RecordKey::Task)
             .ok_or_else(|| RecordError::InvalidKey(key.clone()))
     }
 }
 
 /// The key of a job's record.
-pub(crate) fn job_key(job: &JobId) -> String {
-    format!("{JOB_PREFIX}{job}")
+pub(crate) fn job_key(job: &JobId) -> Arc<str> {
+    format!("{JOB_PREFIX}{job}").into()
 }
 
 /// The key of a task's record.
-pub(crate) fn task_key(task: &TaskId) -> String {
-    format!("{TASK_PREFIX}{task}")
+pub(crate) fn task_key(task: &TaskId) -> Arc<str> {
+    format!("{TASK_PREFIX}{task}").into()
 }
 
-/// Reads a value.
-pub(crate) fn read<T: DeserializeOwned>(key: &Arc<str>, value: &str) -> Result<T, RecordError> {
-    serde_json::from_str(value).map_err(|e| RecordError::InvalidValue {
-        key: key.clone(),
-        reason: e.to_string(),
-    })
+/// Decodes the value of a record.
+pub(crate) fn decode<T: DeserializeOwned>(value: &str) -> Result<T, InvalidRecord> {
+    Ok(serde_json::from_str(value)?)
 }
 
-/// Writes a value. The forms of this module have only text keys and numbers that JSON can hold, so that this cannot
-/// fail; an empty text would be refused by [`read`].
-pub(crate) fn write<T: Serialize>(value: &T) -> String {
-    serde_json::to_string(value).unwrap_or_default()
+/// Encodes the value of a record.
+#[expect(
+    clippy::expect_used,
+    reason = "JSON encoding fails only on maps with keys that are no text, and the forms of this module have none"
+)]
+pub(crate) fn encode<T: Serialize>(value: &T) -> Arc<str> {
+    serde_json::to_string(value)
+        .expect("a record can be encoded as JSON")
+        .into()
 }
 
+#[expect(
+    clippy::trivially_copy_pass_by_ref,
+    reason = "serde passes a reference"
+)]
 fn is_zero(value: &u32) -> bool {
     *value == 0
 }
-
-fn is_false(value: &bool) -> bool {
-    !*value
-}
--- a/crates/jobs/src/recovery.rs
+++ b/crates/jobs/src/recovery.rs
@@ -1,75 +1,243 @@
-//! The record rebuilt from the replicated state.
+//! Rebuilds the jobs from the replicated state, at a new primary.
 
-use crate::entry::Entry;
-use crate::error::RecordError;
+use crate::effects::Effects;
+use crate::entry::JobEntry;
+use crate::error::{InvalidRecord, RecordError};
+use crate::finished_iterations::FinishedIterations;
+use crate::iteration::Iteration;
 use crate::job::Job;
-use crate::policy::JobSettings;
-use crate::record::{self, JobRecord, Key, TaskRecord};
-use crate::table::JobTable;
-use crate::validation::check;
+use crate::plan::JobPlan;
+use crate::policy::QueuePolicy;
+use crate::position::UnitPosition;
+use crate::record::{self, JobRecord, OpenJobRecord, RecordKey, TaskRecord};
+use crate::settings::JobSettings;
+use crate::store::JobStore;
+use crate::unit::{UnitPhase, UnitState};
+use crate::validation::validate;
 use std::sync::Arc;
+use streamusher_protocol::job::JobState;
 use streamusher_protocol::task::{JobId, TaskId};
-use streamusher_protocol::Now;
+use streamusher_protocol::{Millis, Now};
 
-impl JobTable {
-    /// The record as it was written: `records` are all keys `job/...` and `task/...` of the replicated state, in any
-    /// order. Units that wait are given out by the next [`JobTable::take_changes`]. An ended job's state is kept for
-    /// the whole time again, as the clock by which it ended is gone.
-    pub fn recover(
-        settings: JobSettings,
-        now: Now,
-        records: impl Iterator<Item = (Arc<str>, Arc<str>)>,
-    ) -> Result<JobTable, RecordError> {
-        let mut book = JobTable::new(settings);
-        let mut tasks = Vec::new();
-        for (key, value) in records {
-            match Key::parse(&key)? {
-                Key::Job(id) => {
-                    let record: JobRecord = record::read(&key, &value)?;
-                    let entry = restored_entry(&id, record);
-                    let entry =
-                        entry.map_err(|reason| RecordError::InvalidValue { key, reason })?;
-                    book.insert_restored(now, id, entry);
-                }
-                Key::Task(id) => tasks.push((id, record::read::<TaskRecord>(&key, &value)?)),
+/// The jobs as their records hold them, in any order of the records.
+pub(crate) fn recover(
+    settings: JobSettings,
+    now: Now,
+    records: impl Iterator<Item = (Arc<str>, Arc<str>)>,
+) -> Result<JobStore, RecordError> {
+    let mut store = JobStore::new(settings);
+    let mut tasks = Vec::new();
+    for (key, value) in records {
+        let invalid = |source| RecordError::InvalidValue {
+            key: key.clone(),
+            source,
+        };
+        match RecordKey::parse(&key)? {
+            RecordKey::Job(id) => {
+                let entry = decode_job(&id, &value).map_err(invalid)?;
+                store.insert_restored(now, id, entry);
+            }
+            RecordKey::Task(id) => {
+                let task: TaskRecord = record::decode(&value).map_err(invalid)?;
+                tasks.push((id, task));
             }
         }
-        tasks.sort_unstable_by(|a, b| a.0.cmp(&b.0));
-        for (task, record) in tasks {
-            restore_task(&mut book, now, &task, record)?;
+    }
+    tasks.sort_unstable_by(|(a, _), (b, _)| a.cmp(b));
+    for (id, task) in tasks {
+        let job = store.open_job_mut(&id.job);
+        if !job.is_some_and(|job| restore_task(job, now, &id, task)) {
+            return Err(RecordError::TaskWithoutJob(record::task_key(&id)));
         }
-        book.resume_all(now);
-        Ok(book)
     }
+    store.resume_jobs(|job, effects| resume_job(job, now, effects));
+    Ok(store)
 }
 
-fn restored_entry(id: &JobId, record: JobRecord) -> Result<Entry, String> {
-    let JobRecord { queue, state, open } = record;
+fn decode_job(id: &JobId, value: &str) -> Result<JobEntry, InvalidRecord> {
+    let JobRecord { queue, state, open } = record::decode(value)?;
     match (state, open) {
         (state, Some(open)) => {
-            check(&open.request).map_err(|e| e.to_string())?;
-            Ok(Entry::Kept(Box::new(Job::restore(
-                id.clone(),
-                queue,
-                state,
-                open,
-            ))))
+            validate(&open.request)?;
+            let job = restore_job(id.clone(), queue, state, open);
+            Ok(JobEntry::Open(Box::new(job)))
         }
-        (Some(state), None) => Ok(Entry::Ended { queue, state }),
-        (None, None) => Err("neither state nor open is there".into()),
+        (Some(state), None) => Ok(JobEntry::Ended { queue, state }),
+        (None, None) => Err(InvalidRecord::NeitherStateNorOpen),
     }
 }
 
-fn restore_task(
-    book: &mut JobTable,
-    now: Now,
-    task: &TaskId,
-    record: TaskRecord,
-) -> Result<(), RecordError> {
-    let restored = book
-        .kept_mut(&task.job)
-        .is_some_and(|job| job.restore_task(now, task, record));
-    restored
-        .then_some(())
-        .ok_or_else(|| RecordError::TaskWithoutJob(record::task_key(task).into()))
+fn restore_job(
+    id: JobId,
+    queue: Arc<str>,
+    final_state: Option<JobState>,
+    open: OpenJobRecord,
+) -> Job {
+    let policy = QueuePolicy {
+        queue,
+        service: open.service,
+        priority: open.priority,
+        max_attempts: open.max_attempts,
+        stretch: open.stretch,
+        target_latency_ms: open.target_latency_ms,
+    };
+    let plan = JobPlan::new(open.request);
+    let mut job = Job::new(id, policy, plan, open.submitted_unix_ms);
+    job.final_state = final_state;
+    job.iterations.finished = FinishedIterations {
+        below: open.finished_below,
+        above: open.finished_above.into_iter().collect(),
+    };
+    job.iterations.completed = job.iterations.finished.count();
+    job.has_started = job.iterations.completed > 0;
+    job
+}
+
+/// Restores a task. False if the job has no such task, or the record contradicts that of another task of the gang.
+fn restore_task(job: &mut Job, now: Now, id: &TaskId, record: TaskRecord) -> bool {
+    let has_iteration = id.iteration < job.plan.iteration_count()
+        && !job.iterations.finished.contains(id.iteration);
+    if record.run == 0 || !has_iteration {
+        return false;
+    }
+    restore_iterations(job, id.iteration);
+    let Some(position) = job.iterations.task_position(id) else {
+        return false;
+    };
+    let Some(step) = job.iterations.step_of_mut(position.unit) else {
+        return false;
+    };
+    let holds_unit_state = step.record_task(position.unit.unit) == position.task;
+    let Some((task, unit)) = step.task_and_unit_mut(position.task) else {
+        return false;
+    };
+    if task.worker.is_some() || (unit.run != 0 && unit.run != record.run) {
+        return false;
+    }
+    let assigned_runs = u32::from(record.worker.is_some());
+    let earlier_runs = u32::from(record.earlier.is_some());
+    task.worker.clone_from(&record.worker);
+    task.stopping = record.stopping;
+    task.earlier.clone_from(&record.earlier);
+    unit.run = record.run;
+    unit.assigned_tasks += assigned_runs;
+    restart_clocks(unit, now.steady_ms);
+    if holds_unit_state {
+        restore_unit(unit, record);
+    }
+    job.iterations
+        .count_assigned(id.iteration, assigned_runs + earlier_runs);
+    job.has_started = true;
+    true
+}
+
+/// The steady clock of the former primary is gone: the unit's times begin anew.
+fn restart_clocks(unit: &mut UnitState, now_ms: Millis) {
+    unit.assigned_at_ms = now_ms;
+    unit.latency.restart(now_ms);
+}
+
+fn restore_unit(unit: &mut UnitState, record: TaskRecord) {
+    if record.done {
+        unit.phase = UnitPhase::Done;
+    }
+    unit.failed_attempts = record.failed_attempts;
+    unit.last_failed_run = record.last_failed_run;
+    unit.started_from = record
+        .started_from
+        .unwrap_or_else(|| record.checkpoint.clone());
+    unit.checkpoint = record.checkpoint;
+    unit.avoided_workers = record.avoided_workers;
+}
+
+/// Releases the iterations up to one that has started: they are released in order, so those before it were released
+/// too. An ended job needs no other than that.
+fn restore_iterations(job: &mut Job, last: u32) {
+    let iterations = &mut job.iterations;
+    if job.final_state.is_some() {
+        iterations
+            .open
+            .entry(last)
+            .or_insert_with(|| Iteration::new(&job.plan));
+        return;
+    }
+    iterations.next = iterations.next.max(iterations.finished.below);
+    while iterations.next <= last {
+        iterations.release_next(&job.plan);
+    }
+}
+
+/// After all tasks were restored: finds which steps are done, and makes ready what may run.
+fn resume_job(job: &mut Job, now: Now, effects: &mut Effects) {
+    let iterations = &mut job.iterations;
+    iterations.next = iterations.next.max(iterations.finished.below);
+    let open: Vec<u32> = iterations.open.keys().copied().collect();
+    for iteration in open {
+        resume_iteration(job, now, iteration, effects);
+    }
+    job.release_due_iterations(now, effects);
+}
+
+fn resume_iteration(job: &mut Job, now: Now, iteration: u32, effects: &mut Effects) {
+    let Some(content) = job.iterations.open.get_mut(&iteration) else {
+        return;
+    };
+    restore_phases(content, &job.plan);
+    if content.is_complete() {
+        job.iterations.completed += 1;
+    }
+    for step in unblocked_steps(job, iteration) {
+        resume_step(job, now, iteration, step, effects);
+    }
+}
+
+fn restore_phases(iteration: &mut Iteration, plan: &JobPlan) {
+    for step in 0..plan.step_count() {
+        let Some(content) = iteration.step(step) else {
+            continue;
+        };
+        for unit in content.unit_indexes() {
+            restore_phase(iteration, plan, step, unit);
+        }
+    }
+}
+
+fn restore_phase(iteration: &mut Iteration, plan: &JobPlan, step: u32, unit: u32) {
+    let state = iteration
+        .step_mut(step)
+        .and_then(|content| content.unit_mut(unit));
+    let Some(state) = state else {
+        return;
+    };
+    if state.phase == UnitPhase::Done {
+        iteration.on_unit_done(plan, step, unit);
+    } else if state.assigned_tasks > 0 {
+        state.phase = UnitPhase::Assigned;
+    }
+}
+
+fn unblocked_steps(job: &Job, iteration: u32) -> Vec<u32> {
+    let is_unblocked = |step: &u32| {
+        job.iterations
+            .step(iteration, *step)
+            .is_some_and(|step| step.open_dependencies == 0)
+    };
+    (0..job.plan.step_count()).filter(is_unblocked).collect()
+}
+
+fn resume_step(job: &mut Job, now: Now, iteration: u32, step: u32, effects: &mut Effects) {
+    let Some(content) = job.iterations.step(iteration, step) else {
+        return;
+    };
+    for unit in content.unit_indexes() {
+        let position = UnitPosition {
+            iteration,
+            step,
+            unit,
+        };
+        let phase = job.iterations.unit(position).map(|unit| unit.phase);
+        if phase == Some(UnitPhase::Blocked) && !job.has_ended() {
+            job.make_unit_ready(now, position, effects);
+        }
+    }
 }
--- a/crates/jobs/src/run_events.rs
+++ b/crates/jobs/src/run_events.rs
@@ -1,448 +1,303 @@
-//! Runs of a job's tasks: how they begin, and what follows from how they end.
+//! How runs of a job's tasks start, and what follows from what happens to them.
 
+use crate::assignment::workers_in_task_order;
 use crate::changes::StartedRun;
 use crate::effects::Effects;
 use crate::job::Job;
-use crate::latency::LatencyStage;
-use crate::position::Place;
-use crate::step::{EarlierRun, Iteration, Phase, Step};
-use std::sync::Arc;
+use crate::latency::{LatencyStage, RunTimings};
+use crate::position::{RunPosition, RunSlot, UnitPosition};
+use crate::run_result::RunResult;
+use crate::unit::{AfterRun, UnitPhase};
 use streamusher_protocol::job::JobState;
-use streamusher_protocol::task::{RunEnd, RunId, TaskId};
+use streamusher_protocol::task::{RunId, TaskId};
 use streamusher_protocol::unit::{UnitId, WorkerId};
 use streamusher_protocol::{Millis, Now};
 
-/// A run this long ends a row of failures of a task that lasts.
-const SOUND_RUN_MS: Millis = 10_000;
-
-/// What the end of a run means for its unit.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Outcome {
-    /// The unit is done.
-    Done,
-    /// A failed attempt.
-    Failed,
-    /// Neither: the unit is to run again.
-    Over,
-}
-
-/// How a run was over.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct RunOver {
-    /// What it means for its unit.
-    pub outcome: Outcome,
-    /// What its time was spent on, if not on work that is done.
-    pub vain: LatencyStage,
-}
-
-impl From<RunEnd> for Outcome {
-    fn from(how: RunEnd) -> Outcome {
-        match how {
-            RunEnd::Done => Outcome::Done,
-            RunEnd::Failed => Outcome::Failed,
-            RunEnd::Stopped
-            | RunEnd::LeaseExpired
-            | RunEnd::GangBroken
-            | RunEnd::GangIncomplete
-            | RunEnd::Rejected => Outcome::Over,
-        }
-    }
-}
-
 impl Job {
-    /// Assigns a waiting unit to workers, one for each of its tasks.
-    pub fn begin(
+    /// Assigns the tasks of a waiting unit to workers. Nothing is started unless the unit waits and the assignment
+    /// names exactly its tasks.
+    pub(crate) fn start_unit(
         &mut self,
         now: Now,
         id: &UnitId,
-        on: &[(TaskId, WorkerId)],
-        fx: &mut Effects,
+        assignment: &[(TaskId, WorkerId)],
+        effects: &mut Effects,
     ) -> Vec<StartedRun> {
-        let (iteration, step) = (id.step.iteration, id.step.step as usize);
-        let unit = id.index.unwrap_or(0) as usize;
-        let spec = self.plan.request.spec.clone();
-        let Some(entry) = self
-            .iterations
-            .get_mut(&iteration)
-            .and_then(|i| i.steps.get_mut(step))
-        else {
+        let position = UnitPosition::of(id);
+        let Some(step) = self.iterations.step_of_mut(position) else {
             return Vec::new();
         };
-        let Some(run) = next_run(entry, id, unit) else {
+        if step.is_gang != id.index.is_none() {
+            return Vec::new();
+        }
+        let Some(run) = step.next_run(position.unit) else {
             return Vec::new();
         };
-        let Some(workers) = workers_by_member(entry, id, unit, on) else {
+        let tasks = step.tasks_of(position.unit);
+        let Some(workers) = workers_in_task_order(id, tasks.clone(), assignment) else {
             return Vec::new();
         };
-        let state = &mut entry.units[unit];
-        state.run = run;
-        state.phase = Phase::Assigned;
-        state.began = now.steady_ms;
-        state.run_times = None;
-        state.assigned = workers.len() as u32;
-        state.started_from = state.checkpoint.clone();
-        let checkpoint = state.checkpoint.clone();
-        fx.ready.remove(id);
-        let mut started = Vec::with_capacity(workers.len());
-        for (member, worker) in entry.members_of(unit).zip(workers) {
-            let holder = &mut entry.members[member];
-            holder.worker = Some(worker.clone());
-            holder.stopping = false;
-            holder.reported = None;
-            let task = TaskId {
-                job: self.id.clone(),
-                iteration,
-                step: step as u32,
-                index: member as u32,
-            };
-            fx.tasks.insert(task.clone());
-            let run = RunId { task, run };
-            started.push(StartedRun {
-                run,
-                worker,
-                spec: spec.clone(),
-                checkpoint: checkpoint.clone(),
-            });
-        }
-        self.count_assigned(iteration, started.len() as u32);
-        self.begun = true;
-        started
+        step.start_unit(now.steady_ms, position.unit, run, &workers);
+        effects.ready_units.remove(id);
+        self.iterations
+            .count_assigned(position.iteration, tasks.end - tasks.start);
+        self.has_started = true;
+        tasks
+            .zip(workers)
+            .map(|(task, worker)| self.started_run(position, task, run, worker, effects))
+            .collect()
     }
 
-    fn count_assigned(&mut self, iteration: u32, added: u32) {
-        self.assigned += added;
-        if let Some(content) = self.iterations.get_mut(&iteration) {
-            content.assigned += added;
+    fn started_run(
+        &self,
+        position: UnitPosition,
+        task: u32,
+        run: u32,
+        worker: WorkerId,
+        effects: &mut Effects,
+    ) -> StartedRun {
+        let task = position.task_id(&self.id, task);
+        effects.changed_tasks.insert(task.clone());
+        let unit = self.iterations.unit(position);
+        StartedRun {
+            run: RunId { task, run },
+            worker,
+            spec: self.plan.request.spec.clone(),
+            checkpoint: unit.map_or_else(Default::default, |unit| unit.checkpoint.clone()),
         }
     }
 
-    /// Records that a run is over; false if it is not recorded as assigned.
-    pub fn over(
+    /// A run is over. False if it is not recorded as assigned.
+    pub(crate) fn on_run_over(
         &mut self,
         now: Now,
         run: &RunId,
-        how: RunOver,
+        result: RunResult,
         checkpoint: &str,
-        fx: &mut Effects,
+        effects: &mut Effects,
     ) -> bool {
-        let Some(place) = self.place_of_run(run) else {
+        let Some(position) = self.iterations.run_position(run) else {
             return false;
         };
-        self.note_checkpoint(place, checkpoint);
-        let worker = self.release_worker(place, run, fx);
-        if self.end.is_none() {
-            self.judge(now, place, how, worker, fx);
+        self.note_checkpoint(position, checkpoint);
+        let worker = self.release_worker(position, run, effects);
+        if !self.has_ended() {
+            self.apply_run_result(now, position, result, worker.as_ref(), effects);
         }
-        self.drop_if_over(place.iteration, fx);
+        self.forget_iteration_if_over(position.unit().iteration, effects);
         true
     }
 
-    /// Takes the newest checkpoint over, which counts for the whole unit.
-    pub fn note_checkpoint(&mut self, place: Place, checkpoint: &str) {
-        let writes = self
-            .plan
-            .request
-            .steps
-            .get(place.step)
-            .is_some_and(|s| s.checkpoints);
-        // The newest run's checkpoints count: two runs that report in turn would write the record each time.
-        if !writes || checkpoint.is_empty() || place.is_earlier {
-            return;
-        }
-        let Some(step) = self.step_mut(place.iteration, place.step) else {
-            return;
-        };
-        let (unit, member) = (&mut step.units[place.unit], &mut step.members[place.member]);
-        let before = member.reported.as_deref().unwrap_or(&unit.started_from);
-        if before != checkpoint {
-            let text: Arc<str> = checkpoint.into();
-            member.reported = Some(text.clone());
-            unit.checkpoint = text;
-        }
+    fn release_worker(
+        &mut self,
+        position: RunPosition,
+        run: &RunId,
+        effects: &mut Effects,
+    ) -> Option<WorkerId> {
+        let worker = self.iterations.release_worker(position);
+        effects.runs_to_stop.remove(run);
+        effects.changed_tasks.insert(run.task.clone());
+        self.mark_unit_record_changed(position.unit(), effects);
+        worker
     }
 
-    fn release_worker(&mut self, place: Place, run: &RunId, fx: &mut Effects) -> Option<WorkerId> {
-        let content = self.iterations.get_mut(&place.iteration)?;
-        let step = &mut content.steps[place.step];
-        let member = &mut step.members[place.member];
-        let worker = match place.is_earlier {
-            true => member.earlier.take().map(|earlier| earlier.worker),
-            false => {
-                member.stopping = false;
-                member.reported = None;
-                step.units[place.unit].assigned -= 1;
-                member.worker.take()
-            }
-        };
-        let first = step.first_member(place.unit);
-        content.assigned -= 1;
-        self.assigned -= 1;
-        fx.stop.remove(run);
-        fx.tasks.insert(run.task.clone());
-        fx.tasks
-            .insert(self.task_id(place.iteration, place.step, first));
-        worker
+    /// Names the record that holds a unit's state as changed.
+    fn mark_unit_record_changed(&self, unit: UnitPosition, effects: &mut Effects) {
+        if let Some(step) = self.iterations.step_of(unit) {
+            let task = step.record_task(unit.unit);
+            effects.changed_tasks.insert(unit.task_id(&self.id, task));
+        }
     }
 
-    fn judge(
+    fn apply_run_result(
         &mut self,
         now: Now,
-        place: Place,
-        how: RunOver,
-        worker: Option<WorkerId>,
-        fx: &mut Effects,
+        position: RunPosition,
+        result: RunResult,
+        worker: Option<&WorkerId>,
+        effects: &mut Effects,
     ) {
-        let RunOver { outcome, vain } = how;
-        let lasts = self.lasts(place.step);
-        let limit = self.terms.max_attempts.max(1);
-        let Some(state) = self.unit_mut(place.iteration, place.step, place.unit) else {
+        let unit_position = position.unit();
+        let restart = self.restart_policy(unit_position.step);
+        let Some(unit) = self.iterations.unit_mut(unit_position) else {
             return;
         };
-        if state.phase == Phase::Done {
-            return;
-        }
-        if outcome == Outcome::Done && !lasts {
-            state.tell_done(now.steady_ms);
-            self.unit_done(now, place, fx);
-            return;
-        }
-        if lasts && now.steady_ms.saturating_sub(state.began) >= SOUND_RUN_MS {
-            state.failed = 0;
-        }
-        state.tell(now.steady_ms, vain);
-        if outcome == Outcome::Failed {
-            worker.iter().for_each(|w| {
-                state.avoid(w);
-            });
-            // All members of a gang share a run, which counts once; an earlier run is a single task's.
-            if place.is_earlier || state.counted != state.run {
-                state.counted = if place.is_earlier {
-                    state.counted
-                } else {
-                    state.run
-                };
-                state.failed = state.failed.saturating_add(1);
+        match unit.on_run_over(now.steady_ms, position.slot, result, worker, restart) {
+            AfterRun::AlreadyDone => {}
+            AfterRun::Done => self.on_unit_done(now, unit_position, effects),
+            AfterRun::AttemptsExhausted => {
+                let breakdown = unit.latency.breakdown().clone();
+                self.fail(now, unit_position.iteration, breakdown, effects);
             }
-        }
-        let hopeless = !lasts && state.failed >= limit;
-        if hopeless && outcome == Outcome::Failed {
-            let spent = state.spent.clone();
-            self.fail(now, place.iteration, spent, fx);
-            return;
-        }
-        match place.is_earlier {
-            true => self.go_on_alone(place, fx),
-            false => self.stop_or_wait(now, place, fx),
-        }
-    }
-
-    /// The run beside a unit's newest is over: a copy that waits for spare room is now the task's only one.
-    fn go_on_alone(&mut self, place: Place, fx: &mut Effects) {
-        let id = self.unit_id(place.iteration, place.step, place.unit);
-        let state = self.unit_mut(place.iteration, place.step, place.unit);
-        if state.is_some_and(|state| state.phase == Phase::Waiting) {
-            fx.renew(id);
+            AfterRun::RunAgain if position.slot == RunSlot::Earlier => {
+                self.reissue_if_waiting(unit_position, effects);
+            }
+            AfterRun::RunAgain => self.stop_others_or_restart(now, unit_position, effects),
         }
     }
 
-    /// Lets a second run of a hedged task wait for a worker while the only one goes on. False where the run is not the
-    /// only one, or its task is not hedged.
-    pub fn hedge(&mut self, run: &RunId, fx: &mut Effects) -> bool {
-        let Some(place) = self.place_of_run(run).filter(|place| !place.is_earlier) else {
-            return false;
-        };
-        if self.end.is_some() || !self.is_hedged(place.step) {
-            return false;
-        }
-        let id = self.unit_id(place.iteration, place.step, place.unit);
-        let Some(step) = self.step_mut(place.iteration, place.step) else {
-            return false;
-        };
-        let (unit, member) = (&mut step.units[place.unit], &mut step.members[place.member]);
-        if unit.phase != Phase::Assigned || member.stopping || member.earlier.is_some() {
-            return false;
+    /// The earlier run of a hedged task is over: a second run that waits is now its only one, and not speculative.
+    fn reissue_if_waiting(&mut self, position: UnitPosition, effects: &mut Effects) {
+        let unit = self.iterations.unit(position);
+        if unit.is_some_and(|unit| unit.phase == UnitPhase::Waiting) {
+            effects.reissue_unit(self.unit_id(position));
         }
-        let Some(worker) = member.worker.take() else {
-            return false;
-        };
-        unit.avoid(&worker);
-        unit.assigned -= 1;
-        unit.phase = Phase::Waiting;
-        member.reported = None;
-        let started_from = unit.started_from.clone();
-        member.earlier = Some(EarlierRun {
-            run: unit.run,
-            worker,
-            stopping: false,
-            started_from,
-        });
-        fx.tasks.insert(run.task.clone());
-        fx.ready.insert(id);
-        true
     }
 
-    /// Stops the members that are left; with none left, the unit waits again.
-    fn stop_or_wait(&mut self, now: Now, place: Place, fx: &mut Effects) {
-        let Some(step) = self.step_at(place.iteration, place.step) else {
+    /// Stops the unit's other runs; if none is left, the unit becomes ready again.
+    fn stop_others_or_restart(&mut self, now: Now, position: UnitPosition, effects: &mut Effects) {
+        let Some(unit) = self.iterations.unit(position) else {
             return;
         };
-        if step.units[place.unit].assigned == 0 {
-            self.unit_ready(now, place.iteration, place.step, place.unit, fx);
+        if unit.assigned_tasks == 0 {
+            self.make_unit_ready(now, position, effects);
             return;
         }
-        for task in self.mark_stopping(place, fx) {
-            fx.stop.insert(task);
-        }
+        let others = self.mark_stopping(position, effects);
+        effects.runs_to_stop.extend(others);
     }
 
-    /// Marks all members that are left, and gives those that were not marked before.
-    fn mark_stopping(&mut self, place: Place, fx: &mut Effects) -> Vec<RunId> {
-        let job = self.id.clone();
-        let Some(step) = self.step_mut(place.iteration, place.step) else {
+    /// Marks the unit's runs as not wanted any more, and returns those that were wanted before.
+    fn mark_stopping(&mut self, position: UnitPosition, effects: &mut Effects) -> Vec<RunId> {
+        let Some(step) = self.iterations.step_of_mut(position) else {
             return Vec::new();
         };
-        let run = step.units[place.unit].run;
-        let mut marked = Vec::new();
-        for index in step.members_of(place.unit) {
-            let member = &mut step.members[index];
-            let (iteration, step) = (place.iteration, place.step as u32);
-            let task = TaskId {
-                job: job.clone(),
-                iteration,
-                step,
-                index: index as u32,
-            };
-            if member.worker.is_some() && !member.stopping {
-                member.stopping = true;
-                fx.tasks.insert(task.clone());
-                marked.push(RunId {
-                    task: task.clone(),
-                    run,
-                });
-            }
-            if let Some(earlier) = member.earlier.as_mut().filter(|earlier| !earlier.stopping) {
-                earlier.stopping = true;
-                fx.tasks.insert(task.clone());
-                marked.push(RunId {
-                    task,
-                    run: earlier.run,
-                });
-            }
-        }
-        marked
+        let marked = step.mark_stopping(position.unit);
+        let runs: Vec<RunId> = marked
+            .into_iter()
+            .map(|run| run.id(&self.id, position))
+            .collect();
+        let tasks = runs.iter().map(|run| run.task.clone());
+        effects.changed_tasks.extend(tasks);
+        runs
     }
 
-    /// Notes that a unit is done. The others of a gang end by themselves at the same time: they are not stopped, as the
-    /// copies of a hedged task are.
-    fn unit_done(&mut self, now: Now, place: Place, fx: &mut Effects) {
-        let others = self.mark_stopping(place, fx);
-        if self.is_hedged(place.step) {
-            fx.stop.extend(others);
+    /// A unit is done. The other tasks of a gang end by themselves at the same time, so that they are not stopped; the
+    /// other run of a hedged task is.
+    fn on_unit_done(&mut self, now: Now, position: UnitPosition, effects: &mut Effects) {
+        let others = self.mark_stopping(position, effects);
+        if self.plan.is_hedged(position.step) {
+            effects.runs_to_stop.extend(others);
         }
-        let id = self.unit_id(place.iteration, place.step, place.unit);
-        let state = self.unit_mut(place.iteration, place.step, place.unit);
-        if state.is_some_and(|state| state.phase == Phase::Waiting) {
-            fx.revoke(id);
+        let unit = self.iterations.unit(position);
+        if unit.is_some_and(|unit| unit.phase == UnitPhase::Waiting) {
+            effects.revoke_unit(self.unit_id(position));
         }
-        let Some(content) = self.iterations.get_mut(&place.iteration) else {
+        let Some(iteration) = self.iterations.open.get_mut(&position.iteration) else {
             return;
         };
-        let freed = content.unit_done(&self.plan, place.step, place.unit);
-        let is_complete = content.open_steps == 0;
-        let spent = content.latest.clone();
-        for step in freed {
-            self.step_ready(now, place.iteration, step, fx);
+        let unblocked = iteration.on_unit_done(&self.plan, position.step, position.unit);
+        let is_complete = iteration.is_complete();
+        let breakdown = iteration.latest_breakdown.clone();
+        for step in unblocked {
+            self.make_step_ready(now, position.iteration, step, effects);
         }
         if is_complete {
-            self.completed += 1;
-            fx.completions
-                .push(self.completion(now, place.iteration, true, spent));
+            self.iterations.completed += 1;
+            let completion = self.completion(now, position.iteration, true, breakdown);
+            effects.completions.push(completion);
         }
-        if self.completed == self.plan.iterations() {
-            self.finish(JobState::Succeeded, fx);
+        if self.iterations.completed == self.plan.iteration_count() {
+            self.finish(JobState::Succeeded, effects);
         }
     }
 
     /// Forgets an iteration that is done and of which no run is left; the job's record says so instead.
-    fn drop_if_over(&mut self, iteration: u32, fx: &mut Effects) {
-        let is_over = |i: &Iteration| i.open_steps == 0 && i.assigned == 0;
-        if !self.iterations.get(&iteration).is_some_and(is_over) {
+    fn forget_iteration_if_over(&mut self, iteration: u32, effects: &mut Effects) {
+        if !self.iterations.is_over(iteration) {
             return;
         }
-        self.forget_tasks(iteration, fx);
-        self.iterations.remove(&iteration);
-        self.done.insert(iteration);
-        fx.jobs.insert(self.id.clone());
+        self.forget_tasks(iteration, effects);
+        self.iterations.finish(iteration);
+        effects.changed_jobs.insert(self.id.clone());
     }
 
-    /// Marks the records of an iteration's tasks as changed, to be removed with it.
-    pub fn forget_tasks(&self, iteration: u32, fx: &mut Effects) {
-        let Some(content) = self.iterations.get(&iteration) else {
+    /// A run reported a checkpoint while at work.
+    pub(crate) fn on_checkpoint(&mut self, run: &RunId, checkpoint: &str) {
+        if let Some(position) = self.iterations.run_position(run) {
+            self.note_checkpoint(position, checkpoint);
+        }
+    }
+
+    fn note_checkpoint(&mut self, run: RunPosition, checkpoint: &str) {
+        if !self.plan.has_checkpoints(run.unit().step) {
             return;
-        };
-        for (step, entry) in content.steps.iter().enumerate() {
-            for member in 0..entry.members.len() {
-                if entry.units[entry.unit_of(member)].run > 0 {
-                    fx.tasks.insert(self.task_id(iteration, step, member));
-                }
-            }
+        }
+        if let Some(step) = self.iterations.step_of_mut(run.unit()) {
+            step.note_checkpoint(run.task.task, run.slot, checkpoint);
         }
     }
 
-    /// Remembers that a run makes no progress at its worker.
-    pub fn stalled(&mut self, run: &RunId, fx: &mut Effects) {
-        let Some(place) = self.place_of_run(run) else {
+    /// A run makes no progress: its unit avoids the worker from now on.
+    pub(crate) fn on_run_stalled(&mut self, run: &RunId, effects: &mut Effects) {
+        let Some(position) = self.iterations.run_position(run) else {
             return;
         };
-        let Some(step) = self.step_mut(place.iteration, place.step) else {
+        let Some(step) = self.iterations.step_of_mut(position.unit()) else {
             return;
         };
-        let member = &step.members[place.member];
-        let earlier = member.earlier.as_ref().filter(|_| place.is_earlier);
-        let Some(worker) = earlier
-            .map(|e| &e.worker)
-            .or(member.worker.as_ref())
-            .cloned()
-        else {
-            return;
+        if step.avoid_worker_of(position.task.task, position.slot) {
+            self.mark_unit_record_changed(position.unit(), effects);
+        }
+    }
+
+    /// Lets a hedged task wait for a speculative run while its only run goes on. False if the run is not the task's
+    /// only one, or the task is not hedged.
+    pub(crate) fn hedge(&mut self, run: &RunId, effects: &mut Effects) -> bool {
+        let Some(position) = self.iterations.run_position(run) else {
+            return false;
         };
-        let first = step.first_member(place.unit);
-        if step.units[place.unit].avoid(&worker) {
-            fx.tasks
-                .insert(self.task_id(place.iteration, place.step, first));
+        let unit = position.unit();
+        let may_hedge = !self.has_ended() && self.plan.is_hedged(unit.step);
+        if position.slot == RunSlot::Earlier || !may_hedge {
+            return false;
+        }
+        let Some(step) = self.iterations.step_of_mut(unit) else {
+            return false;
+        };
+        if !step.hedge(position.task.task) {
+            return false;
         }
+        effects.changed_tasks.insert(run.task.clone());
+        effects.ready_units.insert(self.unit_id(unit));
+        true
     }
-}
 
-fn next_run(step: &Step, id: &UnitId, unit: usize) -> Option<u32> {
-    if step.gang != id.index.is_none() {
-        return None;
+    /// Accounts for the time that a unit waited, for these reasons. While the earlier run of a hedged task goes on, the
+    /// time is that run's.
+    pub(crate) fn record_wait(&mut self, now: Now, id: &UnitId, waits: &[(LatencyStage, Millis)]) {
+        let position = UnitPosition::of(id);
+        let Some(step) = self.iterations.step_of_mut(position) else {
+            return;
+        };
+        if step.has_earlier_run(position.unit) {
+            return;
+        }
+        if let Some(unit) = step.unit_mut(position.unit) {
+            unit.latency.add_waits(now.steady_ms, waits);
+        }
     }
-    let state = step.units.get(unit).filter(|s| s.phase == Phase::Waiting)?;
-    state.run.checked_add(1)
-}
 
-/// The workers in order of the unit's tasks; none unless `on` names each of them once and nothing else.
-fn workers_by_member(
-    step: &Step,
-    id: &UnitId,
-    unit: usize,
-    on: &[(TaskId, WorkerId)],
-) -> Option<Vec<WorkerId>> {
-    let members = step.members_of(unit);
-    if on.len() != members.len() {
-        return None;
+    /// Notes the timings of a run that has ended.
+    pub(crate) fn record_run_timings(&mut self, run: &RunId, timings: RunTimings) {
+        let Some(position) = self.iterations.run_position(run) else {
+            return;
+        };
+        if let Some(unit) = self.iterations.unit_mut(position.unit()) {
+            unit.latency.set_run_timings(Some(timings));
+        }
     }
-    let mut workers = vec![None; members.len()];
-    for (task, worker) in on {
-        let is_of_step = task.job == id.step.job
-            && task.iteration == id.step.iteration
-            && task.step == id.step.step;
-        let offset = (task.index as usize).checked_sub(members.start)?;
-        let slot = workers
-            .get_mut(offset)
-            .filter(|slot| is_of_step && slot.is_none())?;
-        *slot = Some(worker.clone());
+
+    /// Whether a run is assigned and its result wanted.
+    pub(crate) fn is_current(&self, run: &RunId) -> bool {
+        if self.has_ended() {
+            return false;
+        }
+        let Some(position) = self.iterations.run_position(run) else {
+            return false;
+        };
+        self.iterations
+            .step_of(position.unit())
+            .is_some_and(|step| step.is_wanted(position.task.task, position.slot))
     }
-    workers.into_iter().collect()
 }
--- /dev/null
+++ b/crates/jobs/src/settings.rs
@@ -0,0 +1,10 @@
+//! Settings of the job table.
+
+use streamusher_protocol::Millis;
+
+/// Settings of the deployment that the job table needs.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct JobSettings {
+    /// How long the final state of an ended job can still be queried, in milliseconds.
+    pub retention_ms: Millis,
+}
--- a/crates/jobs/src/step.rs
+++ b/crates/jobs/src/step.rs
@@ -1,230 +1,349 @@
-//! The steps of one iteration: their units, which tasks are assigned where, and what is still open.
-//!
-//! A unit is what starts together: a task, or all tasks of a gang. Runs, attempts and checkpoint belong to the unit;
-//! a member has only the worker at which the unit's newest run of it sits.
-
-use crate::latency::{LatencyBreakdown, LatencyStage, RunTimings};
-use crate::plan::Plan;
-use serde::{Deserialize, Serialize};
+//! One step of one iteration: its units, and which of its tasks are assigned to which workers.
+
+use crate::position::{RunSlot, UnitPosition};
+use crate::run_assignment::RunAssignment;
+use crate::unit::{UnitPhase, UnitState};
+use std::ops::Range;
 use std::sync::Arc;
+use streamusher_protocol::job::StepRequest;
+use streamusher_protocol::task::{JobId, RunId};
 use streamusher_protocol::unit::WorkerId;
 use streamusher_protocol::Millis;
 
-/// Workers that a unit remembers to avoid; more would leave too little choice in a small group.
-const MOST_AVOIDED: usize = 4;
-
-/// Where a unit stands.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Phase {
-    /// Its step waits for other steps.
-    #[default]
-    Blocked,
-    /// It waits for a worker.
-    Waiting,
-    /// It is to wait for a worker from this time of the steady clock on.
-    Paused(Millis),
-    /// A run of it is recorded at one worker at least.
-    Assigned,
-    /// It is done.
-    Done,
-    /// Its job ended before it began again.
-    Abandoned,
+/// A run of a task of the step.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct TaskRun {
+    /// The task within the step.
+    pub(crate) task: u32,
+    /// Run number.
+    pub(crate) run: u32,
 }
 
-/// A unit of a step.
-#[derive(Clone, Debug, Default)]
-pub(crate) struct UnitState {
-    /// Where it stands.
-    pub phase: Phase,
-    /// The newest run; 0 before the first.
-    pub run: u32,
-    /// Attempts that failed; for a unit that lasts, those since it last ran for long.
-    pub failed: u32,
-    /// The newest run that counted as a failed attempt.
-    pub counted: u32,
-    /// Members that are assigned.
-    pub assigned: u32,
-    /// When the newest run was assigned, by the steady clock.
-    pub began: Millis,
-    /// Up to when its time is told in `spent`, by the steady clock.
-    pub told_until: Millis,
-    /// Where its time went, with that of the chain of units before it.
-    pub spent: LatencyBreakdown,
-    /// How its newest run went, once the run has ended.
-    pub run_times: Option<RunTimings>,
-    /// The newest checkpoint known.
-    pub checkpoint: Arc<str>,
-    /// What the newest run was started with.
-    pub started_from: Arc<str>,
-    /// Workers to avoid, the newest last.
-    pub avoid: Vec<WorkerId>,
-}
-
-impl UnitState {
-    /// Its turn has come after units that spent this time, the last before it.
-    pub fn follow(&mut self, now: Millis, chain: LatencyBreakdown) {
-        self.spent = chain;
-        self.told_until = now;
-    }
-
-    /// What it did since its time was last told.
-    pub fn tell(&mut self, now: Millis, stage: LatencyStage) {
-        self.spent.add(stage, now.saturating_sub(self.told_until));
-        self.told_until = now;
-    }
-
-    /// Its newest run has done its work.
-    pub fn tell_done(&mut self, now: Millis) {
-        match self.run_times.take() {
-            Some(times) => times.add_done(now.saturating_sub(self.told_until), &mut self.spent),
-            None => self.tell(now, LatencyStage::Worked),
-        }
-        self.told_until = now;
-    }
-
-    /// Remembers a worker to avoid; whether that is news.
-    pub fn avoid(&mut self, worker: &WorkerId) -> bool {
-        if self.avoid.contains(worker) {
-            return false;
-        }
-        if self.avoid.len() >= MOST_AVOIDED {
-            self.avoid.remove(0);
+impl TaskRun {
+    /// The run's identifier.
+    pub(crate) fn id(self, job: &JobId, unit: UnitPosition) -> RunId {
+        RunId {
+            task: unit.task_id(job, self.task),
+            run: self.run,
         }
-        self.avoid.push(worker.clone());
-        true
     }
 }
 
-/// A run of a hedged task beside which a newer one waits or runs.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct EarlierRun {
-    /// Its number.
-    pub run: u32,
-    /// Where it sits.
-    pub worker: WorkerId,
-    /// Its result is not wanted any more.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub stopping: bool,
-    /// What it was started with.
-    #[serde(default, skip_serializing_if = "str::is_empty")]
-    pub started_from: Arc<str>,
+/// What was left of a unit when its job ended.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) struct AbandonedUnit {
+    /// It waited for placement.
+    pub(crate) was_waiting: bool,
+    /// Its runs, which are to be stopped.
+    pub(crate) runs: Vec<TaskRun>,
 }
 
-/// A task of a unit.
+/// The state of a task, apart from that of its unit.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Member {
-    /// Where the unit's newest run of it sits, until that is over.
-    pub worker: Option<WorkerId>,
-    /// The run's result is not wanted any more.
-    pub stopping: bool,
-    /// The checkpoint that this run reported last.
-    pub reported: Option<Arc<str>>,
-    /// A run that goes on beside the newest; of hedged tasks only.
-    pub earlier: Option<EarlierRun>,
+pub(crate) struct TaskState {
+    /// Worker that the unit's newest run of it is assigned to, until that run is over.
+    pub(crate) worker: Option<WorkerId>,
+    /// That run's result is not wanted any more.
+    pub(crate) stopping: bool,
+    /// Checkpoint that this run reported last.
+    pub(crate) reported_checkpoint: Option<Arc<str>>,
+    /// Of a hedged task: a run that goes on beside the newest.
+    pub(crate) earlier: Option<RunAssignment>,
 }
 
 /// One step of one iteration.
 #[derive(Clone, Debug)]
-pub(crate) struct Step {
+pub(crate) struct StepState {
     /// All its tasks are one unit.
-    pub gang: bool,
-    /// Steps that must be done before.
-    pub blockers: u32,
+    pub(crate) is_gang: bool,
+    /// Steps that must be done first.
+    pub(crate) open_dependencies: u32,
     /// Units that are not done.
-    pub open: u32,
-    /// Its units: one for each task, or a single one.
-    pub units: Vec<UnitState>,
+    pub(crate) open_units: usize,
+    /// Its units: one for each task, or a single one for a gang.
+    pub(crate) units: Vec<UnitState>,
     /// Its tasks.
-    pub members: Vec<Member>,
+    pub(crate) tasks: Vec<TaskState>,
 }
 
-impl Step {
-    /// The unit that a task belongs to.
-    pub fn unit_of(&self, member: usize) -> usize {
-        if self.gang {
+impl StepState {
+    /// A step of which nothing has started.
+    pub(crate) fn new(request: &StepRequest, dependency_count: u32) -> StepState {
+        let task_count = request.count as usize;
+        let unit_count = if request.gang { 1 } else { task_count };
+        StepState {
+            is_gang: request.gang,
+            open_dependencies: dependency_count,
+            open_units: unit_count,
+            units: vec![UnitState::default(); unit_count],
+            tasks: vec![TaskState::default(); task_count],
+        }
+    }
+
+    /// The positions of its units.
+    pub(crate) fn unit_indexes(&self) -> Range<u32> {
+        index_range(self.units.len())
+    }
+
+    /// The positions of its tasks.
+    pub(crate) fn task_indexes(&self) -> Range<u32> {
+        index_range(self.tasks.len())
+    }
+
+    /// The unit that a task is part of.
+    pub(crate) fn unit_of(&self, task: u32) -> u32 {
+        if self.is_gang {
             0
         } else {
-            member
+            task
         }
     }
 
     /// The tasks of a unit.
-    pub fn members_of(&self, unit: usize) -> std::ops::Range<usize> {
-        if self.gang {
-            0..self.members.len()
+    pub(crate) fn tasks_of(&self, unit: u32) -> Range<u32> {
+        if self.is_gang {
+            self.task_indexes()
         } else {
-            unit..unit + 1
+            unit..unit.saturating_add(1)
         }
     }
 
-    /// The task in whose record the unit's state stands.
-    pub fn first_member(&self, unit: usize) -> usize {
-        if self.gang {
+    /// The task whose record holds the unit's state: its first.
+    pub(crate) fn record_task(&self, unit: u32) -> u32 {
+        if self.is_gang {
             0
         } else {
             unit
         }
     }
-}
 
-/// One iteration of a job.
-#[derive(Clone, Debug)]
-pub(crate) struct Iteration {
-    /// Its steps.
-    pub steps: Vec<Step>,
-    /// Steps that are not done.
-    pub open_steps: u32,
-    /// Tasks that are assigned.
-    pub assigned: u32,
-    /// Where the time of the unit went that was done last, and of the chain before it.
-    pub latest: LatencyBreakdown,
-}
+    /// A unit.
+    pub(crate) fn unit(&self, unit: u32) -> Option<&UnitState> {
+        self.units.get(unit as usize)
+    }
+
+    /// A unit, to change it.
+    pub(crate) fn unit_mut(&mut self, unit: u32) -> Option<&mut UnitState> {
+        self.units.get_mut(unit as usize)
+    }
+
+    /// A task.
+    pub(crate) fn task(&self, task: u32) -> Option<&TaskState> {
+        self.tasks.get(task as usize)
+    }
+
+    /// A task together with its unit, to change both.
+    pub(crate) fn task_and_unit_mut(
+        &mut self,
+        task: u32,
+    ) -> Option<(&mut TaskState, &mut UnitState)> {
+        let unit = self.unit_of(task);
+        let task = self.tasks.get_mut(task as usize)?;
+        Some((task, self.units.get_mut(unit as usize)?))
+    }
+
+    /// Whether a task of the unit has an earlier run, so that another one is speculative.
+    pub(crate) fn has_earlier_run(&self, unit: u32) -> bool {
+        self.tasks_of(unit)
+            .filter_map(|task| self.task(task))
+            .any(|task| task.earlier.is_some())
+    }
+
+    /// The runs of a task that occupy a worker, the newest first.
+    pub(crate) fn assigned_runs(&self, task: u32) -> impl Iterator<Item = RunAssignment> {
+        let unit = self.unit(self.unit_of(task));
+        let task = self.task(task);
+        let newest = task.zip(unit).and_then(|(task, unit)| {
+            Some(RunAssignment {
+                run: unit.run,
+                worker: task.worker.clone()?,
+                stopping: task.stopping,
+                started_from: unit.started_from.clone(),
+            })
+        });
+        let earlier = task.and_then(|task| task.earlier.clone());
+        newest.into_iter().chain(earlier)
+    }
 
-impl Iteration {
-    /// An iteration of which nothing has begun.
-    pub fn new(plan: &Plan) -> Iteration {
-        let steps = plan
-            .request
-            .steps
-            .iter()
-            .zip(&plan.blockers)
-            .map(|(request, &blockers)| {
-                let count = request.count as usize;
-                let units = if request.gang { 1 } else { count };
-                Step {
-                    gang: request.gang,
-                    blockers,
-                    open: units as u32,
-                    units: vec![UnitState::default(); units],
-                    members: vec![Member::default(); count],
-                }
-            });
-        Iteration {
-            steps: steps.collect(),
-            open_steps: plan.request.steps.len() as u32,
-            assigned: 0,
-            latest: LatencyBreakdown::default(),
-        }
-    }
-
-    /// Notes that a unit is done. Gives the steps that are free to begin by that.
-    pub fn unit_done(&mut self, plan: &Plan, step: usize, unit: usize) -> Vec<usize> {
-        let entry = &mut self.steps[step];
-        entry.units[unit].phase = Phase::Done;
-        self.latest = entry.units[unit].spent.clone();
-        entry.open = entry.open.saturating_sub(1);
-        if entry.open > 0 {
+    /// Which of a task's assigned runs has this number.
+    pub(crate) fn run_slot(&self, task: u32, run: u32) -> Option<RunSlot> {
+        let unit = self.unit(self.unit_of(task))?;
+        let task = self.task(task)?;
+        if task.worker.is_some() && unit.run == run {
+            return Some(RunSlot::Newest);
+        }
+        let is_earlier = task.earlier.as_ref().is_some_and(|e| e.run == run);
+        is_earlier.then_some(RunSlot::Earlier)
+    }
+
+    /// Whether the result of a task's run is still wanted.
+    pub(crate) fn is_wanted(&self, task: u32, slot: RunSlot) -> bool {
+        let Some(task) = self.task(task) else {
+            return false;
+        };
+        match (&task.earlier, slot) {
+            (Some(earlier), RunSlot::Earlier) => !earlier.stopping,
+            _ => !task.stopping,
+        }
+    }
+
+    /// The number of the next run of a unit that waits for placement; none if it does not wait.
+    pub(crate) fn next_run(&self, unit: u32) -> Option<u32> {
+        let unit = self.unit(unit)?;
+        if unit.phase != UnitPhase::Waiting {
+            return None;
+        }
+        unit.run.checked_add(1)
+    }
+
+    /// Assigns a unit's tasks to workers, in the order of its tasks.
+    pub(crate) fn start_unit(&mut self, now_ms: Millis, unit: u32, run: u32, workers: &[WorkerId]) {
+        let tasks = self.tasks_of(unit);
+        for (task, worker) in self.tasks[as_indexes(&tasks)].iter_mut().zip(workers) {
+            task.worker = Some(worker.clone());
+            task.stopping = false;
+            task.reported_checkpoint = None;
+        }
+        if let Some(unit) = self.unit_mut(unit) {
+            unit.assign(now_ms, run, tasks.end - tasks.start);
+        }
+    }
+
+    /// Frees the worker of a run that is over.
+    pub(crate) fn release_worker(&mut self, task: u32, slot: RunSlot) -> Option<WorkerId> {
+        let (task, unit) = self.task_and_unit_mut(task)?;
+        match slot {
+            RunSlot::Earlier => task.earlier.take().map(|earlier| earlier.worker),
+            RunSlot::Newest => {
+                task.stopping = false;
+                task.reported_checkpoint = None;
+                unit.assigned_tasks -= 1;
+                task.worker.take()
+            }
+        }
+    }
+
+    /// Marks all runs of a unit as not wanted any more, and returns those that were wanted before.
+    pub(crate) fn mark_stopping(&mut self, unit: u32) -> Vec<TaskRun> {
+        let Some(run) = self.unit(unit).map(|unit| unit.run) else {
             return Vec::new();
+        };
+        let mut marked = Vec::new();
+        let tasks = self.tasks_of(unit);
+        for (index, task) in tasks.clone().zip(&mut self.tasks[as_indexes(&tasks)]) {
+            if task.worker.is_some() && !task.stopping {
+                task.stopping = true;
+                marked.push(TaskRun { task: index, run });
+            }
+            if let Some(earlier) = task.earlier.as_mut().filter(|earlier| !earlier.stopping) {
+                earlier.stopping = true;
+                let run = earlier.run;
+                marked.push(TaskRun { task: index, run });
+            }
         }
-        self.open_steps = self.open_steps.saturating_sub(1);
-        let mut freed = Vec::new();
-        for &dependent in &plan.dependents[step] {
-            let waiting = &mut self.steps[dependent as usize];
-            waiting.blockers = waiting.blockers.saturating_sub(1);
-            if waiting.blockers == 0 {
-                freed.push(dependent as usize);
+        marked
+    }
+
+    /// Takes a checkpoint that a run reported. It counts for the whole unit, and only from the newest run: two runs
+    /// that report in turn would write the record each time.
+    pub(crate) fn note_checkpoint(&mut self, task: u32, slot: RunSlot, checkpoint: &str) {
+        if checkpoint.is_empty() || slot == RunSlot::Earlier {
+            return;
+        }
+        let Some((task, unit)) = self.task_and_unit_mut(task) else {
+            return;
+        };
+        let known = task
+            .reported_checkpoint
+            .as_deref()
+            .unwrap_or(&unit.started_from);
+        if known != checkpoint {
+            let checkpoint: Arc<str> = checkpoint.into();
+            task.reported_checkpoint = Some(checkpoint.clone());
+            unit.checkpoint = checkpoint;
+        }
+    }
+
+    /// Lets the unit avoid the worker of a run. False if it does so already.
+    pub(crate) fn avoid_worker_of(&mut self, task: u32, slot: RunSlot) -> bool {
+        let Some((task, unit)) = self.task_and_unit_mut(task) else {
+            return false;
+        };
+        let worker = match (&task.earlier, slot) {
+            (Some(earlier), RunSlot::Earlier) => Some(&earlier.worker),
+            _ => task.worker.as_ref(),
+        };
+        worker.is_some_and(|worker| unit.avoid(worker))
+    }
+
+    /// Lets a task wait for a speculative run at another worker while its only run goes on. False if it has another
+    /// one, or if the run's result is not wanted.
+    pub(crate) fn hedge(&mut self, task: u32) -> bool {
+        let Some((task, unit)) = self.task_and_unit_mut(task) else {
+            return false;
+        };
+        if unit.phase != UnitPhase::Assigned || task.stopping || task.earlier.is_some() {
+            return false;
+        }
+        let Some(worker) = task.worker.take() else {
+            return false;
+        };
+        unit.avoid(&worker);
+        unit.assigned_tasks -= 1;
+        unit.phase = UnitPhase::Waiting;
+        task.reported_checkpoint = None;
+        task.earlier = Some(RunAssignment {
+            run: unit.run,
+            worker,
+            stopping: false,
+            started_from: unit.started_from.clone(),
+        });
+        true
+    }
+
+    /// Closes a unit as its job ended.
+    pub(crate) fn abandon_unit(&mut self, unit: u32) -> AbandonedUnit {
+        let runs = self.runs_to_abandon(unit);
+        let Some(unit) = self.unit_mut(unit) else {
+            return AbandonedUnit {
+                was_waiting: false,
+                runs,
+            };
+        };
+        let was_waiting = unit.phase == UnitPhase::Waiting;
+        if unit.phase != UnitPhase::Done {
+            unit.phase = UnitPhase::Abandoned;
+        }
+        AbandonedUnit { was_waiting, runs }
+    }
+
+    /// The runs of a unit that has to stop: all, but of a unit that is done only the earlier ones, as its newest run
+    /// ends by itself.
+    fn runs_to_abandon(&self, unit: u32) -> Vec<TaskRun> {
+        let is_assigned = |unit: &&UnitState| unit.phase == UnitPhase::Assigned;
+        let newest_run = self.unit(unit).filter(is_assigned).map(|unit| unit.run);
+        let mut runs = Vec::new();
+        for index in self.tasks_of(unit) {
+            let Some(task) = self.task(index) else {
+                continue;
+            };
+            if let Some(earlier) = &task.earlier {
+                let run = earlier.run;
+                runs.push(TaskRun { task: index, run });
+            }
+            if let Some(run) = newest_run.filter(|_| task.worker.is_some()) {
+                runs.push(TaskRun { task: index, run });
             }
         }
-        freed
+        runs
     }
 }
+
+/// All positions of a list. Requests are limited to far fewer entries than `u32` can count.
+fn index_range(length: usize) -> Range<u32> {
+    0..u32::try_from(length).unwrap_or(u32::MAX)
+}
+
+fn as_indexes(range: &Range<u32>) -> Range<usize> {
+    range.start as usize..range.end as usize
+}
--- a/crates/jobs/src/table.rs
+++ b/crates/jobs/src/table.rs
@@ -1,432 +1,288 @@
-//! The record of all jobs.
+//! The job table: the interface to all jobs.
 
 use crate::changes::{AssignedRun, JobChanges, StartedRun};
-use crate::effects::Effects;
-use crate::entry::Entry;
-use crate::error::SubmitError;
+use crate::entry::JobEntry;
+use crate::error::{RecordError, SubmitError};
 use crate::job::Job;
 use crate::latency::{LatencyStage, RunTimings};
 use crate::outcomes::{CancelOutcome, SubmitOutcome};
-use crate::plan::Plan;
-use crate::policy::{JobSettings, QueuePolicy};
-use crate::record;
-use crate::run_events::{Outcome, RunOver};
-use crate::validation::check;
-use std::collections::HashMap;
+use crate::plan::JobPlan;
+use crate::policy::QueuePolicy;
+use crate::recovery;
+use crate::run_result::RunResult;
+use crate::settings::JobSettings;
+use crate::store::JobStore;
+use crate::validation::validate;
+use crate::views;
 use std::sync::Arc;
 use streamusher_protocol::job::{JobRequest, JobState};
-use streamusher_protocol::store::Write;
 use streamusher_protocol::task::{JobId, RunEnd, RunId, TaskId};
 use streamusher_protocol::unit::{Unit, UnitId, WorkerId};
 use streamusher_protocol::{Millis, Now};
 
-/// The record of all jobs.
+/// All jobs, and which of their units may run now. See the crate's documentation for an example.
+///
+/// Methods that depend on time take the current time as an argument. What a call brings about is collected until
+/// [`JobTable::take_changes`].
 #[derive(Debug)]
 pub struct JobTable {
-    settings: JobSettings,
-    jobs: HashMap<JobId, Entry>,
-    pending: HashMap<Arc<str>, u64>,
-    fx: Effects,
-    /// The latest time that was told, by the steady clock.
-    steady: Millis,
+    store: JobStore,
 }
 
 impl JobTable {
-    /// An empty record.
+    /// A table without jobs.
     pub fn new(settings: JobSettings) -> JobTable {
         JobTable {
-            settings,
-            jobs: HashMap::new(),
-            pending: HashMap::new(),
-            fx: Effects::default(),
-            steady: 0,
+            store: JobStore::new(settings),
         }
     }
 
-    /// Takes a job, once for each identifier whatever the body.
+    /// The table as it was recorded: `records` are all keys `job/...` and `task/...` of the replicated state with their
+    /// values, in any order. Units that wait for placement are in the next [`JobTable::take_changes`]. The state of an
+    /// ended job is retained for the whole time again, as the clock by which it ended is gone.
+    ///
+    /// # Errors
+    ///
+    /// [`RecordError`] names the first record that cannot be used.
+    pub fn recover(
+        settings: JobSettings,
+        now: Now,
+        records: impl Iterator<Item = (Arc<str>, Arc<str>)>,
+    ) -> Result<JobTable, RecordError> {
+        let store = recovery::recover(settings, now, records)?;
+        Ok(JobTable { store })
+    }
+
+    /// Submits a job. A job whose identifier is known already is not looked at, so that a client may submit again.
+    ///
+    /// # Errors
+    ///
+    /// [`SubmitError`] names the field of the request that is not valid; nothing of the job is kept.
     pub fn submit(
         &mut self,
         now: Now,
         id: &JobId,
         request: JobRequest,
-        terms: &QueuePolicy,
+        policy: &QueuePolicy,
     ) -> Result<SubmitOutcome, SubmitError> {
-        self.note(now);
-        if self.jobs.contains_key(id) {
+        self.store.observe_time(now);
+        if self.store.entry(id).is_some() {
             return Ok(SubmitOutcome::AlreadyKnown);
         }
-        check(&request)?;
-        let job = Job::new(id.clone(), sound(terms), Plan::new(request), now.unix_ms);
-        self.fx.jobs.insert(id.clone());
-        *self.pending.entry(job.terms.queue.clone()).or_default() += 1;
-        self.jobs.insert(id.clone(), Entry::Kept(Box::new(job)));
-        self.change(id, |job, fx| job.release_due(now, fx));
+        validate(&request)?;
+        let plan = JobPlan::new(request);
+        let job = Job::new(id.clone(), policy.sanitized(), plan, now.unix_ms);
+        self.store.insert_submitted(job);
+        self.store
+            .update(id, |job, effects| job.release_due_iterations(now, effects));
         Ok(SubmitOutcome::Accepted)
     }
 
     /// Ends a job at once; its runs are to be stopped.
     pub fn cancel(&mut self, now: Now, id: &JobId) -> CancelOutcome {
-        self.note(now);
+        self.store.observe_time(now);
         let Some(state) = self.status(id) else {
             return CancelOutcome::UnknownJob;
         };
         if state.is_final() {
             return CancelOutcome::AlreadyEnded(state);
         }
-        self.change(id, |job, fx| job.finish(JobState::Cancelled, fx));
+        self.store
+            .update(id, |job, effects| job.finish(JobState::Cancelled, effects));
         CancelOutcome::Cancelled
     }
 
-    /// A job's state; none if it is not known.
+    /// A job's state; none if the job is not known, or its retention is over.
     pub fn status(&self, id: &JobId) -> Option<JobState> {
-        self.jobs.get(id).map(Entry::state)
+        self.store.entry(id).map(JobEntry::state)
     }
 
-    /// The queue that a job was handed to.
+    /// The queue that a job was submitted to.
     pub fn queue_of(&self, id: &JobId) -> Option<Arc<str>> {
-        self.jobs.get(id).map(|entry| entry.queue().clone())
+        self.store.entry(id).map(|entry| entry.queue().clone())
     }
 
-    /// Jobs of a queue that are pending.
+    /// Number of a queue's jobs of which nothing has started.
     pub fn pending_count(&self, queue: &str) -> u64 {
-        self.pending.get(queue).copied().unwrap_or(0)
-    }
-
-    /// Applies a new configuration to all jobs that have not ended. A removed queue's jobs keep their terms.
-    pub fn apply_configuration(&mut self, lookup: &dyn Fn(&str) -> Option<QueuePolicy>) {
-        let mut changed = Vec::new();
-        for (id, entry) in &self.jobs {
-            let Entry::Kept(job) = entry else { continue };
-            let newer = lookup(&job.terms.queue).map(|terms| sound(&terms));
-            if let Some(terms) = newer.filter(|terms| job.end.is_none() && *terms != job.terms) {
-                changed.push((
-                    id.clone(),
-                    QueuePolicy {
-                        queue: job.terms.queue.clone(),
-                        ..terms
-                    },
-                ));
-            }
-        }
-        changed.sort_unstable_by(|a, b| a.0.cmp(&b.0));
-        for (id, terms) in changed {
-            self.change(&id, |job, fx| job.retune(terms, fx));
+        self.store.pending_count(queue)
+    }
+
+    /// Applies a new configuration to all jobs that have not ended. `policy_of` finds the policy of a queue by name; the
+    /// jobs of a queue that it does not know keep theirs.
+    pub fn apply_configuration(&mut self, policy_of: &dyn Fn(&str) -> Option<QueuePolicy>) {
+        let mut changed: Vec<(JobId, QueuePolicy)> = self
+            .store
+            .open_jobs()
+            .filter_map(|job| Some((job.id.clone(), changed_policy(job, policy_of)?)))
+            .collect();
+        changed.sort_unstable_by(|(a, _), (b, _)| a.cmp(b));
+        for (id, policy) in changed {
+            self.store
+                .update(&id, |job, effects| job.apply_policy(policy, effects));
         }
     }
 
-    /// Releases iterations that are due and pauses that are over; drops jobs that ended long ago.
+    /// Releases iterations that are due, ends backoffs that have elapsed, and drops ended jobs after their retention.
     pub fn tick(&mut self, now: Now) {
-        self.note(now);
-        while let Some(id) = self.fx.timers.due_release(now) {
-            self.change(&id, |job, fx| {
-                job.release_planned = false;
-                job.release_due(now, fx);
-            });
+        self.store.observe_time(now);
+        while let Some(id) = self.store.pop_due_release(now) {
+            self.store
+                .update(&id, |job, effects| job.on_release_timer(now, effects));
         }
-        while let Some((planned, unit)) = self.fx.timers.due_resume(now) {
-            let job = unit.step.job.clone();
-            self.change(&job, |job, fx| job.resume(now, planned, &unit, fx));
-        }
-        while let Some(id) = self.fx.timers.due_expiry(now) {
-            self.jobs.remove(&id);
-            self.fx.jobs.insert(id);
+        while let Some(backoff) = self.store.pop_elapsed_backoff(now) {
+            let unit = &backoff.unit;
+            self.store.update(&unit.step.job, |job, effects| {
+                job.on_backoff_elapsed(now, backoff.until_ms, unit, effects);
+            });
         }
+        self.store.drop_expired(now);
     }
 
-    /// How long [`JobTable::tick`] has nothing to do, in milliseconds from `now`; none if nothing is planned.
+    /// How long [`JobTable::tick`] has nothing to do, in milliseconds; none if no timer is set.
     pub fn time_to_next_timer(&self, now: Now) -> Option<Millis> {
-        self.fx.timers.next_in(now)
+        self.store.time_to_next_timer(now)
     }
 
-    /// Records that a unit was claimed: `on` names a worker for each of its tasks. Nothing is started (and the list
-    /// is empty) if the unit does not wait or `on` is not exactly its tasks.
+    /// Records that placement chose a worker for each task of a unit. Nothing is started (and the list is empty) if the
+    /// unit does not wait or `assignment` does not name exactly its tasks.
     pub fn start_unit(
         &mut self,
         now: Now,
         unit: &UnitId,
-        on: &[(TaskId, WorkerId)],
+        assignment: &[(TaskId, WorkerId)],
     ) -> Vec<StartedRun> {
-        self.note(now);
-        self.change(&unit.step.job, |job, fx| job.begin(now, unit, on, fx))
+        self.store.observe_time(now);
+        self.store
+            .update(&unit.step.job, |job, effects| {
+                job.start_unit(now, unit, assignment, effects)
+            })
             .unwrap_or_default()
     }
 
-    /// Records a run's end as its worker listed it. False if the run is not recorded as assigned: nothing changed.
+    /// Records the end of a run as its worker reported it, with its newest checkpoint (empty for none). False if the
+    /// run is not recorded as assigned: nothing changed.
     pub fn on_run_finished(
         &mut self,
         now: Now,
         run: &RunId,
-        how: RunEnd,
+        end: RunEnd,
         checkpoint: &str,
     ) -> bool {
-        let vain = match how {
-            RunEnd::Failed => LatencyStage::Failed,
-            RunEnd::Stopped => LatencyStage::Stopped,
-            _ => LatencyStage::Lost,
-        };
-        self.over(now, run, how.into(), vain, checkpoint)
+        self.on_run_over(now, run, end.into(), checkpoint)
     }
 
-    /// Records that a run is over without a noted end, as its worker is gone or its lease is over.
+    /// Records that a run is over without a reported end, as its worker is gone or its lease has expired.
     pub fn on_run_lost(&mut self, now: Now, run: &RunId) {
-        self.over(now, run, Outcome::Over, LatencyStage::Lost, "");
+        self.on_run_over(now, run, RunResult::Lost, "");
     }
 
-    /// Records that a run never began and never will.
+    /// Records that a run never started and never will.
     pub fn on_run_withdrawn(&mut self, now: Now, run: &RunId) {
-        self.over(now, run, Outcome::Over, LatencyStage::Stopped, "");
+        self.on_run_over(now, run, RunResult::Stopped, "");
     }
 
-    /// Records where the time of a unit went that is about to begin: it waited, for these causes.
-    pub fn record_wait(&mut self, now: Now, unit: &UnitId, waits: &[(LatencyStage, Millis)]) {
-        let Some(job) = self.kept_mut(&unit.step.job) else {
-            return;
-        };
-        let (step, index) = (unit.step.step as usize, unit.index.unwrap_or(0) as usize);
-        let Some(entry) = job.step_mut(unit.step.iteration, step) else {
-            return;
-        };
-        // While a hedged task's first run goes on, its time is that run's.
-        let runs = entry
-            .members_of(index)
-            .any(|member| entry.members[member].earlier.is_some());
-        let Some(state) = entry.units.get_mut(index).filter(|_| !runs) else {
-            return;
-        };
-        waits
-            .iter()
-            .for_each(|(stage, waited_ms)| state.spent.add(*stage, *waited_ms));
-        state.told_until = now.steady_ms;
+    fn on_run_over(&mut self, now: Now, run: &RunId, result: RunResult, checkpoint: &str) -> bool {
+        self.store.observe_time(now);
+        self.store
+            .update(&run.task.job, |job, effects| {
+                job.on_run_over(now, run, result, checkpoint, effects)
+            })
+            .unwrap_or(false)
     }
 
-    /// Records how a run went that has ended, before [`JobTable::on_run_finished`] records its end.
-    pub fn record_run_timings(&mut self, run: &RunId, times: RunTimings) {
-        let Some(job) = self.kept_mut(&run.task.job) else {
-            return;
-        };
-        let Some(place) = job.place_of_run(run) else {
-            return;
-        };
-        let state = job.unit_mut(place.iteration, place.step, place.unit);
-        state
-            .into_iter()
-            .for_each(|state| state.run_times = Some(times));
+    /// Records where the time of a unit went that waited for placement and is about to be started: stages with their
+    /// milliseconds.
+    pub fn record_wait(&mut self, now: Now, unit: &UnitId, waits: &[(LatencyStage, Millis)]) {
+        if let Some(job) = self.store.open_job_mut(&unit.step.job) {
+            job.record_wait(now, unit, waits);
+        }
     }
 
-    fn over(
-        &mut self,
-        now: Now,
-        run: &RunId,
-        outcome: Outcome,
-        vain: LatencyStage,
-        checkpoint: &str,
-    ) -> bool {
-        self.note(now);
-        let end = RunOver { outcome, vain };
-        let changed = self.change(&run.task.job, |job, fx| {
-            job.over(now, run, end, checkpoint, fx)
-        });
-        changed.unwrap_or(false)
+    /// Records the timings of a run that has ended; to be called before [`JobTable::on_run_finished`].
+    pub fn record_run_timings(&mut self, run: &RunId, timings: RunTimings) {
+        if let Some(job) = self.store.open_job_mut(&run.task.job) {
+            job.record_run_timings(run, timings);
+        }
     }
 
-    /// Records the checkpoint that a run reported while at work. It is written at the run's end or loss: until then
-    /// its worker reports it again to whoever asks.
+    /// Records the checkpoint that a run reported while at work. It is written with the run's end or loss: until then
+    /// its worker reports it again to each new primary.
     pub fn on_checkpoint(&mut self, run: &RunId, checkpoint: &str) {
-        let Some(job) = self.kept_mut(&run.task.job) else {
-            return;
-        };
-        if let Some(place) = job.place_of_run(run) {
-            job.note_checkpoint(place, checkpoint);
+        if let Some(job) = self.store.open_job_mut(&run.task.job) {
+            job.on_checkpoint(run, checkpoint);
         }
     }
 
-    /// Records that a run makes no progress at its worker: the unit avoids that worker from now on.
+    /// Records that a run makes no progress: its unit avoids the worker from now on.
     pub fn on_run_stalled(&mut self, run: &RunId) {
-        self.change(&run.task.job, |job, fx| job.stalled(run, fx));
+        self.store.update(&run.task.job, |job, effects| {
+            job.on_run_stalled(run, effects);
+        });
     }
 
-    /// Lets a second run of a hedged task wait for room that is free while the only one goes on: whichever is done
-    /// first counts, and the other one is stopped. False where the run is not its task's only one, or the step is not
-    /// hedged.
+    /// Lets a hedged task wait for a speculative second run, at free capacity of another worker, while its only run goes
+    /// on. The run that succeeds first counts, and the other one is stopped. False if the run is not its task's only
+    /// one, or the task is not hedged.
     pub fn hedge(&mut self, run: &RunId) -> bool {
-        self.change(&run.task.job, |job, fx| job.hedge(run, fx))
+        self.store
+            .update(&run.task.job, |job, effects| job.hedge(run, effects))
             .unwrap_or(false)
     }
 
-    /// Whether a run is assigned and its result wanted.
+    /// Whether a run is recorded as assigned and its result is wanted.
     pub fn is_current(&self, run: &RunId) -> bool {
-        let Some(job) = self.kept(&run.task.job).filter(|job| job.end.is_none()) else {
-            return false;
-        };
-        let Some(place) = job.place_of_run(run) else {
-            return false;
-        };
-        let Some((_, member)) = job.state_of(place) else {
-            return false;
-        };
-        match &member.earlier {
-            Some(earlier) if place.is_earlier => !earlier.stopping,
-            _ => !member.stopping,
-        }
+        self.store
+            .open_job(&run.task.job)
+            .is_some_and(|job| job.is_current(run))
     }
 
-    /// All runs that occupy a worker, for use after a recovery: it looks at every job.
+    /// All runs that occupy a worker, in order of their identifiers. It looks at every job, and is meant for use after
+    /// a recovery.
     pub fn assigned_runs(&self) -> Vec<AssignedRun> {
-        let mut list = Vec::new();
-        for entry in self.jobs.values() {
-            if let Entry::Kept(job) = entry {
-                job.add_assigned(&mut list);
-            }
-        }
-        list.sort_unstable_by(|a, b| a.run.cmp(&b.run));
-        list
+        let mut runs: Vec<AssignedRun> = self
+            .store
+            .open_jobs()
+            .flat_map(views::assigned_runs)
+            .collect();
+        runs.sort_unstable_by(|a, b| a.run.cmp(&b.run));
+        runs
     }
 
     /// Takes what changed since the last call.
     pub fn take_changes(&mut self) -> JobChanges {
-        let mut writes = Vec::new();
-        for id in std::mem::take(&mut self.fx.jobs) {
-            let value = self
-                .jobs
-                .get(&id)
-                .map(|entry| record::write(&entry.record()).into());
-            writes.push(Write {
-                key: record::job_key(&id).into(),
-                value,
-            });
-        }
-        for task in std::mem::take(&mut self.fx.tasks) {
-            let stored = self.kept(&task.job).and_then(|job| job.task_record(&task));
-            let value = stored.map(|stored| record::write(&stored).into());
-            writes.push(Write {
-                key: record::task_key(&task).into(),
-                value,
-            });
-        }
-        let ready = std::mem::take(&mut self.fx.ready);
+        let effects = self.store.take_effects();
+        let job_writes = effects.changed_jobs.iter();
+        let task_writes = effects.changed_tasks.iter();
+        let writes = job_writes
+            .map(|id| self.store.job_write(id))
+            .chain(task_writes.map(|id| self.store.task_write(id)))
+            .collect();
+        let ready_units = effects.ready_units.iter();
         JobChanges {
             writes,
-            ready_units: ready.iter().filter_map(|id| self.unit(id)).collect(),
-            revoked_units: std::mem::take(&mut self.fx.revoked).into_iter().collect(),
-            runs_to_stop: std::mem::take(&mut self.fx.stop).into_iter().collect(),
-            completions: std::mem::take(&mut self.fx.completions),
+            ready_units: ready_units.filter_map(|id| self.waiting_unit(id)).collect(),
+            revoked_units: effects.revoked_units.into_iter().collect(),
+            runs_to_stop: effects.runs_to_stop.into_iter().collect(),
+            completions: effects.completions,
         }
     }
 
-    fn unit(&self, id: &UnitId) -> Option<Unit> {
-        self.kept(&id.step.job)?.unit(id)
-    }
-
-    fn kept(&self, id: &JobId) -> Option<&Job> {
-        match self.jobs.get(id)? {
-            Entry::Kept(job) => Some(job),
-            Entry::Ended { .. } => None,
-        }
-    }
-
-    /// A job that is not reduced to its state.
-    pub(crate) fn kept_mut(&mut self, id: &JobId) -> Option<&mut Job> {
-        match self.jobs.get_mut(id)? {
-            Entry::Kept(job) => Some(job),
-            Entry::Ended { .. } => None,
-        }
-    }
-
-    fn note(&mut self, now: Now) {
-        self.steady = self.steady.max(now.steady_ms);
-    }
-
-    /// Changes a job and then brings the indexes in line: the count of pending jobs, the next release, and the
-    /// reduction of a job that has ended and of which no run is left.
-    fn change<R>(
-        &mut self,
-        id: &JobId,
-        action: impl FnOnce(&mut Job, &mut Effects) -> R,
-    ) -> Option<R> {
-        let Some(Entry::Kept(job)) = self.jobs.get_mut(id) else {
-            return None;
-        };
-        let before = job.state();
-        let result = action(job, &mut self.fx);
-        job.plan_release(&mut self.fx);
-        if before == JobState::Pending && job.state() != JobState::Pending {
-            let queue = job.terms.queue.clone();
-            self.count_begun(&queue);
-        }
-        self.reduce(id);
-        Some(result)
-    }
-
-    fn count_begun(&mut self, queue: &Arc<str>) {
-        let Some(count) = self.pending.get_mut(queue) else {
-            return;
-        };
-        *count = count.saturating_sub(1);
-        if *count == 0 {
-            self.pending.remove(queue);
-        }
-    }
-
-    fn reduce(&mut self, id: &JobId) {
-        let Some(Entry::Kept(job)) = self.jobs.get(id) else {
-            return;
-        };
-        let Some(state) = job.end.filter(|_| job.assigned == 0) else {
-            return;
-        };
-        for &iteration in job.iterations.keys() {
-            job.forget_tasks(iteration, &mut self.fx);
-        }
-        let queue = job.terms.queue.clone();
-        self.jobs.insert(id.clone(), Entry::Ended { queue, state });
-        self.fx.jobs.insert(id.clone());
-        self.fx
-            .timers
-            .expire_at(self.steady.saturating_add(self.settings.retention_ms), id);
-    }
-
-    /// Adds a job as it was stored.
-    pub(crate) fn insert_restored(&mut self, now: Now, id: JobId, entry: Entry) {
-        self.note(now);
-        if matches!(entry, Entry::Ended { .. }) {
-            self.fx.timers.expire_at(
-                now.steady_ms.saturating_add(self.settings.retention_ms),
-                &id,
-            );
-        }
-        self.jobs.insert(id, entry);
-    }
-
-    /// After all records were restored: lets every job go on.
-    pub(crate) fn resume_all(&mut self, now: Now) {
-        let kept = self
-            .jobs
-            .iter()
-            .filter(|(_, entry)| matches!(entry, Entry::Kept(_)));
-        let mut ids: Vec<JobId> = kept.map(|(id, _)| id.clone()).collect();
-        ids.sort_unstable();
-        for id in ids {
-            if let Some(job) = self
-                .kept(&id)
-                .filter(|job| job.state() == JobState::Pending)
-            {
-                let queue = job.terms.queue.clone();
-                *self.pending.entry(queue).or_default() += 1;
-            }
-            self.change(&id, |job, fx| job.resume_restored(now, fx));
-        }
+    fn waiting_unit(&self, id: &UnitId) -> Option<Unit> {
+        views::waiting_unit(self.store.open_job(&id.step.job)?, id)
     }
 }
 
-/// The same terms with a stretch that a record can hold.
-fn sound(terms: &QueuePolicy) -> QueuePolicy {
-    let stretch = if terms.stretch.is_finite() {
-        terms.stretch
-    } else {
-        0.0
-    };
-    QueuePolicy {
-        stretch,
-        ..terms.clone()
-    }
+/// The policy of a job's queue where it differs from the one that the job has; none for a job that has ended.
+fn changed_policy(
+    job: &Job,
+    policy_of: &dyn Fn(&str) -> Option<QueuePolicy>,
+) -> Option<QueuePolicy> {
+    let newer = policy_of(&job.policy.queue)?.sanitized();
+    if job.has_ended() || newer == job.policy {
+        return None;
+    }
+    Some(QueuePolicy {
+        queue: job.policy.queue.clone(),
+        ..newer
+    })
 }
--- a/crates/jobs/src/validation.rs
+++ b/crates/jobs/src/validation.rs
@@ -1,102 +1,111 @@
-//! Checks of a request before it is taken.
+//! Validation of a request before its job is accepted.
 
 use crate::error::SubmitError;
 use streamusher_protocol::job::{JobRequest, StepRequest, MAX_SPEC_BYTES};
 use streamusher_protocol::Millis;
 
-/// Tasks of a job that may be open at one time: bounds the memory and the record of a single job.
-pub(crate) const MOST_TASKS: u64 = 10_000;
-/// Steps of a job: one for each task at most would be [`MOST_TASKS`], chains of that length are mistakes.
-const MOST_STEPS: usize = 1_000;
+/// Tasks of a job that may be open at one time: bounds the memory and the records of a single job.
+pub(crate) const MAX_TASKS: u64 = 10_000;
+/// Steps of a job. There can be as many as tasks at most, and chains of that length are mistakes.
+const MAX_STEPS: usize = 1_000;
 /// Iterations of a job: one a minute for almost two years.
-const MOST_REPEATS: u64 = 1_000_000;
-/// Largest amount of a resource: beyond any machine, and sums of tasks stay far below the integer's end.
-const MOST_AMOUNT: u64 = 1_000_000_000_000;
-/// Longest time span: some thirty years in milliseconds.
-const MOST_SPAN_MS: Millis = 1_000_000_000_000;
-/// Latest moment that can be asked for: the year 5138.
-const MOST_MOMENT_MS: Millis = 100_000_000_000_000;
-/// Longest label.
-const MOST_LABEL_BYTES: usize = 256;
+const MAX_ITERATIONS: u64 = 1_000_000;
+/// Amount of a resource: beyond any machine, and sums over tasks stay far below `u64::MAX`.
+const MAX_RESOURCE_AMOUNT: u64 = 1_000_000_000_000;
+/// Time span: some thirty years.
+const MAX_SPAN_MS: Millis = 1_000_000_000_000;
+/// Time of day: the year 5138.
+const MAX_UNIX_MS: Millis = 100_000_000_000_000;
+/// Length of a label.
+const MAX_LABEL_BYTES: usize = 256;
 
-/// Refuses what cannot be run or would cost beyond reason.
-pub(crate) fn check(request: &JobRequest) -> Result<(), SubmitError> {
+/// Rejects a request that cannot be run, or that would cost too much.
+pub(crate) fn validate(request: &JobRequest) -> Result<(), SubmitError> {
     if request.spec.len() > MAX_SPEC_BYTES {
         return Err(SubmitError::SpecTooLong(request.spec.len()));
     }
     if request.steps.is_empty() {
         return Err(SubmitError::NoSteps);
     }
-    if request.steps.len() > MOST_STEPS {
+    if request.steps.len() > MAX_STEPS {
         return Err(SubmitError::TooManySteps {
             found: request.steps.len(),
-            most: MOST_STEPS,
+            limit: MAX_STEPS,
         });
     }
     for (index, step) in request.steps.iter().enumerate() {
-        check_step(index, step)?;
+        validate_step(index, step)?;
     }
-    check_size(request)?;
-    check_times(request)
+    validate_size(request)?;
+    validate_times(request)
 }
 
-fn check_step(index: usize, step: &StepRequest) -> Result<(), SubmitError> {
+fn validate_step(index: usize, step: &StepRequest) -> Result<(), SubmitError> {
     if step.count == 0 {
         return Err(SubmitError::NoTasks(index));
     }
-    if let Some(&on) = step.depends_on.iter().find(|&&on| on as usize >= index) {
-        return Err(SubmitError::NotEarlier { step: index, on });
+    let is_not_earlier = |dependency: &u32| *dependency as usize >= index;
+    if let Some(dependency) = step.depends_on.iter().copied().find(is_not_earlier) {
+        return Err(SubmitError::DependencyNotEarlier {
+            step: index,
+            dependency,
+        });
     }
     let field = |name: &str| format!("steps[{index}].{name}");
-    at_most(field("cpu"), step.resources.cpu, MOST_AMOUNT)?;
-    at_most(field("mem_mb"), step.resources.mem_mb, MOST_AMOUNT)?;
-    at_most(field("gpu"), step.resources.gpu, MOST_AMOUNT)?;
-    at_most(field("estimated_ms"), step.estimated_ms, MOST_SPAN_MS)?;
-    short(field("node_selector"), step.node_selector.as_deref())?;
-    short(field("affinity"), step.affinity.as_deref())
+    check_limit(field("cpu"), step.resources.cpu, MAX_RESOURCE_AMOUNT)?;
+    check_limit(field("mem_mb"), step.resources.mem_mb, MAX_RESOURCE_AMOUNT)?;
+    check_limit(field("gpu"), step.resources.gpu, MAX_RESOURCE_AMOUNT)?;
+    check_limit(field("estimated_ms"), step.estimated_ms, MAX_SPAN_MS)?;
+    check_label(field("node_selector"), step.node_selector.as_deref())?;
+    check_label(field("affinity"), step.affinity.as_deref())
 }
 
-fn check_size(request: &JobRequest) -> Result<(), SubmitError> {
+fn validate_size(request: &JobRequest) -> Result<(), SubmitError> {
     let tasks: u64 = request.steps.iter().map(|s| u64::from(s.count)).sum();
-    if tasks > MOST_TASKS {
+    if tasks > MAX_TASKS {
         return Err(SubmitError::TooManyTasks {
             found: tasks,
-            most: MOST_TASKS,
+            limit: MAX_TASKS,
         });
     }
-    let most = if request.interval_ms == 0 {
-        MOST_TASKS / tasks.max(1)
+    // Without an interval all iterations are due at once.
+    let limit = if request.interval_ms == 0 {
+        MAX_TASKS / tasks.max(1)
     } else {
-        MOST_REPEATS
+        MAX_ITERATIONS
     };
-    if u64::from(request.repeat_count) > most {
-        return Err(SubmitError::TooManyRepeats {
+    if u64::from(request.repeat_count) > limit {
+        return Err(SubmitError::TooManyIterations {
             found: request.repeat_count,
-            most,
+            limit,
         });
     }
     Ok(())
 }
 
-fn check_times(request: &JobRequest) -> Result<(), SubmitError> {
-    at_most("start_at_ms".into(), request.start_at_ms, MOST_MOMENT_MS)?;
-    at_most("interval_ms".into(), request.interval_ms, MOST_SPAN_MS)
+fn validate_times(request: &JobRequest) -> Result<(), SubmitError> {
+    check_limit("start_at_ms".into(), request.start_at_ms, MAX_UNIX_MS)?;
+    check_limit("interval_ms".into(), request.interval_ms, MAX_SPAN_MS)
 }
 
-fn at_most(field: String, found: u64, most: u64) -> Result<(), SubmitError> {
-    if found > most {
-        return Err(SubmitError::TooLarge { field, found, most });
+fn check_limit(field: String, found: u64, limit: u64) -> Result<(), SubmitError> {
+    if found > limit {
+        return Err(SubmitError::TooLarge {
+            field,
+            found,
+            limit,
+        });
     }
     Ok(())
 }
 
-fn short(field: String, text: Option<&str>) -> Result<(), SubmitError> {
+fn check_label(field: String, text: Option<&str>) -> Result<(), SubmitError> {
     let found = text.map_or(0, str::len);
-    if found > MOST_LABEL_BYTES {
+    if found > MAX_LABEL_BYTES {
         return Err(SubmitError::TextTooLong {
             field,
             found,
-            most: MOST_LABEL_BYTES,
+            limit: MAX_LABEL_BYTES,
         });
     }
     Ok(())
--- a/crates/jobs/src/views.rs
+++ b/crates/jobs/src/views.rs
@@ -1,84 +1,113 @@
-//! The list of runs that occupy workers.
+//! What others are shown of a job: waiting units, as placement needs them, and runs that occupy workers.
 
 use crate::changes::AssignedRun;
 use crate::job::Job;
-use crate::step::{EarlierRun, Step};
+use crate::position::UnitPosition;
+use crate::run_assignment::RunAssignment;
+use crate::unit::UnitPhase;
+use streamusher_protocol::job::StepRequest;
 use streamusher_protocol::task::RunId;
+use streamusher_protocol::unit::{Unit, UnitId};
+use streamusher_protocol::Millis;
 
-impl Job {
-    /// Adds all runs that occupy a worker.
-    pub fn add_assigned(&self, list: &mut Vec<AssignedRun>) {
-        if self.assigned == 0 {
-            return;
-        }
-        for (&iteration, content) in self.iterations.iter().filter(|(_, i)| i.assigned > 0) {
-            for (index, step) in content.steps.iter().enumerate() {
-                for member in 0..step.members.len() {
-                    list.extend(self.newest_run(iteration, index, step, member));
-                    list.extend(self.earlier_run(iteration, index, step, member));
-                }
-            }
-        }
-    }
+/// Added to the order of a speculative run: it goes behind all units of its priority that wait for less than this.
+const SPECULATIVE_DELAY_MS: Millis = 600_000;
 
-    fn newest_run(
-        &self,
-        iteration: u32,
-        index: usize,
-        step: &Step,
-        member: usize,
-    ) -> Option<AssignedRun> {
-        let holder = &step.members[member];
-        let unit = &step.units[step.unit_of(member)];
-        let sits = EarlierRun {
-            run: unit.run,
-            worker: holder.worker.clone()?,
-            stopping: holder.stopping,
-            started_from: unit.started_from.clone(),
-        };
-        self.assigned_run(iteration, index, step, member, sits)
+/// A unit that waits for placement; none if it does not wait.
+pub(crate) fn waiting_unit(job: &Job, id: &UnitId) -> Option<Unit> {
+    let position = UnitPosition::of(id);
+    let request = job.plan.step(position.step)?;
+    let step = job.iterations.step_of(position)?;
+    let state = step.unit(position.unit)?;
+    if state.phase != UnitPhase::Waiting {
+        return None;
     }
+    let speculative = step.has_earlier_run(position.unit);
+    let tasks = step.tasks_of(position.unit);
+    Some(Unit {
+        id: id.clone(),
+        tasks: tasks.map(|task| position.task_id(&job.id, task)).collect(),
+        resources: request.resources,
+        service: job.policy.service.clone(),
+        queue: job.policy.queue.clone(),
+        priority: job.policy.priority,
+        order: unit_order(job, position.iteration, speculative),
+        slack_ms: slack_ms(job, request),
+        node_selector: request.node_selector.clone(),
+        affinity: request.affinity.clone(),
+        anti_affinity: request.anti_affinity,
+        same_rack: request.same_rack,
+        estimated_ms: request.estimated_ms,
+        checkpoints: request.checkpoints,
+        long_running: request.long_running,
+        hedged: job.plan.is_hedged(position.step),
+        speculative,
+        avoid: state.avoided_workers.clone(),
+    })
+}
 
-    fn earlier_run(
-        &self,
-        iteration: u32,
-        index: usize,
-        step: &Step,
-        member: usize,
-    ) -> Option<AssignedRun> {
-        let sits = step.members[member].earlier.clone()?;
-        self.assigned_run(iteration, index, step, member, sits)
-    }
+/// The order within a priority: by the time at which the constant part of the latency objective is over.
+fn unit_order(job: &Job, iteration: u32, speculative: bool) -> Millis {
+    let delay_ms = if speculative { SPECULATIVE_DELAY_MS } else { 0 };
+    job.due_unix_ms(iteration)
+        .saturating_add(job.policy.target_latency_ms)
+        .saturating_add(delay_ms)
+}
 
-    fn assigned_run(
-        &self,
-        iteration: u32,
-        index: usize,
-        step: &Step,
-        member: usize,
-        sits: EarlierRun,
-    ) -> Option<AssignedRun> {
-        let request = self.plan.request.steps.get(index)?;
-        Some(AssignedRun {
-            worker: sits.worker,
-            run: RunId {
-                task: self.task_id(iteration, index, member),
-                run: sits.run,
-            },
-            resources: request.resources,
-            queue: self.terms.queue.clone(),
-            slack_ms: self.slack_of(request.estimated_ms),
-            priority: self.terms.priority,
-            unit: self.unit_id(iteration, index, step.unit_of(member)),
-            service: self.terms.service.clone(),
-            spec: self.plan.request.spec.clone(),
-            checkpoint: sits.started_from,
-            estimated_ms: request.estimated_ms,
-            checkpoints: request.checkpoints,
-            long_running: request.long_running,
-            gang: request.gang,
-            hedged: self.is_hedged(index),
-            stopping: sits.stopping || self.end.is_some(),
-        })
+fn slack_ms(job: &Job, request: &StepRequest) -> Millis {
+    job.policy
+        .slack_ms(request.estimated_ms, job.plan.critical_path_ms)
+}
+
+/// All runs of a job that occupy a worker.
+pub(crate) fn assigned_runs(job: &Job) -> Vec<AssignedRun> {
+    let mut runs = Vec::new();
+    if job.iterations.assigned_runs == 0 {
+        return runs;
     }
+    let open = job.iterations.open.iter();
+    for (&iteration, content) in open.filter(|(_, content)| content.assigned_runs > 0) {
+        for (step, content) in (0..).zip(&content.steps) {
+            for task in content.task_indexes() {
+                let unit = UnitPosition {
+                    iteration,
+                    step,
+                    unit: content.unit_of(task),
+                };
+                let of_task = content.assigned_runs(task);
+                runs.extend(of_task.filter_map(|run| assigned_run(job, unit, task, run)));
+            }
+        }
+    }
+    runs
+}
+
+fn assigned_run(
+    job: &Job,
+    unit: UnitPosition,
+    task: u32,
+    run: RunAssignment,
+) -> Option<AssignedRun> {
+    let request = job.plan.step(unit.step)?;
+    Some(AssignedRun {
+        run: RunId {
+            task: unit.task_id(&job.id, task),
+            run: run.run,
+        },
+        worker: run.worker,
+        resources: request.resources,
+        queue: job.policy.queue.clone(),
+        slack_ms: slack_ms(job, request),
+        priority: job.policy.priority,
+        unit: job.unit_id(unit),
+        service: job.policy.service.clone(),
+        spec: job.plan.request.spec.clone(),
+        checkpoint: run.started_from,
+        estimated_ms: request.estimated_ms,
+        checkpoints: request.checkpoints,
+        long_running: request.long_running,
+        gang: request.gang,
+        hedged: job.plan.is_hedged(unit.step),
+        stopping: run.stopping || job.has_ended(),
+    })
 }
