--- a/crates/jobs/src/assignment.rs
+++ b/crates/jobs/src/assignment.rs
@@ -15,7 +15,7 @@
     }
     let mut workers = vec![None; tasks.len()];
     for (task, worker) in assignment {
-        if StepId::of(task) != unit.step {
+        if StepId::of_task(task) != unit.step {
             return None;
         }
         let offset = task.index.checked_sub(tasks.start)?;
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -186,7 +186,7 @@
         id: &UnitId,
         effects: &mut Effects,
     ) {
-        let Some(unit) = self.iterations.unit_mut(UnitPosition::of(id)) else {
+        let Some(unit) = self.iterations.unit_mut(UnitPosition::from_id(id)) else {
             return;
         };
         if unit.end_backoff(now.steady_ms, until_ms) {
--- a/crates/jobs/src/position.rs
+++ b/crates/jobs/src/position.rs
@@ -18,7 +18,7 @@
 
 impl UnitPosition {
     /// The position that an identifier names.
-    pub(crate) fn of(id: &UnitId) -> UnitPosition {
+    pub(crate) fn from_id(id: &UnitId) -> UnitPosition {
         UnitPosition {
             iteration: id.step.iteration,
             step: id.step.step,
--- a/crates/jobs/src/run_events.rs
+++ b/crates/jobs/src/run_events.rs
@@ -23,7 +23,7 @@
         assignment: &[(TaskId, WorkerId)],
         effects: &mut Effects,
     ) -> Vec<StartedRun> {
-        let position = UnitPosition::of(id);
+        let position = UnitPosition::from_id(id);
         let Some(step) = self.iterations.step_of_mut(position) else {
             return Vec::new();
         };
@@ -266,7 +266,7 @@
     /// Accounts for the time that a unit waited, for these reasons. While the earlier run of a hedged task goes on, the
     /// time is that run's.
     pub(crate) fn record_wait(&mut self, now: Now, id: &UnitId, waits: &[(LatencyStage, Millis)]) {
-        let position = UnitPosition::of(id);
+        let position = UnitPosition::from_id(id);
         let Some(step) = self.iterations.step_of_mut(position) else {
             return;
         };
--- a/crates/jobs/src/views.rs
+++ b/crates/jobs/src/views.rs
@@ -15,7 +15,7 @@
 
 /// A unit that waits for placement; none if it does not wait.
 pub(crate) fn waiting_unit(job: &Job, id: &UnitId) -> Option<Unit> {
-    let position = UnitPosition::of(id);
+    let position = UnitPosition::from_id(id);
     let request = job.plan.step(position.step)?;
     let step = job.iterations.step_of(position)?;
     let state = step.unit(position.unit)?;
