--- a/crates/dataplane/src/control_plane/client.rs
+++ b/crates/dataplane/src/control_plane/client.rs
@@ -1,88 +1,67 @@
-//! The finder at work: questions to core machines, and calls to the primary.
+//! Discovery over HTTP, and requests to the primary whose outcomes it learns from.
 
+use super::cluster_view::{post_request, probe, watch};
+use super::connections::{Connections, Endpoint};
 use super::PrimaryDiscovery;
-use bytes::Bytes;
-use http::header::CONTENT_TYPE;
 use http::StatusCode;
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
-use std::collections::BTreeMap;
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
-use streamusher_protocol::internal::{
-    ClusterView, ClusterWatch, CoreAddress, NotPrimary, CLUSTER_PATH, CLUSTER_WATCH_PATH,
-};
+use streamusher_protocol::internal::{ClusterView, CoreAddress, NotPrimary};
 use streamusher_protocol::Millis;
 use streamusher_runtime::clock;
-use streamusher_runtime::http::{
-    parse_json, Client, ClientLimits, Request, RequestError, Response,
-};
+use streamusher_runtime::http::{parse_json, RequestError, Response};
 use tokio::sync::Notify;
+use tokio::time::Instant;
 
-/// How long a question may take.
-const QUESTION_DEADLINE: Duration = Duration::from_millis(400);
+/// Pause before another member is watched.
+const WATCH_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a member holds a watch, and how much later its answer may come.
-const WATCH_MS: Millis = 3_000;
-const WATCH_SLACK_MS: Millis = 400;
+/// Shortest sleep between two looks at what is due: a round without an address to probe is due again at once.
+const MIN_SLEEP_MS: Millis = 1;
 
-/// Before another member is watched.
-const WATCH_PAUSE: Duration = Duration::from_millis(100);
-
-/// A process to call: its address, and the client that does.
-#[derive(Clone)]
-pub struct Endpoint {
-    address: Arc<str>,
-    client: Client,
-}
-
-impl Endpoint {
-    /// Its internal address.
-    pub fn address(&self) -> &Arc<str> {
-        &self.address
-    }
-}
-
-/// What came of a call to the primary.
+/// What became of a request to the primary.
 #[derive(Debug)]
 pub enum RequestOutcome {
-    /// It answered; any status but 421 and 504.
+    /// It responded, with any status but 421 and 504.
     Responded(Response),
-    /// Nothing was done: it is not the primary, or no byte reached it.
+    /// The request was surely not executed: the member is not the primary (421), or no byte reached it. It may be sent to
+    /// another primary.
     NotExecuted,
-    /// It may have been carried out.
+    /// The request may have been executed.
     Unknown,
 }
 
-/// Follows the primary; clones share what is known.
+/// Finds and follows the primary, and sends requests to it. Clones share one state.
 #[derive(Clone)]
 pub struct ControlPlaneClient {
     shared: Rc<Shared>,
 }
 
 struct Shared {
-    limits: ClientLimits,
-    finder: RefCell<PrimaryDiscovery>,
-    clients: RefCell<BTreeMap<Arc<str>, Client>>,
-    /// Since when no primary is known.
-    lost_since: Cell<Option<Millis>>,
+    discovery: RefCell<PrimaryDiscovery>,
+    connections: Connections,
+    /// Since when no primary has been known; none while one is.
+    unavailable_since: Cell<Option<Millis>>,
+    /// Notified of each change of the discovery's state.
     changed: Notify,
 }
 
 impl ControlPlaneClient {
-    /// A link that knows the seeds; [`ControlPlaneClient::run`] makes it find the primary. `resting` is how many connections to one
-    /// member are kept while nothing is called: each takes a descriptor there too.
-    pub fn new(seeds: Vec<CoreAddress>, seed: u64, resting: usize) -> ControlPlaneClient {
+    /// A client that knows the seeds; [`ControlPlaneClient::run`] makes it find the primary.
+    ///
+    /// `max_idle_connections` is kept to each member while there are no requests: each costs a descriptor there too.
+    pub fn new(
+        seeds: Vec<CoreAddress>,
+        jitter_seed: u64,
+        max_idle_connections: usize,
+    ) -> ControlPlaneClient {
         let shared = Shared {
-            limits: ClientLimits {
-                max_idle: resting,
-                ..ClientLimits::default()
-            },
-            finder: RefCell::new(PrimaryDiscovery::new(seeds, seed)),
-            clients: RefCell::default(),
-            lost_since: Cell::new(Some(clock::steady())),
+            discovery: RefCell::new(PrimaryDiscovery::new(seeds, jitter_seed)),
+            connections: Connections::new(max_idle_connections),
+            unavailable_since: Cell::new(Some(clock::steady())),
             changed: Notify::new(),
         };
         ControlPlaneClient {
@@ -90,288 +69,249 @@
         }
     }
 
-    /// Asks whenever the finder has questions, and watches one member for the next epoch. Never ends; within a
+    /// Sends probes as they become due, and watches one member for the next epoch. Never returns; runs within a
     /// `LocalSet`.
     pub async fn run(&self) {
-        tokio::join!(self.ask_when_due(), self.watch());
+        tokio::join!(self.send_probes(), self.watch_member());
     }
 
-    async fn ask_when_due(&self) {
+    async fn send_probes(&self) {
         loop {
             let changed = self.shared.changed.notified();
             let now = clock::steady();
-            let (questions, due_at) = {
-                let mut finder = self.shared.finder.borrow_mut();
-                (finder.take_due_probes(now), finder.next_probe_at())
+            let (probes, next_probe_at) = {
+                let mut discovery = self.shared.discovery.borrow_mut();
+                (discovery.take_due_probes(now), discovery.next_probe_at())
             };
-            for address in questions {
-                let link = self.clone();
-                tokio::task::spawn_local(async move { link.ask(address).await });
+            for address in probes {
+                let client = self.clone();
+                tokio::task::spawn_local(async move { client.send_probe(address).await });
             }
-            // At least a millisecond: a round that had no one to ask is due again at once otherwise.
-            let pause = Duration::from_millis(due_at.saturating_sub(now).max(1));
+            let sleep_ms = next_probe_at.saturating_sub(now).max(MIN_SLEEP_MS);
             tokio::select! {
                 () = changed => {}
-                () = tokio::time::sleep(pause) => {}
+                () = tokio::time::sleep(Duration::from_millis(sleep_ms)) => {}
             }
         }
     }
 
-    /// A primary that falls silent tells nobody: another member's word on the next epoch comes sooner than a time-out.
-    async fn watch(&self) {
+    async fn send_probe(&self, address: Arc<str>) {
+        let view = match self.shared.connections.endpoint(&address) {
+            Some(endpoint) => probe(endpoint.client()).await,
+            None => None,
+        };
+        self.update(|discovery, now| match view {
+            Some(view) => discovery.on_view(now, &address, &view),
+            None => discovery.on_request_failed(now, &address),
+        });
+    }
+
+    /// A primary that hangs notifies no one: another member announces the next epoch sooner than a time-out would.
+    async fn watch_member(&self) {
         loop {
             let changed = self.shared.changed.notified();
-            let (watched, epoch) = {
-                let finder = self.shared.finder.borrow();
-                (finder.watch_target(), finder.epoch())
+            let (address, epoch) = {
+                let discovery = self.shared.discovery.borrow();
+                (discovery.watch_target(), discovery.epoch())
             };
-            let Some(target) = watched.and_then(|address| self.target(&address)) else {
+            let endpoint = address.and_then(|address| self.shared.connections.endpoint(&address));
+            let Some(endpoint) = endpoint else {
                 changed.await;
                 continue;
             };
-            let view = watch_question(&target.client, epoch)
-                .await
-                .filter(|view| view.epoch >= epoch);
-            match view {
-                Some(view) => self.on_view(&target, &view),
+            let view = watch(endpoint.client(), epoch).await;
+            match view.filter(|view| view.epoch >= epoch) {
+                Some(view) => self.on_view(&endpoint, &view),
                 None => {
-                    self.shared.finder.borrow_mut().advance_watch_target();
-                    tokio::time::sleep(WATCH_PAUSE).await;
+                    self.shared.discovery.borrow_mut().advance_watch_target();
+                    tokio::time::sleep(WATCH_RETRY_INTERVAL).await;
                 }
             }
         }
     }
 
-    /// Comes back once another process than `target` is the primary.
-    async fn superseded(&self, target: &Endpoint) {
-        loop {
-            let changed = self.shared.changed.notified();
-            if self.shared.finder.borrow().is_superseded(&target.address) {
-                return;
-            }
-            changed.await;
-        }
-    }
-
     /// The primary, where one is known.
     pub fn primary(&self) -> Option<Endpoint> {
-        let address = self
-            .shared
-            .finder
-            .borrow()
-            .primary()
-            .map(|primary| Arc::clone(&primary.internal))?;
-        self.target(&address)
+        let address = {
+            let discovery = self.shared.discovery.borrow();
+            Arc::clone(&discovery.primary()?.internal)
+        };
+        self.shared.connections.endpoint(&address)
     }
 
-    /// How long no primary has been known; 0 while one is.
+    /// How long no primary has been known, in milliseconds; 0 while one is.
     pub fn outage_ms(&self) -> Millis {
         self.shared
-            .lost_since
+            .unavailable_since
             .get()
             .map_or(0, |since| clock::steady().saturating_sub(since))
     }
 
-    /// Waits for a primary, at most until `deadline`.
-    pub async fn wait_for_primary(&self, deadline: tokio::time::Instant) -> Option<Endpoint> {
-        let found = async {
+    /// Waits for a primary, until `deadline` at the latest.
+    pub async fn wait_for_primary(&self, deadline: Instant) -> Option<Endpoint> {
+        let primary = async {
             loop {
                 let changed = self.shared.changed.notified();
-                if let Some(target) = self.primary() {
-                    return target;
+                if let Some(primary) = self.primary() {
+                    return primary;
                 }
                 changed.await;
             }
         };
-        tokio::time::timeout_at(deadline, found).await.ok()
+        tokio::time::timeout_at(deadline, primary).await.ok()
     }
 
-    /// Whether a primary is known that answered within `span`.
-    pub fn is_fresh(&self, span: Millis) -> bool {
-        self.shared.finder.borrow().is_fresh(clock::steady(), span)
+    /// Whether a primary is known that responded within the last `max_age_ms`.
+    pub fn is_fresh(&self, max_age_ms: Millis) -> bool {
+        let discovery = self.shared.discovery.borrow();
+        discovery.is_fresh(clock::steady(), max_age_ms)
     }
 
     /// Replaces the seeds.
     pub fn set_seeds(&self, seeds: Vec<CoreAddress>) {
-        self.change(|finder, _now| finder.set_seeds(seeds));
+        self.update(|discovery, _now| discovery.set_seeds(seeds));
     }
 
-    /// What is known, for operators.
+    /// What is known of the cluster, for the status document.
     pub fn view(&self) -> ClusterView {
-        let finder = self.shared.finder.borrow();
+        let discovery = self.shared.discovery.borrow();
         ClusterView {
-            epoch: finder.epoch(),
-            primary: finder.primary().cloned(),
-            members: finder.members().to_vec(),
+            epoch: discovery.epoch(),
+            primary: discovery.primary().cloned(),
+            members: discovery.members().to_vec(),
         }
     }
 
-    /// Takes a view that came with an answer from `target`.
-    pub fn on_view(&self, target: &Endpoint, view: &ClusterView) {
-        self.change(|finder, now| finder.on_view(now, &target.address, view));
+    /// Takes in a view that came with a response from `endpoint`.
+    pub fn on_view(&self, endpoint: &Endpoint, view: &ClusterView) {
+        self.update(|discovery, now| discovery.on_view(now, endpoint.address(), view));
     }
 
-    /// Posts `body` to `target` and notes what that says of the primary. Gives up once another one is the primary: the
-    /// former may never answer.
+    /// Posts `body` as JSON to `endpoint`, and updates the discovery by the outcome.
+    ///
+    /// The request is abandoned once another member is the primary, since a former primary may never respond.
     pub async fn post<T: Serialize>(
         &self,
-        target: &Endpoint,
+        endpoint: &Endpoint,
         path: &str,
         body: &T,
-        deadline: Duration,
+        timeout: Duration,
     ) -> RequestOutcome {
-        let Ok(call) = post_call(path, body) else {
+        let Ok(request) = post_request(path, body) else {
             return RequestOutcome::NotExecuted;
         };
-        let answered = tokio::select! {
+        let result = tokio::select! {
             biased;
-            answered = target.client.send(call, deadline) => answered,
-            () = self.superseded(target) => return RequestOutcome::Unknown,
+            result = endpoint.client().send(request, timeout) => result,
+            () = self.superseded(endpoint) => return RequestOutcome::Unknown,
         };
-        match answered {
-            Ok(answer) if answer.status() == StatusCode::MISDIRECTED_REQUEST => {
-                let refusal = parse_json::<NotPrimary>(answer.body()).unwrap_or_default();
-                self.change(|finder, now| {
-                    finder.on_not_primary(now, &target.address, &refusal.view)
+        match result {
+            Ok(response) => self.on_response(endpoint, response),
+            Err(error) => self.on_request_error(endpoint, &error),
+        }
+    }
+
+    /// Returns once another member than `endpoint` is the primary.
+    async fn superseded(&self, endpoint: &Endpoint) {
+        loop {
+            let changed = self.shared.changed.notified();
+            if self.is_superseded(endpoint) {
+                return;
+            }
+            changed.await;
+        }
+    }
+
+    fn is_superseded(&self, endpoint: &Endpoint) -> bool {
+        let discovery = self.shared.discovery.borrow();
+        discovery.is_superseded(endpoint.address())
+    }
+
+    fn on_response(&self, endpoint: &Endpoint, response: Response) -> RequestOutcome {
+        let address = endpoint.address();
+        match response.status() {
+            StatusCode::MISDIRECTED_REQUEST => {
+                let rejection: NotPrimary = parse_json(response.body()).unwrap_or_default();
+                self.update(|discovery, now| {
+                    discovery.on_not_primary(now, address, &rejection.view);
                 });
                 RequestOutcome::NotExecuted
             }
-            Ok(answer) if answer.status() == StatusCode::GATEWAY_TIMEOUT => {
-                // It could not commit: it is about to give up its office, and its own word brings it back.
-                self.change(|finder, now| finder.on_request_failed(now, &target.address));
+            // It could not commit and is about to step down. Suspected until it responds again.
+            StatusCode::GATEWAY_TIMEOUT => {
+                self.update(|discovery, now| discovery.on_request_failed(now, address));
                 RequestOutcome::Unknown
             }
-            Ok(answer) => {
-                self.succeeded(&target.address);
-                RequestOutcome::Responded(answer)
-            }
-            Err(error) => {
-                log::debug!("call to {}: {error}", target.address);
-                self.change(|finder, now| finder.on_request_failed(now, &target.address));
-                match error {
-                    RequestError::NotSent(_) => RequestOutcome::NotExecuted,
-                    RequestError::Unknown(_) => RequestOutcome::Unknown,
-                }
+            _ => {
+                self.on_primary_responded(address);
+                RequestOutcome::Responded(response)
             }
         }
     }
 
-    async fn ask(&self, address: Arc<str>) {
-        let view = match self.target(&address) {
-            Some(target) => question(&target.client).await,
-            None => None,
-        };
-        self.change(|finder, now| match view {
-            Some(view) => finder.on_view(now, &address, &view),
-            None => finder.on_request_failed(now, &address),
-        });
+    fn on_request_error(&self, endpoint: &Endpoint, error: &RequestError) -> RequestOutcome {
+        let address = endpoint.address();
+        log::debug!("request to {address} failed: {error}");
+        self.update(|discovery, now| discovery.on_request_failed(now, address));
+        match error {
+            RequestError::NotSent(_) => RequestOutcome::NotExecuted,
+            RequestError::Unknown(_) => RequestOutcome::Unknown,
+        }
     }
 
-    /// Notes an answer of the primary. Wakes no one unless it was doubted: this is the usual case.
-    fn succeeded(&self, address: &str) {
-        let was_known = self.shared.finder.borrow().primary().is_some();
+    /// The usual case: wakes no task unless the primary was suspected or unknown.
+    fn on_primary_responded(&self, address: &str) {
+        let was_known = self.is_primary_known();
         self.shared
-            .finder
+            .discovery
             .borrow_mut()
             .on_response(clock::steady(), address);
         if !was_known {
-            self.note_outage();
+            self.update_availability();
             self.shared.changed.notify_waiters();
         }
     }
 
-    fn note_outage(&self) {
-        let known = self.shared.finder.borrow().primary().is_some();
-        let since = self.shared.lost_since.get().unwrap_or_else(clock::steady);
-        self.shared.lost_since.set((!known).then_some(since));
+    fn is_primary_known(&self) -> bool {
+        self.shared.discovery.borrow().primary().is_some()
     }
 
-    fn change(&self, change: impl FnOnce(&mut PrimaryDiscovery, Millis)) {
-        {
-            let mut finder = self.shared.finder.borrow_mut();
-            let before = finder.primary().cloned();
-            change(&mut finder, clock::steady());
-            log_change(before.as_ref(), &finder);
-        }
-        self.note_outage();
-        self.forget_clients();
-        self.shared.changed.notify_waiters();
+    fn update_availability(&self) {
+        let unavailable_since = &self.shared.unavailable_since;
+        let since = unavailable_since.get().unwrap_or_else(clock::steady);
+        unavailable_since.set((!self.is_primary_known()).then_some(since));
     }
 
-    fn target(&self, address: &Arc<str>) -> Option<Endpoint> {
-        let mut clients = self.shared.clients.borrow_mut();
-        if let Some(client) = clients.get(address) {
-            return Some(Endpoint {
-                address: Arc::clone(address),
-                client: client.clone(),
-            });
+    fn update(&self, change: impl FnOnce(&mut PrimaryDiscovery, Millis)) {
+        {
+            let mut discovery = self.shared.discovery.borrow_mut();
+            let former = discovery.primary().cloned();
+            change(&mut discovery, clock::steady());
+            log_primary_change(former.as_ref(), &discovery);
         }
-        let client = Client::with_limits(
-            address.parse::<SocketAddr>().ok()?,
-            self.shared.limits.clone(),
-        );
-        clients.insert(Arc::clone(address), client.clone());
-        Some(Endpoint {
-            address: Arc::clone(address),
-            client,
-        })
+        self.update_availability();
+        self.drop_unknown_connections();
+        self.shared.changed.notify_waiters();
     }
 
-    /// Clients of machines that are no longer known are dropped with their connections.
-    fn forget_clients(&self) {
-        let finder = self.shared.finder.borrow();
-        self.shared
-            .clients
-            .borrow_mut()
-            .retain(|address, _| finder.is_known(address));
+    fn drop_unknown_connections(&self) {
+        let discovery = self.shared.discovery.borrow();
+        let connections = &self.shared.connections;
+        connections.retain(|address| discovery.is_known(address));
     }
 }
 
-fn log_change(before: Option<&CoreAddress>, finder: &PrimaryDiscovery) {
-    match finder.primary() {
-        after if after == before => {}
+fn log_primary_change(former: Option<&CoreAddress>, discovery: &PrimaryDiscovery) {
+    match discovery.primary() {
+        current if current == former => {}
         Some(primary) => log::info!(
             "the primary of epoch {} is {}",
-            finder.epoch(),
+            discovery.epoch(),
             primary.internal
         ),
         None => log::info!(
-            "no primary is known: asking {} members",
-            finder.members().len()
+            "no primary known: probing {} members",
+            discovery.members().len()
         ),
     }
 }
-
-fn post_call<T: Serialize>(path: &str, body: &T) -> Result<Request, http::Error> {
-    let body = serde_json::to_vec(body).unwrap_or_default();
-    http::Request::post(path)
-        .header(CONTENT_TYPE, "application/json")
-        .body(Bytes::from(body))
-}
-
-async fn question(client: &Client) -> Option<ClusterView> {
-    let call = http::Request::get(CLUSTER_PATH).body(Bytes::new()).ok()?;
-    view(client, call, QUESTION_DEADLINE).await
-}
-
-async fn watch_question(client: &Client, epoch: u64) -> Option<ClusterView> {
-    let watch = ClusterWatch {
-        epoch,
-        wait_ms: WATCH_MS,
-    };
-    let call = post_call(CLUSTER_WATCH_PATH, &watch).ok()?;
-    view(
-        client,
-        call,
-        Duration::from_millis(WATCH_MS + WATCH_SLACK_MS),
-    )
-    .await
-}
-
-async fn view(client: &Client, call: Request, deadline: Duration) -> Option<ClusterView> {
-    let answer = client.send(call, deadline).await.ok()?;
-    if !answer.status().is_success() {
-        return None;
-    }
-    parse_json(answer.body()).ok()
-}
--- a/crates/dataplane/src/control_plane/discovery.rs
+++ b/crates/dataplane/src/control_plane/discovery.rs
@@ -1,268 +1,247 @@
-//! Who the primary is, from what members say and from which calls fail. Told the time, without I/O.
+//! The state of discovery: who the primary is, from the views that members send and from requests that fail.
 
-use std::collections::{BTreeMap, VecDeque};
-use std::hash::{DefaultHasher, Hash, Hasher};
+use super::jitter::Jitter;
+use super::probes::ProbeRotation;
+use std::ops::Range;
 use std::sync::Arc;
 use streamusher_protocol::internal::{ClusterView, CoreAddress};
 use streamusher_protocol::Millis;
 
-/// Questions sent in one round: more than one, as some members may be down; few, as every process asks.
-const QUESTIONS_A_ROUND: usize = 3;
-
-/// Between two rounds while no primary is known; each draws its own pause, so that processes do not ask in step.
-const ROUND_MS: std::ops::Range<Millis> = 100..200;
-
-/// A primary that has not answered for so long is asked, so that its end is seen without calls. Above the time that an
-/// agent's sync waits there, as that shows it too.
-const PROBE_AFTER_MS: Millis = 500;
-
-/// Members remembered: beyond any core.
-const MOST_KNOWN: usize = 64;
-
-/// Finds the primary and notes how fresh that knowledge is.
+/// Between two rounds of probes while no primary is known. Each process draws its own pauses, so that they do not probe
+/// in step.
+const PROBE_ROUND_INTERVAL_MS: Range<Millis> = 100..200;
+
+/// A primary that has not responded for this long is probed, so that its loss is noticed without requests. Above the time
+/// for which it holds an agent's sync, since a response to that shows as much.
+const PRIMARY_PROBE_INTERVAL_MS: Millis = 500;
+
+/// Members remembered: more than any cluster has.
+const MAX_MEMBERS: usize = 64;
+
+/// Finds the primary and tracks how recently it responded.
+///
+/// A view counts unless its epoch is older than the newest one seen. A primary that fails a request becomes *suspected*:
+/// [`PrimaryDiscovery::primary`] gives none until that primary itself responds, or a newer epoch names another. What other
+/// members say of the same epoch does not clear the suspicion.
+///
+/// ```
+/// use streamusher_dataplane::control_plane::PrimaryDiscovery;
+/// use streamusher_protocol::internal::{ClusterView, CoreAddress};
+///
+/// let seed = CoreAddress { internal: "10.0.0.1:7300".into(), control: "10.0.0.1:8144".into() };
+/// let mut discovery = PrimaryDiscovery::new(vec![seed.clone()], 42);
+/// assert_eq!(discovery.take_due_probes(0), [seed.internal.clone()]);
+///
+/// // The probe's response: the seed is the primary of epoch 1.
+/// let view = ClusterView { epoch: 1, primary: Some(seed.clone()), members: vec![seed.clone()] };
+/// discovery.on_view(5, &seed.internal, &view);
+/// assert_eq!(discovery.primary(), Some(&seed));
+///
+/// discovery.on_request_failed(9, &seed.internal);
+/// assert_eq!(discovery.primary(), None);
+/// ```
 #[derive(Debug)]
 pub struct PrimaryDiscovery {
     seeds: Vec<CoreAddress>,
     members: Vec<CoreAddress>,
     epoch: u64,
     primary: Option<CoreAddress>,
-    /// The primary of `epoch` whose call failed: only its own word brings it back.
-    doubted: Option<Arc<str>>,
-    answered_at: Option<Millis>,
-    /// Whom to ask, in turn.
-    turn: VecDeque<Arc<str>>,
-    /// Questions under way, by address.
-    asked: BTreeMap<Arc<str>, Millis>,
+    /// Internal address of the primary of `epoch`, where it failed a request.
+    suspected: Option<Arc<str>>,
+    last_response_at: Option<Millis>,
+    probes: ProbeRotation,
     next_round_at: Millis,
-    /// Which member is watched: its place among those that are not the primary.
-    watched: usize,
+    /// Chooses the member to watch: an index, modulo their number, into the members that are not the primary.
+    watch_index: usize,
     jitter: Jitter,
 }
 
 impl PrimaryDiscovery {
-    /// Begins with the seeds; `seed` draws the pauses.
-    pub fn new(seeds: Vec<CoreAddress>, seed: u64) -> PrimaryDiscovery {
-        let mut finder = PrimaryDiscovery {
+    /// A discovery that knows the seeds only. `jitter_seed` differs between processes.
+    pub fn new(seeds: Vec<CoreAddress>, jitter_seed: u64) -> PrimaryDiscovery {
+        let mut jitter = Jitter::new(jitter_seed);
+        let watch_index = jitter.index(MAX_MEMBERS);
+        let mut discovery = PrimaryDiscovery {
             seeds: Vec::new(),
             members: Vec::new(),
             epoch: 0,
             primary: None,
-            doubted: None,
-            answered_at: None,
-            turn: VecDeque::new(),
-            asked: BTreeMap::new(),
+            suspected: None,
+            last_response_at: None,
+            probes: ProbeRotation::default(),
             next_round_at: 0,
-            watched: 0,
-            jitter: Jitter { state: seed },
+            watch_index,
+            jitter,
         };
-        finder.watched = finder.jitter.draw(0..MOST_KNOWN as Millis) as usize;
-        finder.set_seeds(seeds);
-        finder
+        discovery.set_seeds(seeds);
+        discovery
     }
 
-    /// Replaces the seeds, as after a change of the settings.
+    /// Replaces the seeds, as after a reload of the settings.
     pub fn set_seeds(&mut self, seeds: Vec<CoreAddress>) {
         self.seeds = seeds;
-        self.renew_turn();
+        self.reset_probes();
     }
 
-    /// The primary, where one is known and not doubted.
+    /// The primary, where one is known and not suspected.
     pub fn primary(&self) -> Option<&CoreAddress> {
         self.primary
             .as_ref()
-            .filter(|primary| self.doubted.as_ref() != Some(&primary.internal))
+            .filter(|primary| self.suspected.as_ref() != Some(&primary.internal))
     }
 
-    /// The newest epoch heard of.
+    /// The newest epoch seen.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Members heard of.
+    /// The members that the newest view named.
     pub fn members(&self) -> &[CoreAddress] {
         &self.members
     }
 
-    /// Whether a primary is known that answered within `span` before `now`.
-    pub fn is_fresh(&self, now: Millis, span: Millis) -> bool {
-        let answered = self
-            .answered_at
-            .is_some_and(|at| now.saturating_sub(at) <= span);
-        answered && self.primary().is_some()
+    /// Whether a primary is known that responded within `max_age_ms` before `now`.
+    pub fn is_fresh(&self, now: Millis, max_age_ms: Millis) -> bool {
+        let responded = self
+            .last_response_at
+            .is_some_and(|at| now.saturating_sub(at) <= max_age_ms);
+        responded && self.primary().is_some()
     }
 
-    /// The process at `from` (an internal address) told what it knows.
+    /// The member at the internal address `from` sent its view.
     pub fn on_view(&mut self, now: Millis, from: &str, view: &ClusterView) {
-        self.asked.remove(from);
+        self.probes.on_completed(from);
         if view.epoch < self.epoch {
             return;
         }
-        let newer = view.epoch > self.epoch;
+        let is_newer = view.epoch > self.epoch;
         self.epoch = view.epoch;
-        self.remember(&view.members, newer);
+        self.update_members(&view.members, is_newer);
         match &view.primary {
-            Some(primary) => self.hear_of_primary(now, from, primary, newer),
-            // A member that thinks the primary lost: calls decide, not guesses.
-            None if newer => self.primary = None,
-            None if self.is_primary(from) => self.doubted = Some(from.into()),
+            Some(primary) => self.update_primary(now, from, primary, is_newer),
+            None if is_newer => self.primary = None,
+            None if self.is_current_primary(from) => self.suspected = Some(from.into()),
+            // Another member that has lost sight of the primary: failed requests decide, not its suspicion.
             None => {}
         }
     }
 
-    /// The primary answered a call.
+    /// The member at `address` responded to a request that only a primary accepts.
     pub fn on_response(&mut self, now: Millis, address: &str) {
-        self.asked.remove(address);
-        if self.is_primary(address) {
-            self.doubted = None;
-            self.answered_at = Some(now);
+        self.probes.on_completed(address);
+        if self.is_current_primary(address) {
+            self.suspected = None;
+            self.last_response_at = Some(now);
         }
     }
 
-    /// A call to `address` failed. If it is the primary's, others are asked at once.
+    /// A request or probe to `address` failed. Where that is the primary, a round of probes is due at once.
     pub fn on_request_failed(&mut self, now: Millis, address: &str) {
-        self.asked.remove(address);
-        if self.is_primary(address) && self.doubted.as_deref() != Some(address) {
-            self.doubted = Some(address.into());
+        self.probes.on_completed(address);
+        if self.is_current_primary(address) && self.suspected.as_deref() != Some(address) {
+            self.suspected = Some(address.into());
             self.next_round_at = now;
         }
     }
 
-    /// The process at `address` said that it is not the primary: `view` is what it knows.
+    /// The member at `address` rejected a request as it is not the primary; `view` came with the rejection.
     pub fn on_not_primary(&mut self, now: Millis, address: &str, view: &ClusterView) {
         self.on_request_failed(now, address);
         self.on_view(now, address, view);
-        let still_itself = self.is_primary(address);
-        if still_itself {
-            self.doubted = Some(address.into());
+        let names_itself = self.is_current_primary(address);
+        if names_itself {
+            self.suspected = Some(address.into());
         }
     }
 
-    /// Whether a call to `address` is to be given up: another process is the primary by now.
+    /// Whether a request to `address` is to be abandoned: another member is the primary by now.
     pub fn is_superseded(&self, address: &str) -> bool {
         self.primary()
             .is_some_and(|primary| *primary.internal != *address)
     }
 
-    /// A member besides the primary, which learns of the next epoch without it. Each process draws its own.
+    /// The member to watch for the next epoch: not the primary, as a primary that is lost cannot announce its successor.
     pub fn watch_target(&self) -> Option<Arc<str>> {
-        let others: Vec<&CoreAddress> = self
+        let candidates: Vec<&CoreAddress> = self
             .members
             .iter()
-            .filter(|member| !self.is_primary(&member.internal))
+            .filter(|member| !self.is_current_primary(&member.internal))
             .collect();
-        let place = self.watched.checked_rem(others.len())?;
-        Some(Arc::clone(&others[place].internal))
+        let index = self.watch_index.checked_rem(candidates.len())?;
+        Some(Arc::clone(&candidates[index].internal))
     }
 
-    /// The member that was watched does not answer, or knows less than this process: the next one is watched.
+    /// Goes on to the next member: the watched one does not respond, or its epoch is older than [`Self::epoch`].
     pub fn advance_watch_target(&mut self) {
-        self.watched = self.watched.wrapping_add(1);
+        self.watch_index = self.watch_index.wrapping_add(1);
     }
 
-    /// Whom to ask now for the cluster's view. Each is asked once at a time: tell [`PrimaryDiscovery::learn`] or
-    /// [`PrimaryDiscovery::failed`] what came of it.
+    /// Begins the probes that are due and gives their addresses. Each must be ended by [`Self::on_view`] or
+    /// [`Self::on_request_failed`]; until then its address is not probed again.
     pub fn take_due_probes(&mut self, now: Millis) -> Vec<Arc<str>> {
         if now < self.next_probe_at() {
             return Vec::new();
         }
-        self.next_round_at = now.saturating_add(self.jitter.draw(ROUND_MS));
+        let pause = self.jitter.span(&PROBE_ROUND_INTERVAL_MS);
+        self.next_round_at = now.saturating_add(pause);
         match self.primary().map(|primary| Arc::clone(&primary.internal)) {
-            Some(primary) => self.ask(now, primary).into_iter().collect(),
-            None => self.ask_round(now),
+            Some(primary) => self.probes.begin(primary).into_iter().collect(),
+            None => self.probes.begin_round(),
         }
     }
 
-    /// When [`PrimaryDiscovery::questions`] has some.
+    /// When [`Self::take_due_probes`] has some.
     pub fn next_probe_at(&self) -> Millis {
-        match (self.primary(), self.answered_at) {
-            (Some(_), Some(at)) => self.next_round_at.max(at.saturating_add(PROBE_AFTER_MS)),
+        match (self.primary(), self.last_response_at) {
+            (Some(_), Some(at)) => {
+                let probe_at = at.saturating_add(PRIMARY_PROBE_INTERVAL_MS);
+                self.next_round_at.max(probe_at)
+            }
             _ => self.next_round_at,
         }
     }
 
-    /// Whether an internal address is that of a seed, a member or the primary.
+    /// Whether `address` is the internal address of a seed, a member or the primary.
     pub fn is_known(&self, address: &str) -> bool {
         let mut known = self.seeds.iter().chain(&self.members).chain(&self.primary);
-        known.any(|core| *core.internal == *address)
-    }
-
-    fn ask_round(&mut self, now: Millis) -> Vec<Arc<str>> {
-        let mut asked = Vec::new();
-        for _ in 0..self.turn.len() {
-            let Some(address) = self.turn.pop_front() else {
-                break;
-            };
-            self.turn.push_back(Arc::clone(&address));
-            asked.extend(self.ask(now, address));
-            if asked.len() == QUESTIONS_A_ROUND {
-                break;
-            }
-        }
-        asked
-    }
-
-    fn ask(&mut self, now: Millis, address: Arc<str>) -> Option<Arc<str>> {
-        if self.asked.contains_key(&address) {
-            return None;
-        }
-        self.asked.insert(Arc::clone(&address), now);
-        Some(address)
+        known.any(|member| *member.internal == *address)
     }
 
-    fn hear_of_primary(&mut self, now: Millis, from: &str, primary: &CoreAddress, newer: bool) {
-        let itself = *primary.internal == *from;
-        let changed = !self.is_primary(&primary.internal);
-        if newer || itself {
-            self.doubted = None;
+    fn update_primary(&mut self, now: Millis, from: &str, primary: &CoreAddress, is_newer: bool) {
+        let names_itself = *primary.internal == *from;
+        let has_changed = !self.is_current_primary(&primary.internal);
+        if is_newer || names_itself {
+            self.suspected = None;
         }
-        if newer || changed {
-            self.answered_at = None;
+        if is_newer || has_changed {
+            self.last_response_at = None;
         }
-        if itself {
-            self.answered_at = Some(now);
+        if names_itself {
+            self.last_response_at = Some(now);
         }
         self.primary = Some(primary.clone());
     }
 
-    fn is_primary(&self, address: &str) -> bool {
+    fn is_current_primary(&self, address: &str) -> bool {
         self.primary
             .as_ref()
             .is_some_and(|primary| *primary.internal == *address)
     }
 
-    fn remember(&mut self, members: &[CoreAddress], newer: bool) {
-        if members.is_empty() || (!newer && self.members == members) {
+    fn update_members(&mut self, members: &[CoreAddress], is_newer: bool) {
+        let is_unchanged = !is_newer && self.members == members;
+        if members.is_empty() || is_unchanged {
             return;
         }
-        self.members = members.iter().take(MOST_KNOWN).cloned().collect();
-        self.renew_turn();
-    }
-
-    /// All addresses known, members first.
-    fn renew_turn(&mut self) {
-        self.turn.clear();
-        for address in self.members.iter().chain(&self.seeds) {
-            if !self.turn.contains(&address.internal) {
-                self.turn.push_back(Arc::clone(&address.internal));
-            }
-        }
-        let first = self.jitter.draw(0..self.turn.len().max(1) as Millis) as usize;
-        self.turn.rotate_left(first);
+        self.members = members.iter().take(MAX_MEMBERS).cloned().collect();
+        self.reset_probes();
     }
-}
-
-/// Numbers that differ between processes; nothing rests on their quality.
-#[derive(Debug)]
-struct Jitter {
-    state: u64,
-}
 
-impl Jitter {
-    fn draw(&mut self, range: std::ops::Range<Millis>) -> Millis {
-        let mut hasher = DefaultHasher::new();
-        self.state.hash(&mut hasher);
-        self.state = hasher.finish();
-        let width = range.end.saturating_sub(range.start).max(1);
-        range.start + self.state % width
+    /// All known addresses, members before seeds, from a random one on.
+    fn reset_probes(&mut self) {
+        let known = self.members.iter().chain(&self.seeds);
+        let addresses = known.map(|member| &member.internal);
+        self.probes
+            .reset(addresses, |count| self.jitter.index(count));
     }
 }
--- /dev/null
+++ b/crates/dataplane/src/control_plane/jitter.rs
@@ -0,0 +1,36 @@
+//! Random numbers that keep the processes of a cluster from acting in step.
+
+use std::hash::{DefaultHasher, Hash, Hasher};
+use std::ops::Range;
+use streamusher_protocol::Millis;
+
+/// A generator that is deterministic for its seed. Nothing depends on the quality of its numbers.
+#[derive(Debug)]
+pub(super) struct Jitter {
+    state: u64,
+}
+
+impl Jitter {
+    pub(super) fn new(seed: u64) -> Jitter {
+        Jitter { state: seed }
+    }
+
+    /// A span within `range`; its start where the range is empty.
+    pub(super) fn span(&mut self, range: &Range<Millis>) -> Millis {
+        let width = range.end.saturating_sub(range.start).max(1);
+        range.start + self.next() % width
+    }
+
+    /// An index below `len`; 0 where `len` is 0.
+    pub(super) fn index(&mut self, len: usize) -> usize {
+        let width = u64::try_from(len.max(1)).unwrap_or(u64::MAX);
+        usize::try_from(self.next() % width).unwrap_or_default()
+    }
+
+    fn next(&mut self) -> u64 {
+        let mut hasher = DefaultHasher::new();
+        self.state.hash(&mut hasher);
+        self.state = hasher.finish();
+        self.state
+    }
+}
