--- a/crates/controlplane/examples/cluster/main.rs
+++ b/crates/controlplane/examples/cluster/main.rs
@@ -16,7 +16,7 @@
 use machines::Part;
 use std::process::ExitCode;
 use std::time::Duration;
-use streamusher_dataplane::{agent_program, gate, process};
+use streamusher_dataplane::{agent_process, gate, process};
 use streamusher_runtime::{clock, logs, runtime, settings};
 
 /// The story takes some ten seconds; a busy machine may need longer.
@@ -48,7 +48,7 @@
     match part {
         Part::Control => Ok(streamusher_controlplane::process::run(&settings, None)?),
         Part::Gate => process::run(gate::run(settings)),
-        Part::Agent => process::run(agent_program::run(settings)),
+        Part::Agent => process::run(agent_process::run(settings)),
     }
 }
 
--- /dev/null
+++ b/crates/dataplane/src/agent/commands.rs
@@ -0,0 +1,128 @@
+//! The commands of the primary that are in force, and the lease that came with them.
+
+use std::collections::HashSet;
+use std::sync::Arc;
+use streamusher_protocol::heartbeat::{StartCommand, StopCommand};
+use streamusher_protocol::internal::AgentCommands;
+use streamusher_protocol::task::TaskId;
+use streamusher_protocol::Millis;
+
+/// What became of commands that arrived.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum CommandsUpdate {
+    /// Fenced: their epoch is lower than that of the commands in force. Neither commands nor lease count.
+    Fenced,
+    /// An older revision of the same epoch: only the lease counts.
+    LeaseOnly,
+    /// They replace the commands in force.
+    Applied {
+        /// A start command of the former ones is missing: the primary waits for a report that it was not handed out.
+        withdrew_start: bool,
+    },
+}
+
+/// The newest commands accepted.
+///
+/// Invariant: epoch and revision never go back.
+#[derive(Debug, Default)]
+pub(super) struct CurrentCommands {
+    commands: Option<AgentCommands>,
+    lease_until: Millis,
+    /// Start commands count only in responses to syncs from this sequence on.
+    accept_starts_from: u64,
+}
+
+impl CurrentCommands {
+    pub(super) fn epoch(&self) -> u64 {
+        self.commands.as_ref().map_or(0, |commands| commands.epoch)
+    }
+
+    pub(super) fn revision(&self) -> u64 {
+        self.commands
+            .as_ref()
+            .map_or(0, |commands| commands.revision)
+    }
+
+    /// The end of the lease on the agent's own clock.
+    pub(super) fn lease_until(&self) -> Millis {
+        self.lease_until
+    }
+
+    /// The worker that the primary addresses.
+    pub(super) fn instance(&self) -> Option<&Arc<str>> {
+        self.commands.as_ref()?.instance.as_ref()
+    }
+
+    /// Takes the response to the sync with this `sequence`. The lease counts from `sent_at`, when the sync was sent.
+    pub(super) fn on_response(
+        &mut self,
+        sent_at: Millis,
+        sequence: u64,
+        mut commands: AgentCommands,
+    ) -> CommandsUpdate {
+        if commands.epoch < self.epoch() && !cfg!(feature = "mutant-fence") {
+            return CommandsUpdate::Fenced;
+        }
+        let lease_until = sent_at.saturating_add(commands.lease_ms);
+        self.lease_until = self.lease_until.max(lease_until);
+        if commands.epoch == self.epoch() && commands.revision < self.revision() {
+            return CommandsUpdate::LeaseOnly;
+        }
+        if sequence < self.accept_starts_from {
+            commands.start.clear();
+        }
+        let withdrew_start = self
+            .commands
+            .as_ref()
+            .is_some_and(|former| lacks_a_start(&former.start, &commands.start));
+        self.commands = Some(commands);
+        CommandsUpdate::Applied { withdrew_start }
+    }
+
+    /// Drops the start commands in force, and those in responses to syncs before `sequence`: the primary may give these
+    /// runs to other workers once it learns that the worker is gone.
+    pub(super) fn drop_starts_before(&mut self, sequence: u64) {
+        self.accept_starts_from = sequence;
+        if let Some(commands) = &mut self.commands {
+            commands.start.clear();
+        }
+    }
+
+    /// Start commands for this worker.
+    pub(super) fn starts(&self, instance: &str) -> &[StartCommand] {
+        self.addressed_to(instance)
+            .map_or(&[], |commands| &commands.start)
+    }
+
+    /// Stop commands for this worker.
+    pub(super) fn stops(&self, instance: &str) -> &[StopCommand] {
+        self.addressed_to(instance)
+            .map_or(&[], |commands| &commands.stop)
+    }
+
+    /// The newest end of a run of this worker that the primary has recorded.
+    pub(super) fn last_seen(&self, instance: &str) -> Option<u64> {
+        let commands = self.addressed_to(instance)?;
+        Some(commands.last_seen).filter(|last_seen| *last_seen > 0)
+    }
+
+    fn addressed_to(&self, instance: &str) -> Option<&AgentCommands> {
+        self.commands
+            .as_ref()
+            .filter(|commands| commands.instance.as_deref() == Some(instance))
+    }
+}
+
+fn lacks_a_start(former: &[StartCommand], current: &[StartCommand]) -> bool {
+    if former.is_empty() {
+        return false;
+    }
+    let current: HashSet<(&TaskId, u32)> = current.iter().map(run_of).collect();
+    former
+        .iter()
+        .any(|command| !current.contains(&run_of(command)))
+}
+
+fn run_of(command: &StartCommand) -> (&TaskId, u32) {
+    (&command.task, command.run)
+}
--- /dev/null
+++ b/crates/dataplane/src/agent/heartbeat_response.rs
@@ -0,0 +1,150 @@
+//! What a worker's heartbeat is answered: its hold, its commands, and when to come again.
+
+use super::commands::CurrentCommands;
+use super::hold;
+use super::worker::Worker;
+use super::AgentSettings;
+use streamusher_protocol::heartbeat::{HeartbeatResponse, StartCommand, StopCommand};
+use streamusher_protocol::Millis;
+
+/// A start command needs at least this hold, or the run's lease would expire before the next heartbeat.
+const MIN_HOLD_FOR_START_MS: Millis = 500;
+
+/// A worker drops a response later than a second after its heartbeat; the rest of the second is for the way.
+const MAX_START_DELAY_MS: Millis = 900;
+
+/// Start commands in one response: with the longest specs well below the 4 MiB that a response may have.
+const MAX_STARTS: usize = 400;
+
+/// Next heartbeat while runs are at work or were just started: commands wait for it, and so does the report of an end.
+const BUSY_RETRY_MS: Millis = 20;
+
+/// Next heartbeat after a long poll without commands: the waiting happens at the agent.
+const IDLE_RETRY_MS: Millis = 20;
+
+/// Next heartbeat while the agent has no lease, or while a draining worker has no runs.
+const NO_CONTACT_RETRY_MS: Millis = 300;
+
+/// Whether a response may carry start commands.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum StartCommands {
+    Include,
+    Withhold,
+}
+
+/// Whether a response now would carry any command.
+pub(super) fn has_commands(
+    settings: &AgentSettings,
+    commands: &CurrentCommands,
+    worker: &Worker,
+    now: Millis,
+) -> bool {
+    let hold_ms = grantable_hold_ms(settings, commands, worker).unwrap_or(0);
+    let has_starts = may_start(worker, hold_ms, now)
+        && commands
+            .starts(&worker.instance)
+            .iter()
+            .any(|command| worker.needs_start(command));
+    let has_stops = || {
+        commands
+            .stops(&worker.instance)
+            .iter()
+            .any(|command| worker.needs_stop(command))
+    };
+    has_starts || has_stops()
+}
+
+/// The response to the worker's newest heartbeat. Records at the worker which hold and commands it carries.
+pub(super) fn respond(
+    settings: &AgentSettings,
+    commands: &CurrentCommands,
+    worker: &mut Worker,
+    now: Millis,
+    start_commands: StartCommands,
+) -> HeartbeatResponse {
+    let grantable_ms = grantable_hold_ms(settings, commands, worker);
+    let starts_allowed = start_commands == StartCommands::Include
+        && may_start(worker, grantable_ms.unwrap_or(0), now);
+    let start = if starts_allowed {
+        needed_starts(commands, worker)
+    } else {
+        Vec::new()
+    };
+    let stop = needed_stops(commands, worker);
+    let has_runs = !start.is_empty() || !worker.heartbeat.running.is_empty();
+    let hold_ms = grantable_ms.filter(|_| has_runs);
+    worker.on_commands_sent(&start, &stop);
+    if let Some(hold_ms) = hold_ms {
+        worker.on_hold_granted(hold_ms);
+    }
+    HeartbeatResponse {
+        hold_ms,
+        last_seen: commands.last_seen(&worker.instance),
+        fence_token: commands.epoch(),
+        retry_after_ms: Some(retry_after_ms(commands, worker, now, !start.is_empty())),
+        start,
+        stop,
+    }
+}
+
+/// The response to a heartbeat that is not the newest, or not of this worker: without hold and commands.
+pub(super) fn respond_superseded(commands: &CurrentCommands) -> HeartbeatResponse {
+    HeartbeatResponse {
+        fence_token: commands.epoch(),
+        ..HeartbeatResponse::default()
+    }
+}
+
+/// The hold that a response to the newest heartbeat may grant. The worker counts it from the sending of that heartbeat,
+/// which was before its receipt.
+fn grantable_hold_ms(
+    settings: &AgentSettings,
+    commands: &CurrentCommands,
+    worker: &Worker,
+) -> Option<Millis> {
+    let lease_left_ms = commands.lease_until().saturating_sub(worker.received_at);
+    let hold_ms = hold::grantable_ms(lease_left_ms).min(settings.max_granted_hold_ms());
+    Some(hold_ms).filter(|hold_ms| *hold_ms > 0)
+}
+
+fn may_start(worker: &Worker, hold_ms: Millis, now: Millis) -> bool {
+    let is_in_time = now.saturating_sub(worker.received_at) <= MAX_START_DELAY_MS;
+    worker.is_ready() && is_in_time && hold_ms >= MIN_HOLD_FOR_START_MS
+}
+
+fn needed_starts(commands: &CurrentCommands, worker: &Worker) -> Vec<StartCommand> {
+    commands
+        .starts(&worker.instance)
+        .iter()
+        .filter(|command| worker.needs_start(command))
+        .take(MAX_STARTS)
+        .cloned()
+        .collect()
+}
+
+fn needed_stops(commands: &CurrentCommands, worker: &Worker) -> Vec<StopCommand> {
+    commands
+        .stops(&worker.instance)
+        .iter()
+        .filter(|command| worker.needs_stop(command))
+        .cloned()
+        .collect()
+}
+
+fn retry_after_ms(
+    commands: &CurrentCommands,
+    worker: &Worker,
+    now: Millis,
+    has_starts: bool,
+) -> Millis {
+    if commands.lease_until() <= now {
+        return NO_CONTACT_RETRY_MS;
+    }
+    if has_starts || !worker.heartbeat.running.is_empty() {
+        return BUSY_RETRY_MS;
+    }
+    if worker.is_draining() {
+        return NO_CONTACT_RETRY_MS;
+    }
+    IDLE_RETRY_MS
+}
--- /dev/null
+++ b/crates/dataplane/src/gate/client_limits.rs
@@ -0,0 +1,46 @@
+//! What the gate accepts of its clients: by the configuration, within what the machine can bear.
+
+use super::relay::RelayMember;
+use std::time::Duration;
+use streamusher_protocol::config::Limits;
+use streamusher_runtime::http::{ServerHandle, ServerLimits};
+use streamusher_runtime::settings::ProcessSettings;
+
+/// Descriptors that are not for clients: the 200 that the operators' pages keep, and this process's own connections and
+/// listeners.
+const RESERVED_DESCRIPTORS: u64 = 300;
+
+/// Longest body, whatever the configuration allows: a gate has little memory, and the primary accepts no more.
+const MAX_BODY_BYTES: u64 = 8 << 20;
+
+/// Longest head, whatever the configuration allows: each connection may hold one.
+const MAX_HEADER_BYTES: u64 = 1 << 20;
+
+/// The limits of the listener for clients.
+pub(super) fn server_limits(settings: &ProcessSettings, limits: &Limits) -> ServerLimits {
+    ServerLimits {
+        max_body: size(limits.max_body_bytes.min(MAX_BODY_BYTES)),
+        max_header: size(limits.max_header_bytes.min(MAX_HEADER_BYTES)),
+        body_timeout: Duration::from_millis(limits.header_timeout_ms),
+        idle_timeout: Duration::from_millis(limits.idle_timeout_ms),
+        max_connections: settings.limits.connections(RESERVED_DESCRIPTORS),
+    }
+}
+
+fn size(bytes: u64) -> usize {
+    usize::try_from(bytes).unwrap_or(usize::MAX)
+}
+
+/// Applies the limits of each configuration that arrives. Never returns.
+pub(super) async fn follow_configuration(
+    relay: RelayMember,
+    server: ServerHandle,
+    settings: ProcessSettings,
+) {
+    loop {
+        relay.changed().await;
+        if let Some(configuration) = relay.configuration() {
+            server.set_limits(server_limits(&settings, &configuration.limits));
+        }
+    }
+}
--- /dev/null
+++ b/crates/dataplane/src/gate/client_response.rs
@@ -0,0 +1,79 @@
+//! What clients are answered: the primary's response, or why there is none.
+
+use http::header::{HeaderValue, CONTENT_TYPE, RETRY_AFTER};
+use http::StatusCode;
+use streamusher_protocol::internal::ClientResponse;
+use streamusher_protocol::Millis;
+use streamusher_runtime::http::{parse_json, text, Response};
+
+/// Bounds of `Retry-After` while no primary is known. At first the usual rest of a failover; later as long as the outage
+/// has lasted, so that a client's few retries reach beyond a long one.
+const MIN_RETRY_AFTER_MS: Millis = 250;
+const MAX_RETRY_AFTER_MS: Millis = 2_000;
+
+/// The response for the client from the primary's response to the gate; 502 where that cannot be read.
+pub(super) fn from_primary(response: &Response) -> Response {
+    let status = response.status();
+    if !status.is_success() {
+        log::warn!("unexpected status {status} from the primary for a client request");
+        return malformed();
+    }
+    match parse_json::<ClientResponse>(response.body()) {
+        Ok(response) => decode(&response),
+        Err(error) => {
+            log::warn!("malformed response from the primary to a client request: {error}");
+            malformed()
+        }
+    }
+}
+
+fn decode(from_primary: &ClientResponse) -> Response {
+    let Ok(status) = StatusCode::from_u16(from_primary.status) else {
+        return malformed();
+    };
+    let body = bytes::Bytes::copy_from_slice(from_primary.body.as_bytes());
+    let mut response = Response::new(body);
+    *response.status_mut() = status;
+    if !from_primary.body.is_empty() {
+        let json = HeaderValue::from_static("application/json");
+        response.headers_mut().insert(CONTENT_TYPE, json);
+    }
+    if let Some(retry_after_ms) = from_primary.retry_after_ms {
+        set_retry_after(&mut response, retry_after_ms);
+    }
+    response
+}
+
+/// 503: the request was not executed, and will not be. `outage_ms` is how long no primary has been known.
+pub(super) fn unavailable(outage_ms: Millis) -> Response {
+    log::info!("client request rejected with 503: no primary available");
+    let body = "no primary takes calls now: come back\n";
+    let mut response = text(StatusCode::SERVICE_UNAVAILABLE, body);
+    set_retry_after(&mut response, retry_after_outage_ms(outage_ms));
+    response
+}
+
+/// When a client is to retry while no primary has been known for `outage_ms`.
+pub fn retry_after_outage_ms(outage_ms: Millis) -> Millis {
+    outage_ms.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS)
+}
+
+/// 502: the request may have been executed.
+pub(super) fn unknown_outcome() -> Response {
+    let body = "the primary did not answer: send the same id again\n";
+    text(StatusCode::BAD_GATEWAY, body)
+}
+
+/// 502: the primary's response cannot be read.
+fn malformed() -> Response {
+    let body = "the primary's reply was not understood: send the same id again\n";
+    text(StatusCode::BAD_GATEWAY, body)
+}
+
+/// In seconds, with decimals where they are not whole, as the operators' pages have it.
+fn set_retry_after(response: &mut Response, retry_after_ms: Millis) {
+    let seconds = retry_after_ms.max(1) as f64 / 1_000.0;
+    if let Ok(value) = HeaderValue::try_from(seconds.to_string()) {
+        response.headers_mut().insert(RETRY_AFTER, value);
+    }
+}
--- a/crates/dataplane/src/gate/mod.rs
+++ b/crates/dataplane/src/gate/mod.rs
@@ -1,10 +1,19 @@
-//! The gate: takes clients' calls and passes them to the primary.
+//! The gate: takes clients' requests on front machines and forwards them to the primary.
+//!
+//! A gate decides nothing and keeps nothing but a copy of the configuration, which it receives as a member of the relay
+//! tree ([`relay`]). It is ready while a primary is known that responded a short while ago. On SIGTERM it first reports
+//! that it is not ready, then closes its connections as their requests are answered, so that no client loses one.
 
-mod passing;
-mod program;
+mod client_limits;
+mod client_request;
+mod client_response;
+mod forwarding;
+mod handler;
 pub mod relay;
-mod request;
+mod server;
+mod status;
 
-pub use passing::pass;
-pub use program::{check, run, Gate};
-pub use request::{read, retry_after_outage, Refusal, DEADLINE_HEADER};
+pub use client_request::DEADLINE_HEADER;
+pub use client_response::retry_after_outage_ms;
+pub use handler::{Gate, READINESS_PATH};
+pub use server::{check, run};
--- a/crates/dataplane/src/gate/relay.rs
+++ b/crates/dataplane/src/gate/relay.rs
@@ -1,4 +1,8 @@
-//! The gate as a member of the relay tree: its lease at the primary, and its copy of the configuration.
+//! The gate as a member of the relay tree, which brings it the configuration.
+//!
+//! A member renews its lease at the primary, which answers with the version of the committed configuration and, where it
+//! has changed, with the membership. The state machine [`RelayNode`] derives the tree from that and decides what is sent to
+//! whom; this module carries its messages over HTTP and wakes it in time.
 
 use crate::control_plane::{ControlPlaneClient, RequestOutcome};
 use http::{Method, StatusCode};
@@ -20,223 +24,236 @@
 use streamusher_runtime::clock;
 use streamusher_runtime::http::{empty, parse_json, text, Outbox, Request, Response};
 use tokio::sync::Notify;
+use tokio::time::Instant;
 
-/// As long as a client's call may wait: a primary that is slow is not thought lost for a lease.
-const CORE_DEADLINE: Duration = Duration::from_millis(1_500);
+/// As long as an attempt of a client's request: a slow primary must not be taken for lost over a lease.
+const PRIMARY_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A member of the relay tree; clones share it.
+/// Bound of one wait for a primary; when it is over, the next one begins.
+const PRIMARY_WAIT: Duration = Duration::from_secs(3_600);
+
+/// Shortest sleep between two ticks, so that other tasks run whatever is due.
+const MIN_SLEEP_MS: Millis = 1;
+
+/// A member of the relay tree. Clones share one state.
 #[derive(Clone)]
-pub struct Relay {
+pub struct RelayMember {
     shared: Rc<Shared>,
 }
 
 struct Shared {
-    link: ControlPlaneClient,
+    client: ControlPlaneClient,
     node: RefCell<RelayNode>,
     outbox: RefCell<Outbox<RelayMessage>>,
     configuration: RefCell<Option<Arc<Configuration>>>,
-    /// A newer configuration has come.
-    changed: Notify,
-    /// The loop sleeps until then.
-    planned: Cell<Millis>,
-    /// The loop is to wake earlier.
-    earlier: Notify,
+    /// Notified when a newer configuration has arrived.
+    configuration_changed: Notify,
+    /// Until when the timer sleeps.
+    next_wakeup: Cell<Millis>,
+    /// Notified when the timer is to wake earlier than that.
+    earlier_wakeup: Notify,
 }
 
-/// State for operators.
+/// A member's part of the status document.
 #[derive(Serialize)]
 pub struct RelayStatus {
     address: Arc<str>,
-    configuration: u64,
-    roster: u64,
+    #[serde(rename = "configuration")]
+    configuration_version: u64,
+    #[serde(rename = "roster")]
+    membership_version: u64,
     parent: Option<RelayPeer>,
-    adopter: Option<RelayPeer>,
-    told: Vec<RelayPeer>,
+    #[serde(rename = "adopter")]
+    temporary_parent: Option<RelayPeer>,
+    #[serde(rename = "told")]
+    children: Vec<RelayPeer>,
 }
 
-impl Relay {
-    /// A member that others reach at `address`; [`Relay::run`] makes it one.
-    pub fn new(link: ControlPlaneClient, address: SocketAddr) -> Relay {
+impl RelayMember {
+    /// A member that others reach at `address`; [`RelayMember::run`] makes it one.
+    pub fn new(client: ControlPlaneClient, address: SocketAddr) -> RelayMember {
         let address: Arc<str> = address.to_string().into();
         let from = RelayPeer::Member(address.clone());
-        let body_of = move |messages| {
-            body(&RelayEnvelope {
+        let encode = move |messages| {
+            let envelope = RelayEnvelope {
                 from: from.clone(),
                 messages,
-            })
+            };
+            serde_json::to_vec(&envelope).unwrap_or_default()
         };
         let shared = Shared {
-            link,
+            client,
             node: RefCell::new(RelayNode::new(address, clock::steady())),
-            outbox: RefCell::new(Outbox::new(RELAY_PATH, body_of)),
+            outbox: RefCell::new(Outbox::new(RELAY_PATH, encode)),
             configuration: RefCell::default(),
-            changed: Notify::new(),
-            planned: Cell::new(Millis::MAX),
-            earlier: Notify::new(),
+            configuration_changed: Notify::new(),
+            next_wakeup: Cell::new(Millis::MAX),
+            earlier_wakeup: Notify::new(),
         };
-        Relay {
+        RelayMember {
             shared: Rc::new(shared),
         }
     }
 
-    /// The newest configuration that has come.
+    /// The newest configuration that has arrived.
     pub fn configuration(&self) -> Option<Arc<Configuration>> {
         self.shared.configuration.borrow().clone()
     }
 
-    /// Its version; 0 for none.
+    /// The version of the newest configuration; 0 for none.
     pub fn version(&self) -> u64 {
         self.shared.node.borrow().version()
     }
 
-    /// Ends when a newer configuration has come.
+    /// Returns when a newer configuration has arrived.
     pub async fn changed(&self) {
-        self.shared.changed.notified().await;
+        self.shared.configuration_changed.notified().await;
     }
 
-    /// State for operators.
+    /// The member's part of the status document.
     pub fn status(&self) -> RelayStatus {
         let node = self.shared.node.borrow();
         RelayStatus {
             address: node.address().clone(),
-            configuration: node.version(),
-            roster: node.roster(),
+            configuration_version: node.version(),
+            membership_version: node.roster(),
             parent: node.parent().cloned(),
-            adopter: node.adopter().cloned(),
-            told: node.receivers().cloned().collect(),
+            temporary_parent: node.adopter().cloned(),
+            children: node.receivers().cloned().collect(),
         }
     }
 
-    /// Answers a call at [`RELAY_PATH`].
-    pub fn answer(&self, call: &Request) -> Response {
-        if call.method() != Method::POST {
+    /// Responds to a request at [`RELAY_PATH`]: messages of another member or of the primary.
+    pub fn respond(&self, request: &Request) -> Response {
+        if request.method() != Method::POST {
             return text(StatusCode::METHOD_NOT_ALLOWED, "use POST\n");
         }
-        match parse_json::<RelayEnvelope>(call.body()) {
+        match parse_json::<RelayEnvelope>(request.body()) {
             Ok(envelope) => {
-                for message in envelope.messages {
-                    self.act(|node, now| node.receive(now, &envelope.from, message));
-                }
+                self.on_envelope(envelope);
                 empty(StatusCode::NO_CONTENT)
             }
             Err(error) => text(StatusCode::BAD_REQUEST, format!("{error}\n")),
         }
     }
 
-    /// Renews the lease and does what is due. Never ends; within a `LocalSet`.
+    fn on_envelope(&self, envelope: RelayEnvelope) {
+        for message in envelope.messages {
+            self.update(|node, now| node.receive(now, &envelope.from, message));
+        }
+    }
+
+    /// Renews the lease and wakes the state machine. Never returns; within a `LocalSet`.
     pub async fn run(&self) {
-        tokio::join!(self.keep_lease(), self.keep_time());
+        tokio::join!(self.renew_lease(), self.run_timer());
     }
 
-    async fn keep_lease(&self) {
+    async fn renew_lease(&self) {
         loop {
-            let far = tokio::time::Instant::now() + Duration::from_secs(3_600);
-            let Some(target) = self.shared.link.wait_for_primary(far).await else {
+            let deadline = Instant::now() + PRIMARY_WAIT;
+            let Some(primary) = self.shared.client.wait_for_primary(deadline).await else {
                 continue;
             };
-            let lease = {
-                let node = self.shared.node.borrow();
-                GateLeaseRequest {
-                    address: node.address().clone(),
-                    membership_version: node.roster(),
-                }
-            };
+            let request = self.lease_request();
             let outcome = self
                 .shared
-                .link
-                .post(&target, GATE_LEASE_PATH, &lease, CORE_DEADLINE)
+                .client
+                .post(&primary, GATE_LEASE_PATH, &request, PRIMARY_TIMEOUT)
                 .await;
-            if let RequestOutcome::Responded(answer) = outcome {
-                match parse_json::<GateLeaseResponse>(answer.body()) {
-                    Ok(reply) => self.leased(reply),
-                    Err(error) => log::debug!("the primary's answer to a lease: {error}"),
+            if let RequestOutcome::Responded(response) = outcome {
+                match parse_json::<GateLeaseResponse>(response.body()) {
+                    Ok(response) => self.on_lease_response(response),
+                    Err(error) => log::debug!("malformed response to a gate lease: {error}"),
                 }
             }
             tokio::time::sleep(Duration::from_millis(LEASE_RENEWAL)).await;
         }
     }
 
-    fn leased(&self, reply: GateLeaseResponse) {
-        let GateLeaseResponse {
-            configuration_version,
-            membership_version,
-            members,
-        } = reply;
-        if let Some(members) = members {
-            let roster = RelayMembership {
-                version: membership_version,
+    fn lease_request(&self) -> GateLeaseRequest {
+        let node = self.shared.node.borrow();
+        GateLeaseRequest {
+            address: node.address().clone(),
+            membership_version: node.roster(),
+        }
+    }
+
+    fn on_lease_response(&self, response: GateLeaseResponse) {
+        if let Some(members) = response.members {
+            let membership = RelayMembership {
+                version: response.membership_version,
                 members,
             };
-            self.act(|node, now| node.set_roster(now, &roster));
+            self.update(|node, now| node.set_roster(now, &membership));
         }
-        self.act(|node, now| node.heard_of(now, configuration_version));
+        self.update(|node, now| node.heard_of(now, response.configuration_version));
     }
 
-    async fn keep_time(&self) {
+    async fn run_timer(&self) {
         loop {
-            let due = self.shared.node.borrow().next_tick();
-            self.shared.planned.set(due);
-            // At least a millisecond, so that others get their turn whatever is due.
-            let pause = Duration::from_millis(due.saturating_sub(clock::steady()).max(1));
+            let next_tick = self.shared.node.borrow().next_tick();
+            self.shared.next_wakeup.set(next_tick);
+            let sleep_ms = next_tick.saturating_sub(clock::steady()).max(MIN_SLEEP_MS);
             tokio::select! {
-                () = self.shared.earlier.notified() => {}
-                () = tokio::time::sleep(pause) => self.act(RelayNode::tick),
+                () = self.shared.earlier_wakeup.notified() => {}
+                () = tokio::time::sleep(Duration::from_millis(sleep_ms)) => {
+                    self.update(RelayNode::tick);
+                }
             }
         }
     }
 
-    fn act(&self, change: impl FnOnce(&mut RelayNode, Millis) -> RelayActions) {
-        let (actions, due) = {
+    /// Changes the state machine and executes what it asks for.
+    fn update(&self, change: impl FnOnce(&mut RelayNode, Millis) -> RelayActions) {
+        let (actions, next_tick) = {
             let mut node = self.shared.node.borrow_mut();
             let actions = change(&mut node, clock::steady());
             (actions, node.next_tick())
         };
-        for send in actions.sends {
-            self.send(send);
+        for outbound in actions.sends {
+            self.send(&outbound);
         }
         if let Some(configuration) = actions.configuration {
-            log::info!("configuration {} has come", configuration.version);
-            *self.shared.configuration.borrow_mut() = Some(configuration);
-            self.shared.changed.notify_one();
+            self.on_configuration(configuration);
         }
-        if due < self.shared.planned.get() {
-            self.shared.earlier.notify_one();
+        if next_tick < self.shared.next_wakeup.get() {
+            self.shared.earlier_wakeup.notify_one();
         }
     }
 
-    fn send(&self, send: OutboundMessage) {
-        for to in send.to {
-            match to {
+    fn on_configuration(&self, configuration: Arc<Configuration>) {
+        log::info!("configuration {} received", configuration.version);
+        *self.shared.configuration.borrow_mut() = Some(configuration);
+        self.shared.configuration_changed.notify_one();
+    }
+
+    fn send(&self, outbound: &OutboundMessage) {
+        for receiver in &outbound.to {
+            let message = outbound.message.clone();
+            match receiver {
                 RelayPeer::Member(address) => {
-                    self.shared
-                        .outbox
-                        .borrow_mut()
-                        .send(&address, send.message.clone());
+                    self.shared.outbox.borrow_mut().send(address, message);
                 }
-                RelayPeer::Core => self.send_to_core(send.message.clone()),
+                RelayPeer::Core => self.send_to_primary(message),
             }
         }
     }
 
-    fn send_to_core(&self, message: RelayMessage) {
-        let Some(target) = self.shared.link.primary() else {
+    fn send_to_primary(&self, message: RelayMessage) {
+        let Some(primary) = self.shared.client.primary() else {
             return;
         };
-        let from = RelayPeer::Member(self.shared.node.borrow().address().clone());
-        let link = self.shared.link.clone();
+        let address = self.shared.node.borrow().address().clone();
+        let envelope = RelayEnvelope {
+            from: RelayPeer::Member(address),
+            messages: vec![message],
+        };
+        let client = self.shared.client.clone();
         tokio::task::spawn_local(async move {
-            let envelope = RelayEnvelope {
-                from,
-                messages: vec![message],
-            };
-            // Its answer is a message of its own.
-            let _ = link
-                .post(&target, RELAY_PATH, &envelope, CORE_DEADLINE)
+            // What the primary has to say to it comes as a message of its own.
+            let _ = client
+                .post(&primary, RELAY_PATH, &envelope, PRIMARY_TIMEOUT)
                 .await;
         });
     }
 }
-
-fn body(envelope: &RelayEnvelope) -> Vec<u8> {
-    serde_json::to_vec(envelope).unwrap_or_default()
-}
--- /dev/null
+++ b/crates/dataplane/src/gate/server.rs
@@ -0,0 +1,117 @@
+//! The gate as a process: its listeners, and its shutdown.
+
+use super::client_limits::{follow_configuration, server_limits};
+use super::Gate;
+use crate::process::{self, completes_within};
+use crate::role_settings::{require_address, require_party, RoleSettingsError};
+use std::net::SocketAddr;
+use std::time::Duration;
+use streamusher_protocol::config::Limits;
+use streamusher_protocol::internal::GATE_PORT_OFFSET;
+use streamusher_runtime::http::{ServerHandle, ServerLimits};
+use streamusher_runtime::settings::ProcessSettings;
+use streamusher_runtime::signals::{Signal, Signals};
+use tokio::task::{spawn_local, JoinHandle};
+
+/// From SIGTERM to `Connection: close` on responses: the platform misses two of its readiness probes, one a second, and
+/// sends no new clients.
+const LEAVE_AFTER: Duration = Duration::from_millis(2_000);
+
+/// From SIGTERM to the end of accepting: clients that were sent before the second miss have arrived.
+const CLOSE_AFTER: Duration = Duration::from_millis(3_500);
+
+/// Kept of `grace_s` for the exit itself.
+const EXIT_MARGIN: Duration = Duration::from_millis(500);
+
+/// The readiness probe: nothing but a head.
+const READINESS_SERVER_LIMITS: ServerLimits = ServerLimits {
+    max_body: 1_024,
+    max_header: 8_192,
+    body_timeout: Duration::from_secs(2),
+    idle_timeout: Duration::from_secs(30),
+    max_connections: 32,
+};
+
+/// Where a gate listens.
+#[derive(Clone, Copy, Debug)]
+struct GateAddresses {
+    front: SocketAddr,
+    readiness: SocketAddr,
+}
+
+impl GateAddresses {
+    fn of(settings: &ProcessSettings) -> Result<GateAddresses, RoleSettingsError> {
+        require_party(settings, "gate", "front")?;
+        let listen = &settings.listen;
+        Ok(GateAddresses {
+            front: require_address(listen.front, "listen.front", "clients call")?,
+            readiness: require_address(
+                listen.ready,
+                "listen.ready",
+                "the platform asks for readiness",
+            )?,
+        })
+    }
+}
+
+/// Checks that the settings are those of a gate.
+///
+/// # Errors
+/// The role does not serve `front`, or `listen.front` or `listen.ready` is missing.
+pub fn check(settings: &ProcessSettings) -> Result<(), RoleSettingsError> {
+    GateAddresses::of(settings).map(|_addresses| ())
+}
+
+/// Runs the gate until SIGTERM or SIGINT, and then until its clients are served; SIGHUP reloads the seeds.
+///
+/// # Errors
+/// The settings are not a gate's, an address cannot be bound, or signals cannot be received.
+pub async fn run(settings: ProcessSettings) -> anyhow::Result<()> {
+    let addresses = GateAddresses::of(&settings)?;
+    let mut signals = Signals::new()?;
+    let initial_limits = server_limits(&settings, &Limits::default());
+    let front = process::bind(addresses.front, initial_limits).await?;
+    let readiness = process::bind(addresses.readiness, READINESS_SERVER_LIMITS).await?;
+    let grace = Duration::from_millis(settings.bounds.grace_ms());
+    let gate = Gate::new(&settings);
+    gate.start(settings.internal_address(GATE_PORT_OFFSET));
+    start_relay(&gate, front.handle(), settings);
+    let probed = gate.clone();
+    spawn_local(
+        readiness.run(move |request| std::future::ready(probed.respond_readiness(&request))),
+    );
+    let front_handle = front.handle();
+    let handler = gate.clone();
+    let serving = spawn_local(front.run(move |request| handler.clone().respond(request)));
+    log::info!("gate started: accepting client requests");
+    while signals.next().await? == Signal::Reload {
+        gate.reload();
+    }
+    log::info!("shutting down: gate not ready, draining client connections");
+    gate.leave();
+    shut_down(&front_handle, grace, serving).await;
+    Ok(())
+}
+
+/// Makes the gate a member of the relay tree, whose configurations set the limits for clients.
+fn start_relay(gate: &Gate, front: ServerHandle, settings: ProcessSettings) {
+    let relay = gate.relay().clone();
+    spawn_local(follow_configuration(relay.clone(), front, settings));
+    spawn_local(async move { relay.run().await });
+}
+
+/// Closes the listener for clients without losing a request; returns before `grace` is over.
+async fn shut_down(front: &ServerHandle, grace: Duration, serving: JoinHandle<()>) {
+    let deadline = grace.saturating_sub(EXIT_MARGIN);
+    let close_after = CLOSE_AFTER.min(deadline / 2);
+    let leave_after = LEAVE_AFTER.min(close_after / 2);
+    tokio::time::sleep(leave_after).await;
+    front.leave();
+    tokio::time::sleep(close_after.saturating_sub(leave_after)).await;
+    front.close();
+    if !completes_within(deadline.saturating_sub(close_after), serving).await {
+        log::warn!(
+            "shutdown deadline reached with requests in flight: they took longer than grace_s"
+        );
+    }
+}
--- a/crates/dataplane/src/main.rs
+++ b/crates/dataplane/src/main.rs
@@ -1,18 +1,25 @@
-//! `streamusher-data gate|agent`: the data plane's program.
+//! The binary `streamusher-data`: `gate` on front machines, `agent` beside a worker.
+//!
+//! Exit codes: 0 after SIGTERM or SIGINT and for settings found well, 1 for a failure while running, 2 for a wrong command
+//! line or wrong settings.
 
 use std::process::ExitCode;
-use streamusher_dataplane::{agent_program, gate, process};
+use streamusher_dataplane::role_settings::RoleSettingsError;
+use streamusher_dataplane::{agent_process, gate, process};
 use streamusher_runtime::options::{self, Chosen, Invocation, Program, EXIT_MISUSE};
 use streamusher_runtime::settings::{self, ProcessSettings};
 use streamusher_runtime::{clock, logs};
 
+const GATE_COMMAND: &str = "gate";
+const AGENT_COMMAND: &str = "agent";
+
 const PROGRAM: Program = Program {
     name: "streamusher-data",
     summary: "The scheduler's data plane.",
     version: env!("CARGO_PKG_VERSION"),
     commands: &[
-        ("gate", "takes clients' calls on front machines"),
-        ("agent", "stands beside a worker on its side machine"),
+        (GATE_COMMAND, "takes clients' calls on front machines"),
+        (AGENT_COMMAND, "stands beside a worker on its side machine"),
     ],
 };
 
@@ -24,36 +31,57 @@
             println!("{text}");
             ExitCode::SUCCESS
         }
-        Ok(Invocation::Run(chosen)) => with_settings(chosen),
-        Err(error) => misuse(&error.to_string()),
+        Ok(Invocation::Run(chosen)) => check_and_run(chosen),
+        Err(error) => misuse(&error),
     }
 }
 
-fn with_settings(chosen: Chosen) -> ExitCode {
+/// The process that a command starts.
+#[derive(Clone, Copy)]
+enum Role {
+    Gate,
+    Agent,
+}
+
+impl Role {
+    fn of_command(command: &str) -> Role {
+        match command {
+            GATE_COMMAND => Role::Gate,
+            _ => Role::Agent,
+        }
+    }
+
+    fn check(self, settings: &ProcessSettings) -> Result<(), RoleSettingsError> {
+        match self {
+            Role::Gate => gate::check(settings),
+            Role::Agent => agent_process::check(settings),
+        }
+    }
+
+    fn run(self, settings: ProcessSettings) -> anyhow::Result<()> {
+        match self {
+            Role::Gate => process::run(gate::run(settings)),
+            Role::Agent => process::run(agent_process::run(settings)),
+        }
+    }
+}
+
+fn check_and_run(chosen: Chosen) -> ExitCode {
     logs::start(chosen.log_level);
     let settings = match settings::load() {
         Ok(settings) => settings,
-        Err(error) => return misuse(&error.to_string()),
-    };
-    let is_gate = chosen.command == "gate";
-    let checked = if is_gate {
-        gate::check(&settings)
-    } else {
-        agent_program::check(&settings)
+        Err(error) => return misuse(&error),
     };
-    match checked {
-        Err(reason) => misuse(&reason),
+    let role = Role::of_command(chosen.command);
+    match role.check(&settings) {
+        Err(error) => misuse(&error),
         Ok(()) if chosen.check => ExitCode::SUCCESS,
-        Ok(()) => run(is_gate, settings),
+        Ok(()) => run(role, settings),
     }
 }
 
-fn run(is_gate: bool, settings: ProcessSettings) -> ExitCode {
-    let ended = match is_gate {
-        true => process::run(gate::run(settings)),
-        false => process::run(agent_program::run(settings)),
-    };
-    match ended {
+fn run(role: Role, settings: ProcessSettings) -> ExitCode {
+    match role.run(settings) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{}: {error:#}", PROGRAM.name);
@@ -62,7 +90,7 @@
     }
 }
 
-fn misuse(reason: &str) -> ExitCode {
-    eprintln!("{}: {reason}", PROGRAM.name);
+fn misuse(error: &dyn std::error::Error) -> ExitCode {
+    eprintln!("{}: {error}", PROGRAM.name);
     ExitCode::from(EXIT_MISUSE as u8)
 }
--- /dev/null
+++ b/crates/dataplane/src/process/listener.rs
@@ -0,0 +1,37 @@
+//! Binding an address that a former process may not have released yet.
+
+use std::io;
+use std::net::SocketAddr;
+use std::time::Duration;
+use streamusher_runtime::http::{Server, ServerLimits};
+
+/// Attempts to bind, and the pause between two: two seconds in all.
+const MAX_BIND_ATTEMPTS: u32 = 20;
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+
+/// An address could not be bound.
+#[derive(Debug, thiserror::Error)]
+#[error("listening at {address} failed: {reason}: free the port or change the settings")]
+pub struct BindError {
+    address: SocketAddr,
+    /// Part of the text, and so not its source: a chain of errors would print it twice.
+    reason: io::Error,
+}
+
+/// Listens at `address`. Tries for two seconds.
+///
+/// # Errors
+/// The address could not be bound.
+pub async fn bind(address: SocketAddr, limits: ServerLimits) -> Result<Server, BindError> {
+    let mut attempts = 1;
+    loop {
+        match Server::bind(address, limits.clone()) {
+            Ok(server) => return Ok(server),
+            Err(reason) if attempts >= MAX_BIND_ATTEMPTS => {
+                return Err(BindError { address, reason })
+            }
+            Err(_) => attempts += 1,
+        }
+        tokio::time::sleep(BIND_RETRY_INTERVAL).await;
+    }
+}
--- a/crates/dataplane/tests/agent_presence.rs
+++ b/crates/dataplane/tests/agent_presence.rs
@@ -346,7 +346,7 @@
         story.pass(60);
     }
 
-    assert_eq!(story.agent.status(story.now).syncs_under_way, 3);
+    assert_eq!(story.agent.status(story.now).syncs_in_flight, 3);
 }
 
 #[test]
--- a/crates/dataplane/tests/agent_program.rs
+++ b/crates/dataplane/tests/agent_program.rs
@@ -7,7 +7,7 @@
 use primary::*;
 use std::net::SocketAddr;
 use std::time::Instant;
-use streamusher_dataplane::agent_program::{check, AgentProgram};
+use streamusher_dataplane::agent_process::{check, AgentProcess};
 use streamusher_protocol::heartbeat::{HeartbeatResponse, StartCommand};
 use streamusher_protocol::internal::{AgentCommands, AgentSync, AGENT_SYNC_PATH};
 use streamusher_runtime::http::{
@@ -20,11 +20,11 @@
 
 /// An agent that serves its worker here.
 fn agent_of(primary: SocketAddr) -> Client {
-    let program = AgentProgram::new(&settings(primary));
+    let program = AgentProcess::new(&settings(primary));
     program.start("127.0.0.1:0".parse().unwrap());
     let server = Server::bind("127.0.0.1:0".parse().unwrap(), ServerLimits::default()).unwrap();
     let address = server.local_address().unwrap();
-    tokio::task::spawn_local(server.run(move |call| program.clone().answer(call)));
+    tokio::task::spawn_local(server.run(move |call| program.clone().respond(call)));
     Client::new(address)
 }
 
@@ -161,8 +161,11 @@
         serves: vec!["front".into()],
         ..ProcessSettings::default()
     };
-    assert!(check(&settings).unwrap_err().contains("serves"));
+    assert!(check(&settings).unwrap_err().to_string().contains("serves"));
 
     settings.serves = vec!["side".into()];
-    assert!(check(&settings).unwrap_err().contains("listen.control"));
+    assert!(check(&settings)
+        .unwrap_err()
+        .to_string()
+        .contains("listen.control"));
 }
--- a/crates/dataplane/tests/encoded_forms.rs
+++ b/crates/dataplane/tests/encoded_forms.rs
@@ -20,7 +20,7 @@
 use serde_json::Value;
 use std::fmt::Debug;
 use std::net::SocketAddr;
-use streamusher_dataplane::agent_program::{self, AgentProgram};
+use streamusher_dataplane::agent_process::{self, AgentProcess};
 use streamusher_dataplane::gate::{self, Gate};
 use streamusher_protocol::heartbeat::{
     FinishedRun, Heartbeat, HeartbeatResponse, Resources, RunningTask, WorkerState,
@@ -303,13 +303,13 @@
     recorded.line("agent with gone worker", &encode(&story));
     run(async move {
         let gate = Gate::new(&settings(address(7_300)));
-        let status = gate.internal(&call("GET", STATUS_PATH, ""));
+        let status = gate.respond_internal(&call("GET", STATUS_PATH, ""));
         recorded.line("gate", std::str::from_utf8(status.body()).unwrap());
         gate.leave();
-        let _refused = gate.clone().answer(call("GET", "/", "")).await;
-        let _refused = gate.clone().answer(call("PUT", "/", "")).await;
-        gate.link().set_seeds(vec![core(address(1))]);
-        let status = gate.internal(&call("GET", STATUS_PATH, ""));
+        let _refused = gate.clone().respond(call("GET", "/", "")).await;
+        let _refused = gate.clone().respond(call("PUT", "/", "")).await;
+        gate.control_plane().set_seeds(vec![core(address(1))]);
+        let status = gate.respond_internal(&call("GET", STATUS_PATH, ""));
         recorded.line(
             "gate that leaves",
             std::str::from_utf8(status.body()).unwrap(),
@@ -324,7 +324,7 @@
     let free = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let status_address = free.local_addr().unwrap();
     drop(free);
-    let program = AgentProgram::new(&settings(address(1)));
+    let program = AgentProcess::new(&settings(address(1)));
     program.start(status_address);
     tokio::task::yield_now().await;
     let client = Client::new(status_address);
@@ -361,22 +361,22 @@
 
 async fn gate_responses(recorded: &mut Recorded) {
     let gate = Gate::new(&settings(address(1)));
-    let wrong_method = gate.clone().answer(call("PUT", "/", "")).await;
+    let wrong_method = gate.clone().respond(call("PUT", "/", "")).await;
     recorded.response("gate: method", &wrong_method);
-    let not_text = gate.clone().answer(call("POST", "/", vec![0xff])).await;
+    let not_text = gate.clone().respond(call("POST", "/", vec![0xff])).await;
     recorded.response("gate: body is not text", &not_text);
     for path in ["/streamusher/readiness", "/other"] {
         recorded.response(
             &format!("gate: readiness {path}"),
-            &gate.readiness(&call("GET", path, "")),
+            &gate.respond_readiness(&call("GET", path, "")),
         );
     }
     for (method, path) in [("GET", "/other"), ("POST", STATUS_PATH)] {
-        let response = gate.internal(&call(method, path, ""));
+        let response = gate.respond_internal(&call(method, path, ""));
         recorded.response(&format!("gate: internal {method} {path}"), &response);
     }
     for (method, body) in [("GET", ""), ("POST", "{\"from\":7}")] {
-        let response = gate.relay().answer(&call(method, "/internal/relay", body));
+        let response = gate.relay().respond(&call(method, "/internal/relay", body));
         recorded.response(&format!("gate: relay {method}"), &response);
     }
     let replies = [
@@ -400,7 +400,7 @@
     recorded.response("gate: not understood", &forwarded(&primary).await);
     let primary = Primary::start(|_call: Request| std::future::pending::<Response>());
     let gate = found(&primary).await;
-    let silent = gate.answer(primary::hurried("POST", "/a", 600)).await;
+    let silent = gate.respond(primary::hurried("POST", "/a", 600)).await;
     recorded.response("gate: primary is silent", &silent);
 }
 
@@ -408,16 +408,16 @@
     let gate = Gate::new(&settings(primary.address));
     gate.start("127.0.0.1:0".parse().unwrap());
     let until = tokio::time::Instant::now() + primary::SOON;
-    gate.link().wait_for_primary(until).await.unwrap();
+    gate.control_plane().wait_for_primary(until).await.unwrap();
     gate
 }
 
 async fn forwarded(primary: &Primary) -> Response {
-    found(primary).await.answer(call("POST", "/a", "{}")).await
+    found(primary).await.respond(call("POST", "/a", "{}")).await
 }
 
 async fn agent_responses(recorded: &mut Recorded) {
-    let program = AgentProgram::new(&settings(address(1)));
+    let program = AgentProcess::new(&settings(address(1)));
     let requests = [
         ("GET", "/streamusher/Instances.Heartbeat/i-1", ""),
         ("POST", "/streamusher/Instances.Heartbeat/", "{}"),
@@ -436,7 +436,7 @@
         ("POST", "/streamusher/Instances.Deregister/i-1", ""),
     ];
     for (method, path, body) in requests {
-        let response = program.clone().answer(call(method, path, body)).await;
+        let response = program.clone().respond(call(method, path, body)).await;
         recorded.response(&format!("agent: {method} {path} {body}"), &response);
     }
 }
@@ -460,9 +460,9 @@
         "settings: ready",
         &gate::check(&front).unwrap_err().to_string(),
     );
-    let agent = agent_program::check(&front).unwrap_err().to_string();
+    let agent = agent_process::check(&front).unwrap_err().to_string();
     recorded.line("settings: agent", &agent);
-    let control = agent_program::check(&serving("side"))
+    let control = agent_process::check(&serving("side"))
         .unwrap_err()
         .to_string();
     recorded.line("settings: control", &control);
--- a/crates/dataplane/tests/gate.rs
+++ b/crates/dataplane/tests/gate.rs
@@ -9,7 +9,7 @@
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use streamusher_dataplane::gate::{check, retry_after_outage, Gate};
+use streamusher_dataplane::gate::{check, retry_after_outage_ms, Gate};
 use streamusher_protocol::internal::{ClientMethod, ClientResponse, NotPrimary};
 use streamusher_runtime::http::{json, Response};
 use streamusher_runtime::settings::ProcessSettings;
@@ -22,7 +22,7 @@
 async fn gate_of(primary: SocketAddr) -> Gate {
     let gate = Gate::new(&settings(primary));
     gate.start("127.0.0.1:0".parse().unwrap());
-    gate.link()
+    gate.control_plane()
         .wait_for_primary(tokio::time::Instant::now() + SOON)
         .await
         .expect("a primary");
@@ -57,7 +57,7 @@
         let gate = gate_of(primary.address).await;
 
         let answer = gate
-            .answer(call("POST", "/lohu930/5c0e?x=%20", "{\"spec\":\"\\\"ü\"}"))
+            .respond(call("POST", "/lohu930/5c0e?x=%20", "{\"spec\":\"\\\"ü\"}"))
             .await;
 
         assert_eq!(
@@ -95,7 +95,7 @@
         });
         let gate = gate_of(primary.address).await;
 
-        let answer = gate.answer(call("POST", PATH, "{}")).await;
+        let answer = gate.respond(call("POST", PATH, "{}")).await;
 
         assert_eq!(
             (answer.status(), retry_after(&answer)),
@@ -113,7 +113,7 @@
     #[case] outage: u64,
     #[case] wanted: u64,
 ) {
-    assert_eq!(retry_after_outage(outage), wanted);
+    assert_eq!(retry_after_outage_ms(outage), wanted);
 }
 
 #[rstest]
@@ -124,7 +124,7 @@
     run(async {
         let gate = Gate::new(&settings(free_address()));
 
-        let answer = gate.answer(call(method, PATH, "")).await;
+        let answer = gate.respond(call(method, PATH, "")).await;
 
         assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
         let seconds: f64 = retry_after(&answer).unwrap().parse().unwrap();
@@ -144,7 +144,7 @@
         let first = Primary::start(move |_call| std::future::ready(misdirected(Some(there))));
         let gate = gate_of(first.address).await;
 
-        let answer = gate.answer(call(method, PATH, "{}")).await;
+        let answer = gate.respond(call(method, PATH, "{}")).await;
 
         assert_eq!(answer.status(), StatusCode::OK);
         assert_eq!(
@@ -160,7 +160,7 @@
         let first = Primary::start(|_call| std::future::ready(misdirected(None)));
         let gate = gate_of(first.address).await;
 
-        let answer = gate.answer(call("POST", PATH, "{}")).await;
+        let answer = gate.respond(call("POST", PATH, "{}")).await;
 
         assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
         let seconds: f64 = retry_after(&answer).unwrap().parse().unwrap();
@@ -175,7 +175,7 @@
         let first = Primary::start(move |_call| std::future::ready(misdirected(Some(dead))));
         let gate = gate_of(first.address).await;
 
-        let answer = gate.answer(call("POST", PATH, "{}")).await;
+        let answer = gate.respond(call("POST", PATH, "{}")).await;
 
         assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
     });
@@ -187,7 +187,7 @@
         let primary = Primary::start(|_call| std::future::pending::<Response>());
         let gate = gate_of(primary.address).await;
 
-        let answer = gate.answer(hurried("POST", PATH, 300)).await;
+        let answer = gate.respond(hurried("POST", PATH, 300)).await;
 
         assert_eq!(
             (answer.status(), retry_after(&answer)),
@@ -210,7 +210,7 @@
         let (address, calls) = breaking_primary().await;
         let gate = gate_of(address).await;
 
-        let answer = gate.answer(hurried(method, PATH, 15_000)).await;
+        let answer = gate.respond(hurried(method, PATH, 15_000)).await;
 
         assert_eq!((answer.status(), calls.get()), (wanted, wanted_calls));
     });
@@ -237,7 +237,7 @@
         });
         let gate = gate_of(primary.address).await;
 
-        let answer = gate.answer(hurried(method, PATH, 15_000)).await;
+        let answer = gate.respond(hurried(method, PATH, 15_000)).await;
 
         assert_eq!(
             (answer.status(), primary.calls.borrow().len()),
@@ -257,7 +257,7 @@
         let primary = Primary::start(move |_call| std::future::ready(json(status, &0)));
         let gate = gate_of(primary.address).await;
 
-        let answer = gate.answer(call("GET", PATH, "")).await;
+        let answer = gate.respond(call("GET", PATH, "")).await;
 
         assert_eq!(answer.status(), StatusCode::BAD_GATEWAY);
     });
@@ -269,8 +269,8 @@
         let primary = Primary::replying(reply(200, "{}"));
         let gate = gate_of(primary.address).await;
 
-        let method = gate.clone().answer(call("PUT", PATH, "")).await;
-        let body = gate.answer(call("POST", PATH, vec![0xff, 0xfe])).await;
+        let method = gate.clone().respond(call("PUT", PATH, "")).await;
+        let body = gate.respond(call("POST", PATH, vec![0xff, 0xfe])).await;
 
         assert_eq!(
             (method.status(), body.status()),
@@ -289,11 +289,11 @@
         let primary = Primary::replying(reply(200, "{}"));
         let gate = gate_of(primary.address).await;
 
-        let before = alone.readiness(&question).status();
-        let ready = gate.readiness(&question).status();
+        let before = alone.respond_readiness(&question).status();
+        let ready = gate.respond_readiness(&question).status();
         gate.leave();
-        let leaving = gate.readiness(&question).status();
-        let elsewhere = gate.readiness(&call("GET", "/", "")).status();
+        let leaving = gate.respond_readiness(&question).status();
+        let elsewhere = gate.respond_readiness(&call("GET", "/", "")).status();
 
         let unavailable = StatusCode::SERVICE_UNAVAILABLE;
         assert_eq!(
@@ -310,13 +310,19 @@
         serves: vec!["side".into()],
         ..ProcessSettings::default()
     };
-    assert!(check(&settings).unwrap_err().contains("serves"));
+    assert!(check(&settings).unwrap_err().to_string().contains("serves"));
 
     settings.serves = vec!["front".into()];
-    assert!(check(&settings).unwrap_err().contains("listen.front"));
+    assert!(check(&settings)
+        .unwrap_err()
+        .to_string()
+        .contains("listen.front"));
 
     settings.listen.front = Some(free_address());
-    assert!(check(&settings).unwrap_err().contains("listen.ready"));
+    assert!(check(&settings)
+        .unwrap_err()
+        .to_string()
+        .contains("listen.ready"));
 }
 
 /// A primary that drops the first connection on which a client's call came whole, and answers later ones.
--- a/crates/dataplane/tests/process.rs
+++ b/crates/dataplane/tests/process.rs
@@ -114,7 +114,11 @@
             .unwrap();
         let log = child.stderr.take().unwrap();
         let mut log = spawn_log(log);
-        wait_on(&mut log, &["takes clients", "the primary of epoch"]).await;
+        wait_on(
+            &mut log,
+            &["accepting client requests", "the primary of epoch"],
+        )
+        .await;
         let question = call("GET", "/streamusher/readiness", "");
 
         let served = Client::new(front)
@@ -126,7 +130,7 @@
             .await
             .unwrap();
         send_signal(&child, "-TERM");
-        wait_on(&mut log, &["the gate leaves"]).await;
+        wait_on(&mut log, &["shutting down: "]).await;
         let ready_after = Client::new(ready).send(question, SOON).await.unwrap();
         let served_after = Client::new(front)
             .send(call("POST", "/a/5c0e", "{}"), SOON)
--- a/crates/dataplane/tests/relay.rs
+++ b/crates/dataplane/tests/relay.rs
@@ -14,7 +14,7 @@
     ConfigurationPublisher, OutboundMessage, Published, RelayEnvelope, RelayMessage, RelayPeer,
 };
 use streamusher_dataplane::control_plane::ControlPlaneClient;
-use streamusher_dataplane::gate::relay::Relay;
+use streamusher_dataplane::gate::relay::RelayMember;
 use streamusher_dataplane::gate::Gate;
 use streamusher_protocol::internal::{
     ClusterView, NotPrimary, CLUSTER_PATH, GATE_LEASE_PATH, RELAY_PATH, STATUS_PATH,
@@ -65,7 +65,7 @@
             state: Rc::new(state),
         };
         let serving = core.clone();
-        spawn_local(server.run(move |call| std::future::ready(serving.answer(&call))));
+        spawn_local(server.run(move |call| std::future::ready(serving.respond(&call))));
         let ticking = core.clone();
         spawn_local(async move { ticking.tick().await });
         core
@@ -80,7 +80,7 @@
         }
     }
 
-    fn answer(&self, call: &Request) -> Response {
+    fn respond(&self, call: &Request) -> Response {
         let now = clock::steady();
         let successor = self.state.successor.borrow().clone();
         match (call.uri().path(), successor) {
@@ -140,7 +140,7 @@
 }
 
 struct Member {
-    relay: Relay,
+    relay: RelayMember,
     server: ServerHandle,
     running: JoinHandle<()>,
     newest: Cell<u64>,
@@ -150,10 +150,10 @@
     fn start(core: &Core) -> Member {
         let server = Server::bind("127.0.0.1:0".parse().unwrap(), ServerLimits::default()).unwrap();
         let link = ControlPlaneClient::new(settings(core.address).core_addresses_of_seeds(), 7, 2);
-        let relay = Relay::new(link.clone(), server.local_address().unwrap());
+        let relay = RelayMember::new(link.clone(), server.local_address().unwrap());
         let handle = server.handle();
         let (serving, member) = (relay.clone(), relay.clone());
-        spawn_local(server.run(move |call| std::future::ready(serving.answer(&call))));
+        spawn_local(server.run(move |call| std::future::ready(serving.respond(&call))));
         let running = spawn_local(async move {
             tokio::join!(link.run(), member.run());
         });
@@ -295,8 +295,8 @@
 
         let malformed = member
             .relay
-            .answer(&call("POST", RELAY_PATH, "{\"from\":7}"));
-        let wrong_method = member.relay.answer(&call("GET", RELAY_PATH, ""));
+            .respond(&call("POST", RELAY_PATH, "{\"from\":7}"));
+        let wrong_method = member.relay.respond(&call("GET", RELAY_PATH, ""));
 
         assert_eq!(malformed.status(), StatusCode::BAD_REQUEST);
         assert_eq!(wrong_method.status(), StatusCode::METHOD_NOT_ALLOWED);
@@ -309,8 +309,8 @@
         let core = Core::start(1);
         let gate = Gate::new(&settings(core.address));
 
-        let status = gate.internal(&call("GET", STATUS_PATH, ""));
-        let elsewhere = gate.internal(&call("GET", "/internal/other", ""));
+        let status = gate.respond_internal(&call("GET", STATUS_PATH, ""));
+        let elsewhere = gate.respond_internal(&call("GET", "/internal/other", ""));
 
         let status: Value = parse_json(status.body()).unwrap();
         assert_eq!(status["relay"]["parent"], "Core");
