--- a/crates/scheduler/examples/takeover.rs
+++ b/crates/scheduler/examples/takeover.rs
@@ -1,10 +1,10 @@
-//! How long a new primary stands still while it takes over, by the size of the state. In that time it says nothing, and its
-//! replicas wait for a lease only.
+//! How long a new primary takes to recover, by the size of the state. Until then it answers nothing, and its replicas
+//! only wait for a lease.
 //!
 //!     cargo run --release -p streamusher-scheduler --example takeover -- 1000 10000 100000
 //!
-//! Prints for each number of jobs (four tasks each, none ended): keys and bytes of the state, the time to recover it, and the
-//! time of the first tick after that.
+//! Prints for each number of jobs (four tasks each, none finished): keys and bytes of the state, the time to recover it,
+//! and the time of the first tick after that.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,7 +12,8 @@
 use streamusher_protocol::internal::{ClientMethod, ClientRequest};
 use streamusher_protocol::Now;
 use streamusher_scheduler::{
-    Event, OperatorRequest, OperatorRequestKind, Scheduler, SchedulerLimits, SchedulerSettings,
+    Event, OperatorRequest, OperatorRequestKind, Policy, RecoverError, Scheduler, SchedulerLimits,
+    SchedulerSettings,
 };
 
 const CONFIGURATION: &str = r#"{"version":1,"routes":[{"name":"r","host":"h","path_prefix":"/q/","timeout_ms":3000,
@@ -20,12 +21,15 @@
 const JOB: &str = r#"{"spec":"a text that says what is to be done, of some hundred bytes, as operators' clients send",
     "steps":[{"count":4,"cpu":500,"mem_mb":256,"estimated_ms":900}]}"#;
 
+/// The replicated state.
+type State = BTreeMap<Arc<str>, Arc<str>>;
+
 fn settings() -> SchedulerSettings {
     SchedulerSettings {
         limits: SchedulerLimits::default(),
         random_seed: 1,
         fair_share: None,
-        policy: streamusher_scheduler::Policy::default(),
+        policy: Policy::default(),
     }
 }
 
@@ -36,32 +40,32 @@
     }
 }
 
-/// The state that so many jobs leave.
-fn state_of(jobs: u64) -> BTreeMap<Arc<str>, Arc<str>> {
-    let mut scheduler =
-        Scheduler::recover(settings(), 1, now(0), Vec::new()).expect("an empty state");
-    let mut state = BTreeMap::new();
-    let order = OperatorRequest {
+fn configure(id: u64) -> Event {
+    let request = OperatorRequest {
         kind: OperatorRequestKind::Replace,
         base: Some(0),
         body: CONFIGURATION.into(),
     };
-    let events = (0..jobs).map(|number| Event::ClientRequest {
-        id: number,
-        request: ClientRequest {
-            method: ClientMethod::Post,
-            host: "h".into(),
-            path: format!("/q/{number:016x}").into(),
-            body: JOB.into(),
-            configuration_version: 0,
-        },
-    });
-    for event in std::iter::once(Event::OperatorRequest {
-        id: jobs,
-        request: order,
-    })
-    .chain(events)
-    {
+    Event::OperatorRequest { id, request }
+}
+
+fn submit(id: u64) -> Event {
+    let request = ClientRequest {
+        method: ClientMethod::Post,
+        host: "h".into(),
+        path: format!("/q/{id:016x}").into(),
+        body: JOB.into(),
+        configuration_version: 0,
+    };
+    Event::ClientRequest { id, request }
+}
+
+/// The replicated state after so many jobs were submitted.
+fn state_with_jobs(jobs: u64) -> Result<State, RecoverError> {
+    let mut scheduler = Scheduler::recover(settings(), 1, now(0), State::new())?;
+    let mut state = State::new();
+    let events = std::iter::once(configure(jobs)).chain((0..jobs).map(submit));
+    for event in events {
         for write in scheduler.handle(now(0), event).writes {
             match write.value {
                 Some(value) => state.insert(write.key, value),
@@ -69,29 +73,31 @@
             };
         }
     }
-    state
+    Ok(state)
+}
+
+fn measure(jobs: u64) -> Result<(), RecoverError> {
+    let state = state_with_jobs(jobs)?;
+    let keys = state.len();
+    let bytes: usize = state
+        .iter()
+        .map(|(key, value)| key.len() + value.len())
+        .sum();
+    let began = Instant::now();
+    let mut scheduler = Scheduler::recover(settings(), 2, now(1_000), state)?;
+    let recovered = began.elapsed();
+    let began = Instant::now();
+    scheduler.handle(now(1_020), Event::Tick);
+    let ticked = began.elapsed();
+    println!(
+        "{jobs} jobs: {keys} keys, {bytes} bytes; recovered in {recovered:?}, first tick {ticked:?}"
+    );
+    Ok(())
 }
 
-fn main() {
+fn main() -> Result<(), RecoverError> {
     let sizes = std::env::args()
         .skip(1)
         .filter_map(|text| text.parse::<u64>().ok());
-    for jobs in sizes {
-        let state = state_of(jobs);
-        let bytes: usize = state
-            .iter()
-            .map(|(key, value)| key.len() + value.len())
-            .sum();
-        let keys = state.len();
-        let begun = Instant::now();
-        let mut scheduler =
-            Scheduler::recover(settings(), 2, now(1_000), state).expect("a sound state");
-        let recovered = begun.elapsed();
-        let begun = Instant::now();
-        scheduler.handle(now(1_020), Event::Tick);
-        let ticked = begun.elapsed();
-        println!(
-            "{jobs} jobs: {keys} keys, {bytes} bytes; recovered in {recovered:?}, first tick {ticked:?}"
-        );
-    }
+    sizes.into_iter().try_for_each(measure)
 }
--- a/crates/scheduler/src/cluster_state.rs
+++ b/crates/scheduler/src/cluster_state.rs
@@ -4,7 +4,7 @@
 //! its agent's commands. The transitions here change all of them together; what happened, and what is to be done about
 //! it, is decided by the modules that call them.
 
-use crate::agents::AgentTable;
+use crate::agents::{AgentSession, AgentTable};
 use crate::event::{Effects, PendingResponse, RequestId, SchedulerResponse};
 use crate::fair_share::FairShare;
 use crate::objective_report::{latency_stages, log_if_missed};
@@ -14,11 +14,11 @@
 use crate::workers::WorkerTable;
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use streamusher_jobs::{JobTable, StartedRun};
+use streamusher_jobs::{JobTable, RunTimings, StartedRun};
 use streamusher_placement::{Decision, Placement, ReleaseReason, WorkerInfo};
 use streamusher_protocol::heartbeat::WorkerState;
 use streamusher_protocol::store::Write;
-use streamusher_protocol::task::{RunEnd, RunId, TaskId};
+use streamusher_protocol::task::{JobId, RunEnd, RunId, TaskId};
 use streamusher_protocol::unit::{Unit, UnitId, WorkerId};
 use streamusher_protocol::{Millis, Now};
 
@@ -217,7 +217,7 @@
             .workers
             .agent_of(&worker)
             .and_then(|agent| self.agents.get(agent));
-        run.stop_revision = Some(session.map_or(1, |session| session.next_revision()));
+        run.stop_revision = Some(session.map_or(1, AgentSession::next_revision));
         self.placement.mark_stopping(&id.task, &worker);
         self.invalidate_commands(&worker);
     }
@@ -239,7 +239,7 @@
             fair_share.on_run_finished(now.steady_ms, &self.jobs, id, outcome, checkpoint);
         }
         let slowness = self.placement.run_slowness(now.steady_ms, &id.task, worker);
-        let timings = streamusher_jobs::RunTimings { ran_ms, slowness };
+        let timings = RunTimings { ran_ms, slowness };
         self.jobs.record_run_timings(id, timings);
         self.jobs.on_run_finished(now, id, outcome, checkpoint);
         let reason = ReleaseReason::Finished { outcome, ran_ms };
@@ -318,7 +318,7 @@
     }
 
     /// The user that is charged for a job; none where fair share is switched off or the job is unknown.
-    pub(crate) fn user_of(&self, job: &streamusher_protocol::task::JobId) -> Option<Arc<str>> {
+    pub(crate) fn user_of(&self, job: &JobId) -> Option<Arc<str>> {
         self.fair_share.as_ref()?.user_of(&self.jobs, job)
     }
 
--- a/crates/scheduler/src/penalty_store.rs
+++ b/crates/scheduler/src/penalty_store.rs
@@ -75,7 +75,7 @@
     ) -> Vec<Write> {
         self.next_update_at = now + UPDATE_INTERVAL_MS;
         let present_tenths: BTreeMap<&WorkerId, u32> = penalties
-            .map(|(worker, penalty)| (worker, (penalty * 10.0).round() as u32))
+            .map(|(worker, penalty)| (worker, to_tenths(penalty)))
             .filter(|(_, tenths)| *tenths > 0)
             .collect();
         let mut writes = self.remove_decayed(now, &present_tenths);
@@ -107,6 +107,14 @@
     }
 }
 
+#[expect(
+    clippy::cast_possible_truncation,
+    reason = "`as` saturates, and penalties are some tasks"
+)]
+fn to_tenths(penalty: f64) -> u32 {
+    (penalty * 10.0).round() as u32
+}
+
 fn removal(worker: &WorkerId) -> Write {
     Write::remove(format!("{KEY_PREFIX}{worker}"))
 }
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -106,6 +106,10 @@
     }
 
     /// Expected time until the run ends: extrapolated from its progress, or from its estimate while progress is small.
+    #[expect(
+        clippy::cast_possible_truncation,
+        reason = "`as` saturates, and fractions of a millisecond do not matter"
+    )]
     pub(crate) fn expected_remaining_ms(&self, now: Millis) -> Millis {
         let ran_ms = self.phase_duration_ms(now);
         if self.percent < MIN_PERCENT_TO_EXTRAPOLATE {
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -142,7 +142,7 @@
             agent: worker.agent.clone(),
             terminated: worker.terminated,
             id: id.clone(),
-            lease_left_ms: worker.lease_expires_at.saturating_sub(now),
+            lease_remaining_ms: worker.lease_expires_at.saturating_sub(now),
             schedulable: worker.schedulable,
             runs: self.state.runs.at_worker(id).count(),
             service: worker.service.clone(),
--- a/crates/scheduler/src/status.rs
+++ b/crates/scheduler/src/status.rs
@@ -41,7 +41,8 @@
     /// Its identifier.
     pub id: WorkerId,
     /// Time until its lease expires, in milliseconds.
-    pub lease_left_ms: Millis,
+    #[serde(rename = "lease_left_ms")]
+    pub lease_remaining_ms: Millis,
     /// It may be given work.
     #[serde(rename = "open")]
     pub schedulable: bool,
--- a/crates/scheduler/src/worker_report.rs
+++ b/crates/scheduler/src/worker_report.rs
@@ -32,14 +32,14 @@
         return;
     }
     supersede_former_workers(state, now, agent, &worker);
-    let reporting = Report {
+    let update = ReportUpdate {
         state,
         now,
         agent,
         worker,
         report,
     };
-    reporting.apply();
+    update.apply();
 }
 
 /// A machine has one worker at a time: another one there proves that the former one is lost.
@@ -81,7 +81,7 @@
 }
 
 /// One report, and the state that it is applied to.
-struct Report<'a> {
+struct ReportUpdate<'a> {
     state: &'a mut ClusterState,
     now: Now,
     agent: &'a Arc<str>,
@@ -89,7 +89,7 @@
     report: &'a WorkerReport,
 }
 
-impl Report<'_> {
+impl ReportUpdate<'_> {
     fn apply(mut self) {
         let freshness = self.renew_lease();
         if freshness == Freshness::Outdated {
--- a/crates/scheduler/tests/encoded.rs
+++ b/crates/scheduler/tests/encoded.rs
@@ -3,6 +3,8 @@
 //!
 //! `ENCODED_SHOW=1 cargo test -p streamusher-scheduler --test encoded -- --nocapture` prints the present transcript.
 
+#![allow(clippy::expect_used, reason = "a test fails by panicking")]
+
 mod support;
 
 use std::fmt::Write;
@@ -12,7 +14,7 @@
 use streamusher_scheduler::{
     Effects, Event, OperatorRequest, OperatorRequestKind, SchedulerResponse, SchedulerSettings,
 };
-use support::{settings, TestAgent, World, JOB};
+use support::{settings, TestAgent, TestCluster, JOB};
 
 const RECORDED: &str = include_str!("fixtures/encoded/scheduler.txt");
 const STEPS: &str = r#"[{"count":2,"cpu":300,"mem_mb":10,"estimated_ms":500},
@@ -59,32 +61,32 @@
 
 /// The course of events; what each scene wrote and answered, and what operators are shown after it.
 struct Course {
-    world: World,
+    cluster: TestCluster,
     transcript: String,
 }
 
 impl Course {
     fn new(settings: SchedulerSettings) -> Course {
         Course {
-            world: World::with(settings),
+            cluster: TestCluster::with_settings(settings),
             transcript: String::new(),
         }
     }
 
     fn end_scene(&mut self, name: &str) {
         writeln!(self.transcript, "--- {name}").expect("a string takes all");
-        for effects in std::mem::take(&mut self.world.effects) {
+        for effects in std::mem::take(&mut self.cluster.effects) {
             show_effects(&mut self.transcript, &effects);
         }
-        let status = serde_json::to_value(self.world.scheduler.status(self.world.now));
+        let status = serde_json::to_value(self.cluster.scheduler.status(self.cluster.now));
         let job = JOB.parse().expect("a job's identifier");
-        let explained = self.world.scheduler.explain_job(self.world.now, &job);
+        let explained = self.cluster.scheduler.explain_job(self.cluster.now, &job);
         let user = self
-            .world
+            .cluster
             .scheduler
-            .explain_user(self.world.now, &"r".into());
+            .explain_user(self.cluster.now, &"r".into());
         let state: Vec<String> = self
-            .world
+            .cluster
             .state
             .iter()
             .map(|(key, value)| format!("{key}={value}"))
@@ -100,14 +102,14 @@
     }
 
     fn operator(&mut self, kind: OperatorRequestKind, base: Option<u64>, body: &str) {
-        let order = OperatorRequest {
+        let request = OperatorRequest {
             kind,
             base,
             body: body.into(),
         };
-        self.world.handle(Event::OperatorRequest {
+        self.cluster.handle(Event::OperatorRequest {
             id: 1_000_000,
-            request: order,
+            request,
         });
     }
 }
@@ -124,15 +126,15 @@
         Some(9),
         r#"{"version":10,"routes":[],"services":[]}"#,
     );
-    let world = &mut course.world;
-    world.call(ClientMethod::Get, "/nowhere/", "");
-    world.call(ClientMethod::Get, "/q/", "");
-    world.call(ClientMethod::Post, "/q/", "");
-    world.call(ClientMethod::Get, "/q/xyz", "");
-    world.call(ClientMethod::Get, &format!("/q/{JOB}"), "");
-    world.call(ClientMethod::Delete, &format!("/q/{JOB}"), "");
-    world.call(ClientMethod::Post, &format!("/q/{JOB}"), "{");
-    world.call(
+    let cluster = &mut course.cluster;
+    cluster.request(ClientMethod::Get, "/nowhere/", "");
+    cluster.request(ClientMethod::Get, "/q/", "");
+    cluster.request(ClientMethod::Post, "/q/", "");
+    cluster.request(ClientMethod::Get, "/q/xyz", "");
+    cluster.request(ClientMethod::Get, &format!("/q/{JOB}"), "");
+    cluster.request(ClientMethod::Delete, &format!("/q/{JOB}"), "");
+    cluster.request(ClientMethod::Post, &format!("/q/{JOB}"), "{");
+    cluster.request(
         ClientMethod::Post,
         &format!("/q/{JOB}"),
         r#"{"spec":"text","steps":[]}"#,
@@ -143,70 +145,70 @@
 fn run_job_of_three_steps(course: &mut Course) -> (TestAgent, TestAgent) {
     let mut first = TestAgent::new("side-1", "i-1");
     let mut second = TestAgent::new("side-2", "i-2");
-    course.world.settle(&mut first);
-    course.world.submit(STEPS);
-    course.world.settle(&mut first);
+    course.cluster.settle(&mut first);
+    course.cluster.submit(STEPS);
+    course.cluster.settle(&mut first);
     course.end_scene("started");
-    first.begin_all();
-    course.world.settle(&mut first);
-    course.world.wait(300);
-    course.world.settle(&mut second);
-    first.end_all(RunEnd::Done);
-    course.world.settle(&mut first);
-    first.begin_all();
+    first.start_all();
+    course.cluster.settle(&mut first);
+    course.cluster.wait(300);
+    course.cluster.settle(&mut second);
+    first.finish_all(RunEnd::Done);
+    course.cluster.settle(&mut first);
+    first.start_all();
     first.report.running[0].checkpoint = "saved".into();
     first.report.running[0].percent = 12.5;
-    course.world.settle(&mut first);
+    course.cluster.settle(&mut first);
     course.end_scene("second step");
-    course.world.wait(1_000);
-    course.world.settle(&mut second);
+    course.cluster.wait(1_000);
+    course.cluster.settle(&mut second);
     course.end_scene("hedged");
-    second.begin_all();
-    course.world.settle(&mut second);
-    first.end_all(RunEnd::Done);
-    course.world.settle(&mut first);
-    course.world.settle(&mut second);
-    second.end_all(RunEnd::Stopped);
-    course.world.settle(&mut second);
+    second.start_all();
+    course.cluster.settle(&mut second);
+    first.finish_all(RunEnd::Done);
+    course.cluster.settle(&mut first);
+    course.cluster.settle(&mut second);
+    second.finish_all(RunEnd::Stopped);
+    course.cluster.settle(&mut second);
     course.end_scene("gang");
     (first, second)
 }
 
 fn run_failures_and_a_takeover(course: &mut Course, first: &mut TestAgent) {
-    let world = &mut course.world;
+    let cluster = &mut course.cluster;
     for number in 1..=3 {
         let body = format!(r#"{{"spec":"text","steps":{FAILING_STEPS}}}"#);
-        world.call(ClientMethod::Post, &format!("/q/{number:016x}"), &body);
+        cluster.request(ClientMethod::Post, &format!("/q/{number:016x}"), &body);
         for _ in 0..2 {
-            world.settle(first);
-            first.begin_all();
-            world.settle(first);
-            first.end_all(RunEnd::Failed);
-            world.settle(first);
+            cluster.settle(first);
+            first.start_all();
+            cluster.settle(first);
+            first.finish_all(RunEnd::Failed);
+            cluster.settle(first);
         }
     }
-    world.wait(1_100);
+    cluster.wait(1_100);
     course.end_scene("penalties");
-    course.world.fail_over();
-    course.world.settle(first);
+    course.cluster.take_over();
+    course.cluster.settle(first);
     course.end_scene("takeover");
 }
 
 fn run_losses(course: &mut Course, first: &mut TestAgent, second: &mut TestAgent) {
-    let world = &mut course.world;
+    let cluster = &mut course.cluster;
     second.report.state = WorkerState::Draining;
     second.report.remaining_ms = Some(200);
     second.report.sequence += 1;
-    world.settle(second);
-    world.call(ClientMethod::Delete, &format!("/q/{JOB}"), "");
-    world.settle(first);
+    cluster.settle(second);
+    cluster.request(ClientMethod::Delete, &format!("/q/{JOB}"), "");
+    cluster.settle(first);
     course.end_scene("drained and cancelled");
     first.replace_worker("i-9");
-    course.world.settle(first);
-    course.world.wait(7_000);
+    course.cluster.settle(first);
+    course.cluster.wait(7_000);
     course.end_scene("lost");
-    course.world.handle(Event::RequestAbandoned { id: 1 });
-    course.world.wait(15_000);
+    course.cluster.handle(Event::RequestAbandoned { id: 1 });
+    course.cluster.wait(15_000);
     course.end_scene("all leases expired");
 }
 
--- a/crates/scheduler/tests/accounts.rs
+++ b/crates/scheduler/tests/objective_report.rs
@@ -1,4 +1,9 @@
-//! The log line of a job that missed its objective.
+//! Log lines of jobs that missed their objective.
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
 
 mod support;
 
@@ -7,7 +12,7 @@
 use streamusher_jobs::{Completion, LatencyStage};
 use streamusher_protocol::task::RunEnd;
 use streamusher_scheduler::OBJECTIVE_MISSED_PREFIX;
-use support::given::given_an_ordered_task;
+use support::scenarios::with_commanded_task;
 
 thread_local! {
     static LINES: RefCell<Vec<String>> = const { RefCell::new(Vec::new()) };
@@ -17,11 +22,11 @@
 struct Capture;
 
 impl log::Log for Capture {
-    fn enabled(&self, _: &log::Metadata) -> bool {
+    fn enabled(&self, _: &log::Metadata<'_>) -> bool {
         true
     }
 
-    fn log(&self, record: &log::Record) {
+    fn log(&self, record: &log::Record<'_>) {
         LINES.with_borrow_mut(|lines| lines.push(record.args().to_string()));
     }
 
@@ -43,16 +48,15 @@
 }
 
 #[test]
-fn given_a_run_whose_order_came_late_when_its_job_ends_late_then_a_line_tells_where_the_time_went()
-{
+fn missed_objective_is_logged_with_its_latency_breakdown() {
     capture();
-    let (mut world, mut agent) = given_an_ordered_task();
-    world.wait(4_000);
-    agent.begin_all();
-    world.settle(&mut agent);
-    world.wait(500);
-    agent.end_all(RunEnd::Done);
-    world.settle(&mut agent);
+    let (mut cluster, mut agent) = with_commanded_task();
+    cluster.wait(4_000);
+    agent.start_all();
+    cluster.settle(&mut agent);
+    cluster.wait(500);
+    agent.finish_all(RunEnd::Done);
+    cluster.settle(&mut agent);
 
     let missed = missed();
     assert_eq!(missed.len(), 1);
@@ -70,13 +74,13 @@
 }
 
 #[test]
-fn given_a_job_in_time_when_it_ends_then_no_line_is_written() {
+fn met_objective_is_not_logged() {
     capture();
-    let (mut world, mut agent) = given_an_ordered_task();
-    agent.begin_all();
-    world.settle(&mut agent);
-    world.wait(300);
-    agent.end_all(RunEnd::Done);
-    world.settle(&mut agent);
+    let (mut cluster, mut agent) = with_commanded_task();
+    agent.start_all();
+    cluster.settle(&mut agent);
+    cluster.wait(300);
+    agent.finish_all(RunEnd::Done);
+    cluster.settle(&mut agent);
     assert!(missed().is_empty());
 }
--- a/crates/scheduler/tests/support/mod.rs
+++ b/crates/scheduler/tests/support/mod.rs
@@ -1,7 +1,13 @@
-//! A scheduler with hand-driven agents, in virtual time. Its replicated state is a map that a successor takes over.
-#![allow(dead_code)]
+//! A scheduler with agents that tests drive by hand, in virtual time. Its replicated state is a map that a successor
+//! takes over.
+#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
 
-pub mod given;
+pub(crate) mod scenarios;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,11 +24,11 @@
     SchedulerResponse, SchedulerSettings,
 };
 
-pub const MAX_LEASE_MS: Millis = 6_000;
-pub const JOB: &str = "5c0e7a21d94b36f8";
+pub(crate) const MAX_LEASE_MS: Millis = 6_000;
+pub(crate) const JOB: &str = "5c0e7a21d94b36f8";
 const UNIX_START: Millis = 1_790_000_000_000;
 
-pub fn settings() -> SchedulerSettings {
+pub(crate) fn settings() -> SchedulerSettings {
     let limits = SchedulerLimits {
         max_lease_ms: MAX_LEASE_MS,
         ..SchedulerLimits::default()
@@ -35,59 +41,56 @@
     }
 }
 
-pub struct World {
-    pub scheduler: Scheduler,
-    pub state: BTreeMap<Arc<str>, Arc<str>>,
-    pub now: Millis,
-    /// What the scheduler wanted done, in order.
-    pub effects: Vec<Effects>,
+pub(crate) struct TestCluster {
+    pub(crate) scheduler: Scheduler,
+    pub(crate) state: BTreeMap<Arc<str>, Arc<str>>,
+    pub(crate) now: Millis,
+    /// All effects of the scheduler, in order.
+    pub(crate) effects: Vec<Effects>,
     settings: SchedulerSettings,
     epoch: u64,
-    requests: u64,
-    replies: BTreeMap<u64, SchedulerResponse>,
+    last_request_id: u64,
+    responses: BTreeMap<u64, SchedulerResponse>,
 }
 
-impl World {
+impl TestCluster {
     /// A primary with one queue, `/q/` of host `h`, whose tasks run at service `s`.
-    pub fn new() -> World {
-        World::with(settings())
+    pub(crate) fn new() -> TestCluster {
+        TestCluster::with_settings(settings())
     }
 
-    pub fn with(settings: SchedulerSettings) -> World {
+    pub(crate) fn with_settings(settings: SchedulerSettings) -> TestCluster {
         let scheduler =
             Scheduler::recover(settings.clone(), 1, clock(0), Vec::new()).expect("empty state");
-        let mut world = World {
+        let mut cluster = TestCluster {
             scheduler,
             state: BTreeMap::new(),
             now: 0,
             effects: Vec::new(),
             settings,
             epoch: 1,
-            requests: 0,
-            replies: BTreeMap::new(),
+            last_request_id: 0,
+            responses: BTreeMap::new(),
         };
         let body = r#"{"version":1,"routes":[{"name":"r","host":"h","path_prefix":"/q/","timeout_ms":3000,
             "target_latency_ms":800,"priority":0,"service":"s","max_attempts":2,"stretch":1.5}],
             "services":[{"name":"s","guards":false}]}"#;
-        let order = OperatorRequest {
+        let request = OperatorRequest {
             kind: OperatorRequestKind::Replace,
             base: Some(0),
             body: body.into(),
         };
-        let request = world.request();
-        world.handle(Event::OperatorRequest {
-            id: request,
-            request: order,
-        });
-        world
+        let id = cluster.next_request_id();
+        cluster.handle(Event::OperatorRequest { id, request });
+        cluster
     }
 
-    fn request(&mut self) -> u64 {
-        self.requests += 1;
-        self.requests
+    fn next_request_id(&mut self) -> u64 {
+        self.last_request_id += 1;
+        self.last_request_id
     }
 
-    pub fn handle(&mut self, event: Event) {
+    pub(crate) fn handle(&mut self, event: Event) {
         let effects = self.scheduler.handle(clock(self.now), event);
         if !effects.is_empty() {
             self.effects.push(effects.clone());
@@ -99,12 +102,12 @@
             };
         }
         let responses = effects.responses.into_iter();
-        self.replies
+        self.responses
             .extend(responses.map(|pending| (pending.request, pending.response)));
     }
 
     /// Lets time pass, in ticks.
-    pub fn wait(&mut self, span: Millis) {
+    pub(crate) fn wait(&mut self, span: Millis) {
         let until = self.now + span;
         while self.now < until {
             self.now = (self.now + 25).min(until);
@@ -113,73 +116,74 @@
     }
 
     /// Another machine becomes primary, with the replicated state alone.
-    pub fn fail_over(&mut self) {
+    pub(crate) fn take_over(&mut self) {
         self.epoch += 1;
         let state = self.state.clone();
         self.scheduler =
             Scheduler::recover(self.settings.clone(), self.epoch, clock(self.now), state)
                 .expect("own state");
-        self.replies.clear();
+        self.responses.clear();
     }
 
-    pub fn call(&mut self, method: ClientMethod, path: &str, body: &str) -> ClientResponse {
-        let request = self.request();
-        let call = ClientRequest {
+    pub(crate) fn request(
+        &mut self,
+        method: ClientMethod,
+        path: &str,
+        body: &str,
+    ) -> ClientResponse {
+        let id = self.next_request_id();
+        let request = ClientRequest {
             method,
             host: "h".into(),
             path: path.into(),
             body: body.into(),
             configuration_version: 1,
         };
-        self.handle(Event::ClientRequest {
-            id: request,
-            request: call,
-        });
-        match self.replies.remove(&request) {
-            Some(SchedulerResponse::Client(reply)) => reply,
-            other => panic!("no reply to a client's call: {other:?}"),
+        self.handle(Event::ClientRequest { id, request });
+        match self.responses.remove(&id) {
+            Some(SchedulerResponse::Client(response)) => response,
+            other => panic!("no response to a client: {other:?}"),
         }
     }
 
-    pub fn submit(&mut self, steps: &str) -> ClientResponse {
+    pub(crate) fn submit(&mut self, steps: &str) -> ClientResponse {
         let body = format!(r#"{{"spec":"text","steps":{steps}}}"#);
-        self.call(ClientMethod::Post, &format!("/q/{JOB}"), &body)
+        self.request(ClientMethod::Post, &format!("/q/{JOB}"), &body)
     }
 
-    pub fn state_of_job(&mut self) -> String {
-        let reply = self.call(ClientMethod::Get, &format!("/q/{JOB}"), "");
-        reply.body.to_string()
+    pub(crate) fn job_status(&mut self) -> String {
+        let response = self.request(ClientMethod::Get, &format!("/q/{JOB}"), "");
+        response.body.to_string()
     }
 
-    /// An agent's call; the answer if it came at once.
-    pub fn sync(&mut self, agent: &mut TestAgent) -> Option<AgentCommands> {
-        let request = self.request();
-        let sync = agent.next_call();
-        self.handle(Event::AgentSync { id: request, sync });
-        let orders = match self.replies.remove(&request) {
-            Some(SchedulerResponse::Agent(orders)) => orders,
-            _ => return None,
+    /// An agent's request; the response if it is not deferred.
+    pub(crate) fn sync(&mut self, agent: &mut TestAgent) -> Option<AgentCommands> {
+        let id = self.next_request_id();
+        let sync = agent.next_request();
+        self.handle(Event::AgentSync { id, sync });
+        let Some(SchedulerResponse::Agent(commands)) = self.responses.remove(&id) else {
+            return None;
         };
-        agent.obey(&orders);
-        Some(orders)
+        agent.apply(&commands);
+        Some(commands)
     }
 
-    /// The call of an agent whose worker has not called it yet.
-    pub fn sync_without_worker(&mut self, agent: &mut TestAgent) -> Option<AgentCommands> {
-        let request = self.request();
+    /// The request of an agent that its worker has not called yet.
+    pub(crate) fn sync_without_worker(&mut self, agent: &mut TestAgent) -> Option<AgentCommands> {
+        let id = self.next_request_id();
         let sync = AgentSync {
             worker: None,
-            ..agent.next_call()
+            ..agent.next_request()
         };
-        self.handle(Event::AgentSync { id: request, sync });
-        match self.replies.remove(&request) {
-            Some(SchedulerResponse::Agent(orders)) => Some(orders),
+        self.handle(Event::AgentSync { id, sync });
+        match self.responses.remove(&id) {
+            Some(SchedulerResponse::Agent(commands)) => Some(commands),
             _ => None,
         }
     }
 
-    /// Calls until the agent holds the newest orders.
-    pub fn settle(&mut self, agent: &mut TestAgent) {
+    /// Sends requests until the agent holds the newest commands.
+    pub(crate) fn settle(&mut self, agent: &mut TestAgent) {
         for _ in 0..5 {
             if self.sync(agent).is_none() {
                 return;
@@ -188,7 +192,7 @@
     }
 }
 
-pub fn clock(now: Millis) -> Now {
+pub(crate) fn clock(now: Millis) -> Now {
     Now {
         steady_ms: now,
         unix_ms: UNIX_START + now,
@@ -196,21 +200,21 @@
 }
 
 /// An agent and its worker, driven by the test.
-pub struct TestAgent {
+pub(crate) struct TestAgent {
     name: Arc<str>,
-    pub boot: u64,
+    pub(crate) boot: u64,
     sequence: u64,
     epoch: u64,
     revision: u64,
-    pub report: WorkerReport,
-    pub start: Vec<StartCommand>,
-    pub stop: Vec<RunId>,
-    pub last_seen: u64,
-    ends: u64,
+    pub(crate) report: WorkerReport,
+    pub(crate) start: Vec<StartCommand>,
+    pub(crate) stop: Vec<RunId>,
+    pub(crate) last_seen: u64,
+    last_finished: u64,
 }
 
 impl TestAgent {
-    pub fn new(name: &str, instance: &str) -> TestAgent {
+    pub(crate) fn new(name: &str, instance: &str) -> TestAgent {
         let report = WorkerReport {
             instance: instance.into(),
             sequence: 1,
@@ -240,11 +244,11 @@
             start: Vec::new(),
             stop: Vec::new(),
             last_seen: 0,
-            ends: 0,
+            last_finished: 0,
         }
     }
 
-    fn next_call(&mut self) -> AgentSync {
+    fn next_request(&mut self) -> AgentSync {
         self.sequence += 1;
         AgentSync {
             agent: self.name.clone(),
@@ -257,25 +261,25 @@
         }
     }
 
-    fn obey(&mut self, orders: &AgentCommands) {
-        if (orders.epoch, orders.revision) < (self.epoch, self.revision) {
+    fn apply(&mut self, commands: &AgentCommands) {
+        if (commands.epoch, commands.revision) < (self.epoch, self.revision) {
             return;
         }
-        (self.epoch, self.revision) = (orders.epoch, orders.revision);
-        self.start = orders.start.clone();
-        self.stop = orders
+        (self.epoch, self.revision) = (commands.epoch, commands.revision);
+        self.start.clone_from(&commands.start);
+        self.stop = commands
             .stop
             .iter()
-            .map(|s| RunId {
-                task: s.task.clone(),
-                run: s.run,
+            .map(|command| RunId {
+                task: command.task.clone(),
+                run: command.run,
             })
             .collect();
-        self.last_seen = orders.last_seen;
+        self.last_seen = commands.last_seen;
     }
 
-    /// The worker's next heartbeat shows all ordered starts as running.
-    pub fn begin_all(&mut self) {
+    /// The worker's next heartbeat shows all commanded starts as running.
+    pub(crate) fn start_all(&mut self) {
         self.report.sequence += 1;
         self.report.offered.clear();
         for start in std::mem::take(&mut self.start) {
@@ -288,54 +292,54 @@
         }
     }
 
-    /// Ordered starts stand in an answer on its way to the worker.
-    pub fn offer_all(&mut self) {
+    /// The commanded starts are in a response on its way to the worker.
+    pub(crate) fn offer_starts(&mut self) {
         self.report.offered = self
             .start
             .iter()
-            .map(|s| RunId {
-                task: s.task.clone(),
-                run: s.run,
+            .map(|command| RunId {
+                task: command.task.clone(),
+                run: command.run,
             })
             .collect();
     }
 
-    /// The worker's next heartbeat: what was on its way did not begin.
-    pub fn beat_without(&mut self) {
+    /// The worker's next heartbeat: what was on its way did not start.
+    pub(crate) fn heartbeat_without_starts(&mut self) {
         self.report.sequence += 1;
         self.report.offered.clear();
     }
 
-    /// All that runs ends.
-    pub fn end_all(&mut self, how: RunEnd) {
+    /// All runs finish.
+    pub(crate) fn finish_all(&mut self, outcome: RunEnd) {
         self.report.sequence += 1;
         for run in std::mem::take(&mut self.report.running) {
-            self.ends += 1;
+            self.last_finished += 1;
             self.report.finished.push(FinishedRun {
-                number: self.ends,
+                number: self.last_finished,
                 task: run.task,
                 run: run.run,
-                end: how,
+                end: outcome,
                 checkpoint: "".into(),
             });
         }
     }
 
     /// Another instance on the same machine.
-    pub fn replace_worker(&mut self, instance: &str) {
+    pub(crate) fn replace_worker(&mut self, instance: &str) {
         let zone = self.report.zone.clone();
         self.report = WorkerReport {
             zone,
             ..TestAgent::new("", instance).report
         };
-        self.ends = 0;
+        self.last_finished = 0;
     }
 
-    pub fn running(&self) -> Vec<(TaskId, u32)> {
+    pub(crate) fn running(&self) -> Vec<(TaskId, u32)> {
         self.report
             .running
             .iter()
-            .map(|r| (r.task.clone(), r.run))
+            .map(|running| (running.task.clone(), running.run))
             .collect()
     }
 }
--- /dev/null
+++ b/crates/scheduler/tests/takeover.rs
@@ -0,0 +1,121 @@
+//! A new primary takes over from the replicated state.
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
+
+mod support;
+
+use streamusher_protocol::internal::ClientMethod;
+use streamusher_protocol::task::RunEnd;
+use support::scenarios::{with_commanded_task, with_running_task, ONE_TASK};
+use support::{TestAgent, JOB, MAX_LEASE_MS};
+
+#[test]
+fn new_primary_waits_for_leases_granted_by_the_former_one() {
+    let (mut cluster, mut first) = with_running_task();
+    cluster.wait(3_000);
+    cluster.take_over();
+    let mut second = TestAgent::new("side-2", "i-2");
+    let until = cluster.now + MAX_LEASE_MS;
+    while cluster.now < until {
+        cluster.settle(&mut second);
+        assert!(
+            second.start.is_empty(),
+            "at {} the task may still run at the unresponsive machine",
+            cluster.now
+        );
+        cluster.wait(100);
+    }
+    cluster.wait(300);
+    cluster.settle(&mut second);
+    assert_eq!(second.start.len(), 1);
+    assert_eq!(first.running().len(), 1);
+    cluster.settle(&mut first);
+    assert_eq!(
+        first.stop.len(),
+        1,
+        "a run that the primary gave up is stopped"
+    );
+}
+
+#[test]
+fn new_primary_takes_over_running_tasks() {
+    let (mut cluster, mut agent) = with_running_task();
+    cluster.take_over();
+    cluster.settle(&mut agent);
+    assert!(agent.start.is_empty() && agent.stop.is_empty());
+    agent.finish_all(RunEnd::Done);
+    cluster.settle(&mut agent);
+    assert!(cluster.job_status().contains("succeeded"));
+}
+
+#[test]
+fn new_primary_repeats_start_commands_of_unstarted_runs() {
+    let (mut cluster, mut agent) = with_commanded_task();
+    let first = agent.start.clone();
+    cluster.take_over();
+    agent.heartbeat_without_starts();
+    cluster.settle(&mut agent);
+    assert_eq!(
+        agent.start, first,
+        "the same run, which was recorded before it was commanded"
+    );
+}
+
+#[test]
+fn another_worker_on_the_machine_proves_the_former_one_lost_after_a_takeover() {
+    let (mut cluster, mut agent) = with_running_task();
+    cluster.take_over();
+    agent.replace_worker("i-9");
+    cluster.settle(&mut agent);
+    assert_eq!(agent.start.len(), 1);
+}
+
+#[test]
+fn new_primary_stops_nothing_before_it_hears_the_agents() {
+    let (mut cluster, mut agent) = with_running_task();
+    cluster.take_over();
+    cluster.wait(3_000);
+    cluster.settle(&mut agent);
+    assert!(agent.stop.is_empty(), "the task runs");
+    cluster.wait(300);
+    cluster.settle(&mut agent);
+    assert!(agent.stop.is_empty() && agent.start.is_empty());
+}
+
+#[test]
+fn unstarted_run_stopped_before_a_takeover_releases_its_allocation() {
+    let (mut cluster, mut agent) = with_commanded_task();
+    cluster.request(ClientMethod::Delete, &format!("/q/{JOB}"), "");
+    cluster.take_over();
+    cluster.settle(&mut agent);
+    agent.heartbeat_without_starts();
+    cluster.settle(&mut agent);
+    let body = format!(r#"{{"spec":"text","steps":{ONE_TASK}}}"#);
+    assert_eq!(
+        cluster
+            .request(ClientMethod::Post, "/q/0000000000000001", &body)
+            .status,
+        200
+    );
+    cluster.settle(&mut agent);
+    assert_eq!(
+        agent.start.len(),
+        1,
+        "the stopped run never started: its allocation is released"
+    );
+}
+
+#[test]
+fn new_primary_names_the_recorded_worker_to_an_agent_without_one() {
+    let (mut cluster, _) = with_running_task();
+    cluster.take_over();
+    let mut restarted = TestAgent::new("side-1", "i-1");
+    restarted.boot = 2;
+    let commands = cluster
+        .sync_without_worker(&mut restarted)
+        .expect("the agent holds no commands yet");
+    assert_eq!(commands.instance.as_deref(), Some("i-1"));
+}
