--- a/crates/configuration/src/file.rs
+++ b/crates/configuration/src/file.rs
@@ -1,7 +1,7 @@
 //! Checking of a configuration file given on the command line, in JSON or TOML.
 
-use crate::checks::check;
 use crate::error::ConfigurationError;
+use crate::validation::check;
 use figment::providers::{Format, Serialized, Toml};
 use figment::Figment;
 use std::path::Path;
@@ -47,7 +47,7 @@
         cause: error.to_string(),
     };
     match figment.extract::<serde_json::Value>() {
-        Ok(value) => crate::fault::locate(&value).unwrap_or_else(unreadable),
+        Ok(value) => crate::invalid_field::locate(&value).unwrap_or_else(unreadable),
         Err(_) => unreadable(),
     }
 }
--- a/crates/configuration/src/wire.rs
+++ b/crates/configuration/src/json.rs
@@ -1,7 +1,7 @@
-//! Reading of configurations and updates from JSON. Types are checked here, what holds between fields in [`crate::checks`].
+//! Reading of configurations and updates from JSON. Types are checked here, what holds between fields in [`crate::validation`].
 
 use crate::error::ConfigurationError;
-use crate::fault;
+use crate::invalid_field;
 use serde::de::DeserializeOwned;
 use streamusher_protocol::config::{Configuration, Update};
 
@@ -32,7 +32,7 @@
 /// Refuses lists, which the parser would take for the fields in their order.
 fn check_object(body: &str) -> Result<(), ConfigurationError> {
     if body.trim_start_matches(WHITE_SPACE).starts_with('[') {
-        return Err(fault::no_object("the body", body));
+        return Err(invalid_field::no_object("the body", body));
     }
     Ok(())
 }
@@ -40,10 +40,10 @@
 /// Makes the parser's error into one that names the field, where the text is JSON at all.
 pub(crate) fn explain(body: &str, error: &serde_json::Error) -> ConfigurationError {
     let unreadable = || ConfigurationError::Unreadable {
-        cause: fault::shortened(&error.to_string()),
+        cause: invalid_field::shortened(&error.to_string()),
     };
     match serde_json::from_str(body) {
-        Ok(value) => fault::locate(&value).unwrap_or_else(unreadable),
+        Ok(value) => invalid_field::locate(&value).unwrap_or_else(unreadable),
         Err(_) => unreadable(),
     }
 }
--- a/crates/configuration/src/refusal.rs
+++ b/crates/configuration/src/rejected_changes.rs
@@ -1,8 +1,8 @@
 //! Orders that were refused because they build on a version to come. An order ends with its first final answer: when that
 //! version becomes current, a repeat of the order that was held up on its way is refused again.
 
+use crate::applied_changes::ORDER_PREFIX;
 use crate::error::RecordError;
-use crate::order::ORDER_PREFIX;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use streamusher_protocol::store::Write;
--- a/crates/configuration/src/relay/message.rs
+++ b/crates/configuration/src/relay/message.rs
@@ -29,7 +29,7 @@
     pub base: u64,
     /// The version that it makes.
     pub version: u64,
-    /// The update as the operator sent it; see [`crate::document::apply`].
+    /// The update as the operator sent it; see [`crate::update::apply`].
     pub update: Arc<RawValue>,
 }
 
--- a/crates/configuration/src/relay/mod.rs
+++ b/crates/configuration/src/relay/mod.rs
@@ -14,22 +14,22 @@
 //!
 //! Versions only rise within a life. Everything is told the time; nothing here draws random numbers or does I/O.
 
-mod archive;
-pub mod distribution;
-mod downstream;
-pub mod leases;
+pub mod member_leases;
 pub mod message;
 pub mod node;
+mod parent_selection;
+pub mod publisher;
+mod receivers;
 pub mod root;
 pub mod tree;
-mod upstream;
+mod update_log;
 
-pub use distribution::{ConfigurationPublisher, Published};
-pub use leases::MemberLeases;
+pub use member_leases::MemberLeases;
 pub use message::{
     ConfigurationDelta, OutboundMessage, RelayEnvelope, RelayMessage, RelayPeer, RootHeartbeat,
 };
 pub use node::{RelayActions, RelayNode};
+pub use publisher::{ConfigurationPublisher, Published};
 pub use root::RelayRoot;
 pub use tree::{RelayMembership, Tree};
 
--- a/crates/configuration/src/relay/node.rs
+++ b/crates/configuration/src/relay/node.rs
@@ -1,10 +1,10 @@
 //! A member of the relay tree: takes versions from above, passes them on, and looks for another sender when there is need.
 
-use super::archive::{changed, read, Archive};
-use super::downstream::Downstream;
 use super::message::{ConfigurationDelta, OutboundMessage, RelayMessage, RelayPeer};
+use super::parent_selection::Upstream;
+use super::receivers::Downstream;
 use super::tree::{hash, RelayMembership, Tree};
-use super::upstream::Upstream;
+use super::update_log::{changed, read, Archive};
 use super::{HEARTBEAT_INTERVAL, SILENCE};
 use serde_json::value::RawValue;
 use std::sync::Arc;
--- a/crates/configuration/src/relay/distribution.rs
+++ b/crates/configuration/src/relay/publisher.rs
@@ -1,6 +1,6 @@
 //! The primary's end of the relay tree for the time of one primary: its root, and the members' leases.
 
-use super::leases::MemberLeases;
+use super::member_leases::MemberLeases;
 use super::message::{ConfigurationDelta, OutboundMessage, RelayEnvelope};
 use super::root::RelayRoot;
 use serde_json::value::RawValue;
--- a/crates/configuration/src/relay/root.rs
+++ b/crates/configuration/src/relay/root.rs
@@ -1,9 +1,9 @@
 //! The root of the relay tree, at the primary. A new primary makes a new one.
 
-use super::archive::Archive;
-use super::downstream::Downstream;
 use super::message::{ConfigurationDelta, OutboundMessage, RelayMessage, RelayPeer, RootHeartbeat};
+use super::receivers::Downstream;
 use super::tree::{RelayMembership, Tree};
+use super::update_log::Archive;
 use serde_json::value::RawValue;
 use std::sync::Arc;
 use streamusher_protocol::Millis;
--- a/crates/configuration/src/relay/archive.rs
+++ b/crates/configuration/src/relay/update_log.rs
@@ -2,9 +2,9 @@
 
 use super::message::{ConfigurationDelta, RelayMessage};
 use super::{KEPT_CHANGES, PUSHED_BYTES};
-use crate::document::apply;
 use crate::error::ConfigurationError;
-use crate::wire::parse_configuration;
+use crate::json::parse_configuration;
+use crate::update::apply;
 use serde_json::value::RawValue;
 use std::collections::VecDeque;
 use std::sync::Arc;
--- a/crates/configuration/src/store.rs
+++ b/crates/configuration/src/store.rs
@@ -1,13 +1,13 @@
 //! The primary's configuration: takes or refuses changes, and says what to write for those it takes.
 
-use crate::checks::check;
-use crate::document;
+use crate::applied_changes::{order_key, AppliedChange, AppliedChanges, ChangeKind, ORDER_PREFIX};
 use crate::error::{ConfigurationError, RecordError};
-use crate::order::{order_key, AppliedChange, AppliedChanges, ChangeKind, ORDER_PREFIX};
-use crate::refusal::{RejectedChanges, REFUSAL_PREFIX};
+use crate::json::{parse_configuration, WHITE_SPACE};
+use crate::rejected_changes::{RejectedChanges, REFUSAL_PREFIX};
 use crate::relay::Published;
-use crate::routes::RouteTable;
-use crate::wire::{parse_configuration, WHITE_SPACE};
+use crate::route_table::RouteTable;
+use crate::update;
+use crate::validation::check;
 use std::sync::Arc;
 use streamusher_protocol::config::Configuration;
 use streamusher_protocol::store::Write;
@@ -181,7 +181,7 @@
             ChangeKind::Replace => body.trim_matches(WHITE_SPACE).into(),
             ChangeKind::Update => {
                 let base = self.current.as_ref().map_or("{}", |current| &current.text);
-                document::apply(base, body)?.into()
+                update::apply(base, body)?.into()
             }
         };
         let configuration = parse_configuration(&text)?;
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/update.rs
@@ -3,8 +3,8 @@
 //! Items are carried over as they were written, so that fields and numbers not known here come back unchanged.
 
 use crate::error::ConfigurationError;
-use crate::fault::{no_object, shortened};
-use crate::wire::{explain, parse_update};
+use crate::invalid_field::{no_object, shortened};
+use crate::json::{explain, parse_update};
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 use std::collections::{BTreeMap, HashMap, HashSet};
--- a/crates/configuration/src/checks.rs
+++ b/crates/configuration/src/validation.rs
@@ -1,8 +1,8 @@
 //! What must hold between the fields of a configuration, however it was read.
 
 use crate::error::ConfigurationError;
-use crate::fault::shortened;
-use crate::routes::plain_host;
+use crate::invalid_field::shortened;
+use crate::route_table::plain_host;
 use std::collections::{HashMap, HashSet};
 use streamusher_protocol::config::{Configuration, Limits, Route};
 
--- a/crates/configuration/tests/orders.rs
+++ b/crates/configuration/tests/orders.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use serde_json::json;
-use streamusher_configuration::order::{order_key, ChangeKind, MOST_ORDERS};
-use streamusher_configuration::refusal::MOST_REFUSALS;
+use streamusher_configuration::applied_changes::{order_key, ChangeKind, MOST_ORDERS};
+use streamusher_configuration::rejected_changes::MOST_REFUSALS;
 use streamusher_configuration::{ChangeOutcome, ConfigurationStore};
 use support::{read, refuse, route, sample, service, store_with, take, Records};
 
--- a/crates/configuration/tests/routes.rs
+++ b/crates/configuration/tests/routes.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use std::sync::Arc;
-use streamusher_configuration::routes::plain_host;
+use streamusher_configuration::route_table::plain_host;
 use streamusher_configuration::RouteTable;
 use streamusher_protocol::config::{Configuration, Route};
 use support::Numbers;
--- a/crates/configuration/tests/support/fleet.rs
+++ b/crates/configuration/tests/support/fleet.rs
@@ -5,10 +5,10 @@
 use serde_json::value::RawValue;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use streamusher_configuration::document::apply;
 use streamusher_configuration::relay::{
     ConfigurationDelta, RelayMembership, RelayMessage, RelayNode, RelayPeer, RelayRoot, Tree,
 };
+use streamusher_configuration::update::apply;
 use streamusher_protocol::Millis;
 
 /// One-way delay of a link.
--- a/crates/configuration/tests/updates.rs
+++ b/crates/configuration/tests/updates.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use serde_json::{json, Value};
-use streamusher_configuration::document::apply;
+use streamusher_configuration::update::apply;
 use streamusher_configuration::{ChangeOutcome, ConfigurationStore};
 use support::{read, route, sample, service, store_with, take, Records};
 
