--- a/crates/configuration/src/invalid_field.rs
+++ b/crates/configuration/src/invalid_field.rs
@@ -1,6 +1,7 @@
-//! Finds the field at fault in a body that is JSON but no configuration. Runs only once parsing has failed.
+//! Finds the invalid field of a body that is JSON but not a configuration. Runs only after parsing has failed, as the
+//! parser's own error does not name the path.
 //!
-//! A field is at fault if an otherwise valid item does not parse with it.
+//! A field is invalid if an otherwise valid item cannot be parsed with it.
 
 use crate::error::ConfigurationError;
 use serde::de::DeserializeOwned;
@@ -8,97 +9,101 @@
 use serde_json::{Map, Value};
 use streamusher_protocol::config::{Configuration, Limits, Route, Service};
 
-/// Longest value or cause shown in a message, in characters: messages go into answers and logs.
-const MOST_SHOWN: usize = 160;
+/// Longest value or cause in a message, in characters: messages go into answers and logs.
+const MAX_SHOWN_CHARS: usize = 160;
 
-/// The error for the first field at fault of a configuration or an update; none where no single field is.
-pub fn locate(body: &Value) -> Option<ConfigurationError> {
+/// The error for the first invalid field of a configuration or an update; none where no single field is invalid.
+pub(crate) fn locate_invalid_field(body: &Value) -> Option<ConfigurationError> {
     let Value::Object(fields) = body else {
-        return Some(no_object("the body", &body.to_string()));
+        return Some(not_an_object("the body", &body.to_string()));
     };
-    let in_lists = || locate_in_lists("", fields);
-    let in_upsert = || locate_in_upsert(fields.get("upsert")?);
-    let in_remove = || locate_in_remove(fields.get("remove")?);
-    let field = || locate_field::<Configuration>("", fields);
-    in_lists()
-        .or_else(in_upsert)
-        .or_else(in_remove)
-        .or_else(field)
+    locate_in_lists("", fields)
+        .or_else(|| locate_in_upsert(fields.get("upsert")?))
+        .or_else(|| locate_in_remove(fields.get("remove")?))
+        .or_else(|| locate_in_fields::<Configuration>("", fields))
 }
 
-/// The error for a text that is to be an object and is none.
-pub fn no_object(field: &str, text: &str) -> ConfigurationError {
-    ConfigurationError::Field {
+/// The error for a text that should be an object.
+pub(crate) fn not_an_object(field: &str, text: &str) -> ConfigurationError {
+    ConfigurationError::InvalidField {
         field: shortened(field),
         value: shortened(text),
         cause: "expected an object".into(),
     }
 }
 
+/// A value as it is shown in a message.
+pub(crate) fn shortened(text: &str) -> String {
+    match text.char_indices().nth(MAX_SHOWN_CHARS) {
+        Some((end, _)) => format!("{}...", &text[..end]),
+        None => text.to_owned(),
+    }
+}
+
 fn locate_in_upsert(upsert: &Value) -> Option<ConfigurationError> {
     match upsert.as_object() {
         Some(lists) => locate_in_lists("upsert.", lists),
-        None => Some(no_object("upsert", &upsert.to_string())),
+        None => Some(not_an_object("upsert", &upsert.to_string())),
     }
 }
 
 fn locate_in_remove(remove: &Value) -> Option<ConfigurationError> {
     let Some(lists) = remove.as_object() else {
-        return Some(no_object("remove", &remove.to_string()));
+        return Some(not_an_object("remove", &remove.to_string()));
     };
     lists.iter().find_map(|(list, names)| {
         let cause = Vec::<String>::deserialize(names).err()?.to_string();
-        Some(error(&shortened(&format!("remove.{list}")), names, cause))
+        let field = shortened(&format!("remove.{list}"));
+        Some(invalid_field(&field, names, &cause))
     })
 }
 
 fn locate_in_lists(path: &str, fields: &Map<String, Value>) -> Option<ConfigurationError> {
-    let routes = || locate_item::<Route>(&format!("{path}routes"), fields.get("routes")?);
-    let services = || locate_item::<Service>(&format!("{path}services"), fields.get("services")?);
-    let limits = || {
-        let value = fields.get("limits").filter(|value| !value.is_null())?;
-        locate_fields::<Limits>(&format!("{path}limits"), value)
+    let in_routes = || locate_in_list::<Route>(&format!("{path}routes"), fields.get("routes")?);
+    let in_services =
+        || locate_in_list::<Service>(&format!("{path}services"), fields.get("services")?);
+    let in_limits = || {
+        let limits = fields.get("limits").filter(|limits| !limits.is_null())?;
+        locate_in_item::<Limits>(&format!("{path}limits"), limits)
     };
-    routes().or_else(services).or_else(limits)
+    in_routes().or_else(in_services).or_else(in_limits)
 }
 
-fn locate_item<T: DeserializeOwned + Serialize + Default>(
+fn locate_in_list<T: DeserializeOwned + Serialize + Default>(
     path: &str,
     list: &Value,
 ) -> Option<ConfigurationError> {
     let Value::Array(items) = list else {
-        return Some(error(path, list, "expected a list".into()));
+        return Some(invalid_field(path, list, "expected a list"));
     };
-    let faults = items
+    items
         .iter()
         .enumerate()
-        .map(|(index, item)| locate_fields::<T>(&format!("{path}[{index}]"), item));
-    faults.flatten().next()
+        .find_map(|(index, item)| locate_in_item::<T>(&format!("{path}[{index}]"), item))
 }
 
-fn locate_fields<T: DeserializeOwned + Serialize + Default>(
+fn locate_in_item<T: DeserializeOwned + Serialize + Default>(
     path: &str,
     item: &Value,
 ) -> Option<ConfigurationError> {
     let cause = T::deserialize(item).err()?.to_string();
-    let field = item
-        .as_object()
-        .and_then(|fields| locate_field::<T>(&format!("{path}."), fields));
-    field.or_else(|| Some(error(path, item, cause)))
+    item.as_object()
+        .and_then(|fields| locate_in_fields::<T>(&format!("{path}."), fields))
+        .or_else(|| Some(invalid_field(path, item, &cause)))
 }
 
-fn locate_field<T: DeserializeOwned + Serialize + Default>(
+fn locate_in_fields<T: DeserializeOwned + Serialize + Default>(
     path: &str,
     fields: &Map<String, Value>,
 ) -> Option<ConfigurationError> {
     fields.iter().find_map(|(name, value)| {
-        let cause = fault_of::<T>(name, value)?;
-        Some(error(&format!("{path}{name}"), value, cause))
+        let cause = field_error::<T>(name, value)?;
+        Some(invalid_field(&format!("{path}{name}"), value, &cause))
     })
 }
 
-/// What is wrong with a valid `T` once it has this field.
-fn fault_of<T: DeserializeOwned + Serialize + Default>(
+/// The parser's error for a valid `T` in which this field has this value.
+fn field_error<T: DeserializeOwned + Serialize + Default>(
     name: &str,
     value: &Value,
 ) -> Option<String> {
@@ -109,18 +114,10 @@
     T::deserialize(sample).err().map(|error| error.to_string())
 }
 
-fn error(field: &str, value: &Value, cause: String) -> ConfigurationError {
-    ConfigurationError::Field {
+fn invalid_field(field: &str, value: &Value, cause: &str) -> ConfigurationError {
+    ConfigurationError::InvalidField {
         field: field.to_owned(),
         value: shortened(&value.to_string()),
-        cause: shortened(&cause),
-    }
-}
-
-/// A value as it is shown in a message.
-pub fn shortened(text: &str) -> String {
-    match text.char_indices().nth(MOST_SHOWN) {
-        Some((end, _)) => format!("{}...", &text[..end]),
-        None => text.to_owned(),
+        cause: shortened(cause),
     }
 }
--- a/crates/configuration/src/json.rs
+++ b/crates/configuration/src/json.rs
@@ -1,49 +1,51 @@
-//! Reading of configurations and updates from JSON. Types are checked here, what holds between fields in [`crate::validation`].
+//! Reading of configurations and updates from JSON. Types are checked here, what holds between fields in
+//! [`crate::validation`].
 
 use crate::error::ConfigurationError;
-use crate::invalid_field;
+use crate::invalid_field::{locate_invalid_field, not_an_object, shortened};
 use serde::de::DeserializeOwned;
 use streamusher_protocol::config::{Configuration, Update};
 
 /// What JSON allows around a value.
-pub(crate) const WHITE_SPACE: [char; 4] = [' ', '\t', '\r', '\n'];
+pub(crate) const JSON_WHITESPACE: [char; 4] = [' ', '\t', '\r', '\n'];
 
 /// Reads a whole configuration.
 ///
 /// # Errors
-/// [`ConfigurationError::Unreadable`] where it is no JSON, [`ConfigurationError::Field`] where a field has the wrong type.
-pub fn parse_configuration(body: &str) -> Result<Configuration, ConfigurationError> {
-    parse(body)
+/// [`ConfigurationError::Malformed`] where it is not JSON, [`ConfigurationError::InvalidField`] where a field has the wrong
+/// type.
+pub(crate) fn parse_configuration(body: &str) -> Result<Configuration, ConfigurationError> {
+    parse_object(body)
 }
 
 /// Reads an update.
 ///
 /// # Errors
 /// As for [`parse_configuration`].
-pub fn parse_update(body: &str) -> Result<Update, ConfigurationError> {
-    parse(body)
+pub(crate) fn parse_update(body: &str) -> Result<Update, ConfigurationError> {
+    parse_object(body)
 }
 
-fn parse<T: DeserializeOwned>(body: &str) -> Result<T, ConfigurationError> {
-    check_object(body)?;
+fn parse_object<T: DeserializeOwned>(body: &str) -> Result<T, ConfigurationError> {
+    reject_array(body)?;
     serde_json::from_str(body).map_err(|error| explain(body, &error))
 }
 
-/// Refuses lists, which the parser would take for the fields in their order.
-fn check_object(body: &str) -> Result<(), ConfigurationError> {
-    if body.trim_start_matches(WHITE_SPACE).starts_with('[') {
-        return Err(invalid_field::no_object("the body", body));
+/// Rejects an array, which the parser would take for the fields in their order.
+fn reject_array(body: &str) -> Result<(), ConfigurationError> {
+    if body.trim_start_matches(JSON_WHITESPACE).starts_with('[') {
+        return Err(not_an_object("the body", body));
     }
     Ok(())
 }
 
-/// Makes the parser's error into one that names the field, where the text is JSON at all.
+/// Turns the parser's error into one that names the invalid field, where the text is JSON at all.
 pub(crate) fn explain(body: &str, error: &serde_json::Error) -> ConfigurationError {
-    let unreadable = || ConfigurationError::Unreadable {
-        cause: invalid_field::shortened(&error.to_string()),
+    let malformed = || ConfigurationError::Malformed {
+        cause: shortened(&error.to_string()),
     };
     match serde_json::from_str(body) {
-        Ok(value) => invalid_field::locate(&value).unwrap_or_else(unreadable),
-        Err(_) => unreadable(),
+        Ok(value) => locate_invalid_field(&value).unwrap_or_else(malformed),
+        Err(_) => malformed(),
     }
 }
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,31 +1,57 @@
-//! The operators' configuration: checking, versions, repeated orders; the relay tree that distributes it.
+//! The operators' configuration: validation, versions, idempotent changes, and the relay tree that distributes it.
 //!
-//! - [`store`]: the primary's state machine, which takes or refuses changes and says what to write.
-//! - [`error`]: why a change, a record or a file is refused, with the remedy.
-//! - [`json`]: reading of JSON bodies, with the faulty field named.
-//! - [`validation`]: what must hold between the fields of a configuration; shared by wire and file.
-//! - [`mod@file`]: checking of a configuration file given on the command line.
-//! - [`update`]: a configuration as text, and the result of an update on it.
-//! - [`route_table`]: choice of the route by host and longest prefix.
-//! - [`relay`]: how the newest configuration reaches every process of the data plane.
-//! - [`applied_changes`]: stable names of orders, and the record of those that were taken.
-//! - [`rejected_changes`]: orders that were refused before the version on which they build was current.
+//! The primary holds the configuration in a [`ConfigurationStore`]. An operator either replaces it whole or updates named
+//! items of it, and names the version on which the change builds (optimistic concurrency: one change wins a base version).
+//! The store decides whether a change is applied, and returns what has to be written to the replicated state for that, with
+//! records by which a repeated change gets the same answer after a failover. Once committed, the configuration goes down
+//! the relay tree ([`relay`]) to every process of the data plane.
 //!
-//! Nothing here does I/O (but for [`file::check_file`], which reads its file) and nothing here knows the time.
+//! The crate does no I/O (but for [`check_file`], which reads its file) and takes the current time as an argument.
+//!
+//! ```
+//! use streamusher_configuration::{ChangeOutcome, ConfigurationStore};
+//!
+//! let mut store = ConfigurationStore::new();
+//! let first = r#"{"version": 1, "services": [{"name": "scans"}]}"#;
+//! let ChangeOutcome::Applied { version, writes } = store.replace(0, first) else {
+//!     panic!("a first configuration builds on version 0");
+//! };
+//! // The new configuration, and the record by which a repetition is recognized: to be committed as one batch.
+//! assert_eq!((version, writes.len()), (1, 2));
+//!
+//! // The answer was lost and the operator sends the change again.
+//! assert_eq!(store.replace(0, first), ChangeOutcome::AlreadyApplied { version: 1 });
+//!
+//! // An update of named items.
+//! let update = r#"{"version": 2, "remove": {"services": ["scans"]}}"#;
+//! assert!(matches!(store.update(1, update), ChangeOutcome::Applied { version: 2, .. }));
+//!
+//! // Another change on version 1 comes too late.
+//! let late = store.update(1, r#"{"version": 3}"#);
+//! assert!(matches!(late, ChangeOutcome::VersionConflict { current_version: 2, .. }));
+//! ```
 
-pub mod applied_changes;
-pub mod error;
-pub mod file;
+mod applied_changes;
+mod change_id;
+mod error;
+mod file;
 mod invalid_field;
-pub mod json;
-pub mod rejected_changes;
+mod json;
+mod published;
+mod rejected_changes;
 pub mod relay;
-pub mod route_table;
-pub mod store;
-pub mod update;
-pub mod validation;
+mod route_table;
+mod store;
+mod update;
+mod validation;
 
+pub use applied_changes::MAX_APPLIED_CHANGES;
+pub use change_id::{ChangeId, ChangeKind, APPLIED_KEY_PREFIX, REJECTED_KEY_PREFIX};
 pub use error::{ConfigurationError, RecordError};
 pub use file::check_file;
-pub use route_table::RouteTable;
-pub use store::{ChangeOutcome, ConfigurationStore};
+pub use published::{PublishedConfiguration, PublishedUpdate};
+pub use rejected_changes::MAX_REJECTED_CHANGES;
+pub use route_table::{normalized_host, RouteMatch, RouteTable};
+pub use store::{ChangeOutcome, ConfigurationStore, CURRENT_KEY};
+pub use update::apply_update;
+pub use validation::MAX_EXACT_NUMBER;
--- a/crates/configuration/src/relay/member_leases.rs
+++ b/crates/configuration/src/relay/member_leases.rs
@@ -1,69 +1,64 @@
-//! The members of the relay tree, by leases that each renews at the primary.
+//! The membership of the relay tree, by leases that each member renews at the primary.
 //!
-//! Kept in memory only: members renew at a new primary at once, which waits [`GATHERING`] for them.
+//! Leases are kept in memory only: members renew theirs at a new primary, which waits [`MEMBERSHIP_WARM_UP_MS`] for them.
 
-use super::tree::RelayMembership;
-use super::{GATHERING, LEASE, ROSTER_INTERVAL};
+use super::membership::RelayMembership;
+use super::timing::{LEASE_MS, MEMBERSHIP_INTERVAL_MS, MEMBERSHIP_WARM_UP_MS};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// Bits of a roster's version below the epoch: a primary would make that many changes in thirty years.
+/// Bits of a membership's version below the epoch: a primary would make that many changes in thirty years.
 const EPOCH_SHIFT: u32 = 32;
 
-/// The leases at one primary, and the roster that they make.
+/// The leases at one primary, and the membership that follows from them.
 #[derive(Clone, Debug)]
 pub struct MemberLeases {
-    /// When each lease is over.
-    until: BTreeMap<Arc<str>, Millis>,
-    roster: RelayMembership,
-    /// When the roster may change next.
-    next_roster: Millis,
+    /// When each lease expires.
+    expirations: BTreeMap<Arc<str>, Millis>,
+    membership: RelayMembership,
+    /// When the membership may change next.
+    next_membership_at: Millis,
 }
 
 impl MemberLeases {
-    /// The leases of a primary that begins now. Its rosters are newer than those of any earlier epoch.
+    /// The leases of a primary that was elected in `epoch`. Its memberships are newer than those of any earlier epoch.
     pub fn new(epoch: u64, now: Millis) -> MemberLeases {
         let version = epoch.saturating_add(1) << EPOCH_SHIFT;
         MemberLeases {
-            until: BTreeMap::new(),
-            roster: RelayMembership {
+            expirations: BTreeMap::new(),
+            membership: RelayMembership {
                 version,
                 members: Vec::new(),
             },
-            next_roster: now + GATHERING,
+            next_membership_at: now + MEMBERSHIP_WARM_UP_MS,
         }
     }
 
     /// Renews a member's lease, or grants it one.
     pub fn renew(&mut self, now: Millis, address: &Arc<str>) {
-        match self.until.get_mut(address) {
-            Some(until) => *until = now + LEASE,
-            None => {
-                self.until.insert(address.clone(), now + LEASE);
-            }
-        }
+        self.expirations.insert(address.clone(), now + LEASE_MS);
     }
 
-    /// The newest roster; none before the first one.
-    pub fn roster(&self) -> Option<&RelayMembership> {
-        (!self.roster.members.is_empty()).then_some(&self.roster)
+    /// The newest membership; none before the first one.
+    pub fn membership(&self) -> Option<&RelayMembership> {
+        (!self.membership.members.is_empty()).then_some(&self.membership)
     }
 
-    /// Ends leases that are over; gives the roster where it has changed.
+    /// Ends leases that have expired; returns the membership where it has changed.
     pub fn tick(&mut self, now: Millis) -> Option<&RelayMembership> {
-        if now < self.next_roster {
+        if now < self.next_membership_at {
             return None;
         }
-        self.until.retain(|_, until| now < *until);
-        if self.until.keys().eq(&self.roster.members) {
+        self.expirations.retain(|_, expires_at| now < *expires_at);
+        if self.expirations.keys().eq(&self.membership.members) {
             return None;
         }
-        self.roster = RelayMembership {
-            version: self.roster.version + 1,
-            members: self.until.keys().cloned().collect(),
+        self.membership = RelayMembership {
+            version: self.membership.version + 1,
+            members: self.expirations.keys().cloned().collect(),
         };
-        self.next_roster = now + ROSTER_INTERVAL;
-        Some(&self.roster)
+        self.next_membership_at = now + MEMBERSHIP_INTERVAL_MS;
+        Some(&self.membership)
     }
 }
--- a/crates/configuration/src/relay/message.rs
+++ b/crates/configuration/src/relay/message.rs
@@ -1,4 +1,4 @@
-//! What members of the relay tree say to each other.
+//! Messages between the members of the relay tree. The names in their JSON are those of all releases.
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
@@ -7,85 +7,98 @@
 /// One end of a message.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RelayPeer {
-    /// The primary, wherever it is now.
-    Core,
+    /// The primary, on whichever machine it is.
+    #[serde(rename = "Core")]
+    Primary,
     /// A member, by its address.
     Member(Arc<str>),
 }
 
-/// Rises with each heartbeat of the root and is passed down: who hears a newer one is connected to the root.
+/// Rises with each heartbeat of the root and is passed down: a member that receives a newer one is connected to the root.
+///
+/// The order of the fields is that in which heartbeats are compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RootHeartbeat {
     /// The primary's epoch.
     pub epoch: u64,
-    /// Heartbeats of this primary.
+    /// Number of the heartbeat within the epoch.
     pub count: u64,
 }
 
-/// An operator's update that was taken.
+/// An operator's update that was applied.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ConfigurationDelta {
     /// The version on which it builds.
-    pub base: u64,
+    #[serde(rename = "base")]
+    pub base_version: u64,
     /// The version that it makes.
     pub version: u64,
-    /// The update as the operator sent it; see [`crate::update::apply`].
+    /// The update as the operator sent it; see [`crate::apply_update`].
     pub update: Arc<RawValue>,
 }
 
-/// A message. Answers are messages of their own.
+/// A message. Messages are not acknowledged: an answer is a message of its own.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum RelayMessage {
-    /// Down the tree, at regular times and as the first answer to a question.
+    /// Down the tree, at regular intervals and as the first answer to a request.
     Heartbeat {
         /// The sender's version; 0 for none.
         version: u64,
-        /// The newest pulse that the sender knows.
-        pulse: RootHeartbeat,
-        /// The receiver is no child by the sender's roster, and has to ask again within [`super::ADOPTION`].
-        adopted: bool,
-        /// The sender will not send this version unasked.
-        ask: bool,
+        /// The newest heartbeat of the root that the sender knows.
+        #[serde(rename = "pulse")]
+        root_heartbeat: RootHeartbeat,
+        /// The receiver is not a child by the sender's membership: it has to renew its request within
+        /// [`TEMPORARY_CHILD_TIMEOUT_MS`](super::TEMPORARY_CHILD_TIMEOUT_MS).
+        #[serde(rename = "adopted")]
+        is_temporary: bool,
+        /// The sender will not send this version without a request, as it is too long.
+        #[serde(rename = "ask")]
+        request_required: bool,
     },
-    /// Down the tree: changes, each on top of the one before.
-    Changes(Vec<ConfigurationDelta>),
+    /// Down the tree: updates, each of which builds on the one before.
+    #[serde(rename = "Changes")]
+    Deltas(Vec<ConfigurationDelta>),
     /// Down the tree: a whole configuration.
-    Whole {
+    #[serde(rename = "Whole")]
+    Snapshot {
         /// Its version.
         version: u64,
-        /// Its text.
+        /// Its JSON text.
         text: Arc<RawValue>,
     },
-    /// Up the tree: send me what is newer, and heartbeats.
-    Ask {
-        /// The version that the sender has; 0 to get the newest whole.
-        have: u64,
+    /// Up the tree: a request for what is newer, and for heartbeats.
+    #[serde(rename = "Ask")]
+    Request {
+        /// The version that the sender has; 0 to get a snapshot of the newest one.
+        #[serde(rename = "have")]
+        known_version: u64,
     },
 }
 
-/// The body of a call: messages of one sender, in the order in which they were sent.
+/// The body of an HTTP request: messages of one sender, in the order in which they were sent.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RelayEnvelope {
     /// The sender.
-    pub from: RelayPeer,
+    #[serde(rename = "from")]
+    pub sender: RelayPeer,
     /// Its messages.
     pub messages: Vec<RelayMessage>,
 }
 
-/// A message to be sent to each of `to`.
+/// A message to be sent to each of its receivers. One that cannot be delivered is dropped.
 #[derive(Clone, Debug)]
 pub struct OutboundMessage {
     /// The receivers.
-    pub to: Vec<RelayPeer>,
+    pub receivers: Vec<RelayPeer>,
     /// The message.
     pub message: RelayMessage,
 }
 
 impl OutboundMessage {
-    /// To a single receiver.
-    pub fn one(to: RelayPeer, message: RelayMessage) -> OutboundMessage {
+    /// A message to a single receiver.
+    pub(super) fn to_peer(receiver: RelayPeer, message: RelayMessage) -> OutboundMessage {
         OutboundMessage {
-            to: vec![to],
+            receivers: vec![receiver],
             message,
         }
     }
--- a/crates/configuration/src/relay/node.rs
+++ b/crates/configuration/src/relay/node.rs
@@ -1,25 +1,29 @@
-//! A member of the relay tree: takes versions from above, passes them on, and looks for another sender when there is need.
+//! A member of the relay tree: receives versions from above, sends them on, and looks for another sender when its parent is
+//! silent.
 
+use super::address_hash::stable_hash;
+use super::distributor::Distributor;
+use super::membership::RelayMembership;
 use super::message::{ConfigurationDelta, OutboundMessage, RelayMessage, RelayPeer};
-use super::parent_selection::Upstream;
-use super::receivers::Downstream;
-use super::tree::{hash, RelayMembership, Tree};
-use super::update_log::{changed, read, Archive};
-use super::{HEARTBEAT_INTERVAL, SILENCE};
+use super::missing_version::Delivery;
+use super::parent_selection::ParentSelection;
+use super::parsed_configuration::ParsedConfiguration;
+use super::timing::{HEARTBEAT_INTERVAL_MS, HEARTBEAT_TIMEOUT_MS};
+use super::tree::RelayTree;
 use serde_json::value::RawValue;
 use std::sync::Arc;
 use streamusher_protocol::config::Configuration;
 use streamusher_protocol::Millis;
 
-/// Spread of the members' patience, so that not all ask at the same moment.
-const JITTER: Millis = 300;
+/// Bound of what is added to the members' time-outs, so that not all send their requests at the same moment.
+const MAX_JITTER_MS: Millis = 300;
 
-/// What a member is to do now.
+/// What the process has to do now.
 #[derive(Debug, Default)]
 pub struct RelayActions {
-    /// Messages to send. One that cannot be delivered is dropped.
-    pub sends: Vec<OutboundMessage>,
-    /// A newer configuration, to act by from now on.
+    /// Messages to send.
+    pub messages: Vec<OutboundMessage>,
+    /// A newer configuration, which is in force from now on.
     pub configuration: Option<Arc<Configuration>>,
 }
 
@@ -27,39 +31,38 @@
 #[derive(Clone, Debug)]
 pub struct RelayNode {
     address: Arc<str>,
-    roster: Option<u64>,
-    upstream: Upstream,
-    downstream: Downstream,
-    archive: Archive,
-    /// A change did not fit the text that is here: the next configuration is wanted whole.
-    is_damaged: bool,
-    /// When it was to be called at the latest; a much later call tells of a freeze.
-    called_by: Millis,
+    membership_version: Option<u64>,
+    parent_selection: ParentSelection,
+    distributor: Distributor,
+    /// An update did not fit the text that this member has: it requests a snapshot next.
+    needs_snapshot: bool,
+    /// When the node was to be called at the latest; a much later call shows that the process was frozen.
+    expected_call_at: Millis,
 }
 
 impl RelayNode {
-    /// One that has just started. It asks for the configuration once it knows its roster, or after [`SILENCE`].
+    /// A member that has just started. It requests the configuration once it knows its membership, or after
+    /// [`HEARTBEAT_TIMEOUT_MS`].
     pub fn new(address: Arc<str>, now: Millis) -> RelayNode {
-        let spread = hash(&address);
+        let hash = stable_hash(&address);
         RelayNode {
             address,
-            roster: None,
-            upstream: Upstream::new(now, spread % JITTER),
-            downstream: Downstream::new(now + spread % HEARTBEAT_INTERVAL),
-            archive: Archive::default(),
-            is_damaged: false,
-            called_by: now + SILENCE,
+            membership_version: None,
+            parent_selection: ParentSelection::new(now, hash % MAX_JITTER_MS),
+            distributor: Distributor::new(now + hash % HEARTBEAT_INTERVAL_MS),
+            needs_snapshot: false,
+            expected_call_at: now + HEARTBEAT_TIMEOUT_MS,
         }
     }
 
     /// The version that it has; 0 for none.
     pub fn version(&self) -> u64 {
-        self.archive.version()
+        self.distributor.version()
     }
 
-    /// The text of the configuration that it has.
+    /// The JSON text of the configuration that it has.
     pub fn text(&self) -> Option<&Arc<RawValue>> {
-        self.archive.text()
+        self.distributor.text()
     }
 
     /// Its address.
@@ -67,215 +70,230 @@
         &self.address
     }
 
-    /// Version of the roster that it knows; 0 for none.
-    pub fn roster(&self) -> u64 {
-        self.roster.unwrap_or_default()
+    /// Version of the membership that it knows; 0 for none.
+    pub fn membership_version(&self) -> u64 {
+        self.membership_version.unwrap_or_default()
     }
 
-    /// Its parent by the roster.
+    /// Its parent by the membership.
     pub fn parent(&self) -> Option<&RelayPeer> {
-        self.upstream.parent()
+        self.parent_selection.parent()
     }
 
-    /// Who tells it because it asked.
-    pub fn adopter(&self) -> Option<&RelayPeer> {
-        self.upstream.adopter()
+    /// The peer that sends it heartbeats and updates because it has sent that one a request.
+    pub fn temporary_parent(&self) -> Option<&RelayPeer> {
+        self.parent_selection.temporary_parent()
     }
 
-    /// Those that it tells.
+    /// The peers to which it sends heartbeats and updates.
     pub fn receivers(&self) -> impl Iterator<Item = &RelayPeer> {
-        self.downstream.receivers()
+        self.distributor.receivers()
     }
 
-    /// When [`RelayNode::tick`] is to be called next.
+    /// When [`RelayNode::tick`] has to be called next.
     pub fn next_tick(&self) -> Millis {
-        Millis::min(self.upstream.next_due(), self.downstream.next_heartbeat())
+        let requests_due_at = self.parent_selection.next_due_at();
+        requests_due_at.min(self.distributor.next_heartbeat_at())
     }
 
-    /// Takes a roster; one that is not newer than the last one is passed over.
-    pub fn set_roster(&mut self, now: Millis, roster: &RelayMembership) -> RelayActions {
-        if self.roster.is_some_and(|version| version >= roster.version) {
+    /// Takes a membership; one that is not newer than the last one is ignored.
+    pub fn set_membership(&mut self, now: Millis, membership: &RelayMembership) -> RelayActions {
+        if self.membership_version >= Some(membership.version) {
             return RelayActions::default();
         }
-        let tree = Tree::new(roster);
-        self.upstream
+        let tree = RelayTree::new(membership);
+        self.parent_selection
             .set_ancestors(now, tree.ancestors(&self.address));
-        self.downstream.set_children(tree.children(&self.address));
-        if self.roster.is_none() {
-            self.upstream.ask_now(now);
+        self.distributor.set_children(tree.children(&self.address));
+        if self.membership_version.is_none() {
+            self.parent_selection.search_now(now);
         }
-        self.roster = Some(roster.version);
+        self.membership_version = Some(membership.version);
         self.finish(now, RelayActions::default())
     }
 
-    /// Takes note that there is such a version, as learned elsewhere (in the primary's answer to a call).
-    pub fn heard_of(&mut self, now: Millis, version: u64) -> RelayActions {
+    /// Takes note that this version exists, as learned elsewhere (in the primary's response to a lease).
+    pub fn on_version_announced(&mut self, now: Millis, version: u64) -> RelayActions {
         if version > self.version() {
-            self.upstream.lacks(now, version, None, false);
+            self.parent_selection
+                .on_version_announced(now, version, None, Delivery::Pushed);
         }
         self.finish(now, RelayActions::default())
     }
 
-    /// Does what is due.
+    /// Sends the requests and heartbeats that are due.
     pub fn tick(&mut self, now: Millis) -> RelayActions {
-        let actions = self.notice_freeze(now);
+        let actions = RelayActions {
+            messages: self.requests_after_freeze(now),
+            configuration: None,
+        };
         self.finish(now, actions)
     }
 
-    /// Takes a message.
-    pub fn receive(
+    /// Handles a message.
+    pub fn on_message(
         &mut self,
         now: Millis,
-        from: &RelayPeer,
+        sender: &RelayPeer,
         message: RelayMessage,
     ) -> RelayActions {
-        let woken = self.notice_freeze(now);
-        let mut actions = match message {
+        let requests_after_freeze = self.requests_after_freeze(now);
+        let mut actions = self.handle(now, sender, message);
+        actions.messages.extend(requests_after_freeze);
+        self.finish(now, actions)
+    }
+
+    fn handle(&mut self, now: Millis, sender: &RelayPeer, message: RelayMessage) -> RelayActions {
+        match message {
             RelayMessage::Heartbeat {
                 version,
-                pulse,
-                adopted,
-                ask,
+                root_heartbeat,
+                is_temporary,
+                request_required,
             } => {
-                self.upstream.heard(now, from, pulse, adopted);
+                self.parent_selection
+                    .on_heartbeat(now, sender, root_heartbeat, is_temporary);
                 if version > self.version() {
-                    self.upstream.lacks(now, version, Some(from), ask);
+                    let delivery = match request_required {
+                        true => Delivery::OnRequest,
+                        false => Delivery::Pushed,
+                    };
+                    self.parent_selection.on_version_announced(
+                        now,
+                        version,
+                        Some(sender),
+                        delivery,
+                    );
                 }
                 RelayActions::default()
             }
-            RelayMessage::Changes(changes) => self.take_changes(now, from, &changes),
-            RelayMessage::Whole { version, text } => self.take_whole(from, version, text),
-            RelayMessage::Ask { have } => self.answer(now, from, have),
-        };
-        actions.sends.extend(woken.sends);
-        self.finish(now, actions)
+            RelayMessage::Deltas(deltas) => self.on_deltas(now, sender, &deltas),
+            RelayMessage::Snapshot { version, text } => self.on_snapshot(sender, version, text),
+            RelayMessage::Request { known_version } => self.on_request(now, sender, known_version),
+        }
     }
 
-    /// Asks the parent at once after a freeze, before a heartbeat that waited meanwhile can make that seem needless.
-    fn notice_freeze(&mut self, now: Millis) -> RelayActions {
-        let mut actions = RelayActions::default();
-        if now > self.called_by + SILENCE {
-            self.upstream.ask_now(now);
-            actions.sends.extend(self.questions(now));
+    /// Sends a request to the parent at once after the process was frozen. This comes before a heartbeat that was queued
+    /// meanwhile is handled, as that one would make the parent seem alive.
+    fn requests_after_freeze(&mut self, now: Millis) -> Vec<OutboundMessage> {
+        if now <= self.expected_call_at + HEARTBEAT_TIMEOUT_MS {
+            return Vec::new();
         }
-        actions
+        self.parent_selection.search_now(now);
+        self.due_requests(now).into_iter().collect()
     }
 
-    /// Adds the questions and heartbeats that are due.
+    /// Adds the requests and heartbeats that are due.
     fn finish(&mut self, now: Millis, mut actions: RelayActions) -> RelayActions {
-        actions.sends.extend(self.questions(now));
-        if self.downstream.is_due(now) {
-            actions.sends.extend(self.downstream.heartbeats(
-                self.version(),
-                self.upstream.pulse(),
-                false,
-            ));
+        actions.messages.extend(self.due_requests(now));
+        if self.distributor.take_due_heartbeat(now) {
+            let root_heartbeat = self.parent_selection.root_heartbeat();
+            actions
+                .messages
+                .extend(self.distributor.heartbeats(root_heartbeat));
         }
-        self.called_by = self.next_tick();
+        self.expected_call_at = self.next_tick();
         actions
     }
 
-    fn questions(&mut self, now: Millis) -> Option<OutboundMessage> {
-        let to = self.upstream.due(now);
-        let have = if self.is_damaged { 0 } else { self.version() };
-        (!to.is_empty()).then_some(OutboundMessage {
-            to,
-            message: RelayMessage::Ask { have },
+    fn due_requests(&mut self, now: Millis) -> Option<OutboundMessage> {
+        let receivers = self.parent_selection.take_due(now);
+        if receivers.is_empty() {
+            return None;
+        }
+        let known_version = match self.needs_snapshot {
+            true => 0,
+            false => self.version(),
+        };
+        Some(OutboundMessage {
+            receivers,
+            message: RelayMessage::Request { known_version },
         })
     }
 
-    fn answer(&mut self, now: Millis, from: &RelayPeer, have: u64) -> RelayActions {
-        if have > self.version() {
-            self.upstream.lacks(now, have, None, false);
+    fn on_request(&mut self, now: Millis, sender: &RelayPeer, known_version: u64) -> RelayActions {
+        if known_version > self.version() {
+            self.parent_selection
+                .on_version_announced(now, known_version, None, Delivery::Pushed);
         }
-        let adopted = self.downstream.asked(now, from);
-        let (version, pulse) = (self.version(), self.upstream.pulse());
-        let heartbeat = RelayMessage::Heartbeat {
-            version,
-            pulse,
-            adopted,
-            ask: false,
-        };
-        let messages = std::iter::once(heartbeat).chain(self.archive.since(have));
-        let sends = messages
-            .map(|message| OutboundMessage::one(from.clone(), message))
-            .collect();
+        let root_heartbeat = self.parent_selection.root_heartbeat();
         RelayActions {
-            sends,
+            messages: self
+                .distributor
+                .on_request(now, sender, known_version, root_heartbeat),
             configuration: None,
         }
     }
 
-    fn take_changes(
+    fn on_deltas(
         &mut self,
         now: Millis,
-        from: &RelayPeer,
-        changes: &[ConfigurationDelta],
+        sender: &RelayPeer,
+        deltas: &[ConfigurationDelta],
     ) -> RelayActions {
-        let had = self.version();
+        let former_version = self.version();
         let mut configuration = None;
-        for change in changes.iter().filter(|change| change.version > had) {
-            let Some(taken) = self.take_change(change) else {
-                self.upstream.lacks(now, change.version, Some(from), true);
+        for delta in deltas.iter().filter(|delta| delta.version > former_version) {
+            let Some(applied) = self.apply_delta(delta) else {
+                self.parent_selection.on_version_announced(
+                    now,
+                    delta.version,
+                    Some(sender),
+                    Delivery::OnRequest,
+                );
                 break;
             };
-            configuration = Some(taken);
+            configuration = Some(applied);
         }
-        self.passed_on(had, configuration, from)
+        self.forward(sender, former_version, configuration)
     }
 
-    /// Takes a change; none where its base is not here, or where it does not fit the text that is.
-    fn take_change(&mut self, change: &ConfigurationDelta) -> Option<Arc<Configuration>> {
-        let base = self
-            .archive
-            .text()
-            .filter(|_| change.base == self.archive.version())?;
-        let Ok((text, configuration)) = changed(base, change) else {
-            self.is_damaged = true;
+    /// Applies an update; none where this member does not have its base version, or where it does not fit the text.
+    fn apply_delta(&mut self, delta: &ConfigurationDelta) -> Option<Arc<Configuration>> {
+        if delta.base_version != self.version() {
+            return None;
+        }
+        let base = self.distributor.text()?;
+        let Ok(parsed) = ParsedConfiguration::apply(base, delta) else {
+            self.needs_snapshot = true;
             return None;
         };
-        self.archive.set_changed(change.clone(), text);
-        Some(configuration)
+        self.distributor.append_update(delta.clone(), parsed.text);
+        Some(parsed.configuration)
     }
 
-    fn take_whole(&mut self, from: &RelayPeer, version: u64, text: Arc<RawValue>) -> RelayActions {
-        let had = self.version();
-        if version <= had {
+    fn on_snapshot(
+        &mut self,
+        sender: &RelayPeer,
+        version: u64,
+        text: Arc<RawValue>,
+    ) -> RelayActions {
+        let former_version = self.version();
+        if version <= former_version {
             return RelayActions::default();
         }
-        // One that cannot be read is dropped; it is asked for again elsewhere, as its heartbeats tell of it.
-        let Ok(configuration) = read(&text, version) else {
+        // One that cannot be read is dropped. It is requested again elsewhere, as heartbeats announce it.
+        let Ok(parsed) = ParsedConfiguration::parse(text, version) else {
             return RelayActions::default();
         };
-        self.archive.set_whole(version, text);
-        self.is_damaged = false;
-        self.passed_on(had, Some(configuration), from)
+        self.distributor.set_snapshot(version, parsed.text);
+        self.needs_snapshot = false;
+        self.forward(sender, former_version, Some(parsed.configuration))
     }
 
-    /// Passes on what brought this member from version `had` to the present one.
-    fn passed_on(
+    /// Sends on what brought this member from `former_version` to the present one.
+    fn forward(
         &mut self,
-        had: u64,
+        sender: &RelayPeer,
+        former_version: u64,
         configuration: Option<Arc<Configuration>>,
-        from: &RelayPeer,
     ) -> RelayActions {
-        let version = self.version();
-        self.upstream.has(version);
-        if version <= had {
-            return RelayActions::default();
-        }
-        let sends = match self.archive.pushed_since(had) {
-            Some(message) => self
-                .downstream
-                .tell(message, Some(from))
-                .into_iter()
-                .collect(),
-            None => self
-                .downstream
-                .heartbeats(version, self.upstream.pulse(), true),
-        };
+        self.parent_selection.on_version_received(self.version());
+        let root_heartbeat = self.parent_selection.root_heartbeat();
         RelayActions {
-            sends,
+            messages: self
+                .distributor
+                .forward(former_version, root_heartbeat, Some(sender)),
             configuration,
         }
     }
--- a/crates/configuration/src/relay/parent_selection.rs
+++ b/crates/configuration/src/relay/parent_selection.rs
@@ -1,259 +1,206 @@
-//! Where a member gets its news from: notices silence, and says whom to ask and when.
+//! From whom a member gets heartbeats and versions: detects that the parent is silent or partitioned, and tells to which
+//! peers requests have to be sent.
 
+use super::ancestor_search::AncestorSearch;
 use super::message::{RelayPeer, RootHeartbeat};
-use super::{
-    ASK_TIMEOUT, FIRST_PAUSE, LACK_RETRY, LONGEST_PAUSE, RENEWAL, SILENCE, STALE_BEATS, STALL,
-    UNDERWAY,
-};
+use super::missing_version::{Delivery, MissingVersion};
+use super::temporary_parent::TemporaryParent;
+use super::timing::{HEARTBEAT_TIMEOUT_MS, ROOT_TIMEOUT_MS};
 use streamusher_protocol::Millis;
 
-/// A member's view of those above it.
-#[derive(Clone, Debug)]
-pub struct Upstream {
-    /// Parent first, the core last.
-    ancestors: Vec<RelayPeer>,
-    /// Added to [`STALL`], so that not all members ask at the same moment.
-    jitter: Millis,
-    pulse: RootHeartbeat,
-    /// When the pulse last rose.
-    pulse_at: Millis,
-    /// Last heartbeat of anyone who is not cut off.
-    heard_at: Millis,
-    /// Last heartbeat of one that counts this member as its child.
-    parent_at: Option<Millis>,
-    adopter: Option<Adopter>,
-    search: Option<Search>,
-    lack: Option<Lack>,
-}
+/// Heartbeats that are further behind the newest root heartbeat come from a member that is partitioned, and are ignored.
+const MAX_ROOT_HEARTBEAT_LAG: u64 = 5;
 
-/// Who tells this member because it asked.
-#[derive(Clone, Debug)]
-struct Adopter {
-    peer: RelayPeer,
-    heard_at: Millis,
-    renewed_at: Millis,
-}
+/// Index of the parent among the ancestors.
+const PARENT: usize = 0;
 
-/// Asking one ancestor after the other.
-#[derive(Clone, Debug)]
-struct Search {
-    /// Place of the one to be asked next; beyond the last one for a pause.
-    next: usize,
-    /// When it is asked.
-    at: Millis,
-    pause: Millis,
-}
+/// Index of the ancestor that is tried first once the parent was found silent.
+const GRANDPARENT: usize = 1;
 
-/// A version that was heard of.
+/// A member's view of those above it in the tree.
 #[derive(Clone, Debug)]
-struct Lack {
-    version: u64,
-    /// Who has it, where that is known.
-    holder: Option<RelayPeer>,
-    /// Questions so far.
-    asked: usize,
-    /// When it is asked for next.
-    at: Millis,
+pub(super) struct ParentSelection {
+    /// The parent first, the primary last; never empty.
+    ancestors: Vec<RelayPeer>,
+    /// Added to [`ROOT_TIMEOUT_MS`], so that not all members send their requests at the same moment.
+    jitter_ms: Millis,
+    root_heartbeat: RootHeartbeat,
+    /// When the root heartbeat last rose.
+    root_heartbeat_at: Millis,
+    /// Last heartbeat of any peer that is not partitioned.
+    heartbeat_at: Millis,
+    /// Last heartbeat of a peer that counts this member as its child.
+    parent_heartbeat_at: Option<Millis>,
+    temporary_parent: Option<TemporaryParent>,
+    search: Option<AncestorSearch>,
+    missing_version: Option<MissingVersion>,
 }
 
-impl Upstream {
-    /// One that knows of the core only.
-    pub fn new(now: Millis, jitter: Millis) -> Upstream {
-        Upstream {
-            ancestors: vec![RelayPeer::Core],
-            jitter,
-            pulse: RootHeartbeat::default(),
-            pulse_at: now,
-            heard_at: now,
-            parent_at: None,
-            adopter: None,
+impl ParentSelection {
+    /// One that knows of the primary only.
+    pub(super) fn new(now: Millis, jitter_ms: Millis) -> ParentSelection {
+        ParentSelection {
+            ancestors: vec![RelayPeer::Primary],
+            jitter_ms,
+            root_heartbeat: RootHeartbeat::default(),
+            root_heartbeat_at: now,
+            heartbeat_at: now,
+            parent_heartbeat_at: None,
+            temporary_parent: None,
             search: None,
-            lack: None,
+            missing_version: None,
         }
     }
 
-    /// The parent by the newest roster; the core while there is none.
-    pub fn parent(&self) -> Option<&RelayPeer> {
+    /// The parent by the newest membership; the primary while there is none.
+    pub(super) fn parent(&self) -> Option<&RelayPeer> {
         self.ancestors.first()
     }
 
-    /// Who tells this member because it asked.
-    pub fn adopter(&self) -> Option<&RelayPeer> {
-        self.adopter.as_ref().map(|adopter| &adopter.peer)
+    /// The temporary parent, where there is one.
+    pub(super) fn temporary_parent(&self) -> Option<&RelayPeer> {
+        self.temporary_parent.as_ref().map(TemporaryParent::peer)
     }
 
-    /// The newest pulse.
-    pub fn pulse(&self) -> RootHeartbeat {
-        self.pulse
+    /// The newest root heartbeat.
+    pub(super) fn root_heartbeat(&self) -> RootHeartbeat {
+        self.root_heartbeat
     }
 
-    /// Takes the ancestors of a new roster. The new parent gets the usual time for its first heartbeat.
-    pub fn set_ancestors(&mut self, now: Millis, ancestors: Vec<RelayPeer>) {
+    /// Takes the ancestors of a new membership. The new parent gets the usual time for its first heartbeat.
+    pub(super) fn set_ancestors(&mut self, now: Millis, ancestors: Vec<RelayPeer>) {
         self.ancestors = ancestors;
-        self.heard_at = now;
+        self.heartbeat_at = now;
         if self.search.is_some() {
-            self.search_from(0, now);
+            self.start_search(PARENT, now);
         }
     }
 
-    /// Starts asking at once, with the parent: after a start, or after a freeze.
-    pub fn ask_now(&mut self, now: Millis) {
-        self.search_from(0, now);
+    /// Starts a search at once, with the parent: after a start, or after the process was frozen.
+    pub(super) fn search_now(&mut self, now: Millis) {
+        self.start_search(PARENT, now);
     }
 
-    /// Takes note of a heartbeat.
-    pub fn heard(&mut self, now: Millis, from: &RelayPeer, pulse: RootHeartbeat, adopted: bool) {
-        if self.is_stale(pulse) {
+    /// Takes note of a heartbeat. `is_temporary` tells that its sender does not count this member as its child.
+    pub(super) fn on_heartbeat(
+        &mut self,
+        now: Millis,
+        sender: &RelayPeer,
+        root_heartbeat: RootHeartbeat,
+        is_temporary: bool,
+    ) {
+        if self.is_stale(root_heartbeat) {
             return;
         }
-        self.heard_at = now;
-        if pulse > self.pulse {
-            self.pulse = pulse;
-            self.pulse_at = now;
+        self.heartbeat_at = now;
+        if root_heartbeat > self.root_heartbeat {
+            self.root_heartbeat = root_heartbeat;
+            self.root_heartbeat_at = now;
             self.search = None;
         }
-        if adopted {
-            self.heard_adopter(now, from);
+        if is_temporary {
+            self.on_temporary_heartbeat(now, sender);
         } else {
-            self.parent_at = Some(now);
+            self.parent_heartbeat_at = Some(now);
         }
     }
 
-    /// Takes note of a version that is newer than this member's. At once means that it will not come unasked.
-    pub fn lacks(&mut self, now: Millis, version: u64, holder: Option<&RelayPeer>, at_once: bool) {
-        let at = if at_once { now } else { now + UNDERWAY };
-        match &mut self.lack {
-            Some(lack) if lack.version >= version => {
-                // Without a question on its way, the first one may go to this holder.
-                if at_once && lack.asked == 0 {
-                    *lack = Lack {
-                        version: lack.version,
-                        holder: holder.cloned(),
-                        asked: 0,
-                        at,
-                    };
-                }
-            }
-            lack => {
-                *lack = Some(Lack {
-                    version,
-                    holder: holder.cloned(),
-                    asked: 0,
-                    at,
-                })
+    /// Takes note of a version that is newer than this member's, and of a peer that has it.
+    pub(super) fn on_version_announced(
+        &mut self,
+        now: Millis,
+        version: u64,
+        holder: Option<&RelayPeer>,
+        delivery: Delivery,
+    ) {
+        match &mut self.missing_version {
+            Some(missing) if missing.version() >= version => {
+                missing.on_announced_again(now, holder, delivery);
             }
+            missing => *missing = Some(MissingVersion::new(now, version, holder, delivery)),
         }
     }
 
-    /// Takes note that this version is here.
-    pub fn has(&mut self, version: u64) {
-        if self
-            .lack
-            .as_ref()
-            .is_some_and(|lack| lack.version <= version)
-        {
-            self.lack = None;
-        }
+    /// Takes note that the member has this version now.
+    pub(super) fn on_version_received(&mut self, version: u64) {
+        self.missing_version
+            .take_if(|missing| missing.version() <= version);
     }
 
-    /// Whom to ask now.
-    pub fn due(&mut self, now: Millis) -> Vec<RelayPeer> {
-        if self.search.is_none() && now >= self.patience_ends() {
-            // The first one is the parent, which has just been found silent.
-            self.search_from(1, now);
+    /// The peers to which a request has to be sent now, sorted.
+    pub(super) fn take_due(&mut self, now: Millis) -> Vec<RelayPeer> {
+        if self.search.is_none() && now >= self.silence_detected_at() {
+            self.start_search(GRANDPARENT, now);
         }
         let mut peers = Vec::new();
-        peers.extend(self.due_search(now));
-        peers.extend(self.due_lack(now));
-        peers.extend(self.due_renewal(now));
+        if let Some(search) = &mut self.search {
+            peers.extend(search.take_due(now, &self.ancestors));
+        }
+        if let Some(missing) = &mut self.missing_version {
+            peers.extend(missing.take_due(now, &self.ancestors));
+        }
+        peers.extend(self.take_due_renewal(now));
         peers.sort();
         peers.dedup();
         peers
     }
 
-    /// When [`Upstream::due`] is to be called next.
-    pub fn next_due(&self) -> Millis {
-        let search = self
-            .search
-            .as_ref()
-            .map_or_else(|| self.patience_ends(), |search| search.at);
-        let lack = self.lack.as_ref().map(|lack| lack.at);
+    /// When [`ParentSelection::take_due`] has to be called next.
+    pub(super) fn next_due_at(&self) -> Millis {
+        let search = self.search.as_ref().map(AncestorSearch::due_at);
+        let missing = self.missing_version.as_ref().map(MissingVersion::due_at);
         let renewal = self
-            .adopter
+            .temporary_parent
             .as_ref()
-            .map(|adopter| adopter.renewed_at + RENEWAL);
-        let others = lack.into_iter().chain(renewal);
-        others.fold(search, Millis::min)
+            .map(TemporaryParent::renewal_due_at);
+        let search = search.unwrap_or_else(|| self.silence_detected_at());
+        missing.into_iter().chain(renewal).fold(search, Millis::min)
     }
 
-    fn is_stale(&self, pulse: RootHeartbeat) -> bool {
-        let behind = RootHeartbeat {
-            epoch: pulse.epoch,
-            count: pulse.count.saturating_add(STALE_BEATS),
+    /// Whether the sender of this root heartbeat is partitioned from the root.
+    fn is_stale(&self, root_heartbeat: RootHeartbeat) -> bool {
+        let newest_if_connected = RootHeartbeat {
+            epoch: root_heartbeat.epoch,
+            count: root_heartbeat.count.saturating_add(MAX_ROOT_HEARTBEAT_LAG),
         };
-        behind < self.pulse
+        newest_if_connected < self.root_heartbeat
     }
 
-    fn patience_ends(&self) -> Millis {
-        Millis::min(self.heard_at + SILENCE, self.pulse_at + STALL + self.jitter)
+    /// When the member looks for another sender if nothing comes until then.
+    fn silence_detected_at(&self) -> Millis {
+        let heartbeat_timeout_at = self.heartbeat_at + HEARTBEAT_TIMEOUT_MS;
+        let root_timeout_at = self.root_heartbeat_at + ROOT_TIMEOUT_MS + self.jitter_ms;
+        heartbeat_timeout_at.min(root_timeout_at)
     }
 
-    fn heard_adopter(&mut self, now: Millis, from: &RelayPeer) {
-        match &mut self.adopter {
-            Some(adopter) if adopter.peer == *from => adopter.heard_at = now,
-            Some(adopter) if now < adopter.heard_at + SILENCE => {}
-            _ => {
-                self.adopter = Some(Adopter {
-                    peer: from.clone(),
-                    heard_at: now,
-                    renewed_at: now,
-                })
-            }
+    /// A temporary parent is replaced by another one only once it is silent.
+    fn on_temporary_heartbeat(&mut self, now: Millis, sender: &RelayPeer) {
+        match &mut self.temporary_parent {
+            Some(parent) if parent.peer() == sender => parent.on_heartbeat(now),
+            Some(parent) if !parent.is_silent(now) => {}
+            parent => *parent = Some(TemporaryParent::new(now, sender)),
         }
     }
 
-    fn search_from(&mut self, first: usize, now: Millis) {
-        let next = first.min(self.ancestors.len() - 1);
-        self.search = Some(Search {
-            next,
-            at: now,
-            pause: FIRST_PAUSE,
-        });
+    fn start_search(&mut self, first_index: usize, now: Millis) {
+        let first_index = first_index.min(self.ancestors.len() - 1);
+        self.search = Some(AncestorSearch::new(first_index, now));
     }
 
-    fn due_search(&mut self, now: Millis) -> Option<RelayPeer> {
-        let search = self.search.as_mut().filter(|search| now >= search.at)?;
-        if let Some(peer) = self.ancestors.get(search.next) {
-            search.next += 1;
-            search.at = now + ASK_TIMEOUT;
-            return Some(peer.clone());
+    /// The temporary parent, where the request to it has to be renewed. It is dropped once it is silent, or the parent is not.
+    fn take_due_renewal(&mut self, now: Millis) -> Option<RelayPeer> {
+        let temporary_parent = self.temporary_parent.as_mut()?;
+        if now < temporary_parent.renewal_due_at() {
+            return None;
         }
-        search.next = 0;
-        search.at = now + search.pause;
-        search.pause = LONGEST_PAUSE.min(search.pause * 2);
-        None
-    }
-
-    fn due_lack(&mut self, now: Millis) -> Option<RelayPeer> {
-        let lack = self.lack.as_mut().filter(|lack| now >= lack.at)?;
-        let candidates: Vec<&RelayPeer> = lack.holder.iter().chain(&self.ancestors).collect();
-        let peer = candidates[lack.asked % candidates.len()].clone();
-        lack.asked += 1;
-        lack.at = now + LACK_RETRY;
-        Some(peer)
-    }
-
-    fn due_renewal(&mut self, now: Millis) -> Option<RelayPeer> {
-        let adopter = self
-            .adopter
-            .as_mut()
-            .filter(|adopter| now >= adopter.renewed_at + RENEWAL)?;
-        let has_parent = self.parent_at.is_some_and(|at| now < at + SILENCE);
-        if has_parent || now >= adopter.heard_at + SILENCE {
-            self.adopter = None;
+        let has_parent = self
+            .parent_heartbeat_at
+            .is_some_and(|at| now < at + HEARTBEAT_TIMEOUT_MS);
+        if has_parent || temporary_parent.is_silent(now) {
+            self.temporary_parent = None;
             return None;
         }
-        adopter.renewed_at = now;
-        Some(adopter.peer.clone())
+        temporary_parent.on_renewed(now);
+        Some(temporary_parent.peer().clone())
     }
 }
--- a/crates/configuration/src/relay/publisher.rs
+++ b/crates/configuration/src/relay/publisher.rs
@@ -1,24 +1,14 @@
-//! The primary's end of the relay tree for the time of one primary: its root, and the members' leases.
+//! The primary's end of the relay tree for the time of one primary: the root, and the members' leases.
 
 use super::member_leases::MemberLeases;
 use super::message::{ConfigurationDelta, OutboundMessage, RelayEnvelope};
 use super::root::RelayRoot;
+use crate::published::{PublishedConfiguration, PublishedUpdate};
 use serde_json::value::RawValue;
 use std::sync::Arc;
 use streamusher_protocol::internal::{GateLeaseRequest, GateLeaseResponse};
 use streamusher_protocol::Millis;
 
-/// A configuration that is committed.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Published {
-    /// Its version.
-    pub version: u64,
-    /// Its text.
-    pub text: Arc<str>,
-    /// Where an operator's update made it: the version on which that builds, and the update.
-    pub update: Option<(u64, Arc<str>)>,
-}
-
 /// Root and leases of one primary.
 #[derive(Clone, Debug)]
 pub struct ConfigurationPublisher {
@@ -27,7 +17,7 @@
 }
 
 impl ConfigurationPublisher {
-    /// That of a primary that begins now.
+    /// The publisher of a primary that was elected in `epoch`.
     pub fn new(epoch: u64, now: Millis) -> ConfigurationPublisher {
         ConfigurationPublisher {
             root: RelayRoot::new(epoch, now),
@@ -35,7 +25,7 @@
         }
     }
 
-    /// The version that was last published; 0 for none.
+    /// The version that was published last; 0 for none.
     pub fn version(&self) -> u64 {
         self.root.version()
     }
@@ -50,66 +40,68 @@
         &self.leases
     }
 
-    /// Renews a lease.
-    pub fn lease(&mut self, now: Millis, lease: &GateLeaseRequest) -> GateLeaseResponse {
-        self.leases.renew(now, &lease.address);
+    /// Renews a member's lease. The response carries the membership where the member does not know the newest one.
+    pub fn renew_lease(&mut self, now: Millis, request: &GateLeaseRequest) -> GateLeaseResponse {
+        self.leases.renew(now, &request.address);
         let configuration_version = self.version();
-        let Some(roster) = self.leases.roster() else {
+        let Some(membership) = self.leases.membership() else {
             return GateLeaseResponse {
                 configuration_version,
                 ..GateLeaseResponse::default()
             };
         };
-        let is_known = lease.membership_version == roster.version;
-        let members = (!is_known).then(|| roster.members.clone());
+        let is_known = request.membership_version == membership.version;
         GateLeaseResponse {
             configuration_version,
-            membership_version: roster.version,
-            members,
+            membership_version: membership.version,
+            members: (!is_known).then(|| membership.members.clone()),
         }
     }
 
-    /// Publishes a committed configuration. One whose text is no JSON was never committed, and is passed over.
-    pub fn publish(&mut self, published: &Published) -> Vec<OutboundMessage> {
-        let Some(text) = raw(&published.text) else {
+    /// Publishes a committed configuration. One whose text is not JSON was never committed, and is ignored.
+    pub fn publish(&mut self, published: &PublishedConfiguration) -> Vec<OutboundMessage> {
+        let Some(text) = raw_json(&published.text) else {
             return Vec::new();
         };
         let version = published.version;
-        match published
+        let delta = published
             .update
             .as_ref()
-            .and_then(|(base, update)| Some((*base, raw(update)?)))
-        {
-            Some((base, update)) => self.root.publish_change(
-                ConfigurationDelta {
-                    base,
-                    version,
-                    update,
-                },
-                text,
-            ),
+            .and_then(|update| delta(version, update));
+        match delta {
+            Some(delta) => self.root.publish_update(delta, text),
             None => self.root.publish(version, text),
         }
     }
 
-    /// Takes messages of a member.
-    pub fn receive(&mut self, now: Millis, envelope: RelayEnvelope) -> Vec<OutboundMessage> {
-        let from = envelope.from;
-        let messages = envelope.messages.into_iter();
-        messages
-            .flat_map(|message| self.root.receive(now, &from, message))
-            .collect()
+    /// Handles the messages of a member.
+    pub fn on_envelope(&mut self, now: Millis, envelope: RelayEnvelope) -> Vec<OutboundMessage> {
+        let RelayEnvelope { sender, messages } = envelope;
+        let mut answers = Vec::new();
+        for message in &messages {
+            answers.extend(self.root.on_message(now, &sender, message));
+        }
+        answers
     }
 
-    /// Does what is due.
+    /// Ends leases that have expired, and sends the heartbeats that are due.
     pub fn tick(&mut self, now: Millis) -> Vec<OutboundMessage> {
-        if let Some(roster) = self.leases.tick(now) {
-            self.root.set_roster(roster);
+        if let Some(membership) = self.leases.tick(now) {
+            self.root.set_membership(membership);
         }
         self.root.tick(now)
     }
 }
 
-fn raw(text: &str) -> Option<Arc<RawValue>> {
+/// The update as it goes down the tree; none where its text is not JSON.
+fn delta(version: u64, update: &PublishedUpdate) -> Option<ConfigurationDelta> {
+    Some(ConfigurationDelta {
+        base_version: update.base_version,
+        version,
+        update: raw_json(&update.text)?,
+    })
+}
+
+fn raw_json(text: &str) -> Option<Arc<RawValue>> {
     RawValue::from_string(text.to_owned()).ok().map(Arc::from)
 }
--- a/crates/configuration/src/relay/receivers.rs
+++ b/crates/configuration/src/relay/receivers.rs
@@ -1,105 +1,109 @@
-//! Those that a process tells: its children by the roster, and those that have asked it.
+//! The peers to which a process sends heartbeats and updates: its children by the membership, and temporary children, which
+//! have sent it a request.
 
 use super::message::{OutboundMessage, RelayMessage, RelayPeer, RootHeartbeat};
-use super::{ADOPTION, HEARTBEAT_INTERVAL};
+use super::timing::{HEARTBEAT_INTERVAL_MS, TEMPORARY_CHILD_TIMEOUT_MS};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// Receivers of heartbeats and updates.
+/// Children and temporary children.
 #[derive(Clone, Debug)]
-pub struct Downstream {
+pub(super) struct Receivers {
     children: Vec<RelayPeer>,
-    /// Until when each of the others is told.
-    adopted: BTreeMap<RelayPeer, Millis>,
-    next_heartbeat: Millis,
+    /// When each temporary child expires. None of them is among the children.
+    temporary_children: BTreeMap<RelayPeer, Millis>,
+    next_heartbeat_at: Millis,
 }
 
-impl Downstream {
-    /// One that begins its heartbeats at `first`.
-    pub fn new(first: Millis) -> Downstream {
-        Downstream {
+impl Receivers {
+    /// Nobody yet; heartbeats begin at `first_heartbeat_at`.
+    pub(super) fn new(first_heartbeat_at: Millis) -> Receivers {
+        Receivers {
             children: Vec::new(),
-            adopted: BTreeMap::new(),
-            next_heartbeat: first,
+            temporary_children: BTreeMap::new(),
+            next_heartbeat_at: first_heartbeat_at,
         }
     }
 
-    /// Takes the children of a new roster; former ones ask if nobody else tells them.
-    pub fn set_children(&mut self, children: Vec<Arc<str>>) {
+    /// Takes the children of a new membership. Former children send a request if nobody else sends them heartbeats.
+    pub(super) fn set_children(&mut self, children: Vec<Arc<str>>) {
         self.children = children.into_iter().map(RelayPeer::Member).collect();
-        self.adopted.retain(|peer, _| !self.children.contains(peer));
+        self.temporary_children
+            .retain(|peer, _| !self.children.contains(peer));
     }
 
-    /// All that are told now: children, and those that have asked.
-    pub fn receivers(&self) -> impl Iterator<Item = &RelayPeer> {
-        self.children.iter().chain(self.adopted.keys())
+    /// All receivers.
+    pub(super) fn iter(&self) -> impl Iterator<Item = &RelayPeer> {
+        self.children.iter().chain(self.temporary_children.keys())
     }
 
-    /// Takes note that this one asked; returns whether it is adopted rather than a child.
-    pub fn asked(&mut self, now: Millis, peer: &RelayPeer) -> bool {
+    /// Makes a requester a temporary child, unless it is a child; returns whether it is a temporary one.
+    pub(super) fn on_request(&mut self, now: Millis, peer: &RelayPeer) -> bool {
         if self.children.contains(peer) {
             return false;
         }
-        self.adopted.insert(peer.clone(), now + ADOPTION);
+        self.temporary_children
+            .insert(peer.clone(), now + TEMPORARY_CHILD_TIMEOUT_MS);
         true
     }
 
-    /// Whether heartbeats are due; the next ones are due an interval later.
-    pub fn is_due(&mut self, now: Millis) -> bool {
-        if now < self.next_heartbeat() {
+    /// Whether heartbeats are due. If so, the next ones are due an interval later, and temporary children that have expired
+    /// are removed.
+    pub(super) fn take_due_heartbeat(&mut self, now: Millis) -> bool {
+        if now < self.next_heartbeat_at() {
             return false;
         }
-        self.next_heartbeat = now + HEARTBEAT_INTERVAL;
-        self.adopted.retain(|_, until| now < *until);
+        self.next_heartbeat_at = now + HEARTBEAT_INTERVAL_MS;
+        self.temporary_children
+            .retain(|_, expires_at| now < *expires_at);
         true
     }
 
-    /// When heartbeats are due; never while there is nobody to tell.
-    pub fn next_heartbeat(&self) -> Millis {
-        if self.children.is_empty() && self.adopted.is_empty() {
+    /// When heartbeats are due; never while there is no receiver.
+    pub(super) fn next_heartbeat_at(&self) -> Millis {
+        if self.children.is_empty() && self.temporary_children.is_empty() {
             return Millis::MAX;
         }
-        self.next_heartbeat
+        self.next_heartbeat_at
     }
 
-    /// Heartbeats to all.
-    pub fn heartbeats(
+    /// A heartbeat to each receiver. `request_required` tells that this version will not be sent without a request.
+    pub(super) fn heartbeats(
         &self,
         version: u64,
-        pulse: RootHeartbeat,
-        ask: bool,
+        root_heartbeat: RootHeartbeat,
+        request_required: bool,
     ) -> Vec<OutboundMessage> {
-        let children = self.children.clone();
-        let others = self.adopted.keys().cloned().collect();
-        let groups = [(children, false), (others, true)];
-        let filled = groups
-            .into_iter()
-            .filter(|(to, _): &(Vec<RelayPeer>, bool)| !to.is_empty());
-        filled
-            .map(|(to, adopted)| OutboundMessage {
-                to,
-                message: RelayMessage::Heartbeat {
-                    version,
-                    pulse,
-                    adopted,
-                    ask,
-                },
-            })
-            .collect()
+        let heartbeat = |receivers: Vec<RelayPeer>, is_temporary| OutboundMessage {
+            receivers,
+            message: RelayMessage::Heartbeat {
+                version,
+                root_heartbeat,
+                is_temporary,
+                request_required,
+            },
+        };
+        let temporary_children = self.temporary_children.keys().cloned().collect();
+        let mut heartbeats = vec![
+            heartbeat(self.children.clone(), false),
+            heartbeat(temporary_children, true),
+        ];
+        heartbeats.retain(|heartbeat| !heartbeat.receivers.is_empty());
+        heartbeats
     }
 
-    /// A message to all but one.
-    pub fn tell(
+    /// A message to all receivers but one.
+    pub(super) fn broadcast(
         &self,
         message: RelayMessage,
         except: Option<&RelayPeer>,
     ) -> Option<OutboundMessage> {
-        let to: Vec<RelayPeer> = self
-            .receivers()
+        let receivers: Vec<RelayPeer> = self
+            .iter()
             .filter(|peer| Some(*peer) != except)
             .cloned()
             .collect();
-        (!to.is_empty()).then_some(OutboundMessage { to, message })
+        (!receivers.is_empty()).then_some(OutboundMessage { receivers, message })
     }
 }
--- a/crates/configuration/src/relay/root.rs
+++ b/crates/configuration/src/relay/root.rs
@@ -1,126 +1,109 @@
 //! The root of the relay tree, at the primary. A new primary makes a new one.
 
+use super::distributor::Distributor;
+use super::membership::RelayMembership;
 use super::message::{ConfigurationDelta, OutboundMessage, RelayMessage, RelayPeer, RootHeartbeat};
-use super::receivers::Downstream;
-use super::tree::{RelayMembership, Tree};
-use super::update_log::Archive;
+use super::tree::RelayTree;
 use serde_json::value::RawValue;
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// The state machine of the primary's end.
+/// The state machine of the root.
 #[derive(Clone, Debug)]
 pub struct RelayRoot {
-    pulse: RootHeartbeat,
-    roster: Option<u64>,
-    downstream: Downstream,
-    archive: Archive,
+    heartbeat: RootHeartbeat,
+    membership_version: Option<u64>,
+    distributor: Distributor,
 }
 
 impl RelayRoot {
-    /// The root of a primary that has just begun. It begins its heartbeats at once.
+    /// The root of a primary that was elected in `epoch`. Its heartbeats begin at once.
     pub fn new(epoch: u64, now: Millis) -> RelayRoot {
         RelayRoot {
-            // Above the pulse of those that have heard none, also in epoch 0.
-            pulse: RootHeartbeat { epoch, count: 1 },
-            roster: None,
-            downstream: Downstream::new(now),
-            archive: Archive::default(),
+            // Above that of members which have received none, also in epoch 0.
+            heartbeat: RootHeartbeat { epoch, count: 1 },
+            membership_version: None,
+            distributor: Distributor::new(now),
         }
     }
 
-    /// The version that was last published; 0 for none.
+    /// The version that was published last; 0 for none.
     pub fn version(&self) -> u64 {
-        self.archive.version()
+        self.distributor.version()
     }
 
-    /// Those that it tells.
+    /// The peers to which it sends.
     pub fn receivers(&self) -> impl Iterator<Item = &RelayPeer> {
-        self.downstream.receivers()
+        self.distributor.receivers()
     }
 
-    /// When [`RelayRoot::tick`] is to be called next.
+    /// When [`RelayRoot::tick`] has to be called next.
     pub fn next_tick(&self) -> Millis {
-        self.downstream.next_heartbeat()
+        self.distributor.next_heartbeat_at()
     }
 
-    /// Takes a roster; one that is not newer than the last one is passed over.
-    pub fn set_roster(&mut self, roster: &RelayMembership) {
-        if self.roster.is_some_and(|version| version >= roster.version) {
+    /// Takes a membership; one that is not newer than the last one is ignored.
+    pub fn set_membership(&mut self, membership: &RelayMembership) {
+        if self.membership_version >= Some(membership.version) {
             return;
         }
-        self.downstream
-            .set_children(Tree::new(roster).children_of_root());
-        self.roster = Some(roster.version);
+        let tree = RelayTree::new(membership);
+        self.distributor.set_children(tree.children_of_root());
+        self.membership_version = Some(membership.version);
     }
 
-    /// Publishes a configuration that is committed; one that is not newer is passed over.
+    /// Publishes a configuration that is committed; one that is not newer than the last one is ignored.
     pub fn publish(&mut self, version: u64, text: Arc<RawValue>) -> Vec<OutboundMessage> {
-        let had = self.version();
-        if version > had {
-            self.archive.set_whole(version, text);
+        let former_version = self.version();
+        if version > former_version {
+            self.distributor.set_snapshot(version, text);
         }
-        self.tell(had)
+        self.forward(former_version)
     }
 
-    /// Publishes the committed result of an update.
-    pub fn publish_change(
+    /// Publishes an update that is committed, with the text that it made.
+    pub fn publish_update(
         &mut self,
-        change: ConfigurationDelta,
+        update: ConfigurationDelta,
         text: Arc<RawValue>,
     ) -> Vec<OutboundMessage> {
-        let had = self.version();
-        if change.base != had {
-            return self.publish(change.version, text);
+        let former_version = self.version();
+        if update.base_version != former_version {
+            return self.publish(update.version, text);
         }
-        if change.version > had {
-            self.archive.set_changed(change, text);
+        if update.version > former_version {
+            self.distributor.append_update(update, text);
         }
-        self.tell(had)
+        self.forward(former_version)
     }
 
-    /// Does what is due.
+    /// Sends the heartbeats that are due.
     pub fn tick(&mut self, now: Millis) -> Vec<OutboundMessage> {
-        if !self.downstream.is_due(now) {
+        if !self.distributor.take_due_heartbeat(now) {
             return Vec::new();
         }
-        self.pulse.count += 1;
-        self.downstream
-            .heartbeats(self.version(), self.pulse, false)
+        self.heartbeat.count += 1;
+        self.distributor.heartbeats(self.heartbeat)
     }
 
-    /// Takes a message; only questions come up the tree.
-    pub fn receive(
+    /// Handles a message; only requests come up the tree, others are ignored.
+    pub fn on_message(
         &mut self,
         now: Millis,
-        from: &RelayPeer,
-        message: RelayMessage,
+        sender: &RelayPeer,
+        message: &RelayMessage,
     ) -> Vec<OutboundMessage> {
-        let RelayMessage::Ask { have } = message else {
-            return Vec::new();
-        };
-        let adopted = self.downstream.asked(now, from);
-        let (version, pulse) = (self.version(), self.pulse);
-        let heartbeat = RelayMessage::Heartbeat {
-            version,
-            pulse,
-            adopted,
-            ask: false,
-        };
-        let messages = std::iter::once(heartbeat).chain(self.archive.since(have));
-        messages
-            .map(|message| OutboundMessage::one(from.clone(), message))
-            .collect()
+        match message {
+            RelayMessage::Request { known_version } => {
+                self.distributor
+                    .on_request(now, sender, *known_version, self.heartbeat)
+            }
+            _ => Vec::new(),
+        }
     }
 
-    fn tell(&mut self, had: u64) -> Vec<OutboundMessage> {
-        let version = self.version();
-        if version <= had {
-            return Vec::new();
-        }
-        match self.archive.pushed_since(had) {
-            Some(message) => self.downstream.tell(message, None).into_iter().collect(),
-            None => self.downstream.heartbeats(version, self.pulse, true),
-        }
+    fn forward(&self, former_version: u64) -> Vec<OutboundMessage> {
+        self.distributor
+            .forward(former_version, self.heartbeat, None)
     }
 }
--- a/crates/configuration/src/relay/tree.rs
+++ b/crates/configuration/src/relay/tree.rs
@@ -1,91 +1,84 @@
-//! The tree that every process computes alike from the same roster.
+//! The tree that every process computes from the membership.
 //!
-//! Members stand in the order of a hash of their address; the first [`FAN_OUT`] are the root's children, and so on.
+//! Members are ordered by a hash of their address. The first [`FAN_OUT`] are the children of the root, the next ones are the
+//! children of the first member, and so on.
 
+use super::address_hash::stable_hash;
+use super::membership::RelayMembership;
 use super::message::RelayPeer;
-use super::FAN_OUT;
-use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The live processes of the data plane, as the core knows them by their leases.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RelayMembership {
-    /// Rises with each change.
-    pub version: u64,
-    /// Their addresses, in any order.
-    pub members: Vec<Arc<str>>,
-}
+/// Children of a member: four levels reach 4,680 members, and a member sends 40 heartbeats a second.
+pub const FAN_OUT: usize = 8;
 
-/// The members in the agreed order.
+/// The tree of one membership.
 #[derive(Clone, Debug, Default)]
-pub struct Tree {
-    order: Vec<(u64, Arc<str>)>,
+pub struct RelayTree {
+    /// Sorted by hash, then by address.
+    members: Vec<HashedMember>,
+}
+
+/// The order of the fields is that in which members are compared.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct HashedMember {
+    hash: u64,
+    address: Arc<str>,
 }
 
-impl Tree {
-    /// The tree of a roster.
-    pub fn new(roster: &RelayMembership) -> Tree {
-        let mut order: Vec<_> = roster
+impl RelayTree {
+    /// The tree of a membership. Addresses that occur twice count once.
+    pub fn new(membership: &RelayMembership) -> RelayTree {
+        let mut members: Vec<HashedMember> = membership
             .members
             .iter()
-            .map(|member| (hash(member), member.clone()))
+            .map(|address| HashedMember {
+                hash: stable_hash(address),
+                address: address.clone(),
+            })
             .collect();
-        order.sort();
-        order.dedup();
-        Tree { order }
+        members.sort();
+        members.dedup();
+        RelayTree { members }
     }
 
-    /// The members that the root tells.
+    /// The children of the root.
     pub fn children_of_root(&self) -> Vec<Arc<str>> {
-        self.places(0)
+        self.children_from(0)
     }
 
-    /// The members that this one tells; none for one that is not in the roster.
+    /// The children of a member; none where the address is not a member's.
     pub fn children(&self, address: &str) -> Vec<Arc<str>> {
-        match self.place(address) {
-            Ok(place) => self.places(FAN_OUT * (place + 1)),
+        match self.search(address) {
+            Ok(index) => self.children_from(FAN_OUT * (index + 1)),
             Err(_) => Vec::new(),
         }
     }
 
-    /// Whom a member asks, in this order: parent, grandparent and so on, the core last.
+    /// The peers to which a member sends its requests, in this order: parent, grandparent and so on, the primary last.
     ///
-    /// One that is not in the roster yet stands where it would if it were. An ancestor thus always comes before in the
-    /// agreed order, and members with different rosters never ask in a circle.
+    /// One that is not in the membership yet gets the ancestors that it would have if it were. An ancestor therefore always
+    /// has a lower hash, and members with different memberships never send their requests in a circle.
     pub fn ancestors(&self, address: &str) -> Vec<RelayPeer> {
         let mut ancestors = Vec::new();
-        let mut place = self.place(address).unwrap_or_else(|place| place);
-        while place >= FAN_OUT {
-            place = place / FAN_OUT - 1;
-            ancestors.extend(
-                self.order
-                    .get(place)
-                    .map(|(_, member)| RelayPeer::Member(member.clone())),
-            );
+        let mut index = self.search(address).unwrap_or_else(|insertion| insertion);
+        while index >= FAN_OUT {
+            index = index / FAN_OUT - 1;
+            let ancestor = self.members.get(index);
+            ancestors.extend(ancestor.map(|member| RelayPeer::Member(member.address.clone())));
         }
-        ancestors.push(RelayPeer::Core);
+        ancestors.push(RelayPeer::Primary);
         ancestors
     }
 
-    fn place(&self, address: &str) -> Result<usize, usize> {
-        let wanted = (hash(address), address);
-        self.order
-            .binary_search_by(|(hash, member)| (*hash, &**member).cmp(&wanted))
+    /// The index of a member, or that at which it would be inserted.
+    fn search(&self, address: &str) -> Result<usize, usize> {
+        let wanted = (stable_hash(address), address);
+        self.members
+            .binary_search_by(|member| (member.hash, &*member.address).cmp(&wanted))
     }
 
-    fn places(&self, first: usize) -> Vec<Arc<str>> {
-        let members = self.order.iter().skip(first).take(FAN_OUT);
-        members.map(|(_, member)| member.clone()).collect()
-    }
-}
-
-/// A hash that is the same on all machines and for ever: FNV-1a, spread by the finalizer of MurmurHash3.
-pub(super) fn hash(text: &str) -> u64 {
-    let mut hash: u64 = 0xcbf2_9ce4_8422_2325;
-    for byte in text.bytes() {
-        hash = (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
+    fn children_from(&self, first: usize) -> Vec<Arc<str>> {
+        let children = self.members.iter().skip(first).take(FAN_OUT);
+        children.map(|member| member.address.clone()).collect()
     }
-    hash = (hash ^ (hash >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
-    hash = (hash ^ (hash >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
-    hash ^ (hash >> 33)
 }
--- a/crates/configuration/src/route_table.rs
+++ b/crates/configuration/src/route_table.rs
@@ -1,101 +1,108 @@
-//! Choice of the route by host and longest prefix of the path.
+//! Look-up of the route of a request: by host, then by the longest prefix of its path.
 
 use std::borrow::Cow;
 use std::collections::HashMap;
 use std::sync::Arc;
 use streamusher_protocol::config::{Configuration, Route};
 
-/// No shorter prefix of the same host begins this one.
-const NONE: u32 = u32::MAX;
-
-/// The routes of one configuration, ready to be looked up. A look-up is a binary search among the routes of its host.
+/// The routes of one configuration, indexed by host. A look-up is a binary search among the routes of its host.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     configuration: Arc<Configuration>,
     hosts: HashMap<Box<str>, Vec<Entry>>,
 }
 
-/// A route of a host. Entries are in the order of their prefixes.
+/// The route of a request.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct RouteMatch<'table, 'path> {
+    /// The route.
+    pub route: &'table Route,
+    /// What follows its prefix in the request's path.
+    pub rest: &'path str,
+}
+
+/// A route of a host. The entries of a host are sorted by their prefixes.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
-    /// Its place in the configuration.
-    route: u32,
-    /// Place among the host's entries of the longest shorter prefix with which this one begins.
-    parent: u32,
+    /// Its index in the configuration.
+    route: usize,
+    /// Index among the host's entries of the longest other prefix with which this one begins.
+    parent: Option<usize>,
 }
 
 impl RouteTable {
-    /// Prepares the routes of a configuration.
+    /// Indexes the routes of a configuration.
     pub fn new(configuration: Arc<Configuration>) -> RouteTable {
-        let mut by_host: HashMap<Box<str>, Vec<u32>> = HashMap::new();
-        for (index, route) in (0..NONE).zip(configuration.routes.iter()) {
-            by_host
-                .entry(plain_host(&route.host).into())
+        let mut routes_by_host: HashMap<Box<str>, Vec<usize>> = HashMap::new();
+        for (index, route) in configuration.routes.iter().enumerate() {
+            routes_by_host
+                .entry(normalized_host(&route.host).into())
                 .or_default()
                 .push(index);
         }
-        let linked = |(host, routes)| (host, link(&configuration, routes));
-        let hosts = by_host.into_iter().map(linked).collect();
+        let hosts = routes_by_host
+            .into_iter()
+            .map(|(host, routes)| (host, entries_of_host(&configuration, routes)))
+            .collect();
         RouteTable {
             configuration,
             hosts,
         }
     }
 
-    /// The configuration whose routes these are.
-    pub fn configuration(&self) -> &Arc<Configuration> {
-        &self.configuration
-    }
-
-    /// The route of a request, and the rest of its path after the prefix. Port and case of the host do not matter.
-    pub fn lookup<'a, 'p>(&'a self, host: &str, path: &'p str) -> Option<(&'a Route, &'p str)> {
-        let entries = self.hosts.get(&*plain_host(host))?;
-        let after = entries.partition_point(|entry| self.prefix(entry) <= path.as_bytes());
-        let mut entry = entries.get(after.checked_sub(1)?)?;
-        // Whatever prefix of the path is here begins this entry too, so that it is among the entry's ancestors.
-        let common = common_length(self.prefix(entry), path.as_bytes());
+    /// The route of a request. Port and case of the host do not matter.
+    pub fn lookup<'table, 'path>(
+        &'table self,
+        host: &str,
+        path: &'path str,
+    ) -> Option<RouteMatch<'table, 'path>> {
+        let entries = self.hosts.get(&*normalized_host(host))?;
+        let end = entries.partition_point(|entry| self.prefix(entry) <= path.as_bytes());
+        let mut entry = entries.get(end.checked_sub(1)?)?;
+        // Every prefix of the path in this table is also a prefix of this entry's, and so among the entry's ancestors.
+        let common = common_prefix_bytes(self.prefix(entry), path.as_bytes());
         while self.prefix(entry).len() > common {
-            entry = entries.get(entry.parent as usize)?;
+            entry = entries.get(entry.parent?)?;
         }
-        let route = self.configuration.routes.get(entry.route as usize)?;
+        let route = self.configuration.routes.get(entry.route)?;
         let rest = path.get(route.path_prefix.len()..)?;
-        Some((route, rest))
+        Some(RouteMatch { route, rest })
     }
 
     fn prefix(&self, entry: &Entry) -> &[u8] {
-        self.configuration.routes[entry.route as usize]
+        self.configuration.routes[entry.route]
             .path_prefix
             .as_bytes()
     }
 }
 
-/// Sorts a host's routes by prefix and links each to the longest one that begins it.
-fn link(configuration: &Configuration, mut routes: Vec<u32>) -> Vec<Entry> {
-    let prefix = |route: u32| configuration.routes[route as usize].path_prefix.as_bytes();
+/// Sorts a host's routes by prefix and links each to the longest other prefix with which it begins.
+fn entries_of_host(configuration: &Configuration, mut routes: Vec<usize>) -> Vec<Entry> {
+    let prefix = |route: usize| configuration.routes[route].path_prefix.as_bytes();
     routes.sort_by_key(|&route| prefix(route));
     let mut entries: Vec<Entry> = Vec::with_capacity(routes.len());
     for route in routes {
-        let mut parent = entries
-            .len()
-            .checked_sub(1)
-            .map_or(NONE, |last| last as u32);
-        while parent != NONE && !prefix(route).starts_with(prefix(entries[parent as usize].route)) {
-            parent = entries[parent as usize].parent;
+        let mut parent = entries.len().checked_sub(1);
+        while let Some(index) = parent {
+            if prefix(route).starts_with(prefix(entries[index].route)) {
+                break;
+            }
+            parent = entries[index].parent;
         }
         entries.push(Entry { route, parent });
     }
     entries
 }
 
-fn common_length(left: &[u8], right: &[u8]) -> usize {
+fn common_prefix_bytes(left: &[u8], right: &[u8]) -> usize {
     left.iter()
         .zip(right)
         .take_while(|(left, right)| left == right)
         .count()
 }
 
-/// A host without its port and in lower case.
-pub fn plain_host(host: &str) -> Cow<'_, str> {
+/// A host without its port and in lower case, as hosts are compared.
+pub fn normalized_host(host: &str) -> Cow<'_, str> {
     let end_of_address = host.rfind(']').unwrap_or(0);
     let port = host[end_of_address..]
         .find(':')
--- a/crates/configuration/src/store.rs
+++ b/crates/configuration/src/store.rs
@@ -1,13 +1,14 @@
-//! The primary's configuration: takes or refuses changes, and says what to write for those it takes.
+//! The primary's configuration: decides which changes are applied, and returns what to write for each.
 
-use crate::applied_changes::{order_key, AppliedChange, AppliedChanges, ChangeKind, ORDER_PREFIX};
+use crate::applied_changes::{AppliedChange, AppliedChanges};
+use crate::change_id::{ChangeId, ChangeKind, APPLIED_KEY_PREFIX, REJECTED_KEY_PREFIX};
 use crate::error::{ConfigurationError, RecordError};
-use crate::json::{parse_configuration, WHITE_SPACE};
-use crate::rejected_changes::{RejectedChanges, REFUSAL_PREFIX};
-use crate::relay::Published;
+use crate::json::{parse_configuration, JSON_WHITESPACE};
+use crate::published::{PublishedConfiguration, PublishedUpdate};
+use crate::rejected_changes::RejectedChanges;
 use crate::route_table::RouteTable;
-use crate::update;
-use crate::validation::check;
+use crate::update::apply_update;
+use crate::validation::validate;
 use std::sync::Arc;
 use streamusher_protocol::config::Configuration;
 use streamusher_protocol::store::Write;
@@ -15,67 +16,70 @@
 /// Key of the newest configuration.
 pub const CURRENT_KEY: &str = "config/current";
 
-/// What became of an order.
+/// The configuration on which the first update builds.
+const EMPTY_CONFIGURATION: &str = "{}";
+
+/// The decision on a change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChangeOutcome {
-    /// It was taken: 200, once the writes are committed.
-    Taken {
+    /// It is applied: 200, once the writes are committed.
+    Applied {
         /// The version that it made.
         version: u64,
         /// To be committed as one batch.
         writes: Vec<Write>,
     },
-    /// This exact order was taken before: 200, once the batch that took it is committed.
-    Again {
+    /// This very change was applied before: 200, once the batch that applied it is committed.
+    AlreadyApplied {
         /// The version that it made.
         version: u64,
     },
     /// It builds on another version than the current one: 412, once the writes are committed.
-    Stale {
+    VersionConflict {
         /// The current version; 0 for none.
-        current: u64,
-        /// What keeps it refused when the version on which it builds becomes current.
+        current_version: u64,
+        /// The record by which it stays rejected when the version on which it builds becomes current.
         writes: Vec<Write>,
     },
-    /// It builds on a version so old that it is no longer known whether it was taken, or on one to come while too many such
-    /// orders are kept: 503, as it is neither acknowledged nor refused.
+    /// It is neither acknowledged nor rejected: 503. Either it builds on a version so old that it is no longer known whether
+    /// it was applied, or on a version to come while too many such changes are remembered.
     Undecided {
         /// The current version; 0 for none.
-        current: u64,
+        current_version: u64,
     },
     /// It is invalid: 400.
     Invalid(ConfigurationError),
 }
 
-/// The newest configuration and the orders that were taken.
+/// The newest configuration, and the decisions on changes that must hold when a change is repeated.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationStore {
-    current: Option<Current>,
-    /// The version on which the current one builds and the update that made it, where it was an update.
-    update: Option<(u64, Arc<str>)>,
-    orders: AppliedChanges,
-    refusals: RejectedChanges,
+    current: Option<CurrentConfiguration>,
+    applied: AppliedChanges,
+    rejected: RejectedChanges,
     routes: RouteTable,
 }
 
 #[derive(Clone, Debug)]
-struct Current {
+struct CurrentConfiguration {
     configuration: Arc<Configuration>,
     text: Arc<str>,
+    /// The update that made it, where one did and that is known.
+    update: Option<PublishedUpdate>,
 }
 
 impl ConfigurationStore {
-    /// One without any configuration.
+    /// A store without any configuration.
     pub fn new() -> ConfigurationStore {
         ConfigurationStore::default()
     }
 
-    /// Takes over the stored records; keys that are not the configuration's are passed over.
+    /// The store that the committed records describe; keys of others are skipped.
     ///
-    /// A configuration that was taken is not checked anew: stricter checks of a later release must not lose it.
+    /// The configuration is not validated again: stricter checks of a later release must not lose one that is in force.
     ///
     /// # Errors
-    /// Where a record is damaged, or the records do not belong together.
+    /// Where a record is corrupt, or the records contradict each other.
     pub fn recover(
         records: impl Iterator<Item = (Arc<str>, Arc<str>)>,
     ) -> Result<Self, RecordError> {
@@ -83,24 +87,24 @@
         for (key, value) in records {
             if &*key == CURRENT_KEY {
                 store.recover_current(value)?;
-            } else if key.starts_with(ORDER_PREFIX) {
-                store.orders.recover(key, &value)?;
-            } else if key.starts_with(REFUSAL_PREFIX) {
-                store.refusals.recover(key, &value)?;
+            } else if key.starts_with(APPLIED_KEY_PREFIX) {
+                store.applied.recover(key, &value)?;
+            } else if key.starts_with(REJECTED_KEY_PREFIX) {
+                store.rejected.recover(key, &value)?;
             }
         }
         store.check_recovered()?;
         Ok(store)
     }
 
-    /// Takes a whole configuration that builds on version `base`.
-    pub fn replace(&mut self, base: u64, body: &str) -> ChangeOutcome {
-        self.order(ChangeKind::Replace, base, body)
+    /// Decides on a whole configuration that builds on `base_version` (0 for none).
+    pub fn replace(&mut self, base_version: u64, body: &str) -> ChangeOutcome {
+        self.decide(ChangeKind::Replace, base_version, body)
     }
 
-    /// Takes a change of named items that builds on version `base`.
-    pub fn update(&mut self, base: u64, body: &str) -> ChangeOutcome {
-        self.order(ChangeKind::Update, base, body)
+    /// Decides on an update of named items that builds on `base_version` (0 for none).
+    pub fn update(&mut self, base_version: u64, body: &str) -> ChangeOutcome {
+        self.decide(ChangeKind::Update, base_version, body)
     }
 
     /// The newest configuration.
@@ -108,19 +112,18 @@
         self.current.as_ref().map(|current| &current.configuration)
     }
 
-    /// The newest configuration in full, as JSON.
-    pub fn read(&self) -> Option<Arc<str>> {
+    /// The newest configuration's JSON text.
+    pub fn text(&self) -> Option<Arc<str>> {
         self.current.as_ref().map(|current| current.text.clone())
     }
 
     /// The newest configuration as the relay tree distributes it.
-    pub fn newest(&self) -> Option<Published> {
+    pub fn published(&self) -> Option<PublishedConfiguration> {
         let current = self.current.as_ref()?;
-        let version = current.configuration.version;
-        Some(Published {
-            version,
+        Some(PublishedConfiguration {
+            version: current.configuration.version,
             text: current.text.clone(),
-            update: self.update.clone(),
+            update: current.update.clone(),
         })
     }
 
@@ -135,103 +138,122 @@
         &self.routes
     }
 
-    fn order(&mut self, kind: ChangeKind, base: u64, body: &str) -> ChangeOutcome {
-        let key = order_key(kind, base, body);
-        let known = self
-            .orders
-            .find(&key, base, body)
+    fn decide(&mut self, kind: ChangeKind, base_version: u64, body: &str) -> ChangeOutcome {
+        let id = ChangeId::new(kind, base_version, body);
+        let applied = self
+            .applied
+            .version_made_by(&id, base_version, body)
             .filter(|_| !cfg!(feature = "mutant-repeats"));
-        if let Some(version) = known {
-            return ChangeOutcome::Again { version };
+        if let Some(version) = applied {
+            return ChangeOutcome::AlreadyApplied { version };
         }
-        let current = self.version();
-        if base != current || self.refusals.contains(&key) {
-            return self.refuse(&key, base, current);
+        if base_version != self.version() || self.rejected.contains(&id) {
+            return self.reject(&id, base_version);
         }
-        match self.result_of(kind, body) {
-            Ok(next) => {
-                self.update = (kind == ChangeKind::Update).then(|| (base, body.into()));
-                self.take(key, base, body, next)
-            }
+        match self.resulting_configuration(kind, base_version, body) {
+            Ok(next) => self.apply(&id, base_version, body, next),
             Err(error) => ChangeOutcome::Invalid(error),
         }
     }
 
-    /// Refuses an order that does not build on the current version. A repeat that comes late must be refused as well, so one
-    /// that builds on a version to come is remembered.
-    fn refuse(&mut self, order: &str, base: u64, current: u64) -> ChangeOutcome {
-        if base < current && self.orders.may_have_forgotten(base) {
-            return ChangeOutcome::Undecided { current };
+    /// Rejects a change that does not build on the current version. A copy that comes late must be rejected as well, so a
+    /// change on a version to come is remembered.
+    fn reject(&mut self, id: &ChangeId, base_version: u64) -> ChangeOutcome {
+        let current_version = self.version();
+        if base_version < current_version && self.applied.may_have_forgotten(base_version) {
+            return ChangeOutcome::Undecided { current_version };
         }
-        if base <= current || cfg!(feature = "mutant-refusals") {
-            return ChangeOutcome::Stale {
-                current,
+        if base_version <= current_version || cfg!(feature = "mutant-refusals") {
+            return ChangeOutcome::VersionConflict {
+                current_version,
                 writes: Vec::new(),
             };
         }
-        match self.refusals.refuse(order, base) {
-            Some(writes) => ChangeOutcome::Stale { current, writes },
-            None => ChangeOutcome::Undecided { current },
+        match self.rejected.add(id, base_version) {
+            Some(writes) => ChangeOutcome::VersionConflict {
+                current_version,
+                writes,
+            },
+            None => ChangeOutcome::Undecided { current_version },
         }
     }
 
-    /// The configuration that an order makes, checked.
-    fn result_of(&self, kind: ChangeKind, body: &str) -> Result<Current, ConfigurationError> {
-        let text: Arc<str> = match kind {
-            ChangeKind::Replace => body.trim_matches(WHITE_SPACE).into(),
+    /// The configuration that a change makes, validated.
+    fn resulting_configuration(
+        &self,
+        kind: ChangeKind,
+        base_version: u64,
+        body: &str,
+    ) -> Result<CurrentConfiguration, ConfigurationError> {
+        let (text, update) = match kind {
+            ChangeKind::Replace => (body.trim_matches(JSON_WHITESPACE).into(), None),
             ChangeKind::Update => {
-                let base = self.current.as_ref().map_or("{}", |current| &current.text);
-                update::apply(base, body)?.into()
+                let base = self.current.as_ref().map(|current| &*current.text);
+                let text = apply_update(base.unwrap_or(EMPTY_CONFIGURATION), body)?;
+                let update = PublishedUpdate {
+                    base_version,
+                    text: body.into(),
+                };
+                (Arc::<str>::from(text), Some(update))
             }
         };
         let configuration = parse_configuration(&text)?;
-        check(&configuration, self.version())?;
-        Ok(Current {
+        validate(&configuration, self.version())?;
+        Ok(CurrentConfiguration {
             configuration: Arc::new(configuration),
             text,
+            update,
         })
     }
 
-    fn take(&mut self, key: Arc<str>, base: u64, body: &str, next: Current) -> ChangeOutcome {
+    fn apply(
+        &mut self,
+        id: &ChangeId,
+        base_version: u64,
+        body: &str,
+        next: CurrentConfiguration,
+    ) -> ChangeOutcome {
         let version = next.configuration.version;
-        let order = AppliedChange {
+        let change = AppliedChange {
             version,
-            base,
-            length: body.len() as u64,
+            base_version,
+            body_bytes: body.len() as u64,
         };
-        let mut writes = self.orders.take(key, order);
-        writes.extend(self.refusals.forget_below(version));
+        let mut writes = self.applied.add(id, change);
+        writes.extend(self.rejected.forget_below(version));
         writes.push(Write::set(CURRENT_KEY, next.text.clone()));
         self.set_current(next);
-        ChangeOutcome::Taken { version, writes }
+        ChangeOutcome::Applied { version, writes }
     }
 
-    fn set_current(&mut self, next: Current) {
+    fn set_current(&mut self, next: CurrentConfiguration) {
         self.routes = RouteTable::new(next.configuration.clone());
         self.current = Some(next);
     }
 
     fn recover_current(&mut self, text: Arc<str>) -> Result<(), RecordError> {
-        let damaged = |error: ConfigurationError| RecordError::Damaged {
+        let configuration = parse_configuration(&text).map_err(|error| RecordError::Corrupt {
             key: CURRENT_KEY.to_owned(),
             cause: error.to_string(),
-        };
-        let configuration = parse_configuration(&text).map_err(damaged)?;
-        self.set_current(Current {
+        })?;
+        self.set_current(CurrentConfiguration {
             configuration: Arc::new(configuration),
             text,
+            update: None,
         });
         Ok(())
     }
 
     fn check_recovered(&self) -> Result<(), RecordError> {
-        let current = self.version();
-        match self.orders.newest() {
-            Some((key, version)) if version > current => Err(RecordError::TooNew {
-                key: key.to_string(),
-                version,
-                current,
-            }),
+        let current_version = self.version();
+        match self.applied.newest() {
+            Some((key, version)) if version > current_version => {
+                Err(RecordError::NewerThanConfiguration {
+                    key: key.to_string(),
+                    version,
+                    current_version,
+                })
+            }
             _ => Ok(()),
         }
     }
--- a/crates/configuration/src/update.rs
+++ b/crates/configuration/src/update.rs
@@ -1,17 +1,39 @@
-//! A configuration as text, and the result of an update on it.
+//! The text of the configuration that an update makes.
 //!
-//! Items are carried over as they were written, so that fields and numbers not known here come back unchanged.
+//! Works on the JSON text and not on parsed items: an item that the update does not name is carried over as it was written,
+//! so that fields and numbers that this release does not know come back unchanged.
 
 use crate::error::ConfigurationError;
-use crate::invalid_field::{no_object, shortened};
+use crate::invalid_field::{not_an_object, shortened};
 use crate::json::{explain, parse_update};
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// The part of an update that names nothing but what it changes.
+/// The configuration that `update` makes of `base`, as JSON. The same texts always give the same result.
+///
+/// Replaced items keep their place, new ones go to the end. A field of `upsert` that is not a list replaces the field of
+/// that name whole. Names to remove that do not exist are skipped. Whether the result is valid is not checked.
+///
+/// # Errors
+/// Where the update cannot be read, names an item twice, or upserts and removes the same one.
+pub fn apply_update(base: &str, update: &str) -> Result<String, ConfigurationError> {
+    parse_update(update)?;
+    let update: RawUpdate = parse(update)?;
+    let mut document = Document::parse(base)?;
+    for (list, names) in &update.remove {
+        document.remove_items(list, names)?;
+    }
+    for (field, text) in &update.upsert {
+        document.upsert(field, text, &update.removed_names(field))?;
+    }
+    document.set_version(update.version);
+    document.to_json()
+}
+
+/// An update whose items are not parsed.
 #[derive(Deserialize)]
-struct Change<'a> {
+struct RawUpdate<'a> {
     version: u64,
     #[serde(default, borrow)]
     upsert: BTreeMap<String, &'a RawValue>,
@@ -19,115 +41,144 @@
     remove: BTreeMap<String, Vec<String>>,
 }
 
-#[derive(Deserialize)]
-struct Named {
-    name: String,
+impl RawUpdate<'_> {
+    fn removed_names(&self, list: &str) -> HashSet<&str> {
+        let names = self.remove.get(list).into_iter().flatten();
+        names.map(String::as_str).collect()
+    }
+}
+
+/// The top-level fields of a configuration.
+struct Document<'a> {
+    fields: BTreeMap<String, FieldValue<'a>>,
 }
 
+/// A top-level field: as it was written, until the update touches it.
 #[derive(Serialize)]
 #[serde(untagged)]
-enum Field<'a> {
+enum FieldValue<'a> {
     Version(u64),
     Text(&'a RawValue),
     Items(Vec<&'a RawValue>),
 }
 
-/// The configuration that an update makes of `document`. The same texts always give the same result.
-///
-/// Replaced items keep their place, new ones go to the end. A field of `upsert` that is no list replaces the field of
-/// that name whole. Names to remove that are not there are passed over. Whether the result is valid is not checked.
-///
-/// # Errors
-/// Where the update cannot be read, names an item twice, or adds and removes the same one.
-pub fn apply(document: &str, update: &str) -> Result<String, ConfigurationError> {
-    parse_update(update)?;
-    let change: Change = read(update)?;
-    let mut fields: BTreeMap<String, Field> = read::<BTreeMap<String, &RawValue>>(document)?
-        .into_iter()
-        .map(|(name, text)| (name, Field::Text(text)))
-        .collect();
-    for (list, names) in &change.remove {
-        remove(&mut fields, list, names)?;
-    }
-    for (list, text) in &change.upsert {
-        let removed = change
-            .remove
-            .get(list)
+impl<'a> Document<'a> {
+    fn parse(text: &'a str) -> Result<Document<'a>, ConfigurationError> {
+        let fields: BTreeMap<String, &RawValue> = parse(text)?;
+        let fields = fields
             .into_iter()
-            .flatten()
-            .map(String::as_str)
+            .map(|(name, text)| (name, FieldValue::Text(text)))
             .collect();
-        upsert(&mut fields, list, text, &removed)?;
+        Ok(Document { fields })
     }
-    fields.insert("version".into(), Field::Version(change.version));
-    serde_json::to_string(&fields).map_err(|error| ConfigurationError::Unreadable {
-        cause: error.to_string(),
-    })
-}
 
-fn remove(
-    fields: &mut BTreeMap<String, Field>,
-    list: &str,
-    names: &[String],
-) -> Result<(), ConfigurationError> {
-    if names.is_empty() || !fields.contains_key(list) {
-        return Ok(());
+    fn to_json(&self) -> Result<String, ConfigurationError> {
+        serde_json::to_string(&self.fields).map_err(|error| ConfigurationError::Malformed {
+            cause: error.to_string(),
+        })
+    }
+
+    fn set_version(&mut self, version: u64) {
+        self.fields
+            .insert("version".into(), FieldValue::Version(version));
     }
-    let names: HashSet<&str> = names.iter().map(String::as_str).collect();
-    let mut kept = Vec::new();
-    for item in items(fields, list)? {
-        if !names.contains(&*name_of(list, item)?) {
-            kept.push(item);
+
+    fn remove_items(&mut self, list: &str, names: &[String]) -> Result<(), ConfigurationError> {
+        if names.is_empty() || !self.fields.contains_key(list) {
+            return Ok(());
+        }
+        let names: HashSet<&str> = names.iter().map(String::as_str).collect();
+        let mut kept = Vec::new();
+        for item in self.items(list)? {
+            if !names.contains(&*item_name(list, item)?) {
+                kept.push(item);
+            }
         }
+        self.fields.insert(list.to_owned(), FieldValue::Items(kept));
+        Ok(())
     }
-    fields.insert(list.to_owned(), Field::Items(kept));
-    Ok(())
-}
 
-fn upsert<'a>(
-    fields: &mut BTreeMap<String, Field<'a>>,
-    list: &str,
-    text: &'a RawValue,
-    removed: &HashSet<&str>,
-) -> Result<(), ConfigurationError> {
-    if text.get() == "null" {
-        return Ok(());
+    /// Replaces a field, or where it is a list, the items that `text` names. `null` changes nothing.
+    fn upsert(
+        &mut self,
+        field: &str,
+        text: &'a RawValue,
+        removed_names: &HashSet<&str>,
+    ) -> Result<(), ConfigurationError> {
+        if text.get() == "null" {
+            return Ok(());
+        }
+        if text.get().starts_with('[') {
+            return self.upsert_items(field, text, removed_names);
+        }
+        self.fields.insert(field.to_owned(), FieldValue::Text(text));
+        Ok(())
     }
-    if !text.get().starts_with('[') {
-        fields.insert(list.to_owned(), Field::Text(text));
-        return Ok(());
+
+    fn upsert_items(
+        &mut self,
+        list: &str,
+        text: &'a RawValue,
+        removed_names: &HashSet<&str>,
+    ) -> Result<(), ConfigurationError> {
+        let mut items = self.items(list)?;
+        let mut positions = positions_by_name(list, &items)?;
+        let mut upserted = HashSet::new();
+        for item in parse::<Vec<&RawValue>>(text.get())? {
+            let name = item_name(list, item)?;
+            check_upserted(list, &name, &mut upserted, removed_names)?;
+            match positions.get(&name) {
+                Some(&position) => items[position] = item,
+                None => {
+                    positions.insert(name, items.len());
+                    items.push(item);
+                }
+            }
+        }
+        self.fields
+            .insert(list.to_owned(), FieldValue::Items(items));
+        Ok(())
     }
-    let mut items = items(fields, list)?;
-    let mut places = places_of(list, &items)?;
-    let mut added = HashSet::new();
-    for item in read::<Vec<&RawValue>>(text.get())? {
-        let name = name_of(list, item)?;
-        check_added(list, &name, &mut added, removed)?;
-        match places.get(&name) {
-            Some(&place) => items[place] = item,
-            None => {
-                places.insert(name, items.len());
-                items.push(item);
+
+    /// The items of a list; none where it does not exist.
+    fn items(&self, list: &str) -> Result<Vec<&'a RawValue>, ConfigurationError> {
+        match self.fields.get(list) {
+            None => Ok(Vec::new()),
+            Some(FieldValue::Items(items)) => Ok(items.clone()),
+            Some(FieldValue::Text(text)) => serde_json::from_str(text.get())
+                .map_err(|error| not_a_list(list, text.get(), &error.to_string())),
+            Some(FieldValue::Version(version)) => {
+                Err(not_a_list(list, &version.to_string(), "expected a list"))
             }
         }
     }
-    fields.insert(list.to_owned(), Field::Items(items));
-    Ok(())
 }
 
-fn check_added(
+fn positions_by_name(
+    list: &str,
+    items: &[&RawValue],
+) -> Result<HashMap<String, usize>, ConfigurationError> {
+    let mut positions = HashMap::new();
+    for (position, item) in items.iter().enumerate() {
+        positions.insert(item_name(list, item)?, position);
+    }
+    Ok(positions)
+}
+
+/// Checks that an update does not name an item twice and does not remove it as well.
+fn check_upserted(
     list: &str,
     name: &str,
-    added: &mut HashSet<String>,
-    removed: &HashSet<&str>,
+    upserted: &mut HashSet<String>,
+    removed_names: &HashSet<&str>,
 ) -> Result<(), ConfigurationError> {
-    if removed.contains(name) {
-        return Err(ConfigurationError::AddedAndRemoved {
+    if removed_names.contains(name) {
+        return Err(ConfigurationError::UpsertedAndRemoved {
             list: shortened(list),
             value: shortened(name),
         });
     }
-    if added.insert(name.to_owned()) {
+    if upserted.insert(name.to_owned()) {
         return Ok(());
     }
     let field = shortened(&format!("upsert.{list}"));
@@ -138,54 +189,29 @@
     })
 }
 
-/// The items of a list; none where it is not there.
-fn items<'a>(
-    fields: &BTreeMap<String, Field<'a>>,
-    list: &str,
-) -> Result<Vec<&'a RawValue>, ConfigurationError> {
-    match fields.get(list) {
-        None => Ok(Vec::new()),
-        Some(Field::Items(items)) => Ok(items.clone()),
-        Some(Field::Text(text)) => read_list(list, text),
-        Some(Field::Version(version)) => {
-            Err(no_list(list, &version.to_string(), "expected a list"))
-        }
+fn item_name(list: &str, item: &RawValue) -> Result<String, ConfigurationError> {
+    #[derive(Deserialize)]
+    struct NamedItem {
+        name: String,
     }
+    let text = item.get();
+    if !text.starts_with('{') {
+        return Err(not_an_object(list, text));
+    }
+    let item: NamedItem =
+        serde_json::from_str(text).map_err(|error| not_a_list(list, text, &error.to_string()))?;
+    Ok(item.name)
 }
 
-fn read_list<'a>(list: &str, text: &'a RawValue) -> Result<Vec<&'a RawValue>, ConfigurationError> {
-    serde_json::from_str(text.get()).map_err(|error| no_list(list, text.get(), &error.to_string()))
-}
-
-fn no_list(list: &str, value: &str, cause: &str) -> ConfigurationError {
-    ConfigurationError::Field {
-        field: shortened(list),
+/// The error for a field that is not a list of named items.
+fn not_a_list(field: &str, value: &str, cause: &str) -> ConfigurationError {
+    ConfigurationError::InvalidField {
+        field: shortened(field),
         value: shortened(value),
         cause: shortened(cause),
     }
 }
 
-fn places_of(
-    list: &str,
-    items: &[&RawValue],
-) -> Result<HashMap<String, usize>, ConfigurationError> {
-    let named = items
-        .iter()
-        .enumerate()
-        .map(|(place, item)| Ok((name_of(list, item)?, place)));
-    named.collect()
-}
-
-fn name_of(list: &str, item: &RawValue) -> Result<String, ConfigurationError> {
-    let text = item.get();
-    if !text.starts_with('{') {
-        return Err(no_object(list, text));
-    }
-    let named: Named =
-        serde_json::from_str(text).map_err(|error| no_list(list, text, &error.to_string()))?;
-    Ok(named.name)
-}
-
-fn read<'a, T: Deserialize<'a>>(text: &'a str) -> Result<T, ConfigurationError> {
+fn parse<'a, T: Deserialize<'a>>(text: &'a str) -> Result<T, ConfigurationError> {
     serde_json::from_str(text).map_err(|error| explain(text, &error))
 }
--- a/crates/configuration/src/validation.rs
+++ b/crates/configuration/src/validation.rs
@@ -1,52 +1,58 @@
-//! What must hold between the fields of a configuration, however it was read.
+//! What must hold between the fields of a configuration, whether an operator sent it or it was read from a file.
 
 use crate::error::ConfigurationError;
 use crate::invalid_field::shortened;
-use crate::route_table::plain_host;
+use crate::route_table::normalized_host;
 use std::collections::{HashMap, HashSet};
 use streamusher_protocol::config::{Configuration, Limits, Route};
 
-/// The greatest number that every JSON reader holds exactly. It also keeps sums of times far from overflow.
-pub const GREATEST_NUMBER: u64 = (1 << 53) - 1;
+/// The greatest integer that every JSON reader holds exactly, as a double. It also keeps sums of times far from overflow.
+pub const MAX_EXACT_NUMBER: u64 = (1 << 53) - 1;
 
-/// Checks a whole configuration that is to follow version `current` (0 for none).
+/// Validates a whole configuration that is to follow `current_version` (0 for none).
 ///
 /// # Errors
-/// The first fault found.
-pub fn check(configuration: &Configuration, current: u64) -> Result<(), ConfigurationError> {
-    check_version(configuration.version, current)?;
-    check_services(configuration)?;
-    check_routes(configuration)?;
-    check_limits(&configuration.limits)
+/// The first fault found, in the order of the checks below.
+pub(crate) fn validate(
+    configuration: &Configuration,
+    current_version: u64,
+) -> Result<(), ConfigurationError> {
+    validate_version(configuration.version, current_version)?;
+    validate_services(configuration)?;
+    validate_routes(configuration)?;
+    validate_limits(&configuration.limits)
 }
 
-fn check_version(version: u64, current: u64) -> Result<(), ConfigurationError> {
-    if version <= current {
-        return Err(ConfigurationError::VersionNotAbove { version, current });
+fn validate_version(version: u64, current_version: u64) -> Result<(), ConfigurationError> {
+    if version <= current_version {
+        return Err(ConfigurationError::VersionNotIncreased {
+            version,
+            current_version,
+        });
     }
-    check_number("version", version)
+    validate_number("version", version)
 }
 
-fn check_services(configuration: &Configuration) -> Result<(), ConfigurationError> {
+fn validate_services(configuration: &Configuration) -> Result<(), ConfigurationError> {
     let names = configuration.services.iter().map(|service| &*service.name);
-    check_names("services", names)
+    validate_distinct_names("services", names)
 }
 
-fn check_routes(configuration: &Configuration) -> Result<(), ConfigurationError> {
+fn validate_routes(configuration: &Configuration) -> Result<(), ConfigurationError> {
     let names = configuration.routes.iter().map(|route| &*route.name);
-    check_names("routes", names)?;
+    validate_distinct_names("routes", names)?;
     let services = configuration
         .services
         .iter()
         .map(|service| &*service.name)
         .collect();
     for (index, route) in configuration.routes.iter().enumerate() {
-        check_route(index, route, &services)?;
+        validate_route(index, route, &services)?;
     }
-    check_prefixes(&configuration.routes)
+    validate_distinct_prefixes(&configuration.routes)
 }
 
-fn check_names<'a>(
+fn validate_distinct_names<'a>(
     list: &str,
     names: impl Iterator<Item = &'a str>,
 ) -> Result<(), ConfigurationError> {
@@ -54,7 +60,7 @@
     for (index, name) in names.enumerate() {
         let field = || format!("{list}[{index}].name");
         if name.is_empty() {
-            return Err(ConfigurationError::Empty { field: field() });
+            return Err(ConfigurationError::EmptyField { field: field() });
         }
         if let Some(earlier) = seen.insert(name, index) {
             let first = format!("{list}[{earlier}]");
@@ -68,24 +74,24 @@
     Ok(())
 }
 
-fn check_route(
+fn validate_route(
     index: usize,
     route: &Route,
     services: &HashSet<&str>,
 ) -> Result<(), ConfigurationError> {
     let field = |name: &str| format!("routes[{index}].{name}");
-    if plain_host(&route.host).is_empty() {
-        return Err(ConfigurationError::Empty {
+    if normalized_host(&route.host).is_empty() {
+        return Err(ConfigurationError::EmptyField {
             field: field("host"),
         });
     }
     if route.path_prefix.is_empty() {
-        return Err(ConfigurationError::Empty {
+        return Err(ConfigurationError::EmptyField {
             field: field("path_prefix"),
         });
     }
     if !route.path_prefix.starts_with('/') {
-        return Err(ConfigurationError::NoSlash {
+        return Err(ConfigurationError::MissingLeadingSlash {
             field: field("path_prefix"),
             value: shortened(&route.path_prefix),
         });
@@ -97,21 +103,21 @@
         });
     }
     if route.timeout_ms == 0 {
-        return Err(ConfigurationError::Zero {
+        return Err(ConfigurationError::ZeroField {
             field: field("timeout_ms"),
         });
     }
-    check_number(&field("timeout_ms"), route.timeout_ms)?;
-    check_number(&field("target_latency_ms"), route.target_latency_ms)?;
-    check_factor(&field("stretch"), route.stretch)
+    validate_number(&field("timeout_ms"), route.timeout_ms)?;
+    validate_number(&field("target_latency_ms"), route.target_latency_ms)?;
+    validate_factor(&field("stretch"), route.stretch)
 }
 
-fn check_prefixes(routes: &[Route]) -> Result<(), ConfigurationError> {
+fn validate_distinct_prefixes(routes: &[Route]) -> Result<(), ConfigurationError> {
     let mut seen = HashMap::new();
     for (index, route) in routes.iter().enumerate() {
-        let host = plain_host(&route.host);
+        let host = normalized_host(&route.host);
         if let Some(earlier) = seen.insert((host.clone(), &*route.path_prefix), index) {
-            return Err(ConfigurationError::SharedPrefix {
+            return Err(ConfigurationError::DuplicateRoute {
                 field: format!("routes[{index}]"),
                 host: shortened(&host),
                 prefix: shortened(&route.path_prefix),
@@ -122,29 +128,29 @@
     Ok(())
 }
 
-fn check_limits(limits: &Limits) -> Result<(), ConfigurationError> {
-    check_number("limits.max_header_bytes", limits.max_header_bytes)?;
-    check_number("limits.max_body_bytes", limits.max_body_bytes)?;
-    check_number("limits.header_timeout_ms", limits.header_timeout_ms)?;
-    check_number("limits.idle_timeout_ms", limits.idle_timeout_ms)
+fn validate_limits(limits: &Limits) -> Result<(), ConfigurationError> {
+    validate_number("limits.max_header_bytes", limits.max_header_bytes)?;
+    validate_number("limits.max_body_bytes", limits.max_body_bytes)?;
+    validate_number("limits.header_timeout_ms", limits.header_timeout_ms)?;
+    validate_number("limits.idle_timeout_ms", limits.idle_timeout_ms)
 }
 
-fn check_number(field: &str, value: u64) -> Result<(), ConfigurationError> {
-    if value > GREATEST_NUMBER {
+fn validate_number(field: &str, value: u64) -> Result<(), ConfigurationError> {
+    if value > MAX_EXACT_NUMBER {
         return Err(ConfigurationError::TooLarge {
             field: field.to_owned(),
             value,
-            most: GREATEST_NUMBER,
+            max: MAX_EXACT_NUMBER,
         });
     }
     Ok(())
 }
 
-fn check_factor(field: &str, value: f64) -> Result<(), ConfigurationError> {
+fn validate_factor(field: &str, value: f64) -> Result<(), ConfigurationError> {
     if value.is_finite() && value >= 0.0 {
         return Ok(());
     }
-    Err(ConfigurationError::BadFactor {
+    Err(ConfigurationError::InvalidFactor {
         field: field.to_owned(),
         value: value.to_string(),
     })
--- a/crates/configuration/tests/orders_model.rs
+++ b/crates/configuration/tests/changes_model.rs
@@ -154,9 +154,9 @@
         false => store.replace(order.base, order.body),
     };
     let (reply, taken, writes) = match outcome {
-        ChangeOutcome::Taken { writes, .. } => (Reply::Acknowledged, Some(number), writes),
-        ChangeOutcome::Again { .. } => (Reply::Acknowledged, None, Vec::new()),
-        ChangeOutcome::Stale { writes, .. } => (Reply::Refused, None, writes),
+        ChangeOutcome::Applied { writes, .. } => (Reply::Acknowledged, Some(number), writes),
+        ChangeOutcome::AlreadyApplied { .. } => (Reply::Acknowledged, None, Vec::new()),
+        ChangeOutcome::VersionConflict { writes, .. } => (Reply::Refused, None, writes),
         ChangeOutcome::Invalid(_) => (Reply::Refused, None, Vec::new()),
         ChangeOutcome::Undecided { .. } => (Reply::Unclear, None, Vec::new()),
     };
@@ -179,7 +179,7 @@
     fn init_states(&self) -> Vec<State> {
         let mut records = Records::default();
         let first = r#"{"version":1,"routes":[],"services":[]}"#;
-        support::take(ConfigurationStore::new().replace(0, first), &mut records);
+        support::applied(ConfigurationStore::new().replace(0, first), &mut records);
         vec![State {
             committed: records.0.into_iter().collect(),
             in_force: Vec::new(),
@@ -293,7 +293,7 @@
 #[case::one_number_twice_and_a_successor(&[0, 1, 2], 3, 2)]
 #[case::two_on_a_version_to_come(&[0, 2, 3], 3, 2)]
 #[case::an_invalid_one_between(&[0, 2, INVALID], 3, 2)]
-fn given_two_operators_in_any_order_of_events_then_each_order_has_one_final_answer_that_holds(
+fn each_change_has_one_final_answer_in_every_interleaving(
     #[case] orders: &'static [usize],
     #[case] most_repeats: u8,
     #[case] most_failovers: u8,
--- a/crates/configuration/tests/encoded.rs
+++ b/crates/configuration/tests/encoded.rs
@@ -35,40 +35,43 @@
 }
 
 fn relay_messages() -> Vec<RelayMessage> {
-    let delta = |base, version, update: &str| ConfigurationDelta {
-        base,
+    let delta = |base_version, version, update: &str| ConfigurationDelta {
+        base_version,
         version,
         update: raw(update),
     };
-    let heartbeat = |adopted, ask| RelayMessage::Heartbeat {
+    let heartbeat = |is_temporary, request_required| RelayMessage::Heartbeat {
         version: 3,
-        pulse: RootHeartbeat { epoch: 1, count: 2 },
-        adopted,
-        ask,
+        root_heartbeat: RootHeartbeat { epoch: 1, count: 2 },
+        is_temporary,
+        request_required,
     };
     vec![
         heartbeat(true, false),
         heartbeat(false, true),
-        RelayMessage::Changes(vec![]),
-        RelayMessage::Changes(vec![
+        RelayMessage::Deltas(vec![]),
+        RelayMessage::Deltas(vec![
             delta(1, 2, r#"{"version": 2,  "x":1.00}"#),
             delta(2, 5, r#"{"version":5,"upsert":{"routes":[]}}"#),
         ]),
-        RelayMessage::Whole {
+        RelayMessage::Snapshot {
             version: 3,
             text: raw(r#"{"version":3, "note":1e400}"#),
         },
-        RelayMessage::Ask { have: 7 },
+        RelayMessage::Request { known_version: 7 },
     ]
 }
 
 #[test]
 fn encoded_forms_are_as_recorded_for_relay_messages() {
     let lines: Vec<&str> = RELAY.lines().collect();
-    let peers = [RelayPeer::Core, RelayPeer::Member("10.0.0.1:7381".into())];
+    let peers = [
+        RelayPeer::Primary,
+        RelayPeer::Member("10.0.0.1:7381".into()),
+    ];
     let messages = relay_messages();
-    let envelopes = peers.clone().map(|from| RelayEnvelope {
-        from,
+    let envelopes = peers.clone().map(|sender| RelayEnvelope {
+        sender,
         messages: messages.clone(),
     });
     let memberships = [
@@ -100,7 +103,8 @@
     outcomes
         .into_iter()
         .map(|outcome| match outcome {
-            ChangeOutcome::Taken { writes, .. } | ChangeOutcome::Stale { writes, .. } => writes,
+            ChangeOutcome::Applied { writes, .. }
+            | ChangeOutcome::VersionConflict { writes, .. } => writes,
             _ => Vec::new(),
         })
         .collect()
@@ -125,12 +129,12 @@
     assert_eq!(store.version(), 7);
     assert_eq!(
         store.replace(0, r#"{"version":5,"services":[{"name":"a"}]}"#),
-        ChangeOutcome::Again { version: 5 }
+        ChangeOutcome::AlreadyApplied { version: 5 }
     );
     assert_eq!(
         store.replace(9, r#"{"version":12}"#),
-        ChangeOutcome::Stale {
-            current: 7,
+        ChangeOutcome::VersionConflict {
+            current_version: 7,
             writes: Vec::new()
         },
         "its rejection is known"
@@ -142,24 +146,24 @@
     let value = || "x".to_owned();
     let cause = || "invalid type".to_owned();
     vec![
-        ConfigurationError::Unreadable { cause: cause() },
-        ConfigurationError::Field {
+        ConfigurationError::Malformed { cause: cause() },
+        ConfigurationError::InvalidField {
             field: field(),
             value: value(),
             cause: cause(),
         },
-        ConfigurationError::Empty { field: field() },
-        ConfigurationError::Zero { field: field() },
+        ConfigurationError::EmptyField { field: field() },
+        ConfigurationError::ZeroField { field: field() },
         ConfigurationError::TooLarge {
             field: field(),
             value: 9,
-            most: 8,
+            max: 8,
         },
-        ConfigurationError::BadFactor {
+        ConfigurationError::InvalidFactor {
             field: field(),
             value: value(),
         },
-        ConfigurationError::NoSlash {
+        ConfigurationError::MissingLeadingSlash {
             field: field(),
             value: value(),
         },
@@ -168,7 +172,7 @@
             value: value(),
             first: "routes[1]".to_owned(),
         },
-        ConfigurationError::SharedPrefix {
+        ConfigurationError::DuplicateRoute {
             field: field(),
             host: "h".to_owned(),
             prefix: "/p/".to_owned(),
@@ -178,19 +182,19 @@
             field: field(),
             value: value(),
         },
-        ConfigurationError::VersionNotAbove {
+        ConfigurationError::VersionNotIncreased {
             version: 4,
-            current: 5,
+            current_version: 5,
         },
-        ConfigurationError::AddedAndRemoved {
+        ConfigurationError::UpsertedAndRemoved {
             list: "routes".to_owned(),
             value: value(),
         },
-        ConfigurationError::File {
+        ConfigurationError::UnreadableFile {
             path: "a/b.toml".into(),
             cause: cause(),
         },
-        ConfigurationError::UnknownFormat {
+        ConfigurationError::UnknownFileFormat {
             path: "a/b.yaml".into(),
         },
     ]
@@ -199,14 +203,14 @@
 #[test]
 fn encoded_forms_are_as_recorded_for_error_messages() {
     let record_errors = [
-        RecordError::Damaged {
+        RecordError::Corrupt {
             key: "order/00".to_owned(),
             cause: "EOF".to_owned(),
         },
-        RecordError::TooNew {
+        RecordError::NewerThanConfiguration {
             key: "order/00".to_owned(),
             version: 6,
-            current: 5,
+            current_version: 5,
         },
     ];
     let messages = configuration_errors()
--- a/crates/configuration/tests/files.rs
+++ b/crates/configuration/tests/files.rs
@@ -36,13 +36,13 @@
 "#;
 
 #[test]
-fn given_a_good_json_file_when_checked_then_it_is_read_whole() {
+fn json_file_is_read_whole() {
     let read = check_file(&file("good.json", &sample(5).to_string())).expect("it is good");
     assert_eq!(read, serde_json::from_value(sample(5)).expect("it is good"));
 }
 
 #[test]
-fn given_a_good_toml_file_when_checked_then_it_is_read_whole() {
+fn toml_file_is_read_whole() {
     let read = check_file(&file("good.toml", TOML)).expect("it is good");
     assert_eq!(
         (read.version, &*read.routes[0].name, read.routes[0].stretch),
@@ -97,11 +97,7 @@
     "limits.max_body_bytes is -1: "
 )]
 #[case("[limits]", "[limits", "cannot be read: ")]
-fn given_a_toml_file_with_a_fault_when_checked_then_the_field_is_named(
-    #[case] good: &str,
-    #[case] bad: &str,
-    #[case] message: &str,
-) {
+fn invalid_toml_field_is_named(#[case] good: &str, #[case] bad: &str, #[case] message: &str) {
     let name = format!(
         "bad-{}.toml",
         bad.bytes()
@@ -114,7 +110,7 @@
 }
 
 #[test]
-fn given_a_json_file_with_a_fault_when_checked_then_the_field_is_named() {
+fn invalid_json_field_is_named() {
     let mut bad = sample(5);
     bad["routes"][1]["priority"] = serde_json::json!("high");
     let error = check_file(&file("bad.json", &bad.to_string()))
@@ -130,9 +126,9 @@
 }
 
 #[test]
-fn given_no_such_file_or_an_unknown_format_when_checked_then_the_remedy_is_named() {
+fn missing_file_and_unknown_format_name_the_remedy() {
     let missing = check_file(&PathBuf::from("no-such-folder/x.toml")).expect_err("it is missing");
-    assert!(matches!(missing, ConfigurationError::File { .. }));
+    assert!(matches!(missing, ConfigurationError::UnreadableFile { .. }));
     assert!(
         missing
             .to_string()
@@ -141,7 +137,10 @@
     );
     let unknown =
         check_file(&file("configuration.yaml", "version: 5")).expect_err("its format is unknown");
-    assert!(matches!(unknown, ConfigurationError::UnknownFormat { .. }));
+    assert!(matches!(
+        unknown,
+        ConfigurationError::UnknownFileFormat { .. }
+    ));
     assert!(
         unknown.to_string().contains("name it *.json or *.toml"),
         "{unknown}"
--- a/crates/configuration/tests/histories.rs
+++ b/crates/configuration/tests/random_histories.rs
@@ -234,22 +234,25 @@
         store.update(order.base, &order.body)
     };
     match outcome {
-        ChangeOutcome::Taken { version, writes } => {
+        ChangeOutcome::Applied { version, writes } => {
             records.commit(writes);
             Expected::Taken(version)
         }
-        ChangeOutcome::Again { version } => Expected::Again(version),
-        ChangeOutcome::Stale { current, writes } => {
+        ChangeOutcome::AlreadyApplied { version } => Expected::Again(version),
+        ChangeOutcome::VersionConflict {
+            current_version,
+            writes,
+        } => {
             records.commit(writes);
-            Expected::Stale(current)
+            Expected::Stale(current_version)
         }
-        ChangeOutcome::Undecided { current } => panic!("undecided on {current}"),
+        ChangeOutcome::Undecided { current_version } => panic!("undecided on {current_version}"),
         ChangeOutcome::Invalid(_) => Expected::Invalid,
     }
 }
 
 #[test]
-fn given_any_history_of_orders_when_played_then_store_and_model_agree_after_each() {
+fn store_agrees_with_model_after_each_change() {
     let mut counts = [0usize; 4];
     for seed in 0..HISTORIES {
         let mut numbers = Numbers(seed);
@@ -288,7 +291,7 @@
 
 fn agree(store: &ConfigurationStore, model: &Model, seed: u64, step: usize) {
     let read = store
-        .read()
+        .text()
         .map(|text| serde_json::from_str::<Value>(&text).expect("JSON"));
     assert_eq!(read, model.current, "seed {seed}, step {step}");
     let routes = model
@@ -305,7 +308,7 @@
         let found = store
             .routes()
             .lookup("host.example", &prefix)
-            .map(|(route, _)| json!(&*route.name));
+            .map(|found| json!(&*found.route.name));
         assert_eq!(
             found.as_ref(),
             expected,
--- a/crates/configuration/tests/records.rs
+++ b/crates/configuration/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Stored records that are damaged are told by name, and none is used by half.
+//! Corrupt stored records are named, and none is used in part.
 
 mod support;
 
@@ -8,14 +8,13 @@
 use support::{read, store_with};
 
 #[test]
-fn given_a_configuration_cut_short_on_disk_when_recovered_then_the_record_is_named_with_the_remedy()
-{
+fn truncated_configuration_record_is_named_with_the_remedy() {
     let (store, _) = store_with(5);
-    let text = store.read().expect("a configuration");
+    let text = store.text().expect("a configuration");
     for end in 0..text.len() {
         let records: [(Arc<str>, Arc<str>); 1] = [("config/current".into(), text[..end].into())];
-        let error = ConfigurationStore::recover(records.into_iter()).expect_err("it is damaged");
-        let RecordError::Damaged { key, .. } = &error else {
+        let error = ConfigurationStore::recover(records.into_iter()).expect_err("it is corrupt");
+        let RecordError::Corrupt { key, .. } = &error else {
             panic!("{error}")
         };
         assert_eq!(key, "config/current");
@@ -34,10 +33,10 @@
 #[case("7")]
 #[case(r#"{"version":-5,"base":0,"length":3}"#)]
 #[case(r#"{"version":5,"base":0,"length":3"#)]
-fn given_a_damaged_order_when_recovered_then_its_record_is_named(#[case] value: &str) {
+fn corrupt_change_record_is_named(#[case] value: &str) {
     let (_, mut records) = store_with(5);
     records.0.insert("order/00".into(), value.into());
-    let error = ConfigurationStore::recover(records.0.into_iter()).expect_err("it is damaged");
+    let error = ConfigurationStore::recover(records.0.into_iter()).expect_err("it is corrupt");
     assert!(
         error
             .to_string()
@@ -47,7 +46,7 @@
 }
 
 #[test]
-fn given_an_order_newer_than_the_configuration_when_recovered_then_the_records_are_refused() {
+fn records_with_change_newer_than_configuration_are_rejected() {
     let (_, mut records) = store_with(5);
     records.0.insert(
         "order/00".into(),
@@ -57,10 +56,10 @@
         .expect_err("they do not belong together");
     assert_eq!(
         error,
-        RecordError::TooNew {
+        RecordError::NewerThanConfiguration {
             key: "order/00".into(),
             version: 6,
-            current: 5
+            current_version: 5
         }
     );
     records.0.remove("config/current");
@@ -68,15 +67,15 @@
 }
 
 #[test]
-fn given_a_configuration_that_todays_checks_refuse_when_recovered_then_it_is_kept() {
+fn recovered_configuration_is_not_validated_again() {
     let text = r#"{"version":5,"routes":[{"name":"r","host":"h","path_prefix":"/","timeout_ms":0,"service":"x"}]}"#;
     let records: [(Arc<str>, Arc<str>); 1] = [("config/current".into(), text.into())];
     let mut store = ConfigurationStore::recover(records.into_iter()).expect("it can be read");
-    assert_eq!(store.read().as_deref(), Some(text));
+    assert_eq!(store.text().as_deref(), Some(text));
     let repaired = r#"{"version":6,"remove":{"routes":["r"]}}"#;
     assert!(matches!(
         store.update(5, repaired),
-        ChangeOutcome::Taken { .. }
+        ChangeOutcome::Applied { .. }
     ));
     assert_eq!(read(&store)["routes"], serde_json::json!([]));
 }
--- a/crates/configuration/tests/relay_tree.rs
+++ b/crates/configuration/tests/relay_tree.rs
@@ -1,14 +1,14 @@
-//! The tree that all compute alike from the same roster.
+//! The tree that all compute alike from the same membership.
 
 mod support;
 
 use rstest::rstest;
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use streamusher_configuration::relay::{RelayMembership, RelayPeer, Tree, FAN_OUT};
+use streamusher_configuration::relay::{RelayMembership, RelayPeer, RelayTree, FAN_OUT};
 use support::Numbers;
 
-fn roster(size: usize) -> RelayMembership {
+fn membership(size: usize) -> RelayMembership {
     RelayMembership {
         version: 1,
         members: (0..size)
@@ -17,12 +17,12 @@
     }
 }
 
-fn parents(tree: &Tree, members: &[Arc<str>]) -> BTreeMap<Arc<str>, RelayPeer> {
+fn parents(tree: &RelayTree, members: &[Arc<str>]) -> BTreeMap<Arc<str>, RelayPeer> {
     let mut parents = BTreeMap::new();
     let root = tree
         .children_of_root()
         .into_iter()
-        .map(|child| (child, RelayPeer::Core));
+        .map(|child| (child, RelayPeer::Primary));
     let others = members.iter().flat_map(|parent| {
         tree.children(parent)
             .into_iter()
@@ -49,27 +49,24 @@
 #[case(1_000, 4)]
 #[case(4_680, 4)]
 #[case(4_681, 5)]
-fn given_a_roster_when_the_tree_is_made_then_each_has_one_parent_and_the_depth_is_least(
-    #[case] size: usize,
-    #[case] depth: usize,
-) {
-    let roster = roster(size);
-    let tree = Tree::new(&roster);
-    let parents = parents(&tree, &roster.members);
+fn each_member_has_one_parent_and_depth_is_least(#[case] size: usize, #[case] depth: usize) {
+    let membership = membership(size);
+    let tree = RelayTree::new(&membership);
+    let parents = parents(&tree, &membership.members);
     assert_eq!(parents.len(), size);
-    for member in &roster.members {
+    for member in &membership.members {
         let ancestors = tree.ancestors(member);
         assert_eq!(ancestors[0], parents[member]);
-        assert_eq!(ancestors.last(), Some(&RelayPeer::Core));
+        assert_eq!(ancestors.last(), Some(&RelayPeer::Primary));
         assert!(tree.children(member).len() <= FAN_OUT);
         for pair in ancestors.windows(2) {
             let RelayPeer::Member(nearer) = &pair[0] else {
-                panic!("the core is the last")
+                panic!("the primary is the last")
             };
             assert_eq!(parents[nearer], pair[1]);
         }
     }
-    let deepest = roster
+    let deepest = membership
         .members
         .iter()
         .map(|member| tree.ancestors(member).len())
@@ -78,8 +75,8 @@
 }
 
 #[test]
-fn given_the_same_members_in_another_order_or_twice_when_the_tree_is_made_then_it_is_the_same() {
-    let straight = roster(100);
+fn tree_does_not_depend_on_order_or_duplicates() {
+    let straight = membership(100);
     let mut mixed = straight.clone();
     mixed.members.extend(straight.members[..20].to_vec());
     let mut numbers = Numbers(1);
@@ -87,7 +84,7 @@
         let other = numbers.below(mixed.members.len() as u64) as usize;
         mixed.members.swap(index, other);
     }
-    let (one, other) = (Tree::new(&straight), Tree::new(&mixed));
+    let (one, other) = (RelayTree::new(&straight), RelayTree::new(&mixed));
     for member in &straight.members {
         assert_eq!(one.ancestors(member), other.ancestors(member));
         assert_eq!(one.children(member), other.children(member));
@@ -95,27 +92,26 @@
 }
 
 #[test]
-fn given_one_that_is_not_in_the_roster_when_it_looks_for_ancestors_then_it_stands_where_it_would_if_it_were(
-) {
-    let without = roster(100);
+fn process_outside_the_membership_has_the_ancestors_it_would_have_as_member() {
+    let without = membership(100);
     let mut with = without.clone();
     with.members.push("10.9.9.9:7381".into());
-    let tree = Tree::new(&without);
+    let tree = RelayTree::new(&without);
     assert_eq!(
         tree.ancestors("10.9.9.9:7381"),
-        Tree::new(&with).ancestors("10.9.9.9:7381")
+        RelayTree::new(&with).ancestors("10.9.9.9:7381")
     );
     assert!(tree.children("10.9.9.9:7381").is_empty());
     assert_eq!(
-        Tree::default().ancestors("10.9.9.9:7381"),
-        [RelayPeer::Core]
+        RelayTree::default().ancestors("10.9.9.9:7381"),
+        [RelayPeer::Primary]
     );
 }
 
 /// Processes of different releases must agree. Computed by another implementation of the hash, in Python.
 #[test]
-fn given_12_addresses_when_ordered_then_the_order_is_the_one_agreed_for_ever() {
-    let tree = Tree::new(&roster(12));
+fn order_of_members_is_that_of_all_releases() {
+    let tree = RelayTree::new(&membership(12));
     let first: Vec<String> = tree
         .children_of_root()
         .iter()
@@ -136,11 +132,10 @@
     );
 }
 
-/// Members with different rosters can therefore never be each other's ancestors, and nobody asks in a circle.
+/// Members with different memberships can therefore never be each other's ancestors, and nobody asks in a circle.
 #[test]
-fn given_any_two_rosters_when_one_is_the_others_ancestor_in_one_then_it_is_not_the_reverse_in_the_other(
-) {
-    let all = roster(60).members;
+fn ancestry_is_never_reversed_between_memberships() {
+    let all = membership(60).members;
     let mut above = std::collections::BTreeSet::new();
     for seed in 0..200 {
         let mut numbers = Numbers(seed);
@@ -150,7 +145,7 @@
             .filter(|_| numbers.below(100) < share)
             .cloned()
             .collect();
-        let tree = Tree::new(&RelayMembership {
+        let tree = RelayTree::new(&RelayMembership {
             version: seed,
             members,
         });
--- a/crates/configuration/tests/routes.rs
+++ b/crates/configuration/tests/route_table.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use std::sync::Arc;
-use streamusher_configuration::route_table::plain_host;
+use streamusher_configuration::normalized_host;
 use streamusher_configuration::RouteTable;
 use streamusher_protocol::config::{Configuration, Route};
 use support::Numbers;
@@ -25,7 +25,7 @@
 fn found<'p>(table: &RouteTable, host: &str, path: &'p str) -> Option<(String, &'p str)> {
     table
         .lookup(host, path)
-        .map(|(route, rest)| (route.name.to_string(), rest))
+        .map(|found| (found.route.name.to_string(), found.rest))
 }
 
 #[rstest]
@@ -44,7 +44,7 @@
 #[case("g", "/xyz", Some(("g /xy", "z")))]
 #[case("g", "/\u{e9}t\u{e9}", Some(("g /", "\u{e9}t\u{e9}")))]
 #[case("", "/a/id", None)]
-fn given_nested_prefixes_when_a_request_comes_then_the_longest_that_begins_its_path_is_taken(
+fn longest_matching_prefix_wins(
     #[case] host: &str,
     #[case] path: &str,
     #[case] expected: Option<(&str, &str)>,
@@ -71,20 +71,17 @@
 #[case(":80", "")]
 #[case("]", "]")]
 #[case("\u{c9}.example:1", "\u{c9}.example")]
-fn given_a_host_header_when_made_plain_then_port_and_case_are_gone(
-    #[case] host: &str,
-    #[case] expected: &str,
-) {
-    assert_eq!(plain_host(host), expected);
+fn normalized_host_has_no_port_and_no_upper_case(#[case] host: &str, #[case] expected: &str) {
+    assert_eq!(normalized_host(host), expected);
 }
 
 #[test]
-fn given_an_empty_table_when_asked_then_nothing_is_found() {
+fn empty_table_matches_nothing() {
     assert!(RouteTable::default().lookup("h", "/").is_none());
 }
 
 #[test]
-fn given_random_routes_when_asked_then_the_answer_is_that_of_a_search_through_all() {
+fn lookup_agrees_with_linear_search() {
     for seed in 0..300 {
         let mut numbers = Numbers(seed);
         let mut routes: Vec<(String, String)> = Vec::new();
@@ -120,8 +117,8 @@
     (*numbers.one_of(&["g", "h"])).to_owned()
 }
 
-fn path(numbers: &mut Numbers, most: u64) -> String {
-    let length = numbers.below(most);
+fn path(numbers: &mut Numbers, max_length: u64) -> String {
+    let length = numbers.below(max_length);
     let tail = (0..length).map(|_| *numbers.one_of(&["a", "b", "/", "\u{e9}"]));
     std::iter::once("/").chain(tail).collect()
 }
--- a/crates/configuration/tests/support/fleet.rs
+++ b/crates/configuration/tests/support/fleet.rs
@@ -1,14 +1,14 @@
-//! Members of a relay tree and their roots in virtual time: links with delay, cuts, deaths, freezes, late rosters.
+//! Members of a relay tree and their roots in virtual time: links with delay, partitions, deaths, freezes, late memberships.
 
 use super::{route, service, Numbers};
 use serde_json::json;
 use serde_json::value::RawValue;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
+use streamusher_configuration::apply_update;
 use streamusher_configuration::relay::{
-    ConfigurationDelta, RelayMembership, RelayMessage, RelayNode, RelayPeer, RelayRoot, Tree,
+    ConfigurationDelta, RelayMembership, RelayMessage, RelayNode, RelayPeer, RelayRoot, RelayTree,
 };
-use streamusher_configuration::update::apply;
 use streamusher_protocol::Millis;
 
 /// One-way delay of a link.
@@ -17,18 +17,18 @@
 /// `config_apply_ms` of the operators' settings.
 pub const APPLY_BOUND: u64 = 2_000;
 
-/// A fleet that has version 1 and is at rest.
-pub fn settled(size: usize, seed: u64, routes: usize) -> Fleet {
+/// A fleet in which every member has version 1, and no message is in flight but heartbeats.
+pub fn settled_fleet(size: usize, seed: u64, routes: usize) -> Fleet {
     let mut fleet = Fleet::new(size, seed);
     fleet.run_until(1_000);
     fleet.replace(1, routes);
     fleet.run_until(3_000);
-    assert_eq!(fleet.without(1), [] as [Arc<str>; 0]);
-    fleet.take_account();
+    assert_eq!(fleet.lagging_members(1), [] as [Arc<str>; 0]);
+    fleet.take_traffic();
     fleet
 }
 
-/// What happens at some time.
+/// An event that is due at some time.
 pub(super) enum Event {
     Deliver {
         to: RelayPeer,
@@ -38,16 +38,16 @@
     },
     Tick(Arc<str>),
     RootTick(usize),
-    Roster(Arc<str>, Arc<RelayMembership>),
+    Membership(Arc<str>, Arc<RelayMembership>),
 }
 
 /// One process of the data plane.
 pub struct Member {
     pub node: RelayNode,
     pub alive: bool,
-    /// It does nothing until then; what arrives meanwhile waits.
+    /// It does nothing until then; messages that arrive meanwhile are queued.
     pub frozen_until: Millis,
-    /// Versions that it has acted by in this life, and since when.
+    /// Versions that have been in force since its start, and since when.
     pub applied: Vec<(u64, Millis)>,
     pub(super) scheduled: Millis,
 }
@@ -59,50 +59,51 @@
     pub bytes: u64,
 }
 
-/// What was sent since the last look.
+/// What was sent since it was last read.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Account {
-    /// Regular heartbeats, and those that answer a question.
+pub struct TrafficTotals {
+    /// Regular heartbeats, and those that answer a request.
     pub heartbeats: Traffic,
-    pub questions: Traffic,
-    /// Configurations, changes, and word of those too long to be pushed.
+    /// Requests.
+    pub requests: Traffic,
+    /// Snapshots, deltas, and announcements of versions that are too long to be pushed.
     pub updates: Traffic,
 }
 
-/// The whole of it.
+/// A relay tree in virtual time.
 pub struct Fleet {
     pub now: Millis,
     pub members: BTreeMap<Arc<str>, Member>,
     pub roots: Vec<RelayRoot>,
-    /// The root that members reach as the core.
+    /// The root that members reach as the primary.
     pub acting: usize,
-    pub roster: Arc<RelayMembership>,
+    pub membership: Arc<RelayMembership>,
     /// Members with no link to anyone.
-    pub cut: BTreeSet<Arc<str>>,
+    pub partitioned: BTreeSet<Arc<str>>,
     /// Roots that reach nobody.
-    pub cut_roots: BTreeSet<usize>,
+    pub partitioned_roots: BTreeSet<usize>,
     /// Pairs without a link, in both directions.
-    pub cut_pairs: BTreeSet<(RelayPeer, RelayPeer)>,
+    pub partitioned_pairs: BTreeSet<(RelayPeer, RelayPeer)>,
     /// Messages are lost with this chance in a thousand.
     pub loss: u64,
     /// Messages are sent twice with this chance in a thousand.
     pub repeats: u64,
-    /// Added to the delay, drawn for each message.
+    /// Added to the delay, chosen for each message.
     pub jitter: Millis,
-    pub account: Account,
-    /// The change that made each version, where one did.
-    pub changes: BTreeMap<u64, ConfigurationDelta>,
+    pub traffic: TrafficTotals,
+    /// The update that made each version, where one did.
+    pub deltas: BTreeMap<u64, ConfigurationDelta>,
     /// The text of each version.
-    pub history: BTreeMap<u64, Arc<RawValue>>,
-    /// Members that are told of a new roster get it within this time.
-    pub roster_delay: Millis,
+    pub texts: BTreeMap<u64, Arc<RawValue>>,
+    /// A new membership reaches each member within this time.
+    pub membership_delay: Millis,
     pub numbers: Numbers,
     pub(super) events: BTreeMap<(Millis, u64), Event>,
     pub(super) sent: u64,
 }
 
 impl Fleet {
-    /// So many members, all started and told the same roster at time 0, without a configuration.
+    /// Members that are all started and get the same membership at time 0, without a configuration.
     pub fn new(size: usize, seed: u64) -> Fleet {
         let addresses: Vec<Arc<str>> = (0..size)
             .map(|index| format!("10.{}.{}.{}:7381", seed % 200, index / 250, index % 250).into())
@@ -112,25 +113,25 @@
             members: BTreeMap::new(),
             roots: vec![RelayRoot::new(0, 0)],
             acting: 0,
-            roster: Arc::new(RelayMembership {
+            membership: Arc::new(RelayMembership {
                 version: 1,
                 members: addresses.clone(),
             }),
-            cut: BTreeSet::new(),
-            cut_roots: BTreeSet::new(),
-            cut_pairs: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
+            partitioned_roots: BTreeSet::new(),
+            partitioned_pairs: BTreeSet::new(),
             loss: 0,
             repeats: 0,
             jitter: 0,
-            account: Account::default(),
-            changes: BTreeMap::new(),
-            history: BTreeMap::new(),
-            roster_delay: 0,
+            traffic: TrafficTotals::default(),
+            deltas: BTreeMap::new(),
+            texts: BTreeMap::new(),
+            membership_delay: 0,
             numbers: Numbers(seed),
             events: BTreeMap::new(),
             sent: 0,
         };
-        fleet.roots[0].set_roster(&fleet.roster);
+        fleet.roots[0].set_membership(&fleet.membership);
         fleet.push(0, Event::RootTick(0));
         for address in addresses {
             fleet.start(&address);
@@ -138,7 +139,7 @@
         fleet
     }
 
-    /// Starts a member, or starts it again with a new life.
+    /// Starts a member, or restarts it without its state.
     pub fn start(&mut self, address: &Arc<str>) {
         let node = RelayNode::new(address.clone(), self.now);
         let member = Member {
@@ -152,43 +153,46 @@
         self.schedule(address);
         self.push(
             self.now,
-            Event::Roster(address.clone(), self.roster.clone()),
+            Event::Membership(address.clone(), self.membership.clone()),
         );
     }
 
-    /// Changes the roster; each member is told after a delay of its own, the root at once.
-    pub fn set_roster(&mut self, members: Vec<Arc<str>>) {
-        self.roster = Arc::new(RelayMembership {
-            version: self.roster.version + 1,
+    /// Changes the membership: for the root at once, for each member after a delay of its own.
+    pub fn set_membership(&mut self, members: Vec<Arc<str>>) {
+        self.membership = Arc::new(RelayMembership {
+            version: self.membership.version + 1,
             members,
         });
         let acting = self.acting;
-        self.roots[acting].set_roster(&self.roster);
+        self.roots[acting].set_membership(&self.membership);
         let addresses: Vec<Arc<str>> = self.members.keys().cloned().collect();
         for address in addresses {
-            let late = self.numbers.below(self.roster_delay + 1);
-            self.push(self.now + late, Event::Roster(address, self.roster.clone()));
+            let delay = self.numbers.below(self.membership_delay + 1);
+            self.push(
+                self.now + delay,
+                Event::Membership(address, self.membership.clone()),
+            );
         }
     }
 
     /// Another primary takes over.
     pub fn fail_over(&mut self, epoch: u64) {
         let mut root = RelayRoot::new(epoch, self.now);
-        root.set_roster(&self.roster);
+        root.set_membership(&self.membership);
         let newest = self
-            .history
+            .texts
             .last_key_value()
             .map(|(version, text)| (*version, text.clone()));
         self.roots.push(root);
         self.acting = self.roots.len() - 1;
         self.push(self.now, Event::RootTick(self.acting));
         if let Some((version, text)) = newest {
-            let sends = self.roots[self.acting].publish(version, text);
-            self.send(&RelayPeer::Core, self.acting, sends);
+            let messages = self.roots[self.acting].publish(version, text);
+            self.send(&RelayPeer::Primary, self.acting, messages);
         }
     }
 
-    /// Publishes a whole configuration with so many routes.
+    /// Publishes a whole configuration with this number of routes.
     pub fn replace(&mut self, version: u64, routes: usize) {
         let routes: Vec<_> = (0..routes)
             .map(|index| {
@@ -204,37 +208,37 @@
         let text: Arc<RawValue> = RawValue::from_string(whole.to_string())
             .expect("JSON")
             .into();
-        self.history.insert(version, text.clone());
-        let sends = self.roots[self.acting].publish(version, text);
-        self.send(&RelayPeer::Core, self.acting, sends);
+        self.texts.insert(version, text.clone());
+        let messages = self.roots[self.acting].publish(version, text);
+        self.send(&RelayPeer::Primary, self.acting, messages);
     }
 
-    /// Publishes a change on top of the newest version: each touches another item, so that none can be left out.
+    /// Publishes an update of the newest version. Each touches another item, so that none can be left out.
     pub fn update(&mut self, version: u64) {
-        let (base, text) = self.history.last_key_value().expect("a configuration");
+        let (base_version, text) = self.texts.last_key_value().expect("a configuration");
         let prefix = format!("/changed{version}/");
         let name = format!("r-{}", version % 11);
         let update = json!({"version": version, "upsert": {"routes": [route(&name, "host.example", &prefix, "cores")]}});
         let update: Arc<RawValue> = RawValue::from_string(update.to_string())
             .expect("JSON")
             .into();
-        let changed = apply(text.get(), update.get()).expect("it fits");
-        let change = ConfigurationDelta {
-            base: *base,
+        let changed = apply_update(text.get(), update.get()).expect("it fits");
+        let delta = ConfigurationDelta {
+            base_version: *base_version,
             version,
             update,
         };
-        self.changes.insert(version, change.clone());
+        self.deltas.insert(version, delta.clone());
         let text: Arc<RawValue> = RawValue::from_string(changed).expect("JSON").into();
-        self.history.insert(version, text.clone());
-        let sends = self.roots[self.acting].publish_change(change, text);
-        self.send(&RelayPeer::Core, self.acting, sends);
+        self.texts.insert(version, text.clone());
+        let messages = self.roots[self.acting].publish_update(delta, text);
+        self.send(&RelayPeer::Primary, self.acting, messages);
     }
 
-    /// Lets time pass.
+    /// Plays all events up to this time.
     pub fn run_until(&mut self, until: Millis) {
-        while let Some(((at, number), _)) = self.events.first_key_value() {
-            let key = (*at, *number);
+        while let Some(((due_at, sequence), _)) = self.events.first_key_value() {
+            let key = (*due_at, *sequence);
             if key.0 > until {
                 break;
             }
@@ -246,12 +250,12 @@
         self.now = until;
     }
 
-    /// Lets so much time pass.
+    /// Plays all events of this span.
     pub fn run_for(&mut self, time: Millis) {
         self.run_until(self.now + time);
     }
 
-    /// A message that comes from nowhere in particular.
+    /// Delivers a message that its sender has not sent.
     pub fn inject(&mut self, to: &Arc<str>, from: RelayPeer, message: RelayMessage) {
         let to = RelayPeer::Member(to.clone());
         self.push(
@@ -265,43 +269,45 @@
         );
     }
 
-    /// Tells a member of a version as the primary's answers do.
-    pub fn heard_of(&mut self, address: &Arc<str>, version: u64) {
+    /// Announces a version to a member, as the primary's responses do.
+    pub fn announce_version(&mut self, address: &Arc<str>, version: u64) {
         let now = self.now;
         let actions = self
             .members
             .get_mut(address)
             .expect("a member")
             .node
-            .heard_of(now, version);
+            .on_version_announced(now, version);
         self.act(address, actions);
     }
 
-    /// Members that tell others, by the present roster.
-    pub fn inner(&self) -> Vec<Arc<str>> {
-        let tree = Tree::new(&self.roster);
+    /// Members that have children by the present membership.
+    pub fn inner_members(&self) -> Vec<Arc<str>> {
+        let tree = RelayTree::new(&self.membership);
         let inner = self
-            .roster
+            .membership
             .members
             .iter()
             .filter(|member| !tree.children(member).is_empty());
         inner.cloned().collect()
     }
 
-    /// So many of a list, drawn at random.
-    pub fn draw(&mut self, mut from: Vec<Arc<str>>, count: usize) -> Vec<Arc<str>> {
-        let mut drawn = Vec::new();
-        while drawn.len() < count && !from.is_empty() {
-            let index = self.numbers.below(from.len() as u64) as usize;
-            drawn.push(from.swap_remove(index));
+    /// `count` of a list, chosen at random.
+    pub fn choose(&mut self, mut candidates: Vec<Arc<str>>, count: usize) -> Vec<Arc<str>> {
+        let mut chosen = Vec::new();
+        while chosen.len() < count && !candidates.is_empty() {
+            let index = self.numbers.below(candidates.len() as u64) as usize;
+            chosen.push(candidates.swap_remove(index));
         }
-        drawn
+        chosen
     }
 
+    /// The member dies: it handles nothing any more.
     pub fn kill(&mut self, address: &Arc<str>) {
         self.members.get_mut(address).expect("a member").alive = false;
     }
 
+    /// The member does nothing until then.
     pub fn freeze(&mut self, address: &Arc<str>, until: Millis) {
         self.members
             .get_mut(address)
@@ -310,7 +316,7 @@
     }
 
     /// Live members that do not have this version.
-    pub fn without(&self, version: u64) -> Vec<Arc<str>> {
+    pub fn lagging_members(&self, version: u64) -> Vec<Arc<str>> {
         let lacking = self
             .members
             .iter()
@@ -333,8 +339,8 @@
             .unwrap_or(0)
     }
 
-    /// What was sent since the last look.
-    pub fn take_account(&mut self) -> Account {
-        std::mem::take(&mut self.account)
+    /// What was sent since it was last read.
+    pub fn take_traffic(&mut self) -> TrafficTotals {
+        std::mem::take(&mut self.traffic)
     }
 }
--- a/crates/configuration/tests/support/mod.rs
+++ b/crates/configuration/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: sample configurations, a seeded source of numbers, the committed records.
+//! Shared by the tests: sample configurations, seeded random numbers, the committed records of a store.
 #![allow(dead_code)]
 
 pub mod fleet;
@@ -10,7 +10,7 @@
 use streamusher_configuration::{ChangeOutcome, ConfigurationStore};
 use streamusher_protocol::store::Write;
 
-/// Numbers drawn from a seed (SplitMix64).
+/// Random numbers from a seed (SplitMix64).
 pub struct Numbers(pub u64);
 
 impl Numbers {
@@ -78,32 +78,36 @@
     }
 }
 
-/// Takes an order that must be taken, and commits it.
-pub fn take(outcome: ChangeOutcome, records: &mut Records) -> u64 {
-    let ChangeOutcome::Taken { version, writes } = outcome else {
-        panic!("not taken: {outcome:?}")
+/// Commits a change that must be applied; returns the version that it made.
+pub fn applied(outcome: ChangeOutcome, records: &mut Records) -> u64 {
+    let ChangeOutcome::Applied { version, writes } = outcome else {
+        panic!("not applied: {outcome:?}")
     };
     records.commit(writes);
     version
 }
 
-/// Refuses an order as stale, and commits what is written for that; returns the current version.
-pub fn refuse(outcome: ChangeOutcome, records: &mut Records) -> u64 {
-    let ChangeOutcome::Stale { current, writes } = outcome else {
-        panic!("not refused: {outcome:?}")
+/// Commits the rejection of a change that must conflict with the current version; returns that version.
+pub fn conflicting(outcome: ChangeOutcome, records: &mut Records) -> u64 {
+    let ChangeOutcome::VersionConflict {
+        current_version,
+        writes,
+    } = outcome
+    else {
+        panic!("no conflict: {outcome:?}")
     };
     records.commit(writes);
-    current
+    current_version
 }
 
 /// A store that holds `sample(version)`, and its records.
 pub fn store_with(version: u64) -> (ConfigurationStore, Records) {
     let (mut store, mut records) = (ConfigurationStore::new(), Records::default());
-    take(store.replace(0, &sample(version).to_string()), &mut records);
+    applied(store.replace(0, &sample(version).to_string()), &mut records);
     (store, records)
 }
 
-/// What a store gives back, as a JSON value.
+/// The newest configuration of a store, as a JSON value.
 pub fn read(store: &ConfigurationStore) -> Value {
-    serde_json::from_str(&store.read().expect("a configuration")).expect("JSON")
+    serde_json::from_str(&store.text().expect("a configuration")).expect("JSON")
 }
--- a/crates/configuration/tests/support/network.rs
+++ b/crates/configuration/tests/support/network.rs
@@ -6,9 +6,9 @@
 use streamusher_protocol::Millis;
 
 impl Fleet {
-    pub(super) fn push(&mut self, at: Millis, event: Event) {
+    pub(super) fn push(&mut self, due_at: Millis, event: Event) {
         self.sent += 1;
-        self.events.insert((at, self.sent), event);
+        self.events.insert((due_at, self.sent), event);
     }
 
     pub(super) fn play(&mut self, event: Event) {
@@ -18,7 +18,7 @@
                 ..
             }
             | Event::Tick(address)
-            | Event::Roster(address, _) => Some(address.clone()),
+            | Event::Membership(address, _) => Some(address.clone()),
             _ => None,
         };
         let Some(address) = owner else {
@@ -34,9 +34,9 @@
         let now = self.now;
         let actions = match event {
             Event::Deliver { from, message, .. } => {
-                member.node.receive(now, &from, (*message).clone())
+                member.node.on_message(now, &from, (*message).clone())
             }
-            Event::Roster(_, roster) => member.node.set_roster(now, &roster),
+            Event::Membership(_, membership) => member.node.set_membership(now, &membership),
             Event::Tick(_) => {
                 member.scheduled = Millis::MAX;
                 member.node.tick(now)
@@ -50,8 +50,8 @@
         match event {
             Event::RootTick(index) => {
                 let now = self.now;
-                let sends = self.roots[index].tick(now);
-                self.send(&RelayPeer::Core, index, sends);
+                let messages = self.roots[index].tick(now);
+                self.send(&RelayPeer::Primary, index, messages);
                 let next = self.roots[index].next_tick().min(now + 100).max(now + 1);
                 self.push(next, Event::RootTick(index));
             }
@@ -61,8 +61,8 @@
                 message,
                 ..
             } => {
-                let sends = self.roots[from_root].receive(self.now, &from, (*message).clone());
-                self.send(&RelayPeer::Core, from_root, sends);
+                let messages = self.roots[from_root].on_message(self.now, &from, &message);
+                self.send(&RelayPeer::Primary, from_root, messages);
             }
             _ => {}
         }
@@ -80,7 +80,7 @@
             let text = member.node.text().expect("it has one").get();
             assert_eq!(
                 text,
-                self.history[&version].get(),
+                self.texts[&version].get(),
                 "{address} has another version {version}"
             );
             member.applied.push((version, self.now));
@@ -88,7 +88,7 @@
         self.send(
             &RelayPeer::Member(address.clone()),
             self.acting,
-            actions.sends,
+            actions.messages,
         );
         self.schedule(address);
     }
@@ -102,22 +102,25 @@
         }
     }
 
-    pub(super) fn send(&mut self, from: &RelayPeer, root: usize, sends: Vec<OutboundMessage>) {
-        for OutboundMessage { to, message } in sends {
+    pub(super) fn send(&mut self, from: &RelayPeer, root: usize, messages: Vec<OutboundMessage>) {
+        for OutboundMessage { receivers, message } in messages {
             let bytes = serde_json::to_string(&message).expect("JSON").len() as u64;
             let message = Arc::new(message);
-            for to in to {
+            for receiver in receivers {
                 self.count(&message, bytes);
-                self.transmit(from, to, root, &message);
+                self.transmit(from, receiver, root, &message);
             }
         }
     }
 
     fn count(&mut self, message: &RelayMessage, bytes: u64) {
         let traffic = match message {
-            RelayMessage::Heartbeat { ask: false, .. } => &mut self.account.heartbeats,
-            RelayMessage::Ask { .. } => &mut self.account.questions,
-            _ => &mut self.account.updates,
+            RelayMessage::Heartbeat {
+                request_required: false,
+                ..
+            } => &mut self.traffic.heartbeats,
+            RelayMessage::Request { .. } => &mut self.traffic.requests,
+            _ => &mut self.traffic.updates,
         };
         traffic.messages += 1;
         traffic.bytes += bytes;
@@ -139,10 +142,10 @@
             1
         };
         for _ in 0..copies {
-            let at = self.now + DELAY + self.numbers.below(self.jitter + 1);
+            let arrives_at = self.now + DELAY + self.numbers.below(self.jitter + 1);
             let (to, from, message) = (to.clone(), from.clone(), message.clone());
             self.push(
-                at,
+                arrives_at,
                 Event::Deliver {
                     to,
                     from,
@@ -154,13 +157,14 @@
     }
 
     fn is_linked(&self, from: &RelayPeer, to: &RelayPeer, root: usize) -> bool {
-        let is_cut = |peer: &RelayPeer| match peer {
-            RelayPeer::Core => self.cut_roots.contains(&root),
-            RelayPeer::Member(address) => self.cut.contains(address),
+        let is_partitioned = |peer: &RelayPeer| match peer {
+            RelayPeer::Primary => self.partitioned_roots.contains(&root),
+            RelayPeer::Member(address) => self.partitioned.contains(address),
         };
         let pair = |one: &RelayPeer, other: &RelayPeer| {
-            self.cut_pairs.contains(&(one.clone(), other.clone()))
+            self.partitioned_pairs
+                .contains(&(one.clone(), other.clone()))
         };
-        !is_cut(from) && !is_cut(to) && !pair(from, to) && !pair(to, from)
+        !is_partitioned(from) && !is_partitioned(to) && !pair(from, to) && !pair(to, from)
     }
 }
--- a/crates/configuration/tests/updates.rs
+++ b/crates/configuration/tests/updates.rs
@@ -3,13 +3,13 @@
 mod support;
 
 use serde_json::{json, Value};
-use streamusher_configuration::update::apply;
+use streamusher_configuration::apply_update;
 use streamusher_configuration::{ChangeOutcome, ConfigurationStore};
-use support::{read, route, sample, service, store_with, take, Records};
+use support::{applied, read, route, sample, service, store_with, Records};
 
 fn updated(update: Value) -> Value {
     let (mut store, mut records) = store_with(5);
-    take(store.update(5, &update.to_string()), &mut records);
+    applied(store.update(5, &update.to_string()), &mut records);
     assert_eq!(
         read(&records.recover()),
         read(&store),
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn given_an_item_with_a_known_name_when_upserted_then_it_is_replaced_whole_in_its_place() {
+fn upserted_item_of_known_name_is_replaced_in_place() {
     let mut replacement = route("r-one", "other.example", "/new/", "scans");
     replacement
         .as_object_mut()
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn given_items_with_new_names_when_upserted_then_they_go_to_the_end_in_their_order() {
+fn upserted_items_of_new_names_are_appended() {
     let added = json!([
         route("r-z", "h", "/z/", "new"),
         route("r-one", "h", "/o/", "cores"),
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn given_names_to_remove_when_some_are_not_there_then_the_others_go() {
+fn removal_skips_names_that_do_not_exist() {
     let result = updated(
         json!({"version": 7, "remove": {"routes": ["r-one", "none", "none"], "services": ["nor this"]}}),
     );
@@ -62,14 +62,14 @@
 }
 
 #[test]
-fn given_a_service_in_use_when_it_goes_together_with_its_route_then_the_update_is_taken() {
+fn service_may_be_removed_with_its_route() {
     let result =
         updated(json!({"version": 7, "remove": {"routes": ["r-one"], "services": ["cores"]}}));
     assert_eq!(names(&result["services"]), ["scans"]);
 }
 
 #[test]
-fn given_a_prefix_in_use_when_its_route_goes_as_another_comes_then_the_update_is_taken() {
+fn prefix_may_move_to_another_route() {
     let heir = route("r-heir", "host.example", "/one/", "scans");
     let result = updated(
         json!({"version": 7, "upsert": {"routes": [heir]}, "remove": {"routes": ["r-one"]}}),
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn given_limits_when_upserted_then_they_are_replaced_whole_and_null_changes_nothing() {
+fn upserted_limits_are_replaced_whole_and_null_changes_nothing() {
     let result = updated(json!({"version": 7, "upsert": {"limits": {"max_body_bytes": 5}}}));
     assert_eq!(result["limits"], json!({"max_body_bytes": 5}));
     assert_eq!(
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn given_an_update_of_the_version_alone_when_taken_then_only_the_version_changes() {
+fn update_of_version_alone_changes_nothing_else() {
     assert_eq!(
         updated(json!({"version": 9007199254740991u64})),
         sample(9007199254740991)
@@ -104,8 +104,7 @@
 }
 
 #[test]
-fn given_fields_and_lists_not_known_here_when_updated_then_they_are_kept_and_changed_by_the_same_rules(
-) {
+fn unknown_fields_and_lists_are_kept_and_updated_alike() {
     let mut records = Records::default();
     let mut store = ConfigurationStore::new();
     let mut whole = sample(1);
@@ -113,29 +112,29 @@
         json!([{"name": "a", "x": 1}, {"name": "b", "x": {"deep": [null, -1.5e-7]}}]);
     whole["note"] = json!("kept");
     whole["routes"][0]["colour"] = json!({"hue": 3});
-    take(store.replace(0, &whole.to_string()), &mut records);
+    applied(store.replace(0, &whole.to_string()), &mut records);
     assert_eq!(read(&store), whole);
     let update = json!({"version": 2, "upsert": {"regions": [{"name": "c"}, {"name": "a", "x": 2}]}, "remove": {"regions": ["b"]}});
-    take(store.update(1, &update.to_string()), &mut records);
+    applied(store.update(1, &update.to_string()), &mut records);
     whole["version"] = json!(2);
     whole["regions"] = json!([{"name": "a", "x": 2}, {"name": "c"}]);
     assert_eq!(read(&store), whole);
 }
 
 #[test]
-fn given_numbers_beyond_any_type_when_updated_then_they_come_back_digit_by_digit() {
+fn numbers_beyond_any_type_are_kept_digit_by_digit() {
     let mut store = ConfigurationStore::new();
     let whole = r#"{"version":1,"exact":123456789012345678901234567890.10,"services":[{"name":"a","n":1.0e-400}]}"#;
     assert!(matches!(
         store.replace(0, whole),
-        ChangeOutcome::Taken { .. }
+        ChangeOutcome::Applied { .. }
     ));
-    assert_eq!(store.read().as_deref(), Some(whole));
+    assert_eq!(store.text().as_deref(), Some(whole));
     assert!(matches!(
         store.update(1, r#"{"version":2,"upsert":{"services":[{"name":"b"}]}}"#),
-        ChangeOutcome::Taken { .. }
+        ChangeOutcome::Applied { .. }
     ));
-    let text = store.read().expect("a configuration");
+    let text = store.text().expect("a configuration");
     assert!(
         text.contains("123456789012345678901234567890.10") && text.contains("1.0e-400"),
         "{text}"
@@ -143,17 +142,17 @@
 }
 
 #[test]
-fn given_escaped_names_when_updated_then_they_are_the_names_that_they_spell() {
+fn escaped_names_are_compared_unescaped() {
     let mut store = ConfigurationStore::new();
     let whole = r#"{"version":1,"services":[{"name":"\u0061"},{"n\u0061me":"b"}]}"#;
     assert!(matches!(
         store.replace(0, whole),
-        ChangeOutcome::Taken { .. }
+        ChangeOutcome::Applied { .. }
     ));
     let update = r#"{"version":2,"upsert":{"servi\u0063es":[{"name":"a","x":1}]},"remove":{"services":["b"]}}"#;
     assert!(matches!(
         store.update(1, update),
-        ChangeOutcome::Taken { .. }
+        ChangeOutcome::Applied { .. }
     ));
     assert_eq!(
         read(&store),
@@ -162,25 +161,25 @@
 }
 
 #[test]
-fn given_the_same_texts_when_applied_twice_then_the_results_are_the_same_byte_by_byte() {
+fn update_is_deterministic() {
     let base = sample(5).to_string();
     let update =
         r#"{"version":7,"upsert":{"services":[{"name":"b"}]},"remove":{"routes":["r-one"]}}"#;
-    assert_eq!(apply(&base, update), apply(&base, update));
-    assert!(apply(&base, update).is_ok());
+    assert_eq!(apply_update(&base, update), apply_update(&base, update));
+    assert!(apply_update(&base, update).is_ok());
 }
 
 #[test]
-fn given_5000_routes_when_one_is_replaced_then_all_others_stay() {
+fn update_of_one_of_5000_routes_keeps_the_others() {
     let mut whole = sample(1);
     let routes: Vec<Value> = (0..5000)
         .map(|index| route(&format!("r{index}"), "h", &format!("/p{index}/"), "cores"))
         .collect();
     whole["routes"] = json!(routes);
     let (mut store, mut records) = (ConfigurationStore::new(), Records::default());
-    take(store.replace(0, &whole.to_string()), &mut records);
+    applied(store.replace(0, &whole.to_string()), &mut records);
     let changed = route("r4321", "h", "/changed/", "scans");
-    take(
+    applied(
         store.update(
             1,
             &json!({"version": 2, "upsert": {"routes": [changed]}}).to_string(),
@@ -194,7 +193,7 @@
         store
             .routes()
             .lookup("h", "/p4322/x")
-            .map(|(route, _)| &*route.name),
+            .map(|found| &*found.route.name),
         Some("r4322")
     );
     assert!(store.routes().lookup("h", "/p4321/x").is_none());
--- a/crates/configuration/tests/invalid.rs
+++ b/crates/configuration/tests/validation.rs
@@ -74,7 +74,7 @@
 #[case("/limits", json!(null), "limits is null: ")]
 #[case("/limits/max_body_bytes", json!(-1), "limits.max_body_bytes is -1: ")]
 #[case("/limits/idle_timeout_ms", json!(u64::MAX), "limits.idle_timeout_ms is 18446744073709551615: the greatest")]
-fn given_version_5_when_a_configuration_with_a_bad_field_comes_then_field_and_value_are_named_and_nothing_changes(
+fn invalid_field_is_named_and_nothing_changes(
     #[case] pointer: &str,
     #[case] value: Value,
     #[case] message: &str,
@@ -98,9 +98,7 @@
 #[case("path_prefix")]
 #[case("timeout_ms")]
 #[case("service")]
-fn given_a_route_without_a_field_it_must_have_when_it_comes_then_the_field_is_named(
-    #[case] field: &str,
-) {
+fn missing_field_of_route_is_named(#[case] field: &str) {
     let mut configuration = sample(9);
     configuration["routes"][1]
         .as_object_mut()
@@ -115,13 +113,13 @@
 }
 
 #[test]
-fn given_a_configuration_without_version_when_it_comes_then_it_is_refused() {
+fn configuration_without_version_is_rejected() {
     let refused = refusal(ConfigurationStore::new().replace(0, r#"{"routes":[]}"#));
     assert!(refused.contains("missing field `version`"), "{refused}");
 }
 
 #[test]
-fn given_hosts_that_differ_in_case_or_port_when_prefixes_are_equal_then_they_are_the_same() {
+fn hosts_that_differ_in_case_or_port_are_the_same() {
     let clash = with(sample(9), "/routes/1/path_prefix", json!("/one/"));
     let clash = with(clash, "/routes/1/host", json!("HOST.example:8080"));
     let refused = refusal(ConfigurationStore::new().replace(0, &clash.to_string()));
@@ -132,7 +130,7 @@
 }
 
 #[test]
-fn given_a_configuration_cut_short_anywhere_when_it_comes_then_it_is_refused() {
+fn truncated_configuration_is_rejected() {
     let body = sample(9).to_string();
     for end in 0..body.len() {
         let refused = refusal(ConfigurationStore::new().replace(0, &body[..end]));
@@ -144,7 +142,7 @@
 }
 
 #[test]
-fn given_an_update_cut_short_anywhere_when_it_comes_then_it_is_refused() {
+fn truncated_update_is_rejected() {
     let body =
         r#"{"version":9,"upsert":{"services":[{"name":"x"}]},"remove":{"routes":["r-one"]}}"#;
     for end in 0..body.len() {
@@ -172,9 +170,7 @@
 #[case("9")]
 #[case("null")]
 #[case("\"version\"")]
-fn given_a_body_that_is_no_object_of_fields_when_it_comes_then_it_is_refused_for_both_kinds(
-    #[case] body: &str,
-) {
+fn body_that_is_not_an_object_is_rejected(#[case] body: &str) {
     let (mut store, _) = store_with(5);
     refusal(store.replace(5, body));
     refusal(store.update(5, body));
@@ -182,7 +178,7 @@
 }
 
 #[test]
-fn given_nesting_beyond_all_measure_when_it_comes_then_it_is_refused_without_harm() {
+fn excessive_nesting_is_rejected() {
     for depth in [200, 100_000] {
         let (open, close) = ("[".repeat(depth), "]".repeat(depth));
         let (mut store, _) = store_with(5);
@@ -215,7 +211,7 @@
 #[case(json!({"version": 9, "remove": {"services": ["cores"]}}), "routes[0].service is \"cores\": there is no such service;")]
 #[case(json!({"version": 9, "remove": {"limits": ["x"]}}), "limits is {")]
 #[case(json!({"version": 9, "remove": {"version": ["x"]}}), "version is 5: ")]
-fn given_version_5_when_a_bad_update_comes_then_the_field_is_named_and_nothing_changes(
+fn invalid_field_of_update_is_named_and_nothing_changes(
     #[case] update: Value,
     #[case] message: &str,
 ) {
@@ -232,7 +228,7 @@
 #[case("/routes/1")]
 #[case("/routes")]
 #[case("/version")]
-fn given_a_huge_value_when_it_is_refused_then_the_message_stays_short(#[case] pointer: &str) {
+fn error_of_huge_value_stays_short(#[case] pointer: &str) {
     let huge = with(sample(9), pointer, json!("é".repeat(100_000)));
     let (mut store, _) = store_with(5);
     let refused = refusal(store.replace(5, &huge.to_string()));
@@ -241,7 +237,7 @@
 }
 
 #[test]
-fn given_huge_names_when_an_update_is_refused_then_the_message_stays_short() {
+fn error_of_huge_names_in_update_stays_short() {
     let name = "n".repeat(100_000);
     let item = json!({"name": name});
     let updates = [
--- a/crates/controlplane/src/control_machine/mod.rs
+++ b/crates/controlplane/src/control_machine/mod.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use streamusher_configuration::relay::RelayEnvelope;
-use streamusher_configuration::store::CURRENT_KEY;
+use streamusher_configuration::CURRENT_KEY;
 use streamusher_coordination::{Coordinator, Input, Message, StateMap};
 use streamusher_protocol::internal::{
     ClusterView, ClusterWatch, CoreAddress, ExplainRequest, GateLeaseRequest, GateLeaseResponse,
--- a/crates/controlplane/src/driver/mod.rs
+++ b/crates/controlplane/src/driver/mod.rs
@@ -19,7 +19,7 @@
 use crate::deferred::DeferredRequests;
 use crate::pending_configurations::PendingConfigurations;
 use in_flight::{CommittedResponse, InFlightRequests, PendingResponse, RequestEffect};
-use streamusher_configuration::relay::Published;
+use streamusher_configuration::PublishedConfiguration;
 use streamusher_coordination::{Coordinator, Input, Output};
 use streamusher_protocol::internal::CoreAddress;
 use streamusher_protocol::{Millis, Now};
@@ -33,7 +33,7 @@
     /// The epoch in which this primary was elected.
     pub epoch: u64,
     /// The configurations, in the order of their versions.
-    pub configurations: Vec<Published>,
+    pub configurations: Vec<PublishedConfiguration>,
 }
 
 /// One control machine: replication, and the scheduler while this machine is the primary.
--- a/crates/controlplane/src/driver/state_machine.rs
+++ b/crates/controlplane/src/driver/state_machine.rs
@@ -1,6 +1,6 @@
 //! What the driver needs of the replicated state machine, and how the scheduler provides it.
 
-use streamusher_configuration::relay::Published;
+use streamusher_configuration::PublishedConfiguration;
 use streamusher_coordination::StateMap;
 use streamusher_protocol::Now;
 use streamusher_scheduler::{Effects, Event, RecoverError, Scheduler, SchedulerSettings};
@@ -24,7 +24,7 @@
         0
     }
     /// The newest configuration, committed or not.
-    fn newest_configuration(&self) -> Option<Published> {
+    fn newest_configuration(&self) -> Option<PublishedConfiguration> {
         None
     }
 }
@@ -47,7 +47,7 @@
         self.configuration().version()
     }
 
-    fn newest_configuration(&self) -> Option<Published> {
-        self.configuration().newest()
+    fn newest_configuration(&self) -> Option<PublishedConfiguration> {
+        self.configuration().published()
     }
 }
--- a/crates/controlplane/src/pending_configurations.rs
+++ b/crates/controlplane/src/pending_configurations.rs
@@ -1,13 +1,13 @@
 //! Configurations on their way to the relay tree: one may be published only when it is committed. Pure.
 
 use std::collections::VecDeque;
-use streamusher_configuration::relay::Published;
+use streamusher_configuration::PublishedConfiguration;
 
 #[derive(Debug)]
 struct PendingConfiguration {
     /// The batch that holds it.
     sequence: u64,
-    configuration: Published,
+    configuration: PublishedConfiguration,
 }
 
 /// Configurations of one term that are not published yet, in the order of their versions.
@@ -16,7 +16,7 @@
     /// The newest version seen.
     newest_version: u64,
     uncommitted: VecDeque<PendingConfiguration>,
-    committed: Vec<Published>,
+    committed: Vec<PublishedConfiguration>,
 }
 
 impl PendingConfigurations {
@@ -25,7 +25,7 @@
         &mut self,
         sequence: u64,
         version: u64,
-        newest: impl FnOnce() -> Option<Published>,
+        newest: impl FnOnce() -> Option<PublishedConfiguration>,
     ) {
         if version <= self.newest_version {
             return;
@@ -60,7 +60,7 @@
     }
 
     /// The configurations that were committed since the last call.
-    pub fn take_committed(&mut self) -> Vec<Published> {
+    pub fn take_committed(&mut self) -> Vec<PublishedConfiguration> {
         std::mem::take(&mut self.committed)
     }
 }
--- a/crates/controlplane/src/primary_relay.rs
+++ b/crates/controlplane/src/primary_relay.rs
@@ -2,8 +2,9 @@
 
 use serde_json::{json, Value};
 use streamusher_configuration::relay::{
-    ConfigurationPublisher, OutboundMessage, Published, RelayEnvelope, RelayMessage, RelayPeer,
+    ConfigurationPublisher, OutboundMessage, RelayEnvelope, RelayMessage, RelayPeer,
 };
+use streamusher_configuration::PublishedConfiguration;
 use streamusher_protocol::internal::{GateLeaseRequest, GateLeaseResponse, RELAY_PATH};
 use streamusher_protocol::Millis;
 use streamusher_runtime::http::Outbox;
@@ -44,7 +45,7 @@
     }
 
     /// Publishes a configuration that was committed in this term.
-    pub fn publish(&mut self, now: Millis, epoch: u64, configuration: &Published) {
+    pub fn publish(&mut self, now: Millis, epoch: u64, configuration: &PublishedConfiguration) {
         let messages = self.publisher(now, epoch).publish(configuration);
         self.send(messages);
     }
@@ -56,12 +57,12 @@
         epoch: u64,
         lease: &GateLeaseRequest,
     ) -> GateLeaseResponse {
-        self.publisher(now, epoch).lease(now, lease)
+        self.publisher(now, epoch).renew_lease(now, lease)
     }
 
     /// Handles messages of a member.
     pub fn receive(&mut self, now: Millis, epoch: u64, envelope: RelayEnvelope) {
-        let messages = self.publisher(now, epoch).receive(now, envelope);
+        let messages = self.publisher(now, epoch).on_envelope(now, envelope);
         self.send(messages);
     }
 
@@ -73,7 +74,7 @@
         let children: Vec<&RelayPeer> = publisher.root().receivers().collect();
         json!({
             "published": publisher.version(),
-            "roster": publisher.leases().roster(),
+            "roster": publisher.leases().membership(),
             "told": children,
         })
     }
@@ -93,7 +94,7 @@
 
     fn send(&mut self, messages: Vec<OutboundMessage>) {
         for outbound in messages {
-            for receiver in outbound.to {
+            for receiver in outbound.receivers {
                 if let RelayPeer::Member(address) = receiver {
                     self.outbox.send(&address, outbound.message.clone());
                 }
@@ -104,7 +105,7 @@
 
 fn encode_envelope(messages: Vec<RelayMessage>) -> Vec<u8> {
     let envelope = RelayEnvelope {
-        from: RelayPeer::Core,
+        sender: RelayPeer::Primary,
         messages,
     };
     serde_json::to_vec(&envelope).unwrap_or_default()
--- a/crates/controlplane/tests/pending_configurations.rs
+++ b/crates/controlplane/tests/pending_configurations.rs
@@ -1,11 +1,11 @@
 //! Which configurations may be told to others, and when.
 
 use std::sync::Arc;
-use streamusher_configuration::relay::Published;
+use streamusher_configuration::PublishedConfiguration;
 use streamusher_controlplane::pending_configurations::PendingConfigurations;
 
-fn configuration(version: u64) -> Option<Published> {
-    Some(Published {
+fn configuration(version: u64) -> Option<PublishedConfiguration> {
+    Some(PublishedConfiguration {
         version,
         text: Arc::from("{}"),
         update: None,
--- a/crates/controlplane/tests/relay.rs
+++ b/crates/controlplane/tests/relay.rs
@@ -68,12 +68,12 @@
 }
 
 fn is_whole(wanted: u64) -> impl Fn(&RelayMessage) -> bool {
-    move |message| matches!(message, RelayMessage::Whole { version, .. } if *version == wanted)
+    move |message| matches!(message, RelayMessage::Snapshot { version, .. } if *version == wanted)
 }
 
 fn is_change(wanted: u64) -> impl Fn(&RelayMessage) -> bool {
     move |message| match message {
-        RelayMessage::Changes(changes) => changes
+        RelayMessage::Deltas(changes) => changes
             .last()
             .is_some_and(|change| change.version == wanted),
         _ => false,
--- a/crates/dataplane/src/gate/relay.rs
+++ b/crates/dataplane/src/gate/relay.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use streamusher_configuration::relay::{
     OutboundMessage, RelayActions, RelayEnvelope, RelayMembership, RelayMessage, RelayNode,
-    RelayPeer, LEASE_RENEWAL,
+    RelayPeer, LEASE_RENEWAL_INTERVAL_MS,
 };
 use streamusher_protocol::config::Configuration;
 use streamusher_protocol::internal::{
@@ -73,10 +73,10 @@
     /// A member that others reach at `address`; [`RelayMember::run`] makes it one.
     pub fn new(client: ControlPlaneClient, address: SocketAddr) -> RelayMember {
         let address: Arc<str> = address.to_string().into();
-        let from = RelayPeer::Member(address.clone());
+        let sender = RelayPeer::Member(address.clone());
         let encode = move |messages| {
             let envelope = RelayEnvelope {
-                from: from.clone(),
+                sender: sender.clone(),
                 messages,
             };
             serde_json::to_vec(&envelope).unwrap_or_default()
@@ -116,9 +116,9 @@
         RelayStatus {
             address: node.address().clone(),
             configuration_version: node.version(),
-            membership_version: node.roster(),
+            membership_version: node.membership_version(),
             parent: node.parent().cloned(),
-            temporary_parent: node.adopter().cloned(),
+            temporary_parent: node.temporary_parent().cloned(),
             children: node.receivers().cloned().collect(),
         }
     }
@@ -139,7 +139,7 @@
 
     fn on_envelope(&self, envelope: RelayEnvelope) {
         for message in envelope.messages {
-            self.update(|node, now| node.receive(now, &envelope.from, message));
+            self.update(|node, now| node.on_message(now, &envelope.sender, message));
         }
     }
 
@@ -166,7 +166,7 @@
                     Err(error) => log::debug!("malformed response to a gate lease: {error}"),
                 }
             }
-            tokio::time::sleep(Duration::from_millis(LEASE_RENEWAL)).await;
+            tokio::time::sleep(Duration::from_millis(LEASE_RENEWAL_INTERVAL_MS)).await;
         }
     }
 
@@ -174,7 +174,7 @@
         let node = self.shared.node.borrow();
         GateLeaseRequest {
             address: node.address().clone(),
-            membership_version: node.roster(),
+            membership_version: node.membership_version(),
         }
     }
 
@@ -184,9 +184,9 @@
                 version: response.membership_version,
                 members,
             };
-            self.update(|node, now| node.set_roster(now, &membership));
+            self.update(|node, now| node.set_membership(now, &membership));
         }
-        self.update(|node, now| node.heard_of(now, response.configuration_version));
+        self.update(|node, now| node.on_version_announced(now, response.configuration_version));
     }
 
     async fn run_timer(&self) {
@@ -210,7 +210,7 @@
             let actions = change(&mut node, clock::steady());
             (actions, node.next_tick())
         };
-        for outbound in actions.sends {
+        for outbound in actions.messages {
             self.send(&outbound);
         }
         if let Some(configuration) = actions.configuration {
@@ -228,13 +228,13 @@
     }
 
     fn send(&self, outbound: &OutboundMessage) {
-        for receiver in &outbound.to {
+        for receiver in &outbound.receivers {
             let message = outbound.message.clone();
             match receiver {
                 RelayPeer::Member(address) => {
                     self.shared.outbox.borrow_mut().send(address, message);
                 }
-                RelayPeer::Core => self.send_to_primary(message),
+                RelayPeer::Primary => self.send_to_primary(message),
             }
         }
     }
@@ -245,7 +245,7 @@
         };
         let address = self.shared.node.borrow().address().clone();
         let envelope = RelayEnvelope {
-            from: RelayPeer::Member(address),
+            sender: RelayPeer::Member(address),
             messages: vec![message],
         };
         let client = self.shared.client.clone();
