--- a/crates/dataplane/tests/relay.rs
+++ b/crates/dataplane/tests/relay.rs
@@ -11,8 +11,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 use streamusher_configuration::relay::{
-    ConfigurationPublisher, OutboundMessage, Published, RelayEnvelope, RelayMessage, RelayPeer,
+    ConfigurationPublisher, OutboundMessage, RelayEnvelope, RelayMessage, RelayPeer,
 };
+use streamusher_configuration::{PublishedConfiguration, PublishedUpdate};
 use streamusher_dataplane::control_plane::ControlPlaneClient;
 use streamusher_dataplane::gate::relay::RelayMember;
 use streamusher_dataplane::gate::Gate;
@@ -49,7 +50,7 @@
         let address = server.local_address().unwrap();
         let body = |messages| {
             serde_json::to_vec(&RelayEnvelope {
-                from: RelayPeer::Core,
+                sender: RelayPeer::Primary,
                 messages,
             })
             .unwrap()
@@ -93,12 +94,20 @@
                 let lease = parse_json(call.body()).unwrap();
                 answer_json(
                     StatusCode::OK,
-                    &self.state.distribution.borrow_mut().lease(now, &lease),
+                    &self
+                        .state
+                        .distribution
+                        .borrow_mut()
+                        .renew_lease(now, &lease),
                 )
             }
             (RELAY_PATH, _) => {
                 let envelope = parse_json(call.body()).unwrap();
-                let sends = self.state.distribution.borrow_mut().receive(now, envelope);
+                let sends = self
+                    .state
+                    .distribution
+                    .borrow_mut()
+                    .on_envelope(now, envelope);
                 self.send(sends);
                 empty(StatusCode::NO_CONTENT)
             }
@@ -110,8 +119,11 @@
         let text = json!({"version": version, "limits": {"max_body_bytes": version}}).to_string();
         let update = json!({"version": version, "upsert": {"limits": {"max_body_bytes": version}}})
             .to_string();
-        let update = update_of.map(|base| (base, update.into()));
-        let published = Published {
+        let update = update_of.map(|base_version| PublishedUpdate {
+            base_version,
+            text: update.into(),
+        });
+        let published = PublishedConfiguration {
             version,
             text: text.into(),
             update,
@@ -126,7 +138,7 @@
 
     fn send(&self, sends: Vec<OutboundMessage>) {
         for send in sends {
-            for to in &send.to {
+            for to in &send.receivers {
                 let RelayPeer::Member(address) = to else {
                     panic!("the core tells members only")
                 };
@@ -210,7 +222,7 @@
 async fn all_are_in(members: &[Member], core: &Core) {
     let is_known = |member: &Member| {
         let distribution = core.state.distribution.borrow();
-        let roster = distribution.leases().roster();
+        let roster = distribution.leases().membership();
         roster.is_some_and(|roster| {
             roster.members.len() == members.len() && member.status()["roster"] == roster.version
         })
--- a/crates/scheduler/src/client_requests.rs
+++ b/crates/scheduler/src/client_requests.rs
@@ -1,7 +1,7 @@
 //! Clients' requests about jobs and queues, as gates forward them.
 
 use serde::Serialize;
-use streamusher_configuration::ConfigurationStore;
+use streamusher_configuration::{ConfigurationStore, RouteMatch};
 use streamusher_jobs::{CancelOutcome, JobTable, QueuePolicy};
 use streamusher_protocol::config::Route;
 use streamusher_protocol::internal::{ClientMethod, ClientRequest, ClientResponse};
@@ -32,7 +32,7 @@
         };
     }
     let found = configuration.routes().lookup(&request.host, &request.path);
-    let Some((route, rest)) = found else {
+    let Some(RouteMatch { route, rest }) = found else {
         return error_response(404, "no queue has this host and path");
     };
     let policy = queue_policy(route);
--- a/crates/scheduler/src/operator_requests.rs
+++ b/crates/scheduler/src/operator_requests.rs
@@ -37,7 +37,7 @@
         (OperatorRequestKind::Replace, Some(base)) => configuration.replace(base, &request.body),
         (OperatorRequestKind::Update, Some(base)) => configuration.update(base, &request.body),
     };
-    let is_applied = matches!(outcome, ChangeOutcome::Taken { .. });
+    let is_applied = matches!(outcome, ChangeOutcome::Applied { .. });
     let answer = respond_to_change(outcome);
     if is_applied {
         apply_to_queues(configuration, jobs);
@@ -46,7 +46,7 @@
 }
 
 fn read(configuration: &ConfigurationStore) -> OperatorResponse {
-    match configuration.read() {
+    match configuration.text() {
         Some(body) => OperatorResponse { status: 200, body },
         None => error_response(404, "no configuration was taken yet", None),
     }
@@ -54,20 +54,26 @@
 
 fn respond_to_change(outcome: ChangeOutcome) -> (OperatorResponse, Vec<Write>) {
     match outcome {
-        ChangeOutcome::Taken { version, writes } => {
+        ChangeOutcome::Applied { version, writes } => {
             log::info!("configuration {version} taken");
             (json_response(200, &VersionBody { version }), writes)
         }
-        ChangeOutcome::Again { version } => {
+        ChangeOutcome::AlreadyApplied { version } => {
             (json_response(200, &VersionBody { version }), Vec::new())
         }
-        ChangeOutcome::Stale { current, writes } => {
+        ChangeOutcome::VersionConflict {
+            current_version,
+            writes,
+        } => {
             let error = "another version is current";
-            (error_response(412, error, Some(current)), writes)
+            (error_response(412, error, Some(current_version)), writes)
         }
-        ChangeOutcome::Undecided { current } => {
+        ChangeOutcome::Undecided { current_version } => {
             let error = "no longer known whether this was taken: read the configuration";
-            (error_response(503, error, Some(current)), Vec::new())
+            (
+                error_response(503, error, Some(current_version)),
+                Vec::new(),
+            )
         }
         ChangeOutcome::Invalid(error) => {
             log::info!("configuration rejected: {error}");
