--- a/crates/controlplane/src/main.rs
+++ b/crates/controlplane/src/main.rs
@@ -50,7 +50,7 @@
 }
 
 fn misuse_code() -> ExitCode {
-    ExitCode::from(u8::try_from(EXIT_MISUSE).unwrap_or(2))
+    ExitCode::from(EXIT_MISUSE)
 }
 
 fn execute(arguments: &[String]) -> Result<ExitCode, Failure> {
--- a/crates/dataplane/src/agent_process/driver.rs
+++ b/crates/dataplane/src/agent_process/driver.rs
@@ -2,7 +2,7 @@
 
 use super::pending_requests::{Completion, PendingRequests};
 use super::sync;
-use super::worker_request::{parse, WorkerRequest};
+use super::worker_request::{parse, parse_heartbeat, WorkerRequest, WorkerRequestError};
 use crate::agent::{Agent, AgentAction, AgentEvent, AgentSettings, AgentStatus};
 use crate::control_plane::ControlPlaneClient;
 use crate::process;
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
-use streamusher_protocol::heartbeat::{Heartbeat, HeartbeatResponse};
+use streamusher_protocol::heartbeat::HeartbeatResponse;
 use streamusher_protocol::internal::{AgentSync, ClusterView};
 use streamusher_runtime::clock;
 use streamusher_runtime::http::{empty, json, Request, Response};
@@ -83,14 +83,12 @@
 
     /// Responds to a request of the worker.
     pub async fn respond(self, request: Request) -> Response {
-        match parse(&request) {
-            Ok(WorkerRequest::Heartbeat {
-                instance,
-                heartbeat,
-            }) => self.on_heartbeat(instance, heartbeat).await,
-            Ok(WorkerRequest::Deregister { instance }) => self.on_deregister(instance).await,
-            Err(error) => error.response(),
-        }
+        let result = match parse(&request) {
+            Ok(WorkerRequest::Heartbeat(instance)) => self.on_heartbeat(instance, &request).await,
+            Ok(WorkerRequest::Deregister(instance)) => Ok(self.on_deregister(instance).await),
+            Err(error) => Err(error),
+        };
+        result.unwrap_or_else(|error| error.response())
     }
 
     /// Answers the long poll: the process is about to end.
@@ -107,7 +105,12 @@
         });
     }
 
-    async fn on_heartbeat(&self, instance: Arc<str>, heartbeat: Heartbeat) -> Response {
+    async fn on_heartbeat(
+        &self,
+        instance: Arc<str>,
+        request: &Request,
+    ) -> Result<Response, WorkerRequestError> {
+        let heartbeat = parse_heartbeat(request)?;
         let completion = self
             .request(|request_id| AgentEvent::Heartbeat {
                 request_id,
@@ -115,10 +118,11 @@
                 heartbeat,
             })
             .await;
-        match completion {
-            Some(Completion::Heartbeat(response)) => json(StatusCode::OK, &response),
-            _ => json(StatusCode::OK, &HeartbeatResponse::default()),
-        }
+        let response = match completion {
+            Some(Completion::Heartbeat(response)) => response,
+            _ => HeartbeatResponse::default(),
+        };
+        Ok(json(StatusCode::OK, &response))
     }
 
     async fn on_deregister(&self, instance: Arc<str>) -> Response {
--- a/crates/dataplane/src/agent_process/mod.rs
+++ b/crates/dataplane/src/agent_process/mod.rs
@@ -24,7 +24,7 @@
     max_body: 8 << 20,
     max_header: 8_192,
     body_timeout: Duration::from_secs(2),
-    idle_timeout: Duration::from_secs(60),
+    idle_timeout: Duration::from_mins(1),
     max_connections: 32,
 };
 
--- a/crates/dataplane/src/agent_process/worker_request.rs
+++ b/crates/dataplane/src/agent_process/worker_request.rs
@@ -8,16 +8,11 @@
 /// Longest instance id.
 const MAX_INSTANCE_BYTES: usize = 200;
 
-/// A worker's request.
+/// What a worker's request is about, and its instance id.
 #[derive(Debug)]
 pub(super) enum WorkerRequest {
-    Heartbeat {
-        instance: Arc<str>,
-        heartbeat: Heartbeat,
-    },
-    Deregister {
-        instance: Arc<str>,
-    },
+    Heartbeat(Arc<str>),
+    Deregister(Arc<str>),
 }
 
 /// Why a request is not a worker's.
@@ -45,25 +40,26 @@
     }
 }
 
-/// Reads a worker's request.
+/// Reads method and path of a request.
 pub(super) fn parse(request: &Request) -> Result<WorkerRequest, WorkerRequestError> {
     if request.method() != Method::POST {
         return Err(WorkerRequestError::Method);
     }
     let path = request.uri().path();
     if let Some(instance) = instance_after(HEARTBEAT_PATH, path) {
-        let heartbeat = parse_json(request.body()).map_err(WorkerRequestError::Heartbeat)?;
-        return Ok(WorkerRequest::Heartbeat {
-            instance,
-            heartbeat,
-        });
+        return Ok(WorkerRequest::Heartbeat(instance));
     }
     match instance_after(DEREGISTER_PATH, path) {
-        Some(instance) => Ok(WorkerRequest::Deregister { instance }),
+        Some(instance) => Ok(WorkerRequest::Deregister(instance)),
         None => Err(WorkerRequestError::Path),
     }
 }
 
+/// Reads the body of a heartbeat.
+pub(super) fn parse_heartbeat(request: &Request) -> Result<Heartbeat, WorkerRequestError> {
+    parse_json(request.body()).map_err(WorkerRequestError::Heartbeat)
+}
+
 fn instance_after(prefix: &str, path: &str) -> Option<Arc<str>> {
     let instance = path.strip_prefix(prefix)?;
     let is_valid =
--- a/crates/dataplane/src/control_plane/client.rs
+++ b/crates/dataplane/src/control_plane/client.rs
@@ -120,12 +120,11 @@
                 continue;
             };
             let view = watch(endpoint.client(), epoch).await;
-            match view.filter(|view| view.epoch >= epoch) {
-                Some(view) => self.on_view(&endpoint, &view),
-                None => {
-                    self.shared.discovery.borrow_mut().advance_watch_target();
-                    tokio::time::sleep(WATCH_RETRY_INTERVAL).await;
-                }
+            if let Some(view) = view.filter(|view| view.epoch >= epoch) {
+                self.on_view(&endpoint, &view);
+            } else {
+                self.shared.discovery.borrow_mut().advance_watch_target();
+                tokio::time::sleep(WATCH_RETRY_INTERVAL).await;
             }
         }
     }
--- a/crates/dataplane/src/control_plane/connections.rs
+++ b/crates/dataplane/src/control_plane/connections.rs
@@ -44,14 +44,13 @@
     /// The endpoint at an internal address; none where that is not of the form `ip:port`.
     pub(super) fn endpoint(&self, address: &Arc<str>) -> Option<Endpoint> {
         let mut clients = self.clients.borrow_mut();
-        let client = match clients.get(address) {
-            Some(client) => client.clone(),
-            None => {
-                let socket_address: SocketAddr = address.parse().ok()?;
-                let client = Client::with_limits(socket_address, self.limits.clone());
-                clients.insert(Arc::clone(address), client.clone());
-                client
-            }
+        let client = if let Some(client) = clients.get(address) {
+            client.clone()
+        } else {
+            let socket_address: SocketAddr = address.parse().ok()?;
+            let client = Client::with_limits(socket_address, self.limits.clone());
+            clients.insert(Arc::clone(address), client.clone());
+            client
         };
         Some(Endpoint {
             address: Arc::clone(address),
--- a/crates/dataplane/src/gate/client_request.rs
+++ b/crates/dataplane/src/gate/client_request.rs
@@ -10,7 +10,7 @@
 pub const DEADLINE_HEADER: &str = "streamusher-deadline-ms";
 
 /// How long clients wait that send no such header.
-const DEFAULT_CLIENT_TIMEOUT: Duration = Duration::from_millis(3_000);
+const DEFAULT_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Why the gate itself rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
--- a/crates/dataplane/src/gate/relay.rs
+++ b/crates/dataplane/src/gate/relay.rs
@@ -30,7 +30,7 @@
 const PRIMARY_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Bound of one wait for a primary; when it is over, the next one begins.
-const PRIMARY_WAIT: Duration = Duration::from_secs(3_600);
+const PRIMARY_WAIT: Duration = Duration::from_hours(1);
 
 /// Shortest sleep between two ticks, so that other tasks run whatever is due.
 const MIN_SLEEP_MS: Millis = 1;
--- a/crates/dataplane/src/gate/server.rs
+++ b/crates/dataplane/src/gate/server.rs
@@ -15,7 +15,7 @@
 
 /// From SIGTERM to `Connection: close` on responses: the platform misses two of its readiness probes, one a second, and
 /// sends no new clients.
-const LEAVE_AFTER: Duration = Duration::from_millis(2_000);
+const LEAVE_AFTER: Duration = Duration::from_secs(2);
 
 /// From SIGTERM to the end of accepting: clients that were sent before the second miss have arrived.
 const CLOSE_AFTER: Duration = Duration::from_millis(3_500);
--- a/crates/dataplane/src/main.rs
+++ b/crates/dataplane/src/main.rs
@@ -92,5 +92,5 @@
 
 fn misuse(error: &dyn std::error::Error) -> ExitCode {
     eprintln!("{}: {error}", PROGRAM.name);
-    ExitCode::from(EXIT_MISUSE as u8)
+    ExitCode::from(EXIT_MISUSE)
 }
--- a/crates/dataplane/tests/agent_program.rs
+++ b/crates/dataplane/tests/agent_process.rs
@@ -1,10 +1,16 @@
-//! The agent as a program over loopback, with a stand-in for the primary.
+//! The agent's process over loopback, with a stand-in for the primary.
 
-#[path = "common/primary.rs"]
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
+
+#[path = "support/primary.rs"]
 mod primary;
 
 use http::StatusCode;
-use primary::*;
+use primary::{request, run, settings, Primary, SOON};
 use std::net::SocketAddr;
 use std::time::Instant;
 use streamusher_dataplane::agent_process::{check, AgentProcess};
@@ -24,11 +30,11 @@
     program.start("127.0.0.1:0".parse().unwrap());
     let server = Server::bind("127.0.0.1:0".parse().unwrap(), ServerLimits::default()).unwrap();
     let address = server.local_address().unwrap();
-    tokio::task::spawn_local(server.run(move |call| program.clone().respond(call)));
+    tokio::task::spawn_local(server.run(move |request| program.clone().respond(request)));
     Client::new(address)
 }
 
-fn order() -> StartCommand {
+fn start_command() -> StartCommand {
     StartCommand {
         task: "5c0e7a21d94b36f8.0.0.1".parse().unwrap(),
         run: 1,
@@ -37,14 +43,14 @@
     }
 }
 
-/// Orders one start of any worker that has called.
-fn ordering(call: Request) -> Response {
-    if call.uri().path() != AGENT_SYNC_PATH {
+/// Answers a sync with one start command for the worker that it reports.
+fn command_a_start(request: &Request) -> Response {
+    if request.uri().path() != AGENT_SYNC_PATH {
         return empty(StatusCode::NOT_FOUND);
     }
-    let sync: AgentSync = parse_json(call.body()).unwrap();
+    let sync: AgentSync = parse_json(request.body()).unwrap();
     let instance = sync.worker.map(|worker| worker.instance);
-    let start = instance.iter().map(|_| order()).collect();
+    let start = instance.iter().map(|_| start_command()).collect();
     let orders = AgentCommands {
         epoch: 4,
         revision: 1,
@@ -58,44 +64,44 @@
 
 async fn heartbeat(worker: &Client, body: String) -> Response {
     worker
-        .send(call("POST", HEARTBEAT, body), SOON)
+        .send(request("POST", HEARTBEAT, body), SOON)
         .await
         .unwrap()
 }
 
 #[test]
-fn given_a_primary_that_orders_a_start_when_the_worker_calls_then_it_gets_it_with_a_hold() {
+fn start_command_reaches_the_worker_with_a_hold() {
     run(async {
-        let primary = Primary::start(|call| std::future::ready(ordering(call)));
+        let primary = Primary::start(|request| std::future::ready(command_a_start(&request)));
         let worker = agent_of(primary.address);
 
-        let mut answer = HeartbeatResponse::default();
+        let mut response = HeartbeatResponse::default();
         let mut called_at = Instant::now();
         for sequence in 1.. {
             let body = format!("{{\"service\":\"app\",\"sequence\":{sequence}}}");
             called_at = Instant::now();
-            answer = parse_json(heartbeat(&worker, body).await.body()).unwrap();
-            if !answer.start.is_empty() {
+            response = parse_json(heartbeat(&worker, body).await.body()).unwrap();
+            if !response.start.is_empty() {
                 break;
             }
         }
 
-        assert_eq!(answer.start, [order()]);
-        assert_eq!(answer.fence_token, 4);
-        // The lease begins with a sync, which may be sent while the call is held; the hold begins with the call.
+        assert_eq!(response.start, [start_command()]);
+        assert_eq!(response.fence_token, 4);
+        // The lease begins with a sync, which may be sent while the request is held; the hold begins with the request.
         let lease_over = u128::from(LEASE_MS) + called_at.elapsed().as_millis();
         let most = lease_over * 97 / 100;
         assert!(
-            (500..=most).contains(&u128::from(answer.hold_ms.unwrap())),
-            "{answer:?}, at most {most}"
+            (500..=most).contains(&u128::from(response.hold_ms.unwrap())),
+            "{response:?}, at most {most}"
         );
     });
 }
 
 #[test]
-fn given_a_malformed_heartbeat_when_it_comes_then_400_names_the_field() {
+fn malformed_heartbeat_is_rejected_naming_the_field() {
     run(async {
-        let primary = Primary::start(|_call| std::future::pending::<Response>());
+        let primary = Primary::start(|_request| std::future::pending::<Response>());
         let worker = agent_of(primary.address);
 
         let missing = heartbeat(&worker, "{\"service\":\"app\"}".to_owned()).await;
@@ -115,7 +121,7 @@
 }
 
 #[test]
-fn given_no_primary_when_a_draining_worker_calls_and_ends_then_both_are_acknowledged_at_once() {
+fn draining_and_deregistration_need_no_primary() {
     run(async {
         let free = std::net::TcpListener::bind("127.0.0.1:0")
             .unwrap()
@@ -126,7 +132,7 @@
         let body =
             "{\"service\":\"app\",\"sequence\":1,\"state\":\"draining\",\"remaining_ms\":4000}";
         let drained = heartbeat(&worker, body.to_owned()).await;
-        let end = call("POST", "/streamusher/Instances.Deregister/i-1", "");
+        let end = request("POST", "/streamusher/Instances.Deregister/i-1", "");
         let ended = worker.send(end, SOON).await.unwrap();
 
         assert_eq!(
@@ -137,16 +143,22 @@
 }
 
 #[test]
-fn given_another_path_or_method_when_called_then_404_or_405() {
+fn unknown_path_or_method_is_rejected() {
     run(async {
-        let primary = Primary::start(|_call| std::future::pending::<Response>());
+        let primary = Primary::start(|_request| std::future::pending::<Response>());
         let worker = agent_of(primary.address);
 
         let path = worker
-            .send(call("POST", "/streamusher/Instances.Heartbeat/", ""), SOON)
+            .send(
+                request("POST", "/streamusher/Instances.Heartbeat/", ""),
+                SOON,
+            )
+            .await
+            .unwrap();
+        let method = worker
+            .send(request("GET", HEARTBEAT, ""), SOON)
             .await
             .unwrap();
-        let method = worker.send(call("GET", HEARTBEAT, ""), SOON).await.unwrap();
 
         assert_eq!(
             (path.status(), method.status()),
@@ -156,7 +168,7 @@
 }
 
 #[test]
-fn given_settings_of_another_role_when_checked_then_the_error_names_the_key() {
+fn settings_of_another_role_are_rejected_naming_the_key() {
     let mut settings = ProcessSettings {
         serves: vec!["front".into()],
         ..ProcessSettings::default()
--- a/crates/dataplane/tests/encoded_forms.rs
+++ b/crates/dataplane/tests/encoded_forms.rs
@@ -7,18 +7,20 @@
     reason = "a test fails by panicking"
 )]
 
-mod common;
-#[path = "common/primary.rs"]
+#[path = "support/primary.rs"]
 mod primary;
+#[allow(dead_code, reason = "only a part is used here")]
+#[path = "agent/simulation.rs"]
+mod simulation;
 
-use common::{orders, running, start, stop, task, Story};
 use http::header::{HeaderName, ALLOW, CONTENT_TYPE, RETRY_AFTER};
 use http::StatusCode;
-use primary::{call, core, run, settings, view, Primary};
+use primary::{core, request, run, settings, view, Primary};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::Value;
-use std::fmt::Debug;
+use simulation::{at_work, commands, running, start, stop, task, Simulation};
+use std::fmt::{Debug, Write};
 use std::net::SocketAddr;
 use streamusher_dataplane::agent_process::{self, AgentProcess};
 use streamusher_dataplane::gate::{self, Gate};
@@ -53,7 +55,7 @@
     }
 
     fn line(&mut self, name: &str, encoded: &str) {
-        self.encoded.push_str(&format!("{name}\t{encoded}\n"));
+        writeln!(self.encoded, "{name}\t{encoded}").unwrap();
     }
 
     /// Encodes `value`, and decodes what was recorded under `name`.
@@ -174,7 +176,7 @@
         last_seen: 5,
         stop: vec![stop(2, 1)],
         view: Some(view(3, Some(address(7_300)))),
-        ..orders(3, 4, &[start(1, 1)])
+        ..commands(3, 4, &[start(1, 1)])
     }
 }
 
@@ -193,6 +195,14 @@
 #[test]
 fn encoded_forms_of_messages_are_as_recorded() {
     let mut recorded = Recorded::new(MESSAGES);
+    worker_messages(&mut recorded);
+    agent_messages(&mut recorded);
+    client_messages(&mut recorded);
+    cluster_messages(&mut recorded);
+    recorded.check();
+}
+
+fn worker_messages(recorded: &mut Recorded) {
     recorded.value("heartbeat", &full_heartbeat());
     recorded.value("heartbeat default", &Heartbeat::default());
     recorded.value(
@@ -207,6 +217,9 @@
         },
     );
     recorded.value("heartbeat response default", &HeartbeatResponse::default());
+}
+
+fn agent_messages(recorded: &mut Recorded) {
     recorded.value("agent sync", &full_sync());
     recorded.value(
         "agent sync without worker",
@@ -230,6 +243,9 @@
     );
     recorded.value("agent commands", &full_commands());
     recorded.value("agent commands default", &AgentCommands::default());
+}
+
+fn client_messages(recorded: &mut Recorded) {
     for method in [ClientMethod::Get, ClientMethod::Post, ClientMethod::Delete] {
         let request = ClientRequest {
             method,
@@ -253,7 +269,13 @@
             retry_after_ms: Some(500),
         },
     );
-    recorded.value("client response minimal", &primary::reply(200, ""));
+    recorded.value(
+        "client response minimal",
+        &primary::client_response(200, ""),
+    );
+}
+
+fn cluster_messages(recorded: &mut Recorded) {
     recorded.value(
         "cluster watch",
         &ClusterWatch {
@@ -285,31 +307,32 @@
         },
     );
     recorded.value("gate lease response default", &GateLeaseResponse::default());
-    recorded.check();
 }
 
 #[test]
 fn encoded_forms_of_status_documents_are_as_recorded() {
     let mut recorded = Recorded::new(STATUS);
-    let mut story = Story::begin();
-    let encode = |story: &Story| serde_json::to_string(&story.agent.status(story.now)).unwrap();
-    recorded.line("new agent", &encode(&story));
-    story.tick();
-    story.answer_sync(full_commands());
-    story.heartbeat(common::at_work(1, &[running(1, 1), running(2, 1)]));
-    story.now += 10;
-    recorded.line("agent with worker", &encode(&story));
-    story.pass(20_000);
-    recorded.line("agent with gone worker", &encode(&story));
+    let mut simulation = Simulation::start();
+    let encode = |simulation: &Simulation| {
+        serde_json::to_string(&simulation.agent.status(simulation.now)).unwrap()
+    };
+    recorded.line("new agent", &encode(&simulation));
+    simulation.tick();
+    simulation.respond_to_sync(full_commands());
+    simulation.heartbeat(at_work(1, &[running(1, 1), running(2, 1)]));
+    simulation.now += 10;
+    recorded.line("agent with worker", &encode(&simulation));
+    simulation.advance(20_000);
+    recorded.line("agent with gone worker", &encode(&simulation));
     run(async move {
         let gate = Gate::new(&settings(address(7_300)));
-        let status = gate.respond_internal(&call("GET", STATUS_PATH, ""));
+        let status = gate.respond_internal(&request("GET", STATUS_PATH, ""));
         recorded.line("gate", std::str::from_utf8(status.body()).unwrap());
         gate.leave();
-        let _refused = gate.clone().respond(call("GET", "/", "")).await;
-        let _refused = gate.clone().respond(call("PUT", "/", "")).await;
+        let _refused = gate.clone().respond(request("GET", "/", "")).await;
+        let _refused = gate.clone().respond(request("PUT", "/", "")).await;
         gate.control_plane().set_seeds(vec![core(address(1))]);
-        let status = gate.respond_internal(&call("GET", STATUS_PATH, ""));
+        let status = gate.respond_internal(&request("GET", STATUS_PATH, ""));
         recorded.line(
             "gate that leaves",
             std::str::from_utf8(status.body()).unwrap(),
@@ -330,7 +353,7 @@
     let client = Client::new(status_address);
     let response = loop {
         let sent = client
-            .send(call("GET", STATUS_PATH, ""), primary::SOON)
+            .send(request("GET", STATUS_PATH, ""), primary::SOON)
             .await;
         match sent {
             Ok(response) => break response,
@@ -361,46 +384,50 @@
 
 async fn gate_responses(recorded: &mut Recorded) {
     let gate = Gate::new(&settings(address(1)));
-    let wrong_method = gate.clone().respond(call("PUT", "/", "")).await;
+    let wrong_method = gate.clone().respond(request("PUT", "/", "")).await;
     recorded.response("gate: method", &wrong_method);
-    let not_text = gate.clone().respond(call("POST", "/", vec![0xff])).await;
+    let not_text = gate.clone().respond(request("POST", "/", vec![0xff])).await;
     recorded.response("gate: body is not text", &not_text);
     for path in ["/streamusher/readiness", "/other"] {
         recorded.response(
             &format!("gate: readiness {path}"),
-            &gate.respond_readiness(&call("GET", path, "")),
+            &gate.respond_readiness(&request("GET", path, "")),
         );
     }
     for (method, path) in [("GET", "/other"), ("POST", STATUS_PATH)] {
-        let response = gate.respond_internal(&call(method, path, ""));
+        let response = gate.respond_internal(&request(method, path, ""));
         recorded.response(&format!("gate: internal {method} {path}"), &response);
     }
     for (method, body) in [("GET", ""), ("POST", "{\"from\":7}")] {
-        let response = gate.relay().respond(&call(method, "/internal/relay", body));
+        let response = gate
+            .relay()
+            .respond(&request(method, "/internal/relay", body));
         recorded.response(&format!("gate: relay {method}"), &response);
     }
-    let replies = [
-        primary::reply(200, "{}"),
-        primary::reply(204, ""),
-        primary::reply(99, "{}"),
+    let responses = [
+        primary::client_response(200, "{}"),
+        primary::client_response(204, ""),
+        primary::client_response(99, "{}"),
         ClientResponse {
             retry_after_ms: Some(1_250),
-            ..primary::reply(503, "{}")
+            ..primary::client_response(503, "{}")
         },
     ];
-    for reply in replies {
-        let status = reply.status;
-        let primary = Primary::replying(reply);
+    for response in responses {
+        let status = response.status;
+        let primary = Primary::responding(response);
         recorded.response(
             &format!("gate: primary says {status}"),
             &forwarded(&primary).await,
         );
     }
-    let primary = Primary::start(|_call| std::future::ready(json(StatusCode::OK, &0)));
+    let primary = Primary::start(|_request| std::future::ready(json(StatusCode::OK, &0)));
     recorded.response("gate: not understood", &forwarded(&primary).await);
-    let primary = Primary::start(|_call: Request| std::future::pending::<Response>());
+    let primary = Primary::start(|_request: Request| std::future::pending::<Response>());
     let gate = found(&primary).await;
-    let silent = gate.respond(primary::hurried("POST", "/a", 600)).await;
+    let silent = gate
+        .respond(primary::request_with_deadline("POST", "/a", 600))
+        .await;
     recorded.response("gate: primary is silent", &silent);
 }
 
@@ -413,7 +440,10 @@
 }
 
 async fn forwarded(primary: &Primary) -> Response {
-    found(primary).await.respond(call("POST", "/a", "{}")).await
+    found(primary)
+        .await
+        .respond(request("POST", "/a", "{}"))
+        .await
 }
 
 async fn agent_responses(recorded: &mut Recorded) {
@@ -436,7 +466,7 @@
         ("POST", "/streamusher/Instances.Deregister/i-1", ""),
     ];
     for (method, path, body) in requests {
-        let response = program.clone().respond(call(method, path, body)).await;
+        let response = program.clone().respond(request(method, path, body)).await;
         recorded.response(&format!("agent: {method} {path} {body}"), &response);
     }
 }
--- a/crates/dataplane/tests/takeover.rs
+++ b/crates/dataplane/tests/failover.rs
@@ -1,6 +1,12 @@
-//! What gates and agents do when the primary falls silent and another member knows of the next one.
+//! What gates and agents do when the primary hangs and another member knows its successor.
 
-#[path = "common/primary.rs"]
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
+
+#[path = "support/primary.rs"]
 mod primary;
 
 use http::StatusCode;
@@ -14,11 +20,11 @@
 use streamusher_runtime::http::{json, parse_json, Request, Response, Server, ServerLimits};
 use tokio::sync::Notify;
 
-const CALLED_PATH: &str = "/called";
+const REQUEST_PATH: &str = "/called";
 /// Longer than any test takes.
-const NEVER: Duration = Duration::from_secs(3_600);
+const NEVER: Duration = Duration::from_hours(1);
 
-/// A core machine that answers watches when its view is newer, and no other calls.
+/// A core machine that answers watches when its view is newer, and no other requests.
 #[derive(Clone)]
 struct Member {
     address: SocketAddr,
@@ -39,15 +45,17 @@
             watches: Rc::default(),
         };
         let serving = member.clone();
-        tokio::task::spawn_local(server.run(move |call: Request| serving.clone().answer(call)));
+        tokio::task::spawn_local(
+            server.run(move |request: Request| serving.clone().respond(request)),
+        );
         member
     }
 
-    async fn answer(self, call: Request) -> Response {
-        match call.uri().path() {
+    async fn respond(self, request: Request) -> Response {
+        match request.uri().path() {
             CLUSTER_PATH => {}
             CLUSTER_WATCH_PATH => {
-                let watch: ClusterWatch = parse_json(call.body()).unwrap();
+                let watch: ClusterWatch = parse_json(request.body()).unwrap();
                 self.watches.set(self.watches.get() + 1);
                 while self.view.borrow().epoch <= watch.epoch {
                     self.changed.notified().await;
@@ -61,7 +69,7 @@
         json(StatusCode::OK, &*self.view.borrow())
     }
 
-    fn learns(&self, epoch: u64, primary: &Member, members: &[&Member]) {
+    fn set_view(&self, epoch: u64, primary: &Member, members: &[&Member]) {
         let members = members.iter().map(|member| core(member.address)).collect();
         *self.view.borrow_mut() = ClusterView {
             epoch,
@@ -73,61 +81,62 @@
 }
 
 /// A primary, another member, and a process that has found the primary.
-async fn given_a_found_primary() -> (Member, Member, ControlPlaneClient) {
+async fn start_with_known_primary() -> (Member, Member, ControlPlaneClient) {
     let (first, second) = (Member::start(), Member::start());
     for member in [&first, &second] {
-        member.learns(1, &first, &[&first, &second]);
+        member.set_view(1, &first, &[&first, &second]);
     }
-    let link = ControlPlaneClient::new(vec![core(first.address)], 1, 2);
-    let running = link.clone();
+    let client = ControlPlaneClient::new(vec![core(first.address)], 1, 2);
+    let running = client.clone();
     tokio::task::spawn_local(async move { running.run().await });
-    link.wait_for_primary(tokio::time::Instant::now() + SOON)
+    client
+        .wait_for_primary(tokio::time::Instant::now() + SOON)
         .await
         .expect("a primary");
-    (first, second, link)
+    (first, second, client)
 }
 
 #[test]
-fn given_a_silent_primary_when_another_member_knows_the_next_then_the_call_under_way_ends() {
+fn announced_successor_ends_the_request_in_flight() {
     run(async {
-        let (first, second, link) = given_a_found_primary().await;
-        let target = link.primary().unwrap();
+        let (first, second, client) = start_with_known_primary().await;
+        let target = client.primary().unwrap();
         let called = first.called.clone();
         let takeover = async {
             called.notified().await;
-            second.learns(2, &second, &[&first, &second]);
+            second.set_view(2, &second, &[&first, &second]);
         };
 
-        let call = link.post(&target, CALLED_PATH, &(), NEVER);
-        let (outcome, ()) = tokio::join!(call, takeover);
+        let request = client.post(&target, REQUEST_PATH, &(), NEVER);
+        let (outcome, ()) = tokio::join!(request, takeover);
 
         assert!(
             matches!(outcome, RequestOutcome::Unknown),
             "it may have been carried out: {outcome:?}"
         );
         assert_eq!(
-            **link.primary().unwrap().address(),
+            **client.primary().unwrap().address(),
             *second.address.to_string()
         );
     });
 }
 
 #[test]
-fn given_a_primary_when_the_epoch_changes_under_it_then_its_calls_go_on() {
+fn new_epoch_of_the_same_primary_leaves_its_requests() {
     run(async {
-        let (first, second, link) = given_a_found_primary().await;
-        let target = link.primary().unwrap();
+        let (first, second, client) = start_with_known_primary().await;
+        let target = client.primary().unwrap();
         let called = first.called.clone();
         let change = async {
             called.notified().await;
-            second.learns(2, &first, &[&first, &second]);
-            while link.view().epoch < 2 {
+            second.set_view(2, &first, &[&first, &second]);
+            while client.view().epoch < 2 {
                 tokio::task::yield_now().await;
             }
         };
 
         let ended = tokio::select! {
-            outcome = link.post(&target, CALLED_PATH, &(), NEVER) => Some(outcome),
+            outcome = client.post(&target, REQUEST_PATH, &(), NEVER) => Some(outcome),
             () = change => None,
         };
 
--- a/crates/dataplane/tests/process.rs
+++ b/crates/dataplane/tests/process.rs
@@ -1,11 +1,17 @@
-//! The program as a process: its command line, and a gate from its start to its end. What the process logs tells when
-//! the next step can be taken.
+//! The binary: its command lines, and a gate from its start to its end. The lines that it logs tell when the next step can
+//! be taken.
 
-#[path = "common/primary.rs"]
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
+
+#[path = "support/primary.rs"]
 mod primary;
 
 use http::StatusCode;
-use primary::*;
+use primary::{client_response, request, run, Primary, SOON};
 use rstest::rstest;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -70,23 +76,42 @@
     assert!(sent.success());
 }
 
+type Lines = tokio::sync::mpsc::UnboundedReceiver<String>;
+
+/// The process's log, line by line; read on a thread, as the stand-in serves on this one.
+fn spawn_log(log: impl std::io::Read + Send + 'static) -> Lines {
+    let (sender, lines) = tokio::sync::mpsc::unbounded_channel();
+    std::thread::spawn(move || {
+        for line in BufReader::new(log).lines().map_while(Result::ok) {
+            let _ = sender.send(line);
+        }
+    });
+    lines
+}
+
+/// Waits until the log has lines with all that is wanted.
+async fn wait_on(lines: &mut Lines, wanted: &[&str]) {
+    let mut missing = wanted.to_vec();
+    while !missing.is_empty() {
+        let line = lines.recv().await.expect("the log ended too early");
+        missing.retain(|text| !line.contains(text));
+    }
+}
+
 #[rstest]
 #[case::help(&["--help"], 0)]
 #[case::version(&["--version"], 0)]
 #[case::no_command(&[], 2)]
 #[case::unknown_command(&["door"], 2)]
 #[case::no_settings(&["gate", "--check"], 2)]
-fn given_a_command_line_when_run_then_the_exit_code_says_how_it_went(
-    #[case] line: &[&str],
-    #[case] code: i32,
-) {
+fn exit_codes_of_command_lines(#[case] line: &[&str], #[case] code: i32) {
     let output = output(line, Path::new("/nonexistent/settings.toml"));
 
     assert_eq!(output.status.code(), Some(code));
 }
 
 #[test]
-fn given_settings_when_checked_then_a_gate_takes_them_and_an_agent_names_the_key() {
+fn check_accepts_a_gates_settings_for_a_gate_only() {
     let [front, ready] = free_addresses();
     let file = SettingsFile::write("check", &gate_settings(7_300, front, ready));
 
@@ -101,10 +126,11 @@
 }
 
 #[test]
-fn given_a_gate_when_it_is_stopped_then_it_serves_on_is_not_ready_and_ends_with_success() {
+fn sigterm_drains_the_gate_and_exits_with_success() {
     run(async {
-        let primary =
-            Primary::start(|_call| std::future::ready(json(StatusCode::OK, &reply(200, "{}"))));
+        let primary = Primary::start(|_request| {
+            std::future::ready(json(StatusCode::OK, &client_response(200, "{}")))
+        });
         let [front, ready] = free_addresses();
         let file =
             SettingsFile::write("life", &gate_settings(primary.address.port(), front, ready));
@@ -119,10 +145,10 @@
             &["accepting client requests", "the primary of epoch"],
         )
         .await;
-        let question = call("GET", "/streamusher/readiness", "");
+        let question = request("GET", "/streamusher/readiness", "");
 
         let served = Client::new(front)
-            .send(call("POST", "/a/5c0e", "{}"), SOON)
+            .send(request("POST", "/a/5c0e", "{}"), SOON)
             .await
             .unwrap();
         let ready_before = Client::new(ready)
@@ -133,14 +159,14 @@
         wait_on(&mut log, &["shutting down: "]).await;
         let ready_after = Client::new(ready).send(question, SOON).await.unwrap();
         let served_after = Client::new(front)
-            .send(call("POST", "/a/5c0e", "{}"), SOON)
+            .send(request("POST", "/a/5c0e", "{}"), SOON)
             .await
             .unwrap();
         let ended = tokio::task::spawn_blocking(move || child.wait().unwrap())
             .await
             .unwrap();
         let after_the_end = Client::new(front)
-            .send(call("POST", "/a/5c0e", "{}"), SOON)
+            .send(request("POST", "/a/5c0e", "{}"), SOON)
             .await;
 
         assert_eq!(
@@ -153,25 +179,3 @@
         assert!(matches!(after_the_end, Err(RequestError::NotSent(_))));
     });
 }
-
-type Lines = tokio::sync::mpsc::UnboundedReceiver<String>;
-
-/// The process's log, line by line; read on a thread, as the stand-in serves on this one.
-fn spawn_log(log: impl std::io::Read + Send + 'static) -> Lines {
-    let (sender, lines) = tokio::sync::mpsc::unbounded_channel();
-    std::thread::spawn(move || {
-        for line in BufReader::new(log).lines().map_while(Result::ok) {
-            let _ = sender.send(line);
-        }
-    });
-    lines
-}
-
-/// Waits until the log has lines with all that is wanted.
-async fn wait_on(lines: &mut Lines, wanted: &[&str]) {
-    let mut missing = wanted.to_vec();
-    while !missing.is_empty() {
-        let line = lines.recv().await.expect("the log ended too early");
-        missing.retain(|text| !line.contains(text));
-    }
-}
--- a/crates/dataplane/tests/relay.rs
+++ b/crates/dataplane/tests/relay.rs
@@ -1,10 +1,16 @@
 //! Gates as members of the relay tree over loopback, with the root's state machine at a stand-in for the primary.
 
-#[path = "common/primary.rs"]
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
+
+#[path = "support/primary.rs"]
 mod primary;
 
 use http::StatusCode;
-use primary::{call, run, settings, view};
+use primary::{request, run, settings, view};
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -22,12 +28,12 @@
 };
 use streamusher_runtime::clock;
 use streamusher_runtime::http::{
-    empty, json as answer_json, parse_json, text, Outbox, Request, Response, Server, ServerHandle,
-    ServerLimits,
+    empty, json as json_response, parse_json, text, Outbox, Request, Response, Server,
+    ServerHandle, ServerLimits,
 };
 use tokio::task::{spawn_local, JoinHandle};
 
-/// How often the stand-in tells its state machine the time.
+/// Interval of the ticks of the stand-in's state machine.
 const TICK: Duration = Duration::from_millis(20);
 
 /// A core machine that is the primary until it hands over.
@@ -66,7 +72,7 @@
             state: Rc::new(state),
         };
         let serving = core.clone();
-        spawn_local(server.run(move |call| std::future::ready(serving.respond(&call))));
+        spawn_local(server.run(move |request| std::future::ready(serving.respond(&request))));
         let ticking = core.clone();
         spawn_local(async move { ticking.tick().await });
         core
@@ -81,18 +87,18 @@
         }
     }
 
-    fn respond(&self, call: &Request) -> Response {
+    fn respond(&self, request: &Request) -> Response {
         let now = clock::steady();
         let successor = self.state.successor.borrow().clone();
-        match (call.uri().path(), successor) {
+        match (request.uri().path(), successor) {
             (CLUSTER_PATH, successor) => {
                 let own = view(self.state.epoch, Some(self.address));
-                answer_json(StatusCode::OK, &successor.unwrap_or(own))
+                json_response(StatusCode::OK, &successor.unwrap_or(own))
             }
-            (_, Some(view)) => answer_json(StatusCode::MISDIRECTED_REQUEST, &NotPrimary { view }),
+            (_, Some(view)) => json_response(StatusCode::MISDIRECTED_REQUEST, &NotPrimary { view }),
             (GATE_LEASE_PATH, _) => {
-                let lease = parse_json(call.body()).unwrap();
-                answer_json(
+                let lease = parse_json(request.body()).unwrap();
+                json_response(
                     StatusCode::OK,
                     &self
                         .state
@@ -102,7 +108,7 @@
                 )
             }
             (RELAY_PATH, _) => {
-                let envelope = parse_json(call.body()).unwrap();
+                let envelope = parse_json(request.body()).unwrap();
                 let sends = self
                     .state
                     .distribution
@@ -161,13 +167,14 @@
 impl Member {
     fn start(core: &Core) -> Member {
         let server = Server::bind("127.0.0.1:0".parse().unwrap(), ServerLimits::default()).unwrap();
-        let link = ControlPlaneClient::new(settings(core.address).core_addresses_of_seeds(), 7, 2);
-        let relay = RelayMember::new(link.clone(), server.local_address().unwrap());
+        let client =
+            ControlPlaneClient::new(settings(core.address).core_addresses_of_seeds(), 7, 2);
+        let relay = RelayMember::new(client.clone(), server.local_address().unwrap());
         let handle = server.handle();
         let (serving, member) = (relay.clone(), relay.clone());
-        spawn_local(server.run(move |call| std::future::ready(serving.respond(&call))));
+        spawn_local(server.run(move |request| std::future::ready(serving.respond(&request))));
         let running = spawn_local(async move {
-            tokio::join!(link.run(), member.run());
+            tokio::join!(client.run(), member.run());
         });
         Member {
             relay,
@@ -233,7 +240,7 @@
 }
 
 #[test]
-fn given_three_gates_when_changes_are_published_then_each_reaches_all_of_them() {
+fn published_changes_reach_all_gates() {
     run(async {
         let core = Core::start(1);
         let members: Vec<Member> = (0..3).map(|_| Member::start(&core)).collect();
@@ -255,7 +262,7 @@
 }
 
 #[test]
-fn given_a_tree_of_two_levels_when_an_inner_gate_dies_then_the_others_get_the_next_change() {
+fn changes_get_past_a_dead_inner_gate() {
     run(async {
         let core = Core::start(1);
         let mut members: Vec<Member> = (0..12).map(|_| Member::start(&core)).collect();
@@ -278,7 +285,7 @@
 }
 
 #[test]
-fn given_a_new_primary_when_it_publishes_then_gates_follow_it_and_never_go_back() {
+fn gates_follow_a_new_primary_and_never_go_back() {
     run(async {
         let first = Core::start(1);
         let members: Vec<Member> = (0..3).map(|_| Member::start(&first)).collect();
@@ -300,15 +307,15 @@
 }
 
 #[test]
-fn given_a_gate_when_messages_are_not_of_the_tree_then_they_are_refused() {
+fn malformed_relay_requests_are_rejected() {
     run(async {
         let core = Core::start(1);
         let member = Member::start(&core);
 
         let malformed = member
             .relay
-            .respond(&call("POST", RELAY_PATH, "{\"from\":7}"));
-        let wrong_method = member.relay.respond(&call("GET", RELAY_PATH, ""));
+            .respond(&request("POST", RELAY_PATH, "{\"from\":7}"));
+        let wrong_method = member.relay.respond(&request("GET", RELAY_PATH, ""));
 
         assert_eq!(malformed.status(), StatusCode::BAD_REQUEST);
         assert_eq!(wrong_method.status(), StatusCode::METHOD_NOT_ALLOWED);
@@ -316,13 +323,13 @@
 }
 
 #[test]
-fn given_a_gate_when_asked_for_its_status_then_it_shows_its_place_in_the_tree() {
+fn status_shows_the_place_in_the_tree() {
     run(async {
         let core = Core::start(1);
         let gate = Gate::new(&settings(core.address));
 
-        let status = gate.respond_internal(&call("GET", STATUS_PATH, ""));
-        let elsewhere = gate.respond_internal(&call("GET", "/internal/other", ""));
+        let status = gate.respond_internal(&request("GET", STATUS_PATH, ""));
+        let elsewhere = gate.respond_internal(&request("GET", "/internal/other", ""));
 
         let status: Value = parse_json(status.body()).unwrap();
         assert_eq!(status["relay"]["parent"], "Core");
--- a/crates/dataplane/tests/reload.rs
+++ b/crates/dataplane/tests/reload.rs
@@ -1,5 +1,11 @@
 //! SIGHUP: the data plane's processes take over the seeds of the settings file.
 
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
+
 use rstest::rstest;
 use std::fs;
 use std::io::{BufRead, BufReader};
@@ -73,7 +79,7 @@
 #[rstest]
 #[case("gate", 130)]
 #[case("agent", 155)]
-fn given_new_seeds_when_sighup_comes_then_they_are_asked_and_a_wrong_file_changes_nothing(
+fn sighup_takes_new_seeds_over_and_ignores_a_wrong_file(
     #[case] command: &'static str,
     #[case] first: u32,
 ) {
--- a/crates/dataplane/tests/common/primary.rs
+++ b/crates/dataplane/tests/support/primary.rs
@@ -1,6 +1,6 @@
 //! A stand-in for the primary on loopback.
 
-#![allow(dead_code)] // Each test file uses a part.
+#![allow(dead_code, reason = "each test file uses a part")]
 
 use bytes::Bytes;
 use http::StatusCode;
@@ -17,26 +17,26 @@
 };
 use streamusher_runtime::settings::ProcessSettings;
 
-/// Bounds what should happen at once.
-pub const SOON: Duration = Duration::from_secs(20);
+/// Bound of what should happen at once.
+pub(crate) const SOON: Duration = Duration::from_secs(20);
 
-pub fn run<F: Future<Output = ()>>(future: F) {
+pub(crate) fn run<F: Future<Output = ()>>(future: F) {
     let bounded = async {
         tokio::time::timeout(SOON, future)
             .await
-            .expect("it ends in time")
+            .expect("it ends in time");
     };
     streamusher_runtime::runtime::block_on(bounded).unwrap();
 }
 
-pub fn core(address: SocketAddr) -> CoreAddress {
+pub(crate) fn core(address: SocketAddr) -> CoreAddress {
     CoreAddress {
         internal: address.to_string().into(),
         control: "127.0.0.1:1".into(),
     }
 }
 
-pub fn view(epoch: u64, primary: Option<SocketAddr>) -> ClusterView {
+pub(crate) fn view(epoch: u64, primary: Option<SocketAddr>) -> ClusterView {
     ClusterView {
         epoch,
         primary: primary.map(core),
@@ -45,7 +45,7 @@
 }
 
 /// Settings whose only seed is the core machine at `primary`.
-pub fn settings(primary: SocketAddr) -> ProcessSettings {
+pub(crate) fn settings(primary: SocketAddr) -> ProcessSettings {
     ProcessSettings {
         port_range: [primary.port(), primary.port().saturating_add(15)],
         seeds: vec!["127.0.0.1:1".parse().unwrap()],
@@ -53,54 +53,54 @@
     }
 }
 
-/// A core machine that says it is the primary and answers calls as its script says.
-pub struct Primary {
-    pub address: SocketAddr,
-    pub handle: ServerHandle,
-    pub calls: Rc<RefCell<Vec<Request>>>,
+/// A control machine that says it is the primary and answers requests by a script.
+pub(crate) struct Primary {
+    pub(crate) address: SocketAddr,
+    pub(crate) handle: ServerHandle,
+    pub(crate) requests: Rc<RefCell<Vec<Request>>>,
 }
 
 impl Primary {
-    pub fn start<F: Future<Output = Response> + 'static>(
+    pub(crate) fn start<F: Future<Output = Response> + 'static>(
         script: impl Fn(Request) -> F + 'static,
     ) -> Primary {
         let server = Server::bind("127.0.0.1:0".parse().unwrap(), ServerLimits::default()).unwrap();
         let address = server.local_address().unwrap();
         let handle = server.handle();
-        let calls: Rc<RefCell<Vec<Request>>> = Rc::default();
-        let (heard, script) = (Rc::clone(&calls), Rc::new(script));
-        tokio::task::spawn_local(server.run(move |call: Request| {
-            let (heard, script) = (Rc::clone(&heard), Rc::clone(&script));
+        let requests: Rc<RefCell<Vec<Request>>> = Rc::default();
+        let (received, script) = (Rc::clone(&requests), Rc::new(script));
+        tokio::task::spawn_local(server.run(move |request: Request| {
+            let (received, script) = (Rc::clone(&received), Rc::clone(&script));
             async move {
-                if call.uri().path() == CLUSTER_PATH {
+                if request.uri().path() == CLUSTER_PATH {
                     return json(StatusCode::OK, &view(1, Some(address)));
                 }
-                heard.borrow_mut().push(call.clone());
-                script(call).await
+                received.borrow_mut().push(request.clone());
+                script(request).await
             }
         }));
         Primary {
             address,
             handle,
-            calls,
+            requests,
         }
     }
 
-    /// One that gives every client the same reply.
-    pub fn replying(reply: ClientResponse) -> Primary {
-        Primary::start(move |_call| std::future::ready(json(StatusCode::OK, &reply)))
+    /// One that gives every client the same response.
+    pub(crate) fn responding(response: ClientResponse) -> Primary {
+        Primary::start(move |_request| std::future::ready(json(StatusCode::OK, &response)))
     }
 
-    pub fn client_calls(&self) -> Vec<ClientRequest> {
-        self.calls
+    pub(crate) fn client_requests(&self) -> Vec<ClientRequest> {
+        self.requests
             .borrow()
             .iter()
-            .map(|call| parse_json(call.body()).unwrap())
+            .map(|request| parse_json(request.body()).unwrap())
             .collect()
     }
 }
 
-pub fn reply(status: u16, body: &str) -> ClientResponse {
+pub(crate) fn client_response(status: u16, body: &str) -> ClientResponse {
     ClientResponse {
         status,
         body: body.into(),
@@ -108,7 +108,7 @@
     }
 }
 
-pub fn call(method: &str, path: &str, body: impl Into<Bytes>) -> Request {
+pub(crate) fn request(method: &str, path: &str, body: impl Into<Bytes>) -> Request {
     let request = http::Request::builder()
         .method(method)
         .uri(path)
@@ -117,9 +117,10 @@
 }
 
 /// The same with a client's deadline.
-pub fn hurried(method: &str, path: &str, deadline_ms: u64) -> Request {
-    let mut call = call(method, path, "");
-    call.headers_mut()
+pub(crate) fn request_with_deadline(method: &str, path: &str, deadline_ms: u64) -> Request {
+    let mut request = request(method, path, "");
+    request
+        .headers_mut()
         .insert("streamusher-deadline-ms", deadline_ms.into());
-    call
+    request
 }
--- a/crates/runtime/src/options.rs
+++ b/crates/runtime/src/options.rs
@@ -4,7 +4,7 @@
 use log::LevelFilter;
 
 /// Exit code for a wrong command line or wrong settings.
-pub const EXIT_MISUSE: i32 = 2;
+pub const EXIT_MISUSE: u8 = 2;
 
 /// What a program offers.
 #[derive(Clone, Copy, Debug)]
