--- /dev/null
+++ b/crates/placement/src/capacity_search.rs
@@ -0,0 +1,214 @@
+//! Search for capacity for a unit that does not fit: reserved for it as runs end, or freed by preempting less urgent runs.
+
+use crate::admission::remaining_wait_ms;
+use crate::cluster::ReservationWindow;
+use crate::cycle::SchedulingCycle;
+use crate::decision::Decision;
+use crate::gang_fit::{cheapest_plan, GangPlan, PreemptionScope};
+use crate::index::{QueueKey, WorkerIndex};
+use crate::policy::Mechanism;
+use crate::ranking::RankedWorker;
+use crate::unit_view::UnitView;
+use crate::wait_diagnosis::record_wait_reason;
+use streamusher_protocol::heartbeat::Resources;
+use streamusher_protocol::Millis;
+
+/// Capacity that becomes free by itself within this time is waited for, rather than preempting anything.
+const SOON_MS: f64 = 300.0;
+/// From this wait on, what did not end by itself is not waited for any more where something may be preempted.
+const PREEMPT_AFTER_MS: Millis = 700;
+/// From this wait on, capacity is reserved far ahead for a unit that nothing may be preempted for yet.
+const RESERVE_AHEAD_AFTER_MS: Millis = 300;
+/// How far ahead capacity is reserved, nearest first.
+const RESERVE_AHEAD_MS: [f64; 2] = [2_000.0, 15_000.0];
+/// A reservation is held for this long after its capacity was expected.
+const RESERVATION_GRACE_MS: Millis = 500;
+/// Single tasks that take less of a worker are given no reservation: they fit anyway as others end.
+const MIN_RESERVED_SHARE: f64 = 0.2;
+/// Units with reservations in a service: one, and one more for so many workers.
+const WORKERS_PER_RESERVING_UNIT: usize = 8;
+/// What the preemptions for one unit may lose, in units of a small job's value.
+const MAX_COST_FOR_MOST_URGENT: f64 = 0.5;
+const MAX_COST_FOR_OTHERS: f64 = 0.25;
+const MAX_COST_FOR_GANG: f64 = 1.5;
+
+/// Searches capacity in groups of workers, nearest and cheapest first, and reserves what the first plan found takes.
+pub(crate) fn search_capacity(
+    cycle: &mut SchedulingCycle<'_>,
+    key: QueueKey,
+    groups: &[Vec<RankedWorker>],
+) {
+    cycle.searches_left = cycle.searches_left.saturating_sub(1);
+    let Some(view) = cycle.view(key) else {
+        return;
+    };
+    let max_cost = max_cost(&view);
+    let found = scopes(&view, groups).into_iter().find_map(|scope| {
+        let plan = cheapest_plan(&view, groups, scope)?;
+        (plan.cost <= max_cost).then_some((plan, scope.waits_for_ms()?))
+    });
+    if let Some((plan, within_ms)) = found {
+        carry_out(cycle, key, plan, within_ms);
+    }
+}
+
+/// Whether a search could lead to anything: looked up before workers are ranked.
+pub(crate) fn is_worth_a_search(view: &UnitView<'_>, workers: &[WorkerIndex]) -> bool {
+    !view.unit().speculative && (may_preempt(view, workers) || may_reserve(view, workers))
+}
+
+/// Whether a unit holds reservations; cancels those that have expired.
+pub(crate) fn holds_reservations(cycle: &mut SchedulingCycle<'_>, key: QueueKey) -> bool {
+    let pending = cycle.cluster.queue.get(key);
+    let holds = pending.is_some_and(|pending| {
+        !pending.reserved_at.is_empty() && pending.reserved_until > cycle.now
+    });
+    if !holds {
+        cycle.cluster.cancel_reservations(key);
+    }
+    holds
+}
+
+/// Schedules the next look at a unit that did not start, at the end of its reservations at the latest.
+pub(crate) fn schedule_retry(cycle: &mut SchedulingCycle<'_>, key: QueueKey) {
+    record_wait_reason(cycle.cluster, cycle.now, key);
+    let Some(pending) = cycle.cluster.queue.get(key) else {
+        return;
+    };
+    let no_later_than = if pending.reserved_at.is_empty() {
+        Millis::MAX
+    } else {
+        pending.reserved_until
+    };
+    cycle
+        .cluster
+        .queue
+        .schedule_retry(cycle.now, key, no_later_than);
+}
+
+/// How far to go for capacity, in the order in which it is tried.
+fn scopes(view: &UnitView<'_>, groups: &[Vec<RankedWorker>]) -> Vec<PreemptionScope> {
+    let workers: Vec<WorkerIndex> = groups.iter().flatten().map(|worker| worker.index).collect();
+    let may_preempt = may_preempt(view, &workers);
+    let may_reserve = may_reserve(view, &workers);
+    let waited_ms = view.waited_ms();
+    let remaining_ms = remaining_wait_ms(view);
+    let mut scopes = Vec::new();
+    if may_reserve || may_preempt && waited_ms < PREEMPT_AFTER_MS {
+        scopes.push(PreemptionScope::EndingSoon { within_ms: SOON_MS });
+    }
+    if may_reserve && remaining_ms > SOON_MS {
+        scopes.push(PreemptionScope::EndingSoon {
+            within_ms: remaining_ms,
+        });
+    }
+    if may_preempt && (may_reserve || remaining_ms <= 0.0) {
+        scopes.extend(preempting_scopes(view));
+    }
+    if may_reserve && waited_ms >= RESERVE_AHEAD_AFTER_MS {
+        let ahead = |within_ms| PreemptionScope::EndingSoon { within_ms };
+        scopes.extend(RESERVE_AHEAD_MS.map(ahead));
+    }
+    scopes
+}
+
+fn preempting_scopes(view: &UnitView<'_>) -> Vec<PreemptionScope> {
+    let mut scopes = vec![PreemptionScope::Preempting {
+        within_ms: SOON_MS,
+        gang_members: false,
+    }];
+    if view.pending.is_gang() {
+        scopes.push(PreemptionScope::Preempting {
+            within_ms: RESERVE_AHEAD_MS[0],
+            gang_members: false,
+        });
+    }
+    if view.unit().priority == 0 {
+        scopes.push(PreemptionScope::Preempting {
+            within_ms: SOON_MS,
+            gang_members: true,
+        });
+    }
+    scopes
+}
+
+/// Whether anything that is less urgent runs on one of the workers.
+fn may_preempt(view: &UnitView<'_>, workers: &[WorkerIndex]) -> bool {
+    let runs_less_urgent = |index: &WorkerIndex| {
+        let worker = view.cluster.workers.get(*index);
+        worker.is_some_and(|worker| {
+            worker.allocated.below_priority(view.unit().priority) != Resources::default()
+        })
+    };
+    view.uses(Mechanism::Preemption) && workers.iter().any(runs_less_urgent)
+}
+
+/// Whether capacity may be reserved: for gangs and large tasks, and for few units at once.
+fn may_reserve(view: &UnitView<'_>, workers: &[WorkerIndex]) -> bool {
+    let service = view.service;
+    let max_units = 1 + service.pools.all.members.len() / WORKERS_PER_RESERVING_UNIT;
+    let first = workers
+        .first()
+        .and_then(|index| view.cluster.workers.get(*index));
+    let is_large = first.is_some_and(|worker| view.pending.share_of(worker) >= MIN_RESERVED_SHARE);
+    view.uses(Mechanism::Reservations)
+        && (view.pending.is_gang() || is_large)
+        && service.reserving.len() < max_units
+}
+
+fn max_cost(view: &UnitView<'_>) -> f64 {
+    if view.pending.is_gang() {
+        MAX_COST_FOR_GANG
+    } else if view.unit().priority == 0 {
+        MAX_COST_FOR_MOST_URGENT
+    } else {
+        MAX_COST_FOR_OTHERS
+    }
+}
+
+/// Reserves what a plan takes, and orders its preemptions.
+fn carry_out(cycle: &mut SchedulingCycle<'_>, key: QueueKey, plan: GangPlan, within_ms: f64) {
+    let window = reservation_window(cycle, &plan, within_ms);
+    for assignment in plan.assignments {
+        let by_preemption = !assignment.victims.is_empty();
+        let (index, members) = (assignment.worker, assignment.members);
+        cycle
+            .cluster
+            .reserve(key, index, members, window, by_preemption);
+        let Some(worker) = cycle.cluster.workers.get_mut(index) else {
+            continue;
+        };
+        for task in assignment.victims {
+            worker.mark_stopping(&task);
+            cycle.decisions.push(Decision::Preempt {
+                task,
+                worker: worker.info.id.clone(),
+            });
+        }
+    }
+}
+
+#[expect(
+    clippy::cast_possible_truncation,
+    reason = "the fraction of a millisecond is meant to be cut off"
+)]
+fn reservation_window(
+    cycle: &SchedulingCycle<'_>,
+    plan: &GangPlan,
+    within_ms: f64,
+) -> ReservationWindow {
+    let preempts = plan
+        .assignments
+        .iter()
+        .any(|assignment| !assignment.victims.is_empty());
+    let stop_ms = if preempts {
+        cycle.cluster.settings.max_stop_ms
+    } else {
+        0
+    };
+    let available_at = cycle.now.saturating_add(stop_ms.max(within_ms as Millis));
+    ReservationWindow {
+        available_at,
+        expires_at: available_at.saturating_add(RESERVATION_GRACE_MS),
+    }
+}
--- /dev/null
+++ b/crates/placement/src/gang_fit/candidate.rs
@@ -0,0 +1,222 @@
+//! A worker that may take members of a gang, while a plan is made.
+
+use super::preemption_scope::PreemptionScope;
+use super::remaining_capacity::RemainingCapacity;
+use crate::admission::has_run_slot;
+use crate::index::WorkerIndex;
+use crate::ranking::RankedWorker;
+use crate::reservation::HeadroomAccess;
+use crate::resource_vector::ResourceVector;
+use crate::run::Run;
+use crate::unit_view::UnitView;
+use crate::wait_escalation::headroom_access;
+use crate::worker::Worker;
+use std::cmp::Ordering;
+use streamusher_protocol::task::TaskId;
+use streamusher_protocol::unit::Unit;
+
+/// The members that a plan puts on one worker.
+#[derive(Clone, Debug)]
+pub(crate) struct WorkerAssignment {
+    pub(crate) worker: WorkerIndex,
+    pub(crate) members: u32,
+    /// Runs to be preempted for them.
+    pub(crate) victims: Vec<TaskId>,
+    /// What preempting them loses, in units of a small job's value.
+    pub(crate) cost: f64,
+}
+
+/// A run that may be preempted.
+struct Victim<'a> {
+    task: &'a TaskId,
+    run: &'a Run,
+    cost: f64,
+}
+
+/// What one more member needs.
+struct NextMember {
+    /// What the further preemptions cost.
+    cost: f64,
+    /// How many of the victims are preempted then.
+    preempted: usize,
+}
+
+/// A worker that may take members.
+pub(crate) struct CandidateWorker<'a> {
+    index: WorkerIndex,
+    rank: f64,
+    /// What is left with the first `preempted` victims stopped.
+    remaining: RemainingCapacity,
+    max_members: u32,
+    /// Runs that may be preempted, cheapest first.
+    victims: Vec<Victim<'a>>,
+    members: u32,
+    preempted: usize,
+    next_member: Option<NextMember>,
+}
+
+impl<'a> CandidateWorker<'a> {
+    /// None where the worker may not take the unit at all.
+    pub(crate) fn new(
+        view: &UnitView<'a>,
+        ranked: &RankedWorker,
+        scope: PreemptionScope,
+    ) -> Option<CandidateWorker<'a>> {
+        let worker = view.cluster.workers.get(ranked.index)?;
+        let access = headroom_access(view, worker);
+        let has_no_slot = access == HeadroomAccess::Denied && !has_run_slot(view, worker);
+        if !worker.info.schedulable || has_no_slot {
+            return None;
+        }
+        let mut candidate = CandidateWorker {
+            index: ranked.index,
+            rank: ranked.rank,
+            remaining: RemainingCapacity::of(view, worker, access),
+            max_members: max_members(view.unit(), worker),
+            victims: Vec::new(),
+            members: 0,
+            preempted: 0,
+            next_member: None,
+        };
+        candidate.extend_by_scope(view, worker, scope);
+        candidate.prepare_next_member(&ResourceVector::from(&view.unit().resources));
+        Some(candidate)
+    }
+
+    /// Counts as free what the scope allows, and lists what may be preempted.
+    fn extend_by_scope(&mut self, view: &UnitView<'a>, worker: &'a Worker, scope: PreemptionScope) {
+        let Some(within_ms) = scope.waits_for_ms() else {
+            return;
+        };
+        let settings = &view.cluster.settings;
+        let usual_ms = view.service.usual_run_ms();
+        let priority = view.unit().priority;
+        for (task, run) in &worker.runs {
+            let remaining_ms = run.expected_remaining_ms(view.now, usual_ms, settings);
+            // Capacity of more urgent work is soon taken by its like.
+            if remaining_ms <= within_ms && run.allocation.priority >= priority {
+                self.remaining.free(run);
+            } else if may_preempt(scope, run, priority) {
+                let cost = run.preemption_cost(view.now, settings);
+                self.victims.push(Victim { task, run, cost });
+            }
+        }
+        self.victims.sort_by(|left, right| {
+            left.cost
+                .total_cmp(&right.cost)
+                .then(left.task.cmp(right.task))
+        });
+    }
+
+    /// Works out what one more member would need.
+    fn prepare_next_member(&mut self, demand: &ResourceVector) {
+        self.next_member = self.find_next_member(demand);
+    }
+
+    fn find_next_member(&self, demand: &ResourceVector) -> Option<NextMember> {
+        if self.members >= self.max_members {
+            return None;
+        }
+        let mut remaining = self.remaining.clone();
+        let mut next = NextMember {
+            cost: 0.0,
+            preempted: self.preempted,
+        };
+        while !remaining.fits(demand, self.members + 1) {
+            let victim = self.victims.get(next.preempted)?;
+            remaining.free(victim.run);
+            next.cost += victim.cost;
+            next.preempted += 1;
+        }
+        Some(next)
+    }
+
+    pub(crate) fn fits_next_member(&self) -> bool {
+        self.next_member.is_some()
+    }
+
+    pub(crate) fn has_members(&self) -> bool {
+        self.members > 0
+    }
+
+    pub(crate) fn rank(&self) -> f64 {
+        self.rank
+    }
+
+    /// Which of two workers takes the next member: where it costs less, then the better ranked.
+    pub(crate) fn compare_next_member(&self, other: &CandidateWorker<'_>) -> Ordering {
+        self.next_member_cost()
+            .total_cmp(&other.next_member_cost())
+            .then(self.rank.total_cmp(&other.rank))
+            .then(self.index.cmp(&other.index))
+    }
+
+    fn next_member_cost(&self) -> f64 {
+        self.next_member
+            .as_ref()
+            .map_or(f64::INFINITY, |next| next.cost)
+    }
+
+    /// Puts one more member on this worker, if it fits.
+    pub(crate) fn add_member(&mut self, demand: &ResourceVector) {
+        let Some(next) = self.next_member.take() else {
+            return;
+        };
+        for victim in &self.victims[self.preempted..next.preempted] {
+            self.remaining.free(victim.run);
+        }
+        self.preempted = next.preempted;
+        self.members += 1;
+        self.prepare_next_member(demand);
+    }
+
+    /// The members here, with the preemptions that are needed: without those that dearer ones made needless.
+    pub(crate) fn assignment(&self, demand: &ResourceVector) -> WorkerAssignment {
+        let mut needed: Vec<usize> = (0..self.preempted).collect();
+        for dropped in (0..self.preempted).rev() {
+            let others: Vec<usize> = needed
+                .iter()
+                .copied()
+                .filter(|index| *index != dropped)
+                .collect();
+            if self.fits_with_victims(&others, demand) {
+                needed = others;
+            }
+        }
+        let victims = needed.iter().map(|index| &self.victims[*index]);
+        WorkerAssignment {
+            worker: self.index,
+            members: self.members,
+            victims: victims.clone().map(|victim| victim.task.clone()).collect(),
+            cost: victims.map(|victim| victim.cost).sum(),
+        }
+    }
+
+    /// Whether the members fit when only these of the chosen victims are stopped.
+    fn fits_with_victims(&self, stopped: &[usize], demand: &ResourceVector) -> bool {
+        let mut remaining = self.remaining.clone();
+        let still_running = (0..self.preempted).filter(|index| !stopped.contains(index));
+        for index in still_running {
+            remaining.take_back(self.victims[index].run);
+        }
+        remaining.fits(demand, self.members)
+    }
+}
+
+/// How many of a unit's tasks may run on a worker, by the unit's limit for its step.
+fn max_members(unit: &Unit, worker: &Worker) -> u32 {
+    match unit.anti_affinity {
+        0 => u32::MAX,
+        limit => limit.saturating_sub(worker.allocated.tasks_of(&unit.id.step)),
+    }
+}
+
+/// Whether a run may be preempted for a unit of a priority.
+fn may_preempt(scope: PreemptionScope, run: &Run, priority: u32) -> bool {
+    let PreemptionScope::Preempting { gang_members, .. } = scope else {
+        return false;
+    };
+    !run.stopping
+        && run.allocation.priority > priority
+        && (gang_members || !run.allocation.gang_member)
+}
--- /dev/null
+++ b/crates/placement/src/gang_fit/remaining_capacity.rs
@@ -0,0 +1,108 @@
+//! The capacity that is left at a worker, in total and under each headroom limit.
+
+use crate::admission::headroom_against;
+use crate::headroom::SlackClass;
+use crate::reservation::HeadroomAccess;
+use crate::resource_vector::ResourceVector;
+use crate::run::Run;
+use crate::unit_view::UnitView;
+use crate::worker::Worker;
+
+/// A limit on what the slack classes behind one may hold of a worker.
+#[derive(Clone, Debug)]
+struct HeadroomLimit {
+    /// The last class that the headroom is for.
+    up_to: SlackClass,
+    /// What runs of the classes behind it may hold.
+    max: ResourceVector,
+    /// What they hold.
+    used: ResourceVector,
+}
+
+impl HeadroomLimit {
+    fn admits(&self, demand: ResourceVector, members: u32) -> bool {
+        // A worker without runs of the classes behind takes one.
+        let first = members == 1 && self.used.is_zero_or_less();
+        first || (self.used + demand).fits_within(&self.max)
+    }
+}
+
+/// The capacity that is left at a worker.
+#[derive(Clone, Debug)]
+pub(crate) struct RemainingCapacity {
+    total: ResourceVector,
+    limits: Vec<HeadroomLimit>,
+}
+
+impl RemainingCapacity {
+    /// What a worker has left for a unit, without what is reserved for earlier units.
+    pub(crate) fn of(
+        view: &UnitView<'_>,
+        worker: &Worker,
+        access: HeadroomAccess,
+    ) -> RemainingCapacity {
+        let capacity = ResourceVector::from(&worker.info.capacity);
+        let mut total = capacity;
+        total -= ResourceVector::from(&worker.allocated.total());
+        for reservation in &worker.reservations {
+            if reservation.blocks(view.now, view.key, access) {
+                total -= ResourceVector::from(&reservation.resources);
+            }
+        }
+        let limits = if access > HeadroomAccess::Denied {
+            Vec::new()
+        } else {
+            headroom_limits(view, worker, capacity)
+        };
+        RemainingCapacity { total, limits }
+    }
+
+    /// Counts a run as ended.
+    pub(crate) fn free(&mut self, run: &Run) {
+        let freed = ResourceVector::from(&run.allocation.resources);
+        self.total += freed;
+        for limit in self.limits_on(run) {
+            limit.used -= freed;
+        }
+    }
+
+    /// Counts a run as not ended after all.
+    pub(crate) fn take_back(&mut self, run: &Run) {
+        let taken = ResourceVector::from(&run.allocation.resources);
+        self.total -= taken;
+        for limit in self.limits_on(run) {
+            limit.used += taken;
+        }
+    }
+
+    fn limits_on(&mut self, run: &Run) -> impl Iterator<Item = &mut HeadroomLimit> {
+        let slack_class = run.slack_class;
+        self.limits
+            .iter_mut()
+            .filter(move |limit| slack_class > limit.up_to)
+    }
+
+    /// Whether so many members fit.
+    pub(crate) fn fits(&self, demand_of_one: &ResourceVector, members: u32) -> bool {
+        let demand = demand_of_one.scaled(f64::from(members));
+        demand.fits_within(&self.total)
+            && self
+                .limits
+                .iter()
+                .all(|limit| limit.admits(demand, members))
+    }
+}
+
+fn headroom_limits(
+    view: &UnitView<'_>,
+    worker: &Worker,
+    capacity: ResourceVector,
+) -> Vec<HeadroomLimit> {
+    headroom_against(view)
+        .map(|headroom| HeadroomLimit {
+            up_to: headroom.up_to,
+            max: capacity.less_shares(headroom.shares),
+            used: ResourceVector::from(&worker.allocated.behind_class(headroom.up_to)),
+        })
+        .collect()
+}
--- /dev/null
+++ b/crates/placement/src/gang_groups.rs
@@ -0,0 +1,121 @@
+//! The groups of workers that a gang is fitted into: each rack, then all workers.
+
+use crate::cycle::SchedulingCycle;
+use crate::eligibility::is_eligible;
+use crate::index::{QueueKey, WorkerIndex};
+use crate::policy::Mechanism;
+use crate::ranking::{rank, RankedWorker};
+use crate::run_estimate::usual_run_ms;
+use crate::unit_view::UnitView;
+use crate::wait_escalation::ANY_WORKER_AFTER_MS;
+use crate::worker_pool::WorkerPool;
+use rand::seq::IndexedRandom;
+
+/// Workers of a pool that one look at a gang takes in; of more a random sample.
+const MAX_WORKERS: usize = 256;
+/// Racks that one look takes in; of more a random sample.
+const MAX_RACKS: usize = 64;
+/// Makes up for rounding where a whole number of members fills a worker.
+const ROUNDING_MARGIN: f64 = 1e-9;
+
+/// The groups of workers that a gang may be fitted into, in the order in which they are preferred.
+pub(crate) fn worker_groups(
+    cycle: &mut SchedulingCycle<'_>,
+    key: QueueKey,
+) -> Vec<Vec<RankedWorker>> {
+    let mut groups = rack_groups(cycle, key);
+    groups.extend(group_of_all(cycle, key));
+    groups
+}
+
+/// One group for each rack, for a gang that wants to be on one.
+fn rack_groups(cycle: &mut SchedulingCycle<'_>, key: QueueKey) -> Vec<Vec<RankedWorker>> {
+    let Some(view) = UnitView::new(cycle.cluster, cycle.now, key) else {
+        return Vec::new();
+    };
+    if !wants_one_rack(&view) {
+        return Vec::new();
+    }
+    let mut racks: Vec<&WorkerPool> = view.service.pools.racks().collect();
+    if racks.len() > MAX_RACKS {
+        racks = racks
+            .choose_multiple(cycle.random, MAX_RACKS)
+            .copied()
+            .collect();
+    }
+    racks
+        .into_iter()
+        .map(|rack| ranked_eligible(&view, &rack.members))
+        .filter(|group| !group.is_empty())
+        .collect()
+}
+
+/// All workers as one group, where being on several racks is no loss or the lesser one.
+fn group_of_all(cycle: &mut SchedulingCycle<'_>, key: QueueKey) -> Option<Vec<RankedWorker>> {
+    let view = UnitView::new(cycle.cluster, cycle.now, key)?;
+    if !may_cross_racks(&view) {
+        return None;
+    }
+    let pool = view.pool()?;
+    let members: Vec<WorkerIndex> = if pool.members.len() > MAX_WORKERS {
+        pool.members
+            .choose_multiple(cycle.random, MAX_WORKERS)
+            .copied()
+            .collect()
+    } else {
+        pool.members.clone()
+    };
+    Some(ranked_eligible(&view, &members))
+}
+
+fn wants_one_rack(view: &UnitView<'_>) -> bool {
+    view.unit().same_rack && view.uses(Mechanism::RackLocality)
+}
+
+/// Waiting for one rack is worth what the slower run on several would cost.
+fn may_cross_racks(view: &UnitView<'_>) -> bool {
+    if !wants_one_rack(view) {
+        return true;
+    }
+    let slowdown = (view.cluster.settings.remote_slowdown - 1.0).max(0.0);
+    let cost_ms = slowdown * usual_run_ms(view);
+    view.waited_ms() as f64 >= cost_ms.min(ANY_WORKER_AFTER_MS as f64)
+        || !view
+            .service
+            .pools
+            .racks()
+            .any(|rack| could_hold_all(view, rack))
+}
+
+/// Whether a rack holds all members when it is empty.
+fn could_hold_all(view: &UnitView<'_>, rack: &WorkerPool) -> bool {
+    let workers = &view.cluster.workers;
+    let members = rack
+        .members
+        .iter()
+        .filter(|index| is_eligible(workers, view.unit(), **index))
+        .filter_map(|index| workers.get(*index))
+        .map(|worker| max_members_when_empty(view, view.pending.share_of(worker)));
+    members.sum::<f64>() >= view.unit().tasks.len() as f64
+}
+
+fn max_members_when_empty(view: &UnitView<'_>, share_of_one: f64) -> f64 {
+    let by_capacity = if share_of_one > 0.0 {
+        (1.0 / share_of_one + ROUNDING_MARGIN).floor()
+    } else {
+        f64::INFINITY
+    };
+    let by_anti_affinity = match view.unit().anti_affinity {
+        0 => f64::INFINITY,
+        limit => f64::from(limit),
+    };
+    by_capacity.min(by_anti_affinity)
+}
+
+fn ranked_eligible(view: &UnitView<'_>, workers: &[WorkerIndex]) -> Vec<RankedWorker> {
+    workers
+        .iter()
+        .filter(|index| is_eligible(&view.cluster.workers, view.unit(), **index))
+        .filter_map(|index| rank(view, *index))
+        .collect()
+}
--- a/crates/placement/src/headroom.rs
+++ b/crates/placement/src/headroom.rs
@@ -1,185 +1,252 @@
-//! Room kept free of work that can wait, so that work that cannot starts without stopping others.
+//! Headroom: capacity that is kept free of work that can wait, so that work that cannot wait starts without preemption.
 //!
-//! How long the units of a queue can wait is observed: the mean of their slack. Queues are put into classes by it, each with
-//! twice the slack of the one before. Room is kept for what the classes up to one take together, against all that is behind it.
+//! How long the units of a queue can wait is observed, as the mean of their slack. Queues fall into slack classes, each
+//! with twice the slack of the class before. What all classes up to one take together, on average and in bursts, is kept free
+//! of the classes behind it. See `docs/design/placement.md`.
 
-use crate::amounts::Amounts;
+use crate::resource_vector::ResourceVector;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// The mean and the swing of demand follow it with this time constant: some cycles of bursts.
+/// Mean and deviation of a demand follow it with this time constant: some cycles of bursts.
 const TIME_CONSTANT_MS: f64 = 6_000.0;
-/// Mean distances above the mean that are kept against work whose turn has just come, and against work that has waited for
-/// its part of its slack: wide steps come in bursts, and a step is over with its slowest task.
-const MOST_SWINGS: f64 = 3.0;
-const LEAST_SWINGS: f64 = 1.0;
-/// At most this share of a service is kept: a stop takes longer than work that cannot wait has. What waits long in a service
-/// with much free room takes it all the same.
-const MOST_KEPT: f64 = 0.6;
-/// Newest unit's part in the mean slack of its queue: the tasks of some wide steps.
-const PART_OF_NEWEST: f64 = 0.01;
-/// A queue changes its class when its mean slack is so many classes away from it: more than half, lest it swings.
-const CHANGED_CLASS: f64 = 0.75;
-/// Queues that are remembered; where there are more, all are learnt anew, lest those that are gone pile up.
-const MOST_QUEUES: usize = 4_096;
-/// Room is kept whole against classes from this distance on, in part against nearer ones.
-const WHOLE_DISTANCE: f64 = 2.0;
+/// Mean deviations above the mean that are kept free of a unit that has just been enqueued: wide steps come in bursts, and
+/// a step is over with its slowest task.
+const MAX_DEVIATIONS: f64 = 3.0;
+/// The same for a unit that has waited for its part of its slack.
+const MIN_DEVIATIONS: f64 = 1.0;
+/// At most this share of a service is kept free: a preemption takes longer than work that cannot wait has. What waits long
+/// in a service with much free capacity takes it all the same.
+const MAX_RESERVED_SHARE: f64 = 0.6;
+/// The newest unit's weight in the mean slack of its queue: that of the tasks of some wide steps.
+const NEWEST_SLACK_WEIGHT: f64 = 0.01;
+/// A queue changes its class when its mean slack is this far from it, in classes: more than half, so that it does not
+/// alternate between two.
+const CLASS_CHANGE_DISTANCE: f64 = 0.75;
+/// Queues that are remembered. Where there are more all are learnt anew, so that queues that are gone do not pile up.
+const MAX_QUEUES: usize = 4_096;
+/// From this distance between classes on the headroom counts in full, in part for nearer ones.
+const FULL_HEADROOM_DISTANCE: f64 = 2.0;
 
 /// How long units can wait: the binary logarithm of their queue's mean slack in milliseconds, rounded.
-pub(crate) type Patience = u32;
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct SlackClass(u32);
 
-/// What tasks that run or wait take together, over time.
+impl SlackClass {
+    #[expect(
+        clippy::cast_possible_truncation,
+        reason = "the logarithm of a 64-bit number is at most 64"
+    )]
+    fn nearest(log2_of_slack: f64) -> SlackClass {
+        SlackClass(log2_of_slack.round() as u32)
+    }
+
+    fn as_f64(self) -> f64 {
+        f64::from(self.0)
+    }
+
+    /// How many classes this one is behind an earlier one.
+    fn distance_from(self, earlier: SlackClass) -> f64 {
+        f64::from(self.0 - earlier.0)
+    }
+}
+
+/// Whether a unit begins or ceases to count as demand.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum DemandChange {
+    Added,
+    Removed,
+}
+
+/// What tasks that run or are pending take together, over time.
 #[derive(Clone, Copy, Debug, Default)]
 struct Demand {
-    present: Amounts,
-    mean: Amounts,
-    swing: Amounts,
-    at: Millis,
+    present: ResourceVector,
+    mean: ResourceVector,
+    /// Mean distance from the mean.
+    deviation: ResourceVector,
+    updated_at: Millis,
 }
 
 impl Demand {
-    /// Carries mean and swing forward to now, with the present demand since the last change.
-    fn carry(&mut self, now: Millis) {
-        let part = 1.0 - (-(now.saturating_sub(self.at) as f64) / TIME_CONSTANT_MS).exp();
-        self.at = self.at.max(now);
-        for kind in 0..3 {
-            let distance = self.present[kind] - self.mean[kind];
-            self.mean[kind] += part * distance;
-            self.swing[kind] += part * (distance.abs() - self.swing[kind]);
+    fn starting_at(now: Millis) -> Demand {
+        Demand {
+            updated_at: now,
+            ..Demand::default()
+        }
+    }
+
+    /// Brings mean and deviation up to now, with the demand that has been present since the last update.
+    fn advance(&mut self, now: Millis) {
+        let elapsed_ms = now.saturating_sub(self.updated_at) as f64;
+        let part = 1.0 - (-elapsed_ms / TIME_CONSTANT_MS).exp();
+        self.updated_at = self.updated_at.max(now);
+        let distance = self
+            .present
+            .zip_with(self.mean, |present, mean| present - mean);
+        self.mean = self
+            .mean
+            .zip_with(distance, |mean, distance| mean + part * distance);
+        self.deviation = self.deviation.zip_with(distance, |deviation, distance| {
+            deviation + part * (distance.abs() - deviation)
+        });
+    }
+
+    fn change(&mut self, resources: ResourceVector, change: DemandChange) {
+        match change {
+            DemandChange::Added => self.present.add_non_negative(resources),
+            DemandChange::Removed => self.present.subtract_non_negative(resources),
         }
     }
 }
 
-/// What is known of a queue.
+/// What is known of a queue's slack.
 #[derive(Clone, Copy, Debug)]
-struct QueuePatience {
-    /// Binary logarithm of the mean slack.
-    mean: f64,
-    class: Patience,
+struct QueueSlack {
+    /// Mean of the binary logarithm of the slack in milliseconds.
+    mean_log2: f64,
+    class: SlackClass,
     priority: u32,
 }
 
-impl QueuePatience {
-    fn learn(&mut self, observed: f64) {
-        self.mean += PART_OF_NEWEST * (observed - self.mean);
-        if (self.mean - f64::from(self.class)).abs() > CHANGED_CLASS {
-            self.class = self.mean.round() as Patience;
+impl QueueSlack {
+    fn new(log2_of_slack: f64, priority: u32) -> QueueSlack {
+        QueueSlack {
+            mean_log2: log2_of_slack,
+            class: SlackClass::nearest(log2_of_slack),
+            priority,
+        }
+    }
+
+    fn observe(&mut self, log2_of_slack: f64) {
+        self.mean_log2 += NEWEST_SLACK_WEIGHT * (log2_of_slack - self.mean_log2);
+        if (self.mean_log2 - self.class.as_f64()).abs() > CLASS_CHANGE_DISTANCE {
+            self.class = SlackClass::nearest(self.mean_log2);
         }
     }
 }
 
-/// Room kept for the classes up to one.
+/// Headroom for the classes up to one, as it counts against a unit of a class behind them.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Kept {
-    /// The last of the classes that it is kept for; it is kept free of all behind.
-    pub up_to: Patience,
-    /// The most urgent priority among their queues.
-    pub most_urgent: u32,
-    /// The share of each kind of room.
-    pub shares: Amounts,
+pub(crate) struct HeadroomShare {
+    /// The last class that the headroom is for.
+    pub(crate) up_to: SlackClass,
+    /// The most urgent priority among the queues of these classes.
+    pub(crate) most_urgent_priority: u32,
+    /// The share of each kind of resource.
+    pub(crate) shares: ResourceVector,
 }
 
-/// What the classes up to one take, as shares of each kind of room.
+/// What the classes up to one take, as shares of the service's capacity.
 #[derive(Clone, Copy, Debug)]
-struct Taken {
-    up_to: Patience,
-    most_urgent: u32,
-    mean: Amounts,
-    swing: Amounts,
+struct DemandShare {
+    up_to: SlackClass,
+    most_urgent_priority: u32,
+    mean: ResourceVector,
+    deviation: ResourceVector,
 }
 
-impl Taken {
-    fn kept_against(&self, class: Patience, swings: f64) -> Kept {
-        let part = (f64::from(class - self.up_to) / WHOLE_DISTANCE).min(1.0);
-        let share =
-            |kind: usize| part * (self.mean[kind] + swings * self.swing[kind]).min(MOST_KEPT);
-        Kept {
+impl DemandShare {
+    fn headroom_against(&self, class: SlackClass, deviations: f64) -> HeadroomShare {
+        let part = (class.distance_from(self.up_to) / FULL_HEADROOM_DISTANCE).min(1.0);
+        let shares = self.mean.zip_with(self.deviation, |mean, deviation| {
+            part * (mean + deviations * deviation).min(MAX_RESERVED_SHARE)
+        });
+        HeadroomShare {
             up_to: self.up_to,
-            most_urgent: self.most_urgent,
-            shares: [0, 1, 2].map(share),
+            most_urgent_priority: self.most_urgent_priority,
+            shares,
         }
     }
 }
 
-/// The demand for one service by how long its units can wait, and what is kept free for those that can wait less.
+/// The demand for one service by slack class, and the headroom that follows from it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Headroom {
-    queues: HashMap<Arc<str>, QueuePatience>,
-    /// Per class: the demand of all classes up to it.
-    demands: BTreeMap<Patience, Demand>,
-    taken: Vec<Taken>,
+    queues: HashMap<Arc<str>, QueueSlack>,
+    /// For each class the demand of all classes up to it.
+    demands: BTreeMap<SlackClass, Demand>,
+    /// As of the last [`Headroom::refresh`], by class.
+    demand_shares: Vec<DemandShare>,
 }
 
 impl Headroom {
-    /// Learns how long a unit of a queue may wait; answers the class of the queue.
-    pub fn learn_slack(&mut self, queue: &Arc<str>, priority: u32, slack_ms: Millis) -> Patience {
-        let observed = (slack_ms.max(1) as f64).log2();
-        if self.queues.len() >= MOST_QUEUES && !self.queues.contains_key(queue) {
+    /// Learns the slack of a unit of a queue. Returns the class of the queue.
+    pub(crate) fn observe_slack(
+        &mut self,
+        queue: &Arc<str>,
+        priority: u32,
+        slack_ms: Millis,
+    ) -> SlackClass {
+        let log2_of_slack = (slack_ms.max(1) as f64).log2();
+        if self.queues.len() >= MAX_QUEUES && !self.queues.contains_key(queue) {
             self.queues.clear();
         }
-        let first = || QueuePatience {
-            mean: observed,
-            class: observed.round() as Patience,
-            priority,
-        };
-        let known = self.queues.entry(queue.clone()).or_insert_with(first);
+        let known = self
+            .queues
+            .entry(queue.clone())
+            .or_insert_with(|| QueueSlack::new(log2_of_slack, priority));
         known.priority = priority;
-        known.learn(observed);
+        known.observe(log2_of_slack);
         known.class
     }
 
-    /// Demand of a class rises (1.0) or falls (-1.0) by what a task takes.
-    pub fn change(&mut self, now: Millis, class: Patience, amounts: Amounts, sign: f64) {
-        if !self.demands.contains_key(&class) {
-            // So far the classes up to this one were those up to the one before.
-            let before = self
-                .demands
-                .range(..class)
-                .next_back()
-                .map(|(_, demand)| *demand);
-            self.demands.insert(
-                class,
-                before.unwrap_or(Demand {
-                    at: now,
-                    ..Demand::default()
-                }),
-            );
-        }
+    /// The demand of a class, and so of all behind it, rises or falls by what a task takes.
+    pub(crate) fn change_demand(
+        &mut self,
+        now: Millis,
+        class: SlackClass,
+        resources: ResourceVector,
+        change: DemandChange,
+    ) {
+        self.ensure_class(now, class);
         for demand in self.demands.range_mut(class..).map(|(_, demand)| demand) {
-            demand.carry(now);
-            for (present, part) in demand.present.iter_mut().zip(amounts) {
-                *present = (*present + sign * part).max(0.0);
-            }
+            demand.advance(now);
+            demand.change(resources, change);
+        }
+    }
+
+    /// A new class starts with the demand of the class before it: so far these were all classes up to the new one.
+    fn ensure_class(&mut self, now: Millis, class: SlackClass) {
+        if self.demands.contains_key(&class) {
+            return;
         }
+        let before = self.demands.range(..class).next_back();
+        let demand = before.map_or(Demand::starting_at(now), |(_, demand)| *demand);
+        self.demands.insert(class, demand);
     }
 
-    /// Works out anew what is kept, given the room of the service's open workers.
-    pub fn settle(&mut self, now: Millis, capacity: Amounts) {
-        self.taken.clear();
+    /// Brings the headroom up to now, given the capacity of the service's schedulable workers.
+    pub(crate) fn refresh(&mut self, now: Millis, capacity: ResourceVector) {
+        self.demand_shares.clear();
+        let share_of_capacity = |amounts: ResourceVector| {
+            amounts.zip_with(capacity, |amount, capacity| amount / capacity.max(1.0))
+        };
         for (&up_to, demand) in &mut self.demands {
-            demand.carry(now);
-            let share =
-                |amounts: Amounts| [0, 1, 2].map(|kind| amounts[kind] / capacity[kind].max(1.0));
+            demand.advance(now);
             let queues = self.queues.values().filter(|queue| queue.class <= up_to);
-            let most_urgent = queues.map(|queue| queue.priority).min().unwrap_or(0);
-            let (mean, swing) = (share(demand.mean), share(demand.swing));
-            self.taken.push(Taken {
+            self.demand_shares.push(DemandShare {
                 up_to,
-                most_urgent,
-                mean,
-                swing,
+                most_urgent_priority: queues.map(|queue| queue.priority).min().unwrap_or(0),
+                mean: share_of_capacity(demand.mean),
+                deviation: share_of_capacity(demand.deviation),
             });
         }
     }
 
-    /// What must stay free of a unit that has waited for this part of its patience, and of which classes.
-    pub fn against(&self, class: Patience, waited: f64) -> impl Iterator<Item = Kept> + '_ {
-        let swings = MOST_SWINGS - (MOST_SWINGS - LEAST_SWINGS) * waited.clamp(0.0, 1.0);
-        let nearer = self
-            .taken
+    /// What must stay free of a unit of a class: one share for each class before its own. `waited` is the time that it has
+    /// waited over the time that it may wait; the longer it has waited, the less is kept free of it.
+    pub(crate) fn against(
+        &self,
+        class: SlackClass,
+        waited: f64,
+    ) -> impl Iterator<Item = HeadroomShare> + '_ {
+        let deviations =
+            MAX_DEVIATIONS - (MAX_DEVIATIONS - MIN_DEVIATIONS) * waited.clamp(0.0, 1.0);
+        self.demand_shares
             .iter()
-            .take_while(move |taken| taken.up_to < class);
-        nearer.map(move |taken| taken.kept_against(class, swings))
+            .take_while(move |demand| demand.up_to < class)
+            .map(move |demand| demand.headroom_against(class, deviations))
     }
 }
--- a/crates/placement/src/policy.rs
+++ b/crates/placement/src/policy.rs
@@ -1,46 +1,46 @@
-//! Which mechanisms take part in decisions: all of them in service, all but some in an experiment.
+//! Which mechanisms take part in decisions: all of them in production, all but some in an experiment.
 
 use std::fmt;
 
-/// A mechanism that can be left out to see what it is worth.
+/// A mechanism that can be switched off to measure its worth. Its name on command lines is older than that of the variant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mechanism {
-    /// Copies of a unit in more queues than that of its best worker.
+    /// A unit has copies in more queues than that of its best worker.
     QueueCopies,
-    /// Failures, standstills and refusals count against a worker.
+    /// Failures, stalls and rejections count against a worker.
     Penalties,
-    /// A worker with many charges runs one task at a time, or none.
+    /// A worker with a high penalty runs one task at a time, or none.
     Probation,
-    /// A worker's own speed, by its runs' times and reports.
+    /// Slow workers rank lower, by their run times and progress reports.
     RelativeSpeed,
     /// Small tasks go to the fullest worker while large ones are expected.
     Packing,
-    /// A worker away from the data's rack ranks lower.
+    /// Workers on another rack than the unit's data rank lower.
     DataLocality,
-    /// Room is kept free for more urgent work.
+    /// Capacity is kept free of work that can wait, for work that cannot.
     Headroom,
-    /// Room is kept for a gang or a large task as runs end.
+    /// Capacity is reserved for a gang or a large task as runs end.
     Reservations,
     /// Less urgent runs are stopped for more urgent units.
     Preemption,
-    /// A gang that wants one rack looks for one.
+    /// A gang that asks for one rack is fitted into one.
     RackLocality,
-    /// Workers at which a run failed or stood still are avoided by its task.
+    /// A task avoids the workers on which a run of it failed or stalled.
     Avoidance,
-    /// What has waited long takes workers and room that it would not take at first.
+    /// What has waited long takes workers and capacity that it may not take at first.
     WaitEscalation,
-    /// A second copy of a hedged task whose run is in doubt.
+    /// A hedged task gets a speculative second run when its run is in doubt.
     Hedging,
-    /// A run without progress is moved.
+    /// A run without progress is stopped and started elsewhere.
     StallDetection,
-    /// Runs are moved from a worker that leaves before they can end.
+    /// Runs are moved away from a worker that leaves before they can end.
     Migration,
-    /// A new primary inherits what speaks against workers.
+    /// A new primary takes over the penalties that the former one has learnt.
     PenaltyInheritance,
 }
 
 impl Mechanism {
-    /// All of them.
+    /// All mechanisms, in the order of experiment tables.
     pub const ALL: [Mechanism; 16] = [
         Mechanism::QueueCopies,
         Mechanism::Penalties,
@@ -60,7 +60,7 @@
         Mechanism::PenaltyInheritance,
     ];
 
-    /// The mechanism of a name, as [`fmt::Display`] writes it.
+    /// The mechanism with a name on command lines; see [`Mechanism::name`].
     pub fn from_name(name: &str) -> Option<Mechanism> {
         Mechanism::ALL
             .into_iter()
@@ -100,10 +100,11 @@
     }
 }
 
-/// The mechanisms that are in use.
+/// The mechanisms that are in use; by default all.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Policy {
-    off: u32,
+    /// One bit for each mechanism that is switched off.
+    disabled: u32,
 }
 
 impl Policy {
@@ -111,12 +112,12 @@
     #[must_use]
     pub const fn without(self, mechanism: Mechanism) -> Policy {
         Policy {
-            off: self.off | mechanism.bit(),
+            disabled: self.disabled | mechanism.bit(),
         }
     }
 
-    /// First room that fits, in the order of the queue, as something to measure against. Without [`Mechanism::Patience`] units
-    /// may wait for longer than the rules allow.
+    /// No mechanism at all: first fit in the order of the queue, as a baseline to measure against. Without
+    /// [`Mechanism::WaitEscalation`] units may wait for longer than the rules allow.
     #[must_use]
     pub fn first_fit() -> Policy {
         Mechanism::ALL
@@ -126,6 +127,6 @@
 
     /// Whether a mechanism is in use.
     pub const fn is_enabled(self, mechanism: Mechanism) -> bool {
-        self.off & mechanism.bit() == 0
+        self.disabled & mechanism.bit() == 0
     }
 }
--- a/crates/placement/src/run.rs
+++ b/crates/placement/src/run.rs
@@ -1,111 +1,150 @@
-//! A run that takes room: how long it will last, and what stopping it would lose.
+//! A run that holds an allocation: how long it will last, and what preempting it would lose.
 
-use crate::headroom::Patience;
-use crate::types::{Allocation, PlacementSettings};
+use crate::allocation::Allocation;
+use crate::headroom::SlackClass;
+use crate::settings::PlacementSettings;
 use streamusher_protocol::Millis;
 
-/// Price of a core-second of work that is lost, in units of a small job's worth.
-const PRICE_OF_CORE_SECOND: f64 = 0.016;
-/// An accelerator is priced as this many cores.
+/// Cost of a core-second of lost work, in units of a small job's value.
+const COST_PER_CORE_SECOND: f64 = 0.016;
+/// An accelerator costs as much as this many cores.
 const CORES_PER_GPU: f64 = 8.0;
 /// Stopping any run delays its job and costs another start.
-const PRICE_OF_STOP: f64 = 0.03;
-/// Shorter distances between two reports say nothing about the speed.
-const SHORTEST_SPAN_MS: Millis = 100;
+const COST_PER_STOP: f64 = 0.03;
+/// Two reports less far apart, in milliseconds or in percent of the work, tell nothing of the speed.
+const MIN_REPORT_SPAN_MS: Millis = 100;
+const MIN_REPORT_PERCENT: f64 = 0.5;
 /// Estimates are rough: a run is expected to last this share of its estimate still, even when that is over.
-const LEAST_REST: f64 = 0.1;
-/// The same where reports tell how far it is.
-const LEAST_REST_BY_REPORT: f64 = 0.02;
+const MIN_REMAINING_SHARE: f64 = 0.1;
+/// The same where reports tell how far the run is.
+const MIN_REMAINING_SHARE_BY_REPORT: f64 = 0.02;
+/// A run is expected to last this long at least, in milliseconds.
+const MIN_REMAINING_MS: f64 = 1.0;
+const MILLIS_PER_SECOND: f64 = 1_000.0;
+const MILLICORES_PER_CORE: f64 = 1_000.0;
 
-/// A run that takes room.
+/// A run's report of its progress.
+#[derive(Clone, Copy, Debug)]
+struct ProgressReport {
+    at: Millis,
+    percent: f64,
+}
+
+/// A run that holds an allocation.
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
-    pub held: Allocation,
-    /// How long its queue could wait when it was queued.
-    pub patience: Patience,
-    /// When its room was taken.
-    pub since: Millis,
+    pub(crate) allocation: Allocation,
+    /// The slack class of its queue when it was enqueued.
+    pub(crate) slack_class: SlackClass,
+    /// When its capacity was allocated.
+    pub(crate) allocated_at: Millis,
     /// How much longer it takes here than near its data.
-    pub far_x: f64,
-    /// It was told to stop; its room is taken until its end is known.
-    pub stopping: bool,
-    first_report: Option<(Millis, f64)>,
-    last_report: Option<(Millis, f64)>,
-    told_speed: bool,
+    pub(crate) remote_slowdown: f64,
+    /// A stop was ordered; the allocation is held until the end of the run is known.
+    pub(crate) stopping: bool,
+    first_report: Option<ProgressReport>,
+    last_report: Option<ProgressReport>,
+    speed_observed: bool,
 }
 
 impl Run {
-    pub fn new(now: Millis, held: Allocation, patience: Patience) -> Run {
+    pub(crate) fn new(now: Millis, allocation: Allocation, slack_class: SlackClass) -> Run {
         Run {
-            held,
-            patience,
-            since: now,
-            far_x: 1.0,
+            allocation,
+            slack_class,
+            allocated_at: now,
+            remote_slowdown: 1.0,
             stopping: false,
             first_report: None,
             last_report: None,
-            told_speed: false,
+            speed_observed: false,
         }
     }
 
-    /// Notes a report; answers once with the run's whole time near its data, when that is known.
-    pub fn progress(&mut self, now: Millis, percent: f64) -> Option<f64> {
-        let percent = if percent.is_finite() {
-            percent.clamp(0.0, 100.0)
-        } else {
+    /// Notes a report. Returns the run's total time near its data once, as soon as two reports tell it.
+    pub(crate) fn record_progress(&mut self, now: Millis, percent: f64) -> Option<f64> {
+        if !percent.is_finite() {
             return None;
+        }
+        let report = ProgressReport {
+            at: now,
+            percent: percent.clamp(0.0, 100.0),
         };
-        self.first_report.get_or_insert((now, percent));
-        self.last_report = Some((now, percent));
-        let whole_ms = self.whole_ms()?;
-        let tell = !self.told_speed && !self.held.long_running;
-        self.told_speed |= tell;
-        tell.then(|| whole_ms / self.far_x)
+        self.first_report.get_or_insert(report);
+        self.last_report = Some(report);
+        let total_ms = self.projected_total_ms()?;
+        if self.speed_observed || self.allocation.long_running {
+            return None;
+        }
+        self.speed_observed = true;
+        Some(total_ms / self.remote_slowdown)
     }
 
-    /// Whole run time by the distance of two reports.
-    fn whole_ms(&self) -> Option<f64> {
-        let ((first_at, first), (last_at, last)) = (self.first_report?, self.last_report?);
-        let span = last_at.saturating_sub(first_at);
-        let done = last - first;
-        (span >= SHORTEST_SPAN_MS && done > 0.5).then(|| span as f64 * 100.0 / done)
+    /// The run's total time, by what was done between the first and the last report.
+    fn projected_total_ms(&self) -> Option<f64> {
+        let (first, last) = (self.first_report?, self.last_report?);
+        let span_ms = last.at.saturating_sub(first.at);
+        let done_percent = last.percent - first.percent;
+        let conclusive = span_ms >= MIN_REPORT_SPAN_MS && done_percent > MIN_REPORT_PERCENT;
+        conclusive.then(|| span_ms as f64 * 100.0 / done_percent)
     }
 
-    /// How much longer it is expected to take its room, in milliseconds.
-    pub fn rest_ms(&self, now: Millis, usual_ms: f64, settings: &PlacementSettings) -> f64 {
+    /// How much longer it is expected to hold its allocation, in milliseconds.
+    pub(crate) fn expected_remaining_ms(
+        &self,
+        now: Millis,
+        usual_ms: f64,
+        settings: &PlacementSettings,
+    ) -> f64 {
         if self.stopping {
             return settings.max_stop_ms as f64;
         }
-        if self.held.long_running {
+        if self.allocation.long_running {
             return f64::INFINITY;
         }
-        let estimated = if self.held.estimated_ms > 0 {
-            self.held.estimated_ms as f64
-        } else {
-            usual_ms
+        let estimated_ms = match self.allocation.estimated_ms {
+            0 => usual_ms,
+            estimated_ms => estimated_ms as f64,
         };
-        let elapsed = now.saturating_sub(self.since) as f64;
-        match (self.last_report, self.whole_ms()) {
-            (Some((at, percent)), whole) => {
-                let whole = whole.unwrap_or(estimated);
-                let rest = whole * (100.0 - percent) / 100.0 - now.saturating_sub(at) as f64;
-                rest.max(whole * LEAST_REST_BY_REPORT).max(1.0)
-            }
-            (None, _) => (estimated - elapsed).max(estimated * LEAST_REST).max(1.0),
+        match self.last_report {
+            Some(report) => self.remaining_ms_by_report(now, report, estimated_ms),
+            None => self.remaining_ms_by_estimate(now, estimated_ms),
         }
     }
 
-    /// What stopping it now would lose, in units of a small job's worth.
-    pub fn price_of_stop(&self, now: Millis, settings: &PlacementSettings) -> f64 {
-        let elapsed = now.saturating_sub(self.since);
-        // A stop saves; then only continuing costs.
-        let lost_ms = if self.held.checkpoints {
-            elapsed.min(settings.checkpoint_restore_ms)
+    fn remaining_ms_by_report(
+        &self,
+        now: Millis,
+        report: ProgressReport,
+        estimated_ms: f64,
+    ) -> f64 {
+        let total_ms = self.projected_total_ms().unwrap_or(estimated_ms);
+        let since_report_ms = now.saturating_sub(report.at) as f64;
+        let remaining_ms = total_ms * (100.0 - report.percent) / 100.0 - since_report_ms;
+        remaining_ms
+            .max(total_ms * MIN_REMAINING_SHARE_BY_REPORT)
+            .max(MIN_REMAINING_MS)
+    }
+
+    fn remaining_ms_by_estimate(&self, now: Millis, estimated_ms: f64) -> f64 {
+        let elapsed_ms = now.saturating_sub(self.allocated_at) as f64;
+        (estimated_ms - elapsed_ms)
+            .max(estimated_ms * MIN_REMAINING_SHARE)
+            .max(MIN_REMAINING_MS)
+    }
+
+    /// What stopping it now would lose, in units of a small job's value.
+    pub(crate) fn preemption_cost(&self, now: Millis, settings: &PlacementSettings) -> f64 {
+        let elapsed_ms = now.saturating_sub(self.allocated_at);
+        // A stop writes a checkpoint: then only continuing from it costs.
+        let lost_ms = if self.allocation.checkpoints {
+            elapsed_ms.min(settings.checkpoint_restore_ms)
         } else {
-            elapsed
+            elapsed_ms
         };
-        let cores = self.held.resources.cpu as f64 / 1000.0
-            + self.held.resources.gpu as f64 * CORES_PER_GPU;
-        PRICE_OF_STOP + PRICE_OF_CORE_SECOND * cores * lost_ms as f64 / 1000.0
+        let resources = &self.allocation.resources;
+        let cores =
+            resources.cpu as f64 / MILLICORES_PER_CORE + resources.gpu as f64 * CORES_PER_GPU;
+        COST_PER_STOP + COST_PER_CORE_SECOND * cores * lost_ms as f64 / MILLIS_PER_SECOND
     }
 }
--- /dev/null
+++ b/crates/placement/src/run_time.rs
@@ -0,0 +1,100 @@
+//! Learning from run times: the relative speed of a worker, and the mean run time of a service.
+
+use crate::decay::decayed;
+use streamusher_protocol::Millis;
+
+/// The newest observation's weight in a speed's mean is at least this.
+const MIN_SPEED_WEIGHT: f64 = 0.15;
+/// The newest observation's weight in a mean run time is at least this.
+const MIN_MEAN_WEIGHT: f64 = 0.05;
+/// The observations of a worker's speed halve in weight in this time, so that a slow worker is tried again.
+const SPEED_HALF_LIFE_MS: f64 = 10_000.0;
+/// A difference of so many standard errors is taken for noise.
+const NOISE_STANDARD_ERRORS: f64 = 1.0;
+/// Standard deviation of one observation where few are known: estimates are rough.
+const INITIAL_DEVIATION: f64 = 1.0;
+/// Observations from which on the observed deviation counts.
+const MIN_OBSERVATIONS_FOR_DEVIATION: f64 = 10.0;
+/// Run times of equal tasks differ by a tenth at least.
+const MIN_DEVIATION: f64 = 0.1;
+/// Upper bound of the observations that are counted.
+const MAX_OBSERVATIONS: f64 = 20.0;
+/// Upper bound of a slowness, and of its inverse.
+const MAX_SLOWNESS: f64 = 8.0;
+
+/// How fast runs are, beside what is usual for them: the mean logarithm of the run time over the usual run time.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct RelativeSpeed {
+    mean: f64,
+    variance: f64,
+    observations: f64,
+    updated_at: Millis,
+}
+
+impl RelativeSpeed {
+    /// Learns from a run that took `ratio` times the usual run time.
+    pub(crate) fn observe(&mut self, now: Millis, ratio: f64) {
+        if !(ratio.is_finite() && ratio > 0.0) {
+            return;
+        }
+        let known = self.weight_at(now);
+        let part = (1.0 / (known + 1.0)).max(MIN_SPEED_WEIGHT);
+        let distance = ratio.ln() - self.mean;
+        self.mean += part * distance;
+        self.variance = (1.0 - part) * (self.variance + part * distance * distance);
+        self.observations = (known + 1.0).min(MAX_OBSERVATIONS);
+        self.updated_at = now;
+    }
+
+    /// Standard deviation of one observation.
+    fn deviation(&self) -> f64 {
+        if self.observations < MIN_OBSERVATIONS_FOR_DEVIATION {
+            return INITIAL_DEVIATION;
+        }
+        self.variance.sqrt().clamp(MIN_DEVIATION, INITIAL_DEVIATION)
+    }
+
+    /// The number of observations, as far as they count now.
+    fn weight_at(&self, now: Millis) -> f64 {
+        if self.observations == 0.0 {
+            return 0.0;
+        }
+        decayed(self.observations, self.updated_at, now, SPEED_HALF_LIFE_MS)
+    }
+
+    /// Run time over that of the usual worker, less what may be noise; 1 where too little is known.
+    pub(crate) fn slowness(&self, now: Millis, usual: &RelativeSpeed) -> f64 {
+        let weight = self.weight_at(now);
+        if weight < 1.0 || usual.observations == 0.0 {
+            return 1.0;
+        }
+        let distance = self.mean - usual.mean;
+        let noise = NOISE_STANDARD_ERRORS * usual.deviation() / weight.sqrt();
+        let significant = (distance.abs() - noise).max(0.0);
+        (significant * distance.signum())
+            .exp()
+            .clamp(1.0 / MAX_SLOWNESS, MAX_SLOWNESS)
+    }
+}
+
+/// Mean run time: the observations have equal weight at first, the newest a fixed weight later.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct MeanRunTime {
+    mean_ms: f64,
+    observations: f64,
+}
+
+impl MeanRunTime {
+    pub(crate) fn observe(&mut self, run_ms: f64) {
+        self.observations = (self.observations + 1.0).min(MAX_OBSERVATIONS);
+        self.mean_ms += (run_ms - self.mean_ms) * (1.0 / self.observations).max(MIN_MEAN_WEIGHT);
+    }
+
+    pub(crate) fn get_or(&self, default_ms: f64) -> f64 {
+        if self.observations > 0.0 {
+            self.mean_ms
+        } else {
+            default_ms
+        }
+    }
+}
--- /dev/null
+++ b/crates/placement/src/scheduling.rs
@@ -0,0 +1,84 @@
+//! The steps of a scheduling cycle, in their order.
+
+use crate::claim::claim_at_changed_workers;
+use crate::cluster::Cluster;
+use crate::cycle::SchedulingCycle;
+use crate::gang::place_gang;
+use crate::index::QueueKey;
+use crate::pending_unit::PendingUnit;
+use crate::queue_copies::update_copies;
+use crate::resource_vector::dominant_share;
+use crate::single_task::place_single_task;
+use std::collections::BTreeSet;
+use streamusher_protocol::Millis;
+
+/// Units that are looked at again in one cycle; the others follow in the next.
+const MAX_RETRIES: usize = 64;
+/// New units that are looked at in one cycle, most urgent first. A new primary finds all that is pending at once, and must not
+/// be held up by it.
+const MAX_NEW_UNITS: usize = 1_000;
+/// Gangs of a service that are tried when capacity becomes free.
+const MAX_GANGS_PER_SERVICE: usize = 8;
+
+/// Runs one cycle: units that are new or due get copies in queues, changed workers claim, and what is left is helped to
+/// capacity. A gang takes its turn among the claims by its place in the queue's order.
+pub(crate) fn run_cycle(cycle: &mut SchedulingCycle<'_>) {
+    for service in cycle.cluster.services.values_mut() {
+        service.refresh_headroom(cycle.now);
+    }
+    let (gangs, singles) = units_to_look_at(cycle.cluster, cycle.now);
+    for key in gangs.iter().chain(&singles) {
+        observe_request(cycle.cluster, cycle.now, *key);
+    }
+    for key in &singles {
+        update_copies(cycle, *key);
+    }
+    for key in gangs {
+        claim_at_changed_workers(cycle, Some(key));
+        place_gang(cycle, key);
+    }
+    claim_at_changed_workers(cycle, None);
+    cycle.cluster.changed_workers.clear();
+    for key in singles {
+        place_single_task(cycle, key);
+    }
+}
+
+/// The gangs and the single tasks that are new or due for a retry, and the first gangs where capacity became free.
+fn units_to_look_at(
+    cluster: &mut Cluster,
+    now: Millis,
+) -> (BTreeSet<QueueKey>, BTreeSet<QueueKey>) {
+    let mut keys = take_new_units(cluster);
+    keys.extend(cluster.queue.take_due(now, MAX_RETRIES));
+    let is_gang = |key: &QueueKey| cluster.queue.get(*key).is_some_and(PendingUnit::is_gang);
+    let (mut gangs, singles): (BTreeSet<QueueKey>, BTreeSet<QueueKey>) =
+        keys.into_iter().partition(is_gang);
+    for name in std::mem::take(&mut cluster.services_with_freed_capacity) {
+        if let Some(service) = cluster.services.get(&name) {
+            gangs.extend(service.gangs.iter().take(MAX_GANGS_PER_SERVICE));
+        }
+    }
+    (gangs, singles)
+}
+
+fn take_new_units(cluster: &mut Cluster) -> BTreeSet<QueueKey> {
+    let first_left = cluster.new_units.iter().nth(MAX_NEW_UNITS).copied();
+    let left = first_left.map_or_else(BTreeSet::new, |key| cluster.new_units.split_off(&key));
+    std::mem::replace(&mut cluster.new_units, left)
+}
+
+/// Notes what share of a worker a unit asks for; the first worker stands for all.
+fn observe_request(cluster: &mut Cluster, now: Millis, key: QueueKey) {
+    let Some(pending) = cluster.queue.get(key) else {
+        return;
+    };
+    let Some(service) = cluster.services.get_mut(&pending.unit.service) else {
+        return;
+    };
+    let first = service.pools.all.members.first();
+    if let Some(worker) = first.and_then(|index| cluster.workers.get(*index)) {
+        let share = dominant_share(&pending.unit.resources, &worker.info.capacity);
+        service.observe_request(now, share);
+    }
+}
--- a/crates/placement/src/service.rs
+++ b/crates/placement/src/service.rs
@@ -1,243 +1,195 @@
-//! One service: its workers by label and by load, its demand, and what is usual there.
+//! One service: its workers, its demand, its pending gangs, and what is usual for its runs.
 
-use crate::amounts::{amounts, Amounts};
+use crate::allocation::Allocation;
+use crate::decay::decayed;
 use crate::headroom::Headroom;
-use crate::key::{Key, Slot};
-use crate::learning::{most_runs, Charge, Mean, Speed};
-use crate::pace::Paces;
-use crate::room::Worker;
-use crate::types::Allocation;
-use std::collections::{BTreeMap, BTreeSet};
-use std::sync::Arc;
+use crate::index::{QueueKey, WorkerIndex};
+use crate::penalty::{max_concurrent_runs, Penalty};
+use crate::resource_vector::ResourceVector;
+use crate::run_time::{MeanRunTime, RelativeSpeed};
+use crate::step_run_times::StepRunTimes;
+use crate::worker::Worker;
+use crate::worker_pool::{LoadLevel, WorkerPools};
+use std::collections::BTreeSet;
 use streamusher_protocol::heartbeat::Resources;
 use streamusher_protocol::Millis;
 
-/// Which of a worker's labels names its rack.
-pub(crate) const RACK_LABEL: usize = 1;
-/// What is kept free is worked out anew at this interval.
-const SETTLE_MS: Millis = 100;
-/// Usual run time before any end was seen.
-const FIRST_USUAL_MS: f64 = 1_000.0;
-/// Below this share of use, a unit that has waited long takes any room there is.
-const LIGHT_USE: f64 = 0.6;
+/// The headroom is worked out anew at this interval.
+const HEADROOM_REFRESH_INTERVAL_MS: Millis = 100;
+/// Usual run time before any run has ended.
+const INITIAL_RUN_MS: f64 = 1_000.0;
+/// Below this share of use, a unit that has waited long takes any free capacity.
+const LIGHT_USE_SHARE: f64 = 0.6;
+/// The largest request counts half after this time.
+const LARGEST_REQUEST_HALF_LIFE_MS: f64 = 30_000.0;
 
-/// Workers with one label, or all of a service.
+/// The largest share of a worker that a unit has lately asked for; fades.
 #[derive(Debug, Default)]
-pub(crate) struct Pool {
-    pub members: Vec<Slot>,
-    /// The best remembered: by load in hundredths.
-    pub by_load: BTreeSet<(u32, Slot)>,
+struct LargestRequest {
+    share: f64,
+    observed_at: Millis,
+}
+
+impl LargestRequest {
+    fn value_at(&self, now: Millis) -> f64 {
+        decayed(
+            self.share,
+            self.observed_at,
+            now,
+            LARGEST_REQUEST_HALF_LIFE_MS,
+        )
+    }
+
+    fn observe(&mut self, now: Millis, share: f64) {
+        if share >= self.value_at(now) {
+            self.share = share;
+            self.observed_at = now;
+        }
+    }
 }
 
 /// One service.
 #[derive(Debug, Default)]
 pub(crate) struct Service {
-    pub all: Pool,
-    by_label: BTreeMap<Arc<str>, Pool>,
-    /// Rack labels with the number of their workers.
-    racks: BTreeMap<Arc<str>, u32>,
-    /// Room of the workers that take new work.
-    capacity: Amounts,
-    /// What runs at them takes.
-    used: Amounts,
-    pub headroom: Headroom,
-    settled_at: Option<Millis>,
-    /// Units that room is kept for.
-    pub reserving: BTreeSet<Key>,
-    /// Gangs that wait.
-    pub gangs: BTreeSet<Key>,
-    pub speed: Speed,
-    /// Sum of the workers' charges.
-    charges: Charge,
-    run_ms: Mean,
-    /// Run times of its newest steps' tasks.
-    paces: Paces,
-    /// Largest share of a worker that a unit asked for lately.
-    largest_share: f64,
-    largest_at: Millis,
+    pub(crate) pools: WorkerPools,
+    /// Capacity of the schedulable workers.
+    capacity: ResourceVector,
+    /// What runs hold there.
+    used: ResourceVector,
+    pub(crate) headroom: Headroom,
+    headroom_refreshed_at: Option<Millis>,
+    /// Units that hold reservations.
+    pub(crate) reserving: BTreeSet<QueueKey>,
+    /// Pending gangs.
+    pub(crate) gangs: BTreeSet<QueueKey>,
+    pub(crate) speed: RelativeSpeed,
+    /// Sum of the workers' penalties.
+    penalty_sum: Penalty,
+    mean_run_time: MeanRunTime,
+    step_run_times: StepRunTimes,
+    largest_request: LargestRequest,
 }
 
 impl Service {
-    pub fn add(&mut self, slot: Slot, worker: &mut Worker) {
-        self.all.add(slot, worker.filed_load);
-        for label in &worker.info.labels {
-            self.by_label
-                .entry(label.clone())
-                .or_default()
-                .add(slot, worker.filed_load);
-        }
-        if let Some(rack) = worker.info.labels.get(RACK_LABEL) {
-            *self.racks.entry(rack.clone()).or_insert(0) += 1;
+    pub(crate) fn add_worker(&mut self, index: WorkerIndex, worker: &mut Worker) {
+        self.pools
+            .add(index, &worker.info.labels, worker.listed_load);
+        if worker.info.schedulable {
+            self.headroom_refreshed_at = None;
+            self.capacity
+                .add_non_negative(ResourceVector::from(&worker.info.capacity));
         }
-        self.count_capacity(worker, 1.0);
-        self.recount(worker);
+        self.recount_use(worker);
     }
 
-    pub fn remove(&mut self, slot: Slot, worker: &mut Worker) {
-        self.all.remove(slot, worker.filed_load);
-        for label in &worker.info.labels {
-            let Some(pool) = self.by_label.get_mut(label) else {
-                continue;
-            };
-            pool.remove(slot, worker.filed_load);
-            if pool.members.is_empty() {
-                self.by_label.remove(label);
-            }
+    pub(crate) fn remove_worker(&mut self, index: WorkerIndex, worker: &mut Worker) {
+        self.pools
+            .remove(index, &worker.info.labels, worker.listed_load);
+        if worker.info.schedulable {
+            self.headroom_refreshed_at = None;
+            self.capacity
+                .subtract_non_negative(ResourceVector::from(&worker.info.capacity));
         }
-        if let Some(rack) = worker.info.labels.get(RACK_LABEL) {
-            let left = self.racks.get(rack).copied().unwrap_or(0).saturating_sub(1);
-            if left == 0 {
-                self.racks.remove(rack);
-            } else {
-                self.racks.insert(rack.clone(), left);
-            }
-        }
-        self.count_capacity(worker, -1.0);
-        add(&mut self.used, &worker.counted, -1.0);
+        self.used
+            .subtract_non_negative(ResourceVector::from(&worker.counted));
         worker.counted = Resources::default();
     }
 
-    fn count_capacity(&mut self, worker: &Worker, sign: f64) {
-        if !worker.info.schedulable {
-            return;
-        }
-        self.settled_at = None;
-        add(&mut self.capacity, &worker.info.capacity, sign);
-    }
-
-    /// Counts what an open worker holds now.
-    pub fn recount(&mut self, worker: &mut Worker) {
-        let holds = if worker.info.schedulable {
-            worker.used
+    /// Counts what the runs of a schedulable worker hold now.
+    pub(crate) fn recount_use(&mut self, worker: &mut Worker) {
+        let allocated = if worker.info.schedulable {
+            worker.allocated.total()
         } else {
             Resources::default()
         };
-        add(&mut self.used, &worker.counted, -1.0);
-        add(&mut self.used, &holds, 1.0);
-        worker.counted = holds;
-    }
-
-    /// Files a worker under its new load.
-    pub fn file(&mut self, slot: Slot, worker: &Worker, before: u32) {
-        self.all.file(slot, before, worker.filed_load);
-        for label in &worker.info.labels {
-            if let Some(pool) = self.by_label.get_mut(label) {
-                pool.file(slot, before, worker.filed_load);
-            }
-        }
-    }
-
-    pub fn pool(&self, label: Option<&str>) -> Option<&Pool> {
-        match label {
-            Some(label) => self.by_label.get(label),
-            None => Some(&self.all),
-        }
+        self.used
+            .subtract_non_negative(ResourceVector::from(&worker.counted));
+        self.used.add_non_negative(ResourceVector::from(&allocated));
+        worker.counted = allocated;
     }
 
-    pub fn racks(&self) -> impl Iterator<Item = &Pool> {
-        self.racks.keys().filter_map(|rack| self.by_label.get(rack))
+    /// Lists a worker under its present load.
+    pub(crate) fn relist_worker(&mut self, index: WorkerIndex, worker: &Worker, before: LoadLevel) {
+        self.pools
+            .change_load(index, &worker.info.labels, before, worker.listed_load);
     }
 
-    /// Whether much of the room is free.
-    pub fn is_lightly_used(&self) -> bool {
-        let pairs = self.used.iter().zip(self.capacity);
-        pairs
-            .map(|(used, all)| used / all.max(1.0))
-            .fold(0.0, f64::max)
-            < LIGHT_USE
+    /// Whether much of the capacity is free.
+    pub(crate) fn is_lightly_used(&self) -> bool {
+        let shares = self
+            .used
+            .zip_with(self.capacity, |used, capacity| used / capacity.max(1.0));
+        shares.largest() < LIGHT_USE_SHARE
     }
 
-    pub fn settle(&mut self, now: Millis) {
-        if self
-            .settled_at
-            .is_some_and(|at| now < at.saturating_add(SETTLE_MS))
-        {
+    /// Works out the headroom anew where it is due.
+    pub(crate) fn refresh_headroom(&mut self, now: Millis) {
+        let is_fresh = |at: Millis| now < at.saturating_add(HEADROOM_REFRESH_INTERVAL_MS);
+        if self.headroom_refreshed_at.is_some_and(is_fresh) {
             return;
         }
-        self.settled_at = Some(now);
-        self.headroom.settle(now, self.capacity);
+        self.headroom_refreshed_at = Some(now);
+        self.headroom.refresh(now, self.capacity);
     }
 
-    pub fn usual_ms(&self) -> f64 {
-        self.run_ms.or(FIRST_USUAL_MS)
+    /// Mean run time of the service's runs that have ended.
+    pub(crate) fn usual_run_ms(&self) -> f64 {
+        self.mean_run_time.get_or(INITIAL_RUN_MS)
     }
 
-    pub fn change_charges(&mut self, now: Millis, change: f64) {
-        self.charges.add(now, change);
+    /// The penalty of one of the workers has changed.
+    pub(crate) fn change_penalty_sum(&mut self, now: Millis, change: f64) {
+        self.penalty_sum.add_to_sum(now, change);
     }
 
-    /// How many runs a worker may have at once, by its failures.
-    pub fn most_runs(&self, now: Millis, worker: &Worker) -> usize {
-        let charge = worker.charge.at(now);
-        if charge == 0.0 {
+    /// How many runs a worker may have at once, by its penalty beside those of the others.
+    pub(crate) fn max_concurrent_runs(&self, now: Millis, worker: &Worker) -> usize {
+        let penalty = worker.penalty.value_at(now);
+        if penalty == 0.0 {
             return usize::MAX;
         }
-        most_runs(
-            charge,
-            self.charges.at(now) / self.all.members.len().max(1) as f64,
-        )
+        let workers = self.pools.all.members.len().max(1) as f64;
+        max_concurrent_runs(penalty, self.penalty_sum.value_at(now) / workers)
     }
 
-    pub fn learn_run(&mut self, ran_ms: Millis) {
-        self.run_ms.learn(ran_ms as f64);
+    /// Learns the run time of a run that ended well.
+    pub(crate) fn observe_run_time(&mut self, ran_ms: Millis) {
+        self.mean_run_time.observe(ran_ms as f64);
     }
 
-    /// A run takes, or took, this time near its data: tells the speed of its worker by the step's other tasks, or by its
-    /// estimate where there is none. A gang's members all take the time of the slowest.
-    pub fn learn_speed(
+    /// Learns how fast a worker is from the time that a run takes, or took, near its data: beside the step's other tasks, or
+    /// beside its estimate where there are none. A gang's members all take the time of the slowest, and tell nothing.
+    pub(crate) fn observe_speed(
         &mut self,
         now: Millis,
-        held: &Allocation,
-        near_ms: f64,
-        worker: &mut Speed,
+        allocation: &Allocation,
+        near_data_ms: f64,
+        worker: &mut RelativeSpeed,
     ) {
-        if held.gang_member {
+        if allocation.gang_member {
             return;
         }
-        let by_step = self.paces.compare(&held.unit.step, near_ms);
-        let by_estimate = || (held.estimated_ms > 0).then(|| near_ms / held.estimated_ms as f64);
-        let Some(ratio) = by_step.or_else(by_estimate) else {
+        let by_step = self
+            .step_run_times
+            .observe(&allocation.unit.step, near_data_ms);
+        let Some(ratio) = by_step.or_else(|| ratio_to_estimate(allocation, near_data_ms)) else {
             return;
         };
-        worker.learn(now, ratio);
-        self.speed.learn(now, ratio);
+        worker.observe(now, ratio);
+        self.speed.observe(now, ratio);
     }
 
     /// Notes what share of a worker a unit asks for.
-    pub fn note_share(&mut self, now: Millis, share: f64) {
-        let before = self.largest_share(now);
-        if share >= before {
-            (self.largest_share, self.largest_at) = (share, now);
-        }
+    pub(crate) fn observe_request(&mut self, now: Millis, share: f64) {
+        self.largest_request.observe(now, share);
     }
 
-    /// The largest share asked for lately; fades.
-    pub fn largest_share(&self, now: Millis) -> f64 {
-        const HALF_LIFE_MS: f64 = 30_000.0;
-        self.largest_share * (-(now.saturating_sub(self.largest_at) as f64) / HALF_LIFE_MS).exp2()
+    /// The largest share of a worker that was asked for lately.
+    pub(crate) fn largest_request(&self, now: Millis) -> f64 {
+        self.largest_request.value_at(now)
     }
 }
 
-fn add(sum: &mut Amounts, resources: &Resources, sign: f64) {
-    for (sum, part) in sum.iter_mut().zip(amounts(resources)) {
-        *sum = (*sum + sign * part).max(0.0);
-    }
-}
-
-impl Pool {
-    fn add(&mut self, slot: Slot, load: u32) {
-        if self.by_load.insert((load, slot)) {
-            self.members.push(slot);
-        }
-    }
-
-    fn remove(&mut self, slot: Slot, load: u32) {
-        self.members.retain(|member| *member != slot);
-        self.by_load.remove(&(load, slot));
-    }
-
-    fn file(&mut self, slot: Slot, before: u32, load: u32) {
-        self.by_load.remove(&(before, slot));
-        self.by_load.insert((load, slot));
-    }
+fn ratio_to_estimate(allocation: &Allocation, near_data_ms: f64) -> Option<f64> {
+    (allocation.estimated_ms > 0).then(|| near_data_ms / allocation.estimated_ms as f64)
 }
--- /dev/null
+++ b/crates/placement/src/single_task.rs
@@ -0,0 +1,57 @@
+//! A single task that was looked at and claimed by no worker yet.
+
+use crate::candidates::ranked_candidates;
+use crate::capacity_search::{
+    holds_reservations, is_worth_a_search, schedule_retry, search_capacity,
+};
+use crate::claim::claim;
+use crate::cycle::SchedulingCycle;
+use crate::index::{QueueKey, WorkerIndex};
+use crate::queue_copies::acceptable_workers;
+
+/// A task with fewer copies than this has others than their workers tried too.
+const MIN_COPIES: usize = 2;
+
+/// Tries once more to start a single task: on the workers with its copies, on any acceptable one; else searches capacity for
+/// it.
+pub(crate) fn place_single_task(cycle: &mut SchedulingCycle<'_>, key: QueueKey) {
+    let Some(pending) = cycle.cluster.queue.get(key) else {
+        return;
+    };
+    let copies = pending.copies.clone();
+    if claim_at_any(cycle, key, &copies) {
+        return;
+    }
+    if copies.len() < MIN_COPIES && claim_at_acceptable(cycle, key) {
+        return;
+    }
+    if !holds_reservations(cycle, key) && may_search(cycle, key, &copies) {
+        let ranked = ranked_candidates(cycle, key);
+        search_capacity(cycle, key, &[ranked]);
+    }
+    schedule_retry(cycle, key);
+}
+
+fn may_search(cycle: &SchedulingCycle<'_>, key: QueueKey, copies: &[WorkerIndex]) -> bool {
+    cycle.searches_left > 0
+        && cycle
+            .view(key)
+            .is_some_and(|view| is_worth_a_search(&view, copies))
+}
+
+/// Whether one of the workers that are acceptable to the task took it.
+fn claim_at_acceptable(cycle: &mut SchedulingCycle<'_>, key: QueueKey) -> bool {
+    let ranked = ranked_candidates(cycle, key);
+    let acceptable = cycle
+        .view(key)
+        .map_or_else(Vec::new, |view| acceptable_workers(&view, &ranked));
+    claim_at_any(cycle, key, &acceptable)
+}
+
+/// Whether one of the workers took the task.
+fn claim_at_any(cycle: &mut SchedulingCycle<'_>, key: QueueKey, workers: &[WorkerIndex]) -> bool {
+    workers.iter().any(|index| {
+        claim(cycle, key, *index);
+        !cycle.is_pending(key)
+    })
+}
--- /dev/null
+++ b/crates/placement/src/step_run_times.rs
@@ -0,0 +1,54 @@
+//! Compares the run time of a task with those of its step's other tasks.
+//!
+//! The tasks of a step are alike and share one estimate, right or wrong: their times tell workers apart far better than
+//! estimates do.
+
+use std::collections::{BTreeMap, VecDeque};
+use streamusher_protocol::unit::StepId;
+
+/// Steps that are remembered, the newest: a bound of memory.
+const MAX_STEPS: usize = 1_024;
+/// Shorter run times tell nothing.
+const MIN_RUN_MS: f64 = 1.0;
+
+/// Mean logarithm of the run times of one step's tasks.
+#[derive(Clone, Copy, Debug, Default)]
+struct MeanLogarithm {
+    mean: f64,
+    observations: f64,
+}
+
+/// The run times of a service's newest steps.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct StepRunTimes {
+    by_step: BTreeMap<StepId, MeanLogarithm>,
+    oldest_first: VecDeque<StepId>,
+}
+
+impl StepRunTimes {
+    /// Learns a task's run time near its data. Returns it over the mean of the step's tasks before it; none for the first.
+    pub(crate) fn observe(&mut self, step: &StepId, run_ms: f64) -> Option<f64> {
+        if !run_ms.is_finite() || run_ms < MIN_RUN_MS {
+            return None;
+        }
+        if !self.by_step.contains_key(step) {
+            self.evict_oldest_if_full();
+            self.oldest_first.push_back(step.clone());
+        }
+        let known = self.by_step.entry(step.clone()).or_default();
+        let logarithm = run_ms.ln();
+        let ratio = (known.observations > 0.0).then(|| (logarithm - known.mean).exp());
+        known.observations += 1.0;
+        known.mean += (logarithm - known.mean) / known.observations;
+        ratio
+    }
+
+    fn evict_oldest_if_full(&mut self) {
+        if self.oldest_first.len() < MAX_STEPS {
+            return;
+        }
+        if let Some(oldest) = self.oldest_first.pop_front() {
+            self.by_step.remove(&oldest);
+        }
+    }
+}
--- /dev/null
+++ b/crates/placement/src/wait_diagnosis.rs
@@ -0,0 +1,48 @@
+//! Notes, at each look at a unit that does not start, why it waits from now on.
+
+use crate::cluster::Cluster;
+use crate::eligibility::is_eligible;
+use crate::index::{QueueKey, WorkerIndex};
+use crate::unit_view::UnitView;
+use crate::wait_reason::WaitReason;
+use streamusher_protocol::Millis;
+
+/// Workers that one look takes in: those of the unit's copies first.
+const MAX_WORKERS_EXAMINED: usize = 32;
+
+/// Notes why a unit waits that was looked at and did not start.
+pub(crate) fn record_wait_reason(cluster: &mut Cluster, now: Millis, key: QueueKey) {
+    let Some(view) = UnitView::new(cluster, now, key) else {
+        return;
+    };
+    let reason = wait_reason(&view);
+    if let Some(pending) = cluster.queue.get_mut(key) {
+        pending.wait_history.record_reason(now, reason);
+    }
+}
+
+/// The reason by the workers that one look takes in; [`explain`](crate::explain::explain) looks at all.
+fn wait_reason(view: &UnitView<'_>) -> WaitReason {
+    if !view.pending.reserved_at.is_empty() {
+        return WaitReason::CapacityReserved;
+    }
+    let workers = &view.cluster.workers;
+    let with_copies = view.pending.copies.iter().copied();
+    let members = view.pool().map_or(&[][..], |pool| &pool.members);
+    let eligible: Vec<WorkerIndex> = with_copies
+        .chain(members.iter().copied())
+        .take(MAX_WORKERS_EXAMINED)
+        .filter(|index| is_eligible(workers, view.unit(), *index))
+        .collect();
+    let has_capacity = |index: &WorkerIndex| {
+        let worker = workers.get(*index);
+        worker.is_some_and(|worker| worker.free().covers(&view.unit().resources))
+    };
+    if eligible.is_empty() {
+        WaitReason::NoSchedulableWorker
+    } else if !view.pending.is_gang() && eligible.iter().any(has_capacity) {
+        WaitReason::CapacityReservedForOthers
+    } else {
+        WaitReason::NoFreeCapacity
+    }
+}
