--- a/crates/placement/benches/cost.rs
+++ b/crates/placement/benches/cost.rs
@@ -1,34 +1,42 @@
 //! Processor time of placement: `cargo bench -p streamusher-placement`.
 //!
-//! Per case: workers, starts a second, load; then time for a start, and the share of a core that all calls take.
+//! Each line is one case: its workers and starts per second, the units that are pending at its end, then the time for a start,
+//! the share of a core that all calls take, and the longest call.
+#![allow(clippy::expect_used, reason = "a bench fails by panicking")]
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
 use std::time::Instant;
 use streamusher_placement::{
-    Decision, Placement, PlacementSettings, ReleaseReason, TaskAssignment, WorkerInfo,
+    Decision, Placement, PlacementSettings, Policy, ReleaseReason, TaskAssignment, WorkerInfo,
 };
 use streamusher_protocol::heartbeat::Resources;
 use streamusher_protocol::task::{RunEnd, TaskId};
-use streamusher_protocol::unit::{Unit, UnitId, WorkerId};
+use streamusher_protocol::unit::{Unit, UnitId};
+use streamusher_protocol::Millis;
 
-const TICK_MS: u64 = 20;
+const TICK_MS: Millis = 20;
+/// How long a preempted run takes to stop.
+const STOP_MS: Millis = 400;
+const WORKERS_PER_RACK: u32 = 3;
 
+/// A load on a cluster.
 struct Case {
     name: &'static str,
     workers: u32,
     arrivals_per_s: u64,
-    mean_run_ms: u64,
+    mean_run_ms: Millis,
     seconds: u64,
 }
 
 fn worker(number: u32) -> WorkerInfo {
+    let rack = number / WORKERS_PER_RACK;
     WorkerInfo {
         id: format!("w{number}").into(),
         service: "s".into(),
         zone: "z".into(),
-        labels: vec!["a".into(), format!("r{}", number / 3).into()],
+        labels: vec!["a".into(), format!("r{rack}").into()],
         capacity: Resources {
             cpu: 16_000,
             mem_mb: 32_768,
@@ -38,7 +46,7 @@
     }
 }
 
-fn unit(number: u64, random: &mut Pcg32, mean_run_ms: u64) -> Unit {
+fn unit(number: u64, random: &mut Pcg32, mean_run_ms: Millis) -> Unit {
     let task: TaskId = format!("{number:016x}.0.0.0")
         .parse()
         .expect("a task's name");
@@ -68,90 +76,173 @@
     }
 }
 
-fn play(case: &Case) {
-    let settings = PlacementSettings {
-        random_seed: 1,
-        remote_slowdown: 1.5,
-        max_stop_ms: 900,
-        checkpoint_restore_ms: 600,
-        policy: streamusher_placement::Policy::default(),
-    };
-    let mut placement = Placement::new(settings);
-    (0..case.workers).for_each(|number| placement.update_worker(0, worker(number)));
-    let mut random = Pcg32::seed_from_u64(1);
-    let mut ends: BTreeMap<u64, Vec<(TaskId, WorkerId)>> = BTreeMap::new();
-    let mut run_ms: BTreeMap<TaskId, u64> = BTreeMap::new();
-    let (mut number, mut starts, mut spent, mut longest) = (0, 0, 0.0, 0.0_f64);
-    let mut now = 0;
-    while now < case.seconds * 1_000 {
-        now += TICK_MS;
-        let due = case.arrivals_per_s * now / 1_000;
-        let new: Vec<Unit> = (number..due)
-            .map(|n| unit(n + 1, &mut random, case.mean_run_ms))
-            .collect();
-        number = due;
-        run_ms.extend(
-            new.iter()
-                .map(|unit| (unit.tasks[0].clone(), unit.estimated_ms)),
-        );
-        let later = ends.split_off(&(now + 1));
-        let over = std::mem::replace(&mut ends, later);
+/// A cluster in virtual time, with what its placement has cost.
+struct Simulation<'a> {
+    case: &'a Case,
+    placement: Placement,
+    random: Pcg32,
+    /// Runs by the time at which they end.
+    ends: BTreeMap<Millis, Vec<TaskAssignment>>,
+    run_ms: BTreeMap<TaskId, Millis>,
+    arrivals: u64,
+    starts: u64,
+    total_s: f64,
+    longest_call_s: f64,
+}
+
+impl Simulation<'_> {
+    fn new(case: &Case) -> Simulation<'_> {
+        let mut placement = Placement::new(PlacementSettings {
+            random_seed: 1,
+            remote_slowdown: 1.5,
+            max_stop_ms: 900,
+            checkpoint_restore_ms: 600,
+            policy: Policy::default(),
+        });
+        for number in 0..case.workers {
+            placement.update_worker(0, worker(number));
+        }
+        Simulation {
+            case,
+            placement,
+            random: Pcg32::seed_from_u64(1),
+            ends: BTreeMap::new(),
+            run_ms: BTreeMap::new(),
+            arrivals: 0,
+            starts: 0,
+            total_s: 0.0,
+            longest_call_s: 0.0,
+        }
+    }
+
+    fn run(&mut self) {
+        let mut now = 0;
+        while now < self.case.seconds * 1_000 {
+            now += TICK_MS;
+            self.tick(now);
+        }
+    }
+
+    fn tick(&mut self, now: Millis) {
+        let units = self.new_units(now);
+        let later = self.ends.split_off(&(now + 1));
+        let over = std::mem::replace(&mut self.ends, later);
         let begin = Instant::now();
-        for (task, at) in over.into_values().flatten() {
-            let how = ReleaseReason::Finished {
+        for assignment in over.into_values().flatten() {
+            let reason = ReleaseReason::Finished {
                 outcome: RunEnd::Done,
-                ran_ms: case.mean_run_ms,
+                ran_ms: self.case.mean_run_ms,
             };
-            placement.release(now, &task, &at, how);
+            self.placement
+                .release(now, &assignment.task, &assignment.worker, reason);
         }
-        new.into_iter()
-            .for_each(|unit| placement.enqueue(now, unit));
-        let decisions = placement.place(now);
-        let took = begin.elapsed().as_secs_f64();
-        spent += took;
-        longest = longest.max(took);
+        for unit in units {
+            self.placement.enqueue(now, unit);
+        }
+        let decisions = self.placement.place(now);
+        let call_s = begin.elapsed().as_secs_f64();
+        self.total_s += call_s;
+        self.longest_call_s = self.longest_call_s.max(call_s);
         for decision in decisions {
-            let (on, takes) = match decision {
-                Decision::Start { assignments, .. } => (assignments, None),
-                Decision::Preempt { task, worker } => {
-                    (vec![TaskAssignment { task, worker }], Some(400))
+            self.carry_out(now, decision);
+        }
+    }
+
+    fn new_units(&mut self, now: Millis) -> Vec<Unit> {
+        let due = self.case.arrivals_per_s * now / 1_000;
+        let mut units = Vec::new();
+        for number in self.arrivals..due {
+            let unit = unit(number + 1, &mut self.random, self.case.mean_run_ms);
+            self.run_ms.insert(unit.tasks[0].clone(), unit.estimated_ms);
+            units.push(unit);
+        }
+        self.arrivals = due;
+        units
+    }
+
+    fn carry_out(&mut self, now: Millis, decision: Decision) {
+        match decision {
+            Decision::Start { assignments, .. } => {
+                for assignment in assignments {
+                    self.starts += 1;
+                    let run_ms = self.run_ms.remove(&assignment.task).unwrap_or(STOP_MS);
+                    self.end_at(now + run_ms, assignment);
                 }
-            };
-            for TaskAssignment { task, worker } in on {
-                starts += u64::from(takes.is_none());
-                let takes = takes.or_else(|| run_ms.remove(&task)).unwrap_or(400);
-                ends.entry(now + takes).or_default().push((task, worker));
+            }
+            Decision::Preempt { task, worker } => {
+                self.end_at(now + STOP_MS, TaskAssignment { task, worker });
             }
         }
     }
-    println!(
-        "{}: {} workers, {:.0} starts/s, {} wait, {:.1} us a start, {:.2}% of a core, longest call {:.1} ms",
-        case.name,
-        case.workers,
-        starts as f64 / case.seconds as f64,
-        placement.pending_count(),
-        spent * 1e6 / starts as f64,
-        spent * 100.0 / case.seconds as f64,
-        longest * 1e3,
-    );
+
+    fn end_at(&mut self, at: Millis, assignment: TaskAssignment) {
+        self.ends.entry(at).or_default().push(assignment);
+    }
+
+    fn print(&self) {
+        let seconds = self.case.seconds as f64;
+        println!(
+            "{}: {} workers, {:.0} starts/s, {} wait, {:.1} us a start, {:.2}% of a core, longest call {:.1} ms",
+            self.case.name,
+            self.case.workers,
+            self.starts as f64 / seconds,
+            self.placement.pending_count(),
+            self.total_s * 1e6 / self.starts as f64,
+            self.total_s * 100.0 / seconds,
+            self.longest_call_s * 1e3,
+        );
+    }
 }
 
+const CASES: [Case; 6] = [
+    Case {
+        name: "small site, half full",
+        workers: 5,
+        arrivals_per_s: 60,
+        mean_run_ms: 700,
+        seconds: 30,
+    },
+    Case {
+        name: "small site, overloaded",
+        workers: 5,
+        arrivals_per_s: 300,
+        mean_run_ms: 700,
+        seconds: 30,
+    },
+    Case {
+        name: "busy, two thirds full",
+        workers: 77,
+        arrivals_per_s: 600,
+        mean_run_ms: 2_000,
+        seconds: 30,
+    },
+    Case {
+        name: "busy, overloaded",
+        workers: 77,
+        arrivals_per_s: 1_500,
+        mean_run_ms: 2_000,
+        seconds: 30,
+    },
+    Case {
+        name: "target size",
+        workers: 30_000,
+        arrivals_per_s: 7_600,
+        mean_run_ms: 17_000,
+        seconds: 25,
+    },
+    Case {
+        name: "target size, overloaded",
+        workers: 30_000,
+        arrivals_per_s: 40_000,
+        mean_run_ms: 17_000,
+        seconds: 25,
+    },
+];
+
 fn main() {
-    let case = |name, workers, arrivals_per_s, mean_run_ms, seconds| Case {
-        name,
-        workers,
-        arrivals_per_s,
-        mean_run_ms,
-        seconds,
-    };
-    [
-        case("small site, half full", 5, 60, 700, 30),
-        case("small site, overloaded", 5, 300, 700, 30),
-        case("busy, two thirds full", 77, 600, 2_000, 30),
-        case("busy, overloaded", 77, 1_500, 2_000, 30),
-        case("target size", 30_000, 7_600, 17_000, 25),
-        case("target size, overloaded", 30_000, 40_000, 17_000, 25),
-    ]
-    .iter()
-    .for_each(play);
+    for case in &CASES {
+        let mut simulation = Simulation::new(case);
+        simulation.run();
+        simulation.print();
+    }
 }
--- a/crates/placement/tests/common/mod.rs
+++ b/crates/placement/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A cluster in virtual time: carries decisions out and checks each against its own books.
-#![allow(dead_code)]
+//! A cluster in virtual time: carries decisions out and checks each against its own record of runs and units.
+#![allow(dead_code, reason = "each test file uses a part")]
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,10 +11,10 @@
 use streamusher_protocol::unit::{StepId, Unit, UnitId, WorkerId};
 use streamusher_protocol::Millis;
 
-pub const STOP_MS: Millis = 900;
-pub const TICK_MS: Millis = 20;
+pub(crate) const STOP_MS: Millis = 900;
+pub(crate) const TICK_MS: Millis = 20;
 
-pub fn settings(random_seed: u64) -> PlacementSettings {
+pub(crate) fn settings(random_seed: u64) -> PlacementSettings {
     PlacementSettings {
         random_seed,
         remote_slowdown: 1.5,
@@ -24,29 +24,29 @@
     }
 }
 
-pub fn room(cpu: u64, mem_mb: u64, gpu: u64) -> Resources {
+pub(crate) fn resources(cpu: u64, mem_mb: u64, gpu: u64) -> Resources {
     Resources { cpu, mem_mb, gpu }
 }
 
 /// A worker of service "s" with labels kind "a" and the rack.
-pub fn worker(id: &str, cpu: u64, rack: &str) -> WorkerInfo {
+pub(crate) fn worker(id: &str, cpu: u64, rack: &str) -> WorkerInfo {
     WorkerInfo {
         id: id.into(),
         service: "s".into(),
         zone: "z".into(),
         labels: vec!["a".into(), rack.into()],
-        capacity: room(cpu, cpu * 2, 0),
+        capacity: resources(cpu, cpu * 2, 0),
         schedulable: true,
     }
 }
 
 /// A task of its own job with the number.
-pub fn task(number: u64) -> TaskId {
+pub(crate) fn task(number: u64) -> TaskId {
     format!("{number:016x}.0.0.0").parse().unwrap()
 }
 
 /// A unit of one task, in order of its number.
-pub fn unit(number: u64, cpu: u64, priority: u32) -> Unit {
+pub(crate) fn unit(number: u64, cpu: u64, priority: u32) -> Unit {
     unit_of(
         vec![task(number)],
         UnitId::of_task(&task(number)),
@@ -57,7 +57,7 @@
 }
 
 /// A gang of so many tasks.
-pub fn gang(number: u64, members: u32, cpu: u64, priority: u32) -> Unit {
+pub(crate) fn gang(number: u64, members: u32, cpu: u64, priority: u32) -> Unit {
     let tasks: Vec<TaskId> = (0..members)
         .map(|index| TaskId {
             index,
@@ -75,7 +75,7 @@
     Unit {
         id,
         tasks,
-        resources: room(cpu, cpu, 0),
+        resources: resources(cpu, cpu, 0),
         service: "s".into(),
         queue: format!("q{priority}").into(),
         priority,
@@ -94,26 +94,28 @@
     }
 }
 
-pub struct Entry {
-    pub unit: Unit,
-    pub since: Millis,
-    pub stopping: bool,
+/// A run that was started and has not ended.
+pub(crate) struct RunningTask {
+    pub(crate) unit: Unit,
+    pub(crate) started_at: Millis,
+    pub(crate) stopping: bool,
 }
 
-pub struct Cluster {
-    pub placement: Placement,
-    pub now: Millis,
-    pub workers: BTreeMap<WorkerId, WorkerInfo>,
-    pub runs: BTreeMap<(TaskId, WorkerId), Entry>,
-    pub waiting: BTreeMap<UnitId, Unit>,
-    pub starts: usize,
+/// Workers, runs and pending units, with the placement under test.
+pub(crate) struct Cluster {
+    pub(crate) placement: Placement,
+    pub(crate) now: Millis,
+    pub(crate) workers: BTreeMap<WorkerId, WorkerInfo>,
+    pub(crate) runs: BTreeMap<(TaskId, WorkerId), RunningTask>,
+    pub(crate) waiting: BTreeMap<UnitId, Unit>,
+    pub(crate) starts: usize,
     /// What each started unit has waited for.
-    pub waits: BTreeMap<UnitId, Vec<TimeWaited>>,
-    pub preempted: Vec<TaskId>,
+    pub(crate) waits: BTreeMap<UnitId, Vec<TimeWaited>>,
+    pub(crate) preempted: Vec<TaskId>,
 }
 
 impl Cluster {
-    pub fn new(random_seed: u64, workers: impl IntoIterator<Item = WorkerInfo>) -> Cluster {
+    pub(crate) fn new(random_seed: u64, workers: impl IntoIterator<Item = WorkerInfo>) -> Cluster {
         let mut cluster = Cluster {
             placement: Placement::new(settings(random_seed)),
             now: 1_000,
@@ -124,34 +126,37 @@
             waits: BTreeMap::new(),
             preempted: Vec::new(),
         };
-        workers.into_iter().for_each(|info| cluster.worker(info));
+        for info in workers {
+            cluster.update_worker(info);
+        }
         cluster
     }
 
-    pub fn worker(&mut self, info: WorkerInfo) {
+    /// A worker is new, or reports something new of itself.
+    pub(crate) fn update_worker(&mut self, info: WorkerInfo) {
         self.workers.insert(info.id.clone(), info.clone());
         self.placement.update_worker(self.now, info);
     }
 
-    pub fn gone(&mut self, id: &str) {
+    pub(crate) fn remove_worker(&mut self, id: &str) {
         let id: WorkerId = id.into();
         self.workers.remove(&id);
         self.runs.retain(|(_, at), _| *at != id);
         self.placement.remove_worker(self.now, &id);
     }
 
-    pub fn enqueue(&mut self, unit: Unit) {
+    pub(crate) fn enqueue(&mut self, unit: Unit) {
         self.waiting.insert(unit.id.clone(), unit.clone());
         self.placement.enqueue(self.now, unit);
     }
 
-    pub fn withdraw(&mut self, id: &UnitId) {
+    pub(crate) fn withdraw(&mut self, id: &UnitId) {
         self.waiting.remove(id);
         self.placement.withdraw(id);
     }
 
-    /// Places once; carries out and checks what is decided. Answers the starts.
-    pub fn place(&mut self) -> Vec<(TaskId, WorkerId)> {
+    /// Places once; carries out and checks what is decided. Returns the starts.
+    pub(crate) fn place(&mut self) -> Vec<(TaskId, WorkerId)> {
         let mut started = Vec::new();
         for decision in self.placement.place(self.now) {
             match decision {
@@ -168,14 +173,14 @@
                     self.waits.insert(unit, waits);
                     started.extend(assignments);
                 }
-                Decision::Preempt { task, worker } => self.preempt(task, worker),
+                Decision::Preempt { task, worker } => self.preempt(task, &worker),
             }
         }
         started
     }
 
-    /// Places at each tick of a span.
-    pub fn run_for(&mut self, span_ms: Millis) -> Vec<(TaskId, WorkerId)> {
+    /// Places at each tick of a span. Returns the starts.
+    pub(crate) fn place_for(&mut self, span_ms: Millis) -> Vec<(TaskId, WorkerId)> {
         let end = self.now + span_ms;
         let mut started = self.place();
         while self.now < end {
@@ -185,28 +190,28 @@
         started
     }
 
-    fn check_start(&mut self, id: &UnitId, on: &[(TaskId, WorkerId)]) {
+    fn check_start(&mut self, id: &UnitId, assignments: &[(TaskId, WorkerId)]) {
         let unit = self
             .waiting
             .remove(id)
             .unwrap_or_else(|| panic!("started twice or never asked: {id:?}"));
         let wanted: BTreeSet<&TaskId> = unit.tasks.iter().collect();
-        let placed: BTreeSet<&TaskId> = on.iter().map(|(task, _)| task).collect();
+        let placed: BTreeSet<&TaskId> = assignments.iter().map(|(task, _)| task).collect();
         assert_eq!(wanted, placed, "a unit is started whole");
-        assert_eq!(on.len(), unit.tasks.len(), "each task once");
-        for (task, at) in on {
-            let entry = Entry {
+        assert_eq!(assignments.len(), unit.tasks.len(), "each task once");
+        for (task, worker) in assignments {
+            let entry = RunningTask {
                 unit: unit.clone(),
-                since: self.now,
+                started_at: self.now,
                 stopping: false,
             };
             assert!(self
                 .runs
-                .insert((task.clone(), at.clone()), entry)
+                .insert((task.clone(), worker.clone()), entry)
                 .is_none());
-            self.check_worker(&unit, at);
+            self.check_worker(&unit, worker);
         }
-        self.starts += on.len();
+        self.starts += assignments.len();
     }
 
     fn check_worker(&self, unit: &Unit, at: &WorkerId) {
@@ -237,32 +242,34 @@
         }
     }
 
-    pub fn used(&self, at: &WorkerId) -> Resources {
+    /// What the runs on a worker hold, by the record of the starts.
+    pub(crate) fn used(&self, at: &WorkerId) -> Resources {
         let here = self.runs.iter().filter(|((_, id), _)| id == at);
         here.fold(Resources::default(), |sum, (_, entry)| {
             sum.saturating_add(&entry.unit.resources)
         })
     }
 
-    pub fn count_of(&self, step: &StepId, at: &WorkerId) -> u32 {
-        let same = |((_, id), entry): &(&(TaskId, WorkerId), &Entry)| {
+    pub(crate) fn count_of(&self, step: &StepId, at: &WorkerId) -> u32 {
+        let same = |((_, id), entry): &(&(TaskId, WorkerId), &RunningTask)| {
             id == at && entry.unit.id.step == *step
         };
-        self.runs.iter().filter(same).count() as u32
+        u32::try_from(self.runs.iter().filter(same).count()).expect("few runs")
     }
 
-    fn preempt(&mut self, task: TaskId, worker: WorkerId) {
+    fn preempt(&mut self, task: TaskId, worker: &WorkerId) {
         let entry = self
             .runs
             .get_mut(&(task.clone(), worker.clone()))
             .expect("runs there");
         assert!(!entry.stopping, "{task} is preempted twice");
         entry.stopping = true;
-        self.placement.mark_stopping(&task, &worker);
+        self.placement.mark_stopping(&task, worker);
         self.preempted.push(task);
     }
 
-    pub fn stop(&mut self, task: &TaskId, worker: &str) {
+    /// Orders a stop that placement did not ask for.
+    pub(crate) fn stop(&mut self, task: &TaskId, worker: &str) {
         let worker: WorkerId = worker.into();
         self.runs
             .get_mut(&(task.clone(), worker.clone()))
@@ -271,47 +278,60 @@
         self.placement.mark_stopping(task, &worker);
     }
 
-    pub fn end(&mut self, task: &TaskId, worker: &WorkerId, how: RunEnd) {
+    /// A run ends with an outcome.
+    pub(crate) fn finish(&mut self, task: &TaskId, worker: &WorkerId, outcome: RunEnd) {
         let entry = self
             .runs
             .remove(&(task.clone(), worker.clone()))
             .expect("runs there");
-        let how = ReleaseReason::Finished {
-            outcome: how,
-            ran_ms: self.now - entry.since,
+        let reason = ReleaseReason::Finished {
+            outcome,
+            ran_ms: self.now - entry.started_at,
         };
-        self.placement.release(self.now, task, worker, how);
+        self.placement.release(self.now, task, worker, reason);
     }
 
-    pub fn release(&mut self, task: &TaskId, worker: &WorkerId, how: ReleaseReason) {
+    pub(crate) fn release(&mut self, task: &TaskId, worker: &WorkerId, reason: ReleaseReason) {
         self.runs
             .remove(&(task.clone(), worker.clone()))
             .expect("runs there");
-        self.placement.release(self.now, task, worker, how);
+        self.placement.release(self.now, task, worker, reason);
     }
 
-    /// A run at a worker makes no progress.
-    pub fn stands_still(&mut self, worker: &WorkerId) {
+    /// A run on a worker makes no progress.
+    pub(crate) fn report_stall(&mut self, worker: &WorkerId) {
         self.placement.on_run_stalled(self.now, worker);
     }
 
-    /// Ends all that runs at a worker.
-    pub fn end_all_at(&mut self, worker: &str) {
-        let here: Vec<TaskId> = self
+    /// Ends the runs that a condition on their worker and themselves picks.
+    pub(crate) fn finish_where(
+        &mut self,
+        outcome: RunEnd,
+        is_over: impl Fn(&WorkerId, &RunningTask) -> bool,
+    ) {
+        let over: Vec<(TaskId, WorkerId)> = self
             .runs
-            .keys()
-            .filter(|(_, at)| &**at == worker)
-            .map(|(task, _)| task.clone())
+            .iter()
+            .filter(|((_, worker), run)| is_over(worker, run))
+            .map(|(key, _)| key.clone())
             .collect();
-        here.iter()
-            .for_each(|task| self.end(task, &worker.into(), RunEnd::Done));
+        for (task, worker) in over {
+            self.finish(&task, &worker, outcome);
+        }
+    }
+
+    /// Ends all runs on a worker well.
+    pub(crate) fn finish_all_at(&mut self, worker: &str) {
+        self.finish_where(RunEnd::Done, |at, _| &**at == worker);
     }
 
-    pub fn at(&self, worker: &str) -> usize {
+    /// The number of runs on a worker.
+    pub(crate) fn runs_at(&self, worker: &str) -> usize {
         self.runs.keys().filter(|(_, at)| &**at == worker).count()
     }
 
-    pub fn where_is(&self, number: u64) -> Option<&str> {
+    /// The worker that runs the task with a number.
+    pub(crate) fn worker_of(&self, number: u64) -> Option<&str> {
         self.runs
             .keys()
             .find(|(run, _)| run.job == task(number).job)
--- a/crates/placement/tests/explain.rs
+++ b/crates/placement/tests/explain.rs
@@ -1,8 +1,13 @@
-//! Why a unit waits, as operators are told.
+//! The explanation of why a unit waits.
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
 
 mod common;
 
-use common::*;
+use common::{unit, worker, Cluster};
 use rstest::rstest;
 use streamusher_placement::{WaitReason, WorkerInfo};
 use streamusher_protocol::unit::Unit;
@@ -22,7 +27,7 @@
 }
 
 #[rstest]
-#[case::closed(
+#[case::not_schedulable(
     closed(worker("w1", 1_000, "r1")),
     unit(1, 500, 1),
     WaitReason::NoSchedulableWorker
@@ -34,7 +39,7 @@
     unit(1, 2_000, 1),
     WaitReason::NoWorkerLargeEnough
 )]
-fn given_no_worker_that_could_run_a_unit_when_asked_then_the_reason_is_told(
+fn reason_is_given_when_no_worker_could_run_the_unit(
     #[case] info: WorkerInfo,
     #[case] waiting: Unit,
     #[case] reason: WaitReason,
@@ -47,7 +52,7 @@
 }
 
 #[test]
-fn given_a_full_worker_when_asked_then_there_is_no_room_and_what_is_ahead_is_counted() {
+fn full_worker_is_explained_with_the_units_ahead() {
     let mut cluster = Cluster::new(1, [worker("w1", 1_000, "r1")]);
     cluster.enqueue(unit(1, 1_000, 1));
     assert_eq!(cluster.place().len(), 1);
@@ -70,7 +75,7 @@
 }
 
 #[test]
-fn given_a_unit_that_runs_when_asked_then_it_does_not_wait() {
+fn running_unit_has_no_explanation() {
     let mut cluster = Cluster::new(1, [worker("w1", 1_000, "r1")]);
     cluster.enqueue(unit(1, 500, 1));
     assert_eq!(cluster.place().len(), 1);
--- a/crates/placement/tests/search.rs
+++ b/crates/placement/tests/randomized_days.rs
@@ -1,10 +1,15 @@
-//! Seeded days with every kind of event; each decision and each moment is checked against own books.
+//! Seeded days with every kind of event; each decision and each moment is checked against a record of its own.
 //!
 //! `PLACEMENT_SEEDS` sets how many days are played; a failing day names its seed.
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
 
 mod common;
 
-use common::*;
+use common::{gang, resources, unit, Cluster, STOP_MS, TICK_MS};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
@@ -16,24 +21,38 @@
 
 const SEEDS: u64 = 12;
 const DAY_MS: Millis = 16_000;
-/// What still waits after the last arrival is done by then.
-const REST_MS: Millis = 600_000;
-/// Waits are checked at each of so many ticks.
-const CHECK_MS: Millis = 5 * TICK_MS;
-/// A unit with twice its room free in a service that is half free may not wait so long.
-const LONGEST_WAIT_MS: Millis = 3_000;
+/// What is still pending after the last arrival is done by then.
+const DRAIN_MS: Millis = 600_000;
+/// Waits are checked at this interval.
+const CHECK_INTERVAL_MS: Millis = 5 * TICK_MS;
+/// A unit with twice its demand free in a service that is half free must not wait so long.
+const MAX_WAIT_MS: Millis = 3_000;
+
+/// When a run ends, and how.
+struct PlannedEnd {
+    at: Millis,
+    outcome: RunEnd,
+}
 
 struct Day {
     cluster: Cluster,
     random: Pcg32,
-    number: u64,
+    last_unit: u64,
     /// When each run ends, by itself or by its stop.
-    ends: BTreeMap<(TaskId, WorkerId), (Millis, RunEnd)>,
-    /// Since when a waiting unit has had twice its room in a service that is half free.
+    ends: BTreeMap<(TaskId, WorkerId), PlannedEnd>,
+    /// Since when a pending unit has had twice its demand free in a service that is half free.
     idle_since: BTreeMap<UnitId, Millis>,
     load: f64,
     failing: bool,
-    born: u64,
+    last_worker: u64,
+}
+
+#[expect(
+    clippy::cast_possible_truncation,
+    reason = "the fraction of a millisecond is cut off"
+)]
+fn whole_ms(ms: f64) -> Millis {
+    ms as Millis
 }
 
 impl Day {
@@ -46,12 +65,12 @@
         let mut day = Day {
             cluster,
             random,
-            number: 0,
+            last_unit: 0,
             ends: BTreeMap::new(),
             idle_since,
             load,
             failing,
-            born: 0,
+            last_worker: 0,
         };
         let count = if day.random.random_bool(0.1) {
             90
@@ -63,7 +82,7 @@
     }
 
     fn new_worker(&mut self) {
-        self.born += 1;
+        self.last_worker += 1;
         let size = [8_000, 16_000, 16_000, 32_000][self.random.random_range(0..4)];
         let rack = format!("r{}", self.random.random_range(0..4));
         let kind = if self.random.random_bool(0.5) {
@@ -72,8 +91,8 @@
             "b"
         };
         let gpu = if size == 32_000 { 8 } else { 0 };
-        self.cluster.worker(WorkerInfo {
-            id: format!("w{}", self.born).into(),
+        self.cluster.update_worker(WorkerInfo {
+            id: format!("w{}", self.last_worker).into(),
             service: if self.random.random_bool(0.8) {
                 "s".into()
             } else {
@@ -81,22 +100,22 @@
             },
             zone: "z".into(),
             labels: vec![kind.into(), rack.into()],
-            capacity: room(size, size * 2, gpu),
+            capacity: resources(size, size * 2, gpu),
             schedulable: true,
         });
     }
 
     fn new_unit(&mut self) {
-        self.number += 1;
+        self.last_unit += 1;
         let random = &mut self.random;
         let priority = random.random_range(0..3);
         let cpu = [240, 240, 500, 500, 800, 800, 2_800, 2_800, 15_000][random.random_range(0..9)];
         let mut new = if random.random_bool(0.15) {
-            gang(self.number, random.random_range(1..5), cpu, priority)
+            gang(self.last_unit, random.random_range(1..5), cpu, priority)
         } else {
-            unit(self.number, cpu, priority)
+            unit(self.last_unit, cpu, priority)
         };
-        new.resources = room(
+        new.resources = resources(
             cpu,
             random.random_range(0..cpu * 2 + 1),
             u64::from(random.random_bool(0.1)),
@@ -125,49 +144,55 @@
             } else {
                 entry.unit.estimated_ms.max(200)
             };
-            let takes = (usual as f64 * self.random.random_range(0.3..2.0)) as Millis;
+            let run_ms = whole_ms(usual as f64 * self.random.random_range(0.3..2.0));
             let fails = self.failing && &*at == "w1" || self.random.random_bool(0.03);
-            let how = if fails { RunEnd::Failed } else { RunEnd::Done };
-            self.ends
-                .insert((task, at), (self.cluster.now + takes, how));
+            let outcome = if fails { RunEnd::Failed } else { RunEnd::Done };
+            let end = PlannedEnd {
+                at: self.cluster.now + run_ms,
+                outcome,
+            };
+            self.ends.insert((task, at), end);
         }
         for task in std::mem::take(&mut self.cluster.preempted) {
-            let stopped = self.cluster.now + self.random.random_range(1..=STOP_MS);
+            let stopped_at = self.cluster.now + self.random.random_range(1..=STOP_MS);
             let run = self.ends.iter_mut().find(|((other, _), _)| *other == task);
-            *run.expect("what is preempted runs").1 = (stopped, RunEnd::Stopped);
+            *run.expect("what is preempted runs").1 = PlannedEnd {
+                at: stopped_at,
+                outcome: RunEnd::Stopped,
+            };
         }
     }
 
-    fn end_what_is_over(&mut self) {
+    fn finish_due_runs(&mut self) {
         let now = self.cluster.now;
-        let over = self.ends.iter().filter(|(_, (at, _))| *at <= now);
-        let over: Vec<_> = over.map(|(key, (_, how))| (key.clone(), *how)).collect();
-        for ((task, at), how) in over {
+        let over = self.ends.iter().filter(|(_, end)| end.at <= now);
+        let over: Vec<_> = over.map(|(key, end)| (key.clone(), end.outcome)).collect();
+        for ((task, at), outcome) in over {
             if self.ends.remove(&(task.clone(), at.clone())).is_none() {
                 continue;
             }
             let unit = self.cluster.runs[&(task.clone(), at.clone())].unit.clone();
-            if how == RunEnd::Failed && self.random.random_bool(0.3) {
-                self.cluster.stands_still(&at);
-                self.cluster.end(&task, &at, RunEnd::Stopped);
+            if outcome == RunEnd::Failed && self.random.random_bool(0.3) {
+                self.cluster.report_stall(&at);
+                self.cluster.finish(&task, &at, RunEnd::Stopped);
             } else {
-                self.cluster.end(&task, &at, how);
+                self.cluster.finish(&task, &at, outcome);
             }
-            if how != RunEnd::Done {
-                self.again(unit, &at);
+            if outcome != RunEnd::Done {
+                self.enqueue_again(unit, &at);
             }
         }
     }
 
     /// A unit did not end well: its other members end too, and it waits anew.
-    fn again(&mut self, mut unit: Unit, at: &WorkerId) {
+    fn enqueue_again(&mut self, mut unit: Unit, at: &WorkerId) {
         let members = self
             .ends
             .keys()
             .filter(|(task, _)| unit.tasks.contains(task));
         for (task, other) in members.cloned().collect::<Vec<_>>() {
             self.ends.remove(&(task.clone(), other.clone()));
-            self.cluster.end(&task, &other, RunEnd::GangBroken);
+            self.cluster.finish(&task, &other, RunEnd::GangBroken);
         }
         unit.avoid.push(at.clone());
         self.cluster.enqueue(unit);
@@ -181,26 +206,28 @@
             .map(|(_, entry)| (entry.unit.id.clone(), entry.unit.clone()))
             .collect();
         self.ends.retain(|(_, at), _| *at != id);
-        self.cluster.gone(&id);
-        units.into_values().for_each(|unit| self.again(unit, &id));
+        self.cluster.remove_worker(&id);
+        for unit in units.into_values() {
+            self.enqueue_again(unit, &id);
+        }
         self.new_worker();
     }
 
-    fn turn_worker(&mut self) {
+    fn toggle_schedulable(&mut self) {
         let ids: Vec<WorkerId> = self.cluster.workers.keys().cloned().collect();
         let id = &ids[self.random.random_range(0..ids.len())];
         let info = self.cluster.workers[id].clone();
-        self.cluster.worker(WorkerInfo {
+        self.cluster.update_worker(WorkerInfo {
             schedulable: !info.schedulable,
             ..info
         });
     }
 
-    fn report(&mut self) {
+    fn report_progress(&mut self) {
         let now = self.cluster.now;
-        for ((task, at), (end, _)) in &self.ends {
-            let since = self.cluster.runs[&(task.clone(), at.clone())].since;
-            let done = 100.0 * (now - since) as f64 / (end - since).max(1) as f64;
+        for ((task, at), end) in &self.ends {
+            let since = self.cluster.runs[&(task.clone(), at.clone())].started_at;
+            let done = 100.0 * (now - since) as f64 / (end.at - since).max(1) as f64;
             self.cluster.placement.update_progress(now, task, at, done);
         }
     }
@@ -223,10 +250,10 @@
         }
         for (chance, event) in [
             (0.003, Day::lose_worker as fn(&mut Day)),
-            (0.003, Day::turn_worker),
+            (0.003, Day::toggle_schedulable),
             (0.003, Day::new_worker),
             (0.01, Day::withdraw_one),
-            (0.1, Day::report),
+            (0.1, Day::report_progress),
         ] {
             if self.random.random_bool(chance) {
                 event(self);
@@ -234,9 +261,9 @@
         }
     }
 
-    /// No unit waits while twice its room is free and its service is half free.
+    /// No unit waits while twice its demand is free and its service is half free.
     fn check_waits(&mut self) {
-        if !self.cluster.now.is_multiple_of(CHECK_MS) {
+        if !self.cluster.now.is_multiple_of(CHECK_INTERVAL_MS) {
             return;
         }
         let used: BTreeMap<WorkerId, Resources> = self
@@ -249,7 +276,8 @@
             .into_iter()
             .map(|service| (service, self.is_half_free(service, &used)))
             .collect();
-        let has_room = |unit: &Unit| light[&*unit.service] && self.has_twice_the_room(unit, &used);
+        let has_room =
+            |unit: &Unit| light[&*unit.service] && self.has_twice_its_demand_free(unit, &used);
         let waiting = self
             .cluster
             .waiting
@@ -264,8 +292,8 @@
                 .or_insert(self.cluster.now);
             let waited = self.cluster.now - since;
             assert!(
-                waited < LONGEST_WAIT_MS,
-                "{:?} waits with room",
+                waited < MAX_WAIT_MS,
+                "{:?} waits with capacity free",
                 self.cluster.waiting[&id]
             );
         }
@@ -289,7 +317,7 @@
         sums.0.covers(&sums.1.saturating_add(&sums.1))
     }
 
-    fn has_twice_the_room(&self, unit: &Unit, used: &BTreeMap<WorkerId, Resources>) -> bool {
+    fn has_twice_its_demand_free(&self, unit: &Unit, used: &BTreeMap<WorkerId, Resources>) -> bool {
         let members = self.cluster.workers.values().map(|info| {
             let fits = info.schedulable
                 && info.service == unit.service
@@ -319,24 +347,24 @@
     fn play(&mut self) {
         while self.cluster.now < DAY_MS {
             self.cluster.now += TICK_MS;
-            self.end_what_is_over();
+            self.finish_due_runs();
             self.events();
             self.place();
             self.check_waits();
         }
         self.failing = false;
-        let turn: Vec<WorkerInfo> = self.cluster.workers.values().cloned().collect();
-        turn.into_iter().for_each(|info| {
-            self.cluster.worker(WorkerInfo {
+        let workers: Vec<WorkerInfo> = self.cluster.workers.values().cloned().collect();
+        for info in workers {
+            self.cluster.update_worker(WorkerInfo {
                 schedulable: true,
                 ..info
-            })
-        });
-        while self.cluster.now < DAY_MS + REST_MS
+            });
+        }
+        while self.cluster.now < DAY_MS + DRAIN_MS
             && !(self.ends.is_empty() && self.nothing_can_start())
         {
             self.cluster.now += TICK_MS;
-            self.end_what_is_over();
+            self.finish_due_runs();
             self.place();
             self.check_waits();
         }
@@ -344,17 +372,17 @@
     }
 
     fn nothing_can_start(&self) -> bool {
-        let nothing = BTreeMap::from_iter(
-            self.cluster
-                .workers
-                .keys()
-                .map(|id| (id.clone(), Resources::default())),
-        );
+        let nothing: BTreeMap<WorkerId, Resources> = self
+            .cluster
+            .workers
+            .keys()
+            .map(|id| (id.clone(), Resources::default()))
+            .collect();
         !self
             .cluster
             .waiting
             .values()
-            .any(|unit| self.has_twice_the_room(unit, &nothing))
+            .any(|unit| self.has_twice_its_demand_free(unit, &nothing))
     }
 
     fn check_end(&self) {
@@ -379,7 +407,7 @@
 }
 
 #[test]
-fn given_days_with_all_events_when_played_then_every_rule_holds() {
+fn every_rule_holds_on_days_with_all_events() {
     let seeds = std::env::var("PLACEMENT_SEEDS")
         .ok()
         .and_then(|text| text.parse().ok())
--- a/crates/placement/tests/speed.rs
+++ b/crates/placement/tests/relative_speed.rs
@@ -1,8 +1,13 @@
-//! What run times teach of workers, where estimates are wrong and runs away from their data take longer.
+//! What run times tell of workers, where estimates are wrong and remote runs take longer.
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
 
 mod common;
 
-use common::*;
+use common::{settings, task, unit, worker, Cluster};
 use streamusher_placement::WorkerStatus;
 use streamusher_protocol::task::{RunEnd, TaskId};
 use streamusher_protocol::unit::{StepId, Unit, UnitId};
@@ -10,7 +15,7 @@
 
 const TASKS: u32 = 9;
 
-/// A step of equal tasks with one estimate, and what each takes at a usual worker near its data.
+/// A step of equal tasks with one estimate, and the run time of each on a usual worker near its data.
 struct Step {
     number: u64,
     estimated_ms: Millis,
@@ -38,7 +43,7 @@
     }
 }
 
-/// Plays steps one after the other; `takes` tells the time of a run at a worker.
+/// Plays steps one after the other; `takes` is the run time on a worker.
 fn play(cluster: &mut Cluster, steps: &[Step], takes: impl Fn(&Step, &str) -> Millis) {
     for step in steps {
         step.units()
@@ -46,24 +51,28 @@
             .for_each(|unit| cluster.enqueue(unit));
         let until = cluster.now + 8 * step.run_ms;
         while cluster.now < until {
-            cluster.run_for(20);
-            let is_over = |at: &str, since: Millis| since + takes(step, at) <= cluster.now;
-            let over = cluster
-                .runs
-                .iter()
-                .filter(|((_, at), run)| is_over(at, run.since));
-            let over: Vec<_> = over.map(|(key, _)| key.clone()).collect();
-            over.iter()
-                .for_each(|(task, at)| cluster.end(task, at, RunEnd::Done));
+            cluster.place_for(20);
+            let now = cluster.now;
+            cluster.finish_where(RunEnd::Done, |worker, run| {
+                run.started_at + takes(step, worker) <= now
+            });
         }
     }
 }
 
+#[expect(
+    clippy::cast_possible_truncation,
+    reason = "the fraction of a millisecond is cut off"
+)]
+fn whole_ms(ms: f64) -> Millis {
+    ms as Millis
+}
+
 /// Estimates that are too short by up to four times for some steps, and too long by as much for others.
 fn with_wrong_estimates(affinity: Option<&'static str>) -> Vec<Step> {
     let factors = [0.25, 1.0, 4.0, 0.5, 2.0, 0.3, 3.0, 0.25, 1.0, 4.0, 0.5, 2.0];
     let step = |(number, factor): (usize, f64)| {
-        let estimated_ms = (600.0 * factor) as Millis;
+        let estimated_ms = whole_ms(600.0 * factor);
         Step {
             number: number as u64 + 1,
             estimated_ms,
@@ -96,7 +105,7 @@
 }
 
 #[test]
-fn given_equal_workers_when_estimates_are_wrong_by_step_then_none_is_taken_for_slow() {
+fn wrong_estimates_make_no_worker_slow() {
     let mut cluster = two_racks();
     play(&mut cluster, &with_wrong_estimates(None), |step, _| {
         step.run_ms
@@ -111,7 +120,7 @@
 }
 
 #[test]
-fn given_one_slow_worker_when_estimates_are_wrong_by_step_then_it_alone_is_taken_for_slow() {
+fn slow_worker_is_recognized_despite_wrong_estimates() {
     let mut cluster = two_racks();
     play(
         &mut cluster,
@@ -130,15 +139,15 @@
 }
 
 #[test]
-fn given_data_on_one_rack_when_runs_away_from_it_take_longer_then_no_worker_is_taken_for_slow() {
+fn remote_runs_make_no_worker_slow() {
     let mut cluster = two_racks();
-    let far_x = settings(1).remote_slowdown;
+    let remote_slowdown = settings(1).remote_slowdown;
     play(
         &mut cluster,
         &with_wrong_estimates(Some("r1")),
         |step, at| match at {
             "w1" | "w2" => step.run_ms,
-            _ => (step.run_ms as f64 * far_x) as Millis,
+            _ => whole_ms(step.run_ms as f64 * remote_slowdown),
         },
     );
     let slowness = slowness(&cluster);
@@ -151,8 +160,7 @@
 }
 
 #[test]
-fn given_a_run_away_from_its_data_when_it_runs_at_a_usual_worker_then_it_is_taken_to_last_far_x_times_as_long(
-) {
+fn remote_run_is_slower_by_the_remote_slowdown() {
     let mut cluster = Cluster::new(1, [worker("w1", 1_000, "r1"), worker("w3", 1_000, "r2")]);
     cluster.enqueue(Unit {
         affinity: Some("r1".into()),
@@ -162,9 +170,9 @@
         affinity: Some("r1".into()),
         ..unit(2, 900, 2)
     });
-    cluster.run_for(2_000);
+    cluster.place_for(2_000);
     let slowness = |number| {
-        let at = cluster.where_is(number).expect("it runs");
+        let at = cluster.worker_of(number).expect("it runs");
         (
             at.to_string(),
             cluster
--- a/crates/placement/tests/reorder.rs
+++ b/crates/placement/tests/reorder.rs
@@ -1,13 +1,18 @@
-//! A waiting unit gets another place in the order.
+//! A pending unit gets another place in the queue.
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
 
 mod common;
 
-use common::*;
+use common::{gang, settings, task, unit, worker};
 use streamusher_placement::{Allocation, Decision, Placement, ReleaseReason};
 use streamusher_protocol::unit::Unit;
 
-/// A worker that is full, and units that wait for it.
-fn given_waiting(units: &[Unit]) -> Placement {
+/// A full worker, and units that wait for it.
+fn with_pending(units: &[Unit]) -> Placement {
     let mut placement = Placement::new(settings(1));
     placement.update_worker(0, worker("w", 1_000, "r"));
     placement.restore_run(
@@ -16,9 +21,9 @@
         &"w".into(),
         Allocation::from(&unit(999, 1_000, 1)),
     );
-    units
-        .iter()
-        .for_each(|unit| placement.enqueue(0, unit.clone()));
+    for unit in units {
+        placement.enqueue(0, unit.clone());
+    }
     assert!(placement.place(300).is_empty());
     placement
 }
@@ -33,24 +38,24 @@
 }
 
 #[test]
-fn given_two_units_when_the_first_is_put_back_then_the_second_starts_first() {
+fn unit_moved_back_starts_after_the_next() {
     let (one, two) = (unit(1, 1_000, 1), unit(2, 1_000, 1));
-    let mut placement = given_waiting(&[one.clone(), two.clone()]);
+    let mut placement = with_pending(&[one.clone(), two.clone()]);
     assert!(placement.reorder(&one.id, 3));
     assert_eq!(placement.order_of(&one.id), Some(3));
     assert!(starts(first_start(&mut placement), &two));
 }
 
 #[test]
-fn given_a_less_urgent_unit_when_it_is_put_first_then_priority_still_decides() {
+fn priority_decides_over_order() {
     let (one, two) = (unit(1, 1_000, 1), unit(2, 1_000, 2));
-    let mut placement = given_waiting(&[one.clone(), two.clone()]);
+    let mut placement = with_pending(&[one.clone(), two.clone()]);
     assert!(placement.reorder(&two.id, 0));
     assert!(starts(first_start(&mut placement), &one));
 }
 
 #[test]
-fn given_two_gangs_when_their_order_is_swapped_then_the_other_starts_first() {
+fn swapped_gangs_start_in_the_new_order() {
     let (one, two) = (gang(1, 2, 500, 1), gang(2, 2, 500, 1));
     let mut placement = Placement::new(settings(1));
     placement.update_worker(0, worker("w", 900, "r"));
@@ -62,26 +67,26 @@
 }
 
 #[test]
-fn given_a_gang_that_room_is_kept_for_when_reordered_then_it_keeps_its_place() {
+fn gang_with_reservations_keeps_its_place() {
     let one = gang(1, 2, 500, 1);
-    let mut placement = given_waiting(std::slice::from_ref(&one));
+    let mut placement = with_pending(std::slice::from_ref(&one));
     assert!(!placement.reorder(&one.id, 9));
     assert_eq!(placement.order_of(&one.id), Some(1));
 }
 
 #[test]
-fn given_units_that_do_not_wait_or_stand_there_already_when_reordered_then_nothing_changes() {
+fn unknown_unit_and_unchanged_order_are_not_reordered() {
     let one = unit(1, 1_000, 1);
-    let mut placement = given_waiting(std::slice::from_ref(&one));
+    let mut placement = with_pending(std::slice::from_ref(&one));
     assert!(!placement.reorder(&unit(5, 1_000, 1).id, 7));
     assert_eq!(placement.order_of(&unit(5, 1_000, 1).id), None);
     assert!(!placement.reorder(&one.id, 1));
 }
 
 #[test]
-fn given_a_unit_withdrawn_after_it_was_reordered_then_no_copy_of_it_is_left() {
+fn reordered_unit_is_withdrawn_with_all_copies() {
     let (one, two) = (unit(1, 1_000, 1), unit(2, 1_000, 1));
-    let mut placement = given_waiting(&[one.clone(), two.clone()]);
+    let mut placement = with_pending(&[one.clone(), two.clone()]);
     placement.reorder(&two.id, 0);
     placement.withdraw(&two.id);
     assert_eq!(
--- a/crates/placement/tests/patience.rs
+++ b/crates/placement/tests/wait_bounds.rs
@@ -1,8 +1,13 @@
-//! No unit waits for three seconds in a service with more than half of its room free, whatever keeps the room from it.
+//! No unit waits for three seconds in a service with more than half of its capacity free, whatever keeps the capacity from it.
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
 
 mod common;
 
-use common::*;
+use common::{gang, task, unit, worker, Cluster};
 use rstest::rstest;
 use std::sync::Arc;
 use streamusher_protocol::task::RunEnd;
@@ -18,16 +23,16 @@
     Cluster::new(1, [worker("w1", 10_000, "r1"), worker("w2", 10_000, "r1")])
 }
 
-/// Bursts of work that cannot wait have taught the service to keep most of its room; a long task has each worker's free part.
-fn headroom_is_kept() -> Cluster {
+/// After bursts of work that cannot wait most of the capacity is headroom; a long task has the rest of each worker.
+fn cluster_with_headroom() -> Cluster {
     let mut cluster = two_workers();
     for second in 1..=20_u64 {
         (0..14).for_each(|index| cluster.enqueue(unit(1_000 * second + index, 1_000, 0)));
-        cluster.run_for(500);
-        ["w1", "w2"]
-            .into_iter()
-            .for_each(|id| cluster.end_all_at(id));
-        cluster.run_for(500);
+        cluster.place_for(500);
+        for id in ["w1", "w2"] {
+            cluster.finish_all_at(id);
+        }
+        cluster.place_for(500);
     }
     let long = |number| Unit {
         slack_ms: 60_000,
@@ -35,63 +40,64 @@
         ..unit(number, 3_000, 2)
     };
     (1..=2).for_each(|number| cluster.enqueue(long(number)));
-    cluster.run_for(BOUND_MS);
+    cluster.place_for(BOUND_MS);
     cluster
 }
 
-/// All workers are on trial, and each runs its one task.
-fn workers_are_on_trial() -> Cluster {
+/// All workers are on probation, and each runs its one task.
+fn cluster_on_probation() -> Cluster {
     let mut cluster = two_workers();
     for number in 1..=10 {
         cluster.enqueue(unit(number, 1_000, 2));
         cluster.place();
-        let at: Option<Arc<str>> = cluster.where_is(number).map(Into::into);
-        at.into_iter()
-            .for_each(|at| cluster.end(&task(number), &at, RunEnd::Failed));
+        let worker: Option<Arc<str>> = cluster.worker_of(number).map(Into::into);
+        if let Some(worker) = worker {
+            cluster.finish(&task(number), &worker, RunEnd::Failed);
+        }
     }
     cluster
 }
 
-/// A gang waits for the whole of a worker: its room is reserved as runs end.
-fn room_is_reserved() -> Cluster {
+/// A gang waits for whole workers: their capacity is reserved as runs end.
+fn cluster_with_reservations() -> Cluster {
     let mut cluster = two_workers();
     (1..=2).for_each(|number| {
         cluster.enqueue(Unit {
             estimated_ms: 60_000,
             ..unit(number, 4_000, 1)
-        })
+        });
     });
     cluster.place();
     cluster.enqueue(Unit {
         slack_ms: 60_000,
         ..gang(3, 2, 9_000, 1)
     });
-    cluster.run_for(1_000);
+    cluster.place_for(1_000);
     cluster
 }
 
-/// The same, and runs are being stopped for it.
-fn runs_were_stopped() -> Cluster {
+/// The same, and runs are being preempted for it.
+fn cluster_with_preemptions() -> Cluster {
     let mut cluster = two_workers();
     (1..=2).for_each(|number| {
         cluster.enqueue(Unit {
             estimated_ms: 60_000,
             ..unit(number, 4_000, 2)
-        })
+        });
     });
     cluster.place();
     cluster.enqueue(gang(3, 2, 9_000, 1));
-    cluster.run_for(500);
-    assert!(!cluster.preempted.is_empty(), "room is being made");
+    cluster.place_for(500);
+    assert!(!cluster.preempted.is_empty(), "capacity is being freed");
     cluster
 }
 
 #[rstest]
-#[case::headroom(headroom_is_kept(), 3_000)]
-#[case::trial(workers_are_on_trial(), 3_000)]
-#[case::reservation(room_is_reserved(), 1_500)]
-#[case::stops(runs_were_stopped(), 1_500)]
-fn given_room_that_is_kept_from_a_unit_when_more_than_half_is_free_then_it_starts_within_three_seconds(
+#[case::headroom(cluster_with_headroom(), 3_000)]
+#[case::probation(cluster_on_probation(), 3_000)]
+#[case::reservation(cluster_with_reservations(), 1_500)]
+#[case::preemption(cluster_with_preemptions(), 1_500)]
+fn unit_starts_within_three_seconds_in_a_lightly_used_service(
     #[case] mut cluster: Cluster,
     #[case] cpu: u64,
 ) {
@@ -99,20 +105,20 @@
         slack_ms: 60_000,
         ..unit(WAITING, cpu, 2)
     });
-    cluster.run_for(BOUND_MS);
-    assert!(cluster.where_is(WAITING).is_some(), "it waits still");
+    cluster.place_for(BOUND_MS);
+    assert!(cluster.worker_of(WAITING).is_some(), "it waits still");
 }
 
 #[test]
-fn given_headroom_when_a_unit_that_can_wait_comes_then_it_waits_at_first() {
-    let mut cluster = headroom_is_kept();
+fn unit_that_can_wait_leaves_headroom_at_first() {
+    let mut cluster = cluster_with_headroom();
     cluster.enqueue(Unit {
         slack_ms: 60_000,
         ..unit(WAITING, 3_000, 2)
     });
-    cluster.run_for(1_000);
+    cluster.place_for(1_000);
     assert!(
-        cluster.where_is(WAITING).is_none(),
+        cluster.worker_of(WAITING).is_none(),
         "nothing was kept from it: the bound above shows nothing"
     );
 }
--- a/crates/placement/tests/waits.rs
+++ b/crates/placement/tests/wait_history.rs
@@ -1,8 +1,13 @@
-//! What a unit is told to have waited for when it starts.
+//! What a unit has waited for, as its start reports it.
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
 
 mod common;
 
-use common::*;
+use common::{unit, worker, Cluster};
 use streamusher_placement::{TimeWaited, WaitReason};
 use streamusher_protocol::Millis;
 
@@ -19,7 +24,7 @@
 }
 
 #[test]
-fn given_room_when_a_unit_comes_then_it_has_waited_for_nothing() {
+fn unit_started_at_once_has_not_waited() {
     let mut cluster = Cluster::new(1, [worker("w1", 1_000, "r1")]);
     cluster.enqueue(unit(1, 500, 1));
     cluster.place();
@@ -27,14 +32,13 @@
 }
 
 #[test]
-fn given_a_full_worker_when_its_run_ends_then_the_next_unit_has_waited_for_room_and_then_for_what_is_kept(
-) {
+fn waits_are_for_free_capacity_and_then_for_the_reservation() {
     let mut cluster = Cluster::new(1, [worker("w1", 1_000, "r1")]);
     cluster.enqueue(unit(1, 1_000, 1));
     cluster.place();
     cluster.enqueue(unit(2, 500, 1));
-    cluster.run_for(640);
-    cluster.end_all_at("w1");
+    cluster.place_for(640);
+    cluster.finish_all_at("w1");
     cluster.place();
     let waits = waits_of(&cluster, 2);
     assert_eq!(
@@ -45,19 +49,19 @@
 }
 
 #[test]
-fn given_no_worker_and_then_a_full_one_when_a_unit_starts_then_both_waits_are_told_and_add_up() {
+fn waits_for_several_reasons_add_up() {
     let mut cluster = Cluster::new(1, [worker("w1", 1_000, "r1")]);
     cluster.enqueue(unit(1, 1_000, 1));
     cluster.place();
-    cluster.worker(streamusher_placement::WorkerInfo {
+    cluster.update_worker(streamusher_placement::WorkerInfo {
         schedulable: false,
         ..worker("w1", 1_000, "r1")
     });
     cluster.enqueue(unit(2, 500, 1));
-    cluster.run_for(1_000);
-    cluster.worker(worker("w1", 1_000, "r1"));
-    cluster.run_for(1_000);
-    cluster.end_all_at("w1");
+    cluster.place_for(1_000);
+    cluster.update_worker(worker("w1", 1_000, "r1"));
+    cluster.place_for(1_000);
+    cluster.finish_all_at("w1");
     cluster.place();
     let waits = waits_of(&cluster, 2);
     assert_eq!(
