--- a/crates/jobs/src/assignment.rs
+++ b/crates/jobs/src/assignment.rs
@@ -1,20 +1,20 @@
-//! Check of an assignment of a unit's tasks to workers.
+//! Check of the assignments of a unit's tasks to workers.
 
 use std::ops::Range;
-use streamusher_protocol::task::TaskId;
-use streamusher_protocol::unit::{StepId, UnitId, WorkerId};
+use streamusher_protocol::unit::{StepId, TaskAssignment, UnitId, WorkerId};
 
-/// The workers in the order of the unit's tasks; none unless the assignment names each task once and nothing else.
+/// The workers in the order of the unit's tasks; none unless the assignments name each task once and nothing else.
 pub(crate) fn workers_in_task_order(
     unit: &UnitId,
     tasks: Range<u32>,
-    assignment: &[(TaskId, WorkerId)],
+    assignments: &[TaskAssignment],
 ) -> Option<Vec<WorkerId>> {
-    if assignment.len() != tasks.len() {
+    if assignments.len() != tasks.len() {
         return None;
     }
     let mut workers = vec![None; tasks.len()];
-    for (task, worker) in assignment {
+    for assignment in assignments {
+        let task = &assignment.task;
         if StepId::of_task(task) != unit.step {
             return None;
         }
@@ -23,7 +23,7 @@
         if slot.is_some() {
             return None;
         }
-        *slot = Some(worker.clone());
+        *slot = Some(assignment.worker.clone());
     }
     workers.into_iter().collect()
 }
--- a/crates/jobs/src/latency_account.rs
+++ b/crates/jobs/src/latency_account.rs
@@ -33,9 +33,9 @@
     }
 
     /// Adds the time since the last call as placement saw it: waits for these reasons.
-    pub(crate) fn add_waits(&mut self, now_ms: Millis, waits: &[(LatencyStage, Millis)]) {
-        for (stage, waited_ms) in waits {
-            self.breakdown.add(*stage, *waited_ms);
+    pub(crate) fn add_waits(&mut self, now_ms: Millis, waits: &LatencyBreakdown) {
+        for (stage, waited_ms) in waits.stages() {
+            self.breakdown.add(stage, waited_ms);
         }
         self.accounted_until_ms = now_ms;
     }
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -24,7 +24,7 @@
 //! use streamusher_jobs::{JobSettings, JobTable, QueuePolicy, SubmitOutcome};
 //! use streamusher_protocol::job::{JobRequest, JobState, StepRequest};
 //! use streamusher_protocol::task::{JobId, RunEnd};
-//! use streamusher_protocol::unit::WorkerId;
+//! use streamusher_protocol::unit::TaskAssignment;
 //! use streamusher_protocol::Now;
 //!
 //! # fn main() -> Result<(), Box<dyn std::error::Error>> {
@@ -53,8 +53,8 @@
 //! let unit = &changes.ready_units[0];
 //!
 //! // Placement chose a worker: the run may be started once its record is committed.
-//! let worker: WorkerId = "worker-1".into();
-//! let started = table.start_unit(now, &unit.id, &[(unit.tasks[0].clone(), worker)]);
+//! let assignment = TaskAssignment { task: unit.tasks[0].clone(), worker: "worker-1".into() };
+//! let started = table.start_unit(now, &unit.id, &[assignment]);
 //! assert_eq!(table.status(&job), Some(JobState::Running));
 //!
 //! // The worker reported the run's end.
--- a/crates/jobs/src/run_events.rs
+++ b/crates/jobs/src/run_events.rs
@@ -4,23 +4,23 @@
 use crate::changes::StartedRun;
 use crate::effects::Effects;
 use crate::job::Job;
-use crate::latency::{LatencyStage, RunTimings};
+use crate::latency::{LatencyBreakdown, RunTimings};
 use crate::position::{RunPosition, RunSlot, UnitPosition};
 use crate::run_result::RunResult;
 use crate::unit::{AfterRun, UnitPhase};
 use streamusher_protocol::job::JobState;
-use streamusher_protocol::task::{RunId, TaskId};
-use streamusher_protocol::unit::{UnitId, WorkerId};
-use streamusher_protocol::{Millis, Now};
+use streamusher_protocol::task::RunId;
+use streamusher_protocol::unit::{TaskAssignment, UnitId, WorkerId};
+use streamusher_protocol::Now;
 
 impl Job {
-    /// Assigns the tasks of a waiting unit to workers. Nothing is started unless the unit waits and the assignment
-    /// names exactly its tasks.
+    /// Assigns the tasks of a waiting unit to workers. Nothing is started unless the unit waits and the assignments
+    /// name exactly its tasks.
     pub(crate) fn start_unit(
         &mut self,
         now: Now,
         id: &UnitId,
-        assignment: &[(TaskId, WorkerId)],
+        assignments: &[TaskAssignment],
         effects: &mut Effects,
     ) -> Vec<StartedRun> {
         let position = UnitPosition::from_id(id);
@@ -34,7 +34,7 @@
             return Vec::new();
         };
         let tasks = step.tasks_of(position.unit);
-        let Some(workers) = workers_in_task_order(id, tasks.clone(), assignment) else {
+        let Some(workers) = workers_in_task_order(id, tasks.clone(), assignments) else {
             return Vec::new();
         };
         step.start_unit(now.steady_ms, position.unit, run, &workers);
@@ -265,7 +265,7 @@
 
     /// Accounts for the time that a unit waited, for these reasons. While the earlier run of a hedged task goes on, the
     /// time is that run's.
-    pub(crate) fn record_wait(&mut self, now: Now, id: &UnitId, waits: &[(LatencyStage, Millis)]) {
+    pub(crate) fn record_wait(&mut self, now: Now, id: &UnitId, waits: &LatencyBreakdown) {
         let position = UnitPosition::from_id(id);
         let Some(step) = self.iterations.step_of_mut(position) else {
             return;
--- a/crates/jobs/src/table.rs
+++ b/crates/jobs/src/table.rs
@@ -4,7 +4,7 @@
 use crate::entry::JobEntry;
 use crate::error::{RecordError, SubmitError};
 use crate::job::Job;
-use crate::latency::{LatencyStage, RunTimings};
+use crate::latency::{LatencyBreakdown, RunTimings};
 use crate::outcomes::{CancelOutcome, SubmitOutcome};
 use crate::plan::JobPlan;
 use crate::policy::QueuePolicy;
@@ -16,8 +16,8 @@
 use crate::views;
 use std::sync::Arc;
 use streamusher_protocol::job::{JobRequest, JobState};
-use streamusher_protocol::task::{JobId, RunEnd, RunId, TaskId};
-use streamusher_protocol::unit::{Unit, UnitId, WorkerId};
+use streamusher_protocol::task::{JobId, RunEnd, RunId};
+use streamusher_protocol::unit::{TaskAssignment, Unit, UnitId};
 use streamusher_protocol::{Millis, Now};
 
 /// All jobs, and which of their units may run now. See the crate's documentation for an example.
@@ -144,17 +144,17 @@
     }
 
     /// Records that placement chose a worker for each task of a unit. Nothing is started (and the list is empty) if the
-    /// unit does not wait or `assignment` does not name exactly its tasks.
+    /// unit does not wait or `assignments` do not name exactly its tasks.
     pub fn start_unit(
         &mut self,
         now: Now,
         unit: &UnitId,
-        assignment: &[(TaskId, WorkerId)],
+        assignments: &[TaskAssignment],
     ) -> Vec<StartedRun> {
         self.store.observe_time(now);
         self.store
             .update(&unit.step.job, |job, effects| {
-                job.start_unit(now, unit, assignment, effects)
+                job.start_unit(now, unit, assignments, effects)
             })
             .unwrap_or_default()
     }
@@ -190,9 +190,8 @@
             .unwrap_or(false)
     }
 
-    /// Records where the time of a unit went that waited for placement and is about to be started: stages with their
-    /// milliseconds.
-    pub fn record_wait(&mut self, now: Now, unit: &UnitId, waits: &[(LatencyStage, Millis)]) {
+    /// Records where the time of a unit went that waited for placement and is about to be started.
+    pub fn record_wait(&mut self, now: Now, unit: &UnitId, waits: &LatencyBreakdown) {
         if let Some(job) = self.store.open_job_mut(&unit.step.job) {
             job.record_wait(now, unit, waits);
         }
--- a/crates/jobs/tests/accounts.rs
+++ b/crates/jobs/tests/accounts.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use rstest::rstest;
-use streamusher_jobs::{Completion, LatencyStage, RunTimings};
+use streamusher_jobs::{Completion, LatencyBreakdown, LatencyStage, RunTimings};
 use streamusher_protocol::job::StepRequest;
 use streamusher_protocol::task::{RunEnd, RunId};
 use streamusher_protocol::unit::UnitId;
@@ -13,7 +13,9 @@
 /// Waits for a cause, and begins.
 fn wait_and_begin(world: &mut World, id: &UnitId, stage: LatencyStage, waited_ms: Millis) -> RunId {
     world.pass(waited_ms);
-    world.book.record_wait(world.now, id, &[(stage, waited_ms)]);
+    let mut waits = LatencyBreakdown::default();
+    waits.add(stage, waited_ms);
+    world.book.record_wait(world.now, id, &waits);
     world.begin(id)[0].run.clone()
 }
 
--- a/crates/jobs/tests/common/mod.rs
+++ b/crates/jobs/tests/common/mod.rs
@@ -10,7 +10,7 @@
 use streamusher_protocol::heartbeat::Resources;
 use streamusher_protocol::job::{JobRequest, JobState, StepRequest};
 use streamusher_protocol::task::{JobId, RunEnd, RunId, TaskId};
-use streamusher_protocol::unit::{StepId, Unit, UnitId, WorkerId};
+use streamusher_protocol::unit::{StepId, TaskAssignment, Unit, UnitId};
 use streamusher_protocol::{Millis, Now};
 
 pub const STATUS_MS: Millis = 60_000;
@@ -53,6 +53,13 @@
     RunId { task, run }
 }
 
+pub fn assignment(task: TaskId, worker: &str) -> TaskAssignment {
+    TaskAssignment {
+        task,
+        worker: worker.into(),
+    }
+}
+
 pub fn terms(queue: &str) -> QueuePolicy {
     QueuePolicy {
         queue: queue.into(),
@@ -182,13 +189,13 @@
             .ready
             .remove(id)
             .unwrap_or_else(|| panic!("{id:?} does not wait"));
-        let on: Vec<(TaskId, WorkerId)> = unit
+        let assignments: Vec<TaskAssignment> = unit
             .tasks
             .iter()
             .enumerate()
-            .map(|(i, t)| (t.clone(), format!("w{i}").into()))
+            .map(|(index, task)| assignment(task.clone(), &format!("w{index}")))
             .collect();
-        let started = self.book.start_unit(self.now, id, &on);
+        let started = self.book.start_unit(self.now, id, &assignments);
         self.take();
         started
     }
--- a/crates/jobs/tests/encoded_forms.rs
+++ b/crates/jobs/tests/encoded_forms.rs
@@ -65,7 +65,7 @@
     let id = unit(1, 0, 0, Some(0));
     let first = world.begin(&id)[0].run.clone();
     world.end_with(&first, RunEnd::Failed, "c1");
-    let other_worker = [(task(1, 0, 0, 0), "w9".into())];
+    let other_worker = [assignment(task(1, 0, 0, 0), "w9")];
     let second = world.book.start_unit(world.now, &id, &other_worker)[0]
         .run
         .clone();
--- a/crates/jobs/tests/gangs.rs
+++ b/crates/jobs/tests/gangs.rs
@@ -42,7 +42,7 @@
 #[test]
 fn given_a_gang_when_a_member_is_missing_or_named_twice_then_nothing_begins() {
     let (mut world, id) = gang_world();
-    let at = |index| (task(1, 0, 0, index), "w".into());
+    let at = |index| assignment(task(1, 0, 0, index), "w");
     assert!(world
         .book
         .start_unit(world.now, &id, &[at(0), at(1)])
--- a/crates/jobs/tests/runs.rs
+++ b/crates/jobs/tests/runs.rs
@@ -33,7 +33,7 @@
     let again = world.book.start_unit(
         world.now,
         &unit(1, 0, 0, Some(0)),
-        &[(task(1, 0, 0, 0), "w9".into())],
+        &[assignment(task(1, 0, 0, 0), "w9")],
     );
     assert!(again.is_empty(), "a task has one run at most");
 }
@@ -44,8 +44,8 @@
     world.submit(1, request(vec![step(2)]));
     let id = unit(1, 0, 0, Some(0));
     let (own, other) = (
-        (task(1, 0, 0, 0), "w0".into()),
-        (task(1, 0, 0, 1), "w1".into()),
+        assignment(task(1, 0, 0, 0), "w0"),
+        assignment(task(1, 0, 0, 1), "w1"),
     );
     assert!(world.book.start_unit(world.now, &id, &[]).is_empty());
     assert!(world
@@ -234,9 +234,10 @@
     world.submit_to(1, request(vec![step(1)]), &patient);
     let id = unit(1, 0, 0, Some(0));
     for worker in ["a", "b", "c", "d", "e"] {
-        let started = world
-            .book
-            .start_unit(world.now, &id, &[(task(1, 0, 0, 0), worker.into())]);
+        let started =
+            world
+                .book
+                .start_unit(world.now, &id, &[assignment(task(1, 0, 0, 0), worker)]);
         if worker == "b" {
             world.book.on_run_stalled(&started[0].run);
             world
@@ -266,9 +267,10 @@
     world.submit_to(1, request(vec![step(1)]), &patient);
     let id = unit(1, 0, 0, Some(0));
     for worker in ["a", "b", "b", "b", "b"] {
-        let started = world
-            .book
-            .start_unit(world.now, &id, &[(task(1, 0, 0, 0), worker.into())]);
+        let started =
+            world
+                .book
+                .start_unit(world.now, &id, &[assignment(task(1, 0, 0, 0), worker)]);
         assert!(world
             .book
             .on_run_finished(world.now, &started[0].run, RunEnd::Failed, ""));
--- a/crates/jobs/tests/search.rs
+++ b/crates/jobs/tests/search.rs
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 use streamusher_jobs::{QueuePolicy, StartedRun};
 use streamusher_protocol::job::{JobRequest, JobState, StepRequest};
-use streamusher_protocol::task::{RunEnd, RunId, TaskId};
-use streamusher_protocol::unit::{UnitId, WorkerId};
+use streamusher_protocol::task::{RunEnd, RunId};
+use streamusher_protocol::unit::UnitId;
 
 const QUEUES: [&str; 3] = ["scans", "checks", "prints"];
 
@@ -437,7 +437,7 @@
     // A look at all others in each of these steps would be 2 * 10^10 of them.
     for number in 0..100_000 {
         let id = common::unit(number, 0, 0, Some(0));
-        let on: [(TaskId, WorkerId); 1] = [(task(number, 0, 0, 0), "w".into())];
+        let on = [assignment(task(number, 0, 0, 0), "w")];
         let started = world.book.start_unit(world.now, &id, &on);
         assert!(world
             .book
--- a/crates/placement/src/claim.rs
+++ b/crates/placement/src/claim.rs
@@ -4,7 +4,7 @@
 use crate::allocation::Allocation;
 use crate::cluster::Cluster;
 use crate::cycle::SchedulingCycle;
-use crate::decision::{Decision, TaskAssignment};
+use crate::decision::Decision;
 use crate::index::{QueueKey, WorkerIndex};
 use crate::pending_unit::PendingUnit;
 use crate::resource_vector::times;
@@ -12,6 +12,7 @@
 use crate::run_estimate::remote_slowdown;
 use std::collections::BTreeMap;
 use streamusher_protocol::task::TaskId;
+use streamusher_protocol::unit::TaskAssignment;
 
 /// Copies that are looked at in one worker's queue; further ones are found when their unit is looked at again.
 const MAX_COPIES_SCANNED: usize = 32;
--- a/crates/placement/src/decision.rs
+++ b/crates/placement/src/decision.rs
@@ -2,7 +2,7 @@
 
 use crate::wait_reason::WaitReason;
 use streamusher_protocol::task::TaskId;
-use streamusher_protocol::unit::{UnitId, WorkerId};
+use streamusher_protocol::unit::{TaskAssignment, UnitId, WorkerId};
 use streamusher_protocol::Millis;
 
 /// What the caller has to carry out.
@@ -27,15 +27,6 @@
     },
 }
 
-/// A task with the worker that it is placed on.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TaskAssignment {
-    /// The task.
-    pub task: TaskId,
-    /// Its worker.
-    pub worker: WorkerId,
-}
-
 /// The total time that a unit has waited for one reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeWaited {
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -118,9 +118,10 @@
 mod worker_table;
 
 pub use allocation::{Allocation, ReleaseReason};
-pub use decision::{Decision, TaskAssignment, TimeWaited};
+pub use decision::{Decision, TimeWaited};
 pub use placement::Placement;
 pub use policy::{Mechanism, Policy};
 pub use settings::PlacementSettings;
+pub use streamusher_protocol::unit::TaskAssignment;
 pub use wait_reason::{WaitExplanation, WaitReason};
 pub use worker_info::{WorkerInfo, WorkerStatus};
--- a/crates/protocol/src/unit.rs
+++ b/crates/protocol/src/unit.rs
@@ -70,6 +70,15 @@
     pub avoid: Vec<WorkerId>,
 }
 
+/// A task with the worker that it is placed on.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct TaskAssignment {
+    /// The task.
+    pub task: TaskId,
+    /// Its worker.
+    pub worker: WorkerId,
+}
+
 impl UnitId {
     /// The unit of a single task.
     pub fn of_task(task: &TaskId) -> UnitId {
--- a/crates/scheduler/src/cluster_state.rs
+++ b/crates/scheduler/src/cluster_state.rs
@@ -7,7 +7,7 @@
 use crate::agents::{AgentSession, AgentTable};
 use crate::event::{Effects, PendingResponse, RequestId, SchedulerResponse};
 use crate::fair_share::FairShare;
-use crate::objective_report::{latency_stages, log_if_missed};
+use crate::objective_report::{latency_of_waits, log_if_missed};
 use crate::penalty_store::PenaltyStore;
 use crate::runs::{ActiveRun, RunProfile, RunTable};
 use crate::settings::SchedulerSettings;
@@ -18,8 +18,8 @@
 use streamusher_placement::{Decision, Placement, ReleaseReason, WorkerInfo};
 use streamusher_protocol::heartbeat::WorkerState;
 use streamusher_protocol::store::Write;
-use streamusher_protocol::task::{JobId, RunEnd, RunId, TaskId};
-use streamusher_protocol::unit::{Unit, UnitId, WorkerId};
+use streamusher_protocol::task::{JobId, RunEnd, RunId};
+use streamusher_protocol::unit::{TaskAssignment, Unit, UnitId, WorkerId};
 use streamusher_protocol::{Millis, Now};
 
 /// Keys of the replicated state that name the agent of a worker; the worker's identifier follows.
@@ -132,12 +132,8 @@
                 assignments,
                 waits,
             } => {
-                self.jobs.record_wait(now, &unit, &latency_stages(&waits));
-                let placed: Vec<(TaskId, WorkerId)> = assignments
-                    .into_iter()
-                    .map(|assignment| (assignment.task, assignment.worker))
-                    .collect();
-                self.start_unit(now, &unit, &placed);
+                self.jobs.record_wait(now, &unit, &latency_of_waits(&waits));
+                self.start_unit(now, &unit, &assignments);
             }
             Decision::Preempt { task, worker } => {
                 if let Some(run) = self.runs.find(&task, &worker) {
@@ -150,11 +146,11 @@
         }
     }
 
-    fn start_unit(&mut self, now: Now, id: &UnitId, placed: &[(TaskId, WorkerId)]) {
+    fn start_unit(&mut self, now: Now, id: &UnitId, assignments: &[TaskAssignment]) {
         let unit = self.pending_units.remove(id);
-        let started = self.jobs.start_unit(now, id, placed);
+        let started = self.jobs.start_unit(now, id, assignments);
         let Some(unit) = unit.filter(|_| !started.is_empty()) else {
-            return self.release_unstarted(now.steady_ms, id, placed);
+            return self.release_unstarted(now.steady_ms, id, assignments);
         };
         for started in started {
             self.start_run(now.steady_ms, &unit, started);
@@ -185,11 +181,11 @@
     }
 
     /// Releases the capacity of a unit that was placed and must not start.
-    fn release_unstarted(&mut self, now: Millis, id: &UnitId, placed: &[(TaskId, WorkerId)]) {
+    fn release_unstarted(&mut self, now: Millis, id: &UnitId, assignments: &[TaskAssignment]) {
         log::error!(
             "bug: unit {id:?} was placed without being pending: its allocation is released, please report this"
         );
-        for (task, worker) in placed {
+        for TaskAssignment { task, worker } in assignments {
             self.placement
                 .release(now, task, worker, ReleaseReason::Withdrawn);
         }
--- a/crates/scheduler/src/objective_report.rs
+++ b/crates/scheduler/src/objective_report.rs
@@ -1,8 +1,7 @@
 //! Log lines of jobs that missed their latency objective, and the stages by which they account for the time.
 
-use streamusher_jobs::{Completion, LatencyStage};
+use streamusher_jobs::{Completion, LatencyBreakdown, LatencyStage};
 use streamusher_placement::{TimeWaited, WaitReason};
-use streamusher_protocol::Millis;
 
 /// Precedes the JSON of a [`Completion`] in the log line of a job that failed or ended later than its queue's objective.
 /// Tools parse the line.
@@ -24,12 +23,13 @@
     }
 }
 
-/// The latency stages of what a unit waited for.
-pub(crate) fn latency_stages(waits: &[TimeWaited]) -> Vec<(LatencyStage, Millis)> {
-    waits
-        .iter()
-        .map(|wait| (latency_stage(wait.reason), wait.waited_ms))
-        .collect()
+/// The latency breakdown of what a unit waited for.
+pub(crate) fn latency_of_waits(waits: &[TimeWaited]) -> LatencyBreakdown {
+    let mut breakdown = LatencyBreakdown::default();
+    for wait in waits {
+        breakdown.add(latency_stage(wait.reason), wait.waited_ms);
+    }
+    breakdown
 }
 
 fn latency_stage(reason: WaitReason) -> LatencyStage {
