--- a/crates/controlplane/examples/cluster/client.rs
+++ b/crates/controlplane/examples/cluster/client.rs
@@ -11,12 +11,12 @@
 use streamusher_protocol::job::{JobState, JobStatus};
 use streamusher_runtime::http::{Client, Request, Response};
 
-const DEADLINE: Duration = Duration::from_secs(3);
-/// Before a call without a clear answer is made again.
-const RETRY: Duration = Duration::from_millis(200);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
+/// Pause before a request without a clear response is repeated.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// Calls the gates in turn, until one gives a clear answer.
-pub struct JobClient {
+/// Sends each request to the gates in turn, until one gives a clear response.
+pub(crate) struct JobClient {
     gates: Vec<Client>,
     next: usize,
     host: &'static str,
@@ -24,7 +24,7 @@
 }
 
 impl JobClient {
-    pub fn new(gates: &[SocketAddr], host: &'static str, prefix: &'static str) -> JobClient {
+    pub(crate) fn new(gates: &[SocketAddr], host: &'static str, prefix: &'static str) -> JobClient {
         let gates = gates.iter().map(|gate| Client::new(*gate)).collect();
         JobClient {
             gates,
@@ -34,88 +34,90 @@
         }
     }
 
-    /// Hands a job in; the same id is one job, so that it can be repeated after silence.
-    pub async fn submit(&mut self, id: &str, job: &Value) -> Result<()> {
-        let answer = self.call(Method::POST, id, &job.to_string()).await?;
-        match answer.status().is_success() {
-            true => Ok(()),
-            false => bail!(
-                "job {id}: {} {}",
-                answer.status(),
-                String::from_utf8_lossy(answer.body())
-            ),
+    /// Submits a job. The id makes it idempotent, so that it is repeated where there was no response.
+    pub(crate) async fn submit(&mut self, id: &str, job: &Value) -> Result<()> {
+        let response = self.request(Method::POST, id, &job.to_string()).await?;
+        if !response.status().is_success() {
+            let reason = String::from_utf8_lossy(response.body());
+            bail!("job {id}: {} {reason}", response.status());
         }
+        Ok(())
     }
 
-    pub async fn cancel(&mut self, id: &str) -> Result<()> {
-        let answer = self.call(Method::DELETE, id, "").await?;
-        match answer.status().is_success() {
-            true => Ok(()),
-            false => bail!("cancelling job {id}: {}", answer.status()),
+    pub(crate) async fn cancel(&mut self, id: &str) -> Result<()> {
+        let response = self.request(Method::DELETE, id, "").await?;
+        if !response.status().is_success() {
+            bail!("cancelling job {id}: {}", response.status());
         }
+        Ok(())
     }
 
-    pub async fn state(&mut self, id: &str) -> Result<JobState> {
-        let answer = self.call(Method::GET, id, "").await?;
-        if !answer.status().is_success() {
-            bail!("job {id}: {}", answer.status());
+    pub(crate) async fn state(&mut self, id: &str) -> Result<JobState> {
+        let response = self.request(Method::GET, id, "").await?;
+        if !response.status().is_success() {
+            bail!("job {id}: {}", response.status());
         }
-        Ok(serde_json::from_slice::<JobStatus>(answer.body())?.state)
+        Ok(serde_json::from_slice::<JobStatus>(response.body())?.state)
     }
 
-    async fn call(&mut self, method: Method, id: &str, body: &str) -> Result<Response> {
+    async fn request(&mut self, method: Method, id: &str, body: &str) -> Result<Response> {
         loop {
             let gate = self.gates[self.next % self.gates.len()].clone();
             self.next += 1;
-            let call = http::Request::builder()
+            let request = http::Request::builder()
                 .method(method.clone())
                 .uri(format!("{}{id}", self.prefix))
                 .header(HOST, self.host)
                 .header(CONTENT_TYPE, "application/json")
                 .body(Bytes::copy_from_slice(body.as_bytes()))?;
-            match gate.send(call, DEADLINE).await {
-                Ok(answer) if !answer.status().is_server_error() => return Ok(answer),
-                _ => tokio::time::sleep(RETRY).await,
+            match gate.send(request, REQUEST_TIMEOUT).await {
+                Ok(response) if !response.status().is_server_error() => return Ok(response),
+                _ => tokio::time::sleep(RETRY_PAUSE).await,
             }
         }
     }
 }
 
-/// Gives the first configuration, at any core machine; the answer names the primary where that is another one.
-pub async fn configure(machines: &[SocketAddr], configuration: &Value) -> Result<()> {
+/// Sends the first configuration to any control machine; one that is not the primary redirects to it.
+pub(crate) async fn configure(machines: &[SocketAddr], configuration: &Value) -> Result<()> {
     let mut turn = machines.iter().copied().cycle();
     let mut target = turn.next();
     while let Some(address) = target {
-        let answer = Client::new(address)
-            .send(replace(configuration)?, DEADLINE)
+        let response = Client::new(address)
+            .send(replace_request(configuration)?, REQUEST_TIMEOUT)
             .await;
-        target = match answer {
-            Ok(answer) if answer.status() == StatusCode::OK => return Ok(()),
-            Ok(answer) if answer.status() == StatusCode::TEMPORARY_REDIRECT => named(&answer),
-            Ok(answer) if answer.status().is_client_error() => {
+        target = match response {
+            Ok(response) if response.status() == StatusCode::OK => return Ok(()),
+            Ok(response) if response.status() == StatusCode::TEMPORARY_REDIRECT => {
+                redirect_target(&response)
+            }
+            Ok(response) if response.status().is_client_error() => {
                 bail!(
                     "the configuration is refused: {}",
-                    String::from_utf8_lossy(answer.body())
+                    String::from_utf8_lossy(response.body())
                 )
             }
             _ => {
-                tokio::time::sleep(RETRY).await;
+                tokio::time::sleep(RETRY_PAUSE).await;
                 turn.next()
             }
         };
     }
-    bail!("no core machine to call")
+    bail!("no control machine to send it to")
 }
 
-fn replace(configuration: &Value) -> Result<Request> {
+fn replace_request(configuration: &Value) -> Result<Request> {
     let body = Bytes::from(configuration.to_string());
-    let call = http::Request::post(REPLACE_PATH).header(CONTENT_TYPE, "application/json");
-    Ok(call.header(BASE_VERSION_HEADER, "0").body(body)?)
+    let request = http::Request::post(REPLACE_PATH)
+        .header(CONTENT_TYPE, "application/json")
+        .header(BASE_VERSION_HEADER, "0")
+        .body(body)?;
+    Ok(request)
 }
 
 /// The address in `Location: http://ADDRESS/path`.
-fn named(answer: &Response) -> Option<SocketAddr> {
-    let location = answer.headers().get(LOCATION)?.to_str().ok()?;
+fn redirect_target(response: &Response) -> Option<SocketAddr> {
+    let location = response.headers().get(LOCATION)?.to_str().ok()?;
     location
         .strip_prefix("http://")?
         .split('/')
--- a/crates/controlplane/examples/cluster/machines.rs
+++ b/crates/controlplane/examples/cluster/machines.rs
@@ -6,67 +6,67 @@
 use std::path::PathBuf;
 use std::process::{Child, Command};
 
-/// Core machines, the least that can lose one.
-const CORE: u8 = 3;
-/// Front machines.
-const FRONT: u8 = 2;
-/// Side machines, with a worker each.
-const SIDE: u8 = 3;
+/// Control machines, the least that can lose one.
+const CONTROL_MACHINES: u8 = 3;
+/// Machines with a gate.
+const GATES: u8 = 2;
+/// Machines with an agent and a worker.
+const AGENTS: u8 = 3;
 
 const CONTROL_PORT: u16 = 8_144;
 const FRONT_PORT: u16 = 8_149;
 const READY_PORT: u16 = 8_141;
 const INTERNAL_PORT: u16 = 7_300;
 
-/// What a process is.
+/// What a process does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub(crate) enum Role {
     Control,
     Gate,
     Agent,
 }
 
-impl Part {
-    pub fn from_argument(argument: &str) -> Option<Part> {
-        [Part::Control, Part::Gate, Part::Agent]
+impl Role {
+    pub(crate) fn from_argument(argument: &str) -> Option<Role> {
+        [Role::Control, Role::Gate, Role::Agent]
             .into_iter()
-            .find(|part| part.argument() == argument)
+            .find(|role| role.argument() == argument)
     }
 
     fn argument(self) -> &'static str {
         match self {
-            Part::Control => "--part=control",
-            Part::Gate => "--part=gate",
-            Part::Agent => "--part=agent",
+            Role::Control => "--role=control",
+            Role::Gate => "--role=gate",
+            Role::Agent => "--role=agent",
         }
     }
 
-    /// The last number of the part's first address.
+    /// The last number of the role's first address.
     fn first_host(self) -> u8 {
         match self {
-            Part::Control => 1,
-            Part::Gate => 11,
-            Part::Agent => 21,
+            Role::Control => 1,
+            Role::Gate => 11,
+            Role::Agent => 21,
         }
     }
 }
 
 struct Machine {
     name: String,
-    part: Part,
+    role: Role,
     address: Ipv4Addr,
     process: Child,
 }
 
 /// All machines; the processes are killed and the folder removed with the value.
-pub struct Machines {
+pub(crate) struct Machines {
     folder: PathBuf,
     machines: Vec<Machine>,
 }
 
 impl Machines {
     /// Starts all processes, on empty disks.
-    pub fn start() -> Result<Machines> {
+    pub(crate) fn start() -> Result<Machines> {
         let folder =
             std::env::temp_dir().join(format!("streamusher-cluster-{}", std::process::id()));
         fs::create_dir_all(&folder).with_context(|| format!("{}", folder.display()))?;
@@ -74,27 +74,27 @@
             folder,
             machines: Vec::new(),
         };
-        for (part, count) in [
-            (Part::Control, CORE),
-            (Part::Gate, FRONT),
-            (Part::Agent, SIDE),
+        for (role, count) in [
+            (Role::Control, CONTROL_MACHINES),
+            (Role::Gate, GATES),
+            (Role::Agent, AGENTS),
         ] {
             for number in 0..count {
-                machines.start_one(part, number)?;
+                machines.start_one(role, number)?;
             }
         }
         Ok(machines)
     }
 
-    fn start_one(&mut self, part: Part, number: u8) -> Result<()> {
-        let kind = format!("{part:?}").to_lowercase();
+    fn start_one(&mut self, role: Role, number: u8) -> Result<()> {
+        let kind = format!("{role:?}").to_lowercase();
         let name = format!("{kind}-{}", number + 1);
-        let address = host(part.first_host() + number);
+        let address = loopback_address(role.first_host() + number);
         let settings = self.folder.join(format!("{name}.toml"));
-        fs::write(&settings, self.settings(part, &name, address))?;
+        fs::write(&settings, self.settings(role, &name, address))?;
         let mut command = Command::new(std::env::current_exe()?);
         command
-            .arg(part.argument())
+            .arg(role.argument())
             .env("STREAMUSHER_SETTINGS", settings);
         if std::env::var_os("STREAMUSHER_LOG").is_none() {
             command.env("STREAMUSHER_LOG", "error");
@@ -104,19 +104,19 @@
             .with_context(|| format!("starting {name}"))?;
         self.machines.push(Machine {
             name,
-            part,
+            role,
             address,
             process,
         });
         Ok(())
     }
 
-    fn settings(&self, part: Part, name: &str, address: Ipv4Addr) -> String {
-        let seeds: Vec<String> = (0..CORE)
+    fn settings(&self, role: Role, name: &str, address: Ipv4Addr) -> String {
+        let seeds: Vec<String> = (0..CONTROL_MACHINES)
             .map(|seed| {
                 format!(
                     "\"{}:{CONTROL_PORT}\"",
-                    host(Part::Control.first_host() + seed)
+                    loopback_address(Role::Control.first_host() + seed)
                 )
             })
             .collect();
@@ -126,53 +126,53 @@
              seeds = [{}]\nzone = \"loopback\"\nheartbeat_ms = 500\ncommands = \"heartbeat\"\n",
             seeds.join(", ")
         );
-        let own = match part {
-            Part::Control => {
+        let own = match role {
+            Role::Control => {
                 let disk = self.folder.join(format!("{name}.disk"));
-                format!("bootstrap = true\nserves = [\"control\"]\ndata_dir = {disk:?}\nlisten.control = \"{address}:{CONTROL_PORT}\"\n")
+                format!("bootstrap = true\nserves = [\"control\"]\ndata_dir = \"{}\"\nlisten.control = \"{address}:{CONTROL_PORT}\"\n", disk.display())
             }
-            Part::Gate => format!(
+            Role::Gate => format!(
                 "serves = [\"front\"]\nlisten.front = \"{address}:{FRONT_PORT}\"\nlisten.ready = \"{address}:{READY_PORT}\"\n"
             ),
-            Part::Agent => format!("serves = [\"side\"]\nlisten.control = \"{address}:{CONTROL_PORT}\"\n"),
+            Role::Agent => format!("serves = [\"side\"]\nlisten.control = \"{address}:{CONTROL_PORT}\"\n"),
         };
         format!("{shared}{own}fault_tolerance.machines = 1\nbounds.hold_max_ms = 3000\nbounds.grace_s = 4\n")
     }
 
-    fn of(&self, part: Part) -> impl Iterator<Item = &Machine> {
+    fn with_role(&self, role: Role) -> impl Iterator<Item = &Machine> {
         self.machines
             .iter()
-            .filter(move |machine| machine.part == part)
+            .filter(move |machine| machine.role == role)
     }
 
-    fn addresses(&self, part: Part, port: u16) -> Vec<SocketAddr> {
-        self.of(part)
-            .map(|machine| SocketAddr::from((machine.address, port)))
+    fn addresses(&self, role: Role, listen_port: u16) -> Vec<SocketAddr> {
+        self.with_role(role)
+            .map(|machine| SocketAddr::from((machine.address, listen_port)))
             .collect()
     }
 
-    /// Internal addresses of the core machines that run.
-    pub fn core(&self) -> Vec<SocketAddr> {
-        self.addresses(Part::Control, INTERNAL_PORT)
+    /// Internal addresses of the control machines that run.
+    pub(crate) fn control_internal(&self) -> Vec<SocketAddr> {
+        self.addresses(Role::Control, INTERNAL_PORT)
     }
 
-    /// Where operators call.
-    pub fn operators(&self) -> Vec<SocketAddr> {
-        self.addresses(Part::Control, CONTROL_PORT)
+    /// Addresses for operators.
+    pub(crate) fn control_addresses(&self) -> Vec<SocketAddr> {
+        self.addresses(Role::Control, CONTROL_PORT)
     }
 
-    /// Where clients call.
-    pub fn gates(&self) -> Vec<SocketAddr> {
-        self.addresses(Part::Gate, FRONT_PORT)
+    /// Addresses for clients.
+    pub(crate) fn gates(&self) -> Vec<SocketAddr> {
+        self.addresses(Role::Gate, FRONT_PORT)
     }
 
-    /// Where the workers call, each its own agent.
-    pub fn agents(&self) -> Vec<SocketAddr> {
-        self.addresses(Part::Agent, CONTROL_PORT)
+    /// Addresses for workers, of an agent each.
+    pub(crate) fn agents(&self) -> Vec<SocketAddr> {
+        self.addresses(Role::Agent, CONTROL_PORT)
     }
 
-    /// Kills the process of a core machine and takes it off the list.
-    pub fn kill(&mut self, internal: SocketAddr) -> Result<String> {
+    /// Kills the process of a control machine and removes it from the list.
+    pub(crate) fn kill(&mut self, internal: SocketAddr) -> Result<String> {
         let found = self
             .machines
             .iter()
@@ -186,22 +186,23 @@
         Ok(machine.name)
     }
 
-    /// Ends all processes with SIGTERM and waits for them: gates and agents, and then the core one after the other, so that
-    /// the primary hands over while another machine is there.
+    /// Ends all processes with SIGTERM and waits for them: gates and agents, and then the control machines one after the
+    /// other, so that the primary can transfer the leadership.
     ///
     /// # Errors
     /// One of them did not end with 0.
-    pub fn stop(&mut self) -> Result<()> {
-        self.end(|machine| machine.part != Part::Control)?;
-        let core: Vec<Ipv4Addr> = self
-            .of(Part::Control)
+    pub(crate) fn stop(&mut self) -> Result<()> {
+        self.terminate(|machine| machine.role != Role::Control)?;
+        let control_machines: Vec<Ipv4Addr> = self
+            .with_role(Role::Control)
             .map(|machine| machine.address)
             .collect();
-        core.into_iter()
-            .try_for_each(|address| self.end(|machine| machine.address == address))
+        control_machines
+            .into_iter()
+            .try_for_each(|address| self.terminate(|machine| machine.address == address))
     }
 
-    fn end(&mut self, chosen: impl Fn(&Machine) -> bool) -> Result<()> {
+    fn terminate(&mut self, chosen: impl Fn(&Machine) -> bool) -> Result<()> {
         let mut chosen: Vec<&mut Machine> = self
             .machines
             .iter_mut()
@@ -227,7 +228,7 @@
 impl Drop for Machines {
     fn drop(&mut self) {
         for machine in &mut self.machines {
-            // Those that have ended can't be killed.
+            // Those that have ended cannot be killed.
             let _ = machine.process.kill();
             let _ = machine.process.wait();
         }
@@ -236,7 +237,9 @@
 }
 
 /// An address that only this run of the example uses.
-fn host(last: u8) -> Ipv4Addr {
+fn loopback_address(host: u8) -> Ipv4Addr {
     let id = std::process::id();
-    Ipv4Addr::new(127, 100 + (id % 80) as u8, (id / 80 % 250) as u8, last)
+    let [_, _, _, second] = (100 + id % 80).to_be_bytes();
+    let [_, _, _, third] = (id / 80 % 250).to_be_bytes();
+    Ipv4Addr::new(127, second, third, host)
 }
--- a/crates/controlplane/examples/cluster/main.rs
+++ b/crates/controlplane/examples/cluster/main.rs
@@ -1,6 +1,6 @@
-//! The whole system on loopback, for a look at it: three core machines, two gates and three agents as processes of their
-//! own, with stand-in workers. A first configuration is given, jobs are handed in, one is cancelled, the primary is killed
-//! while tasks run, and every change is printed. It ends by itself, with 0 where all went as it should.
+//! The whole system on loopback, for a look at it: three control machines, two gates and three agents as processes of their
+//! own, with simulated workers. It applies a first configuration, submits jobs, cancels one, kills the primary while tasks
+//! run, and prints every change. It ends by itself, with exit code 0 where all went as expected.
 //!
 //!     cargo run --profile system -p streamusher-controlplane --example cluster
 //!
@@ -9,27 +9,27 @@
 
 mod client;
 mod machines;
-mod story;
+mod scenario;
 mod worker;
 
 use anyhow::{bail, Result};
-use machines::Part;
+use machines::Role;
 use std::process::ExitCode;
 use std::time::Duration;
 use streamusher_dataplane::{agent_process, gate, process};
 use streamusher_runtime::{clock, logs, runtime, settings};
 
-/// The story takes some ten seconds; a busy machine may need longer.
-const LONGEST: Duration = Duration::from_secs(90);
+/// The scenario takes some ten seconds; a busy machine may need longer.
+const MAX_DURATION: Duration = Duration::from_secs(90);
 
 fn main() -> ExitCode {
     clock::steady();
     let argument = std::env::args().nth(1);
-    let ended = match argument.as_deref().map(Part::from_argument) {
-        None => runtime::block_on(bounded_story())
+    let ended = match argument.as_deref().map(Role::from_argument) {
+        None => runtime::block_on(run_scenario())
             .map_err(anyhow::Error::from)
             .flatten(),
-        Some(Some(part)) => run_part(part),
+        Some(Some(role)) => run_process(role),
         Some(None) => Err(anyhow::anyhow!("the example takes no arguments")),
     };
     match ended {
@@ -42,19 +42,19 @@
 }
 
 /// One machine's process: the example starts itself for each.
-fn run_part(part: Part) -> Result<()> {
+fn run_process(role: Role) -> Result<()> {
     logs::start(None);
     let settings = settings::load()?;
-    match part {
-        Part::Control => Ok(streamusher_controlplane::process::run(&settings, None)?),
-        Part::Gate => process::run(gate::run(settings)),
-        Part::Agent => process::run(agent_process::run(settings)),
+    match role {
+        Role::Control => Ok(streamusher_controlplane::process::run(&settings, None)?),
+        Role::Gate => process::run(gate::run(settings)),
+        Role::Agent => process::run(agent_process::run(settings)),
     }
 }
 
-async fn bounded_story() -> Result<()> {
-    match tokio::time::timeout(LONGEST, story::tell()).await {
+async fn run_scenario() -> Result<()> {
+    match tokio::time::timeout(MAX_DURATION, scenario::run()).await {
         Ok(ended) => ended,
-        Err(_) => bail!("the story took longer than {} s", LONGEST.as_secs()),
+        Err(_) => bail!("the scenario took longer than {} s", MAX_DURATION.as_secs()),
     }
 }
--- a/crates/controlplane/examples/cluster/worker.rs
+++ b/crates/controlplane/examples/cluster/worker.rs
@@ -1,5 +1,5 @@
-//! A stand-in for an application's worker: it sends heartbeats to its agent, and "works" by waiting. A task's spec is the
-//! time that it takes, in milliseconds.
+//! A simulated worker: it sends heartbeats to its agent, and "works" by waiting. A task's spec is the time that it takes, in
+//! milliseconds.
 
 use bytes::Bytes;
 use http::header::CONTENT_TYPE;
@@ -18,84 +18,84 @@
 use streamusher_runtime::clock;
 use streamusher_runtime::http::{parse_json, Client};
 
-/// An answer that takes longer is not used.
-const ANSWER_DEADLINE: Duration = Duration::from_secs(1);
-/// Between two heartbeats, where the agent does not say.
-const PAUSE_MS: Millis = 200;
-/// Between an end and the heartbeat that tells of it.
-const AFTER_AN_END_MS: Millis = 50;
-/// How much longer a draining worker is there.
-const LEAVES_IN_MS: Millis = 20_000;
-/// What a task takes whose spec is no number.
+/// A response that takes longer is not used.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Interval of heartbeats, where the agent gives none.
+const HEARTBEAT_INTERVAL_MS: Millis = 200;
+/// Delay between the end of a run and the heartbeat that reports it.
+const REPORT_DELAY_MS: Millis = 50;
+/// How long a draining worker stays.
+const DRAIN_MS: Millis = 20_000;
+/// Duration of a task whose spec is no number.
 const DEFAULT_WORK_MS: Millis = 500;
 
-struct Work {
-    began_at: Millis,
-    takes_ms: Millis,
+struct Run {
+    started_at: Millis,
+    duration_ms: Millis,
 }
 
 /// The worker.
-pub struct StandIn {
+pub(crate) struct SimulatedWorker {
     id: String,
     service: Arc<str>,
     agent: Client,
     drains: Rc<Cell<bool>>,
     sequence: u64,
     fence_token: u64,
-    hold_until: Millis,
-    running: BTreeMap<(TaskId, u32), Work>,
+    lease_until: Millis,
+    running: BTreeMap<(TaskId, u32), Run>,
     finished: Vec<FinishedRun>,
-    ends: u64,
+    finished_count: u64,
 }
 
-impl StandIn {
-    pub fn new(number: usize, service: &str, agent: SocketAddr) -> StandIn {
-        StandIn {
-            id: format!("worker-{}", number + 1),
+impl SimulatedWorker {
+    pub(crate) fn new(index: usize, service: &str, agent: SocketAddr) -> SimulatedWorker {
+        SimulatedWorker {
+            id: format!("worker-{}", index + 1),
             service: service.into(),
             agent: Client::new(agent),
             drains: Rc::default(),
             sequence: 0,
             fence_token: 0,
-            hold_until: 0,
+            lease_until: 0,
             running: BTreeMap::new(),
             finished: Vec::new(),
-            ends: 0,
+            finished_count: 0,
         }
     }
 
     /// Set to true, it makes the worker drain.
-    pub fn drains(&self) -> Rc<Cell<bool>> {
+    pub(crate) fn drain_switch(&self) -> Rc<Cell<bool>> {
         self.drains.clone()
     }
 
-    /// Works until the task is dropped.
-    pub async fn run(mut self) {
+    /// Runs until the task is dropped.
+    pub(crate) async fn run(mut self) {
         loop {
             let sent_at = clock::steady();
-            self.end_what_is_over(sent_at);
-            let answer = self.heartbeat(sent_at).await;
-            let mut pause = PAUSE_MS;
-            if let Some(answer) = answer {
-                pause = answer.retry_after_ms.unwrap_or(PAUSE_MS);
-                self.obey(sent_at, answer);
+            self.finish_due_runs(sent_at);
+            let response = self.heartbeat(sent_at).await;
+            let mut pause = HEARTBEAT_INTERVAL_MS;
+            if let Some(response) = response {
+                pause = response.retry_after_ms.unwrap_or(HEARTBEAT_INTERVAL_MS);
+                self.apply(sent_at, response);
             }
             tokio::time::sleep(Duration::from_millis(self.pause(pause))).await;
         }
     }
 
-    fn end_what_is_over(&mut self, now: Millis) {
-        let lapsed = now >= self.hold_until;
-        let over = |work: &Work| now >= work.began_at + work.takes_ms;
+    fn finish_due_runs(&mut self, now: Millis) {
+        let lease_expired = now >= self.lease_until;
+        let is_due = |run_state: &Run| now >= run_state.started_at + run_state.duration_ms;
         let ended: Vec<(TaskId, u32, RunEnd)> = self
             .running
             .iter()
-            .filter(|(_, work)| lapsed || over(work))
-            .map(|((task, run), work)| {
+            .filter(|(_, run_state)| lease_expired || is_due(run_state))
+            .map(|((task, run), run_state)| {
                 (
                     task.clone(),
                     *run,
-                    if over(work) {
+                    if is_due(run_state) {
                         RunEnd::Done
                     } else {
                         RunEnd::LeaseExpired
@@ -110,9 +110,9 @@
 
     fn end(&mut self, task: TaskId, run: u32, how: RunEnd) {
         self.running.remove(&(task.clone(), run));
-        self.ends += 1;
+        self.finished_count += 1;
         self.finished.push(FinishedRun {
-            number: self.ends,
+            number: self.finished_count,
             task,
             run,
             end: how,
@@ -138,60 +138,60 @@
             } else {
                 WorkerState::Ready
             },
-            remaining_ms: drains.then_some(LEAVES_IN_MS),
+            remaining_ms: drains.then_some(DRAIN_MS),
             sequence: self.sequence,
             running: self
                 .running
                 .iter()
-                .map(|(key, work)| listed(now, key, work))
+                .map(|(key, run_state)| running_task(now, key, run_state))
                 .collect(),
             finished: self.finished.clone(),
             ..Heartbeat::default()
         };
         let body = Bytes::from(serde_json::to_vec(&heartbeat).ok()?);
         let path = format!("{HEARTBEAT_PATH}{}", self.id);
-        let call = http::Request::post(path)
+        let request = http::Request::post(path)
             .header(CONTENT_TYPE, "application/json")
             .body(body)
             .ok()?;
-        let answer = self.agent.send(call, ANSWER_DEADLINE).await.ok()?;
-        answer
+        let response = self.agent.send(request, RESPONSE_TIMEOUT).await.ok()?;
+        response
             .status()
             .is_success()
-            .then(|| parse_json(answer.body()).ok())?
+            .then(|| parse_json(response.body()).ok())?
     }
 
-    fn obey(&mut self, sent_at: Millis, answer: HeartbeatResponse) {
-        if answer.fence_token < self.fence_token {
+    fn apply(&mut self, sent_at: Millis, response: HeartbeatResponse) {
+        if response.fence_token < self.fence_token {
             return;
         }
-        self.fence_token = answer.fence_token;
-        let last_seen = answer.last_seen.unwrap_or(0);
+        self.fence_token = response.fence_token;
+        let last_seen = response.last_seen.unwrap_or(0);
         self.finished.retain(|end| end.number > last_seen);
-        let Some(hold_ms) = answer.hold_ms else {
+        let Some(hold_ms) = response.hold_ms else {
             return;
         };
-        self.hold_until = self.hold_until.max(sent_at + hold_ms);
-        for stop in answer.stop {
+        self.lease_until = self.lease_until.max(sent_at + hold_ms);
+        for stop in response.stop {
             if self.running.contains_key(&(stop.task.clone(), stop.run)) {
                 self.end(stop.task, stop.run, RunEnd::Stopped);
             }
         }
         for StartCommand {
             task, run, spec, ..
-        } in answer.start
+        } in response.start
         {
             let is_over = self
                 .finished
                 .iter()
                 .any(|end| end.task == task && end.run == run);
             if !is_over {
-                let takes_ms = spec.parse().unwrap_or(DEFAULT_WORK_MS);
-                let work = Work {
-                    began_at: clock::steady(),
-                    takes_ms,
+                let duration_ms = spec.parse().unwrap_or(DEFAULT_WORK_MS);
+                let run_state = Run {
+                    started_at: clock::steady(),
+                    duration_ms,
                 };
-                self.running.entry((task, run)).or_insert(work);
+                self.running.entry((task, run)).or_insert(run_state);
             }
         }
     }
@@ -202,14 +202,14 @@
         let ends = self
             .running
             .values()
-            .map(|work| work.began_at + work.takes_ms + AFTER_AN_END_MS);
+            .map(|run_state| run_state.started_at + run_state.duration_ms + REPORT_DELAY_MS);
         let next = ends.min().map_or(wanted, |at| at.saturating_sub(now));
         next.min(wanted)
     }
 }
 
-fn listed(now: Millis, key: &(TaskId, u32), work: &Work) -> RunningTask {
-    let share = (now - work.began_at) as f64 / work.takes_ms.max(1) as f64;
+fn running_task(now: Millis, key: &(TaskId, u32), run_state: &Run) -> RunningTask {
+    let share = (now - run_state.started_at) as f64 / run_state.duration_ms.max(1) as f64;
     RunningTask {
         task: key.0.clone(),
         run: key.1,
