--- a/crates/controlplane/src/driver/in_flight.rs
+++ b/crates/controlplane/src/driver/in_flight.rs
@@ -23,7 +23,7 @@
 
 /// A response of the scheduler that may leave when the batch `sequence` is committed.
 #[derive(Debug)]
-pub(super) struct PendingResponse {
+pub(super) struct UncommittedResponse {
     pub(super) request: RequestId,
     pub(super) response: SchedulerResponse,
     /// The newest batch at the time of the response.
@@ -54,7 +54,7 @@
 #[derive(Debug, Default)]
 pub(super) struct InFlightRequests {
     requests: BTreeMap<RequestId, InFlightRequest>,
-    responses: VecDeque<PendingResponse>,
+    responses: VecDeque<UncommittedResponse>,
 }
 
 impl InFlightRequests {
@@ -83,19 +83,20 @@
     }
 
     /// Adds a response; one to a request that is not in flight is dropped.
-    pub(super) fn add_response(&mut self, pending: PendingResponse) {
-        let Some(in_flight) = self.requests.get_mut(&pending.request) else {
+    pub(super) fn add_response(&mut self, uncommitted: UncommittedResponse) {
+        let Some(in_flight) = self.requests.get_mut(&uncommitted.request) else {
             return;
         };
         if in_flight.effect != RequestEffect::ReadOnly {
-            let is_without_effect = !pending.has_own_writes && is_rejection(&pending.response);
+            let is_without_effect =
+                !uncommitted.has_own_writes && is_rejection(&uncommitted.response);
             in_flight.effect = if is_without_effect {
                 RequestEffect::Rejected
             } else {
                 RequestEffect::Mutating
             };
         }
-        self.responses.push_back(pending);
+        self.responses.push_back(uncommitted);
     }
 
     /// Whether a response waits for its commit.
@@ -106,14 +107,14 @@
     /// Takes out the next response whose batch is committed, with its request.
     pub(super) fn pop_committed(&mut self, committed: u64) -> Option<CommittedResponse> {
         loop {
-            let pending = self
+            let uncommitted = self
                 .responses
-                .pop_front_if(|pending| pending.sequence <= committed)?;
+                .pop_front_if(|uncommitted| uncommitted.sequence <= committed)?;
             // A caller that has disconnected needs no response.
-            if let Some(in_flight) = self.requests.remove(&pending.request) {
+            if let Some(in_flight) = self.requests.remove(&uncommitted.request) {
                 return Some(CommittedResponse {
-                    request: pending.request,
-                    response: pending.response,
+                    request: uncommitted.request,
+                    response: uncommitted.response,
                     agent_epoch: in_flight.agent_epoch,
                 });
             }
--- a/crates/controlplane/src/driver/mod.rs
+++ b/crates/controlplane/src/driver/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::deferred::DeferredRequests;
 use crate::pending_configurations::PendingConfigurations;
-use in_flight::{CommittedResponse, InFlightRequests, PendingResponse, RequestEffect};
+use in_flight::{CommittedResponse, InFlightRequests, RequestEffect, UncommittedResponse};
 use streamusher_configuration::PublishedConfiguration;
 use streamusher_coordination::{Coordinator, Input, Output};
 use streamusher_protocol::internal::CoreAddress;
@@ -207,20 +207,14 @@
         }
     }
 
-    fn execute(&mut self, now: Now, request: RequestId, body: ControlRequest) {
-        self.in_flight.insert(request, &body);
-        let event = match body {
-            ControlRequest::Client(call) => Event::ClientRequest {
-                id: request,
-                request: call,
-            },
-            ControlRequest::Agent(sync) => Event::AgentSync { id: request, sync },
-            ControlRequest::Operator(order) => Event::OperatorRequest {
-                id: request,
-                request: order,
-            },
+    fn execute(&mut self, now: Now, id: RequestId, request: ControlRequest) {
+        self.in_flight.insert(id, &request);
+        let event = match request {
+            ControlRequest::Client(request) => Event::ClientRequest { id, request },
+            ControlRequest::Agent(sync) => Event::AgentSync { id, sync },
+            ControlRequest::Operator(request) => Event::OperatorRequest { id, request },
         };
-        self.run_event(now, event, Some(request));
+        self.run_event(now, event, Some(id));
     }
 
     /// Lets the scheduler handle an event; `cause` is the request that it stems from.
@@ -237,7 +231,7 @@
         self.observe_configuration();
         let sequence = self.replication.last_appended();
         for pending in responses {
-            self.in_flight.add_response(PendingResponse {
+            self.in_flight.add_response(UncommittedResponse {
                 request: pending.request,
                 response: pending.response,
                 sequence,
--- a/crates/controlplane/tests/loopback.rs
+++ b/crates/controlplane/tests/cluster.rs
@@ -1,5 +1,11 @@
 //! Three control processes over loopback: a primary, operators, jobs, hand-over, restart.
 
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
+
 mod support;
 
 use http::header::LOCATION;
@@ -11,7 +17,7 @@
     EXPLAIN_PATH,
 };
 use streamusher_runtime::http::Response;
-use support::cluster::{is_ok, story, text_of, Cluster};
+use support::cluster::{body_text, is_ok, run_bounded, Cluster};
 
 const JOB: &str = "/queue/5c0e7a21d94b36f8";
 
@@ -22,7 +28,7 @@
             "timeout_ms": 3000, "target_latency_ms": 800, "priority": 0, "service": "s", "max_attempts": 2,
             "stretch": 2.0}],
         "services": [{"name": "s", "health_path": "/health", "guards": false}],
-        "limits": {"max_header_bytes": 16384, "max_body_bytes": 262144, "header_timeout_ms": 3000,
+        "limits": {"max_header_bytes": 16_384, "max_body_bytes": 262_144, "header_timeout_ms": 3000,
             "idle_timeout_ms": 15000},
     })
     .to_string()
@@ -39,7 +45,7 @@
     )
 }
 
-fn sync(sequence: u64, running: Value, finished: Value) -> Value {
+fn sync(sequence: u64, running: &Value, finished: &Value) -> Value {
     json!({
         "agent": "side-1", "boot": 7, "sequence": sequence, "epoch": 0, "revision": 0, "wait_ms": 100,
         "worker": {
@@ -67,20 +73,20 @@
     let mut cluster = Cluster::start().await;
     let primary = cluster.primary().await;
     let answer = cluster
-        .order(primary, REPLACE_PATH, Some("0"), &configuration(5))
+        .operator_request(primary, REPLACE_PATH, Some("0"), &configuration(5))
         .await;
-    assert_eq!(answer.status(), StatusCode::OK, "{}", text_of(&answer));
+    assert_eq!(answer.status(), StatusCode::OK, "{}", body_text(&answer));
     (cluster, primary)
 }
 
 #[test]
-fn given_three_empty_machines_when_started_then_one_takes_orders_and_the_others_name_it() {
-    story(async {
+fn one_of_three_empty_machines_becomes_primary_and_the_others_redirect_to_it() {
+    run_bounded(async {
         let (mut cluster, primary) = configured().await;
         let control = cluster.control(primary);
         for machine in (0..3).filter(|machine| *machine != primary) {
             let answer = cluster
-                .order(machine, REPLACE_PATH, Some("0"), &configuration(5))
+                .operator_request(machine, REPLACE_PATH, Some("0"), &configuration(5))
                 .await;
 
             assert_eq!(answer.status(), StatusCode::TEMPORARY_REDIRECT);
@@ -96,20 +102,20 @@
 }
 
 #[test]
-fn given_an_order_taken_when_it_is_repeated_then_it_is_acknowledged_again_and_others_lose() {
-    story(async {
+fn repeated_change_is_acknowledged_and_conflicting_one_is_rejected() {
+    run_bounded(async {
         let (mut cluster, primary) = configured().await;
 
         let again = cluster
-            .order(primary, REPLACE_PATH, Some("0"), &configuration(5))
+            .operator_request(primary, REPLACE_PATH, Some("0"), &configuration(5))
             .await;
         let other = cluster
-            .order(primary, REPLACE_PATH, Some("0"), &configuration(6))
+            .operator_request(primary, REPLACE_PATH, Some("0"), &configuration(6))
             .await;
         let update = cluster
-            .order(primary, UPDATE_PATH, Some("5"), r#"{"version":8}"#)
+            .operator_request(primary, UPDATE_PATH, Some("5"), r#"{"version":8}"#)
             .await;
-        let read = cluster.order(primary, READ_PATH, None, "").await;
+        let read = cluster.operator_request(primary, READ_PATH, None, "").await;
 
         assert_eq!(again.status(), StatusCode::OK);
         assert_eq!(other.status(), StatusCode::PRECONDITION_FAILED);
@@ -121,35 +127,37 @@
 }
 
 #[test]
-fn given_orders_that_are_malformed_then_each_is_refused_with_its_cause() {
-    story(async {
+fn malformed_operator_requests_are_rejected_with_their_cause() {
+    run_bounded(async {
         let (mut cluster, primary) = configured().await;
 
         let no_base = cluster
-            .order(primary, REPLACE_PATH, None, &configuration(9))
+            .operator_request(primary, REPLACE_PATH, None, &configuration(9))
             .await;
         let wrong_base = cluster
-            .order(primary, REPLACE_PATH, Some("five"), &configuration(9))
+            .operator_request(primary, REPLACE_PATH, Some("five"), &configuration(9))
             .await;
         let cut_short = cluster
-            .order(primary, REPLACE_PATH, Some("5"), "{\"version\":")
+            .operator_request(primary, REPLACE_PATH, Some("5"), "{\"version\":")
+            .await;
+        let wrong_method = cluster
+            .operator_request(primary, REPLACE_PATH, None, "")
             .await;
-        let wrong_method = cluster.order(primary, REPLACE_PATH, None, "").await;
         let unknown = cluster
-            .order(primary, "/streamusher/Config.Delete", None, "")
+            .operator_request(primary, "/streamusher/Config.Delete", None, "")
             .await;
         let heartbeat = cluster
-            .order(primary, "/streamusher/Instances.Heartbeat/i-1", None, "{}")
+            .operator_request(primary, "/streamusher/Instances.Heartbeat/i-1", None, "{}")
             .await;
 
         assert_eq!(no_base.status(), StatusCode::BAD_REQUEST);
-        assert!(text_of(&no_base).contains("streamusher-base-version"));
+        assert!(body_text(&no_base).contains("streamusher-base-version"));
         assert_eq!(wrong_base.status(), StatusCode::BAD_REQUEST);
         assert_eq!(cut_short.status(), StatusCode::BAD_REQUEST);
         assert_eq!(wrong_method.status(), StatusCode::METHOD_NOT_ALLOWED);
         assert_eq!(unknown.status(), StatusCode::NOT_FOUND);
         assert_eq!(heartbeat.status(), StatusCode::SERVICE_UNAVAILABLE);
-        let read = cluster.order(primary, READ_PATH, None, "").await;
+        let read = cluster.operator_request(primary, READ_PATH, None, "").await;
         assert_eq!(
             serde_json::from_slice::<Value>(read.body()).unwrap()["version"],
             5
@@ -158,14 +166,14 @@
 }
 
 #[test]
-fn given_a_machine_that_is_not_primary_when_gates_or_agents_call_then_they_are_sent_on() {
-    story(async {
+fn replica_names_the_primary_to_gates_and_agents() {
+    run_bounded(async {
         let (mut cluster, primary) = configured().await;
         let other = (primary + 1) % 3;
 
         let client = cluster.post(other, CLIENT_REQUEST_PATH, &submit()).await;
         let agent = cluster
-            .post(other, AGENT_SYNC_PATH, &sync(1, json!([]), json!([])))
+            .post(other, AGENT_SYNC_PATH, &sync(1, &json!([]), &json!([])))
             .await;
         let malformed = cluster
             .post(primary, AGENT_SYNC_PATH, &json!({"agent": 7}))
@@ -179,31 +187,35 @@
         }
         assert_eq!(malformed.status(), StatusCode::BAD_REQUEST);
         assert!(
-            text_of(&malformed).contains("agent"),
+            body_text(&malformed).contains("agent"),
             "{}",
-            text_of(&malformed)
+            body_text(&malformed)
         );
     });
 }
 
 #[test]
-fn given_a_job_when_a_worker_runs_it_then_it_succeeds_and_outlives_hand_over_and_restart() {
-    story(async {
+fn finished_job_survives_leadership_transfer_and_restart() {
+    run_bounded(async {
         let (mut cluster, primary) = configured().await;
         let accepted = cluster.post(primary, CLIENT_REQUEST_PATH, &submit()).await;
-        assert_eq!(client_status(&accepted), 200, "{}", text_of(&accepted));
+        assert_eq!(client_status(&accepted), 200, "{}", body_text(&accepted));
 
         let ordered = cluster
-            .post_until(AGENT_SYNC_PATH, &sync(1, json!([]), json!([])), |answer| {
-                serde_json::from_slice::<AgentCommands>(answer.body())
-                    .is_ok_and(|orders| !orders.start.is_empty())
-            })
+            .post_until(
+                AGENT_SYNC_PATH,
+                &sync(1, &json!([]), &json!([])),
+                |answer| {
+                    serde_json::from_slice::<AgentCommands>(answer.body())
+                        .is_ok_and(|orders| !orders.start.is_empty())
+                },
+            )
             .await;
         let orders: AgentCommands = serde_json::from_slice(ordered.body()).unwrap();
         let start = &orders.start[0];
         let ended = json!([[1, start.task, start.run, "done", ""]]);
         cluster
-            .post(primary, AGENT_SYNC_PATH, &sync(2, json!([]), ended))
+            .post(primary, AGENT_SYNC_PATH, &sync(2, &json!([]), &ended))
             .await;
         let get = client_call("GET", "");
         let succeeded = |answer: &Response| is_ok(answer) && state_in(answer) == "succeeded";
@@ -225,7 +237,7 @@
             .post_until(CLIENT_REQUEST_PATH, &get, succeeded)
             .await;
         let primary = cluster.primary().await;
-        let read = cluster.order(primary, READ_PATH, None, "").await;
+        let read = cluster.operator_request(primary, READ_PATH, None, "").await;
         assert_eq!(
             serde_json::from_slice::<Value>(read.body()).unwrap()["version"],
             5
@@ -234,9 +246,8 @@
 }
 
 #[test]
-fn given_a_watch_at_another_machine_when_the_primary_hands_over_then_it_is_answered_with_the_next()
-{
-    story(async {
+fn watch_at_a_replica_returns_the_next_epoch_after_leadership_transfer() {
+    run_bounded(async {
         let (mut cluster, primary) = configured().await;
         let other = (0..3).find(|machine| *machine != primary).unwrap();
         let known = cluster.view(other).await;
@@ -256,8 +267,8 @@
 }
 
 #[test]
-fn given_a_job_that_waits_when_an_operator_asks_then_the_primary_says_why() {
-    story(async {
+fn primary_explains_why_a_job_waits() {
+    run_bounded(async {
         let (mut cluster, _) = configured().await;
         cluster
             .post_until(CLIENT_REQUEST_PATH, &submit(), |answer| {
@@ -285,9 +296,9 @@
         assert_eq!(waits["waiting"][0]["reason"], "no_worker_takes_work");
         assert_eq!(unknown.status(), StatusCode::NOT_FOUND);
         assert!(
-            text_of(&user).contains("--share-debt"),
+            body_text(&user).contains("--share-debt"),
             "{}",
-            text_of(&user)
+            body_text(&user)
         );
     });
 }
--- a/crates/controlplane/tests/cluster_example.rs
+++ b/crates/controlplane/tests/cluster_example.rs
@@ -1,12 +1,18 @@
 //! The example that newcomers start first: it must play to its end.
 
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
+
 use std::path::Path;
 use std::process::Command;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_streamusher-control");
 
 #[test]
-fn given_the_cluster_example_when_run_then_jobs_come_to_their_ends_and_it_ends_with_0() {
+fn cluster_example_runs_to_its_end_with_exit_code_0() {
     // Cargo builds examples beside the programs before it runs all tests of a package, though not for `--test NAME`.
     let example = Path::new(PROGRAM)
         .with_file_name("examples")
--- a/crates/controlplane/tests/cluster_status.rs
+++ b/crates/controlplane/tests/cluster_status.rs
@@ -1,4 +1,10 @@
-//! The command `status` over a cluster on loopback, and over answers that are not a status.
+//! The command `status` over a cluster on loopback, and over responses that are not a status.
+
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
 
 mod support;
 
@@ -8,11 +14,11 @@
 use streamusher_controlplane::cluster_status::report::{is_acting, render};
 use streamusher_controlplane::cluster_status::table::Table;
 use streamusher_controlplane::cluster_status::{health, Health};
-use support::cluster::{is_ok, story, Cluster};
+use support::cluster::{is_ok, run_bounded, Cluster};
 
 const CONFIGURATION: &str = r#"{"version":4,"routes":[{"name":"r","host":"h.example","path_prefix":"/a/","timeout_ms":3000,"service":"s"}],"services":[{"name":"s"}]}"#;
 
-fn roles(answers: &StatusResponses) -> Vec<String> {
+fn roles(responses: &StatusResponses) -> Vec<String> {
     let role = |status: &Value| {
         status
             .pointer("/core/role")
@@ -21,18 +27,18 @@
             .unwrap()
             .to_owned()
     };
-    let mut roles: Vec<String> = answers.values().flatten().map(role).collect();
+    let mut roles: Vec<String> = responses.values().flatten().map(role).collect();
     roles.sort();
     roles
 }
 
 #[test]
-fn given_one_address_when_asked_then_all_machines_are_found_and_the_tables_show_them() {
-    story(async {
+fn one_address_suffices_to_find_all_machines() {
+    run_bounded(async {
         let mut cluster = Cluster::start().await;
         let primary = cluster.primary().await;
         let taken = cluster
-            .order(
+            .operator_request(
                 primary,
                 "/streamusher/Config.Replace",
                 Some("0"),
@@ -41,16 +47,16 @@
             .await;
         assert!(is_ok(&taken));
 
-        let mut answers = query_all(vec![cluster.internal(0)]).await;
-        while !answers.values().flatten().any(is_acting) {
-            answers = query_all(vec![cluster.internal(0)]).await;
+        let mut responses = query_all(vec![cluster.internal(0)]).await;
+        while !responses.values().flatten().any(is_acting) {
+            responses = query_all(vec![cluster.internal(0)]).await;
         }
-        let text = render(&answers);
+        let text = render(&responses);
 
-        assert_eq!(answers.len(), 3);
-        assert_eq!(health(&answers), Health::Good);
+        assert_eq!(responses.len(), 3);
+        assert_eq!(health(&responses), Health::Good);
         assert_eq!(
-            roles(&answers)
+            roles(&responses)
                 .iter()
                 .filter(|role| *role == "primary")
                 .count(),
@@ -70,24 +76,24 @@
 }
 
 #[test]
-fn given_a_stopped_machine_when_asked_then_it_is_shown_without_an_answer() {
-    story(async {
+fn stopped_machine_is_shown_without_response() {
+    run_bounded(async {
         let mut cluster = Cluster::start().await;
         let primary = cluster.primary().await;
         let other = (primary + 1) % 3;
         cluster.stop_machine(other).await;
 
-        let answers = query_all(vec![cluster.internal(primary)]).await;
+        let responses = query_all(vec![cluster.internal(primary)]).await;
 
-        assert!(answers[&cluster.internal(other)].is_err());
-        assert_eq!(health(&answers), Health::Impaired);
-        assert!(render(&answers).contains("no response"));
+        assert!(responses[&cluster.internal(other)].is_err());
+        assert_eq!(health(&responses), Health::Impaired);
+        assert!(render(&responses).contains("no response"));
         cluster.stop_all().await;
     });
 }
 
 #[test]
-fn given_answers_of_any_shape_when_rendered_then_nothing_panics() {
+fn responses_of_any_shape_are_rendered() {
     let address = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
     let shapes = [
         json!(null),
@@ -98,15 +104,14 @@
         json!({ "core": { "acting": true }, "scheduler": { "workers": { "a": 1 }, "queues": [2] } }),
     ];
     for (port, shape) in (1..).zip(shapes) {
-        let answers = StatusResponses::from([(address(port), Ok(shape))]);
+        let responses = StatusResponses::from([(address(port), Ok(shape))]);
 
-        assert!(render(&answers).contains("ADDRESS"));
+        assert!(render(&responses).contains("ADDRESS"));
     }
 }
 
 #[test]
-fn given_cells_of_several_widths_then_columns_are_as_wide_as_their_widest_and_empty_ones_show_a_dash(
-) {
+fn columns_are_as_wide_as_their_widest_cell_and_empty_cells_show_a_dash() {
     let mut table = Table::new(&["A", "LONGER"]);
     table.add_row(["value".to_owned(), String::new()]);
 
--- a/crates/controlplane/tests/command_line.rs
+++ b/crates/controlplane/tests/command_line.rs
@@ -1,5 +1,11 @@
 //! The program's command line: checks, exit codes, and its end by SIGTERM.
 
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
+
 mod support;
 
 use rstest::rstest;
@@ -15,7 +21,7 @@
 use support::TestFolder;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_streamusher-control");
-const LONGEST_WAIT: Duration = Duration::from_secs(30);
+const MAX_WAIT: Duration = Duration::from_secs(30);
 
 fn run(arguments: &[&str], settings: Option<&Path>) -> Output {
     command(arguments, settings).output().unwrap()
@@ -43,7 +49,7 @@
         "port_range = [7300, 7315]".to_owned(),
         format!("seeds = [\"{control}\"]"),
         "bootstrap = true".to_owned(),
-        format!("data_dir = {:?}", folder.path().join("data")),
+        format!("data_dir = \"{}\"", folder.path().join("data").display()),
         format!("listen.control = \"{control}\""),
     ];
     let kept: Vec<String> = lines
@@ -94,14 +100,8 @@
 #[case(&["status", "--settings", "s.toml"],
     options::Command::Status { cluster: cluster(&[], Some("s.toml")), format: StatusFormat::Tables })]
 #[case(&["--check-configuration", "c.json"], options::Command::CheckConfiguration("c.json".into()))]
-fn given_arguments_then_the_task_is_theirs(
-    #[case] arguments: &[&str],
-    #[case] command: options::Command,
-) {
-    let arguments: Vec<String> = arguments
-        .iter()
-        .map(|argument| argument.to_string())
-        .collect();
+fn arguments_are_parsed(#[case] arguments: &[&str], #[case] command: options::Command) {
+    let arguments: Vec<String> = arguments.iter().map(ToString::to_string).collect();
 
     assert_eq!(options::parse(&arguments), Ok(command));
 }
@@ -122,10 +122,7 @@
 #[case(&["explain", "user", "scans", "somewhere"], "somewhere")]
 #[case(&["show-disk"], "data folder")]
 #[case(&["show-disk", "a", "b"], "\"b\"")]
-fn given_wrong_arguments_then_one_line_names_them_and_the_code_is_2(
-    #[case] arguments: &[&str],
-    #[case] named: &str,
-) {
+fn wrong_arguments_are_named_with_exit_code_2(#[case] arguments: &[&str], #[case] named: &str) {
     let output = run(arguments, None);
 
     assert_eq!(output.status.code(), Some(2));
@@ -133,7 +130,7 @@
 }
 
 #[test]
-fn given_help_then_the_options_are_printed_and_the_code_is_0() {
+fn help_is_printed_with_exit_code_0() {
     let output = run(&["--help"], None);
 
     assert_eq!(output.status.code(), Some(0));
@@ -141,7 +138,7 @@
 }
 
 #[test]
-fn given_good_settings_when_checked_then_the_code_is_0_and_no_store_is_made() {
+fn check_of_settings_exits_with_0_and_creates_no_store() {
     let folder = TestFolder::new();
     let (settings, _) = settings_file(&folder, "(none)");
 
@@ -155,7 +152,7 @@
 #[case("data_dir")]
 #[case("listen.control")]
 #[case("seeds")]
-fn given_settings_without_a_key_then_one_line_names_it_and_the_code_is_2(#[case] key: &str) {
+fn missing_setting_is_named_with_exit_code_2(#[case] key: &str) {
     let folder = TestFolder::new();
     let (settings, _) = settings_file(&folder, key);
 
@@ -171,10 +168,7 @@
 #[case(r#"{"version":3}"#, 0)]
 #[case(r#"{"version":"three"}"#, 2)]
 #[case(r#"{"version":"#, 2)]
-fn given_a_configuration_when_checked_then_the_code_says_whether_it_is_valid(
-    #[case] text: &str,
-    #[case] code: i32,
-) {
+fn check_of_configuration_exits_by_its_validity(#[case] text: &str, #[case] code: i32) {
     let folder = TestFolder::new();
     let file = folder.path().join("configuration.json");
     fs::write(&file, text).unwrap();
@@ -187,7 +181,7 @@
 }
 
 #[test]
-fn given_a_store_of_a_newer_format_then_one_line_says_so_and_the_code_is_2() {
+fn newer_store_format_is_reported_with_exit_code_2() {
     let folder = TestFolder::new();
     let (settings, _) = settings_file(&folder, "(none)");
     let data = folder.path().join("data");
@@ -210,7 +204,7 @@
 }
 
 #[test]
-fn given_a_running_process_when_it_gets_sigterm_then_it_ends_with_0() {
+fn sigterm_ends_process_with_exit_code_0() {
     let folder = TestFolder::new();
     let (settings, control) = settings_file(&folder, "(none)");
     let mut process = command(&[], Some(&settings))
@@ -236,7 +230,7 @@
             "the process has ended"
         );
         assert!(
-            started.elapsed() < LONGEST_WAIT,
+            started.elapsed() < MAX_WAIT,
             "it does not listen at {address}"
         );
         std::thread::yield_now();
--- a/crates/controlplane/tests/encoded_forms.rs
+++ b/crates/controlplane/tests/encoded_forms.rs
@@ -4,6 +4,12 @@
 //! The fixtures were written by the code of release 0.1.0. `RECORD_FIXTURES=1 cargo test ... --test encoded_forms` writes
 //! the texts anew; that is right only for a form that is new.
 
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
+
 mod support;
 
 use http::{HeaderMap, Method};
@@ -23,7 +29,7 @@
 };
 use streamusher_protocol::store::Write;
 use streamusher_runtime::http::Response;
-use support::cluster::{story, Cluster};
+use support::cluster::{run_bounded, Cluster};
 use support::TestFolder;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_streamusher-control");
@@ -293,7 +299,7 @@
         self.push(title, &response);
     }
 
-    async fn order(
+    async fn operator_request(
         &mut self,
         title: &str,
         machine: usize,
@@ -301,7 +307,10 @@
         base: Option<&str>,
         body: &str,
     ) {
-        let response = self.cluster.order(machine, path, base, body).await;
+        let response = self
+            .cluster
+            .operator_request(machine, path, base, body)
+            .await;
         self.push(title, &response);
     }
 }
@@ -418,7 +427,7 @@
         ),
     ] {
         transcript
-            .order(
+            .operator_request(
                 &format!("{title}, at the primary"),
                 primary,
                 path,
@@ -427,19 +436,19 @@
             )
             .await;
         transcript
-            .order(&format!("{title}, elsewhere"), other, path, base, body)
+            .operator_request(&format!("{title}, elsewhere"), other, path, base, body)
             .await;
     }
 }
 
 #[test]
 fn responses_of_both_ports_are_as_recorded() {
-    story(async {
+    run_bounded(async {
         let mut cluster = Cluster::start().await;
         let primary = cluster.primary().await;
         let other = (primary + 1) % 3;
         let taken = cluster
-            .order(
+            .operator_request(
                 primary,
                 "/streamusher/Config.Replace",
                 Some("0"),
@@ -482,7 +491,7 @@
 
 #[test]
 fn responses_without_a_primary_are_as_recorded() {
-    story(async {
+    run_bounded(async {
         let mut cluster = Cluster::without_machines();
         cluster.start_machine(0, false).await;
         let text = String::new();
@@ -493,7 +502,7 @@
         };
 
         transcript
-            .order("read", 0, "/streamusher/Config.Read", None, "")
+            .operator_request("read", 0, "/streamusher/Config.Read", None, "")
             .await;
         transcript
             .post("sync of an agent", 0, AGENT_SYNC_PATH, &agent_sync())
--- a/crates/controlplane/tests/fair_share_file.rs
+++ b/crates/controlplane/tests/fair_share_file.rs
@@ -1,5 +1,11 @@
 //! The settings file of the debts: what it need not have is as usual, what is wrong is named.
 
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
+
 mod support;
 
 use rstest::rstest;
@@ -16,7 +22,7 @@
 }
 
 #[test]
-fn given_a_half_life_alone_when_loaded_then_all_else_is_as_usual_for_it() {
+fn half_life_alone_gives_defaults_for_it() {
     assert_eq!(
         loaded("half_life_ms = 600000\n"),
         Ok(FairShareSettings::with_half_life(600_000))
@@ -24,7 +30,7 @@
 }
 
 #[test]
-fn given_weights_and_teams_when_loaded_then_they_replace_what_is_usual() {
+fn weights_and_teams_replace_defaults() {
     let text = "half_life_ms = 600000\ngpu_millicores = 4000\n[weights]\nlogs = 2000\n[user_of_queue]\nr-1 = \"logs\"\n";
 
     let settings = loaded(text).unwrap();
@@ -48,10 +54,7 @@
 #[case::out_of_range("half_life_ms = 9000\n", "give 10000")]
 #[case::weight_of_nothing("half_life_ms = 600000\n[weights]\nlogs = 0\n", "logs")]
 #[case::not_toml("half_life_ms", "debts.toml")]
-fn given_a_file_that_is_wrong_when_loaded_then_the_key_is_named(
-    #[case] text: &str,
-    #[case] named: &str,
-) {
+fn wrong_key_or_value_is_named(#[case] text: &str, #[case] named: &str) {
     let error = loaded(text).unwrap_err();
 
     assert!(error.contains(named), "{error}");
--- a/crates/controlplane/tests/pending_configurations.rs
+++ b/crates/controlplane/tests/pending_configurations.rs
@@ -1,19 +1,25 @@
-//! Which configurations may be told to others, and when.
+//! Configurations are published once they are committed, in order.
+
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
 
 use std::sync::Arc;
 use streamusher_configuration::PublishedConfiguration;
 use streamusher_controlplane::pending_configurations::PendingConfigurations;
 
-fn configuration(version: u64) -> Option<PublishedConfiguration> {
-    Some(PublishedConfiguration {
+fn configuration(version: u64) -> PublishedConfiguration {
+    PublishedConfiguration {
         version,
         text: Arc::from("{}"),
         update: None,
-    })
+    }
 }
 
-fn versions(publication: &mut PendingConfigurations) -> Vec<u64> {
-    publication
+fn versions(configurations: &mut PendingConfigurations) -> Vec<u64> {
+    configurations
         .take_committed()
         .iter()
         .map(|published| published.version)
@@ -21,37 +27,37 @@
 }
 
 #[test]
-fn given_a_configuration_when_its_append_is_not_committed_then_it_is_not_told() {
-    let mut publication = PendingConfigurations::default();
-    publication.observe(7, 5, || configuration(5));
+fn configuration_is_not_published_before_its_commit() {
+    let mut configurations = PendingConfigurations::default();
+    configurations.observe(7, 5, || Some(configuration(5)));
 
-    publication.on_committed(6);
-    assert!(!publication.has_committed());
-    publication.on_committed(7);
+    configurations.on_committed(6);
+    assert!(!configurations.has_committed());
+    configurations.on_committed(7);
 
-    assert_eq!(versions(&mut publication), [5]);
-    assert_eq!(versions(&mut publication), [] as [u64; 0]);
+    assert_eq!(versions(&mut configurations), [5]);
+    assert_eq!(versions(&mut configurations), [] as [u64; 0]);
 }
 
 #[test]
-fn given_two_configurations_when_committed_together_then_both_are_told_in_their_order() {
-    let mut publication = PendingConfigurations::default();
-    publication.observe(7, 5, || configuration(5));
-    publication.observe(8, 9, || configuration(9));
+fn configurations_committed_together_are_published_in_order() {
+    let mut configurations = PendingConfigurations::default();
+    configurations.observe(7, 5, || Some(configuration(5)));
+    configurations.observe(8, 9, || Some(configuration(9)));
 
-    publication.on_committed(8);
+    configurations.on_committed(8);
 
-    assert_eq!(versions(&mut publication), [5, 9]);
-    assert!(!publication.has_uncommitted());
+    assert_eq!(versions(&mut configurations), [5, 9]);
+    assert!(!configurations.has_uncommitted());
 }
 
 #[test]
-fn given_a_version_that_was_taken_when_events_follow_then_it_rests_on_its_first_append() {
-    let mut publication = PendingConfigurations::default();
-    publication.observe(7, 5, || configuration(5));
+fn configuration_rests_on_its_first_batch() {
+    let mut configurations = PendingConfigurations::default();
+    configurations.observe(7, 5, || Some(configuration(5)));
 
-    publication.observe(12, 5, || panic!("asked again"));
-    publication.on_committed(7);
+    configurations.observe(12, 5, || panic!("asked again"));
+    configurations.on_committed(7);
 
-    assert_eq!(versions(&mut publication), [5]);
+    assert_eq!(versions(&mut configurations), [5]);
 }
--- a/crates/controlplane/tests/relay.rs
+++ b/crates/controlplane/tests/relay.rs
@@ -1,5 +1,11 @@
 //! The primary of three control processes as the root of the relay tree, with members over loopback.
 
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
+
 mod support;
 
 use http::StatusCode;
@@ -14,10 +20,10 @@
     GateLeaseRequest, GateLeaseResponse, GATE_LEASE_PATH, RELAY_PATH,
 };
 use streamusher_runtime::http::{empty, parse_json, Request, Server, ServerLimits};
-use support::cluster::{is_ok, story, text_of, Cluster};
+use support::cluster::{body_text, is_ok, run_bounded, Cluster};
 use tokio::sync::Notify;
 
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+const MAX_WAIT: Duration = Duration::from_mins(1);
 
 /// A member that notes what it is told.
 struct Member {
@@ -61,7 +67,7 @@
                 self.heard.notified().await;
             }
         };
-        tokio::time::timeout(LONGEST_WAIT, waiting)
+        tokio::time::timeout(MAX_WAIT, waiting)
             .await
             .expect("the message did not come in time");
     }
@@ -101,14 +107,14 @@
     let primary = cluster.primary().await;
     let body = json!({"version": version, "routes": [], "services": []}).to_string();
     let answer = cluster
-        .order(primary, REPLACE_PATH, Some(base), &body)
+        .operator_request(primary, REPLACE_PATH, Some(base), &body)
         .await;
-    assert!(is_ok(&answer), "{}", text_of(&answer));
+    assert!(is_ok(&answer), "{}", body_text(&answer));
 }
 
 #[test]
-fn given_a_member_when_orders_are_taken_then_it_is_told_the_whole_first_and_then_changes() {
-    story(async {
+fn member_gets_whole_configuration_first_and_then_changes() {
+    run_bounded(async {
         let mut cluster = Cluster::start().await;
         let member = Member::start();
         let reply = join(&mut cluster, &member, 0).await;
@@ -118,7 +124,7 @@
         member.until(is_whole(5)).await;
         let primary = cluster.primary().await;
         let update = cluster
-            .order(primary, UPDATE_PATH, Some("5"), r#"{"version":8}"#)
+            .operator_request(primary, UPDATE_PATH, Some("5"), r#"{"version":8}"#)
             .await;
 
         assert!(is_ok(&update));
@@ -136,9 +142,8 @@
 }
 
 #[test]
-fn given_a_new_primary_when_members_renew_then_its_roster_is_newer_and_it_tells_what_was_committed()
-{
-    story(async {
+fn new_primary_has_newer_membership_and_sends_committed_configuration() {
+    run_bounded(async {
         let mut cluster = Cluster::start().await;
         let member = Member::start();
         let before = join(&mut cluster, &member, 0).await;
@@ -168,8 +173,8 @@
 }
 
 #[test]
-fn given_a_machine_that_is_not_primary_when_a_member_calls_then_it_is_sent_on() {
-    story(async {
+fn replica_names_the_primary_to_members() {
+    run_bounded(async {
         let mut cluster = Cluster::start().await;
         let member = Member::start();
         let primary = cluster.primary().await;
--- a/crates/controlplane/tests/reload.rs
+++ b/crates/controlplane/tests/reload.rs
@@ -1,5 +1,11 @@
 //! SIGHUP: the control plane's process takes over the seeds of the settings file.
 
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
+
 mod support;
 
 use std::fs;
@@ -34,7 +40,8 @@
         let data = self.folder.path().join("data");
         let text = format!(
             "ip = \"{net}.1\"\nport_range = [7300, 7315]\nseeds = [{seeds}]\nbootstrap = false\n\
-             data_dir = {data:?}\nlisten.control = \"{net}.1:8144\"\n"
+             data_dir = \"{}\"\nlisten.control = \"{net}.1:8144\"\n",
+            data.display()
         );
         fs::write(self.folder.path().join("settings.toml"), text).unwrap();
     }
@@ -76,7 +83,7 @@
 }
 
 #[test]
-fn given_new_seeds_when_sighup_comes_then_they_are_asked_and_a_wrong_file_changes_nothing() {
+fn sighup_applies_new_seeds_and_ignores_a_wrong_file() {
     let machine = Newcomer::new();
     let first = TcpListener::bind(machine.internal(2)).unwrap();
     let second = TcpListener::bind(machine.internal(3)).unwrap();
--- a/crates/controlplane/tests/show_disk.rs
+++ b/crates/controlplane/tests/show_disk.rs
@@ -1,5 +1,11 @@
 //! The command `show-disk`: what it shows, what it refuses, and that it changes nothing.
 
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
+
 mod support;
 
 use std::fs;
@@ -9,7 +15,7 @@
 use streamusher_controlplane::store::{Store, StoreError, FORMAT, STORE_FOLDER};
 use streamusher_coordination::{DiskChange, DiskId, EpochRecord, LogPosition, WitnessState};
 use streamusher_protocol::store::Write;
-use support::{files_below, journal_of, without_reserve, TestFolder};
+use support::{files_below, journal_of, written_bytes, TestFolder};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_streamusher-control");
 
@@ -62,7 +68,7 @@
 }
 
 #[test]
-fn given_a_store_when_shown_then_all_is_told_and_no_byte_is_changed() {
+fn store_is_shown_and_no_byte_is_changed() {
     let folder = filled();
     let before = contents(folder.path());
 
@@ -85,7 +91,7 @@
 }
 
 #[test]
-fn given_a_store_in_use_when_shown_then_it_is_refused() {
+fn store_in_use_is_refused() {
     let folder = filled();
     let (store, _) = Store::open(folder.path()).unwrap();
 
@@ -97,7 +103,7 @@
 }
 
 #[test]
-fn given_no_store_when_shown_then_it_says_so_and_makes_none() {
+fn missing_store_is_reported_and_not_created() {
     let folder = TestFolder::new();
 
     let output = run(folder.path());
@@ -111,10 +117,10 @@
 }
 
 #[test]
-fn given_a_torn_journal_when_shown_then_the_whole_batches_are_told_and_the_tear_stays() {
+fn torn_journal_is_shown_without_its_last_batch_and_not_repaired() {
     let folder = filled();
     let journal = journal_of(folder.path());
-    let whole = without_reserve(&journal);
+    let whole = written_bytes(&journal);
     fs::write(&journal, &whole[..whole.len() - 5]).unwrap();
     let before = contents(folder.path());
 
@@ -128,7 +134,7 @@
 }
 
 #[test]
-fn given_a_store_without_its_journal_when_shown_then_the_damage_is_told_and_the_code_is_1() {
+fn damaged_store_is_reported_with_exit_code_1() {
     let folder = filled();
     fs::remove_file(journal_of(folder.path())).unwrap();
 
@@ -143,7 +149,7 @@
 }
 
 #[test]
-fn given_a_newer_format_when_shown_then_it_is_named() {
+fn newer_format_is_named() {
     let folder = filled();
     let database = fjall::Database::builder(folder.path().join(STORE_FOLDER))
         .open()
--- a/crates/controlplane/tests/support/cluster.rs
+++ b/crates/controlplane/tests/support/cluster.rs
@@ -1,14 +1,12 @@
-//! Three control processes on loopback addresses of their own, in the test's thread.
+//! Three control machines on loopback addresses of their own, in the test's thread.
 
 use super::TestFolder;
 use bytes::Bytes;
 use http::{Method, StatusCode};
 use serde::Serialize;
-use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::future::Future;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
-use std::rc::Rc;
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::Duration;
 use streamusher_controlplane::process::{ControlProcess, ProcessError};
@@ -23,15 +21,17 @@
 
 const MACHINES: u8 = 3;
 const CONTROL_PORT: u16 = 8_144;
-/// Bound of one call: only a failure takes it, also on a busy machine.
-const CALL_DEADLINE: Duration = Duration::from_secs(20);
+/// Bound of one request: only a failure takes it, also on a busy machine.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 /// Bound of every wait; calm elections take about a second.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+const MAX_WAIT: Duration = Duration::from_mins(1);
+/// Bound of a whole test.
+const MAX_TEST_TIME: Duration = Duration::from_mins(3);
 
 static NEXT_NET: AtomicU8 = AtomicU8::new(1);
 
 /// The cluster; machines are numbered from 0.
-pub struct Cluster {
+pub(crate) struct Cluster {
     net: [u8; 3],
     folders: Vec<TestFolder>,
     running: BTreeMap<usize, Running>,
@@ -39,28 +39,20 @@
 }
 
 struct Running {
-    orders: mpsc::UnboundedSender<Signal>,
+    signals: mpsc::UnboundedSender<Signal>,
     task: JoinHandle<Result<(), ProcessError>>,
 }
 
-/// Runs a story within the runtime that the programs have.
-pub fn story<F: Future<Output = ()>>(story: F) {
-    let ended = Rc::new(Cell::new(false));
-    let told = ended.clone();
-    let bounded = async move {
-        let story = async {
-            story.await;
-            told.set(true);
-        };
-        let _ = tokio::time::timeout(3 * LONGEST_WAIT, story).await;
-    };
-    runtime::block_on(bounded).unwrap();
-    assert!(ended.get(), "the story took too long");
+/// Runs a test within the runtime that the programs have, for a bounded time.
+pub(crate) fn run_bounded<F: Future<Output = ()>>(test: F) {
+    let bounded = async { tokio::time::timeout(MAX_TEST_TIME, test).await };
+    let result = runtime::block_on(bounded).unwrap();
+    assert!(result.is_ok(), "the test took too long");
 }
 
 impl Cluster {
     /// Starts three machines on empty disks.
-    pub async fn start() -> Cluster {
+    pub(crate) async fn start() -> Cluster {
         let mut cluster = Cluster::without_machines();
         for machine in 0..usize::from(MACHINES) {
             cluster.start_machine(machine, true).await;
@@ -69,11 +61,11 @@
     }
 
     /// Addresses and empty disks for three machines, none of which runs.
-    pub fn without_machines() -> Cluster {
+    pub(crate) fn without_machines() -> Cluster {
         let pid = std::process::id();
         let net = [
             127,
-            (pid % 200) as u8 + 20,
+            u8::try_from(pid % 200).unwrap() + 20,
             NEXT_NET.fetch_add(1, Ordering::Relaxed),
         ];
         let folders = (0..MACHINES).map(|_| TestFolder::new()).collect();
@@ -85,28 +77,28 @@
         }
     }
 
-    pub async fn start_machine(&mut self, machine: usize, bootstrap: bool) {
+    pub(crate) async fn start_machine(&mut self, machine: usize, bootstrap: bool) {
         let settings = self.settings(machine, bootstrap);
         let process = ControlProcess::start(&settings, None).await.unwrap();
-        let (orders, received) = mpsc::unbounded_channel();
+        let (signals, received) = mpsc::unbounded_channel();
         let task = spawn_local(process.run(received));
-        self.running.insert(machine, Running { orders, task });
+        self.running.insert(machine, Running { signals, task });
     }
 
     /// Ends a machine's process as SIGTERM does.
-    pub async fn stop_machine(&mut self, machine: usize) {
+    pub(crate) async fn stop_machine(&mut self, machine: usize) {
         let running = self.running.remove(&machine).unwrap();
-        running.orders.send(Signal::Terminate).unwrap();
+        running.signals.send(Signal::Terminate).unwrap();
         running.task.await.unwrap().unwrap();
         self.clients.clear();
     }
 
-    pub async fn stop_all(&mut self) {
-        let orders: Vec<Running> = std::mem::take(&mut self.running).into_values().collect();
-        for running in &orders {
-            running.orders.send(Signal::Terminate).unwrap();
+    pub(crate) async fn stop_all(&mut self) {
+        let all: Vec<Running> = std::mem::take(&mut self.running).into_values().collect();
+        for running in &all {
+            running.signals.send(Signal::Terminate).unwrap();
         }
-        for running in orders {
+        for running in all {
             running.task.await.unwrap().unwrap();
         }
         self.clients.clear();
@@ -135,19 +127,20 @@
 
     fn ip(&self, machine: usize) -> IpAddr {
         let [a, b, c] = self.net;
-        IpAddr::V4(Ipv4Addr::new(a, b, c, machine as u8 + 1))
+        let host = u8::try_from(machine).unwrap() + 1;
+        IpAddr::V4(Ipv4Addr::new(a, b, c, host))
     }
 
-    pub fn control(&self, machine: usize) -> SocketAddr {
+    pub(crate) fn control(&self, machine: usize) -> SocketAddr {
         SocketAddr::new(self.ip(machine), CONTROL_PORT)
     }
 
-    pub fn internal(&self, machine: usize) -> SocketAddr {
+    pub(crate) fn internal(&self, machine: usize) -> SocketAddr {
         SocketAddr::new(self.ip(machine), 7_300)
     }
 
     /// Waits until a machine acts as primary for operators, and gives its number.
-    pub async fn primary(&mut self) -> usize {
+    pub(crate) async fn primary(&mut self) -> usize {
         let waiting = async {
             loop {
                 if let Some(machine) = self.find_primary().await {
@@ -156,7 +149,7 @@
                 tokio::task::yield_now().await;
             }
         };
-        tokio::time::timeout(LONGEST_WAIT, waiting)
+        tokio::time::timeout(MAX_WAIT, waiting)
             .await
             .expect("no primary in time")
     }
@@ -164,8 +157,8 @@
     async fn find_primary(&mut self) -> Option<usize> {
         let machines: Vec<usize> = self.running.keys().copied().collect();
         for machine in machines {
-            let answer = self
-                .call(
+            let response = self
+                .send_request(
                     self.control(machine),
                     Method::GET,
                     "/streamusher/Config.Read",
@@ -173,7 +166,8 @@
                     b"",
                 )
                 .await;
-            let acts = answer.is_some_and(|answer| matches!(answer.status().as_u16(), 200 | 404));
+            let acts =
+                response.is_some_and(|response| matches!(response.status().as_u16(), 200 | 404));
             if acts {
                 return Some(machine);
             }
@@ -181,16 +175,16 @@
         None
     }
 
-    pub async fn view(&mut self, machine: usize) -> ClusterView {
-        let answer = self
-            .call(self.internal(machine), Method::GET, CLUSTER_PATH, None, b"")
+    pub(crate) async fn view(&mut self, machine: usize) -> ClusterView {
+        let response = self
+            .send_request(self.internal(machine), Method::GET, CLUSTER_PATH, None, b"")
             .await
             .unwrap();
-        serde_json::from_slice(answer.body()).unwrap()
+        serde_json::from_slice(response.body()).unwrap()
     }
 
-    /// An operator's order at the control port of a machine.
-    pub async fn order(
+    /// A request of an operator at the control port of a machine.
+    pub(crate) async fn operator_request(
         &mut self,
         machine: usize,
         path: &str,
@@ -202,55 +196,67 @@
         } else {
             Method::POST
         };
-        self.call(self.control(machine), method, path, base, body.as_bytes())
+        self.send_request(self.control(machine), method, path, base, body.as_bytes())
             .await
             .unwrap()
     }
 
     /// A request without a body.
-    pub async fn send(&mut self, address: SocketAddr, method: Method, path: &str) -> Response {
-        self.call(address, method, path, None, b"").await.unwrap()
+    pub(crate) async fn send(
+        &mut self,
+        address: SocketAddr,
+        method: Method,
+        path: &str,
+    ) -> Response {
+        self.send_request(address, method, path, None, b"")
+            .await
+            .unwrap()
     }
 
-    /// A caller of its own, which waits for the next epoch at a machine.
-    pub fn watcher(&self, machine: usize) -> Watcher {
+    /// A caller with a connection of its own, which waits for the next epoch at a machine.
+    pub(crate) fn watcher(&self, machine: usize) -> Watcher {
         Watcher(Client::new(self.internal(machine)))
     }
 
-    /// A call of a gate or an agent at the internal port of a machine.
-    pub async fn post<T: Serialize>(&mut self, machine: usize, path: &str, body: &T) -> Response {
+    /// A request of a gate or an agent at the internal port of a machine.
+    pub(crate) async fn post<T: Serialize>(
+        &mut self,
+        machine: usize,
+        path: &str,
+        body: &T,
+    ) -> Response {
         let body = serde_json::to_vec(body).unwrap();
-        self.call(self.internal(machine), Method::POST, path, None, &body)
+        self.send_request(self.internal(machine), Method::POST, path, None, &body)
             .await
             .unwrap()
     }
 
-    /// Repeats a call of a gate or an agent at whoever acts, until the answer is the one that is wanted.
-    pub async fn post_until<T: Serialize>(
+    /// Repeats a request of a gate or an agent at the acting primary, until the response is the expected one.
+    pub(crate) async fn post_until<T: Serialize>(
         &mut self,
         path: &str,
         body: &T,
-        wanted: impl Fn(&Response) -> bool,
+        is_expected: impl Fn(&Response) -> bool,
     ) -> Response {
         let body = serde_json::to_vec(body).unwrap();
         let waiting = async {
             loop {
                 let machine = self.primary().await;
-                let answer = self
-                    .call(self.internal(machine), Method::POST, path, None, &body)
+                let response = self
+                    .send_request(self.internal(machine), Method::POST, path, None, &body)
                     .await;
-                if let Some(answer) = answer.filter(|answer| wanted(answer)) {
-                    return answer;
+                if let Some(response) = response.filter(|response| is_expected(response)) {
+                    return response;
                 }
                 tokio::task::yield_now().await;
             }
         };
-        tokio::time::timeout(LONGEST_WAIT, waiting)
+        tokio::time::timeout(MAX_WAIT, waiting)
             .await
-            .expect("the answer did not come in time")
+            .expect("the response did not come in time")
     }
 
-    async fn call(
+    async fn send_request(
         &mut self,
         address: SocketAddr,
         method: Method,
@@ -258,11 +264,12 @@
         base: Option<&str>,
         body: &[u8],
     ) -> Option<Response> {
-        let mut call = Request::new(Bytes::copy_from_slice(body));
-        *call.method_mut() = method;
-        *call.uri_mut() = path.parse().unwrap();
+        let mut request = Request::new(Bytes::copy_from_slice(body));
+        *request.method_mut() = method;
+        *request.uri_mut() = path.parse().unwrap();
         if let Some(base) = base {
-            call.headers_mut()
+            request
+                .headers_mut()
                 .insert(BASE_VERSION_HEADER, base.parse().unwrap());
         }
         let client = self
@@ -270,22 +277,22 @@
             .entry(address)
             .or_insert_with(|| Client::new(address))
             .clone();
-        client.send(call, CALL_DEADLINE).await.ok()
+        client.send(request, REQUEST_TIMEOUT).await.ok()
     }
 }
 
 /// Waits at one machine for the next epoch.
-pub struct Watcher(Client);
+pub(crate) struct Watcher(Client);
 
 impl Watcher {
     /// Watches until there is one.
-    pub async fn watch(&mut self, watch: &ClusterWatch) -> ClusterView {
+    pub(crate) async fn watch(&mut self, watch: &ClusterWatch) -> ClusterView {
         loop {
-            let mut call = Request::new(Bytes::from(serde_json::to_vec(watch).unwrap()));
-            *call.method_mut() = Method::POST;
-            *call.uri_mut() = CLUSTER_WATCH_PATH.parse().unwrap();
-            let answer = self.0.send(call, CALL_DEADLINE).await.unwrap();
-            let view: ClusterView = serde_json::from_slice(answer.body()).unwrap();
+            let mut request = Request::new(Bytes::from(serde_json::to_vec(watch).unwrap()));
+            *request.method_mut() = Method::POST;
+            *request.uri_mut() = CLUSTER_WATCH_PATH.parse().unwrap();
+            let response = self.0.send(request, REQUEST_TIMEOUT).await.unwrap();
+            let view: ClusterView = serde_json::from_slice(response.body()).unwrap();
             if view.epoch > watch.epoch {
                 return view;
             }
@@ -293,10 +300,10 @@
     }
 }
 
-pub fn is_ok(answer: &Response) -> bool {
-    answer.status() == StatusCode::OK
+pub(crate) fn is_ok(response: &Response) -> bool {
+    response.status() == StatusCode::OK
 }
 
-pub fn text_of(answer: &Response) -> String {
-    String::from_utf8_lossy(answer.body()).into_owned()
+pub(crate) fn body_text(response: &Response) -> String {
+    String::from_utf8_lossy(response.body()).into_owned()
 }
--- a/crates/controlplane/tests/support/mod.rs
+++ b/crates/controlplane/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! Folders for tests, and images of a store as a loss of power leaves them.
-#![allow(dead_code)] // Each test file uses a part.
+#![allow(dead_code, reason = "each test file uses a part")]
 
-pub mod cluster;
+pub(crate) mod cluster;
 
 use std::fs::{self, File};
 use std::io::{self, Read};
@@ -9,28 +9,28 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::SystemTime;
 
-static NEXT: AtomicU64 = AtomicU64::new(0);
+static NEXT_FOLDER: AtomicU64 = AtomicU64::new(0);
 
 /// A folder that is removed with the value.
-pub struct TestFolder(PathBuf);
+pub(crate) struct TestFolder(PathBuf);
 
 impl TestFolder {
-    pub fn new() -> TestFolder {
-        let number = NEXT.fetch_add(1, Ordering::Relaxed);
+    pub(crate) fn new() -> TestFolder {
+        let number = NEXT_FOLDER.fetch_add(1, Ordering::Relaxed);
         let name = format!("streamusher-controlplane-{}-{number}", std::process::id());
         let path = std::env::temp_dir().join(name);
         fs::create_dir_all(&path).unwrap();
         TestFolder(path)
     }
 
-    pub fn path(&self) -> &Path {
+    pub(crate) fn path(&self) -> &Path {
         &self.0
     }
 
     /// Copies all files, without the zeros at the ends of journals: what a database reserves and has not written. A copy
     /// during which files changed is made again, as it shows no moment that ever was.
-    pub fn copy_of(original: &Path) -> TestFolder {
-        for _ in 0..MOST_COPIES {
+    pub(crate) fn copy_of(original: &Path) -> TestFolder {
+        for _ in 0..MAX_COPIES {
             let before = listing(original);
             let copy = TestFolder::new();
             let copied = copy_folder(original, copy.path());
@@ -41,14 +41,14 @@
             }
         }
         panic!(
-            "{} changed during each of {MOST_COPIES} copies",
+            "{} changed during each of {MAX_COPIES} copies",
             original.display()
         );
     }
 }
 
 /// Flushes and compactions of a small store end within a few copies.
-const MOST_COPIES: usize = 1_000;
+const MAX_COPIES: usize = 1_000;
 
 impl Drop for TestFolder {
     fn drop(&mut self) {
@@ -83,7 +83,7 @@
 }
 
 /// All files below a folder, in the order of their names.
-pub fn files_below(folder: &Path) -> Vec<PathBuf> {
+pub(crate) fn files_below(folder: &Path) -> Vec<PathBuf> {
     files_in(folder).unwrap()
 }
 
@@ -91,9 +91,10 @@
     let mut files = Vec::new();
     for entry in fs::read_dir(folder)? {
         let entry = entry?;
-        match entry.file_type()?.is_dir() {
-            true => files.extend(files_in(&entry.path())?),
-            false => files.push(entry.path()),
+        if entry.file_type()?.is_dir() {
+            files.extend(files_in(&entry.path())?);
+        } else {
+            files.push(entry.path());
         }
     }
     files.sort();
@@ -101,7 +102,7 @@
 }
 
 /// The only journal of a small store.
-pub fn journal_of(data_dir: &Path) -> PathBuf {
+pub(crate) fn journal_of(data_dir: &Path) -> PathBuf {
     files_below(data_dir)
         .into_iter()
         .find(|file| is_journal(file))
@@ -109,7 +110,7 @@
 }
 
 /// The bytes of a journal, without the zeros that are reserved at its end. Nothing written holds as long a run of them.
-pub fn without_reserve(journal: &Path) -> Vec<u8> {
+pub(crate) fn written_bytes(journal: &Path) -> Vec<u8> {
     written_part(journal).unwrap()
 }
 
