--- a/crates/controlplane/src/lib.rs
+++ b/crates/controlplane/src/lib.rs
@@ -52,7 +52,7 @@
 //! let scheduler_settings = SchedulerSettings {
 //!     limits: SchedulerLimits::default(),
 //!     random_seed: 7,
-//!     share_debt: None,
+//!     fair_share: None,
 //!     policy: Policy::default(),
 //! };
 //! let now = Now { steady_ms: 0, unix_ms: 1_700_000_000_000 };
