--- a/crates/controlplane/tests/fair_share_file.rs
+++ b/crates/controlplane/tests/fair_share_file.rs
@@ -41,8 +41,8 @@
     );
     assert_eq!(&*settings.user_of(&"r-1".into()), "logs");
     assert_eq!(
-        settings.most_delay_ms,
-        FairShareSettings::with_half_life(600_000).most_delay_ms
+        settings.max_delay_ms,
+        FairShareSettings::with_half_life(600_000).max_delay_ms
     );
 }
 
--- a/crates/fair-share/src/ranking.rs
+++ b/crates/fair-share/src/ranking.rs
@@ -1,42 +1,41 @@
-//! The order of work by one version of the debts.
+//! The order of units by one version of all users' usage.
 
-use crate::debt::DecayedUsage;
-use crate::settings::{FairShareSettings, USUAL_WEIGHT};
+use crate::decayed_usage::DecayedUsage;
+use crate::settings::{FairShareSettings, DEFAULT_WEIGHT};
 use crate::version::RankingVersion;
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// All debts, cheap to copy.
-pub(crate) type Debts = im::OrdMap<Arc<str>, DecayedUsage>;
+/// Usage of all users, cheap to copy.
+pub(crate) type UsageByUser = im::OrdMap<Arc<str>, DecayedUsage>;
 
 /// Bits of an order key that hold the time; above them is the priority.
 const TIME_BITS: u32 = 48;
-const LAST_TIME: u64 = (1 << TIME_BITS) - 1;
-const LAST_PRIORITY: u32 = (1 << (u64::BITS - TIME_BITS)) - 1;
-/// Milliseconds of a second.
-const SECOND: u64 = 1_000;
+const MAX_TIME: u64 = (1 << TIME_BITS) - 1;
+const MAX_PRIORITY: u32 = (1 << (u64::BITS - TIME_BITS)) - 1;
+const MS_PER_SECOND: u64 = 1_000;
 
-/// Orders work by one version, which it names. Nodes with the same version and settings give the same order.
+/// Orders units by one version, which it names. Nodes with the same version and settings give the same order.
 #[derive(Clone, Debug)]
 pub struct FairShareRanking {
     settings: Arc<FairShareSettings>,
     version: RankingVersion,
-    time: Millis,
-    debts: Debts,
+    made_at: Millis,
+    usage_by_user: UsageByUser,
 }
 
 impl FairShareRanking {
     pub(crate) fn new(
         settings: Arc<FairShareSettings>,
         version: RankingVersion,
-        time: Millis,
-        debts: Debts,
+        made_at: Millis,
+        usage_by_user: UsageByUser,
     ) -> FairShareRanking {
         FairShareRanking {
             settings,
             version,
-            time,
-            debts,
+            made_at,
+            usage_by_user,
         }
     }
 
@@ -45,48 +44,54 @@
         self.version
     }
 
-    /// The agreed time at which the version was made.
-    pub fn time(&self) -> Millis {
-        self.time
+    /// The cluster time at which the version was made.
+    pub fn made_at(&self) -> Millis {
+        self.made_at
     }
 
-    /// A user's debt in this version, in core-milliseconds; 0 for one that is not known.
-    pub fn debt(&self, user: &str) -> u64 {
-        self.debts
-            .get(user)
-            .map_or(0, |debt| debt.at(self.settings.half_life_ms, self.time))
+    /// A user's usage in this version, in core-milliseconds; 0 for one that is not known.
+    pub fn usage_core_ms(&self, user: &str) -> u64 {
+        self.usage_by_user.get(user).map_or(0, |usage| {
+            usage.value_at(self.settings.half_life_ms, self.made_at)
+        })
     }
 
-    /// How far a user's units are put back, in milliseconds; less than the largest delay.
+    /// How far a user's units are delayed in the order, in milliseconds; less than the largest delay.
     pub fn delay_ms(&self, user: &str) -> Millis {
-        delay_ms(&self.settings, user, self.debt(user))
+        delay_ms(&self.settings, user, self.usage_core_ms(user))
     }
 
-    /// Where a unit stands: smaller first. Priority decides first, those from 65,535 on being one; within it the time at which the unit came, put back
-    /// by its user's delay. The key does not change while the unit waits, so whoever came `most_delay_ms` later never
-    /// goes before it, whatever the debts.
+    /// The place of a unit in the order: smaller first.
+    ///
+    /// Priority goes first, those from 65,535 on being one; within it the time of submission, delayed by the user's
+    /// usage. The key does not change while the unit is pending, but for its own user's usage. So a unit that was
+    /// submitted the largest delay later never goes before it, whatever the usage.
     pub fn order_key(&self, user: &str, priority: u32, submitted_at: Millis) -> u64 {
         let time = submitted_at
             .saturating_add(self.delay_ms(user))
-            .min(LAST_TIME);
-        u64::from(priority.min(LAST_PRIORITY)) << TIME_BITS | time
+            .min(MAX_TIME);
+        u64::from(priority.min(MAX_PRIORITY)) << TIME_BITS | time
     }
 
-    /// How many users owe something.
-    pub fn users(&self) -> usize {
-        self.debts.len()
+    /// Number of users with usage.
+    pub fn user_count(&self) -> usize {
+        self.usage_by_user.len()
     }
 
-    pub(crate) fn debts(&self) -> &Debts {
-        &self.debts
+    pub(crate) fn usage_by_user(&self) -> &UsageByUser {
+        &self.usage_by_user
     }
 }
 
-/// The delay by a debt in core-milliseconds: half of the largest at `half_delay_core_s`, rising ever more slowly.
-pub(crate) fn delay_ms(settings: &FairShareSettings, user: &str, debt: u64) -> Millis {
+/// The delay by a usage in core-milliseconds: half of the largest at `half_delay_core_s`, rising ever more slowly.
+#[expect(
+    clippy::cast_possible_truncation,
+    reason = "below the largest delay, which has 64 bits"
+)]
+pub(crate) fn delay_ms(settings: &FairShareSettings, user: &str, usage_core_ms: u64) -> Millis {
     let weight = u128::from(settings.weight_of(user));
-    let debt = u128::from(debt) * u128::from(USUAL_WEIGHT) / weight;
-    let half = u128::from(settings.half_delay_core_s) * u128::from(SECOND);
-    let most = u128::from(settings.most_delay_ms);
-    (most * debt / (debt + half).max(1)) as Millis
+    let usage = u128::from(usage_core_ms) * u128::from(DEFAULT_WEIGHT) / weight;
+    let half_delay_usage = u128::from(settings.half_delay_core_s) * u128::from(MS_PER_SECOND);
+    let max_delay = u128::from(settings.max_delay_ms);
+    (max_delay * usage / (usage + half_delay_usage).max(1)) as Millis
 }
--- /dev/null
+++ b/crates/fair-share/src/ranking_replica.rs
@@ -0,0 +1,150 @@
+//! A node's replica of the newest ranking version that reached it.
+
+use crate::ranking::{FairShareRanking, UsageByUser};
+use crate::settings::FairShareSettings;
+use crate::version::{RankingUpdate, RankingVersion, UsageChange};
+use crate::version_history::VersionHistory;
+use std::sync::Arc;
+use streamusher_protocol::Millis;
+
+/// Steady clocks may differ in speed by this part: an age is counted longer by it.
+const MAX_CLOCK_DRIFT_PART: Millis = 32;
+
+/// What became of an update.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum UpdateOutcome {
+    /// The node ranks by its version from now on, or has ranked by it and now knows its age better.
+    Applied,
+    /// The node holds a newer version.
+    Outdated,
+    /// It is relative to a version that the node does not hold: ask again and name the one held.
+    UnknownBase,
+}
+
+/// An upper bound of a version's age.
+#[derive(Clone, Copy, Debug, Default)]
+struct AgeBound {
+    age_ms: Millis,
+    /// The node's steady time at which the version was at most so old.
+    as_of: Millis,
+}
+
+impl AgeBound {
+    /// The bound at a later steady time.
+    fn at(self, now: Millis) -> Millis {
+        let passed_ms = now.saturating_sub(self.as_of);
+        let drift_ms = passed_ms / MAX_CLOCK_DRIFT_PART + u64::from(passed_ms > 0);
+        self.age_ms
+            .saturating_add(passed_ms)
+            .saturating_add(drift_ms)
+    }
+}
+
+/// Ranks units at a node by the newest version that reached it; it may send it on to other nodes.
+///
+/// Updates may be lost, late, repeated or out of order.
+#[derive(Clone, Debug)]
+pub struct RankingReplica {
+    settings: Arc<FairShareSettings>,
+    /// None before the first version came.
+    history: Option<VersionHistory>,
+    age: AgeBound,
+}
+
+impl RankingReplica {
+    /// A node that has no version yet.
+    pub fn new(settings: FairShareSettings) -> RankingReplica {
+        RankingReplica {
+            settings: Arc::new(settings.clamped()),
+            history: None,
+            age: AgeBound::default(),
+        }
+    }
+
+    /// Applies an update that answers a request sent at the node's steady time `requested_at`. The time in transit is
+    /// unknown, so the version is taken to be as old as if the answer had been sent at once.
+    pub fn apply(&mut self, requested_at: Millis, update: &RankingUpdate) -> UpdateOutcome {
+        let held = self.version();
+        let is_outdated = held.is_some_and(|held| update.version < held);
+        if is_outdated && !cfg!(feature = "mutant-version") {
+            return UpdateOutcome::Outdated;
+        }
+        let age = AgeBound {
+            age_ms: update.age_ms,
+            as_of: requested_at,
+        };
+        if held == Some(update.version) {
+            self.tighten_age(age);
+            return UpdateOutcome::Applied;
+        }
+        let has_other_base = update.base.is_some() && update.base != held;
+        if has_other_base && !cfg!(feature = "mutant-version") {
+            return UpdateOutcome::UnknownBase;
+        }
+        self.adopt(update);
+        self.age = age;
+        UpdateOutcome::Applied
+    }
+
+    /// The version held, to be named in requests.
+    pub fn version(&self) -> Option<RankingVersion> {
+        self.ranking().map(FairShareRanking::version)
+    }
+
+    /// The order by the version held; none before the first one came. Also when it is stale: a node that receives
+    /// nothing goes on with what it has.
+    pub fn ranking(&self) -> Option<&FairShareRanking> {
+        self.history.as_ref().map(VersionHistory::newest)
+    }
+
+    /// An upper bound of the version's age, in milliseconds.
+    pub fn age_ms(&self, now: Millis) -> Millis {
+        self.age.at(now)
+    }
+
+    /// Whether the version is older than it should be, or there is none: to be reported with each decision.
+    pub fn is_stale(&self, now: Millis) -> bool {
+        self.history.is_none() || self.age_ms(now) > self.settings.max_age_ms
+    }
+
+    /// What brings another node to the version held here.
+    pub fn update_since(&self, now: Millis, held: Option<RankingVersion>) -> Option<RankingUpdate> {
+        let history = self.history.as_ref()?;
+        Some(history.update_since(held, self.age_ms(now)))
+    }
+
+    /// The same version again: the lower of both bounds holds.
+    fn tighten_age(&mut self, age: AgeBound) {
+        let now = age.as_of.max(self.age.as_of);
+        if age.at(now) < self.age.at(now) {
+            self.age = age;
+        }
+    }
+
+    fn adopt(&mut self, update: &RankingUpdate) {
+        let base = self.history.take().filter(|_| update.base.is_some());
+        let mut usage_by_user = base.as_ref().map_or_else(UsageByUser::new, |history| {
+            history.newest().usage_by_user().clone()
+        });
+        for UsageChange(user, usage) in &update.changes {
+            match usage {
+                Some(usage) => usage_by_user.insert(user.clone(), usage.clone()),
+                None => usage_by_user.remove(user),
+            };
+        }
+        let ranking = FairShareRanking::new(
+            self.settings.clone(),
+            update.version,
+            update.made_at,
+            usage_by_user,
+        );
+        self.history = Some(match base {
+            Some(mut history) => {
+                let changed = update.changes.iter().map(|change| change.0.clone());
+                history.push(ranking, changed.collect());
+                history
+            }
+            None => VersionHistory::new(ranking),
+        });
+    }
+}
--- a/crates/fair-share/src/version.rs
+++ b/crates/fair-share/src/version.rs
@@ -1,12 +1,14 @@
-//! Names of versions, and how one is told.
+//! Names of ranking versions, and how they are transmitted.
 
-use crate::debt::DecayedUsage;
+use crate::decayed_usage::DecayedUsage;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// Names one state of all debts. The order is the agreed one: a later primary's version goes before an earlier one's,
-/// whatever their numbers, so what a deposed primary made and could not commit never wins.
+/// Names one state of all users' usage.
+///
+/// The order is epoch first: a later primary's version goes before an earlier one's, whatever their numbers, so what a
+/// deposed primary made and could not commit never wins.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -17,17 +19,28 @@
     pub number: u64,
 }
 
-/// A version as told from node to node: whole, or as the difference from another version.
+/// A version as one node sends it to another: whole, or as the difference from another version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RankingUpdate {
-    /// The version on which `debts` builds; none where all debts are given.
+    /// The version that `changes` are relative to; none where all users are listed.
     pub base: Option<RankingVersion>,
-    /// The version told.
+    /// The version that is sent.
     pub version: RankingVersion,
-    /// The agreed time at which it was made.
-    pub time: Millis,
-    /// Its age when this update was sent, in milliseconds, at most.
+    /// The cluster time at which it was made.
+    #[serde(rename = "time")]
+    pub made_at: Millis,
+    /// Its age when this update was sent, in milliseconds; an upper bound.
     pub age_ms: Millis,
-    /// Debts that differ from the base; none where the user is dropped.
-    pub debts: Vec<(Arc<str>, Option<DecayedUsage>)>,
+    /// Users whose usage differs from the base.
+    #[serde(rename = "debts")]
+    pub changes: Vec<UsageChange>,
 }
+
+/// A user's usage in an update. Encoded as a pair.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct UsageChange(
+    /// The user.
+    pub Arc<str>,
+    /// Its usage; none where the user is dropped.
+    pub Option<DecayedUsage>,
+);
--- a/crates/fair-share/tests/debt.rs
+++ b/crates/fair-share/tests/decayed_usage.rs
@@ -1,4 +1,5 @@
-//! Debts against the oracle; merging and cutting in any order.
+//! Decayed usage against the oracle; merging and cutting in any order.
+#![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
 mod support;
 
@@ -6,11 +7,11 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use rstest::rstest;
-use streamusher_fair_share::debt::{DecayedUsage, WINDOW};
-use support::exact::{self, Use};
+use streamusher_fair_share::decayed_usage::{DecayedUsage, MAX_HALF_LIVES};
+use support::oracle::{self, UsageSpan};
 
-fn uses(rng: &mut Pcg32, half_life: u64) -> Vec<Use> {
-    let last = half_life * (WINDOW - 2);
+fn random_usage(rng: &mut Pcg32, half_life: u64) -> Vec<UsageSpan> {
+    let last = half_life * (MAX_HALF_LIVES - 2);
     let draw = |rng: &mut Pcg32| {
         let from = rng.random_range(0..last);
         let to = from + rng.random_range(1..=half_life * 2);
@@ -19,11 +20,12 @@
     (0..rng.random_range(1..40)).map(|_| draw(rng)).collect()
 }
 
-fn sum(uses: &[Use], half_life: u64) -> DecayedUsage {
-    let mut debt = DecayedUsage::default();
-    uses.iter()
-        .for_each(|(rate, from, to)| debt.add(half_life, *rate, *from, *to));
-    debt
+fn sum(spans: &[UsageSpan], half_life: u64) -> DecayedUsage {
+    let mut usage = DecayedUsage::default();
+    for (rate, from, to) in spans {
+        usage.add(half_life, *rate, *from, *to);
+    }
+    usage
 }
 
 #[rstest]
@@ -31,16 +33,19 @@
 #[case::odd(12_347)]
 #[case::an_hour(3_600_000)]
 #[case::thirty_days(2_592_000_000)]
-fn given_any_uses_when_the_debt_is_read_then_it_is_the_oracles(#[case] half_life: u64) {
+fn value_matches_the_oracle(#[case] half_life: u64) {
     for seed in 0..60 {
         let mut rng = Pcg32::seed_from_u64(seed);
-        let uses = uses(&mut rng, half_life);
-        let debt = sum(&uses, half_life);
+        let spans = random_usage(&mut rng, half_life);
+        let usage = sum(&spans, half_life);
         for _ in 0..10 {
-            let now = half_life * (WINDOW - 2) + rng.random_range(0..half_life * 2);
-            let (found, wanted) = (debt.at(half_life, now), exact::debt(&uses, half_life, now));
+            let now = half_life * (MAX_HALF_LIVES - 2) + rng.random_range(0..half_life * 2);
+            let (found, wanted) = (
+                usage.value_at(half_life, now),
+                oracle::value_at(&spans, half_life, now),
+            );
             // A weight is right to a 1,024th of a millisecond and a 2^32th of a half-life at both ends of each part.
-            let parts = uses.iter().map(|(rate, ..)| rate * 8).sum::<u64>();
+            let parts = spans.iter().map(|(rate, ..)| rate * 8).sum::<u64>();
             let allowed = 1 + parts * (half_life / (1 << 31) + 1) / 1_000 + wanted / 1_000_000_000;
             let apart = found.abs_diff(wanted);
             assert!(
@@ -52,29 +57,32 @@
 }
 
 #[test]
-fn given_a_debt_when_a_half_life_passes_then_half_of_it_is_left() {
+fn half_is_left_after_a_half_life() {
     let half_life = 10_000;
-    let mut debt = DecayedUsage::default();
-    debt.add(half_life, 8_000, 0, 10_000);
-    let before = debt.at(half_life, 10_000);
+    let mut usage = DecayedUsage::default();
+    usage.add(half_life, 8_000, 0, 10_000);
+    let before = usage.value_at(half_life, 10_000);
     assert!(
         before > 57_000 && before < 58_000,
-        "8 cores for 10 s, fading meanwhile: {before}"
+        "8 cores for 10 s, decaying meanwhile: {before}"
+    );
+    assert_eq!(usage.value_at(half_life, 20_000), before / 2);
+    assert_eq!(
+        usage.value_at(half_life, 10_000 + 10 * half_life),
+        before / 1_024
     );
-    assert_eq!(debt.at(half_life, 20_000), before / 2);
-    assert_eq!(debt.at(half_life, 10_000 + 10 * half_life), before / 1_024);
 }
 
 #[test]
-fn given_parts_when_merged_in_any_order_then_the_debt_is_exactly_that_of_the_whole() {
+fn merging_parts_in_any_order_is_exact() {
     let half_life = 12_347;
     for seed in 0..300 {
         let mut rng = Pcg32::seed_from_u64(seed);
-        let uses = uses(&mut rng, half_life);
-        let whole = sum(&uses, half_life);
+        let spans = random_usage(&mut rng, half_life);
+        let whole = sum(&spans, half_life);
         let mut parts: Vec<DecayedUsage> = vec![DecayedUsage::default(); 5];
-        for (rate, from, to) in &uses {
-            // Each use is cut at random, and its pieces fall to any parts.
+        for (rate, from, to) in &spans {
+            // Each span is cut at random, and its pieces go to any parts.
             let cut = rng.random_range(*from..=*to);
             parts[rng.random_range(0..5)].add(half_life, *rate, *from, cut);
             parts[rng.random_range(0..5)].add(half_life, *rate, cut, *to);
@@ -90,7 +98,7 @@
 }
 
 #[test]
-fn given_use_out_of_the_window_when_forgotten_before_or_after_a_merge_then_the_result_is_one() {
+fn forgetting_commutes_with_merging() {
     let half_life = 10_000;
     let now = half_life * 20 + 1_234;
     let (mut first, mut second) = (DecayedUsage::default(), DecayedUsage::default());
@@ -98,35 +106,38 @@
     second.add(half_life, 5_000, half_life * 2, half_life * 9);
     let mut merged = first.clone();
     merged.merge(&second);
-    merged.forget(half_life, now);
-    first.forget(half_life, now);
-    second.forget(half_life, now);
+    merged.forget_old(half_life, now);
+    first.forget_old(half_life, now);
+    second.forget_old(half_life, now);
     second.merge(&first);
     assert_eq!(second, merged);
 }
 
 #[test]
-fn given_a_use_when_it_is_taken_back_then_nothing_of_it_is_left() {
+fn subtracting_undoes_adding() {
     let half_life = 10_000;
-    let mut debt = DecayedUsage::default();
-    debt.add(half_life, 2_000, 500, 23_456);
-    let before = debt.clone();
-    debt.add(half_life, 7_777, 1_234, 43_210);
-    debt.take_back(half_life, 7_777, 1_234, 43_210);
-    assert_eq!(debt, before);
+    let mut usage = DecayedUsage::default();
+    usage.add(half_life, 2_000, 500, 23_456);
+    let before = usage.clone();
+    usage.add(half_life, 7_777, 1_234, 43_210);
+    usage.subtract(half_life, 7_777, 1_234, 43_210);
+    assert_eq!(usage, before);
 }
 
 #[test]
-fn given_the_largest_sums_when_added_merged_and_read_then_they_saturate_in_any_order() {
+fn largest_sums_saturate_in_any_order() {
     let text = |sums: &[(u64, u64)]| serde_json::to_string(sums).expect("text");
     let largest: Vec<(u64, u64)> = (0..40).map(|number| (number, u64::MAX)).collect();
-    let mut one: DecayedUsage = serde_json::from_str(&text(&largest)).expect("a debt");
+    let mut one: DecayedUsage = serde_json::from_str(&text(&largest)).expect("usage");
     let mut other = one.clone();
     other.add(10_000, u64::MAX, 0, u64::MAX);
     one.merge(&other);
     other.merge(&one);
-    let _ = one.at(10_000, 0);
-    let _ = other.at(10_000, u64::MAX);
-    let _ = one.at(0, 5);
-    assert_eq!(one.at(10_000, 390_000), other.at(10_000, 390_000));
+    let _ = one.value_at(10_000, 0);
+    let _ = other.value_at(10_000, u64::MAX);
+    let _ = one.value_at(0, 5);
+    assert_eq!(
+        one.value_at(10_000, 390_000),
+        other.value_at(10_000, 390_000)
+    );
 }
--- a/crates/fair-share/tests/encoded.rs
+++ b/crates/fair-share/tests/encoded.rs
@@ -1,4 +1,5 @@
 //! The records, updates and settings are, byte for byte, as recorded: other versions' nodes read them.
+#![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
 mod support;
 
@@ -25,8 +26,8 @@
         self.0.push(format!("{name} {encoded}"));
     }
 
-    fn advance(&mut self, accounts: &mut FairShareAccounts, now: u64, state: &mut State) {
-        for write in accounts.advance(now) {
+    fn publish(&mut self, accounts: &mut FairShareAccounts, now: u64, state: &mut State) {
+        for write in accounts.publish_if_due(now) {
             self.0.push(match &write.value {
                 Some(value) => format!("write {} {value}", write.key),
                 None => format!("remove {}", write.key),
@@ -56,20 +57,20 @@
     let mut state = State::new();
     accounts.on_run_started(0, &user("a"), run(1), &cores(10));
     accounts.on_run_started(500, &user("b/c"), run(2), &cores(3));
-    transcript.advance(&mut accounts, 1_000, &mut state);
+    transcript.publish(&mut accounts, 1_000, &mut state);
     transcript.push("whole", &accounts.update_since(1_300, None));
     let held = accounts.version();
-    accounts.on_run_finished(70_000, &run(1), UsageCharge::Kept(65_000));
-    accounts.on_run_finished(70_000, &run(2), UsageCharge::ThrownAway);
-    transcript.advance(&mut accounts, 70_000, &mut state);
+    accounts.on_run_finished(70_000, &run(1), UsageCharge::UpTo(65_000));
+    accounts.on_run_finished(70_000, &run(2), UsageCharge::Nothing);
+    transcript.publish(&mut accounts, 70_000, &mut state);
     transcript.push("difference", &accounts.update_since(70_001, Some(held)));
-    let shown = accounts.show(71_234, &user("a"));
-    let shown = serde_json::to_string(&shown).expect("JSON");
-    transcript.0.push(format!("user {shown}"));
+    let usage = accounts.usage_of(71_234, &user("a"));
+    let usage = serde_json::to_string(&usage).expect("JSON");
+    transcript.0.push(format!("user {usage}"));
     let mut successor =
         FairShareAccounts::recover(settings_with_all_keys(), 4, 5_000, records(&state));
     transcript.push("recovered", &successor.update_since(5_100, None));
-    transcript.advance(&mut successor, 20 * HALF_LIFE, &mut state);
+    transcript.publish(&mut successor, 20 * HALF_LIFE, &mut state);
     let dropped: RankingUpdate = successor.update_since(20 * HALF_LIFE, Some(accounts.version()));
     transcript.push("dropped", &dropped);
     transcript.0.join("\n") + "\n"
--- a/crates/fair-share/tests/ranking.rs
+++ b/crates/fair-share/tests/ranking.rs
@@ -1,4 +1,5 @@
-//! The order of work: priority first, then age and debt; nobody starves.
+//! The order of units: priority first, then age and usage; nobody starves.
+#![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
 mod support;
 
@@ -6,127 +7,125 @@
 use rand_pcg::Pcg32;
 use std::collections::BTreeSet;
 use streamusher_fair_share::{FairShareAccounts, FairShareSettings, UsageCharge};
-use support::*;
+use support::{cores, run, user};
 
 const HALF_LIFE: u64 = 60_000;
 
-/// A book in which `a` owes ten times as much as `b`.
-fn owing(settings: FairShareSettings) -> FairShareAccounts {
-    let mut book = FairShareAccounts::new(settings, 1, 0);
-    book.on_run_started(0, &user("a"), run(1), &cores(50));
-    book.on_run_started(0, &user("b"), run(2), &cores(5));
-    book.advance(60_000);
-    book
+/// Accounts in which `a` has used ten times as much as `b`.
+fn accounts_with_usage(settings: FairShareSettings) -> FairShareAccounts {
+    let mut accounts = FairShareAccounts::new(settings, 1, 0);
+    accounts.on_run_started(0, &user("a"), run(1), &cores(50));
+    accounts.on_run_started(0, &user("b"), run(2), &cores(5));
+    accounts.publish_if_due(60_000);
+    accounts
 }
 
 #[test]
-fn given_one_priority_when_two_came_together_then_the_lesser_debt_goes_first() {
-    let book = owing(FairShareSettings::with_half_life(HALF_LIFE));
-    let key = |user| book.order_key(user, 2, 1_790_000_000_000);
+fn less_usage_goes_first_within_a_priority() {
+    let accounts = accounts_with_usage(FairShareSettings::with_half_life(HALF_LIFE));
+    let key = |user| accounts.order_key(user, 2, 1_790_000_000_000);
     assert!(key("newcomer") < key("b") && key("b") < key("a"));
 }
 
 #[test]
-fn given_other_priorities_when_ordered_then_priority_goes_before_any_debt() {
-    let book = owing(FairShareSettings::with_half_life(HALF_LIFE));
-    assert!(book.order_key("a", 0, u64::MAX) < book.order_key("newcomer", 1, 0));
-    assert!(book.order_key("a", 65_534, u64::MAX) < book.order_key("newcomer", 65_535, 0));
+fn priority_goes_before_usage() {
+    let accounts = accounts_with_usage(FairShareSettings::with_half_life(HALF_LIFE));
+    assert!(accounts.order_key("a", 0, u64::MAX) < accounts.order_key("newcomer", 1, 0));
+    assert!(accounts.order_key("a", 65_534, u64::MAX) < accounts.order_key("newcomer", 65_535, 0));
     assert_eq!(
-        book.order_key("newcomer", 65_535, 5),
-        book.order_key("newcomer", u32::MAX, 5)
+        accounts.order_key("newcomer", 65_535, 5),
+        accounts.order_key("newcomer", u32::MAX, 5)
     );
 }
 
 #[test]
-fn given_a_unit_that_waits_when_versions_change_then_only_its_debt_moves_it() {
-    let mut book = owing(FairShareSettings::with_half_life(HALF_LIFE));
-    let before = book.order_key("newcomer", 1, 5_000);
-    book.advance(90_000);
+fn pending_unit_moves_only_by_its_own_users_usage() {
+    let mut accounts = accounts_with_usage(FairShareSettings::with_half_life(HALF_LIFE));
+    let before = accounts.order_key("newcomer", 1, 5_000);
+    accounts.publish_if_due(90_000);
     assert_eq!(
-        book.order_key("newcomer", 1, 5_000),
+        accounts.order_key("newcomer", 1, 5_000),
         before,
-        "a gang that waits keeps its place"
+        "a pending gang keeps its place"
     );
 }
 
 #[test]
-fn given_a_weight_when_ordered_then_the_debt_counts_divided_by_it() {
+fn usage_counts_divided_by_the_weight() {
     let mut settings = FairShareSettings::with_half_life(HALF_LIFE);
     settings.weights.insert("a".into(), 10_000);
-    let book = owing(settings);
-    let apart = book
+    let accounts = accounts_with_usage(settings);
+    let apart = accounts
         .ranking()
         .delay_ms("a")
-        .abs_diff(book.ranking().delay_ms("b"));
+        .abs_diff(accounts.ranking().delay_ms("b"));
     assert!(
         apart <= 1,
         "ten times the debt at ten times the weight: {apart}"
     );
 }
 
-/// One worker, one user that owes without end, others that bring new work all the time and owe nothing.
+/// One worker; one user with very large usage; others that submit new work all the time and have used nothing.
 #[test]
-fn given_a_user_with_the_largest_debt_when_newcomers_never_end_then_it_waits_no_longer_than_the_bound(
-) {
+fn user_with_the_most_usage_does_not_starve() {
     for seed in 0..50 {
         let mut rng = Pcg32::seed_from_u64(seed);
         let settings = FairShareSettings {
-            most_delay_ms: 20_000,
+            max_delay_ms: 20_000,
             ..FairShareSettings::with_half_life(HALF_LIFE)
         };
-        let mut book = FairShareAccounts::new(settings, 1, 0);
-        book.on_run_started(0, &user("heavy"), run(0), &cores(900));
+        let mut accounts = FairShareAccounts::new(settings, 1, 0);
+        accounts.on_run_started(0, &user("heavy"), run(0), &cores(900));
         let mut waiting: BTreeSet<(u64, u64, bool)> = BTreeSet::new();
         let mut starts_of_heavy = 0;
         for now in (0..300_000).step_by(250) {
-            book.advance(now);
+            accounts.publish_if_due(now);
             let number = now * 2;
-            // As much new work as the worker can do, each from a user never seen before.
-            let key = book.order_key(&format!("new-{now}"), 1, now);
+            // As much new work as the worker can do, each from a new user.
+            let key = accounts.order_key(&format!("new-{now}"), 1, now);
             waiting.insert((key, number, false));
             if rng.random_range(0..20) == 0 {
-                waiting.insert((book.order_key("heavy", 1, now), number + 1, true));
+                waiting.insert((accounts.order_key("heavy", 1, now), number + 1, true));
             }
             let Some((_, number, is_heavy)) = waiting.pop_first() else {
                 continue;
             };
-            let came = number / 2;
+            let submitted_at = number / 2;
             if is_heavy {
                 starts_of_heavy += 1;
-                // Behind it at most what came up to the bound later, and the heavy units among that.
+                // Behind at most what was submitted up to the bound later, and the heavy units among that.
                 assert!(
-                    now - came <= 20_000 * 2,
-                    "seed {seed}: came {came}, starts {now}"
+                    now - submitted_at <= 20_000 * 2,
+                    "seed {seed}: submitted at {submitted_at}, starts at {now}"
                 );
             }
         }
         assert!(starts_of_heavy > 20, "seed {seed}: {starts_of_heavy}");
-        book.on_run_finished(300_000, &run(0), UsageCharge::Used);
+        accounts.on_run_finished(300_000, &run(0), UsageCharge::Full);
     }
 }
 
 #[test]
-fn given_any_debts_when_two_units_are_ordered_then_none_passes_one_that_came_the_largest_delay_before(
-) {
+fn no_unit_passes_one_submitted_the_largest_delay_before() {
     let settings = FairShareSettings {
-        most_delay_ms: 5_000,
+        max_delay_ms: 5_000,
         ..FairShareSettings::with_half_life(HALF_LIFE)
     };
     let mut rng = Pcg32::seed_from_u64(1);
-    let mut book = FairShareAccounts::new(settings, 1, 0);
+    let mut accounts = FairShareAccounts::new(settings, 1, 0);
     for number in 0..50 {
-        book.on_run_started(
+        accounts.on_run_started(
             0,
             &user(&format!("u{number}")),
             run(number),
             &cores(rng.random_range(0..10_000)),
         );
     }
-    book.advance(600_000);
+    accounts.publish_if_due(600_000);
     for _ in 0..2_000 {
         let (early, late) = (rng.random_range(0..60), rng.random_range(0..60));
-        let came = rng.random_range(0..1_000_000);
-        let first = book.order_key(&format!("u{early}"), 3, came);
-        assert!(first < book.order_key(&format!("u{late}"), 3, came + 5_000));
+        let submitted_at = rng.random_range(0..1_000_000);
+        let first = accounts.order_key(&format!("u{early}"), 3, submitted_at);
+        assert!(first < accounts.order_key(&format!("u{late}"), 3, submitted_at + 5_000));
     }
 }
--- a/crates/fair-share/tests/simulation.rs
+++ b/crates/fair-share/tests/simulation.rs
@@ -1,4 +1,5 @@
-//! Several nodes start work by versions that a lossy relay tells them; an oracle that sees all use replays the starts.
+//! Several nodes start units by versions that a lossy relay sends them; an oracle that sees all usage replays the starts.
+#![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
 mod support;
 
@@ -13,7 +14,7 @@
 }
 
 #[test]
-fn given_a_lossy_relay_and_failovers_when_nodes_start_work_then_no_inversion_exceeds_the_bound() {
+fn no_inversion_exceeds_the_bound_with_a_lossy_relay_and_failovers() {
     let first = number("SHARE_DEBT_FIRST", 0);
     let (mut starts, mut stale, mut failovers, mut inverted) = (0, 0, 0, 0);
     for seed in first..first + number("SHARE_DEBT_SEEDS", 2_000) {
--- a/crates/fair-share/tests/support/mod.rs
+++ b/crates/fair-share/tests/support/mod.rs
@@ -1,5 +1,6 @@
-//! What the tests share: runs, resources, and debts in arithmetic of their own.
-#![allow(dead_code)]
+//! Runs, resources and replicated state that the tests share.
+#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,19 +8,19 @@
 use streamusher_protocol::store::Write;
 use streamusher_protocol::task::RunId;
 
-pub mod exact;
-pub mod simulation;
+pub(crate) mod oracle;
+pub(crate) mod simulation;
 
-pub type State = BTreeMap<Arc<str>, Arc<str>>;
+pub(crate) type State = BTreeMap<Arc<str>, Arc<str>>;
 
-pub fn run(number: u64) -> RunId {
+pub(crate) fn run(number: u64) -> RunId {
     let task = format!("{number:016x}.0.0.0")
         .parse()
         .expect("a task's name");
     RunId { task, run: 1 }
 }
 
-pub fn cores(count: u64) -> Resources {
+pub(crate) fn cores(count: u64) -> Resources {
     Resources {
         cpu: count * 1_000,
         mem_mb: 0,
@@ -27,11 +28,11 @@
     }
 }
 
-pub fn user(name: &str) -> Arc<str> {
+pub(crate) fn user(name: &str) -> Arc<str> {
     name.into()
 }
 
-pub fn apply(state: &mut State, writes: Vec<Write>) {
+pub(crate) fn apply(state: &mut State, writes: Vec<Write>) {
     for write in writes {
         match write.value {
             Some(value) => state.insert(write.key, value),
@@ -40,7 +41,7 @@
     }
 }
 
-pub fn records(state: &State) -> Vec<(Arc<str>, Arc<str>)> {
+pub(crate) fn records(state: &State) -> Vec<(Arc<str>, Arc<str>)> {
     state
         .iter()
         .map(|(key, value)| (key.clone(), value.clone()))
--- a/crates/scheduler/src/fair_share.rs
+++ b/crates/scheduler/src/fair_share.rs
@@ -49,7 +49,7 @@
         records: impl IntoIterator<Item = (Arc<str>, Arc<str>)>,
     ) -> FairShare {
         let accounts = FairShareAccounts::recover(settings, epoch, now, records);
-        let unreadable = accounts.damaged().len();
+        let unreadable = accounts.unreadable_users().len();
         if unreadable > 0 {
             log::warn!(
                 "fair share: {unreadable} usage records are unreadable: their users start without usage"
@@ -66,13 +66,13 @@
         let mut users: Vec<UserUsage> = self
             .accounts
             .users()
-            .map(|user| self.accounts.show(now, user))
+            .map(|user| self.accounts.usage_of(now, user))
             .collect();
         users.sort_by_key(|usage| Reverse(usage.present_core_ms));
         let user_count = users.len();
         users.truncate(MAX_LISTED_USERS);
         FairShareStatus {
-            age_ms: self.accounts.age(now),
+            age_ms: self.accounts.age_ms(now),
             user_count,
             users,
             version: self.accounts.version(),
@@ -81,7 +81,7 @@
 
     /// A user's usage.
     pub(crate) fn usage_of(&self, now: Millis, user: &Arc<str>) -> UserUsage {
-        self.accounts.show(now, user)
+        self.accounts.usage_of(now, user)
     }
 
     /// The user that is charged for a job; none where the job is unknown.
@@ -125,14 +125,14 @@
         let state = jobs.status(&run.task.job);
         let is_job_over = matches!(state, Some(JobState::Cancelled | JobState::Failed));
         let charge = match outcome {
-            RunEnd::Done | RunEnd::Failed => UsageCharge::Used,
+            RunEnd::Done | RunEnd::Failed => UsageCharge::Full,
             // The user had it stopped, its own job failed, or nothing of its work is lost.
-            RunEnd::Stopped if is_job_over || !checkpoint.is_empty() => UsageCharge::Used,
+            RunEnd::Stopped if is_job_over || !checkpoint.is_empty() => UsageCharge::Full,
             RunEnd::Stopped
             | RunEnd::LeaseExpired
             | RunEnd::GangBroken
             | RunEnd::GangIncomplete
-            | RunEnd::Rejected => UsageCharge::ThrownAway,
+            | RunEnd::Rejected => UsageCharge::Nothing,
         };
         self.accounts.on_run_finished(now, run, charge);
     }
@@ -140,13 +140,13 @@
     /// A run's capacity is released. One that was not reported as finished is not charged.
     pub(crate) fn on_run_released(&mut self, now: Millis, run: &RunId) {
         self.accounts
-            .on_run_finished(now, run, UsageCharge::ThrownAway);
+            .on_run_finished(now, run, UsageCharge::Nothing);
     }
 
     /// Makes a new ranking version where one is due; returns its writes. A pass over the pending units begins with it,
     /// unless one is under way: that one goes to its end first, or the last units of a long queue would never be reached.
     pub(crate) fn publish_ranking(&mut self, now: Millis) -> Vec<Write> {
-        let writes = self.accounts.advance(now);
+        let writes = self.accounts.publish_if_due(now);
         if !writes.is_empty() && self.pass.is_none() {
             self.pass = Some(ReorderPass {
                 version: self.accounts.version(),
@@ -188,6 +188,6 @@
 
     /// A pending unit is reordered when its order has changed by more than this.
     pub(crate) fn min_shift_ms(&self) -> Millis {
-        self.accounts.settings().most_delay_ms / MIN_SHIFT_PART
+        self.accounts.settings().max_delay_ms / MIN_SHIFT_PART
     }
 }
--- a/crates/scheduler/tests/encoded.rs
+++ b/crates/scheduler/tests/encoded.rs
@@ -24,7 +24,7 @@
 
 fn with_fair_share() -> SchedulerSettings {
     let fair_share = streamusher_fair_share::FairShareSettings {
-        most_delay_ms: 60_000,
+        max_delay_ms: 60_000,
         half_delay_core_s: 10,
         ..streamusher_fair_share::FairShareSettings::with_half_life(60_000)
     };
--- a/crates/scheduler/tests/fair_share.rs
+++ b/crates/scheduler/tests/fair_share.rs
@@ -30,7 +30,7 @@
 
 fn with_fair_share() -> SchedulerSettings {
     let fair_share = streamusher_fair_share::FairShareSettings {
-        most_delay_ms: 60_000,
+        max_delay_ms: 60_000,
         half_delay_core_s: 10,
         ..streamusher_fair_share::FairShareSettings::with_half_life(60_000)
     };
