--- a/crates/controlplane/examples/cluster/main.rs
+++ b/crates/controlplane/examples/cluster/main.rs
@@ -17,7 +17,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 use streamusher_dataplane::{agent_process, gate, process};
-use streamusher_runtime::{clock, logs, runtime, settings};
+use streamusher_runtime::{clock, event_loop, logs, settings};
 
 /// The scenario takes some ten seconds; a busy machine may need longer.
 const MAX_DURATION: Duration = Duration::from_secs(90);
@@ -26,7 +26,7 @@
     clock::steady();
     let argument = std::env::args().nth(1);
     let ended = match argument.as_deref().map(Role::from_argument) {
-        None => runtime::block_on(run_scenario())
+        None => event_loop::block_on(run_scenario())
             .map_err(anyhow::Error::from)
             .flatten(),
         Some(Some(role)) => run_process(role),
--- a/crates/controlplane/src/main.rs
+++ b/crates/controlplane/src/main.rs
@@ -20,7 +20,7 @@
 use streamusher_protocol::internal::ExplainRequest;
 use streamusher_runtime::options::EXIT_MISUSE;
 use streamusher_runtime::settings::{self, ProcessSettings};
-use streamusher_runtime::{logs, runtime};
+use streamusher_runtime::{event_loop, logs};
 
 /// Why the program ends without success.
 enum Failure {
@@ -108,7 +108,7 @@
 
 fn status(cluster: ClusterAddresses, format: StatusFormat) -> Result<ExitCode, Failure> {
     let addresses = addresses_to_query(cluster)?;
-    let responses = runtime::block_on(query::query_all(addresses)).map_err(failed)?;
+    let responses = event_loop::block_on(query::query_all(addresses)).map_err(failed)?;
     match format {
         StatusFormat::Tables => print!("{}", report::render(&responses)),
         StatusFormat::Json => print!("{}", cluster_status::to_json(&responses)),
@@ -121,7 +121,7 @@
 
 fn explain(request: &ExplainRequest, cluster: ClusterAddresses) -> Result<(), Failure> {
     let addresses = addresses_to_query(cluster)?;
-    let text = runtime::block_on(cluster_status::explain(addresses, request))
+    let text = event_loop::block_on(cluster_status::explain(addresses, request))
         .map_err(failed)?
         .map_err(failed)?;
     print!("{text}");
--- a/crates/controlplane/src/peer_messages.rs
+++ b/crates/controlplane/src/peer_messages.rs
@@ -78,8 +78,8 @@
 /// Sends what comes through `messages`, until the queue is dropped.
 async fn deliver(from: Arc<str>, address: SocketAddr, mut messages: mpsc::Receiver<Message>) {
     let limits = ClientLimits {
-        max_calls: 1,
-        max_idle: 1,
+        max_requests: 1,
+        max_idle_connections: 1,
         connect_timeout: CONNECT_TIMEOUT,
         ..Default::default()
     };
--- a/crates/controlplane/src/process.rs
+++ b/crates/controlplane/src/process.rs
@@ -15,7 +15,7 @@
 use streamusher_protocol::Millis;
 use streamusher_runtime::settings::{self, ProcessSettings};
 use streamusher_runtime::signals::{Signal, Signals};
-use streamusher_runtime::{clock, runtime};
+use streamusher_runtime::{clock, event_loop};
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 use tokio::time::{interval, Interval, MissedTickBehavior};
@@ -75,7 +75,7 @@
     settings: &ProcessSettings,
     fair_share: Option<FairShareSettings>,
 ) -> Result<(), ProcessError> {
-    runtime::block_on(run_with_signals(settings, fair_share)).map_err(ProcessError::EventLoop)?
+    event_loop::block_on(run_with_signals(settings, fair_share)).map_err(ProcessError::EventLoop)?
 }
 
 async fn run_with_signals(
@@ -117,7 +117,7 @@
         let machine = start_machine(settings, &machine_settings, fair_share, sender)?;
         let max_internal_connections = settings
             .limits
-            .connections(OTHER_DESCRIPTORS + MAX_CONTROL_CONNECTIONS as u64);
+            .max_connections(OTHER_DESCRIPTORS + MAX_CONTROL_CONNECTIONS as u64);
         let servers = Servers::start(&machine, &machine_settings, max_internal_connections).await?;
         let max_leadership_transfer_ms =
             MAX_LEADERSHIP_TRANSFER_MS.min(settings.bounds.grace_ms() / 2);
--- a/crates/controlplane/src/servers.rs
+++ b/crates/controlplane/src/servers.rs
@@ -98,7 +98,7 @@
 
 async fn bind(address: SocketAddr, max_connections: usize) -> Result<Server, BindError> {
     let limits = ServerLimits {
-        max_body: MAX_BODY_BYTES,
+        max_body_bytes: MAX_BODY_BYTES,
         max_connections,
         ..Default::default()
     };
--- a/crates/controlplane/tests/reload.rs
+++ b/crates/controlplane/tests/reload.rs
@@ -97,10 +97,10 @@
 
     machine.write_settings("\"nowhere\"");
     process.hang_up();
-    wait_for(&mut lines, "the former settings stay");
+    wait_for(&mut lines, "settings not reloaded, keeping the former ones");
     machine.write_settings(&format!("\"{}.3:8144\"", machine.net));
     process.hang_up();
-    wait_for(&mut lines, "settings read again");
+    wait_for(&mut lines, "settings reloaded");
 
     second.accept().unwrap();
 }
--- a/crates/controlplane/tests/support/cluster.rs
+++ b/crates/controlplane/tests/support/cluster.rs
@@ -12,9 +12,9 @@
 use streamusher_controlplane::process::{ControlProcess, ProcessError};
 use streamusher_protocol::config::BASE_VERSION_HEADER;
 use streamusher_protocol::internal::{ClusterView, ClusterWatch, CLUSTER_PATH, CLUSTER_WATCH_PATH};
+use streamusher_runtime::event_loop;
 use streamusher_runtime::http::{Client, Request, Response};
-use streamusher_runtime::runtime;
-use streamusher_runtime::settings::{FaultTolerance, Listen, ProcessSettings};
+use streamusher_runtime::settings::{FaultTolerance, ListenAddresses, ProcessSettings};
 use streamusher_runtime::signals::Signal;
 use tokio::sync::mpsc;
 use tokio::task::{spawn_local, JoinHandle};
@@ -46,7 +46,7 @@
 /// Runs a test within the runtime that the programs have, for a bounded time.
 pub(crate) fn run_bounded<F: Future<Output = ()>>(test: F) {
     let bounded = async { tokio::time::timeout(MAX_TEST_TIME, test).await };
-    let result = runtime::block_on(bounded).unwrap();
+    let result = event_loop::block_on(bounded).unwrap();
     assert!(result.is_ok(), "the test took too long");
 }
 
@@ -113,7 +113,7 @@
             seeds,
             bootstrap,
             data_dir: Some(self.folders[machine].path().to_owned()),
-            listen: Listen {
+            listen: ListenAddresses {
                 control: Some(self.control(machine)),
                 ..Default::default()
             },
--- a/crates/dataplane/src/agent_process/mod.rs
+++ b/crates/dataplane/src/agent_process/mod.rs
@@ -21,8 +21,8 @@
 
 /// The worker's requests: long lists of runs, on few connections.
 const WORKER_SERVER_LIMITS: ServerLimits = ServerLimits {
-    max_body: 8 << 20,
-    max_header: 8_192,
+    max_body_bytes: 8 << 20,
+    max_header_bytes: 8_192,
     body_timeout: Duration::from_secs(2),
     idle_timeout: Duration::from_mins(1),
     max_connections: 32,
--- a/crates/dataplane/src/control_plane/connections.rs
+++ b/crates/dataplane/src/control_plane/connections.rs
@@ -34,7 +34,7 @@
     pub(super) fn new(max_idle_connections: usize) -> Connections {
         Connections {
             limits: ClientLimits {
-                max_idle: max_idle_connections,
+                max_idle_connections,
                 ..ClientLimits::default()
             },
             clients: RefCell::default(),
@@ -48,7 +48,7 @@
             client.clone()
         } else {
             let socket_address: SocketAddr = address.parse().ok()?;
-            let client = Client::with_limits(socket_address, self.limits.clone());
+            let client = Client::with_limits(socket_address, self.limits);
             clients.insert(Arc::clone(address), client.clone());
             client
         };
--- a/crates/dataplane/src/gate/client_limits.rs
+++ b/crates/dataplane/src/gate/client_limits.rs
@@ -19,11 +19,11 @@
 /// The limits of the listener for clients.
 pub(super) fn server_limits(settings: &ProcessSettings, limits: &Limits) -> ServerLimits {
     ServerLimits {
-        max_body: size(limits.max_body_bytes.min(MAX_BODY_BYTES)),
-        max_header: size(limits.max_header_bytes.min(MAX_HEADER_BYTES)),
+        max_body_bytes: size(limits.max_body_bytes.min(MAX_BODY_BYTES)),
+        max_header_bytes: size(limits.max_header_bytes.min(MAX_HEADER_BYTES)),
         body_timeout: Duration::from_millis(limits.header_timeout_ms),
         idle_timeout: Duration::from_millis(limits.idle_timeout_ms),
-        max_connections: settings.limits.connections(RESERVED_DESCRIPTORS),
+        max_connections: settings.limits.max_connections(RESERVED_DESCRIPTORS),
     }
 }
 
--- a/crates/dataplane/src/gate/handler.rs
+++ b/crates/dataplane/src/gate/handler.rs
@@ -27,8 +27,8 @@
 
 /// Messages of the relay tree hold whole configurations with thousands of routes.
 const INTERNAL_SERVER_LIMITS: ServerLimits = ServerLimits {
-    max_body: 16 << 20,
-    max_header: 8_192,
+    max_body_bytes: 16 << 20,
+    max_header_bytes: 8_192,
     body_timeout: Duration::from_secs(5),
     idle_timeout: Duration::from_secs(10),
     max_connections: 32,
--- a/crates/dataplane/src/gate/server.rs
+++ b/crates/dataplane/src/gate/server.rs
@@ -25,8 +25,8 @@
 
 /// The readiness probe: nothing but a head.
 const READINESS_SERVER_LIMITS: ServerLimits = ServerLimits {
-    max_body: 1_024,
-    max_header: 8_192,
+    max_body_bytes: 1_024,
+    max_header_bytes: 8_192,
     body_timeout: Duration::from_secs(2),
     idle_timeout: Duration::from_secs(30),
     max_connections: 32,
--- a/crates/dataplane/src/main.rs
+++ b/crates/dataplane/src/main.rs
@@ -6,20 +6,28 @@
 use std::process::ExitCode;
 use streamusher_dataplane::role_settings::RoleSettingsError;
 use streamusher_dataplane::{agent_process, gate, process};
-use streamusher_runtime::options::{self, Chosen, Invocation, Program, EXIT_MISUSE};
+use streamusher_runtime::options::{
+    self, CommandDescription, ParsedCommandLine, ProgramDescription, RunOptions, EXIT_MISUSE,
+};
 use streamusher_runtime::settings::{self, ProcessSettings};
 use streamusher_runtime::{clock, logs};
 
 const GATE_COMMAND: &str = "gate";
 const AGENT_COMMAND: &str = "agent";
 
-const PROGRAM: Program = Program {
+const PROGRAM: ProgramDescription = ProgramDescription {
     name: "streamusher-data",
     summary: "The scheduler's data plane.",
     version: env!("CARGO_PKG_VERSION"),
     commands: &[
-        (GATE_COMMAND, "takes clients' calls on front machines"),
-        (AGENT_COMMAND, "stands beside a worker on its side machine"),
+        CommandDescription {
+            name: GATE_COMMAND,
+            summary: "takes clients' calls on front machines",
+        },
+        CommandDescription {
+            name: AGENT_COMMAND,
+            summary: "stands beside a worker on its side machine",
+        },
     ],
 };
 
@@ -27,11 +35,11 @@
     clock::steady();
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     match options::parse(&PROGRAM, &arguments) {
-        Ok(Invocation::Print(text)) => {
+        Ok(ParsedCommandLine::Print(text)) => {
             println!("{text}");
             ExitCode::SUCCESS
         }
-        Ok(Invocation::Run(chosen)) => check_and_run(chosen),
+        Ok(ParsedCommandLine::Run(options)) => check_and_run(options),
         Err(error) => misuse(&error),
     }
 }
@@ -44,9 +52,9 @@
 }
 
 impl Role {
-    fn of_command(command: &str) -> Role {
+    fn of_command(command: Option<&str>) -> Role {
         match command {
-            GATE_COMMAND => Role::Gate,
+            Some(GATE_COMMAND) => Role::Gate,
             _ => Role::Agent,
         }
     }
@@ -66,16 +74,16 @@
     }
 }
 
-fn check_and_run(chosen: Chosen) -> ExitCode {
-    logs::start(chosen.log_level);
+fn check_and_run(options: RunOptions) -> ExitCode {
+    logs::start(options.log_level);
     let settings = match settings::load() {
         Ok(settings) => settings,
         Err(error) => return misuse(&error),
     };
-    let role = Role::of_command(chosen.command);
+    let role = Role::of_command(options.command);
     match role.check(&settings) {
         Err(error) => misuse(&error),
-        Ok(()) if chosen.check => ExitCode::SUCCESS,
+        Ok(()) if options.check => ExitCode::SUCCESS,
         Ok(()) => run(role, settings),
     }
 }
--- a/crates/dataplane/src/process/mod.rs
+++ b/crates/dataplane/src/process/mod.rs
@@ -26,5 +26,5 @@
 /// # Errors
 /// The event loop could not be created, or the future's own error.
 pub fn run(process: impl Future<Output = anyhow::Result<()>>) -> anyhow::Result<()> {
-    streamusher_runtime::runtime::block_on(process)?
+    streamusher_runtime::event_loop::block_on(process)?
 }
--- a/crates/dataplane/src/process/status.rs
+++ b/crates/dataplane/src/process/status.rs
@@ -10,8 +10,8 @@
 
 /// Small bodies from few clients.
 const STATUS_SERVER_LIMITS: ServerLimits = ServerLimits {
-    max_body: 4_096,
-    max_header: 8_192,
+    max_body_bytes: 4_096,
+    max_header_bytes: 8_192,
     body_timeout: Duration::from_secs(2),
     idle_timeout: Duration::from_secs(10),
     max_connections: 8,
--- a/crates/dataplane/tests/reload.rs
+++ b/crates/dataplane/tests/reload.rs
@@ -95,9 +95,9 @@
     former.accept().unwrap();
 
     process.reload("\"nowhere\"");
-    wait_for(&mut lines, "the former settings stay");
+    wait_for(&mut lines, "settings not reloaded, keeping the former ones");
     process.reload(&format!("\"{net}.3:8144\""));
-    wait_for(&mut lines, "settings read again");
+    wait_for(&mut lines, "settings reloaded");
 
     newer.accept().unwrap();
 }
--- a/crates/dataplane/tests/support/primary.rs
+++ b/crates/dataplane/tests/support/primary.rs
@@ -26,7 +26,7 @@
             .await
             .expect("it ends in time");
     };
-    streamusher_runtime::runtime::block_on(bounded).unwrap();
+    streamusher_runtime::event_loop::block_on(bounded).unwrap();
 }
 
 pub(crate) fn core(address: SocketAddr) -> CoreAddress {
--- a/crates/runtime/src/http/client.rs
+++ b/crates/runtime/src/http/client.rs
@@ -1,31 +1,28 @@
-//! The calling side: persistent connections to one address, told apart by whether a failed call may have been carried out.
+//! The client: requests to one address over persistent connections.
 
-use super::call_id::{belongs, CallIds};
-use super::sockets;
-use super::stream::Stream;
+use super::client_error::{NotSentReason, RequestError, UnknownReason};
+use super::connection_pool::{ConnectionPool, Generation, PooledConnection, Sender};
+use super::request_id::{matches, RequestIds};
 use super::{Request, Response};
 use ::http::header::{HeaderValue, HOST};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
-use hyper::client::conn::http1::{self, SendRequest};
-use std::cell::RefCell;
-use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::Semaphore;
-use tokio::time::Instant;
+use tokio::time::{timeout_at, Instant};
 
-/// What a client takes for itself.
-#[derive(Clone, Debug)]
+/// Limits of a client.
+#[derive(Clone, Copy, Debug)]
 pub struct ClientLimits {
-    /// Calls at once, each on a connection of its own; further ones wait.
-    pub max_calls: usize,
-    /// Connections kept while nothing is called.
-    pub max_idle: usize,
-    /// Longest body of an answer, in bytes.
-    pub max_body: usize,
+    /// Requests at once, each on a connection of its own; further ones wait.
+    pub max_requests: usize,
+    /// Idle connections that are kept.
+    pub max_idle_connections: usize,
+    /// Longest body of a response, in bytes.
+    pub max_body_bytes: usize,
     /// How long connecting may take.
     pub connect_timeout: Duration,
 }
@@ -33,197 +30,159 @@
 impl Default for ClientLimits {
     fn default() -> ClientLimits {
         ClientLimits {
-            max_calls: 32,
-            max_idle: 8,
-            max_body: 8 << 20,
-            // A machine that is up answers in a round trip; a dead one says nothing.
+            max_requests: 32,
+            max_idle_connections: 8,
+            max_body_bytes: 8 << 20,
+            // A machine that is up answers in a round trip; a dead one never does.
             connect_timeout: Duration::from_millis(300),
         }
     }
 }
 
-/// Why there is no answer.
-#[derive(Debug, thiserror::Error)]
-pub enum RequestError {
-    /// No byte of the call reached the peer's program: it can be made elsewhere.
-    #[error("not sent: {0}: call another address")]
-    NotSent(String),
-    /// It may have been carried out.
-    #[error("sent, but not answered: {0}: repeat it only if it can be repeated")]
-    Unknown(String),
-}
-
-type Sender = SendRequest<Full<Bytes>>;
-
-/// Calls one address; clones share the connections.
+/// Sends requests to one address. Clones share the connections.
 #[derive(Clone)]
 pub struct Client {
     shared: Rc<Shared>,
 }
 
 struct Shared {
-    address: SocketAddr,
     host: Option<HeaderValue>,
-    limits: ClientLimits,
-    places: Semaphore,
-    pool: RefCell<Pool>,
-    ids: CallIds,
-}
-
-#[derive(Default)]
-struct Pool {
-    idle: Vec<Sender>,
-    /// Rises with each reset: connections made before are not taken back.
-    generation: u64,
+    max_body_bytes: usize,
+    permits: Semaphore,
+    pool: ConnectionPool,
+    request_ids: RequestIds,
 }
 
 impl Client {
-    /// A client with the usual limits; connects with the first call.
+    /// A client with the usual limits. It connects with the first request.
     pub fn new(address: SocketAddr) -> Client {
         Client::with_limits(address, ClientLimits::default())
     }
 
     /// A client with limits of its own.
     pub fn with_limits(address: SocketAddr, limits: ClientLimits) -> Client {
-        let host = HeaderValue::from_str(&address.to_string()).ok();
-        let places = Semaphore::new(limits.max_calls.clamp(1, Semaphore::MAX_PERMITS));
-        let pool = RefCell::new(Pool::default());
-        let ids = CallIds::default();
+        let max_requests = limits.max_requests.clamp(1, Semaphore::MAX_PERMITS);
         Client {
             shared: Rc::new(Shared {
-                address,
-                host,
-                limits,
-                places,
-                pool,
-                ids,
+                host: HeaderValue::from_str(&address.to_string()).ok(),
+                max_body_bytes: limits.max_body_bytes,
+                permits: Semaphore::new(max_requests),
+                pool: ConnectionPool::new(
+                    address,
+                    limits.max_idle_connections,
+                    limits.connect_timeout,
+                ),
+                request_ids: RequestIds::default(),
             }),
         }
     }
 
-    /// Whom it calls.
+    /// The address.
     pub fn address(&self) -> SocketAddr {
-        self.shared.address
+        self.shared.pool.address()
     }
 
-    /// Makes a call and waits for the whole answer, at most for `deadline`. A call that is dropped closes its connection.
+    /// Sends a request and waits for the whole response, for `timeout` at most. A request whose future is dropped closes its
+    /// connection.
     ///
     /// # Errors
-    /// No answer came: see [`RequestError`].
-    pub async fn send(&self, call: Request, deadline: Duration) -> Result<Response, RequestError> {
-        let until = Instant::now() + deadline;
-        let waited = tokio::time::timeout_at(until, self.shared.places.acquire()).await;
-        let _place =
-            waited.map_err(|_| RequestError::NotSent("too many calls at once".to_owned()))?;
-        self.shared.call(call, until).await
+    /// There is no response; see [`RequestError`] for whether the request may have been executed.
+    pub async fn send(
+        &self,
+        request: Request,
+        timeout: Duration,
+    ) -> Result<Response, RequestError> {
+        let deadline = Instant::now() + timeout;
+        let _permit = timeout_at(deadline, self.shared.permits.acquire())
+            .await
+            .map_err(|_| RequestError::NotSent(NotSentReason::TooManyRequests))?;
+        self.shared.send(request, deadline).await
     }
 
-    /// Closes the idle connections, and those at work once they have been answered.
+    /// Closes the idle connections, and those in use once their responses have come.
     pub fn reset(&self) {
-        let mut pool = self.shared.pool.borrow_mut();
-        pool.generation += 1;
-        pool.idle = Vec::new();
+        self.shared.pool.reset();
     }
 }
 
+/// What became of a request on one connection.
+enum Exchange {
+    Response(::http::Response<Incoming>, Sender),
+    /// The request came back: the connection broke before it was written.
+    Returned(::http::Request<Full<Bytes>>, hyper::Error),
+}
+
 impl Shared {
-    async fn call(&self, call: Request, until: Instant) -> Result<Response, RequestError> {
-        let (mut request, id) = self.prepare(call);
+    async fn send(&self, request: Request, deadline: Instant) -> Result<Response, RequestError> {
+        let (mut request, id) = self.prepare(request);
         loop {
-            let generation = self.pool.borrow().generation;
-            let (mut sender, fresh) = self.connection(until).await?;
-            let sent = tokio::time::timeout_at(until, sender.try_send_request(request));
-            let mut error = match sent.await {
-                Err(_) => return Err(RequestError::Unknown("the deadline is over".to_owned())),
-                Ok(Ok(answer)) if !belongs(answer.headers(), &id) => {
-                    return Err(RequestError::Unknown(
-                        "the answer is that of another call".to_owned(),
-                    ));
+            let generation = self.pool.generation();
+            let PooledConnection { sender, is_new } = self
+                .pool
+                .take(deadline)
+                .await
+                .map_err(RequestError::NotSent)?;
+            match exchange(sender, request, &id, deadline).await {
+                Ok(Exchange::Response(response, sender)) => {
+                    return self.read(response, sender, generation, deadline).await;
+                }
+                Ok(Exchange::Returned(_, error)) if is_new => {
+                    return Err(RequestError::NotSent(NotSentReason::Http(error)));
                 }
-                Ok(Ok(answer)) => return self.read(answer, sender, generation, until).await,
-                Ok(Err(error)) => error,
-            };
-            // Only a request that is handed back was surely not written.
-            let Some(back) = error.take_message() else {
-                return Err(RequestError::Unknown(error.into_error().to_string()));
-            };
-            if fresh {
-                return Err(RequestError::NotSent(error.into_error().to_string()));
+                // An idle connection that the peer has closed: the next one may do.
+                Ok(Exchange::Returned(returned, _)) => request = returned,
+                Err(reason) => return Err(RequestError::Unknown(reason)),
             }
-            request = back;
         }
     }
 
-    fn prepare(&self, call: Request) -> (::http::Request<Full<Bytes>>, HeaderValue) {
-        let mut request = call.map(Full::new);
-        let id = self.ids.stamp(request.headers_mut());
+    fn prepare(&self, request: Request) -> (::http::Request<Full<Bytes>>, HeaderValue) {
+        let mut request = request.map(Full::new);
+        let id = self.request_ids.stamp(request.headers_mut());
         if let (false, Some(host)) = (request.headers().contains_key(HOST), &self.host) {
             request.headers_mut().insert(HOST, host.clone());
         }
         (request, id)
     }
 
-    /// A connection that takes a request, and whether it is new.
-    async fn connection(&self, until: Instant) -> Result<(Sender, bool), RequestError> {
-        loop {
-            let idle = self.pool.borrow_mut().idle.pop();
-            let Some(mut sender) = idle else { break };
-            if matches!(
-                tokio::time::timeout_at(until, sender.ready()).await,
-                Ok(Ok(()))
-            ) {
-                return Ok((sender, false));
-            }
-        }
-        let limit = until.min(Instant::now() + self.limits.connect_timeout);
-        match tokio::time::timeout_at(limit, connect(self.address)).await {
-            Ok(Ok(sender)) => Ok((sender, true)),
-            Ok(Err(error)) => Err(RequestError::NotSent(error.to_string())),
-            Err(_) => Err(RequestError::NotSent("connecting took too long".to_owned())),
-        }
-    }
-
+    /// Reads the body, and keeps the connection.
     async fn read(
         &self,
-        answer: ::http::Response<Incoming>,
+        response: ::http::Response<Incoming>,
         sender: Sender,
-        generation: u64,
-        until: Instant,
+        generation: Generation,
+        deadline: Instant,
     ) -> Result<Response, RequestError> {
-        let (head, body) = answer.into_parts();
-        let collected = Limited::new(body, self.limits.max_body).collect();
-        let body = match tokio::time::timeout_at(until, collected).await {
+        let (head, body) = response.into_parts();
+        let collected = Limited::new(body, self.max_body_bytes).collect();
+        let body = match timeout_at(deadline, collected).await {
             Ok(Ok(body)) => body.to_bytes(),
-            Ok(Err(error)) => return Err(RequestError::Unknown(error.to_string())),
-            Err(_) => return Err(RequestError::Unknown("the deadline is over".to_owned())),
+            Ok(Err(error)) => return Err(RequestError::Unknown(UnknownReason::Body(error))),
+            Err(_) => return Err(RequestError::Unknown(UnknownReason::Timeout)),
         };
-        self.keep(sender, generation);
+        self.pool.put_back(sender, generation);
         Ok(Response::from_parts(head, body))
     }
+}
 
-    fn keep(&self, sender: Sender, generation: u64) {
-        let mut pool = self.pool.borrow_mut();
-        if pool.generation == generation
-            && pool.idle.len() < self.limits.max_idle
-            && !sender.is_closed()
-        {
-            pool.idle.push(sender);
+/// Writes a request on a connection and reads the head of its response.
+async fn exchange(
+    mut sender: Sender,
+    request: ::http::Request<Full<Bytes>>,
+    id: &HeaderValue,
+    deadline: Instant,
+) -> Result<Exchange, UnknownReason> {
+    let mut error = match timeout_at(deadline, sender.try_send_request(request)).await {
+        Ok(Ok(response)) if matches(response.headers(), id) => {
+            return Ok(Exchange::Response(response, sender));
         }
+        Ok(Ok(_)) => return Err(UnknownReason::MismatchedResponse),
+        Ok(Err(error)) => error,
+        Err(_) => return Err(UnknownReason::Timeout),
+    };
+    // Only a request that hyper hands back was surely not written.
+    match error.take_message() {
+        Some(request) => Ok(Exchange::Returned(request, error.into_error())),
+        None => Err(UnknownReason::Http(error.into_error())),
     }
 }
-
-async fn connect(address: SocketAddr) -> io::Result<Sender> {
-    let stream = sockets::connect(address).await?;
-    let handshake = http1::Builder::new()
-        .max_buf_size(BUFFER)
-        .handshake(Stream(stream));
-    let (sender, connection) = handshake.await.map_err(io::Error::other)?;
-    tokio::task::spawn_local(async move {
-        // Its errors are told to the call that was under way.
-        let _ = connection.await;
-    });
-    Ok(sender)
-}
-
-/// Bytes that a connection buffers at most; bodies stream through it.
-const BUFFER: usize = 32_768;
--- a/crates/runtime/src/http/stream.rs
+++ b/crates/runtime/src/http/hyper_io.rs
@@ -1,4 +1,4 @@
-//! What hyper needs of the event loop: a byte stream and a timer.
+//! Adapters from tokio to hyper: a byte stream and a timer.
 
 use hyper::rt::{ReadBufCursor, Sleep, Timer};
 use std::future::Future;
@@ -9,6 +9,9 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
+/// Bytes of one read: the size of hyper's own first buffer.
+const READ_BYTES: usize = 8_192;
+
 /// A TCP connection as hyper reads and writes it.
 pub(super) struct Stream(pub(super) TcpStream);
 
@@ -19,8 +22,8 @@
         mut cursor: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         // Zeroed, so that no unsafe code is needed; the buffers are small.
-        let mut chunk = [0_u8; CHUNK];
-        let wanted = cursor.remaining().min(CHUNK);
+        let mut chunk = [0_u8; READ_BYTES];
+        let wanted = cursor.remaining().min(READ_BYTES);
         let mut buffer = ReadBuf::new(&mut chunk[..wanted]);
         ready!(Pin::new(&mut self.0).poll_read(context, &mut buffer))?;
         cursor.put_slice(buffer.filled());
@@ -28,9 +31,6 @@
     }
 }
 
-/// Bytes taken by one read: hyper's own first buffer.
-const CHUNK: usize = 8_192;
-
 impl hyper::rt::Write for Stream {
     fn poll_write(
         mut self: Pin<&mut Self>,
@@ -61,7 +61,7 @@
     }
 }
 
-/// The event loop's timer.
+/// The event loop's timer, for hyper's time-outs.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LoopTimer;
 
--- a/crates/runtime/src/http/outbox.rs
+++ b/crates/runtime/src/http/outbox.rs
@@ -1,4 +1,4 @@
-//! Messages that may be lost: one queue and one connection for each receiver, and everything queued in one call.
+//! Messages that may be lost: a queue and a connection for each receiver, and a batch of messages in each request.
 
 use super::{Client, ClientLimits, Request};
 use ::http::header::CONTENT_TYPE;
@@ -11,23 +11,23 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// A machine that is up takes the connection within a round trip.
+/// A machine that is up accepts a connection within a round trip.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// An older answer is of no use, as the sender repeats what matters.
-const CALL_TIMEOUT: Duration = Duration::from_millis(800);
+/// A later response is of no use, since the sender repeats what matters.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
 /// Messages that wait for one receiver; more are dropped.
-const MOST_QUEUED: usize = 64;
-/// Messages in one call.
-const MOST_IN_CALL: usize = 16;
-/// Receivers at once; beyond that all queues begin anew.
-const MOST_RECEIVERS: usize = 1_024;
-/// A receiver that is sent nothing for so long loses its queue and its connection.
-const IDLE: Duration = Duration::from_secs(5);
+const MAX_QUEUED_MESSAGES: usize = 64;
+/// Messages in one request.
+const MAX_MESSAGES_PER_REQUEST: usize = 16;
+/// Receivers at once; beyond that all queues are dropped and begin anew.
+const MAX_RECEIVERS: usize = 1_024;
+/// A receiver without messages for this long loses its queue and its connection.
+const RECEIVER_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Makes the body of a call of some messages.
+/// Encodes a batch as the body of a request.
 type Encode<T> = dyn Fn(Vec<T>) -> Vec<u8>;
 
-/// The queues to those that messages are sent to.
+/// The queues of all receivers.
 pub struct Outbox<T> {
     path: Uri,
     encode: Rc<Encode<T>>,
@@ -35,7 +35,7 @@
 }
 
 impl<T: 'static> Outbox<T> {
-    /// An outbox whose calls go to `path` with the JSON that `encode` makes.
+    /// An outbox whose requests go to `path`, with the JSON that `encode` makes of a batch.
     pub fn new(path: &'static str, encode: impl Fn(Vec<T>) -> Vec<u8> + 'static) -> Outbox<T> {
         Outbox {
             path: Uri::from_static(path),
@@ -44,72 +44,89 @@
         }
     }
 
-    /// Queues a message for `to`, an `ip:port`; it is lost where that is not reached. Within a `LocalSet`.
-    pub fn send(&mut self, to: &Arc<str>, message: T) {
+    /// Queues a message for the receiver at `address`, an `ip:port`. It is lost where the receiver is not reached or its queue
+    /// is full. Within a `LocalSet`.
+    pub fn send(&mut self, address: &Arc<str>, message: T) {
         let queue = self
             .queues
-            .get(to)
+            .get(address)
             .filter(|queue| !queue.is_closed())
             .cloned();
-        let Some(queue) = queue.or_else(|| self.add(to)) else {
+        let Some(queue) = queue.or_else(|| self.add_receiver(address)) else {
             return;
         };
-        // A full queue drops: its receiver is slow or gone.
+        // A full queue drops the message: its receiver is slow or gone.
         let _ = queue.try_send(message);
     }
 
-    fn add(&mut self, to: &Arc<str>) -> Option<mpsc::Sender<T>> {
-        let Ok(address) = to.parse::<SocketAddr>() else {
-            log::warn!("{to:?} is no address of the form ip:port; nothing is sent to it");
+    fn add_receiver(&mut self, address: &Arc<str>) -> Option<mpsc::Sender<T>> {
+        let Ok(socket_address) = address.parse::<SocketAddr>() else {
+            log::warn!("invalid address {address:?}, expected ip:port: messages to it are dropped");
             return None;
         };
-        if self.queues.len() >= MOST_RECEIVERS {
+        if self.queues.len() >= MAX_RECEIVERS {
             self.queues.clear();
         }
-        let (queue, messages) = mpsc::channel(MOST_QUEUED);
-        self.queues.insert(to.clone(), queue.clone());
-        let encode = Rc::clone(&self.encode);
-        tokio::task::spawn_local(deliver(address, self.path.clone(), encode, messages));
+        let (queue, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        self.queues.insert(address.clone(), queue.clone());
+        let delivery = Delivery {
+            address: socket_address,
+            path: self.path.clone(),
+            encode: Rc::clone(&self.encode),
+            messages,
+        };
+        tokio::task::spawn_local(delivery.run());
         Some(queue)
     }
 }
 
-/// Ends when the outbox is dropped or the receiver is sent nothing any more.
-async fn deliver<T>(
+/// Sends the messages of one queue.
+struct Delivery<T> {
     address: SocketAddr,
     path: Uri,
     encode: Rc<Encode<T>>,
-    mut messages: mpsc::Receiver<T>,
-) {
-    let limits = ClientLimits {
-        max_calls: 1,
-        max_idle: 1,
-        connect_timeout: CONNECT_TIMEOUT,
-        ..Default::default()
-    };
-    let client = Client::with_limits(address, limits);
-    while let Ok(Some(first)) = tokio::time::timeout(IDLE, messages.recv()).await {
-        let mut batch = vec![first];
-        while batch.len() < MOST_IN_CALL {
-            let Ok(message) = messages.try_recv() else {
+    messages: mpsc::Receiver<T>,
+}
+
+impl<T> Delivery<T> {
+    /// Ends when the outbox is dropped, or when there are no messages for a while.
+    async fn run(mut self) {
+        let limits = ClientLimits {
+            max_requests: 1,
+            max_idle_connections: 1,
+            connect_timeout: CONNECT_TIMEOUT,
+            ..ClientLimits::default()
+        };
+        let client = Client::with_limits(self.address, limits);
+        while let Some(batch) = self.next_batch().await {
+            let request = post(&self.path, (self.encode)(batch));
+            if let Err(error) = client.send(request, REQUEST_TIMEOUT).await {
+                log::debug!("sending messages to {} failed: {error}", self.address);
+                // What was queued meanwhile is as old; the next messages are of more use.
+                while self.messages.try_recv().is_ok() {}
+            }
+        }
+    }
+
+    /// Waits for a message; gives it with those that are queued behind it.
+    async fn next_batch(&mut self) -> Option<Vec<T>> {
+        let first = tokio::time::timeout(RECEIVER_IDLE_TIMEOUT, self.messages.recv()).await;
+        let mut batch = vec![first.ok()??];
+        while batch.len() < MAX_MESSAGES_PER_REQUEST {
+            let Ok(message) = self.messages.try_recv() else {
                 break;
             };
             batch.push(message);
         }
-        let call = call_of(&path, encode(batch));
-        if let Err(error) = client.send(call, CALL_TIMEOUT).await {
-            log::debug!("messages to {address}: {error}");
-            // What was queued meanwhile is as old; the next messages are better.
-            while messages.try_recv().is_ok() {}
-        }
+        Some(batch)
     }
 }
 
-fn call_of(path: &Uri, body: Vec<u8>) -> Request {
-    let mut call = Request::new(Bytes::from(body));
-    *call.method_mut() = Method::POST;
-    *call.uri_mut() = path.clone();
-    call.headers_mut()
-        .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    call
+fn post(path: &Uri, body: Vec<u8>) -> Request {
+    let mut request = Request::new(Bytes::from(body));
+    *request.method_mut() = Method::POST;
+    *request.uri_mut() = path.clone();
+    let json = HeaderValue::from_static("application/json");
+    request.headers_mut().insert(CONTENT_TYPE, json);
+    request
 }
--- a/crates/runtime/src/http/sockets.rs
+++ b/crates/runtime/src/http/sockets.rs
@@ -6,22 +6,22 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// New connections that may wait: a full queue drops the opening packet, which is sent again only after seconds. After a
-/// failover every agent connects at once.
-const BACKLOG: i32 = 4_096;
+/// Connections that may wait to be accepted. A full queue drops the SYN, which is sent again only after seconds, and after
+/// a failover all agents connect at once.
+const LISTEN_BACKLOG: i32 = 4_096;
 
-/// Bytes that a peer leaves unacknowledged so long end the connection: a dead machine says nothing. Above the first two
-/// resends of a lost packet.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1_500);
+/// How long data may stay unacknowledged before the connection is closed (`TCP_USER_TIMEOUT`): a dead machine sends no reset.
+/// Above the first two retransmissions of a lost packet.
+const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A resting connection is probed after so long, so that a dead peer's connection does not stay.
-const PROBE_AFTER: Duration = Duration::from_secs(3);
+/// Idle time before a connection is probed, so that the connection of a dead peer does not stay.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(3);
 
-/// Between two probes.
-const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval of probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Unanswered probes that end a connection.
-const PROBES: u32 = 2;
+/// Unanswered probes that close a connection.
+const KEEPALIVE_PROBES: u32 = 2;
 
 /// Listens at `address`, also right after an earlier process there has ended.
 pub(super) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
@@ -33,25 +33,25 @@
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     TcpListener::from_std(socket.into())
 }
 
 /// Connects to `address`.
 pub(super) async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let stream = TcpStream::connect(address).await?;
-    tune(&stream)?;
+    configure(&stream)?;
     Ok(stream)
 }
 
-/// Sets what both sides of a connection want: small answers leave at once, dead peers are found.
-pub(super) fn tune(stream: &TcpStream) -> io::Result<()> {
+/// Sets the options of both sides: small writes leave at once, and dead peers are detected.
+pub(super) fn configure(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let probes = TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
-        .with_interval(PROBE_INTERVAL)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&probes)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))
+    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))
 }
--- a/crates/runtime/src/logs/layout.rs
+++ b/crates/runtime/src/logs/layout.rs
@@ -1,9 +1,11 @@
-//! How a line looks: `2026-12-02T05:52:34.123Z INFO streamusher_scheduler::operators: configuration 1 taken`.
+//! The form of a line: `2026-12-02T05:52:34.123Z INFO streamusher_scheduler::operators: configuration 1 taken`.
 
 use logforth::record::Record;
 use logforth::{Diagnostic, Error, Layout};
 use std::time::{SystemTime, UNIX_EPOCH};
 
+const SECONDS_PER_DAY: u64 = 86_400;
+
 /// Time of day in UTC, level, module, text.
 #[derive(Debug)]
 pub(super) struct LineLayout;
@@ -16,7 +18,7 @@
     ) -> Result<Vec<u8>, Error> {
         let time = utc(record.time());
         let level = record.level().name();
-        // Lines of one process are told apart by their ends: a text must not bring any of its own.
+        // One line for each record: a text must not break it.
         let text = record.payload().to_string().replace('\n', " ");
         Ok(format!("{time} {level} {}: {text}", record.target()).into_bytes())
     }
@@ -24,25 +26,39 @@
 
 /// A time as ISO 8601 in UTC, with milliseconds; a time before 1970 as 1970.
 pub fn utc(time: SystemTime) -> String {
-    let since = time.duration_since(UNIX_EPOCH).unwrap_or_default();
-    let seconds = since.as_secs();
-    let (year, month, day) = date(seconds / 86_400);
+    let since_epoch = time.duration_since(UNIX_EPOCH).unwrap_or_default();
+    let seconds = since_epoch.as_secs();
+    let Date { year, month, day } = date_of(seconds / SECONDS_PER_DAY);
     let (hour, minute, second) = (seconds / 3_600 % 24, seconds / 60 % 60, seconds % 60);
-    let millis = since.subsec_millis();
+    let millis = since_epoch.subsec_millis();
     format!("{year:04}-{month:02}-{day:02}T{hour:02}:{minute:02}:{second:02}.{millis:03}Z")
 }
 
-/// The date of a day counted from 1970-01-01. Years are counted from March here, so that a leap day is a year's last.
-fn date(day: u64) -> (u64, u64, u64) {
-    const DAYS_OF_400_YEARS: u64 = 146_097;
-    // From 0000-03-01 to 1970-01-01.
-    let day = day.saturating_add(719_468);
-    let (era, day) = (day / DAYS_OF_400_YEARS, day % DAYS_OF_400_YEARS);
-    let year = (day - day / 1_460 + day / 36_524 - day / 146_096) / 365;
-    let day = day - (365 * year + year / 4 - year / 100);
-    let month = (5 * day + 2) / 153;
-    let day_of_month = day - (153 * month + 2) / 5 + 1;
-    let calendar_month = if month < 10 { month + 3 } else { month - 9 };
-    let calendar_year = era * 400 + year + u64::from(calendar_month <= 2);
-    (calendar_year, calendar_month, day_of_month)
+struct Date {
+    year: u64,
+    month: u64,
+    day: u64,
+}
+
+/// The Gregorian date of a day counted from 1970-01-01.
+///
+/// Counts in eras of 400 years and in years that begin in March, so that a leap day is the last day of its year (H. Hinnant,
+/// "chrono-Compatible Low-Level Date Algorithms").
+fn date_of(days_since_1970: u64) -> Date {
+    const DAYS_PER_ERA: u64 = 146_097;
+    const DAYS_FROM_MARCH_0000_TO_1970: u64 = 719_468;
+    let days = days_since_1970.saturating_add(DAYS_FROM_MARCH_0000_TO_1970);
+    let (era, day_of_era) = (days / DAYS_PER_ERA, days % DAYS_PER_ERA);
+    let leap_days = day_of_era / 1_460 - day_of_era / 36_524 + day_of_era / 146_096;
+    let year_of_era = (day_of_era - leap_days) / 365;
+    let day_of_year = day_of_era - (365 * year_of_era + year_of_era / 4 - year_of_era / 100);
+    let month_from_march = (5 * day_of_year + 2) / 153;
+    let day = day_of_year - (153 * month_from_march + 2) / 5 + 1;
+    let month = if month_from_march < 10 {
+        month_from_march + 3
+    } else {
+        month_from_march - 9
+    };
+    let year = era * 400 + year_of_era + u64::from(month <= 2);
+    Date { year, month, day }
 }
--- a/crates/runtime/src/options.rs
+++ b/crates/runtime/src/options.rs
@@ -1,59 +1,83 @@
-//! Command lines of the programs: `PROGRAM [options] [COMMAND]`.
+//! Command lines of programs with commands: `PROGRAM [options] [COMMAND]`.
+//!
+//! ```
+//! use streamusher_runtime::options::{parse, CommandDescription, ParsedCommandLine, ProgramDescription};
+//!
+//! const PROGRAM: ProgramDescription = ProgramDescription {
+//!     name: "tool",
+//!     summary: "Does things.",
+//!     version: "1.2.3",
+//!     commands: &[CommandDescription { name: "serve", summary: "answers requests" }],
+//! };
+//! let arguments = ["serve".to_owned(), "--check".to_owned()];
+//! let Ok(ParsedCommandLine::Run(run)) = parse(&PROGRAM, &arguments) else { panic!() };
+//! assert_eq!((run.command, run.check), (Some("serve"), true));
+//! ```
 
 use getopts::{Matches, Options};
 use log::LevelFilter;
+use std::fmt::Write;
 
 /// Exit code for a wrong command line or wrong settings.
 pub const EXIT_MISUSE: u8 = 2;
 
-/// What a program offers.
+/// A program, as its help describes it.
 #[derive(Clone, Copy, Debug)]
-pub struct Program {
+pub struct ProgramDescription {
     /// Its name, as typed.
     pub name: &'static str,
     /// One line on what it does.
     pub summary: &'static str,
     /// Its version.
     pub version: &'static str,
-    /// Its commands, each with a line on what it does. Where there are any, one must be given.
-    pub commands: &'static [(&'static str, &'static str)],
+    /// Its commands. Where there are any, one must be given.
+    pub commands: &'static [CommandDescription],
 }
 
-/// What the command line asks for. The command is empty for programs without commands.
+/// A command of a program.
+#[derive(Clone, Copy, Debug)]
+pub struct CommandDescription {
+    /// Its name, as typed.
+    pub name: &'static str,
+    /// One line on what it does.
+    pub summary: &'static str,
+}
+
+/// How the program is to be run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Chosen {
-    /// The command.
-    pub command: &'static str,
+pub struct RunOptions {
+    /// The command; none for programs without commands.
+    pub command: Option<&'static str>,
     /// Only check the settings.
     pub check: bool,
-    /// The level of the logs, where one is given.
+    /// The log level, where one is given.
     pub log_level: Option<LevelFilter>,
 }
 
-/// What to do.
+/// What a command line asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Invocation {
-    /// Run or check.
-    Run(Chosen),
-    /// Print this text and end with success.
+pub enum ParsedCommandLine {
+    /// Run the program, or check its settings.
+    Run(RunOptions),
+    /// Print this text and exit with success.
     Print(String),
 }
 
-/// Why a command line is wrong.
+/// Why a command line is wrong. The texts say what to write.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OptionsError {
-    /// An option that does not exist or is written wrongly.
+    /// An option that does not exist or is malformed.
     #[error("{0}: see --help for the options")]
     Option(String),
-    /// No command, or one that does not exist.
+    /// No command, or an unknown one.
     #[error("{found}: give one of these commands: {known}")]
     Command {
         /// What was found.
         found: String,
-        /// What there is.
+        /// The known commands.
         known: String,
     },
-    /// A level of logs that does not exist.
+    /// An unknown log level.
     #[error("--log-level {0:?}: write off, error, warn, info, debug or trace")]
     LogLevel(String),
     /// More than a command.
@@ -61,34 +85,35 @@
     Extra(String),
 }
 
-/// Reads a command line, without the program's own name.
+/// Parses a command line, given without the program's own name.
 ///
 /// # Errors
 /// See [`OptionsError`].
-pub fn parse(program: &Program, arguments: &[String]) -> Result<Invocation, OptionsError> {
+pub fn parse(
+    program: &ProgramDescription,
+    arguments: &[String],
+) -> Result<ParsedCommandLine, OptionsError> {
     let options = options();
     let matches = options
         .parse(arguments)
         .map_err(|error| OptionsError::Option(error.to_string()))?;
     if matches.opt_present("help") {
-        return Ok(Invocation::Print(help(program, &options)));
+        return Ok(ParsedCommandLine::Print(help(program, &options)));
     }
     if matches.opt_present("version") {
-        return Ok(Invocation::Print(format!(
-            "{} {}",
-            program.name, program.version
-        )));
+        let version = format!("{} {}", program.name, program.version);
+        return Ok(ParsedCommandLine::Print(version));
     }
-    let command = command_of(program, &matches.free)?;
+    let command = command(program, &matches.free)?;
     let log_level = log_level(&matches)?;
-    Ok(Invocation::Run(Chosen {
+    Ok(ParsedCommandLine::Run(RunOptions {
         command,
         check: matches.opt_present("check"),
         log_level,
     }))
 }
 
-/// Adds the option `--log-level`.
+/// Adds the option `--log-level`, for programs with options of their own.
 pub fn add_log_level(options: &mut Options) {
     options.optopt(
         "",
@@ -98,15 +123,18 @@
     );
 }
 
-/// The level that `--log-level` gives.
+/// The level that `--log-level` gives, where it is present.
 ///
 /// # Errors
 /// There is no such level.
 pub fn log_level(matches: &Matches) -> Result<Option<LevelFilter>, OptionsError> {
-    let given = matches.opt_str("log-level");
-    given
-        .map(|text| text.parse().map_err(|_| OptionsError::LogLevel(text)))
-        .transpose()
+    let Some(text) = matches.opt_str("log-level") else {
+        return Ok(None);
+    };
+    match text.parse() {
+        Ok(level) => Ok(Some(level)),
+        Err(_) => Err(OptionsError::LogLevel(text)),
+    }
 }
 
 fn options() -> Options {
@@ -122,36 +150,45 @@
     options
 }
 
-fn command_of(program: &Program, free: &[String]) -> Result<&'static str, OptionsError> {
-    let allowed = usize::from(!program.commands.is_empty());
-    if let Some(extra) = free.get(allowed) {
+fn command(
+    program: &ProgramDescription,
+    arguments: &[String],
+) -> Result<Option<&'static str>, OptionsError> {
+    let max_arguments = usize::from(!program.commands.is_empty());
+    if let Some(extra) = arguments.get(max_arguments) {
         return Err(OptionsError::Extra(extra.clone()));
     }
-    if allowed == 0 {
-        return Ok("");
+    if program.commands.is_empty() {
+        return Ok(None);
     }
-    let given = free.first();
+    let given = arguments.first();
     let known = program
         .commands
         .iter()
-        .find(|(name, _)| given.is_some_and(|given| given == name));
-    known
-        .map(|(name, _)| *name)
-        .ok_or_else(|| wrong_command(program, given))
+        .find(|command| given.is_some_and(|given| given == command.name));
+    match known {
+        Some(command) => Ok(Some(command.name)),
+        None => Err(unknown_command(program, given)),
+    }
 }
 
-fn wrong_command(program: &Program, given: Option<&String>) -> OptionsError {
-    let names: Vec<&str> = program.commands.iter().map(|(name, _)| *name).collect();
-    let found = given.map_or("no command".to_owned(), |given| {
-        format!("unknown command {given:?}")
-    });
+fn unknown_command(program: &ProgramDescription, given: Option<&String>) -> OptionsError {
+    let names: Vec<&str> = program
+        .commands
+        .iter()
+        .map(|command| command.name)
+        .collect();
+    let found = match given {
+        Some(given) => format!("unknown command {given:?}"),
+        None => "no command".to_owned(),
+    };
     OptionsError::Command {
         found,
         known: names.join(", "),
     }
 }
 
-fn help(program: &Program, options: &Options) -> String {
+fn help(program: &ProgramDescription, options: &Options) -> String {
     let command = if program.commands.is_empty() {
         ""
     } else {
@@ -161,8 +198,9 @@
         "{}\n\nUsage: {} [options]{command}\n",
         program.summary, program.name
     );
-    for (name, summary) in program.commands {
-        brief.push_str(&format!("\n    {name:<10} {summary}"));
+    for CommandDescription { name, summary } in program.commands {
+        // Writing to a string cannot fail.
+        let _ = write!(brief, "\n    {name:<10} {summary}");
     }
     let variables =
         "\nThe settings file is named by STREAMUSHER_SETTINGS; STREAMUSHER_LOG sets the level of the logs.";
--- /dev/null
+++ b/crates/runtime/src/settings/time_span.rs
@@ -0,0 +1,25 @@
+//! Time spans in settings: whole numbers or fractions.
+
+use serde::de::Error;
+use serde::{Deserialize, Deserializer};
+use streamusher_protocol::Millis;
+
+/// Milliseconds from a whole number or a fraction, rounded.
+pub(super) fn deserialize_millis<'de, D: Deserializer<'de>>(
+    deserializer: D,
+) -> Result<Millis, D::Error> {
+    let value = f64::deserialize(deserializer)?;
+    if value.is_nan() || value < 0.0 {
+        return Err(D::Error::custom("a time below zero"));
+    }
+    Ok(whole_millis(value))
+}
+
+/// The nearest whole number of milliseconds; 0 for a negative number.
+#[expect(
+    clippy::cast_possible_truncation,
+    reason = "the value is whole and not negative, and `as` saturates at the largest integer"
+)]
+pub(super) fn whole_millis(value: f64) -> Millis {
+    value.max(0.0).round() as Millis
+}
--- /dev/null
+++ b/crates/runtime/src/settings/validation.rs
@@ -0,0 +1,50 @@
+//! Checks that go beyond a key's type.
+
+use super::{ProcessSettings, SettingsError};
+
+/// Checks settings that were parsed; `path` is the file's name in errors.
+pub(super) fn validate(settings: &ProcessSettings, path: &str) -> Result<(), SettingsError> {
+    let [first, last] = settings.port_range;
+    if first == 0 || last < first {
+        return Err(key_error(
+            path,
+            "port_range",
+            format!("[{first}, {last}]"),
+            "give a first port above 0 and a last one not below it",
+        ));
+    }
+    if settings.seeds.is_empty() {
+        return Err(key_error(
+            path,
+            "seeds",
+            "[]".to_owned(),
+            "name at least one control address as ip:port",
+        ));
+    }
+    if settings.heartbeat_ms == 0 {
+        return Err(key_error(
+            path,
+            "heartbeat_ms",
+            "0".to_owned(),
+            "give the time between two heartbeats, above 0",
+        ));
+    }
+    if settings.bounds.hold_max_ms == 0 {
+        return Err(key_error(
+            path,
+            "bounds.hold_max_ms",
+            "0".to_owned(),
+            "give how long a worker holds runs, above 0",
+        ));
+    }
+    Ok(())
+}
+
+fn key_error(path: &str, key: &str, value: String, remedy: &str) -> SettingsError {
+    SettingsError::Key {
+        path: path.to_owned(),
+        key: key.to_owned(),
+        value,
+        remedy: remedy.to_owned(),
+    }
+}
--- a/crates/runtime/src/signals.rs
+++ b/crates/runtime/src/signals.rs
@@ -1,6 +1,6 @@
-//! Signals heard on the event loop through pipes: a handler writes a byte, the loop reads it.
+//! Signals on the event loop, through pipes: a handler writes a byte, and the loop reads it.
 //!
-//! Pipes, because the platform refuses the Unix sockets of `tokio::signal`. One pipe for each signal, as a handler writes
+//! Pipes, since the platform refuses the Unix sockets of `tokio::signal`. One pipe for each signal, since a handler writes
 //! one byte that does not name it.
 
 use rustix::pipe::{pipe_with, PipeFlags};
@@ -11,10 +11,10 @@
 use tokio::io::{AsyncRead, ReadBuf};
 use tokio::net::unix::pipe::Receiver;
 
-/// The signals that a process heeds.
+/// The signals that a process handles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// SIGTERM: end within the platform's `grace_s`.
+    /// SIGTERM: shut down within the platform's `grace_s`.
     Terminate,
     /// SIGINT: as SIGTERM, from a terminal.
     Interrupt,
@@ -23,34 +23,34 @@
 }
 
 impl Signal {
-    /// Whether it asks the process to end.
+    /// Whether it asks the process to shut down.
     pub fn ends(self) -> bool {
         self != Signal::Reload
     }
 }
 
-const HEEDED: [(Signal, i32); 3] = [
+const HANDLED_SIGNALS: [(Signal, i32); 3] = [
     (Signal::Terminate, signal_hook::consts::SIGTERM),
     (Signal::Interrupt, signal_hook::consts::SIGINT),
     (Signal::Reload, signal_hook::consts::SIGHUP),
 ];
 
-/// The read ends of the pipes; the write ends are the handlers'.
+/// Receives the signals of the process: the read ends of the pipes, whose write ends the handlers have.
 pub struct Signals {
     pipes: Vec<(Signal, Receiver)>,
 }
 
 impl Signals {
-    /// Heeds all of [`Signal`] from now on. Once in a process, within its runtime.
+    /// Handles each [`Signal`] from now on. Once in a process, within its event loop.
     ///
     /// # Errors
-    /// No pipe or no handler could be made.
+    /// A pipe or a handler could not be set up.
     pub fn new() -> io::Result<Signals> {
-        let mut pipes = Vec::with_capacity(HEEDED.len());
-        for (signal, number) in HEEDED {
-            let (read, write) = pipe_with(PipeFlags::CLOEXEC | PipeFlags::NONBLOCK)?;
-            signal_hook::low_level::pipe::register(number, write)?;
-            pipes.push((signal, Receiver::from_owned_fd_unchecked(read)?));
+        let mut pipes = Vec::with_capacity(HANDLED_SIGNALS.len());
+        for (signal, number) in HANDLED_SIGNALS {
+            let (read_end, write_end) = pipe_with(PipeFlags::CLOEXEC | PipeFlags::NONBLOCK)?;
+            signal_hook::low_level::pipe::register(number, write_end)?;
+            pipes.push((signal, Receiver::from_owned_fd_unchecked(read_end)?));
         }
         Ok(Signals { pipes })
     }
@@ -67,8 +67,8 @@
         for (signal, pipe) in &mut self.pipes {
             let mut bytes = [0_u8; 64];
             let mut buffer = ReadBuf::new(&mut bytes);
-            if let Poll::Ready(heard) = Pin::new(pipe).poll_read(context, &mut buffer) {
-                return Poll::Ready(heard.map(|()| *signal));
+            if let Poll::Ready(read) = Pin::new(pipe).poll_read(context, &mut buffer) {
+                return Poll::Ready(read.map(|()| *signal));
             }
         }
         Poll::Pending
--- a/crates/runtime/tests/encoded_forms.rs
+++ b/crates/runtime/tests/encoded_forms.rs
@@ -12,11 +12,13 @@
 use std::fmt::Write;
 use std::time::Duration;
 use streamusher_runtime::http::{
-    empty, json, parse_json, text, Client, Request, RequestError, Response, Server, ServerLimits,
-    CALL_ID,
+    empty, json, parse_json, text, Client, NotSentReason, Request, RequestError, Response, Server,
+    ServerLimits, UnknownReason, REQUEST_ID_HEADER,
 };
 use streamusher_runtime::logs::LastError;
-use streamusher_runtime::options::{self, Program};
+use streamusher_runtime::options::{
+    self, CommandDescription, ParsedCommandLine, ProgramDescription,
+};
 use streamusher_runtime::settings::{self, ProcessSettings, PATH_VARIABLE};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -28,11 +30,20 @@
     ("side", include_str!("fixtures/settings/side.toml")),
 ];
 
-const PROGRAM: Program = Program {
+const PROGRAM: ProgramDescription = ProgramDescription {
     name: "tool",
     summary: "Does things.",
     version: "1.2.3",
-    commands: &[("one", "the first"), ("another", "the second")],
+    commands: &[
+        CommandDescription {
+            name: "one",
+            summary: "the first",
+        },
+        CommandDescription {
+            name: "another",
+            summary: "the second",
+        },
+    ],
 };
 
 /// Each key of the settings with its value, and what is derived from several.
@@ -81,7 +92,7 @@
         "derived {} {} {:?} {:?}",
         settings.internal_address(2),
         bounds.grace_ms(),
-        limits.connections(300),
+        limits.max_connections(300),
         seeds.collect::<Vec<_>>()
     )
     .unwrap();
@@ -161,7 +172,7 @@
         "--help",
     ];
     let mut found = String::new();
-    let without_commands = Program {
+    let without_commands = ProgramDescription {
         commands: &[],
         ..PROGRAM
     };
@@ -169,11 +180,13 @@
         for line in lines {
             let arguments: Vec<String> = line.split_whitespace().map(str::to_owned).collect();
             match options::parse(&program, &arguments) {
-                Ok(options::Invocation::Print(text)) => writeln!(found, "{line}: {text}"),
-                Ok(options::Invocation::Run(run)) => writeln!(
+                Ok(ParsedCommandLine::Print(text)) => writeln!(found, "{line}: {text}"),
+                Ok(ParsedCommandLine::Run(run)) => writeln!(
                     found,
                     "{line}: {:?} {:?} {:?}",
-                    run.command, run.check, run.log_level
+                    run.command.unwrap_or(""),
+                    run.check,
+                    run.log_level
                 ),
                 Err(error) => writeln!(found, "{line}: {error}"),
             }
@@ -248,9 +261,9 @@
 
 #[test]
 fn bytes_on_connections_are_as_recorded() {
-    streamusher_runtime::runtime::block_on(async {
+    streamusher_runtime::event_loop::block_on(async {
         let limits = ServerLimits {
-            max_body: 10,
+            max_body_bytes: 10,
             body_timeout: Duration::from_millis(200),
             ..ServerLimits::default()
         };
@@ -263,7 +276,7 @@
                 call.method(),
                 call.uri(),
                 header("x-a"),
-                header(CALL_ID.as_str())
+                header(REQUEST_ID_HEADER.as_str())
             );
             std::future::ready(text(StatusCode::OK, shown))
         };
@@ -292,8 +305,8 @@
             writeln!(found, "{}", shown(&response)).unwrap();
         }
         for error in [
-            RequestError::NotSent("why".into()),
-            RequestError::Unknown("why".into()),
+            RequestError::NotSent(NotSentReason::Connect(std::io::Error::other("why"))),
+            RequestError::Unknown(UnknownReason::Body("why".into())),
         ] {
             writeln!(found, "{error}").unwrap();
         }
--- a/crates/runtime/tests/http.rs
+++ b/crates/runtime/tests/http.rs
@@ -1,4 +1,10 @@
-//! Server and client over loopback. Deadlines here only bound what should happen at once.
+//! Server and client over loopback. Timeouts here only bound what should happen at once.
+
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
 
 use bytes::Bytes;
 use http::StatusCode;
@@ -7,18 +13,18 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
+use streamusher_runtime::event_loop;
 use streamusher_runtime::http::{
     json, parse_json, text, Client, Request, RequestError, Response, Server, ServerHandle,
     ServerLimits,
 };
-use streamusher_runtime::runtime;
 use tokio::sync::Notify;
 use tokio::task::JoinHandle;
 
 const SOON: Duration = Duration::from_secs(20);
 
 fn run<F: Future<Output = ()>>(future: F) {
-    runtime::block_on(async { tokio::time::timeout(SOON, future).await.expect("bounded") })
+    event_loop::block_on(async { tokio::time::timeout(SOON, future).await.expect("bounded") })
         .unwrap();
 }
 
@@ -45,45 +51,51 @@
     )
 }
 
-async fn echo(call: Request) -> Response {
-    Response::new(call.into_body())
+async fn echo(request: Request) -> Response {
+    Response::new(request.into_body())
+}
+
+#[derive(Debug, serde::Deserialize)]
+struct Body {
+    #[allow(dead_code)]
+    sequence: u64,
 }
 
 #[test]
-fn given_a_server_when_called_then_it_answers_with_the_whole_body() {
+fn server_responds_with_the_whole_body() {
     run(async {
         let (address, _handle, _running) = serve(ServerLimits::default(), echo);
         let client = Client::new(address);
         let body = vec![b'x'; 300_000];
 
-        let answer = client.send(post("/a", body.clone()), SOON).await.unwrap();
+        let response = client.send(post("/a", body.clone()), SOON).await.unwrap();
 
-        assert_eq!(answer.status(), StatusCode::OK);
-        assert_eq!(answer.body(), &Bytes::from(body));
+        assert_eq!(response.status(), StatusCode::OK);
+        assert_eq!(response.body(), &Bytes::from(body));
     });
 }
 
 #[test]
-fn given_a_body_over_the_limit_when_sent_then_413() {
+fn body_over_the_limit_is_rejected_with_413() {
     run(async {
         let limits = ServerLimits {
-            max_body: 100,
+            max_body_bytes: 100,
             ..ServerLimits::default()
         };
         let (address, _handle, _running) = serve(limits, echo);
         let client = Client::new(address);
 
-        let answer = client
+        let response = client
             .send(post("/a", vec![b'x'; 101]), SOON)
             .await
             .unwrap();
 
-        assert_eq!(answer.status(), StatusCode::PAYLOAD_TOO_LARGE);
+        assert_eq!(response.status(), StatusCode::PAYLOAD_TOO_LARGE);
     });
 }
 
 #[test]
-fn given_many_calls_one_after_another_when_called_then_one_connection_serves_them() {
+fn sequential_requests_share_one_connection() {
     run(async {
         let limits = ServerLimits {
             max_connections: 1,
@@ -99,7 +111,7 @@
 }
 
 #[test]
-fn given_a_dead_port_when_called_then_not_sent() {
+fn request_to_a_closed_port_is_not_sent() {
     run(async {
         let free = std::net::TcpListener::bind("127.0.0.1:0")
             .unwrap()
@@ -113,9 +125,9 @@
 }
 
 #[test]
-fn given_a_server_that_never_answers_when_the_deadline_is_over_then_unknown() {
+fn request_without_a_response_is_unknown_after_its_timeout() {
     run(async {
-        let (address, _handle, _running) = serve(ServerLimits::default(), |_call| {
+        let (address, _handle, _running) = serve(ServerLimits::default(), |_request| {
             std::future::pending::<Response>()
         });
 
@@ -129,7 +141,7 @@
 }
 
 #[test]
-fn given_a_closed_server_and_a_kept_connection_when_called_then_not_sent_without_a_guess() {
+fn request_to_a_closed_server_on_a_kept_connection_is_not_sent() {
     run(async {
         let (address, handle, running) = serve(ServerLimits::default(), echo);
         let client = Client::new(address);
@@ -144,11 +156,11 @@
 }
 
 #[test]
-fn given_a_request_at_work_when_the_server_closes_then_it_is_answered_first() {
+fn closing_server_answers_the_request_in_flight_first() {
     run(async {
         let (begun, release) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
         let (begun_there, release_there) = (Rc::clone(&begun), Rc::clone(&release));
-        let (address, handle, running) = serve(ServerLimits::default(), move |_call| {
+        let (address, handle, running) = serve(ServerLimits::default(), move |_request| {
             let (begun, release) = (Rc::clone(&begun_there), Rc::clone(&release_there));
             async move {
                 begun.notify_one();
@@ -158,33 +170,33 @@
         });
         let client = Client::new(address);
         let caller = client.clone();
-        let call = tokio::task::spawn_local(async move { caller.send(get("/"), SOON).await });
+        let request = tokio::task::spawn_local(async move { caller.send(get("/"), SOON).await });
         begun.notified().await;
 
         handle.close();
         release.notify_one();
 
-        let answer = call.await.unwrap().unwrap();
-        assert_eq!(answer.headers().get("connection").unwrap(), "close");
+        let response = request.await.unwrap().unwrap();
+        assert_eq!(response.headers().get("connection").unwrap(), "close");
         running.await.unwrap();
     });
 }
 
 #[test]
-fn given_a_leaving_server_when_called_then_it_serves_and_says_connection_close() {
+fn leaving_server_responds_with_connection_close() {
     run(async {
         let (address, handle, _running) = serve(ServerLimits::default(), echo);
         handle.leave();
 
-        let answer = Client::new(address).send(get("/"), SOON).await.unwrap();
+        let response = Client::new(address).send(get("/"), SOON).await.unwrap();
 
-        assert_eq!(answer.status(), StatusCode::OK);
-        assert_eq!(answer.headers().get("connection").unwrap(), "close");
+        assert_eq!(response.status(), StatusCode::OK);
+        assert_eq!(response.headers().get("connection").unwrap(), "close");
     });
 }
 
 #[test]
-fn given_more_calls_than_connections_when_called_at_once_then_all_are_answered() {
+fn more_requests_than_connections_are_all_answered() {
     run(async {
         let limits = ServerLimits {
             max_connections: 2,
@@ -210,21 +222,15 @@
     });
 }
 
-#[derive(Debug, serde::Deserialize)]
-struct Body {
-    #[allow(dead_code)]
-    sequence: u64,
-}
-
 #[test]
-fn given_a_body_without_a_field_when_parsed_then_the_error_names_it() {
+fn missing_field_is_named() {
     let error = parse_json::<Body>(b"{\"other\":1}").unwrap_err();
 
     assert_eq!(error.field, "sequence");
 }
 
 #[test]
-fn given_a_field_of_another_type_when_parsed_then_the_error_names_it() {
+fn field_of_another_type_is_named() {
     let error =
         parse_json::<Body>(b"{\"other\":\n1,\n\"sequence\":\"four\",\"more\":2}").unwrap_err();
 
@@ -232,7 +238,7 @@
 }
 
 #[test]
-fn given_what_is_no_json_when_parsed_then_an_error_and_no_panic() {
+fn malformed_json_is_an_error() {
     for body in [
         &b""[..],
         b"{",
@@ -246,21 +252,21 @@
 }
 
 #[test]
-fn given_a_value_when_answered_as_json_then_the_type_says_so() {
-    let answer = json(StatusCode::OK, &[1, 2]);
+fn json_response_has_its_content_type() {
+    let response = json(StatusCode::OK, &[1, 2]);
 
     assert_eq!(
-        answer.headers().get("content-type").unwrap(),
+        response.headers().get("content-type").unwrap(),
         "application/json"
     );
-    assert_eq!(answer.body(), "[1,2]");
+    assert_eq!(response.body(), "[1,2]");
 }
 
 #[test]
-fn given_new_limits_when_a_body_comes_then_the_next_request_is_held_to_them() {
+fn new_limits_hold_from_the_next_request_on() {
     run(async {
         let limits = ServerLimits {
-            max_body: 100,
+            max_body_bytes: 100,
             ..ServerLimits::default()
         };
         let (address, handle, _running) = serve(limits.clone(), echo);
@@ -275,7 +281,7 @@
         );
 
         handle.set_limits(ServerLimits {
-            max_body: 200,
+            max_body_bytes: 200,
             ..limits
         });
 
--- a/crates/runtime/tests/logs.rs
+++ b/crates/runtime/tests/logs.rs
@@ -1,10 +1,16 @@
 //! The logger of a process: what is written, and what is kept for the status. One test, as a process has one logger.
 
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
+
 use log::LevelFilter;
 use streamusher_runtime::logs;
 
 #[test]
-fn given_warnings_and_lower_lines_then_the_newest_warning_is_kept_and_libraries_are_quiet() {
+fn newest_warning_is_kept_and_libraries_are_quiet() {
     logs::start(Some(LevelFilter::Info));
     let none_yet = logs::last_error();
 
--- a/crates/runtime/tests/outbox.rs
+++ b/crates/runtime/tests/outbox.rs
@@ -1,31 +1,37 @@
 //! Messages that may be lost, over loopback.
 
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
+
 use http::StatusCode;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
+use streamusher_runtime::event_loop;
 use streamusher_runtime::http::{empty, parse_json, Outbox, Request, Server, ServerLimits};
-use streamusher_runtime::runtime;
 use tokio::sync::Notify;
 
 const SOON: Duration = Duration::from_secs(20);
 
-fn run<F: std::future::Future<Output = ()>>(story: F) {
+fn run<F: std::future::Future<Output = ()>>(future: F) {
     let bounded = async {
-        tokio::time::timeout(SOON, story)
+        tokio::time::timeout(SOON, future)
             .await
-            .expect("it ends in time")
+            .expect("it ends in time");
     };
-    runtime::block_on(bounded).unwrap();
+    event_loop::block_on(bounded).unwrap();
 }
 
 /// Receives lists of numbers.
 struct Receiver {
     address: Arc<str>,
     received: Rc<RefCell<Vec<Vec<u32>>>>,
-    heard: Rc<Notify>,
+    arrived: Rc<Notify>,
 }
 
 impl Receiver {
@@ -33,24 +39,26 @@
         let server = Server::bind("127.0.0.1:0".parse().unwrap(), ServerLimits::default()).unwrap();
         let address = server.local_address().unwrap().to_string().into();
         let received: Rc<RefCell<Vec<Vec<u32>>>> = Rc::default();
-        let heard = Rc::new(Notify::new());
-        let (notes, bell) = (Rc::clone(&received), Rc::clone(&heard));
-        tokio::task::spawn_local(server.run(move |call: Request| {
-            assert_eq!(call.uri().path(), "/messages");
-            notes.borrow_mut().push(parse_json(call.body()).unwrap());
-            bell.notify_one();
+        let arrived = Rc::new(Notify::new());
+        let (bodies, notify) = (Rc::clone(&received), Rc::clone(&arrived));
+        tokio::task::spawn_local(server.run(move |request: Request| {
+            assert_eq!(request.uri().path(), "/messages");
+            bodies
+                .borrow_mut()
+                .push(parse_json(request.body()).unwrap());
+            notify.notify_one();
             std::future::ready(empty(StatusCode::NO_CONTENT))
         }));
         Receiver {
             address,
             received,
-            heard,
+            arrived,
         }
     }
 
     async fn until(&self, count: usize) -> Vec<Vec<u32>> {
         while self.received.borrow().iter().flatten().count() < count {
-            self.heard.notified().await;
+            self.arrived.notified().await;
         }
         self.received.borrow().clone()
     }
@@ -61,7 +69,7 @@
 }
 
 #[test]
-fn given_messages_when_queued_together_then_they_come_in_their_order_in_few_calls() {
+fn queued_messages_arrive_in_order_in_few_requests() {
     run(async {
         let receiver = Receiver::start();
         let mut outbox = outbox();
@@ -69,15 +77,15 @@
             outbox.send(&receiver.address, number);
         }
 
-        let calls = receiver.until(20).await;
+        let batches = receiver.until(20).await;
 
-        assert_eq!(calls.concat(), (0..20).collect::<Vec<_>>());
-        assert_eq!(calls.len(), 2);
+        assert_eq!(batches.concat(), (0..20).collect::<Vec<_>>());
+        assert_eq!(batches.len(), 2);
     });
 }
 
 #[test]
-fn given_a_receiver_that_is_gone_or_has_no_address_then_others_get_their_messages() {
+fn unreachable_receivers_do_not_stop_others() {
     run(async {
         let receiver = Receiver::start();
         let gone: SocketAddr = std::net::TcpListener::bind("127.0.0.1:0")
@@ -95,7 +103,7 @@
 }
 
 #[test]
-fn given_a_queue_that_is_full_then_the_newest_messages_are_lost_and_no_memory_grows() {
+fn full_queue_drops_the_newest_messages() {
     run(async {
         let receiver = Receiver::start();
         let mut outbox = outbox();
@@ -103,8 +111,8 @@
             outbox.send(&receiver.address, number);
         }
 
-        let calls = receiver.until(64).await;
+        let batches = receiver.until(64).await;
 
-        assert_eq!(calls.concat(), (0..64).collect::<Vec<_>>());
+        assert_eq!(batches.concat(), (0..64).collect::<Vec<_>>());
     });
 }
--- a/crates/runtime/tests/answers.rs
+++ b/crates/runtime/tests/responses.rs
@@ -1,4 +1,10 @@
-//! Answers of peers that misbehave: each call gets its own answer or none, and no call is sent twice.
+//! Responses of peers that misbehave: each request gets its own response or none, and none is sent twice.
+
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
 
 use bytes::Bytes;
 use rstest::rstest;
@@ -7,8 +13,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
+use streamusher_runtime::event_loop;
 use streamusher_runtime::http::{Client, Request, RequestError, Response};
-use streamusher_runtime::runtime;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
@@ -28,7 +34,7 @@
 
 impl Connection {
     /// Reads one call without a body; gives its path and its number.
-    async fn call(&mut self) -> (String, String) {
+    async fn read_request(&mut self) -> (String, String) {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             let mut byte = [0];
@@ -62,7 +68,7 @@
     }
 }
 
-fn answer(body: &str, id: &str) -> String {
+fn response(body: &str, id: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\ncontent-length: {}\r\nstreamusher-call: {id}\r\n\r\n{body}",
         body.len()
@@ -73,8 +79,8 @@
     http::Request::get(path).body(Bytes::new()).unwrap()
 }
 
-fn body_of(answer: Result<Response, RequestError>) -> String {
-    String::from_utf8(answer.unwrap().into_body().to_vec()).unwrap()
+fn body_of(response: Result<Response, RequestError>) -> String {
+    String::from_utf8(response.unwrap().into_body().to_vec()).unwrap()
 }
 
 /// Runs a peer that gives each connection, counted from 0, to `script`, beside a caller.
@@ -84,7 +90,7 @@
     F: Future<Output = ()> + 'static,
     C: Future<Output = ()> + 'static,
 {
-    runtime::block_on(async move {
+    event_loop::block_on(async move {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address: SocketAddr = listener.local_addr().unwrap();
         let seen = Seen::default();
@@ -111,21 +117,21 @@
 /// Answers every call of a connection as it should.
 async fn serve_well(mut connection: Connection) {
     loop {
-        let (path, id) = connection.call().await;
-        connection.write(&answer(&path, &id)).await;
+        let (path, id) = connection.read_request().await;
+        connection.write(&response(&path, &id)).await;
     }
 }
 
 #[test]
-fn given_an_answer_that_comes_again_when_the_next_call_waits_then_it_is_not_that_calls_answer() {
+fn repeated_response_is_not_taken_for_the_next_requests() {
     let script = |number, mut connection: Connection| async move {
         if number > 0 {
             return serve_well(connection).await;
         }
-        let (path, id) = connection.call().await;
-        connection.write(&answer(&path, &id)).await;
-        connection.call().await;
-        connection.write(&answer(&path, &id)).await;
+        let (path, id) = connection.read_request().await;
+        connection.write(&response(&path, &id)).await;
+        connection.read_request().await;
+        connection.write(&response(&path, &id)).await;
         connection.closed().await;
     };
     run(script, |client, seen| async move {
@@ -145,14 +151,14 @@
 }
 
 #[test]
-fn given_two_answers_at_once_when_the_next_call_is_made_then_it_gets_its_own() {
+fn second_of_two_responses_is_not_taken_for_the_next_requests() {
     let script = |number, mut connection: Connection| async move {
         if number > 0 {
             return serve_well(connection).await;
         }
-        let (path, id) = connection.call().await;
+        let (path, id) = connection.read_request().await;
         connection
-            .write(&(answer(&path, &id) + &answer("/wrong", &id)))
+            .write(&(response(&path, &id) + &response("/wrong", &id)))
             .await;
         connection.closed().await;
     };
@@ -160,7 +166,7 @@
         assert_eq!(body_of(client.send(get("/one"), SOON).await), "/one");
         // Whether the second answer has come yet or comes after the call, it is never that call's.
         match client.send(get("/two"), SOON).await {
-            Ok(answer) => assert_eq!(answer.body(), "/two"),
+            Ok(response) => assert_eq!(response.body(), "/two"),
             Err(error) => assert!(matches!(error, RequestError::Unknown(_)), "{error}"),
         }
         assert!(
@@ -171,14 +177,14 @@
 }
 
 #[test]
-fn given_an_answer_that_nobody_asked_for_on_a_resting_connection_then_the_next_call_gets_its_own() {
+fn unsolicited_response_on_an_idle_connection_is_dropped() {
     let script = |number, mut connection: Connection| async move {
         if number > 0 {
             return serve_well(connection).await;
         }
-        let (path, id) = connection.call().await;
-        connection.write(&answer(&path, &id)).await;
-        connection.write(&answer("/wrong", "77")).await;
+        let (path, id) = connection.read_request().await;
+        connection.write(&response(&path, &id)).await;
+        connection.write(&response("/wrong", "77")).await;
         connection.closed().await;
     };
     run(script, |client, seen| async move {
@@ -191,17 +197,17 @@
 }
 
 #[test]
-fn given_a_call_that_was_given_up_when_its_answer_comes_then_it_is_nobodys() {
+fn response_to_an_abandoned_request_is_dropped() {
     let script = |number, mut connection: Connection| async move {
         if number > 0 {
             return serve_well(connection).await;
         }
-        let (path, id) = connection.call().await;
+        let (path, id) = connection.read_request().await;
         tokio::time::sleep(SHORT * 2).await;
         // The caller may have closed: then there is nobody to answer.
         let _ = connection
             .stream
-            .write_all(answer(&path, &id).as_bytes())
+            .write_all(response(&path, &id).as_bytes())
             .await;
         connection.closed().await;
     };
@@ -216,20 +222,20 @@
 }
 
 #[test]
-fn given_an_answer_before_the_whole_call_was_read_then_it_counts_and_the_connection_does_not() {
+fn early_response_counts_and_its_connection_is_not_reused() {
     let script = |number, mut connection: Connection| async move {
         if number > 0 {
             return serve_well(connection).await;
         }
-        let (path, id) = connection.call().await;
-        let early = answer(&path, &id).replace("\r\n\r\n", "\r\nconnection: close\r\n\r\n");
+        let (path, id) = connection.read_request().await;
+        let early = response(&path, &id).replace("\r\n\r\n", "\r\nconnection: close\r\n\r\n");
         connection.write(&early).await;
     };
     run(script, |client, seen| async move {
-        let call = http::Request::post("/one")
+        let request = http::Request::post("/one")
             .body(Bytes::from(vec![b'x'; 4_000]))
             .unwrap();
-        let first = client.send(call, SOON).await;
+        let first = client.send(request, SOON).await;
         assert!(
             first.is_ok() || matches!(first, Err(RequestError::Unknown(_))),
             "{first:?}"
@@ -240,10 +246,10 @@
 }
 
 #[test]
-fn given_an_answer_in_pieces_then_it_is_read_whole() {
+fn response_in_pieces_is_read_whole() {
     let script = |_, mut connection: Connection| async move {
-        let (path, id) = connection.call().await;
-        for byte in answer(&path, &id).as_bytes() {
+        let (path, id) = connection.read_request().await;
+        for byte in response(&path, &id).as_bytes() {
             connection.stream.write_all(&[*byte]).await.unwrap();
             tokio::task::yield_now().await;
         }
@@ -257,14 +263,12 @@
 #[rstest]
 #[case::closed(false)]
 #[case::reset(true)]
-fn given_a_connection_that_ends_between_call_and_answer_then_the_call_is_unknown_and_sent_once(
-    #[case] reset: bool,
-) {
+fn request_on_a_broken_connection_is_unknown_and_sent_once(#[case] reset: bool) {
     let script = move |number, mut connection: Connection| async move {
         if number > 0 {
             return serve_well(connection).await;
         }
-        connection.call().await;
+        connection.read_request().await;
         if reset {
             connection.stream.set_zero_linger().unwrap();
         }
@@ -282,19 +286,18 @@
 }
 
 #[test]
-fn given_a_peer_that_closes_as_its_connection_is_used_again_then_each_call_is_carried_out_once_at_most(
-) {
+fn peer_that_closes_reused_connections_executes_each_request_at_most_once() {
     let script = |_, mut connection: Connection| async move {
-        let (path, id) = connection.call().await;
-        connection.write(&answer(&path, &id)).await;
+        let (path, id) = connection.read_request().await;
+        connection.write(&response(&path, &id)).await;
     };
     run(script, |client, seen| async move {
         let mut answered = 0;
         for number in 0..200 {
             let path = format!("/{number}");
             match client.send(get(&path), SOON).await {
-                Ok(answer) => {
-                    assert_eq!(answer.body(), path.as_bytes());
+                Ok(response) => {
+                    assert_eq!(response.body(), path.as_bytes());
                     answered += 1;
                 }
                 Err(error) => {
@@ -312,12 +315,12 @@
 }
 
 #[test]
-fn given_a_peer_of_an_earlier_release_that_returns_no_number_then_its_answers_count() {
+fn responses_without_a_request_id_are_accepted() {
     let script = |_, mut connection: Connection| async move {
         loop {
-            let (path, _) = connection.call().await;
+            let (path, _) = connection.read_request().await;
             connection
-                .write(&answer(&path, "").replace("streamusher-call: \r\n", ""))
+                .write(&response(&path, "").replace("streamusher-call: \r\n", ""))
                 .await;
         }
     };
--- a/crates/runtime/tests/settings.rs
+++ b/crates/runtime/tests/settings.rs
@@ -1,5 +1,11 @@
 //! The settings file: what is read, what is ignored, and what errors say.
 
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
+
 use rstest::rstest;
 use streamusher_runtime::settings::{parse, MachineLimits, ProcessSettings, SettingsError};
 
@@ -40,8 +46,9 @@
     parse(text, "settings.toml")
 }
 
+#[expect(clippy::float_cmp, reason = "0.25 is exact in binary")]
 #[test]
-fn given_a_whole_file_when_read_then_every_field_has_its_type_and_unknown_ones_are_ignored() {
+fn every_field_is_read_and_unknown_ones_are_ignored() {
     let settings = read(GIVEN).unwrap();
 
     assert_eq!(&*settings.node_name, "front-1");
@@ -57,7 +64,7 @@
 }
 
 #[test]
-fn given_missing_bounds_when_read_then_they_have_defaults() {
+fn missing_bounds_have_defaults() {
     let settings = read(GIVEN).unwrap();
 
     assert_eq!(settings.bounds.contact_ms, 3_000);
@@ -66,7 +73,7 @@
 }
 
 #[test]
-fn given_seeds_when_asked_then_internal_addresses_use_the_first_port_of_the_range() {
+fn internal_addresses_use_the_first_ports_of_the_range() {
     let settings = read(GIVEN).unwrap();
 
     let seeds = settings.core_addresses_of_seeds();
@@ -100,7 +107,7 @@
 #[case::turned_range("[7380, 7395]", "[7395, 7380]", "port_range", "[7395, 7380]")]
 #[case::no_heartbeat("heartbeat_ms = 1500", "heartbeat_ms = 0", "heartbeat_ms", "0")]
 #[case::no_hold("hold_max_ms = 6000.0", "hold_max_ms = 0", "bounds.hold_max_ms", "0")]
-fn given_a_key_of_no_use_when_read_then_the_error_names_key_value_and_remedy(
+fn wrong_key_is_an_error_with_value_and_remedy(
     #[case] found: &str,
     #[case] instead: &str,
     #[case] wanted_key: &str,
@@ -122,12 +129,12 @@
 }
 
 #[test]
-fn given_no_toml_when_read_then_the_error_says_so() {
+fn malformed_toml_is_a_syntax_error() {
     assert!(matches!(read("ip = ["), Err(SettingsError::Syntax { .. })));
 }
 
 #[test]
-fn given_no_file_when_loaded_then_the_error_names_the_variable() {
+fn missing_file_is_an_error_naming_the_variable() {
     let error = streamusher_runtime::settings::load_from(std::path::Path::new(
         "/nonexistent/settings.toml",
     ))
@@ -143,7 +150,7 @@
 #[case::usual(4_096, 556, 3_540)]
 #[case::few(600, 556, 44)]
 #[case::too_few(256, 556, 16)]
-fn given_descriptors_when_a_server_takes_its_part_then_the_rest_is_for_connections(
+fn connections_are_the_descriptors_that_are_left(
     #[case] max_fds: u64,
     #[case] besides: u64,
     #[case] connections: usize,
@@ -153,5 +160,5 @@
         ..MachineLimits::default()
     };
 
-    assert_eq!(limits.connections(besides), connections);
+    assert_eq!(limits.max_connections(besides), connections);
 }
