--- a/crates/controlplane/src/component_settings.rs
+++ b/crates/controlplane/src/component_settings.rs
@@ -15,7 +15,7 @@
 const LEASE_MS: Millis = 600;
 
 /// Settings of replication; `address` is where the others reach this machine.
-pub fn coordinator_settings(
+pub(crate) fn coordinator_settings(
     settings: &ProcessSettings,
     address: CoreAddress,
     random_seed: u64,
@@ -31,7 +31,7 @@
 }
 
 /// Settings of the scheduler; without `fair_share` work is not ordered by recent use.
-pub fn scheduler_settings(
+pub(crate) fn scheduler_settings(
     settings: &ProcessSettings,
     random_seed: u64,
     fair_share: Option<FairShareSettings>,
@@ -54,7 +54,7 @@
 }
 
 /// A new seed for each start: a disk's id is drawn from it, so no two starts may draw the same.
-pub fn draw_random_seed() -> u64 {
+pub(crate) fn draw_random_seed() -> u64 {
     let mut hasher = RandomState::new().build_hasher();
     SystemTime::now().hash(&mut hasher);
     std::process::id().hash(&mut hasher);
--- a/crates/controlplane/src/control_api.rs
+++ b/crates/controlplane/src/control_api.rs
@@ -25,7 +25,11 @@
 }
 
 /// Serves a request on the control port; `own_address` is this machine's control `ip:port`.
-pub async fn serve(machine: ControlMachine, own_address: Arc<str>, request: Request) -> Response {
+pub(crate) async fn serve(
+    machine: ControlMachine,
+    own_address: Arc<str>,
+    request: Request,
+) -> Response {
     let path = request.uri().path().to_owned();
     let Some(kind) = request_kind(&path) else {
         return not_served(&path);
--- a/crates/controlplane/src/control_machine/explain.rs
+++ b/crates/controlplane/src/control_machine/explain.rs
@@ -11,7 +11,7 @@
 
 /// The outcome of an [`ExplainRequest`].
 #[derive(Clone, Debug, PartialEq)]
-pub enum ExplainOutcome {
+pub(crate) enum ExplainOutcome {
     /// What is known.
     Known(Value),
     /// Nothing is known, and why.
--- a/crates/controlplane/src/control_machine/mod.rs
+++ b/crates/controlplane/src/control_machine/mod.rs
@@ -1,9 +1,9 @@
 //! A control machine at work: the driver with its queues, shared by the servers and the event loop of one process.
 //!
 //! - `state`: the driver, and where its actions go.
-//! - [`explain`]: what the primary knows of one job or user.
+//! - `explain`: what the primary knows of one job or user.
 
-pub mod explain;
+pub(crate) mod explain;
 mod state;
 
 use crate::driver::{ControlOutcome, ControlRequest, Driver};
@@ -31,17 +31,17 @@
 
 /// This machine is not the acting primary, so that nothing was done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NotActing;
+pub(crate) struct NotActing;
 
 /// A handle to a control machine; clones share the machine. Each borrow ends before anything is awaited.
 #[derive(Clone)]
-pub struct ControlMachine {
+pub(crate) struct ControlMachine {
     state: SharedState,
 }
 
 impl ControlMachine {
     /// Joins the parts.
-    pub fn new(
+    pub(crate) fn new(
         driver: Driver<Coordinator, Scheduler>,
         peers: PeerQueues,
         store_writer: StoreWriter,
@@ -53,7 +53,7 @@
 
     /// Executes a request and waits for its outcome. Dropping the future tells the scheduler that the caller has
     /// disconnected.
-    pub async fn execute(&self, request: ControlRequest) -> ControlOutcome {
+    pub(crate) async fn execute(&self, request: ControlRequest) -> ControlOutcome {
         let (sender, receiver) = oneshot::channel();
         let id = self.state.borrow_mut().start_request(request, sender);
         let mut guard = RequestGuard {
@@ -66,12 +66,12 @@
     }
 
     /// Handles an input of replication.
-    pub fn handle_input(&self, input: Input) {
+    pub(crate) fn handle_input(&self, input: Input) {
         self.state.borrow_mut().handle_input(input);
     }
 
     /// Handles messages of another control machine; `from` is its internal `ip:port`.
-    pub fn on_peer_messages(&self, from: &Arc<str>, messages: Vec<Message>) {
+    pub(crate) fn on_peer_messages(&self, from: &Arc<str>, messages: Vec<Message>) {
         let mut state = self.state.borrow_mut();
         for message in messages {
             state.handle_input(Input::Received {
@@ -82,7 +82,7 @@
     }
 
     /// Advances to the current time.
-    pub fn tick(&self) {
+    pub(crate) fn tick(&self) {
         self.state.borrow_mut().tick();
     }
 
@@ -90,7 +90,7 @@
     ///
     /// # Errors
     /// This machine is not the acting primary.
-    pub fn renew_gate_lease(
+    pub(crate) fn renew_gate_lease(
         &self,
         lease: &GateLeaseRequest,
     ) -> Result<GateLeaseResponse, NotActing> {
@@ -104,7 +104,7 @@
     ///
     /// # Errors
     /// This machine is not the acting primary.
-    pub fn on_relay_messages(&self, envelope: RelayEnvelope) -> Result<(), NotActing> {
+    pub(crate) fn on_relay_messages(&self, envelope: RelayEnvelope) -> Result<(), NotActing> {
         let now = clock::steady();
         let state = &mut *self.state.borrow_mut();
         let epoch = state.driver.acting_epoch(now).ok_or(NotActing)?;
@@ -113,13 +113,13 @@
     }
 
     /// The control plane as this machine knows it.
-    pub fn view(&self) -> ClusterView {
+    pub(crate) fn view(&self) -> ClusterView {
         let state = self.state.borrow();
         state.driver.replication().view(clock::steady())
     }
 
     /// The same, once a newer epoch is known than the caller knows, or when its time is over.
-    pub async fn view_after(&self, watch: ClusterWatch) -> ClusterView {
+    pub(crate) async fn view_after(&self, watch: ClusterWatch) -> ClusterView {
         let mut newest_epoch = self.state.borrow().subscribe_epoch();
         let wait = Duration::from_millis(watch.wait_ms.min(MAX_WATCH_MS));
         // Whichever comes first: the view is the response in either case.
@@ -128,17 +128,17 @@
     }
 
     /// Replaces the seeds, as after a change of the settings file.
-    pub fn set_seeds(&self, seeds: Vec<CoreAddress>) {
+    pub(crate) fn set_seeds(&self, seeds: Vec<CoreAddress>) {
         self.state.borrow_mut().driver.set_seeds(seeds);
     }
 
     /// Whether nothing is lost when the process ends now, after [`Input::Leave`].
-    pub fn may_leave(&self) -> bool {
+    pub(crate) fn may_leave(&self) -> bool {
         self.state.borrow().driver.replication().may_leave()
     }
 
     /// Status for operators, as JSON.
-    pub fn status(&self) -> Value {
+    pub(crate) fn status(&self) -> Value {
         let state = self.state.borrow();
         let now = clock::steady();
         let replication = state.driver.replication();
@@ -154,7 +154,7 @@
     }
 
     /// What is known of one job or user.
-    pub fn explain(&self, request: &ExplainRequest) -> ExplainOutcome {
+    pub(crate) fn explain(&self, request: &ExplainRequest) -> ExplainOutcome {
         let now = clock::steady();
         let state = self.state.borrow();
         let is_acting = state.driver.acting_epoch(now).is_some();
--- a/crates/controlplane/src/internal_api.rs
+++ b/crates/controlplane/src/internal_api.rs
@@ -15,7 +15,7 @@
 use streamusher_scheduler::SchedulerResponse;
 
 /// Serves a request on the internal port.
-pub async fn serve(machine: ControlMachine, request: Request) -> Response {
+pub(crate) async fn serve(machine: ControlMachine, request: Request) -> Response {
     let served = match (request.method(), request.uri().path()) {
         (&Method::POST, COORDINATION_PATH) => peer_messages(&machine, &request),
         (&Method::POST, AGENT_SYNC_PATH) => {
--- a/crates/controlplane/src/lib.rs
+++ b/crates/controlplane/src/lib.rs
@@ -13,11 +13,11 @@
 //! Around it is the process:
 //!
 //! - [`process`]: start, event loop and shutdown; `servers`: its HTTP servers.
-//! - [`control_machine`]: the driver with the queues that its actions go to, shared by servers and event loop.
-//! - [`internal_api`], [`control_api`]: the two interfaces.
-//! - [`peer_messages`], [`primary_relay`]: messages to other control machines, and to the relay tree.
+//! - `control_machine`: the driver with the queues that its actions go to, shared by servers and event loop.
+//! - `internal_api`, `control_api`: the two interfaces.
+//! - [`peer_messages`], `primary_relay`: messages to other control machines, and to the relay tree.
 //! - [`store`]: what is kept on disk, and the thread that writes it.
-//! - [`machine_settings`], [`component_settings`], [`fair_share_file`]: settings.
+//! - [`machine_settings`], `component_settings`, [`fair_share_file`]: settings.
 //!
 //! And the operators' program:
 //!
@@ -74,18 +74,18 @@
 //! ```
 
 pub mod cluster_status;
-pub mod component_settings;
-pub mod control_api;
-pub mod control_machine;
+mod component_settings;
+mod control_api;
+mod control_machine;
 mod deferred;
 pub mod driver;
 pub mod fair_share_file;
-pub mod internal_api;
+mod internal_api;
 pub mod machine_settings;
 pub mod options;
 pub mod peer_messages;
 pub mod pending_configurations;
-pub mod primary_relay;
+mod primary_relay;
 pub mod process;
 mod requests;
 mod servers;
--- a/crates/controlplane/src/options/usage.rs
+++ b/crates/controlplane/src/options/usage.rs
@@ -8,11 +8,11 @@
 
 pub(super) const VERSION: &str = concat!("streamusher-control ", env!("CARGO_PKG_VERSION"), "\n");
 
-pub(super) const BRIEF: &str = "The control plane of streamusher: primary, replica or witness on a core machine.
+pub(super) const BRIEF: &str = "The control plane of streamusher: primary, replica or witness on a control machine.
 
 Usage: streamusher-control [options] [COMMAND]
 
-Without a command it runs as the process of a core machine. Commands:
+Without a command it runs as the process of a control machine. Commands:
     status [ADDRESS...]             print the whole cluster; ADDRESS is the internal ip:port of any process, and
                                     without one the seeds of the settings file are asked
     explain job ID [ADDRESS...]     print where a job stands, and why what waits of it waits
@@ -21,9 +21,9 @@
     show-disk DIR                   check and show the data folder of a process that does not run
 
 The settings file is named by STREAMUSHER_SETTINGS; STREAMUSHER_LOG sets the level of the logs.
-It ends with 0 after SIGTERM or where all is well, with 1 after a failure (status: a machine does not answer, or no
-primary acts; explain: no primary acts, or nothing is known; show-disk: the store is damaged), and with 2 for a wrong command line, settings, configuration or store
-format.";
+It ends with 0 after SIGTERM or where all is well, with 1 after a failure (status: a machine does not respond, or no
+primary acts; explain: no primary acts, or nothing is known; show-disk: the store is damaged), and with 2 for a wrong
+command line, settings, configuration or store format.";
 
 /// All options, also those that only one command takes.
 pub(super) fn options() -> Options {
--- a/crates/controlplane/src/peer_messages.rs
+++ b/crates/controlplane/src/peer_messages.rs
@@ -34,14 +34,14 @@
 }
 
 /// The queues to the other control machines.
-pub struct PeerQueues {
+pub(crate) struct PeerQueues {
     own_address: Arc<str>,
     queues: HashMap<Arc<str>, mpsc::Sender<Message>>,
 }
 
 impl PeerQueues {
     /// No queues yet; `own_address` is this machine's internal `ip:port`.
-    pub fn new(own_address: Arc<str>) -> PeerQueues {
+    pub(crate) fn new(own_address: Arc<str>) -> PeerQueues {
         PeerQueues {
             own_address,
             queues: HashMap::new(),
@@ -49,7 +49,7 @@
     }
 
     /// Queues a message; it is dropped where the peer is not reachable. Within a `LocalSet`.
-    pub fn send(&mut self, to: &Arc<str>, message: Message) {
+    pub(crate) fn send(&mut self, to: &Arc<str>, message: Message) {
         if !self.queues.contains_key(to) && !self.add_peer(to) {
             return;
         }
--- a/crates/controlplane/src/primary_relay.rs
+++ b/crates/controlplane/src/primary_relay.rs
@@ -17,7 +17,7 @@
 }
 
 /// Root and leases while this machine is the primary, and the queues to the members.
-pub struct PrimaryRelay {
+pub(crate) struct PrimaryRelay {
     /// None while this machine is not the acting primary.
     current: Option<TermPublisher>,
     outbox: Outbox<RelayMessage>,
@@ -35,7 +35,7 @@
 impl PrimaryRelay {
     /// Advances to the current time. `acting_epoch` is the epoch in which this machine was elected; none where it is not the
     /// acting primary.
-    pub fn tick(&mut self, now: Millis, acting_epoch: Option<u64>) {
+    pub(crate) fn tick(&mut self, now: Millis, acting_epoch: Option<u64>) {
         let Some(epoch) = acting_epoch else {
             self.current = None;
             return;
@@ -45,13 +45,18 @@
     }
 
     /// Publishes a configuration that was committed in this term.
-    pub fn publish(&mut self, now: Millis, epoch: u64, configuration: &PublishedConfiguration) {
+    pub(crate) fn publish(
+        &mut self,
+        now: Millis,
+        epoch: u64,
+        configuration: &PublishedConfiguration,
+    ) {
         let messages = self.publisher(now, epoch).publish(configuration);
         self.send(messages);
     }
 
     /// Renews a gate's lease.
-    pub fn renew_lease(
+    pub(crate) fn renew_lease(
         &mut self,
         now: Millis,
         epoch: u64,
@@ -61,13 +66,13 @@
     }
 
     /// Handles messages of a member.
-    pub fn receive(&mut self, now: Millis, epoch: u64, envelope: RelayEnvelope) {
+    pub(crate) fn receive(&mut self, now: Millis, epoch: u64, envelope: RelayEnvelope) {
         let messages = self.publisher(now, epoch).on_envelope(now, envelope);
         self.send(messages);
     }
 
     /// Status for operators, as JSON; null while this machine is not the acting primary.
-    pub fn status(&self) -> Value {
+    pub(crate) fn status(&self) -> Value {
         let Some(TermPublisher { publisher, .. }) = &self.current else {
             return Value::Null;
         };
--- a/crates/controlplane/src/store/mod.rs
+++ b/crates/controlplane/src/store/mod.rs
@@ -5,13 +5,13 @@
 //!
 //! - `database`: the database with its format; `torn_journal`: its repair.
 //! - `folders`: the folders, and how one store replaces another.
-//! - [`writer`]: the thread that writes.
+//! - `writer`: the thread that writes.
 
 mod database;
 mod error;
 mod folders;
 mod torn_journal;
-pub mod writer;
+pub(crate) mod writer;
 
 pub use database::FORMAT;
 pub use error::StoreError;
--- a/crates/controlplane/src/store/writer.rs
+++ b/crates/controlplane/src/store/writer.rs
@@ -10,7 +10,7 @@
 
 /// A report of the thread.
 #[derive(Debug)]
-pub enum DiskEvent {
+pub(crate) enum DiskEvent {
     /// The change is synced.
     Persisted {
         /// Its ticket.
@@ -35,7 +35,7 @@
 }
 
 /// Hands changes to the thread, which ends with this value.
-pub struct StoreWriter {
+pub(crate) struct StoreWriter {
     requests: mpsc::Sender<WriteRequest>,
 }
 
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     /// The thread could not be started.
-    pub fn start(
+    pub(crate) fn start(
         data_dir: PathBuf,
         store: Store,
         events: UnboundedSender<DiskEvent>,
@@ -62,7 +62,7 @@
     }
 
     /// Requests a change; its result comes as a [`DiskEvent`].
-    pub fn persist(&self, ticket: u64, change: DiskChange) {
+    pub(crate) fn persist(&self, ticket: u64, change: DiskChange) {
         if self.requests.send(WriteRequest { ticket, change }).is_err() {
             log::error!("store: the writer thread has exited: change {ticket} is not written");
         }
--- a/crates/controlplane/tests/cluster.rs
+++ b/crates/controlplane/tests/cluster.rs
@@ -34,18 +34,18 @@
     .to_string()
 }
 
-fn client_call(method: &str, body: &str) -> Value {
+fn client_request(method: &str, body: &str) -> Value {
     json!({"method": method, "host": "h.example", "path": JOB, "body": body})
 }
 
-fn submit() -> Value {
-    client_call(
+fn submission() -> Value {
+    client_request(
         "POST",
         &json!({"spec": "work", "steps": [{"count": 1, "cpu": 500, "mem_mb": 64}]}).to_string(),
     )
 }
 
-fn sync(sequence: u64, running: &Value, finished: &Value) -> Value {
+fn agent_sync(sequence: u64, running: &Value, finished: &Value) -> Value {
     json!({
         "agent": "side-1", "boot": 7, "sequence": sequence, "epoch": 0, "revision": 0, "wait_ms": 100,
         "worker": {
@@ -56,42 +56,47 @@
     })
 }
 
-fn state_in(answer: &Response) -> String {
-    let reply: Value = serde_json::from_slice(answer.body()).unwrap();
-    let body = reply["body"].as_str().unwrap_or_default();
+fn job_state(response: &Response) -> String {
+    let response_body: Value = serde_json::from_slice(response.body()).unwrap();
+    let body = response_body["body"].as_str().unwrap_or_default();
     let status: Value = serde_json::from_str(body).unwrap_or_default();
     status["state"].as_str().unwrap_or_default().to_owned()
 }
 
-/// The client's status inside a gate's answer.
-fn client_status(answer: &Response) -> u64 {
-    let reply: Value = serde_json::from_slice(answer.body()).unwrap_or_default();
-    reply["status"].as_u64().unwrap_or_default()
+/// The client's status inside a gate's response.
+fn client_status(response: &Response) -> u64 {
+    let response_body: Value = serde_json::from_slice(response.body()).unwrap_or_default();
+    response_body["status"].as_u64().unwrap_or_default()
 }
 
-async fn configured() -> (Cluster, usize) {
+async fn configured_cluster() -> (Cluster, usize) {
     let mut cluster = Cluster::start().await;
     let primary = cluster.primary().await;
-    let answer = cluster
+    let response = cluster
         .operator_request(primary, REPLACE_PATH, Some("0"), &configuration(5))
         .await;
-    assert_eq!(answer.status(), StatusCode::OK, "{}", body_text(&answer));
+    assert_eq!(
+        response.status(),
+        StatusCode::OK,
+        "{}",
+        body_text(&response)
+    );
     (cluster, primary)
 }
 
 #[test]
 fn one_of_three_empty_machines_becomes_primary_and_the_others_redirect_to_it() {
     run_bounded(async {
-        let (mut cluster, primary) = configured().await;
+        let (mut cluster, primary) = configured_cluster().await;
         let control = cluster.control(primary);
         for machine in (0..3).filter(|machine| *machine != primary) {
-            let answer = cluster
+            let response = cluster
                 .operator_request(machine, REPLACE_PATH, Some("0"), &configuration(5))
                 .await;
 
-            assert_eq!(answer.status(), StatusCode::TEMPORARY_REDIRECT);
+            assert_eq!(response.status(), StatusCode::TEMPORARY_REDIRECT);
             assert_eq!(
-                answer.headers()[LOCATION],
+                response.headers()[LOCATION],
                 format!("http://{control}{REPLACE_PATH}")
             );
             let view = cluster.view(machine).await;
@@ -104,7 +109,7 @@
 #[test]
 fn repeated_change_is_acknowledged_and_conflicting_one_is_rejected() {
     run_bounded(async {
-        let (mut cluster, primary) = configured().await;
+        let (mut cluster, primary) = configured_cluster().await;
 
         let again = cluster
             .operator_request(primary, REPLACE_PATH, Some("0"), &configuration(5))
@@ -129,7 +134,7 @@
 #[test]
 fn malformed_operator_requests_are_rejected_with_their_cause() {
     run_bounded(async {
-        let (mut cluster, primary) = configured().await;
+        let (mut cluster, primary) = configured_cluster().await;
 
         let no_base = cluster
             .operator_request(primary, REPLACE_PATH, None, &configuration(9))
@@ -168,21 +173,27 @@
 #[test]
 fn replica_names_the_primary_to_gates_and_agents() {
     run_bounded(async {
-        let (mut cluster, primary) = configured().await;
+        let (mut cluster, primary) = configured_cluster().await;
         let other = (primary + 1) % 3;
 
-        let client = cluster.post(other, CLIENT_REQUEST_PATH, &submit()).await;
+        let client = cluster
+            .post(other, CLIENT_REQUEST_PATH, &submission())
+            .await;
         let agent = cluster
-            .post(other, AGENT_SYNC_PATH, &sync(1, &json!([]), &json!([])))
+            .post(
+                other,
+                AGENT_SYNC_PATH,
+                &agent_sync(1, &json!([]), &json!([])),
+            )
             .await;
         let malformed = cluster
             .post(primary, AGENT_SYNC_PATH, &json!({"agent": 7}))
             .await;
 
-        for answer in [client, agent] {
-            assert_eq!(answer.status(), StatusCode::MISDIRECTED_REQUEST);
-            let refusal: NotPrimary = serde_json::from_slice(answer.body()).unwrap();
-            let named = refusal.view.primary.unwrap().internal;
+        for response in [client, agent] {
+            assert_eq!(response.status(), StatusCode::MISDIRECTED_REQUEST);
+            let not_primary: NotPrimary = serde_json::from_slice(response.body()).unwrap();
+            let named = not_primary.view.primary.unwrap().internal;
             assert_eq!(named.as_ref(), cluster.internal(primary).to_string());
         }
         assert_eq!(malformed.status(), StatusCode::BAD_REQUEST);
@@ -197,28 +208,30 @@
 #[test]
 fn finished_job_survives_leadership_transfer_and_restart() {
     run_bounded(async {
-        let (mut cluster, primary) = configured().await;
-        let accepted = cluster.post(primary, CLIENT_REQUEST_PATH, &submit()).await;
+        let (mut cluster, primary) = configured_cluster().await;
+        let accepted = cluster
+            .post(primary, CLIENT_REQUEST_PATH, &submission())
+            .await;
         assert_eq!(client_status(&accepted), 200, "{}", body_text(&accepted));
 
-        let ordered = cluster
+        let synced = cluster
             .post_until(
                 AGENT_SYNC_PATH,
-                &sync(1, &json!([]), &json!([])),
-                |answer| {
-                    serde_json::from_slice::<AgentCommands>(answer.body())
-                        .is_ok_and(|orders| !orders.start.is_empty())
+                &agent_sync(1, &json!([]), &json!([])),
+                |response| {
+                    serde_json::from_slice::<AgentCommands>(response.body())
+                        .is_ok_and(|commands| !commands.start.is_empty())
                 },
             )
             .await;
-        let orders: AgentCommands = serde_json::from_slice(ordered.body()).unwrap();
-        let start = &orders.start[0];
+        let commands: AgentCommands = serde_json::from_slice(synced.body()).unwrap();
+        let start = &commands.start[0];
         let ended = json!([[1, start.task, start.run, "done", ""]]);
         cluster
-            .post(primary, AGENT_SYNC_PATH, &sync(2, &json!([]), &ended))
+            .post(primary, AGENT_SYNC_PATH, &agent_sync(2, &json!([]), &ended))
             .await;
-        let get = client_call("GET", "");
-        let succeeded = |answer: &Response| is_ok(answer) && state_in(answer) == "succeeded";
+        let get = client_request("GET", "");
+        let succeeded = |response: &Response| is_ok(response) && job_state(response) == "succeeded";
         cluster
             .post_until(CLIENT_REQUEST_PATH, &get, succeeded)
             .await;
@@ -248,7 +261,7 @@
 #[test]
 fn watch_at_a_replica_returns_the_next_epoch_after_leadership_transfer() {
     run_bounded(async {
-        let (mut cluster, primary) = configured().await;
+        let (mut cluster, primary) = configured_cluster().await;
         let other = (0..3).find(|machine| *machine != primary).unwrap();
         let known = cluster.view(other).await;
         let watch = ClusterWatch {
@@ -269,10 +282,10 @@
 #[test]
 fn primary_explains_why_a_job_waits() {
     run_bounded(async {
-        let (mut cluster, _) = configured().await;
+        let (mut cluster, _) = configured_cluster().await;
         cluster
-            .post_until(CLIENT_REQUEST_PATH, &submit(), |answer| {
-                client_status(answer) == 200
+            .post_until(CLIENT_REQUEST_PATH, &submission(), |response| {
+                client_status(response) == 200
             })
             .await;
         let job = ExplainRequest::Job("5c0e7a21d94b36f8".parse().unwrap());
@@ -303,6 +316,6 @@
     });
 }
 
-fn is_misdirected(answer: &Response) -> bool {
-    answer.status() == StatusCode::MISDIRECTED_REQUEST
+fn is_misdirected(response: &Response) -> bool {
+    response.status() == StatusCode::MISDIRECTED_REQUEST
 }
--- a/crates/controlplane/tests/driver/stepping_down.rs
+++ b/crates/controlplane/tests/driver/stepping_down.rs
@@ -1,4 +1,4 @@
-//! What callers are told when the primary steps down.
+//! The outcomes of requests in flight when the primary steps down.
 
 use crate::fixture::{
     agent_response, agent_sync, client_request, client_response, operator_request,
--- a/crates/controlplane/tests/fair_share_file.rs
+++ b/crates/controlplane/tests/fair_share_file.rs
@@ -1,4 +1,4 @@
-//! The settings file of the debts: what it need not have is as usual, what is wrong is named.
+//! The settings file of fair share: missing keys get defaults, wrong ones are named.
 
 #![allow(
     clippy::expect_used,
--- a/crates/controlplane/tests/relay.rs
+++ b/crates/controlplane/tests/relay.rs
@@ -25,31 +25,31 @@
 
 const MAX_WAIT: Duration = Duration::from_mins(1);
 
-/// A member that notes what it is told.
+/// A member of the relay tree that records the messages that it receives.
 struct Member {
     address: SocketAddr,
-    told: Rc<RefCell<Vec<RelayMessage>>>,
-    heard: Rc<Notify>,
+    received: Rc<RefCell<Vec<RelayMessage>>>,
+    notify: Rc<Notify>,
 }
 
 impl Member {
     fn start() -> Member {
         let server = Server::bind("127.0.0.1:0".parse().unwrap(), ServerLimits::default()).unwrap();
         let address = server.local_address().unwrap();
-        let told: Rc<RefCell<Vec<RelayMessage>>> = Rc::default();
-        let heard = Rc::new(Notify::new());
-        let (notes, bell) = (Rc::clone(&told), Rc::clone(&heard));
-        tokio::task::spawn_local(server.run(move |call: Request| {
-            let envelope: RelayEnvelope = parse_json(call.body()).unwrap();
-            assert_eq!(call.uri().path(), RELAY_PATH);
-            notes.borrow_mut().extend(envelope.messages);
-            bell.notify_one();
+        let received: Rc<RefCell<Vec<RelayMessage>>> = Rc::default();
+        let notify = Rc::new(Notify::new());
+        let (messages, notify_test) = (Rc::clone(&received), Rc::clone(&notify));
+        tokio::task::spawn_local(server.run(move |request: Request| {
+            let envelope: RelayEnvelope = parse_json(request.body()).unwrap();
+            assert_eq!(request.uri().path(), RELAY_PATH);
+            messages.borrow_mut().extend(envelope.messages);
+            notify_test.notify_one();
             std::future::ready(empty(StatusCode::NO_CONTENT))
         }));
         Member {
             address,
-            told,
-            heard,
+            received,
+            notify,
         }
     }
 
@@ -60,11 +60,11 @@
         }
     }
 
-    /// Waits for a message that fits.
-    async fn until(&self, wanted: impl Fn(&RelayMessage) -> bool) {
+    /// Waits for a message that is expected.
+    async fn until(&self, expected: impl Fn(&RelayMessage) -> bool) {
         let waiting = async {
-            while !self.told.borrow().iter().any(&wanted) {
-                self.heard.notified().await;
+            while !self.received.borrow().iter().any(&expected) {
+                self.notify.notified().await;
             }
         };
         tokio::time::timeout(MAX_WAIT, waiting)
@@ -73,43 +73,43 @@
     }
 }
 
-fn is_whole(wanted: u64) -> impl Fn(&RelayMessage) -> bool {
-    move |message| matches!(message, RelayMessage::Snapshot { version, .. } if *version == wanted)
+fn is_snapshot(expected: u64) -> impl Fn(&RelayMessage) -> bool {
+    move |message| matches!(message, RelayMessage::Snapshot { version, .. } if *version == expected)
 }
 
-fn is_change(wanted: u64) -> impl Fn(&RelayMessage) -> bool {
+fn is_delta(expected: u64) -> impl Fn(&RelayMessage) -> bool {
     move |message| match message {
         RelayMessage::Deltas(changes) => changes
             .last()
-            .is_some_and(|change| change.version == wanted),
+            .is_some_and(|change| change.version == expected),
         _ => false,
     }
 }
 
-fn is_heartbeat(wanted: u64) -> impl Fn(&RelayMessage) -> bool {
-    move |message| matches!(message, RelayMessage::Heartbeat { version, .. } if *version == wanted)
+fn is_heartbeat(expected: u64) -> impl Fn(&RelayMessage) -> bool {
+    move |message| matches!(message, RelayMessage::Heartbeat { version, .. } if *version == expected)
 }
 
 /// Renews a member's lease until a roster names it.
 async fn join(cluster: &mut Cluster, member: &Member, roster: u64) -> GateLeaseResponse {
     let address = member.address.to_string();
-    let answer = cluster
-        .post_until(GATE_LEASE_PATH, &member.lease(roster), |answer| {
-            let reply = parse_json::<GateLeaseResponse>(answer.body()).unwrap_or_default();
-            let members = reply.members.unwrap_or_default();
+    let response = cluster
+        .post_until(GATE_LEASE_PATH, &member.lease(roster), |response| {
+            let lease = parse_json::<GateLeaseResponse>(response.body()).unwrap_or_default();
+            let members = lease.members.unwrap_or_default();
             members.iter().any(|member| **member == *address)
         })
         .await;
-    parse_json(answer.body()).unwrap()
+    parse_json(response.body()).unwrap()
 }
 
 async fn replace(cluster: &mut Cluster, base: &str, version: u64) {
     let primary = cluster.primary().await;
     let body = json!({"version": version, "routes": [], "services": []}).to_string();
-    let answer = cluster
+    let response = cluster
         .operator_request(primary, REPLACE_PATH, Some(base), &body)
         .await;
-    assert!(is_ok(&answer), "{}", body_text(&answer));
+    assert!(is_ok(&response), "{}", body_text(&response));
 }
 
 #[test]
@@ -117,26 +117,26 @@
     run_bounded(async {
         let mut cluster = Cluster::start().await;
         let member = Member::start();
-        let reply = join(&mut cluster, &member, 0).await;
-        assert_eq!(reply.configuration_version, 0);
+        let lease = join(&mut cluster, &member, 0).await;
+        assert_eq!(lease.configuration_version, 0);
 
         replace(&mut cluster, "0", 5).await;
-        member.until(is_whole(5)).await;
+        member.until(is_snapshot(5)).await;
         let primary = cluster.primary().await;
         let update = cluster
             .operator_request(primary, UPDATE_PATH, Some("5"), r#"{"version":8}"#)
             .await;
 
         assert!(is_ok(&update));
-        member.until(is_change(8)).await;
-        let answer = cluster
+        member.until(is_delta(8)).await;
+        let response = cluster
             .post(
                 primary,
                 GATE_LEASE_PATH,
-                &member.lease(reply.membership_version),
+                &member.lease(lease.membership_version),
             )
             .await;
-        let renewed: GateLeaseResponse = parse_json(answer.body()).unwrap();
+        let renewed: GateLeaseResponse = parse_json(response.body()).unwrap();
         assert_eq!((renewed.configuration_version, renewed.members), (8, None));
     });
 }
@@ -148,7 +148,7 @@
         let member = Member::start();
         let before = join(&mut cluster, &member, 0).await;
         replace(&mut cluster, "0", 5).await;
-        member.until(is_whole(5)).await;
+        member.until(is_snapshot(5)).await;
 
         let former = cluster.primary().await;
         cluster.stop_machine(former).await;
@@ -161,14 +161,14 @@
         late.until(is_heartbeat(5)).await;
         let question = json!({"from": {"Member": late.address.to_string()}, "messages": [{"Ask": {"have": 0}}]});
         cluster
-            .post_until(RELAY_PATH, &question, |answer| {
-                answer.status() == StatusCode::NO_CONTENT
+            .post_until(RELAY_PATH, &question, |response| {
+                response.status() == StatusCode::NO_CONTENT
             })
             .await;
-        late.until(is_whole(5)).await;
+        late.until(is_snapshot(5)).await;
         replace(&mut cluster, "5", 9).await;
-        member.until(is_whole(9)).await;
-        late.until(is_whole(9)).await;
+        member.until(is_snapshot(9)).await;
+        late.until(is_snapshot(9)).await;
     });
 }
 
@@ -187,9 +187,9 @@
             .post(primary, GATE_LEASE_PATH, &json!({"address": 7}))
             .await;
 
-        for answer in [lease, relay] {
-            assert_eq!(answer.status(), StatusCode::MISDIRECTED_REQUEST);
-            let body: Value = parse_json(answer.body()).unwrap();
+        for response in [lease, relay] {
+            assert_eq!(response.status(), StatusCode::MISDIRECTED_REQUEST);
+            let body: Value = parse_json(response.body()).unwrap();
             assert_eq!(
                 body["view"]["primary"]["internal"],
                 cluster.internal(primary).to_string()
--- a/crates/controlplane/tests/reload.rs
+++ b/crates/controlplane/tests/reload.rs
@@ -92,7 +92,7 @@
     let mut lines = BufReader::new(process.0.stderr.take().unwrap())
         .lines()
         .map_while(Result::ok);
-    // Both calls wait until the process connects.
+    // Both accepts wait until the process connects.
     first.accept().unwrap();
 
     machine.write_settings("\"nowhere\"");
