--- a/crates/coordination/examples/embed.rs
+++ b/crates/coordination/examples/embed.rs
@@ -137,7 +137,7 @@
                     self.network.push_back((index, Input::Persisted { ticket }));
                 }
                 Output::Elected { epoch } => {
-                    println!("{:>5} ms  epoch {epoch}: machine {index}", self.now)
+                    println!("{:>5} ms  epoch {epoch}: machine {index}", self.now);
                 }
                 // A program answers what waits for the commit, or drops it.
                 Output::Committed { .. } | Output::Deposed => {}
--- a/crates/coordination/src/bootstrap.rs
+++ b/crates/coordination/src/bootstrap.rs
@@ -1,30 +1,28 @@
-//! What an empty disk begins with.
+//! What a member with an empty disk begins with.
 
-use crate::types::*;
+use crate::acceptor::WitnessState;
+use crate::record::{DiskId, EpochRecord, Member};
+use crate::settings::CoordinatorSettings;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use std::sync::Arc;
 use streamusher_protocol::internal::CoreAddress;
 
-/// The seeds of the first start are the members of epoch 0; anybody else is a stranger
-/// with an id of its own.
+/// At the first start of the system the seeds are the members of epoch 0, with ids that all of them compute alike. Any
+/// other machine draws an id of its own, and is no member until a record names it: a member that lost its disk may have
+/// forgotten a promise, and must not give another one under the same id.
 pub(crate) fn first_witness(settings: &CoordinatorSettings, random: &mut Pcg64Mcg) -> WitnessState {
+    let own_address = &settings.address.internal;
     let is_seed = settings
         .seeds
         .iter()
-        .any(|seed| seed.internal == settings.address.internal);
-    let keeps_id = (settings.bootstrap || cfg!(feature = "mutant-wiped")) && is_seed;
-    let drawn =
-        DiskId(random.random::<u64>() ^ address_id(&settings.address.internal).0.rotate_left(17));
-    let id = if keeps_id {
-        address_id(&settings.address.internal)
+        .any(|seed| seed.internal == *own_address);
+    let is_first_start = (settings.bootstrap || cfg!(feature = "mutant-wiped")) && is_seed;
+    let drawn_id = DiskId(random.random::<u64>() ^ address_id(own_address).0.rotate_left(17));
+    let (id, decided) = if is_first_start {
+        (address_id(own_address), first_record(&settings.seeds))
     } else {
-        drawn
-    };
-    let decided = if keeps_id {
-        first_record(&settings.seeds)
-    } else {
-        EpochRecord::default()
+        (drawn_id, EpochRecord::default())
     };
     WitnessState {
         id,
@@ -33,6 +31,7 @@
     }
 }
 
+/// The record of epoch 0: all seeds are members and replicas, and there is no primary.
 fn first_record(seeds: &[CoreAddress]) -> EpochRecord {
     let mut members: Vec<Member> = Vec::new();
     for seed in seeds {
@@ -46,17 +45,18 @@
     }
     let replicas = members.iter().map(|member| member.id).collect();
     EpochRecord {
-        members,
         replicas,
+        members,
         ..EpochRecord::default()
     }
 }
 
-/// The disk id of a seed at the first start (FNV-1a of its address).
+/// The disk id of a seed at the first start: the FNV-1a hash of its address.
 fn address_id(address: &str) -> DiskId {
-    const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
-    DiskId(address.bytes().fold(OFFSET, |hash, byte| {
+    let hash = address.bytes().fold(OFFSET_BASIS, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(PRIME)
-    }))
+    });
+    DiskId(hash)
 }
--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -1,337 +1,731 @@
-//! The state machine of one core machine: its inputs, its clock and its answers.
+//! The state machine of one member: takes inputs, passes them to its parts, and collects what is to be done.
 
-use crate::bootstrap::first_witness;
-use crate::copy::IncomingCopy;
-use crate::disk::{DiskQueue, Effect};
+use crate::acceptor::{ProposalNumber, Vote};
+use crate::coordinator_core::CoordinatorCore;
+use crate::discovery::{send_hellos, Discovery};
+use crate::disk::Effect;
+use crate::election::Election;
 use crate::events::{Input, Output};
-use crate::message::{Batch, Message};
-use crate::peer::Acknowledged;
-use crate::proposal::{Promise, Proposal};
-use crate::recent::Recent;
-use crate::reign::Reign;
-use crate::times::{HELD_UP_MS, WAKE_MS};
-use crate::types::*;
-use rand::SeedableRng;
-use rand_pcg::Pcg64Mcg;
-use std::collections::{BTreeMap, VecDeque};
+use crate::join::JoinRequests;
+use crate::message::Message;
+use crate::proposal::{Promise, Purpose};
+use crate::proposer::{Proposer, ValueChoice};
+use crate::reconfiguration::Reconfiguration;
+use crate::record::{DiskId, EpochRecord, Member};
+use crate::replica::{send_synced, Replica, Sender};
+use crate::settings::CoordinatorSettings;
+use crate::status::{CoordinatorStatus, Role};
+use crate::storage::{DiskImage, StateMap};
+use crate::term::{LeaderTerm, RemovedMember};
+use crate::timing::{
+    LEAVE_TIMEOUT_MS, MAX_TICK_GAP_MS, POST_STALL_ELECTION_DELAY_MS, RECONFIGURATION_INTERVAL_MS,
+};
 use std::sync::Arc;
-use streamusher_protocol::internal::CoreAddress;
+use streamusher_protocol::internal::{ClusterView, CoreAddress};
 use streamusher_protocol::store::Write;
 use streamusher_protocol::Millis;
 
-/// A machine that wants to be let in, and when it last said so.
-#[derive(Clone, Debug)]
-pub(crate) struct Joiner {
-    pub member: Member,
-    pub heard: Millis,
-}
-
-/// Epochs, leases and replication of one core machine.
+/// Epochs, leases and replication of one member. See the [crate's documentation](crate) for how it is embedded.
 #[derive(Clone, Debug)]
 pub struct Coordinator {
-    pub(crate) settings: CoordinatorSettings,
-    pub(crate) random: Pcg64Mcg,
-    /// Time of the present input.
-    pub(crate) now: Millis,
-    last_tick: Millis,
-    /// The count of starts is synced: the machine may speak.
-    started: bool,
-    pub(crate) disk: DiskQueue,
-    pub(crate) witness: WitnessState,
-    /// Epoch of the newest record that is synced.
-    pub(crate) recorded: u64,
-    /// The state in memory and its position; the disk follows.
-    pub(crate) state: StateMap,
-    pub(crate) applied: LogPosition,
-    pub(crate) synced: LogPosition,
-    pub(crate) recent: Recent,
-    pub(crate) incoming: Option<IncomingCopy>,
-    /// Batches that came too early, by the position that they follow.
-    pub(crate) early: BTreeMap<LogPosition, Batch>,
-    /// When this machine last promised not to stand for election.
-    pub(crate) promised_at: Millis,
-    /// When the primary was last heard of.
-    pub(crate) primary_heard: Option<Millis>,
-    pub(crate) vacant_reign: Option<u64>,
-    pub(crate) stand_at: Option<Millis>,
-    pub(crate) quiet_until: Millis,
-    pub(crate) highest_round: u64,
-    /// RejectedChanges of proposals of the present instance, one after another.
-    pub(crate) refusals: u32,
-    pub(crate) proposal: Option<Proposal>,
-    /// Epoch of a record that names this machine primary and is being synced.
-    pub(crate) opening: Option<u64>,
-    pub(crate) reign: Option<Reign>,
-    pub(crate) joiners: BTreeMap<DiskId, Joiner>,
-    pub(crate) leaving: Option<Millis>,
-    pub(crate) appended: u64,
-    pub(crate) committed: u64,
-    pub(crate) next_hello: Millis,
-    loopback: VecDeque<Message>,
-    pub(crate) out: Vec<Output>,
+    core: CoordinatorCore,
+    last_tick_ms: Millis,
+    /// Whether the count of starts is synced: before, no message is taken.
+    is_started: bool,
+    replica: Replica,
+    election: Election,
+    proposer: Proposer,
+    /// Epoch of a record that names this member as its new primary and is being synced.
+    elected_epoch: Option<u64>,
+    /// The term of this member, while it is the primary.
+    term: Option<LeaderTerm>,
+    join_requests: JoinRequests,
+    discovery: Discovery,
 }
 
+/// Inputs and status: what the embedding program uses.
 impl Coordinator {
-    /// Starts from what is on disk. Nothing is said before this start is counted there.
+    /// Starts from what is on disk. Nothing is sent before this start is counted there.
     pub fn new(settings: CoordinatorSettings, image: DiskImage, now: Millis) -> Coordinator {
-        let mut random = Pcg64Mcg::seed_from_u64(settings.random_seed);
-        let mut witness = image
-            .witness
-            .unwrap_or_else(|| first_witness(&settings, &mut random));
-        witness.starts += 1;
-        let recorded = witness.decided.epoch;
-        let mut disk = DiskQueue::default();
-        disk.put_witness(&witness);
-        disk.then(Effect::Started);
         Coordinator {
-            settings,
-            random,
-            now,
-            last_tick: now,
-            started: false,
-            disk,
-            witness,
-            recorded,
-            state: image.state,
-            applied: image.position,
-            synced: image.position,
-            recent: Recent::default(),
-            incoming: None,
-            early: BTreeMap::new(),
-            promised_at: now,
-            primary_heard: None,
-            vacant_reign: None,
-            stand_at: None,
-            quiet_until: now,
-            highest_round: 0,
-            refusals: 0,
-            proposal: None,
-            opening: None,
-            reign: None,
-            joiners: BTreeMap::new(),
-            leaving: None,
-            appended: 0,
-            committed: 0,
-            next_hello: now,
-            loopback: VecDeque::new(),
-            out: Vec::new(),
-        }
-    }
-
-    /// Takes an input and says what is to be done.
+            core: CoordinatorCore::new(settings, image, now),
+            last_tick_ms: now,
+            is_started: false,
+            replica: Replica::default(),
+            election: Election::new(now),
+            proposer: Proposer::new(now),
+            elected_epoch: None,
+            term: None,
+            join_requests: JoinRequests::default(),
+            discovery: Discovery::new(now),
+        }
+    }
+
+    /// Takes an input, and the current time by the caller's steady clock; returns what is to be done, in order.
     pub fn handle(&mut self, now: Millis, input: Input) -> Vec<Output> {
         self.set_clock(now);
         match input {
-            Input::Received { from, message } if self.started => self.receive(&from, message),
+            Input::Received { from, message } if self.is_started => self.receive(&from, message),
             Input::Received { .. } => {}
             Input::Persisted { ticket } => self.on_persisted(ticket),
-            Input::PersistFailed { ticket } => self.disk.failed(now, ticket),
-            Input::Leave => self.leave(),
+            Input::PersistFailed { ticket } => self.core.disk.on_persist_failed(now, ticket),
+            Input::Leave => self.on_leave(),
             Input::Tick => self.tick(),
         }
         self.finish()
     }
 
-    /// Appends writes; only while primary, otherwise they are dropped. Returns the append's sequence, which rises
-    /// by 1; it is committed when `committed()` has reached it and no [`Output::Deposed`] came in between.
+    /// Appends writes to the log of the primary; at other members they are dropped. Returns the append's sequence, which
+    /// rises by 1 with each call, and what is to be done. The append is committed when [`Coordinator::committed`] has reached
+    /// its sequence and no [`Output::Deposed`] came in between.
     pub fn append(&mut self, now: Millis, writes: Vec<Write>) -> (u64, Vec<Output>) {
         self.set_clock(now);
-        self.appended += 1;
-        self.append_to_reign(writes);
-        (self.appended, self.finish())
+        self.core.appends.appended += 1;
+        if let Some(term) = &mut self.term {
+            term.append(&mut self.core, writes);
+        }
+        (self.core.appends.appended, self.finish())
     }
 
-    /// Replaces the seeds, as after a change of the settings file. They say only where to ask: who is a member is
-    /// decided by epochs.
+    /// Replaces the seeds, as after a change of the settings file. They say only where to ask: who is a member is decided by
+    /// epoch records.
     pub fn set_seeds(&mut self, seeds: Vec<CoreAddress>) {
-        self.settings.seeds = seeds;
+        self.core.settings.seeds = seeds;
     }
 
-    /// The seeds in force.
+    /// The seeds in use.
     pub fn seeds(&self) -> &[CoreAddress] {
-        &self.settings.seeds
+        &self.core.settings.seeds
     }
 
     /// Sequence of the newest append.
     pub fn appended(&self) -> u64 {
-        self.appended
+        self.core.appends.appended
     }
 
     /// Sequence up to which appends are committed.
     pub fn committed(&self) -> u64 {
-        self.committed
+        self.core.appends.committed
     }
 
-    /// The state that a new primary recovers from, with all that was appended; O(1).
+    /// The replicated state in memory, with all that was appended: what a new primary recovers from. Takes O(1).
     pub fn state(&self) -> StateMap {
-        self.state.clone()
+        self.core.state.map().clone()
     }
 
     /// The newest epoch known.
     pub fn epoch(&self) -> u64 {
-        self.witness.decided.epoch
+        self.core.record().epoch
+    }
+
+    /// Whether this is the primary with a valid lease: responses may be released.
+    pub fn may_act(&self, now: Millis) -> bool {
+        self.term
+            .as_ref()
+            .is_some_and(|term| term.may_act(&self.core, now))
+    }
+
+    /// Whether this member was elected and its first batch is not committed yet.
+    pub fn is_opening(&self) -> bool {
+        let opens = |term: &LeaderTerm| !term.is_open() && !term.is_stepping_down;
+        let is_elected = self.elected_epoch.is_some() || self.term.as_ref().is_some_and(opens);
+        self.core.is_named_primary() && is_elected
+    }
+
+    /// After [`Input::Leave`]: whether the process may end. It may once it is no primary, is replaced as a replica and is no
+    /// member that an even number can spare; or when the time for that is over.
+    pub fn may_leave(&self) -> bool {
+        let Some(since_ms) = self.core.leaving_since_ms else {
+            return false;
+        };
+        let is_over = self.core.now_ms >= since_ms + LEAVE_TIMEOUT_MS;
+        let record = self.core.record();
+        let is_to_be_removed = record.can_spare_member() && record.is_member(self.core.id());
+        let is_needed = record.is_replica(self.core.id()) || is_to_be_removed;
+        let is_primary = self.term.is_some() || self.elected_epoch.is_some();
+        is_over || !(is_primary || is_needed)
+    }
+
+    /// What this member knows of the control plane. The primary is named only while it is thought to be alive.
+    pub fn view(&self, now: Millis) -> ClusterView {
+        let record = self.core.record();
+        let primary = record
+            .primary
+            .and_then(|id| record.member(id))
+            .filter(|_| self.is_primary_alive(now));
+        ClusterView {
+            epoch: record.epoch,
+            primary: primary.map(|member| member.address.clone()),
+            members: record
+                .members
+                .iter()
+                .map(|member| member.address.clone())
+                .collect(),
+        }
+    }
+
+    fn is_primary_alive(&self, now_ms: Millis) -> bool {
+        let lease_ms = self.core.settings.lease_ms;
+        if let Some(term) = &self.term {
+            let acted_lately = now_ms < term.last_acted_ms + lease_ms * 2;
+            return !term.is_stepping_down && acted_lately;
+        }
+        let has_ended = self.election.has_ended(self.core.record().term);
+        let heard_lately = self
+            .election
+            .primary_heard_ms()
+            .is_some_and(|heard_ms| now_ms < heard_ms + lease_ms * 3 / 2);
+        heard_lately && !has_ended && self.elected_epoch.is_none()
     }
 
-    fn set_clock(&mut self, now: Millis) {
-        self.now = self.now.max(now);
-        let gap = self.now - self.last_tick;
-        if gap > HELD_UP_MS {
-            self.held_up(gap);
-            self.last_tick = self.now;
+    /// Status for operators.
+    pub fn status(&self, now: Millis) -> CoordinatorStatus {
+        let term = self.term.as_ref();
+        CoordinatorStatus {
+            id: self.core.id(),
+            role: self.role(),
+            acting: self.may_act(now),
+            record: self.core.record().clone(),
+            applied: self.core.state.applied(),
+            synced: self.core.state.synced(),
+            committed: term.map_or(0, |term| term.pipeline.committed()),
+            peers: term.map_or_else(Vec::new, |term| term.peer_statuses(now)),
         }
     }
 
-    /// This process stood still. Its lease is over by itself, as that is counted in time; others are not blamed for the gap.
-    fn held_up(&mut self, gap: Millis) {
-        let now = self.now;
-        self.disk.excuse(now);
-        if let Some(reign) = &mut self.reign {
-            reign
-                .peers
-                .values_mut()
-                .for_each(|peer| peer.excuse(now, gap));
+    fn role(&self) -> Role {
+        let (record, id) = (self.core.record(), self.core.id());
+        if self.term.is_some() {
+            Role::Primary
+        } else if record.is_replica(id) {
+            Role::Replica
+        } else if record.is_member(id) {
+            Role::Witness
+        } else {
+            Role::Joining
+        }
+    }
+}
+
+/// Time and the disk.
+impl Coordinator {
+    fn set_clock(&mut self, now_ms: Millis) {
+        self.core.now_ms = self.core.now_ms.max(now_ms);
+        let gap_ms = self.core.now_ms - self.last_tick_ms;
+        if gap_ms > MAX_TICK_GAP_MS {
+            self.on_process_stalled(gap_ms);
+            self.last_tick_ms = self.core.now_ms;
         }
-        if gap >= self.settings.lease_ms / 2 {
-            log::info!("stood still for {gap} ms");
-            self.stand_at = None;
-            self.quiet_until = self.quiet_until.max(now + WAKE_MS);
+    }
+
+    /// This process has stalled. Its own lease has run on, as that is counted in time; others are not blamed for the gap.
+    fn on_process_stalled(&mut self, gap_ms: Millis) {
+        let now_ms = self.core.now_ms;
+        self.core.disk.on_process_stalled(now_ms);
+        if let Some(term) = &mut self.term {
+            term.on_process_stalled(now_ms, gap_ms);
+        }
+        if gap_ms >= self.core.settings.lease_ms / 2 {
+            log::info!("process stalled for {gap_ms} ms");
+            self.election.on_process_stalled();
+            self.proposer
+                .pause_until(now_ms + POST_STALL_ELECTION_DELAY_MS);
         }
     }
 
     fn tick(&mut self) {
-        self.last_tick = self.now;
-        if !self.started {
+        self.last_tick_ms = self.core.now_ms;
+        if !self.is_started {
             return;
         }
-        if self.reign.is_some() {
-            self.tick_reign();
+        if self.term.is_some() {
+            self.tick_primary();
         } else {
-            self.tick_candidate();
+            self.tick_replica();
         }
-        self.tick_proposal();
-        self.tick_hello();
+        self.proposer.tick(&mut self.core);
+        self.choose_value();
+        self.tick_discovery();
     }
 
-    fn leave(&mut self) {
-        if self.leaving.is_some() {
+    fn tick_primary(&mut self) {
+        let Some(term) = &mut self.term else { return };
+        if term.has_lost_quorum(&self.core) {
+            return self.step_down();
+        }
+        let leaving_since_ms = self.core.leaving_since_ms;
+        let must_leave = leaving_since_ms
+            .is_some_and(|since_ms| self.core.now_ms >= since_ms + LEAVE_TIMEOUT_MS);
+        term.is_stepping_down |= must_leave;
+        term.tick(&mut self.core);
+        self.reconfigure();
+    }
+
+    fn tick_replica(&mut self) {
+        let is_elected = self.elected_epoch.is_some();
+        let has_to_stand = self.election.tick(&mut self.core, is_elected);
+        let may_propose = self.proposer.is_idle() && !self.proposer.is_paused(self.core.now_ms);
+        if has_to_stand && may_propose {
+            self.proposer.propose(&mut self.core, Purpose::Election);
+        }
+    }
+
+    fn tick_discovery(&mut self) {
+        if !self.discovery.take_due(&self.core) {
             return;
         }
-        log::info!("leaving");
-        self.leaving = Some(self.now);
-        self.say_leaving();
+        self.announce_ended_term();
+        let may_act = self.may_act(self.core.now_ms);
+        send_hellos(&mut self.core, self.election.primary_heard_ms(), may_act);
+    }
+
+    fn on_leave(&mut self) {
+        if self.core.is_leaving() {
+            return;
+        }
+        log::info!("leaving the control plane");
+        self.core.leaving_since_ms = Some(self.core.now_ms);
+        if let Some(primary) = self.core.primary_address() {
+            let announcement = self.core.keepalive_ack(self.core.record().term, 0);
+            self.core.send(primary, announcement);
+        }
     }
 
     fn on_persisted(&mut self, ticket: u64) {
-        if let Some(position) = self.disk.persisted(self.now, ticket) {
-            self.synced = position;
-            self.update_committed();
+        let Some(position) = self.core.disk.on_persisted(self.core.now_ms, ticket) else {
+            return;
+        };
+        self.core.state.on_synced(position);
+        if let Some(term) = &mut self.term {
+            term.update_committed(&mut self.core);
         }
     }
 
-    fn receive(&mut self, from: &Arc<str>, message: Message) {
-        if let Err(error) = message.check() {
-            log::warn!("message from {from} dropped: {error}");
+    /// Handles messages to itself and effects that wait no longer, then passes the next change to the disk.
+    fn finish(&mut self) -> Vec<Output> {
+        loop {
+            if let Some(message) = self.core.outbox.take_loopback() {
+                let own_address = self.core.settings.address.internal.clone();
+                self.receive(&own_address, message);
+            } else if let Some(effect) = self.core.disk.take_ready_effect() {
+                self.carry_out(effect);
+            } else {
+                break;
+            }
+        }
+        if let Some(output) = self.core.disk.flush(self.core.now_ms) {
+            self.core.outbox.push(output);
+        }
+        self.core.outbox.take_outputs()
+    }
+
+    fn carry_out(&mut self, effect: Effect) {
+        match effect {
+            Effect::Started => self.is_started = true,
+            Effect::Send { to, message } => self.core.send(to, message),
+            Effect::BeginTerm { epoch } => self.begin_term(epoch),
+            Effect::Acknowledge => send_synced(&mut self.core),
+            Effect::RecordSynced { epoch } => self.core.synced_record_epoch = epoch,
+        }
+    }
+}
+
+/// Messages.
+impl Coordinator {
+    fn receive(&mut self, sender: &Arc<str>, message: Message) {
+        if let Err(error) = message.validate() {
+            log::warn!("dropped invalid message from {sender}: {error}");
             return;
         }
+        self.dispatch(sender, message);
+    }
+
+    fn dispatch(&mut self, sender: &Arc<str>, message: Message) {
         match message {
-            Message::Hello { member, epoch } => self.on_hello(from, member, epoch),
-            Message::Decided { record } => self.learn(record),
-            Message::Prepare { base, ballot } => self.on_prepare(from, base, ballot),
+            Message::Hello { member, epoch } => self.on_hello(sender, member, epoch),
+            Message::Decided { record } => self.adopt_record(&record),
+            Message::Prepare { base, number } => self.on_prepare(sender, &base, number),
             Message::Promised {
                 from,
                 instance,
-                ballot,
+                number,
                 accepted,
                 position,
-            } => {
-                self.on_promised(from, instance, ballot, Promise { accepted, position });
-            }
+            } => self.on_promised(from, instance, number, Promise { accepted, position }),
             Message::Accept {
                 base,
-                ballot,
+                number,
                 value,
-            } => self.on_accept(from, base, ballot, value),
+            } => self.on_accept(sender, &base, number, value),
             Message::Accepted {
                 from,
                 instance,
-                ballot,
-            } => self.on_accepted(from, instance, ballot),
-            Message::Refused { instance, promise } => self.on_refused(instance, promise),
-            Message::Keepalive { record, sent } => self.on_keepalive(from, record, sent),
-            Message::Alive {
-                from,
-                reign,
-                sent,
-                position,
-                leaving,
-                recorded,
-            } => {
-                self.on_alive(
-                    from,
-                    reign,
-                    sent,
-                    Acknowledged {
-                        position,
-                        leaving,
-                        recorded,
-                    },
-                );
+                number,
+            } => self.on_accepted(from, instance, number),
+            Message::Rejected { instance, promise } => {
+                self.proposer.on_rejected(&mut self.core, instance, promise);
             }
+            Message::Keepalive { record, sent_ms } => self.on_keepalive(sender, &record, sent_ms),
+            Message::TermEnded { from, term } => self.on_term_ended(from, term),
             Message::Append {
-                from: id,
+                from,
                 epoch,
-                reign,
+                term,
                 batch,
-            } => self.on_append(from, id, epoch, reign, batch),
+            } => {
+                let sender = Sender {
+                    address: sender,
+                    id: from,
+                    epoch,
+                    term,
+                };
+                self.replica.on_append(&mut self.core, &sender, batch);
+            }
+            Message::SnapshotPart(part) => {
+                self.replica.on_snapshot_part(&mut self.core, sender, part);
+            }
+            Message::KeepaliveAck(ack) => {
+                self.with_term(|own, core| own.on_keepalive_ack(core, &ack));
+            }
             Message::Synced {
                 from,
-                reign,
+                term,
                 position,
-            } => self.on_synced(from, reign, position),
-            Message::Copy { .. } => self.on_copy(from, message),
-            Message::CopyNext { from, copy, next } => self.on_copy_next(from, copy, next),
-            Message::Vacant { from, reign } => self.on_vacant(from, reign),
+            } => self.with_term(|own, core| own.on_synced(core, from, term, position)),
+            Message::SnapshotAck {
+                from,
+                snapshot,
+                next,
+            } => self.with_term(|own, core| own.on_snapshot_ack(core, from, snapshot, next)),
         }
     }
 
-    pub(crate) fn send(&mut self, to: Arc<str>, message: Message) {
-        if to == self.settings.address.internal {
-            self.loopback.push_back(message);
-        } else {
-            self.out.push(Output::Send { to, message });
+    /// Passes a message to the term; one that comes to a member that is not the primary is dropped.
+    fn with_term(&mut self, handle: impl FnOnce(&mut LeaderTerm, &mut CoordinatorCore)) {
+        if let Some(term) = &mut self.term {
+            handle(term, &mut self.core);
         }
     }
 
-    pub(crate) fn send_to_members(&mut self, message: Message) {
-        let (record, me) = (self.witness.decided.clone(), self.witness.id);
-        for member in record.members.iter().filter(|member| member.id != me) {
-            self.send(member.address.internal.clone(), message.clone());
+    /// A machine introduces itself: it receives the newest record, and a machine that is no member is recorded as one that
+    /// asks to join.
+    fn on_hello(&mut self, sender: &Arc<str>, member: Member, epoch: u64) {
+        let newest = self.core.record().epoch;
+        if epoch > newest {
+            return self.core.send_hello(sender.clone());
+        }
+        if epoch < newest {
+            self.core.send_newest_record(sender);
+        }
+        let known = self.core.record().member(member.id);
+        let is_member = known.is_some_and(|known| known.address == member.address);
+        let is_self = member.id == self.core.id()
+            || member.address.internal == self.core.settings.address.internal;
+        if self.term.is_some() && !is_member && !is_self {
+            self.join_requests.record(member, self.core.now_ms);
         }
     }
 
-    /// Carries out what waits no longer, then hands the disk its next change.
-    fn finish(&mut self) -> Vec<Output> {
-        loop {
-            if let Some(message) = self.loopback.pop_front() {
-                let me = self.settings.address.internal.clone();
-                self.receive(&me, message);
-            } else if let Some(effect) = self.disk.ready() {
-                self.carry_out(effect);
-            } else {
-                break;
-            }
+    fn on_prepare(&mut self, sender: &Arc<str>, base: &Arc<EpochRecord>, number: ProposalNumber) {
+        let instance = base.epoch + 1;
+        if !self.may_vote_after(sender, base) {
+            return;
         }
-        self.out.extend(self.disk.flush(self.now));
-        std::mem::take(&mut self.out)
+        let vote = self.core.witness.prepare(number);
+        let message = Message::Promised {
+            from: self.core.id(),
+            instance,
+            number,
+            accepted: self.core.witness.accepted.clone(),
+            position: self.core.state.applied(),
+        };
+        self.answer_vote(sender, vote, message);
     }
 
-    fn carry_out(&mut self, effect: Effect) {
-        match effect {
-            Effect::Started => self.started = true,
-            Effect::Send { to, message } => self.send(to, message),
-            Effect::Open { epoch } => self.open_reign(epoch),
-            Effect::Acknowledge => self.acknowledge(),
-            Effect::Recorded { epoch } => self.recorded = epoch,
+    fn on_accept(
+        &mut self,
+        sender: &Arc<str>,
+        base: &Arc<EpochRecord>,
+        number: ProposalNumber,
+        value: Arc<EpochRecord>,
+    ) {
+        let instance = base.epoch + 1;
+        if !self.may_vote_after(sender, base) || value.epoch != instance {
+            return;
+        }
+        let vote = self.core.witness.accept(number, value);
+        let message = Message::Accepted {
+            from: self.core.id(),
+            instance,
+            number,
+        };
+        self.answer_vote(sender, vote, message);
+    }
+
+    /// Whether this member is one of those who decide the record after `base`.
+    fn may_vote_after(&mut self, sender: &Arc<str>, base: &Arc<EpochRecord>) -> bool {
+        self.adopt_record(base);
+        if self.core.record().epoch > base.epoch {
+            self.core.send_newest_record(sender);
+            return false;
+        }
+        self.core.record().is_member(self.core.id())
+    }
+
+    /// Sends the response to a vote when all that it rests on is synced; a rejection rests on nothing.
+    fn answer_vote(&mut self, proposer: &Arc<str>, vote: Vote, message: Message) {
+        if vote == Vote::Rejected {
+            let rejection = Message::Rejected {
+                instance: self.core.record().epoch + 1,
+                promise: self.core.witness.promise,
+            };
+            return self.core.send(proposer.clone(), rejection);
+        }
+        if vote == Vote::Granted {
+            self.core.disk.put_witness(&self.core.witness);
+        }
+        let to = proposer.clone();
+        self.core.disk.then(Effect::Send { to, message });
+    }
+
+    fn on_promised(
+        &mut self,
+        from: DiskId,
+        instance: u64,
+        number: ProposalNumber,
+        promise: Promise,
+    ) {
+        let is_counted = self
+            .proposer
+            .on_promised(&self.core, from, instance, number, promise);
+        if is_counted {
+            self.choose_value();
+        }
+    }
+
+    fn on_accepted(&mut self, from: DiskId, instance: u64, number: ProposalNumber) {
+        let decided = self
+            .proposer
+            .on_accepted(&mut self.core, from, instance, number);
+        if let Some(record) = decided {
+            self.announce_record(&record);
+        }
+    }
+
+    fn on_keepalive(&mut self, sender: &Arc<str>, record: &Arc<EpochRecord>, sent_ms: Millis) {
+        self.adopt_record(record);
+        if record.epoch < self.core.record().epoch {
+            return self.core.send_newest_record(sender);
+        }
+        if self.core.is_named_primary() || self.core.witness.candidate {
+            return;
+        }
+        self.proposer.withdraw_candidacy();
+        self.election.on_keepalive_acknowledged(self.core.now_ms);
+        let ack = self.core.keepalive_ack(record.term, sent_ms);
+        self.core.send(sender.clone(), ack);
+    }
+
+    fn on_term_ended(&mut self, from: DiskId, term: u64) {
+        let record = self.core.record();
+        let is_primary = record.primary == Some(from) && from != self.core.id();
+        if is_primary && record.term == term {
+            self.election.on_term_ended(term);
+        }
+    }
+}
+
+/// Records and terms.
+impl Coordinator {
+    /// Takes over a decided record if it is newer than the newest one known.
+    fn adopt_record(&mut self, record: &Arc<EpochRecord>) {
+        if record.epoch <= self.core.record().epoch {
+            return;
+        }
+        log_record_change(self.core.record(), record);
+        self.core.witness.adopt(record.clone());
+        self.core.disk.put_witness(&self.core.witness);
+        self.core.disk.then(Effect::RecordSynced {
+            epoch: record.epoch,
+        });
+        self.proposer.on_record_decided();
+        self.election.on_record_adopted(self.core.now_ms);
+        self.replica.on_record_adopted();
+        self.elected_epoch = None;
+        if self.continues_term(record) {
+            return self.continue_term();
+        }
+        if self.term.take().is_some() {
+            self.core.outbox.push(Output::Deposed);
         }
+        self.election.on_primary_heard(self.core.now_ms);
+        if self.core.is_named_primary() && record.term == record.epoch {
+            self.elected_epoch = Some(record.epoch);
+            self.core.disk.then(Effect::BeginTerm {
+                epoch: record.epoch,
+            });
+        }
+    }
+
+    /// Whether the record is a change by this primary that keeps it.
+    fn continues_term(&self, record: &EpochRecord) -> bool {
+        let is_same_term = self
+            .term
+            .as_ref()
+            .is_some_and(|term| term.number == record.term);
+        is_same_term && record.primary == Some(self.core.id())
+    }
+
+    fn continue_term(&mut self) {
+        if let Some(term) = &mut self.term {
+            term.on_record_decided(&self.core);
+            term.update_committed(&mut self.core);
+            term.send_keepalives(&mut self.core);
+        }
+    }
+
+    /// The record that elected this member is synced: it is the primary now, unless a newer record is known.
+    fn begin_term(&mut self, epoch: u64) {
+        if self.elected_epoch != Some(epoch) {
+            return;
+        }
+        self.elected_epoch = None;
+        self.replica.on_term_begun();
+        let first_sequence = self.core.state.applied().sequence + 1;
+        let mut term = LeaderTerm::new(epoch, first_sequence, self.core.now_ms);
+        self.core.appends.committed = self.core.appends.appended;
+        term.update_peers(&self.core);
+        term.create_first_batch(&mut self.core);
+        self.core.outbox.push(Output::Elected { epoch });
+        term.send_keepalives(&mut self.core);
+        self.term = Some(term);
+    }
+
+    /// Ends the term without a successor; the others need not wait for its lease.
+    fn step_down(&mut self) {
+        log::info!("lost quorum: stepping down");
+        self.term = None;
+        self.proposer.abandon();
+        self.core.outbox.push(Output::Deposed);
+        self.announce_ended_term();
+    }
+
+    /// The newest record names this member as the primary, and it is none, as it has restarted or stepped down: the others
+    /// need not wait for its lease.
+    fn announce_ended_term(&mut self) {
+        let is_primary = self.term.is_some() || self.elected_epoch.is_some();
+        if !self.core.is_named_primary() || is_primary {
+            return;
+        }
+        let message = Message::TermEnded {
+            from: self.core.id(),
+            term: self.core.record().term,
+        };
+        self.core.send_to_members(&message);
+    }
+
+    /// Chooses the value of the present proposal if there are enough promises, and begins its second phase.
+    fn choose_value(&mut self) {
+        let value = match self.proposer.choose_value(&self.core) {
+            None => return,
+            Some(ValueChoice::Record(record)) => Some(record),
+            Some(ValueChoice::Reconfiguration) => self.desired_record().map(Arc::new),
+        };
+        let Some(value) = value else {
+            return self.proposer.abandon();
+        };
+        if let Some(term) = &mut self.term {
+            term.on_record_proposed(&value, self.core.id());
+        }
+        self.proposer.offer(&mut self.core, value);
+    }
+
+    fn desired_record(&self) -> Option<EpochRecord> {
+        let term = self.term.as_ref()?;
+        let reconfiguration = Reconfiguration {
+            core: &self.core,
+            term,
+            join_requests: &self.join_requests,
+        };
+        reconfiguration.desired_record()
+    }
+
+    /// Chooses whom to bring up to date, and proposes another record if one is wanted.
+    fn reconfigure(&mut self) {
+        let now_ms = self.core.now_ms;
+        self.join_requests.expire(now_ms);
+        let Some(term) = &mut self.term else { return };
+        let reconfiguration = Reconfiguration {
+            core: &self.core,
+            term,
+            join_requests: &self.join_requests,
+        };
+        let learners = reconfiguration.desired_learners();
+        term.set_learners(&learners, now_ms);
+        let is_due = now_ms >= term.next_reconfiguration_ms;
+        if !is_due || !self.proposer.is_idle() || self.proposer.is_paused(now_ms) {
+            return;
+        }
+        term.next_reconfiguration_ms = now_ms + RECONFIGURATION_INTERVAL_MS;
+        let is_undecided = !term.proposed_replicas.is_empty();
+        if is_undecided || self.desired_record().is_some() {
+            self.proposer
+                .propose(&mut self.core, Purpose::Reconfiguration);
+        }
+    }
+
+    /// A record was decided by this proposer: its members hear of it at once, and those whom it removes when enough members
+    /// have it on disk.
+    fn announce_record(&mut self, record: &Arc<EpochRecord>) {
+        let former = self.core.record().clone();
+        self.adopt_record(record);
+        let own_id = self.core.id();
+        for member in record.members.iter().filter(|member| member.id != own_id) {
+            let address = member.address.internal.clone();
+            let record = record.clone();
+            self.core.send(address, Message::Decided { record });
+        }
+        let removed = former
+            .members
+            .iter()
+            .filter(|member| !record.is_member(member.id));
+        let removed = removed.map(|member| RemovedMember {
+            epoch: record.epoch,
+            address: member.address.internal.clone(),
+        });
+        if let Some(term) = &mut self.term {
+            term.removed_members.extend(removed);
+            term.notify_removed_members(&mut self.core);
+        } else {
+            for member in removed {
+                self.core.send_newest_record(&member.address);
+            }
+        }
+    }
+}
+
+fn log_record_change(old: &EpochRecord, new: &EpochRecord) {
+    let epoch = new.epoch;
+    let primary = new
+        .primary
+        .map_or_else(|| "none".to_owned(), |id| id.to_string());
+    let replicas: Vec<String> = new.replicas.iter().map(DiskId::to_string).collect();
+    log::info!(
+        "epoch {epoch}: primary {primary}, replicas {}",
+        replicas.join(" ")
+    );
+    log_members_missing(new, old, "added", epoch);
+    log_members_missing(old, new, "removed", epoch);
+}
+
+/// Logs the members of one record that the other does not have.
+fn log_members_missing(record: &EpochRecord, other: &EpochRecord, change: &str, epoch: u64) {
+    let missing = record
+        .members
+        .iter()
+        .filter(|member| !other.is_member(member.id));
+    for member in missing {
+        let address = &member.address.internal;
+        log::info!("epoch {epoch}: member {} at {address} {change}", member.id);
     }
 }
--- /dev/null
+++ b/crates/coordination/src/coordinator_core.rs
@@ -0,0 +1,162 @@
+//! What all roles of a member share: settings, clock, disk, votes, replicated state and messages to send.
+
+use crate::acceptor::WitnessState;
+use crate::bootstrap::first_witness;
+use crate::disk::{DiskQueue, Effect};
+use crate::message::{KeepaliveAck, Message};
+use crate::outbox::Outbox;
+use crate::record::{DiskId, EpochRecord, Member};
+use crate::replicated_state::ReplicatedState;
+use crate::settings::CoordinatorSettings;
+use crate::storage::DiskImage;
+use rand::SeedableRng;
+use rand_pcg::Pcg64Mcg;
+use std::sync::Arc;
+use streamusher_protocol::Millis;
+
+/// Counts appends over the whole life of the process.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct AppendCounters {
+    /// Sequence of the newest append.
+    pub(crate) appended: u64,
+    /// Sequence up to which appends are committed.
+    pub(crate) committed: u64,
+}
+
+/// The part of the coordinator that does not depend on its role.
+#[derive(Clone, Debug)]
+pub(crate) struct CoordinatorCore {
+    pub(crate) settings: CoordinatorSettings,
+    pub(crate) random: Pcg64Mcg,
+    /// Time of the present input, by the steady clock.
+    pub(crate) now_ms: Millis,
+    pub(crate) disk: DiskQueue,
+    pub(crate) witness: WitnessState,
+    /// Epoch of the newest record that is synced.
+    pub(crate) synced_record_epoch: u64,
+    pub(crate) state: ReplicatedState,
+    pub(crate) appends: AppendCounters,
+    /// When the process was asked to leave.
+    pub(crate) leaving_since_ms: Option<Millis>,
+    pub(crate) outbox: Outbox,
+}
+
+impl CoordinatorCore {
+    /// Starts from what is on disk, and queues the change that counts this start.
+    pub(crate) fn new(
+        settings: CoordinatorSettings,
+        image: DiskImage,
+        now_ms: Millis,
+    ) -> CoordinatorCore {
+        let mut random = Pcg64Mcg::seed_from_u64(settings.random_seed);
+        let mut witness = image
+            .witness
+            .unwrap_or_else(|| first_witness(&settings, &mut random));
+        witness.starts += 1;
+        let mut disk = DiskQueue::default();
+        disk.put_witness(&witness);
+        disk.then(Effect::Started);
+        CoordinatorCore {
+            outbox: Outbox::new(settings.address.internal.clone()),
+            settings,
+            random,
+            now_ms,
+            disk,
+            synced_record_epoch: witness.decided.epoch,
+            witness,
+            state: ReplicatedState::new(image.state, image.position),
+            appends: AppendCounters::default(),
+            leaving_since_ms: None,
+        }
+    }
+
+    /// This member's disk.
+    pub(crate) fn id(&self) -> DiskId {
+        self.witness.id
+    }
+
+    /// The newest record that is known to be decided.
+    pub(crate) fn record(&self) -> &Arc<EpochRecord> {
+        &self.witness.decided
+    }
+
+    /// Whether the newest record names this member as the primary.
+    pub(crate) fn is_named_primary(&self) -> bool {
+        self.record().primary == Some(self.id())
+    }
+
+    /// Whether the process was asked to leave.
+    pub(crate) fn is_leaving(&self) -> bool {
+        self.leaving_since_ms.is_some()
+    }
+
+    /// Address of the primary, unless that is this member.
+    pub(crate) fn primary_address(&self) -> Option<Arc<str>> {
+        let record = self.record();
+        let primary = record.primary.filter(|id| *id != self.id())?;
+        record
+            .member(primary)
+            .map(|member| member.address.internal.clone())
+    }
+
+    /// Fewest replicas with which anything is committed: one more than disks may be lost, as far as there are members.
+    pub(crate) fn min_replicas(&self, record: &EpochRecord) -> usize {
+        (self.settings.tolerance + 1)
+            .min(record.members.len())
+            .max(1)
+    }
+
+    /// Number of replicas aimed at: one more than the fewest, so that work goes on while one is replaced.
+    pub(crate) fn target_replicas(&self) -> usize {
+        self.settings.tolerance + 2
+    }
+
+    /// Whether the newest record has enough replicas that anything can be committed.
+    pub(crate) fn has_enough_replicas(&self) -> bool {
+        let record = self.record();
+        record.replicas.len() >= self.min_replicas(record)
+    }
+
+    /// Sends a message now, whatever is on its way to the disk.
+    pub(crate) fn send(&mut self, to: Arc<str>, message: Message) {
+        self.outbox.send(to, message);
+    }
+
+    /// Sends a message to all other members.
+    pub(crate) fn send_to_members(&mut self, message: &Message) {
+        let (record, own_id) = (self.record().clone(), self.id());
+        for member in record.members.iter().filter(|member| member.id != own_id) {
+            self.send(member.address.internal.clone(), message.clone());
+        }
+    }
+
+    /// Introduces this machine, to receive the newest record or to join.
+    pub(crate) fn send_hello(&mut self, to: Arc<str>) {
+        let member = Member {
+            id: self.id(),
+            address: self.settings.address.clone(),
+        };
+        let epoch = self.record().epoch;
+        self.send(to, Message::Hello { member, epoch });
+    }
+
+    /// Sends the newest record, unless this machine has none yet.
+    pub(crate) fn send_newest_record(&mut self, to: &Arc<str>) {
+        if !self.record().members.is_empty() {
+            let record = self.record().clone();
+            self.send(to.clone(), Message::Decided { record });
+        }
+    }
+
+    /// Acknowledges a keepalive of this term, sent at `sent_ms` by the primary's clock.
+    pub(crate) fn keepalive_ack(&self, term: u64, sent_ms: Millis) -> Message {
+        Message::KeepaliveAck(KeepaliveAck {
+            from: self.id(),
+            term,
+            sent_ms,
+            position: self.state.synced(),
+            leaving: self.is_leaving(),
+            recorded_epoch: self.synced_record_epoch,
+        })
+    }
+}
--- a/crates/coordination/src/disk.rs
+++ b/crates/coordination/src/disk.rs
@@ -1,9 +1,15 @@
-//! The disk as the state machine sees it: one change at a time, later ones merged, and effects that wait for them.
+//! The disk as the state machine sees it: one change at a time, later ones merged, and effects that wait for a sync.
+//!
+//! Invariant: what a member says to others rests only on what it has synced. An effect such as the response to a prepare
+//! request is queued behind the changes that it rests on and is released when they are synced.
 
+use crate::acceptor::WitnessState;
+use crate::batch::LogPosition;
 use crate::events::Output;
+use crate::limits::SLOW_SYNCS_IN_A_ROW;
 use crate::message::Message;
-use crate::times::{DISK_RETRY_MS, SLOW_SYNCS, SLOW_SYNC_MS, STUCK_SYNC_MS};
-use crate::types::{DiskChange, LogPosition, WitnessState};
+use crate::storage::DiskChange;
+use crate::timing::{DISK_RETRY_INTERVAL_MS, SLOW_SYNC_MS, SYNC_TIMEOUT_MS};
 use std::collections::VecDeque;
 use std::sync::Arc;
 use streamusher_protocol::store::Write;
@@ -12,51 +18,63 @@
 /// What happens when all changes so far are synced.
 #[derive(Clone, Debug)]
 pub(crate) enum Effect {
-    /// The machine may speak.
+    /// The start of the process is counted: the member may send messages.
     Started,
-    /// A message goes out.
+    /// A message is sent.
     Send { to: Arc<str>, message: Message },
-    /// The reign of this epoch is opened.
-    Open { epoch: u64 },
-    /// The primary is told what is synced.
+    /// The record by which this member was elected is on its disk: its term begins.
+    BeginTerm { epoch: u64 },
+    /// The primary is told the synced position.
     Acknowledge,
     /// The record of this epoch is on the disk.
-    Recorded { epoch: u64 },
+    RecordSynced { epoch: u64 },
 }
 
+/// An effect, and the number of the change that must be synced before.
 #[derive(Clone, Debug)]
-struct Flight {
+struct WaitingEffect {
+    after_change: u64,
+    effect: Effect,
+}
+
+/// The change that the caller is making.
+#[derive(Clone, Debug)]
+struct InFlightChange {
     ticket: u64,
-    mark: u64,
+    last_change: u64,
     change: DiskChange,
-    since: Millis,
+    since_ms: Millis,
 }
 
 /// Changes on their way to the disk.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DiskQueue {
-    flight: Option<Flight>,
-    waiting: Option<DiskChange>,
+    in_flight: Option<InFlightChange>,
+    /// All changes that came while one was in flight, merged.
+    queued: Option<DiskChange>,
     last_ticket: u64,
-    mark: u64,
-    durable: u64,
-    retry_at: Millis,
-    failing_since: Option<Millis>,
-    slow: u32,
-    /// How long the last sync took.
-    last_sync: Millis,
-    effects: VecDeque<(u64, Effect)>,
+    /// Number of the newest change.
+    last_change: u64,
+    /// Number of the newest change that is synced.
+    synced_change: u64,
+    retry_at_ms: Millis,
+    failing_since_ms: Option<Millis>,
+    slow_syncs_in_a_row: u32,
+    last_sync_ms: Millis,
+    effects: VecDeque<WaitingEffect>,
 }
 
 impl DiskQueue {
-    pub fn put_witness(&mut self, witness: &WitnessState) {
+    /// Replaces the state of the witness.
+    pub(crate) fn put_witness(&mut self, witness: &WitnessState) {
         self.put(DiskChange {
             witness: Some(witness.clone()),
             ..DiskChange::default()
         });
     }
 
-    pub fn put_writes(&mut self, position: LogPosition, writes: &[Write]) {
+    /// Applies a batch that leads to this position.
+    pub(crate) fn put_writes(&mut self, position: LogPosition, writes: &[Write]) {
         self.put(DiskChange {
             position: Some(position),
             writes: writes.to_vec(),
@@ -64,7 +82,8 @@
         });
     }
 
-    pub fn put_copy(&mut self, position: LogPosition, writes: Vec<Write>) {
+    /// Replaces the whole replicated state.
+    pub(crate) fn put_snapshot(&mut self, position: LogPosition, writes: Vec<Write>) {
         self.put(DiskChange {
             position: Some(position),
             writes,
@@ -74,103 +93,115 @@
     }
 
     fn put(&mut self, change: DiskChange) {
-        self.mark += 1;
-        match &mut self.waiting {
-            Some(waiting) => merge(waiting, change),
-            None => self.waiting = Some(change),
+        self.last_change += 1;
+        match &mut self.queued {
+            Some(queued) => merge(queued, change),
+            None => self.queued = Some(change),
         }
     }
 
-    /// `effect` comes when all that was put so far is synced.
-    pub fn then(&mut self, effect: Effect) {
-        self.effects.push_back((self.mark, effect));
+    /// Queues an effect for the time when all changes so far are synced.
+    pub(crate) fn then(&mut self, effect: Effect) {
+        self.effects.push_back(WaitingEffect {
+            after_change: self.last_change,
+            effect,
+        });
     }
 
-    /// The next effect that waits no longer.
-    pub fn ready(&mut self) -> Option<Effect> {
-        let (mark, _) = self.effects.front()?;
-        if *mark > self.durable && !cfg!(feature = "mutant-unsynced") {
+    /// Takes the next effect whose changes are synced.
+    pub(crate) fn take_ready_effect(&mut self) -> Option<Effect> {
+        let waiting = self.effects.front()?;
+        let is_synced = waiting.after_change <= self.synced_change;
+        if !is_synced && !cfg!(feature = "mutant-unsynced") {
             return None;
         }
-        self.effects.pop_front().map(|(_, effect)| effect)
+        self.effects.pop_front().map(|waiting| waiting.effect)
     }
 
-    /// Hands the next change to the disk, if it is free.
-    pub fn flush(&mut self, now: Millis) -> Option<Output> {
-        if self.flight.is_some() || now < self.retry_at {
+    /// Passes the next change to the caller, if none is in flight.
+    pub(crate) fn flush(&mut self, now_ms: Millis) -> Option<Output> {
+        if self.in_flight.is_some() || now_ms < self.retry_at_ms {
             return None;
         }
-        let change = self.waiting.take()?;
+        let change = self.queued.take()?;
         self.last_ticket += 1;
         let ticket = self.last_ticket;
-        self.flight = Some(Flight {
+        self.in_flight = Some(InFlightChange {
             ticket,
-            mark: self.mark,
+            last_change: self.last_change,
             change: change.clone(),
-            since: now,
+            since_ms: now_ms,
         });
         Some(Output::Persist { ticket, change })
     }
 
-    /// A change is synced; returns the position that it made.
-    pub fn persisted(&mut self, now: Millis, ticket: u64) -> Option<LogPosition> {
-        let flight = self.flight.take_if(|flight| flight.ticket == ticket)?;
-        self.durable = flight.mark;
-        self.failing_since = None;
-        let took = now.saturating_sub(flight.since);
-        self.last_sync = took;
-        self.slow = if took > SLOW_SYNC_MS {
-            self.slow + 1
+    /// The change with this ticket is synced; returns the position that it made, if it made one.
+    pub(crate) fn on_persisted(&mut self, now_ms: Millis, ticket: u64) -> Option<LogPosition> {
+        let synced = self.take_in_flight(ticket)?;
+        self.synced_change = synced.last_change;
+        self.failing_since_ms = None;
+        self.record_sync_time(now_ms.saturating_sub(synced.since_ms));
+        synced.change.position
+    }
+
+    fn record_sync_time(&mut self, took_ms: Millis) {
+        self.last_sync_ms = took_ms;
+        if took_ms > SYNC_TIMEOUT_MS {
+            self.slow_syncs_in_a_row = SLOW_SYNCS_IN_A_ROW;
+        } else if took_ms > SLOW_SYNC_MS {
+            self.slow_syncs_in_a_row += 1;
         } else {
-            0
-        };
-        if took > STUCK_SYNC_MS {
-            self.slow = SLOW_SYNCS;
+            self.slow_syncs_in_a_row = 0;
         }
-        flight.change.position
     }
 
-    /// A change was not made, or perhaps it was: it is made again, before all others.
-    pub fn failed(&mut self, now: Millis, ticket: u64) {
-        let Some(flight) = self.flight.take_if(|flight| flight.ticket == ticket) else {
+    /// The change with this ticket was not made, or perhaps it was: it is made again, before all others.
+    pub(crate) fn on_persist_failed(&mut self, now_ms: Millis, ticket: u64) {
+        let Some(failed) = self.take_in_flight(ticket) else {
             return;
         };
-        let mut change = flight.change;
-        if let Some(waiting) = self.waiting.take() {
-            merge(&mut change, waiting);
+        let mut change = failed.change;
+        if let Some(queued) = self.queued.take() {
+            merge(&mut change, queued);
         }
-        self.waiting = Some(change);
-        self.retry_at = now + DISK_RETRY_MS;
-        self.failing_since.get_or_insert(now);
+        self.queued = Some(change);
+        self.retry_at_ms = now_ms + DISK_RETRY_INTERVAL_MS;
+        self.failing_since_ms.get_or_insert(now_ms);
+    }
+
+    fn take_in_flight(&mut self, ticket: u64) -> Option<InFlightChange> {
+        self.in_flight.take_if(|change| change.ticket == ticket)
     }
 
     /// How long a sync takes now: the last one, or the present one where that already takes longer.
-    pub fn sync_time(&self, now: Millis) -> Millis {
-        let present = self
-            .flight
+    pub(crate) fn sync_time_ms(&self, now_ms: Millis) -> Millis {
+        let present_ms = self
+            .in_flight
             .as_ref()
-            .map_or(0, |flight| now.saturating_sub(flight.since));
-        present.max(self.last_sync)
+            .map_or(0, |change| now_ms.saturating_sub(change.since_ms));
+        present_ms.max(self.last_sync_ms)
     }
 
     /// Whether the disk is too slow for a primary.
-    pub fn in_trouble(&self, now: Millis) -> bool {
-        let stuck = |since: Millis| now.saturating_sub(since) > STUCK_SYNC_MS;
-        let in_flight = self
-            .flight
+    pub(crate) fn is_unfit_for_primary(&self, now_ms: Millis) -> bool {
+        let is_over = |since_ms: Millis| now_ms.saturating_sub(since_ms) > SYNC_TIMEOUT_MS;
+        let is_stuck = self
+            .in_flight
             .as_ref()
-            .is_some_and(|flight| stuck(flight.since));
-        in_flight || self.failing_since.is_some_and(stuck) || self.slow >= SLOW_SYNCS
+            .is_some_and(|change| is_over(change.since_ms));
+        let is_failing = self.failing_since_ms.is_some_and(is_over);
+        is_stuck || is_failing || self.slow_syncs_in_a_row >= SLOW_SYNCS_IN_A_ROW
     }
 
-    /// After a standstill of the process: the time is not the disk's fault.
-    pub fn excuse(&mut self, now: Millis) {
-        if let Some(flight) = &mut self.flight {
-            flight.since = now;
+    /// The process has stalled: the disk is not blamed for that time.
+    pub(crate) fn on_process_stalled(&mut self, now_ms: Millis) {
+        if let Some(change) = &mut self.in_flight {
+            change.since_ms = now_ms;
         }
     }
 }
 
+/// Appends the second change to the first.
 fn merge(first: &mut DiskChange, second: DiskChange) {
     if second.replace_all {
         first.writes.clear();
--- a/crates/coordination/src/events.rs
+++ b/crates/coordination/src/events.rs
@@ -1,13 +1,13 @@
-//! What the state machine is told, and what it wants done.
+//! Inputs and outputs of the state machine.
 
 use crate::message::Message;
-use crate::types::DiskChange;
+use crate::storage::DiskChange;
 use std::sync::Arc;
 
-/// What the state machine is told.
+/// What the caller passes to [`Coordinator::handle`](crate::Coordinator::handle).
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A message has come.
+    /// A message was received.
     Received {
         /// Internal `ip:port` of the sender.
         from: Arc<str>,
@@ -24,13 +24,13 @@
         /// As in [`Output::Persist`].
         ticket: u64,
     },
-    /// The process is to end: hand over.
+    /// The process is about to end: transfer the leadership and be replaced as a replica.
     Leave,
     /// Time has passed; wanted about every 20 ms.
     Tick,
 }
 
-/// What the state machine wants done.
+/// What the caller has to carry out, in order.
 #[derive(Clone, Debug)]
 pub enum Output {
     /// Send a message; it may be lost.
@@ -40,7 +40,7 @@
         /// The message.
         message: Message,
     },
-    /// Carry out a change of the disk. There is never more than one that has not been answered with
+    /// Make a change of the disk and sync it. There is never more than one that has not been answered with
     /// [`Input::Persisted`] or [`Input::PersistFailed`].
     Persist {
         /// Names the change in the answer.
@@ -48,18 +48,19 @@
         /// The change.
         change: DiskChange,
     },
-    /// All appends up to this sequence are on all replicas.
+    /// All appends up to this sequence are synced by all replicas.
     Committed {
-        /// As returned by `append`.
+        /// As returned by [`Coordinator::append`](crate::Coordinator::append).
         sequence: u64,
     },
-    /// This process is the primary from this epoch on; the state to recover from is `state()`. Nothing may be
-    /// released before `may_act`.
+    /// This process is the primary from this epoch on; the state to recover from is
+    /// [`Coordinator::state`](crate::Coordinator::state). Nothing may be released before
+    /// [`Coordinator::may_act`](crate::Coordinator::may_act) holds.
     Elected {
         /// The epoch.
         epoch: u64,
     },
-    /// This process is no longer the primary. Replies that wait for a commit must be dropped: their appends may be
-    /// lost, and later sequences go on above them.
+    /// This process is no longer the primary. Responses that wait for a commit must be dropped: their appends may be lost,
+    /// and later sequences go on above them.
     Deposed,
 }
--- /dev/null
+++ b/crates/coordination/src/join.rs
@@ -0,0 +1,45 @@
+//! Join requests: machines that are no members and ask to become some.
+
+use crate::limits::MAX_JOIN_REQUESTS;
+use crate::record::{DiskId, Member};
+use crate::timing::JOIN_REQUEST_TIMEOUT_MS;
+use std::collections::BTreeMap;
+use streamusher_protocol::Millis;
+
+/// A machine that asks to join, and when it last did.
+#[derive(Clone, Debug)]
+struct JoinRequest {
+    candidate: Member,
+    heard_ms: Millis,
+}
+
+/// The machines that ask to join, as the primary knows them.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct JoinRequests {
+    by_disk: BTreeMap<DiskId, JoinRequest>,
+}
+
+impl JoinRequests {
+    /// Records a request. Where there are too many, only known machines are recorded again.
+    pub(crate) fn record(&mut self, candidate: Member, now_ms: Millis) {
+        let has_place = self.by_disk.len() < MAX_JOIN_REQUESTS;
+        if has_place || self.by_disk.contains_key(&candidate.id) {
+            let request = JoinRequest {
+                candidate,
+                heard_ms: now_ms,
+            };
+            self.by_disk.insert(request.candidate.id, request);
+        }
+    }
+
+    /// Forgets machines that have not repeated their request for too long.
+    pub(crate) fn expire(&mut self, now_ms: Millis) {
+        self.by_disk
+            .retain(|_, request| now_ms < request.heard_ms + JOIN_REQUEST_TIMEOUT_MS);
+    }
+
+    /// The machines that ask to join, ordered by their disks.
+    pub(crate) fn candidates(&self) -> impl Iterator<Item = &Member> {
+        self.by_disk.values().map(|request| &request.candidate)
+    }
+}
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -1,98 +1,64 @@
-//! When a primary may act, whom it needs for that, and when it gives up its office.
+//! The primary's lease: when it may act, whom it needs for that, and when it has lost its quorum.
+//!
+//! Invariant: the lease of a primary ends before any successor is decided. It runs from the *sending* of the keepalives that
+//! all needed replicas have acknowledged, and is shorter than the time for which they do not stand for election after the
+//! acknowledgement (Gray and Cheriton, *Leases*, 1989). Only steady clocks count.
 
-use crate::coordinator::Coordinator;
-use crate::events::Output;
-use crate::reign::Reign;
-use crate::times::ABDICATE_MS;
-use crate::types::{DiskId, EpochRecord};
+use crate::coordinator_core::CoordinatorCore;
+use crate::record::DiskId;
+use crate::term::LeaderTerm;
+use crate::timing::QUORUM_TIMEOUT_MS;
 use streamusher_protocol::Millis;
 
-impl Coordinator {
-    /// Whether this is the primary with a valid lease: replies may be released.
-    pub fn may_act(&self, now: Millis) -> bool {
-        let Some(reign) = &self.reign else {
-            return false;
-        };
-        let is_allowed = reign.is_open() && !reign.yielded && self.has_enough_replicas();
-        is_allowed && self.lease_end().is_some_and(|end| now < end)
-    }
+/// Part of the replicas' lease that the primary uses: the rest covers steady clocks that run at different rates.
+const USED_LEASE_PERCENT: Millis = 95;
 
-    /// Whether this machine was elected and its reign is not open yet: its first batch is on its way to the replicas.
-    pub fn is_opening(&self) -> bool {
-        let is_named = self.witness.decided.primary == Some(self.witness.id);
-        let opens = |reign: &Reign| !reign.is_open() && !reign.yielded;
-        is_named && (self.opening.is_some() || self.reign.as_ref().is_some_and(opens))
+impl LeaderTerm {
+    /// Whether the lease is valid and all that this primary holds is committed: responses may be released.
+    pub(crate) fn may_act(&self, core: &CoordinatorCore, now_ms: Millis) -> bool {
+        let is_allowed = self.is_open() && !self.is_stepping_down && core.has_enough_replicas();
+        is_allowed
+            && self
+                .lease_end_ms(core)
+                .is_some_and(|end_ms| now_ms < end_ms)
     }
 
     /// End of the shortest lease among all that are needed; none while one is missing.
-    pub(crate) fn lease_end(&self) -> Option<Millis> {
-        let reign = self.reign.as_ref()?;
-        let span = self.settings.lease_ms * 95 / 100;
-        let mut end = Millis::MAX;
-        for id in self.required(reign) {
-            let from = reign.peers.get(&id)?.lease_from?;
-            end = end.min(from + span);
+    fn lease_end_ms(&self, core: &CoordinatorCore) -> Option<Millis> {
+        let span_ms = core.settings.lease_ms * USED_LEASE_PERCENT / 100;
+        let mut end_ms = Millis::MAX;
+        for id in self.required_replicas(core) {
+            let start_ms = self.peers.get(&id)?.lease_start_ms?;
+            end_ms = end_ms.min(start_ms + span_ms);
         }
-        Some(end)
+        Some(end_ms)
     }
 
-    /// The others who must agree: the replicas of the record and of all own proposals that may yet be decided.
-    pub(crate) fn required<'a>(&'a self, reign: &'a Reign) -> impl Iterator<Item = DiskId> + 'a {
+    /// The other members whose acknowledgement is needed for a commit and for the lease: the replicas of the newest record
+    /// and of all own proposals that may yet be decided.
+    pub(crate) fn required_replicas<'a>(
+        &'a self,
+        core: &'a CoordinatorCore,
+    ) -> impl Iterator<Item = DiskId> + 'a {
         let counts = !cfg!(feature = "mutant-proposed");
-        let proposed = reign.proposed.iter().filter(move |_| counts);
-        let replicas = self
-            .witness
-            .decided
-            .replicas
-            .iter()
-            .chain(proposed)
-            .copied();
-        replicas.filter(|id| *id != self.witness.id)
-    }
-
-    pub(crate) fn has_enough_replicas(&self) -> bool {
-        let record = &self.witness.decided;
-        record.replicas.len() >= self.copies_needed(record)
-    }
-
-    /// Copies without which nothing is committed.
-    pub(crate) fn copies_needed(&self, record: &EpochRecord) -> usize {
-        (self.settings.tolerance + 1)
-            .min(record.members.len())
-            .max(1)
+        let proposed = self.proposed_replicas.iter().filter(move |_| counts);
+        let replicas = core.record().replicas.iter().chain(proposed).copied();
+        replicas.filter(|id| *id != core.id())
     }
 
-    /// Copies that are aimed at.
-    pub(crate) fn copies_wanted(&self) -> usize {
-        self.settings.tolerance + 2
-    }
-
-    /// Whether this primary can't act and hears too few to change that. It may still be heard, and would hold others
-    /// back by its keepalives.
-    pub(crate) fn is_forsaken(&mut self) -> bool {
-        let now = self.now;
-        let may_act = self.may_act(now);
-        let majority = self.witness.decided.majority();
-        let Some(reign) = &mut self.reign else {
-            return false;
-        };
-        if may_act {
-            reign.acted_at = now;
+    /// Whether this primary cannot act and hears too few members to change that. Some may still hear it, and it would keep
+    /// them from an election by its keepalives.
+    pub(crate) fn has_lost_quorum(&mut self, core: &CoordinatorCore) -> bool {
+        let now_ms = core.now_ms;
+        if self.may_act(core, now_ms) {
+            self.last_acted_ms = now_ms;
         }
-        let heard = reign
+        let heard = self
             .peers
             .values()
-            .filter(|peer| now < peer.heard + ABDICATE_MS)
+            .filter(|peer| !peer.is_silent_for(QUORUM_TIMEOUT_MS, now_ms))
             .count();
-        now >= reign.acted_at + ABDICATE_MS && heard + 1 < majority
-    }
-
-    /// Gives up the office for good; others are told that nobody acts in this reign any more.
-    pub(crate) fn abdicate(&mut self) {
-        log::info!("hears no majority: gives up its office");
-        self.reign = None;
-        self.proposal = None;
-        self.out.push(Output::Deposed);
-        self.tell_vacant();
+        let is_over = now_ms >= self.last_acted_ms + QUORUM_TIMEOUT_MS;
+        is_over && heard + 1 < core.record().majority()
     }
 }
--- a/crates/coordination/src/message.rs
+++ b/crates/coordination/src/message.rs
@@ -1,26 +1,20 @@
-//! Messages between core machines. Each may be lost, doubled, reordered and delayed.
+//! Messages between members. Each may be lost, duplicated, reordered and delayed.
+//!
+//! The encoded names are those of the first release (`reign` for the term, `ballot` for the proposal number, `Copy` for a
+//! part of a snapshot).
 
-use crate::types::{DiskId, EpochRecord, LogPosition, Member, ProposalNumber};
+use crate::acceptor::ProposalNumber;
+use crate::batch::{Batch, LogPosition};
+use crate::record::{DiskId, EpochRecord, Member};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 use streamusher_protocol::store::Write;
 use streamusher_protocol::Millis;
 
-/// A batch of writes, as the log holds it.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Batch {
-    /// The position to which it applies.
-    pub previous: LogPosition,
-    /// The position that it makes.
-    pub position: LogPosition,
-    /// The writes; none opens a reign.
-    pub writes: Arc<Vec<Write>>,
-}
-
-/// What core machines say to each other.
+/// What members send to each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// "This is me, tell me the newest record." From who is no member: "let me in".
+    /// Asks for the newest record. From a machine that is no member it is a join request too.
     Hello {
         /// The sender.
         member: Member,
@@ -36,123 +30,149 @@
     Prepare {
         /// The newest decided record, whose members decide.
         base: Arc<EpochRecord>,
-        /// The proposal.
-        ballot: ProposalNumber,
+        /// Number of the proposal.
+        #[serde(rename = "ballot")]
+        number: ProposalNumber,
     },
-    /// Answer to `Prepare`, synced.
+    /// Response to `Prepare`, sent when the promise is synced.
     Promised {
         /// The acceptor.
         from: DiskId,
         /// Epoch of the record to be decided.
         instance: u64,
-        /// The proposal.
-        ballot: ProposalNumber,
-        /// What the acceptor has accepted before.
+        /// Number of the proposal.
+        #[serde(rename = "ballot")]
+        number: ProposalNumber,
+        /// The proposal that the acceptor has accepted before.
         accepted: Option<(ProposalNumber, Arc<EpochRecord>)>,
-        /// Position of its state.
+        /// Position of the acceptor's state in memory.
         position: LogPosition,
     },
-    /// Second phase.
+    /// Second phase of the decision on the record after `base`.
     Accept {
         /// The newest decided record, whose members decide.
         base: Arc<EpochRecord>,
-        /// The proposal.
-        ballot: ProposalNumber,
-        /// The record proposed.
+        /// Number of the proposal.
+        #[serde(rename = "ballot")]
+        number: ProposalNumber,
+        /// The proposed record.
         value: Arc<EpochRecord>,
     },
-    /// Answer to `Accept`, synced.
+    /// Response to `Accept`, sent when it is synced.
     Accepted {
         /// The acceptor.
         from: DiskId,
         /// Epoch of the record to be decided.
         instance: u64,
-        /// The proposal.
-        ballot: ProposalNumber,
+        /// Number of the proposal.
+        #[serde(rename = "ballot")]
+        number: ProposalNumber,
     },
-    /// A higher ballot was promised.
-    Refused {
+    /// Response to `Prepare` and `Accept`: a higher number was promised.
+    #[serde(rename = "Refused")]
+    Rejected {
         /// Epoch of the record to be decided.
         instance: u64,
-        /// The ballot promised.
+        /// The number that was promised.
         promise: ProposalNumber,
     },
-    /// The primary is there.
+    /// The primary asks the other members to extend its lease.
     Keepalive {
         /// Its newest record.
         record: Arc<EpochRecord>,
-        /// The primary's clock at the sending.
-        sent: Millis,
-    },
-    /// Answer to `Keepalive`: its sender does not seek the primary's place for a lease from its receipt.
-    Alive {
-        /// The sender.
-        from: DiskId,
-        /// Reign of the keepalive.
-        reign: u64,
-        /// `sent` of the keepalive.
-        sent: Millis,
-        /// The position that the sender has synced.
-        position: LogPosition,
-        /// It is about to end.
-        leaving: bool,
-        /// Epoch of the newest record on its disk; 0 from a machine of an earlier release.
-        #[serde(default)]
-        recorded: u64,
+        /// The primary's steady clock at the sending.
+        #[serde(rename = "sent")]
+        sent_ms: Millis,
     },
+    /// Response to `Keepalive`: the sender does not stand for election for a lease from its receipt.
+    #[serde(rename = "Alive")]
+    KeepaliveAck(KeepaliveAck),
     /// A batch to apply and sync.
     Append {
         /// The primary.
         from: DiskId,
         /// Its epoch.
         epoch: u64,
-        /// Its reign.
-        reign: u64,
+        /// Its term.
+        #[serde(rename = "reign")]
+        term: u64,
         /// The batch.
         batch: Batch,
     },
-    /// The position that the sender has synced.
+    /// Response to `Append`, sent when the batch is synced.
     Synced {
         /// The sender.
         from: DiskId,
-        /// Reign of the primary that it follows.
-        reign: u64,
-        /// The position.
-        position: LogPosition,
-    },
-    /// A part of a whole copy of the state.
-    Copy {
-        /// The primary.
-        from: DiskId,
-        /// Its epoch.
-        epoch: u64,
-        /// Its reign.
-        reign: u64,
-        /// Number of the copy.
-        copy: u64,
-        /// Number of the part, from 0.
-        index: u64,
-        /// No part follows.
-        last: bool,
-        /// Position of the whole copy.
+        /// Term of the primary that it follows.
+        #[serde(rename = "reign")]
+        term: u64,
+        /// The position that it has synced.
         position: LogPosition,
-        /// The part.
-        writes: Vec<Write>,
     },
-    /// The part of a copy that is wanted next.
-    CopyNext {
+    /// A part of a snapshot of the state.
+    #[serde(rename = "Copy")]
+    SnapshotPart(SnapshotPart),
+    /// Response to `SnapshotPart`: the part that is wanted next.
+    #[serde(rename = "CopyNext")]
+    SnapshotAck {
         /// The sender.
         from: DiskId,
-        /// Number of the copy.
-        copy: u64,
-        /// Number of the part.
+        /// Number of the snapshot.
+        #[serde(rename = "copy")]
+        snapshot: u64,
+        /// Number of the part that is wanted next.
         next: u64,
     },
-    /// The primary of this reign has restarted: nobody acts in it any more, and nobody will.
-    Vacant {
+    /// The primary of this term has restarted or stepped down: nobody acts in it, and nobody will.
+    #[serde(rename = "Vacant")]
+    TermEnded {
         /// The former primary.
         from: DiskId,
-        /// The reign.
-        reign: u64,
+        /// The term.
+        #[serde(rename = "reign")]
+        term: u64,
     },
 }
+
+/// A member's response to a keepalive.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct KeepaliveAck {
+    /// The sender.
+    pub from: DiskId,
+    /// Term of the keepalive.
+    #[serde(rename = "reign")]
+    pub term: u64,
+    /// `sent_ms` of the keepalive; 0 if there was none and the sender only announces that it leaves.
+    #[serde(rename = "sent")]
+    pub sent_ms: Millis,
+    /// The position that the sender has synced.
+    pub position: LogPosition,
+    /// Whether the sender is about to leave.
+    pub leaving: bool,
+    /// Epoch of the newest record on its disk; 0 from a machine of an earlier release.
+    #[serde(default, rename = "recorded")]
+    pub recorded_epoch: u64,
+}
+
+/// A part of a snapshot.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct SnapshotPart {
+    /// The primary.
+    pub from: DiskId,
+    /// Its epoch.
+    pub epoch: u64,
+    /// Its term.
+    #[serde(rename = "reign")]
+    pub term: u64,
+    /// Number of the snapshot, rising within a term.
+    #[serde(rename = "copy")]
+    pub snapshot: u64,
+    /// Number of the part, from 0.
+    pub index: u64,
+    /// Whether no part follows.
+    pub last: bool,
+    /// Position of the whole snapshot.
+    pub position: LogPosition,
+    /// The keys and values of the part.
+    pub writes: Vec<Write>,
+}
--- /dev/null
+++ b/crates/coordination/src/pipeline.rs
@@ -0,0 +1,143 @@
+//! The primary's batches: appends that wait, batches that are not committed, and when batches were created.
+
+use crate::limits::{BATCH_BYTES, MAX_CREATION_TIMES, MAX_IN_FLIGHT_BATCHES};
+use crate::log_cache::write_bytes;
+use std::collections::VecDeque;
+use streamusher_protocol::store::Write;
+use streamusher_protocol::Millis;
+
+/// An append that is not in a batch yet.
+#[derive(Clone, Debug)]
+struct PendingAppend {
+    sequence: u64,
+    writes: Vec<Write>,
+}
+
+/// A batch that is not committed.
+#[derive(Clone, Debug)]
+struct InFlightBatch {
+    sequence: u64,
+    /// Sequence of the newest append in it; none in the batch that opens the term.
+    last_append: Option<u64>,
+}
+
+/// What the next batch consists of.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct BatchContent {
+    pub(crate) writes: Vec<Write>,
+    /// Sequence of the newest append in it; none in the batch that opens the term.
+    pub(crate) last_append: Option<u64>,
+}
+
+/// The batches of one term, in order.
+#[derive(Clone, Debug)]
+pub(crate) struct BatchPipeline {
+    /// Sequence of the batch that opens the term.
+    first_sequence: u64,
+    /// All batches up to this one are committed.
+    committed: u64,
+    pending: Vec<PendingAppend>,
+    in_flight: VecDeque<InFlightBatch>,
+    /// When the newest batches were created, in order; the first has the sequence `first_creation`.
+    creation_times_ms: VecDeque<Millis>,
+    first_creation: u64,
+}
+
+impl BatchPipeline {
+    /// The pipeline of a new term, whose first batch will have this sequence.
+    pub(crate) fn new(first_sequence: u64) -> BatchPipeline {
+        BatchPipeline {
+            first_sequence,
+            committed: 0,
+            pending: Vec::new(),
+            in_flight: VecDeque::new(),
+            creation_times_ms: VecDeque::new(),
+            first_creation: first_sequence,
+        }
+    }
+
+    /// Sequence up to which batches are committed.
+    pub(crate) fn committed(&self) -> u64 {
+        self.committed
+    }
+
+    /// Whether the batch that opens the term is committed.
+    pub(crate) fn is_open(&self) -> bool {
+        self.committed >= self.first_sequence
+    }
+
+    /// Whether all that was appended is committed.
+    pub(crate) fn is_drained(&self) -> bool {
+        self.in_flight.is_empty() && self.pending.is_empty()
+    }
+
+    /// Queues an append.
+    pub(crate) fn push(&mut self, sequence: u64, writes: Vec<Write>) {
+        self.pending.push(PendingAppend { sequence, writes });
+    }
+
+    /// Takes the content of the next batch, if there is any and another batch may be in flight beside those up to
+    /// `newest_sequence`: appends of about [`BATCH_BYTES`], at least one.
+    pub(crate) fn take_next_batch(&mut self, newest_sequence: u64) -> Option<BatchContent> {
+        let in_flight = newest_sequence.saturating_sub(self.committed);
+        if self.pending.is_empty() || in_flight >= MAX_IN_FLIGHT_BATCHES || !self.is_open() {
+            return None;
+        }
+        let mut content = BatchContent::default();
+        let mut bytes = 0;
+        let mut count = 0;
+        for append in &mut self.pending {
+            if bytes >= BATCH_BYTES {
+                break;
+            }
+            bytes += append.writes.iter().map(write_bytes).sum::<usize>();
+            content.last_append = Some(append.sequence);
+            content.writes.append(&mut append.writes);
+            count += 1;
+        }
+        self.pending.drain(..count);
+        Some(content)
+    }
+
+    /// Records a batch that was just created.
+    pub(crate) fn record_batch(&mut self, sequence: u64, last_append: Option<u64>, now_ms: Millis) {
+        self.in_flight.push_back(InFlightBatch {
+            sequence,
+            last_append,
+        });
+        self.creation_times_ms.push_back(now_ms);
+        if self.creation_times_ms.len() > MAX_CREATION_TIMES {
+            self.creation_times_ms.pop_front();
+            self.first_creation += 1;
+        }
+    }
+
+    /// All replicas have synced the batches up to this one; returns the newest append among those that are newly committed.
+    pub(crate) fn commit(&mut self, sequence: u64) -> Option<u64> {
+        self.committed = sequence;
+        let mut newest_append = None;
+        while let Some(batch) = self
+            .in_flight
+            .pop_front_if(|batch| batch.sequence <= sequence)
+        {
+            newest_append = batch.last_append.or(newest_append);
+        }
+        newest_append
+    }
+
+    /// For how long the batch has existed, not counting time before `stalled_until_ms`; 0 if there is none yet.
+    pub(crate) fn batch_age_ms(
+        &self,
+        sequence: u64,
+        stalled_until_ms: Millis,
+        now_ms: Millis,
+    ) -> Millis {
+        let offset = sequence.saturating_sub(self.first_creation);
+        let created_ms = usize::try_from(offset)
+            .ok()
+            .and_then(|index| self.creation_times_ms.get(index));
+        created_ms.map_or(0, |created_ms| {
+            now_ms.saturating_sub(stalled_until_ms.max(*created_ms))
+        })
+    }
+}
--- a/crates/coordination/src/proposal.rs
+++ b/crates/coordination/src/proposal.rs
@@ -1,6 +1,10 @@
-//! A proposal of the next record on its way through both phases.
+//! A proposal of the next record on its way through both phases of Paxos.
 
-use crate::types::{DiskId, EpochRecord, LogPosition, ProposalNumber};
+use crate::acceptor::ProposalNumber;
+use crate::batch::LogPosition;
+use crate::message::Message;
+use crate::record::{DiskId, EpochRecord};
+use crate::timing::{PROPOSAL_TIMEOUT_MS, REPORT_TIMEOUT_MS};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use streamusher_protocol::Millis;
@@ -8,17 +12,19 @@
 /// Why a record is proposed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Purpose {
-    /// A replica seeks the primary's place.
-    Stand,
-    /// The primary changes replicas or members, or hands over.
-    Change,
+    /// A replica stands for election.
+    Election,
+    /// The primary changes replicas or members, or transfers its leadership.
+    Reconfiguration,
 }
 
-/// An answer to the first phase.
+/// A response to the first phase.
 #[derive(Clone, Debug)]
 pub(crate) struct Promise {
-    pub accepted: Option<(ProposalNumber, Arc<EpochRecord>)>,
-    pub position: LogPosition,
+    /// The proposal that the acceptor has accepted before.
+    pub(crate) accepted: Option<(ProposalNumber, Arc<EpochRecord>)>,
+    /// Position of the acceptor's state.
+    pub(crate) position: LogPosition,
 }
 
 /// How far a proposal is.
@@ -27,69 +33,171 @@
     /// Promises are being collected.
     Preparing {
         promises: BTreeMap<DiskId, Promise>,
-        majority_at: Option<Millis>,
+        majority_at_ms: Option<Millis>,
     },
     /// The value is chosen.
     Accepting {
         value: Arc<EpochRecord>,
-        accepts: BTreeSet<DiskId>,
-        /// It was sent to others: it may be decided from now on.
+        accepted_by: BTreeSet<DiskId>,
+        /// Whether it was sent to others: from then on it may be decided.
         is_public: bool,
     },
 }
 
-/// A proposal.
+/// A proposal of the record after `base`.
 #[derive(Clone, Debug)]
 pub(crate) struct Proposal {
     /// The record before, whose members decide.
-    pub base: Arc<EpochRecord>,
-    pub ballot: ProposalNumber,
-    pub purpose: Purpose,
-    pub phase: Phase,
-    pub started: Millis,
-    pub repeat_at: Millis,
+    pub(crate) base: Arc<EpochRecord>,
+    pub(crate) number: ProposalNumber,
+    pub(crate) purpose: Purpose,
+    pub(crate) phase: Phase,
+    started_ms: Millis,
+    pub(crate) resend_at_ms: Millis,
 }
 
 impl Proposal {
-    pub fn new(
+    /// A proposal at the beginning of its first phase.
+    pub(crate) fn new(
         base: Arc<EpochRecord>,
-        ballot: ProposalNumber,
+        number: ProposalNumber,
         purpose: Purpose,
-        now: Millis,
+        now_ms: Millis,
     ) -> Proposal {
         let phase = Phase::Preparing {
             promises: BTreeMap::new(),
-            majority_at: None,
+            majority_at_ms: None,
         };
         Proposal {
             base,
-            ballot,
+            number,
             purpose,
             phase,
-            started: now,
-            repeat_at: now,
+            started_ms: now_ms,
+            resend_at_ms: now_ms,
         }
     }
 
-    pub fn instance(&self) -> u64 {
+    /// Epoch of the record to be decided.
+    pub(crate) fn instance(&self) -> u64 {
         self.base.epoch + 1
     }
 
-    pub fn is_about(&self, instance: u64, ballot: ProposalNumber) -> bool {
-        self.instance() == instance && self.ballot == ballot
+    /// Whether a response is one to this proposal, from a member that decides.
+    pub(crate) fn is_answered_by(
+        &self,
+        from: DiskId,
+        instance: u64,
+        number: ProposalNumber,
+    ) -> bool {
+        self.instance() == instance && self.number == number && self.base.is_member(from)
     }
 
-    pub fn is_preparing(&self) -> bool {
-        matches!(self.phase, Phase::Preparing { .. })
+    /// Whether this is a candidacy whose value is not chosen yet, so that nothing of it can be decided.
+    pub(crate) fn is_candidacy_without_value(&self) -> bool {
+        let is_preparing = matches!(self.phase, Phase::Preparing { .. });
+        self.purpose == Purpose::Election && is_preparing
+    }
+
+    /// Whether it has been on its way for too long.
+    pub(crate) fn has_timed_out(&self, now_ms: Millis) -> bool {
+        now_ms > self.started_ms + PROPOSAL_TIMEOUT_MS
+    }
+
+    /// The request of the present phase.
+    pub(crate) fn request(&self) -> Message {
+        let (base, number) = (self.base.clone(), self.number);
+        match &self.phase {
+            Phase::Preparing { .. } => Message::Prepare { base, number },
+            Phase::Accepting { value, .. } => Message::Accept {
+                base,
+                number,
+                value: value.clone(),
+            },
+        }
+    }
+
+    /// Addresses of the members that the request is to be sent to: those that have not answered it. A value that is not
+    /// public is sent to the proposer's own acceptor only.
+    pub(crate) fn receivers(&self, own_id: DiskId) -> Vec<Arc<str>> {
+        let is_receiver = |id: &DiskId| match &self.phase {
+            Phase::Preparing { promises, .. } => !promises.contains_key(id),
+            Phase::Accepting {
+                accepted_by,
+                is_public,
+                ..
+            } => !accepted_by.contains(id) && (*is_public || *id == own_id),
+        };
+        let receivers = self
+            .base
+            .members
+            .iter()
+            .filter(|member| is_receiver(&member.id));
+        receivers
+            .map(|member| member.address.internal.clone())
+            .collect()
+    }
+
+    /// Counts a promise.
+    pub(crate) fn on_promised(&mut self, from: DiskId, promise: Promise, now_ms: Millis) {
+        let majority = self.base.majority();
+        if let Phase::Preparing {
+            promises,
+            majority_at_ms,
+        } = &mut self.phase
+        {
+            promises.insert(from, promise);
+            if promises.len() >= majority {
+                majority_at_ms.get_or_insert(now_ms);
+            }
+        }
+    }
+
+    /// The promises, once the value may be chosen: a majority has promised, and a candidate has also given the replicas time
+    /// to report their positions.
+    pub(crate) fn sufficient_promises(
+        &self,
+        own_id: DiskId,
+        now_ms: Millis,
+    ) -> Option<&BTreeMap<DiskId, Promise>> {
+        let Phase::Preparing {
+            promises,
+            majority_at_ms: Some(majority_at_ms),
+        } = &self.phase
+        else {
+            return None;
+        };
+        let former_primary = self.base.primary.filter(|primary| *primary != own_id);
+        let all_reported = self
+            .base
+            .replicas
+            .iter()
+            .all(|id| promises.contains_key(id) || Some(*id) == former_primary);
+        let is_election = self.purpose == Purpose::Election;
+        let may_wait = now_ms < majority_at_ms + REPORT_TIMEOUT_MS;
+        if is_election && !all_reported && may_wait {
+            return None;
+        }
+        Some(promises)
+    }
+
+    /// Begins the second phase with this value.
+    pub(crate) fn begin_accepting(&mut self, value: Arc<EpochRecord>) {
+        self.phase = Phase::Accepting {
+            value,
+            accepted_by: BTreeSet::new(),
+            is_public: self.purpose == Purpose::Reconfiguration,
+        };
     }
 }
 
-/// The value that must be proposed again, if any was accepted.
+/// The value of the highest-numbered proposal that any of the promising acceptors has accepted. It may be decided, so it
+/// must be proposed again (Paxos Made Simple, section 2.2, condition P2c).
 pub(crate) fn accepted_value(promises: &BTreeMap<DiskId, Promise>) -> Option<Arc<EpochRecord>> {
     let accepted = promises
         .values()
         .filter_map(|promise| promise.accepted.as_ref());
     accepted
-        .max_by_key(|(ballot, _)| *ballot)
+        .max_by_key(|(number, _)| *number)
         .map(|(_, value)| value.clone())
 }
--- a/crates/coordination/src/proposer.rs
+++ b/crates/coordination/src/proposer.rs
@@ -1,278 +1,222 @@
-//! Drives a proposal to its decision.
+//! The proposer's side of Paxos: drives a proposal of the next record to its decision.
 
-use crate::coordinator::Coordinator;
-use crate::message::Message;
+use crate::acceptor::ProposalNumber;
+use crate::coordinator_core::CoordinatorCore;
+use crate::election::elected_record;
+use crate::limits::MAX_BACKOFF_DOUBLINGS;
 use crate::proposal::{accepted_value, Phase, Promise, Proposal, Purpose};
-use crate::times::{
-    BACK_OFF_MS, LONGEST_BACK_OFF_MS, MOST_BACK_OFF_DOUBLINGS, PROPOSAL_LIFE_MS,
-    PROPOSAL_REPEAT_MS, REPORT_MS,
-};
-use crate::types::{DiskId, EpochRecord, ProposalNumber};
+use crate::record::{DiskId, EpochRecord};
+use crate::timing::{MAX_BACKOFF_MS, MIN_BACKOFF_MS, PROPOSAL_RETRANSMIT_INTERVAL_MS};
 use rand::Rng;
-use std::collections::BTreeSet;
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-impl Coordinator {
-    pub(crate) fn propose(&mut self, purpose: Purpose) {
-        let round = self.highest_round.max(self.witness.promise.round) + 1;
+/// The value that a proposal has to take.
+#[derive(Clone, Debug)]
+pub(crate) enum ValueChoice {
+    /// This record: one that was accepted before, or the election of a primary.
+    Record(Arc<EpochRecord>),
+    /// The record that the primary wants now.
+    Reconfiguration,
+}
+
+/// The proposer of one member. It has one proposal at a time.
+#[derive(Clone, Debug)]
+pub(crate) struct Proposer {
+    proposal: Option<Proposal>,
+    /// The highest round seen in a rejection or used.
+    highest_round: u64,
+    /// Rejections of proposals of the present instance in a row.
+    rejections: u32,
+    /// No new proposal before.
+    paused_until_ms: Millis,
+}
+
+impl Proposer {
+    /// A proposer without a proposal.
+    pub(crate) fn new(now_ms: Millis) -> Proposer {
+        Proposer {
+            proposal: None,
+            highest_round: 0,
+            rejections: 0,
+            paused_until_ms: now_ms,
+        }
+    }
+
+    /// Whether no proposal is under way.
+    pub(crate) fn is_idle(&self) -> bool {
+        self.proposal.is_none()
+    }
+
+    /// Whether new proposals have to wait.
+    pub(crate) fn is_paused(&self, now_ms: Millis) -> bool {
+        now_ms < self.paused_until_ms
+    }
+
+    /// Makes no new proposal before this time.
+    pub(crate) fn pause_until(&mut self, until_ms: Millis) {
+        self.paused_until_ms = self.paused_until_ms.max(until_ms);
+    }
+
+    /// Gives the present proposal up.
+    pub(crate) fn abandon(&mut self) {
+        self.proposal = None;
+    }
+
+    /// Gives a candidacy up if nothing of it can be decided yet: there is a primary after all.
+    pub(crate) fn withdraw_candidacy(&mut self) {
+        self.proposal
+            .take_if(|proposal| proposal.is_candidacy_without_value());
+    }
+
+    /// A record was decided: the next proposal is of another instance.
+    pub(crate) fn on_record_decided(&mut self) {
+        self.proposal = None;
+        self.rejections = 0;
+    }
+
+    /// Starts a proposal of the record after the newest one.
+    pub(crate) fn propose(&mut self, core: &mut CoordinatorCore, purpose: Purpose) {
+        let round = self.highest_round.max(core.witness.promise.round) + 1;
         self.highest_round = round;
-        let ballot = ProposalNumber {
+        let number = ProposalNumber {
             round,
-            disk: self.witness.id,
-            start: self.witness.starts,
+            disk: core.witness.id,
+            start: core.witness.starts,
         };
-        let base = self.witness.decided.clone();
-        self.proposal = Some(Proposal::new(base, ballot, purpose, self.now));
-        self.repeat_proposal();
+        let base = core.record().clone();
+        self.proposal = Some(Proposal::new(base, number, purpose, core.now_ms));
+        self.send_requests(core);
     }
 
-    /// Sends the messages of the present phase to those who have not answered.
-    fn repeat_proposal(&mut self) {
+    /// Sends the request of the present phase to those who have not answered it.
+    fn send_requests(&mut self, core: &mut CoordinatorCore) {
         let Some(proposal) = &mut self.proposal else {
             return;
         };
-        proposal.repeat_at = self.now + PROPOSAL_REPEAT_MS;
-        let (base, ballot) = (proposal.base.clone(), proposal.ballot);
-        let mut sends = Vec::new();
-        for member in &base.members {
-            let message = match &proposal.phase {
-                Phase::Preparing { promises, .. } if !promises.contains_key(&member.id) => {
-                    Message::Prepare {
-                        base: base.clone(),
-                        ballot,
-                    }
-                }
-                Phase::Accepting {
-                    value,
-                    accepts,
-                    is_public,
-                } if !accepts.contains(&member.id)
-                    && (*is_public || member.id == self.witness.id) =>
-                {
-                    Message::Accept {
-                        base: base.clone(),
-                        ballot,
-                        value: value.clone(),
-                    }
-                }
-                _ => continue,
-            };
-            sends.push((member.address.internal.clone(), message));
-        }
-        for (to, message) in sends {
-            self.send(to, message);
+        proposal.resend_at_ms = core.now_ms + PROPOSAL_RETRANSMIT_INTERVAL_MS;
+        let request = proposal.request();
+        for receiver in proposal.receivers(core.id()) {
+            core.send(receiver, request.clone());
         }
     }
 
+    /// Counts a promise; returns whether it was one for the present proposal.
     pub(crate) fn on_promised(
         &mut self,
+        core: &CoordinatorCore,
         from: DiskId,
         instance: u64,
-        ballot: ProposalNumber,
+        number: ProposalNumber,
         promise: Promise,
-    ) {
-        let now = self.now;
-        let Some(proposal) = &mut self.proposal else {
-            return;
+    ) -> bool {
+        let proposal = self.proposal.as_mut();
+        let answered = proposal.filter(|proposal| proposal.is_answered_by(from, instance, number));
+        let Some(proposal) = answered else {
+            return false;
         };
-        if !proposal.is_about(instance, ballot) || !proposal.base.is_member(from) {
-            return;
-        }
-        let majority = proposal.base.majority();
-        if let Phase::Preparing {
-            promises,
-            majority_at,
-        } = &mut proposal.phase
-        {
-            promises.insert(from, promise);
-            if promises.len() >= majority {
-                majority_at.get_or_insert(now);
-            }
-        }
-        self.choose_if_ready();
+        proposal.on_promised(from, promise, core.now_ms);
+        true
     }
 
-    /// Chooses the value when a majority has promised and the replicas had time to report.
-    fn choose_if_ready(&mut self) {
-        let Some(proposal) = &self.proposal else {
-            return;
-        };
-        let Phase::Preparing {
-            promises,
-            majority_at: Some(majority_at),
-        } = &proposal.phase
-        else {
-            return;
-        };
-        let former = proposal
-            .base
-            .primary
-            .filter(|primary| *primary != self.witness.id);
-        let all_reported = proposal
-            .base
-            .replicas
-            .iter()
-            .all(|id| promises.contains_key(id) || Some(*id) == former);
-        let is_change = proposal.purpose == Purpose::Change;
-        if !is_change && !all_reported && self.now < majority_at + REPORT_MS {
-            return;
-        }
+    /// The value of the proposal, once it may be chosen.
+    pub(crate) fn choose_value(&self, core: &CoordinatorCore) -> Option<ValueChoice> {
+        let proposal = self.proposal.as_ref()?;
+        let promises = proposal.sufficient_promises(core.id(), core.now_ms)?;
         let accepted = accepted_value(promises).filter(|_| !cfg!(feature = "mutant-adoption"));
-        let value = match (accepted, proposal.purpose) {
-            (Some(value), _) => Some(value),
-            (None, Purpose::Stand) => Some(Arc::new(self.elected_record(promises))),
-            (None, Purpose::Change) => self.desired_record().map(Arc::new),
+        let choice = match (accepted, proposal.purpose) {
+            (Some(value), _) => ValueChoice::Record(value),
+            (None, Purpose::Election) => {
+                ValueChoice::Record(Arc::new(elected_record(core, promises)))
+            }
+            (None, Purpose::Reconfiguration) => ValueChoice::Reconfiguration,
         };
-        match value {
-            Some(value) => self.offer(value),
-            None => self.proposal = None,
-        }
+        Some(choice)
     }
 
-    /// Begins the second phase. A candidate's own accept is synced before others hear of the value.
-    fn offer(&mut self, value: Arc<EpochRecord>) {
-        if let Some(reign) = &mut self.reign {
-            reign.proposed.extend(value.replicas.iter().copied());
-            reign.yielded |= value.primary != Some(self.witness.id);
+    /// Begins the second phase. A candidate's own accept is synced before others hear of the value: from then on it
+    /// acknowledges the former primary no more ([`WitnessState::candidate`](crate::WitnessState::candidate)).
+    pub(crate) fn offer(&mut self, core: &mut CoordinatorCore, value: Arc<EpochRecord>) {
+        if let Some(proposal) = &mut self.proposal {
+            proposal.begin_accepting(value);
         }
-        let Some(proposal) = &mut self.proposal else {
-            return;
-        };
-        let is_public = proposal.purpose == Purpose::Change;
-        proposal.phase = Phase::Accepting {
-            value,
-            accepts: BTreeSet::new(),
-            is_public,
-        };
-        self.repeat_proposal();
+        self.send_requests(core);
     }
 
-    pub(crate) fn on_accepted(&mut self, from: DiskId, instance: u64, ballot: ProposalNumber) {
-        let me = self.witness.id;
-        let Some(proposal) = &mut self.proposal else {
-            return;
-        };
-        if !proposal.is_about(instance, ballot) || !proposal.base.is_member(from) {
-            return;
+    /// Counts an accept; returns the record if it is decided by it.
+    pub(crate) fn on_accepted(
+        &mut self,
+        core: &mut CoordinatorCore,
+        from: DiskId,
+        instance: u64,
+        number: ProposalNumber,
+    ) -> Option<Arc<EpochRecord>> {
+        let proposal = self.proposal.as_mut()?;
+        if !proposal.is_answered_by(from, instance, number) {
+            return None;
         }
         let majority = proposal.base.majority();
         let Phase::Accepting {
             value,
-            accepts,
+            accepted_by,
             is_public,
         } = &mut proposal.phase
         else {
-            return;
+            return None;
         };
-        accepts.insert(from);
-        if accepts.len() >= majority {
-            let decided = value.clone();
-            return self.announce(decided);
+        accepted_by.insert(from);
+        if accepted_by.len() >= majority {
+            return Some(value.clone());
         }
-        if from == me && !*is_public {
+        if from == core.id() && !*is_public {
             *is_public = true;
-            self.repeat_proposal();
-        }
-    }
-
-    /// A record was decided by this proposer: its members hear of it at once, and those whom it removes when enough members
-    /// have it on disk.
-    fn announce(&mut self, record: Arc<EpochRecord>) {
-        let former = self.witness.decided.clone();
-        self.learn(record.clone());
-        let me = self.witness.id;
-        for member in record.members.iter().filter(|member| member.id != me) {
-            self.send(
-                member.address.internal.clone(),
-                Message::Decided {
-                    record: record.clone(),
-                },
-            );
-        }
-        let removed = former
-            .members
-            .iter()
-            .filter(|member| !record.is_member(member.id));
-        let removed: Vec<(u64, Arc<str>)> = removed
-            .map(|member| (record.epoch, member.address.internal.clone()))
-            .collect();
-        match &mut self.reign {
-            Some(reign) => reign.removed.extend(removed),
-            None => self.tell_removed(&removed),
-        }
-        self.dismiss_removed();
-    }
-
-    /// Tells machines that they were removed once more members have the record on disk than disks may be lost. A machine that
-    /// leaves ends when it hears so: before that, the only ones that know of the removal could be lost, and the record before
-    /// counts on it.
-    pub(crate) fn dismiss_removed(&mut self) {
-        let needed = self.copies_needed(&self.witness.decided);
-        let Some(reign) = &mut self.reign else { return };
-        if reign.removed.is_empty() {
-            return;
-        }
-        let recorded = self.recorded;
-        let peers = &reign.peers;
-        let holders = |epoch: u64| {
-            usize::from(recorded >= epoch)
-                + peers.values().filter(|peer| peer.recorded >= epoch).count()
-        };
-        let is_known = |epoch: u64| holders(epoch) >= needed || cfg!(feature = "mutant-dismissal");
-        let (told, untold): (Vec<_>, Vec<_>) = reign
-            .removed
-            .drain(..)
-            .partition(|(epoch, _)| is_known(*epoch));
-        reign.removed = untold;
-        self.tell_removed(&told);
-    }
-
-    fn tell_removed(&mut self, removed: &[(u64, Arc<str>)]) {
-        let record = self.witness.decided.clone();
-        for (_, to) in removed {
-            self.send(
-                to.clone(),
-                Message::Decided {
-                    record: record.clone(),
-                },
-            );
+            self.send_requests(core);
         }
+        None
     }
 
-    pub(crate) fn on_refused(&mut self, instance: u64, promise: ProposalNumber) {
-        let Some(proposal) = &self.proposal else {
-            return;
-        };
-        if proposal.instance() != instance || promise <= proposal.ballot {
+    /// Gives the proposal up if an acceptor has promised a higher number, and backs off.
+    pub(crate) fn on_rejected(
+        &mut self,
+        core: &mut CoordinatorCore,
+        instance: u64,
+        promise: ProposalNumber,
+    ) {
+        let is_rejected =
+            |proposal: &mut Proposal| proposal.instance() == instance && promise > proposal.number;
+        if self.proposal.take_if(is_rejected).is_none() {
             return;
         }
         self.highest_round = self.highest_round.max(promise.round);
-        self.proposal = None;
-        self.quiet_until = self.now + self.back_off();
+        self.paused_until_ms = core.now_ms + self.draw_backoff_ms(core);
     }
 
-    /// How long to wait after a refusal: longer each time, and longer where the disk is slow. Otherwise a proposer with a slow
-    /// disk interrupts the others again and again before any of them is done, and is never done itself.
-    fn back_off(&mut self) -> Millis {
-        let least = BACK_OFF_MS.max(self.disk.sync_time(self.now));
-        let most = (least * 4) << self.refusals.min(MOST_BACK_OFF_DOUBLINGS);
-        self.refusals = self.refusals.saturating_add(1);
-        self.random
-            .random_range(least..=most.min(LONGEST_BACK_OFF_MS.max(least)))
+    /// How long to wait after a rejection: longer each time, and longer where the disk is slow. Otherwise a proposer with a
+    /// slow disk interrupts the others again and again before any of them is done, and is never done itself.
+    fn draw_backoff_ms(&mut self, core: &mut CoordinatorCore) -> Millis {
+        let min_ms = MIN_BACKOFF_MS.max(core.disk.sync_time_ms(core.now_ms));
+        let doublings = self.rejections.min(MAX_BACKOFF_DOUBLINGS);
+        let max_ms = ((min_ms * 4) << doublings).min(MAX_BACKOFF_MS.max(min_ms));
+        self.rejections = self.rejections.saturating_add(1);
+        core.random.random_range(min_ms..=max_ms)
     }
 
-    pub(crate) fn tick_proposal(&mut self) {
-        let Some(proposal) = &self.proposal else {
-            return;
-        };
-        if self.now > proposal.started + PROPOSAL_LIFE_MS {
-            self.proposal = None;
+    /// Gives a proposal up that takes too long, and repeats requests that were not answered.
+    pub(crate) fn tick(&mut self, core: &mut CoordinatorCore) {
+        let now_ms = core.now_ms;
+        if self
+            .proposal
+            .take_if(|proposal| proposal.has_timed_out(now_ms))
+            .is_some()
+        {
             return;
         }
-        if self.now >= proposal.repeat_at {
-            self.repeat_proposal();
+        let is_resend_due = self
+            .proposal
+            .as_ref()
+            .is_some_and(|proposal| now_ms >= proposal.resend_at_ms);
+        if is_resend_due {
+            self.send_requests(core);
         }
-        self.choose_if_ready();
     }
 }
--- a/crates/coordination/src/reconfiguration.rs
+++ b/crates/coordination/src/reconfiguration.rs
@@ -1,288 +1,266 @@
-//! How a primary chooses replicas, members and, when its own time is over, a successor.
+//! Which record a primary wants next: how it chooses replicas, learners, members and, when it has to step down, a successor.
+//!
+//! Invariant: a new replica is named only when it has synced all that is committed (`docs/design/control-state.md`,
+//! point 3).
 
-use crate::coordinator::{Coordinator, Joiner};
+use crate::coordinator_core::CoordinatorCore;
+use crate::join::JoinRequests;
+use crate::limits::MAX_MEMBERS;
 use crate::peer::Peer;
-use crate::proposal::Purpose;
-use crate::reign::Reign;
-use crate::times::*;
-use crate::types::{can_spare_one, DiskId, EpochRecord, Member};
+use crate::record::{can_spare_member, DiskId, EpochRecord, Member};
+use crate::term::LeaderTerm;
+use crate::timing::{
+    CATCH_UP_TIMEOUT_MS, LEAVE_DRAIN_TIMEOUT_MS, LEAVE_REPLICAS_TIMEOUT_MS, MAX_LEARNER_LAG_MS,
+    MEMBER_REPLACEMENT_TIMEOUT_MS, MEMBER_TIMEOUT_MS, REPLICA_TIMEOUT_MS,
+};
 use std::collections::BTreeSet;
-use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-impl Coordinator {
-    /// A machine says who it is: it is told the newest record, and a stranger is remembered as wanting to be let in.
-    pub(crate) fn on_hello(&mut self, from: &Arc<str>, member: Member, epoch: u64) {
-        let newest = self.witness.decided.epoch;
-        if epoch > newest {
-            return self.hello(from.clone());
-        }
-        if epoch < newest {
-            self.tell_newest(from);
-        }
-        let known = self.witness.decided.member(member.id);
-        let is_same = known.is_some_and(|known| known.address == member.address);
-        let is_me = member.id == self.witness.id
-            || member.address.internal == self.settings.address.internal;
-        if self.reign.is_none() || is_same || is_me {
-            return;
-        }
-        if self.joiners.len() < MOST_JOINERS || self.joiners.contains_key(&member.id) {
-            self.joiners.insert(
-                member.id,
-                Joiner {
-                    member,
-                    heard: self.now,
-                },
-            );
-        }
-    }
+/// A primary that follows the present one, and its replicas.
+struct Succession {
+    primary: DiskId,
+    replicas: Vec<DiskId>,
+}
 
-    /// Looks whether another record is wanted, and proposes it.
-    pub(crate) fn reconsider(&mut self) {
-        let now = self.now;
-        self.joiners
-            .retain(|_, joiner| now < joiner.heard + JOINER_LIFE_MS);
-        self.choose_learners();
-        let Some(reign) = &mut self.reign else { return };
-        if now < reign.next_change || self.proposal.is_some() || now < self.quiet_until {
-            return;
-        }
-        reign.next_change = now + CHANGE_REST_MS;
-        let is_undecided = !reign.proposed.is_empty();
-        if is_undecided || self.desired_record().is_some() {
-            self.propose(Purpose::Change);
-        }
-    }
+/// A member that could be brought up to date. The order is that in which they are taken: learners first, then members
+/// whose state is reached by batches without a snapshot.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct LearnerCandidate {
+    is_new: bool,
+    needs_snapshot: bool,
+    id: DiskId,
+}
 
+/// The primary's choice of the next record.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Reconfiguration<'a> {
+    pub(crate) core: &'a CoordinatorCore,
+    pub(crate) term: &'a LeaderTerm,
+    pub(crate) join_requests: &'a JoinRequests,
+}
+
+impl Reconfiguration<'_> {
     /// The record that this primary wants next; none while the present one is right.
     pub(crate) fn desired_record(&self) -> Option<EpochRecord> {
-        let reign = self.reign.as_ref()?;
-        let base = &self.witness.decided;
-        let mut record = EpochRecord::clone(base);
-        record.epoch += 1;
-        record.proposer = self.witness.id;
-        record.replicas = self.desired_replicas(reign, true);
-        record.members = self.desired_members(reign, &record.replicas);
-        if let Some((successor, replicas)) = self.successor(reign) {
+        let base = self.core.record();
+        let replicas = self.desired_replicas(true);
+        let members = self.desired_members(&replicas);
+        let mut record = EpochRecord {
+            epoch: base.epoch + 1,
+            proposer: self.core.id(),
+            replicas,
+            members,
+            ..EpochRecord::clone(base)
+        };
+        if let Some(succession) = self.succession() {
             record.term = record.epoch;
-            record.primary = Some(successor);
-            record.replicas = replicas;
+            record.primary = Some(succession.primary);
+            record.replicas = succession.replicas;
             return Some(record);
         }
-        // A proposal that may yet be decided is brought to an end even if nothing else is wanted.
-        let is_undecided = !reign.proposed.is_empty();
+        // A proposal that may yet be decided is completed even if nothing else is wanted.
+        let is_undecided = !self.term.proposed_replicas.is_empty();
         let differs = record.replicas != base.replicas || record.members != base.members;
         (differs || is_undecided).then_some(record)
     }
 
-    /// The replicas wanted: those of the record that keep up, and learners that are level. The record's own while too few
-    /// are.
-    fn desired_replicas(&self, reign: &Reign, with_me: bool) -> Vec<DiskId> {
-        let me = self.witness.id;
-        let base = &self.witness.decided;
+    /// The members to be brought up to date where replicas are missing.
+    pub(crate) fn desired_learners(&self) -> BTreeSet<DiskId> {
+        let now_ms = self.core.now_ms;
+        let sound_replicas =
+            self.term.peers.values().filter(|peer| {
+                peer.is_replica() && (self.keeps_up(peer) || self.is_catching_up(peer))
+            });
+        let present = sound_replicas.count() + 1;
+        let missing = self.core.target_replicas().saturating_sub(present);
+        let mut candidates: Vec<LearnerCandidate> = self
+            .term
+            .peers
+            .iter()
+            .filter(|(_, peer)| {
+                !peer.is_replica() && peer.is_responsive(now_ms) && !peer.is_leaving
+            })
+            .filter(|(_, peer)| !peer.is_excluded(now_ms) && !peer.has_stuck_snapshot(now_ms))
+            .map(|(id, peer)| LearnerCandidate {
+                is_new: !peer.is_learner(),
+                needs_snapshot: !self.is_reached_by_batches(peer),
+                id: *id,
+            })
+            .collect();
+        candidates.sort_unstable();
+        let chosen = candidates.iter().take(missing);
+        chosen.map(|candidate| candidate.id).collect()
+    }
+
+    /// The replicas wanted: those of the record that keep up, and learners that are up to date. The record's own while too
+    /// few are.
+    fn desired_replicas(&self, with_self: bool) -> Vec<DiskId> {
+        let base = self.core.record();
         let mut wanted = Vec::new();
         let mut sound = 0;
         for id in &base.replicas {
-            if *id == me {
-                if with_me {
-                    wanted.push(me);
+            if *id == self.core.id() {
+                if with_self {
+                    wanted.push(*id);
                     sound += 1;
                 }
                 continue;
             }
-            let Some(peer) = reign.peers.get(id) else {
+            let Some(peer) = self.term.peers.get(id) else {
                 continue;
             };
-            if self.keeps_up(reign, peer) {
+            if self.keeps_up(peer) {
                 wanted.push(*id);
                 sound += 1;
-            } else if self.is_levelling(reign, peer) {
+            } else if self.is_catching_up(peer) {
                 wanted.push(*id);
             }
         }
-        for (id, peer) in &reign.peers {
-            let is_new = peer.learner && !wanted.contains(id);
-            if is_new && wanted.len() < self.copies_wanted() && self.is_level(reign, peer) {
+        for (id, peer) in &self.term.peers {
+            let is_new = peer.is_learner() && !wanted.contains(id);
+            let has_place = wanted.len() < self.core.target_replicas();
+            if is_new && has_place && self.is_up_to_date(peer) {
                 wanted.push(*id);
                 sound += 1;
             }
         }
-        let is_enough = sound >= self.copies_needed(base);
-        if is_enough {
+        if sound >= self.core.min_replicas(base) {
             wanted
         } else {
             base.replicas.clone()
         }
     }
 
-    /// Whether a replica has all that is committed and acknowledges in time.
-    fn keeps_up(&self, reign: &Reign, peer: &Peer) -> bool {
-        let lag = self.lag(reign, peer);
-        let is_sound = peer.responds(self.now) && !peer.leaving && self.now >= peer.slow_until;
-        is_sound && lag.is_some_and(|lag| lag < REPLICA_SILENCE_MS)
+    /// Whether a member has all that is committed and acknowledges in time.
+    fn keeps_up(&self, peer: &Peer) -> bool {
+        let now_ms = self.core.now_ms;
+        let is_sound = peer.is_responsive(now_ms) && !peer.is_leaving && !peer.is_excluded(now_ms);
+        let is_in_time = |lag_ms: Millis| lag_ms < REPLICA_TIMEOUT_MS;
+        is_sound && self.lag_ms(peer).is_some_and(is_in_time)
     }
 
-    /// Whether a learner may be named.
-    fn is_level(&self, reign: &Reign, peer: &Peer) -> bool {
-        self.keeps_up(reign, peer)
-            && self
-                .lag(reign, peer)
-                .is_some_and(|lag| lag < LEARNER_LAG_MS)
+    /// Whether a learner may be named as a replica.
+    fn is_up_to_date(&self, peer: &Peer) -> bool {
+        let is_close = |lag_ms: Millis| lag_ms < MAX_LEARNER_LAG_MS;
+        self.keeps_up(peer) && self.lag_ms(peer).is_some_and(is_close)
     }
 
-    /// Age of the oldest batch that it lacks; none while it lacks something committed.
-    fn lag(&self, reign: &Reign, peer: &Peer) -> Option<Millis> {
-        let acknowledged = peer.acknowledged(reign.epoch)?;
-        if acknowledged < reign.committed {
+    /// Age of the oldest batch that a member lacks; none while it lacks a committed one.
+    fn lag_ms(&self, peer: &Peer) -> Option<Millis> {
+        let pipeline = &self.term.pipeline;
+        let acknowledged = peer.acknowledged(self.term.number)?;
+        if acknowledged < pipeline.committed() {
             return None;
         }
-        Some(reign.batch_age(acknowledged + 1, peer.excused_until, self.now))
+        let oldest_missing = acknowledged + 1;
+        Some(pipeline.batch_age_ms(oldest_missing, peer.stalled_until_ms, self.core.now_ms))
     }
 
-    /// Whether a replica of a new reign answers and is still being brought to the primary's state.
-    fn is_levelling(&self, reign: &Reign, peer: &Peer) -> bool {
-        let is_new_reign = self.now < reign.opened_at + LEVELLING_MS;
-        is_new_reign && self.lag(reign, peer).is_none() && peer.responds(self.now) && !peer.leaving
+    /// Whether a replica of a new term answers and is still being brought to the primary's state.
+    fn is_catching_up(&self, peer: &Peer) -> bool {
+        let now_ms = self.core.now_ms;
+        let is_new_term = now_ms < self.term.started_ms + CATCH_UP_TIMEOUT_MS;
+        let is_behind = self.lag_ms(peer).is_none();
+        is_new_term && is_behind && peer.is_responsive(now_ms) && !peer.is_leaving
     }
 
-    /// Picks members to be brought up where replicas are missing.
-    fn choose_learners(&mut self) {
-        let now = self.now;
-        let wanted = self.copies_wanted();
-        let Some(reign) = &self.reign else { return };
-        let sound = reign.peers.values().filter(|peer| {
-            peer.is_replica && (self.keeps_up(reign, peer) || self.is_levelling(reign, peer))
-        });
-        let mut missing = wanted.saturating_sub(sound.count() + 1);
-        let is_known = |peer: &Peer| {
-            peer.position
-                .is_some_and(|position| self.recent.reaches_from(position))
-        };
-        let mut order: Vec<(bool, bool, DiskId)> = reign
-            .peers
-            .iter()
-            .filter(|(_, peer)| !peer.is_replica && peer.responds(now) && !peer.leaving)
-            .filter(|(_, peer)| now >= peer.slow_until && !has_stuck_copy(peer, now))
-            .map(|(id, peer)| (!peer.learner, !is_known(peer), *id))
-            .collect();
-        order.sort_unstable();
-        let mut chosen = BTreeSet::new();
-        for (_, _, id) in order {
-            if missing > 0 {
-                chosen.insert(id);
-                missing -= 1;
-            }
-        }
-        let Some(reign) = &mut self.reign else { return };
-        for (id, peer) in &mut reign.peers {
-            if peer.learner && has_stuck_copy(peer, now) {
-                peer.slow_until = now + SLOW_REST_MS;
-            }
-            peer.learner = chosen.contains(id);
-            if !peer.learner && !peer.is_replica {
-                peer.copy = None;
-            }
-        }
+    /// Whether the batches that are kept bring the member up to date, so that it needs no snapshot.
+    fn is_reached_by_batches(&self, peer: &Peer) -> bool {
+        peer.position
+            .is_some_and(|position| self.core.state.recent().reaches_from(position))
     }
 
-    /// Who is to follow this primary, when it leaves or its disk is in trouble; with the replicas then.
-    fn successor(&self, reign: &Reign) -> Option<(DiskId, Vec<DiskId>)> {
-        let now = self.now;
-        if !reign.is_open() {
+    /// Who follows this primary when it leaves or its disk is too slow.
+    fn succession(&self) -> Option<Succession> {
+        let now_ms = self.core.now_ms;
+        if !self.term.is_open() {
             return None;
         }
-        let is_drained = reign.outstanding.is_empty() && reign.pending.is_empty();
-        let wants_leave = self
-            .leaving
-            .is_some_and(|since| is_drained || now >= since + LEAVE_DRAIN_MS);
-        if !wants_leave && !self.disk.in_trouble(now) {
+        let leaving_since_ms = self.core.leaving_since_ms;
+        let is_drained = self.term.pipeline.is_drained();
+        let wants_to_leave = leaving_since_ms
+            .is_some_and(|since_ms| is_drained || now_ms >= since_ms + LEAVE_DRAIN_TIMEOUT_MS);
+        if !wants_to_leave && !self.core.disk.is_unfit_for_primary(now_ms) {
             return None;
         }
-        let others = self.desired_replicas(reign, false);
-        let enough = !others.contains(&self.witness.id);
-        let may_stay = self
-            .leaving
-            .is_none_or(|since| now >= since + LEAVE_REPLICAS_MS);
-        if !enough && !may_stay {
+        let others = self.desired_replicas(false);
+        let is_enough = !others.contains(&self.core.id());
+        let may_remain_replica =
+            leaving_since_ms.is_none_or(|since_ms| now_ms >= since_ms + LEAVE_REPLICAS_TIMEOUT_MS);
+        if !is_enough && !may_remain_replica {
             return None;
         }
-        let fast = others.iter().copied().find(|id| {
-            reign
-                .peers
-                .get(id)
-                .is_some_and(|peer| self.is_level(reign, peer))
-        })?;
-        let mut replicas = vec![fast];
-        replicas.extend(others.into_iter().filter(|id| *id != fast));
-        Some((fast, replicas))
+        let is_fit = |id: &DiskId| {
+            let peer = self.term.peers.get(id);
+            peer.is_some_and(|peer| self.is_up_to_date(peer))
+        };
+        let primary = others.iter().copied().find(is_fit)?;
+        let mut replicas = vec![primary];
+        replicas.extend(others.into_iter().filter(|id| *id != primary));
+        Some(Succession { primary, replicas })
     }
 
     /// The members wanted: machines that lost their disk under their new id, others in the place of absent ones. A machine
-    /// is not added beside a member that is in doubt: with a dead member among an even number, the next loss could take the
+    /// is not added beside a member that may be lost: with a dead member among an even number, the next loss could take the
     /// majority, and lost disks never vote again.
-    fn desired_members(&self, reign: &Reign, replicas: &[DiskId]) -> Vec<Member> {
-        let mut members = self.witness.decided.members.clone();
-        for joiner in self.joiners.values() {
-            let same = members.iter().position(|known| {
-                known.id == joiner.member.id
-                    || known.address.internal == joiner.member.address.internal
-            });
-            let place =
-                same.or_else(|| self.absent_member(reign, &members, replicas, REPLACED_AFTER_MS));
-            match place {
-                Some(index) => members[index] = joiner.member.clone(),
-                None if members.len() < MOST_MEMBERS
-                    && !self.has_doubtful_member(reign, &members) =>
-                {
-                    members.push(joiner.member.clone());
-                }
-                None => {}
+    fn desired_members(&self, replicas: &[DiskId]) -> Vec<Member> {
+        let mut members = self.core.record().members.clone();
+        for candidate in self.join_requests.candidates() {
+            let is_same = |known: &Member| {
+                known.id == candidate.id || known.address.internal == candidate.address.internal
+            };
+            let place = members
+                .iter()
+                .position(is_same)
+                .or_else(|| self.absent_member(&members, replicas, MEMBER_REPLACEMENT_TIMEOUT_MS));
+            if let Some(index) = place {
+                members[index] = candidate.clone();
+            } else if members.len() < MAX_MEMBERS && !self.has_doubtful_member(&members) {
+                members.push(candidate.clone());
             }
         }
-        if can_spare_one(&members) {
-            if let Some(index) = self.absent_member(reign, &members, replicas, MEMBER_SILENCE_MS) {
+        if can_spare_member(&members) {
+            if let Some(index) = self.absent_member(&members, replicas, MEMBER_TIMEOUT_MS) {
                 members.remove(index);
             }
         }
         members
     }
 
-    /// A member that leaves or has been silent for so long, and that is no replica.
+    /// Index of a member that leaves or has been unresponsive for so long, and that is no replica.
     fn absent_member(
         &self,
-        reign: &Reign,
         members: &[Member],
         replicas: &[DiskId],
-        silence: Millis,
+        timeout_ms: Millis,
     ) -> Option<usize> {
-        let silence = if cfg!(feature = "mutant-absent") {
-            MEMBER_SILENCE_MS
+        let is_mutant = cfg!(feature = "mutant-absent");
+        let timeout_ms = if is_mutant {
+            MEMBER_TIMEOUT_MS
         } else {
-            silence
+            timeout_ms
+        };
+        let is_absent = |peer: &Peer| {
+            let leaves = peer.is_leaving && !is_mutant;
+            leaves || peer.is_silent_for(timeout_ms, self.core.now_ms)
         };
-        let leaves = |peer: &Peer| peer.leaving && !cfg!(feature = "mutant-absent");
-        let is_absent = |peer: &Peer| leaves(peer) || self.now >= peer.heard + silence;
         members.iter().position(|member| {
-            reign.peers.get(&member.id).is_some_and(is_absent) && !replicas.contains(&member.id)
+            let peer = self.term.peers.get(&member.id);
+            peer.is_some_and(is_absent) && !replicas.contains(&member.id)
         })
     }
 
-    /// Whether a member does not answer and it is known soon whether it is absent. One that is absent and needed as a replica
-    /// keeps nobody out: a machine that is let in can take its part.
-    fn has_doubtful_member(&self, reign: &Reign, members: &[Member]) -> bool {
+    /// Whether a member does not answer and it is not known yet whether it is absent. One that is absent and needed as a
+    /// replica keeps nobody out: a machine that joins can replace it.
+    fn has_doubtful_member(&self, members: &[Member]) -> bool {
+        let now_ms = self.core.now_ms;
         let is_doubtful = |peer: &Peer| {
-            let is_silent = !peer.responds(self.now) && self.now < peer.heard + REPLACED_AFTER_MS;
-            is_silent && !cfg!(feature = "mutant-absent")
+            let is_absent = peer.is_silent_for(MEMBER_REPLACEMENT_TIMEOUT_MS, now_ms);
+            !peer.is_responsive(now_ms) && !is_absent && !cfg!(feature = "mutant-absent")
         };
-        members
-            .iter()
-            .any(|member| reign.peers.get(&member.id).is_some_and(is_doubtful))
+        members.iter().any(|member| {
+            let peer = self.term.peers.get(&member.id);
+            peer.is_some_and(is_doubtful)
+        })
     }
 }
-
-fn has_stuck_copy(peer: &Peer, now: Millis) -> bool {
-    peer.copy
-        .as_ref()
-        .is_some_and(|copy| now > copy.progress_at + COPY_REST_MS)
-}
--- a/crates/coordination/src/replication.rs
+++ b/crates/coordination/src/replication.rs
@@ -1,344 +1,323 @@
-//! The primary: opens its reign, sends keepalives, batches and copies, and counts what is committed.
+//! The primary's side of primary-backup replication: keepalives, batches, snapshots, and what is committed.
+//!
+//! Invariant: a batch is committed only when all replicas of the newest record, and of every own proposal that may yet be
+//! decided, have synced it. So each replica of whatever record comes next holds all that is committed
+//! (`docs/design/control-state.md`, points 1 and 3).
 
-use crate::coordinator::Coordinator;
+use crate::batch::{Batch, LogPosition};
+use crate::coordinator_core::CoordinatorCore;
 use crate::events::Output;
-use crate::message::{Batch, Message};
-use crate::peer::{Acknowledged, Peer};
-use crate::recent::write_bytes;
-use crate::reign::Reign;
-use crate::times::{BATCH_BYTES, LEAVE_MOST_MS, MOST_OUTSTANDING, SEND_WINDOW, SLOW_REST_MS};
-use crate::types::{DiskId, LogPosition, PeerStatus};
+use crate::limits::{
+    MAX_RECENT_BYTES, MAX_RECENT_BYTES_DURING_SNAPSHOT, MAX_UNACKNOWLEDGED_BATCHES,
+};
+use crate::message::{KeepaliveAck, Message, SnapshotPart};
+use crate::peer::Peer;
+use crate::pipeline::BatchContent;
+use crate::record::DiskId;
+use crate::snapshot::{PartContent, SnapshotSender};
+use crate::term::LeaderTerm;
 use std::sync::Arc;
 use streamusher_protocol::store::Write;
 use streamusher_protocol::Millis;
 
-/// Keepalives in a lease.
+/// Keepalives in a lease: two in a row may be lost.
 const KEEPALIVES_PER_LEASE: Millis = 4;
 
-impl Coordinator {
-    pub(crate) fn open_reign(&mut self, epoch: u64) {
-        if self.opening != Some(epoch) {
-            return;
-        }
-        self.opening = None;
-        self.incoming = None;
-        let previous = self.applied;
-        let position = LogPosition {
-            epoch,
-            sequence: previous.sequence + 1,
-        };
-        self.reign = Some(Reign::new(epoch, position.sequence, self.now));
-        self.committed = self.appended;
-        self.sync_peers();
-        self.make_batch(Vec::new(), None);
-        self.out.push(Output::Elected { epoch });
-        self.send_keepalives();
+impl LeaderTerm {
+    /// Begins the term: the first batch is empty, and its commit commits all that this primary held at its election.
+    pub(crate) fn create_first_batch(&mut self, core: &mut CoordinatorCore) {
+        self.create_batch(core, BatchContent::default());
     }
 
-    /// The primary's own change of the record was decided.
-    pub(crate) fn continue_reign(&mut self) {
-        if let Some(reign) = &mut self.reign {
-            reign.proposed.clear();
-            reign.yielded = false;
-        }
-        self.sync_peers();
-        self.update_committed();
-        self.send_keepalives();
+    /// Sends a keepalive to all other members.
+    pub(crate) fn send_keepalives(&mut self, core: &mut CoordinatorCore) {
+        let sent_ms = core.now_ms;
+        self.next_keepalive_ms = sent_ms + core.settings.lease_ms / KEEPALIVES_PER_LEASE;
+        let record = core.record().clone();
+        core.send_to_members(&Message::Keepalive { record, sent_ms });
     }
 
-    /// Keeps a peer for each other member; one that was dropped as a replica though it answers is slow.
-    fn sync_peers(&mut self) {
-        let record = self.witness.decided.clone();
-        let (now, me) = (self.now, self.witness.id);
-        let Some(reign) = &mut self.reign else { return };
-        reign.peers.retain(|id, _| record.is_member(*id));
-        for member in record.members.iter().filter(|member| member.id != me) {
-            let address = member.address.internal.clone();
-            let peer = reign
-                .peers
-                .entry(member.id)
-                .or_insert_with(|| Peer::new(address.clone(), now));
-            peer.address = address;
-            let was_replica = std::mem::replace(&mut peer.is_replica, record.is_replica(member.id));
-            if was_replica && !peer.is_replica && peer.responds(now) {
-                peer.slow_until = now + SLOW_REST_MS;
-            }
-            peer.learner &= !peer.is_replica;
+    /// Sends what is due.
+    pub(crate) fn tick(&mut self, core: &mut CoordinatorCore) {
+        if core.now_ms >= self.next_keepalive_ms {
+            self.send_keepalives(core);
         }
+        self.create_batches(core);
+        self.send_data(core);
     }
 
-    fn send_keepalives(&mut self) {
-        let record = self.witness.decided.clone();
-        let sent = self.now;
-        if let Some(reign) = &mut self.reign {
-            reign.next_keepalive = sent + self.settings.lease_ms / KEEPALIVES_PER_LEASE;
-        }
-        self.send_to_members(Message::Keepalive { record, sent });
+    /// Queues an append for the next batch.
+    pub(crate) fn append(&mut self, core: &mut CoordinatorCore, writes: Vec<Write>) {
+        self.pipeline.push(core.appends.appended, writes);
+        self.create_batches(core);
     }
 
-    pub(crate) fn tick_reign(&mut self) {
-        let now = self.now;
-        if self.is_forsaken() {
-            return self.abdicate();
+    /// Creates batches of what was appended, as many as may be in flight.
+    fn create_batches(&mut self, core: &mut CoordinatorCore) {
+        while let Some(content) = self.pipeline.take_next_batch(core.state.applied().sequence) {
+            self.create_batch(core, content);
         }
-        if self
-            .leaving
-            .is_some_and(|since| now >= since + LEAVE_MOST_MS)
-        {
-            if let Some(reign) = &mut self.reign {
-                reign.yielded = true;
-            }
-        }
-        if self
-            .reign
-            .as_ref()
-            .is_some_and(|reign| now >= reign.next_keepalive)
-        {
-            self.send_keepalives();
-        }
-        self.cut_batches();
-        self.send_data();
-        self.reconsider();
     }
 
-    pub(crate) fn on_alive(&mut self, from: DiskId, reign: u64, sent: Millis, said: Acknowledged) {
-        let now = self.now;
-        let Some(mine) = self.reign.as_mut().filter(|mine| mine.epoch == reign) else {
-            return;
+    fn create_batch(&mut self, core: &mut CoordinatorCore, content: BatchContent) {
+        let previous = core.state.applied();
+        let position = LogPosition {
+            epoch: self.number,
+            sequence: previous.sequence + 1,
         };
-        let Some(peer) = mine.peers.get_mut(&from) else {
-            return;
+        self.pipeline
+            .record_batch(position.sequence, content.last_append, core.now_ms);
+        let batch = Batch {
+            previous,
+            position,
+            writes: Arc::new(content.writes),
+        };
+        let max_recent_bytes = if self.is_sending_snapshot() {
+            MAX_RECENT_BYTES_DURING_SNAPSHOT
+        } else {
+            MAX_RECENT_BYTES
         };
-        peer.leaving = said.leaving;
-        peer.recorded = peer.recorded.max(said.recorded);
-        self.dismiss_removed();
-        if sent > now || said.leaving && sent == 0 {
+        core.state.apply(batch, &mut core.disk, max_recent_bytes);
+        self.send_data(core);
+    }
+
+    /// A member has acknowledged a keepalive of this term, or announces that it leaves.
+    pub(crate) fn on_keepalive_ack(&mut self, core: &mut CoordinatorCore, ack: &KeepaliveAck) {
+        if ack.term != self.number {
             return;
         }
-        let Some(peer) = self
-            .reign
-            .as_mut()
-            .and_then(|mine| mine.peers.get_mut(&from))
-        else {
+        let Some(peer) = self.peers.get_mut(&ack.from) else {
             return;
         };
-        peer.heard = now;
-        peer.answered = true;
-        peer.lease_from = peer.lease_from.max(Some(sent));
-        self.note_position(from, said.position);
+        peer.on_announcement(ack);
+        self.notify_removed_members(core);
+        let answers_no_keepalive = ack.leaving && ack.sent_ms == 0;
+        if ack.sent_ms > core.now_ms || answers_no_keepalive {
+            return;
+        }
+        if let Some(peer) = self.peers.get_mut(&ack.from) {
+            peer.on_keepalive_acknowledged(ack.sent_ms, core.now_ms);
+            self.on_position(core, ack.from, ack.position);
+        }
     }
 
-    pub(crate) fn on_synced(&mut self, from: DiskId, reign: u64, position: LogPosition) {
-        if self.reign.as_ref().is_some_and(|mine| mine.epoch == reign) {
-            self.note_position(from, position);
+    /// A member has synced a batch.
+    pub(crate) fn on_synced(
+        &mut self,
+        core: &mut CoordinatorCore,
+        from: DiskId,
+        term: u64,
+        position: LogPosition,
+    ) {
+        if term == self.number {
+            self.on_position(core, from, position);
         }
     }
 
-    fn note_position(&mut self, from: DiskId, position: LogPosition) {
-        let now = self.now;
-        let Some(reign) = &mut self.reign else { return };
-        let Some(peer) = reign.peers.get_mut(&from) else {
+    fn on_position(&mut self, core: &mut CoordinatorCore, from: DiskId, position: LogPosition) {
+        let Some(peer) = self.peers.get_mut(&from) else {
             return;
         };
-        if !peer.report(position, now) {
+        if !peer.on_synced(position, core.now_ms) {
             return;
         }
-        if position.epoch == reign.epoch {
-            peer.copy = None;
+        if position.epoch == self.number {
+            peer.snapshot = None;
         }
-        self.update_committed();
-        self.send_data();
+        self.update_committed(core);
+        self.send_data(core);
     }
 
-    pub(crate) fn on_copy_next(&mut self, from: DiskId, copy: u64, next: u64) {
-        let now = self.now;
-        let Some(reign) = &mut self.reign else { return };
-        let Some(outgoing) = reign
-            .peers
-            .get_mut(&from)
-            .and_then(|peer| peer.copy.as_mut())
-        else {
+    /// A member wants this part of its snapshot next.
+    pub(crate) fn on_snapshot_ack(
+        &mut self,
+        core: &mut CoordinatorCore,
+        from: DiskId,
+        snapshot_id: u64,
+        next: u64,
+    ) {
+        let peer = self.peers.get_mut(&from);
+        let snapshot = peer.and_then(|peer| peer.snapshot.as_mut());
+        let Some(snapshot) = snapshot.filter(|snapshot| snapshot.id == snapshot_id) else {
             return;
         };
-        if outgoing.id == copy {
-            outgoing.acknowledge(next, now);
-            self.send_data();
-        }
-    }
-
-    pub(crate) fn append_to_reign(&mut self, writes: Vec<Write>) {
-        let append = self.appended;
-        let Some(reign) = &mut self.reign else { return };
-        reign.pending.push((append, writes));
-        self.cut_batches();
-    }
-
-    /// Makes batches of what was appended, as many as may be outstanding.
-    fn cut_batches(&mut self) {
-        while let Some(reign) = &mut self.reign {
-            let outstanding = self.applied.sequence.saturating_sub(reign.committed);
-            if reign.pending.is_empty() || outstanding >= MOST_OUTSTANDING || !reign.is_open() {
-                return;
-            }
-            let (append, writes) = reign.take_pending(BATCH_BYTES);
-            self.make_batch(writes, append);
-        }
+        snapshot.on_acknowledged(next, core.now_ms);
+        self.send_data(core);
     }
 
-    fn make_batch(&mut self, writes: Vec<Write>, append: Option<u64>) {
-        let now = self.now;
-        let Some(reign) = &mut self.reign else { return };
-        let previous = self.applied;
-        let position = LogPosition {
-            epoch: reign.epoch,
-            sequence: previous.sequence + 1,
+    /// Sends batches and parts of snapshots to replicas and learners.
+    fn send_data(&mut self, core: &mut CoordinatorCore) {
+        let header = DataHeader {
+            from: core.id(),
+            epoch: core.record().epoch,
+            term: self.number,
         };
-        reign.note_batch(position.sequence, append, now);
-        self.apply(Batch {
-            previous,
-            position,
-            writes: Arc::new(writes),
-        });
-        self.send_data();
-    }
-
-    /// Sends batches and parts of copies to replicas and learners.
-    pub(crate) fn send_data(&mut self) {
-        let Some(reign) = &self.reign else { return };
-        let wanted = reign
-            .peers
-            .iter()
-            .filter(|(id, peer)| peer.is_replica || peer.learner || reign.proposed.contains(id));
-        let ids: Vec<DiskId> = wanted.map(|(id, _)| *id).collect();
-        for id in ids {
-            self.send_data_to(id);
+        for (id, peer) in &mut self.peers {
+            let is_wanted =
+                peer.is_replica() || peer.is_learner() || self.proposed_replicas.contains(id);
+            if !is_wanted {
+                continue;
+            }
+            let messages = due_messages(core, *id, peer, header, &mut self.last_snapshot_id);
+            for message in messages {
+                core.send(peer.address.clone(), message);
+            }
         }
     }
 
-    fn send_data_to(&mut self, id: DiskId) {
-        let (now, me, epoch) = (self.now, self.witness.id, self.witness.decided.epoch);
-        let Some(reign) = &mut self.reign else { return };
-        let Some(peer) = reign.peers.get_mut(&id) else {
+    /// Counts the batches that all required replicas have synced.
+    pub(crate) fn update_committed(&mut self, core: &mut CoordinatorCore) {
+        if !core.has_enough_replicas() {
             return;
-        };
-        let Some(position) = peer.position else {
+        }
+        let sequence = self.synced_by_all(core);
+        if sequence <= self.pipeline.committed() {
             return;
-        };
-        let mut messages = Vec::new();
-        if self.recent.reaches_from(position) {
-            peer.copy = None;
-            peer.rewind(now);
-            while peer.sent < (position.sequence + SEND_WINDOW).min(self.applied.sequence) {
-                let Some(batch) = self.recent.get(peer.sent + 1) else {
-                    break;
-                };
-                messages.push(Message::Append {
-                    from: me,
-                    epoch,
-                    reign: reign.epoch,
-                    batch: batch.clone(),
-                });
-                peer.sent += 1;
-            }
-        } else if position != self.applied && peer.responds(now) {
-            let last_copy = &mut reign.last_copy;
-            let (applied, state) = (self.applied, &self.state);
-            let copy = peer.copy.get_or_insert_with(|| {
-                *last_copy += 1;
-                log::info!(
-                    "whole copy {last_copy} to {id}: its position {position:?}, here {applied:?}"
-                );
-                crate::copy::OutgoingCopy::new(*last_copy, applied, state.clone(), now)
-            });
-            for part in copy.due(now) {
-                messages.push(Message::Copy {
-                    from: me,
-                    epoch,
-                    reign: reign.epoch,
-                    copy: copy.id,
-                    index: part.index,
-                    last: part.last,
-                    position: copy.position,
-                    writes: part.writes,
-                });
-            }
         }
-        let to = peer.address.clone();
-        for message in messages {
-            self.send(to.clone(), message);
+        if let Some(append) = self.pipeline.commit(sequence) {
+            core.appends.committed = append;
+            core.outbox.push(Output::Committed { sequence: append });
         }
+        self.create_batches(core);
     }
 
-    /// Counts the batches that all have synced.
-    pub(crate) fn update_committed(&mut self) {
-        let Some(reign) = &self.reign else { return };
-        if !self.has_enough_replicas() {
-            return;
-        }
-        let mut all = if self.synced.epoch == reign.epoch {
-            self.synced.sequence
+    /// Sequence of the newest batch of this term that this primary and all required replicas have synced.
+    fn synced_by_all(&self, core: &CoordinatorCore) -> u64 {
+        let own = core.state.synced();
+        let mut all = if own.epoch == self.number {
+            own.sequence
         } else {
             0
         };
-        if !cfg!(feature = "mutant-copies") {
-            for id in self.required(reign) {
-                let peer = reign.peers.get(&id);
-                let synced = peer
-                    .and_then(|peer| peer.acknowledged(reign.epoch))
-                    .unwrap_or(0);
-                all = all.min(synced);
-            }
+        if cfg!(feature = "mutant-copies") {
+            return all;
         }
-        self.commit_up_to(all);
+        for id in self.required_replicas(core) {
+            let peer = self.peers.get(&id);
+            let synced = peer.and_then(|peer| peer.acknowledged(self.number));
+            all = all.min(synced.unwrap_or(0));
+        }
+        all
     }
 
-    fn commit_up_to(&mut self, sequence: u64) {
-        let Some(reign) = &mut self.reign else { return };
-        if sequence <= reign.committed {
+    /// Tells machines that they were removed, once more members have the record on disk than disks may be lost. A machine
+    /// that leaves ends when it learns of its removal: before that, the only ones that know of it could be lost, and the
+    /// record before counts on that machine.
+    pub(crate) fn notify_removed_members(&mut self, core: &mut CoordinatorCore) {
+        if self.removed_members.is_empty() {
             return;
         }
-        reign.committed = sequence;
-        let mut append = None;
-        while let Some(oldest) = reign
-            .outstanding
-            .pop_front_if(|oldest| oldest.sequence <= sequence)
-        {
-            append = oldest.append.or(append);
-        }
-        if let Some(append) = append {
-            self.committed = append;
-            self.out.push(Output::Committed { sequence: append });
+        let needed = core.min_replicas(core.record());
+        let own_epoch = core.synced_record_epoch;
+        let peers = &self.peers;
+        let holders = |epoch: u64| {
+            let others = peers
+                .values()
+                .filter(|peer| peer.synced_record_epoch >= epoch);
+            usize::from(own_epoch >= epoch) + others.count()
+        };
+        let is_safe = |epoch: u64| holders(epoch) >= needed || cfg!(feature = "mutant-dismissal");
+        let (safe, others): (Vec<_>, Vec<_>) = self
+            .removed_members
+            .drain(..)
+            .partition(|removed| is_safe(removed.epoch));
+        self.removed_members = others;
+        for removed in safe {
+            core.send_newest_record(&removed.address);
         }
-        self.cut_batches();
     }
 }
 
-impl Reign {
-    /// Takes appends of about so many bytes, at least one; with the number of the newest.
-    fn take_pending(&mut self, most_bytes: usize) -> (Option<u64>, Vec<Write>) {
-        let mut taken = Vec::new();
-        let mut newest = None;
-        let mut bytes = 0;
-        let mut count = 0;
-        for (append, writes) in &mut self.pending {
-            if bytes >= most_bytes {
-                break;
-            }
-            bytes += writes.iter().map(write_bytes).sum::<usize>();
-            newest = Some(*append);
-            taken.append(writes);
-            count += 1;
-        }
-        self.pending.drain(..count);
-        (newest, taken)
+/// Who sends data, as each message of data says.
+#[derive(Clone, Copy, Debug)]
+struct DataHeader {
+    from: DiskId,
+    epoch: u64,
+    term: u64,
+}
+
+/// The messages of data that are due to a member: batches, where the kept ones reach back to its position, else parts of a
+/// snapshot.
+fn due_messages(
+    core: &CoordinatorCore,
+    id: DiskId,
+    peer: &mut Peer,
+    header: DataHeader,
+    last_snapshot_id: &mut u64,
+) -> Vec<Message> {
+    let Some(position) = peer.position else {
+        return Vec::new();
+    };
+    if core.state.recent().reaches_from(position) {
+        peer.snapshot = None;
+        peer.rewind_if_due(core.now_ms);
+        return due_batches(core, peer, position, header);
+    }
+    if position == core.state.applied() || !peer.is_responsive(core.now_ms) {
+        return Vec::new();
     }
+    let snapshot = peer
+        .snapshot
+        .get_or_insert_with(|| start_snapshot(core, id, position, last_snapshot_id));
+    due_parts(snapshot, header, core.now_ms)
+}
 
-    pub(crate) fn peer_statuses(&self, now: Millis) -> Vec<PeerStatus> {
-        let status = |(id, peer): (&DiskId, &Peer)| PeerStatus {
-            id: *id,
-            position: peer.position.unwrap_or_default(),
-            silent_ms: now.saturating_sub(peer.heard),
+fn due_batches(
+    core: &CoordinatorCore,
+    peer: &mut Peer,
+    position: LogPosition,
+    header: DataHeader,
+) -> Vec<Message> {
+    let end = (position.sequence + MAX_UNACKNOWLEDGED_BATCHES).min(core.state.applied().sequence);
+    let mut messages = Vec::new();
+    while peer.last_sent < end {
+        let Some(batch) = core.state.recent().get(peer.last_sent + 1) else {
+            break;
         };
-        self.peers.iter().map(status).collect()
+        messages.push(Message::Append {
+            from: header.from,
+            epoch: header.epoch,
+            term: header.term,
+            batch: batch.clone(),
+        });
+        peer.last_sent += 1;
     }
+    messages
+}
+
+fn start_snapshot(
+    core: &CoordinatorCore,
+    receiver: DiskId,
+    receiver_position: LogPosition,
+    last_snapshot_id: &mut u64,
+) -> SnapshotSender {
+    *last_snapshot_id += 1;
+    let applied = core.state.applied();
+    log::info!(
+        "sending snapshot {last_snapshot_id} to {receiver}: its position {receiver_position:?}, ours {applied:?}"
+    );
+    SnapshotSender::new(
+        *last_snapshot_id,
+        applied,
+        core.state.map().clone(),
+        core.now_ms,
+    )
+}
+
+fn due_parts(snapshot: &mut SnapshotSender, header: DataHeader, now_ms: Millis) -> Vec<Message> {
+    let (id, position) = (snapshot.id, snapshot.position);
+    let parts = snapshot.take_due_parts(now_ms);
+    let message = |part: PartContent| {
+        Message::SnapshotPart(SnapshotPart {
+            from: header.from,
+            epoch: header.epoch,
+            term: header.term,
+            snapshot: id,
+            index: part.index,
+            last: part.last,
+            position,
+            writes: part.writes,
+        })
+    };
+    parts.into_iter().map(message).collect()
 }
--- /dev/null
+++ b/crates/coordination/src/snapshot.rs
@@ -0,0 +1,190 @@
+//! Snapshots of the replicated state, sent in parts and installed at once.
+//!
+//! A part may be lost, duplicated or late like any message. The receiver names the part that it wants next; the sender
+//! keeps a window of unacknowledged parts and sends them again after a while.
+
+use crate::batch::LogPosition;
+use crate::limits::{MAX_UNACKNOWLEDGED_PARTS, SNAPSHOT_PART_BYTES};
+use crate::log_cache::write_bytes;
+use crate::storage::StateMap;
+use crate::timing::RETRANSMIT_INTERVAL_MS;
+use std::collections::BTreeMap;
+use std::ops::Bound;
+use std::sync::Arc;
+use streamusher_protocol::store::Write;
+use streamusher_protocol::Millis;
+
+/// The content of one part.
+#[derive(Clone, Debug)]
+pub(crate) struct PartContent {
+    /// Number of the part, from 0.
+    pub(crate) index: u64,
+    /// Whether no part follows.
+    pub(crate) last: bool,
+    pub(crate) writes: Vec<Write>,
+}
+
+/// A snapshot on its way to a replica. It holds the state as it was at its position, which costs O(1).
+#[derive(Clone, Debug)]
+pub(crate) struct SnapshotSender {
+    pub(crate) id: u64,
+    pub(crate) position: LogPosition,
+    /// When it began, or when a part was last acknowledged.
+    pub(crate) progress_ms: Millis,
+    state: StateMap,
+    /// First key of each part known so far; the first part begins at the start of the state.
+    first_keys: Vec<Option<Arc<str>>>,
+    /// Whether `first_keys` holds all parts.
+    is_divided: bool,
+    /// Parts below this number are acknowledged.
+    acknowledged: u64,
+    /// Parts below this number are sent.
+    sent: u64,
+    resend_at_ms: Millis,
+}
+
+impl SnapshotSender {
+    /// A snapshot of this state.
+    pub(crate) fn new(
+        id: u64,
+        position: LogPosition,
+        state: StateMap,
+        now_ms: Millis,
+    ) -> SnapshotSender {
+        SnapshotSender {
+            id,
+            position,
+            progress_ms: now_ms,
+            state,
+            first_keys: vec![None],
+            is_divided: false,
+            acknowledged: 0,
+            sent: 0,
+            resend_at_ms: now_ms,
+        }
+    }
+
+    /// The receiver wants this part next. "Part 0" may come from a receiver that has restarted, and is sent from the start
+    /// then; or it may be an acknowledgement that was delayed. So a receiver that claims more parts is believed, whatever was
+    /// sent since: it has nothing but parts of this snapshot.
+    pub(crate) fn on_acknowledged(&mut self, next: u64, now_ms: Millis) {
+        if next == 0 && self.acknowledged > 0 {
+            self.acknowledged = 0;
+            self.sent = 0;
+        }
+        let known_parts = if cfg!(feature = "mutant-late-word") {
+            self.sent
+        } else {
+            self.first_keys.len() as u64
+        };
+        if next > self.acknowledged && next <= known_parts {
+            self.acknowledged = next;
+            self.sent = self.sent.max(next);
+            self.progress_ms = now_ms;
+            self.resend_at_ms = now_ms + RETRANSMIT_INTERVAL_MS;
+        }
+    }
+
+    /// Takes the parts that are to be sent now.
+    pub(crate) fn take_due_parts(&mut self, now_ms: Millis) -> Vec<PartContent> {
+        if now_ms >= self.resend_at_ms {
+            self.sent = self.acknowledged;
+            self.resend_at_ms = now_ms + RETRANSMIT_INTERVAL_MS;
+        }
+        let mut parts = Vec::new();
+        while self.sent < self.acknowledged + MAX_UNACKNOWLEDGED_PARTS {
+            let Some(part) = self.part(self.sent) else {
+                break;
+            };
+            self.sent += 1;
+            parts.push(part);
+        }
+        parts
+    }
+
+    /// The part with this number, if the state has so many; notes where the next one begins.
+    fn part(&mut self, index: u64) -> Option<PartContent> {
+        let first_key = self.first_keys.get(usize::try_from(index).ok()?)?.clone();
+        let start = first_key.map_or(Bound::Unbounded, Bound::Included);
+        let mut writes = Vec::new();
+        let mut bytes = 0;
+        let mut next_key = None;
+        for (key, value) in self.state.range((start, Bound::Unbounded)) {
+            if bytes >= SNAPSHOT_PART_BYTES {
+                next_key = Some(key.clone());
+                break;
+            }
+            let write = Write::set(key.clone(), value.clone());
+            bytes += write_bytes(&write);
+            writes.push(write);
+        }
+        let last = next_key.is_none();
+        let is_newest = index + 1 == self.first_keys.len() as u64;
+        if is_newest && !self.is_divided {
+            self.is_divided = last;
+            self.first_keys.extend(next_key.map(Some));
+        }
+        Some(PartContent {
+            index,
+            last,
+            writes,
+        })
+    }
+}
+
+/// A snapshot that is being received.
+#[derive(Clone, Debug)]
+pub(crate) struct SnapshotReceiver {
+    /// Term of the sender.
+    pub(crate) term: u64,
+    /// Number of the snapshot within the term.
+    pub(crate) id: u64,
+    pub(crate) position: LogPosition,
+    /// The part wanted next.
+    next: u64,
+    is_complete: bool,
+    /// All parts below `next`.
+    writes: Vec<Write>,
+    /// Parts that came before the ones in front of them.
+    early_parts: BTreeMap<u64, PartContent>,
+}
+
+impl SnapshotReceiver {
+    /// A snapshot of which nothing has been received.
+    pub(crate) fn new(term: u64, id: u64, position: LogPosition) -> SnapshotReceiver {
+        SnapshotReceiver {
+            term,
+            id,
+            position,
+            next: 0,
+            is_complete: false,
+            writes: Vec::new(),
+            early_parts: BTreeMap::new(),
+        }
+    }
+
+    /// The part wanted next.
+    pub(crate) fn next(&self) -> u64 {
+        self.next
+    }
+
+    /// Whether all parts have been received.
+    pub(crate) fn is_complete(&self) -> bool {
+        self.is_complete
+    }
+
+    /// Takes a part, whatever the order; returns the whole state if the snapshot is completed by it.
+    pub(crate) fn on_part(&mut self, part: PartContent) -> Option<Vec<Write>> {
+        let wanted = self.next..self.next + MAX_UNACKNOWLEDGED_PARTS;
+        if !wanted.contains(&part.index) || self.is_complete {
+            return None;
+        }
+        self.early_parts.insert(part.index, part);
+        while let Some(part) = self.early_parts.remove(&self.next) {
+            self.writes.extend(part.writes);
+            self.next += 1;
+            self.is_complete |= part.last;
+        }
+        self.is_complete.then(|| std::mem::take(&mut self.writes))
+    }
+}
--- a/crates/coordination/tests/cluster/checks.rs
+++ b/crates/coordination/tests/cluster/checks.rs
@@ -7,7 +7,7 @@
 
 /// What has been seen so far.
 #[derive(Default)]
-pub struct Checks {
+pub(crate) struct Checks {
     /// Keys that were committed, with the reign in which that was.
     pub committed: BTreeMap<u64, u64>,
     /// What was on disks that were lost. An acknowledgement of theirs may still be under way.
@@ -18,7 +18,7 @@
 
 impl Cluster {
     /// At most one machine may act, frozen ones included.
-    pub fn check_actors(&self) {
+    pub(crate) fn check_actors(&self) {
         let may_act = |index: &usize| {
             let process = self.nodes[*index].process.as_ref();
             process.is_some_and(|process| process.may_act(self.now))
@@ -32,7 +32,7 @@
     }
 
     /// Whoever knows the record of an epoch knows the same.
-    pub fn check_record(&mut self, index: usize) {
+    pub(crate) fn check_record(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         let Some(process) = &node.process else { return };
         let epoch = process.epoch();
@@ -51,7 +51,7 @@
     }
 
     /// From its first act on, a primary shows all that its state holds: that counts as committed.
-    pub fn note_exposed(&mut self, index: usize) {
+    pub(crate) fn note_exposed(&mut self, index: usize) {
         let Some(process) = &self.nodes[index].process else {
             return;
         };
@@ -72,7 +72,7 @@
     }
 
     /// What is committed is synced on more disks than may be lost.
-    pub fn check_copies(&self, key: u64) {
+    pub(crate) fn check_copies(&self, key: u64) {
         let name = format!("key/{key:08}");
         let disks = self
             .nodes
@@ -91,7 +91,7 @@
 
     /// A new primary holds all that was committed in earlier reigns. (One that stood still may find itself elected when
     /// later ones have already followed; it never acts.)
-    pub fn check_state(&self, index: usize) {
+    pub(crate) fn check_state(&self, index: usize) {
         let Some(process) = &self.nodes[index].process else {
             return;
         };
@@ -120,7 +120,7 @@
     }
 
     /// All replicas hold the same on disk; call it when nothing is under way.
-    pub fn check_replicas_agree(&self) {
+    pub(crate) fn check_replicas_agree(&self) {
         let replicas = self.replicas();
         let disk = |index: &usize| &self.nodes[*index].durable;
         for pair in replicas.windows(2) {
@@ -138,7 +138,7 @@
         }
     }
 
-    pub fn describe(&self) -> String {
+    pub(crate) fn describe(&self) -> String {
         let mut text = format!("at {}, cuts {:?}\n", self.now - 1_000_000, self.cuts);
         for (index, node) in self.nodes.iter().enumerate() {
             match &node.process {
@@ -148,7 +148,7 @@
                         .record
                         .replicas
                         .iter()
-                        .map(|id| id.to_string())
+                        .map(std::string::ToString::to_string)
                         .collect();
                     let members = status.record.members.len();
                     for peer in &status.peers {
--- a/crates/coordination/tests/cluster/mod.rs
+++ b/crates/coordination/tests/cluster/mod.rs
@@ -1,8 +1,8 @@
 //! Core machines in one process and in virtual time, with faults from a seed and checks after every step.
 #![allow(dead_code)]
 
-pub mod checks;
-pub mod schedule;
+pub(crate) mod checks;
+pub(crate) mod schedule;
 
 use checks::Checks;
 use rand::{Rng, SeedableRng};
@@ -14,16 +14,16 @@
 use streamusher_protocol::store::Write;
 use streamusher_protocol::Millis;
 
-pub const TICK_MS: Millis = 20;
-pub const LEASE_MS: Millis = 800;
+pub(crate) const TICK_MS: Millis = 20;
+pub(crate) const LEASE_MS: Millis = 800;
 /// A machine that has just come (back) is caught up by then.
-pub const CATCH_UP_MS: Millis = 4_000;
+pub(crate) const CATCH_UP_MS: Millis = 4_000;
 
 /// A late message comes by then.
 const MOST_LATE_MS: Millis = 3_000;
 
 /// Chooses messages that are lost.
-pub type Losses = Box<dyn FnMut(usize, usize, &Message) -> bool>;
+pub(crate) type Losses = Box<dyn FnMut(usize, usize, &Message) -> bool>;
 
 /// What happens at a point in time.
 enum Event {
@@ -48,7 +48,7 @@
 }
 
 /// A machine with its disk.
-pub struct Node {
+pub(crate) struct Node {
     pub address: CoreAddress,
     pub process: Option<Coordinator>,
     pub life: u64,
@@ -72,7 +72,7 @@
 }
 
 /// The machines, the links between them, and the time.
-pub struct Cluster {
+pub(crate) struct Cluster {
     pub now: Millis,
     pub nodes: Vec<Node>,
     pub random: Pcg64Mcg,
@@ -100,7 +100,7 @@
 
 impl Cluster {
     /// A cluster at its very first start: the first three machines are the seeds.
-    pub fn new(size: usize, tolerance: usize, seed: u64) -> Cluster {
+    pub(crate) fn new(size: usize, tolerance: usize, seed: u64) -> Cluster {
         let nodes: Vec<Node> = (0..size).map(new_node).collect();
         let seeds = nodes
             .iter()
@@ -131,7 +131,7 @@
     }
 
     /// As `new`, started and with a primary that may act and all machines as members.
-    pub fn calm(size: usize, tolerance: usize, seed: u64) -> Cluster {
+    pub(crate) fn calm(size: usize, tolerance: usize, seed: u64) -> Cluster {
         let mut cluster = Cluster::new(size, tolerance, seed);
         cluster.start_all();
         cluster.run_until_calm(4_000);
@@ -140,7 +140,7 @@
         cluster
     }
 
-    pub fn start_all(&mut self) {
+    pub(crate) fn start_all(&mut self) {
         for node in 0..self.nodes.len() {
             if self.nodes[node].process.is_none() && !self.nodes[node].is_removed {
                 self.start(node);
@@ -150,18 +150,18 @@
     }
 
     /// Adds a machine that was never there; it is not started.
-    pub fn add_machine(&mut self) -> usize {
+    pub(crate) fn add_machine(&mut self) -> usize {
         let index = self.nodes.len();
         self.nodes.push(new_node(index));
         index
     }
 
-    pub fn tell(&mut self, text: impl Into<String>) {
+    pub(crate) fn tell(&mut self, text: impl Into<String>) {
         self.story
             .push(format!("{:>6} {}", self.now - 1_000_000, text.into()));
     }
 
-    pub fn start(&mut self, index: usize) {
+    pub(crate) fn start(&mut self, index: usize) {
         self.tell(format!("start {index}"));
         let settings = CoordinatorSettings {
             address: self.nodes[index].address.clone(),
@@ -186,7 +186,7 @@
     }
 
     /// The process ends at once. A change of the disk under way is made or not.
-    pub fn crash(&mut self, index: usize) {
+    pub(crate) fn crash(&mut self, index: usize) {
         self.tell(format!("crash {index}"));
         let made = self.random.random_bool(0.5);
         let node = &mut self.nodes[index];
@@ -198,7 +198,7 @@
     }
 
     /// The machine loses its disk, and its process with it.
-    pub fn wipe(&mut self, index: usize) {
+    pub(crate) fn wipe(&mut self, index: usize) {
         self.crash(index);
         self.tell(format!("wipe {index}"));
         let lost = std::mem::take(&mut self.nodes[index].durable);
@@ -206,24 +206,24 @@
     }
 
     /// A machine that is down never comes back.
-    pub fn remove(&mut self, index: usize) {
+    pub(crate) fn remove(&mut self, index: usize) {
         self.tell(format!("remove {index}"));
         self.nodes[index].is_removed = true;
     }
 
-    pub fn freeze(&mut self, index: usize, span: Millis) {
+    pub(crate) fn freeze(&mut self, index: usize, span: Millis) {
         self.tell(format!("freeze {index} for {span}"));
         self.nodes[index].frozen_until = self.now + span;
     }
 
-    pub fn leave(&mut self, index: usize) {
+    pub(crate) fn leave(&mut self, index: usize) {
         self.tell(format!("leave {index}"));
         self.nodes[index].is_leaving = true;
         self.hand_in(index, Input::Leave);
     }
 
     /// Cuts both ways between the two sides.
-    pub fn cut(&mut self, side: &[usize]) {
+    pub(crate) fn cut(&mut self, side: &[usize]) {
         self.tell(format!("cut {side:?} off"));
         for a in 0..self.nodes.len() {
             for b in 0..self.nodes.len() {
@@ -234,7 +234,7 @@
         }
     }
 
-    pub fn heal(&mut self) {
+    pub(crate) fn heal(&mut self) {
         self.tell("heal");
         self.cuts.clear();
         self.loss = 0.0;
@@ -252,7 +252,7 @@
             .insert((self.now + after, self.next_event), event);
     }
 
-    pub fn run(&mut self, span: Millis) {
+    pub(crate) fn run(&mut self, span: Millis) {
         let end = self.now + span;
         while let Some(entry) = self.events.first_entry() {
             if entry.key().0 > end {
@@ -267,7 +267,7 @@
     }
 
     /// Runs until so many messages have come or changes of a disk have been made, at most for `most`.
-    pub fn run_steps(&mut self, steps: usize, most: Millis) {
+    pub(crate) fn run_steps(&mut self, steps: usize, most: Millis) {
         let end = self.now + most;
         let mut taken = 0;
         while let Some(entry) = self.events.first_entry() {
@@ -286,7 +286,7 @@
     }
 
     /// All is mended: after a while one acts, with all members and replicas, and nothing was lost.
-    pub fn settle(&mut self) {
+    pub(crate) fn settle(&mut self) {
         self.mend();
         self.run(CATCH_UP_MS);
         self.run_until_calm(2_000);
@@ -306,7 +306,7 @@
     }
 
     /// Runs until `done` holds, at most for `most`; returns how long that took.
-    pub fn run_until(
+    pub(crate) fn run_until(
         &mut self,
         most: Millis,
         mut done: impl FnMut(&Cluster) -> bool,
@@ -321,7 +321,7 @@
         done(self).then_some(most)
     }
 
-    pub fn run_until_calm(&mut self, most: Millis) {
+    pub(crate) fn run_until_calm(&mut self, most: Millis) {
         let done = self.run_until(most, Cluster::is_calm);
         assert!(
             done.is_some(),
@@ -331,7 +331,7 @@
     }
 
     /// A primary acts, every running machine is a member, and there are as many replicas as are wanted.
-    pub fn is_calm(&self) -> bool {
+    pub(crate) fn is_calm(&self) -> bool {
         let Some(primary) = self.actor() else {
             return false;
         };
@@ -351,7 +351,7 @@
     }
 
     /// The machine that may act.
-    pub fn actor(&self) -> Option<usize> {
+    pub(crate) fn actor(&self) -> Option<usize> {
         let may_act = |node: &Node| {
             node.process
                 .as_ref()
@@ -362,14 +362,14 @@
             .position(|node| may_act(node) && node.frozen_until <= self.now)
     }
 
-    pub fn record(&self, index: usize) -> Option<Arc<EpochRecord>> {
+    pub(crate) fn record(&self, index: usize) -> Option<Arc<EpochRecord>> {
         self.nodes[index]
             .process
             .as_ref()
             .map(|process| process.status(self.now).record)
     }
 
-    pub fn id(&self, index: usize) -> DiskId {
+    pub(crate) fn id(&self, index: usize) -> DiskId {
         self.nodes[index]
             .durable
             .witness
@@ -378,7 +378,7 @@
     }
 
     /// Machines that are replicas in the actor's record, the actor first.
-    pub fn replicas(&self) -> Vec<usize> {
+    pub(crate) fn replicas(&self) -> Vec<usize> {
         let Some(actor) = self.actor() else {
             return Vec::new();
         };
@@ -460,7 +460,7 @@
         self.carry_out(index, outputs);
     }
 
-    pub fn hand_in(&mut self, index: usize, input: Input) {
+    pub(crate) fn hand_in(&mut self, index: usize, input: Input) {
         let now = self.now;
         let Some(process) = self.nodes[index].process.as_mut() else {
             return;
--- a/crates/coordination/tests/cluster/schedule.rs
+++ b/crates/coordination/tests/cluster/schedule.rs
@@ -7,7 +7,7 @@
 
 impl Cluster {
     /// Some seconds of faults, with no more wiped at once than is tolerated.
-    pub fn run_faults(&mut self, count: usize) {
+    pub(crate) fn run_faults(&mut self, count: usize) {
         for _ in 0..count {
             self.one_fault();
             let wait = self.random.random_range(5..1_500);
@@ -87,7 +87,7 @@
     }
 
     /// All lose power; some lose their disks.
-    pub fn power_loss(&mut self, wiped: usize) {
+    pub(crate) fn power_loss(&mut self, wiped: usize) {
         let wiped = self.some_nodes(wiped);
         for index in 0..self.nodes.len() {
             if wiped.contains(&index) {
@@ -138,7 +138,7 @@
             let is_gone = self.nodes[index]
                 .process
                 .as_ref()
-                .is_none_or(|process| process.may_leave());
+                .is_none_or(streamusher_coordination::Coordinator::may_leave);
             if is_gone && self.random.random_bool(0.5) {
                 self.restart(index);
             }
@@ -153,7 +153,7 @@
     }
 
     /// Everything runs again and all links are sound.
-    pub fn mend(&mut self) {
+    pub(crate) fn mend(&mut self) {
         self.heal();
         for index in 0..self.nodes.len() {
             let node = &mut self.nodes[index];
@@ -169,7 +169,7 @@
 
     /// Faults so close together that each meets the repair of the one before: links go and come one way at a time,
     /// processes die and return at once, some messages come seconds late. No disk is lost.
-    pub fn run_storm(&mut self, span: Millis) {
+    pub(crate) fn run_storm(&mut self, span: Millis) {
         let end = self.now + span;
         self.late = 0.03;
         self.loss = 0.02;
--- a/crates/coordination/tests/copies.rs
+++ b/crates/coordination/tests/copies.rs
@@ -31,7 +31,7 @@
     let words: Rc<RefCell<Vec<Message>>> = Rc::default();
     let noted = words.clone();
     cluster.loses = Some(Box::new(move |from, _, message| {
-        if from == replica && matches!(message, Message::CopyNext { .. }) {
+        if from == replica && matches!(message, Message::SnapshotAck { .. }) {
             noted.borrow_mut().push(message.clone());
         }
         false
@@ -43,13 +43,13 @@
         "no copy: {}",
         cluster.describe()
     );
-    let Some(Message::CopyNext { from, copy, .. }) = words.borrow().first().cloned() else {
+    let Some(Message::SnapshotAck { from, snapshot, .. }) = words.borrow().first().cloned() else {
         panic!("no word")
     };
     let address: Arc<str> = cluster.nodes[replica].address.internal.clone();
-    let late = Message::CopyNext {
+    let late = Message::SnapshotAck {
         from,
-        copy,
+        snapshot,
         next: 0,
     };
     cluster.hand_in(
--- a/crates/coordination/tests/encoded.rs
+++ b/crates/coordination/tests/encoded.rs
@@ -1,13 +1,19 @@
 //! The encoded form of all that is sent and stored, byte for byte: members of other releases read it, and so do later
 //! releases of this program from disk.
 
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
+
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt::{Debug, Write as _};
 use std::sync::Arc;
 use streamusher_coordination::{
-    Batch, CoordinatorStatus, DiskId, EpochRecord, LogPosition, Member, Message, PeerStatus,
-    ProposalNumber, Role, WitnessState,
+    Batch, CoordinatorStatus, DiskId, EpochRecord, KeepaliveAck, LogPosition, Member, Message,
+    PeerStatus, ProposalNumber, Role, SnapshotPart, WitnessState,
 };
 use streamusher_protocol::internal::CoreAddress;
 use streamusher_protocol::store::Write;
@@ -49,7 +55,7 @@
     })
 }
 
-fn ballot() -> ProposalNumber {
+fn number() -> ProposalNumber {
     ProposalNumber {
         round: 3,
         disk: DiskId(2),
@@ -70,7 +76,7 @@
     encoded.add("member", &member(1));
     encoded.add("epoch-record-full", &record());
     encoded.add("epoch-record-least", &EpochRecord::default());
-    encoded.add("proposal-number", &ballot());
+    encoded.add("proposal-number", &number());
     encoded.add("log-position", &position(9));
     let batch = Batch {
         previous: position(8),
@@ -82,8 +88,8 @@
         id: DiskId(2),
         starts: 4,
         decided: record(),
-        promise: ballot(),
-        accepted: Some((ballot(), record())),
+        promise: number(),
+        accepted: Some((number(), record())),
         candidate: true,
     };
     encoded.add("witness-state-full", &full);
@@ -114,11 +120,11 @@
 }
 
 fn proposal_messages() -> Vec<Message> {
-    let (from, instance, ballot) = (DiskId(2), 8, ballot());
+    let (from, instance, number) = (DiskId(2), 8, number());
     let promised = |accepted| Message::Promised {
         from,
         instance,
-        ballot,
+        number,
         accepted,
         position: position(9),
     };
@@ -130,59 +136,63 @@
         Message::Decided { record: record() },
         Message::Prepare {
             base: record(),
-            ballot,
+            number,
         },
-        promised(Some((ballot, record()))),
+        promised(Some((number, record()))),
         promised(None),
         Message::Accept {
             base: record(),
-            ballot,
+            number,
             value: record(),
         },
         Message::Accepted {
             from,
             instance,
-            ballot,
+            number,
         },
-        Message::Refused {
+        Message::Rejected {
             instance,
-            promise: ballot,
+            promise: number,
         },
-        Message::Vacant { from, reign: 5 },
+        Message::TermEnded { from, term: 5 },
     ]
 }
 
 fn replication_messages() -> Vec<Message> {
-    let (from, epoch, reign) = (DiskId(1), 7, 5);
-    let alive = |leaving| Message::Alive {
-        from,
-        reign,
-        sent: 1_234,
-        position: position(9),
-        leaving,
-        recorded: 7,
+    let (from, epoch, term) = (DiskId(1), 7, 5);
+    let keepalive_ack = |leaving| {
+        Message::KeepaliveAck(KeepaliveAck {
+            from,
+            term,
+            sent_ms: 1_234,
+            position: position(9),
+            leaving,
+            recorded_epoch: 7,
+        })
     };
-    let copy = |last| Message::Copy {
-        from,
-        epoch,
-        reign,
-        copy: 2,
-        index: 3,
-        last,
-        position: position(9),
-        writes: writes(),
+    let snapshot_part = |last| {
+        Message::SnapshotPart(SnapshotPart {
+            from,
+            epoch,
+            term,
+            snapshot: 2,
+            index: 3,
+            last,
+            position: position(9),
+            writes: writes(),
+        })
     };
     vec![
         Message::Keepalive {
             record: record(),
-            sent: 1_234,
+            sent_ms: 1_234,
         },
-        alive(true),
-        alive(false),
+        keepalive_ack(true),
+        keepalive_ack(false),
         Message::Append {
             from,
             epoch,
-            reign,
+            term,
             batch: Batch {
                 previous: position(8),
                 position: position(9),
@@ -191,14 +201,14 @@
         },
         Message::Synced {
             from,
-            reign,
+            term,
             position: position(9),
         },
-        copy(true),
-        copy(false),
-        Message::CopyNext {
+        snapshot_part(true),
+        snapshot_part(false),
+        Message::SnapshotAck {
             from,
-            copy: 2,
+            snapshot: 2,
             next: 4,
         },
     ]
@@ -224,13 +234,13 @@
 fn an_acknowledgement_without_its_record_is_read_as_of_record_0() {
     let text = r#"{"Alive":{"from":1,"reign":5,"sent":9,"position":{"epoch":5,"sequence":9},"leaving":false,"later":1}}"#;
     let read: Message = serde_json::from_str(text).unwrap();
-    let expected = Message::Alive {
+    let expected = Message::KeepaliveAck(KeepaliveAck {
         from: DiskId(1),
-        reign: 5,
-        sent: 9,
+        term: 5,
+        sent_ms: 9,
         position: position(9),
         leaving: false,
-        recorded: 0,
-    };
+        recorded_epoch: 0,
+    });
     assert_eq!(read, expected);
 }
--- a/crates/coordination/tests/messages.rs
+++ b/crates/coordination/tests/messages.rs
@@ -4,7 +4,10 @@
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
 use std::sync::Arc;
-use streamusher_coordination::*;
+use streamusher_coordination::{
+    Batch, Coordinator, CoordinatorSettings, DiskId, DiskImage, EpochRecord, Input, KeepaliveAck,
+    LogPosition, Member, Message, Output, ProposalNumber, SnapshotPart,
+};
 use streamusher_protocol::internal::CoreAddress;
 use streamusher_protocol::store::Write;
 
@@ -41,7 +44,7 @@
     while let Some(output) = open.pop() {
         match output {
             Output::Persist { ticket, .. } => {
-                open.extend(machine.handle(now, Input::Persisted { ticket }))
+                open.extend(machine.handle(now, Input::Persisted { ticket }));
             }
             Output::Send { message, .. } => sent.push(message),
             _ => {}
@@ -89,7 +92,7 @@
             record: new.clone(),
         },
     );
-    let ballot = ProposalNumber {
+    let number = ProposalNumber {
         round: 9,
         ..ProposalNumber::default()
     };
@@ -102,7 +105,7 @@
             1_110,
             Message::Keepalive {
                 record: old.clone(),
-                sent: 1
+                sent_ms: 1
             }
         ),
         newest
@@ -113,14 +116,14 @@
             1_110,
             Message::Prepare {
                 base: old.clone(),
-                ballot
+                number
             }
         ),
         newest
     );
     let accept = Message::Accept {
         base: old.clone(),
-        ballot,
+        number,
         value: record(&machine, 3),
     };
     assert_eq!(receive(&mut machine, 1_110, accept), newest);
@@ -149,11 +152,11 @@
         1_100,
         Message::Prepare {
             base: base.clone(),
-            ballot: high,
+            number: high,
         },
     );
-    assert!(matches!(promised[..], [Message::Promised { ballot, .. }] if ballot == high));
-    let refused = vec![Message::Refused {
+    assert!(matches!(promised[..], [Message::Promised { number, .. }] if number == high));
+    let refused = vec![Message::Rejected {
         instance: 6,
         promise: high,
     }];
@@ -163,14 +166,14 @@
             1_110,
             Message::Prepare {
                 base: base.clone(),
-                ballot: low
+                number: low
             }
         ),
         refused
     );
     let accept = Message::Accept {
         base: base.clone(),
-        ballot: low,
+        number: low,
         value: record(&machine, 6),
     };
     assert_eq!(receive(&mut machine, 1_110, accept), refused);
@@ -181,7 +184,7 @@
     let mut machine = started();
     let message = Message::Prepare {
         base: record(&machine, 5),
-        ballot: ProposalNumber {
+        number: ProposalNumber {
             round: 9,
             ..ProposalNumber::default()
         },
@@ -296,7 +299,7 @@
     }
 }
 
-fn any_ballot(random: &mut Pcg64Mcg, machine: &Coordinator) -> ProposalNumber {
+fn any_proposal_number(random: &mut Pcg64Mcg, machine: &Coordinator) -> ProposalNumber {
     ProposalNumber {
         round: any_number(random),
         disk: any_id(random, machine),
@@ -322,7 +325,7 @@
     } else {
         any_number(random)
     };
-    let reign = if random.random_bool(0.6) {
+    let term = if random.random_bool(0.6) {
         epoch
     } else {
         any_number(random)
@@ -331,15 +334,12 @@
     let count = random.random_range(0..5);
     let replicas = (0..count).map(|_| any_id(random, machine)).collect();
     let count = random.random_range(0..12);
-    let members = match random.random_bool(0.7) {
-        true => known.members.clone(),
-        false => (0..count)
-            .map(|index| any_member(random, machine, index))
-            .collect(),
-    };
+    let members = if random.random_bool(0.7) { known.members.clone() } else { (0..count)
+    .map(|index| any_member(random, machine, index))
+    .collect() };
     Arc::new(EpochRecord {
         epoch,
-        term: reign,
+        term,
         primary,
         replicas,
         members,
@@ -356,10 +356,7 @@
 
 fn any_message(random: &mut Pcg64Mcg, machine: &Coordinator) -> Message {
     let from = any_id(random, machine);
-    let (epoch, reign) = match random.random_bool(0.8) {
-        true => (machine.epoch(), machine.status(0).record.term),
-        false => (any_number(random), any_number(random)),
-    };
+    let (epoch, term) = if random.random_bool(0.8) { (machine.epoch(), machine.status(0).record.term) } else { (any_number(random), any_number(random)) };
     let writes = vec![Write::set("key", "value"), Write::remove("other")];
     match random.random_range(0..14) {
         0 => {
@@ -374,47 +371,50 @@
         },
         2 => Message::Prepare {
             base: any_record(random, machine),
-            ballot: any_ballot(random, machine),
+            number: any_proposal_number(random, machine),
         },
         3 => Message::Promised {
             from,
             instance: epoch.saturating_add(1),
-            ballot: any_ballot(random, machine),
-            accepted: Some((any_ballot(random, machine), any_record(random, machine))),
+            number: any_proposal_number(random, machine),
+            accepted: Some((
+                any_proposal_number(random, machine),
+                any_record(random, machine),
+            )),
             position: any_position(random),
         },
         4 => Message::Accept {
             base: any_record(random, machine),
-            ballot: any_ballot(random, machine),
+            number: any_proposal_number(random, machine),
             value: any_record(random, machine),
         },
         5 => Message::Accepted {
             from,
             instance: epoch.saturating_add(1),
-            ballot: any_ballot(random, machine),
+            number: any_proposal_number(random, machine),
         },
-        6 => Message::Refused {
+        6 => Message::Rejected {
             instance: epoch.saturating_add(1),
-            promise: any_ballot(random, machine),
+            promise: any_proposal_number(random, machine),
         },
         7 => Message::Keepalive {
             record: any_record(random, machine),
-            sent: any_number(random),
+            sent_ms: any_number(random),
         },
-        8 => Message::Alive {
+        8 => Message::KeepaliveAck(KeepaliveAck {
             from,
-            reign,
-            sent: any_number(random),
+            term,
+            sent_ms: any_number(random),
             position: any_position(random),
             leaving: random.random(),
-            recorded: any_number(random),
-        },
+            recorded_epoch: any_number(random),
+        }),
         9 => {
             let (previous, position) = (any_position(random), any_position(random));
             Message::Append {
                 from,
                 epoch,
-                reign,
+                term,
                 batch: Batch {
                     previous,
                     position,
@@ -424,24 +424,24 @@
         }
         10 => Message::Synced {
             from,
-            reign,
+            term,
             position: any_position(random),
         },
-        11 => Message::Copy {
+        11 => Message::SnapshotPart(SnapshotPart {
             from,
             epoch,
-            reign,
-            copy: any_number(random),
+            term,
+            snapshot: any_number(random),
             index: any_number(random),
             last: random.random(),
             position: any_position(random),
             writes,
-        },
-        12 => Message::CopyNext {
+        }),
+        12 => Message::SnapshotAck {
             from,
-            copy: any_number(random),
+            snapshot: any_number(random),
             next: any_number(random),
         },
-        _ => Message::Vacant { from, reign },
+        _ => Message::TermEnded { from, term },
     }
 }
--- a/crates/coordination/tests/newcomers.rs
+++ b/crates/coordination/tests/newcomers.rs
@@ -75,7 +75,7 @@
         let Some(new) = seen.get() else { return false };
         match message {
             Message::Accepted { .. } => to == primary,
-            Message::Append { .. } | Message::Copy { .. } => to == new,
+            Message::Append { .. } | Message::SnapshotPart(_) => to == new,
             _ => false,
         }
     }));
--- a/crates/coordination/tests/records_model.rs
+++ b/crates/coordination/tests/records_model.rs
@@ -108,7 +108,7 @@
             | Message::Promised { .. }
             | Message::Accept { .. }
             | Message::Accepted { .. }
-            | Message::Refused { .. }
+            | Message::Rejected { .. }
             | Message::Decided { .. }
     )
 }
@@ -137,7 +137,7 @@
                         .extend(sent.filter(|sent| !self.network.contains(sent)));
                 }
                 Output::Persist { ticket, change } => {
-                    self.nodes[index].under_way = Some((ticket, change))
+                    self.nodes[index].under_way = Some((ticket, change));
                 }
                 _ => {}
             }
--- a/crates/coordination/tests/second_loss.rs
+++ b/crates/coordination/tests/second_loss.rs
@@ -150,7 +150,7 @@
                 cluster.nodes[victim]
                     .process
                     .as_ref()
-                    .is_none_or(|process| process.may_leave())
+                    .is_none_or(streamusher_coordination::Coordinator::may_leave)
             };
             cluster.run_until(GRACE_MS, may_leave);
         }
@@ -231,7 +231,7 @@
         let cluster = &mut self.cluster;
         match second {
             Second::WipeActor | Second::WipeReplica => {
-                victims.into_iter().for_each(|index| cluster.wipe(index))
+                victims.into_iter().for_each(|index| cluster.wipe(index));
             }
             Second::WipeActorAndPower => {
                 victims.into_iter().for_each(|index| cluster.wipe(index));
--- a/crates/coordination/tests/stories.rs
+++ b/crates/coordination/tests/stories.rs
@@ -391,7 +391,7 @@
         cluster.nodes[former]
             .process
             .as_ref()
-            .is_some_and(|process| process.may_leave())
+            .is_some_and(streamusher_coordination::Coordinator::may_leave)
     };
     assert!(
         cluster.run_until(500, may_leave).is_some(),
@@ -410,7 +410,7 @@
         cluster.nodes[replica]
             .process
             .as_ref()
-            .is_some_and(|process| process.may_leave())
+            .is_some_and(streamusher_coordination::Coordinator::may_leave)
     };
     assert!(
         cluster.run_until(500, may_leave).is_some(),
@@ -431,7 +431,7 @@
             cluster.nodes[index]
                 .process
                 .as_ref()
-                .is_some_and(|process| process.may_leave())
+                .is_some_and(streamusher_coordination::Coordinator::may_leave)
         };
         cluster.run_until(3_000, may_leave);
         cluster.crash(index);
@@ -561,7 +561,7 @@
         .nodes
         .iter()
         .filter_map(|node| node.process.as_ref())
-        .map(|p| p.epoch())
+        .map(streamusher_coordination::Coordinator::epoch)
         .sum();
     assert_eq!(epochs, 0);
     assert!(cluster
