--- a/crates/jobs/tests/common/mod.rs
+++ b/crates/jobs/tests/common/mod.rs
@@ -1,47 +1,51 @@
-//! A record with the replicated state and the placement that would stand around it.
+//! A job table together with the replicated state and the placement that would stand around it, and builders of requests
+//! and identifiers.
 
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of this module")]
 
-pub mod oracle;
+pub(crate) mod model;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use streamusher_jobs::{JobChanges, JobSettings, JobTable, QueuePolicy, StartedRun};
+use streamusher_jobs::{CancelOutcome, JobChanges, JobSettings, JobTable, QueuePolicy, StartedRun};
 use streamusher_protocol::heartbeat::Resources;
 use streamusher_protocol::job::{JobRequest, JobState, StepRequest};
 use streamusher_protocol::task::{JobId, RunEnd, RunId, TaskId};
 use streamusher_protocol::unit::{StepId, TaskAssignment, Unit, UnitId};
 use streamusher_protocol::{Millis, Now};
 
-pub const STATUS_MS: Millis = 60_000;
-pub const START: Now = Now {
+/// How long the state of an ended job is retained.
+pub(crate) const RETENTION_MS: Millis = 60_000;
+/// The time at which each harness begins.
+pub(crate) const START: Now = Now {
     steady_ms: 5_000,
     unix_ms: 1_700_000_000_000,
 };
 
-pub fn settings() -> JobSettings {
+pub(crate) fn settings() -> JobSettings {
     JobSettings {
-        retention_ms: STATUS_MS,
+        retention_ms: RETENTION_MS,
     }
 }
 
-pub fn job(number: u64) -> JobId {
+pub(crate) fn job_id(number: u64) -> JobId {
     format!("{number:016x}").parse().expect("a job id")
 }
 
-pub fn task(number: u64, iteration: u32, step: u32, index: u32) -> TaskId {
+pub(crate) fn task_id(number: u64, iteration: u32, step: u32, index: u32) -> TaskId {
     TaskId {
-        job: job(number),
+        job: job_id(number),
         iteration,
         step,
         index,
     }
 }
 
-pub fn unit(number: u64, iteration: u32, step: u32, index: Option<u32>) -> UnitId {
+/// The identifier of a task's unit, or of a gang where there is no index.
+pub(crate) fn unit_id(number: u64, iteration: u32, step: u32, index: Option<u32>) -> UnitId {
     UnitId {
         step: StepId {
-            job: job(number),
+            job: job_id(number),
             iteration,
             step,
         },
@@ -49,18 +53,18 @@
     }
 }
 
-pub fn run(task: TaskId, run: u32) -> RunId {
+pub(crate) fn run_id(task: TaskId, run: u32) -> RunId {
     RunId { task, run }
 }
 
-pub fn assignment(task: TaskId, worker: &str) -> TaskAssignment {
+pub(crate) fn assignment(task: TaskId, worker: &str) -> TaskAssignment {
     TaskAssignment {
         task,
         worker: worker.into(),
     }
 }
 
-pub fn terms(queue: &str) -> QueuePolicy {
+pub(crate) fn policy(queue: &str) -> QueuePolicy {
     QueuePolicy {
         queue: queue.into(),
         service: "imaging".into(),
@@ -71,7 +75,7 @@
     }
 }
 
-pub fn step(count: u32) -> StepRequest {
+pub(crate) fn step(count: u32) -> StepRequest {
     StepRequest {
         count,
         resources: Resources {
@@ -84,22 +88,42 @@
     }
 }
 
-pub fn after(count: u32, depends_on: &[u32]) -> StepRequest {
+pub(crate) fn step_after(count: u32, depends_on: &[u32]) -> StepRequest {
     StepRequest {
         depends_on: depends_on.to_vec(),
         ..step(count)
     }
 }
 
-pub fn gang(count: u32) -> StepRequest {
+pub(crate) fn step_with_checkpoints(count: u32) -> StepRequest {
     StepRequest {
-        gang: true,
         checkpoints: true,
         ..step(count)
     }
 }
 
-pub fn request(steps: Vec<StepRequest>) -> JobRequest {
+pub(crate) fn gang_step(count: u32) -> StepRequest {
+    StepRequest {
+        gang: true,
+        ..step_with_checkpoints(count)
+    }
+}
+
+pub(crate) fn hedged_step(count: u32) -> StepRequest {
+    StepRequest {
+        hedged: true,
+        ..step(count)
+    }
+}
+
+pub(crate) fn long_running_step(count: u32) -> StepRequest {
+    StepRequest {
+        long_running: true,
+        ..step(count)
+    }
+}
+
+pub(crate) fn request(steps: Vec<StepRequest>) -> JobRequest {
     JobRequest {
         spec: "scan 7".into(),
         steps,
@@ -107,36 +131,62 @@
     }
 }
 
-pub struct World {
-    pub book: JobTable,
-    pub now: Now,
-    pub state: BTreeMap<Arc<str>, Arc<str>>,
-    pub ready: BTreeMap<UnitId, Unit>,
-    pub stops: BTreeSet<RunId>,
-    pub last: JobChanges,
+/// A job table, and what its changes amount to so far.
+pub(crate) struct Harness {
+    pub(crate) table: JobTable,
+    pub(crate) now: Now,
+    /// The replicated state.
+    pub(crate) state: BTreeMap<Arc<str>, Arc<str>>,
+    /// Units that wait for placement.
+    pub(crate) ready_units: BTreeMap<UnitId, Unit>,
+    /// All runs that were ever to be stopped.
+    pub(crate) stopped_runs: BTreeSet<RunId>,
+    pub(crate) last_changes: JobChanges,
 }
 
-impl Default for World {
-    fn default() -> World {
-        World::new()
+impl Default for Harness {
+    fn default() -> Harness {
+        Harness::new()
     }
 }
 
-impl World {
-    pub fn new() -> World {
-        World {
-            book: JobTable::new(settings()),
+impl Harness {
+    pub(crate) fn new() -> Harness {
+        Harness::with_table(JobTable::new(settings()))
+    }
+
+    fn with_table(table: JobTable) -> Harness {
+        Harness {
+            table,
             now: START,
             state: BTreeMap::new(),
-            ready: BTreeMap::new(),
-            stops: BTreeSet::new(),
-            last: JobChanges::default(),
+            ready_units: BTreeMap::new(),
+            stopped_runs: BTreeSet::new(),
+            last_changes: JobChanges::default(),
         }
     }
 
-    /// Takes the changes as the scheduler does: writes in one batch, revocations before new units.
-    pub fn take(&mut self) {
-        let changes = self.book.take_changes();
+    /// A harness around the table that is recovered from a replicated state, with the units that it makes ready.
+    pub(crate) fn recovered_from(now: Now, state: BTreeMap<Arc<str>, Arc<str>>) -> Harness {
+        let records = state.iter().map(|(k, v)| (k.clone(), v.clone()));
+        let table = JobTable::recover(settings(), now, records).expect("the state can be read");
+        let mut harness = Harness {
+            now,
+            state,
+            ..Harness::with_table(table)
+        };
+        harness.take_changes();
+        harness
+    }
+
+    /// What a new primary recovers.
+    pub(crate) fn recovered(&self) -> Harness {
+        Harness::recovered_from(self.now, self.state.clone())
+    }
+
+    /// Takes the changes as the scheduler does: writes in one batch, revoked units before ready ones.
+    pub(crate) fn take_changes(&mut self) {
+        let changes = self.table.take_changes();
         let mut keys = BTreeSet::new();
         for write in &changes.writes {
             assert!(
@@ -151,116 +201,113 @@
         }
         for id in &changes.revoked_units {
             assert!(
-                self.ready.remove(id).is_some(),
-                "{id:?} was not given out before it was revoked"
+                self.ready_units.remove(id).is_some(),
+                "{id:?} was not ready before it was revoked"
             );
         }
         for unit in &changes.ready_units {
             assert!(
-                self.ready.insert(unit.id.clone(), unit.clone()).is_none(),
-                "{unit:?} is given out twice"
+                self.ready_units
+                    .insert(unit.id.clone(), unit.clone())
+                    .is_none(),
+                "{unit:?} became ready twice"
             );
         }
-        self.stops.extend(changes.runs_to_stop.iter().cloned());
-        self.last = changes;
+        self.stopped_runs
+            .extend(changes.runs_to_stop.iter().cloned());
+        self.last_changes = changes;
     }
 
-    pub fn pass(&mut self, span: Millis) {
-        self.now.steady_ms += span;
-        self.now.unix_ms += span;
-        self.book.tick(self.now);
-        self.take();
+    /// Lets time pass.
+    pub(crate) fn advance(&mut self, span_ms: Millis) {
+        self.now.steady_ms += span_ms;
+        self.now.unix_ms += span_ms;
+        self.table.tick(self.now);
+        self.take_changes();
     }
 
-    pub fn submit(&mut self, number: u64, request: JobRequest) {
-        self.submit_to(number, request, &terms("scans"));
+    pub(crate) fn submit(&mut self, number: u64, request: JobRequest) {
+        self.submit_with(number, request, &policy("scans"));
     }
 
-    pub fn submit_to(&mut self, number: u64, request: JobRequest, terms: &QueuePolicy) {
-        self.book
-            .submit(self.now, &job(number), request, terms)
-            .expect("the job is taken");
-        self.take();
+    pub(crate) fn submit_with(&mut self, number: u64, request: JobRequest, policy: &QueuePolicy) {
+        self.table
+            .submit(self.now, &job_id(number), request, policy)
+            .expect("the job is accepted");
+        self.take_changes();
     }
 
-    /// Begins a unit, member i at worker `wi`.
-    pub fn begin(&mut self, id: &UnitId) -> Vec<StartedRun> {
+    /// Starts a unit, task i at worker `wi`.
+    pub(crate) fn start(&mut self, id: &UnitId) -> Vec<StartedRun> {
         let unit = self
-            .ready
+            .ready_units
             .remove(id)
-            .unwrap_or_else(|| panic!("{id:?} does not wait"));
+            .unwrap_or_else(|| panic!("{id:?} is not ready"));
         let assignments: Vec<TaskAssignment> = unit
             .tasks
             .iter()
             .enumerate()
             .map(|(index, task)| assignment(task.clone(), &format!("w{index}")))
             .collect();
-        let started = self.book.start_unit(self.now, id, &assignments);
-        self.take();
+        let started = self.table.start_unit(self.now, id, &assignments);
+        self.take_changes();
         started
     }
 
-    pub fn end(&mut self, run: &RunId, how: RunEnd) -> bool {
-        self.end_with(run, how, "")
+    pub(crate) fn finish(&mut self, run: &RunId, end: RunEnd) -> bool {
+        self.finish_with_checkpoint(run, end, "")
     }
 
-    pub fn end_with(&mut self, run: &RunId, how: RunEnd, checkpoint: &str) -> bool {
-        let known = self.book.on_run_finished(self.now, run, how, checkpoint);
-        self.take();
-        known
+    pub(crate) fn finish_with_checkpoint(
+        &mut self,
+        run: &RunId,
+        end: RunEnd,
+        checkpoint: &str,
+    ) -> bool {
+        let is_assigned = self.table.on_run_finished(self.now, run, end, checkpoint);
+        self.take_changes();
+        is_assigned
     }
 
-    /// Begins a waiting unit of one task and ends its run.
-    pub fn play(&mut self, id: &UnitId, how: RunEnd) -> RunId {
-        let started = self.begin(id);
+    /// Starts a ready unit of one task and finishes its run.
+    pub(crate) fn start_and_finish(&mut self, id: &UnitId, end: RunEnd) -> RunId {
+        let started = self.start(id);
         let run = started[0].run.clone();
-        assert!(self.end(&run, how));
+        assert!(self.finish(&run, end));
         run
     }
 
-    pub fn lose(&mut self, run: &RunId) {
-        self.book.on_run_lost(self.now, run);
-        self.take();
+    pub(crate) fn lose(&mut self, run: &RunId) {
+        self.table.on_run_lost(self.now, run);
+        self.take_changes();
     }
 
-    pub fn cancel(&mut self, number: u64) -> streamusher_jobs::CancelOutcome {
-        let cancelled = self.book.cancel(self.now, &job(number));
-        self.take();
-        cancelled
+    pub(crate) fn cancel(&mut self, number: u64) -> CancelOutcome {
+        let outcome = self.table.cancel(self.now, &job_id(number));
+        self.take_changes();
+        outcome
     }
 
-    pub fn status(&self, number: u64) -> Option<JobState> {
-        self.book.status(&job(number))
+    pub(crate) fn status(&self, number: u64) -> Option<JobState> {
+        self.table.status(&job_id(number))
     }
 
-    pub fn waits(&self) -> Vec<UnitId> {
-        self.ready.keys().cloned().collect()
+    /// The identifiers of the units that wait for placement.
+    pub(crate) fn ready_ids(&self) -> Vec<UnitId> {
+        self.ready_units.keys().cloned().collect()
     }
 
-    pub fn keys(&self) -> Vec<String> {
-        self.state.keys().map(|k| k.to_string()).collect()
-    }
-
-    /// The record rebuilt from the state, with the units that it gives out.
-    pub fn recovered(&self) -> World {
-        let records = self.state.iter().map(|(k, v)| (k.clone(), v.clone()));
-        let book = JobTable::recover(settings(), self.now, records).expect("the state can be read");
-        let mut world = World {
-            book,
-            now: self.now,
-            state: self.state.clone(),
-            ..World::new()
-        };
-        world.take();
-        world
+    /// The keys of the replicated state.
+    pub(crate) fn stored_keys(&self) -> Vec<String> {
+        self.state.keys().map(ToString::to_string).collect()
     }
 }
 
 /// Small generator of pseudo-random numbers (splitmix64), so that a failing seed replays.
-pub struct Random(pub u64);
+pub(crate) struct Random(pub(crate) u64);
 
 impl Random {
-    pub fn next(&mut self) -> u64 {
+    pub(crate) fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.0;
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -268,16 +315,21 @@
         z ^ (z >> 31)
     }
 
-    pub fn below(&mut self, limit: u64) -> u64 {
+    pub(crate) fn below(&mut self, limit: u64) -> u64 {
         self.next() % limit.max(1)
     }
 
-    pub fn chance(&mut self, percent: u64) -> bool {
+    /// A number below a limit that `u32` can hold.
+    pub(crate) fn below_u32(&mut self, limit: u32) -> u32 {
+        u32::try_from(self.below(limit.into())).expect("it is below the limit")
+    }
+
+    pub(crate) fn chance(&mut self, percent: u64) -> bool {
         self.below(100) < percent
     }
 
-    pub fn pick<'a, T>(&mut self, from: &'a [T]) -> Option<&'a T> {
-        let index = self.below(from.len() as u64) as usize;
+    pub(crate) fn pick<'a, T>(&mut self, from: &'a [T]) -> Option<&'a T> {
+        let index = usize::try_from(self.below(from.len() as u64)).expect("it is an index");
         from.get(index)
     }
 }
--- a/crates/jobs/tests/encoded_forms.rs
+++ b/crates/jobs/tests/encoded_forms.rs
@@ -1,46 +1,51 @@
 //! Bytes of the records in the replicated state and of the JSON of a completion, as other processes and former versions
 //! know them.
 
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
+
 mod common;
 
-use common::*;
+use common::{
+    assignment, gang_step, job_id, policy, request, step, step_after, step_with_checkpoints,
+    task_id, unit_id, Harness, START,
+};
 use rstest::rstest;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::sync::Arc;
-use streamusher_jobs::{Completion, JobTable, LatencyBreakdown, LatencyStage, QueuePolicy};
+use streamusher_jobs::{Completion, LatencyBreakdown, LatencyStage, QueuePolicy};
 use streamusher_protocol::job::{JobRequest, StepRequest};
 use streamusher_protocol::task::RunEnd;
 
 const RECORDS: &str = include_str!("fixtures/encoded/records.txt");
 const COMPLETIONS: &str = include_str!("fixtures/encoded/completions.jsonl");
 const STAGES: &str = include_str!("fixtures/encoded/latency_stages.jsonl");
+/// Records of the replicated state by key.
+type Records = BTreeMap<Arc<str>, Arc<str>>;
+
 /// Precedes the name of a state in the fixture; its records follow.
 const STATE_HEADING: &str = "# ";
 
-fn with_checkpoints(count: u32) -> StepRequest {
-    StepRequest {
-        checkpoints: true,
-        ..step(count)
-    }
-}
-
 fn hedged_with_checkpoints() -> StepRequest {
     StepRequest {
         hedged: true,
-        ..with_checkpoints(1)
+        ..step_with_checkpoints(1)
     }
 }
 
 /// A job with every field of a request.
-fn submitted() -> World {
-    let mut world = World::new();
+fn submitted() -> Harness {
+    let mut harness = Harness::new();
     let first = StepRequest {
         same_rack: true,
         node_selector: Some("ssd".into()),
         affinity: Some("rack-1".into()),
         anti_affinity: 2,
-        ..gang(2)
+        ..gang_step(2)
     };
     let second = StepRequest {
         depends_on: vec![0],
@@ -54,146 +59,149 @@
         interval_ms: 60_000,
         ..request(vec![first, second])
     };
-    world.submit(1, all_fields);
-    world
+    harness.submit(1, all_fields);
+    harness
 }
 
 /// A failed run, a checkpoint, a worker to avoid, and a second run that has reported a newer checkpoint.
-fn failed_and_started_again() -> World {
-    let mut world = World::new();
-    world.submit(1, request(vec![with_checkpoints(1)]));
-    let id = unit(1, 0, 0, Some(0));
-    let first = world.begin(&id)[0].run.clone();
-    world.end_with(&first, RunEnd::Failed, "c1");
-    let other_worker = [assignment(task(1, 0, 0, 0), "w9")];
-    let second = world.book.start_unit(world.now, &id, &other_worker)[0]
+fn failed_and_started_again() -> Harness {
+    let mut harness = Harness::new();
+    harness.submit(1, request(vec![step_with_checkpoints(1)]));
+    let id = unit_id(1, 0, 0, Some(0));
+    let first = harness.start(&id)[0].run.clone();
+    harness.finish_with_checkpoint(&first, RunEnd::Failed, "c1");
+    let other_worker = [assignment(task_id(1, 0, 0, 0), "w9")];
+    let second = harness.table.start_unit(harness.now, &id, &other_worker)[0]
         .run
         .clone();
-    world.ready.remove(&id);
-    world.book.on_checkpoint(&second, "c2");
-    world.book.on_run_stalled(&second);
-    world.take();
-    world
+    harness.ready_units.remove(&id);
+    harness.table.on_checkpoint(&second, "c2");
+    harness.table.on_run_stalled(&second);
+    harness.take_changes();
+    harness
 }
 
 /// A run that was never placed again after it was lost.
-fn lost() -> World {
-    let mut world = World::new();
-    world.submit(1, request(vec![step(2)]));
-    let run = world.begin(&unit(1, 0, 0, Some(0)))[0].run.clone();
-    world.lose(&run);
-    world
+fn lost() -> Harness {
+    let mut harness = Harness::new();
+    harness.submit(1, request(vec![step(2)]));
+    let run = harness.start(&unit_id(1, 0, 0, Some(0)))[0].run.clone();
+    harness.lose(&run);
+    harness
 }
 
 /// A gang of which one member ended: the others are stopped.
-fn broken_gang() -> World {
-    let mut world = World::new();
-    world.submit(1, request(vec![gang(3), after(1, &[0])]));
-    let started = world.begin(&unit(1, 0, 0, None));
-    world.end(&started[0].run, RunEnd::Failed);
-    world
+fn broken_gang() -> Harness {
+    let mut harness = Harness::new();
+    harness.submit(1, request(vec![gang_step(3), step_after(1, &[0])]));
+    let started = harness.start(&unit_id(1, 0, 0, None));
+    harness.finish(&started[0].run, RunEnd::Failed);
+    harness
 }
 
 /// A gang that is done while members of it are still assigned.
-fn done_gang() -> World {
-    let mut world = World::new();
-    world.submit(1, request(vec![gang(2), after(1, &[0])]));
-    let started = world.begin(&unit(1, 0, 0, None));
-    world.end(&started[1].run, RunEnd::Done);
-    world
+fn done_gang() -> Harness {
+    let mut harness = Harness::new();
+    harness.submit(1, request(vec![gang_step(2), step_after(1, &[0])]));
+    let started = harness.start(&unit_id(1, 0, 0, None));
+    harness.finish(&started[1].run, RunEnd::Done);
+    harness
 }
 
 /// A hedged task whose second run waits for a worker.
-fn hedged_waiting() -> World {
-    let mut world = World::new();
-    world.submit(1, request(vec![hedged_with_checkpoints()]));
-    let run = world.begin(&unit(1, 0, 0, Some(0)))[0].run.clone();
-    assert!(world.book.hedge(&run));
-    world.take();
-    world
+fn hedged_waiting() -> Harness {
+    let mut harness = Harness::new();
+    harness.submit(1, request(vec![hedged_with_checkpoints()]));
+    let run = harness.start(&unit_id(1, 0, 0, Some(0)))[0].run.clone();
+    assert!(harness.table.hedge(&run));
+    harness.take_changes();
+    harness
 }
 
 /// A hedged task that has two runs, the first started from a checkpoint.
-fn hedged_with_two_runs() -> World {
-    let mut world = World::new();
-    world.submit(1, request(vec![hedged_with_checkpoints()]));
-    let id = unit(1, 0, 0, Some(0));
-    let lost = world.begin(&id)[0].run.clone();
-    world.end_with(&lost, RunEnd::Stopped, "c1");
-    let first = world.begin(&id)[0].run.clone();
-    assert!(world.book.hedge(&first));
-    world.take();
-    world.begin(&id);
-    world
+fn hedged_with_two_runs() -> Harness {
+    let mut harness = Harness::new();
+    harness.submit(1, request(vec![hedged_with_checkpoints()]));
+    let id = unit_id(1, 0, 0, Some(0));
+    let lost = harness.start(&id)[0].run.clone();
+    harness.finish_with_checkpoint(&lost, RunEnd::Stopped, "c1");
+    let first = harness.start(&id)[0].run.clone();
+    assert!(harness.table.hedge(&first));
+    harness.take_changes();
+    harness.start(&id);
+    harness
 }
 
 /// A hedged task of which the second run was done first: the earlier one is stopped.
-fn hedged_done_by_second_run() -> World {
-    let mut world = World::new();
-    world.submit(1, request(vec![hedged_with_checkpoints(), after(1, &[0])]));
-    let id = unit(1, 0, 0, Some(0));
-    let first = world.begin(&id)[0].run.clone();
-    assert!(world.book.hedge(&first));
-    world.take();
-    let second = world.begin(&id)[0].run.clone();
-    world.end(&second, RunEnd::Done);
-    world
+fn hedged_done_by_second_run() -> Harness {
+    let mut harness = Harness::new();
+    harness.submit(
+        1,
+        request(vec![hedged_with_checkpoints(), step_after(1, &[0])]),
+    );
+    let id = unit_id(1, 0, 0, Some(0));
+    let first = harness.start(&id)[0].run.clone();
+    assert!(harness.table.hedge(&first));
+    harness.take_changes();
+    let second = harness.start(&id)[0].run.clone();
+    harness.finish(&second, RunEnd::Done);
+    harness
 }
 
-fn three_iterations() -> World {
-    let mut world = World::new();
+fn three_iterations() -> Harness {
+    let mut harness = Harness::new();
     let repeated = JobRequest {
         repeat_count: 5,
         start_at_ms: START.unix_ms,
         interval_ms: 1_000,
         ..request(vec![step(1)])
     };
-    world.submit(1, repeated);
-    world.pass(3_000);
-    world
+    harness.submit(1, repeated);
+    harness.advance(3_000);
+    harness
 }
 
 /// Iterations that are done, the first one not among them.
-fn later_iterations_done() -> World {
-    let mut world = three_iterations();
-    world.play(&unit(1, 1, 0, Some(0)), RunEnd::Done);
-    world.play(&unit(1, 3, 0, Some(0)), RunEnd::Done);
-    world
+fn later_iterations_done() -> Harness {
+    let mut harness = three_iterations();
+    harness.start_and_finish(&unit_id(1, 1, 0, Some(0)), RunEnd::Done);
+    harness.start_and_finish(&unit_id(1, 3, 0, Some(0)), RunEnd::Done);
+    harness
 }
 
 /// Iterations that are done, from the first on and beyond a gap.
-fn first_iterations_done() -> World {
-    let mut world = later_iterations_done();
-    world.play(&unit(1, 0, 0, Some(0)), RunEnd::Done);
-    world
+fn first_iterations_done() -> Harness {
+    let mut harness = later_iterations_done();
+    harness.start_and_finish(&unit_id(1, 0, 0, Some(0)), RunEnd::Done);
+    harness
 }
 
 /// A cancelled job of which a run is left.
-fn cancelled_with_run_left() -> World {
-    let mut world = World::new();
-    world.submit(1, request(vec![step(2)]));
-    world.begin(&unit(1, 0, 0, Some(0)));
-    world.cancel(1);
-    world
+fn cancelled_with_run_left() -> Harness {
+    let mut harness = Harness::new();
+    harness.submit(1, request(vec![step(2)]));
+    harness.start(&unit_id(1, 0, 0, Some(0)));
+    harness.cancel(1);
+    harness
 }
 
 /// One job for each final state, none with runs left.
-fn ended() -> World {
-    let mut world = World::new();
+fn ended() -> Harness {
+    let mut harness = Harness::new();
     for number in 1..=3 {
-        world.submit(number, request(vec![step(1)]));
+        harness.submit(number, request(vec![step(1)]));
     }
-    world.play(&unit(1, 0, 0, Some(0)), RunEnd::Done);
-    world.play(&unit(2, 0, 0, Some(0)), RunEnd::Failed);
-    world.play(&unit(2, 0, 0, Some(0)), RunEnd::Failed);
-    world.cancel(3);
-    world
+    harness.start_and_finish(&unit_id(1, 0, 0, Some(0)), RunEnd::Done);
+    harness.start_and_finish(&unit_id(2, 0, 0, Some(0)), RunEnd::Failed);
+    harness.start_and_finish(&unit_id(2, 0, 0, Some(0)), RunEnd::Failed);
+    harness.cancel(3);
+    harness
 }
 
 /// A policy whose numbers have no short form, or cannot be held by JSON.
-fn unusual_policies() -> World {
-    let mut world = World::new();
-    let policy = QueuePolicy {
+fn unusual_policies() -> Harness {
+    let mut harness = Harness::new();
+    let extreme = QueuePolicy {
         queue: "q \"1\"".into(),
         service: "é".into(),
         priority: 0,
@@ -201,16 +209,16 @@
         stretch: 0.1 + 0.2,
         target_latency_ms: u64::MAX,
     };
-    world.submit_to(1, request(vec![step(1)]), &policy);
+    harness.submit_with(1, request(vec![step(1)]), &extreme);
     let infinite = QueuePolicy {
         stretch: f64::INFINITY,
-        ..terms("scans")
+        ..policy("scans")
     };
-    world.submit_to(2, request(vec![step(1)]), &infinite);
-    world
+    harness.submit_with(2, request(vec![step(1)]), &infinite);
+    harness
 }
 
-fn states() -> Vec<(&'static str, World)> {
+fn states() -> Vec<(&'static str, Harness)> {
     vec![
         ("submitted", submitted()),
         ("failed_and_started_again", failed_and_started_again()),
@@ -229,8 +237,8 @@
 }
 
 /// The records of each state in the fixture.
-fn recorded_states() -> BTreeMap<&'static str, Vec<(Arc<str>, Arc<str>)>> {
-    let mut recorded = BTreeMap::<&str, Vec<_>>::new();
+fn recorded_states() -> BTreeMap<&'static str, Records> {
+    let mut recorded = BTreeMap::<&str, Records>::new();
     let mut name = "";
     for line in RECORDS.lines() {
         if let Some(heading) = line.strip_prefix(STATE_HEADING) {
@@ -241,7 +249,7 @@
         recorded
             .entry(name)
             .or_default()
-            .push((key.into(), value.into()));
+            .insert(key.into(), value.into());
     }
     recorded
 }
@@ -249,9 +257,9 @@
 #[test]
 fn encoded_forms_are_as_recorded() {
     let mut encoded = String::new();
-    for (name, world) in states() {
+    for (name, harness) in states() {
         writeln!(encoded, "{STATE_HEADING}{name}").expect("text can be appended");
-        for (key, value) in &world.state {
+        for (key, value) in &harness.state {
             writeln!(encoded, "{key} {value}").expect("text can be appended");
         }
     }
@@ -261,28 +269,20 @@
 #[test]
 fn recorded_records_are_decoded_to_the_same_state() {
     let recorded = recorded_states();
-    for (name, world) in states() {
-        let records = recorded[name].iter().cloned();
-        let book =
-            JobTable::recover(settings(), world.now, records).expect("the records are valid");
-        let mut decoded = World {
-            book,
-            now: world.now,
-            ..World::new()
-        };
-        decoded.take();
-        assert!(decoded.last.writes.is_empty(), "{name}");
-        assert_eq!(decoded.ready, world.ready, "{name}");
+    for (name, harness) in states() {
+        let decoded = Harness::recovered_from(harness.now, recorded[name].clone());
+        assert!(decoded.last_changes.writes.is_empty(), "{name}");
+        assert_eq!(decoded.ready_units, harness.ready_units, "{name}");
         assert_eq!(
-            decoded.book.assigned_runs(),
-            world.book.assigned_runs(),
+            decoded.table.assigned_runs(),
+            harness.table.assigned_runs(),
             "{name}"
         );
         for number in 1..=3 {
-            assert_eq!(decoded.status(number), world.status(number), "{name}");
+            assert_eq!(decoded.status(number), harness.status(number), "{name}");
             let (queue, expected) = (
-                decoded.book.queue_of(&job(number)),
-                world.book.queue_of(&job(number)),
+                decoded.table.queue_of(&job_id(number)),
+                harness.table.queue_of(&job_id(number)),
             );
             assert_eq!(queue, expected, "{name}");
         }
@@ -322,7 +322,7 @@
         every_stage.add(stage, 1 + index as u64);
     }
     let first = Completion {
-        job: job(1),
+        job: job_id(1),
         iteration: 7,
         queue: "scans".into(),
         service: "imaging".into(),
--- a/crates/jobs/tests/gangs.rs
+++ b/crates/jobs/tests/gangs.rs
@@ -1,17 +1,24 @@
 //! Gangs: one run number, one checkpoint, one attempt; together or not at all.
 
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
+
 mod common;
 
-use common::*;
+use common::{assignment, gang_step, job_id, request, step_after, task_id, unit_id, Harness};
 use streamusher_jobs::StartedRun;
 use streamusher_protocol::job::{JobState, StepRequest};
 use streamusher_protocol::task::{RunEnd, RunId};
 use streamusher_protocol::unit::UnitId;
 
-fn gang_world() -> (World, UnitId) {
-    let mut world = World::new();
-    world.submit(1, request(vec![gang(3)]));
-    (world, unit(1, 0, 0, None))
+/// A submitted gang of three tasks.
+fn submitted_gang() -> (Harness, UnitId) {
+    let mut harness = Harness::new();
+    harness.submit(1, request(vec![gang_step(3)]));
+    (harness, unit_id(1, 0, 0, None))
 }
 
 fn run_of(started: &[StartedRun], index: usize) -> &RunId {
@@ -19,198 +26,211 @@
 }
 
 #[test]
-fn given_a_gang_when_it_begins_then_all_members_share_the_run_number_and_the_checkpoint() {
-    let (mut world, id) = gang_world();
-    assert_eq!(world.ready[&id].tasks.len(), 3);
-    let started = world.begin(&id);
+fn tasks_share_run_number_and_checkpoint() {
+    let (mut harness, id) = submitted_gang();
+    assert_eq!(harness.ready_units[&id].tasks.len(), 3);
+    let started = harness.start(&id);
     assert_eq!(started.len(), 3);
     assert!(started
         .iter()
-        .all(|s| s.run.run == 1 && s.checkpoint.is_empty()));
-    world.book.on_checkpoint(run_of(&started, 1), "c1");
-    world.book.on_checkpoint(run_of(&started, 0), "c2");
-    world.book.on_checkpoint(run_of(&started, 1), "c1");
-    started.iter().for_each(|s| world.lose(&s.run));
-    let again = world.begin(&id);
-    assert!(again.iter().all(|s| s.run.run == 2));
+        .all(|start| start.run.run == 1 && start.checkpoint.is_empty()));
+    harness.table.on_checkpoint(run_of(&started, 1), "c1");
+    harness.table.on_checkpoint(run_of(&started, 0), "c2");
+    harness.table.on_checkpoint(run_of(&started, 1), "c1");
+    for start in &started {
+        harness.lose(&start.run);
+    }
+    let again = harness.start(&id);
+    assert!(again.iter().all(|start| start.run.run == 2));
     assert!(
-        again.iter().all(|s| &*s.checkpoint == "c2"),
+        again.iter().all(|start| &*start.checkpoint == "c2"),
         "a repeated older report is not the newest"
     );
 }
 
 #[test]
-fn given_a_gang_when_a_member_is_missing_or_named_twice_then_nothing_begins() {
-    let (mut world, id) = gang_world();
-    let at = |index| assignment(task(1, 0, 0, index), "w");
-    assert!(world
-        .book
-        .start_unit(world.now, &id, &[at(0), at(1)])
+fn incomplete_assignment_starts_nothing() {
+    let (mut harness, id) = submitted_gang();
+    let assign = |index| assignment(task_id(1, 0, 0, index), "w");
+    assert!(harness
+        .table
+        .start_unit(harness.now, &id, &[assign(0), assign(1)])
         .is_empty());
-    assert!(world
-        .book
-        .start_unit(world.now, &id, &[at(0), at(1), at(1)])
+    assert!(harness
+        .table
+        .start_unit(harness.now, &id, &[assign(0), assign(1), assign(1)])
         .is_empty());
-    assert!(world
-        .book
-        .start_unit(world.now, &unit(1, 0, 0, Some(0)), &[at(0)])
+    assert!(harness
+        .table
+        .start_unit(harness.now, &unit_id(1, 0, 0, Some(0)), &[assign(0)])
         .is_empty());
     assert_eq!(
-        world
-            .book
-            .start_unit(world.now, &id, &[at(2), at(1), at(0)])
+        harness
+            .table
+            .start_unit(harness.now, &id, &[assign(2), assign(1), assign(0)])
             .len(),
         3
     );
 }
 
 #[test]
-fn given_a_gang_when_one_member_ends_done_then_all_are_done_and_the_others_are_awaited_unstopped() {
-    let mut world = World::new();
-    world.submit(1, request(vec![gang(3), after(1, &[0])]));
-    let started = world.begin(&unit(1, 0, 0, None));
-    assert!(world.end(run_of(&started, 1), RunEnd::Done));
-    assert_eq!(world.waits(), vec![unit(1, 0, 1, Some(0))]);
-    assert!(world.stops.is_empty());
-    assert!(!world.book.is_current(run_of(&started, 0)));
-    let left = world.book.assigned_runs();
+fn first_success_completes_the_gang_without_stops() {
+    let mut harness = Harness::new();
+    harness.submit(1, request(vec![gang_step(3), step_after(1, &[0])]));
+    let started = harness.start(&unit_id(1, 0, 0, None));
+    assert!(harness.finish(run_of(&started, 1), RunEnd::Done));
+    assert_eq!(harness.ready_ids(), vec![unit_id(1, 0, 1, Some(0))]);
+    assert!(harness.stopped_runs.is_empty());
+    assert!(!harness.table.is_current(run_of(&started, 0)));
+    let left = harness.table.assigned_runs();
     assert_eq!(left.len(), 2);
-    assert!(left.iter().all(|a| a.stopping && a.gang));
-    assert_eq!(world.recovered().book.assigned_runs(), left);
-    world.end(run_of(&started, 0), RunEnd::Failed);
-    world.lose(run_of(&started, 2));
-    assert!(world.book.assigned_runs().is_empty());
-    assert_eq!(world.waits(), vec![unit(1, 0, 1, Some(0))]);
+    assert!(left.iter().all(|run| run.stopping && run.gang));
+    assert_eq!(harness.recovered().table.assigned_runs(), left);
+    harness.finish(run_of(&started, 0), RunEnd::Failed);
+    harness.lose(run_of(&started, 2));
+    assert!(harness.table.assigned_runs().is_empty());
+    assert_eq!(harness.ready_ids(), vec![unit_id(1, 0, 1, Some(0))]);
 }
 
 #[test]
-fn given_a_gang_of_the_last_step_when_one_member_ends_done_then_the_job_has_succeeded() {
-    let (mut world, id) = gang_world();
-    let started = world.begin(&id);
-    world.end(run_of(&started, 2), RunEnd::Done);
-    assert_eq!(world.status(1), Some(JobState::Succeeded));
-    assert_eq!(world.recovered().status(1), Some(JobState::Succeeded));
+fn first_success_in_the_last_step_completes_the_job() {
+    let (mut harness, id) = submitted_gang();
+    let started = harness.start(&id);
+    harness.finish(run_of(&started, 2), RunEnd::Done);
+    assert_eq!(harness.status(1), Some(JobState::Succeeded));
+    assert_eq!(harness.recovered().status(1), Some(JobState::Succeeded));
     assert_eq!(
-        world.recovered().book.assigned_runs(),
-        world.book.assigned_runs()
+        harness.recovered().table.assigned_runs(),
+        harness.table.assigned_runs()
     );
-    world.end(run_of(&started, 0), RunEnd::Done);
-    world.end(run_of(&started, 1), RunEnd::Done);
-    assert_eq!(world.keys(), vec![format!("job/{}", job(1))]);
+    harness.finish(run_of(&started, 0), RunEnd::Done);
+    harness.finish(run_of(&started, 1), RunEnd::Done);
+    assert_eq!(harness.stored_keys(), vec![format!("job/{}", job_id(1))]);
 }
 
 #[test]
-fn given_a_gang_when_one_member_ends_otherwise_then_the_others_are_stopped_and_awaited() {
-    let (mut world, id) = gang_world();
-    let started = world.begin(&id);
-    world.end(run_of(&started, 0), RunEnd::GangBroken);
+fn unsuccessful_end_stops_the_other_tasks() {
+    let (mut harness, id) = submitted_gang();
+    let started = harness.start(&id);
+    harness.finish(run_of(&started, 0), RunEnd::GangBroken);
     assert_eq!(
-        world.last.runs_to_stop,
+        harness.last_changes.runs_to_stop,
         vec![run_of(&started, 1).clone(), run_of(&started, 2).clone()]
     );
-    assert!(!world.book.is_current(run_of(&started, 1)));
-    assert!(world.waits().is_empty());
-    let mut recovered = world.recovered();
-    assert!(recovered.waits().is_empty());
-    assert_eq!(recovered.book.assigned_runs(), world.book.assigned_runs());
-    assert!(recovered.book.assigned_runs().iter().all(|a| a.stopping));
-    for world in [&mut world, &mut recovered] {
-        world.end(run_of(&started, 1), RunEnd::Stopped);
-        assert!(world.waits().is_empty(), "one member is left");
-        world.book.on_run_withdrawn(world.now, run_of(&started, 2));
-        world.take();
-        assert_eq!(world.waits(), vec![id.clone()]);
-        assert_eq!(world.begin(&id)[0].run.run, 2);
+    assert!(!harness.table.is_current(run_of(&started, 1)));
+    assert!(harness.ready_ids().is_empty());
+    let mut recovered = harness.recovered();
+    assert!(recovered.ready_ids().is_empty());
+    assert_eq!(
+        recovered.table.assigned_runs(),
+        harness.table.assigned_runs()
+    );
+    assert!(recovered
+        .table
+        .assigned_runs()
+        .iter()
+        .all(|run| run.stopping));
+    for harness in [&mut harness, &mut recovered] {
+        harness.finish(run_of(&started, 1), RunEnd::Stopped);
+        assert!(harness.ready_ids().is_empty(), "one task is left");
+        harness
+            .table
+            .on_run_withdrawn(harness.now, run_of(&started, 2));
+        harness.take_changes();
+        assert_eq!(harness.ready_ids(), vec![id.clone()]);
+        assert_eq!(harness.start(&id)[0].run.run, 2);
     }
 }
 
 #[test]
-fn given_a_gang_when_several_members_of_a_run_fail_then_it_is_one_attempt() {
-    let (mut world, id) = gang_world();
-    let started = world.begin(&id);
-    started
-        .iter()
-        .for_each(|s| assert!(world.end(&s.run, RunEnd::Failed)));
-    assert_eq!(world.status(1), Some(JobState::Running));
-    assert_eq!(world.waits(), vec![id.clone()]);
-    let mut recovered = world.recovered();
-    for world in [&mut world, &mut recovered] {
-        let second = world.begin(&id);
-        world.end(run_of(&second, 1), RunEnd::Failed);
-        assert_eq!(world.status(1), Some(JobState::Failed));
-        assert!(world.stops.contains(run_of(&second, 0)));
+fn failures_of_one_run_count_once() {
+    let (mut harness, id) = submitted_gang();
+    let started = harness.start(&id);
+    for start in &started {
+        assert!(harness.finish(&start.run, RunEnd::Failed));
+    }
+    assert_eq!(harness.status(1), Some(JobState::Running));
+    assert_eq!(harness.ready_ids(), vec![id.clone()]);
+    let mut recovered = harness.recovered();
+    for harness in [&mut harness, &mut recovered] {
+        let second = harness.start(&id);
+        harness.finish(run_of(&second, 1), RunEnd::Failed);
+        assert_eq!(harness.status(1), Some(JobState::Failed));
+        assert!(harness.stopped_runs.contains(run_of(&second, 0)));
     }
 }
 
 #[test]
-fn given_a_gang_that_broke_when_the_member_that_failed_is_listed_last_then_the_attempt_counts() {
-    let (mut world, id) = gang_world();
+fn failure_reported_last_counts() {
+    let (mut harness, id) = submitted_gang();
     for _ in 0..2 {
-        let started = world.begin(&id);
-        world.end(run_of(&started, 0), RunEnd::GangBroken);
-        world.end(run_of(&started, 1), RunEnd::GangBroken);
-        assert_ne!(world.status(1), Some(JobState::Failed));
-        world.end(run_of(&started, 2), RunEnd::Failed);
+        let started = harness.start(&id);
+        harness.finish(run_of(&started, 0), RunEnd::GangBroken);
+        harness.finish(run_of(&started, 1), RunEnd::GangBroken);
+        assert_ne!(harness.status(1), Some(JobState::Failed));
+        harness.finish(run_of(&started, 2), RunEnd::Failed);
     }
-    assert_eq!(world.status(1), Some(JobState::Failed));
+    assert_eq!(harness.status(1), Some(JobState::Failed));
 }
 
 #[test]
-fn given_a_gang_that_was_counted_when_a_recovery_comes_between_two_failures_of_a_run_then_it_counts_once(
-) {
-    let (mut world, id) = gang_world();
-    let started = world.begin(&id);
-    world.end(run_of(&started, 0), RunEnd::Failed);
-    let mut recovered = world.recovered();
-    recovered.end(run_of(&started, 1), RunEnd::Failed);
+fn failures_around_a_recovery_count_once() {
+    let (mut harness, id) = submitted_gang();
+    let started = harness.start(&id);
+    harness.finish(run_of(&started, 0), RunEnd::Failed);
+    let mut recovered = harness.recovered();
+    recovered.finish(run_of(&started, 1), RunEnd::Failed);
     assert_eq!(recovered.status(1), Some(JobState::Running));
-    recovered.end(run_of(&started, 2), RunEnd::Stopped);
-    assert_eq!(recovered.waits(), vec![id]);
+    recovered.finish(run_of(&started, 2), RunEnd::Stopped);
+    assert_eq!(recovered.ready_ids(), vec![id]);
 }
 
 #[test]
-fn given_a_gang_that_broke_when_another_member_ends_done_then_the_gang_is_done() {
-    let (mut world, id) = gang_world();
-    let started = world.begin(&id);
-    world.lose(run_of(&started, 0));
-    world.end(run_of(&started, 1), RunEnd::Done);
-    assert_eq!(world.status(1), Some(JobState::Succeeded));
+fn success_completes_a_broken_gang() {
+    let (mut harness, id) = submitted_gang();
+    let started = harness.start(&id);
+    harness.lose(run_of(&started, 0));
+    harness.finish(run_of(&started, 1), RunEnd::Done);
+    assert_eq!(harness.status(1), Some(JobState::Succeeded));
 }
 
 #[test]
-fn given_a_gang_that_lasts_when_a_member_ends_then_all_start_anew() {
-    let mut world = World::new();
-    world.submit(
+fn long_running_gang_restarts_together() {
+    let mut harness = Harness::new();
+    harness.submit(
         1,
         request(vec![StepRequest {
             long_running: true,
-            ..gang(2)
+            ..gang_step(2)
         }]),
     );
-    let id = unit(1, 0, 0, None);
-    let started = world.begin(&id);
-    world.end(run_of(&started, 0), RunEnd::Done);
-    assert_eq!(world.last.runs_to_stop, vec![run_of(&started, 1).clone()]);
-    world.end(run_of(&started, 1), RunEnd::Stopped);
-    assert_eq!(world.waits(), vec![id]);
+    let id = unit_id(1, 0, 0, None);
+    let started = harness.start(&id);
+    harness.finish(run_of(&started, 0), RunEnd::Done);
+    assert_eq!(
+        harness.last_changes.runs_to_stop,
+        vec![run_of(&started, 1).clone()]
+    );
+    harness.finish(run_of(&started, 1), RunEnd::Stopped);
+    assert_eq!(harness.ready_ids(), vec![id]);
 }
 
 #[test]
-fn given_a_recovered_gang_when_its_start_is_ordered_again_then_it_brings_what_the_others_brought() {
-    let (mut world, id) = gang_world();
-    let first = world.begin(&id);
-    first.iter().for_each(|s| {
-        world.end_with(&s.run, RunEnd::Stopped, "c1");
-    });
-    let second = world.begin(&id);
-    world.book.on_checkpoint(run_of(&second, 0), "c2");
-    let mut recovered = world.recovered();
-    recovered.book.on_checkpoint(run_of(&second, 0), "c2");
-    for world in [&world, &recovered] {
-        assert!(world
-            .book
+fn recovered_tasks_keep_the_checkpoint_of_their_start() {
+    let (mut harness, id) = submitted_gang();
+    let first = harness.start(&id);
+    for start in &first {
+        harness.finish_with_checkpoint(&start.run, RunEnd::Stopped, "c1");
+    }
+    let second = harness.start(&id);
+    harness.table.on_checkpoint(run_of(&second, 0), "c2");
+    let mut recovered = harness.recovered();
+    recovered.table.on_checkpoint(run_of(&second, 0), "c2");
+    for harness in [&harness, &recovered] {
+        assert!(harness
+            .table
             .assigned_runs()
             .iter()
-            .all(|a| &*a.checkpoint == "c1" && &*a.spec == "scan 7"));
+            .all(|run| &*run.checkpoint == "c1" && &*run.spec == "scan 7"));
     }
 }
