--- a/crates/placement/src/capacity_search.rs
+++ b/crates/placement/src/capacity_search.rs
@@ -9,7 +9,6 @@
 use crate::policy::Mechanism;
 use crate::ranking::RankedWorker;
 use crate::unit_view::UnitView;
-use crate::wait_diagnosis::record_wait_reason;
 use streamusher_protocol::heartbeat::Resources;
 use streamusher_protocol::Millis;
 
@@ -38,7 +37,7 @@
     key: QueueKey,
     groups: &[Vec<RankedWorker>],
 ) {
-    cycle.searches_left = cycle.searches_left.saturating_sub(1);
+    cycle.remaining_searches = cycle.remaining_searches.saturating_sub(1);
     let Some(view) = cycle.view(key) else {
         return;
     };
@@ -57,35 +56,6 @@
     !view.unit().speculative && (may_preempt(view, workers) || may_reserve(view, workers))
 }
 
-/// Whether a unit holds reservations; cancels those that have expired.
-pub(crate) fn holds_reservations(cycle: &mut SchedulingCycle<'_>, key: QueueKey) -> bool {
-    let pending = cycle.cluster.queue.get(key);
-    let holds = pending.is_some_and(|pending| {
-        !pending.reserved_at.is_empty() && pending.reserved_until > cycle.now
-    });
-    if !holds {
-        cycle.cluster.cancel_reservations(key);
-    }
-    holds
-}
-
-/// Schedules the next look at a unit that did not start, at the end of its reservations at the latest.
-pub(crate) fn schedule_retry(cycle: &mut SchedulingCycle<'_>, key: QueueKey) {
-    record_wait_reason(cycle.cluster, cycle.now, key);
-    let Some(pending) = cycle.cluster.queue.get(key) else {
-        return;
-    };
-    let no_later_than = if pending.reserved_at.is_empty() {
-        Millis::MAX
-    } else {
-        pending.reserved_until
-    };
-    cycle
-        .cluster
-        .queue
-        .schedule_retry(cycle.now, key, no_later_than);
-}
-
 /// How far to go for capacity, in the order in which it is tried.
 fn scopes(view: &UnitView<'_>, groups: &[Vec<RankedWorker>]) -> Vec<PreemptionScope> {
     let workers: Vec<WorkerIndex> = groups.iter().flatten().map(|worker| worker.index).collect();
--- a/crates/placement/src/cluster.rs
+++ b/crates/placement/src/cluster.rs
@@ -165,6 +165,18 @@
         }
     }
 
+    /// Whether a unit holds reservations; cancels them if they have expired.
+    pub(crate) fn holds_reservations(&mut self, now: Millis, key: QueueKey) -> bool {
+        let holds = self
+            .queue
+            .get(key)
+            .is_some_and(|pending| !pending.reserved_at.is_empty() && pending.reserved_until > now);
+        if !holds {
+            self.cancel_reservations(key);
+        }
+        holds
+    }
+
     /// Cancels all reservations of a unit; others may take the capacity.
     pub(crate) fn cancel_reservations(&mut self, key: QueueKey) {
         let Some(pending) = self.queue.get_mut(key) else {
--- a/crates/placement/src/cycle.rs
+++ b/crates/placement/src/cycle.rs
@@ -17,7 +17,7 @@
     pub(crate) random: &'a mut Pcg32,
     pub(crate) now: Millis,
     /// Searches for capacity that this cycle may still make.
-    pub(crate) searches_left: usize,
+    pub(crate) remaining_searches: usize,
     /// What was decided so far.
     pub(crate) decisions: Vec<Decision>,
 }
@@ -32,7 +32,7 @@
             cluster,
             random,
             now,
-            searches_left: MAX_SEARCHES,
+            remaining_searches: MAX_SEARCHES,
             decisions: Vec::new(),
         }
     }
--- a/crates/placement/src/gang.rs
+++ b/crates/placement/src/gang.rs
@@ -1,12 +1,13 @@
 //! Gangs: all members are started in one decision.
 
-use crate::capacity_search::{holds_reservations, schedule_retry, search_capacity};
+use crate::capacity_search::search_capacity;
 use crate::claim::{start, TaskPlacement};
 use crate::cycle::SchedulingCycle;
 use crate::gang_fit::{cheapest_plan, GangPlan, PreemptionScope};
 use crate::gang_groups::worker_groups;
 use crate::index::QueueKey;
 use crate::ranking::RankedWorker;
+use crate::retry::schedule_retry;
 use crate::unit_view::UnitView;
 use crate::wait_escalation::ANY_WORKER_AFTER_MS;
 
@@ -25,7 +26,7 @@
     if !cycle.is_pending(key) {
         return;
     }
-    if !holds_reservations(cycle, key) && may_search(cycle, key) {
+    if !cycle.cluster.holds_reservations(cycle.now, key) && may_search(cycle, key) {
         search_capacity(cycle, key, &groups);
     }
     schedule_retry(cycle, key);
@@ -70,5 +71,5 @@
         let first = view.service.gangs.iter().take(MAX_SEARCHING_GANGS);
         first.into_iter().any(|gang| *gang == key)
     };
-    cycle.searches_left > 0 && cycle.view(key).is_some_and(is_among_first)
+    cycle.remaining_searches > 0 && cycle.view(key).is_some_and(is_among_first)
 }
--- a/crates/placement/src/gang_groups.rs
+++ b/crates/placement/src/gang_groups.rs
@@ -50,7 +50,7 @@
         .collect()
 }
 
-/// All workers as one group, where being on several racks is no loss or the lesser one.
+/// All workers as one group, where running on several racks costs nothing, or less than waiting for one.
 fn group_of_all(cycle: &mut SchedulingCycle<'_>, key: QueueKey) -> Option<Vec<RankedWorker>> {
     let view = UnitView::new(cycle.cluster, cycle.now, key)?;
     if !may_cross_racks(&view) {
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -66,7 +66,7 @@
 //!   `pending_unit`, `queue`; `cluster` holds all of it together and keeps it consistent.
 //! - Questions about one pending unit, asked of a read-only `unit_view`: `eligibility` (filter), `run_estimate`,
 //!   `wait_escalation`, `admission`, `ranking` (score), `gang_fit` (bin packing with preemption).
-//! - Steps of one `cycle`, which decide: `candidates`, `queue_copies`, `claim`, `wait_diagnosis`, `capacity_search`,
+//! - Steps of one `cycle`, which decide: `candidates`, `queue_copies`, `claim`, `wait_diagnosis`, `retry`, `capacity_search`,
 //!   `single_task`, `gang_groups`, `gang`; `scheduling` runs them in order.
 //! - Events: `worker_lifecycle`, `feedback`, `reorder`, `explain`; `placement` is the entry point.
 
@@ -98,6 +98,7 @@
 mod reorder;
 mod reservation;
 mod resource_vector;
+mod retry;
 mod run;
 mod run_estimate;
 mod run_time;
--- a/crates/placement/src/run.rs
+++ b/crates/placement/src/run.rs
@@ -26,7 +26,7 @@
 /// A run's report of its progress.
 #[derive(Clone, Copy, Debug)]
 struct ProgressReport {
-    at: Millis,
+    reported_at: Millis,
     percent: f64,
 }
 
@@ -67,7 +67,7 @@
             return None;
         }
         let report = ProgressReport {
-            at: now,
+            reported_at: now,
             percent: percent.clamp(0.0, 100.0),
         };
         self.first_report.get_or_insert(report);
@@ -83,7 +83,7 @@
     /// The run's total time, by what was done between the first and the last report.
     fn projected_total_ms(&self) -> Option<f64> {
         let (first, last) = (self.first_report?, self.last_report?);
-        let span_ms = last.at.saturating_sub(first.at);
+        let span_ms = last.reported_at.saturating_sub(first.reported_at);
         let done_percent = last.percent - first.percent;
         let conclusive = span_ms >= MIN_REPORT_SPAN_MS && done_percent > MIN_REPORT_PERCENT;
         conclusive.then(|| span_ms as f64 * 100.0 / done_percent)
@@ -119,7 +119,7 @@
         estimated_ms: f64,
     ) -> f64 {
         let total_ms = self.projected_total_ms().unwrap_or(estimated_ms);
-        let since_report_ms = now.saturating_sub(report.at) as f64;
+        let since_report_ms = now.saturating_sub(report.reported_at) as f64;
         let remaining_ms = total_ms * (100.0 - report.percent) / 100.0 - since_report_ms;
         remaining_ms
             .max(total_ms * MIN_REMAINING_SHARE_BY_REPORT)
--- a/crates/placement/src/single_task.rs
+++ b/crates/placement/src/single_task.rs
@@ -1,13 +1,12 @@
 //! A single task that was looked at and claimed by no worker yet.
 
 use crate::candidates::ranked_candidates;
-use crate::capacity_search::{
-    holds_reservations, is_worth_a_search, schedule_retry, search_capacity,
-};
+use crate::capacity_search::{is_worth_a_search, search_capacity};
 use crate::claim::claim;
 use crate::cycle::SchedulingCycle;
 use crate::index::{QueueKey, WorkerIndex};
 use crate::queue_copies::acceptable_workers;
+use crate::retry::schedule_retry;
 
 /// A task with fewer copies than this has others than their workers tried too.
 const MIN_COPIES: usize = 2;
@@ -25,7 +24,7 @@
     if copies.len() < MIN_COPIES && claim_at_acceptable(cycle, key) {
         return;
     }
-    if !holds_reservations(cycle, key) && may_search(cycle, key, &copies) {
+    if !cycle.cluster.holds_reservations(cycle.now, key) && may_search(cycle, key, &copies) {
         let ranked = ranked_candidates(cycle, key);
         search_capacity(cycle, key, &[ranked]);
     }
@@ -33,7 +32,7 @@
 }
 
 fn may_search(cycle: &SchedulingCycle<'_>, key: QueueKey, copies: &[WorkerIndex]) -> bool {
-    cycle.searches_left > 0
+    cycle.remaining_searches > 0
         && cycle
             .view(key)
             .is_some_and(|view| is_worth_a_search(&view, copies))
--- a/crates/placement/tests/claims.rs
+++ b/crates/placement/tests/claims.rs
@@ -54,7 +54,7 @@
     cluster.enqueue(unit(2, 800, 0));
     assert!(
         cluster.place_for(STOP_MS).is_empty(),
-        "its room is not free yet"
+        "its capacity is not free yet"
     );
     cluster.finish(&task(1), &"w1".into(), RunEnd::Stopped);
     assert_eq!(cluster.place(), [(task(2), "w1".into())]);
@@ -231,7 +231,7 @@
         .workers()
         .map(|status| status.used.cpu)
         .collect();
-    assert_eq!(used, [700], "told twice, counted once");
+    assert_eq!(used, [700], "restored twice, counted once");
 }
 
 #[test]
--- a/crates/placement/tests/common/mod.rs
+++ b/crates/placement/tests/common/mod.rs
@@ -141,7 +141,7 @@
     pub(crate) fn remove_worker(&mut self, id: &str) {
         let id: WorkerId = id.into();
         self.workers.remove(&id);
-        self.runs.retain(|(_, at), _| *at != id);
+        self.runs.retain(|(_, worker), _| *worker != id);
         self.placement.remove_worker(self.now, &id);
     }
 
@@ -179,7 +179,7 @@
         started
     }
 
-    /// Places at each tick of a span. Returns the starts.
+    /// Places worker each tick of a span. Returns the starts.
     pub(crate) fn place_for(&mut self, span_ms: Millis) -> Vec<(TaskId, WorkerId)> {
         let end = self.now + span_ms;
         let mut started = self.place();
@@ -214,45 +214,45 @@
         self.starts += assignments.len();
     }
 
-    fn check_worker(&self, unit: &Unit, at: &WorkerId) {
+    fn check_worker(&self, unit: &Unit, worker: &WorkerId) {
         let info = self
             .workers
-            .get(at)
-            .unwrap_or_else(|| panic!("{at} is not known"));
-        assert!(info.schedulable, "{at} takes no work");
+            .get(worker)
+            .unwrap_or_else(|| panic!("{worker} is not known"));
+        assert!(info.schedulable, "{worker} takes no work");
         assert_eq!(info.service, unit.service, "its own service");
         let has = |label: &Arc<str>| info.labels.contains(label);
         assert!(
             unit.node_selector.as_ref().is_none_or(has),
-            "{at} lacks the label"
+            "{worker} lacks the label"
         );
-        let used = self.used(at);
+        let used = self.used(worker);
         assert!(
             info.capacity.covers(&used),
-            "{at} holds {used:?} of {:?}",
+            "{worker} holds {used:?} of {:?}",
             info.capacity
         );
         if unit.anti_affinity > 0 {
-            let count = self.count_of(&unit.id.step, at);
+            let count = self.count_of(&unit.id.step, worker);
             assert!(
                 count <= unit.anti_affinity,
-                "{at} holds {count} of {:?}",
+                "{worker} holds {count} of {:?}",
                 unit.id.step
             );
         }
     }
 
     /// What the runs on a worker hold, by the record of the starts.
-    pub(crate) fn used(&self, at: &WorkerId) -> Resources {
-        let here = self.runs.iter().filter(|((_, id), _)| id == at);
+    pub(crate) fn used(&self, worker: &WorkerId) -> Resources {
+        let here = self.runs.iter().filter(|((_, id), _)| id == worker);
         here.fold(Resources::default(), |sum, (_, entry)| {
             sum.saturating_add(&entry.unit.resources)
         })
     }
 
-    pub(crate) fn count_of(&self, step: &StepId, at: &WorkerId) -> u32 {
+    pub(crate) fn count_of(&self, step: &StepId, worker: &WorkerId) -> u32 {
         let same = |((_, id), entry): &(&(TaskId, WorkerId), &RunningTask)| {
-            id == at && entry.unit.id.step == *step
+            id == worker && entry.unit.id.step == *step
         };
         u32::try_from(self.runs.iter().filter(same).count()).expect("few runs")
     }
@@ -322,12 +322,12 @@
 
     /// Ends all runs on a worker well.
     pub(crate) fn finish_all_at(&mut self, worker: &str) {
-        self.finish_where(RunEnd::Done, |at, _| &**at == worker);
+        self.finish_where(RunEnd::Done, |id, _| &**id == worker);
     }
 
     /// The number of runs on a worker.
     pub(crate) fn runs_at(&self, worker: &str) -> usize {
-        self.runs.keys().filter(|(_, at)| &**at == worker).count()
+        self.runs.keys().filter(|(_, id)| &**id == worker).count()
     }
 
     /// The worker that runs the task with a number.
@@ -335,6 +335,6 @@
         self.runs
             .keys()
             .find(|(run, _)| run.job == task(number).job)
-            .map(|(_, at)| &**at)
+            .map(|(_, worker)| &**worker)
     }
 }
--- a/crates/placement/tests/gangs.rs
+++ b/crates/placement/tests/gangs.rs
@@ -36,7 +36,7 @@
     let started = cluster.place();
     let racks: Vec<_> = started
         .iter()
-        .map(|(_, at)| cluster.workers[at].labels[1].clone())
+        .map(|(_, worker)| cluster.workers[worker].labels[1].clone())
         .collect();
     assert_eq!(racks.len(), 4);
     assert!(racks.iter().all(|rack| *rack == racks[0]), "{racks:?}");
--- a/crates/placement/tests/headroom.rs
+++ b/crates/placement/tests/headroom.rs
@@ -212,7 +212,7 @@
         cluster.finish_all_at("w1");
     }
     (20..30).for_each(|number| cluster.enqueue(unit(number, 1_000, 2)));
-    assert_eq!(cluster.place().len(), 10, "all of the room");
+    assert_eq!(cluster.place().len(), 10, "all of the capacity");
 }
 
 #[test]
--- a/crates/placement/tests/learning.rs
+++ b/crates/placement/tests/learning.rs
@@ -20,28 +20,32 @@
     outcome: RunEnd,
     run_ms: u64,
 ) -> (usize, usize) {
-    let (mut there, mut all) = (0, 0);
+    let (mut on_w1, mut all) = (0, 0);
     for number in first..first + rounds {
         cluster.enqueue(Unit {
             estimated_ms: 200,
             ..unit(number, 500, 2)
         });
-        for (_, at) in cluster.place_for(20) {
-            there += usize::from(&*at == "w1");
+        for (_, worker) in cluster.place_for(20) {
+            on_w1 += usize::from(&*worker == "w1");
             all += 1;
         }
-        let takes = |at: &str| if at == "w1" { run_ms } else { 200 };
+        let run_ms_on = |worker: &str| if worker == "w1" { run_ms } else { 200 };
         let over = cluster
             .runs
             .iter()
-            .filter(|((_, at), run)| run.started_at + takes(at) <= cluster.now);
+            .filter(|((_, worker), run)| run.started_at + run_ms_on(worker) <= cluster.now);
         let over: Vec<_> = over.map(|(key, _)| key.clone()).collect();
-        for (task, at) in over {
-            let outcome = if &*at == "w1" { outcome } else { RunEnd::Done };
-            cluster.finish(&task, &at, outcome);
+        for (task, worker) in over {
+            let outcome = if &*worker == "w1" {
+                outcome
+            } else {
+                RunEnd::Done
+            };
+            cluster.finish(&task, &worker, outcome);
         }
     }
-    (there, all)
+    (on_w1, all)
 }
 
 fn three_workers() -> Cluster {
@@ -52,9 +56,9 @@
 fn failing_worker_gets_few_tasks() {
     let mut cluster = three_workers();
     share_of_w1(&mut cluster, 1, 100, RunEnd::Failed, 20);
-    let (there, all) = share_of_w1(&mut cluster, 1_000, 500, RunEnd::Failed, 20);
-    assert!(there * 20 < all, "{there} of {all}");
-    assert!(there > 0, "it is tried again");
+    let (on_w1, all) = share_of_w1(&mut cluster, 1_000, 500, RunEnd::Failed, 20);
+    assert!(on_w1 * 20 < all, "{on_w1} of {all}");
+    assert!(on_w1 > 0, "it is tried again");
 }
 
 #[test]
@@ -62,28 +66,28 @@
     let mut cluster = three_workers();
     share_of_w1(&mut cluster, 1, 200, RunEnd::Failed, 20);
     share_of_w1(&mut cluster, 1_000, 1_000, RunEnd::Done, 200);
-    let (there, all) = share_of_w1(&mut cluster, 3_000, 300, RunEnd::Done, 200);
-    assert!(there * 5 > all, "{there} of {all}");
+    let (on_w1, all) = share_of_w1(&mut cluster, 3_000, 300, RunEnd::Done, 200);
+    assert!(on_w1 * 5 > all, "{on_w1} of {all}");
 }
 
 #[test]
 fn slow_worker_gets_fewer_tasks() {
     let mut cluster = three_workers();
     share_of_w1(&mut cluster, 1, 200, RunEnd::Done, 1_300);
-    let (there, all) = share_of_w1(&mut cluster, 1_000, 400, RunEnd::Done, 1_300);
-    assert!(there * 8 < all, "{there} of {all}");
+    let (on_w1, all) = share_of_w1(&mut cluster, 1_000, 400, RunEnd::Done, 1_300);
+    assert!(on_w1 * 8 < all, "{on_w1} of {all}");
 }
 
 #[test]
 fn stalled_run_sends_the_next_tasks_elsewhere() {
     let mut cluster = three_workers();
     cluster.enqueue(unit(1, 500, 2));
-    let (_, at) = cluster.place().remove(0);
-    cluster.report_stall(&at);
+    let (_, worker) = cluster.place().remove(0);
+    cluster.report_stall(&worker);
     for number in 2..20 {
         cluster.enqueue(unit(number, 500, 2));
     }
-    assert!(cluster.place().iter().all(|(_, other)| *other != at));
+    assert!(cluster.place().iter().all(|(_, other)| *other != worker));
 }
 
 #[rstest]
@@ -107,8 +111,8 @@
     let mut cluster = three_workers();
     for number in 1..=60 {
         cluster.enqueue(unit(number, 500, 2));
-        for (task, at) in cluster.place_for(20) {
-            cluster.finish(&task, &at, RunEnd::Failed);
+        for (task, worker) in cluster.place_for(20) {
+            cluster.finish(&task, &worker, RunEnd::Failed);
         }
     }
     cluster.enqueue(unit(100, 500, 2));
--- a/crates/placement/tests/randomized_days.rs
+++ b/crates/placement/tests/randomized_days.rs
@@ -23,14 +23,14 @@
 const DAY_MS: Millis = 16_000;
 /// What is still pending after the last arrival is done by then.
 const DRAIN_MS: Millis = 600_000;
-/// Waits are checked at this interval.
+/// Waits are checked worker this interval.
 const CHECK_INTERVAL_MS: Millis = 5 * TICK_MS;
 /// A unit with twice its demand free in a service that is half free must not wait so long.
 const MAX_WAIT_MS: Millis = 3_000;
 
 /// When a run ends, and how.
 struct PlannedEnd {
-    at: Millis,
+    ends_at: Millis,
     outcome: RunEnd,
 }
 
@@ -136,8 +136,8 @@
     }
 
     fn place(&mut self) {
-        for (task, at) in self.cluster.place() {
-            let entry = &self.cluster.runs[&(task.clone(), at.clone())];
+        for (task, worker) in self.cluster.place() {
+            let entry = &self.cluster.runs[&(task.clone(), worker.clone())];
             self.idle_since.remove(&entry.unit.id);
             let usual = if entry.unit.long_running {
                 8_000
@@ -145,19 +145,19 @@
                 entry.unit.estimated_ms.max(200)
             };
             let run_ms = whole_ms(usual as f64 * self.random.random_range(0.3..2.0));
-            let fails = self.failing && &*at == "w1" || self.random.random_bool(0.03);
+            let fails = self.failing && &*worker == "w1" || self.random.random_bool(0.03);
             let outcome = if fails { RunEnd::Failed } else { RunEnd::Done };
             let end = PlannedEnd {
-                at: self.cluster.now + run_ms,
+                ends_at: self.cluster.now + run_ms,
                 outcome,
             };
-            self.ends.insert((task, at), end);
+            self.ends.insert((task, worker), end);
         }
         for task in std::mem::take(&mut self.cluster.preempted) {
             let stopped_at = self.cluster.now + self.random.random_range(1..=STOP_MS);
             let run = self.ends.iter_mut().find(|((other, _), _)| *other == task);
             *run.expect("what is preempted runs").1 = PlannedEnd {
-                at: stopped_at,
+                ends_at: stopped_at,
                 outcome: RunEnd::Stopped,
             };
         }
@@ -165,27 +165,29 @@
 
     fn finish_due_runs(&mut self) {
         let now = self.cluster.now;
-        let over = self.ends.iter().filter(|(_, end)| end.at <= now);
+        let over = self.ends.iter().filter(|(_, end)| end.ends_at <= now);
         let over: Vec<_> = over.map(|(key, end)| (key.clone(), end.outcome)).collect();
-        for ((task, at), outcome) in over {
-            if self.ends.remove(&(task.clone(), at.clone())).is_none() {
+        for ((task, worker), outcome) in over {
+            if self.ends.remove(&(task.clone(), worker.clone())).is_none() {
                 continue;
             }
-            let unit = self.cluster.runs[&(task.clone(), at.clone())].unit.clone();
+            let unit = self.cluster.runs[&(task.clone(), worker.clone())]
+                .unit
+                .clone();
             if outcome == RunEnd::Failed && self.random.random_bool(0.3) {
-                self.cluster.report_stall(&at);
-                self.cluster.finish(&task, &at, RunEnd::Stopped);
+                self.cluster.report_stall(&worker);
+                self.cluster.finish(&task, &worker, RunEnd::Stopped);
             } else {
-                self.cluster.finish(&task, &at, outcome);
+                self.cluster.finish(&task, &worker, outcome);
             }
             if outcome != RunEnd::Done {
-                self.enqueue_again(unit, &at);
+                self.enqueue_again(unit, &worker);
             }
         }
     }
 
     /// A unit did not end well: its other members end too, and it waits anew.
-    fn enqueue_again(&mut self, mut unit: Unit, at: &WorkerId) {
+    fn enqueue_again(&mut self, mut unit: Unit, worker: &WorkerId) {
         let members = self
             .ends
             .keys()
@@ -194,18 +196,22 @@
             self.ends.remove(&(task.clone(), other.clone()));
             self.cluster.finish(&task, &other, RunEnd::GangBroken);
         }
-        unit.avoid.push(at.clone());
+        unit.avoid.push(worker.clone());
         self.cluster.enqueue(unit);
     }
 
     fn lose_worker(&mut self) {
         let ids: Vec<WorkerId> = self.cluster.workers.keys().cloned().collect();
         let id = ids[self.random.random_range(0..ids.len())].clone();
-        let here = self.cluster.runs.iter().filter(|((_, at), _)| *at == id);
+        let here = self
+            .cluster
+            .runs
+            .iter()
+            .filter(|((_, worker), _)| *worker == id);
         let units: BTreeMap<UnitId, Unit> = here
             .map(|(_, entry)| (entry.unit.id.clone(), entry.unit.clone()))
             .collect();
-        self.ends.retain(|(_, at), _| *at != id);
+        self.ends.retain(|(_, worker), _| *worker != id);
         self.cluster.remove_worker(&id);
         for unit in units.into_values() {
             self.enqueue_again(unit, &id);
@@ -225,10 +231,12 @@
 
     fn report_progress(&mut self) {
         let now = self.cluster.now;
-        for ((task, at), end) in &self.ends {
-            let since = self.cluster.runs[&(task.clone(), at.clone())].started_at;
-            let done = 100.0 * (now - since) as f64 / (end.at - since).max(1) as f64;
-            self.cluster.placement.update_progress(now, task, at, done);
+        for ((task, worker), end) in &self.ends {
+            let since = self.cluster.runs[&(task.clone(), worker.clone())].started_at;
+            let done = 100.0 * (now - since) as f64 / (end.ends_at - since).max(1) as f64;
+            self.cluster
+                .placement
+                .update_progress(now, task, worker, done);
         }
     }
 
--- a/crates/placement/tests/relative_speed.rs
+++ b/crates/placement/tests/relative_speed.rs
@@ -84,14 +84,14 @@
 }
 
 fn two_racks() -> Cluster {
-    let at = |id: &str, rack: &str| worker(id, 3_000, rack);
+    let on_rack = |id: &str, rack: &str| worker(id, 3_000, rack);
     Cluster::new(
         1,
         [
-            at("w1", "r1"),
-            at("w2", "r1"),
-            at("w3", "r2"),
-            at("w4", "r2"),
+            on_rack("w1", "r1"),
+            on_rack("w2", "r1"),
+            on_rack("w3", "r2"),
+            on_rack("w4", "r2"),
         ],
     )
 }
@@ -125,7 +125,7 @@
     play(
         &mut cluster,
         &with_wrong_estimates(None),
-        |step, at| match at {
+        |step, worker| match worker {
             "w2" => 3 * step.run_ms,
             _ => step.run_ms,
         },
@@ -145,7 +145,7 @@
     play(
         &mut cluster,
         &with_wrong_estimates(Some("r1")),
-        |step, at| match at {
+        |step, worker| match worker {
             "w1" | "w2" => step.run_ms,
             _ => whole_ms(step.run_ms as f64 * remote_slowdown),
         },
@@ -172,12 +172,12 @@
     });
     cluster.place_for(2_000);
     let slowness = |number| {
-        let at = cluster.worker_of(number).expect("it runs");
+        let worker = cluster.worker_of(number).expect("it runs");
         (
-            at.to_string(),
+            worker.to_string(),
             cluster
                 .placement
-                .run_slowness(cluster.now, &task(number), &at.into()),
+                .run_slowness(cluster.now, &task(number), &worker.into()),
         )
     };
     assert_eq!(slowness(1), ("w1".to_string(), 1.0));
