--- a/crates/controlplane/examples/cluster/scenario.rs
+++ b/crates/controlplane/examples/cluster/scenario.rs
@@ -90,12 +90,12 @@
             &lasting,
         )
         .await?;
-    watcher.until(CANCELLED, JobState::Running).await?;
+    watcher.wait_for(CANCELLED, JobState::Running).await?;
     watcher.client.cancel(CANCELLED).await?;
     print_step(&format!("job {CANCELLED} is cancelled by its client"));
-    watcher.until(CANCELLED, JobState::Cancelled).await?;
-    watcher.until(TWO_STEPS, JobState::Succeeded).await?;
-    watcher.until(GANG, JobState::Succeeded).await
+    watcher.wait_for(CANCELLED, JobState::Cancelled).await?;
+    watcher.wait_for(TWO_STEPS, JobState::Succeeded).await?;
+    watcher.wait_for(GANG, JobState::Succeeded).await
 }
 
 /// An accepted job survives the loss of the primary.
@@ -114,12 +114,12 @@
             &job,
         )
         .await?;
-    watcher.until(ACROSS_FAILOVER, JobState::Running).await?;
+    watcher.wait_for(ACROSS_FAILOVER, JobState::Running).await?;
     let name = machines.kill(primary)?;
     print_step(&format!("the primary, {name}, is killed"));
     let next = wait_for_primary(machines, Some(primary)).await;
     print_step(&format!("the next primary is {next}"));
-    watcher.until(ACROSS_FAILOVER, JobState::Succeeded).await
+    watcher.wait_for(ACROSS_FAILOVER, JobState::Succeeded).await
 }
 
 fn configuration() -> serde_json::Value {
@@ -164,15 +164,15 @@
 }
 
 impl JobWatcher {
-    async fn submit(&mut self, id: &str, what: &str, job: &serde_json::Value) -> Result<()> {
+    async fn submit(&mut self, id: &str, description: &str, job: &serde_json::Value) -> Result<()> {
         self.client.submit(id, job).await?;
-        print_step(&format!("job {id} is accepted: {what}"));
+        print_step(&format!("job {id} is accepted: {description}"));
         self.states.insert(id.to_owned(), JobState::Pending);
         Ok(())
     }
 
     /// Polls all jobs until one has reached `expected`.
-    async fn until(&mut self, id: &str, expected: JobState) -> Result<()> {
+    async fn wait_for(&mut self, id: &str, expected: JobState) -> Result<()> {
         loop {
             let ids: Vec<String> = self.states.keys().cloned().collect();
             for id in ids {
--- a/crates/controlplane/examples/cluster/worker.rs
+++ b/crates/controlplane/examples/cluster/worker.rs
@@ -28,12 +28,36 @@
 const DRAIN_MS: Millis = 20_000;
 /// Duration of a task whose spec is no number.
 const DEFAULT_WORK_MS: Millis = 500;
+const CAPACITY: Resources = Resources {
+    cpu: 8_000,
+    mem_mb: 16_384,
+    gpu: 0,
+};
+
+/// Identifies a run of a task.
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct RunKey {
+    task: TaskId,
+    run: u32,
+}
 
+/// A run that "works".
 struct Run {
     started_at: Millis,
     duration_ms: Millis,
 }
 
+impl Run {
+    fn ends_at(&self) -> Millis {
+        self.started_at + self.duration_ms
+    }
+
+    fn percent(&self, now: Millis) -> f64 {
+        let share = (now - self.started_at) as f64 / self.duration_ms.max(1) as f64;
+        (share * 100.0).min(99.0).floor()
+    }
+}
+
 /// The worker.
 pub(crate) struct SimulatedWorker {
     id: String,
@@ -43,7 +67,7 @@
     sequence: u64,
     fence_token: u64,
     lease_until: Millis,
-    running: BTreeMap<(TaskId, u32), Run>,
+    running: BTreeMap<RunKey, Run>,
     finished: Vec<FinishedRun>,
     finished_count: u64,
 }
@@ -75,90 +99,85 @@
             let sent_at = clock::steady();
             self.finish_due_runs(sent_at);
             let response = self.heartbeat(sent_at).await;
-            let mut pause = HEARTBEAT_INTERVAL_MS;
+            let mut interval_ms = HEARTBEAT_INTERVAL_MS;
             if let Some(response) = response {
-                pause = response.retry_after_ms.unwrap_or(HEARTBEAT_INTERVAL_MS);
+                interval_ms = response.retry_after_ms.unwrap_or(HEARTBEAT_INTERVAL_MS);
                 self.apply(sent_at, response);
             }
-            tokio::time::sleep(Duration::from_millis(self.pause(pause))).await;
+            tokio::time::sleep(Duration::from_millis(self.pause_ms(interval_ms))).await;
         }
     }
 
+    /// Ends the runs that are done, and all of them where the lease has expired.
     fn finish_due_runs(&mut self, now: Millis) {
         let lease_expired = now >= self.lease_until;
-        let is_due = |run_state: &Run| now >= run_state.started_at + run_state.duration_ms;
-        let ended: Vec<(TaskId, u32, RunEnd)> = self
-            .running
-            .iter()
-            .filter(|(_, run_state)| lease_expired || is_due(run_state))
-            .map(|((task, run), run_state)| {
-                (
-                    task.clone(),
-                    *run,
-                    if is_due(run_state) {
-                        RunEnd::Done
-                    } else {
-                        RunEnd::LeaseExpired
-                    },
-                )
-            })
-            .collect();
-        for (task, run, how) in ended {
-            self.end(task, run, how);
+        let mut finished = Vec::new();
+        for (key, run) in &self.running {
+            if now >= run.ends_at() {
+                finished.push((key.clone(), RunEnd::Done));
+            } else if lease_expired {
+                finished.push((key.clone(), RunEnd::LeaseExpired));
+            }
+        }
+        for (key, end) in finished {
+            self.finish(key, end);
         }
     }
 
-    fn end(&mut self, task: TaskId, run: u32, how: RunEnd) {
-        self.running.remove(&(task.clone(), run));
+    fn finish(&mut self, key: RunKey, end: RunEnd) {
+        self.running.remove(&key);
         self.finished_count += 1;
         self.finished.push(FinishedRun {
             number: self.finished_count,
-            task,
-            run,
-            end: how,
+            task: key.task,
+            run: key.run,
+            end,
             checkpoint: "".into(),
         });
     }
 
     async fn heartbeat(&mut self, now: Millis) -> Option<HeartbeatResponse> {
         self.sequence += 1;
+        let heartbeat = self.heartbeat_body(now);
+        let body = Bytes::from(serde_json::to_vec(&heartbeat).ok()?);
+        let path = format!("{HEARTBEAT_PATH}{}", self.id);
+        let request = http::Request::post(path)
+            .header(CONTENT_TYPE, "application/json")
+            .body(body)
+            .ok()?;
+        let response = self.agent.send(request, RESPONSE_TIMEOUT).await.ok()?;
+        if !response.status().is_success() {
+            return None;
+        }
+        parse_json(response.body()).ok()
+    }
+
+    fn heartbeat_body(&self, now: Millis) -> Heartbeat {
         let drains = self.drains.get();
-        let heartbeat = Heartbeat {
+        let state = if drains {
+            WorkerState::Draining
+        } else {
+            WorkerState::Ready
+        };
+        let running = self.running.iter().map(|(key, run)| RunningTask {
+            task: key.task.clone(),
+            run: key.run,
+            checkpoint: "".into(),
+            percent: run.percent(now),
+        });
+        Heartbeat {
             service: self.service.clone(),
             zone: "loopback".into(),
-            capacity: Resources {
-                cpu: 8_000,
-                mem_mb: 16_384,
-                gpu: 0,
-            },
+            capacity: CAPACITY,
             labels: vec!["a".into(), "r-1".into()],
             clock_ms: now,
-            state: if drains {
-                WorkerState::Draining
-            } else {
-                WorkerState::Ready
-            },
+            state,
             remaining_ms: drains.then_some(DRAIN_MS),
             sequence: self.sequence,
-            running: self
-                .running
-                .iter()
-                .map(|(key, run_state)| running_task(now, key, run_state))
-                .collect(),
+            running: running.collect(),
             finished: self.finished.clone(),
             ..Heartbeat::default()
-        };
-        let body = Bytes::from(serde_json::to_vec(&heartbeat).ok()?);
-        let path = format!("{HEARTBEAT_PATH}{}", self.id);
-        let request = http::Request::post(path)
-            .header(CONTENT_TYPE, "application/json")
-            .body(body)
-            .ok()?;
-        let response = self.agent.send(request, RESPONSE_TIMEOUT).await.ok()?;
-        response
-            .status()
-            .is_success()
-            .then(|| parse_json(response.body()).ok())?
+        }
     }
 
     fn apply(&mut self, sent_at: Millis, response: HeartbeatResponse) {
@@ -167,53 +186,55 @@
         }
         self.fence_token = response.fence_token;
         let last_seen = response.last_seen.unwrap_or(0);
-        self.finished.retain(|end| end.number > last_seen);
+        self.finished.retain(|finished| finished.number > last_seen);
         let Some(hold_ms) = response.hold_ms else {
             return;
         };
         self.lease_until = self.lease_until.max(sent_at + hold_ms);
         for stop in response.stop {
-            if self.running.contains_key(&(stop.task.clone(), stop.run)) {
-                self.end(stop.task, stop.run, RunEnd::Stopped);
+            let key = RunKey {
+                task: stop.task,
+                run: stop.run,
+            };
+            if self.running.contains_key(&key) {
+                self.finish(key, RunEnd::Stopped);
             }
         }
-        for StartCommand {
-            task, run, spec, ..
-        } in response.start
-        {
-            let is_over = self
-                .finished
-                .iter()
-                .any(|end| end.task == task && end.run == run);
-            if !is_over {
-                let duration_ms = spec.parse().unwrap_or(DEFAULT_WORK_MS);
-                let run_state = Run {
-                    started_at: clock::steady(),
-                    duration_ms,
-                };
-                self.running.entry((task, run)).or_insert(run_state);
-            }
+        for start in response.start {
+            self.start(start);
         }
     }
 
-    /// Until the next heartbeat: `wanted`, or sooner where a run ends before.
-    fn pause(&self, wanted: Millis) -> Millis {
+    /// Starts a run; one that was started before is not started again.
+    fn start(&mut self, command: StartCommand) {
+        let is_finished = self
+            .finished
+            .iter()
+            .any(|finished| finished.task == command.task && finished.run == command.run);
+        if is_finished {
+            return;
+        }
+        let key = RunKey {
+            task: command.task,
+            run: command.run,
+        };
+        self.running.entry(key).or_insert(Run {
+            started_at: clock::steady(),
+            duration_ms: command.spec.parse().unwrap_or(DEFAULT_WORK_MS),
+        });
+    }
+
+    /// Time until the next heartbeat: `interval_ms`, or less where a run ends before.
+    fn pause_ms(&self, interval_ms: Millis) -> Millis {
         let now = clock::steady();
-        let ends = self
+        let next_report = self
             .running
             .values()
-            .map(|run_state| run_state.started_at + run_state.duration_ms + REPORT_DELAY_MS);
-        let next = ends.min().map_or(wanted, |at| at.saturating_sub(now));
-        next.min(wanted)
-    }
-}
-
-fn running_task(now: Millis, key: &(TaskId, u32), run_state: &Run) -> RunningTask {
-    let share = (now - run_state.started_at) as f64 / run_state.duration_ms.max(1) as f64;
-    RunningTask {
-        task: key.0.clone(),
-        run: key.1,
-        checkpoint: "".into(),
-        percent: (share * 100.0).min(99.0).floor(),
+            .map(|run| run.ends_at() + REPORT_DELAY_MS)
+            .min();
+        match next_report {
+            Some(report_at) => report_at.saturating_sub(now).min(interval_ms),
+            None => interval_ms,
+        }
     }
 }
--- a/crates/controlplane/tests/cluster.rs
+++ b/crates/controlplane/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! Three control processes over loopback: a primary, operators, jobs, hand-over, restart.
+//! Three control machines over loopback: primary, operators, jobs, leadership transfer, restart.
 
 #![allow(
     clippy::expect_used,
@@ -57,16 +57,16 @@
 }
 
 fn job_state(response: &Response) -> String {
-    let response_body: Value = serde_json::from_slice(response.body()).unwrap();
-    let body = response_body["body"].as_str().unwrap_or_default();
+    let forwarded: Value = serde_json::from_slice(response.body()).unwrap();
+    let body = forwarded["body"].as_str().unwrap_or_default();
     let status: Value = serde_json::from_str(body).unwrap_or_default();
     status["state"].as_str().unwrap_or_default().to_owned()
 }
 
 /// The client's status inside a gate's response.
 fn client_status(response: &Response) -> u64 {
-    let response_body: Value = serde_json::from_slice(response.body()).unwrap_or_default();
-    response_body["status"].as_u64().unwrap_or_default()
+    let forwarded: Value = serde_json::from_slice(response.body()).unwrap_or_default();
+    forwarded["status"].as_u64().unwrap_or_default()
 }
 
 async fn configured_cluster() -> (Cluster, usize) {
--- a/crates/controlplane/tests/relay.rs
+++ b/crates/controlplane/tests/relay.rs
@@ -1,4 +1,4 @@
-//! The primary of three control processes as the root of the relay tree, with members over loopback.
+//! The primary of three control machines as the root of the relay tree, with members over loopback.
 
 #![allow(
     clippy::expect_used,
