--- a/crates/dataplane/src/agent/event.rs
+++ b/crates/dataplane/src/agent/event.rs
@@ -1,4 +1,4 @@
-//! Events that an agent handles, and the actions that it asks for.
+//! Events that an agent handles, and the actions that it requests.
 
 use std::sync::Arc;
 use streamusher_protocol::heartbeat::{Heartbeat, HeartbeatResponse};
@@ -39,7 +39,7 @@
     Tick,
 }
 
-/// What an agent asks its driver to do.
+/// What an agent wants its driver to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AgentAction {
     /// Respond to a heartbeat.
--- a/crates/dataplane/src/agent/heartbeat_response.rs
+++ b/crates/dataplane/src/agent/heartbeat_response.rs
@@ -1,4 +1,4 @@
-//! What a worker's heartbeat is answered: its hold, its commands, and when to come again.
+//! The response to a worker's heartbeat: its hold, its commands, and when the next heartbeat is due.
 
 use super::commands::CurrentCommands;
 use super::hold;
--- a/crates/dataplane/src/agent/mod.rs
+++ b/crates/dataplane/src/agent/mod.rs
@@ -23,7 +23,6 @@
 //!     boot: 7,
 //!     hold_max_ms: 6_000,
 //!     heartbeat_ms: 1_500,
-//!     stop_ms: 900,
 //! };
 //! let mut agent = Agent::new(settings, 1_000);
 //! let actions = agent.handle(1_000, AgentEvent::Tick);
--- a/crates/dataplane/src/agent/settings.rs
+++ b/crates/dataplane/src/agent/settings.rs
@@ -19,8 +19,6 @@
     pub hold_max_ms: Millis,
     /// Interval of a worker's heartbeats where the responses ask for no other.
     pub heartbeat_ms: Millis,
-    /// How long a worker takes at most to stop a run.
-    pub stop_ms: Millis,
 }
 
 impl AgentSettings {
--- a/crates/dataplane/src/agent/state_machine.rs
+++ b/crates/dataplane/src/agent/state_machine.rs
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Handles an event and gives the actions that follow, in their order. `now` never goes back from call to call.
+    /// Handles an event and gives the actions that follow, in their order. Between calls `now` must not
+    /// decrease.
     pub fn handle(&mut self, now: Millis, event: AgentEvent) -> Vec<AgentAction> {
         let mut actions = Vec::new();
         match event {
@@ -231,7 +232,7 @@
         }
     }
 
-    /// When the worker counts as gone if nothing comes from it.
+    /// When the worker counts as gone unless it sends another heartbeat.
     fn worker_gone_at(&self) -> Option<Millis> {
         let heartbeat_ms = self.settings.heartbeat_ms;
         if let Some(worker) = &self.worker {
--- a/crates/dataplane/src/agent/worker.rs
+++ b/crates/dataplane/src/agent/worker.rs
@@ -18,7 +18,7 @@
     Silent,
     /// It has deregistered, and its hold is not over: its process may end later.
     Leaving,
-    /// It has deregistered, and nothing can run there. Only a new instance comes after it.
+    /// It has deregistered, and nothing can run there. Only a new instance can follow.
     Departed,
 }
 
@@ -204,7 +204,7 @@
         &self.offered
     }
 
-    /// When it counts as gone if nothing comes from it; none where it does already.
+    /// When it counts as gone unless it sends another heartbeat; none where it does already.
     pub(super) fn gone_at(&self, heartbeat_ms: Millis) -> Option<Millis> {
         let silence_timeout_ms = hold::silence_timeout_ms(heartbeat_ms);
         let silent_at = self.received_at.saturating_add(silence_timeout_ms);
--- a/crates/dataplane/src/agent_process/driver.rs
+++ b/crates/dataplane/src/agent_process/driver.rs
@@ -56,7 +56,6 @@
             boot,
             hold_max_ms: settings.bounds.hold_max_ms,
             heartbeat_ms: settings.heartbeat_ms,
-            stop_ms: settings.bounds.stop_ms,
         };
         let seeds = settings.core_addresses_of_seeds();
         let shared = Shared {
--- a/crates/dataplane/src/control_plane/connections.rs
+++ b/crates/dataplane/src/control_plane/connections.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// The clients of all members that were called.
+/// The clients of all members that requests were sent to.
 pub(super) struct Connections {
     limits: ClientLimits,
     clients: RefCell<BTreeMap<Arc<str>, Client>>,
--- a/crates/dataplane/src/gate/relay.rs
+++ b/crates/dataplane/src/gate/relay.rs
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Changes the state machine and executes what it asks for.
+    /// Changes the state machine and executes the actions that follow.
     fn update(&self, change: impl FnOnce(&mut RelayNode, Millis) -> RelayActions) {
         let (actions, next_tick) = {
             let mut node = self.shared.node.borrow_mut();
@@ -250,7 +250,7 @@
         };
         let client = self.shared.client.clone();
         tokio::task::spawn_local(async move {
-            // What the primary has to say to it comes as a message of its own.
+            // The primary answers by a message of its own.
             let _ = client
                 .post(&primary, RELAY_PATH, &envelope, PRIMARY_TIMEOUT)
                 .await;
--- a/crates/dataplane/tests/agent/presence.rs
+++ b/crates/dataplane/tests/agent/presence.rs
@@ -91,7 +91,7 @@
     simulation.advance(HEARTBEAT_MS * 5 / 2 + 50);
     assert!(simulation.agent.status(simulation.now).gone);
 
-    // The answer to a sync from before was on its way while the worker was called gone.
+    // The response to an earlier sync was on its way while the worker was reported as gone.
     simulation.heartbeat(heartbeat(2));
     let late = AgentCommands {
         lease_ms: 60_000,
--- a/crates/dataplane/tests/agent/simulation.rs
+++ b/crates/dataplane/tests/agent/simulation.rs
@@ -24,7 +24,6 @@
         boot: 7,
         hold_max_ms: HOLD_MAX_MS,
         heartbeat_ms: HEARTBEAT_MS,
-        stop_ms: 900,
     }
 }
 
--- a/crates/dataplane/tests/agent_process.rs
+++ b/crates/dataplane/tests/agent_process.rs
@@ -51,7 +51,7 @@
     let sync: AgentSync = parse_json(request.body()).unwrap();
     let instance = sync.worker.map(|worker| worker.instance);
     let start = instance.iter().map(|_| start_command()).collect();
-    let orders = AgentCommands {
+    let commands = AgentCommands {
         epoch: 4,
         revision: 1,
         lease_ms: LEASE_MS,
@@ -59,7 +59,7 @@
         start,
         ..AgentCommands::default()
     };
-    json(StatusCode::OK, &orders)
+    json(StatusCode::OK, &commands)
 }
 
 async fn heartbeat(worker: &Client, body: String) -> Response {
--- a/crates/dataplane/tests/failover.rs
+++ b/crates/dataplane/tests/failover.rs
@@ -24,13 +24,13 @@
 /// Longer than any test takes.
 const NEVER: Duration = Duration::from_hours(1);
 
-/// A core machine that answers watches when its view is newer, and no other requests.
+/// A control machine that answers watches when its view is newer, and no other requests.
 #[derive(Clone)]
 struct Member {
     address: SocketAddr,
     view: Rc<RefCell<ClusterView>>,
     changed: Rc<Notify>,
-    called: Rc<Notify>,
+    requested: Rc<Notify>,
     watches: Rc<Cell<u32>>,
 }
 
@@ -41,7 +41,7 @@
             address: server.local_address().unwrap(),
             view: Rc::default(),
             changed: Rc::default(),
-            called: Rc::default(),
+            requested: Rc::default(),
             watches: Rc::default(),
         };
         let serving = member.clone();
@@ -62,7 +62,7 @@
                 }
             }
             _ => {
-                self.called.notify_one();
+                self.requested.notify_one();
                 std::future::pending::<()>().await;
             }
         }
@@ -101,9 +101,9 @@
     run(async {
         let (first, second, client) = start_with_known_primary().await;
         let target = client.primary().unwrap();
-        let called = first.called.clone();
+        let requested = first.requested.clone();
         let takeover = async {
-            called.notified().await;
+            requested.notified().await;
             second.set_view(2, &second, &[&first, &second]);
         };
 
@@ -126,9 +126,9 @@
     run(async {
         let (first, second, client) = start_with_known_primary().await;
         let target = client.primary().unwrap();
-        let called = first.called.clone();
+        let requested = first.requested.clone();
         let change = async {
-            called.notified().await;
+            requested.notified().await;
             second.set_view(2, &first, &[&first, &second]);
             while client.view().epoch < 2 {
                 tokio::task::yield_now().await;
--- a/crates/dataplane/tests/relay.rs
+++ b/crates/dataplane/tests/relay.rs
@@ -36,9 +36,9 @@
 /// Interval of the ticks of the stand-in's state machine.
 const TICK: Duration = Duration::from_millis(20);
 
-/// A core machine that is the primary until it hands over.
+/// A control machine that is the primary until it hands over.
 #[derive(Clone)]
-struct Core {
+struct ControlMachine {
     address: SocketAddr,
     state: Rc<State>,
 }
@@ -50,8 +50,8 @@
     successor: RefCell<Option<ClusterView>>,
 }
 
-impl Core {
-    fn start(epoch: u64) -> Core {
+impl ControlMachine {
+    fn start(epoch: u64) -> ControlMachine {
         let server = Server::bind("127.0.0.1:0".parse().unwrap(), ServerLimits::default()).unwrap();
         let address = server.local_address().unwrap();
         let body = |messages| {
@@ -67,7 +67,7 @@
             outbox: RefCell::new(Outbox::new(RELAY_PATH, body)),
             successor: RefCell::default(),
         };
-        let core = Core {
+        let core = ControlMachine {
             address,
             state: Rc::new(state),
         };
@@ -138,7 +138,7 @@
         self.send(sends);
     }
 
-    fn hand_over(&self, to: &Core) {
+    fn hand_over(&self, to: &ControlMachine) {
         *self.state.successor.borrow_mut() = Some(view(to.state.epoch, Some(to.address)));
     }
 
@@ -165,7 +165,7 @@
 }
 
 impl Member {
-    fn start(core: &Core) -> Member {
+    fn start(core: &ControlMachine) -> Member {
         let server = Server::bind("127.0.0.1:0".parse().unwrap(), ServerLimits::default()).unwrap();
         let client =
             ControlPlaneClient::new(settings(core.address).core_addresses_of_seeds(), 7, 2);
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Waits for a version; none that comes meanwhile may be older than the one before.
+    /// Waits for a version; none that arrives meanwhile may be older than the one before.
     async fn until(&self, wanted: u64) {
         while self.relay.version() < wanted {
             self.relay.changed().await;
@@ -226,7 +226,7 @@
 }
 
 /// Waits until all know the roster that names all of them.
-async fn all_are_in(members: &[Member], core: &Core) {
+async fn all_are_in(members: &[Member], core: &ControlMachine) {
     let is_known = |member: &Member| {
         let distribution = core.state.distribution.borrow();
         let roster = distribution.leases().membership();
@@ -242,7 +242,7 @@
 #[test]
 fn published_changes_reach_all_gates() {
     run(async {
-        let core = Core::start(1);
+        let core = ControlMachine::start(1);
         let members: Vec<Member> = (0..3).map(|_| Member::start(&core)).collect();
         core.publish(5, None);
         all_have(&members, 5).await;
@@ -264,7 +264,7 @@
 #[test]
 fn changes_get_past_a_dead_inner_gate() {
     run(async {
-        let core = Core::start(1);
+        let core = ControlMachine::start(1);
         let mut members: Vec<Member> = (0..12).map(|_| Member::start(&core)).collect();
         core.publish(5, None);
         all_have(&members, 5).await;
@@ -287,13 +287,13 @@
 #[test]
 fn gates_follow_a_new_primary_and_never_go_back() {
     run(async {
-        let first = Core::start(1);
+        let first = ControlMachine::start(1);
         let members: Vec<Member> = (0..3).map(|_| Member::start(&first)).collect();
         first.publish(5, None);
         all_have(&members, 5).await;
         all_are_in(&members, &first).await;
 
-        let second = Core::start(2);
+        let second = ControlMachine::start(2);
         second.publish(5, None);
         first.hand_over(&second);
         first.publish(3, None);
@@ -309,7 +309,7 @@
 #[test]
 fn malformed_relay_requests_are_rejected() {
     run(async {
-        let core = Core::start(1);
+        let core = ControlMachine::start(1);
         let member = Member::start(&core);
 
         let malformed = member
@@ -325,7 +325,7 @@
 #[test]
 fn status_shows_the_place_in_the_tree() {
     run(async {
-        let core = Core::start(1);
+        let core = ControlMachine::start(1);
         let gate = Gate::new(&settings(core.address));
 
         let status = gate.respond_internal(&request("GET", STATUS_PATH, ""));
--- a/crates/dataplane/tests/reload.rs
+++ b/crates/dataplane/tests/reload.rs
@@ -91,7 +91,7 @@
     let mut lines = BufReader::new(process.child.stderr.take().unwrap())
         .lines()
         .map_while(Result::ok);
-    // Both calls wait until the process connects.
+    // Both accepts wait until the process connects.
     former.accept().unwrap();
 
     process.reload("\"nowhere\"");
--- a/crates/dataplane/tests/support/primary.rs
+++ b/crates/dataplane/tests/support/primary.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// Settings whose only seed is the core machine at `primary`.
+/// Settings whose only seed is the control machine at `primary`.
 pub(crate) fn settings(primary: SocketAddr) -> ProcessSettings {
     ProcessSettings {
         port_range: [primary.port(), primary.port().saturating_add(15)],
--- a/crates/emulator/src/fleet/agent.rs
+++ b/crates/emulator/src/fleet/agent.rs
@@ -61,7 +61,6 @@
             boot,
             hold_max_ms: bounds.hold_max_ms,
             heartbeat_ms: bounds.heartbeat_ms,
-            stop_ms: bounds.stop_ms,
         };
         let now = self.clocks(machine).steady_ms;
         let finder = self.new_finder();
--- a/crates/runtime/src/http/mod.rs
+++ b/crates/runtime/src/http/mod.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 with whole bodies, on both sides, on one thread.
 //!
-//! - [`Client`] sends requests to one address over persistent connections, and tells requests that were surely not executed
-//!   from those that may have been ([`RequestError`]).
+//! - [`Client`] sends requests to one address over persistent connections, and distinguishes requests that were surely not
+//!   executed from those that may have been ([`RequestError`]).
 //! - [`Server`] answers whole requests within [`ServerLimits`], and closes without losing one.
 //! - [`Outbox`] sends messages that may be lost, in batches.
 //! - [`json`], [`text`], [`empty`] build responses; [`parse_json`] reads a body.
--- a/crates/runtime/src/http/server.rs
+++ b/crates/runtime/src/http/server.rs
@@ -86,7 +86,7 @@
     /// Where it listens.
     ///
     /// # Errors
-    /// The system does not tell.
+    /// The system does not report it.
     pub fn local_address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
--- a/crates/runtime/src/http/sockets.rs
+++ b/crates/runtime/src/http/sockets.rs
@@ -1,4 +1,4 @@
-//! Sockets with the options that the platform asks for.
+//! TCP sockets with the options that the platform requires.
 
 use socket2::{Domain, Protocol, SockRef, Socket, TcpKeepalive, Type};
 use std::io;
--- a/crates/runtime/src/settings/deployment_limits.rs
+++ b/crates/runtime/src/settings/deployment_limits.rs
@@ -1,6 +1,6 @@
 //! Time limits of the operators' rules.
 
-use super::time_span::{deserialize_millis, whole_millis};
+use super::time_span::{deserialize_millis, round_to_millis};
 use serde::Deserialize;
 use streamusher_protocol::Millis;
 
@@ -85,6 +85,6 @@
 impl DeploymentLimits {
     /// `grace_s` in milliseconds: from SIGTERM to SIGKILL.
     pub fn grace_ms(&self) -> Millis {
-        whole_millis(self.grace_s * 1_000.0)
+        round_to_millis(self.grace_s * 1_000.0)
     }
 }
--- a/crates/runtime/src/settings/time_span.rs
+++ b/crates/runtime/src/settings/time_span.rs
@@ -12,7 +12,7 @@
     if value.is_nan() || value < 0.0 {
         return Err(D::Error::custom("a time below zero"));
     }
-    Ok(whole_millis(value))
+    Ok(round_to_millis(value))
 }
 
 /// The nearest whole number of milliseconds; 0 for a negative number.
@@ -20,6 +20,6 @@
     clippy::cast_possible_truncation,
     reason = "the value is whole and not negative, and `as` saturates at the largest integer"
 )]
-pub(super) fn whole_millis(value: f64) -> Millis {
+pub(super) fn round_to_millis(value: f64) -> Millis {
     value.max(0.0).round() as Millis
 }
--- a/crates/runtime/src/signals.rs
+++ b/crates/runtime/src/signals.rs
@@ -23,8 +23,8 @@
 }
 
 impl Signal {
-    /// Whether it asks the process to shut down.
-    pub fn ends(self) -> bool {
+    /// Whether it requests a shutdown.
+    pub fn is_shutdown(self) -> bool {
         self != Signal::Reload
     }
 }
--- a/crates/runtime/tests/encoded_forms.rs
+++ b/crates/runtime/tests/encoded_forms.rs
@@ -269,12 +269,12 @@
         };
         let server = Server::bind("127.0.0.1:0".parse().unwrap(), limits).unwrap();
         let address = server.local_address().unwrap();
-        let echo = |call: Request| {
-            let header = |name| call.headers().get(name).map(|value| format!("{value:?}"));
+        let echo = |request: Request| {
+            let header = |name| request.headers().get(name).map(|value| format!("{value:?}"));
             let shown = format!(
                 "{} {} {:?} {:?}",
-                call.method(),
-                call.uri(),
+                request.method(),
+                request.uri(),
                 header("x-a"),
                 header(REQUEST_ID_HEADER.as_str())
             );
@@ -300,8 +300,8 @@
         }
         let client = Client::new(address);
         for path in ["/first", "/second"] {
-            let call = http::Request::get(path).body(Bytes::new()).unwrap();
-            let response = client.send(call, Duration::from_secs(20)).await.unwrap();
+            let request = http::Request::get(path).body(Bytes::new()).unwrap();
+            let response = client.send(request, Duration::from_secs(20)).await.unwrap();
             writeln!(found, "{}", shown(&response)).unwrap();
         }
         for error in [
--- a/crates/runtime/tests/http.rs
+++ b/crates/runtime/tests/http.rs
@@ -204,7 +204,7 @@
         };
         let (address, _handle, _running) = serve(limits, echo);
         let answered = Rc::new(Cell::new(0));
-        let calls: Vec<_> = (0..10)
+        let requests: Vec<_> = (0..10)
             .map(|_| {
                 let answered = Rc::clone(&answered);
                 tokio::task::spawn_local(async move {
@@ -214,8 +214,8 @@
             })
             .collect();
 
-        for call in calls {
-            call.await.unwrap();
+        for request in requests {
+            request.await.unwrap();
         }
 
         assert_eq!(answered.get(), 10);
--- a/crates/runtime/tests/process.rs
+++ b/crates/runtime/tests/process.rs
@@ -31,7 +31,7 @@
         let second = signals.next().await.unwrap();
 
         assert_eq!((first, second), (Signal::Reload, Signal::Terminate));
-        assert!(second.ends() && !first.ends());
+        assert!(second.is_shutdown() && !first.is_shutdown());
     })
     .unwrap();
 }
--- a/crates/runtime/tests/responses.rs
+++ b/crates/runtime/tests/responses.rs
@@ -20,10 +20,10 @@
 
 /// Bounds what should happen at once.
 const SOON: Duration = Duration::from_secs(20);
-/// How long a call that is given up waits.
+/// Timeout of a request that is abandoned.
 const SHORT: Duration = Duration::from_millis(50);
 
-/// Paths of the calls that a peer has read, in their order.
+/// Paths of the requests that a peer has read, in their order.
 type Seen = Rc<RefCell<Vec<String>>>;
 
 /// A connection at a scripted peer.
@@ -33,7 +33,7 @@
 }
 
 impl Connection {
-    /// Reads one call without a body; gives its path and its number.
+    /// Reads one request without a body; gives its path and its id.
     async fn read_request(&mut self) -> (String, String) {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
@@ -114,7 +114,7 @@
     .unwrap();
 }
 
-/// Answers every call of a connection as it should.
+/// Answers every request of a connection as it should.
 async fn serve_well(mut connection: Connection) {
     loop {
         let (path, id) = connection.read_request().await;
@@ -164,7 +164,7 @@
     };
     run(script, |client, seen| async move {
         assert_eq!(body_of(client.send(get("/one"), SOON).await), "/one");
-        // Whether the second answer has come yet or comes after the call, it is never that call's.
+        // Whether the second response has arrived yet or arrives after the request, it is never that request's.
         match client.send(get("/two"), SOON).await {
             Ok(response) => assert_eq!(response.body(), "/two"),
             Err(error) => assert!(matches!(error, RequestError::Unknown(_)), "{error}"),
@@ -310,7 +310,7 @@
         assert!(answered >= 100, "{answered} of 200 were answered");
         let seen = seen.borrow();
         let distinct: std::collections::BTreeSet<&String> = seen.iter().collect();
-        assert_eq!(distinct.len(), seen.len(), "a call was carried out twice");
+        assert_eq!(distinct.len(), seen.len(), "a request was executed twice");
     });
 }
 
