--- a/crates/placement/tests/common/mod.rs
+++ b/crates/placement/tests/common/mod.rs
@@ -107,7 +107,7 @@
     pub(crate) now: Millis,
     pub(crate) workers: BTreeMap<WorkerId, WorkerInfo>,
     pub(crate) runs: BTreeMap<(TaskId, WorkerId), RunningTask>,
-    pub(crate) waiting: BTreeMap<UnitId, Unit>,
+    pub(crate) pending: BTreeMap<UnitId, Unit>,
     pub(crate) starts: usize,
     /// What each started unit has waited for.
     pub(crate) waits: BTreeMap<UnitId, Vec<TimeWaited>>,
@@ -121,7 +121,7 @@
             now: 1_000,
             workers: BTreeMap::new(),
             runs: BTreeMap::new(),
-            waiting: BTreeMap::new(),
+            pending: BTreeMap::new(),
             starts: 0,
             waits: BTreeMap::new(),
             preempted: Vec::new(),
@@ -146,12 +146,12 @@
     }
 
     pub(crate) fn enqueue(&mut self, unit: Unit) {
-        self.waiting.insert(unit.id.clone(), unit.clone());
+        self.pending.insert(unit.id.clone(), unit.clone());
         self.placement.enqueue(self.now, unit);
     }
 
     pub(crate) fn withdraw(&mut self, id: &UnitId) {
-        self.waiting.remove(id);
+        self.pending.remove(id);
         self.placement.withdraw(id);
     }
 
@@ -179,7 +179,7 @@
         started
     }
 
-    /// Places worker each tick of a span. Returns the starts.
+    /// Places at each tick of a span. Returns the starts.
     pub(crate) fn place_for(&mut self, span_ms: Millis) -> Vec<(TaskId, WorkerId)> {
         let end = self.now + span_ms;
         let mut started = self.place();
@@ -192,7 +192,7 @@
 
     fn check_start(&mut self, id: &UnitId, assignments: &[(TaskId, WorkerId)]) {
         let unit = self
-            .waiting
+            .pending
             .remove(id)
             .unwrap_or_else(|| panic!("started twice or never asked: {id:?}"));
         let wanted: BTreeSet<&TaskId> = unit.tasks.iter().collect();
--- a/crates/placement/tests/randomized_days.rs
+++ b/crates/placement/tests/randomized_days.rs
@@ -241,7 +241,7 @@
     }
 
     fn withdraw_one(&mut self) {
-        let first = self.cluster.waiting.keys().next().cloned();
+        let first = self.cluster.pending.keys().next().cloned();
         if let Some(id) = first {
             self.cluster.withdraw(&id);
         }
@@ -286,12 +286,12 @@
             .collect();
         let has_room =
             |unit: &Unit| light[&*unit.service] && self.has_twice_its_demand_free(unit, &used);
-        let waiting = self
+        let pending = self
             .cluster
-            .waiting
+            .pending
             .iter()
             .filter(|(_, unit)| has_room(unit));
-        let idle: Vec<UnitId> = waiting.map(|(id, _)| id.clone()).collect();
+        let idle: Vec<UnitId> = pending.map(|(id, _)| id.clone()).collect();
         self.idle_since.retain(|id, _| idle.contains(id));
         for id in idle {
             let since = *self
@@ -302,7 +302,7 @@
             assert!(
                 waited < MAX_WAIT_MS,
                 "{:?} waits with capacity free",
-                self.cluster.waiting[&id]
+                self.cluster.pending[&id]
             );
         }
     }
@@ -388,7 +388,7 @@
             .collect();
         !self
             .cluster
-            .waiting
+            .pending
             .values()
             .any(|unit| self.has_twice_its_demand_free(unit, &nothing))
     }
@@ -397,11 +397,11 @@
         assert!(
             self.ends.is_empty() && self.nothing_can_start(),
             "{} wait",
-            self.cluster.waiting.len()
+            self.cluster.pending.len()
         );
         assert_eq!(
             self.cluster.placement.pending_count(),
-            self.cluster.waiting.len()
+            self.cluster.pending.len()
         );
         for status in self.cluster.placement.workers() {
             assert_eq!(
