--- a/crates/inventory/src/csv.rs
+++ b/crates/inventory/src/csv.rs
@@ -16,7 +16,7 @@
         return Vec::new();
     };
     let delimiter = delimiter(heading);
-    if let Some(open) = streamusher_csv_quotes::left_open(text.as_bytes(), delimiter, Some(b'#')) {
+    if let Some(open) = streamusher_csv_quotes::find_unterminated_quote(text.as_bytes(), delimiter, Some(b'#')) {
         // All rows behind it would be taken for one field.
         found.add(
             texts,
--- a/crates/ledger/src/receipts.rs
+++ b/crates/ledger/src/receipts.rs
@@ -4,7 +4,7 @@
 use crate::store::{Doubt, Settle, Store, StoreError};
 use std::collections::HashSet;
 use std::path::Path;
-use streamusher_csv_quotes::{Quotes, Watched};
+use streamusher_csv_quotes::{QuoteTracker, TrackedReader};
 
 /// Why doubts could not be settled.
 #[derive(Debug, thiserror::Error)]
@@ -24,7 +24,7 @@
     let bad = |why: String| ReceiptsError::File(format!("{at}: {why}"));
     let sought: HashSet<&str> = doubts.iter().map(|d| d.row.operation.as_str()).collect();
     let file = std::fs::File::open(path).map_err(|e| bad(e.to_string()))?;
-    let (file, quotes) = Watched::new(file, Quotes::new(b',', None));
+    let (file, quotes) = TrackedReader::new(file, QuoteTracker::new(b',', None));
     let mut rows = csv::ReaderBuilder::new()
         .trim(csv::Trim::All)
         .flexible(false)
@@ -40,7 +40,7 @@
     let open = || {
         quotes
             .borrow()
-            .open()
+            .unterminated_quote()
             .map(|p| bad(format!("line {}: a quote without its end", p.line)))
     };
     while rows
