--- a/crates/dataplane/src/gate/server.rs
+++ b/crates/dataplane/src/gate/server.rs
@@ -40,7 +40,7 @@
 }
 
 impl GateAddresses {
-    fn of(settings: &ProcessSettings) -> Result<GateAddresses, RoleSettingsError> {
+    fn from_settings(settings: &ProcessSettings) -> Result<GateAddresses, RoleSettingsError> {
         require_party(settings, "gate", "front")?;
         let listen = &settings.listen;
         Ok(GateAddresses {
@@ -59,7 +59,7 @@
 /// # Errors
 /// The role does not serve `front`, or `listen.front` or `listen.ready` is missing.
 pub fn check(settings: &ProcessSettings) -> Result<(), RoleSettingsError> {
-    GateAddresses::of(settings).map(|_addresses| ())
+    GateAddresses::from_settings(settings).map(|_addresses| ())
 }
 
 /// Runs the gate until SIGTERM or SIGINT, and then until its clients are served; SIGHUP reloads the seeds.
@@ -67,7 +67,7 @@
 /// # Errors
 /// The settings are not a gate's, an address cannot be bound, or signals cannot be received.
 pub async fn run(settings: ProcessSettings) -> anyhow::Result<()> {
-    let addresses = GateAddresses::of(&settings)?;
+    let addresses = GateAddresses::from_settings(&settings)?;
     let mut signals = Signals::new()?;
     let initial_limits = server_limits(&settings, &Limits::default());
     let front = process::bind(addresses.front, initial_limits).await?;
--- a/crates/dataplane/src/main.rs
+++ b/crates/dataplane/src/main.rs
@@ -1,6 +1,6 @@
 //! The binary `streamusher-data`: `gate` on front machines, `agent` beside a worker.
 //!
-//! Exit codes: 0 after SIGTERM or SIGINT and for settings found well, 1 for a failure while running, 2 for a wrong command
+//! Exit codes: 0 after SIGTERM or SIGINT and for settings that a check accepts, 1 for a failure while running, 2 for a wrong command
 //! line or wrong settings.
 
 use std::process::ExitCode;
@@ -52,7 +52,7 @@
 }
 
 impl Role {
-    fn of_command(command: Option<&str>) -> Role {
+    fn from_command(command: Option<&str>) -> Role {
         match command {
             Some(GATE_COMMAND) => Role::Gate,
             _ => Role::Agent,
@@ -80,7 +80,7 @@
         Ok(settings) => settings,
         Err(error) => return misuse(&error),
     };
-    let role = Role::of_command(options.command);
+    let role = Role::from_command(options.command);
     match role.check(&settings) {
         Err(error) => misuse(&error),
         Ok(()) if options.check => ExitCode::SUCCESS,
