--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -18,6 +18,19 @@
 //! - A unit with as many failed attempts as its [`QueuePolicy`] allows ends its job; units of long-running steps are
 //!   restarted without limit, after a backoff.
 //!
+//! # Structure
+//!
+//! Each layer uses the ones below it and none above:
+//!
+//! - [`JobTable`] is the interface; the module `views` shows units and runs to others.
+//! - `recovery` and `encoding` turn stored records (`record`) into jobs and back.
+//! - `store` keeps all jobs, the number of pending ones, and the effects that are not taken yet.
+//! - `job` releases iterations and ends the job; `run_events` handles what happens to runs. Both turn what the state below
+//!   returns into `effects`.
+//! - `iterations`, `iteration`, `step` and `unit` are the state of a job, from large to small; a `position` names a place
+//!   in it.
+//! - `policy`, `plan` and `backoff` are the rules by which it runs, `latency` and `completion` what is reported of it.
+//!
 //! # Example
 //!
 //! ```
--- a/crates/jobs/src/step.rs
+++ b/crates/jobs/src/step.rs
@@ -172,7 +172,10 @@
         if task.worker.is_some() && unit.run == run {
             return Some(RunSlot::Newest);
         }
-        let is_earlier = task.earlier.as_ref().is_some_and(|e| e.run == run);
+        let is_earlier = task
+            .earlier
+            .as_ref()
+            .is_some_and(|earlier| earlier.run == run);
         is_earlier.then_some(RunSlot::Earlier)
     }
 
@@ -264,7 +267,7 @@
         }
     }
 
-    /// Lets the unit avoid the worker of a run. False if it does so already.
+    /// Lets the unit avoid the worker of a run. False if it avoids that worker already.
     pub(crate) fn avoid_worker_of(&mut self, task: u32, slot: RunSlot) -> bool {
         let Some((task, unit)) = self.task_and_unit_mut(task) else {
             return false;
@@ -317,8 +320,8 @@
         AbandonedUnit { was_waiting, runs }
     }
 
-    /// The runs of a unit that has to stop: all, but of a unit that is done only the earlier ones, as its newest run
-    /// ends by itself.
+    /// The runs of a unit that are to be stopped as its job ends: all of them, except that the newest run of a unit that
+    /// is done ends by itself.
     fn runs_to_abandon(&self, unit: u32) -> Vec<TaskRun> {
         let is_assigned = |unit: &&UnitState| unit.phase == UnitPhase::Assigned;
         let newest_run = self.unit(unit).filter(is_assigned).map(|unit| unit.run);
