--- a/crates/fair-share/src/ranking_replica.rs
+++ b/crates/fair-share/src/ranking_replica.rs
@@ -126,7 +126,7 @@
         let mut usage_by_user = base.as_ref().map_or_else(UsageByUser::new, |history| {
             history.newest().usage_by_user().clone()
         });
-        for UsageChange(user, usage) in &update.changes {
+        for UsageChange { user, usage } in &update.changes {
             match usage {
                 Some(usage) => usage_by_user.insert(user.clone(), usage.clone()),
                 None => usage_by_user.remove(user),
@@ -140,7 +140,7 @@
         );
         self.history = Some(match base {
             Some(mut history) => {
-                let changed = update.changes.iter().map(|change| change.0.clone());
+                let changed = update.changes.iter().map(|change| change.user.clone());
                 history.push(ranking, changed.collect());
                 history
             }
--- a/crates/fair-share/src/version.rs
+++ b/crates/fair-share/src/version.rs
@@ -38,9 +38,25 @@
 
 /// A user's usage in an update. Encoded as a pair.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UsageChange(
+#[serde(
+    from = "(Arc<str>, Option<DecayedUsage>)",
+    into = "(Arc<str>, Option<DecayedUsage>)"
+)]
+pub struct UsageChange {
     /// The user.
-    pub Arc<str>,
+    pub user: Arc<str>,
     /// Its usage; none where the user is dropped.
-    pub Option<DecayedUsage>,
-);
+    pub usage: Option<DecayedUsage>,
+}
+
+impl From<(Arc<str>, Option<DecayedUsage>)> for UsageChange {
+    fn from((user, usage): (Arc<str>, Option<DecayedUsage>)) -> UsageChange {
+        UsageChange { user, usage }
+    }
+}
+
+impl From<UsageChange> for (Arc<str>, Option<DecayedUsage>) {
+    fn from(change: UsageChange) -> (Arc<str>, Option<DecayedUsage>) {
+        (change.user, change.usage)
+    }
+}
--- a/crates/fair-share/src/version_history.rs
+++ b/crates/fair-share/src/version_history.rs
@@ -89,7 +89,10 @@
         self.newest
             .usage_by_user()
             .iter()
-            .map(|(user, usage)| UsageChange(user.clone(), Some(usage.clone())))
+            .map(|(user, usage)| UsageChange {
+                user: user.clone(),
+                usage: Some(usage.clone()),
+            })
             .collect()
     }
 
@@ -103,7 +106,10 @@
         let usage_by_user = self.newest.usage_by_user();
         users
             .into_iter()
-            .map(|user| UsageChange(user.clone(), usage_by_user.get(user).cloned()))
+            .map(|user| UsageChange {
+                user: user.clone(),
+                usage: usage_by_user.get(user).cloned(),
+            })
             .collect()
     }
 }
--- a/crates/scheduler/src/client_requests.rs
+++ b/crates/scheduler/src/client_requests.rs
@@ -1,5 +1,6 @@
 //! Clients' requests about jobs and queues, as gates forward them.
 
+use crate::json_body::{to_json, ErrorBody};
 use serde::Serialize;
 use streamusher_configuration::{ConfigurationStore, RouteMatch};
 use streamusher_jobs::{CancelOutcome, JobTable, QueuePolicy};
@@ -12,12 +13,6 @@
 /// When to try again while there is no configuration.
 const UNCONFIGURED_RETRY_MS: Millis = 500;
 
-/// The JSON body of an error.
-#[derive(Serialize)]
-struct ErrorBody<'a> {
-    error: &'a str,
-}
-
 /// Carries out a client's request. The response must not be sent before the job table's changes are committed.
 pub(crate) fn on_client_request(
     jobs: &mut JobTable,
@@ -115,14 +110,17 @@
 }
 
 fn error_response(status: u16, error: &str) -> ClientResponse {
-    json_response(status, &ErrorBody { error })
+    let body = ErrorBody {
+        error,
+        version: None,
+    };
+    json_response(status, &body)
 }
 
 fn json_response(status: u16, body: &impl Serialize) -> ClientResponse {
-    let body = serde_json::to_string(body).unwrap_or_default();
     ClientResponse {
         status,
-        body: body.into(),
+        body: to_json(body),
         retry_after_ms: None,
     }
 }
--- a/crates/scheduler/src/cluster_state.rs
+++ b/crates/scheduler/src/cluster_state.rs
@@ -6,7 +6,7 @@
 
 use crate::agents::{AgentSession, AgentTable};
 use crate::event::{Effects, PendingResponse, RequestId, SchedulerResponse};
-use crate::fair_share::FairShare;
+use crate::fair_share::{FairShare, ReorderedUnit};
 use crate::objective_report::{latency_of_waits, log_if_missed};
 use crate::penalty_store::PenaltyStore;
 use crate::runs::{ActiveRun, RunProfile, RunTable};
@@ -327,7 +327,7 @@
         let reordered = fair_share.next_reordered(&self.jobs, &self.pending_units);
         let min_shift_ms = fair_share.min_shift_ms();
         self.write(writes);
-        for (unit, order) in reordered {
+        for ReorderedUnit { unit, order } in reordered {
             let present = self.placement.order_of(&unit);
             if present.is_some_and(|present| present.abs_diff(order) > min_shift_ms) {
                 self.placement.reorder(&unit, order);
--- a/crates/scheduler/src/fair_share.rs
+++ b/crates/scheduler/src/fair_share.rs
@@ -33,6 +33,12 @@
     last: Option<UnitId>,
 }
 
+/// A pending unit with its order by the newest ranking.
+pub(crate) struct ReorderedUnit {
+    pub(crate) unit: UnitId,
+    pub(crate) order: u64,
+}
+
 /// Users' accounts, and how far the order of pending units follows them.
 pub(crate) struct FairShare {
     accounts: FairShareAccounts,
@@ -161,21 +167,24 @@
         &mut self,
         jobs: &JobTable,
         pending: &BTreeMap<UnitId, Unit>,
-    ) -> Vec<(UnitId, u64)> {
+    ) -> Vec<ReorderedUnit> {
         let Some(pass) = self.pass.take() else {
             return Vec::new();
         };
         let after_last = pass.last.map_or(Unbounded, Excluded);
-        let units: Vec<(UnitId, u64)> = pending
+        let units: Vec<ReorderedUnit> = pending
             .range((after_last, Unbounded))
             .take(UNITS_PER_ROUND)
-            .map(|(id, unit)| (id.clone(), self.order_key(jobs, unit)))
+            .map(|(id, unit)| ReorderedUnit {
+                unit: id.clone(),
+                order: self.order_key(jobs, unit),
+            })
             .collect();
         let newest = self.accounts.version();
         self.pass = match units.last() {
-            Some((last, _)) if units.len() == UNITS_PER_ROUND => Some(ReorderPass {
+            Some(last) if units.len() == UNITS_PER_ROUND => Some(ReorderPass {
                 version: pass.version,
-                last: Some(last.clone()),
+                last: Some(last.unit.clone()),
             }),
             _ if pass.version < newest => Some(ReorderPass {
                 version: newest,
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -50,7 +50,7 @@
 //! - `cluster_state`: the state, and the transitions that keep its parts consistent.
 //! - `runs`, `workers`, `agents`, `fair_share`, `penalty_store`, `objective_report`: the parts of the state, each with
 //!   what it owns.
-//! - `event`, `settings`, `status`: types of the interface.
+//! - `event`, `settings`, `status`, `json_body`: types of the interface.
 
 mod agent_sync;
 mod agents;
@@ -61,6 +61,7 @@
 mod explain;
 mod fair_share;
 mod hedging;
+mod json_body;
 mod objective_report;
 mod operator_requests;
 mod penalty_store;
--- a/crates/scheduler/src/operator_requests.rs
+++ b/crates/scheduler/src/operator_requests.rs
@@ -2,6 +2,7 @@
 
 use crate::client_requests::queue_policy;
 use crate::event::{OperatorRequest, OperatorRequestKind, OperatorResponse};
+use crate::json_body::{to_json, ErrorBody};
 use serde::Serialize;
 use streamusher_configuration::{ChangeOutcome, ConfigurationStore};
 use streamusher_jobs::JobTable;
@@ -13,36 +14,46 @@
     version: u64,
 }
 
-/// The JSON body of an error.
-#[derive(Serialize)]
-struct ErrorBody<'a> {
-    error: &'a str,
-    /// The current version, where the request named another one.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    version: Option<u64>,
+/// What a request leads to.
+pub(crate) struct OperatorOutcome {
+    /// To be sent once the writes are committed.
+    pub(crate) response: OperatorResponse,
+    /// Changes of the replicated state.
+    pub(crate) writes: Vec<Write>,
+}
+
+impl OperatorOutcome {
+    fn without_writes(response: OperatorResponse) -> OperatorOutcome {
+        OperatorOutcome {
+            response,
+            writes: Vec::new(),
+        }
+    }
 }
 
-/// Carries out an operator's request; returns the response and the writes that must be committed before it is sent.
+/// Carries out an operator's request.
 pub(crate) fn on_operator_request(
     configuration: &mut ConfigurationStore,
     jobs: &mut JobTable,
     request: &OperatorRequest,
-) -> (OperatorResponse, Vec<Write>) {
+) -> OperatorOutcome {
     let outcome = match (request.kind, request.base) {
-        (OperatorRequestKind::Read, _) => return (read(configuration), Vec::new()),
+        (OperatorRequestKind::Read, _) => {
+            return OperatorOutcome::without_writes(read(configuration));
+        }
         (_, None) => {
             let error = "the header Streamusher-Base-Version must name the current version";
-            return (error_response(400, error, None), Vec::new());
+            return OperatorOutcome::without_writes(error_response(400, error, None));
         }
         (OperatorRequestKind::Replace, Some(base)) => configuration.replace(base, &request.body),
         (OperatorRequestKind::Update, Some(base)) => configuration.update(base, &request.body),
     };
     let is_applied = matches!(outcome, ChangeOutcome::Applied { .. });
-    let answer = respond_to_change(outcome);
+    let outcome = respond_to_change(outcome);
     if is_applied {
         apply_to_queues(configuration, jobs);
     }
-    answer
+    outcome
 }
 
 fn read(configuration: &ConfigurationStore) -> OperatorResponse {
@@ -52,32 +63,31 @@
     }
 }
 
-fn respond_to_change(outcome: ChangeOutcome) -> (OperatorResponse, Vec<Write>) {
+fn respond_to_change(outcome: ChangeOutcome) -> OperatorOutcome {
     match outcome {
         ChangeOutcome::Applied { version, writes } => {
             log::info!("configuration {version} taken");
-            (json_response(200, &VersionBody { version }), writes)
+            let response = json_response(200, &VersionBody { version });
+            OperatorOutcome { response, writes }
         }
         ChangeOutcome::AlreadyApplied { version } => {
-            (json_response(200, &VersionBody { version }), Vec::new())
+            OperatorOutcome::without_writes(json_response(200, &VersionBody { version }))
         }
         ChangeOutcome::VersionConflict {
             current_version,
             writes,
         } => {
             let error = "another version is current";
-            (error_response(412, error, Some(current_version)), writes)
+            let response = error_response(412, error, Some(current_version));
+            OperatorOutcome { response, writes }
         }
         ChangeOutcome::Undecided { current_version } => {
             let error = "no longer known whether this was taken: read the configuration";
-            (
-                error_response(503, error, Some(current_version)),
-                Vec::new(),
-            )
+            OperatorOutcome::without_writes(error_response(503, error, Some(current_version)))
         }
         ChangeOutcome::Invalid(error) => {
             log::info!("configuration rejected: {error}");
-            (error_response(400, &error.to_string(), None), Vec::new())
+            OperatorOutcome::without_writes(error_response(400, &error.to_string(), None))
         }
     }
 }
@@ -97,9 +107,8 @@
 }
 
 fn json_response(status: u16, body: &impl Serialize) -> OperatorResponse {
-    let body = serde_json::to_string(body).unwrap_or_default();
     OperatorResponse {
         status,
-        body: body.into(),
+        body: to_json(body),
     }
 }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -67,14 +67,14 @@
                 agent_sync::on_agent_sync(&mut self.state, now, id, &sync);
             }
             Event::OperatorRequest { id, request } => {
-                let (response, writes) = operator_requests::on_operator_request(
+                let outcome = operator_requests::on_operator_request(
                     &mut self.configuration,
                     &mut self.state.jobs,
                     &request,
                 );
-                self.state.write(writes);
+                self.state.write(outcome.writes);
                 self.state
-                    .respond(id, SchedulerResponse::Operator(response));
+                    .respond(id, SchedulerResponse::Operator(outcome.response));
             }
             Event::RequestAbandoned { id } => self.state.agents.drop_deferred(id),
             Event::Tick => self.on_tick(now),
