--- a/crates/protocol/src/config.rs
+++ b/crates/protocol/src/config.rs
@@ -1,19 +1,19 @@
-//! The operators' configuration as it stands on the wire. Checking and versions are the configuration crate's.
+//! The operators' configuration as it is sent. The configuration package checks it and compares versions.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Header that carries the version on which a change builds.
+/// Header with the version on which a change is based.
 pub const BASE_VERSION_HEADER: &str = "streamusher-base-version";
 /// Path of a whole configuration.
 pub const REPLACE_PATH: &str = "/streamusher/Config.Replace";
 /// Path of a change of named items.
 pub const UPDATE_PATH: &str = "/streamusher/Config.Update";
-/// Path under which the newest configuration is read.
+/// Path of the newest committed configuration.
 pub const READ_PATH: &str = "/streamusher/Config.Read";
 
-/// A whole configuration. Fields that are not known here are kept in `other`, so that a read gives back what was sent.
+/// A whole configuration. Fields that this release does not know are kept in `other`, so that a read returns what was sent.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
     /// Rises from change to change.
@@ -43,18 +43,18 @@
     pub path_prefix: Arc<str>,
     /// How long a request may take.
     pub timeout_ms: Millis,
-    /// Part of the objective of its jobs' latency.
+    /// Constant part of the latency objective of its jobs.
     #[serde(default)]
     pub target_latency_ms: Millis,
-    /// 0 comes first and may preempt the others.
+    /// Priority of its jobs: 0 is the most urgent and may preempt the others.
     #[serde(default)]
     pub priority: u32,
-    /// Whose workers run its tasks.
+    /// The service whose workers run its tasks.
     pub service: Arc<str>,
-    /// Runs of a task that may end failed.
-    #[serde(default = "one")]
+    /// Failed runs after which a task is given up.
+    #[serde(default = "default_max_attempts")]
     pub max_attempts: u32,
-    /// Factor of the objective on the job's longest chain of work.
+    /// Part of the latency objective that grows with the job: factor on its critical path.
     #[serde(default)]
     pub stretch: f64,
     /// Fields not known here.
@@ -67,10 +67,10 @@
 pub struct Service {
     /// Its name, unique.
     pub name: Arc<str>,
-    /// Where its workers answer health checks.
+    /// Path of its workers' health checks.
     #[serde(default)]
     pub health_path: Arc<str>,
-    /// Whether its workers reject what does not fit.
+    /// Whether its workers reject runs that do not fit into their capacity.
     #[serde(default)]
     pub guards: bool,
     /// Fields not known here.
@@ -86,9 +86,9 @@
     pub max_header_bytes: u64,
     /// The longest body of a request, in bytes.
     pub max_body_bytes: u64,
-    /// How long a head may take to come.
+    /// How long the head of a request may take to arrive.
     pub header_timeout_ms: Millis,
-    /// How long a connection may rest between requests.
+    /// How long a connection may be idle between requests.
     pub idle_timeout_ms: Millis,
     /// Fields not known here.
     #[serde(flatten)]
@@ -110,7 +110,7 @@
 /// A change of named items.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct Update {
-    /// The version that it makes.
+    /// The version of the configuration after the change.
     pub version: u64,
     /// Items to add, or to replace by name.
     #[serde(default)]
@@ -129,7 +129,7 @@
     /// Services.
     #[serde(default)]
     pub services: Vec<Service>,
-    /// Limits, whole.
+    /// All limits; none keeps the present ones.
     #[serde(default)]
     pub limits: Option<Limits>,
 }
@@ -145,6 +145,6 @@
     pub services: Vec<Arc<str>>,
 }
 
-fn one() -> u32 {
+fn default_max_attempts() -> u32 {
     1
 }
--- a/crates/protocol/src/heartbeat.rs
+++ b/crates/protocol/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! What a worker reports in its heartbeats and is answered (`Instances.Heartbeat` and `Instances.Deregister`).
+//! A worker's heartbeat and the response to it (`Instances.Heartbeat` and `Instances.Deregister`).
 
 use crate::task::{RunEnd, TaskId};
 use crate::Millis;
@@ -10,7 +10,7 @@
 /// Path of a worker's deregistration, before its id.
 pub const DEREGISTER_PATH: &str = "/streamusher/Instances.Deregister/";
 
-/// Amounts of a worker's room, or of what a task takes of it.
+/// Amounts of a worker's capacity, or of what a task takes of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resources {
     /// Thousandths of a processor core.
@@ -30,7 +30,8 @@
         self.cpu >= wanted.cpu && self.mem_mb >= wanted.mem_mb && self.gpu >= wanted.gpu
     }
 
-    /// The sum of both.
+    /// The sum of both, at most the highest number for each kind.
+    #[must_use]
     pub fn saturating_add(&self, other: &Resources) -> Resources {
         Resources {
             cpu: self.cpu.saturating_add(other.cpu),
@@ -39,7 +40,8 @@
         }
     }
 
-    /// What is left after `other` is taken away; never below zero.
+    /// What is left after `other` is taken away, at least 0 for each kind.
+    #[must_use]
     pub fn saturating_sub(&self, other: &Resources) -> Resources {
         Resources {
             cpu: self.cpu.saturating_sub(other.cpu),
@@ -49,14 +51,14 @@
     }
 }
 
-/// Whether a worker takes new work.
+/// Whether a worker takes new runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WorkerState {
-    /// It takes work.
+    /// It takes new runs.
     #[default]
     Ready,
-    /// It will leave and takes none.
+    /// It will leave and takes no new runs.
     Draining,
 }
 
@@ -95,7 +97,7 @@
 pub struct Heartbeat {
     /// The service whose tasks it runs.
     pub service: Arc<str>,
-    /// Where it listens; only its own machine may call it.
+    /// Where it listens; only its own machine can reach it.
     #[serde(default)]
     pub address: Arc<str>,
     /// Its zone.
@@ -104,33 +106,33 @@
     /// Version of its software.
     #[serde(default)]
     pub version: Arc<str>,
-    /// Tasks at once, as it says itself.
+    /// How many tasks it runs at once.
     #[serde(default)]
     pub slots: u32,
-    /// Whether it takes work.
+    /// Whether it takes new runs.
     #[serde(default)]
     pub state: WorkerState,
-    /// How much longer it stays slow from its start.
+    /// How much longer it is slower than usual after its start.
     #[serde(default)]
     pub warmup_left_ms: Millis,
-    /// Its whole room.
+    /// Its whole capacity.
     #[serde(default)]
     pub capacity: Resources,
-    /// Its kind and its rack.
+    /// Labels by which steps select workers: its kind and its rack.
     #[serde(default)]
     pub labels: Vec<Arc<str>>,
-    /// Its own steady clock.
+    /// Its own steady clock, in milliseconds.
     #[serde(default)]
     pub clock_ms: Millis,
-    /// Rises with each call.
+    /// Rises with each heartbeat; a lower one that arrives later is ignored.
     pub sequence: u64,
-    /// While it drains: how long it is still there, at least.
+    /// While it drains: for how long it will still run, at least.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub remaining_ms: Option<Millis>,
-    /// Runs at work.
+    /// Runs that are being executed.
     #[serde(default)]
     pub running: Vec<RunningTask>,
-    /// Runs that have ended and were not acknowledged yet.
+    /// Runs that have ended and are not acknowledged by [`HeartbeatResponse::last_seen`] yet.
     #[serde(default)]
     pub finished: Vec<FinishedRun>,
 }
@@ -159,16 +161,17 @@
     pub run: u32,
 }
 
-/// The answer to a heartbeat.
+/// The response to a heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// How long runs are held, counted from the sending of the heartbeat; without it nothing is held on or started.
+    /// Lease: for how long runs may go on without contact, counted from the sending of the heartbeat. Without it no lease is
+    /// extended and nothing may be started.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub hold_ms: Option<Millis>,
-    /// Ends up to this number are taken note of and may be forgotten.
+    /// Ended runs up to this number are acknowledged: the worker may forget them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub last_seen: Option<u64>,
-    /// The epoch of the primary that orders; a worker does nothing for a lower one than it has seen.
+    /// Fencing token: the epoch of the primary. A worker ignores a response with a lower one than it has seen.
     #[serde(default)]
     pub fence_token: u64,
     /// Runs to start.
@@ -177,7 +180,7 @@
     /// Runs to stop.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub stop: Vec<StopCommand>,
-    /// When the next heartbeat is wanted.
+    /// After how long the next heartbeat is wanted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<Millis>,
 }
--- a/crates/protocol/src/internal.rs
+++ b/crates/protocol/src/internal.rs
@@ -1,4 +1,4 @@
-//! What gates and agents say to the control plane, over HTTP/1.1 with JSON bodies on the internal port.
+//! Requests of gates and agents to the control plane, over HTTP/1.1 with JSON bodies on the internal port.
 
 use crate::heartbeat::{
     FinishedRun, Resources, RunningTask, StartCommand, StopCommand, WorkerState,
@@ -8,24 +8,24 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// An agent reports its worker and waits for orders: [`AgentSync`] to [`AgentCommands`].
+/// Path at which an agent reports its worker and waits for commands: [`AgentSync`] to [`AgentCommands`].
 pub const AGENT_SYNC_PATH: &str = "/internal/agent/sync";
-/// A gate passes on a client's call: [`ClientRequest`] to [`ClientResponse`].
+/// Path at which a gate forwards a client's request: [`ClientRequest`] to [`ClientResponse`].
 pub const CLIENT_REQUEST_PATH: &str = "/internal/client/call";
-/// A gate renews its lease: [`GateLeaseRequest`] to [`GateLeaseResponse`].
+/// Path at which a gate renews its lease: [`GateLeaseRequest`] to [`GateLeaseResponse`].
 pub const GATE_LEASE_PATH: &str = "/internal/gate/lease";
-/// Messages of the configuration's relay tree.
+/// Path of the messages of the configuration's relay tree.
 pub const RELAY_PATH: &str = "/internal/relay";
-/// Who is in the control plane: answered with [`ClusterView`].
+/// Path of the present members of the control plane: [`ClusterView`].
 pub const CLUSTER_PATH: &str = "/internal/cluster";
-/// The same as soon as a newer epoch is known: [`ClusterWatch`] to [`ClusterView`].
+/// Path of the same as soon as a newer epoch is known: [`ClusterWatch`] to [`ClusterView`].
 pub const CLUSTER_WATCH_PATH: &str = "/internal/cluster/watch";
-/// Messages between core machines.
+/// Path of the messages between control machines.
 pub const COORDINATION_PATH: &str = "/internal/core/messages";
-/// Status of any process, for operators.
+/// Path of the status of any process, for operators.
 pub const STATUS_PATH: &str = "/internal/status";
 
-/// What the primary knows of one job or user: [`ExplainRequest`].
+/// Path at which the primary explains the state of one job or user: [`ExplainRequest`].
 pub const EXPLAIN_PATH: &str = "/internal/explain";
 
 /// Offset in the machine's port range of the control plane's internal port.
@@ -35,53 +35,53 @@
 /// Offset in the machine's port range of the agent's internal port.
 pub const AGENT_PORT_OFFSET: u16 = 2;
 
-/// A core machine, as others reach it.
+/// A control machine, as others reach it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CoreAddress {
     /// `ip:port` of the internal protocol.
     pub internal: Arc<str>,
-    /// `ip:port` at which workers and operators call it.
+    /// `ip:port` for workers and operators.
     pub control: Arc<str>,
 }
 
-/// What a core machine knows of the control plane.
+/// What a control machine knows of the control plane.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClusterView {
     /// The newest epoch known.
     pub epoch: u64,
-    /// The primary of that epoch, where it is known and not thought lost.
+    /// The primary of that epoch, unless it is unknown or suspected to be lost.
     pub primary: Option<CoreAddress>,
-    /// All core machines.
+    /// All control machines.
     pub members: Vec<CoreAddress>,
 }
 
-/// Asks a core machine for its view once it knows a newer epoch, or when the time is over.
+/// Asks a control machine for its view once it knows a newer epoch, or when the time is over (long poll).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClusterWatch {
-    /// The newest epoch that the caller knows.
+    /// The newest epoch that the client knows.
     pub epoch: u64,
-    /// How long the answer may be held.
+    /// How long the response may be delayed.
     pub wait_ms: Millis,
 }
 
-/// An operator asks the primary about one thing.
+/// A question of an operator to the primary.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExplainRequest {
-    /// Where a job stands, and why what waits of it waits.
+    /// The state of a job, and why each of its waiting units waits.
     Job(JobId),
-    /// What a user has lately used.
+    /// The user's recent usage.
     User(Arc<str>),
 }
 
-/// The answer (status 421) of a process that is not the primary to what only the primary does. Nothing was done.
+/// Response (status 421) of a process that is not the primary to a request that only the primary handles. Nothing was done.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NotPrimary {
-    /// Where the primary may be.
+    /// Where the primary may be reached.
     pub view: ClusterView,
 }
 
-/// A worker as its agent sees it.
+/// The state of a worker, as its agent knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerReport {
     /// The worker's id; new for each start of the worker.
@@ -92,70 +92,70 @@
     pub service: Arc<str>,
     /// Its zone.
     pub zone: Arc<str>,
-    /// Its whole room.
+    /// Its whole capacity.
     pub capacity: Resources,
-    /// Its kind and its rack.
+    /// Labels by which steps select workers: its kind and its rack.
     pub labels: Vec<Arc<str>>,
-    /// Whether it takes work.
+    /// Whether it takes new runs.
     pub state: WorkerState,
-    /// While it drains: how long it is still there, at least.
+    /// While it drains: for how long it will still run, at least.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub remaining_ms: Option<Millis>,
-    /// It has deregistered, or its hold was over without a heartbeat: nothing runs there any more, and nothing that
-    /// was ordered will.
+    /// It has deregistered, or its lease expired without a heartbeat: nothing runs there any more, and nothing that it was
+    /// sent will start.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub gone: bool,
-    /// Milliseconds since its last heartbeat came.
+    /// Milliseconds since its last heartbeat.
     #[serde(default)]
     pub silent_ms: Millis,
-    /// Runs at work.
+    /// Runs that are being executed.
     pub running: Vec<RunningTask>,
     /// Runs that have ended and were not acknowledged yet.
     pub finished: Vec<FinishedRun>,
-    /// Runs ordered in answers after the reported heartbeat: they may have begun.
+    /// Runs that were commanded in responses after the reported heartbeat: they may have started.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub offered: Vec<RunId>,
 }
 
-/// An agent's report; held by the primary until there are orders or `wait_ms` is over.
+/// An agent's report. The primary responds when there are new commands or `wait_ms` is over (long poll).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AgentSync {
     /// Name of the agent's machine.
     pub agent: Arc<str>,
     /// Drawn at random at each start of the agent.
     pub boot: u64,
-    /// Rises with each call of one start.
+    /// Rises with each report since the start of the agent.
     pub sequence: u64,
-    /// The highest epoch that the agent has obeyed.
+    /// The highest epoch whose commands the agent has taken.
     pub epoch: u64,
-    /// The newest orders that it holds, by their revision.
+    /// Revision of the newest commands that it has.
     pub revision: u64,
-    /// How long the answer may be held.
+    /// How long the response may be delayed.
     pub wait_ms: Millis,
-    /// Its worker, once one has called.
+    /// Its worker, once one has sent a heartbeat.
     pub worker: Option<WorkerReport>,
 }
 
-/// The primary's orders. `start` and `stop` replace those of earlier revisions.
+/// The primary's commands for an agent's worker. `start` and `stop` replace those of earlier revisions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentCommands {
     /// The primary's epoch; handed to the worker as its fencing token.
     pub epoch: u64,
-    /// Rises with each change of what is ordered of this agent's worker.
+    /// Rises with each change of the commands for this agent's worker.
     pub revision: u64,
-    /// The agent may hold runs until its clock at the sending of its call plus this.
+    /// Lease: the agent may extend runs until its clock at the sending of its report plus this.
     pub lease_ms: Millis,
-    /// The worker that is meant; orders for another instance are dropped.
+    /// The worker that the commands are for; an agent drops commands for another instance.
     pub instance: Option<Arc<str>>,
-    /// Ends up to this number are taken note of.
+    /// Ended runs up to this number are acknowledged.
     pub last_seen: u64,
-    /// Runs to start that were not seen at the worker yet.
+    /// Runs to start that the worker has not reported yet.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub start: Vec<StartCommand>,
     /// Runs to stop.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub stop: Vec<StopCommand>,
-    /// Where the control plane is.
+    /// The present members of the control plane, where the agent knows others.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub view: Option<ClusterView>,
 }
@@ -166,16 +166,16 @@
 pub enum ClientMethod {
     /// State of a job or of a queue.
     Get,
-    /// Hands in a job.
+    /// Submits a job.
     Post,
     /// Cancels a job.
     Delete,
 }
 
-/// A client's call, passed on by a gate. The primary chooses the route by its own configuration.
+/// A client's request, forwarded by a gate. The primary chooses the queue by its own configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClientRequest {
-    /// What is asked.
+    /// The method.
     pub method: ClientMethod,
     /// The Host header.
     pub host: Arc<str>,
@@ -184,13 +184,13 @@
     /// The body, as the client sent it.
     #[serde(default, skip_serializing_if = "str::is_empty")]
     pub body: Arc<str>,
-    /// Version of the configuration by which the gate acts.
+    /// Version of the configuration that the gate applies.
     #[serde(default)]
     #[serde(rename = "configuration")]
     pub configuration_version: u64,
 }
 
-/// The primary's answer to a client's call.
+/// The primary's response to a client's request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClientResponse {
     /// HTTP status for the client.
@@ -198,7 +198,7 @@
     /// JSON body for the client; empty for none.
     #[serde(default)]
     pub body: Arc<str>,
-    /// When to come back, where the call was refused.
+    /// After how long to try again, where the request was rejected.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<Millis>,
 }
@@ -208,21 +208,21 @@
 pub struct GateLeaseRequest {
     /// Internal `ip:port` of the gate.
     pub address: Arc<str>,
-    /// Version of the roster that it knows; 0 for none.
+    /// Version of the relay membership that it knows; 0 for none.
     #[serde(rename = "roster")]
     pub membership_version: u64,
 }
 
-/// The primary's answer to a [`GateLeaseRequest`].
+/// The primary's response to a [`GateLeaseRequest`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GateLeaseResponse {
-    /// The newest configuration that is committed; 0 for none.
+    /// Version of the newest committed configuration; 0 for none.
     #[serde(rename = "configuration")]
     pub configuration_version: u64,
-    /// Version of the newest roster; 0 while a new primary has none.
+    /// Version of the newest relay membership; 0 while a new primary has none.
     #[serde(rename = "roster")]
     pub membership_version: u64,
-    /// The newest roster's members, where the gate knows another version.
+    /// The members, where the gate knows another version.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub members: Option<Vec<Arc<str>>>,
 }
--- a/crates/protocol/src/job.rs
+++ b/crates/protocol/src/job.rs
@@ -1,4 +1,4 @@
-//! What a client submits, and the states it is shown.
+//! What a client submits, and the states that it is shown.
 
 use crate::heartbeat::Resources;
 use crate::Millis;
@@ -8,76 +8,80 @@
 /// The longest `spec`, in bytes.
 pub const MAX_SPEC_BYTES: usize = 4_000;
 
-/// A job as its client hands it in.
+/// A job as its client submits it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct JobRequest {
-    /// What to run; handed to workers as it is.
+    /// What to run; passed to workers unchanged.
     #[serde(default)]
     pub spec: Arc<str>,
     /// Its steps.
     pub steps: Vec<StepRequest>,
-    /// Above 0: the steps run this many times.
-    #[serde(default, skip_serializing_if = "is_zero")]
+    /// Above 0: a timed job, whose steps run this many times.
+    #[serde(default, skip_serializing_if = "is_default")]
     pub repeat_count: u32,
-    /// When the first time is due, since 1970.
-    #[serde(default, skip_serializing_if = "is_zero_millis")]
+    /// When the first iteration of a timed job is due, in milliseconds since 1970.
+    #[serde(default, skip_serializing_if = "is_default")]
     pub start_at_ms: Millis,
-    /// Between two times.
-    #[serde(default, skip_serializing_if = "is_zero_millis")]
+    /// Between two iterations of a timed job.
+    #[serde(default, skip_serializing_if = "is_default")]
     pub interval_ms: Millis,
 }
 
 /// One step of a job: tasks of one kind.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "each is a field of its own in the client's JSON"
+)]
 pub struct StepRequest {
     /// How many tasks.
     pub count: u32,
     /// What each task takes.
     #[serde(flatten)]
     pub resources: Resources,
-    /// A rough guess of how long a task takes.
-    #[serde(default, skip_serializing_if = "is_zero_millis")]
+    /// A rough estimate of how long a task runs.
+    #[serde(default, skip_serializing_if = "is_default")]
     pub estimated_ms: Millis,
-    /// Earlier steps, from 0, that must be done before.
+    /// Indices of earlier steps that must be done before, from 0.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub depends_on: Vec<u32>,
-    /// Its tasks write checkpoints.
-    #[serde(default, skip_serializing_if = "is_false")]
+    /// Whether its tasks save checkpoints.
+    #[serde(default, skip_serializing_if = "is_default")]
     pub checkpoints: bool,
-    /// Its tasks work only together.
-    #[serde(default, skip_serializing_if = "is_false")]
+    /// Whether its tasks form a gang: they run only all at once.
+    #[serde(default, skip_serializing_if = "is_default")]
     pub gang: bool,
-    /// On more than one rack its tasks are slower.
-    #[serde(default, skip_serializing_if = "is_false")]
+    /// Whether its tasks are slower on more than one rack.
+    #[serde(default, skip_serializing_if = "is_default")]
     pub same_rack: bool,
-    /// A label that the worker must have.
+    /// Label that a worker must have.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub node_selector: Option<Arc<str>>,
-    /// The rack that holds the data.
+    /// The rack with the data.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub affinity: Option<Arc<str>>,
-    /// At most so many of its tasks (of one iteration) on one worker; 0 means no limit.
-    #[serde(default, skip_serializing_if = "is_zero")]
+    /// Most of its tasks of one iteration on one worker; 0 means no limit.
+    #[serde(default, skip_serializing_if = "is_default")]
     pub anti_affinity: u32,
-    /// Copies may run at the same time.
-    #[serde(default, skip_serializing_if = "is_false")]
+    /// Whether a task may have a speculative second run.
+    #[serde(default, skip_serializing_if = "is_default")]
     pub hedged: bool,
-    /// Its tasks run until the job is cancelled.
-    #[serde(default, skip_serializing_if = "is_false")]
+    /// Whether its tasks run until the job is cancelled.
+    #[serde(default, skip_serializing_if = "is_default")]
     pub long_running: bool,
 }
 
-/// What a client is shown of a job.
+/// State of a job, as its client is shown it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobState {
-    /// Nothing of it has run.
+    /// None of its tasks has run.
     Pending,
-    /// Something of it runs or has run.
+    /// A task of it runs or has run.
     Running,
     /// Every task has ended done.
     Succeeded,
-    /// A task or a gang has failed as often as the queue allows.
+    /// A task or gang has failed as often as its queue allows.
     Failed,
     /// It was cancelled.
     Cancelled,
@@ -93,28 +97,21 @@
     }
 }
 
-/// The answer to a GET of a job.
+/// Response to a GET of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobStatus {
     /// Its state.
     pub state: JobState,
 }
 
-/// The answer to a GET of a queue.
+/// Response to a GET of a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueueStatus {
-    /// Jobs that wait.
+    /// Number of jobs that wait.
     pub waiting: u64,
 }
 
-fn is_zero(value: &u32) -> bool {
-    *value == 0
-}
-
-fn is_zero_millis(value: &Millis) -> bool {
-    *value == 0
-}
-
-fn is_false(value: &bool) -> bool {
-    !*value
+/// Whether a field has its default, which is not encoded.
+fn is_default<T: Default + PartialEq>(value: &T) -> bool {
+    *value == T::default()
 }
--- a/crates/protocol/src/store.rs
+++ b/crates/protocol/src/store.rs
@@ -1,9 +1,10 @@
-//! Changes to the replicated state. The state is an ordered map from keys to JSON texts; all of a batch is there or nothing.
+//! Changes to the replicated state, an ordered map from keys to JSON texts. A batch of changes is applied as a whole or not
+//! at all.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// One change: a new value, or none to remove the key.
+/// One change of the replicated state: a new value, or none to remove the key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Write {
     /// The key, such as `job/5c0e7a21d94b36f8`.
--- a/crates/protocol/src/task.rs
+++ b/crates/protocol/src/task.rs
@@ -11,10 +11,10 @@
 /// Why a text is not an identifier.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum IdError {
-    /// Not a job's identifier.
+    /// The text is not a job's identifier.
     #[error("job id {0:?} is not {JOB_ID_DIGITS} hexadecimal digits: send the id that the client chose, in lower case")]
     Job(String),
-    /// Not a task's name.
+    /// The text is not a task's identifier.
     #[error("task name {0:?} is not ID.TIME.STEP.INDEX")]
     Task(String),
 }
@@ -53,7 +53,7 @@
 pub struct TaskId {
     /// The job.
     pub job: JobId,
-    /// Which of the job's times, from 0.
+    /// Which iteration of the job, from 0.
     pub iteration: u32,
     /// Which step, from 0.
     pub step: u32,
@@ -106,26 +106,26 @@
     pub run: u32,
 }
 
-/// How a run ended, as its worker lists it.
+/// Outcome of a run, as its worker reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RunEnd {
-    /// It did its work.
+    /// It succeeded.
     Done,
-    /// It failed, through its own fault or the worker's; counts as an attempt.
+    /// It failed, through a fault of the task or of the worker; counts as an attempt.
     Failed,
-    /// It was told to stop.
+    /// It was stopped by a command.
     Stopped,
-    /// Its hold was over.
+    /// The worker's lease expired.
     #[serde(rename = "lapsed")]
     LeaseExpired,
     /// Another member of its gang ended.
     #[serde(rename = "broken")]
     GangBroken,
-    /// It waited for the other members of its gang in vain.
+    /// The other members of its gang did not start in time.
     #[serde(rename = "alone")]
     GangIncomplete,
-    /// It was not started.
+    /// The worker rejected it; it was not started.
     #[serde(rename = "refused")]
     Rejected,
 }
--- a/crates/protocol/src/unit.rs
+++ b/crates/protocol/src/unit.rs
@@ -1,4 +1,4 @@
-//! What is placed at once: a task, or all tasks of a gang. Made by the job record, taken by placement.
+//! Units: what is placed at once, a task or all tasks of a gang. The job table creates them, and placement starts them.
 
 use crate::heartbeat::Resources;
 use crate::task::{JobId, TaskId};
@@ -13,13 +13,13 @@
 pub struct StepId {
     /// The job.
     pub job: JobId,
-    /// Which of its times.
+    /// Which iteration of the job, from 0.
     pub iteration: u32,
-    /// Which of its steps.
+    /// Which step, from 0.
     pub step: u32,
 }
 
-/// What is placed at once.
+/// Identifies a unit.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UnitId {
     /// The step.
@@ -28,8 +28,12 @@
     pub index: Option<u32>,
 }
 
-/// A task, or a gang, whose turn has come, with all that placement needs to know of it.
+/// A task or a gang that may run now, with all that placement needs to know of it.
 #[derive(Clone, Debug, PartialEq)]
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "independent properties of a step, named as in the client's request"
+)]
 pub struct Unit {
     /// Its identifier.
     pub id: UnitId,
@@ -37,36 +41,36 @@
     pub tasks: Vec<TaskId>,
     /// What each task takes.
     pub resources: Resources,
-    /// Whose workers may run it.
+    /// The service whose workers may run it.
     pub service: Arc<str>,
-    /// The queue that its job was handed in to.
+    /// The queue that its job was submitted to.
     pub queue: Arc<str>,
-    /// The queue's priority: 0 comes first and may preempt others.
+    /// The queue's priority: 0 is the most urgent and may preempt the others.
     pub priority: u32,
     /// Order within a priority: lower first.
     pub order: u64,
-    /// Its step's part of the time that its job may spend waiting and still meet the queue's objective.
+    /// How long it may wait so that its job still meets the queue's latency objective.
     pub slack_ms: Millis,
     /// Label that the worker must have.
     pub node_selector: Option<Arc<str>>,
-    /// Rack that holds the data; elsewhere it runs `far_x` times as long.
+    /// Rack with the data; elsewhere it runs `far_x` times as long.
     pub affinity: Option<Arc<str>>,
     /// At most so many tasks of the step on one worker; 0 means no limit.
     pub anti_affinity: u32,
     /// A gang runs `far_x` times as long on more than one rack.
     pub same_rack: bool,
-    /// Guess of a task's run time.
+    /// Estimate of a task's run time.
     pub estimated_ms: Millis,
-    /// Its tasks write checkpoints: stopping one loses little.
+    /// Whether its tasks save checkpoints: stopping one loses little.
     pub checkpoints: bool,
-    /// Its tasks run until the job is cancelled.
+    /// Whether its tasks run until the job is cancelled.
     pub long_running: bool,
-    /// Copies of it may run at the same time.
+    /// Whether it may have a speculative second run.
     pub hedged: bool,
-    /// A copy of a hedged task that is at work: it takes room that is free, at another worker, and nothing is stopped for
-    /// it.
+    /// Whether this is the speculative second run of a hedged task: it takes free capacity at another worker, and nothing is
+    /// preempted for it.
     pub speculative: bool,
-    /// Workers at which a run of it failed or stood still: taken only where no other can.
+    /// Workers at which a run of it failed or stalled: chosen only if no other can run it.
     pub avoid: Vec<WorkerId>,
 }
 
--- a/crates/protocol/tests/encoded.rs
+++ b/crates/protocol/tests/encoded.rs
@@ -1,5 +1,11 @@
 //! Every message of the protocol, byte for byte: other releases and programs in other languages read and write these texts.
 
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
+
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::{Map, Value};
