--- a/crates/controlplane/src/control_api.rs
+++ b/crates/controlplane/src/control_api.rs
@@ -42,13 +42,19 @@
         Ok(request) => request,
         Err(error) => return text(StatusCode::BAD_REQUEST, format!("{error}\n")),
     };
-    match machine.execute(ControlRequest::Operator(request)).await {
+    let outcome = machine.execute(ControlRequest::Operator(request)).await;
+    response_to(outcome, &own_address, &path)
+}
+
+/// The HTTP response to the outcome of an operator's request for `path`; `own_address` is this machine's control `ip:port`.
+pub fn response_to(outcome: ControlOutcome, own_address: &str, path: &str) -> Response {
+    match outcome {
         ControlOutcome::Response(SchedulerResponse::Operator(response)) => to_http(&response),
         ControlOutcome::Response(_) => text(
             StatusCode::INTERNAL_SERVER_ERROR,
             "not an operator's reply\n",
         ),
-        ControlOutcome::NotPrimary(view) => redirect_to_primary(&view, &own_address, &path),
+        ControlOutcome::NotPrimary(view) => redirect_to_primary(&view, own_address, path),
         ControlOutcome::Unknown => text(
             StatusCode::GATEWAY_TIMEOUT,
             "outcome unknown: send the same order again\n",
--- a/crates/controlplane/src/internal_api.rs
+++ b/crates/controlplane/src/internal_api.rs
@@ -82,7 +82,8 @@
     Ok(response_to(outcome))
 }
 
-fn response_to(outcome: ControlOutcome) -> Response {
+/// The HTTP response to the outcome of a gate's or an agent's request.
+pub fn response_to(outcome: ControlOutcome) -> Response {
     match outcome {
         ControlOutcome::Response(SchedulerResponse::Agent(commands)) => {
             json(StatusCode::OK, &commands)
--- a/crates/controlplane/src/lib.rs
+++ b/crates/controlplane/src/lib.rs
@@ -14,7 +14,7 @@
 //!
 //! - [`process`]: start, event loop and shutdown; `servers`: its HTTP servers.
 //! - `control_machine`: the driver with the queues that its actions go to, shared by servers and event loop.
-//! - `internal_api`, `control_api`: the two interfaces.
+//! - [`internal_api`], [`control_api`]: the two interfaces.
 //! - [`peer_messages`], `primary_relay`: messages to other control machines, and to the relay tree.
 //! - [`store`]: what is kept on disk, and the thread that writes it.
 //! - [`machine_settings`], `component_settings`, [`fair_share_file`]: settings.
@@ -75,12 +75,12 @@
 
 pub mod cluster_status;
 mod component_settings;
-mod control_api;
+pub mod control_api;
 mod control_machine;
 mod deferred;
 pub mod driver;
 pub mod fair_share_file;
-mod internal_api;
+pub mod internal_api;
 pub mod machine_settings;
 pub mod options;
 pub mod peer_messages;
--- a/crates/controlplane/tests/encoded_forms.rs
+++ b/crates/controlplane/tests/encoded_forms.rs
@@ -18,17 +18,20 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::Arc;
+use streamusher_controlplane::driver::ControlOutcome;
 use streamusher_controlplane::peer_messages::PeerEnvelope;
 use streamusher_controlplane::store::Store;
+use streamusher_controlplane::{control_api, internal_api};
 use streamusher_coordination::{
     DiskChange, DiskId, EpochRecord, LogPosition, Member, Message, ProposalNumber, WitnessState,
 };
 use streamusher_protocol::internal::{
-    CoreAddress, AGENT_SYNC_PATH, CLIENT_REQUEST_PATH, CLUSTER_PATH, CLUSTER_WATCH_PATH,
-    COORDINATION_PATH, EXPLAIN_PATH, GATE_LEASE_PATH, RELAY_PATH, STATUS_PATH,
+    AgentCommands, CoreAddress, AGENT_SYNC_PATH, CLIENT_REQUEST_PATH, CLUSTER_PATH,
+    CLUSTER_WATCH_PATH, COORDINATION_PATH, EXPLAIN_PATH, GATE_LEASE_PATH, RELAY_PATH, STATUS_PATH,
 };
 use streamusher_protocol::store::Write;
 use streamusher_runtime::http::Response;
+use streamusher_scheduler::{OperatorResponse, SchedulerResponse};
 use support::cluster::{run_bounded, Cluster};
 use support::TestFolder;
 
@@ -526,3 +529,30 @@
     );
     assert_eq!(output.status.code(), Some(1));
 }
+
+/// Responses that a cluster gives only by rare chance: to an unknown outcome, and to one of another kind of caller.
+#[test]
+fn responses_to_rare_outcomes_are_as_recorded() {
+    let operator_response = OperatorResponse {
+        status: 200,
+        body: "{}".into(),
+    };
+    let to_operator = SchedulerResponse::Operator(operator_response);
+    let to_agent = SchedulerResponse::Agent(AgentCommands::default());
+    let own_address = "10.0.0.1:8144";
+    let responses = [
+        internal_api::response_to(ControlOutcome::Unknown),
+        internal_api::response_to(ControlOutcome::Response(to_operator)),
+        control_api::response_to(ControlOutcome::Unknown, own_address, "/path"),
+        control_api::response_to(ControlOutcome::Response(to_agent), own_address, "/path"),
+    ];
+
+    let mut text = String::new();
+    for response in responses {
+        let body = String::from_utf8(response.body().to_vec()).unwrap();
+        let headers = headers_of(response.headers());
+        let entry = format!("{}\n{headers}\n{body}", response.status());
+        text.push_str(&entry);
+    }
+    assert_recorded("rare_outcomes.txt", &text);
+}
