--- a/crates/dataplane/tests/process.rs
+++ b/crates/dataplane/tests/process.rs
@@ -156,7 +156,7 @@
             .await
             .unwrap();
         send_signal(&child, "-TERM");
-        wait_on(&mut log, &["shutting down: "]).await;
+        wait_on(&mut log, &["shutting down: gate not ready"]).await;
         let ready_after = Client::new(ready).send(question, SOON).await.unwrap();
         let served_after = Client::new(front)
             .send(request("POST", "/a/5c0e", "{}"), SOON)
