--- a/crates/inventory/src/ansible/ini.rs
+++ b/crates/inventory/src/ansible/ini.rs
@@ -1,163 +1,246 @@
 //! The INI form: `[group]`, `[group:children]`, `[group:vars]`, and hosts with `key=value` behind them.
 
-use super::{expand, Inventory, Vars};
-use crate::problem::{At, Found, Scalar, Texts};
+use super::host_range::expand_host_range;
+use super::inventory::{AnsibleInventory, Vars};
+use crate::diagnostics::{Finding, Findings};
+use crate::source_text::{Scalar, SourcePosition, SourceText};
 
+/// The group of hosts in front of any heading.
+const UNGROUPED: &str = "ungrouped";
+
+/// Characters that start a comment.
+const COMMENT_STARTS: [char; 2] = ['#', ';'];
+
+/// Reads an inventory.
+pub(crate) fn read_ini(source: SourceText<'_>, findings: &mut Findings) -> AnsibleInventory {
+    let mut reader = IniReader {
+        findings,
+        inventory: AnsibleInventory::default(),
+        group: UNGROUPED.to_owned(),
+        section: Section::Hosts,
+    };
+    for (line_number, line) in (1..).zip(source.without_byte_order_mark().lines()) {
+        reader.read_line(&Line::new(source, line_number, line));
+    }
+    reader.inventory
+}
+
+/// What the lines below a heading are.
 enum Section {
     Hosts,
     Children,
     Vars,
 }
 
-/// Reads an inventory.
-pub fn read(texts: &Texts, file: u32, found: &mut Found) -> Inventory {
-    let mut inventory = Inventory::default();
-    let (mut group, mut section) = ("ungrouped".to_string(), Section::Hosts);
-    let text = texts.text(file);
-    for (n, whole) in text
-        .strip_prefix('\u{feff}')
-        .unwrap_or(text)
-        .lines()
-        .enumerate()
-    {
-        let indent = whole.len() - whole.trim_start().len();
-        let at = |offset: usize| {
-            let column = whole
-                .get(..indent + offset)
-                .map_or(1, |before| before.chars().count() + 1);
-            At {
-                file,
-                line: n as u32 + 1,
-                column: column as u32,
+/// A line without the blanks around it.
+struct Line<'a> {
+    source: SourceText<'a>,
+    number: u32,
+    whole: &'a str,
+    /// Bytes in front of the text.
+    indent: usize,
+    text: &'a str,
+}
+
+impl<'a> Line<'a> {
+    fn new(source: SourceText<'a>, number: u32, whole: &'a str) -> Line<'a> {
+        Line {
+            source,
+            number,
+            whole,
+            indent: whole.len() - whole.trim_start().len(),
+            text: whole.trim(),
+        }
+    }
+
+    /// The position at a byte offset in the text.
+    fn position(&self, offset: usize) -> SourcePosition {
+        let before = self.whole.get(..self.indent + offset);
+        let column = before.map_or(1, |before| before.chars().count() + 1);
+        let column = u32::try_from(column).unwrap_or(u32::MAX);
+        self.source.position(self.number, column)
+    }
+
+    /// The text up to a comment.
+    fn without_comment(&self) -> &'a str {
+        without_comment(self.text)
+    }
+}
+
+struct IniReader<'a> {
+    findings: &'a mut Findings,
+    inventory: AnsibleInventory,
+    group: String,
+    section: Section,
+}
+
+impl IniReader<'_> {
+    fn read_line(&mut self, line: &Line<'_>) {
+        if line.text.is_empty() || line.text.starts_with(COMMENT_STARTS) {
+            return;
+        }
+        if let Some(heading) = line.text.strip_prefix('[') {
+            return self.read_heading(line, heading);
+        }
+        match self.section {
+            Section::Hosts => self.read_host(line),
+            Section::Children => self.read_child(line),
+            Section::Vars => self.read_var(line),
+        }
+    }
+
+    fn read_heading(&mut self, line: &Line<'_>, heading: &str) {
+        let position = line.position(0);
+        let Some(heading) = without_comment(heading).strip_suffix(']') else {
+            let finding = Finding::new(position, "a heading without its ']'");
+            return self.findings.add(finding);
+        };
+        let (name, kind) = heading.split_once(':').unwrap_or((heading, ""));
+        self.section = match kind {
+            "" => Section::Hosts,
+            "children" => Section::Children,
+            "vars" => Section::Vars,
+            _ => {
+                let message = format!("neither :children nor :vars: {kind:?}");
+                self.findings.add(Finding::new(position, message).key(name));
+                Section::Vars
             }
         };
-        let line = whole.trim();
-        if line.is_empty() || line.starts_with(['#', ';']) {
-            continue;
+        name.trim().clone_into(&mut self.group);
+        self.inventory.group(&self.group, position);
+    }
+
+    fn read_child(&mut self, line: &Line<'_>) {
+        let child = line.without_comment();
+        let position = line.position(0);
+        let group = self.inventory.group(&self.group, position);
+        group.children.insert(child.to_owned());
+        self.inventory.group(child, position);
+    }
+
+    fn read_var(&mut self, line: &Line<'_>) {
+        let Some((key, value)) = line.text.split_once('=') else {
+            let finding = Finding::new(line.position(0), "not key=value");
+            return self.findings.add(finding.key(&self.group));
+        };
+        let offset = line.text.len() - value.trim_start().len();
+        let value = Scalar {
+            text: unquoted(value.trim()).to_owned(),
+            position: line.position(offset),
+        };
+        let group = self.inventory.group(&self.group, line.position(0));
+        group.vars.insert(key.trim().to_owned(), value);
+    }
+
+    fn read_host(&mut self, line: &Line<'_>) {
+        let words = match split_words(line.text) {
+            Ok(words) => words,
+            Err(UnterminatedQuote { offset }) => {
+                let position = line.position(offset);
+                let finding = Finding::new(position, "a quote without its end");
+                return self.findings.add(finding);
+            }
+        };
+        let Some((pattern, rest)) = words.split_first() else {
+            return;
+        };
+        let vars = self.read_host_vars(line, &pattern.text, rest);
+        let position = line.position(pattern.offset);
+        match expand_host_range(&pattern.text) {
+            Ok(names) => {
+                for name in &names {
+                    self.inventory.add_host(&self.group, name, position, &vars);
+                }
+            }
+            Err(error) => {
+                let finding = Finding::new(position, error.to_string());
+                self.findings.add(finding.host(&pattern.text));
+            }
         }
-        if let Some(head) = line.strip_prefix('[') {
-            let head = head.split(['#', ';']).next().unwrap_or("").trim();
-            let Some(head) = head.strip_suffix(']') else {
-                found.add(texts, at(0), None, None, "a heading without its ']'");
+    }
+
+    fn read_host_vars(&mut self, line: &Line<'_>, pattern: &str, words: &[Word]) -> Vars {
+        let mut vars = Vars::new();
+        for word in words {
+            let Some((key, value)) = word.text.split_once('=') else {
+                let message = format!("not key=value: {:?}", word.text);
+                let finding = Finding::new(line.position(word.offset), message);
+                self.findings.add(finding.host(pattern));
                 continue;
             };
-            let (name, kind) = head.split_once(':').unwrap_or((head, ""));
-            section = match kind {
-                "" => Section::Hosts,
-                "children" => Section::Children,
-                "vars" => Section::Vars,
-                _ => {
-                    let why = format!("neither :children nor :vars: {kind:?}");
-                    found.add(texts, at(0), None, Some(name), why);
-                    Section::Vars
-                }
+            let value = Scalar {
+                text: value.to_owned(),
+                position: line.position(word.offset + key.len() + 1),
             };
-            group = name.trim().to_string();
-            inventory.group(&group, at(0));
-            continue;
-        }
-        match section {
-            Section::Children => {
-                let child = line.split(['#', ';']).next().unwrap_or("").trim();
-                inventory
-                    .group(&group, at(0))
-                    .children
-                    .insert(child.to_string());
-                inventory.group(child, at(0));
-            }
-            Section::Vars => match line.split_once('=') {
-                Some((key, value)) => {
-                    let offset = line.len() - value.trim_start().len();
-                    let value = unquoted(value.trim()).to_string();
-                    let scalar = Scalar {
-                        text: value,
-                        at: at(offset),
-                    };
-                    inventory
-                        .group(&group, at(0))
-                        .vars
-                        .insert(key.trim().to_string(), scalar);
-                }
-                None => found.add(texts, at(0), None, Some(&group), "not key=value"),
-            },
-            Section::Hosts => host(&mut inventory, &group, line, &at, texts, found),
+            vars.insert(key.to_owned(), value);
         }
+        vars
     }
-    inventory
 }
 
-fn host(
-    inventory: &mut Inventory,
-    group: &str,
-    line: &str,
-    at: &impl Fn(usize) -> At,
-    texts: &Texts,
-    found: &mut Found,
-) {
-    let words = match words(line) {
-        Ok(words) => words,
-        Err(offset) => return found.add(texts, at(offset), None, None, "a quote without its end"),
-    };
-    let Some(((start, pattern), rest)) = words.split_first() else {
-        return;
-    };
-    let mut vars = Vars::new();
-    for (offset, word) in rest {
-        match word.split_once('=') {
-            Some((key, value)) => {
-                let value = Scalar {
-                    text: value.to_string(),
-                    at: at(offset + key.len() + 1),
-                };
-                vars.insert(key.to_string(), value);
+/// A word of a line.
+struct Word {
+    /// Its offset in the line, in bytes.
+    offset: usize,
+    /// Its text without quotes.
+    text: String,
+}
+
+/// A quote is not closed.
+struct UnterminatedQuote {
+    /// Where it was opened.
+    offset: usize,
+}
+
+/// An opening quote.
+#[derive(Clone, Copy)]
+struct Quote {
+    character: char,
+    offset: usize,
+}
+
+/// Splits a line into words as a shell does, up to a comment.
+fn split_words(line: &str) -> Result<Vec<Word>, UnterminatedQuote> {
+    let mut words = Vec::new();
+    let mut current: Option<Word> = None;
+    let mut open_quote: Option<Quote> = None;
+    for (offset, character) in line.char_indices() {
+        if let Some(quote) = open_quote {
+            if character == quote.character {
+                open_quote = None;
+            } else if let Some(word) = &mut current {
+                word.text.push(character);
             }
-            None => found.add(
-                texts,
-                at(*offset),
-                Some(pattern),
-                None,
-                format!("not key=value: {word:?}"),
-            ),
+            continue;
+        }
+        if character == '#' && current.is_none() {
+            break;
+        }
+        if character.is_whitespace() {
+            words.extend(current.take());
+            continue;
+        }
+        let word = current.get_or_insert_with(|| Word {
+            offset,
+            text: String::new(),
+        });
+        match character {
+            '"' | '\'' => open_quote = Some(Quote { character, offset }),
+            _ => word.text.push(character),
         }
     }
-    match expand(pattern) {
-        Ok(names) => names
-            .iter()
-            .for_each(|name| inventory.host(group, name, at(*start), &vars)),
-        Err(why) => found.add(texts, at(*start), Some(pattern), None, why),
+    words.extend(current);
+    match open_quote {
+        Some(Quote { offset, .. }) => Err(UnterminatedQuote { offset }),
+        None => Ok(words),
     }
 }
 
-/// The words of a line, as a shell splits them, each with its offset. The error is where a quote begins that does not
-/// end.
-fn words(line: &str) -> Result<Vec<(usize, String)>, usize> {
-    let mut words: Vec<(usize, String)> = Vec::new();
-    let (mut open, mut within) = (false, None::<(char, usize)>);
-    for (i, c) in line.char_indices() {
-        match (within, c) {
-            (Some((quote, _)), _) if c == quote => within = None,
-            (Some(_), _) => words
-                .last_mut()
-                .expect("a quote stands in a word")
-                .1
-                .push(c),
-            (None, '#') if !open => break,
-            (None, _) if c.is_whitespace() => open = false,
-            (None, _) => {
-                if !std::mem::replace(&mut open, true) {
-                    words.push((i, String::new()));
-                }
-                match c {
-                    '"' | '\'' => within = Some((c, i)),
-                    _ => words.last_mut().expect("a word is open").1.push(c),
-                }
-            }
-        }
-    }
-    within.map_or(Ok(words), |(_, at)| Err(at))
+fn without_comment(text: &str) -> &str {
+    text.split(COMMENT_STARTS).next().unwrap_or("").trim()
 }
 
 fn unquoted(text: &str) -> &str {
-    let inner = |q: char| text.strip_prefix(q).and_then(|t| t.strip_suffix(q));
+    let inner = |quote: char| text.strip_prefix(quote)?.strip_suffix(quote);
     inner('"').or_else(|| inner('\'')).unwrap_or(text)
 }
--- a/crates/inventory/src/ansible/yaml.rs
+++ b/crates/inventory/src/ansible/yaml.rs
@@ -1,21 +1,26 @@
-//! The YAML form, and the JSON of `ansible-inventory --list`, which is YAML too. Anchors and merge keys are the
-//! parser's, within its budget.
+//! The YAML form, and the JSON of `ansible-inventory --list`, which is YAML too. Anchors and merge keys are resolved by the
+//! parser, within its budget.
 
-use super::{expand, Inventory, Vars, DEPTH};
-use crate::problem::{At, Found, Scalar, Texts};
+use super::host_range::expand_host_range;
+use super::inventory::{AnsibleInventory, Vars, MAX_GROUP_DEPTH};
+use crate::diagnostics::{Finding, Findings};
+use crate::source_text::{Scalar, SourcePosition, SourceText};
 use serde::de::{Deserialize, Deserializer, MapAccess, SeqAccess, Visitor};
-use serde_saphyr::Spanned;
+use serde_saphyr::{Location, Spanned};
 use std::fmt;
 
-/// Levels of a document: each group takes two. Guards against one that nests until the stack is gone.
-const LEVELS: usize = 2 * DEPTH + 8;
+/// Levels of a document, of which each group takes two: guards against one that nests until the stack overflows.
+const MAX_DOCUMENT_DEPTH: usize = 2 * MAX_GROUP_DEPTH + 8;
+
+/// Entries of a map, in their order.
+type Entries = Vec<(Spanned<String>, Spanned<Node>)>;
 
 /// A node of a document.
-pub(crate) enum Node {
-    Nothing,
+enum Node {
+    Null,
     Scalar(String),
     List(Vec<Spanned<Node>>),
-    Map(Vec<(Spanned<String>, Spanned<Node>)>),
+    Map(Entries),
 }
 
 struct NodeVisitor;
@@ -23,48 +28,48 @@
 impl<'de> Visitor<'de> for NodeVisitor {
     type Value = Node;
 
-    fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str("a value")
+    fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str("a value")
     }
 
     fn visit_unit<E>(self) -> Result<Node, E> {
-        Ok(Node::Nothing)
+        Ok(Node::Null)
     }
 
     fn visit_none<E>(self) -> Result<Node, E> {
-        Ok(Node::Nothing)
+        Ok(Node::Null)
     }
 
-    fn visit_some<D: Deserializer<'de>>(self, d: D) -> Result<Node, D::Error> {
-        Node::deserialize(d)
+    fn visit_some<D: Deserializer<'de>>(self, deserializer: D) -> Result<Node, D::Error> {
+        Node::deserialize(deserializer)
     }
 
-    fn visit_bool<E>(self, v: bool) -> Result<Node, E> {
-        Ok(Node::Scalar(v.to_string()))
+    fn visit_bool<E>(self, value: bool) -> Result<Node, E> {
+        Ok(Node::Scalar(value.to_string()))
     }
 
-    fn visit_i64<E>(self, v: i64) -> Result<Node, E> {
-        Ok(Node::Scalar(v.to_string()))
+    fn visit_i64<E>(self, value: i64) -> Result<Node, E> {
+        Ok(Node::Scalar(value.to_string()))
     }
 
-    fn visit_u64<E>(self, v: u64) -> Result<Node, E> {
-        Ok(Node::Scalar(v.to_string()))
+    fn visit_u64<E>(self, value: u64) -> Result<Node, E> {
+        Ok(Node::Scalar(value.to_string()))
     }
 
-    fn visit_f64<E>(self, v: f64) -> Result<Node, E> {
-        Ok(Node::Scalar(v.to_string()))
+    fn visit_f64<E>(self, value: f64) -> Result<Node, E> {
+        Ok(Node::Scalar(value.to_string()))
     }
 
-    fn visit_str<E>(self, v: &str) -> Result<Node, E> {
-        Ok(Node::Scalar(v.to_string()))
+    fn visit_str<E>(self, value: &str) -> Result<Node, E> {
+        Ok(Node::Scalar(value.to_owned()))
     }
 
-    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Node, A::Error> {
-        let mut list = Vec::new();
-        while let Some(one) = seq.next_element()? {
-            list.push(one);
+    fn visit_seq<A: SeqAccess<'de>>(self, mut sequence: A) -> Result<Node, A::Error> {
+        let mut items = Vec::new();
+        while let Some(item) = sequence.next_element()? {
+            items.push(item);
         }
-        Ok(Node::List(list))
+        Ok(Node::List(items))
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Node, A::Error> {
@@ -77,267 +82,264 @@
 }
 
 impl<'de> Deserialize<'de> for Node {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Node, D::Error> {
-        d.deserialize_any(NodeVisitor)
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Node, D::Error> {
+        deserializer.deserialize_any(NodeVisitor)
     }
 }
 
-/// The document of a file.
-pub(crate) fn parse(texts: &Texts, file: u32, found: &mut Found) -> Option<Spanned<Node>> {
-    let budget = serde_saphyr::budget! { max_depth: LEVELS };
+/// Reads an inventory.
+pub(crate) fn read_yaml(source: SourceText<'_>, findings: &mut Findings) -> AnsibleInventory {
+    let Some(document) = parse(source, findings) else {
+        return AnsibleInventory::default();
+    };
+    let mut reader = YamlReader {
+        source,
+        findings,
+        inventory: AnsibleInventory::default(),
+    };
+    match document.value {
+        Node::Null => {}
+        Node::Map(groups) => reader.read_groups(groups),
+        _ => reader.report(document.referenced, "not groups by their names"),
+    }
+    reader.inventory
+}
+
+/// Reads the variables of a file of `group_vars` or `host_vars`.
+pub(crate) fn read_vars(source: SourceText<'_>, findings: &mut Findings) -> Vars {
+    let Some(document) = parse(source, findings) else {
+        return Vars::new();
+    };
+    match document.value {
+        Node::Null => Vars::new(),
+        Node::Map(entries) => scalar_vars(source, entries),
+        _ => {
+            let start = source.position(1, 1);
+            findings.add(Finding::new(start, "not variables by their names"));
+            Vars::new()
+        }
+    }
+}
+
+/// Parses a file; an error is reported.
+fn parse(source: SourceText<'_>, findings: &mut Findings) -> Option<Spanned<Node>> {
+    let budget = serde_saphyr::budget! { max_depth: MAX_DOCUMENT_DEPTH };
     let options = serde_saphyr::options! { budget: budget };
-    match serde_saphyr::from_str_with_options::<Spanned<Node>>(texts.text(file), options) {
-        Ok(node) => Some(node),
-        Err(e) => {
-            let at = e.location().map_or(
-                At {
-                    file,
-                    line: 1,
-                    column: 1,
-                },
-                |l| At {
-                    file,
-                    line: l.line() as u32,
-                    column: l.column() as u32,
-                },
-            );
-            let why = e.to_string();
-            let why = why
-                .lines()
-                .next()
-                .unwrap_or("it cannot be read")
-                .trim_start_matches("error: ")
-                .to_string();
-            // The place is told by itself.
-            let why = why
-                .split_once(": ")
-                .filter(|(place, _)| place.starts_with("line "))
-                .map_or(why.as_str(), |(_, w)| w);
-            found.add(texts, at, None, None, why);
+    match serde_saphyr::from_str_with_options::<Spanned<Node>>(source.text, options) {
+        Ok(document) => Some(document),
+        Err(error) => {
+            let position = match error.location() {
+                Some(location) => position(source, location),
+                None => source.position(1, 1),
+            };
+            let message = error.to_string();
+            findings.add(Finding::new(position, parser_message(&message)));
             None
         }
     }
 }
 
-struct Reader<'a> {
-    texts: &'a Texts,
-    file: u32,
-    found: &'a mut Found,
-    inventory: Inventory,
+/// The first line of the parser's error, without the position that it starts with.
+fn parser_message(error: &str) -> &str {
+    let first_line = error.lines().next().unwrap_or("it cannot be read");
+    let message = first_line.trim_start_matches("error: ");
+    match message.split_once(": ") {
+        Some((place, rest)) if place.starts_with("line ") => rest,
+        _ => message,
+    }
 }
 
-/// Reads an inventory.
-pub fn read(texts: &Texts, file: u32, found: &mut Found) -> Inventory {
-    let Some(document) = parse(texts, file, found) else {
-        return Inventory::default();
-    };
-    let mut reader = Reader {
-        texts,
-        file,
-        found,
-        inventory: Inventory::default(),
-    };
-    match document.value {
-        Node::Nothing => {}
-        Node::Map(groups) => {
-            for (name, node) in groups {
-                match name.value.as_str() {
-                    "_meta" => reader.meta(node),
-                    _ => reader.group(&name, node, 0),
-                }
-            }
+fn position(source: SourceText<'_>, location: Location) -> SourcePosition {
+    let number = |value: u64| u32::try_from(value).unwrap_or(u32::MAX);
+    source.position(number(location.line()), number(location.column()))
+}
+
+/// The variables that are scalars: lists and maps have no meaning here.
+fn scalar_vars(source: SourceText<'_>, entries: Entries) -> Vars {
+    let mut vars = Vars::new();
+    for (key, node) in entries {
+        if let Node::Scalar(text) = node.value {
+            let position = position(source, node.referenced);
+            vars.insert(key.value, Scalar { text, position });
         }
-        _ => reader.wrong(&document.referenced, None, "not groups by their names"),
     }
-    reader.inventory
+    vars
 }
 
-impl Reader<'_> {
-    fn at(&self, location: &serde_saphyr::Location) -> At {
-        At {
-            file: self.file,
-            line: location.line() as u32,
-            column: location.column() as u32,
-        }
+/// A group whose parts are read.
+struct GroupScope<'a> {
+    name: &'a str,
+    position: SourcePosition,
+    /// Groups around it.
+    depth: usize,
+}
+
+struct YamlReader<'a> {
+    source: SourceText<'a>,
+    findings: &'a mut Findings,
+    inventory: AnsibleInventory,
+}
+
+impl YamlReader<'_> {
+    fn position(&self, location: Location) -> SourcePosition {
+        position(self.source, location)
     }
 
-    fn wrong(&mut self, location: &serde_saphyr::Location, key: Option<&str>, why: &str) {
-        let at = self.at(location);
-        self.found.add(self.texts, at, None, key, why);
+    fn report(&mut self, location: Location, message: &str) {
+        let finding = Finding::new(self.position(location), message);
+        self.findings.add(finding);
     }
 
-    fn group(&mut self, name: &Spanned<String>, node: Spanned<Node>, depth: usize) {
-        let at = self.at(&name.referenced);
-        self.inventory.group(&name.value, at);
-        if depth >= DEPTH {
-            return self.wrong(
-                &name.referenced,
-                Some(&name.value),
-                "too many groups inside each other",
-            );
+    fn report_key(&mut self, location: Location, key: &str, message: &str) {
+        let finding = Finding::new(self.position(location), message);
+        self.findings.add(finding.key(key));
+    }
+
+    fn read_groups(&mut self, groups: Entries) {
+        for (name, node) in groups {
+            if name.value == "_meta" {
+                self.read_meta(node);
+            } else {
+                self.read_group(&name, node, 0);
+            }
+        }
+    }
+
+    fn read_group(&mut self, name: &Spanned<String>, node: Spanned<Node>, depth: usize) {
+        let group = GroupScope {
+            name: &name.value,
+            position: self.position(name.referenced),
+            depth,
+        };
+        self.inventory.group(group.name, group.position);
+        if depth >= MAX_GROUP_DEPTH {
+            let message = "too many groups inside each other";
+            return self.report_key(name.referenced, group.name, message);
         }
-        let parts = match node.value {
-            Node::Nothing => return,
-            Node::Map(parts) => parts,
+        match node.value {
+            Node::Null => {}
             // The JSON form may give a group as the list of its hosts.
-            Node::List(hosts) => {
-                return hosts.into_iter().for_each(|h| self.listed(&name.value, h))
+            Node::List(hosts) => self.read_host_list(&group, hosts),
+            Node::Scalar(_) => self.report_key(node.referenced, group.name, "not a group"),
+            Node::Map(parts) => {
+                for (part, node) in parts {
+                    self.read_group_part(&group, &part, node.value);
+                }
             }
-            Node::Scalar(_) => {
-                return self.wrong(&node.referenced, Some(&name.value), "not a group")
+        }
+    }
+
+    fn read_group_part(&mut self, group: &GroupScope<'_>, part: &Spanned<String>, node: Node) {
+        match (part.value.as_str(), node) {
+            (_, Node::Null) => {}
+            ("hosts", Node::Map(hosts)) => self.read_host_map(group, hosts),
+            ("hosts", Node::List(hosts)) => self.read_host_list(group, hosts),
+            ("children", Node::Map(children)) => self.read_child_map(group, children),
+            ("children", Node::List(children)) => self.read_child_list(group, children),
+            ("vars", Node::Map(entries)) => {
+                let vars = scalar_vars(self.source, entries);
+                let group = self.inventory.group(group.name, group.position);
+                group.vars.extend(vars);
             }
-        };
-        for (part, node) in parts {
-            match (part.value.as_str(), node.value) {
-                (_, Node::Nothing) => {}
-                ("hosts", Node::Map(hosts)) => {
-                    for (host, vars) in hosts {
-                        let vars = self.vars(vars, Some(&host.value));
-                        self.hosts(&name.value, &host, &vars);
-                    }
-                }
-                ("hosts", Node::List(hosts)) => {
-                    hosts.into_iter().for_each(|h| self.listed(&name.value, h))
-                }
-                ("children", Node::Map(children)) => {
-                    for (child, node) in children {
-                        self.inventory
-                            .group(&name.value, at)
-                            .children
-                            .insert(child.value.clone());
-                        self.group(&child, node, depth + 1);
-                    }
-                }
-                ("children", Node::List(children)) => {
-                    for child in children {
-                        let place = self.at(&child.referenced);
-                        match child.value {
-                            Node::Scalar(text) => {
-                                self.inventory
-                                    .group(&name.value, at)
-                                    .children
-                                    .insert(text.clone());
-                                self.inventory.group(&text, place);
-                            }
-                            _ => self.wrong(
-                                &child.referenced,
-                                Some("children"),
-                                "not a group's name",
-                            ),
-                        }
-                    }
-                }
-                ("vars", node @ Node::Map(_)) => {
-                    let whole = Spanned::new(node, part.referenced, part.defined);
-                    let vars = self.vars(whole, None);
-                    self.inventory.group(&name.value, at).vars.extend(vars);
-                }
-                ("hosts" | "children" | "vars", _) => self.wrong(
-                    &part.referenced,
-                    Some(&part.value),
-                    "not what stands below it in an inventory",
-                ),
-                (other, _) => {
-                    let other = other.to_string();
-                    self.wrong(
-                        &part.referenced,
-                        Some(&other),
-                        "neither hosts, children nor vars",
-                    )
+            (key @ ("hosts" | "children" | "vars"), _) => {
+                let message = "not what stands below it in an inventory";
+                self.report_key(part.referenced, key, message);
+            }
+            (key, _) => {
+                let message = "neither hosts, children nor vars";
+                self.report_key(part.referenced, key, message);
+            }
+        }
+    }
+
+    fn read_host_map(&mut self, group: &GroupScope<'_>, hosts: Entries) {
+        for (pattern, node) in hosts {
+            let vars = self.read_host_vars(&pattern.value, node);
+            self.add_hosts(group.name, &pattern.value, pattern.referenced, &vars);
+        }
+    }
+
+    fn read_host_list(&mut self, group: &GroupScope<'_>, hosts: Vec<Spanned<Node>>) {
+        for host in hosts {
+            match host.value {
+                Node::Scalar(pattern) => {
+                    self.add_hosts(group.name, &pattern, host.referenced, &Vars::new());
                 }
+                _ => self.report_key(host.referenced, group.name, "not a host's name"),
             }
         }
     }
 
-    fn listed(&mut self, group: &str, host: Spanned<Node>) {
-        match host.value {
-            Node::Scalar(name) => self.hosts(
-                group,
-                &Spanned::new(name, host.referenced, host.defined),
-                &Vars::new(),
-            ),
-            _ => self.wrong(&host.referenced, Some(group), "not a host's name"),
+    fn read_child_map(&mut self, group: &GroupScope<'_>, children: Entries) {
+        for (child, node) in children {
+            self.add_child(group, &child.value);
+            self.read_group(&child, node, group.depth + 1);
         }
     }
 
-    fn hosts(&mut self, group: &str, pattern: &Spanned<String>, vars: &Vars) {
-        let at = self.at(&pattern.referenced);
-        match expand(&pattern.value) {
-            Ok(names) => names
-                .iter()
-                .for_each(|name| self.inventory.host(group, name, at, vars)),
-            Err(why) => self
-                .found
-                .add(self.texts, at, Some(&pattern.value), None, why),
+    fn read_child_list(&mut self, group: &GroupScope<'_>, children: Vec<Spanned<Node>>) {
+        for child in children {
+            let position = self.position(child.referenced);
+            match child.value {
+                Node::Scalar(name) => {
+                    self.add_child(group, &name);
+                    self.inventory.group(&name, position);
+                }
+                _ => self.report_key(child.referenced, "children", "not a group's name"),
+            }
         }
     }
 
-    /// `_meta.hostvars`, as `ansible-inventory --list` has the hosts' variables.
-    fn meta(&mut self, node: Spanned<Node>) {
-        let Node::Map(parts) = node.value else { return };
-        for (_, node) in parts
-            .into_iter()
-            .filter(|(part, _)| part.value == "hostvars")
-        {
+    fn add_child(&mut self, group: &GroupScope<'_>, child: &str) {
+        let group = self.inventory.group(group.name, group.position);
+        group.children.insert(child.to_owned());
+    }
+
+    fn add_hosts(&mut self, group: &str, pattern: &str, location: Location, vars: &Vars) {
+        let position = self.position(location);
+        match expand_host_range(pattern) {
+            Ok(names) => {
+                for name in &names {
+                    self.inventory.add_host(group, name, position, vars);
+                }
+            }
+            Err(error) => {
+                let finding = Finding::new(position, error.to_string());
+                self.findings.add(finding.host(pattern));
+            }
+        }
+    }
+
+    /// `_meta.hostvars`, where `ansible-inventory --list` has the hosts' variables.
+    fn read_meta(&mut self, node: Spanned<Node>) {
+        let Node::Map(parts) = node.value else {
+            return;
+        };
+        for (part, node) in parts {
             let Node::Map(hosts) = node.value else {
                 continue;
             };
+            if part.value != "hostvars" {
+                continue;
+            }
             for (host, vars) in hosts {
-                let vars = self.vars(vars, Some(&host.value));
-                self.inventory
-                    .host("all", &host.value, self.at(&host.referenced), &vars);
+                let vars = self.read_host_vars(&host.value, vars);
+                let position = self.position(host.referenced);
+                self.inventory.add_host("all", &host.value, position, &vars);
             }
         }
     }
 
-    fn vars(&mut self, node: Spanned<Node>, host: Option<&str>) -> Vars {
+    fn read_host_vars(&mut self, host: &str, node: Spanned<Node>) -> Vars {
         match node.value {
-            Node::Nothing => Vars::new(),
-            Node::Map(entries) => vars(entries, self.file),
+            Node::Null => Vars::new(),
+            Node::Map(entries) => scalar_vars(self.source, entries),
             _ => {
-                let at = self.at(&node.referenced);
-                self.found
-                    .add(self.texts, at, host, None, "not variables by their names");
+                let position = self.position(node.referenced);
+                let finding = Finding::new(position, "not variables by their names");
+                self.findings.add(finding.host(host));
                 Vars::new()
             }
         }
     }
 }
-
-/// The plain ones of some variables: lists and maps mean nothing here.
-fn vars(entries: Vec<(Spanned<String>, Spanned<Node>)>, file: u32) -> Vars {
-    let plain = |(key, node): (Spanned<String>, Spanned<Node>)| match node.value {
-        Node::Scalar(text) => {
-            let at = At {
-                file,
-                line: node.referenced.line() as u32,
-                column: node.referenced.column() as u32,
-            };
-            Some((key.value, Scalar { text, at }))
-        }
-        _ => None,
-    };
-    entries.into_iter().filter_map(plain).collect()
-}
-
-/// The variables of a file of `group_vars` or `host_vars`.
-pub fn read_vars(texts: &Texts, file: u32, found: &mut Found) -> Vars {
-    match parse(texts, file, found).map(|d| (d.referenced, d.value)) {
-        Some((_, Node::Map(entries))) => vars(entries, file),
-        None | Some((_, Node::Nothing)) => Vars::new(),
-        Some(_) => {
-            found.add(
-                texts,
-                At {
-                    file,
-                    line: 1,
-                    column: 1,
-                },
-                None,
-                None,
-                "not variables by their names",
-            );
-            Vars::new()
-        }
-    }
-}
--- a/crates/inventory/src/diff.rs
+++ b/crates/inventory/src/diff.rs
@@ -1,17 +1,17 @@
-//! What a change to a roster means.
+//! The difference between two inventories.
 
 use crate::host::Host;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// What becomes of the hosts between two rosters, by their names.
+/// The hosts that differ between two inventories, by their names.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Diff {
-    /// New.
+pub struct InventoryDiff {
+    /// In the new inventory only.
     pub added: Vec<String>,
-    /// No longer named: they are drained.
+    /// In the old inventory only: they are drained.
     pub drained: Vec<String>,
-    /// At another address: a new life, and so cold.
+    /// At another address: they start anew, without warm caches.
     pub moved: Vec<String>,
     /// Of another weight alone.
     pub reweighted: Vec<String>,
@@ -19,36 +19,45 @@
     pub changed: Vec<String>,
 }
 
-impl Diff {
-    /// Compares two rosters.
-    pub fn of(old: &[Host], new: &[Host]) -> Diff {
-        let by_name = |hosts: &'_ [Host]| -> BTreeMap<String, Host> {
-            hosts.iter().map(|h| (h.name.clone(), h.clone())).collect()
-        };
+impl InventoryDiff {
+    /// Compares two inventories.
+    pub fn between(old: &[Host], new: &[Host]) -> InventoryDiff {
         let (old, new) = (by_name(old), by_name(new));
-        let mut diff = Diff::default();
+        let mut diff = InventoryDiff::default();
         for (name, host) in &new {
-            let list = match old.get(name) {
-                None => &mut diff.added,
-                Some(before) if before.addr != host.addr => &mut diff.moved,
-                Some(b) if (&b.zone, &b.kind, b.cell) != (&host.zone, &host.kind, host.cell) => {
-                    &mut diff.changed
-                }
-                Some(before) if before.weight != host.weight => &mut diff.reweighted,
-                Some(_) => continue,
-            };
-            list.push(name.clone());
+            if let Some(names) = diff.names_for(old.get(name).copied(), host) {
+                names.push((*name).to_owned());
+            }
         }
-        diff.drained = old
-            .keys()
-            .filter(|name| !new.contains_key(*name))
-            .cloned()
-            .collect();
+        let drained = old.keys().filter(|name| !new.contains_key(*name));
+        diff.drained = drained.map(|name| (*name).to_owned()).collect();
         diff
     }
 
-    /// Whether nothing differs.
+    /// Whether the inventories are the same.
     pub fn is_empty(&self) -> bool {
-        *self == Diff::default()
+        *self == InventoryDiff::default()
+    }
+
+    /// The list to which a host of the new inventory belongs; none where it is the same.
+    #[expect(
+        clippy::float_cmp,
+        reason = "a weight that is read from the same text is the same number"
+    )]
+    fn names_for(&mut self, old: Option<&Host>, new: &Host) -> Option<&mut Vec<String>> {
+        let Some(old) = old else {
+            return Some(&mut self.added);
+        };
+        if old.addr != new.addr {
+            return Some(&mut self.moved);
+        }
+        if (&old.zone, &old.kind, old.cell) != (&new.zone, &new.kind, new.cell) {
+            return Some(&mut self.changed);
+        }
+        (old.weight != new.weight).then_some(&mut self.reweighted)
     }
 }
+
+fn by_name(hosts: &[Host]) -> BTreeMap<&str, &Host> {
+    hosts.iter().map(|host| (&*host.name, host)).collect()
+}
--- a/crates/inventory/src/lib.rs
+++ b/crates/inventory/src/lib.rs
@@ -1,16 +1,17 @@
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
-//! Rosters of workers from inventories: CSV as spreadsheets write it, and YAML, INI and JSON as Ansible keeps hosts
-//! and groups. Either every host of a file is good, or every mistake in it is told, each with its place.
+//! Inventories of workers: CSV as spreadsheets write it, and YAML, INI and JSON as Ansible keeps hosts and groups.
 //!
-//! Nothing here performs I/O but [`disk`]; what is read comes from a [`read::Source`].
+//! [`read_inventory`] reads a file and what belongs to it. Either every host is valid, or it returns [`Diagnostics`] with
+//! every error, each with its position. [`InventoryDiff`] compares two inventories, [`write_inventory`] converts one, and
+//! [`membership`] merges the inventories of several sources and drains the workers that none of them names any more.
+//!
+//! The crate does no I/O but in [`FileSystem`]: files come from a [`FileSource`].
 //!
 //! ```
 //! use std::{io, path::{Path, PathBuf}};
-//! use streamusher_inventory::{host::Known, read::{read, Source}};
+//! use streamusher_inventory::{read_inventory, FileSource, KnownNames};
 //!
-//! struct One(&'static str);
-//! impl Source for One {
+//! struct OneFile(&'static str);
+//! impl FileSource for OneFile {
 //!     fn read(&self, _: &Path) -> io::Result<Vec<u8>> {
 //!         Ok(self.0.as_bytes().to_vec())
 //!     }
@@ -19,17 +20,30 @@
 //!     }
 //! }
 //!
-//! let file = One("name;building;ip\ncore-1;north-yard;10.1.0.18\ncore-2;;10.1.0.19\n");
-//! let why = read(&file, Path::new("workers.csv"), &Known::default()).unwrap_err();
-//! assert_eq!(why.to_string(), "workers.csv:3:1: host core-2: zone: missing");
+//! let file = OneFile("name;building;ip\ncore-1;north-yard;10.1.0.18\ncore-2;;10.1.0.19\n");
+//! let errors = read_inventory(&file, Path::new("workers.csv"), &KnownNames::default()).unwrap_err();
+//! assert_eq!(errors.to_string(), "workers.csv:3:1: host core-2: zone: missing");
 //! ```
 
-pub mod ansible;
-pub mod csv;
-pub mod diff;
-pub mod disk;
-pub mod host;
+mod ansible;
+mod csv_reader;
+mod diagnostics;
+mod diff;
+mod field;
+mod field_positions;
+mod file_system;
+mod host;
+mod host_check;
 pub mod membership;
-pub mod problem;
-pub mod read;
-pub mod write;
+mod read;
+mod render;
+mod source_text;
+mod write;
+
+pub use ansible::{expand_host_range, HostRangeError};
+pub use diagnostics::{Diagnostic, Diagnostics, MAX_DIAGNOSTICS};
+pub use diff::InventoryDiff;
+pub use file_system::FileSystem;
+pub use host::{Host, KnownNames, DEFAULT_PORT, MAX_HOSTS};
+pub use read::{read_inventory, FileSource, Inventory, MAX_FILE_BYTES};
+pub use write::{write_inventory, OutputFormat};
--- a/crates/inventory/src/read.rs
+++ b/crates/inventory/src/read.rs
@@ -1,207 +1,237 @@
-//! From files to a checked roster. What is read comes from a [`Source`]: nothing here touches a disk by itself.
+//! Reading of an inventory from its files, and of the variables beside them.
 
-use crate::ansible::{self, Beside, Vars};
-use crate::host::{check, Host, Known, Raw};
-use crate::problem::{At, Found, Problems, Texts};
+use crate::ansible::{read_ini, read_vars, read_yaml, AdjacentVars, Vars};
+use crate::csv_reader::read_csv;
+use crate::diagnostics::{Diagnostics, Finding, Findings};
+use crate::host::{Host, KnownNames, RawHost};
+use crate::host_check::check_hosts;
+use crate::source_text::{FileId, SourceFiles, SourcePosition};
 use std::collections::BTreeMap;
 use std::io;
 use std::path::{Path, PathBuf};
+use thiserror::Error;
 
-/// The largest file that is read, in bytes: guards against junk.
-pub const MOST_BYTES: u64 = 16 << 20;
+/// The largest file that is read: guards against junk.
+pub const MAX_FILE_BYTES: u64 = 16 << 20;
 
 /// Where files come from.
-pub trait Source {
-    /// The bytes of a file, which must be no larger than [`MOST_BYTES`].
+pub trait FileSource {
+    /// The bytes of a file.
+    ///
+    /// # Errors
+    /// Where it cannot be read, or is larger than [`MAX_FILE_BYTES`].
     fn read(&self, path: &Path) -> io::Result<Vec<u8>>;
-    /// The files and folders in a folder; none if there is no such folder.
-    fn list(&self, dir: &Path) -> io::Result<Vec<PathBuf>>;
-}
 
-/// The forms of an inventory.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
-    /// Rows with a heading.
-    Csv,
-    /// Ansible's YAML, and its JSON.
-    Yaml,
-    /// Ansible's INI.
-    Ini,
+    /// The paths of files and directories in a directory; none where the directory does not exist.
+    ///
+    /// # Errors
+    /// Where it cannot be read.
+    fn list(&self, directory: &Path) -> io::Result<Vec<PathBuf>>;
 }
 
-/// A roster that was found good.
+/// A valid inventory.
 #[derive(Clone, Debug)]
-pub struct Roster {
-    /// Its hosts, by their names.
+pub struct Inventory {
+    /// Its hosts, sorted by name.
     pub hosts: Vec<Host>,
-    /// What stands in the files and means nothing here.
+    /// What the files contain without any meaning here.
     pub notes: Vec<String>,
-    /// The hash of all that was read.
+    /// The BLAKE3 hash of all files that were read, with their names.
     pub hash: [u8; 32],
 }
 
-/// The form of a file: by its ending, or by how it begins.
-pub fn form(path: &Path, text: &str) -> Form {
-    match path
-        .extension()
-        .and_then(|e| e.to_str())
-        .map(str::to_ascii_lowercase)
-        .as_deref()
-    {
-        Some("csv" | "tsv" | "tab") => return Form::Csv,
-        Some("yml" | "yaml" | "json") => return Form::Yaml,
-        Some("ini" | "cfg") => return Form::Ini,
-        _ => {}
-    }
-    let lines = || text.trim_start_matches('\u{feff}').lines().map(str::trim);
-    let first = lines()
-        .find(|l| !l.is_empty() && !l.starts_with(['#', ';']))
-        .unwrap_or("");
-    match first {
-        l if l.starts_with(['{', '-', '%']) || l.ends_with(':') => Form::Yaml,
-        l if l.contains([',', ';', '\t']) && !l.contains('=') => Form::Csv,
-        _ => Form::Ini,
-    }
-}
-
-/// Reads an inventory and what stands beside it, and checks all of it. Either all hosts are good, or every mistake is
-/// told.
-pub fn read(source: &impl Source, path: &Path, known: &Known) -> Result<Roster, Problems> {
-    let (mut texts, mut found) = (Texts::default(), Found::default());
-    let mut hash = blake3::Hasher::new();
-    let mut notes = Vec::new();
-    let raws = match take(source, path, &mut texts, &mut found, &mut hash) {
-        Some(file) => raws(
-            source, path, file, &mut texts, &mut found, &mut hash, &mut notes,
-        ),
-        None => Vec::new(),
+/// Reads an inventory with `group_vars` and `host_vars` beside it, and validates all of it.
+///
+/// # Errors
+/// All errors, where there is any: an inventory is used whole or not at all.
+pub fn read_inventory(
+    source: &impl FileSource,
+    path: &Path,
+    known: &KnownNames,
+) -> Result<Inventory, Diagnostics> {
+    let mut reader = InventoryReader {
+        source,
+        files: SourceFiles::default(),
+        findings: Findings::default(),
+        hasher: blake3::Hasher::new(),
+        notes: Vec::new(),
     };
-    let mut hosts = check(&raws, known, &texts, &mut found);
-    if !found.is_empty() {
-        return Err(found.end(texts));
+    let raw_hosts = reader.read_hosts(path);
+    let mut hosts = check_hosts(&raw_hosts, known, &mut reader.findings);
+    if !reader.findings.is_empty() {
+        return Err(reader.findings.into_diagnostics(reader.files));
     }
-    hosts.sort_by(|a, b| a.name.cmp(&b.name));
-    Ok(Roster {
+    hosts.sort_by(|left, right| left.name.cmp(&right.name));
+    Ok(Inventory {
         hosts,
-        notes,
-        hash: *hash.finalize().as_bytes(),
+        notes: reader.notes,
+        hash: *reader.hasher.finalize().as_bytes(),
     })
 }
 
-#[allow(clippy::too_many_arguments)]
-fn raws(
-    source: &impl Source,
-    path: &Path,
-    file: u32,
-    texts: &mut Texts,
-    found: &mut Found,
-    hash: &mut blake3::Hasher,
-    notes: &mut Vec<String>,
-) -> Vec<Raw> {
-    let inventory = match form(path, texts.text(file)) {
-        Form::Csv => return crate::csv::read(texts, file, found, notes),
-        Form::Yaml => ansible::read_yaml(texts, file, found),
-        Form::Ini => ansible::read_ini(texts, file, found),
-    };
-    let dir = path.parent().unwrap_or(Path::new(""));
-    let mut folder = |name: &str, texts: &mut Texts, found: &mut Found| -> BTreeMap<String, Vars> {
-        let mut all = BTreeMap::new();
-        for (of, file) in beside(source, &dir.join(name), texts, found) {
-            if let Some(n) = take(source, &file, texts, found, hash) {
-                let vars = ansible::read_vars(texts, n, found);
-                all.entry(of).or_insert_with(Vars::new).extend(vars);
-            }
+/// The formats of inventories.
+enum InputFormat {
+    /// Rows with a heading.
+    Csv,
+    /// Ansible's YAML, and its JSON.
+    Yaml,
+    /// Ansible's INI.
+    Ini,
+}
+
+impl InputFormat {
+    /// The format of a file: by its extension, or by how it starts.
+    fn detect(path: &Path, text: &str) -> InputFormat {
+        let extension = path.extension().and_then(|extension| extension.to_str());
+        match extension.map(str::to_ascii_lowercase).as_deref() {
+            Some("csv" | "tsv" | "tab") => InputFormat::Csv,
+            Some("yml" | "yaml" | "json") => InputFormat::Yaml,
+            Some("ini" | "cfg") => InputFormat::Ini,
+            _ => InputFormat::detect_by_first_line(text),
         }
-        all
-    };
-    let groups = folder("group_vars", texts, found);
-    let hosts = folder("host_vars", texts, found);
-    inventory.resolve(&Beside { groups, hosts }, texts, found)
+    }
+
+    fn detect_by_first_line(text: &str) -> InputFormat {
+        let lines = text.trim_start_matches('\u{feff}').lines();
+        let first = lines
+            .map(str::trim)
+            .find(|line| !line.is_empty() && !line.starts_with(['#', ';']))
+            .unwrap_or("");
+        if first.starts_with(['{', '-', '%']) || first.ends_with(':') {
+            return InputFormat::Yaml;
+        }
+        if first.contains([',', ';', '\t']) && !first.contains('=') {
+            return InputFormat::Csv;
+        }
+        InputFormat::Ini
+    }
 }
 
-/// The files of `group_vars` or `host_vars`, each with the group or host that it is about: `name`, `name.yml`, or any
-/// below a folder `name`, in order.
-fn beside(
-    source: &impl Source,
-    dir: &Path,
-    texts: &Texts,
-    found: &mut Found,
-) -> Vec<(String, PathBuf)> {
-    let mut files = Vec::new();
-    let mut list = |dir: &Path| {
-        let listed = source.list(dir).unwrap_or_else(|e| {
-            found.add(
-                texts,
-                At::default(),
-                None,
-                None,
-                format!("{}: {e}", dir.display()),
-            );
-            Vec::new()
-        });
-        let visible = |p: &PathBuf| {
-            p.file_name()
-                .and_then(|n| n.to_str())
-                .is_some_and(|n| !n.starts_with('.'))
+/// A file of `group_vars` or `host_vars`.
+struct VarsFile {
+    /// The group or host whose variables it holds.
+    owner: String,
+    path: PathBuf,
+}
+
+/// What one reading of an inventory collects.
+struct InventoryReader<'a, S> {
+    source: &'a S,
+    files: SourceFiles,
+    findings: Findings,
+    hasher: blake3::Hasher,
+    notes: Vec<String>,
+}
+
+impl<S: FileSource> InventoryReader<'_, S> {
+    fn read_hosts(&mut self, path: &Path) -> Vec<RawHost> {
+        let Some(file) = self.read_file(path) else {
+            return Vec::new();
         };
-        let mut listed: Vec<PathBuf> = listed.into_iter().filter(visible).collect();
-        listed.sort();
-        listed
-    };
-    for path in list(dir) {
-        let stem = match path.extension().and_then(|e| e.to_str()) {
-            Some("yml" | "yaml" | "json") => path.file_stem(),
-            _ => path.file_name(),
+        let source = self.files.source_text(file);
+        let inventory = match InputFormat::detect(path, source.text) {
+            InputFormat::Csv => return read_csv(source, &mut self.findings, &mut self.notes),
+            InputFormat::Yaml => read_yaml(source, &mut self.findings),
+            InputFormat::Ini => read_ini(source, &mut self.findings),
         };
-        let of = stem.unwrap_or_default().to_string_lossy().into_owned();
-        match list(&path) {
-            inner if inner.is_empty() => files.push((of, path)),
-            inner => files.extend(inner.into_iter().map(|p| (of.clone(), p))),
+        let directory = path.parent().unwrap_or(Path::new(""));
+        let adjacent = AdjacentVars {
+            groups: self.read_vars_directory(&directory.join("group_vars")),
+            hosts: self.read_vars_directory(&directory.join("host_vars")),
+        };
+        inventory.resolve(&adjacent, &mut self.findings)
+    }
+
+    /// The variables in `group_vars` or `host_vars`, by group or host.
+    fn read_vars_directory(&mut self, directory: &Path) -> BTreeMap<String, Vars> {
+        let mut by_owner: BTreeMap<String, Vars> = BTreeMap::new();
+        for VarsFile { owner, path } in self.list_vars_files(directory) {
+            if let Some(file) = self.read_file(&path) {
+                let vars = read_vars(self.files.source_text(file), &mut self.findings);
+                by_owner.entry(owner).or_default().extend(vars);
+            }
         }
+        by_owner
     }
-    files
-}
 
-/// Reads one file as text.
-fn take(
-    source: &impl Source,
-    path: &Path,
-    texts: &mut Texts,
-    found: &mut Found,
-    hash: &mut blake3::Hasher,
-) -> Option<u32> {
-    let name = path.display().to_string();
-    let told = source
-        .read(path)
-        .map_err(|e| e.to_string())
-        .and_then(|bytes| {
-            hash.update(name.as_bytes())
-                .update(&(bytes.len() as u64).to_le_bytes())
-                .update(&bytes);
-            String::from_utf8(bytes).map_err(|e| {
-                let good = &e.as_bytes()[..e.utf8_error().valid_up_to()];
-                format!(
-                    "line {}: not UTF-8",
-                    1 + good.iter().filter(|b| **b == b'\n').count()
-                )
-            })
+    /// The files in `group_vars` or `host_vars`, in order: `NAME`, `NAME.yml` and the like, or any in a directory `NAME`.
+    fn list_vars_files(&mut self, directory: &Path) -> Vec<VarsFile> {
+        let mut files = Vec::new();
+        for path in self.list_visible(directory) {
+            let name = match path.extension().and_then(|extension| extension.to_str()) {
+                Some("yml" | "yaml" | "json") => path.file_stem(),
+                _ => path.file_name(),
+            };
+            let owner = name.unwrap_or_default().to_string_lossy().into_owned();
+            let nested = self.list_visible(&path);
+            if nested.is_empty() {
+                files.push(VarsFile { owner, path });
+                continue;
+            }
+            files.extend(nested.into_iter().map(|path| VarsFile {
+                owner: owner.clone(),
+                path,
+            }));
+        }
+        files
+    }
+
+    /// The paths in a directory that are not hidden, sorted.
+    fn list_visible(&mut self, directory: &Path) -> Vec<PathBuf> {
+        let mut paths = self.source.list(directory).unwrap_or_else(|error| {
+            let message = format!("{}: {error}", directory.display());
+            self.findings
+                .add(Finding::new(SourcePosition::default(), message));
+            Vec::new()
         });
-    match told {
-        Ok(text) => Some(texts.add(&name, text)),
-        Err(why) => {
-            let file = texts.add(&name, String::new());
-            found.add(
-                texts,
-                At {
-                    file,
+        paths.retain(|path| is_visible(path));
+        paths.sort();
+        paths
+    }
+
+    /// Reads one file as text.
+    fn read_file(&mut self, path: &Path) -> Option<FileId> {
+        let name = path.display().to_string();
+        match self.read_text(path, &name) {
+            Ok(text) => Some(self.files.add(&name, text)),
+            Err(error) => {
+                let whole_file = SourcePosition {
+                    file: self.files.add(&name, String::new()),
                     line: 0,
                     column: 0,
-                },
-                None,
-                None,
-                why,
-            );
-            None
+                };
+                self.findings
+                    .add(Finding::new(whole_file, error.to_string()));
+                None
+            }
         }
     }
+
+    fn read_text(&mut self, path: &Path, name: &str) -> Result<String, FileError> {
+        let bytes = self.source.read(path)?;
+        self.hasher
+            .update(name.as_bytes())
+            .update(&(bytes.len() as u64).to_le_bytes())
+            .update(&bytes);
+        String::from_utf8(bytes).map_err(|error| {
+            let valid = &error.as_bytes()[..error.utf8_error().valid_up_to()];
+            FileError::NotUtf8 {
+                line: valid.split(|byte| *byte == b'\n').count(),
+            }
+        })
+    }
+}
+
+/// Why a file cannot be read as text.
+#[derive(Debug, Error)]
+enum FileError {
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error("line {line}: not UTF-8")]
+    NotUtf8 { line: usize },
+}
+
+fn is_visible(path: &Path) -> bool {
+    let name = path.file_name().and_then(|name| name.to_str());
+    name.is_some_and(|name| !name.starts_with('.'))
 }
--- a/crates/inventory/src/write.rs
+++ b/crates/inventory/src/write.rs
@@ -1,11 +1,11 @@
-//! Rosters as text, in each form that is read, without loss.
+//! Inventories as text, in each format that is read, without loss.
 
 use crate::host::Host;
-use std::fmt::Write;
+use serde_json::{json, Map, Value};
 
-/// The forms that are written.
+/// The formats that are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum To {
+pub enum OutputFormat {
     /// Comma-separated rows with a heading.
     Csv,
     /// Ansible's YAML.
@@ -16,89 +16,94 @@
     Json,
 }
 
-/// The roster's text.
-pub fn write(hosts: &[Host], to: To) -> String {
-    match to {
-        To::Csv => csv(hosts),
-        To::Yaml => yaml(hosts),
-        To::Ini => ini(hosts),
-        To::Json => json(hosts),
+/// The text of an inventory.
+pub fn write_inventory(hosts: &[Host], format: OutputFormat) -> String {
+    match format {
+        OutputFormat::Csv => write_csv(hosts).unwrap_or_default(),
+        OutputFormat::Yaml => write_yaml(hosts),
+        OutputFormat::Ini => hosts.iter().map(ini_line).collect(),
+        OutputFormat::Json => write_json(hosts),
     }
 }
 
-fn csv(hosts: &[Host]) -> String {
-    let mut rows = csv::Writer::from_writer(Vec::new());
-    let head = rows.write_record(["name", "address", "port", "zone", "kind", "cell", "weight"]);
-    let all = hosts.iter().try_for_each(|h| {
-        let (ip, port) = (h.addr.ip().to_string(), h.addr.port().to_string());
-        rows.write_record([
-            &h.name,
-            &ip,
-            &port,
-            &h.zone,
-            &h.kind,
-            &h.cell.to_string(),
-            &h.weight.to_string(),
-        ])
-    });
-    let bytes = head
-        .and(all)
-        .ok()
-        .and_then(|()| rows.into_inner().ok())
-        .unwrap_or_default();
-    String::from_utf8(bytes).unwrap_or_default()
+/// The rows; none where the writer fails, which writing to memory does not.
+fn write_csv(hosts: &[Host]) -> Option<String> {
+    let mut writer = csv::Writer::from_writer(Vec::new());
+    let heading = ["name", "address", "port", "zone", "kind", "cell", "weight"];
+    writer.write_record(heading).ok()?;
+    for host in hosts {
+        let row = [
+            &host.name,
+            &host.addr.ip().to_string(),
+            &host.addr.port().to_string(),
+            &host.zone,
+            &host.kind,
+            &host.cell.to_string(),
+            &host.weight.to_string(),
+        ];
+        writer.write_record(row).ok()?;
+    }
+    String::from_utf8(writer.into_inner().ok()?).ok()
+}
+
+fn write_yaml(hosts: &[Host]) -> String {
+    let hosts: String = hosts.iter().map(yaml_host).collect();
+    format!("all:\n  hosts:\n{hosts}")
 }
 
-/// Quoted as JSON, which YAML reads the same.
-fn quoted(text: &str) -> String {
+fn yaml_host(host: &Host) -> String {
+    let name = json_quoted(&host.name);
+    let address = json_quoted(&host.addr.ip().to_string());
+    let port = host.addr.port();
+    let (zone, kind) = (json_quoted(&host.zone), json_quoted(&host.kind));
+    let (cell, weight) = (host.cell, host.weight);
+    format!(
+        "    {name}:\n      ansible_host: {address}\n      drmaa_port: {port}\n      zone: {zone}\n      kind: {kind}\n      \
+         cell: {cell}\n      weight: {weight}\n"
+    )
+}
+
+/// A text quoted as in JSON, which YAML reads the same.
+fn json_quoted(text: &str) -> String {
     serde_json::to_string(text).unwrap_or_default()
 }
 
-fn yaml(hosts: &[Host]) -> String {
-    let mut text = String::from("all:\n  hosts:\n");
-    for h in hosts {
-        let _ = write!(
-            text,
-            "    {}:\n      ansible_host: {}\n      drmaa_port: {}\n      zone: {}\n      kind: {}\n      cell: {}\n      \
-             weight: {}\n",
-            quoted(&h.name),
-            quoted(&h.addr.ip().to_string()),
-            h.addr.port(),
-            quoted(&h.zone),
-            quoted(&h.kind),
-            h.cell,
-            h.weight
-        );
+fn ini_line(host: &Host) -> String {
+    let name = &host.name;
+    let (address, port) = (host.addr.ip(), host.addr.port());
+    let (zone, kind) = (shell_quoted(&host.zone), shell_quoted(&host.kind));
+    let (cell, weight) = (host.cell, host.weight);
+    format!(
+        "{name} ansible_host={address} drmaa_port={port} zone={zone} kind={kind} cell={cell} weight={weight}\n"
+    )
+}
+
+/// A text quoted as for a shell: in single quotes it is taken literally.
+fn shell_quoted(text: &str) -> String {
+    if text.contains('\'') {
+        format!("\"{text}\"")
+    } else {
+        format!("'{text}'")
     }
-    text
 }
 
-fn ini(hosts: &[Host]) -> String {
-    // A shell's word: what is in single quotes is taken as it stands.
-    let word = |text: &str| match text.contains('\'') {
-        true => format!("\"{text}\""),
-        false => format!("'{text}'"),
-    };
-    let line = |h: &Host| {
-        let (ip, port) = (h.addr.ip(), h.addr.port());
-        let (zone, kind) = (word(&h.zone), word(&h.kind));
-        let (cell, weight) = (h.cell, h.weight);
-        format!(
-            "{} ansible_host={ip} drmaa_port={port} zone={zone} kind={kind} cell={cell} weight={weight}\n",
-            h.name
-        )
-    };
-    hosts.iter().map(line).collect()
+fn write_json(hosts: &[Host]) -> String {
+    let names: Vec<&str> = hosts.iter().map(|host| host.name.as_str()).collect();
+    let host_vars: Map<String, Value> = hosts
+        .iter()
+        .map(|host| (host.name.clone(), json_vars(host)))
+        .collect();
+    let inventory = json!({"_meta": {"hostvars": host_vars}, "all": {"hosts": names}});
+    serde_json::to_string_pretty(&inventory).unwrap_or_default() + "\n"
 }
 
-fn json(hosts: &[Host]) -> String {
-    let vars = |h: &Host| {
-        let vars = serde_json::json!({"ansible_host": h.addr.ip().to_string(), "drmaa_port": h.addr.port(),
-            "zone": h.zone, "kind": h.kind, "cell": h.cell, "weight": h.weight});
-        (h.name.clone(), vars)
-    };
-    let names: Vec<&str> = hosts.iter().map(|h| h.name.as_str()).collect();
-    let hostvars: serde_json::Map<String, serde_json::Value> = hosts.iter().map(vars).collect();
-    let whole = serde_json::json!({"_meta": {"hostvars": hostvars}, "all": {"hosts": names}});
-    serde_json::to_string_pretty(&whole).unwrap_or_default() + "\n"
+fn json_vars(host: &Host) -> Value {
+    json!({
+        "ansible_host": host.addr.ip().to_string(),
+        "drmaa_port": host.addr.port(),
+        "zone": host.zone,
+        "kind": host.kind,
+        "cell": host.cell,
+        "weight": host.weight,
+    })
 }
--- a/crates/inventory/tests/encoded.rs
+++ b/crates/inventory/tests/encoded.rs
@@ -3,12 +3,17 @@
 //! Operators keep these files and programs read `servers ... --json`. The fixtures were written by an earlier release; they
 //! are never written anew.
 
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
+
 use std::io;
 use std::path::{Path, PathBuf};
-use streamusher_inventory::diff::Diff;
-use streamusher_inventory::host::{Host, Known};
-use streamusher_inventory::read::{read, Source};
-use streamusher_inventory::write::{write, To};
+use streamusher_inventory::{
+    read_inventory, write_inventory, FileSource, Host, InventoryDiff, KnownNames, OutputFormat,
+};
 
 const HOSTS_CSV: &str = include_str!("fixtures/encoded/hosts.csv");
 const HOSTS_YAML: &str = include_str!("fixtures/encoded/hosts.yml");
@@ -19,7 +24,7 @@
 /// One file in memory.
 struct OneFile(&'static str);
 
-impl Source for OneFile {
+impl FileSource for OneFile {
     fn read(&self, _: &Path) -> io::Result<Vec<u8>> {
         Ok(self.0.as_bytes().to_vec())
     }
@@ -46,46 +51,53 @@
 
 #[test]
 fn encoded_forms_are_as_recorded_for_inventories() {
-    for (to, name, recorded) in [
-        (To::Csv, "hosts.csv", HOSTS_CSV),
-        (To::Yaml, "hosts.yml", HOSTS_YAML),
-        (To::Ini, "hosts.ini", HOSTS_INI),
-        (To::Json, "hosts.json", HOSTS_JSON),
+    for (format, name, recorded) in [
+        (OutputFormat::Csv, "hosts.csv", HOSTS_CSV),
+        (OutputFormat::Yaml, "hosts.yml", HOSTS_YAML),
+        (OutputFormat::Ini, "hosts.ini", HOSTS_INI),
+        (OutputFormat::Json, "hosts.json", HOSTS_JSON),
     ] {
-        assert_eq!(write(&hosts(), to), recorded, "{name}");
-        let inventory = read(&OneFile(recorded), Path::new(name), &Known::default());
+        assert_eq!(write_inventory(&hosts(), format), recorded, "{name}");
+        let inventory = read_inventory(&OneFile(recorded), Path::new(name), &KnownNames::default());
         assert_eq!(inventory.expect("it is read").hosts, hosts(), "{name}");
     }
 }
 
 fn reports() -> Vec<String> {
     let json = |value: serde_json::Result<String>| value.expect("JSON");
-    let diff = Diff {
+    let diff = InventoryDiff {
         added: vec!["a".into()],
         drained: vec!["b".into()],
         moved: vec!["c".into()],
         reweighted: vec!["d".into()],
         changed: vec!["e".into()],
     };
-    let known = Known {
+    let known = KnownNames {
         zones: vec!["north-yard".into()],
         kinds: vec!["standard".into()],
     };
     let bad = "name,address,zone,kind\na,10.0.0.1,north-yard,standart\n";
-    let errors = read(&OneFile(bad), Path::new("a.csv"), &known).expect_err("an unknown kind");
-    let heading = read(&OneFile("zone\n"), Path::new("a.csv"), &known).expect_err("no names");
-    let whole = read(&OneFile("[a"), Path::new("a.ini"), &known).expect_err("a heading");
-    let good =
-        read(&OneFile(HOSTS_CSV), Path::new("a.csv"), &Known::default()).expect("it is read");
+    let errors =
+        read_inventory(&OneFile(bad), Path::new("a.csv"), &known).expect_err("an unknown kind");
+    let heading =
+        read_inventory(&OneFile("zone\n"), Path::new("a.csv"), &known).expect_err("no names");
+    let unclosed =
+        read_inventory(&OneFile("[a"), Path::new("a.ini"), &known).expect_err("a heading");
+    let good = read_inventory(
+        &OneFile(HOSTS_CSV),
+        Path::new("a.csv"),
+        &KnownNames::default(),
+    )
+    .expect("it is read");
     vec![
         json(serde_json::to_string(&hosts())),
         json(serde_json::to_string(&diff)),
-        json(serde_json::to_string(&Diff::default())),
+        json(serde_json::to_string(&InventoryDiff::default())),
         json(serde_json::to_string(&errors.list)),
         json(serde_json::to_string(&errors.to_string())),
-        json(serde_json::to_string(&errors.shown(true))),
+        json(serde_json::to_string(&errors.render(true))),
         json(serde_json::to_string(&heading.list)),
-        json(serde_json::to_string(&whole.list)),
+        json(serde_json::to_string(&unclosed.list)),
         json(serde_json::to_string(&good.hash)),
     ]
 }
--- a/crates/inventory/tests/corpus.rs
+++ b/crates/inventory/tests/formats.rs
@@ -1,16 +1,21 @@
-//! Inventories, good and broken, as tools write them: each with the roster or the mistakes that are expected.
+//! Inventories, valid and invalid, as tools write them: each with the expected hosts or errors.
+
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
+#![expect(clippy::format_collect, reason = "the texts are short")]
 
 use proptest::prelude::*;
 use rstest::rstest;
 use std::collections::BTreeMap;
 use std::io;
 use std::path::{Path, PathBuf};
-use streamusher_inventory::ansible::expand;
-use streamusher_inventory::diff::Diff;
-use streamusher_inventory::host::{Host, Known};
-use streamusher_inventory::problem::Problems;
-use streamusher_inventory::read::{read, Roster, Source};
-use streamusher_inventory::write::{write, To};
+use streamusher_inventory::{
+    expand_host_range, read_inventory, write_inventory, Diagnostics, FileSource, Host, Inventory,
+    InventoryDiff, KnownNames, OutputFormat,
+};
 
 /// Files in memory.
 struct Files(BTreeMap<PathBuf, Vec<u8>>);
@@ -26,7 +31,7 @@
     }
 }
 
-impl Source for Files {
+impl FileSource for Files {
     fn read(&self, path: &Path) -> io::Result<Vec<u8>> {
         self.0
             .get(path)
@@ -47,30 +52,30 @@
     }
 }
 
-fn known() -> Known {
-    let all = |names: &[&str]| names.iter().map(|n| n.to_string()).collect();
-    Known {
-        zones: all(&["harbour-st", "pump-house", "north-yard"]),
-        kinds: all(&["standard", "older"]),
+fn known() -> KnownNames {
+    let list = |names: &[&str]| names.iter().map(ToString::to_string).collect();
+    KnownNames {
+        zones: list(&["harbour-st", "pump-house", "north-yard"]),
+        kinds: list(&["standard", "older"]),
     }
 }
 
-fn roster(files: &[(&str, &str)]) -> Result<Roster, Problems> {
-    read(&Files::new(files), Path::new(files[0].0), &known())
+fn read_files(files: &[(&str, &str)]) -> Result<Inventory, Diagnostics> {
+    read_inventory(&Files::new(files), Path::new(files[0].0), &known())
 }
 
-/// Hosts in short: name, address, zone, kind, cell and weight.
-fn short(hosts: &[Host]) -> Vec<String> {
-    let one = |h: &Host| {
+/// Hosts as text: name, address, zone, kind, cell and weight.
+fn summaries(hosts: &[Host]) -> Vec<String> {
+    let summary = |host: &Host| {
         format!(
             "{} {} {} {} {} {}",
-            h.name, h.addr, h.zone, h.kind, h.cell, h.weight
+            host.name, host.addr, host.zone, host.kind, host.cell, host.weight
         )
     };
-    hosts.iter().map(one).collect()
+    hosts.iter().map(summary).collect()
 }
 
-const TWO: [&str; 2] = [
+const TWO_WORKERS: [&str; 2] = [
     "core-1 10.1.0.18:6444 north-yard standard 3 1.5",
     "core-2 10.1.0.19:7000 pump-house older 0 1",
 ];
@@ -84,13 +89,14 @@
 #[case::merge_keys("a.yaml", "x: &old\n  vars: {unused: 1}\nall:\n  hosts:\n    core-1: {ansible_host: 10.1.0.18, zone: north-yard, kind: standard, cell: 3, weight: 1.5}\n    core-2:\n      <<: {zone: pump-house, kind: older}\n      ansible_host: 10.1.0.19\n      drmaa_port: 7000\n")]
 #[case::json("a.json", r#"{"_meta": {"hostvars": {"core-1": {"ansible_host": "10.1.0.18", "cell": 3, "weight": 1.5}, "core-2": {"ansible_host": "10.1.0.19", "drmaa_port": 7000}}}, "all": {"children": ["ungrouped", "yard", "pumps"]}, "yard": {"hosts": ["core-1"], "vars": {"zone": "north-yard", "kind": "standard"}}, "pumps": {"hosts": ["core-2"], "vars": {"zone": "pump-house", "kind": "older"}}}"#)]
 #[case::ini("hosts", "# workers\n[yard]\ncore-1 ansible_host=10.1.0.18 cell=3 weight=\"1.5\"  # new\n\n[pumps]\ncore-2 ansible_host=10.1.0.19 drmaa_port=7000 kind='older'\n\n[pumps:vars]\nzone = pump-house\n[yard:vars]\nzone=\"north-yard\"\n[all:children]\nyard\npumps\n[all:vars]\nkind=standard\n")]
-fn the_same_two_workers_in_every_form(#[case] name: &str, #[case] text: &str) {
-    let roster = roster(&[(name, text)]).unwrap_or_else(|p| panic!("{}", p.shown(false)));
-    assert_eq!(short(&roster.hosts), TWO);
+fn all_formats_describe_the_same_workers(#[case] name: &str, #[case] text: &str) {
+    let inventory =
+        read_files(&[(name, text)]).unwrap_or_else(|errors| panic!("{}", errors.render(false)));
+    assert_eq!(summaries(&inventory.hosts), TWO_WORKERS);
 }
 
 #[test]
-fn variables_go_by_ansibles_precedence() {
+fn variables_follow_ansibles_precedence() {
     let files = [
         ("d/hosts.yml", "all:\n  vars: {weight: 1, zone: harbour-st, kind: older}\n  hosts: {a: {ansible_host: 10.0.0.1}}\n  children:\n    yard:\n      vars: {weight: 2}\n      children:\n        new:\n          vars: {weight: 3}\n          hosts: {b: {ansible_host: 10.0.0.2}, c: {ansible_host: 10.0.0.3, weight: 9}}\n    zz:\n      vars: {weight: 4}\n      hosts: {b: , d: {ansible_host: 10.0.0.4}}\n"),
         ("d/group_vars/all.yml", "zone: pump-house\nweight: 5\n"),
@@ -99,10 +105,10 @@
         ("d/group_vars/.swp", "not: [yaml"),
         ("d/host_vars/c.yml", "weight: 10\nlist: [1, 2]\n"),
     ];
-    let roster = roster(&files).unwrap_or_else(|p| panic!("{}", p.shown(false)));
+    let inventory = read_files(&files).unwrap_or_else(|errors| panic!("{}", errors.render(false)));
     // Group variables of the inventory, then group_vars, then the host's own, then host_vars.
     assert_eq!(
-        short(&roster.hosts),
+        summaries(&inventory.hosts),
         [
             "a 10.0.0.1:6444 pump-house older 0 5",
             "b 10.0.0.2:6444 north-yard standard 0 5",
@@ -118,8 +124,8 @@
 #[case("r[1:2]-n[0:4:2]", &["r1-n0", "r1-n2", "r1-n4", "r2-n0", "r2-n2", "r2-n4"])]
 #[case("[8:11]", &["8", "9", "10", "11"])]
 #[case("plain", &["plain"])]
-fn ranges_stand_for_their_hosts(#[case] pattern: &str, #[case] names: &[&str]) {
-    assert_eq!(expand(pattern).unwrap(), names);
+fn host_range_is_expanded(#[case] pattern: &str, #[case] names: &[&str]) {
+    assert_eq!(expand_host_range(pattern).unwrap(), names);
 }
 
 #[rstest]
@@ -131,8 +137,8 @@
 #[case("core[01:100]")]
 #[case("core[1:999999999]")]
 #[case("a[1:1000]b[1:1000]")]
-fn what_is_no_range_is_told(#[case] pattern: &str) {
-    assert!(expand(pattern).is_err());
+fn invalid_host_range_is_an_error(#[case] pattern: &str) {
+    assert!(expand_host_range(pattern).is_err());
 }
 
 const HEAD: &str = "name,address,zone,kind,cell,weight,port\n";
@@ -167,33 +173,33 @@
 ])]
 #[case::circle("a.yml", "a:\n  children: {b: }\nb:\n  children: {a: }\n", &["a.yml:1:1: a: it is inside itself, or more than 16 groups deep"])]
 #[case::unknown_part("a.yml", "all:\n  host: {}\n", &["a.yml:2:3: host: neither hosts, children nor vars"])]
-fn every_mistake_is_told_with_its_place(
+fn every_error_is_reported_with_its_position(
     #[case] name: &str,
     #[case] text: &str,
-    #[case] told: &[&str],
+    #[case] expected: &[&str],
 ) {
-    let problems = roster(&[(name, text)]).expect_err("mistakes");
-    let mut lines: Vec<String> = problems.list.iter().map(|p| p.to_string()).collect();
-    let mut told: Vec<String> = told.iter().map(|t| t.to_string()).collect();
-    // Those of one place come in any order.
+    let errors = read_files(&[(name, text)]).expect_err("errors");
+    let mut lines: Vec<String> = errors.list.iter().map(ToString::to_string).collect();
+    let mut expected: Vec<String> = expected.iter().map(ToString::to_string).collect();
+    // Errors at one position come in any order.
     lines.sort();
-    told.sort();
-    assert_eq!(lines, told);
+    expected.sort();
+    assert_eq!(lines, expected);
 }
 
 #[test]
-fn a_mistake_is_shown_with_its_line_and_a_mark_below_it() {
+fn error_is_rendered_with_its_line_and_a_mark() {
     let text = format!("{HEAD}core-1,10.0.0.1,north-yard,standart,,,\n");
-    let shown = roster(&[("a.csv", &text)]).unwrap_err().shown(false);
+    let rendered = read_files(&[("a.csv", &text)]).unwrap_err().render(false);
     let wanted = [
         "error: host core-1: kind: unknown: \"standart\"",
         " --> a.csv:2:28",
         "2 | core-1,10.0.0.1,north-yard,standart,,,",
         "  |                            ^^^^^^^^ did you mean \"standard\"?",
     ];
-    wanted
-        .iter()
-        .for_each(|line| assert!(shown.contains(line), "{shown}"));
+    for line in wanted {
+        assert!(rendered.contains(line), "{rendered}");
+    }
 }
 
 #[rstest]
@@ -206,32 +212,32 @@
 #[case::quote("hosts", "a zone='north-yard\n")]
 #[case::heading("hosts", "[yard\n")]
 #[case::junk("a.csv", &"\u{7f}\"x,".repeat(300_000))]
-fn rotten_input_is_told_and_nothing_of_it_is_taken(#[case] name: &str, #[case] text: &str) {
-    let problems = roster(&[(name, text)]).expect_err("mistakes");
-    assert!(!problems.list.is_empty() && problems.list.len() <= 100);
-    assert!(!problems.to_string().contains('\n'));
-    assert!(!problems.shown(false).is_empty());
+fn malformed_input_is_rejected(#[case] name: &str, #[case] text: &str) {
+    let errors = read_files(&[(name, text)]).expect_err("errors");
+    assert!(!errors.list.is_empty() && errors.list.len() <= 100);
+    assert!(!errors.to_string().contains('\n'));
+    assert!(!errors.render(false).is_empty());
 }
 
 #[test]
-fn bytes_that_are_no_text_are_told_with_their_line() {
+fn unreadable_files_are_reported() {
     let mut files = Files::new(&[("a.csv", "name\na\n")]);
     files
         .0
         .insert("a.csv".into(), b"name,zone\na,\xff\n".to_vec());
-    let problems = read(&files, Path::new("a.csv"), &known()).unwrap_err();
-    assert_eq!(problems.to_string(), "a.csv: line 2: not UTF-8");
-    let problems = read(&files, Path::new("b.csv"), &known()).unwrap_err();
-    assert_eq!(problems.to_string(), "b.csv: no such file");
+    let errors = read_inventory(&files, Path::new("a.csv"), &known()).unwrap_err();
+    assert_eq!(errors.to_string(), "a.csv: line 2: not UTF-8");
+    let errors = read_inventory(&files, Path::new("b.csv"), &known()).unwrap_err();
+    assert_eq!(errors.to_string(), "b.csv: no such file");
 }
 
 #[test]
-fn a_change_is_told_by_what_it_means() {
-    let old = roster(&[("a.csv", &format!("{HEAD}a,10.0.0.1,north-yard,older,,,\nb,10.0.0.2,north-yard,older,,,\nc,10.0.0.3,north-yard,older,,,\nd,10.0.0.4,north-yard,older,,,\n"))]).unwrap();
-    let new = roster(&[("a.csv", &format!("{HEAD}a,10.0.0.1,north-yard,older,,2,\nb,10.0.0.9,north-yard,older,,,\nc,10.0.0.3,pump-house,older,,,\ne,10.0.0.5,north-yard,older,,,\n"))]).unwrap();
-    let diff = Diff::of(&old.hosts, &new.hosts);
-    let names = |n: &[&str]| n.iter().map(|n| n.to_string()).collect::<Vec<_>>();
-    let wanted = Diff {
+fn diff_tells_what_a_change_means() {
+    let old = read_files(&[("a.csv", &format!("{HEAD}a,10.0.0.1,north-yard,older,,,\nb,10.0.0.2,north-yard,older,,,\nc,10.0.0.3,north-yard,older,,,\nd,10.0.0.4,north-yard,older,,,\n"))]).unwrap();
+    let new = read_files(&[("a.csv", &format!("{HEAD}a,10.0.0.1,north-yard,older,,2,\nb,10.0.0.9,north-yard,older,,,\nc,10.0.0.3,pump-house,older,,,\ne,10.0.0.5,north-yard,older,,,\n"))]).unwrap();
+    let diff = InventoryDiff::between(&old.hosts, &new.hosts);
+    let names = |n: &[&str]| n.iter().map(ToString::to_string).collect::<Vec<_>>();
+    let wanted = InventoryDiff {
         added: names(&["e"]),
         drained: names(&["d"]),
         moved: names(&["b"]),
@@ -239,11 +245,11 @@
         changed: names(&["c"]),
     };
     assert_eq!(diff, wanted);
-    assert!(Diff::of(&new.hosts, &new.hosts).is_empty());
+    assert!(InventoryDiff::between(&new.hosts, &new.hosts).is_empty());
     assert_ne!(old.hash, new.hash);
 }
 
-type Parts = ([u8; 4], u16, String, String, u32, u32);
+type HostParts = ([u8; 4], u16, String, String, u32, u32);
 
 fn hosts() -> impl Strategy<Value = Vec<Host>> {
     let one = (
@@ -255,7 +261,7 @@
         1u32..4_000,
     );
     prop::collection::vec(one, 0..20).prop_map(|all| {
-        let host = |(n, (ip, port, zone, kind, cell, weight)): (usize, Parts)| {
+        let host = |(n, (ip, port, zone, kind, cell, weight)): (usize, HostParts)| {
             Host {
                 name: format!("core-{n:02}"),
                 addr: (ip, port).into(),
@@ -272,7 +278,7 @@
         };
         let mut hosts: Vec<Host> = all.into_iter().enumerate().map(host).collect();
         let mut seen = std::collections::BTreeSet::new();
-        hosts.retain(|h| seen.insert(h.addr));
+        hosts.retain(|host| seen.insert(host.addr));
         hosts
     })
 }
@@ -280,21 +286,21 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, ..ProptestConfig::default() })]
     #[test]
-    fn what_is_written_in_any_form_is_read_as_it_was(hosts in hosts()) {
-        for (to, name) in [(To::Csv, "a.csv"), (To::Yaml, "a.yml"), (To::Ini, "a.ini"), (To::Json, "a.json")] {
-            let text = write(&hosts, to);
+    fn written_inventory_is_read_back_the_same(hosts in hosts()) {
+        for (to, name) in [(OutputFormat::Csv, "a.csv"), (OutputFormat::Yaml, "a.yml"), (OutputFormat::Ini, "a.ini"), (OutputFormat::Json, "a.json")] {
+            let text = write_inventory(&hosts, to);
             let files = Files::new(&[(name, &text)]);
-            let back = read(&files, Path::new(name), &Known::default());
-            let back = back.map_err(|p| TestCaseError::fail(format!("{text}\n{}", p.shown(false))))?;
+            let back = read_inventory(&files, Path::new(name), &KnownNames::default());
+            let back = back.map_err(|p| TestCaseError::fail(format!("{text}\n{}", p.render(false))))?;
             prop_assert_eq!(&back.hosts, &hosts, "{}", text);
         }
     }
 
     #[test]
-    fn no_text_is_too_much(text in "\\PC{0,200}", name in prop::sample::select(vec!["a.csv", "a.yml", "hosts"])) {
+    fn arbitrary_text_does_not_panic(text in "\\PC{0,200}", name in prop::sample::select(vec!["a.csv", "a.yml", "hosts"])) {
         let files = Files::new(&[(name, &text)]);
-        if let Err(problems) = read(&files, Path::new(name), &known()) {
-            prop_assert!(!problems.shown(false).is_empty());
+        if let Err(errors) = read_inventory(&files, Path::new(name), &known()) {
+            prop_assert!(!errors.render(false).is_empty());
         }
     }
 }
--- a/src/command/ledger.rs
+++ b/src/command/ledger.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 use serde_json::json;
 use std::path::PathBuf;
-use streamusher_inventory::host::Known;
+use streamusher_inventory::KnownNames;
 use streamusher_ledger::correction::{About, Correction};
 use streamusher_ledger::export::{export, lines, Line};
 use streamusher_ledger::period::{moment, Period};
@@ -150,7 +150,7 @@
         Ok(self
             .config
             .as_deref()
-            .map(|f| Operators::load(f, &Known::default()))
+            .map(|f| Operators::load(f, &KnownNames::default()))
             .transpose()?)
     }
 
--- a/src/command/servers.rs
+++ b/src/command/servers.rs
@@ -8,12 +8,10 @@
 use serde_json::json;
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
-use streamusher_inventory::diff::Diff;
-use streamusher_inventory::disk::Disk;
-use streamusher_inventory::host::{Host, Known};
-use streamusher_inventory::problem::Problems;
-use streamusher_inventory::read::{read, Roster};
-use streamusher_inventory::write::{write, To};
+use streamusher_inventory::{
+    read_inventory, write_inventory, Diagnostic, Diagnostics, FileSystem, Host, Inventory,
+    InventoryDiff, KnownNames, OutputFormat,
+};
 
 #[derive(Args)]
 pub(super) struct Servers {
@@ -55,13 +53,13 @@
     Json,
 }
 
-impl From<Form> for To {
-    fn from(form: Form) -> To {
+impl From<Form> for OutputFormat {
+    fn from(form: Form) -> OutputFormat {
         match form {
-            Form::Csv => To::Csv,
-            Form::Yaml => To::Yaml,
-            Form::Ini => To::Ini,
-            Form::Json => To::Json,
+            Form::Csv => OutputFormat::Csv,
+            Form::Yaml => OutputFormat::Yaml,
+            Form::Ini => OutputFormat::Ini,
+            Form::Json => OutputFormat::Json,
         }
     }
 }
@@ -71,14 +69,14 @@
     file: String,
     hosts: usize,
     notes: Vec<String>,
-    problems: Vec<streamusher_inventory::problem::Problem>,
+    problems: Vec<Diagnostic>,
     more: usize,
 }
 
 impl Servers {
     pub(super) fn run(self) -> Result<(), Failure> {
         let known = match &self.settings {
-            None => Known::default(),
+            None => KnownNames::default(),
             Some(path) => {
                 let text = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
                 let config = Config::parse(&text, |_| None);
@@ -95,7 +93,7 @@
                 Ok(())
             }
             What::Diff { old, new } => {
-                let diff = Diff::of(
+                let diff = InventoryDiff::between(
                     &self.read(old, &known)?.hosts,
                     &self.read(new, &known)?.hosts,
                 );
@@ -103,18 +101,18 @@
                 Ok(())
             }
             What::Convert { file, to } => {
-                print!("{}", write(&self.read(file, &known)?.hosts, (*to).into()));
+                print!("{}", write_inventory(&self.read(file, &known)?.hosts, (*to).into()));
                 Ok(())
             }
         }
     }
 
-    fn check(&self, files: &[PathBuf], known: &Known) -> Result<(), Failure> {
+    fn check(&self, files: &[PathBuf], known: &KnownNames) -> Result<(), Failure> {
         let mut all = Vec::new();
         for file in files {
             let name = file.display().to_string();
-            let (roster, problems) = match read(&Disk, file, known) {
-                Ok(roster) => (Some(roster), Problems::default()),
+            let (roster, problems) = match read_inventory(&FileSystem, file, known) {
+                Ok(roster) => (Some(roster), Diagnostics::default()),
                 Err(problems) => (None, problems),
             };
             if !self.json {
@@ -133,7 +131,7 @@
                 hosts,
                 notes,
                 problems: problems.list,
-                more: problems.more,
+                more: problems.omitted,
             });
         }
         if self.json {
@@ -146,12 +144,12 @@
     }
 
     /// A roster that is good; else every mistake is told.
-    fn read(&self, file: &Path, known: &Known) -> Result<Roster, Failure> {
-        read(&Disk, file, known).map_err(|problems| {
+    fn read(&self, file: &Path, known: &KnownNames) -> Result<Inventory, Failure> {
+        read_inventory(&FileSystem, file, known).map_err(|problems| {
             match self.json {
                 true => eprintln!(
                     "{}",
-                    json!({"problems": problems.list, "more": problems.more})
+                    json!({"problems": problems.list, "more": problems.omitted})
                 ),
                 false => eprintln!("{}", shown(&problems)),
             }
@@ -167,8 +165,8 @@
     }
 }
 
-fn shown(problems: &Problems) -> String {
-    problems.shown(std::io::stderr().is_terminal() && std::env::var_os("NO_COLOR").is_none())
+fn shown(problems: &Diagnostics) -> String {
+    problems.render(std::io::stderr().is_terminal() && std::env::var_os("NO_COLOR").is_none())
 }
 
 fn hosts(hosts: &[Host]) -> String {
@@ -189,7 +187,7 @@
     )
 }
 
-fn differences(diff: &Diff) -> String {
+fn differences(diff: &InventoryDiff) -> String {
     let all = [
         ("added", &diff.added),
         ("drained", &diff.drained),
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -15,7 +15,7 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
-use streamusher_inventory::host::Known;
+use streamusher_inventory::KnownNames;
 
 /// Everything that the program is told at its start.
 pub struct Config {
@@ -154,8 +154,8 @@
     }
 
     /// The zones and machine kinds that the settings list.
-    pub fn known_names(&self) -> Known {
-        Known {
+    pub fn known_names(&self) -> KnownNames {
+        KnownNames {
             zones: self.setup.zones.clone(),
             kinds: self.setup.kinds.clone(),
         }
@@ -228,7 +228,7 @@
 
 impl Drmaa {
     /// Reads the file of the DRMAA front and the inventory that it names, beside it.
-    pub fn load(path: &Path, known: &Known) -> Result<Drmaa, String> {
+    pub fn load(path: &Path, known: &KnownNames) -> Result<Drmaa, String> {
         let file: operators::DrmaaFile = operators::decode(path)?;
         file.check(path, known)
             .map_err(|e| format!("{}: {e}", path.display()))
--- a/src/config/operators.rs
+++ b/src/config/operators.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
-use streamusher_inventory::host::Known;
+use streamusher_inventory::KnownNames;
 use streamusher_ledger::gate::OnFailure;
 use streamusher_ledger::period::Span;
 use streamusher_ledger::store::Settle;
@@ -195,7 +195,7 @@
 
 impl Operators {
     /// Reads it, and the files that it names beside it.
-    pub fn load(path: &Path, known: &Known) -> Result<Operators, String> {
+    pub fn load(path: &Path, known: &KnownNames) -> Result<Operators, String> {
         let file: OperatorsFile = decode(path)?;
         let at = |table: &str, e: String| format!("{}: {table}.{e}", path.display());
         Ok(Operators {
@@ -236,7 +236,7 @@
 }
 
 impl DrmaaFile {
-    pub(super) fn check(self, path: &Path, known: &Known) -> Result<Drmaa, String> {
+    pub(super) fn check(self, path: &Path, known: &KnownNames) -> Result<Drmaa, String> {
         let listen = self.listen.map(|l| address("listen", &l)).transpose()?;
         if self.max_jobs == 0 {
             return Err("max_jobs: must be above 0".into());
--- a/src/servers.rs
+++ b/src/servers.rs
@@ -3,14 +3,12 @@
 use crate::core::Member;
 use crate::interface::Stage;
 use std::path::Path;
-use streamusher_inventory::disk::Disk;
-use streamusher_inventory::host::{Host, Known};
-use streamusher_inventory::read::read;
+use streamusher_inventory::{read_inventory, FileSystem, Host, KnownNames};
 
 /// Reads an inventory, whole or not at all. The message names file, line, host and key of the first mistake, and how
 /// many more there are; `streamusher servers check` tells all.
-pub fn load(path: &Path, known: &Known) -> Result<Vec<Member>, String> {
-    let roster = read(&Disk, path, known).map_err(|p| p.to_string())?;
+pub fn load(path: &Path, known: &KnownNames) -> Result<Vec<Member>, String> {
+    let roster = read_inventory(&FileSystem, path, known).map_err(|p| p.to_string())?;
     Ok(roster.hosts.into_iter().map(member).collect())
 }
 
--- a/tests/middleware.rs
+++ b/tests/middleware.rs
@@ -9,7 +9,7 @@
 use streamusher::config::{operators::TenantsConfig, Config, Drmaa};
 use streamusher::core::tenants::{Tenant, Tenants};
 use streamusher::{handle::Handle, middleware::DispatchLayer, servers};
-use streamusher_inventory::host::Known;
+use streamusher_inventory::KnownNames;
 use support::{config, Files, Sent, Shed, LONG};
 use tower::ServiceExt;
 
@@ -22,7 +22,7 @@
         "name,address,port,zone,kind\nshed-a,127.0.0.1,{},pump-house,standard\n",
         shed.addr.port()
     );
-    let workers = servers::load(&files.add("workers.csv", &row), &Known::default()).unwrap();
+    let workers = servers::load(&files.add("workers.csv", &row), &KnownNames::default()).unwrap();
     let mut config = Config::parse(config(&[]).to_string().as_bytes(), |_| None).unwrap();
     config.tenants = tenants;
     config.drmaa = Some(Drmaa {
