--- a/crates/placement/src/scheduling.rs
+++ b/crates/placement/src/scheduling.rs
@@ -20,13 +20,13 @@
 /// Gangs of a service that are tried when capacity becomes free.
 const MAX_GANGS_PER_SERVICE: usize = 8;
 
-/// Runs one cycle: units that are new or due get copies in queues, changed workers claim, and what is left is helped to
-/// capacity. A gang takes its turn among the claims by its place in the queue's order.
+/// Runs one cycle: units that are new or due get copies in queues, changed workers claim, and capacity is searched for what is
+/// left. A gang takes its turn among the claims by its place in the queue's order.
 pub(crate) fn run_cycle(cycle: &mut SchedulingCycle<'_>) {
     for service in cycle.cluster.services.values_mut() {
         service.refresh_headroom(cycle.now);
     }
-    let (gangs, singles) = units_to_look_at(cycle.cluster, cycle.now);
+    let DueUnits { gangs, singles } = take_due_units(cycle.cluster, cycle.now);
     for key in gangs.iter().chain(&singles) {
         observe_request(cycle.cluster, cycle.now, *key);
     }
@@ -44,11 +44,14 @@
     }
 }
 
-/// The gangs and the single tasks that are new or due for a retry, and the first gangs where capacity became free.
-fn units_to_look_at(
-    cluster: &mut Cluster,
-    now: Millis,
-) -> (BTreeSet<QueueKey>, BTreeSet<QueueKey>) {
+/// The units that one cycle looks at.
+struct DueUnits {
+    gangs: BTreeSet<QueueKey>,
+    singles: BTreeSet<QueueKey>,
+}
+
+/// Takes the units that are new or due for a retry, and the first gangs of the services in which capacity became free.
+fn take_due_units(cluster: &mut Cluster, now: Millis) -> DueUnits {
     let mut keys = take_new_units(cluster);
     keys.extend(cluster.queue.take_due(now, MAX_RETRIES));
     let is_gang = |key: &QueueKey| cluster.queue.get(*key).is_some_and(PendingUnit::is_gang);
@@ -59,7 +62,7 @@
             gangs.extend(service.gangs.iter().take(MAX_GANGS_PER_SERVICE));
         }
     }
-    (gangs, singles)
+    DueUnits { gangs, singles }
 }
 
 fn take_new_units(cluster: &mut Cluster) -> BTreeSet<QueueKey> {
