--- a/crates/emulator/src/checker/mod.rs
+++ b/crates/emulator/src/checker/mod.rs
@@ -3,24 +3,26 @@
 //! - `violation`: the rules, and breaches of them.
 //! - `records`, `configurations`: what was observed.
 //! - `state`: the checker with all its records.
-//! - `run_rules`: starts and ends of runs.
+//! - `start_rules`, `end_rules`: starts and ends of runs.
 //! - `job_rules`: what clients are told about their jobs.
 //! - `idle_rule`: jobs with nothing running although there is capacity.
 //! - `configuration_rules`: by which configuration operators and clients are answered.
 
 mod configuration_rules;
 mod configurations;
+mod end_rules;
 mod idle_rule;
 mod job_rules;
 mod records;
-mod run_rules;
+mod start_rules;
 mod state;
 mod violation;
 
 pub(crate) use configuration_rules::QueueResponse;
 pub(crate) use configurations::SentChange;
+pub(crate) use end_rules::EndedRun;
 pub(crate) use job_rules::StatusResponse;
 pub(crate) use records::TaskRecord;
-pub(crate) use run_rules::{EndedRun, StartedRun, WorkerView};
+pub(crate) use start_rules::{StartedRun, WorkerView};
 pub use state::{Checker, JobCounts};
 pub use violation::{Rule, Violation};
--- a/crates/emulator/src/checker/records.rs
+++ b/crates/emulator/src/checker/records.rs
@@ -1,5 +1,6 @@
 //! What was observed of tasks and jobs.
 
+use crate::cast::index_u32;
 use crate::workers::effect::WorkerIndex;
 use streamusher_protocol::job::JobState;
 use streamusher_protocol::task::{RunEnd, TaskId};
@@ -72,6 +73,14 @@
         self.done_at().is_some()
     }
 
+    /// How many failed ends before a time are acknowledged.
+    pub(super) fn acknowledged_failures(&self, before: Millis) -> u32 {
+        let counts = |end: &&EndRecord| {
+            end.outcome == RunEnd::Failed && end.acknowledged_at.is_some() && end.ended_at < before
+        };
+        index_u32(self.ends.iter().filter(counts).count())
+    }
+
     pub(super) fn failed_runs(&self) -> impl Iterator<Item = u32> + '_ {
         let failed = self.ends.iter().filter(|end| end.outcome == RunEnd::Failed);
         failed.map(|end| end.run)
--- a/crates/emulator/src/checker/state.rs
+++ b/crates/emulator/src/checker/state.rs
@@ -96,6 +96,12 @@
         self.task(task).is_some_and(TaskRecord::is_done)
     }
 
+    /// How many failed ends of a task before a time are acknowledged.
+    pub(super) fn acknowledged_failures(&self, task: &TaskId, before: Millis) -> u32 {
+        let record = self.task(task);
+        record.map_or(0, |record| record.acknowledged_failures(before))
+    }
+
     /// By how much times of day may be off.
     pub(super) fn clock_tolerance_ms(&self) -> Millis {
         if self.clocks_step {
--- a/crates/emulator/src/experiment/mod.rs
+++ b/crates/emulator/src/experiment/mod.rs
@@ -24,7 +24,7 @@
 
 /// Traffic begins once the fleet has come up.
 const TRAFFIC_STARTS_AT_MS: Millis = 3_000;
-/// As long as in the deployments' own plays.
+/// As long as in the benchmark runs of the deployments.
 const TRAFFIC_MS: Millis = 34_000;
 const GATES: usize = 3;
 
--- a/crates/emulator/src/fleet/mod.rs
+++ b/crates/emulator/src/fleet/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! From the outside in:
 //!
-//! - [`Fleet`] (`simulation`): the event loop, which hands each event to the part that it concerns.
+//! - [`Fleet`] (`simulation`, built by `builder`): the event loop, which passes each event to the part that it concerns.
 //! - `injection`, `recovery`: what faults do, and how they end.
 //! - `clients` with `traffic` and `job_mix`, `operators` with `configuration_changes`: who uses the fleet.
 //! - `worker_effects`: joins the simulated workers to their agents and to the checker.
@@ -13,6 +13,7 @@
 //! - `machine`, `process`, `disk`, `event`, `rpc_message`, `fault_history`, [`settings`], [`traffic_digest`]: data.
 
 mod agent;
+mod builder;
 mod clients;
 mod configuration_changes;
 mod control;
--- a/crates/emulator/src/fleet/simulation.rs
+++ b/crates/emulator/src/fleet/simulation.rs
@@ -1,51 +1,34 @@
 //! The event loop of a fleet.
 
 use super::agent;
-use super::clients::{Clients, FINAL_QUERIES_MS};
+use super::builder::{self, CHECK_INTERVAL_MS};
 use super::control::{self, PendingActions, Progress};
 use super::discovery;
-use super::environment::Environment;
 use super::event::{Event, FaultRecovery, RollingRestart};
-use super::fault_history::FaultHistory;
 use super::gate;
 use super::injection::{self, FollowUp};
 use super::lifecycle::{self, ProcessEnd};
-use super::machine::{Machines, Role};
-use super::operators::Operators;
+use super::machine::Role;
 use super::reachability;
 use super::recovery;
 use super::rpc::{self, ReturnedCall};
-use super::rpc_message::{Caller, OpenCalls};
+use super::rpc_message::Caller;
 use super::settings::FleetSettings;
 use super::state::FleetState;
-use super::traffic;
 use super::traffic_digest::TrafficDigest;
 use super::worker_effects;
 use crate::checker::{Checker, Violation};
-use crate::event_queue::EventQueue;
 use crate::faults::{Fault, FaultSchedule};
 use crate::limits::DeploymentLimits;
-use crate::network::{MachineId, Network};
+use crate::network::MachineId;
 use crate::random::{Random, Stream};
 use crate::submitted_jobs::SubmittedJobs;
 use crate::value::{self, EarnedValue, LongRunningSample};
 use crate::workers::worker::Worker;
-use crate::workers::SimulatedWorkers;
 use crate::workload::Workload;
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// How often promises with a time are checked.
-const CHECK_INTERVAL_MS: Millis = 200;
-/// Processes start within this time.
-const MAX_PROCESS_START_MS: Millis = 300;
-/// When workers come up first.
-const WORKERS_START_AT_MS: Millis = 500;
-/// From the last query of a client to the end of the simulation.
-const END_MARGIN_MS: Millis = 500;
-/// Probability that workers report repeated starts of runs that have ended.
-const REPORTS_REPEATED_STARTS: f64 = 0.5;
-
 /// A fleet, and the simulation of it from its start to its end.
 pub struct Fleet {
     state: FleetState,
@@ -88,65 +71,14 @@
         workers: Vec<Worker>,
         workload: Option<Arc<Workload>>,
     ) -> Fleet {
-        let workers = SimulatedWorkers::new(workers, settings.limits, settings.seed);
-        let state = FleetState {
-            environment: environment(settings, &schedule),
-            clients: Clients::new(workload.clone()),
-            operators: Operators::new(workload.clone()),
-            workers,
-        };
-        let mut fleet = Fleet {
-            state,
+        Fleet {
+            state: builder::build(settings, &schedule, workers, workload.as_ref()),
             schedule,
             armed_faults: Vec::new(),
             workload,
             samples: Vec::new(),
             next_sample_at: 0,
-        };
-        let env = &mut fleet.state.environment;
-        let reports_repeated_starts = env.random.chance(REPORTS_REPEATED_STARTS);
-        fleet
-            .state
-            .workers
-            .set_reports_repeated_starts(reports_repeated_starts);
-        fleet.add_machines();
-        fleet.plan_events();
-        fleet
-    }
-
-    fn add_machines(&mut self) {
-        let env = &mut self.state.environment;
-        let settings = env.settings;
-        let roles = [
-            (Role::Control, settings.control_machines),
-            (Role::Gate, settings.gates),
-            (Role::Agent, settings.worker_count),
-        ];
-        for (role, count) in roles {
-            for index in 0..count {
-                lifecycle::add_machine(env, role, index);
-            }
-        }
-    }
-
-    fn plan_events(&mut self) {
-        let env = &mut self.state.environment;
-        for machine in env.machines.ids() {
-            let due = env.random.between(0, MAX_PROCESS_START_MS);
-            env.schedule_at(due, Event::Start { machine });
-        }
-        for worker in 0..env.settings.worker_count {
-            env.schedule_at(WORKERS_START_AT_MS, Event::WorkerStart { worker });
-        }
-        for (index, planned) in self.schedule.faults.iter().enumerate() {
-            env.schedule_at(planned.due, Event::Fault { index });
         }
-        env.schedule_at(CHECK_INTERVAL_MS, Event::Check);
-        match &self.workload {
-            Some(workload) => traffic::plan_workload(env, workload),
-            None => traffic::plan_ordinary(env),
-        }
-        Operators::plan(env);
     }
 
     /// Prints what happens from now on.
@@ -481,24 +413,3 @@
         env.schedule_in(CHECK_INTERVAL_MS, Event::Check);
     }
 }
-
-fn environment(settings: FleetSettings, schedule: &FaultSchedule) -> Environment {
-    let seed = settings.seed;
-    Environment {
-        now: 0,
-        ends_at: settings.final_queries_at() + FINAL_QUERIES_MS + END_MARGIN_MS,
-        settings,
-        queue: EventQueue::default(),
-        random: Random::new(seed, Stream::Fleet),
-        network: Network::new(seed),
-        machines: Machines::default(),
-        open_calls: OpenCalls::default(),
-        operator_responses_lost_until: 0,
-        fault_history: FaultHistory::default(),
-        allows_overlaps: schedule.allows_overlaps,
-        checker: Checker::new(settings.limits, schedule.steps_clocks()),
-        submitted_jobs: SubmittedJobs::default(),
-        traffic_digest: None,
-        verbose: false,
-    }
-}
--- a/crates/emulator/src/submitted_jobs.rs
+++ b/crates/emulator/src/submitted_jobs.rs
@@ -120,6 +120,20 @@
         exists.then_some(step)
     }
 
+    /// The tasks of a task's gang, or the task alone.
+    pub(crate) fn gang_members(&self, task: &TaskId) -> impl Iterator<Item = TaskId> {
+        let gang = self.step(task).filter(|step| step.gang);
+        let indexes = match gang {
+            Some(step) => 0..step.count,
+            None => task.index..task.index + 1,
+        };
+        let task = task.clone();
+        indexes.map(move |index| TaskId {
+            index,
+            ..task.clone()
+        })
+    }
+
     /// A task's work.
     pub fn work_ms(&self, task: &TaskId) -> Millis {
         let job = self.jobs.get(&task.job);
