--- a/crates/coordination/examples/embed.rs
+++ b/crates/coordination/examples/embed.rs
@@ -108,14 +108,14 @@
     fn step(&mut self) {
         self.now += TICK_MS;
         for index in 0..self.machines.len() {
-            self.tell(index, Input::Tick);
+            self.input(index, Input::Tick);
         }
         while let Some((to, input)) = self.network.pop_front() {
-            self.tell(to, input);
+            self.input(to, input);
         }
     }
 
-    fn tell(&mut self, index: usize, input: Input) {
+    fn input(&mut self, index: usize, input: Input) {
         if !self.machines[index].up {
             return;
         }
--- a/crates/coordination/tests/cluster/checks.rs
+++ b/crates/coordination/tests/cluster/checks.rs
@@ -2,13 +2,14 @@
 
 use super::Cluster;
 use std::collections::BTreeMap;
+use std::fmt::Write as _;
 use std::sync::Arc;
 use streamusher_coordination::{EpochRecord, StateMap};
 
 /// What has been seen so far.
 #[derive(Default)]
 pub(crate) struct Checks {
-    /// Keys that were committed, with the reign in which that was.
+    /// Keys that were committed, with the term in which that was.
     pub committed: BTreeMap<u64, u64>,
     /// What was on disks that were lost. An acknowledgement of theirs may still be under way.
     pub lost_disks: Vec<StateMap>,
@@ -51,12 +52,12 @@
     }
 
     /// From its first act on, a primary shows all that its state holds: that counts as committed.
-    pub(crate) fn note_exposed(&mut self, index: usize) {
+    pub(crate) fn record_exposed_state(&mut self, index: usize) {
         let Some(process) = &self.nodes[index].process else {
             return;
         };
-        let reign = process.status(self.now).record.term;
-        if std::mem::replace(&mut self.nodes[index].acted_in, reign) == reign {
+        let term = process.status(self.now).record.term;
+        if std::mem::replace(&mut self.nodes[index].acted_in, term) == term {
             return;
         }
         let Some(process) = &self.nodes[index].process else {
@@ -67,7 +68,7 @@
             .keys()
             .filter_map(|key| key.strip_prefix("key/")?.parse::<u64>().ok());
         for key in numbers {
-            self.checks.committed.entry(key).or_insert(reign);
+            self.checks.committed.entry(key).or_insert(term);
         }
     }
 
@@ -89,19 +90,19 @@
         );
     }
 
-    /// A new primary holds all that was committed in earlier reigns. (One that stood still may find itself elected when
+    /// A new primary holds all that was committed in earlier terms. (One that stalled may find itself elected when
     /// later ones have already followed; it never acts.)
     pub(crate) fn check_state(&self, index: usize) {
         let Some(process) = &self.nodes[index].process else {
             return;
         };
         let state = process.state();
-        let reign = process.status(self.now).record.term;
+        let term = process.status(self.now).record.term;
         let earlier = self
             .checks
             .committed
             .iter()
-            .filter(|(_, committed_in)| **committed_in <= reign);
+            .filter(|(_, committed_in)| **committed_in <= term);
         let earlier: Vec<u64> = earlier.map(|(key, _)| *key).collect();
         for key in &earlier {
             let is_there = state.contains_key(format!("key/{key:08}").as_str());
@@ -148,15 +149,16 @@
                         .record
                         .replicas
                         .iter()
-                        .map(std::string::ToString::to_string)
+                        .map(ToString::to_string)
                         .collect();
                     let members = status.record.members.len();
                     for peer in &status.peers {
-                        text += &format!("   {peer:?}\n");
+                        let _ = writeln!(text, "   {peer:?}");
                     }
-                    text += &format!(
-                        "{index}: {} {:?} acting {} epoch {} reign {} primary {:?} replicas {names:?} \
-                         members {members} applied {:?} synced {:?} committed {} frozen until {}\n",
+                    let _ = writeln!(
+                        text,
+                        "{index}: {} {:?} acting {} epoch {} term {} primary {:?} replicas {names:?} \
+                         members {members} applied {:?} synced {:?} committed {} frozen until {}",
                         status.id,
                         status.role,
                         status.acting,
@@ -169,7 +171,9 @@
                         node.frozen_until,
                     );
                 }
-                None => text += &format!("{index}: down\n"),
+                None => {
+                    let _ = writeln!(text, "{index}: down");
+                }
             }
         }
         for line in &self.story {
--- a/crates/coordination/tests/cluster/mod.rs
+++ b/crates/coordination/tests/cluster/mod.rs
@@ -9,7 +9,10 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
-use streamusher_coordination::*;
+use streamusher_coordination::{
+    Coordinator, CoordinatorSettings, DiskChange, DiskId, DiskImage, EpochRecord, Input, Message,
+    Output,
+};
 use streamusher_protocol::internal::CoreAddress;
 use streamusher_protocol::store::Write;
 use streamusher_protocol::Millis;
@@ -29,7 +32,7 @@
 enum Event {
     Tick {
         node: usize,
-        life: u64,
+        incarnation: u64,
     },
     Deliver {
         node: usize,
@@ -38,12 +41,12 @@
     },
     DiskDone {
         node: usize,
-        life: u64,
+        incarnation: u64,
         ticket: u64,
     },
     Append {
         node: usize,
-        life: u64,
+        incarnation: u64,
     },
 }
 
@@ -51,10 +54,10 @@
 pub(crate) struct Node {
     pub address: CoreAddress,
     pub process: Option<Coordinator>,
-    pub life: u64,
+    pub incarnation: u64,
     pub durable: DiskImage,
     /// The change under way, which a loss of power may or may not undo.
-    under_way: Option<(u64, DiskChange)>,
+    in_flight: Option<(u64, DiskChange)>,
     pub sync_ms: Millis,
     pub disk_fails: bool,
     /// Nothing runs before.
@@ -62,7 +65,7 @@
     /// What its append's sequences stand for.
     appends: VecDeque<(u64, u64)>,
     pub elected: u64,
-    /// The reign in which it last acted.
+    /// The term in which it last acted.
     acted_in: u64,
     /// The newest epoch whose record was compared.
     checked_epoch: u64,
@@ -156,13 +159,13 @@
         index
     }
 
-    pub(crate) fn tell(&mut self, text: impl Into<String>) {
+    pub(crate) fn record_event(&mut self, text: impl Into<String>) {
         self.story
             .push(format!("{:>6} {}", self.now - 1_000_000, text.into()));
     }
 
     pub(crate) fn start(&mut self, index: usize) {
-        self.tell(format!("start {index}"));
+        self.record_event(format!("start {index}"));
         let settings = CoordinatorSettings {
             address: self.nodes[index].address.clone(),
             bootstrap: self.bootstrap,
@@ -173,26 +176,38 @@
         };
         let now = self.now;
         let node = &mut self.nodes[index];
-        node.life += 1;
+        node.incarnation += 1;
         node.appends.clear();
         node.checked_epoch = 0;
         node.acted_in = 0;
         node.process = Some(Coordinator::new(settings, node.durable.clone(), now));
         node.is_leaving = false;
-        let life = node.life;
+        let incarnation = node.incarnation;
         let phase = self.random.random_range(1..=TICK_MS);
-        self.schedule(phase, Event::Tick { node: index, life });
-        self.schedule(phase, Event::Append { node: index, life });
+        self.schedule(
+            phase,
+            Event::Tick {
+                node: index,
+                incarnation,
+            },
+        );
+        self.schedule(
+            phase,
+            Event::Append {
+                node: index,
+                incarnation,
+            },
+        );
     }
 
     /// The process ends at once. A change of the disk under way is made or not.
     pub(crate) fn crash(&mut self, index: usize) {
-        self.tell(format!("crash {index}"));
+        self.record_event(format!("crash {index}"));
         let made = self.random.random_bool(0.5);
         let node = &mut self.nodes[index];
         node.process = None;
         node.frozen_until = 0;
-        if let Some((_, change)) = node.under_way.take().filter(|_| made) {
+        if let Some((_, change)) = node.in_flight.take().filter(|_| made) {
             carry_out(&mut node.durable, change);
         }
     }
@@ -200,31 +215,31 @@
     /// The machine loses its disk, and its process with it.
     pub(crate) fn wipe(&mut self, index: usize) {
         self.crash(index);
-        self.tell(format!("wipe {index}"));
+        self.record_event(format!("wipe {index}"));
         let lost = std::mem::take(&mut self.nodes[index].durable);
         self.checks.lost_disks.push(lost.state);
     }
 
     /// A machine that is down never comes back.
     pub(crate) fn remove(&mut self, index: usize) {
-        self.tell(format!("remove {index}"));
+        self.record_event(format!("remove {index}"));
         self.nodes[index].is_removed = true;
     }
 
     pub(crate) fn freeze(&mut self, index: usize, span: Millis) {
-        self.tell(format!("freeze {index} for {span}"));
+        self.record_event(format!("freeze {index} for {span}"));
         self.nodes[index].frozen_until = self.now + span;
     }
 
     pub(crate) fn leave(&mut self, index: usize) {
-        self.tell(format!("leave {index}"));
+        self.record_event(format!("leave {index}"));
         self.nodes[index].is_leaving = true;
-        self.hand_in(index, Input::Leave);
+        self.handle_input(index, Input::Leave);
     }
 
     /// Cuts both ways between the two sides.
     pub(crate) fn cut(&mut self, side: &[usize]) {
-        self.tell(format!("cut {side:?} off"));
+        self.record_event(format!("cut {side:?} off"));
         for a in 0..self.nodes.len() {
             for b in 0..self.nodes.len() {
                 if side.contains(&a) != side.contains(&b) {
@@ -234,8 +249,8 @@
         }
     }
 
-    pub(crate) fn heal(&mut self) {
-        self.tell("heal");
+    pub(crate) fn restore_links(&mut self) {
+        self.record_event("heal");
         self.cuts.clear();
         self.loss = 0.0;
         self.doubled = 0.0;
@@ -287,7 +302,7 @@
 
     /// All is mended: after a while one acts, with all members and replicas, and nothing was lost.
     pub(crate) fn settle(&mut self) {
-        self.mend();
+        self.repair_all();
         self.run(CATCH_UP_MS);
         self.run_until_calm(2_000);
         let before = self.checks.committed.len();
@@ -392,28 +407,34 @@
 
     fn take(&mut self, event: Event) {
         let node = match &event {
-            Event::Tick { node, .. } | Event::Deliver { node, .. } => *node,
-            Event::DiskDone { node, .. } | Event::Append { node, .. } => *node,
+            Event::Tick { node, .. }
+            | Event::Deliver { node, .. }
+            | Event::DiskDone { node, .. }
+            | Event::Append { node, .. } => *node,
         };
         if self.nodes[node].frozen_until > self.now {
             let wait = self.nodes[node].frozen_until - self.now;
             return self.schedule(wait, event);
         }
         match event {
-            Event::Tick { node, life } if self.nodes[node].life == life => {
-                self.schedule(TICK_MS, Event::Tick { node, life });
-                self.hand_in(node, Input::Tick);
+            Event::Tick { node, incarnation } if self.nodes[node].incarnation == incarnation => {
+                self.schedule(TICK_MS, Event::Tick { node, incarnation });
+                self.handle_input(node, Input::Tick);
             }
             Event::Deliver {
                 node,
                 from,
                 message,
-            } => self.hand_in(node, Input::Received { from, message }),
-            Event::DiskDone { node, life, ticket } if self.nodes[node].life == life => {
+            } => self.handle_input(node, Input::Received { from, message }),
+            Event::DiskDone {
+                node,
+                incarnation,
+                ticket,
+            } if self.nodes[node].incarnation == incarnation => {
                 self.disk_done(node, ticket);
             }
-            Event::Append { node, life } if self.nodes[node].life == life => {
-                self.schedule(self.append_every_ms, Event::Append { node, life });
+            Event::Append { node, incarnation } if self.nodes[node].incarnation == incarnation => {
+                self.schedule(self.append_every_ms, Event::Append { node, incarnation });
                 self.append(node);
             }
             _ => {}
@@ -425,14 +446,14 @@
         if node.process.is_none() {
             return;
         }
-        let Some((_, change)) = node.under_way.take() else {
+        let Some((_, change)) = node.in_flight.take() else {
             return;
         };
         if node.disk_fails {
-            return self.hand_in(index, Input::PersistFailed { ticket });
+            return self.handle_input(index, Input::PersistFailed { ticket });
         }
         carry_out(&mut node.durable, change);
-        self.hand_in(index, Input::Persisted { ticket });
+        self.handle_input(index, Input::Persisted { ticket });
     }
 
     /// The primary's own work: it writes a new key and, in the same append, raises a counter.
@@ -444,7 +465,7 @@
         if !process.may_act(now) || process.appended() - process.committed() > 50 {
             return;
         }
-        self.note_exposed(index);
+        self.record_exposed_state(index);
         let Some(process) = self.nodes[index].process.as_mut() else {
             return;
         };
@@ -460,7 +481,7 @@
         self.carry_out(index, outputs);
     }
 
-    pub(crate) fn hand_in(&mut self, index: usize, input: Input) {
+    pub(crate) fn handle_input(&mut self, index: usize, input: Input) {
         let now = self.now;
         let Some(process) = self.nodes[index].process.as_mut() else {
             return;
@@ -474,30 +495,30 @@
     fn carry_out(&mut self, index: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
-                Output::Send { to, message } => self.transmit(index, to, message),
+                Output::Send { to, message } => self.transmit(index, &to, &message),
                 Output::Persist { ticket, change } => self.persist(index, ticket, change),
                 Output::Committed { sequence } => self.committed(index, sequence),
                 Output::Elected { epoch } => self.elected(index, epoch),
                 Output::Deposed => {
-                    self.tell(format!("deposed {index}"));
+                    self.record_event(format!("deposed {index}"));
                     self.nodes[index].appends.clear();
                 }
             }
         }
     }
 
-    fn transmit(&mut self, index: usize, to: Arc<str>, message: Message) {
+    fn transmit(&mut self, index: usize, to: &Arc<str>, message: &Message) {
         let Some(target) = self
             .nodes
             .iter()
-            .position(|node| node.address.internal == to)
+            .position(|node| node.address.internal == *to)
         else {
             return;
         };
         if self
             .loses
             .as_mut()
-            .is_some_and(|loses| loses(index, target, &message))
+            .is_some_and(|loses| loses(index, target, message))
         {
             return;
         }
@@ -523,14 +544,14 @@
 
     fn persist(&mut self, index: usize, ticket: u64, change: DiskChange) {
         let node = &mut self.nodes[index];
-        assert!(node.under_way.is_none(), "two changes of the disk at once");
-        node.under_way = Some((ticket, change));
-        let (life, sync_ms) = (node.life, node.sync_ms);
+        assert!(node.in_flight.is_none(), "two changes of the disk at once");
+        node.in_flight = Some((ticket, change));
+        let (incarnation, sync_ms) = (node.incarnation, node.sync_ms);
         self.schedule(
             sync_ms,
             Event::DiskDone {
                 node: index,
-                life,
+                incarnation,
                 ticket,
             },
         );
@@ -543,13 +564,13 @@
             }
             self.nodes[index].appends.pop_front();
             self.check_copies(key);
-            let reign = self.record(index).map_or(0, |record| record.term);
-            self.checks.committed.insert(key, reign);
+            let term = self.record(index).map_or(0, |record| record.term);
+            self.checks.committed.insert(key, term);
         }
     }
 
     fn elected(&mut self, index: usize, epoch: u64) {
-        self.tell(format!("elected {index} in epoch {epoch}"));
+        self.record_event(format!("elected {index} in epoch {epoch}"));
         self.nodes[index].elected += 1;
         self.check_state(index);
     }
@@ -563,9 +584,9 @@
     Node {
         address,
         process: None,
-        life: 0,
+        incarnation: 0,
         durable: DiskImage::default(),
-        under_way: None,
+        in_flight: None,
         sync_ms: 9,
         disk_fails: false,
         frozen_until: 0,
--- a/crates/coordination/tests/cluster/schedule.rs
+++ b/crates/coordination/tests/cluster/schedule.rs
@@ -3,20 +3,21 @@
 use super::{Cluster, CATCH_UP_MS};
 use rand::seq::SliceRandom;
 use rand::Rng;
+use streamusher_coordination::Coordinator;
 use streamusher_protocol::Millis;
 
 impl Cluster {
     /// Some seconds of faults, with no more wiped at once than is tolerated.
     pub(crate) fn run_faults(&mut self, count: usize) {
         for _ in 0..count {
-            self.one_fault();
+            self.inject_fault();
             let wait = self.random.random_range(5..1_500);
             self.run(wait);
-            self.mend_some();
+            self.repair_some();
         }
     }
 
-    fn one_fault(&mut self) {
+    fn inject_fault(&mut self) {
         let victim = self.random.random_range(0..self.nodes.len());
         match self.random.random_range(0..14) {
             0 | 1 => self.crash(victim),
@@ -46,11 +47,11 @@
                 self.loss = self.random.random_range(0.01..0.4);
                 self.doubled = self.random.random_range(0.0..0.3);
                 self.delay_ms = self.random.random_range(3..300);
-                self.tell(format!("loss {}, delay {}", self.loss, self.delay_ms));
+                self.record_event(format!("loss {}, delay {}", self.loss, self.delay_ms));
             }
             8 => self.slow_disk(victim),
             9 => {
-                self.tell(format!("full disk {victim}"));
+                self.record_event(format!("full disk {victim}"));
                 self.nodes[victim].disk_fails = true;
             }
             10 => self.power_loss(0),
@@ -63,14 +64,14 @@
         let sync_ms = *[270, 1_000, 3_000]
             .get(self.random.random_range(0..3))
             .unwrap_or(&270);
-        self.tell(format!("slow disk {victim}: {sync_ms}"));
+        self.record_event(format!("slow disk {victim}: {sync_ms}"));
         self.nodes[victim].sync_ms = sync_ms;
     }
 
     fn cut_one_way(&mut self) {
         let a = self.random.random_range(0..self.nodes.len());
         let b = self.random.random_range(0..self.nodes.len());
-        self.tell(format!("cut {a} -> {b}"));
+        self.record_event(format!("cut {a} -> {b}"));
         self.cuts.insert((a, b));
         if self.random.random_bool(0.5) {
             // All that `a` says is lost.
@@ -124,13 +125,13 @@
         // The next loss of a disk counts as another one only after this.
         let wait = self.random.random_range(0..1_500);
         self.run(wait);
-        self.mend();
+        self.repair_all();
         self.run(CATCH_UP_MS);
     }
 
-    fn mend_some(&mut self) {
+    fn repair_some(&mut self) {
         if self.random.random_bool(0.3) {
-            self.mend();
+            self.repair_all();
             let wait = self.random.random_range(0..3_000);
             self.run(wait);
         }
@@ -138,7 +139,7 @@
             let is_gone = self.nodes[index]
                 .process
                 .as_ref()
-                .is_none_or(streamusher_coordination::Coordinator::may_leave);
+                .is_none_or(Coordinator::may_leave);
             if is_gone && self.random.random_bool(0.5) {
                 self.restart(index);
             }
@@ -153,8 +154,8 @@
     }
 
     /// Everything runs again and all links are sound.
-    pub(crate) fn mend(&mut self) {
-        self.heal();
+    pub(crate) fn repair_all(&mut self) {
+        self.restore_links();
         for index in 0..self.nodes.len() {
             let node = &mut self.nodes[index];
             node.frozen_until = node.frozen_until.min(self.now);
@@ -169,19 +170,19 @@
 
     /// Faults so close together that each meets the repair of the one before: links go and come one way at a time,
     /// processes die and return at once, some messages come seconds late. No disk is lost.
-    pub(crate) fn run_storm(&mut self, span: Millis) {
+    pub(crate) fn run_overlapping_faults(&mut self, span: Millis) {
         let end = self.now + span;
         self.late = 0.03;
         self.loss = 0.02;
         while self.now < end {
-            self.one_gust();
+            self.inject_overlapping_fault();
             let wait = self.random.random_range(1..120);
             self.run(wait);
         }
         self.late = 0.0;
     }
 
-    fn one_gust(&mut self) {
+    fn inject_overlapping_fault(&mut self) {
         let size = self.nodes.len();
         let victim = match self.actor().filter(|_| self.random.random_bool(0.4)) {
             Some(actor) => actor,
--- a/crates/coordination/tests/elections.rs
+++ b/crates/coordination/tests/elections.rs
@@ -20,11 +20,14 @@
 ) -> Option<Millis> {
     let mut cluster = Cluster::calm(size, tolerance, seed);
     let replicas = cluster.replicas();
-    let slow = replicas[1 + seed as usize % (replicas.len() - 1)];
+    let choice = usize::try_from(seed).unwrap_or(0) % (replicas.len() - 1);
+    let slow = replicas[1 + choice];
     cluster.delay_ms = delay_ms;
     cluster.nodes[slow].sync_ms = SLOW_SYNC_MS;
     let others: Vec<usize> = (0..size).filter(|index| *index != slow).collect();
-    others.iter().for_each(|index| cluster.crash(*index));
+    for index in &others {
+        cluster.crash(*index);
+    }
     cluster.run(1_000);
     for index in others {
         cluster.start(index);
@@ -34,7 +37,7 @@
 }
 
 #[rstest]
-fn given_a_candidate_with_a_slow_disk_when_the_others_return_then_one_acts_soon(
+fn election_with_a_slow_candidate_ends_soon(
     #[values((5, 1), (9, 2))] (size, tolerance): (usize, usize),
     #[values(3, 12)] delay_ms: Millis,
 ) {
--- a/crates/coordination/tests/newcomers.rs
+++ b/crates/coordination/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Stories of a primary that takes a new replica and dies while that is under way.
+//! Changes of members and replicas: a primary that takes a new replica and dies meanwhile, and an absent seed at the first start.
 
 mod cluster;
 
@@ -59,9 +59,7 @@
 }
 
 #[rstest]
-fn given_a_proposal_that_may_be_decided_then_nothing_is_committed_without_its_new_replica(
-    #[values(1, 2, 3, 4, 5, 6)] seed: u64,
-) {
+fn proposed_replica_counts_for_commits_until_decided(#[values(1, 2, 3, 4, 5, 6)] seed: u64) {
     let mut story = Story::new(seed);
     let (primary, ids) = (story.primary, story.ids.clone());
     let proposed = Rc::new(Cell::new(None));
@@ -92,7 +90,7 @@
 }
 
 #[rstest]
-fn given_a_learner_that_lacks_a_committed_batch_then_it_is_not_named(#[values(1, 2)] seed: u64) {
+fn learner_without_a_committed_batch_is_not_named_replica(#[values(1, 2)] seed: u64) {
     // The learner is stopped at each batch around the one with which it would be level.
     for after in 0..40 {
         stop_learners(seed, after);
@@ -119,7 +117,7 @@
 
 /// Too few copies are left without it, so that it stays among the replicas until another machine is level.
 #[rstest]
-fn given_a_seed_that_is_down_at_the_first_start_when_the_others_come_then_they_go_on_without_it(
+fn bootstrap_succeeds_without_one_seed(
     #[values((3, 1), (5, 1), (5, 2), (9, 2))] shape: (usize, usize),
     #[values(0, 1, 2)] down: usize,
 ) {
--- a/crates/coordination/tests/messages.rs
+++ b/crates/coordination/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages that no sound machine would send, and such as are old, must do no harm.
+//! Messages that no correct member sends, and old ones, must do no harm.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn given_a_newer_record_when_an_older_one_is_used_then_the_newest_is_told() {
+fn messages_of_an_older_epoch_are_answered_with_the_newest_record() {
     let mut machine = started();
     let (old, new) = (record(&machine, 2), record(&machine, 5));
     receive(
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn given_a_promise_when_a_lower_ballot_comes_then_it_is_refused() {
+fn lower_proposal_number_is_rejected() {
     let mut machine = started();
     let base = record(&machine, 5);
     let high = ProposalNumber {
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn given_a_change_not_yet_synced_then_no_promise_is_sent() {
+fn promise_is_sent_only_when_synced() {
     let mut machine = started();
     let message = Message::Prepare {
         base: record(&machine, 5),
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn given_an_append_at_a_machine_that_is_not_primary_then_it_is_never_committed() {
+fn append_at_a_member_that_is_not_primary_is_dropped() {
     let mut machine = started();
     let (sequence, outputs) = machine.append(1_100, vec![Write::set("key", "value")]);
     assert!(outputs.is_empty());
@@ -239,8 +239,7 @@
 }
 
 #[test]
-fn given_messages_as_text_when_they_are_read_back_then_they_are_the_same(
-) -> Result<(), serde_json::Error> {
+fn messages_survive_encoding() -> Result<(), serde_json::Error> {
     let machine = started();
     let mut random = Pcg64Mcg::seed_from_u64(3);
     for _ in 0..500 {
@@ -252,9 +251,7 @@
 }
 
 #[rstest]
-fn given_any_messages_in_any_order_then_nothing_panics(
-    #[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64,
-) {
+fn arbitrary_messages_do_not_panic(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     for _ in 0..40 {
         let mut machine = started();
@@ -334,9 +331,13 @@
     let count = random.random_range(0..5);
     let replicas = (0..count).map(|_| any_id(random, machine)).collect();
     let count = random.random_range(0..12);
-    let members = if random.random_bool(0.7) { known.members.clone() } else { (0..count)
-    .map(|index| any_member(random, machine, index))
-    .collect() };
+    let members = if random.random_bool(0.7) {
+        known.members.clone()
+    } else {
+        (0..count)
+            .map(|index| any_member(random, machine, index))
+            .collect()
+    };
     Arc::new(EpochRecord {
         epoch,
         term,
@@ -356,9 +357,30 @@
 
 fn any_message(random: &mut Pcg64Mcg, machine: &Coordinator) -> Message {
     let from = any_id(random, machine);
-    let (epoch, term) = if random.random_bool(0.8) { (machine.epoch(), machine.status(0).record.term) } else { (any_number(random), any_number(random)) };
-    let writes = vec![Write::set("key", "value"), Write::remove("other")];
+    let (epoch, term) = if random.random_bool(0.8) {
+        (machine.epoch(), machine.status(0).record.term)
+    } else {
+        (any_number(random), any_number(random))
+    };
     match random.random_range(0..14) {
+        kind @ 0..7 => any_proposal_message(random, machine, kind, from, epoch),
+        7 => Message::Keepalive {
+            record: any_record(random, machine),
+            sent_ms: any_number(random),
+        },
+        kind => any_replication_message(random, kind, from, epoch, term),
+    }
+}
+
+/// A message by which records are decided.
+fn any_proposal_message(
+    random: &mut Pcg64Mcg,
+    machine: &Coordinator,
+    kind: i32,
+    from: DiskId,
+    epoch: u64,
+) -> Message {
+    match kind {
         0 => {
             let index = random.random_range(0..6);
             Message::Hello {
@@ -393,14 +415,23 @@
             instance: epoch.saturating_add(1),
             number: any_proposal_number(random, machine),
         },
-        6 => Message::Rejected {
+        _ => Message::Rejected {
             instance: epoch.saturating_add(1),
             promise: any_proposal_number(random, machine),
         },
-        7 => Message::Keepalive {
-            record: any_record(random, machine),
-            sent_ms: any_number(random),
-        },
+    }
+}
+
+/// A message between a primary and a replica.
+fn any_replication_message(
+    random: &mut Pcg64Mcg,
+    kind: i32,
+    from: DiskId,
+    epoch: u64,
+    term: u64,
+) -> Message {
+    let writes = vec![Write::set("key", "value"), Write::remove("other")];
+    match kind {
         8 => Message::KeepaliveAck(KeepaliveAck {
             from,
             term,
--- a/crates/coordination/tests/records_model.rs
+++ b/crates/coordination/tests/records_model.rs
@@ -28,7 +28,7 @@
 struct Node {
     process: Arc<Coordinator>,
     durable: DiskImage,
-    under_way: Option<(u64, DiskChange)>,
+    in_flight: Option<(u64, DiskChange)>,
 }
 
 /// A message with its sender and its receiver.
@@ -122,10 +122,10 @@
     fn start(&mut self, index: usize) {
         let image = self.nodes[index].durable.clone();
         self.nodes[index].process = Arc::new(Coordinator::new(settings(index), image, self.now));
-        self.nodes[index].under_way = None;
+        self.nodes[index].in_flight = None;
     }
 
-    fn hand_in(&mut self, index: usize, input: Input) {
+    fn handle_input(&mut self, index: usize, input: Input) {
         let now = self.now;
         let outputs = Arc::make_mut(&mut self.nodes[index].process).handle(now, input);
         for output in outputs {
@@ -137,7 +137,7 @@
                         .extend(sent.filter(|sent| !self.network.contains(sent)));
                 }
                 Output::Persist { ticket, change } => {
-                    self.nodes[index].under_way = Some((ticket, change));
+                    self.nodes[index].in_flight = Some((ticket, change));
                 }
                 _ => {}
             }
@@ -150,28 +150,28 @@
     }
 
     fn sync(&mut self, index: usize) {
-        let Some((ticket, change)) = self.nodes[index].under_way.take() else {
+        let Some((ticket, change)) = self.nodes[index].in_flight.take() else {
             return;
         };
         carry_out(&mut self.nodes[index].durable, change);
-        self.hand_in(index, Input::Persisted { ticket });
+        self.handle_input(index, Input::Persisted { ticket });
     }
 
     fn crash(&mut self, index: usize, made: bool) {
         self.crashes += 1;
-        let change = self.nodes[index].under_way.take().filter(|_| made);
+        let change = self.nodes[index].in_flight.take().filter(|_| made);
         if let Some((_, change)) = change {
             carry_out(&mut self.nodes[index].durable, change);
         }
         self.start(index);
         // What a process says first does not matter here, but that its start is counted does.
-        self.hand_in(index, Input::Tick);
+        self.handle_input(index, Input::Tick);
     }
 
     fn time(&mut self, span: Millis) {
         self.now += span;
         for index in 0..MEMBERS {
-            self.hand_in(index, Input::Tick);
+            self.handle_input(index, Input::Tick);
         }
     }
 
@@ -213,7 +213,7 @@
                 1_000,
             )),
             durable: DiskImage::default(),
-            under_way: None,
+            in_flight: None,
         };
         let mut state = State {
             now: 1_000,
@@ -226,11 +226,11 @@
             digest: (0, 0),
         };
         for index in 0..MEMBERS {
-            state.hand_in(index, Input::Tick);
+            state.handle_input(index, Input::Tick);
             state.sync(index);
         }
         // The third member votes and does not stand.
-        state.hand_in(MEMBERS - 1, Input::Leave);
+        state.handle_input(MEMBERS - 1, Input::Leave);
         while state.now < 1_000 + BEGUN_MS {
             state.time(TICK_MS);
         }
@@ -243,7 +243,7 @@
         let is_under_way = state
             .nodes
             .get(node)
-            .is_some_and(|machine| machine.under_way.is_some());
+            .is_some_and(|machine| machine.in_flight.is_some());
         if is_under_way {
             steps.push(Step::Sync(node));
         }
@@ -264,7 +264,7 @@
             Step::Deliver(sent) => {
                 let place = state.network.iter().position(|other| *other == sent)?;
                 let (from, to, message) = state.network.swap_remove(place);
-                state.hand_in(
+                state.handle_input(
                     to,
                     Input::Received {
                         from: address(from).internal,
@@ -324,7 +324,7 @@
 #[case::the_other_candidate_crashes(1, 2, 0)]
 #[case::a_voter_crashes(2, 2, 0)]
 #[case::time_passes(NOBODY, 0, 1)]
-fn given_two_candidates_in_any_order_of_events_then_one_record_is_decided(
+fn two_candidates_decide_one_record(
     #[case] crashing: usize,
     #[case] most_crashes: u8,
     #[case] most_steps: u8,
--- a/crates/coordination/tests/stories.rs
+++ b/crates/coordination/tests/scenarios.rs
@@ -1,10 +1,10 @@
-//! Stories of single faults, each with its bound in time.
+//! Single faults, each with the time within which the cluster has to recover.
 
 mod cluster;
 
 use cluster::{Cluster, CATCH_UP_MS, LEASE_MS};
 use rstest::rstest;
-use streamusher_coordination::{DiskImage, Role};
+use streamusher_coordination::{Coordinator, DiskImage, Role};
 use streamusher_protocol::Millis;
 
 /// A successor acts by then after a primary is gone: lease, rank and jitter, two phases and the opening batch.
@@ -64,10 +64,7 @@
 #[case(5, 2)]
 #[case(6, 2)]
 #[case(9, 2)]
-fn given_empty_disks_when_all_start_then_one_acts_and_all_are_members(
-    #[case] size: usize,
-    #[case] tolerance: usize,
-) {
+fn bootstrap_elects_a_primary_with_all_members(#[case] size: usize, #[case] tolerance: usize) {
     let mut cluster = Cluster::new(size, tolerance, 1);
     cluster.start_all();
     somebody_acts(&mut cluster, 500);
@@ -76,7 +73,7 @@
 }
 
 #[test]
-fn given_a_seed_that_never_comes_when_the_others_start_then_one_acts() {
+fn bootstrap_elects_a_primary_with_an_absent_seed() {
     let mut cluster = Cluster::new(5, 1, 1);
     for index in 1..5 {
         cluster.start(index);
@@ -86,10 +83,7 @@
 }
 
 #[rstest]
-fn given_a_primary_when_it_is_killed_then_another_acts(
-    #[values(3, 5)] size: usize,
-    #[values(1, 2, 3, 4)] seed: u64,
-) {
+fn killed_primary_is_succeeded(#[values(3, 5)] size: usize, #[values(1, 2, 3, 4)] seed: u64) {
     let mut cluster = Cluster::calm(size, 1, seed);
     let former = actor(&cluster);
     cluster.crash(former);
@@ -101,7 +95,7 @@
 }
 
 #[test]
-fn given_a_primary_when_it_restarts_at_once_then_nobody_waits_for_its_lease() {
+fn restarted_primary_ends_its_lease_early() {
     let mut cluster = Cluster::calm(5, 1, 1);
     let former = actor(&cluster);
     let epoch = cluster.record(former).map_or(0, |record| record.epoch);
@@ -117,9 +111,7 @@
 }
 
 #[rstest]
-fn given_a_primary_when_it_is_cut_off_then_it_stops_before_another_acts(
-    #[values(1, 2, 3, 4, 5)] seed: u64,
-) {
+fn partitioned_primary_stops_before_its_successor_acts(#[values(1, 2, 3, 4, 5)] seed: u64) {
     let mut cluster = Cluster::calm(5, 1, seed);
     let former = actor(&cluster);
     cluster.cut(&[former]);
@@ -130,24 +122,25 @@
         .process
         .as_ref()
         .is_some_and(|process| process.may_act(cluster.now)));
-    cluster.heal();
+    cluster.restore_links();
     cluster.run_until_calm(CATCH_UP_MS);
 }
 
 #[rstest]
-fn given_a_core_cut_in_two_then_only_the_larger_side_acts(#[values(1, 2, 3, 4, 5, 6)] seed: u64) {
+fn only_the_larger_side_of_a_partition_acts(#[values(1, 2, 3, 4, 5, 6)] seed: u64) {
     let mut cluster = Cluster::calm(5, 1, seed);
     let former = actor(&cluster);
-    let other = others(&cluster, former)[seed as usize % 4];
+    let choice = usize::try_from(seed).unwrap_or(0) % 4;
+    let other = others(&cluster, former)[choice];
     cluster.cut(&[former, other]);
     another_acts(&mut cluster, former, 3_000);
     work_goes_on(&mut cluster);
-    cluster.heal();
+    cluster.restore_links();
     cluster.run_until_calm(CATCH_UP_MS);
 }
 
 #[rstest]
-fn given_a_primary_when_nobody_hears_it_then_another_acts(#[values(true, false)] is_deaf: bool) {
+fn primary_cut_off_in_one_direction_is_succeeded(#[values(true, false)] is_deaf: bool) {
     let mut cluster = Cluster::calm(5, 1, 3);
     let former = actor(&cluster);
     for other in others(&cluster, former) {
@@ -159,12 +152,12 @@
     }
     another_acts(&mut cluster, former, 2_500);
     work_goes_on(&mut cluster);
-    cluster.heal();
+    cluster.restore_links();
     cluster.run_until_calm(CATCH_UP_MS);
 }
 
 #[rstest]
-fn given_a_frozen_primary_when_it_wakes_then_it_does_not_act(#[values(1, 2, 3)] seed: u64) {
+fn stalled_primary_does_not_act_after_its_lease(#[values(1, 2, 3)] seed: u64) {
     let mut cluster = Cluster::calm(5, 1, seed);
     let former = actor(&cluster);
     cluster.freeze(former, 3_000);
@@ -180,7 +173,7 @@
 }
 
 #[test]
-fn given_a_frozen_replica_when_it_wakes_then_the_primary_stays() {
+fn stalled_replica_does_not_depose_the_primary() {
     let mut cluster = Cluster::calm(5, 1, 1);
     let primary = actor(&cluster);
     let replica = cluster.replicas()[1];
@@ -196,7 +189,7 @@
 #[case(5, 2)]
 #[case(6, 2)]
 #[case(9, 2)]
-fn given_a_loss_of_power_with_lost_disks_when_all_are_back_then_one_acts_with_all_that_was_committed(
+fn committed_data_survives_power_loss_with_lost_disks(
     #[case] size: usize,
     #[case] tolerance: usize,
     #[values(1, 2, 3, 4, 5, 6)] seed: u64,
@@ -221,7 +214,7 @@
 }
 
 #[test]
-fn given_a_wiped_replica_and_witnesses_only_then_nobody_is_elected() {
+fn nobody_is_elected_without_committed_data() {
     let mut cluster = Cluster::calm(5, 1, 1);
     let replicas = cluster.replicas();
     // The seeds hold the state, so a machine that took its old name again would be believed.
@@ -256,7 +249,7 @@
 }
 
 #[test]
-fn given_a_primary_when_it_commits_then_the_batch_is_on_more_disks_than_may_be_lost() {
+fn commit_is_on_more_disks_than_may_be_lost() {
     let mut cluster = Cluster::calm(5, 2, 1);
     let slow: Vec<usize> = cluster.replicas().into_iter().skip(1).collect();
     for index in slow {
@@ -268,9 +261,7 @@
 }
 
 #[rstest]
-fn given_a_machine_without_a_disk_when_it_returns_then_it_is_a_new_member_and_replica(
-    #[values(3, 5)] size: usize,
-) {
+fn machine_with_a_lost_disk_rejoins_as_new_member(#[values(3, 5)] size: usize) {
     let mut cluster = Cluster::calm(size, 1, 2);
     let wiped = cluster.replicas()[1];
     let old = cluster.id(wiped);
@@ -284,7 +275,7 @@
 }
 
 #[test]
-fn given_a_machine_that_is_gone_when_another_comes_then_it_takes_its_place() {
+fn joining_machine_replaces_an_absent_member() {
     let mut cluster = Cluster::calm(5, 1, 2);
     let gone = cluster.replicas()[1];
     let old = cluster.id(gone);
@@ -301,7 +292,7 @@
 }
 
 #[test]
-fn given_machines_replaced_one_after_another_then_the_core_moves_with_them() {
+fn all_members_can_be_replaced_one_by_one() {
     let mut cluster = Cluster::calm(5, 1, 2);
     for gone in 0..5 {
         cluster.crash(gone);
@@ -331,7 +322,7 @@
 }
 
 #[test]
-fn given_a_replica_with_a_slow_disk_then_work_goes_on_without_it_and_it_comes_back() {
+fn replica_with_a_slow_disk_is_dropped_and_comes_back() {
     let mut cluster = Cluster::calm(5, 1, 1);
     let replica = cluster.replicas()[1];
     cluster.nodes[replica].sync_ms = 3_000;
@@ -340,7 +331,7 @@
     let slow = cluster.id(replica);
     let record = cluster.record(actor(&cluster));
     assert!(record.is_some_and(|record| !record.is_replica(slow)));
-    cluster.heal();
+    cluster.restore_links();
     cluster.run(CATCH_UP_MS);
     cluster.run_until_calm(CATCH_UP_MS);
 }
@@ -349,10 +340,7 @@
 #[case::stalls(3_000, false)]
 #[case::slow(270, false)]
 #[case::full(9, true)]
-fn given_a_primary_with_a_bad_disk_then_it_hands_over(
-    #[case] sync_ms: Millis,
-    #[case] is_full: bool,
-) {
+fn primary_with_an_unfit_disk_transfers_leadership(#[case] sync_ms: Millis, #[case] is_full: bool) {
     let mut cluster = Cluster::calm(5, 1, 1);
     let former = actor(&cluster);
     cluster.nodes[former].sync_ms = sync_ms;
@@ -363,7 +351,7 @@
 }
 
 #[test]
-fn given_all_disks_slow_then_work_goes_on_slowly() {
+fn appends_commit_with_all_disks_slow() {
     let mut cluster = Cluster::calm(5, 1, 1);
     for node in &mut cluster.nodes {
         node.sync_ms = 270;
@@ -378,7 +366,7 @@
 }
 
 #[rstest]
-fn given_a_primary_when_it_leaves_then_it_hands_over_at_once(
+fn leaving_primary_transfers_leadership_at_once(
     #[values(3, 5)] size: usize,
     #[values(1, 2, 3)] seed: u64,
 ) {
@@ -391,7 +379,7 @@
         cluster.nodes[former]
             .process
             .as_ref()
-            .is_some_and(streamusher_coordination::Coordinator::may_leave)
+            .is_some_and(Coordinator::may_leave)
     };
     assert!(
         cluster.run_until(500, may_leave).is_some(),
@@ -402,7 +390,7 @@
 }
 
 #[test]
-fn given_a_replica_when_it_leaves_then_it_is_replaced_at_once() {
+fn leaving_replica_is_replaced_at_once() {
     let mut cluster = Cluster::calm(5, 1, 1);
     let replica = cluster.replicas()[1];
     cluster.leave(replica);
@@ -410,7 +398,7 @@
         cluster.nodes[replica]
             .process
             .as_ref()
-            .is_some_and(streamusher_coordination::Coordinator::may_leave)
+            .is_some_and(Coordinator::may_leave)
     };
     assert!(
         cluster.run_until(500, may_leave).is_some(),
@@ -423,7 +411,7 @@
 }
 
 #[rstest]
-fn given_a_rolling_restart_then_nobody_waits_for_a_lease(#[values(3, 5, 9)] size: usize) {
+fn rolling_restart_waits_for_no_lease(#[values(3, 5, 9)] size: usize) {
     let mut cluster = Cluster::calm(size, 1, 1);
     for index in 0..size {
         cluster.leave(index);
@@ -431,7 +419,7 @@
             cluster.nodes[index]
                 .process
                 .as_ref()
-                .is_some_and(streamusher_coordination::Coordinator::may_leave)
+                .is_some_and(Coordinator::may_leave)
         };
         cluster.run_until(3_000, may_leave);
         cluster.crash(index);
@@ -444,7 +432,7 @@
 }
 
 #[test]
-fn given_a_large_state_under_load_when_a_replica_returns_then_it_is_whole_in_time() {
+fn replica_catches_up_with_a_large_state_under_load() {
     let mut cluster = Cluster::calm(3, 1, 1);
     cluster.value_bytes = 20_000;
     cluster.append_every_ms = 10;
@@ -460,7 +448,7 @@
 }
 
 #[test]
-fn given_lossy_links_then_work_goes_on() {
+fn appends_commit_over_lossy_links() {
     let mut cluster = Cluster::calm(5, 1, 1);
     cluster.loss = 0.1;
     cluster.doubled = 0.2;
@@ -472,12 +460,12 @@
         "{}",
         cluster.describe()
     );
-    cluster.heal();
+    cluster.restore_links();
     cluster.run_until_calm(CATCH_UP_MS);
 }
 
 #[test]
-fn given_a_disk_that_is_not_empty_when_bootstrap_is_set_then_the_disk_wins() {
+fn bootstrap_is_ignored_on_a_used_disk() {
     let mut cluster = Cluster::calm(3, 1, 1);
     let ids: Vec<_> = (0..3).map(|index| cluster.id(index)).collect();
     cluster.bootstrap = true;
@@ -493,7 +481,7 @@
 }
 
 #[test]
-fn given_a_view_when_the_primary_is_gone_then_none_is_named_until_there_is_another() {
+fn view_names_no_lost_primary() {
     let mut cluster = Cluster::calm(5, 1, 1);
     let former = actor(&cluster);
     let witness = others(&cluster, former)[3];
@@ -518,7 +506,7 @@
 }
 
 #[test]
-fn given_a_deposed_primary_then_its_appends_are_committed_no_more() {
+fn appends_of_a_deposed_primary_are_not_committed() {
     let mut cluster = Cluster::calm(5, 1, 1);
     let former = actor(&cluster);
     cluster.cut(&[former]);
@@ -529,7 +517,7 @@
     let committed = process.committed();
     assert!(process.appended() > committed);
     another_acts(&mut cluster, former, FAILOVER_MS);
-    cluster.heal();
+    cluster.restore_links();
     cluster.run(2_000);
     let Some(process) = cluster.nodes[former].process.as_ref() else {
         return;
@@ -539,7 +527,7 @@
 }
 
 #[test]
-fn given_one_machine_alone_then_it_acts() {
+fn single_member_acts() {
     let mut cluster = Cluster::new(1, 0, 1);
     cluster.start_all();
     somebody_acts(&mut cluster, 500);
@@ -550,7 +538,7 @@
 }
 
 #[test]
-fn given_an_empty_image_then_nothing_is_said_before_the_first_sync() {
+fn nothing_is_sent_before_the_first_sync() {
     let mut cluster = Cluster::new(3, 1, 1);
     for node in &mut cluster.nodes {
         node.sync_ms = 2_000;
@@ -561,7 +549,7 @@
         .nodes
         .iter()
         .filter_map(|node| node.process.as_ref())
-        .map(streamusher_coordination::Coordinator::epoch)
+        .map(Coordinator::epoch)
         .sum();
     assert_eq!(epochs, 0);
     assert!(cluster
@@ -571,7 +559,7 @@
 }
 
 #[test]
-fn given_many_starts_when_the_primary_is_cut_off_then_two_never_act() {
+fn two_primaries_never_act_over_many_seeds() {
     for seed in 0..30 {
         let mut cluster = Cluster::new(5, 1, seed);
         cluster.start_all();
@@ -580,14 +568,13 @@
         // Every step checks that one at most may act.
         cluster.cut(&[cut_off]);
         cluster.run(3_000);
-        cluster.heal();
+        cluster.restore_links();
         cluster.run(1_000);
     }
 }
 
 #[test]
-fn given_one_replica_back_with_witnesses_when_it_is_wiped_before_it_acts_then_the_others_still_count(
-) {
+fn former_replicas_count_until_the_elected_one_acts() {
     let mut cluster = Cluster::calm(5, 1, 1);
     let replicas = cluster.replicas();
     let first = replicas[1];
--- a/crates/coordination/tests/search.rs
+++ b/crates/coordination/tests/search.rs
@@ -21,10 +21,7 @@
 #[case::five_machines_two_disks(5, 2)]
 #[case::six_machines_two_disks(6, 2)]
 #[case::nine_machines_two_disks(9, 2)]
-fn given_random_faults_when_they_end_then_nothing_is_lost_and_work_goes_on(
-    #[case] size: usize,
-    #[case] tolerance: usize,
-) {
+fn nothing_is_lost_under_random_faults(#[case] size: usize, #[case] tolerance: usize) {
     for seed in 0..seeds() {
         search(size, tolerance, seed);
     }
@@ -34,23 +31,20 @@
 #[case::three_machines(3, 1)]
 #[case::five_machines(5, 1)]
 #[case::five_machines_two_disks(5, 2)]
-fn given_a_storm_of_faults_when_it_ends_then_nothing_is_lost_and_work_goes_on(
-    #[case] size: usize,
-    #[case] tolerance: usize,
-) {
+fn nothing_is_lost_under_overlapping_faults(#[case] size: usize, #[case] tolerance: usize) {
     for seed in 0..seeds() {
         let mut cluster = Cluster::calm(size, tolerance, seed);
-        cluster.tell(format!(
+        cluster.record_event(format!(
             "storm: size {size} tolerance {tolerance} seed {seed}"
         ));
-        cluster.run_storm(10_000);
+        cluster.run_overlapping_faults(10_000);
         cluster.settle();
     }
 }
 
 fn search(size: usize, tolerance: usize, seed: u64) {
     let mut cluster = Cluster::calm(size, tolerance, seed);
-    cluster.tell(format!("size {size} tolerance {tolerance} seed {seed}"));
+    cluster.record_event(format!("size {size} tolerance {tolerance} seed {seed}"));
     // Every other time a whole copy takes many parts.
     cluster.value_bytes = if seed.is_multiple_of(2) { 10 } else { 2_000 };
     cluster.run_faults(12);
--- a/crates/coordination/tests/second_loss.rs
+++ b/crates/coordination/tests/second_loss.rs
@@ -9,6 +9,7 @@
 
 use cluster::{Cluster, CATCH_UP_MS};
 use rstest::rstest;
+use streamusher_coordination::Coordinator;
 use streamusher_coordination::DiskId;
 use streamusher_protocol::Millis;
 
@@ -135,7 +136,7 @@
                 .unwrap_or(last),
             First::PlanLast => last,
         };
-        let lost = cluster.id(victim);
+        let lost_disk = cluster.id(victim);
         let mut back = Some(victim);
         if !first.returns() {
             back = Some(cluster.add_machine());
@@ -150,7 +151,7 @@
                 cluster.nodes[victim]
                     .process
                     .as_ref()
-                    .is_none_or(streamusher_coordination::Coordinator::may_leave)
+                    .is_none_or(Coordinator::may_leave)
             };
             cluster.run_until(GRACE_MS, may_leave);
         }
@@ -160,7 +161,7 @@
         }
         Story {
             cluster,
-            lost,
+            lost: lost_disk,
             back,
         }
     }
@@ -231,10 +232,14 @@
         let cluster = &mut self.cluster;
         match second {
             Second::WipeActor | Second::WipeReplica => {
-                victims.into_iter().for_each(|index| cluster.wipe(index));
+                for index in victims {
+                    cluster.wipe(index);
+                }
             }
             Second::WipeActorAndPower => {
-                victims.into_iter().for_each(|index| cluster.wipe(index));
+                for index in victims {
+                    cluster.wipe(index);
+                }
                 cluster.power_loss(0);
             }
             Second::Power => cluster.power_loss(0),
@@ -261,7 +266,7 @@
 /// Plays one pair of losses at one instant; false where the second one is not borne then.
 fn play(size: usize, tolerance: usize, first: First, second: Second, instant: usize) -> bool {
     let mut story = Story::new(size, tolerance, first);
-    story.cluster.tell(format!(
+    story.cluster.record_event(format!(
         "{size} machines, tolerance {tolerance}: {first:?}, {second:?} after {instant}"
     ));
     let since = story.cluster.now;
@@ -275,7 +280,7 @@
 }
 
 #[rstest]
-fn given_a_lost_disk_when_a_second_loss_comes_at_any_instant_of_its_repair_then_nothing_is_lost(
+fn second_loss_at_any_instant_of_a_repair_loses_nothing(
     #[values((3, 1), (4, 1), (5, 1), (5, 2), (7, 2))] shape: (usize, usize),
     #[values(
         First::WipePrimary,
@@ -304,7 +309,7 @@
 
 /// What operators rely on: the second loss comes at the moment at which the first one does not count any more.
 #[rstest]
-fn given_a_machine_that_has_caught_up_when_as_many_disks_as_tolerated_are_lost_then_nothing_is_lost(
+fn losing_tolerated_disks_after_a_repair_loses_nothing(
     #[values((3, 1), (4, 1), (5, 1), (5, 2), (6, 2), (7, 2), (9, 2))] shape: (usize, usize),
     #[values(
         First::WipePrimary,
@@ -318,7 +323,7 @@
 ) {
     for second in SECONDS {
         let mut story = Story::new(shape.0, shape.1, first);
-        story.cluster.tell(format!(
+        story.cluster.record_event(format!(
             "{shape:?}: {first:?}, {second:?} once it has caught up"
         ));
         if let Some(back) = story.back.take() {
--- a/crates/coordination/tests/seeds.rs
+++ b/crates/coordination/tests/seeds.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn given_a_machine_that_asks_to_be_let_in_when_the_seeds_change_then_it_asks_the_new_ones() {
+fn joining_machine_asks_changed_seeds() {
     let mut machine = newcomer(vec![core(1)]);
     let before = greeted(&mut machine, 20, 5_000);
 
--- a/crates/coordination/tests/copies.rs
+++ b/crates/coordination/tests/snapshots.rs
@@ -1,4 +1,4 @@
-//! Whole copies of the state: words that come late, and a member that is away while many changes are made.
+//! Snapshots of the state: late acknowledgements, and members that are away while many changes are made.
 
 mod cluster;
 
@@ -24,8 +24,7 @@
 }
 
 #[test]
-fn given_the_first_word_of_a_receiver_that_comes_again_late_when_the_copy_goes_on_then_it_is_completed_soon(
-) {
+fn a_late_acknowledgement_of_part_0_does_not_delay_a_snapshot() {
     let (mut cluster, replica) = with_a_wiped_replica(300);
     let primary = cluster.replicas()[0];
     let words: Rc<RefCell<Vec<Message>>> = Rc::default();
@@ -52,7 +51,7 @@
         snapshot,
         next: 0,
     };
-    cluster.hand_in(
+    cluster.handle_input(
         primary,
         Input::Received {
             from: address,
@@ -70,10 +69,8 @@
 /// A machine that has missed changes is brought up while as many more are made, and neither leads nor counts before.
 #[rstest]
 #[case::batches_are_enough(10)]
-#[case::a_whole_copy(20_000)]
-fn given_a_member_that_missed_hundreds_of_changes_when_it_returns_while_they_go_on_then_it_is_level_in_time(
-    #[case] value_bytes: usize,
-) {
+#[case::a_snapshot(20_000)]
+fn a_member_that_missed_hundreds_of_changes_catches_up_under_load(#[case] value_bytes: usize) {
     let mut cluster = Cluster::calm(5, 1, 13);
     let away = cluster.replicas()[1];
     cluster.crash(away);
@@ -90,7 +87,7 @@
 
 /// Whoever is cut off, frozen or restarted in the middle of its copy begins anew and is level in time.
 #[rstest]
-fn given_a_copy_that_is_broken_off_when_it_begins_anew_then_the_member_is_level_in_time(
+fn an_interrupted_snapshot_starts_again_and_completes(
     #[values(Break::Crash, Break::Freeze, Break::Cut, Break::Primary)] how: Break,
     #[values(5, 25, 60, 120)] after: Millis,
 ) {
@@ -106,7 +103,7 @@
         Break::Cut => {
             cluster.cut(&[replica]);
             cluster.run(900);
-            cluster.heal();
+            cluster.restore_links();
         }
         Break::Primary => {
             let primary = cluster.replicas()[0];
@@ -131,7 +128,7 @@
 
 /// By the size of the state: 1 MB, 10 MB, and 33 MB, which is 10^5 jobs.
 #[rstest]
-fn given_a_state_of_any_size_when_a_replica_returns_without_its_disk_under_load_then_it_is_level_in_time(
+fn a_replica_without_its_disk_catches_up_at_any_state_size(
     #[values(50, 500, 1_650)] values: usize,
 ) {
     let (mut cluster, replica) = with_a_wiped_replica(values);
