--- a/crates/configuration/src/relay/missing_version.rs
+++ b/crates/configuration/src/relay/missing_version.rs
@@ -26,8 +26,8 @@
 #[derive(Clone, Debug)]
 pub(super) struct MissingVersion {
     version: u64,
-    /// A peer that has it, where one is known.
-    holder: Option<RelayPeer>,
+    /// A peer that has it and sends it on request, where one is known.
+    source: Option<RelayPeer>,
     /// Requests so far.
     request_count: usize,
     due_at: Millis,
@@ -38,12 +38,12 @@
     pub(super) fn new(
         now: Millis,
         version: u64,
-        holder: Option<&RelayPeer>,
+        source: Option<&RelayPeer>,
         delivery: Delivery,
     ) -> MissingVersion {
         MissingVersion {
             version,
-            holder: holder.cloned(),
+            source: source.cloned(),
             request_count: 0,
             due_at: delivery.first_request_at(now),
         }
@@ -59,24 +59,24 @@
         self.due_at
     }
 
-    /// Takes note that `holder` has this version too. Before the first request, it may go to one that waits for a request.
+    /// Takes note that `source` has this version too. Before the first request, it may go to one that waits for a request.
     pub(super) fn on_announced_again(
         &mut self,
         now: Millis,
-        holder: Option<&RelayPeer>,
+        source: Option<&RelayPeer>,
         delivery: Delivery,
     ) {
         if delivery == Delivery::OnRequest && self.request_count == 0 {
-            *self = MissingVersion::new(now, self.version, holder, delivery);
+            *self = MissingVersion::new(now, self.version, source, delivery);
         }
     }
 
-    /// The peer to which a request has to be sent now: first the holder, then the ancestors in turn.
+    /// The peer to which a request has to be sent now: first the source, then the ancestors in turn.
     pub(super) fn take_due(&mut self, now: Millis, ancestors: &[RelayPeer]) -> Option<RelayPeer> {
         if now < self.due_at {
             return None;
         }
-        let candidates: Vec<&RelayPeer> = self.holder.iter().chain(ancestors).collect();
+        let candidates: Vec<&RelayPeer> = self.source.iter().chain(ancestors).collect();
         let peer = candidates[self.request_count % candidates.len()].clone();
         self.request_count += 1;
         self.due_at = now + VERSION_RETRY_INTERVAL_MS;
--- a/crates/configuration/src/relay/parent_selection.rs
+++ b/crates/configuration/src/relay/parent_selection.rs
@@ -110,14 +110,14 @@
         &mut self,
         now: Millis,
         version: u64,
-        holder: Option<&RelayPeer>,
+        source: Option<&RelayPeer>,
         delivery: Delivery,
     ) {
         match &mut self.missing_version {
             Some(missing) if missing.version() >= version => {
-                missing.on_announced_again(now, holder, delivery);
+                missing.on_announced_again(now, source, delivery);
             }
-            missing => *missing = Some(MissingVersion::new(now, version, holder, delivery)),
+            missing => *missing = Some(MissingVersion::new(now, version, source, delivery)),
         }
     }
 
@@ -129,7 +129,7 @@
 
     /// The peers to which a request has to be sent now, sorted.
     pub(super) fn take_due(&mut self, now: Millis) -> Vec<RelayPeer> {
-        if self.search.is_none() && now >= self.silence_detected_at() {
+        if self.search.is_none() && now >= self.timeout_at() {
             self.start_search(GRANDPARENT, now);
         }
         let mut peers = Vec::new();
@@ -153,7 +153,7 @@
             .temporary_parent
             .as_ref()
             .map(TemporaryParent::renewal_due_at);
-        let search = search.unwrap_or_else(|| self.silence_detected_at());
+        let search = search.unwrap_or_else(|| self.timeout_at());
         missing.into_iter().chain(renewal).fold(search, Millis::min)
     }
 
@@ -167,7 +167,7 @@
     }
 
     /// When the member looks for another sender if nothing comes until then.
-    fn silence_detected_at(&self) -> Millis {
+    fn timeout_at(&self) -> Millis {
         let heartbeat_timeout_at = self.heartbeat_at + HEARTBEAT_TIMEOUT_MS;
         let root_timeout_at = self.root_heartbeat_at + ROOT_TIMEOUT_MS + self.jitter_ms;
         heartbeat_timeout_at.min(root_timeout_at)
--- a/crates/inventory/src/ansible/ini.rs
+++ b/crates/inventory/src/ansible/ini.rs
@@ -36,26 +36,26 @@
 struct Line<'a> {
     source: SourceText<'a>,
     number: u32,
-    whole: &'a str,
+    untrimmed: &'a str,
     /// Bytes in front of the text.
     indent: usize,
     text: &'a str,
 }
 
 impl<'a> Line<'a> {
-    fn new(source: SourceText<'a>, number: u32, whole: &'a str) -> Line<'a> {
+    fn new(source: SourceText<'a>, number: u32, untrimmed: &'a str) -> Line<'a> {
         Line {
             source,
             number,
-            whole,
-            indent: whole.len() - whole.trim_start().len(),
-            text: whole.trim(),
+            untrimmed,
+            indent: untrimmed.len() - untrimmed.trim_start().len(),
+            text: untrimmed.trim(),
         }
     }
 
     /// The position at a byte offset in the text.
     fn position(&self, offset: usize) -> SourcePosition {
-        let before = self.whole.get(..self.indent + offset);
+        let before = self.untrimmed.get(..self.indent + offset);
         let column = before.map_or(1, |before| before.chars().count() + 1);
         let column = u32::try_from(column).unwrap_or(u32::MAX);
         self.source.position(self.number, column)
