--- a/crates/coordination/examples/embed.rs
+++ b/crates/coordination/examples/embed.rs
@@ -1,10 +1,10 @@
-//! How another program embeds the coordination parts: three machines with a replicated map, in one process and in virtual
-//! time. The program's part is what stands here: it delivers messages, writes to disks, and tells the time.
+//! How a program embeds this package: three members with a replicated map, in one process and in virtual time. The program
+//! delivers messages, writes to disks, and passes the current time.
 //!
 //!     cargo run -p streamusher-coordination --example embed
 //!
 //! Real programs send [`Output::Send`] over a network, and write [`Output::Persist`] to a disk and sync it before they
-//! answer. Nothing that rests on an append is told outside before it is committed and `may_act` holds.
+//! answer. Nothing that rests on an append is released before it is committed and `may_act` holds.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -15,19 +15,19 @@
 use streamusher_protocol::store::Write;
 use streamusher_protocol::Millis;
 
-/// The state machines want to be told the time about this often.
+/// Interval between two ticks of a coordinator.
 const TICK_MS: Millis = 20;
 const LEASE_MS: Millis = 800;
-/// Calm elections take about a second.
-const LONGEST_MS: Millis = 20_000;
+/// An election without faults takes about a second.
+const MAX_ELECTION_MS: Millis = 20_000;
 
 struct Machine {
     coordinator: Coordinator,
-    up: bool,
+    is_running: bool,
 }
 
 struct Cluster {
-    now: Millis,
+    now_ms: Millis,
     machines: Vec<Machine>,
     network: VecDeque<(usize, Input)>,
 }
@@ -35,15 +35,15 @@
 fn main() {
     let mut cluster = Cluster::new();
     let first = cluster.wait_for_primary();
-    println!("{:>5} ms  machine {first} acts as primary", cluster.now);
+    println!("{:>5} ms  machine {first} acts as primary", cluster.now_ms);
     cluster.set(first, "greeting", "\"hello\"");
     println!(
         "{:>5} ms  an append is committed: it is on all replicas' disks",
-        cluster.now
+        cluster.now_ms
     );
 
-    cluster.machines[first].up = false;
-    println!("{:>5} ms  machine {first} is lost", cluster.now);
+    cluster.machines[first].is_running = false;
+    println!("{:>5} ms  machine {first} is lost", cluster.now_ms);
     let second = cluster.wait_for_primary();
     let value = cluster.machines[second]
         .coordinator
@@ -52,7 +52,7 @@
         .cloned();
     println!(
         "{:>5} ms  machine {second} acts as primary and holds {value:?}",
-        cluster.now
+        cluster.now_ms
     );
     assert_eq!(value.as_deref(), Some("\"hello\""));
 }
@@ -71,11 +71,11 @@
             };
             Machine {
                 coordinator: Coordinator::new(settings, DiskImage::default(), 0),
-                up: true,
+                is_running: true,
             }
         };
         Cluster {
-            now: 0,
+            now_ms: 0,
             machines: (0..3).map(machine).collect(),
             network: VecDeque::new(),
         }
@@ -84,29 +84,32 @@
     /// Appends a change at the primary and waits until it is committed.
     fn set(&mut self, primary: usize, key: &str, value: &str) {
         let writes = vec![Write::set(key, value)];
-        let (sequence, outputs) = self.machines[primary].coordinator.append(self.now, writes);
-        self.follow(primary, outputs);
+        let (sequence, outputs) = self.machines[primary]
+            .coordinator
+            .append(self.now_ms, writes);
+        self.carry_out(primary, outputs);
         while self.machines[primary].coordinator.committed() < sequence {
             self.step();
         }
     }
 
     fn wait_for_primary(&mut self) -> usize {
-        let until = self.now + LONGEST_MS;
-        while self.now < until {
+        let until = self.now_ms + MAX_ELECTION_MS;
+        while self.now_ms < until {
             self.step();
-            let now = self.now;
-            let acts = |machine: &Machine| machine.up && machine.coordinator.may_act(now);
+            let now_ms = self.now_ms;
+            let acts =
+                |machine: &Machine| machine.is_running && machine.coordinator.may_act(now_ms);
             if let Some(primary) = self.machines.iter().position(acts) {
                 return primary;
             }
         }
-        panic!("no primary within {LONGEST_MS} ms");
+        panic!("no primary within {MAX_ELECTION_MS} ms");
     }
 
     /// A tick for all, and all messages that follow from it.
     fn step(&mut self) {
-        self.now += TICK_MS;
+        self.now_ms += TICK_MS;
         for index in 0..self.machines.len() {
             self.input(index, Input::Tick);
         }
@@ -116,14 +119,14 @@
     }
 
     fn input(&mut self, index: usize, input: Input) {
-        if !self.machines[index].up {
+        if !self.machines[index].is_running {
             return;
         }
-        let outputs = self.machines[index].coordinator.handle(self.now, input);
-        self.follow(index, outputs);
+        let outputs = self.machines[index].coordinator.handle(self.now_ms, input);
+        self.carry_out(index, outputs);
     }
 
-    fn follow(&mut self, index: usize, outputs: Vec<Output>) {
+    fn carry_out(&mut self, index: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Send { to, message } => {
@@ -137,7 +140,7 @@
                     self.network.push_back((index, Input::Persisted { ticket }));
                 }
                 Output::Elected { epoch } => {
-                    println!("{:>5} ms  epoch {epoch}: machine {index}", self.now);
+                    println!("{:>5} ms  epoch {epoch}: machine {index}", self.now_ms);
                 }
                 // A program answers what waits for the commit, or drops it.
                 Output::Committed { .. } | Output::Deposed => {}
--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -46,29 +46,29 @@
 /// Inputs and status: what the embedding program uses.
 impl Coordinator {
     /// Starts from what is on disk. Nothing is sent before this start is counted there.
-    pub fn new(settings: CoordinatorSettings, image: DiskImage, now: Millis) -> Coordinator {
+    pub fn new(settings: CoordinatorSettings, image: DiskImage, now_ms: Millis) -> Coordinator {
         Coordinator {
-            core: CoordinatorCore::new(settings, image, now),
-            last_tick_ms: now,
+            core: CoordinatorCore::new(settings, image, now_ms),
+            last_tick_ms: now_ms,
             is_started: false,
             replica: Replica::default(),
-            election: Election::new(now),
-            proposer: Proposer::new(now),
+            election: Election::new(now_ms),
+            proposer: Proposer::new(now_ms),
             elected_epoch: None,
             term: None,
             join_requests: JoinRequests::default(),
-            discovery: Discovery::new(now),
+            discovery: Discovery::new(now_ms),
         }
     }
 
     /// Takes an input, and the current time by the caller's steady clock; returns what is to be done, in order.
-    pub fn handle(&mut self, now: Millis, input: Input) -> Vec<Output> {
-        self.set_clock(now);
+    pub fn handle(&mut self, now_ms: Millis, input: Input) -> Vec<Output> {
+        self.set_clock(now_ms);
         match input {
             Input::Received { from, message } if self.is_started => self.receive(&from, message),
             Input::Received { .. } => {}
             Input::Persisted { ticket } => self.on_persisted(ticket),
-            Input::PersistFailed { ticket } => self.core.disk.on_persist_failed(now, ticket),
+            Input::PersistFailed { ticket } => self.core.disk.on_persist_failed(now_ms, ticket),
             Input::Leave => self.on_leave(),
             Input::Tick => self.tick(),
         }
@@ -78,8 +78,8 @@
     /// Appends writes to the log of the primary; at other members they are dropped. Returns the append's sequence, which
     /// rises by 1 with each call, and what is to be done. The append is committed when [`Coordinator::committed`] has reached
     /// its sequence and no [`Output::Deposed`] came in between.
-    pub fn append(&mut self, now: Millis, writes: Vec<Write>) -> (u64, Vec<Output>) {
-        self.set_clock(now);
+    pub fn append(&mut self, now_ms: Millis, writes: Vec<Write>) -> (u64, Vec<Output>) {
+        self.set_clock(now_ms);
         self.core.appends.appended += 1;
         if let Some(term) = &mut self.term {
             term.append(&mut self.core, writes);
@@ -119,10 +119,10 @@
     }
 
     /// Whether this is the primary with a valid lease: responses may be released.
-    pub fn may_act(&self, now: Millis) -> bool {
+    pub fn may_act(&self, now_ms: Millis) -> bool {
         self.term
             .as_ref()
-            .is_some_and(|term| term.may_act(&self.core, now))
+            .is_some_and(|term| term.may_act(&self.core, now_ms))
     }
 
     /// Whether this member was elected and its first batch is not committed yet.
@@ -147,12 +147,12 @@
     }
 
     /// What this member knows of the control plane. The primary is named only while it is thought to be alive.
-    pub fn view(&self, now: Millis) -> ClusterView {
+    pub fn view(&self, now_ms: Millis) -> ClusterView {
         let record = self.core.record();
         let primary = record
             .primary
             .and_then(|id| record.member(id))
-            .filter(|_| self.is_primary_alive(now));
+            .filter(|_| self.is_primary_alive(now_ms));
         ClusterView {
             epoch: record.epoch,
             primary: primary.map(|member| member.address.clone()),
@@ -179,17 +179,17 @@
     }
 
     /// Status for operators.
-    pub fn status(&self, now: Millis) -> CoordinatorStatus {
+    pub fn status(&self, now_ms: Millis) -> CoordinatorStatus {
         let term = self.term.as_ref();
         CoordinatorStatus {
             id: self.core.id(),
             role: self.role(),
-            acting: self.may_act(now),
+            acting: self.may_act(now_ms),
             record: self.core.record().clone(),
             applied: self.core.state.applied(),
             synced: self.core.state.synced(),
             committed: term.map_or(0, |term| term.pipeline.committed()),
-            peers: term.map_or_else(Vec::new, |term| term.peer_statuses(now)),
+            peers: term.map_or_else(Vec::new, |term| term.peer_statuses(now_ms)),
         }
     }
 
--- a/crates/coordination/src/limits.rs
+++ b/crates/coordination/src/limits.rs
@@ -21,7 +21,7 @@
 /// Batches that are sent beyond the last acknowledged one.
 pub(crate) const MAX_UNACKNOWLEDGED_BATCHES: u64 = 32;
 /// Batches that a replica keeps because the one before is missing: as many as may be on their way.
-pub(crate) const MAX_EARLY_BATCHES: usize = 32;
+pub(crate) const MAX_OUT_OF_ORDER_BATCHES: usize = 32;
 /// A part of a snapshot that has so many bytes takes no further key.
 pub(crate) const SNAPSHOT_PART_BYTES: usize = 64 << 10;
 /// Parts of a snapshot that are sent beyond the last acknowledged one.
--- a/crates/coordination/src/replica.rs
+++ b/crates/coordination/src/replica.rs
@@ -7,7 +7,7 @@
 use crate::batch::{Batch, LogPosition};
 use crate::coordinator_core::CoordinatorCore;
 use crate::disk::Effect;
-use crate::limits::{MAX_EARLY_BATCHES, MAX_RECENT_BYTES};
+use crate::limits::{MAX_OUT_OF_ORDER_BATCHES, MAX_RECENT_BYTES};
 use crate::message::{Message, SnapshotPart};
 use crate::record::DiskId;
 use crate::snapshot::{PartContent, SnapshotReceiver};
@@ -18,14 +18,14 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Replica {
     /// Batches that came before the ones in front of them, by the position that they follow.
-    early_batches: BTreeMap<LogPosition, Batch>,
+    out_of_order_batches: BTreeMap<LogPosition, Batch>,
     snapshot: Option<SnapshotReceiver>,
 }
 
 impl Replica {
     /// A newer record is known: early batches may be of a former primary.
     pub(crate) fn on_record_adopted(&mut self) {
-        self.early_batches.clear();
+        self.out_of_order_batches.clear();
     }
 
     /// This member becomes the primary: nobody sends it a snapshot any more.
@@ -46,22 +46,23 @@
         let applied = core.state.applied();
         let is_next = batch.previous == applied && batch.position > applied;
         if !is_next {
-            self.keep_early_batch(batch, applied);
+            self.keep_out_of_order(batch, applied);
             return send_synced(core);
         }
         core.state.apply(batch, &mut core.disk, MAX_RECENT_BYTES);
-        while let Some(next) = self.early_batches.remove(&core.state.applied()) {
+        while let Some(next) = self.out_of_order_batches.remove(&core.state.applied()) {
             core.state.apply(next, &mut core.disk, MAX_RECENT_BYTES);
         }
         core.disk.then(Effect::Acknowledge);
     }
 
     /// Keeps a batch that came before the one that it follows.
-    fn keep_early_batch(&mut self, batch: Batch, applied: LogPosition) {
-        self.early_batches.retain(|previous, _| *previous > applied);
+    fn keep_out_of_order(&mut self, batch: Batch, applied: LogPosition) {
+        self.out_of_order_batches
+            .retain(|previous, _| *previous > applied);
         let is_early = batch.previous > applied;
-        if is_early && self.early_batches.len() < MAX_EARLY_BATCHES {
-            self.early_batches.insert(batch.previous, batch);
+        if is_early && self.out_of_order_batches.len() < MAX_OUT_OF_ORDER_BATCHES {
+            self.out_of_order_batches.insert(batch.previous, batch);
         }
     }
 
--- a/crates/coordination/src/snapshot.rs
+++ b/crates/coordination/src/snapshot.rs
@@ -146,7 +146,7 @@
     /// All parts below `next`.
     writes: Vec<Write>,
     /// Parts that came before the ones in front of them.
-    early_parts: BTreeMap<u64, PartContent>,
+    out_of_order_parts: BTreeMap<u64, PartContent>,
 }
 
 impl SnapshotReceiver {
@@ -159,7 +159,7 @@
             next: 0,
             is_complete: false,
             writes: Vec::new(),
-            early_parts: BTreeMap::new(),
+            out_of_order_parts: BTreeMap::new(),
         }
     }
 
@@ -179,8 +179,8 @@
         if !wanted.contains(&part.index) || self.is_complete {
             return None;
         }
-        self.early_parts.insert(part.index, part);
-        while let Some(part) = self.early_parts.remove(&self.next) {
+        self.out_of_order_parts.insert(part.index, part);
+        while let Some(part) = self.out_of_order_parts.remove(&self.next) {
             self.writes.extend(part.writes);
             self.next += 1;
             self.is_complete |= part.last;
--- a/crates/coordination/tests/membership.rs
+++ b/crates/coordination/tests/membership.rs
@@ -9,8 +9,8 @@
 use streamusher_coordination::{DiskId, EpochRecord, Message};
 use streamusher_protocol::Millis;
 
-/// Five machines with three replicas; when the third goes, another machine is brought up in its place.
-struct Story {
+/// Five machines with three replicas; when the third goes, another machine is brought up to date in its place.
+struct Scenario {
     cluster: Cluster,
     primary: usize,
     old: usize,
@@ -18,12 +18,12 @@
     ids: Vec<DiskId>,
 }
 
-impl Story {
-    fn new(seed: u64) -> Story {
+impl Scenario {
+    fn new(seed: u64) -> Scenario {
         let cluster = Cluster::calm(5, 1, seed);
         let replicas = cluster.replicas();
         let ids = (0..5).map(|index| cluster.id(index)).collect();
-        Story {
+        Scenario {
             cluster,
             primary: replicas[0],
             old: replicas[1],
@@ -53,21 +53,21 @@
 }
 
 /// Who is a replica in the proposed record and not in the one before.
-fn newcomer(ids: &[DiskId], base: &EpochRecord, value: &EpochRecord) -> Option<usize> {
+fn new_replica(ids: &[DiskId], base: &EpochRecord, value: &EpochRecord) -> Option<usize> {
     let new = value.replicas.iter().find(|id| !base.is_replica(**id))?;
     ids.iter().position(|id| id == new)
 }
 
 #[rstest]
 fn proposed_replica_counts_for_commits_until_decided(#[values(1, 2, 3, 4, 5, 6)] seed: u64) {
-    let mut story = Story::new(seed);
-    let (primary, ids) = (story.primary, story.ids.clone());
+    let mut scenario = Scenario::new(seed);
+    let (primary, ids) = (scenario.primary, scenario.ids.clone());
     let proposed = Rc::new(Cell::new(None));
     let seen = proposed.clone();
     // From the proposal on the primary does not hear that it is accepted, and the new replica gets no batch.
-    story.cluster.loses = Some(Box::new(move |from, to, message| {
+    scenario.cluster.loses = Some(Box::new(move |from, to, message| {
         if let Message::Accept { base, value, .. } = message {
-            let new = newcomer(&ids, base, value).filter(|_| from == primary);
+            let new = new_replica(&ids, base, value).filter(|_| from == primary);
             seen.set(seen.get().or(new));
         }
         let Some(new) = seen.get() else { return false };
@@ -77,16 +77,18 @@
             _ => false,
         }
     }));
-    story.cluster.crash(story.third);
-    let done = story.cluster.run_until(3_000, |_| proposed.get().is_some());
+    scenario.cluster.crash(scenario.third);
+    let done = scenario
+        .cluster
+        .run_until(3_000, |_| proposed.get().is_some());
     assert!(
         done.is_some(),
         "no new replica: {}",
-        story.cluster.describe()
+        scenario.cluster.describe()
     );
-    story.cluster.run(200);
+    scenario.cluster.run(200);
     // The old replica has time to bring the open proposal to its end.
-    story.leave_the_new_one_alone(1_300);
+    scenario.leave_the_new_one_alone(1_300);
 }
 
 #[rstest]
@@ -98,21 +100,21 @@
 }
 
 fn stop_learners(seed: u64, after: u64) {
-    let mut story = Story::new(seed);
-    let (primary, old, third) = (story.primary, story.old, story.third);
+    let mut scenario = Scenario::new(seed);
+    let (primary, old, third) = (scenario.primary, scenario.old, scenario.third);
     // The learners get their copy or their first batches, and nothing that is made later.
-    let process = story.cluster.nodes[primary].process.as_ref();
+    let process = scenario.cluster.nodes[primary].process.as_ref();
     let last = process.map_or(0, |process| process.status(0).applied.sequence) + after;
-    story.cluster.loses = Some(Box::new(move |_, to, message| match message {
+    scenario.cluster.loses = Some(Box::new(move |_, to, message| match message {
         Message::Append { batch, .. } => {
             ![primary, old, third].contains(&to) && batch.position.sequence > last
         }
         _ => false,
     }));
-    story.cluster.crash(third);
+    scenario.cluster.crash(third);
     // Long enough to name it, too short to drop it again.
-    story.cluster.run(750);
-    story.leave_the_new_one_alone(0);
+    scenario.cluster.run(750);
+    scenario.leave_the_new_one_alone(0);
 }
 
 /// Too few copies are left without it, so that it stays among the replicas until another machine is level.
--- a/crates/coordination/tests/records_model.rs
+++ b/crates/coordination/tests/records_model.rs
@@ -17,7 +17,7 @@
 
 const MEMBERS: usize = 3;
 const LEASE_MS: Millis = 800;
-/// A step of time: below the gap that counts as a standstill.
+/// A step of time: below the gap that counts as a stall.
 const STEP_MS: Millis = 80;
 /// By then both candidates have begun.
 const BEGUN_MS: Millis = 400;
--- a/crates/coordination/tests/search.rs
+++ b/crates/coordination/tests/search.rs
@@ -45,7 +45,7 @@
 fn search(size: usize, tolerance: usize, seed: u64) {
     let mut cluster = Cluster::calm(size, tolerance, seed);
     cluster.record_event(format!("size {size} tolerance {tolerance} seed {seed}"));
-    // Every other time a whole copy takes many parts.
+    // Every other time a snapshot takes many parts.
     cluster.value_bytes = if seed.is_multiple_of(2) { 10 } else { 2_000 };
     cluster.run_faults(12);
     cluster.settle();
--- a/crates/coordination/tests/second_loss.rs
+++ b/crates/coordination/tests/second_loss.rs
@@ -1,7 +1,7 @@
 //! A second loss at every instant of the repair of a first one. The first loss takes a disk; from then on each message that
 //! comes and each change of a disk is an instant, and the second loss is placed after each in a run of its own.
 //!
-//! Disks are lost again when the promise allows it: as many as the tolerance from the moment at which a primary acts by a
+//! Disks are lost again when the guarantee allows it: as many as the tolerance from the moment at which a primary acts by a
 //! record that does not count on the first lost disk and whose members then still have a majority; at the latest a fixed time
 //! after the first machine, or its successor, has started. Other losses may come at any moment, also of all machines at once.
 
@@ -13,7 +13,7 @@
 use streamusher_coordination::DiskId;
 use streamusher_protocol::Millis;
 
-/// Every so many instants are played; `SECOND_LOSS_STRIDE=1` plays all.
+/// One in so many instants is run; `SECOND_LOSS_STRIDE=1` runs all.
 fn stride() -> usize {
     const STRIDE: usize = 53;
     std::env::var("SECOND_LOSS_STRIDE")
@@ -26,11 +26,11 @@
 const INSTANTS: usize = 700;
 /// How long the first machine is away.
 const AWAY_MS: Millis = 300;
-/// How long a machine that is told to end may take.
+/// How long a machine that is asked to leave may take.
 const GRACE_MS: Millis = 6_000;
 /// How long the second loss lasts.
 const SECOND_MS: Millis = 500;
-/// Bytes of each value: whole copies then take many parts.
+/// Bytes of each value: snapshots then take many parts.
 const VALUE_BYTES: usize = 20_000;
 
 #[derive(Clone, Copy, Debug)]
@@ -41,20 +41,20 @@
     WipeReplica,
     /// The primary's machine is gone for good; an empty one comes at another address.
     ReplacePrimary,
-    /// The primary is told to end, and its machine is then replaced.
+    /// The primary is asked to leave, and its machine is then replaced.
     RetirePrimary,
-    /// A replica is told to end, and its machine is then replaced.
+    /// A replica is asked to leave, and its machine is then replaced.
     RetireReplica,
     /// A machine that is no replica, where there is one, is gone for good; an empty one comes at another address.
     ReplaceWitness,
-    /// Another machine is there first; then the primary is told to end and does not come back.
+    /// Another machine is there first; then the primary is asked to leave and does not come back.
     PlanPrimary,
     /// The same for the last machine.
     PlanLast,
 }
 
 impl First {
-    fn is_told_to_end(self) -> bool {
+    fn is_asked_to_leave(self) -> bool {
         matches!(
             self,
             First::RetirePrimary | First::RetireReplica | First::PlanPrimary | First::PlanLast
@@ -85,9 +85,9 @@
     KillActor,
     /// Whoever acts is cut off.
     CutActor,
-    /// Whoever acts is told to end.
+    /// Whoever acts is asked to leave.
     LeaveActor,
-    /// The core is cut into halves.
+    /// The members are cut into halves.
     Halves,
 }
 
@@ -112,14 +112,14 @@
 }
 
 /// A cluster that has just lost a first disk.
-struct Story {
+struct Scenario {
     cluster: Cluster,
     lost: DiskId,
     back: Option<usize>,
 }
 
-impl Story {
-    fn new(size: usize, tolerance: usize, first: First) -> Story {
+impl Scenario {
+    fn new(size: usize, tolerance: usize, first: First) -> Scenario {
         let mut cluster = Cluster::calm(size, tolerance, 7);
         cluster.value_bytes = VALUE_BYTES;
         cluster.run(1_000);
@@ -145,7 +145,7 @@
             cluster.start(successor);
             cluster.run(CATCH_UP_MS);
         }
-        if first.is_told_to_end() {
+        if first.is_asked_to_leave() {
             cluster.leave(victim);
             let may_leave = |cluster: &Cluster| {
                 cluster.nodes[victim]
@@ -159,7 +159,7 @@
         if !first.returns() {
             cluster.remove(victim);
         }
-        Story {
+        Scenario {
             cluster,
             lost: lost_disk,
             back,
@@ -265,17 +265,17 @@
 
 /// Plays one pair of losses at one instant; false where the second one is not borne then.
 fn play(size: usize, tolerance: usize, first: First, second: Second, instant: usize) -> bool {
-    let mut story = Story::new(size, tolerance, first);
-    story.cluster.record_event(format!(
+    let mut scenario = Scenario::new(size, tolerance, first);
+    scenario.cluster.record_event(format!(
         "{size} machines, tolerance {tolerance}: {first:?}, {second:?} after {instant}"
     ));
-    let since = story.cluster.now;
-    story.pass(instant, since);
-    if second.takes_a_disk() && !story.is_made_good() {
+    let since = scenario.cluster.now;
+    scenario.pass(instant, since);
+    if second.takes_a_disk() && !scenario.is_made_good() {
         return false;
     }
-    story.strike(second);
-    story.end();
+    scenario.strike(second);
+    scenario.end();
     true
 }
 
@@ -322,16 +322,16 @@
     first: First,
 ) {
     for second in SECONDS {
-        let mut story = Story::new(shape.0, shape.1, first);
-        story.cluster.record_event(format!(
+        let mut scenario = Scenario::new(shape.0, shape.1, first);
+        scenario.cluster.record_event(format!(
             "{shape:?}: {first:?}, {second:?} once it has caught up"
         ));
-        if let Some(back) = story.back.take() {
-            story.cluster.run(AWAY_MS);
-            story.cluster.start(back);
-            story.cluster.run(CATCH_UP_MS);
+        if let Some(back) = scenario.back.take() {
+            scenario.cluster.run(AWAY_MS);
+            scenario.cluster.start(back);
+            scenario.cluster.run(CATCH_UP_MS);
         }
-        story.strike(second);
-        story.end();
+        scenario.strike(second);
+        scenario.end();
     }
 }
--- a/crates/coordination/tests/seeds.rs
+++ b/crates/coordination/tests/seeds.rs
@@ -14,8 +14,8 @@
     }
 }
 
-/// A machine with an empty disk that is not let in yet.
-fn newcomer(seeds: Vec<CoreAddress>) -> Coordinator {
+/// A machine with an empty disk that is no member yet.
+fn joining_machine(seeds: Vec<CoreAddress>) -> Coordinator {
     let settings = CoordinatorSettings {
         address: core(9),
         bootstrap: false,
@@ -33,8 +33,8 @@
     machine
 }
 
-/// Whom the machine greets between two times.
-fn greeted(machine: &mut Coordinator, from: Millis, to: Millis) -> Vec<Arc<str>> {
+/// The addresses that the machine sends hellos to between two times.
+fn hello_receivers(machine: &mut Coordinator, from: Millis, to: Millis) -> Vec<Arc<str>> {
     let outputs = (from..to)
         .step_by(20)
         .flat_map(|now| machine.handle(now, Input::Tick))
@@ -46,19 +46,19 @@
         } => Some(to),
         _ => None,
     };
-    let mut greeted: Vec<Arc<str>> = outputs.into_iter().filter_map(hello).collect();
-    greeted.sort();
-    greeted.dedup();
-    greeted
+    let mut hello_receivers: Vec<Arc<str>> = outputs.into_iter().filter_map(hello).collect();
+    hello_receivers.sort();
+    hello_receivers.dedup();
+    hello_receivers
 }
 
 #[test]
 fn joining_machine_asks_changed_seeds() {
-    let mut machine = newcomer(vec![core(1)]);
-    let before = greeted(&mut machine, 20, 5_000);
+    let mut machine = joining_machine(vec![core(1)]);
+    let before = hello_receivers(&mut machine, 20, 5_000);
 
     machine.set_seeds(vec![core(2), core(3), core(9)]);
-    let after = greeted(&mut machine, 5_000, 10_000);
+    let after = hello_receivers(&mut machine, 5_000, 10_000);
 
     assert_eq!(before, [core(1).internal]);
     assert_eq!(
