--- a/src/command/servers.rs
+++ b/src/command/servers.rs
@@ -101,7 +101,10 @@
                 Ok(())
             }
             What::Convert { file, to } => {
-                print!("{}", write_inventory(&self.read(file, &known)?.hosts, (*to).into()));
+                print!(
+                    "{}",
+                    write_inventory(&self.read(file, &known)?.hosts, (*to).into())
+                );
                 Ok(())
             }
         }
