--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -51,6 +51,8 @@
     pub raised: u64,
     pub in_use_of_the_dead: Vec<(Micros, usize)>,
     pub bytes: u64,
+    /// Over all datagrams sent, with their senders and receivers.
+    pub sent_digest: blake3::Hasher,
     pub most_used: u64,
 }
 
@@ -97,6 +99,7 @@
             raised: 0,
             in_use_of_the_dead: Vec::new(),
             bytes: 0,
+            sent_digest: blake3::Hasher::new(),
             most_used: 0,
         };
         for i in 0..n {
@@ -158,6 +161,7 @@
                 .find(|j| addr(*j) == to)
                 .expect("a member's address");
             self.bytes += bytes.len() as u64;
+            self.sent_digest.update(&[i as u8, to as u8]).update(&bytes);
             let slow = match self.cut.get(&(i, to)) {
                 Some(&Micros::MAX) => continue,
                 Some(slow) => *slow,
