--- a/crates/fleet/benches/size.rs
+++ b/crates/fleet/benches/size.rs
@@ -8,7 +8,7 @@
 
 use std::sync::Arc;
 use std::time::Instant;
-use streamusher_fleet::units::{Key, Unit, Units};
+use streamusher_fleet::usage::{UsageKey, UsageMetric, UsageValues};
 use world::{World, MS, SECOND};
 
 const GOSSIP: u64 = 100 * MS;
@@ -20,13 +20,13 @@
             for i in 0..world.members.len() {
                 for n in 0..answers / 10 {
                     let tenant = (second * 31 + slice * 7 + n + i as u64) % tenants;
-                    let key = Key {
+                    let key = UsageKey {
                         period: 1,
                         tenant: Arc::from(format!("tenant-{tenant}")),
                     };
                     world.members[i]
                         .node
-                        .raise(key, &Units::one(Unit::Served, 1));
+                        .increment(key, &UsageValues::single(UsageMetric::Served, 1));
                 }
             }
             world.run(100 * MS, &[], 0.0);
--- /dev/null
+++ b/crates/fleet/src/datagram.rs
@@ -0,0 +1,213 @@
+//! The datagrams that members exchange over UDP: a version, the fleet's tag, a MAC, and a body in postcard.
+//!
+//! A datagram has at most [`MAX_DATAGRAM_BYTES`]. What is larger goes in parts: each [`Delta`] is of use by itself, and
+//! what got lost is sent again after the next digest, so nothing here needs a stream.
+
+use crate::incarnation::is_valid_name;
+use crate::membership::Member;
+use crate::outlier::Observation;
+use crate::quota::{LeaseGrant, LeaseRequest};
+use crate::usage::UsageKey;
+use crate::usage_counters::{Delta, UsageDigest};
+use serde::{Deserialize, Serialize};
+
+/// The most bytes of a datagram: what a network path carries without fragmentation.
+pub const MAX_DATAGRAM_BYTES: usize = 1_400;
+/// The version of the format that this program speaks. Datagrams of another one are rejected.
+pub const PROTOCOL_VERSION: u8 = 1;
+
+const MAGIC: &[u8; 2] = b"SU";
+const TAG_BYTES: usize = 4;
+const MAC_BYTES: usize = 16;
+const TAG_START: usize = MAGIC.len() + 1;
+const MAC_START: usize = TAG_START + TAG_BYTES;
+const HEADER_BYTES: usize = MAC_START + MAC_BYTES;
+const MAX_TENANT_BYTES: usize = 128;
+const MAX_WORKER_NAME_BYTES: usize = 128;
+/// A base has fewer rows than this.
+const MAX_BASE_ROWS: u64 = 1 << 24;
+
+/// The body of a datagram. Encoded by position: the order of variants is part of the format.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum DatagramBody {
+    /// A new member that knows the receiver's address only.
+    Hello,
+    /// Membership: a message of the `foca` crate.
+    Membership(Vec<u8>),
+    /// What the sender holds of the usage counters.
+    UsageDigest(UsageDigest),
+    /// Usage counters.
+    UsageDeltas(Vec<Delta>),
+    /// Up to which version the sender holds the receiver's own counters.
+    UsageAcknowledged(u64),
+    /// Units of a quota are wanted.
+    LeaseRequest(LeaseRequest),
+    /// Units of a quota are lent.
+    LeaseGrant(LeaseGrant),
+    /// Observations of workers.
+    Observations(Vec<Observation>),
+}
+
+/// A datagram without its header.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Datagram {
+    /// Who sent it.
+    pub sender: Member,
+    /// What it says.
+    pub body: DatagramBody,
+}
+
+/// Why a datagram was rejected. The texts are keys of the operators' JSON.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
+pub enum DatagramError {
+    /// Too short or too long.
+    #[error("cut")]
+    Truncated,
+    /// Of another fleet, or not a datagram of any fleet.
+    #[error("foreign")]
+    ForeignFleet,
+    /// Of another version of the format.
+    #[error("version")]
+    UnsupportedVersion(u8),
+    /// Its MAC does not match.
+    #[error("spoilt")]
+    BadMac,
+    /// Its body cannot be decoded, or a value in it is out of bounds.
+    #[error("unreadable")]
+    Malformed,
+    /// From an earlier incarnation of its sender.
+    #[error("earlier life")]
+    StaleIncarnation,
+    /// From a member whose clock is far ahead.
+    #[error("clock")]
+    ClockAhead,
+}
+
+/// Encodes and decodes datagrams under the fleet's key.
+#[derive(Clone)]
+pub struct DatagramCodec {
+    key: [u8; 32],
+    fleet_tag: [u8; TAG_BYTES],
+}
+
+impl DatagramCodec {
+    /// The codec of the fleet with this key.
+    pub fn new(key: [u8; 32]) -> DatagramCodec {
+        let derived = blake3::derive_key("streamusher fleet mark 1", &key);
+        let mut fleet_tag = [0; TAG_BYTES];
+        fleet_tag.copy_from_slice(&derived[..TAG_BYTES]);
+        DatagramCodec { key, fleet_tag }
+    }
+
+    fn mac(&self, version: u8, body: &[u8]) -> [u8; MAC_BYTES] {
+        let mut hash = blake3::Hasher::new_keyed(&self.key);
+        hash.update(&[version]).update(body);
+        let mut mac = [0; MAC_BYTES];
+        mac.copy_from_slice(&hash.finalize().as_bytes()[..MAC_BYTES]);
+        mac
+    }
+
+    /// The bytes of a datagram; none if they are more than [`MAX_DATAGRAM_BYTES`].
+    pub fn encode(&self, datagram: &Datagram) -> Option<Vec<u8>> {
+        let body = postcard::to_stdvec(datagram).ok()?;
+        let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
+        bytes.extend_from_slice(MAGIC);
+        bytes.push(PROTOCOL_VERSION);
+        bytes.extend_from_slice(&self.fleet_tag);
+        bytes.extend_from_slice(&self.mac(PROTOCOL_VERSION, &body));
+        bytes.extend_from_slice(&body);
+        (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
+    }
+
+    /// Decodes a datagram. The body is decoded only after the length, the fleet, the MAC and the version are right.
+    ///
+    /// # Errors
+    /// The first of these checks that fails, or [`DatagramError::Malformed`] for the body.
+    pub fn decode(&self, bytes: &[u8]) -> Result<Datagram, DatagramError> {
+        if bytes.len() < HEADER_BYTES || bytes.len() > MAX_DATAGRAM_BYTES {
+            return Err(DatagramError::Truncated);
+        }
+        let (header, body) = bytes.split_at(HEADER_BYTES);
+        let tag = &header[TAG_START..MAC_START];
+        if !header.starts_with(MAGIC) || tag != self.fleet_tag {
+            return Err(DatagramError::ForeignFleet);
+        }
+        let version = header[MAGIC.len()];
+        if !macs_match(&self.mac(version, body), &header[MAC_START..]) {
+            return Err(DatagramError::BadMac);
+        }
+        if version != PROTOCOL_VERSION {
+            return Err(DatagramError::UnsupportedVersion(version));
+        }
+        postcard::from_bytes(body)
+            .ok()
+            .filter(Datagram::is_within_bounds)
+            .ok_or(DatagramError::Malformed)
+    }
+}
+
+/// Compares two MACs by their hashes, which `blake3` compares in constant time.
+fn macs_match(expected: &[u8], found: &[u8]) -> bool {
+    let hash = |mac| blake3::Hash::from_bytes(blake3::derive_key("streamusher mac", mac));
+    hash(expected) == hash(found)
+}
+
+impl Datagram {
+    /// Whether names and counts are within the bounds that the receiver relies on.
+    fn is_within_bounds(&self) -> bool {
+        is_valid_name(&self.sender.name) && self.body.is_within_bounds()
+    }
+}
+
+impl DatagramBody {
+    fn is_within_bounds(&self) -> bool {
+        match self {
+            DatagramBody::UsageDigest(digest) => {
+                let after_is_valid = digest.after.iter().all(|name| is_valid_name(name));
+                let mut summaries = digest.summaries.iter();
+                after_is_valid && summaries.all(|summary| is_valid_name(&summary.name))
+            }
+            DatagramBody::UsageDeltas(deltas) => deltas.iter().all(is_delta_within_bounds),
+            DatagramBody::Observations(observations) => {
+                observations.iter().all(is_observation_within_bounds)
+            }
+            DatagramBody::Hello
+            | DatagramBody::Membership(_)
+            | DatagramBody::UsageAcknowledged(_)
+            | DatagramBody::LeaseRequest(_)
+            | DatagramBody::LeaseGrant(_) => true,
+        }
+    }
+}
+
+fn is_delta_within_bounds(delta: &Delta) -> bool {
+    let is_valid_key = |key: &UsageKey| key.tenant.len() <= MAX_TENANT_BYTES;
+    match delta {
+        Delta::Incarnation {
+            incarnation,
+            after,
+            up_to,
+            rows,
+        } => {
+            is_valid_name(&incarnation.name)
+                && after <= up_to
+                && rows.iter().all(|row| is_valid_key(&row.key))
+        }
+        Delta::Base {
+            name,
+            rows,
+            total_rows,
+            ..
+        } => {
+            is_valid_name(name)
+                && *total_rows < MAX_BASE_ROWS
+                && rows.iter().all(|row| is_valid_key(&row.key))
+        }
+    }
+}
+
+fn is_observation_within_bounds(observation: &Observation) -> bool {
+    let worker_name_bytes = observation.worker.name.len();
+    is_valid_name(&observation.observer.name)
+        && (1..=MAX_WORKER_NAME_BYTES).contains(&worker_name_bytes)
+}
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -1,393 +1,611 @@
-//! One member of a fleet: members, counts and rights together, told the time and the frames that came.
+//! One member of a fleet: membership, usage counters, quota leases and outlier detection together. It takes the current
+//! time and the datagrams that came, and returns those that are to be sent.
 //!
-//! Each period it sends a digest to two members at random and answers theirs with what they lack. Own counts go at once
-//! to the members that stand behind it in the ring of names, one more than the copies wanted; they answer how much they
-//! hold. A member whose process was stopped for longer than a lease spends nothing until it has heard the others again.
-
-use crate::counts::{Counts, Delta, Holds};
-use crate::frame::{Bad, Body, Frame, Sealer, MOST_BYTES};
-use crate::judge::Judgements;
-use crate::life::{Life, Micros};
-use crate::members::{Member, Members, News};
-use crate::purse::Purse;
-use crate::rights::{Rights, Terms};
-use crate::tally::Tally;
-use crate::units::{Key, Units};
+//! In each gossip round it sends a digest to two members at random, and answers theirs with what they lack. Own usage
+//! counters go at once to the members that succeed it in the ring of names, one more than the required copies; they
+//! acknowledge how much they hold. A member whose process was stopped for longer than half a lease lets nothing be
+//! acquired until it has heard the others again.
+
+use crate::allowance::QuotaAllowance;
+use crate::datagram::{Datagram, DatagramBody, DatagramCodec, DatagramError};
+use crate::incarnation::{Incarnation, Micros};
+use crate::membership::{Member, Membership, MembershipEvent};
+use crate::outbox::{truncate_to_datagram, OutboundDatagram, Outbox};
+use crate::outlier::OutlierDetector;
+use crate::peers::Peers;
+use crate::quota::{OutboundRequest, QuotaLeases, QuotaTerms};
+use crate::status::{FleetStatus, MemberStatus, QuotaStatus};
+use crate::usage::{UsageKey, UsageValues};
+use crate::usage_counters::{Delta, UsageCounters, UsageDigest, VersionSummary};
+use crate::usage_totals::UsageTotals;
+use rand::seq::IteratorRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What a member is told at its start.
+/// How far ahead of this one's Unix time another member's may be.
+const MAX_CLOCK_AHEAD: Micros = 24 * 3_600 * 1_000_000;
+/// The shortest time between two probes of the membership protocol.
+const MIN_PROBE_PERIOD: Micros = 100_000;
+/// Gossip intervals between two probes of the membership protocol.
+const GOSSIP_INTERVALS_PER_PROBE: u64 = 5;
+/// Deltas sent in answer to one digest.
+const DELTAS_PER_REPLY: usize = 32;
+/// Members that are sent a digest in each round.
+const DIGEST_RECEIVERS: usize = 2;
+/// Summaries in one digest.
+const SUMMARIES_PER_DIGEST: usize = 64;
+/// So many more summaries than the peer's go with the answer to a digest.
+const EXTRA_SUMMARIES: usize = 8;
+/// Observations sent along with a digest.
+const OBSERVATIONS_PER_MESSAGE: usize = 6;
+/// A member that knows others calls a missing address of the settings once in so many rounds.
+const HELLO_INTERVAL_ROUNDS: u64 = 4;
+/// Gossip intervals after which a superseded incarnation may be compacted.
+const COMPACTION_DELAY_ROUNDS: u64 = 100;
+/// Rounds between two looks for incarnations to compact.
+const COMPACTION_INTERVAL_ROUNDS: u64 = 10;
+/// Separates the random numbers of gossip from those of the membership protocol.
+const GOSSIP_SEED: u64 = 0x5eed;
+
+/// The settings of one member.
 #[derive(Clone, Debug)]
-pub struct Setup {
-    /// Its life.
-    pub me: Life,
+pub struct FleetSettings {
+    /// Its incarnation.
+    pub local: Incarnation,
     /// Where others reach it.
-    pub addr: SocketAddr,
+    pub address: SocketAddr,
     /// Where some of the others are reached.
-    pub join: Vec<SocketAddr>,
+    pub join_addresses: Vec<SocketAddr>,
     /// The fleet's key.
     pub key: [u8; 32],
-    /// For random numbers.
+    /// The seed of random numbers.
     pub seed: u64,
-    /// Between two digests.
-    pub gossip: Micros,
-    /// Other members that must hold a count before it is safe.
-    pub copies: usize,
-    /// Budgets and seats.
-    pub terms: Arc<Terms>,
-    /// A member not heard for so long no longer holds up the folding of lives that are gone.
-    pub forget: Micros,
-    /// The length of a period of counts.
+    /// The mean time between two gossip rounds.
+    pub gossip_interval: Micros,
+    /// Other members that must hold a usage count before it counts as replicated.
+    pub required_copies: usize,
+    /// The quotas, and among whom they are divided.
+    pub terms: Arc<QuotaTerms>,
+    /// A member that was not heard for so long no longer delays the compaction of incarnations that have ended.
+    pub forget_after: Micros,
+    /// The length of a period of usage.
     pub period: Micros,
 }
 
-/// How far ahead of this one's wall clock another's may be.
-const CLOCK: Micros = 24 * 3_600 * 1_000_000;
-/// Bytes of a frame left for its body's parts.
-const ROOM: usize = MOST_BYTES - 200;
-/// Parts sent in answer to one digest.
-const PARTS: usize = 32;
-
-#[derive(Clone, Debug, Default)]
-pub(crate) struct Peer {
-    pub(crate) no: u64,
-    pub(crate) heard: Micros,
-    /// How much of own counts it holds, and up to where they were sent to it, and when.
-    pub(crate) have: u64,
-    pub(crate) sent: (u64, Micros),
+/// One member of a fleet. See the module's documentation.
+pub struct FleetNode {
+    settings: FleetSettings,
+    codec: DatagramCodec,
+    membership: Membership,
+    counters: UsageCounters,
+    /// Observations of workers.
+    pub outliers: OutlierDetector,
+    quota_leases: QuotaLeases<Arc<QuotaAllowance>>,
+    /// By quota, how many units the data path would have in use.
+    wanted_units: Vec<u64>,
+    peers: Peers,
+    outbox: Outbox,
+    rejected_datagrams: BTreeMap<DatagramError, u64>,
+    rng: Pcg64Mcg,
+    /// The name behind which the next digest begins.
+    digest_cursor: Option<Arc<str>>,
+    next_gossip: Micros,
+    gossip_rounds: u64,
+    last_tick: Micros,
+    /// Since when this member does not rely on what it holds: it was stopped, and has not heard the others since.
+    stale_since: Option<Micros>,
+    wall_time: Micros,
+    handing_over: bool,
+    declared_dead: u64,
+    replaced: bool,
+    received_datagrams: u64,
 }
 
-/// See the module's own page.
-pub struct Node {
-    pub(crate) setup: Setup,
-    pub(crate) sealer: Sealer,
-    pub(crate) members: Members,
-    pub(crate) counts: Counts,
-    /// What is said of core workers.
-    pub judge: Judgements,
-    /// Rights, by budget.
-    pub rights: Rights<Arc<Purse>>,
-    pub(crate) wants: Vec<u64>,
-    pub(crate) peers: BTreeMap<Arc<str>, Peer>,
-    pub(crate) out: Vec<(SocketAddr, Vec<u8>)>,
-    pub(crate) bad: BTreeMap<Bad, u64>,
-    pub(crate) rng: Pcg64Mcg,
-    pub(crate) cursor: Option<Arc<str>>,
-    pub(crate) next_gossip: Micros,
-    pub(crate) rounds: u64,
-    pub(crate) last_tick: Micros,
-    /// Since when this member does not trust what it holds: it was stopped, and has not heard the others since.
-    pub(crate) stale: Option<Micros>,
-    pub(crate) wall: Micros,
-    pub(crate) ending: bool,
-    /// Times that it learnt it was thought dead.
-    pub thought_dead: u64,
-    /// A later life of this name is there: this process is not to go on.
-    pub replaced: bool,
-    /// Frames taken.
-    pub frames: u64,
-    /// Bytes and frames sent.
-    pub sent: (u64, u64),
-}
-
-impl Node {
-    /// A life that starts now, and knows nothing; a purse for each budget. `wall` is Unix time.
-    pub fn new(setup: Setup, purses: Vec<Arc<Purse>>, now: Micros, wall: Micros) -> Node {
-        let me = Member {
-            name: setup.me.name.clone(),
-            no: setup.me.no,
-            addr: setup.addr,
-            raised: 0,
+impl FleetNode {
+    /// An incarnation that starts now and knows nothing of others, with an allowance for each quota. `wall_time` is Unix
+    /// time.
+    pub fn new(
+        settings: FleetSettings,
+        allowances: Vec<Arc<QuotaAllowance>>,
+        now: Micros,
+        wall_time: Micros,
+    ) -> FleetNode {
+        let local = Member {
+            name: settings.local.name.clone(),
+            number: settings.local.number,
+            address: settings.address,
+            renewals: 0,
         };
-        let probe = (setup.gossip * 5).max(100_000);
-        Node {
-            sealer: Sealer::new(setup.key),
-            members: Members::new(me, probe, setup.seed),
-            counts: Counts::new(setup.me.clone()),
-            judge: Judgements::new(setup.me.clone()),
-            wants: vec![0; setup.terms.budgets.len()],
-            rights: Rights::new(setup.me.clone(), setup.terms.clone(), purses, now),
-            peers: BTreeMap::new(),
-            out: Vec::new(),
-            bad: BTreeMap::new(),
-            rng: Pcg64Mcg::seed_from_u64(setup.seed ^ 0x5eed),
-            cursor: None,
+        let probe_period =
+            (settings.gossip_interval * GOSSIP_INTERVALS_PER_PROBE).max(MIN_PROBE_PERIOD);
+        let codec = DatagramCodec::new(settings.key);
+        let terms = settings.terms.clone();
+        FleetNode {
+            membership: Membership::new(local, probe_period, settings.seed),
+            counters: UsageCounters::new(settings.local.clone()),
+            outliers: OutlierDetector::new(settings.local.clone()),
+            wanted_units: vec![0; terms.quotas.len()],
+            quota_leases: QuotaLeases::new(settings.local.clone(), terms, allowances, now),
+            peers: Peers::default(),
+            outbox: Outbox::new(codec.clone()),
+            codec,
+            rejected_datagrams: BTreeMap::new(),
+            rng: Pcg64Mcg::seed_from_u64(settings.seed ^ GOSSIP_SEED),
+            digest_cursor: None,
             next_gossip: now,
-            rounds: 0,
+            gossip_rounds: 0,
             last_tick: now,
-            stale: None,
-            wall,
-            ending: false,
-            thought_dead: 0,
+            stale_since: None,
+            wall_time,
+            handing_over: false,
+            declared_dead: 0,
             replaced: false,
-            frames: 0,
-            sent: (0, 0),
-            setup,
+            received_datagrams: 0,
+            settings,
         }
     }
 
     /// The period that a moment of Unix time falls into.
-    pub fn period(&self, wall: Micros) -> u32 {
-        (wall / self.setup.period) as u32
+    #[expect(
+        clippy::cast_possible_truncation,
+        reason = "periods are hours at least"
+    )]
+    pub fn period(&self, wall_time: Micros) -> u32 {
+        (wall_time / self.settings.period) as u32
     }
 
-    /// Counts something of own; the version that holds it.
-    pub fn raise(&mut self, key: Key, units: &Units) -> u64 {
-        self.counts.raise(key, units)
+    /// Increments own usage counters; returns the version that includes it.
+    pub fn increment(&mut self, key: UsageKey, values: &UsageValues) -> u64 {
+        self.counters.increment(key, values)
     }
 
-    /// A datagram came. `wall` is Unix time.
-    pub fn receive(&mut self, now: Micros, wall: Micros, bytes: &[u8]) {
-        self.wall = wall;
-        match self
-            .sealer
-            .open(bytes)
-            .and_then(|frame| self.admit(now, wall, frame))
-        {
-            Ok(frame) => self.take_frame(now, frame),
-            Err(bad) => *self.bad.entry(bad).or_default() += 1,
+    /// Takes a datagram. `wall_time` is Unix time.
+    pub fn receive(&mut self, now: Micros, wall_time: Micros, bytes: &[u8]) {
+        self.wall_time = wall_time;
+        let accepted = self
+            .codec
+            .decode(bytes)
+            .and_then(|datagram| self.admit(now, wall_time, datagram));
+        match accepted {
+            Ok(datagram) => self.on_datagram(now, datagram),
+            Err(error) => *self.rejected_datagrams.entry(error).or_default() += 1,
         }
     }
 
-    fn admit(&mut self, now: Micros, wall: Micros, frame: Frame) -> Result<Frame, Bad> {
-        let from = &frame.from;
-        if from.no > wall + CLOCK {
-            return Err(Bad::Clock);
+    /// Checks the sender's incarnation.
+    fn admit(
+        &mut self,
+        now: Micros,
+        wall_time: Micros,
+        datagram: Datagram,
+    ) -> Result<Datagram, DatagramError> {
+        let sender = &datagram.sender;
+        if sender.number > wall_time + MAX_CLOCK_AHEAD {
+            return Err(DatagramError::ClockAhead);
         }
-        if from.name == self.setup.me.name {
-            self.replaced |= from.no > self.setup.me.no;
-            return Err(Bad::EarlierLife);
+        if sender.name == self.settings.local.name {
+            self.replaced |= sender.number > self.settings.local.number;
+            return Err(DatagramError::StaleIncarnation);
         }
-        let peer = self.peers.entry(from.name.clone()).or_default();
-        if from.no < peer.no {
-            return Err(Bad::EarlierLife);
+        if !self.peers.on_datagram(now, sender) {
+            return Err(DatagramError::StaleIncarnation);
         }
-        if from.no > peer.no {
-            *peer = Peer {
-                no: from.no,
-                ..Peer::default()
-            };
-        }
-        peer.heard = now;
-        self.frames += 1;
-        self.stale = None; // the others are heard again
-        Ok(frame)
-    }
-
-    fn take_frame(&mut self, now: Micros, frame: Frame) {
-        let from = frame.from;
-        match frame.body {
-            Body::Hello => self.members.greet(from),
-            Body::Swim(bytes) => self.members.hear(&bytes),
-            Body::Digest {
-                from: after,
-                last,
-                holds,
-                answer,
-            } => {
-                let parts = self
-                    .counts
-                    .lacks(&from.name, after.as_ref(), &holds, last, PARTS);
-                self.send_rows(&from, parts);
-                if answer {
-                    let body = Body::Digest {
-                        from: after.clone(),
-                        last,
-                        holds: self.span(after.as_ref(), &holds, last),
-                        answer: false,
-                    };
-                    self.send(&from, body);
-                }
+        self.received_datagrams += 1;
+        self.stale_since = None;
+        Ok(datagram)
+    }
+
+    fn on_datagram(&mut self, now: Micros, datagram: Datagram) {
+        let sender = datagram.sender;
+        match datagram.body {
+            DatagramBody::Hello => self.membership.announce(sender),
+            DatagramBody::Membership(bytes) => self.membership.on_message(&bytes),
+            DatagramBody::UsageDigest(digest) => self.on_usage_digest(&sender, digest),
+            DatagramBody::UsageDeltas(deltas) => self.on_usage_deltas(&sender, &deltas),
+            DatagramBody::UsageAcknowledged(version) => {
+                // No more than there is.
+                let version = version.min(self.counters.own_version());
+                self.peers.entry(&sender.name).on_acknowledged(version);
             }
-            Body::Rows(parts) => {
-                let newest = self.period(self.wall) + 1;
-                for part in &parts {
-                    self.counts.merge(part, newest);
-                    if let Delta::Life { life, .. } = part {
-                        self.replaced |=
-                            life.name == self.setup.me.name && life.no > self.setup.me.no;
-                    }
-                }
-                let life = from.life();
-                if parts
-                    .iter()
-                    .any(|p| matches!(p, Delta::Life { life: l, .. } if *l == life))
-                {
-                    let held = self.counts.holds_of(&life);
-                    self.send(&from, Body::Have(held));
+            DatagramBody::LeaseRequest(request) => {
+                let borrower = sender.incarnation();
+                let grant = self.quota_leases.on_lease_request(now, &borrower, &request);
+                if let Some(grant) = grant {
+                    self.send(&sender, DatagramBody::LeaseGrant(grant));
                 }
             }
-            Body::Have(version) => {
-                let version = version.min(self.counts.version()); // no more than there is
-                let peer = self.peers.entry(from.name).or_default();
-                peer.have = peer.have.max(version);
+            DatagramBody::LeaseGrant(grant) => {
+                self.quota_leases.on_lease_grant(now, &sender.name, &grant);
             }
-            Body::Ask(ask) => {
-                if let Some(grant) = self.rights.asked(now, &from.life(), &ask) {
-                    self.send(&from, Body::Grant(grant));
-                }
+            DatagramBody::Observations(observations) => {
+                self.outliers.on_observations(now, &observations);
             }
-            Body::Grant(grant) => self.rights.granted(now, &from.name, &grant),
-            Body::Words(words) => self.judge.hear(now, &words),
         }
-        self.after(now);
+        self.process_membership(now);
+    }
+
+    /// Answers a digest with what its sender lacks, and with a digest of the same interval if that is wanted.
+    fn on_usage_digest(&mut self, sender: &Member, digest: UsageDigest) {
+        let deltas = self
+            .counters
+            .deltas_for(&sender.name, &digest, DELTAS_PER_REPLY);
+        self.send_deltas(sender, deltas);
+        if digest.reply_wanted {
+            let reply = UsageDigest {
+                summaries: self.summaries_within(&digest),
+                reply_wanted: false,
+                ..digest
+            };
+            self.send(sender, DatagramBody::UsageDigest(reply));
+        }
     }
 
     /// What this member holds of the names that another's digest covers.
-    fn span(&self, after: Option<&Arc<str>>, theirs: &[Holds], last: bool) -> Vec<Holds> {
-        let upto = theirs.last().map(|h| &h.name);
-        let mut mine = self.counts.digest(after, theirs.len() + 8);
-        mine.retain(|h| last || upto.is_some_and(|u| h.name <= *u));
-        fit(&mut mine);
-        mine
-    }
-
-    /// Time has passed. `wall` is Unix time.
-    pub fn tick(&mut self, now: Micros, wall: Micros) {
-        self.wall = wall;
-        let lease = self.setup.terms.lease;
+    fn summaries_within(&self, digest: &UsageDigest) -> Vec<VersionSummary> {
+        let limit = digest.summaries.len() + EXTRA_SUMMARIES;
+        let mut summaries = self.counters.summaries(digest.after.as_ref(), limit);
+        summaries.retain(|summary| digest.covers(&summary.name));
+        truncate_to_datagram(&mut summaries);
+        summaries
+    }
+
+    /// Merges deltas, and acknowledges those of the sender's own counters.
+    fn on_usage_deltas(&mut self, sender: &Member, deltas: &[Delta]) {
+        let newest_period = self.period(self.wall_time) + 1;
+        let sender_incarnation = sender.incarnation();
+        let mut has_rows_of_sender = false;
+        for delta in deltas {
+            self.counters.merge(delta, newest_period);
+            if let Delta::Incarnation { incarnation, .. } = delta {
+                let local = &self.settings.local;
+                self.replaced |=
+                    incarnation.name == local.name && incarnation.number > local.number;
+                has_rows_of_sender |= *incarnation == sender_incarnation;
+            }
+        }
+        if has_rows_of_sender {
+            let version = self.counters.version_of(&sender_incarnation);
+            self.send(sender, DatagramBody::UsageAcknowledged(version));
+        }
+    }
+
+    /// Takes the current time; `wall_time` is Unix time.
+    pub fn tick(&mut self, now: Micros, wall_time: Micros) {
+        self.wall_time = wall_time;
+        self.update_staleness(now);
+        self.membership.tick(now);
+        self.quota_leases.tick(now);
+        self.outliers.tick(now);
+        if self.stale_since.is_none() {
+            let half_lease = self.settings.terms.lease / 2;
+            let valid_until = if self.replaced { 0 } else { now + half_lease };
+            for allowance in &self.quota_leases.allowances {
+                allowance.set_valid_until(valid_until);
+            }
+        }
+        if now >= self.next_gossip {
+            let interval = self.settings.gossip_interval;
+            let jitter = self.rng.random_range(0..=interval / 2);
+            self.next_gossip = now + interval * 3 / 4 + jitter;
+            self.run_gossip_round(now);
+        }
+        self.process_membership(now);
+    }
+
+    /// A member that was stopped may be declared dead by the others, so it is stale until it hears them again. One that
+    /// hears nobody goes on alone after a lease, with its own units.
+    fn update_staleness(&mut self, now: Micros) {
+        let lease = self.settings.terms.lease;
         if now.saturating_sub(self.last_tick) > lease / 2 {
-            self.stale = Some(now); // it was stopped: the others may think it dead
+            self.stale_since = Some(now);
         }
         self.last_tick = now;
-        // One that hears nobody goes on alone after a while, with what is its own.
+        let is_over = |since: Micros| now.saturating_sub(since) > lease;
+        if self.stale_since.is_some_and(is_over) {
+            self.stale_since = None;
+        }
+    }
+
+    /// Sends what the membership protocol has to send, and takes its events.
+    fn process_membership(&mut self, now: Micros) {
+        let output = self.membership.take_output(now);
+        for message in output.messages {
+            self.send(&message.to, DatagramBody::Membership(message.bytes));
+        }
+        for event in output.events {
+            match event {
+                MembershipEvent::DeclaredDead => self.declared_dead += 1,
+                MembershipEvent::Up(member) | MembershipEvent::Replaced(_, member) => {
+                    self.peers.on_member_up(now, &member);
+                }
+                MembershipEvent::Down(_) => {}
+            }
+        }
+    }
+
+    fn run_gossip_round(&mut self, now: Micros) {
+        self.gossip_rounds += 1;
+        let alive: Vec<Member> = self.membership.alive().cloned().collect();
+        for receiver in alive.iter().sample(&mut self.rng, DIGEST_RECEIVERS) {
+            self.send_digest(receiver);
+            self.send_observations(now, receiver);
+        }
+        self.call_missing_address(&alive);
+        let names: Vec<Arc<str>> = alive.iter().map(|member| member.name.clone()).collect();
+        for quota in 0..self.wanted_units.len() {
+            self.update_demand(quota);
+            let wanted = self.wanted_units[quota];
+            let requests = self.quota_leases.request_units(now, quota, wanted, &names);
+            self.send_lease_requests(&alive, requests);
+        }
         if self
-            .stale
-            .is_some_and(|since| now.saturating_sub(since) > lease)
+            .gossip_rounds
+            .is_multiple_of(COMPACTION_INTERVAL_ROUNDS)
         {
-            self.stale = None;
+            self.compact_counters(now);
         }
-        self.members.tick(now);
-        self.rights.tick(now);
-        self.judge.tick(now);
-        if self.stale.is_none() {
-            self.rights
-                .pockets
-                .iter()
-                .for_each(|p| p.refresh(if self.replaced { 0 } else { now + lease / 2 }));
+        self.send_own_usage(now);
+    }
+
+    /// Sends a digest of the names behind the cursor, which moves on.
+    fn send_digest(&mut self, receiver: &Member) {
+        let after = self.digest_cursor.take();
+        let mut summaries = self
+            .counters
+            .summaries(after.as_ref(), SUMMARIES_PER_DIGEST);
+        let reaches_end = summaries.len() < SUMMARIES_PER_DIGEST;
+        let last = truncate_to_datagram(&mut summaries) && reaches_end;
+        if !last {
+            self.digest_cursor = summaries.last().map(|summary| summary.name.clone());
         }
-        if now >= self.next_gossip {
-            let gossip = self.setup.gossip;
-            self.next_gossip = now + gossip * 3 / 4 + self.rng.random_range(0..=gossip / 2);
-            self.round(now);
+        let digest = UsageDigest {
+            after,
+            last,
+            summaries,
+            reply_wanted: true,
+        };
+        self.send(receiver, DatagramBody::UsageDigest(digest));
+    }
+
+    fn send_observations(&mut self, now: Micros, receiver: &Member) {
+        let observations = self
+            .outliers
+            .observations_to_share(now, OBSERVATIONS_PER_MESSAGE);
+        if !observations.is_empty() {
+            self.send(receiver, DatagramBody::Observations(observations));
         }
-        self.after(now);
     }
 
-    /// What foca has to say goes out.
-    fn after(&mut self, now: Micros) {
-        let (send, news) = self.members.take(now);
-        for (to, bytes) in send {
-            self.send(&to, Body::Swim(bytes));
+    /// Calls one address of the settings at which no member is known.
+    fn call_missing_address(&mut self, alive: &[Member]) {
+        let own = self.settings.address;
+        let is_known = |address: &SocketAddr| {
+            *address == own || alive.iter().any(|member| member.address == *address)
+        };
+        let missing = self
+            .settings
+            .join_addresses
+            .iter()
+            .filter(|address| !is_known(address));
+        let Some(address) = missing.choose(&mut self.rng).copied() else {
+            return;
+        };
+        if alive.is_empty() || self.gossip_rounds.is_multiple_of(HELLO_INTERVAL_ROUNDS) {
+            let sender = self.membership.local();
+            self.outbox.send(sender, address, DatagramBody::Hello);
         }
-        for news in news {
-            match news {
-                News::ThoughtDead => self.thought_dead += 1,
-                // A new life begins from nothing: it holds no copy, and what it lent before ends by itself.
-                News::Up(m) | News::Renamed(_, m) => {
-                    let peer = self.peers.entry(m.name.clone()).or_default();
-                    if m.no > peer.no {
-                        *peer = Peer {
-                            no: m.no,
-                            heard: now,
-                            ..Peer::default()
-                        };
-                    }
-                }
-                News::Down(_) => {}
+    }
+
+    /// Estimates how many units of a quota the data path would have in use: more by what was denied, at most by half of
+    /// what is held at a time; else what is in use, approached by a tenth at a time.
+    fn update_demand(&mut self, quota: usize) {
+        let allowance = &self.quota_leases.allowances[quota];
+        let held = allowance.held().total();
+        let in_use = allowance.in_use();
+        let denied = allowance.take_denied();
+        let wanted = self.wanted_units[quota];
+        self.wanted_units[quota] = if denied == 0 {
+            in_use.max(wanted.saturating_sub(wanted.div_ceil(10)))
+        } else {
+            let more = denied.min(held / 2 + 4);
+            (held.max(in_use) + more).min(self.settings.terms.quotas[quota].units)
+        };
+    }
+
+    fn send_lease_requests(&mut self, alive: &[Member], requests: Vec<OutboundRequest>) {
+        for outbound in requests {
+            let lender = alive.iter().find(|member| member.name == outbound.lender);
+            if let Some(lender) = lender {
+                self.send(lender, DatagramBody::LeaseRequest(outbound.request));
             }
         }
     }
 
-    pub(crate) fn send_rows(&mut self, to: &Member, parts: Vec<Delta>) {
-        let mut frame = Vec::new();
-        let mut bytes = 0;
-        for part in parts {
-            let size = postcard::to_stdvec(&part).map_or(ROOM, |b| b.len());
-            if bytes + size > ROOM && !frame.is_empty() {
-                self.send(to, Body::Rows(std::mem::take(&mut frame)));
-                bytes = 0;
-            }
-            bytes += size;
-            frame.push(part);
+    fn compact_counters(&mut self, now: Micros) {
+        let others = self.peers.heard_within(now, self.settings.forget_after);
+        let delay = self.settings.gossip_interval * COMPACTION_DELAY_ROUNDS;
+        self.counters.compact(now, delay, &others);
+        self.counters.drop_old_periods();
+    }
+
+    /// Sends own usage counters to the members that are to hold them, as far as those lack any.
+    pub fn send_own_usage(&mut self, now: Micros) {
+        let own_version = self.counters.own_version();
+        let needs_copies = self.settings.required_copies > 0 || self.handing_over;
+        if own_version == 0 || !needs_copies {
+            return;
         }
-        if !frame.is_empty() {
-            self.send(to, Body::Rows(frame));
+        let answer_time = self.settings.gossip_interval / 2;
+        for member in self.ring_successors() {
+            let peer = self.peers.entry(&member.name);
+            if let Some(from) = peer.version_to_send_from(now, answer_time, own_version) {
+                let deltas = self.counters.own_deltas_since(from);
+                self.send_deltas(&member, deltas);
+            }
         }
     }
 
-    pub(crate) fn send(&mut self, to: &Member, body: Body) {
-        self.send_to(to.addr, body);
+    /// The members that succeed this one in the ring of names, one more than the required copies.
+    fn ring_successors(&self) -> Vec<Member> {
+        let mut alive: Vec<&Member> = self.membership.alive().collect();
+        alive.sort_by(|a, b| a.name.cmp(&b.name));
+        let position = alive.partition_point(|member| member.name <= self.settings.local.name);
+        let (before, behind) = alive.split_at(position);
+        behind
+            .iter()
+            .chain(before)
+            .take(self.settings.required_copies + 1)
+            .map(|member| (*member).clone())
+            .collect()
     }
 
-    pub(crate) fn send_to(&mut self, addr: SocketAddr, body: Body) {
-        let frame = Frame {
-            from: self.members.me().clone(),
-            body,
+    /// The version of the own usage counters that enough other members hold, of those not declared dead.
+    pub fn replicated_version(&self) -> u64 {
+        let copies = if cfg!(feature = "mutant-copies") {
+            0
+        } else {
+            self.settings.required_copies
         };
-        if let Some(bytes) = self.sealer.seal(&frame) {
-            self.sent = (self.sent.0 + bytes.len() as u64, self.sent.1 + 1);
-            self.out.push((addr, bytes));
+        if copies == 0 {
+            return self.counters.own_version();
         }
+        let is_alive = |name: &Arc<str>| self.membership.alive().any(|m| m.name == *name);
+        self.peers.replicated_version(copies, is_alive)
+    }
+
+    fn send_deltas(&mut self, to: &Member, deltas: Vec<Delta>) {
+        let sender = self.membership.local();
+        self.outbox.send_deltas(sender, to.address, deltas);
+    }
+
+    fn send(&mut self, to: &Member, body: DatagramBody) {
+        let sender = self.membership.local();
+        self.outbox.send(sender, to.address, body);
     }
 
-    /// Frames to be sent, and where to.
-    pub fn take_out(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
-        std::mem::take(&mut self.out)
+    /// Takes the datagrams that are to be sent.
+    pub fn take_outbound(&mut self) -> Vec<OutboundDatagram> {
+        self.outbox.take()
     }
 
-    /// Takes a member for one that was not heard for as long as the file says.
-    pub fn forget_now(&mut self, name: &str) {
+    /// Takes a member for one that was not heard for [`FleetSettings::forget_after`].
+    pub fn forget_member(&mut self, name: &str) {
         self.peers.remove(name);
     }
 
-    /// This life is about to end: its counts go to another member, whether copies are wanted or not.
-    pub fn hand_over(&mut self) {
-        self.ending = true;
+    /// This incarnation is about to end: its counters go to another member, whether copies are required or not.
+    pub fn start_handover(&mut self) {
+        self.handing_over = true;
     }
 
-    /// Another member holds all of its counts, or there is none that could.
-    pub fn handed_over(&self) -> bool {
-        let version = self.counts.version();
-        let (mut alive, least) = (self.members.alive().peekable(), self.setup.copies.max(1));
-        let holds = |m: &&Member| self.peers.get(&m.name).is_some_and(|p| p.have >= version);
-        version == 0 || alive.peek().is_none() || alive.filter(holds).count() >= least
+    /// Whether enough other members hold all own counters, or there is none that could.
+    pub fn handover_complete(&self) -> bool {
+        let own_version = self.counters.own_version();
+        if own_version == 0 {
+            return true;
+        }
+        let mut alive = 0;
+        let mut holders = 0;
+        for member in self.membership.alive() {
+            alive += 1;
+            let peer = self.peers.get(&member.name);
+            let holds_all = peer.is_some_and(|peer| peer.acknowledged_version >= own_version);
+            holders += usize::from(holds_all);
+        }
+        alive == 0 || holders >= self.settings.required_copies.max(1)
     }
 
-    /// Says good-bye.
+    /// Leaves the fleet.
     pub fn leave(&mut self, now: Micros) {
-        self.members.leave();
-        self.after(now);
+        self.membership.leave();
+        self.process_membership(now);
     }
 
-    /// When it wants to be told the time at the latest.
-    pub fn next_due(&self) -> Micros {
-        self.members
-            .next_due()
-            .map_or(self.next_gossip, |d| d.min(self.next_gossip))
+    /// When [`FleetNode::tick`] is to be called at the latest.
+    pub fn next_deadline(&self) -> Micros {
+        self.membership
+            .next_deadline()
+            .map_or(self.next_gossip, |due| due.min(self.next_gossip))
     }
 
-    /// The tally.
-    pub fn tally(&self) -> Tally {
-        self.counts.tally()
+    /// Whether a later incarnation of this name is there: this process is not to go on.
+    pub fn is_replaced(&self) -> bool {
+        self.replaced
+    }
+
+    /// The usage totals of the fleet, as this member has them.
+    pub fn totals(&self) -> UsageTotals {
+        self.counters.totals()
     }
-}
 
-/// Leaves as many as fit into a frame; whether all did.
-pub(crate) fn fit(holds: &mut Vec<Holds>) -> bool {
-    let mut bytes = 0;
-    let size = |h: &Holds| postcard::to_stdvec(h).map_or(ROOM, |b| b.len());
-    let n = holds
-        .iter()
-        .take_while(|h| {
-            bytes += size(h);
-            bytes <= ROOM
-        })
-        .count();
-    let all = n == holds.len();
-    holds.truncate(n);
-    all
+    /// The state of this member, for operators.
+    pub fn status(&self, now: Micros) -> FleetStatus {
+        let size = self.counters.size();
+        let mut rejected_datagrams: BTreeMap<String, u64> = BTreeMap::new();
+        for (error, count) in &self.rejected_datagrams {
+            *rejected_datagrams.entry(error.to_string()).or_default() += count;
+        }
+        FleetStatus {
+            name: self.settings.local.name.to_string(),
+            incarnation: self.settings.local.number,
+            replaced: self.replaced,
+            stale: self.stale_since.is_some(),
+            declared_dead: self.declared_dead,
+            membership_changes: self.membership.changes(),
+            members: self.member_statuses(now),
+            quotas: self.quota_statuses(),
+            share_received: self.quota_leases.share_received(),
+            digest: self.counters.totals().digest,
+            incarnations: size.incarnations,
+            rows: size.rows,
+            rejected_late: self.counters.rejected_late(),
+            observations: self.outliers.len(),
+            received_datagrams: self.received_datagrams,
+            rejected_datagrams,
+            sent_bytes: self.outbox.sent_bytes(),
+            sent_datagrams: self.outbox.sent_datagrams(),
+        }
+    }
+
+    fn member_statuses(&self, now: Micros) -> Vec<MemberStatus> {
+        let own_version = self.counters.own_version();
+        let mut members = Vec::new();
+        for (member, health) in self.membership.all() {
+            let peer = self.peers.get(&member.name);
+            let last_heard = peer.map(|peer| peer.last_heard).filter(|time| *time > 0);
+            let acknowledged = peer.map_or(0, |peer| peer.acknowledged_version);
+            members.push(MemberStatus {
+                name: member.name.to_string(),
+                incarnation: member.number,
+                health,
+                silent_ms: last_heard.map(|time| now.saturating_sub(time) / 1_000),
+                lag: own_version.saturating_sub(acknowledged),
+            });
+        }
+        members.sort_by(|a, b| a.name.cmp(&b.name));
+        members
+    }
+
+    fn quota_statuses(&self) -> Vec<QuotaStatus> {
+        let quotas = self.quota_leases.terms().quotas.iter();
+        quotas
+            .zip(&self.quota_leases.allowances)
+            .enumerate()
+            .map(|(index, (quota, allowance))| {
+                let held = allowance.held();
+                QuotaStatus {
+                    name: quota.name.to_string(),
+                    units: quota.units,
+                    own: held.own,
+                    borrowed: held.borrowed,
+                    in_use: allowance.in_use(),
+                    lent: self.quota_leases.lent(index),
+                    borrowed_from: self.quota_leases.borrowed(index),
+                }
+            })
+            .collect()
+    }
 }
--- a/crates/fleet/tests/encoded.rs
+++ b/crates/fleet/tests/encoded.rs
@@ -7,14 +7,16 @@
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use streamusher_fleet::counts::{Counts, Delta, Holds};
-use streamusher_fleet::frame::{Bad, Body, Frame, Sealer};
-use streamusher_fleet::judge::{Fault, Verdict, Word};
-use streamusher_fleet::members::{Member, Standing};
-use streamusher_fleet::rights::{Ask, Budget, Grant, Terms};
-use streamusher_fleet::show::{Held, Seen, Show};
-use streamusher_fleet::units::{Key, Unit, Units, NAMES};
-use streamusher_fleet::Life;
+use streamusher_fleet::datagram::{Datagram, DatagramBody, DatagramCodec, DatagramError};
+use streamusher_fleet::membership::{Member, MemberHealth};
+use streamusher_fleet::outlier::{Ejection, Observation, WorkerFault, WorkerIncarnation};
+use streamusher_fleet::quota::{LeaseGrant, LeaseRequest, LoanStatus, Quota, QuotaTerms};
+use streamusher_fleet::status::{FleetStatus, MemberStatus, QuotaStatus};
+use streamusher_fleet::usage::{UsageKey, UsageMetric, UsageValues, METRIC_NAMES};
+use streamusher_fleet::usage_counters::{
+    BaseRow, Delta, IncarnationVersion, UsageCounters, UsageDigest, VersionSummary, VersionedRow,
+};
+use streamusher_fleet::Incarnation;
 use world::{World, MS, SECOND};
 
 const DATAGRAMS: &str = include_str!("fixtures/encoded/datagrams.txt");
@@ -24,41 +26,47 @@
     Arc::from(text)
 }
 
-fn key(period: u32, tenant: &str) -> Key {
-    Key {
+fn key(period: u32, tenant: &str) -> UsageKey {
+    UsageKey {
         period,
         tenant: name(tenant),
     }
 }
 
-fn units() -> Units {
-    Units([1, 2, 3, 4, 5, 6, 7, 8, 900, u64::MAX])
+fn units() -> UsageValues {
+    UsageValues([1, 2, 3, 4, 5, 6, 7, 8, 900, u64::MAX])
 }
 
-fn word(seq: u64, fault: Option<Fault>) -> Word {
-    Word {
-        worker: (name("worker-1"), 1_790_000_000_123),
-        author: Life::new("b", 8),
-        seq,
+fn observation(sequence: u64, fault: Option<WorkerFault>) -> Observation {
+    Observation {
+        worker: WorkerIncarnation {
+            name: name("worker-1"),
+            started_ms: 1_790_000_000_123,
+        },
+        observer: Incarnation::new("b", 8),
+        sequence,
         fault,
         weight: 60,
-        left_ms: 9_000,
+        remaining_ms: 9_000,
     }
 }
 
-fn digests() -> Vec<(&'static str, Body)> {
-    let holds = |lives| Holds {
+fn digests() -> Vec<(&'static str, DatagramBody)> {
+    let summaries = |incarnations| VersionSummary {
         name: name("c"),
-        upto: 6,
-        mark: 0xdead_beef,
-        lives,
+        compacted_up_to: 6,
+        base_checksum: 0xdead_beef,
+        incarnations,
     };
-    let digest = |from, last, holds, answer| Body::Digest {
-        from,
-        last,
-        holds,
-        answer,
+    let digest = |after, last, summaries, reply_wanted| {
+        DatagramBody::UsageDigest(UsageDigest {
+            after,
+            last,
+            summaries,
+            reply_wanted,
+        })
     };
+    let version = |number, version| IncarnationVersion { number, version };
     vec![
         ("digest_empty", digest(None, true, vec![], true)),
         (
@@ -66,70 +74,80 @@
             digest(
                 Some(name("b")),
                 false,
-                vec![holds(vec![]), holds(vec![(7, 300), (9, 1)])],
+                vec![
+                    summaries(vec![]),
+                    summaries(vec![version(7, 300), version(9, 1)]),
+                ],
                 false,
             ),
         ),
     ]
 }
 
-fn bodies() -> Vec<(&'static str, Body)> {
+fn bodies() -> Vec<(&'static str, DatagramBody)> {
     let mut all = vec![
-        ("hello", Body::Hello),
-        ("swim", Body::Swim(vec![1, 2, 255])),
+        ("hello", DatagramBody::Hello),
+        ("swim", DatagramBody::Membership(vec![1, 2, 255])),
     ];
     all.extend(digests());
     all.extend([
         (
             "rows_of_a_life",
-            Body::Rows(vec![Delta::Life {
-                life: Life::new("c", 7),
+            DatagramBody::UsageDeltas(vec![Delta::Incarnation {
+                incarnation: Incarnation::new("c", 7),
                 after: 1,
-                upto: 300,
-                rows: vec![(key(3, "tenant-1"), 299, units())],
+                up_to: 300,
+                rows: vec![VersionedRow {
+                    key: key(3, "tenant-1"),
+                    version: 299,
+                    values: units(),
+                }],
             }]),
         ),
         (
             "rows_of_a_base",
-            Body::Rows(vec![Delta::Base {
+            DatagramBody::UsageDeltas(vec![Delta::Base {
                 name: name("c"),
-                first: 5,
-                upto: 6,
-                total: 1,
-                rows: vec![(key(2, ""), units())],
+                first_incarnation: 5,
+                up_to: 6,
+                total_rows: 1,
+                rows: vec![BaseRow {
+                    key: key(2, ""),
+                    values: units(),
+                }],
             }]),
         ),
-        ("have", Body::Have(1_000)),
+        ("have", DatagramBody::UsageAcknowledged(1_000)),
         (
             "ask",
-            Body::Ask(Ask {
+            DatagramBody::LeaseRequest(LeaseRequest {
                 terms: 1,
-                budget: 2,
-                seq: 3,
-                at: 4_000,
-                keeps: 5,
-                wants: 6,
+                quota: 2,
+                sequence: 3,
+                sent_at: 4_000,
+                kept_units: 5,
+                wanted_units: 6,
             }),
         ),
         (
             "grant",
-            Body::Grant(Grant {
+            DatagramBody::LeaseGrant(LeaseGrant {
                 terms: 1,
-                budget: 2,
-                seq: 3,
-                at: 4_000,
+                quota: 2,
+                sequence: 3,
+                sent_at: 4_000,
                 units: 5,
-                spare: 6,
+                spare_units: 6,
             }),
         ),
         (
             "words",
-            Body::Words(vec![
-                word(1, None),
-                word(2, Some(Fault::Slow)),
-                word(3, Some(Fault::Failing)),
-                word(4, Some(Fault::Cold)),
-                word(5, Some(Fault::Full)),
+            DatagramBody::Observations(vec![
+                observation(1, None),
+                observation(2, Some(WorkerFault::Slow)),
+                observation(3, Some(WorkerFault::Failing)),
+                observation(4, Some(WorkerFault::Cold)),
+                observation(5, Some(WorkerFault::Full)),
             ]),
         ),
     ]);
@@ -139,7 +157,7 @@
 fn senders() -> [Member; 2] {
     let address = |text: &str| text.parse().expect("an address");
     let mut renewed = Member::new("a-6", 1_790_000_000_000_001, address("[2001:db8::1]:7000"));
-    renewed.raised = 3;
+    renewed.renewals = 3;
     [Member::new("a", 7, address("10.0.0.1:7000")), renewed]
 }
 
@@ -159,152 +177,178 @@
 
 #[test]
 fn encoded_forms_are_as_recorded() {
-    let sealer = Sealer::new([7; 32]);
+    let codec = DatagramCodec::new([7; 32]);
     let mut lines = String::new();
-    for (i, from) in senders().into_iter().enumerate() {
+    for (i, sender) in senders().into_iter().enumerate() {
         for (label, body) in bodies() {
-            let from = from.clone();
-            let sealed = sealer.seal(&Frame { from, body }).expect("it fits");
+            let sender = sender.clone();
+            let sealed = codec.encode(&Datagram { sender, body }).expect("it fits");
             lines += &format!("{label}_{i} {}\n", hex(&sealed));
         }
     }
     assert_eq!(lines, DATAGRAMS);
     let mut recorded = DATAGRAMS.lines();
-    for from in senders() {
+    for sender in senders() {
         for (label, body) in bodies() {
             let (_, text) = recorded
                 .next()
                 .expect("a line")
                 .split_once(' ')
                 .expect("two columns");
-            let from = from.clone();
+            let sender = sender.clone();
             assert_eq!(
-                sealer.open(&bytes(text)),
-                Ok(Frame { from, body }),
+                codec.decode(&bytes(text)),
+                Ok(Datagram { sender, body }),
                 "{label}"
             );
         }
     }
 }
 
-fn status(members: Vec<Seen>, budgets: Vec<Held>, bad: BTreeMap<String, u64>) -> Show {
-    Show {
+fn status(
+    members: Vec<MemberStatus>,
+    quotas: Vec<QuotaStatus>,
+    rejected_datagrams: BTreeMap<String, u64>,
+) -> FleetStatus {
+    FleetStatus {
         name: "a".into(),
-        life: 7,
+        incarnation: 7,
         replaced: false,
         stale: true,
-        thought_dead: 1,
+        declared_dead: 1,
         membership_changes: 2,
         members,
-        budgets,
-        seated: true,
+        quotas,
+        share_received: true,
         digest: "0123456789abcdef".into(),
-        lives: 3,
+        incarnations: 3,
         rows: 4,
-        refused_late: 5,
+        rejected_late: 5,
         observations: 6,
-        frames: 8,
-        bad,
+        received_datagrams: 8,
+        rejected_datagrams,
         sent_bytes: 9,
-        sent_frames: 10,
+        sent_datagrams: 10,
     }
 }
 
-fn full_status() -> Show {
-    let member = |standing, silent_ms| Seen {
+fn full_status() -> FleetStatus {
+    let member = |health, silent_ms| MemberStatus {
         name: "b".into(),
-        life: 8,
-        standing,
+        incarnation: 8,
+        health,
         silent_ms,
         lag: 9,
     };
-    let budget = Held {
+    let loan = |member: &str, units| LoanStatus {
+        member: member.into(),
+        units,
+    };
+    let quota = QuotaStatus {
         name: "tenant-1".into(),
         units: 10,
         own: 1,
         borrowed: 2,
-        used: 3,
-        lent: vec![("c/9".into(), 4)],
-        from: vec![("b".into(), 2)],
+        in_use: 3,
+        lent: vec![loan("c/9", 4)],
+        borrowed_from: vec![loan("b", 2)],
     };
     let causes = [
-        Bad::Cut,
-        Bad::Foreign,
-        Bad::Version(2),
-        Bad::Spoilt,
-        Bad::Unreadable,
-        Bad::EarlierLife,
-        Bad::Clock,
+        DatagramError::Truncated,
+        DatagramError::ForeignFleet,
+        DatagramError::UnsupportedVersion(2),
+        DatagramError::BadMac,
+        DatagramError::Malformed,
+        DatagramError::StaleIncarnation,
+        DatagramError::ClockAhead,
     ];
     status(
         vec![
-            member(Standing::Alive, Some(11)),
-            member(Standing::Suspect, None),
-            member(Standing::Down, Some(0)),
+            member(MemberHealth::Alive, Some(11)),
+            member(MemberHealth::Suspect, None),
+            member(MemberHealth::Down, Some(0)),
         ],
-        vec![budget],
-        causes.iter().map(|bad| (bad.to_string(), 1)).collect(),
+        vec![quota],
+        causes.iter().map(|error| (error.to_string(), 1)).collect(),
     )
 }
 
-fn terms_mark() -> u64 {
-    Terms {
-        seats: vec![name("a"), name("b")],
-        budgets: vec![
-            Budget {
+fn terms_fingerprint() -> u64 {
+    QuotaTerms {
+        member_names: vec![name("a"), name("b")],
+        quotas: vec![
+            Quota {
                 name: name("tenant-1"),
                 units: 10,
             },
-            Budget {
+            Quota {
                 name: name("tenant-2"),
                 units: 7,
             },
         ],
-        floor: 1,
+        unlent_floor: 1,
         lease: 2_000_000,
-        hold: 300_000,
+        max_use: 300_000,
         margin: 50_000,
     }
-    .mark()
+    .fingerprint()
 }
 
-/// Counts of two incarnations of `a` and one of `b`, the first of `a` folded into its base, with its digest's mark.
-fn folded_counts() -> Counts {
-    let mut first = Counts::new(Life::new("a", 1));
-    first.raise(key(1, "tenant-1"), &Units::one(Unit::Served, 5));
-    let mut second = Counts::new(Life::new("a", 2));
-    second.raise(key(2, "tenant-2"), &Units::one(Unit::Failed, 3));
-    let mut other = Counts::new(Life::new("b", 9));
-    other.raise(key(1, "tenant-1"), &Units::one(Unit::Attempts, 2));
-    for delta in first.own_since(0).iter().chain(&second.own_since(0)) {
+/// Counters of two incarnations of `a` and one of `b`, the first of `a` compacted into its base.
+fn compacted_counters() -> UsageCounters {
+    let mut first = UsageCounters::new(Incarnation::new("a", 1));
+    first.increment(
+        key(1, "tenant-1"),
+        &UsageValues::single(UsageMetric::Served, 5),
+    );
+    let mut second = UsageCounters::new(Incarnation::new("a", 2));
+    second.increment(
+        key(2, "tenant-2"),
+        &UsageValues::single(UsageMetric::Failed, 3),
+    );
+    let mut other = UsageCounters::new(Incarnation::new("b", 9));
+    other.increment(
+        key(1, "tenant-1"),
+        &UsageValues::single(UsageMetric::Attempts, 2),
+    );
+    for delta in first
+        .own_deltas_since(0)
+        .iter()
+        .chain(&second.own_deltas_since(0))
+    {
         other.merge(delta, 9);
     }
-    assert_eq!(other.fold(0, 0, &[]), 1);
+    assert_eq!(other.compact(0, 0, &[]), 1);
     other
 }
 
 #[test]
 fn status_and_digests_are_as_recorded() {
-    let counts = folded_counts();
-    let tally = counts.tally();
-    let verdict = Verdict {
+    let counters = compacted_counters();
+    let totals = counters.totals();
+    let verdict = Ejection {
         worker: name("worker-1"),
-        fault: Fault::Failing,
+        fault: WorkerFault::Failing,
         weight: 150,
-        authors: 3,
+        observers: 3,
     };
-    let faults = [Fault::Slow, Fault::Failing, Fault::Cold, Fault::Full];
+    let faults = [
+        WorkerFault::Slow,
+        WorkerFault::Failing,
+        WorkerFault::Cold,
+        WorkerFault::Full,
+    ];
     let lines = [
         json(&status(vec![], vec![], BTreeMap::new())),
         json(&full_status()),
         json(&verdict),
         json(&faults),
-        json(&word(1, None).worker),
-        json(&NAMES),
-        Life::new("a", 7).to_string(),
-        format!("terms {:016x}", terms_mark()),
-        format!("tally {} {}", tally.since, tally.digest),
-        hex(&postcard::to_stdvec(&counts.digest(None, 9)).expect("encodable")),
+        json(&observation(1, None).worker),
+        json(&METRIC_NAMES),
+        Incarnation::new("a", 7).to_string(),
+        format!("terms {:016x}", terms_fingerprint()),
+        format!("tally {} {}", totals.since, totals.digest),
+        hex(&postcard::to_stdvec(&counters.summaries(None, 9)).expect("encodable")),
     ];
     assert_eq!(lines.join("\n") + "\n", STATUS);
 }
@@ -326,7 +370,7 @@
     let status: Vec<String> = world
         .members
         .iter()
-        .map(|member| json(&member.node.show(world.now)))
+        .map(|member| json(&member.node.status(world.now)))
         .collect();
     assert_eq!(
         (
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/quota_model.rs
@@ -4,8 +4,11 @@
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 use std::sync::Arc;
-use streamusher_fleet::rights::{Ask, Budget, Grant, Pocket, Rights, Terms};
-use streamusher_fleet::{Life, Micros};
+use streamusher_fleet::allowance::{Allowance, HeldUnits};
+use streamusher_fleet::quota::{
+    LeaseGrant, LeaseRequest, OutboundRequest, Quota, QuotaLeases, QuotaTerms,
+};
+use streamusher_fleet::{Incarnation, Micros};
 
 /// A purse without atomics, which knows its clock.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -16,49 +19,52 @@
     until: Micros,
 }
 
-impl Pocket for Plain {
-    fn used(&self) -> u64 {
+impl Allowance for Plain {
+    fn in_use(&self) -> u64 {
         self.used
     }
-    fn rights(&self) -> (u64, u64) {
-        (self.own, self.borrowed)
+    fn held(&self) -> HeldUnits {
+        HeldUnits {
+            own: self.own,
+            borrowed: self.borrowed,
+        }
     }
-    fn grow(&mut self, own: u64, borrowed: u64, until: Micros) {
-        assert!(own >= self.own && borrowed >= self.borrowed);
-        (self.own, self.borrowed, self.until) = (own, borrowed, until);
+    fn grow(&mut self, held: HeldUnits, until: Micros) {
+        assert!(held.own >= self.own && held.borrowed >= self.borrowed);
+        (self.own, self.borrowed, self.until) = (held.own, held.borrowed, until);
     }
-    fn take_own(&mut self, most: u64) -> u64 {
+    fn reclaim_own(&mut self, most: u64) -> u64 {
         let taken = most.min(self.own.saturating_sub(self.used));
         self.own -= taken;
         taken
     }
-    fn take_borrowed(&mut self, most: u64) -> u64 {
+    fn reclaim_borrowed(&mut self, most: u64) -> u64 {
         let taken = most
             .min(self.borrowed)
             .min((self.own + self.borrowed).saturating_sub(self.used));
         self.borrowed -= taken;
         taken
     }
-    fn end_borrowed(&mut self, left: u64, until: Micros) {
+    fn expire_borrowed(&mut self, left: u64, until: Micros) {
         (self.borrowed, self.until) = (left, until);
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Frame {
-    Ask(Ask),
-    Grant(Grant),
+    LeaseRequest(LeaseRequest),
+    LeaseGrant(LeaseGrant),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: Micros,
-    members: Vec<Rights<Plain>>,
+    members: Vec<QuotaLeases<Plain>>,
     /// Jobs in hand at the workers, whoever lives: member, budget, end. One of a life that is gone has none.
     jobs: Vec<(Option<usize>, usize, Micros)>,
     /// Frames on their way stay there: each may come late, again, or never.
-    frames: BTreeSet<(usize, usize, Life, Frame)>,
-    lives: Vec<u64>,
+    frames: BTreeSet<(usize, usize, Incarnation, Frame)>,
+    incarnations: Vec<u64>,
     paused: Option<usize>,
     crashes: u8,
     pauses: u8,
@@ -67,7 +73,7 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     Want(usize, usize, u64),
-    Deliver(usize, usize, Life, Frame),
+    Deliver(usize, usize, Incarnation, Frame),
     Spend(usize, usize),
     /// The time goes on by one; members that run look at their clocks.
     Tick,
@@ -77,7 +83,7 @@
 }
 
 struct Fleet {
-    terms: Arc<Terms>,
+    terms: Arc<QuotaTerms>,
     until: Micros,
     /// The borrower's lease is not looked at: this must be found. To go deep enough one budget is looked at alone, and
     /// nobody crashes.
@@ -90,16 +96,16 @@
 
 impl Fleet {
     fn new(until: Micros, without_lease: bool) -> Fleet {
-        let budget = |n: &str, units| Budget {
+        let quota = |n: &str, units| Quota {
             name: Arc::from(n),
             units,
         };
-        let terms = Terms {
-            seats: vec![name(0), name(1)],
-            budgets: vec![budget("t0", 2), budget("t1", 1)],
-            floor: 0,
+        let terms = QuotaTerms {
+            member_names: vec![name(0), name(1)],
+            quotas: vec![quota("t0", 2), quota("t1", 1)],
+            unlent_floor: 0,
             lease: 2,
-            hold: 1,
+            max_use: 1,
             margin: 1,
         };
         Fleet {
@@ -109,9 +115,12 @@
         }
     }
 
-    fn life(&self, i: usize, no: u64, now: Micros) -> Rights<Plain> {
-        Rights::new(
-            Life { name: name(i), no },
+    fn incarnation(&self, i: usize, number: u64, now: Micros) -> QuotaLeases<Plain> {
+        QuotaLeases::new(
+            Incarnation {
+                name: name(i),
+                number,
+            },
             self.terms.clone(),
             vec![Plain::default(); 2],
             now,
@@ -125,8 +134,9 @@
 
     fn init_states(&self) -> Vec<State> {
         // As if all had started long ago: the parts are in.
-        let mut members: Vec<Rights<Plain>> = (0..3).map(|i| self.life(i, 1, 0)).collect();
-        let now = self.terms.away();
+        let mut members: Vec<QuotaLeases<Plain>> =
+            (0..3).map(|i| self.incarnation(i, 1, 0)).collect();
+        let now = self.terms.loan_recovery_time();
         members.iter_mut().for_each(|m| m.tick(now));
         let (jobs, frames) = (Vec::new(), BTreeSet::new());
         vec![State {
@@ -134,22 +144,22 @@
             members,
             jobs,
             frames,
-            lives: vec![1; 3],
+            incarnations: vec![1; 3],
             paused: None,
             crashes: 0,
             pauses: 0,
         }]
     }
 
-    fn actions(&self, s: &State, out: &mut Vec<Step>) {
+    fn actions(&self, s: &State, outbox: &mut Vec<Step>) {
         let runs = |i: &usize| s.paused != Some(*i);
-        if s.now < self.terms.away() + self.until {
-            out.push(Step::Tick);
+        if s.now < self.terms.loan_recovery_time() + self.until {
+            outbox.push(Step::Tick);
         }
         for i in (0..3).filter(runs) {
             // Member 2 has no seat, all it spends is borrowed; member 1 only lends, and member 0 does both.
             if s.frames.len() < 2 {
-                out.extend(match i {
+                outbox.extend(match i {
                     0 if !self.without_lease => vec![Step::Want(0, 0, 2)],
                     0 | 1 => vec![],
                     _ if self.without_lease => vec![Step::Want(2, 0, 2)],
@@ -160,17 +170,17 @@
                     ],
                 });
             }
-            out.extend((0..2 - usize::from(self.without_lease)).map(|b| Step::Spend(i, b)));
+            outbox.extend((0..2 - usize::from(self.without_lease)).map(|b| Step::Spend(i, b)));
             if s.crashes == 0 && i != 1 && !self.without_lease {
-                out.push(Step::Crash(i));
+                outbox.push(Step::Crash(i));
             }
             if s.pauses == 0 && i == 2 {
-                out.push(Step::Pause(i));
+                outbox.push(Step::Pause(i));
             }
         }
-        out.extend(s.paused.map(|_| Step::Wake));
-        let there = |(_, to, _, _): &&(usize, usize, Life, Frame)| runs(to);
-        out.extend(
+        outbox.extend(s.paused.map(|_| Step::Wake));
+        let there = |(_, to, _, _): &&(usize, usize, Incarnation, Frame)| runs(to);
+        outbox.extend(
             s.frames
                 .iter()
                 .filter(there)
@@ -183,46 +193,50 @@
         let mut s = last.clone();
         let others = |i: usize| -> Vec<Arc<str>> { (0..3).filter(|j| *j != i).map(name).collect() };
         match step {
-            Step::Want(i, budget, n) => {
-                let life = Life {
+            Step::Want(i, quota, n) => {
+                let incarnation = Incarnation {
                     name: name(i),
-                    no: s.lives[i],
+                    number: s.incarnations[i],
                 };
-                for (to, ask) in s.members[i].want(s.now, budget, n, &others(i)) {
-                    let to = (0..3).find(|j| name(*j) == to).expect("a member");
-                    s.frames.insert((i, to, life.clone(), Frame::Ask(ask)));
+                for outbound in s.members[i].request_units(s.now, quota, n, &others(i)) {
+                    let OutboundRequest { lender, request } = outbound;
+                    let to = (0..3).find(|j| name(*j) == lender).expect("a member");
+                    s.frames
+                        .insert((i, to, incarnation.clone(), Frame::LeaseRequest(request)));
                 }
             }
-            Step::Deliver(from, to, life, frame) => match frame {
-                Frame::Ask(ask) => {
-                    let grant = s.members[to].asked(s.now, &life, &ask)?;
-                    let own = Life {
+            Step::Deliver(from, to, incarnation, frame) => match frame {
+                Frame::LeaseRequest(request) => {
+                    let grant = s.members[to].on_lease_request(s.now, &incarnation, &request)?;
+                    let own = Incarnation {
                         name: name(to),
-                        no: s.lives[to],
+                        number: s.incarnations[to],
                     };
-                    s.frames.insert((to, from, own, Frame::Grant(grant)));
+                    s.frames.insert((to, from, own, Frame::LeaseGrant(grant)));
                 }
                 // A grant goes to the life that lives now: its calls count anew, and the time on it is another's.
-                Frame::Grant(grant) => s.members[to].granted(s.now, &name(from), &grant),
+                Frame::LeaseGrant(grant) => {
+                    s.members[to].on_lease_grant(s.now, &name(from), &grant)
+                }
             },
-            Step::Spend(i, budget) => {
+            Step::Spend(i, quota) => {
                 let now = s.now;
-                let pocket = &mut s.members[i].pockets[budget];
-                let live = self.without_lease || now < pocket.until;
-                if pocket.used >= pocket.own + if live { pocket.borrowed } else { 0 } {
+                let allowance = &mut s.members[i].allowances[quota];
+                let live = self.without_lease || now < allowance.until;
+                if allowance.used >= allowance.own + if live { allowance.borrowed } else { 0 } {
                     return None;
                 }
-                pocket.used += 1;
-                s.jobs.push((Some(i), budget, now + self.terms.hold));
+                allowance.used += 1;
+                s.jobs.push((Some(i), quota, now + self.terms.max_use));
                 s.jobs.sort();
             }
             Step::Tick => {
                 s.now += 1;
                 let now = s.now;
                 // Jobs end at the workers; a member that runs hears of it.
-                for (i, budget, _) in s.jobs.iter().filter(|j| j.2 <= now) {
+                for (i, quota, _) in s.jobs.iter().filter(|j| j.2 <= now) {
                     if let Some(i) = i {
-                        s.members[*i].pockets[*budget].used -= 1;
+                        s.members[*i].allowances[*quota].used -= 1;
                     }
                 }
                 s.jobs.retain(|j| j.2 > now);
@@ -231,14 +245,14 @@
                 }
                 // Frames older than three steps are lost, to keep the space small.
                 s.frames.retain(|f| match &f.3 {
-                    Frame::Ask(a) => a.at + 3 > now,
-                    Frame::Grant(g) => g.at + 3 > now,
+                    Frame::LeaseRequest(a) => a.sent_at + 3 > now,
+                    Frame::LeaseGrant(g) => g.sent_at + 3 > now,
                 });
             }
             Step::Crash(i) => {
                 s.crashes += 1;
-                s.lives[i] += 1;
-                s.members[i] = self.life(i, s.lives[i], s.now);
+                s.incarnations[i] += 1;
+                s.members[i] = self.incarnation(i, s.incarnations[i], s.now);
                 s.jobs
                     .iter_mut()
                     .filter(|j| j.0 == Some(i))
@@ -258,7 +272,7 @@
         vec![
             Property::<Self>::always("no budget is exceeded", |fleet, s| {
                 let used = |b: usize| s.jobs.iter().filter(|j| j.1 == b).count() as u64;
-                (0..2).all(|b| used(b) <= fleet.terms.budgets[b].units)
+                (0..2).all(|b| used(b) <= fleet.terms.quotas[b].units)
             }),
             Property::<Self>::sometimes(
                 "a member without a seat spends what it borrowed",
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/simulated_fleet.rs
@@ -8,11 +8,21 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use std::sync::Arc;
-use streamusher_fleet::counts::Counts;
-use streamusher_fleet::units::{Key, Unit, Units};
-use streamusher_fleet::{Life, Micros};
+use streamusher_fleet::usage::{UsageKey, UsageMetric, UsageValues};
+use streamusher_fleet::usage_counters::{Delta, UsageCounters, UsageDigest};
+use streamusher_fleet::{Incarnation, Micros};
 use world::{World, MS, SECOND, UNITS};
 
+/// A digest of all that a member holds.
+fn whole_digest(counters: &UsageCounters) -> UsageDigest {
+    UsageDigest {
+        after: None,
+        last: true,
+        summaries: counters.summaries(None, 9),
+        reply_wanted: false,
+    }
+}
+
 fn number(name: &str, default: u64) -> u64 {
     std::env::var(name).map_or(default, |v| {
         v.parse()
@@ -50,7 +60,9 @@
     world.run(3 * SECOND, &[0, 1, 2, 3, 4, 5], 1.0);
     world.part(&[0, 1]);
     world.run(5 * SECOND, &[0, 1, 2, 3, 4, 5], 1.0);
-    let floor: u64 = (0..2).map(|i| world.members[i].purses[0].used()).sum();
+    let floor: u64 = (0..2)
+        .map(|i| world.members[i].allowances[0].in_use())
+        .sum();
     assert!(floor >= 2, "the smaller part still serves: {floor}");
     world.run(15 * SECOND, &[0, 1, 2, 3, 4, 5], 1.0);
     world.cut.clear();
@@ -69,7 +81,10 @@
     let mut world = World::new(4, 0, 7);
     world.run(3 * SECOND, &[], 0.0);
     world.run(2 * SECOND, &[2], 3.0);
-    assert!(world.members[2].purses[0].rights().1 > 0, "it has borrowed");
+    assert!(
+        world.members[2].allowances[0].held().borrowed > 0,
+        "it has borrowed"
+    );
     world.members[2].stopped_until = world.now + 5 * SECOND;
     // The others take what comes back to them.
     world.run(5 * SECOND - MS, &[0, 1, 3], 3.0);
@@ -79,7 +94,7 @@
     assert!(world.used() <= UNITS, "{}", world.used());
     world.run(3 * SECOND, &[0, 1, 2, 3], 2.0);
     assert!(
-        world.members[2].purses[0].used() > 0,
+        world.members[2].allowances[0].in_use() > 0,
         "then it serves again"
     );
 }
@@ -119,7 +134,7 @@
     world.begin(1);
     world.run(500 * MS, &[0, 1, 2], 2.0);
     assert_eq!(
-        world.members[0].purses[0].rights().0,
+        world.members[0].allowances[0].held().own,
         0,
         "its earlier life may have lent all it had"
     );
@@ -139,12 +154,12 @@
     let before: Vec<u64> = world
         .members
         .iter()
-        .map(|m| m.node.show(0).membership_changes)
+        .map(|m| m.node.status(0).membership_changes)
         .collect();
     world.cut.insert((0, 1), Micros::MAX);
     world.run(60 * SECOND, &[], 0.0);
     for (m, before) in world.members.iter().zip(before) {
-        let changes = m.node.show(0).membership_changes - before;
+        let changes = m.node.status(0).membership_changes - before;
         assert!(changes <= 2, "{changes} changes in a minute");
     }
 }
@@ -161,7 +176,7 @@
     world.run(3 * SECOND, &[0, 1, 2], 0.5);
     world.run(2 * SECOND, &[], 0.0);
     let digests: Vec<String> = (0..7)
-        .map(|i| world.members[i].node.tally().digest)
+        .map(|i| world.members[i].node.totals().digest)
         .collect();
     assert!(digests.windows(2).all(|d| d[0] == d[1]), "{digests:?}");
     world.cut.clear();
@@ -187,16 +202,16 @@
             .members
             .iter_mut()
             .take(3)
-            .for_each(|m| m.node.forget_now("m3"));
+            .for_each(|m| m.node.forget_member("m3"));
     }
     world.run(30 * SECOND, &[0, 1, 2], 0.1);
-    let (lives, rows) = (
-        world.members[0].node.show(0).lives,
-        world.members[0].node.show(0).rows,
+    let (incarnations, rows) = (
+        world.members[0].node.status(0).incarnations,
+        world.members[0].node.status(0).rows,
     );
     assert!(
-        lives <= 8 && rows <= 16,
-        "{lives} lives, {rows} rows after 60 restarts"
+        incarnations <= 8 && rows <= 16,
+        "{incarnations} lives, {rows} rows after 60 restarts"
     );
     world.cut.clear();
     world.settle();
@@ -232,51 +247,49 @@
 #[test]
 fn rows_of_a_folded_life_that_come_late_count_once() {
     let name = |n: &str| -> Arc<str> { Arc::from(n) };
-    let key = Key {
+    let key = UsageKey {
         period: 1,
         tenant: name("t0"),
     };
-    let mut first = Counts::new(Life::new("a", 1));
-    first.raise(key.clone(), &Units::one(Unit::Served, 5));
-    let late = first.own_since(0);
-    let mut b = Counts::new(Life::new("b", 1));
+    let mut first = UsageCounters::new(Incarnation::new("a", 1));
+    first.increment(key.clone(), &UsageValues::single(UsageMetric::Served, 5));
+    let late = first.own_deltas_since(0);
+    let mut b = UsageCounters::new(Incarnation::new("b", 1));
     late.iter().for_each(|d| {
         b.merge(d, 9);
     });
-    let mut second = Counts::new(Life::new("a", 2));
-    second.raise(key.clone(), &Units::one(Unit::Served, 3));
-    second.own_since(0).iter().for_each(|d| {
+    let mut second = UsageCounters::new(Incarnation::new("a", 2));
+    second.increment(key.clone(), &UsageValues::single(UsageMetric::Served, 3));
+    second.own_deltas_since(0).iter().for_each(|d| {
         b.merge(d, 9);
     });
     // The new life hears of its first from b, and tells it so.
-    let theirs = second.digest(None, 9);
-    b.lacks(&name("a"), None, &theirs, true, 9)
-        .iter()
-        .for_each(|d| {
-            second.merge(d, 9);
-        });
-    let theirs = second.digest(None, 9);
-    b.lacks(&name("a"), None, &theirs, true, 9);
+    let remote = whole_digest(&second);
+    b.deltas_for(&name("a"), &remote, 9).iter().for_each(|d| {
+        second.merge(d, 9);
+    });
+    let remote = whole_digest(&second);
+    b.deltas_for(&name("a"), &remote, 9);
     assert_eq!(
-        b.fold(0, 0, &[name("a")]),
+        b.compact(0, 0, &[name("a")]),
         1,
         "final: superseded, and held by all to the same version"
     );
     late.iter().for_each(|d| {
         b.merge(d, 9);
     });
-    assert_eq!(b.tally().rows[&key].0.get(Unit::Served), 8);
-    assert_eq!(b.refused_late, 1);
+    assert_eq!(b.totals().rows[&key].values.get(UsageMetric::Served), 8);
+    assert_eq!(b.rejected_late(), 1);
 }
 
 /// Random faults from seeds: no budget is ever exceeded, and what was answered is in the one tally at the end.
 #[test]
 fn random_faults_from_seeds() {
-    let (seed, rounds) = (
+    let (seed, gossip_rounds) = (
         number("STREAMUSHER_SEED", 1),
         number("STREAMUSHER_ROUNDS", 6),
     );
-    for seed in seed..seed + rounds {
+    for seed in seed..seed + gossip_rounds {
         println!("seed {seed}");
         let mut world = World::new(5, 1, seed);
         world.run(2 * SECOND, &[], 0.0);
@@ -344,23 +357,23 @@
 fn counts_converge_whatever_overtakes_what() {
     for seed in 0..40 {
         let mut rng = Pcg64::seed_from_u64(seed);
-        let mut all: Vec<Counts> = (0..4)
-            .map(|i| Counts::new(Life::new(&format!("m{i}"), 1)))
+        let mut all: Vec<UsageCounters> = (0..4)
+            .map(|i| UsageCounters::new(Incarnation::new(&format!("m{i}"), 1)))
             .collect();
         let name = |i: usize| -> Arc<str> { Arc::from(format!("m{i}")) };
-        let mut travelling: Vec<(usize, streamusher_fleet::counts::Delta)> = Vec::new();
+        let mut travelling: Vec<(usize, Delta)> = Vec::new();
         for _ in 0..400 {
             let (i, j) = (rng.random_range(0..4), rng.random_range(0..4));
             if rng.random_bool(0.5) {
-                let key = Key {
+                let key = UsageKey {
                     period: 1,
                     tenant: Arc::from(format!("t{}", rng.random_range(0..30))),
                 };
-                all[0].raise(key, &Units::one(Unit::Served, 1));
+                all[0].increment(key, &UsageValues::single(UsageMetric::Served, 1));
             }
             if i != j {
-                let theirs = all[j].digest(None, 9);
-                let parts = all[i].lacks(&name(j), None, &theirs, true, 9);
+                let remote = whole_digest(&all[j]);
+                let parts = all[i].deltas_for(&name(j), &remote, 9);
                 travelling.extend(parts.into_iter().map(|p| (j, p)));
             }
             while travelling.len() > 40 || !travelling.is_empty() && rng.random_bool(0.6) {
@@ -375,16 +388,16 @@
         for _ in 0..400 {
             let i = rng.random_range(0..3);
             for (from, to) in [(i, i + 1), (i + 1, i)] {
-                let theirs = all[to].digest(None, 9);
-                let parts = all[from].lacks(&name(to), None, &theirs, true, 99);
+                let remote = whole_digest(&all[to]);
+                let parts = all[from].deltas_for(&name(to), &remote, 99);
                 parts.iter().for_each(|p| {
                     all[to].merge(p, 9);
                 });
             }
         }
-        let owner = all[0].tally();
+        let owner = all[0].totals();
         assert!(
-            all.iter().all(|c| c.tally().digest == owner.digest),
+            all.iter().all(|c| c.totals().digest == owner.digest),
             "seed {seed}"
         );
     }
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -8,11 +8,12 @@
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
-use streamusher_fleet::node::{Node, Setup};
-use streamusher_fleet::purse::Purse;
-use streamusher_fleet::rights::{Budget, Terms};
-use streamusher_fleet::units::{Key, Unit, Units};
-use streamusher_fleet::{Life, Micros};
+use streamusher_fleet::allowance::QuotaAllowance;
+use streamusher_fleet::node::{FleetNode, FleetSettings};
+use streamusher_fleet::outbox::OutboundDatagram;
+use streamusher_fleet::quota::{Quota, QuotaTerms};
+use streamusher_fleet::usage::{UsageKey, UsageMetric, UsageValues};
+use streamusher_fleet::{Incarnation, Micros};
 
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
@@ -20,8 +21,8 @@
 pub const UNITS: u64 = 240;
 
 pub struct Member {
-    pub node: Node,
-    pub purses: Vec<Arc<Purse>>,
+    pub node: FleetNode,
+    pub allowances: Vec<Arc<QuotaAllowance>>,
     pub stopped_until: Micros,
     pub dead: bool,
     /// Jobs in hand: budget and end.
@@ -39,10 +40,10 @@
     pub rng: Pcg64,
     pub now: Micros,
     pub members: Vec<Member>,
-    pub terms: Arc<Terms>,
+    pub terms: Arc<QuotaTerms>,
     pub copies: usize,
     pub frames: BinaryHeap<Reverse<Travelling>>,
-    pub no: u64,
+    pub number: u64,
     pub loss: f64,
     pub delay: Micros,
     /// By sender and receiver: a link that is cut, or slow by so much.
@@ -62,22 +63,22 @@
         .expect("an address")
 }
 
-pub fn terms(n: usize) -> Arc<Terms> {
-    Arc::new(Terms {
-        seats: (0..n).map(|i| Arc::from(format!("m{i}"))).collect(),
-        budgets: vec![
-            Budget {
+pub fn terms(n: usize) -> Arc<QuotaTerms> {
+    Arc::new(QuotaTerms {
+        member_names: (0..n).map(|i| Arc::from(format!("m{i}"))).collect(),
+        quotas: vec![
+            Quota {
                 name: Arc::from("t0"),
                 units: UNITS,
             },
-            Budget {
+            Quota {
                 name: Arc::from("t1"),
                 units: 7,
             },
         ],
-        floor: 1,
+        unlent_floor: 1,
         lease: SECOND,
-        hold: 300 * MS,
+        max_use: 300 * MS,
         margin: 50 * MS,
     })
 }
@@ -91,7 +92,7 @@
             terms: terms(n),
             copies,
             frames: BinaryHeap::new(),
-            no: 0,
+            number: 0,
             loss: 0.0,
             delay: 2 * MS,
             cut: BTreeMap::new(),
@@ -103,37 +104,37 @@
             most_used: 0,
         };
         for i in 0..n {
-            let member = world.life(i);
+            let member = world.incarnation(i);
             world.members.push(member);
         }
         world
     }
 
-    pub fn life(&mut self, i: usize) -> Member {
-        let purses: Vec<Arc<Purse>> = (0..2).map(|_| Arc::default()).collect();
-        let setup = Setup {
-            me: Life::new(&format!("m{i}"), WALL + self.now),
-            addr: addr(i),
-            join: vec![addr(0), addr(1)],
+    pub fn incarnation(&mut self, i: usize) -> Member {
+        let allowances: Vec<Arc<QuotaAllowance>> = (0..2).map(|_| Arc::default()).collect();
+        let settings = FleetSettings {
+            local: Incarnation::new(&format!("m{i}"), WALL + self.now),
+            address: addr(i),
+            join_addresses: vec![addr(0), addr(1)],
             key: [9; 32],
             seed: self.rng.next_u64(),
-            gossip: 100 * MS,
-            copies: self.copies,
+            gossip_interval: 100 * MS,
+            required_copies: self.copies,
             terms: self.terms.clone(),
-            forget: 600 * SECOND,
+            forget_after: 600 * SECOND,
             period: 3_600 * SECOND,
         };
         // Clocks of members run at different speeds and from different moments.
         let clock = 1.0 + self.rng.random_range(-4e-4..4e-4);
-        let node = Node::new(
-            setup,
-            purses.clone(),
+        let node = FleetNode::new(
+            settings,
+            allowances.clone(),
             (self.now as f64 * clock) as Micros,
             WALL + self.now,
         );
         Member {
             node,
-            purses,
+            allowances,
             stopped_until: 0,
             dead: false,
             jobs: VecDeque::new(),
@@ -151,12 +152,12 @@
     }
 
     pub fn begin(&mut self, i: usize) {
-        let member = self.life(i);
+        let member = self.incarnation(i);
         self.members[i] = member;
     }
 
     pub fn post(&mut self, i: usize) {
-        for (to, bytes) in self.members[i].node.take_out() {
+        for OutboundDatagram { to, bytes } in self.members[i].node.take_outbound() {
             let to = (0..self.members.len())
                 .find(|j| addr(*j) == to)
                 .expect("a member's address");
@@ -170,9 +171,9 @@
             for _ in 0..1 + u32::from(self.rng.random_bool(self.loss / 2.0)) {
                 if !self.rng.random_bool(self.loss) {
                     let at = self.now + slow + self.rng.random_range(100..=self.delay);
-                    self.no += 1;
+                    self.number += 1;
                     self.frames
-                        .push(Reverse((at, self.no, i, to, bytes.clone())));
+                        .push(Reverse((at, self.number, i, to, bytes.clone())));
                 }
             }
         }
@@ -189,7 +190,7 @@
             }
         }
         for i in 0..self.members.len() {
-            let (now, hold) = (self.now, self.terms.hold);
+            let (now, hold) = (self.now, self.terms.max_use);
             let m = &mut self.members[i];
             // Jobs end at the workers whether their dispatcher runs or not.
             if m.dead || now < m.stopped_until {
@@ -197,8 +198,8 @@
             }
             let own = (now as f64 * m.clock) as Micros;
             while m.jobs.front().is_some_and(|j| j.0 <= now) {
-                let (_, budget) = m.jobs.pop_front().expect("just seen");
-                m.purses[budget].give_back();
+                let (_, quota) = m.jobs.pop_front().expect("just seen");
+                m.allowances[quota].release();
             }
             // Traffic that waited while it was stopped comes before anything else.
             let arrivals = if at.contains(&i) {
@@ -207,15 +208,15 @@
                 0
             };
             for _ in 0..arrivals {
-                if m.purses[0].spend(own) {
+                if m.allowances[0].try_acquire(own) {
                     m.jobs.push_back((now + hold * 9 / 10, 0));
-                    let key = Key {
+                    let key = UsageKey {
                         period: m.node.period(WALL + now),
                         tenant: Arc::from("t0"),
                     };
-                    let mut units = Units::one(Unit::Served, 1);
-                    units.add(&Units::one(Unit::Attempts, 1));
-                    let version = m.node.raise(key, &units);
+                    let mut units = UsageValues::single(UsageMetric::Served, 1);
+                    units.add(&UsageValues::single(UsageMetric::Attempts, 1));
+                    let version = m.node.increment(key, &units);
                     m.held.push_back((version, 1));
                     self.raised += 1;
                 }
@@ -223,11 +224,11 @@
             for bytes in std::mem::take(&mut m.waiting) {
                 m.node.receive(own, WALL + now, &bytes);
             }
-            if own >= m.node.next_due() || arrivals > 0 {
+            if own >= m.node.next_deadline() || arrivals > 0 {
                 m.node.tick(own, WALL + now);
-                m.node.flush(own);
+                m.node.send_own_usage(own);
             }
-            let safe = m.node.safe();
+            let safe = m.node.replicated_version();
             while m.held.front().is_some_and(|h| h.0 <= safe) {
                 self.answered += m.held.pop_front().expect("just seen").1;
             }
@@ -265,14 +266,14 @@
 
     /// A member spends as often as it can at this moment, and up to so often; how often it could.
     pub fn burst(&mut self, i: usize, n: u64) -> u64 {
-        let (now, hold) = (self.now, self.terms.hold);
+        let (now, hold) = (self.now, self.terms.max_use);
         let m = &mut self.members[i];
         while m.jobs.front().is_some_and(|j| j.0 <= now) {
-            let (_, budget) = m.jobs.pop_front().expect("just seen");
-            m.purses[budget].give_back();
+            let (_, quota) = m.jobs.pop_front().expect("just seen");
+            m.allowances[quota].release();
         }
         let own = (now as f64 * m.clock) as Micros;
-        let spent = (0..n).filter(|_| m.purses[0].spend(own)).count() as u64;
+        let spent = (0..n).filter(|_| m.allowances[0].try_acquire(own)).count() as u64;
         m.jobs.extend((0..spent).map(|_| (now + hold * 9 / 10, 0)));
         spent
     }
@@ -293,7 +294,7 @@
         loop {
             self.run(20 * MS, &[], 0.0);
             let live: Vec<&Member> = self.members.iter().filter(|m| !m.dead).collect();
-            let digests: Vec<String> = live.iter().map(|m| m.node.tally().digest).collect();
+            let digests: Vec<String> = live.iter().map(|m| m.node.totals().digest).collect();
             if digests.windows(2).all(|d| d[0] == d[1]) && live.iter().all(|m| m.held.is_empty()) {
                 return self.now - from;
             }
@@ -304,10 +305,10 @@
     pub fn served(&self, i: usize) -> u64 {
         self.members[i]
             .node
-            .tally()
+            .totals()
             .rows
             .values()
-            .map(|(u, _)| u.get(Unit::Served))
+            .map(|total| total.values.get(UsageMetric::Served))
             .sum()
     }
 }
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use streamusher_fleet::life::is_name;
-use streamusher_fleet::purse::MOST_UNITS;
+use streamusher_fleet::allowance::MAX_QUOTA_UNITS;
+use streamusher_fleet::incarnation::is_valid_name;
 
 /// The fleet's key; it is not to stand in a log.
 #[derive(Clone)]
@@ -125,11 +125,11 @@
             .enumerate()
             .map(|(i, a)| address(&format!("join[{i}]"), a));
         for (i, seat) in self.seats.iter().enumerate() {
-            if !is_name(seat) || self.seats[..i].contains(seat) {
+            if !is_valid_name(seat) || self.seats[..i].contains(seat) {
                 return Err(format!("seats[{i}]: no name, or given twice: {seat:?}"));
             }
         }
-        if let Some(name) = self.name.as_ref().filter(|n| !is_name(n)) {
+        if let Some(name) = self.name.as_ref().filter(|n| !is_valid_name(n)) {
             return Err(format!(
                 "name: 1 to 64 letters, digits, '-', '_' and '.': {name:?}"
             ));
@@ -140,7 +140,7 @@
             );
         }
         for (tenant, units) in &self.limits {
-            within(&format!("limits.{tenant}"), *units, 1, MOST_UNITS)?;
+            within(&format!("limits.{tenant}"), *units, 1, MAX_QUOTA_UNITS)?;
             // The floors come to the budget at most: each is no more than the seat's part.
             let part = units / self.seats.len() as u64;
             if self.floor > part.max(1) {
--- a/src/fleet/books.rs
+++ b/src/fleet/books.rs
@@ -8,10 +8,10 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use std::thread::Thread;
-use streamusher_fleet::judge::{Fault, Worker};
-use streamusher_fleet::purse::Purse;
-use streamusher_fleet::rights::Terms;
-use streamusher_fleet::units::{Key, Unit, Units};
+use streamusher_fleet::allowance::QuotaAllowance;
+use streamusher_fleet::outlier::{WorkerFault, WorkerIncarnation};
+use streamusher_fleet::quota::QuotaTerms;
+use streamusher_fleet::usage::{UsageKey, UsageMetric, UsageValues};
 
 /// Notes that fit the ring to the state's thread.
 pub(super) const NOTES: usize = 4_096;
@@ -25,14 +25,14 @@
         /// Of an answer.
         upto: u64,
         /// What was counted since the note before.
-        rows: Vec<(Key, Units)>,
+        rows: Vec<(UsageKey, UsageValues)>,
     },
     /// Something was seen of a worker: a fault, or that it serves.
     Saw {
         /// Of whom.
-        worker: Worker,
+        worker: WorkerIncarnation,
         /// None: it serves.
-        fault: Option<Fault>,
+        fault: Option<WorkerFault>,
         /// How sure, of 100.
         weight: u8,
     },
@@ -43,12 +43,12 @@
 pub(super) struct Books {
     notes: RefCell<Producer<Note>>,
     state: Thread,
-    waiting: RefCell<BTreeMap<Key, Units>>,
+    waiting: RefCell<BTreeMap<UsageKey, UsageValues>>,
     last: Cell<u64>,
     /// Answers that are not written yet: whose they are, and whether they were served.
-    out: RefCell<HashMap<u64, (Key, bool)>>,
+    out: RefCell<HashMap<u64, (UsageKey, bool)>>,
     budgets: HashMap<Arc<str>, usize>,
-    purses: Vec<Arc<Purse>>,
+    allowances: Vec<Arc<QuotaAllowance>>,
     copies: usize,
     hold: Micros,
     period: Micros,
@@ -59,8 +59,8 @@
     pub(super) fn new(
         notes: Producer<Note>,
         state: Thread,
-        terms: Arc<Terms>,
-        purses: Vec<Arc<Purse>>,
+        terms: Arc<QuotaTerms>,
+        allowances: Vec<Arc<QuotaAllowance>>,
         config: &FleetConfig,
     ) -> Books {
         Books {
@@ -70,12 +70,12 @@
             last: Cell::new(0),
             out: RefCell::default(),
             budgets: terms
-                .budgets
+                .quotas
                 .iter()
                 .enumerate()
                 .map(|(i, b)| (b.name.clone(), i))
                 .collect(),
-            purses,
+            allowances,
             copies: config.copies,
             hold: config.hold_us,
             period: config.period_us,
@@ -88,7 +88,7 @@
         self.last.get()
     }
 
-    fn count(&self, key: Key, units: &Units) {
+    fn count(&self, key: UsageKey, units: &UsageValues) {
         self.waiting.borrow_mut().entry(key).or_default().add(units);
         self.push();
     }
@@ -123,9 +123,9 @@
         }
     }
 
-    fn key(&self, tenant: Option<&Arc<str>>) -> Key {
+    fn key(&self, tenant: Option<&Arc<str>>) -> UsageKey {
         let period = (crate::billing::wall() / self.period) as u32;
-        Key {
+        UsageKey {
             period,
             tenant: tenant.unwrap_or(&self.nobody).clone(),
         }
@@ -141,15 +141,18 @@
         let (key, number) = (self.key(a.tenant), self.last.get() + 1);
         self.last.set(number);
         let ended = match a.ended {
-            Ended::Served => Unit::Served,
-            Ended::Busy => Unit::Refused,
-            Ended::Failed => Unit::Failed,
-            Ended::Gone => Unit::Gone,
+            Ended::Served => UsageMetric::Served,
+            Ended::Busy => UsageMetric::Refused,
+            Ended::Failed => UsageMetric::Failed,
+            Ended::Gone => UsageMetric::Gone,
         };
-        let mut units = Units::one(ended, 1);
-        units.add(&Units::one(Unit::Attempts, a.attempts.into()));
-        units.add(&Units::one(Unit::UsedUs, a.run_us));
-        units.add(&Units::one(Unit::WastedUs, a.wasted_us));
+        let mut units = UsageValues::single(ended, 1);
+        units.add(&UsageValues::single(
+            UsageMetric::Attempts,
+            a.attempts.into(),
+        ));
+        units.add(&UsageValues::single(UsageMetric::UsedUs, a.run_us));
+        units.add(&UsageValues::single(UsageMetric::WastedUs, a.wasted_us));
         if a.ended != Ended::Gone {
             self.out
                 .borrow_mut()
@@ -168,7 +171,7 @@
     fn overdue(&self, number: u64) {
         let key = self.out.borrow().get(&number).map(|o| o.0.clone());
         key.into_iter()
-            .for_each(|key| self.count(key, &Units::one(Unit::Unsure, 1)));
+            .for_each(|key| self.count(key, &UsageValues::single(UsageMetric::Unsure, 1)));
     }
 
     fn written(&self, number: u64, whole: bool) {
@@ -178,11 +181,11 @@
         if served {
             self.count(
                 key,
-                &Units::one(
+                &UsageValues::single(
                     if whole {
-                        Unit::Written
+                        UsageMetric::Written
                     } else {
-                        Unit::Unwritten
+                        UsageMetric::Unwritten
                     },
                     1,
                 ),
@@ -196,19 +199,19 @@
         let Some(budget) = tenant.and_then(|t| self.budgets.get(t)).copied() else {
             return Taken::Unbound;
         };
-        let purse = &self.purses[budget];
-        let free = purse.free(now);
-        if !purse.spend(now) {
+        let allowance = &self.allowances[budget];
+        let free = allowance.available(now);
+        if !allowance.try_acquire(now) {
             return Taken::None;
         }
-        let rights = purse.rights();
+        let held = allowance.held();
         Taken::One {
             budget,
-            free: free.max(1) as f64 / (rights.0 + rights.1).max(1) as f64,
+            free: free.max(1) as f64 / held.total().max(1) as f64,
         }
     }
 
     fn give_back(&self, budget: usize) {
-        self.purses[budget].give_back();
+        self.allowances[budget].release();
     }
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -20,26 +20,26 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 use std::thread::{JoinHandle, Thread};
-use streamusher_fleet::judge::{Verdict, Worker};
-use streamusher_fleet::node::{Node, Setup};
-use streamusher_fleet::rights::{Budget, Terms};
-use streamusher_fleet::show::Show;
-use streamusher_fleet::tally::Tally;
-use streamusher_fleet::units::NAMES;
-use streamusher_fleet::Life;
+use streamusher_fleet::node::{FleetNode, FleetSettings};
+use streamusher_fleet::outlier::{Ejection, ZonedWorker};
+use streamusher_fleet::quota::{Quota, QuotaTerms};
+use streamusher_fleet::status::FleetStatus;
+use streamusher_fleet::usage::METRIC_NAMES;
+use streamusher_fleet::usage_totals::UsageTotals;
+use streamusher_fleet::Incarnation;
 use witness::Eyes;
 
 /// What operators are shown, made by the state's thread.
 pub(super) struct View {
     /// The number of the last answer that it counts.
     upto: u64,
-    show: Show,
-    tally: Tally,
-    verdicts: Vec<Verdict>,
+    status: FleetStatus,
+    totals: UsageTotals,
+    ejections: Vec<Ejection>,
 }
 
 /// The workers that take work, and their zones.
-type Roster = Vec<(Worker, Arc<str>)>;
+type Roster = Vec<ZonedWorker>;
 
 /// What the threads have in common.
 pub(super) struct Common {
@@ -76,7 +76,7 @@
     longest: Micros,
 ) -> Result<Fleet, String> {
     let name = config.name.clone().unwrap_or_else(|| name.to_string());
-    if !streamusher_fleet::life::is_name(&name) {
+    if !streamusher_fleet::incarnation::is_valid_name(&name) {
         return Err(format!(
             "fleet.name: 1 to 64 letters, digits, '-', '_' and '.': {name:?}"
         ));
@@ -91,43 +91,48 @@
     let addr = socket
         .local_addr()
         .map_err(|e| format!("fleet.listen: {e}"))?;
-    let terms = Arc::new(Terms {
-        seats: config.seats.iter().map(|s| Arc::from(s.as_str())).collect(),
-        budgets: config
+    let terms = Arc::new(QuotaTerms {
+        member_names: config.seats.iter().map(|s| Arc::from(s.as_str())).collect(),
+        quotas: config
             .limits
             .iter()
-            .map(|(t, n)| Budget {
+            .map(|(t, n)| Quota {
                 name: Arc::from(t.as_str()),
                 units: *n,
             })
             .collect(),
-        floor: config.floor,
+        unlent_floor: config.floor,
         lease: config.lease_us,
-        hold: longest,
+        max_use: longest,
         margin: 50_000,
     });
     let clock = hub.clock();
-    let purses: Vec<_> = terms.budgets.iter().map(|_| Arc::default()).collect();
-    let setup = Setup {
-        me: Life::new(&name, crate::billing::wall()),
-        addr: config.advertise.unwrap_or(addr),
-        join: config.join.clone(),
+    let allowances: Vec<_> = terms.quotas.iter().map(|_| Arc::default()).collect();
+    let settings = FleetSettings {
+        local: Incarnation::new(&name, crate::billing::wall()),
+        address: config.advertise.unwrap_or(addr),
+        join_addresses: config.join.clone(),
         key: config.key.0,
         seed,
-        gossip: config.gossip_us,
-        copies: config.copies,
+        gossip_interval: config.gossip_us,
+        required_copies: config.copies,
         terms: terms.clone(),
-        forget: config.forget_us,
+        forget_after: config.forget_us,
         period: config.period_us,
     };
-    info!(hub.log, "the fleet"; "name" => &name, "udp" => %addr, "advertised" => %setup.addr,
-        "life" => setup.me.no, "copies" => config.copies, "limits" => terms.budgets.len());
-    let node = Node::new(setup, purses.clone(), clock(), crate::billing::wall());
+    info!(hub.log, "the fleet"; "name" => &name, "udp" => %addr, "advertised" => %settings.address,
+        "life" => settings.local.number, "copies" => config.copies, "limits" => terms.quotas.len());
+    let node = FleetNode::new(
+        settings,
+        allowances.clone(),
+        clock(),
+        crate::billing::wall(),
+    );
     let view = View {
         upto: 0,
-        show: node.show(clock()),
-        tally: node.tally(),
-        verdicts: Vec::new(),
+        status: node.status(clock()),
+        totals: node.totals(),
+        ejections: Vec::new(),
     };
     let common = Arc::new(Common {
         waited_for: config.copies > 0,
@@ -150,7 +155,7 @@
         hub.log.clone(),
     )
     .map_err(|e| format!("fleet: no thread for it: {e}"))?;
-    let books = Rc::new(Books::new(notes, state.clone(), terms, purses, &config));
+    let books = Rc::new(Books::new(notes, state.clone(), terms, allowances, &config));
     let keeper = hub.with(|core, _| {
         if !config.limits.is_empty() {
             core.attach_quotas(books.clone());
@@ -166,12 +171,12 @@
             heard.with(|core, _| core.durable(keeper, upto));
             if safe.judged.swap(false, Ordering::AcqRel) {
                 let view = safe.view.load();
-                let verdicts: Vec<(&str, u32)> = view
-                    .verdicts
+                let ejections: Vec<(&str, u32)> = view
+                    .ejections
                     .iter()
-                    .map(|v| (&*v.worker, v.weight))
+                    .map(|ejection| (&*ejection.worker, ejection.weight))
                     .collect();
-                heard.with(|core, _| core.judged(&verdicts));
+                heard.with(|core, _| core.judged(&ejections));
             }
         }
     });
@@ -189,9 +194,9 @@
     /// What operators are told by `fleet`.
     pub(crate) fn show(&self) -> String {
         let view = self.common.view.load();
-        let mut show = serde_json::to_value(&view.show).unwrap_or_default();
+        let mut show = serde_json::to_value(&view.status).unwrap_or_default();
         show["frames_dropped"] = self.common.dropped.load(Ordering::Relaxed).into();
-        show["verdicts"] = serde_json::to_value(&view.verdicts).unwrap_or_default();
+        show["verdicts"] = serde_json::to_value(&view.ejections).unwrap_or_default();
         show["copies"] = self.copies.into();
         show["uncounted"] = self.books.last().saturating_sub(view.upto).into();
         show.to_string()
@@ -201,16 +206,16 @@
     /// digest.
     pub(crate) fn tally(&self) -> String {
         let view = self.common.view.load();
-        let rows = view.tally.rows.iter().map(|(key, (units, doubtful))| {
+        let rows = view.totals.rows.iter().map(|(key, total)| {
             let mut row = json!({"from": u64::from(key.period) * self.period / 1_000_000, "tenant": &*key.tenant,
-                "doubtful": doubtful});
-            for (name, n) in NAMES.iter().zip(units.0) {
+                "doubtful": total.doubtful});
+            for (name, n) in METRIC_NAMES.iter().zip(total.values.0) {
                 row[*name] = n.into();
             }
             row
         });
         let rows: Vec<_> = rows.collect();
-        json!({"since_us": view.tally.since, "period_s": self.period / 1_000_000, "digest": view.tally.digest,
+        json!({"since_us": view.totals.since, "period_s": self.period / 1_000_000, "digest": view.totals.digest,
             "rows": rows})
         .to_string()
     }
--- a/src/fleet/threads.rs
+++ b/src/fleet/threads.rs
@@ -14,9 +14,10 @@
 use std::sync::Arc;
 use std::thread::{Builder, JoinHandle, Thread};
 use std::time::Duration;
-use streamusher_fleet::frame::MOST_BYTES;
-use streamusher_fleet::judge::Rules;
-use streamusher_fleet::node::Node;
+use streamusher_fleet::datagram::MAX_DATAGRAM_BYTES;
+use streamusher_fleet::node::FleetNode;
+use streamusher_fleet::outbox::OutboundDatagram;
+use streamusher_fleet::outlier::EjectionPolicy;
 
 /// Frames that fit the ring from the socket; more are dropped, as the network would.
 const FRAMES: usize = 1_024;
@@ -27,16 +28,16 @@
 /// The view is made anew so often, where anything changed.
 const VIEW: Micros = 50_000;
 /// Few members are not believed, and all together shun no more than a third of a zone.
-const RULES: Rules = Rules {
-    quorum: 3,
-    most_part: 0.34,
+const EJECTION_POLICY: EjectionPolicy = EjectionPolicy {
+    min_observers: 3,
+    max_ejected_fraction: 0.34,
 };
 /// How long the end waits for another member to hold all counts.
 const HAND_OVER: Micros = 600_000;
 
 /// Starts both; the state's thread is the one to wake.
 pub(super) fn start(
-    node: Node,
+    node: FleetNode,
     socket: UdpSocket,
     common: Arc<Common>,
     notes: Consumer<Note>,
@@ -55,7 +56,7 @@
         heard,
         wake,
         clock,
-        rules: RULES,
+        ejection_policy: EJECTION_POLICY,
         log,
     };
     let state = Builder::new()
@@ -70,7 +71,7 @@
 }
 
 fn hear(socket: &UdpSocket, common: &Common, mut frames: Producer<Vec<u8>>, state: &Thread) {
-    let mut bytes = [0u8; MOST_BYTES + 1];
+    let mut bytes = [0u8; MAX_DATAGRAM_BYTES + 1];
     while !common.stop.load(Ordering::Acquire) {
         let Ok((n, _)) = socket.recv_from(&mut bytes) else {
             continue;
@@ -83,14 +84,14 @@
 }
 
 struct State<C> {
-    node: Node,
+    node: FleetNode,
     socket: UdpSocket,
     common: Arc<Common>,
     notes: Consumer<Note>,
     heard: Consumer<Vec<u8>>,
     wake: Sender<()>,
     clock: C,
-    rules: Rules,
+    ejection_policy: EjectionPolicy,
     log: Logger,
 }
 
@@ -111,7 +112,7 @@
                     Note::Counts { upto, rows } => {
                         let version = rows
                             .into_iter()
-                            .map(|(key, units)| self.node.raise(key, &units))
+                            .map(|(key, units)| self.node.increment(key, &units))
                             .last();
                         version
                             .into_iter()
@@ -123,24 +124,26 @@
                         fault: Some(fault),
                         weight,
                     } => {
-                        self.node.judge.observe(now, worker, fault, weight, HOLDS);
+                        self.node
+                            .outliers
+                            .on_fault(now, worker, fault, weight, HOLDS);
                     }
                     Note::Saw {
                         worker,
                         fault: None,
                         ..
-                    } => self.node.judge.vindicate(now, worker, HOLDS / 4),
+                    } => self.node.outliers.on_success(now, worker, HOLDS / 4),
                 }
             }
             self.node.tick(now, wall);
-            self.node.flush(now);
-            for (to, bytes) in self.node.take_out() {
+            self.node.send_own_usage(now);
+            for OutboundDatagram { to, bytes } in self.node.take_outbound() {
                 let _ = self.socket.send_to(&bytes, to); // what is lost is sent again
             }
             if was_full {
                 let _ = self.wake.try_send(()); // sums may wait for room
             }
-            let safe = self.node.safe();
+            let safe = self.node.replicated_version();
             let mut upto = None;
             while versions.front().is_some_and(|v| v.1 <= safe) {
                 upto = versions.pop_front().map(|v| v.0);
@@ -154,21 +157,24 @@
             if now.saturating_sub(viewed) >= VIEW {
                 viewed = now;
                 let roster = self.common.roster.load();
-                let verdicts = self.node.judge.verdicts(now, self.rules, &roster);
-                let changed = verdicts != self.common.view.load().verdicts;
-                let (show, tally) = (self.node.show(now), self.node.tally());
+                let ejections = self
+                    .node
+                    .outliers
+                    .ejections(now, self.ejection_policy, &roster);
+                let changed = ejections != self.common.view.load().ejections;
+                let (status, totals) = (self.node.status(now), self.node.totals());
                 self.common.view.store(Arc::new(View {
                     upto: taken,
-                    show,
-                    tally,
-                    verdicts,
+                    status,
+                    totals,
+                    ejections,
                 }));
                 if changed {
                     self.common.judged.store(true, Ordering::Release);
                     let _ = self.wake.try_send(());
                 }
             }
-            if self.node.replaced && !std::mem::replace(&mut replaced, true) {
+            if self.node.is_replaced() && !std::mem::replace(&mut replaced, true) {
                 warn!(
                     self.log,
                     "another process of this name has joined the fleet: this one spends no rights any more"
@@ -176,14 +182,14 @@
             }
             if self.common.stop.load(Ordering::Acquire) {
                 let until = *end.get_or_insert(now + HAND_OVER);
-                self.node.hand_over();
-                if self.node.handed_over() || now >= until {
+                self.node.start_handover();
+                if self.node.handover_complete() || now >= until {
                     break;
                 }
             }
             let due = self
                 .node
-                .next_due()
+                .next_deadline()
                 .saturating_sub((self.clock)())
                 .min(VIEW);
             if self.heard.is_empty() && self.notes.is_empty() {
@@ -191,17 +197,17 @@
             }
         }
         let now = (self.clock)();
-        let (show, tally) = (self.node.show(now), self.node.tally());
+        let (status, totals) = (self.node.status(now), self.node.totals());
         self.common.view.store(Arc::new(View {
             upto: taken,
-            show,
-            tally,
-            verdicts: Vec::new(),
+            status,
+            totals,
+            ejections: Vec::new(),
         }));
         self.node.leave(now);
-        for (to, bytes) in self.node.take_out() {
+        for OutboundDatagram { to, bytes } in self.node.take_outbound() {
             let _ = self.socket.send_to(&bytes, to);
         }
-        info!(self.log, "the fleet's state has ended"; "handed_over" => self.node.handed_over());
+        info!(self.log, "the fleet's state has ended"; "handed_over" => self.node.handover_complete());
     }
 }
--- a/src/fleet/witness.rs
+++ b/src/fleet/witness.rs
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::sync::Arc;
-use streamusher_fleet::judge::{Fault, Worker};
+use streamusher_fleet::outlier::{WorkerFault, WorkerIncarnation, ZonedWorker};
 
 /// Ends in a row that make an observation: one may be chance.
 const ROW: u32 = 3;
@@ -24,7 +24,7 @@
 #[derive(Default)]
 struct Seen {
     since: Micros,
-    fault: Option<Fault>,
+    fault: Option<WorkerFault>,
     row: u32,
     served: u32,
 }
@@ -46,18 +46,21 @@
     }
 }
 
-fn worker(m: &Member) -> Worker {
-    (Arc::from(m.name.as_str()), m.since / 1_000)
+fn worker(m: &Member) -> WorkerIncarnation {
+    WorkerIncarnation {
+        name: Arc::from(m.name.as_str()),
+        started_ms: m.since / 1_000,
+    }
 }
 
 /// What an end says against a worker; none where it says nothing.
-fn against(ending: &Ending) -> Option<Fault> {
+fn against(ending: &Ending) -> Option<WorkerFault> {
     match ending {
         Ending::WorkerFailed | Ending::Lost | Ending::ConnectRefused | Ending::ConnectTimedOut => {
-            Some(Fault::Failing)
+            Some(WorkerFault::Failing)
         }
-        Ending::TurnedAway => Some(Fault::Full),
-        Ending::TimedOut => Some(Fault::Slow),
+        Ending::TurnedAway => Some(WorkerFault::Full),
+        Ending::TimedOut => Some(WorkerFault::Slow),
         Ending::Served(_)
         | Ending::BrokeUnsent
         | Ending::BrokeSent
@@ -112,7 +115,10 @@
 
     fn listed(&self, workers: &mut dyn Iterator<Item = &Member>) {
         let roster = workers
-            .map(|m| (worker(m), Arc::from(m.zone.as_str())))
+            .map(|m| ZonedWorker {
+                worker: worker(m),
+                zone: Arc::from(m.zone.as_str()),
+            })
             .collect();
         self.common.roster.store(Arc::new(roster));
     }
