--- a/crates/coordination/src/validate.rs
+++ b/crates/coordination/src/validate.rs
@@ -16,10 +16,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum InvalidMessage {
     /// A number is too high.
-    #[error("a number is above 2^53: corrupted in transit, or sent by an incompatible version")]
+    #[error("a number is above 2^53: look for corruption in transit, or a machine of an incompatible version")]
     NumberTooHigh,
     /// A record contradicts itself.
-    #[error("a record has no members, too many, or one twice: sent by an incompatible version")]
+    #[error("a record has no members, too many, or one twice: look for a machine of an incompatible version")]
     InconsistentRecord,
 }
 
