--- a/crates/fleet/benches/size.rs
+++ b/crates/fleet/benches/size.rs
@@ -2,42 +2,47 @@
 //! tenants; and from the healing of a partition to one tally at all, in gossip periods.
 //!
 //!     cargo bench -p streamusher-fleet --bench size -- 3 12 100 300
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
 
-#[path = "../tests/world/mod.rs"]
-mod world;
+#[path = "../tests/simulation/mod.rs"]
+mod simulation;
 
+use simulation::{Simulation, MS, SECOND};
 use std::sync::Arc;
 use std::time::Instant;
 use streamusher_fleet::usage::{UsageKey, UsageMetric, UsageValues};
-use world::{World, MS, SECOND};
 
 const GOSSIP: u64 = 100 * MS;
 
 /// So many answers of so many tenants at each member in a second.
-fn work(world: &mut World, seconds: u64, tenants: u64, answers: u64) {
+fn work(simulation: &mut Simulation, seconds: u64, tenants: u64, answers: u64) {
     for second in 0..seconds {
         for slice in 0..10 {
-            for i in 0..world.members.len() {
+            for i in 0..simulation.members.len() {
                 for n in 0..answers / 10 {
                     let tenant = (second * 31 + slice * 7 + n + i as u64) % tenants;
                     let key = UsageKey {
                         period: 1,
                         tenant: Arc::from(format!("tenant-{tenant}")),
                     };
-                    world.members[i]
+                    simulation.members[i]
                         .node
                         .increment(key, &UsageValues::single(UsageMetric::Served, 1));
                 }
             }
-            world.run(100 * MS, &[], 0.0);
+            simulation.run(100 * MS, &[], 0.0);
         }
     }
 }
 
-fn rate(world: &mut World, what: impl FnOnce(&mut World), seconds: u64) -> u64 {
-    let before = world.bytes;
-    what(world);
-    (world.bytes - before) / world.members.len() as u64 / seconds
+fn rate(simulation: &mut Simulation, what: impl FnOnce(&mut Simulation), seconds: u64) -> u64 {
+    let before = simulation.sent_bytes;
+    what(simulation);
+    (simulation.sent_bytes - before) / simulation.members.len() as u64 / seconds
 }
 
 fn main() {
@@ -56,17 +61,17 @@
     for &n in &sizes {
         for tenants in [4, 64] {
             let begun = Instant::now();
-            let mut world = World::new(n, 0, 3);
-            world.run(3 * SECOND, &[], 0.0);
-            let quiet = rate(&mut world, |w| w.run(3 * SECOND, &[], 0.0), 3);
-            let at_work = rate(&mut world, |w| work(w, 3, tenants, 20), 3);
+            let mut simulation = Simulation::new(n, 0, 3);
+            simulation.run(3 * SECOND, &[], 0.0);
+            let quiet = rate(&mut simulation, |w| w.run(3 * SECOND, &[], 0.0), 3);
+            let at_work = rate(&mut simulation, |w| work(w, 3, tenants, 20), 3);
             let mut took: Vec<u64> = Vec::new();
             for round in 0..if n > 50 { 3 } else { 20 } {
                 let half: Vec<usize> = (0..n).filter(|i| (i + round) % 2 == 0).collect();
-                world.part(&half);
-                work(&mut world, 1, tenants, 20);
-                world.cut.clear();
-                took.push(world.settle() / GOSSIP);
+                simulation.partition(&half);
+                work(&mut simulation, 1, tenants, 20);
+                simulation.slow_links.clear();
+                took.push(simulation.run_until_converged() / GOSSIP);
             }
             took.sort_unstable();
             let at = |p: usize| took[(took.len() - 1) * p / 100];
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -30,7 +30,7 @@
 const SUSPICION_PERIODS: u32 = 5;
 /// How long a member that is down stays known. Those are announced to now and then, so that two halves of a partitioned
 /// fleet find each other again.
-const DOWN_RETENTION: Duration = Duration::from_secs(24 * 3_600);
+const DOWN_RETENTION: Duration = Duration::from_hours(24);
 
 /// A member as others know it: an incarnation, and where it is reached.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -249,7 +249,7 @@
 
     /// Others that are there, those suspected included.
     pub fn alive(&self) -> impl Iterator<Item = &Member> {
-        self.foca.iter_members().map(|member| member.id())
+        self.foca.iter_members().map(foca::Member::id)
     }
 
     /// All others that are known.
--- a/crates/fleet/src/quota/mod.rs
+++ b/crates/fleet/src/quota/mod.rs
@@ -152,11 +152,11 @@
         let loans = &self.loans[quota];
         let mut lenders: Vec<(u64, &Arc<str>)> = Vec::new();
         for name in others {
-            let share = self.terms.share(name, quota);
-            if share == 0 || drafts.iter().any(|draft| draft.lender == *name) {
+            let lender_share = self.terms.share(name, quota);
+            if lender_share == 0 || drafts.iter().any(|draft| draft.lender == *name) {
                 continue;
             }
-            let spare = loans.expected_spare(now, self.terms.lease, name, share);
+            let spare = loans.expected_spare(now, self.terms.lease, name, lender_share);
             if spare > 0 {
                 lenders.push((spare, name));
             }
--- a/crates/fleet/src/quota/terms.rs
+++ b/crates/fleet/src/quota/terms.rs
@@ -66,8 +66,9 @@
         for time in [self.lease, self.max_use, self.margin] {
             hash.update(&time.to_le_bytes());
         }
-        let [a, b, c, d, e, f, g, h, ..] = *hash.finalize().as_bytes();
-        u64::from_le_bytes([a, b, c, d, e, f, g, h])
+        let mut fingerprint = [0; 8];
+        fingerprint.copy_from_slice(&hash.finalize().as_bytes()[..8]);
+        u64::from_le_bytes(fingerprint)
     }
 }
 
--- a/crates/fleet/src/usage_counters/member_usage.rs
+++ b/crates/fleet/src/usage_counters/member_usage.rs
@@ -130,8 +130,9 @@
                 hash.update(&value.to_le_bytes());
             }
         }
-        let [first, second, third, fourth, ..] = *hash.finalize().as_bytes();
-        u32::from_le_bytes([first, second, third, fourth])
+        let mut checksum = [0; 4];
+        checksum.copy_from_slice(&hash.finalize().as_bytes()[..4]);
+        u32::from_le_bytes(checksum)
     }
 }
 
--- a/crates/fleet/tests/allowance.rs
+++ b/crates/fleet/tests/allowance.rs
@@ -1,4 +1,9 @@
-//! One word of rights that two threads share.
+//! The allowance of one quota, which two threads share.
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
 
 use std::sync::Arc;
 use streamusher_fleet::allowance::{HeldUnits, QuotaAllowance};
@@ -9,7 +14,7 @@
 }
 
 #[test]
-fn borrowed_units_end_on_the_spenders_own_clock() {
+fn borrowed_units_expire_on_the_borrowers_clock() {
     let allowance = QuotaAllowance::default();
     allowance.set_valid_until(Micros::MAX);
     allowance.grow(held(1, 2), 1_000);
@@ -21,21 +26,23 @@
     );
     allowance.release();
     allowance.release();
-    assert!(allowance.try_acquire(5_000), "the own unit has no end");
+    assert!(allowance.try_acquire(5_000), "the own unit does not expire");
     assert!(!allowance.try_acquire(5_000));
     assert_eq!(allowance.take_denied(), 2);
 }
 
 #[test]
-fn what_is_in_use_is_not_taken() {
+fn units_in_use_are_not_reclaimed() {
     let allowance = QuotaAllowance::default();
     allowance.set_valid_until(Micros::MAX);
     allowance.grow(held(3, 2), 1_000);
-    (0..4).for_each(|_| assert!(allowance.try_acquire(0)));
+    for _ in 0..4 {
+        assert!(allowance.try_acquire(0));
+    }
     assert_eq!(
         allowance.reclaim_own(3),
         0,
-        "four are in use, and what is borrowed will end"
+        "four are in use, and what is borrowed will expire"
     );
     assert_eq!(allowance.reclaim_borrowed(2), 1);
     allowance.release();
@@ -44,22 +51,25 @@
     assert_eq!(allowance.held(), held(2, 1));
 }
 
-/// A spender and a taker at once: what was spent and what was taken never come to more than there was.
+/// What one thread acquires and another reclaims never comes to more than there was.
 #[test]
-fn spending_and_taking_race() {
+fn acquiring_and_reclaiming_at_once_never_exceed_the_units() {
     for _ in 0..50 {
         let allowance = Arc::new(QuotaAllowance::default());
         allowance.set_valid_until(Micros::MAX);
         allowance.grow(held(1_000, 0), 0);
-        let spender = allowance.clone();
-        let spent = std::thread::spawn(move || {
-            (0..2_000).filter(|_| spender.try_acquire(0)).count() as u64
+        let acquiring = allowance.clone();
+        let acquired = std::thread::spawn(move || {
+            (0..2_000).filter(|_| acquiring.try_acquire(0)).count() as u64
         });
-        let taken: u64 = (0..300).map(|_| allowance.reclaim_own(3)).sum();
+        let reclaimed: u64 = (0..300).map(|_| allowance.reclaim_own(3)).sum();
+        assert_eq!(
+            acquired.join().unwrap() + reclaimed,
+            1_000 - allowance.available(0)
+        );
         assert_eq!(
-            spent.join().unwrap() + taken,
+            allowance.in_use() + reclaimed,
             1_000 - allowance.available(0)
         );
-        assert_eq!(allowance.in_use() + taken, 1_000 - allowance.available(0));
     }
 }
--- a/crates/fleet/tests/datagram.rs
+++ b/crates/fleet/tests/datagram.rs
@@ -1,4 +1,9 @@
-//! Frames: sealed, opened, and refused each by its cause.
+//! Datagrams: encoded, decoded, and rejected each by its cause.
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
 
 use proptest::prelude::*;
 use streamusher_fleet::datagram::{
@@ -6,7 +11,7 @@
 };
 use streamusher_fleet::membership::Member;
 
-/// What stands before the body: two letters, the version, the fleet's mark, the MAC.
+/// Bytes before the body: two letters, the version, the fleet's tag, the MAC.
 const HEADER_BYTES: usize = 2 + 1 + 4 + 16;
 
 /// The MAC as the format has it.
@@ -27,7 +32,7 @@
 }
 
 #[test]
-fn each_bad_frame_is_told_by_its_cause() {
+fn each_rejected_datagram_has_its_cause() {
     let (ours, remote) = (DatagramCodec::new([1; 32]), DatagramCodec::new([2; 32]));
     let good = ours.encode(&datagram()).expect("small");
     assert_eq!(ours.decode(&good), Ok(datagram()));
@@ -53,7 +58,7 @@
 
 proptest! {
     #[test]
-    fn no_bytes_break_the_reader(bytes in proptest::collection::vec(any::<u8>(), 0..200), at in 0usize..60, bit in 0u8..8) {
+    fn no_bytes_break_the_decoder(bytes in proptest::collection::vec(any::<u8>(), 0..200), at in 0usize..60, bit in 0u8..8) {
         let ours = DatagramCodec::new([1; 32]);
         prop_assert!(ours.decode(&bytes).is_err());
         let mut good = ours.encode(&datagram()).expect("small");
--- a/crates/fleet/tests/encoded.rs
+++ b/crates/fleet/tests/encoded.rs
@@ -2,9 +2,15 @@
 //! simulated run. A changed byte is a new version of the datagram format, or a changed key of the operators' JSON.
 //!
 //! Datagrams are encoded by position (postcard), so the order of fields and variants is part of the form.
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
 
-mod world;
+mod simulation;
 
+use simulation::{Simulation, MS, SECOND};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use streamusher_fleet::datagram::{Datagram, DatagramBody, DatagramCodec, DatagramError};
@@ -17,7 +23,6 @@
     BaseRow, Delta, IncarnationVersion, UsageCounters, UsageDigest, VersionSummary, VersionedRow,
 };
 use streamusher_fleet::Incarnation;
-use world::{World, MS, SECOND};
 
 const DATAGRAMS: &str = include_str!("fixtures/encoded/datagrams.txt");
 const STATUS: &str = include_str!("fixtures/encoded/status.txt");
@@ -33,7 +38,7 @@
     }
 }
 
-fn units() -> UsageValues {
+fn values() -> UsageValues {
     UsageValues([1, 2, 3, 4, 5, 6, 7, 8, 900, u64::MAX])
 }
 
@@ -84,73 +89,77 @@
     ]
 }
 
+fn deltas() -> Vec<(&'static str, DatagramBody)> {
+    let of_incarnation = Delta::Incarnation {
+        incarnation: Incarnation::new("c", 7),
+        after: 1,
+        up_to: 300,
+        rows: vec![VersionedRow {
+            key: key(3, "tenant-1"),
+            version: 299,
+            values: values(),
+        }],
+    };
+    let of_base = Delta::Base {
+        name: name("c"),
+        first_incarnation: 5,
+        up_to: 6,
+        total_rows: 1,
+        rows: vec![BaseRow {
+            key: key(2, ""),
+            values: values(),
+        }],
+    };
+    vec![
+        (
+            "rows_of_a_life",
+            DatagramBody::UsageDeltas(vec![of_incarnation]),
+        ),
+        ("rows_of_a_base", DatagramBody::UsageDeltas(vec![of_base])),
+    ]
+}
+
+fn leases() -> Vec<(&'static str, DatagramBody)> {
+    let request = LeaseRequest {
+        terms: 1,
+        quota: 2,
+        sequence: 3,
+        sent_at: 4_000,
+        kept_units: 5,
+        wanted_units: 6,
+    };
+    let grant = LeaseGrant {
+        terms: 1,
+        quota: 2,
+        sequence: 3,
+        sent_at: 4_000,
+        units: 5,
+        spare_units: 6,
+    };
+    vec![
+        ("ask", DatagramBody::LeaseRequest(request)),
+        ("grant", DatagramBody::LeaseGrant(grant)),
+    ]
+}
+
+/// Each variant, under the label that it has in the fixture.
 fn bodies() -> Vec<(&'static str, DatagramBody)> {
+    let observations = vec![
+        observation(1, None),
+        observation(2, Some(WorkerFault::Slow)),
+        observation(3, Some(WorkerFault::Failing)),
+        observation(4, Some(WorkerFault::Cold)),
+        observation(5, Some(WorkerFault::Full)),
+    ];
     let mut all = vec![
         ("hello", DatagramBody::Hello),
         ("swim", DatagramBody::Membership(vec![1, 2, 255])),
     ];
     all.extend(digests());
-    all.extend([
-        (
-            "rows_of_a_life",
-            DatagramBody::UsageDeltas(vec![Delta::Incarnation {
-                incarnation: Incarnation::new("c", 7),
-                after: 1,
-                up_to: 300,
-                rows: vec![VersionedRow {
-                    key: key(3, "tenant-1"),
-                    version: 299,
-                    values: units(),
-                }],
-            }]),
-        ),
-        (
-            "rows_of_a_base",
-            DatagramBody::UsageDeltas(vec![Delta::Base {
-                name: name("c"),
-                first_incarnation: 5,
-                up_to: 6,
-                total_rows: 1,
-                rows: vec![BaseRow {
-                    key: key(2, ""),
-                    values: units(),
-                }],
-            }]),
-        ),
-        ("have", DatagramBody::UsageAcknowledged(1_000)),
-        (
-            "ask",
-            DatagramBody::LeaseRequest(LeaseRequest {
-                terms: 1,
-                quota: 2,
-                sequence: 3,
-                sent_at: 4_000,
-                kept_units: 5,
-                wanted_units: 6,
-            }),
-        ),
-        (
-            "grant",
-            DatagramBody::LeaseGrant(LeaseGrant {
-                terms: 1,
-                quota: 2,
-                sequence: 3,
-                sent_at: 4_000,
-                units: 5,
-                spare_units: 6,
-            }),
-        ),
-        (
-            "words",
-            DatagramBody::Observations(vec![
-                observation(1, None),
-                observation(2, Some(WorkerFault::Slow)),
-                observation(3, Some(WorkerFault::Failing)),
-                observation(4, Some(WorkerFault::Cold)),
-                observation(5, Some(WorkerFault::Full)),
-            ]),
-        ),
-    ]);
+    all.extend(deltas());
+    all.push(("have", DatagramBody::UsageAcknowledged(1_000)));
+    all.extend(leases());
+    all.push(("words", DatagramBody::Observations(observations)));
     all
 }
 
@@ -166,7 +175,8 @@
 }
 
 fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+    let pairs: Vec<String> = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+    pairs.concat()
 }
 
 fn bytes(hex: &str) -> Vec<u8> {
@@ -178,15 +188,15 @@
 #[test]
 fn encoded_forms_are_as_recorded() {
     let codec = DatagramCodec::new([7; 32]);
-    let mut lines = String::new();
+    let mut lines = Vec::new();
     for (i, sender) in senders().into_iter().enumerate() {
         for (label, body) in bodies() {
             let sender = sender.clone();
-            let sealed = codec.encode(&Datagram { sender, body }).expect("it fits");
-            lines += &format!("{label}_{i} {}\n", hex(&sealed));
+            let encoded = codec.encode(&Datagram { sender, body }).expect("it fits");
+            lines.push(format!("{label}_{i} {}\n", hex(&encoded)));
         }
     }
-    assert_eq!(lines, DATAGRAMS);
+    assert_eq!(lines.concat(), DATAGRAMS);
     let mut recorded = DATAGRAMS.lines();
     for sender in senders() {
         for (label, body) in bodies() {
@@ -356,29 +366,29 @@
 /// All datagrams of a fleet under load, in order: each decision and each random draw shows in them.
 #[test]
 fn datagrams_of_a_simulated_fleet_are_as_recorded() {
-    let mut world = World::new(5, 1, 21);
-    world.loss = 0.1;
-    world.run(3 * SECOND, &[0], 1.0);
-    world.part(&[1, 2]);
-    world.run(2 * SECOND, &[1, 3], 2.0);
-    world.cut.clear();
-    world.kill(4);
-    world.run(300 * MS, &[2], 0.5);
-    world.begin(4);
-    world.members[3].stopped_until = world.now + SECOND;
-    world.run(15 * SECOND, &[4], 1.0);
-    let status: Vec<String> = world
+    let mut simulation = Simulation::new(5, 1, 21);
+    simulation.loss = 0.1;
+    simulation.run(3 * SECOND, &[0], 1.0);
+    simulation.partition(&[1, 2]);
+    simulation.run(2 * SECOND, &[1, 3], 2.0);
+    simulation.slow_links.clear();
+    simulation.crash(4);
+    simulation.run(300 * MS, &[2], 0.5);
+    simulation.restart(4);
+    simulation.members[3].paused_until = simulation.now + SECOND;
+    simulation.run(15 * SECOND, &[4], 1.0);
+    let status: Vec<String> = simulation
         .members
         .iter()
-        .map(|member| json(&member.node.status(world.now)))
+        .map(|member| json(&member.node.status(simulation.now)))
         .collect();
     assert_eq!(
         (
-            world.sent_digest.finalize().to_hex()[..16].to_string(),
+            simulation.sent_digest.finalize().to_hex()[..16].to_string(),
             blake3::hash(status.join("\n").as_bytes()).to_hex()[..16].to_string(),
-            world.bytes,
-            world.raised,
-            world.answered,
+            simulation.sent_bytes,
+            simulation.counted,
+            simulation.answered,
         ),
         (
             "2894c9b8d81a5363".into(),
--- a/crates/fleet/tests/outlier.rs
+++ b/crates/fleet/tests/outlier.rs
@@ -1,4 +1,9 @@
-//! Judgements on workers: who is believed, for how long, and how much of a zone.
+//! Outlier detection: how many observers are believed, for how long, and how much of a zone is ejected.
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking"
+)]
 
 use proptest::prelude::*;
 use std::sync::Arc;
@@ -34,38 +39,38 @@
     OutlierDetector::new(Incarnation::new(&format!("m{n}"), incarnation))
 }
 
-/// Members 0 to `authors` find worker 0 failing; what member 9 then makes of it.
-fn judged(observers: usize) -> (OutlierDetector, Vec<Ejection>) {
+/// As many members find worker 0 failing; returns what member 9 makes of it.
+fn observed_failing(observers: usize) -> (OutlierDetector, Vec<Ejection>) {
     let mut all = member(9, 1);
     for n in 0..observers {
-        let mut m = member(n, 1);
-        m.on_fault(0, worker(0), WorkerFault::Failing, 50, 10 * SECOND);
-        all.on_observations(0, &m.observations_to_share(0, 9));
+        let mut observer = member(n, 1);
+        observer.on_fault(0, worker(0), WorkerFault::Failing, 50, 10 * SECOND);
+        all.on_observations(0, &observer.observations_to_share(0, 9));
     }
     let ejections = all.ejections(SECOND, POLICY, &workers(8));
     (all, ejections)
 }
 
 #[test]
-fn few_authors_are_not_believed_and_none_counts_twice() {
-    assert_eq!(judged(2).1, []);
-    let (mut all, ejections) = judged(3);
+fn few_observers_eject_nothing_and_none_counts_twice() {
+    assert_eq!(observed_failing(2).1, []);
+    let (mut all, ejections) = observed_failing(3);
     assert_eq!(
         (ejections.len(), ejections[0].observers, ejections[0].weight),
         (1, 3, 150)
     );
-    // Two of them again, one by a new life: still three authors.
+    // Two of them again, one in a new incarnation: still three observers.
     for (n, incarnation) in [(0, 1), (1, 2)] {
-        let mut m = member(n, incarnation);
-        m.on_fault(0, worker(0), WorkerFault::Failing, 50, 10 * SECOND);
-        all.on_observations(SECOND, &m.observations_to_share(0, 9));
+        let mut observer = member(n, incarnation);
+        observer.on_fault(0, worker(0), WorkerFault::Failing, 50, 10 * SECOND);
+        all.on_observations(SECOND, &observer.observations_to_share(0, 9));
     }
     assert_eq!(all.ejections(SECOND, POLICY, &workers(8))[0].observers, 3);
 }
 
 #[test]
-fn it_ends_by_itself_and_own_evidence_goes_first() {
-    let (mut all, _) = judged(4);
+fn ejections_expire_and_own_evidence_takes_precedence() {
+    let (mut all, _) = observed_failing(4);
     assert_eq!(all.ejections(9 * SECOND, POLICY, &workers(8)).len(), 1);
     all.on_success(9 * SECOND, worker(0), SECOND / 2);
     assert_eq!(
@@ -81,23 +86,26 @@
     assert_eq!(
         all.ejections(10 * SECOND, POLICY, &workers(8)),
         [],
-        "the words have ended"
+        "the observations have expired"
     );
     all.tick(10 * SECOND);
     assert!(all.is_empty());
-    // A worker that begins again is another life, of which nothing was said.
-    let begun = vec![ZonedWorker {
+    // A worker that restarts is another incarnation, of which nothing was observed.
+    let restarted = vec![ZonedWorker {
         worker: WorkerIncarnation {
             name: Arc::from("w0"),
             started_ms: 8,
         },
         zone: Arc::from("a"),
     }];
-    assert_eq!(judged(4).0.ejections(SECOND, POLICY, &begun), []);
+    assert_eq!(
+        observed_failing(4).0.ejections(SECOND, POLICY, &restarted),
+        []
+    );
 }
 
 #[test]
-fn a_word_that_is_repeated_does_not_last_longer_and_one_taken_back_ends() {
+fn a_repeated_observation_holds_no_longer_and_a_retracted_one_ends() {
     let (mut one, mut other) = (member(1, 1), member(2, 1));
     one.on_fault(0, worker(0), WorkerFault::Slow, 10, 2 * SECOND);
     let said = one.observations_to_share(0, 9);
@@ -114,30 +122,26 @@
 }
 
 #[test]
-fn all_together_shun_no_more_than_a_part_of_a_zone() {
+fn ejections_are_limited_to_a_fraction_of_each_zone() {
     let mut all = member(9, 1);
     for n in 0..6 {
-        let mut m = member(n, 1);
-        (0..8).for_each(|index| {
-            m.on_fault(
-                0,
-                worker(index),
-                WorkerFault::Failing,
-                10 + index as u8,
-                10 * SECOND,
-            )
-        });
-        all.on_observations(0, &m.observations_to_share(0, 99));
+        let mut observer = member(n, 1);
+        for (index, weight) in (0..8).zip(10..) {
+            let fault = WorkerFault::Failing;
+            observer.on_fault(0, worker(index), fault, weight, 10 * SECOND);
+        }
+        all.on_observations(0, &observer.observations_to_share(0, 99));
     }
     let ejections = all.ejections(SECOND, POLICY, &workers(8));
-    let names: Vec<&str> = ejections.iter().map(|v| &*v.worker).collect();
+    let names: Vec<&str> = ejections.iter().map(|ejection| &*ejection.worker).collect();
     assert_eq!(names, ["w7", "w3"], "one of four in each zone, the worst");
 }
 
 proptest! {
-    /// In whatever order words come, and how often: the end is the same, and bounded.
+    /// In whatever order observations come, and how often: the result is the same, and bounded.
     #[test]
-    fn merging_is_the_same_in_any_order(
+    #[expect(clippy::cast_possible_truncation, reason = "any number will do")]
+    fn observations_merge_the_same_in_any_order(
         said in proptest::collection::vec((0usize..5, 0usize..4, 1u8..100, 1u32..9_000), 1..40), seed in any::<u64>(),
     ) {
         let mut observations: Vec<Observation> = said.iter().enumerate().map(|(sequence, &(observer, index, weight, remaining_ms))| Observation {
--- a/crates/fleet/tests/quota_model.rs
+++ b/crates/fleet/tests/quota_model.rs
@@ -1,5 +1,7 @@
-//! The rights, model checked: every order of calls, grants, losses, repetitions, spendings and ticks of a small fleet,
-//! with one crash and one pause. The model's members are [`Rights`] themselves: model and program share the transitions.
+//! Quota leases, model checked: every order of requests, grants, losses, repetitions, acquisitions and ticks of a small
+//! fleet, with one crash and one pause. The model's members are [`QuotaLeases`] themselves: model and program share the
+//! transitions.
+#![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
@@ -10,94 +12,209 @@
 };
 use streamusher_fleet::{Incarnation, Micros};
 
-/// A purse without atomics, which knows its clock.
+const MEMBERS: usize = 3;
+const QUOTAS: usize = 2;
+/// Messages on their way for which a member sends no further request.
+const MAX_TRAVELLING: usize = 2;
+/// Messages older than this are lost, to keep the space small.
+const MESSAGE_LIFETIME: Micros = 3;
+const QUOTA_HOLDS: &str = "no quota is exceeded";
+
+/// An allowance without atomics.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Plain {
-    used: u64,
+struct PlainAllowance {
+    in_use: u64,
     own: u64,
     borrowed: u64,
-    until: Micros,
+    borrowed_until: Micros,
 }
 
-impl Allowance for Plain {
+impl Allowance for PlainAllowance {
     fn in_use(&self) -> u64 {
-        self.used
+        self.in_use
     }
+
     fn held(&self) -> HeldUnits {
         HeldUnits {
             own: self.own,
             borrowed: self.borrowed,
         }
     }
-    fn grow(&mut self, held: HeldUnits, until: Micros) {
+
+    fn grow(&mut self, held: HeldUnits, borrowed_until: Micros) {
         assert!(held.own >= self.own && held.borrowed >= self.borrowed);
-        (self.own, self.borrowed, self.until) = (held.own, held.borrowed, until);
+        self.own = held.own;
+        self.borrowed = held.borrowed;
+        self.borrowed_until = borrowed_until;
     }
-    fn reclaim_own(&mut self, most: u64) -> u64 {
-        let taken = most.min(self.own.saturating_sub(self.used));
-        self.own -= taken;
-        taken
+
+    fn reclaim_own(&mut self, max_units: u64) -> u64 {
+        let reclaimed = max_units.min(self.own.saturating_sub(self.in_use));
+        self.own -= reclaimed;
+        reclaimed
     }
-    fn reclaim_borrowed(&mut self, most: u64) -> u64 {
-        let taken = most
+
+    fn reclaim_borrowed(&mut self, max_units: u64) -> u64 {
+        let reclaimed = max_units
             .min(self.borrowed)
-            .min((self.own + self.borrowed).saturating_sub(self.used));
-        self.borrowed -= taken;
-        taken
+            .min((self.own + self.borrowed).saturating_sub(self.in_use));
+        self.borrowed -= reclaimed;
+        reclaimed
     }
-    fn expire_borrowed(&mut self, left: u64, until: Micros) {
-        (self.borrowed, self.until) = (left, until);
+
+    fn expire_borrowed(&mut self, remaining: u64, borrowed_until: Micros) {
+        self.borrowed = remaining;
+        self.borrowed_until = borrowed_until;
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Frame {
-    LeaseRequest(LeaseRequest),
-    LeaseGrant(LeaseGrant),
+enum Message {
+    Request(LeaseRequest),
+    Grant(LeaseGrant),
+}
+
+impl Message {
+    fn sent_at(&self) -> Micros {
+        match self {
+            Message::Request(request) => request.sent_at,
+            Message::Grant(grant) => grant.sent_at,
+        }
+    }
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+struct Travelling {
+    from: usize,
+    to: usize,
+    sender: Incarnation,
+    message: Message,
+}
+
+/// A job at a worker, which holds one unit.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+struct Job {
+    /// Who started it; none if that incarnation has crashed.
+    member: Option<usize>,
+    quota: usize,
+    ends_at: Micros,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: Micros,
-    members: Vec<QuotaLeases<Plain>>,
-    /// Jobs in hand at the workers, whoever lives: member, budget, end. One of a life that is gone has none.
-    jobs: Vec<(Option<usize>, usize, Micros)>,
-    /// Frames on their way stay there: each may come late, again, or never.
-    frames: BTreeSet<(usize, usize, Incarnation, Frame)>,
+    members: Vec<QuotaLeases<PlainAllowance>>,
+    /// All jobs that run, whoever lives.
+    jobs: Vec<Job>,
+    /// Messages stay on their way: each may come late, again, or never.
+    travelling: BTreeSet<Travelling>,
     incarnations: Vec<u64>,
     paused: Option<usize>,
     crashes: u8,
     pauses: u8,
 }
 
+impl State {
+    fn incarnation(&self, member: usize) -> Incarnation {
+        Incarnation {
+            name: name(member),
+            number: self.incarnations[member],
+        }
+    }
+
+    fn request(&mut self, from: usize, quota: usize, units: u64) {
+        let others: Vec<Arc<str>> = (0..MEMBERS).filter(|i| *i != from).map(name).collect();
+        let requests = self.members[from].request_units(self.now, quota, units, &others);
+        for OutboundRequest { lender, request } in requests {
+            let to = (0..MEMBERS).find(|i| name(*i) == lender);
+            let travelling = Travelling {
+                from,
+                to: to.expect("a member"),
+                sender: self.incarnation(from),
+                message: Message::Request(request),
+            };
+            self.travelling.insert(travelling);
+        }
+    }
+
+    /// Returns none if nothing comes of it.
+    fn deliver(&mut self, delivered: Travelling) -> Option<()> {
+        let Travelling { from, to, .. } = delivered;
+        match delivered.message {
+            Message::Request(request) => {
+                let member = &mut self.members[to];
+                let grant = member.on_lease_request(self.now, &delivered.sender, &request)?;
+                let answer = Travelling {
+                    from: to,
+                    to: from,
+                    sender: self.incarnation(to),
+                    message: Message::Grant(grant),
+                };
+                self.travelling.insert(answer);
+            }
+            // A grant goes to the incarnation that lives now: its requests count anew, and the time on it is another's.
+            Message::Grant(grant) => {
+                self.members[to].on_lease_grant(self.now, &name(from), &grant);
+            }
+        }
+        Some(())
+    }
+
+    fn tick(&mut self) {
+        self.now += 1;
+        let now = self.now;
+        // Jobs end at the workers; a member that runs hears of it.
+        for job in self.jobs.iter().filter(|job| job.ends_at <= now) {
+            if let Some(member) = job.member {
+                self.members[member].allowances[job.quota].in_use -= 1;
+            }
+        }
+        self.jobs.retain(|job| job.ends_at > now);
+        for member in 0..MEMBERS {
+            if self.paused != Some(member) {
+                self.members[member].tick(now);
+            }
+        }
+        self.travelling
+            .retain(|travelling| travelling.message.sent_at() + MESSAGE_LIFETIME > now);
+    }
+}
+
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
-    Want(usize, usize, u64),
-    Deliver(usize, usize, Incarnation, Frame),
-    Spend(usize, usize),
+    Request {
+        member: usize,
+        quota: usize,
+        units: u64,
+    },
+    Deliver(Travelling),
+    Acquire {
+        member: usize,
+        quota: usize,
+    },
     /// The time goes on by one; members that run look at their clocks.
     Tick,
     Crash(usize),
     Pause(usize),
-    Wake,
+    Resume,
 }
 
 struct Fleet {
     terms: Arc<QuotaTerms>,
     until: Micros,
-    /// The borrower's lease is not looked at: this must be found. To go deep enough one budget is looked at alone, and
+    /// Leases do not expire at the borrower: this must be found. To go deep enough one quota is looked at alone, and
     /// nobody crashes.
     without_lease: bool,
 }
 
-fn name(i: usize) -> Arc<str> {
-    Arc::from(format!("m{i}"))
+fn name(member: usize) -> Arc<str> {
+    Arc::from(format!("m{member}"))
 }
 
 impl Fleet {
     fn new(until: Micros, without_lease: bool) -> Fleet {
-        let quota = |n: &str, units| Quota {
-            name: Arc::from(n),
+        let quota = |name: &str, units| Quota {
+            name: Arc::from(name),
             units,
         };
         let terms = QuotaTerms {
@@ -115,16 +232,61 @@
         }
     }
 
-    fn incarnation(&self, i: usize, number: u64, now: Micros) -> QuotaLeases<Plain> {
-        QuotaLeases::new(
-            Incarnation {
-                name: name(i),
-                number,
-            },
-            self.terms.clone(),
-            vec![Plain::default(); 2],
-            now,
-        )
+    fn start_member(&self, member: usize, number: u64, now: Micros) -> QuotaLeases<PlainAllowance> {
+        let local = Incarnation {
+            name: name(member),
+            number,
+        };
+        let allowances = vec![PlainAllowance::default(); QUOTAS];
+        QuotaLeases::new(local, self.terms.clone(), allowances, now)
+    }
+
+    /// Member 2 has no share, all it uses is borrowed; member 1 only lends, and member 0 does both.
+    fn requests_of(&self, member: usize) -> Vec<Step> {
+        let request = |quota, units| Step::Request {
+            member,
+            quota,
+            units,
+        };
+        match member {
+            0 if !self.without_lease => vec![request(0, 2)],
+            0 | 1 => vec![],
+            _ if self.without_lease => vec![request(0, 2)],
+            _ => vec![request(0, 0), request(0, 2), request(1, 1)],
+        }
+    }
+
+    /// Returns none if there is no unit.
+    fn acquire(&self, state: &mut State, member: usize, quota: usize) -> Option<()> {
+        let allowance = &mut state.members[member].allowances[quota];
+        let is_lease_valid = self.without_lease || state.now < allowance.borrowed_until;
+        let borrowed = if is_lease_valid {
+            allowance.borrowed
+        } else {
+            0
+        };
+        if allowance.in_use >= allowance.own + borrowed {
+            return None;
+        }
+        allowance.in_use += 1;
+        state.jobs.push(Job {
+            member: Some(member),
+            quota,
+            ends_at: state.now + self.terms.max_use,
+        });
+        state.jobs.sort();
+        Some(())
+    }
+
+    fn crash(&self, state: &mut State, member: usize) {
+        state.crashes += 1;
+        state.incarnations[member] += 1;
+        state.members[member] = self.start_member(member, state.incarnations[member], state.now);
+        for job in &mut state.jobs {
+            if job.member == Some(member) {
+                job.member = None;
+            }
+        }
     }
 }
 
@@ -133,165 +295,101 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        // As if all had started long ago: the parts are in.
-        let mut members: Vec<QuotaLeases<Plain>> =
-            (0..3).map(|i| self.incarnation(i, 1, 0)).collect();
+        // As if all had started long ago: the shares are in.
         let now = self.terms.loan_recovery_time();
-        members.iter_mut().for_each(|m| m.tick(now));
-        let (jobs, frames) = (Vec::new(), BTreeSet::new());
+        let mut members: Vec<QuotaLeases<PlainAllowance>> =
+            (0..MEMBERS).map(|i| self.start_member(i, 1, 0)).collect();
+        for member in &mut members {
+            member.tick(now);
+        }
         vec![State {
             now,
             members,
-            jobs,
-            frames,
-            incarnations: vec![1; 3],
+            jobs: Vec::new(),
+            travelling: BTreeSet::new(),
+            incarnations: vec![1; MEMBERS],
             paused: None,
             crashes: 0,
             pauses: 0,
         }]
     }
 
-    fn actions(&self, s: &State, outbox: &mut Vec<Step>) {
-        let runs = |i: &usize| s.paused != Some(*i);
-        if s.now < self.terms.loan_recovery_time() + self.until {
-            outbox.push(Step::Tick);
+    fn actions(&self, state: &State, steps: &mut Vec<Step>) {
+        let runs = |member: usize| state.paused != Some(member);
+        if state.now < self.terms.loan_recovery_time() + self.until {
+            steps.push(Step::Tick);
         }
-        for i in (0..3).filter(runs) {
-            // Member 2 has no seat, all it spends is borrowed; member 1 only lends, and member 0 does both.
-            if s.frames.len() < 2 {
-                outbox.extend(match i {
-                    0 if !self.without_lease => vec![Step::Want(0, 0, 2)],
-                    0 | 1 => vec![],
-                    _ if self.without_lease => vec![Step::Want(2, 0, 2)],
-                    _ => vec![
-                        Step::Want(2, 0, 0),
-                        Step::Want(2, 0, 2),
-                        Step::Want(2, 1, 1),
-                    ],
-                });
+        for member in (0..MEMBERS).filter(|member| runs(*member)) {
+            if state.travelling.len() < MAX_TRAVELLING {
+                steps.extend(self.requests_of(member));
             }
-            outbox.extend((0..2 - usize::from(self.without_lease)).map(|b| Step::Spend(i, b)));
-            if s.crashes == 0 && i != 1 && !self.without_lease {
-                outbox.push(Step::Crash(i));
+            let quotas = QUOTAS - usize::from(self.without_lease);
+            steps.extend((0..quotas).map(|quota| Step::Acquire { member, quota }));
+            if state.crashes == 0 && member != 1 && !self.without_lease {
+                steps.push(Step::Crash(member));
             }
-            if s.pauses == 0 && i == 2 {
-                outbox.push(Step::Pause(i));
+            if state.pauses == 0 && member == 2 {
+                steps.push(Step::Pause(member));
             }
         }
-        outbox.extend(s.paused.map(|_| Step::Wake));
-        let there = |(_, to, _, _): &&(usize, usize, Incarnation, Frame)| runs(to);
-        outbox.extend(
-            s.frames
-                .iter()
-                .filter(there)
-                .cloned()
-                .map(|(a, b, l, f)| Step::Deliver(a, b, l, f)),
-        );
+        steps.extend(state.paused.map(|_| Step::Resume));
+        let deliverable = state.travelling.iter().filter(|message| runs(message.to));
+        steps.extend(deliverable.cloned().map(Step::Deliver));
     }
 
     fn next_state(&self, last: &State, step: Step) -> Option<State> {
-        let mut s = last.clone();
-        let others = |i: usize| -> Vec<Arc<str>> { (0..3).filter(|j| *j != i).map(name).collect() };
+        let mut state = last.clone();
         match step {
-            Step::Want(i, quota, n) => {
-                let incarnation = Incarnation {
-                    name: name(i),
-                    number: s.incarnations[i],
-                };
-                for outbound in s.members[i].request_units(s.now, quota, n, &others(i)) {
-                    let OutboundRequest { lender, request } = outbound;
-                    let to = (0..3).find(|j| name(*j) == lender).expect("a member");
-                    s.frames
-                        .insert((i, to, incarnation.clone(), Frame::LeaseRequest(request)));
-                }
-            }
-            Step::Deliver(from, to, incarnation, frame) => match frame {
-                Frame::LeaseRequest(request) => {
-                    let grant = s.members[to].on_lease_request(s.now, &incarnation, &request)?;
-                    let own = Incarnation {
-                        name: name(to),
-                        number: s.incarnations[to],
-                    };
-                    s.frames.insert((to, from, own, Frame::LeaseGrant(grant)));
-                }
-                // A grant goes to the life that lives now: its calls count anew, and the time on it is another's.
-                Frame::LeaseGrant(grant) => {
-                    s.members[to].on_lease_grant(s.now, &name(from), &grant)
-                }
-            },
-            Step::Spend(i, quota) => {
-                let now = s.now;
-                let allowance = &mut s.members[i].allowances[quota];
-                let live = self.without_lease || now < allowance.until;
-                if allowance.used >= allowance.own + if live { allowance.borrowed } else { 0 } {
-                    return None;
-                }
-                allowance.used += 1;
-                s.jobs.push((Some(i), quota, now + self.terms.max_use));
-                s.jobs.sort();
-            }
-            Step::Tick => {
-                s.now += 1;
-                let now = s.now;
-                // Jobs end at the workers; a member that runs hears of it.
-                for (i, quota, _) in s.jobs.iter().filter(|j| j.2 <= now) {
-                    if let Some(i) = i {
-                        s.members[*i].allowances[*quota].used -= 1;
-                    }
-                }
-                s.jobs.retain(|j| j.2 > now);
-                for i in (0..3).filter(|i| s.paused != Some(*i)) {
-                    s.members[i].tick(now);
-                }
-                // Frames older than three steps are lost, to keep the space small.
-                s.frames.retain(|f| match &f.3 {
-                    Frame::LeaseRequest(a) => a.sent_at + 3 > now,
-                    Frame::LeaseGrant(g) => g.sent_at + 3 > now,
-                });
-            }
-            Step::Crash(i) => {
-                s.crashes += 1;
-                s.incarnations[i] += 1;
-                s.members[i] = self.incarnation(i, s.incarnations[i], s.now);
-                s.jobs
-                    .iter_mut()
-                    .filter(|j| j.0 == Some(i))
-                    .for_each(|j| j.0 = None);
-            }
-            Step::Pause(i) => {
-                s.pauses += 1;
-                s.paused = Some(i);
+            Step::Request {
+                member,
+                quota,
+                units,
+            } => state.request(member, quota, units),
+            Step::Deliver(travelling) => state.deliver(travelling)?,
+            Step::Acquire { member, quota } => self.acquire(&mut state, member, quota)?,
+            Step::Tick => state.tick(),
+            Step::Crash(member) => self.crash(&mut state, member),
+            Step::Pause(member) => {
+                state.pauses += 1;
+                state.paused = Some(member);
             }
-            // It spends before it looks at anything: the purse's own clock has to hold.
-            Step::Wake => s.paused = None,
+            // It acquires before it looks at anything: the allowance's own time has to hold.
+            Step::Resume => state.paused = None,
         }
-        Some(s)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::<Self>::always("no budget is exceeded", |fleet, s| {
-                let used = |b: usize| s.jobs.iter().filter(|j| j.1 == b).count() as u64;
-                (0..2).all(|b| used(b) <= fleet.terms.quotas[b].units)
+            Property::<Self>::always(QUOTA_HOLDS, |fleet, state| {
+                let in_use = |quota| state.jobs.iter().filter(|job| job.quota == quota).count();
+                let quotas = fleet.terms.quotas.iter().enumerate();
+                quotas
+                    .into_iter()
+                    .all(|(i, quota)| in_use(i) as u64 <= quota.units)
             }),
             Property::<Self>::sometimes(
-                "a member without a seat spends what it borrowed",
-                |_, s| s.jobs.iter().any(|j| j.0 == Some(2)),
+                "a member without a share uses what it borrowed",
+                |_, state| state.jobs.iter().any(|job| job.member == Some(2)),
             ),
-            Property::<Self>::sometimes("all of a budget is spent by one", |_, s| {
-                s.jobs.iter().filter(|j| j.0 == Some(2) && j.1 == 0).count() == 2
+            Property::<Self>::sometimes("all of a quota is used by one", |_, state| {
+                let jobs = state.jobs.iter();
+                jobs.filter(|job| job.member == Some(2) && job.quota == 0)
+                    .count()
+                    == 2
             }),
         ]
     }
 }
 
 fn depth() -> usize {
-    std::env::var("STREAMUSHER_DEPTH")
-        .map_or(9, |v| v.parse().expect("STREAMUSHER_DEPTH: not a number"))
+    std::env::var("STREAMUSHER_DEPTH").map_or(9, |depth| {
+        depth.parse().expect("STREAMUSHER_DEPTH: not a number")
+    })
 }
 
 #[test]
-fn no_order_of_events_exceeds_a_budget() {
+fn no_order_of_events_exceeds_a_quota() {
     let checker = Fleet::new(8, false)
         .checker()
         .threads(4)
@@ -308,12 +406,12 @@
 
 /// A test for the test: without the lease the model finds the schedule that overspends.
 #[test]
-fn without_the_lease_the_model_finds_the_fault() {
+fn without_lease_expiry_the_model_finds_an_exceeded_quota() {
     let found = Fleet::new(8, true)
         .checker()
         .threads(4)
         .target_max_depth(14)
         .spawn_bfs()
         .join();
-    assert!(found.discovery("no budget is exceeded").is_some());
+    assert!(found.discovery(QUOTA_HOLDS).is_some());
 }
--- /dev/null
+++ b/crates/fleet/tests/simulation/mod.rs
@@ -0,0 +1,403 @@
+//! A fleet in virtual time: members, a network that loses, delays, repeats and partitions, and members that crash, pause
+//! and restart. After each millisecond no quota may be exceeded.
+#![allow(dead_code, reason = "each test file uses a part of it")]
+
+use rand::{Rng, RngExt, SeedableRng};
+use rand_pcg::Pcg64;
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BinaryHeap, VecDeque};
+use std::net::SocketAddr;
+use std::sync::Arc;
+use streamusher_fleet::allowance::QuotaAllowance;
+use streamusher_fleet::node::{FleetNode, FleetSettings};
+use streamusher_fleet::outbox::OutboundDatagram;
+use streamusher_fleet::quota::{Quota, QuotaTerms};
+use streamusher_fleet::usage::{UsageKey, UsageMetric, UsageValues};
+use streamusher_fleet::{Incarnation, Micros};
+
+pub(crate) const MS: Micros = 1_000;
+pub(crate) const SECOND: Micros = 1_000_000;
+/// Unix time when the simulated clock stands at 0.
+pub(crate) const UNIX_START: Micros = 1_790_000_000 * SECOND;
+/// Units of quota 0, the one that is under load.
+pub(crate) const UNITS: u64 = 240;
+/// Datagrams that wait at a paused member; more are lost.
+const SOCKET_BUFFER: usize = 500;
+/// The longest time in which totals may converge.
+const CONVERGENCE_TIMEOUT: Micros = 120 * SECOND;
+
+/// A job at a worker, which holds one unit.
+pub(crate) struct Job {
+    pub(crate) ends_at: Micros,
+    pub(crate) quota: usize,
+}
+
+/// Answers that wait until their usage count is replicated.
+pub(crate) struct HeldAnswers {
+    pub(crate) version: u64,
+    pub(crate) count: u64,
+}
+
+pub(crate) struct SimulatedMember {
+    pub(crate) node: FleetNode,
+    pub(crate) allowances: Vec<Arc<QuotaAllowance>>,
+    pub(crate) paused_until: Micros,
+    pub(crate) crashed: bool,
+    pub(crate) jobs: VecDeque<Job>,
+    pub(crate) held_answers: VecDeque<HeldAnswers>,
+    /// How fast its clock runs.
+    pub(crate) clock_rate: f64,
+    /// Datagrams in its socket.
+    pub(crate) received: Vec<Vec<u8>>,
+}
+
+impl SimulatedMember {
+    /// The time on its own clock.
+    fn local_time(&self, now: Micros) -> Micros {
+        scaled(now, self.clock_rate)
+    }
+
+    /// Ends jobs whose time is up.
+    fn end_jobs(&mut self, now: Micros) {
+        while self.jobs.front().is_some_and(|job| job.ends_at <= now) {
+            let job = self.jobs.pop_front().expect("just seen");
+            self.allowances[job.quota].release();
+        }
+    }
+
+    /// Counts a served request; returns the version that includes it.
+    fn count_served(&mut self, unix_time: Micros) -> u64 {
+        let key = UsageKey {
+            period: self.node.period(unix_time),
+            tenant: Arc::from("t0"),
+        };
+        let mut values = UsageValues::single(UsageMetric::Served, 1);
+        values.add(&UsageValues::single(UsageMetric::Attempts, 1));
+        self.node.increment(key, &values)
+    }
+}
+
+#[expect(
+    clippy::cast_possible_truncation,
+    reason = "simulated times are far below 2^53"
+)]
+fn scaled(time: Micros, rate: f64) -> Micros {
+    (time as f64 * rate) as Micros
+}
+
+/// A datagram on its way. Ordered by arrival, then by its number.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Travelling {
+    arrives_at: Micros,
+    number: u64,
+    to: usize,
+    bytes: Vec<u8>,
+}
+
+pub(crate) struct Simulation {
+    pub(crate) rng: Pcg64,
+    pub(crate) now: Micros,
+    pub(crate) members: Vec<SimulatedMember>,
+    terms: Arc<QuotaTerms>,
+    required_copies: usize,
+    travelling: BinaryHeap<Reverse<Travelling>>,
+    last_datagram: u64,
+    /// The fraction of datagrams that are lost.
+    pub(crate) loss: f64,
+    /// The longest time that a datagram travels.
+    pub(crate) delay: Micros,
+    /// By sender and receiver: the extra delay of a link; [`Micros::MAX`] if it is cut.
+    pub(crate) slow_links: BTreeMap<(usize, usize), Micros>,
+    /// Requests whose answers were sent.
+    pub(crate) answered: u64,
+    /// Requests that were counted.
+    pub(crate) counted: u64,
+    jobs_of_crashed: Vec<Job>,
+    pub(crate) sent_bytes: u64,
+    /// Over all datagrams sent, with their senders and receivers.
+    pub(crate) sent_digest: blake3::Hasher,
+}
+
+fn address(member: usize) -> SocketAddr {
+    format!("10.0.{}.{}:7000", member / 200, member % 200 + 1)
+        .parse()
+        .expect("an address")
+}
+
+fn terms(members: usize) -> Arc<QuotaTerms> {
+    let quota = |name, units| Quota {
+        name: Arc::from(name),
+        units,
+    };
+    Arc::new(QuotaTerms {
+        member_names: (0..members).map(|i| Arc::from(format!("m{i}"))).collect(),
+        quotas: vec![quota("t0", UNITS), quota("t1", 7)],
+        unlent_floor: 1,
+        lease: SECOND,
+        max_use: 300 * MS,
+        margin: 50 * MS,
+    })
+}
+
+impl Simulation {
+    pub(crate) fn new(members: usize, required_copies: usize, seed: u64) -> Simulation {
+        let mut simulation = Simulation {
+            rng: Pcg64::seed_from_u64(seed),
+            now: 1_000 * SECOND,
+            members: Vec::new(),
+            terms: terms(members),
+            required_copies,
+            travelling: BinaryHeap::new(),
+            last_datagram: 0,
+            loss: 0.0,
+            delay: 2 * MS,
+            slow_links: BTreeMap::new(),
+            answered: 0,
+            counted: 0,
+            jobs_of_crashed: Vec::new(),
+            sent_bytes: 0,
+            sent_digest: blake3::Hasher::new(),
+        };
+        for i in 0..members {
+            let member = simulation.start_member(i);
+            simulation.members.push(member);
+        }
+        simulation
+    }
+
+    fn start_member(&mut self, index: usize) -> SimulatedMember {
+        let allowances: Vec<Arc<QuotaAllowance>> = (0..2).map(|_| Arc::default()).collect();
+        let unix_time = UNIX_START + self.now;
+        let settings = FleetSettings {
+            local: Incarnation::new(&format!("m{index}"), unix_time),
+            address: address(index),
+            join_addresses: vec![address(0), address(1)],
+            key: [9; 32],
+            seed: self.rng.next_u64(),
+            gossip_interval: 100 * MS,
+            required_copies: self.required_copies,
+            terms: self.terms.clone(),
+            forget_after: 600 * SECOND,
+            period: 3_600 * SECOND,
+        };
+        // Clocks of members run at different speeds and from different moments.
+        let clock_rate = 1.0 + self.rng.random_range(-4e-4..4e-4);
+        let local_time = scaled(self.now, clock_rate);
+        SimulatedMember {
+            node: FleetNode::new(settings, allowances.clone(), local_time, unix_time),
+            allowances,
+            paused_until: 0,
+            crashed: false,
+            jobs: VecDeque::new(),
+            held_answers: VecDeque::new(),
+            clock_rate,
+            received: Vec::new(),
+        }
+    }
+
+    pub(crate) fn crash(&mut self, index: usize) {
+        // The jobs of a crashed member run on at the workers until their time is up.
+        let jobs = std::mem::take(&mut self.members[index].jobs);
+        self.jobs_of_crashed.extend(jobs);
+        self.members[index].crashed = true;
+    }
+
+    pub(crate) fn restart(&mut self, index: usize) {
+        let member = self.start_member(index);
+        self.members[index] = member;
+    }
+
+    fn send_outbound(&mut self, from: usize) {
+        for OutboundDatagram { to, bytes } in self.members[from].node.take_outbound() {
+            let to = (0..self.members.len())
+                .find(|member| address(*member) == to)
+                .expect("a member's address");
+            self.sent_bytes += bytes.len() as u64;
+            let link = [from, to].map(|member| u8::try_from(member % 256).expect("a byte"));
+            self.sent_digest.update(&link).update(&bytes);
+            let extra_delay = match self.slow_links.get(&(from, to)) {
+                Some(&Micros::MAX) => continue,
+                Some(delay) => *delay,
+                None => 0,
+            };
+            for _ in 0..=u32::from(self.rng.random_bool(self.loss / 2.0)) {
+                if !self.rng.random_bool(self.loss) {
+                    let travel_time = self.rng.random_range(100..=self.delay);
+                    self.last_datagram += 1;
+                    self.travelling.push(Reverse(Travelling {
+                        arrives_at: self.now + extra_delay + travel_time,
+                        number: self.last_datagram,
+                        to,
+                        bytes: bytes.clone(),
+                    }));
+                }
+            }
+        }
+    }
+
+    /// A millisecond passes; `load` jobs of quota 0 come to each of the members `loaded`.
+    pub(crate) fn step(&mut self, loaded: &[usize], load: f64) {
+        self.now += MS;
+        self.deliver();
+        for index in 0..self.members.len() {
+            // Jobs end at the workers whether their dispatcher runs or not.
+            let member = &self.members[index];
+            if !member.crashed && self.now >= member.paused_until {
+                self.step_member(index, loaded.contains(&index), load);
+                self.send_outbound(index);
+            }
+        }
+        let now = self.now;
+        self.jobs_of_crashed.retain(|job| job.ends_at > now);
+        let used = self.used();
+        assert!(
+            used <= UNITS,
+            "{used} of {UNITS} in use at {} ms",
+            self.now / MS
+        );
+    }
+
+    fn deliver(&mut self) {
+        while let Some(Reverse(first)) = self.travelling.peek() {
+            if first.arrives_at > self.now {
+                break;
+            }
+            let Reverse(datagram) = self.travelling.pop().expect("just seen");
+            let member = &mut self.members[datagram.to];
+            if !member.crashed && member.received.len() < SOCKET_BUFFER {
+                member.received.push(datagram.bytes);
+            }
+        }
+    }
+
+    fn step_member(&mut self, index: usize, is_loaded: bool, load: f64) {
+        let now = self.now;
+        let unix_time = UNIX_START + now;
+        let max_use = self.terms.max_use;
+        let member = &mut self.members[index];
+        let local_time = member.local_time(now);
+        member.end_jobs(now);
+        // Traffic that waited while it was paused comes before anything else.
+        let arrivals = if is_loaded {
+            scaled(1, load.floor()) + u64::from(self.rng.random_bool(load.fract()))
+        } else {
+            0
+        };
+        for _ in 0..arrivals {
+            if member.allowances[0].try_acquire(local_time) {
+                member.jobs.push_back(Job {
+                    ends_at: now + max_use * 9 / 10,
+                    quota: 0,
+                });
+                let version = member.count_served(unix_time);
+                member
+                    .held_answers
+                    .push_back(HeldAnswers { version, count: 1 });
+                self.counted += 1;
+            }
+        }
+        for bytes in std::mem::take(&mut member.received) {
+            member.node.receive(local_time, unix_time, &bytes);
+        }
+        if local_time >= member.node.next_deadline() || arrivals > 0 {
+            member.node.tick(local_time, unix_time);
+            member.node.send_own_usage(local_time);
+        }
+        let replicated = member.node.replicated_version();
+        while let Some(answers) = member.held_answers.front() {
+            if answers.version > replicated {
+                break;
+            }
+            self.answered += answers.count;
+            member.held_answers.pop_front();
+        }
+    }
+
+    /// Units of quota 0 that are truly in use: jobs that have not ended at the workers.
+    pub(crate) fn used(&self) -> u64 {
+        let running: usize = self
+            .members
+            .iter()
+            .filter(|member| !member.crashed)
+            .map(|member| {
+                let jobs = member.jobs.iter();
+                jobs.filter(|job| job.ends_at > self.now).count()
+            })
+            .sum();
+        (running + self.jobs_of_crashed.len()) as u64
+    }
+
+    pub(crate) fn run(&mut self, time: Micros, loaded: &[usize], load: f64) {
+        let until = self.now + time;
+        while self.now < until {
+            self.step(loaded, load);
+        }
+    }
+
+    /// A member acquires as many units as it can at this moment, at most `limit`; returns how many.
+    pub(crate) fn burst(&mut self, index: usize, limit: u64) -> u64 {
+        let now = self.now;
+        let max_use = self.terms.max_use;
+        let member = &mut self.members[index];
+        member.end_jobs(now);
+        let local_time = member.local_time(now);
+        let mut acquired = 0;
+        for _ in 0..limit {
+            if member.allowances[0].try_acquire(local_time) {
+                acquired += 1;
+                member.jobs.push_back(Job {
+                    ends_at: now + max_use * 9 / 10,
+                    quota: 0,
+                });
+            }
+        }
+        acquired
+    }
+
+    /// Cuts all links between these members and the others.
+    pub(crate) fn partition(&mut self, side: &[usize]) {
+        for from in 0..self.members.len() {
+            for to in 0..self.members.len() {
+                if side.contains(&from) != side.contains(&to) {
+                    self.slow_links.insert((from, to), Micros::MAX);
+                }
+            }
+        }
+    }
+
+    /// Runs without load until all members have the same totals; returns how long it took.
+    pub(crate) fn run_until_converged(&mut self) -> Micros {
+        let start = self.now;
+        loop {
+            self.run(20 * MS, &[], 0.0);
+            let running: Vec<&SimulatedMember> = self
+                .members
+                .iter()
+                .filter(|member| !member.crashed)
+                .collect();
+            let digests: Vec<String> = running
+                .iter()
+                .map(|member| member.node.totals().digest)
+                .collect();
+            let same = digests.windows(2).all(|pair| pair[0] == pair[1]);
+            if same && running.iter().all(|m| m.held_answers.is_empty()) {
+                return self.now - start;
+            }
+            assert!(
+                self.now - start < CONVERGENCE_TIMEOUT,
+                "totals differ: {digests:?}"
+            );
+        }
+    }
+
+    /// Served requests in the totals of a member.
+    pub(crate) fn served(&self, index: usize) -> u64 {
+        self.members[index]
+            .node
+            .totals()
+            .rows
+            .values()
+            .map(|total| total.values.get(UsageMetric::Served))
+            .sum()
+    }
+}
