--- a/src/balance/admission.rs
+++ b/src/balance/admission.rs
@@ -102,7 +102,7 @@
         };
         let hold_off_us = self.set.shortest_aim().min(self.set.max_retry_after_us);
         out.push(if self.harmless(job) {
-            Action::Refuse {
+            Action::Reject {
                 job: id,
                 hold_off_us,
             }
@@ -115,15 +115,16 @@
     /// Whether the rules bear a refusal, after which the client may ask again.
     pub(super) fn harmless(&self, job: &Job) -> bool {
         match (self.set.classes[job.class].repeat, self.bound(job)) {
-            (Repeat::Free, _)
+            (Repeatability::Idempotent, _)
             | (_, None)
             | (
-                Repeat::Keyed {
-                    scope: Scope::All, ..
+                Repeatability::IdempotentByKey {
+                    scope: DeduplicationScope::All,
+                    ..
                 },
                 _,
             ) => true,
-            (Repeat::Keyed { .. } | Repeat::Once, Some(_)) => false,
+            (Repeatability::IdempotentByKey { .. } | Repeatability::AtMostOnce, Some(_)) => false,
         }
     }
 
--- a/src/balance/fanout.rs
+++ b/src/balance/fanout.rs
@@ -21,7 +21,8 @@
 
     /// The most copies that the rules and the permissions bear, lowered as copies burn work (Claim 1).
     pub(super) fn ceiling(&self, job: &Job) -> usize {
-        let forks = self.set.cancel && self.set.classes[job.class].repeat != Repeat::Once;
+        let forks =
+            self.set.cancel && self.set.classes[job.class].repeat != Repeatability::AtMostOnce;
         let most =
             CEILING.min(self.set.max_attempts.saturating_sub(1) as usize) as f64 * f64::from(forks);
         (most * (1.0 - 2.0 * self.burned.mean)).round().max(1.0) as usize
--- a/src/balance/learning.rs
+++ b/src/balance/learning.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    pub(super) fn outcome(&mut self, now: Micros, o: Outcome, out: &mut Vec<Action>) {
+    pub(super) fn outcome(&mut self, now: Micros, o: AttemptEnd, out: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(&o.job) else {
             return;
         };
@@ -64,17 +64,17 @@
         else {
             return;
         };
-        a.end = Some(o.code);
+        a.end = Some(o.outcome);
         let (worker, clear, ran) = (a.worker, a.clear, a.started.is_some());
         let (began, class, hint) = (a.started.unwrap_or(a.sent), job.class, job.request.hint_us);
         let w = &mut self.workers[worker as usize];
         if w.life == a.life {
-            w.ended(now, ran, o.code != Code::DialFailed);
+            w.ended(now, ran, o.outcome != AttemptOutcome::ConnectFailed);
         }
         self.note_report(now, worker, o.report);
         let load = self.load_of(now, &self.workers[worker as usize]);
-        match o.code {
-            Code::Delivered => {
+        match o.outcome {
+            AttemptOutcome::Succeeded => {
                 self.fails[class].add(0.0);
                 self.clear(now, worker, class);
                 self.burned.add(0.0);
@@ -86,15 +86,18 @@
                 self.remember(now, worker);
             }
             // A queue is full: as a report would say, and soon out of date.
-            Code::Shed if load >= 1.0 => self.note_load(now, worker, load + CHARGE),
+            AttemptOutcome::Shed if load >= 1.0 => self.note_load(now, worker, load + CHARGE),
             // An empty count would draw the next job, and the next; so would 'full' in spite of room.
-            Code::AppError | Code::DialFailed | Code::Dropped | Code::Shed => {
+            AttemptOutcome::WorkerError
+            | AttemptOutcome::ConnectFailed
+            | AttemptOutcome::ConnectionLost
+            | AttemptOutcome::Shed => {
                 self.fails[class].add(1.0);
                 self.charge(now, worker, class, 1.0, CHARGE);
-                let all = f64::from(o.code != Code::Shed) * CHARGE;
+                let all = f64::from(o.outcome != AttemptOutcome::Shed) * CHARGE;
                 self.charge(now, worker, self.best.len(), 1.0, all);
             }
-            Code::Revoked if ran || !self.set.tells_start => self.burned.add(1.0),
+            AttemptOutcome::Cancelled if ran || !self.set.tells_start => self.burned.add(1.0),
             _ => {}
         }
         let Some(job) = self.jobs.get(&o.job) else {
@@ -104,7 +107,7 @@
             self.ended(o.job, out);
         } else if !job.is_out() {
             // A time-out means the client's time; a broken stream cannot be begun again.
-            match job.time_is_up(now) || o.code == Code::Expired || job.streaming {
+            match job.time_is_up(now) || o.outcome == AttemptOutcome::TimedOut || job.streaming {
                 true => self.answer(o.job, out),
                 false => self.place(now, o.job, out),
             }
@@ -125,7 +128,7 @@
             .for_each(|slow| slow.add(run.ln() - usual));
     }
 
-    pub(super) fn note_report(&mut self, now: Micros, worker: u32, report: Option<Report>) {
+    pub(super) fn note_report(&mut self, now: Micros, worker: u32, report: Option<LoadReport>) {
         let Some((r, w)) = report.zip(self.workers.get(worker as usize)) else {
             return;
         };
--- a/src/balance/mod.rs
+++ b/src/balance/mod.rs
@@ -100,8 +100,8 @@
     /// Takes one event and adds what is to be done about it to `out`.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::List { complete, entries } => self.list(now, complete, entries, out),
-            Event::ListFailed if self.set.list_must_be_asked => self.ask_within(4, out),
+            Event::EndpointUpdate { complete, entries } => self.list(now, complete, entries, out),
+            Event::DiscoveryFailed if self.set.list_must_be_asked => self.ask_within(4, out),
             Event::Arrived(request) => self.arrived(now, request, out),
             Event::Started { job, attempt } => self.started(now, job, attempt),
             // A worker that tells progress is not silent.
@@ -118,14 +118,14 @@
                     cancel(&self.set, job, |i| i != attempt as usize, out);
                 })
             }
-            Event::Outcome(outcome) => self.outcome(now, outcome, out),
+            Event::AttemptEnded(outcome) => self.outcome(now, outcome, out),
             Event::ClientGone { job } => self.ended(job, out),
             Event::Timer { token: LIST } => out.push(Action::Subscribe),
             Event::Timer { token } if token % 2 == 1 => self.stalled(now, JobId(token / 2), out),
             Event::Timer { token } => self.answer(JobId(token / 2), out),
-            Event::Probed { worker, report, .. } => self.note_report(now, worker.0, report),
-            Event::Mail | Event::ListFailed | Event::Judged { .. } => {}
-            Event::Settled => self.settled(now, out),
+            Event::ProbeEnded { worker, report, .. } => self.note_report(now, worker.0, report),
+            Event::PeerMessage | Event::DiscoveryFailed | Event::PeerObservation { .. } => {}
+            Event::BatchEnd => self.settled(now, out),
         }
     }
 
@@ -133,7 +133,7 @@
         &mut self,
         now: Micros,
         complete: bool,
-        entries: Vec<Entry>,
+        entries: Vec<Endpoint>,
         out: &mut Vec<Action>,
     ) {
         if self.workers.is_empty() && self.set.list_must_be_asked {
@@ -142,7 +142,7 @@
         if complete {
             self.workers
                 .iter_mut()
-                .for_each(|w| w.entry.stage = Stage::Gone);
+                .for_each(|w| w.entry.stage = EndpointState::Gone);
         }
         for e in entries {
             let id = e.worker.0 as usize;
@@ -192,7 +192,7 @@
 }
 
 /// Placement: whether the worker is among the permitted destinations, whatever state they are in.
-fn open_to(set: &Settings, opening: usize, e: &Entry) -> bool {
+fn open_to(set: &Settings, opening: usize, e: &Endpoint) -> bool {
     let Some(class) = opening.checked_sub(1).map(|c| &set.classes[c]) else {
         return true;
     };
--- a/src/balance/ranking.rs
+++ b/src/balance/ranking.rs
@@ -59,7 +59,7 @@
 
     /// Where only those asked tell their load, a live weight tells it of all: size over one and jobs held.
     pub(super) fn held(&self, w: &Worker) -> f64 {
-        let live = self.set.weights == Weights::Live && self.set.reports_on_probe;
+        let live = self.set.weights == WeightMeaning::Live && self.set.reports_on_probe;
         self.pools.size(w).max(0.1).powi(-i32::from(live))
     }
 
@@ -94,14 +94,16 @@
             .map(|a| &self.workers[a.worker as usize].entry);
         let pool = match (self.set.classes[job.class].repeat, first) {
             (
-                Repeat::Keyed {
-                    scope: Scope::Cell, ..
+                Repeatability::IdempotentByKey {
+                    scope: DeduplicationScope::Cell,
+                    ..
                 },
                 Some(e),
             ) => Pool::Cell(job.open, e.cell),
             (
-                Repeat::Keyed {
-                    scope: Scope::Zone, ..
+                Repeatability::IdempotentByKey {
+                    scope: DeduplicationScope::Zone,
+                    ..
                 },
                 Some(e),
             ) => Pool::Zone(job.open, e.zone),
@@ -155,7 +157,7 @@
     /// All that may forbid an attempt at this worker; the one sending place asks again.
     pub(super) fn eligible(&self, now: Micros, job: &Job, id: u32) -> bool {
         let w = &self.workers[id as usize];
-        w.entry.stage == Stage::Ready
+        w.entry.stage == EndpointState::Ready
             && open_to(&self.set, job.open, &w.entry)
             && !job
                 .attempts
@@ -175,19 +177,21 @@
     }
 
     fn never_ran(&self, a: &Attempt) -> bool {
-        matches!(a.end, Some(Code::DialFailed | Code::Unused))
-            || a.end == Some(Code::Shed) && !self.set.full_may_have_run
+        matches!(
+            a.end,
+            Some(AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent)
+        ) || a.end == Some(AttemptOutcome::Shed) && !self.set.full_may_have_run
     }
 
     /// Whether a job's class bears an attempt there after, or beside, one that may have run.
-    fn bears(&self, now: Micros, job: &Job, a: &Attempt, e: &Entry) -> bool {
+    fn bears(&self, now: Micros, job: &Job, a: &Attempt, e: &Endpoint) -> bool {
         let first = &self.workers[a.worker as usize].entry;
         match self.set.classes[job.class].repeat {
-            Repeat::Free => true,
-            Repeat::Once => false,
-            Repeat::Keyed { scope, window_us } => {
-                (scope != Scope::Zone || first.zone == e.zone)
-                    && (scope != Scope::Cell || first.cell == e.cell)
+            Repeatability::Idempotent => true,
+            Repeatability::AtMostOnce => false,
+            Repeatability::IdempotentByKey { scope, window_us } => {
+                (scope != DeduplicationScope::Zone || first.zone == e.zone)
+                    && (scope != DeduplicationScope::Cell || first.cell == e.cell)
                     && now < a.sent.saturating_add(window_us)
             }
         }
@@ -211,7 +215,7 @@
             .attempts
             .iter()
             .filter(|b| !std::ptr::eq(*b, a) && !self.never_ran(b));
-        w.entry.stage == Stage::Ready
+        w.entry.stage == EndpointState::Ready
             && w.life == a.life
             && others.all(|b| self.bears(now, job, b, &w.entry))
     }
@@ -226,7 +230,7 @@
                 && w.ramp.left(now, self.part_of(now, w)) >= 0.0)
     }
 
-    pub(super) fn present_share(&self, now: Micros, e: &Entry) -> f64 {
+    pub(super) fn present_share(&self, now: Micros, e: &Endpoint) -> f64 {
         let warm = now.saturating_sub(e.since) as f64 / self.set.warm_after_us.max(1) as f64;
         let warm = if e.since == 0 { 1.0 } else { warm.min(1.0) };
         self.set.start_capacity + (1.0 - self.set.start_capacity) * warm
@@ -234,7 +238,7 @@
 
     /// This dispatcher's part of a cold worker.
     pub(super) fn part_of(&self, now: Micros, w: &Worker) -> Part {
-        let size = if self.set.weights == Weights::Size {
+        let size = if self.set.weights == WeightMeaning::Size {
             self.pools.size(w)
         } else {
             1.0
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -95,7 +95,7 @@
         members: Vec<Member>,
     },
     ListFailed,
-    Probed(WorkerId, bool, Option<Report>),
+    Probed(WorkerId, bool, Option<LoadReport>),
     Judged(WorkerId, u32),
     Timer(u64),
     Deadline(JobId),
@@ -196,12 +196,12 @@
     ) -> Core {
         if joins_repeats {
             // Workers are not known to drop repeats for each other: an attempt that may have run is the last.
-            let keyed = |c: &&mut Class| matches!(c.repeat, Repeat::Keyed { .. });
+            let keyed = |c: &&mut Class| matches!(c.repeat, Repeatability::IdempotentByKey { .. });
             site.settings
                 .classes
                 .iter_mut()
                 .filter(keyed)
-                .for_each(|c| c.repeat = Repeat::Once);
+                .for_each(|c| c.repeat = Repeatability::AtMostOnce);
         }
         Core {
             balancer: Balancer::new(site.settings.clone(), seed, now),
@@ -237,11 +237,11 @@
         let known = self.site.settings.classes.len();
         let added = self.site.retune(setup)?;
         if self.joins_repeats {
-            let keyed = |c: &&mut Class| matches!(c.repeat, Repeat::Keyed { .. });
+            let keyed = |c: &&mut Class| matches!(c.repeat, Repeatability::IdempotentByKey { .. });
             self.site.settings.classes[known..]
                 .iter_mut()
                 .filter(keyed)
-                .for_each(|c| c.repeat = Repeat::Once);
+                .for_each(|c| c.repeat = Repeatability::AtMostOnce);
         }
         self.balancer.retune(self.site.settings.clone());
         Ok(added)
@@ -284,7 +284,7 @@
     }
 
     /// A load report by the names that the settings use.
-    pub fn report(&self, load: &HashMap<String, f64>) -> Report {
+    pub fn report(&self, load: &HashMap<String, f64>) -> LoadReport {
         self.site.report(load)
     }
 
--- a/src/core/operation.rs
+++ b/src/core/operation.rs
@@ -1,6 +1,8 @@
 //! The words of the core: operations, route steps, how they end and how an operation is answered.
 
-use crate::interface::{ClassId, Code, JobId, Micros, Report, Stage, WorkerId};
+use crate::interface::{
+    AttemptOutcome, ClassId, EndpointState, JobId, LoadReport, Micros, WorkerId,
+};
 use std::sync::Arc;
 
 /// What a client asks for, free of any wire.
@@ -64,24 +66,27 @@
 
 impl Ending {
     /// The one place that says what an end means to the decisions.
-    pub fn code(&self) -> Code {
+    pub fn code(&self) -> AttemptOutcome {
         match self {
-            Ending::Served(_) => Code::Delivered,
-            Ending::WorkerFailed => Code::AppError,
-            Ending::TurnedAway => Code::Shed,
+            Ending::Served(_) => AttemptOutcome::Succeeded,
+            Ending::WorkerFailed => AttemptOutcome::WorkerError,
+            Ending::TurnedAway => AttemptOutcome::Shed,
             Ending::ConnectRefused | Ending::ConnectTimedOut | Ending::BrokeUnsent => {
-                Code::DialFailed
+                AttemptOutcome::ConnectFailed
             }
-            Ending::BrokeSent | Ending::Lost => Code::Dropped,
-            Ending::TimedOut => Code::Expired,
-            Ending::GivenUp => Code::Revoked,
-            Ending::NeverSent => Code::Unused,
+            Ending::BrokeSent | Ending::Lost => AttemptOutcome::ConnectionLost,
+            Ending::TimedOut => AttemptOutcome::TimedOut,
+            Ending::GivenUp => AttemptOutcome::Cancelled,
+            Ending::NeverSent => AttemptOutcome::NotSent,
         }
     }
 
     /// Whether the job may have run, or may yet.
     pub fn may_have_run(&self) -> bool {
-        !matches!(self.code(), Code::Shed | Code::DialFailed | Code::Unused)
+        !matches!(
+            self.code(),
+            AttemptOutcome::Shed | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent
+        )
     }
 }
 
@@ -127,7 +132,7 @@
     /// It has done this part.
     Progress(f64),
     /// The step has ended.
-    Ended(Ending, Option<Report>),
+    Ended(Ending, Option<LoadReport>),
 }
 
 /// A worker as a pool config names it.
@@ -144,7 +149,7 @@
     /// Its cell.
     pub cell: u32,
     /// Its state.
-    pub stage: Stage,
+    pub stage: EndpointState,
     /// Its weight.
     pub weight: f64,
     /// When its process last started, on the core's clock; 0 for long ago.
--- a/src/core/pool.rs
+++ b/src/core/pool.rs
@@ -19,7 +19,7 @@
     }
 
     /// A probe was answered, or not.
-    pub fn probed(&mut self, worker: WorkerId, ok: bool, report: Option<Report>) {
+    pub fn probed(&mut self, worker: WorkerId, ok: bool, report: Option<LoadReport>) {
         self.inputs.push(Input::Probed(worker, ok, report));
     }
 
@@ -28,14 +28,17 @@
         let listed = self
             .workers
             .iter()
-            .filter(|w| w.member.stage != Stage::Gone);
+            .filter(|w| w.member.stage != EndpointState::Gone);
         listed.fold((0, 0), |(n, d), w| {
-            (n + 1, d + usize::from(w.member.stage == Stage::Draining))
+            (
+                n + 1,
+                d + usize::from(w.member.stage == EndpointState::Draining),
+            )
         })
     }
 
     pub(super) fn list(&mut self, source: usize, complete: bool, members: Vec<Member>) -> Event {
-        let mut entries: Vec<Entry> = Vec::with_capacity(members.len());
+        let mut entries: Vec<Endpoint> = Vec::with_capacity(members.len());
         if complete {
             // Other sources' workers are not this list's to end.
             let others = self.workers.iter().filter(|w| w.source != source);
@@ -48,7 +51,7 @@
             self.workers
                 .iter_mut()
                 .filter(missing)
-                .for_each(|w| w.member.stage = Stage::Gone);
+                .for_each(|w| w.member.stage = EndpointState::Gone);
         }
         for member in members {
             let entry = self.entry(&member);
@@ -64,21 +67,21 @@
             entries.push(entry);
         }
         self.tell_list();
-        Event::List { complete, entries }
+        Event::EndpointUpdate { complete, entries }
     }
 
-    pub(super) fn entry(&mut self, m: &Member) -> Entry {
+    pub(super) fn entry(&mut self, m: &Member) -> Endpoint {
         let (stage, since, cell, weight) = (m.stage, m.since, m.cell, m.weight);
         self.site.entry(
             &m.name,
             &m.zone,
             &m.kind,
-            Entry {
+            Endpoint {
                 stage,
                 since,
                 cell,
                 weight,
-                ..Entry::default()
+                ..Endpoint::default()
             },
         )
     }
--- a/src/core/steps.rs
+++ b/src/core/steps.rs
@@ -36,10 +36,10 @@
                     self.finish(now, job, Answer::Served(result));
                 }
                 let complete = self.operations[&job].answered;
-                Event::Outcome(Outcome {
+                Event::AttemptEnded(AttemptEnd {
                     job,
                     attempt,
-                    code,
+                    outcome: code,
                     complete,
                     report,
                 })
@@ -65,7 +65,7 @@
                         .push(Input::Step(step, StepNews::Ended(Ending::GivenUp, None)));
                 }
             }
-            Action::Refuse { job, hold_off_us } => {
+            Action::Reject { job, hold_off_us } => {
                 self.finish(now, job, Answer::Busy { hold_off_us })
             }
             Action::Fail { job } => {
--- a/src/core/turn.rs
+++ b/src/core/turn.rs
@@ -63,7 +63,7 @@
                 }
                 self.feed(now, input, &mut out);
             }
-            self.balancer.handle(now, Event::Settled, &mut out);
+            self.balancer.handle(now, Event::BatchEnd, &mut out);
             for action in out {
                 self.carry_out(now, action);
             }
@@ -123,9 +123,9 @@
                 complete,
                 members,
             } => self.list(source, complete, members),
-            Input::ListFailed => Event::ListFailed,
-            Input::Probed(worker, ok, report) => Event::Probed { worker, ok, report },
-            Input::Judged(worker, weight) => Event::Judged { worker, weight },
+            Input::ListFailed => Event::DiscoveryFailed,
+            Input::Probed(worker, ok, report) => Event::ProbeEnded { worker, ok, report },
+            Input::Judged(worker, weight) => Event::PeerObservation { worker, weight },
             Input::Timer(token) => Event::Timer { token },
             Input::Deadline(job) => {
                 let Some(entered) = self.operations.get(&job) else {
--- a/src/core/witness.rs
+++ b/src/core/witness.rs
@@ -1,7 +1,7 @@
 //! What this dispatcher sees of its workers, for others; and what others say of them, for the decisions.
 
 use super::{Core, Ending, Input, Member};
-use crate::interface::{Stage, WorkerId};
+use crate::interface::{EndpointState, WorkerId};
 use std::rc::Rc;
 
 /// Hears how route steps end, and which workers there are. None of its calls may block or call the core.
@@ -21,7 +21,7 @@
 
     /// The workers that take work are told.
     pub(super) fn tell_list(&self) {
-        let ready = |m: &&Member| m.stage == Stage::Ready;
+        let ready = |m: &&Member| m.stage == EndpointState::Ready;
         self.witness
             .iter()
             .for_each(|w| w.listed(&mut self.workers.iter().map(|w| &w.member).filter(ready)));
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -1,7 +1,7 @@
 //! Counters of what is taken in, sent and answered.
 
 use crate::core::{Answer, Ending};
-use crate::interface::Code;
+use crate::interface::AttemptOutcome;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -100,14 +100,14 @@
     pub(crate) fn ending(&mut self, ending: &Ending) {
         let e = &mut self.endings;
         *match ending.code() {
-            Code::Delivered => &mut e.served,
-            Code::AppError => &mut e.worker_failed,
-            Code::Shed => &mut e.turned_away,
-            Code::DialFailed => &mut e.not_connected,
-            Code::Dropped => &mut e.broken,
-            Code::Expired => &mut e.timed_out,
-            Code::Revoked => &mut e.given_up,
-            Code::Unused => &mut e.never_sent,
+            AttemptOutcome::Succeeded => &mut e.served,
+            AttemptOutcome::WorkerError => &mut e.worker_failed,
+            AttemptOutcome::Shed => &mut e.turned_away,
+            AttemptOutcome::ConnectFailed => &mut e.not_connected,
+            AttemptOutcome::ConnectionLost => &mut e.broken,
+            AttemptOutcome::TimedOut => &mut e.timed_out,
+            AttemptOutcome::Cancelled => &mut e.given_up,
+            AttemptOutcome::NotSent => &mut e.never_sent,
         } += 1;
     }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -32,7 +32,7 @@
 
 /// Which workers drop each other's repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum DeduplicationScope {
     /// All workers do.
     All,
     /// Those of one zone do.
@@ -43,25 +43,25 @@
 
 /// How often a request of a class may take effect, and so how it may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Repeatability {
     /// Safe to repeat anywhere.
-    Free,
+    Idempotent,
     /// Repeats are dropped inside the group, for the window after the first attempt that may have run.
-    Keyed {
+    IdempotentByKey {
         /// The group.
-        scope: Scope,
+        scope: DeduplicationScope,
         /// The window.
         window_us: Micros,
     },
     /// Must never run twice.
-    Once,
+    AtMostOnce,
 }
 
 /// A request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// How it may be repeated.
-    pub repeat: Repeat,
+    pub repeat: Repeatability,
     /// An answer within this much (plus the stretch) earns the whole worth.
     pub aim_us: Micros,
     /// The aim grows by this multiple of the job's own running time.
@@ -93,7 +93,7 @@
 
 /// What a worker's listed weight stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Weights {
+pub enum WeightMeaning {
     /// Nothing.
     Off,
     /// Its size, exactly or roughly.
@@ -160,12 +160,12 @@
     /// when that lasts this long.
     pub fall_us: Micros,
     /// The meaning of the listed weights.
-    pub weights: Weights,
+    pub weights: WeightMeaning,
 }
 
 /// State of a worker in a list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Stage {
+pub enum EndpointState {
     /// It takes work.
     #[default]
     Ready,
@@ -177,11 +177,11 @@
 
 /// One line of a list.
 #[derive(Clone, Debug, Default)]
-pub struct Entry {
+pub struct Endpoint {
     /// The worker.
     pub worker: WorkerId,
     /// Its state.
-    pub stage: Stage,
+    pub stage: EndpointState,
     /// When its process last started; 0 for long ago.
     pub since: Micros,
     /// Its zone.
@@ -198,7 +198,7 @@
 
 /// A load report; what is absent was not reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests held.
     pub active: Option<f64>,
     /// Requests waiting.
@@ -213,23 +213,23 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Code {
+pub enum AttemptOutcome {
     /// Served.
-    Delivered,
+    Succeeded,
     /// The worker returned an error; it may have run.
-    AppError,
+    WorkerError,
     /// Rejected as full: it never ran, unless [`Settings::full_may_have_run`].
     Shed,
     /// No answer in time; it may have run.
-    Expired,
+    TimedOut,
     /// No connection: it never ran.
-    DialFailed,
+    ConnectFailed,
     /// The connection broke; it may have run.
-    Dropped,
+    ConnectionLost,
     /// Cancelled; it may have run.
-    Revoked,
+    Cancelled,
     /// Never sent.
-    Unused,
+    NotSent,
 }
 
 /// A request.
@@ -256,31 +256,31 @@
 
 /// The end of an attempt.
 #[derive(Clone, Debug)]
-pub struct Outcome {
+pub struct AttemptEnd {
     /// The request.
     pub job: JobId,
     /// The attempt.
     pub attempt: u32,
     /// How it ended.
-    pub code: Code,
+    pub outcome: AttemptOutcome,
     /// The request has its final answer.
     pub complete: bool,
     /// What the worker said of its load.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// What a dispatcher is told.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A list of workers: the whole of it, or only what changed.
-    List {
+    EndpointUpdate {
         /// Workers not named are gone.
         complete: bool,
         /// The lines.
-        entries: Vec<Entry>,
+        entries: Vec<Endpoint>,
     },
     /// Asking for the list failed, or the subscription broke.
-    ListFailed,
+    DiscoveryFailed,
     /// A request has arrived; it is owed exactly one final answer.
     Arrived(Request),
     /// An attempt has begun to run.
@@ -307,7 +307,7 @@
         attempt: u32,
     },
     /// An attempt has ended.
-    Outcome(Outcome),
+    AttemptEnded(AttemptEnd),
     /// The client is gone; nothing is owed any more.
     ClientGone {
         /// The request.
@@ -319,26 +319,26 @@
         token: u64,
     },
     /// A probe was answered, or not.
-    Probed {
+    ProbeEnded {
         /// The worker.
         worker: WorkerId,
         /// It answered.
         ok: bool,
         /// What it said of its load.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// What the other dispatchers together say against a worker; own evidence goes first. 0 when nothing is said any
     /// more. The decisions do not use it yet.
-    Judged {
+    PeerObservation {
         /// The worker.
         worker: WorkerId,
         /// The sum of what their authors are sure of, each 1 to 100.
         weight: u32,
     },
     /// Another dispatcher wrote.
-    Mail,
+    PeerMessage,
     /// All that arrived at this moment has been handed over.
-    Settled,
+    BatchEnd,
 }
 
 /// What a dispatcher does.
@@ -359,7 +359,7 @@
         attempt: u32,
     },
     /// Final answer: refused; trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         job: JobId,
         /// Advice to stay away this long; 0 for none.
@@ -389,7 +389,7 @@
 impl Default for Class {
     fn default() -> Self {
         Class {
-            repeat: Repeat::Free,
+            repeat: Repeatability::Idempotent,
             aim_us: 100_000,
             stretch: 0.0,
             deadline_us: 1_000_000,
@@ -453,7 +453,7 @@
             warm_after_us: 10_000_000,
             tip_multiple: 2.0,
             fall_us: 1_000_000,
-            weights: Weights::Off,
+            weights: WeightMeaning::Off,
         }
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -31,9 +31,9 @@
 //! let mut actions = Vec::new();
 //!
 //! // The list: one worker. Ids count from 0 in the order in which this dispatcher meets the workers.
-//! let entry = Entry {
+//! let entry = Endpoint {
 //!     worker: WorkerId(0),
-//!     stage: Stage::Ready,
+//!     stage: EndpointState::Ready,
 //!     since: 0,
 //!     zone: ZoneId(0),
 //!     cell: 0,
@@ -41,7 +41,7 @@
 //!     weight: 1.0,
 //!     mark: 0,
 //! };
-//! balancer.handle(0, Event::List { complete: true, entries: vec![entry] }, &mut actions);
+//! balancer.handle(0, Event::EndpointUpdate { complete: true, entries: vec![entry] }, &mut actions);
 //!
 //! // A job arrives and goes out.
 //! let job = JobId(7);
@@ -56,13 +56,13 @@
 //!     key: None,
 //! });
 //! balancer.handle(1_000, arrived, &mut actions);
-//! balancer.handle(1_000, Event::Settled, &mut actions);
+//! balancer.handle(1_000, Event::BatchEnd, &mut actions);
 //! assert!(actions.contains(&Action::Send { job, worker: WorkerId(0) }));
 //!
 //! // Its answer arrives; the embedder hands it to the client, and nothing more is owed.
 //! actions.clear();
 //! let outcome =
-//!     Event::Outcome(Outcome { job, attempt: 0, code: Code::Delivered, complete: true, report: None });
+//!     Event::AttemptEnded(AttemptEnd { job, attempt: 0, outcome: AttemptOutcome::Succeeded, complete: true, report: None });
 //! balancer.handle(90_000, outcome, &mut actions);
 //! assert!(actions.is_empty());
 //! ```
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -5,7 +5,7 @@
 use super::lists::{Said, Splitter};
 use super::pool::dial;
 use crate::core::{Member, PoolSource};
-use crate::interface::Stage;
+use crate::interface::EndpointState;
 use crate::list_clock::ListClock;
 use crate::runtime::Hub;
 use async_channel::{bounded, Receiver, Sender};
@@ -69,9 +69,9 @@
             kind: self.kind.clone(),
             cell: self.cell,
             stage: match self.state {
-                State::Ready => Stage::Ready,
-                State::Draining => Stage::Draining,
-                State::Gone => Stage::Gone,
+                State::Ready => EndpointState::Ready,
+                State::Draining => EndpointState::Draining,
+                State::Gone => EndpointState::Gone,
             },
             weight: self.weight,
             since: self.started_ms.saturating_mul(1_000),
--- a/src/net/route.rs
+++ b/src/net/route.rs
@@ -4,7 +4,7 @@
 use super::pool::{Lent, Pool, Use};
 use super::{load_from_header, load_from_json};
 use crate::core::{Driver, Ending, Member, Operation, StepId, StepNews};
-use crate::interface::{Micros, Report, WorkerId};
+use crate::interface::{LoadReport, Micros, WorkerId};
 use crate::runtime::Hub;
 use async_channel::{bounded, Sender};
 use async_io::Timer;
@@ -56,7 +56,7 @@
         addr: SocketAddr,
         operation: &Operation,
         lent: &mut Option<Lent>,
-    ) -> Result<(), (Ending, Option<Report>)> {
+    ) -> Result<(), (Ending, Option<LoadReport>)> {
         let mut taken = self
             .pool
             .take(addr, Use::Work)
@@ -151,7 +151,7 @@
         }
     }
 
-    fn report(&self, load: HashMap<String, f64>) -> Report {
+    fn report(&self, load: HashMap<String, f64>) -> LoadReport {
         self.hub.with(|core, _| core.report(&load))
     }
 
--- a/src/servers.rs
+++ b/src/servers.rs
@@ -1,7 +1,7 @@
 //! Workers from the operators' own files: rosters, as the core's members.
 
 use crate::core::Member;
-use crate::interface::Stage;
+use crate::interface::EndpointState;
 use std::path::Path;
 use streamusher_inventory::{read_inventory, FileSystem, Host, KnownNames};
 
@@ -19,7 +19,7 @@
         zone: host.zone,
         kind: host.kind,
         cell: host.cell,
-        stage: Stage::Ready,
+        stage: EndpointState::Ready,
         weight: host.weight,
         since: 0,
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -189,16 +189,16 @@
         let fam = &setup.family_info;
         let mut class = |(i, c): (usize, &RequestClass)| Class {
             repeat: match (c.semantics.as_str(), c.key_scope.as_str()) {
-                ("free", _) => Repeat::Free,
-                ("guarded", scope) => Repeat::Keyed {
+                ("free", _) => Repeatability::Idempotent,
+                ("guarded", scope) => Repeatability::IdempotentByKey {
                     scope: match scope {
-                        "all" => Scope::All,
-                        "zone" => Scope::Zone,
-                        _ => Scope::Cell,
+                        "all" => DeduplicationScope::All,
+                        "zone" => DeduplicationScope::Zone,
+                        _ => DeduplicationScope::Cell,
                     },
                     window_us: c.window_us,
                 },
-                _ => Repeat::Once,
+                _ => Repeatability::AtMostOnce,
             },
             aim_us: c.on_time_us,
             stretch: fam.class_stretch.get(i).copied().unwrap_or(c.aim_stretch),
@@ -270,9 +270,9 @@
             tip_multiple: setup.rules.tip_multiple,
             fall_us: setup.rules.fall_us,
             weights: match setup.weights.as_str() {
-                "live" => Weights::Live,
-                "nominal" | "rough" => Weights::Size,
-                _ => Weights::Off,
+                "live" => WeightMeaning::Live,
+                "nominal" | "rough" => WeightMeaning::Size,
+                _ => WeightMeaning::Off,
             },
         };
         Site {
@@ -365,8 +365,14 @@
     }
 
     /// A line of a list with its names turned into ids; a worker that is new gets the next one.
-    pub(crate) fn entry(&mut self, worker: &str, zone: &str, kind: &str, entry: Entry) -> Entry {
-        Entry {
+    pub(crate) fn entry(
+        &mut self,
+        worker: &str,
+        zone: &str,
+        kind: &str,
+        entry: Endpoint,
+    ) -> Endpoint {
+        Endpoint {
             worker: WorkerId(self.workers.id(worker)),
             zone: ZoneId(self.zones.id(zone)),
             kind: KindId(self.kinds.id(kind)),
@@ -376,9 +382,9 @@
     }
 
     /// A load report by the names that the settings use.
-    pub(crate) fn report(&self, u: &HashMap<String, f64>) -> Report {
+    pub(crate) fn report(&self, u: &HashMap<String, f64>) -> LoadReport {
         let get = |name: &str| u.get(name).copied();
-        Report {
+        LoadReport {
             active: get("active"),
             waiting: get("waiting"),
             busy: get("cpu"),
--- a/src/state.rs
+++ b/src/state.rs
@@ -11,7 +11,7 @@
 
 #[derive(Default)]
 pub struct Worker {
-    pub entry: Entry,
+    pub entry: Endpoint,
     /// Counts restarts: attempts sent to an earlier life count for nothing.
     pub life: u32,
     pub out: u32,
@@ -109,7 +109,7 @@
     /// Its running time can be told: by a start notice, or as nothing was known to wait there.
     pub clear: bool,
     pub cancelled: bool,
-    pub end: Option<Code>,
+    pub end: Option<AttemptOutcome>,
 }
 
 impl Attempt {
@@ -209,13 +209,13 @@
         &mut self,
         workers: &[Worker],
         bound: &[usize],
-        open_to: impl Fn(usize, &Entry) -> bool,
+        open_to: impl Fn(usize, &Endpoint) -> bool,
     ) {
         self.pools.clear();
         self.circle.clear();
         let mut sum = 0.0;
         for (i, Worker { entry: e, .. }) in workers.iter().enumerate() {
-            if e.stage == Stage::Ready {
+            if e.stage == EndpointState::Ready {
                 let open = bound.iter().copied().filter(|&o| o > 0 && open_to(o, e));
                 for open in open.chain([0]) {
                     for pool in [
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -116,21 +116,21 @@
         Instance { site, balancer }
     }
 
-    fn entry(&mut self, e: &ListLine) -> Res<Entry> {
+    fn entry(&mut self, e: &ListLine) -> Res<Endpoint> {
         if e.worker.is_empty() {
             return Err("a list line without worker".into());
         }
-        let entry = Entry {
+        let entry = Endpoint {
             stage: match e.stage_state.as_str() {
-                "ready" => Stage::Ready,
-                "draining" => Stage::Draining,
-                "gone" => Stage::Gone,
+                "ready" => EndpointState::Ready,
+                "draining" => EndpointState::Draining,
+                "gone" => EndpointState::Gone,
                 other => return Err(format!("unknown stageState {other}")),
             },
             since: e.since_us,
             cell: e.pod as u32,
             weight: e.power_hint.unwrap_or(1.0),
-            ..Entry::default()
+            ..Endpoint::default()
         };
         Ok(self.site.entry(&e.worker, &e.zone, &e.model, entry))
     }
@@ -191,7 +191,7 @@
                 touched.sort_unstable();
                 touched.dedup();
                 for id in touched {
-                    self.event(id, now, Event::Settled, reply)?;
+                    self.event(id, now, Event::BatchEnd, reply)?;
                 }
                 reply.extend_from_slice(b"{\"type\":\"READY\"}\n");
                 self.now = None;
@@ -244,7 +244,7 @@
         };
         let event = match kind {
             "DISCOVERY" => match line.scope.as_deref() {
-                Some("Error") => Event::ListFailed,
+                Some("Error") => Event::DiscoveryFailed,
                 Some(scope @ ("Partial" | "Complete" | "Persisted")) => {
                     let number = line.roster_id.ok_or("DISCOVERY without rosterId")?;
                     let list = self
@@ -252,7 +252,7 @@
                         .get(&number)
                         .ok_or_else(|| format!("no LIST {number}"))?;
                     let entries = list.iter().map(|e| it.entry(e)).collect::<Res<Vec<_>>>()?;
-                    Event::List {
+                    Event::EndpointUpdate {
                         complete: scope != "Partial",
                         entries,
                     }
@@ -303,10 +303,10 @@
                 },
                 _ => return Ok(()), // a note of a kind to come
             },
-            "OUTCOME" => Event::Outcome(Outcome {
+            "OUTCOME" => Event::AttemptEnded(AttemptEnd {
                 job: job()?,
                 attempt: attempt()?,
-                code: code(
+                outcome: code(
                     line.state_code
                         .as_deref()
                         .ok_or("OUTCOME without stateCode")?,
@@ -327,13 +327,13 @@
                 let Some(worker) = it.site.workers.known(name) else {
                     return Ok(());
                 };
-                Event::Probed {
+                Event::ProbeEnded {
                     worker: WorkerId(worker),
                     ok: line.state_code.as_deref() == Some("delivered"),
                     report: line.usage.as_ref().map(|u| it.site.report(u)),
                 }
             }
-            "MAIL" => Event::Mail,
+            "MAIL" => Event::PeerMessage,
             other => return Err(format!("unknown message {other}")),
         };
         self.touched.push(id);
@@ -358,7 +358,7 @@
                     job: job.0,
                     round_no: attempt,
                 },
-                Action::Refuse { job, hold_off_us } => Reply::Deny {
+                Action::Reject { job, hold_off_us } => Reply::Deny {
                     dispatcher,
                     job: job.0,
                     hold_off_us,
@@ -388,16 +388,16 @@
     }
 }
 
-fn code(text: &str) -> Res<Code> {
+fn code(text: &str) -> Res<AttemptOutcome> {
     Ok(match text {
-        "delivered" => Code::Delivered,
-        "app_error" => Code::AppError,
-        "shed" => Code::Shed,
-        "expired" => Code::Expired,
-        "dial_failed" => Code::DialFailed,
-        "dropped" => Code::Dropped,
-        "revoked" => Code::Revoked,
-        "unused" => Code::Unused,
+        "delivered" => AttemptOutcome::Succeeded,
+        "app_error" => AttemptOutcome::WorkerError,
+        "shed" => AttemptOutcome::Shed,
+        "expired" => AttemptOutcome::TimedOut,
+        "dial_failed" => AttemptOutcome::ConnectFailed,
+        "dropped" => AttemptOutcome::ConnectionLost,
+        "revoked" => AttemptOutcome::Cancelled,
+        "unused" => AttemptOutcome::NotSent,
         other => return Err(format!("unknown outcome {other}")),
     })
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -24,14 +24,14 @@
         dispatchers: 1,
         tick_us: 4 * MS,
         classes: vec![
-            class(Repeat::Free),
-            class(Repeat::Keyed {
-                scope: Scope::Cell,
+            class(Repeatability::Idempotent),
+            class(Repeatability::IdempotentByKey {
+                scope: DeduplicationScope::Cell,
                 window_us,
             }),
-            class(Repeat::Once),
-            class(Repeat::Keyed {
-                scope: Scope::All,
+            class(Repeatability::AtMostOnce),
+            class(Repeatability::IdempotentByKey {
+                scope: DeduplicationScope::All,
                 window_us,
             }),
         ],
@@ -57,14 +57,14 @@
 }
 
 /// Worker `id`: zone by its lowest bit, cells of four, two kinds.
-pub fn entry(id: u32) -> Entry {
-    Entry {
+pub fn entry(id: u32) -> Endpoint {
+    Endpoint {
         worker: WorkerId(id),
         zone: ZoneId(id % 2),
         cell: id / 4,
         kind: KindId(id % 2),
         weight: 1.0,
-        ..Entry::default()
+        ..Endpoint::default()
     }
 }
 
@@ -97,21 +97,21 @@
         for event in events {
             self.balancer.handle(self.now, event, &mut out);
         }
-        self.balancer.handle(self.now, Event::Settled, &mut out);
+        self.balancer.handle(self.now, Event::BatchEnd, &mut out);
         self.log.extend(out.iter().cloned());
         out
     }
 
-    pub fn list(&mut self, complete: bool, entries: Vec<Entry>) -> Vec<Action> {
-        self.give(Event::List { complete, entries })
+    pub fn list(&mut self, complete: bool, entries: Vec<Endpoint>) -> Vec<Action> {
+        self.give(Event::EndpointUpdate { complete, entries })
     }
 
     pub fn arrive(&mut self, job: u64, class: u32) -> Vec<Action> {
         self.give(arrival(job, class))
     }
 
-    pub fn end(&mut self, job: u64, attempt: u32, code: Code) -> Vec<Action> {
-        self.give(ended(job, attempt, code, code == Code::Delivered))
+    pub fn end(&mut self, job: u64, attempt: u32, code: AttemptOutcome) -> Vec<Action> {
+        self.give(ended(job, attempt, code, code == AttemptOutcome::Succeeded))
     }
 
     /// The timers of this job that are due by now, as they were asked for.
@@ -131,11 +131,11 @@
     })
 }
 
-pub fn ended(job: u64, attempt: u32, code: Code, complete: bool) -> Event {
-    Event::Outcome(Outcome {
+pub fn ended(job: u64, attempt: u32, code: AttemptOutcome, complete: bool) -> Event {
+    Event::AttemptEnded(AttemptEnd {
         job: JobId(job),
         attempt,
-        code,
+        outcome: code,
         complete,
         report: None,
     })
@@ -168,7 +168,7 @@
 pub fn refused(actions: &[Action]) -> usize {
     actions
         .iter()
-        .filter(|a| matches!(a, Action::Refuse { .. }))
+        .filter(|a| matches!(a, Action::Reject { .. }))
         .count()
 }
 
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -235,14 +235,14 @@
 /// What a connection that comes up late may begin, by what became known meanwhile.
 #[rstest]
 #[case::nothing("free", None, 100_000, true)]
-#[case::the_worker_drains("free", Some((Stage::Draining, 0)), 100_000, false)]
-#[case::the_worker_is_gone("guarded", Some((Stage::Gone, 0)), 100_000, false)]
-#[case::another_life("free", Some((Stage::Ready, 50_000)), 100_000, false)]
+#[case::the_worker_drains("free", Some((EndpointState::Draining, 0)), 100_000, false)]
+#[case::the_worker_is_gone("guarded", Some((EndpointState::Gone, 0)), 100_000, false)]
+#[case::another_life("free", Some((EndpointState::Ready, 50_000)), 100_000, false)]
 #[case::its_own_window_is_its_own("guarded", None, 900_000, true)]
 #[case::the_time_is_up("free", None, 4_990_000, false)]
 fn a_late_connection_asks_whether_it_may_begin(
     #[case] semantics: &str,
-    #[case] change: Option<(Stage, Micros)>,
+    #[case] change: Option<(EndpointState, Micros)>,
     #[case] now: Micros,
     #[case] may: bool,
 ) {
@@ -387,7 +387,7 @@
     );
 }
 
-use streamusher::interface::Stage;
+use streamusher::interface::EndpointState;
 
 #[test]
 fn a_close_tells_its_end_and_then_reads_for_a_bounded_time_and_length() {
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -13,9 +13,9 @@
         for (attempt, worker) in sends(&desk.arrive(job, ONCE)).into_iter().enumerate() {
             to_bad += (worker == 2) as usize;
             let code = if worker == 2 {
-                Code::AppError
+                AttemptOutcome::WorkerError
             } else {
-                Code::Delivered
+                AttemptOutcome::Succeeded
             };
             desk.now += 20 * MS;
             desk.end(job, attempt as u32, code);
@@ -28,7 +28,7 @@
 #[test]
 fn a_kind_known_to_be_jammed_is_not_taken_for_idle_where_unseen() {
     let mut desk = Desk::new(settings(), 0);
-    let weighted = |id: u32| Entry {
+    let weighted = |id: u32| Endpoint {
         weight: if id.is_multiple_of(2) { 2.0 } else { 1.0 },
         ..entry(id)
     };
@@ -36,12 +36,12 @@
     for worker in 0..20 {
         // Even ones are the fast kind: jammed. Odd ones have room.
         let free_slots = Some(f64::from(worker % 2));
-        let report = Some(Report {
+        let report = Some(LoadReport {
             free_slots,
             waiting: Some(9.0),
-            ..Report::default()
+            ..LoadReport::default()
         });
-        desk.give(Event::Probed {
+        desk.give(Event::ProbeEnded {
             worker: WorkerId(worker),
             ok: true,
             report,
@@ -84,13 +84,13 @@
     let tell = |desk: &mut Desk, free: f64, held: f64, waiting: Option<f64>| {
         for worker in 0..4 {
             let free_slots = Some(free);
-            let report = Some(Report {
+            let report = Some(LoadReport {
                 free_slots,
                 active: Some(held),
                 waiting,
-                ..Report::default()
+                ..LoadReport::default()
             });
-            desk.give(Event::Probed {
+            desk.give(Event::ProbeEnded {
                 worker: WorkerId(worker),
                 ok: true,
                 report,
@@ -118,21 +118,21 @@
         },
         4,
     );
-    let full = Some(Report {
+    let full = Some(LoadReport {
         free_slots: Some(0.0),
         active: Some(7.0),
-        ..Report::default()
+        ..LoadReport::default()
     });
     let mut sent = sends(&desk.arrive(1, FREE));
     for attempt in 0..3 {
-        let end = Outcome {
+        let end = AttemptEnd {
             job: JobId(1),
             attempt,
-            code: Code::Shed,
+            outcome: AttemptOutcome::Shed,
             complete: false,
             report: full,
         };
-        sent.extend(sends(&desk.give(Event::Outcome(end))));
+        sent.extend(sends(&desk.give(Event::AttemptEnded(end))));
     }
     assert_eq!(sent.len(), 4, "all attempts are used: {sent:?}");
     let next = desk.arrive(2, FREE);
@@ -156,11 +156,11 @@
         4,
     );
     for worker in 0..4 {
-        let report = Some(Report {
+        let report = Some(LoadReport {
             free_slots: Some(0.0),
-            ..Report::default()
+            ..LoadReport::default()
         });
-        desk.give(Event::Probed {
+        desk.give(Event::ProbeEnded {
             worker: WorkerId(worker),
             ok: true,
             report,
@@ -179,7 +179,7 @@
             }));
             turned_away[tenant as usize] += refused(&out);
             if refused(&out) == 0 {
-                desk.end(job, 0, Code::Delivered);
+                desk.end(job, 0, AttemptOutcome::Succeeded);
             }
         }
     }
@@ -197,15 +197,15 @@
     for job in 1..4 {
         desk.arrive(job, ONCE);
     }
-    desk.end(1, 0, Code::AppError);
+    desk.end(1, 0, AttemptOutcome::WorkerError);
     desk.list(
         false,
-        vec![Entry {
+        vec![Endpoint {
             since: desk.now - 60 * SECOND,
             ..entry(0)
         }],
     );
-    desk.end(2, 0, Code::Dropped);
+    desk.end(2, 0, AttemptOutcome::ConnectionLost);
     assert_eq!(sends(&desk.arrive(9, FREE)), [0]);
     assert_eq!(sends(&desk.arrive(10, FREE)).len(), 1);
 }
@@ -228,7 +228,7 @@
     assert!(wait <= desk.now && wait < 10 * SECOND / 2);
     assert_eq!(desk.wake(wait, token), [Action::Subscribe]);
     for _ in 0..6 {
-        let (wait, token) = due(&desk.give(Event::ListFailed));
+        let (wait, token) = due(&desk.give(Event::DiscoveryFailed));
         assert!(wait > 0 && wait <= 10 * SECOND / 4);
         assert_eq!(desk.wake(wait, token), [Action::Subscribe]);
     }
@@ -249,11 +249,11 @@
         4,
     );
     for worker in 0..4 {
-        let report = Some(Report {
+        let report = Some(LoadReport {
             free_slots: Some(0.0),
-            ..Report::default()
+            ..LoadReport::default()
         });
-        desk.give(Event::Probed {
+        desk.give(Event::ProbeEnded {
             worker: WorkerId(worker),
             ok: true,
             report,
@@ -268,7 +268,7 @@
             ..request
         }));
         assert_eq!((sends(&out).len(), refused(&out)), (1, 0), "job {job}");
-        desk.end(job as u64, 0, Code::Delivered);
+        desk.end(job as u64, 0, AttemptOutcome::Succeeded);
     }
 }
 
@@ -285,12 +285,12 @@
     for job in 1..30 {
         desk.arrive(job, ONCE);
         for worker in [3, 7] {
-            let report = Some(Report {
+            let report = Some(LoadReport {
                 free_slots: Some(0.0),
                 waiting: Some(3.0),
-                ..Report::default()
+                ..LoadReport::default()
             });
-            desk.give(Event::Probed {
+            desk.give(Event::ProbeEnded {
                 worker: WorkerId(worker),
                 ok: true,
                 report,
@@ -298,7 +298,7 @@
         }
         let sent = sends(&desk.wake(10 * MS, 2 * job + 1));
         assert!(sent == [3] || sent == [7], "{sent:?}");
-        desk.end(job, 0, Code::Delivered);
+        desk.end(job, 0, AttemptOutcome::Succeeded);
     }
 }
 
@@ -378,7 +378,11 @@
                 desk.end(
                     job,
                     attempt as u32,
-                    if bad { Code::AppError } else { Code::Delivered },
+                    if bad {
+                        AttemptOutcome::WorkerError
+                    } else {
+                        AttemptOutcome::Succeeded
+                    },
                 );
             }
         }
@@ -403,22 +407,26 @@
         for (attempt, worker) in sends(&desk.arrive(job, class)).into_iter().enumerate() {
             let struck = worker >= 4;
             let code = if struck && class == ONCE {
-                Code::Shed
+                AttemptOutcome::Shed
             } else {
-                Code::Delivered
+                AttemptOutcome::Succeeded
             };
-            lost += usize::from(code == Code::Shed);
+            lost += usize::from(code == AttemptOutcome::Shed);
             others += usize::from(struck && class == FREE);
             desk.now += 20 * MS;
-            let report = Some(Report {
+            let report = Some(LoadReport {
                 free_slots: Some(3.0),
-                ..Report::default()
+                ..LoadReport::default()
             });
-            let (job, attempt, complete) = (JobId(job), attempt as u32, code == Code::Delivered);
-            desk.give(Event::Outcome(Outcome {
+            let (job, attempt, complete) = (
+                JobId(job),
+                attempt as u32,
+                code == AttemptOutcome::Succeeded,
+            );
+            desk.give(Event::AttemptEnded(AttemptEnd {
                 job,
                 attempt,
-                code,
+                outcome: code,
                 complete,
                 report,
             }));
@@ -447,7 +455,7 @@
         for job in 1..60 {
             met.extend(sends(&desk.arrive(job, ONCE)));
             desk.now += 100 * MS;
-            desk.end(job, 0, Code::Delivered);
+            desk.end(job, 0, AttemptOutcome::Succeeded);
         }
         met.sort_unstable();
         met.dedup();
@@ -499,13 +507,13 @@
 fn a_live_weight_tells_how_busy_a_worker_is() {
     let mut desk = Desk::new(
         Settings {
-            weights: Weights::Live,
+            weights: WeightMeaning::Live,
             reports_on_probe: true,
             ..patient()
         },
         0,
     );
-    let weighted = |id, weight| Entry {
+    let weighted = |id, weight| Endpoint {
         weight,
         kind: KindId(0),
         ..entry(id)
@@ -516,25 +524,25 @@
         let sent = sends(&desk.wake(10 * MS, 2 * job + 1));
         desk.give(started(job, 0));
         desk.now += 100 * MS;
-        desk.end(job, 0, Code::Delivered);
+        desk.end(job, 0, AttemptOutcome::Succeeded);
         sent
     };
-    let room = Some(Report {
+    let room = Some(LoadReport {
         free_slots: Some(3.0),
-        ..Report::default()
+        ..LoadReport::default()
     });
     for (worker, away) in [(1, 0), (0, 1)] {
         desk.list(
             false,
             vec![
-                Entry {
-                    stage: Stage::Draining,
+                Endpoint {
+                    stage: EndpointState::Draining,
                     ..weighted(away, 1.0)
                 },
                 weighted(worker, 1.0),
             ],
         );
-        desk.give(Event::Probed {
+        desk.give(Event::ProbeEnded {
             worker: WorkerId(worker),
             ok: true,
             report: room,
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -85,11 +85,11 @@
     let mut kept = [0; 3];
     let mut desk = Desk::new(patient(), 8);
     for worker in 0..8 {
-        let report = Some(Report {
+        let report = Some(LoadReport {
             free_slots: Some(0.0),
-            ..Report::default()
+            ..LoadReport::default()
         });
-        desk.give(Event::Probed {
+        desk.give(Event::ProbeEnded {
             worker: WorkerId(worker),
             ok: true,
             report,
@@ -107,10 +107,10 @@
         kept[keep as usize] += 1;
         desk.batch(
             gone.iter()
-                .map(|&a| ended(job, a, Code::Unused, false))
+                .map(|&a| ended(job, a, AttemptOutcome::NotSent, false))
                 .collect(),
         );
-        desk.end(job, keep, Code::Delivered);
+        desk.end(job, keep, AttemptOutcome::Succeeded);
     }
     assert!(kept.iter().all(|&k| k >= 5), "{kept:?}");
 }
@@ -130,10 +130,10 @@
     desk.arrive(1, FREE);
     desk.wake(SECOND, 3);
     assert!(
-        sends(&desk.end(1, 0, Code::Shed)).is_empty(),
+        sends(&desk.end(1, 0, AttemptOutcome::Shed)).is_empty(),
         "one copy is still out"
     );
-    assert_eq!(sends(&desk.end(1, 1, Code::Shed)).len(), 1);
+    assert_eq!(sends(&desk.end(1, 1, AttemptOutcome::Shed)).len(), 1);
 }
 
 #[test]
@@ -148,7 +148,7 @@
         desk.batch((0..last as u32).map(|a| started(job, a)).collect());
         desk.batch(
             (0..last as u32)
-                .map(|a| ended(job, a, Code::Revoked, a + 1 == last as u32))
+                .map(|a| ended(job, a, AttemptOutcome::Cancelled, a + 1 == last as u32))
                 .collect(),
         );
     }
@@ -166,9 +166,9 @@
 }
 
 /// Entries as a list would have them: each with a mark of its own.
-fn marked(workers: u32) -> Vec<Entry> {
+fn marked(workers: u32) -> Vec<Endpoint> {
     (0..workers)
-        .map(|id| Entry {
+        .map(|id| Endpoint {
             mark: u64::from(id) * 77 + 5,
             ..entry(id)
         })
@@ -217,17 +217,17 @@
     desk.list(true, marked(30));
     let mut seen = sends(&desk.give(about(1, FREE, 9)));
     for attempt in 0..3 {
-        seen.extend(sends(&desk.end(1, attempt, Code::Shed)));
+        seen.extend(sends(&desk.end(1, attempt, AttemptOutcome::Shed)));
     }
     assert_eq!(seen.len(), 4, "the last attempt leaves the three homes");
-    let drained: Vec<Entry> = marked(30)
+    let drained: Vec<Endpoint> = marked(30)
         .into_iter()
         .filter(|e| seen[..3].contains(&e.worker.0))
         .collect();
     let drained = drained
         .into_iter()
-        .map(|e| Entry {
-            stage: Stage::Draining,
+        .map(|e| Endpoint {
+            stage: EndpointState::Draining,
             ..e
         })
         .collect();
@@ -282,12 +282,12 @@
         let idle = asked[job as usize % 4];
         for &worker in &asked {
             let free_slots = Some(if worker == idle { 8.0 } else { 0.0 });
-            let report = Some(Report {
+            let report = Some(LoadReport {
                 free_slots,
                 waiting: Some(3.0),
-                ..Report::default()
+                ..LoadReport::default()
             });
-            desk.give(Event::Probed {
+            desk.give(Event::ProbeEnded {
                 worker: WorkerId(worker),
                 ok: true,
                 report,
@@ -298,7 +298,7 @@
         if idle.is_multiple_of(2) {
             assert_eq!(sends(&out), [idle]); // of the own zone, and known to be idle
         }
-        desk.end(job, 0, Code::Delivered);
+        desk.end(job, 0, AttemptOutcome::Succeeded);
         desk.now += 60 * SECOND;
     }
 }
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -12,7 +12,7 @@
 struct Sent {
     worker: u32,
     at: Micros,
-    end: Option<Code>,
+    end: Option<AttemptOutcome>,
     begun: bool,
     cancelled: bool,
 }
@@ -26,7 +26,7 @@
 
 struct Checker {
     set: Settings,
-    stage: Vec<Stage>,
+    stage: Vec<EndpointState>,
     jobs: BTreeMap<u64, Owed>,
     timers: BTreeMap<(Micros, u64), u64>,
     sends: usize,
@@ -39,7 +39,7 @@
     match action {
         Action::Send { job, worker } => [1, job.0, worker.0.into()],
         Action::Cancel { job, attempt } => [2, job.0, u64::from(*attempt)],
-        Action::Refuse { job, hold_off_us } => [3, job.0, *hold_off_us],
+        Action::Reject { job, hold_off_us } => [3, job.0, *hold_off_us],
         Action::Fail { job } => [4, job.0, 0],
         Action::Schedule { wait_us, token } => [5, *wait_us, *token],
         Action::Probe { worker } => [6, worker.0.into(), 0],
@@ -68,16 +68,17 @@
                     assert!(self.set.cancel);
                     self.jobs.get_mut(&job.0).unwrap().sent[attempt as usize].cancelled = true;
                 }
-                Action::Refuse { job, .. } => {
+                Action::Reject { job, .. } => {
                     let j = &self.jobs[&job.0];
                     let harmless = j
                         .sent
                         .iter()
                         .all(|s| s.end.is_some_and(|e| never_ran(&self.set, e)));
                     match self.set.classes[j.class].repeat {
-                        Repeat::Free
-                        | Repeat::Keyed {
-                            scope: Scope::All, ..
+                        Repeatability::Idempotent
+                        | Repeatability::IdempotentByKey {
+                            scope: DeduplicationScope::All,
+                            ..
                         } => {}
                         _ => assert!(harmless, "refused what may have run"),
                     }
@@ -106,7 +107,7 @@
         assert!(now < j.deadline);
         assert_eq!(
             self.stage[worker as usize],
-            Stage::Ready,
+            EndpointState::Ready,
             "sent to one that drains or is gone"
         );
         assert!((j.sent.len() as u32) < self.set.max_attempts);
@@ -142,15 +143,15 @@
             .filter(|s| !s.end.is_some_and(|e| never_ran(&self.set, e)))
             .collect();
         match self.set.classes[j.class].repeat {
-            Repeat::Free => {}
-            Repeat::Once => assert!(risky.is_empty(), "ran twice"),
-            Repeat::Keyed { scope, window_us } => {
+            Repeatability::Idempotent => {}
+            Repeatability::AtMostOnce => assert!(risky.is_empty(), "ran twice"),
+            Repeatability::IdempotentByKey { scope, window_us } => {
                 if let Some(first) = risky.first() {
                     assert!(now <= first.at + window_us, "past the window");
                     match scope {
-                        Scope::All => {}
-                        Scope::Zone => assert_eq!(first.worker % 2, worker % 2),
-                        Scope::Cell => assert_eq!(first.worker / 4, worker / 4),
+                        DeduplicationScope::All => {}
+                        DeduplicationScope::Zone => assert_eq!(first.worker % 2, worker % 2),
+                        DeduplicationScope::Cell => assert_eq!(first.worker / 4, worker / 4),
                     }
                 }
             }
@@ -165,9 +166,11 @@
     }
 }
 
-fn never_ran(set: &Settings, code: Code) -> bool {
-    matches!(code, Code::DialFailed | Code::Unused)
-        || (code == Code::Shed && !set.full_may_have_run)
+fn never_ran(set: &Settings, code: AttemptOutcome) -> bool {
+    matches!(
+        code,
+        AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent
+    ) || (code == AttemptOutcome::Shed && !set.full_may_have_run)
 }
 
 /// Digest of all actions on the seeds of the test below. A change of policy replaces it and says so in its commit.
@@ -191,18 +194,18 @@
             .random_bool(0.3)
             .then(|| vec![KindId(rng.random_range(0..3)), KindId(1)]);
     }
-    if let Repeat::Keyed { scope, .. } = &mut set.classes[KEYED as usize].repeat {
+    if let Repeatability::IdempotentByKey { scope, .. } = &mut set.classes[KEYED as usize].repeat {
         *scope = if rng.random() {
-            Scope::Zone
+            DeduplicationScope::Zone
         } else {
-            Scope::Cell
+            DeduplicationScope::Cell
         };
     }
     let tick = set.tick_us;
     let n = rng.random_range(1..20u32);
     let mut now = 1_000 * SECOND;
     let mut balancer = Balancer::new(set.clone(), seed, now);
-    let stage = vec![Stage::Gone; n as usize];
+    let stage = vec![EndpointState::Gone; n as usize];
     let mut c = Checker {
         set,
         stage,
@@ -224,18 +227,22 @@
             for id in 0..n {
                 let i = id as usize;
                 if !first && complete && rng.random_bool(0.1) {
-                    c.stage[i] = Stage::Gone; // no longer named
+                    c.stage[i] = EndpointState::Gone; // no longer named
                     continue;
                 }
                 if !first && !complete && rng.random_bool(0.7) {
                     continue;
                 }
-                c.stage[i] = [Stage::Ready, Stage::Ready, Stage::Ready, Stage::Draining]
-                    [rng.random_range(0..4)];
+                c.stage[i] = [
+                    EndpointState::Ready,
+                    EndpointState::Ready,
+                    EndpointState::Ready,
+                    EndpointState::Draining,
+                ][rng.random_range(0..4)];
                 if rng.random_bool(0.1) {
                     since[i] = now - rng.random_range(0..20) * SECOND;
                 }
-                entries.push(Entry {
+                entries.push(Endpoint {
                     stage: c.stage[i],
                     since: since[i],
                     kind: KindId(id % 3),
@@ -243,10 +250,10 @@
                 });
             }
             first = false;
-            events.push(Event::List { complete, entries });
+            events.push(Event::EndpointUpdate { complete, entries });
         }
         if rng.random_bool(0.01) {
-            events.push(Event::ListFailed);
+            events.push(Event::DiscoveryFailed);
         }
         // The state of the list is as told by the whole batch, so the checks hold for what follows in it.
         let mut out = Vec::new();
@@ -304,20 +311,20 @@
                     continue;
                 }
                 let code = match () {
-                    _ if now >= deadline => Code::Expired,
-                    _ if s.cancelled && rng.random() => Code::Revoked,
+                    _ if now >= deadline => AttemptOutcome::TimedOut,
+                    _ if s.cancelled && rng.random() => AttemptOutcome::Cancelled,
                     _ if rng.random_bool(0.03) => [
-                        Code::Delivered,
-                        Code::AppError,
-                        Code::Shed,
-                        Code::DialFailed,
-                        Code::Dropped,
+                        AttemptOutcome::Succeeded,
+                        AttemptOutcome::WorkerError,
+                        AttemptOutcome::Shed,
+                        AttemptOutcome::ConnectFailed,
+                        AttemptOutcome::ConnectionLost,
                     ][rng.random_range(0..5)],
                     _ => continue,
                 };
                 s.end = Some(code);
-                let complete = over || code == Code::Delivered;
-                if code == Code::Delivered && !over {
+                let complete = over || code == AttemptOutcome::Succeeded;
+                if code == AttemptOutcome::Succeeded && !over {
                     j.over_since = Some(now);
                     c.answers += 1;
                 }
@@ -332,7 +339,7 @@
                 c.jobs.remove(&id);
             }
         }
-        balancer.handle(now, Event::Settled, &mut out);
+        balancer.handle(now, Event::BatchEnd, &mut out);
         c.take(now, std::mem::take(&mut out), &mut serial);
         if rng.random_bool(0.0005) {
             // Killed and started anew: nothing of the old one is owed or known.
@@ -399,31 +406,31 @@
             let job = JobId([rng.random_range(0..6), rng.random()][rng.random_range(0..2)]);
             let attempt = rng.random_range(0..4);
             let worker = WorkerId(rng.random_range(0..5));
-            let report = Some(Report {
+            let report = Some(LoadReport {
                 free_slots: Some(f64::NAN),
                 waiting: Some(-1.0),
-                ..Report::default()
+                ..LoadReport::default()
             });
             let codes = [
-                Code::Delivered,
-                Code::Shed,
-                Code::AppError,
-                Code::Revoked,
-                Code::Expired,
+                AttemptOutcome::Succeeded,
+                AttemptOutcome::Shed,
+                AttemptOutcome::WorkerError,
+                AttemptOutcome::Cancelled,
+                AttemptOutcome::TimedOut,
             ];
             let code = codes[rng.random_range(0..5)];
-            let e = Entry {
+            let e = Endpoint {
                 worker,
                 weight: [0.0, -1.0, f64::NAN, 1.0][rng.random_range(0..4)],
                 since: rng.random(),
                 ..entry(0)
             };
             let event = match rng.random_range(0..12) {
-                0 => Event::List {
+                0 => Event::EndpointUpdate {
                     complete: rng.random(),
                     entries: vec![e],
                 },
-                1 => Event::ListFailed,
+                1 => Event::DiscoveryFailed,
                 2..=4 => Event::Arrived(Request {
                     quota_free: (rng.random_range(0..10) == 0)
                         .then(|| rng.random_range(0..3) as f64 / 2.0),
@@ -442,10 +449,10 @@
                     done: f64::NAN,
                 },
                 7 => Event::StreamBegan { job, attempt },
-                8 => Event::Outcome(Outcome {
+                8 => Event::AttemptEnded(AttemptEnd {
                     job,
                     attempt,
-                    code,
+                    outcome: code,
                     complete: rng.random(),
                     report,
                 }),
@@ -453,14 +460,14 @@
                 10 => Event::Timer {
                     token: [job.0, u64::MAX, u64::MAX - 1][rng.random_range(0..3)],
                 },
-                _ => Event::Probed {
+                _ => Event::ProbeEnded {
                     worker,
                     ok: rng.random(),
                     report,
                 },
             };
             balancer.handle(now, event, &mut out);
-            balancer.handle(now, Event::Settled, &mut out);
+            balancer.handle(now, Event::BatchEnd, &mut out);
         }
     }
 }
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -158,7 +158,7 @@
         while desk.now < begin + 10 * SECOND {
             desk.arrive(job, ONCE);
             desk.now += pause_of(n).min(100 * MS);
-            desk.end(job, 0, Code::Delivered);
+            desk.end(job, 0, AttemptOutcome::Succeeded);
             desk.now = desk.now.max(begin + (job + 1) * pause_of(n));
             job += 1;
         }
@@ -166,7 +166,7 @@
         desk.now = since;
         desk.list(
             false,
-            vec![Entry {
+            vec![Endpoint {
                 since,
                 ..entry(cold)
             }],
@@ -182,12 +182,12 @@
                     running.push_back((desk.now + 100 * MS, job, tried));
                     break;
                 }
-                out = desk.end(job, tried, Code::Shed);
+                out = desk.end(job, tried, AttemptOutcome::Shed);
                 tried += 1;
             }
             desk.now += 20 * MS;
             while let Some((_, job, tried)) = running.pop_front_if(|r| r.0 <= desk.now) {
-                desk.end(job, tried, Code::Delivered);
+                desk.end(job, tried, AttemptOutcome::Succeeded);
             }
         }
     }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -9,7 +9,7 @@
     let mut desk = Desk::new(settings(), 4);
     desk.arrive(1, ONCE);
     desk.now += 5 * SECOND;
-    let out = desk.end(1, 0, Code::Expired);
+    let out = desk.end(1, 0, AttemptOutcome::TimedOut);
     assert_eq!((failed(&out), refused(&out), sends(&out).len()), (1, 0, 0));
 }
 
@@ -49,7 +49,7 @@
     desk.arrive(1, FREE);
     let out = desk.batch(vec![
         Event::ClientGone { job: JobId(1) },
-        ended(1, 0, Code::AppError, true),
+        ended(1, 0, AttemptOutcome::WorkerError, true),
     ]);
     assert_eq!((sends(&out).len(), refused(&out), failed(&out)), (0, 0, 0));
     for token in [2, 3] {
@@ -64,19 +64,28 @@
     desk.now += 5 * SECOND;
     let out = desk.batch(vec![
         Event::Timer { token: 2 },
-        ended(1, 0, Code::Expired, false),
+        ended(1, 0, AttemptOutcome::TimedOut, false),
     ]);
     assert_eq!(refused(&out) + failed(&out), 1);
 }
 
 #[test]
 fn a_job_that_must_not_run_twice_is_sent_again_only_if_it_never_ran() {
-    for code in [Code::Shed, Code::DialFailed, Code::Unused] {
+    for code in [
+        AttemptOutcome::Shed,
+        AttemptOutcome::ConnectFailed,
+        AttemptOutcome::NotSent,
+    ] {
         let mut desk = Desk::new(settings(), 4);
         desk.arrive(1, ONCE);
         assert_eq!(sends(&desk.end(1, 0, code)).len(), 1, "{code:?}");
     }
-    for code in [Code::AppError, Code::Dropped, Code::Revoked, Code::Expired] {
+    for code in [
+        AttemptOutcome::WorkerError,
+        AttemptOutcome::ConnectionLost,
+        AttemptOutcome::Cancelled,
+        AttemptOutcome::TimedOut,
+    ] {
         let mut desk = Desk::new(settings(), 4);
         desk.arrive(1, ONCE);
         let out = desk.end(1, 0, code);
@@ -100,7 +109,11 @@
 
 #[test]
 fn a_keyed_repeat_stays_in_the_first_ones_cell_and_window() {
-    for code in [Code::AppError, Code::Dropped, Code::Revoked] {
+    for code in [
+        AttemptOutcome::WorkerError,
+        AttemptOutcome::ConnectionLost,
+        AttemptOutcome::Cancelled,
+    ] {
         let mut desk = Desk::new(settings(), 40);
         let first = sends(&desk.arrive(1, KEYED))[0];
         let again = sends(&desk.end(1, 0, code));
@@ -125,11 +138,11 @@
     let mut desk = Desk::new(settings(), 8);
     let mut seen = sends(&desk.arrive(1, KEYED));
     for attempt in 0..3 {
-        seen.extend(sends(&desk.end(1, attempt, Code::Shed)));
+        seen.extend(sends(&desk.end(1, attempt, AttemptOutcome::Shed)));
     }
     assert_eq!(seen.len(), 4);
     assert_eq!(
-        refused(&desk.end(1, 3, Code::Shed)),
+        refused(&desk.end(1, 3, AttemptOutcome::Shed)),
         1,
         "all refused it: harmless to try again"
     );
@@ -140,9 +153,9 @@
     let mut desk = Desk::new(patient(), 4);
     desk.arrive(1, KEYED);
     desk.now += SECOND;
-    desk.end(1, 0, Code::Shed); // sent again now: the window begins here
+    desk.end(1, 0, AttemptOutcome::Shed); // sent again now: the window begins here
     desk.now += 3 * SECOND / 2;
-    assert_eq!(sends(&desk.end(1, 1, Code::AppError)).len(), 1);
+    assert_eq!(sends(&desk.end(1, 1, AttemptOutcome::WorkerError)).len(), 1);
 }
 
 #[test]
@@ -150,17 +163,17 @@
     for (class, want) in [(KEYED, (0, 1)), (KEYED_ALL, (1, 0))] {
         let mut desk = Desk::new(settings(), 1);
         desk.arrive(1, class);
-        let out = desk.end(1, 0, Code::AppError);
+        let out = desk.end(1, 0, AttemptOutcome::WorkerError);
         assert_eq!((refused(&out), failed(&out)), want);
     }
 }
 
 #[test]
 fn a_drain_acts_at_once_however_it_is_told() {
-    let drain = |stage| Entry { stage, ..entry(1) };
+    let drain = |stage| Endpoint { stage, ..entry(1) };
     for change in [
-        (false, vec![drain(Stage::Draining)]),
-        (false, vec![drain(Stage::Gone)]),
+        (false, vec![drain(EndpointState::Draining)]),
+        (false, vec![drain(EndpointState::Gone)]),
         (true, vec![entry(0), entry(2), entry(3)]),
     ] {
         let mut desk = Desk::new(patient(), 4);
@@ -194,7 +207,7 @@
     let mut desk = Desk::new(settings(), 40);
     desk.arrive(1, FREE);
     for attempt in 0..4 {
-        desk.end(1, attempt, Code::AppError);
+        desk.end(1, attempt, AttemptOutcome::WorkerError);
     }
     assert_eq!((sends(&desk.log).len(), refused(&desk.log)), (4, 1));
 }
@@ -218,7 +231,7 @@
             if job == 40 {
                 desk.list(
                     false,
-                    vec![Entry {
+                    vec![Endpoint {
                         since: desk.now,
                         ..entry(2)
                     }],
@@ -228,7 +241,7 @@
             desk.arrive(job, FREE);
             desk.now += 100 * MS;
             for attempt in 0..4 {
-                desk.end(job, attempt, Code::Delivered);
+                desk.end(job, attempt, AttemptOutcome::Succeeded);
             }
         }
         to_cold += sends(&desk.log).iter().filter(|&&w| w == 2).count();
@@ -261,7 +274,7 @@
         let since = desk.now;
         desk.list(
             false,
-            vec![Entry {
+            vec![Endpoint {
                 since,
                 ..entry(cold)
             }],
@@ -272,9 +285,9 @@
             let mut sent = 0;
             while let Some(&w) = sends(&out).first() {
                 let code = if w == cold {
-                    Code::Delivered
+                    AttemptOutcome::Succeeded
                 } else {
-                    Code::Shed
+                    AttemptOutcome::Shed
                 };
                 out = desk.end(job, sent, code);
                 sent += 1;
@@ -312,12 +325,12 @@
         for job in 0..20 * SECOND / pause {
             desk.arrive(job, ONCE);
             desk.now += pause;
-            desk.end(job, 0, Code::Delivered);
+            desk.end(job, 0, AttemptOutcome::Succeeded);
         }
         let since = desk.now;
         desk.list(
             false,
-            vec![Entry {
+            vec![Endpoint {
                 since,
                 ..entry(cold)
             }],
@@ -326,12 +339,12 @@
         for job in (0..window / pause).map(|j| 1_000_000 + j) {
             let (mut out, mut sent) = (desk.arrive(job, FREE), 0);
             while sends(&out).first().is_some_and(|&w| w != cold) {
-                out = desk.end(job, sent, Code::Shed);
+                out = desk.end(job, sent, AttemptOutcome::Shed);
                 sent += 1;
             }
             desk.now += pause;
             if !sends(&out).is_empty() {
-                desk.end(job, sent, Code::Delivered);
+                desk.end(job, sent, AttemptOutcome::Succeeded);
             }
         }
         to_cold += sends(&desk.log).iter().filter(|&&w| w == cold).count();
@@ -364,10 +377,10 @@
     for job in 0..400 {
         desk.give(with_hint(job, SECOND / 2));
         desk.now += 10 * MS;
-        desk.end(job, 0, Code::Delivered);
+        desk.end(job, 0, AttemptOutcome::Succeeded);
     }
     let since = desk.now;
-    desk.list(true, vec![Entry { since, ..entry(0) }]);
+    desk.list(true, vec![Endpoint { since, ..entry(0) }]);
     desk.now += SECOND; // credit for some, and about 0.4 of its capacity
     assert!(sends(&desk.give(with_hint(1_000, 2 * SECOND))).is_empty());
     assert_eq!(sends(&desk.give(with_hint(1_001, SECOND / 2))), [0]);
@@ -404,7 +417,7 @@
     }
     desk.list(
         false,
-        vec![Entry {
+        vec![Endpoint {
             since: desk.now,
             ..entry(0)
         }],
@@ -449,7 +462,8 @@
                     desk.end(
                         job,
                         attempt,
-                        [Code::AppError, Code::DialFailed][attempt as usize % 2],
+                        [AttemptOutcome::WorkerError, AttemptOutcome::ConnectFailed]
+                            [attempt as usize % 2],
                     );
                 }
             }
@@ -468,8 +482,8 @@
     desk.list(
         false,
         [1, 3, 5, 7]
-            .map(|id| Entry {
-                stage: Stage::Gone,
+            .map(|id| Endpoint {
+                stage: EndpointState::Gone,
                 ..entry(id)
             })
             .to_vec(),
@@ -527,7 +541,7 @@
     let mut desk = Desk::new(set, 8);
     desk.list(
         false,
-        vec![Entry {
+        vec![Endpoint {
             kind: unseen,
             ..entry(8)
         }],
@@ -540,11 +554,11 @@
     let mut desk = Desk::new(bound(true), 4);
     assert_eq!(sends(&desk.arrive(1, KEYED)).len(), 1); // 1 or 3, in the cell of 0 to 3
     assert_eq!(
-        sends(&desk.end(1, 0, Code::AppError)).len(),
+        sends(&desk.end(1, 0, AttemptOutcome::WorkerError)).len(),
         1,
         "the other one"
     );
-    let out = desk.end(1, 1, Code::AppError);
+    let out = desk.end(1, 1, AttemptOutcome::WorkerError);
     assert_eq!(
         (sends(&out).len(), failed(&out)),
         (0, 1),
@@ -555,7 +569,7 @@
 /// A few permitted workers among hundreds: drawn from, not found by luck.
 #[test]
 fn a_bound_class_finds_its_few_workers_and_asks_no_others() {
-    let few = |id| Entry {
+    let few = |id| Endpoint {
         zone: ZoneId(if id % 100 == 7 { 5 } else { 0 }),
         mark: u64::from(id),
         ..entry(id)
@@ -604,7 +618,7 @@
     };
     let mut desk = Desk::new(set(), 8);
     desk.arrive(1, ONCE);
-    let out = desk.end(1, 0, Code::Shed);
+    let out = desk.end(1, 0, AttemptOutcome::Shed);
     assert_eq!(
         (sends(&out).len(), refused(&out), failed(&out)),
         (0, 0, 1),
@@ -614,19 +628,19 @@
     let mut desk = Desk::new(set(), 40);
     let first = sends(&desk.arrive(1, KEYED))[0];
     for attempt in 0..3 {
-        let again = sends(&desk.end(1, attempt, Code::Shed));
+        let again = sends(&desk.end(1, attempt, AttemptOutcome::Shed));
         assert!(
             again.len() == 1 && again[0] / 4 == first / 4,
             "inside its cell: {again:?}"
         );
     }
-    let out = desk.end(1, 3, Code::Shed);
+    let out = desk.end(1, 3, AttemptOutcome::Shed);
     assert_eq!((sends(&out).len(), refused(&out), failed(&out)), (0, 0, 1));
 
     let mut desk = Desk::new(set(), 40);
     desk.arrive(1, KEYED);
     desk.now += 2 * SECOND;
-    let out = desk.end(1, 0, Code::Shed);
+    let out = desk.end(1, 0, AttemptOutcome::Shed);
     assert_eq!(
         (sends(&out).len(), refused(&out), failed(&out)),
         (0, 0, 1),
@@ -637,7 +651,7 @@
         let mut desk = Desk::new(set(), 1);
         desk.arrive(1, class);
         assert_eq!(
-            refused(&desk.end(1, 0, Code::Shed)),
+            refused(&desk.end(1, 0, AttemptOutcome::Shed)),
             1,
             "harmless for any outcome"
         );
@@ -645,7 +659,7 @@
     let mut desk = Desk::new(set(), 8);
     desk.arrive(1, ONCE);
     assert_eq!(
-        sends(&desk.end(1, 0, Code::DialFailed)).len(),
+        sends(&desk.end(1, 0, AttemptOutcome::ConnectFailed)).len(),
         1,
         "never connected is still proof"
     );
@@ -660,19 +674,19 @@
     let cell = (0..8).filter(|id| id / 4 == first / 4);
     desk.list(
         false,
-        cell.map(|id| Entry {
-            stage: Stage::Draining,
+        cell.map(|id| Endpoint {
+            stage: EndpointState::Draining,
             ..entry(id)
         })
         .collect(),
     );
-    let out = desk.end(1, 0, Code::Dropped);
+    let out = desk.end(1, 0, AttemptOutcome::ConnectionLost);
     assert_eq!((sends(&out).len(), failed(&out)), (0, 1));
     // Held from a first 'full' on, as no other worker is there, and past its aim when the next comes back:
     let mut desk = Desk::new(settings(), 1);
     desk.arrive(1, ONCE);
     desk.now += SECOND;
-    let out = desk.end(1, 0, Code::Shed);
+    let out = desk.end(1, 0, AttemptOutcome::Shed);
     assert_eq!((sends(&out).len(), refused(&out)), (0, 1));
 }
 
@@ -681,10 +695,10 @@
 fn a_worker_listed_anew_in_another_zone_is_no_longer_permitted() {
     let mut desk = Desk::new(bound(true), 2);
     assert_eq!(sends(&desk.arrive(1, FREE)), [1]);
-    desk.end(1, 0, Code::Delivered);
+    desk.end(1, 0, AttemptOutcome::Succeeded);
     desk.list(
         false,
-        vec![Entry {
+        vec![Endpoint {
             zone: ZoneId(0),
             since: desk.now - 60 * SECOND,
             ..entry(1)
