--- a/src/balance/admission.rs
+++ b/src/balance/admission.rs
@@ -22,7 +22,7 @@
         }
         let over_share = self.beyond_share(now, request.tenant);
         let open = self.open[class];
-        let homes = request.key.map_or_else(Vec::new, |k| {
+        let homes = request.affinity_key.map_or_else(Vec::new, |k| {
             self.pools.homes(&self.workers, open, k, HOMES)
         });
         let job = Job {
@@ -35,9 +35,9 @@
             ..Job::default()
         };
         // The timer comes up to a tick late; the slack must bear that.
-        let early = (2 * self.set.tick_us).saturating_sub(self.set.answer_slack_us);
+        let early = (2 * self.set.batch_interval_us).saturating_sub(self.set.answer_slack_us);
         out.push(job.timer(job.request.expires_in_us.saturating_sub(early), 0));
-        if self.set.reports_on_probe {
+        if self.set.reports_only_on_probe {
             // Nothing is told unasked: a few are asked first, and the lowest ranked of them remembered.
             let asked = self
                 .pools
@@ -48,11 +48,11 @@
             }));
             out.push(job.timer(self.set.shortest_aim() / ASK_PART, 1));
         }
-        let beyond_quota = job.request.quota_free.is_some_and(|free| free <= 0.0);
+        let beyond_quota = job.request.free_quota_share.is_some_and(|free| free <= 0.0);
         self.jobs.insert(id, job);
         if beyond_quota {
             self.answer(id, out);
-        } else if !self.set.reports_on_probe {
+        } else if !self.set.reports_only_on_probe {
             self.place(now, id, out);
         }
     }
@@ -92,7 +92,7 @@
             (ahead * self.work.mean / self.slots(w), self.slowness(w))
         });
         let finish = (wait + work) * slow + now.saturating_sub(job.arrived) as f64;
-        finish > HOPELESS * (class.aim_us as f64 + class.stretch * work)
+        finish > HOPELESS * (class.latency_target_us as f64 + class.latency_target_stretch * work)
     }
 
     /// The one place that answers: refused where that is harmless by the rules, else failed.
@@ -104,7 +104,7 @@
         out.push(if self.harmless(job) {
             Action::Reject {
                 job: id,
-                hold_off_us,
+                retry_after_us: hold_off_us,
             }
         } else {
             Action::Fail { job: id }
@@ -114,7 +114,7 @@
 
     /// Whether the rules bear a refusal, after which the client may ask again.
     pub(super) fn harmless(&self, job: &Job) -> bool {
-        match (self.set.classes[job.class].repeat, self.bound(job)) {
+        match (self.set.classes[job.class].repeatability, self.bound(job)) {
             (Repeatability::Idempotent, _)
             | (_, None)
             | (
--- a/src/balance/fanout.rs
+++ b/src/balance/fanout.rs
@@ -15,14 +15,17 @@
     /// Own jobs waiting at a worker. Without start notices the first of them is taken to run.
     pub(super) fn waiting(&self, id: u32) -> usize {
         let w = &self.workers[id as usize];
-        w.out
-            .saturating_sub(if self.set.tells_start { w.started } else { 1 }) as usize
+        w.out.saturating_sub(if self.set.notifies_start {
+            w.started
+        } else {
+            1
+        }) as usize
     }
 
     /// The most copies that the rules and the permissions bear, lowered as copies burn work (Claim 1).
     pub(super) fn ceiling(&self, job: &Job) -> usize {
-        let forks =
-            self.set.cancel && self.set.classes[job.class].repeat != Repeatability::AtMostOnce;
+        let forks = self.set.may_cancel
+            && self.set.classes[job.class].repeatability != Repeatability::AtMostOnce;
         let most =
             CEILING.min(self.set.max_attempts.saturating_sub(1) as usize) as f64 * f64::from(forks);
         (most * (1.0 - 2.0 * self.burned.mean)).round().max(1.0) as usize
@@ -80,8 +83,8 @@
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        let prompt = self.prompt_us + self.set.tick_us as f64;
-        let usual = if self.set.tells_start {
+        let prompt = self.prompt_us + self.set.batch_interval_us as f64;
+        let usual = if self.set.notifies_start {
             prompt
         } else {
             self.work_of(job)
@@ -100,17 +103,18 @@
     /// cancel frees its place, and the client does not ask again for what failed.
     pub(super) fn waste_at(&self, job: &Job) -> Option<Micros> {
         let (class, work) = (&self.set.classes[job.class], self.work_of(job));
-        let frees = self.set.cancel
-            && self.set.tells_start
-            && class.late_share == 0.0
+        let frees = self.set.may_cancel
+            && self.set.notifies_start
+            && class.late_value_share == 0.0
             && !self.harmless(job);
-        let last = class.aim_us as f64 + (class.stretch - 1.0).max(0.0) * work;
+        let last =
+            class.latency_target_us as f64 + (class.latency_target_stretch - 1.0).max(0.0) * work;
         frees.then(|| job.arrived.saturating_add(last as Micros))
     }
 
     /// A job is still not known to run: it is one of ours waiting, and so n grows by one for it.
     pub(super) fn stalled(&mut self, now: Micros, id: JobId, out: &mut Vec<Action>) {
-        let tells = self.set.tells_start;
+        let tells = self.set.notifies_start;
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -162,7 +166,7 @@
         self.work.add(work);
         let w = &self.workers[worker as usize];
         let part = self.part_of(now, w);
-        let clear = self.set.tells_start || w.out == 0 && self.load_of(now, w) < 1.0;
+        let clear = self.set.notifies_start || w.out == 0 && self.load_of(now, w) < 1.0;
         let w = &mut self.workers[worker as usize];
         w.ramp.spend(now, part, work);
         w.sent(now, &self.set);
--- a/src/balance/learning.rs
+++ b/src/balance/learning.rs
@@ -25,8 +25,8 @@
         w.started += (w.life == a.life) as u32;
         self.just_started.push(id);
         // Where reports tell no queue, or only those asked tell it, the wait tells how many were ahead.
-        let told = self.set.reports_count_jobs && !self.set.reports_on_probe;
-        if !told && wait_us > 2.0 * (self.prompt_us + self.set.tick_us as f64) {
+        let told = self.set.reports_count_jobs && !self.set.reports_only_on_probe;
+        if !told && wait_us > 2.0 * (self.prompt_us + self.set.batch_interval_us as f64) {
             let jobs = wait_us * self.slots(&self.workers[worker as usize]) / self.work.mean;
             self.note_load(now, worker, 1.0 + jobs);
         }
@@ -66,7 +66,11 @@
         };
         a.end = Some(o.outcome);
         let (worker, clear, ran) = (a.worker, a.clear, a.started.is_some());
-        let (began, class, hint) = (a.started.unwrap_or(a.sent), job.class, job.request.hint_us);
+        let (began, class, hint) = (
+            a.started.unwrap_or(a.sent),
+            job.class,
+            job.request.expected_work_us,
+        );
         let w = &mut self.workers[worker as usize];
         if w.life == a.life {
             w.ended(now, ran, o.outcome != AttemptOutcome::ConnectFailed);
@@ -97,13 +101,13 @@
                 let all = f64::from(o.outcome != AttemptOutcome::Shed) * CHARGE;
                 self.charge(now, worker, self.best.len(), 1.0, all);
             }
-            AttemptOutcome::Cancelled if ran || !self.set.tells_start => self.burned.add(1.0),
+            AttemptOutcome::Cancelled if ran || !self.set.notifies_start => self.burned.add(1.0),
             _ => {}
         }
         let Some(job) = self.jobs.get(&o.job) else {
             return;
         };
-        if o.complete || job.answered {
+        if o.is_final || job.answered {
             self.ended(o.job, out);
         } else if !job.is_out() {
             // A time-out means the client's time; a broken stream cannot be begun again.
@@ -145,7 +149,7 @@
             _ => return,
         };
         self.note_load(now, worker, load);
-        if self.set.reports_on_probe {
+        if self.set.reports_only_on_probe {
             self.remember(now, worker);
         }
     }
--- a/src/balance/mod.rs
+++ b/src/balance/mod.rs
@@ -69,11 +69,11 @@
             run: set
                 .classes
                 .iter()
-                .map(|c| (Mean::guess(c.aim_us), Mean::default()))
+                .map(|c| (Mean::guess(c.latency_target_us), Mean::default()))
                 .collect(),
             kinds: BTreeMap::new(),
             work: Mean::guess(set.shortest_aim()),
-            prompt_us: 10.0 * set.tick_us as f64,
+            prompt_us: 10.0 * set.batch_interval_us as f64,
             burned: Mean::default(),
             rates: Rates::new(set.tenants.len(), now),
             set,
@@ -86,7 +86,8 @@
             self.best.push(Vec::new());
             self.open.push(usize::from(c.is_bound()) * (i + 1));
             self.fails.push(Mean::default());
-            self.run.push((Mean::guess(c.aim_us), Mean::default()));
+            self.run
+                .push((Mean::guess(c.latency_target_us), Mean::default()));
         }
         self.workers
             .iter_mut()
@@ -100,8 +101,11 @@
     /// Takes one event and adds what is to be done about it to `out`.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::EndpointUpdate { complete, entries } => self.list(now, complete, entries, out),
-            Event::DiscoveryFailed if self.set.list_must_be_asked => self.ask_within(4, out),
+            Event::EndpointUpdate {
+                complete,
+                endpoints: entries,
+            } => self.list(now, complete, entries, out),
+            Event::DiscoveryFailed if self.set.discovery_must_be_polled => self.ask_within(4, out),
             Event::Arrived(request) => self.arrived(now, request, out),
             Event::Started { job, attempt } => self.started(now, job, attempt),
             // A worker that tells progress is not silent.
@@ -136,20 +140,20 @@
         entries: Vec<Endpoint>,
         out: &mut Vec<Action>,
     ) {
-        if self.workers.is_empty() && self.set.list_must_be_asked {
+        if self.workers.is_empty() && self.set.discovery_must_be_polled {
             self.ask_within(8, out); // a whole tier may have started just now
         }
         if complete {
             self.workers
                 .iter_mut()
-                .for_each(|w| w.entry.stage = EndpointState::Gone);
+                .for_each(|w| w.entry.state = EndpointState::Gone);
         }
         for e in entries {
             let id = e.worker.0 as usize;
             if id > self.workers.len() {
                 continue; // not numbered in order: the embedder's mistake, nothing can be said of it
             }
-            if id == self.workers.len() || self.workers[id].entry.since != e.since {
+            if id == self.workers.len() || self.workers[id].entry.started_at_us != e.started_at_us {
                 // A new process: what an old one held or did wrong is void.
                 let (life, slow) = self
                     .workers
@@ -182,10 +186,10 @@
 
     /// Asks for the list within this part of the time allowed, at random: hundreds may want it at once.
     pub(super) fn ask_within(&mut self, part: Micros, out: &mut Vec<Action>) {
-        let within = self.set.ask_within_us / part;
+        let within = self.set.max_discovery_interval_us / part;
         let wait_us = self.rng.random_range(within / 8..=within);
         out.push(Action::Schedule {
-            wait_us,
+            delay_us: wait_us,
             token: LIST,
         });
     }
@@ -196,13 +200,13 @@
     let Some(class) = opening.checked_sub(1).map(|c| &set.classes[c]) else {
         return true;
     };
-    class.kind.is_none_or(|k| k == e.kind)
+    class.required_kind.is_none_or(|k| k == e.kind)
         && class
-            .kinds
+            .permitted_kinds
             .as_ref()
             .is_none_or(|kinds| kinds.contains(&e.kind))
         && class
-            .zones
+            .permitted_zones
             .as_ref()
             .is_none_or(|zones| zones.contains(&e.zone))
 }
@@ -210,7 +214,7 @@
 /// Early cancel of the attempts named that are still out.
 fn cancel(set: &Settings, job: &mut Job, which: impl Fn(usize) -> bool, out: &mut Vec<Action>) {
     for (i, a) in job.attempts.iter_mut().enumerate() {
-        if set.cancel && a.end.is_none() && !a.cancelled && which(i) {
+        if set.may_cancel && a.end.is_none() && !a.cancelled && which(i) {
             a.cancelled = true;
             out.push(Action::Cancel {
                 job: job.request.job,
--- a/src/balance/ramp.rs
+++ b/src/balance/ramp.rs
@@ -21,12 +21,12 @@
     /// late, over the fleet no more than all can do. Traffic is uneven: one with little still has its even
     /// part. Both, and what is unused, stay below the multiple of the capacity that tips a worker.
     pub fn of(set: &Settings, capacity: f64, share: f64, usual: f64, call: f64) -> Part {
-        let bears = set.tip_multiple * LARGER / (TAKE_UP + ROOM + TAKE_UP * KEPT);
+        let bears = set.overload_multiple * LARGER / (TAKE_UP + ROOM + TAKE_UP * KEPT);
         let even = capacity / f64::from(set.dispatchers.max(1)) * TAKE_UP * bears;
         Part(
             share,
             even.max(usual * ROOM * bears),
-            even * share * KEPT * set.fall_us as f64,
+            even * share * KEPT * set.overload_tolerance_us as f64,
             call.max(1.0),
         )
     }
--- a/src/balance/ranking.rs
+++ b/src/balance/ranking.rs
@@ -19,7 +19,7 @@
     /// Own jobs at the worker; in jobs too, its charges and, to break ties, others' load, slowness, distance.
     pub(super) fn rank(&self, now: Micros, id: u32, class: usize) -> f64 {
         let w = &self.workers[id as usize];
-        let crossing = if w.entry.zone == self.set.my_zone {
+        let crossing = if w.entry.zone == self.set.local_zone {
             0.0
         } else {
             CROSSING
@@ -42,7 +42,7 @@
             w.charges[class],
             usual,
             now,
-            self.set.warm_after_us.max(1_000_000) as f64 / LN_2,
+            self.set.warm_up_us.max(1_000_000) as f64 / LN_2,
         )
     }
 
@@ -59,7 +59,7 @@
 
     /// Where only those asked tell their load, a live weight tells it of all: size over one and jobs held.
     pub(super) fn held(&self, w: &Worker) -> f64 {
-        let live = self.set.weights == WeightMeaning::Live && self.set.reports_on_probe;
+        let live = self.set.weight_meaning == WeightMeaning::Live && self.set.reports_only_on_probe;
         self.pools.size(w).max(0.1).powi(-i32::from(live))
     }
 
@@ -92,7 +92,7 @@
         let first = self
             .bound(job)
             .map(|a| &self.workers[a.worker as usize].entry);
-        let pool = match (self.set.classes[job.class].repeat, first) {
+        let pool = match (self.set.classes[job.class].repeatability, first) {
             (
                 Repeatability::IdempotentByKey {
                     scope: DeduplicationScope::Cell,
@@ -110,14 +110,14 @@
             _ => Pool::All(job.open),
         };
         let (all, best) = (self.pools.of(pool), &self.best[job.class]);
-        let own_zone = Pool::Zone(job.open, self.set.my_zone);
+        let own_zone = Pool::Zone(job.open, self.set.local_zone);
         let near = self.pools.of(if matches!(pool, Pool::All(_)) {
             own_zone
         } else {
             pool
         });
         // Away from its homes a subject's data must be fetched; of workers not asked no load is known.
-        let known = if job.homes.is_empty() && self.set.reports_on_probe {
+        let known = if job.homes.is_empty() && self.set.reports_only_on_probe {
             best
         } else {
             &job.homes
@@ -157,7 +157,7 @@
     /// All that may forbid an attempt at this worker; the one sending place asks again.
     pub(super) fn eligible(&self, now: Micros, job: &Job, id: u32) -> bool {
         let w = &self.workers[id as usize];
-        w.entry.stage == EndpointState::Ready
+        w.entry.state == EndpointState::Ready
             && open_to(&self.set, job.open, &w.entry)
             && !job
                 .attempts
@@ -180,13 +180,13 @@
         matches!(
             a.end,
             Some(AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent)
-        ) || a.end == Some(AttemptOutcome::Shed) && !self.set.full_may_have_run
+        ) || a.end == Some(AttemptOutcome::Shed) && !self.set.shed_may_have_run
     }
 
     /// Whether a job's class bears an attempt there after, or beside, one that may have run.
     fn bears(&self, now: Micros, job: &Job, a: &Attempt, e: &Endpoint) -> bool {
         let first = &self.workers[a.worker as usize].entry;
-        match self.set.classes[job.class].repeat {
+        match self.set.classes[job.class].repeatability {
             Repeatability::Idempotent => true,
             Repeatability::AtMostOnce => false,
             Repeatability::IdempotentByKey { scope, window_us } => {
@@ -215,7 +215,7 @@
             .attempts
             .iter()
             .filter(|b| !std::ptr::eq(*b, a) && !self.never_ran(b));
-        w.entry.stage == EndpointState::Ready
+        w.entry.state == EndpointState::Ready
             && w.life == a.life
             && others.all(|b| self.bears(now, job, b, &w.entry))
     }
@@ -224,21 +224,25 @@
     /// of what a warm one gets from here. If all keep to that it gets a warm one's load for its capacity.
     pub(super) fn cold_room(&self, now: Micros, job: &Job, w: &Worker) -> bool {
         let share = self.present_share(now, &w.entry);
-        let bearable = share * self.set.tip_multiple * self.set.fall_us as f64;
+        let bearable = share * self.set.overload_multiple * self.set.overload_tolerance_us as f64;
         share >= 1.0
             || (self.work_of(job) * HEAVY <= bearable
                 && w.ramp.left(now, self.part_of(now, w)) >= 0.0)
     }
 
     pub(super) fn present_share(&self, now: Micros, e: &Endpoint) -> f64 {
-        let warm = now.saturating_sub(e.since) as f64 / self.set.warm_after_us.max(1) as f64;
-        let warm = if e.since == 0 { 1.0 } else { warm.min(1.0) };
+        let warm = now.saturating_sub(e.started_at_us) as f64 / self.set.warm_up_us.max(1) as f64;
+        let warm = if e.started_at_us == 0 {
+            1.0
+        } else {
+            warm.min(1.0)
+        };
         self.set.start_capacity + (1.0 - self.set.start_capacity) * warm
     }
 
     /// This dispatcher's part of a cold worker.
     pub(super) fn part_of(&self, now: Micros, w: &Worker) -> Part {
-        let size = if self.set.weights == WeightMeaning::Size {
+        let size = if self.set.weight_meaning == WeightMeaning::Size {
             self.pools.size(w)
         } else {
             1.0
@@ -256,7 +260,7 @@
     /// Work expected of a job: its hint, or the usual of its class; at first the aim, which is of that order.
     pub(super) fn work_of(&self, job: &Job) -> f64 {
         job.request
-            .hint_us
+            .expected_work_us
             .map_or(self.run[job.class].0.mean, |h| h as f64)
             .max(1.0)
     }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -196,12 +196,13 @@
     ) -> Core {
         if joins_repeats {
             // Workers are not known to drop repeats for each other: an attempt that may have run is the last.
-            let keyed = |c: &&mut Class| matches!(c.repeat, Repeatability::IdempotentByKey { .. });
+            let keyed =
+                |c: &&mut Class| matches!(c.repeatability, Repeatability::IdempotentByKey { .. });
             site.settings
                 .classes
                 .iter_mut()
                 .filter(keyed)
-                .for_each(|c| c.repeat = Repeatability::AtMostOnce);
+                .for_each(|c| c.repeatability = Repeatability::AtMostOnce);
         }
         Core {
             balancer: Balancer::new(site.settings.clone(), seed, now),
@@ -237,11 +238,12 @@
         let known = self.site.settings.classes.len();
         let added = self.site.retune(setup)?;
         if self.joins_repeats {
-            let keyed = |c: &&mut Class| matches!(c.repeat, Repeatability::IdempotentByKey { .. });
+            let keyed =
+                |c: &&mut Class| matches!(c.repeatability, Repeatability::IdempotentByKey { .. });
             self.site.settings.classes[known..]
                 .iter_mut()
                 .filter(keyed)
-                .for_each(|c| c.repeat = Repeatability::AtMostOnce);
+                .for_each(|c| c.repeatability = Repeatability::AtMostOnce);
         }
         self.balancer.retune(self.site.settings.clone());
         Ok(added)
--- a/src/core/pool.rs
+++ b/src/core/pool.rs
@@ -67,7 +67,10 @@
             entries.push(entry);
         }
         self.tell_list();
-        Event::EndpointUpdate { complete, entries }
+        Event::EndpointUpdate {
+            complete,
+            endpoints: entries,
+        }
     }
 
     pub(super) fn entry(&mut self, m: &Member) -> Endpoint {
@@ -77,8 +80,8 @@
             &m.zone,
             &m.kind,
             Endpoint {
-                stage,
-                since,
+                state: stage,
+                started_at_us: since,
                 cell,
                 weight,
                 ..Endpoint::default()
--- a/src/core/steps.rs
+++ b/src/core/steps.rs
@@ -40,7 +40,7 @@
                     job,
                     attempt,
                     outcome: code,
-                    complete,
+                    is_final: complete,
                     report,
                 })
             }
@@ -65,16 +65,18 @@
                         .push(Input::Step(step, StepNews::Ended(Ending::GivenUp, None)));
                 }
             }
-            Action::Reject { job, hold_off_us } => {
-                self.finish(now, job, Answer::Busy { hold_off_us })
-            }
+            Action::Reject {
+                job,
+                retry_after_us: hold_off_us,
+            } => self.finish(now, job, Answer::Busy { hold_off_us }),
             Action::Fail { job } => {
                 let late = self.operations.get(&job).is_some_and(|o| now >= o.deadline);
                 self.finish(now, job, Answer::Failed { late });
             }
-            Action::Schedule { wait_us, token } => {
-                self.at(now.saturating_add(wait_us), Due::Module(token))
-            }
+            Action::Schedule {
+                delay_us: wait_us,
+                token,
+            } => self.at(now.saturating_add(wait_us), Due::Module(token)),
             Action::Probe { worker } => {
                 let w = &self.workers[worker.0 as usize];
                 self.drivers[w.driver].probe(worker, &w.member);
--- a/src/core/turn.rs
+++ b/src/core/turn.rs
@@ -97,11 +97,11 @@
                         .as_deref()
                         .and_then(|t| self.site.tenants.known(t))
                         .map(TenantId),
-                    quota_free,
+                    free_quota_share: quota_free,
                     expires_in_us: entered.deadline.saturating_sub(now),
-                    hint_us: None,
+                    expected_work_us: None,
                     slots: o.slots,
-                    key: o.subject.as_deref().map(mark),
+                    affinity_key: o.subject.as_deref().map(mark),
                 })
             }
             Input::Gone(job) => {
@@ -124,8 +124,15 @@
                 members,
             } => self.list(source, complete, members),
             Input::ListFailed => Event::DiscoveryFailed,
-            Input::Probed(worker, ok, report) => Event::ProbeEnded { worker, ok, report },
-            Input::Judged(worker, weight) => Event::PeerObservation { worker, weight },
+            Input::Probed(worker, ok, report) => Event::ProbeEnded {
+                worker,
+                answered: ok,
+                report,
+            },
+            Input::Judged(worker, weight) => Event::PeerObservation {
+                worker,
+                confidence: weight,
+            },
             Input::Timer(token) => Event::Timer { token },
             Input::Deadline(job) => {
                 let Some(entered) = self.operations.get(&job) else {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -61,23 +61,23 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// How it may be repeated.
-    pub repeat: Repeatability,
+    pub repeatability: Repeatability,
     /// An answer within this much (plus the stretch) earns the whole worth.
-    pub aim_us: Micros,
+    pub latency_target_us: Micros,
     /// The aim grows by this multiple of the job's own running time.
-    pub stretch: f64,
+    pub latency_target_stretch: f64,
     /// The client's whole patience.
     pub deadline_us: Micros,
     /// Worth of an answer in time.
-    pub worth: f64,
+    pub value: f64,
     /// Part of the worth that a late answer still earns.
-    pub late_share: f64,
+    pub late_value_share: f64,
     /// The only machine kind that runs it, if there is one.
-    pub kind: Option<KindId>,
+    pub required_kind: Option<KindId>,
     /// Placement: the only machine kinds that it may be sent to, on any attempt; none given, any.
-    pub kinds: Option<Vec<KindId>>,
+    pub permitted_kinds: Option<Vec<KindId>>,
     /// Placement: the only zones that it may be sent to, on any attempt; none given, any.
-    pub zones: Option<Vec<ZoneId>>,
+    pub permitted_zones: Option<Vec<ZoneId>>,
     /// Priority in a worker's queue, where the queue knows priorities.
     pub priority: i64,
 }
@@ -108,37 +108,37 @@
     /// How many dispatchers there are.
     pub dispatchers: u32,
     /// The zone of this one.
-    pub my_zone: ZoneId,
+    pub local_zone: ZoneId,
     /// Shortest time between two batches of events.
-    pub tick_us: Micros,
+    pub batch_interval_us: Micros,
     /// The classes.
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// Worth of a request beyond its tenant's share, as a part of the usual.
-    pub over_share_worth: f64,
+    pub over_share_value: f64,
     /// Worth is counted for each unit of work, not for each request.
-    pub worth_by_work: bool,
+    pub value_by_work: bool,
     /// The list answers only when asked.
-    pub list_must_be_asked: bool,
+    pub discovery_must_be_polled: bool,
     /// Load reports come only with the answers to probes, and probes may be sent.
-    pub reports_on_probe: bool,
+    pub reports_only_on_probe: bool,
     /// Load reports count the jobs at the worker, those waiting or all.
     pub reports_count_jobs: bool,
     /// Workers tell when a job starts.
-    pub tells_start: bool,
+    pub notifies_start: bool,
     /// Time between progress notes; 0 for none.
-    pub progress_us: Micros,
+    pub progress_interval_us: Micros,
     /// A cancel may be sent.
-    pub cancel: bool,
+    pub may_cancel: bool,
     /// Two attempts of one request may be out together.
     pub may_duplicate: bool,
     /// Attempts allowed to a request.
     pub max_attempts: u32,
     /// Attempts that share a connection at once.
-    pub streams: u32,
+    pub streams_per_connection: u32,
     /// An idle connection closes after this long.
-    pub idle_close_us: Micros,
+    pub connection_idle_timeout_us: Micros,
     /// What a new connection costs, as a part of the worth of a request.
     pub connection_cost: f64,
     /// The longest advice to stay away that clients honour; 0 where they get none.
@@ -146,21 +146,21 @@
     /// How long after the client's deadline a final answer still counts.
     pub answer_slack_us: Micros,
     /// Longest time without asking the list, where it must be asked.
-    pub ask_within_us: Micros,
+    pub max_discovery_interval_us: Micros,
     /// Workers also shed work that they had begun: 'full' is no proof that an attempt never ran.
-    pub full_may_have_run: bool,
+    pub shed_may_have_run: bool,
     /// Grace after being told of a drain.
     pub drain_grace_us: Micros,
     /// A worker starts at this part of its capacity or more.
     pub start_capacity: f64,
     /// A worker is warm at this age.
-    pub warm_after_us: Micros,
+    pub warm_up_us: Micros,
     /// A cold worker sent this multiple of its present capacity falls over,
-    pub tip_multiple: f64,
+    pub overload_multiple: f64,
     /// when that lasts this long.
-    pub fall_us: Micros,
+    pub overload_tolerance_us: Micros,
     /// The meaning of the listed weights.
-    pub weights: WeightMeaning,
+    pub weight_meaning: WeightMeaning,
 }
 
 /// State of a worker in a list.
@@ -181,9 +181,9 @@
     /// The worker.
     pub worker: WorkerId,
     /// Its state.
-    pub stage: EndpointState,
+    pub state: EndpointState,
     /// When its process last started; 0 for long ago.
-    pub since: Micros,
+    pub started_at_us: Micros,
     /// Its zone.
     pub zone: ZoneId,
     /// Its cell.
@@ -193,7 +193,7 @@
     /// Its weight, see [`Weights`].
     pub weight: f64,
     /// A number made from its address, the same at every dispatcher.
-    pub mark: u64,
+    pub hash: u64,
 }
 
 /// A load report; what is absent was not reported.
@@ -243,15 +243,15 @@
     pub tenant: Option<TenantId>,
     /// The part of its tenant's rights over the whole fleet that is free at this dispatcher, 0 to 1; none where the
     /// tenant has no quota. At 0 it is beyond it.
-    pub quota_free: Option<f64>,
+    pub free_quota_share: Option<f64>,
     /// The client waits this much longer.
     pub expires_in_us: Micros,
     /// Expected work on a standard core, where the client gave a hint.
-    pub hint_us: Option<Micros>,
+    pub expected_work_us: Option<Micros>,
     /// Slots it takes.
     pub slots: f64,
     /// A number made from the name of its subject (a data set, say), the same at every dispatcher.
-    pub key: Option<u64>,
+    pub affinity_key: Option<u64>,
 }
 
 /// The end of an attempt.
@@ -264,7 +264,7 @@
     /// How it ended.
     pub outcome: AttemptOutcome,
     /// The request has its final answer.
-    pub complete: bool,
+    pub is_final: bool,
     /// What the worker said of its load.
     pub report: Option<LoadReport>,
 }
@@ -277,7 +277,7 @@
         /// Workers not named are gone.
         complete: bool,
         /// The lines.
-        entries: Vec<Endpoint>,
+        endpoints: Vec<Endpoint>,
     },
     /// Asking for the list failed, or the subscription broke.
     DiscoveryFailed,
@@ -323,7 +323,7 @@
         /// The worker.
         worker: WorkerId,
         /// It answered.
-        ok: bool,
+        answered: bool,
         /// What it said of its load.
         report: Option<LoadReport>,
     },
@@ -333,7 +333,7 @@
         /// The worker.
         worker: WorkerId,
         /// The sum of what their authors are sure of, each 1 to 100.
-        weight: u32,
+        confidence: u32,
     },
     /// Another dispatcher wrote.
     PeerMessage,
@@ -363,7 +363,7 @@
         /// The request.
         job: JobId,
         /// Advice to stay away this long; 0 for none.
-        hold_off_us: Micros,
+        retry_after_us: Micros,
     },
     /// Final answer: failed.
     Fail {
@@ -373,7 +373,7 @@
     /// Ask for an [`Event::Timer`].
     Schedule {
         /// After this long.
-        wait_us: Micros,
+        delay_us: Micros,
         /// To be given back.
         token: u64,
     },
@@ -389,15 +389,15 @@
 impl Default for Class {
     fn default() -> Self {
         Class {
-            repeat: Repeatability::Idempotent,
-            aim_us: 100_000,
-            stretch: 0.0,
+            repeatability: Repeatability::Idempotent,
+            latency_target_us: 100_000,
+            latency_target_stretch: 0.0,
             deadline_us: 1_000_000,
-            worth: 1.0,
-            late_share: 0.0,
-            kind: None,
-            kinds: None,
-            zones: None,
+            value: 1.0,
+            late_value_share: 0.0,
+            required_kind: None,
+            permitted_kinds: None,
+            permitted_zones: None,
             priority: 0,
         }
     }
@@ -406,7 +406,9 @@
 impl Class {
     /// Whether not every worker may be sent to.
     pub fn is_bound(&self) -> bool {
-        self.kind.is_some() || self.kinds.is_some() || self.zones.is_some()
+        self.required_kind.is_some()
+            || self.permitted_kinds.is_some()
+            || self.permitted_zones.is_some()
     }
 }
 
@@ -415,7 +417,7 @@
     pub fn shortest_aim(&self) -> Micros {
         self.classes
             .iter()
-            .map(|c| c.aim_us)
+            .map(|c| c.latency_target_us)
             .min()
             .unwrap_or(100_000)
             .max(1)
@@ -427,33 +429,33 @@
     fn default() -> Self {
         Settings {
             dispatchers: 1,
-            my_zone: ZoneId(0),
-            tick_us: 1_000,
+            local_zone: ZoneId(0),
+            batch_interval_us: 1_000,
             classes: Vec::new(),
             tenants: Vec::new(),
-            over_share_worth: 1.0,
-            worth_by_work: false,
-            list_must_be_asked: false,
-            reports_on_probe: false,
+            over_share_value: 1.0,
+            value_by_work: false,
+            discovery_must_be_polled: false,
+            reports_only_on_probe: false,
             reports_count_jobs: false,
-            tells_start: false,
-            progress_us: 0,
-            cancel: false,
+            notifies_start: false,
+            progress_interval_us: 0,
+            may_cancel: false,
             may_duplicate: false,
             max_attempts: 1,
-            streams: 1,
-            idle_close_us: 15_000_000,
+            streams_per_connection: 1,
+            connection_idle_timeout_us: 15_000_000,
             connection_cost: 0.0,
             max_retry_after_us: 0,
             answer_slack_us: 0,
-            ask_within_us: 10_000_000,
-            full_may_have_run: false,
+            max_discovery_interval_us: 10_000_000,
+            shed_may_have_run: false,
             drain_grace_us: 0,
             start_capacity: 0.1,
-            warm_after_us: 10_000_000,
-            tip_multiple: 2.0,
-            fall_us: 1_000_000,
-            weights: WeightMeaning::Off,
+            warm_up_us: 10_000_000,
+            overload_multiple: 2.0,
+            overload_tolerance_us: 1_000_000,
+            weight_meaning: WeightMeaning::Off,
         }
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -20,9 +20,9 @@
 //! use streamusher::{interface::*, Balancer};
 //!
 //! let settings = Settings {
-//!     classes: vec![Class { aim_us: 100_000, deadline_us: 2_000_000, ..Class::default() }],
-//!     tells_start: true,
-//!     cancel: true,
+//!     classes: vec![Class { latency_target_us: 100_000, deadline_us: 2_000_000, ..Class::default() }],
+//!     notifies_start: true,
+//!     may_cancel: true,
 //!     may_duplicate: true,
 //!     max_attempts: 4,
 //!     ..Settings::default()
@@ -33,15 +33,15 @@
 //! // The list: one worker. Ids count from 0 in the order in which this dispatcher meets the workers.
 //! let entry = Endpoint {
 //!     worker: WorkerId(0),
-//!     stage: EndpointState::Ready,
-//!     since: 0,
+//!     state: EndpointState::Ready,
+//!     started_at_us: 0,
 //!     zone: ZoneId(0),
 //!     cell: 0,
 //!     kind: KindId(0),
 //!     weight: 1.0,
-//!     mark: 0,
+//!     hash: 0,
 //! };
-//! balancer.handle(0, Event::EndpointUpdate { complete: true, entries: vec![entry] }, &mut actions);
+//! balancer.handle(0, Event::EndpointUpdate { complete: true, endpoints: vec![entry] }, &mut actions);
 //!
 //! // A job arrives and goes out.
 //! let job = JobId(7);
@@ -49,11 +49,11 @@
 //!     job,
 //!     class: ClassId(0),
 //!     tenant: None,
-//!     quota_free: None,
+//!     free_quota_share: None,
 //!     expires_in_us: 2_000_000,
-//!     hint_us: None,
+//!     expected_work_us: None,
 //!     slots: 1.0,
-//!     key: None,
+//!     affinity_key: None,
 //! });
 //! balancer.handle(1_000, arrived, &mut actions);
 //! balancer.handle(1_000, Event::BatchEnd, &mut actions);
@@ -62,7 +62,7 @@
 //! // Its answer arrives; the embedder hands it to the client, and nothing more is owed.
 //! actions.clear();
 //! let outcome =
-//!     Event::AttemptEnded(AttemptEnd { job, attempt: 0, outcome: AttemptOutcome::Succeeded, complete: true, report: None });
+//!     Event::AttemptEnded(AttemptEnd { job, attempt: 0, outcome: AttemptOutcome::Succeeded, is_final: true, report: None });
 //! balancer.handle(90_000, outcome, &mut actions);
 //! assert!(actions.is_empty());
 //! ```
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -33,7 +33,7 @@
         Figures {
             connect_timeout: Duration::from_micros(site.connect_timeout_us),
             // Well before the worker's machine closes: a request written after that would be lost.
-            idle: Duration::from_micros(site.settings.idle_close_us / 10 * 8),
+            idle: Duration::from_micros(site.settings.connection_idle_timeout_us / 10 * 8),
             sockets: limits.worker_sockets(),
             reserve: limits.cancel_reserve(),
         }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -188,7 +188,7 @@
         let (mut zones, mut kinds) = (Names::of(&setup.zones), Names::of(&setup.kinds));
         let fam = &setup.family_info;
         let mut class = |(i, c): (usize, &RequestClass)| Class {
-            repeat: match (c.semantics.as_str(), c.key_scope.as_str()) {
+            repeatability: match (c.semantics.as_str(), c.key_scope.as_str()) {
                 ("free", _) => Repeatability::Idempotent,
                 ("guarded", scope) => Repeatability::IdempotentByKey {
                     scope: match scope {
@@ -200,18 +200,18 @@
                 },
                 _ => Repeatability::AtMostOnce,
             },
-            aim_us: c.on_time_us,
-            stretch: fam.class_stretch.get(i).copied().unwrap_or(c.aim_stretch),
+            latency_target_us: c.on_time_us,
+            latency_target_stretch: fam.class_stretch.get(i).copied().unwrap_or(c.aim_stretch),
             deadline_us: c.deadline_us,
-            worth: c.worth,
-            late_share: c.late_share,
-            kind: fam
+            value: c.worth,
+            late_value_share: c.late_share,
+            required_kind: fam
                 .class_kind
                 .get(i)
                 .and_then(|&k| u32::try_from(k).ok())
                 .map(KindId),
-            kinds: some(c.served_on.iter().map(|k| KindId(kinds.id(k))).collect()),
-            zones: some(
+            permitted_kinds: some(c.served_on.iter().map(|k| KindId(kinds.id(k))).collect()),
+            permitted_zones: some(
                 c.zones_allowed
                     .iter()
                     .map(|z| ZoneId(zones.id(z)))
@@ -228,8 +228,8 @@
         let my_zone = ZoneId(zones.id(&setup.my_zone));
         let settings = Settings {
             dispatchers: setup.balancers,
-            my_zone,
-            tick_us: setup.tick_us,
+            local_zone: my_zone,
+            batch_interval_us: setup.tick_us,
             classes,
             tenants: setup
                 .realms
@@ -239,22 +239,22 @@
                     share: r.share,
                 })
                 .collect(),
-            over_share_worth: setup.over_share_worth,
-            worth_by_work: setup.value_by == "work",
-            list_must_be_asked: setup.discovery == "on_request",
-            reports_on_probe: setup.feedback.via == "on_probe" && setup.limits.probes,
+            over_share_value: setup.over_share_worth,
+            value_by_work: setup.value_by == "work",
+            discovery_must_be_polled: setup.discovery == "on_request",
+            reports_only_on_probe: setup.feedback.via == "on_probe" && setup.limits.probes,
             reports_count_jobs: setup
                 .feedback
                 .fields
                 .iter()
                 .any(|f| f == "active" || f == "waiting"),
-            tells_start: fam.tells_start,
-            progress_us: fam.progress_us,
-            cancel: setup.limits.cancel,
+            notifies_start: fam.tells_start,
+            progress_interval_us: fam.progress_us,
+            may_cancel: setup.limits.cancel,
             may_duplicate: setup.limits.may_duplicate,
             max_attempts: setup.limits.max_attempts.max(1),
-            streams: setup.limits.multiplex.max(1),
-            idle_close_us: setup.limits.idle_close_us,
+            streams_per_connection: setup.limits.multiplex.max(1),
+            connection_idle_timeout_us: setup.limits.idle_close_us,
             connection_cost: setup.costs.handshake,
             max_retry_after_us: if setup.limits.retry_after {
                 setup.limits.max_retry_after_us
@@ -262,14 +262,14 @@
                 0
             },
             answer_slack_us: setup.rules.answer_slack_us,
-            ask_within_us: setup.rules.ask_within_us,
-            full_may_have_run: setup.rules.full_may_have_run,
+            max_discovery_interval_us: setup.rules.ask_within_us,
+            shed_may_have_run: setup.rules.full_may_have_run,
             drain_grace_us: setup.rules.drain_grace_us,
             start_capacity: setup.rules.start_capacity,
-            warm_after_us: setup.rules.warm_after_us,
-            tip_multiple: setup.rules.tip_multiple,
-            fall_us: setup.rules.fall_us,
-            weights: match setup.weights.as_str() {
+            warm_up_us: setup.rules.warm_after_us,
+            overload_multiple: setup.rules.tip_multiple,
+            overload_tolerance_us: setup.rules.fall_us,
+            weight_meaning: match setup.weights.as_str() {
                 "live" => WeightMeaning::Live,
                 "nominal" | "rough" => WeightMeaning::Size,
                 _ => WeightMeaning::Off,
@@ -376,7 +376,7 @@
             worker: WorkerId(self.workers.id(worker)),
             zone: ZoneId(self.zones.id(zone)),
             kind: KindId(self.kinds.id(kind)),
-            mark: mark(worker),
+            hash: mark(worker),
             ..entry
         }
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -30,11 +30,11 @@
 impl Worker {
     /// Attempts that our connections there carry; those not used for long are closed but for what is out.
     pub fn carries(&self, now: Micros, set: &Settings) -> u32 {
-        let closed = now.saturating_sub(self.open.0) >= set.idle_close_us;
+        let closed = now.saturating_sub(self.open.0) >= set.connection_idle_timeout_us;
         if closed {
             self.out
         } else {
-            self.open.1.saturating_mul(set.streams)
+            self.open.1.saturating_mul(set.streams_per_connection)
         }
     }
 
@@ -42,7 +42,7 @@
     pub fn sent(&mut self, now: Micros, set: &Settings) {
         let carried = self.carries(now, set).max(self.out + 1);
         self.out += 1;
-        self.open = (now, carried.div_ceil(set.streams.max(1)));
+        self.open = (now, carried.div_ceil(set.streams_per_connection.max(1)));
     }
 
     /// Counts the end of an attempt. What was not connected is not open; what was is used until now.
@@ -152,7 +152,7 @@
 
     pub fn timer(&self, wait_us: Micros, stall: u64) -> Action {
         Action::Schedule {
-            wait_us,
+            delay_us: wait_us,
             token: self.request.job.0.wrapping_mul(2).wrapping_add(stall),
         }
     }
@@ -215,7 +215,7 @@
         self.circle.clear();
         let mut sum = 0.0;
         for (i, Worker { entry: e, .. }) in workers.iter().enumerate() {
-            if e.stage == EndpointState::Ready {
+            if e.state == EndpointState::Ready {
                 let open = bound.iter().copied().filter(|&o| o > 0 && open_to(o, e));
                 for open in open.chain([0]) {
                     for pool in [
@@ -249,7 +249,7 @@
     pub fn homes(&mut self, workers: &[Worker], open: usize, key: u64, count: usize) -> Vec<u32> {
         let ready = self.pools.get(&Pool::All(open)).map_or(&[][..], |p| p);
         let points =
-            |&w: &u32| (0..POINTS).map(move |i| (mix(workers[w as usize].entry.mark, i), w));
+            |&w: &u32| (0..POINTS).map(move |i| (mix(workers[w as usize].entry.hash, i), w));
         let circle = self.circle.entry(open).or_insert_with(|| {
             let mut circle: Vec<_> = ready.iter().flat_map(points).collect();
             circle.sort_unstable();
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -121,13 +121,13 @@
             return Err("a list line without worker".into());
         }
         let entry = Endpoint {
-            stage: match e.stage_state.as_str() {
+            state: match e.stage_state.as_str() {
                 "ready" => EndpointState::Ready,
                 "draining" => EndpointState::Draining,
                 "gone" => EndpointState::Gone,
                 other => return Err(format!("unknown stageState {other}")),
             },
-            since: e.since_us,
+            started_at_us: e.since_us,
             cell: e.pod as u32,
             weight: e.power_hint.unwrap_or(1.0),
             ..Endpoint::default()
@@ -254,7 +254,7 @@
                     let entries = list.iter().map(|e| it.entry(e)).collect::<Res<Vec<_>>>()?;
                     Event::EndpointUpdate {
                         complete: scope != "Partial",
-                        entries,
+                        endpoints: entries,
                     }
                 }
                 other => return Err(format!("DISCOVERY with scope {other:?}")),
@@ -277,14 +277,14 @@
                     job: job()?,
                     class: ClassId(class),
                     tenant: tenant.map(TenantId),
-                    quota_free: None,
+                    free_quota_share: None,
                     expires_in_us: wait.max(0) as u64,
-                    hint_us: line
+                    expected_work_us: line
                         .weight_hint_us
                         .filter(|&h| hinted && h > 0.0)
                         .map(|h| h as u64),
                     slots: line.slots.unwrap_or(1.0),
-                    key: line.target_key.as_deref().map(mark),
+                    affinity_key: line.target_key.as_deref().map(mark),
                 })
             }
             "HEADERS" => Event::StreamBegan {
@@ -311,7 +311,7 @@
                         .as_deref()
                         .ok_or("OUTCOME without stateCode")?,
                 )?,
-                complete: line.complete.unwrap_or(false),
+                is_final: line.complete.unwrap_or(false),
                 report: line.usage.as_ref().map(|u| it.site.report(u)),
             }),
             "CLIENT_GONE" => Event::ClientGone { job: job()? },
@@ -329,7 +329,7 @@
                 };
                 Event::ProbeEnded {
                     worker: WorkerId(worker),
-                    ok: line.state_code.as_deref() == Some("delivered"),
+                    answered: line.state_code.as_deref() == Some("delivered"),
                     report: line.usage.as_ref().map(|u| it.site.report(u)),
                 }
             }
@@ -358,7 +358,10 @@
                     job: job.0,
                     round_no: attempt,
                 },
-                Action::Reject { job, hold_off_us } => Reply::Deny {
+                Action::Reject {
+                    job,
+                    retry_after_us: hold_off_us,
+                } => Reply::Deny {
                     dispatcher,
                     job: job.0,
                     hold_off_us,
@@ -367,7 +370,10 @@
                     dispatcher,
                     job: job.0,
                 },
-                Action::Schedule { wait_us, token } => Reply::Schedule {
+                Action::Schedule {
+                    delay_us: wait_us,
+                    token,
+                } => Reply::Schedule {
                     dispatcher,
                     wait_us,
                     ctx: token.to_string(),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -13,16 +13,16 @@
 /// Four classes: free, keyed within a cell, at most once, keyed over all.
 pub fn settings() -> Settings {
     let class = |repeat| Class {
-        repeat,
-        aim_us: 100 * MS,
-        stretch: 2.0,
+        repeatability: repeat,
+        latency_target_us: 100 * MS,
+        latency_target_stretch: 2.0,
         deadline_us: 5 * SECOND,
         ..Class::default()
     };
     let window_us = 2 * SECOND;
     Settings {
         dispatchers: 1,
-        tick_us: 4 * MS,
+        batch_interval_us: 4 * MS,
         classes: vec![
             class(Repeatability::Idempotent),
             class(Repeatability::IdempotentByKey {
@@ -35,16 +35,16 @@
                 window_us,
             }),
         ],
-        tells_start: true,
-        cancel: true,
+        notifies_start: true,
+        may_cancel: true,
         may_duplicate: true,
         max_attempts: 4,
         answer_slack_us: 16 * MS,
         max_retry_after_us: SECOND,
         start_capacity: 0.3,
-        warm_after_us: 8 * SECOND,
-        tip_multiple: 2.5,
-        fall_us: 2 * SECOND,
+        warm_up_us: 8 * SECOND,
+        overload_multiple: 2.5,
+        overload_tolerance_us: 2 * SECOND,
         ..Settings::default()
     }
 }
@@ -52,7 +52,9 @@
 /// The same with aims so wide that nothing is ever hopeless.
 pub fn patient() -> Settings {
     let mut set = settings();
-    set.classes.iter_mut().for_each(|c| c.stretch = 1e6);
+    set.classes
+        .iter_mut()
+        .for_each(|c| c.latency_target_stretch = 1e6);
     set
 }
 
@@ -103,7 +105,10 @@
     }
 
     pub fn list(&mut self, complete: bool, entries: Vec<Endpoint>) -> Vec<Action> {
-        self.give(Event::EndpointUpdate { complete, entries })
+        self.give(Event::EndpointUpdate {
+            complete,
+            endpoints: entries,
+        })
     }
 
     pub fn arrive(&mut self, job: u64, class: u32) -> Vec<Action> {
@@ -136,7 +141,7 @@
         job: JobId(job),
         attempt,
         outcome: code,
-        complete,
+        is_final: complete,
         report: None,
     })
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -43,7 +43,7 @@
         });
         desk.give(Event::ProbeEnded {
             worker: WorkerId(worker),
-            ok: true,
+            answered: true,
             report,
         });
     }
@@ -92,7 +92,7 @@
             });
             desk.give(Event::ProbeEnded {
                 worker: WorkerId(worker),
-                ok: true,
+                answered: true,
                 report,
             });
         }
@@ -129,7 +129,7 @@
             job: JobId(1),
             attempt,
             outcome: AttemptOutcome::Shed,
-            complete: false,
+            is_final: false,
             report: full,
         };
         sent.extend(sends(&desk.give(Event::AttemptEnded(end))));
@@ -162,7 +162,7 @@
         });
         desk.give(Event::ProbeEnded {
             worker: WorkerId(worker),
-            ok: true,
+            answered: true,
             report,
         });
     }
@@ -201,7 +201,7 @@
     desk.list(
         false,
         vec![Endpoint {
-            since: desk.now - 60 * SECOND,
+            started_at_us: desk.now - 60 * SECOND,
             ..entry(0)
         }],
     );
@@ -214,13 +214,13 @@
 fn the_list_is_asked_at_the_start_and_again_after_an_error() {
     let mut desk = Desk::new(
         Settings {
-            list_must_be_asked: true,
+            discovery_must_be_polled: true,
             ..settings()
         },
         4,
     );
     let due = |out: &[Action]| match out {
-        [Action::Schedule { wait_us, token }] => (*wait_us, *token),
+        [Action::Schedule { delay_us, token }] => (*delay_us, *token),
         other => panic!("{other:?}"),
     };
     let log = desk.log.clone();
@@ -255,7 +255,7 @@
         });
         desk.give(Event::ProbeEnded {
             worker: WorkerId(worker),
-            ok: true,
+            answered: true,
             report,
         });
     }
@@ -277,7 +277,7 @@
 fn where_workers_must_be_asked_only_those_that_answered_are_ranked() {
     let mut desk = Desk::new(
         Settings {
-            reports_on_probe: true,
+            reports_only_on_probe: true,
             ..patient()
         },
         40,
@@ -292,7 +292,7 @@
             });
             desk.give(Event::ProbeEnded {
                 worker: WorkerId(worker),
-                ok: true,
+                answered: true,
                 report,
             });
         }
@@ -309,7 +309,7 @@
         let mut set = settings();
         set.classes
             .iter_mut()
-            .for_each(|c| c.late_share = late_share);
+            .for_each(|c| c.late_value_share = late_share);
         set
     };
     let wait = |set: Settings, class, begun: bool| {
@@ -335,7 +335,7 @@
             wait(strict(0.5), class, false), // late is still worth something
             wait(
                 Settings {
-                    cancel: false,
+                    may_cancel: false,
                     ..strict(0.0)
                 },
                 class,
@@ -343,7 +343,7 @@
             ), // it would run all the same
             wait(
                 Settings {
-                    tells_start: false,
+                    notifies_start: false,
                     ..strict(0.0)
                 },
                 class,
@@ -397,7 +397,7 @@
 #[test]
 fn a_worker_that_says_full_though_it_shows_room_is_left_to_other_classes() {
     let set = Settings {
-        full_may_have_run: true,
+        shed_may_have_run: true,
         ..settings()
     };
     let mut desk = Desk::new(set, 8);
@@ -427,7 +427,7 @@
                 job,
                 attempt,
                 outcome: code,
-                complete,
+                is_final: complete,
                 report,
             }));
         }
@@ -446,7 +446,7 @@
         let mut desk = Desk::new(
             Settings {
                 connection_cost,
-                my_zone: ZoneId(1),
+                local_zone: ZoneId(1),
                 ..settings()
             },
             40,
@@ -507,8 +507,8 @@
 fn a_live_weight_tells_how_busy_a_worker_is() {
     let mut desk = Desk::new(
         Settings {
-            weights: WeightMeaning::Live,
-            reports_on_probe: true,
+            weight_meaning: WeightMeaning::Live,
+            reports_only_on_probe: true,
             ..patient()
         },
         0,
@@ -536,7 +536,7 @@
             false,
             vec![
                 Endpoint {
-                    stage: EndpointState::Draining,
+                    state: EndpointState::Draining,
                     ..weighted(away, 1.0)
                 },
                 weighted(worker, 1.0),
@@ -544,7 +544,7 @@
         );
         desk.give(Event::ProbeEnded {
             worker: WorkerId(worker),
-            ok: true,
+            answered: true,
             report: room,
         });
         let first = u64::from(worker) * 100;
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -52,7 +52,7 @@
 fn without_start_notices_two_own_jobs_count_as_waiting() {
     let mut desk = Desk::new(
         Settings {
-            tells_start: false,
+            notifies_start: false,
             ..patient()
         },
         2,
@@ -91,7 +91,7 @@
         });
         desk.give(Event::ProbeEnded {
             worker: WorkerId(worker),
-            ok: true,
+            answered: true,
             report,
         });
     }
@@ -160,7 +160,7 @@
         unreachable!()
     };
     Event::Arrived(Request {
-        key: Some(key),
+        affinity_key: Some(key),
         ..request
     })
 }
@@ -169,7 +169,7 @@
 fn marked(workers: u32) -> Vec<Endpoint> {
     (0..workers)
         .map(|id| Endpoint {
-            mark: u64::from(id) * 77 + 5,
+            hash: u64::from(id) * 77 + 5,
             ..entry(id)
         })
         .collect()
@@ -227,7 +227,7 @@
     let drained = drained
         .into_iter()
         .map(|e| Endpoint {
-            stage: EndpointState::Draining,
+            state: EndpointState::Draining,
             ..e
         })
         .collect();
@@ -266,7 +266,7 @@
 fn where_reports_come_only_by_probes_a_few_workers_are_asked_first() {
     let mut desk = Desk::new(
         Settings {
-            reports_on_probe: true,
+            reports_only_on_probe: true,
             ..patient()
         },
         30,
@@ -289,7 +289,7 @@
             });
             desk.give(Event::ProbeEnded {
                 worker: WorkerId(worker),
-                ok: true,
+                answered: true,
                 report,
             });
         }
@@ -307,7 +307,7 @@
 fn a_job_goes_out_though_no_probe_is_answered() {
     let mut desk = Desk::new(
         Settings {
-            reports_on_probe: true,
+            reports_only_on_probe: true,
             ..patient()
         },
         3,
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -39,9 +39,12 @@
     match action {
         Action::Send { job, worker } => [1, job.0, worker.0.into()],
         Action::Cancel { job, attempt } => [2, job.0, u64::from(*attempt)],
-        Action::Reject { job, hold_off_us } => [3, job.0, *hold_off_us],
+        Action::Reject {
+            job,
+            retry_after_us: hold_off_us,
+        } => [3, job.0, *hold_off_us],
         Action::Fail { job } => [4, job.0, 0],
-        Action::Schedule { wait_us, token } => [5, *wait_us, *token],
+        Action::Schedule { delay_us, token } => [5, *delay_us, *token],
         Action::Probe { worker } => [6, worker.0.into(), 0],
         Action::Subscribe => [7, 0, 0],
     }
@@ -55,17 +58,19 @@
                 .iter()
                 .for_each(|number| self.digest.update(number.to_be_bytes()));
             match action {
-                Action::Schedule { wait_us, token } => {
+                Action::Schedule { delay_us, token } => {
                     *serial += 1;
-                    self.timers.insert((now + wait_us, *serial), token);
+                    self.timers.insert((now + delay_us, *serial), token);
                 }
                 Action::Probe { worker } => {
-                    assert!(self.set.reports_on_probe && (worker.0 as usize) < self.stage.len())
+                    assert!(
+                        self.set.reports_only_on_probe && (worker.0 as usize) < self.stage.len()
+                    )
                 }
-                Action::Subscribe => assert!(self.set.list_must_be_asked),
+                Action::Subscribe => assert!(self.set.discovery_must_be_polled),
                 Action::Send { job, worker } => self.send(now, job.0, worker.0),
                 Action::Cancel { job, attempt } => {
-                    assert!(self.set.cancel);
+                    assert!(self.set.may_cancel);
                     self.jobs.get_mut(&job.0).unwrap().sent[attempt as usize].cancelled = true;
                 }
                 Action::Reject { job, .. } => {
@@ -74,7 +79,7 @@
                         .sent
                         .iter()
                         .all(|s| s.end.is_some_and(|e| never_ran(&self.set, e)));
-                    match self.set.classes[j.class].repeat {
+                    match self.set.classes[j.class].repeatability {
                         Repeatability::Idempotent
                         | Repeatability::IdempotentByKey {
                             scope: DeduplicationScope::All,
@@ -114,7 +119,7 @@
         // Zone and kind of a worker are its number modulo 2 and 3 here.
         let class = &self.set.classes[j.class];
         let zones = class
-            .zones
+            .permitted_zones
             .iter()
             .flatten()
             .map(|z| z.0)
@@ -124,7 +129,7 @@
             "a zone that is not permitted"
         );
         let kinds = class
-            .kinds
+            .permitted_kinds
             .iter()
             .flatten()
             .map(|k| k.0)
@@ -142,7 +147,7 @@
             .iter()
             .filter(|s| !s.end.is_some_and(|e| never_ran(&self.set, e)))
             .collect();
-        match self.set.classes[j.class].repeat {
+        match self.set.classes[j.class].repeatability {
             Repeatability::Idempotent => {}
             Repeatability::AtMostOnce => assert!(risky.is_empty(), "ran twice"),
             Repeatability::IdempotentByKey { scope, window_us } => {
@@ -170,7 +175,7 @@
     matches!(
         code,
         AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent
-    ) || (code == AttemptOutcome::Shed && !set.full_may_have_run)
+    ) || (code == AttemptOutcome::Shed && !set.shed_may_have_run)
 }
 
 /// Digest of all actions on the seeds of the test below. A change of policy replaces it and says so in its commit.
@@ -179,29 +184,31 @@
 fn play(seed: u64) -> (usize, usize, Sha256) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut set = patient();
-    set.tells_start = rng.random();
-    set.cancel = rng.random_bool(0.8);
+    set.notifies_start = rng.random();
+    set.may_cancel = rng.random_bool(0.8);
     set.may_duplicate = rng.random_bool(0.8);
     set.max_attempts = rng.random_range(1..7);
-    set.list_must_be_asked = rng.random();
-    set.reports_on_probe = rng.random_bool(0.3);
-    set.full_may_have_run = rng.random();
+    set.discovery_must_be_polled = rng.random();
+    set.reports_only_on_probe = rng.random_bool(0.3);
+    set.shed_may_have_run = rng.random();
     for class in &mut set.classes {
-        class.zones = rng
+        class.permitted_zones = rng
             .random_bool(0.3)
             .then(|| vec![ZoneId(rng.random_range(0..2))]);
-        class.kinds = rng
+        class.permitted_kinds = rng
             .random_bool(0.3)
             .then(|| vec![KindId(rng.random_range(0..3)), KindId(1)]);
     }
-    if let Repeatability::IdempotentByKey { scope, .. } = &mut set.classes[KEYED as usize].repeat {
+    if let Repeatability::IdempotentByKey { scope, .. } =
+        &mut set.classes[KEYED as usize].repeatability
+    {
         *scope = if rng.random() {
             DeduplicationScope::Zone
         } else {
             DeduplicationScope::Cell
         };
     }
-    let tick = set.tick_us;
+    let tick = set.batch_interval_us;
     let n = rng.random_range(1..20u32);
     let mut now = 1_000 * SECOND;
     let mut balancer = Balancer::new(set.clone(), seed, now);
@@ -243,14 +250,17 @@
                     since[i] = now - rng.random_range(0..20) * SECOND;
                 }
                 entries.push(Endpoint {
-                    stage: c.stage[i],
-                    since: since[i],
+                    state: c.stage[i],
+                    started_at_us: since[i],
                     kind: KindId(id % 3),
                     ..entry(id)
                 });
             }
             first = false;
-            events.push(Event::EndpointUpdate { complete, entries });
+            events.push(Event::EndpointUpdate {
+                complete,
+                endpoints: entries,
+            });
         }
         if rng.random_bool(0.01) {
             events.push(Event::DiscoveryFailed);
@@ -392,12 +402,12 @@
             settings()
         };
         if seed % 2 == 0 {
-            set.tick_us = 0;
-            set.warm_after_us = 0;
-            set.ask_within_us = 0;
+            set.batch_interval_us = 0;
+            set.warm_up_us = 0;
+            set.max_discovery_interval_us = 0;
             set.max_attempts = rng.random_range(0..2);
             set.start_capacity = f64::NAN;
-            set.list_must_be_asked = true;
+            set.discovery_must_be_polled = true;
         }
         let mut balancer = Balancer::new(set, seed, rng.random());
         let mut out = Vec::new();
@@ -422,25 +432,25 @@
             let e = Endpoint {
                 worker,
                 weight: [0.0, -1.0, f64::NAN, 1.0][rng.random_range(0..4)],
-                since: rng.random(),
+                started_at_us: rng.random(),
                 ..entry(0)
             };
             let event = match rng.random_range(0..12) {
                 0 => Event::EndpointUpdate {
                     complete: rng.random(),
-                    entries: vec![e],
+                    endpoints: vec![e],
                 },
                 1 => Event::DiscoveryFailed,
                 2..=4 => Event::Arrived(Request {
-                    quota_free: (rng.random_range(0..10) == 0)
+                    free_quota_share: (rng.random_range(0..10) == 0)
                         .then(|| rng.random_range(0..3) as f64 / 2.0),
                     job,
                     class: ClassId(rng.random_range(0..6)),
                     tenant: Some(TenantId(rng.random_range(0..3))),
                     expires_in_us: rng.random(),
-                    hint_us: Some(rng.random()),
+                    expected_work_us: Some(rng.random()),
                     slots: f64::NAN,
-                    key: rng.random::<bool>().then(|| rng.random()),
+                    affinity_key: rng.random::<bool>().then(|| rng.random()),
                 }),
                 5 => Event::Started { job, attempt },
                 6 => Event::Progress {
@@ -453,7 +463,7 @@
                     job,
                     attempt,
                     outcome: code,
-                    complete: rng.random(),
+                    is_final: rng.random(),
                     report,
                 }),
                 9 => Event::ClientGone { job },
@@ -462,7 +472,7 @@
                 },
                 _ => Event::ProbeEnded {
                     worker,
-                    ok: rng.random(),
+                    answered: rng.random(),
                     report,
                 },
             };
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -63,8 +63,8 @@
     let (slots, call, window) = (5.0, 250_000.0, 1_500 * MS);
     let set = Settings {
         dispatchers: fleet,
-        tip_multiple: tip,
-        fall_us: window,
+        overload_multiple: tip,
+        overload_tolerance_us: window,
         ..settings()
     };
     let calls_at = |age| tip * slots * share(age) * window as f64 / call;
@@ -110,8 +110,8 @@
     let (slots, call, window, fleet) = (5.0, 250_000.0, 1_500 * MS, 300u32);
     let set = Settings {
         dispatchers: fleet,
-        tip_multiple: 3.0,
-        fall_us: window,
+        overload_multiple: 3.0,
+        overload_tolerance_us: window,
         ..settings()
     };
     let (mut sent, mut parts) = (0u32, 0.0);
@@ -167,7 +167,7 @@
         desk.list(
             false,
             vec![Endpoint {
-                since,
+                started_at_us: since,
                 ..entry(cold)
             }],
         );
@@ -193,8 +193,9 @@
     }
     let share = |age: Micros| 0.3 + 0.7 * (age as f64 / 8e6).min(1.0);
     // One slot, 100 ms a job.
-    let calls_at = |age| set.tip_multiple * share(age) * set.fall_us as f64 / 100_000.0;
-    let most = worst(&sent, set.fall_us, calls_at);
+    let calls_at =
+        |age| set.overload_multiple * share(age) * set.overload_tolerance_us as f64 / 100_000.0;
+    let most = worst(&sent, set.overload_tolerance_us, calls_at);
     assert!(sent.len() > 3, "it must get some work: {}", sent.len());
     assert!(
         most <= 1.0,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -19,7 +19,7 @@
     let out = desk.arrive(1, ONCE);
     assert_eq!(sends(&out).len() + refused(&out) + failed(&out), 0);
     let due = out.iter().find_map(|a| match a {
-        Action::Schedule { wait_us, token: 2 } => Some(*wait_us),
+        Action::Schedule { delay_us, token: 2 } => Some(*delay_us),
         _ => None,
     });
     assert!(due.expect("a timer for the deadline") <= 5 * SECOND);
@@ -37,7 +37,7 @@
     desk.arrive(1, FREE);
     desk.list(false, vec![entry(0)]);
     let held =
-        |a: &Action| matches!(a, Action::Schedule { token: 3, wait_us } if *wait_us <= 20 * MS);
+        |a: &Action| matches!(a, Action::Schedule { token: 3, delay_us } if *delay_us <= 20 * MS);
     assert!(desk.log.iter().any(held), "a timer for the held request");
     let out = desk.wake(20 * MS, 3);
     assert_eq!(sends(&out), [0]);
@@ -170,7 +170,10 @@
 
 #[test]
 fn a_drain_acts_at_once_however_it_is_told() {
-    let drain = |stage| Endpoint { stage, ..entry(1) };
+    let drain = |stage| Endpoint {
+        state: stage,
+        ..entry(1)
+    };
     for change in [
         (false, vec![drain(EndpointState::Draining)]),
         (false, vec![drain(EndpointState::Gone)]),
@@ -232,7 +235,7 @@
                 desk.list(
                     false,
                     vec![Endpoint {
-                        since: desk.now,
+                        started_at_us: desk.now,
                         ..entry(2)
                     }],
                 );
@@ -275,7 +278,7 @@
         desk.list(
             false,
             vec![Endpoint {
-                since,
+                started_at_us: since,
                 ..entry(cold)
             }],
         );
@@ -331,7 +334,7 @@
         desk.list(
             false,
             vec![Endpoint {
-                since,
+                started_at_us: since,
                 ..entry(cold)
             }],
         );
@@ -369,7 +372,7 @@
         let (expires_in_us, hint_us) = (5 * SECOND, Some(hint));
         Event::Arrived(Request {
             job: JobId(job),
-            hint_us,
+            expected_work_us: hint_us,
             expires_in_us,
             ..Request::default()
         })
@@ -380,7 +383,13 @@
         desk.end(job, 0, AttemptOutcome::Succeeded);
     }
     let since = desk.now;
-    desk.list(true, vec![Endpoint { since, ..entry(0) }]);
+    desk.list(
+        true,
+        vec![Endpoint {
+            started_at_us: since,
+            ..entry(0)
+        }],
+    );
     desk.now += SECOND; // credit for some, and about 0.4 of its capacity
     assert!(sends(&desk.give(with_hint(1_000, 2 * SECOND))).is_empty());
     assert_eq!(sends(&desk.give(with_hint(1_001, SECOND / 2))), [0]);
@@ -406,7 +415,7 @@
         let (expires_in_us, hint_us) = (60 * SECOND, Some(SECOND / 4));
         Event::Arrived(Request {
             job: JobId(job),
-            hint_us,
+            expected_work_us: hint_us,
             expires_in_us,
             ..Request::default()
         })
@@ -418,7 +427,7 @@
     desk.list(
         false,
         vec![Endpoint {
-            since: desk.now,
+            started_at_us: desk.now,
             ..entry(0)
         }],
     );
@@ -437,8 +446,8 @@
     let mut set = settings();
     for class in &mut set.classes {
         match by_zone {
-            true => class.zones = Some(vec![ZoneId(1)]),
-            false => class.kinds = Some(vec![KindId(1)]),
+            true => class.permitted_zones = Some(vec![ZoneId(1)]),
+            false => class.permitted_kinds = Some(vec![KindId(1)]),
         }
     }
     set
@@ -483,7 +492,7 @@
         false,
         [1, 3, 5, 7]
             .map(|id| Endpoint {
-                stage: EndpointState::Gone,
+                state: EndpointState::Gone,
                 ..entry(id)
             })
             .to_vec(),
@@ -511,9 +520,9 @@
 #[test]
 fn zones_kinds_and_the_required_kind_combine() {
     let class = |kind, kinds, zones| Class {
-        kind,
-        kinds,
-        zones,
+        required_kind: kind,
+        permitted_kinds: kinds,
+        permitted_zones: zones,
         ..patient().classes[FREE as usize].clone()
     };
     let (even, odd, unseen) = (KindId(0), KindId(1), KindId(7));
@@ -537,7 +546,7 @@
     }
     // A kind that is seen later is a kind like any other.
     let mut set = patient();
-    set.classes[FREE as usize].kinds = Some(vec![unseen]);
+    set.classes[FREE as usize].permitted_kinds = Some(vec![unseen]);
     let mut desk = Desk::new(set, 8);
     desk.list(
         false,
@@ -571,15 +580,15 @@
 fn a_bound_class_finds_its_few_workers_and_asks_no_others() {
     let few = |id| Endpoint {
         zone: ZoneId(if id % 100 == 7 { 5 } else { 0 }),
-        mark: u64::from(id),
+        hash: u64::from(id),
         ..entry(id)
     };
     for (reports_on_probe, key) in [(false, None), (true, None), (false, Some(77))] {
         let mut set = Settings {
-            reports_on_probe,
+            reports_only_on_probe: reports_on_probe,
             ..patient()
         };
-        set.classes[ONCE as usize].zones = Some(vec![ZoneId(5)]);
+        set.classes[ONCE as usize].permitted_zones = Some(vec![ZoneId(5)]);
         let mut desk = Desk::new(set, 0);
         desk.list(true, (0..400).map(few).collect());
         let mut met = Vec::new();
@@ -588,7 +597,10 @@
             let Event::Arrived(request) = arrival(job, ONCE) else {
                 unreachable!()
             };
-            let mut out = desk.give(Event::Arrived(Request { key, ..request }));
+            let mut out = desk.give(Event::Arrived(Request {
+                affinity_key: key,
+                ..request
+            }));
             let asked: Vec<_> = out
                 .iter()
                 .filter(|a| matches!(a, Action::Probe { .. }))
@@ -613,7 +625,7 @@
 #[test]
 fn where_full_may_have_run_it_counts_as_an_attempt_that_may_have() {
     let set = || Settings {
-        full_may_have_run: true,
+        shed_may_have_run: true,
         ..settings()
     };
     let mut desk = Desk::new(set(), 8);
@@ -675,7 +687,7 @@
     desk.list(
         false,
         cell.map(|id| Endpoint {
-            stage: EndpointState::Draining,
+            state: EndpointState::Draining,
             ..entry(id)
         })
         .collect(),
@@ -700,7 +712,7 @@
         false,
         vec![Endpoint {
             zone: ZoneId(0),
-            since: desk.now - 60 * SECOND,
+            started_at_us: desk.now - 60 * SECOND,
             ..entry(1)
         }],
     );
