--- a/src/balance/admission.rs
+++ b/src/balance/admission.rs
@@ -1,142 +1,148 @@
-//! What is taken, held or refused, and the one place that answers. Interface: `src/interface.rs`.
+//! What is accepted, held or rejected, and the one place that answers. Interface: `src/interface/mod.rs`.
 
-use super::{cancel, Balancer, MEMORY};
-use crate::interface::*;
-use crate::state::*;
-use rand::{seq::*, Rng};
+use super::{Balancer, MAX_REMEMBERED_WORKERS};
+use crate::interface::{
+    Action, DeduplicationScope, JobId, Micros, Repeatability, Request, TenantId, WorkerId,
+};
+use crate::state::{Job, PoolKey, Timer};
+use rand::{seq::IndexedRandom, Rng};
 
-/// Part of the shortest aim that a job waits for the answers to probes.
-const ASK_PART: Micros = 32;
-/// Homes of a subject, the same at every dispatcher: a few, as workers keep few data sets and homes fill up.
-const HOMES: usize = 3;
+/// A job waits for the answers to probes for one over this of the shortest latency target.
+const PROBE_WAIT_DIVISOR: Micros = 32;
+/// Workers that jobs of a subject prefer: a few, as workers keep few data sets and may be full.
+const AFFINITY_WORKERS: usize = 3;
 /// A tenant this far above the typical one, each by its quota, is beyond its share: room for chance.
-const OVER_SHARE: f64 = 1.3;
-/// A job is given up early when it is expected to take this many times its aim: estimates are rough.
-const HOPELESS: f64 = 1.5;
+const OVER_SHARE_MULTIPLE: f64 = 1.3;
+/// A job is given up early when it is expected to take this many times its latency target: estimates are rough.
+const HOPELESS_MULTIPLE: f64 = 1.5;
 
 impl Balancer {
-    pub(super) fn arrived(&mut self, now: Micros, request: Request, out: &mut Vec<Action>) {
-        let (id, class) = (request.job, request.class.0 as usize);
-        if class >= self.set.classes.len() || self.jobs.contains_key(&id) {
+    pub(super) fn on_arrived(&mut self, now: Micros, request: Request, actions: &mut Vec<Action>) {
+        let id = request.job;
+        if request.class.index() >= self.settings.classes.len() || self.jobs.contains_key(&id) {
             return;
         }
-        let over_share = self.beyond_share(now, request.tenant);
-        let open = self.open[class];
-        let homes = request.affinity_key.map_or_else(Vec::new, |k| {
-            self.pools.homes(&self.workers, open, k, HOMES)
+        let job = self.new_job(now, request);
+        // The timer may come up to a batch interval late; the slack must bear that.
+        let slack_us = self.settings.answer_slack_us;
+        let early_us = (2 * self.settings.batch_interval_us).saturating_sub(slack_us);
+        let deadline_us = job.request.expires_in_us.saturating_sub(early_us);
+        actions.push(Timer::Deadline(id).after(deadline_us));
+        if self.settings.reports_only_on_probe {
+            self.probe_sample(&job, actions);
+        }
+        let is_over_quota = job.request.free_quota_share.is_some_and(|free| free <= 0.0);
+        self.jobs.insert(id, job);
+        if is_over_quota {
+            self.answer(id, actions);
+        } else if !self.settings.reports_only_on_probe {
+            self.place(now, id, actions);
+        }
+    }
+
+    fn new_job(&mut self, now: Micros, request: Request) -> Job {
+        let class = request.class.index();
+        let over_share = self.is_over_share(now, request.tenant);
+        let placement = self.placements[class];
+        let affinity_workers = request.affinity_key.map_or_else(Vec::new, |key| {
+            let (pools, workers) = (&mut self.pools, &self.workers);
+            pools.ring_successors(workers, placement, key, AFFINITY_WORKERS)
         });
-        let job = Job {
+        Job {
             request,
             class,
-            homes,
-            open,
-            arrived: now,
+            placement,
+            arrived_at: now,
+            affinity_workers,
             over_share,
             ..Job::default()
-        };
-        // The timer comes up to a tick late; the slack must bear that.
-        let early = (2 * self.set.batch_interval_us).saturating_sub(self.set.answer_slack_us);
-        out.push(job.timer(job.request.expires_in_us.saturating_sub(early), 0));
-        if self.set.reports_only_on_probe {
-            // Nothing is told unasked: a few are asked first, and the lowest ranked of them remembered.
-            let asked = self
-                .pools
-                .of(Pool::All(open))
-                .choose_multiple(&mut self.rng, MEMORY);
-            out.extend(asked.map(|&w| Action::Probe {
-                worker: WorkerId(w),
-            }));
-            out.push(job.timer(self.set.shortest_aim() / ASK_PART, 1));
-        }
-        let beyond_quota = job.request.free_quota_share.is_some_and(|free| free <= 0.0);
-        self.jobs.insert(id, job);
-        if beyond_quota {
-            self.answer(id, out);
-        } else if !self.set.reports_only_on_probe {
-            self.place(now, id, out);
         }
     }
 
+    /// Workers report nothing unasked: a few are probed first, and the lowest ranked of them remembered.
+    fn probe_sample(&mut self, job: &Job, actions: &mut Vec<Action>) {
+        let workers = self.pools.workers(PoolKey::Fleet(job.placement));
+        let probed = workers.choose_multiple(&mut self.rng, MAX_REMEMBERED_WORKERS);
+        actions.extend(probed.map(|&worker| Action::Probe { worker }));
+        let wait_us = self.settings.shortest_latency_target_us() / PROBE_WAIT_DIVISOR;
+        actions.push(Timer::Recheck(job.request.job).after(wait_us));
+    }
+
     /// Whether this arrival counts as beyond its tenant's share. Quotas span all dispatchers and this one has
-    /// a part of unknown size, so tenants are held against the typical one here, each by its quota.
-    pub(super) fn beyond_share(&mut self, now: Micros, tenant: Option<TenantId>) -> bool {
-        self.rates.age(now);
-        let seen = tenant.and_then(|t| self.rates.tenants.get_mut(t.0 as usize));
-        let Some((own, TenantId(t))) = seen.zip(tenant) else {
+    /// a part of unknown size, so tenants are compared with the typical one here, each by its quota.
+    fn is_over_share(&mut self, now: Micros, tenant: Option<TenantId>) -> bool {
+        self.rates.decay(now);
+        let tenants = &mut self.rates.tenants;
+        let tenant = tenant.map(TenantId::index);
+        let Some(tenant) = tenant.filter(|&tenant| tenant < tenants.len()) else {
             return false;
         };
-        *own += 1.0;
-        let quota = |t: usize| self.set.tenants[t].quota_rps.max(1e-9);
-        let mut used: Vec<f64> = self
-            .rates
-            .tenants
-            .iter()
-            .enumerate()
-            .map(|(t, n)| n / quota(t))
+        tenants[tenant] += 1.0;
+        let quota = |tenant: usize| self.settings.tenants[tenant].quota_rps.max(1e-9);
+        let requests = self.rates.tenants.iter().enumerate();
+        let mut usage: Vec<f64> = requests
+            .map(|(tenant, requests)| requests / quota(tenant))
             .collect();
-        let (own, chance) = (
-            used[t as usize],
-            2.0 * (used[t as usize] / quota(t as usize)).sqrt(),
-        );
-        used.sort_by(f64::total_cmp);
-        let most = used[(used.len() - 1) / 2] * OVER_SHARE;
+        let own = usage[tenant];
+        let chance = 2.0 * (own / quota(tenant)).sqrt(); // two standard deviations of a count
+        usage.sort_by(f64::total_cmp);
+        let most = usage[(usage.len() - 1) / 2] * OVER_SHARE_MULTIPLE;
         own - chance > most && self.rng.random::<f64>() * own > most
     }
 
-    /// Whether a job is expected far past its aim if sent there now, after the jobs ahead; or nowhere yet.
-    pub(super) fn hopeless(&self, now: Micros, job: &Job, at: Option<u32>) -> bool {
-        let (work, class) = (self.work_of(job), &self.set.classes[job.class]);
-        let (wait, slow) = at.map_or((0.0, 1.0), |id| {
-            let w = &self.workers[id as usize];
-            let ahead = (self.waiting(id) as f64 + self.load_of(now, w) - 1.0).max(0.0);
-            (ahead * self.work.mean / self.slots(w), self.slowness(w))
+    /// Whether a job is expected to end far past its latency target if it is sent to a worker now, behind the jobs
+    /// there; without a worker, if it could run at once.
+    pub(super) fn is_hopeless(&self, now: Micros, job: &Job, worker: Option<WorkerId>) -> bool {
+        let (work, class) = (self.expected_work(job), &self.settings.classes[job.class]);
+        let (wait, slowness) = worker.map_or((0.0, 1.0), |id| {
+            let worker = &self.workers[id.index()];
+            let ahead = (self.waiting_jobs(id) as f64 + self.load(now, worker) - 1.0).max(0.0);
+            (
+                ahead * self.work.mean / self.slots(worker),
+                self.slowness(worker),
+            )
         });
-        let finish = (wait + work) * slow + now.saturating_sub(job.arrived) as f64;
-        finish > HOPELESS * (class.latency_target_us as f64 + class.latency_target_stretch * work)
+        let latency = (wait + work) * slowness + now.saturating_sub(job.arrived_at) as f64;
+        let target = class.latency_target_us as f64 + class.latency_target_stretch * work;
+        latency > HOPELESS_MULTIPLE * target
     }
 
-    /// The one place that answers: refused where that is harmless by the rules, else failed.
-    pub(super) fn answer(&mut self, id: JobId, out: &mut Vec<Action>) {
-        let Some(job) = self.jobs.get(&id).filter(|j| j.owed()) else {
+    /// The one place that answers: rejected where the rules permit it, else failed.
+    pub(super) fn answer(&mut self, id: JobId, actions: &mut Vec<Action>) {
+        let Some(job) = self.jobs.get(&id).filter(|job| job.owes_answer()) else {
             return;
         };
-        let hold_off_us = self.set.shortest_aim().min(self.set.max_retry_after_us);
-        out.push(if self.harmless(job) {
-            Action::Reject {
+        let target_us = self.settings.shortest_latency_target_us();
+        let retry_after_us = target_us.min(self.settings.max_retry_after_us);
+        actions.push(match self.may_reject(job) {
+            true => Action::Reject {
                 job: id,
-                retry_after_us: hold_off_us,
-            }
-        } else {
-            Action::Fail { job: id }
+                retry_after_us,
+            },
+            false => Action::Fail { job: id },
         });
-        self.ended(id, out);
+        self.finish(id, actions);
     }
 
-    /// Whether the rules bear a refusal, after which the client may ask again.
-    pub(super) fn harmless(&self, job: &Job) -> bool {
-        match (self.set.classes[job.class].repeatability, self.bound(job)) {
-            (Repeatability::Idempotent, _)
-            | (_, None)
-            | (
-                Repeatability::IdempotentByKey {
-                    scope: DeduplicationScope::All,
-                    ..
-                },
-                _,
-            ) => true,
-            (Repeatability::IdempotentByKey { .. } | Repeatability::AtMostOnce, Some(_)) => false,
+    /// Whether the rules permit a rejection, after which the client may ask again.
+    pub(super) fn may_reject(&self, job: &Job) -> bool {
+        match self.settings.classes[job.class].repeatability {
+            Repeatability::Idempotent => true,
+            Repeatability::IdempotentByKey { scope, .. } if scope == DeduplicationScope::All => {
+                true
+            }
+            _ => self.first_possible_run(job).is_none(),
         }
     }
 
-    /// The request is over: nothing more is sent for it, and what is out is called back. It stays known until
-    /// each of its attempts has ended, for the counts.
-    pub(super) fn ended(&mut self, id: JobId, out: &mut Vec<Action>) {
+    /// The request is over: nothing more is sent for it, and what is in flight is cancelled.
+    pub(super) fn finish(&mut self, id: JobId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
         job.answered = true;
-        cancel(&self.set, job, |_| true, out);
-        if !job.is_out() {
+        job.cancel_attempts(&self.settings, |_| true, actions);
+        if !job.is_in_flight() {
             self.jobs.remove(&id);
         }
     }
--- a/src/balance/learning.rs
+++ b/src/balance/learning.rs
@@ -1,200 +1,248 @@
-//! What starts, outcomes and reports teach. Interface: `src/interface.rs`.
+//! What starts, outcomes and load reports teach. Interface: `src/interface/mod.rs`.
 
-use super::{cancel, open_to, Balancer, CHARGE, MEMORY};
-use crate::interface::*;
-use crate::state::*;
-use rand::seq::*;
+use super::{Balancer, FAILURE_PENALTY, MAX_REMEMBERED_WORKERS};
+use crate::interface::{Action, AttemptEnd, AttemptOutcome, JobId, LoadReport, Micros, WorkerId};
+use crate::state::{Attempt, EndedAttempt, Observation, SMOOTHING_FACTOR};
+use rand::seq::IteratorRandom;
 use std::mem::take;
 
-/// Charges and loads end here, in jobs: what was bad for long is tried again a few half-lives later.
-const CHARGE_MOST: f64 = 16.0;
+/// Most penalty or load of a worker, in jobs: what was bad for long is tried again a few half-lives later.
+const MAX_PENALTY: f64 = 16.0;
 
 impl Balancer {
-    pub(super) fn started(&mut self, now: Micros, id: JobId, attempt: u32) {
-        let Some(job) = self.jobs.get_mut(&id) else {
+    pub(super) fn on_started(&mut self, now: Micros, id: JobId, attempt: u32) {
+        let attempt = self
+            .jobs
+            .get_mut(&id)
+            .and_then(|job| job.attempts.get_mut(attempt as usize));
+        let Some(attempt) = attempt.filter(|attempt| attempt.is_waiting()) else {
             return;
         };
-        let Some(a) = job.attempts.get_mut(attempt as usize).filter(|a| a.waits()) else {
-            return;
-        };
-        a.started = Some(now);
-        let (worker, wait_us) = (a.worker, now.saturating_sub(a.sent) as f64);
+        attempt.started_at = Some(now);
+        let (worker_id, delay_us) = (attempt.worker, now.saturating_sub(attempt.sent_at) as f64);
         // The shortest usual delay: falls at once, rises slowly.
-        self.prompt_us = (self.prompt_us * (1.0 + BLEND)).min(wait_us).max(1.0);
-        let w = &mut self.workers[worker as usize];
-        w.started += (w.life == a.life) as u32;
+        let usual_us = self.start_delay_us * (1.0 + SMOOTHING_FACTOR);
+        self.start_delay_us = usual_us.min(delay_us).max(1.0);
+        let worker = &mut self.workers[worker_id.index()];
+        worker.running += u32::from(worker.incarnation == attempt.incarnation);
         self.just_started.push(id);
-        // Where reports tell no queue, or only those asked tell it, the wait tells how many were ahead.
-        let told = self.set.reports_count_jobs && !self.set.reports_only_on_probe;
-        if !told && wait_us > 2.0 * (self.prompt_us + self.set.batch_interval_us as f64) {
-            let jobs = wait_us * self.slots(&self.workers[worker as usize]) / self.work.mean;
-            self.note_load(now, worker, 1.0 + jobs);
+        // Where reports do not show a queue, or only on a probe, the delay shows how many jobs were ahead.
+        let is_queue_reported =
+            self.settings.reports_count_jobs && !self.settings.reports_only_on_probe;
+        let prompt_us = self.start_delay_us + self.settings.batch_interval_us as f64;
+        if !is_queue_reported && delay_us > 2.0 * prompt_us {
+            let jobs = delay_us * self.slots(&self.workers[worker_id.index()]) / self.work.mean;
+            self.note_load(now, worker_id, 1.0 + jobs);
+        }
+    }
+
+    /// A worker that notifies progress is not silent.
+    pub(super) fn on_progress(&mut self, now: Micros, id: JobId, attempt: u32) {
+        let job = self.jobs.get(&id);
+        let attempt = job.and_then(|job| Some((job.attempts.get(attempt as usize)?, job.class)));
+        if let Some((attempt, class)) = attempt {
+            self.relieve(now, attempt.worker, class);
+        }
+    }
+
+    pub(super) fn on_stream_began(&mut self, id: JobId, attempt: u32, actions: &mut Vec<Action>) {
+        if let Some(job) = self.jobs.get_mut(&id) {
+            job.streaming = true;
+            job.cancel_attempts(&self.settings, |index| index != attempt as usize, actions);
         }
     }
 
-    /// The moment is over: of the attempts that began in it one is kept, at random (Definition 2). Where the
-    /// workers have room to spare those that run may go on, and the first finish wins (Theorem 1).
-    pub(super) fn settled(&mut self, now: Micros, out: &mut Vec<Action>) {
+    /// Of the attempts of a job that started in this batch one is kept, at random (Definition 2). Where the workers
+    /// have free capacity those that run may go on, and the first finish wins (Theorem 1).
+    pub(super) fn on_batch_end(&mut self, now: Micros, actions: &mut Vec<Action>) {
         for id in take(&mut self.just_started) {
-            let Some(job) = self.jobs.get(&id).filter(|j| !j.answered && !j.streaming) else {
+            let Some(job) = self
+                .jobs
+                .get(&id)
+                .filter(|job| !job.answered && !job.streaming)
+            else {
                 continue;
             };
-            let runs = |a: &Attempt| a.started.is_some() && a.end.is_none() && !a.cancelled;
-            let roomy =
-                |a: &Attempt| runs(a) && self.load_of(now, &self.workers[a.worker as usize]) < 0.5;
-            let roomy: Vec<bool> = job.attempts.iter().map(roomy).collect();
-            let begun = (0..roomy.len()).filter(|&i| runs(&job.attempts[i]));
-            let Some(keep) = begun.choose(&mut self.rng) else {
+            let runs = |attempt: &Attempt| attempt.is_running() && !attempt.cancelled;
+            let load = |attempt: &Attempt| self.load(now, &self.workers[attempt.worker.index()]);
+            let may_go_on = |attempt: &Attempt| runs(attempt) && load(attempt) < 0.5;
+            let may_go_on: Vec<bool> = job.attempts.iter().map(may_go_on).collect();
+            let running = (0..may_go_on.len()).filter(|&index| runs(&job.attempts[index]));
+            let Some(kept) = running.choose(&mut self.rng) else {
                 continue;
             };
-            self.jobs
-                .entry(id)
-                .and_modify(|j| cancel(&self.set, j, |i| i != keep && !roomy[i], out));
+            let is_cancelled = |index: usize| index != kept && !may_go_on[index];
+            let job = self.jobs.entry(id);
+            job.and_modify(|job| job.cancel_attempts(&self.settings, is_cancelled, actions));
         }
     }
 
-    pub(super) fn outcome(&mut self, now: Micros, o: AttemptEnd, out: &mut Vec<Action>) {
-        let Some(job) = self.jobs.get_mut(&o.job) else {
+    pub(super) fn on_attempt_ended(
+        &mut self,
+        now: Micros,
+        end: &AttemptEnd,
+        actions: &mut Vec<Action>,
+    ) {
+        let job = self.jobs.get_mut(&end.job);
+        let Some(ended) = job.and_then(|job| job.end_attempt(now, end)) else {
             return;
         };
-        let Some(a) = job
-            .attempts
-            .get_mut(o.attempt as usize)
-            .filter(|a| a.end.is_none())
-        else {
+        let worker = &mut self.workers[ended.worker.index()];
+        worker.on_attempt_ended(now, &ended);
+        self.note_report(now, ended.worker, end.report);
+        self.learn_from_outcome(now, &ended);
+        let Some(job) = self.jobs.get(&end.job) else {
             return;
         };
-        a.end = Some(o.outcome);
-        let (worker, clear, ran) = (a.worker, a.clear, a.started.is_some());
-        let (began, class, hint) = (
-            a.started.unwrap_or(a.sent),
-            job.class,
-            job.request.expected_work_us,
-        );
-        let w = &mut self.workers[worker as usize];
-        if w.life == a.life {
-            w.ended(now, ran, o.outcome != AttemptOutcome::ConnectFailed);
-        }
-        self.note_report(now, worker, o.report);
-        let load = self.load_of(now, &self.workers[worker as usize]);
-        match o.outcome {
-            AttemptOutcome::Succeeded => {
-                self.fails[class].add(0.0);
-                self.clear(now, worker, class);
-                self.burned.add(0.0);
-                self.rates.age(now);
-                self.rates.work += hint.map_or(self.run[class].0.mean, |h| h as f64);
-                if clear {
-                    self.note_run(worker, class, hint, now.saturating_sub(began).max(1) as f64);
-                }
-                self.remember(now, worker);
+        if end.is_final || job.answered {
+            self.finish(end.job, actions);
+        } else if !job.is_in_flight() {
+            // A time-out means that the client's time is over; a broken stream cannot be begun again.
+            let is_timed_out = job.is_expired(now) || end.outcome == AttemptOutcome::TimedOut;
+            match is_timed_out || job.streaming {
+                true => self.answer(end.job, actions),
+                false => self.place(now, end.job, actions),
             }
+        }
+    }
+
+    fn learn_from_outcome(&mut self, now: Micros, ended: &EndedAttempt) {
+        let (worker, class) = (ended.worker, ended.class);
+        let load = self.load(now, &self.workers[worker.index()]);
+        match ended.outcome {
+            AttemptOutcome::Succeeded => self.learn_from_success(now, ended),
             // A queue is full: as a report would say, and soon out of date.
-            AttemptOutcome::Shed if load >= 1.0 => self.note_load(now, worker, load + CHARGE),
-            // An empty count would draw the next job, and the next; so would 'full' in spite of room.
+            AttemptOutcome::Shed if load >= 1.0 => {
+                self.note_load(now, worker, load + FAILURE_PENALTY)
+            }
+            // An empty count would draw the next job, and the next; so would load shedding in spite of free slots.
             AttemptOutcome::WorkerError
             | AttemptOutcome::ConnectFailed
             | AttemptOutcome::ConnectionLost
             | AttemptOutcome::Shed => {
-                self.fails[class].add(1.0);
-                self.charge(now, worker, class, 1.0, CHARGE);
-                let all = f64::from(o.outcome != AttemptOutcome::Shed) * CHARGE;
-                self.charge(now, worker, self.best.len(), 1.0, all);
+                self.failure_rates[class].add(1.0);
+                self.update_penalty(now, worker, class, 1.0, FAILURE_PENALTY);
+                let is_failure = ended.outcome != AttemptOutcome::Shed;
+                let penalty = f64::from(is_failure) * FAILURE_PENALTY;
+                self.update_penalty(now, worker, self.all_classes(), 1.0, penalty);
             }
-            AttemptOutcome::Cancelled if ran || !self.set.notifies_start => self.burned.add(1.0),
-            _ => {}
-        }
-        let Some(job) = self.jobs.get(&o.job) else {
-            return;
-        };
-        if o.is_final || job.answered {
-            self.ended(o.job, out);
-        } else if !job.is_out() {
-            // A time-out means the client's time; a broken stream cannot be begun again.
-            match job.time_is_up(now) || o.outcome == AttemptOutcome::TimedOut || job.streaming {
-                true => self.answer(o.job, out),
-                false => self.place(now, o.job, out),
+            AttemptOutcome::Cancelled if ended.was_running || !self.settings.notifies_start => {
+                self.wasted_copies.add(1.0);
             }
+            AttemptOutcome::Cancelled | AttemptOutcome::TimedOut | AttemptOutcome::NotSent => {}
         }
     }
 
-    pub(super) fn note_run(&mut self, worker: u32, class: usize, hint: Option<Micros>, run: f64) {
-        let (mean, log) = &mut self.run[class];
-        let usual = hint.map_or(if log.n > 0.0 { log.mean } else { run.ln() }, |h| {
-            (h.max(1) as f64).ln()
-        });
-        mean.add(run);
-        log.add(run.ln());
-        let w = &mut self.workers[worker as usize];
-        let kind = self.kinds.entry(w.entry.kind).or_default();
-        [&mut w.slow, &mut kind.slow]
-            .into_iter()
-            .for_each(|slow| slow.add(run.ln() - usual));
+    fn learn_from_success(&mut self, now: Micros, ended: &EndedAttempt) {
+        self.failure_rates[ended.class].add(0.0);
+        self.relieve(now, ended.worker, ended.class);
+        self.wasted_copies.add(0.0);
+        self.rates.decay(now);
+        let usual = self.running_times[ended.class].mean;
+        self.rates.work += ended
+            .expected_work_us
+            .map_or(usual, |work_us| work_us as f64);
+        if let Some(running_time_us) = ended.running_time_us {
+            self.note_running_time(ended, running_time_us as f64);
+        }
+        self.remember(now, ended.worker);
     }
 
-    pub(super) fn note_report(&mut self, now: Micros, worker: u32, report: Option<LoadReport>) {
-        let Some((r, w)) = report.zip(self.workers.get(worker as usize)) else {
+    fn note_running_time(&mut self, ended: &EndedAttempt, running_time_us: f64) {
+        let log_times = &mut self.log_running_times[ended.class];
+        let log_time = running_time_us.ln();
+        let usual = match ended.expected_work_us {
+            Some(work_us) => (work_us.max(1) as f64).ln(),
+            None if log_times.count > 0.0 => log_times.mean,
+            None => log_time,
+        };
+        log_times.add(log_time);
+        self.running_times[ended.class].add(running_time_us);
+        let worker = &mut self.workers[ended.worker.index()];
+        let kind = self.kinds.entry(worker.endpoint.kind).or_default();
+        worker.log_slowness.add(log_time - usual);
+        kind.log_slowness.add(log_time - usual);
+    }
+
+    pub(super) fn note_report(&mut self, now: Micros, id: WorkerId, report: Option<LoadReport>) {
+        let Some((report, worker)) = report.zip(self.workers.get(id.index())) else {
             return;
         };
-        let kind = self.kinds.entry(w.entry.kind).or_default();
-        r.free_slots
-            .into_iter()
-            .for_each(|free| kind.note_slots(free, r.active, r.waiting));
-        let load = match (r.free_slots, r.waiting, r.active, r.busy) {
+        let kind = self.kinds.entry(worker.endpoint.kind).or_default();
+        if let Some(free) = report.free_slots {
+            kind.note_slots(free, report.active, report.waiting);
+        }
+        let load = match (
+            report.free_slots,
+            report.waiting,
+            report.active,
+            report.busy,
+        ) {
             (Some(free), _, _, _) if free >= 0.5 => 1.0 / (1.0 + free),
             (_, Some(waiting), _, _) => 1.0 + waiting,
             (Some(_), None, active, _) => 1.0 + (active.unwrap_or(0.0) - kind.slots()).max(0.0),
             (None, None, Some(active), _) => active,
-            (_, None, None, Some(busy)) => busy,
-            _ => return,
+            (None, None, None, Some(busy)) => busy,
+            (None, None, None, None) => return,
         };
-        self.note_load(now, worker, load);
-        if self.set.reports_only_on_probe {
-            self.remember(now, worker);
+        self.note_load(now, id, load);
+        if self.settings.reports_only_on_probe {
+            self.remember(now, id);
         }
     }
 
-    pub(super) fn note_load(&mut self, now: Micros, worker: u32, load: f64) {
-        let w = &mut self.workers[worker as usize];
-        let load = if load > 0.0 {
-            load.min(CHARGE_MOST)
+    fn note_load(&mut self, now: Micros, id: WorkerId, load: f64) {
+        let worker = &mut self.workers[id.index()];
+        let value = if load > 0.0 {
+            load.min(MAX_PENALTY)
         } else {
             0.0
         }; // a NaN counts as none
-        w.seen = Some((now, load));
-        self.kinds.entry(w.entry.kind).or_default().load.add(load);
+        worker.observed_load = Some(Observation { at: now, value });
+        let kind = self.kinds.entry(worker.endpoint.kind).or_default();
+        kind.load.add(value);
     }
 
-    /// Keeps a part of the charge for a class, or for all (the number of classes), and adds some jobs to it.
-    pub(super) fn charge(&mut self, now: Micros, worker: u32, class: usize, keep: f64, jobs: f64) {
-        let charge = self.charge_of(now, &self.workers[worker as usize], class) * keep + jobs;
-        self.workers[worker as usize].charges[class] = Some((now, charge.min(CHARGE_MOST)));
-        let (all, best) = (class == self.best.len(), self.best.iter_mut().enumerate());
-        best.for_each(|(c, best)| {
-            best.retain(|&b| b != worker || jobs == 0.0 || !(all || c == class))
-        });
+    /// Keeps a part of the penalty of a worker for a class, or for all classes, and adds some jobs to it. A worker to
+    /// which some are added is no longer remembered as best.
+    pub(super) fn update_penalty(
+        &mut self,
+        now: Micros,
+        id: WorkerId,
+        class: usize,
+        kept: f64,
+        jobs: f64,
+    ) {
+        let worker = &self.workers[id.index()];
+        let value = (self.penalty(now, worker, class) * kept + jobs).min(MAX_PENALTY);
+        self.workers[id.index()].penalties[class] = Some(Observation { at: now, value });
+        let all_classes = self.all_classes();
+        for (index, best) in self.best_workers.iter_mut().enumerate() {
+            if jobs != 0.0 && (class == all_classes || class == index) {
+                best.retain(|&remembered| remembered != id);
+            }
+        }
     }
 
-    /// A worker that serves a class, or is at work on it: less speaks against it, for that class and for all.
-    pub(super) fn clear(&mut self, now: Micros, worker: u32, class: usize) {
-        [class, self.best.len()]
-            .into_iter()
-            .for_each(|c| self.charge(now, worker, c, 0.5, 0.0));
+    /// A worker makes progress with a job of a class: its penalties, for that class and for all, shrink.
+    fn relieve(&mut self, now: Micros, worker: WorkerId, class: usize) {
+        self.update_penalty(now, worker, class, 0.5, 0.0);
+        self.update_penalty(now, worker, self.all_classes(), 0.5, 0.0);
     }
 
     /// Remembers a worker that has served or answered; of more than fit, the highest ranked is forgotten.
-    pub(super) fn remember(&mut self, now: Micros, worker: u32) {
-        for class in 0..self.best.len() {
-            let mut best = take(&mut self.best[class]);
-            let open = open_to(&self.set, class + 1, &self.workers[worker as usize].entry);
-            if open && !best.contains(&worker) {
+    fn remember(&mut self, now: Micros, worker: WorkerId) {
+        for class in 0..self.best_workers.len() {
+            let mut best = take(&mut self.best_workers[class]);
+            let endpoint = &self.workers[worker.index()].endpoint;
+            if self.settings.classes[class].permits(endpoint) && !best.contains(&worker) {
                 best.push(worker);
             }
-            if best.len() > MEMORY {
-                self.sort(now, class, &mut best);
-                best.truncate(MEMORY);
+            if best.len() > MAX_REMEMBERED_WORKERS {
+                self.sort_by_rank(now, class, &mut best);
+                best.truncate(MAX_REMEMBERED_WORKERS);
             }
-            self.best[class] = best;
+            self.best_workers[class] = best;
         }
     }
 }
--- a/src/balance/mod.rs
+++ b/src/balance/mod.rs
@@ -1,225 +1,208 @@
-//! Every decision of a dispatcher. Settings, events, actions: `src/interface.rs`; records: `src/state.rs`.
+//! All decisions of a dispatcher. Settings, events, actions: `src/interface/mod.rs`; records: `src/state/`.
 //!
-//! The (n, 1) fork-early-cancel system of "Queues with Redundancy" for one dispatcher of many: rank a few
-//! workers by own jobs there, fork a repeatable job to the n lowest, cancel the rest at the first start.
-//! Every extension is an addition to the count and zero while nothing is wrong; see `docs/design.md`.
+//! The (n, 1) fork-early-cancel system of Joshi, Soljanin and Wornell, "Queues with Redundancy: Latency-Cost Analysis",
+//! for one dispatcher of many: rank a few workers by the dispatcher's own jobs there, fork a repeatable job to the n
+//! lowest, cancel the rest at the first start. Every extension adds to the count of jobs and is zero while nothing is
+//! wrong; see `docs/design.md`.
 
 mod admission;
-mod fanout;
+mod fan_out;
 mod learning;
-pub mod ramp;
 mod ranking;
+mod slow_start;
 
-use crate::interface::*;
-use crate::state::{Job, Kind, Mean, Pools, Rates, Worker};
-use ramp::Ramp;
+pub use slow_start::{SlowStart, SlowStartShare};
+
+use crate::interface::{
+    Action, Class, Endpoint, EndpointState, Event, JobId, KindId, Micros, Settings, WorkerId,
+};
+use crate::state::{
+    Job, MachineKind, MovingAverage, PlacementGroup, RecentRates, Timer, Worker, WorkerPools,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
 /// Workers remembered as best; small beside any fleet, so that dispatchers remember different ones.
-const MEMORY: usize = 4;
-/// Charge, in jobs, for an outcome that speaks against the worker: more than usual counts differ.
-const CHARGE: f64 = 4.0;
-/// Timer token of the list; those of jobs are twice their number, and one more while held or not begun.
-const LIST: u64 = u64::MAX;
+const MAX_REMEMBERED_WORKERS: usize = 4;
+/// Penalty, in jobs, for an outcome that is held against the worker: more than usual counts differ.
+const FAILURE_PENALTY: f64 = 4.0;
 
-/// The decisions of one dispatcher.
+/// The decisions of one dispatcher. Each call takes the current time as an argument.
 pub struct Balancer {
-    set: Settings,
+    settings: Settings,
     rng: Pcg64Mcg,
     workers: Vec<Worker>,
-    pools: Pools,
+    /// By worker.
+    slow_starts: Vec<SlowStart>,
+    pools: WorkerPools,
     /// Workers remembered as best, by class.
-    best: Vec<Vec<u32>>,
-    /// Classes open to the same workers, by class: 0 for those that may go to any, else the class + 1.
-    open: Vec<usize>,
-    /// Part of the attempts that fail or are turned away though there is room, by class.
-    fails: Vec<Mean>,
+    best_workers: Vec<Vec<WorkerId>>,
+    /// By class.
+    placements: Vec<PlacementGroup>,
+    /// Part of the attempts that fail or are shed in spite of free capacity, by class.
+    failure_rates: Vec<MovingAverage>,
     jobs: BTreeMap<JobId, Job>,
+    /// Jobs of which an attempt started in this batch of events.
     just_started: Vec<JobId>,
-    /// Running time by class: mean, and mean of its logarithm, which heavy tails do not sway.
-    run: Vec<(Mean, Mean)>,
-    kinds: BTreeMap<KindId, Kind>,
-    work: Mean,
-    /// Shortest usual delay from send to start notice.
-    prompt_us: f64,
-    /// Copies that ran for nothing, for each job (Claim 1: they shrink capacity).
-    burned: Mean,
-    rates: Rates,
+    /// By class.
+    running_times: Vec<MovingAverage>,
+    /// By class, of the logarithm, which a heavy tail does not dominate.
+    log_running_times: Vec<MovingAverage>,
+    kinds: BTreeMap<KindId, MachineKind>,
+    /// Expected work of the attempts sent.
+    work: MovingAverage,
+    /// Shortest usual delay from sending an attempt to its start notification.
+    start_delay_us: f64,
+    /// Copies that ran in vain, per job ("Queues with Redundancy", Claim 1: they reduce capacity).
+    wasted_copies: MovingAverage,
+    rates: RecentRates,
 }
 
 impl Balancer {
-    /// A dispatcher that knows nothing yet.
-    pub fn new(set: Settings, seed: u64, now: Micros) -> Self {
-        Balancer {
+    /// A dispatcher that knows no worker yet. All its random choices follow from the seed.
+    pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
+        let mut balancer = Balancer {
             rng: Pcg64Mcg::seed_from_u64(seed),
             workers: Vec::new(),
-            pools: Pools::default(),
-            best: vec![Vec::new(); set.classes.len()],
-            open: set
-                .classes
-                .iter()
-                .enumerate()
-                .map(|(i, c)| usize::from(c.is_bound()) * (i + 1))
-                .collect(),
-            fails: vec![Mean::default(); set.classes.len()],
+            slow_starts: Vec::new(),
+            pools: WorkerPools::default(),
+            best_workers: Vec::new(),
+            placements: Vec::new(),
+            failure_rates: Vec::new(),
             jobs: BTreeMap::new(),
             just_started: Vec::new(),
-            run: set
-                .classes
-                .iter()
-                .map(|c| (Mean::guess(c.latency_target_us), Mean::default()))
-                .collect(),
+            running_times: Vec::new(),
+            log_running_times: Vec::new(),
             kinds: BTreeMap::new(),
-            work: Mean::guess(set.shortest_aim()),
-            prompt_us: 10.0 * set.batch_interval_us as f64,
-            burned: Mean::default(),
-            rates: Rates::new(set.tenants.len(), now),
-            set,
+            work: MovingAverage::with_initial(settings.shortest_latency_target_us()),
+            start_delay_us: 10.0 * settings.batch_interval_us as f64,
+            wasted_copies: MovingAverage::default(),
+            rates: RecentRates::new(settings.tenants.len(), now),
+            settings,
+        };
+        balancer.add_classes();
+        balancer
+    }
+
+    /// Takes new settings; classes past the known ones are new, and those known keep their rules.
+    pub fn update_settings(&mut self, settings: Settings) {
+        self.settings = settings;
+        self.add_classes();
+        let penalties = self.best_workers.len() + 1;
+        for worker in &mut self.workers {
+            worker.penalties.resize(penalties, None);
         }
+        self.rebuild_pools();
     }
 
-    /// New settings; classes past the known ones are new, and those known keep their rules.
-    pub fn retune(&mut self, set: Settings) {
-        for (i, c) in set.classes.iter().enumerate().skip(self.best.len()) {
-            self.best.push(Vec::new());
-            self.open.push(usize::from(c.is_bound()) * (i + 1));
-            self.fails.push(Mean::default());
-            self.run
-                .push((Mean::guess(c.latency_target_us), Mean::default()));
+    fn add_classes(&mut self) {
+        let known = self.best_workers.len();
+        for (index, class) in self.settings.classes.iter().enumerate().skip(known) {
+            let placement = match class.is_constrained() {
+                true => PlacementGroup::Class(index),
+                false => PlacementGroup::Unconstrained,
+            };
+            let latency_target = MovingAverage::with_initial(class.latency_target_us);
+            self.best_workers.push(Vec::new());
+            self.placements.push(placement);
+            self.failure_rates.push(MovingAverage::default());
+            self.running_times.push(latency_target);
+            self.log_running_times.push(MovingAverage::default());
         }
-        self.workers
-            .iter_mut()
-            .for_each(|w| w.charges.resize(self.best.len() + 1, None));
-        self.set = set;
-        self.pools.fill(&self.workers, &self.open, |open, e| {
-            open_to(&self.set, open, e)
-        });
     }
 
-    /// Takes one event and adds what is to be done about it to `out`.
-    pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+    fn rebuild_pools(&mut self) {
+        let permits =
+            |placement, endpoint: &Endpoint| permits(&self.settings.classes, placement, endpoint);
+        self.pools.rebuild(&self.workers, &self.placements, permits);
+    }
+
+    /// Takes one event and adds what is to be done about it to `actions`.
+    pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointUpdate {
                 complete,
-                endpoints: entries,
-            } => self.list(now, complete, entries, out),
-            Event::DiscoveryFailed if self.set.discovery_must_be_polled => self.ask_within(4, out),
-            Event::Arrived(request) => self.arrived(now, request, out),
-            Event::Started { job, attempt } => self.started(now, job, attempt),
-            // A worker that tells progress is not silent.
-            Event::Progress { job, attempt, .. } => {
-                let job = self.jobs.get(&job);
-                let at =
-                    job.and_then(|j| Some((j.attempts.get(attempt as usize)?.worker, j.class)));
-                at.into_iter()
-                    .for_each(|(w, class)| self.clear(now, w, class));
-            }
-            Event::StreamBegan { job, attempt } => {
-                self.jobs.get_mut(&job).into_iter().for_each(|job| {
-                    job.streaming = true;
-                    cancel(&self.set, job, |i| i != attempt as usize, out);
-                })
+                endpoints,
+            } => {
+                self.on_endpoint_update(now, complete, endpoints, actions);
             }
-            Event::AttemptEnded(outcome) => self.outcome(now, outcome, out),
-            Event::ClientGone { job } => self.ended(job, out),
-            Event::Timer { token: LIST } => out.push(Action::Subscribe),
-            Event::Timer { token } if token % 2 == 1 => self.stalled(now, JobId(token / 2), out),
-            Event::Timer { token } => self.answer(JobId(token / 2), out),
-            Event::ProbeEnded { worker, report, .. } => self.note_report(now, worker.0, report),
-            Event::PeerMessage | Event::DiscoveryFailed | Event::PeerObservation { .. } => {}
-            Event::BatchEnd => self.settled(now, out),
+            Event::DiscoveryFailed => self.schedule_poll(4, actions),
+            Event::Arrived(request) => self.on_arrived(now, request, actions),
+            Event::Started { job, attempt } => self.on_started(now, job, attempt),
+            Event::Progress { job, attempt, .. } => self.on_progress(now, job, attempt),
+            Event::StreamBegan { job, attempt } => self.on_stream_began(job, attempt, actions),
+            Event::AttemptEnded(end) => self.on_attempt_ended(now, &end, actions),
+            Event::ClientGone { job } => self.finish(job, actions),
+            Event::Timer { token } => match Timer::from_token(token) {
+                Timer::Discovery => actions.push(Action::Subscribe),
+                Timer::Recheck(job) => self.on_recheck(now, job, actions),
+                Timer::Deadline(job) => self.answer(job, actions),
+            },
+            Event::ProbeEnded { worker, report, .. } => self.note_report(now, worker, report),
+            Event::PeerMessage | Event::PeerObservation { .. } => {}
+            Event::BatchEnd => self.on_batch_end(now, actions),
         }
     }
 
-    pub(super) fn list(
+    fn on_endpoint_update(
         &mut self,
         now: Micros,
         complete: bool,
-        entries: Vec<Endpoint>,
-        out: &mut Vec<Action>,
+        endpoints: Vec<Endpoint>,
+        actions: &mut Vec<Action>,
     ) {
-        if self.workers.is_empty() && self.set.discovery_must_be_polled {
-            self.ask_within(8, out); // a whole tier may have started just now
+        if self.workers.is_empty() {
+            self.schedule_poll(8, actions); // a whole tier of dispatchers may have started just now
         }
         if complete {
-            self.workers
-                .iter_mut()
-                .for_each(|w| w.entry.state = EndpointState::Gone);
-        }
-        for e in entries {
-            let id = e.worker.0 as usize;
-            if id > self.workers.len() {
-                continue; // not numbered in order: the embedder's mistake, nothing can be said of it
-            }
-            if id == self.workers.len() || self.workers[id].entry.started_at_us != e.started_at_us {
-                // A new process: what an old one held or did wrong is void.
-                let (life, slow) = self
-                    .workers
-                    .get(id)
-                    .map(|w| (w.life + 1, w.slow))
-                    .unwrap_or_default();
-                let ramp = Ramp::begin(
-                    now,
-                    self.present_share(now, &e),
-                    self.rng.random(),
-                    self.work.mean,
-                );
-                let charges = vec![None; self.best.len() + 1];
-                let new = Worker {
-                    life,
-                    slow,
-                    ramp,
-                    charges,
-                    ..Worker::default()
-                };
-                self.workers
-                    .splice(id..self.workers.len().min(id + 1), [new]);
+            for worker in &mut self.workers {
+                worker.endpoint.state = EndpointState::Gone;
             }
-            self.workers[id].entry = e;
         }
-        self.pools.fill(&self.workers, &self.open, |open, e| {
-            open_to(&self.set, open, e)
-        });
+        for endpoint in endpoints {
+            self.update_endpoint(now, endpoint);
+        }
+        self.rebuild_pools();
     }
 
-    /// Asks for the list within this part of the time allowed, at random: hundreds may want it at once.
-    pub(super) fn ask_within(&mut self, part: Micros, out: &mut Vec<Action>) {
-        let within = self.set.max_discovery_interval_us / part;
-        let wait_us = self.rng.random_range(within / 8..=within);
-        out.push(Action::Schedule {
-            delay_us: wait_us,
-            token: LIST,
-        });
+    fn update_endpoint(&mut self, now: Micros, endpoint: Endpoint) {
+        let index = endpoint.worker.index();
+        if index > self.workers.len() {
+            return; // not numbered in order: a mistake of the embedder
+        }
+        let known = self.workers.get(index);
+        if known.is_none_or(|known| known.endpoint.started_at_us != endpoint.started_at_us) {
+            // A new process: what an old one held or did wrong is void, but its machine is as fast as before.
+            let (incarnation, log_slowness) = known
+                .map(|former| (former.incarnation + 1, former.log_slowness))
+                .unwrap_or_default();
+            let capacity_share = self.capacity_share(now, &endpoint);
+            let chance = self.rng.random();
+            let slow_start = SlowStart::begin(now, capacity_share, chance, self.work.mean);
+            let worker = Worker::new(incarnation, log_slowness, self.best_workers.len());
+            let replaced = index..self.workers.len().min(index + 1);
+            self.workers.splice(replaced.clone(), [worker]);
+            self.slow_starts.splice(replaced, [slow_start]);
+        }
+        self.workers[index].endpoint = endpoint;
     }
-}
 
-/// Placement: whether the worker is among the permitted destinations, whatever state they are in.
-fn open_to(set: &Settings, opening: usize, e: &Endpoint) -> bool {
-    let Some(class) = opening.checked_sub(1).map(|c| &set.classes[c]) else {
-        return true;
-    };
-    class.required_kind.is_none_or(|k| k == e.kind)
-        && class
-            .permitted_kinds
-            .as_ref()
-            .is_none_or(|kinds| kinds.contains(&e.kind))
-        && class
-            .permitted_zones
-            .as_ref()
-            .is_none_or(|zones| zones.contains(&e.zone))
+    /// Where the endpoint list must be polled, does so within one over `divisor` of the longest interval, at random:
+    /// hundreds of dispatchers may want it at once.
+    fn schedule_poll(&mut self, divisor: Micros, actions: &mut Vec<Action>) {
+        if self.settings.discovery_must_be_polled {
+            let span_us = self.settings.max_discovery_interval_us / divisor;
+            let delay_us = self.rng.random_range(span_us / 8..=span_us);
+            actions.push(Timer::Discovery.after(delay_us));
+        }
+    }
 }
 
-/// Early cancel of the attempts named that are still out.
-fn cancel(set: &Settings, job: &mut Job, which: impl Fn(usize) -> bool, out: &mut Vec<Action>) {
-    for (i, a) in job.attempts.iter_mut().enumerate() {
-        if set.may_cancel && a.end.is_none() && !a.cancelled && which(i) {
-            a.cancelled = true;
-            out.push(Action::Cancel {
-                job: job.request.job,
-                attempt: i as u32,
-            });
-        }
+/// Placement: whether the endpoint is among the permitted ones, whatever state it is in.
+fn permits(classes: &[Class], placement: PlacementGroup, endpoint: &Endpoint) -> bool {
+    match placement {
+        PlacementGroup::Unconstrained => true,
+        PlacementGroup::Class(class) => classes[class].permits(endpoint),
     }
 }
--- a/src/balance/ranking.rs
+++ b/src/balance/ranking.rs
@@ -1,267 +1,248 @@
-//! Which worker: own jobs there, what is added to the count, and what forbids it. See `src/interface.rs`.
-
-use super::{open_to, ramp::Part, Balancer, CHARGE};
-use crate::interface::*;
-use crate::state::*;
-use rand::seq::*;
+//! Which worker: own jobs there, what is added to the count, and what forbids it. See `src/interface/mod.rs`.
+
+use super::{permits, slow_start::SlowStartShare, Balancer, FAILURE_PENALTY};
+use crate::interface::{
+    AttemptOutcome, DeduplicationScope, Endpoint, EndpointState, JobId, Micros, Repeatability,
+    WeightMeaning, WorkerId,
+};
+use crate::state::{decayed, Attempt, Job, MachineKind, PoolKey, Worker, RATE_TIME_CONSTANT_US};
+use rand::seq::{IndexedRandom, SliceRandom};
 use std::f64::consts::LN_2;
 
-/// Workers sampled for a ranking, from the own zone and from all alike: few, so cost follows the sample.
-const SAMPLE: usize = 6;
-/// Jobs that a worker of another zone must be ahead by: a crossing costs little beside a wait.
-const CROSSING: f64 = 0.25;
-/// Jobs ahead that cost about the whole worth of a request: they weigh what a new connection costs.
-const WORTH: f64 = 5.0;
-/// A job may cost this many times what its class costs on average; a cold worker must bear that.
-const HEAVY: f64 = 3.0;
+/// Workers sampled for a ranking, from the local zone and from all alike: few, so cost follows the sample.
+const SAMPLE_SIZE: usize = 6;
+/// Jobs that a worker of another zone must be ahead by: crossing zones costs little beside a wait.
+const OTHER_ZONE_COST: f64 = 0.25;
+/// Jobs ahead that cost about the whole value of a request: they weigh what a new connection costs.
+const JOBS_PER_REQUEST_VALUE: f64 = 5.0;
+/// A job may cost this many times what its class costs on average; a worker that warms up must bear that.
+const HEAVY_JOB_MULTIPLE: f64 = 3.0;
 
 impl Balancer {
-    /// Own jobs at the worker; in jobs too, its charges and, to break ties, others' load, slowness, distance.
-    pub(super) fn rank(&self, now: Micros, id: u32, class: usize) -> f64 {
-        let w = &self.workers[id as usize];
-        let crossing = if w.entry.zone == self.set.local_zone {
-            0.0
-        } else {
-            CROSSING
-        };
-        let connecting =
-            f64::from(w.out >= w.carries(now, &self.set)) * WORTH * self.set.connection_cost;
-        let others = (self.load_of(now, w) + 0.5) * self.slowness(w);
-        w.out as f64
-            + self.charge_of(now, w, class)
-            + self.charge_of(now, w, self.best.len())
-            + others
-            + crossing
-            + connecting
+    /// Own jobs at the worker; in jobs too, its penalties and, to break ties, load by others, slowness, distance.
+    pub(super) fn rank(&self, now: Micros, id: WorkerId, class: usize) -> f64 {
+        let worker = &self.workers[id.index()];
+        let is_local = worker.endpoint.zone == self.settings.local_zone;
+        let zone_cost = if is_local { 0.0 } else { OTHER_ZONE_COST };
+        let connects = worker.in_flight >= worker.connection_capacity(now, &self.settings);
+        let connection_cost =
+            f64::from(connects) * JOBS_PER_REQUEST_VALUE * self.settings.connection_cost;
+        let load_of_others = (self.load(now, worker) + 0.5) * self.slowness(worker);
+        f64::from(worker.in_flight)
+            + self.penalty(now, worker, class)
+            + self.penalty(now, worker, self.all_classes())
+            + load_of_others
+            + zone_cost
+            + connection_cost
+    }
+
+    /// Index of the penalty that counts for all classes.
+    pub(super) fn all_classes(&self) -> usize {
+        self.best_workers.len()
     }
 
-    /// What speaks against a worker for a class: what was seen fades to what is usual for the class.
-    pub(super) fn charge_of(&self, now: Micros, w: &Worker, class: usize) -> f64 {
-        let usual = self.fails.get(class).map_or(0.0, |f| f.mean * CHARGE);
-        fading(
-            w.charges[class],
-            usual,
-            now,
-            self.set.warm_up_us.max(1_000_000) as f64 / LN_2,
-        )
+    /// Penalty of a worker for a class, or for all: what was observed decays to what is usual for the class.
+    pub(super) fn penalty(&self, now: Micros, worker: &Worker, class: usize) -> f64 {
+        let failure_rate = self.failure_rates.get(class);
+        let usual = failure_rate.map_or(0.0, |rate| rate.mean * FAILURE_PENALTY);
+        let half_life_us = self.settings.warm_up_us.max(1_000_000) as f64;
+        decayed(worker.penalties[class], usual, now, half_life_us / LN_2)
     }
 
-    /// Load by others: what was seen fades to the usual of its kind; one for all would jam fast ones unseen.
-    pub(super) fn load_of(&self, now: Micros, w: &Worker) -> f64 {
-        let usual = self.kinds.get(&w.entry.kind).map_or(0.0, |k| k.load.mean);
-        fading(
-            w.seen,
-            (1.0 + usual) * self.held(w) - 1.0,
-            now,
-            2.0 * self.work.mean,
-        )
+    /// Load by others: what was observed decays to the usual of its kind; one for all would overload the fast ones.
+    pub(super) fn load(&self, now: Micros, worker: &Worker) -> f64 {
+        let kind = self.kinds.get(&worker.endpoint.kind);
+        let usual = kind.map_or(0.0, |kind| kind.load.mean);
+        let baseline = (1.0 + usual) * self.weighted_load(worker) - 1.0;
+        decayed(worker.observed_load, baseline, now, 2.0 * self.work.mean)
     }
 
-    /// Where only those asked tell their load, a live weight tells it of all: size over one and jobs held.
-    pub(super) fn held(&self, w: &Worker) -> f64 {
-        let live = self.set.weight_meaning == WeightMeaning::Live && self.set.reports_only_on_probe;
-        self.pools.size(w).max(0.1).powi(-i32::from(live))
+    /// Where only probed workers report load, a live weight tells it of all: size over one and the jobs held.
+    fn weighted_load(&self, worker: &Worker) -> f64 {
+        let is_live = self.settings.weight_meaning == WeightMeaning::Live;
+        let exponent = -i32::from(is_live && self.settings.reports_only_on_probe);
+        self.pools.relative_weight(worker).max(0.1).powi(exponent)
     }
 
-    pub(super) fn slots(&self, w: &Worker) -> f64 {
-        self.kinds.get(&w.entry.kind).map_or(1.0, Kind::slots)
+    pub(super) fn slots(&self, worker: &Worker) -> f64 {
+        let kind = self.kinds.get(&worker.endpoint.kind);
+        kind.map_or(1.0, MachineKind::slots)
     }
 
-    /// Running time here over the usual: of the worker, while little is known of its kind, then as listed.
-    pub(super) fn slowness(&self, w: &Worker) -> f64 {
-        let listed = -(self.pools.size(w) * self.held(w))
-            .max(1e-9)
-            .ln()
-            .clamp(-1.0, 1.0);
-        let kind = self
-            .kinds
-            .get(&w.entry.kind)
-            .map_or(listed, |k| k.slow.or(listed));
-        w.slow.or(kind).exp()
+    /// Running time here over the usual: its own; while little is known of it, that of its kind; then as listed.
+    pub(super) fn slowness(&self, worker: &Worker) -> f64 {
+        let size = self.pools.relative_weight(worker) * self.weighted_load(worker);
+        let listed = -size.max(1e-9).ln().clamp(-1.0, 1.0);
+        let kind = self.kinds.get(&worker.endpoint.kind);
+        let of_kind = kind.map_or(listed, |kind| kind.log_slowness.with_prior(listed));
+        worker.log_slowness.with_prior(of_kind).exp()
     }
 
-    pub(super) fn sort(&self, now: Micros, class: usize, workers: &mut [u32]) {
-        workers.sort_by_cached_key(|&w| (self.rank(now, w, class) * 1e6) as i64);
+    pub(super) fn sort_by_rank(&self, now: Micros, class: usize, workers: &mut [WorkerId]) {
+        workers.sort_by_cached_key(|&worker| (self.rank(now, worker, class) * 1e6) as i64);
     }
 
-    /// Eligible workers for the next attempt of a job, lowest rank first: a sample and the best remembered.
-    pub(super) fn ranked(&mut self, now: Micros, id: JobId) -> Vec<u32> {
+    /// Eligible workers for the next attempt of a job, lowest rank first: those that it prefers, else a sample and the
+    /// best remembered, else any.
+    pub(super) fn candidates(&mut self, now: Micros, id: JobId) -> Vec<WorkerId> {
         let Some(job) = self.jobs.get(&id) else {
             return Vec::new();
         };
-        let first = self
-            .bound(job)
-            .map(|a| &self.workers[a.worker as usize].entry);
-        let pool = match (self.set.classes[job.class].repeatability, first) {
-            (
-                Repeatability::IdempotentByKey {
-                    scope: DeduplicationScope::Cell,
-                    ..
-                },
-                Some(e),
-            ) => Pool::Cell(job.open, e.cell),
-            (
-                Repeatability::IdempotentByKey {
-                    scope: DeduplicationScope::Zone,
-                    ..
-                },
-                Some(e),
-            ) => Pool::Zone(job.open, e.zone),
-            _ => Pool::All(job.open),
-        };
-        let (all, best) = (self.pools.of(pool), &self.best[job.class]);
-        let own_zone = Pool::Zone(job.open, self.set.local_zone);
-        let near = self.pools.of(if matches!(pool, Pool::All(_)) {
-            own_zone
-        } else {
-            pool
-        });
-        // Away from its homes a subject's data must be fetched; of workers not asked no load is known.
-        let known = if job.homes.is_empty() && self.set.reports_only_on_probe {
+        let all = self.pools.workers(self.permitted_pool(job));
+        let best = &self.best_workers[job.class];
+        // Away from its affinity workers a subject's data must be fetched; of workers not probed no load is known.
+        let only_best = job.affinity_workers.is_empty() && self.settings.reports_only_on_probe;
+        let preferred = if only_best {
             best
         } else {
-            &job.homes
+            &job.affinity_workers
         };
-        let mut picks: Vec<u32> = known
-            .iter()
-            .copied()
-            .filter(|&w| self.eligible(now, job, w))
-            .collect();
-        if picks.is_empty() {
-            let cold = |w: &u32| self.present_share(now, &self.workers[*w as usize].entry) < 1.0;
-            let cold = all
-                .iter()
-                .copied()
-                .filter(|w| cold(w) && self.eligible(now, job, *w));
-            picks = cold.collect(); // those with credit are few, and stand idle
-            picks.extend(all.choose_multiple(&mut self.rng, SAMPLE));
-            picks.extend(near.choose_multiple(&mut self.rng, SAMPLE));
-            picks.extend(best);
-            picks.retain(|&w| self.eligible(now, job, w));
-            picks.sort_unstable();
-            picks.dedup();
+        let is_eligible = |worker: &WorkerId| self.is_eligible(now, job, *worker);
+        let mut candidates: Vec<WorkerId> = preferred.iter().copied().filter(is_eligible).collect();
+        if candidates.is_empty() {
+            let near = match self.permitted_pool(job) {
+                PoolKey::Fleet(placement) => PoolKey::Zone(placement, self.settings.local_zone),
+                pool => pool,
+            };
+            let near = self.pools.workers(near);
+            // Those that warm up and have credit are few, and idle.
+            let is_warming_up = |worker: &WorkerId| {
+                self.capacity_share(now, &self.workers[worker.index()].endpoint) < 1.0
+            };
+            candidates.extend(all.iter().filter(|worker| is_warming_up(worker)));
+            candidates.extend(all.choose_multiple(&mut self.rng, SAMPLE_SIZE));
+            candidates.extend(near.choose_multiple(&mut self.rng, SAMPLE_SIZE));
+            candidates.extend(best);
+            candidates.retain(|&worker| self.is_eligible(now, job, worker));
+            candidates.sort_unstable();
+            candidates.dedup();
         }
-        if picks.is_empty() {
-            picks = all
-                .iter()
-                .copied()
-                .filter(|&w| self.eligible(now, job, w))
-                .take(SAMPLE)
-                .collect();
+        if candidates.is_empty() {
+            let is_eligible = |worker: &WorkerId| self.is_eligible(now, job, *worker);
+            candidates.extend(all.iter().copied().filter(is_eligible).take(SAMPLE_SIZE));
+        }
+        candidates.shuffle(&mut self.rng); // ties are broken at random
+        self.sort_by_rank(now, job.class, &mut candidates);
+        candidates
+    }
+
+    /// The pool that the next attempt may go to.
+    fn permitted_pool(&self, job: &Job) -> PoolKey {
+        let first = self.first_possible_run(job);
+        let first = first.map(|attempt| &self.workers[attempt.worker.index()].endpoint);
+        match (self.settings.classes[job.class].repeatability, first) {
+            (Repeatability::IdempotentByKey { scope, .. }, Some(first)) => match scope {
+                DeduplicationScope::All => PoolKey::Fleet(job.placement),
+                DeduplicationScope::Zone => PoolKey::Zone(job.placement, first.zone),
+                DeduplicationScope::Cell => PoolKey::Cell(job.placement, first.cell),
+            },
+            _ => PoolKey::Fleet(job.placement),
         }
-        picks.shuffle(&mut self.rng); // ties go at random
-        self.sort(now, job.class, &mut picks);
-        picks
     }
 
     /// All that may forbid an attempt at this worker; the one sending place asks again.
-    pub(super) fn eligible(&self, now: Micros, job: &Job, id: u32) -> bool {
-        let w = &self.workers[id as usize];
-        w.entry.state == EndpointState::Ready
-            && open_to(&self.set, job.open, &w.entry)
-            && !job
-                .attempts
-                .iter()
-                .any(|a| a.worker == id && a.life == w.life)
-            && (self.set.may_duplicate || !job.is_out())
+    pub(super) fn is_eligible(&self, now: Micros, job: &Job, id: WorkerId) -> bool {
+        let worker = &self.workers[id.index()];
+        worker.endpoint.state == EndpointState::Ready
+            && permits(&self.settings.classes, job.placement, &worker.endpoint)
+            && !job.has_tried(id, worker.incarnation)
+            && (self.settings.may_duplicate || !job.is_in_flight())
             && self
-                .bound(job)
-                .is_none_or(|a| self.bears(now, job, a, &w.entry))
-            && self.cold_room(now, job, w)
+                .first_possible_run(job)
+                .is_none_or(|first| self.permits_repeat(now, job, first, &worker.endpoint))
+            && self.slow_start_admits(now, job, id)
     }
 
-    /// The first attempt that may have run, copies still out included: it fixes a keyed job's group, window,
-    /// and an unsafe job's only try. Where workers shed what they had begun, 'full' proves nothing.
-    pub(super) fn bound<'a>(&self, job: &'a Job) -> Option<&'a Attempt> {
-        job.attempts.iter().find(|a| !self.never_ran(a))
+    /// The first attempt that may have run, those in flight included: it fixes the deduplication group and window of a
+    /// job that is idempotent by its key, and is the only one of a job that must not run twice.
+    pub(super) fn first_possible_run<'job>(&self, job: &'job Job) -> Option<&'job Attempt> {
+        job.attempts.iter().find(|attempt| !self.never_ran(attempt))
     }
 
-    fn never_ran(&self, a: &Attempt) -> bool {
-        matches!(
-            a.end,
-            Some(AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent)
-        ) || a.end == Some(AttemptOutcome::Shed) && !self.set.shed_may_have_run
+    fn never_ran(&self, attempt: &Attempt) -> bool {
+        match attempt.outcome {
+            Some(AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent) => true,
+            Some(AttemptOutcome::Shed) => !self.settings.shed_may_have_run,
+            _ => false,
+        }
     }
 
-    /// Whether a job's class bears an attempt there after, or beside, one that may have run.
-    fn bears(&self, now: Micros, job: &Job, a: &Attempt, e: &Endpoint) -> bool {
-        let first = &self.workers[a.worker as usize].entry;
-        match self.set.classes[job.class].repeatability {
+    /// Whether a job's class permits an attempt there after, or beside, one that may have run.
+    fn permits_repeat(&self, now: Micros, job: &Job, first: &Attempt, endpoint: &Endpoint) -> bool {
+        let first_endpoint = &self.workers[first.worker.index()].endpoint;
+        match self.settings.classes[job.class].repeatability {
             Repeatability::Idempotent => true,
             Repeatability::AtMostOnce => false,
             Repeatability::IdempotentByKey { scope, window_us } => {
-                (scope != DeduplicationScope::Zone || first.zone == e.zone)
-                    && (scope != DeduplicationScope::Cell || first.cell == e.cell)
-                    && now < a.sent.saturating_add(window_us)
+                (scope != DeduplicationScope::Zone || first_endpoint.zone == endpoint.zone)
+                    && (scope != DeduplicationScope::Cell || first_endpoint.cell == endpoint.cell)
+                    && now < first.sent_at.saturating_add(window_us)
             }
         }
     }
 
-    /// Whether an attempt that was decided on may still begin. Asked when its connection is there, which may
-    /// be late: by then the job may be answered, the worker leaving or another life, and a window over.
+    /// Whether an attempt that was decided on may still begin. To be asked when its connection is there, which may be
+    /// late: by then the job may be answered, the worker draining or restarted, and a deduplication window over.
     pub fn may_begin(&self, now: Micros, job: JobId, attempt: u32) -> bool {
-        let found = self
-            .jobs
-            .get(&job)
-            .and_then(|j| Some((j, j.attempts.get(attempt as usize)?)));
-        let open = |(j, a): &(&Job, &Attempt)| {
-            !j.answered && !j.time_is_up(now) && a.waits() && !a.cancelled
-        };
-        let Some((job, a)) = found.filter(open) else {
+        let job = self.jobs.get(&job);
+        let found = job.and_then(|job| Some((job, job.attempts.get(attempt as usize)?)));
+        let Some((job, attempt)) = found.filter(|(job, _)| !job.answered && !job.is_expired(now))
+        else {
             return false;
         };
-        let w = &self.workers[a.worker as usize];
-        let mut others = job
-            .attempts
-            .iter()
-            .filter(|b| !std::ptr::eq(*b, a) && !self.never_ran(b));
-        w.entry.state == EndpointState::Ready
-            && w.life == a.life
-            && others.all(|b| self.bears(now, job, b, &w.entry))
-    }
-
-    /// Guards a cold worker: nothing that could be too heavy for it alone, and no more than its present share
-    /// of what a warm one gets from here. If all keep to that it gets a warm one's load for its capacity.
-    pub(super) fn cold_room(&self, now: Micros, job: &Job, w: &Worker) -> bool {
-        let share = self.present_share(now, &w.entry);
-        let bearable = share * self.set.overload_multiple * self.set.overload_tolerance_us as f64;
-        share >= 1.0
-            || (self.work_of(job) * HEAVY <= bearable
-                && w.ramp.left(now, self.part_of(now, w)) >= 0.0)
-    }
-
-    pub(super) fn present_share(&self, now: Micros, e: &Endpoint) -> f64 {
-        let warm = now.saturating_sub(e.started_at_us) as f64 / self.set.warm_up_us.max(1) as f64;
-        let warm = if e.started_at_us == 0 {
+        let worker = &self.workers[attempt.worker.index()];
+        let is_other = |other: &&Attempt| !std::ptr::eq(*other, attempt) && !self.never_ran(other);
+        let mut others = job.attempts.iter().filter(is_other);
+        attempt.is_waiting()
+            && !attempt.cancelled
+            && worker.endpoint.state == EndpointState::Ready
+            && worker.incarnation == attempt.incarnation
+            && others.all(|other| self.permits_repeat(now, job, other, &worker.endpoint))
+    }
+
+    /// Slow start: nothing that could be too heavy for the worker alone, and no more than its present share of what a
+    /// warm one gets from here. If all dispatchers keep to that it gets a warm one's load for its capacity.
+    fn slow_start_admits(&self, now: Micros, job: &Job, id: WorkerId) -> bool {
+        let worker = &self.workers[id.index()];
+        let capacity_share = self.capacity_share(now, &worker.endpoint);
+        let tolerated = capacity_share
+            * self.settings.overload_multiple
+            * self.settings.overload_tolerance_us as f64;
+        let credit =
+            || self.slow_starts[id.index()].credit(now, self.slow_start_share(now, worker));
+        capacity_share >= 1.0
+            || (self.expected_work(job) * HEAVY_JOB_MULTIPLE <= tolerated && credit() >= 0.0)
+    }
+
+    /// The part of its capacity that a worker has by its age.
+    pub(super) fn capacity_share(&self, now: Micros, endpoint: &Endpoint) -> f64 {
+        let age_us = now.saturating_sub(endpoint.started_at_us) as f64;
+        let warmth = (age_us / self.settings.warm_up_us.max(1) as f64).min(1.0);
+        let warmth = if endpoint.started_at_us == 0 {
             1.0
         } else {
-            warm.min(1.0)
+            warmth
         };
-        self.set.start_capacity + (1.0 - self.set.start_capacity) * warm
+        self.settings.start_capacity + (1.0 - self.settings.start_capacity) * warmth
     }
 
-    /// This dispatcher's part of a cold worker.
-    pub(super) fn part_of(&self, now: Micros, w: &Worker) -> Part {
-        let size = if self.set.weight_meaning == WeightMeaning::Size {
-            self.pools.size(w)
-        } else {
-            1.0
+    /// This dispatcher's share of a worker that warms up.
+    pub(super) fn slow_start_share(&self, now: Micros, worker: &Worker) -> SlowStartShare {
+        let size = match self.settings.weight_meaning {
+            WeightMeaning::Size => self.pools.relative_weight(worker),
+            WeightMeaning::Off | WeightMeaning::Live => 1.0,
         };
-        let usual = self.rates.work / RATE_US / self.pools.of(Pool::All(0)).len() as f64 * size;
-        Part::of(
-            &self.set,
-            self.slots(w),
-            self.present_share(now, &w.entry),
-            usual,
-            self.work.mean,
-        )
-    }
-
-    /// Work expected of a job: its hint, or the usual of its class; at first the aim, which is of that order.
-    pub(super) fn work_of(&self, job: &Job) -> f64 {
-        job.request
-            .expected_work_us
-            .map_or(self.run[job.class].0.mean, |h| h as f64)
-            .max(1.0)
+        let workers = self.pools.fleet_size() as f64;
+        let usual = self.rates.work / RATE_TIME_CONSTANT_US / workers * size;
+        let capacity_share = self.capacity_share(now, &worker.endpoint);
+        let slots = self.slots(worker);
+        SlowStartShare::new(&self.settings, slots, capacity_share, usual, self.work.mean)
+    }
+
+    /// Work expected of a job: the client's hint, or the usual of its class; at first the latency target.
+    pub(super) fn expected_work(&self, job: &Job) -> f64 {
+        let usual = self.running_times[job.class].mean;
+        let hint_us = job.request.expected_work_us;
+        hint_us.map_or(usual, |work_us| work_us as f64).max(1.0)
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -76,7 +76,7 @@
 use tenants::{NoTenant, Tenants};
 
 use crate::counters::Counters;
-use crate::interface::*;
+use crate::interface::{Class, ClassId, JobId, LoadReport, Micros, Repeatability, WorkerId};
 use crate::settings::Site;
 use crate::Balancer;
 use std::cmp::Reverse;
@@ -245,7 +245,7 @@
                 .filter(keyed)
                 .for_each(|c| c.repeatability = Repeatability::AtMostOnce);
         }
-        self.balancer.retune(self.site.settings.clone());
+        self.balancer.update_settings(self.site.settings.clone());
         Ok(added)
     }
 
--- a/src/core/pool.rs
+++ b/src/core/pool.rs
@@ -1,7 +1,7 @@
 //! Pool configs: which workers there are, by the source that tells of them.
 
 use super::{Core, Input, Member, Worker};
-use crate::interface::*;
+use crate::interface::{Endpoint, EndpointState, Event, LoadReport, WorkerId};
 
 impl Core {
     /// A pool config, or the changes to one. `source` is the driver that reaches these workers.
--- a/src/core/repeats.rs
+++ b/src/core/repeats.rs
@@ -1,7 +1,7 @@
 //! Keyed operations that may have run: what is remembered of them, so that a repeat does not run again.
 
 use super::{Answer, Core};
-use crate::interface::*;
+use crate::interface::{JobId, Micros};
 
 /// Most results kept for repeats of keyed operations, in bytes.
 pub(super) const KEPT_BYTES: usize = 8 << 20;
--- a/src/core/steps.rs
+++ b/src/core/steps.rs
@@ -1,7 +1,7 @@
 //! Route steps: what the decisions ask for goes to the drivers, what drivers tell goes to the decisions.
 
 use super::{Answer, Core, Due, Ending, Input, RouteStep, StepId, StepNews};
-use crate::interface::*;
+use crate::interface::{Action, AttemptEnd, Event, JobId, Micros, WorkerId};
 
 impl Core {
     /// What a driver tells of a step, as an event; none if the step has ended before.
--- a/src/core/turn.rs
+++ b/src/core/turn.rs
@@ -1,7 +1,7 @@
 //! The batch loop: timers that are due and what has come in are fed to the decisions, and what they decide is carried out.
 
 use super::{Answer, Core, Due, Ending, Input, StepId, StepNews, Taken};
-use crate::interface::*;
+use crate::interface::{Action, Event, JobId, Micros, Request, TenantId};
 use crate::settings::mark;
 use std::cmp::Reverse;
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -17,7 +17,11 @@
 //!   it events with the time and carries out the actions it gets back, as here:
 //!
 //! ```
-//! use streamusher::{interface::*, Balancer};
+//! use streamusher::interface::{
+//!     Action, AttemptEnd, AttemptOutcome, Class, ClassId, Endpoint, EndpointState, Event, JobId, KindId, Request,
+//!     Settings, WorkerId, ZoneId,
+//! };
+//! use streamusher::Balancer;
 //!
 //! let settings = Settings {
 //!     classes: vec![Class { latency_target_us: 100_000, deadline_us: 2_000_000, ..Class::default() }],
@@ -90,6 +94,6 @@
 pub mod telemetry;
 pub mod wire;
 
-pub use balance::ramp::{Part, Ramp};
 pub use balance::Balancer;
+pub use balance::{SlowStart, SlowStartShare};
 pub use runtime::run;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -2,7 +2,10 @@
 //!
 //! Both are handed the same object: the adapter in its first message, the daemon in its configuration.
 
-use crate::interface::*;
+use crate::interface::{
+    Class, DeduplicationScope, Endpoint, KindId, LoadReport, Micros, Repeatability, Settings,
+    Tenant, WeightMeaning, WorkerId, ZoneId,
+};
 use crate::net::request::ClassInfo;
 use serde::Deserialize;
 use std::collections::HashMap;
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -2,7 +2,10 @@
 //!
 //! Many dispatchers may share one process, but nothing else: each has its own tables of names and workers.
 
-use crate::interface::*;
+use crate::interface::{
+    Action, AttemptEnd, AttemptOutcome, ClassId, Endpoint, EndpointState, Event, JobId, Request,
+    TenantId, WorkerId,
+};
 use crate::settings::{mark, Setup, Site};
 use crate::Balancer;
 use serde::{Deserialize, Serialize};
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,11 @@
 //! Shared by the tests: a small site, one dispatcher and short words for events.
 #![allow(dead_code)]
 
-use streamusher::{interface::*, Balancer};
+use streamusher::interface::{
+    Action, AttemptEnd, AttemptOutcome, Class, ClassId, DeduplicationScope, Endpoint, Event, JobId,
+    KindId, Micros, Repeatability, Request, Settings, WorkerId, ZoneId,
+};
+use streamusher::Balancer;
 
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,8 +1,14 @@
 //! Failures that were found, each answered in the module.
 
 mod common;
-use common::*;
-use streamusher::interface::*;
+use common::{
+    arrival, cancels, entry, failed, patient, refused, sends, settings, started, Desk, FREE, KEYED,
+    KEYED_ALL, MS, ONCE, SECOND,
+};
+use streamusher::interface::{
+    Action, AttemptEnd, AttemptOutcome, Endpoint, EndpointState, Event, JobId, KindId, LoadReport,
+    Request, Settings, Tenant, TenantId, WeightMeaning, WorkerId, ZoneId,
+};
 
 /// A worker that fails at once empties its count, ranks lowest and would draw every next job.
 #[test]
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -1,8 +1,12 @@
 //! The mechanism: ranking, n, early cancel, ties, retries, memory.
 
 mod common;
-use common::*;
-use streamusher::interface::*;
+use common::{
+    arrival, cancels, ended, entry, patient, sends, started, Desk, FREE, KEYED, MS, ONCE, SECOND,
+};
+use streamusher::interface::{
+    Action, AttemptOutcome, Endpoint, EndpointState, Event, LoadReport, Request, Settings, WorkerId,
+};
 
 #[test]
 fn one_copy_while_nothing_of_ours_waits() {
--- a/tests/policy_files.rs
+++ b/tests/policy_files.rs
@@ -67,7 +67,7 @@
         );
         let first = text.lines().next().unwrap_or_default();
         assert!(
-            first.contains("src/interface.rs"),
+            first.contains("src/interface/mod.rs"),
             "{file}: the interface is named at the top"
         );
     }
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -2,12 +2,17 @@
 //! speeds: what happens to an attempt, and when, is drawn from a seeded generator.
 
 mod common;
-use common::*;
+use common::{ended, entry, patient, settings, started, KEYED, SECOND};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
-use streamusher::{interface::*, Balancer};
+use streamusher::interface::{
+    Action, AttemptEnd, AttemptOutcome, ClassId, DeduplicationScope, Endpoint, EndpointState,
+    Event, JobId, KindId, LoadReport, Micros, Repeatability, Request, Settings, TenantId, WorkerId,
+    ZoneId,
+};
+use streamusher::Balancer;
 
 struct Sent {
     worker: u32,
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -3,12 +3,12 @@
 
 mod common;
 
-use common::*;
+use common::{entry, patient, sends, settings, Desk, FREE, MS, ONCE, SECOND};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
-use streamusher::interface::*;
-use streamusher::{Part, Ramp};
+use streamusher::interface::{AttemptOutcome, Endpoint, Micros, Settings};
+use streamusher::{SlowStart, SlowStartShare};
 
 const START: f64 = 0.34;
 const WARM: Micros = 9 * SECOND;
@@ -74,8 +74,8 @@
             .map(|_| rng.random::<f64>().powf(unevenness))
             .collect();
         let all: f64 = traffic.iter().sum();
-        let mut ramps: Vec<Ramp> = (0..fleet)
-            .map(|_| Ramp::begin(0, START, rng.random(), call))
+        let mut ramps: Vec<SlowStart> = (0..fleet)
+            .map(|_| SlowStart::begin(0, START, rng.random(), call))
             .collect();
         let mut sent = Vec::new();
         for now in (0..WARM).step_by(5_000) {
@@ -87,8 +87,8 @@
                     Demand::Sparse => rng.random::<f64>() < t / all * 60.0 * 0.005,
                 };
                 let usual = slots * t / all;
-                let part = Part::of(&set, slots, share(now), usual, call);
-                if wants && ramp.left(now, part) >= 0.0 {
+                let part = SlowStartShare::new(&set, slots, share(now), usual, call);
+                if wants && ramp.credit(now, part) >= 0.0 {
                     ramp.spend(now, part, call);
                     sent.push(now);
                 }
@@ -116,11 +116,11 @@
     };
     let (mut sent, mut parts) = (0u32, 0.0);
     for seed in 0..u64::from(fleet) {
-        let mut ramp = Ramp::begin(0, START, Pcg64Mcg::seed_from_u64(seed).random(), call);
+        let mut ramp = SlowStart::begin(0, START, Pcg64Mcg::seed_from_u64(seed).random(), call);
         for now in (0..2 * SECOND).step_by(5_000) {
-            let part = Part::of(&set, slots, START, 0.0, call);
+            let part = SlowStartShare::new(&set, slots, START, 0.0, call);
             parts += 0.8 * slots * START / f64::from(fleet) * 5_000.0 / call;
-            if ramp.left(now, part) >= 0.0 {
+            if ramp.credit(now, part) >= 0.0 {
                 ramp.spend(now, part, call);
                 sent += 1;
             }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,8 +1,14 @@
 //! The four rules, case by case.
 
 mod common;
-use common::*;
-use streamusher::interface::*;
+use common::{
+    arrival, cancels, ended, entry, failed, patient, refused, sends, settings, Desk, FREE, KEYED,
+    KEYED_ALL, MS, ONCE, SECOND,
+};
+use streamusher::interface::{
+    Action, AttemptOutcome, Class, Endpoint, EndpointState, Event, JobId, KindId, Request,
+    Settings, ZoneId,
+};
 
 #[test]
 fn the_time_out_at_the_deadline_still_owes_an_answer() {
