--- a/src/balance/admission.rs
+++ b/src/balance/admission.rs
@@ -114,12 +114,13 @@
         };
         let target_us = self.settings.shortest_latency_target_us();
         let retry_after_us = target_us.min(self.settings.max_retry_after_us);
-        actions.push(match self.may_reject(job) {
-            true => Action::Reject {
+        actions.push(if self.may_reject(job) {
+            Action::Reject {
                 job: id,
                 retry_after_us,
-            },
-            false => Action::Fail { job: id },
+            }
+        } else {
+            Action::Fail { job: id }
         });
         self.finish(id, actions);
     }
@@ -127,10 +128,11 @@
     /// Whether the rules permit a rejection, after which the client may ask again.
     pub(super) fn may_reject(&self, job: &Job) -> bool {
         match self.settings.classes[job.class].repeatability {
-            Repeatability::Idempotent => true,
-            Repeatability::IdempotentByKey { scope, .. } if scope == DeduplicationScope::All => {
-                true
-            }
+            Repeatability::Idempotent
+            | Repeatability::IdempotentByKey {
+                scope: DeduplicationScope::All,
+                ..
+            } => true,
             _ => self.first_possible_run(job).is_none(),
         }
     }
--- a/src/balance/fan_out.rs
+++ b/src/balance/fan_out.rs
@@ -12,7 +12,7 @@
 const SPARE_CAPACITY_SHARE: f64 = 0.35;
 
 /// Where a further copy may go.
-#[derive(PartialEq)]
+#[derive(Clone, Copy, PartialEq)]
 enum CopyTarget {
     AnyWorker,
     IdleWorker,
@@ -31,6 +31,7 @@
     }
 
     /// The most copies that the class and the settings permit, fewer as copies waste work (Claim 1).
+    #[allow(clippy::cast_possible_truncation, reason = "at most MAX_COPIES")]
     fn max_copies(&self, job: &Job) -> usize {
         let repeatability = self.settings.classes[job.class].repeatability;
         let may_fork = self.settings.may_cancel && repeatability != Repeatability::AtMostOnce;
@@ -110,13 +111,15 @@
     }
 
     /// How long a job may be in flight before it counts as waiting: longer each time.
+    #[allow(clippy::cast_possible_truncation, reason = "as saturates")]
     fn schedule_recheck(&mut self, now: Micros, id: JobId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        let usual_us = match self.settings.notifies_start {
-            true => self.start_delay_us + self.settings.batch_interval_us as f64,
-            false => self.expected_work(job),
+        let usual_us = if self.settings.notifies_start {
+            self.start_delay_us + self.settings.batch_interval_us as f64
+        } else {
+            self.expected_work(job)
         };
         let multiple = f64::from(2u32 << job.missed_starts.min(8));
         let futile_in_us = self
@@ -132,6 +135,7 @@
 
     /// When a job that has not begun can only run in vain and delay those behind it: where a late answer is worth
     /// nothing, a cancel frees its place, and the client does not ask again for what failed.
+    #[allow(clippy::cast_possible_truncation, reason = "as saturates")]
     fn futile_from(&self, job: &Job) -> Option<Micros> {
         let (class, work) = (&self.settings.classes[job.class], self.expected_work(job));
         let is_bounded = self.settings.may_cancel
--- a/src/balance/learning.rs
+++ b/src/balance/learning.rs
@@ -48,7 +48,7 @@
     pub(super) fn on_stream_began(&mut self, id: JobId, attempt: u32, actions: &mut Vec<Action>) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.streaming = true;
-            job.cancel_attempts(&self.settings, |index| index != attempt as usize, actions);
+            job.cancel_attempts(&self.settings, |number| number != attempt, actions);
         }
     }
 
@@ -71,7 +71,10 @@
             let Some(kept) = running.choose(&mut self.rng) else {
                 continue;
             };
-            let is_cancelled = |index: usize| index != kept && !may_go_on[index];
+            let is_cancelled = |number: u32| {
+                let index = number as usize;
+                index != kept && !may_go_on[index]
+            };
             let job = self.jobs.entry(id);
             job.and_modify(|job| job.cancel_attempts(&self.settings, is_cancelled, actions));
         }
@@ -99,9 +102,10 @@
         } else if !job.is_in_flight() {
             // A time-out means that the client's time is over; a broken stream cannot be begun again.
             let is_timed_out = job.is_expired(now) || end.outcome == AttemptOutcome::TimedOut;
-            match is_timed_out || job.streaming {
-                true => self.answer(end.job, actions),
-                false => self.place(now, end.job, actions),
+            if is_timed_out || job.streaming {
+                self.answer(end.job, actions);
+            } else {
+                self.place(now, end.job, actions);
             }
         }
     }
@@ -113,7 +117,7 @@
             AttemptOutcome::Succeeded => self.learn_from_success(now, ended),
             // A queue is full: as a report would say, and soon out of date.
             AttemptOutcome::Shed if load >= 1.0 => {
-                self.note_load(now, worker, load + FAILURE_PENALTY)
+                self.note_load(now, worker, load + FAILURE_PENALTY);
             }
             // An empty count would draw the next job, and the next; so would load shedding in spite of free slots.
             AttemptOutcome::WorkerError
--- a/src/balance/mod.rs
+++ b/src/balance/mod.rs
@@ -99,9 +99,10 @@
     fn add_classes(&mut self) {
         let known = self.best_workers.len();
         for (index, class) in self.settings.classes.iter().enumerate().skip(known) {
-            let placement = match class.is_constrained() {
-                true => PlacementGroup::Class(index),
-                false => PlacementGroup::Unconstrained,
+            let placement = if class.is_constrained() {
+                PlacementGroup::Class(index)
+            } else {
+                PlacementGroup::Unconstrained
             };
             let latency_target = MovingAverage::with_initial(class.latency_target_us);
             self.best_workers.push(Vec::new());
--- a/src/balance/ranking.rs
+++ b/src/balance/ranking.rs
@@ -78,6 +78,7 @@
         worker.log_slowness.with_prior(of_kind).exp()
     }
 
+    #[allow(clippy::cast_possible_truncation, reason = "as saturates")]
     pub(super) fn sort_by_rank(&self, now: Micros, class: usize, workers: &mut [WorkerId]) {
         workers.sort_by_cached_key(|&worker| (self.rank(now, worker, class) * 1e6) as i64);
     }
--- a/src/balance/slow_start.rs
+++ b/src/balance/slow_start.rs
@@ -74,7 +74,7 @@
     /// at a time: otherwise a quiet fleet would send all that it kept at once, one request for each of the least shares.
     pub fn credit(&self, now: Micros, share: SlowStartShare) -> f64 {
         // The worker warms up evenly.
-        let mean_capacity_share = (self.capacity_share + share.capacity_share) / 2.0;
+        let mean_capacity_share = f64::midpoint(self.capacity_share, share.capacity_share);
         let warm_time = mean_capacity_share * now.saturating_sub(self.updated_at) as f64;
         let credit = self.credit + share.warm_rate * warm_time;
         let excess = (credit - share.max_unused).max(0.0);
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -25,6 +25,10 @@
 
 /// Settings of a dispatcher.
 #[derive(Clone, Debug)]
+#[allow(
+    clippy::struct_excessive_bools,
+    reason = "abilities of a site, each independent of the others"
+)]
 pub struct Settings {
     /// How many dispatchers there are.
     pub dispatchers: u32,
--- a/src/state/hash_ring.rs
+++ b/src/state/hash_ring.rs
@@ -4,7 +4,7 @@
 use crate::interface::WorkerId;
 
 /// Points of a worker on the ring: enough that keys spread about evenly.
-const POINTS_PER_WORKER: u64 = 8;
+const POINTS_PER_WORKER: usize = 8;
 
 /// A consistent-hash ring of workers, the same at every dispatcher with the same list.
 pub(super) struct HashRing {
@@ -15,7 +15,7 @@
     pub(super) fn new(members: &[WorkerId], workers: &[Worker]) -> HashRing {
         let points_of = |&member: &WorkerId| {
             let hash = workers[member.index()].endpoint.hash;
-            (0..POINTS_PER_WORKER).map(move |point| (mix(hash, point), member))
+            (0..POINTS_PER_WORKER as u64).map(move |point| (mix(hash, point), member))
         };
         let mut points: Vec<_> = members.iter().flat_map(points_of).collect();
         points.sort_unstable();
@@ -28,11 +28,7 @@
         let start = self.points.partition_point(|point| point.0 < hash);
         let (before, after) = self.points.split_at(start);
         let mut successors = Vec::with_capacity(count);
-        for &(_, worker) in after
-            .iter()
-            .chain(before)
-            .take(POINTS_PER_WORKER as usize * count)
-        {
+        for &(_, worker) in after.iter().chain(before).take(POINTS_PER_WORKER * count) {
             if successors.len() < count && !successors.contains(&worker) {
                 successors.push(worker);
             }
--- a/src/state/job.rs
+++ b/src/state/job.rs
@@ -124,22 +124,22 @@
         })
     }
 
-    /// Cancels the selected attempts that are in flight, where attempts may be cancelled.
+    /// Cancels the attempts in flight that are selected by their numbers, where attempts may be cancelled.
     pub(crate) fn cancel_attempts(
         &mut self,
         settings: &Settings,
-        is_selected: impl Fn(usize) -> bool,
+        is_selected: impl Fn(u32) -> bool,
         actions: &mut Vec<Action>,
     ) {
         if !settings.may_cancel {
             return;
         }
-        for (index, attempt) in self.attempts.iter_mut().enumerate() {
-            if attempt.is_in_flight() && !attempt.cancelled && is_selected(index) {
+        for (number, attempt) in (0..).zip(&mut self.attempts) {
+            if attempt.is_in_flight() && !attempt.cancelled && is_selected(number) {
                 attempt.cancelled = true;
                 actions.push(Action::Cancel {
                     job: self.request.job,
-                    attempt: index as u32,
+                    attempt: number,
                 });
             }
         }
--- a/src/state/worker_pools.rs
+++ b/src/state/worker_pools.rs
@@ -46,7 +46,7 @@
         self.pools.clear();
         self.rings.clear();
         let mut weight_sum = 0.0;
-        for (index, worker) in workers.iter().enumerate() {
+        for (id, worker) in (0..).map(WorkerId).zip(workers) {
             let endpoint = &worker.endpoint;
             if endpoint.state != EndpointState::Ready {
                 continue;
@@ -55,7 +55,7 @@
                 placement != PlacementGroup::Unconstrained && is_permitted(placement, endpoint)
             });
             for placement in constrained.chain([PlacementGroup::Unconstrained]) {
-                self.add(WorkerId(index as u32), endpoint, placement);
+                self.add(id, endpoint, placement);
             }
             weight_sum += endpoint.weight;
         }
