--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -14,8 +14,9 @@
 //!
 //! ```
 //! use std::sync::Arc;
-//! use streamusher_fleet::node::{FleetNode, FleetSettings};
+//! use streamusher_fleet::node::FleetNode;
 //! use streamusher_fleet::quota::{Quota, QuotaTerms};
+//! use streamusher_fleet::settings::FleetSettings;
 //! use streamusher_fleet::Incarnation;
 //!
 //! const SECOND: u64 = 1_000_000;
@@ -65,6 +66,8 @@
 pub mod outlier;
 mod peers;
 pub mod quota;
+mod replication;
+pub mod settings;
 pub mod status;
 pub mod usage;
 pub mod usage_counters;
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -10,13 +10,14 @@
 use crate::datagram::{Datagram, DatagramBody, DatagramCodec, DatagramError};
 use crate::incarnation::{Incarnation, Micros};
 use crate::membership::{Member, Membership, MembershipEvent};
-use crate::outbox::{truncate_to_datagram, OutboundDatagram, Outbox};
+use crate::outbox::{OutboundDatagram, Outbox};
 use crate::outlier::OutlierDetector;
-use crate::peers::Peers;
-use crate::quota::{OutboundRequest, QuotaLeases, QuotaTerms};
+use crate::quota::{OutboundRequest, QuotaLeases};
+use crate::replication::UsageReplication;
+use crate::settings::FleetSettings;
 use crate::status::{FleetStatus, MemberStatus, QuotaStatus};
 use crate::usage::{UsageKey, UsageValues};
-use crate::usage_counters::{Delta, UsageCounters, UsageDigest, VersionSummary};
+use crate::usage_counters::{Delta, UsageDigest};
 use crate::usage_totals::UsageTotals;
 use rand::seq::IteratorRandom;
 use rand::{RngExt, SeedableRng};
@@ -31,74 +32,37 @@
 const MIN_PROBE_PERIOD: Micros = 100_000;
 /// Gossip intervals between two probes of the membership protocol.
 const GOSSIP_INTERVALS_PER_PROBE: u64 = 5;
-/// Deltas sent in answer to one digest.
-const DELTAS_PER_REPLY: usize = 32;
 /// Members that are sent a digest in each round.
 const DIGEST_RECEIVERS: usize = 2;
-/// Summaries in one digest.
-const SUMMARIES_PER_DIGEST: usize = 64;
-/// So many more summaries than the peer's go with the answer to a digest.
-const EXTRA_SUMMARIES: usize = 8;
 /// Observations sent along with a digest.
 const OBSERVATIONS_PER_MESSAGE: usize = 6;
 /// A member that knows others calls a missing address of the settings once in so many rounds.
 const HELLO_INTERVAL_ROUNDS: u64 = 4;
-/// Gossip intervals after which a superseded incarnation may be compacted.
-const COMPACTION_DELAY_ROUNDS: u64 = 100;
 /// Rounds between two looks for incarnations to compact.
 const COMPACTION_INTERVAL_ROUNDS: u64 = 10;
 /// Separates the random numbers of gossip from those of the membership protocol.
 const GOSSIP_SEED: u64 = 0x5eed;
 
-/// The settings of one member.
-#[derive(Clone, Debug)]
-pub struct FleetSettings {
-    /// Its incarnation.
-    pub local: Incarnation,
-    /// Where others reach it.
-    pub address: SocketAddr,
-    /// Where some of the others are reached.
-    pub join_addresses: Vec<SocketAddr>,
-    /// The fleet's key.
-    pub key: [u8; 32],
-    /// The seed of random numbers.
-    pub seed: u64,
-    /// The mean time between two gossip rounds.
-    pub gossip_interval: Micros,
-    /// Other members that must hold a usage count before it counts as replicated.
-    pub required_copies: usize,
-    /// The quotas, and among whom they are divided.
-    pub terms: Arc<QuotaTerms>,
-    /// A member that was not heard for so long no longer delays the compaction of incarnations that have ended.
-    pub forget_after: Micros,
-    /// The length of a period of usage.
-    pub period: Micros,
-}
-
 /// One member of a fleet. See the module's documentation.
 pub struct FleetNode {
     settings: FleetSettings,
     codec: DatagramCodec,
     membership: Membership,
-    counters: UsageCounters,
+    usage: UsageReplication,
     /// Observations of workers.
     pub outliers: OutlierDetector,
     quota_leases: QuotaLeases<Arc<QuotaAllowance>>,
     /// By quota, how many units the data path would have in use.
     wanted_units: Vec<u64>,
-    peers: Peers,
     outbox: Outbox,
     rejected_datagrams: BTreeMap<DatagramError, u64>,
     rng: Pcg64Mcg,
-    /// The name behind which the next digest begins.
-    digest_cursor: Option<Arc<str>>,
     next_gossip: Micros,
     gossip_rounds: u64,
     last_tick: Micros,
     /// Since when this member does not rely on what it holds: it was stopped, and has not heard the others since.
     stale_since: Option<Micros>,
     wall_time: Micros,
-    handing_over: bool,
     declared_dead: u64,
     replaced: bool,
     received_datagrams: u64,
@@ -125,22 +89,19 @@
         let terms = settings.terms.clone();
         FleetNode {
             membership: Membership::new(local, probe_period, settings.seed),
-            counters: UsageCounters::new(settings.local.clone()),
+            usage: UsageReplication::new(&settings),
             outliers: OutlierDetector::new(settings.local.clone()),
             wanted_units: vec![0; terms.quotas.len()],
             quota_leases: QuotaLeases::new(settings.local.clone(), terms, allowances, now),
-            peers: Peers::default(),
             outbox: Outbox::new(codec.clone()),
             codec,
             rejected_datagrams: BTreeMap::new(),
             rng: Pcg64Mcg::seed_from_u64(settings.seed ^ GOSSIP_SEED),
-            digest_cursor: None,
             next_gossip: now,
             gossip_rounds: 0,
             last_tick: now,
             stale_since: None,
             wall_time,
-            handing_over: false,
             declared_dead: 0,
             replaced: false,
             received_datagrams: 0,
@@ -159,7 +120,7 @@
 
     /// Increments own usage counters; returns the version that includes it.
     pub fn increment(&mut self, key: UsageKey, values: &UsageValues) -> u64 {
-        self.counters.increment(key, values)
+        self.usage.increment(key, values)
     }
 
     /// Takes a datagram. `wall_time` is Unix time.
@@ -190,7 +151,7 @@
             self.replaced |= sender.number > self.settings.local.number;
             return Err(DatagramError::StaleIncarnation);
         }
-        if !self.peers.on_datagram(now, sender) {
+        if !self.usage.on_datagram(now, sender) {
             return Err(DatagramError::StaleIncarnation);
         }
         self.received_datagrams += 1;
@@ -206,9 +167,7 @@
             DatagramBody::UsageDigest(digest) => self.on_usage_digest(&sender, digest),
             DatagramBody::UsageDeltas(deltas) => self.on_usage_deltas(&sender, &deltas),
             DatagramBody::UsageAcknowledged(version) => {
-                // No more than there is.
-                let version = version.min(self.counters.own_version());
-                self.peers.entry(&sender.name).on_acknowledged(version);
+                self.usage.on_acknowledged(&sender.name, version);
             }
             DatagramBody::LeaseRequest(request) => {
                 let borrower = sender.incarnation();
@@ -229,45 +188,22 @@
 
     /// Answers a digest with what its sender lacks, and with a digest of the same interval if that is wanted.
     fn on_usage_digest(&mut self, sender: &Member, digest: UsageDigest) {
-        let deltas = self
-            .counters
-            .deltas_for(&sender.name, &digest, DELTAS_PER_REPLY);
-        self.send_deltas(sender, deltas);
-        if digest.reply_wanted {
-            let reply = UsageDigest {
-                summaries: self.summaries_within(&digest),
-                reply_wanted: false,
-                ..digest
-            };
+        let answer = self.usage.on_digest(&sender.name, digest);
+        self.send_deltas(sender, answer.deltas);
+        if let Some(reply) = answer.reply {
             self.send(sender, DatagramBody::UsageDigest(reply));
         }
     }
 
-    /// What this member holds of the names that another's digest covers.
-    fn summaries_within(&self, digest: &UsageDigest) -> Vec<VersionSummary> {
-        let limit = digest.summaries.len() + EXTRA_SUMMARIES;
-        let mut summaries = self.counters.summaries(digest.after.as_ref(), limit);
-        summaries.retain(|summary| digest.covers(&summary.name));
-        truncate_to_datagram(&mut summaries);
-        summaries
-    }
-
     /// Merges deltas, and acknowledges those of the sender's own counters.
     fn on_usage_deltas(&mut self, sender: &Member, deltas: &[Delta]) {
+        let local = &self.settings.local;
+        self.replaced |= deltas.iter().any(|delta| is_of_later(delta, local));
         let newest_period = self.period(self.wall_time) + 1;
-        let sender_incarnation = sender.incarnation();
-        let mut has_rows_of_sender = false;
-        for delta in deltas {
-            self.counters.merge(delta, newest_period);
-            if let Delta::Incarnation { incarnation, .. } = delta {
-                let local = &self.settings.local;
-                self.replaced |=
-                    incarnation.name == local.name && incarnation.number > local.number;
-                has_rows_of_sender |= *incarnation == sender_incarnation;
-            }
-        }
-        if has_rows_of_sender {
-            let version = self.counters.version_of(&sender_incarnation);
+        let acknowledged = self
+            .usage
+            .on_deltas(&sender.incarnation(), deltas, newest_period);
+        if let Some(version) = acknowledged {
             self.send(sender, DatagramBody::UsageAcknowledged(version));
         }
     }
@@ -319,7 +255,7 @@
             match event {
                 MembershipEvent::DeclaredDead => self.declared_dead += 1,
                 MembershipEvent::Up(member) | MembershipEvent::Replaced(_, member) => {
-                    self.peers.on_member_up(now, &member);
+                    self.usage.on_member_up(now, &member);
                 }
                 MembershipEvent::Down(_) => {}
             }
@@ -330,7 +266,8 @@
         self.gossip_rounds += 1;
         let alive: Vec<Member> = self.membership.alive().cloned().collect();
         for receiver in alive.iter().sample(&mut self.rng, DIGEST_RECEIVERS) {
-            self.send_digest(receiver);
+            let digest = self.usage.next_digest();
+            self.send(receiver, DatagramBody::UsageDigest(digest));
             self.send_observations(now, receiver);
         }
         self.call_missing_address(&alive);
@@ -345,31 +282,11 @@
             .gossip_rounds
             .is_multiple_of(COMPACTION_INTERVAL_ROUNDS)
         {
-            self.compact_counters(now);
+            self.usage.compact(now);
         }
         self.send_own_usage(now);
     }
 
-    /// Sends a digest of the names behind the cursor, which moves on.
-    fn send_digest(&mut self, receiver: &Member) {
-        let after = self.digest_cursor.take();
-        let mut summaries = self
-            .counters
-            .summaries(after.as_ref(), SUMMARIES_PER_DIGEST);
-        let reaches_end = summaries.len() < SUMMARIES_PER_DIGEST;
-        let last = truncate_to_datagram(&mut summaries) && reaches_end;
-        if !last {
-            self.digest_cursor = summaries.last().map(|summary| summary.name.clone());
-        }
-        let digest = UsageDigest {
-            after,
-            last,
-            summaries,
-            reply_wanted: true,
-        };
-        self.send(receiver, DatagramBody::UsageDigest(digest));
-    }
-
     fn send_observations(&mut self, now: Micros, receiver: &Member) {
         let observations = self
             .outliers
@@ -424,56 +341,16 @@
         }
     }
 
-    fn compact_counters(&mut self, now: Micros) {
-        let others = self.peers.heard_within(now, self.settings.forget_after);
-        let delay = self.settings.gossip_interval * COMPACTION_DELAY_ROUNDS;
-        self.counters.compact(now, delay, &others);
-        self.counters.drop_old_periods();
-    }
-
     /// Sends own usage counters to the members that are to hold them, as far as those lack any.
     pub fn send_own_usage(&mut self, now: Micros) {
-        let own_version = self.counters.own_version();
-        let needs_copies = self.settings.required_copies > 0 || self.handing_over;
-        if own_version == 0 || !needs_copies {
-            return;
-        }
-        let answer_time = self.settings.gossip_interval / 2;
-        for member in self.ring_successors() {
-            let peer = self.peers.entry(&member.name);
-            if let Some(from) = peer.version_to_send_from(now, answer_time, own_version) {
-                let deltas = self.counters.own_deltas_since(from);
-                self.send_deltas(&member, deltas);
-            }
+        for outbound in self.usage.own_deltas_to_send(now, &self.membership) {
+            self.send_deltas(&outbound.to, outbound.deltas);
         }
     }
 
-    /// The members that succeed this one in the ring of names, one more than the required copies.
-    fn ring_successors(&self) -> Vec<Member> {
-        let mut alive: Vec<&Member> = self.membership.alive().collect();
-        alive.sort_by(|a, b| a.name.cmp(&b.name));
-        let position = alive.partition_point(|member| member.name <= self.settings.local.name);
-        let (before, behind) = alive.split_at(position);
-        behind
-            .iter()
-            .chain(before)
-            .take(self.settings.required_copies + 1)
-            .map(|member| (*member).clone())
-            .collect()
-    }
-
     /// The version of the own usage counters that enough other members hold, of those not declared dead.
     pub fn replicated_version(&self) -> u64 {
-        let copies = if cfg!(feature = "mutant-copies") {
-            0
-        } else {
-            self.settings.required_copies
-        };
-        if copies == 0 {
-            return self.counters.own_version();
-        }
-        let is_alive = |name: &Arc<str>| self.membership.alive().any(|m| m.name == *name);
-        self.peers.replicated_version(copies, is_alive)
+        self.usage.replicated_version(&self.membership)
     }
 
     fn send_deltas(&mut self, to: &Member, deltas: Vec<Delta>) {
@@ -493,29 +370,17 @@
 
     /// Takes a member for one that was not heard for [`FleetSettings::forget_after`].
     pub fn forget_member(&mut self, name: &str) {
-        self.peers.remove(name);
+        self.usage.forget_member(name);
     }
 
     /// This incarnation is about to end: its counters go to another member, whether copies are required or not.
     pub fn start_handover(&mut self) {
-        self.handing_over = true;
+        self.usage.start_handover();
     }
 
     /// Whether enough other members hold all own counters, or there is none that could.
     pub fn handover_complete(&self) -> bool {
-        let own_version = self.counters.own_version();
-        if own_version == 0 {
-            return true;
-        }
-        let mut alive = 0;
-        let mut holders = 0;
-        for member in self.membership.alive() {
-            alive += 1;
-            let peer = self.peers.get(&member.name);
-            let holds_all = peer.is_some_and(|peer| peer.acknowledged_version >= own_version);
-            holders += usize::from(holds_all);
-        }
-        alive == 0 || holders >= self.settings.required_copies.max(1)
+        self.usage.handover_complete(&self.membership)
     }
 
     /// Leaves the fleet.
@@ -538,12 +403,13 @@
 
     /// The usage totals of the fleet, as this member has them.
     pub fn totals(&self) -> UsageTotals {
-        self.counters.totals()
+        self.usage.counters().totals()
     }
 
     /// The state of this member, for operators.
     pub fn status(&self, now: Micros) -> FleetStatus {
-        let size = self.counters.size();
+        let counters = self.usage.counters();
+        let size = counters.size();
         let mut rejected_datagrams: BTreeMap<String, u64> = BTreeMap::new();
         for (error, count) in &self.rejected_datagrams {
             *rejected_datagrams.entry(error.to_string()).or_default() += count;
@@ -558,10 +424,10 @@
             members: self.member_statuses(now),
             quotas: self.quota_statuses(),
             share_received: self.quota_leases.share_received(),
-            digest: self.counters.totals().digest,
+            digest: counters.totals().digest,
             incarnations: size.incarnations,
             rows: size.rows,
-            rejected_late: self.counters.rejected_late(),
+            rejected_late: counters.rejected_late(),
             observations: self.outliers.len(),
             received_datagrams: self.received_datagrams,
             rejected_datagrams,
@@ -571,10 +437,10 @@
     }
 
     fn member_statuses(&self, now: Micros) -> Vec<MemberStatus> {
-        let own_version = self.counters.own_version();
+        let own_version = self.usage.counters().own_version();
         let mut members = Vec::new();
         for (member, health) in self.membership.all() {
-            let peer = self.peers.get(&member.name);
+            let peer = self.usage.peer(&member.name);
             let last_heard = peer.map(|peer| peer.last_heard).filter(|time| *time > 0);
             let acknowledged = peer.map_or(0, |peer| peer.acknowledged_version);
             members.push(MemberStatus {
@@ -609,3 +475,13 @@
             .collect()
     }
 }
+
+/// Whether a delta is of a later incarnation of this name.
+fn is_of_later(delta: &Delta, local: &Incarnation) -> bool {
+    match delta {
+        Delta::Incarnation { incarnation, .. } => {
+            incarnation.name == local.name && incarnation.number > local.number
+        }
+        Delta::Base { .. } => false,
+    }
+}
--- a/crates/fleet/tests/simulation/mod.rs
+++ b/crates/fleet/tests/simulation/mod.rs
@@ -9,9 +9,10 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use streamusher_fleet::allowance::QuotaAllowance;
-use streamusher_fleet::node::{FleetNode, FleetSettings};
+use streamusher_fleet::node::FleetNode;
 use streamusher_fleet::outbox::OutboundDatagram;
 use streamusher_fleet::quota::{Quota, QuotaTerms};
+use streamusher_fleet::settings::FleetSettings;
 use streamusher_fleet::usage::{UsageKey, UsageMetric, UsageValues};
 use streamusher_fleet::{Incarnation, Micros};
 
