--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Shared by the tests: a small site, one dispatcher and short words for events.
+//! Shared by the tests of the decision module: settings of a small site, a dispatcher under test, and events.
 #![allow(dead_code)]
 
 use streamusher::interface::{
@@ -9,12 +9,12 @@
 
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
-pub const FREE: u32 = 0;
-pub const KEYED: u32 = 1;
-pub const ONCE: u32 = 2;
-pub const KEYED_ALL: u32 = 3;
+pub const IDEMPOTENT: u32 = 0;
+pub const KEYED_PER_CELL: u32 = 1;
+pub const AT_MOST_ONCE: u32 = 2;
+pub const KEYED_FLEET_WIDE: u32 = 3;
 
-/// Four classes: free, keyed within a cell, at most once, keyed over all.
+/// Four classes: idempotent, idempotent by key within a cell, at most once, idempotent by key in the whole fleet.
 pub fn settings() -> Settings {
     let class = |repeat| Class {
         repeatability: repeat,
@@ -53,8 +53,8 @@
     }
 }
 
-/// The same with aims so wide that nothing is ever hopeless.
-pub fn patient() -> Settings {
+/// The same with latency targets so wide that no job is ever hopeless.
+pub fn settings_with_wide_targets() -> Settings {
     let mut set = settings();
     set.classes
         .iter_mut()
@@ -63,7 +63,7 @@
 }
 
 /// Worker `id`: zone by its lowest bit, cells of four, two kinds.
-pub fn entry(id: u32) -> Endpoint {
+pub fn endpoint(id: u32) -> Endpoint {
     Endpoint {
         worker: WorkerId(id),
         zone: ZoneId(id % 2),
@@ -75,58 +75,64 @@
 }
 
 /// A dispatcher under test and all that it has been seen to do.
-pub struct Desk {
+pub struct TestDispatcher {
     pub balancer: Balancer,
     pub now: Micros,
     pub log: Vec<Action>,
 }
 
-impl Desk {
-    pub fn new(settings: Settings, workers: u32) -> Desk {
+impl TestDispatcher {
+    pub fn new(settings: Settings, workers: u32) -> TestDispatcher {
         let now = 1_000 * SECOND;
-        let mut desk = Desk {
+        let mut dispatcher = TestDispatcher {
             balancer: Balancer::new(settings, 7, now),
             now,
             log: Vec::new(),
         };
-        desk.list(true, (0..workers).map(entry).collect());
-        desk
+        dispatcher.update_endpoints(true, (0..workers).map(endpoint).collect());
+        dispatcher
     }
 
-    /// Hands over one event and the end of its batch; returns what was done about it.
-    pub fn give(&mut self, event: Event) -> Vec<Action> {
-        self.batch(vec![event])
+    /// Hands over one event and the end of its batch; returns the actions.
+    pub fn handle_event(&mut self, event: Event) -> Vec<Action> {
+        self.handle_batch(vec![event])
     }
 
-    pub fn batch(&mut self, events: Vec<Event>) -> Vec<Action> {
-        let mut out = Vec::new();
+    pub fn handle_batch(&mut self, events: Vec<Event>) -> Vec<Action> {
+        let mut actions = Vec::new();
         for event in events {
-            self.balancer.handle(self.now, event, &mut out);
+            self.balancer.handle(self.now, event, &mut actions);
         }
-        self.balancer.handle(self.now, Event::BatchEnd, &mut out);
-        self.log.extend(out.iter().cloned());
-        out
+        self.balancer
+            .handle(self.now, Event::BatchEnd, &mut actions);
+        self.log.extend(actions.iter().cloned());
+        actions
     }
 
-    pub fn list(&mut self, complete: bool, entries: Vec<Endpoint>) -> Vec<Action> {
-        self.give(Event::EndpointUpdate {
+    pub fn update_endpoints(&mut self, complete: bool, entries: Vec<Endpoint>) -> Vec<Action> {
+        self.handle_event(Event::EndpointUpdate {
             complete,
             endpoints: entries,
         })
     }
 
     pub fn arrive(&mut self, job: u64, class: u32) -> Vec<Action> {
-        self.give(arrival(job, class))
+        self.handle_event(arrival(job, class))
     }
 
-    pub fn end(&mut self, job: u64, attempt: u32, code: AttemptOutcome) -> Vec<Action> {
-        self.give(ended(job, attempt, code, code == AttemptOutcome::Succeeded))
+    pub fn end_attempt(&mut self, job: u64, attempt: u32, outcome: AttemptOutcome) -> Vec<Action> {
+        self.handle_event(attempt_ended(
+            job,
+            attempt,
+            outcome,
+            outcome == AttemptOutcome::Succeeded,
+        ))
     }
 
-    /// The timers of this job that are due by now, as they were asked for.
-    pub fn wake(&mut self, after: Micros, token: u64) -> Vec<Action> {
+    /// Moves the clock on and fires a timer.
+    pub fn fire_timer(&mut self, after: Micros, token: u64) -> Vec<Action> {
         self.now += after;
-        self.give(Event::Timer { token })
+        self.handle_event(Event::Timer { token })
     }
 }
 
@@ -140,11 +146,11 @@
     })
 }
 
-pub fn ended(job: u64, attempt: u32, code: AttemptOutcome, complete: bool) -> Event {
+pub fn attempt_ended(job: u64, attempt: u32, outcome: AttemptOutcome, complete: bool) -> Event {
     Event::AttemptEnded(AttemptEnd {
         job: JobId(job),
         attempt,
-        outcome: code,
+        outcome,
         is_final: complete,
         report: None,
     })
@@ -174,7 +180,7 @@
     actions.iter().filter_map(attempt).collect()
 }
 
-pub fn refused(actions: &[Action]) -> usize {
+pub fn rejected(actions: &[Action]) -> usize {
     actions
         .iter()
         .filter(|a| matches!(a, Action::Reject { .. }))
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -2,8 +2,9 @@
 
 mod common;
 use common::{
-    arrival, cancels, entry, failed, patient, refused, sends, settings, started, Desk, FREE, KEYED,
-    KEYED_ALL, MS, ONCE, SECOND,
+    arrival, cancels, endpoint, failed, rejected, sends, settings, settings_with_wide_targets,
+    started, TestDispatcher, AT_MOST_ONCE, IDEMPOTENT, KEYED_FLEET_WIDE, KEYED_PER_CELL, MS,
+    SECOND,
 };
 use streamusher::interface::{
     Action, AttemptEnd, AttemptOutcome, Endpoint, EndpointState, Event, JobId, KindId, LoadReport,
@@ -13,18 +14,21 @@
 /// A worker that fails at once empties its count, ranks lowest and would draw every next job.
 #[test]
 fn a_worker_that_fails_at_once_does_not_draw_the_next_jobs() {
-    let mut desk = Desk::new(settings(), 4);
+    let mut dispatcher = TestDispatcher::new(settings(), 4);
     let mut to_bad = 0;
     for job in 1..60 {
-        for (attempt, worker) in sends(&desk.arrive(job, ONCE)).into_iter().enumerate() {
+        for (attempt, worker) in sends(&dispatcher.arrive(job, AT_MOST_ONCE))
+            .into_iter()
+            .enumerate()
+        {
             to_bad += (worker == 2) as usize;
-            let code = if worker == 2 {
+            let outcome = if worker == 2 {
                 AttemptOutcome::WorkerError
             } else {
                 AttemptOutcome::Succeeded
             };
-            desk.now += 20 * MS;
-            desk.end(job, attempt as u32, code);
+            dispatcher.now += 20 * MS;
+            dispatcher.end_attempt(job, attempt as u32, outcome);
         }
     }
     assert!((1..=4).contains(&to_bad), "{to_bad} of 59");
@@ -32,13 +36,13 @@
 
 /// One usual load for all kinds put every unseen fast worker ahead of every slow one, for all dispatchers.
 #[test]
-fn a_kind_known_to_be_jammed_is_not_taken_for_idle_where_unseen() {
-    let mut desk = Desk::new(settings(), 0);
+fn unseen_workers_of_an_overloaded_kind_are_not_taken_for_idle() {
+    let mut dispatcher = TestDispatcher::new(settings(), 0);
     let weighted = |id: u32| Endpoint {
         weight: if id.is_multiple_of(2) { 2.0 } else { 1.0 },
-        ..entry(id)
+        ..endpoint(id)
     };
-    desk.list(true, (0..40).map(weighted).collect());
+    dispatcher.update_endpoints(true, (0..40).map(weighted).collect());
     for worker in 0..20 {
         // Even ones are the fast kind: jammed. Odd ones have room.
         let free_slots = Some(f64::from(worker % 2));
@@ -47,15 +51,15 @@
             waiting: Some(9.0),
             ..LoadReport::default()
         });
-        desk.give(Event::ProbeEnded {
+        dispatcher.handle_event(Event::ProbeEnded {
             worker: WorkerId(worker),
             answered: true,
             report,
         });
     }
-    desk.now += 60 * SECOND; // what was seen of single workers is out of date
+    dispatcher.now += 60 * SECOND; // what was seen of single workers is actions of date
     let sent: Vec<u32> = (1..10)
-        .flat_map(|job| sends(&desk.arrive(job, ONCE)))
+        .flat_map(|job| sends(&dispatcher.arrive(job, AT_MOST_ONCE)))
         .collect();
     assert_eq!(sent.len(), 9);
     assert!(
@@ -74,20 +78,20 @@
 #[case::three_and_a_long_queue(&[(2.0, 1.0)], 60.0, None, true)]
 #[case::what_may_wait_is_not_shown(&[(1.0, 12.0)], 16.0, None, true)]
 #[case::what_waits_is_told(&[], 16.0, Some(8.0), false)]
-fn a_job_that_is_hopeless_everywhere_is_refused_at_once(
+fn a_job_that_is_hopeless_everywhere_is_rejected_at_once(
     #[case] shown: &[(f64, f64)],
     #[case] held_when_full: f64,
     #[case] waiting: Option<f64>,
     #[case] hopeless: bool,
 ) {
-    let mut desk = Desk::new(
+    let mut dispatcher = TestDispatcher::new(
         Settings {
             reports_count_jobs: true,
             ..settings()
         },
         4,
     );
-    let tell = |desk: &mut Desk, free: f64, held: f64, waiting: Option<f64>| {
+    let tell = |dispatcher: &mut TestDispatcher, free: f64, held: f64, waiting: Option<f64>| {
         for worker in 0..4 {
             let free_slots = Some(free);
             let report = Some(LoadReport {
@@ -96,7 +100,7 @@
                 waiting,
                 ..LoadReport::default()
             });
-            desk.give(Event::ProbeEnded {
+            dispatcher.handle_event(Event::ProbeEnded {
                 worker: WorkerId(worker),
                 answered: true,
                 report,
@@ -105,19 +109,19 @@
     };
     shown
         .iter()
-        .for_each(|&(free, held)| tell(&mut desk, free, held, None));
-    tell(&mut desk, 0.0, held_when_full, waiting);
-    let out = desk.arrive(1, ONCE);
+        .for_each(|&(free, held)| tell(&mut dispatcher, free, held, None));
+    tell(&mut dispatcher, 0.0, held_when_full, waiting);
+    let actions = dispatcher.arrive(1, AT_MOST_ONCE);
     assert_eq!(
-        (sends(&out).len(), refused(&out)),
+        (sends(&actions).len(), rejected(&actions)),
         if hopeless { (0, 1) } else { (1, 0) }
     );
 }
 
 /// The same newcomer, told by an answer 'full': what was turned away is no queue of its own.
 #[test]
-fn a_newcomer_that_is_turned_away_tries_elsewhere() {
-    let mut desk = Desk::new(
+fn a_dispatcher_new_to_a_full_fleet_tries_other_workers() {
+    let mut dispatcher = TestDispatcher::new(
         Settings {
             reports_count_jobs: true,
             ..settings()
@@ -129,7 +133,7 @@
         active: Some(7.0),
         ..LoadReport::default()
     });
-    let mut sent = sends(&desk.arrive(1, FREE));
+    let mut sent = sends(&dispatcher.arrive(1, IDEMPOTENT));
     for attempt in 0..3 {
         let end = AttemptEnd {
             job: JobId(1),
@@ -138,26 +142,26 @@
             is_final: false,
             report: full,
         };
-        sent.extend(sends(&desk.give(Event::AttemptEnded(end))));
+        sent.extend(sends(&dispatcher.handle_event(Event::AttemptEnded(end))));
     }
     assert_eq!(sent.len(), 4, "all attempts are used: {sent:?}");
-    let next = desk.arrive(2, FREE);
+    let next = dispatcher.arrive(2, IDEMPOTENT);
     assert!(
-        !sends(&next).is_empty() && refused(&next) == 0,
+        !sends(&next).is_empty() && rejected(&next) == 0,
         "the next job is sent too: {next:?}"
     );
 }
 
 #[test]
-fn a_tenant_far_beyond_the_others_is_refused_while_there_is_no_room() {
+fn a_tenant_far_beyond_the_others_is_rejected_while_capacity_is_short() {
     let tenant = Tenant {
         quota_rps: 10.0,
         share: 0.25,
     };
-    let mut desk = Desk::new(
+    let mut dispatcher = TestDispatcher::new(
         Settings {
             tenants: vec![tenant; 4],
-            ..patient()
+            ..settings_with_wide_targets()
         },
         4,
     );
@@ -166,7 +170,7 @@
             free_slots: Some(0.0),
             ..LoadReport::default()
         });
-        desk.give(Event::ProbeEnded {
+        dispatcher.handle_event(Event::ProbeEnded {
             worker: WorkerId(worker),
             answered: true,
             report,
@@ -176,16 +180,16 @@
     for _ in 0..50 {
         for tenant in [0, 0, 0, 0, 0, 1, 2, 3] {
             job += 1;
-            let Event::Arrived(request) = arrival(job, ONCE) else {
+            let Event::Arrived(request) = arrival(job, AT_MOST_ONCE) else {
                 unreachable!()
             };
-            let out = desk.give(Event::Arrived(Request {
+            let actions = dispatcher.handle_event(Event::Arrived(Request {
                 tenant: Some(TenantId(tenant)),
                 ..request
             }));
-            turned_away[tenant as usize] += refused(&out);
-            if refused(&out) == 0 {
-                desk.end(job, 0, AttemptOutcome::Succeeded);
+            turned_away[tenant as usize] += rejected(&actions);
+            if rejected(&actions) == 0 {
+                dispatcher.end_attempt(job, 0, AttemptOutcome::Succeeded);
             }
         }
     }
@@ -198,45 +202,45 @@
 
 /// A restarted worker is a new process: its old attempts must not count, nor its old charges.
 #[test]
-fn a_restart_voids_counts_and_charges() {
-    let mut desk = Desk::new(settings(), 1);
+fn a_restart_voids_counts_and_penalties() {
+    let mut dispatcher = TestDispatcher::new(settings(), 1);
     for job in 1..4 {
-        desk.arrive(job, ONCE);
+        dispatcher.arrive(job, AT_MOST_ONCE);
     }
-    desk.end(1, 0, AttemptOutcome::WorkerError);
-    desk.list(
+    dispatcher.end_attempt(1, 0, AttemptOutcome::WorkerError);
+    dispatcher.update_endpoints(
         false,
         vec![Endpoint {
-            started_at_us: desk.now - 60 * SECOND,
-            ..entry(0)
+            started_at_us: dispatcher.now - 60 * SECOND,
+            ..endpoint(0)
         }],
     );
-    desk.end(2, 0, AttemptOutcome::ConnectionLost);
-    assert_eq!(sends(&desk.arrive(9, FREE)), [0]);
-    assert_eq!(sends(&desk.arrive(10, FREE)).len(), 1);
+    dispatcher.end_attempt(2, 0, AttemptOutcome::ConnectionLost);
+    assert_eq!(sends(&dispatcher.arrive(9, IDEMPOTENT)), [0]);
+    assert_eq!(sends(&dispatcher.arrive(10, IDEMPOTENT)).len(), 1);
 }
 
 #[test]
-fn the_list_is_asked_at_the_start_and_again_after_an_error() {
-    let mut desk = Desk::new(
+fn the_endpoint_list_is_polled_at_the_start_and_again_after_an_error() {
+    let mut dispatcher = TestDispatcher::new(
         Settings {
             discovery_must_be_polled: true,
             ..settings()
         },
         4,
     );
-    let due = |out: &[Action]| match out {
+    let due = |actions: &[Action]| match actions {
         [Action::Schedule { delay_us, token }] => (*delay_us, *token),
         other => panic!("{other:?}"),
     };
-    let log = desk.log.clone();
+    let log = dispatcher.log.clone();
     let (wait, token) = due(&log);
-    assert!(wait <= desk.now && wait < 10 * SECOND / 2);
-    assert_eq!(desk.wake(wait, token), [Action::Subscribe]);
+    assert!(wait <= dispatcher.now && wait < 10 * SECOND / 2);
+    assert_eq!(dispatcher.fire_timer(wait, token), [Action::Subscribe]);
     for _ in 0..6 {
-        let (wait, token) = due(&desk.give(Event::DiscoveryFailed));
+        let (wait, token) = due(&dispatcher.handle_event(Event::DiscoveryFailed));
         assert!(wait > 0 && wait <= 10 * SECOND / 4);
-        assert_eq!(desk.wake(wait, token), [Action::Subscribe]);
+        assert_eq!(dispatcher.fire_timer(wait, token), [Action::Subscribe]);
     }
 }
 
@@ -247,10 +251,10 @@
         quota_rps: 10.0,
         share: 0.25,
     };
-    let mut desk = Desk::new(
+    let mut dispatcher = TestDispatcher::new(
         Settings {
             tenants: vec![tenant; 4],
-            ..patient()
+            ..settings_with_wide_targets()
         },
         4,
     );
@@ -259,58 +263,62 @@
             free_slots: Some(0.0),
             ..LoadReport::default()
         });
-        desk.give(Event::ProbeEnded {
+        dispatcher.handle_event(Event::ProbeEnded {
             worker: WorkerId(worker),
             answered: true,
             report,
         });
     }
     for (job, tenant) in [0, 1, 0, 2, 0, 3, 0, 1, 2, 0].into_iter().enumerate() {
-        let Event::Arrived(request) = arrival(job as u64, ONCE) else {
+        let Event::Arrived(request) = arrival(job as u64, AT_MOST_ONCE) else {
             unreachable!()
         };
-        let out = desk.give(Event::Arrived(Request {
+        let actions = dispatcher.handle_event(Event::Arrived(Request {
             tenant: Some(TenantId(tenant)),
             ..request
         }));
-        assert_eq!((sends(&out).len(), refused(&out)), (1, 0), "job {job}");
-        desk.end(job as u64, 0, AttemptOutcome::Succeeded);
+        assert_eq!(
+            (sends(&actions).len(), rejected(&actions)),
+            (1, 0),
+            "job {job}"
+        );
+        dispatcher.end_attempt(job as u64, 0, AttemptOutcome::Succeeded);
     }
 }
 
 /// Where workers must be asked, those not asked keep an old usual load, and ranked ahead of those known to be busy.
 #[test]
-fn where_workers_must_be_asked_only_those_that_answered_are_ranked() {
-    let mut desk = Desk::new(
+fn where_workers_must_be_probed_only_those_that_answered_are_ranked() {
+    let mut dispatcher = TestDispatcher::new(
         Settings {
             reports_only_on_probe: true,
-            ..patient()
+            ..settings_with_wide_targets()
         },
         40,
     );
     for job in 1..30 {
-        desk.arrive(job, ONCE);
+        dispatcher.arrive(job, AT_MOST_ONCE);
         for worker in [3, 7] {
             let report = Some(LoadReport {
                 free_slots: Some(0.0),
                 waiting: Some(3.0),
                 ..LoadReport::default()
             });
-            desk.give(Event::ProbeEnded {
+            dispatcher.handle_event(Event::ProbeEnded {
                 worker: WorkerId(worker),
                 answered: true,
                 report,
             });
         }
-        let sent = sends(&desk.wake(10 * MS, 2 * job + 1));
+        let sent = sends(&dispatcher.fire_timer(10 * MS, 2 * job + 1));
         assert!(sent == [3] || sent == [7], "{sent:?}");
-        desk.end(job, 0, AttemptOutcome::Succeeded);
+        dispatcher.end_attempt(job, 0, AttemptOutcome::Succeeded);
     }
 }
 
 /// Queues ran work that was already late, each job making those behind it late too, long after the cause was gone.
 #[test]
-fn a_job_that_has_waited_past_its_aim_is_given_up_and_called_back() {
+fn a_job_that_has_waited_past_its_latency_target_is_answered_and_cancelled() {
     let strict = |late_share| {
         let mut set = settings();
         set.classes
@@ -319,24 +327,24 @@
         set
     };
     let wait = |set: Settings, class, begun: bool| {
-        let mut desk = Desk::new(set, 1);
-        desk.arrive(1, class);
+        let mut dispatcher = TestDispatcher::new(set, 1);
+        dispatcher.arrive(1, class);
         if begun {
-            desk.give(started(1, 0));
+            dispatcher.handle_event(started(1, 0));
         }
         // Aim 100 ms and once more its own 100 ms: begun later than that it ends past 100 ms + 2 * 100 ms.
-        let early = desk.wake(190 * MS, 3);
-        assert_eq!((failed(&early), refused(&early)), (0, 0));
-        desk.wake(11 * MS, 3)
+        let early = dispatcher.fire_timer(190 * MS, 3);
+        assert_eq!((failed(&early), rejected(&early)), (0, 0));
+        dispatcher.fire_timer(11 * MS, 3)
     };
-    for class in [ONCE, KEYED] {
-        let out = wait(strict(0.0), class, false);
+    for class in [AT_MOST_ONCE, KEYED_PER_CELL] {
+        let actions = wait(strict(0.0), class, false);
         assert_eq!(
-            (failed(&out), cancels(&out).as_slice()),
+            (failed(&actions), cancels(&actions).as_slice()),
             (1, [0].as_slice()),
             "at once, and called back"
         );
-        for out in [
+        for actions in [
             wait(strict(0.0), class, true),  // it runs
             wait(strict(0.5), class, false), // late is still worth something
             wait(
@@ -356,12 +364,13 @@
                 false,
             ), // it may be running
         ] {
-            assert_eq!((failed(&out), cancels(&out).len()), (0, 0));
+            assert_eq!((failed(&actions), cancels(&actions).len()), (0, 0));
         }
     }
     // Its client would ask again, so that it would come back later still.
     assert_eq!(
-        failed(&wait(strict(0.0), FREE, false)) + failed(&wait(strict(0.0), KEYED_ALL, false)),
+        failed(&wait(strict(0.0), IDEMPOTENT, false))
+            + failed(&wait(strict(0.0), KEYED_FLEET_WIDE, false)),
         0
     );
 }
@@ -369,19 +378,19 @@
 /// One record for all classes let the others' successes wipe it off, or shut out their good work.
 #[test]
 fn a_worker_that_fails_one_class_keeps_the_others() {
-    let mut desk = Desk::new(patient(), 4);
+    let mut dispatcher = TestDispatcher::new(settings_with_wide_targets(), 4);
     let mut to_bad = [0; 2];
     for round in 0..20 {
         let batch: Vec<_> = (0..24)
-            .map(|i| (round * 24 + i, [FREE, ONCE][i as usize % 2]))
-            .map(|(job, class)| (job, class, sends(&desk.arrive(job, class))))
+            .map(|i| (round * 24 + i, [IDEMPOTENT, AT_MOST_ONCE][i as usize % 2]))
+            .map(|(job, class)| (job, class, sends(&dispatcher.arrive(job, class))))
             .collect();
-        desk.now += 500 * MS;
+        dispatcher.now += 500 * MS;
         for (job, class, workers) in batch {
             for (attempt, worker) in workers.into_iter().enumerate() {
-                to_bad[usize::from(class == ONCE)] += usize::from(worker == 2);
-                let bad = worker == 2 && class == ONCE;
-                desk.end(
+                to_bad[usize::from(class == AT_MOST_ONCE)] += usize::from(worker == 2);
+                let bad = worker == 2 && class == AT_MOST_ONCE;
+                dispatcher.end_attempt(
                     job,
                     attempt as u32,
                     if bad {
@@ -401,25 +410,28 @@
 
 /// Where half of the workers turn one class away though they show room, an unsafe job is lost at each such try.
 #[test]
-fn a_worker_that_says_full_though_it_shows_room_is_left_to_other_classes() {
+fn a_worker_that_sheds_a_class_in_spite_of_free_slots_is_left_to_other_classes() {
     let set = Settings {
         shed_may_have_run: true,
         ..settings()
     };
-    let mut desk = Desk::new(set, 8);
+    let mut dispatcher = TestDispatcher::new(set, 8);
     let (mut lost, mut others) = (0, 0);
     for job in 1..200 {
-        let class = [FREE, ONCE][job as usize % 2];
-        for (attempt, worker) in sends(&desk.arrive(job, class)).into_iter().enumerate() {
+        let class = [IDEMPOTENT, AT_MOST_ONCE][job as usize % 2];
+        for (attempt, worker) in sends(&dispatcher.arrive(job, class))
+            .into_iter()
+            .enumerate()
+        {
             let struck = worker >= 4;
-            let code = if struck && class == ONCE {
+            let outcome = if struck && class == AT_MOST_ONCE {
                 AttemptOutcome::Shed
             } else {
                 AttemptOutcome::Succeeded
             };
-            lost += usize::from(code == AttemptOutcome::Shed);
-            others += usize::from(struck && class == FREE);
-            desk.now += 20 * MS;
+            lost += usize::from(outcome == AttemptOutcome::Shed);
+            others += usize::from(struck && class == IDEMPOTENT);
+            dispatcher.now += 20 * MS;
             let report = Some(LoadReport {
                 free_slots: Some(3.0),
                 ..LoadReport::default()
@@ -427,12 +439,12 @@
             let (job, attempt, complete) = (
                 JobId(job),
                 attempt as u32,
-                code == AttemptOutcome::Succeeded,
+                outcome == AttemptOutcome::Succeeded,
             );
-            desk.give(Event::AttemptEnded(AttemptEnd {
+            dispatcher.handle_event(Event::AttemptEnded(AttemptEnd {
                 job,
                 attempt,
-                outcome: code,
+                outcome,
                 is_final: complete,
                 report,
             }));
@@ -449,7 +461,7 @@
 #[test]
 fn an_idle_connection_is_used_again_where_a_new_one_costs() {
     let met = |connection_cost| {
-        let mut desk = Desk::new(
+        let mut dispatcher = TestDispatcher::new(
             Settings {
                 connection_cost,
                 local_zone: ZoneId(1),
@@ -459,9 +471,9 @@
         );
         let mut met = Vec::new();
         for job in 1..60 {
-            met.extend(sends(&desk.arrive(job, ONCE)));
-            desk.now += 100 * MS;
-            desk.end(job, 0, AttemptOutcome::Succeeded);
+            met.extend(sends(&dispatcher.arrive(job, AT_MOST_ONCE)));
+            dispatcher.now += 100 * MS;
+            dispatcher.end_attempt(job, 0, AttemptOutcome::Succeeded);
         }
         met.sort_unstable();
         met.dedup();
@@ -477,17 +489,17 @@
 
 /// Where reports show only whether a slot is free, a jam was not seen, and work queued that was late already.
 #[test]
-fn the_wait_until_a_start_tells_a_jam_that_reports_do_not_show() {
+fn the_delay_until_a_start_shows_a_queue_that_reports_do_not() {
     let refusals = |set: Settings, wait_us| {
-        let mut desk = Desk::new(set, 4);
+        let mut dispatcher = TestDispatcher::new(set, 4);
         for job in 1..5 {
-            desk.arrive(job, FREE);
+            dispatcher.arrive(job, IDEMPOTENT);
         }
-        desk.now += wait_us;
+        dispatcher.now += wait_us;
         for job in 1..5 {
-            desk.give(started(job, 0));
+            dispatcher.handle_event(started(job, 0));
         }
-        refused(&desk.arrive(9, ONCE))
+        rejected(&dispatcher.arrive(9, AT_MOST_ONCE))
     };
     assert_eq!(
         refusals(settings(), 2 * SECOND),
@@ -510,27 +522,27 @@
 
 /// Live weights were taken for speed, which measured runs outweigh: the list's one sight of all was not used.
 #[test]
-fn a_live_weight_tells_how_busy_a_worker_is() {
-    let mut desk = Desk::new(
+fn a_live_weight_shows_how_busy_a_worker_is() {
+    let mut dispatcher = TestDispatcher::new(
         Settings {
             weight_meaning: WeightMeaning::Live,
             reports_only_on_probe: true,
-            ..patient()
+            ..settings_with_wide_targets()
         },
         0,
     );
     let weighted = |id, weight| Endpoint {
         weight,
         kind: KindId(0),
-        ..entry(id)
+        ..endpoint(id)
     };
-    desk.list(true, vec![weighted(0, 1.0), weighted(1, 1.0)]);
-    let place = |desk: &mut Desk, job| {
-        desk.arrive(job, ONCE);
-        let sent = sends(&desk.wake(10 * MS, 2 * job + 1));
-        desk.give(started(job, 0));
-        desk.now += 100 * MS;
-        desk.end(job, 0, AttemptOutcome::Succeeded);
+    dispatcher.update_endpoints(true, vec![weighted(0, 1.0), weighted(1, 1.0)]);
+    let place = |dispatcher: &mut TestDispatcher, job| {
+        dispatcher.arrive(job, AT_MOST_ONCE);
+        let sent = sends(&dispatcher.fire_timer(10 * MS, 2 * job + 1));
+        dispatcher.handle_event(started(job, 0));
+        dispatcher.now += 100 * MS;
+        dispatcher.end_attempt(job, 0, AttemptOutcome::Succeeded);
         sent
     };
     let room = Some(LoadReport {
@@ -538,7 +550,7 @@
         ..LoadReport::default()
     });
     for (worker, away) in [(1, 0), (0, 1)] {
-        desk.list(
+        dispatcher.update_endpoints(
             false,
             vec![
                 Endpoint {
@@ -548,20 +560,20 @@
                 weighted(worker, 1.0),
             ],
         );
-        desk.give(Event::ProbeEnded {
+        dispatcher.handle_event(Event::ProbeEnded {
             worker: WorkerId(worker),
             answered: true,
             report: room,
         });
         let first = u64::from(worker) * 100;
-        assert!((first..first + 50).all(|job| place(&mut desk, job) == [worker]));
+        assert!((first..first + 50).all(|job| place(&mut dispatcher, job) == [worker]));
     }
-    desk.list(false, vec![weighted(0, 1.0), weighted(1, 1.0)]);
-    desk.now += 60 * SECOND; // what was seen is out of date
-    assert_eq!(place(&mut desk, 300), [0], "alike, and near");
-    desk.list(false, vec![weighted(0, 0.2)]);
+    dispatcher.update_endpoints(false, vec![weighted(0, 1.0), weighted(1, 1.0)]);
+    dispatcher.now += 60 * SECOND; // what was seen is actions of date
+    assert_eq!(place(&mut dispatcher, 300), [0], "alike, and near");
+    dispatcher.update_endpoints(false, vec![weighted(0, 0.2)]);
     assert_eq!(
-        place(&mut desk, 301),
+        place(&mut dispatcher, 301),
         [1],
         "the near one holds four jobs a core more"
     );
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -2,7 +2,8 @@
 
 mod common;
 use common::{
-    arrival, cancels, ended, entry, patient, sends, started, Desk, FREE, KEYED, MS, ONCE, SECOND,
+    arrival, attempt_ended, cancels, endpoint, sends, settings_with_wide_targets, started,
+    TestDispatcher, AT_MOST_ONCE, IDEMPOTENT, KEYED_PER_CELL, MS, SECOND,
 };
 use streamusher::interface::{
     Action, AttemptOutcome, Endpoint, EndpointState, Event, LoadReport, Request, Settings, WorkerId,
@@ -10,76 +11,76 @@
 
 #[test]
 fn one_copy_while_nothing_of_ours_waits() {
-    let mut desk = Desk::new(patient(), 10);
+    let mut dispatcher = TestDispatcher::new(settings_with_wide_targets(), 10);
     for job in 1..8 {
-        assert_eq!(sends(&desk.arrive(job, FREE)).len(), 1);
-        desk.give(started(job, 0));
+        assert_eq!(sends(&dispatcher.arrive(job, IDEMPOTENT)).len(), 1);
+        dispatcher.handle_event(started(job, 0));
     }
 }
 
 #[test]
 fn jobs_go_where_fewest_own_jobs_are() {
-    let mut desk = Desk::new(patient(), 4);
+    let mut dispatcher = TestDispatcher::new(settings_with_wide_targets(), 4);
     let mut seen: Vec<u32> = (1..5)
-        .flat_map(|job| sends(&desk.arrive(job, ONCE)))
+        .flat_map(|job| sends(&dispatcher.arrive(job, AT_MOST_ONCE)))
         .collect();
     seen.sort_unstable();
     assert_eq!(seen, [0, 1, 2, 3]);
 }
 
 #[test]
-fn n_grows_with_own_waiting_jobs_up_to_the_ceiling() {
-    let mut desk = Desk::new(patient(), 6);
+fn copies_grow_with_own_waiting_jobs_up_to_the_limit() {
+    let mut dispatcher = TestDispatcher::new(settings_with_wide_targets(), 6);
     for job in 1..7 {
-        desk.arrive(job, ONCE); // one waits at every worker
+        dispatcher.arrive(job, AT_MOST_ONCE); // one waits at every worker
     }
-    assert_eq!(sends(&desk.arrive(100, FREE)).len(), 2);
+    assert_eq!(sends(&dispatcher.arrive(100, IDEMPOTENT)).len(), 2);
     for job in 9..40 {
-        desk.arrive(job, ONCE);
+        dispatcher.arrive(job, AT_MOST_ONCE);
     }
     // The ceiling is one under the attempt limit, so that a retry is left.
-    assert_eq!(sends(&desk.arrive(101, FREE)).len(), 3);
+    assert_eq!(sends(&dispatcher.arrive(101, IDEMPOTENT)).len(), 3);
 }
 
 #[test]
 fn copies_of_a_keyed_job_stay_in_the_cell() {
-    let mut desk = Desk::new(patient(), 16);
+    let mut dispatcher = TestDispatcher::new(settings_with_wide_targets(), 16);
     for job in 1..60 {
-        desk.arrive(job, ONCE);
+        dispatcher.arrive(job, AT_MOST_ONCE);
     }
-    let copies = sends(&desk.arrive(100, KEYED));
+    let copies = sends(&dispatcher.arrive(100, KEYED_PER_CELL));
     assert!(copies.len() > 1);
     assert!(copies.iter().all(|w| w / 4 == copies[0] / 4));
 }
 
 #[test]
 fn without_start_notices_two_own_jobs_count_as_waiting() {
-    let mut desk = Desk::new(
+    let mut dispatcher = TestDispatcher::new(
         Settings {
             notifies_start: false,
-            ..patient()
+            ..settings_with_wide_targets()
         },
         2,
     );
     for job in 1..3 {
-        assert_eq!(sends(&desk.arrive(job, FREE)).len(), 1);
+        assert_eq!(sends(&dispatcher.arrive(job, IDEMPOTENT)).len(), 1);
     }
     for job in 3..5 {
-        desk.arrive(job, ONCE);
+        dispatcher.arrive(job, AT_MOST_ONCE);
     }
-    assert_eq!(sends(&desk.arrive(5, FREE)).len(), 2);
+    assert_eq!(sends(&dispatcher.arrive(5, IDEMPOTENT)).len(), 2);
 }
 
 #[test]
 fn the_first_start_cancels_the_others() {
-    let mut desk = Desk::new(patient(), 8);
+    let mut dispatcher = TestDispatcher::new(settings_with_wide_targets(), 8);
     for job in 1..40 {
-        desk.arrive(job, ONCE);
+        dispatcher.arrive(job, AT_MOST_ONCE);
     }
-    assert_eq!(sends(&desk.arrive(100, FREE)).len(), 3);
-    assert_eq!(cancels(&desk.give(started(100, 1))), [0, 2]);
+    assert_eq!(sends(&dispatcher.arrive(100, IDEMPOTENT)).len(), 3);
+    assert_eq!(cancels(&dispatcher.handle_event(started(100, 1))), [0, 2]);
     assert!(
-        cancels(&desk.give(started(100, 0))).is_empty(),
+        cancels(&dispatcher.handle_event(started(100, 0))).is_empty(),
         "too late: it is called back already"
     );
 }
@@ -87,72 +88,78 @@
 #[test]
 fn of_simultaneous_starts_one_is_kept_at_random() {
     let mut kept = [0; 3];
-    let mut desk = Desk::new(patient(), 8);
+    let mut dispatcher = TestDispatcher::new(settings_with_wide_targets(), 8);
     for worker in 0..8 {
         let report = Some(LoadReport {
             free_slots: Some(0.0),
             ..LoadReport::default()
         });
-        desk.give(Event::ProbeEnded {
+        dispatcher.handle_event(Event::ProbeEnded {
             worker: WorkerId(worker),
             answered: true,
             report,
         });
     }
     for job in 1..40 {
-        desk.arrive(job, ONCE);
+        dispatcher.arrive(job, AT_MOST_ONCE);
     }
     for job in 100..160 {
-        let n = sends(&desk.arrive(job, FREE)).len() as u32;
+        let n = sends(&dispatcher.arrive(job, IDEMPOTENT)).len() as u32;
         assert_eq!(n, 3);
-        let gone = cancels(&desk.batch((0..n).map(|a| started(job, a)).collect()));
+        let gone = cancels(&dispatcher.handle_batch((0..n).map(|a| started(job, a)).collect()));
         assert_eq!(gone.len(), 2);
         let keep = (0..3).find(|a| !gone.contains(a)).unwrap();
         kept[keep as usize] += 1;
-        desk.batch(
+        dispatcher.handle_batch(
             gone.iter()
-                .map(|&a| ended(job, a, AttemptOutcome::NotSent, false))
+                .map(|&a| attempt_ended(job, a, AttemptOutcome::NotSent, false))
                 .collect(),
         );
-        desk.end(job, keep, AttemptOutcome::Succeeded);
+        dispatcher.end_attempt(job, keep, AttemptOutcome::Succeeded);
     }
     assert!(kept.iter().all(|&k| k >= 5), "{kept:?}");
 }
 
 #[test]
 fn a_job_that_does_not_start_is_forked_further() {
-    let mut desk = Desk::new(patient(), 8);
-    assert_eq!(sends(&desk.arrive(1, FREE)).len(), 1);
-    assert_eq!(sends(&desk.wake(SECOND, 3)).len(), 1);
-    desk.give(started(1, 1));
-    assert!(sends(&desk.wake(SECOND, 3)).is_empty(), "it runs");
+    let mut dispatcher = TestDispatcher::new(settings_with_wide_targets(), 8);
+    assert_eq!(sends(&dispatcher.arrive(1, IDEMPOTENT)).len(), 1);
+    assert_eq!(sends(&dispatcher.fire_timer(SECOND, 3)).len(), 1);
+    dispatcher.handle_event(started(1, 1));
+    assert!(
+        sends(&dispatcher.fire_timer(SECOND, 3)).is_empty(),
+        "it runs"
+    );
 }
 
 #[test]
-fn a_full_worker_drops_a_copy_and_all_full_means_a_retry() {
-    let mut desk = Desk::new(patient(), 8);
-    desk.arrive(1, FREE);
-    desk.wake(SECOND, 3);
+fn a_full_worker_sheds_a_copy_and_the_job_is_retried_if_all_are_full() {
+    let mut dispatcher = TestDispatcher::new(settings_with_wide_targets(), 8);
+    dispatcher.arrive(1, IDEMPOTENT);
+    dispatcher.fire_timer(SECOND, 3);
     assert!(
-        sends(&desk.end(1, 0, AttemptOutcome::Shed)).is_empty(),
+        sends(&dispatcher.end_attempt(1, 0, AttemptOutcome::Shed)).is_empty(),
         "one copy is still out"
     );
-    assert_eq!(sends(&desk.end(1, 1, AttemptOutcome::Shed)).len(), 1);
+    assert_eq!(
+        sends(&dispatcher.end_attempt(1, 1, AttemptOutcome::Shed)).len(),
+        1
+    );
 }
 
 #[test]
-fn copies_that_burn_work_lower_n() {
-    let mut desk = Desk::new(patient(), 8);
+fn copies_that_waste_work_lower_the_number_of_copies() {
+    let mut dispatcher = TestDispatcher::new(settings_with_wide_targets(), 8);
     for job in 1..40 {
-        desk.arrive(job, ONCE);
+        dispatcher.arrive(job, AT_MOST_ONCE);
     }
     let mut last = 3;
     for job in 100..200 {
-        last = sends(&desk.arrive(job, FREE)).len();
-        desk.batch((0..last as u32).map(|a| started(job, a)).collect());
-        desk.batch(
+        last = sends(&dispatcher.arrive(job, IDEMPOTENT)).len();
+        dispatcher.handle_batch((0..last as u32).map(|a| started(job, a)).collect());
+        dispatcher.handle_batch(
             (0..last as u32)
-                .map(|a| ended(job, a, AttemptOutcome::Cancelled, a + 1 == last as u32))
+                .map(|a| attempt_ended(job, a, AttemptOutcome::Cancelled, a + 1 == last as u32))
                 .collect(),
         );
     }
@@ -174,16 +181,16 @@
     (0..workers)
         .map(|id| Endpoint {
             hash: u64::from(id) * 77 + 5,
-            ..entry(id)
+            ..endpoint(id)
         })
         .collect()
 }
 
 #[test]
-fn jobs_for_a_subject_go_to_its_homes_which_all_dispatchers_share() {
+fn jobs_of_a_subject_go_to_its_affinity_workers_which_all_dispatchers_share() {
     let mut met: Vec<u32> = Vec::new();
     for order in [0, 1] {
-        let mut desk = Desk::new(patient(), 0);
+        let mut dispatcher = TestDispatcher::new(settings_with_wide_targets(), 0);
         let mut list = marked(30);
         if order == 1 {
             list.reverse(); // another dispatcher met the workers in another order, so its numbers differ
@@ -191,9 +198,9 @@
                 .enumerate()
                 .for_each(|(i, e)| e.worker = WorkerId(i as u32));
         }
-        desk.list(true, list);
+        dispatcher.update_endpoints(true, list);
         for job in 1..60 {
-            let sent = sends(&desk.give(about(job, ONCE, 1_234)));
+            let sent = sends(&dispatcher.handle_event(about(job, AT_MOST_ONCE, 1_234)));
             met.extend(sent.iter().map(|&w| if order == 1 { 29 - w } else { w }));
         }
     }
@@ -205,10 +212,10 @@
 
 #[test]
 fn subjects_spread_over_the_workers() {
-    let mut desk = Desk::new(patient(), 0);
-    desk.list(true, marked(30));
+    let mut dispatcher = TestDispatcher::new(settings_with_wide_targets(), 0);
+    dispatcher.update_endpoints(true, marked(30));
     let mut met: Vec<u32> = (1..200)
-        .flat_map(|job| sends(&desk.give(about(job, ONCE, job))))
+        .flat_map(|job| sends(&dispatcher.handle_event(about(job, AT_MOST_ONCE, job))))
         .collect();
     met.sort_unstable();
     met.dedup();
@@ -216,12 +223,16 @@
 }
 
 #[test]
-fn a_subject_whose_homes_are_gone_or_full_goes_elsewhere() {
-    let mut desk = Desk::new(patient(), 0);
-    desk.list(true, marked(30));
-    let mut seen = sends(&desk.give(about(1, FREE, 9)));
+fn a_subject_whose_affinity_workers_are_gone_or_full_goes_elsewhere() {
+    let mut dispatcher = TestDispatcher::new(settings_with_wide_targets(), 0);
+    dispatcher.update_endpoints(true, marked(30));
+    let mut seen = sends(&dispatcher.handle_event(about(1, IDEMPOTENT, 9)));
     for attempt in 0..3 {
-        seen.extend(sends(&desk.end(1, attempt, AttemptOutcome::Shed)));
+        seen.extend(sends(&dispatcher.end_attempt(
+            1,
+            attempt,
+            AttemptOutcome::Shed,
+        )));
     }
     assert_eq!(seen.len(), 4, "the last attempt leaves the three homes");
     let drained: Vec<Endpoint> = marked(30)
@@ -235,27 +246,30 @@
             ..e
         })
         .collect();
-    desk.list(false, drained);
-    let next = sends(&desk.give(about(2, FREE, 9)));
+    dispatcher.update_endpoints(false, drained);
+    let next = sends(&dispatcher.handle_event(about(2, IDEMPOTENT, 9)));
     assert!(next.len() == 1 && !seen[..3].contains(&next[0]));
 }
 
 /// A copy away from home would start first, where the data must be fetched, and cancel the better one.
 #[test]
-fn copies_for_a_subject_stay_at_its_homes() {
-    let mut desk = Desk::new(
+fn copies_of_a_subject_stay_at_its_affinity_workers() {
+    let mut dispatcher = TestDispatcher::new(
         Settings {
             max_attempts: 6,
-            ..patient()
+            ..settings_with_wide_targets()
         },
         0,
     );
-    desk.list(true, marked(30));
+    dispatcher.update_endpoints(true, marked(30));
     for job in 1..40 {
-        desk.give(about(job, ONCE, 9));
+        dispatcher.handle_event(about(job, AT_MOST_ONCE, 9));
     }
-    assert_eq!(sends(&desk.give(about(100, FREE, 9))).len(), 3);
-    assert!(sends(&desk.wake(SECOND, 201)).is_empty());
+    assert_eq!(
+        sends(&dispatcher.handle_event(about(100, IDEMPOTENT, 9))).len(),
+        3
+    );
+    assert!(sends(&dispatcher.fire_timer(SECOND, 201)).is_empty());
 }
 
 fn probes(actions: &[Action]) -> Vec<u32> {
@@ -267,19 +281,19 @@
 }
 
 #[test]
-fn where_reports_come_only_by_probes_a_few_workers_are_asked_first() {
-    let mut desk = Desk::new(
+fn where_reports_come_only_by_probes_a_few_workers_are_probed_first() {
+    let mut dispatcher = TestDispatcher::new(
         Settings {
             reports_only_on_probe: true,
-            ..patient()
+            ..settings_with_wide_targets()
         },
         30,
     );
     for job in 1..20 {
-        let out = desk.arrive(job, ONCE);
-        let asked = probes(&out);
+        let actions = dispatcher.arrive(job, AT_MOST_ONCE);
+        let asked = probes(&actions);
         assert_eq!(
-            (asked.len(), sends(&out).len()),
+            (asked.len(), sends(&actions).len()),
             (4, 0),
             "asked, and not sent yet"
         );
@@ -291,31 +305,31 @@
                 waiting: Some(3.0),
                 ..LoadReport::default()
             });
-            desk.give(Event::ProbeEnded {
+            dispatcher.handle_event(Event::ProbeEnded {
                 worker: WorkerId(worker),
                 answered: true,
                 report,
             });
         }
-        let out = desk.wake(10 * MS, 2 * job + 1);
-        assert_eq!(sends(&out).len(), 1);
+        let actions = dispatcher.fire_timer(10 * MS, 2 * job + 1);
+        assert_eq!(sends(&actions).len(), 1);
         if idle.is_multiple_of(2) {
-            assert_eq!(sends(&out), [idle]); // of the own zone, and known to be idle
+            assert_eq!(sends(&actions), [idle]); // of the own zone, and known to be idle
         }
-        desk.end(job, 0, AttemptOutcome::Succeeded);
-        desk.now += 60 * SECOND;
+        dispatcher.end_attempt(job, 0, AttemptOutcome::Succeeded);
+        dispatcher.now += 60 * SECOND;
     }
 }
 
 #[test]
 fn a_job_goes_out_though_no_probe_is_answered() {
-    let mut desk = Desk::new(
+    let mut dispatcher = TestDispatcher::new(
         Settings {
             reports_only_on_probe: true,
-            ..patient()
+            ..settings_with_wide_targets()
         },
         3,
     );
-    desk.arrive(1, ONCE);
-    assert_eq!(sends(&desk.wake(10 * MS, 3)).len(), 1);
+    dispatcher.arrive(1, AT_MOST_ONCE);
+    assert_eq!(sends(&dispatcher.fire_timer(10 * MS, 3)).len(), 1);
 }
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -2,7 +2,9 @@
 //! speeds: what happens to an attempt, and when, is drawn from a seeded generator.
 
 mod common;
-use common::{ended, entry, patient, settings, started, KEYED, SECOND};
+use common::{
+    attempt_ended, endpoint, settings, settings_with_wide_targets, started, KEYED_PER_CELL, SECOND,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sha2::{Digest, Sha256};
@@ -176,11 +178,11 @@
     }
 }
 
-fn never_ran(set: &Settings, code: AttemptOutcome) -> bool {
+fn never_ran(set: &Settings, outcome: AttemptOutcome) -> bool {
     matches!(
-        code,
+        outcome,
         AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent
-    ) || (code == AttemptOutcome::Shed && !set.shed_may_have_run)
+    ) || (outcome == AttemptOutcome::Shed && !set.shed_may_have_run)
 }
 
 /// Digest of all actions on the seeds of the test below. A change of policy replaces it and says so in its commit.
@@ -188,7 +190,7 @@
 
 fn play(seed: u64) -> (usize, usize, Sha256) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut set = patient();
+    let mut set = settings_with_wide_targets();
     set.notifies_start = rng.random();
     set.may_cancel = rng.random_bool(0.8);
     set.may_duplicate = rng.random_bool(0.8);
@@ -205,7 +207,7 @@
             .then(|| vec![KindId(rng.random_range(0..3)), KindId(1)]);
     }
     if let Repeatability::IdempotentByKey { scope, .. } =
-        &mut set.classes[KEYED as usize].repeatability
+        &mut set.classes[KEYED_PER_CELL as usize].repeatability
     {
         *scope = if rng.random() {
             DeduplicationScope::Zone
@@ -258,7 +260,7 @@
                     state: c.stage[i],
                     started_at_us: since[i],
                     kind: KindId(id % 3),
-                    ..entry(id)
+                    ..endpoint(id)
                 });
             }
             first = false;
@@ -325,7 +327,7 @@
                     c.take(now, std::mem::take(&mut out), &mut serial);
                     continue;
                 }
-                let code = match () {
+                let outcome = match () {
                     _ if now >= deadline => AttemptOutcome::TimedOut,
                     _ if s.cancelled && rng.random() => AttemptOutcome::Cancelled,
                     _ if rng.random_bool(0.03) => [
@@ -337,13 +339,17 @@
                     ][rng.random_range(0..5)],
                     _ => continue,
                 };
-                s.end = Some(code);
-                let complete = over || code == AttemptOutcome::Succeeded;
-                if code == AttemptOutcome::Succeeded && !over {
+                s.end = Some(outcome);
+                let complete = over || outcome == AttemptOutcome::Succeeded;
+                if outcome == AttemptOutcome::Succeeded && !over {
                     j.over_since = Some(now);
                     c.answers += 1;
                 }
-                balancer.handle(now, ended(id, attempt as u32, code, complete), &mut out);
+                balancer.handle(
+                    now,
+                    attempt_ended(id, attempt as u32, outcome, complete),
+                    &mut out,
+                );
                 c.take(now, std::mem::take(&mut out), &mut serial);
             }
             let j = c.jobs.get_mut(&id).unwrap();
@@ -398,7 +404,7 @@
 
 /// Any events in any order, ids out of range and settings that make no sense: no panic.
 #[test]
-fn nonsense_does_no_harm() {
+fn arbitrary_events_and_settings_cause_no_panic() {
     for seed in 0..200 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut set = if seed % 3 == 0 {
@@ -426,19 +432,19 @@
                 waiting: Some(-1.0),
                 ..LoadReport::default()
             });
-            let codes = [
+            let outcomes = [
                 AttemptOutcome::Succeeded,
                 AttemptOutcome::Shed,
                 AttemptOutcome::WorkerError,
                 AttemptOutcome::Cancelled,
                 AttemptOutcome::TimedOut,
             ];
-            let code = codes[rng.random_range(0..5)];
+            let outcome = outcomes[rng.random_range(0..5)];
             let e = Endpoint {
                 worker,
                 weight: [0.0, -1.0, f64::NAN, 1.0][rng.random_range(0..4)],
                 started_at_us: rng.random(),
-                ..entry(0)
+                ..endpoint(0)
             };
             let event = match rng.random_range(0..12) {
                 0 => Event::EndpointUpdate {
@@ -467,7 +473,7 @@
                 8 => Event::AttemptEnded(AttemptEnd {
                     job,
                     attempt,
-                    outcome: code,
+                    outcome,
                     is_final: rng.random(),
                     report,
                 }),
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -1,9 +1,12 @@
-//! What whole fleets send a cold worker: the sum of many instances of the pure ramp, and of many dispatchers, in the worst
-//! window, against the budget of the operators' page made stricter: N calls plus 2 x root of N + 2.
+//! Slow start of whole fleets: what many instances of the pure slow start, and many dispatchers, send a worker that warms
+//! up, in the worst window, against the budget of the operators' page made stricter: N requests plus 2 x root of N + 2.
 
 mod common;
 
-use common::{entry, patient, sends, settings, Desk, FREE, MS, ONCE, SECOND};
+use common::{
+    endpoint, sends, settings, settings_with_wide_targets, TestDispatcher, AT_MOST_ONCE,
+    IDEMPOTENT, MS, SECOND,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
@@ -47,7 +50,7 @@
 /// Hundreds of instances of the pure ramp, all told of the start at once: those with more traffic have served as much as
 /// the warm workers can do, and those with none keep their even parts.
 #[rstest]
-fn the_sum_of_all_ramps_stays_within_the_budget(
+fn the_sum_of_all_slow_starts_stays_within_the_budget(
     #[values(2, 20, 30, 300)] fleet: u32,
     #[values(
         Demand::Steady,
@@ -106,7 +109,7 @@
 
 /// Shares far below a call go by chance: over a fleet of 300 about as many calls come as its parts add up to.
 #[test]
-fn shares_below_a_call_go_by_chance() {
+fn shares_below_a_request_are_sent_by_chance() {
     let (slots, call, window, fleet) = (5.0, 250_000.0, 1_500 * MS, 300u32);
     let set = Settings {
         dispatchers: fleet,
@@ -136,58 +139,58 @@
 /// Whole dispatchers: a fleet that served at full load, pauses, is told of a cold worker all at once, and then has more
 /// than enough for it.
 #[rstest]
-fn a_fleet_that_wakes_does_not_push_a_cold_worker_over(
+fn a_fleet_that_was_idle_does_not_overload_a_worker_that_warms_up(
     #[values(20, 30, 300)] fleet: u64,
     #[values(2, 5)] pause_s: u64,
 ) {
     let (workers, cold) = (20u32, 2u32);
     let set = Settings {
         dispatchers: fleet as u32,
-        ..patient()
+        ..settings_with_wide_targets()
     };
     // Of 200 jobs a second, four in five come to a fifth of the dispatchers.
     let pause_of =
         |n: u64| (fleet * 5_000 / if n.is_multiple_of(5) { 800 } else { 50 }).max(1) * MS;
     let mut sent = Vec::new();
     for n in 0..fleet {
-        let mut desk = Desk::new(set.clone(), workers);
-        desk.balancer = streamusher::Balancer::new(set.clone(), n, desk.now);
-        desk.list(true, (0..workers).map(entry).collect());
-        let begin = desk.now;
+        let mut dispatcher = TestDispatcher::new(set.clone(), workers);
+        dispatcher.balancer = streamusher::Balancer::new(set.clone(), n, dispatcher.now);
+        dispatcher.update_endpoints(true, (0..workers).map(endpoint).collect());
+        let begin = dispatcher.now;
         let mut job = 0;
-        while desk.now < begin + 10 * SECOND {
-            desk.arrive(job, ONCE);
-            desk.now += pause_of(n).min(100 * MS);
-            desk.end(job, 0, AttemptOutcome::Succeeded);
-            desk.now = desk.now.max(begin + (job + 1) * pause_of(n));
+        while dispatcher.now < begin + 10 * SECOND {
+            dispatcher.arrive(job, AT_MOST_ONCE);
+            dispatcher.now += pause_of(n).min(100 * MS);
+            dispatcher.end_attempt(job, 0, AttemptOutcome::Succeeded);
+            dispatcher.now = dispatcher.now.max(begin + (job + 1) * pause_of(n));
             job += 1;
         }
         let since = begin + 11 * SECOND;
-        desk.now = since;
-        desk.list(
+        dispatcher.now = since;
+        dispatcher.update_endpoints(
             false,
             vec![Endpoint {
                 started_at_us: since,
-                ..entry(cold)
+                ..endpoint(cold)
             }],
         );
-        desk.now += pause_s * SECOND;
+        dispatcher.now += pause_s * SECOND;
         let mut running = std::collections::VecDeque::new();
         // Work without end, all at once: what the warm ones have no room for goes to the cold one if it may.
         for job in (1_000_000..).take_while(|j| (j - 1_000_000) * 20 < 8_000 - pause_s * 1_000) {
-            let (mut out, mut tried) = (desk.arrive(job, FREE), 0);
-            while let Some(&w) = sends(&out).first() {
+            let (mut actions, mut tried) = (dispatcher.arrive(job, IDEMPOTENT), 0);
+            while let Some(&w) = sends(&actions).first() {
                 if w == cold {
-                    sent.push(desk.now - since);
-                    running.push_back((desk.now + 100 * MS, job, tried));
+                    sent.push(dispatcher.now - since);
+                    running.push_back((dispatcher.now + 100 * MS, job, tried));
                     break;
                 }
-                out = desk.end(job, tried, AttemptOutcome::Shed);
+                actions = dispatcher.end_attempt(job, tried, AttemptOutcome::Shed);
                 tried += 1;
             }
-            desk.now += 20 * MS;
-            while let Some((_, job, tried)) = running.pop_front_if(|r| r.0 <= desk.now) {
-                desk.end(job, tried, AttemptOutcome::Succeeded);
+            dispatcher.now += 20 * MS;
+            while let Some((_, job, tried)) = running.pop_front_if(|r| r.0 <= dispatcher.now) {
+                dispatcher.end_attempt(job, tried, AttemptOutcome::Succeeded);
             }
         }
     }
