--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,7 +5,7 @@
 //! It forks each repeatable job into copies queued at the workers with the fewest own waiting jobs, more copies
 //! as queues build, and cancels the other copies as soon as one starts running: the (n, 1) fork-early-cancel
 //! system of Joshi, Soljanin and Wornell, "Queues with Redundancy: Latency-Cost Analysis". `docs/design.md`
-//! tells what was kept, what was changed and why. All decisions stand in `src/balance/`, 710 lines at most.
+//! tells what was kept, what was changed and why. All decisions stand in `src/balance/`.
 //!
 //! There are four ways to embed it:
 //!
