--- a/crates/fleet/benches/size.rs
+++ b/crates/fleet/benches/size.rs
@@ -1,11 +1,11 @@
 //! What a fleet costs by its size, in virtual time: bytes a second for each member, quiet and at work, by members and
-//! tenants; and from the healing of a partition to one tally at all, in gossip periods.
+//! tenants; and the time from the healing of a partition until all have the same totals, in gossip intervals.
 //!
 //!     cargo bench -p streamusher-fleet --bench size -- 3 12 100 300
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
-    reason = "a test fails by panicking"
+    reason = "the simulation is shared with the tests, which fail by panicking"
 )]
 
 #[path = "../tests/simulation/mod.rs"]
