--- a/crates/ledger/src/correction.rs
+++ b/crates/ledger/src/correction.rs
@@ -52,9 +52,24 @@
 /// The longest author, reason, tenant or class, in bytes.
 pub const TEXT: usize = 1 << 10;
 
+/// Why a correction cannot be booked.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum CorrectionError {
+    /// A text is empty or blank.
+    #[error("{0}: must not be empty")]
+    Empty(&'static str),
+    /// A text is too long for a table, or holds control characters.
+    #[error("{0}: at most {TEXT} bytes, without control characters")]
+    Unprintable(&'static str),
+}
+
 impl Correction {
-    /// Guards against texts that could not be told in a table, or not be found again.
-    pub fn check(&self) -> Result<(), String> {
+    /// Guards against texts that could not be shown in a table, or not be found again.
+    ///
+    /// # Errors
+    ///
+    /// The first text that is blank, too long or holds control characters.
+    pub fn check(&self) -> Result<(), CorrectionError> {
         let fields = [
             ("tenant", &self.tenant),
             ("class", &self.class),
@@ -63,12 +78,10 @@
         ];
         for (name, text) in fields {
             if text.trim().is_empty() {
-                return Err(format!("{name}: must not be empty"));
+                return Err(CorrectionError::Empty(name));
             }
             if text.len() > TEXT || text.chars().any(char::is_control) {
-                return Err(format!(
-                    "{name}: at most {TEXT} bytes, without control characters"
-                ));
+                return Err(CorrectionError::Unprintable(name));
             }
         }
         Ok(())
--- a/crates/ledger/src/period.rs
+++ b/crates/ledger/src/period.rs
@@ -120,31 +120,35 @@
     }
 }
 
+/// A text that names no period.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("not a period: {0:?}; a month is 2026-12, a day 2026-12-01, an hour 2026-12-01T13")]
+pub struct ParsePeriodError(String);
+
 impl TryFrom<String> for Period {
-    type Error = String;
+    type Error = ParsePeriodError;
 
-    fn try_from(text: String) -> Result<Period, String> {
+    fn try_from(text: String) -> Result<Period, ParsePeriodError> {
         text.parse()
     }
 }
 
 impl FromStr for Period {
-    type Err = String;
+    type Err = ParsePeriodError;
 
     /// `2026-12` is a month, `2026-12-01` a day, `2026-12-01T13` an hour.
-    fn from_str(text: &str) -> Result<Period, String> {
+    fn from_str(text: &str) -> Result<Period, ParsePeriodError> {
+        let malformed = || ParsePeriodError(text.to_string());
         let (span, whole) = match text.len() {
             7 => (Span::Month, format!("{text}-01T00:00:00Z")),
             10 => (Span::Day, format!("{text}T00:00:00Z")),
             13 => (Span::Hour, format!("{text}:00:00Z")),
-            _ => return Err(bad(text)),
+            _ => return Err(malformed()),
         };
-        let at: Timestamp = whole.parse().map_err(|_| bad(text))?;
-        let found = Period::starting(span, at.as_second()).filter(|p| p.to_string() == text);
-        found.ok_or_else(|| bad(text))
+        let start: Timestamp = whole.parse().map_err(|_| malformed())?;
+        let found = Period::starting(span, start.as_second());
+        found
+            .filter(|period| period.to_string() == text)
+            .ok_or_else(malformed)
     }
 }
-
-fn bad(text: &str) -> String {
-    format!("not a period: {text:?}; a month is 2026-12, a day 2026-12-01, an hour 2026-12-01T13")
-}
--- a/crates/ledger/src/scan.rs
+++ b/crates/ledger/src/scan.rs
@@ -4,7 +4,7 @@
 use crate::entry::{to_hex, Answer, KeyHash, Unpack};
 use crate::export::{lines, read_bytes, read_head, BlockHead, Hashing, Manifest};
 use crate::marks::Delivery;
-use crate::period::Period;
+use crate::period::{ParsePeriodError, Period};
 use crate::reconcile::{Finding, Merged, OpenDoubt, Part, Place};
 use crate::seal;
 use crate::store::Lines;
@@ -138,7 +138,10 @@
         },
     );
     let head = read_head(&mut from)?;
-    let period: Period = head.period.parse()?;
+    let period: Period = head
+        .period
+        .parse()
+        .map_err(|e: ParsePeriodError| e.to_string())?;
     let marks = head.marks().ok_or("its marks cannot be read")?;
     let mut chain = seal::Chain::new(&head.before, &head.instance, period);
     let mut part = Part {
--- a/crates/ledger/tests/pure.rs
+++ b/crates/ledger/tests/pure.rs
@@ -48,7 +48,7 @@
 #[case("2026-1-1")]
 #[case("")]
 fn what_is_no_period_is_told(#[case] name: &str) {
-    let why = name.parse::<Period>().unwrap_err();
+    let why = name.parse::<Period>().unwrap_err().to_string();
     assert!(why.starts_with("not a period"), "{why}");
 }
 
--- a/src/config/operators.rs
+++ b/src/config/operators.rs
@@ -331,8 +331,8 @@
             .clone()
             .unwrap_or_else(|| self.dir.join("ledger.key"));
         if make && self.key_file.is_none() && !path.exists() {
-            streamusher_ledger::key::make(&path)?;
+            streamusher_ledger::key::make(&path).map_err(|error| error.to_string())?;
         }
-        streamusher_ledger::key::load(&path)
+        streamusher_ledger::key::load(&path).map_err(|error| error.to_string())
     }
 }
