--- a/src/balance/fan_out.rs
+++ b/src/balance/fan_out.rs
@@ -11,6 +11,11 @@
 /// Traffic beyond its share is served while this part of the slots is free: room for one slow-down of all.
 const SPARE_CAPACITY_SHARE: f64 = 0.35;
 
+/// A job that no worker can take is held for one over this of the shortest latency target, and tried again.
+const HOLD_DIVISOR: Micros = 8;
+/// After this many missed starts the delay until the next recheck doubles no more.
+const MAX_RECHECK_DOUBLINGS: u32 = 8;
+
 /// Where a further copy may go.
 #[derive(Clone, Copy, PartialEq)]
 enum CopyTarget {
@@ -76,7 +81,7 @@
         if is_exhausted || may_have_run || job.over_share || self.is_hopeless(now, job, None) {
             return self.answer(id, actions);
         }
-        let hold_us = self.settings.shortest_latency_target_us() / 8;
+        let hold_us = self.settings.shortest_latency_target_us() / HOLD_DIVISOR;
         actions.push(Timer::Recheck(id).after(hold_us));
     }
 
@@ -121,7 +126,7 @@
         } else {
             self.expected_work(job)
         };
-        let multiple = f64::from(2u32 << job.missed_starts.min(8));
+        let multiple = f64::from(2u32 << job.missed_starts.min(MAX_RECHECK_DOUBLINGS));
         let futile_in_us = self
             .futile_from(job)
             .map_or(Micros::MAX, |from| from.saturating_sub(now));
--- a/src/balance/learning.rs
+++ b/src/balance/learning.rs
@@ -8,6 +8,10 @@
 
 /// Most penalty or load of a worker, in jobs: what was bad for long is tried again a few half-lives later.
 const MAX_PENALTY: f64 = 16.0;
+/// Part of a penalty that is left when the worker makes progress with a job.
+const PENALTY_LEFT_AFTER_PROGRESS: f64 = 0.5;
+/// Below this load by others, in jobs, a worker may finish a copy whose job runs elsewhere too.
+const MAX_LOAD_FOR_SECOND_RUN: f64 = 0.5;
 
 impl Balancer {
     pub(super) fn on_started(&mut self, now: Micros, id: JobId, attempt: u32) {
@@ -65,7 +69,8 @@
             };
             let runs = |attempt: &Attempt| attempt.is_running() && !attempt.cancelled;
             let load = |attempt: &Attempt| self.load(now, &self.workers[attempt.worker.index()]);
-            let may_go_on = |attempt: &Attempt| runs(attempt) && load(attempt) < 0.5;
+            let may_go_on =
+                |attempt: &Attempt| runs(attempt) && load(attempt) < MAX_LOAD_FOR_SECOND_RUN;
             let may_go_on: Vec<bool> = job.attempts.iter().map(may_go_on).collect();
             let running = (0..may_go_on.len()).filter(|&index| runs(&job.attempts[index]));
             let Some(kept) = running.choose(&mut self.rng) else {
@@ -230,8 +235,14 @@
 
     /// A worker makes progress with a job of a class: its penalties, for that class and for all, shrink.
     fn relieve(&mut self, now: Micros, worker: WorkerId, class: usize) {
-        self.update_penalty(now, worker, class, 0.5, 0.0);
-        self.update_penalty(now, worker, self.all_classes(), 0.5, 0.0);
+        self.update_penalty(now, worker, class, PENALTY_LEFT_AFTER_PROGRESS, 0.0);
+        self.update_penalty(
+            now,
+            worker,
+            self.all_classes(),
+            PENALTY_LEFT_AFTER_PROGRESS,
+            0.0,
+        );
     }
 
     /// Remembers a worker that has served or answered; of more than fit, the highest ranked is forgotten.
--- a/src/balance/mod.rs
+++ b/src/balance/mod.rs
@@ -28,6 +28,12 @@
 /// Penalty, in jobs, for an outcome that is held against the worker: more than usual counts differ.
 const FAILURE_PENALTY: f64 = 4.0;
 
+/// The first poll of the endpoint list comes within one over this of the longest interval: a whole tier of dispatchers
+/// may have started just now.
+const FIRST_POLL_DIVISOR: Micros = 8;
+/// A poll that failed is repeated within one over this of the longest interval.
+const REPEATED_POLL_DIVISOR: Micros = 4;
+
 /// The decisions of one dispatcher. Each call takes the current time as an argument.
 pub struct Balancer {
     settings: Settings,
@@ -128,7 +134,7 @@
             } => {
                 self.on_endpoint_update(now, complete, endpoints, actions);
             }
-            Event::DiscoveryFailed => self.schedule_poll(4, actions),
+            Event::DiscoveryFailed => self.schedule_poll(REPEATED_POLL_DIVISOR, actions),
             Event::Arrived(request) => self.on_arrived(now, request, actions),
             Event::Started { job, attempt } => self.on_started(now, job, attempt),
             Event::Progress { job, attempt, .. } => self.on_progress(now, job, attempt),
@@ -154,7 +160,7 @@
         actions: &mut Vec<Action>,
     ) {
         if self.workers.is_empty() {
-            self.schedule_poll(8, actions); // a whole tier of dispatchers may have started just now
+            self.schedule_poll(FIRST_POLL_DIVISOR, actions);
         }
         if complete {
             for worker in &mut self.workers {
