--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,13 +1,16 @@
 //! What the dispatchers of one fleet share, as pure state machines: they take the current time and the datagrams that
 //! came, and return those that are to be sent. They open no socket, read no clock, and draw random numbers from a seed.
 //!
+//! - [`incarnation`]: a member's name, and which of its processes.
 //! - [`membership`]: which members there are, by name and incarnation (SWIM with suspicion, the `foca` crate).
-//! - [`usage_counters`]: grow-only counters that converge at every member; [`usage_totals`] are their sums.
+//! - [`usage`], [`usage_counters`]: what is counted, in grow-only counters that converge at every member;
+//!   [`usage_totals`] are their sums.
 //! - [`quota`]: quotas over the whole fleet, divided into shares that members lend to each other for a time.
 //! - [`allowance`]: where the data path acquires units of a quota, with one atomic exchange.
 //! - [`outlier`]: members' observations of workers, and when they are believed.
 //! - [`datagram`]: what goes over the wire, under a MAC.
-//! - [`node`]: one member, all of these together.
+//! - [`node`]: one member, all of these together, with its [`settings`], its [`status`] for operators, and in [`outbox`]
+//!   what it wants sent.
 //!
 //! The program around it calls [`FleetNode::receive`](node::FleetNode::receive) for each datagram and
 //! [`FleetNode::tick`](node::FleetNode::tick) when its deadline has come, and sends what waits after both:
