--- a/crates/ledger/src/receipts.rs
+++ b/crates/ledger/src/receipts.rs
@@ -19,6 +19,10 @@
 
 /// Which of these doubts the file holds a receipt for, by operation. Reads it row by row: it may be far larger than
 /// the doubts.
+///
+/// # Errors
+///
+/// [`ReceiptsError::File`] if the file cannot be read, is no CSV, or has no column `operation`.
 pub fn found(path: &Path, doubts: &[Doubt]) -> Result<HashSet<String>, ReceiptsError> {
     let at = path.display();
     let bad = |why: String| ReceiptsError::File(format!("{at}: {why}"));
@@ -65,6 +69,10 @@
 }
 
 /// Settles doubts, each by `how`, in one commit. Those that another has settled meanwhile stay as they are.
+///
+/// # Errors
+///
+/// What [`Store::correct_all`] reports; then none is settled.
 pub fn settle(
     store: &mut Store,
     doubts: &[Doubt],
--- a/crates/ledger/src/reconcile.rs
+++ b/crates/ledger/src/reconcile.rs
@@ -163,6 +163,10 @@
     }
 
     /// The bill of all that fits. `now_called` gives a tenant's present name.
+    ///
+    /// # Errors
+    ///
+    /// [`Overflow`] if a sum grows beyond what its number holds.
     pub fn bill(&self, now_called: impl Fn(&str) -> String) -> Result<Bill, Overflow> {
         let mut bill = Bill::new();
         for part in self.parts() {
--- a/crates/ledger/src/store/mod.rs
+++ b/crates/ledger/src/store/mod.rs
@@ -83,6 +83,12 @@
 
 impl Store {
     /// Opens it to write entries: one process at a time, in an epoch of its own, larger than any before.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::InUse`] if another process writes to it, [`StoreError::Other`] if it was made for another
+    /// instance, length of periods or key, [`StoreError::Newer`] or [`StoreError::Damaged`] if it cannot be used;
+    /// else what the system reports.
     pub fn open(options: &Options, now: Micros) -> Result<Store, StoreError> {
         let lock_at = options.dir.join(LOCK);
         std::fs::create_dir_all(&options.dir).map_err(|e| io(&options.dir, &e))?;
@@ -113,6 +119,11 @@
 
     /// Opens one that is there, for commands: it may be written by a dispatcher meanwhile. Its name and its periods'
     /// length are the store's own.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Missing`] if there is none, [`StoreError::Newer`] or [`StoreError::Damaged`] if it cannot be
+    /// used; else what the system reports.
     pub fn command(dir: &Path, key: [u8; 32]) -> Result<Store, StoreError> {
         let path = dir.join(FILE);
         if !path.exists() {
@@ -240,6 +251,10 @@
     }
 
     /// Whether this key is the one that the ledger was made with.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Damaged`] if what is stored is not what was written; else what the database reports.
     pub fn has_key(&self) -> Result<bool, StoreError> {
         Ok(self.about("key")? == key_name(&self.key))
     }
--- a/crates/ledger/src/store/read.rs
+++ b/crates/ledger/src/store/read.rs
@@ -88,6 +88,10 @@
 
 impl Store {
     /// The closed periods, the oldest first.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Damaged`] if what is stored is not what was written; else what the database reports.
     pub fn seals(&self) -> Result<Vec<Seal>, StoreError> {
         let failed = self.failed();
         let sql = "SELECT period, closed, entries, marks, before, hash FROM seals ORDER BY period";
@@ -117,11 +121,19 @@
     }
 
     /// The seal of a period; none if it is not closed.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Damaged`] if what is stored is not what was written; else what the database reports.
     pub fn seal_of(&self, period: Period) -> Result<Option<Seal>, StoreError> {
         Ok(self.seals()?.into_iter().find(|s| s.period == period))
     }
 
     /// The periods with entries or corrections that are not closed, the oldest first.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Damaged`] if what is stored is not what was written; else what the database reports.
     pub fn open_periods(&self) -> Result<Vec<Period>, StoreError> {
         let sql =
             "SELECT DISTINCT period FROM (SELECT period FROM blocks WHERE period > ?1 UNION ALL
@@ -139,12 +151,20 @@
     }
 
     /// All periods with anything in them, closed or not, the oldest first.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Damaged`] if what is stored is not what was written; else what the database reports.
     pub fn periods(&self) -> Result<Vec<Period>, StoreError> {
         let all: BTreeSet<Period> = self.seals()?.into_iter().map(|s| s.period).collect();
         Ok(all.into_iter().chain(self.open_periods()?).collect())
     }
 
     /// All entries in it, by the blocks' own counts.
+    ///
+    /// # Errors
+    ///
+    /// What the database reports.
     pub fn entries(&self) -> Result<u64, StoreError> {
         let all = self
             .db
@@ -155,6 +175,10 @@
     }
 
     /// The epochs, the oldest first.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Damaged`] if what is stored is not what was written; else what the database reports.
     pub fn epochs(&self) -> Result<Vec<Epoch>, StoreError> {
         let failed = self.failed();
         let sql = "SELECT epoch, last, marks FROM epochs ORDER BY epoch";
@@ -181,6 +205,10 @@
     }
 
     /// The epoch that a dispatcher writes now: what it has not marked yet is in hand, not in doubt.
+    ///
+    /// # Errors
+    ///
+    /// What the database reports.
     pub fn live_epoch(&self) -> Result<Option<u64>, StoreError> {
         let held = lock_held(&self.path);
         let last = self
@@ -193,6 +221,10 @@
     }
 
     /// The names by their numbers.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Damaged`] if what is stored is not what was written; else what the database reports.
     pub fn names(&self) -> Result<BTreeMap<u32, String>, StoreError> {
         let failed = self.failed();
         let mut found = self
@@ -213,6 +245,11 @@
     }
 
     /// Goes through the blocks of a period in order. Each is checked first: no sum is made over what was changed.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Damaged`] at the first block that is not what was written, what the database reports, and what
+    /// `each` returns.
     pub fn blocks<E: From<StoreError>>(
         &self,
         period: Period,
@@ -279,6 +316,10 @@
     }
 
     /// What is known of the answers in a period, by epoch: as its seal has it, or as it stands now.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Damaged`] if what is stored is not what was written; else what the database reports.
     pub fn marks(&self, period: Period) -> Result<BTreeMap<u64, Marks>, StoreError> {
         Ok(match self.seal_of(period)? {
             Some(seal) => seal.marks,
@@ -291,11 +332,20 @@
     }
 
     /// The sums of a period, by tenant and class. What is served and not known to be written is kept apart.
+    ///
+    /// # Errors
+    ///
+    /// As for [`Store::survey`].
     pub fn sums(&self, period: Period) -> Result<Lines, StoreError> {
         Ok(self.survey(period)?.0)
     }
 
     /// The same, and the names that the period's entries use by their numbers, in one pass.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Damaged`] if an entry, a name or a correction is not what was written, or a sum overflows;
+    /// else what the database reports.
     pub fn survey(&self, period: Period) -> Result<(Lines, BTreeMap<u32, String>), StoreError> {
         let (mut names, marks) = (self.names()?, self.marks(period)?);
         let mut by_number: HashMap<(u32, u32), Use> = HashMap::new();
@@ -342,6 +392,10 @@
     }
 
     /// The corrections that stand in a period, with their numbers.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Damaged`] if what is stored is not what was written; else what the database reports.
     pub fn corrections(&self, period: Period) -> Result<Vec<(u64, Correction)>, StoreError> {
         let raw = self.raw_corrections(period)?;
         raw.into_iter()
@@ -354,6 +408,10 @@
     }
 
     /// The same as bytes, their MACs checked.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Damaged`] if what is stored is not what was written; else what the database reports.
     pub fn raw_corrections(&self, period: Period) -> Result<Vec<RawCorrection>, StoreError> {
         let failed = self.failed();
         let sql = "SELECT no, body, mac FROM corrections WHERE period = ?1 ORDER BY no";
@@ -371,6 +429,10 @@
     }
 
     /// The correction that settled a doubt, if one has.
+    ///
+    /// # Errors
+    ///
+    /// What the database reports.
     pub fn settled(&self, epoch: u64, seq: u64) -> Result<Option<u64>, StoreError> {
         let sql = "SELECT correction FROM settled WHERE epoch = ?1 AND seq = ?2";
         let mut found = self.db.prepare_cached(sql).map_err(self.failed())?;
@@ -382,6 +444,10 @@
 
     /// Served entries that nobody can tell of whether their clients have the answers, and that no correction has
     /// settled. Those that a running dispatcher has in hand are not among them.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Damaged`] if what is stored is not what was written; else what the database reports.
     pub fn doubts(&self) -> Result<Vec<Doubt>, StoreError> {
         let (names, live) = (self.names()?, self.live_epoch()?);
         let name = |n: u32| {
--- a/crates/ledger/src/store/verify.rs
+++ b/crates/ledger/src/store/verify.rs
@@ -18,6 +18,10 @@
 impl Store {
     /// Checks all of it. `each` hears of every block, with its entries. The first thing that does not hold is the
     /// error, and names the entry if it is one.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Damaged`] for the first thing that is not what was written; else what the database reports.
     pub fn verify(&self, mut each: impl FnMut(u64)) -> Result<Verified, StoreError> {
         let sound: String = self
             .db
--- a/crates/ledger/src/store/write.rs
+++ b/crates/ledger/src/store/write.rs
@@ -60,6 +60,11 @@
 
     /// Writes entries and marks in one commit; they are on the disk when it returns. An entry whose period is closed
     /// already is booked in the first that is open: a clock that steps back opens nothing again.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Damaged`] if it was opened for commands. [`StoreError::Full`], [`StoreError::ReadOnly`] or
+    /// [`StoreError::InUse`] if it cannot be written, and nothing of it is; else what the database reports.
     pub fn commit(
         &mut self,
         entries: &[Entry],
@@ -127,6 +132,11 @@
     }
 
     /// Closes all periods with anything in them that ended `lateness_us` ago or earlier, the oldest first.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Damaged`] if a period is not what was written: it is not sealed. Periods before it stay
+    /// closed. Else what the database reports.
     pub fn close_due(
         &mut self,
         now: Micros,
@@ -145,6 +155,10 @@
 
     /// Closes all periods up to this one, whether they have ended or not, as when an installation is given up. Only
     /// while no dispatcher writes: what one has in hand would be in doubt for good.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::InUse`] while a dispatcher writes; else as for [`Store::close_due`].
     pub fn close_through(&mut self, last: Period, now: Micros) -> Result<Vec<Closed>, StoreError> {
         if self.live_epoch()?.is_some() {
             return Err(StoreError::InUse(self.path.clone()));
@@ -206,12 +220,21 @@
     }
 
     /// Books a correction in the period of now, or the first open one if that is closed. Its number.
+    ///
+    /// # Errors
+    ///
+    /// As for [`Store::correct_all`].
     pub fn correct(&mut self, correction: &Correction) -> Result<u64, StoreError> {
         Ok(self.correct_all(std::slice::from_ref(correction))?[0])
     }
 
     /// Several corrections in one commit: all of them or none. A doubt that is settled already is left out, so that
     /// settling again changes nothing; its number is 0.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Full`], [`StoreError::ReadOnly`] or [`StoreError::InUse`] if it cannot be written, and nothing
+    /// of it is; else what the database reports.
     pub fn correct_all(&mut self, corrections: &[Correction]) -> Result<Vec<u64>, StoreError> {
         let (span, key, instance) = (self.span, self.key, self.instance.clone());
         self.whole(|t, _| {
@@ -251,6 +274,11 @@
     }
 
     /// Ends the epoch in order: after it nothing of this process is in hand.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Full`], [`StoreError::ReadOnly`] or [`StoreError::InUse`] if it cannot be written, and nothing
+    /// of it is; else what the database reports.
     pub fn end_epoch(&mut self, now: Micros) -> Result<(), StoreError> {
         if let Some((epoch, ..)) = self.epoch.take() {
             self.whole(|t, _| {
@@ -264,6 +292,10 @@
     }
 
     /// Writes the log of changes back into the file: after it, the file alone holds all.
+    ///
+    /// # Errors
+    ///
+    /// What the database reports.
     pub fn checkpoint(&mut self) -> Result<(), StoreError> {
         let done = self
             .db
--- a/crates/ledger/src/sums.rs
+++ b/crates/ledger/src/sums.rs
@@ -36,6 +36,10 @@
 
 impl Use {
     /// Counts one entry.
+    ///
+    /// # Errors
+    ///
+    /// [`Overflow`] if a sum grows beyond what its number holds.
     pub fn count(&mut self, row: &Row, delivery: Delivery) -> Result<(), Overflow> {
         let slot_us = u128::from(row.slot_us());
         let (count, amount) = match (row.answer, delivery) {
@@ -59,6 +63,10 @@
     }
 
     /// Counts a correction.
+    ///
+    /// # Errors
+    ///
+    /// [`Overflow`] if a sum grows beyond what its number holds.
     pub fn correct(&mut self, operations: i64, slot_us: i128) -> Result<(), Overflow> {
         self.corrected = self.corrected.checked_add(operations).ok_or(Overflow)?;
         self.corrected_slot_us = self
@@ -69,6 +77,10 @@
     }
 
     /// Adds another sum.
+    ///
+    /// # Errors
+    ///
+    /// [`Overflow`] if a sum grows beyond what its number holds.
     pub fn add(&mut self, o: &Use) -> Result<(), Overflow> {
         let n = |a: u64, b: u64| a.checked_add(b).ok_or(Overflow);
         let w = |a: u128, b: u128| a.checked_add(b).ok_or(Overflow);
@@ -96,6 +108,10 @@
     }
 
     /// Slot-microseconds to be billed, corrections included.
+    ///
+    /// # Errors
+    ///
+    /// [`Overflow`] if a sum grows beyond what its number holds.
     pub fn billed_slot_us(&self) -> Result<i128, Overflow> {
         i128::try_from(self.slot_us)
             .ok()
--- a/crates/ledger/src/writer.rs
+++ b/crates/ledger/src/writer.rs
@@ -70,6 +70,10 @@
 
 impl Writer {
     /// Starts the thread. `wall` reads Unix time in microseconds.
+    ///
+    /// # Errors
+    ///
+    /// The system gives no thread.
     pub fn start(
         options: Options,
         duties: Duties,
