--- a/crates/ledger/src/store/write.rs
+++ b/crates/ledger/src/store/write.rs
@@ -4,12 +4,15 @@
 use crate::correction::{About, Correction};
 use crate::entry::{pack, Entry, Micros, Row};
 use crate::marks::Marks;
-use crate::period::Period;
+use crate::period::{Period, Span};
 use crate::seal;
 use rusqlite::{params, OptionalExtension, Transaction, TransactionBehavior};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
+/// What most rows take in a block: only a hint for the allocation.
+const TYPICAL_ROW_BYTES: usize = 48;
+
 /// A period that was closed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Closed {
@@ -82,45 +85,17 @@
         let last = entries.last().map_or(last, |e| e.seq).max(last);
         let bytes = marked::to_bytes(epoch, &marks);
         self.whole(|t, names| {
-            let sealed: Option<i64> =
-                t.query_row("SELECT max(period) FROM seals", [], |r| r.get(0))?;
-            let first_open = sealed
-                .and_then(|s| Period::starting(span, s))
-                .map(Period::next);
+            let first_open = first_open(t, span)?;
             let mut by_period: BTreeMap<Period, Vec<Row>> = BTreeMap::new();
-            for e in entries {
-                let own = Period::of(span, e.time_us);
-                let period = first_open.map_or(own, |open| own.max(open));
-                let row = Row::of(e, number(t, names, &e.tenant)?, number(t, names, &e.class)?);
+            for entry in entries {
+                let period = booked_in(span, entry.time_us, first_open);
+                let tenant = number(t, names, &entry.tenant)?;
+                let class = number(t, names, &entry.class)?;
+                let row = Row::of(entry, tenant, class);
                 by_period.entry(period).or_default().push(row);
             }
-            let mut add =
-                t.prepare_cached("INSERT INTO blocks VALUES(?1, ?2, ?3, ?4, ?5, ?6, ?7)")?;
             for (period, rows) in by_period {
-                let mut body = Vec::with_capacity(rows.len() * 48);
-                let (first, end) = (rows[0].seq, rows[rows.len() - 1].seq);
-                let mut before = (first, period.start_s() as u64 * 1_000_000);
-                for row in &rows {
-                    pack(row, before, &mut body);
-                    before = (row.seq, row.time_us);
-                }
-                let at = seal::Place {
-                    period,
-                    epoch,
-                    first,
-                    last: end,
-                    entries: rows.len() as u64,
-                };
-                let hash = seal::block(&at, &body);
-                add.execute(params![
-                    period.start_s(),
-                    epoch as i64,
-                    first as i64,
-                    end as i64,
-                    rows.len() as i64,
-                    &hash[..],
-                    body
-                ])?;
+                insert_block(t, period, epoch, &rows)?;
             }
             let mut mark =
                 t.prepare_cached("UPDATE epochs SET last = ?1, marks = ?2 WHERE epoch = ?3")?;
@@ -238,11 +213,7 @@
     pub fn correct_all(&mut self, corrections: &[Correction]) -> Result<Vec<u64>, StoreError> {
         let (span, key, instance) = (self.span, self.key, self.instance.clone());
         self.whole(|t, _| {
-            let sealed: Option<i64> =
-                t.query_row("SELECT max(period) FROM seals", [], |r| r.get(0))?;
-            let first_open = sealed
-                .and_then(|s| Period::starting(span, s))
-                .map(Period::next);
+            let first_open = first_open(t, span)?;
             let mut numbers = Vec::new();
             for c in corrections {
                 let no =
@@ -259,8 +230,7 @@
                         continue;
                     }
                 }
-                let own = Period::of(span, c.time_us);
-                let period = first_open.map_or(own, |open| own.max(open));
+                let period = booked_in(span, c.time_us, first_open);
                 let body = c.bytes();
                 let mac = Correction::mac(&body, &key, &instance, no as u64);
                 t.execute(
@@ -304,6 +274,55 @@
     }
 }
 
+/// The period after the last that is closed; none if none is.
+fn first_open(t: &Transaction, span: Span) -> rusqlite::Result<Option<Period>> {
+    let sealed: Option<i64> = t.query_row("SELECT max(period) FROM seals", [], |r| r.get(0))?;
+    let last_closed = sealed.and_then(|start_s| Period::starting(span, start_s));
+    Ok(last_closed.map(Period::next))
+}
+
+/// The period of a moment, or the first open one if that is closed already.
+fn booked_in(span: Span, time_us: Micros, first_open: Option<Period>) -> Period {
+    let own = Period::of(span, time_us);
+    first_open.map_or(own, |open| own.max(open))
+}
+
+/// Writes the entries of one period and epoch as one block. There is at least one.
+fn insert_block(t: &Transaction, period: Period, epoch: u64, rows: &[Row]) -> rusqlite::Result<()> {
+    let (first, last) = (rows[0].seq, rows[rows.len() - 1].seq);
+    let body = pack_all(rows, (first, period.start_s() as u64 * 1_000_000));
+    let place = seal::Place {
+        period,
+        epoch,
+        first,
+        last,
+        entries: rows.len() as u64,
+    };
+    let hash = seal::block(&place, &body);
+    let mut insert = t.prepare_cached("INSERT INTO blocks VALUES(?1, ?2, ?3, ?4, ?5, ?6, ?7)")?;
+    insert.execute(params![
+        period.start_s(),
+        epoch as i64,
+        first as i64,
+        last as i64,
+        rows.len() as i64,
+        &hash[..],
+        body
+    ])?;
+    Ok(())
+}
+
+/// The bytes of a block. `base` is the number and time that its first row counts from.
+fn pack_all(rows: &[Row], base: (u64, Micros)) -> Vec<u8> {
+    let mut body = Vec::with_capacity(rows.len() * TYPICAL_ROW_BYTES);
+    let mut before = base;
+    for row in rows {
+        pack(row, before, &mut body);
+        before = (row.seq, row.time_us);
+    }
+    body
+}
+
 fn all_marks(t: &Transaction, epoch: i64) -> rusqlite::Result<Marks> {
     let bytes: Vec<u8> =
         t.query_row("SELECT marks FROM epochs WHERE epoch = ?1", [epoch], |r| {
