--- a/crates/controlplane/src/driver/replication.rs
+++ b/crates/controlplane/src/driver/replication.rs
@@ -40,7 +40,7 @@
     }
 
     fn is_becoming_primary(&self) -> bool {
-        self.is_opening()
+        self.is_starting_term()
     }
 
     fn last_appended(&self) -> u64 {
--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -126,7 +126,7 @@
     }
 
     /// Whether this member was elected and its first batch is not committed yet.
-    pub fn is_opening(&self) -> bool {
+    pub fn is_starting_term(&self) -> bool {
         let opens = |term: &LeaderTerm| !term.is_open() && !term.is_stepping_down;
         let is_elected = self.elected_epoch.is_some() || self.term.as_ref().is_some_and(opens);
         self.core.is_named_primary() && is_elected
