--- a/src/billing.rs
+++ b/src/billing.rs
@@ -3,7 +3,7 @@
 //! All that is decided stands in `streamusher_ledger::gate`; the disk is touched on the writer's thread alone.
 
 use crate::config::operators::LedgerConfig;
-use crate::core::{Account, Booking, Bookkeeper, Ended, Overdue};
+use crate::core::{OperationOutcome, OverdueAction, RecordStatus, UsageRecord, UsageRecorder};
 use crate::interface::Micros;
 use crate::runtime::Hub;
 use slog::{info, warn, Logger};
@@ -88,7 +88,7 @@
     });
     billing
         .number
-        .set(hub.with(|core, _| core.attach_bookkeeper(billing.clone())));
+        .set(hub.with(|core, _| core.attach_recorder(billing.clone())));
     let (listening, receiver) = (hub.clone(), billing.clone());
     hub.spawn(async move {
         while let Ok(event) = events.recv().await {
@@ -121,14 +121,14 @@
         if !was_trusted {
             info!(self.log, "the ledger is written again"; "upto" => upto);
         }
-        hub.with(|core, _| core.durable(self.number.get(), upto));
+        hub.with(|core, _| core.on_durable(self.number.get(), upto));
     }
 
     fn on_failed(&self, hub: &Hub, why: &str) {
         self.gate.borrow_mut().failed();
         warn!(self.log, "the ledger cannot be written"; "why" => why);
         if self.gate.borrow().releases_unbooked() {
-            hub.with(|core, _| core.hold_no_longer(self.number.get()));
+            hub.with(|core, _| core.expire_held_answers(self.number.get()));
         }
     }
 
@@ -146,8 +146,8 @@
 
 impl Billing {
     /// Whether an answer may go out that is not booked. Only results are billed.
-    fn may_release(&self, ended: Ended) -> bool {
-        ended != Ended::Served || self.gate.borrow().releases_unbooked()
+    fn may_release(&self, ended: OperationOutcome) -> bool {
+        ended != OperationOutcome::Served || self.gate.borrow().releases_unbooked()
     }
 
     fn class(&self, number: usize) -> Arc<str> {
@@ -164,17 +164,19 @@
     }
 }
 
-impl Bookkeeper for Billing {
-    fn takes_work(&self) -> bool {
+impl UsageRecorder for Billing {
+    fn accepts_operations(&self) -> bool {
         self.gate.borrow().takes_work()
     }
 
-    fn book(&self, now: Micros, by: Micros, account: &Account) -> Booking {
+    fn record(&self, now: Micros, by: Micros, account: &UsageRecord) -> RecordStatus {
         let verdict = self.gate.borrow_mut().book(now, by);
         let (seq, until) = match verdict {
             Verdict::Hold { seq, until } => (seq, until),
-            Verdict::Unbooked if self.may_release(account.ended) => return Booking::Unbooked,
-            Verdict::Unbooked => return Booking::Refused,
+            Verdict::Unbooked if self.may_release(account.outcome) => {
+                return RecordStatus::Unbooked
+            }
+            Verdict::Unbooked => return RecordStatus::Refused,
         };
         self.write(Record::Entry(Entry {
             seq,
@@ -182,11 +184,11 @@
             operation: account.operation.to_string(),
             tenant: account.tenant.unwrap_or(&self.unassigned).clone(),
             class: self.class(account.class.0 as usize),
-            answer: match account.ended {
-                Ended::Served => Answer::Served,
-                Ended::Busy => Answer::Busy,
-                Ended::Failed => Answer::Failed,
-                Ended::Gone => Answer::Gone,
+            answer: match account.outcome {
+                OperationOutcome::Served => Answer::Served,
+                OperationOutcome::Busy => Answer::Busy,
+                OperationOutcome::Failed => Answer::Failed,
+                OperationOutcome::Gone => Answer::Gone,
             },
             joined: account.joined,
             slots_milli: (account.slots * 1_000.0).round() as u32, // saturates
@@ -195,19 +197,19 @@
             attempts: account.attempts,
             key: account.idempotency_key.map(|k| key_hash(&self.key, k)),
         }));
-        Booking::Hold { number: seq, until }
+        RecordStatus::Hold { number: seq, until }
     }
 
-    fn overdue(&self, number: u64, ended: Ended) -> Overdue {
+    fn on_overdue(&self, number: u64, ended: OperationOutcome) -> OverdueAction {
         let is_late = self.gate.borrow_mut().overdue(number);
         if is_late && !self.may_release(ended) {
             warn!(self.log, "a result was withheld: it could not be booked in time"; "number" => number);
-            return Overdue::Withhold;
+            return OverdueAction::Withhold;
         }
         if is_late {
             warn!(self.log, "an answer went out before it was known to be booked"; "number" => number);
         }
-        Overdue::Release
+        OverdueAction::Release
     }
 
     fn written(&self, number: u64, whole: bool) {
--- a/src/command/ledger.rs
+++ b/src/command/ledger.rs
@@ -461,12 +461,12 @@
         bar.inc(1);
     })?;
     bar.finish_and_clear();
-    let now_called = |name: &str| {
+    let current_name = |name: &str| {
         tenants
             .as_ref()
-            .map_or(name.to_string(), |t| t.tenants.now_called(name))
+            .map_or(name.to_string(), |t| t.tenants.current_name(name))
     };
-    let bill = all.merged.bill(now_called)?;
+    let bill = all.merged.bill(current_name)?;
     let bill: Vec<BillLine> = bill
         .into_iter()
         .map(|((tenant, class, period), sums)| BillLine {
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -8,7 +8,7 @@
 pub mod fleet;
 pub mod operators;
 
-use crate::core::Member;
+use crate::core::PoolMember;
 use crate::net::discovery::List;
 use crate::settings::Setup;
 use serde::de::DeserializeOwned;
@@ -122,7 +122,7 @@
     /// How long a job's information is kept after its end, in seconds.
     pub keep_s: f64,
     /// The workers to be driven.
-    pub workers: Vec<Member>,
+    pub workers: Vec<PoolMember>,
 }
 
 #[derive(Deserialize, Default)]
--- a/src/core/booking.rs
+++ b/src/core/booking.rs
@@ -10,7 +10,7 @@
 
 /// How an operation ended, for a bookkeeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum OperationOutcome {
     /// With a worker's result.
     Served,
     /// With a busy reply.
@@ -23,7 +23,7 @@
 
 /// What is to be booked for one final answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Account<'a> {
+pub struct UsageRecord<'a> {
     /// The operation's id.
     pub operation: &'a str,
     /// Whose it was.
@@ -31,7 +31,7 @@
     /// Its class.
     pub class: ClassId,
     /// How it ended.
-    pub ended: Ended,
+    pub outcome: OperationOutcome,
     /// It took the answer of an earlier operation of the same key; nothing ran for it.
     pub joined: bool,
     /// The slots it takes.
@@ -48,8 +48,8 @@
 
 /// What a bookkeeper says of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Booking {
-    /// It is held until [`Core::durable`] tells of this number, and no longer than until then.
+pub enum RecordStatus {
+    /// It is held until [`Core::on_durable`] tells of this number, and no longer than until then.
     Hold {
         /// The entry's number, larger than any before.
         number: u64,
@@ -69,7 +69,7 @@
 
 /// What becomes of an answer whose time is up before it is known to be booked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Overdue {
+pub enum OverdueAction {
     /// It goes out.
     Release,
     /// It does not go out: its client is told [`Answer::Withheld`].
@@ -77,13 +77,13 @@
 }
 
 /// Books final answers. None of its calls may block or call the core.
-pub trait Bookkeeper {
+pub trait UsageRecorder {
     /// Whether new operations are taken.
-    fn takes_work(&self) -> bool;
+    fn accepts_operations(&self) -> bool;
     /// Books an answer that must be out `by` then.
-    fn book(&self, now: Micros, by: Micros, account: &Account) -> Booking;
+    fn record(&self, now: Micros, by: Micros, account: &UsageRecord) -> RecordStatus;
     /// The time of an answer is up, and it is not known to be booked. One that is withheld is also told as not written.
-    fn overdue(&self, number: u64, ended: Ended) -> Overdue;
+    fn on_overdue(&self, number: u64, outcome: OperationOutcome) -> OverdueAction;
     /// The answer of this number was written to its client to the last byte, or could not be.
     fn written(&self, number: u64, whole: bool);
 }
@@ -92,14 +92,14 @@
 /// not: the client had left.
 #[derive(Default)]
 #[must_use]
-pub struct Receipt(Vec<(Rc<dyn Bookkeeper>, u64)>);
+pub struct Receipt(Vec<(Rc<dyn UsageRecorder>, u64)>);
 
 impl Receipt {
     /// The answer was written to the last byte.
     pub fn written(mut self) {
         self.0
             .drain(..)
-            .for_each(|(bookkeeper, number)| bookkeeper.written(number, true));
+            .for_each(|(recorder, number)| recorder.written(number, true));
     }
 }
 
@@ -107,7 +107,7 @@
     fn drop(&mut self) {
         self.0
             .drain(..)
-            .for_each(|(bookkeeper, number)| bookkeeper.written(number, false));
+            .for_each(|(recorder, number)| recorder.written(number, false));
     }
 }
 
@@ -132,7 +132,7 @@
 /// An entry of one bookkeeper.
 #[derive(Clone, Copy)]
 struct BookedEntry {
-    bookkeeper: usize,
+    recorder: usize,
     number: u64,
     /// The answer waits for it.
     waits: bool,
@@ -189,30 +189,30 @@
 
 impl Answer {
     /// How its operation ended, for bookkeepers.
-    fn ended(&self) -> Ended {
+    fn outcome(&self) -> OperationOutcome {
         match self {
-            Answer::Served(_) => Ended::Served,
-            Answer::Busy { .. } => Ended::Busy,
-            Answer::Failed { .. } | Answer::Withheld => Ended::Failed,
+            Answer::Served(_) => OperationOutcome::Served,
+            Answer::Busy { .. } => OperationOutcome::Busy,
+            Answer::Failed { .. } | Answer::Withheld => OperationOutcome::Failed,
         }
     }
 }
 
 impl Core {
     /// Has final answers booked from now on, by this one too; its number.
-    pub fn attach_bookkeeper(&mut self, bookkeeper: Rc<dyn Bookkeeper>) -> usize {
-        self.bookkeepers.push(bookkeeper);
-        self.bookkeepers.len() - 1
+    pub fn attach_recorder(&mut self, recorder: Rc<dyn UsageRecorder>) -> usize {
+        self.recorders.push(recorder);
+        self.recorders.len() - 1
     }
 
     /// A bookkeeper has all its entries up to this number: answers that wait for nothing else go out.
-    pub fn durable(&mut self, bookkeeper: usize, upto: u64) {
+    pub fn on_durable(&mut self, recorder: usize, upto: u64) {
         let mut ready = Vec::new();
         for (id, pending) in &mut self.pending_answers {
             let mut entries = pending
                 .entries
                 .iter_mut()
-                .filter(|entry| entry.waits && entry.bookkeeper == bookkeeper);
+                .filter(|entry| entry.waits && entry.recorder == recorder);
             // Numbers rise with the answers: behind one that is not there yet none is.
             match entries.next() {
                 Some(entry) if entry.number <= upto => entry.waits = false,
@@ -227,10 +227,10 @@
     }
 
     /// Nothing becomes durable at a bookkeeper for now: the time of all answers that wait for it is up.
-    pub fn hold_no_longer(&mut self, bookkeeper: usize) {
+    pub fn expire_held_answers(&mut self, recorder: usize) {
         let pending: Vec<u64> = self.pending_answers.keys().copied().collect();
         for id in pending {
-            self.expire(id, |entry| entry.bookkeeper == bookkeeper);
+            self.expire(id, |entry| entry.recorder == recorder);
         }
     }
 
@@ -244,16 +244,16 @@
         let Some(pending) = self.pending_answers.get_mut(&id) else {
             return;
         };
-        let ended = pending.answer.ended();
+        let outcome = pending.answer.outcome();
         let mut is_withheld = false;
         for entry in &mut pending.entries {
             if !entry.waits || !is_over(entry) {
                 continue;
             }
             entry.waits = false;
-            match self.bookkeepers[entry.bookkeeper].overdue(entry.number, ended) {
-                Overdue::Release => self.counters.answers_before_booked += 1,
-                Overdue::Withhold => is_withheld = true,
+            match self.recorders[entry.recorder].on_overdue(entry.number, outcome) {
+                OverdueAction::Release => self.counters.answers_before_booked += 1,
+                OverdueAction::Withhold => is_withheld = true,
             }
         }
         if is_withheld {
@@ -278,7 +278,7 @@
 
     /// One final answer for one who waits: booked first, where there are bookkeepers.
     pub(super) fn give(&mut self, now: Micros, used: &Used, waiter: Waiter, answer: &Answer) {
-        let bookings = self.book(now, used, &waiter, answer.ended());
+        let bookings = self.book(now, used, &waiter, answer.outcome());
         let Waiter { front, ticket, .. } = waiter;
         if bookings.refused {
             return self.hand_out_withheld(&front, ticket, &bookings.entries);
@@ -314,16 +314,22 @@
 
     /// Books the end of a request whose client has gone away: nothing is handed out.
     pub(super) fn book_gone(&mut self, now: Micros, used: &Used, waiter: &Waiter) {
-        self.book(now, used, waiter, Ended::Gone);
+        self.book(now, used, waiter, OperationOutcome::Gone);
     }
 
-    fn book(&mut self, now: Micros, used: &Used, waiter: &Waiter, ended: Ended) -> Bookings {
+    fn book(
+        &mut self,
+        now: Micros,
+        used: &Used,
+        waiter: &Waiter,
+        outcome: OperationOutcome,
+    ) -> Bookings {
         let own = |n: Micros| if waiter.joined { 0 } else { n };
-        let account = Account {
+        let account = UsageRecord {
             operation: &waiter.id,
             tenant: waiter.tenant.as_ref(),
             class: used.class,
-            ended,
+            outcome,
             joined: waiter.joined,
             slots: used.slots,
             run_us: own(used.run_us),
@@ -332,13 +338,13 @@
             idempotency_key: used.key.as_deref(),
         };
         let mut bookings = Bookings {
-            entries: Vec::with_capacity(self.bookkeepers.len()),
+            entries: Vec::with_capacity(self.recorders.len()),
             until: now,
             refused: false,
         };
-        for (number, bookkeeper) in self.bookkeepers.iter().enumerate() {
-            let booking = bookkeeper.book(now, used.by, &account);
-            if matches!(booking, Booking::Unbooked | Booking::Refused) {
+        for (number, recorder) in self.recorders.iter().enumerate() {
+            let booking = recorder.record(now, used.by, &account);
+            if matches!(booking, RecordStatus::Unbooked | RecordStatus::Refused) {
                 self.counters.answers_unbooked += 1;
             }
             bookings.add(number, booking);
@@ -350,7 +356,7 @@
     fn receipt(&self, entries: &[BookedEntry]) -> Receipt {
         let booked = entries
             .iter()
-            .map(|entry| (self.bookkeepers[entry.bookkeeper].clone(), entry.number));
+            .map(|entry| (self.recorders[entry.recorder].clone(), entry.number));
         Receipt(booked.collect())
     }
 
@@ -368,21 +374,21 @@
 }
 
 impl Bookings {
-    fn add(&mut self, bookkeeper: usize, booking: Booking) {
+    fn add(&mut self, recorder: usize, booking: RecordStatus) {
         let (number, waits) = match booking {
-            Booking::Hold { number, until } => {
+            RecordStatus::Hold { number, until } => {
                 self.until = self.until.max(until);
                 (number, true)
             }
-            Booking::Open { number } => (number, false),
-            Booking::Unbooked => return,
-            Booking::Refused => {
+            RecordStatus::Open { number } => (number, false),
+            RecordStatus::Unbooked => return,
+            RecordStatus::Refused => {
                 self.refused = true;
                 return;
             }
         };
         self.entries.push(BookedEntry {
-            bookkeeper,
+            recorder,
             number,
             waits,
         });
--- a/src/core/intake.rs
+++ b/src/core/intake.rs
@@ -1,7 +1,7 @@
 //! Operations come in, clients leave: what is taken, what is joined to an earlier one, what is turned away.
 
-use super::{Answer, Front, NotTaken, Operation};
-use super::{Core, Due, Entered, Input, Kept, NoTenant, Used, Waiter};
+use super::{Answer, Front, Operation, SubmitError};
+use super::{Core, Due, Entered, Input, Kept, TenantError, Used, Waiter};
 use crate::interface::{JobId, Micros};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -22,21 +22,25 @@
         mut operation: Operation,
         front: Rc<dyn Front>,
         ticket: u64,
-    ) -> Result<JobId, NotTaken> {
+    ) -> Result<JobId, SubmitError> {
         if let Some(tenants) = &self.tenants {
             operation.tenant = Some(tenants.resolve(operation.tenant.as_deref()).map_err(
                 |why| match why {
-                    NoTenant::Malformed => NotTaken::BadTenant,
-                    NoTenant::Unlisted => NotTaken::Unlisted,
+                    TenantError::Malformed => SubmitError::InvalidTenant,
+                    TenantError::Unlisted => SubmitError::Unlisted,
                 },
             )?);
         }
         if now >= self.last_call {
-            return Err(NotTaken::Stopping);
+            return Err(SubmitError::Stopping);
         }
-        if self.bookkeepers.iter().any(|k| !k.takes_work()) {
+        if self
+            .recorders
+            .iter()
+            .any(|recorder| !recorder.accepts_operations())
+        {
             self.counters.refused_unbilled += 1;
-            return Err(NotTaken::Unbilled);
+            return Err(SubmitError::BillingUnavailable);
         }
         let waiter = |joined| Waiter {
             front: front.clone(),
@@ -45,9 +49,9 @@
             tenant: operation.tenant.clone(),
             joined,
         };
-        let kept_back = self.kept_back(operation.left_us);
+        let kept_back = self.kept_back(operation.remaining_us);
         let deadline = now
-            .saturating_add(operation.left_us.saturating_sub(kept_back))
+            .saturating_add(operation.remaining_us.saturating_sub(kept_back))
             .min(self.last_call);
         let by = deadline.saturating_add(kept_back.saturating_sub(WAY_US));
         let key = operation
@@ -87,10 +91,10 @@
             return Ok(job);
         }
         if self.by_id.contains_key(&operation.id) {
-            return Err(NotTaken::SameId);
+            return Err(SubmitError::DuplicateId);
         }
         if self.operations.len() >= self.max_open {
-            return Err(NotTaken::Full);
+            return Err(SubmitError::AtCapacity);
         }
         let job = JobId(self.next_job);
         self.next_job += 1;
@@ -136,11 +140,11 @@
         }
         self.early.push(job);
         self.at(now + deadline.saturating_sub(now) / 2, Due::Early(job));
-        self.sources.iter().for_each(|s| s.hurry());
+        self.sources.iter().for_each(|s| s.expedite());
     }
 
     fn awaits_first(&self) -> bool {
-        self.sources.iter().any(|s| s.awaits_first())
+        self.sources.iter().any(|s| s.awaits_first_config())
     }
 
     /// Those that waited for the first pool config go on once there is one, or none is to be had.
@@ -163,12 +167,12 @@
     }
 
     /// Kept back of a client's time.
-    fn kept_back(&self, left_us: Micros) -> Micros {
+    fn kept_back(&self, remaining_us: Micros) -> Micros {
         MARGIN_US
-            + if self.bookkeepers.is_empty() {
+            + if self.recorders.is_empty() {
                 0
             } else {
-                BOOKING_US.min(left_us / 8)
+                BOOKING_US.min(remaining_us / 8)
             }
     }
 
@@ -192,7 +196,13 @@
     }
 
     /// The client behind one ticket has gone away; others may still wait for the same operation.
-    pub fn gone(&mut self, now: Micros, job: JobId, front: &Rc<dyn Front>, ticket: u64) {
+    pub fn client_disconnected(
+        &mut self,
+        now: Micros,
+        job: JobId,
+        front: &Rc<dyn Front>,
+        ticket: u64,
+    ) {
         let Some(entered) = self.operations.get_mut(&job).filter(|o| !o.answered) else {
             return;
         };
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -50,13 +50,14 @@
 //! core.step(step, StepNews::Ended(Ending::Served(Arc::from(*b"log")), None));
 //! core.turn(90_000);
 //! assert_eq!(*desk.0.borrow(), Some(Answer::Served(Arc::from(*b"log"))));
-//! assert_eq!(core.owed(), 0);
+//! assert_eq!(core.unanswered(), 0);
 //! # Ok(())
 //! # }
 //! ```
 
 mod booking;
 mod intake;
+mod observer;
 mod operation;
 mod pool;
 mod quotas;
@@ -64,16 +65,17 @@
 mod steps;
 pub mod tenants;
 mod turn;
-mod witness;
 
-pub use booking::{Account, Booking, Bookkeeper, Ended, Overdue, Receipt};
+pub use booking::{
+    OperationOutcome, OverdueAction, Receipt, RecordStatus, UsageRecord, UsageRecorder,
+};
+pub use observer::StepObserver;
 pub use operation::*;
-pub use quotas::{Quotas, Right, Taken};
-pub use witness::Witness;
+pub use quotas::{QuotaGrant, QuotaPermit, Quotas};
 
 use booking::{PendingAnswer, Used, Waiter};
 use repeats::Kept;
-use tenants::{NoTenant, Tenants};
+use tenants::{TenantError, Tenants};
 
 use crate::counters::Counters;
 use crate::interface::{Class, ClassId, JobId, LoadReport, Micros, Repeatability, WorkerId};
@@ -88,11 +90,11 @@
 enum Input {
     Arrived(JobId),
     Gone(JobId),
-    Step(StepId, StepNews),
+    Step(StepId, StepEvent),
     List {
         source: usize,
         complete: bool,
-        members: Vec<Member>,
+        members: Vec<PoolMember>,
     },
     ListFailed,
     Probed(WorkerId, bool, Option<LoadReport>),
@@ -136,11 +138,11 @@
     answered: bool,
     started: bool,
     /// Its tenant's, until it is answered.
-    right: Option<Right>,
+    right: Option<QuotaPermit>,
 }
 
 struct Worker {
-    member: Member,
+    member: PoolMember,
     source: usize,
     driver: usize,
 }
@@ -166,12 +168,12 @@
     /// Operations that wait for the first pool config, in the order in which they came.
     early: Vec<JobId>,
     owed: usize,
-    bookkeepers: Vec<Rc<dyn Bookkeeper>>,
+    recorders: Vec<Rc<dyn UsageRecorder>>,
     /// Answers that wait for an entry, in the order in which they were booked.
     pending_answers: BTreeMap<u64, PendingAnswer>,
     last_pending: u64,
     quotas: Option<Rc<dyn Quotas>>,
-    witness: Option<Rc<dyn Witness>>,
+    witness: Option<Rc<dyn StepObserver>>,
     tenants: Option<Tenants>,
     /// All is to be answered by then: the program ends.
     last_call: Micros,
@@ -224,7 +226,7 @@
             inputs: Vec::new(),
             early: Vec::new(),
             owed: 0,
-            bookkeepers: Vec::new(),
+            recorders: Vec::new(),
             pending_answers: BTreeMap::new(),
             last_pending: 0,
             quotas: None,
@@ -236,7 +238,10 @@
     }
 
     /// New settings at SIGHUP: see [`crate::settings`]. Nothing changes if they cannot be taken.
-    pub(crate) fn retune(&mut self, setup: crate::settings::Setup) -> Result<usize, String> {
+    pub(crate) fn update_settings(
+        &mut self,
+        setup: crate::settings::Setup,
+    ) -> Result<usize, String> {
         let known = self.site.settings.classes.len();
         let added = self.site.retune(setup)?;
         if self.joins_repeats {
@@ -293,12 +298,12 @@
     }
 
     /// Operations that still owe a final answer.
-    pub fn owed(&self) -> usize {
+    pub fn unanswered(&self) -> usize {
         self.owed + self.pending_answers.len()
     }
 
     /// News of a route step. What comes after its end is ignored.
-    pub fn step(&mut self, step: StepId, news: StepNews) {
+    pub fn step_event(&mut self, step: StepId, news: StepEvent) {
         self.inputs.push(Input::Step(step, news));
     }
 
--- a/src/core/operation.rs
+++ b/src/core/operation.rs
@@ -23,7 +23,7 @@
     /// The slots it takes.
     pub slots: f64,
     /// The client waits this much longer.
-    pub left_us: Micros,
+    pub remaining_us: Micros,
     /// What is handed to the worker.
     pub body: Vec<u8>,
 }
@@ -39,52 +39,54 @@
 
 /// Every way in which a route step, and with it a connection, can end.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum StepOutcome {
     /// The worker gave its result.
     Served(Arc<[u8]>),
     /// The worker says that the job failed.
     WorkerFailed,
     /// The worker turned the job away, or handed it back unstarted.
-    TurnedAway,
+    Rejected,
     /// No connection was accepted.
     ConnectRefused,
     /// No connection came up within the time allowed.
     ConnectTimedOut,
     /// The connection broke before the last byte was written.
-    BrokeUnsent,
+    ConnectionLostBeforeSend,
     /// The connection broke or ended after the last byte was written.
-    BrokeSent,
+    ConnectionLostAfterSend,
     /// The job was killed, or the worker's process died.
     Lost,
     /// The time for the step ran out.
     TimedOut,
     /// The step was given up.
-    GivenUp,
+    Cancelled,
     /// The step was never begun.
-    NeverSent,
+    NotSent,
 }
 
-impl Ending {
+impl StepOutcome {
     /// The one place that says what an end means to the decisions.
-    pub fn code(&self) -> AttemptOutcome {
+    pub fn attempt_outcome(&self) -> AttemptOutcome {
         match self {
-            Ending::Served(_) => AttemptOutcome::Succeeded,
-            Ending::WorkerFailed => AttemptOutcome::WorkerError,
-            Ending::TurnedAway => AttemptOutcome::Shed,
-            Ending::ConnectRefused | Ending::ConnectTimedOut | Ending::BrokeUnsent => {
-                AttemptOutcome::ConnectFailed
+            StepOutcome::Served(_) => AttemptOutcome::Succeeded,
+            StepOutcome::WorkerFailed => AttemptOutcome::WorkerError,
+            StepOutcome::Rejected => AttemptOutcome::Shed,
+            StepOutcome::ConnectRefused
+            | StepOutcome::ConnectTimedOut
+            | StepOutcome::ConnectionLostBeforeSend => AttemptOutcome::ConnectFailed,
+            StepOutcome::ConnectionLostAfterSend | StepOutcome::Lost => {
+                AttemptOutcome::ConnectionLost
             }
-            Ending::BrokeSent | Ending::Lost => AttemptOutcome::ConnectionLost,
-            Ending::TimedOut => AttemptOutcome::TimedOut,
-            Ending::GivenUp => AttemptOutcome::Cancelled,
-            Ending::NeverSent => AttemptOutcome::NotSent,
+            StepOutcome::TimedOut => AttemptOutcome::TimedOut,
+            StepOutcome::Cancelled => AttemptOutcome::Cancelled,
+            StepOutcome::NotSent => AttemptOutcome::NotSent,
         }
     }
 
     /// Whether the job may have run, or may yet.
     pub fn may_have_run(&self) -> bool {
         !matches!(
-            self.code(),
+            self.attempt_outcome(),
             AttemptOutcome::Shed | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent
         )
     }
@@ -98,7 +100,7 @@
     /// A busy reply: trying again is harmless.
     Busy {
         /// Advice to stay away this long; 0 for none.
-        hold_off_us: Micros,
+        retry_after_us: Micros,
     },
     /// Failed.
     Failed {
@@ -111,35 +113,35 @@
 
 /// Why an operation was not taken; nothing of it has run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotTaken {
+pub enum SubmitError {
     /// An operation of this id is in hand.
-    SameId,
+    DuplicateId,
     /// As many operations as the settings allow are in hand.
-    Full,
+    AtCapacity,
     /// What its client calls its tenant is no name.
-    BadTenant,
+    InvalidTenant,
     /// Its tenant is not listed, or it names none.
     Unlisted,
     /// Answers cannot be booked, and the operators' file says to take no work then.
-    Unbilled,
+    BillingUnavailable,
     /// The program ends, and its last answers are out: nothing could be run in time.
     Stopping,
 }
 
 /// News of a route step, as a driver tells it.
 #[derive(Clone, Debug)]
-pub enum StepNews {
+pub enum StepEvent {
     /// The job has begun to run.
     Started,
     /// It has done this part.
     Progress(f64),
     /// The step has ended.
-    Ended(Ending, Option<LoadReport>),
+    Ended(StepOutcome, Option<LoadReport>),
 }
 
 /// A worker as a pool config names it.
 #[derive(Clone, Debug, Default)]
-pub struct Member {
+pub struct PoolMember {
     /// Its name, the same everywhere.
     pub name: String,
     /// Where it listens.
@@ -151,11 +153,11 @@
     /// Its cell.
     pub cell: u32,
     /// Its state.
-    pub stage: EndpointState,
+    pub state: EndpointState,
     /// Its weight.
     pub weight: f64,
     /// When its process last started, on the core's clock; 0 for long ago.
-    pub since: Micros,
+    pub started_at_us: Micros,
 }
 
 /// Takes the answers for operations that came in by one front.
@@ -172,11 +174,17 @@
 /// what becomes of a step is told to the core later.
 pub trait Driver {
     /// Begins a route step: once its connection is there, if [`super::Core::may_begin`] still allows it.
-    fn send(&self, step: StepId, operation: &Arc<Operation>, worker: &Member, left_us: Micros);
+    fn send(
+        &self,
+        step: StepId,
+        operation: &Arc<Operation>,
+        worker: &PoolMember,
+        remaining_us: Micros,
+    );
     /// Gives a route step up.
-    fn cancel(&self, step: StepId, operation: &Arc<Operation>, worker: &Member);
+    fn cancel(&self, step: StepId, operation: &Arc<Operation>, worker: &PoolMember);
     /// Asks a worker for its load.
-    fn probe(&self, worker: WorkerId, member: &Member);
+    fn probe(&self, worker: WorkerId, member: &PoolMember);
 }
 
 /// A source of pool configs that may have to be asked.
@@ -186,10 +194,10 @@
 
     /// Whether operations that come in are to wait for this source's first pool config, as what is known is from an
     /// earlier life of this process.
-    fn awaits_first(&self) -> bool {
+    fn awaits_first_config(&self) -> bool {
         false
     }
 
     /// An operation waits for the first pool config.
-    fn hurry(&self) {}
+    fn expedite(&self) {}
 }
--- a/src/core/pool.rs
+++ b/src/core/pool.rs
@@ -1,11 +1,11 @@
 //! Pool configs: which workers there are, by the source that tells of them.
 
-use super::{Core, Input, Member, Worker};
+use super::{Core, Input, PoolMember, Worker};
 use crate::interface::{Endpoint, EndpointState, Event, LoadReport, WorkerId};
 
 impl Core {
     /// A pool config, or the changes to one. `source` is the driver that reaches these workers.
-    pub fn pool_config(&mut self, source: usize, complete: bool, members: Vec<Member>) {
+    pub fn pool_config(&mut self, source: usize, complete: bool, members: Vec<PoolMember>) {
         self.inputs.push(Input::List {
             source,
             complete,
@@ -19,30 +19,35 @@
     }
 
     /// A probe was answered, or not.
-    pub fn probed(&mut self, worker: WorkerId, ok: bool, report: Option<LoadReport>) {
+    pub fn probe_ended(&mut self, worker: WorkerId, ok: bool, report: Option<LoadReport>) {
         self.inputs.push(Input::Probed(worker, ok, report));
     }
 
     /// Workers on the list that are not gone, and those of them that are avoided as they drain.
-    pub fn pool_figures(&self) -> (usize, usize) {
+    pub fn worker_counts(&self) -> (usize, usize) {
         let listed = self
             .workers
             .iter()
-            .filter(|w| w.member.stage != EndpointState::Gone);
+            .filter(|w| w.member.state != EndpointState::Gone);
         listed.fold((0, 0), |(n, d), w| {
             (
                 n + 1,
-                d + usize::from(w.member.stage == EndpointState::Draining),
+                d + usize::from(w.member.state == EndpointState::Draining),
             )
         })
     }
 
-    pub(super) fn list(&mut self, source: usize, complete: bool, members: Vec<Member>) -> Event {
+    pub(super) fn list(
+        &mut self,
+        source: usize,
+        complete: bool,
+        members: Vec<PoolMember>,
+    ) -> Event {
         let mut entries: Vec<Endpoint> = Vec::with_capacity(members.len());
         if complete {
             // Other sources' workers are not this list's to end.
             let others = self.workers.iter().filter(|w| w.source != source);
-            let kept: Vec<Member> = others.map(|w| w.member.clone()).collect();
+            let kept: Vec<PoolMember> = others.map(|w| w.member.clone()).collect();
             entries.extend(kept.iter().map(|m| self.entry(m)));
             let named: std::collections::HashSet<&str> =
                 members.iter().map(|m| m.name.as_str()).collect();
@@ -51,7 +56,7 @@
             self.workers
                 .iter_mut()
                 .filter(missing)
-                .for_each(|w| w.member.stage = EndpointState::Gone);
+                .for_each(|w| w.member.state = EndpointState::Gone);
         }
         for member in members {
             let entry = self.entry(&member);
@@ -73,8 +78,8 @@
         }
     }
 
-    pub(super) fn entry(&mut self, m: &Member) -> Endpoint {
-        let (stage, since, cell, weight) = (m.stage, m.since, m.cell, m.weight);
+    pub(super) fn entry(&mut self, m: &PoolMember) -> Endpoint {
+        let (stage, since, cell, weight) = (m.state, m.started_at_us, m.cell, m.weight);
         self.site.entry(
             &m.name,
             &m.zone,
--- a/src/core/quotas.rs
+++ b/src/core/quotas.rs
@@ -8,51 +8,53 @@
 /// Where rights come from. None of its calls may block or call the core.
 pub trait Quotas {
     /// Takes one for an operation of this tenant.
-    fn take(&self, now: Micros, tenant: Option<&str>) -> Taken;
+    fn acquire(&self, now: Micros, tenant: Option<&str>) -> QuotaGrant;
     /// One of this budget is given back.
-    fn give_back(&self, budget: usize);
+    fn release(&self, budget: usize);
 }
 
 /// What became of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Taken {
+pub enum QuotaGrant {
     /// The tenant has no quota.
-    Unbound,
+    Unlimited,
     /// One was taken.
-    One {
+    Granted {
         /// Of this budget.
         budget: usize,
         /// The part of this member's rights that was free before, above 0.
         free: f64,
     },
     /// There is none.
-    None,
+    Exhausted,
 }
 
-impl Taken {
+impl QuotaGrant {
     /// The free part, for the decisions.
     pub(super) fn free(self) -> Option<f64> {
         match self {
-            Taken::Unbound => None,
-            Taken::One { free, .. } => Some(free),
-            Taken::None => Some(0.0),
+            QuotaGrant::Unlimited => None,
+            QuotaGrant::Granted { free, .. } => Some(free),
+            QuotaGrant::Exhausted => Some(0.0),
         }
     }
 
-    pub(super) fn right(self, quotas: Option<&Rc<dyn Quotas>>) -> Option<Right> {
+    pub(super) fn right(self, quotas: Option<&Rc<dyn Quotas>>) -> Option<QuotaPermit> {
         match (self, quotas) {
-            (Taken::One { budget, .. }, Some(quotas)) => Some(Right(quotas.clone(), budget)),
+            (QuotaGrant::Granted { budget, .. }, Some(quotas)) => {
+                Some(QuotaPermit(quotas.clone(), budget))
+            }
             _ => None,
         }
     }
 }
 
 /// A right in use; dropping it gives it back.
-pub struct Right(Rc<dyn Quotas>, usize);
+pub struct QuotaPermit(Rc<dyn Quotas>, usize);
 
-impl Drop for Right {
+impl Drop for QuotaPermit {
     fn drop(&mut self) {
-        self.0.give_back(self.1);
+        self.0.release(self.1);
     }
 }
 
--- a/src/core/steps.rs
+++ b/src/core/steps.rs
@@ -1,11 +1,16 @@
 //! Route steps: what the decisions ask for goes to the drivers, what drivers tell goes to the decisions.
 
-use super::{Answer, Core, Due, Ending, Input, RouteStep, StepId, StepNews};
+use super::{Answer, Core, Due, Input, RouteStep, StepEvent, StepId, StepOutcome};
 use crate::interface::{Action, AttemptEnd, Event, JobId, Micros, WorkerId};
 
 impl Core {
     /// What a driver tells of a step, as an event; none if the step has ended before.
-    pub(super) fn step_news(&mut self, now: Micros, step: StepId, news: StepNews) -> Option<Event> {
+    pub(super) fn step_news(
+        &mut self,
+        now: Micros,
+        step: StepId,
+        news: StepEvent,
+    ) -> Option<Event> {
         let StepId { job, attempt } = step;
         let entered = self.operations.get_mut(&job)?;
         let s = entered
@@ -13,7 +18,7 @@
             .get_mut(attempt as usize)
             .filter(|s| !s.ended)?;
         Some(match news {
-            StepNews::Started => {
+            StepEvent::Started => {
                 entered.started = true;
                 s.started = s.started.or(Some(now));
                 entered
@@ -22,17 +27,19 @@
                     .for_each(|w| w.front.started(w.ticket));
                 Event::Started { job, attempt }
             }
-            StepNews::Progress(done) => Event::Progress { job, attempt, done },
-            StepNews::Ended(ending, report) => {
+            StepEvent::Progress(done) => Event::Progress { job, attempt, done },
+            StepEvent::Ended(ending, report) => {
                 (s.ended, s.ran, s.ended_at) = (true, ending.may_have_run(), Some(now));
-                if matches!(ending, Ending::Served(_)) {
+                if matches!(ending, StepOutcome::Served(_)) {
                     entered.winner = Some(attempt as usize);
                 }
                 self.counters.ending(&ending);
                 let worker = &self.workers[s.worker.0 as usize].member;
-                self.witness.iter().for_each(|w| w.ended(worker, &ending));
-                let code = ending.code();
-                if let Ending::Served(result) = ending {
+                self.witness
+                    .iter()
+                    .for_each(|w| w.step_ended(worker, &ending));
+                let code = ending.attempt_outcome();
+                if let StepOutcome::Served(result) = ending {
                     self.finish(now, job, Answer::Served(result));
                 }
                 let complete = self.operations[&job].answered;
@@ -61,14 +68,16 @@
                     .is_some_and(|s| !s.ended)
                 {
                     self.call_off(step);
-                    self.inputs
-                        .push(Input::Step(step, StepNews::Ended(Ending::GivenUp, None)));
+                    self.inputs.push(Input::Step(
+                        step,
+                        StepEvent::Ended(StepOutcome::Cancelled, None),
+                    ));
                 }
             }
             Action::Reject {
                 job,
-                retry_after_us: hold_off_us,
-            } => self.finish(now, job, Answer::Busy { hold_off_us }),
+                retry_after_us,
+            } => self.finish(now, job, Answer::Busy { retry_after_us }),
             Action::Fail { job } => {
                 let late = self.operations.get(&job).is_some_and(|o| now >= o.deadline);
                 self.finish(now, job, Answer::Failed { late });
@@ -113,11 +122,13 @@
             let step = StepId { job, attempt };
             self.call_off(step);
             self.inputs
-                .push(Input::Step(step, StepNews::Ended(Ending::Lost, None)));
+                .push(Input::Step(step, StepEvent::Ended(StepOutcome::Lost, None)));
         }
         if useless {
-            self.inputs
-                .push(Input::Step(step, StepNews::Ended(Ending::NeverSent, None)));
+            self.inputs.push(Input::Step(
+                step,
+                StepEvent::Ended(StepOutcome::NotSent, None),
+            ));
             return;
         }
         self.counters.steps += 1;
@@ -128,7 +139,7 @@
     /// Whether a step may still begin, and the time that is left for it: a driver asks this when its connection is
     /// there, before the first byte. A connection may come up late, and by then the client may have gone, the
     /// operation be answered, the worker leave, or the window of a key be over. With none the step is to end as
-    /// [`Ending::NeverSent`].
+    /// [`StepOutcome::NotSent`].
     pub fn may_begin(&self, now: Micros, step: StepId) -> Option<Micros> {
         let entered = self.operations.get(&step.job)?;
         let wanted = !entered.answered && !entered.waiting.is_empty() && now < entered.deadline;
@@ -142,10 +153,10 @@
 
     /// The same for a driver that then begins the step at once: what its worker tells from then on is of this step.
     pub fn begin(&mut self, now: Micros, step: StepId) -> Option<Micros> {
-        let left_us = self.may_begin(now, step)?;
+        let remaining_us = self.may_begin(now, step)?;
         let entered = self.operations.get_mut(&step.job)?;
         entered.steps.get_mut(step.attempt as usize)?.begun = true;
-        Some(left_us)
+        Some(remaining_us)
     }
 
     /// Has the driver give a step up that is still out.
--- a/src/core/tenants.rs
+++ b/src/core/tenants.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 /// The longest name of a tenant, in bytes.
-pub const LONGEST: usize = 128;
+pub const MAX_TENANT_NAME_BYTES: usize = 128;
 
 /// Whose an operation is, for hosts that know it themselves: an extension of the request, which goes before the
 /// header.
@@ -13,7 +13,7 @@
 
 /// Why an operation is not taken for a tenant's sake.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoTenant {
+pub enum TenantError {
     /// The name is none: empty, too long, or with control characters in it.
     Malformed,
     /// It is not listed, and the file says to refuse.
@@ -44,7 +44,7 @@
         for name in listed.iter().map(String::as_str).chain(rest) {
             if !is_name(name) {
                 return Err(format!(
-                    "{name:?}: empty, over {LONGEST} bytes, or with control characters"
+                    "{name:?}: empty, over {MAX_TENANT_NAME_BYTES} bytes, or with control characters"
                 ));
             }
         }
@@ -74,24 +74,26 @@
     }
 
     /// The name to book under. One that is not listed, or none at all, is booked under the default, if there is one.
-    pub fn resolve(&self, name: Option<&str>) -> Result<Arc<str>, NoTenant> {
+    pub fn resolve(&self, name: Option<&str>) -> Result<Arc<str>, TenantError> {
         if name.is_some_and(|n| !is_name(n)) {
-            return Err(NoTenant::Malformed);
+            return Err(TenantError::Malformed);
         }
         let listed = name.and_then(|n| self.names.get(n));
         listed
             .or(self.rest.as_ref())
             .cloned()
-            .ok_or(NoTenant::Unlisted)
+            .ok_or(TenantError::Unlisted)
     }
 
     /// A tenant's present name; any other name as it is.
-    pub fn now_called(&self, name: &str) -> String {
+    pub fn current_name(&self, name: &str) -> String {
         self.names.get(name).map_or(name, |n| n).to_string()
     }
 }
 
 /// Guards against names that would break a table, a log line or a file.
 fn is_name(name: &str) -> bool {
-    !name.trim().is_empty() && name.len() <= LONGEST && !name.chars().any(char::is_control)
+    !name.trim().is_empty()
+        && name.len() <= MAX_TENANT_NAME_BYTES
+        && !name.chars().any(char::is_control)
 }
--- a/src/core/turn.rs
+++ b/src/core/turn.rs
@@ -1,6 +1,6 @@
 //! The batch loop: timers that are due and what has come in are fed to the decisions, and what they decide is carried out.
 
-use super::{Answer, Core, Due, Ending, Input, StepId, StepNews, Taken};
+use super::{Answer, Core, Due, Input, QuotaGrant, StepEvent, StepId, StepOutcome};
 use crate::interface::{Action, Event, JobId, Micros, Request, TenantId};
 use crate::settings::mark;
 use std::cmp::Reverse;
@@ -83,10 +83,9 @@
                     return;
                 };
                 let o = &entered.operation;
-                let taken = self
-                    .quotas
-                    .as_ref()
-                    .map_or(Taken::Unbound, |q| q.take(now, o.tenant.as_deref()));
+                let taken = self.quotas.as_ref().map_or(QuotaGrant::Unlimited, |q| {
+                    q.acquire(now, o.tenant.as_deref())
+                });
                 let quota_free = taken.free();
                 entered.right = taken.right(self.quotas.as_ref());
                 Event::Arrived(Request {
@@ -144,8 +143,10 @@
                         attempt: attempt as u32,
                     };
                     self.call_off(step);
-                    self.inputs
-                        .push(Input::Step(step, StepNews::Ended(Ending::TimedOut, None)));
+                    self.inputs.push(Input::Step(
+                        step,
+                        StepEvent::Ended(StepOutcome::TimedOut, None),
+                    ));
                 }
                 return;
             }
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -1,6 +1,6 @@
 //! Counters of what is taken in, sent and answered.
 
-use crate::core::{Answer, Ending};
+use crate::core::{Answer, StepOutcome};
 use crate::interface::AttemptOutcome;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -100,9 +100,9 @@
         } += 1;
     }
 
-    pub(crate) fn ending(&mut self, ending: &Ending) {
+    pub(crate) fn ending(&mut self, ending: &StepOutcome) {
         let e = &mut self.endings;
-        *match ending.code() {
+        *match ending.attempt_outcome() {
             AttemptOutcome::Succeeded => &mut e.served,
             AttemptOutcome::WorkerError => &mut e.worker_failed,
             AttemptOutcome::Shed => &mut e.turned_away,
--- a/src/drmaa/front/mod.rs
+++ b/src/drmaa/front/mod.rs
@@ -11,7 +11,7 @@
 pub(crate) use session::listen;
 
 use super::{from_hex, Error, JobInfo, JobState, JobTemplate, SessionMessage};
-use crate::core::{Answer, Front, NotTaken, Operation, Receipt};
+use crate::core::{Answer, Front, Operation, Receipt, SubmitError};
 use crate::interface::{JobId, Micros};
 use crate::net::http::BODY;
 use crate::runtime::Hub;
@@ -115,9 +115,10 @@
                 job.bytes += result.len();
                 JobState::Done
             }
-            Answer::Busy { hold_off_us } => {
+            Answer::Busy { retry_after_us } => {
                 job.info.error = Some(Error::TryLater);
-                job.info.retry_after = (*hold_off_us > 0).then_some(*hold_off_us as f64 / 1e6);
+                job.info.retry_after =
+                    (*retry_after_us > 0).then_some(*retry_after_us as f64 / 1e6);
                 job.info.annotation = Some("turned away; trying again is harmless".into());
                 JobState::Failed
             }
@@ -243,13 +244,17 @@
             Err(why) => {
                 self.jobs.borrow_mut().remove(&number);
                 match why {
-                    NotTaken::SameId | NotTaken::Full => {
+                    SubmitError::DuplicateId | SubmitError::AtCapacity => {
                         refuse(Error::TryLater, "too many operations")
                     }
-                    NotTaken::Unbilled => refuse(Error::TryLater, "use cannot be booked now"),
-                    NotTaken::Stopping => refuse(Error::TryLater, "this dispatcher ends"),
-                    NotTaken::BadTenant => refuse(Error::InvalidArgument, "accountingId: no name"),
-                    NotTaken::Unlisted => {
+                    SubmitError::BillingUnavailable => {
+                        refuse(Error::TryLater, "use cannot be booked now")
+                    }
+                    SubmitError::Stopping => refuse(Error::TryLater, "this dispatcher ends"),
+                    SubmitError::InvalidTenant => {
+                        refuse(Error::InvalidArgument, "accountingId: no name")
+                    }
+                    SubmitError::Unlisted => {
                         refuse(Error::DeniedByDrms, "accountingId: no such tenant")
                     }
                 }
@@ -297,14 +302,14 @@
         if !(slots.is_finite() && slots > 0.0) {
             return refuse(Error::InvalidArgument, "minSlots: must be above 0");
         }
-        let left_us = match t.deadline_time {
+        let remaining_us = match t.deadline_time {
             Some(at) if !at.is_finite() => {
                 return refuse(Error::InvalidArgument, "deadlineTime: not a time")
             }
             Some(at) => ((at - self.seconds()).clamp(0.0, 86_400.0) * 1e6) as Micros,
             None => deadline_us,
         };
-        if left_us == 0 {
+        if remaining_us == 0 {
             return refuse(Error::InvalidArgument, "deadlineTime: is over");
         }
         let body = match (t.input, t.input_hex) {
@@ -333,7 +338,7 @@
             target: t.remote_command,
             idempotency_key: key,
             slots,
-            left_us,
+            remaining_us,
             body,
         })
     }
@@ -366,7 +371,7 @@
         };
         let front = self.front();
         self.hub
-            .with(|core, now| core.gone(now, operation, &front, number));
+            .with(|core, now| core.client_disconnected(now, operation, &front, number));
         Ok(SessionMessage::default().into())
     }
 
--- a/src/drmaa/mod.rs
+++ b/src/drmaa/mod.rs
@@ -7,7 +7,7 @@
 pub(crate) mod worker;
 
 use crate::config::Drmaa;
-use crate::core::Member;
+use crate::core::PoolMember;
 use crate::net::pool::Pool;
 use crate::runtime::Hub;
 use serde::{Deserialize, Serialize};
@@ -25,7 +25,7 @@
 ) -> Result<Option<Rc<front::JobTable>>, String> {
     let driver =
         hub.with(|core, _| core.attach_driver(worker::DrmaaDriver::new(hub.clone(), pool)));
-    let members: Vec<Member> = drmaa.workers.clone();
+    let members: Vec<PoolMember> = drmaa.workers.clone();
     hub.with(|core, _| core.pool_config(driver, true, members));
     drmaa
         .listen
--- a/src/drmaa/worker.rs
+++ b/src/drmaa/worker.rs
@@ -3,7 +3,7 @@
 use super::{
     line, to_hex, Call, CallKind, Error, JobInfo, JobState, JobTemplate, SessionMessage, LINE,
 };
-use crate::core::{Driver, Ending, Member, Operation, StepId, StepNews};
+use crate::core::{Driver, Operation, PoolMember, StepEvent, StepId, StepOutcome};
 use crate::interface::{Micros, WorkerId};
 use crate::net::http::BODY;
 use crate::net::pool::{Pool, PooledConnection, Use};
@@ -47,7 +47,7 @@
         operation: &Operation,
         pooled: &mut Option<PooledConnection>,
         job: &mut Option<String>,
-    ) -> Ending {
+    ) -> StepOutcome {
         let mut taken = match self.pool.take(addr, Use::Work).await {
             Ok(taken) => taken,
             Err(ending) => return ending,
@@ -58,7 +58,7 @@
             .with(|core, now| core.begin(now, step).map(|left| now + left))
         else {
             self.pool.give_back(addr, taken);
-            return Ending::NeverSent;
+            return StepOutcome::NotSent;
         };
         let job_template =
             serde_json::to_value(template(operation, deadline as f64 / 1e6)).expect("plain data");
@@ -67,7 +67,7 @@
             kind: CallKind::RunJob { job_template },
         });
         if taken.conn.write(&call).await.is_err() {
-            return Ending::BrokeUnsent;
+            return StepOutcome::ConnectionLostBeforeSend;
         }
         let conn = &mut pooled.insert(taken).conn;
         let mut early = None;
@@ -78,7 +78,7 @@
                 .map(|l| serde_json::from_slice::<SessionMessage>(&l))
             {
                 Ok(Ok(message)) => message,
-                _ => return Ending::BrokeSent,
+                _ => return StepOutcome::ConnectionLostAfterSend,
             };
             match (message.seq, message.error) {
                 (None, _) if message.event.as_deref() == Some("NEW_STATE") => {
@@ -93,7 +93,7 @@
                 (Some(1), Some(error)) => return turned_down(error),
                 (Some(1), None) => {
                     let Some(id) = message.job_id else {
-                        return Ending::WorkerFailed;
+                        return StepOutcome::WorkerFailed;
                     };
                     let wait = CallKind::WaitTerminated {
                         job_id: id.clone(),
@@ -108,18 +108,21 @@
                         .await
                         .is_err()
                     {
-                        return Ending::BrokeSent;
+                        return StepOutcome::ConnectionLostAfterSend;
                     }
                 }
-                (Some(2), None) => return message.job_info.map_or(Ending::WorkerFailed, ended),
-                (Some(2), Some(_)) => return Ending::Lost,
+                (Some(2), None) => {
+                    return message.job_info.map_or(StepOutcome::WorkerFailed, ended)
+                }
+                (Some(2), Some(_)) => return StepOutcome::Lost,
                 (Some(_), _) => {}
             }
         }
     }
 
     fn started(&self, step: StepId) {
-        self.hub.with(|core, _| core.step(step, StepNews::Started));
+        self.hub
+            .with(|core, _| core.step_event(step, StepEvent::Started));
     }
 
     /// Terminates a job on its own connection; one that the worker has not named yet is waited for.
@@ -174,13 +177,13 @@
             (Some(ending), pooled) => {
                 let whole = matches!(
                     ending,
-                    Ending::Served(_) | Ending::WorkerFailed | Ending::TurnedAway
+                    StepOutcome::Served(_) | StepOutcome::WorkerFailed | StepOutcome::Rejected
                 );
                 if let Some(pooled) = pooled.filter(|_| whole) {
                     self.pool.give_back(addr, pooled);
                 }
                 self.hub
-                    .with(|core, _| core.step(step, StepNews::Ended(ending, None)));
+                    .with(|core, _| core.step_event(step, StepEvent::Ended(ending, None)));
             }
             (None, Some(mut pooled)) => {
                 let terminate = async {
@@ -197,22 +200,22 @@
 }
 
 /// What an error of `runJob` means: the first three come before anything has run.
-fn turned_down(error: Error) -> Ending {
+fn turned_down(error: Error) -> StepOutcome {
     match error {
-        Error::TryLater | Error::DeniedByDrms | Error::OutOfResource => Ending::TurnedAway,
-        _ => Ending::WorkerFailed,
+        Error::TryLater | Error::DeniedByDrms | Error::OutOfResource => StepOutcome::Rejected,
+        _ => StepOutcome::WorkerFailed,
     }
 }
 
 /// What the end of a job means.
-fn ended(info: JobInfo) -> Ending {
+fn ended(info: JobInfo) -> StepOutcome {
     match (info.job_state, info.output, info.error) {
         (JobState::Done, Some(output), _) if output.len() <= BODY => {
-            Ending::Served(output.into_bytes().into())
+            StepOutcome::Served(output.into_bytes().into())
         }
         (JobState::Failed, _, Some(error)) => turned_down(error),
-        (JobState::Failed, ..) if info.terminating_signal.is_some() => Ending::Lost,
-        _ => Ending::WorkerFailed,
+        (JobState::Failed, ..) if info.terminating_signal.is_some() => StepOutcome::Lost,
+        _ => StepOutcome::WorkerFailed,
     }
 }
 
@@ -232,7 +235,13 @@
 }
 
 impl Driver for DrmaaDriver {
-    fn send(&self, step: StepId, operation: &Arc<Operation>, worker: &Member, _left_us: Micros) {
+    fn send(
+        &self,
+        step: StepId,
+        operation: &Arc<Operation>,
+        worker: &PoolMember,
+        _left_us: Micros,
+    ) {
         let (give_up, given_up) = bounded::<()>(1);
         self.out.borrow_mut().insert(step, give_up);
         let me = self.me.upgrade().expect("called through an Rc");
@@ -240,21 +249,21 @@
         self.hub.spawn(async move {
             match addr {
                 Ok(addr) => me.step(step, addr, operation, given_up).await,
-                Err(_) => me
-                    .hub
-                    .with(|core, _| core.step(step, StepNews::Ended(Ending::ConnectRefused, None))),
+                Err(_) => me.hub.with(|core, _| {
+                    core.step_event(step, StepEvent::Ended(StepOutcome::ConnectRefused, None))
+                }),
             }
         });
     }
 
-    fn cancel(&self, step: StepId, _operation: &Arc<Operation>, _worker: &Member) {
+    fn cancel(&self, step: StepId, _operation: &Arc<Operation>, _worker: &PoolMember) {
         self.out.borrow_mut().remove(&step);
     }
 
     /// DRMAA knows no probe: the answer is that there is none.
-    fn probe(&self, worker: WorkerId, _member: &Member) {
+    fn probe(&self, worker: WorkerId, _member: &PoolMember) {
         let hub = self.hub.clone();
         self.hub
-            .spawn(async move { hub.with(|core, _| core.probed(worker, false, None)) });
+            .spawn(async move { hub.with(|core, _| core.probe_ended(worker, false, None)) });
     }
 }
--- a/src/fleet/books.rs
+++ b/src/fleet/books.rs
@@ -1,7 +1,9 @@
 //! The event loop's side: final answers are counted, and tenants' rights are spent.
 
 use crate::config::operators::FleetConfig;
-use crate::core::{Account, Booking, Bookkeeper, Ended, Overdue, Quotas, Taken};
+use crate::core::{
+    OperationOutcome, OverdueAction, QuotaGrant, Quotas, RecordStatus, UsageRecord, UsageRecorder,
+};
 use crate::interface::Micros;
 use rtrb::Producer;
 use std::cell::{Cell, RefCell};
@@ -132,19 +134,19 @@
     }
 }
 
-impl Bookkeeper for Books {
-    fn takes_work(&self) -> bool {
+impl UsageRecorder for Books {
+    fn accepts_operations(&self) -> bool {
         true
     }
 
-    fn book(&self, now: Micros, by: Micros, a: &Account) -> Booking {
+    fn record(&self, now: Micros, by: Micros, a: &UsageRecord) -> RecordStatus {
         let (key, number) = (self.key(a.tenant), self.last.get() + 1);
         self.last.set(number);
-        let ended = match a.ended {
-            Ended::Served => UsageMetric::Served,
-            Ended::Busy => UsageMetric::Refused,
-            Ended::Failed => UsageMetric::Failed,
-            Ended::Gone => UsageMetric::Gone,
+        let ended = match a.outcome {
+            OperationOutcome::Served => UsageMetric::Served,
+            OperationOutcome::Busy => UsageMetric::Refused,
+            OperationOutcome::Failed => UsageMetric::Failed,
+            OperationOutcome::Gone => UsageMetric::Gone,
         };
         let mut units = UsageValues::single(ended, 1);
         units.add(&UsageValues::single(
@@ -153,15 +155,15 @@
         ));
         units.add(&UsageValues::single(UsageMetric::UsedUs, a.run_us));
         units.add(&UsageValues::single(UsageMetric::WastedUs, a.wasted_us));
-        if a.ended != Ended::Gone {
+        if a.outcome != OperationOutcome::Gone {
             self.out
                 .borrow_mut()
-                .insert(number, (key.clone(), a.ended == Ended::Served));
+                .insert(number, (key.clone(), a.outcome == OperationOutcome::Served));
         }
         self.count(key, &units);
         match self.copies {
-            0 => Booking::Open { number },
-            _ => Booking::Hold {
+            0 => RecordStatus::Open { number },
+            _ => RecordStatus::Hold {
                 number,
                 until: now.saturating_add(self.hold).min(by.max(now)),
             },
@@ -169,11 +171,11 @@
     }
 
     /// Counts are a tally and no bill: an answer that is not copied in time is counted as unsure, and goes out.
-    fn overdue(&self, number: u64, _ended: Ended) -> Overdue {
+    fn on_overdue(&self, number: u64, _ended: OperationOutcome) -> OverdueAction {
         let key = self.out.borrow().get(&number).map(|o| o.0.clone());
         key.into_iter()
             .for_each(|key| self.count(key, &UsageValues::single(UsageMetric::Unsure, 1)));
-        Overdue::Release
+        OverdueAction::Release
     }
 
     fn written(&self, number: u64, whole: bool) {
@@ -197,23 +199,23 @@
 }
 
 impl Quotas for Books {
-    fn take(&self, now: Micros, tenant: Option<&str>) -> Taken {
+    fn acquire(&self, now: Micros, tenant: Option<&str>) -> QuotaGrant {
         let Some(budget) = tenant.and_then(|t| self.budgets.get(t)).copied() else {
-            return Taken::Unbound;
+            return QuotaGrant::Unlimited;
         };
         let allowance = &self.allowances[budget];
         let free = allowance.available(now);
         if !allowance.try_acquire(now) {
-            return Taken::None;
+            return QuotaGrant::Exhausted;
         }
         let held = allowance.held();
-        Taken::One {
+        QuotaGrant::Granted {
             budget,
             free: free.max(1) as f64 / held.total().max(1) as f64,
         }
     }
 
-    fn give_back(&self, budget: usize) {
+    fn release(&self, budget: usize) {
         self.allowances[budget].release();
     }
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -161,15 +161,15 @@
         if !config.limits.is_empty() {
             core.attach_quotas(books.clone());
         }
-        core.attach_witness(Rc::new(Eyes::new(books.clone(), common.clone())));
-        core.attach_bookkeeper(books.clone())
+        core.attach_observer(Rc::new(Eyes::new(books.clone(), common.clone())));
+        core.attach_recorder(books.clone())
     });
     let (heard, safe, again) = (hub.clone(), common.clone(), books.clone());
     hub.spawn(async move {
         while woken.recv().await.is_ok() {
             again.push();
             let upto = safe.safe.load(Ordering::Acquire);
-            heard.with(|core, _| core.durable(keeper, upto));
+            heard.with(|core, _| core.on_durable(keeper, upto));
             if safe.judged.swap(false, Ordering::AcqRel) {
                 let view = safe.view.load();
                 let ejections: Vec<(&str, u32)> = view
@@ -177,7 +177,7 @@
                     .iter()
                     .map(|ejection| (&*ejection.worker, ejection.weight))
                     .collect();
-                heard.with(|core, _| core.judged(&ejections));
+                heard.with(|core, _| core.peer_observations(&ejections));
             }
         }
     });
--- a/src/fleet/witness.rs
+++ b/src/fleet/witness.rs
@@ -3,7 +3,7 @@
 
 use super::books::{Books, Note};
 use super::Common;
-use crate::core::{Ending, Member, Witness};
+use crate::core::{PoolMember, StepObserver, StepOutcome};
 use crate::interface::Micros;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -46,39 +46,40 @@
     }
 }
 
-fn worker(m: &Member) -> WorkerIncarnation {
+fn worker(m: &PoolMember) -> WorkerIncarnation {
     WorkerIncarnation {
         name: Arc::from(m.name.as_str()),
-        started_ms: m.since / 1_000,
+        started_ms: m.started_at_us / 1_000,
     }
 }
 
 /// What an end says against a worker; none where it says nothing.
-fn against(ending: &Ending) -> Option<WorkerFault> {
+fn against(ending: &StepOutcome) -> Option<WorkerFault> {
     match ending {
-        Ending::WorkerFailed | Ending::Lost | Ending::ConnectRefused | Ending::ConnectTimedOut => {
-            Some(WorkerFault::Failing)
-        }
-        Ending::TurnedAway => Some(WorkerFault::Full),
-        Ending::TimedOut => Some(WorkerFault::Slow),
-        Ending::Served(_)
-        | Ending::BrokeUnsent
-        | Ending::BrokeSent
-        | Ending::GivenUp
-        | Ending::NeverSent => None,
+        StepOutcome::WorkerFailed
+        | StepOutcome::Lost
+        | StepOutcome::ConnectRefused
+        | StepOutcome::ConnectTimedOut => Some(WorkerFault::Failing),
+        StepOutcome::Rejected => Some(WorkerFault::Full),
+        StepOutcome::TimedOut => Some(WorkerFault::Slow),
+        StepOutcome::Served(_)
+        | StepOutcome::ConnectionLostBeforeSend
+        | StepOutcome::ConnectionLostAfterSend
+        | StepOutcome::Cancelled
+        | StepOutcome::NotSent => None,
     }
 }
 
-impl Witness for Eyes {
-    fn ended(&self, m: &Member, ending: &Ending) {
+impl StepObserver for Eyes {
+    fn step_ended(&self, m: &PoolMember, ending: &StepOutcome) {
         let mut all = self.seen.borrow_mut();
         if !all.contains_key(&m.name) {
             all.insert(m.name.clone(), Seen::default());
         }
         let seen = all.get_mut(&m.name).expect("just there");
-        if seen.since != m.since {
+        if seen.since != m.started_at_us {
             *seen = Seen {
-                since: m.since,
+                since: m.started_at_us,
                 ..Seen::default()
             }; // another life: nothing was seen of it
         }
@@ -99,7 +100,7 @@
                     });
                 }
             }
-            (None, Ending::Served(_)) => {
+            (None, StepOutcome::Served(_)) => {
                 if seen.row >= ROW || seen.served.is_multiple_of(AGAIN) {
                     self.books.saw(Note::Saw {
                         worker: worker(m),
@@ -113,7 +114,7 @@
         }
     }
 
-    fn listed(&self, workers: &mut dyn Iterator<Item = &Member>) {
+    fn workers_changed(&self, workers: &mut dyn Iterator<Item = &PoolMember>) {
         let roster = workers
             .map(|m| ZonedWorker {
                 worker: worker(m),
--- a/src/handle.rs
+++ b/src/handle.rs
@@ -1,7 +1,7 @@
 //! A dispatcher inside another program: it runs on a thread of its own, operations come in over a channel.
 
 use crate::config::Config;
-use crate::core::{Answer, NotTaken, Operation};
+use crate::core::{Answer, Operation, SubmitError};
 use crate::net::request::ClassInfo;
 use crate::runtime::{start, Hub};
 use crate::settings::Site;
@@ -19,7 +19,7 @@
 /// One operation and where its answer goes; none, if it was not taken.
 pub(crate) struct Call {
     operation: Operation,
-    answer: Sender<Result<Answer, NotTaken>>,
+    answer: Sender<Result<Answer, SubmitError>>,
 }
 
 /// A way to a running dispatcher. Clones lead to the same one; it ends in order once all are dropped.
@@ -60,14 +60,14 @@
         self.try_call(operation).await.ok()
     }
 
-    /// The same, with the reason why an operation was not taken; [`NotTaken::Full`] also once the dispatcher has
+    /// The same, with the reason why an operation was not taken; [`SubmitError::AtCapacity`] also once the dispatcher has
     /// ended.
-    pub async fn try_call(&self, operation: Operation) -> Result<Answer, NotTaken> {
+    pub async fn try_call(&self, operation: Operation) -> Result<Answer, SubmitError> {
         let (answer, answered) = bounded(1);
         self.calls
             .send(Call { operation, answer })
             .await
-            .map_err(|_| NotTaken::Full)?;
+            .map_err(|_| SubmitError::AtCapacity)?;
         // A dispatcher that ends without an answer may have had the operation run.
         answered
             .recv()
--- a/src/net/callback.rs
+++ b/src/net/callback.rs
@@ -4,7 +4,7 @@
 use super::handover;
 use super::load_from_json;
 use super::request::Reply;
-use crate::core::{Ending, StepNews};
+use crate::core::{StepEvent, StepOutcome};
 use crate::runtime::Hub;
 use async_io::Timer;
 use serde::Deserialize;
@@ -77,15 +77,17 @@
             return;
         };
         let ending = match call.state {
-            JobState::Started => return core.step(step, StepNews::Started),
-            JobState::Running { share } => return core.step(step, StepNews::Progress(share)),
-            JobState::Done { result } => Ending::Served(result.into_bytes().into()),
-            JobState::Failed => Ending::WorkerFailed,
-            JobState::Returned => Ending::TurnedAway,
-            JobState::Lost => Ending::Lost,
+            JobState::Started => return core.step_event(step, StepEvent::Started),
+            JobState::Running { share } => {
+                return core.step_event(step, StepEvent::Progress(share))
+            }
+            JobState::Done { result } => StepOutcome::Served(result.into_bytes().into()),
+            JobState::Failed => StepOutcome::WorkerFailed,
+            JobState::Returned => StepOutcome::Rejected,
+            JobState::Lost => StepOutcome::Lost,
         };
         let report = call.load.map(|l| core.report(&load_from_json(&l)));
-        core.step(step, StepNews::Ended(ending, report));
+        core.step_event(step, StepEvent::Ended(ending, report));
     });
     Reply::plain(204, "")
 }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -4,7 +4,7 @@
 use super::http::{Bad, Conn};
 use super::lists::{Said, Splitter};
 use super::pool::dial;
-use crate::core::{Member, PoolSource};
+use crate::core::{PoolMember, PoolSource};
 use crate::interface::EndpointState;
 use crate::list_clock::ListClock;
 use crate::runtime::Hub;
@@ -61,20 +61,20 @@
 
 impl Server {
     /// The core's clock reads Unix time, so a start time needs no more than its unit changed.
-    pub(crate) fn member(&self) -> Member {
-        Member {
+    pub(crate) fn member(&self) -> PoolMember {
+        PoolMember {
             name: self.id.clone(),
             addr: self.addr.clone(),
             zone: self.zone.clone(),
             kind: self.kind.clone(),
             cell: self.cell,
-            stage: match self.state {
+            state: match self.state {
                 State::Ready => EndpointState::Ready,
                 State::Draining => EndpointState::Draining,
                 State::Gone => EndpointState::Gone,
             },
             weight: self.weight,
-            since: self.started_ms.saturating_mul(1_000),
+            started_at_us: self.started_ms.saturating_mul(1_000),
         }
     }
 }
@@ -249,11 +249,11 @@
         }
     }
 
-    fn awaits_first(&self) -> bool {
+    fn awaits_first_config(&self) -> bool {
         self.running.get() && self.clock.borrow().awaits_first()
     }
 
-    fn hurry(&self) {
+    fn expedite(&self) {
         self.clock.borrow_mut().hurry(self.hub.now());
         let _ = self.hurried.0.try_send(());
     }
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -3,7 +3,7 @@
 use super::http::Conn;
 use super::Figures;
 use crate::closing::Closing;
-use crate::core::Ending;
+use crate::core::StepOutcome;
 use crate::runtime::Hub;
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -110,7 +110,7 @@
         &self,
         addr: SocketAddr,
         what: Use,
-    ) -> Result<PooledConnection, Ending> {
+    ) -> Result<PooledConnection, StepOutcome> {
         let counted = |open: &Rc<Cell<usize>>| {
             open.set(open.get() + 1);
             Counted(open.clone())
@@ -129,7 +129,7 @@
                 0
             };
         if self.open.get() + idle >= most && !self.drop_oldest() {
-            return Err(Ending::NeverSent); // no descriptor to spare; another worker would need one too
+            return Err(StepOutcome::NotSent); // no descriptor to spare; another worker would need one too
         }
         let counted = counted(&self.open);
         let dial = async { dial(&self.hub, addr).await.map(Some) };
@@ -146,9 +146,9 @@
                     _counted: counted,
                 })
             }
-            Ok(None) => Err(Ending::ConnectTimedOut),
-            Err(e) if no_descriptors(&e) => Err(Ending::NeverSent),
-            Err(_) => Err(Ending::ConnectRefused),
+            Ok(None) => Err(StepOutcome::ConnectTimedOut),
+            Err(e) if no_descriptors(&e) => Err(StepOutcome::NotSent),
+            Err(_) => Err(StepOutcome::ConnectRefused),
         }
     }
 
--- a/src/net/request.rs
+++ b/src/net/request.rs
@@ -1,6 +1,6 @@
 //! What an HTTP request to a front means, and how an answer looks: for front sockets and the middleware.
 
-use crate::core::{Answer, NotTaken, Operation};
+use crate::core::{Answer, Operation, SubmitError};
 use crate::interface::{ClassId, Micros};
 use std::sync::Arc;
 
@@ -85,7 +85,7 @@
     if !is_id(id) {
         return Err(bad("X-Correlation-Id: not an id"));
     }
-    let left_us = match get("x-time-left-ms") {
+    let remaining_us = match get("x-time-left-ms") {
         Some(ms) if !ms.bytes().all(|b| b.is_ascii_digit()) => {
             return Err(bad("X-Time-Left-Ms: not a number"))
         }
@@ -140,7 +140,7 @@
         subject: parts.last().map(|p| p.to_string()),
         idempotency_key,
         slots,
-        left_us: left_us.min(86_400_000).saturating_mul(1_000),
+        remaining_us: remaining_us.min(86_400_000).saturating_mul(1_000),
         body,
     })
 }
@@ -157,14 +157,14 @@
 }
 
 /// How it looks that an operation was not taken.
-pub(crate) fn not_taken(why: NotTaken) -> Reply {
+pub(crate) fn not_taken(why: SubmitError) -> Reply {
     match why {
-        NotTaken::SameId => Reply::plain(409, "an operation of this id is in hand"),
-        NotTaken::Full => busy("too many operations"),
-        NotTaken::Unbilled => busy("use cannot be booked now"),
-        NotTaken::Stopping => busy("this dispatcher ends"),
-        NotTaken::BadTenant => Reply::plain(400, "the tenant's name is none"),
-        NotTaken::Unlisted => Reply::plain(403, "no such tenant"),
+        SubmitError::DuplicateId => Reply::plain(409, "an operation of this id is in hand"),
+        SubmitError::AtCapacity => busy("too many operations"),
+        SubmitError::BillingUnavailable => busy("use cannot be booked now"),
+        SubmitError::Stopping => busy("this dispatcher ends"),
+        SubmitError::InvalidTenant => Reply::plain(400, "the tenant's name is none"),
+        SubmitError::Unlisted => Reply::plain(403, "no such tenant"),
     }
 }
 
@@ -189,9 +189,9 @@
             header: None,
             body,
         },
-        Answer::Busy { hold_off_us: 0 } => Reply::plain(429, "busy"),
-        Answer::Busy { hold_off_us } => Reply::plain(429, "busy")
-            .with("Retry-After", format!("{:.3}", hold_off_us as f64 / 1e6)),
+        Answer::Busy { retry_after_us: 0 } => Reply::plain(429, "busy"),
+        Answer::Busy { retry_after_us } => Reply::plain(429, "busy")
+            .with("Retry-After", format!("{:.3}", retry_after_us as f64 / 1e6)),
         Answer::Failed { late: false } => Reply::plain(502, "failed"),
         Answer::Failed { late: true } => Reply::plain(504, "out of time"),
         Answer::Withheld => Reply::plain(
--- a/src/net/route.rs
+++ b/src/net/route.rs
@@ -3,7 +3,7 @@
 use super::http::{Bad, Head};
 use super::pool::{Pool, PooledConnection, Use};
 use super::{load_from_header, load_from_json};
-use crate::core::{Driver, Ending, Member, Operation, StepId, StepNews};
+use crate::core::{Driver, Operation, PoolMember, StepEvent, StepId, StepOutcome};
 use crate::interface::{LoadReport, Micros, WorkerId};
 use crate::runtime::Hub;
 use async_channel::{bounded, Receiver, Sender};
@@ -69,7 +69,7 @@
 
     /// A cancel begins, which is over when what is returned is dropped. None where the address is none, or where an earlier
     /// cancel is on its way: the attempt waits behind that one, and the worker has not heard of it.
-    fn begin_cancel(&self, operation: &Operation, worker: &Member) -> Option<PendingCancel> {
+    fn begin_cancel(&self, operation: &Operation, worker: &PoolMember) -> Option<PendingCancel> {
         let key = (worker.addr.parse().ok()?, operation.id.clone());
         let (over, is_over) = bounded(1);
         match self.cancels.borrow_mut().entry(key.clone()) {
@@ -106,7 +106,7 @@
         addr: SocketAddr,
         operation: &Operation,
         pooled: &mut Option<PooledConnection>,
-    ) -> Result<(), (Ending, Option<LoadReport>)> {
+    ) -> Result<(), (StepOutcome, Option<LoadReport>)> {
         self.cancel_over(addr, operation).await;
         let mut taken = self
             .pool
@@ -115,11 +115,11 @@
             .map_err(|e| (e, None))?;
         // The connection may have come up late: guards against an attempt for a client that has gone, at a worker
         // that leaves, or past a key's window.
-        let Some(left_us) = self.hub.with(|core, now| core.begin(now, step)) else {
+        let Some(remaining_us) = self.hub.with(|core, now| core.begin(now, step)) else {
             self.pool.give_back(addr, taken);
-            return Err((Ending::NeverSent, None));
+            return Err((StepOutcome::NotSent, None));
         };
-        let request = request(operation, addr, left_us);
+        let request = request(operation, addr, remaining_us);
         let class = self.hub.classes.borrow()[operation.class.0 as usize]
             .name
             .clone();
@@ -128,22 +128,22 @@
             .conn
             .write(&request)
             .await
-            .map_err(|_| (Ending::BrokeUnsent, None))?;
+            .map_err(|_| (StepOutcome::ConnectionLostBeforeSend, None))?;
         self.hub.with(|core, _| core.counters.tried(&class));
         drop(request); // the wait may be long
         let (head, _) = self
             .exchange(pooled.insert(taken))
             .await
-            .map_err(|_| (Ending::BrokeSent, None))?;
+            .map_err(|_| (StepOutcome::ConnectionLostAfterSend, None))?;
         let report = head
             .get("x-backend-load")
             .map(|l| self.report(load_from_header(l)));
         let taken = match head.status {
             202 => Ok(()),
             503 | 504 if head.get("x-unprocessed") == Some("1") => {
-                Err((Ending::TurnedAway, report))
+                Err((StepOutcome::Rejected, report))
             }
-            _ => Err((Ending::WorkerFailed, report)),
+            _ => Err((StepOutcome::WorkerFailed, report)),
         };
         self.keep(addr, pooled, &head);
         taken
@@ -218,7 +218,7 @@
                 match self.pool.take(addr, what).await {
                     Ok(pooled) => break pooled,
                     // A cancel is owed: it waits for a descriptor. A probe is not.
-                    Err(Ending::NeverSent) if what == Use::Cancel => {
+                    Err(StepOutcome::NotSent) if what == Use::Cancel => {
                         Timer::after(AGAIN).await;
                     }
                     Err(_) => return None,
@@ -237,12 +237,12 @@
     }
 }
 
-fn request(operation: &Operation, addr: SocketAddr, left_us: Micros) -> Vec<u8> {
+fn request(operation: &Operation, addr: SocketAddr, remaining_us: Micros) -> Vec<u8> {
     let mut head = format!(
         "POST {} HTTP/1.1\r\nHost: {addr}\r\nX-Correlation-Id: {}\r\nX-Time-Left-Ms: {}\r\nContent-Length: {}\r\n",
         operation.target,
         operation.id,
-        left_us / 1_000,
+        remaining_us / 1_000,
         operation.body.len()
     );
     if let Some(key) = &operation.idempotency_key {
@@ -255,7 +255,13 @@
 }
 
 impl Driver for HttpDriver {
-    fn send(&self, step: StepId, operation: &Arc<Operation>, worker: &Member, left_us: Micros) {
+    fn send(
+        &self,
+        step: StepId,
+        operation: &Arc<Operation>,
+        worker: &PoolMember,
+        remaining_us: Micros,
+    ) {
         let (give_up, given_up) = bounded(1);
         self.handing.borrow_mut().insert(step, give_up);
         let (me, operation, addr) = (
@@ -267,7 +273,7 @@
             let Ok(addr) = addr else {
                 me.handing.borrow_mut().remove(&step);
                 return me.hub.with(|core, _| {
-                    core.step(step, StepNews::Ended(Ending::ConnectRefused, None))
+                    core.step_event(step, StepEvent::Ended(StepOutcome::ConnectRefused, None))
                 });
             };
             let mut pooled = None;
@@ -279,7 +285,7 @@
             };
             // A call-back may have ended the step before any answer: the connection is not kept for ever.
             let never = async {
-                Timer::after(Duration::from_micros(left_us) + Duration::from_secs(1)).await;
+                Timer::after(Duration::from_micros(remaining_us) + Duration::from_secs(1)).await;
                 None
             };
             let handed = future::or(handed, future::or(cancelled, never)).await;
@@ -290,7 +296,7 @@
                 (Some(Ok(())), _) => {}
                 (Some(Err((ending, report))), _) => me
                     .hub
-                    .with(|core, _| core.step(step, StepNews::Ended(ending, report))),
+                    .with(|core, _| core.step_event(step, StepEvent::Ended(ending, report))),
                 (None, Some(pooled)) => drop(me.take_back(addr, &operation.id, pooled).await),
                 (None, None) => {} // not written whole: the worker never began it
             }
@@ -298,7 +304,7 @@
         });
     }
 
-    fn cancel(&self, step: StepId, operation: &Arc<Operation>, worker: &Member) {
+    fn cancel(&self, step: StepId, operation: &Arc<Operation>, worker: &PoolMember) {
         let handing = self.handing.borrow_mut().remove(&step); // dropping it ends the hand-over
         let Some(pending) = self.begin_cancel(operation, worker) else {
             return;
@@ -313,7 +319,7 @@
         });
     }
 
-    fn probe(&self, worker: WorkerId, member: &Member) {
+    fn probe(&self, worker: WorkerId, member: &PoolMember) {
         let Ok(addr) = member.addr.parse::<SocketAddr>() else {
             return;
         };
@@ -332,7 +338,7 @@
                 });
             let report = report.map(|load| me.report(load));
             me.hub
-                .with(|core, _| core.probed(worker, answer.is_some(), report));
+                .with(|core, _| core.probe_ended(worker, answer.is_some(), report));
         });
     }
 }
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -1,7 +1,7 @@
 //! What runs the core: one thread, its clock, the batch loop, signals and the orderly end.
 
 use crate::config::{Config, Reload};
-use crate::core::{Answer, Core, Front, Member, NotTaken, Operation, Receipt};
+use crate::core::{Answer, Core, Front, Operation, PoolMember, Receipt, SubmitError};
 use crate::interface::{JobId, Micros};
 use crate::list_clock::{ListClock, Source};
 use crate::net::request::ClassInfo;
@@ -114,11 +114,11 @@
         for class in self.classes.borrow().iter().filter(|c| !c.retired) {
             responses.entry(class.name.clone()).or_default();
         }
-        let (pool_size, pool_ejected) = core.pool_figures();
+        let (pool_size, pool_ejected) = core.worker_counts();
         Figures {
             tries: responses.values().map(|r| r.tries).sum(),
             responses,
-            active: core.owed(),
+            active: core.unanswered(),
             pool_size,
             pool_ejected,
             config_applied: core.counters.reloads,
@@ -140,7 +140,7 @@
     }
 
     /// Hands in an operation whose answer is waited for in one place.
-    pub(crate) fn submit(self: &Rc<Self>, operation: Operation) -> Result<Pending, NotTaken> {
+    pub(crate) fn submit(self: &Rc<Self>, operation: Operation) -> Result<Pending, SubmitError> {
         let (tx, answer) = bounded(1);
         let front: Rc<dyn Front> = Rc::new(Waiting(tx));
         let job = self.with(|core, now| core.submit(now, operation, front.clone(), 0))?;
@@ -209,7 +209,7 @@
 impl Drop for Pending {
     fn drop(&mut self) {
         self.hub
-            .with(|core, now| core.gone(now, self.job, &self.front, 0));
+            .with(|core, now| core.client_disconnected(now, self.job, &self.front, 0));
     }
 }
 
@@ -290,7 +290,7 @@
         let driver = hub.with(|core, _| {
             core.attach_driver(net::route::HttpDriver::new(hub.clone(), pool.clone()))
         });
-        let known: Vec<Member> = config.known.servers.iter().map(|s| s.member()).collect();
+        let known: Vec<PoolMember> = config.known.servers.iter().map(|s| s.member()).collect();
         hub.with(|core, _| core.pool_config(driver, true, known));
         info!(log, "discovery's calls"; "source" => ?source, "fleet" => fleet, "ask_within_ms" => within / 1_000,
             "longest_pause_ms" => list_clock.ceiling_us() / 1_000);
@@ -363,7 +363,7 @@
 /// changes nothing.
 fn reload(hub: &Rc<Hub>, watch: &net::discovery::Watch) {
     match Reload::load(|name| std::env::var(name).ok()) {
-        Ok(new) => match hub.with(|core, _| core.retune(new.setup)) {
+        Ok(new) => match hub.with(|core, _| core.update_settings(new.setup)) {
             Ok(added) => {
                 let discovery = new.discovery.map_or("none".into(), |d| d.to_string());
                 info!(hub.log, "new configuration"; "discovery" => discovery, "classes renumbered" => added);
@@ -405,7 +405,7 @@
     let close_at = last_call.saturating_sub(LAST_ONES).max(STILL_COMING);
     let successor = net::handover::successor(addr);
     let replaced = successor.is_some();
-    info!(hub.log, "stopping"; "owed" => hub.core.borrow().owed(), "replaced" => replaced);
+    info!(hub.log, "stopping"; "owed" => hub.core.borrow().unanswered(), "replaced" => replaced);
     hub.stopping.set(true);
     if replaced {
         hub.other.set(successor);
@@ -415,7 +415,7 @@
     while begun.elapsed() < close_at {
         if sockets.clients() == 0
             && begun.elapsed() >= STILL_COMING
-            && hub.core.borrow().owed() == 0
+            && hub.core.borrow().unanswered() == 0
         {
             break; // nobody is left who could send anything
         }
@@ -427,7 +427,7 @@
         Timer::after(Duration::from_millis(20)).await;
         // Guards against a client that never reads its answer, or never ends its request.
         let late = begun.elapsed() > last_call;
-        if hub.core.borrow().owed() == 0 && (late || !waited_for && sockets.clients() == 0) {
+        if hub.core.borrow().unanswered() == 0 && (late || !waited_for && sockets.clients() == 0) {
             break;
         }
     }
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -25,14 +25,14 @@
 }
 
 impl Driver for Runner {
-    fn send(&self, step: StepId, _: &Arc<Operation>, worker: &Member, _: Micros) {
+    fn send(&self, step: StepId, _: &Arc<Operation>, worker: &PoolMember, _: Micros) {
         self.sent.borrow_mut().push(step);
         self.workers.borrow_mut().push(worker.name.clone());
     }
-    fn cancel(&self, step: StepId, _: &Arc<Operation>, _: &Member) {
+    fn cancel(&self, step: StepId, _: &Arc<Operation>, _: &PoolMember) {
         self.cancelled.borrow_mut().push(step);
     }
-    fn probe(&self, _: WorkerId, _: &Member) {}
+    fn probe(&self, _: WorkerId, _: &PoolMember) {}
 }
 
 struct Site {
@@ -53,11 +53,11 @@
     let mut core = Core::from_settings(settings.as_bytes(), 42, 0).expect("settings");
     let (desk, runner) = (Rc::new(Desk::default()), Rc::new(Runner::default()));
     let driver = core.attach_driver(runner.clone());
-    let member = |n| Member {
+    let member = |n| PoolMember {
         name: format!("s-{n}"),
         zone: "z".into(),
         weight: 1.0,
-        ..Member::default()
+        ..PoolMember::default()
     };
     core.pool_config(driver, true, (0..workers).map(member).collect());
     Site {
@@ -75,7 +75,7 @@
             id: id.into(),
             class,
             slots: 1.0,
-            left_us: 5_000_000,
+            remaining_us: 5_000_000,
             ..Operation::default()
         };
         self.core
@@ -85,7 +85,7 @@
 
     fn gone(&mut self, now: Micros, job: JobNo) {
         let front: Rc<dyn Front> = self.desk.clone();
-        self.core.gone(now, job, &front, 7);
+        self.core.client_disconnected(now, job, &front, 7);
     }
 }
 
@@ -96,7 +96,7 @@
 enum With {
     Nothing,
     Start,
-    TurnedAway,
+    Rejected,
     Failed,
     NotConnected,
     Served,
@@ -111,7 +111,7 @@
     #[values(
         With::Nothing,
         With::Start,
-        With::TurnedAway,
+        With::Rejected,
         With::Failed,
         With::NotConnected,
         With::Served,
@@ -133,19 +133,19 @@
     }
     match with {
         With::Nothing => {}
-        With::Start => s.core.step(first, StepNews::Started),
-        With::TurnedAway => s
+        With::Start => s.core.step_event(first, StepEvent::Started),
+        With::Rejected => s
             .core
-            .step(first, StepNews::Ended(Ending::TurnedAway, None)),
+            .step_event(first, StepEvent::Ended(StepOutcome::Rejected, None)),
         With::Failed => s
             .core
-            .step(first, StepNews::Ended(Ending::WorkerFailed, None)),
+            .step_event(first, StepEvent::Ended(StepOutcome::WorkerFailed, None)),
         With::NotConnected => s
             .core
-            .step(first, StepNews::Ended(Ending::ConnectRefused, None)),
-        With::Served => s.core.step(
+            .step_event(first, StepEvent::Ended(StepOutcome::ConnectRefused, None)),
+        With::Served => s.core.step_event(
             first,
-            StepNews::Ended(Ending::Served(Arc::from(*b"log")), None),
+            StepEvent::Ended(StepOutcome::Served(Arc::from(*b"log")), None),
         ),
         With::RetryTimer => now = s.core.next_due().expect("a timer"),
         With::Deadline => now = 5_000_000,
@@ -173,7 +173,7 @@
         "an answer to nobody: {:?}",
         s.desk.0.borrow()
     );
-    assert_eq!((s.core.counters.clients_gone, s.core.owed()), (1, 0));
+    assert_eq!((s.core.counters.clients_gone, s.core.unanswered()), (1, 0));
     let sent = s.runner.sent.borrow();
     let cancelled = s.runner.cancelled.borrow();
     assert!(
@@ -189,15 +189,15 @@
     let mut s = site(0, "free", true);
     let job = s.submit(1_000, "a1");
     s.core.turn(1_000);
-    assert_eq!(s.core.owed(), 1);
+    assert_eq!(s.core.unanswered(), 1);
     s.gone(2_000, job);
     s.core.turn(2_000);
-    assert_eq!(s.core.owed(), 0);
-    let late = Member {
+    assert_eq!(s.core.unanswered(), 0);
+    let late = PoolMember {
         name: "s-1".into(),
         zone: "z".into(),
         weight: 1.0,
-        ..Member::default()
+        ..PoolMember::default()
     };
     s.core.pool_config(s.driver, false, vec![late]);
     (0..100).for_each(|n| s.core.turn(3_000 + n * 50_000));
@@ -217,7 +217,7 @@
         id: "a1".into(),
         class,
         slots: 1.0,
-        left_us: 25_001,
+        remaining_us: 25_001,
         ..Operation::default()
     };
     s.core
@@ -252,18 +252,18 @@
     let first = s.runner.sent.borrow()[0];
     assert_eq!(s.core.may_begin(1_000, first), Some(4_975_000));
     if let Some((stage, since)) = change {
-        let known = Member {
+        let known = PoolMember {
             name: "s-0".into(),
             zone: "z".into(),
             weight: 1.0,
-            ..Member::default()
+            ..PoolMember::default()
         };
         s.core.pool_config(
             s.driver,
             false,
-            vec![Member {
-                stage,
-                since,
+            vec![PoolMember {
+                state: stage,
+                started_at_us: since,
                 ..known
             }],
         );
@@ -274,11 +274,11 @@
 
 /// The window of a key counts from the attempt before, which may have run.
 #[rstest]
-#[case(Ending::BrokeSent, 399_000, true)]
-#[case(Ending::BrokeSent, 402_000, false)]
-#[case(Ending::TurnedAway, 402_000, true)]
+#[case(StepOutcome::ConnectionLostAfterSend, 399_000, true)]
+#[case(StepOutcome::ConnectionLostAfterSend, 402_000, false)]
+#[case(StepOutcome::Rejected, 402_000, true)]
 fn a_late_connection_keeps_to_the_window(
-    #[case] ending: Ending,
+    #[case] ending: StepOutcome,
     #[case] after: Micros,
     #[case] may: bool,
 ) {
@@ -286,7 +286,7 @@
     s.submit(1_000, "a1");
     s.core.turn(1_000);
     let first = s.runner.sent.borrow()[0];
-    s.core.step(first, StepNews::Ended(ending, None));
+    s.core.step_event(first, StepEvent::Ended(ending, None));
     s.core.turn(2_000);
     let again = *s.runner.sent.borrow().last().unwrap();
     assert_ne!(again, first);
@@ -302,10 +302,10 @@
 
 impl PoolSource for Mute {
     fn subscribe(&self) {}
-    fn awaits_first(&self) -> bool {
+    fn awaits_first_config(&self) -> bool {
         !self.spoken.get()
     }
-    fn hurry(&self) {
+    fn expedite(&self) {
         self.hurried.set(self.hurried.get() + 1);
     }
 }
@@ -344,11 +344,11 @@
     assert_eq!(source.hurried.get(), 1);
     match first {
         First::Comes => {
-            let new = Member {
+            let new = PoolMember {
                 name: "s-9".into(),
                 zone: "z".into(),
                 weight: 1.0,
-                ..Member::default()
+                ..PoolMember::default()
             };
             s.core.pool_config(s.driver, true, vec![new]);
             source.spoken.set(true);
--- a/tests/withheld.rs
+++ b/tests/withheld.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use streamusher::core::{
-    Account, Answer, Booking, Bookkeeper, Core, Driver, Ended, Ending, Front, Member, Operation,
-    Overdue, Receipt, StepId, StepNews,
+    Answer, Core, Driver, Front, Operation, OperationOutcome, OverdueAction, PoolMember, Receipt,
+    RecordStatus, StepEvent, StepId, StepOutcome, UsageRecord, UsageRecorder,
 };
 use streamusher::interface::{Micros, WorkerId};
 
@@ -28,23 +28,23 @@
 struct Steps(RefCell<Vec<StepId>>);
 
 impl Driver for Steps {
-    fn send(&self, step: StepId, _: &Arc<Operation>, _: &Member, _left_us: Micros) {
+    fn send(&self, step: StepId, _: &Arc<Operation>, _: &PoolMember, _left_us: Micros) {
         self.0.borrow_mut().push(step);
     }
-    fn cancel(&self, _: StepId, _: &Arc<Operation>, _: &Member) {}
-    fn probe(&self, _: WorkerId, _: &Member) {}
+    fn cancel(&self, _: StepId, _: &Arc<Operation>, _: &PoolMember) {}
+    fn probe(&self, _: WorkerId, _: &PoolMember) {}
 }
 
 /// Books under one number after the other, and notes what it is told of each.
 struct Books {
-    overdue: Overdue,
+    overdue: OverdueAction,
     has_room: bool,
     last: Cell<u64>,
     written: RefCell<Vec<(u64, bool)>>,
 }
 
 impl Books {
-    fn new(overdue: Overdue, has_room: bool) -> Rc<Books> {
+    fn new(overdue: OverdueAction, has_room: bool) -> Rc<Books> {
         Rc::new(Books {
             overdue,
             has_room,
@@ -54,22 +54,22 @@
     }
 }
 
-impl Bookkeeper for Books {
-    fn takes_work(&self) -> bool {
+impl UsageRecorder for Books {
+    fn accepts_operations(&self) -> bool {
         true
     }
-    fn book(&self, now: Micros, by: Micros, _: &Account) -> Booking {
+    fn record(&self, now: Micros, by: Micros, _: &UsageRecord) -> RecordStatus {
         if !self.has_room {
-            return Booking::Refused;
+            return RecordStatus::Refused;
         }
         self.last.set(self.last.get() + 1);
-        Booking::Hold {
+        RecordStatus::Hold {
             number: self.last.get(),
             until: by.min(now + HOLD),
         }
     }
-    fn overdue(&self, _number: u64, ended: Ended) -> Overdue {
-        assert_eq!(ended, Ended::Served);
+    fn on_overdue(&self, _number: u64, ended: OperationOutcome) -> OverdueAction {
+        assert_eq!(ended, OperationOutcome::Served);
         self.overdue
     }
     fn written(&self, number: u64, whole: bool) {
@@ -86,29 +86,29 @@
 fn served(books: &[&Rc<Books>]) -> Fixture {
     let mut core = Core::from_settings(SETTINGS.as_bytes(), 42, 0).unwrap();
     for books in books {
-        core.attach_bookkeeper((*books).clone());
+        core.attach_recorder((*books).clone());
     }
     let (answers, steps) = (Rc::new(Answers::default()), Rc::new(Steps::default()));
     let driver = core.attach_driver(steps.clone());
-    let worker = Member {
+    let worker = PoolMember {
         name: "s-1".into(),
         zone: "pump-house".into(),
         weight: 1.0,
-        ..Member::default()
+        ..PoolMember::default()
     };
     core.pool_config(driver, true, vec![worker]);
     let operation = Operation {
         id: "a1".into(),
         class: core.class("depth-log").unwrap(),
         slots: 1.0,
-        left_us: CLIENT_TIME,
+        remaining_us: CLIENT_TIME,
         ..Operation::default()
     };
     core.submit(0, operation, answers.clone(), 0).unwrap();
     core.turn(0);
     let step = steps.0.borrow()[0];
-    let result = Ending::Served(Arc::from(*b"log"));
-    core.step(step, StepNews::Ended(result, None));
+    let result = StepOutcome::Served(Arc::from(*b"log"));
+    core.step_event(step, StepEvent::Ended(result, None));
     core.turn(0);
     Fixture { core, answers }
 }
@@ -121,26 +121,26 @@
 #[test]
 fn result_that_is_not_booked_in_time_is_withheld_and_told_as_not_written() {
     let (ledger, tally) = (
-        Books::new(Overdue::Withhold, true),
-        Books::new(Overdue::Release, true),
+        Books::new(OverdueAction::Withhold, true),
+        Books::new(OverdueAction::Release, true),
     );
     let mut fixture = served(&[&tally, &ledger]);
-    fixture.core.durable(0, 1);
+    fixture.core.on_durable(0, 1);
     fixture.core.turn(HOLD - 1);
     assert_eq!(*fixture.answers.0.borrow(), []);
     fixture.core.turn(HOLD);
     assert_eq!(*fixture.answers.0.borrow(), [Answer::Withheld]);
     assert_eq!(*ledger.written.borrow(), [(1, false)]);
     assert_eq!(*tally.written.borrow(), [(1, false)]);
-    fixture.core.durable(1, 1);
+    fixture.core.on_durable(1, 1);
     fixture.core.turn(CLIENT_TIME);
     assert_eq!(fixture.answers.0.borrow().len(), 1, "answered once");
-    assert_eq!(fixture.core.owed(), 0);
+    assert_eq!(fixture.core.unanswered(), 0);
 }
 
 #[test]
 fn result_goes_out_in_time_where_its_bookkeeper_allows_it() {
-    let books = Books::new(Overdue::Release, true);
+    let books = Books::new(OverdueAction::Release, true);
     let mut fixture = served(&[&books]);
     fixture.core.turn(HOLD);
     assert_eq!(*fixture.answers.0.borrow(), [result()]);
@@ -151,8 +151,8 @@
 #[test]
 fn result_that_a_bookkeeper_refuses_is_withheld_at_once() {
     let (full, tally) = (
-        Books::new(Overdue::Withhold, false),
-        Books::new(Overdue::Release, true),
+        Books::new(OverdueAction::Withhold, false),
+        Books::new(OverdueAction::Release, true),
     );
     let fixture = served(&[&tally, &full]);
     assert_eq!(*fixture.answers.0.borrow(), [Answer::Withheld]);
@@ -162,24 +162,24 @@
 #[test]
 fn result_is_withheld_once_its_bookkeeper_gives_up_and_the_others_no_longer_count() {
     let (ledger, tally) = (
-        Books::new(Overdue::Withhold, true),
-        Books::new(Overdue::Release, true),
+        Books::new(OverdueAction::Withhold, true),
+        Books::new(OverdueAction::Release, true),
     );
     let mut fixture = served(&[&tally, &ledger]);
-    fixture.core.hold_no_longer(0);
+    fixture.core.expire_held_answers(0);
     assert_eq!(
         *fixture.answers.0.borrow(),
         [],
         "the ledger may have it yet"
     );
-    fixture.core.hold_no_longer(1);
+    fixture.core.expire_held_answers(1);
     assert_eq!(*fixture.answers.0.borrow(), [Answer::Withheld]);
 }
 
 /// Guards against a stop that leaves a client without any answer, as its result waits for a disk that stands still.
 #[test]
 fn result_that_waits_for_its_entry_is_answered_by_the_last_call() {
-    let books = Books::new(Overdue::Withhold, true);
+    let books = Books::new(OverdueAction::Withhold, true);
     let mut fixture = served(&[&books]);
     let last_call = HOLD / 3;
     fixture.core.answer_all_by(last_call);
@@ -187,5 +187,5 @@
     assert_eq!(*fixture.answers.0.borrow(), []);
     fixture.core.turn(HOLD / 2);
     assert_eq!(*fixture.answers.0.borrow(), [Answer::Withheld]);
-    assert_eq!(fixture.core.owed(), 0);
+    assert_eq!(fixture.core.unanswered(), 0);
 }
