--- a/crates/fair-share/src/accounts.rs
+++ b/crates/fair-share/src/accounts.rs
@@ -88,10 +88,10 @@
         let settings = Arc::new(settings.clamped());
         let stored = StoredState::read(records);
         let half_life = stored.half_life_ms().unwrap_or(settings.half_life_ms);
-        let time = stored_time(&stored, half_life);
-        let is_same_half_life = half_life == settings.half_life_ms;
+        let time = recovered_time(&stored, half_life);
+        let is_half_life_unchanged = half_life == settings.half_life_ms;
         let carry_over = |usage: DecayedUsage| {
-            if is_same_half_life {
+            if is_half_life_unchanged {
                 return usage;
             }
             DecayedUsage::from_value(usage.value_at(half_life, time), settings.half_life_ms, time)
@@ -101,7 +101,7 @@
             .into_iter()
             .map(|(user, usage)| (user, carry_over(usage)))
             .collect();
-        let changed = if is_same_half_life {
+        let changed = if is_half_life_unchanged {
             BTreeSet::new()
         } else {
             usage_by_user.keys().cloned().collect()
@@ -171,13 +171,13 @@
     /// one batch. Empty where none is due.
     pub fn publish_if_due(&mut self, now: Millis) -> Vec<Write> {
         let time = self.clock.advance_to(now);
-        let age = time.saturating_sub(self.ranking().made_at());
+        let age = time.saturating_sub(self.ranking().created_at());
         if age < self.settings.version_interval_ms {
             return Vec::new();
         }
         let has_changed = self.running.users().next().is_some() || !self.changed.is_empty();
-        let is_aging = !self.usage_by_user.is_empty() && age >= self.settings.max_age_ms / 2;
-        if !has_changed && !is_aging {
+        let needs_refresh = !self.usage_by_user.is_empty() && age >= self.settings.max_age_ms / 2;
+        if !has_changed && !needs_refresh {
             return Vec::new();
         }
         let users: Vec<Arc<str>> = self.running.users().cloned().collect();
@@ -186,7 +186,7 @@
         }
         self.drop_decayed(time);
         self.drop_surplus(time);
-        self.make_version(time)
+        self.create_version(time)
     }
 
     /// The order by the newest version.
@@ -202,7 +202,7 @@
     /// Age of the newest version, in milliseconds.
     pub fn age_ms(&self, now: Millis) -> Millis {
         self.cluster_time(now)
-            .saturating_sub(self.ranking().made_at())
+            .saturating_sub(self.ranking().created_at())
     }
 
     /// The cluster time, in milliseconds.
@@ -265,7 +265,7 @@
         let half_life = self.settings.half_life_ms;
         let usage = self.usage_by_user.entry(user.clone()).or_default();
         usage.add(half_life, span.rate, span.from, span.until);
-        usage.forget_old(half_life, until);
+        usage.discard_expired(half_life, until);
         self.changed.insert(user.clone());
     }
 
@@ -341,7 +341,7 @@
         self.changed.insert(user);
     }
 
-    fn make_version(&mut self, time: Millis) -> Vec<Write> {
+    fn create_version(&mut self, time: Millis) -> Vec<Write> {
         let version = RankingVersion {
             epoch: self.epoch,
             number: self.version().number.saturating_add(1),
@@ -353,7 +353,7 @@
             .collect();
         writes.push(stored_state::version_write(&VersionRecord {
             version,
-            made_at: time,
+            created_at: time,
             half_life_ms: self.settings.half_life_ms,
         }));
         let ranking = FairShareRanking::new(
@@ -368,9 +368,9 @@
 }
 
 /// The cluster time to continue from. Where the version's record is lost, the latest usage tells it, to a half-life.
-fn stored_time(stored: &StoredState, half_life: Millis) -> Millis {
+fn recovered_time(stored: &StoredState, half_life: Millis) -> Millis {
     if stored.half_life_ms().is_some() {
-        return stored.version.made_at;
+        return stored.version.created_at;
     }
     let latest_half_life = stored
         .users
--- a/crates/fair-share/src/decayed_usage.rs
+++ b/crates/fair-share/src/decayed_usage.rs
@@ -81,7 +81,7 @@
     }
 
     /// Forgets usage that is older than [`MAX_HALF_LIVES`] at a cluster time.
-    pub fn forget_old(&mut self, half_life: Millis, now: Millis) {
+    pub fn discard_expired(&mut self, half_life: Millis, now: Millis) {
         let oldest = (now / half_life.max(1)).saturating_sub(MAX_HALF_LIVES);
         self.sums.retain(|entry| entry.half_life >= oldest);
     }
--- a/crates/fair-share/src/ranking.rs
+++ b/crates/fair-share/src/ranking.rs
@@ -20,7 +20,7 @@
 pub struct FairShareRanking {
     settings: Arc<FairShareSettings>,
     version: RankingVersion,
-    made_at: Millis,
+    created_at: Millis,
     usage_by_user: UsageByUser,
 }
 
@@ -28,13 +28,13 @@
     pub(crate) fn new(
         settings: Arc<FairShareSettings>,
         version: RankingVersion,
-        made_at: Millis,
+        created_at: Millis,
         usage_by_user: UsageByUser,
     ) -> FairShareRanking {
         FairShareRanking {
             settings,
             version,
-            made_at,
+            created_at,
             usage_by_user,
         }
     }
@@ -45,14 +45,14 @@
     }
 
     /// The cluster time at which the version was made.
-    pub fn made_at(&self) -> Millis {
-        self.made_at
+    pub fn created_at(&self) -> Millis {
+        self.created_at
     }
 
     /// A user's usage in this version, in core-milliseconds; 0 for one that is not known.
     pub fn usage_core_ms(&self, user: &str) -> u64 {
         self.usage_by_user.get(user).map_or(0, |usage| {
-            usage.value_at(self.settings.half_life_ms, self.made_at)
+            usage.value_at(self.settings.half_life_ms, self.created_at)
         })
     }
 
--- a/crates/fair-share/src/ranking_replica.rs
+++ b/crates/fair-share/src/ranking_replica.rs
@@ -8,7 +8,7 @@
 use streamusher_protocol::Millis;
 
 /// Steady clocks may differ in speed by this part: an age is counted longer by it.
-const MAX_CLOCK_DRIFT_PART: Millis = 32;
+const MAX_CLOCK_DRIFT_DIVISOR: Millis = 32;
 
 /// What became of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,7 +33,7 @@
     /// The bound at a later steady time.
     fn at(self, now: Millis) -> Millis {
         let passed_ms = now.saturating_sub(self.as_of);
-        let drift_ms = passed_ms / MAX_CLOCK_DRIFT_PART + u64::from(passed_ms > 0);
+        let drift_ms = passed_ms / MAX_CLOCK_DRIFT_DIVISOR + u64::from(passed_ms > 0);
         self.age_ms
             .saturating_add(passed_ms)
             .saturating_add(drift_ms)
@@ -81,7 +81,7 @@
         if has_other_base && !cfg!(feature = "mutant-version") {
             return UpdateOutcome::UnknownBase;
         }
-        self.adopt(update);
+        self.install(update);
         self.age = age;
         UpdateOutcome::Applied
     }
@@ -121,7 +121,7 @@
         }
     }
 
-    fn adopt(&mut self, update: &RankingUpdate) {
+    fn install(&mut self, update: &RankingUpdate) {
         let base = self.history.take().filter(|_| update.base.is_some());
         let mut usage_by_user = base.as_ref().map_or_else(UsageByUser::new, |history| {
             history.newest().usage_by_user().clone()
@@ -135,7 +135,7 @@
         let ranking = FairShareRanking::new(
             self.settings.clone(),
             update.version,
-            update.made_at,
+            update.created_at,
             usage_by_user,
         );
         self.history = Some(match base {
--- a/crates/fair-share/src/stored_state.rs
+++ b/crates/fair-share/src/stored_state.rs
@@ -18,7 +18,7 @@
     pub(crate) version: RankingVersion,
     /// The cluster time at which it was made.
     #[serde(rename = "time")]
-    pub(crate) made_at: Millis,
+    pub(crate) created_at: Millis,
     /// Users' records count by this half-life; 0 where there is no version.
     pub(crate) half_life_ms: Millis,
 }
--- a/crates/fair-share/src/version.rs
+++ b/crates/fair-share/src/version.rs
@@ -28,7 +28,7 @@
     pub version: RankingVersion,
     /// The cluster time at which it was made.
     #[serde(rename = "time")]
-    pub made_at: Millis,
+    pub created_at: Millis,
     /// Its age when this update was sent, in milliseconds; an upper bound.
     pub age_ms: Millis,
     /// Users whose usage differs from the base.
--- a/crates/fair-share/src/version_history.rs
+++ b/crates/fair-share/src/version_history.rs
@@ -67,7 +67,7 @@
         held: Option<RankingVersion>,
         age_ms: Millis,
     ) -> RankingUpdate {
-        let base = held.filter(|held| *held == self.newest.version() || self.remembers(*held));
+        let base = held.filter(|held| *held == self.newest.version() || self.contains(*held));
         let changes = match base {
             Some(base) => self.changes_since(base),
             None => self.all_users(),
@@ -75,13 +75,13 @@
         RankingUpdate {
             base,
             version: self.newest.version(),
-            made_at: self.newest.made_at(),
+            created_at: self.newest.created_at(),
             age_ms,
             changes,
         }
     }
 
-    fn remembers(&self, version: RankingVersion) -> bool {
+    fn contains(&self, version: RankingVersion) -> bool {
         self.former.iter().any(|former| former.version == version)
     }
 
--- a/crates/fair-share/tests/decayed_usage.rs
+++ b/crates/fair-share/tests/decayed_usage.rs
@@ -106,9 +106,9 @@
     second.add(half_life, 5_000, half_life * 2, half_life * 9);
     let mut merged = first.clone();
     merged.merge(&second);
-    merged.forget_old(half_life, now);
-    first.forget_old(half_life, now);
-    second.forget_old(half_life, now);
+    merged.discard_expired(half_life, now);
+    first.discard_expired(half_life, now);
+    second.discard_expired(half_life, now);
     second.merge(&first);
     assert_eq!(second, merged);
 }
--- a/crates/fair-share/tests/support/simulation.rs
+++ b/crates/fair-share/tests/support/simulation.rs
@@ -164,7 +164,7 @@
         self.cluster_time = accounts.cluster_time(*origin + self.now);
         self.published
             .entry(accounts.version())
-            .or_insert((accounts.ranking().made_at(), Vec::new()));
+            .or_insert((accounts.ranking().created_at(), Vec::new()));
         if self.rng.random_range(0..300) == 0 {
             self.fail_primary();
         }
@@ -393,7 +393,7 @@
             .expect("a version that was made");
         assert_eq!(
             *time,
-            ranking.made_at(),
+            ranking.created_at(),
             "seed {} at {}: time of {version:?}",
             self.seed,
             self.now
@@ -424,7 +424,7 @@
     /// By the oracle: no pending unit should have started before the started one by more than the bound.
     fn check_order(&mut self, index: usize, started: usize) {
         let node = &self.nodes[index];
-        let version_time = node.replica.ranking().expect("a version").made_at();
+        let version_time = node.replica.ranking().expect("a version").created_at();
         let age = node.replica.age_ms(node.clock(self.now));
         let at_version: Vec<f64> = (0..USERS)
             .map(|user| self.delay(user_index(user), version_time, version_time))
--- a/crates/scheduler/src/agent_sync.rs
+++ b/crates/scheduler/src/agent_sync.rs
@@ -14,7 +14,7 @@
 
 /// Takes an agent's report, and defers its request until there are new commands.
 pub(crate) fn on_agent_sync(state: &mut ClusterState, now: Now, id: RequestId, sync: &AgentSync) {
-    if state.agents.get_or_insert(&sync.agent).is_overtaken(sync) {
+    if state.agents.get_or_insert(&sync.agent).is_outdated(sync) {
         commands::respond(state, id, &sync.agent);
         return;
     }
--- a/crates/scheduler/src/agents.rs
+++ b/crates/scheduler/src/agents.rs
@@ -51,7 +51,7 @@
 
 impl AgentSession {
     /// Whether a request was overtaken by a newer one of the same start.
-    pub(crate) fn is_overtaken(&self, sync: &AgentSync) -> bool {
+    pub(crate) fn is_outdated(&self, sync: &AgentSync) -> bool {
         self.boot == sync.boot && sync.sequence <= self.sequence
     }
 
@@ -90,7 +90,7 @@
     }
 
     /// Whether the newest request surely came from the present start: one of an earlier start may arrive late.
-    pub(crate) fn is_confirmed_by_present_start(&self) -> bool {
+    pub(crate) fn is_confirmed_by_current_process(&self) -> bool {
         self.confirmed_revision >= self.first_revision
     }
 
@@ -110,7 +110,7 @@
     lease_ms: Millis,
     sessions: BTreeMap<Arc<str>, AgentSession>,
     /// Agents that called, or whose commands became stale, since deferred requests were last answered.
-    to_review: BTreeSet<Arc<str>>,
+    unreviewed: BTreeSet<Arc<str>>,
     /// Deadlines of deferred requests; those of requests that were answered meanwhile may still be listed.
     deadlines: BTreeSet<(Millis, Arc<str>)>,
 }
@@ -122,7 +122,7 @@
             epoch,
             lease_ms,
             sessions: BTreeMap::new(),
-            to_review: BTreeSet::new(),
+            unreviewed: BTreeSet::new(),
             deadlines: BTreeSet::new(),
         }
     }
@@ -142,7 +142,7 @@
     /// Holds a request until its deadline.
     pub(crate) fn defer(&mut self, name: &Arc<str>, deferred: DeferredSync) {
         self.deadlines.insert((deferred.deadline, name.clone()));
-        self.to_review.insert(name.clone());
+        self.unreviewed.insert(name.clone());
         self.get_or_insert(name).deferred = Some(deferred);
     }
 
@@ -152,12 +152,12 @@
     }
 
     /// Ends the deferral of an agent's request if its deadline is over or the agent lacks the newest commands.
-    pub(crate) fn take_due(&mut self, now: Millis, name: &str) -> Option<DeferredSync> {
+    pub(crate) fn take_due_request(&mut self, now: Millis, name: &str) -> Option<DeferredSync> {
         let session = self.sessions.get_mut(name)?;
-        let has_news = session.confirmed_revision < session.revision;
+        let has_new_commands = session.confirmed_revision < session.revision;
         session
             .deferred
-            .take_if(|deferred| has_news || deferred.deadline <= now)
+            .take_if(|deferred| has_new_commands || deferred.deadline <= now)
     }
 
     /// Drops a deferred request that nobody waits for any more.
@@ -170,8 +170,8 @@
     }
 
     /// Takes the names of the agents whose deferred request may be due, in order.
-    pub(crate) fn take_to_review(&mut self, now: Millis) -> BTreeSet<Arc<str>> {
-        let mut names = std::mem::take(&mut self.to_review);
+    pub(crate) fn take_unreviewed(&mut self, now: Millis) -> BTreeSet<Arc<str>> {
+        let mut names = std::mem::take(&mut self.unreviewed);
         while let Some((deadline, name)) = self.deadlines.pop_first() {
             if deadline > now {
                 self.deadlines.insert((deadline, name));
@@ -186,12 +186,12 @@
     pub(crate) fn invalidate_commands(&mut self, name: &Arc<str>) {
         if let Some(session) = self.sessions.get_mut(name) {
             session.commands_stale = true;
-            self.to_review.insert(name.clone());
+            self.unreviewed.insert(name.clone());
         }
     }
 
     /// The agent's session, if its commands must be computed anew.
-    pub(crate) fn stale(&self, name: &str) -> Option<&AgentSession> {
+    pub(crate) fn get_if_stale(&self, name: &str) -> Option<&AgentSession> {
         self.get(name).filter(|session| session.commands_stale)
     }
 
--- a/crates/scheduler/src/client_requests.rs
+++ b/crates/scheduler/src/client_requests.rs
@@ -32,7 +32,7 @@
     };
     let policy = queue_policy(route);
     if rest.is_empty() {
-        return respond_about_queue(jobs, request.method, &policy);
+        return handle_queue_request(jobs, request.method, &policy);
     }
     match rest.parse::<JobId>() {
         Err(error) => error_response(400, &error.to_string()),
@@ -44,7 +44,7 @@
     }
 }
 
-fn respond_about_queue(
+fn handle_queue_request(
     jobs: &JobTable,
     method: ClientMethod,
     policy: &QueuePolicy,
--- a/crates/scheduler/src/cluster_state.rs
+++ b/crates/scheduler/src/cluster_state.rs
@@ -52,7 +52,7 @@
         penalties: PenaltyStore,
     ) -> ClusterState {
         ClusterState {
-            placement: Placement::new(settings.for_placement()),
+            placement: Placement::new(settings.placement_settings()),
             agents: AgentTable::new(epoch, settings.limits.max_lease_ms),
             settings,
             epoch,
@@ -136,7 +136,7 @@
                 self.start_unit(now, &unit, &assignments);
             }
             Decision::Preempt { task, worker } => {
-                if let Some(run) = self.runs.find(&task, &worker) {
+                if let Some(run) = self.runs.find_at_worker(&task, &worker) {
                     log::info!(
                         "task {task} at worker {worker} preempted by a unit of higher priority"
                     );
@@ -278,7 +278,7 @@
         self.lose_runs(now, id);
         self.workers.remove(id);
         self.placement.remove_worker(now.steady_ms, id);
-        let penalty = self.penalties.forget(id);
+        let penalty = self.penalties.remove(id);
         self.write(penalty);
         self.write([Write::remove(format!("{WORKER_KEY_PREFIX}{id}"))]);
     }
@@ -324,7 +324,7 @@
             return;
         };
         let writes = fair_share.publish_ranking(now);
-        let reordered = fair_share.next_reordered(&self.jobs, &self.pending_units);
+        let reordered = fair_share.next_reordered_units(&self.jobs, &self.pending_units);
         let min_shift_ms = fair_share.min_shift_ms();
         self.write(writes);
         for ReorderedUnit { unit, order } in reordered {
--- a/crates/scheduler/src/commands.rs
+++ b/crates/scheduler/src/commands.rs
@@ -12,9 +12,9 @@
 
 /// Answers the deferred requests of agents that lack the newest commands, and those whose deadline is over.
 pub(crate) fn respond_to_due(state: &mut ClusterState, now: Millis) {
-    for agent in state.agents.take_to_review(now) {
+    for agent in state.agents.take_unreviewed(now) {
         refresh(state, &agent);
-        if let Some(deferred) = state.agents.take_due(now, &agent) {
+        if let Some(deferred) = state.agents.take_due_request(now, &agent) {
             respond(state, deferred.request, &agent);
         }
     }
@@ -30,7 +30,7 @@
 
 /// Computes an agent's commands anew where they are stale.
 fn refresh(state: &mut ClusterState, agent: &Arc<str>) {
-    let Some(session) = state.agents.stale(agent) else {
+    let Some(session) = state.agents.get_if_stale(agent) else {
         return;
     };
     let commands = match &session.worker {
--- a/crates/scheduler/src/fair_share.rs
+++ b/crates/scheduler/src/fair_share.rs
@@ -19,9 +19,9 @@
 /// Keys of the replicated state that belong to fair share.
 pub(crate) const KEY_PREFIXES: &[&str] = &["debt/", "debt-version"];
 /// Pending units that are reordered at a time: bounded work, however many are pending.
-const UNITS_PER_ROUND: usize = 256;
+const MAX_REORDERED_UNITS: usize = 256;
 /// A pending unit is reordered when its delay has changed by more than this part of the largest delay.
-const MIN_SHIFT_PART: Millis = 64;
+const MIN_SHIFT_DIVISOR: Millis = 64;
 /// Users that the status lists, those with the largest usage.
 const MAX_LISTED_USERS: usize = 100;
 
@@ -163,7 +163,7 @@
     }
 
     /// The next units of the pass, with their order by the newest ranking.
-    pub(crate) fn next_reordered(
+    pub(crate) fn next_reordered_units(
         &mut self,
         jobs: &JobTable,
         pending: &BTreeMap<UnitId, Unit>,
@@ -174,7 +174,7 @@
         let after_last = pass.last.map_or(Unbounded, Excluded);
         let units: Vec<ReorderedUnit> = pending
             .range((after_last, Unbounded))
-            .take(UNITS_PER_ROUND)
+            .take(MAX_REORDERED_UNITS)
             .map(|(id, unit)| ReorderedUnit {
                 unit: id.clone(),
                 order: self.order_key(jobs, unit),
@@ -182,7 +182,7 @@
             .collect();
         let newest = self.accounts.version();
         self.pass = match units.last() {
-            Some(last) if units.len() == UNITS_PER_ROUND => Some(ReorderPass {
+            Some(last) if units.len() == MAX_REORDERED_UNITS => Some(ReorderPass {
                 version: pass.version,
                 last: Some(last.unit.clone()),
             }),
@@ -197,6 +197,6 @@
 
     /// A pending unit is reordered when its order has changed by more than this.
     pub(crate) fn min_shift_ms(&self) -> Millis {
-        self.accounts.settings().max_delay_ms / MIN_SHIFT_PART
+        self.accounts.settings().max_delay_ms / MIN_SHIFT_DIVISOR
     }
 }
--- a/crates/scheduler/src/hedging.rs
+++ b/crates/scheduler/src/hedging.rs
@@ -17,7 +17,7 @@
 /// Workers differ by a quarter in speed, and estimates are rough: from this factor on a worker counts as slow.
 const SLOW_FACTOR: f64 = 2.0;
 /// What a second run takes beyond the task's work: to be commanded, and to start.
-const START_OF_SECOND_RUN_MS: f64 = 200.0;
+const SECOND_RUN_START_DELAY_MS: f64 = 200.0;
 
 /// Requests speculative second runs of the hedged runs that look late; once for each.
 pub(crate) fn request_second_runs(state: &mut ClusterState, now: Millis) {
@@ -25,7 +25,7 @@
         return;
     }
     let late = state.runs.ids_where(|run| {
-        run.profile.may_hedge && !run.is_stopping() && looks_late(state, now, run)
+        run.profile.may_hedge && !run.is_stopping() && is_expected_late(state, now, run)
     });
     for id in late {
         if let Some(run) = state.runs.get_mut(&id) {
@@ -41,19 +41,19 @@
     }
 }
 
-fn looks_late(state: &ClusterState, now: Millis, run: &ActiveRun) -> bool {
+fn is_expected_late(state: &ClusterState, now: Millis, run: &ActiveRun) -> bool {
     let is_terminated = state
         .workers
         .get(&run.worker)
         .is_none_or(|worker| worker.terminated);
     let heartbeat_age_ms = heartbeat_age_ms(&state.workers, &state.agents, now, &run.worker);
-    let known_for_ms = run.phase_duration_ms(now);
+    let phase_age_ms = run.phase_duration_ms(now);
     if is_terminated || heartbeat_age_ms > HEARTBEAT_TIMEOUT_MS {
         // A new primary hears all agents before it takes any run for late.
-        return known_for_ms > HEARTBEAT_TIMEOUT_MS;
+        return phase_age_ms > HEARTBEAT_TIMEOUT_MS;
     }
     match run.phase {
-        RunPhase::Starting => known_for_ms > START_TIMEOUT_MS,
+        RunPhase::Starting => phase_age_ms > START_TIMEOUT_MS,
         RunPhase::Running => has_stalled(now, run) || is_slow(state, now, run),
     }
 }
@@ -70,5 +70,5 @@
     let slowness = state.placement.worker_slowness(now, &run.worker);
     let ran_ms = run.phase_duration_ms(now) as f64;
     let total_ms = ran_ms * 100.0 / run.percent;
-    slowness >= SLOW_FACTOR && total_ms - ran_ms > total_ms / slowness + START_OF_SECOND_RUN_MS
+    slowness >= SLOW_FACTOR && total_ms - ran_ms > total_ms / slowness + SECOND_RUN_START_DELAY_MS
 }
--- a/crates/scheduler/src/long_running_report.rs
+++ b/crates/scheduler/src/long_running_report.rs
@@ -4,7 +4,7 @@
 //! part of its width. One line holds all jobs, as lines of one call site are limited.
 
 use crate::cluster_state::ClusterState;
-use crate::run_timeouts::{has_started_up, is_unheard};
+use crate::run_timeouts::{has_started_up, is_heartbeat_overdue};
 use crate::runs::ActiveRun;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -21,13 +21,13 @@
 /// Between two reports.
 const REPORT_INTERVAL_MS: Millis = 2_000;
 /// A job is reported while less than this share of its tasks is at work.
-const REPORTED_SHARE: f64 = 0.9;
+const MIN_RUNNING_FRACTION: f64 = 0.9;
 /// A job is not reported in its first moments: its tasks start up.
 const STARTUP_GRACE_MS: Millis = 2_000;
 /// Pending units of a job that are explained; the others are counted.
-const MAX_EXPLAINED: usize = 16;
+const MAX_EXPLAINED_UNITS: usize = 16;
 /// Jobs in one line: those with the smallest share of tasks at work.
-const MAX_REPORTED: usize = 10;
+const MAX_REPORTED_JOBS: usize = 10;
 
 /// A long-running job of which tasks are not at work.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -41,9 +41,11 @@
     /// Its tasks.
     pub tasks: u32,
     /// Tasks that are at work, at workers that are heard.
-    pub at_work: u32,
+    #[serde(rename = "at_work")]
+    pub running: u32,
     /// Tasks that are at work by the last report of a worker that is not heard now.
-    pub unheard: u32,
+    #[serde(rename = "unheard")]
+    pub unresponsive: u32,
     /// Tasks whose start was commanded and that have not started up yet.
     pub starting: u32,
     /// Tasks whose run is to be stopped.
@@ -80,8 +82,8 @@
         if shortfalls.is_empty() {
             return;
         }
-        shortfalls.sort_by(|a, b| a.share_at_work().total_cmp(&b.share_at_work()));
-        shortfalls.truncate(MAX_REPORTED);
+        shortfalls.sort_by(|a, b| a.running_fraction().total_cmp(&b.running_fraction()));
+        shortfalls.truncate(MAX_REPORTED_JOBS);
         match serde_json::to_string(&shortfalls) {
             Ok(json) => log::info!("{LONG_RUNNING_SHORTFALL_PREFIX}{json}"),
             Err(error) => {
@@ -102,7 +104,7 @@
         return None;
     }
     let shortfall = shortfall(state, now.steady_ms, age_ms, tasks);
-    (shortfall.share_at_work() < REPORTED_SHARE).then_some(shortfall)
+    (shortfall.running_fraction() < MIN_RUNNING_FRACTION).then_some(shortfall)
 }
 
 fn shortfall(
@@ -116,8 +118,8 @@
         queue: tasks.queue.clone(),
         age_ms,
         tasks: tasks.tasks,
-        at_work: 0,
-        unheard: 0,
+        running: 0,
+        unresponsive: 0,
         starting: 0,
         stopping: 0,
         backing_off: tasks.backing_off,
@@ -127,7 +129,7 @@
     };
     for (_, run) in state.runs.of_job(&tasks.job) {
         if run.profile.long_running {
-            *shortfall.count_of(state, now, run) += 1;
+            *shortfall.counter_for(state, now, run) += 1;
         }
     }
     for explanation in explained_units(state, now, &tasks.job) {
@@ -154,25 +156,25 @@
         .range(first..)
         .take_while(move |(id, _)| id.step.job == *job)
         .filter(|(_, unit)| unit.long_running)
-        .take(MAX_EXPLAINED)
+        .take(MAX_EXPLAINED_UNITS)
         .filter_map(move |(id, _)| state.placement.explain(now, id))
 }
 
 impl LongRunningShortfall {
     /// Share of the tasks that is at work.
-    pub fn share_at_work(&self) -> f64 {
-        f64::from(self.at_work) / f64::from(self.tasks.max(1))
+    pub fn running_fraction(&self) -> f64 {
+        f64::from(self.running) / f64::from(self.tasks.max(1))
     }
 
-    fn count_of(&mut self, state: &ClusterState, now: Millis, run: &ActiveRun) -> &mut u32 {
+    fn counter_for(&mut self, state: &ClusterState, now: Millis, run: &ActiveRun) -> &mut u32 {
         if run.is_stopping() {
             &mut self.stopping
         } else if !has_started_up(run) {
             &mut self.starting
-        } else if is_unheard(state, now, &run.worker) {
-            &mut self.unheard
+        } else if is_heartbeat_overdue(state, now, &run.worker) {
+            &mut self.unresponsive
         } else {
-            &mut self.at_work
+            &mut self.running
         }
     }
 
--- a/crates/scheduler/src/operator_requests.rs
+++ b/crates/scheduler/src/operator_requests.rs
@@ -51,7 +51,7 @@
     let is_applied = matches!(outcome, ChangeOutcome::Applied { .. });
     let outcome = respond_to_change(outcome);
     if is_applied {
-        apply_to_queues(configuration, jobs);
+        update_queue_policies(configuration, jobs);
     }
     outcome
 }
@@ -97,7 +97,7 @@
     }
 }
 
-fn apply_to_queues(configuration: &ConfigurationStore, jobs: &mut JobTable) {
+fn update_queue_policies(configuration: &ConfigurationStore, jobs: &mut JobTable) {
     let Some(current) = configuration.current() else {
         return;
     };
--- a/crates/scheduler/src/penalty_store.rs
+++ b/crates/scheduler/src/penalty_store.rs
@@ -18,9 +18,9 @@
 /// Penalties from here on are written: half of what makes a worker run one task at a time.
 const MIN_WRITTEN_TENTHS: u32 = 15;
 /// Below this a stored one is removed.
-const MIN_KEPT_TENTHS: u32 = 10;
+const MIN_RETAINED_TENTHS: u32 = 10;
 /// A penalty is written again when it has changed by this part.
-const CHANGED_PART: u32 = 4;
+const MIN_CHANGE_DIVISOR: u32 = 4;
 /// Penalties of workers that a new primary has not heard for so long are removed.
 const RECOVERY_GRACE_MS: Millis = 10_000;
 
@@ -58,7 +58,7 @@
     }
 
     /// Removes the penalty of a worker that is removed.
-    pub(crate) fn forget(&mut self, worker: &WorkerId) -> Option<Write> {
+    pub(crate) fn remove(&mut self, worker: &WorkerId) -> Option<Write> {
         self.stored_tenths.remove(worker).map(|_| removal(worker))
     }
 
@@ -81,7 +81,7 @@
         let mut writes = self.remove_decayed(now, &present_tenths);
         for (worker, tenths) in present_tenths {
             let stored = self.stored_tenths.get(worker).copied().unwrap_or(0);
-            let has_changed = stored.abs_diff(tenths) * CHANGED_PART > stored;
+            let has_changed = stored.abs_diff(tenths) * MIN_CHANGE_DIVISOR > stored;
             if tenths >= MIN_WRITTEN_TENTHS && has_changed {
                 self.stored_tenths.insert(worker.clone(), tenths);
                 let key = format!("{KEY_PREFIX}{worker}");
@@ -92,12 +92,12 @@
     }
 
     fn remove_decayed(&mut self, now: Millis, present: &BTreeMap<&WorkerId, u32>) -> Vec<Write> {
-        let in_grace = now < self.grace_ends_at;
+        let within_grace_period = now < self.grace_ends_at;
         let mut writes = Vec::new();
         self.stored_tenths.retain(|worker, _| {
             let keep = present
                 .get(worker)
-                .map_or(in_grace, |tenths| *tenths >= MIN_KEPT_TENTHS);
+                .map_or(within_grace_period, |tenths| *tenths >= MIN_RETAINED_TENTHS);
             if !keep {
                 writes.push(removal(worker));
             }
--- a/crates/scheduler/src/recovery.rs
+++ b/crates/scheduler/src/recovery.rs
@@ -45,7 +45,7 @@
     records: &[Record],
 ) -> Result<(ClusterState, ConfigurationStore), RecoverError> {
     let jobs = JobTable::recover(
-        settings.for_jobs(),
+        settings.job_settings(),
         now,
         with_prefix(records, JOB_KEY_PREFIXES),
     )?;
--- a/crates/scheduler/src/run_timeouts.rs
+++ b/crates/scheduler/src/run_timeouts.rs
@@ -3,7 +3,7 @@
 use crate::cluster_state::ClusterState;
 use crate::runs::{ActiveRun, RunPhase};
 use crate::worker_liveness::{heartbeat_age_ms, HEARTBEAT_TIMEOUT_MS};
-use crate::workers::Contact;
+use crate::workers::Responsiveness;
 use streamusher_placement::Mechanism;
 use streamusher_protocol::task::RunId;
 use streamusher_protocol::unit::WorkerId;
@@ -22,21 +22,21 @@
 
 /// Stops stalled runs. While a worker is not heard nothing is known of its runs: that time does not count as stalled.
 pub(crate) fn check_stalled(state: &mut ClusterState, now: Millis) {
-    exclude_unheard_time(state, now);
+    exclude_time_without_heartbeats(state, now);
     let stalled = state.runs.ids_where(|run| is_stalled(state, now, run));
     for id in stalled {
         on_run_stalled(state, now, &id);
     }
 }
 
-fn exclude_unheard_time(state: &mut ClusterState, now: Millis) {
-    let unheard: Vec<RunId> = state
+fn exclude_time_without_heartbeats(state: &mut ClusterState, now: Millis) {
+    let affected: Vec<RunId> = state
         .workers
         .iter()
-        .filter(|(id, _)| is_unheard(state, now, id))
+        .filter(|(id, _)| is_heartbeat_overdue(state, now, id))
         .flat_map(|(id, _)| state.runs.ids_at_worker(id))
         .collect();
-    for id in unheard {
+    for id in affected {
         if let Some(run) = state.runs.get_mut(&id) {
             run.progressed_at = now;
         }
@@ -44,7 +44,7 @@
 }
 
 /// Whether the worker has not been heard for so long that nothing is known of its runs.
-pub(crate) fn is_unheard(state: &ClusterState, now: Millis, worker: &WorkerId) -> bool {
+pub(crate) fn is_heartbeat_overdue(state: &ClusterState, now: Millis, worker: &WorkerId) -> bool {
     heartbeat_age_ms(&state.workers, &state.agents, now, worker) > HEARTBEAT_TIMEOUT_MS
 }
 
@@ -54,7 +54,7 @@
     }
     let may_stall = run.phase == RunPhase::Running
         && !run.is_stopping()
-        && !is_unheard(state, now, &run.worker);
+        && !is_heartbeat_overdue(state, now, &run.worker);
     may_stall && !has_started_up(run) && run.stalled_ms(now) > stall_timeout_ms(state, run)
 }
 
@@ -114,10 +114,12 @@
     let Some(worker) = state.workers.get(&run.worker) else {
         return false;
     };
-    match worker.contact {
-        Contact::AgentUnresponsive => false,
-        Contact::WorkerUnresponsive => true,
-        Contact::Responsive => worker.terminated || now > run.phase_began_at + START_TIMEOUT_MS,
+    match worker.responsiveness {
+        Responsiveness::AgentUnresponsive => false,
+        Responsiveness::WorkerUnresponsive => true,
+        Responsiveness::Responsive => {
+            worker.terminated || now > run.phase_began_at + START_TIMEOUT_MS
+        }
     }
 }
 
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -76,7 +76,7 @@
     }
 
     /// The time up to now does not count: no agent could read a command in it.
-    pub(crate) fn restart_clocks(&mut self, now: Millis) {
+    pub(crate) fn reset_timers(&mut self, now: Millis) {
         self.phase_began_at = now;
         self.progressed_at = now;
     }
@@ -142,10 +142,10 @@
         self.runs.insert(id, run);
     }
 
-    /// Restarts the clocks of all runs ([`ActiveRun::restart_clocks`]).
-    pub(crate) fn restart_clocks(&mut self, now: Millis) {
+    /// Restarts the clocks of all runs ([`ActiveRun::reset_timers`]).
+    pub(crate) fn reset_timers(&mut self, now: Millis) {
         for run in self.runs.values_mut() {
-            run.restart_clocks(now);
+            run.reset_timers(now);
         }
     }
 
@@ -184,7 +184,7 @@
     }
 
     /// The run of a task at a worker.
-    pub(crate) fn find(&self, task: &TaskId, worker: &WorkerId) -> Option<RunId> {
+    pub(crate) fn find_at_worker(&self, task: &TaskId, worker: &WorkerId) -> Option<RunId> {
         let run_of_task = |run| RunId {
             task: task.clone(),
             run,
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -7,7 +7,7 @@
 use crate::recovery::{self, RecoverError};
 use crate::settings::SchedulerSettings;
 use crate::status::{SchedulerStatus, WorkerStatus};
-use crate::workers::{Contact, Worker};
+use crate::workers::{Responsiveness, Worker};
 use crate::{agent_sync, client_requests, commands, hedging, operator_requests};
 use crate::{run_timeouts, worker_liveness};
 use std::collections::BTreeMap;
@@ -57,7 +57,7 @@
     /// The recovery has ended and events come from now on. With a large state that is seconds after it began, in which no
     /// agent could read a command: time-outs of runs count from here.
     pub fn on_recovered(&mut self, now: Now) {
-        self.state.runs.restart_clocks(now.steady_ms);
+        self.state.runs.reset_timers(now.steady_ms);
     }
 
     /// Handles an event.
@@ -156,7 +156,7 @@
             schedulable: worker.schedulable,
             runs: self.state.runs.at_worker(id).count(),
             service: worker.service.clone(),
-            unresponsive: worker.contact != Contact::Responsive,
+            unresponsive: worker.responsiveness != Responsiveness::Responsive,
             state: worker.state,
             zone: worker.zone.clone(),
         }
--- a/crates/scheduler/src/settings.rs
+++ b/crates/scheduler/src/settings.rs
@@ -50,13 +50,13 @@
 }
 
 impl SchedulerSettings {
-    pub(crate) fn for_jobs(&self) -> JobSettings {
+    pub(crate) fn job_settings(&self) -> JobSettings {
         JobSettings {
             retention_ms: self.limits.status_retention_ms,
         }
     }
 
-    pub(crate) fn for_placement(&self) -> PlacementSettings {
+    pub(crate) fn placement_settings(&self) -> PlacementSettings {
         PlacementSettings {
             random_seed: self.random_seed,
             remote_slowdown: self.limits.remote_slowdown,
--- a/crates/scheduler/src/worker_liveness.rs
+++ b/crates/scheduler/src/worker_liveness.rs
@@ -2,7 +2,7 @@
 
 use crate::agents::AgentTable;
 use crate::cluster_state::ClusterState;
-use crate::workers::{Contact, WorkerTable};
+use crate::workers::{Responsiveness, WorkerTable};
 use streamusher_protocol::unit::WorkerId;
 use streamusher_protocol::{Millis, Now};
 
@@ -27,7 +27,7 @@
     });
     for id in unresponsive {
         if let Some(worker) = state.workers.get_mut(&id) {
-            worker.contact = Contact::AgentUnresponsive;
+            worker.responsiveness = Responsiveness::AgentUnresponsive;
         }
         state.update_placement(now.steady_ms, &id);
     }
--- a/crates/scheduler/src/worker_report.rs
+++ b/crates/scheduler/src/worker_report.rs
@@ -3,7 +3,7 @@
 use crate::agents::AgentSession;
 use crate::cluster_state::ClusterState;
 use crate::runs::RunPhase;
-use crate::workers::{Contact, Worker};
+use crate::workers::{Responsiveness, Worker};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use streamusher_protocol::heartbeat::{RunningTask, StopCommand, WorkerState};
@@ -124,7 +124,8 @@
     /// the report has no heartbeat's sequence number and no description. It counts only from the agent's present start.
     fn apply_outdated(&mut self) {
         let session = self.state.agents.get(self.agent);
-        if !self.report.gone || !session.is_some_and(AgentSession::is_confirmed_by_present_start) {
+        if !self.report.gone || !session.is_some_and(AgentSession::is_confirmed_by_current_process)
+        {
             return;
         }
         if let Some(worker) = self.state.workers.get_mut(&self.worker) {
@@ -141,10 +142,10 @@
         };
         worker.heartbeat_sequence = self.report.sequence;
         worker.agent = Some(self.agent.clone());
-        worker.contact = if self.report.silent_ms > WORKER_UNRESPONSIVE_TIMEOUT_MS {
-            Contact::WorkerUnresponsive
+        worker.responsiveness = if self.report.silent_ms > WORKER_UNRESPONSIVE_TIMEOUT_MS {
+            Responsiveness::WorkerUnresponsive
         } else {
-            Contact::Responsive
+            Responsiveness::Responsive
         };
         worker.reported_heartbeat_age_ms = self.report.silent_ms;
         let changed = worker.update_description(self.now.steady_ms, self.report);
--- a/crates/scheduler/src/workers.rs
+++ b/crates/scheduler/src/workers.rs
@@ -14,7 +14,7 @@
 
 /// Whether a worker and its agent are heard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Contact {
+pub(crate) enum Responsiveness {
     /// Both are heard.
     Responsive,
     /// The agent reports that it has not heard the worker for too long.
@@ -39,7 +39,7 @@
     pub(crate) leaves_at: Option<Millis>,
     /// It has deregistered, or its lease expired without a heartbeat: nothing runs there any more.
     pub(crate) terminated: bool,
-    pub(crate) contact: Contact,
+    pub(crate) responsiveness: Responsiveness,
     /// Time since its last heartbeat, as of the newest report.
     pub(crate) reported_heartbeat_age_ms: Millis,
     /// Finished runs up to this sequence number are processed.
@@ -65,7 +65,7 @@
             heartbeat_sequence: 0,
             leaves_at: None,
             terminated: false,
-            contact: Contact::Responsive,
+            responsiveness: Responsiveness::Responsive,
             reported_heartbeat_age_ms: 0,
             last_finished: 0,
             lease_expires_at,
@@ -78,7 +78,7 @@
     pub(crate) fn recorded(agent: Arc<str>, lease_expires_at: Millis) -> Worker {
         Worker {
             agent: Some(agent),
-            contact: Contact::AgentUnresponsive,
+            responsiveness: Responsiveness::AgentUnresponsive,
             ..Worker::new(lease_expires_at)
         }
     }
@@ -106,7 +106,7 @@
     /// Whether it may be given new work.
     pub(crate) fn is_schedulable(&self) -> bool {
         self.agent.is_some()
-            && self.contact == Contact::Responsive
+            && self.responsiveness == Responsiveness::Responsive
             && self.state == WorkerState::Ready
             && !self.terminated
     }
--- a/crates/scheduler/tests/long_running_report.rs
+++ b/crates/scheduler/tests/long_running_report.rs
@@ -55,7 +55,7 @@
     let jobs = reported().expect("a report");
     assert_eq!(jobs.len(), 1);
     let job = &jobs[0];
-    assert_eq!((job.tasks, job.at_work, job.pending), (3, 2, 1));
+    assert_eq!((job.tasks, job.running, job.pending), (3, 2, 1));
     assert_eq!(job.reasons.get(&WaitReason::NoFreeCapacity), Some(&1));
     let waited_ms = job.longest_wait.map(|wait| wait.waited_ms);
     assert_eq!(waited_ms, Some(job.age_ms));
@@ -71,7 +71,7 @@
         run_for(&mut cluster, &mut agent, 1);
     }
     let job = reported().expect("a report").remove(0);
-    assert_eq!((job.at_work, job.starting, job.pending), (1, 1, 1));
+    assert_eq!((job.running, job.starting, job.pending), (1, 1, 1));
 
     agent.report.running[0].percent = AT_WORK_PERCENT;
     for _ in 0..10 {
@@ -91,7 +91,7 @@
     run_for(&mut cluster, &mut agent, 2);
     cluster.wait(4_000);
     let job = reported().expect("a report").remove(0);
-    assert_eq!((job.at_work, job.unheard), (0, 2));
+    assert_eq!((job.running, job.unresponsive), (0, 2));
 }
 
 #[test]
