--- a/crates/configuration/src/route_table.rs
+++ b/crates/configuration/src/route_table.rs
@@ -18,7 +18,7 @@
     /// The route.
     pub route: &'table Route,
     /// What follows its prefix in the request's path.
-    pub rest: &'path str,
+    pub remaining_path: &'path str,
 }
 
 /// A route of a host. The entries of a host are sorted by their prefixes.
@@ -65,8 +65,11 @@
             entry = entries.get(entry.parent?)?;
         }
         let route = self.configuration.routes.get(entry.route)?;
-        let rest = path.get(route.path_prefix.len()..)?;
-        Some(RouteMatch { route, rest })
+        let remaining_path = path.get(route.path_prefix.len()..)?;
+        Some(RouteMatch {
+            route,
+            remaining_path,
+        })
     }
 
     fn prefix(&self, entry: &Entry) -> &[u8] {
--- a/crates/configuration/src/store.rs
+++ b/crates/configuration/src/store.rs
@@ -43,13 +43,13 @@
     },
     /// It is neither acknowledged nor rejected: 503. It builds on a version so old that it is no longer known whether it was
     /// applied.
-    Forgotten {
+    HistoryTruncated {
         /// The current version; 0 for none.
         current_version: u64,
     },
     /// It is neither acknowledged nor rejected: 503. It builds on a version to come, and no more rejections of such changes
     /// can be remembered ([`MAX_REJECTED_CHANGES`](crate::MAX_REJECTED_CHANGES)).
-    TooManyAhead {
+    RejectionLimitReached {
         /// The current version; 0 for none.
         current_version: u64,
     },
@@ -167,7 +167,7 @@
     fn reject(&mut self, id: &ChangeId, base_version: u64) -> ChangeOutcome {
         let current_version = self.version();
         if base_version < current_version && self.applied.may_have_forgotten(base_version) {
-            return ChangeOutcome::Forgotten { current_version };
+            return ChangeOutcome::HistoryTruncated { current_version };
         }
         if base_version <= current_version || cfg!(feature = "mutant-refusals") {
             return ChangeOutcome::VersionConflict {
@@ -180,7 +180,7 @@
                 current_version,
                 writes,
             },
-            None => ChangeOutcome::TooManyAhead { current_version },
+            None => ChangeOutcome::RejectionLimitReached { current_version },
         }
     }
 
--- a/crates/configuration/tests/changes.rs
+++ b/crates/configuration/tests/changes.rs
@@ -221,7 +221,7 @@
     }
     assert_eq!(
         store.update(99, r#"{"version":9999}"#),
-        ChangeOutcome::TooManyAhead { current_version: 5 }
+        ChangeOutcome::RejectionLimitReached { current_version: 5 }
     );
     assert_eq!(
         store.update(100, r#"{"version":9999}"#),
@@ -257,7 +257,7 @@
     );
     assert_eq!(
         store.replace(0, &sample(1).to_string()),
-        ChangeOutcome::Forgotten {
+        ChangeOutcome::HistoryTruncated {
             current_version: MAX_APPLIED_CHANGES as u64 + 1
         }
     );
@@ -277,7 +277,7 @@
     );
     assert_eq!(
         successor.update(1, r#"{"version":2}"#),
-        ChangeOutcome::Forgotten {
+        ChangeOutcome::HistoryTruncated {
             current_version: next
         }
     );
--- a/crates/configuration/tests/changes_model.rs
+++ b/crates/configuration/tests/changes_model.rs
@@ -165,7 +165,7 @@
         ChangeOutcome::AlreadyApplied { .. } => (Reply::Acknowledged, None, Vec::new()),
         ChangeOutcome::VersionConflict { writes, .. } => (Reply::Rejected, None, writes),
         ChangeOutcome::Invalid(_) => (Reply::Rejected, None, Vec::new()),
-        ChangeOutcome::Forgotten { .. } | ChangeOutcome::TooManyAhead { .. } => {
+        ChangeOutcome::HistoryTruncated { .. } | ChangeOutcome::RejectionLimitReached { .. } => {
             (Reply::Undecided, None, Vec::new())
         }
     };
--- a/crates/configuration/tests/random_histories.rs
+++ b/crates/configuration/tests/random_histories.rs
@@ -255,8 +255,8 @@
             records.commit(writes);
             Decision::Conflict(current_version)
         }
-        ChangeOutcome::Forgotten { current_version }
-        | ChangeOutcome::TooManyAhead { current_version } => {
+        ChangeOutcome::HistoryTruncated { current_version }
+        | ChangeOutcome::RejectionLimitReached { current_version } => {
             panic!("undecided on {current_version}")
         }
         ChangeOutcome::Invalid(_) => Decision::Invalid,
--- a/crates/configuration/tests/route_table.rs
+++ b/crates/configuration/tests/route_table.rs
@@ -31,7 +31,7 @@
 fn found<'p>(table: &RouteTable, host: &str, path: &'p str) -> Option<(String, &'p str)> {
     table
         .lookup(host, path)
-        .map(|found| (found.route.name.to_string(), found.rest))
+        .map(|found| (found.route.name.to_string(), found.remaining_path))
 }
 
 #[rstest]
@@ -65,7 +65,7 @@
     ]);
     assert_eq!(
         found(&table, host, path),
-        expected.map(|(name, rest)| (name.to_owned(), rest))
+        expected.map(|(name, remaining_path)| (name.to_owned(), remaining_path))
     );
 }
 
--- a/crates/scheduler/src/client_requests.rs
+++ b/crates/scheduler/src/client_requests.rs
@@ -27,14 +27,18 @@
         };
     }
     let found = configuration.routes().lookup(&request.host, &request.path);
-    let Some(RouteMatch { route, rest }) = found else {
+    let Some(RouteMatch {
+        route,
+        remaining_path,
+    }) = found
+    else {
         return error_response(404, "no queue has this host and path");
     };
     let policy = queue_policy(route);
-    if rest.is_empty() {
+    if remaining_path.is_empty() {
         return handle_queue_request(jobs, request.method, &policy);
     }
-    match rest.parse::<JobId>() {
+    match remaining_path.parse::<JobId>() {
         Err(error) => error_response(400, &error.to_string()),
         Ok(id) => match request.method {
             ClientMethod::Get => job_status(jobs, &id),
--- a/crates/scheduler/src/operator_requests.rs
+++ b/crates/scheduler/src/operator_requests.rs
@@ -81,11 +81,11 @@
             let response = error_response(412, error, Some(current_version));
             OperatorOutcome { response, writes }
         }
-        ChangeOutcome::Forgotten { current_version } => {
+        ChangeOutcome::HistoryTruncated { current_version } => {
             let error = "no longer known whether this was taken: read the configuration";
             OperatorOutcome::without_writes(error_response(503, error, Some(current_version)))
         }
-        ChangeOutcome::TooManyAhead { current_version } => {
+        ChangeOutcome::RejectionLimitReached { current_version } => {
             let error =
                 "too many changes on versions to come: send those for the current version first";
             OperatorOutcome::without_writes(error_response(503, error, Some(current_version)))
