--- a/crates/fleet/src/usage.rs
+++ b/crates/fleet/src/usage.rs
@@ -27,7 +27,7 @@
     /// Served answers that could not be written, as their clients had left.
     Unwritten,
     /// Answers that were sent before enough other members held their count.
-    Unsure,
+    Unreplicated,
 }
 
 /// How many metrics there are.
--- a/src/fleet/books.rs
+++ b/src/fleet/books.rs
@@ -174,7 +174,7 @@
     fn on_overdue(&self, number: u64, _ended: OperationOutcome) -> OverdueAction {
         let key = self.out.borrow().get(&number).map(|o| o.0.clone());
         key.into_iter()
-            .for_each(|key| self.count(key, &UsageValues::single(UsageMetric::Unsure, 1)));
+            .for_each(|key| self.count(key, &UsageValues::single(UsageMetric::Unreplicated, 1)));
         OverdueAction::Release
     }
 
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -193,7 +193,7 @@
 
 impl Fleet {
     /// What operators are told by `fleet`.
-    pub(crate) fn show(&self) -> String {
+    pub(crate) fn status_json(&self) -> String {
         let view = self.common.view.load();
         let mut show = serde_json::to_value(&view.status).unwrap_or_default();
         show["frames_dropped"] = self.common.dropped.load(Ordering::Relaxed).into();
@@ -205,7 +205,7 @@
 
     /// What operators are told by `tally`: a row for each period and tenant, the same at each member that has the same
     /// digest.
-    pub(crate) fn tally(&self) -> String {
+    pub(crate) fn usage_json(&self) -> String {
         let view = self.common.view.load();
         let rows = view.totals.rows.iter().map(|(key, total)| {
             let mut row = json!({"from": u64::from(key.period) * self.period / 1_000_000, "tenant": &*key.tenant,
@@ -222,7 +222,7 @@
     }
 
     /// The program ends: what was counted is handed over to others, if there are any, and the fleet is told good-bye.
-    pub(crate) fn end(self, log: &Logger) {
+    pub(crate) fn shut_down(self, log: &Logger) {
         self.books.push();
         self.common.stop.store(true, Ordering::Release);
         self.state.unpark();
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -80,9 +80,9 @@
         let fleet = self.fleet.borrow();
         fleet.as_ref().map(|f| {
             if *call == crate::telemetry::Call::Tally {
-                f.tally()
+                f.usage_json()
             } else {
-                f.show()
+                f.status_json()
             }
         })
     }
@@ -338,7 +338,10 @@
     let done = async_io::block_on(executor.run(main));
     drop(executor); // its tasks' answers that are not written yet are noted as such
     billing.iter().for_each(|b| b.end());
-    hub.fleet.take().into_iter().for_each(|f| f.end(&hub.log));
+    hub.fleet
+        .take()
+        .into_iter()
+        .for_each(|f| f.shut_down(&hub.log));
     net::handover::close();
     done
 }
