--- a/crates/placement/src/admission.rs
+++ b/crates/placement/src/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: whether a single task may start on a worker now.
+//! Admission control: whether a single task may start on a worker now.
 
 use crate::headroom::HeadroomShare;
 use crate::index::WorkerIndex;
@@ -11,8 +11,8 @@
 use crate::worker::Worker;
 use streamusher_protocol::heartbeat::Resources;
 
-/// A unit may wait for this part of its slack before it costs others anything: the rest is for commands, slow workers and
-/// second attempts.
+/// Share of its slack that a unit may wait before it affects other units. The rest is left for commands, slow
+/// workers and second attempts.
 const WAITING_SHARE_OF_SLACK: f64 = 0.5;
 
 /// Whether a single task may start on a worker now.
@@ -46,8 +46,8 @@
         || worker.runs.len() < view.service.max_concurrent_runs(view.now, worker)
 }
 
-/// The headroom that must stay free of a unit. Once the time that it may wait is over, it goes before all work that is no
-/// more urgent.
+/// Headroom that must stay free of a unit. Once the unit has waited for as long as it may, only headroom for
+/// more urgent work still applies to it.
 pub(crate) fn headroom_against<'a>(
     view: &UnitView<'a>,
 ) -> impl Iterator<Item = HeadroomShare> + 'a {
@@ -62,8 +62,8 @@
         .filter(move |share| !is_overdue || share.most_urgent_priority < priority)
 }
 
-/// How much longer a unit may wait before a preemption that is ordered for it would come too late, in milliseconds; negative
-/// when that is over.
+/// How much longer a unit may wait until a preemption for it would come too late, in milliseconds; negative
+/// once that time has passed.
 pub(crate) fn remaining_wait_ms(view: &UnitView<'_>) -> f64 {
     let with_stop_ms = view
         .waited_ms()
@@ -71,12 +71,13 @@
     max_wait_ms(view) - with_stop_ms as f64
 }
 
-/// How long a unit may wait before it costs others anything.
+/// How long a unit may wait before it affects other units, in milliseconds.
 fn max_wait_ms(view: &UnitView<'_>) -> f64 {
     WAITING_SHARE_OF_SLACK * view.unit().slack_ms as f64
 }
 
-/// Whether the headroom for classes before the unit's stays free. A worker without runs of the classes behind takes one.
+/// Whether the headroom for classes with less slack stays free. A worker without runs of the classes that the
+/// headroom applies to always admits one.
 fn leaves_headroom(view: &UnitView<'_>, worker: &Worker) -> bool {
     let capacity = ResourceVector::from(&worker.info.capacity);
     let demand = ResourceVector::from(&view.unit().resources);
--- a/crates/placement/src/allocation.rs
+++ b/crates/placement/src/allocation.rs
@@ -1,4 +1,4 @@
-//! The allocation of a run: what it holds of its worker, and how it is released.
+//! Allocation of a run: the capacity that it holds on its worker, and how it is released.
 
 use std::sync::Arc;
 use streamusher_protocol::heartbeat::Resources;
@@ -6,41 +6,41 @@
 use streamusher_protocol::unit::{Unit, UnitId};
 use streamusher_protocol::Millis;
 
-/// What a run holds of its worker, with what placement needs to know of the run.
+/// Capacity that a run holds on its worker, with the properties of the run that placement needs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Allocation {
-    /// The unit that the run belongs to.
+    /// Unit that the run belongs to.
     pub unit: UnitId,
-    /// The resources that the run takes.
+    /// Resources that the run holds.
     pub resources: Resources,
-    /// The service that it runs for.
+    /// Service that the run belongs to.
     pub service: Arc<str>,
-    /// The queue that its job was submitted to.
+    /// Queue that the run's job was submitted to.
     pub queue: Arc<str>,
-    /// The slack of its unit when it was enqueued, in milliseconds.
+    /// Slack of the unit when it was enqueued, in milliseconds.
     pub slack_ms: Millis,
-    /// Its priority; 0 is the most urgent.
+    /// Priority of the run; 0 is the most urgent.
     pub priority: u32,
-    /// The run writes checkpoints.
+    /// Whether the run writes checkpoints.
     pub checkpoints: bool,
-    /// It runs until its job is cancelled.
+    /// Whether the run continues until its job is cancelled.
     pub long_running: bool,
-    /// It is a member of a gang.
+    /// Whether the run is a member of a gang.
     pub gang_member: bool,
-    /// Estimated run time in milliseconds; 0 where there is none.
+    /// Estimated run time in milliseconds; 0 if there is no estimate.
     pub estimated_ms: Millis,
 }
 
 impl Allocation {
-    /// Whether it counts as demand that comes and goes. Gangs and long-running tasks hold their capacity for long:
-    /// reserving as much again for the next of them would be of no use.
+    /// Whether the allocation counts as fluctuating demand. Gangs and long-running tasks do not: they hold
+    /// their capacity for long, so keeping as much again free for the next of them would be useless.
     pub(crate) fn counts_as_demand(&self) -> bool {
         !self.gang_member && !self.long_running
     }
 }
 
 impl From<&Unit> for Allocation {
-    /// The allocation of one task of a unit.
+    /// Creates the allocation of one task of a unit.
     fn from(unit: &Unit) -> Allocation {
         Allocation {
             unit: unit.id.clone(),
@@ -62,12 +62,12 @@
 pub enum ReleaseReason {
     /// The worker reported the end of the run.
     Finished {
-        /// The outcome of the run.
+        /// Outcome of the run.
         outcome: RunEnd,
-        /// How long it ran, in milliseconds.
+        /// Run time in milliseconds.
         ran_ms: Millis,
     },
-    /// The worker is lost, and the run with it.
+    /// The worker was lost, and the run with it.
     Lost,
     /// The run was withdrawn before it began.
     Withdrawn,
--- a/crates/placement/src/candidates.rs
+++ b/crates/placement/src/candidates.rs
@@ -1,5 +1,5 @@
-//! The candidates: which workers a unit is ranked on. All of a small pool; of a larger one a random sample, and the least and
-//! the most loaded.
+//! Candidate workers that a unit is ranked on: all of a small pool; in a larger one a random sample plus the
+//! least and the most loaded workers.
 
 use crate::cycle::SchedulingCycle;
 use crate::eligibility::is_eligible;
@@ -9,16 +9,16 @@
 use crate::worker_pool::WorkerPool;
 use rand::seq::IndexedRandom;
 
-/// Up to this size all workers of a pool are ranked: that costs less than a wrong choice among few.
+/// Pool size up to which all workers are ranked. That costs less than a wrong choice among few.
 const MAX_FULLY_RANKED: usize = 32;
-/// Workers drawn at random from a larger pool.
+/// Number of workers sampled at random from a larger pool.
 const RANDOM_SAMPLE: usize = 6;
-/// Workers that are taken from each end of the pool's list by load.
+/// Number of workers taken from each end of the pool's order by load.
 const PER_END_OF_LOAD: usize = 6;
-/// Workers at each end that are looked at for eligible ones.
+/// Maximum number of workers scanned at each end to find eligible ones.
 const SCANNED_PER_END: usize = 24;
 
-/// The candidates of a unit, best first; those that it avoids come last.
+/// Ranked candidates for a unit, best first; those that the unit avoids come last.
 pub(crate) fn ranked_candidates(
     cycle: &mut SchedulingCycle<'_>,
     key: QueueKey,
@@ -52,7 +52,7 @@
     ranked
 }
 
-/// Adds workers by load: of the pool, and of the rack with the unit's data.
+/// Adds workers by load: from the pool, and from the rack with the unit's data.
 fn add_by_load(view: &UnitView<'_>, pool: &WorkerPool, candidates: &mut Vec<WorkerIndex>) {
     add_ends_of_load(view, pool, candidates);
     let data_rack = view.unit().affinity.as_deref();
@@ -62,7 +62,7 @@
     }
 }
 
-/// Adds the least loaded of a pool, and the most loaded that may have free capacity.
+/// Adds the least loaded workers of a pool, and the most loaded ones that may have free capacity.
 fn add_ends_of_load(view: &UnitView<'_>, pool: &WorkerPool, candidates: &mut Vec<WorkerIndex>) {
     let is_eligible = |index: &WorkerIndex| is_eligible(&view.cluster.workers, view.unit(), *index);
     let least_loaded = pool.least_loaded().take(SCANNED_PER_END);
@@ -71,7 +71,7 @@
     candidates.extend(most_loaded.filter(is_eligible).take(PER_END_OF_LOAD));
 }
 
-/// The eligible ones, each once, in the order of their indexes.
+/// Removes ineligible and duplicate workers and sorts by index.
 fn eligible_once(view: &UnitView<'_>, mut candidates: Vec<WorkerIndex>) -> Vec<WorkerIndex> {
     candidates.retain(|index| is_eligible(&view.cluster.workers, view.unit(), *index));
     candidates.sort_unstable();
--- a/crates/placement/src/capacity.rs
+++ b/crates/placement/src/capacity.rs
@@ -1,4 +1,4 @@
-//! Capacity accounting of one worker: what its runs hold, in total and by class.
+//! Capacity accounting of one worker: resources that its runs hold, in total, by priority and by slack class.
 
 use crate::headroom::SlackClass;
 use crate::run::Run;
@@ -7,7 +7,7 @@
 use streamusher_protocol::heartbeat::Resources;
 use streamusher_protocol::unit::StepId;
 
-/// What the runs of one worker hold. Each sum is that of the allocations of the worker's runs.
+/// Resources that the runs of one worker hold. Each sum covers the allocations of the worker's current runs.
 #[derive(Debug, Default)]
 pub(crate) struct AllocatedCapacity {
     total: Resources,
@@ -53,30 +53,30 @@
         }
     }
 
-    /// A stop was ordered. The run holds its allocation until its end is known; a mutant frees it at once, for the tests to
-    /// find.
+    /// Called when a stop is ordered. The run holds its allocation until its end is known; an injected fault
+    /// frees it at once, which the tests must detect.
     pub(crate) fn on_stopping(&mut self, run: &Run) {
         if cfg!(feature = "mutant-stopping-room") {
             self.total = self.total.saturating_sub(&run.allocation.resources);
         }
     }
 
-    /// What all runs hold.
+    /// Resources that all runs hold.
     pub(crate) fn total(&self) -> Resources {
         self.total
     }
 
-    /// What runs of lower priority hold, that is of a greater number.
+    /// Resources held by runs of lower priority, that is, with a greater priority number.
     pub(crate) fn below_priority(&self, priority: u32) -> Resources {
         sum_after(&self.by_priority, &priority)
     }
 
-    /// What runs of the slack classes behind one hold.
+    /// Resources held by runs of classes with more slack than the given one.
     pub(crate) fn behind_class(&self, class: SlackClass) -> Resources {
         sum_after(&self.by_slack_class, &class)
     }
 
-    /// Tasks of a step that hold an allocation.
+    /// Number of tasks of a step that hold an allocation.
     pub(crate) fn tasks_of(&self, step: &StepId) -> u32 {
         self.tasks_by_step.get(step).copied().unwrap_or(0)
     }
--- a/crates/placement/src/capacity_search.rs
+++ b/crates/placement/src/capacity_search.rs
@@ -1,4 +1,5 @@
-//! Search for capacity for a unit that does not fit: reserved for it as runs end, or freed by preempting less urgent runs.
+//! Search for capacity for a unit that does not fit: capacity is reserved as runs end, or freed by preempting
+//! less urgent runs.
 
 use crate::admission::remaining_wait_ms;
 use crate::cluster::ReservationWindow;
@@ -12,26 +13,28 @@
 use streamusher_protocol::heartbeat::Resources;
 use streamusher_protocol::Millis;
 
-/// Capacity that becomes free by itself within this time is waited for, rather than preempting anything.
+/// Capacity that is expected to become free within this time is waited for instead of preempting runs.
 const SOON_MS: f64 = 300.0;
-/// From this wait on, what did not end by itself is not waited for any more where something may be preempted.
+/// Waiting time from which a unit that may preempt runs no longer waits for runs to end.
 const PREEMPT_AFTER_MS: Millis = 700;
-/// From this wait on, capacity is reserved far ahead for a unit that nothing may be preempted for yet.
+/// Waiting time from which capacity is reserved far ahead for a unit that may not preempt yet.
 const RESERVE_AHEAD_AFTER_MS: Millis = 300;
-/// How far ahead capacity is reserved, nearest first.
+/// How far ahead capacity is reserved, in milliseconds; tried in this order.
 const RESERVE_AHEAD_MS: [f64; 2] = [2_000.0, 15_000.0];
-/// A reservation is held for this long after its capacity was expected.
+/// A reservation expires this long after its capacity was expected.
 const RESERVATION_GRACE_MS: Millis = 500;
-/// Single tasks that take less of a worker are given no reservation: they fit anyway as others end.
+/// Single tasks that take less than this share of a worker get no reservation: they fit anyway as other runs
+/// end.
 const MIN_RESERVED_SHARE: f64 = 0.2;
-/// Units with reservations in a service: one, and one more for so many workers.
+/// A service may have one unit with reservations, plus one for each this many workers.
 const WORKERS_PER_RESERVING_UNIT: usize = 8;
-/// What the preemptions for one unit may lose, in units of a small job's value.
+/// Maximum cost of the preemptions for one unit, in units of a small job's value.
 const MAX_COST_FOR_MOST_URGENT: f64 = 0.5;
 const MAX_COST_FOR_OTHERS: f64 = 0.25;
 const MAX_COST_FOR_GANG: f64 = 1.5;
 
-/// Searches capacity in groups of workers, nearest and cheapest first, and reserves what the first plan found takes.
+/// Searches capacity in groups of workers, nearest and cheapest first, and reserves what the first affordable
+/// plan needs.
 pub(crate) fn search_capacity(
     cycle: &mut SchedulingCycle<'_>,
     key: QueueKey,
@@ -51,12 +54,12 @@
     }
 }
 
-/// Whether a search could lead to anything: looked up before workers are ranked.
+/// Whether a search could succeed; a cheap check before workers are ranked.
 pub(crate) fn is_worth_a_search(view: &UnitView<'_>, workers: &[WorkerIndex]) -> bool {
     !view.unit().speculative && (may_preempt(view, workers) || may_reserve(view, workers))
 }
 
-/// How far to go for capacity, in the order in which it is tried.
+/// Scopes of the search, in the order in which they are tried.
 fn scopes(view: &UnitView<'_>, groups: &[Vec<RankedWorker>]) -> Vec<PreemptionScope> {
     let workers: Vec<WorkerIndex> = groups.iter().flatten().map(|worker| worker.index).collect();
     let may_preempt = may_preempt(view, &workers);
@@ -102,7 +105,7 @@
     scopes
 }
 
-/// Whether anything that is less urgent runs on one of the workers.
+/// Whether one of the workers has runs that are less urgent than the unit.
 fn may_preempt(view: &UnitView<'_>, workers: &[WorkerIndex]) -> bool {
     let runs_less_urgent = |index: &WorkerIndex| {
         let worker = view.cluster.workers.get(*index);
@@ -113,7 +116,8 @@
     view.uses(Mechanism::Preemption) && workers.iter().any(runs_less_urgent)
 }
 
-/// Whether capacity may be reserved: for gangs and large tasks, and for few units at once.
+/// Whether capacity may be reserved: only for gangs and large tasks, and for a limited number of units at a
+/// time.
 fn may_reserve(view: &UnitView<'_>, workers: &[WorkerIndex]) -> bool {
     let service = view.service;
     let max_units = 1 + service.pools.all.members.len() / WORKERS_PER_RESERVING_UNIT;
@@ -136,7 +140,7 @@
     }
 }
 
-/// Reserves what a plan takes, and orders its preemptions.
+/// Reserves the capacity of a plan and orders its preemptions.
 fn carry_out(cycle: &mut SchedulingCycle<'_>, key: QueueKey, plan: GangPlan, within_ms: f64) {
     let window = reservation_window(cycle, &plan, within_ms);
     for assignment in plan.assignments {
--- a/crates/placement/src/claim.rs
+++ b/crates/placement/src/claim.rs
@@ -1,4 +1,5 @@
-//! The claim: a worker takes the first queued copy that it admits, and the unit's other copies are withdrawn in the same step.
+//! Claims: a worker takes the first queued copy that it admits, and the unit's other copies are withdrawn in
+//! the same step.
 
 use crate::admission::admits;
 use crate::allocation::Allocation;
@@ -14,17 +15,19 @@
 use streamusher_protocol::task::TaskId;
 use streamusher_protocol::unit::TaskAssignment;
 
-/// Copies that are looked at in one worker's queue; further ones are found when their unit is looked at again.
+/// Maximum number of copies scanned in one worker's queue; later ones are considered when their unit is
+/// retried.
 const MAX_COPIES_SCANNED: usize = 32;
 
-/// A task with the worker that it is to start on.
+/// Assignment of a task to the worker that it starts on.
 #[derive(Clone, Debug)]
 pub(crate) struct TaskPlacement {
     pub(crate) task: TaskId,
     pub(crate) worker: WorkerIndex,
 }
 
-/// Lets the workers that have changed claim what they admit; only units before one, where one is given.
+/// Lets each changed worker claim the units that it admits; if `before` is given, only units earlier than
+/// that in the queue.
 pub(crate) fn claim_at_changed_workers(cycle: &mut SchedulingCycle<'_>, before: Option<QueueKey>) {
     let changed: Vec<WorkerIndex> = cycle.cluster.changed_workers.iter().copied().collect();
     for index in changed {
@@ -58,7 +61,7 @@
     }
 }
 
-/// Starts a single task on a worker if it is admitted there.
+/// Starts a single task on a worker if the task is admitted there.
 pub(crate) fn claim(cycle: &mut SchedulingCycle<'_>, key: QueueKey, index: WorkerIndex) {
     let Some(view) = cycle.view(key) else {
         return;
@@ -78,7 +81,7 @@
     start(cycle, key, placements);
 }
 
-/// Takes a unit out of the queue and allocates capacity for its tasks.
+/// Removes a unit from the queue and allocates capacity for its tasks.
 pub(crate) fn start(
     cycle: &mut SchedulingCycle<'_>,
     key: QueueKey,
@@ -118,7 +121,8 @@
     Some(TaskAssignment { task, worker: id })
 }
 
-/// The last check before capacity is allocated, whoever chose the workers: no worker is filled beyond its capacity.
+/// Final check before capacity is allocated, however the workers were chosen: no worker is filled beyond its
+/// capacity.
 fn has_capacity_for(cluster: &Cluster, key: QueueKey, placements: &[TaskPlacement]) -> bool {
     let Some(pending) = cluster.queue.get(key) else {
         return false;
@@ -143,7 +147,7 @@
     cluster.remove_pending(key)
 }
 
-/// A fault for the tests to find: the copies at other workers stay.
+/// Injected fault that the tests must detect: the copies at other workers stay queued.
 #[cfg(feature = "mutant-claim")]
 fn take_from_queue(
     cluster: &mut Cluster,
--- a/crates/placement/src/cluster.rs
+++ b/crates/placement/src/cluster.rs
@@ -1,10 +1,12 @@
-//! The state that decisions are made on: workers, services and pending units, kept consistent with each other.
+//! Cluster state that decisions are based on: workers, services and pending units.
 //!
-//! Invariants, kept by the methods here:
+//! The methods keep these invariants:
 //!
-//! - a unit has a copy in a worker's queue exactly if the worker is in the unit's `copies`; the same holds for reservations;
-//! - a service's totals and the load under which its pools list a worker follow the worker's allocations and queue;
-//! - a service's `gangs` and `reserving` name pending units only.
+//! - a unit has a copy in a worker's queue if and only if the unit's `copies` contain the worker; the same
+//!   holds for reservations and `reserved_at`;
+//! - a service's totals, and the load under which its pools list a worker, match the worker's allocations and
+//!   queue;
+//! - a service's `gangs` and `reserving` contain only pending units.
 
 use crate::allocation::Allocation;
 use crate::headroom::{DemandChange, SlackClass};
@@ -23,25 +25,25 @@
 use streamusher_protocol::unit::Unit;
 use streamusher_protocol::Millis;
 
-/// When reserved capacity is expected, and until when it is kept.
+/// Time span of a reservation: when its capacity is expected to be free, and when it expires.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReservationWindow {
     pub(crate) available_at: Millis,
     pub(crate) expires_at: Millis,
 }
 
-/// Workers, services and pending units, and which of them have changed since they were last looked at.
+/// Workers, services and pending units, with the changes that the next scheduling cycle has to process.
 #[derive(Debug)]
 pub(crate) struct Cluster {
     pub(crate) settings: PlacementSettings,
     pub(crate) workers: WorkerTable,
     pub(crate) services: BTreeMap<Arc<str>, Service>,
     pub(crate) queue: PendingQueue,
-    /// Workers whose capacity or queue has changed.
+    /// Workers whose capacity or queue changed since the last cycle.
     pub(crate) changed_workers: BTreeSet<WorkerIndex>,
-    /// Units that were enqueued and not looked at yet.
+    /// Units that were enqueued and not yet examined by a cycle.
     pub(crate) new_units: BTreeSet<QueueKey>,
-    /// Services in which capacity became free.
+    /// Services in which capacity was freed since the last cycle.
     pub(crate) services_with_freed_capacity: BTreeSet<Arc<str>>,
 }
 
@@ -58,12 +60,12 @@
         }
     }
 
-    /// Whether a mechanism is in use.
+    /// Whether the policy enables a mechanism.
     pub(crate) fn uses(&self, mechanism: Mechanism) -> bool {
         self.settings.policy.is_enabled(mechanism)
     }
 
-    /// Whether anything has changed since it was last looked at.
+    /// Whether there are changes that no cycle has processed yet.
     pub(crate) fn has_changes(&self) -> bool {
         !(self.new_units.is_empty()
             && self.changed_workers.is_empty()
@@ -90,7 +92,7 @@
         self.new_units.insert(key);
     }
 
-    /// Takes a unit out of the queue, with its copies and reservations.
+    /// Removes a unit from the queue, with its copies and reservations.
     pub(crate) fn remove_pending(&mut self, key: QueueKey) -> Option<PendingUnit> {
         self.withdraw_copies(key);
         self.cancel_reservations(key);
@@ -102,7 +104,7 @@
         Some(pending)
     }
 
-    /// Puts a copy of a unit into the queue of a worker.
+    /// Adds a copy of a unit to a worker's queue.
     pub(crate) fn add_copy(&mut self, key: QueueKey, index: WorkerIndex) {
         let Some(pending) = self.queue.get_mut(key) else {
             return;
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Takes a unit's copies out of all queues.
+    /// Removes a unit's copies from all workers' queues.
     pub(crate) fn withdraw_copies(&mut self, key: QueueKey) {
         let Some(pending) = self.queue.get_mut(key) else {
             return;
@@ -132,7 +134,8 @@
         }
     }
 
-    /// Reserves capacity of a worker for so many tasks of a unit. A single task gets a copy in the worker's queue too.
+    /// Reserves capacity on a worker for `members` tasks of a unit. A single task also gets a copy in the
+    /// worker's queue.
     pub(crate) fn reserve(
         &mut self,
         key: QueueKey,
@@ -165,7 +168,7 @@
         }
     }
 
-    /// Whether a unit holds reservations; cancels them if they have expired.
+    /// Whether a unit holds unexpired reservations. Cancels them if they have expired.
     pub(crate) fn holds_reservations(&mut self, now: Millis, key: QueueKey) -> bool {
         let holds = self
             .queue
@@ -177,7 +180,7 @@
         holds
     }
 
-    /// Cancels all reservations of a unit; others may take the capacity.
+    /// Cancels all reservations of a unit, which makes the capacity available to other units.
     pub(crate) fn cancel_reservations(&mut self, key: QueueKey) {
         let Some(pending) = self.queue.get_mut(key) else {
             return;
@@ -194,8 +197,8 @@
         }
     }
 
-    /// Changes a unit's order within its priority, wherever its key is in use; it must hold no reservations. True if the
-    /// order was changed.
+    /// Changes a unit's order within its priority and replaces its queue key wherever the key is stored. The
+    /// unit must hold no reservations. Returns true if the order was changed.
     pub(crate) fn change_key(&mut self, key: QueueKey, order: u64) -> bool {
         let Some(pending) = self.queue.get(key) else {
             return false;
@@ -221,7 +224,7 @@
         true
     }
 
-    /// Brings the service's totals and lists up to a worker's present allocations and queue.
+    /// Updates the service's totals and pools to a worker's current allocations and queue.
     pub(crate) fn update_load(&mut self, index: WorkerIndex) {
         let Some(worker) = self.workers.get_mut(index) else {
             return;
@@ -237,7 +240,7 @@
         }
     }
 
-    /// Counts an allocation, asked for or held, as demand of its service, or no longer.
+    /// Adds the resources that an allocation requests or holds to the demand of its service, or removes them.
     pub(crate) fn change_demand(
         &mut self,
         now: Millis,
--- a/crates/placement/src/cycle.rs
+++ b/crates/placement/src/cycle.rs
@@ -1,4 +1,5 @@
-//! One scheduling cycle: the state that the steps of one call of [`Placement::place`](crate::Placement::place) share.
+//! State shared by the steps of one scheduling cycle, that is, of one call of
+//! [`Placement::place`](crate::Placement::place).
 
 use crate::cluster::Cluster;
 use crate::decision::Decision;
@@ -7,18 +8,19 @@
 use rand_pcg::Pcg32;
 use streamusher_protocol::Millis;
 
-/// Searches for capacity in one cycle, for the most urgent units: they cost the most by far.
+/// Maximum number of capacity searches in one cycle, which go to the most urgent units; searches are by far
+/// the most expensive step.
 const MAX_SEARCHES: usize = 16;
 
-/// One scheduling cycle.
+/// State of one scheduling cycle.
 #[derive(Debug)]
 pub(crate) struct SchedulingCycle<'a> {
     pub(crate) cluster: &'a mut Cluster,
     pub(crate) random: &'a mut Pcg32,
     pub(crate) now: Millis,
-    /// Searches for capacity that this cycle may still make.
+    /// Number of capacity searches that this cycle may still make.
     pub(crate) remaining_searches: usize,
-    /// What was decided so far.
+    /// Decisions made so far.
     pub(crate) decisions: Vec<Decision>,
 }
 
@@ -37,7 +39,7 @@
         }
     }
 
-    /// A pending unit as it stands now; none where it is not pending any more.
+    /// Current view of a pending unit; `None` if it is no longer pending.
     pub(crate) fn view(&self, key: QueueKey) -> Option<UnitView<'_>> {
         UnitView::new(self.cluster, self.now, key)
     }
--- a/crates/placement/src/decision.rs
+++ b/crates/placement/src/decision.rs
@@ -1,37 +1,37 @@
-//! Decisions: what placement asks its caller to carry out.
+//! Decisions that placement returns for the caller to carry out.
 
 use crate::wait_reason::WaitReason;
 use streamusher_protocol::task::TaskId;
 use streamusher_protocol::unit::{TaskAssignment, UnitId, WorkerId};
 use streamusher_protocol::Millis;
 
-/// What the caller has to carry out.
+/// An action that the caller must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Start all tasks of a unit. Their capacity is allocated already.
+    /// Starts all tasks of a unit. Their capacity is already allocated.
     Start {
-        /// The unit.
+        /// Unit to start.
         unit: UnitId,
-        /// One assignment for each of its tasks.
+        /// Assignment of each task of the unit to a worker.
         assignments: Vec<TaskAssignment>,
-        /// Where the time in the queue went, by reason; empty if the unit did not wait.
+        /// Time that the unit spent in the queue, by reason; empty if it did not wait.
         waits: Vec<TimeWaited>,
     },
-    /// Stop a run, so that a unit of higher priority gets its capacity.
-    /// [`Placement::mark_stopping`](crate::Placement::mark_stopping) is to be called when the stop is ordered.
+    /// Stops a run to free its capacity for a unit of higher priority. The caller invokes
+    /// [`Placement::mark_stopping`](crate::Placement::mark_stopping) when it orders the stop.
     Preempt {
-        /// The task whose run is to be stopped.
+        /// Task whose run is to be stopped.
         task: TaskId,
-        /// The worker that it runs on.
+        /// Worker that runs the task.
         worker: WorkerId,
     },
 }
 
-/// The total time that a unit has waited for one reason.
+/// Total time that a unit waited for one reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeWaited {
-    /// The reason.
+    /// Reason for the wait.
     pub reason: WaitReason,
-    /// The total, in milliseconds.
+    /// Total over all periods with this reason, in milliseconds.
     pub waited_ms: Millis,
 }
--- a/crates/placement/src/eligibility.rs
+++ b/crates/placement/src/eligibility.rs
@@ -1,11 +1,12 @@
-//! The filter: which workers could run a unit if they were empty.
+//! Eligibility filter: which workers could run a unit if they were empty.
 
 use crate::index::WorkerIndex;
 use crate::worker_table::WorkerTable;
 use streamusher_protocol::unit::Unit;
 
-/// Whether a worker could run a unit if it were empty: it is schedulable, of the unit's service, large enough, with the label
-/// that is asked for, and no run of the same task is there. This hardly changes while the unit waits.
+/// Whether a worker could run a unit if it were empty: it is schedulable, belongs to the unit's service, is
+/// large enough, has the required label, and does not already run the task that the unit is a speculative
+/// copy of. The result rarely changes while the unit waits.
 pub(crate) fn is_eligible(workers: &WorkerTable, unit: &Unit, index: WorkerIndex) -> bool {
     let Some(worker) = workers.get(index) else {
         return false;
--- a/crates/placement/src/explain.rs
+++ b/crates/placement/src/explain.rs
@@ -9,7 +9,8 @@
 use streamusher_protocol::unit::{Unit, UnitId};
 use streamusher_protocol::Millis;
 
-/// How a unit waits; none where it is not pending. Looks at every worker of the service and every unit before this one.
+/// Explains why a unit waits; `None` if it is not pending. Examines every worker of the service and every
+/// unit earlier in the queue.
 pub(crate) fn explain(cluster: &Cluster, now: Millis, unit: &UnitId) -> Option<WaitExplanation> {
     let key = cluster.queue.key_of(unit)?;
     let pending = cluster.queue.get(key)?;
@@ -26,7 +27,7 @@
     })
 }
 
-/// How many workers could run a unit, by what is asked of them.
+/// Number of workers that pass each successive requirement of a unit.
 struct WorkerCounts {
     schedulable: usize,
     with_label: usize,
--- a/crates/placement/src/feedback.rs
+++ b/crates/placement/src/feedback.rs
@@ -1,4 +1,5 @@
-//! Learning from runs: penalties for failures and stalls, speeds and run times from progress and ends.
+//! Learns from runs: penalties from failures and stalls, speeds and run times from progress reports and
+//! completed runs.
 
 use crate::allocation::ReleaseReason;
 use crate::cluster::Cluster;
@@ -9,7 +10,7 @@
 use streamusher_protocol::unit::WorkerId;
 use streamusher_protocol::Millis;
 
-/// Learns from the release of a run's allocation.
+/// Updates statistics when a run's allocation is released.
 pub(crate) fn on_release(
     cluster: &mut Cluster,
     now: Millis,
@@ -59,7 +60,7 @@
     let Some(service) = cluster.services.get_mut(&allocation.service) else {
         return;
     };
-    // A run that continued from a checkpoint did not run its whole time.
+    // The run time of a run that resumed from a checkpoint does not cover all of its work.
     if !allocation.checkpoints {
         let near_data_ms = ran_ms.max(1) as f64 / run.remote_slowdown;
         service.observe_speed(now, allocation, near_data_ms, &mut worker.speed);
@@ -67,7 +68,8 @@
     service.observe_run_time(ran_ms);
 }
 
-/// Learns that a run makes no progress: others are kept from its worker at once, before its end is known.
+/// Records that a run makes no progress. The worker's penalty rises at once, before the run ends, to keep
+/// other tasks off it.
 pub(crate) fn on_run_stalled(cluster: &mut Cluster, now: Millis, worker: &WorkerId) {
     if !cluster.uses(Mechanism::Penalties) {
         return;
@@ -81,7 +83,7 @@
     }
 }
 
-/// Learns what share of its work a run has done, in percent.
+/// Records the share of its work that a run has done, in percent.
 pub(crate) fn update_progress(
     cluster: &mut Cluster,
     now: Millis,
--- a/crates/placement/src/gang.rs
+++ b/crates/placement/src/gang.rs
@@ -1,4 +1,4 @@
-//! Gangs: all members are started in one decision.
+//! Gang scheduling: all members of a gang are started in one decision.
 
 use crate::capacity_search::search_capacity;
 use crate::claim::{start, TaskPlacement};
@@ -11,10 +11,10 @@
 use crate::unit_view::UnitView;
 use crate::wait_escalation::ANY_WORKER_AFTER_MS;
 
-/// Gangs of a service that capacity is searched for at once, the first ones in the queue's order.
+/// Maximum number of gangs per service that capacity is searched for, the first ones in queue order.
 const MAX_SEARCHING_GANGS: usize = 4;
 
-/// Starts a gang if all members fit, else searches capacity for it.
+/// Starts a gang if all members fit, otherwise searches capacity for it.
 pub(crate) fn place_gang(cycle: &mut SchedulingCycle<'_>, key: QueueKey) {
     let groups = worker_groups(cycle, key);
     let Some(view) = cycle.view(key) else {
@@ -32,7 +32,7 @@
     schedule_retry(cycle, key);
 }
 
-/// A worker for each member, if all fit with what is free now.
+/// Assigns a worker to each member if all fit in the capacity that is free now.
 fn placements_if_fits(
     view: &UnitView<'_>,
     groups: &[Vec<RankedWorker>],
@@ -57,7 +57,8 @@
     Some(placements.collect())
 }
 
-/// Workers that the gang avoids are taken after a while only: others may become free first.
+/// Whether the plan's workers are acceptable: those that the gang avoids are used only after a while, because
+/// others may become free first.
 fn is_acceptable(view: &UnitView<'_>, plan: &GangPlan) -> bool {
     let takes_avoided = plan.assignments.iter().any(|assignment| {
         let worker = view.cluster.workers.get(assignment.worker);
--- a/crates/placement/src/gang_fit/candidate.rs
+++ b/crates/placement/src/gang_fit/candidate.rs
@@ -1,4 +1,4 @@
-//! A worker that may take members of a gang, while a plan is made.
+//! A worker that may take members of a gang while a plan is made.
 
 use super::preemption_scope::PreemptionScope;
 use super::remaining_capacity::RemainingCapacity;
@@ -15,14 +15,14 @@
 use streamusher_protocol::task::TaskId;
 use streamusher_protocol::unit::Unit;
 
-/// The members that a plan puts on one worker.
+/// Members that a plan assigns to one worker.
 #[derive(Clone, Debug)]
 pub(crate) struct WorkerAssignment {
     pub(crate) worker: WorkerIndex,
     pub(crate) members: u32,
-    /// Runs to be preempted for them.
+    /// Runs to preempt for the members.
     pub(crate) victims: Vec<TaskId>,
-    /// What preempting them loses, in units of a small job's value.
+    /// Cost of preempting the victims, in units of a small job's value.
     pub(crate) cost: f64,
 }
 
@@ -33,11 +33,11 @@
     cost: f64,
 }
 
-/// What one more member needs.
+/// Requirements for placing one more member on a worker.
 struct NextMember {
-    /// What the further preemptions cost.
+    /// Cost of the additional preemptions.
     cost: f64,
-    /// How many of the victims are preempted then.
+    /// Number of victims that are preempted in total with that member.
     preempted: usize,
 }
 
@@ -45,7 +45,7 @@
 pub(crate) struct CandidateWorker<'a> {
     index: WorkerIndex,
     rank: f64,
-    /// What is left with the first `preempted` victims stopped.
+    /// Capacity that is left with the first `preempted` victims stopped.
     remaining: RemainingCapacity,
     max_members: u32,
     /// Runs that may be preempted, cheapest first.
@@ -56,7 +56,7 @@
 }
 
 impl<'a> CandidateWorker<'a> {
-    /// None where the worker may not take the unit at all.
+    /// Returns `None` if the worker may not run the unit at all.
     pub(crate) fn new(
         view: &UnitView<'a>,
         ranked: &RankedWorker,
@@ -83,7 +83,7 @@
         Some(candidate)
     }
 
-    /// Counts as free what the scope allows, and lists what may be preempted.
+    /// Counts the capacity that the scope treats as free, and lists the runs that may be preempted.
     fn extend_by_scope(&mut self, view: &UnitView<'a>, worker: &'a Worker, scope: PreemptionScope) {
         let Some(within_ms) = scope.waits_for_ms() else {
             return;
@@ -93,7 +93,7 @@
         let priority = view.unit().priority;
         for (task, run) in &worker.runs {
             let remaining_ms = run.expected_remaining_ms(view.now, usual_ms, settings);
-            // Capacity of more urgent work is soon taken by its like.
+            // Capacity freed by more urgent work is soon taken by work of the same kind.
             if remaining_ms <= within_ms && run.allocation.priority >= priority {
                 self.remaining.free(run);
             } else if may_preempt(scope, run, priority) {
@@ -108,7 +108,7 @@
         });
     }
 
-    /// Works out what one more member would need.
+    /// Computes what one more member would need.
     fn prepare_next_member(&mut self, demand: &ResourceVector) {
         self.next_member = self.find_next_member(demand);
     }
@@ -143,7 +143,7 @@
         self.rank
     }
 
-    /// Which of two workers takes the next member: where it costs less, then the better ranked.
+    /// Orders workers by preference for the next member: lower cost first, then better rank.
     pub(crate) fn compare_next_member(&self, other: &CandidateWorker<'_>) -> Ordering {
         self.next_member_cost()
             .total_cmp(&other.next_member_cost())
@@ -157,7 +157,7 @@
             .map_or(f64::INFINITY, |next| next.cost)
     }
 
-    /// Puts one more member on this worker, if it fits.
+    /// Assigns one more member to this worker, if it fits.
     pub(crate) fn add_member(&mut self, demand: &ResourceVector) {
         let Some(next) = self.next_member.take() else {
             return;
@@ -170,7 +170,8 @@
         self.prepare_next_member(demand);
     }
 
-    /// The members here, with the preemptions that are needed: without those that dearer ones made needless.
+    /// The members on this worker with the preemptions that they need. Victims that more expensive ones made
+    /// redundant are dropped.
     pub(crate) fn assignment(&self, demand: &ResourceVector) -> WorkerAssignment {
         let mut needed: Vec<usize> = (0..self.preempted).collect();
         for dropped in (0..self.preempted).rev() {
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Whether the members fit when only these of the chosen victims are stopped.
+    /// Whether the members fit if only these of the chosen victims are stopped.
     fn fits_with_victims(&self, stopped: &[usize], demand: &ResourceVector) -> bool {
         let mut remaining = self.remaining.clone();
         let still_running = (0..self.preempted).filter(|index| !stopped.contains(index));
@@ -203,7 +204,7 @@
     }
 }
 
-/// How many of a unit's tasks may run on a worker, by the unit's limit for its step.
+/// Maximum number of a unit's tasks on a worker, by the unit's anti-affinity limit for its step.
 fn max_members(unit: &Unit, worker: &Worker) -> u32 {
     match unit.anti_affinity {
         0 => u32::MAX,
@@ -211,7 +212,7 @@
     }
 }
 
-/// Whether a run may be preempted for a unit of a priority.
+/// Whether a run may be preempted for a unit of the given priority.
 fn may_preempt(scope: PreemptionScope, run: &Run, priority: u32) -> bool {
     let PreemptionScope::Preempting { gang_members, .. } = scope else {
         return false;
--- a/crates/placement/src/gang_fit/mod.rs
+++ b/crates/placement/src/gang_fit/mod.rs
@@ -1,7 +1,8 @@
-//! Gang fit: workers for all members of a unit at once, with free capacity, with capacity that becomes free soon, or by
-//! preemption. A single task is a gang of one here.
+//! Gang fit: finds workers for all members of a unit at once, using free capacity, capacity that becomes free
+//! soon, or preemption. A single task is treated as a gang of one.
 //!
-//! Greedy bin packing: member by member goes where the next one costs least, then to the best rank.
+//! The algorithm is greedy bin packing: each member goes to the worker where it costs least, with ties broken
+//! by rank.
 
 mod candidate;
 mod preemption_scope;
@@ -15,17 +16,18 @@
 use crate::unit_view::UnitView;
 use candidate::CandidateWorker;
 
-/// Workers for all members of a unit.
+/// An assignment of all members of a unit to workers.
 #[derive(Clone, Debug)]
 pub(crate) struct GangPlan {
     pub(crate) assignments: Vec<WorkerAssignment>,
-    /// What the preemptions lose, in units of a small job's value.
+    /// Cost of the preemptions, in units of a small job's value.
     pub(crate) cost: f64,
     /// Sum of the ranks of the workers.
     rank: f64,
 }
 
-/// The best plan over groups of workers: the cheapest, then that of the best rank, then that of the earliest group.
+/// Best plan over the groups of workers: the cheapest, then the best ranked, then the one of the earliest
+/// group.
 pub(crate) fn cheapest_plan(
     view: &UnitView<'_>,
     groups: &[Vec<RankedWorker>],
@@ -41,7 +43,8 @@
     })
 }
 
-/// Where all members of a unit fit within a group of workers, at the least cost.
+/// Greedy low-cost plan that places all members of a unit within a group of workers; `None` if they do not
+/// fit.
 fn plan_within(
     view: &UnitView<'_>,
     group: &[RankedWorker],
--- a/crates/placement/src/gang_fit/preemption_scope.rs
+++ b/crates/placement/src/gang_fit/preemption_scope.rs
@@ -1,18 +1,19 @@
-//! How far a plan may go for capacity.
+//! Scope of a plan: which capacity it may count as available.
 
-/// How far a plan may go for capacity.
+/// Which capacity a plan may count as available.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum PreemptionScope {
-    /// Capacity that is free now.
+    /// Only capacity that is free now.
     FreeNow,
-    /// Also that of runs that are expected to end soon. Nothing is stopped.
+    /// Also capacity of runs that are expected to end soon. No run is stopped.
     EndingSoon {
-        /// How soon, in milliseconds.
+        /// Maximum expected remaining time of these runs, in milliseconds.
         within_ms: f64,
     },
-    /// Also that of less urgent runs, by stopping them.
+    /// Also capacity of less urgent runs, which are stopped.
     Preempting {
-        /// What is expected to end within this time by itself is not stopped, in milliseconds.
+        /// Runs that are expected to end within this time, in milliseconds, are waited for instead of
+        /// stopped.
         within_ms: f64,
         /// Whether members of gangs may be stopped.
         gang_members: bool,
@@ -20,7 +21,8 @@
 }
 
 impl PreemptionScope {
-    /// Runs that are expected to end within this time are waited for, in milliseconds; none where only free capacity counts.
+    /// Maximum expected remaining time of runs that are waited for, in milliseconds; `None` if only free
+    /// capacity counts.
     pub(crate) fn waits_for_ms(self) -> Option<f64> {
         match self {
             PreemptionScope::FreeNow => None,
--- a/crates/placement/src/gang_fit/remaining_capacity.rs
+++ b/crates/placement/src/gang_fit/remaining_capacity.rs
@@ -1,4 +1,4 @@
-//! The capacity that is left at a worker, in total and under each headroom limit.
+//! Remaining capacity of a worker, in total and under each headroom limit.
 
 use crate::admission::headroom_against;
 use crate::headroom::SlackClass;
@@ -8,26 +8,26 @@
 use crate::unit_view::UnitView;
 use crate::worker::Worker;
 
-/// A limit on what the slack classes behind one may hold of a worker.
+/// Limit on the resources of a worker that slack classes beyond a given one may hold.
 #[derive(Clone, Debug)]
 struct HeadroomLimit {
-    /// The last class that the headroom is for.
+    /// Last class that the headroom is for.
     up_to: SlackClass,
-    /// What runs of the classes behind it may hold.
+    /// Maximum that runs of later classes may hold.
     max: ResourceVector,
-    /// What they hold.
+    /// Resources that runs of later classes hold.
     used: ResourceVector,
 }
 
 impl HeadroomLimit {
     fn admits(&self, demand: ResourceVector, members: u32) -> bool {
-        // A worker without runs of the classes behind takes one.
+        // A worker without runs of the later classes always admits one.
         let first = members == 1 && self.used.is_zero_or_less();
         first || (self.used + demand).fits_within(&self.max)
     }
 }
 
-/// The capacity that is left at a worker.
+/// Remaining capacity of a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct RemainingCapacity {
     total: ResourceVector,
@@ -35,7 +35,8 @@
 }
 
 impl RemainingCapacity {
-    /// What a worker has left for a unit, without what is reserved for earlier units.
+    /// Remaining capacity for a unit, excluding what is reserved for units earlier in the queue, unless
+    /// `access` opens it.
     pub(crate) fn of(
         view: &UnitView<'_>,
         worker: &Worker,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Counts a run as not ended after all.
+    /// Reverts [`RemainingCapacity::free`] for a run.
     pub(crate) fn take_back(&mut self, run: &Run) {
         let taken = ResourceVector::from(&run.allocation.resources);
         self.total -= taken;
@@ -82,7 +83,7 @@
             .filter(move |limit| slack_class > limit.up_to)
     }
 
-    /// Whether so many members fit.
+    /// Whether `members` members fit.
     pub(crate) fn fits(&self, demand_of_one: &ResourceVector, members: u32) -> bool {
         let demand = demand_of_one.scaled(f64::from(members));
         demand.fits_within(&self.total)
--- a/crates/placement/src/gang_groups.rs
+++ b/crates/placement/src/gang_groups.rs
@@ -1,4 +1,4 @@
-//! The groups of workers that a gang is fitted into: each rack, then all workers.
+//! Groups of workers that a gang may be placed on: each rack, then all workers.
 
 use crate::cycle::SchedulingCycle;
 use crate::eligibility::is_eligible;
@@ -11,14 +11,14 @@
 use crate::worker_pool::WorkerPool;
 use rand::seq::IndexedRandom;
 
-/// Workers of a pool that one look at a gang takes in; of more a random sample.
+/// Maximum number of workers of a pool that one attempt considers; a larger pool is sampled at random.
 const MAX_WORKERS: usize = 256;
-/// Racks that one look takes in; of more a random sample.
+/// Maximum number of racks that one attempt considers; a larger number is sampled at random.
 const MAX_RACKS: usize = 64;
-/// Makes up for rounding where a whole number of members fills a worker.
+/// Compensates for rounding when a whole number of members fills a worker.
 const ROUNDING_MARGIN: f64 = 1e-9;
 
-/// The groups of workers that a gang may be fitted into, in the order in which they are preferred.
+/// Groups of workers that a gang may be placed on, in order of preference.
 pub(crate) fn worker_groups(
     cycle: &mut SchedulingCycle<'_>,
     key: QueueKey,
@@ -28,7 +28,7 @@
     groups
 }
 
-/// One group for each rack, for a gang that wants to be on one.
+/// One group per rack, for a gang that requests a single rack.
 fn rack_groups(cycle: &mut SchedulingCycle<'_>, key: QueueKey) -> Vec<Vec<RankedWorker>> {
     let Some(view) = UnitView::new(cycle.cluster, cycle.now, key) else {
         return Vec::new();
@@ -50,7 +50,8 @@
         .collect()
 }
 
-/// All workers as one group, where running on several racks costs nothing, or less than waiting for one.
+/// All workers as one group, if spreading over several racks costs nothing or no more than waiting for a
+/// single rack.
 fn group_of_all(cycle: &mut SchedulingCycle<'_>, key: QueueKey) -> Option<Vec<RankedWorker>> {
     let view = UnitView::new(cycle.cluster, cycle.now, key)?;
     if !may_cross_racks(&view) {
@@ -72,7 +73,8 @@
     view.unit().same_rack && view.uses(Mechanism::RackLocality)
 }
 
-/// Waiting for one rack is worth what the slower run on several would cost.
+/// Whether the gang may spread over several racks. Waiting for a single rack is worthwhile up to the cost of
+/// the slower run across racks.
 fn may_cross_racks(view: &UnitView<'_>) -> bool {
     if !wants_one_rack(view) {
         return true;
@@ -87,7 +89,7 @@
             .any(|rack| could_hold_all(view, rack))
 }
 
-/// Whether a rack holds all members when it is empty.
+/// Whether a rack has capacity for all members when it is empty.
 fn could_hold_all(view: &UnitView<'_>, rack: &WorkerPool) -> bool {
     let workers = &view.cluster.workers;
     let members = rack
--- a/crates/placement/src/headroom.rs
+++ b/crates/placement/src/headroom.rs
@@ -1,35 +1,39 @@
-//! Headroom: capacity that is kept free of work that can wait, so that work that cannot wait starts without preemption.
+//! Headroom: capacity kept free of deferrable work, so that work that cannot wait starts without preemption.
 //!
-//! How long the units of a queue can wait is observed, as the mean of their slack. Queues fall into slack classes, each
-//! with twice the slack of the class before. What all classes up to one take together, on average and in bursts, is kept free
-//! of the classes behind it. See `docs/design/placement.md`.
+//! How long the units of a queue can wait is estimated as the mean of their slack. Queues are grouped into
+//! slack classes, each with twice the slack of the previous one. The combined demand of all classes up to a
+//! given one, mean plus bursts, is kept free of the classes with more slack. See `docs/design/placement.md`.
 
 use crate::resource_vector::ResourceVector;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// Mean and deviation of a demand follow it with this time constant: some cycles of bursts.
+/// Time constant of the moving mean and deviation of a demand: a few cycles of bursts.
 const TIME_CONSTANT_MS: f64 = 6_000.0;
-/// Mean deviations above the mean that are kept free of a unit that has just been enqueued: wide steps come in bursts, and
-/// a step is over with its slowest task.
+/// Number of mean deviations above the mean that are kept free of a unit that was just enqueued: wide steps
+/// arrive in bursts, and a step ends with its slowest task.
 const MAX_DEVIATIONS: f64 = 3.0;
-/// The same for a unit that has waited for its part of its slack.
+/// Number of mean deviations that are kept free of a unit that has used up the share of its slack that it may
+/// wait.
 const MIN_DEVIATIONS: f64 = 1.0;
-/// At most this share of a service is kept free: a preemption takes longer than work that cannot wait has. What waits long
-/// in a service with much free capacity takes it all the same.
+/// Upper bound of the share of a service that is kept free. A preemption takes longer than work that cannot
+/// wait can afford. Units that wait long in a service with much free capacity use that capacity all the same.
 const MAX_RESERVED_SHARE: f64 = 0.6;
-/// The newest unit's weight in the mean slack of its queue: that of the tasks of some wide steps.
+/// Weight of the newest unit in the mean slack of its queue; the mean covers about the tasks of a few wide
+/// steps.
 const NEWEST_SLACK_WEIGHT: f64 = 0.01;
-/// A queue changes its class when its mean slack is this far from it, in classes: more than half, so that it does not
-/// alternate between two.
+/// Distance between a queue's mean slack and its class, in classes, above which the queue changes class. It
+/// is greater than one half, so that a queue does not alternate between two classes.
 const CLASS_CHANGE_DISTANCE: f64 = 0.75;
-/// Queues that are remembered. Where there are more all are learnt anew, so that queues that are gone do not pile up.
+/// Maximum number of queues with recorded slack. When it is reached, all records are cleared and learned
+/// again, so that queues that no longer exist do not accumulate.
 const MAX_QUEUES: usize = 4_096;
-/// From this distance between classes on the headroom counts in full, in part for nearer ones.
+/// Distance between classes from which the headroom counts in full; for nearer classes it counts in part.
 const FULL_HEADROOM_DISTANCE: f64 = 2.0;
 
-/// How long units can wait: the binary logarithm of their queue's mean slack in milliseconds, rounded.
+/// Class of how long units can wait: the binary logarithm of their queue's mean slack in milliseconds,
+/// rounded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SlackClass(u32);
 
@@ -46,25 +50,25 @@
         f64::from(self.0)
     }
 
-    /// How many classes this one is behind an earlier one.
+    /// Number of classes between an earlier class and this one.
     fn distance_from(self, earlier: SlackClass) -> f64 {
         f64::from(self.0 - earlier.0)
     }
 }
 
-/// Whether a unit begins or ceases to count as demand.
+/// Whether a unit starts or stops counting as demand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DemandChange {
     Added,
     Removed,
 }
 
-/// What tasks that run or are pending take together, over time.
+/// Total resources of running and pending tasks, over time.
 #[derive(Clone, Copy, Debug, Default)]
 struct Demand {
     present: ResourceVector,
     mean: ResourceVector,
-    /// Mean distance from the mean.
+    /// Mean absolute deviation from the mean.
     deviation: ResourceVector,
     updated_at: Millis,
 }
@@ -77,7 +81,7 @@
         }
     }
 
-    /// Brings mean and deviation up to now, with the demand that has been present since the last update.
+    /// Updates mean and deviation to `now`, using the demand that has held since the last update.
     fn advance(&mut self, now: Millis) {
         let elapsed_ms = now.saturating_sub(self.updated_at) as f64;
         let part = 1.0 - (-elapsed_ms / TIME_CONSTANT_MS).exp();
@@ -101,7 +105,7 @@
     }
 }
 
-/// What is known of a queue's slack.
+/// Observed slack of a queue.
 #[derive(Clone, Copy, Debug)]
 struct QueueSlack {
     /// Mean of the binary logarithm of the slack in milliseconds.
@@ -127,18 +131,18 @@
     }
 }
 
-/// Headroom for the classes up to one, as it counts against a unit of a class behind them.
+/// Headroom for the classes up to one, as it applies to a unit of a class with more slack.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct HeadroomShare {
-    /// The last class that the headroom is for.
+    /// Last class that the headroom is for.
     pub(crate) up_to: SlackClass,
-    /// The most urgent priority among the queues of these classes.
+    /// Most urgent priority among the queues of these classes.
     pub(crate) most_urgent_priority: u32,
-    /// The share of each kind of resource.
+    /// Share of the capacity to keep free, for each kind of resource.
     pub(crate) shares: ResourceVector,
 }
 
-/// What the classes up to one take, as shares of the service's capacity.
+/// Demand of the classes up to one, as shares of the service's capacity.
 #[derive(Clone, Copy, Debug)]
 struct DemandShare {
     up_to: SlackClass,
@@ -161,18 +165,18 @@
     }
 }
 
-/// The demand for one service by slack class, and the headroom that follows from it.
+/// Demand for one service by slack class, and the headroom derived from it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Headroom {
     queues: HashMap<Arc<str>, QueueSlack>,
-    /// For each class the demand of all classes up to it.
+    /// Cumulative demand by class: each entry covers all classes up to its key.
     demands: BTreeMap<SlackClass, Demand>,
-    /// As of the last [`Headroom::refresh`], by class.
+    /// Demand shares as of the last [`Headroom::refresh`], in class order.
     demand_shares: Vec<DemandShare>,
 }
 
 impl Headroom {
-    /// Learns the slack of a unit of a queue. Returns the class of the queue.
+    /// Records the slack of a unit of a queue. Returns the class of the queue.
     pub(crate) fn observe_slack(
         &mut self,
         queue: &Arc<str>,
@@ -192,7 +196,7 @@
         known.class
     }
 
-    /// The demand of a class, and so of all behind it, rises or falls by what a task takes.
+    /// Adds or removes a task's resources in the demand of its class, and so of all classes with more slack.
     pub(crate) fn change_demand(
         &mut self,
         now: Millis,
@@ -207,7 +211,8 @@
         }
     }
 
-    /// A new class starts with the demand of the class before it: so far these were all classes up to the new one.
+    /// Adds a missing class. It starts with the demand of the previous class, which so far is the cumulative
+    /// demand up to the new class.
     fn ensure_class(&mut self, now: Millis, class: SlackClass) {
         if self.demands.contains_key(&class) {
             return;
@@ -217,7 +222,7 @@
         self.demands.insert(class, demand);
     }
 
-    /// Brings the headroom up to now, given the capacity of the service's schedulable workers.
+    /// Updates the headroom to `now`, given the capacity of the service's schedulable workers.
     pub(crate) fn refresh(&mut self, now: Millis, capacity: ResourceVector) {
         self.demand_shares.clear();
         let share_of_capacity = |amounts: ResourceVector| {
@@ -235,8 +240,9 @@
         }
     }
 
-    /// What must stay free of a unit of a class: one share for each class before its own. `waited` is the time that it has
-    /// waited over the time that it may wait; the longer it has waited, the less is kept free of it.
+    /// Returns what must stay free of a unit of a class: one share for each class with less slack. `waited`
+    /// is the unit's waiting time divided by the time that it may wait; the longer it has waited, the less is
+    /// kept free of it.
     pub(crate) fn against(
         &self,
         class: SlackClass,
--- a/crates/placement/src/index.rs
+++ b/crates/placement/src/index.rs
@@ -1,16 +1,17 @@
-//! How workers and pending units are referred to within this package.
+//! Internal references to workers and pending units.
 
-/// Index of a worker in the [`WorkerTable`](crate::worker_table::WorkerTable); reused when its worker is gone.
+/// Index of a worker in the [`WorkerTable`](crate::worker_table::WorkerTable); reused after its worker is
+/// removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct WorkerIndex(pub(crate) usize);
 
-/// Identifies a pending unit by its place in the queue's order: the least key comes first.
+/// Key of a pending unit, ordered by its position in the queue: the smallest key comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct QueueKey {
-    /// 0 is the most urgent.
+    /// Priority of the unit; 0 is the most urgent.
     pub(crate) priority: u32,
-    /// The order within the priority, as the caller gave it.
+    /// Order within the priority, as set by the caller.
     pub(crate) order: u64,
-    /// Breaks ties in the order of arrival, and makes the key unique.
+    /// Sequence number of arrival: breaks ties and makes the key unique.
     pub(crate) serial: u64,
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,10 +1,13 @@
-//! Which worker runs which task: capacity, queue copies, ranking, gangs and preemption.
+//! Task placement: assigns tasks to workers by capacity, queue copies, ranking, gang scheduling and
+//! preemption.
 //!
-//! This is the scheduler's decision core, used by the primary of the control plane. It is pure: it does no I/O, takes the
-//! current time as an argument and draws random numbers from a seed, so the same events give the same decisions.
+//! This is the scheduler's decision core; the primary of the control plane runs it. It does no I/O, takes the
+//! current time as an argument and draws random numbers from a seeded generator, so the same events produce
+//! the same decisions.
 //!
-//! The caller reports events to [`Placement`] (workers that come and go, units whose turn has come, runs that end) and
-//! carries out the [`Decision`]s that [`Placement::place`] returns. `docs/design/placement.md` describes the algorithm.
+//! The caller reports events to [`Placement`] (workers that join, change or leave, units that are ready to be
+//! placed, runs that end) and carries out the [`Decision`]s that [`Placement::place`] returns.
+//! `docs/design/placement.md` describes the algorithm.
 //!
 //! ```
 //! use streamusher_placement::{Decision, Placement, PlacementSettings, Policy, WorkerInfo};
@@ -58,17 +61,19 @@
 //!
 //! # Modules
 //!
-//! Each layer uses those above it only.
+//! Each layer depends only on the layers listed above it.
 //!
-//! - Values: `settings`, `policy`, `worker_info`, `allocation`, `decision`, `wait_reason`, `index`, `resource_vector`, `decay`.
-//! - What is learnt: `penalty`, `run_time`, `step_run_times`, `headroom`.
-//! - State: `run`, `reservation`, `capacity`, `worker`, `worker_table`, `worker_pool`, `service`, `wait_history`,
-//!   `pending_unit`, `queue`; `cluster` holds all of it together and keeps it consistent.
-//! - Questions about one pending unit, asked of a read-only `unit_view`: `eligibility` (filter), `run_estimate`,
+//! - Value types: `settings`, `policy`, `worker_info`, `allocation`, `decision`, `wait_reason`, `index`,
+//!   `resource_vector`, `decay`.
+//! - Statistics learned from past runs and demand: `penalty`, `run_time`, `step_run_times`, `headroom`.
+//! - State: `run`, `reservation`, `capacity`, `worker`, `worker_table`, `worker_pool`, `service`,
+//!   `wait_history`, `pending_unit`, `queue`; `cluster` owns all of it and keeps it consistent.
+//! - Read-only queries about one pending unit, through a `unit_view`: `eligibility` (filter), `run_estimate`,
 //!   `wait_escalation`, `admission`, `ranking` (score), `gang_fit` (bin packing with preemption).
-//! - Steps of one `cycle`, which decide: `candidates`, `queue_copies`, `claim`, `wait_diagnosis`, `retry`, `capacity_search`,
-//!   `single_task`, `gang_groups`, `gang`; `scheduling` runs them in order.
-//! - Events: `worker_lifecycle`, `feedback`, `reorder`, `explain`; `placement` is the entry point.
+//! - Steps of one scheduling `cycle`, which make decisions: `candidates`, `queue_copies`, `claim`,
+//!   `wait_diagnosis`, `retry`, `capacity_search`, `single_task`, `gang_groups`, `gang`; `scheduling` runs
+//!   them in order.
+//! - Event handlers: `worker_lifecycle`, `feedback`, `reorder`, `explain`; `placement` is the entry point.
 
 mod admission;
 mod allocation;
--- a/crates/placement/src/penalty.rs
+++ b/crates/placement/src/penalty.rs
@@ -1,28 +1,29 @@
-//! Penalties: a worker's failures count against it, and fade.
+//! Worker penalties: failures raise a worker's penalty, which decays with time.
 
 use crate::allocation::ReleaseReason;
 use crate::decay::decayed;
 use streamusher_protocol::task::RunEnd;
 use streamusher_protocol::Millis;
 
-/// A penalty halves in this time: a worker that failed for some seconds is tried again some seconds later.
+/// Half-life of a penalty: a worker that failed for some seconds is tried again some seconds later.
 const HALF_LIFE_MS: f64 = 4_000.0;
-/// Upper bound: two half-lives without a failure take a worker from here to the end of probation.
+/// Upper bound of a penalty. Without further failures, two half-lives take a worker from this value to the
+/// end of probation.
 const MAX_PENALTY: f64 = 12.0;
-/// For a run that failed, in tasks.
+/// Penalty for a failed run, in tasks.
 const PENALTY_OF_FAILURE: f64 = 1.0;
-/// For a run without progress: it held its capacity for seconds, as bad as many failures.
+/// Penalty for a run without progress: it held its capacity for seconds, which is as bad as many failures.
 const PENALTY_OF_STALL: f64 = 6.0;
-/// For a run that the worker rejected.
+/// Penalty for a run that the worker rejected.
 const PENALTY_OF_REJECTION: f64 = 0.5;
-/// Factor on the penalty with each run that ends well.
+/// Factor on the penalty for each successful run.
 const REMAINDER_AFTER_SUCCESS: f64 = 0.7;
-/// From this excess over the service's mean on, a worker is on probation: it runs one task at a time.
+/// Excess over the service's mean penalty from which a worker is on probation: it runs one task at a time.
 const PROBATION_EXCESS: f64 = 3.0;
-/// From this excess on it gets no task.
+/// Excess over the service's mean penalty from which a worker gets no tasks.
 const EXCLUSION_EXCESS: f64 = 4.5;
 
-/// The penalty for a worker's failures, in tasks; decays with time.
+/// Penalty for a worker's failures, measured in tasks; decays with time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Penalty {
     value: f64,
@@ -30,7 +31,7 @@
 }
 
 impl Penalty {
-    /// One that a former primary has learnt.
+    /// Restores a penalty that a former primary learned.
     pub(crate) fn restored(now: Millis, value: f64) -> Penalty {
         Penalty {
             value: value.clamp(0.0, MAX_PENALTY),
@@ -38,7 +39,7 @@
         }
     }
 
-    /// The penalty as it counts now.
+    /// Penalty, decayed to the given time.
     pub(crate) fn value_at(&self, now: Millis) -> f64 {
         if self.value == 0.0 {
             return 0.0;
@@ -46,7 +47,7 @@
         decayed(self.value, self.updated_at, now, HALF_LIFE_MS)
     }
 
-    /// Learns from the end of a run. Returns by how much the penalty has changed.
+    /// Updates the penalty after a run was released. Returns the change of its value.
     pub(crate) fn on_release(&mut self, now: Millis, reason: ReleaseReason) -> f64 {
         let ReleaseReason::Finished { outcome, .. } = reason else {
             return 0.0;
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Learns that a run makes no progress. Returns by how much the penalty has changed.
+    /// Raises the penalty for a run without progress. Returns the change of its value.
     pub(crate) fn on_stall(&mut self, now: Millis) -> f64 {
         self.update(now, 1.0, PENALTY_OF_STALL)
     }
@@ -74,7 +75,7 @@
         after - before
     }
 
-    /// Adds to a sum of penalties, which decays as each of them does.
+    /// Adds a change to a sum of penalties. The sum decays at the same rate as each penalty.
     pub(crate) fn add_to_sum(&mut self, now: Millis, change: f64) {
         *self = Penalty {
             value: (self.value_at(now) + change).max(0.0),
@@ -83,8 +84,8 @@
     }
 }
 
-/// How many runs a worker may have at once, by the excess of its penalty over the mean of its service: where all workers
-/// fail alike, the tasks are at fault.
+/// Number of concurrent runs that a worker may have, by the excess of its penalty over the mean of its
+/// service. The mean is subtracted because the tasks are at fault if all workers fail alike.
 pub(crate) fn max_concurrent_runs(penalty: f64, mean: f64) -> usize {
     let excess = penalty - mean;
     if excess >= EXCLUSION_EXCESS {
--- a/crates/placement/src/pending_unit.rs
+++ b/crates/placement/src/pending_unit.rs
@@ -8,7 +8,7 @@
 use streamusher_protocol::unit::Unit;
 use streamusher_protocol::Millis;
 
-/// Delay before the first retry; doubles with each up to the last.
+/// Delay before the first retry. It doubles with each retry up to `MAX_RETRY_DELAY_MS`.
 const INITIAL_RETRY_DELAY_MS: Millis = 50;
 const MAX_RETRY_DELAY_MS: Millis = 800;
 
@@ -17,18 +17,18 @@
 pub(crate) struct PendingUnit {
     pub(crate) unit: Unit,
     enqueued_at: Millis,
-    /// The slack class of its queue.
+    /// Slack class of the unit's queue.
     pub(crate) slack_class: SlackClass,
-    /// The workers in whose queues it has a copy.
+    /// Workers whose queue holds a copy of the unit.
     pub(crate) copies: Vec<WorkerIndex>,
-    /// The workers at which capacity is reserved for it.
+    /// Workers on which capacity is reserved for the unit.
     pub(crate) reserved_at: Vec<WorkerIndex>,
     pub(crate) reserved_until: Millis,
     pub(crate) wait_history: WaitHistory,
     retry_delay_ms: Millis,
-    /// When it is looked at again, if that is known.
+    /// Time of the next retry, if one is scheduled.
     pub(crate) retry_at: Option<Millis>,
-    /// That time is reserved with its service's pacer.
+    /// Whether `retry_at` was reserved with the service's pacer.
     pub(crate) is_retry_reserved: bool,
 }
 
@@ -52,7 +52,7 @@
         self.unit.id.index.is_none() || self.unit.tasks.len() != 1
     }
 
-    /// Share of a worker that one of its tasks takes.
+    /// Share of a worker that one task of the unit takes.
     pub(crate) fn share_of(&self, worker: &Worker) -> f64 {
         dominant_share(&self.unit.resources, &worker.info.capacity)
     }
@@ -61,7 +61,8 @@
         now.saturating_sub(self.enqueued_at)
     }
 
-    /// The time of the next retry: after a delay that doubles, or earlier if asked for.
+    /// Returns the time of the next retry: after a delay that doubles each time, but no later than
+    /// `no_later_than` (at least 1 ms ahead).
     pub(crate) fn next_retry(&mut self, now: Millis, no_later_than: Millis) -> Millis {
         let retry_at = now
             .saturating_add(self.retry_delay_ms)
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -1,4 +1,4 @@
-//! The entry point: events in, decisions out.
+//! Entry point of placement: receives events and returns decisions.
 
 use crate::allocation::{Allocation, ReleaseReason};
 use crate::cluster::Cluster;
@@ -20,23 +20,24 @@
 
 /// Decides which worker runs which unit.
 ///
-/// Copies of a unit wait in the queues of several workers. The first worker with capacity claims the unit, and the
-/// other copies are withdrawn in the same step. Capacity is allocated when a start is decided and freed by
-/// [`Placement::release`] or [`Placement::remove_worker`] only, so a worker is never filled beyond its capacity.
+/// Copies of a unit wait in the queues of several workers. The first worker with enough free capacity claims
+/// the unit, and the other copies are withdrawn in the same step. Capacity is allocated when a start is
+/// decided and freed only by [`Placement::release`] or [`Placement::remove_worker`], so a worker is never
+/// filled beyond its capacity.
 ///
-/// All methods take the current time as an argument, in milliseconds of a clock that never goes back.
+/// Methods that depend on the current time take it as an argument, in milliseconds of a monotonic clock.
 #[derive(Debug)]
 pub struct Placement {
     cluster: Cluster,
     random: Pcg32,
-    /// Penalties that a former primary has learnt, of workers that have not reported themselves yet.
+    /// Penalties learned by a former primary for workers that have not reported themselves yet.
     restored_penalties: BTreeMap<WorkerId, Penalty>,
-    /// The latest time at which a unit was enqueued or units were placed.
+    /// Latest time at which a unit was enqueued or units were placed.
     now: Millis,
 }
 
 impl Placement {
-    /// A placement without workers and units.
+    /// Creates a placement without workers and units.
     pub fn new(settings: PlacementSettings) -> Placement {
         Placement {
             random: Pcg32::seed_from_u64(settings.random_seed),
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Adds a worker, or takes over what it reports of itself now.
+    /// Adds a worker, or updates a known worker to what it reports.
     pub fn update_worker(&mut self, now: Millis, info: WorkerInfo) {
         let id = info.id.clone();
         let Some(index) = worker_lifecycle::update_worker(&mut self.cluster, info) else {
@@ -57,14 +58,15 @@
         }
     }
 
-    /// Takes over a worker's penalty that a former primary has learnt, in tasks. It counts as soon as the worker reports itself,
-    /// and decays from now on.
+    /// Restores a worker's penalty that a former primary learned, measured in tasks. It takes effect once the
+    /// worker reports itself, and decays from `now` on.
     pub fn restore_penalty(&mut self, now: Millis, worker: WorkerId, penalty: f64) {
         self.restored_penalties
             .insert(worker, Penalty::restored(now, penalty));
     }
 
-    /// The penalty of each worker now, in tasks; also of workers that have not reported themselves yet.
+    /// Current penalty of each worker, measured in tasks, including workers that have not reported themselves
+    /// yet.
     pub fn penalties(&self, now: Millis) -> impl Iterator<Item = (&WorkerId, f64)> {
         let known = self
             .cluster
@@ -78,17 +80,17 @@
         known.chain(restored)
     }
 
-    /// Removes a worker that is gone, with all allocations there.
+    /// Removes a disconnected worker with all its allocations.
     pub fn remove_worker(&mut self, now: Millis, id: &WorkerId) {
         self.restored_penalties.remove(id);
         worker_lifecycle::remove_worker(&mut self.cluster, now, id);
     }
 
-    /// Allocates capacity for a run that a former primary has started; for its own decisions `place` does this itself.
-    /// The run has held its capacity for `elapsed_before_ms` milliseconds, 0 where that is not known: what preempting it
-    /// loses follows from that.
+    /// Allocates capacity for a run that a former primary started; [`Placement::place`] does this itself for
+    /// the runs that it starts. `elapsed_before_ms` is how long the run has already held its capacity, 0 if
+    /// unknown; the cost of preempting the run depends on it.
     ///
-    /// A worker that is not known yet is added as one that takes no work until [`Placement::update_worker`] reports it.
+    /// An unknown worker is added as not schedulable until [`Placement::update_worker`] reports it.
     pub fn restore_run(
         &mut self,
         now: Millis,
@@ -111,7 +113,7 @@
         );
     }
 
-    /// Releases the allocation of a run, and learns from how it ended.
+    /// Releases the allocation of a run and learns from how the run ended.
     pub fn release(
         &mut self,
         now: Millis,
@@ -122,31 +124,33 @@
         worker_lifecycle::release(&mut self.cluster, now, task, worker, reason);
     }
 
-    /// Notes that a stop was ordered for a run: it holds its allocation until it is released, and is not preempted again.
+    /// Records that a stop was ordered for a run. The run keeps its allocation until it is released, and is
+    /// not preempted again.
     pub fn mark_stopping(&mut self, task: &TaskId, worker: &WorkerId) {
         if let Some(worker) = self.cluster.workers.by_id_mut(worker) {
             worker.mark_stopping(task);
         }
     }
 
-    /// A run makes no progress: others are kept from its worker at once, before its own end is known.
+    /// Records that a run makes no progress. The worker's penalty rises at once, before the run ends, to keep
+    /// other tasks off it.
     pub fn on_run_stalled(&mut self, now: Millis, worker: &WorkerId) {
         feedback::on_run_stalled(&mut self.cluster, now, worker);
     }
 
-    /// A run reports the share of its work that it has done, in percent.
+    /// Records the share of its work that a run reports as done, in percent.
     pub fn update_progress(&mut self, now: Millis, task: &TaskId, worker: &WorkerId, percent: f64) {
         feedback::update_progress(&mut self.cluster, now, task, worker, percent);
     }
 
-    /// Enqueues a unit. The same unit again replaces the former one.
+    /// Enqueues a unit. If a unit with the same identifier is pending, replaces it.
     pub fn enqueue(&mut self, now: Millis, unit: Unit) {
         self.now = self.now.max(now);
         self.withdraw(&unit.id);
         self.cluster.enqueue(now, unit);
     }
 
-    /// Withdraws a pending unit: it is not to be started any more.
+    /// Withdraws a pending unit, so that it is not started.
     pub fn withdraw(&mut self, unit: &UnitId) {
         let Some(key) = self.cluster.queue.key_of(unit) else {
             return;
@@ -162,7 +166,7 @@
         );
     }
 
-    /// Decides what can be started or preempted now. Costs little when nothing has changed and nothing is due.
+    /// Decides what can be started or preempted now. Cheap if nothing has changed and no retry is due.
     pub fn place(&mut self, now: Millis) -> Vec<Decision> {
         self.now = self.now.max(now);
         if !self.cluster.has_changes() && !self.cluster.queue.has_due(now) {
@@ -173,27 +177,30 @@
         cycle.decisions
     }
 
-    /// A pending unit's order within its priority; none where it is not pending.
+    /// Order of a pending unit within its priority; `None` if the unit is not pending.
     pub fn order_of(&self, unit: &UnitId) -> Option<u64> {
         let key = self.cluster.queue.key_of(unit)?;
         let pending = self.cluster.queue.get(key)?;
         Some(pending.unit.order)
     }
 
-    /// Changes a pending unit's order within its priority. True if its place was changed.
+    /// Changes a pending unit's order within its priority. Returns true if its position was changed.
     ///
-    /// Its copies and the time that it has waited stay. A gang with reservations, and a unit that runs were preempted for, keep
-    /// their place. Other reservations are cancelled, and made anew at the unit's next look.
+    /// The unit keeps its copies and its waiting time. A gang with reservations, and a unit that runs were
+    /// preempted for, keep their position. Other reservations are cancelled; the unit's next retry may create
+    /// new ones.
     pub fn reorder(&mut self, unit: &UnitId, order: u64) -> bool {
         reorder::reorder(&mut self.cluster, unit, order)
     }
 
-    /// Why a unit waits; none where it is not pending. Looks at every worker of the service and every unit before this one.
+    /// Explains why a unit waits; `None` if it is not pending. Examines every worker of the service and every
+    /// unit earlier in the queue.
     pub fn explain(&self, now: Millis, unit: &UnitId) -> Option<WaitExplanation> {
         explain::explain(&self.cluster, now, unit)
     }
 
-    /// How much longer than usual a worker's runs have lately taken; 1 where too little is known.
+    /// Ratio of the run time on a worker to the average of its service in recent runs; 1 if there are too few
+    /// observations.
     pub fn worker_slowness(&self, now: Millis, worker: &WorkerId) -> f64 {
         let Some(worker) = self.cluster.workers.by_id(worker) else {
             return 1.0;
@@ -204,8 +211,9 @@
         })
     }
 
-    /// How much longer a run on a worker is expected to take than on a usual worker near its data. Whether a run that a former
-    /// primary has started is remote is not known; it counts as near its data.
+    /// Ratio of a run's expected time on its worker to that on an average worker near the run's data. For a
+    /// run that a former primary started it is unknown whether the worker is remote from the data; it counts
+    /// as near.
     pub fn run_slowness(&self, now: Millis, task: &TaskId, worker: &WorkerId) -> f64 {
         let run = self
             .cluster
@@ -216,17 +224,17 @@
         remote_slowdown * self.worker_slowness(now, worker)
     }
 
-    /// How often pending units were looked at again so far: what a backlog costs the primary.
+    /// Total number of retries of pending units: a measure of the load that a backlog puts on the primary.
     pub fn retry_count(&self) -> u64 {
         self.cluster.queue.retry_count()
     }
 
-    /// The number of pending units.
+    /// Number of pending units.
     pub fn pending_count(&self) -> usize {
         self.cluster.queue.len()
     }
 
-    /// Every worker with what is known of it.
+    /// Status of every worker.
     pub fn workers(&self) -> impl Iterator<Item = WorkerStatus> + '_ {
         let workers = self.cluster.workers.iter();
         workers.map(|(_, worker)| self.status_of(worker))
--- a/crates/placement/src/policy.rs
+++ b/crates/placement/src/policy.rs
@@ -1,41 +1,43 @@
-//! Which mechanisms take part in decisions: all of them in production, all but some in an experiment.
+//! Policy: which mechanisms take part in decisions. Production uses all of them; an experiment switches some
+//! off.
 
 use std::fmt;
 
-/// A mechanism that can be switched off to measure its worth. Its name on command lines is older than that of the variant.
+/// A mechanism that can be switched off to measure its benefit. Its name on command lines predates the name
+/// of the variant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mechanism {
-    /// A unit has copies in more queues than that of its best worker.
+    /// A unit is queued at more workers than the best-ranked one.
     QueueCopies,
-    /// Failures, stalls and rejections count against a worker.
+    /// Failures, stalls and rejections raise a worker's penalty.
     Penalties,
     /// A worker with a high penalty runs one task at a time, or none.
     Probation,
-    /// Slow workers rank lower, by their run times and progress reports.
+    /// Slow workers rank lower, according to their run times and progress reports.
     RelativeSpeed,
-    /// Small tasks go to the fullest worker while large ones are expected.
+    /// Small tasks go to the most loaded worker while large ones are expected.
     Packing,
-    /// Workers on another rack than the unit's data rank lower.
+    /// Workers on other racks than the unit's data rank lower.
     DataLocality,
-    /// Capacity is kept free of work that can wait, for work that cannot.
+    /// Capacity is kept free of deferrable work for work that cannot wait.
     Headroom,
     /// Capacity is reserved for a gang or a large task as runs end.
     Reservations,
     /// Less urgent runs are stopped for more urgent units.
     Preemption,
-    /// A gang that asks for one rack is fitted into one.
+    /// A gang that requests a single rack is placed on one.
     RackLocality,
-    /// A task avoids the workers on which a run of it failed or stalled.
+    /// A task avoids the workers on which one of its runs failed or stalled.
     Avoidance,
-    /// What has waited long takes workers and capacity that it may not take at first.
+    /// A unit that has waited long may use workers and capacity that are closed to it at first.
     WaitEscalation,
-    /// A hedged task gets a speculative second run when its run is in doubt.
+    /// A hedged task gets a speculative second run when its first run is in doubt.
     Hedging,
     /// A run without progress is stopped and started elsewhere.
     StallDetection,
-    /// Runs are moved away from a worker that leaves before they can end.
+    /// Runs are moved off a worker that leaves before they can finish.
     Migration,
-    /// A new primary takes over the penalties that the former one has learnt.
+    /// A new primary takes over the penalties learned by the former one.
     PenaltyInheritance,
 }
 
@@ -60,14 +62,14 @@
         Mechanism::PenaltyInheritance,
     ];
 
-    /// The mechanism with a name on command lines; see [`Mechanism::name`].
+    /// Looks up a mechanism by its name on command lines; see [`Mechanism::name`].
     pub fn from_name(name: &str) -> Option<Mechanism> {
         Mechanism::ALL
             .into_iter()
             .find(|mechanism| mechanism.name() == name)
     }
 
-    /// The name of this mechanism on command lines and in experiment tables.
+    /// Name on command lines and in experiment tables.
     pub const fn name(self) -> &'static str {
         match self {
             Mechanism::QueueCopies => "copies",
@@ -100,15 +102,15 @@
     }
 }
 
-/// The mechanisms that are in use; by default all.
+/// The enabled mechanisms; all of them by default.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Policy {
-    /// One bit for each mechanism that is switched off.
+    /// One bit for each disabled mechanism.
     disabled: u32,
 }
 
 impl Policy {
-    /// The same policy without a mechanism.
+    /// Returns this policy with a mechanism disabled.
     #[must_use]
     pub const fn without(self, mechanism: Mechanism) -> Policy {
         Policy {
@@ -116,8 +118,8 @@
         }
     }
 
-    /// No mechanism at all: first fit in the order of the queue, as a baseline to measure against. Without
-    /// [`Mechanism::WaitEscalation`] units may wait for longer than the rules allow.
+    /// Disables every mechanism: first fit in queue order, as a baseline for measurements. Without
+    /// [`Mechanism::WaitEscalation`] units may wait longer than the rules allow.
     #[must_use]
     pub fn first_fit() -> Policy {
         Mechanism::ALL
@@ -125,7 +127,7 @@
             .fold(Policy::default(), Policy::without)
     }
 
-    /// Whether a mechanism is in use.
+    /// Whether a mechanism is enabled.
     pub const fn is_enabled(self, mechanism: Mechanism) -> bool {
         self.disabled & mechanism.bit() == 0
     }
--- a/crates/placement/src/queue.rs
+++ b/crates/placement/src/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of pending units: their order, and when each is looked at again.
+//! Queue of pending units: their order and the times of their retries.
 
 use crate::headroom::SlackClass;
 use crate::index::QueueKey;
@@ -7,7 +7,7 @@
 use streamusher_protocol::unit::{Unit, UnitId};
 use streamusher_protocol::Millis;
 
-/// All pending units. A unit has at most one timer, that of its `retry_at`.
+/// All pending units. A unit has at most one timer, set to its `retry_at`.
 #[derive(Debug, Default)]
 pub(crate) struct PendingQueue {
     units: BTreeMap<QueueKey, PendingUnit>,
@@ -40,7 +40,7 @@
         Some(pending)
     }
 
-    /// Gives a unit another order within its priority, with its timer. Returns its new key.
+    /// Moves a unit, with its timer, to another order within its priority. Returns its new key.
     pub(crate) fn reorder(&mut self, key: QueueKey, order: u64) -> Option<QueueKey> {
         let mut pending = self.units.remove(&key)?;
         let new_key = QueueKey { order, ..key };
@@ -70,22 +70,23 @@
         self.units.len()
     }
 
-    /// Retries of units so far.
+    /// Total number of retries.
     pub(crate) fn retry_count(&self) -> u64 {
         self.retry_count
     }
 
-    /// Counts retries of units.
+    /// Adds to the total number of retries.
     pub(crate) fn count_retries(&mut self, retries: usize) {
         self.retry_count += retries as u64;
     }
 
-    /// How many units come before one.
+    /// Number of units that come before one in the queue order.
     pub(crate) fn units_before(&self, key: QueueKey) -> usize {
         self.units.range(..key).count()
     }
 
-    /// Sets the unit's next retry: after a delay that doubles, or earlier if asked for.
+    /// Schedules the unit's next retry: after a delay that doubles each time, but no later than
+    /// `no_later_than`.
     pub(crate) fn schedule_retry(&mut self, now: Millis, key: QueueKey, no_later_than: Millis) {
         let Some(pending) = self.units.get_mut(&key) else {
             return;
@@ -97,7 +98,8 @@
         self.timers.insert((retry_at, key));
     }
 
-    /// Postpones the unit's retry that is due to a time that is reserved for it; the delay before the one after stays.
+    /// Postpones a due retry to the time that was reserved for it. The delay before the retry after it is
+    /// unchanged.
     pub(crate) fn postpone_retry(&mut self, key: QueueKey, retry_at: Millis) {
         let Some(pending) = self.units.get_mut(&key) else {
             return;
@@ -114,7 +116,7 @@
             .is_some_and(|(retry_at, _)| *retry_at <= now)
     }
 
-    /// The units that are due for a retry, at most so many.
+    /// Takes up to `max` units that are due for a retry.
     pub(crate) fn take_due(&mut self, now: Millis, max: usize) -> Vec<QueueKey> {
         let mut keys = Vec::new();
         while keys.len() < max && self.has_due(now) {
--- a/crates/placement/src/queue_copies.rs
+++ b/crates/placement/src/queue_copies.rs
@@ -1,4 +1,4 @@
-//! Queue copies: how many workers' queues a unit waits in, and which (late binding, as in Sparrow).
+//! Queue copies: how many and which workers' queues a unit waits in (late binding, as in Sparrow).
 
 use crate::candidates::ranked_candidates;
 use crate::cycle::SchedulingCycle;
@@ -10,16 +10,18 @@
 use crate::wait_escalation::{takes_any_capacity, ANY_WORKER_AFTER_MS, AVOIDED_WORKERS_AFTER_MS};
 use streamusher_protocol::Millis;
 
-/// From this wait on a unit has as many copies as it may.
+/// Waiting time from which a unit gets the maximum number of copies.
 const MAX_COPIES_AFTER_MS: Millis = 200;
-/// Upper bound of a unit's copies: in a larger service, later looks take other workers.
+/// Upper bound of a unit's copies; in a larger service, later retries choose other workers.
 const MAX_COPIES: usize = 32;
-/// Upper bound at the first look, however many copies wait already: past some queues the next adds little.
+/// Upper bound of the copies at the first attempt, however long the best worker's queue is: beyond a few
+/// queues, one more adds little.
 const MAX_INITIAL_COPIES: usize = 4;
-/// Up to this cost the limit admits no worker that the unit avoids.
+/// Upper bound of the accepted extra cost that still excludes workers that the unit avoids.
 const MAX_COST_WITHOUT_AVOIDED: f64 = AVOIDED_WORKER_COST / 2.0;
 
-/// Puts copies of a unit into queues: one where the best worker has capacity, more while copies wait there, at last all.
+/// Adds copies of a unit to workers' queues: one if the best worker has capacity, more the longer the best
+/// worker's queue is, and the maximum after a while.
 pub(crate) fn update_copies(cycle: &mut SchedulingCycle<'_>, key: QueueKey) {
     let ranked = ranked_candidates(cycle, key);
     let Some(view) = cycle.view(key) else {
@@ -53,7 +55,7 @@
         .min(MAX_COPIES)
 }
 
-/// The workers on which the unit would be done no later than by waiting for the best, best first.
+/// Workers on which the unit would finish no later than by waiting for the best one, best first.
 pub(crate) fn acceptable_workers(view: &UnitView<'_>, ranked: &[RankedWorker]) -> Vec<WorkerIndex> {
     let Some(best) = ranked.first() else {
         return Vec::new();
@@ -66,7 +68,8 @@
         .collect()
 }
 
-/// The most that a worker may cost, in run times of the unit: what waiting for the best has cost and will cost.
+/// Maximum extra cost of a worker, in run times of the unit: what waiting for the best worker has cost so far
+/// and is expected to cost.
 fn max_extra_cost(view: &UnitView<'_>, best: &RankedWorker) -> f64 {
     let waited_ms = view.waited_ms();
     if takes_any_capacity(view) || waited_ms >= AVOIDED_WORKERS_AFTER_MS {
--- a/crates/placement/src/ranking.rs
+++ b/crates/placement/src/ranking.rs
@@ -1,4 +1,4 @@
-//! The score: what placing a unit on a worker costs, as expected wait and extra run time.
+//! Ranking score: the cost of placing a unit on a worker, as expected wait and extra run time.
 
 use crate::admission::admits;
 use crate::index::WorkerIndex;
@@ -7,19 +7,19 @@
 use crate::unit_view::UnitView;
 use crate::worker::Worker;
 
-/// Weight of the load in a rank: it decides between workers that are otherwise alike.
+/// Weight of the load in a rank: it breaks ties between workers that are otherwise alike.
 const LOAD_WEIGHT: f64 = 0.2;
-/// From this share of a worker on a request is large. While large ones are expected, smaller ones are packed, to leave whole
-/// workers free.
+/// Share of a worker from which a request is large. While large requests are expected, smaller ones are
+/// packed, to leave whole workers free.
 const LARGE_REQUEST_SHARE: f64 = 0.4;
 
-/// A worker as a unit sees it.
+/// Rank of a worker for a unit.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RankedWorker {
     pub(crate) index: WorkerIndex,
     /// Expected wait and extra cost, in run times of the unit; the lowest is best.
     pub(crate) rank: f64,
-    /// What running there costs beyond a usual run, in run times of the unit.
+    /// Cost of running on the worker beyond a run on an average one, in run times of the unit.
     pub(crate) extra_cost: f64,
     /// Expected wait in milliseconds.
     pub(crate) wait_ms: f64,
@@ -44,7 +44,8 @@
     })
 }
 
-/// The emptiest worker is best, but the fullest that admits the unit while whole workers are to be left free.
+/// Prefers the least loaded worker, or, while whole workers are to be left free, the most loaded one that
+/// admits the unit.
 fn load_score(view: &UnitView<'_>, worker: &Worker, is_admitted: bool) -> f64 {
     let share = view.pending.share_of(worker);
     let packs = view.uses(Mechanism::Packing)
@@ -57,11 +58,12 @@
     }
 }
 
-/// Expected wait by counts: capacity becomes free as runs end, and the copies before this one take it first.
+/// Estimates the wait from counts: capacity becomes free as runs end, and the copies queued at the worker
+/// take it first.
 fn expected_wait_ms(view: &UnitView<'_>, worker: &Worker) -> f64 {
     let copies_ahead = worker.queue.len() as f64;
     let runs = worker.runs.len() as f64;
-    // A task that takes the capacity of many runs needs as many ends.
+    // A task that takes the capacity of several runs has to wait for as many of them to end.
     let ends_needed = (view.pending.share_of(worker) * runs).max(1.0);
     view.service.usual_run_ms() * (ends_needed + copies_ahead) / (runs + 1.0)
 }
--- a/crates/placement/src/reorder.rs
+++ b/crates/placement/src/reorder.rs
@@ -1,14 +1,15 @@
-//! Gives a pending unit another place in the queue.
+//! Moves a pending unit to another position in the queue.
 
 use crate::cluster::Cluster;
 use crate::index::{QueueKey, WorkerIndex};
 use crate::pending_unit::PendingUnit;
 use streamusher_protocol::unit::UnitId;
 
-/// Changes a pending unit's order within its priority. True if its place was changed.
+/// Changes a pending unit's order within its priority. Returns true if its position was changed.
 ///
-/// Its copies and the time that it has waited stay. A gang with reservations, and a unit that runs were preempted for, keep
-/// their place. Other reservations are cancelled, and made anew at the unit's next look.
+/// The unit keeps its copies and its waiting time. A gang with reservations, and a unit that runs were
+/// preempted for, keep their position. Other reservations are cancelled; the unit's next retry may create new
+/// ones.
 pub(crate) fn reorder(cluster: &mut Cluster, unit: &UnitId, order: u64) -> bool {
     let Some(key) = cluster.queue.key_of(unit) else {
         return false;
--- a/crates/placement/src/reservation.rs
+++ b/crates/placement/src/reservation.rs
@@ -7,21 +7,22 @@
 /// Capacity of a worker that is kept for a pending unit.
 #[derive(Clone, Debug)]
 pub(crate) struct Reservation {
-    /// The unit.
+    /// Unit that the capacity is reserved for.
     pub(crate) unit: QueueKey,
     pub(crate) resources: Resources,
-    /// When the capacity is expected to be free: what ends before may use it.
+    /// When the capacity is expected to be free. Tasks that end earlier may use it.
     pub(crate) available_at: Millis,
-    /// From then on it does not count any more.
+    /// Time from which the reservation no longer applies.
     pub(crate) expires_at: Millis,
-    /// Runs were preempted for it.
+    /// Whether runs were preempted for it.
     pub(crate) by_preemption: bool,
 }
 
-/// What a unit may take beyond free capacity that is kept for nobody. The longer it has waited, the more.
+/// Access of a unit to capacity that is kept for others, in addition to unreserved free capacity. It widens
+/// with the unit's waiting time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum HeadroomAccess {
-    /// Nothing.
+    /// No access.
     Denied,
     /// Headroom, and reservations for which nothing was preempted.
     ExceptPreempted,
@@ -30,7 +31,7 @@
 }
 
 impl Reservation {
-    /// Whether it keeps its capacity from a unit.
+    /// Whether the reservation makes its capacity unavailable to a unit.
     pub(crate) fn blocks(&self, now: Millis, unit: QueueKey, access: HeadroomAccess) -> bool {
         let yields = match access {
             HeadroomAccess::Denied => false,
--- a/crates/placement/src/resource_vector.rs
+++ b/crates/placement/src/resource_vector.rs
@@ -1,14 +1,14 @@
-//! Arithmetic on resources: vectors of floats, multiples, and shares of a capacity.
+//! Arithmetic on resources: floating-point vectors, multiples, and shares of a capacity.
 
 use std::ops::{Add, AddAssign, SubAssign};
 use streamusher_protocol::heartbeat::Resources;
 
 /// Number of kinds of resources: processor, memory, accelerators.
 const KINDS: usize = 3;
-/// Least capacity that a share is taken of, so that a share of nothing is large but finite.
+/// Lower bound of the divisor of a share, so that a share of zero capacity is large but finite.
 const MIN_DIVISOR: f64 = 0.5;
 
-/// One number for each kind of resource.
+/// An amount for each kind of resource.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct ResourceVector([f64; KINDS]);
 
@@ -28,17 +28,18 @@
         }))
     }
 
-    /// What is left of a capacity of which these shares are reserved.
+    /// Remaining capacity after subtracting a reserved share of each kind.
     pub(crate) fn less_shares(self, shares: ResourceVector) -> ResourceVector {
         self.zip_with(shares, |capacity, share| capacity * (1.0 - share))
     }
 
-    /// Adds, and lets no amount fall below zero: for sums that change often, whose rounding errors would add up.
+    /// Adds, with each amount clamped to at least zero. For sums that change often, in which rounding errors
+    /// accumulate.
     pub(crate) fn add_non_negative(&mut self, other: ResourceVector) {
         *self = self.zip_with(other, |sum, part| (sum + part).max(0.0));
     }
 
-    /// Subtracts, and lets no amount fall below zero.
+    /// Subtracts, with each amount clamped to at least zero.
     pub(crate) fn subtract_non_negative(&mut self, other: ResourceVector) {
         *self = self.zip_with(other, |sum, part| (sum - part).max(0.0));
     }
@@ -56,7 +57,7 @@
         self.0.iter().all(|amount| *amount <= 0.0)
     }
 
-    /// The largest amount, at least zero.
+    /// Largest amount, at least zero.
     pub(crate) fn largest(&self) -> f64 {
         self.0.iter().copied().fold(0.0, f64::max)
     }
@@ -92,7 +93,7 @@
     }
 }
 
-/// What so many tasks take together.
+/// Total resources of `count` equal tasks.
 pub(crate) fn times(resources: &Resources, count: u64) -> Resources {
     Resources {
         cpu: resources.cpu.saturating_mul(count),
@@ -101,8 +102,8 @@
     }
 }
 
-/// The largest share that is taken of a capacity, over all kinds (as in dominant resource fairness). Nothing of nothing is
-/// no share.
+/// Largest share of a capacity that is taken, over all kinds (as in dominant resource fairness). Where
+/// nothing is taken the share is zero, even of zero capacity.
 pub(crate) fn dominant_share(taken: &Resources, capacity: &Resources) -> f64 {
     let share = |taken: f64, capacity: f64| {
         if taken > 0.0 {
--- a/crates/placement/src/retry.rs
+++ b/crates/placement/src/retry.rs
@@ -1,11 +1,12 @@
-//! The next look at a unit that was looked at and did not start.
+//! Schedules the next retry of a unit that was examined and not started.
 
 use crate::cycle::SchedulingCycle;
 use crate::index::QueueKey;
 use crate::wait_diagnosis::record_wait_reason;
 use streamusher_protocol::Millis;
 
-/// Schedules the next look at a unit that did not start, at the end of its reservations at the latest, and notes why it waits.
+/// Schedules the next retry of a unit that was not started, no later than its reservations expire, and
+/// records why it waits.
 pub(crate) fn schedule_retry(cycle: &mut SchedulingCycle<'_>, key: QueueKey) {
     record_wait_reason(cycle.cluster, cycle.now, key);
     let Some(pending) = cycle.cluster.queue.get(key) else {
--- a/crates/placement/src/run.rs
+++ b/crates/placement/src/run.rs
@@ -1,4 +1,4 @@
-//! A run that holds an allocation: how long it will last, and what preempting it would lose.
+//! A run that holds an allocation: its expected remaining time and the cost of preempting it.
 
 use crate::allocation::Allocation;
 use crate::headroom::SlackClass;
@@ -7,23 +7,25 @@
 
 /// Cost of a core-second of lost work, in units of a small job's value.
 const COST_PER_CORE_SECOND: f64 = 0.016;
-/// An accelerator costs as much as this many cores.
+/// Number of cores whose cost equals that of one accelerator.
 const CORES_PER_GPU: f64 = 8.0;
-/// Stopping any run delays its job and costs another start.
+/// Fixed cost of stopping any run: the stop delays its job and causes another start.
 const COST_PER_STOP: f64 = 0.03;
-/// Two reports less far apart, in milliseconds or in percent of the work, tell nothing of the speed.
+/// Minimum distance between two reports, in milliseconds and in percent of the work, for an estimate of the
+/// speed.
 const MIN_REPORT_SPAN_MS: Millis = 100;
 const MIN_REPORT_PERCENT: f64 = 0.5;
-/// Estimates are rough: a run is expected to last this share of its estimate still, even when that is over.
+/// Minimum remaining time as a share of the estimate, even after the estimated time has passed: estimates are
+/// rough.
 const MIN_REMAINING_SHARE: f64 = 0.1;
-/// The same where reports tell how far the run is.
+/// Minimum remaining time as a share of the projected total, for a run with progress reports.
 const MIN_REMAINING_SHARE_BY_REPORT: f64 = 0.02;
-/// A run is expected to last this long at least, in milliseconds.
+/// Minimum remaining time of any run, in milliseconds.
 const MIN_REMAINING_MS: f64 = 1.0;
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 const MILLICORES_PER_CORE: f64 = 1_000.0;
 
-/// A run's report of its progress.
+/// A progress report of a run.
 #[derive(Clone, Copy, Debug)]
 struct ProgressReport {
     reported_at: Millis,
@@ -34,15 +36,15 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
     pub(crate) allocation: Allocation,
-    /// The slack class of its queue when it was enqueued.
+    /// Slack class of the run's queue when its unit was enqueued or the run was restored.
     pub(crate) slack_class: SlackClass,
-    /// When its capacity was allocated, by this primary.
+    /// Time at which this primary allocated the capacity or took over the run.
     allocated_at: Millis,
-    /// How long it had held its capacity before, under former primaries, in milliseconds.
+    /// How long the run had held its capacity under former primaries, in milliseconds.
     elapsed_before_ms: Millis,
-    /// How much longer it takes here than near its data.
+    /// Factor by which the run takes longer on this worker than near its data.
     pub(crate) remote_slowdown: f64,
-    /// A stop was ordered; the allocation is held until the end of the run is known.
+    /// Whether a stop was ordered. The allocation is held until the end of the run is known.
     pub(crate) stopping: bool,
     first_report: Option<ProgressReport>,
     last_report: Option<ProgressReport>,
@@ -64,7 +66,7 @@
         }
     }
 
-    /// A run that a former primary has started, and that has held its capacity for so long.
+    /// Restores a run that a former primary started and that had held its capacity for `elapsed_before_ms`.
     pub(crate) fn restored(
         now: Millis,
         elapsed_before_ms: Millis,
@@ -77,13 +79,14 @@
         }
     }
 
-    /// For how long it has held its capacity, under all primaries, in milliseconds.
+    /// How long the run has held its capacity under all primaries, in milliseconds.
     fn elapsed_ms(&self, now: Millis) -> Millis {
         now.saturating_sub(self.allocated_at)
             .saturating_add(self.elapsed_before_ms)
     }
 
-    /// Notes a report. Returns the run's total time near its data once, as soon as two reports tell it.
+    /// Records a progress report. Returns the run's projected total time near its data, once, as soon as the
+    /// reports are conclusive.
     pub(crate) fn record_progress(&mut self, now: Millis, percent: f64) -> Option<f64> {
         if !percent.is_finite() {
             return None;
@@ -102,7 +105,7 @@
         Some(total_ms / self.remote_slowdown)
     }
 
-    /// The run's total time, by what was done between the first and the last report.
+    /// Projects the run's total time from the progress between the first and the last report.
     fn projected_total_ms(&self) -> Option<f64> {
         let (first, last) = (self.first_report?, self.last_report?);
         let span_ms = last.reported_at.saturating_sub(first.reported_at);
@@ -111,7 +114,7 @@
         conclusive.then(|| span_ms as f64 * 100.0 / done_percent)
     }
 
-    /// How much longer it is expected to hold its allocation, in milliseconds.
+    /// How much longer the run is expected to hold its allocation, in milliseconds.
     pub(crate) fn expected_remaining_ms(
         &self,
         now: Millis,
@@ -155,11 +158,12 @@
             .max(MIN_REMAINING_MS)
     }
 
-    /// What stopping it now would lose, in units of a small job's value.
+    /// Cost of stopping the run now, in units of a small job's value.
     pub(crate) fn preemption_cost(&self, now: Millis, settings: &PlacementSettings) -> f64 {
-        // Also under former primaries: else a takeover would make all runs the cheapest victims at the same moment.
+        // Includes the time under former primaries; otherwise all runs would become the cheapest victims at
+        // once after a takeover.
         let elapsed_ms = self.elapsed_ms(now);
-        // A stop writes a checkpoint: then only continuing from it costs.
+        // A stop writes a checkpoint, so only the work that is repeated on resuming is lost.
         let lost_ms = if self.allocation.checkpoints {
             elapsed_ms.min(settings.checkpoint_restore_ms)
         } else {
--- a/crates/placement/src/run_estimate.rs
+++ b/crates/placement/src/run_estimate.rs
@@ -1,5 +1,5 @@
-//! How long a unit would run on a worker: its estimate, times what distance from its data and a slow worker add, plus what
-//! failures cost.
+//! Estimates how long a unit would run on a worker: its estimated run time, adjusted for remote data and a
+//! slow worker, plus the expected cost of failures.
 
 use crate::cluster::Cluster;
 use crate::policy::Mechanism;
@@ -9,16 +9,16 @@
 use streamusher_protocol::unit::Unit;
 use streamusher_protocol::Millis;
 
-/// A failed run costs a retry: so many run times for each task of penalty.
+/// Expected cost of retries, in run times of the unit, for each task of the worker's penalty.
 const RUNS_PER_PENALTY: f64 = 0.3;
-/// Least run time that a mean of a service stands for, in milliseconds.
+/// Lower bound of a service's mean run time when it replaces an estimate, in milliseconds.
 const MIN_RUN_MS: f64 = 1.0;
-/// Least run time on a worker, as a share of the usual.
+/// Lower bound of the run time on a worker, as a share of the run time on an average worker.
 const MIN_RELATIVE_RUN_TIME: f64 = 0.1;
-/// Puts workers that the unit avoids behind all others; in run times.
+/// Cost that ranks workers that the unit avoids behind all others, in run times.
 pub(crate) const AVOIDED_WORKER_COST: f64 = 100.0;
 
-/// Run time that the unit is expected to take on a usual worker near its data, in milliseconds.
+/// Expected run time of the unit on an average worker near its data, in milliseconds.
 pub(crate) fn usual_run_ms(view: &UnitView<'_>) -> f64 {
     match view.unit().estimated_ms {
         0 => view.service.usual_run_ms().max(MIN_RUN_MS),
@@ -26,7 +26,7 @@
     }
 }
 
-/// How much longer than usual a worker's runs have lately taken.
+/// Ratio of the run time on a worker to the service's average in recent runs.
 pub(crate) fn slowness(cluster: &Cluster, now: Millis, worker: &Worker, service: &Service) -> f64 {
     if cluster.uses(Mechanism::RelativeSpeed) {
         worker.speed.slowness(now, &service.speed)
@@ -35,7 +35,7 @@
     }
 }
 
-/// How much longer a run of the unit takes on a worker than near its data.
+/// Factor by which a run of the unit takes longer on a worker than near its data.
 pub(crate) fn remote_slowdown(cluster: &Cluster, unit: &Unit, worker: &Worker) -> f64 {
     let is_remote = unit
         .affinity
@@ -48,8 +48,8 @@
     }
 }
 
-/// What running on a worker costs beyond a usual run, in run times of the unit: distance from its data, a slow worker, its
-/// failures, and that the unit avoids it.
+/// Extra cost of a run on a worker, in run times of the unit: for remote data, a slow worker, the worker's
+/// failures, and a worker that the unit avoids.
 pub(crate) fn extra_cost(view: &UnitView<'_>, worker: &Worker) -> f64 {
     let remote_slowdown = if view.uses(Mechanism::DataLocality) {
         remote_slowdown(view.cluster, view.unit(), worker)
@@ -63,7 +63,7 @@
     avoided + remote_slowdown * slowness - 1.0 + RUNS_PER_PENALTY * penalty
 }
 
-/// How long the unit is expected to run on a worker, in milliseconds.
+/// Expected run time of the unit on a worker, in milliseconds.
 pub(crate) fn expected_run_ms(view: &UnitView<'_>, worker: &Worker) -> f64 {
     if view.unit().long_running {
         return f64::INFINITY;
--- a/crates/placement/src/run_time.rs
+++ b/crates/placement/src/run_time.rs
@@ -1,28 +1,30 @@
-//! Learning from run times: the relative speed of a worker, and the mean run time of a service.
+//! Run-time statistics: the relative speed of a worker and the mean run time of a service.
 
 use crate::decay::decayed;
 use streamusher_protocol::Millis;
 
-/// The newest observation's weight in a speed's mean is at least this.
+/// Minimum weight of the newest observation in the mean of a relative speed.
 const MIN_SPEED_WEIGHT: f64 = 0.15;
-/// The newest observation's weight in a mean run time is at least this.
+/// Minimum weight of the newest observation in a mean run time.
 const MIN_MEAN_WEIGHT: f64 = 0.05;
-/// The observations of a worker's speed halve in weight in this time, so that a slow worker is tried again.
+/// Half-life of the weight of a worker's speed observations. Old observations fade so that a slow worker is
+/// tried again.
 const SPEED_HALF_LIFE_MS: f64 = 10_000.0;
-/// A difference of so many standard errors is taken for noise.
+/// Differences from the baseline up to this many standard errors count as noise.
 const NOISE_STANDARD_ERRORS: f64 = 1.0;
-/// Standard deviation of one observation where few are known: estimates are rough.
+/// Standard deviation assumed for one observation while there are few of them. It is large because run-time
+/// estimates are rough.
 const INITIAL_DEVIATION: f64 = 1.0;
-/// Observations from which on the observed deviation counts.
+/// Number of observations from which the observed deviation replaces `INITIAL_DEVIATION`.
 const MIN_OBSERVATIONS_FOR_DEVIATION: f64 = 10.0;
-/// Run times of equal tasks differ by a tenth at least.
+/// Lower bound of the deviation: run times of identical tasks differ by at least a tenth.
 const MIN_DEVIATION: f64 = 0.1;
-/// Upper bound of the observations that are counted.
+/// Upper bound of the observation count, for both kinds of mean.
 const MAX_OBSERVATIONS: f64 = 20.0;
-/// Upper bound of a slowness, and of its inverse.
+/// Upper bound of a slowness; its inverse is the lower bound.
 const MAX_SLOWNESS: f64 = 8.0;
 
-/// How fast runs are, beside what is usual for them: the mean logarithm of the run time over the usual run time.
+/// Relative speed of runs: the mean logarithm of the ratio of observed to expected run time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RelativeSpeed {
     mean: f64,
@@ -32,7 +34,7 @@
 }
 
 impl RelativeSpeed {
-    /// Learns from a run that took `ratio` times the usual run time.
+    /// Records a run that took `ratio` times the expected run time.
     pub(crate) fn observe(&mut self, now: Millis, ratio: f64) {
         if !(ratio.is_finite() && ratio > 0.0) {
             return;
@@ -54,7 +56,7 @@
         self.variance.sqrt().clamp(MIN_DEVIATION, INITIAL_DEVIATION)
     }
 
-    /// The number of observations, as far as they count now.
+    /// Number of observations, decayed to the given time.
     fn weight_at(&self, now: Millis) -> f64 {
         if self.observations == 0.0 {
             return 0.0;
@@ -62,7 +64,8 @@
         decayed(self.observations, self.updated_at, now, SPEED_HALF_LIFE_MS)
     }
 
-    /// Run time over that of the usual worker, less what may be noise; 1 where too little is known.
+    /// Ratio of the run time to that of the baseline, less what may be noise; 1 if there are too few
+    /// observations.
     pub(crate) fn slowness(&self, now: Millis, usual: &RelativeSpeed) -> f64 {
         let weight = self.weight_at(now);
         if weight < 1.0 || usual.observations == 0.0 {
@@ -77,7 +80,8 @@
     }
 }
 
-/// Mean run time: the observations have equal weight at first, the newest a fixed weight later.
+/// Mean run time. Observations have equal weight at first; once there are many, the newest has a fixed
+/// weight.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MeanRunTime {
     mean_ms: f64,
--- a/crates/placement/src/scheduling.rs
+++ b/crates/placement/src/scheduling.rs
@@ -1,4 +1,4 @@
-//! The steps of a scheduling cycle, in their order.
+//! Steps of a scheduling cycle, in order.
 
 use crate::claim::claim_at_changed_workers;
 use crate::cluster::Cluster;
@@ -12,16 +12,16 @@
 use std::collections::BTreeSet;
 use streamusher_protocol::Millis;
 
-/// Units that are due for a retry and are taken up in one cycle; the others follow in the next.
+/// Maximum number of due retries in one cycle; the others follow in the next.
 const MAX_DUE_UNITS: usize = 64;
-/// New units that are looked at in one cycle, most urgent first. A new primary finds all that is pending at once, and must not
-/// be held up by it.
+/// Maximum number of new units examined in one cycle, most urgent first. A new primary finds all pending
+/// units at once and must not be blocked by them.
 const MAX_NEW_UNITS: usize = 1_000;
-/// Gangs of a service that are tried when capacity becomes free.
+/// Maximum number of gangs per service that are tried when capacity is freed.
 const MAX_GANGS_PER_SERVICE: usize = 8;
 
-/// Runs one cycle: units that are new or due get copies in queues, changed workers claim, and capacity is searched for what is
-/// left. A gang takes its turn among the claims by its place in the queue's order.
+/// Runs one cycle: new and due units get copies in workers' queues, changed workers claim units, and capacity
+/// is searched for the remaining ones. A gang is tried at its position in the queue order among the claims.
 pub(crate) fn run_cycle(cycle: &mut SchedulingCycle<'_>) {
     for service in cycle.cluster.services.values_mut() {
         service.refresh_headroom(cycle.now);
@@ -44,13 +44,14 @@
     }
 }
 
-/// The units that one cycle looks at.
+/// Units that one cycle examines.
 struct DueUnits {
     gangs: BTreeSet<QueueKey>,
     singles: BTreeSet<QueueKey>,
 }
 
-/// Takes the units that are new or due for a retry, and the first gangs of the services in which capacity became free.
+/// Takes the new units, those due for a retry, and the first gangs of each service in which capacity was
+/// freed.
 fn take_due_units(cluster: &mut Cluster, now: Millis) -> DueUnits {
     let mut keys = take_new_units(cluster);
     keys.extend(take_retries(cluster, now));
@@ -65,7 +66,8 @@
     DueUnits { gangs, singles }
 }
 
-/// The units that are due for a retry and whose time it is by their service's pacer; the others are postponed.
+/// Takes the units that are due for a retry and that their service's pacer lets through; the others are
+/// postponed.
 fn take_retries(cluster: &mut Cluster, now: Millis) -> Vec<QueueKey> {
     let mut keys = Vec::new();
     for key in cluster.queue.take_due(now, MAX_DUE_UNITS) {
@@ -97,7 +99,7 @@
     std::mem::replace(&mut cluster.new_units, left)
 }
 
-/// Notes what share of a worker a unit asks for; the first worker stands for all.
+/// Records the share of a worker that a unit requests. The service's first worker stands for all of them.
 fn observe_request(cluster: &mut Cluster, now: Millis, key: QueueKey) {
     let Some(pending) = cluster.queue.get(key) else {
         return;
--- a/crates/placement/src/service.rs
+++ b/crates/placement/src/service.rs
@@ -1,4 +1,4 @@
-//! One service: its workers, its demand, its pending gangs, and what is usual for its runs.
+//! State of one service: its workers, its demand, its pending gangs and the statistics of its runs.
 
 use crate::allocation::Allocation;
 use crate::decay::decayed;
@@ -15,16 +15,16 @@
 use streamusher_protocol::heartbeat::Resources;
 use streamusher_protocol::Millis;
 
-/// The headroom is worked out anew at this interval.
+/// Minimum interval between updates of the headroom, unless the schedulable workers change.
 const HEADROOM_REFRESH_INTERVAL_MS: Millis = 100;
-/// Usual run time before any run has ended.
+/// Mean run time that is assumed before any run has ended.
 const INITIAL_RUN_MS: f64 = 1_000.0;
-/// Below this share of use, a unit that has waited long takes any free capacity.
+/// Share of used capacity below which a unit that has waited long may use any free capacity.
 const LIGHT_USE_SHARE: f64 = 0.6;
-/// The largest request counts half after this time.
+/// Half-life of the largest request.
 const LARGEST_REQUEST_HALF_LIFE_MS: f64 = 30_000.0;
 
-/// The largest share of a worker that a unit has lately asked for; fades.
+/// Largest share of a worker that a unit has recently requested; decays with time.
 #[derive(Debug, Default)]
 struct LargestRequest {
     share: f64,
@@ -49,19 +49,19 @@
     }
 }
 
-/// One service.
+/// State of one service.
 #[derive(Debug, Default)]
 pub(crate) struct Service {
     pub(crate) pools: WorkerPools,
     /// Capacity of the schedulable workers.
     capacity: ResourceVector,
-    /// What runs hold there.
+    /// Capacity that runs hold on schedulable workers.
     used: ResourceVector,
     pub(crate) headroom: Headroom,
     headroom_refreshed_at: Option<Millis>,
     /// Units that hold reservations.
     pub(crate) reserving: BTreeSet<QueueKey>,
-    /// Pending gangs.
+    /// Gangs that are pending.
     pub(crate) gangs: BTreeSet<QueueKey>,
     pub(crate) speed: RelativeSpeed,
     /// Sum of the workers' penalties.
@@ -97,7 +97,7 @@
         worker.counted = Resources::default();
     }
 
-    /// Counts what the runs of a schedulable worker hold now.
+    /// Updates the service's total to what the runs of a worker hold now; only schedulable workers count.
     pub(crate) fn recount_use(&mut self, worker: &mut Worker) {
         let allocated = if worker.info.schedulable {
             worker.allocated.total()
@@ -110,7 +110,7 @@
         worker.counted = allocated;
     }
 
-    /// Lists a worker under its present load.
+    /// Moves a worker to its current load level in the pools.
     pub(crate) fn relist_worker(&mut self, index: WorkerIndex, worker: &Worker, before: LoadLevel) {
         self.pools
             .change_load(index, &worker.info.labels, before, worker.listed_load);
@@ -124,7 +124,8 @@
         shares.largest() < LIGHT_USE_SHARE
     }
 
-    /// When a pending unit that is due is looked at again. At once where much of the capacity is free: its wait has a bound.
+    /// Reserves the time at which a pending unit that is due is retried. It is immediate if much of the
+    /// capacity is free, because the wait of a unit is bounded then.
     pub(crate) fn reserve_retry(&mut self, now: Millis) -> Millis {
         if self.is_lightly_used() {
             now
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Works out the headroom anew where it is due.
+    /// Updates the headroom if the refresh interval has passed or the schedulable workers have changed.
     pub(crate) fn refresh_headroom(&mut self, now: Millis) {
         let is_fresh = |at: Millis| now < at.saturating_add(HEADROOM_REFRESH_INTERVAL_MS);
         if self.headroom_refreshed_at.is_some_and(is_fresh) {
@@ -143,17 +144,17 @@
         self.headroom.refresh(now, self.capacity);
     }
 
-    /// Mean run time of the service's runs that have ended.
+    /// Mean run time of the service's completed runs.
     pub(crate) fn usual_run_ms(&self) -> f64 {
         self.mean_run_time.get_or(INITIAL_RUN_MS)
     }
 
-    /// The penalty of one of the workers has changed.
+    /// Applies a change of one worker's penalty to the sum.
     pub(crate) fn change_penalty_sum(&mut self, now: Millis, change: f64) {
         self.penalty_sum.add_to_sum(now, change);
     }
 
-    /// How many runs a worker may have at once, by its penalty beside those of the others.
+    /// Number of concurrent runs that a worker may have, by its penalty relative to the mean of the service.
     pub(crate) fn max_concurrent_runs(&self, now: Millis, worker: &Worker) -> usize {
         let penalty = worker.penalty.value_at(now);
         if penalty == 0.0 {
@@ -163,13 +164,15 @@
         max_concurrent_runs(penalty, self.penalty_sum.value_at(now) / workers)
     }
 
-    /// Learns the run time of a run that ended well.
+    /// Records the run time of a successful run.
     pub(crate) fn observe_run_time(&mut self, ran_ms: Millis) {
         self.mean_run_time.observe(ran_ms as f64);
     }
 
-    /// Learns how fast a worker is from the time that a run takes, or took, near its data: beside the step's other tasks, or
-    /// beside its estimate where there are none. A gang's members all take the time of the slowest, and tell nothing.
+    /// Updates a worker's speed from the time that a run takes, or took, without the slowdown by remote data.
+    /// The time is compared with the step's other tasks, or with the run's estimate if there are none.
+    /// Members of a gang are ignored: all take the time of the slowest, which says nothing about their own
+    /// worker.
     pub(crate) fn observe_speed(
         &mut self,
         now: Millis,
@@ -190,12 +193,12 @@
         self.speed.observe(now, ratio);
     }
 
-    /// Notes what share of a worker a unit asks for.
+    /// Records the share of a worker that a unit requests.
     pub(crate) fn observe_request(&mut self, now: Millis, share: f64) {
         self.largest_request.observe(now, share);
     }
 
-    /// The largest share of a worker that was asked for lately.
+    /// Largest share of a worker that was recently requested.
     pub(crate) fn largest_request(&self, now: Millis) -> f64 {
         self.largest_request.value_at(now)
     }
--- a/crates/placement/src/single_task.rs
+++ b/crates/placement/src/single_task.rs
@@ -1,4 +1,4 @@
-//! A single task that was looked at and claimed by no worker yet.
+//! Placement of a single task that was examined in this cycle and that no worker has claimed yet.
 
 use crate::candidates::ranked_candidates;
 use crate::capacity_search::{is_worth_a_search, search_capacity};
@@ -8,11 +8,11 @@
 use crate::queue_copies::acceptable_workers;
 use crate::retry::schedule_retry;
 
-/// A task with fewer copies than this has others than their workers tried too.
+/// A task with fewer copies than this also tries acceptable workers that hold no copy of it.
 const MIN_COPIES: usize = 2;
 
-/// Tries once more to start a single task: on the workers with its copies, on any acceptable one; else searches capacity for
-/// it.
+/// Tries once more to start a single task, on the workers with its copies and then on any acceptable one;
+/// otherwise searches capacity for it.
 pub(crate) fn place_single_task(cycle: &mut SchedulingCycle<'_>, key: QueueKey) {
     let Some(pending) = cycle.cluster.queue.get(key) else {
         return;
@@ -38,7 +38,7 @@
             .is_some_and(|view| is_worth_a_search(&view, copies))
 }
 
-/// Whether one of the workers that are acceptable to the task took it.
+/// Tries to start the task on one of its acceptable workers. Returns whether it was started.
 fn claim_at_acceptable(cycle: &mut SchedulingCycle<'_>, key: QueueKey) -> bool {
     let ranked = ranked_candidates(cycle, key);
     let acceptable = cycle
@@ -47,7 +47,7 @@
     claim_at_any(cycle, key, &acceptable)
 }
 
-/// Whether one of the workers took the task.
+/// Tries to start the task on one of the workers, in order. Returns whether it was started.
 fn claim_at_any(cycle: &mut SchedulingCycle<'_>, key: QueueKey, workers: &[WorkerIndex]) -> bool {
     workers.iter().any(|index| {
         claim(cycle, key, *index);
--- a/crates/placement/src/step_run_times.rs
+++ b/crates/placement/src/step_run_times.rs
@@ -1,14 +1,14 @@
-//! Compares the run time of a task with those of its step's other tasks.
+//! Compares the run time of a task with those of the other tasks of its step.
 //!
-//! The tasks of a step are alike and share one estimate, right or wrong: their times tell workers apart far better than
-//! estimates do.
+//! The tasks of a step are alike and share one estimate, right or wrong, so their run times distinguish
+//! workers far better than estimates do.
 
 use std::collections::{BTreeMap, VecDeque};
 use streamusher_protocol::unit::StepId;
 
-/// Steps that are remembered, the newest: a bound of memory.
+/// Maximum number of steps kept, to bound memory; the oldest are evicted.
 const MAX_STEPS: usize = 1_024;
-/// Shorter run times tell nothing.
+/// Shorter run times are ignored as meaningless.
 const MIN_RUN_MS: f64 = 1.0;
 
 /// Mean logarithm of the run times of one step's tasks.
@@ -18,7 +18,7 @@
     observations: f64,
 }
 
-/// The run times of a service's newest steps.
+/// Run times of a service's most recent steps.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StepRunTimes {
     by_step: BTreeMap<StepId, MeanLogarithm>,
@@ -26,7 +26,8 @@
 }
 
 impl StepRunTimes {
-    /// Learns a task's run time near its data. Returns it over the mean of the step's tasks before it; none for the first.
+    /// Records a task's run time near its data. Returns its ratio to the geometric mean of the step's earlier
+    /// tasks, or `None` for the first.
     pub(crate) fn observe(&mut self, step: &StepId, run_ms: f64) -> Option<f64> {
         if !run_ms.is_finite() || run_ms < MIN_RUN_MS {
             return None;
--- a/crates/placement/src/unit_view.rs
+++ b/crates/placement/src/unit_view.rs
@@ -1,4 +1,4 @@
-//! A pending unit with its surroundings at one moment: what every question about where it may go depends on.
+//! Read-only view of a pending unit and the cluster at one point in time, the input of all placement queries.
 
 use crate::cluster::Cluster;
 use crate::index::QueueKey;
@@ -9,7 +9,7 @@
 use streamusher_protocol::unit::Unit;
 use streamusher_protocol::Millis;
 
-/// A pending unit, its service and the cluster, at one moment.
+/// A pending unit, its service and the cluster, at one point in time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct UnitView<'a> {
     pub(crate) cluster: &'a Cluster,
@@ -20,7 +20,7 @@
 }
 
 impl<'a> UnitView<'a> {
-    /// None where the unit is not pending.
+    /// Returns `None` if the unit is not pending.
     pub(crate) fn new(cluster: &'a Cluster, now: Millis, key: QueueKey) -> Option<UnitView<'a>> {
         let pending = cluster.queue.get(key)?;
         let service = cluster.services.get(&pending.unit.service)?;
@@ -45,7 +45,7 @@
         self.cluster.uses(mechanism)
     }
 
-    /// The workers that have the label that the unit asks for, or all.
+    /// Pool of the workers with the label that the unit requires, or of all workers of its service.
     pub(crate) fn pool(&self) -> Option<&'a WorkerPool> {
         let label = self.pending.unit.node_selector.as_deref();
         self.service.pools.with_label(label)
--- a/crates/placement/src/wait_diagnosis.rs
+++ b/crates/placement/src/wait_diagnosis.rs
@@ -1,4 +1,4 @@
-//! Notes, at each look at a unit that does not start, why it waits from now on.
+//! Records why a unit waits, each time that it is examined and not started.
 
 use crate::cluster::Cluster;
 use crate::eligibility::is_eligible;
@@ -7,10 +7,10 @@
 use crate::wait_reason::WaitReason;
 use streamusher_protocol::Millis;
 
-/// Workers that one look takes in: those of the unit's copies first.
+/// Workers examined per unit; those with a copy of the unit come first.
 const MAX_WORKERS_EXAMINED: usize = 32;
 
-/// Notes why a unit waits that was looked at and did not start.
+/// Records why a unit waits that was examined and not started.
 pub(crate) fn record_wait_reason(cluster: &mut Cluster, now: Millis, key: QueueKey) {
     let Some(view) = UnitView::new(cluster, now, key) else {
         return;
@@ -21,7 +21,8 @@
     }
 }
 
-/// The reason by the workers that one look takes in; [`explain`](crate::explain::explain) looks at all.
+/// Reason derived from a bounded number of workers; [`explain`](crate::explain::explain) examines all of
+/// them.
 fn wait_reason(view: &UnitView<'_>) -> WaitReason {
     if !view.pending.reserved_at.is_empty() {
         return WaitReason::CapacityReserved;
--- a/crates/placement/src/wait_escalation.rs
+++ b/crates/placement/src/wait_escalation.rs
@@ -1,7 +1,7 @@
-//! Escalation by waiting time: the longer a unit has waited, the more workers and capacity it may take.
+//! Escalation by waiting time: the longer a unit has waited, the more workers and capacity it may use.
 //!
-//! It bounds every wait: no unit waits for 3 s while its service has much free capacity. `docs/design/waiting.md` lists each
-//! state in which a unit can wait, with its bound.
+//! Escalation bounds every wait: no unit waits for 3 s while much of its service's capacity is free.
+//! `docs/design/waiting.md` lists each state in which a unit can wait, with its bound.
 
 use crate::policy::Mechanism;
 use crate::reservation::HeadroomAccess;
@@ -9,16 +9,16 @@
 use crate::worker::Worker;
 use streamusher_protocol::Millis;
 
-/// From this wait on no worker is too far, too slow or too often at fault.
+/// Waiting time from which a unit accepts workers that are remote, slow or prone to failure.
 pub(crate) const ANY_WORKER_AFTER_MS: Millis = 1_500;
-/// From this wait on workers that the unit avoids are taken too.
+/// Waiting time from which a unit also accepts workers that it avoids.
 pub(crate) const AVOIDED_WORKERS_AFTER_MS: Millis = 6_000;
-/// From this wait on small units take even what runs were preempted for.
+/// Waiting time from which small units may use even capacity that runs were preempted for.
 const PREEMPTED_CAPACITY_AFTER_MS: Millis = 2_300;
-/// Units that take less of a worker are small.
+/// A unit is small if one of its tasks takes less than this share of a worker.
 const SMALL_SHARE: f64 = 0.2;
 
-/// Whether a unit takes any free capacity that there is: it has waited long in a service with much free capacity.
+/// Whether a unit may use any free capacity: it has waited long in a service with much free capacity.
 pub(crate) fn takes_any_capacity(view: &UnitView<'_>) -> bool {
     view.uses(Mechanism::WaitEscalation)
         && !view.unit().speculative
@@ -26,8 +26,8 @@
         && view.service.is_lightly_used()
 }
 
-/// What a unit may take of the capacity of a worker that is kept for others. What was preempted for others goes to small
-/// units only: for a large one it would have to be preempted again.
+/// Returns how much of a worker's capacity that is kept for others the unit may use. Capacity freed by
+/// preemption for others is open only to small units: a large unit would cause another preemption.
 pub(crate) fn headroom_access(view: &UnitView<'_>, worker: &Worker) -> HeadroomAccess {
     if !takes_any_capacity(view) {
         return HeadroomAccess::Denied;
--- a/crates/placement/src/wait_history.rs
+++ b/crates/placement/src/wait_history.rs
@@ -1,20 +1,20 @@
-//! Where a unit's time in the queue went: each span counts for the reason that was found at its start.
+//! A unit's time in the queue by reason. Each span is attributed to the reason that was found at its start.
 
 use crate::decision::TimeWaited;
 use crate::wait_reason::WaitReason;
 use streamusher_protocol::Millis;
 
-/// The time that a unit has waited, by reason.
+/// Time that a unit has waited, by reason.
 #[derive(Clone, Debug)]
 pub(crate) struct WaitHistory {
-    /// The reason of the span that goes on; none before the first.
+    /// Reason of the open span; `None` before the first reason is recorded.
     current: Option<WaitReason>,
     since: Millis,
     totals: Vec<TimeWaited>,
 }
 
 impl WaitHistory {
-    /// The history of a unit that is enqueued now.
+    /// Creates the history of a unit that is enqueued at `now`.
     pub(crate) fn new(now: Millis) -> WaitHistory {
         WaitHistory {
             current: None,
@@ -23,13 +23,13 @@
         }
     }
 
-    /// From now on the unit waits for this reason.
+    /// Ends the open span and starts one with this reason.
     pub(crate) fn record_reason(&mut self, now: Millis, reason: WaitReason) {
         self.close_span(now);
         self.current = Some(reason);
     }
 
-    /// All totals, as the unit starts now.
+    /// Ends the open span as the unit starts, and returns all totals.
     pub(crate) fn finish(mut self, now: Millis) -> Vec<TimeWaited> {
         self.close_span(now);
         self.totals
--- a/crates/placement/src/wait_reason.rs
+++ b/crates/placement/src/wait_reason.rs
@@ -1,55 +1,56 @@
-//! Why a unit waits: the reasons, and the answer to an operator who asks.
+//! Reasons why a unit waits, and the explanation that is returned to an operator.
 
 use serde::{Deserialize, Serialize};
 use streamusher_protocol::Millis;
 
-/// Why a unit waits: the first of these that holds.
+/// Why a unit waits. If several reasons hold, the first in this order is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum WaitReason {
-    /// Its service has no schedulable worker.
+    /// The unit's service has no schedulable worker.
     #[serde(rename = "no_worker_takes_work")]
     NoSchedulableWorker,
-    /// No schedulable worker has the label that it asks for.
+    /// No schedulable worker has the label that the unit requires.
     #[serde(rename = "no_worker_has_its_label")]
     NoMatchingLabel,
     /// No schedulable worker with the label is large enough, even when empty.
     #[serde(rename = "no_worker_is_large_enough")]
     NoWorkerLargeEnough,
-    /// Every worker that could run it has as many tasks of its step as the step's `anti_affinity` allows.
+    /// Every eligible worker already has as many tasks of the unit's step as the step's `anti_affinity`
+    /// allows.
     #[serde(rename = "no_worker_is_below_its_limit")]
     AntiAffinityLimitReached,
-    /// Capacity is reserved for it and becomes free soon.
+    /// Capacity is reserved for the unit and becomes free soon.
     #[serde(rename = "room_is_kept")]
     CapacityReserved,
-    /// No eligible worker has the capacity free.
+    /// No eligible worker has enough free capacity.
     #[serde(rename = "no_room_is_free")]
     NoFreeCapacity,
-    /// Capacity is free, but reserved for others, or on workers that are avoided for their failures.
+    /// Capacity is free, but it is reserved for others or on workers that are avoided because of failures.
     #[serde(rename = "room_is_kept_for_others")]
     CapacityReservedForOthers,
 }
 
-/// Why a unit waits, with the counts that lead to the reason.
+/// Why a unit waits, with the counts that the reason is derived from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaitExplanation {
-    /// Why it waits.
+    /// Reason for the wait.
     pub reason: WaitReason,
-    /// For how long it has waited, in milliseconds.
+    /// How long the unit has waited, in milliseconds.
     pub waited_ms: Millis,
-    /// Units of all services that come before it.
+    /// Number of units, of all services, that come earlier in the queue.
     #[serde(rename = "ahead")]
     pub units_ahead: usize,
-    /// Schedulable workers of its service.
+    /// Number of schedulable workers of the unit's service.
     #[serde(rename = "open_workers")]
     pub schedulable_workers: usize,
-    /// Workers among them that could run it if they were empty.
+    /// Number of these workers that could run the unit if they were empty.
     pub eligible_workers: usize,
-    /// Eligible workers at which the step's `anti_affinity` allows one more of its tasks.
+    /// Number of eligible workers on which the step's `anti_affinity` allows one more task.
     #[serde(rename = "workers_below_limit", default)]
     pub workers_below_limit: usize,
-    /// Workers among these that have the capacity free.
+    /// Number of workers below the limit that have enough free capacity for one task of the unit.
     #[serde(rename = "workers_with_room")]
     pub workers_with_free_capacity: usize,
-    /// Workers in whose queues it has a copy.
+    /// Number of workers whose queue holds a copy of the unit.
     pub copies: usize,
 }
--- a/crates/placement/src/worker.rs
+++ b/crates/placement/src/worker.rs
@@ -1,4 +1,5 @@
-//! One worker: its runs, its queue of unit copies, its reservations, and what is learnt of it.
+//! State of one worker: its runs, its queue of unit copies, its reservations, and what is learned from its
+//! runs.
 
 use crate::capacity::AllocatedCapacity;
 use crate::index::QueueKey;
@@ -15,26 +16,26 @@
 use streamusher_protocol::unit::Unit;
 use streamusher_protocol::Millis;
 
-/// A unit takes capacity that is kept for others only where this many times its demand is free.
+/// A unit may use capacity that is kept for others only if this many times its demand is free.
 const FREE_MULTIPLE_FOR_ACCESS: u64 = 2;
 
-/// One worker.
+/// State of one worker.
 #[derive(Debug)]
 pub(crate) struct Worker {
     pub(crate) info: WorkerInfo,
     pub(crate) runs: BTreeMap<TaskId, Run>,
-    /// What the runs hold.
+    /// Capacity that the runs hold.
     pub(crate) allocated: AllocatedCapacity,
-    /// Copies of units that wait here.
+    /// Copies of pending units in this worker's queue.
     pub(crate) queue: BTreeSet<QueueKey>,
-    /// What the copies ask for.
+    /// Resources that the queued copies request.
     queued: Resources,
     pub(crate) reservations: Vec<Reservation>,
     pub(crate) penalty: Penalty,
     pub(crate) speed: RelativeSpeed,
-    /// The load under which the service's pools list it.
+    /// Load under which the service's pools list this worker.
     pub(crate) listed_load: LoadLevel,
-    /// What the service's total counts as allocated here.
+    /// Allocated capacity of this worker as included in the service's total.
     pub(crate) counted: Resources,
 }
 
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Allocates capacity for a run. False if the task has an allocation here already.
+    /// Allocates capacity for a run. Returns false if the task already has an allocation here.
     pub(crate) fn allocate(&mut self, task: &TaskId, run: Run) -> bool {
         if self.runs.contains_key(task) {
             return false;
@@ -71,7 +72,7 @@
         Some(run)
     }
 
-    /// Notes that a stop was ordered for a run.
+    /// Records that a stop was ordered for a run.
     pub(crate) fn mark_stopping(&mut self, task: &TaskId) {
         let Some(run) = self.runs.get_mut(task).filter(|run| !run.stopping) else {
             return;
@@ -113,7 +114,7 @@
             .covers(demand)
     }
 
-    /// Share of the capacity that is allocated or asked for by queued copies.
+    /// Share of the capacity that is allocated or requested by queued copies.
     pub(crate) fn load(&self) -> f64 {
         let claimed = self.allocated.total().saturating_add(&self.queued);
         dominant_share(&claimed, &self.info.capacity)
@@ -123,17 +124,17 @@
         self.info.labels.iter().any(|own| &**own == label)
     }
 
-    /// Whether a run of a task is here of which a speculative second run is sought.
+    /// Whether the unit is a speculative second run and this worker already runs the same task.
     pub(crate) fn runs_same_task(&self, unit: &Unit) -> bool {
         unit.speculative && unit.tasks.iter().any(|task| self.runs.contains_key(task))
     }
 
-    /// Whether the unit's limit of its step's tasks on one worker admits one more.
+    /// Whether the unit's anti-affinity limit, on tasks of its step per worker, admits one more task here.
     pub(crate) fn admits_by_anti_affinity(&self, unit: &Unit) -> bool {
         unit.anti_affinity == 0 || self.allocated.tasks_of(&unit.id.step) < unit.anti_affinity
     }
 
-    /// Queues a copy of a unit. False if it has one here already.
+    /// Queues a copy of a unit. Returns false if the unit already has a copy here.
     pub(crate) fn add_copy(&mut self, key: QueueKey, demand: &Resources) -> bool {
         let new = self.queue.insert(key);
         if new {
@@ -148,14 +149,15 @@
         }
     }
 
-    /// A unit has a new key: its copy takes the new place in the queue.
+    /// Replaces the key of a queued copy after its unit was reordered; the copy moves to its new position in
+    /// the queue.
     pub(crate) fn rename_copy(&mut self, key: QueueKey, new_key: QueueKey) {
         if self.queue.remove(&key) {
             self.queue.insert(new_key);
         }
     }
 
-    /// Reserves capacity for a unit, in place of what was reserved for it before.
+    /// Reserves capacity for a unit, replacing any earlier reservation of the unit on this worker.
     pub(crate) fn reserve(&mut self, reservation: Reservation) {
         self.cancel_reservation(reservation.unit);
         self.reservations.push(reservation);
--- a/crates/placement/src/worker_info.rs
+++ b/crates/placement/src/worker_info.rs
@@ -7,33 +7,33 @@
 /// A worker as its heartbeats describe it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerInfo {
-    /// Its identifier, new for each start of the worker's process.
+    /// Identifier, new for each start of the worker's process.
     pub id: WorkerId,
-    /// The service whose units it runs.
+    /// Service whose units the worker runs.
     pub service: Arc<str>,
-    /// Its zone.
+    /// Zone that the worker is in.
     pub zone: Arc<str>,
-    /// Its labels: the kind first, then the rack.
+    /// Labels of the worker: the kind first, then the rack.
     pub labels: Vec<Arc<str>>,
-    /// Its capacity when nothing runs there.
+    /// Total capacity of the worker when it runs nothing.
     pub capacity: Resources,
-    /// Whether it may be given new work: it is heard of and does not drain.
+    /// Whether new tasks may be assigned to the worker: it sends heartbeats and is not draining.
     pub schedulable: bool,
 }
 
-/// A worker with what placement knows of it, for status pages.
+/// Status of a worker, for status pages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerStatus {
-    /// The worker.
+    /// Worker as last reported.
     pub info: WorkerInfo,
-    /// Capacity allocated to runs that are ordered, at work or stopping.
+    /// Capacity allocated to runs that are ordered, running or stopping.
     pub used: Resources,
     /// Number of runs that hold an allocation.
     pub runs: usize,
-    /// Number of unit copies in its queue.
+    /// Number of unit copies in the worker's queue.
     pub queued: usize,
-    /// Penalty for its failures, in tasks; see `docs/design/placement.md`.
+    /// Penalty for the worker's failures, measured in tasks; see `docs/design/placement.md`.
     pub penalty: f64,
-    /// Run time on this worker over the usual run time of its service.
+    /// Ratio of the run time on this worker to the average of its service.
     pub slowness: f64,
 }
--- a/crates/placement/src/worker_lifecycle.rs
+++ b/crates/placement/src/worker_lifecycle.rs
@@ -1,4 +1,4 @@
-//! Workers come, change and go, and runs hold and release allocations there.
+//! Lifecycle of workers and of the runs on them: joining, updates, removal, allocation and release.
 
 use crate::allocation::{Allocation, ReleaseReason};
 use crate::cluster::Cluster;
@@ -16,7 +16,7 @@
 use streamusher_protocol::unit::WorkerId;
 use streamusher_protocol::Millis;
 
-/// Adds a worker, or takes over what has changed. Returns its index if there was anything new.
+/// Adds or updates a worker. Returns its index, or `None` if nothing has changed.
 pub(crate) fn update_worker(cluster: &mut Cluster, info: WorkerInfo) -> Option<WorkerIndex> {
     let index = match cluster.workers.index_of(&info.id) {
         Some(index) => {
@@ -42,7 +42,7 @@
     Some(index)
 }
 
-/// Replaces a worker's penalty by that which a former primary has learnt.
+/// Replaces a worker's penalty by the one that a former primary learned.
 pub(crate) fn set_penalty(
     cluster: &mut Cluster,
     now: Millis,
@@ -88,7 +88,7 @@
     }
 }
 
-/// Allocates capacity for a run that a former primary has started. The worker has to be known.
+/// Allocates capacity for a run that a former primary started. The worker must be known.
 pub(crate) fn restore_run(
     cluster: &mut Cluster,
     now: Millis,
@@ -119,7 +119,7 @@
     cluster.update_load(index);
 }
 
-/// Releases a run's allocation, and learns from how it ended.
+/// Releases a run's allocation and learns from how the run ended.
 pub(crate) fn release(
     cluster: &mut Cluster,
     now: Millis,
@@ -145,7 +145,7 @@
         .insert(run.allocation.service);
 }
 
-/// A worker that is known by its runs only: it takes no work until it reports itself.
+/// Description of a worker that is known only by its runs. It is not schedulable until it reports itself.
 pub(crate) fn unreported_worker(id: &WorkerId, service: &Arc<str>) -> WorkerInfo {
     WorkerInfo {
         id: id.clone(),
--- a/crates/placement/src/worker_pool.rs
+++ b/crates/placement/src/worker_pool.rs
@@ -1,23 +1,24 @@
-//! Pools of workers: all of a service, and those with one label, each listed by load.
+//! Pools of workers, ordered by load: one of all workers of a service, and one per label.
 
 use crate::index::WorkerIndex;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Which of a worker's labels names its rack.
+/// Position of the rack among a worker's labels.
 const RACK_LABEL: usize = 1;
 
-/// A worker's load in hundredths of its capacity, up to twice the capacity: finer or higher levels would change nothing.
+/// A worker's load in hundredths of its capacity, up to twice the capacity. A finer or higher scale would
+/// make no difference.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct LoadLevel(u32);
 
 impl LoadLevel {
-    /// The level of a worker whose capacity is allocated.
+    /// Level of a worker whose whole capacity is allocated.
     const FULL: LoadLevel = LoadLevel(100);
     const PER_CAPACITY: f64 = 100.0;
     const MAX: f64 = 200.0;
 
-    /// The level of a load that is given as a share of the capacity.
+    /// Converts a load given as a share of the capacity.
     #[expect(
         clippy::cast_possible_truncation,
         reason = "clamped to the greatest level; the fraction is meant to be cut off"
@@ -27,10 +28,10 @@
     }
 }
 
-/// Workers with one label, or all of a service.
+/// The workers with one label, or all workers of a service.
 #[derive(Debug, Default)]
 pub(crate) struct WorkerPool {
-    /// In no particular order, for random choices.
+    /// In no particular order; used for random sampling.
     pub(crate) members: Vec<WorkerIndex>,
     by_load: BTreeSet<(LoadLevel, WorkerIndex)>,
 }
@@ -52,19 +53,19 @@
         self.by_load.insert((load, worker));
     }
 
-    /// The members, least loaded first.
+    /// Members in order of load, least loaded first.
     pub(crate) fn least_loaded(&self) -> impl Iterator<Item = WorkerIndex> + '_ {
         self.by_load.iter().map(|(_, worker)| *worker)
     }
 
-    /// The members that may have free capacity, most loaded first.
+    /// Members that may have free capacity, most loaded first.
     pub(crate) fn most_loaded_below_full(&self) -> impl Iterator<Item = WorkerIndex> + '_ {
         let below_full = self.by_load.range(..(LoadLevel::FULL, WorkerIndex(0)));
         below_full.rev().map(|(_, worker)| *worker)
     }
 }
 
-/// The pools of one service.
+/// Worker pools of one service.
 #[derive(Debug, Default)]
 pub(crate) struct WorkerPools {
     pub(crate) all: WorkerPool,
@@ -126,7 +127,7 @@
         }
     }
 
-    /// The workers with a label, or all.
+    /// Pool of the workers with a label, or of all workers if `label` is `None`.
     pub(crate) fn with_label(&self, label: Option<&str>) -> Option<&WorkerPool> {
         match label {
             Some(label) => self.by_label.get(label),
@@ -134,7 +135,7 @@
         }
     }
 
-    /// The workers of each rack, in the order of the racks' labels.
+    /// Pool of each rack, in the order of the rack labels.
     pub(crate) fn racks(&self) -> impl Iterator<Item = &WorkerPool> {
         let racks = self.workers_by_rack.keys();
         racks.filter_map(|rack| self.by_label.get(rack))
--- a/crates/placement/src/worker_table.rs
+++ b/crates/placement/src/worker_table.rs
@@ -1,11 +1,11 @@
-//! All workers, by index and by identifier.
+//! Table of all workers, by index and by identifier.
 
 use crate::index::WorkerIndex;
 use crate::worker::Worker;
 use std::collections::HashMap;
 use streamusher_protocol::unit::WorkerId;
 
-/// All workers. Indexes are dense and reused, so that lookups by index cost little.
+/// Table of all workers. Indexes are dense and reused, which keeps lookups by index cheap.
 #[derive(Debug, Default)]
 pub(crate) struct WorkerTable {
     entries: Vec<Option<Worker>>,
