--- a/crates/placement/src/admission.rs
+++ b/crates/placement/src/admission.rs
@@ -53,11 +53,11 @@
 ) -> impl Iterator<Item = HeadroomShare> + 'a {
     let view = *view;
     let is_overdue = remaining_wait_ms(&view) <= 0.0;
-    let waited = view.waited_ms() as f64 / max_wait_ms(&view).max(1.0);
+    let waited_share = view.waited_ms() as f64 / max_wait_ms(&view).max(1.0);
     let priority = view.unit().priority;
     view.service
         .headroom
-        .against(view.pending.slack_class, waited)
+        .shares_against(view.pending.slack_class, waited_share)
         .filter(move |_| view.uses(Mechanism::Headroom))
         .filter(move |share| !is_overdue || share.most_urgent_priority < priority)
 }
@@ -82,9 +82,9 @@
     let capacity = ResourceVector::from(&worker.info.capacity);
     let demand = ResourceVector::from(&view.unit().resources);
     headroom_against(view).all(|headroom| {
-        let behind = worker.allocated.behind_class(headroom.up_to);
-        let limit = capacity.less_shares(headroom.shares);
-        let used = ResourceVector::from(&behind) + demand;
-        behind == Resources::default() || used.fits_within(&limit)
+        let used_above = worker.allocated.above_slack_class(headroom.up_to);
+        let limit = capacity.minus_shares(headroom.shares);
+        let used = ResourceVector::from(&used_above) + demand;
+        used_above == Resources::default() || used.fits_within(&limit)
     })
 }
--- a/crates/placement/src/candidates.rs
+++ b/crates/placement/src/candidates.rs
@@ -14,9 +14,9 @@
 /// Number of workers sampled at random from a larger pool.
 const RANDOM_SAMPLE: usize = 6;
 /// Number of workers taken from each end of the pool's order by load.
-const PER_END_OF_LOAD: usize = 6;
+const TAKEN_PER_LOAD_EXTREME: usize = 6;
 /// Maximum number of workers scanned at each end to find eligible ones.
-const SCANNED_PER_END: usize = 24;
+const SCANNED_PER_LOAD_EXTREME: usize = 24;
 
 /// Ranked candidates for a unit, best first; those that the unit avoids come last.
 pub(crate) fn ranked_candidates(
@@ -40,7 +40,7 @@
         add_by_load(&view, pool, &mut candidates);
         candidates
     };
-    let mut ranked: Vec<RankedWorker> = eligible_once(&view, candidates)
+    let mut ranked: Vec<RankedWorker> = dedup_eligible(&view, candidates)
         .into_iter()
         .filter_map(|index| rank(&view, index))
         .collect();
@@ -54,25 +54,29 @@
 
 /// Adds workers by load: from the pool, and from the rack with the unit's data.
 fn add_by_load(view: &UnitView<'_>, pool: &WorkerPool, candidates: &mut Vec<WorkerIndex>) {
-    add_ends_of_load(view, pool, candidates);
+    add_load_extremes(view, pool, candidates);
     let data_rack = view.unit().affinity.as_deref();
-    let near_data = data_rack.and_then(|rack| view.service.pools.with_label(Some(rack)));
-    if let Some(near_data) = near_data {
-        add_ends_of_load(view, near_data, candidates);
+    let data_rack_pool = data_rack.and_then(|rack| view.service.pools.with_label(Some(rack)));
+    if let Some(data_rack_pool) = data_rack_pool {
+        add_load_extremes(view, data_rack_pool, candidates);
     }
 }
 
 /// Adds the least loaded workers of a pool, and the most loaded ones that may have free capacity.
-fn add_ends_of_load(view: &UnitView<'_>, pool: &WorkerPool, candidates: &mut Vec<WorkerIndex>) {
+fn add_load_extremes(view: &UnitView<'_>, pool: &WorkerPool, candidates: &mut Vec<WorkerIndex>) {
     let is_eligible = |index: &WorkerIndex| is_eligible(&view.cluster.workers, view.unit(), *index);
-    let least_loaded = pool.least_loaded().take(SCANNED_PER_END);
-    candidates.extend(least_loaded.filter(is_eligible).take(PER_END_OF_LOAD));
-    let most_loaded = pool.most_loaded_below_full().take(SCANNED_PER_END);
-    candidates.extend(most_loaded.filter(is_eligible).take(PER_END_OF_LOAD));
+    let least_loaded = pool.least_loaded().take(SCANNED_PER_LOAD_EXTREME);
+    candidates.extend(
+        least_loaded
+            .filter(is_eligible)
+            .take(TAKEN_PER_LOAD_EXTREME),
+    );
+    let most_loaded = pool.most_loaded_below_full().take(SCANNED_PER_LOAD_EXTREME);
+    candidates.extend(most_loaded.filter(is_eligible).take(TAKEN_PER_LOAD_EXTREME));
 }
 
 /// Removes ineligible and duplicate workers and sorts by index.
-fn eligible_once(view: &UnitView<'_>, mut candidates: Vec<WorkerIndex>) -> Vec<WorkerIndex> {
+fn dedup_eligible(view: &UnitView<'_>, mut candidates: Vec<WorkerIndex>) -> Vec<WorkerIndex> {
     candidates.retain(|index| is_eligible(&view.cluster.workers, view.unit(), *index));
     candidates.sort_unstable();
     candidates.dedup();
--- a/crates/placement/src/capacity.rs
+++ b/crates/placement/src/capacity.rs
@@ -72,7 +72,7 @@
     }
 
     /// Resources held by runs of classes with more slack than the given one.
-    pub(crate) fn behind_class(&self, class: SlackClass) -> Resources {
+    pub(crate) fn above_slack_class(&self, class: SlackClass) -> Resources {
         sum_after(&self.by_slack_class, &class)
     }
 
--- a/crates/placement/src/capacity_search.rs
+++ b/crates/placement/src/capacity_search.rs
@@ -14,8 +14,8 @@
 use streamusher_protocol::Millis;
 
 /// Capacity that is expected to become free within this time is waited for instead of preempting runs.
-const SOON_MS: f64 = 300.0;
-/// Waiting time from which a unit that may preempt runs no longer waits for runs to end.
+const SHORT_WAIT_MS: f64 = 300.0;
+/// Waiting time from which a unit that may preempt, but not reserve, no longer waits for runs to end.
 const PREEMPT_AFTER_MS: Millis = 700;
 /// Waiting time from which capacity is reserved far ahead for a unit that may not preempt yet.
 const RESERVE_AHEAD_AFTER_MS: Millis = 300;
@@ -47,15 +47,15 @@
     let max_cost = max_cost(&view);
     let found = scopes(&view, groups).into_iter().find_map(|scope| {
         let plan = cheapest_plan(&view, groups, scope)?;
-        (plan.cost <= max_cost).then_some((plan, scope.waits_for_ms()?))
+        (plan.cost <= max_cost).then_some((plan, scope.max_remaining_ms()?))
     });
     if let Some((plan, within_ms)) = found {
-        carry_out(cycle, key, plan, within_ms);
+        apply_plan(cycle, key, plan, within_ms);
     }
 }
 
 /// Whether a search could succeed; a cheap check before workers are ranked.
-pub(crate) fn is_worth_a_search(view: &UnitView<'_>, workers: &[WorkerIndex]) -> bool {
+pub(crate) fn search_may_succeed(view: &UnitView<'_>, workers: &[WorkerIndex]) -> bool {
     !view.unit().speculative && (may_preempt(view, workers) || may_reserve(view, workers))
 }
 
@@ -68,9 +68,11 @@
     let remaining_ms = remaining_wait_ms(view);
     let mut scopes = Vec::new();
     if may_reserve || may_preempt && waited_ms < PREEMPT_AFTER_MS {
-        scopes.push(PreemptionScope::EndingSoon { within_ms: SOON_MS });
+        scopes.push(PreemptionScope::EndingSoon {
+            within_ms: SHORT_WAIT_MS,
+        });
     }
-    if may_reserve && remaining_ms > SOON_MS {
+    if may_reserve && remaining_ms > SHORT_WAIT_MS {
         scopes.push(PreemptionScope::EndingSoon {
             within_ms: remaining_ms,
         });
@@ -87,7 +89,7 @@
 
 fn preempting_scopes(view: &UnitView<'_>) -> Vec<PreemptionScope> {
     let mut scopes = vec![PreemptionScope::Preempting {
-        within_ms: SOON_MS,
+        within_ms: SHORT_WAIT_MS,
         gang_members: false,
     }];
     if view.pending.is_gang() {
@@ -98,7 +100,7 @@
     }
     if view.unit().priority == 0 {
         scopes.push(PreemptionScope::Preempting {
-            within_ms: SOON_MS,
+            within_ms: SHORT_WAIT_MS,
             gang_members: true,
         });
     }
@@ -127,7 +129,7 @@
     let is_large = first.is_some_and(|worker| view.pending.share_of(worker) >= MIN_RESERVED_SHARE);
     view.uses(Mechanism::Reservations)
         && (view.pending.is_gang() || is_large)
-        && service.reserving.len() < max_units
+        && service.reserving_units.len() < max_units
 }
 
 fn max_cost(view: &UnitView<'_>) -> f64 {
@@ -141,7 +143,7 @@
 }
 
 /// Reserves the capacity of a plan and orders its preemptions.
-fn carry_out(cycle: &mut SchedulingCycle<'_>, key: QueueKey, plan: GangPlan, within_ms: f64) {
+fn apply_plan(cycle: &mut SchedulingCycle<'_>, key: QueueKey, plan: GangPlan, within_ms: f64) {
     let window = reservation_window(cycle, &plan, within_ms);
     for assignment in plan.assignments {
         let by_preemption = !assignment.victims.is_empty();
--- a/crates/placement/src/claim.rs
+++ b/crates/placement/src/claim.rs
@@ -8,7 +8,7 @@
 use crate::decision::Decision;
 use crate::index::{QueueKey, WorkerIndex};
 use crate::pending_unit::PendingUnit;
-use crate::resource_vector::times;
+use crate::resource_vector::multiply;
 use crate::run::Run;
 use crate::run_estimate::remote_slowdown;
 use std::collections::BTreeMap;
@@ -51,11 +51,11 @@
             .take(MAX_COPIES_SCANNED)
             .copied()
             .collect();
-        let decided = cycle.decisions.len();
+        let decisions_before = cycle.decisions.len();
         for key in keys {
             claim(cycle, key, index);
         }
-        if cycle.decisions.len() == decided {
+        if cycle.decisions.len() == decisions_before {
             return;
         }
     }
@@ -132,7 +132,7 @@
         *counts.entry(placement.worker).or_insert(0) += 1;
     }
     counts.into_iter().all(|(index, count)| {
-        let demand = times(&pending.unit.resources, count);
+        let demand = multiply(&pending.unit.resources, count);
         let worker = cluster.workers.get(index);
         worker.is_some_and(|worker| worker.free().covers(&demand))
     })
--- a/crates/placement/src/cluster.rs
+++ b/crates/placement/src/cluster.rs
@@ -6,7 +6,7 @@
 //!   holds for reservations and `reserved_at`;
 //! - a service's totals, and the load under which its pools list a worker, match the worker's allocations and
 //!   queue;
-//! - a service's `gangs` and `reserving` contain only pending units.
+//! - a service's `pending_gangs` and `reserving_units` contain only pending units.
 
 use crate::allocation::Allocation;
 use crate::headroom::{DemandChange, SlackClass};
@@ -15,7 +15,7 @@
 use crate::policy::Mechanism;
 use crate::queue::PendingQueue;
 use crate::reservation::Reservation;
-use crate::resource_vector::{times, ResourceVector};
+use crate::resource_vector::{multiply, ResourceVector};
 use crate::service::Service;
 use crate::settings::PlacementSettings;
 use crate::worker_pool::LoadLevel;
@@ -87,7 +87,7 @@
             .get_mut(&allocation.service)
             .filter(|_| is_gang)
         {
-            service.gangs.insert(key);
+            service.pending_gangs.insert(key);
         }
         self.new_units.insert(key);
     }
@@ -99,7 +99,7 @@
         self.new_units.remove(&key);
         let pending = self.queue.remove(key)?;
         if let Some(service) = self.services.get_mut(&pending.unit.service) {
-            service.gangs.remove(&key);
+            service.pending_gangs.remove(&key);
         }
         Some(pending)
     }
@@ -152,7 +152,7 @@
         };
         worker.reserve(Reservation {
             unit: key,
-            resources: times(&pending.unit.resources, u64::from(members)),
+            resources: multiply(&pending.unit.resources, u64::from(members)),
             available_at: window.available_at,
             expires_at: window.expires_at,
             by_preemption,
@@ -161,7 +161,7 @@
         pending.reserved_until = window.expires_at;
         let is_gang = pending.is_gang();
         if let Some(service) = self.services.get_mut(&pending.unit.service) {
-            service.reserving.insert(key);
+            service.reserving_units.insert(key);
         }
         if !is_gang {
             self.add_copy(key, index);
@@ -187,7 +187,7 @@
         };
         let reserved_at = std::mem::take(&mut pending.reserved_at);
         if let Some(service) = self.services.get_mut(&pending.unit.service) {
-            service.reserving.remove(&key);
+            service.reserving_units.remove(&key);
         }
         for index in reserved_at {
             if let Some(worker) = self.workers.get_mut(index) {
@@ -210,15 +210,15 @@
         let Some(new_key) = self.queue.reorder(key, order) else {
             return false;
         };
-        if service.gangs.remove(&key) {
-            service.gangs.insert(new_key);
+        if service.pending_gangs.remove(&key) {
+            service.pending_gangs.insert(new_key);
         }
         if self.new_units.remove(&key) {
             self.new_units.insert(new_key);
         }
         for index in copies {
             if let Some(worker) = self.workers.get_mut(index) {
-                worker.rename_copy(key, new_key);
+                worker.rekey_copy(key, new_key);
             }
         }
         true
@@ -230,13 +230,13 @@
             return;
         };
         let load = LoadLevel::of(worker.load());
-        let before = std::mem::replace(&mut worker.listed_load, load);
+        let previous = std::mem::replace(&mut worker.listed_load, load);
         let Some(service) = self.services.get_mut(&worker.info.service) else {
             return;
         };
-        service.recount_use(worker);
-        if before != load {
-            service.relist_worker(index, worker, before);
+        service.update_usage(worker);
+        if previous != load {
+            service.update_listed_load(index, worker, previous);
         }
     }
 
--- a/crates/placement/src/feedback.rs
+++ b/crates/placement/src/feedback.rs
@@ -62,8 +62,8 @@
     };
     // The run time of a run that resumed from a checkpoint does not cover all of its work.
     if !allocation.checkpoints {
-        let near_data_ms = ran_ms.max(1) as f64 / run.remote_slowdown;
-        service.observe_speed(now, allocation, near_data_ms, &mut worker.speed);
+        let local_run_ms = ran_ms.max(1) as f64 / run.remote_slowdown;
+        service.observe_speed(now, allocation, local_run_ms, &mut worker.speed);
     }
     service.observe_run_time(ran_ms);
 }
@@ -97,10 +97,10 @@
     let Some(run) = worker.runs.get_mut(task) else {
         return;
     };
-    let Some(near_data_ms) = run.record_progress(now, percent) else {
+    let Some(local_run_ms) = run.record_progress(now, percent) else {
         return;
     };
     if let Some(service) = cluster.services.get_mut(&worker.info.service) {
-        service.observe_speed(now, &run.allocation, near_data_ms, &mut worker.speed);
+        service.observe_speed(now, &run.allocation, local_run_ms, &mut worker.speed);
     }
 }
--- a/crates/placement/src/gang.rs
+++ b/crates/placement/src/gang.rs
@@ -60,16 +60,16 @@
 /// Whether the plan's workers are acceptable: those that the gang avoids are used only after a while, because
 /// others may become free first.
 fn is_acceptable(view: &UnitView<'_>, plan: &GangPlan) -> bool {
-    let takes_avoided = plan.assignments.iter().any(|assignment| {
+    let uses_avoided = plan.assignments.iter().any(|assignment| {
         let worker = view.cluster.workers.get(assignment.worker);
         worker.is_some_and(|worker| view.unit().avoid.contains(&worker.info.id))
     });
-    !takes_avoided || view.waited_ms() >= ANY_WORKER_AFTER_MS
+    !uses_avoided || view.waited_ms() >= ANY_WORKER_AFTER_MS
 }
 
 fn may_search(cycle: &SchedulingCycle<'_>, key: QueueKey) -> bool {
     let is_among_first = |view: UnitView<'_>| {
-        let first = view.service.gangs.iter().take(MAX_SEARCHING_GANGS);
+        let first = view.service.pending_gangs.iter().take(MAX_SEARCHING_GANGS);
         first.into_iter().any(|gang| *gang == key)
     };
     cycle.remaining_searches > 0 && cycle.view(key).is_some_and(is_among_first)
--- a/crates/placement/src/gang_fit/candidate.rs
+++ b/crates/placement/src/gang_fit/candidate.rs
@@ -78,21 +78,21 @@
             preempted: 0,
             next_member: None,
         };
-        candidate.extend_by_scope(view, worker, scope);
-        candidate.prepare_next_member(&ResourceVector::from(&view.unit().resources));
+        candidate.apply_scope(view, worker, scope);
+        candidate.update_next_member(&ResourceVector::from(&view.unit().resources));
         Some(candidate)
     }
 
     /// Counts the capacity that the scope treats as free, and lists the runs that may be preempted.
-    fn extend_by_scope(&mut self, view: &UnitView<'a>, worker: &'a Worker, scope: PreemptionScope) {
-        let Some(within_ms) = scope.waits_for_ms() else {
+    fn apply_scope(&mut self, view: &UnitView<'a>, worker: &'a Worker, scope: PreemptionScope) {
+        let Some(within_ms) = scope.max_remaining_ms() else {
             return;
         };
         let settings = &view.cluster.settings;
-        let usual_ms = view.service.usual_run_ms();
+        let mean_run_ms = view.service.mean_run_ms();
         let priority = view.unit().priority;
         for (task, run) in &worker.runs {
-            let remaining_ms = run.expected_remaining_ms(view.now, usual_ms, settings);
+            let remaining_ms = run.expected_remaining_ms(view.now, mean_run_ms, settings);
             // Capacity freed by more urgent work is soon taken by work of the same kind.
             if remaining_ms <= within_ms && run.allocation.priority >= priority {
                 self.remaining.free(run);
@@ -109,7 +109,7 @@
     }
 
     /// Computes what one more member would need.
-    fn prepare_next_member(&mut self, demand: &ResourceVector) {
+    fn update_next_member(&mut self, demand: &ResourceVector) {
         self.next_member = self.find_next_member(demand);
     }
 
@@ -167,7 +167,7 @@
         }
         self.preempted = next.preempted;
         self.members += 1;
-        self.prepare_next_member(demand);
+        self.update_next_member(demand);
     }
 
     /// The members on this worker with the preemptions that they need. Victims that more expensive ones made
@@ -198,7 +198,7 @@
         let mut remaining = self.remaining.clone();
         let still_running = (0..self.preempted).filter(|index| !stopped.contains(index));
         for index in still_running {
-            remaining.take_back(self.victims[index].run);
+            remaining.undo_free(self.victims[index].run);
         }
         remaining.fits(demand, self.members)
     }
--- a/crates/placement/src/gang_fit/preemption_scope.rs
+++ b/crates/placement/src/gang_fit/preemption_scope.rs
@@ -23,7 +23,7 @@
 impl PreemptionScope {
     /// Maximum expected remaining time of runs that are waited for, in milliseconds; `None` if only free
     /// capacity counts.
-    pub(crate) fn waits_for_ms(self) -> Option<f64> {
+    pub(crate) fn max_remaining_ms(self) -> Option<f64> {
         match self {
             PreemptionScope::FreeNow => None,
             PreemptionScope::EndingSoon { within_ms }
--- a/crates/placement/src/gang_fit/remaining_capacity.rs
+++ b/crates/placement/src/gang_fit/remaining_capacity.rs
@@ -68,7 +68,7 @@
     }
 
     /// Reverts [`RemainingCapacity::free`] for a run.
-    pub(crate) fn take_back(&mut self, run: &Run) {
+    pub(crate) fn undo_free(&mut self, run: &Run) {
         let taken = ResourceVector::from(&run.allocation.resources);
         self.total -= taken;
         for limit in self.limits_on(run) {
@@ -84,8 +84,8 @@
     }
 
     /// Whether `members` members fit.
-    pub(crate) fn fits(&self, demand_of_one: &ResourceVector, members: u32) -> bool {
-        let demand = demand_of_one.scaled(f64::from(members));
+    pub(crate) fn fits(&self, member_demand: &ResourceVector, members: u32) -> bool {
+        let demand = member_demand.scaled(f64::from(members));
         demand.fits_within(&self.total)
             && self
                 .limits
@@ -102,8 +102,8 @@
     headroom_against(view)
         .map(|headroom| HeadroomLimit {
             up_to: headroom.up_to,
-            max: capacity.less_shares(headroom.shares),
-            used: ResourceVector::from(&worker.allocated.behind_class(headroom.up_to)),
+            max: capacity.minus_shares(headroom.shares),
+            used: ResourceVector::from(&worker.allocated.above_slack_class(headroom.up_to)),
         })
         .collect()
 }
--- a/crates/placement/src/gang_groups.rs
+++ b/crates/placement/src/gang_groups.rs
@@ -5,7 +5,7 @@
 use crate::index::{QueueKey, WorkerIndex};
 use crate::policy::Mechanism;
 use crate::ranking::{rank, RankedWorker};
-use crate::run_estimate::usual_run_ms;
+use crate::run_estimate::baseline_run_ms;
 use crate::unit_view::UnitView;
 use crate::wait_escalation::ANY_WORKER_AFTER_MS;
 use crate::worker_pool::WorkerPool;
@@ -24,7 +24,7 @@
     key: QueueKey,
 ) -> Vec<Vec<RankedWorker>> {
     let mut groups = rack_groups(cycle, key);
-    groups.extend(group_of_all(cycle, key));
+    groups.extend(all_workers_group(cycle, key));
     groups
 }
 
@@ -33,7 +33,7 @@
     let Some(view) = UnitView::new(cycle.cluster, cycle.now, key) else {
         return Vec::new();
     };
-    if !wants_one_rack(&view) {
+    if !requests_one_rack(&view) {
         return Vec::new();
     }
     let mut racks: Vec<&WorkerPool> = view.service.pools.racks().collect();
@@ -52,9 +52,9 @@
 
 /// All workers as one group, if spreading over several racks costs nothing or no more than waiting for a
 /// single rack.
-fn group_of_all(cycle: &mut SchedulingCycle<'_>, key: QueueKey) -> Option<Vec<RankedWorker>> {
+fn all_workers_group(cycle: &mut SchedulingCycle<'_>, key: QueueKey) -> Option<Vec<RankedWorker>> {
     let view = UnitView::new(cycle.cluster, cycle.now, key)?;
-    if !may_cross_racks(&view) {
+    if !may_span_racks(&view) {
         return None;
     }
     let pool = view.pool()?;
@@ -69,28 +69,28 @@
     Some(ranked_eligible(&view, &members))
 }
 
-fn wants_one_rack(view: &UnitView<'_>) -> bool {
+fn requests_one_rack(view: &UnitView<'_>) -> bool {
     view.unit().same_rack && view.uses(Mechanism::RackLocality)
 }
 
 /// Whether the gang may spread over several racks. Waiting for a single rack is worthwhile up to the cost of
 /// the slower run across racks.
-fn may_cross_racks(view: &UnitView<'_>) -> bool {
-    if !wants_one_rack(view) {
+fn may_span_racks(view: &UnitView<'_>) -> bool {
+    if !requests_one_rack(view) {
         return true;
     }
     let slowdown = (view.cluster.settings.remote_slowdown - 1.0).max(0.0);
-    let cost_ms = slowdown * usual_run_ms(view);
+    let cost_ms = slowdown * baseline_run_ms(view);
     view.waited_ms() as f64 >= cost_ms.min(ANY_WORKER_AFTER_MS as f64)
         || !view
             .service
             .pools
             .racks()
-            .any(|rack| could_hold_all(view, rack))
+            .any(|rack| rack_fits_all_members(view, rack))
 }
 
 /// Whether a rack has capacity for all members when it is empty.
-fn could_hold_all(view: &UnitView<'_>, rack: &WorkerPool) -> bool {
+fn rack_fits_all_members(view: &UnitView<'_>, rack: &WorkerPool) -> bool {
     let workers = &view.cluster.workers;
     let members = rack
         .members
@@ -101,9 +101,9 @@
     members.sum::<f64>() >= view.unit().tasks.len() as f64
 }
 
-fn max_members_when_empty(view: &UnitView<'_>, share_of_one: f64) -> f64 {
-    let by_capacity = if share_of_one > 0.0 {
-        (1.0 / share_of_one + ROUNDING_MARGIN).floor()
+fn max_members_when_empty(view: &UnitView<'_>, share_per_member: f64) -> f64 {
+    let by_capacity = if share_per_member > 0.0 {
+        (1.0 / share_per_member + ROUNDING_MARGIN).floor()
     } else {
         f64::INFINITY
     };
--- a/crates/placement/src/headroom.rs
+++ b/crates/placement/src/headroom.rs
@@ -66,7 +66,7 @@
 /// Total resources of running and pending tasks, over time.
 #[derive(Clone, Copy, Debug, Default)]
 struct Demand {
-    present: ResourceVector,
+    current: ResourceVector,
     mean: ResourceVector,
     /// Mean absolute deviation from the mean.
     deviation: ResourceVector,
@@ -84,23 +84,25 @@
     /// Updates mean and deviation to `now`, using the demand that has held since the last update.
     fn advance(&mut self, now: Millis) {
         let elapsed_ms = now.saturating_sub(self.updated_at) as f64;
-        let part = 1.0 - (-elapsed_ms / TIME_CONSTANT_MS).exp();
+        let weight = 1.0 - (-elapsed_ms / TIME_CONSTANT_MS).exp();
         self.updated_at = self.updated_at.max(now);
-        let distance = self
-            .present
-            .zip_with(self.mean, |present, mean| present - mean);
+        let difference = self
+            .current
+            .zip_with(self.mean, |current, mean| current - mean);
         self.mean = self
             .mean
-            .zip_with(distance, |mean, distance| mean + part * distance);
-        self.deviation = self.deviation.zip_with(distance, |deviation, distance| {
-            deviation + part * (distance.abs() - deviation)
-        });
+            .zip_with(difference, |mean, difference| mean + weight * difference);
+        self.deviation = self
+            .deviation
+            .zip_with(difference, |deviation, difference| {
+                deviation + weight * (difference.abs() - deviation)
+            });
     }
 
     fn change(&mut self, resources: ResourceVector, change: DemandChange) {
         match change {
-            DemandChange::Added => self.present.add_non_negative(resources),
-            DemandChange::Removed => self.present.subtract_non_negative(resources),
+            DemandChange::Added => self.current.add_non_negative(resources),
+            DemandChange::Removed => self.current.subtract_non_negative(resources),
         }
     }
 }
@@ -153,9 +155,9 @@
 
 impl DemandShare {
     fn headroom_against(&self, class: SlackClass, deviations: f64) -> HeadroomShare {
-        let part = (class.distance_from(self.up_to) / FULL_HEADROOM_DISTANCE).min(1.0);
+        let fraction = (class.distance_from(self.up_to) / FULL_HEADROOM_DISTANCE).min(1.0);
         let shares = self.mean.zip_with(self.deviation, |mean, deviation| {
-            part * (mean + deviations * deviation).min(MAX_RESERVED_SHARE)
+            fraction * (mean + deviations * deviation).min(MAX_RESERVED_SHARE)
         });
         HeadroomShare {
             up_to: self.up_to,
@@ -187,13 +189,13 @@
         if self.queues.len() >= MAX_QUEUES && !self.queues.contains_key(queue) {
             self.queues.clear();
         }
-        let known = self
+        let slack = self
             .queues
             .entry(queue.clone())
             .or_insert_with(|| QueueSlack::new(log2_of_slack, priority));
-        known.priority = priority;
-        known.observe(log2_of_slack);
-        known.class
+        slack.priority = priority;
+        slack.observe(log2_of_slack);
+        slack.class
     }
 
     /// Adds or removes a task's resources in the demand of its class, and so of all classes with more slack.
@@ -217,8 +219,8 @@
         if self.demands.contains_key(&class) {
             return;
         }
-        let before = self.demands.range(..class).next_back();
-        let demand = before.map_or(Demand::starting_at(now), |(_, demand)| *demand);
+        let previous = self.demands.range(..class).next_back();
+        let demand = previous.map_or(Demand::starting_at(now), |(_, demand)| *demand);
         self.demands.insert(class, demand);
     }
 
@@ -240,16 +242,16 @@
         }
     }
 
-    /// Returns what must stay free of a unit of a class: one share for each class with less slack. `waited`
+    /// Returns what must stay free of a unit of a class: one share for each class with less slack. `waited_share`
     /// is the unit's waiting time divided by the time that it may wait; the longer it has waited, the less is
     /// kept free of it.
-    pub(crate) fn against(
+    pub(crate) fn shares_against(
         &self,
         class: SlackClass,
-        waited: f64,
+        waited_share: f64,
     ) -> impl Iterator<Item = HeadroomShare> + '_ {
         let deviations =
-            MAX_DEVIATIONS - (MAX_DEVIATIONS - MIN_DEVIATIONS) * waited.clamp(0.0, 1.0);
+            MAX_DEVIATIONS - (MAX_DEVIATIONS - MIN_DEVIATIONS) * waited_share.clamp(0.0, 1.0);
         self.demand_shares
             .iter()
             .take_while(move |demand| demand.up_to < class)
--- a/crates/placement/src/penalty.rs
+++ b/crates/placement/src/penalty.rs
@@ -11,13 +11,13 @@
 /// end of probation.
 const MAX_PENALTY: f64 = 12.0;
 /// Penalty for a failed run, in tasks.
-const PENALTY_OF_FAILURE: f64 = 1.0;
+const FAILURE_PENALTY: f64 = 1.0;
 /// Penalty for a run without progress: it held its capacity for seconds, which is as bad as many failures.
-const PENALTY_OF_STALL: f64 = 6.0;
+const STALL_PENALTY: f64 = 6.0;
 /// Penalty for a run that the worker rejected.
-const PENALTY_OF_REJECTION: f64 = 0.5;
+const REJECTION_PENALTY: f64 = 0.5;
 /// Factor on the penalty for each successful run.
-const REMAINDER_AFTER_SUCCESS: f64 = 0.7;
+const SUCCESS_FACTOR: f64 = 0.7;
 /// Excess over the service's mean penalty from which a worker is on probation: it runs one task at a time.
 const PROBATION_EXCESS: f64 = 3.0;
 /// Excess over the service's mean penalty from which a worker gets no tasks.
@@ -53,16 +53,16 @@
             return 0.0;
         };
         match outcome {
-            RunEnd::Done => self.update(now, REMAINDER_AFTER_SUCCESS, 0.0),
-            RunEnd::Failed => self.update(now, 1.0, PENALTY_OF_FAILURE),
-            RunEnd::Rejected => self.update(now, 1.0, PENALTY_OF_REJECTION),
+            RunEnd::Done => self.update(now, SUCCESS_FACTOR, 0.0),
+            RunEnd::Failed => self.update(now, 1.0, FAILURE_PENALTY),
+            RunEnd::Rejected => self.update(now, 1.0, REJECTION_PENALTY),
             _ => 0.0,
         }
     }
 
     /// Raises the penalty for a run without progress. Returns the change of its value.
     pub(crate) fn on_stall(&mut self, now: Millis) -> f64 {
-        self.update(now, 1.0, PENALTY_OF_STALL)
+        self.update(now, 1.0, STALL_PENALTY)
     }
 
     fn update(&mut self, now: Millis, factor: f64, added: f64) -> f64 {
--- a/crates/placement/src/queue.rs
+++ b/crates/placement/src/queue.rs
@@ -92,8 +92,8 @@
             return;
         };
         let retry_at = pending.next_retry(now, no_later_than);
-        if let Some(before) = pending.retry_at.replace(retry_at) {
-            self.timers.remove(&(before, key));
+        if let Some(previous) = pending.retry_at.replace(retry_at) {
+            self.timers.remove(&(previous, key));
         }
         self.timers.insert((retry_at, key));
     }
--- a/crates/placement/src/queue_copies.rs
+++ b/crates/placement/src/queue_copies.rs
@@ -5,9 +5,9 @@
 use crate::index::{QueueKey, WorkerIndex};
 use crate::policy::Mechanism;
 use crate::ranking::RankedWorker;
-use crate::run_estimate::{usual_run_ms, AVOIDED_WORKER_COST};
+use crate::run_estimate::{baseline_run_ms, AVOIDED_WORKER_COST};
 use crate::unit_view::UnitView;
-use crate::wait_escalation::{takes_any_capacity, ANY_WORKER_AFTER_MS, AVOIDED_WORKERS_AFTER_MS};
+use crate::wait_escalation::{may_use_any_capacity, ANY_WORKER_AFTER_MS, AVOIDED_WORKERS_AFTER_MS};
 use streamusher_protocol::Millis;
 
 /// Waiting time from which a unit gets the maximum number of copies.
@@ -72,12 +72,12 @@
 /// and is expected to cost.
 fn max_extra_cost(view: &UnitView<'_>, best: &RankedWorker) -> f64 {
     let waited_ms = view.waited_ms();
-    if takes_any_capacity(view) || waited_ms >= AVOIDED_WORKERS_AFTER_MS {
+    if may_use_any_capacity(view) || waited_ms >= AVOIDED_WORKERS_AFTER_MS {
         return f64::INFINITY;
     }
     if waited_ms >= ANY_WORKER_AFTER_MS && view.uses(Mechanism::WaitEscalation) {
         return best.extra_cost.max(MAX_COST_WITHOUT_AVOIDED);
     }
-    let cost_of_waiting = (waited_ms as f64 + best.wait_ms) / usual_run_ms(view);
+    let cost_of_waiting = (waited_ms as f64 + best.wait_ms) / baseline_run_ms(view);
     best.extra_cost + cost_of_waiting.min(MAX_COST_WITHOUT_AVOIDED)
 }
--- a/crates/placement/src/ranking.rs
+++ b/crates/placement/src/ranking.rs
@@ -3,7 +3,7 @@
 use crate::admission::admits;
 use crate::index::WorkerIndex;
 use crate::policy::Mechanism;
-use crate::run_estimate::{extra_cost, usual_run_ms};
+use crate::run_estimate::{baseline_run_ms, extra_cost};
 use crate::unit_view::UnitView;
 use crate::worker::Worker;
 
@@ -38,7 +38,7 @@
     let load = load_score(view, worker, is_admitted);
     Some(RankedWorker {
         index,
-        rank: extra_cost + wait_ms / usual_run_ms(view) + LOAD_WEIGHT * load,
+        rank: extra_cost + wait_ms / baseline_run_ms(view) + LOAD_WEIGHT * load,
         extra_cost,
         wait_ms,
     })
@@ -65,5 +65,5 @@
     let runs = worker.runs.len() as f64;
     // A task that takes the capacity of several runs has to wait for as many of them to end.
     let ends_needed = (view.pending.share_of(worker) * runs).max(1.0);
-    view.service.usual_run_ms() * (ends_needed + copies_ahead) / (runs + 1.0)
+    view.service.mean_run_ms() * (ends_needed + copies_ahead) / (runs + 1.0)
 }
--- a/crates/placement/src/reorder.rs
+++ b/crates/placement/src/reorder.rs
@@ -17,14 +17,14 @@
     let Some(pending) = cluster.queue.get(key) else {
         return false;
     };
-    if pending.unit.order == order || keeps_its_place(cluster, key, pending) {
+    if pending.unit.order == order || is_position_fixed(cluster, key, pending) {
         return false;
     }
     cluster.cancel_reservations(key);
     cluster.change_key(key, order)
 }
 
-fn keeps_its_place(cluster: &Cluster, key: QueueKey, pending: &PendingUnit) -> bool {
+fn is_position_fixed(cluster: &Cluster, key: QueueKey, pending: &PendingUnit) -> bool {
     let holds_preempted_capacity = |index: &WorkerIndex| {
         let worker = cluster.workers.get(*index);
         worker.is_some_and(|worker| {
--- a/crates/placement/src/reservation.rs
+++ b/crates/placement/src/reservation.rs
@@ -33,11 +33,11 @@
 impl Reservation {
     /// Whether the reservation makes its capacity unavailable to a unit.
     pub(crate) fn blocks(&self, now: Millis, unit: QueueKey, access: HeadroomAccess) -> bool {
-        let yields = match access {
+        let is_overridden = match access {
             HeadroomAccess::Denied => false,
             HeadroomAccess::ExceptPreempted => !self.by_preemption,
             HeadroomAccess::Full => true,
         };
-        self.unit < unit && self.expires_at > now && !yields
+        self.unit < unit && self.expires_at > now && !is_overridden
     }
 }
--- a/crates/placement/src/resource_vector.rs
+++ b/crates/placement/src/resource_vector.rs
@@ -29,7 +29,7 @@
     }
 
     /// Remaining capacity after subtracting a reserved share of each kind.
-    pub(crate) fn less_shares(self, shares: ResourceVector) -> ResourceVector {
+    pub(crate) fn minus_shares(self, shares: ResourceVector) -> ResourceVector {
         self.zip_with(shares, |capacity, share| capacity * (1.0 - share))
     }
 
@@ -94,7 +94,7 @@
 }
 
 /// Total resources of `count` equal tasks.
-pub(crate) fn times(resources: &Resources, count: u64) -> Resources {
+pub(crate) fn multiply(resources: &Resources, count: u64) -> Resources {
     Resources {
         cpu: resources.cpu.saturating_mul(count),
         mem_mb: resources.mem_mb.saturating_mul(count),
--- a/crates/placement/src/run.rs
+++ b/crates/placement/src/run.rs
@@ -118,7 +118,7 @@
     pub(crate) fn expected_remaining_ms(
         &self,
         now: Millis,
-        usual_ms: f64,
+        mean_run_ms: f64,
         settings: &PlacementSettings,
     ) -> f64 {
         if self.stopping {
@@ -128,7 +128,7 @@
             return f64::INFINITY;
         }
         let estimated_ms = match self.allocation.estimated_ms {
-            0 => usual_ms,
+            0 => mean_run_ms,
             estimated_ms => estimated_ms as f64,
         };
         match self.last_report {
--- a/crates/placement/src/run_estimate.rs
+++ b/crates/placement/src/run_estimate.rs
@@ -19,9 +19,9 @@
 pub(crate) const AVOIDED_WORKER_COST: f64 = 100.0;
 
 /// Expected run time of the unit on an average worker near its data, in milliseconds.
-pub(crate) fn usual_run_ms(view: &UnitView<'_>) -> f64 {
+pub(crate) fn baseline_run_ms(view: &UnitView<'_>) -> f64 {
     match view.unit().estimated_ms {
-        0 => view.service.usual_run_ms().max(MIN_RUN_MS),
+        0 => view.service.mean_run_ms().max(MIN_RUN_MS),
         estimated_ms => estimated_ms as f64,
     }
 }
@@ -58,9 +58,9 @@
     };
     let slowness = slowness(view.cluster, view.now, worker, view.service);
     let is_avoided = view.uses(Mechanism::Avoidance) && view.unit().avoid.contains(&worker.info.id);
-    let avoided = if is_avoided { AVOIDED_WORKER_COST } else { 0.0 };
+    let avoidance_cost = if is_avoided { AVOIDED_WORKER_COST } else { 0.0 };
     let penalty = worker.penalty.value_at(view.now);
-    avoided + remote_slowdown * slowness - 1.0 + RUNS_PER_PENALTY * penalty
+    avoidance_cost + remote_slowdown * slowness - 1.0 + RUNS_PER_PENALTY * penalty
 }
 
 /// Expected run time of the unit on a worker, in milliseconds.
@@ -69,5 +69,5 @@
         return f64::INFINITY;
     }
     let extra_cost = extra_cost(view, worker) % AVOIDED_WORKER_COST;
-    usual_run_ms(view) * (1.0 + extra_cost).max(MIN_RELATIVE_RUN_TIME)
+    baseline_run_ms(view) * (1.0 + extra_cost).max(MIN_RELATIVE_RUN_TIME)
 }
--- a/crates/placement/src/run_time.rs
+++ b/crates/placement/src/run_time.rs
@@ -39,12 +39,12 @@
         if !(ratio.is_finite() && ratio > 0.0) {
             return;
         }
-        let known = self.weight_at(now);
-        let part = (1.0 / (known + 1.0)).max(MIN_SPEED_WEIGHT);
-        let distance = ratio.ln() - self.mean;
-        self.mean += part * distance;
-        self.variance = (1.0 - part) * (self.variance + part * distance * distance);
-        self.observations = (known + 1.0).min(MAX_OBSERVATIONS);
+        let prior_weight = self.weight_at(now);
+        let weight = (1.0 / (prior_weight + 1.0)).max(MIN_SPEED_WEIGHT);
+        let difference = ratio.ln() - self.mean;
+        self.mean += weight * difference;
+        self.variance = (1.0 - weight) * (self.variance + weight * difference * difference);
+        self.observations = (prior_weight + 1.0).min(MAX_OBSERVATIONS);
         self.updated_at = now;
     }
 
@@ -66,15 +66,15 @@
 
     /// Ratio of the run time to that of the baseline, less what may be noise; 1 if there are too few
     /// observations.
-    pub(crate) fn slowness(&self, now: Millis, usual: &RelativeSpeed) -> f64 {
+    pub(crate) fn slowness(&self, now: Millis, baseline: &RelativeSpeed) -> f64 {
         let weight = self.weight_at(now);
-        if weight < 1.0 || usual.observations == 0.0 {
+        if weight < 1.0 || baseline.observations == 0.0 {
             return 1.0;
         }
-        let distance = self.mean - usual.mean;
-        let noise = NOISE_STANDARD_ERRORS * usual.deviation() / weight.sqrt();
-        let significant = (distance.abs() - noise).max(0.0);
-        (significant * distance.signum())
+        let difference = self.mean - baseline.mean;
+        let noise = NOISE_STANDARD_ERRORS * baseline.deviation() / weight.sqrt();
+        let significant = (difference.abs() - noise).max(0.0);
+        (significant * difference.signum())
             .exp()
             .clamp(1.0 / MAX_SLOWNESS, MAX_SLOWNESS)
     }
--- a/crates/placement/src/scheduling.rs
+++ b/crates/placement/src/scheduling.rs
@@ -60,7 +60,7 @@
         keys.into_iter().partition(is_gang);
     for name in std::mem::take(&mut cluster.services_with_freed_capacity) {
         if let Some(service) = cluster.services.get(&name) {
-            gangs.extend(service.gangs.iter().take(MAX_GANGS_PER_SERVICE));
+            gangs.extend(service.pending_gangs.iter().take(MAX_GANGS_PER_SERVICE));
         }
     }
     DueUnits { gangs, singles }
@@ -94,9 +94,10 @@
 }
 
 fn take_new_units(cluster: &mut Cluster) -> BTreeSet<QueueKey> {
-    let first_left = cluster.new_units.iter().nth(MAX_NEW_UNITS).copied();
-    let left = first_left.map_or_else(BTreeSet::new, |key| cluster.new_units.split_off(&key));
-    std::mem::replace(&mut cluster.new_units, left)
+    let first_deferred = cluster.new_units.iter().nth(MAX_NEW_UNITS).copied();
+    let deferred =
+        first_deferred.map_or_else(BTreeSet::new, |key| cluster.new_units.split_off(&key));
+    std::mem::replace(&mut cluster.new_units, deferred)
 }
 
 /// Records the share of a worker that a unit requests. The service's first worker stands for all of them.
--- a/crates/placement/src/service.rs
+++ b/crates/placement/src/service.rs
@@ -60,9 +60,9 @@
     pub(crate) headroom: Headroom,
     headroom_refreshed_at: Option<Millis>,
     /// Units that hold reservations.
-    pub(crate) reserving: BTreeSet<QueueKey>,
+    pub(crate) reserving_units: BTreeSet<QueueKey>,
     /// Gangs that are pending.
-    pub(crate) gangs: BTreeSet<QueueKey>,
+    pub(crate) pending_gangs: BTreeSet<QueueKey>,
     pub(crate) speed: RelativeSpeed,
     /// Sum of the workers' penalties.
     penalty_sum: Penalty,
@@ -81,7 +81,7 @@
             self.capacity
                 .add_non_negative(ResourceVector::from(&worker.info.capacity));
         }
-        self.recount_use(worker);
+        self.update_usage(worker);
     }
 
     pub(crate) fn remove_worker(&mut self, index: WorkerIndex, worker: &mut Worker) {
@@ -93,27 +93,32 @@
                 .subtract_non_negative(ResourceVector::from(&worker.info.capacity));
         }
         self.used
-            .subtract_non_negative(ResourceVector::from(&worker.counted));
-        worker.counted = Resources::default();
+            .subtract_non_negative(ResourceVector::from(&worker.counted_usage));
+        worker.counted_usage = Resources::default();
     }
 
     /// Updates the service's total to what the runs of a worker hold now; only schedulable workers count.
-    pub(crate) fn recount_use(&mut self, worker: &mut Worker) {
+    pub(crate) fn update_usage(&mut self, worker: &mut Worker) {
         let allocated = if worker.info.schedulable {
             worker.allocated.total()
         } else {
             Resources::default()
         };
         self.used
-            .subtract_non_negative(ResourceVector::from(&worker.counted));
+            .subtract_non_negative(ResourceVector::from(&worker.counted_usage));
         self.used.add_non_negative(ResourceVector::from(&allocated));
-        worker.counted = allocated;
+        worker.counted_usage = allocated;
     }
 
     /// Moves a worker to its current load level in the pools.
-    pub(crate) fn relist_worker(&mut self, index: WorkerIndex, worker: &Worker, before: LoadLevel) {
+    pub(crate) fn update_listed_load(
+        &mut self,
+        index: WorkerIndex,
+        worker: &Worker,
+        previous: LoadLevel,
+    ) {
         self.pools
-            .change_load(index, &worker.info.labels, before, worker.listed_load);
+            .change_load(index, &worker.info.labels, previous, worker.listed_load);
     }
 
     /// Whether much of the capacity is free.
@@ -145,7 +150,7 @@
     }
 
     /// Mean run time of the service's completed runs.
-    pub(crate) fn usual_run_ms(&self) -> f64 {
+    pub(crate) fn mean_run_ms(&self) -> f64 {
         self.mean_run_time.get_or(INITIAL_RUN_MS)
     }
 
@@ -177,7 +182,7 @@
         &mut self,
         now: Millis,
         allocation: &Allocation,
-        near_data_ms: f64,
+        local_run_ms: f64,
         worker: &mut RelativeSpeed,
     ) {
         if allocation.gang_member {
@@ -185,8 +190,8 @@
         }
         let by_step = self
             .step_run_times
-            .observe(&allocation.unit.step, near_data_ms);
-        let Some(ratio) = by_step.or_else(|| ratio_to_estimate(allocation, near_data_ms)) else {
+            .observe(&allocation.unit.step, local_run_ms);
+        let Some(ratio) = by_step.or_else(|| ratio_to_estimate(allocation, local_run_ms)) else {
             return;
         };
         worker.observe(now, ratio);
@@ -204,6 +209,6 @@
     }
 }
 
-fn ratio_to_estimate(allocation: &Allocation, near_data_ms: f64) -> Option<f64> {
-    (allocation.estimated_ms > 0).then(|| near_data_ms / allocation.estimated_ms as f64)
+fn ratio_to_estimate(allocation: &Allocation, local_run_ms: f64) -> Option<f64> {
+    (allocation.estimated_ms > 0).then(|| local_run_ms / allocation.estimated_ms as f64)
 }
--- a/crates/placement/src/single_task.rs
+++ b/crates/placement/src/single_task.rs
@@ -1,7 +1,7 @@
 //! Placement of a single task that was examined in this cycle and that no worker has claimed yet.
 
 use crate::candidates::ranked_candidates;
-use crate::capacity_search::{is_worth_a_search, search_capacity};
+use crate::capacity_search::{search_capacity, search_may_succeed};
 use crate::claim::claim;
 use crate::cycle::SchedulingCycle;
 use crate::index::{QueueKey, WorkerIndex};
@@ -35,7 +35,7 @@
     cycle.remaining_searches > 0
         && cycle
             .view(key)
-            .is_some_and(|view| is_worth_a_search(&view, copies))
+            .is_some_and(|view| search_may_succeed(&view, copies))
 }
 
 /// Tries to start the task on one of its acceptable workers. Returns whether it was started.
--- a/crates/placement/src/step_run_times.rs
+++ b/crates/placement/src/step_run_times.rs
@@ -36,11 +36,11 @@
             self.evict_oldest_if_full();
             self.oldest_first.push_back(step.clone());
         }
-        let known = self.by_step.entry(step.clone()).or_default();
+        let step_mean = self.by_step.entry(step.clone()).or_default();
         let logarithm = run_ms.ln();
-        let ratio = (known.observations > 0.0).then(|| (logarithm - known.mean).exp());
-        known.observations += 1.0;
-        known.mean += (logarithm - known.mean) / known.observations;
+        let ratio = (step_mean.observations > 0.0).then(|| (logarithm - step_mean.mean).exp());
+        step_mean.observations += 1.0;
+        step_mean.mean += (logarithm - step_mean.mean) / step_mean.observations;
         ratio
     }
 
--- a/crates/placement/src/wait_escalation.rs
+++ b/crates/placement/src/wait_escalation.rs
@@ -19,7 +19,7 @@
 const SMALL_SHARE: f64 = 0.2;
 
 /// Whether a unit may use any free capacity: it has waited long in a service with much free capacity.
-pub(crate) fn takes_any_capacity(view: &UnitView<'_>) -> bool {
+pub(crate) fn may_use_any_capacity(view: &UnitView<'_>) -> bool {
     view.uses(Mechanism::WaitEscalation)
         && !view.unit().speculative
         && view.waited_ms() >= ANY_WORKER_AFTER_MS
@@ -29,7 +29,7 @@
 /// Returns how much of a worker's capacity that is kept for others the unit may use. Capacity freed by
 /// preemption for others is open only to small units: a large unit would cause another preemption.
 pub(crate) fn headroom_access(view: &UnitView<'_>, worker: &Worker) -> HeadroomAccess {
-    if !takes_any_capacity(view) {
+    if !may_use_any_capacity(view) {
         return HeadroomAccess::Denied;
     }
     let waited_longer = view.waited_ms() >= PREEMPTED_CAPACITY_AFTER_MS;
--- a/crates/placement/src/worker.rs
+++ b/crates/placement/src/worker.rs
@@ -5,7 +5,7 @@
 use crate::index::QueueKey;
 use crate::penalty::Penalty;
 use crate::reservation::{HeadroomAccess, Reservation};
-use crate::resource_vector::{dominant_share, times};
+use crate::resource_vector::{dominant_share, multiply};
 use crate::run::Run;
 use crate::run_time::RelativeSpeed;
 use crate::worker_info::WorkerInfo;
@@ -36,7 +36,7 @@
     /// Load under which the service's pools list this worker.
     pub(crate) listed_load: LoadLevel,
     /// Allocated capacity of this worker as included in the service's total.
-    pub(crate) counted: Resources,
+    pub(crate) counted_usage: Resources,
 }
 
 impl Worker {
@@ -51,7 +51,7 @@
             penalty: Penalty::default(),
             speed: RelativeSpeed::default(),
             listed_load: LoadLevel::default(),
-            counted: Resources::default(),
+            counted_usage: Resources::default(),
         }
     }
 
@@ -99,7 +99,7 @@
         if !free.covers(demand) {
             return false;
         }
-        let access = if free.covers(&times(demand, FREE_MULTIPLE_FOR_ACCESS)) {
+        let access = if free.covers(&multiply(demand, FREE_MULTIPLE_FOR_ACCESS)) {
             access
         } else {
             HeadroomAccess::Denied
@@ -151,7 +151,7 @@
 
     /// Replaces the key of a queued copy after its unit was reordered; the copy moves to its new position in
     /// the queue.
-    pub(crate) fn rename_copy(&mut self, key: QueueKey, new_key: QueueKey) {
+    pub(crate) fn rekey_copy(&mut self, key: QueueKey, new_key: QueueKey) {
         if self.queue.remove(&key) {
             self.queue.insert(new_key);
         }
--- a/crates/placement/src/worker_pool.rs
+++ b/crates/placement/src/worker_pool.rs
@@ -48,8 +48,8 @@
         self.by_load.remove(&(load, worker));
     }
 
-    fn change_load(&mut self, worker: WorkerIndex, before: LoadLevel, load: LoadLevel) {
-        self.by_load.remove(&(before, worker));
+    fn change_load(&mut self, worker: WorkerIndex, previous: LoadLevel, load: LoadLevel) {
+        self.by_load.remove(&(previous, worker));
         self.by_load.insert((load, worker));
     }
 
@@ -104,11 +104,11 @@
 
     fn remove_from_rack(&mut self, rack: &Arc<str>) {
         let count = self.workers_by_rack.get(rack).copied().unwrap_or(0);
-        let left = count.saturating_sub(1);
-        if left == 0 {
+        let remaining = count.saturating_sub(1);
+        if remaining == 0 {
             self.workers_by_rack.remove(rack);
         } else {
-            self.workers_by_rack.insert(rack.clone(), left);
+            self.workers_by_rack.insert(rack.clone(), remaining);
         }
     }
 
@@ -116,13 +116,13 @@
         &mut self,
         worker: WorkerIndex,
         labels: &[Arc<str>],
-        before: LoadLevel,
+        previous: LoadLevel,
         load: LoadLevel,
     ) {
-        self.all.change_load(worker, before, load);
+        self.all.change_load(worker, previous, load);
         for label in labels {
             if let Some(pool) = self.by_label.get_mut(label) {
-                pool.change_load(worker, before, load);
+                pool.change_load(worker, previous, load);
             }
         }
     }
