--- a/crates/placement/benches/cost.rs
+++ b/crates/placement/benches/cost.rs
@@ -1,7 +1,7 @@
 //! Processor time of placement: `cargo bench -p streamusher-placement`.
 //!
-//! Each line is one case: its workers and starts per second, the units that are pending at its end, then the time for a start,
-//! the share of a core that all calls take, and the longest call.
+//! Each line of the output is one case: number of workers, starts per second, pending units at the end, time
+//! per start, share of a core that all calls take, and the longest call.
 #![allow(clippy::expect_used, reason = "a bench fails by panicking")]
 
 use rand::{Rng, SeedableRng};
@@ -17,11 +17,11 @@
 use streamusher_protocol::Millis;
 
 const TICK_MS: Millis = 20;
-/// How long a preempted run takes to stop.
+/// Time from a preemption to the end of the run.
 const STOP_MS: Millis = 400;
 const WORKERS_PER_RACK: u32 = 3;
 
-/// A load on a cluster.
+/// A workload on a cluster.
 struct Case {
     name: &'static str,
     workers: u32,
@@ -49,7 +49,7 @@
 fn unit(number: u64, random: &mut Pcg32, mean_run_ms: Millis) -> Unit {
     let task: TaskId = format!("{number:016x}.0.0.0")
         .parse()
-        .expect("a task's name");
+        .expect("the identifier of a task is valid");
     Unit {
         id: UnitId::of_task(&task),
         tasks: vec![task],
@@ -76,7 +76,7 @@
     }
 }
 
-/// A cluster in virtual time, with what its placement has cost.
+/// Simulated cluster in virtual time, with the processor time that its placement has used.
 struct Simulation<'a> {
     case: &'a Case,
     placement: Placement,
@@ -126,9 +126,9 @@
     fn tick(&mut self, now: Millis) {
         let units = self.new_units(now);
         let later = self.ends.split_off(&(now + 1));
-        let over = std::mem::replace(&mut self.ends, later);
+        let ended = std::mem::replace(&mut self.ends, later);
         let begin = Instant::now();
-        for assignment in over.into_values().flatten() {
+        for assignment in ended.into_values().flatten() {
             let reason = ReleaseReason::Finished {
                 outcome: RunEnd::Done,
                 ran_ms: self.case.mean_run_ms,
@@ -144,7 +144,7 @@
         self.total_s += call_s;
         self.longest_call_s = self.longest_call_s.max(call_s);
         for decision in decisions {
-            self.carry_out(now, decision);
+            self.apply(now, decision);
         }
     }
 
@@ -160,7 +160,7 @@
         units
     }
 
-    fn carry_out(&mut self, now: Millis, decision: Decision) {
+    fn apply(&mut self, now: Millis, decision: Decision) {
         match decision {
             Decision::Start { assignments, .. } => {
                 for assignment in assignments {
@@ -182,7 +182,7 @@
     fn print(&self) {
         let seconds = self.case.seconds as f64;
         println!(
-            "{}: {} workers, {:.0} starts/s, {} wait, {:.1} us a start, {:.2}% of a core, longest call {:.1} ms",
+            "{}: {} workers, {:.0} starts/s, {} pending, {:.1} us per start, {:.2}% of a core, longest call {:.1} ms",
             self.case.name,
             self.case.workers,
             self.starts as f64 / seconds,
--- a/crates/placement/tests/claims.rs
+++ b/crates/placement/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Copies, claims, filters and the order of pending units.
+//! Queue copies, claims, eligibility filters and the order of pending units.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
@@ -31,15 +31,15 @@
 
 #[rstest]
 #[case::not_schedulable(WorkerInfo { schedulable: false, ..worker("w1", 4_000, "r1") })]
-#[case::another_service(WorkerInfo { service: "t".into(), ..worker("w1", 4_000, "r1") })]
+#[case::other_service(WorkerInfo { service: "t".into(), ..worker("w1", 4_000, "r1") })]
 #[case::lacks_the_label(WorkerInfo { labels: vec!["b".into(), "r1".into()], ..worker("w1", 4_000, "r1") })]
 #[case::without_labels(WorkerInfo { labels: vec![], ..worker("w1", 4_000, "r1") })]
 #[case::too_small(worker("w1", 400, "r1"))]
 fn ineligible_worker_gets_nothing_however_long_a_task_waits(#[case] info: WorkerInfo) {
     let mut cluster = Cluster::new(1, [info]);
-    let mut wanted = unit(1, 500, 2);
-    wanted.node_selector = Some("a".into());
-    cluster.enqueue(wanted);
+    let mut labelled = unit(1, 500, 2);
+    labelled.node_selector = Some("a".into());
+    cluster.enqueue(labelled);
     assert!(cluster.place_for(6_000).is_empty());
     cluster.update_worker(worker("w2", 4_000, "r1"));
     assert_eq!(cluster.place_for(1_000), [(task(1), "w2".into())]);
@@ -54,7 +54,7 @@
     cluster.enqueue(unit(2, 800, 0));
     assert!(
         cluster.place_for(STOP_MS).is_empty(),
-        "its capacity is not free yet"
+        "the stopping run still holds its capacity"
     );
     cluster.finish(&task(1), &"w1".into(), RunEnd::Stopped);
     assert_eq!(cluster.place(), [(task(2), "w1".into())]);
@@ -73,7 +73,7 @@
         .workers()
         .map(|status| status.queued)
         .collect();
-    assert_eq!(queued, [1; 4], "a copy at each worker");
+    assert_eq!(queued, [1; 4], "each worker has a copy queued");
     for id in names {
         cluster.finish_all_at(id);
     }
@@ -83,7 +83,7 @@
         .workers()
         .map(|status| status.queued)
         .collect();
-    assert_eq!(queued, [0; 4], "no copy is left");
+    assert_eq!(queued, [0; 4], "no worker has a copy queued");
 }
 
 #[test]
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn task_enqueued_again_replaces_the_former() {
+fn task_enqueued_again_replaces_the_pending_one() {
     let mut cluster = Cluster::new(1, [worker("w1", 1_000, "r1")]);
     cluster.enqueue(unit(1, 2_000, 2));
     cluster.enqueue(unit(1, 600, 2));
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn priority_then_order_decides_who_starts() {
+fn priority_and_then_order_decide_which_task_starts() {
     let mut cluster = Cluster::new(1, [worker("w1", 1_000, "r1")]);
     cluster.enqueue(unit(1, 1_000, 0));
     cluster.place();
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn remote_rack_is_taken_when_waiting_costs_more() {
+fn remote_rack_is_used_when_waiting_costs_more() {
     let mut cluster = Cluster::new(1, [worker("near", 1_000, "r1"), worker("far", 4_000, "r2")]);
     cluster.enqueue(Unit {
         affinity: Some("r1".into()),
@@ -185,12 +185,12 @@
     assert_eq!(
         cluster.worker_of(2),
         Some("far"),
-        "half a run time is what the distance costs"
+        "running remotely costs half a run time"
     );
 }
 
 #[test]
-fn tasks_go_elsewhere_when_a_worker_is_removed() {
+fn pending_task_starts_elsewhere_when_its_worker_is_removed() {
     let mut cluster = Cluster::new(1, [worker("w1", 1_000, "r1")]);
     cluster.enqueue(unit(1, 1_000, 2));
     cluster.enqueue(unit(2, 1_000, 2));
@@ -204,12 +204,12 @@
 #[test]
 fn restored_runs_hold_capacity_once_their_worker_reports() {
     let mut cluster = Cluster::new(1, []);
-    let before = unit(1, 700, 2);
+    let allocated = unit(1, 700, 2);
     cluster.placement.restore_run(
         cluster.now,
         &task(1),
         &"w1".into(),
-        Allocation::from(&before),
+        Allocation::from(&allocated),
         0,
     );
     cluster.update_worker(worker("w1", 1_000, "r1"));
@@ -225,7 +225,7 @@
         cluster.now,
         &task(1),
         &"w1".into(),
-        Allocation::from(&before),
+        Allocation::from(&allocated),
         0,
     );
     let used: Vec<u64> = cluster
@@ -233,7 +233,7 @@
         .workers()
         .map(|status| status.used.cpu)
         .collect();
-    assert_eq!(used, [700], "restored twice, counted once");
+    assert_eq!(used, [700], "a run restored twice is counted once");
 }
 
 #[test]
@@ -251,7 +251,7 @@
             return;
         }
     }
-    panic!("the large task waited for 12 s");
+    panic!("the large task was not started within 12 s");
 }
 
 #[test]
@@ -277,13 +277,13 @@
     assert_eq!(
         cluster.worker_of(4),
         None,
-        "it would delay the task before it"
+        "the long task would delay the earlier large task"
     );
 }
 
 #[test]
 fn same_events_give_the_same_decisions() {
-    let play = || {
+    let run = || {
         let workers = (0..60).map(|n| worker(&format!("w{n}"), 4_000, &format!("r{}", n / 3)));
         let mut cluster = Cluster::new(7, workers);
         let mut all: Vec<Decision> = Vec::new();
@@ -297,11 +297,11 @@
         }
         all
     };
-    assert_eq!(play(), play());
+    assert_eq!(run(), run());
 }
 
 #[test]
-fn burst_of_new_tasks_starts_urgent_first_and_forgets_none() {
+fn burst_of_new_tasks_starts_urgent_first_and_completely() {
     const TASKS: usize = 2_500;
     let urgent = TASKS as u64 + 1;
     let mut cluster = Cluster::new(1, [worker("w1", 10_000_000, "r1")]);
@@ -310,11 +310,11 @@
     let first = cluster.place();
     assert!(
         first.contains(&(task(urgent), "w1".into())),
-        "the urgent one comes first"
+        "the urgent task starts in the first cycle"
     );
     assert!(
         first.len() < TASKS,
-        "{} were looked at in one call",
+        "{} tasks were examined in one call",
         first.len()
     );
     let mut started = first.len();
--- a/crates/placement/tests/common/mod.rs
+++ b/crates/placement/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! A cluster in virtual time: carries decisions out and checks each against its own record of runs and units.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Simulated cluster in virtual time: carries out placement decisions and checks each against its own record
+//! of runs and units.
+#![allow(dead_code, reason = "each test file uses only a part of this module")]
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -28,7 +29,7 @@
     Resources { cpu, mem_mb, gpu }
 }
 
-/// A worker of service "s" with labels kind "a" and the rack.
+/// A worker of service "s" with the labels "a" (its kind) and `rack`.
 pub(crate) fn worker(id: &str, cpu: u64, rack: &str) -> WorkerInfo {
     WorkerInfo {
         id: id.into(),
@@ -40,12 +41,12 @@
     }
 }
 
-/// A task of its own job with the number.
+/// The single task of job `number`.
 pub(crate) fn task(number: u64) -> TaskId {
     format!("{number:016x}.0.0.0").parse().unwrap()
 }
 
-/// A unit of one task, in order of its number.
+/// A unit of one task. Its order in the queue is its number.
 pub(crate) fn unit(number: u64, cpu: u64, priority: u32) -> Unit {
     unit_of(
         vec![task(number)],
@@ -56,7 +57,7 @@
     )
 }
 
-/// A gang of so many tasks.
+/// A gang of `members` tasks.
 pub(crate) fn gang(number: u64, members: u32, cpu: u64, priority: u32) -> Unit {
     let tasks: Vec<TaskId> = (0..members)
         .map(|index| TaskId {
@@ -94,14 +95,14 @@
     }
 }
 
-/// A run that was started and has not ended.
+/// A run that was started and has not ended yet.
 pub(crate) struct RunningTask {
     pub(crate) unit: Unit,
     pub(crate) started_at: Millis,
     pub(crate) stopping: bool,
 }
 
-/// Workers, runs and pending units, with the placement under test.
+/// Simulated workers, runs and pending units, with the placement under test.
 pub(crate) struct Cluster {
     pub(crate) placement: Placement,
     pub(crate) now: Millis,
@@ -109,7 +110,7 @@
     pub(crate) runs: BTreeMap<(TaskId, WorkerId), RunningTask>,
     pub(crate) pending: BTreeMap<UnitId, Unit>,
     pub(crate) starts: usize,
-    /// What each started unit has waited for.
+    /// Time that each started unit has waited, by reason.
     pub(crate) waits: BTreeMap<UnitId, Vec<TimeWaited>>,
     pub(crate) preempted: Vec<TaskId>,
 }
@@ -132,7 +133,7 @@
         cluster
     }
 
-    /// A worker is new, or reports something new of itself.
+    /// Adds a worker, or updates it to a new report.
     pub(crate) fn update_worker(&mut self, info: WorkerInfo) {
         self.workers.insert(info.id.clone(), info.clone());
         self.placement.update_worker(self.now, info);
@@ -155,7 +156,7 @@
         self.placement.withdraw(id);
     }
 
-    /// Places once; carries out and checks what is decided. Returns the starts.
+    /// Calls placement once, carries out and checks its decisions. Returns the starts.
     pub(crate) fn place(&mut self) -> Vec<(TaskId, WorkerId)> {
         let mut started = Vec::new();
         for decision in self.placement.place(self.now) {
@@ -179,7 +180,7 @@
         started
     }
 
-    /// Places at each tick of a span. Returns the starts.
+    /// Calls placement at each tick of a time span. Returns the starts.
     pub(crate) fn place_for(&mut self, span_ms: Millis) -> Vec<(TaskId, WorkerId)> {
         let end = self.now + span_ms;
         let mut started = self.place();
@@ -194,11 +195,11 @@
         let unit = self
             .pending
             .remove(id)
-            .unwrap_or_else(|| panic!("started twice or never asked: {id:?}"));
-        let wanted: BTreeSet<&TaskId> = unit.tasks.iter().collect();
+            .unwrap_or_else(|| panic!("{id:?} was started twice or never enqueued"));
+        let expected: BTreeSet<&TaskId> = unit.tasks.iter().collect();
         let placed: BTreeSet<&TaskId> = assignments.iter().map(|(task, _)| task).collect();
-        assert_eq!(wanted, placed, "a unit is started whole");
-        assert_eq!(assignments.len(), unit.tasks.len(), "each task once");
+        assert_eq!(expected, placed, "all tasks of a unit start together");
+        assert_eq!(assignments.len(), unit.tasks.len(), "each task starts once");
         for (task, worker) in assignments {
             let entry = RunningTask {
                 unit: unit.clone(),
@@ -218,72 +219,76 @@
         let info = self
             .workers
             .get(worker)
-            .unwrap_or_else(|| panic!("{worker} is not known"));
-        assert!(info.schedulable, "{worker} takes no work");
-        assert_eq!(info.service, unit.service, "its own service");
-        let has = |label: &Arc<str>| info.labels.contains(label);
+            .unwrap_or_else(|| panic!("{worker} is not a registered worker"));
+        assert!(info.schedulable, "{worker} is not schedulable");
+        assert_eq!(
+            info.service, unit.service,
+            "worker and unit belong to the same service"
+        );
+        let has_label = |label: &Arc<str>| info.labels.contains(label);
         assert!(
-            unit.node_selector.as_ref().is_none_or(has),
-            "{worker} lacks the label"
+            unit.node_selector.as_ref().is_none_or(has_label),
+            "{worker} lacks the required label"
         );
         let used = self.used(worker);
         assert!(
             info.capacity.covers(&used),
-            "{worker} holds {used:?} of {:?}",
+            "{worker} uses {used:?} of its capacity {:?}",
             info.capacity
         );
         if unit.anti_affinity > 0 {
             let count = self.count_of(&unit.id.step, worker);
             assert!(
                 count <= unit.anti_affinity,
-                "{worker} holds {count} of {:?}",
+                "{worker} runs {count} tasks of {:?}",
                 unit.id.step
             );
         }
     }
 
-    /// What the runs on a worker hold, by the record of the starts.
+    /// Resources that the runs on a worker hold, according to the recorded starts.
     pub(crate) fn used(&self, worker: &WorkerId) -> Resources {
-        let here = self.runs.iter().filter(|((_, id), _)| id == worker);
-        here.fold(Resources::default(), |sum, (_, entry)| {
+        let on_worker = self.runs.iter().filter(|((_, id), _)| id == worker);
+        on_worker.fold(Resources::default(), |sum, (_, entry)| {
             sum.saturating_add(&entry.unit.resources)
         })
     }
 
     pub(crate) fn count_of(&self, step: &StepId, worker: &WorkerId) -> u32 {
-        let same = |((_, id), entry): &(&(TaskId, WorkerId), &RunningTask)| {
+        let is_same_step = |((_, id), entry): &(&(TaskId, WorkerId), &RunningTask)| {
             id == worker && entry.unit.id.step == *step
         };
-        u32::try_from(self.runs.iter().filter(same).count()).expect("few runs")
+        u32::try_from(self.runs.iter().filter(is_same_step).count())
+            .expect("the number of runs fits in 32 bits")
     }
 
     fn preempt(&mut self, task: TaskId, worker: &WorkerId) {
         let entry = self
             .runs
             .get_mut(&(task.clone(), worker.clone()))
-            .expect("runs there");
-        assert!(!entry.stopping, "{task} is preempted twice");
+            .expect("a preempted task runs on the worker");
+        assert!(!entry.stopping, "{task} was preempted twice");
         entry.stopping = true;
         self.placement.mark_stopping(&task, worker);
         self.preempted.push(task);
     }
 
-    /// Orders a stop that placement did not ask for.
+    /// Orders a stop that placement did not request.
     pub(crate) fn stop(&mut self, task: &TaskId, worker: &str) {
         let worker: WorkerId = worker.into();
         self.runs
             .get_mut(&(task.clone(), worker.clone()))
-            .expect("runs there")
+            .expect("a stopped task runs on the worker")
             .stopping = true;
         self.placement.mark_stopping(task, &worker);
     }
 
-    /// A run ends with an outcome.
+    /// Ends a run with an outcome.
     pub(crate) fn finish(&mut self, task: &TaskId, worker: &WorkerId, outcome: RunEnd) {
         let entry = self
             .runs
             .remove(&(task.clone(), worker.clone()))
-            .expect("runs there");
+            .expect("a finished task runs on the worker");
         let reason = ReleaseReason::Finished {
             outcome,
             ran_ms: self.now - entry.started_at,
@@ -294,43 +299,43 @@
     pub(crate) fn release(&mut self, task: &TaskId, worker: &WorkerId, reason: ReleaseReason) {
         self.runs
             .remove(&(task.clone(), worker.clone()))
-            .expect("runs there");
+            .expect("a released task runs on the worker");
         self.placement.release(self.now, task, worker, reason);
     }
 
-    /// A run on a worker makes no progress.
+    /// Reports that a run on a worker makes no progress.
     pub(crate) fn report_stall(&mut self, worker: &WorkerId) {
         self.placement.on_run_stalled(self.now, worker);
     }
 
-    /// Ends the runs that a condition on their worker and themselves picks.
+    /// Ends the runs that match a condition on their worker and themselves.
     pub(crate) fn finish_where(
         &mut self,
         outcome: RunEnd,
-        is_over: impl Fn(&WorkerId, &RunningTask) -> bool,
+        is_matching: impl Fn(&WorkerId, &RunningTask) -> bool,
     ) {
-        let over: Vec<(TaskId, WorkerId)> = self
+        let matching: Vec<(TaskId, WorkerId)> = self
             .runs
             .iter()
-            .filter(|((_, worker), run)| is_over(worker, run))
+            .filter(|((_, worker), run)| is_matching(worker, run))
             .map(|(key, _)| key.clone())
             .collect();
-        for (task, worker) in over {
+        for (task, worker) in matching {
             self.finish(&task, &worker, outcome);
         }
     }
 
-    /// Ends all runs on a worker well.
+    /// Ends all runs on a worker successfully.
     pub(crate) fn finish_all_at(&mut self, worker: &str) {
         self.finish_where(RunEnd::Done, |id, _| &**id == worker);
     }
 
-    /// The number of runs on a worker.
+    /// Number of runs on a worker.
     pub(crate) fn runs_at(&self, worker: &str) -> usize {
         self.runs.keys().filter(|(_, id)| &**id == worker).count()
     }
 
-    /// The worker that runs the task with a number.
+    /// Worker that runs the task of job `number`.
     pub(crate) fn worker_of(&self, number: u64) -> Option<&str> {
         self.runs
             .keys()
--- a/crates/placement/tests/encoded_forms.rs
+++ b/crates/placement/tests/encoded_forms.rs
@@ -1,4 +1,5 @@
-//! Encoded forms are as recorded, byte for byte: what operators' tools and command lines see must not follow a rename.
+//! Compares encoded forms with recorded ones, byte for byte: a rename in the code must not change what
+//! operators' tools and command lines see.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
@@ -20,10 +21,10 @@
     WaitReason::AntiAffinityLimitReached,
 ];
 
-/// One value for each reason; all fields differ, so that none can stand for another.
+/// One value per reason. All fields differ, so that a swap of two fields is detected.
 fn waiting_units() -> Vec<WaitExplanation> {
-    let numbered = (1..).zip(REASONS);
-    numbered
+    let numbered_reasons = (1..).zip(REASONS);
+    numbered_reasons
         .map(|(number, reason)| WaitExplanation {
             reason,
             waited_ms: 1_000 + number,
--- a/crates/placement/tests/explain.rs
+++ b/crates/placement/tests/explain.rs
@@ -1,4 +1,4 @@
-//! The explanation of why a unit waits.
+//! Explanations of why a unit waits.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
@@ -13,23 +13,23 @@
 use streamusher_protocol::task::TaskId;
 use streamusher_protocol::unit::{Unit, UnitId};
 
-fn closed(info: WorkerInfo) -> WorkerInfo {
+fn unschedulable(info: WorkerInfo) -> WorkerInfo {
     WorkerInfo {
         schedulable: false,
         ..info
     }
 }
 
-fn explained(cluster: &Cluster, number: u64) -> streamusher_placement::WaitExplanation {
+fn explanation(cluster: &Cluster, number: u64) -> streamusher_placement::WaitExplanation {
     cluster
         .placement
         .explain(cluster.now, &unit(number, 500, 1).id)
-        .expect("it waits")
+        .expect("the unit is pending")
 }
 
 #[rstest]
 #[case::not_schedulable(
-    closed(worker("w1", 1_000, "r1")),
+    unschedulable(worker("w1", 1_000, "r1")),
     unit(1, 500, 1),
     WaitReason::NoSchedulableWorker
 )]
@@ -48,28 +48,31 @@
     let mut cluster = Cluster::new(1, [info]);
     cluster.enqueue(waiting);
     assert!(cluster.place().is_empty());
-    let explained = explained(&cluster, 1);
-    assert_eq!((explained.reason, explained.eligible_workers), (reason, 0));
+    let explanation = explanation(&cluster, 1);
+    assert_eq!(
+        (explanation.reason, explanation.eligible_workers),
+        (reason, 0)
+    );
 }
 
 #[test]
-fn full_worker_is_explained_with_the_units_ahead() {
+fn full_worker_is_explained_by_lack_of_capacity_and_units_ahead() {
     let mut cluster = Cluster::new(1, [worker("w1", 1_000, "r1")]);
     cluster.enqueue(unit(1, 1_000, 1));
     assert_eq!(cluster.place().len(), 1);
     cluster.enqueue(unit(2, 500, 1));
     cluster.enqueue(unit(3, 500, 1));
     assert!(cluster.place().is_empty());
-    let explained = explained(&cluster, 3);
+    let explanation = explanation(&cluster, 3);
     assert_eq!(
-        (explained.reason, explained.units_ahead),
+        (explanation.reason, explanation.units_ahead),
         (WaitReason::NoFreeCapacity, 1)
     );
     assert_eq!(
         (
-            explained.schedulable_workers,
-            explained.eligible_workers,
-            explained.workers_with_free_capacity
+            explanation.schedulable_workers,
+            explanation.eligible_workers,
+            explanation.workers_with_free_capacity
         ),
         (1, 1, 0)
     );
@@ -87,24 +90,27 @@
 }
 
 #[test]
-fn limit_of_tasks_per_worker_is_told_from_lack_of_capacity() {
+fn anti_affinity_limit_is_distinguished_from_lack_of_capacity() {
     let mut cluster = Cluster::new(1, [worker("w1", 1_000, "r1")]);
     for number in [1, 2] {
         cluster.enqueue(task_of_step(number));
         cluster.place();
     }
-    let explained = cluster
+    let explanation = cluster
         .placement
         .explain(cluster.now, &task_of_step(2).id)
-        .expect("it waits");
-    assert_eq!(explained.reason, WaitReason::AntiAffinityLimitReached);
+        .expect("the unit is pending");
+    assert_eq!(explanation.reason, WaitReason::AntiAffinityLimitReached);
     assert_eq!(
-        (explained.eligible_workers, explained.workers_below_limit),
+        (
+            explanation.eligible_workers,
+            explanation.workers_below_limit
+        ),
         (1, 0)
     );
 }
 
-/// A task of a step of which a worker may run one task.
+/// A task of a step that is limited to one task per worker.
 fn task_of_step(index: u32) -> Unit {
     let task = TaskId { index, ..task(1) };
     Unit {
--- a/crates/placement/tests/gangs.rs
+++ b/crates/placement/tests/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs: all members at once, on one rack where that is asked for.
+//! Gangs: all members start at once, on a single rack if requested.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
@@ -20,11 +20,15 @@
     assert!(cluster.place_for(4_000).is_empty());
     let worker: WorkerId = cluster.worker_of(1).unwrap().into();
     cluster.finish(&task(1), &worker, RunEnd::Done);
-    assert_eq!(cluster.place().len(), 4, "all members in one decision");
+    assert_eq!(
+        cluster.place().len(),
+        4,
+        "all members start in one decision"
+    );
 }
 
 #[test]
-fn gang_that_asks_for_one_rack_gets_one() {
+fn gang_that_requests_one_rack_runs_on_one() {
     let workers = [("w1", "r1"), ("w2", "r2"), ("w3", "r2"), ("w4", "r1")];
     let mut cluster = Cluster::new(1, workers.map(|(id, rack)| worker(id, 2_000, rack)));
     cluster.enqueue(unit(1, 1_500, 1));
@@ -43,7 +47,7 @@
 }
 
 #[test]
-fn gang_crosses_racks_that_are_too_small() {
+fn gang_spans_racks_that_are_too_small() {
     let mut cluster = Cluster::new(1, [worker("w1", 1_000, "r1"), worker("w2", 1_000, "r2")]);
     cluster.enqueue(Unit {
         same_rack: true,
@@ -53,7 +57,7 @@
 }
 
 #[test]
-fn gang_crosses_busy_racks_once_waiting_has_cost_as_much() {
+fn gang_spans_busy_racks_once_waiting_costs_more() {
     let workers = [("w1", "r1"), ("w2", "r1"), ("w3", "r2"), ("w4", "r2")];
     let mut cluster = Cluster::new(1, workers.map(|(id, rack)| worker(id, 1_000, rack)));
     for number in [1, 2] {
@@ -90,12 +94,12 @@
     assert_eq!(
         cluster.place_for(3_000).len(),
         3,
-        "the gang of four has too few workers"
+        "there are too few workers for the gang of four"
     );
 }
 
 #[test]
-fn gang_gets_capacity_while_lesser_tasks_keep_coming() {
+fn gang_gets_capacity_while_small_tasks_keep_arriving() {
     let mut cluster = Cluster::new(1, ["w1", "w2"].map(|id| worker(id, 4_000, "r1")));
     (1..=8).for_each(|number| cluster.enqueue(unit(number, 1_000, 2)));
     cluster.place();
@@ -109,11 +113,11 @@
             return;
         }
     }
-    panic!("the gang waited for 12 s");
+    panic!("the gang was not started within 12 s");
 }
 
 #[test]
-fn capacity_preempted_for_a_gang_is_kept_from_lesser_tasks() {
+fn capacity_preempted_for_a_gang_is_kept_from_less_urgent_tasks() {
     let large = ["w1", "w2"].map(|id| worker(id, 32_000, "r1"));
     let small = ["w3", "w4", "w5", "w6", "w7", "w8", "w9"].map(|id| worker(id, 8_000, "r1"));
     let mut cluster = Cluster::new(1, large.into_iter().chain(small));
@@ -127,7 +131,7 @@
     assert_eq!(
         cluster.place_for(4_000).len(),
         4,
-        "the others wait; most of the service is free"
+        "the other tasks wait, and most of the service is free"
     );
     cluster.enqueue(gang(20, 4, 15_000, 0));
     cluster.place_for(100);
--- a/crates/placement/tests/headroom.rs
+++ b/crates/placement/tests/headroom.rs
@@ -1,4 +1,4 @@
-//! Headroom: capacity is kept free of work that can wait, for work that cannot.
+//! Headroom: capacity is kept free of deferrable work for work that cannot wait.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
@@ -14,8 +14,9 @@
 use streamusher_protocol::unit::{Unit, UnitId, WorkerId};
 use streamusher_protocol::Millis;
 
-/// Short urgent tasks come evenly for some seconds; then as much long work as there is.
-fn with_urgent_traffic_and_a_flood() -> Cluster {
+/// Short urgent tasks arrive at a steady rate for some seconds; then far more long tasks than fit arrive at
+/// once.
+fn cluster_with_urgent_traffic_and_overload() -> Cluster {
     let mut cluster = Cluster::new(
         1,
         ["w1", "w2", "w3", "w4"].map(|id| worker(id, 10_000, "r1")),
@@ -39,7 +40,7 @@
         let urgent = cluster.place_for(100);
         assert!(
             round < 210 || urgent.len() == 1,
-            "an urgent task waits in round {round}"
+            "an urgent task had to wait in round {round}"
         );
         let now = cluster.now;
         cluster.finish_where(RunEnd::Done, |_, run| {
@@ -50,24 +51,27 @@
 }
 
 #[test]
-fn urgent_traffic_starts_without_preemption_in_a_flood() {
-    let cluster = with_urgent_traffic_and_a_flood();
+fn urgent_traffic_starts_without_preemption_under_overload() {
+    let cluster = cluster_with_urgent_traffic_and_overload();
     assert!(cluster.preempted.is_empty(), "{:?}", cluster.preempted);
 }
 
 #[test]
-fn flood_gets_most_of_the_capacity_beside_urgent_traffic() {
-    let cluster = with_urgent_traffic_and_a_flood();
-    let long = cluster
+fn long_tasks_get_most_of_the_capacity_despite_urgent_traffic() {
+    let cluster = cluster_with_urgent_traffic_and_overload();
+    let long_runs = cluster
         .runs
         .values()
         .filter(|run| run.unit.priority == 2)
         .count();
-    assert!((26..=36).contains(&long), "{long} of 40 cores");
+    assert!(
+        (26..=36).contains(&long_runs),
+        "long tasks use {long_runs} of 40 cores"
+    );
 }
 
 #[test]
-fn small_tasks_are_packed_when_whole_workers_are_asked_for() {
+fn small_tasks_are_packed_when_whole_workers_are_requested() {
     let names = ["w1", "w2", "w3", "w4"];
     let with_gpus = |id| WorkerInfo {
         capacity: resources(32_000, 64_000, 8),
@@ -89,15 +93,15 @@
         cluster.place();
     }
     let empty = names.iter().filter(|id| cluster.runs_at(id) == 0).count();
-    assert!(empty >= 2, "{empty} workers are left whole");
+    assert!(empty >= 2, "only {empty} workers are empty");
 }
 
-/// Tasks that can wait have so much slack; the others have a second.
+/// Slack of tasks that can wait; the others have one second.
 const LONG_SLACK_MS: Millis = 16_000;
 
-/// A burst of urgent tasks comes each second; before the last one, a wide job of long tasks. Returns how many of
-/// the last burst start at once.
-fn started_of_last_burst(bursts: u64, burst: u64) -> (Cluster, usize) {
+/// A burst of urgent tasks arrives each second, and a wide job of long tasks before the last burst. Returns
+/// the cluster and how many tasks of the last burst start at once.
+fn starts_of_last_burst(bursts: u64, burst_size: u64) -> (Cluster, usize) {
     let mut cluster = Cluster::new(
         1,
         ["w1", "w2", "w3", "w4"].map(|id| worker(id, 10_000, "r1")),
@@ -109,7 +113,7 @@
             cluster.place_for(500);
         }
         let first = 1_000 * second;
-        for number in first..first + burst {
+        for number in first..first + burst_size {
             cluster.enqueue(Unit {
                 estimated_ms: 400,
                 ..unit(number, 1_000, 0)
@@ -123,7 +127,7 @@
     (cluster, started)
 }
 
-/// A task of one wide job.
+/// A task of one wide job of long tasks.
 fn long_task(index: u32) -> Unit {
     let tasks = vec![TaskId {
         index,
@@ -140,21 +144,21 @@
 }
 
 #[test]
-fn burst_starts_whole_after_a_wide_long_job() {
-    let (cluster, started) = started_of_last_burst(20, 20);
-    assert_eq!(started, 20, "of 20 urgent tasks");
+fn whole_burst_starts_after_a_wide_job_of_long_tasks() {
+    let (cluster, started) = starts_of_last_burst(20, 20);
+    assert_eq!(started, 20, "all 20 urgent tasks start at once");
     assert!(cluster.preempted.is_empty(), "{:?}", cluster.preempted);
-    let long = cluster
+    let long_runs = cluster
         .runs
         .values()
         .filter(|run| run.unit.priority == 2)
         .count();
-    assert!(long >= 14, "{long} of 40 cores");
+    assert!(long_runs >= 14, "long tasks use {long_runs} of 40 cores");
 }
 
-/// Frequent short tasks that cannot wait; then a wide job of long tasks that can, of a priority. Returns how many of the tasks of
-/// the next burst start at once.
-fn short_tasks_started_beside_long_ones(priority_of_long: u32) -> usize {
+/// Frequent short tasks that cannot wait, then a wide job of long tasks that can wait, of the given priority.
+/// Returns how many tasks of the next burst start at once.
+fn short_task_starts_with_long_job(long_job_priority: u32) -> usize {
     let mut cluster = Cluster::new(
         1,
         ["w1", "w2", "w3", "w4"].map(|id| worker(id, 10_000, "r1")),
@@ -164,7 +168,7 @@
         if second == 20 {
             (0..60).for_each(|index| {
                 cluster.enqueue(Unit {
-                    priority: priority_of_long,
+                    priority: long_job_priority,
                     ..long_task(index)
                 });
             });
@@ -187,14 +191,14 @@
 }
 
 #[rstest]
-#[case::long_ones_less_urgent(2)]
-#[case::all_alike_urgent(1)]
-#[case::long_ones_more_urgent(0)]
-fn work_that_cannot_wait_starts_whatever_the_priorities(#[case] priority_of_long: u32) {
+#[case::long_job_less_urgent(2)]
+#[case::equal_priority(1)]
+#[case::long_job_more_urgent(0)]
+fn work_that_cannot_wait_starts_regardless_of_priorities(#[case] long_job_priority: u32) {
     assert_eq!(
-        short_tasks_started_beside_long_ones(priority_of_long),
+        short_task_starts_with_long_job(long_job_priority),
         10,
-        "of 10 short tasks"
+        "all 10 short tasks start at once"
     );
 }
 
@@ -202,17 +206,21 @@
 fn work_that_can_wait_gets_no_headroom() {
     let mut cluster = Cluster::new(1, [worker("w1", 10_000, "r1")]);
     for number in 1..=10 {
-        let patient = Unit {
+        let deferrable = Unit {
             slack_ms: LONG_SLACK_MS,
             ..unit(number, 1_000, 0)
         };
-        cluster.enqueue(patient);
+        cluster.enqueue(deferrable);
         cluster.place();
         cluster.place_for(300);
         cluster.finish_all_at("w1");
     }
     (20..30).for_each(|number| cluster.enqueue(unit(number, 1_000, 2)));
-    assert_eq!(cluster.place().len(), 10, "all of the capacity");
+    assert_eq!(
+        cluster.place().len(),
+        10,
+        "the tasks fill the whole capacity"
+    );
 }
 
 #[test]
@@ -225,18 +233,21 @@
         cluster.finish_all_at("w1");
         cluster.place_for(500);
     }
-    let patient = |number| Unit {
+    let deferrable = |number| Unit {
         slack_ms: LONG_SLACK_MS,
         estimated_ms: 60_000,
         ..unit(number, 1_000, 2)
     };
-    (1..=10).for_each(|number| cluster.enqueue(patient(number)));
+    (1..=10).for_each(|number| cluster.enqueue(deferrable(number)));
     let at_first = cluster.place().len();
     assert!(
         (1..10).contains(&at_first),
-        "{at_first} of 10 start at once"
+        "{at_first} of 10 tasks start at once"
     );
     (0..8).for_each(|index| cluster.enqueue(unit(90_000 + index, 500, 0)));
     let later = cluster.place_for(8_000).len();
-    assert!(later > 8, "{later} starts, the urgent ones among them");
+    assert!(
+        later > 8,
+        "{later} further starts, including the 8 urgent tasks"
+    );
 }
--- a/crates/placement/tests/learning.rs
+++ b/crates/placement/tests/learning.rs
@@ -1,4 +1,4 @@
-//! What failures, stalls, run times and progress reports change.
+//! Effects of failures, stalls, run times and progress reports on placement.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
@@ -12,15 +12,16 @@
 use streamusher_protocol::task::RunEnd;
 use streamusher_protocol::unit::Unit;
 
-/// Tasks come evenly for the span; each runs 200 ms, on "w1" as given. Returns how many "w1" got, and all.
-fn share_of_w1(
+/// Enqueues one task per round. Runs on "w1" end with the given outcome after `w1_run_ms`, other runs succeed
+/// after 200 ms. Returns how many tasks started on "w1" and how many in total.
+fn starts_on_w1(
     cluster: &mut Cluster,
     first: u64,
     rounds: u64,
-    outcome: RunEnd,
-    run_ms: u64,
+    w1_outcome: RunEnd,
+    w1_run_ms: u64,
 ) -> (usize, usize) {
-    let (mut on_w1, mut all) = (0, 0);
+    let (mut on_w1, mut total) = (0, 0);
     for number in first..first + rounds {
         cluster.enqueue(Unit {
             estimated_ms: 200,
@@ -28,24 +29,24 @@
         });
         for (_, worker) in cluster.place_for(20) {
             on_w1 += usize::from(&*worker == "w1");
-            all += 1;
+            total += 1;
         }
-        let run_ms_on = |worker: &str| if worker == "w1" { run_ms } else { 200 };
-        let over = cluster
+        let run_ms_at = |worker: &str| if worker == "w1" { w1_run_ms } else { 200 };
+        let ended = cluster
             .runs
             .iter()
-            .filter(|((_, worker), run)| run.started_at + run_ms_on(worker) <= cluster.now);
-        let over: Vec<_> = over.map(|(key, _)| key.clone()).collect();
-        for (task, worker) in over {
+            .filter(|((_, worker), run)| run.started_at + run_ms_at(worker) <= cluster.now);
+        let ended: Vec<_> = ended.map(|(key, _)| key.clone()).collect();
+        for (task, worker) in ended {
             let outcome = if &*worker == "w1" {
-                outcome
+                w1_outcome
             } else {
                 RunEnd::Done
             };
             cluster.finish(&task, &worker, outcome);
         }
     }
-    (on_w1, all)
+    (on_w1, total)
 }
 
 fn three_workers() -> Cluster {
@@ -55,31 +56,31 @@
 #[test]
 fn failing_worker_gets_few_tasks() {
     let mut cluster = three_workers();
-    share_of_w1(&mut cluster, 1, 100, RunEnd::Failed, 20);
-    let (on_w1, all) = share_of_w1(&mut cluster, 1_000, 500, RunEnd::Failed, 20);
-    assert!(on_w1 * 20 < all, "{on_w1} of {all}");
-    assert!(on_w1 > 0, "it is tried again");
+    starts_on_w1(&mut cluster, 1, 100, RunEnd::Failed, 20);
+    let (on_w1, total) = starts_on_w1(&mut cluster, 1_000, 500, RunEnd::Failed, 20);
+    assert!(on_w1 * 20 < total, "{on_w1} of {total}");
+    assert!(on_w1 > 0, "the worker is tried again");
 }
 
 #[test]
 fn recovered_worker_gets_its_share_again() {
     let mut cluster = three_workers();
-    share_of_w1(&mut cluster, 1, 200, RunEnd::Failed, 20);
-    share_of_w1(&mut cluster, 1_000, 1_000, RunEnd::Done, 200);
-    let (on_w1, all) = share_of_w1(&mut cluster, 3_000, 300, RunEnd::Done, 200);
-    assert!(on_w1 * 5 > all, "{on_w1} of {all}");
+    starts_on_w1(&mut cluster, 1, 200, RunEnd::Failed, 20);
+    starts_on_w1(&mut cluster, 1_000, 1_000, RunEnd::Done, 200);
+    let (on_w1, total) = starts_on_w1(&mut cluster, 3_000, 300, RunEnd::Done, 200);
+    assert!(on_w1 * 5 > total, "{on_w1} of {total}");
 }
 
 #[test]
 fn slow_worker_gets_fewer_tasks() {
     let mut cluster = three_workers();
-    share_of_w1(&mut cluster, 1, 200, RunEnd::Done, 1_300);
-    let (on_w1, all) = share_of_w1(&mut cluster, 1_000, 400, RunEnd::Done, 1_300);
-    assert!(on_w1 * 8 < all, "{on_w1} of {all}");
+    starts_on_w1(&mut cluster, 1, 200, RunEnd::Done, 1_300);
+    let (on_w1, total) = starts_on_w1(&mut cluster, 1_000, 400, RunEnd::Done, 1_300);
+    assert!(on_w1 * 8 < total, "{on_w1} of {total}");
 }
 
 #[test]
-fn stalled_run_sends_the_next_tasks_elsewhere() {
+fn next_tasks_avoid_the_worker_of_a_stalled_run() {
     let mut cluster = three_workers();
     cluster.enqueue(unit(1, 500, 2));
     let (_, worker) = cluster.place().remove(0);
@@ -91,9 +92,9 @@
 }
 
 #[rstest]
-#[case::others_have_capacity(true, "w2")]
-#[case::there_is_no_other(false, "w1")]
-fn avoided_worker_is_taken_only_without_others(#[case] other: bool, #[case] expected: &str) {
+#[case::other_worker_has_capacity(true, "w2")]
+#[case::no_other_worker(false, "w1")]
+fn avoided_worker_is_used_only_without_alternatives(#[case] other: bool, #[case] expected: &str) {
     let mut cluster = Cluster::new(1, [worker("w1", 9_000, "r1")]);
     if other {
         cluster.update_worker(worker("w2", 1_000, "r1"));
--- a/crates/placement/tests/preemption.rs
+++ b/crates/placement/tests/preemption.rs
@@ -1,4 +1,5 @@
-//! Preemption: less urgent runs are stopped for more urgent units, where waiting would be too late.
+//! Preemption: less urgent runs are stopped for more urgent units if waiting for them to end would take too
+//! long.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
@@ -29,7 +30,11 @@
     cluster.place_for(5_000);
     cluster.enqueue(unit(9, 1_000, 0));
     cluster.place_for(STOP_MS);
-    assert_eq!(cluster.preempted, [task(3)], "the one that saves");
+    assert_eq!(
+        cluster.preempted,
+        [task(3)],
+        "the run that writes checkpoints is the cheapest"
+    );
     let worker: WorkerId = cluster.worker_of(3).unwrap().into();
     cluster.finish(&task(3), &worker, RunEnd::Stopped);
     assert_eq!(cluster.place(), [(task(9), worker)]);
@@ -56,16 +61,16 @@
 #[case::equal_priority(2, 2, false)]
 #[case::lower_priority(2, 1, false)]
 #[case::gang_for_less_than_the_most_urgent(1, 2, true)]
-fn runs_that_may_not_be_preempted_go_on(
-    #[case] wants: u32,
-    #[case] runs: u32,
-    #[case] as_gang: bool,
+fn runs_that_may_not_be_preempted_continue(
+    #[case] waiting_priority: u32,
+    #[case] running_priority: u32,
+    #[case] is_gang: bool,
 ) {
     let mut cluster = Cluster::new(1, [worker("w1", 2_000, "r1")]);
-    let running = if as_gang {
-        gang(1, 2, 1_000, runs)
+    let running = if is_gang {
+        gang(1, 2, 1_000, running_priority)
     } else {
-        unit(1, 2_000, runs)
+        unit(1, 2_000, running_priority)
     };
     cluster.enqueue(Unit {
         estimated_ms: 60_000,
@@ -73,7 +78,7 @@
         ..running
     });
     cluster.place();
-    cluster.enqueue(unit(2, 1_000, wants));
+    cluster.enqueue(unit(2, 1_000, waiting_priority));
     cluster.place_for(5_000);
     assert!(cluster.preempted.is_empty());
 }
@@ -99,19 +104,19 @@
         ..worker("w1", 16_000, "r1")
     }];
     let mut cluster = Cluster::new(1, workers);
-    let dear = Unit {
+    let costly = Unit {
         resources: resources(15_000, 15_000, 8),
         estimated_ms: 30_000,
         ..unit(1, 0, 2)
     };
-    cluster.enqueue(dear);
+    cluster.enqueue(costly);
     cluster.place();
     cluster.place_for(5_000);
     cluster.enqueue(unit(2, 2_000, 1));
     cluster.place_for(3_000);
     assert!(
         cluster.preempted.is_empty(),
-        "395 core-seconds would be lost"
+        "preemption would lose 395 core-seconds"
     );
 }
 
@@ -129,7 +134,7 @@
 }
 
 #[test]
-fn gang_preempts_on_as_few_workers_as_it_needs() {
+fn gang_preempts_on_the_fewest_workers_needed() {
     let mut cluster = Cluster::new(1, ["w1", "w2", "w3"].map(|id| worker(id, 4_000, "r1")));
     for number in 1..=9 {
         cluster.enqueue(Unit {
@@ -147,7 +152,7 @@
         .filter(|(_, run)| run.stopping)
         .map(|(key, _)| key.clone())
         .collect();
-    assert_eq!(stopped.len(), 6, "what runs at two of the workers");
+    assert_eq!(stopped.len(), 6, "all runs on two of the workers");
     for (task, worker) in &stopped {
         cluster.finish(task, worker, RunEnd::Stopped);
     }
@@ -171,7 +176,7 @@
     cluster.place_for(5_000 - STOP_MS - 100);
     assert!(
         cluster.preempted.is_empty(),
-        "its slack is not spent: {:?}",
+        "preempted before half the slack had passed: {:?}",
         cluster.preempted
     );
     cluster.place_for(1_000);
@@ -182,12 +187,12 @@
 #[case::capacity_comes_in_time(3_000, 0)]
 #[case::capacity_comes_too_late(60_000, 2)]
 fn gang_preempts_only_if_capacity_comes_too_late(
-    #[case] others_ms: Millis,
-    #[case] stopped: usize,
+    #[case] others_run_ms: Millis,
+    #[case] expected_preemptions: usize,
 ) {
     let mut cluster = Cluster::new(1, [worker("w1", 1_000, "r1"), worker("w2", 1_000, "r1")]);
     let others = |number| Unit {
-        estimated_ms: others_ms,
+        estimated_ms: others_run_ms,
         ..unit(number, 1_000, 2)
     };
     (1..=2).for_each(|number| cluster.enqueue(others(number)));
@@ -198,5 +203,5 @@
         ..gang(9, 2, 1_000, 1)
     });
     cluster.place_for(1_000);
-    assert_eq!(cluster.preempted.len(), stopped);
+    assert_eq!(cluster.preempted.len(), expected_preemptions);
 }
--- a/crates/placement/tests/randomized_days.rs
+++ b/crates/placement/tests/randomized_days.rs
@@ -1,6 +1,8 @@
-//! Seeded days with every kind of event; each decision and each moment is checked against a record of its own.
+//! Seeded random scenarios, called days, with every kind of event. Each decision and each tick is checked
+//! against an independent record.
 //!
-//! `PLACEMENT_SEEDS` sets how many days are played; a failing day names its seed.
+//! `PLACEMENT_SEEDS` sets the number of days that are simulated, and `PLACEMENT_FIRST` the first seed; a
+//! failing day prints its seed.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
@@ -21,14 +23,14 @@
 
 const SEEDS: u64 = 12;
 const DAY_MS: Millis = 16_000;
-/// What is still pending after the last arrival is done by then.
+/// Maximum time after the last arrival in which everything still pending must be completed.
 const DRAIN_MS: Millis = 600_000;
-/// Waits are checked worker this interval.
+/// Interval at which waits are checked.
 const CHECK_INTERVAL_MS: Millis = 5 * TICK_MS;
-/// A unit with twice its demand free in a service that is half free must not wait so long.
+/// A unit must not wait this long while twice its demand is free in a service that is half free.
 const MAX_WAIT_MS: Millis = 3_000;
 
-/// When a run ends, and how.
+/// Planned end time and outcome of a run.
 struct PlannedEnd {
     ends_at: Millis,
     outcome: RunEnd,
@@ -38,10 +40,10 @@
     cluster: Cluster,
     random: Pcg32,
     last_unit: u64,
-    /// When each run ends, by itself or by its stop.
+    /// Planned end of each run, by itself or by a stop.
     ends: BTreeMap<(TaskId, WorkerId), PlannedEnd>,
-    /// Since when a pending unit has had twice its demand free in a service that is half free.
-    idle_since: BTreeMap<UnitId, Millis>,
+    /// Time since which a pending unit has had twice its demand free in a service that is half free.
+    has_capacity_since: BTreeMap<UnitId, Millis>,
     load: f64,
     failing: bool,
     last_worker: u64,
@@ -61,13 +63,13 @@
         let load = random.random_range(0.2..1.6);
         let failing = random.random_bool(0.3);
         let cluster = Cluster::new(seed, []);
-        let idle_since = BTreeMap::new();
+        let has_capacity_since = BTreeMap::new();
         let mut day = Day {
             cluster,
             random,
             last_unit: 0,
             ends: BTreeMap::new(),
-            idle_since,
+            has_capacity_since,
             load,
             failing,
             last_worker: 0,
@@ -77,11 +79,11 @@
         } else {
             day.random.random_range(2..14)
         };
-        (0..count).for_each(|_| day.new_worker());
+        (0..count).for_each(|_| day.add_worker());
         day
     }
 
-    fn new_worker(&mut self) {
+    fn add_worker(&mut self) {
         self.last_worker += 1;
         let size = [8_000, 16_000, 16_000, 32_000][self.random.random_range(0..4)];
         let rack = format!("r{}", self.random.random_range(0..4));
@@ -105,7 +107,7 @@
         });
     }
 
-    fn new_unit(&mut self) {
+    fn enqueue_random_unit(&mut self) {
         self.last_unit += 1;
         let random = &mut self.random;
         let priority = random.random_range(0..3);
@@ -138,13 +140,13 @@
     fn place(&mut self) {
         for (task, worker) in self.cluster.place() {
             let entry = &self.cluster.runs[&(task.clone(), worker.clone())];
-            self.idle_since.remove(&entry.unit.id);
-            let usual = if entry.unit.long_running {
+            self.has_capacity_since.remove(&entry.unit.id);
+            let nominal_run_ms = if entry.unit.long_running {
                 8_000
             } else {
                 entry.unit.estimated_ms.max(200)
             };
-            let run_ms = whole_ms(usual as f64 * self.random.random_range(0.3..2.0));
+            let run_ms = whole_ms(nominal_run_ms as f64 * self.random.random_range(0.3..2.0));
             let fails = self.failing && &*worker == "w1" || self.random.random_bool(0.03);
             let outcome = if fails { RunEnd::Failed } else { RunEnd::Done };
             let end = PlannedEnd {
@@ -156,7 +158,7 @@
         for task in std::mem::take(&mut self.cluster.preempted) {
             let stopped_at = self.cluster.now + self.random.random_range(1..=STOP_MS);
             let run = self.ends.iter_mut().find(|((other, _), _)| *other == task);
-            *run.expect("what is preempted runs").1 = PlannedEnd {
+            *run.expect("a preempted task is running").1 = PlannedEnd {
                 ends_at: stopped_at,
                 outcome: RunEnd::Stopped,
             };
@@ -165,9 +167,9 @@
 
     fn finish_due_runs(&mut self) {
         let now = self.cluster.now;
-        let over = self.ends.iter().filter(|(_, end)| end.ends_at <= now);
-        let over: Vec<_> = over.map(|(key, end)| (key.clone(), end.outcome)).collect();
-        for ((task, worker), outcome) in over {
+        let due = self.ends.iter().filter(|(_, end)| end.ends_at <= now);
+        let due: Vec<_> = due.map(|(key, end)| (key.clone(), end.outcome)).collect();
+        for ((task, worker), outcome) in due {
             if self.ends.remove(&(task.clone(), worker.clone())).is_none() {
                 continue;
             }
@@ -181,13 +183,13 @@
                 self.cluster.finish(&task, &worker, outcome);
             }
             if outcome != RunEnd::Done {
-                self.enqueue_again(unit, &worker);
+                self.reenqueue(unit, &worker);
             }
         }
     }
 
-    /// A unit did not end well: its other members end too, and it waits anew.
-    fn enqueue_again(&mut self, mut unit: Unit, worker: &WorkerId) {
+    /// Handles a unit that did not succeed: ends the runs of its other members and enqueues it again.
+    fn reenqueue(&mut self, mut unit: Unit, worker: &WorkerId) {
         let members = self
             .ends
             .keys()
@@ -200,23 +202,23 @@
         self.cluster.enqueue(unit);
     }
 
-    fn lose_worker(&mut self) {
+    fn remove_random_worker(&mut self) {
         let ids: Vec<WorkerId> = self.cluster.workers.keys().cloned().collect();
         let id = ids[self.random.random_range(0..ids.len())].clone();
-        let here = self
+        let on_worker = self
             .cluster
             .runs
             .iter()
             .filter(|((_, worker), _)| *worker == id);
-        let units: BTreeMap<UnitId, Unit> = here
+        let units: BTreeMap<UnitId, Unit> = on_worker
             .map(|(_, entry)| (entry.unit.id.clone(), entry.unit.clone()))
             .collect();
         self.ends.retain(|(_, worker), _| *worker != id);
         self.cluster.remove_worker(&id);
         for unit in units.into_values() {
-            self.enqueue_again(unit, &id);
+            self.reenqueue(unit, &id);
         }
-        self.new_worker();
+        self.add_worker();
     }
 
     fn toggle_schedulable(&mut self) {
@@ -240,27 +242,27 @@
         }
     }
 
-    fn withdraw_one(&mut self) {
+    fn withdraw_first_pending(&mut self) {
         let first = self.cluster.pending.keys().next().cloned();
         if let Some(id) = first {
             self.cluster.withdraw(&id);
         }
     }
 
-    fn events(&mut self) {
+    fn generate_events(&mut self) {
         let arrivals = self.load * self.cluster.workers.len() as f64 / 10.0;
-        let mut left = arrivals;
-        while left > 0.0 {
-            if self.random.random_bool(left.min(1.0)) {
-                self.new_unit();
+        let mut remaining_arrivals = arrivals;
+        while remaining_arrivals > 0.0 {
+            if self.random.random_bool(remaining_arrivals.min(1.0)) {
+                self.enqueue_random_unit();
             }
-            left -= 1.0;
+            remaining_arrivals -= 1.0;
         }
         for (chance, event) in [
-            (0.003, Day::lose_worker as fn(&mut Day)),
+            (0.003, Day::remove_random_worker as fn(&mut Day)),
             (0.003, Day::toggle_schedulable),
-            (0.003, Day::new_worker),
-            (0.01, Day::withdraw_one),
+            (0.003, Day::add_worker),
+            (0.01, Day::withdraw_first_pending),
             (0.1, Day::report_progress),
         ] {
             if self.random.random_bool(chance) {
@@ -269,7 +271,7 @@
         }
     }
 
-    /// No unit waits while twice its demand is free and its service is half free.
+    /// Asserts that no unit waits too long while twice its demand is free and its service is half free.
     fn check_waits(&mut self) {
         if !self.cluster.now.is_multiple_of(CHECK_INTERVAL_MS) {
             return;
@@ -280,40 +282,42 @@
             .keys()
             .map(|id| (id.clone(), self.cluster.used(id)))
             .collect();
-        let light: BTreeMap<&str, bool> = ["s", "t"]
+        let is_half_free_by_service: BTreeMap<&str, bool> = ["s", "t"]
             .into_iter()
             .map(|service| (service, self.is_half_free(service, &used)))
             .collect();
-        let has_room =
-            |unit: &Unit| light[&*unit.service] && self.has_twice_its_demand_free(unit, &used);
+        let has_capacity = |unit: &Unit| {
+            is_half_free_by_service[&*unit.service] && self.has_twice_its_demand_free(unit, &used)
+        };
         let pending = self
             .cluster
             .pending
             .iter()
-            .filter(|(_, unit)| has_room(unit));
-        let idle: Vec<UnitId> = pending.map(|(id, _)| id.clone()).collect();
-        self.idle_since.retain(|id, _| idle.contains(id));
-        for id in idle {
+            .filter(|(_, unit)| has_capacity(unit));
+        let waiting_with_capacity: Vec<UnitId> = pending.map(|(id, _)| id.clone()).collect();
+        self.has_capacity_since
+            .retain(|id, _| waiting_with_capacity.contains(id));
+        for id in waiting_with_capacity {
             let since = *self
-                .idle_since
+                .has_capacity_since
                 .entry(id.clone())
                 .or_insert(self.cluster.now);
             let waited = self.cluster.now - since;
             assert!(
                 waited < MAX_WAIT_MS,
-                "{:?} waits with capacity free",
+                "{:?} still waits although capacity is free",
                 self.cluster.pending[&id]
             );
         }
     }
 
     fn is_half_free(&self, service: &str, used: &BTreeMap<WorkerId, Resources>) -> bool {
-        let own = self
+        let service_workers = self
             .cluster
             .workers
             .values()
             .filter(|info| info.schedulable && &*info.service == service);
-        let sums = own.fold(
+        let sums = service_workers.fold(
             (Resources::default(), Resources::default()),
             |(all, taken), info| {
                 (
@@ -337,26 +341,27 @@
                 return 0;
             }
             let free = info.capacity.saturating_sub(&used[&info.id]);
-            let by = |free: u64, asked: u64| free.checked_div(asked).unwrap_or(u64::MAX);
-            let by_room = by(free.cpu, unit.resources.cpu)
-                .min(by(free.mem_mb, unit.resources.mem_mb))
-                .min(by(free.gpu, unit.resources.gpu));
+            let members_by =
+                |free: u64, requested: u64| free.checked_div(requested).unwrap_or(u64::MAX);
+            let by_capacity = members_by(free.cpu, unit.resources.cpu)
+                .min(members_by(free.mem_mb, unit.resources.mem_mb))
+                .min(members_by(free.gpu, unit.resources.gpu));
             match unit.anti_affinity {
-                0 => by_room / 2,
-                most => {
-                    let left = most.saturating_sub(self.cluster.count_of(&unit.id.step, &info.id));
-                    (by_room / 2).min(u64::from(left))
+                0 => by_capacity / 2,
+                limit => {
+                    let left = limit.saturating_sub(self.cluster.count_of(&unit.id.step, &info.id));
+                    (by_capacity / 2).min(u64::from(left))
                 }
             }
         });
         members.fold(0, u64::saturating_add) >= unit.tasks.len() as u64
     }
 
-    fn play(&mut self) {
+    fn simulate(&mut self) {
         while self.cluster.now < DAY_MS {
             self.cluster.now += TICK_MS;
             self.finish_due_runs();
-            self.events();
+            self.generate_events();
             self.place();
             self.check_waits();
         }
@@ -380,7 +385,7 @@
     }
 
     fn nothing_can_start(&self) -> bool {
-        let nothing: BTreeMap<WorkerId, Resources> = self
+        let no_usage: BTreeMap<WorkerId, Resources> = self
             .cluster
             .workers
             .keys()
@@ -390,13 +395,13 @@
             .cluster
             .pending
             .values()
-            .any(|unit| self.has_twice_its_demand_free(unit, &nothing))
+            .any(|unit| self.has_twice_its_demand_free(unit, &no_usage))
     }
 
     fn check_end(&self) {
         assert!(
             self.ends.is_empty() && self.nothing_can_start(),
-            "{} wait",
+            "{} units are still pending",
             self.cluster.pending.len()
         );
         assert_eq!(
@@ -415,7 +420,7 @@
 }
 
 #[test]
-fn every_rule_holds_on_days_with_all_events() {
+fn invariants_hold_on_days_with_all_events() {
     let seeds = std::env::var("PLACEMENT_SEEDS")
         .ok()
         .and_then(|text| text.parse().ok())
@@ -425,9 +430,9 @@
         .and_then(|text| text.parse().ok())
         .unwrap_or(0);
     for seed in first..first + seeds {
-        let played = std::panic::catch_unwind(|| Day::new(seed).play());
-        if let Err(cause) = played {
-            eprintln!("the day with seed {seed} failed");
+        let result = std::panic::catch_unwind(|| Day::new(seed).simulate());
+        if let Err(cause) = result {
+            eprintln!("the simulated day with seed {seed} failed");
             std::panic::resume_unwind(cause);
         }
     }
--- a/crates/placement/tests/relative_speed.rs
+++ b/crates/placement/tests/relative_speed.rs
@@ -1,4 +1,4 @@
-//! What run times tell of workers, where estimates are wrong and remote runs take longer.
+//! Worker speeds learned from run times, with wrong estimates and with remote runs that take longer.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
@@ -15,7 +15,8 @@
 
 const TASKS: u32 = 9;
 
-/// A step of equal tasks with one estimate, and the run time of each on a usual worker near its data.
+/// A step of equal tasks that share one estimate. `run_ms` is the run time of each on a worker of normal
+/// speed near its data.
 struct Step {
     number: u64,
     estimated_ms: Millis,
@@ -43,18 +44,18 @@
     }
 }
 
-/// Plays steps one after the other; `takes` is the run time on a worker.
-fn play(cluster: &mut Cluster, steps: &[Step], takes: impl Fn(&Step, &str) -> Millis) {
+/// Runs steps one after the other; `run_ms_on` returns the run time of a step's task on a worker.
+fn run_steps(cluster: &mut Cluster, steps: &[Step], run_ms_on: impl Fn(&Step, &str) -> Millis) {
     for step in steps {
         step.units()
             .into_iter()
             .for_each(|unit| cluster.enqueue(unit));
-        let until = cluster.now + 8 * step.run_ms;
-        while cluster.now < until {
+        let end = cluster.now + 8 * step.run_ms;
+        while cluster.now < end {
             cluster.place_for(20);
             let now = cluster.now;
             cluster.finish_where(RunEnd::Done, |worker, run| {
-                run.started_at + takes(step, worker) <= now
+                run.started_at + run_ms_on(step, worker) <= now
             });
         }
     }
@@ -68,8 +69,8 @@
     ms as Millis
 }
 
-/// Estimates that are too short by up to four times for some steps, and too long by as much for others.
-fn with_wrong_estimates(affinity: Option<&'static str>) -> Vec<Step> {
+/// Steps whose estimates are wrong by a factor of up to four in either direction.
+fn steps_with_wrong_estimates(affinity: Option<&'static str>) -> Vec<Step> {
     let factors = [0.25, 1.0, 4.0, 0.5, 2.0, 0.3, 3.0, 0.25, 1.0, 4.0, 0.5, 2.0];
     let step = |(number, factor): (usize, f64)| {
         let estimated_ms = whole_ms(600.0 * factor);
@@ -105,11 +106,13 @@
 }
 
 #[test]
-fn wrong_estimates_make_no_worker_slow() {
+fn wrong_estimates_do_not_make_a_worker_slow() {
     let mut cluster = two_racks();
-    play(&mut cluster, &with_wrong_estimates(None), |step, _| {
-        step.run_ms
-    });
+    run_steps(
+        &mut cluster,
+        &steps_with_wrong_estimates(None),
+        |step, _| step.run_ms,
+    );
     let slowness = slowness(&cluster);
     assert!(
         slowness
@@ -122,9 +125,9 @@
 #[test]
 fn slow_worker_is_recognized_despite_wrong_estimates() {
     let mut cluster = two_racks();
-    play(
+    run_steps(
         &mut cluster,
-        &with_wrong_estimates(None),
+        &steps_with_wrong_estimates(None),
         |step, worker| match worker {
             "w2" => 3 * step.run_ms,
             _ => step.run_ms,
@@ -139,12 +142,12 @@
 }
 
 #[test]
-fn remote_runs_make_no_worker_slow() {
+fn remote_runs_do_not_make_a_worker_slow() {
     let mut cluster = two_racks();
     let remote_slowdown = settings(1).remote_slowdown;
-    play(
+    run_steps(
         &mut cluster,
-        &with_wrong_estimates(Some("r1")),
+        &steps_with_wrong_estimates(Some("r1")),
         |step, worker| match worker {
             "w1" | "w2" => step.run_ms,
             _ => whole_ms(step.run_ms as f64 * remote_slowdown),
@@ -172,7 +175,7 @@
     });
     cluster.place_for(2_000);
     let slowness = |number| {
-        let worker = cluster.worker_of(number).expect("it runs");
+        let worker = cluster.worker_of(number).expect("the task runs");
         (
             worker.to_string(),
             cluster
--- a/crates/placement/tests/wait_bounds.rs
+++ b/crates/placement/tests/wait_bounds.rs
@@ -1,4 +1,5 @@
-//! No unit waits for three seconds in a service with more than half of its capacity free, whatever keeps the capacity from it.
+//! No unit waits for three seconds in a service with more than half of its capacity free, whichever mechanism
+//! withholds that capacity.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
@@ -14,16 +15,17 @@
 use streamusher_protocol::unit::Unit;
 use streamusher_protocol::Millis;
 
-/// The rule's bound.
-const BOUND_MS: Millis = 3_000;
-/// The number of the unit that waits.
-const WAITING: u64 = 900_000;
+/// Upper bound of the wait.
+const MAX_WAIT_MS: Millis = 3_000;
+/// Number of the waiting unit.
+const WAITING_UNIT: u64 = 900_000;
 
 fn two_workers() -> Cluster {
     Cluster::new(1, [worker("w1", 10_000, "r1"), worker("w2", 10_000, "r1")])
 }
 
-/// After bursts of work that cannot wait most of the capacity is headroom; a long task has the rest of each worker.
+/// After bursts of work that cannot wait, most of the capacity is headroom; a long task holds the rest of
+/// each worker.
 fn cluster_with_headroom() -> Cluster {
     let mut cluster = two_workers();
     for second in 1..=20_u64 {
@@ -34,17 +36,17 @@
         }
         cluster.place_for(500);
     }
-    let long = |number| Unit {
+    let long_task = |number| Unit {
         slack_ms: 60_000,
         estimated_ms: 60_000,
         ..unit(number, 3_000, 2)
     };
-    (1..=2).for_each(|number| cluster.enqueue(long(number)));
-    cluster.place_for(BOUND_MS);
+    (1..=2).for_each(|number| cluster.enqueue(long_task(number)));
+    cluster.place_for(MAX_WAIT_MS);
     cluster
 }
 
-/// All workers are on probation, and each runs its one task.
+/// All workers are on probation, and each runs the one task that it may.
 fn cluster_on_probation() -> Cluster {
     let mut cluster = two_workers();
     for number in 1..=10 {
@@ -58,7 +60,7 @@
     cluster
 }
 
-/// A gang waits for whole workers: their capacity is reserved as runs end.
+/// A gang waits for whole workers; their capacity is reserved as runs end.
 fn cluster_with_reservations() -> Cluster {
     let mut cluster = two_workers();
     (1..=2).for_each(|number| {
@@ -76,7 +78,7 @@
     cluster
 }
 
-/// The same, and runs are being preempted for it.
+/// A gang waits for whole workers, and runs are being preempted for it.
 fn cluster_with_preemptions() -> Cluster {
     let mut cluster = two_workers();
     (1..=2).for_each(|number| {
@@ -88,7 +90,10 @@
     cluster.place();
     cluster.enqueue(gang(3, 2, 9_000, 1));
     cluster.place_for(500);
-    assert!(!cluster.preempted.is_empty(), "capacity is being freed");
+    assert!(
+        !cluster.preempted.is_empty(),
+        "runs are being preempted for the gang"
+    );
     cluster
 }
 
@@ -103,22 +108,25 @@
 ) {
     cluster.enqueue(Unit {
         slack_ms: 60_000,
-        ..unit(WAITING, cpu, 2)
+        ..unit(WAITING_UNIT, cpu, 2)
     });
-    cluster.place_for(BOUND_MS);
-    assert!(cluster.worker_of(WAITING).is_some(), "it waits still");
+    cluster.place_for(MAX_WAIT_MS);
+    assert!(
+        cluster.worker_of(WAITING_UNIT).is_some(),
+        "the unit is still pending"
+    );
 }
 
 #[test]
-fn unit_that_can_wait_leaves_headroom_at_first() {
+fn deferrable_unit_leaves_headroom_at_first() {
     let mut cluster = cluster_with_headroom();
     cluster.enqueue(Unit {
         slack_ms: 60_000,
-        ..unit(WAITING, 3_000, 2)
+        ..unit(WAITING_UNIT, 3_000, 2)
     });
     cluster.place_for(1_000);
     assert!(
-        cluster.worker_of(WAITING).is_none(),
-        "nothing was kept from it: the bound above shows nothing"
+        cluster.worker_of(WAITING_UNIT).is_none(),
+        "the unit started despite the headroom, so the test of the bound proves nothing"
     );
 }
--- a/crates/placement/tests/wait_history.rs
+++ b/crates/placement/tests/wait_history.rs
@@ -1,4 +1,4 @@
-//! What a unit has waited for, as its start reports it.
+//! Time that a unit has waited, by reason, as reported with its start.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn waits_are_for_free_capacity_and_then_for_the_reservation() {
+fn waits_are_attributed_to_lack_of_capacity_and_then_to_the_reservation() {
     let mut cluster = Cluster::new(1, [worker("w1", 1_000, "r1")]);
     cluster.enqueue(unit(1, 1_000, 1));
     cluster.place();
