--- a/crates/placement/src/admission.rs
+++ b/crates/placement/src/admission.rs
@@ -46,8 +46,8 @@
         || worker.runs.len() < view.service.max_concurrent_runs(view.now, worker)
 }
 
-/// Headroom that must stay free of a unit. Once the unit has waited for as long as it may, only headroom for
-/// more urgent work still applies to it.
+/// Headroom that applies to a unit. Once the unit has waited for as long as it may, only headroom for more
+/// urgent work still applies.
 pub(crate) fn headroom_against<'a>(
     view: &UnitView<'a>,
 ) -> impl Iterator<Item = HeadroomShare> + 'a {
--- a/crates/placement/src/capacity_search.rs
+++ b/crates/placement/src/capacity_search.rs
@@ -28,7 +28,7 @@
 const MIN_RESERVED_SHARE: f64 = 0.2;
 /// A service may have one unit with reservations, plus one for each this many workers.
 const WORKERS_PER_RESERVING_UNIT: usize = 8;
-/// Maximum cost of the preemptions for one unit, in units of a small job's value.
+/// Maximum cost of the preemptions for one unit, in multiples of a small job's value.
 const MAX_COST_FOR_MOST_URGENT: f64 = 0.5;
 const MAX_COST_FOR_OTHERS: f64 = 0.25;
 const MAX_COST_FOR_GANG: f64 = 1.5;
--- a/crates/placement/src/gang_fit/candidate.rs
+++ b/crates/placement/src/gang_fit/candidate.rs
@@ -22,7 +22,7 @@
     pub(crate) members: u32,
     /// Runs to preempt for the members.
     pub(crate) victims: Vec<TaskId>,
-    /// Cost of preempting the victims, in units of a small job's value.
+    /// Cost of preempting the victims, in multiples of a small job's value.
     pub(crate) cost: f64,
 }
 
--- a/crates/placement/src/gang_fit/mod.rs
+++ b/crates/placement/src/gang_fit/mod.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct GangPlan {
     pub(crate) assignments: Vec<WorkerAssignment>,
-    /// Cost of the preemptions, in units of a small job's value.
+    /// Cost of the preemptions, in multiples of a small job's value.
     pub(crate) cost: f64,
     /// Sum of the ranks of the workers.
     rank: f64,
--- a/crates/placement/src/headroom.rs
+++ b/crates/placement/src/headroom.rs
@@ -11,14 +11,15 @@
 
 /// Time constant of the moving mean and deviation of a demand: a few cycles of bursts.
 const TIME_CONSTANT_MS: f64 = 6_000.0;
-/// Number of mean deviations above the mean that are kept free of a unit that was just enqueued: wide steps
-/// arrive in bursts, and a step ends with its slowest task.
+/// Size of the burst that the headroom covers, in mean deviations above the mean demand, as it applies to a
+/// unit that was just enqueued: wide steps arrive in bursts, and a step ends with its slowest task.
 const MAX_DEVIATIONS: f64 = 3.0;
-/// Number of mean deviations that are kept free of a unit that has used up the share of its slack that it may
-/// wait.
+/// Size of that burst for a unit that has used up the share of its slack that it may wait, in mean deviations
+/// above the mean demand.
 const MIN_DEVIATIONS: f64 = 1.0;
-/// Upper bound of the share of a service that is kept free. A preemption takes longer than work that cannot
-/// wait can afford. Units that wait long in a service with much free capacity use that capacity all the same.
+/// Upper bound of the share of a service that is reserved as headroom. A preemption takes longer than work
+/// that cannot wait can afford. Units that wait long in a service with much free capacity may use the
+/// headroom all the same.
 const MAX_RESERVED_SHARE: f64 = 0.6;
 /// Weight of the newest unit in the mean slack of its queue; the mean covers about the tasks of a few wide
 /// steps.
@@ -242,9 +243,9 @@
         }
     }
 
-    /// Returns what must stay free of a unit of a class: one share for each class with less slack. `waited_share`
-    /// is the unit's waiting time divided by the time that it may wait; the longer it has waited, the less is
-    /// kept free of it.
+    /// Returns the headroom that applies to a unit of a class: one share for each class with less slack.
+    /// `waited_share` is the unit's waiting time divided by the time that it may wait; the longer the unit
+    /// has waited, the less headroom applies to it.
     pub(crate) fn shares_against(
         &self,
         class: SlackClass,
--- a/crates/placement/src/run.rs
+++ b/crates/placement/src/run.rs
@@ -5,7 +5,7 @@
 use crate::settings::PlacementSettings;
 use streamusher_protocol::Millis;
 
-/// Cost of a core-second of lost work, in units of a small job's value.
+/// Cost of a core-second of lost work, in multiples of a small job's value.
 const COST_PER_CORE_SECOND: f64 = 0.016;
 /// Number of cores whose cost equals that of one accelerator.
 const CORES_PER_GPU: f64 = 8.0;
@@ -158,7 +158,7 @@
             .max(MIN_REMAINING_MS)
     }
 
-    /// Cost of stopping the run now, in units of a small job's value.
+    /// Cost of stopping the run now, in multiples of a small job's value.
     pub(crate) fn preemption_cost(&self, now: Millis, settings: &PlacementSettings) -> f64 {
         // Includes the time under former primaries; otherwise all runs would become the cheapest victims at
         // once after a takeover.
--- a/crates/placement/src/scheduling.rs
+++ b/crates/placement/src/scheduling.rs
@@ -66,7 +66,7 @@
     DueUnits { gangs, singles }
 }
 
-/// Takes the units that are due for a retry and that their service's pacer lets through; the others are
+/// Takes the units that are due for a retry, within the rate limit of their service's pacer; the others are
 /// postponed.
 fn take_retries(cluster: &mut Cluster, now: Millis) -> Vec<QueueKey> {
     let mut keys = Vec::new();
--- a/crates/placement/src/wait_escalation.rs
+++ b/crates/placement/src/wait_escalation.rs
@@ -26,7 +26,7 @@
         && view.service.is_lightly_used()
 }
 
-/// Returns how much of a worker's capacity that is kept for others the unit may use. Capacity freed by
+/// Returns the unit's access to capacity of a worker that is reserved for others. Capacity freed by
 /// preemption for others is open only to small units: a large unit would cause another preemption.
 pub(crate) fn headroom_access(view: &UnitView<'_>, worker: &Worker) -> HeadroomAccess {
     if !may_use_any_capacity(view) {
