--- a/crates/placement/src/cluster.rs
+++ b/crates/placement/src/cluster.rs
@@ -1,10 +1,12 @@
-//! The state that decisions are made on: workers, services and pending units, kept consistent with each other.
+//! Cluster state that decisions are based on: workers, services and pending units.
 //!
-//! Invariants, kept by the methods here:
+//! The methods keep these invariants:
 //!
-//! - a unit has a copy in a worker's queue exactly if the worker is in the unit's `copies`; the same holds for reservations;
-//! - a service's totals and the load under which its pools list a worker follow the worker's allocations and queue;
-//! - a service's `gangs` and `reserving` name pending units only.
+//! - a unit has a copy in a worker's queue if and only if the unit's `copies` contain the worker; the same
+//!   holds for reservations and `reserved_at`;
+//! - a service's totals, and the load under which its pools list a worker, match the worker's allocations and
+//!   queue;
+//! - a service's `pending_gangs` and `reserving_units` contain only pending units.
 
 use crate::allocation::Allocation;
 use crate::headroom::{DemandChange, SlackClass};
@@ -13,7 +15,7 @@
 use crate::policy::Mechanism;
 use crate::queue::PendingQueue;
 use crate::reservation::Reservation;
-use crate::resource_vector::{times, ResourceVector};
+use crate::resource_vector::{multiply, ResourceVector};
 use crate::service::Service;
 use crate::settings::PlacementSettings;
 use crate::worker_pool::LoadLevel;
@@ -23,25 +25,25 @@
 use streamusher_protocol::unit::Unit;
 use streamusher_protocol::Millis;
 
-/// When reserved capacity is expected, and until when it is kept.
+/// Time span of a reservation: when its capacity is expected to be free, and when it expires.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReservationWindow {
     pub(crate) available_at: Millis,
     pub(crate) expires_at: Millis,
 }
 
-/// Workers, services and pending units, and which of them have changed since they were last looked at.
+/// Workers, services and pending units, with the changes that the next scheduling cycle has to process.
 #[derive(Debug)]
 pub(crate) struct Cluster {
     pub(crate) settings: PlacementSettings,
     pub(crate) workers: WorkerTable,
     pub(crate) services: BTreeMap<Arc<str>, Service>,
     pub(crate) queue: PendingQueue,
-    /// Workers whose capacity or queue has changed.
+    /// Workers whose capacity or queue changed since the last cycle.
     pub(crate) changed_workers: BTreeSet<WorkerIndex>,
-    /// Units that were enqueued and not looked at yet.
+    /// Units that were enqueued and not yet examined by a cycle.
     pub(crate) new_units: BTreeSet<QueueKey>,
-    /// Services in which capacity became free.
+    /// Services in which capacity was freed since the last cycle.
     pub(crate) services_with_freed_capacity: BTreeSet<Arc<str>>,
 }
 
@@ -58,12 +60,12 @@
         }
     }
 
-    /// Whether a mechanism is in use.
+    /// Whether the policy enables a mechanism.
     pub(crate) fn uses(&self, mechanism: Mechanism) -> bool {
         self.settings.policy.is_enabled(mechanism)
     }
 
-    /// Whether anything has changed since it was last looked at.
+    /// Whether there are changes that no cycle has processed yet.
     pub(crate) fn has_changes(&self) -> bool {
         !(self.new_units.is_empty()
             && self.changed_workers.is_empty()
@@ -85,24 +87,24 @@
             .get_mut(&allocation.service)
             .filter(|_| is_gang)
         {
-            service.gangs.insert(key);
+            service.pending_gangs.insert(key);
         }
         self.new_units.insert(key);
     }
 
-    /// Takes a unit out of the queue, with its copies and reservations.
+    /// Removes a unit from the queue, with its copies and reservations.
     pub(crate) fn remove_pending(&mut self, key: QueueKey) -> Option<PendingUnit> {
         self.withdraw_copies(key);
         self.cancel_reservations(key);
         self.new_units.remove(&key);
         let pending = self.queue.remove(key)?;
         if let Some(service) = self.services.get_mut(&pending.unit.service) {
-            service.gangs.remove(&key);
+            service.pending_gangs.remove(&key);
         }
         Some(pending)
     }
 
-    /// Puts a copy of a unit into the queue of a worker.
+    /// Adds a copy of a unit to a worker's queue.
     pub(crate) fn add_copy(&mut self, key: QueueKey, index: WorkerIndex) {
         let Some(pending) = self.queue.get_mut(key) else {
             return;
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Takes a unit's copies out of all queues.
+    /// Removes a unit's copies from all workers' queues.
     pub(crate) fn withdraw_copies(&mut self, key: QueueKey) {
         let Some(pending) = self.queue.get_mut(key) else {
             return;
@@ -132,7 +134,8 @@
         }
     }
 
-    /// Reserves capacity of a worker for so many tasks of a unit. A single task gets a copy in the worker's queue too.
+    /// Reserves capacity on a worker for `members` tasks of a unit. A single task also gets a copy in the
+    /// worker's queue.
     pub(crate) fn reserve(
         &mut self,
         key: QueueKey,
@@ -149,7 +152,7 @@
         };
         worker.reserve(Reservation {
             unit: key,
-            resources: times(&pending.unit.resources, u64::from(members)),
+            resources: multiply(&pending.unit.resources, u64::from(members)),
             available_at: window.available_at,
             expires_at: window.expires_at,
             by_preemption,
@@ -158,14 +161,14 @@
         pending.reserved_until = window.expires_at;
         let is_gang = pending.is_gang();
         if let Some(service) = self.services.get_mut(&pending.unit.service) {
-            service.reserving.insert(key);
+            service.reserving_units.insert(key);
         }
         if !is_gang {
             self.add_copy(key, index);
         }
     }
 
-    /// Whether a unit holds reservations; cancels them if they have expired.
+    /// Whether a unit holds unexpired reservations. Cancels them if they have expired.
     pub(crate) fn holds_reservations(&mut self, now: Millis, key: QueueKey) -> bool {
         let holds = self
             .queue
@@ -177,14 +180,14 @@
         holds
     }
 
-    /// Cancels all reservations of a unit; others may take the capacity.
+    /// Cancels all reservations of a unit, which makes the capacity available to other units.
     pub(crate) fn cancel_reservations(&mut self, key: QueueKey) {
         let Some(pending) = self.queue.get_mut(key) else {
             return;
         };
         let reserved_at = std::mem::take(&mut pending.reserved_at);
         if let Some(service) = self.services.get_mut(&pending.unit.service) {
-            service.reserving.remove(&key);
+            service.reserving_units.remove(&key);
         }
         for index in reserved_at {
             if let Some(worker) = self.workers.get_mut(index) {
@@ -194,8 +197,8 @@
         }
     }
 
-    /// Changes a unit's order within its priority, wherever its key is in use; it must hold no reservations. True if the
-    /// order was changed.
+    /// Changes a unit's order within its priority and replaces its queue key wherever the key is stored. The
+    /// unit must hold no reservations. Returns true if the order was changed.
     pub(crate) fn change_key(&mut self, key: QueueKey, order: u64) -> bool {
         let Some(pending) = self.queue.get(key) else {
             return false;
@@ -207,37 +210,37 @@
         let Some(new_key) = self.queue.reorder(key, order) else {
             return false;
         };
-        if service.gangs.remove(&key) {
-            service.gangs.insert(new_key);
+        if service.pending_gangs.remove(&key) {
+            service.pending_gangs.insert(new_key);
         }
         if self.new_units.remove(&key) {
             self.new_units.insert(new_key);
         }
         for index in copies {
             if let Some(worker) = self.workers.get_mut(index) {
-                worker.rename_copy(key, new_key);
+                worker.rekey_copy(key, new_key);
             }
         }
         true
     }
 
-    /// Brings the service's totals and lists up to a worker's present allocations and queue.
+    /// Updates the service's totals and pools to a worker's current allocations and queue.
     pub(crate) fn update_load(&mut self, index: WorkerIndex) {
         let Some(worker) = self.workers.get_mut(index) else {
             return;
         };
         let load = LoadLevel::of(worker.load());
-        let before = std::mem::replace(&mut worker.listed_load, load);
+        let previous = std::mem::replace(&mut worker.listed_load, load);
         let Some(service) = self.services.get_mut(&worker.info.service) else {
             return;
         };
-        service.recount_use(worker);
-        if before != load {
-            service.relist_worker(index, worker, before);
+        service.update_usage(worker);
+        if previous != load {
+            service.update_listed_load(index, worker, previous);
         }
     }
 
-    /// Counts an allocation, asked for or held, as demand of its service, or no longer.
+    /// Adds the resources that an allocation requests or holds to the demand of its service, or removes them.
     pub(crate) fn change_demand(
         &mut self,
         now: Millis,
--- a/crates/placement/src/gang_groups.rs
+++ b/crates/placement/src/gang_groups.rs
@@ -1,39 +1,39 @@
-//! The groups of workers that a gang is fitted into: each rack, then all workers.
+//! Groups of workers that a gang may be placed on: each rack, then all workers.
 
 use crate::cycle::SchedulingCycle;
 use crate::eligibility::is_eligible;
 use crate::index::{QueueKey, WorkerIndex};
 use crate::policy::Mechanism;
 use crate::ranking::{rank, RankedWorker};
-use crate::run_estimate::usual_run_ms;
+use crate::run_estimate::baseline_run_ms;
 use crate::unit_view::UnitView;
 use crate::wait_escalation::ANY_WORKER_AFTER_MS;
 use crate::worker_pool::WorkerPool;
 use rand::seq::IndexedRandom;
 
-/// Workers of a pool that one look at a gang takes in; of more a random sample.
+/// Maximum number of workers of a pool that one attempt considers; a larger pool is sampled at random.
 const MAX_WORKERS: usize = 256;
-/// Racks that one look takes in; of more a random sample.
+/// Maximum number of racks that one attempt considers; a larger number is sampled at random.
 const MAX_RACKS: usize = 64;
-/// Makes up for rounding where a whole number of members fills a worker.
+/// Compensates for rounding when a whole number of members fills a worker.
 const ROUNDING_MARGIN: f64 = 1e-9;
 
-/// The groups of workers that a gang may be fitted into, in the order in which they are preferred.
+/// Groups of workers that a gang may be placed on, in order of preference.
 pub(crate) fn worker_groups(
     cycle: &mut SchedulingCycle<'_>,
     key: QueueKey,
 ) -> Vec<Vec<RankedWorker>> {
     let mut groups = rack_groups(cycle, key);
-    groups.extend(group_of_all(cycle, key));
+    groups.extend(all_workers_group(cycle, key));
     groups
 }
 
-/// One group for each rack, for a gang that wants to be on one.
+/// One group per rack, for a gang that requests a single rack.
 fn rack_groups(cycle: &mut SchedulingCycle<'_>, key: QueueKey) -> Vec<Vec<RankedWorker>> {
     let Some(view) = UnitView::new(cycle.cluster, cycle.now, key) else {
         return Vec::new();
     };
-    if !wants_one_rack(&view) {
+    if !requests_one_rack(&view) {
         return Vec::new();
     }
     let mut racks: Vec<&WorkerPool> = view.service.pools.racks().collect();
@@ -50,10 +50,11 @@
         .collect()
 }
 
-/// All workers as one group, where running on several racks costs nothing, or less than waiting for one.
-fn group_of_all(cycle: &mut SchedulingCycle<'_>, key: QueueKey) -> Option<Vec<RankedWorker>> {
+/// All workers as one group, if spreading over several racks costs nothing or no more than waiting for a
+/// single rack.
+fn all_workers_group(cycle: &mut SchedulingCycle<'_>, key: QueueKey) -> Option<Vec<RankedWorker>> {
     let view = UnitView::new(cycle.cluster, cycle.now, key)?;
-    if !may_cross_racks(&view) {
+    if !may_span_racks(&view) {
         return None;
     }
     let pool = view.pool()?;
@@ -68,27 +69,28 @@
     Some(ranked_eligible(&view, &members))
 }
 
-fn wants_one_rack(view: &UnitView<'_>) -> bool {
+fn requests_one_rack(view: &UnitView<'_>) -> bool {
     view.unit().same_rack && view.uses(Mechanism::RackLocality)
 }
 
-/// Waiting for one rack is worth what the slower run on several would cost.
-fn may_cross_racks(view: &UnitView<'_>) -> bool {
-    if !wants_one_rack(view) {
+/// Whether the gang may spread over several racks. Waiting for a single rack is worthwhile up to the cost of
+/// the slower run across racks.
+fn may_span_racks(view: &UnitView<'_>) -> bool {
+    if !requests_one_rack(view) {
         return true;
     }
     let slowdown = (view.cluster.settings.remote_slowdown - 1.0).max(0.0);
-    let cost_ms = slowdown * usual_run_ms(view);
+    let cost_ms = slowdown * baseline_run_ms(view);
     view.waited_ms() as f64 >= cost_ms.min(ANY_WORKER_AFTER_MS as f64)
         || !view
             .service
             .pools
             .racks()
-            .any(|rack| could_hold_all(view, rack))
+            .any(|rack| rack_fits_all_members(view, rack))
 }
 
-/// Whether a rack holds all members when it is empty.
-fn could_hold_all(view: &UnitView<'_>, rack: &WorkerPool) -> bool {
+/// Whether a rack has capacity for all members when it is empty.
+fn rack_fits_all_members(view: &UnitView<'_>, rack: &WorkerPool) -> bool {
     let workers = &view.cluster.workers;
     let members = rack
         .members
@@ -99,9 +101,9 @@
     members.sum::<f64>() >= view.unit().tasks.len() as f64
 }
 
-fn max_members_when_empty(view: &UnitView<'_>, share_of_one: f64) -> f64 {
-    let by_capacity = if share_of_one > 0.0 {
-        (1.0 / share_of_one + ROUNDING_MARGIN).floor()
+fn max_members_when_empty(view: &UnitView<'_>, share_per_member: f64) -> f64 {
+    let by_capacity = if share_per_member > 0.0 {
+        (1.0 / share_per_member + ROUNDING_MARGIN).floor()
     } else {
         f64::INFINITY
     };
--- a/crates/placement/src/headroom.rs
+++ b/crates/placement/src/headroom.rs
@@ -1,35 +1,40 @@
-//! Headroom: capacity that is kept free of work that can wait, so that work that cannot wait starts without preemption.
+//! Headroom: capacity kept free of deferrable work, so that work that cannot wait starts without preemption.
 //!
-//! How long the units of a queue can wait is observed, as the mean of their slack. Queues fall into slack classes, each
-//! with twice the slack of the class before. What all classes up to one take together, on average and in bursts, is kept free
-//! of the classes behind it. See `docs/design/placement.md`.
+//! How long the units of a queue can wait is estimated as the mean of their slack. Queues are grouped into
+//! slack classes, each with twice the slack of the previous one. The combined demand of all classes up to a
+//! given one, mean plus bursts, is kept free of the classes with more slack. See `docs/design/placement.md`.
 
 use crate::resource_vector::ResourceVector;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// Mean and deviation of a demand follow it with this time constant: some cycles of bursts.
+/// Time constant of the moving mean and deviation of a demand: a few cycles of bursts.
 const TIME_CONSTANT_MS: f64 = 6_000.0;
-/// Mean deviations above the mean that are kept free of a unit that has just been enqueued: wide steps come in bursts, and
-/// a step is over with its slowest task.
+/// Size of the burst that the headroom covers, in mean deviations above the mean demand, as it applies to a
+/// unit that was just enqueued: wide steps arrive in bursts, and a step ends with its slowest task.
 const MAX_DEVIATIONS: f64 = 3.0;
-/// The same for a unit that has waited for its part of its slack.
+/// Size of that burst for a unit that has used up the share of its slack that it may wait, in mean deviations
+/// above the mean demand.
 const MIN_DEVIATIONS: f64 = 1.0;
-/// At most this share of a service is kept free: a preemption takes longer than work that cannot wait has. What waits long
-/// in a service with much free capacity takes it all the same.
+/// Upper bound of the share of a service that is reserved as headroom. A preemption takes longer than work
+/// that cannot wait can afford. Units that wait long in a service with much free capacity may use the
+/// headroom all the same.
 const MAX_RESERVED_SHARE: f64 = 0.6;
-/// The newest unit's weight in the mean slack of its queue: that of the tasks of some wide steps.
+/// Weight of the newest unit in the mean slack of its queue; the mean covers about the tasks of a few wide
+/// steps.
 const NEWEST_SLACK_WEIGHT: f64 = 0.01;
-/// A queue changes its class when its mean slack is this far from it, in classes: more than half, so that it does not
-/// alternate between two.
+/// Distance between a queue's mean slack and its class, in classes, above which the queue changes class. It
+/// is greater than one half, so that a queue does not alternate between two classes.
 const CLASS_CHANGE_DISTANCE: f64 = 0.75;
-/// Queues that are remembered. Where there are more all are learnt anew, so that queues that are gone do not pile up.
+/// Maximum number of queues with recorded slack. When it is reached, all records are cleared and learned
+/// again, so that queues that no longer exist do not accumulate.
 const MAX_QUEUES: usize = 4_096;
-/// From this distance between classes on the headroom counts in full, in part for nearer ones.
+/// Distance between classes from which the headroom counts in full; for nearer classes it counts in part.
 const FULL_HEADROOM_DISTANCE: f64 = 2.0;
 
-/// How long units can wait: the binary logarithm of their queue's mean slack in milliseconds, rounded.
+/// Class of how long units can wait: the binary logarithm of their queue's mean slack in milliseconds,
+/// rounded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SlackClass(u32);
 
@@ -46,25 +51,25 @@
         f64::from(self.0)
     }
 
-    /// How many classes this one is behind an earlier one.
+    /// Number of classes between an earlier class and this one.
     fn distance_from(self, earlier: SlackClass) -> f64 {
         f64::from(self.0 - earlier.0)
     }
 }
 
-/// Whether a unit begins or ceases to count as demand.
+/// Whether a unit starts or stops counting as demand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DemandChange {
     Added,
     Removed,
 }
 
-/// What tasks that run or are pending take together, over time.
+/// Total resources of running and pending tasks, over time.
 #[derive(Clone, Copy, Debug, Default)]
 struct Demand {
-    present: ResourceVector,
+    current: ResourceVector,
     mean: ResourceVector,
-    /// Mean distance from the mean.
+    /// Mean absolute deviation from the mean.
     deviation: ResourceVector,
     updated_at: Millis,
 }
@@ -77,31 +82,33 @@
         }
     }
 
-    /// Brings mean and deviation up to now, with the demand that has been present since the last update.
+    /// Updates mean and deviation to `now`, using the demand that has held since the last update.
     fn advance(&mut self, now: Millis) {
         let elapsed_ms = now.saturating_sub(self.updated_at) as f64;
-        let part = 1.0 - (-elapsed_ms / TIME_CONSTANT_MS).exp();
+        let weight = 1.0 - (-elapsed_ms / TIME_CONSTANT_MS).exp();
         self.updated_at = self.updated_at.max(now);
-        let distance = self
-            .present
-            .zip_with(self.mean, |present, mean| present - mean);
+        let difference = self
+            .current
+            .zip_with(self.mean, |current, mean| current - mean);
         self.mean = self
             .mean
-            .zip_with(distance, |mean, distance| mean + part * distance);
-        self.deviation = self.deviation.zip_with(distance, |deviation, distance| {
-            deviation + part * (distance.abs() - deviation)
-        });
+            .zip_with(difference, |mean, difference| mean + weight * difference);
+        self.deviation = self
+            .deviation
+            .zip_with(difference, |deviation, difference| {
+                deviation + weight * (difference.abs() - deviation)
+            });
     }
 
     fn change(&mut self, resources: ResourceVector, change: DemandChange) {
         match change {
-            DemandChange::Added => self.present.add_non_negative(resources),
-            DemandChange::Removed => self.present.subtract_non_negative(resources),
+            DemandChange::Added => self.current.add_non_negative(resources),
+            DemandChange::Removed => self.current.subtract_non_negative(resources),
         }
     }
 }
 
-/// What is known of a queue's slack.
+/// Observed slack of a queue.
 #[derive(Clone, Copy, Debug)]
 struct QueueSlack {
     /// Mean of the binary logarithm of the slack in milliseconds.
@@ -127,18 +134,18 @@
     }
 }
 
-/// Headroom for the classes up to one, as it counts against a unit of a class behind them.
+/// Headroom for the classes up to one, as it applies to a unit of a class with more slack.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct HeadroomShare {
-    /// The last class that the headroom is for.
+    /// Last class that the headroom is for.
     pub(crate) up_to: SlackClass,
-    /// The most urgent priority among the queues of these classes.
+    /// Most urgent priority among the queues of these classes.
     pub(crate) most_urgent_priority: u32,
-    /// The share of each kind of resource.
+    /// Share of the capacity to keep free, for each kind of resource.
     pub(crate) shares: ResourceVector,
 }
 
-/// What the classes up to one take, as shares of the service's capacity.
+/// Demand of the classes up to one, as shares of the service's capacity.
 #[derive(Clone, Copy, Debug)]
 struct DemandShare {
     up_to: SlackClass,
@@ -149,9 +156,9 @@
 
 impl DemandShare {
     fn headroom_against(&self, class: SlackClass, deviations: f64) -> HeadroomShare {
-        let part = (class.distance_from(self.up_to) / FULL_HEADROOM_DISTANCE).min(1.0);
+        let fraction = (class.distance_from(self.up_to) / FULL_HEADROOM_DISTANCE).min(1.0);
         let shares = self.mean.zip_with(self.deviation, |mean, deviation| {
-            part * (mean + deviations * deviation).min(MAX_RESERVED_SHARE)
+            fraction * (mean + deviations * deviation).min(MAX_RESERVED_SHARE)
         });
         HeadroomShare {
             up_to: self.up_to,
@@ -161,18 +168,18 @@
     }
 }
 
-/// The demand for one service by slack class, and the headroom that follows from it.
+/// Demand for one service by slack class, and the headroom derived from it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Headroom {
     queues: HashMap<Arc<str>, QueueSlack>,
-    /// For each class the demand of all classes up to it.
+    /// Cumulative demand by class: each entry covers all classes up to its key.
     demands: BTreeMap<SlackClass, Demand>,
-    /// As of the last [`Headroom::refresh`], by class.
+    /// Demand shares as of the last [`Headroom::refresh`], in class order.
     demand_shares: Vec<DemandShare>,
 }
 
 impl Headroom {
-    /// Learns the slack of a unit of a queue. Returns the class of the queue.
+    /// Records the slack of a unit of a queue. Returns the class of the queue.
     pub(crate) fn observe_slack(
         &mut self,
         queue: &Arc<str>,
@@ -183,16 +190,16 @@
         if self.queues.len() >= MAX_QUEUES && !self.queues.contains_key(queue) {
             self.queues.clear();
         }
-        let known = self
+        let slack = self
             .queues
             .entry(queue.clone())
             .or_insert_with(|| QueueSlack::new(log2_of_slack, priority));
-        known.priority = priority;
-        known.observe(log2_of_slack);
-        known.class
+        slack.priority = priority;
+        slack.observe(log2_of_slack);
+        slack.class
     }
 
-    /// The demand of a class, and so of all behind it, rises or falls by what a task takes.
+    /// Adds or removes a task's resources in the demand of its class, and so of all classes with more slack.
     pub(crate) fn change_demand(
         &mut self,
         now: Millis,
@@ -207,17 +214,18 @@
         }
     }
 
-    /// A new class starts with the demand of the class before it: so far these were all classes up to the new one.
+    /// Adds a missing class. It starts with the demand of the previous class, which so far is the cumulative
+    /// demand up to the new class.
     fn ensure_class(&mut self, now: Millis, class: SlackClass) {
         if self.demands.contains_key(&class) {
             return;
         }
-        let before = self.demands.range(..class).next_back();
-        let demand = before.map_or(Demand::starting_at(now), |(_, demand)| *demand);
+        let previous = self.demands.range(..class).next_back();
+        let demand = previous.map_or(Demand::starting_at(now), |(_, demand)| *demand);
         self.demands.insert(class, demand);
     }
 
-    /// Brings the headroom up to now, given the capacity of the service's schedulable workers.
+    /// Updates the headroom to `now`, given the capacity of the service's schedulable workers.
     pub(crate) fn refresh(&mut self, now: Millis, capacity: ResourceVector) {
         self.demand_shares.clear();
         let share_of_capacity = |amounts: ResourceVector| {
@@ -235,15 +243,16 @@
         }
     }
 
-    /// What must stay free of a unit of a class: one share for each class before its own. `waited` is the time that it has
-    /// waited over the time that it may wait; the longer it has waited, the less is kept free of it.
-    pub(crate) fn against(
+    /// Returns the headroom that applies to a unit of a class: one share for each class with less slack.
+    /// `waited_share` is the unit's waiting time divided by the time that it may wait; the longer the unit
+    /// has waited, the less headroom applies to it.
+    pub(crate) fn shares_against(
         &self,
         class: SlackClass,
-        waited: f64,
+        waited_share: f64,
     ) -> impl Iterator<Item = HeadroomShare> + '_ {
         let deviations =
-            MAX_DEVIATIONS - (MAX_DEVIATIONS - MIN_DEVIATIONS) * waited.clamp(0.0, 1.0);
+            MAX_DEVIATIONS - (MAX_DEVIATIONS - MIN_DEVIATIONS) * waited_share.clamp(0.0, 1.0);
         self.demand_shares
             .iter()
             .take_while(move |demand| demand.up_to < class)
--- a/crates/placement/src/reorder.rs
+++ b/crates/placement/src/reorder.rs
@@ -1,14 +1,15 @@
-//! Gives a pending unit another place in the queue.
+//! Moves a pending unit to another position in the queue.
 
 use crate::cluster::Cluster;
 use crate::index::{QueueKey, WorkerIndex};
 use crate::pending_unit::PendingUnit;
 use streamusher_protocol::unit::UnitId;
 
-/// Changes a pending unit's order within its priority. True if its place was changed.
+/// Changes a pending unit's order within its priority. Returns true if its position was changed.
 ///
-/// Its copies and the time that it has waited stay. A gang with reservations, and a unit that runs were preempted for, keep
-/// their place. Other reservations are cancelled, and made anew at the unit's next look.
+/// The unit keeps its copies and its waiting time. A gang with reservations, and a unit that runs were
+/// preempted for, keep their position. Other reservations are cancelled; the unit's next retry may create new
+/// ones.
 pub(crate) fn reorder(cluster: &mut Cluster, unit: &UnitId, order: u64) -> bool {
     let Some(key) = cluster.queue.key_of(unit) else {
         return false;
@@ -16,14 +17,14 @@
     let Some(pending) = cluster.queue.get(key) else {
         return false;
     };
-    if pending.unit.order == order || keeps_its_place(cluster, key, pending) {
+    if pending.unit.order == order || is_position_fixed(cluster, key, pending) {
         return false;
     }
     cluster.cancel_reservations(key);
     cluster.change_key(key, order)
 }
 
-fn keeps_its_place(cluster: &Cluster, key: QueueKey, pending: &PendingUnit) -> bool {
+fn is_position_fixed(cluster: &Cluster, key: QueueKey, pending: &PendingUnit) -> bool {
     let holds_preempted_capacity = |index: &WorkerIndex| {
         let worker = cluster.workers.get(*index);
         worker.is_some_and(|worker| {
