--- a/crates/jobs/src/assignment.rs
+++ b/crates/jobs/src/assignment.rs
@@ -1,9 +1,10 @@
-//! Check of the assignments of a unit's tasks to workers.
+//! Validation of the assignments of a unit's tasks to workers.
 
 use std::ops::Range;
 use streamusher_protocol::unit::{StepId, TaskAssignment, UnitId, WorkerId};
 
-/// The workers in the order of the unit's tasks; none unless the assignments name each task once and nothing else.
+/// Returns the workers in the order of the unit's tasks, or `None` unless the assignments name each task
+/// exactly once and no other task.
 pub(crate) fn workers_in_task_order(
     unit: &UnitId,
     tasks: Range<u32>,
--- a/crates/jobs/src/changes.rs
+++ b/crates/jobs/src/changes.rs
@@ -1,4 +1,4 @@
-//! What the job table hands out: its changes, and views of single runs.
+//! Output of the job table: its changes since the last call, and descriptions of single runs.
 
 use crate::completion::Completion;
 use std::sync::Arc;
@@ -8,33 +8,33 @@
 use streamusher_protocol::unit::{Unit, UnitId, WorkerId};
 use streamusher_protocol::Millis;
 
-/// Everything that changed since the last call of [`JobTable::take_changes`](crate::JobTable::take_changes).
+/// All changes since the last call of [`JobTable::take_changes`](crate::JobTable::take_changes).
 ///
 /// Apply `revoked_units` before `ready_units`: a unit that is reissued is in both.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct JobChanges {
-    /// Writes to the replicated state, in one batch; each key at most once.
+    /// Writes to the replicated state, to be committed in one batch. Each key occurs at most once.
     pub writes: Vec<Write>,
     /// Units that became ready for placement.
     pub ready_units: Vec<Unit>,
-    /// Units that were handed out as ready before and must not start any more.
+    /// Units that an earlier call returned as ready and that must not start any more.
     pub revoked_units: Vec<UnitId>,
-    /// Runs to stop.
+    /// Assigned runs that their workers should stop.
     pub runs_to_stop: Vec<RunId>,
-    /// Iterations that ended, with where their time went.
+    /// Iterations that ended, with their latency breakdown.
     pub completions: Vec<Completion>,
 }
 
-/// A run that its worker may be told to start once the writes that record it are committed.
+/// A run that its worker may start once the writes that record it are committed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartedRun {
-    /// The run.
+    /// Identifier of the run.
     pub run: RunId,
-    /// Worker that it is assigned to.
+    /// Worker to which the run is assigned.
     pub worker: WorkerId,
-    /// What to run.
+    /// Specification of the work, from the request of the job.
     pub spec: Arc<str>,
-    /// Checkpoint to continue from; empty for the beginning.
+    /// Checkpoint from which the run continues; empty to start from the beginning.
     pub checkpoint: Arc<str>,
 }
 
@@ -45,39 +45,40 @@
     reason = "each is a property of the request, as it is in the protocol"
 )]
 pub struct AssignedRun {
-    /// The run.
+    /// Identifier of the run.
     pub run: RunId,
-    /// Worker that it is assigned to.
+    /// Worker to which the run is assigned.
     pub worker: WorkerId,
-    /// What it takes there.
+    /// Resources that the run occupies at the worker.
     pub resources: Resources,
-    /// Its queue.
+    /// Queue of the run's job.
     pub queue: Arc<str>,
-    /// Its step's part of the time that its job may spend waiting and still meet its latency objective, in milliseconds.
+    /// Share of the run's step in the slack of its job, in milliseconds. The slack is the time that the job
+    /// may spend waiting and still meet its latency objective.
     pub slack_ms: Millis,
-    /// Priority of its queue; 0 comes first.
+    /// Priority of the queue; 0 is the highest.
     pub priority: u32,
-    /// The unit that it is part of.
+    /// Unit to which the run's task belongs.
     pub unit: UnitId,
-    /// Service of its queue.
+    /// Service of the queue.
     pub service: Arc<str>,
-    /// What it was started with.
+    /// Specification with which the run was started.
     pub spec: Arc<str>,
-    /// Checkpoint that it was started with; empty for the beginning.
+    /// Checkpoint from which the run was started; empty if it started from the beginning.
     pub checkpoint: Arc<str>,
-    /// When it was assigned, in milliseconds since 1970; where a former version did not record it, when the job table was
-    /// recovered.
+    /// Time of the assignment, in milliseconds since 1970. If a former version did not record it, this is the
+    /// time at which the job table was recovered.
     pub assigned_unix_ms: Millis,
-    /// Estimated run time of a task, in milliseconds.
+    /// Estimated run time of the task, in milliseconds.
     pub estimated_ms: Millis,
-    /// It writes checkpoints.
+    /// The task writes checkpoints.
     pub checkpoints: bool,
-    /// It runs until the job is cancelled.
+    /// The task runs until its job is cancelled.
     pub long_running: bool,
-    /// It is one of a gang.
+    /// The task is a member of a gang.
     pub gang: bool,
-    /// Its task may have a speculative second run.
+    /// The task may have a speculative second run.
     pub hedged: bool,
-    /// Its result is not wanted any more; it still occupies the worker until it is over.
+    /// The run is being stopped and its result is ignored; it occupies the worker until it is over.
     pub stopping: bool,
 }
--- a/crates/jobs/src/completion.rs
+++ b/crates/jobs/src/completion.rs
@@ -1,4 +1,4 @@
-//! The end of an iteration, compared with the latency objective of its queue.
+//! End of an iteration, compared with the latency objective of its queue.
 
 use crate::latency::{LatencyBreakdown, LatencyStage};
 use crate::policy::QueuePolicy;
@@ -7,52 +7,53 @@
 use streamusher_protocol::task::JobId;
 use streamusher_protocol::Millis;
 
-/// An iteration that is done, or the one in which its job failed. Its JSON is part of a log line that tools parse.
+/// A completed iteration, or the iteration in which its job failed. The JSON form is part of a log line that
+/// tools parse.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Completion {
-    /// The job.
+    /// Identifier of the job.
     pub job: JobId,
-    /// The iteration.
+    /// Number of the iteration, counted from 0.
     pub iteration: u32,
-    /// Its queue.
+    /// Queue of the job.
     pub queue: Arc<str>,
-    /// The service whose workers ran it.
+    /// Service whose workers ran the tasks.
     pub service: Arc<str>,
-    /// Priority of its queue.
+    /// Priority of the queue; 0 is the highest.
     pub priority: u32,
-    /// Constant part of the objective, from its queue, in milliseconds.
+    /// Constant part of the queue's latency objective, in milliseconds.
     pub target_latency_ms: Millis,
-    /// Factor of the objective on the work, from its queue.
+    /// Factor of the queue's latency objective on the work.
     pub stretch: f64,
-    /// Every task is done; otherwise a unit had no attempt left.
+    /// Every task is done. Otherwise a unit had no attempt left.
     #[serde(rename = "is_done")]
     pub succeeded: bool,
-    /// When it was due or, if that was later, submitted; in milliseconds since 1970.
+    /// Due time of the iteration, or the time of submission if that is later; in milliseconds since 1970.
     pub due_unix_ms: Millis,
-    /// From then to its end, in milliseconds.
+    /// Time from `due_unix_ms` to the end of the iteration, in milliseconds.
     #[serde(rename = "took_ms")]
     pub latency_ms: Millis,
-    /// Latency objective of its queue for the work as it turned out, in milliseconds.
+    /// Latency objective of the queue for the amount of work that the iteration turned out to need, in
+    /// milliseconds.
     pub objective_ms: Millis,
-    /// Where the time went along the chain of units that its end waited for; the sum is `latency_ms`, unless time was
-    /// accounted that the time of day does not show.
+    /// Latency by stage, along the chain of units on which the end of the iteration depended. The sum equals
+    /// `latency_ms`, unless the steady clock measured more time than the system clock.
     #[serde(rename = "spent_ms")]
     pub breakdown: LatencyBreakdown,
 }
 
-/// What a completion is computed from.
+/// Input from which a [`Completion`] is computed.
 pub(crate) struct IterationEnd {
-    /// The iteration.
     pub(crate) iteration: u32,
     /// Every task is done.
     pub(crate) succeeded: bool,
-    /// When it was due or submitted, since 1970.
+    /// Due time of the iteration, or the time of submission if that is later; in milliseconds since 1970.
     pub(crate) due_unix_ms: Millis,
-    /// When it ended, since 1970.
+    /// End of the iteration, in milliseconds since 1970.
     pub(crate) ended_unix_ms: Millis,
     /// Estimated work on the critical path.
     pub(crate) estimated_work_ms: Millis,
-    /// The time that was accounted.
+    /// Time that was accounted, by stage.
     pub(crate) breakdown: LatencyBreakdown,
 }
 
@@ -62,8 +63,9 @@
         self.succeeded && self.latency_ms <= self.objective_ms
     }
 
-    /// The completion of an iteration. Time that was not accounted is [`LatencyStage::Unknown`]. The objective counts
-    /// the work as it turned out, or as it was estimated where at least half of the time was not accounted.
+    /// Builds the completion of an iteration. Time that was not accounted is [`LatencyStage::Unknown`]. The
+    /// objective is computed from the measured work, or from the estimated work if the iteration failed or if
+    /// at least half of its time was not accounted.
     pub(crate) fn new(job: &JobId, policy: &QueuePolicy, end: IterationEnd) -> Completion {
         let mut breakdown = end.breakdown;
         let latency_ms = end.ended_unix_ms.saturating_sub(end.due_unix_ms);
--- a/crates/jobs/src/encoding.rs
+++ b/crates/jobs/src/encoding.rs
@@ -1,4 +1,4 @@
-//! Jobs and tasks to their stored forms.
+//! Conversion of jobs and tasks to their stored records.
 
 use crate::entry::JobEntry;
 use crate::job::Job;
@@ -6,7 +6,6 @@
 use crate::unit::{UnitPhase, UnitState};
 use streamusher_protocol::task::TaskId;
 
-/// The record of a job.
 pub(crate) fn job_record(entry: &JobEntry) -> JobRecord {
     match entry {
         JobEntry::Open(job) => JobRecord {
@@ -37,7 +36,7 @@
     }
 }
 
-/// The record of a task; none if no run of it was started, or its iteration is finished.
+/// Builds the record of a task. Returns `None` if no run of it has started, or if its iteration is finished.
 pub(crate) fn task_record(job: &Job, id: &TaskId) -> Option<TaskRecord> {
     let position = job.iterations.task_position(id)?;
     let step = job.iterations.step_of(position.unit)?;
--- a/crates/jobs/src/entry.rs
+++ b/crates/jobs/src/entry.rs
@@ -1,25 +1,23 @@
-//! What is kept of a job: all of it while it is open, then only its final state.
+//! Entry of the job store: the full state of an open job, or only the final state of an ended one.
 
 use crate::job::Job;
 use std::sync::Arc;
 use streamusher_protocol::job::JobState;
 
-/// What is kept of a job.
+/// Stored state of a job.
 #[derive(Debug)]
 pub(crate) enum JobEntry {
-    /// The job has not ended, or runs of it are left.
+    /// The job has not ended, or runs of it are still assigned.
     Open(Box<Job>),
-    /// The job has ended and no run of it is left.
+    /// The job has ended and none of its runs is assigned any more.
     Ended {
-        /// The queue it was submitted to.
+        /// Queue to which the job was submitted.
         queue: Arc<str>,
-        /// Its final state.
         state: JobState,
     },
 }
 
 impl JobEntry {
-    /// The job's state, as shown to clients.
     pub(crate) fn state(&self) -> JobState {
         match self {
             JobEntry::Open(job) => job.state(),
@@ -27,7 +25,6 @@
         }
     }
 
-    /// The queue that the job was submitted to.
     pub(crate) fn queue(&self) -> &Arc<str> {
         match self {
             JobEntry::Open(job) => &job.policy.queue,
--- a/crates/jobs/src/error.rs
+++ b/crates/jobs/src/error.rs
@@ -1,105 +1,107 @@
-//! Why a job is rejected, and why a stored record cannot be used.
+//! Errors of submissions and of stored records.
 
 use std::sync::Arc;
 use streamusher_protocol::job::MAX_SPEC_BYTES;
 
-/// Why a job is rejected. The text is the client's answer: it names the field and the remedy.
+/// Reason why a submission is rejected. The text is sent to the client; it names the field and the remedy.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SubmitError {
-    /// The spec is longer than [`MAX_SPEC_BYTES`]; it has this many bytes.
+    /// The spec is longer than [`MAX_SPEC_BYTES`]. Holds its length in bytes.
     #[error("spec has {0} bytes: send at most {MAX_SPEC_BYTES}")]
     SpecTooLong(usize),
-    /// There is no step.
+    /// The request has no step.
     #[error("steps is empty: send at least one step")]
     NoSteps,
-    /// There are too many steps.
+    /// The request has too many steps.
     #[error("steps has {found} entries: send at most {limit}")]
     TooManySteps {
-        /// Number of steps.
+        /// Number of steps in the request.
         found: usize,
         /// Largest number allowed.
         limit: usize,
     },
-    /// The step of this index has no task.
+    /// The step with this index has no task.
     #[error("steps[{0}].count is 0: send at least 1")]
     NoTasks(usize),
     /// An iteration of the job has too many tasks.
     #[error("steps[].count add up to {found} tasks: send at most {limit}, as several jobs")]
     TooManyTasks {
-        /// Number of tasks.
+        /// Number of tasks per iteration.
         found: u64,
         /// Largest number allowed.
         limit: u64,
     },
-    /// A step depends on one that is not before it.
+    /// A step depends on itself or on a step that does not precede it.
     #[error(
         "steps[{step}].depends_on names step {dependency}: name earlier steps only, counted from 0"
     )]
     DependencyNotEarlier {
-        /// The step.
+        /// Index of the dependent step.
         step: usize,
-        /// The step that it depends on.
+        /// Index of the step on which it depends.
         dependency: u32,
     },
     /// The job has too many iterations.
     #[error("repeat_count is {found}: send at most {limit}, and less where interval_ms is 0 and steps have many tasks")]
     TooManyIterations {
-        /// Number of iterations.
+        /// Number of iterations in the request.
         found: u32,
         /// Largest number allowed.
         limit: u64,
     },
-    /// A number is too large.
+    /// A number exceeds its limit.
     #[error("{field} is {found}: send at most {limit}")]
     TooLarge {
-        /// The field's path in the request.
+        /// Path of the field in the request.
         field: String,
-        /// The number.
+        /// Value in the request.
         found: u64,
-        /// Largest number allowed.
+        /// Largest value allowed.
         limit: u64,
     },
-    /// A text is too long.
+    /// A text exceeds its limit.
     #[error("{field} has {found} bytes: send at most {limit}")]
     TextTooLong {
-        /// The field's path in the request.
+        /// Path of the field in the request.
         field: String,
-        /// Its length in bytes.
+        /// Length of the text, in bytes.
         found: usize,
-        /// Largest length allowed.
+        /// Largest length allowed, in bytes.
         limit: usize,
     },
 }
 
-/// Why a stored record cannot be used. The replicated state is damaged, or from a version that is not compatible.
+/// Reason why a stored record cannot be used: the replicated state is damaged, or an incompatible version
+/// wrote it.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
-    /// The key is neither a job's nor a task's.
+    /// The key is neither that of a job nor that of a task.
     #[error("key {0:?} is neither job/ID nor task/ID.TIME.STEP.INDEX: take the state from another replica")]
     InvalidKey(Arc<str>),
-    /// The value is not valid.
+    /// The value cannot be decoded or is not valid.
     #[error("record {key:?} cannot be read ({source}): take the state from another replica")]
     InvalidValue {
-        /// The record's key.
+        /// Key of the record.
         key: Arc<str>,
-        /// What is wrong with the value.
+        /// Fault of the value.
         source: InvalidRecord,
     },
-    /// The key is that of a task whose job or step is not there.
+    /// The record of a task does not fit a stored job: the job or the task is missing, or the record contradicts
+    /// another one of its gang.
     #[error("record {0:?} belongs to no stored job: take the state from another replica")]
     TaskWithoutJob(Arc<str>),
 }
 
-/// What is wrong with the value of a stored record.
+/// Fault in the value of a stored record.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidRecord {
-    /// It is not JSON of the expected form.
+    /// The value is not JSON of the expected form.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The request in it is one that is not accepted.
+    /// The request in the record does not pass validation.
     #[error(transparent)]
     Request(#[from] SubmitError),
-    /// It holds neither a final state nor what is needed to go on.
+    /// The record holds neither a final state nor the state of an open job.
     #[error("neither state nor open is there")]
     NeitherStateNorOpen,
 }
--- a/crates/jobs/src/iteration.rs
+++ b/crates/jobs/src/iteration.rs
@@ -5,21 +5,20 @@
 use crate::step::StepState;
 use crate::unit::UnitPhase;
 
-/// One iteration of a job.
+/// Progress of one iteration of a job.
 #[derive(Clone, Debug)]
 pub(crate) struct Iteration {
-    /// Its steps.
     pub(crate) steps: Vec<StepState>,
-    /// Steps that are not done.
+    /// Number of steps that are not done.
     pub(crate) open_steps: usize,
-    /// Runs that are assigned to workers.
+    /// Number of runs that are assigned to workers.
     pub(crate) assigned_runs: u32,
-    /// Latency of the unit that was done last, and of the chain before it.
+    /// Latency breakdown of the unit that was done last, including the chain of units before it.
     pub(crate) latest_breakdown: LatencyBreakdown,
 }
 
 impl Iteration {
-    /// An iteration of which nothing has started.
+    /// Creates an iteration in which nothing has started.
     pub(crate) fn new(plan: &JobPlan) -> Iteration {
         let requests = plan.request.steps.iter();
         let steps: Vec<StepState> = requests
@@ -34,12 +33,10 @@
         }
     }
 
-    /// A step.
     pub(crate) fn step(&self, step: u32) -> Option<&StepState> {
         self.steps.get(step as usize)
     }
 
-    /// A step, to change it.
     pub(crate) fn step_mut(&mut self, step: u32) -> Option<&mut StepState> {
         self.steps.get_mut(step as usize)
     }
@@ -49,22 +46,22 @@
         self.open_steps == 0
     }
 
-    /// Whether every step is done and no run is left.
+    /// Whether every step is done and no run is assigned any more.
     pub(crate) fn is_over(&self) -> bool {
         self.is_complete() && self.assigned_runs == 0
     }
 
-    /// Marks a unit as done, and returns the steps that may start by that.
+    /// Marks a unit as done and returns the steps that become unblocked by it.
     pub(crate) fn on_unit_done(&mut self, plan: &JobPlan, step: u32, unit: u32) -> Vec<u32> {
-        let Some(content) = self.steps.get_mut(step as usize) else {
+        let Some(step_state) = self.steps.get_mut(step as usize) else {
             return Vec::new();
         };
-        if let Some(unit) = content.unit_mut(unit) {
+        if let Some(unit) = step_state.unit_mut(unit) {
             unit.phase = UnitPhase::Done;
             self.latest_breakdown = unit.latency.breakdown().clone();
         }
-        content.open_units = content.open_units.saturating_sub(1);
-        if content.open_units > 0 {
+        step_state.open_units = step_state.open_units.saturating_sub(1);
+        if step_state.open_units > 0 {
             return Vec::new();
         }
         self.open_steps = self.open_steps.saturating_sub(1);
--- a/crates/jobs/src/iterations.rs
+++ b/crates/jobs/src/iterations.rs
@@ -1,4 +1,4 @@
-//! All iterations of a job: which were released, which are finished, and where its runs are.
+//! All iterations of a job: which are released, which are finished, and where their runs are assigned.
 
 use crate::finished_iterations::FinishedIterations;
 use crate::iteration::Iteration;
@@ -11,31 +11,31 @@
 use streamusher_protocol::task::{RunId, TaskId};
 use streamusher_protocol::unit::WorkerId;
 
-/// The iterations of a job.
+/// Iterations of a job.
 #[derive(Debug, Default)]
 pub(crate) struct Iterations {
-    /// Iterations that were released and are not finished.
+    /// Iterations that are released and not finished.
     pub(crate) open: BTreeMap<u32, Iteration>,
-    /// The next iteration to release.
+    /// Next iteration to release.
     pub(crate) next: u32,
-    /// Iterations that are done and of which no run is left.
+    /// Iterations that are done and have no assigned run.
     pub(crate) finished: FinishedIterations,
-    /// Number of iterations of which every task is done, also those with runs left.
+    /// Number of iterations in which every task is done, including those with assigned runs.
     pub(crate) completed: u32,
-    /// Runs that are assigned to workers.
+    /// Number of runs that are assigned to workers.
     pub(crate) assigned_runs: u32,
 }
 
 impl Iterations {
-    /// Whether the job has another iteration and its open tasks leave room for it.
+    /// Whether the job has a further iteration and the limit of open tasks admits it.
     pub(crate) fn may_release(&self, plan: &JobPlan) -> bool {
         let open = self.open.len() as u64;
-        let has_room =
+        let is_within_task_limit =
             open == 0 || (open + 1).saturating_mul(plan.tasks_per_iteration) <= MAX_TASKS;
-        self.next < plan.iteration_count() && has_room
+        self.next < plan.iteration_count() && is_within_task_limit
     }
 
-    /// Releases the next iteration, and returns it unless it is finished already.
+    /// Releases the next iteration. Returns its number, or `None` if it is finished already.
     pub(crate) fn release_next(&mut self, plan: &JobPlan) -> Option<u32> {
         let iteration = self.next;
         self.next += 1;
@@ -46,12 +46,12 @@
         Some(iteration)
     }
 
-    /// Whether an open iteration is done and no run of it is left.
+    /// Whether an open iteration is done and has no assigned run.
     pub(crate) fn is_over(&self, iteration: u32) -> bool {
         self.open.get(&iteration).is_some_and(Iteration::is_over)
     }
 
-    /// Forgets an iteration that is over, except that it is finished.
+    /// Removes an iteration that is over and marks it as finished.
     pub(crate) fn finish(&mut self, iteration: u32) {
         self.open.remove(&iteration);
         self.finished.insert(iteration);
@@ -62,7 +62,6 @@
         self.open.get(&iteration)?.step(step)
     }
 
-    /// A step of an open iteration, to change it.
     pub(crate) fn step_mut(&mut self, iteration: u32, step: u32) -> Option<&mut StepState> {
         self.open.get_mut(&iteration)?.step_mut(step)
     }
@@ -73,23 +72,21 @@
             .unit(position.unit)
     }
 
-    /// A unit of an open iteration, to change it.
     pub(crate) fn unit_mut(&mut self, position: UnitPosition) -> Option<&mut UnitState> {
         self.step_mut(position.iteration, position.step)?
             .unit_mut(position.unit)
     }
 
-    /// The step of a unit.
+    /// The step to which a unit belongs.
     pub(crate) fn step_of(&self, position: UnitPosition) -> Option<&StepState> {
         self.step(position.iteration, position.step)
     }
 
-    /// The step of a unit, to change it.
     pub(crate) fn step_of_mut(&mut self, position: UnitPosition) -> Option<&mut StepState> {
         self.step_mut(position.iteration, position.step)
     }
 
-    /// The position of a task of an open iteration.
+    /// Position of a task; `None` unless its iteration is open and the task exists.
     pub(crate) fn task_position(&self, task: &TaskId) -> Option<TaskPosition> {
         let step = self.step(task.iteration, task.step)?;
         step.task(task.index)?;
@@ -104,14 +101,14 @@
         })
     }
 
-    /// The position of a run that is assigned to a worker.
+    /// Position of a run; `None` unless it is assigned to a worker.
     pub(crate) fn run_position(&self, run: &RunId) -> Option<RunPosition> {
         let task = self.task_position(&run.task)?;
         let slot = self.step_of(task.unit)?.run_slot(task.task, run.run)?;
         Some(RunPosition { task, slot })
     }
 
-    /// Counts runs as assigned.
+    /// Adds to the number of assigned runs.
     pub(crate) fn count_assigned(&mut self, iteration: u32, added: u32) {
         self.assigned_runs += added;
         if let Some(iteration) = self.open.get_mut(&iteration) {
@@ -119,7 +116,7 @@
         }
     }
 
-    /// Frees the worker of a run that is over.
+    /// Releases the worker of a run that is over, and returns it.
     pub(crate) fn release_worker(&mut self, run: RunPosition) -> Option<WorkerId> {
         let iteration = self.open.get_mut(&run.unit().iteration)?;
         let worker = iteration
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -1,6 +1,6 @@
-//! One job: the release of its iterations, which units of it are ready, and how it ends.
+//! State of one job: releases its iterations, makes units ready and ends the job.
 //!
-//! What follows from the runs of its tasks is in the module `run_events`.
+//! The module `run_events` handles the events of the job's runs.
 
 use crate::backoff::RestartPolicy;
 use crate::completion::{Completion, IterationEnd};
@@ -16,29 +16,27 @@
 use streamusher_protocol::unit::UnitId;
 use streamusher_protocol::{Millis, Now};
 
-/// A job that has not ended, or of which runs are left.
+/// A job that has not ended, or that has ended while runs of it are still assigned.
 #[derive(Debug)]
 pub(crate) struct Job {
-    /// Its identifier.
     pub(crate) id: JobId,
-    /// Policy of its queue.
+    /// Policy of the job's queue.
     pub(crate) policy: QueuePolicy,
-    /// Its request.
+    /// The request, and the step graph derived from it.
     pub(crate) plan: JobPlan,
-    /// When it was submitted, in milliseconds since 1970.
+    /// Time of the submission, in milliseconds since 1970.
     pub(crate) submitted_unix_ms: Millis,
-    /// Its final state, once it has ended.
+    /// Final state; `None` until the job ends.
     pub(crate) final_state: Option<JobState>,
-    /// A run of it has been assigned.
+    /// At least one run of the job has been assigned.
     pub(crate) has_started: bool,
-    /// Its iterations.
     pub(crate) iterations: Iterations,
-    /// A timer is set for its next iteration.
+    /// A release timer is set for the next iteration.
     pub(crate) release_timer_set: bool,
 }
 
 impl Job {
-    /// A job that was just submitted.
+    /// Creates a newly submitted job.
     pub(crate) fn new(
         id: JobId,
         policy: QueuePolicy,
@@ -57,7 +55,7 @@
         }
     }
 
-    /// Its state, as shown to clients.
+    /// State of the job as it is reported to clients.
     pub(crate) fn state(&self) -> JobState {
         let open_state = if self.has_started {
             JobState::Running
@@ -67,28 +65,27 @@
         self.final_state.unwrap_or(open_state)
     }
 
-    /// Whether it has ended, perhaps with runs left.
+    /// Whether the job has ended. Runs of an ended job may still be assigned.
     pub(crate) fn has_ended(&self) -> bool {
         self.final_state.is_some()
     }
 
-    /// When an iteration was due or, if that was later, submitted; since 1970.
+    /// Due time of an iteration, or the time of submission if that is later; in milliseconds since 1970.
     pub(crate) fn due_unix_ms(&self, iteration: u32) -> Millis {
         self.plan.due_unix_ms(iteration).max(self.submitted_unix_ms)
     }
 
-    /// When a step's units may be started again.
+    /// Restart policy of a step's units.
     pub(crate) fn restart_policy(&self, step: u32) -> RestartPolicy {
         self.policy.restart_policy(self.plan.is_long_running(step))
     }
 
-    /// The identifier of a unit.
     pub(crate) fn unit_id(&self, position: UnitPosition) -> UnitId {
         let is_gang = self.plan.step(position.step).is_some_and(|s| s.gang);
         position.id(&self.id, is_gang)
     }
 
-    /// Releases all iterations that are due, as far as the limit of open tasks allows.
+    /// Releases all iterations that are due, within the limit of open tasks.
     pub(crate) fn release_due_iterations(&mut self, now: Now, effects: &mut Effects) {
         while !self.has_ended() && self.iterations.may_release(&self.plan) {
             if self.plan.due_unix_ms(self.iterations.next) > now.unix_ms {
@@ -109,7 +106,8 @@
         }
     }
 
-    /// Sets a timer for the next iteration, unless it waits for something else than its time.
+    /// Sets a timer for the due time of the next iteration, unless one is set already or no further iteration
+    /// may be released yet.
     pub(crate) fn set_release_timer(&mut self, effects: &mut Effects) {
         let may_release = !self.has_ended() && self.iterations.may_release(&self.plan);
         if self.release_timer_set || !may_release {
@@ -120,13 +118,13 @@
         effects.timers.set_release(due_unix_ms, &self.id);
     }
 
-    /// The timer for the next iteration has elapsed.
+    /// Handles the expiry of the release timer.
     pub(crate) fn on_release_timer(&mut self, now: Now, effects: &mut Effects) {
         self.release_timer_set = false;
         self.release_due_iterations(now, effects);
     }
 
-    /// Makes all units of a step ready whose dependencies are done.
+    /// Makes all units of a step ready. The dependencies of the step must be done.
     pub(crate) fn make_step_ready(
         &mut self,
         now: Now,
@@ -134,10 +132,10 @@
         step: u32,
         effects: &mut Effects,
     ) {
-        let Some(content) = self.iterations.step(iteration, step) else {
+        let Some(step_state) = self.iterations.step(iteration, step) else {
             return;
         };
-        for unit in content.unit_indexes() {
+        for unit in step_state.unit_indexes() {
             let position = UnitPosition {
                 iteration,
                 step,
@@ -147,7 +145,8 @@
         }
     }
 
-    /// Lets a unit wait for placement, now or after a backoff; the job fails if the unit has no attempt left.
+    /// Makes a unit wait for placement, at once or after a backoff. The job fails if the unit has no attempt
+    /// left.
     pub(crate) fn make_unit_ready(
         &mut self,
         now: Now,
@@ -158,11 +157,11 @@
         let Some(iteration) = self.iterations.open.get(&position.iteration) else {
             return;
         };
-        let chain = iteration.latest_breakdown.clone();
+        let preceding = iteration.latest_breakdown.clone();
         let Some(unit) = self.iterations.unit_mut(position) else {
             return;
         };
-        match unit.make_ready(now.steady_ms, restart, &chain) {
+        match unit.make_ready(now.steady_ms, restart, &preceding) {
             Readiness::Closed => {}
             Readiness::AttemptsExhausted => {
                 let breakdown = unit.latency.breakdown().clone();
@@ -178,7 +177,8 @@
         }
     }
 
-    /// Makes a unit ready whose backoff has elapsed, if it is still in the backoff that was set until this time.
+    /// Makes a unit ready after its backoff. Does nothing unless the unit is still in the backoff that ends
+    /// at `until_ms`.
     pub(crate) fn on_backoff_elapsed(
         &mut self,
         now: Now,
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Ends the job as one of its units has no attempt left.
+    /// Fails the job because one of its units has no attempt left.
     pub(crate) fn fail(
         &mut self,
         now: Now,
@@ -209,7 +209,7 @@
         self.finish(JobState::Failed, effects);
     }
 
-    /// The completion of an iteration that ends now.
+    /// Builds the completion of an iteration that ends now.
     pub(crate) fn completion(
         &self,
         now: Now,
@@ -228,24 +228,24 @@
         Completion::new(&self.id, &self.policy, end)
     }
 
-    /// Ends the job: nothing of it starts any more, and its runs are to be stopped.
+    /// Ends the job: no further run starts, and its assigned runs are to be stopped.
     pub(crate) fn finish(&mut self, state: JobState, effects: &mut Effects) {
         if self.has_ended() {
             return;
         }
         self.final_state = Some(state);
         effects.changed_jobs.insert(self.id.clone());
-        for (&iteration, content) in &mut self.iterations.open {
-            for (step, content) in (0..).zip(&mut content.steps) {
-                for unit in content.unit_indexes() {
+        for (&iteration, iteration_state) in &mut self.iterations.open {
+            for (step, step_state) in (0..).zip(&mut iteration_state.steps) {
+                for unit in step_state.unit_indexes() {
                     let position = UnitPosition {
                         iteration,
                         step,
                         unit,
                     };
-                    let abandoned = content.abandon_unit(unit);
+                    let abandoned = step_state.abandon_unit(unit);
                     if abandoned.was_waiting {
-                        effects.revoke_unit(position.id(&self.id, content.is_gang));
+                        effects.revoke_unit(position.id(&self.id, step_state.is_gang));
                     }
                     let runs = abandoned.runs.into_iter();
                     effects
@@ -256,16 +256,16 @@
         }
     }
 
-    /// Applies a changed policy. Units that wait for placement are reissued; the job fails if one of them has no attempt
-    /// left by the new policy.
+    /// Applies a changed policy. Units that wait for placement are reissued. The job fails if one of them has
+    /// no attempt left under the new policy.
     pub(crate) fn apply_policy(&mut self, policy: QueuePolicy, effects: &mut Effects) {
         self.policy = policy;
         effects.changed_jobs.insert(self.id.clone());
         let mut is_exhausted = false;
-        for (&iteration, content) in &self.iterations.open {
-            for (step, content) in (0..).zip(&content.steps) {
+        for (&iteration, iteration_state) in &self.iterations.open {
+            for (step, step_state) in (0..).zip(&iteration_state.steps) {
                 let restart = self.restart_policy(step);
-                for (unit, state) in (0..).zip(&content.units) {
+                for (unit, state) in (0..).zip(&step_state.units) {
                     if state.phase != UnitPhase::Waiting {
                         continue;
                     }
@@ -275,7 +275,7 @@
                         step,
                         unit,
                     };
-                    effects.reissue_unit(position.id(&self.id, content.is_gang));
+                    effects.reissue_unit(position.id(&self.id, step_state.is_gang));
                 }
             }
         }
@@ -284,19 +284,23 @@
         }
     }
 
-    /// Names the records of an iteration's tasks as changed, so that they are removed with it.
-    pub(crate) fn forget_tasks(&self, iteration: u32, effects: &mut Effects) {
-        let Some(content) = self.iterations.open.get(&iteration) else {
+    /// Marks the records of all started tasks of an iteration as changed, so that they are removed together
+    /// with it.
+    pub(crate) fn mark_task_records_changed(&self, iteration: u32, effects: &mut Effects) {
+        let Some(iteration_state) = self.iterations.open.get(&iteration) else {
             return;
         };
-        for (step, content) in (0..).zip(&content.steps) {
-            for task in content.task_indexes() {
+        for (step, step_state) in (0..).zip(&iteration_state.steps) {
+            for task in step_state.task_indexes() {
                 let position = UnitPosition {
                     iteration,
                     step,
-                    unit: content.unit_of(task),
+                    unit: step_state.unit_of(task),
                 };
-                if content.unit(position.unit).is_some_and(|unit| unit.run > 0) {
+                if step_state
+                    .unit(position.unit)
+                    .is_some_and(|unit| unit.run > 0)
+                {
                     effects
                         .changed_tasks
                         .insert(position.task_id(&self.id, task));
--- a/crates/jobs/src/latency.rs
+++ b/crates/jobs/src/latency.rs
@@ -1,42 +1,44 @@
-//! Latency breakdown: where the time of an iteration went along the chain of units that its end waited for, each
-//! millisecond in one stage.
+//! Latency breakdown of an iteration. It covers the chain of units on which the end of the iteration
+//! depended, and attributes each millisecond to exactly one stage.
 
 use crate::millis::saturating_millis;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use streamusher_protocol::Millis;
 
-/// What a unit spends its time on.
+/// Stage to which the time of a unit is attributed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LatencyStage {
-    /// Waited while no worker accepted work, or none that the unit may run at.
+    /// Waiting, while no worker accepted work or the unit was not allowed to run at any worker that did.
     WaitedForWorker,
-    /// Waited while no worker that could run it had the capacity free.
+    /// Waiting, while no worker that is able to run the unit had enough free capacity.
     #[serde(rename = "waited_for_room")]
     WaitedForCapacity,
-    /// Waited while capacity was being reserved for it.
+    /// Waiting, while capacity was being reserved for the unit.
     WaitedForReservation,
-    /// Waited while capacity was free that was reserved for others, or at workers that the unit avoids.
+    /// Waiting, while the only free capacity was reserved for other units or was at workers that the unit
+    /// avoids.
     #[serde(rename = "waited_with_room_free")]
     WaitedWithCapacityFree,
-    /// Waited for the end of the backoff after a failure.
+    /// Waiting for the end of the backoff after a failure.
     #[serde(rename = "paused")]
     BackedOff,
-    /// From the placement decision to the first report of the run, and from the run's end to its report.
+    /// From the placement decision to the first report of the run, and from the end of the run to its report.
     #[serde(rename = "ordered")]
     Dispatched,
-    /// Ran, up to what the run would have taken at a worker of usual speed near its data.
+    /// Running, up to the time that the run would have taken at a worker of usual speed near its data.
     Worked,
-    /// Ran for longer than that: at a slow worker, or away from its data.
+    /// Running beyond that time, because of a slow worker or remote data.
     RanSlowly,
-    /// Ran in vain: the run failed.
+    /// Running without result: the run failed.
     Failed,
-    /// Ran in vain: the run was stopped, for one of higher priority or to be moved.
+    /// Running without result: the run was stopped, because of preemption or to move it.
     Stopped,
-    /// Ran in vain: the run was lost with its worker, or its lease expired.
+    /// Running without result: the run was lost with its worker, or its lease expired.
     Lost,
-    /// Not observed: before the present primary took over, or before the unit was revoked and made ready again.
+    /// Not observed: the time before the current primary took over, or before the unit was revoked and made
+    /// ready again.
     Unknown,
 }
 
@@ -58,7 +60,8 @@
     ];
 }
 
-/// Milliseconds in each stage, at most `u32::MAX` in one; encoded as a map of the stages that have any.
+/// Milliseconds in each stage, at most `u32::MAX` per stage. Encoded as a map of the stages whose time is not
+/// 0.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(
     from = "BTreeMap<LatencyStage, Millis>",
@@ -67,14 +70,14 @@
 pub struct LatencyBreakdown([u32; LatencyStage::ALL.len()]);
 
 impl LatencyBreakdown {
-    /// Adds time to a stage.
+    /// Adds time to a stage. The sum saturates at `u32::MAX`.
     pub fn add(&mut self, stage: LatencyStage, spent_ms: Millis) {
         let spent_ms = u32::try_from(spent_ms).unwrap_or(u32::MAX);
         let total = &mut self.0[stage as usize];
         *total = total.saturating_add(spent_ms);
     }
 
-    /// Time in a stage, in milliseconds.
+    /// Time in one stage, in milliseconds.
     pub fn in_stage(&self, stage: LatencyStage) -> Millis {
         self.0[stage as usize].into()
     }
@@ -84,7 +87,7 @@
         self.0.iter().map(|spent_ms| Millis::from(*spent_ms)).sum()
     }
 
-    /// The stages that have any time, with their milliseconds, in the order of [`LatencyStage::ALL`].
+    /// The stages whose time is not 0 with their milliseconds, in the order of [`LatencyStage::ALL`].
     pub fn stages(&self) -> impl Iterator<Item = (LatencyStage, Millis)> + '_ {
         LatencyStage::ALL
             .into_iter()
@@ -109,17 +112,17 @@
     }
 }
 
-/// How long a run took, as far as its worker's reports show.
+/// Duration of a run, derived from the reports of its worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RunTimings {
-    /// From the first report that showed the run to its end, in milliseconds.
+    /// Time from the first report that showed the run to its end, in milliseconds.
     pub ran_ms: Millis,
-    /// Factor by which it took longer than at a worker of usual speed near its data; 1 where that is not known.
+    /// Ratio of the run time to that at a worker of usual speed near the run's data; 1 if it is not known.
     pub slowness: f64,
 }
 
 impl RunTimings {
-    /// Splits the time of a finished run, from the placement decision to its end, into stages.
+    /// Splits the time from the placement decision to the end of a successful run into stages.
     pub(crate) fn add_to(self, breakdown: &mut LatencyBreakdown, elapsed_ms: Millis) {
         let ran_ms = self.ran_ms.min(elapsed_ms);
         let worked_ms = saturating_millis(ran_ms as f64 / self.slowness.max(1.0));
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -1,35 +1,39 @@
-//! The job table of the cluster scheduler: which jobs are known, which of their tasks may run now, where they run and
-//! how often they failed.
+//! Job table of the cluster scheduler: stores the submitted jobs and tracks which of their tasks may run,
+//! where the tasks run and how often they failed.
 //!
-//! A client submits a *job*: steps of tasks that depend on each other, run once or as several *iterations* at fixed
-//! times. What is placed at once is a *unit*: a single task, or all tasks of a gang. Each start of a task is a *run*.
+//! A client submits a *job*: a graph of steps, each with one or more tasks, that is executed once or as
+//! several *iterations* at a fixed interval. A *unit* is what placement assigns as a whole: a single task, or
+//! all tasks of a gang. Each start of a task is a *run*.
 //!
-//! [`JobTable`] is a state machine without I/O and without a clock. The scheduler calls it with the current time and
-//! with what happened (a client submitted or cancelled, placement assigned a unit, a worker reported a run's end) and
-//! then takes its [`JobChanges`]: writes to the replicated state, units that became ready or were revoked, runs to
-//! stop, and completed iterations. [`JobTable::recover`] rebuilds it from the replicated state at a new primary.
+//! [`JobTable`] is a state machine without I/O and without a clock. The scheduler calls it with the current
+//! time and an event (a client submits or cancels a job, placement assigns a unit, a worker reports the end
+//! of a run), and then takes its [`JobChanges`]: writes to the replicated state, units that became ready or
+//! were revoked, runs to stop, and completed iterations. After a change of primary, [`JobTable::recover`]
+//! rebuilds the table from the replicated state.
 //!
 //! # Invariants
 //!
-//! - At most one run of a task is assigned at any time; two where the step is hedged and [`JobTable::hedge`] asked for
-//!   the second one.
-//! - Run numbers of a task rise and are never used twice, also after a recovery.
-//! - A unit becomes ready only after every step that its step depends on is done.
-//! - A unit with as many failed attempts as its [`QueuePolicy`] allows ends its job; units of long-running steps are
-//!   restarted without limit, after a backoff.
+//! - At most one run of a task is assigned at any time. A hedged task may have two after a call of
+//!   [`JobTable::hedge`].
+//! - Run numbers of a task increase and are never reused, also after a recovery.
+//! - A unit becomes ready only after every step that its own step depends on is done.
+//! - A unit whose failed attempts reach the limit of its [`QueuePolicy`] fails its job. Units of long-running
+//!   steps are restarted without limit, after a backoff.
 //!
 //! # Structure
 //!
-//! Each layer uses the ones below it and none above:
+//! Each layer uses only the layers listed below it:
 //!
-//! - [`JobTable`] is the interface; the module `views` shows units and runs to others.
-//! - `recovery` and `encoding` turn stored records (`record`) into jobs and back.
-//! - `store` keeps all jobs, the number of pending ones, and the effects that are not taken yet.
-//! - `job` releases iterations and ends the job; `run_events` handles what happens to runs. Both turn what the state below
-//!   returns into `effects`.
-//! - `iterations`, `iteration`, `step` and `unit` are the state of a job, from large to small; a `position` names a place
-//!   in it.
-//! - `policy`, `plan` and `backoff` are the rules by which it runs, `latency` and `completion` what is reported of it.
+//! - [`JobTable`] is the interface; the module `views` builds the descriptions of waiting units and assigned
+//!   runs that it returns.
+//! - `recovery` and `encoding` convert between stored records (`record`) and jobs.
+//! - `store` holds all jobs, the number of pending jobs, and the effects that have not been taken yet.
+//! - `job` releases iterations and ends the job; `run_events` handles the start and the end of runs and the
+//!   events between. Both translate the results of the layers below into `effects`.
+//! - `iterations`, `iteration`, `step` and `unit` hold the state of a job, from the largest part to the
+//!   smallest; a `position` addresses a unit, task or run within a job.
+//! - `policy`, `plan` and `backoff` are the rules by which a job is executed; `latency` and `completion`
+//!   describe what is reported about it.
 //!
 //! # Example
 //!
@@ -60,17 +64,17 @@
 //! let mut table = JobTable::new(JobSettings { retention_ms: 60_000 });
 //! assert_eq!(table.submit(now, &job, request, &policy)?, SubmitOutcome::Accepted);
 //!
-//! // The only task is ready; the job's record is to be written to the replicated state.
+//! // The only task is ready, and the job's record has to be written to the replicated state.
 //! let changes = table.take_changes();
 //! assert_eq!(changes.writes.len(), 1);
 //! let unit = &changes.ready_units[0];
 //!
-//! // Placement chose a worker: the run may be started once its record is committed.
+//! // Placement chose a worker. The run may be started once its record is committed.
 //! let assignment = TaskAssignment { task: unit.tasks[0].clone(), worker: "worker-1".into() };
 //! let started = table.start_unit(now, &unit.id, &[assignment]);
 //! assert_eq!(table.status(&job), Some(JobState::Running));
 //!
-//! // The worker reported the run's end.
+//! // The worker reports the end of the run.
 //! assert!(table.on_run_finished(now, &started[0].run, RunEnd::Done, ""));
 //! assert_eq!(table.status(&job), Some(JobState::Succeeded));
 //! # Ok(())
--- a/crates/jobs/src/long_running.rs
+++ b/crates/jobs/src/long_running.rs
@@ -1,4 +1,4 @@
-//! How many tasks of a long-running job are assigned to workers, for the report of those that are not at work.
+//! Counts the tasks of a long-running job by phase, for the report of tasks that are not running.
 
 use crate::job::Job;
 use crate::unit::UnitPhase;
@@ -6,26 +6,27 @@
 use streamusher_protocol::task::JobId;
 use streamusher_protocol::Millis;
 
-/// The tasks of a job's long-running steps, by their phase.
+/// Number of tasks of a job's long-running steps, by phase.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LongRunningTasks {
-    /// The job.
+    /// Identifier of the job.
     pub job: JobId,
-    /// Its queue.
+    /// Queue of the job.
     pub queue: Arc<str>,
-    /// When the job was submitted or, if that was later, due; in milliseconds since 1970.
+    /// Due time of the first iteration, or the time of submission if that is later; in milliseconds since
+    /// 1970.
     pub due_unix_ms: Millis,
-    /// All tasks of released iterations.
+    /// Number of all long-running tasks in open iterations.
     pub tasks: u32,
-    /// Tasks that wait for placement.
+    /// Number of tasks that wait for placement.
     pub pending: u32,
-    /// Tasks that wait for the end of the backoff before a restart.
+    /// Number of tasks that wait for the end of the backoff before a restart.
     pub backing_off: u32,
-    /// Tasks that are assigned to a worker.
+    /// Number of tasks that are assigned to a worker.
     pub assigned: u32,
 }
 
-/// The long-running tasks of an open job; none if it has no such step.
+/// Counts the long-running tasks of an open job. Returns `None` if the job has ended or has no such task.
 pub(crate) fn long_running_tasks(job: &Job) -> Option<LongRunningTasks> {
     if job.has_ended() {
         return None;
@@ -40,13 +41,17 @@
         assigned: 0,
     };
     for iteration in job.iterations.open.values() {
-        for (step, content) in (0..).zip(&iteration.steps) {
+        for (step, step_state) in (0..).zip(&iteration.steps) {
             if !job.plan.is_long_running(step) {
                 continue;
             }
-            for index in content.unit_indexes() {
-                let tasks = content.tasks_of(index).len().try_into().unwrap_or(u32::MAX);
-                counts.add(content.unit(index)?.phase, tasks);
+            for index in step_state.unit_indexes() {
+                let tasks = step_state
+                    .tasks_of(index)
+                    .len()
+                    .try_into()
+                    .unwrap_or(u32::MAX);
+                counts.add(step_state.unit(index)?.phase, tasks);
             }
         }
     }
@@ -56,12 +61,12 @@
 impl LongRunningTasks {
     fn add(&mut self, phase: UnitPhase, tasks: u32) {
         self.tasks = self.tasks.saturating_add(tasks);
-        let of_phase = match phase {
+        let counter = match phase {
             UnitPhase::Waiting => &mut self.pending,
             UnitPhase::BackingOff { .. } => &mut self.backing_off,
             UnitPhase::Assigned => &mut self.assigned,
             UnitPhase::Blocked | UnitPhase::Done | UnitPhase::Abandoned => return,
         };
-        *of_phase = of_phase.saturating_add(tasks);
+        *counter = counter.saturating_add(tasks);
     }
 }
--- a/crates/jobs/src/millis.rs
+++ b/crates/jobs/src/millis.rs
@@ -1,12 +1,13 @@
-//! Conversion of computed spans to whole milliseconds.
+//! Conversion of computed durations to whole milliseconds.
 
 use streamusher_protocol::Millis;
 
-/// A span in whole milliseconds, rounded down; negative and NaN become 0, too large ones the largest span.
+/// Converts a duration to whole milliseconds, rounded down. Negative values and NaN become 0; values out of
+/// range become the largest duration.
 #[expect(
     clippy::cast_possible_truncation,
-    reason = "rounding down is wanted, and `as` saturates at both ends"
+    reason = "rounding down is intended, and `as` saturates at both ends"
 )]
-pub(crate) fn saturating_millis(span_ms: f64) -> Millis {
-    span_ms as Millis
+pub(crate) fn saturating_millis(duration_ms: f64) -> Millis {
+    duration_ms as Millis
 }
--- a/crates/jobs/src/outcomes.rs
+++ b/crates/jobs/src/outcomes.rs
@@ -1,4 +1,4 @@
-//! Outcomes of clients' requests.
+//! Outcomes of client requests.
 
 use streamusher_protocol::job::JobState;
 
@@ -7,17 +7,17 @@
 pub enum SubmitOutcome {
     /// The job is new.
     Accepted,
-    /// A job with this identifier is known already, whatever its request; nothing changed.
-    AlreadyKnown,
+    /// A job with this identifier exists already. Its request is not compared, and nothing changed.
+    AlreadyExists,
 }
 
-/// Outcome of a cancellation.
+/// Outcome of a cancellation request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelOutcome {
-    /// The job is cancelled now.
+    /// The job was open and is cancelled now.
     Cancelled,
-    /// The job had ended before, in this state.
+    /// The job had already ended, in this state.
     AlreadyEnded(JobState),
-    /// No such job is known.
+    /// No job with this identifier is known, or its retention is over.
     UnknownJob,
 }
--- a/crates/jobs/src/pending.rs
+++ b/crates/jobs/src/pending.rs
@@ -1,21 +1,21 @@
-//! Number of pending jobs of each queue.
+//! Number of pending jobs per queue.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Jobs of which nothing has started, counted by queue.
+/// Number of jobs of which no run has been assigned, by queue.
 #[derive(Debug, Default)]
 pub(crate) struct PendingCounts {
     by_queue: HashMap<Arc<str>, u64>,
 }
 
 impl PendingCounts {
-    /// Counts a job.
+    /// Counts a job as pending.
     pub(crate) fn add(&mut self, queue: Arc<str>) {
         *self.by_queue.entry(queue).or_default() += 1;
     }
 
-    /// Takes a job off the count.
+    /// Removes a job from the count.
     pub(crate) fn remove(&mut self, queue: &str) {
         let Some(count) = self.by_queue.get_mut(queue) else {
             return;
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Pending jobs of a queue.
+    /// Number of pending jobs of a queue.
     pub(crate) fn count(&self, queue: &str) -> u64 {
         self.by_queue.get(queue).copied().unwrap_or(0)
     }
--- a/crates/jobs/src/policy.rs
+++ b/crates/jobs/src/policy.rs
@@ -1,32 +1,32 @@
-//! What the configuration says of a queue, as far as its jobs need it.
+//! Policy of a queue: the part of its configuration that applies to its jobs.
 
 use crate::backoff::RestartPolicy;
 use crate::millis::saturating_millis;
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// The policy of a queue, by which its jobs are scheduled.
+/// Policy of a queue, which controls the scheduling of its jobs.
 ///
-/// A job keeps the policy that was configured when it was submitted until
-/// [`JobTable::apply_configuration`](crate::JobTable::apply_configuration) brings a newer one.
+/// A job keeps the policy that was configured at its submission until
+/// [`JobTable::apply_configuration`](crate::JobTable::apply_configuration) replaces it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueuePolicy {
     /// Name of the queue's route.
     pub queue: Arc<str>,
     /// Service whose workers run the tasks.
     pub service: Arc<str>,
-    /// Priority; 0 comes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Failed runs of a task, or of a gang, after which the job fails. 0 counts as 1.
+    /// Number of failed runs of a task, or of a gang, that fails the job; 0 counts as 1.
     pub max_attempts: u32,
-    /// Factor of the latency objective on the job's critical path.
+    /// Factor of the latency objective on the work on the job's critical path.
     pub stretch: f64,
     /// Constant part of the latency objective, in milliseconds.
     pub target_latency_ms: Millis,
 }
 
 impl QueuePolicy {
-    /// The same policy with a stretch that a JSON record can hold: 0 in place of infinity and NaN.
+    /// Copies the policy with a stretch that a JSON record can represent: 0 replaces infinity and NaN.
     pub(crate) fn sanitized(&self) -> QueuePolicy {
         let stretch = if self.stretch.is_finite() {
             self.stretch
@@ -39,7 +39,7 @@
         }
     }
 
-    /// When a unit of this queue's jobs may be started again.
+    /// Restart policy of the units of this queue's jobs.
     pub(crate) fn restart_policy(&self, is_long_running: bool) -> RestartPolicy {
         if is_long_running {
             RestartPolicy::Unlimited
@@ -50,8 +50,8 @@
         }
     }
 
-    /// A step's part of its job's slack, by its share of the critical path. The slack is what the latency objective
-    /// leaves beside the estimated work.
+    /// Share of a step in the slack of its job, in proportion to the step's part of the critical path. The
+    /// slack is the latency objective minus the estimated work.
     pub(crate) fn slack_ms(&self, estimated_ms: Millis, critical_path_ms: Millis) -> Millis {
         let critical_path_ms = critical_path_ms as f64;
         let stretched_ms = (self.stretch - 1.0).max(0.0) * critical_path_ms;
@@ -64,7 +64,7 @@
         saturating_millis(share * slack_ms)
     }
 
-    /// The latency objective of a job with this much work on its critical path.
+    /// Latency objective of a job with this amount of work on its critical path, in milliseconds.
     pub(crate) fn objective_ms(&self, work_ms: Millis) -> Millis {
         let stretched_ms = saturating_millis(self.stretch.max(0.0) * work_ms as f64);
         self.target_latency_ms.saturating_add(stretched_ms)
--- a/crates/jobs/src/recovery.rs
+++ b/crates/jobs/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Rebuilds the jobs from the replicated state, at a new primary.
+//! Recovery of the jobs from the replicated state at a new primary.
 
 use crate::effects::Effects;
 use crate::entry::JobEntry;
@@ -20,7 +20,7 @@
 use streamusher_protocol::task::{JobId, TaskId};
 use streamusher_protocol::{Millis, Now};
 
-/// The jobs as their records hold them, in any order of the records.
+/// Rebuilds the job store from its records, which may be in any order.
 pub(crate) fn recover(
     settings: JobSettings,
     now: Now,
@@ -94,7 +94,8 @@
     job
 }
 
-/// Restores a task. False if the job has no such task, or the record contradicts that of another task of the gang.
+/// Restores a task from its record. Returns false if the job has no such task, or if the record contradicts
+/// that of another task of the gang.
 fn restore_task(job: &mut Job, now: Now, id: &TaskId, record: TaskRecord) -> bool {
     let has_iteration = id.iteration < job.plan.iteration_count()
         && !job.iterations.finished.contains(id.iteration);
@@ -135,7 +136,7 @@
     true
 }
 
-/// When a run was assigned; now, where a former version did not record it.
+/// Recorded time at which a run was assigned, or the current time if a former version did not record it.
 fn known_or_now(recorded_unix_ms: Millis, now: Now) -> Millis {
     match recorded_unix_ms {
         0 => now.unix_ms,
@@ -157,8 +158,8 @@
     unit.avoided_workers = record.avoided_workers;
 }
 
-/// Releases the iterations up to one that has started: they are released in order, so those before it were released
-/// too. An ended job needs no other than that.
+/// Releases all iterations up to one that has started: iterations are released in order, so the ones before
+/// it were released too. For a job that has ended, only that iteration is restored.
 fn restore_iterations(job: &mut Job, last: u32) {
     let iterations = &mut job.iterations;
     if job.final_state.is_some() {
@@ -174,7 +175,7 @@
     }
 }
 
-/// After all tasks were restored: finds which steps are done, and makes ready what may run.
+/// Called after all tasks are restored. Determines which steps are done, and makes units ready that may run.
 fn resume_job(job: &mut Job, now: Now, effects: &mut Effects) {
     let iterations = &mut job.iterations;
     iterations.next = iterations.next.max(iterations.finished.below);
@@ -186,11 +187,11 @@
 }
 
 fn resume_iteration(job: &mut Job, now: Now, iteration: u32, effects: &mut Effects) {
-    let Some(content) = job.iterations.open.get_mut(&iteration) else {
+    let Some(iteration_state) = job.iterations.open.get_mut(&iteration) else {
         return;
     };
-    restore_phases(content, &job.plan);
-    if content.is_complete() {
+    restore_phases(iteration_state, &job.plan);
+    if iteration_state.is_complete() {
         job.iterations.completed += 1;
     }
     for step in unblocked_steps(job, iteration) {
@@ -200,10 +201,10 @@
 
 fn restore_phases(iteration: &mut Iteration, plan: &JobPlan) {
     for step in 0..plan.step_count() {
-        let Some(content) = iteration.step(step) else {
+        let Some(step_state) = iteration.step(step) else {
             continue;
         };
-        for unit in content.unit_indexes() {
+        for unit in step_state.unit_indexes() {
             restore_phase(iteration, plan, step, unit);
         }
     }
@@ -212,7 +213,7 @@
 fn restore_phase(iteration: &mut Iteration, plan: &JobPlan, step: u32, unit: u32) {
     let state = iteration
         .step_mut(step)
-        .and_then(|content| content.unit_mut(unit));
+        .and_then(|step_state| step_state.unit_mut(unit));
     let Some(state) = state else {
         return;
     };
@@ -233,10 +234,10 @@
 }
 
 fn resume_step(job: &mut Job, now: Now, iteration: u32, step: u32, effects: &mut Effects) {
-    let Some(content) = job.iterations.step(iteration, step) else {
+    let Some(step_state) = job.iterations.step(iteration, step) else {
         return;
     };
-    for unit in content.unit_indexes() {
+    for unit in step_state.unit_indexes() {
         let position = UnitPosition {
             iteration,
             step,
--- a/crates/jobs/src/run_assignment.rs
+++ b/crates/jobs/src/run_assignment.rs
@@ -1,4 +1,4 @@
-//! The assignment of a run to a worker.
+//! Assignment of a run to a worker.
 
 use crate::record::is_zero;
 use serde::{Deserialize, Serialize};
@@ -6,20 +6,20 @@
 use streamusher_protocol::unit::WorkerId;
 use streamusher_protocol::Millis;
 
-/// A run of a task that occupies a worker. Also the stored form of the earlier run of a hedged task.
+/// A run of a task that occupies a worker. This is also the stored form of the earlier run of a hedged task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct RunAssignment {
-    /// Run number.
     pub(crate) run: u32,
-    /// Worker that it is assigned to.
+    /// Worker to which the run is assigned.
     pub(crate) worker: WorkerId,
-    /// Its result is not wanted any more.
+    /// The run is being stopped; its result is ignored.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub(crate) stopping: bool,
-    /// Checkpoint that it was started with; empty for the beginning.
+    /// Checkpoint from which the run was started; empty if it started from the beginning.
     #[serde(default, skip_serializing_if = "str::is_empty")]
     pub(crate) started_from: Arc<str>,
-    /// When it was assigned, in milliseconds since 1970; 0 where a former version did not record it.
+    /// Time of the assignment, in milliseconds since 1970; 0 if the record was written by a former version,
+    /// which did not store it.
     #[serde(rename = "since_ms", default, skip_serializing_if = "is_zero")]
     pub(crate) assigned_unix_ms: Millis,
 }
--- a/crates/jobs/src/run_events.rs
+++ b/crates/jobs/src/run_events.rs
@@ -1,4 +1,4 @@
-//! How runs of a job's tasks start, and what follows from what happens to them.
+//! Events of a job's runs: start, end, checkpoints, stalls and hedging.
 
 use crate::assignment::workers_in_task_order;
 use crate::changes::StartedRun;
@@ -7,15 +7,15 @@
 use crate::latency::{LatencyBreakdown, RunTimings};
 use crate::position::{RunPosition, RunSlot, UnitPosition};
 use crate::run_result::RunResult;
-use crate::unit::{AfterRun, UnitPhase};
+use crate::unit::{UnitOutcome, UnitPhase};
 use streamusher_protocol::job::JobState;
 use streamusher_protocol::task::RunId;
 use streamusher_protocol::unit::{TaskAssignment, UnitId, WorkerId};
 use streamusher_protocol::Now;
 
 impl Job {
-    /// Assigns the tasks of a waiting unit to workers. Nothing is started unless the unit waits and the assignments
-    /// name exactly its tasks.
+    /// Assigns the tasks of a waiting unit to workers. Starts nothing unless the unit waits for placement and
+    /// the assignments name each of its tasks exactly once.
     pub(crate) fn start_unit(
         &mut self,
         now: Now,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// A run is over. False if it is not recorded as assigned.
+    /// Handles the end of a run. Returns false if the run is not recorded as assigned.
     pub(crate) fn on_run_over(
         &mut self,
         now: Now,
@@ -79,12 +79,12 @@
         let Some(position) = self.iterations.run_position(run) else {
             return false;
         };
-        self.note_checkpoint(position, checkpoint);
+        self.record_checkpoint(position, checkpoint);
         let worker = self.release_worker(position, run, effects);
         if !self.has_ended() {
             self.apply_run_result(now, position, result, worker.as_ref(), effects);
         }
-        self.forget_iteration_if_over(position.unit().iteration, effects);
+        self.remove_iteration_if_over(position.unit().iteration, effects);
         true
     }
 
@@ -101,7 +101,7 @@
         worker
     }
 
-    /// Names the record that holds a unit's state as changed.
+    /// Marks the record that holds the state of a unit as changed.
     fn mark_unit_record_changed(&self, unit: UnitPosition, effects: &mut Effects) {
         if let Some(step) = self.iterations.step_of(unit) {
             let task = step.record_task(unit.unit);
@@ -123,20 +123,21 @@
             return;
         };
         match unit.on_run_over(now, position.slot, result, worker, restart) {
-            AfterRun::AlreadyDone => {}
-            AfterRun::Done => self.on_unit_done(now, unit_position, effects),
-            AfterRun::AttemptsExhausted => {
+            UnitOutcome::AlreadyDone => {}
+            UnitOutcome::Done => self.on_unit_done(now, unit_position, effects),
+            UnitOutcome::AttemptsExhausted => {
                 let breakdown = unit.latency.breakdown().clone();
                 self.fail(now, unit_position.iteration, breakdown, effects);
             }
-            AfterRun::RunAgain if position.slot == RunSlot::Earlier => {
+            UnitOutcome::RunAgain if position.slot == RunSlot::Earlier => {
                 self.reissue_if_waiting(unit_position, effects);
             }
-            AfterRun::RunAgain => self.stop_others_or_restart(now, unit_position, effects),
+            UnitOutcome::RunAgain => self.stop_others_or_restart(now, unit_position, effects),
         }
     }
 
-    /// The earlier run of a hedged task is over: a second run that waits is now its only one, and not speculative.
+    /// Called when the earlier run of a hedged task is over. A second run that still waits is then the only
+    /// run, no longer a speculative one, and is reissued as such.
     fn reissue_if_waiting(&mut self, position: UnitPosition, effects: &mut Effects) {
         let unit = self.iterations.unit(position);
         if unit.is_some_and(|unit| unit.phase == UnitPhase::Waiting) {
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Stops the unit's other runs; if none is left, the unit becomes ready again.
+    /// Stops the unit's other runs. If none is assigned, the unit becomes ready again.
     fn stop_others_or_restart(&mut self, now: Now, position: UnitPosition, effects: &mut Effects) {
         let Some(unit) = self.iterations.unit(position) else {
             return;
@@ -157,7 +158,7 @@
         effects.runs_to_stop.extend(others);
     }
 
-    /// Marks the unit's runs as not wanted any more, and returns those that were wanted before.
+    /// Marks all assigned runs of the unit as stopping and returns those that were not marked before.
     fn mark_stopping(&mut self, position: UnitPosition, effects: &mut Effects) -> Vec<RunId> {
         let Some(step) = self.iterations.step_of_mut(position) else {
             return Vec::new();
@@ -172,8 +173,8 @@
         runs
     }
 
-    /// A unit is done. The other tasks of a gang end by themselves at the same time, so that they are not stopped; the
-    /// other run of a hedged task is.
+    /// Handles the completion of a unit. The other tasks of a gang end by themselves at the same time and are
+    /// not stopped; the other run of a hedged task is stopped.
     fn on_unit_done(&mut self, now: Now, position: UnitPosition, effects: &mut Effects) {
         let others = self.mark_stopping(position, effects);
         if self.plan.is_hedged(position.step) {
@@ -202,33 +203,33 @@
         }
     }
 
-    /// Forgets an iteration that is done and of which no run is left; the job's record says so instead.
-    fn forget_iteration_if_over(&mut self, iteration: u32, effects: &mut Effects) {
+    /// Removes an iteration that is done and has no assigned run. The job's record then lists it as finished.
+    fn remove_iteration_if_over(&mut self, iteration: u32, effects: &mut Effects) {
         if !self.iterations.is_over(iteration) {
             return;
         }
-        self.forget_tasks(iteration, effects);
+        self.mark_task_records_changed(iteration, effects);
         self.iterations.finish(iteration);
         effects.changed_jobs.insert(self.id.clone());
     }
 
-    /// A run reported a checkpoint while at work.
+    /// Records a checkpoint that a run reported while running.
     pub(crate) fn on_checkpoint(&mut self, run: &RunId, checkpoint: &str) {
         if let Some(position) = self.iterations.run_position(run) {
-            self.note_checkpoint(position, checkpoint);
+            self.record_checkpoint(position, checkpoint);
         }
     }
 
-    fn note_checkpoint(&mut self, run: RunPosition, checkpoint: &str) {
+    fn record_checkpoint(&mut self, run: RunPosition, checkpoint: &str) {
         if !self.plan.has_checkpoints(run.unit().step) {
             return;
         }
         if let Some(step) = self.iterations.step_of_mut(run.unit()) {
-            step.note_checkpoint(run.task.task, run.slot, checkpoint);
+            step.record_checkpoint(run.task.task, run.slot, checkpoint);
         }
     }
 
-    /// A run makes no progress: its unit avoids the worker from now on.
+    /// Handles a run that makes no progress: its unit avoids the worker from now on.
     pub(crate) fn on_run_stalled(&mut self, run: &RunId, effects: &mut Effects) {
         let Some(position) = self.iterations.run_position(run) else {
             return;
@@ -241,8 +242,8 @@
         }
     }
 
-    /// Lets a hedged task wait for a speculative run while its only run goes on. False if the run is not the task's
-    /// only one, or the task is not hedged.
+    /// Makes a hedged task wait for a speculative run while its only run continues. Returns false if the run
+    /// is not the task's only one, or if the task is not hedged.
     pub(crate) fn hedge(&mut self, run: &RunId, effects: &mut Effects) -> bool {
         let Some(position) = self.iterations.run_position(run) else {
             return false;
@@ -263,8 +264,8 @@
         true
     }
 
-    /// Accounts for the time that a unit waited, for these reasons. While the earlier run of a hedged task goes on, the
-    /// time is that run's.
+    /// Accounts for the time that a unit waited for placement, by stage. Does nothing while the earlier run
+    /// of a hedged task continues, because the time belongs to that run.
     pub(crate) fn record_wait(&mut self, now: Now, id: &UnitId, waits: &LatencyBreakdown) {
         let position = UnitPosition::from_id(id);
         let Some(step) = self.iterations.step_of_mut(position) else {
@@ -278,7 +279,7 @@
         }
     }
 
-    /// Notes the timings of a run that has ended.
+    /// Records the timings of a run that has ended.
     pub(crate) fn record_run_timings(&mut self, run: &RunId, timings: RunTimings) {
         let Some(position) = self.iterations.run_position(run) else {
             return;
@@ -288,7 +289,7 @@
         }
     }
 
-    /// Whether a run is assigned and its result wanted.
+    /// Whether a run is assigned and its result is still accepted.
     pub(crate) fn is_current(&self, run: &RunId) -> bool {
         if self.has_ended() {
             return false;
@@ -298,6 +299,6 @@
         };
         self.iterations
             .step_of(position.unit())
-            .is_some_and(|step| step.is_wanted(position.task.task, position.slot))
+            .is_some_and(|step| step.accepts_result(position.task.task, position.slot))
     }
 }
--- a/crates/jobs/src/run_result.rs
+++ b/crates/jobs/src/run_result.rs
@@ -1,24 +1,24 @@
-//! What the end of a run means for its unit.
+//! Result of a run, as its unit counts it.
 
 use crate::latency::LatencyStage;
 use streamusher_protocol::task::RunEnd;
 
-/// How a run ended, as far as its unit is concerned.
+/// Result of a run with respect to its unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunResult {
-    /// The work is done.
+    /// The run did its work.
     Succeeded,
-    /// A failed attempt.
+    /// The run counts as a failed attempt.
     Failed,
-    /// It was stopped, or withdrawn before it started; no attempt counts.
+    /// The run was stopped, or withdrawn before it started. It does not count as an attempt.
     Stopped,
-    /// It was lost by a fault that is not its own; no attempt counts.
+    /// The run was lost through a fault outside of it. It does not count as an attempt.
     Lost,
 }
 
 impl RunResult {
-    /// The stage that counts the run's time where the unit has to run again. Only a long-running task does so after a
-    /// success: it was at work.
+    /// Latency stage that accounts for the time of a run after which the unit has to run again. Only
+    /// long-running tasks run again after a success, and their time counts as work.
     pub(crate) fn stage_before_rerun(self) -> LatencyStage {
         match self {
             RunResult::Failed => LatencyStage::Failed,
--- a/crates/jobs/src/step.rs
+++ b/crates/jobs/src/step.rs
@@ -1,4 +1,4 @@
-//! One step of one iteration: its units, and which of its tasks are assigned to which workers.
+//! One step of one iteration: its units, and the assignments of its tasks to workers.
 
 use crate::position::{RunSlot, UnitPosition};
 use crate::run_assignment::RunAssignment;
@@ -10,17 +10,15 @@
 use streamusher_protocol::unit::WorkerId;
 use streamusher_protocol::Now;
 
-/// A run of a task of the step.
+/// Run of a task, within its step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct TaskRun {
-    /// The task within the step.
+    /// Task within the step.
     pub(crate) task: u32,
-    /// Run number.
     pub(crate) run: u32,
 }
 
 impl TaskRun {
-    /// The run's identifier.
     pub(crate) fn id(self, job: &JobId, unit: UnitPosition) -> RunId {
         RunId {
             task: unit.task_id(job, self.task),
@@ -29,45 +27,44 @@
     }
 }
 
-/// What was left of a unit when its job ended.
+/// Remainder of a unit whose job has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct AbandonedUnit {
-    /// It waited for placement.
+    /// The unit was waiting for placement.
     pub(crate) was_waiting: bool,
-    /// Its runs, which are to be stopped.
+    /// Assigned runs of the unit that are to be stopped.
     pub(crate) runs: Vec<TaskRun>,
 }
 
-/// The state of a task, apart from that of its unit.
+/// State of a task that is not shared with the other tasks of its unit.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TaskState {
-    /// Worker that the unit's newest run of it is assigned to, until that run is over.
+    /// Worker to which the task's newest run is assigned; `None` once that run is over.
     pub(crate) worker: Option<WorkerId>,
-    /// That run's result is not wanted any more.
+    /// The newest run is being stopped; its result is ignored.
     pub(crate) stopping: bool,
-    /// Checkpoint that this run reported last.
+    /// Checkpoint that the newest run reported last.
     pub(crate) reported_checkpoint: Option<Arc<str>>,
-    /// Of a hedged task: a run that goes on beside the newest.
+    /// Earlier run of a hedged task that continues beside the newest one.
     pub(crate) earlier: Option<RunAssignment>,
 }
 
-/// One step of one iteration.
+/// State of one step of one iteration.
 #[derive(Clone, Debug)]
 pub(crate) struct StepState {
-    /// All its tasks are one unit.
+    /// All tasks of the step form one unit.
     pub(crate) is_gang: bool,
-    /// Steps that must be done first.
+    /// Number of distinct steps that must still be done before this one.
     pub(crate) open_dependencies: u32,
-    /// Units that are not done.
+    /// Number of units that are not done.
     pub(crate) open_units: usize,
-    /// Its units: one for each task, or a single one for a gang.
+    /// One unit for each task, or a single unit for a gang.
     pub(crate) units: Vec<UnitState>,
-    /// Its tasks.
     pub(crate) tasks: Vec<TaskState>,
 }
 
 impl StepState {
-    /// A step of which nothing has started.
+    /// Creates a step in which nothing has started.
     pub(crate) fn new(request: &StepRequest, dependency_count: u32) -> StepState {
         let task_count = request.count as usize;
         let unit_count = if request.gang { 1 } else { task_count };
@@ -80,17 +77,17 @@
         }
     }
 
-    /// The positions of its units.
+    /// Indexes of all units.
     pub(crate) fn unit_indexes(&self) -> Range<u32> {
         index_range(self.units.len())
     }
 
-    /// The positions of its tasks.
+    /// Indexes of all tasks.
     pub(crate) fn task_indexes(&self) -> Range<u32> {
         index_range(self.tasks.len())
     }
 
-    /// The unit that a task is part of.
+    /// Unit to which a task belongs.
     pub(crate) fn unit_of(&self, task: u32) -> u32 {
         if self.is_gang {
             0
@@ -99,7 +96,7 @@
         }
     }
 
-    /// The tasks of a unit.
+    /// Tasks that belong to a unit.
     pub(crate) fn tasks_of(&self, unit: u32) -> Range<u32> {
         if self.is_gang {
             self.task_indexes()
@@ -108,7 +105,7 @@
         }
     }
 
-    /// The task whose record holds the unit's state: its first.
+    /// First task of the unit, whose record holds the state of the unit.
     pub(crate) fn record_task(&self, unit: u32) -> u32 {
         if self.is_gang {
             0
@@ -117,22 +114,19 @@
         }
     }
 
-    /// A unit.
     pub(crate) fn unit(&self, unit: u32) -> Option<&UnitState> {
         self.units.get(unit as usize)
     }
 
-    /// A unit, to change it.
     pub(crate) fn unit_mut(&mut self, unit: u32) -> Option<&mut UnitState> {
         self.units.get_mut(unit as usize)
     }
 
-    /// A task.
     pub(crate) fn task(&self, task: u32) -> Option<&TaskState> {
         self.tasks.get(task as usize)
     }
 
-    /// A task together with its unit, to change both.
+    /// A task and its unit, both mutable.
     pub(crate) fn task_and_unit_mut(
         &mut self,
         task: u32,
@@ -142,14 +136,14 @@
         Some((task, self.units.get_mut(unit as usize)?))
     }
 
-    /// Whether a task of the unit has an earlier run, so that another one is speculative.
+    /// Whether a task of the unit has an earlier run, which makes a further run speculative.
     pub(crate) fn has_earlier_run(&self, unit: u32) -> bool {
         self.tasks_of(unit)
             .filter_map(|task| self.task(task))
             .any(|task| task.earlier.is_some())
     }
 
-    /// The runs of a task that occupy a worker, the newest first.
+    /// Runs of a task that occupy a worker, the newest first.
     pub(crate) fn assigned_runs(&self, task: u32) -> impl Iterator<Item = RunAssignment> {
         let unit = self.unit(self.unit_of(task));
         let task = self.task(task);
@@ -166,7 +160,7 @@
         newest.into_iter().chain(earlier)
     }
 
-    /// Which of a task's assigned runs has this number.
+    /// Slot of a task's assigned run with the given number.
     pub(crate) fn run_slot(&self, task: u32, run: u32) -> Option<RunSlot> {
         let unit = self.unit(self.unit_of(task))?;
         let task = self.task(task)?;
@@ -180,8 +174,8 @@
         is_earlier.then_some(RunSlot::Earlier)
     }
 
-    /// Whether the result of a task's run is still wanted.
-    pub(crate) fn is_wanted(&self, task: u32, slot: RunSlot) -> bool {
+    /// Whether the result of a task's run is still accepted.
+    pub(crate) fn accepts_result(&self, task: u32, slot: RunSlot) -> bool {
         let Some(task) = self.task(task) else {
             return false;
         };
@@ -191,7 +185,7 @@
         }
     }
 
-    /// The number of the next run of a unit that waits for placement; none if it does not wait.
+    /// Number of the next run of a unit. Returns `None` if the unit does not wait for placement.
     pub(crate) fn next_run(&self, unit: u32) -> Option<u32> {
         let unit = self.unit(unit)?;
         if unit.phase != UnitPhase::Waiting {
@@ -200,10 +194,10 @@
         unit.run.checked_add(1)
     }
 
-    /// Assigns a unit's tasks to workers, in the order of its tasks.
+    /// Assigns the tasks of a unit to workers. `workers` are in the order of the tasks.
     pub(crate) fn start_unit(&mut self, now: Now, unit: u32, run: u32, workers: &[WorkerId]) {
         let tasks = self.tasks_of(unit);
-        for (task, worker) in self.tasks[as_indexes(&tasks)].iter_mut().zip(workers) {
+        for (task, worker) in self.tasks[to_usize_range(&tasks)].iter_mut().zip(workers) {
             task.worker = Some(worker.clone());
             task.stopping = false;
             task.reported_checkpoint = None;
@@ -213,7 +207,7 @@
         }
     }
 
-    /// Frees the worker of a run that is over.
+    /// Releases the worker of a run that is over, and returns it.
     pub(crate) fn release_worker(&mut self, task: u32, slot: RunSlot) -> Option<WorkerId> {
         let (task, unit) = self.task_and_unit_mut(task)?;
         match slot {
@@ -227,14 +221,14 @@
         }
     }
 
-    /// Marks all runs of a unit as not wanted any more, and returns those that were wanted before.
+    /// Marks all assigned runs of a unit as stopping and returns those that were not marked before.
     pub(crate) fn mark_stopping(&mut self, unit: u32) -> Vec<TaskRun> {
         let Some(run) = self.unit(unit).map(|unit| unit.run) else {
             return Vec::new();
         };
         let mut marked = Vec::new();
         let tasks = self.tasks_of(unit);
-        for (index, task) in tasks.clone().zip(&mut self.tasks[as_indexes(&tasks)]) {
+        for (index, task) in tasks.clone().zip(&mut self.tasks[to_usize_range(&tasks)]) {
             if task.worker.is_some() && !task.stopping {
                 task.stopping = true;
                 marked.push(TaskRun { task: index, run });
@@ -248,9 +242,9 @@
         marked
     }
 
-    /// Takes a checkpoint that a run reported. It counts for the whole unit, and only from the newest run: two runs
-    /// that report in turn would write the record each time.
-    pub(crate) fn note_checkpoint(&mut self, task: u32, slot: RunSlot, checkpoint: &str) {
+    /// Records a checkpoint that a run reported. It applies to the whole unit. Checkpoints of an earlier run
+    /// are ignored: two runs that report in turn would write the record each time.
+    pub(crate) fn record_checkpoint(&mut self, task: u32, slot: RunSlot, checkpoint: &str) {
         if checkpoint.is_empty() || slot == RunSlot::Earlier {
             return;
         }
@@ -268,7 +262,7 @@
         }
     }
 
-    /// Lets the unit avoid the worker of a run. False if it avoids that worker already.
+    /// Makes the unit avoid the worker of a run. Returns false if it avoids that worker already.
     pub(crate) fn avoid_worker_of(&mut self, task: u32, slot: RunSlot) -> bool {
         let Some((task, unit)) = self.task_and_unit_mut(task) else {
             return false;
@@ -280,8 +274,8 @@
         worker.is_some_and(|worker| unit.avoid(worker))
     }
 
-    /// Lets a task wait for a speculative run at another worker while its only run goes on. False if it has another
-    /// one, or if the run's result is not wanted.
+    /// Makes a task wait for a speculative run on another worker while its only run continues. Returns false
+    /// if the task has another run, or if the run is being stopped.
     pub(crate) fn hedge(&mut self, task: u32) -> bool {
         let Some((task, unit)) = self.task_and_unit_mut(task) else {
             return false;
@@ -306,7 +300,7 @@
         true
     }
 
-    /// Closes a unit as its job ended.
+    /// Abandons a unit because its job has ended.
     pub(crate) fn abandon_unit(&mut self, unit: u32) -> AbandonedUnit {
         let runs = self.runs_to_abandon(unit);
         let Some(unit) = self.unit_mut(unit) else {
@@ -322,8 +316,8 @@
         AbandonedUnit { was_waiting, runs }
     }
 
-    /// The runs of a unit that are to be stopped as its job ends: all of them, except that the newest run of a unit that
-    /// is done ends by itself.
+    /// Runs of a unit that are to be stopped when its job ends: all assigned ones, except the newest run of a
+    /// unit that is done, which ends by itself.
     fn runs_to_abandon(&self, unit: u32) -> Vec<TaskRun> {
         let is_assigned = |unit: &&UnitState| unit.phase == UnitPhase::Assigned;
         let newest_run = self.unit(unit).filter(is_assigned).map(|unit| unit.run);
@@ -344,11 +338,11 @@
     }
 }
 
-/// All positions of a list. Requests are limited to far fewer entries than `u32` can count.
+/// Indexes of a list. Requests are limited to far fewer entries than `u32` can count.
 fn index_range(length: usize) -> Range<u32> {
     0..u32::try_from(length).unwrap_or(u32::MAX)
 }
 
-fn as_indexes(range: &Range<u32>) -> Range<usize> {
+fn to_usize_range(range: &Range<u32>) -> Range<usize> {
     range.start as usize..range.end as usize
 }
--- a/crates/jobs/src/store.rs
+++ b/crates/jobs/src/store.rs
@@ -1,4 +1,4 @@
-//! All jobs, with the indexes and effects that each change to one of them has to keep up.
+//! Store of all jobs. It keeps the counts, timers and effects consistent with each change to a job.
 
 use crate::effects::Effects;
 use crate::encoding;
@@ -14,19 +14,19 @@
 use streamusher_protocol::task::{JobId, TaskId};
 use streamusher_protocol::{Millis, Now};
 
-/// All jobs.
+/// All open and retained jobs.
 #[derive(Debug)]
 pub(crate) struct JobStore {
     settings: JobSettings,
     entries: HashMap<JobId, JobEntry>,
     pending: PendingCounts,
     effects: Effects,
-    /// The latest time seen, by the steady clock.
+    /// Latest time that was observed, on the steady clock.
     latest_steady_ms: Millis,
 }
 
 impl JobStore {
-    /// A store without jobs.
+    /// Creates a store without jobs.
     pub(crate) fn new(settings: JobSettings) -> JobStore {
         JobStore {
             settings,
@@ -37,17 +37,17 @@
         }
     }
 
-    /// Takes note of the current time: the retention of a job that ends begins at the latest time seen.
+    /// Records the current time. The retention of a job that ends starts at the latest time observed.
     pub(crate) fn observe_time(&mut self, now: Now) {
         self.latest_steady_ms = self.latest_steady_ms.max(now.steady_ms);
     }
 
-    /// What is kept of a job.
+    /// Entry of a job; `None` if the job is unknown or its retention is over.
     pub(crate) fn entry(&self, id: &JobId) -> Option<&JobEntry> {
         self.entries.get(id)
     }
 
-    /// A job that is open.
+    /// State of an open job; `None` if the job has ended or is unknown.
     pub(crate) fn open_job(&self, id: &JobId) -> Option<&Job> {
         match self.entries.get(id)? {
             JobEntry::Open(job) => Some(job),
@@ -55,7 +55,7 @@
         }
     }
 
-    /// A job that is open, for changes without effects.
+    /// Mutable state of an open job, for changes that have no effects.
     pub(crate) fn open_job_mut(&mut self, id: &JobId) -> Option<&mut Job> {
         match self.entries.get_mut(id)? {
             JobEntry::Open(job) => Some(job),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// All open jobs, in no order.
+    /// All open jobs, in arbitrary order.
     pub(crate) fn open_jobs(&self) -> impl Iterator<Item = &Job> {
         self.entries.values().filter_map(|entry| match entry {
             JobEntry::Open(job) => Some(&**job),
@@ -71,12 +71,12 @@
         })
     }
 
-    /// Pending jobs of a queue.
+    /// Number of pending jobs of a queue.
     pub(crate) fn pending_count(&self, queue: &str) -> u64 {
         self.pending.count(queue)
     }
 
-    /// Adds a job that was just submitted.
+    /// Adds a newly submitted job.
     pub(crate) fn insert_submitted(&mut self, job: Job) {
         self.effects.changed_jobs.insert(job.id.clone());
         self.pending.add(job.policy.queue.clone());
@@ -84,8 +84,9 @@
             .insert(job.id.clone(), JobEntry::Open(Box::new(job)));
     }
 
-    /// Changes an open job and then brings the rest in line: the number of pending jobs, the timer for the job's next
-    /// iteration, and the reduction to its final state once it has ended and no run of it is left.
+    /// Changes an open job and then updates what depends on it: the number of pending jobs, the release
+    /// timer, and, once the job has ended and none of its runs is assigned, the reduction of its entry to the
+    /// final state.
     pub(crate) fn update<R>(
         &mut self,
         id: &JobId,
@@ -100,11 +101,11 @@
         if state_before == JobState::Pending && job.state() != JobState::Pending {
             self.pending.remove(&job.policy.queue);
         }
-        self.reduce_if_over(id);
+        self.reduce_to_final_state_if_over(id);
         Some(result)
     }
 
-    fn reduce_if_over(&mut self, id: &JobId) {
+    fn reduce_to_final_state_if_over(&mut self, id: &JobId) {
         let Some(job) = self.open_job(id) else {
             return;
         };
@@ -118,7 +119,7 @@
             return;
         };
         for &iteration in job.iterations.open.keys() {
-            job.forget_tasks(iteration, &mut self.effects);
+            job.mark_task_records_changed(iteration, &mut self.effects);
         }
         let queue = job.policy.queue.clone();
         self.entries
@@ -132,30 +133,30 @@
         self.effects.timers.set_expiry(expires_at_ms, id);
     }
 
-    /// Drops the ended jobs whose retention is over.
-    pub(crate) fn drop_expired(&mut self, now: Now) {
+    /// Removes the ended jobs whose retention is over.
+    pub(crate) fn remove_expired(&mut self, now: Now) {
         while let Some(id) = self.effects.timers.pop_expired(now) {
             self.entries.remove(&id);
             self.effects.changed_jobs.insert(id);
         }
     }
 
-    /// Takes the next job with an iteration that is due.
+    /// Removes and returns the next job with a due iteration.
     pub(crate) fn pop_due_release(&mut self, now: Now) -> Option<JobId> {
         self.effects.timers.pop_due_release(now)
     }
 
-    /// Takes the next backoff that has elapsed.
+    /// Removes and returns the next backoff that has elapsed.
     pub(crate) fn pop_elapsed_backoff(&mut self, now: Now) -> Option<ElapsedBackoff> {
         self.effects.timers.pop_elapsed_backoff(now)
     }
 
-    /// Time to the next timer, in milliseconds; none if no timer is set.
+    /// Time until the next timer expires, in milliseconds; `None` if no timer is set.
     pub(crate) fn time_to_next_timer(&self, now: Now) -> Option<Millis> {
         self.effects.timers.time_to_next(now)
     }
 
-    /// Takes the effects since the last call, except for timers.
+    /// Takes the effects since the last call. The timers stay set.
     pub(crate) fn take_effects(&mut self) -> Effects {
         let timers = std::mem::take(&mut self.effects.timers);
         std::mem::replace(
@@ -167,7 +168,8 @@
         )
     }
 
-    /// The write that brings a job's record up to date; it removes the record of a job that is gone.
+    /// Builds the write that brings a job's record up to date. The write deletes the record if the job has
+    /// been removed.
     pub(crate) fn job_write(&self, id: &JobId) -> Write {
         let record = self.entries.get(id).map(encoding::job_record);
         Write {
@@ -176,7 +178,8 @@
         }
     }
 
-    /// The write that brings a task's record up to date; it removes the record of a task that is gone.
+    /// Builds the write that brings a task's record up to date. The write deletes the record if the task
+    /// needs none any more.
     pub(crate) fn task_write(&self, id: &TaskId) -> Write {
         let record = self
             .open_job(&id.job)
@@ -187,8 +190,8 @@
         }
     }
 
-    /// Adds a job from its record. An ended one is retained for the whole time again, as the clock by which it ended
-    /// is gone.
+    /// Adds a job from its record. The retention of an ended job starts anew, because the steady clock by
+    /// which it ended did not outlive its primary.
     pub(crate) fn insert_restored(&mut self, now: Now, id: JobId, entry: JobEntry) {
         self.observe_time(now);
         if matches!(entry, JobEntry::Ended { .. }) {
@@ -197,7 +200,8 @@
         self.entries.insert(id, entry);
     }
 
-    /// After all records were restored: counts the pending jobs and lets each open job go on, in order of identifiers.
+    /// Called after all records are restored. Counts the pending jobs and resumes each open job, in order of
+    /// identifiers.
     pub(crate) fn resume_jobs(&mut self, mut resume: impl FnMut(&mut Job, &mut Effects)) {
         let mut ids: Vec<JobId> = self.open_jobs().map(|job| job.id.clone()).collect();
         ids.sort_unstable();
--- a/crates/jobs/src/table.rs
+++ b/crates/jobs/src/table.rs
@@ -1,4 +1,4 @@
-//! The job table: the interface to all jobs.
+//! Interface of the crate: the table of all jobs.
 
 use crate::changes::{AssignedRun, JobChanges, StartedRun};
 use crate::entry::JobEntry;
@@ -21,26 +21,27 @@
 use streamusher_protocol::unit::{TaskAssignment, Unit, UnitId};
 use streamusher_protocol::{Millis, Now};
 
-/// All jobs, and which of their units may run now. See the crate's documentation for an example.
+/// All jobs, and the units of them that may run now. The documentation of the crate has an example.
 ///
-/// Methods that depend on time take the current time as an argument. What a call brings about is collected until
-/// [`JobTable::take_changes`].
+/// Methods that depend on time take the current time as an argument. The effects of a call are collected
+/// until [`JobTable::take_changes`].
 #[derive(Debug)]
 pub struct JobTable {
     store: JobStore,
 }
 
 impl JobTable {
-    /// A table without jobs.
+    /// Creates a table without jobs.
     pub fn new(settings: JobSettings) -> JobTable {
         JobTable {
             store: JobStore::new(settings),
         }
     }
 
-    /// The table as it was recorded: `records` are all keys `job/...` and `task/...` of the replicated state with their
-    /// values, in any order. Units that wait for placement are in the next [`JobTable::take_changes`]. The state of an
-    /// ended job is retained for the whole time again, as the clock by which it ended is gone.
+    /// Rebuilds the table from its stored records: all keys `job/...` and `task/...` of the replicated state
+    /// with their values, in any order. The next [`JobTable::take_changes`] returns the units that wait for
+    /// placement. The retention of ended jobs starts anew, because the steady clock by which they ended did
+    /// not outlive its primary.
     ///
     /// # Errors
     ///
@@ -54,11 +55,12 @@
         Ok(JobTable { store })
     }
 
-    /// Submits a job. A job whose identifier is known already is not looked at, so that a client may submit again.
+    /// Submits a job. If the identifier exists already, the request is ignored, so that a client can safely
+    /// repeat a submission.
     ///
     /// # Errors
     ///
-    /// [`SubmitError`] names the field of the request that is not valid; nothing of the job is kept.
+    /// [`SubmitError`] names the invalid field of the request. Nothing of the job is stored.
     pub fn submit(
         &mut self,
         now: Now,
@@ -68,7 +70,7 @@
     ) -> Result<SubmitOutcome, SubmitError> {
         self.store.observe_time(now);
         if self.store.entry(id).is_some() {
-            return Ok(SubmitOutcome::AlreadyKnown);
+            return Ok(SubmitOutcome::AlreadyExists);
         }
         validate(&request)?;
         let plan = JobPlan::new(request);
@@ -79,7 +81,7 @@
         Ok(SubmitOutcome::Accepted)
     }
 
-    /// Ends a job at once; its runs are to be stopped.
+    /// Cancels a job at once. Its assigned runs are to be stopped.
     pub fn cancel(&mut self, now: Now, id: &JobId) -> CancelOutcome {
         self.store.observe_time(now);
         let Some(state) = self.status(id) else {
@@ -93,23 +95,23 @@
         CancelOutcome::Cancelled
     }
 
-    /// A job's state; none if the job is not known, or its retention is over.
+    /// State of a job; `None` if the job is unknown or its retention is over.
     pub fn status(&self, id: &JobId) -> Option<JobState> {
         self.store.entry(id).map(JobEntry::state)
     }
 
-    /// The queue that a job was submitted to.
+    /// Queue to which a job was submitted; `None` if the job is unknown or its retention is over.
     pub fn queue_of(&self, id: &JobId) -> Option<Arc<str>> {
         self.store.entry(id).map(|entry| entry.queue().clone())
     }
 
-    /// Number of a queue's jobs of which nothing has started.
+    /// Number of jobs of a queue of which no run has been assigned.
     pub fn pending_count(&self, queue: &str) -> u64 {
         self.store.pending_count(queue)
     }
 
-    /// Applies a new configuration to all jobs that have not ended. `policy_of` finds the policy of a queue by name; the
-    /// jobs of a queue that it does not know keep theirs.
+    /// Applies a new configuration to all jobs that have not ended. `policy_of` looks up the policy of a
+    /// queue by name; jobs of queues without a policy keep the one that they have.
     pub fn apply_configuration(&mut self, policy_of: &dyn Fn(&str) -> Option<QueuePolicy>) {
         let mut changed: Vec<(JobId, QueuePolicy)> = self
             .store
@@ -123,7 +125,8 @@
         }
     }
 
-    /// Releases iterations that are due, ends backoffs that have elapsed, and drops ended jobs after their retention.
+    /// Releases iterations that are due, ends backoffs that have elapsed, and removes ended jobs whose
+    /// retention is over.
     pub fn tick(&mut self, now: Now) {
         self.store.observe_time(now);
         while let Some(id) = self.store.pop_due_release(now) {
@@ -136,16 +139,17 @@
                 job.on_backoff_elapsed(now, backoff.until_ms, unit, effects);
             });
         }
-        self.store.drop_expired(now);
+        self.store.remove_expired(now);
     }
 
-    /// How long [`JobTable::tick`] has nothing to do, in milliseconds; none if no timer is set.
+    /// Time until [`JobTable::tick`] has work to do, in milliseconds; `None` if no timer is set.
     pub fn time_to_next_timer(&self, now: Now) -> Option<Millis> {
         self.store.time_to_next_timer(now)
     }
 
-    /// Records that placement chose a worker for each task of a unit. Nothing is started (and the list is empty) if the
-    /// unit does not wait or `assignments` do not name exactly its tasks.
+    /// Records the workers that placement chose for the tasks of a unit, and returns the started runs. The
+    /// result is empty and nothing starts if the unit does not wait or if `assignments` does not name each of
+    /// its tasks exactly once.
     pub fn start_unit(
         &mut self,
         now: Now,
@@ -160,8 +164,8 @@
             .unwrap_or_default()
     }
 
-    /// Records the end of a run as its worker reported it, with its newest checkpoint (empty for none). False if the
-    /// run is not recorded as assigned: nothing changed.
+    /// Records the end of a run as reported by its worker, with the run's newest checkpoint (empty if there
+    /// is none). Returns false and changes nothing if the run is not recorded as assigned.
     pub fn on_run_finished(
         &mut self,
         now: Now,
@@ -172,12 +176,12 @@
         self.on_run_over(now, run, end.into(), checkpoint)
     }
 
-    /// Records that a run is over without a reported end, as its worker is gone or its lease has expired.
+    /// Records that a run is over without a reported end, because its worker was lost or its lease expired.
     pub fn on_run_lost(&mut self, now: Now, run: &RunId) {
         self.on_run_over(now, run, RunResult::Lost, "");
     }
 
-    /// Records that a run never started and never will.
+    /// Records that a run did not start and cannot start any more.
     pub fn on_run_withdrawn(&mut self, now: Now, run: &RunId) {
         self.on_run_over(now, run, RunResult::Stopped, "");
     }
@@ -191,52 +195,52 @@
             .unwrap_or(false)
     }
 
-    /// Records where the time of a unit went that waited for placement and is about to be started.
+    /// Records the wait of a unit that is about to be started, by latency stage.
     pub fn record_wait(&mut self, now: Now, unit: &UnitId, waits: &LatencyBreakdown) {
         if let Some(job) = self.store.open_job_mut(&unit.step.job) {
             job.record_wait(now, unit, waits);
         }
     }
 
-    /// Records the timings of a run that has ended; to be called before [`JobTable::on_run_finished`].
+    /// Records the timings of a run that has ended. Call this before [`JobTable::on_run_finished`].
     pub fn record_run_timings(&mut self, run: &RunId, timings: RunTimings) {
         if let Some(job) = self.store.open_job_mut(&run.task.job) {
             job.record_run_timings(run, timings);
         }
     }
 
-    /// Records the checkpoint that a run reported while at work. It is written with the run's end or loss: until then
-    /// its worker reports it again to each new primary.
+    /// Records a checkpoint that a run reported while running. It is stored when the run ends or is lost;
+    /// until then the worker reports it again to each new primary.
     pub fn on_checkpoint(&mut self, run: &RunId, checkpoint: &str) {
         if let Some(job) = self.store.open_job_mut(&run.task.job) {
             job.on_checkpoint(run, checkpoint);
         }
     }
 
-    /// Records that a run makes no progress: its unit avoids the worker from now on.
+    /// Records that a run makes no progress. Its unit avoids the worker from now on.
     pub fn on_run_stalled(&mut self, run: &RunId) {
         self.store.update(&run.task.job, |job, effects| {
             job.on_run_stalled(run, effects);
         });
     }
 
-    /// Lets a hedged task wait for a speculative second run, at free capacity of another worker, while its only run goes
-    /// on. The run that succeeds first counts, and the other one is stopped. False if the run is not its task's only
-    /// one, or the task is not hedged.
+    /// Makes a hedged task wait for a speculative second run on free capacity of another worker, while its
+    /// only run continues. The first run to succeed counts, and the other one is stopped. Returns false if
+    /// the run is not the task's only one, or if the task is not hedged.
     pub fn hedge(&mut self, run: &RunId) -> bool {
         self.store
             .update(&run.task.job, |job, effects| job.hedge(run, effects))
             .unwrap_or(false)
     }
 
-    /// Whether a run is recorded as assigned and its result is wanted.
+    /// Whether a run is recorded as assigned and its result is still accepted.
     pub fn is_current(&self, run: &RunId) -> bool {
         self.store
             .open_job(&run.task.job)
             .is_some_and(|job| job.is_current(run))
     }
 
-    /// All runs that occupy a worker, in order of their identifiers. It looks at every job, and is meant for use after
+    /// All runs that occupy a worker, in order of their identifiers. Visits every job; intended for use after
     /// a recovery.
     pub fn assigned_runs(&self) -> Vec<AssignedRun> {
         let mut runs: Vec<AssignedRun> = self
@@ -248,8 +252,8 @@
         runs
     }
 
-    /// The tasks of each open job with long-running steps, in order of the jobs' identifiers. It looks at every open
-    /// job, and is meant for reports some seconds apart.
+    /// Counts of the long-running tasks of each open job that has any, in order of job identifiers. Visits
+    /// every open job; intended for reports some seconds apart.
     pub fn long_running_tasks(&self) -> Vec<LongRunningTasks> {
         let mut jobs: Vec<LongRunningTasks> = self
             .store
@@ -260,7 +264,7 @@
         jobs
     }
 
-    /// Takes what changed since the last call.
+    /// Takes all changes since the last call.
     pub fn take_changes(&mut self) -> JobChanges {
         let effects = self.store.take_effects();
         let job_writes = effects.changed_jobs.iter();
@@ -284,7 +288,8 @@
     }
 }
 
-/// The policy of a job's queue where it differs from the one that the job has; none for a job that has ended.
+/// New policy of a job's queue. Returns `None` if it equals the current one, if the queue has none, or if the
+/// job has ended.
 fn changed_policy(
     job: &Job,
     policy_of: &dyn Fn(&str) -> Option<QueuePolicy>,
--- a/crates/jobs/src/timers.rs
+++ b/crates/jobs/src/timers.rs
@@ -1,63 +1,62 @@
-//! Timers of the job table, in order of time.
+//! Timers of the job table, ordered by time.
 
 use std::collections::BTreeSet;
 use streamusher_protocol::task::JobId;
 use streamusher_protocol::unit::UnitId;
 use streamusher_protocol::{Millis, Now};
 
-/// A backoff whose time has come.
+/// A backoff that has elapsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ElapsedBackoff {
-    /// The time it was set for: a unit may have got into another backoff since.
+    /// Time for which the timer was set. The unit may have entered another backoff since.
     pub(crate) until_ms: Millis,
-    /// The unit.
     pub(crate) unit: UnitId,
 }
 
-/// The timers that are set; the first entry of each set is the next.
+/// All timers that are set. The first entry of each set expires next.
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
-    /// Next iterations of jobs, by the time of day.
+    /// Releases of the next iteration of each job, on the system clock.
     releases: BTreeSet<(Millis, JobId)>,
-    /// Ends of backoffs, by the steady clock.
+    /// Ends of backoffs, on the steady clock.
     backoffs: BTreeSet<(Millis, UnitId)>,
-    /// When ended jobs are dropped, by the steady clock.
+    /// Ends of the retention of ended jobs, on the steady clock.
     expiries: BTreeSet<(Millis, JobId)>,
 }
 
 impl Timers {
-    /// Sets the time of day of a job's next iteration.
+    /// Sets the release time of a job's next iteration, in milliseconds since 1970.
     pub(crate) fn set_release(&mut self, unix_ms: Millis, job: &JobId) {
         self.releases.insert((unix_ms, job.clone()));
     }
 
-    /// Sets the end of a unit's backoff, by the steady clock.
+    /// Sets the end of a unit's backoff, on the steady clock.
     pub(crate) fn set_backoff_end(&mut self, until_ms: Millis, unit: UnitId) {
         self.backoffs.insert((until_ms, unit));
     }
 
-    /// Sets when an ended job is dropped, by the steady clock.
+    /// Sets the end of an ended job's retention, on the steady clock.
     pub(crate) fn set_expiry(&mut self, steady_ms: Millis, job: &JobId) {
         self.expiries.insert((steady_ms, job.clone()));
     }
 
-    /// Takes the next job with an iteration that is due.
+    /// Removes and returns the next job with a due iteration.
     pub(crate) fn pop_due_release(&mut self, now: Now) -> Option<JobId> {
         pop_due(&mut self.releases, now.unix_ms).map(|(_, job)| job)
     }
 
-    /// Takes the next backoff that has elapsed.
+    /// Removes and returns the next backoff that has elapsed.
     pub(crate) fn pop_elapsed_backoff(&mut self, now: Now) -> Option<ElapsedBackoff> {
         let (until_ms, unit) = pop_due(&mut self.backoffs, now.steady_ms)?;
         Some(ElapsedBackoff { until_ms, unit })
     }
 
-    /// Takes the next job to drop.
+    /// Removes and returns the next job whose retention is over.
     pub(crate) fn pop_expired(&mut self, now: Now) -> Option<JobId> {
         pop_due(&mut self.expiries, now.steady_ms).map(|(_, job)| job)
     }
 
-    /// Time to the next timer, in milliseconds; none if no timer is set.
+    /// Time until the next timer expires, in milliseconds; `None` if no timer is set.
     pub(crate) fn time_to_next(&self, now: Now) -> Option<Millis> {
         [
             time_to_first(&self.releases, now.unix_ms),
--- a/crates/jobs/src/unit.rs
+++ b/crates/jobs/src/unit.rs
@@ -1,4 +1,4 @@
-//! The state of one unit: a task, or all tasks of a gang.
+//! State of a unit: a single task, or all tasks of a gang.
 
 use crate::backoff::RestartPolicy;
 use crate::latency::{LatencyBreakdown, LatencyStage};
@@ -9,93 +9,94 @@
 use streamusher_protocol::unit::WorkerId;
 use streamusher_protocol::{Millis, Now};
 
-/// Workers that a unit avoids at most; more would leave too little choice in a small group.
+/// Limit of avoided workers per unit. A longer list would leave too few workers in a small group.
 const MAX_AVOIDED_WORKERS: usize = 4;
-/// A run of a long-running task that lasted this long ends its row of failures.
+/// A run of a long-running task that lasts at least this long resets its count of consecutive failures.
 const HEALTHY_RUN_MS: Millis = 10_000;
 
-/// The phase of a unit.
+/// Phase of a unit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum UnitPhase {
-    /// Its step waits for other steps.
+    /// The unit's step waits for other steps.
     #[default]
     Blocked,
-    /// It waits for placement.
+    /// The unit waits for placement.
     Waiting,
-    /// It waits for the end of the backoff before a restart.
+    /// The unit waits for the end of the backoff before a restart.
     BackingOff {
-        /// End of the backoff, by the steady clock.
+        /// End of the backoff, on the steady clock.
         until_ms: Millis,
     },
-    /// At least one of its tasks is assigned to a worker.
+    /// At least one of the unit's tasks is assigned to a worker.
     Assigned,
-    /// Its work is done.
+    /// The unit's work is done.
     Done,
-    /// Its job ended first.
+    /// The job ended before the unit was done.
     Abandoned,
 }
 
-/// A unit that is to run (again).
+/// Result of making a unit ready to run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Readiness {
-    /// It is over: nothing of it runs again.
+    /// The unit is done or abandoned and does not run again.
     Closed,
-    /// It has no attempt left, which ends its job.
+    /// The unit has no attempt left, which fails its job.
     AttemptsExhausted,
-    /// It may run after a backoff.
+    /// The unit may run after a backoff.
     BackingOff {
-        /// End of the backoff, by the steady clock.
+        /// End of the backoff, on the steady clock.
         until_ms: Millis,
     },
-    /// It may run now.
+    /// The unit may run now.
     Waiting,
 }
 
-/// What follows for a unit from the end of a run.
+/// Consequence of the end of a run for its unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum AfterRun {
-    /// Nothing: it was done before.
+pub(crate) enum UnitOutcome {
+    /// The unit was done before; nothing follows.
     AlreadyDone,
-    /// It is done now.
+    /// The unit is done now.
     Done,
-    /// It has no attempt left, which ends its job.
+    /// The unit has no attempt left, which fails its job.
     AttemptsExhausted,
-    /// It has to run again.
+    /// The unit has to run again.
     RunAgain,
 }
 
-/// The state of a unit. Runs, attempts and checkpoints belong to the unit, so that the tasks of a gang share them.
+/// State of a unit. Runs, attempts and checkpoints belong to the unit; the tasks of a gang share them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UnitState {
-    /// Its phase.
     pub(crate) phase: UnitPhase,
-    /// Number of the newest run; 0 before the first.
+    /// Number of the newest run; 0 before the first run.
     pub(crate) run: u32,
-    /// Failed attempts; of a long-running unit, those since its last healthy run.
+    /// Number of failed attempts. For a long-running unit, only those since its last healthy run.
     pub(crate) failed_attempts: u32,
-    /// The newest run that counted as a failed attempt.
+    /// The newest run that was counted as a failed attempt.
     pub(crate) last_failed_run: u32,
-    /// Tasks of which the newest run is assigned.
+    /// Number of tasks whose newest run is assigned.
     pub(crate) assigned_tasks: u32,
-    /// When the newest run was assigned, in milliseconds since 1970: a steady clock ends with its primary.
+    /// Time at which the newest run was assigned, in milliseconds since 1970. The steady clock is not used
+    /// because it does not outlive its primary.
     pub(crate) assigned_unix_ms: Millis,
-    /// Where its time went.
+    /// Time spent by the unit, by latency stage.
     pub(crate) latency: LatencyAccount,
-    /// The newest known checkpoint; empty for none.
+    /// Newest known checkpoint; empty if there is none.
     pub(crate) checkpoint: Arc<str>,
-    /// The checkpoint that the newest run was started with.
+    /// Checkpoint from which the newest run was started.
     pub(crate) started_from: Arc<str>,
     /// Workers to avoid, the newest last.
     pub(crate) avoided_workers: Vec<WorkerId>,
 }
 
 impl UnitState {
-    /// Lets the unit wait for placement, now or after a backoff. `chain` is the latency of the units before it.
+    /// Makes the unit wait for placement, at once or after a backoff. `preceding` is the latency of the chain
+    /// of units that ran before it.
     pub(crate) fn make_ready(
         &mut self,
         now_ms: Millis,
         restart: RestartPolicy,
-        chain: &LatencyBreakdown,
+        preceding: &LatencyBreakdown,
     ) -> Readiness {
         if matches!(self.phase, UnitPhase::Done | UnitPhase::Abandoned) {
             return Readiness::Closed;
@@ -104,7 +105,7 @@
             return Readiness::AttemptsExhausted;
         }
         if self.phase == UnitPhase::Blocked {
-            self.latency.start_after(now_ms, chain.clone());
+            self.latency.start_after(now_ms, preceding.clone());
         }
         let backoff_ms = restart.backoff_ms(self.failed_attempts);
         if backoff_ms > 0 {
@@ -116,7 +117,8 @@
         Readiness::Waiting
     }
 
-    /// Ends the backoff that was planned until this time. False if the unit is in no such backoff.
+    /// Ends the backoff that was set to end at `planned_ms`. Returns false if the unit is not in that
+    /// backoff.
     pub(crate) fn end_backoff(&mut self, now_ms: Millis, planned_ms: Millis) -> bool {
         let planned = UnitPhase::BackingOff {
             until_ms: planned_ms,
@@ -129,7 +131,7 @@
         true
     }
 
-    /// Begins the next run of the unit's tasks, from its newest checkpoint.
+    /// Starts the next run of the unit's tasks, from its newest checkpoint.
     pub(crate) fn assign(&mut self, now: Now, run: u32, tasks: u32) {
         self.run = run;
         self.phase = UnitPhase::Assigned;
@@ -139,7 +141,7 @@
         self.started_from = self.checkpoint.clone();
     }
 
-    /// Takes the end of a run into account.
+    /// Updates the unit after the end of a run.
     pub(crate) fn on_run_over(
         &mut self,
         now: Now,
@@ -147,14 +149,14 @@
         result: RunResult,
         worker: Option<&WorkerId>,
         restart: RestartPolicy,
-    ) -> AfterRun {
+    ) -> UnitOutcome {
         if self.phase == UnitPhase::Done {
-            return AfterRun::AlreadyDone;
+            return UnitOutcome::AlreadyDone;
         }
         let is_long_running = restart == RestartPolicy::Unlimited;
         if result == RunResult::Succeeded && !is_long_running {
             self.latency.add_successful_run(now.steady_ms);
-            return AfterRun::Done;
+            return UnitOutcome::Done;
         }
         let ran_ms = now.unix_ms.saturating_sub(self.assigned_unix_ms);
         if is_long_running && ran_ms >= HEALTHY_RUN_MS {
@@ -163,21 +165,21 @@
         self.latency
             .add_elapsed(now.steady_ms, result.stage_before_rerun());
         if result != RunResult::Failed {
-            return AfterRun::RunAgain;
+            return UnitOutcome::RunAgain;
         }
         if let Some(worker) = worker {
             self.avoid(worker);
         }
         self.count_failure(slot);
         if restart.is_exhausted(self.failed_attempts) {
-            AfterRun::AttemptsExhausted
+            UnitOutcome::AttemptsExhausted
         } else {
-            AfterRun::RunAgain
+            UnitOutcome::RunAgain
         }
     }
 
-    /// Counts a failed attempt. The tasks of a gang share a run, which counts once; an earlier run is that of a single
-    /// task.
+    /// Counts a failed attempt. The tasks of a gang share a run, so its failures count once. Only single
+    /// tasks have an earlier run, so the check is not needed there.
     fn count_failure(&mut self, slot: RunSlot) {
         if slot == RunSlot::Newest {
             if self.last_failed_run == self.run {
@@ -188,7 +190,8 @@
         self.failed_attempts = self.failed_attempts.saturating_add(1);
     }
 
-    /// Adds a worker to avoid, in place of the oldest one. False if it is avoided already.
+    /// Adds a worker to avoid; at the limit, the oldest one is removed. Returns false if the worker is
+    /// avoided already.
     pub(crate) fn avoid(&mut self, worker: &WorkerId) -> bool {
         if self.avoided_workers.contains(worker) {
             return false;
--- a/crates/jobs/src/validation.rs
+++ b/crates/jobs/src/validation.rs
@@ -1,25 +1,25 @@
-//! Validation of a request before its job is accepted.
+//! Validation of a job request before the job is accepted.
 
 use crate::error::SubmitError;
 use streamusher_protocol::job::{JobRequest, StepRequest, MAX_SPEC_BYTES};
 use streamusher_protocol::Millis;
 
-/// Tasks of a job that may be open at one time: bounds the memory and the records of a single job.
+/// Limit of the tasks of a job that are open at one time. Bounds the memory and the records of a single job.
 pub(crate) const MAX_TASKS: u64 = 10_000;
-/// Steps of a job. There can be as many as tasks at most, and chains of that length are mistakes.
+/// Limit of the steps of a job. A job has no more steps than tasks, and chains longer than this are mistakes.
 const MAX_STEPS: usize = 1_000;
-/// Iterations of a job: one a minute for almost two years.
+/// Limit of the iterations of a job: one per minute for almost two years.
 const MAX_ITERATIONS: u64 = 1_000_000;
-/// Amount of a resource: beyond any machine, and sums over tasks stay far below `u64::MAX`.
+/// Limit of an amount of a resource. It is beyond any machine, and sums over tasks stay far below `u64::MAX`.
 const MAX_RESOURCE_AMOUNT: u64 = 1_000_000_000_000;
-/// Time span: some thirty years.
-const MAX_SPAN_MS: Millis = 1_000_000_000_000;
-/// Time of day: the year 5138.
+/// Limit of a duration: some thirty years.
+const MAX_DURATION_MS: Millis = 1_000_000_000_000;
+/// Limit of a point in time, in milliseconds since 1970: the year 5138.
 const MAX_UNIX_MS: Millis = 100_000_000_000_000;
-/// Length of a label.
+/// Limit of the length of a label.
 const MAX_LABEL_BYTES: usize = 256;
 
-/// Rejects a request that cannot be run, or that would cost too much.
+/// Rejects a request that cannot be executed or that exceeds a limit.
 pub(crate) fn validate(request: &JobRequest) -> Result<(), SubmitError> {
     if request.spec.len() > MAX_SPEC_BYTES {
         return Err(SubmitError::SpecTooLong(request.spec.len()));
@@ -55,7 +55,7 @@
     check_limit(field("cpu"), step.resources.cpu, MAX_RESOURCE_AMOUNT)?;
     check_limit(field("mem_mb"), step.resources.mem_mb, MAX_RESOURCE_AMOUNT)?;
     check_limit(field("gpu"), step.resources.gpu, MAX_RESOURCE_AMOUNT)?;
-    check_limit(field("estimated_ms"), step.estimated_ms, MAX_SPAN_MS)?;
+    check_limit(field("estimated_ms"), step.estimated_ms, MAX_DURATION_MS)?;
     check_label(field("node_selector"), step.node_selector.as_deref())?;
     check_label(field("affinity"), step.affinity.as_deref())
 }
@@ -68,7 +68,7 @@
             limit: MAX_TASKS,
         });
     }
-    // Without an interval all iterations are due at once.
+    // Without an interval, all iterations are due at once.
     let limit = if request.interval_ms == 0 {
         MAX_TASKS / tasks.max(1)
     } else {
@@ -85,7 +85,7 @@
 
 fn validate_times(request: &JobRequest) -> Result<(), SubmitError> {
     check_limit("start_at_ms".into(), request.start_at_ms, MAX_UNIX_MS)?;
-    check_limit("interval_ms".into(), request.interval_ms, MAX_SPAN_MS)
+    check_limit("interval_ms".into(), request.interval_ms, MAX_DURATION_MS)
 }
 
 fn check_limit(field: String, found: u64, limit: u64) -> Result<(), SubmitError> {
--- a/crates/jobs/src/views.rs
+++ b/crates/jobs/src/views.rs
@@ -1,4 +1,4 @@
-//! What others are shown of a job: waiting units, as placement needs them, and runs that occupy workers.
+//! Descriptions of a job's waiting units, as placement needs them, and of its runs that occupy workers.
 
 use crate::changes::AssignedRun;
 use crate::job::Job;
@@ -10,10 +10,11 @@
 use streamusher_protocol::unit::{Unit, UnitId};
 use streamusher_protocol::Millis;
 
-/// Added to the order of a speculative run: it goes behind all units of its priority that wait for less than this.
+/// Added to the order of a speculative run. The run is ordered after all units of its priority that have
+/// waited for less than this.
 const SPECULATIVE_DELAY_MS: Millis = 600_000;
 
-/// A unit that waits for placement; none if it does not wait.
+/// Describes a unit that waits for placement. Returns `None` if the unit does not wait.
 pub(crate) fn waiting_unit(job: &Job, id: &UnitId) -> Option<Unit> {
     let position = UnitPosition::from_id(id);
     let request = job.plan.step(position.step)?;
@@ -46,7 +47,8 @@
     })
 }
 
-/// The order within a priority: by the time at which the constant part of the latency objective is over.
+/// Order of a unit within its priority: the time at which the constant part of the latency objective is used
+/// up.
 fn unit_order(job: &Job, iteration: u32, speculative: bool) -> Millis {
     let delay_ms = if speculative { SPECULATIVE_DELAY_MS } else { 0 };
     job.due_unix_ms(iteration)
@@ -59,23 +61,23 @@
         .slack_ms(request.estimated_ms, job.plan.critical_path_ms)
 }
 
-/// All runs of a job that occupy a worker.
+/// Describes all runs of a job that occupy a worker.
 pub(crate) fn assigned_runs(job: &Job) -> Vec<AssignedRun> {
     let mut runs = Vec::new();
     if job.iterations.assigned_runs == 0 {
         return runs;
     }
     let open = job.iterations.open.iter();
-    for (&iteration, content) in open.filter(|(_, content)| content.assigned_runs > 0) {
-        for (step, content) in (0..).zip(&content.steps) {
-            for task in content.task_indexes() {
+    for (&iteration, iteration_state) in open.filter(|(_, state)| state.assigned_runs > 0) {
+        for (step, step_state) in (0..).zip(&iteration_state.steps) {
+            for task in step_state.task_indexes() {
                 let unit = UnitPosition {
                     iteration,
                     step,
-                    unit: content.unit_of(task),
+                    unit: step_state.unit_of(task),
                 };
-                let of_task = content.assigned_runs(task);
-                runs.extend(of_task.filter_map(|run| assigned_run(job, unit, task, run)));
+                let task_runs = step_state.assigned_runs(task);
+                runs.extend(task_runs.filter_map(|run| assigned_run(job, unit, task, run)));
             }
         }
     }
--- a/crates/jobs/tests/job_lifecycle.rs
+++ b/crates/jobs/tests/job_lifecycle.rs
@@ -37,7 +37,7 @@
         request(vec![step(5)]),
         &policy("scans"),
     );
-    assert_eq!(again, Ok(SubmitOutcome::AlreadyKnown));
+    assert_eq!(again, Ok(SubmitOutcome::AlreadyExists));
     harness.take_changes();
     assert!(harness.last_changes.writes.is_empty());
     assert_eq!(harness.ready_ids().len(), 1);
@@ -48,7 +48,7 @@
         request(vec![step(1)]),
         &policy("scans"),
     );
-    assert_eq!(after_end, Ok(SubmitOutcome::AlreadyKnown));
+    assert_eq!(after_end, Ok(SubmitOutcome::AlreadyExists));
 }
 
 #[test]
