--- a/crates/jobs/tests/checkpoints.rs
+++ b/crates/jobs/tests/checkpoints.rs
@@ -1,4 +1,4 @@
-//! From which checkpoint the next run of a task continues.
+//! Choice of the checkpoint from which the next run of a task continues.
 
 #![allow(
     clippy::expect_used,
@@ -28,7 +28,7 @@
     assert_eq!(
         &*harness.start(&unit_id(1, 0, 0, Some(1)))[0].checkpoint,
         "",
-        "another task's is never taken"
+        "a checkpoint of another task is never used"
     );
 }
 
--- a/crates/jobs/tests/common/mod.rs
+++ b/crates/jobs/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A job table together with the replicated state and the placement that would stand around it, and builders of requests
-//! and identifiers.
+//! Test harness: a job table with a replicated state and a set of units that wait for placement, and builders
+//! of requests and identifiers.
 
 #![allow(dead_code, reason = "each test file uses a part of this module")]
 
@@ -14,9 +14,9 @@
 use streamusher_protocol::unit::{StepId, TaskAssignment, Unit, UnitId};
 use streamusher_protocol::{Millis, Now};
 
-/// How long the state of an ended job is retained.
+/// Retention of ended jobs in the harness's settings.
 pub(crate) const RETENTION_MS: Millis = 60_000;
-/// The time at which each harness begins.
+/// Time at which each harness starts.
 pub(crate) const START: Now = Now {
     steady_ms: 5_000,
     unix_ms: 1_700_000_000_000,
@@ -41,7 +41,7 @@
     }
 }
 
-/// The identifier of a task's unit, or of a gang where there is no index.
+/// Identifier of a single task's unit, or of a gang if there is no index.
 pub(crate) fn unit_id(number: u64, iteration: u32, step: u32, index: Option<u32>) -> UnitId {
     UnitId {
         step: StepId {
@@ -131,15 +131,15 @@
     }
 }
 
-/// A job table, and what its changes amount to so far.
+/// A job table, and the accumulated effect of its changes.
 pub(crate) struct Harness {
     pub(crate) table: JobTable,
     pub(crate) now: Now,
-    /// The replicated state.
+    /// Replicated state: the values of all records by key.
     pub(crate) state: BTreeMap<Arc<str>, Arc<str>>,
     /// Units that wait for placement.
     pub(crate) ready_units: BTreeMap<UnitId, Unit>,
-    /// All runs that were ever to be stopped.
+    /// All runs that the table has asked to stop so far.
     pub(crate) stopped_runs: BTreeSet<RunId>,
     pub(crate) last_changes: JobChanges,
 }
@@ -166,7 +166,7 @@
         }
     }
 
-    /// A harness around the table that is recovered from a replicated state, with the units that it makes ready.
+    /// Recovers a table from a replicated state and takes the units that become ready.
     pub(crate) fn recovered_from(now: Now, state: BTreeMap<Arc<str>, Arc<str>>) -> Harness {
         let records = state.iter().map(|(k, v)| (k.clone(), v.clone()));
         let table = JobTable::recover(settings(), now, records).expect("the state can be read");
@@ -179,12 +179,12 @@
         harness
     }
 
-    /// What a new primary recovers.
+    /// Recovers a table from the current state, as a new primary does.
     pub(crate) fn recovered(&self) -> Harness {
         Harness::recovered_from(self.now, self.state.clone())
     }
 
-    /// Takes the changes as the scheduler does: writes in one batch, revoked units before ready ones.
+    /// Applies the changes as the scheduler does: writes in one batch, and revoked units before ready ones.
     pub(crate) fn take_changes(&mut self) {
         let changes = self.table.take_changes();
         let mut keys = BTreeSet::new();
@@ -218,10 +218,10 @@
         self.last_changes = changes;
     }
 
-    /// Lets time pass.
-    pub(crate) fn advance(&mut self, span_ms: Millis) {
-        self.now.steady_ms += span_ms;
-        self.now.unix_ms += span_ms;
+    /// Advances both clocks and calls `tick`.
+    pub(crate) fn advance(&mut self, duration_ms: Millis) {
+        self.now.steady_ms += duration_ms;
+        self.now.unix_ms += duration_ms;
         self.table.tick(self.now);
         self.take_changes();
     }
@@ -237,7 +237,7 @@
         self.take_changes();
     }
 
-    /// Starts a unit, task i at worker `wi`.
+    /// Starts a ready unit, with the task at index `i` on worker `wi`.
     pub(crate) fn start(&mut self, id: &UnitId) -> Vec<StartedRun> {
         let unit = self
             .ready_units
@@ -292,44 +292,45 @@
         self.table.status(&job_id(number))
     }
 
-    /// The identifiers of the units that wait for placement.
+    /// Identifiers of the units that wait for placement.
     pub(crate) fn ready_ids(&self) -> Vec<UnitId> {
         self.ready_units.keys().cloned().collect()
     }
 
-    /// The keys of the replicated state.
+    /// Keys of the replicated state.
     pub(crate) fn stored_keys(&self) -> Vec<String> {
         self.state.keys().map(ToString::to_string).collect()
     }
 }
 
-/// Small generator of pseudo-random numbers (splitmix64), so that a failing seed replays.
+/// Pseudo-random number generator (splitmix64). A failing seed can be replayed.
 pub(crate) struct Random(pub(crate) u64);
 
 impl Random {
     pub(crate) fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut z = self.0;
-        z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        z ^ (z >> 31)
+        let mut mixed = self.0;
+        mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        mixed ^ (mixed >> 31)
     }
 
     pub(crate) fn below(&mut self, limit: u64) -> u64 {
         self.next() % limit.max(1)
     }
 
-    /// A number below a limit that `u32` can hold.
+    /// Random number below a limit.
     pub(crate) fn below_u32(&mut self, limit: u32) -> u32 {
-        u32::try_from(self.below(limit.into())).expect("it is below the limit")
+        u32::try_from(self.below(limit.into())).expect("a number below a limit of type u32")
     }
 
     pub(crate) fn chance(&mut self, percent: u64) -> bool {
         self.below(100) < percent
     }
 
-    pub(crate) fn pick<'a, T>(&mut self, from: &'a [T]) -> Option<&'a T> {
-        let index = usize::try_from(self.below(from.len() as u64)).expect("it is an index");
-        from.get(index)
+    pub(crate) fn pick<'a, T>(&mut self, items: &'a [T]) -> Option<&'a T> {
+        let index =
+            usize::try_from(self.below(items.len() as u64)).expect("an index fits into usize");
+        items.get(index)
     }
 }
--- a/crates/jobs/tests/common/model.rs
+++ b/crates/jobs/tests/common/model.rs
@@ -1,4 +1,4 @@
-//! A plain and slow model of a job: every unit with every fact about it, and the rules that follow.
+//! Simple and slow model of a job: it stores all facts about every unit and computes the rules from them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use streamusher_jobs::{QueuePolicy, StartedRun};
@@ -9,7 +9,7 @@
 /// Longest backoff of a long-running task.
 const MAX_BACKOFF_MS: Millis = 2_000;
 
-/// A unit within its job.
+/// Position of a unit within its job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct UnitKey {
     pub(crate) iteration: u32,
@@ -17,24 +17,24 @@
     pub(crate) unit: u32,
 }
 
-/// What is known of a unit from outside.
+/// Observable state of a unit.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UnitModel {
     pub(crate) run: u32,
     pub(crate) failed_attempts: u32,
     pub(crate) last_failed_run: u32,
     pub(crate) is_done: bool,
-    /// Tasks that occupy a worker.
+    /// Indexes of the tasks that occupy a worker.
     pub(crate) assigned_tasks: BTreeSet<u32>,
-    /// A run of the newest number ended without success.
+    /// A run with the newest run number ended without success.
     pub(crate) is_broken: bool,
-    /// Every checkpoint ever reported.
+    /// All checkpoints that runs of the unit have reported.
     pub(crate) checkpoints: BTreeSet<String>,
-    /// When the newest run was over, by the steady clock.
-    pub(crate) over_at_ms: Millis,
+    /// End of the newest run, on the steady clock.
+    pub(crate) last_run_ended_at_ms: Millis,
 }
 
-/// What is known of a job from outside.
+/// Observable state of a job.
 #[derive(Clone, Debug)]
 pub(crate) struct JobModel {
     pub(crate) request: JobRequest,
@@ -50,8 +50,12 @@
     pub(crate) fn new(request: JobRequest, policy: QueuePolicy, now: Now) -> JobModel {
         let mut units = BTreeMap::new();
         for iteration in 0..request.repeat_count.max(1) {
-            for (step, content) in (0..).zip(&request.steps) {
-                let count = if content.gang { 1 } else { content.count };
+            for (step, step_request) in (0..).zip(&request.steps) {
+                let count = if step_request.gang {
+                    1
+                } else {
+                    step_request.count
+                };
                 for unit in 0..count {
                     let key = UnitKey {
                         iteration,
@@ -96,7 +100,7 @@
             .all(|(_, unit)| unit.is_done)
     }
 
-    /// Whether a unit may run and nothing of it runs.
+    /// Whether a unit may run and none of its tasks is assigned.
     pub(crate) fn may_run(&self, key: UnitKey, now: Now) -> bool {
         let unit = &self.units[&key];
         let depends_on = &self.step(key.step).depends_on;
@@ -109,12 +113,12 @@
             && unit.assigned_tasks.is_empty()
     }
 
-    /// Whether a unit may be in the backoff between failures.
+    /// Whether a unit may be backing off after failures.
     pub(crate) fn may_back_off(&self, key: UnitKey, now: Now) -> bool {
         let unit = &self.units[&key];
         self.step(key.step).long_running
             && unit.failed_attempts > 1
-            && now.steady_ms < unit.over_at_ms + MAX_BACKOFF_MS
+            && now.steady_ms < unit.last_run_ended_at_ms + MAX_BACKOFF_MS
     }
 
     pub(crate) fn on_started(&mut self, key: UnitKey, started: &[StartedRun]) {
@@ -128,26 +132,30 @@
         let spec = self.request.spec.clone();
         let max_attempts = self.policy.max_attempts;
         let unit = self.units.get_mut(&key).expect("a unit of the job");
-        assert_eq!(started.len(), tasks as usize, "all tasks or none");
+        assert_eq!(
+            started.len(),
+            tasks as usize,
+            "either all tasks of a unit start or none"
+        );
         assert!(
             is_long_running || unit.failed_attempts < max_attempts,
-            "a run beyond the limit of attempts"
+            "no run starts after the limit of attempts is reached"
         );
         assert!(
             !unit.is_done && unit.assigned_tasks.is_empty(),
-            "a second run at one time, or after the unit was done"
+            "no run starts beside another one or after the unit is done"
         );
         unit.run += 1;
         unit.is_broken = false;
         for run in started {
             assert_eq!(
                 run.run.run, unit.run,
-                "run numbers rise by one and are shared"
+                "run numbers increase by one and are shared by the tasks of a unit"
             );
             assert_eq!(run.spec, spec);
             assert_eq!(
                 run.checkpoint, started[0].checkpoint,
-                "all bring the same checkpoint"
+                "all tasks of a unit start from the same checkpoint"
             );
             assert!(unit.assigned_tasks.insert(run.run.task.index));
         }
@@ -155,17 +163,17 @@
         let is_own = unit.checkpoints.contains(&checkpoint);
         assert!(
             checkpoint.is_empty() || (has_checkpoints && is_own),
-            "a checkpoint that no run of the unit reported: {checkpoint:?}"
+            "no run of the unit reported the checkpoint {checkpoint:?}"
         );
         self.has_started = true;
     }
 
-    /// A run is over; `end` is none if no end was reported.
+    /// Handles the end of a run; `end` is `None` if no worker reported one.
     pub(crate) fn on_run_over(&mut self, key: UnitKey, task: u32, end: Option<RunEnd>, now: Now) {
         let is_long_running = self.step(key.step).long_running;
         let unit = self.units.get_mut(&key).expect("a unit of the job");
         assert!(unit.assigned_tasks.remove(&task));
-        unit.over_at_ms = now.steady_ms;
+        unit.last_run_ended_at_ms = now.steady_ms;
         if self.final_state.is_some() || unit.is_done {
             return;
         }
--- a/crates/jobs/tests/encoded_forms.rs
+++ b/crates/jobs/tests/encoded_forms.rs
@@ -1,5 +1,5 @@
-//! Bytes of the records in the replicated state and of the JSON of a completion, as other processes and former versions
-//! know them.
+//! Compares the encoded forms of stored records and of completions with recorded ones, byte for byte: other
+//! processes and former versions depend on them.
 
 #![allow(
     clippy::expect_used,
@@ -22,15 +22,15 @@
 use streamusher_protocol::task::RunEnd;
 
 const RECORDS: &str = include_str!("fixtures/encoded/records.txt");
-/// Written by the versions before runs had the time of their assignment.
+/// Records written by former versions, which did not store the time at which a run was assigned.
 const RECORDS_WITHOUT_START_TIMES: &str =
     include_str!("fixtures/encoded/records_without_start_times.txt");
 const COMPLETIONS: &str = include_str!("fixtures/encoded/completions.jsonl");
 const STAGES: &str = include_str!("fixtures/encoded/latency_stages.jsonl");
-/// Records of the replicated state by key.
+/// Records of the replicated state, by key.
 type Records = BTreeMap<Arc<str>, Arc<str>>;
 
-/// Precedes the name of a state in the fixture; its records follow.
+/// Prefix of the fixture's lines that hold the name of a state; the records of the state follow.
 const STATE_HEADING: &str = "# ";
 
 fn hedged_with_checkpoints() -> StepRequest {
@@ -40,7 +40,7 @@
     }
 }
 
-/// A job with every field of a request.
+/// Submits a job in which every field of the request is set.
 fn submitted() -> Harness {
     let mut harness = Harness::new();
     let first = StepRequest {
@@ -66,7 +66,8 @@
     harness
 }
 
-/// A failed run, a checkpoint, a worker to avoid, and a second run that has reported a newer checkpoint.
+/// A task with a failed run, a checkpoint and avoided workers, whose second run has reported a newer
+/// checkpoint.
 fn failed_and_started_again() -> Harness {
     let mut harness = Harness::new();
     harness.submit(1, request(vec![step_with_checkpoints(1)]));
@@ -84,7 +85,7 @@
     harness
 }
 
-/// A run that was never placed again after it was lost.
+/// A task whose run was lost, and that has not been placed again.
 fn lost() -> Harness {
     let mut harness = Harness::new();
     harness.submit(1, request(vec![step(2)]));
@@ -93,7 +94,7 @@
     harness
 }
 
-/// A gang of which one member ended: the others are stopped.
+/// A gang whose other members are being stopped after one member failed.
 fn broken_gang() -> Harness {
     let mut harness = Harness::new();
     harness.submit(1, request(vec![gang_step(3), step_after(1, &[0])]));
@@ -102,7 +103,7 @@
     harness
 }
 
-/// A gang that is done while members of it are still assigned.
+/// A gang that is done while a member of it is still assigned.
 fn done_gang() -> Harness {
     let mut harness = Harness::new();
     harness.submit(1, request(vec![gang_step(2), step_after(1, &[0])]));
@@ -111,7 +112,7 @@
     harness
 }
 
-/// A hedged task whose second run waits for a worker.
+/// A hedged task whose second run waits for placement.
 fn hedged_waiting() -> Harness {
     let mut harness = Harness::new();
     harness.submit(1, request(vec![hedged_with_checkpoints()]));
@@ -121,7 +122,7 @@
     harness
 }
 
-/// A hedged task that has two runs, the first started from a checkpoint.
+/// A hedged task with two runs, of which the first was started from a checkpoint.
 fn hedged_with_two_runs() -> Harness {
     let mut harness = Harness::new();
     harness.submit(1, request(vec![hedged_with_checkpoints()]));
@@ -135,7 +136,7 @@
     harness
 }
 
-/// A hedged task of which the second run was done first: the earlier one is stopped.
+/// A hedged task whose second run succeeded first, so that the earlier one is being stopped.
 fn hedged_done_by_second_run() -> Harness {
     let mut harness = Harness::new();
     harness.submit(
@@ -164,7 +165,7 @@
     harness
 }
 
-/// Iterations that are done, the first one not among them.
+/// A job with finished iterations that do not include the first one.
 fn later_iterations_done() -> Harness {
     let mut harness = three_iterations();
     harness.start_and_finish(&unit_id(1, 1, 0, Some(0)), RunEnd::Done);
@@ -172,14 +173,14 @@
     harness
 }
 
-/// Iterations that are done, from the first on and beyond a gap.
+/// A job with finished iterations from the first one on, and a further one beyond a gap.
 fn first_iterations_done() -> Harness {
     let mut harness = later_iterations_done();
     harness.start_and_finish(&unit_id(1, 0, 0, Some(0)), RunEnd::Done);
     harness
 }
 
-/// A cancelled job of which a run is left.
+/// A cancelled job with an assigned run.
 fn cancelled_with_run_left() -> Harness {
     let mut harness = Harness::new();
     harness.submit(1, request(vec![step(2)]));
@@ -188,7 +189,7 @@
     harness
 }
 
-/// One job for each final state, none with runs left.
+/// One job for each final state, without assigned runs.
 fn ended() -> Harness {
     let mut harness = Harness::new();
     for number in 1..=3 {
@@ -201,7 +202,7 @@
     harness
 }
 
-/// A policy whose numbers have no short form, or cannot be held by JSON.
+/// Policies with numbers at their limits or that JSON cannot represent, and names with special characters.
 fn unusual_policies() -> Harness {
     let mut harness = Harness::new();
     let extreme = QueuePolicy {
@@ -239,7 +240,7 @@
     ]
 }
 
-/// The records of each state in the fixture.
+/// Parses a fixture into the records of each state.
 fn recorded_states(records: &'static str) -> BTreeMap<&'static str, Records> {
     let mut recorded = BTreeMap::<&str, Records>::new();
     let mut name = "";
@@ -269,7 +270,8 @@
     assert_eq!(encoded, RECORDS);
 }
 
-/// Where a former version did not record when a run was assigned, it counts from the takeover, which is at the same time here.
+/// If a former version did not record the time of an assignment, recovery uses the time of the takeover. That
+/// is the same time in this test.
 #[rstest]
 #[case::present(RECORDS)]
 #[case::without_start_times(RECORDS_WITHOUT_START_TIMES)]
@@ -351,20 +353,20 @@
 
 #[test]
 fn encoded_completions_are_as_recorded() {
-    let encoded = |completion| serde_json::to_string(completion).expect("it can be encoded");
+    let encoded = |completion| serde_json::to_string(completion).expect("a completion is encoded");
     let lines: Vec<String> = completions().iter().map(encoded).collect();
     assert_eq!(lines, COMPLETIONS.lines().collect::<Vec<_>>());
-    let decoded = |line| serde_json::from_str(line).expect("it can be decoded");
+    let decoded = |line| serde_json::from_str(line).expect("a recorded completion is decoded");
     let decoded: Vec<Completion> = COMPLETIONS.lines().map(decoded).collect();
     assert_eq!(decoded, completions());
 }
 
 #[test]
 fn encoded_latency_stages_are_as_recorded() {
-    let encoded = |stage| serde_json::to_string(&stage).expect("it can be encoded");
+    let encoded = |stage| serde_json::to_string(&stage).expect("a stage is encoded");
     let lines: Vec<String> = LatencyStage::ALL.into_iter().map(encoded).collect();
     assert_eq!(lines, STAGES.lines().collect::<Vec<_>>());
-    let decoded = |line| serde_json::from_str(line).expect("it can be decoded");
+    let decoded = |line| serde_json::from_str(line).expect("a recorded stage is decoded");
     let stages: Vec<LatencyStage> = STAGES.lines().map(decoded).collect();
     assert_eq!(stages, LatencyStage::ALL);
 }
--- a/crates/jobs/tests/gangs.rs
+++ b/crates/jobs/tests/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs: one run number, one checkpoint, one attempt; together or not at all.
+//! Gangs: all tasks start together and share the run number, the checkpoint and the attempts.
 
 #![allow(
     clippy::expect_used,
@@ -14,7 +14,7 @@
 use streamusher_protocol::task::{RunEnd, RunId};
 use streamusher_protocol::unit::UnitId;
 
-/// A submitted gang of three tasks.
+/// Submits a gang of three tasks and returns its identifier.
 fn submitted_gang() -> (Harness, UnitId) {
     let mut harness = Harness::new();
     harness.submit(1, request(vec![gang_step(3)]));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn tasks_share_run_number_and_checkpoint() {
+fn tasks_of_a_gang_share_run_number_and_checkpoint() {
     let (mut harness, id) = submitted_gang();
     assert_eq!(harness.ready_units[&id].tasks.len(), 3);
     let started = harness.start(&id);
@@ -40,11 +40,11 @@
     for start in &started {
         harness.lose(&start.run);
     }
-    let again = harness.start(&id);
-    assert!(again.iter().all(|start| start.run.run == 2));
+    let restarted = harness.start(&id);
+    assert!(restarted.iter().all(|start| start.run.run == 2));
     assert!(
-        again.iter().all(|start| &*start.checkpoint == "c2"),
-        "a repeated older report is not the newest"
+        restarted.iter().all(|start| &*start.checkpoint == "c2"),
+        "a repeated report of an older checkpoint does not replace the newest one"
     );
 }
 
@@ -132,7 +132,10 @@
         .all(|run| run.stopping));
     for harness in [&mut harness, &mut recovered] {
         harness.finish(run_of(&started, 1), RunEnd::Stopped);
-        assert!(harness.ready_ids().is_empty(), "one task is left");
+        assert!(
+            harness.ready_ids().is_empty(),
+            "the gang restarts only after the end of its last task"
+        );
         harness
             .table
             .on_run_withdrawn(harness.now, run_of(&started, 2));
@@ -143,7 +146,7 @@
 }
 
 #[test]
-fn failures_of_one_run_count_once() {
+fn failures_in_one_run_of_a_gang_count_once() {
     let (mut harness, id) = submitted_gang();
     let started = harness.start(&id);
     for start in &started {
@@ -174,7 +177,7 @@
 }
 
 #[test]
-fn failures_around_a_recovery_count_once() {
+fn failures_before_and_after_a_recovery_count_once() {
     let (mut harness, id) = submitted_gang();
     let started = harness.start(&id);
     harness.finish(run_of(&started, 0), RunEnd::Failed);
--- a/crates/jobs/tests/hedging.rs
+++ b/crates/jobs/tests/hedging.rs
@@ -1,4 +1,4 @@
-//! Speculative second runs of hedged tasks: whichever run succeeds first counts.
+//! Speculative second runs of hedged tasks. The first run to succeed counts.
 
 #![allow(
     clippy::expect_used,
@@ -13,7 +13,7 @@
 use streamusher_protocol::job::{JobState, StepRequest};
 use streamusher_protocol::task::{RunEnd, RunId};
 
-/// A job whose only task has a run, beside which a second one waits for placement.
+/// Creates a job whose only task has a run and a second run that waits for placement.
 fn task_with_waiting_second_run() -> (Harness, RunId) {
     let mut harness = Harness::new();
     harness.submit(1, request(vec![hedged_step(1)]));
@@ -23,7 +23,7 @@
     (harness, first)
 }
 
-/// The same with both runs started.
+/// Creates a job whose only task has two started runs.
 fn task_with_two_runs() -> (Harness, RunId, RunId) {
     let (mut harness, first) = task_with_waiting_second_run();
     let second = harness.start(&unit_id(1, 0, 0, Some(0)))[0].run.clone();
@@ -60,8 +60,8 @@
 }
 
 #[rstest]
-#[case::the_earlier(true)]
-#[case::the_newer(false)]
+#[case::earlier_run(true)]
+#[case::newer_run(false)]
 fn first_success_stops_the_other_run(#[case] earlier: bool) {
     let (mut harness, first, second) = task_with_two_runs();
     let (winner, loser) = if earlier {
@@ -80,7 +80,7 @@
     assert!(!harness.table.is_current(loser));
     assert!(
         harness.finish(loser, RunEnd::Stopped),
-        "its capacity is allocated until it is over"
+        "the capacity of a stopped run stays allocated until the run is over"
     );
     assert_eq!(harness.status(1), Some(JobState::Succeeded));
 }
@@ -103,7 +103,7 @@
     let waiting = &harness.ready_units[&unit_id(1, 0, 0, Some(0))];
     assert!(
         !waiting.speculative,
-        "it may now take capacity as any task does"
+        "the only run of a task is not speculative"
     );
 }
 
@@ -168,7 +168,7 @@
             .stored_keys()
             .iter()
             .any(|key| key.starts_with("task/")),
-        "the run still occupies its worker"
+        "the record stays as long as a run occupies a worker"
     );
     harness.lose(&first);
     assert!(!harness
--- a/crates/jobs/tests/iterations.rs
+++ b/crates/jobs/tests/iterations.rs
@@ -1,4 +1,4 @@
-//! Iterations of timed jobs.
+//! Release of the iterations of timed jobs.
 
 #![allow(
     clippy::expect_used,
@@ -57,7 +57,7 @@
     assert_eq!(
         harness.stored_keys(),
         vec![format!("job/{}", job_id(1))],
-        "the tasks of the iteration are forgotten"
+        "the records of the iteration's tasks are removed"
     );
     let mut recovered = harness.recovered();
     assert!(recovered.ready_ids().is_empty());
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn started_iteration_survives_an_earlier_time_of_day() {
+fn started_iteration_survives_a_system_clock_set_back() {
     let mut harness = Harness::new();
     let start_at_ms = START.unix_ms + 1_000;
     let timed = JobRequest {
@@ -85,12 +85,16 @@
     assert_eq!(
         recovered.ready_ids(),
         vec![unit_id(1, 0, 0, Some(0))],
-        "released before a later one, so due"
+        "an iteration before a started one was released too"
     );
     recovered.advance(5_499);
     assert_eq!(recovered.ready_ids().len(), 1);
     recovered.advance(1);
-    assert_eq!(recovered.ready_ids().len(), 2, "the third is due");
+    assert_eq!(
+        recovered.ready_ids().len(),
+        2,
+        "the third iteration is released at its due time"
+    );
 }
 
 #[test]
--- a/crates/jobs/tests/job_lifecycle.rs
+++ b/crates/jobs/tests/job_lifecycle.rs
@@ -31,24 +31,24 @@
 fn resubmission_changes_nothing() {
     let mut harness = Harness::new();
     harness.submit(1, request(vec![step(1)]));
-    let again = harness.table.submit(
+    let repeated = harness.table.submit(
         harness.now,
         &job_id(1),
         request(vec![step(5)]),
         &policy("scans"),
     );
-    assert_eq!(again, Ok(SubmitOutcome::AlreadyExists));
+    assert_eq!(repeated, Ok(SubmitOutcome::AlreadyExists));
     harness.take_changes();
     assert!(harness.last_changes.writes.is_empty());
     assert_eq!(harness.ready_ids().len(), 1);
     harness.start_and_finish(&unit_id(1, 0, 0, Some(0)), RunEnd::Done);
-    let after_end = harness.table.submit(
+    let repeated_after_end = harness.table.submit(
         harness.now,
         &job_id(1),
         request(vec![step(1)]),
         &policy("scans"),
     );
-    assert_eq!(after_end, Ok(SubmitOutcome::AlreadyExists));
+    assert_eq!(repeated_after_end, Ok(SubmitOutcome::AlreadyExists));
 }
 
 #[test]
@@ -142,7 +142,7 @@
     assert_eq!(
         &*harness.ready_units[&unit_id(2, 0, 0, Some(0))].service,
         "imaging",
-        "a removed queue's jobs keep theirs"
+        "jobs of a queue without a policy keep the one that they have"
     );
     assert!(harness.table.is_current(&started[0].run));
     assert_eq!(harness.recovered().ready_units, harness.ready_units);
@@ -153,6 +153,6 @@
     assert_eq!(
         harness.last_changes,
         JobChanges::default(),
-        "the same policy again changes nothing"
+        "applying an unchanged policy has no effect"
     );
 }
--- a/crates/jobs/tests/latency.rs
+++ b/crates/jobs/tests/latency.rs
@@ -1,4 +1,5 @@
-//! Latency breakdown of an iteration: each millisecond of the chain that its end waited for, in one stage.
+//! Latency breakdown of an iteration: each millisecond of the chain of units on which the end depended is in
+//! exactly one stage.
 
 #![allow(
     clippy::expect_used,
@@ -16,7 +17,7 @@
 use streamusher_protocol::unit::UnitId;
 use streamusher_protocol::Millis;
 
-/// Lets a unit wait, accounted to a stage, and starts it.
+/// Advances the time by the wait of a unit, accounts the wait to a stage and starts the unit.
 fn wait_and_start(
     harness: &mut Harness,
     id: &UnitId,
@@ -30,7 +31,7 @@
     harness.start(id)[0].run.clone()
 }
 
-/// Lets the dispatch of a run and the run itself take this long, and finishes it.
+/// Advances the time by the dispatch and the duration of a run, and finishes the run.
 fn run_for(
     harness: &mut Harness,
     run: &RunId,
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn breakdown_follows_the_chain_of_last_tasks() {
+fn breakdown_follows_the_chain_of_units_that_finished_last() {
     let mut harness = Harness::new();
     harness.submit(1, request(vec![step(2), step_after(1, &[0])]));
     let fast = wait_and_start(
@@ -108,7 +109,7 @@
 #[case::failed(RunEnd::Failed, LatencyStage::Failed)]
 #[case::stopped(RunEnd::Stopped, LatencyStage::Stopped)]
 #[case::lease_expired(RunEnd::LeaseExpired, LatencyStage::Lost)]
-fn wasted_run_counts_by_how_it_ended(#[case] end: RunEnd, #[case] stage: LatencyStage) {
+fn unsuccessful_run_is_accounted_by_its_end(#[case] end: RunEnd, #[case] stage: LatencyStage) {
     let mut harness = Harness::new();
     harness.submit(1, request(vec![step(1)]));
     let id = unit_id(1, 0, 0, Some(0));
@@ -166,7 +167,7 @@
 }
 
 #[test]
-fn earlier_run_of_a_hedged_task_keeps_the_time() {
+fn wait_of_a_speculative_run_is_accounted_to_the_earlier_run() {
     let mut harness = Harness::new();
     harness.submit(1, request(vec![hedged_step(1)]));
     let id = unit_id(1, 0, 0, Some(0));
--- a/crates/jobs/tests/long_running.rs
+++ b/crates/jobs/tests/long_running.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn cancelled_task_does_not_return_from_its_backoff() {
+fn cancelled_task_is_not_restarted_after_its_backoff() {
     let mut harness = Harness::new();
     harness.submit(1, request(vec![long_running_step(1)]));
     harness.start_and_finish(&unit_id(1, 0, 0, Some(0)), RunEnd::Failed);
@@ -75,13 +75,14 @@
     assert!(harness.ready_ids().is_empty());
 }
 
-/// The row of failures ends with a run that lasted for 10 s, also where a takeover came in between.
+/// A run of at least 10 s resets the count of consecutive failures, also when a takeover happens during the
+/// run.
 #[rstest]
 #[case::healthy(9_500, true)]
 #[case::short(1_000, false)]
 fn time_before_a_takeover_counts_for_a_healthy_run(
     #[case] before_ms: u64,
-    #[case] is_ready_at_once: bool,
+    #[case] is_ready_without_backoff: bool,
 ) {
     let mut harness = Harness::new();
     harness.submit(1, request(vec![long_running_step(1)]));
@@ -95,5 +96,5 @@
     harness = Harness::recovered_from(harness.now, harness.state);
     harness.advance(600);
     harness.finish(&started[0].run, RunEnd::Failed);
-    assert_eq!(harness.ready_ids().contains(&id), is_ready_at_once);
+    assert_eq!(harness.ready_ids().contains(&id), is_ready_without_backoff);
 }
--- a/crates/jobs/tests/random_operations.rs
+++ b/crates/jobs/tests/random_operations.rs
@@ -1,4 +1,5 @@
-//! Random submissions, run ends, losses, cancellations and recoveries from seeds, against a plain model of each job.
+//! Random submissions, run ends, losses, cancellations and recoveries from fixed seeds, compared with a simple
+//! model of each job.
 
 #![allow(
     clippy::expect_used,
@@ -20,10 +21,10 @@
 
 const QUEUES: [&str; 3] = ["scans", "checks", "prints"];
 const ROUNDS_PER_SEED: u32 = 400;
-/// Length of the record of a job of which only the final state is left.
+/// Limit of the length of an ended job's record, which holds only the final state.
 const MAX_ENDED_RECORD_BYTES: usize = 60;
 
-/// A run that occupies a worker.
+/// A run that occupies a worker, according to the model.
 #[derive(Clone)]
 struct AssignedRun {
     job: u64,
@@ -31,14 +32,14 @@
     run: RunId,
 }
 
-struct Search {
+struct Simulation {
     harness: Harness,
     random: Random,
     jobs: BTreeMap<u64, JobModel>,
     submitted: u64,
     policies: BTreeMap<String, QueuePolicy>,
     reported_checkpoints: u64,
-    /// Newest checkpoint that each run at work reported: workers report it again to a new primary.
+    /// Newest checkpoint reported by each assigned run. Workers report it again to a new primary.
     newest_checkpoints: BTreeMap<RunId, String>,
 }
 
@@ -54,9 +55,9 @@
     }
 }
 
-impl Search {
-    fn new(seed: u64) -> Search {
-        Search {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
+        Simulation {
             harness: Harness::new(),
             random: Random(seed),
             jobs: BTreeMap::new(),
@@ -140,7 +141,7 @@
             .expect("a submitted job");
         assert!(
             job.may_run(unit_key(&id), self.harness.now),
-            "{id:?} was ready before its turn"
+            "{id:?} was ready before it may run"
         );
         job.on_started(unit_key(&id), &started);
         for run in started {
@@ -191,7 +192,7 @@
         self.newest_checkpoints.insert(run, checkpoint);
     }
 
-    /// How a run is over; none for an end that is not reported.
+    /// Random end of a run; `None` for an end that no worker reports.
     fn random_end(&mut self) -> Option<RunEnd> {
         let usual = [
             RunEnd::Done,
@@ -235,7 +236,7 @@
         assert!(!self.harness.table.is_current(&run));
         assert!(
             !self.harness.finish(&run, RunEnd::Done),
-            "an end counts once"
+            "the end of a run is accepted only once"
         );
         let job = self.jobs.get_mut(&job).expect("a job");
         job.on_run_over(unit, run.task.index, end, self.harness.now);
@@ -276,17 +277,17 @@
     }
 
     fn advance(&mut self) {
-        let span_ms = self.random.below(1_500);
-        self.harness.advance(span_ms);
+        let duration_ms = self.random.below(1_500);
+        self.harness.advance(duration_ms);
         let now = self.harness.now;
         self.jobs.retain(|&number, job| {
             let is_over = job.final_state.is_some() && !job.has_assigned_runs();
-            let is_gone = is_over && self.harness.table.status(&job_id(number)).is_none();
+            let is_dropped = is_over && self.harness.table.status(&job_id(number)).is_none();
             assert!(
-                !is_gone || now.steady_ms >= job.ended_at_ms + RETENTION_MS,
-                "an ended job went too early"
+                !is_dropped || now.steady_ms >= job.ended_at_ms + RETENTION_MS,
+                "an ended job was removed before its retention was over"
             );
-            !is_gone
+            !is_dropped
         });
     }
 
@@ -295,7 +296,7 @@
         let mut recovered = self.harness.recovered();
         assert!(
             recovered.last_changes.writes.is_empty(),
-            "a recovery changes nothing: {:?}",
+            "a recovery must not write records: {:?}",
             recovered.last_changes.writes
         );
         for (run, checkpoint) in &self.newest_checkpoints {
@@ -305,13 +306,13 @@
         if self.random.chance(50) {
             recovered.stopped_runs = std::mem::take(&mut self.harness.stopped_runs);
             self.harness = recovered;
-            // A backoff begins anew with the recovery.
+            // A recovery restarts backoffs.
             let units = self
                 .jobs
                 .values_mut()
                 .flat_map(|job| job.units.values_mut());
             for unit in units {
-                unit.over_at_ms = self.harness.now.steady_ms;
+                unit.last_run_ended_at_ms = self.harness.now.steady_ms;
             }
         }
     }
@@ -340,7 +341,7 @@
         );
     }
 
-    /// The ready units that never back off.
+    /// Ready units of steps that never back off.
     fn ready_without_backoff(&self, harness: &Harness) -> Vec<Unit> {
         let backs_off = |id: &UnitId| {
             self.jobs[&job_number(&id.step.job)]
@@ -396,14 +397,17 @@
         let id = unit_id(number, key.iteration, key.step, (!gang).then_some(key.unit));
         let ready = self.harness.ready_units.get(&id);
         let may_run = job.may_run(key, self.harness.now);
-        let is_late = self.is_released_later(job, key.iteration);
+        let is_before_due_time = self.is_before_due_time(job, key.iteration);
         assert!(
             may_run || ready.is_none(),
-            "{id:?} is ready before its turn or after its job's end"
+            "{id:?} is ready before it may run or after its job ended"
         );
         assert!(
-            !may_run || ready.is_some() || is_late || job.may_back_off(key, self.harness.now),
-            "{id:?} is lost"
+            !may_run
+                || ready.is_some()
+                || is_before_due_time
+                || job.may_back_off(key, self.harness.now),
+            "{id:?} may run and is not ready"
         );
         if let Some(ready) = ready {
             assert_eq!(ready.service, job.policy.service);
@@ -420,20 +424,25 @@
                 task: task_id(number, key.iteration, key.step, index),
                 run: unit.run,
             };
-            let is_wanted = job.final_state.is_none() && !unit.is_done && !unit.is_broken;
-            assert_eq!(self.harness.table.is_current(&run), is_wanted, "{run:?}");
-            let must_stop = !unit.is_done && !is_wanted;
+            let accepts_result = job.final_state.is_none() && !unit.is_done && !unit.is_broken;
+            assert_eq!(
+                self.harness.table.is_current(&run),
+                accepts_result,
+                "{run:?}"
+            );
+            let must_stop = !unit.is_done && !accepts_result;
             let is_stopped = self.harness.stopped_runs.contains(&run);
-            assert!(!must_stop || is_stopped, "{run:?} is not stopped");
+            assert!(!must_stop || is_stopped, "{run:?} is not being stopped");
             assert!(
-                !is_wanted || !is_stopped,
-                "{run:?} is stopped without cause"
+                !accepts_result || !is_stopped,
+                "{run:?} is being stopped although its result is accepted"
             );
         }
     }
 
-    /// Iterations are released by `tick` and at the submission, and time may have passed since.
-    fn is_released_later(&self, job: &JobModel, iteration: u32) -> bool {
+    /// Whether the system clock is before the due time of an iteration. An iteration that is due may be
+    /// unreleased, because only `tick` and the submission release iterations.
+    fn is_before_due_time(&self, job: &JobModel, iteration: u32) -> bool {
         self.harness.now.unix_ms < job.due_unix_ms(iteration)
     }
 
@@ -449,7 +458,7 @@
             .count();
         assert!(
             !is_over || tasks == 0,
-            "job {number} is over and has {tasks} tasks stored"
+            "job {number} is over and {tasks} records of its tasks are left"
         );
         let record = &self.harness.state[&*format!("job/{}", job_id(number))];
         assert!(
@@ -458,7 +467,7 @@
         );
     }
 
-    fn round(&mut self) {
+    fn run_round(&mut self) {
         match self.random.below(100) {
             0..=7 => self.submit(),
             8 => self.submit_again(),
@@ -477,16 +486,16 @@
 #[rstest]
 fn random_operations_keep_all_invariants(#[values(0, 1, 2, 3, 4, 5, 6, 7)] block: u64) {
     for seed in block * 25..block * 25 + 25 {
-        let mut search = Search::new(seed);
+        let mut simulation = Simulation::new(seed);
         for round in 0..ROUNDS_PER_SEED {
             let context = Context { seed, round };
-            search.round();
+            simulation.run_round();
             drop(context);
         }
     }
 }
 
-/// Names the seed when a round panics.
+/// Prints the seed and the round if a round panics.
 struct Context {
     seed: u64,
     round: u32,
--- a/crates/jobs/tests/recovery.rs
+++ b/crates/jobs/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery from stored records, also from damaged ones.
+//! Recovery from stored records, including damaged ones.
 
 #![allow(
     clippy::expect_used,
@@ -15,7 +15,7 @@
 
 const JOB: &str = "job/0000000000000001";
 const TASK: &str = "task/0000000000000001.0.0.0";
-/// The open part of a job's record; `COUNT` stands for the number of tasks.
+/// Open part of a job's record; `COUNT` is replaced by the number of tasks.
 const OPEN: &str = r#"{"service":"s","priority":0,"max_attempts":1,"stretch":1,"target_latency_ms":1,"submitted_ms":1,"request":{"steps":[{"count":COUNT}]}}"#;
 
 fn open(count: &str) -> String {
@@ -45,7 +45,7 @@
 }
 
 #[rstest]
-#[case::cut_short(&[(JOB, r#"{"queue":"q""#)])]
+#[case::truncated(&[(JOB, r#"{"queue":"q""#)])]
 #[case::empty(&[(JOB, "")])]
 #[case::neither_state_nor_request(&[(JOB, r#"{"queue":"q"}"#)])]
 #[case::other_key(&[("order/1", "1")])]
@@ -53,8 +53,10 @@
 #[case::task_without_job(&[(TASK, r#"{"run":1}"#)])]
 #[case::task_of_an_ended_job(&[(JOB, r#"{"queue":"q","state":"failed"}"#), (TASK, r#"{"run":1}"#)])]
 #[case::negative_run(&[(TASK, r#"{"run":-1}"#)])]
-fn damaged_record_is_named(#[case] records: &[(&str, &str)]) {
-    let error = recover(records).expect_err("it is rejected").to_string();
+fn error_names_the_damaged_record(#[case] records: &[(&str, &str)]) {
+    let error = recover(records)
+        .expect_err("the records are rejected")
+        .to_string();
     assert!(
         records.iter().any(|(key, _)| error.contains(key)),
         "{error}"
@@ -77,9 +79,9 @@
 }
 
 #[test]
-fn records_may_come_in_any_order() {
-    let table =
-        recover(&[(TASK, r#"{"run":3,"worker":"w"}"#), (JOB, &open("1"))]).expect("it can be read");
+fn records_are_accepted_in_any_order() {
+    let table = recover(&[(TASK, r#"{"run":3,"worker":"w"}"#), (JOB, &open("1"))])
+        .expect("the records are accepted");
     assert_eq!(table.assigned_runs().len(), 1);
     assert_eq!(table.assigned_runs()[0].run.run, 3);
 }
--- a/crates/jobs/tests/runs.rs
+++ b/crates/jobs/tests/runs.rs
@@ -1,4 +1,4 @@
-//! How runs start and end: run numbers, failed attempts, avoided workers.
+//! Start and end of runs: run numbers, failed attempts and avoided workers.
 
 #![allow(
     clippy::expect_used,
@@ -33,15 +33,15 @@
         harness
             .state
             .contains_key(&*format!("task/{}", task_id(1, 0, 0, 0))),
-        "it is written before it starts"
+        "the record is written before the run starts"
     );
     assert!(harness.table.is_current(&started[0].run));
-    let again = harness.table.start_unit(
+    let second_start = harness.table.start_unit(
         harness.now,
         &unit_id(1, 0, 0, Some(0)),
         &[assignment(task_id(1, 0, 0, 0), "w9")],
     );
-    assert!(again.is_empty(), "a task has one run at most");
+    assert!(second_start.is_empty(), "a task has at most one run");
 }
 
 #[test]
@@ -105,7 +105,7 @@
     let id = unit_id(1, 0, 0, Some(0));
     for number in 1..=5 {
         let ended = harness.start_and_finish(&id, end);
-        assert_eq!(ended.run, number, "run numbers rise");
+        assert_eq!(ended.run, number, "run numbers increase");
     }
     assert_eq!(harness.status(1), Some(JobState::Running));
     assert_eq!(harness.ready_ids(), vec![id]);
@@ -129,7 +129,7 @@
     assert_eq!(
         harness.status(1),
         Some(JobState::Failed),
-        "a final state stays"
+        "a final state never changes"
     );
 }
 
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn lowered_attempt_limit_spares_a_running_task() {
+fn lowered_attempt_limit_does_not_fail_a_running_task() {
     let mut harness = Harness::new();
     harness.submit(1, request(vec![step(1)]));
     harness.start_and_finish(&unit_id(1, 0, 0, Some(0)), RunEnd::Failed);
--- a/crates/jobs/tests/scale.rs
+++ b/crates/jobs/tests/scale.rs
@@ -1,4 +1,4 @@
-//! Cost of one job among many.
+//! Scaling with the number of jobs: the cost of an operation on one job does not grow with the other jobs.
 
 #![allow(
     clippy::expect_used,
@@ -18,7 +18,7 @@
         harness.submit(number, request(vec![step(1)]));
     }
     assert_eq!(harness.table.pending_count("scans"), 100_000);
-    // A look at all others in each of these steps would be 2 * 10^10 of them.
+    // If each operation visited all jobs, this loop would take 2 * 10^10 visits.
     for number in 0..100_000 {
         let id = unit_id(number, 0, 0, Some(0));
         let assignments = [assignment(task_id(number, 0, 0, 0), "w")];
--- a/crates/jobs/tests/steps.rs
+++ b/crates/jobs/tests/steps.rs
@@ -1,4 +1,4 @@
-//! Order of the steps of a job, and how their units are ranked.
+//! Order in which the steps of a job run, and the order and slack of their units.
 
 #![allow(
     clippy::expect_used,
--- a/crates/jobs/tests/validation.rs
+++ b/crates/jobs/tests/validation.rs
@@ -1,4 +1,4 @@
-//! Requests that are rejected, and those just within the limits.
+//! Requests that are rejected, and requests at the limits that are accepted.
 
 #![allow(
     clippy::expect_used,
@@ -36,7 +36,7 @@
 #[case::no_steps(request(vec![]), "steps is empty")]
 #[case::no_tasks(request(vec![step(1), step(0)]), "steps[1].count is 0")]
 #[case::too_many_tasks(request(vec![step(9_999), step(2)]), "add up to 10001 tasks")]
-#[case::sum_beyond_the_integer(request(vec![step(u32::MAX), step(u32::MAX)]), "add up to 8589934590 tasks")]
+#[case::sum_beyond_u32(request(vec![step(u32::MAX), step(u32::MAX)]), "add up to 8589934590 tasks")]
 #[case::too_many_steps(request(vec![step(1); 1_001]), "steps has 1001 entries")]
 #[case::own_step(request(vec![step(1), step_after(1, &[1])]), "steps[1].depends_on names step 1")]
 #[case::later_step(request(vec![step_after(1, &[1]), step(1)]), "steps[0].depends_on names step 1")]
@@ -57,7 +57,7 @@
     let error = harness
         .table
         .submit(harness.now, &job_id(1), body, &policy("scans"))
-        .expect_err("it is rejected");
+        .expect_err("the request is rejected");
     assert!(error.to_string().contains(named), "{error}");
     assert!(
         error.to_string().contains("send ") || error.to_string().contains("name "),
