--- a/src/balance/admission.rs
+++ b/src/balance/admission.rs
@@ -1,20 +1,20 @@
-//! What is accepted, held or rejected, and the one place that answers. Interface: `src/interface/mod.rs`.
+//! Admission: accepts, holds or rejects requests, and gives all final answers. Interface: `src/interface/mod.rs`.
 
-use super::{Balancer, MAX_REMEMBERED_WORKERS};
+use super::{Balancer, MAX_BEST_WORKERS};
 use crate::interface::{
     Action, DeduplicationScope, JobId, Micros, Repeatability, Request, TenantId, WorkerId,
 };
 use crate::state::{Job, PoolKey, Timer};
 use rand::{seq::IndexedRandom, Rng};
 
-/// A job waits for the answers to probes for one over this of the shortest latency target.
+/// A job waits for probe responses for the shortest latency target divided by this.
 const PROBE_WAIT_DIVISOR: Micros = 32;
-/// Workers that jobs of a subject prefer: a few, as workers keep few data sets and may be full.
+/// Preferred workers per subject: few, as a worker keeps few data sets, but several, as some may be full.
 const AFFINITY_WORKERS: usize = 3;
-/// A tenant this far above the typical one, each by its quota, is beyond its share: room for chance.
+/// A tenant exceeds its share at this multiple of the median usage relative to quota; allows for chance.
 const OVER_SHARE_MULTIPLE: f64 = 1.3;
-/// A job is given up early when it is expected to take this many times its latency target: estimates are rough.
-const HOPELESS_MULTIPLE: f64 = 1.5;
+/// A job is answered early when its expected latency is this multiple of its target; estimates are rough.
+const LATE_TARGET_MULTIPLE: f64 = 1.5;
 
 impl Balancer {
     pub(super) fn on_arrived(&mut self, now: Micros, request: Request, actions: &mut Vec<Action>) {
@@ -23,7 +23,7 @@
             return;
         }
         let job = self.new_job(now, request);
-        // The timer may come up to a batch interval late; the slack must bear that.
+        // The timer may fire up to one batch interval late; the answer slack must cover that.
         let slack_us = self.settings.answer_slack_us;
         let early_us = (2 * self.settings.batch_interval_us).saturating_sub(slack_us);
         let deadline_us = job.request.expires_in_us.saturating_sub(early_us);
@@ -59,17 +59,17 @@
         }
     }
 
-    /// Workers report nothing unasked: a few are probed first, and the lowest ranked of them remembered.
+    /// Workers report load only when probed: probes a random sample, of which the lowest ranked are remembered.
     fn probe_sample(&mut self, job: &Job, actions: &mut Vec<Action>) {
         let workers = self.pools.workers(PoolKey::Fleet(job.placement));
-        let probed = workers.choose_multiple(&mut self.rng, MAX_REMEMBERED_WORKERS);
+        let probed = workers.choose_multiple(&mut self.rng, MAX_BEST_WORKERS);
         actions.extend(probed.map(|&worker| Action::Probe { worker }));
         let wait_us = self.settings.shortest_latency_target_us() / PROBE_WAIT_DIVISOR;
         actions.push(Timer::Recheck(job.request.job).after(wait_us));
     }
 
-    /// Whether this arrival counts as beyond its tenant's share. Quotas span all dispatchers and this one has
-    /// a part of unknown size, so tenants are compared with the typical one here, each by its quota.
+    /// Whether this arrival exceeds its tenant's share. Quotas span all dispatchers and this one receives an unknown
+    /// part of the traffic, so usage relative to quota is compared with the median tenant's here.
     fn is_over_share(&mut self, now: Micros, tenant: Option<TenantId>) -> bool {
         self.rates.decay(now);
         let tenants = &mut self.rates.tenants;
@@ -84,15 +84,15 @@
             .map(|(tenant, requests)| requests / quota(tenant))
             .collect();
         let own = usage[tenant];
-        let chance = 2.0 * (own / quota(tenant)).sqrt(); // two standard deviations of a count
+        let noise = 2.0 * (own / quota(tenant)).sqrt(); // two standard deviations of a count
         usage.sort_by(f64::total_cmp);
-        let most = usage[(usage.len() - 1) / 2] * OVER_SHARE_MULTIPLE;
-        own - chance > most && self.rng.random::<f64>() * own > most
+        let threshold = usage[(usage.len() - 1) / 2] * OVER_SHARE_MULTIPLE;
+        own - noise > threshold && self.rng.random::<f64>() * own > threshold
     }
 
-    /// Whether a job is expected to end far past its latency target if it is sent to a worker now, behind the jobs
-    /// there; without a worker, if it could run at once.
-    pub(super) fn is_hopeless(&self, now: Micros, job: &Job, worker: Option<WorkerId>) -> bool {
+    /// Whether a job is expected to end far past its latency target if it is sent now to a worker, behind the jobs
+    /// there, or, without a worker, if it could run at once.
+    pub(super) fn is_too_late(&self, now: Micros, job: &Job, worker: Option<WorkerId>) -> bool {
         let (work, class) = (self.expected_work(job), &self.settings.classes[job.class]);
         let (wait, slowness) = worker.map_or((0.0, 1.0), |id| {
             let worker = &self.workers[id.index()];
@@ -104,10 +104,10 @@
         });
         let latency = (wait + work) * slowness + now.saturating_sub(job.arrived_at) as f64;
         let target = class.latency_target_us as f64 + class.latency_target_stretch * work;
-        latency > HOPELESS_MULTIPLE * target
+        latency > LATE_TARGET_MULTIPLE * target
     }
 
-    /// The one place that answers: rejected where the rules permit it, else failed.
+    /// The only place that gives final answers: a rejection where the rules permit it, else a failure.
     pub(super) fn answer(&mut self, id: JobId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&id).filter(|job| job.owes_answer()) else {
             return;
@@ -125,7 +125,7 @@
         self.finish(id, actions);
     }
 
-    /// Whether the rules permit a rejection, after which the client may ask again.
+    /// Whether the rules permit a rejection, after which the client may retry.
     pub(super) fn may_reject(&self, job: &Job) -> bool {
         match self.settings.classes[job.class].repeatability {
             Repeatability::Idempotent
@@ -137,7 +137,7 @@
         }
     }
 
-    /// The request is over: nothing more is sent for it, and what is in flight is cancelled.
+    /// Ends a request: sends no further attempt and cancels those in flight.
     pub(super) fn finish(&mut self, id: JobId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
--- a/src/balance/learning.rs
+++ b/src/balance/learning.rs
@@ -1,16 +1,16 @@
-//! What starts, outcomes and load reports teach. Interface: `src/interface/mod.rs`.
+//! Updates estimates from starts, outcomes and load reports. Interface: `src/interface/mod.rs`.
 
-use super::{Balancer, FAILURE_PENALTY, MAX_REMEMBERED_WORKERS};
+use super::{Balancer, FAILURE_PENALTY, MAX_BEST_WORKERS};
 use crate::interface::{Action, AttemptEnd, AttemptOutcome, JobId, LoadReport, Micros, WorkerId};
 use crate::state::{Attempt, EndedAttempt, Observation, SMOOTHING_FACTOR};
 use rand::seq::IteratorRandom;
 use std::mem::take;
 
-/// Most penalty or load of a worker, in jobs: what was bad for long is tried again a few half-lives later.
+/// Maximum penalty or load of a worker, in jobs: after long faults it is retried within a few half-lives.
 const MAX_PENALTY: f64 = 16.0;
-/// Part of a penalty that is left when the worker makes progress with a job.
+/// Part of a penalty that remains after the worker makes progress with a job.
 const PENALTY_LEFT_AFTER_PROGRESS: f64 = 0.5;
-/// Below this load by others, in jobs, a worker may finish a copy whose job runs elsewhere too.
+/// Below this load by others, in jobs, a worker may finish a copy of a job that also runs elsewhere.
 const MAX_LOAD_FOR_SECOND_RUN: f64 = 0.5;
 
 impl Balancer {
@@ -24,13 +24,13 @@
         };
         attempt.started_at = Some(now);
         let (worker_id, delay_us) = (attempt.worker, now.saturating_sub(attempt.sent_at) as f64);
-        // The shortest usual delay: falls at once, rises slowly.
-        let usual_us = self.start_delay_us * (1.0 + SMOOTHING_FACTOR);
-        self.start_delay_us = usual_us.min(delay_us).max(1.0);
+        // The shortest typical delay: falls at once, rises slowly.
+        let typical_us = self.start_delay_us * (1.0 + SMOOTHING_FACTOR);
+        self.start_delay_us = typical_us.min(delay_us).max(1.0);
         let worker = &mut self.workers[worker_id.index()];
         worker.running += u32::from(worker.incarnation == attempt.incarnation);
-        self.just_started.push(id);
-        // Where reports do not show a queue, or only on a probe, the delay shows how many jobs were ahead.
+        self.started_in_batch.push(id);
+        // Where reports omit the queue, or come only on a probe, the delay shows how many jobs were ahead.
         let is_queue_reported =
             self.settings.reports_count_jobs && !self.settings.reports_only_on_probe;
         let prompt_us = self.start_delay_us + self.settings.batch_interval_us as f64;
@@ -40,12 +40,12 @@
         }
     }
 
-    /// A worker that notifies progress is not silent.
+    /// Progress shows that the worker responds, which reduces its penalties.
     pub(super) fn on_progress(&mut self, now: Micros, id: JobId, attempt: u32) {
         let job = self.jobs.get(&id);
         let attempt = job.and_then(|job| Some((job.attempts.get(attempt as usize)?, job.class)));
         if let Some((attempt, class)) = attempt {
-            self.relieve(now, attempt.worker, class);
+            self.reduce_penalties(now, attempt.worker, class);
         }
     }
 
@@ -56,10 +56,10 @@
         }
     }
 
-    /// Of the attempts of a job that started in this batch one is kept, at random (Definition 2). Where the workers
-    /// have free capacity those that run may go on, and the first finish wins (Theorem 1).
+    /// Keeps one attempt, at random, of each job that started in this batch (Definition 2). Attempts that run at
+    /// workers with free capacity may continue, and the first to finish wins (Theorem 1).
     pub(super) fn on_batch_end(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        for id in take(&mut self.just_started) {
+        for id in take(&mut self.started_in_batch) {
             let Some(job) = self
                 .jobs
                 .get(&id)
@@ -69,16 +69,16 @@
             };
             let runs = |attempt: &Attempt| attempt.is_running() && !attempt.cancelled;
             let load = |attempt: &Attempt| self.load(now, &self.workers[attempt.worker.index()]);
-            let may_go_on =
+            let may_continue =
                 |attempt: &Attempt| runs(attempt) && load(attempt) < MAX_LOAD_FOR_SECOND_RUN;
-            let may_go_on: Vec<bool> = job.attempts.iter().map(may_go_on).collect();
-            let running = (0..may_go_on.len()).filter(|&index| runs(&job.attempts[index]));
+            let may_continue: Vec<bool> = job.attempts.iter().map(may_continue).collect();
+            let running = (0..may_continue.len()).filter(|&index| runs(&job.attempts[index]));
             let Some(kept) = running.choose(&mut self.rng) else {
                 continue;
             };
             let is_cancelled = |number: u32| {
                 let index = number as usize;
-                index != kept && !may_go_on[index]
+                index != kept && !may_continue[index]
             };
             let job = self.jobs.entry(id);
             job.and_modify(|job| job.cancel_attempts(&self.settings, is_cancelled, actions));
@@ -105,7 +105,7 @@
         if end.is_final || job.answered {
             self.finish(end.job, actions);
         } else if !job.is_in_flight() {
-            // A time-out means that the client's time is over; a broken stream cannot be begun again.
+            // After a time-out the client no longer waits; a broken stream cannot be restarted.
             let is_timed_out = job.is_expired(now) || end.outcome == AttemptOutcome::TimedOut;
             if is_timed_out || job.streaming {
                 self.answer(end.job, actions);
@@ -120,11 +120,11 @@
         let load = self.load(now, &self.workers[worker.index()]);
         match ended.outcome {
             AttemptOutcome::Succeeded => self.learn_from_success(now, ended),
-            // A queue is full: as a report would say, and soon out of date.
+            // The queue is full: equivalent to a load report, and soon out of date.
             AttemptOutcome::Shed if load >= 1.0 => {
                 self.note_load(now, worker, load + FAILURE_PENALTY);
             }
-            // An empty count would draw the next job, and the next; so would load shedding in spite of free slots.
+            // A failing worker, or one that sheds despite free slots, has few jobs in flight and would attract more.
             AttemptOutcome::WorkerError
             | AttemptOutcome::ConnectFailed
             | AttemptOutcome::ConnectionLost
@@ -144,23 +144,23 @@
 
     fn learn_from_success(&mut self, now: Micros, ended: &EndedAttempt) {
         self.failure_rates[ended.class].add(0.0);
-        self.relieve(now, ended.worker, ended.class);
+        self.reduce_penalties(now, ended.worker, ended.class);
         self.wasted_copies.add(0.0);
         self.rates.decay(now);
-        let usual = self.running_times[ended.class].mean;
+        let average = self.running_times[ended.class].mean;
         self.rates.work += ended
             .expected_work_us
-            .map_or(usual, |work_us| work_us as f64);
+            .map_or(average, |work_us| work_us as f64);
         if let Some(running_time_us) = ended.running_time_us {
             self.note_running_time(ended, running_time_us as f64);
         }
-        self.remember(now, ended.worker);
+        self.add_best_worker(now, ended.worker);
     }
 
     fn note_running_time(&mut self, ended: &EndedAttempt, running_time_us: f64) {
         let log_times = &mut self.log_running_times[ended.class];
         let log_time = running_time_us.ln();
-        let usual = match ended.expected_work_us {
+        let average = match ended.expected_work_us {
             Some(work_us) => (work_us.max(1) as f64).ln(),
             None if log_times.count > 0.0 => log_times.mean,
             None => log_time,
@@ -169,8 +169,8 @@
         self.running_times[ended.class].add(running_time_us);
         let worker = &mut self.workers[ended.worker.index()];
         let kind = self.kinds.entry(worker.endpoint.kind).or_default();
-        worker.log_slowness.add(log_time - usual);
-        kind.log_slowness.add(log_time - usual);
+        worker.log_slowness.add(log_time - average);
+        kind.log_slowness.add(log_time - average);
     }
 
     pub(super) fn note_report(&mut self, now: Micros, id: WorkerId, report: Option<LoadReport>) {
@@ -196,7 +196,7 @@
         };
         self.note_load(now, id, load);
         if self.settings.reports_only_on_probe {
-            self.remember(now, id);
+            self.add_best_worker(now, id);
         }
     }
 
@@ -206,14 +206,14 @@
             load.min(MAX_PENALTY)
         } else {
             0.0
-        }; // a NaN counts as none
+        }; // NaN counts as no load
         worker.observed_load = Some(Observation { at: now, value });
         let kind = self.kinds.entry(worker.endpoint.kind).or_default();
         kind.load.add(value);
     }
 
-    /// Keeps a part of the penalty of a worker for a class, or for all classes, and adds some jobs to it. A worker to
-    /// which some are added is no longer remembered as best.
+    /// Multiplies the penalty of a worker, for one class or for all, by `kept` and adds `jobs`. A worker with an
+    /// added penalty is removed from the best workers.
     pub(super) fn update_penalty(
         &mut self,
         now: Micros,
@@ -228,13 +228,13 @@
         let all_classes = self.all_classes();
         for (index, best) in self.best_workers.iter_mut().enumerate() {
             if jobs != 0.0 && (class == all_classes || class == index) {
-                best.retain(|&remembered| remembered != id);
+                best.retain(|&best_worker| best_worker != id);
             }
         }
     }
 
-    /// A worker makes progress with a job of a class: its penalties, for that class and for all, shrink.
-    fn relieve(&mut self, now: Micros, worker: WorkerId, class: usize) {
+    /// Reduces a worker's penalties, for a class and for all classes, after progress with a job.
+    fn reduce_penalties(&mut self, now: Micros, worker: WorkerId, class: usize) {
         self.update_penalty(now, worker, class, PENALTY_LEFT_AFTER_PROGRESS, 0.0);
         self.update_penalty(
             now,
@@ -245,17 +245,17 @@
         );
     }
 
-    /// Remembers a worker that has served or answered; of more than fit, the highest ranked is forgotten.
-    fn remember(&mut self, now: Micros, worker: WorkerId) {
+    /// Adds a worker that served a job or answered a probe; beyond the maximum, drops the highest ranked.
+    fn add_best_worker(&mut self, now: Micros, worker: WorkerId) {
         for class in 0..self.best_workers.len() {
             let mut best = take(&mut self.best_workers[class]);
             let endpoint = &self.workers[worker.index()].endpoint;
             if self.settings.classes[class].permits(endpoint) && !best.contains(&worker) {
                 best.push(worker);
             }
-            if best.len() > MAX_REMEMBERED_WORKERS {
+            if best.len() > MAX_BEST_WORKERS {
                 self.sort_by_rank(now, class, &mut best);
-                best.truncate(MAX_REMEMBERED_WORKERS);
+                best.truncate(MAX_BEST_WORKERS);
             }
             self.best_workers[class] = best;
         }
--- a/src/balance/mod.rs
+++ b/src/balance/mod.rs
@@ -1,9 +1,9 @@
 //! All decisions of a dispatcher. Settings, events, actions: `src/interface/mod.rs`; records: `src/state/`.
 //!
-//! The (n, 1) fork-early-cancel system of Joshi, Soljanin and Wornell, "Queues with Redundancy: Latency-Cost Analysis",
-//! for one dispatcher of many: rank a few workers by the dispatcher's own jobs there, fork a repeatable job to the n
-//! lowest, cancel the rest at the first start. Every extension adds to the count of jobs and is zero while nothing is
-//! wrong; see `docs/design.md`.
+//! The (n, 1) fork-early-cancel system of Joshi, Soljanin and Wornell, "Queues with Redundancy: Latency-Cost
+//! Analysis", for one of many dispatchers: ranks a few workers by the dispatcher's own jobs there, forks a repeatable
+//! job to the n lowest, cancels the rest at the first start. Every extension adds a term to the job count that is
+//! zero in normal operation; see `docs/design.md`.
 
 mod admission;
 mod fan_out;
@@ -23,50 +23,50 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// Workers remembered as best; small beside any fleet, so that dispatchers remember different ones.
-const MAX_REMEMBERED_WORKERS: usize = 4;
-/// Penalty, in jobs, for an outcome that is held against the worker: more than usual counts differ.
+/// Maximum best workers per class; small relative to any fleet, so that dispatchers prefer different ones.
+const MAX_BEST_WORKERS: usize = 4;
+/// Penalty, in jobs, for an outcome attributed to the worker: larger than usual differences of job counts.
 const FAILURE_PENALTY: f64 = 4.0;
 
-/// The first poll of the endpoint list comes within one over this of the longest interval: a whole tier of dispatchers
-/// may have started just now.
+/// The first poll of the endpoint list comes within the longest interval divided by this, as a whole tier of
+/// dispatchers may have just started.
 const FIRST_POLL_DIVISOR: Micros = 8;
-/// A poll that failed is repeated within one over this of the longest interval.
+/// A failed poll is repeated within the longest interval divided by this.
 const REPEATED_POLL_DIVISOR: Micros = 4;
 
-/// The decisions of one dispatcher. Each call takes the current time as an argument.
+/// The decision module of one dispatcher. The caller passes the current time to each call.
 pub struct Balancer {
     settings: Settings,
     rng: Pcg64Mcg,
     workers: Vec<Worker>,
-    /// By worker.
+    /// Slow-start credit, by worker.
     slow_starts: Vec<SlowStart>,
     pools: WorkerPools,
-    /// Workers remembered as best, by class.
+    /// Workers with the lowest known ranks, by class.
     best_workers: Vec<Vec<WorkerId>>,
-    /// By class.
+    /// Placement group, by class.
     placements: Vec<PlacementGroup>,
-    /// Part of the attempts that fail or are shed in spite of free capacity, by class.
+    /// Share of the attempts that fail, or are shed despite free capacity, by class.
     failure_rates: Vec<MovingAverage>,
     jobs: BTreeMap<JobId, Job>,
-    /// Jobs of which an attempt started in this batch of events.
-    just_started: Vec<JobId>,
-    /// By class.
+    /// Jobs with an attempt that started in this batch of events.
+    started_in_batch: Vec<JobId>,
+    /// Running time in microseconds, by class.
     running_times: Vec<MovingAverage>,
-    /// By class, of the logarithm, which a heavy tail does not dominate.
+    /// Logarithm of the running time, which a heavy tail does not dominate, by class.
     log_running_times: Vec<MovingAverage>,
     kinds: BTreeMap<KindId, MachineKind>,
-    /// Expected work of the attempts sent.
+    /// Expected work of the attempts sent, in microseconds.
     work: MovingAverage,
-    /// Shortest usual delay from sending an attempt to its start notification.
+    /// Shortest typical delay from sending an attempt to its start notification, in microseconds.
     start_delay_us: f64,
-    /// Copies that ran in vain, per job ("Queues with Redundancy", Claim 1: they reduce capacity).
+    /// Copies that ran uselessly, per job ("Queues with Redundancy", Claim 1: they reduce capacity).
     wasted_copies: MovingAverage,
     rates: RecentRates,
 }
 
 impl Balancer {
-    /// A dispatcher that knows no worker yet. All its random choices follow from the seed.
+    /// A dispatcher without workers. The seed determines all its random choices.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         let mut balancer = Balancer {
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -77,7 +77,7 @@
             placements: Vec::new(),
             failure_rates: Vec::new(),
             jobs: BTreeMap::new(),
-            just_started: Vec::new(),
+            started_in_batch: Vec::new(),
             running_times: Vec::new(),
             log_running_times: Vec::new(),
             kinds: BTreeMap::new(),
@@ -91,13 +91,13 @@
         balancer
     }
 
-    /// Takes new settings; classes past the known ones are new, and those known keep their rules.
+    /// Replaces the settings. Classes after the known ones are added; known classes keep their rules.
     pub fn update_settings(&mut self, settings: Settings) {
         self.settings = settings;
         self.add_classes();
         let classes = self.best_workers.len();
         for worker in &mut self.workers {
-            // The last one is for all classes: it stays the last behind those of the new ones.
+            // The last penalty is for all classes and stays last, after those of the new classes.
             let for_all_classes = worker.penalties.pop().flatten();
             worker.penalties.resize(classes, None);
             worker.penalties.push(for_all_classes);
@@ -128,7 +128,7 @@
         self.pools.rebuild(&self.workers, &self.placements, permits);
     }
 
-    /// Takes one event and adds what is to be done about it to `actions`.
+    /// Handles one event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointUpdate {
@@ -179,17 +179,17 @@
     fn update_endpoint(&mut self, now: Micros, endpoint: Endpoint) {
         let index = endpoint.worker.index();
         if index > self.workers.len() {
-            return; // not numbered in order: a mistake of the embedder
+            return; // not numbered in order: an embedder error
         }
         let known = self.workers.get(index);
         if known.is_none_or(|known| known.endpoint.started_at_us != endpoint.started_at_us) {
-            // A new process: what an old one held or did wrong is void, but its machine is as fast as before.
+            // A new process: the jobs and penalties of the old one are void, but its machine is as fast as before.
             let (incarnation, log_slowness) = known
                 .map(|former| (former.incarnation + 1, former.log_slowness))
                 .unwrap_or_default();
             let capacity_share = self.capacity_share(now, &endpoint);
-            let chance = self.rng.random();
-            let slow_start = SlowStart::begin(now, capacity_share, chance, self.work.mean);
+            let debt = self.rng.random();
+            let slow_start = SlowStart::begin(now, capacity_share, debt, self.work.mean);
             let worker = Worker::new(incarnation, log_slowness, self.best_workers.len());
             let replaced = index..self.workers.len().min(index + 1);
             self.workers.splice(replaced.clone(), [worker]);
@@ -198,8 +198,8 @@
         self.workers[index].endpoint = endpoint;
     }
 
-    /// Where the endpoint list must be polled, does so within one over `divisor` of the longest interval, at random:
-    /// hundreds of dispatchers may want it at once.
+    /// Where the endpoint list must be polled, schedules a poll at a random time within the longest interval divided
+    /// by `divisor`: hundreds of dispatchers may poll at once.
     fn schedule_poll(&mut self, divisor: Micros, actions: &mut Vec<Action>) {
         if self.settings.discovery_must_be_polled {
             let span_us = self.settings.max_discovery_interval_us / divisor;
@@ -209,7 +209,7 @@
     }
 }
 
-/// Placement: whether the endpoint is among the permitted ones, whatever state it is in.
+/// Whether placement permits the endpoint, whatever its state.
 fn permits(classes: &[Class], placement: PlacementGroup, endpoint: &Endpoint) -> bool {
     match placement {
         PlacementGroup::Unconstrained => true,
--- a/src/balance/slow_start.rs
+++ b/src/balance/slow_start.rs
@@ -1,79 +1,79 @@
-//! Slow start: what one dispatcher may send a worker that warms up, from all that it knows. See `src/interface/mod.rs`.
+//! Slow start: what one dispatcher may send a warming worker, from all it knows. Interface: `src/interface/mod.rs`.
 
 use crate::interface::{Micros, Settings};
 
-/// Part of the present capacity that the even shares of a fleet add up to: room for chance.
+/// Part of the present capacity that the even shares of a fleet add up to; the rest allows for chance.
 const EVEN_SHARES_SUM: f64 = 0.8;
-/// Room over a worker's usual load that one that warms up is credited, for the load that warm ones shed.
-const USUAL_LOAD_MARGIN: f64 = 1.4;
-/// A dispatcher keeps of its even share, unused, what accrues in this multiple of the overload tolerance.
-const KEPT_TOLERANCES: f64 = 0.8;
-/// The larger of an even share and the usual adds up to less than both: all shares may be so much larger.
-const LARGER_OF_BOTH: f64 = 1.1;
+/// Credit of a warming worker relative to the average load, as it also takes load that warm ones shed.
+const AVERAGE_LOAD_MARGIN: f64 = 1.4;
+/// Maximum unused credit: what the even share accrues in this multiple of the overload tolerance.
+const MAX_UNUSED_TOLERANCES: f64 = 0.8;
+/// Scale of both shares: the larger of the two is less than their sum, so each may be this much larger.
+const SHARE_SCALE: f64 = 1.1;
 
-/// A dispatcher's share of a worker that warms up.
+/// A dispatcher's share of a warming worker.
 #[derive(Clone, Copy)]
 pub struct SlowStartShare {
     /// The worker's present part of its capacity, 0 to 1.
     capacity_share: f64,
-    /// Work that accrues in a unit of time once the worker is warm.
+    /// Work that accrues per unit of time once the worker is warm.
     warm_rate: f64,
-    /// Work that may stay unused.
+    /// Maximum unused work.
     max_unused: f64,
     /// Work of a request.
     request_work: f64,
 }
 
 impl SlowStartShare {
-    /// `capacity` is what a warm worker does in a unit of time; `usual` what each was recently sent from here: over the
-    /// fleet no more than all can do. Traffic is uneven: a dispatcher with little still has its even share. Both,
-    /// and what is unused, stay below the multiple of the capacity that overloads a worker.
+    /// `capacity` is the work of a warm worker per unit of time; `recent_rate` what each was recently sent from here:
+    /// summed over the fleet at most what all can do. Traffic is uneven: a dispatcher with little still has its even
+    /// share. Both, with the unused part, stay below the multiple of the capacity that overloads a worker.
     pub fn new(
         settings: &Settings,
         capacity: f64,
         capacity_share: f64,
-        usual: f64,
+        recent_rate: f64,
         request_work: f64,
     ) -> SlowStartShare {
-        let tolerated = settings.overload_multiple * LARGER_OF_BOTH
-            / (EVEN_SHARES_SUM + USUAL_LOAD_MARGIN + EVEN_SHARES_SUM * KEPT_TOLERANCES);
+        let tolerated = settings.overload_multiple * SHARE_SCALE
+            / (EVEN_SHARES_SUM + AVERAGE_LOAD_MARGIN + EVEN_SHARES_SUM * MAX_UNUSED_TOLERANCES);
         let dispatchers = f64::from(settings.dispatchers.max(1));
-        let even = capacity / dispatchers * EVEN_SHARES_SUM * tolerated;
+        let even_share = capacity / dispatchers * EVEN_SHARES_SUM * tolerated;
         let tolerance_us = settings.overload_tolerance_us as f64;
         SlowStartShare {
             capacity_share,
-            warm_rate: even.max(usual * USUAL_LOAD_MARGIN * tolerated),
-            max_unused: even * capacity_share * KEPT_TOLERANCES * tolerance_us,
+            warm_rate: even_share.max(recent_rate * AVERAGE_LOAD_MARGIN * tolerated),
+            max_unused: even_share * capacity_share * MAX_UNUSED_TOLERANCES * tolerance_us,
             request_work: request_work.max(1.0),
         }
     }
 }
 
-/// The credit of one dispatcher at one worker that warms up.
+/// The credit of one dispatcher at one warming worker.
 #[derive(Clone, Copy, Default)]
 pub struct SlowStart {
-    /// Work that may be sent.
+    /// Work that may be sent; negative while in debt.
     credit: f64,
     updated_at: Micros,
-    /// The worker's part of its capacity at that time.
+    /// The worker's part of its capacity at `updated_at`.
     capacity_share: f64,
 }
 
 impl SlowStart {
-    /// Begins with a debt of up to one request, by `chance` from 0 to 1: it decides which dispatcher sends the first,
-    /// and when.
-    pub fn begin(now: Micros, capacity_share: f64, chance: f64, request_work: f64) -> SlowStart {
+    /// Starts with a debt of up to one request, `debt` of it (0 to 1, random), which determines the dispatcher that
+    /// sends first, and when.
+    pub fn begin(now: Micros, capacity_share: f64, debt: f64, request_work: f64) -> SlowStart {
         SlowStart {
-            credit: -chance * request_work,
+            credit: -debt * request_work,
             updated_at: now,
             capacity_share,
         }
     }
 
-    /// The credit now; a request may be sent while it is not negative. What exceeds the kept part is lost, a request
-    /// at a time: otherwise a quiet fleet would send all that it kept at once, one request for each of the least shares.
+    /// The current credit; a request may be sent while it is not negative. Excess over the maximum is dropped in whole
+    /// requests: else a quiet fleet would send all it kept at once, one request for each of the least shares.
     pub fn credit(&self, now: Micros, share: SlowStartShare) -> f64 {
-        // The worker warms up evenly.
+        // The worker warms up linearly, so its mean part applies.
         let mean_capacity_share = f64::midpoint(self.capacity_share, share.capacity_share);
         let warm_time = mean_capacity_share * now.saturating_sub(self.updated_at) as f64;
         let credit = self.credit + share.warm_rate * warm_time;
@@ -81,7 +81,7 @@
         credit - (excess / share.request_work).ceil() * share.request_work
     }
 
-    /// Notes that work was sent.
+    /// Subtracts work that was sent.
     pub fn spend(&mut self, now: Micros, share: SlowStartShare, work: f64) {
         *self = SlowStart {
             credit: self.credit(now, share) - work,
