--- a/src/core/booking.rs
+++ b/src/core/booking.rs
@@ -1,101 +1,106 @@
-//! Final answers where they are booked first: each is kept back until all bookkeepers have it, or its time is up.
+//! Final answers that are recorded before delivery: each is held until all recorders have stored it or its
+//! time is up.
 //!
-//! Invariants: each waiting client is answered once, and in time. A result goes out before a bookkeeper has it only if
-//! that bookkeeper allows it; else the client is told [`Answer::Withheld`] and the result is booked as not written.
+//! Invariants: each waiting client is answered once, and in time. A result is sent before a recorder has
+//! stored it only if that recorder allows it; otherwise the client receives [`Answer::Withheld`] and the
+//! result is recorded as not written.
 
-use super::{Answer, Core, Due, Entered, Front, Micros};
+use super::{Answer, Core, Front, Micros, OpenOperation, TimerKind};
 use crate::interface::ClassId;
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// How an operation ended, for a bookkeeper.
+/// How an operation ended, as reported to a recorder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperationOutcome {
-    /// With a worker's result.
+    /// A worker's result was sent.
     Served,
-    /// With a busy reply.
+    /// A busy reply was sent.
     Busy,
-    /// It failed.
+    /// The operation failed.
     Failed,
-    /// Its client had gone away.
+    /// The client disconnected before the answer.
     Gone,
 }
 
-/// What is to be booked for one final answer.
+/// Usage to record for one final answer.
 #[derive(Clone, Copy, Debug)]
 pub struct UsageRecord<'a> {
-    /// The operation's id.
+    /// The operation's id, as its client named it.
     pub operation: &'a str,
-    /// Whose it was.
+    /// Name of the tenant that the usage is recorded under; `None` where no tenants are configured and the
+    /// client named none.
     pub tenant: Option<&'a Arc<str>>,
-    /// Its class.
+    /// Request class of the operation.
     pub class: ClassId,
-    /// How it ended.
+    /// How the operation ended.
     pub outcome: OperationOutcome,
-    /// It took the answer of an earlier operation of the same key; nothing ran for it.
+    /// Whether the request took the answer of an earlier operation with the same key; nothing ran for it.
     pub joined: bool,
-    /// The slots it takes.
+    /// Slots that the operation takes.
     pub slots: f64,
-    /// How long the attempt ran that gave the answer.
+    /// Running time of the attempt that gave the answer, in microseconds.
     pub run_us: Micros,
-    /// How long all its other attempts ran.
+    /// Total running time of all other attempts, in microseconds.
     pub wasted_us: Micros,
-    /// Attempts sent.
+    /// Number of attempts sent.
     pub attempts: u32,
-    /// What its repeats have in common.
+    /// Idempotency key that repeats of the operation share, if it has one.
     pub idempotency_key: Option<&'a str>,
 }
 
-/// What a bookkeeper says of an answer.
+/// A recorder's response to a final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordStatus {
-    /// It is held until [`Core::on_durable`] tells of this number, and no longer than until then.
+    /// Hold the answer until [`Core::on_durable`] reports this number, but no longer than `until`.
     Hold {
-        /// The entry's number, larger than any before.
+        /// Number of the entry, larger than any before.
         number: u64,
-        /// On the core's clock.
+        /// Latest time to hold the answer, on the core's clock.
         until: Micros,
     },
-    /// It is booked under this number, and need not wait for it.
+    /// Recorded under this number; the answer does not wait for the entry.
     Open {
-        /// The entry's number, larger than any before.
+        /// Number of the entry, larger than any before.
         number: u64,
     },
-    /// It is not booked, and goes out now.
+    /// Not recorded; the answer is sent now.
     Unbooked,
-    /// It is not booked, and must not go out.
+    /// Not recorded; the answer must not be sent.
     Refused,
 }
 
-/// What becomes of an answer whose time is up before it is known to be booked.
+/// What to do with an answer whose time is up before its entry is known to be stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OverdueAction {
-    /// It goes out.
+    /// Send the answer.
     Release,
-    /// It does not go out: its client is told [`Answer::Withheld`].
+    /// Withhold the answer; the client receives [`Answer::Withheld`].
     Withhold,
 }
 
-/// Books final answers. None of its calls may block or call the core.
+/// Records the usage of final answers. No method may block or call the core.
 pub trait UsageRecorder {
-    /// Whether new operations are taken.
+    /// Whether new operations are accepted.
     fn accepts_operations(&self) -> bool;
-    /// Books an answer that must be out `by` then.
-    fn record(&self, now: Micros, by: Micros, account: &UsageRecord) -> RecordStatus;
-    /// The time of an answer is up, and it is not known to be booked. One that is withheld is also told as not written.
+    /// Records an answer that must be sent by `answer_by`.
+    fn record(&self, now: Micros, answer_by: Micros, usage_record: &UsageRecord) -> RecordStatus;
+    /// The time of an answer is up and its entry is not known to be stored. For a withheld answer `written`
+    /// is also called, as incomplete.
     fn on_overdue(&self, number: u64, outcome: OperationOutcome) -> OverdueAction;
-    /// The answer of this number was written to its client to the last byte, or could not be.
-    fn written(&self, number: u64, whole: bool);
+    /// The answer with this number was written to its client to the last byte, or, if not `is_complete`,
+    /// could not be.
+    fn written(&self, number: u64, is_complete: bool);
 }
 
-/// Goes with a final answer to its front, which says when the last byte is written. Dropping it says that it was
-/// not: the client had left.
+/// Accompanies a final answer to its front, which reports when the last byte is written. Dropping the receipt
+/// reports that the answer was not written: the client had disconnected.
 #[derive(Default)]
 #[must_use]
 pub struct Receipt(Vec<(Rc<dyn UsageRecorder>, u64)>);
 
 impl Receipt {
-    /// The answer was written to the last byte.
+    /// Reports that the answer was written to the last byte.
     pub fn written(mut self) {
         self.0
             .drain(..)
@@ -111,84 +116,84 @@
     }
 }
 
-/// Someone who waits for an operation's answer.
+/// A client that waits for an operation's answer.
 pub(super) struct Waiter {
     pub(super) front: Rc<dyn Front>,
     pub(super) ticket: u64,
-    /// The id of its own request.
+    /// The id of this client's own request; for a joined repeat it is not the operation's.
     pub(super) id: String,
     pub(super) tenant: Option<Arc<str>>,
     pub(super) joined: bool,
 }
 
-/// A final answer that some bookkeeper does not have yet.
+/// A final answer that some recorder has not stored yet.
 pub(super) struct PendingAnswer {
     front: Rc<dyn Front>,
     ticket: u64,
     answer: Answer,
-    entries: Vec<BookedEntry>,
+    entries: Vec<RecordedEntry>,
 }
 
-/// An entry of one bookkeeper.
+/// An entry of one recorder for one answer.
 #[derive(Clone, Copy)]
-struct BookedEntry {
+struct RecordedEntry {
     recorder: usize,
     number: u64,
-    /// The answer waits for it.
-    waits: bool,
+    /// Whether the answer waits for the entry to be stored.
+    awaited: bool,
 }
 
-/// What all bookkeepers said of one answer.
-struct Bookings {
-    entries: Vec<BookedEntry>,
-    /// The last moment for those that it waits for.
+/// The responses of all recorders to one answer.
+struct RecordResult {
+    entries: Vec<RecordedEntry>,
+    /// The latest time to hold the answer for the awaited entries.
     until: Micros,
-    /// One of them does not let it go out.
+    /// Whether a recorder forbids sending the answer.
     refused: bool,
 }
 
-/// What an operation used, and what its account needs besides.
-pub(super) struct Used {
+/// Resource usage of an operation, and the other inputs of its usage records.
+pub(super) struct OperationUsage {
     class: ClassId,
     slots: f64,
     key: Option<String>,
-    by: Micros,
+    answer_by: Micros,
     run_us: Micros,
     wasted_us: Micros,
     attempts: u32,
 }
 
-impl Entered {
-    pub(super) fn used(&self, now: Micros) -> Used {
-        let o = &self.operation;
-        let mut used = Used {
-            class: o.class,
-            slots: o.slots,
-            key: o.idempotency_key.clone(),
-            by: self.by,
+impl OpenOperation {
+    pub(super) fn usage(&self, now: Micros) -> OperationUsage {
+        let operation = &self.operation;
+        let mut usage = OperationUsage {
+            class: operation.class,
+            slots: operation.slots,
+            key: operation.idempotency_key.clone(),
+            answer_by: self.answer_by,
             run_us: 0,
             wasted_us: 0,
             attempts: self.steps.len() as u32,
         };
-        for (i, step) in self.steps.iter().enumerate() {
-            let wins = self.winner == Some(i);
-            // A winner whose start was never told ran since it was sent, as far as is known.
-            let Some(from) = step.started.or(wins.then_some(step.sent)) else {
+        for (index, step) in self.steps.iter().enumerate() {
+            let is_winner = self.winning_step == Some(index);
+            // A winning step without a start notification is taken to run from the time it was sent.
+            let Some(started_at) = step.started_at.or(is_winner.then_some(step.sent_at)) else {
                 continue;
             };
-            let ran = step.ended_at.unwrap_or(now).saturating_sub(from);
-            *if wins {
-                &mut used.run_us
+            let ran = step.ended_at.unwrap_or(now).saturating_sub(started_at);
+            *if is_winner {
+                &mut usage.run_us
             } else {
-                &mut used.wasted_us
+                &mut usage.wasted_us
             } += ran;
         }
-        used
+        usage
     }
 }
 
 impl Answer {
-    /// How its operation ended, for bookkeepers.
+    /// The operation's outcome as recorders see it.
     fn outcome(&self) -> OperationOutcome {
         match self {
             Answer::Served(_) => OperationOutcome::Served,
@@ -199,58 +204,58 @@
 }
 
 impl Core {
-    /// Has final answers booked from now on, by this one too; its number.
+    /// Adds a recorder for all final answers from now on; returns its number.
     pub fn attach_recorder(&mut self, recorder: Rc<dyn UsageRecorder>) -> usize {
         self.recorders.push(recorder);
         self.recorders.len() - 1
     }
 
-    /// A bookkeeper has all its entries up to this number: answers that wait for nothing else go out.
-    pub fn on_durable(&mut self, recorder: usize, upto: u64) {
+    /// A recorder has stored all its entries up to this number: sends answers that await no other entry.
+    pub fn on_durable(&mut self, recorder: usize, up_to: u64) {
         let mut ready = Vec::new();
         for (id, pending) in &mut self.pending_answers {
             let mut entries = pending
                 .entries
                 .iter_mut()
-                .filter(|entry| entry.waits && entry.recorder == recorder);
-            // Numbers rise with the answers: behind one that is not there yet none is.
+                .filter(|entry| entry.awaited && entry.recorder == recorder);
+            // Entry numbers rise with the answers: after the first one that is not stored, no later one is.
             match entries.next() {
-                Some(entry) if entry.number <= upto => entry.waits = false,
+                Some(entry) if entry.number <= up_to => entry.awaited = false,
                 Some(_) => break,
                 None => continue,
             }
-            if pending.entries.iter().all(|entry| !entry.waits) {
+            if pending.entries.iter().all(|entry| !entry.awaited) {
                 ready.push(*id);
             }
         }
         ready.into_iter().for_each(|id| self.release(id));
     }
 
-    /// Nothing becomes durable at a bookkeeper for now: the time of all answers that wait for it is up.
+    /// A recorder can store nothing for now: ends the wait of all answers that are held for it.
     pub fn expire_held_answers(&mut self, recorder: usize) {
         let pending: Vec<u64> = self.pending_answers.keys().copied().collect();
         for id in pending {
-            self.expire(id, |entry| entry.recorder == recorder);
+            self.expire_entries(id, |entry| entry.recorder == recorder);
         }
     }
 
-    /// The time of an answer is up, whoever has not booked it yet.
-    pub(super) fn overdue(&mut self, id: u64) {
-        self.expire(id, |_| true);
+    /// Ends the wait of an answer for all recorders.
+    pub(super) fn expire_answer(&mut self, id: u64) {
+        self.expire_entries(id, |_| true);
     }
 
-    /// An answer waits no longer for such entries: it goes out, or is withheld.
-    fn expire(&mut self, id: u64, is_over: impl Fn(&BookedEntry) -> bool) {
+    /// Ends the wait of an answer for the selected entries, then sends or withholds it.
+    fn expire_entries(&mut self, id: u64, is_over: impl Fn(&RecordedEntry) -> bool) {
         let Some(pending) = self.pending_answers.get_mut(&id) else {
             return;
         };
         let outcome = pending.answer.outcome();
         let mut is_withheld = false;
         for entry in &mut pending.entries {
-            if !entry.waits || !is_over(entry) {
+            if !entry.awaited || !is_over(entry) {
                 continue;
             }
-            entry.waits = false;
+            entry.awaited = false;
             match self.recorders[entry.recorder].on_overdue(entry.number, outcome) {
                 OverdueAction::Release => self.counters.answers_before_booked += 1,
                 OverdueAction::Withhold => is_withheld = true,
@@ -258,7 +263,7 @@
         }
         if is_withheld {
             self.withhold(id);
-        } else if pending.entries.iter().all(|entry| !entry.waits) {
+        } else if pending.entries.iter().all(|entry| !entry.awaited) {
             self.release(id);
         }
     }
@@ -266,26 +271,32 @@
     fn release(&mut self, id: u64) {
         if let Some(pending) = self.pending_answers.remove(&id) {
             let receipt = self.receipt(&pending.entries);
-            self.hand_out(&pending.front, pending.ticket, &pending.answer, receipt);
+            self.send_answer(&pending.front, pending.ticket, &pending.answer, receipt);
         }
     }
 
     fn withhold(&mut self, id: u64) {
         if let Some(pending) = self.pending_answers.remove(&id) {
-            self.hand_out_withheld(&pending.front, pending.ticket, &pending.entries);
+            self.send_withheld(&pending.front, pending.ticket, &pending.entries);
         }
     }
 
-    /// One final answer for one who waits: booked first, where there are bookkeepers.
-    pub(super) fn give(&mut self, now: Micros, used: &Used, waiter: Waiter, answer: &Answer) {
-        let bookings = self.book(now, used, &waiter, answer.outcome());
+    /// Gives a waiting client its final answer, which is recorded first where there are recorders.
+    pub(super) fn answer_waiter(
+        &mut self,
+        now: Micros,
+        usage: &OperationUsage,
+        waiter: Waiter,
+        answer: &Answer,
+    ) {
+        let result = self.record(now, usage, &waiter, answer.outcome());
         let Waiter { front, ticket, .. } = waiter;
-        if bookings.refused {
-            return self.hand_out_withheld(&front, ticket, &bookings.entries);
+        if result.refused {
+            return self.send_withheld(&front, ticket, &result.entries);
         }
-        if bookings.entries.iter().all(|entry| !entry.waits) {
-            let receipt = self.receipt(&bookings.entries);
-            return self.hand_out(&front, ticket, answer, receipt);
+        if result.entries.iter().all(|entry| !entry.awaited) {
+            let receipt = self.receipt(&result.entries);
+            return self.send_answer(&front, ticket, answer, receipt);
         }
         self.last_pending += 1;
         let id = self.last_pending;
@@ -295,87 +306,98 @@
                 front,
                 ticket,
                 answer: answer.clone(),
-                entries: bookings.entries,
+                entries: result.entries,
             },
         );
-        match bookings.until > now {
-            true => self.at(bookings.until, Due::PendingAnswer(id)),
-            false => self.overdue(id),
+        match result.until > now {
+            true => self.schedule(result.until, TimerKind::PendingAnswer(id)),
+            false => self.expire_answer(id),
         }
     }
 
-    /// Answers that are kept back for their entries are answered by then too.
-    pub(super) fn answer_pending_by(&mut self, when: Micros) {
+    /// Limits the wait of all held answers to `when`.
+    pub(super) fn limit_pending_answers(&mut self, when: Micros) {
         let pending: Vec<u64> = self.pending_answers.keys().copied().collect();
         for id in pending {
-            self.at(when, Due::PendingAnswer(id));
+            self.schedule(when, TimerKind::PendingAnswer(id));
         }
     }
 
-    /// Books the end of a request whose client has gone away: nothing is handed out.
-    pub(super) fn book_gone(&mut self, now: Micros, used: &Used, waiter: &Waiter) {
-        self.book(now, used, waiter, OperationOutcome::Gone);
+    /// Records the end of a request whose client has disconnected; no answer is sent.
+    pub(super) fn record_disconnect(
+        &mut self,
+        now: Micros,
+        usage: &OperationUsage,
+        waiter: &Waiter,
+    ) {
+        self.record(now, usage, waiter, OperationOutcome::Gone);
     }
 
-    fn book(
+    fn record(
         &mut self,
         now: Micros,
-        used: &Used,
+        usage: &OperationUsage,
         waiter: &Waiter,
         outcome: OperationOutcome,
-    ) -> Bookings {
+    ) -> RecordResult {
         let own = |n: Micros| if waiter.joined { 0 } else { n };
-        let account = UsageRecord {
+        let usage_record = UsageRecord {
             operation: &waiter.id,
             tenant: waiter.tenant.as_ref(),
-            class: used.class,
+            class: usage.class,
             outcome,
             joined: waiter.joined,
-            slots: used.slots,
-            run_us: own(used.run_us),
-            wasted_us: own(used.wasted_us),
-            attempts: if waiter.joined { 0 } else { used.attempts },
-            idempotency_key: used.key.as_deref(),
+            slots: usage.slots,
+            run_us: own(usage.run_us),
+            wasted_us: own(usage.wasted_us),
+            attempts: if waiter.joined { 0 } else { usage.attempts },
+            idempotency_key: usage.key.as_deref(),
         };
-        let mut bookings = Bookings {
+        let mut result = RecordResult {
             entries: Vec::with_capacity(self.recorders.len()),
             until: now,
             refused: false,
         };
         for (number, recorder) in self.recorders.iter().enumerate() {
-            let booking = recorder.record(now, used.by, &account);
-            if matches!(booking, RecordStatus::Unbooked | RecordStatus::Refused) {
+            let status = recorder.record(now, usage.answer_by, &usage_record);
+            if matches!(status, RecordStatus::Unbooked | RecordStatus::Refused) {
                 self.counters.answers_unbooked += 1;
             }
-            bookings.add(number, booking);
+            result.add(number, status);
         }
-        bookings
+        result
     }
 
-    /// What a front says of an answer's delivery goes to all that have booked it.
-    fn receipt(&self, entries: &[BookedEntry]) -> Receipt {
+    /// A receipt that forwards the delivery report to all recorders of the answer.
+    fn receipt(&self, entries: &[RecordedEntry]) -> Receipt {
         let booked = entries
             .iter()
             .map(|entry| (self.recorders[entry.recorder].clone(), entry.number));
         Receipt(booked.collect())
     }
 
-    /// The client is told that it does not get the result, and the bookkeepers that it was not written.
-    fn hand_out_withheld(&mut self, front: &Rc<dyn Front>, ticket: u64, entries: &[BookedEntry]) {
+    /// Sends [`Answer::Withheld`] and reports the result to the recorders as not written.
+    fn send_withheld(&mut self, front: &Rc<dyn Front>, ticket: u64, entries: &[RecordedEntry]) {
         drop(self.receipt(entries));
-        self.hand_out(front, ticket, &Answer::Withheld, Receipt::default());
+        self.send_answer(front, ticket, &Answer::Withheld, Receipt::default());
     }
 
-    /// The one place where final answers go out.
-    fn hand_out(&mut self, front: &Rc<dyn Front>, ticket: u64, answer: &Answer, receipt: Receipt) {
+    /// The only place that sends final answers to fronts.
+    fn send_answer(
+        &mut self,
+        front: &Rc<dyn Front>,
+        ticket: u64,
+        answer: &Answer,
+        receipt: Receipt,
+    ) {
         self.counters.answer(answer);
         front.answer(ticket, answer, receipt);
     }
 }
 
-impl Bookings {
-    fn add(&mut self, recorder: usize, booking: RecordStatus) {
-        let (number, waits) = match booking {
+impl RecordResult {
+    fn add(&mut self, recorder: usize, status: RecordStatus) {
+        let (number, awaited) = match status {
             RecordStatus::Hold { number, until } => {
                 self.until = self.until.max(until);
                 (number, true)
@@ -387,22 +409,27 @@
                 return;
             }
         };
-        self.entries.push(BookedEntry {
+        self.entries.push(RecordedEntry {
             recorder,
             number,
-            waits,
+            awaited,
         });
     }
 }
 
-impl Used {
-    /// For a repeat that is answered as an earlier operation ended: nothing ran for it.
-    pub(super) fn nothing(class: ClassId, slots: f64, key: Option<String>, by: Micros) -> Used {
-        Used {
+impl OperationUsage {
+    /// Usage of a repeat that takes an earlier operation's answer: nothing ran for it.
+    pub(super) fn joined(
+        class: ClassId,
+        slots: f64,
+        key: Option<String>,
+        answer_by: Micros,
+    ) -> OperationUsage {
+        OperationUsage {
             class,
             slots,
             key,
-            by,
+            answer_by,
             run_us: 0,
             wasted_us: 0,
             attempts: 0,
--- a/src/core/intake.rs
+++ b/src/core/intake.rs
@@ -1,21 +1,25 @@
-//! Operations come in, clients leave: what is taken, what is joined to an earlier one, what is turned away.
+//! Operations arrive and clients disconnect: accepts operations, joins repeats to earlier ones, or rejects
+//! them.
 
 use super::{Answer, Front, Operation, SubmitError};
-use super::{Core, Due, Entered, Input, Kept, TenantError, Used, Waiter};
+use super::{
+    Core, Input, KeyedOperation, OpenOperation, OperationUsage, TenantError, TimerKind, Waiter,
+};
 use crate::interface::{JobId, Micros};
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Kept back of a client's time, so that the last byte of an answer lands before the client gives up: the way
-/// to the client and a slow moment of this machine.
-const MARGIN_US: Micros = 25_000;
-/// Kept back besides where answers are booked first, for the disk; an eighth of the client's time at most.
-const BOOKING_US: Micros = 50_000;
-/// Of what is kept back, the part that an answer still needs to its client once it is let go.
-const WAY_US: Micros = 15_000;
+/// Part of the client's time reserved so that the last byte of an answer arrives before the client's
+/// time-out: covers the network to the client and a brief stall of this machine.
+const ANSWER_MARGIN_US: Micros = 25_000;
+/// Reserved in addition where answers are recorded first, for the disk; at most an eighth of the client's
+/// time.
+const RECORDING_MARGIN_US: Micros = 50_000;
+/// The part of the reserved time that an answer still needs to reach its client once it is sent.
+const DELIVERY_US: Micros = 15_000;
 
 impl Core {
-    /// Takes an operation; `front` gets its one final answer under the number `ticket`.
+    /// Accepts an operation; `front` receives its one final answer under the number `ticket`.
     pub fn submit(
         &mut self,
         now: Micros,
@@ -25,13 +29,13 @@
     ) -> Result<JobId, SubmitError> {
         if let Some(tenants) = &self.tenants {
             operation.tenant = Some(tenants.resolve(operation.tenant.as_deref()).map_err(
-                |why| match why {
+                |error| match error {
                     TenantError::Malformed => SubmitError::InvalidTenant,
                     TenantError::Unlisted => SubmitError::Unlisted,
                 },
             )?);
         }
-        if now >= self.last_call {
+        if now >= self.final_deadline {
             return Err(SubmitError::Stopping);
         }
         if self
@@ -49,11 +53,11 @@
             tenant: operation.tenant.clone(),
             joined,
         };
-        let kept_back = self.kept_back(operation.remaining_us);
+        let reserved_us = self.reserved_us(operation.remaining_us);
         let deadline = now
-            .saturating_add(operation.remaining_us.saturating_sub(kept_back))
-            .min(self.last_call);
-        let by = deadline.saturating_add(kept_back.saturating_sub(WAY_US));
+            .saturating_add(operation.remaining_us.saturating_sub(reserved_us))
+            .min(self.final_deadline);
+        let answer_by = deadline.saturating_add(reserved_us.saturating_sub(DELIVERY_US));
         let key = operation
             .idempotency_key
             .clone()
@@ -61,31 +65,32 @@
         let key = key
             .filter(|_| self.is_keyed(operation.class))
             .map(|k| (operation.class.0, k));
-        if let Some(kept) = key
+        if let Some(keyed) = key
             .as_ref()
-            .and_then(|k| self.kept.get(k))
+            .and_then(|k| self.keyed_operations.get(k))
             .filter(|k| now < k.until)
         {
-            // Guards against a second run of a keyed job that was handed in twice, by whichever front.
-            let (job, answer) = (kept.job, kept.answer.clone());
+            // Guards against a second run of a keyed operation that was submitted twice, by any front.
+            let (job, answer) = (keyed.job, keyed.answer.clone());
             self.counters.operations += 1;
             self.counters.repeats_joined += 1;
             match (
                 answer,
                 self.operations.get_mut(&job).filter(|o| !o.answered),
             ) {
-                (None, Some(entered)) => {
-                    if entered.started {
+                (None, Some(open)) => {
+                    if open.started {
                         front.started(ticket);
                     }
-                    entered.waiting.push(waiter(true));
+                    open.waiters.push(waiter(true));
                 }
                 (answer, _) => {
                     let answer = answer.unwrap_or(Answer::Failed { late: false });
                     let key = operation.idempotency_key.clone();
-                    let used = Used::nothing(operation.class, operation.slots, key, by);
+                    let usage =
+                        OperationUsage::joined(operation.class, operation.slots, key, answer_by);
                     let waiter = waiter(true);
-                    self.give(now, &used, waiter, &answer);
+                    self.answer_waiter(now, &usage, waiter, &answer);
                 }
             }
             return Ok(job);
@@ -99,103 +104,107 @@
         let job = JobId(self.next_job);
         self.next_job += 1;
         self.counters.operations += 1;
-        self.owed += 1;
-        self.at(deadline, Due::Deadline(job));
+        self.unanswered += 1;
+        self.schedule(deadline, TimerKind::Deadline(job));
         self.by_id.insert(operation.id.clone(), job);
         if let Some(key) = key {
-            self.forget_old_keys(now);
-            self.kept.insert(
+            self.evict_expired_keys(now);
+            self.keyed_operations.insert(
                 key,
-                Kept {
+                KeyedOperation {
                     job,
                     until: Micros::MAX,
                     answer: None,
                 },
             );
         }
-        let (waiting, operation) = (vec![waiter(false)], Arc::new(operation));
-        let (steps, winner) = (Vec::new(), None);
-        let (answered, started, right) = (false, false, None);
-        let entered = Entered {
+        let (waiters, operation) = (vec![waiter(false)], Arc::new(operation));
+        let (steps, winning_step) = (Vec::new(), None);
+        let (answered, started, quota_permit) = (false, false, None);
+        let open = OpenOperation {
             operation,
-            waiting,
+            waiters,
             steps,
-            winner,
+            winning_step,
             deadline,
-            by,
+            answer_by,
             answered,
             started,
-            right,
+            quota_permit,
         };
-        self.operations.insert(job, entered);
-        self.enter(now, job, deadline);
+        self.operations.insert(job, open);
+        self.admit_or_wait(now, job, deadline);
         Ok(job)
     }
 
-    /// An operation waits for the first pool config, for half of its time at most: guards against work sent by an
-    /// earlier life's list to a worker that has left since.
-    fn enter(&mut self, now: Micros, job: JobId, deadline: Micros) {
-        if !self.awaits_first() {
+    /// Holds an operation until the first pool config, for at most half of its time: guards against sending
+    /// work, by a list of an earlier process, to a worker that has left since.
+    fn admit_or_wait(&mut self, now: Micros, job: JobId, deadline: Micros) {
+        if !self.awaits_pool_config() {
             return self.inputs.push(Input::Arrived(job));
         }
-        self.early.push(job);
-        self.at(now + deadline.saturating_sub(now) / 2, Due::Early(job));
+        self.awaiting_pool.push(job);
+        self.schedule(
+            now + deadline.saturating_sub(now) / 2,
+            TimerKind::PoolWait(job),
+        );
         self.sources.iter().for_each(|s| s.expedite());
     }
 
-    fn awaits_first(&self) -> bool {
+    fn awaits_pool_config(&self) -> bool {
         self.sources.iter().any(|s| s.awaits_first_config())
     }
 
-    /// Those that waited for the first pool config go on once there is one, or none is to be had.
-    pub(super) fn admit_early(&mut self) {
-        if !self.early.is_empty() && !self.awaits_first() {
+    /// Admits the operations that waited for the first pool config once there is one, or none can be had.
+    pub(super) fn admit_waiting(&mut self) {
+        if !self.awaiting_pool.is_empty() && !self.awaits_pool_config() {
             self.inputs.extend(
-                std::mem::take(&mut self.early)
+                std::mem::take(&mut self.awaiting_pool)
                     .into_iter()
                     .map(Input::Arrived),
             );
         }
     }
 
-    /// One has waited long enough.
-    pub(super) fn admit_late(&mut self, job: JobId) {
-        if let Some(at) = self.early.iter().position(|j| *j == job) {
-            self.early.remove(at);
+    /// Admits an operation that has waited as long as it may for the first pool config.
+    pub(super) fn admit_after_pool_wait(&mut self, job: JobId) {
+        if let Some(index) = self.awaiting_pool.iter().position(|j| *j == job) {
+            self.awaiting_pool.remove(index);
             self.inputs.push(Input::Arrived(job));
         }
     }
 
-    /// Kept back of a client's time.
-    fn kept_back(&self, remaining_us: Micros) -> Micros {
-        MARGIN_US
+    /// Part of the client's time that is reserved for recording and delivery.
+    fn reserved_us(&self, remaining_us: Micros) -> Micros {
+        ANSWER_MARGIN_US
             + if self.recorders.is_empty() {
                 0
             } else {
-                BOOKING_US.min(remaining_us / 8)
+                RECORDING_MARGIN_US.min(remaining_us / 8)
             }
     }
 
-    /// Whatever is in hand, or still comes, is answered by then. Guards against operations that a stop would leave
-    /// without an answer, as their clients would wait for longer than the program may go on.
+    /// Ensures that all operations, present and future, are answered by `when`. Guards against operations
+    /// that a shutdown would leave unanswered because their clients wait longer than the process may run.
     pub fn answer_all_by(&mut self, when: Micros) {
-        self.last_call = when;
-        let mut cut = Vec::new();
-        for (job, entered) in self
+        self.final_deadline = when;
+        let mut shortened = Vec::new();
+        for (job, open) in self
             .operations
             .iter_mut()
             .filter(|(_, o)| !o.answered && o.deadline > when)
         {
-            entered.deadline = when;
-            entered.by = entered.by.min(when.saturating_add(BOOKING_US));
-            cut.push(*job);
+            open.deadline = when;
+            open.answer_by = open.answer_by.min(when.saturating_add(RECORDING_MARGIN_US));
+            shortened.push(*job);
         }
-        cut.into_iter()
-            .for_each(|job| self.at(when, Due::Deadline(job)));
-        self.answer_pending_by(when.saturating_add(BOOKING_US));
+        shortened
+            .into_iter()
+            .for_each(|job| self.schedule(when, TimerKind::Deadline(job)));
+        self.limit_pending_answers(when.saturating_add(RECORDING_MARGIN_US));
     }
 
-    /// The client behind one ticket has gone away; others may still wait for the same operation.
+    /// The client of one ticket has disconnected; others may still wait for the same operation.
     pub fn client_disconnected(
         &mut self,
         now: Micros,
@@ -203,20 +212,20 @@
         front: &Rc<dyn Front>,
         ticket: u64,
     ) {
-        let Some(entered) = self.operations.get_mut(&job).filter(|o| !o.answered) else {
+        let Some(open) = self.operations.get_mut(&job).filter(|o| !o.answered) else {
             return;
         };
-        let is_it = |w: &Waiter| w.ticket == ticket && Rc::ptr_eq(&w.front, front);
-        let Some(at) = entered.waiting.iter().position(is_it) else {
+        let is_this_client = |w: &Waiter| w.ticket == ticket && Rc::ptr_eq(&w.front, front);
+        let Some(index) = open.waiters.iter().position(is_this_client) else {
             return;
         };
-        let waiter = entered.waiting.remove(at);
-        // Counted here: a result may come in the same batch, before the decisions hear of the leaving.
+        let waiter = open.waiters.remove(index);
+        // Counted here, as a result may arrive in the same batch before the balancer sees the disconnect.
         self.counters.clients_gone += 1;
-        let (nobody, used) = (entered.waiting.is_empty(), entered.used(now));
-        self.book_gone(now, &used, &waiter);
-        if nobody {
-            self.inputs.push(Input::Gone(job));
+        let (abandoned, usage) = (open.waiters.is_empty(), open.usage(now));
+        self.record_disconnect(now, &usage, &waiter);
+        if abandoned {
+            self.inputs.push(Input::Disconnected(job));
         }
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,55 +1,56 @@
-//! The core: owns the decisions, the operation table, route steps, timers and the batch loop. Knows no wire.
+//! The core: owns the balancer, the operation table, route steps, timers and the batch loop. It knows no wire
+//! protocol.
 //!
-//! Fronts hand in operations, drivers carry route steps, sources tell pool configs. The core has no clock:
-//! time is passed in. Nothing here decides; it keeps the books and sees to it that each operation gets one
-//! final answer.
+//! Fronts submit operations, drivers run route steps, sources report pool configs. The core has no clock: the
+//! caller passes the time. It takes no scheduling decisions; it tracks operations and ensures that each gets
+//! exactly one final answer.
 //!
-//! A front and a driver of one's own, on the core alone:
+//! A custom front and driver on the core alone:
 //!
 //! ```
 //! use std::{cell::RefCell, rc::Rc, sync::Arc};
 //! use streamusher::core::*;
 //! use streamusher::interface::{Micros, WorkerId};
 //!
-//! /// Keeps the answer that it is given.
+//! /// Stores the answer that it receives.
 //! #[derive(Default)]
-//! struct Desk(RefCell<Option<Answer>>);
-//! impl Front for Desk {
+//! struct ClientFront(RefCell<Option<Answer>>);
+//! impl Front for ClientFront {
 //!     fn answer(&self, _ticket: u64, answer: &Answer, receipt: Receipt) {
 //!         receipt.written();
 //!         *self.0.borrow_mut() = Some(answer.clone());
 //!     }
 //! }
 //!
-//! /// Notes which steps it was given; a real one would send them, each as long as [`Core::may_begin`] allows it.
+//! /// Records the steps that it receives; a real driver sends each one if [`Core::may_begin`] allows it.
 //! #[derive(Default)]
-//! struct Runner(RefCell<Vec<StepId>>);
-//! impl Driver for Runner {
-//!     fn send(&self, step: StepId, _: &Arc<Operation>, _: &Member, _left_us: Micros) {
+//! struct StepRecorder(RefCell<Vec<StepId>>);
+//! impl Driver for StepRecorder {
+//!     fn send(&self, step: StepId, _: &Arc<Operation>, _: &PoolMember, _remaining_us: Micros) {
 //!         self.0.borrow_mut().push(step);
 //!     }
-//!     fn cancel(&self, _: StepId, _: &Arc<Operation>, _: &Member) {}
-//!     fn probe(&self, _: WorkerId, _: &Member) {}
+//!     fn cancel(&self, _: StepId, _: &Arc<Operation>, _: &PoolMember) {}
+//!     fn probe(&self, _: WorkerId, _: &PoolMember) {}
 //! }
 //!
 //! # fn main() -> Result<(), String> {
 //! let settings = r#"{"myZone": "pump-house", "zones": ["pump-house"], "limits": {"maxAttempts": 2},
 //!     "requestClasses": [{"name": "depth-log", "semantics": "free", "onTimeUs": 300000, "deadlineUs": 5000000}]}"#;
 //! let mut core = Core::from_settings(settings.as_bytes(), 42, 0)?;
-//! let (desk, runner) = (Rc::new(Desk::default()), Rc::new(Runner::default()));
-//! let driver = core.attach_driver(runner.clone());
-//! let worker = Member { name: "s-1".into(), zone: "pump-house".into(), weight: 1.0, ..Member::default() };
+//! let (front, steps) = (Rc::new(ClientFront::default()), Rc::new(StepRecorder::default()));
+//! let driver = core.attach_driver(steps.clone());
+//! let worker = PoolMember { name: "s-1".into(), zone: "pump-house".into(), weight: 1.0, ..PoolMember::default() };
 //! core.pool_config(driver, true, vec![worker]);
 //!
 //! let class = core.class("depth-log").ok_or("no such class")?;
-//! let operation = Operation { id: "a1".into(), class, slots: 1.0, left_us: 5_000_000, ..Operation::default() };
-//! core.submit(1_000, operation, desk.clone(), 0).map_err(|e| format!("{e:?}"))?;
+//! let operation = Operation { id: "a1".into(), class, slots: 1.0, remaining_us: 5_000_000, ..Operation::default() };
+//! core.submit(1_000, operation, front.clone(), 0).map_err(|e| format!("{e:?}"))?;
 //! core.turn(1_000);
-//! let step = runner.0.borrow()[0];
+//! let step = steps.0.borrow()[0];
 //!
-//! core.step(step, StepNews::Ended(Ending::Served(Arc::from(*b"log")), None));
+//! core.step_event(step, StepEvent::Ended(StepOutcome::Served(Arc::from(*b"log")), None));
 //! core.turn(90_000);
-//! assert_eq!(*desk.0.borrow(), Some(Answer::Served(Arc::from(*b"log"))));
+//! assert_eq!(*front.0.borrow(), Some(Answer::Served(Arc::from(*b"log"))));
 //! assert_eq!(core.unanswered(), 0);
 //! # Ok(())
 //! # }
@@ -73,8 +74,8 @@
 pub use operation::*;
 pub use quotas::{QuotaGrant, QuotaPermit, Quotas};
 
-use booking::{PendingAnswer, Used, Waiter};
-use repeats::Kept;
+use booking::{OperationUsage, PendingAnswer, Waiter};
+use repeats::KeyedOperation;
 use tenants::{TenantError, Tenants};
 
 use crate::counters::Counters;
@@ -86,59 +87,59 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// What has come in since the last turn.
+/// Inputs queued for the next turn.
 enum Input {
     Arrived(JobId),
-    Gone(JobId),
+    Disconnected(JobId),
     Step(StepId, StepEvent),
-    List {
+    PoolConfig {
         source: usize,
         complete: bool,
         members: Vec<PoolMember>,
     },
-    ListFailed,
-    Probed(WorkerId, bool, Option<LoadReport>),
-    Judged(WorkerId, u32),
+    PoolConfigFailed,
+    ProbeEnded(WorkerId, bool, Option<LoadReport>),
+    PeerObservation(WorkerId, u32),
     Timer(u64),
     Deadline(JobId),
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Module(u64),
+enum TimerKind {
+    Balancer(u64),
     Deadline(JobId),
-    /// An answer waits no longer for its entries.
+    /// The latest time to hold a recorded answer.
     PendingAnswer(u64),
-    /// An operation has waited long enough for the first pool config.
-    Early(JobId),
+    /// The longest wait of an operation for the first pool config.
+    PoolWait(JobId),
 }
 
-struct RouteStep {
+struct StepState {
     worker: WorkerId,
-    /// A driver was given it.
-    handed: bool,
-    /// Its driver has said that it begins.
+    /// Whether a driver was given the step.
+    given_to_driver: bool,
+    /// Whether the driver has begun the step.
     begun: bool,
-    sent: Micros,
-    started: Option<Micros>,
+    sent_at: Micros,
+    started_at: Option<Micros>,
     ended_at: Option<Micros>,
     ended: bool,
-    ran: bool,
+    may_have_run: bool,
 }
 
-struct Entered {
+struct OpenOperation {
     operation: Arc<Operation>,
-    waiting: Vec<Waiter>,
-    steps: Vec<RouteStep>,
-    /// The step whose result is the answer.
-    winner: Option<usize>,
+    waiters: Vec<Waiter>,
+    steps: Vec<StepState>,
+    /// Index of the step whose result is the answer.
+    winning_step: Option<usize>,
     deadline: Micros,
-    /// The last moment for an answer that is held.
-    by: Micros,
+    /// The latest time to send an answer that is held for its entries.
+    answer_by: Micros,
     answered: bool,
     started: bool,
-    /// Its tenant's, until it is answered.
-    right: Option<QuotaPermit>,
+    /// The tenant's quota permit, held until the operation is answered.
+    quota_permit: Option<QuotaPermit>,
 }
 
 struct Worker {
@@ -147,50 +148,50 @@
     driver: usize,
 }
 
-/// See the module's own page.
+/// Tracks operations from submission to their final answer; see the [module documentation](self).
 pub struct Core {
     balancer: Balancer,
     site: Site,
     max_open: usize,
-    /// Repeats of keyed operations are joined here, as not all workers drop them.
+    /// Whether repeats of keyed operations are joined here, as not all workers drop them.
     joins_repeats: bool,
-    operations: BTreeMap<JobId, Entered>,
+    operations: BTreeMap<JobId, OpenOperation>,
     by_id: HashMap<String, JobId>,
-    kept: BTreeMap<(u32, String), Kept>,
-    kept_bytes: usize,
+    keyed_operations: BTreeMap<(u32, String), KeyedOperation>,
+    retained_bytes: usize,
     workers: Vec<Worker>,
     drivers: Vec<Rc<dyn Driver>>,
     sources: Vec<Rc<dyn PoolSource>>,
-    timers: BinaryHeap<Reverse<(Micros, u64, Due)>>,
-    timer_no: u64,
+    timers: BinaryHeap<Reverse<(Micros, u64, TimerKind)>>,
+    last_timer: u64,
     next_job: u64,
     inputs: Vec<Input>,
-    /// Operations that wait for the first pool config, in the order in which they came.
-    early: Vec<JobId>,
-    owed: usize,
+    /// Operations that wait for the first pool config, in order of arrival.
+    awaiting_pool: Vec<JobId>,
+    unanswered: usize,
     recorders: Vec<Rc<dyn UsageRecorder>>,
-    /// Answers that wait for an entry, in the order in which they were booked.
+    /// Answers that wait for an entry to be stored, in the order in which they were recorded.
     pending_answers: BTreeMap<u64, PendingAnswer>,
     last_pending: u64,
     quotas: Option<Rc<dyn Quotas>>,
-    witness: Option<Rc<dyn StepObserver>>,
+    observer: Option<Rc<dyn StepObserver>>,
     tenants: Option<Tenants>,
-    /// All is to be answered by then: the program ends.
-    last_call: Micros,
-    /// What was taken in, sent and answered.
+    /// All operations are to be answered by this time, as the process is shutting down.
+    final_deadline: Micros,
+    /// Operations accepted, steps sent, answers given and other totals since the start.
     pub counters: Counters,
 }
 
 impl Core {
-    /// A core that knows no workers yet, from the text of the platform's settings. All time that it is told
-    /// counts from wherever `now` does. Messages name the faulty key.
+    /// A core without workers, from the text of the platform's settings. All later times share the origin of
+    /// `now`. Error messages name the faulty key.
     pub fn from_settings(text: &[u8], seed: u64, now: Micros) -> Result<Core, String> {
         let site = Site::new(crate::config::settings(text)?);
         let max_open = site.max_open;
         Ok(Core::new(site, max_open, false, seed, now))
     }
 
-    /// A core that knows no workers yet. `joins_repeats`: see [`crate::config`].
+    /// A core without workers. `joins_repeats`: see [`crate::config`].
     pub(crate) fn new(
         mut site: Site,
         max_open: usize,
@@ -199,7 +200,8 @@
         now: Micros,
     ) -> Core {
         if joins_repeats {
-            // Workers are not known to drop repeats for each other: an attempt that may have run is the last.
+            // Workers are not known to drop each other's repeats, so an attempt that may have run is the
+            // last.
             let keyed =
                 |c: &&mut Class| matches!(c.repeatability, Repeatability::IdempotentByKey { .. });
             site.settings
@@ -215,29 +217,30 @@
             joins_repeats,
             operations: BTreeMap::new(),
             by_id: HashMap::new(),
-            kept: BTreeMap::new(),
-            kept_bytes: 0,
+            keyed_operations: BTreeMap::new(),
+            retained_bytes: 0,
             workers: Vec::new(),
             drivers: Vec::new(),
             sources: Vec::new(),
             timers: BinaryHeap::new(),
-            timer_no: 0,
+            last_timer: 0,
             next_job: 0,
             inputs: Vec::new(),
-            early: Vec::new(),
-            owed: 0,
+            awaiting_pool: Vec::new(),
+            unanswered: 0,
             recorders: Vec::new(),
             pending_answers: BTreeMap::new(),
             last_pending: 0,
             quotas: None,
-            witness: None,
+            observer: None,
             tenants: None,
-            last_call: Micros::MAX,
+            final_deadline: Micros::MAX,
             counters: Counters::default(),
         }
     }
 
-    /// New settings at SIGHUP: see [`crate::settings`]. Nothing changes if they cannot be taken.
+    /// Applies new settings on SIGHUP, see [`crate::settings`], and returns the number of added classes.
+    /// Invalid settings change nothing.
     pub(crate) fn update_settings(
         &mut self,
         setup: crate::settings::Setup,
@@ -256,33 +259,33 @@
         Ok(added)
     }
 
-    /// What fronts need to know of the classes.
+    /// The class settings that fronts need.
     pub(crate) fn class_infos(&self) -> Vec<crate::net::request::ClassInfo> {
         self.site.class_infos()
     }
 
-    /// Adds a driver; pool configs name it by the number returned.
+    /// Adds a driver; returns the number by which pool configs refer to it.
     pub fn attach_driver(&mut self, driver: Rc<dyn Driver>) -> usize {
         self.drivers.push(driver);
         self.drivers.len() - 1
     }
 
-    /// Adds a source of pool configs that wants to be asked.
+    /// Adds a source of pool configs that is asked to subscribe.
     pub fn attach_source(&mut self, source: Rc<dyn PoolSource>) {
         self.sources.push(source);
     }
 
-    /// Takes operations only for these tenants from now on.
+    /// Accepts operations only for these tenants from now on.
     pub fn set_tenants(&mut self, tenants: Tenants) {
         self.tenants = Some(tenants);
     }
 
-    /// The class of this name.
+    /// The class with this name, if the settings have one.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         self.site.classes.known(name).map(ClassId)
     }
 
-    /// What the settings say of a class.
+    /// The settings of a class.
     pub fn class_settings(&self, class: ClassId) -> &Class {
         &self.site.settings.classes[class.0 as usize]
     }
@@ -292,28 +295,29 @@
         self.site.keyed[class.0 as usize]
     }
 
-    /// A load report by the names that the settings use.
+    /// A load report from values under the names that the settings define.
     pub fn report(&self, load: &HashMap<String, f64>) -> LoadReport {
         self.site.report(load)
     }
 
-    /// Operations that still owe a final answer.
+    /// Number of operations whose final answer has not been sent.
     pub fn unanswered(&self) -> usize {
-        self.owed + self.pending_answers.len()
+        self.unanswered + self.pending_answers.len()
     }
 
-    /// News of a route step. What comes after its end is ignored.
-    pub fn step_event(&mut self, step: StepId, news: StepEvent) {
-        self.inputs.push(Input::Step(step, news));
+    /// Reports an event of a route step; events after its end are ignored.
+    pub fn step_event(&mut self, step: StepId, step_event: StepEvent) {
+        self.inputs.push(Input::Step(step, step_event));
     }
 
-    /// The route step that a worker's call-back means: by the operation's id and the worker's name. Of a second step at the
-    /// same worker nothing is heard before it begins ([`Core::begin`]): until then the first one is meant, which has ended.
+    /// The route step that a worker's call-back refers to, by the operation's id and the worker's name. A
+    /// second step at the same worker sends no call-backs before it begins ([`Core::begin`]): until then they
+    /// refer to the first, which has ended.
     pub fn find_step(&self, id: &str, worker: &str) -> Option<StepId> {
         let job = *self.by_id.get(id)?;
         let steps = &self.operations.get(&job)?.steps;
         let is_there =
-            |step: &RouteStep| self.workers[step.worker.0 as usize].member.name == worker;
+            |step: &StepState| self.workers[step.worker.0 as usize].member.name == worker;
         let attempt = steps
             .iter()
             .rposition(|step| is_there(step) && !step.ended)?;
--- a/src/core/observer.rs
+++ b/src/core/observer.rs
@@ -1,40 +1,42 @@
-//! What this dispatcher sees of its workers, for others; and what others say of them, for the decisions.
+//! Step outcomes and the worker list for an observer, and observations of other dispatchers for the balancer.
 
 use super::{Core, Input, PoolMember, StepOutcome};
 use crate::interface::{EndpointState, WorkerId};
 use std::rc::Rc;
 
-/// Hears how route steps end, and which workers there are. None of its calls may block or call the core.
+/// Observes how route steps end and which workers are ready. No method may block or call the core.
 pub trait StepObserver {
-    /// A route step has ended at this worker.
-    fn step_ended(&self, worker: &PoolMember, ending: &StepOutcome);
-    /// The workers that take work, after each change.
+    /// A route step at `worker` has ended.
+    fn step_ended(&self, worker: &PoolMember, outcome: &StepOutcome);
+    /// The ready workers, after each change of the list.
     fn workers_changed(&self, workers: &mut dyn Iterator<Item = &PoolMember>);
 }
 
 impl Core {
-    /// Has the ends of route steps told from now on.
-    pub fn attach_observer(&mut self, witness: Rc<dyn StepObserver>) {
-        self.witness = Some(witness);
-        self.tell_list();
+    /// Reports step outcomes and the ready workers to this observer from now on.
+    pub fn attach_observer(&mut self, observer: Rc<dyn StepObserver>) {
+        self.observer = Some(observer);
+        self.notify_observer();
     }
 
-    /// The workers that take work are told.
-    pub(super) fn tell_list(&self) {
+    /// Reports the ready workers to the observer.
+    pub(super) fn notify_observer(&self) {
         let ready = |m: &&PoolMember| m.state == EndpointState::Ready;
-        self.witness.iter().for_each(|w| {
+        self.observer.iter().for_each(|w| {
             w.workers_changed(&mut self.workers.iter().map(|w| &w.member).filter(ready))
         });
     }
 
-    /// What others together say of workers, by name and weight; of all that are not named nothing is said any more.
-    pub fn peer_observations(&mut self, verdicts: &[(&str, u32)]) {
+    /// Replaces the peers' combined observations of workers, given by name and weight; a worker that is not
+    /// named gets weight 0.
+    pub fn peer_observations(&mut self, observations: &[(&str, u32)]) {
         for (id, worker) in self.workers.iter().enumerate() {
-            let weight = verdicts
+            let weight = observations
                 .iter()
-                .find(|v| v.0 == worker.member.name)
-                .map_or(0, |v| v.1);
-            self.inputs.push(Input::Judged(WorkerId(id as u32), weight));
+                .find(|observation| observation.0 == worker.member.name)
+                .map_or(0, |observation| observation.1);
+            self.inputs
+                .push(Input::PeerObservation(WorkerId(id as u32), weight));
         }
     }
 }
--- a/src/core/operation.rs
+++ b/src/core/operation.rs
@@ -1,71 +1,73 @@
-//! The words of the core: operations, route steps, how they end and how an operation is answered.
+//! Types of the core's interface: operations, route steps and their outcomes, final answers, fronts and
+//! drivers.
 
 use crate::interface::{
     AttemptOutcome, ClassId, EndpointState, JobId, LoadReport, Micros, WorkerId,
 };
 use std::sync::Arc;
 
-/// What a client asks for, free of any wire.
+/// A client's request, independent of any wire protocol.
 #[derive(Clone, Debug, Default)]
 pub struct Operation {
-    /// The client's own name for it, new with every request.
+    /// The client's id for the request, new for each one.
     pub id: String,
-    /// Its class.
+    /// Request class.
     pub class: ClassId,
-    /// What it is about, as workers get to see it: a path, with the query if there is one.
+    /// The target as the worker sees it: a path, with the query if there is one.
     pub target: String,
-    /// Whose it is, as the client says; booked under the name that this stands for.
+    /// The tenant as the client names it; once the core has accepted the operation, the name it is recorded
+    /// under.
     pub tenant: Option<Arc<str>>,
-    /// The subject, which places work for the same data set together.
+    /// The subject; jobs of the same subject are placed together, as they use the same data set.
     pub subject: Option<String>,
-    /// What repeats of it have in common, where its class is keyed.
+    /// Idempotency key that repeats of the operation share, where its class is keyed.
     pub idempotency_key: Option<String>,
-    /// The slots it takes.
+    /// Slots that the operation takes.
     pub slots: f64,
-    /// The client waits this much longer.
+    /// How much longer the client waits for the answer.
     pub remaining_us: Micros,
-    /// What is handed to the worker.
+    /// The body that is sent to the worker.
     pub body: Vec<u8>,
 }
 
-/// One route step of one operation.
+/// Identifies one route step, which is one attempt of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StepId {
-    /// The operation.
+    /// The operation's number in this core.
     pub job: JobId,
-    /// The attempt, from 0.
+    /// Number of the attempt, counted from 0.
     pub attempt: u32,
 }
 
-/// Every way in which a route step, and with it a connection, can end.
+/// How a route step, and with it its connection, ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StepOutcome {
-    /// The worker gave its result.
+    /// The worker returned its result.
     Served(Arc<[u8]>),
-    /// The worker says that the job failed.
+    /// The worker reported that the job failed.
     WorkerFailed,
-    /// The worker turned the job away, or handed it back unstarted.
+    /// The worker rejected the job, or returned it unstarted.
     Rejected,
-    /// No connection was accepted.
+    /// The connection was refused.
     ConnectRefused,
-    /// No connection came up within the time allowed.
+    /// No connection was established within the time allowed.
     ConnectTimedOut,
-    /// The connection broke before the last byte was written.
+    /// The connection was lost before the last byte of the request was written.
     ConnectionLostBeforeSend,
-    /// The connection broke or ended after the last byte was written.
+    /// The connection was lost or closed after the last byte of the request was written.
     ConnectionLostAfterSend,
     /// The job was killed, or the worker's process died.
     Lost,
     /// The time for the step ran out.
     TimedOut,
-    /// The step was given up.
+    /// The step was cancelled.
     Cancelled,
     /// The step was never begun.
     NotSent,
 }
 
 impl StepOutcome {
-    /// The one place that says what an end means to the decisions.
+    /// The only mapping of step outcomes to the balancer's attempt outcomes.
     pub fn attempt_outcome(&self) -> AttemptOutcome {
         match self {
             StepOutcome::Served(_) => AttemptOutcome::Succeeded,
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Whether the job may have run, or may yet.
+    /// Whether the job may have run, or may still run.
     pub fn may_have_run(&self) -> bool {
         !matches!(
             self.attempt_outcome(),
@@ -95,85 +97,86 @@
 /// The final answer of an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// A worker's result, whole.
+    /// A worker's complete result.
     Served(Arc<[u8]>),
-    /// A busy reply: trying again is harmless.
+    /// A busy reply; a retry is harmless.
     Busy {
-        /// Advice to stay away this long; 0 for none.
+        /// Recommended delay before a retry; 0 for none.
         retry_after_us: Micros,
     },
-    /// Failed.
+    /// The operation failed, or the rules do not permit a busy reply.
     Failed {
-        /// The client's time had run out.
+        /// Whether the client's time had run out.
         late: bool,
     },
-    /// It was served, but its use could not be booked in time: the result is not handed out, and not billed.
+    /// The operation was served, but its usage could not be recorded in time: the result is neither sent nor
+    /// billed.
     Withheld,
 }
 
-/// Why an operation was not taken; nothing of it has run.
+/// Why an operation was not accepted; nothing of it has run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmitError {
-    /// An operation of this id is in hand.
+    /// An operation with this id is open.
     DuplicateId,
-    /// As many operations as the settings allow are in hand.
+    /// As many operations as the settings allow are open.
     AtCapacity,
-    /// What its client calls its tenant is no name.
+    /// The client's tenant name is malformed.
     InvalidTenant,
-    /// Its tenant is not listed, or it names none.
+    /// The tenant is not listed, or the client named none.
     Unlisted,
-    /// Answers cannot be booked, and the operators' file says to take no work then.
+    /// Answers cannot be recorded, and the operators' file says to accept no operations in that case.
     BillingUnavailable,
-    /// The program ends, and its last answers are out: nothing could be run in time.
+    /// The process is shutting down, and the time of its last answers is over: nothing could run in time.
     Stopping,
 }
 
-/// News of a route step, as a driver tells it.
+/// An event of a route step, as its driver reports it.
 #[derive(Clone, Debug)]
 pub enum StepEvent {
-    /// The job has begun to run.
+    /// The job has started to run.
     Started,
-    /// It has done this part.
+    /// The job has made progress; the value is the part that is done.
     Progress(f64),
-    /// The step has ended.
+    /// The step has ended, with the worker's load report if it sent one.
     Ended(StepOutcome, Option<LoadReport>),
 }
 
-/// A worker as a pool config names it.
+/// A worker as a pool config lists it.
 #[derive(Clone, Debug, Default)]
 pub struct PoolMember {
-    /// Its name, the same everywhere.
+    /// Name of the worker, the same at all dispatchers.
     pub name: String,
-    /// Where it listens.
+    /// Address that the worker listens on.
     pub addr: String,
-    /// Its zone.
+    /// Name of the worker's zone.
     pub zone: String,
-    /// Its machine kind.
+    /// Name of the machine kind.
     pub kind: String,
-    /// Its cell.
+    /// Number of the deduplication cell.
     pub cell: u32,
-    /// Its state.
+    /// Whether the worker is ready, draining or gone.
     pub state: EndpointState,
-    /// Its weight.
+    /// The listed weight; the settings define its meaning.
     pub weight: f64,
-    /// When its process last started, on the core's clock; 0 for long ago.
+    /// When the worker's process last started, on the core's clock; 0 for long ago.
     pub started_at_us: Micros,
 }
 
-/// Takes the answers for operations that came in by one front.
+/// Receives the answers to the operations that one front submitted.
 pub trait Front {
-    /// The final answer for the operation that this front numbered `ticket`. Called once; must not block. The
-    /// receipt is to be told when the answer is written to the last byte.
+    /// Receives the final answer to the operation that this front numbered `ticket`. Called once; must not
+    /// block. The front calls [`super::Receipt::written`] when the last byte of the answer is written.
     fn answer(&self, ticket: u64, answer: &Answer, receipt: super::Receipt);
 
-    /// A worker has begun to run the operation. May come more than once, for several attempts.
+    /// A worker has started to run the operation. May be called more than once, for several attempts.
     fn started(&self, _ticket: u64) {}
 }
 
-/// Carries route steps to the workers of one kind of wire. None of its calls may block or call the core;
-/// what becomes of a step is told to the core later.
+/// Sends route steps to workers over one wire protocol. No method may block or call the core; the driver
+/// reports the outcome of a step to the core later.
 pub trait Driver {
-    /// Begins a route step: once its connection is there, if [`super::Core::may_begin`] still allows it.
+    /// Begins a route step once its connection is established, if [`super::Core::may_begin`] still allows it.
     fn send(
         &self,
         step: StepId,
@@ -181,23 +184,23 @@
         worker: &PoolMember,
         remaining_us: Micros,
     );
-    /// Gives a route step up.
+    /// Cancels a route step.
     fn cancel(&self, step: StepId, operation: &Arc<Operation>, worker: &PoolMember);
-    /// Asks a worker for its load.
+    /// Requests a load report from a worker.
     fn probe(&self, worker: WorkerId, member: &PoolMember);
 }
 
 /// A source of pool configs that may have to be asked.
 pub trait PoolSource {
-    /// The decisions want to hear of changes from now on; it may be called while a watch runs.
+    /// Requests that changes be reported from now on; may be called while a watch runs.
     fn subscribe(&self);
 
-    /// Whether operations that come in are to wait for this source's first pool config, as what is known is from an
-    /// earlier life of this process.
+    /// Whether new operations must wait for this source's first pool config, as the known list is from an
+    /// earlier process.
     fn awaits_first_config(&self) -> bool {
         false
     }
 
-    /// An operation waits for the first pool config.
+    /// An operation waits for the first pool config, so it should be fetched soon.
     fn expedite(&self) {}
 }
--- a/src/core/pool.rs
+++ b/src/core/pool.rs
@@ -1,43 +1,44 @@
-//! Pool configs: which workers there are, by the source that tells of them.
+//! Pool configs: the workers that each source lists.
 
 use super::{Core, Input, PoolMember, Worker};
 use crate::interface::{Endpoint, EndpointState, Event, LoadReport, WorkerId};
 
 impl Core {
-    /// A pool config, or the changes to one. `source` is the driver that reaches these workers.
+    /// Submits a pool config, or, unless `complete`, the changes to one. `source` is the driver that reaches
+    /// these workers.
     pub fn pool_config(&mut self, source: usize, complete: bool, members: Vec<PoolMember>) {
-        self.inputs.push(Input::List {
+        self.inputs.push(Input::PoolConfig {
             source,
             complete,
             members,
         });
     }
 
-    /// A pool config could not be had, or its watch broke.
+    /// Reports that a pool config could not be fetched, or that its watch broke.
     pub fn pool_config_failed(&mut self) {
-        self.inputs.push(Input::ListFailed);
+        self.inputs.push(Input::PoolConfigFailed);
     }
 
-    /// A probe was answered, or not.
+    /// Reports the end of a probe; `ok` tells whether the worker answered.
     pub fn probe_ended(&mut self, worker: WorkerId, ok: bool, report: Option<LoadReport>) {
-        self.inputs.push(Input::Probed(worker, ok, report));
+        self.inputs.push(Input::ProbeEnded(worker, ok, report));
     }
 
-    /// Workers on the list that are not gone, and those of them that are avoided as they drain.
+    /// Number of listed workers that are not gone, and how many of them are avoided as they drain.
     pub fn worker_counts(&self) -> (usize, usize) {
         let listed = self
             .workers
             .iter()
             .filter(|w| w.member.state != EndpointState::Gone);
-        listed.fold((0, 0), |(n, d), w| {
+        listed.fold((0, 0), |(listed_count, draining), w| {
             (
-                n + 1,
-                d + usize::from(w.member.state == EndpointState::Draining),
+                listed_count + 1,
+                draining + usize::from(w.member.state == EndpointState::Draining),
             )
         })
     }
 
-    pub(super) fn list(
+    pub(super) fn apply_pool_config(
         &mut self,
         source: usize,
         complete: bool,
@@ -45,10 +46,10 @@
     ) -> Event {
         let mut entries: Vec<Endpoint> = Vec::with_capacity(members.len());
         if complete {
-            // Other sources' workers are not this list's to end.
+            // A complete list ends only workers of its own source.
             let others = self.workers.iter().filter(|w| w.source != source);
             let kept: Vec<PoolMember> = others.map(|w| w.member.clone()).collect();
-            entries.extend(kept.iter().map(|m| self.entry(m)));
+            entries.extend(kept.iter().map(|m| self.endpoint(m)));
             let named: std::collections::HashSet<&str> =
                 members.iter().map(|m| m.name.as_str()).collect();
             let missing =
@@ -59,7 +60,7 @@
                 .for_each(|w| w.member.state = EndpointState::Gone);
         }
         for member in members {
-            let entry = self.entry(&member);
+            let entry = self.endpoint(&member);
             let worker = Worker {
                 member,
                 source,
@@ -71,22 +72,27 @@
             }
             entries.push(entry);
         }
-        self.tell_list();
+        self.notify_observer();
         Event::EndpointUpdate {
             complete,
             endpoints: entries,
         }
     }
 
-    pub(super) fn entry(&mut self, m: &PoolMember) -> Endpoint {
-        let (stage, since, cell, weight) = (m.state, m.started_at_us, m.cell, m.weight);
+    pub(super) fn endpoint(&mut self, member: &PoolMember) -> Endpoint {
+        let (state, started_at_us, cell, weight) = (
+            member.state,
+            member.started_at_us,
+            member.cell,
+            member.weight,
+        );
         self.site.entry(
-            &m.name,
-            &m.zone,
-            &m.kind,
+            &member.name,
+            &member.zone,
+            &member.kind,
             Endpoint {
-                state: stage,
-                started_at_us: since,
+                state,
+                started_at_us,
                 cell,
                 weight,
                 ..Endpoint::default()
--- a/src/core/quotas.rs
+++ b/src/core/quotas.rs
@@ -1,36 +1,36 @@
-//! Tenants' rights to have operations in hand: one is taken as an operation arrives, and given back as it is answered.
-//! The decisions are told how much is free, and refuse what has none.
+//! Quotas of tenants on open operations: a permit is acquired when an operation arrives and released when it
+//! is answered. The balancer receives the free share and rejects an operation without a permit.
 
 use super::Core;
 use crate::interface::Micros;
 use std::rc::Rc;
 
-/// Where rights come from. None of its calls may block or call the core.
+/// Grants quota permits. No method may block or call the core.
 pub trait Quotas {
-    /// Takes one for an operation of this tenant.
+    /// Acquires a permit for an operation of this tenant.
     fn acquire(&self, now: Micros, tenant: Option<&str>) -> QuotaGrant;
-    /// One of this budget is given back.
+    /// Releases a permit of this budget.
     fn release(&self, budget: usize);
 }
 
-/// What became of it.
+/// The result of acquiring a permit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum QuotaGrant {
     /// The tenant has no quota.
     Unlimited,
-    /// One was taken.
+    /// A permit was acquired.
     Granted {
-        /// Of this budget.
+        /// The budget that the permit counts against.
         budget: usize,
-        /// The part of this member's rights that was free before, above 0.
+        /// The share of this member's permits that was free before, above 0.
         free: f64,
     },
-    /// There is none.
+    /// No permit is free.
     Exhausted,
 }
 
 impl QuotaGrant {
-    /// The free part, for the decisions.
+    /// The free share of the quota for the balancer; `None` without a quota.
     pub(super) fn free(self) -> Option<f64> {
         match self {
             QuotaGrant::Unlimited => None,
@@ -39,7 +39,7 @@
         }
     }
 
-    pub(super) fn right(self, quotas: Option<&Rc<dyn Quotas>>) -> Option<QuotaPermit> {
+    pub(super) fn into_permit(self, quotas: Option<&Rc<dyn Quotas>>) -> Option<QuotaPermit> {
         match (self, quotas) {
             (QuotaGrant::Granted { budget, .. }, Some(quotas)) => {
                 Some(QuotaPermit(quotas.clone(), budget))
@@ -49,7 +49,7 @@
     }
 }
 
-/// A right in use; dropping it gives it back.
+/// A permit in use, released when dropped.
 pub struct QuotaPermit(Rc<dyn Quotas>, usize);
 
 impl Drop for QuotaPermit {
@@ -59,7 +59,7 @@
 }
 
 impl Core {
-    /// Has tenants' rights asked for from now on.
+    /// Acquires quota permits for new operations from now on.
     pub fn attach_quotas(&mut self, quotas: Rc<dyn Quotas>) {
         self.quotas = Some(quotas);
     }
--- a/src/core/repeats.rs
+++ b/src/core/repeats.rs
@@ -1,74 +1,75 @@
-//! Keyed operations that may have run: what is remembered of them, so that a repeat does not run again.
+//! Keyed operations that may have run, retained so that a repeat does not run again.
 
 use super::{Answer, Core};
 use crate::interface::{JobId, Micros};
 
-/// Most results kept for repeats of keyed operations, in bytes.
-pub(super) const KEPT_BYTES: usize = 8 << 20;
-/// Most keyed operations remembered.
-const KEPT_KEYS: usize = 16_384;
+/// Maximum total size of the results retained for repeats of keyed operations, in bytes.
+pub(super) const MAX_RETAINED_BYTES: usize = 8 << 20;
+/// Number of retained keys from which expired ones are evicted.
+const MAX_RETAINED_KEYS: usize = 16_384;
 
-/// A keyed operation that may have run, or runs: a repeat of it must not run again inside the window.
-pub(super) struct Kept {
+/// A keyed operation that runs or may have run: a repeat of it must not run again within the window.
+pub(super) struct KeyedOperation {
     pub(super) job: JobId,
     pub(super) until: Micros,
     pub(super) answer: Option<Answer>,
 }
 
 impl Core {
-    /// Nothing more is owed for an operation. A keyed one that may have run stays known for its window.
+    /// Marks an operation as answered. A keyed one that may have run is retained for its window.
     pub(super) fn close(&mut self, now: Micros, job: JobId, answer: Answer) {
-        let Some(entered) = self.operations.get_mut(&job) else {
+        let Some(open) = self.operations.get_mut(&job) else {
             return;
         };
-        entered.answered = true;
-        entered.right = None;
-        self.owed -= 1;
-        let Some(key) = entered.operation.idempotency_key.clone() else {
+        open.answered = true;
+        open.quota_permit = None;
+        self.unanswered -= 1;
+        let Some(key) = open.operation.idempotency_key.clone() else {
             return;
         };
-        let key = (entered.operation.class.0, key);
-        let Some(kept) = self
-            .kept
+        let key = (open.operation.class.0, key);
+        let Some(keyed) = self
+            .keyed_operations
             .get_mut(&key)
             .filter(|k| k.job == job && k.answer.is_none())
         else {
             return;
         };
-        let Some(first) = entered.steps.iter().find(|s| !s.ended || s.ran) else {
-            self.kept.remove(&key);
+        let Some(first) = open.steps.iter().find(|s| !s.ended || s.may_have_run) else {
+            self.keyed_operations.remove(&key);
             return;
         };
-        // The window runs from the first attempt that may have run, and one may run on as long as its client
-        // would have waited.
+        // The window runs from the first attempt that may have run, and an attempt may run on for as long as
+        // its client would have waited.
         let window = self.site.windows[key.0 as usize];
-        kept.until = first.sent.saturating_add(window).max(now);
-        let served =
-            matches!(&answer, Answer::Served(r) if self.kept_bytes + r.len() <= KEPT_BYTES);
+        keyed.until = first.sent_at.saturating_add(window).max(now);
+        let served = matches!(&answer, Answer::Served(r) if self.retained_bytes + r.len() <= MAX_RETAINED_BYTES);
         let answer = if served {
             answer
         } else {
             Answer::Failed { late: false }
         };
         if let Answer::Served(result) = &answer {
-            self.kept_bytes += result.len();
+            self.retained_bytes += result.len();
         }
-        kept.answer = Some(answer);
+        keyed.answer = Some(answer);
     }
 
-    /// Bounds what is remembered of keyed operations: those past their window, looked at when many are kept.
-    pub(super) fn forget_old_keys(&mut self, now: Micros) {
-        if self.kept.len() < KEPT_KEYS && self.kept_bytes < KEPT_BYTES / 2 {
+    /// Evicts keyed operations past their window, once many are retained.
+    pub(super) fn evict_expired_keys(&mut self, now: Micros) {
+        if self.keyed_operations.len() < MAX_RETAINED_KEYS
+            && self.retained_bytes < MAX_RETAINED_BYTES / 2
+        {
             return;
         }
-        self.kept.retain(|_, k| now < k.until);
-        let size = |k: &Kept| {
+        self.keyed_operations.retain(|_, k| now < k.until);
+        let size = |k: &KeyedOperation| {
             if let Some(Answer::Served(r)) = &k.answer {
                 r.len()
             } else {
                 0
             }
         };
-        self.kept_bytes = self.kept.values().map(size).sum();
+        self.retained_bytes = self.keyed_operations.values().map(size).sum();
     }
 }
--- a/src/core/steps.rs
+++ b/src/core/steps.rs
@@ -1,73 +1,68 @@
-//! Route steps: what the decisions ask for goes to the drivers, what drivers tell goes to the decisions.
+//! Route steps: executes the balancer's actions through the drivers and converts step events to balancer
+//! events.
 
-use super::{Answer, Core, Due, Input, RouteStep, StepEvent, StepId, StepOutcome};
+use super::{Answer, Core, Input, StepEvent, StepId, StepOutcome, StepState, TimerKind};
 use crate::interface::{Action, AttemptEnd, Event, JobId, Micros, WorkerId};
 
 impl Core {
-    /// What a driver tells of a step, as an event; none if the step has ended before.
-    pub(super) fn step_news(
+    /// Applies a step event and returns it as a balancer event; `None` if the step had already ended.
+    pub(super) fn apply_step_event(
         &mut self,
         now: Micros,
         step: StepId,
-        news: StepEvent,
+        step_event: StepEvent,
     ) -> Option<Event> {
         let StepId { job, attempt } = step;
-        let entered = self.operations.get_mut(&job)?;
-        let s = entered
+        let open = self.operations.get_mut(&job)?;
+        let state = open
             .steps
             .get_mut(attempt as usize)
-            .filter(|s| !s.ended)?;
-        Some(match news {
+            .filter(|state| !state.ended)?;
+        Some(match step_event {
             StepEvent::Started => {
-                entered.started = true;
-                s.started = s.started.or(Some(now));
-                entered
-                    .waiting
-                    .iter()
-                    .for_each(|w| w.front.started(w.ticket));
+                open.started = true;
+                state.started_at = state.started_at.or(Some(now));
+                open.waiters.iter().for_each(|w| w.front.started(w.ticket));
                 Event::Started { job, attempt }
             }
             StepEvent::Progress(done) => Event::Progress { job, attempt, done },
-            StepEvent::Ended(ending, report) => {
-                (s.ended, s.ran, s.ended_at) = (true, ending.may_have_run(), Some(now));
-                if matches!(ending, StepOutcome::Served(_)) {
-                    entered.winner = Some(attempt as usize);
+            StepEvent::Ended(outcome, report) => {
+                (state.ended, state.may_have_run, state.ended_at) =
+                    (true, outcome.may_have_run(), Some(now));
+                if matches!(outcome, StepOutcome::Served(_)) {
+                    open.winning_step = Some(attempt as usize);
                 }
-                self.counters.ending(&ending);
-                let worker = &self.workers[s.worker.0 as usize].member;
-                self.witness
+                self.counters.ending(&outcome);
+                let worker = &self.workers[state.worker.0 as usize].member;
+                self.observer
                     .iter()
-                    .for_each(|w| w.step_ended(worker, &ending));
-                let code = ending.attempt_outcome();
-                if let StepOutcome::Served(result) = ending {
+                    .for_each(|w| w.step_ended(worker, &outcome));
+                let attempt_outcome = outcome.attempt_outcome();
+                if let StepOutcome::Served(result) = outcome {
                     self.finish(now, job, Answer::Served(result));
                 }
-                let complete = self.operations[&job].answered;
+                let is_final = self.operations[&job].answered;
                 Event::AttemptEnded(AttemptEnd {
                     job,
                     attempt,
-                    outcome: code,
-                    is_final: complete,
+                    outcome: attempt_outcome,
+                    is_final,
                     report,
                 })
             }
         })
     }
 
-    pub(super) fn carry_out(&mut self, now: Micros, action: Action) {
+    pub(super) fn execute(&mut self, now: Micros, action: Action) {
         match action {
             Action::Send { job, worker } => self.send(now, job, worker),
             Action::Cancel { job, attempt } => {
                 let step = StepId { job, attempt };
-                let Some(entered) = self.operations.get(&job) else {
+                let Some(open) = self.operations.get(&job) else {
                     return;
                 };
-                if entered
-                    .steps
-                    .get(attempt as usize)
-                    .is_some_and(|s| !s.ended)
-                {
-                    self.call_off(step);
+                if open.steps.get(attempt as usize).is_some_and(|s| !s.ended) {
+                    self.cancel_step(step);
                     self.inputs.push(Input::Step(
                         step,
                         StepEvent::Ended(StepOutcome::Cancelled, None),
@@ -82,49 +77,49 @@
                 let late = self.operations.get(&job).is_some_and(|o| now >= o.deadline);
                 self.finish(now, job, Answer::Failed { late });
             }
-            Action::Schedule {
-                delay_us: wait_us,
-                token,
-            } => self.at(now.saturating_add(wait_us), Due::Module(token)),
+            Action::Schedule { delay_us, token } => {
+                self.schedule(now.saturating_add(delay_us), TimerKind::Balancer(token))
+            }
             Action::Probe { worker } => {
-                let w = &self.workers[worker.0 as usize];
-                self.drivers[w.driver].probe(worker, &w.member);
+                let target = &self.workers[worker.0 as usize];
+                self.drivers[target.driver].probe(worker, &target.member);
             }
             Action::Subscribe => self.sources.iter().for_each(|s| s.subscribe()),
         }
     }
 
     pub(super) fn send(&mut self, now: Micros, job: JobId, worker: WorkerId) {
-        let Some(entered) = self.operations.get_mut(&job) else {
+        let Some(open) = self.operations.get_mut(&job) else {
             return;
         };
         let step = StepId {
             job,
-            attempt: entered.steps.len() as u32,
+            attempt: open.steps.len() as u32,
         };
-        // A worker gets one attempt of an operation at a time: one to its earlier life died with it.
-        let earlier = entered
+        // A worker runs at most one attempt of an operation: an attempt still open there was lost with its
+        // earlier process.
+        let earlier = open
             .steps
             .iter()
             .position(|s| s.worker == worker && !s.ended);
-        let useless = entered.answered || now >= entered.deadline;
-        entered.steps.push(RouteStep {
+        let expired = open.answered || now >= open.deadline;
+        open.steps.push(StepState {
             worker,
-            handed: !useless,
+            given_to_driver: !expired,
             begun: false,
-            sent: now,
-            started: None,
+            sent_at: now,
+            started_at: None,
             ended_at: None,
             ended: false,
-            ran: false,
+            may_have_run: false,
         });
         if let Some(attempt) = earlier.map(|a| a as u32) {
             let step = StepId { job, attempt };
-            self.call_off(step);
+            self.cancel_step(step);
             self.inputs
                 .push(Input::Step(step, StepEvent::Ended(StepOutcome::Lost, None)));
         }
-        if useless {
+        if expired {
             self.inputs.push(Input::Step(
                 step,
                 StepEvent::Ended(StepOutcome::NotSent, None),
@@ -132,43 +127,50 @@
             return;
         }
         self.counters.steps += 1;
-        let (entered, w) = (&self.operations[&job], &self.workers[worker.0 as usize]);
-        self.drivers[w.driver].send(step, &entered.operation, &w.member, entered.deadline - now);
+        let (open, target) = (&self.operations[&job], &self.workers[worker.0 as usize]);
+        self.drivers[target.driver].send(
+            step,
+            &open.operation,
+            &target.member,
+            open.deadline - now,
+        );
     }
 
-    /// Whether a step may still begin, and the time that is left for it: a driver asks this when its connection is
-    /// there, before the first byte. A connection may come up late, and by then the client may have gone, the
-    /// operation be answered, the worker leave, or the window of a key be over. With none the step is to end as
-    /// [`StepOutcome::NotSent`].
+    /// Whether a step may still begin, and the time left for it. A driver asks this when its connection is
+    /// established, before the first byte. The connection may come up late: by then the client may have
+    /// disconnected, the operation be answered, the worker leave, or the window of a key be over. Without
+    /// permission the step must end as [`StepOutcome::NotSent`].
     pub fn may_begin(&self, now: Micros, step: StepId) -> Option<Micros> {
-        let entered = self.operations.get(&step.job)?;
-        let wanted = !entered.answered && !entered.waiting.is_empty() && now < entered.deadline;
-        let out = entered
+        let open = self.operations.get(&step.job)?;
+        let is_wanted = !open.answered && !open.waiters.is_empty() && now < open.deadline;
+        let is_in_flight = open
             .steps
             .get(step.attempt as usize)
             .is_some_and(|s| !s.ended);
-        let may = wanted && out && self.balancer.may_begin(now, step.job, step.attempt);
-        may.then(|| entered.deadline - now)
+        let may_begin =
+            is_wanted && is_in_flight && self.balancer.may_begin(now, step.job, step.attempt);
+        may_begin.then(|| open.deadline - now)
     }
 
-    /// The same for a driver that then begins the step at once: what its worker tells from then on is of this step.
+    /// Like [`Core::may_begin`], for a driver that then begins the step at once: call-backs of the worker
+    /// refer to this step from then on.
     pub fn begin(&mut self, now: Micros, step: StepId) -> Option<Micros> {
         let remaining_us = self.may_begin(now, step)?;
-        let entered = self.operations.get_mut(&step.job)?;
-        entered.steps.get_mut(step.attempt as usize)?.begun = true;
+        let open = self.operations.get_mut(&step.job)?;
+        open.steps.get_mut(step.attempt as usize)?.begun = true;
         Some(remaining_us)
     }
 
-    /// Has the driver give a step up that is still out.
-    pub(super) fn call_off(&self, step: StepId) {
-        let Some(entered) = self.operations.get(&step.job) else {
+    /// Cancels a step at its driver, if a driver was given it.
+    pub(super) fn cancel_step(&self, step: StepId) {
+        let Some(open) = self.operations.get(&step.job) else {
             return;
         };
-        let s = &entered.steps[step.attempt as usize];
-        if !s.handed {
-            return; // no driver has heard of it
+        let state = &open.steps[step.attempt as usize];
+        if !state.given_to_driver {
+            return; // it was never given to a driver
         }
-        let w = &self.workers[s.worker.0 as usize];
-        self.drivers[w.driver].cancel(step, &entered.operation, &w.member);
+        let worker = &self.workers[state.worker.0 as usize];
+        self.drivers[worker.driver].cancel(step, &open.operation, &worker.member);
     }
 }
--- a/src/core/tenants.rs
+++ b/src/core/tenants.rs
@@ -1,48 +1,48 @@
-//! Whose an operation is: the tenants that the operators list, and what becomes of the work of others.
+//! Tenants: the names that the operators list, and the handling of operations of unlisted ones.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The longest name of a tenant, in bytes.
+/// Maximum length of a tenant's name, in bytes.
 pub const MAX_TENANT_NAME_BYTES: usize = 128;
 
-/// Whose an operation is, for hosts that know it themselves: an extension of the request, which goes before the
-/// header.
+/// The tenant of a request, for hosts that know it themselves: an extension of the request that takes
+/// precedence over the header.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tenant(pub Arc<str>);
 
-/// Why an operation is not taken for a tenant's sake.
+/// Why an operation is not accepted on account of its tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TenantError {
-    /// The name is none: empty, too long, or with control characters in it.
+    /// The name is empty, too long, or contains control characters.
     Malformed,
-    /// It is not listed, and the file says to refuse.
+    /// The tenant is not listed, and the operators' file says to refuse such operations.
     Unlisted,
 }
 
 /// The listed tenants.
 #[derive(Clone, Debug, Default)]
 pub struct Tenants {
-    /// By every name that a tenant goes or went by, the one that it is booked under.
+    /// The name to record under, by every present and former name of a tenant.
     names: HashMap<Arc<str>, Arc<str>>,
-    /// Where unlisted ones, and operations that name none, are booked; none refuses them.
-    rest: Option<Arc<str>>,
+    /// The tenant that unlisted and unnamed operations are recorded under; `None` refuses them.
+    default_tenant: Option<Arc<str>>,
 }
 
 impl Tenants {
-    /// Those listed; `renamed` has earlier names and the present ones. `rest`: see [`Tenants::resolve`]. The error
-    /// names the name.
+    /// Builds the list. `renamed` maps former names to present ones; `default_tenant` is described at
+    /// [`Tenants::resolve`]. An error contains the faulty name.
     pub fn new(
         listed: &[String],
         renamed: &[(String, String)],
-        rest: Option<&str>,
+        default_tenant: Option<&str>,
     ) -> Result<Tenants, String> {
         let mut tenants = Tenants {
             names: HashMap::new(),
-            rest: rest.map(Arc::from),
+            default_tenant: default_tenant.map(Arc::from),
         };
-        for name in listed.iter().map(String::as_str).chain(rest) {
-            if !is_name(name) {
+        for name in listed.iter().map(String::as_str).chain(default_tenant) {
+            if !is_valid_name(name) {
                 return Err(format!(
                     "{name:?}: empty, over {MAX_TENANT_NAME_BYTES} bytes, or with control characters"
                 ));
@@ -73,26 +73,27 @@
         Ok(tenants)
     }
 
-    /// The name to book under. One that is not listed, or none at all, is booked under the default, if there is one.
+    /// The name to record under. An unlisted tenant, or none at all, is recorded under the default one, if
+    /// there is one.
     pub fn resolve(&self, name: Option<&str>) -> Result<Arc<str>, TenantError> {
-        if name.is_some_and(|n| !is_name(n)) {
+        if name.is_some_and(|n| !is_valid_name(n)) {
             return Err(TenantError::Malformed);
         }
         let listed = name.and_then(|n| self.names.get(n));
         listed
-            .or(self.rest.as_ref())
+            .or(self.default_tenant.as_ref())
             .cloned()
             .ok_or(TenantError::Unlisted)
     }
 
-    /// A tenant's present name; any other name as it is.
+    /// The present name of a tenant; an unknown name is returned unchanged.
     pub fn current_name(&self, name: &str) -> String {
         self.names.get(name).map_or(name, |n| n).to_string()
     }
 }
 
-/// Guards against names that would break a table, a log line or a file.
-fn is_name(name: &str) -> bool {
+/// Whether a name is usable. Guards against names that would break a table, a log line or a file.
+fn is_valid_name(name: &str) -> bool {
     !name.trim().is_empty()
         && name.len() <= MAX_TENANT_NAME_BYTES
         && !name.chars().any(char::is_control)
--- a/src/core/turn.rs
+++ b/src/core/turn.rs
@@ -1,148 +1,154 @@
-//! The batch loop: timers that are due and what has come in are fed to the decisions, and what they decide is carried out.
+//! The batch loop: feeds due timers and queued inputs to the balancer and executes its actions.
 
-use super::{Answer, Core, Due, Input, QuotaGrant, StepEvent, StepId, StepOutcome};
+use super::{Answer, Core, Input, QuotaGrant, StepEvent, StepId, StepOutcome, TimerKind};
 use crate::interface::{Action, Event, JobId, Micros, Request, TenantId};
 use crate::settings::mark;
 use std::cmp::Reverse;
 
 impl Core {
-    /// When the next timer falls due.
+    /// When the next timer is due; `None` if no timer is set.
     pub fn next_due(&self) -> Option<Micros> {
         self.timers.peek().map(|t| t.0 .0)
     }
 
-    /// Feeds all that has come in, says `Settled`, carries out what is decided; again, while that itself
-    /// ends route steps.
+    /// Handles all queued inputs and due timers as one batch, sends `BatchEnd` and executes the balancer's
+    /// actions; repeats while these end route steps.
     pub fn turn(&mut self, now: Micros) {
         let mut overdue = Vec::new();
-        self.admit_early();
-        self.fall_due(now);
-        self.take_in(now, &mut overdue);
+        self.admit_waiting();
+        self.queue_due_timers(now);
+        self.process_inputs(now, &mut overdue);
         if !overdue.is_empty() {
-            // An operation may come in at its deadline, and the decisions ask for a timer that is due at once: guards
-            // against one that fails, of which nothing has run and which they refuse.
-            self.fall_due(now);
-            self.take_in(now, &mut overdue);
+            // An operation may arrive at its deadline, for which the balancer sets a timer that is due at
+            // once. Guards against failing such an operation, of which nothing has run and which the balancer
+            // rejects.
+            self.queue_due_timers(now);
+            self.process_inputs(now, &mut overdue);
         }
-        // The decisions answer by the deadline; guards against an operation left without any answer.
+        // The balancer answers by the deadline. Guards against an operation left without any answer.
         for job in overdue {
             self.finish(now, job, Answer::Failed { late: true });
         }
-        self.sweep();
+        self.remove_finished();
     }
 
-    /// Timers that are due become inputs.
-    fn fall_due(&mut self, now: Micros) {
-        while let Some(Reverse((at, _, due))) = self.timers.peek().copied() {
+    /// Queues due timers as inputs.
+    fn queue_due_timers(&mut self, now: Micros) {
+        while let Some(Reverse((at, _, kind))) = self.timers.peek().copied() {
             if at > now {
                 break;
             }
             self.timers.pop();
-            self.inputs.push(match due {
-                Due::Module(token) => Input::Timer(token),
-                Due::Deadline(job) => Input::Deadline(job),
-                Due::Early(job) => {
-                    self.admit_late(job);
+            self.inputs.push(match kind {
+                TimerKind::Balancer(token) => Input::Timer(token),
+                TimerKind::Deadline(job) => Input::Deadline(job),
+                TimerKind::PoolWait(job) => {
+                    self.admit_after_pool_wait(job);
                     continue;
                 }
-                Due::PendingAnswer(id) => {
-                    self.overdue(id);
+                TimerKind::PendingAnswer(id) => {
+                    self.expire_answer(id);
                     continue;
                 }
             });
         }
     }
 
-    /// Feeds what has come in, until nothing is left; deadlines among it are noted.
-    fn take_in(&mut self, now: Micros, overdue: &mut Vec<JobId>) {
+    /// Handles inputs until none is left and collects the operations whose deadline is among them.
+    fn process_inputs(&mut self, now: Micros, overdue: &mut Vec<JobId>) {
         while !self.inputs.is_empty() {
-            let mut out = Vec::new();
+            let mut actions = Vec::new();
             for input in std::mem::take(&mut self.inputs) {
                 if let Input::Deadline(job) = input {
                     overdue.push(job);
                 }
-                self.feed(now, input, &mut out);
+                self.handle_input(now, input, &mut actions);
             }
-            self.balancer.handle(now, Event::BatchEnd, &mut out);
-            for action in out {
-                self.carry_out(now, action);
+            self.balancer.handle(now, Event::BatchEnd, &mut actions);
+            for action in actions {
+                self.execute(now, action);
             }
         }
     }
 
-    pub(super) fn at(&mut self, when: Micros, due: Due) {
-        self.timer_no += 1;
-        self.timers.push(Reverse((when, self.timer_no, due)));
+    pub(super) fn schedule(&mut self, when: Micros, kind: TimerKind) {
+        self.last_timer += 1;
+        self.timers.push(Reverse((when, self.last_timer, kind)));
     }
 
-    fn feed(&mut self, now: Micros, input: Input, out: &mut Vec<Action>) {
+    fn handle_input(&mut self, now: Micros, input: Input, actions: &mut Vec<Action>) {
         let event = match input {
             Input::Arrived(job) => {
-                // One that waited for the first list may have been answered, or its client have gone.
-                let Some(entered) = self.operations.get_mut(&job).filter(|o| !o.answered) else {
+                // An operation that waited for the first list may have been answered, or its client have
+                // disconnected.
+                let Some(open) = self
+                    .operations
+                    .get_mut(&job)
+                    .filter(|operation| !operation.answered)
+                else {
                     return;
                 };
-                let o = &entered.operation;
-                let taken = self.quotas.as_ref().map_or(QuotaGrant::Unlimited, |q| {
-                    q.acquire(now, o.tenant.as_deref())
+                let operation = &open.operation;
+                let grant = self.quotas.as_ref().map_or(QuotaGrant::Unlimited, |q| {
+                    q.acquire(now, operation.tenant.as_deref())
                 });
-                let quota_free = taken.free();
-                entered.right = taken.right(self.quotas.as_ref());
+                let quota_free = grant.free();
+                open.quota_permit = grant.into_permit(self.quotas.as_ref());
                 Event::Arrived(Request {
                     job,
-                    class: o.class,
-                    tenant: o
+                    class: operation.class,
+                    tenant: operation
                         .tenant
                         .as_deref()
                         .and_then(|t| self.site.tenants.known(t))
                         .map(TenantId),
                     free_quota_share: quota_free,
-                    expires_in_us: entered.deadline.saturating_sub(now),
+                    expires_in_us: open.deadline.saturating_sub(now),
                     expected_work_us: None,
-                    slots: o.slots,
-                    affinity_key: o.subject.as_deref().map(mark),
+                    slots: operation.slots,
+                    affinity_key: operation.subject.as_deref().map(mark),
                 })
             }
-            Input::Gone(job) => {
-                let Some(entered) = self.operations.get_mut(&job) else {
+            Input::Disconnected(job) => {
+                let Some(open) = self.operations.get_mut(&job) else {
                     return;
                 };
-                if entered.answered || !entered.waiting.is_empty() {
+                if open.answered || !open.waiters.is_empty() {
                     return; // answered meanwhile, or a repeat has joined
                 }
                 self.close(now, job, Answer::Failed { late: false });
                 Event::ClientGone { job }
             }
-            Input::Step(step, news) => match self.step_news(now, step, news) {
+            Input::Step(step, step_event) => match self.apply_step_event(now, step, step_event) {
                 Some(event) => event,
                 None => return,
             },
-            Input::List {
+            Input::PoolConfig {
                 source,
                 complete,
                 members,
-            } => self.list(source, complete, members),
-            Input::ListFailed => Event::DiscoveryFailed,
-            Input::Probed(worker, ok, report) => Event::ProbeEnded {
+            } => self.apply_pool_config(source, complete, members),
+            Input::PoolConfigFailed => Event::DiscoveryFailed,
+            Input::ProbeEnded(worker, ok, report) => Event::ProbeEnded {
                 worker,
                 answered: ok,
                 report,
             },
-            Input::Judged(worker, weight) => Event::PeerObservation {
+            Input::PeerObservation(worker, weight) => Event::PeerObservation {
                 worker,
                 confidence: weight,
             },
             Input::Timer(token) => Event::Timer { token },
             Input::Deadline(job) => {
-                let Some(entered) = self.operations.get(&job) else {
+                let Some(open) = self.operations.get(&job) else {
                     return;
                 };
-                for attempt in (0..entered.steps.len()).filter(|&i| !entered.steps[i].ended) {
+                for attempt in (0..open.steps.len()).filter(|&i| !open.steps[i].ended) {
                     let step = StepId {
                         job,
                         attempt: attempt as u32,
                     };
-                    self.call_off(step);
+                    self.cancel_step(step);
                     self.inputs.push(Input::Step(
                         step,
                         StepEvent::Ended(StepOutcome::TimedOut, None),
@@ -151,27 +157,27 @@
                 return;
             }
         };
-        self.balancer.handle(now, event, out);
+        self.balancer.handle(now, event, actions);
     }
 
-    /// The one place that hands out final answers, once an operation.
+    /// The only place that gives an operation its final answer, once per operation.
     pub(super) fn finish(&mut self, now: Micros, job: JobId, answer: Answer) {
-        let Some(entered) = self.operations.get_mut(&job).filter(|o| !o.answered) else {
+        let Some(open) = self.operations.get_mut(&job).filter(|open| !open.answered) else {
             return;
         };
-        let (waiting, used) = (std::mem::take(&mut entered.waiting), entered.used(now));
-        waiting
+        let (waiters, usage) = (std::mem::take(&mut open.waiters), open.usage(now));
+        waiters
             .into_iter()
-            .for_each(|waiter| self.give(now, &used, waiter, &answer));
+            .for_each(|waiter| self.answer_waiter(now, &usage, waiter, &answer));
         self.close(now, job, answer);
     }
 
-    /// Drops operations that are answered and have nothing out.
-    fn sweep(&mut self) {
-        self.operations.retain(|_, o| {
-            let done = o.answered && o.steps.iter().all(|s| s.ended);
+    /// Removes answered operations without a step in flight.
+    fn remove_finished(&mut self) {
+        self.operations.retain(|_, open| {
+            let done = open.answered && open.steps.iter().all(|s| s.ended);
             if done {
-                self.by_id.remove(&o.operation.id);
+                self.by_id.remove(&open.operation.id);
             }
             !done
         });
