--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Failures that were found, each answered in the module.
+//! Regression tests of the decision module, one for each failure that was found.
 
 mod common;
 use common::{
@@ -11,17 +11,17 @@
     Request, Settings, Tenant, TenantId, WeightMeaning, WorkerId, ZoneId,
 };
 
-/// A worker that fails at once empties its count, ranks lowest and would draw every next job.
+/// A worker that fails at once has no jobs in flight, ranks lowest and would attract every next job.
 #[test]
-fn a_worker_that_fails_at_once_does_not_draw_the_next_jobs() {
+fn a_worker_that_fails_at_once_does_not_attract_the_next_jobs() {
     let mut dispatcher = TestDispatcher::new(settings(), 4);
-    let mut to_bad = 0;
+    let mut to_failing = 0;
     for job in 1..60 {
         for (attempt, worker) in sends(&dispatcher.arrive(job, AT_MOST_ONCE))
             .into_iter()
             .enumerate()
         {
-            to_bad += (worker == 2) as usize;
+            to_failing += (worker == 2) as usize;
             let outcome = if worker == 2 {
                 AttemptOutcome::WorkerError
             } else {
@@ -31,12 +31,13 @@
             dispatcher.end_attempt(job, attempt as u32, outcome);
         }
     }
-    assert!((1..=4).contains(&to_bad), "{to_bad} of 59");
+    assert!((1..=4).contains(&to_failing), "{to_failing} of 59");
 }
 
-/// One usual load for all kinds put every unseen fast worker ahead of every slow one, for all dispatchers.
+/// Guards against one average load for all machine kinds, which ranked every unobserved fast worker before
+/// every slow one, at all dispatchers.
 #[test]
-fn unseen_workers_of_an_overloaded_kind_are_not_taken_for_idle() {
+fn unobserved_workers_of_an_overloaded_kind_are_not_assumed_idle() {
     let mut dispatcher = TestDispatcher::new(settings(), 0);
     let weighted = |id: u32| Endpoint {
         weight: if id.is_multiple_of(2) { 2.0 } else { 1.0 },
@@ -44,7 +45,7 @@
     };
     dispatcher.update_endpoints(true, (0..40).map(weighted).collect());
     for worker in 0..20 {
-        // Even ones are the fast kind: jammed. Odd ones have room.
+        // Even workers are of the fast kind and overloaded; odd workers have free slots.
         let free_slots = Some(f64::from(worker % 2));
         let report = Some(LoadReport {
             free_slots,
@@ -57,7 +58,7 @@
             report,
         });
     }
-    dispatcher.now += 60 * SECOND; // what was seen of single workers is actions of date
+    dispatcher.now += 60 * SECOND; // the observations of single workers are out of date
     let sent: Vec<u32> = (1..10)
         .flat_map(|job| sends(&dispatcher.arrive(job, AT_MOST_ONCE)))
         .collect();
@@ -68,21 +69,22 @@
     );
 }
 
-/// Under overload jobs filled queues in which they were late before they began: what could only be late wherever it
-/// went is refused at once. A queue counts as a wait by the slots of its kind. A dispatcher that comes into a full fleet
-/// sees none free: it took each worker for one slot, and refused nearly all it was given.
+/// Guards against queues full of jobs that were late before they started under overload: a job that would be
+/// late at every worker is rejected at once. A queue is converted to a wait by the slots of its machine kind.
+/// A dispatcher that joins a full fleet sees no free slots; it took each worker for one slot and rejected
+/// nearly all jobs.
 #[rstest::rstest]
-#[case::never_shown(&[], 16.0, None, false)]
-#[case::one_free(&[(1.0, 0.0)], 16.0, None, true)]
-#[case::five_by_free_and_held(&[(2.0, 3.0)], 9.0, None, false)]
-#[case::three_and_a_long_queue(&[(2.0, 1.0)], 60.0, None, true)]
-#[case::what_may_wait_is_not_shown(&[(1.0, 12.0)], 16.0, None, true)]
-#[case::what_waits_is_told(&[], 16.0, Some(8.0), false)]
-fn a_job_that_is_hopeless_everywhere_is_rejected_at_once(
-    #[case] shown: &[(f64, f64)],
-    #[case] held_when_full: f64,
+#[case::slots_never_reported(&[], 16.0, None, false)]
+#[case::one_free_slot(&[(1.0, 0.0)], 16.0, None, true)]
+#[case::five_slots_free_or_active(&[(2.0, 3.0)], 9.0, None, false)]
+#[case::three_slots_and_a_long_queue(&[(2.0, 1.0)], 60.0, None, true)]
+#[case::active_jobs_that_may_wait(&[(1.0, 12.0)], 16.0, None, true)]
+#[case::waiting_jobs_reported(&[], 16.0, Some(8.0), false)]
+fn a_job_that_would_be_late_at_every_worker_is_rejected_at_once(
+    #[case] reported: &[(f64, f64)],
+    #[case] active_when_full: f64,
     #[case] waiting: Option<f64>,
-    #[case] hopeless: bool,
+    #[case] is_rejected: bool,
 ) {
     let mut dispatcher = TestDispatcher::new(
         Settings {
@@ -91,34 +93,35 @@
         },
         4,
     );
-    let tell = |dispatcher: &mut TestDispatcher, free: f64, held: f64, waiting: Option<f64>| {
-        for worker in 0..4 {
-            let free_slots = Some(free);
-            let report = Some(LoadReport {
-                free_slots,
-                active: Some(held),
-                waiting,
-                ..LoadReport::default()
-            });
-            dispatcher.handle_event(Event::ProbeEnded {
-                worker: WorkerId(worker),
-                answered: true,
-                report,
-            });
-        }
-    };
-    shown
+    let report_load =
+        |dispatcher: &mut TestDispatcher, free: f64, active: f64, waiting: Option<f64>| {
+            for worker in 0..4 {
+                let free_slots = Some(free);
+                let report = Some(LoadReport {
+                    free_slots,
+                    active: Some(active),
+                    waiting,
+                    ..LoadReport::default()
+                });
+                dispatcher.handle_event(Event::ProbeEnded {
+                    worker: WorkerId(worker),
+                    answered: true,
+                    report,
+                });
+            }
+        };
+    reported
         .iter()
-        .for_each(|&(free, held)| tell(&mut dispatcher, free, held, None));
-    tell(&mut dispatcher, 0.0, held_when_full, waiting);
+        .for_each(|&(free, active)| report_load(&mut dispatcher, free, active, None));
+    report_load(&mut dispatcher, 0.0, active_when_full, waiting);
     let actions = dispatcher.arrive(1, AT_MOST_ONCE);
     assert_eq!(
         (sends(&actions).len(), rejected(&actions)),
-        if hopeless { (0, 1) } else { (1, 0) }
+        if is_rejected { (0, 1) } else { (1, 0) }
     );
 }
 
-/// The same newcomer, told by an answer 'full': what was turned away is no queue of its own.
+/// A dispatcher new to a full fleet, which learns this from shed attempts: these are not a queue of its own jobs.
 #[test]
 fn a_dispatcher_new_to_a_full_fleet_tries_other_workers() {
     let mut dispatcher = TestDispatcher::new(
@@ -153,7 +156,7 @@
 }
 
 #[test]
-fn a_tenant_far_beyond_the_others_is_rejected_while_capacity_is_short() {
+fn a_tenant_far_over_its_share_is_rejected_while_capacity_is_short() {
     let tenant = Tenant {
         quota_rps: 10.0,
         share: 0.25,
@@ -176,7 +179,7 @@
             report,
         });
     }
-    let (mut job, mut turned_away) = (0, [0; 4]);
+    let (mut job, mut rejections) = (0, [0; 4]);
     for _ in 0..50 {
         for tenant in [0, 0, 0, 0, 0, 1, 2, 3] {
             job += 1;
@@ -187,22 +190,19 @@
                 tenant: Some(TenantId(tenant)),
                 ..request
             }));
-            turned_away[tenant as usize] += rejected(&actions);
+            rejections[tenant as usize] += rejected(&actions);
             if rejected(&actions) == 0 {
                 dispatcher.end_attempt(job, 0, AttemptOutcome::Succeeded);
             }
         }
     }
-    assert!(turned_away[0] > 100, "{turned_away:?}");
-    assert!(
-        turned_away[1..].iter().sum::<usize>() <= 3,
-        "{turned_away:?}"
-    );
+    assert!(rejections[0] > 100, "{rejections:?}");
+    assert!(rejections[1..].iter().sum::<usize>() <= 3, "{rejections:?}");
 }
 
-/// A restarted worker is a new process: its old attempts must not count, nor its old charges.
+/// A restarted worker is a new process: its predecessor's attempts and penalties must not count.
 #[test]
-fn a_restart_voids_counts_and_penalties() {
+fn a_restart_resets_counts_and_penalties() {
     let mut dispatcher = TestDispatcher::new(settings(), 1);
     for job in 1..4 {
         dispatcher.arrive(job, AT_MOST_ONCE);
@@ -244,9 +244,10 @@
     }
 }
 
-/// At one job a second a tenant is often twice the others by chance; that made a dispatcher refuse good work.
+/// Guards against rejecting work by chance: at one job a second a tenant often has twice the traffic of
+/// others.
 #[test]
-fn a_tenant_is_not_beyond_its_share_by_chance() {
+fn random_variation_does_not_put_a_tenant_over_its_share() {
     let tenant = Tenant {
         quota_rps: 10.0,
         share: 0.25,
@@ -286,7 +287,8 @@
     }
 }
 
-/// Where workers must be asked, those not asked keep an old usual load, and ranked ahead of those known to be busy.
+/// Where workers report load only when probed, unprobed workers kept an old average load and ranked before
+/// those known to be busy.
 #[test]
 fn where_workers_must_be_probed_only_those_that_answered_are_ranked() {
     let mut dispatcher = TestDispatcher::new(
@@ -316,49 +318,52 @@
     }
 }
 
-/// Queues ran work that was already late, each job making those behind it late too, long after the cause was gone.
+/// Guards against queues that run work which is already late: each job made those behind it late too, long
+/// after the cause had ended.
 #[test]
 fn a_job_that_has_waited_past_its_latency_target_is_answered_and_cancelled() {
-    let strict = |late_share| {
-        let mut set = settings();
-        set.classes
+    let with_late_value = |late_value_share| {
+        let mut test_settings = settings();
+        test_settings
+            .classes
             .iter_mut()
-            .for_each(|c| c.late_value_share = late_share);
-        set
+            .for_each(|c| c.late_value_share = late_value_share);
+        test_settings
     };
-    let wait = |set: Settings, class, begun: bool| {
-        let mut dispatcher = TestDispatcher::new(set, 1);
+    let run_past_target = |test_settings: Settings, class, started_first: bool| {
+        let mut dispatcher = TestDispatcher::new(test_settings, 1);
         dispatcher.arrive(1, class);
-        if begun {
+        if started_first {
             dispatcher.handle_event(started(1, 0));
         }
-        // Aim 100 ms and once more its own 100 ms: begun later than that it ends past 100 ms + 2 * 100 ms.
+        // Latency target 100 ms plus its own 100 ms: a job that starts later than that ends past 100 ms + 2 *
+        // 100 ms.
         let early = dispatcher.fire_timer(190 * MS, 3);
         assert_eq!((failed(&early), rejected(&early)), (0, 0));
         dispatcher.fire_timer(11 * MS, 3)
     };
     for class in [AT_MOST_ONCE, KEYED_PER_CELL] {
-        let actions = wait(strict(0.0), class, false);
+        let actions = run_past_target(with_late_value(0.0), class, false);
         assert_eq!(
             (failed(&actions), cancels(&actions).as_slice()),
             (1, [0].as_slice()),
-            "at once, and called back"
+            "answered at once, and cancelled"
         );
         for actions in [
-            wait(strict(0.0), class, true),  // it runs
-            wait(strict(0.5), class, false), // late is still worth something
-            wait(
+            run_past_target(with_late_value(0.0), class, true), // it is running
+            run_past_target(with_late_value(0.5), class, false), // a late answer still has value
+            run_past_target(
                 Settings {
                     may_cancel: false,
-                    ..strict(0.0)
+                    ..with_late_value(0.0)
                 },
                 class,
                 false,
-            ), // it would run all the same
-            wait(
+            ), // it would run anyway
+            run_past_target(
                 Settings {
                     notifies_start: false,
-                    ..strict(0.0)
+                    ..with_late_value(0.0)
                 },
                 class,
                 false,
@@ -367,19 +372,24 @@
             assert_eq!((failed(&actions), cancels(&actions).len()), (0, 0));
         }
     }
-    // Its client would ask again, so that it would come back later still.
+    // The client would retry, so the job would return even later.
     assert_eq!(
-        failed(&wait(strict(0.0), IDEMPOTENT, false))
-            + failed(&wait(strict(0.0), KEYED_FLEET_WIDE, false)),
+        failed(&run_past_target(with_late_value(0.0), IDEMPOTENT, false))
+            + failed(&run_past_target(
+                with_late_value(0.0),
+                KEYED_FLEET_WIDE,
+                false
+            )),
         0
     );
 }
 
-/// One record for all classes let the others' successes wipe it off, or shut out their good work.
+/// Guards against one penalty for all classes: successes of other classes erased it, or it kept their jobs
+/// away.
 #[test]
-fn a_worker_that_fails_one_class_keeps_the_others() {
+fn a_worker_that_fails_one_class_still_receives_the_others() {
     let mut dispatcher = TestDispatcher::new(settings_with_wide_targets(), 4);
-    let mut to_bad = [0; 2];
+    let mut to_failing = [0; 2];
     for round in 0..20 {
         let batch: Vec<_> = (0..24)
             .map(|i| (round * 24 + i, [IDEMPOTENT, AT_MOST_ONCE][i as usize % 2]))
@@ -388,12 +398,12 @@
         dispatcher.now += 500 * MS;
         for (job, class, workers) in batch {
             for (attempt, worker) in workers.into_iter().enumerate() {
-                to_bad[usize::from(class == AT_MOST_ONCE)] += usize::from(worker == 2);
-                let bad = worker == 2 && class == AT_MOST_ONCE;
+                to_failing[usize::from(class == AT_MOST_ONCE)] += usize::from(worker == 2);
+                let fails = worker == 2 && class == AT_MOST_ONCE;
                 dispatcher.end_attempt(
                     job,
                     attempt as u32,
-                    if bad {
+                    if fails {
                         AttemptOutcome::WorkerError
                     } else {
                         AttemptOutcome::Succeeded
@@ -403,19 +413,20 @@
         }
     }
     assert!(
-        to_bad[1] >= 1 && to_bad[0] >= 3 * to_bad[1],
-        "{to_bad:?} of 240 each"
+        to_failing[1] >= 1 && to_failing[0] >= 3 * to_failing[1],
+        "{to_failing:?} of 240 each"
     );
 }
 
-/// Where half of the workers turn one class away though they show room, an unsafe job is lost at each such try.
+/// Where half of the workers shed one class despite free slots, an at-most-once job is lost with each such
+/// attempt.
 #[test]
-fn a_worker_that_sheds_a_class_in_spite_of_free_slots_is_left_to_other_classes() {
-    let set = Settings {
+fn a_worker_that_sheds_a_class_despite_free_slots_still_serves_other_classes() {
+    let test_settings = Settings {
         shed_may_have_run: true,
         ..settings()
     };
-    let mut dispatcher = TestDispatcher::new(set, 8);
+    let mut dispatcher = TestDispatcher::new(test_settings, 8);
     let (mut lost, mut others) = (0, 0);
     for job in 1..200 {
         let class = [IDEMPOTENT, AT_MOST_ONCE][job as usize % 2];
@@ -423,14 +434,14 @@
             .into_iter()
             .enumerate()
         {
-            let struck = worker >= 4;
-            let outcome = if struck && class == AT_MOST_ONCE {
+            let sheds_class = worker >= 4;
+            let outcome = if sheds_class && class == AT_MOST_ONCE {
                 AttemptOutcome::Shed
             } else {
                 AttemptOutcome::Succeeded
             };
             lost += usize::from(outcome == AttemptOutcome::Shed);
-            others += usize::from(struck && class == IDEMPOTENT);
+            others += usize::from(sheds_class && class == IDEMPOTENT);
             dispatcher.now += 20 * MS;
             let report = Some(LoadReport {
                 free_slots: Some(3.0),
@@ -453,14 +464,14 @@
     assert!(lost <= 14, "{lost} of 100 lost");
     assert!(
         others >= 35,
-        "{others} of 100 at the struck ones: they have room for the other class"
+        "{others} of 100 at the workers that shed: they have capacity for the other class"
     );
 }
 
-/// Each request at a worker of its own opened a connection for each.
+/// Guards against opening a connection for each request, as every request went to another worker.
 #[test]
-fn an_idle_connection_is_used_again_where_a_new_one_costs() {
-    let met = |connection_cost| {
+fn an_idle_connection_is_reused_where_a_new_one_costs() {
+    let used_workers = |connection_cost| {
         let mut dispatcher = TestDispatcher::new(
             Settings {
                 connection_cost,
@@ -469,29 +480,30 @@
             },
             40,
         );
-        let mut met = Vec::new();
+        let mut used_workers = Vec::new();
         for job in 1..60 {
-            met.extend(sends(&dispatcher.arrive(job, AT_MOST_ONCE)));
+            used_workers.extend(sends(&dispatcher.arrive(job, AT_MOST_ONCE)));
             dispatcher.now += 100 * MS;
             dispatcher.end_attempt(job, 0, AttemptOutcome::Succeeded);
         }
-        met.sort_unstable();
-        met.dedup();
-        met.len()
+        used_workers.sort_unstable();
+        used_workers.dedup();
+        used_workers.len()
     };
     assert!(
-        met(0.08) <= 4 && met(0.0) >= 12,
+        used_workers(0.08) <= 4 && used_workers(0.0) >= 12,
         "{} and {}",
-        met(0.08),
-        met(0.0)
+        used_workers(0.08),
+        used_workers(0.0)
     );
 }
 
-/// Where reports show only whether a slot is free, a jam was not seen, and work queued that was late already.
+/// Where reports show only whether a slot is free, a long queue was not detected, and work queued that was
+/// already late.
 #[test]
 fn the_delay_until_a_start_shows_a_queue_that_reports_do_not() {
-    let refusals = |set: Settings, wait_us| {
-        let mut dispatcher = TestDispatcher::new(set, 4);
+    let rejections = |test_settings: Settings, wait_us| {
+        let mut dispatcher = TestDispatcher::new(test_settings, 4);
         for job in 1..5 {
             dispatcher.arrive(job, IDEMPOTENT);
         }
@@ -502,13 +514,13 @@
         rejected(&dispatcher.arrive(9, AT_MOST_ONCE))
     };
     assert_eq!(
-        refusals(settings(), 2 * SECOND),
+        rejections(settings(), 2 * SECOND),
         1,
         "twenty jobs ahead at each"
     );
-    assert_eq!(refusals(settings(), 20 * MS), 0);
+    assert_eq!(rejections(settings(), 20 * MS), 0);
     assert_eq!(
-        refusals(
+        rejections(
             Settings {
                 reports_count_jobs: true,
                 ..settings()
@@ -516,11 +528,12 @@
             2 * SECOND
         ),
         0,
-        "reports tell it"
+        "reports show the queue"
     );
 }
 
-/// Live weights were taken for speed, which measured runs outweigh: the list's one sight of all was not used.
+/// Guards against taking live weights for speed, which measured running times outweigh: the only load
+/// information on all workers was not used.
 #[test]
 fn a_live_weight_shows_how_busy_a_worker_is() {
     let mut dispatcher = TestDispatcher::new(
@@ -545,17 +558,17 @@
         dispatcher.end_attempt(job, 0, AttemptOutcome::Succeeded);
         sent
     };
-    let room = Some(LoadReport {
+    let free_slots_report = Some(LoadReport {
         free_slots: Some(3.0),
         ..LoadReport::default()
     });
-    for (worker, away) in [(1, 0), (0, 1)] {
+    for (worker, draining) in [(1, 0), (0, 1)] {
         dispatcher.update_endpoints(
             false,
             vec![
                 Endpoint {
                     state: EndpointState::Draining,
-                    ..weighted(away, 1.0)
+                    ..weighted(draining, 1.0)
                 },
                 weighted(worker, 1.0),
             ],
@@ -563,18 +576,22 @@
         dispatcher.handle_event(Event::ProbeEnded {
             worker: WorkerId(worker),
             answered: true,
-            report: room,
+            report: free_slots_report,
         });
         let first = u64::from(worker) * 100;
         assert!((first..first + 50).all(|job| place(&mut dispatcher, job) == [worker]));
     }
     dispatcher.update_endpoints(false, vec![weighted(0, 1.0), weighted(1, 1.0)]);
-    dispatcher.now += 60 * SECOND; // what was seen is actions of date
-    assert_eq!(place(&mut dispatcher, 300), [0], "alike, and near");
+    dispatcher.now += 60 * SECOND; // the observations are out of date
+    assert_eq!(
+        place(&mut dispatcher, 300),
+        [0],
+        "alike, and in the local zone"
+    );
     dispatcher.update_endpoints(false, vec![weighted(0, 0.2)]);
     assert_eq!(
         place(&mut dispatcher, 301),
         [1],
-        "the near one holds four jobs a core more"
+        "the local worker holds four more jobs per core"
     );
 }
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,5 +1,5 @@
-//! Random legal sequences of events, and the rules written out again without a look at the module. It models no
-//! speeds: what happens to an attempt, and when, is drawn from a seeded generator.
+//! Random valid sequences of events, checked against an independent statement of the rules. Worker speed is
+//! not modelled: the outcome and time of each attempt come from a seeded generator.
 
 mod common;
 use common::{
@@ -16,40 +16,40 @@
 };
 use streamusher::Balancer;
 
-struct Sent {
+struct TrackedAttempt {
     worker: u32,
-    at: Micros,
-    end: Option<AttemptOutcome>,
-    begun: bool,
+    sent_at: Micros,
+    outcome: Option<AttemptOutcome>,
+    is_started: bool,
     cancelled: bool,
 }
 
-struct Owed {
+struct TrackedJob {
     class: usize,
     deadline: Micros,
-    over_since: Option<Micros>,
-    sent: Vec<Sent>,
+    answered_at: Option<Micros>,
+    sent: Vec<TrackedAttempt>,
 }
 
 struct Checker {
-    set: Settings,
-    stage: Vec<EndpointState>,
-    jobs: BTreeMap<u64, Owed>,
+    settings: Settings,
+    states: Vec<EndpointState>,
+    jobs: BTreeMap<u64, TrackedJob>,
     timers: BTreeMap<(Micros, u64), u64>,
     sends: usize,
     answers: usize,
     digest: Sha256,
 }
 
-/// An action as numbers, which stay when names change.
-fn numbers(action: &Action) -> [u64; 3] {
+/// Encodes an action as numbers, so that the digest does not depend on names.
+fn encode(action: &Action) -> [u64; 3] {
     match action {
         Action::Send { job, worker } => [1, job.0, worker.0.into()],
         Action::Cancel { job, attempt } => [2, job.0, u64::from(*attempt)],
         Action::Reject {
             job,
-            retry_after_us: hold_off_us,
-        } => [3, job.0, *hold_off_us],
+            retry_after_us,
+        } => [3, job.0, *retry_after_us],
         Action::Fail { job } => [4, job.0, 0],
         Action::Schedule { delay_us, token } => [5, *delay_us, *token],
         Action::Probe { worker } => [6, worker.0.into(), 0],
@@ -58,41 +58,42 @@
 }
 
 impl Checker {
-    fn take(&mut self, now: Micros, actions: Vec<Action>, serial: &mut u64) {
+    fn check_actions(&mut self, now: Micros, actions: Vec<Action>, timer_count: &mut u64) {
         for action in actions {
             self.digest.update(now.to_be_bytes());
-            numbers(&action)
+            encode(&action)
                 .iter()
                 .for_each(|number| self.digest.update(number.to_be_bytes()));
             match action {
                 Action::Schedule { delay_us, token } => {
-                    *serial += 1;
-                    self.timers.insert((now + delay_us, *serial), token);
+                    *timer_count += 1;
+                    self.timers.insert((now + delay_us, *timer_count), token);
                 }
                 Action::Probe { worker } => {
                     assert!(
-                        self.set.reports_only_on_probe && (worker.0 as usize) < self.stage.len()
+                        self.settings.reports_only_on_probe
+                            && (worker.0 as usize) < self.states.len()
                     )
                 }
-                Action::Subscribe => assert!(self.set.discovery_must_be_polled),
+                Action::Subscribe => assert!(self.settings.discovery_must_be_polled),
                 Action::Send { job, worker } => self.send(now, job.0, worker.0),
                 Action::Cancel { job, attempt } => {
-                    assert!(self.set.may_cancel);
+                    assert!(self.settings.may_cancel);
                     self.jobs.get_mut(&job.0).unwrap().sent[attempt as usize].cancelled = true;
                 }
                 Action::Reject { job, .. } => {
-                    let j = &self.jobs[&job.0];
-                    let harmless = j
+                    let job_state = &self.jobs[&job.0];
+                    let never_ran_anywhere = job_state
                         .sent
                         .iter()
-                        .all(|s| s.end.is_some_and(|e| never_ran(&self.set, e)));
-                    match self.set.classes[j.class].repeatability {
+                        .all(|s| s.outcome.is_some_and(|e| never_ran(&self.settings, e)));
+                    match self.settings.classes[job_state.class].repeatability {
                         Repeatability::Idempotent
                         | Repeatability::IdempotentByKey {
                             scope: DeduplicationScope::All,
                             ..
                         } => {}
-                        _ => assert!(harmless, "refused what may have run"),
+                        _ => assert!(never_ran_anywhere, "rejected a job that may have run"),
                     }
                     self.finish(now, job.0);
                 }
@@ -102,29 +103,29 @@
     }
 
     fn finish(&mut self, now: Micros, job: u64) {
-        let j = self.jobs.get_mut(&job).unwrap();
-        assert!(j.over_since.is_none(), "answered twice");
+        let job_state = self.jobs.get_mut(&job).unwrap();
+        assert!(job_state.answered_at.is_none(), "answered twice");
         assert!(
-            now <= j.deadline + self.set.answer_slack_us,
+            now <= job_state.deadline + self.settings.answer_slack_us,
             "answered too late"
         );
-        j.over_since = Some(now);
+        job_state.answered_at = Some(now);
         self.answers += 1;
     }
 
     fn send(&mut self, now: Micros, job: u64, worker: u32) {
         self.sends += 1;
-        let j = self.jobs.get_mut(&job).unwrap();
-        assert!(j.over_since.is_none(), "sent after the end");
-        assert!(now < j.deadline);
+        let job_state = self.jobs.get_mut(&job).unwrap();
+        assert!(job_state.answered_at.is_none(), "sent after the answer");
+        assert!(now < job_state.deadline);
         assert_eq!(
-            self.stage[worker as usize],
+            self.states[worker as usize],
             EndpointState::Ready,
-            "sent to one that drains or is gone"
+            "sent to a worker that is draining or gone"
         );
-        assert!((j.sent.len() as u32) < self.set.max_attempts);
-        // Zone and kind of a worker are its number modulo 2 and 3 here.
-        let class = &self.set.classes[j.class];
+        assert!((job_state.sent.len() as u32) < self.settings.max_attempts);
+        // In this test a worker's zone and kind are its number modulo 2 and 3.
+        let class = &self.settings.classes[job_state.class];
         let zones = class
             .permitted_zones
             .iter()
@@ -133,7 +134,7 @@
             .collect::<Vec<_>>();
         assert!(
             zones.is_empty() || zones.contains(&(worker % 2)),
-            "a zone that is not permitted"
+            "sent to a zone that is not permitted"
         );
         let kinds = class
             .permitted_kinds
@@ -143,23 +144,26 @@
             .collect::<Vec<_>>();
         assert!(
             kinds.is_empty() || kinds.contains(&(worker % 3)),
-            "a kind that is not permitted"
+            "sent to a kind that is not permitted"
         );
         assert!(
-            self.set.may_duplicate || j.sent.iter().all(|s| s.end.is_some()),
-            "two out together"
+            self.settings.may_duplicate || job_state.sent.iter().all(|s| s.outcome.is_some()),
+            "two attempts in flight"
         );
-        let risky: Vec<&Sent> = j
+        let possible_runs: Vec<&TrackedAttempt> = job_state
             .sent
             .iter()
-            .filter(|s| !s.end.is_some_and(|e| never_ran(&self.set, e)))
+            .filter(|s| !s.outcome.is_some_and(|e| never_ran(&self.settings, e)))
             .collect();
-        match self.set.classes[j.class].repeatability {
+        match self.settings.classes[job_state.class].repeatability {
             Repeatability::Idempotent => {}
-            Repeatability::AtMostOnce => assert!(risky.is_empty(), "ran twice"),
+            Repeatability::AtMostOnce => assert!(possible_runs.is_empty(), "may have run twice"),
             Repeatability::IdempotentByKey { scope, window_us } => {
-                if let Some(first) = risky.first() {
-                    assert!(now <= first.at + window_us, "past the window");
+                if let Some(first) = possible_runs.first() {
+                    assert!(
+                        now <= first.sent_at + window_us,
+                        "sent past the deduplication window"
+                    );
                     match scope {
                         DeduplicationScope::All => {}
                         DeduplicationScope::Zone => assert_eq!(first.worker % 2, worker % 2),
@@ -168,37 +172,38 @@
                 }
             }
         }
-        j.sent.push(Sent {
+        job_state.sent.push(TrackedAttempt {
             worker,
-            at: now,
-            end: None,
-            begun: false,
+            sent_at: now,
+            outcome: None,
+            is_started: false,
             cancelled: false,
         });
     }
 }
 
-fn never_ran(set: &Settings, outcome: AttemptOutcome) -> bool {
+fn never_ran(settings: &Settings, outcome: AttemptOutcome) -> bool {
     matches!(
         outcome,
         AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent
-    ) || (outcome == AttemptOutcome::Shed && !set.shed_may_have_run)
+    ) || (outcome == AttemptOutcome::Shed && !settings.shed_may_have_run)
 }
 
-/// Digest of all actions on the seeds of the test below. A change of policy replaces it and says so in its commit.
-const RECORDED: &str = "2392b04bf7d0ec7e";
+/// Digest of all actions for the seeds of the test below. A change of policy replaces it and states so in its
+/// commit.
+const RECORDED_DIGEST: &str = "2392b04bf7d0ec7e";
 
-fn play(seed: u64) -> (usize, usize, Sha256) {
+fn run_sequence(seed: u64) -> (usize, usize, Sha256) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut set = settings_with_wide_targets();
-    set.notifies_start = rng.random();
-    set.may_cancel = rng.random_bool(0.8);
-    set.may_duplicate = rng.random_bool(0.8);
-    set.max_attempts = rng.random_range(1..7);
-    set.discovery_must_be_polled = rng.random();
-    set.reports_only_on_probe = rng.random_bool(0.3);
-    set.shed_may_have_run = rng.random();
-    for class in &mut set.classes {
+    let mut sequence_settings = settings_with_wide_targets();
+    sequence_settings.notifies_start = rng.random();
+    sequence_settings.may_cancel = rng.random_bool(0.8);
+    sequence_settings.may_duplicate = rng.random_bool(0.8);
+    sequence_settings.max_attempts = rng.random_range(1..7);
+    sequence_settings.discovery_must_be_polled = rng.random();
+    sequence_settings.reports_only_on_probe = rng.random_bool(0.3);
+    sequence_settings.shed_may_have_run = rng.random();
+    for class in &mut sequence_settings.classes {
         class.permitted_zones = rng
             .random_bool(0.3)
             .then(|| vec![ZoneId(rng.random_range(0..2))]);
@@ -207,7 +212,7 @@
             .then(|| vec![KindId(rng.random_range(0..3)), KindId(1)]);
     }
     if let Repeatability::IdempotentByKey { scope, .. } =
-        &mut set.classes[KEYED_PER_CELL as usize].repeatability
+        &mut sequence_settings.classes[KEYED_PER_CELL as usize].repeatability
     {
         *scope = if rng.random() {
             DeduplicationScope::Zone
@@ -215,55 +220,55 @@
             DeduplicationScope::Cell
         };
     }
-    let tick = set.batch_interval_us;
-    let n = rng.random_range(1..20u32);
+    let tick = sequence_settings.batch_interval_us;
+    let worker_count = rng.random_range(1..20u32);
     let mut now = 1_000 * SECOND;
-    let mut balancer = Balancer::new(set.clone(), seed, now);
-    let stage = vec![EndpointState::Gone; n as usize];
-    let mut c = Checker {
-        set,
-        stage,
+    let mut balancer = Balancer::new(sequence_settings.clone(), seed, now);
+    let states = vec![EndpointState::Gone; worker_count as usize];
+    let mut checker = Checker {
+        settings: sequence_settings,
+        states,
         jobs: BTreeMap::new(),
         timers: BTreeMap::new(),
         sends: 0,
         answers: 0,
         digest: Sha256::default(),
     };
-    let (mut serial, mut next_job) = (0, 0);
-    let mut since = vec![0; n as usize];
-    let mut first = true;
+    let (mut timer_count, mut next_job) = (0, 0);
+    let mut started_at = vec![0; worker_count as usize];
+    let mut is_first_list = true;
     let end_of_arrivals = now + 20 * SECOND;
     while now < end_of_arrivals + 8 * SECOND {
         let mut events = Vec::new();
-        if first || rng.random_bool(0.01) {
-            let complete = first || rng.random_bool(0.3);
+        if is_first_list || rng.random_bool(0.01) {
+            let complete = is_first_list || rng.random_bool(0.3);
             let mut entries = Vec::new();
-            for id in 0..n {
-                let i = id as usize;
-                if !first && complete && rng.random_bool(0.1) {
-                    c.stage[i] = EndpointState::Gone; // no longer named
+            for id in 0..worker_count {
+                let index = id as usize;
+                if !is_first_list && complete && rng.random_bool(0.1) {
+                    checker.states[index] = EndpointState::Gone; // no longer listed
                     continue;
                 }
-                if !first && !complete && rng.random_bool(0.7) {
+                if !is_first_list && !complete && rng.random_bool(0.7) {
                     continue;
                 }
-                c.stage[i] = [
+                checker.states[index] = [
                     EndpointState::Ready,
                     EndpointState::Ready,
                     EndpointState::Ready,
                     EndpointState::Draining,
                 ][rng.random_range(0..4)];
                 if rng.random_bool(0.1) {
-                    since[i] = now - rng.random_range(0..20) * SECOND;
+                    started_at[index] = now - rng.random_range(0..20) * SECOND;
                 }
                 entries.push(Endpoint {
-                    state: c.stage[i],
-                    started_at_us: since[i],
+                    state: checker.states[index],
+                    started_at_us: started_at[index],
                     kind: KindId(id % 3),
                     ..endpoint(id)
                 });
             }
-            first = false;
+            is_first_list = false;
             events.push(Event::EndpointUpdate {
                 complete,
                 endpoints: entries,
@@ -272,33 +277,34 @@
         if rng.random_bool(0.01) {
             events.push(Event::DiscoveryFailed);
         }
-        // The state of the list is as told by the whole batch, so the checks hold for what follows in it.
-        let mut out = Vec::new();
-        for e in events.drain(..) {
-            balancer.handle(now, e, &mut out);
+        // `states` reflects all list updates of the batch, so these are handled first and the checks hold for
+        // the rest.
+        let mut actions = Vec::new();
+        for event in events.drain(..) {
+            balancer.handle(now, event, &mut actions);
         }
-        c.take(now, std::mem::take(&mut out), &mut serial);
+        checker.check_actions(now, std::mem::take(&mut actions), &mut timer_count);
 
-        let due: Vec<_> = c
+        let due: Vec<_> = checker
             .timers
             .range(..=(now, u64::MAX))
             .map(|(k, v)| (*k, *v))
             .collect();
         for (key, token) in due {
-            c.timers.remove(&key);
-            balancer.handle(now, Event::Timer { token }, &mut out);
-            c.take(now, std::mem::take(&mut out), &mut serial);
+            checker.timers.remove(&key);
+            balancer.handle(now, Event::Timer { token }, &mut actions);
+            checker.check_actions(now, std::mem::take(&mut actions), &mut timer_count);
         }
         if now < end_of_arrivals && rng.random_bool(0.2) {
             next_job += 1;
             let class = rng.random_range(0..4u32);
             let wait = rng.random_range(0..3 * SECOND);
-            c.jobs.insert(
+            checker.jobs.insert(
                 next_job,
-                Owed {
+                TrackedJob {
                     class: class as usize,
                     deadline: now + wait,
-                    over_since: None,
+                    answered_at: None,
                     sent: Vec::new(),
                 },
             );
@@ -308,28 +314,28 @@
                 expires_in_us: wait,
                 ..Request::default()
             };
-            balancer.handle(now, Event::Arrived(request), &mut out);
-            c.take(now, std::mem::take(&mut out), &mut serial);
+            balancer.handle(now, Event::Arrived(request), &mut actions);
+            checker.check_actions(now, std::mem::take(&mut actions), &mut timer_count);
         }
-        let open: Vec<u64> = c.jobs.keys().copied().collect();
+        let open: Vec<u64> = checker.jobs.keys().copied().collect();
         for id in open {
-            let count = c.jobs[&id].sent.len();
-            for attempt in 0..count {
-                let j = c.jobs.get_mut(&id).unwrap();
-                let (deadline, over) = (j.deadline, j.over_since.is_some());
-                let s = &mut j.sent[attempt];
-                if s.end.is_some() {
+            let count = checker.jobs[&id].sent.len();
+            for number in 0..count {
+                let job_state = checker.jobs.get_mut(&id).unwrap();
+                let (deadline, is_over) = (job_state.deadline, job_state.answered_at.is_some());
+                let attempt = &mut job_state.sent[number];
+                if attempt.outcome.is_some() {
                     continue;
                 }
-                if !s.begun && rng.random_bool(0.2) {
-                    s.begun = true;
-                    balancer.handle(now, started(id, attempt as u32), &mut out);
-                    c.take(now, std::mem::take(&mut out), &mut serial);
+                if !attempt.is_started && rng.random_bool(0.2) {
+                    attempt.is_started = true;
+                    balancer.handle(now, started(id, number as u32), &mut actions);
+                    checker.check_actions(now, std::mem::take(&mut actions), &mut timer_count);
                     continue;
                 }
                 let outcome = match () {
                     _ if now >= deadline => AttemptOutcome::TimedOut,
-                    _ if s.cancelled && rng.random() => AttemptOutcome::Cancelled,
+                    _ if attempt.cancelled && rng.random() => AttemptOutcome::Cancelled,
                     _ if rng.random_bool(0.03) => [
                         AttemptOutcome::Succeeded,
                         AttemptOutcome::WorkerError,
@@ -339,53 +345,59 @@
                     ][rng.random_range(0..5)],
                     _ => continue,
                 };
-                s.end = Some(outcome);
-                let complete = over || outcome == AttemptOutcome::Succeeded;
-                if outcome == AttemptOutcome::Succeeded && !over {
-                    j.over_since = Some(now);
-                    c.answers += 1;
+                attempt.outcome = Some(outcome);
+                let is_final = is_over || outcome == AttemptOutcome::Succeeded;
+                if outcome == AttemptOutcome::Succeeded && !is_over {
+                    job_state.answered_at = Some(now);
+                    checker.answers += 1;
                 }
                 balancer.handle(
                     now,
-                    attempt_ended(id, attempt as u32, outcome, complete),
-                    &mut out,
+                    attempt_ended(id, number as u32, outcome, is_final),
+                    &mut actions,
                 );
-                c.take(now, std::mem::take(&mut out), &mut serial);
+                checker.check_actions(now, std::mem::take(&mut actions), &mut timer_count);
             }
-            let j = c.jobs.get_mut(&id).unwrap();
-            if j.over_since.is_none() && now >= j.deadline + c.set.answer_slack_us {
+            let job_state = checker.jobs.get_mut(&id).unwrap();
+            if job_state.answered_at.is_none()
+                && now >= job_state.deadline + checker.settings.answer_slack_us
+            {
                 panic!("request {id} was not answered in time");
             }
-            if j.over_since.is_some() && j.sent.iter().all(|s| s.end.is_some()) {
-                c.jobs.remove(&id);
+            if job_state.answered_at.is_some() && job_state.sent.iter().all(|s| s.outcome.is_some())
+            {
+                checker.jobs.remove(&id);
             }
         }
-        balancer.handle(now, Event::BatchEnd, &mut out);
-        c.take(now, std::mem::take(&mut out), &mut serial);
+        balancer.handle(now, Event::BatchEnd, &mut actions);
+        checker.check_actions(now, std::mem::take(&mut actions), &mut timer_count);
         if rng.random_bool(0.0005) {
-            // Killed and started anew: nothing of the old one is owed or known.
-            balancer = Balancer::new(c.set.clone(), seed + now, now);
-            c.jobs.clear();
-            c.timers.clear();
-            first = true;
+            // Restart after a kill: the new dispatcher owes and knows nothing of the old one's jobs.
+            balancer = Balancer::new(checker.settings.clone(), seed + now, now);
+            checker.jobs.clear();
+            checker.timers.clear();
+            is_first_list = true;
         }
         now += tick;
     }
     assert!(
-        c.jobs.values().all(|j| j.over_since.is_some()),
-        "all answered in the end"
+        checker
+            .jobs
+            .values()
+            .all(|job_state| job_state.answered_at.is_some()),
+        "all jobs are answered in the end"
     );
-    (c.sends, c.answers, c.digest)
+    (checker.sends, checker.answers, checker.digest)
 }
 
 #[test]
-fn random_sequences_keep_the_rules() {
+fn random_sequences_obey_the_rules() {
     let (mut sends, mut answers) = (0, 0);
     let mut all = Sha256::default();
     for seed in 0..60 {
-        let (s, a, digest) = play(seed);
-        sends += s;
-        answers += a;
+        let (sequence_sends, sequence_answers, digest) = run_sequence(seed);
+        sends += sequence_sends;
+        answers += sequence_answers;
         all.update(digest.finalize());
     }
     let digest: String = all.finalize()[..8]
@@ -393,35 +405,35 @@
         .map(|byte| format!("{byte:02x}"))
         .collect();
     assert_eq!(
-        digest, RECORDED,
-        "another decision than recorded: a change of names alone keeps it"
+        digest, RECORDED_DIGEST,
+        "decisions differ from the recorded ones; a change of names alone does not alter them"
     );
     assert!(
         sends > 20_000 && answers > 20_000,
-        "{sends} sends, {answers} answers: too few to tell"
+        "{sends} sends, {answers} answers: too few to be meaningful"
     );
 }
 
-/// Any events in any order, ids out of range and settings that make no sense: no panic.
+/// Guards against panics on any events in any order, identifiers out of range and invalid settings.
 #[test]
 fn arbitrary_events_and_settings_cause_no_panic() {
     for seed in 0..200 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut set = if seed % 3 == 0 {
+        let mut arbitrary_settings = if seed % 3 == 0 {
             Settings::default()
         } else {
             settings()
         };
         if seed % 2 == 0 {
-            set.batch_interval_us = 0;
-            set.warm_up_us = 0;
-            set.max_discovery_interval_us = 0;
-            set.max_attempts = rng.random_range(0..2);
-            set.start_capacity = f64::NAN;
-            set.discovery_must_be_polled = true;
+            arbitrary_settings.batch_interval_us = 0;
+            arbitrary_settings.warm_up_us = 0;
+            arbitrary_settings.max_discovery_interval_us = 0;
+            arbitrary_settings.max_attempts = rng.random_range(0..2);
+            arbitrary_settings.start_capacity = f64::NAN;
+            arbitrary_settings.discovery_must_be_polled = true;
         }
-        let mut balancer = Balancer::new(set, seed, rng.random());
-        let mut out = Vec::new();
+        let mut balancer = Balancer::new(arbitrary_settings, seed, rng.random());
+        let mut actions = Vec::new();
         for _ in 0..300 {
             let now: Micros = rng.random();
             let job = JobId([rng.random_range(0..6), rng.random()][rng.random_range(0..2)]);
@@ -440,7 +452,7 @@
                 AttemptOutcome::TimedOut,
             ];
             let outcome = outcomes[rng.random_range(0..5)];
-            let e = Endpoint {
+            let endpoint_update = Endpoint {
                 worker,
                 weight: [0.0, -1.0, f64::NAN, 1.0][rng.random_range(0..4)],
                 started_at_us: rng.random(),
@@ -449,7 +461,7 @@
             let event = match rng.random_range(0..12) {
                 0 => Event::EndpointUpdate {
                     complete: rng.random(),
-                    endpoints: vec![e],
+                    endpoints: vec![endpoint_update],
                 },
                 1 => Event::DiscoveryFailed,
                 2..=4 => Event::Arrived(Request {
@@ -487,8 +499,8 @@
                     report,
                 },
             };
-            balancer.handle(now, event, &mut out);
-            balancer.handle(now, Event::BatchEnd, &mut out);
+            balancer.handle(now, event, &mut actions);
+            balancer.handle(now, Event::BatchEnd, &mut actions);
         }
     }
 }
