--- a/src/balance/admission.rs
+++ b/src/balance/admission.rs
@@ -13,7 +13,7 @@
 const AFFINITY_WORKERS: usize = 3;
 /// A tenant exceeds its share at this multiple of the median usage relative to quota; allows for chance.
 const OVER_SHARE_MULTIPLE: f64 = 1.3;
-/// A job is answered early when its expected latency is this multiple of its target; estimates are rough.
+/// A job is answered early when its expected latency exceeds this multiple of its target; estimates are rough.
 const LATE_TARGET_MULTIPLE: f64 = 1.5;
 
 impl Balancer {
--- a/src/balance/fan_out.rs
+++ b/src/balance/fan_out.rs
@@ -4,9 +4,9 @@
 use crate::interface::{Action, JobId, Micros, Repeatability, WorkerId};
 use crate::state::{Attempt, Job, Timer};
 
-/// Maximum copies of a job in flight: with more than three or four queues the shortest gains little.
+/// Maximum copies of a job in flight: beyond three or four queues the shortest gains little.
 const MAX_COPIES: usize = 4;
-/// Penalty, in jobs, each time a job is unanswered at a recheck without start notifications: at most one wait.
+/// Penalty, in jobs, each time a job is unanswered at a recheck without start notifications: no more than a wait.
 const UNANSWERED_PENALTY: f64 = 1.0;
 /// Traffic over its share is served while this part of the slots is free: a reserve for a general slow-down.
 const SPARE_CAPACITY_SHARE: f64 = 0.35;
--- a/src/balance/slow_start.rs
+++ b/src/balance/slow_start.rs
@@ -71,7 +71,7 @@
     }
 
     /// The current credit; a request may be sent while it is not negative. Excess over the maximum is dropped in whole
-    /// requests: else a quiet fleet would send all it kept at once, one request for each of the least shares.
+    /// requests: else all dispatchers of a quiet fleet, even with the least shares, would send a request at once.
     pub fn credit(&self, now: Micros, share: SlowStartShare) -> f64 {
         // The worker warms up linearly, so its mean part applies.
         let mean_capacity_share = f64::midpoint(self.capacity_share, share.capacity_share);
--- a/src/core/booking.rs
+++ b/src/core/booking.rs
@@ -181,12 +181,12 @@
             let Some(started_at) = step.started_at.or(is_winner.then_some(step.sent_at)) else {
                 continue;
             };
-            let ran = step.ended_at.unwrap_or(now).saturating_sub(started_at);
+            let run_time = step.ended_at.unwrap_or(now).saturating_sub(started_at);
             *if is_winner {
                 &mut usage.run_us
             } else {
                 &mut usage.wasted_us
-            } += ran;
+            } += run_time;
         }
         usage
     }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -87,7 +87,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Inputs queued for the next turn.
+/// An input that is queued for the next turn.
 enum Input {
     Arrived(JobId),
     Disconnected(JobId),
@@ -191,7 +191,7 @@
         Ok(Core::new(site, max_open, false, seed, now))
     }
 
-    /// A core without workers. `joins_repeats`: see [`crate::config`].
+    /// A core without workers; [`crate::config`] describes `joins_repeats`.
     pub(crate) fn new(
         mut site: Site,
         max_open: usize,
@@ -200,8 +200,7 @@
         now: Micros,
     ) -> Core {
         if joins_repeats {
-            // Workers are not known to drop each other's repeats, so an attempt that may have run is the
-            // last.
+            // Workers may not drop each other's repeats, so an attempt that may have run is the last.
             let keyed =
                 |c: &&mut Class| matches!(c.repeatability, Repeatability::IdempotentByKey { .. });
             site.settings
@@ -270,7 +269,7 @@
         self.drivers.len() - 1
     }
 
-    /// Adds a source of pool configs that is asked to subscribe.
+    /// Adds a source of pool configs that must be asked for changes.
     pub fn attach_source(&mut self, source: Rc<dyn PoolSource>) {
         self.sources.push(source);
     }
--- a/src/core/observer.rs
+++ b/src/core/observer.rs
@@ -22,8 +22,8 @@
     /// Reports the ready workers to the observer.
     pub(super) fn notify_observer(&self) {
         let ready = |m: &&PoolMember| m.state == EndpointState::Ready;
-        self.observer.iter().for_each(|w| {
-            w.workers_changed(&mut self.workers.iter().map(|w| &w.member).filter(ready))
+        self.observer.iter().for_each(|observer| {
+            observer.workers_changed(&mut self.workers.iter().map(|w| &w.member).filter(ready))
         });
     }
 
--- a/src/core/quotas.rs
+++ b/src/core/quotas.rs
@@ -1,5 +1,5 @@
 //! Quotas of tenants on open operations: a permit is acquired when an operation arrives and released when it
-//! is answered. The balancer receives the free share and rejects an operation without a permit.
+//! is answered. The balancer receives the free share and rejects operations where it is zero.
 
 use super::Core;
 use crate::interface::Micros;
@@ -22,7 +22,7 @@
     Granted {
         /// The budget that the permit counts against.
         budget: usize,
-        /// The share of this member's permits that was free before, above 0.
+        /// The share of this fleet member's permits that was free before, above 0.
         free: f64,
     },
     /// No permit is free.
--- a/src/core/repeats.rs
+++ b/src/core/repeats.rs
@@ -5,8 +5,8 @@
 
 /// Maximum total size of the results retained for repeats of keyed operations, in bytes.
 pub(super) const MAX_RETAINED_BYTES: usize = 8 << 20;
-/// Number of retained keys from which expired ones are evicted.
-const MAX_RETAINED_KEYS: usize = 16_384;
+/// Number of retained keyed operations at which expired ones are evicted.
+const EVICTION_MIN_KEYS: usize = 16_384;
 
 /// A keyed operation that runs or may have run: a repeat of it must not run again within the window.
 pub(super) struct KeyedOperation {
@@ -55,9 +55,9 @@
         keyed.answer = Some(answer);
     }
 
-    /// Evicts keyed operations past their window, once many are retained.
+    /// Bounds the retained keyed operations: evicts those past their window once many are retained.
     pub(super) fn evict_expired_keys(&mut self, now: Micros) {
-        if self.keyed_operations.len() < MAX_RETAINED_KEYS
+        if self.keyed_operations.len() < EVICTION_MIN_KEYS
             && self.retained_bytes < MAX_RETAINED_BYTES / 2
         {
             return;
--- a/src/core/steps.rs
+++ b/src/core/steps.rs
@@ -168,7 +168,7 @@
         };
         let state = &open.steps[step.attempt as usize];
         if !state.given_to_driver {
-            return; // it was never given to a driver
+            return;
         }
         let worker = &self.workers[state.worker.0 as usize];
         self.drivers[worker.driver].cancel(step, &open.operation, &worker.member);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -205,7 +205,7 @@
 #[test]
 fn a_drain_takes_effect_at_once_however_it_is_reported() {
     let drain = |state| Endpoint {
-        state: state,
+        state,
         ..endpoint(1)
     };
     for change in [
