--- a/src/balance/slow_start.rs
+++ b/src/balance/slow_start.rs
@@ -60,8 +60,8 @@
 }
 
 impl SlowStart {
-    /// Starts with a debt of up to one request, `debt` of it (0 to 1, random), which determines the dispatcher that
-    /// sends first, and when.
+    /// Starts with a debt of up to one request: `debt`, a random number from 0 to 1, times its work. This determines
+    /// which dispatcher sends first, and when.
     pub fn begin(now: Micros, capacity_share: f64, debt: f64, request_work: f64) -> SlowStart {
         SlowStart {
             credit: -debt * request_work,
