--- a/crates/coordination/src/acceptor.rs
+++ b/crates/coordination/src/acceptor.rs
@@ -1,58 +1,61 @@
-//! The acceptor's side of Paxos: what a member promises and accepts for the next epoch record.
+//! The acceptor role of Paxos: what a member promises and accepts for the next epoch record.
 //!
-//! *Paxos Made Simple* (Lamport, 2001), section 2.2: an acceptor answers a prepare request with the highest-numbered
-//! proposal that it has accepted, and neither promises nor accepts any proposal below the highest one that it has
-//! promised. The answers are sent only when the state behind them is synced (see [`crate::disk`]).
+//! *Paxos Made Simple* (Lamport, 2001), section 2.2: an acceptor responds to a prepare request with the
+//! highest-numbered proposal that it has accepted, and neither promises nor accepts any proposal below the
+//! highest number that it has promised. Responses are sent only when the state that they report is synced
+//! (see [`crate::disk`]).
 
 use crate::record::{DiskId, EpochRecord};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Number of a proposal (Paxos: ballot). Unique, since `start` is counted on the proposer's disk.
+/// Number of a proposal (Paxos: ballot). It is unique because each start of the proposer's process increments
+/// `start` on disk before the process sends anything.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct ProposalNumber {
-    /// Above all rounds that the proposer has seen.
+    /// Round of the proposal. The proposer chooses it above all rounds that it has seen.
     pub round: u64,
-    /// The proposer.
+    /// Disk id of the proposer.
     pub disk: DiskId,
-    /// Which start of the proposer's process.
+    /// Number of starts of the proposer's process when it made the proposal.
     pub start: u64,
 }
 
-/// What a member keeps on disk for the decisions on epoch records.
+/// Paxos state that a member keeps on disk for the decisions on epoch records.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WitnessState {
-    /// Its disk.
+    /// Disk id of this member.
     pub id: DiskId,
-    /// Counts the starts of the process on this disk.
+    /// Number of starts of the process on this disk.
     pub starts: u64,
-    /// The newest record that is known to be decided.
+    /// The newest record that this member knows to be decided.
     pub decided: Arc<EpochRecord>,
-    /// No proposal of the next record below this number is accepted.
+    /// Highest proposal number that was promised: proposals of the next record below it are rejected.
     pub promise: ProposalNumber,
-    /// The proposal of the next record that was accepted last.
+    /// The proposal of the next record that this member accepted last, if any.
     pub accepted: Option<(ProposalNumber, Arc<EpochRecord>)>,
-    /// This member has proposed its election for the next record. The proposal may be decided at any time, so no primary
-    /// of the present record is acknowledged any more, also after a restart.
+    /// Whether this member has accepted its own proposal for an election. That proposal may be decided at any
+    /// time, so the member no longer acknowledges any primary of the current record, also after a restart.
     #[serde(rename = "standing")]
     pub candidate: bool,
 }
 
-/// The outcome of a request to the acceptor.
+/// Result of a prepare or accept request at the acceptor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Vote {
-    /// Granted; the acceptor's state has changed and must be synced before the answer is sent.
+    /// The request is granted. The acceptor's state has changed and must be synced before the response is
+    /// sent.
     Granted,
-    /// Granted before: the same answer is sent again.
+    /// The request was granted before: the response is sent again, and the state is unchanged.
     GrantedBefore,
-    /// A higher number was promised.
+    /// The request is rejected because a higher proposal number was promised.
     Rejected,
 }
 
 impl WitnessState {
-    /// First phase: promises to accept nothing below `number`.
+    /// Handles a prepare request (phase 1): promises to accept nothing below `number`.
     pub(crate) fn prepare(&mut self, number: ProposalNumber) -> Vote {
         if number < self.promise {
             return Vote::Rejected;
@@ -64,7 +67,7 @@
         Vote::Granted
     }
 
-    /// Second phase: accepts a proposal of the next record.
+    /// Handles an accept request (phase 2) for a proposal of the next record.
     pub(crate) fn accept(&mut self, number: ProposalNumber, value: Arc<EpochRecord>) -> Vote {
         if number < self.promise {
             return Vote::Rejected;
@@ -79,7 +82,8 @@
         Vote::Granted
     }
 
-    /// Begins the next instance of Paxos after a record was decided: what was promised and accepted was for its number.
+    /// Starts the next Paxos instance after a record was decided. The earlier promise and accepted proposal
+    /// belong to the former instance and are discarded.
     pub(crate) fn adopt(&mut self, record: Arc<EpochRecord>) {
         self.decided = record;
         self.promise = ProposalNumber::default();
--- a/crates/coordination/src/batch.rs
+++ b/crates/coordination/src/batch.rs
@@ -1,4 +1,4 @@
-//! The log of batches: its positions and its entries.
+//! Log of batches: positions and entries.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -9,19 +9,19 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct LogPosition {
-    /// The term of the primary that created the batch ([`EpochRecord::term`](crate::EpochRecord::term)).
+    /// Term of the primary that created the batch ([`EpochRecord::term`](crate::EpochRecord::term)).
     pub epoch: u64,
-    /// Sequence of the batch; rises by one from batch to batch, over all terms.
+    /// Sequence number of the batch. It increases by one with each batch, across all terms.
     pub sequence: u64,
 }
 
 /// A batch of writes: one entry of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Batch {
-    /// The position to which it applies.
+    /// Position of the state that the batch applies to.
     pub previous: LogPosition,
-    /// The position that it makes.
+    /// Position of the state after the batch is applied.
     pub position: LogPosition,
-    /// The writes; none in the batch that opens a term.
+    /// The writes in order; empty in the first batch of a term.
     pub writes: Arc<Vec<Write>>,
 }
--- a/crates/coordination/src/bootstrap.rs
+++ b/crates/coordination/src/bootstrap.rs
@@ -1,4 +1,4 @@
-//! What a member with an empty disk begins with.
+//! Initial witness state of a member with an empty disk.
 
 use crate::acceptor::WitnessState;
 use crate::record::{DiskId, EpochRecord, Member};
@@ -8,9 +8,10 @@
 use std::sync::Arc;
 use streamusher_protocol::internal::CoreAddress;
 
-/// At the first start of the system the seeds are the members of epoch 0, with ids that all of them compute alike. Any
-/// other machine draws an id of its own, and is no member until a record names it: a member that lost its disk may have
-/// forgotten a promise, and must not give another one under the same id.
+/// Returns the witness state for an empty disk. At the first start of the system the seeds are the members of
+/// epoch 0, with ids that every seed derives from the addresses. Any other machine draws a random id and is
+/// not a member until a record names it: a member that lost its disk may have forgotten a promise and must
+/// not make another one under the same id.
 pub(crate) fn first_witness(settings: &CoordinatorSettings, random: &mut Pcg64Mcg) -> WitnessState {
     let own_address = &settings.address.internal;
     let is_seed = settings
@@ -31,7 +32,7 @@
     }
 }
 
-/// The record of epoch 0: all seeds are members and replicas, and there is no primary.
+/// Returns the record of epoch 0: all seeds are members and replicas, and there is no primary.
 fn first_record(seeds: &[CoreAddress]) -> EpochRecord {
     let mut members: Vec<Member> = Vec::new();
     for seed in seeds {
@@ -51,7 +52,7 @@
     }
 }
 
-/// The disk id of a seed at the first start: the FNV-1a hash of its address.
+/// Returns the disk id of a seed at the first start: the FNV-1a hash of its address.
 fn address_id(address: &str) -> DiskId {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! The state machine of one member: takes inputs, passes them to its parts, and collects what is to be done.
+//! The state machine of one member: dispatches inputs to the roles and collects the outputs.
 
 use crate::acceptor::{ProposalNumber, Vote};
 use crate::coordinator_core::CoordinatorCore;
@@ -25,27 +25,28 @@
 use streamusher_protocol::store::Write;
 use streamusher_protocol::Millis;
 
-/// Epochs, leases and replication of one member. See the [crate's documentation](crate) for how it is embedded.
+/// Coordinator of one member: epochs, leases and replication. See the [crate's documentation](crate) for how
+/// to embed it.
 #[derive(Clone, Debug)]
 pub struct Coordinator {
     core: CoordinatorCore,
     last_tick_ms: Millis,
-    /// Whether the count of starts is synced: before, no message is taken.
+    /// Whether the number of starts is synced; received messages are dropped before that.
     is_started: bool,
     replica: Replica,
     election: Election,
     proposer: Proposer,
-    /// Epoch of a record that names this member as its new primary and is being synced.
+    /// Epoch of a record that elects this member and is not synced yet.
     elected_epoch: Option<u64>,
-    /// The term of this member, while it is the primary.
+    /// The term of this member while it is the primary.
     term: Option<LeaderTerm>,
     join_requests: JoinRequests,
     discovery: Discovery,
 }
 
-/// Inputs and status: what the embedding program uses.
+/// Inputs and status, for the embedding program.
 impl Coordinator {
-    /// Starts from what is on disk. Nothing is sent before this start is counted there.
+    /// Starts from the content of the disk. Nothing is sent before this start is recorded on disk.
     pub fn new(settings: CoordinatorSettings, image: DiskImage, now_ms: Millis) -> Coordinator {
         Coordinator {
             core: CoordinatorCore::new(settings, image, now_ms),
@@ -61,7 +62,8 @@
         }
     }
 
-    /// Takes an input, and the current time by the caller's steady clock; returns what is to be done, in order.
+    /// Handles an input at the current time of the caller's steady clock. Returns the outputs to carry out,
+    /// in order.
     pub fn handle(&mut self, now_ms: Millis, input: Input) -> Vec<Output> {
         self.set_clock(now_ms);
         match input {
@@ -75,9 +77,10 @@
         self.finish()
     }
 
-    /// Appends writes to the log of the primary; at other members they are dropped. Returns the append's sequence, which
-    /// rises by 1 with each call, and what is to be done. The append is committed when [`Coordinator::committed`] has reached
-    /// its sequence and no [`Output::Deposed`] came in between.
+    /// Appends writes to the log of the primary; other members drop them. Returns the sequence of the append,
+    /// which increases by 1 with each call, and the outputs to carry out. The append is committed when
+    /// [`Coordinator::committed`] has reached its sequence and no [`Output::Deposed`] was returned in
+    /// between.
     pub fn append(&mut self, now_ms: Millis, writes: Vec<Write>) -> (u64, Vec<Output>) {
         self.set_clock(now_ms);
         self.core.appends.appended += 1;
@@ -87,8 +90,8 @@
         (self.core.appends.appended, self.finish())
     }
 
-    /// Replaces the seeds, as after a change of the settings file. They say only where to ask: who is a member is decided by
-    /// epoch records.
+    /// Replaces the seeds, for example after a change of the settings file. Seeds are only addresses to
+    /// contact: epoch records decide which machines are members.
     pub fn set_seeds(&mut self, seeds: Vec<CoreAddress>) {
         self.core.settings.seeds = seeds;
     }
@@ -98,7 +101,7 @@
         &self.core.settings.seeds
     }
 
-    /// Sequence of the newest append.
+    /// Sequence of the newest append since the start of the process.
     pub fn appended(&self) -> u64 {
         self.core.appends.appended
     }
@@ -108,32 +111,34 @@
         self.core.appends.committed
     }
 
-    /// The replicated state in memory, with all that was appended: what a new primary recovers from. Takes O(1).
+    /// The replicated state in memory, with all appends: the state from which a new primary recovers. Takes
+    /// O(1).
     pub fn state(&self) -> StateMap {
         self.core.state.map().clone()
     }
 
-    /// The newest epoch known.
+    /// Epoch of the newest record that this member knows.
     pub fn epoch(&self) -> u64 {
         self.core.record().epoch
     }
 
-    /// Whether this is the primary with a valid lease: responses may be released.
+    /// Whether this member is the primary with a valid lease and may release responses.
     pub fn may_act(&self, now_ms: Millis) -> bool {
         self.term
             .as_ref()
             .is_some_and(|term| term.may_act(&self.core, now_ms))
     }
 
-    /// Whether this member was elected and its first batch is not committed yet.
+    /// Whether this member was elected and the first batch of its term is not committed yet.
     pub fn is_starting_term(&self) -> bool {
         let opens = |term: &LeaderTerm| !term.is_open() && !term.is_stepping_down;
         let is_elected = self.elected_epoch.is_some() || self.term.as_ref().is_some_and(opens);
         self.core.is_named_primary() && is_elected
     }
 
-    /// After [`Input::Leave`]: whether the process may end. It may once it is no primary, is replaced as a replica and is no
-    /// member that an even number can spare; or when the time for that is over.
+    /// After [`Input::Leave`]: whether the process may exit. It may exit when it is neither primary nor
+    /// replica and is not a member that should be removed because the number of members is even, or when
+    /// [`LEAVE_TIMEOUT_MS`] is over.
     pub fn may_leave(&self) -> bool {
         let Some(since_ms) = self.core.leaving_since_ms else {
             return false;
@@ -146,7 +151,8 @@
         is_over || !(is_primary || is_needed)
     }
 
-    /// What this member knows of the control plane. The primary is named only while it is thought to be alive.
+    /// What this member knows about the control plane. The primary is included only while it is presumed
+    /// alive.
     pub fn view(&self, now_ms: Millis) -> ClusterView {
         let record = self.core.record();
         let primary = record
@@ -207,7 +213,7 @@
     }
 }
 
-/// Time and the disk.
+/// Time and disk.
 impl Coordinator {
     fn set_clock(&mut self, now_ms: Millis) {
         self.core.now_ms = self.core.now_ms.max(now_ms);
@@ -218,7 +224,8 @@
         }
     }
 
-    /// This process has stalled. Its own lease has run on, as that is counted in time; others are not blamed for the gap.
+    /// Handles a stall of this process. Its own lease has continued to run during the stall; the time of the
+    /// stall does not count against other members.
     fn on_process_stalled(&mut self, gap_ms: Millis) {
         let now_ms = self.core.now_ms;
         self.core.disk.on_process_stalled(now_ms);
@@ -301,7 +308,8 @@
         }
     }
 
-    /// Handles messages to itself and effects that wait no longer, then passes the next change to the disk.
+    /// Handles messages to itself and effects whose changes are synced, then passes the next change to the
+    /// disk.
     fn finish(&mut self) -> Vec<Output> {
         loop {
             if let Some(message) = self.core.outbox.take_loopback() {
@@ -330,7 +338,7 @@
     }
 }
 
-/// Messages.
+/// Message handling.
 impl Coordinator {
     fn receive(&mut self, sender: &Arc<str>, message: Message) {
         if let Err(error) = message.validate() {
@@ -400,15 +408,15 @@
         }
     }
 
-    /// Passes a message to the term; one that comes to a member that is not the primary is dropped.
+    /// Passes a message to the term of this member; drops it if this member is not the primary.
     fn with_term(&mut self, handle: impl FnOnce(&mut LeaderTerm, &mut CoordinatorCore)) {
         if let Some(term) = &mut self.term {
             handle(term, &mut self.core);
         }
     }
 
-    /// A machine introduces itself: it receives the newest record, and a machine that is no member is recorded as one that
-    /// asks to join.
+    /// Sends the newest record to the sender if the sender knows an older one, and records the join request
+    /// of a machine that is not a member.
     fn on_hello(&mut self, sender: &Arc<str>, member: Member, epoch: u64) {
         let newest = self.core.record().epoch;
         if epoch > newest {
@@ -462,7 +470,7 @@
         self.answer_vote(sender, vote, message);
     }
 
-    /// Whether this member is one of those who decide the record after `base`.
+    /// Whether this member may vote on the record after `base`.
     fn may_vote_after(&mut self, sender: &Arc<str>, base: &Arc<EpochRecord>) -> bool {
         self.adopt_record(base);
         if self.core.record().epoch > base.epoch {
@@ -472,7 +480,8 @@
         self.core.record().is_member(self.core.id())
     }
 
-    /// Sends the response to a vote when all that it rests on is synced; a rejection rests on nothing.
+    /// Sends the response to a vote when the state that it reports is synced. A rejection is sent
+    /// immediately, as it depends on no change.
     fn answer_vote(&mut self, proposer: &Arc<str>, vote: Vote, message: Message) {
         if vote == Vote::Rejected {
             let rejection = Message::Rejected {
@@ -537,7 +546,7 @@
 
 /// Records and terms.
 impl Coordinator {
-    /// Takes over a decided record if it is newer than the newest one known.
+    /// Adopts a decided record if it is newer than the newest one known.
     fn adopt_record(&mut self, record: &Arc<EpochRecord>) {
         let names_other = record.primary != Some(self.core.id());
         let is_kept = cfg!(feature = "mutant-deposed") && self.term.is_some() && names_other;
@@ -569,7 +578,7 @@
         }
     }
 
-    /// Whether the record is a change by this primary that keeps it.
+    /// Whether the record continues the current term of this member.
     fn continues_term(&self, record: &EpochRecord) -> bool {
         let is_same_term = self
             .term
@@ -586,7 +595,8 @@
         }
     }
 
-    /// The record that elected this member is synced: it is the primary now, unless a newer record is known.
+    /// Starts the term of this member after the record that elected it is synced, unless a newer record was
+    /// adopted since.
     fn begin_term(&mut self, epoch: u64) {
         if self.elected_epoch != Some(epoch) {
             return;
@@ -603,17 +613,18 @@
         self.term = Some(term);
     }
 
-    /// Ends the term without a successor; the others need not wait for its lease.
+    /// Ends the term without a successor and announces it, so that the others do not wait for the lease to
+    /// expire.
     fn step_down(&mut self) {
-        log::info!("lost quorum: stepping down");
+        log::info!("no acknowledgements from a quorum: stepping down");
         self.term = None;
         self.proposer.abandon();
         self.core.outbox.push(Output::Deposed);
         self.announce_ended_term();
     }
 
-    /// The newest record names this member as the primary, and it is none, as it has restarted or stepped down: the others
-    /// need not wait for its lease.
+    /// Announces that the term has ended, if the newest record names this member as the primary but it is
+    /// not, as it has restarted or stepped down. The others then do not wait for the lease to expire.
     fn announce_ended_term(&mut self) {
         let is_primary = self.term.is_some() || self.elected_epoch.is_some();
         if !self.core.is_named_primary() || is_primary {
@@ -626,7 +637,7 @@
         self.core.send_to_members(&message);
     }
 
-    /// Chooses the value of the present proposal if there are enough promises, and begins its second phase.
+    /// Chooses the value of the current proposal if there are enough promises, and starts its second phase.
     fn choose_value(&mut self) {
         let value = match self.proposer.choose_value(&self.core) {
             None => return,
@@ -652,7 +663,7 @@
         reconfiguration.desired_record()
     }
 
-    /// Chooses whom to bring up to date, and proposes another record if one is wanted.
+    /// Chooses the learners, and proposes a new record if one is wanted.
     fn reconfigure(&mut self) {
         let now_ms = self.core.now_ms;
         self.join_requests.expire(now_ms);
@@ -676,8 +687,8 @@
         }
     }
 
-    /// A record was decided by this proposer: its members hear of it at once, and those whom it removes when enough members
-    /// have it on disk.
+    /// Announces a record that this member's proposal decided: to its members immediately, and to the
+    /// machines that it removes when enough members have it on disk.
     fn announce_record(&mut self, record: &Arc<EpochRecord>) {
         let former = self.core.record().clone();
         self.adopt_record(record);
@@ -720,7 +731,7 @@
     log_members_missing(old, new, "removed", epoch);
 }
 
-/// Logs the members of one record that the other does not have.
+/// Logs the members of one record that the other record does not have.
 fn log_members_missing(record: &EpochRecord, other: &EpochRecord, change: &str, epoch: u64) {
     let missing = record
         .members
--- a/crates/coordination/src/coordinator_core.rs
+++ b/crates/coordination/src/coordinator_core.rs
@@ -1,4 +1,5 @@
-//! What all roles of a member share: settings, clock, disk, votes, replicated state and messages to send.
+//! State shared by all roles of a member: settings, clock, disk queue, Paxos state, replicated state and
+//! outgoing messages.
 
 use crate::acceptor::WitnessState;
 use crate::bootstrap::first_witness;
@@ -14,35 +15,35 @@
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// Counts appends over the whole life of the process.
+/// Counters of appends since the start of the process.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct AppendCounters {
     /// Sequence of the newest append.
     pub(crate) appended: u64,
-    /// Sequence up to which appends are committed.
+    /// All appends up to this sequence are committed.
     pub(crate) committed: u64,
 }
 
-/// The part of the coordinator that does not depend on its role.
+/// The part of the coordinator that does not depend on the member's role.
 #[derive(Clone, Debug)]
 pub(crate) struct CoordinatorCore {
     pub(crate) settings: CoordinatorSettings,
     pub(crate) random: Pcg64Mcg,
-    /// Time of the present input, by the steady clock.
+    /// Time of the input that is being handled, in milliseconds of the steady clock.
     pub(crate) now_ms: Millis,
     pub(crate) disk: DiskQueue,
     pub(crate) witness: WitnessState,
-    /// Epoch of the newest record that is synced.
+    /// Epoch of the newest record that is synced on this member's disk.
     pub(crate) synced_record_epoch: u64,
     pub(crate) state: ReplicatedState,
     pub(crate) appends: AppendCounters,
-    /// When the process was asked to leave.
+    /// When the process was asked to leave; `None` if it was not.
     pub(crate) leaving_since_ms: Option<Millis>,
     pub(crate) outbox: Outbox,
 }
 
 impl CoordinatorCore {
-    /// Starts from what is on disk, and queues the change that counts this start.
+    /// Starts from the content of the disk, and queues the disk change that increments the number of starts.
     pub(crate) fn new(
         settings: CoordinatorSettings,
         image: DiskImage,
@@ -70,12 +71,12 @@
         }
     }
 
-    /// This member's disk.
+    /// Disk id of this member.
     pub(crate) fn id(&self) -> DiskId {
         self.witness.id
     }
 
-    /// The newest record that is known to be decided.
+    /// The newest record that this member knows to be decided.
     pub(crate) fn record(&self) -> &Arc<EpochRecord> {
         &self.witness.decided
     }
@@ -90,7 +91,8 @@
         self.leaving_since_ms.is_some()
     }
 
-    /// Address of the primary, unless that is this member.
+    /// Internal address of the primary of the newest record; `None` if there is no primary or this member is
+    /// the primary.
     pub(crate) fn primary_address(&self) -> Option<Arc<str>> {
         let record = self.record();
         let primary = record.primary.filter(|id| *id != self.id())?;
@@ -99,25 +101,27 @@
             .map(|member| member.address.internal.clone())
     }
 
-    /// Fewest replicas with which anything is committed: one more than disks may be lost, as far as there are members.
+    /// Minimum number of replicas with which a batch can be committed: one more than the number of disks that
+    /// may be lost, limited by the number of members.
     pub(crate) fn min_replicas(&self, record: &EpochRecord) -> usize {
         (self.settings.tolerance + 1)
             .min(record.members.len())
             .max(1)
     }
 
-    /// Number of replicas aimed at: one more than the fewest, so that work goes on while one is replaced.
+    /// Target number of replicas: one more than the minimum, so that appends are still committed while a
+    /// replica is replaced.
     pub(crate) fn target_replicas(&self) -> usize {
         self.settings.tolerance + 2
     }
 
-    /// Whether the newest record has enough replicas that anything can be committed.
+    /// Whether the newest record has enough replicas to commit batches.
     pub(crate) fn has_enough_replicas(&self) -> bool {
         let record = self.record();
         record.replicas.len() >= self.min_replicas(record)
     }
 
-    /// Sends a message now, whatever is on its way to the disk.
+    /// Sends a message immediately, without waiting for queued disk changes.
     pub(crate) fn send(&mut self, to: Arc<str>, message: Message) {
         self.outbox.send(to, message);
     }
@@ -130,7 +134,8 @@
         }
     }
 
-    /// Introduces this machine, to receive the newest record or to join.
+    /// Sends a `Hello`, which requests the newest record or, from a machine that is not a member, asks to
+    /// join.
     pub(crate) fn send_hello(&mut self, to: Arc<str>) {
         let member = Member {
             id: self.id(),
@@ -140,7 +145,7 @@
         self.send(to, Message::Hello { member, epoch });
     }
 
-    /// Sends the newest record, unless this machine has none yet.
+    /// Sends the newest record, unless this machine has no record with members yet.
     pub(crate) fn send_newest_record(&mut self, to: &Arc<str>) {
         if !self.record().members.is_empty() {
             let record = self.record().clone();
@@ -148,7 +153,8 @@
         }
     }
 
-    /// Acknowledges a keepalive of this term, sent at `sent_ms` by the primary's clock.
+    /// Builds the acknowledgement of a keepalive of this term, which the primary sent at `sent_ms` by its own
+    /// clock.
     pub(crate) fn keepalive_ack(&self, term: u64, sent_ms: Millis) -> Message {
         Message::KeepaliveAck(KeepaliveAck {
             from: self.id(),
--- a/crates/coordination/src/discovery.rs
+++ b/crates/coordination/src/discovery.rs
@@ -1,5 +1,5 @@
-//! How a machine finds the newest record: members that hear no primary ask the others, and machines that are no members
-//! ask to join.
+//! Discovery of the newest record: members that receive nothing from a primary query the other machines, and
+//! machines that are not members ask to join.
 
 use crate::coordinator_core::CoordinatorCore;
 use crate::timing::{JOIN_REQUEST_INTERVAL_MS, PRIMARY_TIMEOUT_MS, RECORD_QUERY_INTERVAL_MS};
@@ -7,19 +7,19 @@
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// Decides when to introduce this machine to others.
+/// Timer that decides when this machine sends `Hello` messages.
 #[derive(Clone, Debug)]
 pub(crate) struct Discovery {
     next_ms: Millis,
 }
 
 impl Discovery {
-    /// Due at once.
+    /// Creates a timer that is due immediately.
     pub(crate) fn new(now_ms: Millis) -> Discovery {
         Discovery { next_ms: now_ms }
     }
 
-    /// Whether a round is due; if so, plans the next one.
+    /// Whether a round of `Hello` messages is due; if so, schedules the next round.
     pub(crate) fn take_due(&mut self, core: &CoordinatorCore) -> bool {
         if core.now_ms < self.next_ms {
             return false;
@@ -35,7 +35,8 @@
     }
 }
 
-/// Introduces this machine to all known addresses, if it is a member that hears no primary, or none that wants to join.
+/// Sends a `Hello` to all known addresses, if this machine is a member without contact to a primary, or is
+/// not a member and wants to join.
 pub(crate) fn send_hellos(
     core: &mut CoordinatorCore,
     primary_heard_ms: Option<Millis>,
@@ -58,7 +59,7 @@
     }
 }
 
-/// Addresses of members and seeds but this machine's own, each once.
+/// Addresses of all members and seeds, without this machine's own address and without duplicates.
 fn known_addresses(core: &CoordinatorCore) -> BTreeSet<Arc<str>> {
     let members = core.record().members.iter().map(|member| &member.address);
     members
--- a/crates/coordination/src/disk.rs
+++ b/crates/coordination/src/disk.rs
@@ -1,7 +1,8 @@
-//! The disk as the state machine sees it: one change at a time, later ones merged, and effects that wait for a sync.
+//! Queue of disk changes: one change is in flight at a time, later changes are merged, and effects wait until
+//! the changes before them are synced.
 //!
-//! Invariant: what a member says to others rests only on what it has synced. An effect such as the response to a prepare
-//! request is queued behind the changes that it rests on and is released when they are synced.
+//! Invariant: a message reports only state that the member has synced. An effect, such as the response to a
+//! prepare request, is queued behind the changes that it depends on and is released when they are synced.
 
 use crate::acceptor::WitnessState;
 use crate::batch::LogPosition;
@@ -15,29 +16,29 @@
 use streamusher_protocol::store::Write;
 use streamusher_protocol::Millis;
 
-/// What happens when all changes so far are synced.
+/// An action to carry out when all changes queued before it are synced.
 #[derive(Clone, Debug)]
 pub(crate) enum Effect {
-    /// The start of the process is counted: the member may send messages.
+    /// The start of the process is recorded on disk: the member may send messages.
     Started,
-    /// A message is sent.
+    /// Sends a message.
     Send { to: Arc<str>, message: Message },
-    /// The record by which this member was elected is on its disk: its term begins.
+    /// The record that elected this member is synced: its term begins.
     BeginTerm { epoch: u64 },
-    /// The primary is told the synced position.
+    /// Sends the synced position to the primary.
     Acknowledge,
-    /// The record of this epoch is on the disk.
+    /// The record of this epoch is synced.
     RecordSynced { epoch: u64 },
 }
 
-/// An effect, and the number of the change that must be synced before.
+/// An effect, and the number of the change that must be synced before it.
 #[derive(Clone, Debug)]
 struct WaitingEffect {
     after_change: u64,
     effect: Effect,
 }
 
-/// The change that the caller is making.
+/// The change that the caller is writing and syncing.
 #[derive(Clone, Debug)]
 struct InFlightChange {
     ticket: u64,
@@ -46,11 +47,11 @@
     since_ms: Millis,
 }
 
-/// Changes on their way to the disk.
+/// Disk changes that are in flight or queued, and the effects that wait for them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DiskQueue {
     in_flight: Option<InFlightChange>,
-    /// All changes that came while one was in flight, merged.
+    /// All changes that were queued while another one was in flight, merged into one.
     queued: Option<DiskChange>,
     last_ticket: u64,
     /// Number of the newest change.
@@ -65,7 +66,7 @@
 }
 
 impl DiskQueue {
-    /// Replaces the state of the witness.
+    /// Queues a replacement of the witness state.
     pub(crate) fn put_witness(&mut self, witness: &WitnessState) {
         self.put(DiskChange {
             witness: Some(witness.clone()),
@@ -73,7 +74,7 @@
         });
     }
 
-    /// Applies a batch that leads to this position.
+    /// Queues the writes of a batch, after which the state is at this position.
     pub(crate) fn put_writes(&mut self, position: LogPosition, writes: &[Write]) {
         self.put(DiskChange {
             position: Some(position),
@@ -82,7 +83,7 @@
         });
     }
 
-    /// Replaces the whole replicated state.
+    /// Queues a replacement of the whole replicated state.
     pub(crate) fn put_snapshot(&mut self, position: LogPosition, writes: Vec<Write>) {
         self.put(DiskChange {
             position: Some(position),
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Queues an effect for the time when all changes so far are synced.
+    /// Queues an effect that is carried out when all changes queued so far are synced.
     pub(crate) fn then(&mut self, effect: Effect) {
         self.effects.push_back(WaitingEffect {
             after_change: self.last_change,
@@ -108,7 +109,7 @@
         });
     }
 
-    /// Takes the next effect whose changes are synced.
+    /// Removes and returns the next effect whose changes are synced.
     pub(crate) fn take_ready_effect(&mut self) -> Option<Effect> {
         let waiting = self.effects.front()?;
         let is_synced = waiting.after_change <= self.synced_change;
@@ -118,7 +119,7 @@
         self.effects.pop_front().map(|waiting| waiting.effect)
     }
 
-    /// Passes the next change to the caller, if none is in flight.
+    /// Starts the next change, if none is in flight and no retry delay is pending.
     pub(crate) fn flush(&mut self, now_ms: Millis) -> Option<Output> {
         if self.in_flight.is_some() || now_ms < self.retry_at_ms {
             return None;
@@ -135,7 +136,8 @@
         Some(Output::Persist { ticket, change })
     }
 
-    /// The change with this ticket is synced; returns the position that it made, if it made one.
+    /// Records that the change with this ticket is synced. Returns the position that the change has set, if
+    /// it has set one.
     pub(crate) fn on_persisted(&mut self, now_ms: Millis, ticket: u64) -> Option<LogPosition> {
         let synced = self.take_in_flight(ticket)?;
         self.synced_change = synced.last_change;
@@ -155,7 +157,8 @@
         }
     }
 
-    /// The change with this ticket was not made, or perhaps it was: it is made again, before all others.
+    /// Handles a failed change with this ticket. The change may or may not have reached the disk, so it is
+    /// queued again before all others.
     pub(crate) fn on_persist_failed(&mut self, now_ms: Millis, ticket: u64) {
         let Some(failed) = self.take_in_flight(ticket) else {
             return;
@@ -173,7 +176,7 @@
         self.in_flight.take_if(|change| change.ticket == ticket)
     }
 
-    /// How long a sync takes now: the last one, or the present one where that already takes longer.
+    /// Duration of a sync: that of the last sync, or of the one in flight if it already takes longer.
     pub(crate) fn sync_time_ms(&self, now_ms: Millis) -> Millis {
         let present_ms = self
             .in_flight
@@ -182,7 +185,7 @@
         present_ms.max(self.last_sync_ms)
     }
 
-    /// Whether the disk is too slow for a primary.
+    /// Whether the disk is too slow or fails too long for a primary.
     pub(crate) fn is_unfit_for_primary(&self, now_ms: Millis) -> bool {
         let is_over = |since_ms: Millis| now_ms.saturating_sub(since_ms) > SYNC_TIMEOUT_MS;
         let is_stuck = self
@@ -193,7 +196,7 @@
         is_stuck || is_failing || self.slow_syncs_in_a_row >= SLOW_SYNCS_IN_A_ROW
     }
 
-    /// The process has stalled: the disk is not blamed for that time.
+    /// Handles a stall of this process: the time of the stall does not count as sync time.
     pub(crate) fn on_process_stalled(&mut self, now_ms: Millis) {
         if let Some(change) = &mut self.in_flight {
             change.since_ms = now_ms;
@@ -201,7 +204,7 @@
     }
 }
 
-/// Appends the second change to the first.
+/// Appends the second change to the first one.
 fn merge(first: &mut DiskChange, second: DiskChange) {
     if second.replace_all {
         first.writes.clear();
--- a/crates/coordination/src/election.rs
+++ b/crates/coordination/src/election.rs
@@ -1,7 +1,8 @@
-//! When a replica stands for election, and what it proposes then.
+//! Elections: when a replica becomes a candidate, and which record it proposes.
 //!
-//! Leases: a replica does not stand for election within a lease of its last acknowledgement of a keepalive, so that no
-//! successor is decided while the primary may still act (`docs/design/control-state.md`, point 1).
+//! Leases: a replica does not become a candidate within one lease duration of its last acknowledgement of a
+//! keepalive, so no successor is decided while the primary may still act (`docs/design/control-state.md`,
+//! point 1).
 
 use crate::coordinator_core::CoordinatorCore;
 use crate::proposal::Promise;
@@ -11,22 +12,23 @@
 use std::collections::BTreeMap;
 use streamusher_protocol::Millis;
 
-/// A replica's knowledge of the primary, and its plan to replace it.
+/// A replica's information about the primary, and its schedule for becoming a candidate.
 #[derive(Clone, Debug)]
 pub(crate) struct Election {
-    /// When this member last promised not to stand for election: its last acknowledgement of a keepalive, or its start, as
-    /// it may have forgotten one.
+    /// Start of the lease that this member has granted to the primary: the time of its last acknowledgement
+    /// of a keepalive, or of its own start, as it may have forgotten an acknowledgement.
     promised_ms: Millis,
-    /// When the primary was last heard.
+    /// When this member last acknowledged a keepalive, or adopted a record that does not continue a term of
+    /// its own.
     primary_heard_ms: Option<Millis>,
-    /// A term whose primary has restarted or stepped down.
+    /// Number of a term whose primary has restarted or stepped down.
     ended_term: Option<u64>,
-    /// When this member will stand for election.
+    /// When this member becomes a candidate; `None` while no election is scheduled.
     stand_at_ms: Option<Millis>,
 }
 
 impl Election {
-    /// A member that has just started.
+    /// State of a member that has just started.
     pub(crate) fn new(now_ms: Millis) -> Election {
         Election {
             promised_ms: now_ms,
@@ -36,45 +38,46 @@
         }
     }
 
-    /// When the primary was last heard.
+    /// When this member was last in contact with the primary; `None` if it was not since its start.
     pub(crate) fn primary_heard_ms(&self) -> Option<Millis> {
         self.primary_heard_ms
     }
 
-    /// A newer record is known: whatever was planned is over.
+    /// Handles a newer record: cancels the scheduled election, and counts the lease from now.
     pub(crate) fn on_record_adopted(&mut self, now_ms: Millis) {
         self.stand_at_ms = None;
         self.promised_ms = now_ms;
     }
 
-    /// The primary was heard.
+    /// Records contact with the primary.
     pub(crate) fn on_primary_heard(&mut self, now_ms: Millis) {
         self.primary_heard_ms = Some(now_ms);
     }
 
-    /// A keepalive is acknowledged.
+    /// Records that this member acknowledges a keepalive, which grants a new lease.
     pub(crate) fn on_keepalive_acknowledged(&mut self, now_ms: Millis) {
         self.promised_ms = now_ms;
         self.primary_heard_ms = Some(now_ms);
     }
 
-    /// The process has stalled: the primary may have been there meanwhile.
+    /// Handles a stall of this process: cancels the scheduled election, because the primary may have sent
+    /// keepalives during the stall.
     pub(crate) fn on_process_stalled(&mut self) {
         self.stand_at_ms = None;
     }
 
-    /// The primary of this term has restarted or stepped down.
+    /// Records that the primary of this term has restarted or stepped down.
     pub(crate) fn on_term_ended(&mut self, term: u64) {
         self.ended_term = Some(term);
     }
 
-    /// Whether the primary of this term has restarted or stepped down.
+    /// Whether the primary of this term is known to have restarted or stepped down.
     pub(crate) fn has_ended(&self, term: u64) -> bool {
         self.ended_term == Some(term)
     }
 
-    /// Whether nobody acts by the newest record any more, as far as this replica can know. `is_elected` says that this
-    /// member was elected by it and has not begun its term yet.
+    /// Whether no primary acts by the newest record any more, as far as this replica can know. `is_elected`
+    /// says that the record elected this member, whose term has not begun yet.
     fn is_lease_over(&self, core: &CoordinatorCore, is_elected: bool) -> bool {
         let record = core.record();
         if record.epoch == 0 || core.witness.candidate || self.has_ended(record.term) {
@@ -87,7 +90,8 @@
         is_over || cfg!(feature = "mutant-lease")
     }
 
-    /// How many other candidates go first: the replicas named before this one, without a primary that may be lost.
+    /// Rank of this candidate: the number of replicas that the record names before it, without a primary that
+    /// may have failed. Each of them becomes a candidate earlier.
     fn rank(&self, core: &CoordinatorCore) -> usize {
         let record = core.record();
         let lost_primary = record.primary.filter(|_| !self.has_ended(record.term));
@@ -98,7 +102,8 @@
         candidates.take_while(|id| **id != core.id()).count()
     }
 
-    /// Plans a candidacy when the lease is over; returns whether this replica has to stand for election now.
+    /// Schedules a candidacy when the lease has expired. Returns whether this replica has to start an
+    /// election now.
     pub(crate) fn tick(&mut self, core: &mut CoordinatorCore, is_elected: bool) -> bool {
         let is_replica = core.record().is_replica(core.id());
         if !is_replica || core.is_leaving() || !self.is_lease_over(core, is_elected) {
@@ -119,8 +124,8 @@
     }
 }
 
-/// The record by which a candidate proposes a new primary. Any replica may be named, as each holds all that is committed;
-/// the one with the longest log saves snapshots.
+/// Builds the record that proposes a new primary. Any replica may be named, as each holds all committed data;
+/// the replica with the longest log saves snapshots.
 pub(crate) fn elected_record(
     core: &CoordinatorCore,
     promises: &BTreeMap<DiskId, Promise>,
@@ -140,7 +145,8 @@
         .max_by_key(|id| (position(*id), *id == own_id));
     let primary = with_longest_log.unwrap_or(own_id);
     let is_enough = reported.len() >= core.min_replicas(base);
-    // With too few replicas alive all of them are kept: any of the others may hold the only copy of a committed batch.
+    // With too few replicas alive, the record keeps all of them: any of the others may hold the only copy of
+    // a committed batch.
     let mut replicas = if is_enough {
         reported
     } else {
--- a/crates/coordination/src/events.rs
+++ b/crates/coordination/src/events.rs
@@ -4,63 +4,63 @@
 use crate::storage::DiskChange;
 use std::sync::Arc;
 
-/// What the caller passes to [`Coordinator::handle`](crate::Coordinator::handle).
+/// An input that the caller passes to [`Coordinator::handle`](crate::Coordinator::handle).
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A message was received.
     Received {
         /// Internal `ip:port` of the sender.
         from: Arc<str>,
-        /// The message.
+        /// The received message.
         message: Message,
     },
     /// The change with this ticket is synced.
     Persisted {
-        /// As in [`Output::Persist`].
+        /// Ticket of the change, as in [`Output::Persist`].
         ticket: u64,
     },
-    /// The change with this ticket could not be made. It is tried again.
+    /// The change with this ticket failed. The coordinator retries it.
     PersistFailed {
-        /// As in [`Output::Persist`].
+        /// Ticket of the change, as in [`Output::Persist`].
         ticket: u64,
     },
-    /// The process is about to end: transfer the leadership and be replaced as a replica.
+    /// The process is about to exit: the member transfers its leadership and is replaced as a replica.
     Leave,
-    /// Time has passed; wanted about every 20 ms.
+    /// Time has passed. The caller sends this input about every 20 ms.
     Tick,
 }
 
-/// What the caller has to carry out, in order.
+/// An action that the caller has to carry out; actions are carried out in order.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Send a message; it may be lost.
+    /// Send a message. Messages may be lost.
     Send {
         /// Internal `ip:port` of the receiver.
         to: Arc<str>,
-        /// The message.
+        /// The message to send.
         message: Message,
     },
-    /// Make a change of the disk and sync it. There is never more than one that has not been answered with
-    /// [`Input::Persisted`] or [`Input::PersistFailed`].
+    /// Write a change to the disk and sync it. At most one change is in flight: the next one follows only
+    /// after [`Input::Persisted`] or [`Input::PersistFailed`].
     Persist {
-        /// Names the change in the answer.
+        /// Identifies the change in [`Input::Persisted`] and [`Input::PersistFailed`].
         ticket: u64,
-        /// The change.
+        /// The change to write and sync as a whole.
         change: DiskChange,
     },
-    /// All appends up to this sequence are synced by all replicas.
+    /// All required replicas have synced all appends up to this sequence.
     Committed {
-        /// As returned by [`Coordinator::append`](crate::Coordinator::append).
+        /// Sequence as returned by [`Coordinator::append`](crate::Coordinator::append).
         sequence: u64,
     },
-    /// This process is the primary from this epoch on; the state to recover from is
-    /// [`Coordinator::state`](crate::Coordinator::state). Nothing may be released before
+    /// This process is the primary from this epoch on. It recovers from the state that
+    /// [`Coordinator::state`](crate::Coordinator::state) returns. Nothing may be released before
     /// [`Coordinator::may_act`](crate::Coordinator::may_act) holds.
     Elected {
-        /// The epoch.
+        /// Epoch of the record that elected this member; it is the number of its term.
         epoch: u64,
     },
-    /// This process is no longer the primary. Responses that wait for a commit must be dropped: their appends may be lost,
-    /// and later sequences go on above them.
+    /// This process is no longer the primary. Responses that wait for a commit must be dropped, as their
+    /// appends may be lost; the sequences of later appends continue above theirs.
     Deposed,
 }
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -1,8 +1,9 @@
-//! The primary's lease: when it may act, whom it needs for that, and when it has lost its quorum.
+//! Lease of the primary: when it may act, which replicas it needs for that, and when it has lost its quorum.
 //!
-//! Invariant: the lease of a primary ends before any successor is decided. It runs from the *sending* of the keepalives that
-//! all needed replicas have acknowledged, and is shorter than the time for which they do not stand for election after the
-//! acknowledgement (Gray and Cheriton, *Leases*, 1989). Only steady clocks count.
+//! Invariant: the lease of a primary expires before any successor is decided. The lease starts when the
+//! primary *sends* the keepalives that all required replicas have acknowledged, and it is shorter than the
+//! time after the acknowledgement for which these replicas do not become candidates (Gray and Cheriton,
+//! *Leases*, 1989). Only steady clocks are used.
 
 use crate::coordinator_core::CoordinatorCore;
 use crate::record::DiskId;
@@ -10,11 +11,13 @@
 use crate::timing::QUORUM_TIMEOUT_MS;
 use streamusher_protocol::Millis;
 
-/// Part of the replicas' lease that the primary uses: the rest covers steady clocks that run at different rates.
+/// Share of the replicas' lease that the primary uses. The rest covers steady clocks that run at different
+/// rates.
 const USED_LEASE_PERCENT: Millis = 95;
 
 impl LeaderTerm {
-    /// Whether the lease is valid and all that this primary holds is committed: responses may be released.
+    /// Whether the lease is valid and the first batch of the term is committed, so that responses may be
+    /// released.
     pub(crate) fn may_act(&self, core: &CoordinatorCore, now_ms: Millis) -> bool {
         let is_allowed = self.is_open() && !self.is_stepping_down && core.has_enough_replicas();
         is_allowed
@@ -23,7 +26,7 @@
                 .is_some_and(|end_ms| now_ms < end_ms)
     }
 
-    /// End of the shortest lease among all that are needed; none while one is missing.
+    /// End of the shortest lease among all required replicas; `None` while one of them has granted no lease.
     fn lease_end_ms(&self, core: &CoordinatorCore) -> Option<Millis> {
         let span_ms = core.settings.lease_ms * USED_LEASE_PERCENT / 100;
         let mut end_ms = Millis::MAX;
@@ -34,8 +37,8 @@
         Some(end_ms)
     }
 
-    /// The other members whose acknowledgement is needed for a commit and for the lease: the replicas of the newest record
-    /// and of all own proposals that may yet be decided.
+    /// The other members whose acknowledgements are required for a commit and for the lease: the replicas of
+    /// the newest record and of all proposals of this primary that may still be decided.
     pub(crate) fn required_replicas<'a>(
         &'a self,
         core: &'a CoordinatorCore,
@@ -46,8 +49,8 @@
         replicas.filter(|id| *id != core.id())
     }
 
-    /// Whether this primary cannot act and hears too few members to change that. Some may still hear it, and it would keep
-    /// them from an election by its keepalives.
+    /// Whether this primary cannot act and receives acknowledgements from too few members to change that.
+    /// Some members may still receive its keepalives, which would keep them from starting an election.
     pub(crate) fn has_lost_quorum(&mut self, core: &CoordinatorCore) -> bool {
         let now_ms = core.now_ms;
         if self.may_act(core, now_ms) {
--- a/crates/coordination/src/log_cache.rs
+++ b/crates/coordination/src/log_cache.rs
@@ -1,15 +1,15 @@
-//! The newest batches, kept in memory for replicas that lack them.
+//! In-memory cache of the newest batches, for replicas that lack them.
 
 use crate::batch::{Batch, LogPosition};
 use std::collections::VecDeque;
 use streamusher_protocol::store::Write;
 
-/// Bytes that a batch takes beside its writes, roughly.
+/// Approximate memory in bytes that a batch takes in addition to its writes.
 const BATCH_OVERHEAD_BYTES: usize = 64;
-/// Bytes that a write takes beside its texts, roughly.
+/// Approximate memory in bytes that a write takes in addition to its key and value.
 const WRITE_OVERHEAD_BYTES: usize = 48;
 
-/// The newest batches in order, without gaps.
+/// The newest batches, in order and without gaps.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RecentBatches {
     batches: VecDeque<Batch>,
@@ -17,7 +17,7 @@
 }
 
 impl RecentBatches {
-    /// Adds a batch and drops the oldest ones above `max_bytes`; the newest always stays.
+    /// Adds a batch and evicts the oldest batches above `max_bytes`; the newest batch is never evicted.
     pub(crate) fn push(&mut self, batch: Batch, max_bytes: usize) {
         self.bytes += batch_bytes(&batch);
         self.batches.push_back(batch);
@@ -27,13 +27,13 @@
         }
     }
 
-    /// Drops all batches.
+    /// Removes all batches.
     pub(crate) fn clear(&mut self) {
         self.batches.clear();
         self.bytes = 0;
     }
 
-    /// Whether the batches held here bring a state at this position to the newest one.
+    /// Whether the cached batches suffice to bring a state at this position to the newest position.
     pub(crate) fn reaches_from(&self, position: LogPosition) -> bool {
         match self.get(position.sequence + 1) {
             Some(batch) => batch.previous == position,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The batch with this sequence, if it is held.
+    /// The batch with this sequence, if it is cached.
     pub(crate) fn get(&self, sequence: u64) -> Option<&Batch> {
         let first = self.batches.front()?.position.sequence;
         let index = usize::try_from(sequence.checked_sub(first)?).ok()?;
@@ -56,7 +56,7 @@
     BATCH_OVERHEAD_BYTES + batch.writes.iter().map(write_bytes).sum::<usize>()
 }
 
-/// Bytes that a write takes in memory or in a message, roughly.
+/// Approximate size in bytes of a write in memory or in a message.
 pub(crate) fn write_bytes(write: &Write) -> usize {
     let value_bytes = write.value.as_ref().map_or(0, |value| value.len());
     WRITE_OVERHEAD_BYTES + write.key.len() + value_bytes
--- a/crates/coordination/src/peer.rs
+++ b/crates/coordination/src/peer.rs
@@ -1,4 +1,4 @@
-//! The progress of another member, as the primary sees it.
+//! Replication state of another member, as tracked by the primary.
 
 use crate::batch::LogPosition;
 use crate::message::KeepaliveAck;
@@ -10,47 +10,48 @@
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// What another member is in the newest record, or is about to become.
+/// Role of another member in the newest record, or the role that it is being prepared for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PeerRole {
-    /// It votes and holds no data that counts.
+    /// It votes on epoch records; its data does not count for commits.
     Witness,
-    /// It is being brought up to date to become a replica.
+    /// It is brought up to date so that it can become a replica.
     Learner,
     /// The newest record names it as a replica.
     Replica,
 }
 
-/// Another member, as the primary sees it.
+/// What the primary tracks about another member.
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
     pub(crate) address: Arc<str>,
-    /// When its last acknowledgement came; the beginning of the term before the first.
+    /// When the member last acknowledged a keepalive; before the first one, when the peer was added.
     pub(crate) heard_ms: Millis,
-    /// Whether it has acknowledged anything in this term.
+    /// Whether the member has acknowledged a keepalive in this term.
     has_answered: bool,
-    /// When the newest keepalive that it acknowledged was sent: its lease runs from here.
+    /// When the newest keepalive that the member acknowledged was sent: the start of its lease.
     pub(crate) lease_start_ms: Option<Millis>,
-    /// What it has synced, once reported.
+    /// Position that the member has synced; `None` until it is reported.
     pub(crate) position: Option<LogPosition>,
     /// Sequence of the last batch sent.
     pub(crate) last_sent: u64,
     retransmit_at_ms: Millis,
     retransmit_interval_ms: Millis,
-    /// End of this process's last stall: batches created before count as unacknowledged from here only.
+    /// End of the last stall of this process: earlier time does not count for the age of unacknowledged
+    /// batches.
     pub(crate) stalled_until_ms: Millis,
     pub(crate) is_leaving: bool,
-    /// Epoch of the newest record that is on its disk.
+    /// Epoch of the newest record on the member's disk, as far as reported.
     pub(crate) synced_record_epoch: u64,
     pub(crate) role: PeerRole,
-    /// It is not taken as a replica before.
+    /// The member is not chosen as a replica before this time.
     pub(crate) excluded_until_ms: Millis,
-    /// The snapshot on its way to it.
+    /// The snapshot that is being sent to the member.
     pub(crate) snapshot: Option<SnapshotSender>,
 }
 
 impl Peer {
-    /// A member of which nothing has been heard in this term.
+    /// Creates the entry of a member that has acknowledged nothing in this term.
     pub(crate) fn new(address: Arc<str>, now_ms: Millis) -> Peer {
         Peer {
             address,
@@ -70,58 +71,59 @@
         }
     }
 
-    /// Whether the newest record names it as a replica.
+    /// Whether the newest record names the member as a replica.
     pub(crate) fn is_replica(&self) -> bool {
         self.role == PeerRole::Replica
     }
 
-    /// Whether it is being brought up to date to become a replica.
+    /// Whether the member is being brought up to date so that it can become a replica.
     pub(crate) fn is_learner(&self) -> bool {
         self.role == PeerRole::Learner
     }
 
-    /// Whether it has acknowledged something lately.
+    /// Whether the member has acknowledged a keepalive within [`REPLICA_TIMEOUT_MS`].
     pub(crate) fn is_responsive(&self, now_ms: Millis) -> bool {
         self.has_answered && now_ms.saturating_sub(self.heard_ms) < REPLICA_TIMEOUT_MS
     }
 
-    /// Whether nothing was heard of it for this long.
+    /// Whether the member has not acknowledged a keepalive for this long.
     pub(crate) fn is_silent_for(&self, span_ms: Millis, now_ms: Millis) -> bool {
         now_ms >= self.heard_ms + span_ms
     }
 
-    /// Whether it may not be a replica, as it was too slow.
+    /// Whether the member must not become a replica yet because it was too slow.
     pub(crate) fn is_excluded(&self, now_ms: Millis) -> bool {
         now_ms < self.excluded_until_ms
     }
 
-    /// Sequence of the batch that it has synced last, where its state is one of this term.
+    /// Sequence of the last batch that the member has synced; `None` if its state is not of this term.
     pub(crate) fn acknowledged(&self, term: u64) -> Option<u64> {
         let position = self.position.filter(|position| position.epoch == term)?;
         Some(position.sequence)
     }
 
-    /// Whether the snapshot on its way to it makes no progress.
+    /// Whether a snapshot is being sent to the member and makes no progress.
     pub(crate) fn has_stuck_snapshot(&self, now_ms: Millis) -> bool {
         self.snapshot
             .as_ref()
             .is_some_and(|snapshot| now_ms > snapshot.progress_ms + SNAPSHOT_PROGRESS_TIMEOUT_MS)
     }
 
-    /// Takes over what it says of itself.
+    /// Records what the member reports about itself: whether it leaves, and its newest synced record.
     pub(crate) fn on_announcement(&mut self, ack: &KeepaliveAck) {
         self.is_leaving = ack.leaving;
         self.synced_record_epoch = self.synced_record_epoch.max(ack.recorded_epoch);
     }
 
-    /// It has acknowledged a keepalive that was sent at this time.
+    /// Records the acknowledgement of a keepalive that was sent at `sent_ms`.
     pub(crate) fn on_keepalive_acknowledged(&mut self, sent_ms: Millis, now_ms: Millis) {
         self.heard_ms = now_ms;
         self.has_answered = true;
         self.lease_start_ms = self.lease_start_ms.max(Some(sent_ms));
     }
 
-    /// It has synced this position; returns whether that is more than was known.
+    /// Records that the member has synced this position. Returns whether the position is higher than the
+    /// known one.
     pub(crate) fn on_synced(&mut self, position: LogPosition, now_ms: Millis) -> bool {
         if self.position.is_some_and(|known| known >= position) {
             return false;
@@ -133,7 +135,7 @@
         true
     }
 
-    /// Goes back to the last acknowledged batch when the time to retransmit has come.
+    /// When a retransmission is due, resets the send position to the last acknowledged batch.
     pub(crate) fn rewind_if_due(&mut self, now_ms: Millis) {
         let Some(position) = self.position else {
             return;
@@ -147,7 +149,8 @@
         self.retransmit_at_ms = now_ms + self.retransmit_interval_ms;
     }
 
-    /// The primary itself has stalled for `gap_ms`: the member is not blamed for that time.
+    /// Handles a stall of this process for `gap_ms`: the time of the stall does not count as silence of the
+    /// member.
     pub(crate) fn on_process_stalled(&mut self, now_ms: Millis, gap_ms: Millis) {
         self.heard_ms = (self.heard_ms + gap_ms).min(now_ms);
         self.stalled_until_ms = now_ms;
--- a/crates/coordination/src/pipeline.rs
+++ b/crates/coordination/src/pipeline.rs
@@ -1,4 +1,4 @@
-//! The primary's batches: appends that wait, batches that are not committed, and when batches were created.
+//! The primary's batches: pending appends, uncommitted batches, and creation times of batches.
 
 use crate::limits::{BATCH_BYTES, MAX_CREATION_TIMES, MAX_IN_FLIGHT_BATCHES};
 use crate::log_cache::write_bytes;
@@ -6,45 +6,46 @@
 use streamusher_protocol::store::Write;
 use streamusher_protocol::Millis;
 
-/// An append that is not in a batch yet.
+/// An append that is not part of a batch yet.
 #[derive(Clone, Debug)]
 struct PendingAppend {
     sequence: u64,
     writes: Vec<Write>,
 }
 
-/// A batch that is not committed.
+/// A batch that is not committed yet.
 #[derive(Clone, Debug)]
 struct InFlightBatch {
     sequence: u64,
-    /// Sequence of the newest append in it; none in the batch that opens the term.
+    /// Sequence of the newest append in the batch; `None` in the first batch of the term.
     last_append: Option<u64>,
 }
 
-/// What the next batch consists of.
+/// Content of the next batch.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BatchContent {
     pub(crate) writes: Vec<Write>,
-    /// Sequence of the newest append in it; none in the batch that opens the term.
+    /// Sequence of the newest append in the batch; `None` in the first batch of the term.
     pub(crate) last_append: Option<u64>,
 }
 
 /// The batches of one term, in order.
 #[derive(Clone, Debug)]
 pub(crate) struct BatchPipeline {
-    /// Sequence of the batch that opens the term.
+    /// Sequence of the first batch of the term.
     first_sequence: u64,
-    /// All batches up to this one are committed.
+    /// All batches up to this sequence are committed.
     committed: u64,
     pending: Vec<PendingAppend>,
     in_flight: VecDeque<InFlightBatch>,
-    /// When the newest batches were created, in order; the first has the sequence `first_creation`.
+    /// Creation times of the newest batches, in order; the first entry is that of the sequence
+    /// `first_creation`.
     creation_times_ms: VecDeque<Millis>,
     first_creation: u64,
 }
 
 impl BatchPipeline {
-    /// The pipeline of a new term, whose first batch will have this sequence.
+    /// Creates the pipeline of a new term whose first batch gets this sequence.
     pub(crate) fn new(first_sequence: u64) -> BatchPipeline {
         BatchPipeline {
             first_sequence,
@@ -56,28 +57,29 @@
         }
     }
 
-    /// Sequence up to which batches are committed.
+    /// All batches up to this sequence are committed.
     pub(crate) fn committed(&self) -> u64 {
         self.committed
     }
 
-    /// Whether the batch that opens the term is committed.
+    /// Whether the first batch of the term is committed.
     pub(crate) fn is_open(&self) -> bool {
         self.committed >= self.first_sequence
     }
 
-    /// Whether all that was appended is committed.
+    /// Whether all appends are committed.
     pub(crate) fn is_drained(&self) -> bool {
         self.in_flight.is_empty() && self.pending.is_empty()
     }
 
-    /// Queues an append.
+    /// Queues an append for the next batch.
     pub(crate) fn push(&mut self, sequence: u64, writes: Vec<Write>) {
         self.pending.push(PendingAppend { sequence, writes });
     }
 
-    /// Takes the content of the next batch, if there is any and another batch may be in flight beside those up to
-    /// `newest_sequence`: appends of about [`BATCH_BYTES`], at least one.
+    /// Removes and returns the content of the next batch: pending appends of about [`BATCH_BYTES`], at least
+    /// one. Returns `None` if there is none, if the batches up to `newest_sequence` leave no capacity for
+    /// another uncommitted one, or if the first batch of the term is not committed.
     pub(crate) fn take_next_batch(&mut self, newest_sequence: u64) -> Option<BatchContent> {
         let in_flight = newest_sequence.saturating_sub(self.committed);
         if self.pending.is_empty() || in_flight >= MAX_IN_FLIGHT_BATCHES || !self.is_open() {
@@ -99,7 +101,7 @@
         Some(content)
     }
 
-    /// Records a batch that was just created.
+    /// Records the creation of a batch.
     pub(crate) fn record_batch(&mut self, sequence: u64, last_append: Option<u64>, now_ms: Millis) {
         self.in_flight.push_back(InFlightBatch {
             sequence,
@@ -112,7 +114,8 @@
         }
     }
 
-    /// All replicas have synced the batches up to this one; returns the newest append among those that are newly committed.
+    /// Marks the batches up to this sequence as committed. Returns the newest append among the newly
+    /// committed batches.
     pub(crate) fn commit(&mut self, sequence: u64) -> Option<u64> {
         self.committed = sequence;
         let mut newest_append = None;
@@ -125,7 +128,7 @@
         newest_append
     }
 
-    /// For how long the batch has existed, not counting time before `stalled_until_ms`; 0 if there is none yet.
+    /// Age of the batch, without time before `stalled_until_ms`; 0 if the batch does not exist yet.
     pub(crate) fn batch_age_ms(
         &self,
         sequence: u64,
--- a/crates/coordination/src/proposal.rs
+++ b/crates/coordination/src/proposal.rs
@@ -1,4 +1,4 @@
-//! A proposal of the next record on its way through both phases of Paxos.
+//! State of one proposal of the next record in both phases of Paxos.
 
 use crate::acceptor::ProposalNumber;
 use crate::batch::LogPosition;
@@ -9,37 +9,37 @@
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// Why a record is proposed.
+/// Purpose of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Purpose {
-    /// A replica stands for election.
+    /// A replica proposes a new primary.
     Election,
     /// The primary changes replicas or members, or transfers its leadership.
     Reconfiguration,
 }
 
-/// A response to the first phase.
+/// Response of an acceptor to the prepare request.
 #[derive(Clone, Debug)]
 pub(crate) struct Promise {
-    /// The proposal that the acceptor has accepted before.
+    /// The proposal that the acceptor accepted last; `None` if it has accepted none.
     pub(crate) accepted: Option<(ProposalNumber, Arc<EpochRecord>)>,
-    /// Position of the acceptor's state.
+    /// Position of the acceptor's state in memory.
     pub(crate) position: LogPosition,
 }
 
-/// How far a proposal is.
+/// Phase of a proposal.
 #[derive(Clone, Debug)]
 pub(crate) enum Phase {
-    /// Promises are being collected.
+    /// Phase 1: promises are being collected.
     Preparing {
         promises: BTreeMap<DiskId, Promise>,
         majority_at_ms: Option<Millis>,
     },
-    /// The value is chosen.
+    /// Phase 2: the value is chosen and acceptances are being collected.
     Accepting {
         value: Arc<EpochRecord>,
         accepted_by: BTreeSet<DiskId>,
-        /// Whether it was sent to others: from then on it may be decided.
+        /// Whether the value was sent to other members: from then on it may be decided.
         is_public: bool,
     },
 }
@@ -47,7 +47,7 @@
 /// A proposal of the record after `base`.
 #[derive(Clone, Debug)]
 pub(crate) struct Proposal {
-    /// The record before, whose members decide.
+    /// The preceding record, whose members decide.
     pub(crate) base: Arc<EpochRecord>,
     pub(crate) number: ProposalNumber,
     pub(crate) purpose: Purpose,
@@ -57,7 +57,7 @@
 }
 
 impl Proposal {
-    /// A proposal at the beginning of its first phase.
+    /// Creates a proposal at the start of phase 1.
     pub(crate) fn new(
         base: Arc<EpochRecord>,
         number: ProposalNumber,
@@ -83,7 +83,7 @@
         self.base.epoch + 1
     }
 
-    /// Whether a response is one to this proposal, from a member that decides.
+    /// Whether a response belongs to this proposal and comes from a member of `base`.
     pub(crate) fn is_answered_by(
         &self,
         from: DiskId,
@@ -93,18 +93,18 @@
         self.instance() == instance && self.number == number && self.base.is_member(from)
     }
 
-    /// Whether this is a candidacy whose value is not chosen yet, so that nothing of it can be decided.
+    /// Whether this is an election whose value is not chosen yet, so that it cannot be decided.
     pub(crate) fn is_candidacy_without_value(&self) -> bool {
         let is_preparing = matches!(self.phase, Phase::Preparing { .. });
         self.purpose == Purpose::Election && is_preparing
     }
 
-    /// Whether it has been on its way for too long.
+    /// Whether the proposal has taken longer than [`PROPOSAL_TIMEOUT_MS`].
     pub(crate) fn has_timed_out(&self, now_ms: Millis) -> bool {
         now_ms > self.started_ms + PROPOSAL_TIMEOUT_MS
     }
 
-    /// The request of the present phase.
+    /// The request of the current phase.
     pub(crate) fn request(&self) -> Message {
         let (base, number) = (self.base.clone(), self.number);
         match &self.phase {
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Addresses of the members that the request is to be sent to: those that have not answered it. A value that is not
-    /// public is sent to the proposer's own acceptor only.
+    /// Addresses of the members that have not responded to the current request. Until the value of an
+    /// election is accepted by the proposer's own acceptor, the value is sent to that acceptor only.
     pub(crate) fn receivers(&self, own_id: DiskId) -> Vec<Arc<str>> {
         let is_receiver = |id: &DiskId| match &self.phase {
             Phase::Preparing { promises, .. } => !promises.contains_key(id),
@@ -138,7 +138,7 @@
             .collect()
     }
 
-    /// Counts a promise.
+    /// Records the promise of an acceptor.
     pub(crate) fn on_promised(&mut self, from: DiskId, promise: Promise, now_ms: Millis) {
         let majority = self.base.majority();
         if let Phase::Preparing {
@@ -153,8 +153,9 @@
         }
     }
 
-    /// The promises, once the value may be chosen: a majority has promised, and a candidate has also given the replicas time
-    /// to report their positions.
+    /// The promises, once the value may be chosen: a majority has promised, and in an election all replicas
+    /// have reported their positions or the time for reports is over. The former primary's report is not
+    /// awaited.
     pub(crate) fn sufficient_promises(
         &self,
         own_id: DiskId,
@@ -181,7 +182,7 @@
         Some(promises)
     }
 
-    /// Begins the second phase with this value.
+    /// Starts phase 2 with this value.
     pub(crate) fn begin_accepting(&mut self, value: Arc<EpochRecord>) {
         self.phase = Phase::Accepting {
             value,
@@ -191,8 +192,8 @@
     }
 }
 
-/// The value of the highest-numbered proposal that any of the promising acceptors has accepted. It may be decided, so it
-/// must be proposed again (Paxos Made Simple, section 2.2, condition P2c).
+/// The value of the highest-numbered proposal that any of the promising acceptors has accepted. It may be
+/// decided already, so it must be proposed again (Paxos Made Simple, section 2.2, condition P2c).
 pub(crate) fn accepted_value(promises: &BTreeMap<DiskId, Promise>) -> Option<Arc<EpochRecord>> {
     let accepted = promises
         .values()
--- a/crates/coordination/src/proposer.rs
+++ b/crates/coordination/src/proposer.rs
@@ -1,4 +1,4 @@
-//! The proposer's side of Paxos: drives a proposal of the next record to its decision.
+//! The proposer role of Paxos: drives a proposal of the next record to its decision.
 
 use crate::acceptor::ProposalNumber;
 use crate::coordinator_core::CoordinatorCore;
@@ -11,29 +11,29 @@
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// The value that a proposal has to take.
+/// How the value of a proposal is determined.
 #[derive(Clone, Debug)]
 pub(crate) enum ValueChoice {
-    /// This record: one that was accepted before, or the election of a primary.
+    /// The value is this record: one that an acceptor has accepted before, or the election of a primary.
     Record(Arc<EpochRecord>),
-    /// The record that the primary wants now.
+    /// The value is the record that the primary currently wants.
     Reconfiguration,
 }
 
-/// The proposer of one member. It has one proposal at a time.
+/// The proposer of one member. It drives at most one proposal at a time.
 #[derive(Clone, Debug)]
 pub(crate) struct Proposer {
     proposal: Option<Proposal>,
-    /// The highest round seen in a rejection or used.
+    /// The highest round used, or reported in a rejection.
     highest_round: u64,
-    /// Rejections of proposals of the present instance in a row.
+    /// Number of consecutive rejections in the current Paxos instance.
     rejections: u32,
-    /// No new proposal before.
+    /// No proposal starts before this time.
     paused_until_ms: Millis,
 }
 
 impl Proposer {
-    /// A proposer without a proposal.
+    /// Creates a proposer without a proposal.
     pub(crate) fn new(now_ms: Millis) -> Proposer {
         Proposer {
             proposal: None,
@@ -43,33 +43,33 @@
         }
     }
 
-    /// Whether no proposal is under way.
+    /// Whether no proposal is in progress.
     pub(crate) fn is_idle(&self) -> bool {
         self.proposal.is_none()
     }
 
-    /// Whether new proposals have to wait.
+    /// Whether new proposals are delayed at this time.
     pub(crate) fn is_paused(&self, now_ms: Millis) -> bool {
         now_ms < self.paused_until_ms
     }
 
-    /// Makes no new proposal before this time.
+    /// Starts no proposal before this time.
     pub(crate) fn pause_until(&mut self, until_ms: Millis) {
         self.paused_until_ms = self.paused_until_ms.max(until_ms);
     }
 
-    /// Gives the present proposal up.
+    /// Abandons the current proposal.
     pub(crate) fn abandon(&mut self) {
         self.proposal = None;
     }
 
-    /// Gives a candidacy up if nothing of it can be decided yet: there is a primary after all.
+    /// Abandons an election whose value is not chosen yet, as a primary has sent a keepalive.
     pub(crate) fn withdraw_candidacy(&mut self) {
         self.proposal
             .take_if(|proposal| proposal.is_candidacy_without_value());
     }
 
-    /// A record was decided: the next proposal is of another instance.
+    /// Resets the proposer after a record was decided: the next proposal belongs to a new Paxos instance.
     pub(crate) fn on_record_decided(&mut self) {
         self.proposal = None;
         self.rejections = 0;
@@ -89,7 +89,7 @@
         self.send_requests(core);
     }
 
-    /// Sends the request of the present phase to those who have not answered it.
+    /// Sends the request of the current phase to the members that have not responded to it.
     fn send_requests(&mut self, core: &mut CoordinatorCore) {
         let Some(proposal) = &mut self.proposal else {
             return;
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Counts a promise; returns whether it was one for the present proposal.
+    /// Records a promise. Returns whether it belongs to the current proposal.
     pub(crate) fn on_promised(
         &mut self,
         core: &CoordinatorCore,
@@ -119,7 +119,7 @@
         true
     }
 
-    /// The value of the proposal, once it may be chosen.
+    /// Determines the value of the proposal, once there are enough promises.
     pub(crate) fn choose_value(&self, core: &CoordinatorCore) -> Option<ValueChoice> {
         let proposal = self.proposal.as_ref()?;
         let promises = proposal.sufficient_promises(core.id(), core.now_ms)?;
@@ -134,8 +134,9 @@
         Some(choice)
     }
 
-    /// Begins the second phase. A candidate's own accept is synced before others hear of the value: from then on it
-    /// acknowledges the former primary no more ([`WitnessState::candidate`](crate::WitnessState::candidate)).
+    /// Starts phase 2. A candidate syncs its own acceptance before it sends the value to others: from then on
+    /// it no longer acknowledges the former primary
+    /// ([`WitnessState::candidate`](crate::WitnessState::candidate)).
     pub(crate) fn offer(&mut self, core: &mut CoordinatorCore, value: Arc<EpochRecord>) {
         if let Some(proposal) = &mut self.proposal {
             proposal.begin_accepting(value);
@@ -143,7 +144,7 @@
         self.send_requests(core);
     }
 
-    /// Counts an accept; returns the record if it is decided by it.
+    /// Records an acceptance. Returns the record if this acceptance decides it.
     pub(crate) fn on_accepted(
         &mut self,
         core: &mut CoordinatorCore,
@@ -175,7 +176,7 @@
         None
     }
 
-    /// Gives the proposal up if an acceptor has promised a higher number, and backs off.
+    /// Abandons the proposal if an acceptor has promised a higher number, and backs off.
     pub(crate) fn on_rejected(
         &mut self,
         core: &mut CoordinatorCore,
@@ -191,8 +192,9 @@
         self.paused_until_ms = core.now_ms + self.draw_backoff_ms(core);
     }
 
-    /// How long to wait after a rejection: longer each time, and longer where the disk is slow. Otherwise a proposer with a
-    /// slow disk interrupts the others again and again before any of them is done, and is never done itself.
+    /// Delay after a rejection. It grows with each consecutive rejection and with the sync time of the disk.
+    /// Otherwise a proposer with a slow disk interrupts the others again and again before any of them
+    /// completes a proposal, and never completes its own.
     fn draw_backoff_ms(&mut self, core: &mut CoordinatorCore) -> Millis {
         let min_ms = MIN_BACKOFF_MS.max(core.disk.sync_time_ms(core.now_ms));
         let doublings = self.rejections.min(MAX_BACKOFF_DOUBLINGS);
@@ -201,7 +203,7 @@
         core.random.random_range(min_ms..=max_ms)
     }
 
-    /// Gives a proposal up that takes too long, and repeats requests that were not answered.
+    /// Abandons a proposal that has timed out, and retransmits requests that have no response.
     pub(crate) fn tick(&mut self, core: &mut CoordinatorCore) {
         let now_ms = core.now_ms;
         if self
--- a/crates/coordination/src/reconfiguration.rs
+++ b/crates/coordination/src/reconfiguration.rs
@@ -1,7 +1,8 @@
-//! Which record a primary wants next: how it chooses replicas, learners, members and, when it has to step down, a successor.
+//! Choice of the primary's next record: replicas, learners, members and, when the primary has to step down, a
+//! successor.
 //!
-//! Invariant: a new replica is named only when it has synced all that is committed (`docs/design/control-state.md`,
-//! point 3).
+//! Invariant: a new replica is named only when it has synced all committed data
+//! (`docs/design/control-state.md`, point 3).
 
 use crate::coordinator_core::CoordinatorCore;
 use crate::join::JoinRequests;
@@ -16,14 +17,14 @@
 use std::collections::BTreeSet;
 use streamusher_protocol::Millis;
 
-/// A primary that follows the present one, and its replicas.
+/// A successor of the current primary, and its replicas.
 struct Succession {
     primary: DiskId,
     replicas: Vec<DiskId>,
 }
 
-/// A member that could be brought up to date. The order is that in which they are taken: learners first, then members
-/// whose state is reached by batches without a snapshot.
+/// A member that could be brought up to date. The field order is the order of preference: current learners
+/// first, then members that can catch up from cached batches without a snapshot.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct LearnerCandidate {
     is_new: bool,
@@ -31,7 +32,7 @@
     id: DiskId,
 }
 
-/// The primary's choice of the next record.
+/// Inputs for the primary's choice of the next record.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Reconfiguration<'a> {
     pub(crate) core: &'a CoordinatorCore,
@@ -40,7 +41,7 @@
 }
 
 impl Reconfiguration<'_> {
-    /// The record that this primary wants next; none while the present one is right.
+    /// The record that this primary wants next; `None` if the current record needs no change.
     pub(crate) fn desired_record(&self) -> Option<EpochRecord> {
         let base = self.core.record();
         let replicas = self.desired_replicas(true);
@@ -58,13 +59,13 @@
             record.replicas = succession.replicas;
             return Some(record);
         }
-        // A proposal that may yet be decided is completed even if nothing else is wanted.
+        // A proposal that may still be decided is completed even if no other change is wanted.
         let is_undecided = !self.term.proposed_replicas.is_empty();
         let differs = record.replicas != base.replicas || record.members != base.members;
         (differs || is_undecided).then_some(record)
     }
 
-    /// The members to be brought up to date where replicas are missing.
+    /// The members to bring up to date when there are fewer healthy replicas than the target.
     pub(crate) fn desired_learners(&self) -> BTreeSet<DiskId> {
         let now_ms = self.core.now_ms;
         let sound_replicas =
@@ -92,8 +93,8 @@
         chosen.map(|candidate| candidate.id).collect()
     }
 
-    /// The replicas wanted: those of the record that keep up, and learners that are up to date. The record's own while too
-    /// few are.
+    /// The wanted replicas: those of the current record that keep up or are catching up, and learners that
+    /// are up to date. Returns the replicas of the current record while fewer than the minimum keep up.
     fn desired_replicas(&self, with_self: bool) -> Vec<DiskId> {
         let base = self.core.record();
         let mut wanted = Vec::new();
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Whether a member has all that is committed and acknowledges in time.
+    /// Whether a member has all committed batches and acknowledges in time.
     fn keeps_up(&self, peer: &Peer) -> bool {
         let now_ms = self.core.now_ms;
         let is_sound = peer.is_responsive(now_ms) && !peer.is_leaving && !peer.is_excluded(now_ms);
@@ -145,7 +146,7 @@
         self.keeps_up(peer) && self.lag_ms(peer).is_some_and(is_close)
     }
 
-    /// Age of the oldest batch that a member lacks; none while it lacks a committed one.
+    /// Age of the oldest batch that a member lacks; `None` while it lacks a committed batch.
     fn lag_ms(&self, peer: &Peer) -> Option<Millis> {
         let pipeline = &self.term.pipeline;
         let acknowledged = peer.acknowledged(self.term.number)?;
@@ -156,7 +157,8 @@
         Some(pipeline.batch_age_ms(oldest_missing, peer.stalled_until_ms, self.core.now_ms))
     }
 
-    /// Whether a replica of a new term answers and is still being brought to the primary's state.
+    /// Whether a replica is responsive and is still being brought to the primary's state at the start of a
+    /// term.
     fn is_catching_up(&self, peer: &Peer) -> bool {
         let now_ms = self.core.now_ms;
         let is_new_term = now_ms < self.term.started_ms + CATCH_UP_TIMEOUT_MS;
@@ -164,13 +166,13 @@
         is_new_term && is_behind && peer.is_responsive(now_ms) && !peer.is_leaving
     }
 
-    /// Whether the batches that are kept bring the member up to date, so that it needs no snapshot.
+    /// Whether the cached batches can bring the member up to date, so that it needs no snapshot.
     fn is_reached_by_batches(&self, peer: &Peer) -> bool {
         peer.position
             .is_some_and(|position| self.core.state.recent().reaches_from(position))
     }
 
-    /// Who follows this primary when it leaves or its disk is too slow.
+    /// The successor of this primary, if it leaves or its disk is unfit for a primary.
     fn succession(&self) -> Option<Succession> {
         let now_ms = self.core.now_ms;
         if !self.term.is_open() {
@@ -200,9 +202,10 @@
         Some(Succession { primary, replicas })
     }
 
-    /// The members wanted: machines that lost their disk under their new id, others in the place of absent ones. A machine
-    /// is not added beside a member that may be lost: with a dead member among an even number, the next loss could take the
-    /// majority, and lost disks never vote again.
+    /// The wanted members: a machine that lost its disk appears under its new id, and joining machines
+    /// replace absent members. A machine is not added while a member may have failed: with a failed member
+    /// among an even number of members, the next failure could remove the majority, and lost disks never vote
+    /// again.
     fn desired_members(&self, replicas: &[DiskId]) -> Vec<Member> {
         let mut members = self.core.record().members.clone();
         for candidate in self.join_requests.candidates() {
@@ -227,7 +230,7 @@
         members
     }
 
-    /// Index of a member that leaves or has been unresponsive for so long, and that is no replica.
+    /// Index of a member that leaves or has been unresponsive for `timeout_ms`, and that is not a replica.
     fn absent_member(
         &self,
         members: &[Member],
@@ -250,8 +253,8 @@
         })
     }
 
-    /// Whether a member does not answer and it is not known yet whether it is absent. One that is absent and needed as a
-    /// replica keeps nobody out: a machine that joins can replace it.
+    /// Whether a member is unresponsive and it is not known yet whether it is absent. A member that is absent
+    /// but needed as a replica does not block joins: a joining machine can replace it.
     fn has_doubtful_member(&self, members: &[Member]) -> bool {
         let now_ms = self.core.now_ms;
         let is_doubtful = |peer: &Peer| {
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -7,10 +7,10 @@
 use std::fmt;
 use streamusher_protocol::internal::CoreAddress;
 
-/// Members without which a majority of the rest is still two.
+/// Minimum number of members from which one may be removed: the majority of the remaining ones is still two.
 const MIN_MEMBERS_TO_SPARE_ONE: usize = 4;
 
-/// Identifies a disk from its first use until it is lost. A machine that lost its disk has a new one.
+/// Identifies a disk from its first use until it is lost. A machine that lost its disk gets a new id.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -22,52 +22,52 @@
     }
 }
 
-/// A member of the cluster: it votes on epoch records, and may be a replica.
+/// A member of the cluster. It votes on epoch records and may be a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its disk.
+    /// Disk id of the member.
     pub id: DiskId,
-    /// Where it is reached.
+    /// Addresses at which the other machines reach the member.
     pub address: CoreAddress,
 }
 
 /// The configuration that is decided for an epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EpochRecord {
-    /// Number of the record; rises by one from record to record.
+    /// Number of the record; it increases by one with each record.
     pub epoch: u64,
-    /// The epoch in which the primary was elected. Lower than `epoch` where the same primary has only changed replicas or
-    /// members since.
+    /// The epoch in which the primary was elected. It is lower than `epoch` if the same primary has changed
+    /// replicas or members since.
     #[serde(rename = "reign")]
     pub term: u64,
-    /// The primary; none in epoch 0.
+    /// Disk id of the primary; `None` in epoch 0.
     pub primary: Option<DiskId>,
-    /// Who must have synced a batch before it is committed, the primary included.
+    /// The replicas, including the primary: all of them must sync a batch before it is committed.
     pub replicas: Vec<DiskId>,
-    /// Who decides the next record.
+    /// The members, which decide the next record.
     pub members: Vec<Member>,
-    /// Who proposed this record.
+    /// Disk id of the member that proposed this record.
     pub proposer: DiskId,
 }
 
 impl EpochRecord {
-    /// The member with this disk.
+    /// Returns the member with this disk id.
     pub fn member(&self, id: DiskId) -> Option<&Member> {
         self.members.iter().find(|member| member.id == id)
     }
 
-    /// Whether the disk belongs to a member.
+    /// Whether the disk id is that of a member.
     pub fn is_member(&self, id: DiskId) -> bool {
         self.member(id).is_some()
     }
 
-    /// Whether the disk is one of the replicas.
+    /// Whether the disk id is that of a replica.
     pub fn is_replica(&self, id: DiskId) -> bool {
         self.replicas.contains(&id)
     }
 
-    /// Whether the members without one of them tolerate as many losses as with it. An unresponsive member should then be
-    /// removed, as it only brings the next loss closer to the majority.
+    /// Whether the cluster tolerates as many losses with one member less. An unresponsive member should then
+    /// be removed, as it only brings the next loss closer to the majority.
     pub fn can_spare_member(&self) -> bool {
         can_spare_member(&self.members)
     }
@@ -78,7 +78,8 @@
     }
 }
 
-/// Whether a set of members is as safe without one of them: an even number, and enough that a majority of the rest is two.
+/// Whether a set of members tolerates as many losses with one member less: their number is even, and a
+/// majority of the remaining members is at least two.
 pub(crate) fn can_spare_member(members: &[Member]) -> bool {
     members.len() >= MIN_MEMBERS_TO_SPARE_ONE && members.len().is_multiple_of(2)
 }
--- a/crates/coordination/src/replica.rs
+++ b/crates/coordination/src/replica.rs
@@ -1,8 +1,8 @@
-//! The replica's side of primary-backup replication: applies batches, installs snapshots, and acknowledges both when they
-//! are synced.
+//! The replica role of primary-backup replication: applies batches, installs snapshots, and acknowledges both
+//! when they are synced.
 //!
-//! Invariant: a candidate acknowledges nothing, so nothing that its proposal does not cover is committed by the record
-//! before.
+//! Invariant: a candidate sends no acknowledgements, so no data that its proposal does not cover is committed
+//! under the preceding record.
 
 use crate::batch::{Batch, LogPosition};
 use crate::coordinator_core::CoordinatorCore;
@@ -14,26 +14,27 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Data from a primary on its way into the replicated state.
+/// Data received from a primary that is not part of the replicated state yet.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Replica {
-    /// Batches that came before the ones in front of them, by the position that they follow.
+    /// Batches that arrived before the batch that they follow, by the position of that batch.
     out_of_order_batches: BTreeMap<LogPosition, Batch>,
     snapshot: Option<SnapshotReceiver>,
 }
 
 impl Replica {
-    /// A newer record is known: early batches may be of a former primary.
+    /// Discards out-of-order batches after a newer record was adopted, as they may come from a former
+    /// primary.
     pub(crate) fn on_record_adopted(&mut self) {
         self.out_of_order_batches.clear();
     }
 
-    /// This member becomes the primary: nobody sends it a snapshot any more.
+    /// Discards a partly received snapshot when this member becomes the primary.
     pub(crate) fn on_term_begun(&mut self) {
         self.snapshot = None;
     }
 
-    /// The primary sends a batch.
+    /// Handles a batch from the primary.
     pub(crate) fn on_append(
         &mut self,
         core: &mut CoordinatorCore,
@@ -56,7 +57,7 @@
         core.disk.then(Effect::Acknowledge);
     }
 
-    /// Keeps a batch that came before the one that it follows.
+    /// Keeps a batch that arrived before the batch that it follows.
     fn keep_out_of_order(&mut self, batch: Batch, applied: LogPosition) {
         self.out_of_order_batches
             .retain(|previous, _| *previous > applied);
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The primary sends a part of a snapshot.
+    /// Handles a part of a snapshot from the primary.
     pub(crate) fn on_snapshot_part(
         &mut self,
         core: &mut CoordinatorCore,
@@ -118,7 +119,7 @@
         }
     }
 
-    /// The snapshot that a part belongs to; none where a newer one of the term is known.
+    /// The snapshot that a part belongs to; `None` if a newer snapshot of the same term is known.
     fn receiver_of(&mut self, part: &SnapshotPart) -> Option<&mut SnapshotReceiver> {
         let known = self.snapshot.as_ref();
         let known_id = known.filter(|known| known.term == part.term);
@@ -134,7 +135,7 @@
     }
 }
 
-/// Who sends data, and from which address.
+/// Identity of the sender of a batch or of a part of a snapshot.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sender<'a> {
     pub(crate) address: &'a Arc<str>,
@@ -144,8 +145,9 @@
 }
 
 impl Sender<'_> {
-    /// Whether this member may take the sender's data: it is the primary of the newest record, and this member is no
-    /// candidate against it. The one of both that knows an older record is brought to the newer one.
+    /// Whether this member accepts data from the sender: the sender is the primary of the newest record, and
+    /// this member is not a candidate. If the two know different records, sends the newer record to the
+    /// sender or requests it from the sender.
     fn is_followed(&self, core: &mut CoordinatorCore) -> bool {
         let epoch = core.record().epoch;
         if self.epoch < epoch {
@@ -160,7 +162,7 @@
     }
 }
 
-/// Tells the primary which position is synced, unless this member is a candidate or the primary itself.
+/// Reports the synced position to the primary, unless this member is a candidate or the primary itself.
 pub(crate) fn send_synced(core: &mut CoordinatorCore) {
     if core.witness.candidate {
         return;
--- a/crates/coordination/src/replicated_state.rs
+++ b/crates/coordination/src/replicated_state.rs
@@ -1,4 +1,4 @@
-//! The replicated state of one member: the map in memory, its position in the log, and the batches that led to it.
+//! The replicated state of one member: the map in memory, its position in the log, and the recent batches.
 
 use crate::batch::{Batch, LogPosition};
 use crate::disk::DiskQueue;
@@ -6,7 +6,7 @@
 use crate::storage::StateMap;
 use streamusher_protocol::store::Write;
 
-/// The replicated state in memory. The disk follows: `synced` is never above `applied`.
+/// The replicated state in memory. The disk lags behind: `synced` is never above `applied`.
 #[derive(Clone, Debug)]
 pub(crate) struct ReplicatedState {
     map: StateMap,
@@ -16,7 +16,7 @@
 }
 
 impl ReplicatedState {
-    /// The state as it was found on disk.
+    /// Creates the state from the content of the disk.
     pub(crate) fn new(map: StateMap, position: LogPosition) -> ReplicatedState {
         ReplicatedState {
             map,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// All keys and values.
+    /// All keys and values of the state in memory.
     pub(crate) fn map(&self) -> &StateMap {
         &self.map
     }
@@ -41,17 +41,18 @@
         self.synced
     }
 
-    /// The newest batches.
+    /// The newest applied batches.
     pub(crate) fn recent(&self) -> &RecentBatches {
         &self.recent
     }
 
-    /// The disk has synced the state up to this position.
+    /// Records that the disk has synced the state up to this position.
     pub(crate) fn on_synced(&mut self, position: LogPosition) {
         self.synced = position;
     }
 
-    /// Applies the next batch in memory and queues it for the disk. Up to `max_recent_bytes` of batches are kept.
+    /// Applies the next batch in memory and queues it for the disk. At most `max_recent_bytes` of recent
+    /// batches are kept.
     pub(crate) fn apply(&mut self, batch: Batch, disk: &mut DiskQueue, max_recent_bytes: usize) {
         for write in batch.writes.iter() {
             apply_write(&mut self.map, write);
@@ -61,7 +62,7 @@
         self.recent.push(batch, max_recent_bytes);
     }
 
-    /// Replaces the state by a snapshot, in memory at once and on disk by a single change.
+    /// Replaces the state with a snapshot: immediately in memory, and on disk with a single change.
     pub(crate) fn install_snapshot(
         &mut self,
         position: LogPosition,
--- a/crates/coordination/src/replication.rs
+++ b/crates/coordination/src/replication.rs
@@ -1,8 +1,8 @@
-//! The primary's side of primary-backup replication: keepalives, batches, snapshots, and what is committed.
+//! The primary role of primary-backup replication: keepalives, batches, snapshots, and commits.
 //!
-//! Invariant: a batch is committed only when all replicas of the newest record, and of every own proposal that may yet be
-//! decided, have synced it. So each replica of whatever record comes next holds all that is committed
-//! (`docs/design/control-state.md`, points 1 and 3).
+//! Invariant: a batch is committed only when all replicas of the newest record, and of every own proposal
+//! that may still be decided, have synced it. So every replica of the next record, whichever is decided,
+//! holds all committed data (`docs/design/control-state.md`, points 1 and 3).
 
 use crate::batch::{Batch, LogPosition};
 use crate::coordinator_core::CoordinatorCore;
@@ -20,11 +20,12 @@
 use streamusher_protocol::store::Write;
 use streamusher_protocol::Millis;
 
-/// Keepalives in a lease: two in a row may be lost.
+/// Number of keepalives per lease: two in a row may be lost.
 const KEEPALIVES_PER_LEASE: Millis = 4;
 
 impl LeaderTerm {
-    /// Begins the term: the first batch is empty, and its commit commits all that this primary held at its election.
+    /// Creates the first batch of the term. It is empty; its commit also commits all data that this primary
+    /// held at its election.
     pub(crate) fn create_first_batch(&mut self, core: &mut CoordinatorCore) {
         self.create_batch(core, BatchContent::default());
     }
@@ -37,7 +38,7 @@
         core.send_to_members(&Message::Keepalive { record, sent_ms });
     }
 
-    /// Sends what is due.
+    /// Sends a keepalive if one is due, and creates and sends batches and parts of snapshots.
     pub(crate) fn tick(&mut self, core: &mut CoordinatorCore) {
         if core.now_ms >= self.next_keepalive_ms {
             self.send_keepalives(core);
@@ -52,7 +53,7 @@
         self.create_batches(core);
     }
 
-    /// Creates batches of what was appended, as many as may be in flight.
+    /// Creates batches from pending appends, as many as may be in flight.
     fn create_batches(&mut self, core: &mut CoordinatorCore) {
         while let Some(content) = self.pipeline.take_next_batch(core.state.applied().sequence) {
             self.create_batch(core, content);
@@ -81,7 +82,8 @@
         self.send_data(core);
     }
 
-    /// A member has acknowledged a keepalive of this term, or announces that it leaves.
+    /// Handles the acknowledgement of a keepalive of this term, or the announcement of a member that it
+    /// leaves.
     pub(crate) fn on_keepalive_ack(&mut self, core: &mut CoordinatorCore, ack: &KeepaliveAck) {
         if ack.term != self.number {
             return;
@@ -101,7 +103,7 @@
         }
     }
 
-    /// A member has synced a batch.
+    /// Handles the synced position that a member reports.
     pub(crate) fn on_synced(
         &mut self,
         core: &mut CoordinatorCore,
@@ -128,7 +130,7 @@
         self.send_data(core);
     }
 
-    /// A member wants this part of its snapshot next.
+    /// Handles a member's request for the next part of its snapshot.
     pub(crate) fn on_snapshot_ack(
         &mut self,
         core: &mut CoordinatorCore,
@@ -145,7 +147,7 @@
         self.send_data(core);
     }
 
-    /// Sends batches and parts of snapshots to replicas and learners.
+    /// Sends due batches and parts of snapshots to replicas, learners and proposed replicas.
     fn send_data(&mut self, core: &mut CoordinatorCore) {
         let header = DataHeader {
             from: core.id(),
@@ -165,7 +167,7 @@
         }
     }
 
-    /// Counts the batches that all required replicas have synced.
+    /// Advances the commit position to the batches that all required replicas have synced.
     pub(crate) fn update_committed(&mut self, core: &mut CoordinatorCore) {
         if !core.has_enough_replicas() {
             return;
@@ -200,8 +202,9 @@
         all
     }
 
-    /// Tells machines that they were removed, once more members have the record on disk than disks may be lost. A machine
-    /// that leaves ends when it learns of its removal: before that, the only ones that know of it could be lost, and the
+    /// Sends the newest record to the machines that it removed, once more members have the record on disk
+    /// than disks may be lost. A machine that leaves exits when it learns of its removal: before that many
+    /// members have the record, all of them could be lost, and the preceding record requires that machine.
     /// record before counts on that machine.
     pub(crate) fn notify_removed_members(&mut self, core: &mut CoordinatorCore) {
         if self.removed_members.is_empty() {
@@ -228,7 +231,7 @@
     }
 }
 
-/// Who sends data, as each message of data says.
+/// Header fields that all messages with batches or parts of snapshots share.
 #[derive(Clone, Copy, Debug)]
 struct DataHeader {
     from: DiskId,
@@ -236,8 +239,8 @@
     term: u64,
 }
 
-/// The messages of data that are due to a member: batches, where the kept ones reach back to its position, else parts of a
-/// snapshot.
+/// The batches or parts of a snapshot that are due for a member: batches if the cached ones reach back to its
+/// position, otherwise parts of a snapshot.
 fn due_messages(
     core: &CoordinatorCore,
     id: DiskId,
@@ -294,7 +297,7 @@
     *last_snapshot_id += 1;
     let applied = core.state.applied();
     log::info!(
-        "sending snapshot {last_snapshot_id} to {receiver}: its position {receiver_position:?}, ours {applied:?}"
+        "sending snapshot {last_snapshot_id} to replica {receiver} at position {receiver_position:?}; snapshot position {applied:?}"
     );
     SnapshotSender::new(
         *last_snapshot_id,
--- a/crates/coordination/src/snapshot.rs
+++ b/crates/coordination/src/snapshot.rs
@@ -1,7 +1,7 @@
-//! Snapshots of the replicated state, sent in parts and installed at once.
+//! Snapshots of the replicated state, sent in parts and installed in a single step.
 //!
-//! A part may be lost, duplicated or late like any message. The receiver names the part that it wants next; the sender
-//! keeps a window of unacknowledged parts and sends them again after a while.
+//! A part may be lost, duplicated or delayed like any message. The receiver requests the next part that it
+//! needs; the sender keeps a window of unacknowledged parts and retransmits them after a while.
 
 use crate::batch::LogPosition;
 use crate::limits::{MAX_UNACKNOWLEDGED_PARTS, SNAPSHOT_PART_BYTES};
@@ -14,27 +14,29 @@
 use streamusher_protocol::store::Write;
 use streamusher_protocol::Millis;
 
-/// The content of one part.
+/// Content of one part.
 #[derive(Clone, Debug)]
 pub(crate) struct PartContent {
-    /// Number of the part, from 0.
+    /// Number of the part, starting at 0.
     pub(crate) index: u64,
-    /// Whether no part follows.
+    /// Whether this is the last part.
     pub(crate) last: bool,
     pub(crate) writes: Vec<Write>,
 }
 
-/// A snapshot on its way to a replica. It holds the state as it was at its position, which costs O(1).
+/// A snapshot that is being sent to a replica. It holds a copy of the state at its position; the copy costs
+/// O(1).
 #[derive(Clone, Debug)]
 pub(crate) struct SnapshotSender {
     pub(crate) id: u64,
     pub(crate) position: LogPosition,
-    /// When it began, or when a part was last acknowledged.
+    /// When the snapshot started or a part was last acknowledged.
     pub(crate) progress_ms: Millis,
     state: StateMap,
-    /// First key of each part known so far; the first part begins at the start of the state.
+    /// First key of each part known so far; the first part has `None` and starts at the first key of the
+    /// state.
     first_keys: Vec<Option<Arc<str>>>,
-    /// Whether `first_keys` holds all parts.
+    /// Whether `first_keys` covers all parts.
     is_divided: bool,
     /// Parts below this number are acknowledged.
     acknowledged: u64,
@@ -44,7 +46,7 @@
 }
 
 impl SnapshotSender {
-    /// A snapshot of this state.
+    /// Creates a snapshot of this state.
     pub(crate) fn new(
         id: u64,
         position: LogPosition,
@@ -64,9 +66,10 @@
         }
     }
 
-    /// The receiver wants this part next. "Part 0" may come from a receiver that has restarted, and is sent from the start
-    /// then; or it may be an acknowledgement that was delayed. So a receiver that claims more parts is believed, whatever was
-    /// sent since: it has nothing but parts of this snapshot.
+    /// Handles the receiver's request for its next part. A request for part 0 comes either from a receiver
+    /// that has restarted, so sending restarts at part 0, or it is a delayed acknowledgement. In the second
+    /// case a later request with a higher number is accepted even if fewer parts were sent since: the
+    /// receiver can only have parts of this snapshot.
     pub(crate) fn on_acknowledged(&mut self, next: u64, now_ms: Millis) {
         if next == 0 && self.acknowledged > 0 {
             self.acknowledged = 0;
@@ -85,7 +88,7 @@
         }
     }
 
-    /// Takes the parts that are to be sent now.
+    /// Removes and returns the parts that are due for sending.
     pub(crate) fn take_due_parts(&mut self, now_ms: Millis) -> Vec<PartContent> {
         if now_ms >= self.resend_at_ms {
             self.sent = self.acknowledged;
@@ -102,7 +105,7 @@
         parts
     }
 
-    /// The part with this number, if the state has so many; notes where the next one begins.
+    /// Returns the part with this number, if it exists, and records the first key of the next part.
     fn part(&mut self, index: u64) -> Option<PartContent> {
         let first_key = self.first_keys.get(usize::try_from(index).ok()?)?.clone();
         let start = first_key.map_or(Bound::Unbounded, Bound::Included);
@@ -140,17 +143,17 @@
     /// Number of the snapshot within the term.
     pub(crate) id: u64,
     pub(crate) position: LogPosition,
-    /// The part wanted next.
+    /// Number of the next part that is needed.
     next: u64,
     is_complete: bool,
-    /// All parts below `next`.
+    /// The writes of all parts below `next`.
     writes: Vec<Write>,
-    /// Parts that came before the ones in front of them.
+    /// Parts that arrived before an earlier part.
     out_of_order_parts: BTreeMap<u64, PartContent>,
 }
 
 impl SnapshotReceiver {
-    /// A snapshot of which nothing has been received.
+    /// Creates a receiver that has no parts yet.
     pub(crate) fn new(term: u64, id: u64, position: LogPosition) -> SnapshotReceiver {
         SnapshotReceiver {
             term,
@@ -163,7 +166,7 @@
         }
     }
 
-    /// The part wanted next.
+    /// Number of the next part that is needed.
     pub(crate) fn next(&self) -> u64 {
         self.next
     }
@@ -173,7 +176,8 @@
         self.is_complete
     }
 
-    /// Takes a part, whatever the order; returns the whole state if the snapshot is completed by it.
+    /// Adds a part; parts may arrive in any order. Returns the writes of the whole snapshot when this part
+    /// completes it.
     pub(crate) fn on_part(&mut self, part: PartContent) -> Option<Vec<Write>> {
         let wanted = self.next..self.next + MAX_UNACKNOWLEDGED_PARTS;
         if !wanted.contains(&part.index) || self.is_complete {
--- a/crates/coordination/src/status.rs
+++ b/crates/coordination/src/status.rs
@@ -6,48 +6,48 @@
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// What a machine is in its newest epoch.
+/// Role of a machine by the newest record that it knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// It was elected and creates batches.
+    /// The machine was elected and creates batches.
     Primary,
-    /// Its synced state counts for a commit.
+    /// The machine's synced state counts for commits.
     Replica,
-    /// It votes on epoch records.
+    /// The machine only votes on epoch records.
     Witness,
-    /// It is no member and asks to join.
+    /// The machine is not a member and asks to join.
     Joining,
 }
 
-/// Another member, as the primary sees it.
+/// Status of another member, as tracked by the primary.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerStatus {
-    /// Its disk.
+    /// Disk id of the member.
     pub id: DiskId,
-    /// The newest position that it has synced.
+    /// The newest position that the member has synced.
     pub position: LogPosition,
-    /// Milliseconds since its last acknowledgement.
+    /// Milliseconds since the member's last acknowledgement.
     pub silent_ms: Millis,
 }
 
 /// Status of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CoordinatorStatus {
-    /// Its disk.
+    /// Disk id of the member.
     pub id: DiskId,
-    /// Its role.
+    /// Role of the member by its newest record.
     pub role: Role,
-    /// Whether it may act as primary now.
+    /// Whether the member may act as the primary now.
     pub acting: bool,
-    /// The newest record that it knows.
+    /// The newest record that the member knows.
     pub record: Arc<EpochRecord>,
     /// Position of the state in memory.
     pub applied: LogPosition,
     /// Position of the state on disk.
     pub synced: LogPosition,
-    /// At the primary: sequence up to which batches are committed.
+    /// Sequence up to which batches are committed; 0 if the member is not the primary.
     pub committed: u64,
-    /// At the primary: the other members.
+    /// The other members; empty if the member is not the primary.
     pub peers: Vec<PeerStatus>,
 }
--- a/crates/coordination/src/storage.rs
+++ b/crates/coordination/src/storage.rs
@@ -1,33 +1,33 @@
-//! What a member finds on its disk at the start, and how it changes the disk.
+//! Durable data of a member: the content of its disk at the start, and changes of it.
 
 use crate::acceptor::WitnessState;
 use crate::batch::LogPosition;
 use std::sync::Arc;
 use streamusher_protocol::store::Write;
 
-/// The replicated state: keys to JSON texts. A clone takes O(1).
+/// The replicated state: a map from keys to JSON texts. Cloning takes O(1).
 pub type StateMap = im::OrdMap<Arc<str>, Arc<str>>;
 
-/// The content of a disk, as it is found at the start.
+/// Content of a disk, as read at the start of the process.
 #[derive(Clone, Debug, Default)]
 pub struct DiskImage {
-    /// What the member has voted; none if the disk is empty.
+    /// Paxos state of the member; `None` if the disk is empty.
     pub witness: Option<WitnessState>,
     /// Position of `state` in the log.
     pub position: LogPosition,
-    /// The replicated state.
+    /// The replicated state at `position`.
     pub state: StateMap,
 }
 
-/// A change of the disk; made and synced as a whole, or not at all.
+/// A change of the disk, which is written and synced atomically.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DiskChange {
-    /// Replaces the state of the witness.
+    /// The new witness state; `None` leaves it unchanged.
     pub witness: Option<WitnessState>,
-    /// Replaces the position.
+    /// The new position; `None` leaves it unchanged.
     pub position: Option<LogPosition>,
-    /// Changes of the replicated state, in order.
+    /// Writes to the replicated state, in order.
     pub writes: Vec<Write>,
-    /// Whether the replicated state is cleared before `writes`.
+    /// Whether the replicated state is cleared before `writes` are applied.
     pub replace_all: bool,
 }
--- a/crates/coordination/src/term.rs
+++ b/crates/coordination/src/term.rs
@@ -1,4 +1,4 @@
-//! A leader term: what a primary holds from its election until another one is elected or it steps down.
+//! Leader term: the state of a primary from its election until it is deposed or steps down.
 
 use crate::coordinator_core::CoordinatorCore;
 use crate::peer::{Peer, PeerRole};
@@ -10,18 +10,19 @@
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// A machine that a record of this term removed and that has not been told yet.
+/// A machine that a record of this term removed and that has not been notified yet.
 #[derive(Clone, Debug)]
 pub(crate) struct RemovedMember {
-    /// Epoch of the record.
+    /// Epoch of the record that removed the machine.
     pub(crate) epoch: u64,
     pub(crate) address: Arc<str>,
 }
 
-/// A primary's term.
+/// State of the primary during its term.
 ///
-/// Invariant: as long as a `LeaderTerm` exists, the newest record names this member as its primary and has the same term. It
-/// belongs to one life of the process: a member that starts with a record that names itself has none.
+/// Invariant: while a `LeaderTerm` exists, the newest record names this member as its primary and has the
+/// same term. A term belongs to one run of the process: a member that starts with a record that names itself
+/// has no `LeaderTerm`.
 #[derive(Clone, Debug)]
 pub(crate) struct LeaderTerm {
     /// Number of the term: the epoch in which this primary was elected.
@@ -29,12 +30,13 @@
     pub(crate) started_ms: Millis,
     pub(crate) pipeline: BatchPipeline,
     pub(crate) peers: BTreeMap<DiskId, Peer>,
-    /// Replicas of own proposals that may yet be decided. They count for the lease and for commits like those of the record.
+    /// Replicas of own proposals that may still be decided. They are required for the lease and for commits
+    /// like the replicas of the record.
     pub(crate) proposed_replicas: BTreeSet<DiskId>,
-    /// Whether a successor was proposed, or the process has to end: this primary acts no more.
+    /// Whether a successor was proposed or the process has to exit: this primary no longer acts.
     pub(crate) is_stepping_down: bool,
     pub(crate) next_keepalive_ms: Millis,
-    /// When this primary could last act, or began its term.
+    /// When this primary could last act; before the first time, the start of the term.
     pub(crate) last_acted_ms: Millis,
     pub(crate) last_snapshot_id: u64,
     pub(crate) removed_members: Vec<RemovedMember>,
@@ -42,7 +44,7 @@
 }
 
 impl LeaderTerm {
-    /// A term that begins now. Its first batch will have the sequence `first_sequence`.
+    /// Creates a term that starts now and whose first batch gets the sequence `first_sequence`.
     pub(crate) fn new(number: u64, first_sequence: u64, now_ms: Millis) -> LeaderTerm {
         LeaderTerm {
             number,
@@ -59,18 +61,19 @@
         }
     }
 
-    /// Whether the batch that opens the term is committed: from then on all that the primary holds is committed.
+    /// Whether the first batch of the term is committed: from then on all data that the primary held at its
+    /// election is committed.
     pub(crate) fn is_open(&self) -> bool {
         self.pipeline.is_open()
     }
 
-    /// Whether a snapshot is on its way to any member.
+    /// Whether a snapshot is being sent to any member.
     pub(crate) fn is_sending_snapshot(&self) -> bool {
         self.peers.values().any(|peer| peer.snapshot.is_some())
     }
 
-    /// Keeps a [`Peer`] for each other member of the newest record. One that is no replica any more though it answers was
-    /// too slow.
+    /// Creates or updates a [`Peer`] for each other member of the newest record and removes the others. A
+    /// former replica that is still responsive was too slow and is excluded for a while.
     pub(crate) fn update_peers(&mut self, core: &CoordinatorCore) {
         let (record, now_ms, own_id) = (core.record(), core.now_ms, core.id());
         self.peers.retain(|id, _| record.is_member(*id));
@@ -92,8 +95,8 @@
         }
     }
 
-    /// Brings these members up to date, and no others beside the replicas. A learner whose snapshot is stuck is excluded for a
-    /// while.
+    /// Sets the members that are brought up to date in addition to the replicas. A learner whose snapshot
+    /// makes no progress is excluded for a while.
     pub(crate) fn set_learners(&mut self, learners: &BTreeSet<DiskId>, now_ms: Millis) {
         let others = self.peers.iter_mut().filter(|(_, peer)| !peer.is_replica());
         for (id, peer) in others {
@@ -109,21 +112,22 @@
         }
     }
 
-    /// A record is about to be proposed: it may be decided from now on.
+    /// Records that a record is about to be proposed, from when on it may be decided.
     pub(crate) fn on_record_proposed(&mut self, record: &EpochRecord, own_id: DiskId) {
         self.proposed_replicas
             .extend(record.replicas.iter().copied());
         self.is_stepping_down |= record.primary != Some(own_id);
     }
 
-    /// A record of the same primary was decided: nothing else that it proposed can be decided any more.
+    /// Handles a decided record with the same primary: no earlier proposal of this primary can be decided any
+    /// more.
     pub(crate) fn on_record_decided(&mut self, core: &CoordinatorCore) {
         self.proposed_replicas.clear();
         self.is_stepping_down = false;
         self.update_peers(core);
     }
 
-    /// The process has stalled for `gap_ms`.
+    /// Handles a stall of this process for `gap_ms`.
     pub(crate) fn on_process_stalled(&mut self, now_ms: Millis, gap_ms: Millis) {
         for peer in self.peers.values_mut() {
             peer.on_process_stalled(now_ms, gap_ms);
--- a/crates/coordination/src/validate.rs
+++ b/crates/coordination/src/validate.rs
@@ -1,4 +1,5 @@
-//! Rejects messages whose numbers or lists no correct member sends, so that no later step has to check them.
+//! Validation of received messages: rejects numbers and lists that no correct member sends, so that later
+//! steps need not check them.
 
 use crate::acceptor::ProposalNumber;
 use crate::batch::LogPosition;
@@ -7,19 +8,19 @@
 use crate::record::EpochRecord;
 use std::sync::Arc;
 
-/// Counted numbers stay far below; above this, JSON readers lose digits.
+/// Maximum value of a counter. Counters stay far below it; above it, JSON readers lose digits.
 const MAX_NUMBER: u64 = 1 << 53;
-/// Most replicas: all members, and as many former ones whose disks were lost.
+/// Maximum number of replicas: all members, and as many former members whose disks were lost.
 const MAX_REPLICAS: usize = 2 * MAX_MEMBERS;
 
-/// Why a message is dropped.
+/// Reason why a message is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum InvalidMessage {
-    /// A number is too high.
-    #[error("a number is above 2^53: look for corruption in transit, or a machine of an incompatible version")]
+    /// A number exceeds [`MAX_NUMBER`].
+    #[error("a number is above 2^53: check for corruption in transit or a machine with an incompatible version")]
     NumberTooHigh,
-    /// A record contradicts itself.
-    #[error("a record has no members, too many, or one twice: look for a machine of an incompatible version")]
+    /// A record is inconsistent: its members, its number of replicas or its term.
+    #[error("a record is inconsistent (no members, too many members or replicas, a duplicate member, or a term above its epoch): check for a machine with an incompatible version")]
     InconsistentRecord,
 }
 
@@ -28,7 +29,7 @@
     ///
     /// # Errors
     ///
-    /// The first number or record that no correct member sends.
+    /// Returns the first number or record that no correct member sends.
     pub(crate) fn validate(&self) -> Result<(), InvalidMessage> {
         match self {
             Message::Hello { epoch, .. } => check_numbers(&[*epoch]),
@@ -137,7 +138,8 @@
     Ok(())
 }
 
-/// Whether two members have the same disk. Looks at every pair: the number of members must have been checked.
+/// Whether two members have the same disk id. Compares every pair, so the number of members must be checked
+/// before.
 fn has_member_twice(record: &EpochRecord) -> bool {
     record.members.iter().enumerate().any(|(index, member)| {
         let others = &record.members[index + 1..];
