--- a/crates/coordination/src/bootstrap.rs
+++ b/crates/coordination/src/bootstrap.rs
@@ -12,18 +12,21 @@
 /// epoch 0, with ids that every seed derives from the addresses. Any other machine draws a random id and is
 /// not a member until a record names it: a member that lost its disk may have forgotten a promise and must
 /// not make another one under the same id.
-pub(crate) fn first_witness(settings: &CoordinatorSettings, random: &mut Pcg64Mcg) -> WitnessState {
+pub(crate) fn initial_witness_state(
+    settings: &CoordinatorSettings,
+    random: &mut Pcg64Mcg,
+) -> WitnessState {
     let own_address = &settings.address.internal;
     let is_seed = settings
         .seeds
         .iter()
         .any(|seed| seed.internal == *own_address);
     let is_first_start = (settings.bootstrap || cfg!(feature = "mutant-wiped")) && is_seed;
-    let drawn_id = DiskId(random.random::<u64>() ^ address_id(own_address).0.rotate_left(17));
+    let random_id = DiskId(random.random::<u64>() ^ address_id(own_address).0.rotate_left(17));
     let (id, decided) = if is_first_start {
-        (address_id(own_address), first_record(&settings.seeds))
+        (address_id(own_address), initial_record(&settings.seeds))
     } else {
-        (drawn_id, EpochRecord::default())
+        (random_id, EpochRecord::default())
     };
     WitnessState {
         id,
@@ -33,7 +36,7 @@
 }
 
 /// Returns the record of epoch 0: all seeds are members and replicas, and there is no primary.
-fn first_record(seeds: &[CoreAddress]) -> EpochRecord {
+fn initial_record(seeds: &[CoreAddress]) -> EpochRecord {
     let mut members: Vec<Member> = Vec::new();
     for seed in seeds {
         let member = Member {
--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -131,8 +131,10 @@
 
     /// Whether this member was elected and the first batch of its term is not committed yet.
     pub fn is_starting_term(&self) -> bool {
-        let opens = |term: &LeaderTerm| !term.is_open() && !term.is_stepping_down;
-        let is_elected = self.elected_epoch.is_some() || self.term.as_ref().is_some_and(opens);
+        let is_starting =
+            |term: &LeaderTerm| !term.is_first_batch_committed() && !term.is_stepping_down;
+        let is_elected =
+            self.elected_epoch.is_some() || self.term.as_ref().is_some_and(is_starting);
         self.core.is_named_primary() && is_elected
     }
 
@@ -143,12 +145,12 @@
         let Some(since_ms) = self.core.leaving_since_ms else {
             return false;
         };
-        let is_over = self.core.now_ms >= since_ms + LEAVE_TIMEOUT_MS;
+        let has_timed_out = self.core.now_ms >= since_ms + LEAVE_TIMEOUT_MS;
         let record = self.core.record();
         let is_to_be_removed = record.can_spare_member() && record.is_member(self.core.id());
         let is_needed = record.is_replica(self.core.id()) || is_to_be_removed;
         let is_primary = self.term.is_some() || self.elected_epoch.is_some();
-        is_over || !(is_primary || is_needed)
+        has_timed_out || !(is_primary || is_needed)
     }
 
     /// What this member knows about the control plane. The primary is included only while it is presumed
@@ -173,15 +175,15 @@
     fn is_primary_alive(&self, now_ms: Millis) -> bool {
         let lease_ms = self.core.settings.lease_ms;
         if let Some(term) = &self.term {
-            let acted_lately = now_ms < term.last_acted_ms + lease_ms * 2;
-            return !term.is_stepping_down && acted_lately;
+            let acted_recently = now_ms < term.last_acted_ms + lease_ms * 2;
+            return !term.is_stepping_down && acted_recently;
         }
-        let has_ended = self.election.has_ended(self.core.record().term);
-        let heard_lately = self
+        let is_term_ended = self.election.is_term_ended(self.core.record().term);
+        let had_recent_contact = self
             .election
-            .primary_heard_ms()
-            .is_some_and(|heard_ms| now_ms < heard_ms + lease_ms * 3 / 2);
-        heard_lately && !has_ended && self.elected_epoch.is_none()
+            .last_primary_contact_ms()
+            .is_some_and(|contact_ms| now_ms < contact_ms + lease_ms * 3 / 2);
+        had_recent_contact && !is_term_ended && self.elected_epoch.is_none()
     }
 
     /// Status for operators.
@@ -270,9 +272,9 @@
 
     fn tick_replica(&mut self) {
         let is_elected = self.elected_epoch.is_some();
-        let has_to_stand = self.election.tick(&mut self.core, is_elected);
+        let is_candidacy_due = self.election.tick(&mut self.core, is_elected);
         let may_propose = self.proposer.is_idle() && !self.proposer.is_paused(self.core.now_ms);
-        if has_to_stand && may_propose {
+        if is_candidacy_due && may_propose {
             self.proposer.propose(&mut self.core, Purpose::Election);
         }
     }
@@ -283,7 +285,11 @@
         }
         self.announce_ended_term();
         let may_act = self.may_act(self.core.now_ms);
-        send_hellos(&mut self.core, self.election.primary_heard_ms(), may_act);
+        send_hellos(
+            &mut self.core,
+            self.election.last_primary_contact_ms(),
+            may_act,
+        );
     }
 
     fn on_leave(&mut self) {
@@ -316,7 +322,7 @@
                 let own_address = self.core.settings.address.internal.clone();
                 self.receive(&own_address, message);
             } else if let Some(effect) = self.core.disk.take_ready_effect() {
-                self.carry_out(effect);
+                self.apply_effect(effect);
             } else {
                 break;
             }
@@ -327,7 +333,7 @@
         self.core.outbox.take_outputs()
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn apply_effect(&mut self, effect: Effect) {
         match effect {
             Effect::Started => self.is_started = true,
             Effect::Send { to, message } => self.core.send(to, message),
@@ -393,18 +399,18 @@
                 self.replica.on_snapshot_part(&mut self.core, sender, part);
             }
             Message::KeepaliveAck(ack) => {
-                self.with_term(|own, core| own.on_keepalive_ack(core, &ack));
+                self.with_term(|leader, core| leader.on_keepalive_ack(core, &ack));
             }
             Message::Synced {
                 from,
                 term,
                 position,
-            } => self.with_term(|own, core| own.on_synced(core, from, term, position)),
+            } => self.with_term(|leader, core| leader.on_synced(core, from, term, position)),
             Message::SnapshotAck {
                 from,
                 snapshot,
                 next,
-            } => self.with_term(|own, core| own.on_snapshot_ack(core, from, snapshot, next)),
+            } => self.with_term(|leader, core| leader.on_snapshot_ack(core, from, snapshot, next)),
         }
     }
 
@@ -436,7 +442,7 @@
 
     fn on_prepare(&mut self, sender: &Arc<str>, base: &Arc<EpochRecord>, number: ProposalNumber) {
         let instance = base.epoch + 1;
-        if !self.may_vote_after(sender, base) {
+        if !self.may_vote_on_successor_of(sender, base) {
             return;
         }
         let vote = self.core.witness.prepare(number);
@@ -447,7 +453,7 @@
             accepted: self.core.witness.accepted.clone(),
             position: self.core.state.applied(),
         };
-        self.answer_vote(sender, vote, message);
+        self.send_vote_response(sender, vote, message);
     }
 
     fn on_accept(
@@ -458,7 +464,7 @@
         value: Arc<EpochRecord>,
     ) {
         let instance = base.epoch + 1;
-        if !self.may_vote_after(sender, base) || value.epoch != instance {
+        if !self.may_vote_on_successor_of(sender, base) || value.epoch != instance {
             return;
         }
         let vote = self.core.witness.accept(number, value);
@@ -467,11 +473,11 @@
             instance,
             number,
         };
-        self.answer_vote(sender, vote, message);
+        self.send_vote_response(sender, vote, message);
     }
 
     /// Whether this member may vote on the record after `base`.
-    fn may_vote_after(&mut self, sender: &Arc<str>, base: &Arc<EpochRecord>) -> bool {
+    fn may_vote_on_successor_of(&mut self, sender: &Arc<str>, base: &Arc<EpochRecord>) -> bool {
         self.adopt_record(base);
         if self.core.record().epoch > base.epoch {
             self.core.send_newest_record(sender);
@@ -482,7 +488,7 @@
 
     /// Sends the response to a vote when the state that it reports is synced. A rejection is sent
     /// immediately, as it depends on no change.
-    fn answer_vote(&mut self, proposer: &Arc<str>, vote: Vote, message: Message) {
+    fn send_vote_response(&mut self, proposer: &Arc<str>, vote: Vote, message: Message) {
         if vote == Vote::Rejected {
             let rejection = Message::Rejected {
                 instance: self.core.record().epoch + 1,
@@ -494,7 +500,7 @@
             self.core.disk.put_witness(&self.core.witness);
         }
         let to = proposer.clone();
-        self.core.disk.then(Effect::Send { to, message });
+        self.core.disk.queue_effect(Effect::Send { to, message });
     }
 
     fn on_promised(
@@ -529,7 +535,7 @@
         if self.core.is_named_primary() || self.core.witness.candidate {
             return;
         }
-        self.proposer.withdraw_candidacy();
+        self.proposer.abandon_election_without_value();
         self.election.on_keepalive_acknowledged(self.core.now_ms);
         let ack = self.core.keepalive_ack(record.term, sent_ms);
         self.core.send(sender.clone(), ack);
@@ -548,15 +554,16 @@
 impl Coordinator {
     /// Adopts a decided record if it is newer than the newest one known.
     fn adopt_record(&mut self, record: &Arc<EpochRecord>) {
-        let names_other = record.primary != Some(self.core.id());
-        let is_kept = cfg!(feature = "mutant-deposed") && self.term.is_some() && names_other;
-        if record.epoch <= self.core.record().epoch || is_kept {
+        let names_other_primary = record.primary != Some(self.core.id());
+        let is_ignored =
+            cfg!(feature = "mutant-deposed") && self.term.is_some() && names_other_primary;
+        if record.epoch <= self.core.record().epoch || is_ignored {
             return;
         }
         log_record_change(self.core.record(), record);
         self.core.witness.adopt(record.clone());
         self.core.disk.put_witness(&self.core.witness);
-        self.core.disk.then(Effect::RecordSynced {
+        self.core.disk.queue_effect(Effect::RecordSynced {
             epoch: record.epoch,
         });
         self.proposer.on_record_decided();
@@ -569,10 +576,10 @@
         if self.term.take().is_some() {
             self.core.outbox.push(Output::Deposed);
         }
-        self.election.on_primary_heard(self.core.now_ms);
+        self.election.on_primary_contact(self.core.now_ms);
         if self.core.is_named_primary() && record.term == record.epoch {
             self.elected_epoch = Some(record.epoch);
-            self.core.disk.then(Effect::BeginTerm {
+            self.core.disk.queue_effect(Effect::BeginTerm {
                 epoch: record.epoch,
             });
         }
@@ -650,7 +657,7 @@
         if let Some(term) = &mut self.term {
             term.on_record_proposed(&value, self.core.id());
         }
-        self.proposer.offer(&mut self.core, value);
+        self.proposer.start_accept_phase(&mut self.core, value);
     }
 
     fn desired_record(&self) -> Option<EpochRecord> {
@@ -727,12 +734,12 @@
         "epoch {epoch}: primary {primary}, replicas {}",
         replicas.join(" ")
     );
-    log_members_missing(new, old, "added", epoch);
-    log_members_missing(old, new, "removed", epoch);
+    log_member_differences(new, old, "added", epoch);
+    log_member_differences(old, new, "removed", epoch);
 }
 
 /// Logs the members of one record that the other record does not have.
-fn log_members_missing(record: &EpochRecord, other: &EpochRecord, change: &str, epoch: u64) {
+fn log_member_differences(record: &EpochRecord, other: &EpochRecord, change: &str, epoch: u64) {
     let missing = record
         .members
         .iter()
--- a/crates/coordination/src/coordinator_core.rs
+++ b/crates/coordination/src/coordinator_core.rs
@@ -2,7 +2,7 @@
 //! outgoing messages.
 
 use crate::acceptor::WitnessState;
-use crate::bootstrap::first_witness;
+use crate::bootstrap::initial_witness_state;
 use crate::disk::{DiskQueue, Effect};
 use crate::message::{KeepaliveAck, Message};
 use crate::outbox::Outbox;
@@ -52,11 +52,11 @@
         let mut random = Pcg64Mcg::seed_from_u64(settings.random_seed);
         let mut witness = image
             .witness
-            .unwrap_or_else(|| first_witness(&settings, &mut random));
+            .unwrap_or_else(|| initial_witness_state(&settings, &mut random));
         witness.starts += 1;
         let mut disk = DiskQueue::default();
         disk.put_witness(&witness);
-        disk.then(Effect::Started);
+        disk.queue_effect(Effect::Started);
         CoordinatorCore {
             outbox: Outbox::new(settings.address.internal.clone()),
             settings,
@@ -103,7 +103,7 @@
 
     /// Minimum number of replicas with which a batch can be committed: one more than the number of disks that
     /// may be lost, limited by the number of members.
-    pub(crate) fn min_replicas(&self, record: &EpochRecord) -> usize {
+    pub(crate) fn min_replica_count(&self, record: &EpochRecord) -> usize {
         (self.settings.tolerance + 1)
             .min(record.members.len())
             .max(1)
@@ -111,14 +111,14 @@
 
     /// Target number of replicas: one more than the minimum, so that appends are still committed while a
     /// replica is replaced.
-    pub(crate) fn target_replicas(&self) -> usize {
+    pub(crate) fn target_replica_count(&self) -> usize {
         self.settings.tolerance + 2
     }
 
     /// Whether the newest record has enough replicas to commit batches.
     pub(crate) fn has_enough_replicas(&self) -> bool {
         let record = self.record();
-        record.replicas.len() >= self.min_replicas(record)
+        record.replicas.len() >= self.min_replica_count(record)
     }
 
     /// Sends a message immediately, without waiting for queued disk changes.
--- a/crates/coordination/src/discovery.rs
+++ b/crates/coordination/src/discovery.rs
@@ -39,19 +39,19 @@
 /// not a member and wants to join.
 pub(crate) fn send_hellos(
     core: &mut CoordinatorCore,
-    primary_heard_ms: Option<Millis>,
+    last_primary_contact_ms: Option<Millis>,
     may_act: bool,
 ) {
     let is_member = core.record().is_member(core.id());
-    let hears_no_primary =
-        primary_heard_ms.is_none_or(|heard_ms| core.now_ms > heard_ms + PRIMARY_TIMEOUT_MS);
-    let is_wanted = if is_member {
-        hears_no_primary && !may_act
+    let has_no_primary_contact = last_primary_contact_ms
+        .is_none_or(|contact_ms| core.now_ms > contact_ms + PRIMARY_TIMEOUT_MS);
+    let should_send = if is_member {
+        has_no_primary_contact && !may_act
     } else {
         // A machine that leaves does not ask to join again.
         !core.is_leaving()
     };
-    if !is_wanted {
+    if !should_send {
         return;
     }
     for address in known_addresses(core) {
--- a/crates/coordination/src/disk.rs
+++ b/crates/coordination/src/disk.rs
@@ -7,7 +7,7 @@
 use crate::acceptor::WitnessState;
 use crate::batch::LogPosition;
 use crate::events::Output;
-use crate::limits::SLOW_SYNCS_IN_A_ROW;
+use crate::limits::UNFIT_DISK_SLOW_SYNCS;
 use crate::message::Message;
 use crate::storage::DiskChange;
 use crate::timing::{DISK_RETRY_INTERVAL_MS, SLOW_SYNC_MS, SYNC_TIMEOUT_MS};
@@ -60,7 +60,7 @@
     synced_change: u64,
     retry_at_ms: Millis,
     failing_since_ms: Option<Millis>,
-    slow_syncs_in_a_row: u32,
+    consecutive_slow_syncs: u32,
     last_sync_ms: Millis,
     effects: VecDeque<WaitingEffect>,
 }
@@ -102,7 +102,7 @@
     }
 
     /// Queues an effect that is carried out when all changes queued so far are synced.
-    pub(crate) fn then(&mut self, effect: Effect) {
+    pub(crate) fn queue_effect(&mut self, effect: Effect) {
         self.effects.push_back(WaitingEffect {
             after_change: self.last_change,
             effect,
@@ -149,11 +149,11 @@
     fn record_sync_time(&mut self, took_ms: Millis) {
         self.last_sync_ms = took_ms;
         if took_ms > SYNC_TIMEOUT_MS {
-            self.slow_syncs_in_a_row = SLOW_SYNCS_IN_A_ROW;
+            self.consecutive_slow_syncs = UNFIT_DISK_SLOW_SYNCS;
         } else if took_ms > SLOW_SYNC_MS {
-            self.slow_syncs_in_a_row += 1;
+            self.consecutive_slow_syncs += 1;
         } else {
-            self.slow_syncs_in_a_row = 0;
+            self.consecutive_slow_syncs = 0;
         }
     }
 
@@ -178,22 +178,22 @@
 
     /// Duration of a sync: that of the last sync, or of the one in flight if it already takes longer.
     pub(crate) fn sync_time_ms(&self, now_ms: Millis) -> Millis {
-        let present_ms = self
+        let current_ms = self
             .in_flight
             .as_ref()
             .map_or(0, |change| now_ms.saturating_sub(change.since_ms));
-        present_ms.max(self.last_sync_ms)
+        current_ms.max(self.last_sync_ms)
     }
 
     /// Whether the disk is too slow or fails too long for a primary.
     pub(crate) fn is_unfit_for_primary(&self, now_ms: Millis) -> bool {
-        let is_over = |since_ms: Millis| now_ms.saturating_sub(since_ms) > SYNC_TIMEOUT_MS;
+        let exceeds_timeout = |since_ms: Millis| now_ms.saturating_sub(since_ms) > SYNC_TIMEOUT_MS;
         let is_stuck = self
             .in_flight
             .as_ref()
-            .is_some_and(|change| is_over(change.since_ms));
-        let is_failing = self.failing_since_ms.is_some_and(is_over);
-        is_stuck || is_failing || self.slow_syncs_in_a_row >= SLOW_SYNCS_IN_A_ROW
+            .is_some_and(|change| exceeds_timeout(change.since_ms));
+        let is_failing = self.failing_since_ms.is_some_and(exceeds_timeout);
+        is_stuck || is_failing || self.consecutive_slow_syncs >= UNFIT_DISK_SLOW_SYNCS
     }
 
     /// Handles a stall of this process: the time of the stall does not count as sync time.
--- a/crates/coordination/src/election.rs
+++ b/crates/coordination/src/election.rs
@@ -17,53 +17,53 @@
 pub(crate) struct Election {
     /// Start of the lease that this member has granted to the primary: the time of its last acknowledgement
     /// of a keepalive, or of its own start, as it may have forgotten an acknowledgement.
-    promised_ms: Millis,
+    lease_granted_ms: Millis,
     /// When this member last acknowledged a keepalive, or adopted a record that does not continue a term of
     /// its own.
-    primary_heard_ms: Option<Millis>,
+    last_primary_contact_ms: Option<Millis>,
     /// Number of a term whose primary has restarted or stepped down.
     ended_term: Option<u64>,
     /// When this member becomes a candidate; `None` while no election is scheduled.
-    stand_at_ms: Option<Millis>,
+    candidacy_at_ms: Option<Millis>,
 }
 
 impl Election {
     /// State of a member that has just started.
     pub(crate) fn new(now_ms: Millis) -> Election {
         Election {
-            promised_ms: now_ms,
-            primary_heard_ms: None,
+            lease_granted_ms: now_ms,
+            last_primary_contact_ms: None,
             ended_term: None,
-            stand_at_ms: None,
+            candidacy_at_ms: None,
         }
     }
 
     /// When this member was last in contact with the primary; `None` if it was not since its start.
-    pub(crate) fn primary_heard_ms(&self) -> Option<Millis> {
-        self.primary_heard_ms
+    pub(crate) fn last_primary_contact_ms(&self) -> Option<Millis> {
+        self.last_primary_contact_ms
     }
 
     /// Handles a newer record: cancels the scheduled election, and counts the lease from now.
     pub(crate) fn on_record_adopted(&mut self, now_ms: Millis) {
-        self.stand_at_ms = None;
-        self.promised_ms = now_ms;
+        self.candidacy_at_ms = None;
+        self.lease_granted_ms = now_ms;
     }
 
     /// Records contact with the primary.
-    pub(crate) fn on_primary_heard(&mut self, now_ms: Millis) {
-        self.primary_heard_ms = Some(now_ms);
+    pub(crate) fn on_primary_contact(&mut self, now_ms: Millis) {
+        self.last_primary_contact_ms = Some(now_ms);
     }
 
     /// Records that this member acknowledges a keepalive, which grants a new lease.
     pub(crate) fn on_keepalive_acknowledged(&mut self, now_ms: Millis) {
-        self.promised_ms = now_ms;
-        self.primary_heard_ms = Some(now_ms);
+        self.lease_granted_ms = now_ms;
+        self.last_primary_contact_ms = Some(now_ms);
     }
 
     /// Handles a stall of this process: cancels the scheduled election, because the primary may have sent
     /// keepalives during the stall.
     pub(crate) fn on_process_stalled(&mut self) {
-        self.stand_at_ms = None;
+        self.candidacy_at_ms = None;
     }
 
     /// Records that the primary of this term has restarted or stepped down.
@@ -72,7 +72,7 @@
     }
 
     /// Whether the primary of this term is known to have restarted or stepped down.
-    pub(crate) fn has_ended(&self, term: u64) -> bool {
+    pub(crate) fn is_term_ended(&self, term: u64) -> bool {
         self.ended_term == Some(term)
     }
 
@@ -80,21 +80,21 @@
     /// says that the record elected this member, whose term has not begun yet.
     fn is_lease_over(&self, core: &CoordinatorCore, is_elected: bool) -> bool {
         let record = core.record();
-        if record.epoch == 0 || core.witness.candidate || self.has_ended(record.term) {
+        if record.epoch == 0 || core.witness.candidate || self.is_term_ended(record.term) {
             return true;
         }
         if core.is_named_primary() {
             return !is_elected;
         }
-        let is_over = core.now_ms >= self.promised_ms + core.settings.lease_ms;
-        is_over || cfg!(feature = "mutant-lease")
+        let is_expired = core.now_ms >= self.lease_granted_ms + core.settings.lease_ms;
+        is_expired || cfg!(feature = "mutant-lease")
     }
 
     /// Rank of this candidate: the number of replicas that the record names before it, without a primary that
     /// may have failed. Each of them becomes a candidate earlier.
     fn rank(&self, core: &CoordinatorCore) -> usize {
         let record = core.record();
-        let lost_primary = record.primary.filter(|_| !self.has_ended(record.term));
+        let lost_primary = record.primary.filter(|_| !self.is_term_ended(record.term));
         let candidates = record
             .replicas
             .iter()
@@ -107,18 +107,18 @@
     pub(crate) fn tick(&mut self, core: &mut CoordinatorCore, is_elected: bool) -> bool {
         let is_replica = core.record().is_replica(core.id());
         if !is_replica || core.is_leaving() || !self.is_lease_over(core, is_elected) {
-            self.stand_at_ms = None;
+            self.candidacy_at_ms = None;
             return false;
         }
-        let stand_at_ms = match self.stand_at_ms {
-            Some(stand_at_ms) => stand_at_ms,
-            None => self.draw_stand_time(core),
+        let candidacy_at_ms = match self.candidacy_at_ms {
+            Some(candidacy_at_ms) => candidacy_at_ms,
+            None => self.draw_candidacy_time(core),
         };
-        self.stand_at_ms = Some(stand_at_ms);
-        core.now_ms >= stand_at_ms
+        self.candidacy_at_ms = Some(candidacy_at_ms);
+        core.now_ms >= candidacy_at_ms
     }
 
-    fn draw_stand_time(&self, core: &mut CoordinatorCore) -> Millis {
+    fn draw_candidacy_time(&self, core: &mut CoordinatorCore) -> Millis {
         let jitter_ms = core.random.random_range(0..=MAX_CANDIDATE_JITTER_MS);
         core.now_ms + self.rank(core) as Millis * CANDIDATE_RANK_DELAY_MS + jitter_ms
     }
@@ -133,29 +133,29 @@
     let base = core.record();
     let own_id = core.id();
     let position = |id: DiskId| promises.get(&id).map(|promise| promise.position);
-    let reported: Vec<DiskId> = base
+    let reporting_replicas: Vec<DiskId> = base
         .replicas
         .iter()
         .copied()
         .filter(|id| position(*id).is_some())
         .collect();
-    let with_longest_log = reported
+    let replica_with_longest_log = reporting_replicas
         .iter()
         .copied()
         .max_by_key(|id| (position(*id), *id == own_id));
-    let primary = with_longest_log.unwrap_or(own_id);
-    let is_enough = reported.len() >= core.min_replicas(base);
+    let primary = replica_with_longest_log.unwrap_or(own_id);
+    let has_enough_replicas = reporting_replicas.len() >= core.min_replica_count(base);
     // With too few replicas alive, the record keeps all of them: any of the others may hold the only copy of
     // a committed batch.
-    let mut replicas = if is_enough {
-        reported
+    let mut replicas = if has_enough_replicas {
+        reporting_replicas
     } else {
         base.replicas.clone()
     };
     replicas.retain(|id| *id != primary);
     replicas.insert(0, primary);
-    if is_enough {
-        replicas.truncate(core.target_replicas());
+    if has_enough_replicas {
+        replicas.truncate(core.target_replica_count());
     }
     EpochRecord {
         epoch: base.epoch + 1,
--- a/crates/coordination/src/join.rs
+++ b/crates/coordination/src/join.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug)]
 struct JoinRequest {
     candidate: Member,
-    heard_ms: Millis,
+    received_ms: Millis,
 }
 
 /// The join requests that the primary has received and that have not expired.
@@ -23,11 +23,11 @@
     /// Records a request. At the limit of [`MAX_JOIN_REQUESTS`], only requests of machines that are already
     /// recorded are renewed.
     pub(crate) fn record(&mut self, candidate: Member, now_ms: Millis) {
-        let has_place = self.by_disk.len() < MAX_JOIN_REQUESTS;
-        if has_place || self.by_disk.contains_key(&candidate.id) {
+        let has_capacity = self.by_disk.len() < MAX_JOIN_REQUESTS;
+        if has_capacity || self.by_disk.contains_key(&candidate.id) {
             let request = JoinRequest {
                 candidate,
-                heard_ms: now_ms,
+                received_ms: now_ms,
             };
             self.by_disk.insert(request.candidate.id, request);
         }
@@ -36,7 +36,7 @@
     /// Removes requests that were not repeated within [`JOIN_REQUEST_TIMEOUT_MS`].
     pub(crate) fn expire(&mut self, now_ms: Millis) {
         self.by_disk
-            .retain(|_, request| now_ms < request.heard_ms + JOIN_REQUEST_TIMEOUT_MS);
+            .retain(|_, request| now_ms < request.received_ms + JOIN_REQUEST_TIMEOUT_MS);
     }
 
     /// The machines that ask to join, ordered by disk id.
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -13,13 +13,14 @@
 
 /// Share of the replicas' lease that the primary uses. The rest covers steady clocks that run at different
 /// rates.
-const USED_LEASE_PERCENT: Millis = 95;
+const PRIMARY_LEASE_PERCENT: Millis = 95;
 
 impl LeaderTerm {
     /// Whether the lease is valid and the first batch of the term is committed, so that responses may be
     /// released.
     pub(crate) fn may_act(&self, core: &CoordinatorCore, now_ms: Millis) -> bool {
-        let is_allowed = self.is_open() && !self.is_stepping_down && core.has_enough_replicas();
+        let is_allowed =
+            self.is_first_batch_committed() && !self.is_stepping_down && core.has_enough_replicas();
         is_allowed
             && self
                 .lease_end_ms(core)
@@ -28,11 +29,11 @@
 
     /// End of the shortest lease among all required replicas; `None` while one of them has granted no lease.
     fn lease_end_ms(&self, core: &CoordinatorCore) -> Option<Millis> {
-        let span_ms = core.settings.lease_ms * USED_LEASE_PERCENT / 100;
+        let duration_ms = core.settings.lease_ms * PRIMARY_LEASE_PERCENT / 100;
         let mut end_ms = Millis::MAX;
         for id in self.required_replicas(core) {
             let start_ms = self.peers.get(&id)?.lease_start_ms?;
-            end_ms = end_ms.min(start_ms + span_ms);
+            end_ms = end_ms.min(start_ms + duration_ms);
         }
         Some(end_ms)
     }
@@ -43,8 +44,11 @@
         &'a self,
         core: &'a CoordinatorCore,
     ) -> impl Iterator<Item = DiskId> + 'a {
-        let counts = !cfg!(feature = "mutant-proposed");
-        let proposed = self.proposed_replicas.iter().filter(move |_| counts);
+        let includes_proposed = !cfg!(feature = "mutant-proposed");
+        let proposed = self
+            .proposed_replicas
+            .iter()
+            .filter(move |_| includes_proposed);
         let replicas = core.record().replicas.iter().chain(proposed).copied();
         replicas.filter(|id| *id != core.id())
     }
@@ -56,12 +60,12 @@
         if self.may_act(core, now_ms) {
             self.last_acted_ms = now_ms;
         }
-        let heard = self
+        let responsive = self
             .peers
             .values()
-            .filter(|peer| !peer.is_silent_for(QUORUM_TIMEOUT_MS, now_ms))
+            .filter(|peer| !peer.is_unresponsive_for(QUORUM_TIMEOUT_MS, now_ms))
             .count();
-        let is_over = now_ms >= self.last_acted_ms + QUORUM_TIMEOUT_MS;
-        is_over && heard + 1 < core.record().majority()
+        let has_timed_out = now_ms >= self.last_acted_ms + QUORUM_TIMEOUT_MS;
+        has_timed_out && responsive + 1 < core.record().majority()
     }
 }
--- a/crates/coordination/src/log_cache.rs
+++ b/crates/coordination/src/log_cache.rs
@@ -11,12 +11,12 @@
 
 /// The newest batches, in order and without gaps.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct RecentBatches {
+pub(crate) struct LogCache {
     batches: VecDeque<Batch>,
     bytes: usize,
 }
 
-impl RecentBatches {
+impl LogCache {
     /// Adds a batch and evicts the oldest batches above `max_bytes`; the newest batch is never evicted.
     pub(crate) fn push(&mut self, batch: Batch, max_bytes: usize) {
         self.bytes += batch_bytes(&batch);
@@ -34,7 +34,7 @@
     }
 
     /// Whether the cached batches suffice to bring a state at this position to the newest position.
-    pub(crate) fn reaches_from(&self, position: LogPosition) -> bool {
+    pub(crate) fn can_replay_from(&self, position: LogPosition) -> bool {
         match self.get(position.sequence + 1) {
             Some(batch) => batch.previous == position,
             None => self
--- a/crates/coordination/src/peer.rs
+++ b/crates/coordination/src/peer.rs
@@ -26,9 +26,9 @@
 pub(crate) struct Peer {
     pub(crate) address: Arc<str>,
     /// When the member last acknowledged a keepalive; before the first one, when the peer was added.
-    pub(crate) heard_ms: Millis,
+    pub(crate) last_ack_ms: Millis,
     /// Whether the member has acknowledged a keepalive in this term.
-    has_answered: bool,
+    has_acknowledged: bool,
     /// When the newest keepalive that the member acknowledged was sent: the start of its lease.
     pub(crate) lease_start_ms: Option<Millis>,
     /// Position that the member has synced; `None` until it is reported.
@@ -55,8 +55,8 @@
     pub(crate) fn new(address: Arc<str>, now_ms: Millis) -> Peer {
         Peer {
             address,
-            heard_ms: now_ms,
-            has_answered: false,
+            last_ack_ms: now_ms,
+            has_acknowledged: false,
             lease_start_ms: None,
             position: None,
             last_sent: 0,
@@ -83,12 +83,12 @@
 
     /// Whether the member has acknowledged a keepalive within [`REPLICA_TIMEOUT_MS`].
     pub(crate) fn is_responsive(&self, now_ms: Millis) -> bool {
-        self.has_answered && now_ms.saturating_sub(self.heard_ms) < REPLICA_TIMEOUT_MS
+        self.has_acknowledged && now_ms.saturating_sub(self.last_ack_ms) < REPLICA_TIMEOUT_MS
     }
 
     /// Whether the member has not acknowledged a keepalive for this long.
-    pub(crate) fn is_silent_for(&self, span_ms: Millis, now_ms: Millis) -> bool {
-        now_ms >= self.heard_ms + span_ms
+    pub(crate) fn is_unresponsive_for(&self, duration_ms: Millis, now_ms: Millis) -> bool {
+        now_ms >= self.last_ack_ms + duration_ms
     }
 
     /// Whether the member must not become a replica yet because it was too slow.
@@ -110,15 +110,15 @@
     }
 
     /// Records what the member reports about itself: whether it leaves, and its newest synced record.
-    pub(crate) fn on_announcement(&mut self, ack: &KeepaliveAck) {
+    pub(crate) fn on_status_reported(&mut self, ack: &KeepaliveAck) {
         self.is_leaving = ack.leaving;
         self.synced_record_epoch = self.synced_record_epoch.max(ack.recorded_epoch);
     }
 
     /// Records the acknowledgement of a keepalive that was sent at `sent_ms`.
     pub(crate) fn on_keepalive_acknowledged(&mut self, sent_ms: Millis, now_ms: Millis) {
-        self.heard_ms = now_ms;
-        self.has_answered = true;
+        self.last_ack_ms = now_ms;
+        self.has_acknowledged = true;
         self.lease_start_ms = self.lease_start_ms.max(Some(sent_ms));
     }
 
@@ -136,7 +136,7 @@
     }
 
     /// When a retransmission is due, resets the send position to the last acknowledged batch.
-    pub(crate) fn rewind_if_due(&mut self, now_ms: Millis) {
+    pub(crate) fn reset_send_position_if_due(&mut self, now_ms: Millis) {
         let Some(position) = self.position else {
             return;
         };
@@ -152,7 +152,7 @@
     /// Handles a stall of this process for `gap_ms`: the time of the stall does not count as silence of the
     /// member.
     pub(crate) fn on_process_stalled(&mut self, now_ms: Millis, gap_ms: Millis) {
-        self.heard_ms = (self.heard_ms + gap_ms).min(now_ms);
+        self.last_ack_ms = (self.last_ack_ms + gap_ms).min(now_ms);
         self.stalled_until_ms = now_ms;
     }
 }
--- a/crates/coordination/src/pipeline.rs
+++ b/crates/coordination/src/pipeline.rs
@@ -1,6 +1,6 @@
 //! The primary's batches: pending appends, uncommitted batches, and creation times of batches.
 
-use crate::limits::{BATCH_BYTES, MAX_CREATION_TIMES, MAX_IN_FLIGHT_BATCHES};
+use crate::limits::{MAX_CREATION_TIMES, MAX_IN_FLIGHT_BATCHES, TARGET_BATCH_BYTES};
 use crate::log_cache::write_bytes;
 use std::collections::VecDeque;
 use streamusher_protocol::store::Write;
@@ -39,9 +39,9 @@
     pending: Vec<PendingAppend>,
     in_flight: VecDeque<InFlightBatch>,
     /// Creation times of the newest batches, in order; the first entry is that of the sequence
-    /// `first_creation`.
+    /// `first_creation_sequence`.
     creation_times_ms: VecDeque<Millis>,
-    first_creation: u64,
+    first_creation_sequence: u64,
 }
 
 impl BatchPipeline {
@@ -53,7 +53,7 @@
             pending: Vec::new(),
             in_flight: VecDeque::new(),
             creation_times_ms: VecDeque::new(),
-            first_creation: first_sequence,
+            first_creation_sequence: first_sequence,
         }
     }
 
@@ -63,7 +63,7 @@
     }
 
     /// Whether the first batch of the term is committed.
-    pub(crate) fn is_open(&self) -> bool {
+    pub(crate) fn is_first_batch_committed(&self) -> bool {
         self.committed >= self.first_sequence
     }
 
@@ -77,19 +77,22 @@
         self.pending.push(PendingAppend { sequence, writes });
     }
 
-    /// Removes and returns the content of the next batch: pending appends of about [`BATCH_BYTES`], at least
+    /// Removes and returns the content of the next batch: pending appends of about [`TARGET_BATCH_BYTES`], at least
     /// one. Returns `None` if there is none, if the batches up to `newest_sequence` leave no capacity for
     /// another uncommitted one, or if the first batch of the term is not committed.
     pub(crate) fn take_next_batch(&mut self, newest_sequence: u64) -> Option<BatchContent> {
         let in_flight = newest_sequence.saturating_sub(self.committed);
-        if self.pending.is_empty() || in_flight >= MAX_IN_FLIGHT_BATCHES || !self.is_open() {
+        if self.pending.is_empty()
+            || in_flight >= MAX_IN_FLIGHT_BATCHES
+            || !self.is_first_batch_committed()
+        {
             return None;
         }
         let mut content = BatchContent::default();
         let mut bytes = 0;
         let mut count = 0;
         for append in &mut self.pending {
-            if bytes >= BATCH_BYTES {
+            if bytes >= TARGET_BATCH_BYTES {
                 break;
             }
             bytes += append.writes.iter().map(write_bytes).sum::<usize>();
@@ -110,7 +113,7 @@
         self.creation_times_ms.push_back(now_ms);
         if self.creation_times_ms.len() > MAX_CREATION_TIMES {
             self.creation_times_ms.pop_front();
-            self.first_creation += 1;
+            self.first_creation_sequence += 1;
         }
     }
 
@@ -135,7 +138,7 @@
         stalled_until_ms: Millis,
         now_ms: Millis,
     ) -> Millis {
-        let offset = sequence.saturating_sub(self.first_creation);
+        let offset = sequence.saturating_sub(self.first_creation_sequence);
         let created_ms = usize::try_from(offset)
             .ok()
             .and_then(|index| self.creation_times_ms.get(index));
--- a/crates/coordination/src/proposal.rs
+++ b/crates/coordination/src/proposal.rs
@@ -31,16 +31,16 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Phase {
     /// Phase 1: promises are being collected.
-    Preparing {
+    Prepare {
         promises: BTreeMap<DiskId, Promise>,
         majority_at_ms: Option<Millis>,
     },
     /// Phase 2: the value is chosen and acceptances are being collected.
-    Accepting {
+    Accept {
         value: Arc<EpochRecord>,
         accepted_by: BTreeSet<DiskId>,
         /// Whether the value was sent to other members: from then on it may be decided.
-        is_public: bool,
+        is_broadcast: bool,
     },
 }
 
@@ -64,7 +64,7 @@
         purpose: Purpose,
         now_ms: Millis,
     ) -> Proposal {
-        let phase = Phase::Preparing {
+        let phase = Phase::Prepare {
             promises: BTreeMap::new(),
             majority_at_ms: None,
         };
@@ -84,7 +84,7 @@
     }
 
     /// Whether a response belongs to this proposal and comes from a member of `base`.
-    pub(crate) fn is_answered_by(
+    pub(crate) fn matches_response(
         &self,
         from: DiskId,
         instance: u64,
@@ -94,8 +94,8 @@
     }
 
     /// Whether this is an election whose value is not chosen yet, so that it cannot be decided.
-    pub(crate) fn is_candidacy_without_value(&self) -> bool {
-        let is_preparing = matches!(self.phase, Phase::Preparing { .. });
+    pub(crate) fn is_election_without_value(&self) -> bool {
+        let is_preparing = matches!(self.phase, Phase::Prepare { .. });
         self.purpose == Purpose::Election && is_preparing
     }
 
@@ -108,8 +108,8 @@
     pub(crate) fn request(&self) -> Message {
         let (base, number) = (self.base.clone(), self.number);
         match &self.phase {
-            Phase::Preparing { .. } => Message::Prepare { base, number },
-            Phase::Accepting { value, .. } => Message::Accept {
+            Phase::Prepare { .. } => Message::Prepare { base, number },
+            Phase::Accept { value, .. } => Message::Accept {
                 base,
                 number,
                 value: value.clone(),
@@ -121,12 +121,12 @@
     /// election is accepted by the proposer's own acceptor, the value is sent to that acceptor only.
     pub(crate) fn receivers(&self, own_id: DiskId) -> Vec<Arc<str>> {
         let is_receiver = |id: &DiskId| match &self.phase {
-            Phase::Preparing { promises, .. } => !promises.contains_key(id),
-            Phase::Accepting {
+            Phase::Prepare { promises, .. } => !promises.contains_key(id),
+            Phase::Accept {
                 accepted_by,
-                is_public,
+                is_broadcast,
                 ..
-            } => !accepted_by.contains(id) && (*is_public || *id == own_id),
+            } => !accepted_by.contains(id) && (*is_broadcast || *id == own_id),
         };
         let receivers = self
             .base
@@ -141,7 +141,7 @@
     /// Records the promise of an acceptor.
     pub(crate) fn on_promised(&mut self, from: DiskId, promise: Promise, now_ms: Millis) {
         let majority = self.base.majority();
-        if let Phase::Preparing {
+        if let Phase::Prepare {
             promises,
             majority_at_ms,
         } = &mut self.phase
@@ -161,7 +161,7 @@
         own_id: DiskId,
         now_ms: Millis,
     ) -> Option<&BTreeMap<DiskId, Promise>> {
-        let Phase::Preparing {
+        let Phase::Prepare {
             promises,
             majority_at_ms: Some(majority_at_ms),
         } = &self.phase
@@ -183,11 +183,11 @@
     }
 
     /// Starts phase 2 with this value.
-    pub(crate) fn begin_accepting(&mut self, value: Arc<EpochRecord>) {
-        self.phase = Phase::Accepting {
+    pub(crate) fn start_accept_phase(&mut self, value: Arc<EpochRecord>) {
+        self.phase = Phase::Accept {
             value,
             accepted_by: BTreeSet::new(),
-            is_public: self.purpose == Purpose::Reconfiguration,
+            is_broadcast: self.purpose == Purpose::Reconfiguration,
         };
     }
 }
--- a/crates/coordination/src/proposer.rs
+++ b/crates/coordination/src/proposer.rs
@@ -64,9 +64,9 @@
     }
 
     /// Abandons an election whose value is not chosen yet, as a primary has sent a keepalive.
-    pub(crate) fn withdraw_candidacy(&mut self) {
+    pub(crate) fn abandon_election_without_value(&mut self) {
         self.proposal
-            .take_if(|proposal| proposal.is_candidacy_without_value());
+            .take_if(|proposal| proposal.is_election_without_value());
     }
 
     /// Resets the proposer after a record was decided: the next proposal belongs to a new Paxos instance.
@@ -111,7 +111,8 @@
         promise: Promise,
     ) -> bool {
         let proposal = self.proposal.as_mut();
-        let answered = proposal.filter(|proposal| proposal.is_answered_by(from, instance, number));
+        let answered =
+            proposal.filter(|proposal| proposal.matches_response(from, instance, number));
         let Some(proposal) = answered else {
             return false;
         };
@@ -137,9 +138,13 @@
     /// Starts phase 2. A candidate syncs its own acceptance before it sends the value to others: from then on
     /// it no longer acknowledges the former primary
     /// ([`WitnessState::candidate`](crate::WitnessState::candidate)).
-    pub(crate) fn offer(&mut self, core: &mut CoordinatorCore, value: Arc<EpochRecord>) {
+    pub(crate) fn start_accept_phase(
+        &mut self,
+        core: &mut CoordinatorCore,
+        value: Arc<EpochRecord>,
+    ) {
         if let Some(proposal) = &mut self.proposal {
-            proposal.begin_accepting(value);
+            proposal.start_accept_phase(value);
         }
         self.send_requests(core);
     }
@@ -153,14 +158,14 @@
         number: ProposalNumber,
     ) -> Option<Arc<EpochRecord>> {
         let proposal = self.proposal.as_mut()?;
-        if !proposal.is_answered_by(from, instance, number) {
+        if !proposal.matches_response(from, instance, number) {
             return None;
         }
         let majority = proposal.base.majority();
-        let Phase::Accepting {
+        let Phase::Accept {
             value,
             accepted_by,
-            is_public,
+            is_broadcast,
         } = &mut proposal.phase
         else {
             return None;
@@ -169,8 +174,8 @@
         if accepted_by.len() >= majority {
             return Some(value.clone());
         }
-        if from == core.id() && !*is_public {
-            *is_public = true;
+        if from == core.id() && !*is_broadcast {
+            *is_broadcast = true;
             self.send_requests(core);
         }
         None
--- a/crates/coordination/src/reconfiguration.rs
+++ b/crates/coordination/src/reconfiguration.rs
@@ -68,12 +68,12 @@
     /// The members to bring up to date when there are fewer healthy replicas than the target.
     pub(crate) fn desired_learners(&self) -> BTreeSet<DiskId> {
         let now_ms = self.core.now_ms;
-        let sound_replicas =
+        let healthy_replicas =
             self.term.peers.values().filter(|peer| {
                 peer.is_replica() && (self.keeps_up(peer) || self.is_catching_up(peer))
             });
-        let present = sound_replicas.count() + 1;
-        let missing = self.core.target_replicas().saturating_sub(present);
+        let present = healthy_replicas.count() + 1;
+        let missing = self.core.target_replica_count().saturating_sub(present);
         let mut candidates: Vec<LearnerCandidate> = self
             .term
             .peers
@@ -84,7 +84,7 @@
             .filter(|(_, peer)| !peer.is_excluded(now_ms) && !peer.has_stuck_snapshot(now_ms))
             .map(|(id, peer)| LearnerCandidate {
                 is_new: !peer.is_learner(),
-                needs_snapshot: !self.is_reached_by_batches(peer),
+                needs_snapshot: !self.can_catch_up_from_cache(peer),
                 id: *id,
             })
             .collect();
@@ -98,12 +98,12 @@
     fn desired_replicas(&self, with_self: bool) -> Vec<DiskId> {
         let base = self.core.record();
         let mut wanted = Vec::new();
-        let mut sound = 0;
+        let mut healthy_count = 0;
         for id in &base.replicas {
             if *id == self.core.id() {
                 if with_self {
                     wanted.push(*id);
-                    sound += 1;
+                    healthy_count += 1;
                 }
                 continue;
             }
@@ -112,20 +112,20 @@
             };
             if self.keeps_up(peer) {
                 wanted.push(*id);
-                sound += 1;
+                healthy_count += 1;
             } else if self.is_catching_up(peer) {
                 wanted.push(*id);
             }
         }
         for (id, peer) in &self.term.peers {
             let is_new = peer.is_learner() && !wanted.contains(id);
-            let has_place = wanted.len() < self.core.target_replicas();
-            if is_new && has_place && self.is_up_to_date(peer) {
+            let has_capacity = wanted.len() < self.core.target_replica_count();
+            if is_new && has_capacity && self.is_up_to_date(peer) {
                 wanted.push(*id);
-                sound += 1;
+                healthy_count += 1;
             }
         }
-        if sound >= self.core.min_replicas(base) {
+        if healthy_count >= self.core.min_replica_count(base) {
             wanted
         } else {
             base.replicas.clone()
@@ -135,9 +135,10 @@
     /// Whether a member has all committed batches and acknowledges in time.
     fn keeps_up(&self, peer: &Peer) -> bool {
         let now_ms = self.core.now_ms;
-        let is_sound = peer.is_responsive(now_ms) && !peer.is_leaving && !peer.is_excluded(now_ms);
+        let is_healthy =
+            peer.is_responsive(now_ms) && !peer.is_leaving && !peer.is_excluded(now_ms);
         let is_in_time = |lag_ms: Millis| lag_ms < REPLICA_TIMEOUT_MS;
-        is_sound && self.lag_ms(peer).is_some_and(is_in_time)
+        is_healthy && self.lag_ms(peer).is_some_and(is_in_time)
     }
 
     /// Whether a learner may be named as a replica.
@@ -167,15 +168,15 @@
     }
 
     /// Whether the cached batches can bring the member up to date, so that it needs no snapshot.
-    fn is_reached_by_batches(&self, peer: &Peer) -> bool {
+    fn can_catch_up_from_cache(&self, peer: &Peer) -> bool {
         peer.position
-            .is_some_and(|position| self.core.state.recent().reaches_from(position))
+            .is_some_and(|position| self.core.state.log_cache().can_replay_from(position))
     }
 
     /// The successor of this primary, if it leaves or its disk is unfit for a primary.
     fn succession(&self) -> Option<Succession> {
         let now_ms = self.core.now_ms;
-        if !self.term.is_open() {
+        if !self.term.is_first_batch_committed() {
             return None;
         }
         let leaving_since_ms = self.core.leaving_since_ms;
@@ -186,10 +187,10 @@
             return None;
         }
         let others = self.desired_replicas(false);
-        let is_enough = !others.contains(&self.core.id());
+        let has_enough_replicas = !others.contains(&self.core.id());
         let may_remain_replica =
             leaving_since_ms.is_none_or(|since_ms| now_ms >= since_ms + LEAVE_REPLICAS_TIMEOUT_MS);
-        if !is_enough && !may_remain_replica {
+        if !has_enough_replicas && !may_remain_replica {
             return None;
         }
         let is_fit = |id: &DiskId| {
@@ -209,16 +210,16 @@
     fn desired_members(&self, replicas: &[DiskId]) -> Vec<Member> {
         let mut members = self.core.record().members.clone();
         for candidate in self.join_requests.candidates() {
-            let is_same = |known: &Member| {
+            let is_same_machine = |known: &Member| {
                 known.id == candidate.id || known.address.internal == candidate.address.internal
             };
-            let place = members
+            let replaced_index = members
                 .iter()
-                .position(is_same)
+                .position(is_same_machine)
                 .or_else(|| self.absent_member(&members, replicas, MEMBER_REPLACEMENT_TIMEOUT_MS));
-            if let Some(index) = place {
+            if let Some(index) = replaced_index {
                 members[index] = candidate.clone();
-            } else if members.len() < MAX_MEMBERS && !self.has_doubtful_member(&members) {
+            } else if members.len() < MAX_MEMBERS && !self.has_suspected_member(&members) {
                 members.push(candidate.clone());
             }
         }
@@ -245,7 +246,7 @@
         };
         let is_absent = |peer: &Peer| {
             let leaves = peer.is_leaving && !is_mutant;
-            leaves || peer.is_silent_for(timeout_ms, self.core.now_ms)
+            leaves || peer.is_unresponsive_for(timeout_ms, self.core.now_ms)
         };
         members.iter().position(|member| {
             let peer = self.term.peers.get(&member.id);
@@ -255,15 +256,15 @@
 
     /// Whether a member is unresponsive and it is not known yet whether it is absent. A member that is absent
     /// but needed as a replica does not block joins: a joining machine can replace it.
-    fn has_doubtful_member(&self, members: &[Member]) -> bool {
+    fn has_suspected_member(&self, members: &[Member]) -> bool {
         let now_ms = self.core.now_ms;
-        let is_doubtful = |peer: &Peer| {
-            let is_absent = peer.is_silent_for(MEMBER_REPLACEMENT_TIMEOUT_MS, now_ms);
+        let is_suspected = |peer: &Peer| {
+            let is_absent = peer.is_unresponsive_for(MEMBER_REPLACEMENT_TIMEOUT_MS, now_ms);
             !peer.is_responsive(now_ms) && !is_absent && !cfg!(feature = "mutant-absent")
         };
         members.iter().any(|member| {
             let peer = self.term.peers.get(&member.id);
-            peer.is_some_and(is_doubtful)
+            peer.is_some_and(is_suspected)
         })
     }
 }
--- a/crates/coordination/src/replica.rs
+++ b/crates/coordination/src/replica.rs
@@ -7,7 +7,7 @@
 use crate::batch::{Batch, LogPosition};
 use crate::coordinator_core::CoordinatorCore;
 use crate::disk::Effect;
-use crate::limits::{MAX_OUT_OF_ORDER_BATCHES, MAX_RECENT_BYTES};
+use crate::limits::{MAX_LOG_CACHE_BYTES, MAX_OUT_OF_ORDER_BATCHES};
 use crate::message::{Message, SnapshotPart};
 use crate::record::DiskId;
 use crate::snapshot::{PartContent, SnapshotReceiver};
@@ -50,11 +50,11 @@
             self.keep_out_of_order(batch, applied);
             return send_synced(core);
         }
-        core.state.apply(batch, &mut core.disk, MAX_RECENT_BYTES);
+        core.state.apply(batch, &mut core.disk, MAX_LOG_CACHE_BYTES);
         while let Some(next) = self.out_of_order_batches.remove(&core.state.applied()) {
-            core.state.apply(next, &mut core.disk, MAX_RECENT_BYTES);
+            core.state.apply(next, &mut core.disk, MAX_LOG_CACHE_BYTES);
         }
-        core.disk.then(Effect::Acknowledge);
+        core.disk.queue_effect(Effect::Acknowledge);
     }
 
     /// Keeps a batch that arrived before the batch that it follows.
@@ -112,7 +112,7 @@
             Some(writes) if !is_up_to_date => {
                 core.state
                     .install_snapshot(position, writes, &mut core.disk);
-                core.disk.then(Effect::Acknowledge);
+                core.disk.queue_effect(Effect::Acknowledge);
             }
             _ if is_complete => send_synced(core),
             _ => {}
--- a/crates/coordination/src/replicated_state.rs
+++ b/crates/coordination/src/replicated_state.rs
@@ -2,7 +2,7 @@
 
 use crate::batch::{Batch, LogPosition};
 use crate::disk::DiskQueue;
-use crate::log_cache::RecentBatches;
+use crate::log_cache::LogCache;
 use crate::storage::StateMap;
 use streamusher_protocol::store::Write;
 
@@ -12,7 +12,7 @@
     map: StateMap,
     applied: LogPosition,
     synced: LogPosition,
-    recent: RecentBatches,
+    log_cache: LogCache,
 }
 
 impl ReplicatedState {
@@ -22,7 +22,7 @@
             map,
             applied: position,
             synced: position,
-            recent: RecentBatches::default(),
+            log_cache: LogCache::default(),
         }
     }
 
@@ -42,8 +42,8 @@
     }
 
     /// The newest applied batches.
-    pub(crate) fn recent(&self) -> &RecentBatches {
-        &self.recent
+    pub(crate) fn log_cache(&self) -> &LogCache {
+        &self.log_cache
     }
 
     /// Records that the disk has synced the state up to this position.
@@ -51,15 +51,15 @@
         self.synced = position;
     }
 
-    /// Applies the next batch in memory and queues it for the disk. At most `max_recent_bytes` of recent
+    /// Applies the next batch in memory and queues it for the disk. At most `max_cache_bytes` of recent
     /// batches are kept.
-    pub(crate) fn apply(&mut self, batch: Batch, disk: &mut DiskQueue, max_recent_bytes: usize) {
+    pub(crate) fn apply(&mut self, batch: Batch, disk: &mut DiskQueue, max_cache_bytes: usize) {
         for write in batch.writes.iter() {
             apply_write(&mut self.map, write);
         }
         self.applied = batch.position;
         disk.put_writes(batch.position, &batch.writes);
-        self.recent.push(batch, max_recent_bytes);
+        self.log_cache.push(batch, max_cache_bytes);
     }
 
     /// Replaces the state with a snapshot: immediately in memory, and on disk with a single change.
@@ -79,7 +79,7 @@
         }
         self.map = map;
         self.applied = position;
-        self.recent.clear();
+        self.log_cache.clear();
         disk.put_snapshot(position, writes);
     }
 }
--- a/crates/coordination/src/replication.rs
+++ b/crates/coordination/src/replication.rs
@@ -8,7 +8,7 @@
 use crate::coordinator_core::CoordinatorCore;
 use crate::events::Output;
 use crate::limits::{
-    MAX_RECENT_BYTES, MAX_RECENT_BYTES_DURING_SNAPSHOT, MAX_UNACKNOWLEDGED_BATCHES,
+    MAX_LOG_CACHE_BYTES, MAX_LOG_CACHE_BYTES_DURING_SNAPSHOT, MAX_UNACKNOWLEDGED_BATCHES,
 };
 use crate::message::{KeepaliveAck, Message, SnapshotPart};
 use crate::peer::Peer;
@@ -73,12 +73,12 @@
             position,
             writes: Arc::new(content.writes),
         };
-        let max_recent_bytes = if self.is_sending_snapshot() {
-            MAX_RECENT_BYTES_DURING_SNAPSHOT
+        let max_cache_bytes = if self.is_sending_snapshot() {
+            MAX_LOG_CACHE_BYTES_DURING_SNAPSHOT
         } else {
-            MAX_RECENT_BYTES
+            MAX_LOG_CACHE_BYTES
         };
-        core.state.apply(batch, &mut core.disk, max_recent_bytes);
+        core.state.apply(batch, &mut core.disk, max_cache_bytes);
         self.send_data(core);
     }
 
@@ -91,10 +91,10 @@
         let Some(peer) = self.peers.get_mut(&ack.from) else {
             return;
         };
-        peer.on_announcement(ack);
+        peer.on_status_reported(ack);
         self.notify_removed_members(core);
-        let answers_no_keepalive = ack.leaving && ack.sent_ms == 0;
-        if ack.sent_ms > core.now_ms || answers_no_keepalive {
+        let is_announcement = ack.leaving && ack.sent_ms == 0;
+        if ack.sent_ms > core.now_ms || is_announcement {
             return;
         }
         if let Some(peer) = self.peers.get_mut(&ack.from) {
@@ -155,9 +155,9 @@
             term: self.number,
         };
         for (id, peer) in &mut self.peers {
-            let is_wanted =
+            let receives_data =
                 peer.is_replica() || peer.is_learner() || self.proposed_replicas.contains(id);
-            if !is_wanted {
+            if !receives_data {
                 continue;
             }
             let messages = due_messages(core, *id, peer, header, &mut self.last_snapshot_id);
@@ -185,21 +185,21 @@
 
     /// Sequence of the newest batch of this term that this primary and all required replicas have synced.
     fn synced_by_all(&self, core: &CoordinatorCore) -> u64 {
-        let own = core.state.synced();
-        let mut all = if own.epoch == self.number {
-            own.sequence
+        let own_position = core.state.synced();
+        let mut min_sequence = if own_position.epoch == self.number {
+            own_position.sequence
         } else {
             0
         };
         if cfg!(feature = "mutant-copies") {
-            return all;
+            return min_sequence;
         }
         for id in self.required_replicas(core) {
             let peer = self.peers.get(&id);
             let synced = peer.and_then(|peer| peer.acknowledged(self.number));
-            all = all.min(synced.unwrap_or(0));
+            min_sequence = min_sequence.min(synced.unwrap_or(0));
         }
-        all
+        min_sequence
     }
 
     /// Sends the newest record to the machines that it removed, once more members have the record on disk
@@ -210,16 +210,17 @@
         if self.removed_members.is_empty() {
             return;
         }
-        let needed = core.min_replicas(core.record());
+        let needed = core.min_replica_count(core.record());
         let own_epoch = core.synced_record_epoch;
         let peers = &self.peers;
-        let holders = |epoch: u64| {
+        let members_with_record = |epoch: u64| {
             let others = peers
                 .values()
                 .filter(|peer| peer.synced_record_epoch >= epoch);
             usize::from(own_epoch >= epoch) + others.count()
         };
-        let is_safe = |epoch: u64| holders(epoch) >= needed || cfg!(feature = "mutant-dismissal");
+        let is_safe =
+            |epoch: u64| members_with_record(epoch) >= needed || cfg!(feature = "mutant-dismissal");
         let (safe, others): (Vec<_>, Vec<_>) = self
             .removed_members
             .drain(..)
@@ -251,9 +252,9 @@
     let Some(position) = peer.position else {
         return Vec::new();
     };
-    if core.state.recent().reaches_from(position) {
+    if core.state.log_cache().can_replay_from(position) {
         peer.snapshot = None;
-        peer.rewind_if_due(core.now_ms);
+        peer.reset_send_position_if_due(core.now_ms);
         return due_batches(core, peer, position, header);
     }
     if position == core.state.applied() || !peer.is_responsive(core.now_ms) {
@@ -274,7 +275,7 @@
     let end = (position.sequence + MAX_UNACKNOWLEDGED_BATCHES).min(core.state.applied().sequence);
     let mut messages = Vec::new();
     while peer.last_sent < end {
-        let Some(batch) = core.state.recent().get(peer.last_sent + 1) else {
+        let Some(batch) = core.state.log_cache().get(peer.last_sent + 1) else {
             break;
         };
         messages.push(Message::Append {
@@ -309,7 +310,7 @@
 
 fn due_parts(snapshot: &mut SnapshotSender, header: DataHeader, now_ms: Millis) -> Vec<Message> {
     let (id, position) = (snapshot.id, snapshot.position);
-    let parts = snapshot.take_due_parts(now_ms);
+    let parts = snapshot.next_due_parts(now_ms);
     let message = |part: PartContent| {
         Message::SnapshotPart(SnapshotPart {
             from: header.from,
--- a/crates/coordination/src/snapshot.rs
+++ b/crates/coordination/src/snapshot.rs
@@ -4,7 +4,7 @@
 //! needs; the sender keeps a window of unacknowledged parts and retransmits them after a while.
 
 use crate::batch::LogPosition;
-use crate::limits::{MAX_UNACKNOWLEDGED_PARTS, SNAPSHOT_PART_BYTES};
+use crate::limits::{MAX_UNACKNOWLEDGED_PARTS, TARGET_SNAPSHOT_PART_BYTES};
 use crate::log_cache::write_bytes;
 use crate::storage::StateMap;
 use crate::timing::RETRANSMIT_INTERVAL_MS;
@@ -37,7 +37,7 @@
     /// state.
     first_keys: Vec<Option<Arc<str>>>,
     /// Whether `first_keys` covers all parts.
-    is_divided: bool,
+    all_parts_known: bool,
     /// Parts below this number are acknowledged.
     acknowledged: u64,
     /// Parts below this number are sent.
@@ -59,7 +59,7 @@
             progress_ms: now_ms,
             state,
             first_keys: vec![None],
-            is_divided: false,
+            all_parts_known: false,
             acknowledged: 0,
             sent: 0,
             resend_at_ms: now_ms,
@@ -89,7 +89,7 @@
     }
 
     /// Removes and returns the parts that are due for sending.
-    pub(crate) fn take_due_parts(&mut self, now_ms: Millis) -> Vec<PartContent> {
+    pub(crate) fn next_due_parts(&mut self, now_ms: Millis) -> Vec<PartContent> {
         if now_ms >= self.resend_at_ms {
             self.sent = self.acknowledged;
             self.resend_at_ms = now_ms + RETRANSMIT_INTERVAL_MS;
@@ -113,7 +113,7 @@
         let mut bytes = 0;
         let mut next_key = None;
         for (key, value) in self.state.range((start, Bound::Unbounded)) {
-            if bytes >= SNAPSHOT_PART_BYTES {
+            if bytes >= TARGET_SNAPSHOT_PART_BYTES {
                 next_key = Some(key.clone());
                 break;
             }
@@ -123,8 +123,8 @@
         }
         let last = next_key.is_none();
         let is_newest = index + 1 == self.first_keys.len() as u64;
-        if is_newest && !self.is_divided {
-            self.is_divided = last;
+        if is_newest && !self.all_parts_known {
+            self.all_parts_known = last;
             self.first_keys.extend(next_key.map(Some));
         }
         Some(PartContent {
--- a/crates/coordination/src/term.rs
+++ b/crates/coordination/src/term.rs
@@ -63,8 +63,8 @@
 
     /// Whether the first batch of the term is committed: from then on all data that the primary held at its
     /// election is committed.
-    pub(crate) fn is_open(&self) -> bool {
-        self.pipeline.is_open()
+    pub(crate) fn is_first_batch_committed(&self) -> bool {
+        self.pipeline.is_first_batch_committed()
     }
 
     /// Whether a snapshot is being sent to any member.
@@ -139,7 +139,7 @@
         let status = |(id, peer): (&DiskId, &Peer)| PeerStatus {
             id: *id,
             position: peer.position.unwrap_or_default(),
-            silent_ms: now_ms.saturating_sub(peer.heard_ms),
+            silent_ms: now_ms.saturating_sub(peer.last_ack_ms),
         };
         self.peers.iter().map(status).collect()
     }
