--- a/crates/coordination/examples/embed.rs
+++ b/crates/coordination/examples/embed.rs
@@ -1,10 +1,11 @@
-//! How a program embeds this package: three members with a replicated map, in one process and in virtual time. The program
-//! delivers messages, writes to disks, and passes the current time.
+//! How a program embeds this package: three members with a replicated map, in one process and in virtual
+//! time. The program delivers messages, writes to disks, and passes the current time.
 //!
 //!     cargo run -p streamusher-coordination --example embed
 //!
-//! Real programs send [`Output::Send`] over a network, and write [`Output::Persist`] to a disk and sync it before they
-//! answer. Nothing that rests on an append is released before it is committed and `may_act` holds.
+//! Real programs send [`Output::Send`] over a network. They write the change in [`Output::Persist`] to a disk
+//! and sync it before they report [`Input::Persisted`]. Nothing that depends on an append is released before
+//! the append is committed and `may_act` holds.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -18,7 +19,7 @@
 /// Interval between two ticks of a coordinator.
 const TICK_MS: Millis = 20;
 const LEASE_MS: Millis = 800;
-/// An election without faults takes about a second.
+/// Limit for an election; one without faults takes about a second.
 const MAX_ELECTION_MS: Millis = 20_000;
 
 struct Machine {
@@ -98,27 +99,27 @@
         while self.now_ms < until {
             self.step();
             let now_ms = self.now_ms;
-            let acts =
+            let may_act =
                 |machine: &Machine| machine.is_running && machine.coordinator.may_act(now_ms);
-            if let Some(primary) = self.machines.iter().position(acts) {
+            if let Some(primary) = self.machines.iter().position(may_act) {
                 return primary;
             }
         }
         panic!("no primary within {MAX_ELECTION_MS} ms");
     }
 
-    /// A tick for all, and all messages that follow from it.
+    /// Sends a tick to all machines, and handles all resulting messages and disk changes.
     fn step(&mut self) {
         self.now_ms += TICK_MS;
         for index in 0..self.machines.len() {
-            self.input(index, Input::Tick);
+            self.handle_input(index, Input::Tick);
         }
         while let Some((to, input)) = self.network.pop_front() {
-            self.input(to, input);
+            self.handle_input(to, input);
         }
     }
 
-    fn input(&mut self, index: usize, input: Input) {
+    fn handle_input(&mut self, index: usize, input: Input) {
         if !self.machines[index].is_running {
             return;
         }
@@ -142,14 +143,14 @@
                 Output::Elected { epoch } => {
                     println!("{:>5} ms  epoch {epoch}: machine {index}", self.now_ms);
                 }
-                // A program answers what waits for the commit, or drops it.
+                // A real program sends the responses that wait for the commit, or drops them.
                 Output::Committed { .. } | Output::Deposed => {}
             }
         }
     }
 }
 
-/// A real program writes all of the change and syncs it, or reports [`Input::PersistFailed`].
+/// A real program writes the whole change and syncs it, or reports [`Input::PersistFailed`].
 fn write_and_sync(_change: &DiskChange) {}
 
 fn address(index: usize) -> CoreAddress {
--- a/crates/coordination/tests/cluster/checks.rs
+++ b/crates/coordination/tests/cluster/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold after every step.
+//! Checks that must hold after every step.
 
 use super::Cluster;
 use std::collections::BTreeMap;
@@ -6,33 +6,33 @@
 use std::sync::Arc;
 use streamusher_coordination::{EpochRecord, StateMap};
 
-/// What has been seen so far.
+/// What the checks have recorded so far.
 #[derive(Default)]
 pub(crate) struct Checks {
-    /// Keys that were committed, with the term in which that was.
+    /// Keys that were committed, with the term of the commit.
     pub committed: BTreeMap<u64, u64>,
-    /// What was on disks that were lost. An acknowledgement of theirs may still be under way.
+    /// Contents of erased disks. An acknowledgement that such a disk sent may still be in flight.
     pub lost_disks: Vec<StateMap>,
-    /// Records by epoch.
+    /// The first record seen for each epoch.
     records: BTreeMap<u64, Arc<EpochRecord>>,
 }
 
 impl Cluster {
-    /// At most one machine may act, frozen ones included.
-    pub(crate) fn check_actors(&self) {
+    /// Checks that at most one machine may act, including frozen ones.
+    pub(crate) fn check_acting_machines(&self) {
         let may_act = |index: &usize| {
             let process = self.nodes[*index].process.as_ref();
             process.is_some_and(|process| process.may_act(self.now))
         };
-        let actors: Vec<usize> = (0..self.nodes.len()).filter(may_act).collect();
+        let acting_machines: Vec<usize> = (0..self.nodes.len()).filter(may_act).collect();
         assert!(
-            actors.len() <= 1,
-            "TWO PRIMARIES {actors:?}: {}",
+            acting_machines.len() <= 1,
+            "TWO PRIMARIES {acting_machines:?}: {}",
             self.describe()
         );
     }
 
-    /// Whoever knows the record of an epoch knows the same.
+    /// Checks that all machines that know the record of an epoch know the same record.
     pub(crate) fn check_record(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         let Some(process) = &node.process else { return };
@@ -51,13 +51,14 @@
         assert_eq!(known, record, "RECORDS DIFFER: {}", self.describe());
     }
 
-    /// From its first act on, a primary shows all that its state holds: that counts as committed.
+    /// Records the state that a primary exposes when it first acts in a term: from then on, all of it counts
+    /// as committed.
     pub(crate) fn record_exposed_state(&mut self, index: usize) {
         let Some(process) = &self.nodes[index].process else {
             return;
         };
         let term = process.status(self.now).record.term;
-        if std::mem::replace(&mut self.nodes[index].acted_in, term) == term {
+        if std::mem::replace(&mut self.nodes[index].last_acting_term, term) == term {
             return;
         }
         let Some(process) = &self.nodes[index].process else {
@@ -72,8 +73,8 @@
         }
     }
 
-    /// What is committed is synced on more disks than may be lost.
-    pub(crate) fn check_copies(&self, key: u64) {
+    /// Checks that a committed key is synced on more disks than may be lost.
+    pub(crate) fn check_copy_count(&self, key: u64) {
         let name = format!("key/{key:08}");
         let disks = self
             .nodes
@@ -90,8 +91,8 @@
         );
     }
 
-    /// A new primary holds all that was committed in earlier terms. (One that stalled may find itself elected when
-    /// later ones have already followed; it never acts.)
+    /// Checks that a new primary holds everything that was committed in its term or earlier ones. (A member
+    /// that stalled may be elected when later primaries have already followed; it never acts.)
     pub(crate) fn check_state(&self, index: usize) {
         let Some(process) = &self.nodes[index].process else {
             return;
@@ -115,12 +116,13 @@
         let newest = earlier.last().copied().unwrap_or(0);
         assert!(
             counter >= newest,
-            "OLD VALUE {counter} < {newest} at {index}: {}",
+            "STALE COUNTER {counter} < {newest} at {index}: {}",
             self.describe()
         );
     }
 
-    /// All replicas hold the same on disk; call it when nothing is under way.
+    /// Checks that all replicas hold the same state on disk. Call it only when no messages or disk changes
+    /// are in flight.
     pub(crate) fn check_replicas_agree(&self) {
         let replicas = self.replicas();
         let disk = |index: &usize| &self.nodes[*index].durable;
@@ -140,7 +142,11 @@
     }
 
     pub(crate) fn describe(&self) -> String {
-        let mut text = format!("at {}, cuts {:?}\n", self.now - 1_000_000, self.cuts);
+        let mut text = format!(
+            "at {}, blocked links {:?}\n",
+            self.now - 1_000_000,
+            self.blocked_links
+        );
         for (index, node) in self.nodes.iter().enumerate() {
             match &node.process {
                 Some(process) => {
@@ -168,7 +174,7 @@
                         status.applied,
                         status.synced,
                         status.committed,
-                        node.frozen_until,
+                        node.frozen_until_ms,
                     );
                 }
                 None => {
@@ -176,7 +182,7 @@
                 }
             }
         }
-        for line in &self.story {
+        for line in &self.event_log {
             text += line;
             text.push('\n');
         }
--- a/crates/coordination/tests/cluster/mod.rs
+++ b/crates/coordination/tests/cluster/mod.rs
@@ -1,4 +1,5 @@
-//! Core machines in one process and in virtual time, with faults from a seed and checks after every step.
+//! A cluster of control machines in one process and in virtual time, with faults drawn from a seed and checks
+//! after every step.
 #![allow(dead_code)]
 
 pub(crate) mod checks;
@@ -19,16 +20,16 @@
 
 pub(crate) const TICK_MS: Millis = 20;
 pub(crate) const LEASE_MS: Millis = 800;
-/// A machine that has just come (back) is caught up by then.
+/// Time within which a machine that has just started or restarted catches up.
 pub(crate) const CATCH_UP_MS: Millis = 4_000;
 
-/// A late message comes by then.
-const MOST_LATE_MS: Millis = 3_000;
+/// Maximum delay of a late message.
+const MAX_LATE_DELAY_MS: Millis = 3_000;
 
-/// Chooses messages that are lost.
-pub(crate) type Losses = Box<dyn FnMut(usize, usize, &Message) -> bool>;
+/// Decides whether a message is dropped; the arguments are the sender, the receiver and the message.
+pub(crate) type MessageFilter = Box<dyn FnMut(usize, usize, &Message) -> bool>;
 
-/// What happens at a point in time.
+/// A scheduled event.
 enum Event {
     Tick {
         node: usize,
@@ -50,31 +51,31 @@
     },
 }
 
-/// A machine with its disk.
+/// A machine and its disk.
 pub(crate) struct Node {
     pub address: CoreAddress,
     pub process: Option<Coordinator>,
     pub incarnation: u64,
     pub durable: DiskImage,
-    /// The change under way, which a loss of power may or may not undo.
+    /// The disk change in flight, with its ticket. A power loss may or may not undo it.
     in_flight: Option<(u64, DiskChange)>,
     pub sync_ms: Millis,
     pub disk_fails: bool,
-    /// Nothing runs before.
-    pub frozen_until: Millis,
-    /// What its append's sequences stand for.
+    /// The process handles no event before this time.
+    pub frozen_until_ms: Millis,
+    /// Sequences of the appends that are not committed yet, with the keys that they wrote.
     appends: VecDeque<(u64, u64)>,
     pub elected: u64,
-    /// The term in which it last acted.
-    acted_in: u64,
-    /// The newest epoch whose record was compared.
+    /// The term in which the machine last acted as primary.
+    last_acting_term: u64,
+    /// The newest epoch whose record was compared with those of the other machines.
     checked_epoch: u64,
     pub is_leaving: bool,
-    /// The machine is gone for good.
+    /// Whether the machine is removed for good.
     pub is_removed: bool,
 }
 
-/// The machines, the links between them, and the time.
+/// The machines, the links between them, and the virtual time.
 pub(crate) struct Cluster {
     pub now: Millis,
     pub nodes: Vec<Node>,
@@ -84,25 +85,25 @@
     pub bootstrap: bool,
     events: BTreeMap<(Millis, u64), Event>,
     next_event: u64,
-    /// Directed links that carry nothing.
-    pub cuts: BTreeSet<(usize, usize)>,
-    pub loss: f64,
-    pub doubled: f64,
+    /// Directed links that deliver no message.
+    pub blocked_links: BTreeSet<(usize, usize)>,
+    pub loss_rate: f64,
+    pub duplication_rate: f64,
     pub delay_ms: Millis,
-    /// Says of each message (sender, receiver) whether it is lost.
-    pub loses: Option<Losses>,
-    /// Share of messages that come up to three seconds late.
-    pub late: f64,
-    pub append_every_ms: Millis,
+    /// Filter that is asked for each message whether to drop it.
+    pub drops_message: Option<MessageFilter>,
+    /// Share of messages that are delayed by up to [`MAX_LATE_DELAY_MS`].
+    pub late_rate: f64,
+    pub append_interval_ms: Millis,
     pub value_bytes: usize,
     next_key: u64,
     pub checks: Checks,
-    /// What was seen, for the message of a failed check.
-    pub story: Vec<String>,
+    /// Log of events, for the message of a failed check.
+    pub event_log: Vec<String>,
 }
 
 impl Cluster {
-    /// A cluster at its very first start: the first three machines are the seeds.
+    /// Creates a cluster at its first start; the first three machines are the seeds.
     pub(crate) fn new(size: usize, tolerance: usize, seed: u64) -> Cluster {
         let nodes: Vec<Node> = (0..size).map(new_node).collect();
         let seeds = nodes
@@ -119,26 +120,26 @@
             bootstrap: true,
             events: BTreeMap::new(),
             next_event: 0,
-            cuts: BTreeSet::new(),
-            loss: 0.0,
-            doubled: 0.0,
+            blocked_links: BTreeSet::new(),
+            loss_rate: 0.0,
+            duplication_rate: 0.0,
             delay_ms: 3,
-            loses: None,
-            late: 0.0,
-            append_every_ms: 25,
+            drops_message: None,
+            late_rate: 0.0,
+            append_interval_ms: 25,
             value_bytes: 10,
             next_key: 0,
             checks: Checks::default(),
-            story: Vec::new(),
+            event_log: Vec::new(),
         }
     }
 
-    /// As `new`, started and with a primary that may act and all machines as members.
-    pub(crate) fn calm(size: usize, tolerance: usize, seed: u64) -> Cluster {
+    /// Creates and starts a cluster, and runs it until a primary may act and all machines are members.
+    pub(crate) fn stable(size: usize, tolerance: usize, seed: u64) -> Cluster {
         let mut cluster = Cluster::new(size, tolerance, seed);
         cluster.start_all();
-        cluster.run_until_calm(4_000);
-        // The others learn the newest record.
+        cluster.run_until_stable(4_000);
+        // The other machines learn the newest record.
         cluster.run(300);
         cluster
     }
@@ -152,7 +153,7 @@
         self.bootstrap = false;
     }
 
-    /// Adds a machine that was never there; it is not started.
+    /// Adds a new machine without starting it.
     pub(crate) fn add_machine(&mut self) -> usize {
         let index = self.nodes.len();
         self.nodes.push(new_node(index));
@@ -160,7 +161,7 @@
     }
 
     pub(crate) fn record_event(&mut self, text: impl Into<String>) {
-        self.story
+        self.event_log
             .push(format!("{:>6} {}", self.now - 1_000_000, text.into()));
     }
 
@@ -179,7 +180,7 @@
         node.incarnation += 1;
         node.appends.clear();
         node.checked_epoch = 0;
-        node.acted_in = 0;
+        node.last_acting_term = 0;
         node.process = Some(Coordinator::new(settings, node.durable.clone(), now));
         node.is_leaving = false;
         let incarnation = node.incarnation;
@@ -200,35 +201,35 @@
         );
     }
 
-    /// The process ends at once. A change of the disk under way is made or not.
+    /// Ends the process at once. A disk change in flight is applied or not, at random.
     pub(crate) fn crash(&mut self, index: usize) {
         self.record_event(format!("crash {index}"));
-        let made = self.random.random_bool(0.5);
+        let was_applied = self.random.random_bool(0.5);
         let node = &mut self.nodes[index];
         node.process = None;
-        node.frozen_until = 0;
-        if let Some((_, change)) = node.in_flight.take().filter(|_| made) {
-            carry_out(&mut node.durable, change);
+        node.frozen_until_ms = 0;
+        if let Some((_, change)) = node.in_flight.take().filter(|_| was_applied) {
+            apply_change(&mut node.durable, change);
         }
     }
 
-    /// The machine loses its disk, and its process with it.
+    /// Ends the process and erases the disk of the machine.
     pub(crate) fn wipe(&mut self, index: usize) {
         self.crash(index);
         self.record_event(format!("wipe {index}"));
-        let lost = std::mem::take(&mut self.nodes[index].durable);
-        self.checks.lost_disks.push(lost.state);
+        let erased = std::mem::take(&mut self.nodes[index].durable);
+        self.checks.lost_disks.push(erased.state);
     }
 
-    /// A machine that is down never comes back.
+    /// Removes a stopped machine for good.
     pub(crate) fn remove(&mut self, index: usize) {
         self.record_event(format!("remove {index}"));
         self.nodes[index].is_removed = true;
     }
 
-    pub(crate) fn freeze(&mut self, index: usize, span: Millis) {
-        self.record_event(format!("freeze {index} for {span}"));
-        self.nodes[index].frozen_until = self.now + span;
+    pub(crate) fn freeze(&mut self, index: usize, duration_ms: Millis) {
+        self.record_event(format!("freeze {index} for {duration_ms}"));
+        self.nodes[index].frozen_until_ms = self.now + duration_ms;
     }
 
     pub(crate) fn leave(&mut self, index: usize) {
@@ -237,23 +238,23 @@
         self.handle_input(index, Input::Leave);
     }
 
-    /// Cuts both ways between the two sides.
-    pub(crate) fn cut(&mut self, side: &[usize]) {
-        self.record_event(format!("cut {side:?} off"));
-        for a in 0..self.nodes.len() {
-            for b in 0..self.nodes.len() {
-                if side.contains(&a) != side.contains(&b) {
-                    self.cuts.insert((a, b));
+    /// Blocks all links between `side` and the other machines, in both directions.
+    pub(crate) fn partition(&mut self, side: &[usize]) {
+        self.record_event(format!("partition {side:?}"));
+        for sender in 0..self.nodes.len() {
+            for receiver in 0..self.nodes.len() {
+                if side.contains(&sender) != side.contains(&receiver) {
+                    self.blocked_links.insert((sender, receiver));
                 }
             }
         }
     }
 
     pub(crate) fn restore_links(&mut self) {
-        self.record_event("heal");
-        self.cuts.clear();
-        self.loss = 0.0;
-        self.doubled = 0.0;
+        self.record_event("restore links");
+        self.blocked_links.clear();
+        self.loss_rate = 0.0;
+        self.duplication_rate = 0.0;
         self.delay_ms = 3;
         for node in &mut self.nodes {
             node.sync_ms = 9;
@@ -267,23 +268,23 @@
             .insert((self.now + after, self.next_event), event);
     }
 
-    pub(crate) fn run(&mut self, span: Millis) {
-        let end = self.now + span;
+    pub(crate) fn run(&mut self, duration_ms: Millis) {
+        let end = self.now + duration_ms;
         while let Some(entry) = self.events.first_entry() {
             if entry.key().0 > end {
                 break;
             }
             let ((at, _), event) = entry.remove_entry();
             self.now = self.now.max(at);
-            self.take(event);
+            self.handle_event(event);
         }
         self.now = end;
-        self.check_actors();
+        self.check_acting_machines();
     }
 
-    /// Runs until so many messages have come or changes of a disk have been made, at most for `most`.
-    pub(crate) fn run_steps(&mut self, steps: usize, most: Millis) {
-        let end = self.now + most;
+    /// Runs until this many messages have been delivered or disk changes completed, at most for `max_ms`.
+    pub(crate) fn run_steps(&mut self, steps: usize, max_ms: Millis) {
+        let end = self.now + max_ms;
         let mut taken = 0;
         while let Some(entry) = self.events.first_entry() {
             if taken == steps || entry.key().0 > end {
@@ -295,16 +296,17 @@
                 Event::Deliver { .. } | Event::DiskDone { .. }
             ));
             self.now = self.now.max(at);
-            self.take(event);
+            self.handle_event(event);
         }
-        self.check_actors();
+        self.check_acting_machines();
     }
 
-    /// All is mended: after a while one acts, with all members and replicas, and nothing was lost.
-    pub(crate) fn settle(&mut self) {
+    /// Repairs all faults, and checks that within a limited time a primary acts, all machines are members,
+    /// there are enough replicas, and nothing was lost.
+    pub(crate) fn recover_and_check(&mut self) {
         self.repair_all();
         self.run(CATCH_UP_MS);
-        self.run_until_calm(2_000);
+        self.run_until_stable(2_000);
         let before = self.checks.committed.len();
         self.run(500);
         assert!(
@@ -312,42 +314,47 @@
             "no progress: {}",
             self.describe()
         );
-        self.append_every_ms = 1_000_000;
+        self.append_interval_ms = 1_000_000;
         self.run(1_000);
         self.check_replicas_agree();
-        let actor = self.actor();
-        assert!(actor.is_some(), "nobody acts: {}", self.describe());
-        self.check_state(actor.unwrap_or(0));
+        let acting_primary = self.acting_primary();
+        assert!(
+            acting_primary.is_some(),
+            "no primary acts: {}",
+            self.describe()
+        );
+        self.check_state(acting_primary.unwrap_or(0));
     }
 
-    /// Runs until `done` holds, at most for `most`; returns how long that took.
+    /// Runs until `done` holds, at most for `max_ms`. Returns the time that it took.
     pub(crate) fn run_until(
         &mut self,
-        most: Millis,
+        max_ms: Millis,
         mut done: impl FnMut(&Cluster) -> bool,
     ) -> Option<Millis> {
         let start = self.now;
-        while self.now < start + most {
+        while self.now < start + max_ms {
             if done(self) {
                 return Some(self.now - start);
             }
             self.run(5);
         }
-        done(self).then_some(most)
+        done(self).then_some(max_ms)
     }
 
-    pub(crate) fn run_until_calm(&mut self, most: Millis) {
-        let done = self.run_until(most, Cluster::is_calm);
+    pub(crate) fn run_until_stable(&mut self, max_ms: Millis) {
+        let done = self.run_until(max_ms, Cluster::is_stable);
         assert!(
             done.is_some(),
-            "not calm after {most} ms: {}",
+            "not stable after {max_ms} ms: {}",
             self.describe()
         );
     }
 
-    /// A primary acts, every running machine is a member, and there are as many replicas as are wanted.
-    pub(crate) fn is_calm(&self) -> bool {
-        let Some(primary) = self.actor() else {
+    /// Whether a primary acts, every running machine is a member, and there are as many replicas as the
+    /// target.
+    pub(crate) fn is_stable(&self) -> bool {
+        let Some(primary) = self.acting_primary() else {
             return false;
         };
         let Some(record) = self.record(primary) else {
@@ -359,14 +366,14 @@
             .filter_map(|node| node.process.as_ref())
             .collect();
         let wanted = (self.tolerance + 2).min(running.len());
-        let all_in = running
+        let all_are_members = running
             .iter()
             .all(|process| record.is_member(process.status(self.now).id));
-        all_in && record.replicas.len() >= wanted
+        all_are_members && record.replicas.len() >= wanted
     }
 
-    /// The machine that may act.
-    pub(crate) fn actor(&self) -> Option<usize> {
+    /// The machine that may act as primary and is not frozen.
+    pub(crate) fn acting_primary(&self) -> Option<usize> {
         let may_act = |node: &Node| {
             node.process
                 .as_ref()
@@ -374,7 +381,7 @@
         };
         self.nodes
             .iter()
-            .position(|node| may_act(node) && node.frozen_until <= self.now)
+            .position(|node| may_act(node) && node.frozen_until_ms <= self.now)
     }
 
     pub(crate) fn record(&self, index: usize) -> Option<Arc<EpochRecord>> {
@@ -392,28 +399,28 @@
             .map_or(DiskId(0), |witness| witness.id)
     }
 
-    /// Machines that are replicas in the actor's record, the actor first.
+    /// Replicas by the record of the acting primary; the primary comes first.
     pub(crate) fn replicas(&self) -> Vec<usize> {
-        let Some(actor) = self.actor() else {
+        let Some(acting_primary) = self.acting_primary() else {
             return Vec::new();
         };
-        let Some(record) = self.record(actor) else {
+        let Some(record) = self.record(acting_primary) else {
             return Vec::new();
         };
-        let others = (0..self.nodes.len()).filter(|index| *index != actor);
+        let others = (0..self.nodes.len()).filter(|index| *index != acting_primary);
         let others = others.filter(|index| record.is_replica(self.id(*index)));
-        std::iter::once(actor).chain(others).collect()
+        std::iter::once(acting_primary).chain(others).collect()
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let node = match &event {
             Event::Tick { node, .. }
             | Event::Deliver { node, .. }
             | Event::DiskDone { node, .. }
             | Event::Append { node, .. } => *node,
         };
-        if self.nodes[node].frozen_until > self.now {
-            let wait = self.nodes[node].frozen_until - self.now;
+        if self.nodes[node].frozen_until_ms > self.now {
+            let wait = self.nodes[node].frozen_until_ms - self.now;
             return self.schedule(wait, event);
         }
         match event {
@@ -431,17 +438,17 @@
                 incarnation,
                 ticket,
             } if self.nodes[node].incarnation == incarnation => {
-                self.disk_done(node, ticket);
+                self.on_disk_done(node, ticket);
             }
             Event::Append { node, incarnation } if self.nodes[node].incarnation == incarnation => {
-                self.schedule(self.append_every_ms, Event::Append { node, incarnation });
+                self.schedule(self.append_interval_ms, Event::Append { node, incarnation });
                 self.append(node);
             }
             _ => {}
         }
     }
 
-    fn disk_done(&mut self, index: usize, ticket: u64) {
+    fn on_disk_done(&mut self, index: usize, ticket: u64) {
         let node = &mut self.nodes[index];
         if node.process.is_none() {
             return;
@@ -452,11 +459,11 @@
         if node.disk_fails {
             return self.handle_input(index, Input::PersistFailed { ticket });
         }
-        carry_out(&mut node.durable, change);
+        apply_change(&mut node.durable, change);
         self.handle_input(index, Input::Persisted { ticket });
     }
 
-    /// The primary's own work: it writes a new key and, in the same append, raises a counter.
+    /// Appends as the primary: writes a new key and, in the same append, increments a counter.
     fn append(&mut self, index: usize) {
         let now = self.now;
         let Some(process) = self.nodes[index].process.as_mut() else {
@@ -478,7 +485,7 @@
         ];
         let (sequence, outputs) = process.append(now, writes);
         self.nodes[index].appends.push_back((sequence, key));
-        self.carry_out(index, outputs);
+        self.process_outputs(index, outputs);
     }
 
     pub(crate) fn handle_input(&mut self, index: usize, input: Input) {
@@ -487,18 +494,18 @@
             return;
         };
         let outputs = process.handle(now, input);
-        self.carry_out(index, outputs);
-        self.check_actors();
+        self.process_outputs(index, outputs);
+        self.check_acting_machines();
         self.check_record(index);
     }
 
-    fn carry_out(&mut self, index: usize, outputs: Vec<Output>) {
+    fn process_outputs(&mut self, index: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Send { to, message } => self.transmit(index, &to, &message),
                 Output::Persist { ticket, change } => self.persist(index, ticket, change),
-                Output::Committed { sequence } => self.committed(index, sequence),
-                Output::Elected { epoch } => self.elected(index, epoch),
+                Output::Committed { sequence } => self.on_committed(index, sequence),
+                Output::Elected { epoch } => self.on_elected(index, epoch),
                 Output::Deposed => {
                     self.record_event(format!("deposed {index}"));
                     self.nodes[index].appends.clear();
@@ -516,20 +523,26 @@
             return;
         };
         if self
-            .loses
+            .drops_message
             .as_mut()
-            .is_some_and(|loses| loses(index, target, message))
+            .is_some_and(|drops_message| drops_message(index, target, message))
         {
             return;
         }
-        let copies = 1 + usize::from(self.random.random_bool(self.doubled));
+        let copies = 1 + usize::from(self.random.random_bool(self.duplication_rate));
         for _ in 0..copies {
-            if self.cuts.contains(&(index, target)) || self.random.random_bool(self.loss) {
+            if self.blocked_links.contains(&(index, target))
+                || self.random.random_bool(self.loss_rate)
+            {
                 continue;
             }
-            let is_late = self.random.random_bool(self.late);
-            let most = if is_late { MOST_LATE_MS } else { self.delay_ms };
-            let delay = self.random.random_range(1..=most);
+            let is_late = self.random.random_bool(self.late_rate);
+            let max_ms = if is_late {
+                MAX_LATE_DELAY_MS
+            } else {
+                self.delay_ms
+            };
+            let delay = self.random.random_range(1..=max_ms);
             let from = self.nodes[index].address.internal.clone();
             self.schedule(
                 delay,
@@ -544,7 +557,10 @@
 
     fn persist(&mut self, index: usize, ticket: u64, change: DiskChange) {
         let node = &mut self.nodes[index];
-        assert!(node.in_flight.is_none(), "two changes of the disk at once");
+        assert!(
+            node.in_flight.is_none(),
+            "a disk change is already in flight"
+        );
         node.in_flight = Some((ticket, change));
         let (incarnation, sync_ms) = (node.incarnation, node.sync_ms);
         self.schedule(
@@ -557,19 +573,19 @@
         );
     }
 
-    fn committed(&mut self, index: usize, sequence: u64) {
+    fn on_committed(&mut self, index: usize, sequence: u64) {
         while let Some((append, key)) = self.nodes[index].appends.front().copied() {
             if append > sequence {
                 break;
             }
             self.nodes[index].appends.pop_front();
-            self.check_copies(key);
+            self.check_copy_count(key);
             let term = self.record(index).map_or(0, |record| record.term);
             self.checks.committed.insert(key, term);
         }
     }
 
-    fn elected(&mut self, index: usize, epoch: u64) {
+    fn on_elected(&mut self, index: usize, epoch: u64) {
         self.record_event(format!("elected {index} in epoch {epoch}"));
         self.nodes[index].elected += 1;
         self.check_state(index);
@@ -589,18 +605,18 @@
         in_flight: None,
         sync_ms: 9,
         disk_fails: false,
-        frozen_until: 0,
+        frozen_until_ms: 0,
         appends: VecDeque::new(),
         elected: 0,
-        acted_in: 0,
+        last_acting_term: 0,
         checked_epoch: 0,
         is_leaving: false,
         is_removed: false,
     }
 }
 
-/// Makes a change of the disk.
-fn carry_out(disk: &mut DiskImage, change: DiskChange) {
+/// Applies a change to the disk.
+fn apply_change(disk: &mut DiskImage, change: DiskChange) {
     if change.replace_all {
         disk.state.clear();
     }
--- a/crates/coordination/tests/cluster/schedule.rs
+++ b/crates/coordination/tests/cluster/schedule.rs
@@ -1,4 +1,4 @@
-//! Faults drawn from a seed.
+//! Random faults, drawn from the cluster's seed.
 
 use super::{Cluster, CATCH_UP_MS};
 use rand::seq::SliceRandom;
@@ -7,7 +7,7 @@
 use streamusher_protocol::Millis;
 
 impl Cluster {
-    /// Some seconds of faults, with no more wiped at once than is tolerated.
+    /// Injects faults for some seconds; never erases more disks at once than are tolerated.
     pub(crate) fn run_faults(&mut self, count: usize) {
         for _ in 0..count {
             self.inject_fault();
@@ -22,36 +22,36 @@
         match self.random.random_range(0..14) {
             0 | 1 => self.crash(victim),
             2 => {
-                let span = self.random.random_range(100..4_000);
-                self.freeze(victim, span);
+                let duration_ms = self.random.random_range(100..4_000);
+                self.freeze(victim, duration_ms);
             }
             3 => {
-                if let Some(actor) = self.actor() {
-                    let span = self.random.random_range(100..4_000);
-                    self.freeze(actor, span);
+                if let Some(acting_primary) = self.acting_primary() {
+                    let duration_ms = self.random.random_range(100..4_000);
+                    self.freeze(acting_primary, duration_ms);
                 }
             }
             4 => {
-                if let Some(actor) = self.actor() {
-                    self.crash(actor);
+                if let Some(acting_primary) = self.acting_primary() {
+                    self.crash(acting_primary);
                 }
             }
             5 => {
-                let most = self.nodes.len();
-                let count = self.random.random_range(1..most);
-                let side = self.some_nodes(count);
-                self.cut(&side);
+                let max_count = self.nodes.len();
+                let count = self.random.random_range(1..max_count);
+                let side = self.random_nodes(count);
+                self.partition(&side);
             }
-            6 => self.cut_one_way(),
+            6 => self.block_links_one_way(),
             7 => {
-                self.loss = self.random.random_range(0.01..0.4);
-                self.doubled = self.random.random_range(0.0..0.3);
+                self.loss_rate = self.random.random_range(0.01..0.4);
+                self.duplication_rate = self.random.random_range(0.0..0.3);
                 self.delay_ms = self.random.random_range(3..300);
-                self.record_event(format!("loss {}, delay {}", self.loss, self.delay_ms));
+                self.record_event(format!("loss {}, delay {}", self.loss_rate, self.delay_ms));
             }
             8 => self.slow_disk(victim),
             9 => {
-                self.record_event(format!("full disk {victim}"));
+                self.record_event(format!("disk {victim} fails"));
                 self.nodes[victim].disk_fails = true;
             }
             10 => self.power_loss(0),
@@ -68,28 +68,28 @@
         self.nodes[victim].sync_ms = sync_ms;
     }
 
-    fn cut_one_way(&mut self) {
-        let a = self.random.random_range(0..self.nodes.len());
-        let b = self.random.random_range(0..self.nodes.len());
-        self.record_event(format!("cut {a} -> {b}"));
-        self.cuts.insert((a, b));
+    fn block_links_one_way(&mut self) {
+        let from = self.random.random_range(0..self.nodes.len());
+        let to = self.random.random_range(0..self.nodes.len());
+        self.record_event(format!("block {from} -> {to}"));
+        self.blocked_links.insert((from, to));
         if self.random.random_bool(0.5) {
-            // All that `a` says is lost.
-            self.cuts
-                .extend((0..self.nodes.len()).map(|other| (a, other)));
+            // All messages that `from` sends are dropped.
+            self.blocked_links
+                .extend((0..self.nodes.len()).map(|other| (from, other)));
         }
     }
 
-    fn some_nodes(&mut self, count: usize) -> Vec<usize> {
+    fn random_nodes(&mut self, count: usize) -> Vec<usize> {
         let mut all: Vec<usize> = (0..self.nodes.len()).collect();
         all.shuffle(&mut self.random);
         all.truncate(count);
         all
     }
 
-    /// All lose power; some lose their disks.
-    pub(crate) fn power_loss(&mut self, wiped: usize) {
-        let wiped = self.some_nodes(wiped);
+    /// All machines lose power; `wiped_count` of them also lose their disks.
+    pub(crate) fn power_loss(&mut self, wiped_count: usize) {
+        let wiped = self.random_nodes(wiped_count);
         for index in 0..self.nodes.len() {
             if wiped.contains(&index) {
                 self.wipe(index);
@@ -99,10 +99,13 @@
         }
     }
 
-    /// Only while a primary acts, so that enough copies are there, and only as many as leave a majority of members.
+    /// Erases disks only while a primary acts, so that there are enough replicas, and only as many as leave a
+    /// majority of members.
     fn wipe_within_tolerance(&mut self) {
-        let Some(actor) = self.actor() else { return };
-        let Some(record) = self.record(actor) else {
+        let Some(acting_primary) = self.acting_primary() else {
+            return;
+        };
+        let Some(record) = self.record(acting_primary) else {
             return;
         };
         let mut alive = 0;
@@ -118,11 +121,11 @@
         if self.random.random_bool(0.5) {
             self.power_loss(count);
         } else {
-            for index in self.some_nodes(count) {
+            for index in self.random_nodes(count) {
                 self.wipe(index);
             }
         }
-        // The next loss of a disk counts as another one only after this.
+        // Another loss of disks is tolerated only after this repair.
         let wait = self.random.random_range(0..1_500);
         self.run(wait);
         self.repair_all();
@@ -136,11 +139,11 @@
             self.run(wait);
         }
         for index in 0..self.nodes.len() {
-            let is_gone = self.nodes[index]
+            let needs_start = self.nodes[index]
                 .process
                 .as_ref()
                 .is_none_or(Coordinator::may_leave);
-            if is_gone && self.random.random_bool(0.5) {
+            if needs_start && self.random.random_bool(0.5) {
                 self.restart(index);
             }
         }
@@ -153,14 +156,14 @@
         self.start(index);
     }
 
-    /// Everything runs again and all links are sound.
+    /// Starts all machines that are down or leaving, except removed ones, and restores all links.
     pub(crate) fn repair_all(&mut self) {
         self.restore_links();
         for index in 0..self.nodes.len() {
             let node = &mut self.nodes[index];
-            node.frozen_until = node.frozen_until.min(self.now);
-            let is_gone = node.process.is_none() || node.is_leaving;
-            if is_gone && !node.is_removed {
+            node.frozen_until_ms = node.frozen_until_ms.min(self.now);
+            let needs_start = node.process.is_none() || node.is_leaving;
+            if needs_start && !node.is_removed {
                 let wait: Millis = self.random.random_range(0..100);
                 self.run(wait);
                 self.restart(index);
@@ -168,24 +171,28 @@
         }
     }
 
-    /// Faults so close together that each meets the repair of the one before: links go and come one way at a time,
-    /// processes die and return at once, some messages come seconds late. No disk is lost.
-    pub(crate) fn run_overlapping_faults(&mut self, span: Millis) {
-        let end = self.now + span;
-        self.late = 0.03;
-        self.loss = 0.02;
+    /// Injects faults at such short intervals that each one overlaps the repair of the previous one: links
+    /// fail in one direction and recover, processes crash and restart at once, and some messages are seconds
+    /// late. No disk is lost.
+    pub(crate) fn run_overlapping_faults(&mut self, duration_ms: Millis) {
+        let end = self.now + duration_ms;
+        self.late_rate = 0.03;
+        self.loss_rate = 0.02;
         while self.now < end {
             self.inject_overlapping_fault();
             let wait = self.random.random_range(1..120);
             self.run(wait);
         }
-        self.late = 0.0;
+        self.late_rate = 0.0;
     }
 
     fn inject_overlapping_fault(&mut self) {
         let size = self.nodes.len();
-        let victim = match self.actor().filter(|_| self.random.random_bool(0.4)) {
-            Some(actor) => actor,
+        let victim = match self
+            .acting_primary()
+            .filter(|_| self.random.random_bool(0.4))
+        {
+            Some(acting_primary) => acting_primary,
             None => self.random.random_range(0..size),
         };
         let other = self.random.random_range(0..size);
@@ -197,32 +204,34 @@
                 }
             }
             1 => {
-                let span = self.random.random_range(50..1_500);
-                self.freeze(victim, span);
+                let duration_ms = self.random.random_range(50..1_500);
+                self.freeze(victim, duration_ms);
             }
             2 => self.nodes[victim].sync_ms = self.random.random_range(1..600),
             3 => self.nodes[victim].disk_fails = self.random.random_bool(0.3),
             4 | 5 => {
-                self.cuts.insert((victim, other));
+                self.blocked_links.insert((victim, other));
             }
-            6 => self.cuts.extend((0..size).map(|from| (from, victim))),
-            7 => self.cuts.extend((0..size).map(|to| (victim, to))),
-            8 => self.cuts.clear(),
+            6 => self
+                .blocked_links
+                .extend((0..size).map(|from| (from, victim))),
+            7 => self.blocked_links.extend((0..size).map(|to| (victim, to))),
+            8 => self.blocked_links.clear(),
             9 => self.leave(victim),
-            _ => self.calm_down(),
+            _ => self.repair_partly(),
         }
     }
 
-    /// Much of what was broken is mended.
-    fn calm_down(&mut self) {
+    /// Repairs many of the injected faults.
+    fn repair_partly(&mut self) {
         if self.random.random_bool(0.5) {
-            self.cuts.clear();
+            self.blocked_links.clear();
         }
         for index in 0..self.nodes.len() {
             self.nodes[index].sync_ms = 9;
             self.nodes[index].disk_fails = false;
-            let is_gone = self.nodes[index].process.is_none() || self.nodes[index].is_leaving;
-            if is_gone && self.random.random_bool(0.7) {
+            let needs_start = self.nodes[index].process.is_none() || self.nodes[index].is_leaving;
+            if needs_start && self.random.random_bool(0.7) {
                 self.restart(index);
             }
         }
--- a/crates/coordination/tests/elections.rs
+++ b/crates/coordination/tests/elections.rs
@@ -1,4 +1,4 @@
-//! How long elections take when several replicas stand at once.
+//! Duration of elections with several simultaneous candidates.
 
 mod cluster;
 
@@ -6,19 +6,20 @@
 use rstest::rstest;
 use streamusher_protocol::Millis;
 
-/// Seeds of one case.
+/// Number of seeds per case.
 const SEEDS: u64 = 60;
-/// Sync of a slow disk.
+/// Sync time of a slow disk.
 const SLOW_SYNC_MS: Millis = 270;
 
-/// All machines but a replica with a slow disk lose power and return; returns the time until somebody acts.
+/// All machines except a replica with a slow disk lose power and restart. Returns the time until a primary
+/// acts, if one does within 5 s.
 fn election_after_power_loss(
     size: usize,
     tolerance: usize,
     delay_ms: Millis,
     seed: u64,
 ) -> Option<Millis> {
-    let mut cluster = Cluster::calm(size, tolerance, seed);
+    let mut cluster = Cluster::stable(size, tolerance, seed);
     let replicas = cluster.replicas();
     let choice = usize::try_from(seed).unwrap_or(0) % (replicas.len() - 1);
     let slow = replicas[1 + choice];
@@ -33,7 +34,7 @@
         cluster.start(index);
         cluster.run(2);
     }
-    cluster.run_until(5_000, |cluster| cluster.actor().is_some())
+    cluster.run_until(5_000, |cluster| cluster.acting_primary().is_some())
 }
 
 #[rstest]
--- a/crates/coordination/tests/encoded.rs
+++ b/crates/coordination/tests/encoded.rs
@@ -1,5 +1,5 @@
-//! The encoded form of all that is sent and stored, byte for byte: members of other releases read it, and so do later
-//! releases of this program from disk.
+//! Encoded forms of all messages and stored data, compared byte for byte: members with other releases read
+//! them, and later releases read them from disk.
 
 #![allow(
     clippy::expect_used,
@@ -18,14 +18,14 @@
 use streamusher_protocol::internal::CoreAddress;
 use streamusher_protocol::store::Write;
 
-/// Texts as they are written. Each line is a name and a text.
+/// Encoded values. Each line is a name and an encoded text.
 #[derive(Default)]
 struct Encoded {
     lines: String,
 }
 
 impl Encoded {
-    /// Adds a value, and checks that its text is read as the same value.
+    /// Encodes a value, and checks that its text decodes to the same value.
     fn add<T: Serialize + DeserializeOwned + PartialEq + Debug>(&mut self, name: &str, value: &T) {
         let text = serde_json::to_string(value).unwrap();
         let read: T = serde_json::from_str(&text).unwrap();
@@ -229,9 +229,9 @@
     assert_eq!(encoded.lines.lines().count(), recorded.lines().count());
 }
 
-/// A machine of an earlier release does not say which record is on its disk.
+/// A machine of an earlier release does not send the epoch of the record on its disk.
 #[test]
-fn an_acknowledgement_without_its_record_is_read_as_of_record_0() {
+fn keepalive_ack_without_recorded_epoch_defaults_to_0() {
     let text = r#"{"Alive":{"from":1,"reign":5,"sent":9,"position":{"epoch":5,"sequence":9},"leaving":false,"later":1}}"#;
     let read: Message = serde_json::from_str(text).unwrap();
     let expected = Message::KeepaliveAck(KeepaliveAck {
--- a/crates/coordination/tests/membership.rs
+++ b/crates/coordination/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Changes of members and replicas: a primary that takes a new replica and dies meanwhile, and an absent seed at the first start.
+//! Changes of members and replicas: a primary that fails while it adds a replica, and an absent seed at the
+//! first start.
 
 mod cluster;
 
@@ -9,50 +10,52 @@
 use streamusher_coordination::{DiskId, EpochRecord, Message};
 use streamusher_protocol::Millis;
 
-/// Five machines with three replicas; when the third goes, another machine is brought up to date in its place.
+/// Five machines with three replicas. When the third replica fails, another machine is brought up to date in
+/// its place.
 struct Scenario {
     cluster: Cluster,
     primary: usize,
-    old: usize,
-    third: usize,
+    old_replica: usize,
+    third_replica: usize,
     ids: Vec<DiskId>,
 }
 
 impl Scenario {
     fn new(seed: u64) -> Scenario {
-        let cluster = Cluster::calm(5, 1, seed);
+        let cluster = Cluster::stable(5, 1, seed);
         let replicas = cluster.replicas();
         let ids = (0..5).map(|index| cluster.id(index)).collect();
         Scenario {
             cluster,
             primary: replicas[0],
-            old: replicas[1],
-            third: replicas[2],
+            old_replica: replicas[1],
+            third_replica: replicas[2],
             ids,
         }
     }
 
-    /// The primary loses its disk and the old replica is down for a while: only the new one could be elected.
-    fn leave_the_new_one_alone(&mut self, after: Millis) {
+    /// The primary loses its disk and the old replica is down for a while, so that only the new replica could
+    /// be elected.
+    fn isolate_new_replica(&mut self, after: Millis) {
         self.cluster.wipe(self.primary);
-        self.cluster.loses = None;
-        // A majority needs the third machine, which is no replica any more.
-        self.cluster.start(self.third);
+        self.cluster.drops_message = None;
+        // A majority needs the third machine, which is no longer a replica.
+        self.cluster.start(self.third_replica);
         self.cluster.run(after);
-        self.cluster.crash(self.old);
-        // `Elected` checks the state of whoever is elected.
+        self.cluster.crash(self.old_replica);
+        // The handler of `Elected` checks the state of each elected machine.
         self.cluster.run(4_000);
         self.cluster.start_all();
         let acts = self
             .cluster
-            .run_until(3_000, |cluster| cluster.actor().is_some());
+            .run_until(3_000, |cluster| cluster.acting_primary().is_some());
         assert!(acts.is_some(), "nobody acts: {}", self.cluster.describe());
-        let actor = self.cluster.actor().unwrap_or(0);
-        self.cluster.check_state(actor);
+        let acting_primary = self.cluster.acting_primary().unwrap_or(0);
+        self.cluster.check_state(acting_primary);
     }
 }
 
-/// Who is a replica in the proposed record and not in the one before.
+/// The machine that is a replica in the proposed record but not in the preceding one.
 fn new_replica(ids: &[DiskId], base: &EpochRecord, value: &EpochRecord) -> Option<usize> {
     let new = value.replicas.iter().find(|id| !base.is_replica(**id))?;
     ids.iter().position(|id| id == new)
@@ -63,21 +66,23 @@
     let mut scenario = Scenario::new(seed);
     let (primary, ids) = (scenario.primary, scenario.ids.clone());
     let proposed = Rc::new(Cell::new(None));
-    let seen = proposed.clone();
-    // From the proposal on the primary does not hear that it is accepted, and the new replica gets no batch.
-    scenario.cluster.loses = Some(Box::new(move |from, to, message| {
+    let recorded = proposed.clone();
+    // From the proposal on, the primary receives no `Accepted`, and the new replica receives no data.
+    scenario.cluster.drops_message = Some(Box::new(move |from, to, message| {
         if let Message::Accept { base, value, .. } = message {
             let new = new_replica(&ids, base, value).filter(|_| from == primary);
-            seen.set(seen.get().or(new));
+            recorded.set(recorded.get().or(new));
         }
-        let Some(new) = seen.get() else { return false };
+        let Some(new) = recorded.get() else {
+            return false;
+        };
         match message {
             Message::Accepted { .. } => to == primary,
             Message::Append { .. } | Message::SnapshotPart(_) => to == new,
             _ => false,
         }
     }));
-    scenario.cluster.crash(scenario.third);
+    scenario.cluster.crash(scenario.third_replica);
     let done = scenario
         .cluster
         .run_until(3_000, |_| proposed.get().is_some());
@@ -87,13 +92,13 @@
         scenario.cluster.describe()
     );
     scenario.cluster.run(200);
-    // The old replica has time to bring the open proposal to its end.
-    scenario.leave_the_new_one_alone(1_300);
+    // The old replica has time to complete the open proposal.
+    scenario.isolate_new_replica(1_300);
 }
 
 #[rstest]
 fn learner_without_a_committed_batch_is_not_named_replica(#[values(1, 2)] seed: u64) {
-    // The learner is stopped at each batch around the one with which it would be level.
+    // The learner's data stops at each batch around the one with which it would be up to date.
     for after in 0..40 {
         stop_learners(seed, after);
     }
@@ -101,23 +106,27 @@
 
 fn stop_learners(seed: u64, after: u64) {
     let mut scenario = Scenario::new(seed);
-    let (primary, old, third) = (scenario.primary, scenario.old, scenario.third);
-    // The learners get their copy or their first batches, and nothing that is made later.
+    let (primary, old_replica, third_replica) = (
+        scenario.primary,
+        scenario.old_replica,
+        scenario.third_replica,
+    );
+    // The learners receive a snapshot or the first batches, but no batches that are created later.
     let process = scenario.cluster.nodes[primary].process.as_ref();
     let last = process.map_or(0, |process| process.status(0).applied.sequence) + after;
-    scenario.cluster.loses = Some(Box::new(move |_, to, message| match message {
+    scenario.cluster.drops_message = Some(Box::new(move |_, to, message| match message {
         Message::Append { batch, .. } => {
-            ![primary, old, third].contains(&to) && batch.position.sequence > last
+            ![primary, old_replica, third_replica].contains(&to) && batch.position.sequence > last
         }
         _ => false,
     }));
-    scenario.cluster.crash(third);
-    // Long enough to name it, too short to drop it again.
+    scenario.cluster.crash(third_replica);
+    // Long enough to name the learner as a replica, too short to drop it again.
     scenario.cluster.run(750);
-    scenario.leave_the_new_one_alone(0);
+    scenario.isolate_new_replica(0);
 }
 
-/// Too few copies are left without it, so that it stays among the replicas until another machine is level.
+/// With too few other copies, the absent seed stays a replica until another machine is up to date.
 #[rstest]
 fn bootstrap_succeeds_without_one_seed(
     #[values((3, 1), (5, 1), (5, 2), (9, 2))] shape: (usize, usize),
@@ -127,6 +136,6 @@
     for index in (0..shape.0).filter(|index| *index != down) {
         cluster.start(index);
     }
-    let acts = cluster.run_until(CATCH_UP_MS, |cluster| cluster.actor().is_some());
+    let acts = cluster.run_until(CATCH_UP_MS, |cluster| cluster.acting_primary().is_some());
     assert!(acts.is_some(), "nobody acts: {}", cluster.describe());
 }
--- a/crates/coordination/tests/messages.rs
+++ b/crates/coordination/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages that no correct member sends, and old ones, must do no harm.
+//! Invalid messages, which no correct member sends, and outdated ones must do no harm.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -29,22 +29,22 @@
     }
 }
 
-/// A machine that may speak: its first change of the disk is made.
-fn started() -> Coordinator {
+/// A machine that may send messages: its first disk change is synced.
+fn started_machine() -> Coordinator {
     let mut machine = Coordinator::new(settings(), DiskImage::default(), 1_000);
     let outputs = machine.handle(1_000, Input::Tick);
     sync_all(&mut machine, 1_001, outputs);
     machine
 }
 
-/// Answers all changes of the disk; returns what was sent.
+/// Completes all disk changes. Returns the messages that are sent.
 fn sync_all(machine: &mut Coordinator, now: u64, outputs: Vec<Output>) -> Vec<Message> {
-    let mut open = outputs;
+    let mut pending = outputs;
     let mut sent = Vec::new();
-    while let Some(output) = open.pop() {
+    while let Some(output) = pending.pop() {
         match output {
             Output::Persist { ticket, .. } => {
-                open.extend(machine.handle(now, Input::Persisted { ticket }));
+                pending.extend(machine.handle(now, Input::Persisted { ticket }));
             }
             Output::Send { message, .. } => sent.push(message),
             _ => {}
@@ -83,7 +83,7 @@
 
 #[test]
 fn messages_of_an_older_epoch_are_answered_with_the_newest_record() {
-    let mut machine = started();
+    let mut machine = started_machine();
     let (old, new) = (record(&machine, 2), record(&machine, 5));
     receive(
         &mut machine,
@@ -137,7 +137,7 @@
 
 #[test]
 fn lower_proposal_number_is_rejected() {
-    let mut machine = started();
+    let mut machine = started_machine();
     let base = record(&machine, 5);
     let high = ProposalNumber {
         round: 9,
@@ -156,7 +156,7 @@
         },
     );
     assert!(matches!(promised[..], [Message::Promised { number, .. }] if number == high));
-    let refused = vec![Message::Rejected {
+    let rejected = vec![Message::Rejected {
         instance: 6,
         promise: high,
     }];
@@ -169,19 +169,19 @@
                 number: low
             }
         ),
-        refused
+        rejected
     );
     let accept = Message::Accept {
         base: base.clone(),
         number: low,
         value: record(&machine, 6),
     };
-    assert_eq!(receive(&mut machine, 1_110, accept), refused);
+    assert_eq!(receive(&mut machine, 1_110, accept), rejected);
 }
 
 #[test]
 fn promise_is_sent_only_when_synced() {
-    let mut machine = started();
+    let mut machine = started_machine();
     let message = Message::Prepare {
         base: record(&machine, 5),
         number: ProposalNumber {
@@ -227,7 +227,7 @@
 
 #[test]
 fn append_at_a_member_that_is_not_primary_is_dropped() {
-    let mut machine = started();
+    let mut machine = started_machine();
     let (sequence, outputs) = machine.append(1_100, vec![Write::set("key", "value")]);
     assert!(outputs.is_empty());
     assert_eq!(
@@ -240,7 +240,7 @@
 
 #[test]
 fn messages_survive_encoding() -> Result<(), serde_json::Error> {
-    let machine = started();
+    let machine = started_machine();
     let mut random = Pcg64Mcg::seed_from_u64(3);
     for _ in 0..500 {
         let message = any_message(&mut random, &machine);
@@ -254,7 +254,7 @@
 fn arbitrary_messages_do_not_panic(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     for _ in 0..40 {
-        let mut machine = started();
+        let mut machine = started_machine();
         let mut now = 1_002;
         for _ in 0..200 {
             now += random.random_range(0..60);
@@ -276,7 +276,7 @@
     }
 }
 
-/// A number that may be small, large or the highest.
+/// A number that may be small, large or the maximum.
 fn any_number(random: &mut Pcg64Mcg) -> u64 {
     match random.random_range(0..8) {
         0 => u64::MAX,
@@ -372,7 +372,7 @@
     }
 }
 
-/// A message by which records are decided.
+/// A message of the kinds that decide and announce records.
 fn any_proposal_message(
     random: &mut Pcg64Mcg,
     machine: &Coordinator,
@@ -422,7 +422,7 @@
     }
 }
 
-/// A message between a primary and a replica.
+/// A message of the kinds that a primary and a replica exchange.
 fn any_replication_message(
     random: &mut Pcg64Mcg,
     kind: i32,
@@ -485,7 +485,7 @@
     messages.iter().filter_map(number).collect()
 }
 
-/// Ticks the machine until `end_ms`; the numbers of all proposals that it sends.
+/// Ticks the machine until `end_ms`. Returns the numbers of all proposals that it sends.
 fn proposals_until(
     machine: &mut Coordinator,
     now_ms: &mut u64,
@@ -500,10 +500,10 @@
     numbers
 }
 
-/// A proposer that was refused since another one has used a higher number goes on with a higher one only.
+/// A proposer that was rejected because of a higher number continues only with a number above that.
 #[test]
 fn rejected_proposal_number_is_not_used_again() {
-    let mut machine = started();
+    let mut machine = started_machine();
     let mut now_ms = 1_001;
     let first = proposals_until(&mut machine, &mut now_ms, 1_500);
     let rejected = *first.last().expect("a proposal");
@@ -518,6 +518,6 @@
     receive(&mut machine, now_ms, rejection);
     let end_ms = now_ms + 3_000;
     let later = proposals_until(&mut machine, &mut now_ms, end_ms);
-    assert!(!later.is_empty(), "it proposes again");
+    assert!(!later.is_empty(), "the proposer starts no further proposal");
     assert!(later.iter().all(|number| *number > promise), "{later:?}");
 }
--- a/crates/coordination/tests/records_model.rs
+++ b/crates/coordination/tests/records_model.rs
@@ -1,8 +1,10 @@
-//! The decision on the next record, model checked: the real coordinators of three members, two of which stand for election at
-//! once, under every order of deliveries, losses, syncs, one crash and steps of time within the bounds below.
+//! Model check of the decision on the next record: the real coordinators of three members, two of which start
+//! elections at the same time, under every order of deliveries, losses, syncs, crashes of one member and clock steps
+//! within the bounds below.
 //!
-//! The model leaves out: leases (nobody acts in the record before, epoch 0), messages but those that decide a record, messages that
-//! come twice, changes of members, and what the random delays of candidates would change. `search.rs` and `second_loss.rs` have these.
+//! The model excludes leases (no primary acts under the preceding record, epoch 0), messages other than those
+//! that decide a record, duplicated messages, changes of members, and effects of the candidates' random
+//! delays. `search.rs` and `second_loss.rs` cover these.
 
 use rstest::rstest;
 use stateright::{Checker, Model, Property};
@@ -17,10 +19,10 @@
 
 const MEMBERS: usize = 3;
 const LEASE_MS: Millis = 800;
-/// A step of time: below the gap that counts as a stall.
-const STEP_MS: Millis = 80;
-/// By then both candidates have begun.
-const BEGUN_MS: Millis = 400;
+/// Duration of a clock step: below the gap that counts as a stall.
+const CLOCK_STEP_MS: Millis = 80;
+/// Time by which both candidates have started their elections.
+const CANDIDACY_MS: Millis = 400;
 const TICK_MS: Millis = 20;
 
 /// A member and its disk.
@@ -31,21 +33,21 @@
     in_flight: Option<(u64, DiskChange)>,
 }
 
-/// A message with its sender and its receiver.
-type Sent = (usize, usize, Message);
+/// A message with its sender and its receiver, in this order.
+type SentMessage = (usize, usize, Message);
 
 #[derive(Clone, Debug)]
 struct State {
     now: Millis,
     nodes: Vec<Node>,
-    network: Vec<Sent>,
-    /// Decided records that any member has known, by epoch.
-    known: BTreeMap<u64, Arc<EpochRecord>>,
+    network: Vec<SentMessage>,
+    /// The first decided record that any member has known, by epoch.
+    known_records: BTreeMap<u64, Arc<EpochRecord>>,
     crashes: u8,
-    steps: u8,
-    /// Whose disk is watched: its syncs are steps of their own, those of the others are done at once.
-    crashing: usize,
-    /// Of all that tells states apart.
+    clock_steps: u8,
+    /// Member whose disk syncs are separate steps; the syncs of the other members complete at once.
+    crashing_member: usize,
+    /// Two hashes of everything that distinguishes states.
     digest: (u64, u64),
 }
 
@@ -65,22 +67,22 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
-    Deliver(Sent),
-    /// The change of the disk that is under way is synced.
+    Deliver(SentMessage),
+    /// The disk change in flight is synced.
     Sync(usize),
-    /// A process ends and starts again; the change under way was made or not.
+    /// A process crashes and restarts; the disk change in flight was applied or not.
     Crash {
         node: usize,
-        made: bool,
+        was_applied: bool,
     },
-    Time,
+    AdvanceClock,
 }
 
-/// Bounds: the member that may crash, how often, and how many steps of time.
-struct Members {
-    crashing: usize,
-    most_crashes: u8,
-    most_steps: u8,
+/// Model with its bounds: the member that may crash, the number of crashes, and the number of clock steps.
+struct ElectionModel {
+    crashing_member: usize,
+    max_crashes: u8,
+    max_clock_steps: u8,
 }
 
 fn address(index: usize) -> CoreAddress {
@@ -101,7 +103,7 @@
     }
 }
 
-fn decides(message: &Message) -> bool {
+fn is_decision_message(message: &Message) -> bool {
     matches!(
         message,
         Message::Prepare { .. }
@@ -113,7 +115,7 @@
     )
 }
 
-fn carry_out(disk: &mut DiskImage, change: DiskChange) {
+fn apply_change(disk: &mut DiskImage, change: DiskChange) {
     disk.witness = change.witness.or(disk.witness.take());
     disk.position = change.position.unwrap_or(disk.position);
 }
@@ -130,7 +132,7 @@
         let outputs = Arc::make_mut(&mut self.nodes[index].process).handle(now, input);
         for output in outputs {
             match output {
-                Output::Send { to, message } if decides(&message) => {
+                Output::Send { to, message } if is_decision_message(&message) => {
                     let receiver = (0..MEMBERS).find(|other| address(*other).internal == to);
                     let sent = receiver.map(|receiver| (index, receiver, message));
                     self.network
@@ -142,40 +144,41 @@
                 _ => {}
             }
         }
-        if index != self.crashing {
+        if index != self.crashing_member {
             self.sync(index);
         }
         let record = self.nodes[index].process.status(now).record;
-        self.known.entry(record.epoch).or_insert(record);
+        self.known_records.entry(record.epoch).or_insert(record);
     }
 
     fn sync(&mut self, index: usize) {
         let Some((ticket, change)) = self.nodes[index].in_flight.take() else {
             return;
         };
-        carry_out(&mut self.nodes[index].durable, change);
+        apply_change(&mut self.nodes[index].durable, change);
         self.handle_input(index, Input::Persisted { ticket });
     }
 
-    fn crash(&mut self, index: usize, made: bool) {
+    fn crash(&mut self, index: usize, was_applied: bool) {
         self.crashes += 1;
-        let change = self.nodes[index].in_flight.take().filter(|_| made);
+        let change = self.nodes[index].in_flight.take().filter(|_| was_applied);
         if let Some((_, change)) = change {
-            carry_out(&mut self.nodes[index].durable, change);
+            apply_change(&mut self.nodes[index].durable, change);
         }
         self.start(index);
-        // What a process says first does not matter here, but that its start is counted does.
+        // The messages of a process before its start is recorded do not matter here, but the start must be
+        // counted.
         self.handle_input(index, Input::Tick);
     }
 
-    fn time(&mut self, span: Millis) {
-        self.now += span;
+    fn advance_clock(&mut self, duration_ms: Millis) {
+        self.now += duration_ms;
         for index in 0..MEMBERS {
             self.handle_input(index, Input::Tick);
         }
     }
 
-    fn named(mut self) -> State {
+    fn with_digest(mut self) -> State {
         let mut sent: Vec<String> = self
             .network
             .iter()
@@ -185,12 +188,12 @@
         let State {
             now,
             nodes,
-            known,
+            known_records,
             crashes,
-            steps,
+            clock_steps,
             ..
         } = &self;
-        let text = format!("{now} {nodes:?} {sent:?} {known:?} {crashes} {steps}");
+        let text = format!("{now} {nodes:?} {sent:?} {known_records:?} {crashes} {clock_steps}");
         let half = |salt: u8| {
             let mut hasher = DefaultHasher::new();
             (salt, &text).hash(&mut hasher);
@@ -201,7 +204,7 @@
     }
 }
 
-impl Model for Members {
+impl Model for ElectionModel {
     type State = State;
     type Action = Step;
 
@@ -219,42 +222,48 @@
             now: 1_000,
             nodes: (0..MEMBERS).map(node).collect(),
             network: Vec::new(),
-            known: BTreeMap::new(),
+            known_records: BTreeMap::new(),
             crashes: 0,
-            steps: 0,
-            crashing: self.crashing,
+            clock_steps: 0,
+            crashing_member: self.crashing_member,
             digest: (0, 0),
         };
         for index in 0..MEMBERS {
             state.handle_input(index, Input::Tick);
             state.sync(index);
         }
-        // The third member votes and does not stand.
+        // The third member votes and does not become a candidate.
         state.handle_input(MEMBERS - 1, Input::Leave);
-        while state.now < 1_000 + BEGUN_MS {
-            state.time(TICK_MS);
+        while state.now < 1_000 + CANDIDACY_MS {
+            state.advance_clock(TICK_MS);
         }
-        vec![state.named()]
+        vec![state.with_digest()]
     }
 
-    fn actions(&self, state: &State, steps: &mut Vec<Step>) {
-        steps.extend(state.network.iter().cloned().map(Step::Deliver));
-        let node = self.crashing;
-        let is_under_way = state
+    fn actions(&self, state: &State, actions: &mut Vec<Step>) {
+        actions.extend(state.network.iter().cloned().map(Step::Deliver));
+        let node = self.crashing_member;
+        let is_sync_in_flight = state
             .nodes
             .get(node)
             .is_some_and(|machine| machine.in_flight.is_some());
-        if is_under_way {
-            steps.push(Step::Sync(node));
+        if is_sync_in_flight {
+            actions.push(Step::Sync(node));
         }
-        if state.crashes < self.most_crashes {
-            steps.push(Step::Crash { node, made: false });
-            if is_under_way {
-                steps.push(Step::Crash { node, made: true });
+        if state.crashes < self.max_crashes {
+            actions.push(Step::Crash {
+                node,
+                was_applied: false,
+            });
+            if is_sync_in_flight {
+                actions.push(Step::Crash {
+                    node,
+                    was_applied: true,
+                });
             }
         }
-        if state.steps < self.most_steps {
-            steps.push(Step::Time);
+        if state.clock_steps < self.max_clock_steps {
+            actions.push(Step::AdvanceClock);
         }
     }
 
@@ -262,8 +271,8 @@
         let mut state = last.clone();
         match step {
             Step::Deliver(sent) => {
-                let place = state.network.iter().position(|other| *other == sent)?;
-                let (from, to, message) = state.network.swap_remove(place);
+                let position = state.network.iter().position(|other| *other == sent)?;
+                let (from, to, message) = state.network.swap_remove(position);
                 state.handle_input(
                     to,
                     Input::Received {
@@ -273,13 +282,13 @@
                 );
             }
             Step::Sync(node) => state.sync(node),
-            Step::Crash { node, made } => state.crash(node, made),
-            Step::Time => {
-                state.steps += 1;
-                state.time(STEP_MS);
+            Step::Crash { node, was_applied } => state.crash(node, was_applied),
+            Step::AdvanceClock => {
+                state.clock_steps += 1;
+                state.advance_clock(CLOCK_STEP_MS);
             }
         }
-        Some(state.named())
+        Some(state.with_digest())
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
@@ -289,63 +298,63 @@
                 |_, state: &State| {
                     state.nodes.iter().all(|node| {
                         let record = node.process.status(state.now).record;
-                        state.known.get(&record.epoch) == Some(&record)
+                        state.known_records.get(&record.epoch) == Some(&record)
                     })
                 },
             ),
             Property::sometimes("a record is decided", |_, state: &State| {
-                state.known.len() > 1
+                state.known_records.len() > 1
             }),
         ]
     }
 
-    /// Once a record is decided and all know it, the next decision is of the same kind.
+    /// Stops when all members know a decided record, as the next decision is equivalent.
     fn within_boundary(&self, state: &State) -> bool {
         let epochs = state.nodes.iter().map(|node| node.process.epoch());
         epochs.min().unwrap_or(0) == 0
     }
 }
 
-/// States that are looked at at most where the space is larger; `RECORDS_STATES` names another number.
-fn most_states() -> usize {
-    const STATES: usize = 150_000;
+/// Maximum number of states to explore if the state space is larger; `RECORDS_STATES` overrides it.
+fn max_states() -> usize {
+    const MAX_STATES: usize = 150_000;
     std::env::var("RECORDS_STATES")
         .ok()
         .and_then(|text| text.parse().ok())
-        .unwrap_or(STATES)
+        .unwrap_or(MAX_STATES)
 }
 
-/// No member crashes.
-const NOBODY: usize = MEMBERS;
+/// Index that belongs to no member: no member crashes.
+const NO_MEMBER: usize = MEMBERS;
 
 #[rstest]
-#[case::nobody_crashes(NOBODY, 0, 0)]
+#[case::nobody_crashes(NO_MEMBER, 0, 0)]
 #[case::a_candidate_crashes(0, 2, 0)]
 #[case::the_other_candidate_crashes(1, 2, 0)]
 #[case::a_voter_crashes(2, 2, 0)]
-#[case::time_passes(NOBODY, 0, 1)]
+#[case::time_passes(NO_MEMBER, 0, 1)]
 fn two_candidates_decide_one_record(
-    #[case] crashing: usize,
-    #[case] most_crashes: u8,
-    #[case] most_steps: u8,
+    #[case] crashing_member: usize,
+    #[case] max_crashes: u8,
+    #[case] max_clock_steps: u8,
 ) {
-    let model = Members {
-        crashing,
-        most_crashes,
-        most_steps,
+    let model = ElectionModel {
+        crashing_member,
+        max_crashes,
+        max_clock_steps,
     };
     let checker = model
         .checker()
         .threads(2)
-        .target_state_count(most_states())
+        .target_state_count(max_states())
         .spawn_dfs()
         .join();
-    let is_whole = checker.state_count() < most_states();
+    let is_complete = checker.state_count() < max_states();
     let (states, depth) = (checker.unique_state_count(), checker.max_depth());
-    println!("{crashing} crashes {most_crashes} times, {most_steps} steps: {states} states, depth {depth}, whole: {is_whole}");
+    println!("member {crashing_member} crashes {max_crashes} times, {max_clock_steps} clock steps: {states} states, depth {depth}, complete: {is_complete}");
     assert!(
-        is_whole || most_steps > 0,
-        "without steps of time the space is explored whole"
+        is_complete || max_clock_steps > 0,
+        "without clock steps the state space must be explored completely"
     );
     checker.assert_properties();
 }
--- a/crates/coordination/tests/scenarios.rs
+++ b/crates/coordination/tests/scenarios.rs
@@ -7,7 +7,8 @@
 use streamusher_coordination::{Coordinator, DiskImage, Role};
 use streamusher_protocol::Millis;
 
-/// A successor acts by then after a primary is gone: lease, rank and jitter, two phases and the opening batch.
+/// Time within which a successor acts after a primary is lost: lease, rank delay and jitter, two Paxos phases
+/// and the first batch of the term.
 const FAILOVER_MS: Millis = 1_500;
 
 fn others(cluster: &Cluster, index: usize) -> Vec<usize> {
@@ -16,38 +17,44 @@
         .collect()
 }
 
-fn actor(cluster: &Cluster) -> usize {
-    let actor = cluster.actor();
-    assert!(actor.is_some(), "nobody acts: {}", cluster.describe());
-    actor.unwrap_or(0)
+fn acting_machine(cluster: &Cluster) -> usize {
+    let acting_machine = cluster.acting_primary();
+    assert!(
+        acting_machine.is_some(),
+        "no primary acts: {}",
+        cluster.describe()
+    );
+    acting_machine.unwrap_or(0)
 }
 
-/// Runs until another machine than `former` acts.
-fn another_acts(cluster: &mut Cluster, former: usize, most: Millis) -> Millis {
-    let took = cluster.run_until(most, |cluster| {
-        cluster.actor().is_some_and(|actor| actor != former)
+/// Runs until a machine other than `former` acts.
+fn wait_for_successor(cluster: &mut Cluster, former: usize, max_ms: Millis) -> Millis {
+    let took = cluster.run_until(max_ms, |cluster| {
+        cluster
+            .acting_primary()
+            .is_some_and(|acting_machine| acting_machine != former)
     });
     assert!(
         took.is_some(),
-        "no successor in {most} ms: {}",
+        "no successor within {max_ms} ms: {}",
         cluster.describe()
     );
-    took.unwrap_or(most)
+    took.unwrap_or(max_ms)
 }
 
-/// Runs until somebody acts.
-fn somebody_acts(cluster: &mut Cluster, most: Millis) -> Millis {
-    let took = cluster.run_until(most, |cluster| cluster.actor().is_some());
+/// Runs until any machine acts.
+fn wait_for_primary(cluster: &mut Cluster, max_ms: Millis) -> Millis {
+    let took = cluster.run_until(max_ms, |cluster| cluster.acting_primary().is_some());
     assert!(
         took.is_some(),
-        "nobody acts in {most} ms: {}",
+        "no primary acts within {max_ms} ms: {}",
         cluster.describe()
     );
-    took.unwrap_or(most)
+    took.unwrap_or(max_ms)
 }
 
-/// Work goes on: new appends are committed.
-fn work_goes_on(cluster: &mut Cluster) {
+/// Checks that new appends are committed.
+fn assert_commits_progress(cluster: &mut Cluster) {
     let before = cluster.checks.committed.len();
     cluster.run(500);
     assert!(
@@ -67,9 +74,9 @@
 fn bootstrap_elects_a_primary_with_all_members(#[case] size: usize, #[case] tolerance: usize) {
     let mut cluster = Cluster::new(size, tolerance, 1);
     cluster.start_all();
-    somebody_acts(&mut cluster, 500);
-    cluster.run_until_calm(1_500);
-    work_goes_on(&mut cluster);
+    wait_for_primary(&mut cluster, 500);
+    cluster.run_until_stable(1_500);
+    assert_commits_progress(&mut cluster);
 }
 
 #[test]
@@ -78,109 +85,115 @@
     for index in 1..5 {
         cluster.start(index);
     }
-    somebody_acts(&mut cluster, 1_000);
-    cluster.run_until_calm(2_000);
+    wait_for_primary(&mut cluster, 1_000);
+    cluster.run_until_stable(2_000);
 }
 
 #[rstest]
 fn killed_primary_is_succeeded(#[values(3, 5)] size: usize, #[values(1, 2, 3, 4)] seed: u64) {
-    let mut cluster = Cluster::calm(size, 1, seed);
-    let former = actor(&cluster);
+    let mut cluster = Cluster::stable(size, 1, seed);
+    let former = acting_machine(&cluster);
     cluster.crash(former);
-    let took = another_acts(&mut cluster, former, FAILOVER_MS);
-    assert!(took >= LEASE_MS / 2, "before the lease was over: {took}");
-    work_goes_on(&mut cluster);
+    let took = wait_for_successor(&mut cluster, former, FAILOVER_MS);
+    assert!(
+        took >= LEASE_MS / 2,
+        "a successor acted before the lease expired: {took}"
+    );
+    assert_commits_progress(&mut cluster);
     cluster.start(former);
-    cluster.run_until_calm(CATCH_UP_MS);
+    cluster.run_until_stable(CATCH_UP_MS);
 }
 
 #[test]
 fn restarted_primary_ends_its_lease_early() {
-    let mut cluster = Cluster::calm(5, 1, 1);
-    let former = actor(&cluster);
+    let mut cluster = Cluster::stable(5, 1, 1);
+    let former = acting_machine(&cluster);
     let epoch = cluster.record(former).map_or(0, |record| record.epoch);
     cluster.crash(former);
     cluster.start(former);
-    let took = somebody_acts(&mut cluster, 400);
-    assert!(took > 10, "it acted on its old record");
-    let now_acting = actor(&cluster);
+    let took = wait_for_primary(&mut cluster, 400);
+    assert!(
+        took > 10,
+        "the restarted primary acted by its former record"
+    );
+    let successor = acting_machine(&cluster);
     assert!(cluster
-        .record(now_acting)
+        .record(successor)
         .is_some_and(|record| record.epoch > epoch));
-    work_goes_on(&mut cluster);
+    assert_commits_progress(&mut cluster);
 }
 
 #[rstest]
 fn partitioned_primary_stops_before_its_successor_acts(#[values(1, 2, 3, 4, 5)] seed: u64) {
-    let mut cluster = Cluster::calm(5, 1, seed);
-    let former = actor(&cluster);
-    cluster.cut(&[former]);
-    another_acts(&mut cluster, former, FAILOVER_MS);
-    work_goes_on(&mut cluster);
+    let mut cluster = Cluster::stable(5, 1, seed);
+    let former = acting_machine(&cluster);
+    cluster.partition(&[former]);
+    wait_for_successor(&mut cluster, former, FAILOVER_MS);
+    assert_commits_progress(&mut cluster);
     cluster.run(5_000);
     assert!(!cluster.nodes[former]
         .process
         .as_ref()
         .is_some_and(|process| process.may_act(cluster.now)));
     cluster.restore_links();
-    cluster.run_until_calm(CATCH_UP_MS);
+    cluster.run_until_stable(CATCH_UP_MS);
 }
 
 #[rstest]
 fn only_the_larger_side_of_a_partition_acts(#[values(1, 2, 3, 4, 5, 6)] seed: u64) {
-    let mut cluster = Cluster::calm(5, 1, seed);
-    let former = actor(&cluster);
+    let mut cluster = Cluster::stable(5, 1, seed);
+    let former = acting_machine(&cluster);
     let choice = usize::try_from(seed).unwrap_or(0) % 4;
     let other = others(&cluster, former)[choice];
-    cluster.cut(&[former, other]);
-    another_acts(&mut cluster, former, 3_000);
-    work_goes_on(&mut cluster);
+    cluster.partition(&[former, other]);
+    wait_for_successor(&mut cluster, former, 3_000);
+    assert_commits_progress(&mut cluster);
     cluster.restore_links();
-    cluster.run_until_calm(CATCH_UP_MS);
+    cluster.run_until_stable(CATCH_UP_MS);
 }
 
 #[rstest]
-fn primary_cut_off_in_one_direction_is_succeeded(#[values(true, false)] is_deaf: bool) {
-    let mut cluster = Cluster::calm(5, 1, 3);
-    let former = actor(&cluster);
+fn primary_cut_off_in_one_direction_is_succeeded(#[values(true, false)] blocks_incoming: bool) {
+    let mut cluster = Cluster::stable(5, 1, 3);
+    let former = acting_machine(&cluster);
     for other in others(&cluster, former) {
-        cluster.cuts.insert(if is_deaf {
+        cluster.blocked_links.insert(if blocks_incoming {
             (other, former)
         } else {
             (former, other)
         });
     }
-    another_acts(&mut cluster, former, 2_500);
-    work_goes_on(&mut cluster);
+    wait_for_successor(&mut cluster, former, 2_500);
+    assert_commits_progress(&mut cluster);
     cluster.restore_links();
-    cluster.run_until_calm(CATCH_UP_MS);
+    cluster.run_until_stable(CATCH_UP_MS);
 }
 
 #[rstest]
 fn stalled_primary_does_not_act_after_its_lease(#[values(1, 2, 3)] seed: u64) {
-    let mut cluster = Cluster::calm(5, 1, seed);
-    let former = actor(&cluster);
+    let mut cluster = Cluster::stable(5, 1, seed);
+    let former = acting_machine(&cluster);
     cluster.freeze(former, 3_000);
-    another_acts(&mut cluster, former, FAILOVER_MS);
-    work_goes_on(&mut cluster);
+    wait_for_successor(&mut cluster, former, FAILOVER_MS);
+    assert_commits_progress(&mut cluster);
     cluster.run(4_000);
     let role = cluster.nodes[former]
         .process
         .as_ref()
         .map(|process| process.status(cluster.now).role);
     assert_ne!(role, Some(Role::Primary));
-    cluster.run_until_calm(CATCH_UP_MS);
+    cluster.run_until_stable(CATCH_UP_MS);
 }
 
 #[test]
 fn stalled_replica_does_not_depose_the_primary() {
-    let mut cluster = Cluster::calm(5, 1, 1);
-    let primary = actor(&cluster);
+    let mut cluster = Cluster::stable(5, 1, 1);
+    let primary = acting_machine(&cluster);
     let replica = cluster.replicas()[1];
     cluster.freeze(replica, 3_000);
     cluster.run(3_000 + CATCH_UP_MS);
-    assert_eq!(actor(&cluster), primary, "{}", cluster.describe());
-    assert!(cluster.is_calm(), "{}", cluster.describe());
+    assert_eq!(acting_machine(&cluster), primary, "{}", cluster.describe());
+    assert!(cluster.is_stable(), "{}", cluster.describe());
 }
 
 #[rstest]
@@ -194,9 +207,9 @@
     #[case] tolerance: usize,
     #[values(1, 2, 3, 4, 5, 6)] seed: u64,
 ) {
-    let mut cluster = Cluster::calm(size, tolerance, seed);
+    let mut cluster = Cluster::stable(size, tolerance, seed);
     cluster.run(seed * 17);
-    // The disks that are lost are those of replicas, the primary's first.
+    // The lost disks are those of replicas, the primary's first.
     let wiped: Vec<usize> = cluster.replicas().into_iter().take(tolerance).collect();
     for index in 0..size {
         if wiped.contains(&index) {
@@ -207,17 +220,18 @@
     }
     cluster.run(600);
     cluster.start_all();
-    // `Elected` checks the state against all that was committed.
-    somebody_acts(&mut cluster, 1_500);
-    work_goes_on(&mut cluster);
-    cluster.run_until_calm(CATCH_UP_MS);
+    // The handler of `Elected` checks the state against all committed keys.
+    wait_for_primary(&mut cluster, 1_500);
+    assert_commits_progress(&mut cluster);
+    cluster.run_until_stable(CATCH_UP_MS);
 }
 
 #[test]
 fn nobody_is_elected_without_committed_data() {
-    let mut cluster = Cluster::calm(5, 1, 1);
+    let mut cluster = Cluster::stable(5, 1, 1);
     let replicas = cluster.replicas();
-    // The seeds hold the state, so a machine that took its old name again would be believed.
+    // The seeds hold the state, so a machine that reused its former id after losing its disk would be
+    // elected.
     let wiped = replicas
         .iter()
         .copied()
@@ -240,100 +254,100 @@
     assert_eq!(
         elected,
         1,
-        "somebody was elected without the state: {}",
+        "a machine without the committed state was elected: {}",
         cluster.describe()
     );
     cluster.start_all();
-    somebody_acts(&mut cluster, 1_500);
-    cluster.run_until_calm(CATCH_UP_MS);
+    wait_for_primary(&mut cluster, 1_500);
+    cluster.run_until_stable(CATCH_UP_MS);
 }
 
 #[test]
 fn commit_is_on_more_disks_than_may_be_lost() {
-    let mut cluster = Cluster::calm(5, 2, 1);
+    let mut cluster = Cluster::stable(5, 2, 1);
     let slow: Vec<usize> = cluster.replicas().into_iter().skip(1).collect();
     for index in slow {
         cluster.nodes[index].sync_ms = 100;
     }
-    // `Committed` checks the disks.
+    // The handler of `Committed` checks the disks.
     cluster.run(2_000);
-    work_goes_on(&mut cluster);
+    assert_commits_progress(&mut cluster);
 }
 
 #[rstest]
 fn machine_with_a_lost_disk_rejoins_as_new_member(#[values(3, 5)] size: usize) {
-    let mut cluster = Cluster::calm(size, 1, 2);
+    let mut cluster = Cluster::stable(size, 1, 2);
     let wiped = cluster.replicas()[1];
     let old = cluster.id(wiped);
     cluster.wipe(wiped);
     cluster.run(300);
     cluster.start(wiped);
-    cluster.run_until_calm(CATCH_UP_MS);
-    let record = cluster.record(actor(&cluster));
+    cluster.run_until_stable(CATCH_UP_MS);
+    let record = cluster.record(acting_machine(&cluster));
     assert!(record.as_ref().is_some_and(|record| !record.is_member(old)));
     assert!(record.is_some_and(|record| record.members.len() == size));
 }
 
 #[test]
 fn joining_machine_replaces_an_absent_member() {
-    let mut cluster = Cluster::calm(5, 1, 2);
-    let gone = cluster.replicas()[1];
-    let old = cluster.id(gone);
-    cluster.crash(gone);
+    let mut cluster = Cluster::stable(5, 1, 2);
+    let failed = cluster.replicas()[1];
+    let old = cluster.id(failed);
+    cluster.crash(failed);
     cluster.run(6_000);
     let new = cluster.add_machine();
     cluster.start(new);
-    cluster.run_until_calm(CATCH_UP_MS);
-    let record = cluster.record(actor(&cluster));
+    cluster.run_until_stable(CATCH_UP_MS);
+    let record = cluster.record(acting_machine(&cluster));
     assert!(record
         .as_ref()
         .is_some_and(|record| !record.is_member(old) && record.members.len() == 5));
-    work_goes_on(&mut cluster);
+    assert_commits_progress(&mut cluster);
 }
 
 #[test]
 fn all_members_can_be_replaced_one_by_one() {
-    let mut cluster = Cluster::calm(5, 1, 2);
-    for gone in 0..5 {
-        cluster.crash(gone);
+    let mut cluster = Cluster::stable(5, 1, 2);
+    for failed in 0..5 {
+        cluster.crash(failed);
         cluster.run(1_000);
         let new = cluster.add_machine();
-        cluster.seeds = (gone + 1..gone + 4)
+        cluster.seeds = (failed + 1..failed + 4)
             .map(|seed| cluster.nodes[seed].address.clone())
             .collect();
         cluster.start(new);
         cluster.run(8_000);
-        let record = cluster.record(actor(&cluster));
+        let record = cluster.record(acting_machine(&cluster));
         assert!(
             record.is_some_and(|record| record.members.len() == 5),
             "{}",
             cluster.describe()
         );
     }
-    work_goes_on(&mut cluster);
-    // The seeds are gone: a member still finds the others.
+    assert_commits_progress(&mut cluster);
+    // The original seeds are gone: a member still finds the other members.
     cluster.seeds = (0..3)
         .map(|seed| cluster.nodes[seed].address.clone())
         .collect();
     cluster.crash(5);
     cluster.run(500);
     cluster.start(5);
-    cluster.run_until_calm(CATCH_UP_MS);
+    cluster.run_until_stable(CATCH_UP_MS);
 }
 
 #[test]
 fn replica_with_a_slow_disk_is_dropped_and_comes_back() {
-    let mut cluster = Cluster::calm(5, 1, 1);
+    let mut cluster = Cluster::stable(5, 1, 1);
     let replica = cluster.replicas()[1];
     cluster.nodes[replica].sync_ms = 3_000;
     cluster.run(1_000);
-    work_goes_on(&mut cluster);
+    assert_commits_progress(&mut cluster);
     let slow = cluster.id(replica);
-    let record = cluster.record(actor(&cluster));
+    let record = cluster.record(acting_machine(&cluster));
     assert!(record.is_some_and(|record| !record.is_replica(slow)));
     cluster.restore_links();
     cluster.run(CATCH_UP_MS);
-    cluster.run_until_calm(CATCH_UP_MS);
+    cluster.run_until_stable(CATCH_UP_MS);
 }
 
 #[rstest]
@@ -341,18 +355,18 @@
 #[case::slow(270, false)]
 #[case::full(9, true)]
 fn primary_with_an_unfit_disk_transfers_leadership(#[case] sync_ms: Millis, #[case] is_full: bool) {
-    let mut cluster = Cluster::calm(5, 1, 1);
-    let former = actor(&cluster);
+    let mut cluster = Cluster::stable(5, 1, 1);
+    let former = acting_machine(&cluster);
     cluster.nodes[former].sync_ms = sync_ms;
     cluster.nodes[former].disk_fails = is_full;
-    let took = another_acts(&mut cluster, former, 1_500);
-    work_goes_on(&mut cluster);
+    let took = wait_for_successor(&mut cluster, former, 1_500);
+    assert_commits_progress(&mut cluster);
     assert!(took < 1_500);
 }
 
 #[test]
 fn appends_commit_with_all_disks_slow() {
-    let mut cluster = Cluster::calm(5, 1, 1);
+    let mut cluster = Cluster::stable(5, 1, 1);
     for node in &mut cluster.nodes {
         node.sync_ms = 270;
     }
@@ -370,10 +384,10 @@
     #[values(3, 5)] size: usize,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    let mut cluster = Cluster::calm(size, 1, seed);
-    let former = actor(&cluster);
+    let mut cluster = Cluster::stable(size, 1, seed);
+    let former = acting_machine(&cluster);
     cluster.leave(former);
-    let took = another_acts(&mut cluster, former, 400);
+    let took = wait_for_successor(&mut cluster, former, 400);
     assert!(took < 400);
     let may_leave = |cluster: &Cluster| {
         cluster.nodes[former]
@@ -386,12 +400,12 @@
         "{}",
         cluster.describe()
     );
-    work_goes_on(&mut cluster);
+    assert_commits_progress(&mut cluster);
 }
 
 #[test]
 fn leaving_replica_is_replaced_at_once() {
-    let mut cluster = Cluster::calm(5, 1, 1);
+    let mut cluster = Cluster::stable(5, 1, 1);
     let replica = cluster.replicas()[1];
     cluster.leave(replica);
     let may_leave = |cluster: &Cluster| {
@@ -406,13 +420,13 @@
         cluster.describe()
     );
     cluster.crash(replica);
-    work_goes_on(&mut cluster);
+    assert_commits_progress(&mut cluster);
     assert!(cluster.replicas().len() >= 3, "{}", cluster.describe());
 }
 
 #[rstest]
-fn rolling_restart_waits_for_no_lease(#[values(3, 5, 9)] size: usize) {
-    let mut cluster = Cluster::calm(size, 1, 1);
+fn rolling_restart_does_not_wait_for_leases(#[values(3, 5, 9)] size: usize) {
+    let mut cluster = Cluster::stable(size, 1, 1);
     for index in 0..size {
         cluster.leave(index);
         let may_leave = |cluster: &Cluster| {
@@ -423,35 +437,35 @@
         };
         cluster.run_until(3_000, may_leave);
         cluster.crash(index);
-        somebody_acts(&mut cluster, 200);
+        wait_for_primary(&mut cluster, 200);
         cluster.run(300);
         cluster.start(index);
-        somebody_acts(&mut cluster, 200);
-        cluster.run_until_calm(CATCH_UP_MS);
+        wait_for_primary(&mut cluster, 200);
+        cluster.run_until_stable(CATCH_UP_MS);
     }
 }
 
 #[test]
 fn replica_catches_up_with_a_large_state_under_load() {
-    let mut cluster = Cluster::calm(3, 1, 1);
+    let mut cluster = Cluster::stable(3, 1, 1);
     cluster.value_bytes = 20_000;
-    cluster.append_every_ms = 10;
+    cluster.append_interval_ms = 10;
     cluster.run(8_000);
     let replica = cluster.replicas()[1];
     cluster.wipe(replica);
     cluster.run(500);
     cluster.start(replica);
-    cluster.run_until_calm(CATCH_UP_MS);
-    cluster.append_every_ms = 1_000_000;
+    cluster.run_until_stable(CATCH_UP_MS);
+    cluster.append_interval_ms = 1_000_000;
     cluster.run(1_000);
     cluster.check_replicas_agree();
 }
 
 #[test]
 fn appends_commit_over_lossy_links() {
-    let mut cluster = Cluster::calm(5, 1, 1);
-    cluster.loss = 0.1;
-    cluster.doubled = 0.2;
+    let mut cluster = Cluster::stable(5, 1, 1);
+    cluster.loss_rate = 0.1;
+    cluster.duplication_rate = 0.2;
     cluster.delay_ms = 40;
     let before = cluster.checks.committed.len();
     cluster.run(10_000);
@@ -461,19 +475,19 @@
         cluster.describe()
     );
     cluster.restore_links();
-    cluster.run_until_calm(CATCH_UP_MS);
+    cluster.run_until_stable(CATCH_UP_MS);
 }
 
 #[test]
 fn bootstrap_is_ignored_on_a_used_disk() {
-    let mut cluster = Cluster::calm(3, 1, 1);
+    let mut cluster = Cluster::stable(3, 1, 1);
     let ids: Vec<_> = (0..3).map(|index| cluster.id(index)).collect();
     cluster.bootstrap = true;
     for index in 0..3 {
         cluster.crash(index);
         cluster.start(index);
     }
-    somebody_acts(&mut cluster, 1_500);
+    wait_for_primary(&mut cluster, 1_500);
     assert_eq!(
         ids,
         (0..3).map(|index| cluster.id(index)).collect::<Vec<_>>()
@@ -482,8 +496,8 @@
 
 #[test]
 fn view_names_no_lost_primary() {
-    let mut cluster = Cluster::calm(5, 1, 1);
-    let former = actor(&cluster);
+    let mut cluster = Cluster::stable(5, 1, 1);
+    let former = acting_machine(&cluster);
     let witness = others(&cluster, former)[3];
     let view = |cluster: &Cluster| {
         cluster.nodes[witness]
@@ -496,27 +510,27 @@
     assert_eq!(view(&cluster).primary, address(&cluster, former));
     assert_eq!(view(&cluster).members.len(), 5);
     cluster.crash(former);
-    another_acts(&mut cluster, former, FAILOVER_MS);
+    wait_for_successor(&mut cluster, former, FAILOVER_MS);
     cluster.run(300);
-    let successor = actor(&cluster);
+    let successor = acting_machine(&cluster);
     assert_eq!(view(&cluster).primary, address(&cluster, successor));
-    cluster.cut(&[witness]);
+    cluster.partition(&[witness]);
     cluster.run(2_000);
     assert_eq!(view(&cluster).primary, None);
 }
 
 #[test]
 fn appends_of_a_deposed_primary_are_not_committed() {
-    let mut cluster = Cluster::calm(5, 1, 1);
-    let former = actor(&cluster);
-    cluster.cut(&[former]);
+    let mut cluster = Cluster::stable(5, 1, 1);
+    let former = acting_machine(&cluster);
+    cluster.partition(&[former]);
     cluster.run(100);
     let Some(process) = cluster.nodes[former].process.as_ref() else {
         return;
     };
     let committed = process.committed();
     assert!(process.appended() > committed);
-    another_acts(&mut cluster, former, FAILOVER_MS);
+    wait_for_successor(&mut cluster, former, FAILOVER_MS);
     cluster.restore_links();
     cluster.run(2_000);
     let Some(process) = cluster.nodes[former].process.as_ref() else {
@@ -530,11 +544,11 @@
 fn single_member_acts() {
     let mut cluster = Cluster::new(1, 0, 1);
     cluster.start_all();
-    somebody_acts(&mut cluster, 500);
-    work_goes_on(&mut cluster);
+    wait_for_primary(&mut cluster, 500);
+    assert_commits_progress(&mut cluster);
     cluster.crash(0);
     cluster.start(0);
-    somebody_acts(&mut cluster, 500);
+    wait_for_primary(&mut cluster, 500);
 }
 
 #[test]
@@ -564,9 +578,9 @@
         let mut cluster = Cluster::new(5, 1, seed);
         cluster.start_all();
         cluster.run(1_000);
-        let cut_off = cluster.actor().unwrap_or(0);
-        // Every step checks that one at most may act.
-        cluster.cut(&[cut_off]);
+        let cut_off = cluster.acting_primary().unwrap_or(0);
+        // Every step checks that at most one machine may act.
+        cluster.partition(&[cut_off]);
         cluster.run(3_000);
         cluster.restore_links();
         cluster.run(1_000);
@@ -574,8 +588,8 @@
 }
 
 #[test]
-fn former_replicas_count_until_the_elected_one_acts() {
-    let mut cluster = Cluster::calm(5, 1, 1);
+fn former_replicas_are_kept_until_the_new_primary_acts() {
+    let mut cluster = Cluster::stable(5, 1, 1);
     let replicas = cluster.replicas();
     let first = replicas[1];
     (0..5).for_each(|index| cluster.crash(index));
@@ -590,7 +604,7 @@
     );
     cluster.wipe(first);
     cluster.start_all();
-    // `Elected` checks the state against all that was committed.
-    somebody_acts(&mut cluster, 2_500);
-    work_goes_on(&mut cluster);
+    // The handler of `Elected` checks the state against all committed keys.
+    wait_for_primary(&mut cluster, 2_500);
+    assert_commits_progress(&mut cluster);
 }
--- a/crates/coordination/tests/search.rs
+++ b/crates/coordination/tests/search.rs
@@ -1,11 +1,11 @@
-//! A search over seeds: faults at random, checks after every step, progress after calm.
+//! Search over seeds: random faults, checks after every step, and progress after the repair.
 
 mod cluster;
 
 use cluster::Cluster;
 use rstest::rstest;
 
-/// Each size and tolerance is searched with so many seeds; `COORDINATION_SEEDS` names another number.
+/// Number of seeds for each size and tolerance; `COORDINATION_SEEDS` overrides it.
 fn seeds() -> u64 {
     const SEEDS: u64 = 25;
     std::env::var("COORDINATION_SEEDS")
@@ -33,20 +33,20 @@
 #[case::five_machines_two_disks(5, 2)]
 fn nothing_is_lost_under_overlapping_faults(#[case] size: usize, #[case] tolerance: usize) {
     for seed in 0..seeds() {
-        let mut cluster = Cluster::calm(size, tolerance, seed);
+        let mut cluster = Cluster::stable(size, tolerance, seed);
         cluster.record_event(format!(
-            "storm: size {size} tolerance {tolerance} seed {seed}"
+            "overlapping faults: size {size} tolerance {tolerance} seed {seed}"
         ));
         cluster.run_overlapping_faults(10_000);
-        cluster.settle();
+        cluster.recover_and_check();
     }
 }
 
 fn search(size: usize, tolerance: usize, seed: u64) {
-    let mut cluster = Cluster::calm(size, tolerance, seed);
+    let mut cluster = Cluster::stable(size, tolerance, seed);
     cluster.record_event(format!("size {size} tolerance {tolerance} seed {seed}"));
-    // Every other time a snapshot takes many parts.
+    // With every second seed, values are large, so that a snapshot takes many parts.
     cluster.value_bytes = if seed.is_multiple_of(2) { 10 } else { 2_000 };
     cluster.run_faults(12);
-    cluster.settle();
+    cluster.recover_and_check();
 }
--- a/crates/coordination/tests/seeds.rs
+++ b/crates/coordination/tests/seeds.rs
@@ -1,4 +1,4 @@
-//! New seeds while the process runs, as after a change of the settings file.
+//! Changes of the seeds while the process runs, for example after a change of the settings file.
 
 use std::sync::Arc;
 use streamusher_coordination::{
@@ -7,17 +7,17 @@
 use streamusher_protocol::internal::CoreAddress;
 use streamusher_protocol::Millis;
 
-fn core(number: u8) -> CoreAddress {
+fn core_address(number: u8) -> CoreAddress {
     CoreAddress {
         internal: format!("10.0.0.{number}:1").into(),
         control: format!("10.0.0.{number}:2").into(),
     }
 }
 
-/// A machine with an empty disk that is no member yet.
+/// A machine with an empty disk that is not a member yet.
 fn joining_machine(seeds: Vec<CoreAddress>) -> Coordinator {
     let settings = CoordinatorSettings {
-        address: core(9),
+        address: core_address(9),
         bootstrap: false,
         seeds,
         tolerance: 1,
@@ -33,7 +33,7 @@
     machine
 }
 
-/// The addresses that the machine sends hellos to between two times.
+/// The addresses to which the machine sends `Hello` messages between two times.
 fn hello_receivers(machine: &mut Coordinator, from: Millis, to: Millis) -> Vec<Arc<str>> {
     let outputs = (from..to)
         .step_by(20)
@@ -54,17 +54,17 @@
 
 #[test]
 fn joining_machine_asks_changed_seeds() {
-    let mut machine = joining_machine(vec![core(1)]);
+    let mut machine = joining_machine(vec![core_address(1)]);
     let before = hello_receivers(&mut machine, 20, 5_000);
 
-    machine.set_seeds(vec![core(2), core(3), core(9)]);
+    machine.set_seeds(vec![core_address(2), core_address(3), core_address(9)]);
     let after = hello_receivers(&mut machine, 5_000, 10_000);
 
-    assert_eq!(before, [core(1).internal]);
+    assert_eq!(before, [core_address(1).internal]);
     assert_eq!(
         after,
-        [core(2).internal, core(3).internal],
-        "itself is never asked"
+        [core_address(2).internal, core_address(3).internal],
+        "the machine sends no `Hello` to itself"
     );
     assert_eq!(machine.seeds().len(), 3);
 }
