--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -140,7 +140,7 @@
 
     /// After [`Input::Leave`]: whether the process may exit. It may exit when it is neither primary nor
     /// replica and is not a member that should be removed because the number of members is even, or when
-    /// [`LEAVE_TIMEOUT_MS`] is over.
+    /// the time limit for leaving is over.
     pub fn may_leave(&self) -> bool {
         let Some(since_ms) = self.core.leaving_since_ms else {
             return false;
@@ -670,7 +670,7 @@
         reconfiguration.desired_record()
     }
 
-    /// Chooses the learners, and proposes a new record if one is wanted.
+    /// Chooses the learners, and proposes a new record if the configuration should change.
     fn reconfigure(&mut self) {
         let now_ms = self.core.now_ms;
         self.join_requests.expire(now_ms);
--- a/crates/coordination/src/election.rs
+++ b/crates/coordination/src/election.rs
@@ -16,7 +16,8 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Election {
     /// Start of the lease that this member has granted to the primary: the time of its last acknowledgement
-    /// of a keepalive, or of its own start, as it may have forgotten an acknowledgement.
+    /// of a keepalive, of its last adoption of a record, or of its own start, as it may have forgotten an
+    /// acknowledgement.
     lease_granted_ms: Millis,
     /// When this member last acknowledged a keepalive, or adopted a record that does not continue a term of
     /// its own.
@@ -43,7 +44,7 @@
         self.last_primary_contact_ms
     }
 
-    /// Handles a newer record: cancels the scheduled election, and counts the lease from now.
+    /// Handles a newer record: cancels the scheduled election, and restarts the lease.
     pub(crate) fn on_record_adopted(&mut self, now_ms: Millis) {
         self.candidacy_at_ms = None;
         self.lease_granted_ms = now_ms;
@@ -77,8 +78,8 @@
     }
 
     /// Whether no primary acts by the newest record any more, as far as this replica can know. `is_elected`
-    /// says that the record elected this member, whose term has not begun yet.
-    fn is_lease_over(&self, core: &CoordinatorCore, is_elected: bool) -> bool {
+    /// tells whether the record elected this member and its term has not begun yet.
+    fn is_lease_expired(&self, core: &CoordinatorCore, is_elected: bool) -> bool {
         let record = core.record();
         if record.epoch == 0 || core.witness.candidate || self.is_term_ended(record.term) {
             return true;
@@ -106,7 +107,7 @@
     /// election now.
     pub(crate) fn tick(&mut self, core: &mut CoordinatorCore, is_elected: bool) -> bool {
         let is_replica = core.record().is_replica(core.id());
-        if !is_replica || core.is_leaving() || !self.is_lease_over(core, is_elected) {
+        if !is_replica || core.is_leaving() || !self.is_lease_expired(core, is_elected) {
             self.candidacy_at_ms = None;
             return false;
         }
--- a/crates/coordination/src/proposer.rs
+++ b/crates/coordination/src/proposer.rs
@@ -16,7 +16,7 @@
 pub(crate) enum ValueChoice {
     /// The value is this record: one that an acceptor has accepted before, or the election of a primary.
     Record(Arc<EpochRecord>),
-    /// The value is the record that the primary currently wants.
+    /// The value is the record that the primary derives from its current state.
     Reconfiguration,
 }
 
--- a/crates/coordination/src/reconfiguration.rs
+++ b/crates/coordination/src/reconfiguration.rs
@@ -41,7 +41,7 @@
 }
 
 impl Reconfiguration<'_> {
-    /// The record that this primary wants next; `None` if the current record needs no change.
+    /// The record that this primary proposes next; `None` if the current record needs no change.
     pub(crate) fn desired_record(&self) -> Option<EpochRecord> {
         let base = self.core.record();
         let replicas = self.desired_replicas(true);
@@ -59,7 +59,7 @@
             record.replicas = succession.replicas;
             return Some(record);
         }
-        // A proposal that may still be decided is completed even if no other change is wanted.
+        // A proposal that may still be decided is completed even if no other change is desired.
         let is_undecided = !self.term.proposed_replicas.is_empty();
         let differs = record.replicas != base.replicas || record.members != base.members;
         (differs || is_undecided).then_some(record)
@@ -93,16 +93,16 @@
         chosen.map(|candidate| candidate.id).collect()
     }
 
-    /// The wanted replicas: those of the current record that keep up or are catching up, and learners that
+    /// The desired replicas: those of the current record that keep up or are catching up, and learners that
     /// are up to date. Returns the replicas of the current record while fewer than the minimum keep up.
     fn desired_replicas(&self, with_self: bool) -> Vec<DiskId> {
         let base = self.core.record();
-        let mut wanted = Vec::new();
+        let mut desired = Vec::new();
         let mut healthy_count = 0;
         for id in &base.replicas {
             if *id == self.core.id() {
                 if with_self {
-                    wanted.push(*id);
+                    desired.push(*id);
                     healthy_count += 1;
                 }
                 continue;
@@ -111,22 +111,22 @@
                 continue;
             };
             if self.keeps_up(peer) {
-                wanted.push(*id);
+                desired.push(*id);
                 healthy_count += 1;
             } else if self.is_catching_up(peer) {
-                wanted.push(*id);
+                desired.push(*id);
             }
         }
         for (id, peer) in &self.term.peers {
-            let is_new = peer.is_learner() && !wanted.contains(id);
-            let has_capacity = wanted.len() < self.core.target_replica_count();
+            let is_new = peer.is_learner() && !desired.contains(id);
+            let has_capacity = desired.len() < self.core.target_replica_count();
             if is_new && has_capacity && self.is_up_to_date(peer) {
-                wanted.push(*id);
+                desired.push(*id);
                 healthy_count += 1;
             }
         }
         if healthy_count >= self.core.min_replica_count(base) {
-            wanted
+            desired
         } else {
             base.replicas.clone()
         }
@@ -203,7 +203,7 @@
         Some(Succession { primary, replicas })
     }
 
-    /// The wanted members: a machine that lost its disk appears under its new id, and joining machines
+    /// The desired members: a machine that lost its disk appears under its new id, and joining machines
     /// replace absent members. A machine is not added while a member may have failed: with a failed member
     /// among an even number of members, the next failure could remove the majority, and lost disks never vote
     /// again.
--- a/crates/coordination/src/replica.rs
+++ b/crates/coordination/src/replica.rs
@@ -92,7 +92,7 @@
         if is_up_to_date && !is_known {
             return send_synced(core);
         }
-        let Some(snapshot) = self.receiver_of(&part) else {
+        let Some(snapshot) = self.receiver_for(&part) else {
             return;
         };
         let content = PartContent {
@@ -120,7 +120,7 @@
     }
 
     /// The snapshot that a part belongs to; `None` if a newer snapshot of the same term is known.
-    fn receiver_of(&mut self, part: &SnapshotPart) -> Option<&mut SnapshotReceiver> {
+    fn receiver_for(&mut self, part: &SnapshotPart) -> Option<&mut SnapshotReceiver> {
         let known = self.snapshot.as_ref();
         let known_id = known.filter(|known| known.term == part.term);
         let known_id = known_id.map(|known| known.id);
--- a/crates/coordination/src/replication.rs
+++ b/crates/coordination/src/replication.rs
@@ -99,7 +99,7 @@
         }
         if let Some(peer) = self.peers.get_mut(&ack.from) {
             peer.on_keepalive_acknowledged(ack.sent_ms, core.now_ms);
-            self.on_position(core, ack.from, ack.position);
+            self.on_position_reported(core, ack.from, ack.position);
         }
     }
 
@@ -112,11 +112,16 @@
         position: LogPosition,
     ) {
         if term == self.number {
-            self.on_position(core, from, position);
+            self.on_position_reported(core, from, position);
         }
     }
 
-    fn on_position(&mut self, core: &mut CoordinatorCore, from: DiskId, position: LogPosition) {
+    fn on_position_reported(
+        &mut self,
+        core: &mut CoordinatorCore,
+        from: DiskId,
+        position: LogPosition,
+    ) {
         let Some(peer) = self.peers.get_mut(&from) else {
             return;
         };
--- a/crates/coordination/src/snapshot.rs
+++ b/crates/coordination/src/snapshot.rs
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Removes and returns the parts that are due for sending.
+    /// Returns the parts that are due for sending, and records them as sent.
     pub(crate) fn next_due_parts(&mut self, now_ms: Millis) -> Vec<PartContent> {
         if now_ms >= self.resend_at_ms {
             self.sent = self.acknowledged;
@@ -96,7 +96,7 @@
         }
         let mut parts = Vec::new();
         while self.sent < self.acknowledged + MAX_UNACKNOWLEDGED_PARTS {
-            let Some(part) = self.part(self.sent) else {
+            let Some(part) = self.build_part(self.sent) else {
                 break;
             };
             self.sent += 1;
@@ -106,7 +106,7 @@
     }
 
     /// Returns the part with this number, if it exists, and records the first key of the next part.
-    fn part(&mut self, index: u64) -> Option<PartContent> {
+    fn build_part(&mut self, index: u64) -> Option<PartContent> {
         let first_key = self.first_keys.get(usize::try_from(index).ok()?)?.clone();
         let start = first_key.map_or(Bound::Unbounded, Bound::Included);
         let mut writes = Vec::new();
@@ -179,8 +179,8 @@
     /// Adds a part; parts may arrive in any order. Returns the writes of the whole snapshot when this part
     /// completes it.
     pub(crate) fn on_part(&mut self, part: PartContent) -> Option<Vec<Write>> {
-        let wanted = self.next..self.next + MAX_UNACKNOWLEDGED_PARTS;
-        if !wanted.contains(&part.index) || self.is_complete {
+        let desired = self.next..self.next + MAX_UNACKNOWLEDGED_PARTS;
+        if !desired.contains(&part.index) || self.is_complete {
             return None;
         }
         self.out_of_order_parts.insert(part.index, part);
--- a/crates/coordination/tests/membership.rs
+++ b/crates/coordination/tests/membership.rs
@@ -49,7 +49,11 @@
         let acts = self
             .cluster
             .run_until(3_000, |cluster| cluster.acting_primary().is_some());
-        assert!(acts.is_some(), "nobody acts: {}", self.cluster.describe());
+        assert!(
+            acts.is_some(),
+            "no primary acts: {}",
+            self.cluster.describe()
+        );
         let acting_primary = self.cluster.acting_primary().unwrap_or(0);
         self.cluster.check_state(acting_primary);
     }
@@ -137,5 +141,5 @@
         cluster.start(index);
     }
     let acts = cluster.run_until(CATCH_UP_MS, |cluster| cluster.acting_primary().is_some());
-    assert!(acts.is_some(), "nobody acts: {}", cluster.describe());
+    assert!(acts.is_some(), "no primary acts: {}", cluster.describe());
 }
