--- a/crates/coordination/src/pipeline.rs
+++ b/crates/coordination/src/pipeline.rs
@@ -77,9 +77,9 @@
         self.pending.push(PendingAppend { sequence, writes });
     }
 
-    /// Removes and returns the content of the next batch: pending appends of about [`TARGET_BATCH_BYTES`], at least
-    /// one. Returns `None` if there is none, if the batches up to `newest_sequence` leave no capacity for
-    /// another uncommitted one, or if the first batch of the term is not committed.
+    /// Removes and returns the content of the next batch: pending appends of about [`TARGET_BATCH_BYTES`], at
+    /// least one. Returns `None` if no append is pending, if the batches up to `newest_sequence` leave no
+    /// capacity for another uncommitted one, or if the first batch of the term is not committed.
     pub(crate) fn take_next_batch(&mut self, newest_sequence: u64) -> Option<BatchContent> {
         let in_flight = newest_sequence.saturating_sub(self.committed);
         if self.pending.is_empty()
--- a/crates/coordination/src/proposal.rs
+++ b/crates/coordination/src/proposal.rs
@@ -154,8 +154,8 @@
     }
 
     /// The promises, once the value may be chosen: a majority has promised, and in an election all replicas
-    /// have reported their positions or the time for reports is over. The former primary's report is not
-    /// awaited.
+    /// have reported their positions or [`REPORT_TIMEOUT_MS`] is over. The report of the former primary is not
+    /// required.
     pub(crate) fn sufficient_promises(
         &self,
         own_id: DiskId,
--- a/crates/coordination/tests/records_model.rs
+++ b/crates/coordination/tests/records_model.rs
@@ -1,6 +1,6 @@
 //! Model check of the decision on the next record: the real coordinators of three members, two of which start
-//! elections at the same time, under every order of deliveries, losses, syncs, crashes of one member and clock steps
-//! within the bounds below.
+//! elections at the same time, under every order of deliveries, losses, syncs, crashes of one member and
+//! clock steps within the bounds below.
 //!
 //! The model excludes leases (no primary acts under the preceding record, epoch 0), messages other than those
 //! that decide a record, duplicated messages, changes of members, and effects of the candidates' random
