--- a/crates/coordination/src/reconfiguration.rs
+++ b/crates/coordination/src/reconfiguration.rs
@@ -1,7 +1,8 @@
-//! Which record a primary wants next: how it chooses replicas, learners, members and, when it has to step down, a successor.
+//! Choice of the primary's next record: replicas, learners, members and, when the primary has to step down, a
+//! successor.
 //!
-//! Invariant: a new replica is named only when it has synced all that is committed (`docs/design/control-state.md`,
-//! point 3).
+//! Invariant: a new replica is named only when it has synced all committed data
+//! (`docs/design/control-state.md`, point 3).
 
 use crate::coordinator_core::CoordinatorCore;
 use crate::join::JoinRequests;
@@ -16,14 +17,14 @@
 use std::collections::BTreeSet;
 use streamusher_protocol::Millis;
 
-/// A primary that follows the present one, and its replicas.
+/// A successor of the current primary, and its replicas.
 struct Succession {
     primary: DiskId,
     replicas: Vec<DiskId>,
 }
 
-/// A member that could be brought up to date. The order is that in which they are taken: learners first, then members
-/// whose state is reached by batches without a snapshot.
+/// A member that could be brought up to date. The field order is the order of preference: current learners
+/// first, then members that can catch up from cached batches without a snapshot.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct LearnerCandidate {
     is_new: bool,
@@ -31,7 +32,7 @@
     id: DiskId,
 }
 
-/// The primary's choice of the next record.
+/// Inputs for the primary's choice of the next record.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Reconfiguration<'a> {
     pub(crate) core: &'a CoordinatorCore,
@@ -40,7 +41,7 @@
 }
 
 impl Reconfiguration<'_> {
-    /// The record that this primary wants next; none while the present one is right.
+    /// The record that this primary proposes next; `None` if the current record needs no change.
     pub(crate) fn desired_record(&self) -> Option<EpochRecord> {
         let base = self.core.record();
         let replicas = self.desired_replicas(true);
@@ -58,21 +59,21 @@
             record.replicas = succession.replicas;
             return Some(record);
         }
-        // A proposal that may yet be decided is completed even if nothing else is wanted.
+        // A proposal that may still be decided is completed even if no other change is desired.
         let is_undecided = !self.term.proposed_replicas.is_empty();
         let differs = record.replicas != base.replicas || record.members != base.members;
         (differs || is_undecided).then_some(record)
     }
 
-    /// The members to be brought up to date where replicas are missing.
+    /// The members to bring up to date when there are fewer healthy replicas than the target.
     pub(crate) fn desired_learners(&self) -> BTreeSet<DiskId> {
         let now_ms = self.core.now_ms;
-        let sound_replicas =
+        let healthy_replicas =
             self.term.peers.values().filter(|peer| {
                 peer.is_replica() && (self.keeps_up(peer) || self.is_catching_up(peer))
             });
-        let present = sound_replicas.count() + 1;
-        let missing = self.core.target_replicas().saturating_sub(present);
+        let present = healthy_replicas.count() + 1;
+        let missing = self.core.target_replica_count().saturating_sub(present);
         let mut candidates: Vec<LearnerCandidate> = self
             .term
             .peers
@@ -83,7 +84,7 @@
             .filter(|(_, peer)| !peer.is_excluded(now_ms) && !peer.has_stuck_snapshot(now_ms))
             .map(|(id, peer)| LearnerCandidate {
                 is_new: !peer.is_learner(),
-                needs_snapshot: !self.is_reached_by_batches(peer),
+                needs_snapshot: !self.can_catch_up_from_cache(peer),
                 id: *id,
             })
             .collect();
@@ -92,17 +93,17 @@
         chosen.map(|candidate| candidate.id).collect()
     }
 
-    /// The replicas wanted: those of the record that keep up, and learners that are up to date. The record's own while too
-    /// few are.
+    /// The desired replicas: those of the current record that keep up or are catching up, and learners that
+    /// are up to date. Returns the replicas of the current record while fewer than the minimum keep up.
     fn desired_replicas(&self, with_self: bool) -> Vec<DiskId> {
         let base = self.core.record();
-        let mut wanted = Vec::new();
-        let mut sound = 0;
+        let mut desired = Vec::new();
+        let mut healthy_count = 0;
         for id in &base.replicas {
             if *id == self.core.id() {
                 if with_self {
-                    wanted.push(*id);
-                    sound += 1;
+                    desired.push(*id);
+                    healthy_count += 1;
                 }
                 continue;
             }
@@ -110,33 +111,34 @@
                 continue;
             };
             if self.keeps_up(peer) {
-                wanted.push(*id);
-                sound += 1;
+                desired.push(*id);
+                healthy_count += 1;
             } else if self.is_catching_up(peer) {
-                wanted.push(*id);
+                desired.push(*id);
             }
         }
         for (id, peer) in &self.term.peers {
-            let is_new = peer.is_learner() && !wanted.contains(id);
-            let has_place = wanted.len() < self.core.target_replicas();
-            if is_new && has_place && self.is_up_to_date(peer) {
-                wanted.push(*id);
-                sound += 1;
+            let is_new = peer.is_learner() && !desired.contains(id);
+            let has_capacity = desired.len() < self.core.target_replica_count();
+            if is_new && has_capacity && self.is_up_to_date(peer) {
+                desired.push(*id);
+                healthy_count += 1;
             }
         }
-        if sound >= self.core.min_replicas(base) {
-            wanted
+        if healthy_count >= self.core.min_replica_count(base) {
+            desired
         } else {
             base.replicas.clone()
         }
     }
 
-    /// Whether a member has all that is committed and acknowledges in time.
+    /// Whether a member has all committed batches and acknowledges in time.
     fn keeps_up(&self, peer: &Peer) -> bool {
         let now_ms = self.core.now_ms;
-        let is_sound = peer.is_responsive(now_ms) && !peer.is_leaving && !peer.is_excluded(now_ms);
+        let is_healthy =
+            peer.is_responsive(now_ms) && !peer.is_leaving && !peer.is_excluded(now_ms);
         let is_in_time = |lag_ms: Millis| lag_ms < REPLICA_TIMEOUT_MS;
-        is_sound && self.lag_ms(peer).is_some_and(is_in_time)
+        is_healthy && self.lag_ms(peer).is_some_and(is_in_time)
     }
 
     /// Whether a learner may be named as a replica.
@@ -145,7 +147,7 @@
         self.keeps_up(peer) && self.lag_ms(peer).is_some_and(is_close)
     }
 
-    /// Age of the oldest batch that a member lacks; none while it lacks a committed one.
+    /// Age of the oldest batch that a member lacks; `None` while it lacks a committed batch.
     fn lag_ms(&self, peer: &Peer) -> Option<Millis> {
         let pipeline = &self.term.pipeline;
         let acknowledged = peer.acknowledged(self.term.number)?;
@@ -156,7 +158,8 @@
         Some(pipeline.batch_age_ms(oldest_missing, peer.stalled_until_ms, self.core.now_ms))
     }
 
-    /// Whether a replica of a new term answers and is still being brought to the primary's state.
+    /// Whether a replica is responsive and is still being brought to the primary's state at the start of a
+    /// term.
     fn is_catching_up(&self, peer: &Peer) -> bool {
         let now_ms = self.core.now_ms;
         let is_new_term = now_ms < self.term.started_ms + CATCH_UP_TIMEOUT_MS;
@@ -164,16 +167,16 @@
         is_new_term && is_behind && peer.is_responsive(now_ms) && !peer.is_leaving
     }
 
-    /// Whether the batches that are kept bring the member up to date, so that it needs no snapshot.
-    fn is_reached_by_batches(&self, peer: &Peer) -> bool {
+    /// Whether the cached batches can bring the member up to date, so that it needs no snapshot.
+    fn can_catch_up_from_cache(&self, peer: &Peer) -> bool {
         peer.position
-            .is_some_and(|position| self.core.state.recent().reaches_from(position))
+            .is_some_and(|position| self.core.state.log_cache().can_replay_from(position))
     }
 
-    /// Who follows this primary when it leaves or its disk is too slow.
+    /// The successor of this primary, if it leaves or its disk is unfit for a primary.
     fn succession(&self) -> Option<Succession> {
         let now_ms = self.core.now_ms;
-        if !self.term.is_open() {
+        if !self.term.is_first_batch_committed() {
             return None;
         }
         let leaving_since_ms = self.core.leaving_since_ms;
@@ -184,10 +187,10 @@
             return None;
         }
         let others = self.desired_replicas(false);
-        let is_enough = !others.contains(&self.core.id());
+        let has_enough_replicas = !others.contains(&self.core.id());
         let may_remain_replica =
             leaving_since_ms.is_none_or(|since_ms| now_ms >= since_ms + LEAVE_REPLICAS_TIMEOUT_MS);
-        if !is_enough && !may_remain_replica {
+        if !has_enough_replicas && !may_remain_replica {
             return None;
         }
         let is_fit = |id: &DiskId| {
@@ -200,22 +203,23 @@
         Some(Succession { primary, replicas })
     }
 
-    /// The members wanted: machines that lost their disk under their new id, others in the place of absent ones. A machine
-    /// is not added beside a member that may be lost: with a dead member among an even number, the next loss could take the
-    /// majority, and lost disks never vote again.
+    /// The desired members: a machine that lost its disk appears under its new id, and joining machines
+    /// replace absent members. A machine is not added while a member may have failed: with a failed member
+    /// among an even number of members, the next failure could remove the majority, and lost disks never vote
+    /// again.
     fn desired_members(&self, replicas: &[DiskId]) -> Vec<Member> {
         let mut members = self.core.record().members.clone();
         for candidate in self.join_requests.candidates() {
-            let is_same = |known: &Member| {
+            let is_same_machine = |known: &Member| {
                 known.id == candidate.id || known.address.internal == candidate.address.internal
             };
-            let place = members
+            let replaced_index = members
                 .iter()
-                .position(is_same)
+                .position(is_same_machine)
                 .or_else(|| self.absent_member(&members, replicas, MEMBER_REPLACEMENT_TIMEOUT_MS));
-            if let Some(index) = place {
+            if let Some(index) = replaced_index {
                 members[index] = candidate.clone();
-            } else if members.len() < MAX_MEMBERS && !self.has_doubtful_member(&members) {
+            } else if members.len() < MAX_MEMBERS && !self.has_suspected_member(&members) {
                 members.push(candidate.clone());
             }
         }
@@ -227,7 +231,7 @@
         members
     }
 
-    /// Index of a member that leaves or has been unresponsive for so long, and that is no replica.
+    /// Index of a member that leaves or has been unresponsive for `timeout_ms`, and that is not a replica.
     fn absent_member(
         &self,
         members: &[Member],
@@ -242,7 +246,7 @@
         };
         let is_absent = |peer: &Peer| {
             let leaves = peer.is_leaving && !is_mutant;
-            leaves || peer.is_silent_for(timeout_ms, self.core.now_ms)
+            leaves || peer.is_unresponsive_for(timeout_ms, self.core.now_ms)
         };
         members.iter().position(|member| {
             let peer = self.term.peers.get(&member.id);
@@ -250,17 +254,17 @@
         })
     }
 
-    /// Whether a member does not answer and it is not known yet whether it is absent. One that is absent and needed as a
-    /// replica keeps nobody out: a machine that joins can replace it.
-    fn has_doubtful_member(&self, members: &[Member]) -> bool {
+    /// Whether a member is unresponsive and it is not known yet whether it is absent. A member that is absent
+    /// but needed as a replica does not block joins: a joining machine can replace it.
+    fn has_suspected_member(&self, members: &[Member]) -> bool {
         let now_ms = self.core.now_ms;
-        let is_doubtful = |peer: &Peer| {
-            let is_absent = peer.is_silent_for(MEMBER_REPLACEMENT_TIMEOUT_MS, now_ms);
+        let is_suspected = |peer: &Peer| {
+            let is_absent = peer.is_unresponsive_for(MEMBER_REPLACEMENT_TIMEOUT_MS, now_ms);
             !peer.is_responsive(now_ms) && !is_absent && !cfg!(feature = "mutant-absent")
         };
         members.iter().any(|member| {
             let peer = self.term.peers.get(&member.id);
-            peer.is_some_and(is_doubtful)
+            peer.is_some_and(is_suspected)
         })
     }
 }
--- a/crates/coordination/src/replicated_state.rs
+++ b/crates/coordination/src/replicated_state.rs
@@ -1,32 +1,32 @@
-//! The replicated state of one member: the map in memory, its position in the log, and the batches that led to it.
+//! The replicated state of one member: the map in memory, its position in the log, and the recent batches.
 
 use crate::batch::{Batch, LogPosition};
 use crate::disk::DiskQueue;
-use crate::log_cache::RecentBatches;
+use crate::log_cache::LogCache;
 use crate::storage::StateMap;
 use streamusher_protocol::store::Write;
 
-/// The replicated state in memory. The disk follows: `synced` is never above `applied`.
+/// The replicated state in memory. The disk lags behind: `synced` is never above `applied`.
 #[derive(Clone, Debug)]
 pub(crate) struct ReplicatedState {
     map: StateMap,
     applied: LogPosition,
     synced: LogPosition,
-    recent: RecentBatches,
+    log_cache: LogCache,
 }
 
 impl ReplicatedState {
-    /// The state as it was found on disk.
+    /// Creates the state from the content of the disk.
     pub(crate) fn new(map: StateMap, position: LogPosition) -> ReplicatedState {
         ReplicatedState {
             map,
             applied: position,
             synced: position,
-            recent: RecentBatches::default(),
+            log_cache: LogCache::default(),
         }
     }
 
-    /// All keys and values.
+    /// All keys and values of the state in memory.
     pub(crate) fn map(&self) -> &StateMap {
         &self.map
     }
@@ -41,27 +41,28 @@
         self.synced
     }
 
-    /// The newest batches.
-    pub(crate) fn recent(&self) -> &RecentBatches {
-        &self.recent
+    /// The newest applied batches.
+    pub(crate) fn log_cache(&self) -> &LogCache {
+        &self.log_cache
     }
 
-    /// The disk has synced the state up to this position.
+    /// Records that the disk has synced the state up to this position.
     pub(crate) fn on_synced(&mut self, position: LogPosition) {
         self.synced = position;
     }
 
-    /// Applies the next batch in memory and queues it for the disk. Up to `max_recent_bytes` of batches are kept.
-    pub(crate) fn apply(&mut self, batch: Batch, disk: &mut DiskQueue, max_recent_bytes: usize) {
+    /// Applies the next batch in memory and queues it for the disk. At most `max_cache_bytes` of recent
+    /// batches are kept.
+    pub(crate) fn apply(&mut self, batch: Batch, disk: &mut DiskQueue, max_cache_bytes: usize) {
         for write in batch.writes.iter() {
             apply_write(&mut self.map, write);
         }
         self.applied = batch.position;
         disk.put_writes(batch.position, &batch.writes);
-        self.recent.push(batch, max_recent_bytes);
+        self.log_cache.push(batch, max_cache_bytes);
     }
 
-    /// Replaces the state by a snapshot, in memory at once and on disk by a single change.
+    /// Replaces the state with a snapshot: immediately in memory, and on disk with a single change.
     pub(crate) fn install_snapshot(
         &mut self,
         position: LogPosition,
@@ -78,7 +79,7 @@
         }
         self.map = map;
         self.applied = position;
-        self.recent.clear();
+        self.log_cache.clear();
         disk.put_snapshot(position, writes);
     }
 }
--- a/crates/coordination/src/replication.rs
+++ b/crates/coordination/src/replication.rs
@@ -1,14 +1,14 @@
-//! The primary's side of primary-backup replication: keepalives, batches, snapshots, and what is committed.
+//! The primary role of primary-backup replication: keepalives, batches, snapshots, and commits.
 //!
-//! Invariant: a batch is committed only when all replicas of the newest record, and of every own proposal that may yet be
-//! decided, have synced it. So each replica of whatever record comes next holds all that is committed
-//! (`docs/design/control-state.md`, points 1 and 3).
+//! Invariant: a batch is committed only when all replicas of the newest record, and of every own proposal
+//! that may still be decided, have synced it. So every replica of the next record, whichever is decided,
+//! holds all committed data (`docs/design/control-state.md`, points 1 and 3).
 
 use crate::batch::{Batch, LogPosition};
 use crate::coordinator_core::CoordinatorCore;
 use crate::events::Output;
 use crate::limits::{
-    MAX_RECENT_BYTES, MAX_RECENT_BYTES_DURING_SNAPSHOT, MAX_UNACKNOWLEDGED_BATCHES,
+    MAX_LOG_CACHE_BYTES, MAX_LOG_CACHE_BYTES_DURING_SNAPSHOT, MAX_UNACKNOWLEDGED_BATCHES,
 };
 use crate::message::{KeepaliveAck, Message, SnapshotPart};
 use crate::peer::Peer;
@@ -20,11 +20,12 @@
 use streamusher_protocol::store::Write;
 use streamusher_protocol::Millis;
 
-/// Keepalives in a lease: two in a row may be lost.
+/// Number of keepalives per lease: two in a row may be lost.
 const KEEPALIVES_PER_LEASE: Millis = 4;
 
 impl LeaderTerm {
-    /// Begins the term: the first batch is empty, and its commit commits all that this primary held at its election.
+    /// Creates the first batch of the term. It is empty; its commit also commits all data that this primary
+    /// held at its election.
     pub(crate) fn create_first_batch(&mut self, core: &mut CoordinatorCore) {
         self.create_batch(core, BatchContent::default());
     }
@@ -37,7 +38,7 @@
         core.send_to_members(&Message::Keepalive { record, sent_ms });
     }
 
-    /// Sends what is due.
+    /// Sends a keepalive if one is due, and creates and sends batches and parts of snapshots.
     pub(crate) fn tick(&mut self, core: &mut CoordinatorCore) {
         if core.now_ms >= self.next_keepalive_ms {
             self.send_keepalives(core);
@@ -52,7 +53,7 @@
         self.create_batches(core);
     }
 
-    /// Creates batches of what was appended, as many as may be in flight.
+    /// Creates batches from pending appends, as many as may be in flight.
     fn create_batches(&mut self, core: &mut CoordinatorCore) {
         while let Some(content) = self.pipeline.take_next_batch(core.state.applied().sequence) {
             self.create_batch(core, content);
@@ -72,16 +73,17 @@
             position,
             writes: Arc::new(content.writes),
         };
-        let max_recent_bytes = if self.is_sending_snapshot() {
-            MAX_RECENT_BYTES_DURING_SNAPSHOT
+        let max_cache_bytes = if self.is_sending_snapshot() {
+            MAX_LOG_CACHE_BYTES_DURING_SNAPSHOT
         } else {
-            MAX_RECENT_BYTES
+            MAX_LOG_CACHE_BYTES
         };
-        core.state.apply(batch, &mut core.disk, max_recent_bytes);
+        core.state.apply(batch, &mut core.disk, max_cache_bytes);
         self.send_data(core);
     }
 
-    /// A member has acknowledged a keepalive of this term, or announces that it leaves.
+    /// Handles the acknowledgement of a keepalive of this term, or the announcement of a member that it
+    /// leaves.
     pub(crate) fn on_keepalive_ack(&mut self, core: &mut CoordinatorCore, ack: &KeepaliveAck) {
         if ack.term != self.number {
             return;
@@ -89,19 +91,19 @@
         let Some(peer) = self.peers.get_mut(&ack.from) else {
             return;
         };
-        peer.on_announcement(ack);
+        peer.on_status_reported(ack);
         self.notify_removed_members(core);
-        let answers_no_keepalive = ack.leaving && ack.sent_ms == 0;
-        if ack.sent_ms > core.now_ms || answers_no_keepalive {
+        let is_announcement = ack.leaving && ack.sent_ms == 0;
+        if ack.sent_ms > core.now_ms || is_announcement {
             return;
         }
         if let Some(peer) = self.peers.get_mut(&ack.from) {
             peer.on_keepalive_acknowledged(ack.sent_ms, core.now_ms);
-            self.on_position(core, ack.from, ack.position);
+            self.on_position_reported(core, ack.from, ack.position);
         }
     }
 
-    /// A member has synced a batch.
+    /// Handles the synced position that a member reports.
     pub(crate) fn on_synced(
         &mut self,
         core: &mut CoordinatorCore,
@@ -110,11 +112,16 @@
         position: LogPosition,
     ) {
         if term == self.number {
-            self.on_position(core, from, position);
+            self.on_position_reported(core, from, position);
         }
     }
 
-    fn on_position(&mut self, core: &mut CoordinatorCore, from: DiskId, position: LogPosition) {
+    fn on_position_reported(
+        &mut self,
+        core: &mut CoordinatorCore,
+        from: DiskId,
+        position: LogPosition,
+    ) {
         let Some(peer) = self.peers.get_mut(&from) else {
             return;
         };
@@ -128,7 +135,7 @@
         self.send_data(core);
     }
 
-    /// A member wants this part of its snapshot next.
+    /// Handles a member's request for the next part of its snapshot.
     pub(crate) fn on_snapshot_ack(
         &mut self,
         core: &mut CoordinatorCore,
@@ -145,7 +152,7 @@
         self.send_data(core);
     }
 
-    /// Sends batches and parts of snapshots to replicas and learners.
+    /// Sends due batches and parts of snapshots to replicas, learners and proposed replicas.
     fn send_data(&mut self, core: &mut CoordinatorCore) {
         let header = DataHeader {
             from: core.id(),
@@ -153,9 +160,9 @@
             term: self.number,
         };
         for (id, peer) in &mut self.peers {
-            let is_wanted =
+            let receives_data =
                 peer.is_replica() || peer.is_learner() || self.proposed_replicas.contains(id);
-            if !is_wanted {
+            if !receives_data {
                 continue;
             }
             let messages = due_messages(core, *id, peer, header, &mut self.last_snapshot_id);
@@ -165,7 +172,7 @@
         }
     }
 
-    /// Counts the batches that all required replicas have synced.
+    /// Advances the commit position to the batches that all required replicas have synced.
     pub(crate) fn update_committed(&mut self, core: &mut CoordinatorCore) {
         if !core.has_enough_replicas() {
             return;
@@ -183,40 +190,42 @@
 
     /// Sequence of the newest batch of this term that this primary and all required replicas have synced.
     fn synced_by_all(&self, core: &CoordinatorCore) -> u64 {
-        let own = core.state.synced();
-        let mut all = if own.epoch == self.number {
-            own.sequence
+        let own_position = core.state.synced();
+        let mut min_sequence = if own_position.epoch == self.number {
+            own_position.sequence
         } else {
             0
         };
         if cfg!(feature = "mutant-copies") {
-            return all;
+            return min_sequence;
         }
         for id in self.required_replicas(core) {
             let peer = self.peers.get(&id);
             let synced = peer.and_then(|peer| peer.acknowledged(self.number));
-            all = all.min(synced.unwrap_or(0));
+            min_sequence = min_sequence.min(synced.unwrap_or(0));
         }
-        all
+        min_sequence
     }
 
-    /// Tells machines that they were removed, once more members have the record on disk than disks may be lost. A machine
-    /// that leaves ends when it learns of its removal: before that, the only ones that know of it could be lost, and the
+    /// Sends the newest record to the machines that it removed, once more members have the record on disk
+    /// than disks may be lost. A machine that leaves exits when it learns of its removal: before that many
+    /// members have the record, all of them could be lost, and the preceding record requires that machine.
     /// record before counts on that machine.
     pub(crate) fn notify_removed_members(&mut self, core: &mut CoordinatorCore) {
         if self.removed_members.is_empty() {
             return;
         }
-        let needed = core.min_replicas(core.record());
+        let needed = core.min_replica_count(core.record());
         let own_epoch = core.synced_record_epoch;
         let peers = &self.peers;
-        let holders = |epoch: u64| {
+        let members_with_record = |epoch: u64| {
             let others = peers
                 .values()
                 .filter(|peer| peer.synced_record_epoch >= epoch);
             usize::from(own_epoch >= epoch) + others.count()
         };
-        let is_safe = |epoch: u64| holders(epoch) >= needed || cfg!(feature = "mutant-dismissal");
+        let is_safe =
+            |epoch: u64| members_with_record(epoch) >= needed || cfg!(feature = "mutant-dismissal");
         let (safe, others): (Vec<_>, Vec<_>) = self
             .removed_members
             .drain(..)
@@ -228,7 +237,7 @@
     }
 }
 
-/// Who sends data, as each message of data says.
+/// Header fields that all messages with batches or parts of snapshots share.
 #[derive(Clone, Copy, Debug)]
 struct DataHeader {
     from: DiskId,
@@ -236,8 +245,8 @@
     term: u64,
 }
 
-/// The messages of data that are due to a member: batches, where the kept ones reach back to its position, else parts of a
-/// snapshot.
+/// The batches or parts of a snapshot that are due for a member: batches if the cached ones reach back to its
+/// position, otherwise parts of a snapshot.
 fn due_messages(
     core: &CoordinatorCore,
     id: DiskId,
@@ -248,9 +257,9 @@
     let Some(position) = peer.position else {
         return Vec::new();
     };
-    if core.state.recent().reaches_from(position) {
+    if core.state.log_cache().can_replay_from(position) {
         peer.snapshot = None;
-        peer.rewind_if_due(core.now_ms);
+        peer.reset_send_position_if_due(core.now_ms);
         return due_batches(core, peer, position, header);
     }
     if position == core.state.applied() || !peer.is_responsive(core.now_ms) {
@@ -271,7 +280,7 @@
     let end = (position.sequence + MAX_UNACKNOWLEDGED_BATCHES).min(core.state.applied().sequence);
     let mut messages = Vec::new();
     while peer.last_sent < end {
-        let Some(batch) = core.state.recent().get(peer.last_sent + 1) else {
+        let Some(batch) = core.state.log_cache().get(peer.last_sent + 1) else {
             break;
         };
         messages.push(Message::Append {
@@ -294,7 +303,7 @@
     *last_snapshot_id += 1;
     let applied = core.state.applied();
     log::info!(
-        "sending snapshot {last_snapshot_id} to {receiver}: its position {receiver_position:?}, ours {applied:?}"
+        "sending snapshot {last_snapshot_id} to replica {receiver} at position {receiver_position:?}; snapshot position {applied:?}"
     );
     SnapshotSender::new(
         *last_snapshot_id,
@@ -306,7 +315,7 @@
 
 fn due_parts(snapshot: &mut SnapshotSender, header: DataHeader, now_ms: Millis) -> Vec<Message> {
     let (id, position) = (snapshot.id, snapshot.position);
-    let parts = snapshot.take_due_parts(now_ms);
+    let parts = snapshot.next_due_parts(now_ms);
     let message = |part: PartContent| {
         Message::SnapshotPart(SnapshotPart {
             from: header.from,
