--- a/crates/scheduler/examples/takeover.rs
+++ b/crates/scheduler/examples/takeover.rs
@@ -1,10 +1,10 @@
-//! How long a new primary takes to recover, by the size of the state. Until then it answers nothing, and its replicas
-//! only wait for a lease.
+//! Measures how long a new primary takes to recover, depending on the size of the state. Until then it
+//! answers no request, and its replicas only wait for a lease.
 //!
 //!     cargo run --release -p streamusher-scheduler --example takeover -- 1000 10000 100000
 //!
-//! Prints for each number of jobs (four tasks each, none finished): keys and bytes of the state, the time to recover it,
-//! and the time of the first tick after that.
+//! Prints for each number of jobs (four tasks per job, none finished) the number of keys and bytes of the
+//! state, the time to recover it, and the duration of the first tick afterwards.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 const JOB: &str = r#"{"spec":"a text that says what is to be done, of some hundred bytes, as operators' clients send",
     "steps":[{"count":4,"cpu":500,"mem_mb":256,"estimated_ms":900}]}"#;
 
-/// The replicated state.
+/// Keys and values of the replicated state.
 type State = BTreeMap<Arc<str>, Arc<str>>;
 
 fn settings() -> SchedulerSettings {
@@ -60,7 +60,7 @@
     Event::ClientRequest { id, request }
 }
 
-/// The replicated state after so many jobs were submitted.
+/// Returns the replicated state after the given number of jobs has been submitted.
 fn state_with_jobs(jobs: u64) -> Result<State, RecoverError> {
     let mut scheduler = Scheduler::recover(settings(), 1, now(0), State::new())?;
     let mut state = State::new();
@@ -83,12 +83,12 @@
         .iter()
         .map(|(key, value)| key.len() + value.len())
         .sum();
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut scheduler = Scheduler::recover(settings(), 2, now(1_000), state)?;
-    let recovered = began.elapsed();
-    let began = Instant::now();
+    let recovered = started_at.elapsed();
+    let started_at = Instant::now();
     scheduler.handle(now(1_020), Event::Tick);
-    let ticked = began.elapsed();
+    let ticked = started_at.elapsed();
     println!(
         "{jobs} jobs: {keys} keys, {bytes} bytes; recovered in {recovered:?}, first tick {ticked:?}"
     );
--- a/crates/scheduler/src/agent_sync.rs
+++ b/crates/scheduler/src/agent_sync.rs
@@ -1,4 +1,4 @@
-//! Agents' requests: a report of the worker, answered with commands.
+//! Handles sync requests of agents: each carries a report of the worker and is answered with commands.
 
 use crate::agents::DeferredSync;
 use crate::cluster_state::ClusterState;
@@ -9,10 +9,10 @@
 use streamusher_protocol::internal::AgentSync;
 use streamusher_protocol::{Millis, Now};
 
-/// Longest time for which an agent's request is deferred, whatever it asks for.
+/// Upper limit on the time for which an agent's request is deferred, whatever `wait_ms` it asks for.
 const MAX_DEFERRAL_MS: Millis = 1_000;
 
-/// Takes an agent's report, and defers its request until there are new commands.
+/// Applies an agent's report, and defers the request until new commands exist or its deadline expires.
 pub(crate) fn on_agent_sync(state: &mut ClusterState, now: Now, id: RequestId, sync: &AgentSync) {
     if state.agents.get_or_insert(&sync.agent).is_outdated(sync) {
         commands::respond(state, id, &sync.agent);
@@ -41,7 +41,8 @@
     }
 }
 
-/// Names the recorded worker to an agent that has reported none: the agent can then report that it is gone.
+/// Assigns the recorded worker to an agent that has not reported one: the agent can then report that this
+/// worker is gone.
 fn assign_recorded_worker(state: &mut ClusterState, agent: &Arc<str>) {
     let recorded = state.workers.ids_of_agent(agent).next().cloned();
     if let (Some(worker), Some(session)) = (recorded, state.agents.get_mut(agent)) {
--- a/crates/scheduler/src/agents.rs
+++ b/crates/scheduler/src/agents.rs
@@ -1,7 +1,7 @@
-//! Sessions of agents: their deferred requests, and the commands that they are to hold.
+//! Sessions of agents: their deferred requests, and the commands that each agent should hold.
 //!
-//! Nothing here is replicated. Each primary counts an agent's command revisions anew; its epoch tells them apart from
-//! those of other primaries.
+//! None of this is replicated. Each primary numbers an agent's command revisions from the beginning; the
+//! epoch distinguishes them from the revisions of other primaries.
 
 use crate::event::RequestId;
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,51 +11,52 @@
 use streamusher_protocol::unit::WorkerId;
 use streamusher_protocol::Millis;
 
-/// An agent's request that is held until there are new commands, or until its deadline.
+/// An agent's request that is deferred until new commands exist or its deadline expires.
 #[derive(Debug)]
 pub(crate) struct DeferredSync {
     pub(crate) request: RequestId,
     pub(crate) deadline: Millis,
 }
 
-/// The content of an agent's commands; each change of it gets a new revision.
+/// The content of an agent's commands. Each change of the content gets a new revision.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct CommandSet {
     pub(crate) worker: Option<WorkerId>,
-    /// Finished runs up to this sequence number are processed.
+    /// All finished runs up to this sequence number have been processed.
     pub(crate) last_finished: u64,
     pub(crate) start: Vec<StartCommand>,
     pub(crate) stop: Vec<StopCommand>,
 }
 
-/// An agent as this primary knows it.
+/// What this primary knows about an agent.
 #[derive(Debug, Default)]
 pub(crate) struct AgentSession {
-    /// Identifies the start of the agent's process.
+    /// Identifies one start of the agent's process.
     boot: u64,
-    /// The first revision made since this start called: who confirms it is not an earlier start.
+    /// First revision issued after the current agent process called. An agent that confirms it is not an
+    /// earlier process.
     first_revision: u64,
-    /// Sequence number of the newest request of this start.
+    /// Sequence number of the newest request from the current agent process.
     sequence: u64,
-    /// The worker that it reports, or that the replicated state names for it.
+    /// The worker that the agent reports, or that the replicated state records for it.
     pub(crate) worker: Option<WorkerId>,
     pub(crate) last_sync_at: Millis,
     deferred: Option<DeferredSync>,
     revision: u64,
     commands: CommandSet,
-    /// The newest revision that the agent is known to hold.
+    /// Newest revision that the agent is known to hold.
     confirmed_revision: u64,
-    /// Its commands must be computed anew.
+    /// Whether the commands must be recomputed.
     commands_stale: bool,
 }
 
 impl AgentSession {
-    /// Whether a request was overtaken by a newer one of the same start.
+    /// Whether a newer request from the same agent process has already been processed.
     pub(crate) fn is_outdated(&self, sync: &AgentSync) -> bool {
         self.boot == sync.boot && sync.sequence <= self.sequence
     }
 
-    /// Takes note of a request that is not overtaken, at a primary of this epoch.
+    /// Records a request that is not outdated. `epoch` is the epoch of this primary.
     pub(crate) fn on_sync(&mut self, now: Millis, epoch: u64, sync: &AgentSync) {
         if self.boot != sync.boot {
             self.restart(sync.boot);
@@ -69,7 +70,7 @@
         };
     }
 
-    /// Another start of the agent has called: only its worker and the count of revisions go on.
+    /// Resets the session for a new agent process. Only the worker and the revision counter are kept.
     fn restart(&mut self, boot: u64) {
         let worker = self.worker.take();
         let first_revision = self.revision + 1;
@@ -83,13 +84,14 @@
         };
     }
 
-    /// Names the worker that the commands are for.
+    /// Sets the worker that the commands are for.
     pub(crate) fn assign_worker(&mut self, worker: WorkerId) {
         self.worker = Some(worker);
         self.commands_stale = true;
     }
 
-    /// Whether the newest request surely came from the present start: one of an earlier start may arrive late.
+    /// Whether the newest request is known to come from the current agent process. A request of an earlier
+    /// process may arrive late.
     pub(crate) fn is_confirmed_by_current_process(&self) -> bool {
         self.confirmed_revision >= self.first_revision
     }
@@ -98,7 +100,7 @@
         self.confirmed_revision
     }
 
-    /// The revision that the next change of commands gets.
+    /// Revision that the next change of the commands gets.
     pub(crate) fn next_revision(&self) -> u64 {
         self.revision + 1
     }
@@ -109,14 +111,14 @@
     epoch: u64,
     lease_ms: Millis,
     sessions: BTreeMap<Arc<str>, AgentSession>,
-    /// Agents that called, or whose commands became stale, since deferred requests were last answered.
+    /// Agents that have called, or whose commands became stale, since deferred requests were last answered.
     unreviewed: BTreeSet<Arc<str>>,
-    /// Deadlines of deferred requests; those of requests that were answered meanwhile may still be listed.
+    /// Deadlines of deferred requests. May still contain deadlines of requests that have been answered since.
     deadlines: BTreeSet<(Millis, Arc<str>)>,
 }
 
 impl AgentTable {
-    /// No agent has called yet; the commands carry this epoch and this lease.
+    /// Creates a table without agents. All commands carry this epoch and lease duration.
     pub(crate) fn new(epoch: u64, lease_ms: Millis) -> AgentTable {
         AgentTable {
             epoch,
@@ -139,19 +141,19 @@
         self.sessions.entry(name.clone()).or_default()
     }
 
-    /// Holds a request until its deadline.
+    /// Defers a request until its deadline.
     pub(crate) fn defer(&mut self, name: &Arc<str>, deferred: DeferredSync) {
         self.deadlines.insert((deferred.deadline, name.clone()));
         self.unreviewed.insert(name.clone());
         self.get_or_insert(name).deferred = Some(deferred);
     }
 
-    /// Ends the deferral of an agent's request, whatever its deadline.
+    /// Takes an agent's deferred request, whether or not its deadline has expired.
     pub(crate) fn take_deferred(&mut self, name: &str) -> Option<DeferredSync> {
         self.sessions.get_mut(name)?.deferred.take()
     }
 
-    /// Ends the deferral of an agent's request if its deadline is over or the agent lacks the newest commands.
+    /// Takes an agent's deferred request if its deadline has expired or the agent lacks the newest commands.
     pub(crate) fn take_due_request(&mut self, now: Millis, name: &str) -> Option<DeferredSync> {
         let session = self.sessions.get_mut(name)?;
         let has_new_commands = session.confirmed_revision < session.revision;
@@ -160,7 +162,7 @@
             .take_if(|deferred| has_new_commands || deferred.deadline <= now)
     }
 
-    /// Drops a deferred request that nobody waits for any more.
+    /// Drops a deferred request whose caller has disconnected.
     pub(crate) fn drop_deferred(&mut self, request: RequestId) {
         for session in self.sessions.values_mut() {
             session
@@ -182,7 +184,7 @@
         names
     }
 
-    /// An agent's commands must be computed anew.
+    /// Marks an agent's commands as stale, so that they are recomputed.
     pub(crate) fn invalidate_commands(&mut self, name: &Arc<str>) {
         if let Some(session) = self.sessions.get_mut(name) {
             session.commands_stale = true;
@@ -190,12 +192,12 @@
         }
     }
 
-    /// The agent's session, if its commands must be computed anew.
+    /// Returns the agent's session if its commands are stale.
     pub(crate) fn get_if_stale(&self, name: &str) -> Option<&AgentSession> {
         self.get(name).filter(|session| session.commands_stale)
     }
 
-    /// Sets an agent's commands; a change, or the first ones, get a new revision.
+    /// Sets an agent's commands. Changed commands, and the first ones, get a new revision.
     pub(crate) fn set_commands(&mut self, name: &str, commands: CommandSet) {
         let Some(session) = self.sessions.get_mut(name) else {
             return;
@@ -207,7 +209,7 @@
         }
     }
 
-    /// An agent's present commands, in their wire form.
+    /// Returns an agent's current commands in their wire form.
     pub(crate) fn commands(&self, name: &str) -> Option<AgentCommands> {
         let session = self.get(name)?;
         let commands = &session.commands;
--- a/crates/scheduler/src/client_requests.rs
+++ b/crates/scheduler/src/client_requests.rs
@@ -1,4 +1,4 @@
-//! Clients' requests about jobs and queues, as gates forward them.
+//! Handles client requests about jobs and queues, which gates forward.
 
 use crate::json_body::{to_json, ErrorBody};
 use serde::Serialize;
@@ -10,10 +10,10 @@
 use streamusher_protocol::task::JobId;
 use streamusher_protocol::{Millis, Now};
 
-/// When to try again while there is no configuration.
+/// Retry delay that is sent to clients while there is no configuration.
 const UNCONFIGURED_RETRY_MS: Millis = 500;
 
-/// Carries out a client's request. The response must not be sent before the job table's changes are committed.
+/// Executes a client's request. The response must not be sent before the job table's changes are committed.
 pub(crate) fn on_client_request(
     jobs: &mut JobTable,
     configuration: &ConfigurationStore,
@@ -97,7 +97,7 @@
     error_response(400, cause)
 }
 
-/// What the job table needs of a queue's configuration.
+/// Extracts the part of a queue's configuration that the job table needs.
 pub(crate) fn queue_policy(route: &Route) -> QueuePolicy {
     QueuePolicy {
         queue: route.name.clone(),
--- a/crates/scheduler/src/cluster_state.rs
+++ b/crates/scheduler/src/cluster_state.rs
@@ -1,8 +1,8 @@
 //! State of the cluster as the primary knows it, and the transitions that keep its parts consistent.
 //!
-//! A run is in the job table, holds capacity in placement, is in the run table, accrues usage in fair share and stands in
-//! its agent's commands. The transitions here change all of them together; what happened, and what is to be done about
-//! it, is decided by the modules that call them.
+//! A run has an entry in the job table, holds capacity in placement, has an entry in the run table, accrues
+//! usage in fair share and appears in its agent's commands. The transitions in this module change all of
+//! these together. The calling modules decide which transition an event requires.
 
 use crate::agents::{AgentSession, AgentTable};
 use crate::event::{Effects, PendingResponse, RequestId, SchedulerResponse};
@@ -22,10 +22,11 @@
 use streamusher_protocol::unit::{TaskAssignment, Unit, UnitId, WorkerId};
 use streamusher_protocol::{Millis, Now};
 
-/// Keys of the replicated state that name the agent of a worker; the worker's identifier follows.
+/// Prefix of the replicated keys that store the agent of a worker. The worker's identifier follows the
+/// prefix.
 pub(crate) const WORKER_KEY_PREFIX: &str = "worker/";
 
-/// State of the cluster.
+/// State of the cluster, as the primary keeps it in memory.
 pub(crate) struct ClusterState {
     pub(crate) settings: SchedulerSettings,
     pub(crate) epoch: u64,
@@ -34,16 +35,16 @@
     pub(crate) runs: RunTable,
     pub(crate) workers: WorkerTable,
     pub(crate) agents: AgentTable,
-    /// Units that are ready and have no worker; placement forgets a unit as it places it.
+    /// Units that are ready and have no worker. Kept here because placement drops a unit when it places it.
     pub(crate) pending_units: BTreeMap<UnitId, Unit>,
-    /// None where fair share is switched off.
+    /// `None` if fair share is disabled.
     pub(crate) fair_share: Option<FairShare>,
     pub(crate) penalties: PenaltyStore,
     effects: Effects,
 }
 
 impl ClusterState {
-    /// Without runs, workers and agents.
+    /// Creates a state without runs, workers and agents.
     pub(crate) fn new(
         settings: SchedulerSettings,
         epoch: u64,
@@ -66,24 +67,24 @@
         }
     }
 
-    /// Takes the effects of all that was done since the last call.
+    /// Takes the effects that have accumulated since the last call.
     pub(crate) fn take_effects(&mut self) -> Effects {
         std::mem::take(&mut self.effects)
     }
 
-    /// Answers a request once all writes so far are committed.
+    /// Queues a response, to be sent once all writes so far are committed.
     pub(crate) fn respond(&mut self, request: RequestId, response: SchedulerResponse) {
         self.effects
             .responses
             .push(PendingResponse { request, response });
     }
 
-    /// Changes the replicated state.
+    /// Queues writes to the replicated state.
     pub(crate) fn write(&mut self, writes: impl IntoIterator<Item = Write>) {
         self.effects.writes.extend(writes);
     }
 
-    /// Moves changes between the job table and placement until there are none.
+    /// Exchanges changes between the job table and placement until neither has any left.
     pub(crate) fn schedule(&mut self, now: Now) {
         loop {
             self.apply_job_changes(now);
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Applies what the job table wants done.
+    /// Applies the pending changes of the job table.
     pub(crate) fn apply_job_changes(&mut self, now: Now) {
         let changes = self.jobs.take_changes();
         self.write(changes.writes);
@@ -183,7 +184,7 @@
     /// Releases the capacity of a unit that was placed and must not start.
     fn release_unstarted(&mut self, now: Millis, id: &UnitId, assignments: &[TaskAssignment]) {
         log::error!(
-            "bug: unit {id:?} was placed without being pending: its allocation is released, please report this"
+            "bug: unit {id:?} was placed although it is not pending; releasing its allocation; please report this"
         );
         for TaskAssignment { task, worker } in assignments {
             self.placement
@@ -191,7 +192,8 @@
         }
     }
 
-    /// Replicates the agent of a worker that gets its first run: a successor on its machine proves that the worker is lost.
+    /// Replicates the agent of a worker that gets its first run. After a takeover, another worker reported by
+    /// this agent then proves that the recorded worker is lost.
     fn record_agent(&mut self, worker: &WorkerId) {
         if self.runs.at_worker(worker).next().is_some() {
             return;
@@ -203,7 +205,7 @@
         self.write([Write::set(format!("{WORKER_KEY_PREFIX}{worker}"), value)]);
     }
 
-    /// Has a run stopped, or its start withdrawn. It holds its capacity until it is proven to be over.
+    /// Stops a run, or withdraws its start command. The run holds its capacity until it is proven to be over.
     pub(crate) fn stop_run(&mut self, id: &RunId) {
         let Some(run) = self.runs.get_mut(id).filter(|run| !run.is_stopping()) else {
             return;
@@ -218,7 +220,7 @@
         self.invalidate_commands(&worker);
     }
 
-    /// A worker reports that a run of it has finished.
+    /// Handles a worker's report that one of its runs has finished.
     pub(crate) fn finish_run(
         &mut self,
         now: Now,
@@ -242,19 +244,19 @@
         self.release_run(now.steady_ms, id, reason);
     }
 
-    /// The agent confirms that a run which is to be stopped never started and never will.
+    /// Handles the agent's confirmation that a run that is to be stopped has not started and never will.
     pub(crate) fn withdraw_run(&mut self, now: Now, id: &RunId) {
         self.jobs.on_run_withdrawn(now, id);
         self.release_run(now.steady_ms, id, ReleaseReason::Withdrawn);
     }
 
-    /// A run is over without a reported outcome.
+    /// Handles the end of a run without a reported outcome.
     pub(crate) fn lose_run(&mut self, now: Now, id: &RunId) {
         self.jobs.on_run_lost(now, id);
         self.release_run(now.steady_ms, id, ReleaseReason::Lost);
     }
 
-    /// All runs of a worker are over without a reported outcome.
+    /// Handles the end of all runs of a worker without a reported outcome.
     pub(crate) fn lose_runs(&mut self, now: Now, worker: &WorkerId) {
         for id in self.runs.ids_at_worker(worker) {
             self.lose_run(now, &id);
@@ -273,7 +275,7 @@
         self.invalidate_commands(&run.worker);
     }
 
-    /// Removes a worker at which nothing runs any more and nothing that was commanded will start.
+    /// Removes a worker on which nothing runs any more and no issued start command can take effect.
     pub(crate) fn remove_worker(&mut self, now: Now, id: &WorkerId) {
         self.lose_runs(now, id);
         self.workers.remove(id);
@@ -283,14 +285,14 @@
         self.write([Write::remove(format!("{WORKER_KEY_PREFIX}{id}"))]);
     }
 
-    /// The commands of a worker's agent must be computed anew.
+    /// Marks the commands of the worker's agent as stale, so that they are recomputed.
     pub(crate) fn invalidate_commands(&mut self, worker: &WorkerId) {
         if let Some(agent) = self.workers.agent_of(worker) {
             self.agents.invalidate_commands(agent);
         }
     }
 
-    /// Hands placement what is known of a worker.
+    /// Passes a worker's current description to placement.
     pub(crate) fn update_placement(&mut self, now: Millis, id: &WorkerId) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -298,7 +300,7 @@
         let is_schedulable = worker.is_schedulable();
         if worker.schedulable && !is_schedulable && worker.state == WorkerState::Ready {
             log::info!(
-                "worker {id} is unresponsive or terminated: unschedulable until it is heard again"
+                "worker {id} is unresponsive or terminated; unschedulable until it reports again"
             );
         }
         worker.schedulable = is_schedulable;
@@ -313,12 +315,12 @@
         self.placement.update_worker(now, info);
     }
 
-    /// The user that is charged for a job; none where fair share is switched off or the job is unknown.
+    /// Returns the user that is charged for a job; `None` if fair share is disabled or the job is unknown.
     pub(crate) fn user_of(&self, job: &JobId) -> Option<Arc<str>> {
         self.fair_share.as_ref()?.user_of(&self.jobs, job)
     }
 
-    /// Publishes a new ranking where one is due, and reorders pending units by it, a bounded number at a time.
+    /// Publishes a new ranking if one is due, and reorders a bounded number of pending units by it.
     pub(crate) fn update_fair_share(&mut self, now: Millis) {
         let Some(fair_share) = &mut self.fair_share else {
             return;
@@ -328,8 +330,8 @@
         let min_shift_ms = fair_share.min_shift_ms();
         self.write(writes);
         for ReorderedUnit { unit, order } in reordered {
-            let present = self.placement.order_of(&unit);
-            if present.is_some_and(|present| present.abs_diff(order) > min_shift_ms) {
+            let current = self.placement.order_of(&unit);
+            if current.is_some_and(|current| current.abs_diff(order) > min_shift_ms) {
                 self.placement.reorder(&unit, order);
             }
         }
--- a/crates/scheduler/src/commands.rs
+++ b/crates/scheduler/src/commands.rs
@@ -1,4 +1,4 @@
-//! Commands to agents: computed when something changed, sent as responses to agents' requests.
+//! Commands to agents: recomputed after a change, sent as responses to the agents' requests.
 
 use crate::agents::CommandSet;
 use crate::cluster_state::ClusterState;
@@ -10,7 +10,8 @@
 use streamusher_protocol::unit::WorkerId;
 use streamusher_protocol::Millis;
 
-/// Answers the deferred requests of agents that lack the newest commands, and those whose deadline is over.
+/// Answers the deferred requests of agents that lack the newest commands, and those whose deadline has
+/// expired.
 pub(crate) fn respond_to_due(state: &mut ClusterState, now: Millis) {
     for agent in state.agents.take_unreviewed(now) {
         refresh(state, &agent);
@@ -20,7 +21,7 @@
     }
 }
 
-/// Answers an agent's request with its present commands.
+/// Answers an agent's request with its current commands.
 pub(crate) fn respond(state: &mut ClusterState, request: RequestId, agent: &Arc<str>) {
     refresh(state, agent);
     if let Some(commands) = state.agents.commands(agent) {
@@ -28,7 +29,7 @@
     }
 }
 
-/// Computes an agent's commands anew where they are stale.
+/// Recomputes an agent's commands if they are stale.
 fn refresh(state: &mut ClusterState, agent: &Arc<str>) {
     let Some(session) = state.agents.get_if_stale(agent) else {
         return;
@@ -40,7 +41,7 @@
     state.agents.set_commands(agent, commands);
 }
 
-/// What a worker is to start and to stop; both lists are whole, not changes.
+/// Builds the commands for a worker. Both lists are complete, not differences from earlier commands.
 fn commands_for(id: &WorkerId, workers: &WorkerTable, runs: &RunTable) -> CommandSet {
     let mut commands = CommandSet {
         worker: Some(id.clone()),
--- a/crates/scheduler/src/event.rs
+++ b/crates/scheduler/src/event.rs
@@ -1,47 +1,47 @@
-//! Input events of the scheduler and the effects that it asks for.
+//! Input events of the scheduler, and the effects that the scheduler requests from its caller.
 
 use std::sync::Arc;
 use streamusher_protocol::internal::{AgentCommands, AgentSync, ClientRequest, ClientResponse};
 use streamusher_protocol::store::Write;
 
-/// Identifies a request; chosen by the caller, unique among its open requests.
+/// Identifies a request. Chosen by the caller, unique among its open requests.
 pub type RequestId = u64;
 
 /// An input of [`Scheduler::handle`](crate::Scheduler::handle).
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A gate forwards a client's request. It is answered at once.
+    /// A gate forwards a client's request. It is answered immediately.
     ClientRequest {
         /// Identifies the request.
         id: RequestId,
-        /// The request.
+        /// The client's request as the gate forwards it.
         request: ClientRequest,
     },
-    /// An agent reports its worker and asks for commands. It is answered at once where there is something new to tell,
-    /// otherwise deferred for [`AgentSync::wait_ms`] at most.
+    /// An agent reports its worker and requests commands. It is answered immediately if there are new
+    /// commands, otherwise deferred for at most [`AgentSync::wait_ms`].
     AgentSync {
         /// Identifies the request.
         id: RequestId,
-        /// The report.
+        /// The agent's report and the revision of the commands that it holds.
         sync: AgentSync,
     },
-    /// An operator changes or reads the configuration. It is answered at once.
+    /// An operator changes or reads the configuration. It is answered immediately.
     OperatorRequest {
         /// Identifies the request.
         id: RequestId,
-        /// The request.
+        /// The operation and its body.
         request: OperatorRequest,
     },
-    /// The caller of a request has disconnected; a response would reach nobody.
+    /// The caller of a request has disconnected. No response to it is needed.
     RequestAbandoned {
-        /// Identifies the request.
+        /// Identifies the abandoned request.
         id: RequestId,
     },
-    /// Time has passed; expected some forty times a second.
+    /// Time has passed. Expected about forty times per second.
     Tick,
 }
 
-/// What an operator asks for.
+/// The operations that an operator can request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorRequestKind {
     /// Replaces the whole configuration.
@@ -55,18 +55,18 @@
 /// An operator's request about the configuration.
 #[derive(Clone, Debug)]
 pub struct OperatorRequest {
-    /// What is asked for.
+    /// The requested operation.
     pub kind: OperatorRequestKind,
-    /// The version on which a change builds; required of every change.
+    /// Version that the change is based on. Required for every change.
     pub base: Option<u64>,
-    /// The body as it was received.
+    /// The request body as received.
     pub body: Arc<str>,
 }
 
 /// The response to an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OperatorResponse {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
     /// JSON body.
     pub body: Arc<str>,
@@ -75,34 +75,34 @@
 /// The response to a request.
 #[derive(Clone, Debug)]
 pub enum SchedulerResponse {
-    /// To a client, by way of a gate.
+    /// Response to a client, sent through a gate.
     Client(ClientResponse),
-    /// To an agent.
+    /// Response to an agent's sync request.
     Agent(AgentCommands),
-    /// To an operator.
+    /// Response to an operator.
     Operator(OperatorResponse),
 }
 
 /// A response that must not be sent before all writes appended so far are committed.
 #[derive(Clone, Debug)]
 pub struct PendingResponse {
-    /// The request that it answers.
+    /// Identifies the request that this response answers.
     pub request: RequestId,
-    /// The response.
+    /// The content to send.
     pub response: SchedulerResponse,
 }
 
-/// What the caller is to do about an event.
+/// What the caller must do after an event.
 #[derive(Clone, Debug, Default)]
 pub struct Effects {
-    /// Changes of the replicated state; appended as one batch.
+    /// Changes of the replicated state, to be appended as one batch.
     pub writes: Vec<Write>,
-    /// Responses, to be sent once everything appended so far, `writes` included, is committed.
+    /// Responses, to be sent once everything appended so far, including `writes`, is committed.
     pub responses: Vec<PendingResponse>,
 }
 
 impl Effects {
-    /// Whether there is nothing to do.
+    /// Whether there are neither writes nor responses.
     pub fn is_empty(&self) -> bool {
         self.writes.is_empty() && self.responses.is_empty()
     }
--- a/crates/scheduler/src/explain.rs
+++ b/crates/scheduler/src/explain.rs
@@ -1,4 +1,4 @@
-//! Explanations for operators: where a job stands, and why its pending units have no worker.
+//! Explanations for operators: the state of a job, and why its pending units have no worker.
 
 use crate::cluster_state::ClusterState;
 use crate::runs::RunPhase;
@@ -11,25 +11,25 @@
 use streamusher_protocol::unit::{StepId, UnitId, WorkerId};
 use streamusher_protocol::Millis;
 
-/// Runs and pending units of a job that are listed; the rest is counted.
+/// Maximum number of runs, and of pending units, that are listed for a job. The rest is only counted.
 const MAX_LISTED: usize = 50;
 
-/// Where a job stands. The JSON keys are an interface of operators' tools.
+/// Explains the state of a job. The JSON keys are an interface for operator tools.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct JobExplanation {
-    /// The job.
+    /// Identifier of the job.
     pub job: JobId,
-    /// The queue that it was submitted to.
+    /// Queue that the job was submitted to.
     pub queue: Option<Arc<str>>,
-    /// Its state.
+    /// State of the job as clients see it.
     pub state: JobState,
-    /// Its user's decayed usage; none where fair share is switched off.
+    /// Decayed usage of the job's user; `None` if fair share is disabled.
     pub user: Option<UserUsage>,
-    /// Runs that hold capacity of a worker.
+    /// Runs that hold capacity of a worker; at most 50 are listed.
     pub runs: Vec<RunExplanation>,
     /// Number of runs that are not listed.
     pub more_runs: usize,
-    /// Units that are ready and have no worker.
+    /// Units that are ready and have no worker; at most 50 are listed.
     #[serde(rename = "waiting")]
     pub pending: Vec<PendingUnitExplanation>,
     /// Number of pending units that are not listed.
@@ -40,20 +40,20 @@
 /// A run that holds capacity of a worker.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RunExplanation {
-    /// Its task.
+    /// Task that the run executes.
     pub task: TaskId,
-    /// Its number.
+    /// Number of the run among the runs of its task.
     pub run: u32,
-    /// Its worker.
+    /// Worker whose capacity the run holds.
     pub worker: WorkerId,
-    /// The worker has reported it as running.
+    /// Whether the worker has reported the run as running.
     #[serde(rename = "begun")]
     pub running: bool,
-    /// It is to be stopped.
+    /// Whether the run is to be stopped.
     pub stopping: bool,
-    /// Progress in percent.
+    /// Progress in percent, as last reported.
     pub percent: f64,
-    /// Time since its start was commanded or, once it runs, since it was first reported, in milliseconds.
+    /// Time in milliseconds since the start was commanded or, for a running run, since it was first reported.
     #[serde(rename = "for_ms")]
     pub elapsed_ms: Millis,
 }
@@ -61,18 +61,18 @@
 /// A unit that is ready and has no worker.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PendingUnitExplanation {
-    /// The iteration of the job.
+    /// Number of the iteration of the job.
     pub iteration: u32,
-    /// The step.
+    /// Number of the step within the job.
     pub step: u32,
-    /// The task; none for a whole step as a gang.
+    /// Number of the task within the step; `None` for a whole step that is placed as a gang.
     pub index: Option<u32>,
-    /// What it waits for, and for how long.
+    /// What the unit waits for, and for how long.
     #[serde(flatten)]
     pub waiting: WaitExplanation,
 }
 
-/// Where a job stands; none if it is not known.
+/// Explains the state of a job; `None` if the job is unknown.
 pub(crate) fn explain_job(state: &ClusterState, now: Millis, id: &JobId) -> Option<JobExplanation> {
     let job_state = state.jobs.status(id)?;
     let mut runs = explain_runs(state, now, id);
@@ -94,7 +94,7 @@
     })
 }
 
-/// A user's decayed usage; none where fair share is switched off.
+/// Returns a user's decayed usage; `None` if fair share is disabled.
 pub(crate) fn explain_user(
     state: &ClusterState,
     now: Millis,
--- a/crates/scheduler/src/fair_share.rs
+++ b/crates/scheduler/src/fair_share.rs
@@ -1,4 +1,4 @@
-//! Fair share between users, where it is switched on: which run is charged to whom, and the order of units that follows.
+//! Fair share between users, if enabled: which user each run is charged to, and the resulting order of units.
 
 use crate::status::FairShareStatus;
 use std::cmp::Reverse;
@@ -16,20 +16,20 @@
 use streamusher_protocol::unit::{Unit, UnitId};
 use streamusher_protocol::Millis;
 
-/// Keys of the replicated state that belong to fair share.
+/// Prefixes of the replicated keys that belong to fair share.
 pub(crate) const KEY_PREFIXES: &[&str] = &["debt/", "debt-version"];
-/// Pending units that are reordered at a time: bounded work, however many are pending.
+/// Pending units that are reordered per call, which bounds the work however many units are pending.
 const MAX_REORDERED_UNITS: usize = 256;
-/// A pending unit is reordered when its delay has changed by more than this part of the largest delay.
+/// A pending unit is reordered if its order has changed by more than the largest delay divided by this.
 const MIN_SHIFT_DIVISOR: Millis = 64;
-/// Users that the status lists, those with the largest usage.
+/// Users that the status lists: those with the largest usage.
 const MAX_LISTED_USERS: usize = 100;
 
-/// A pass over all pending units that gives them their order by the newest ranking.
+/// A pass over all pending units that updates their order to the newest ranking.
 struct ReorderPass {
-    /// The ranking version at the beginning of the pass.
+    /// Ranking version at the beginning of the pass.
     version: RankingVersion,
-    /// The last unit that was given its order.
+    /// Last unit that has been reordered.
     last: Option<UnitId>,
 }
 
@@ -39,15 +39,15 @@
     pub(crate) order: u64,
 }
 
-/// Users' accounts, and how far the order of pending units follows them.
+/// The users' accounts, and the progress of reordering pending units after a new ranking.
 pub(crate) struct FairShare {
     accounts: FairShareAccounts,
-    /// None while all pending units have their order by the newest ranking.
+    /// `None` while all pending units have their order by the newest ranking.
     pass: Option<ReorderPass>,
 }
 
 impl FairShare {
-    /// Continues from the replicated records of [`KEY_PREFIXES`].
+    /// Restores the accounts from the replicated records under [`KEY_PREFIXES`].
     pub(crate) fn recover(
         settings: FairShareSettings,
         epoch: u64,
@@ -58,7 +58,7 @@
         let unreadable = accounts.unreadable_users().len();
         if unreadable > 0 {
             log::warn!(
-                "fair share: {unreadable} usage records are unreadable: their users start without usage"
+                "fair share: {unreadable} usage records are unreadable; their users start without usage"
             );
         }
         FairShare {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The ranking version, its age, and the users with the largest usage.
+    /// Returns the ranking version, its age, and the users with the largest usage.
     pub(crate) fn status(&self, now: Millis) -> FairShareStatus {
         let mut users: Vec<UserUsage> = self
             .accounts
@@ -85,18 +85,18 @@
         }
     }
 
-    /// A user's usage.
+    /// Returns a user's usage at the time `now`.
     pub(crate) fn usage_of(&self, now: Millis, user: &Arc<str>) -> UserUsage {
         self.accounts.usage_of(now, user)
     }
 
-    /// The user that is charged for a job; none where the job is unknown.
+    /// Returns the user that is charged for a job; `None` if the job is unknown.
     pub(crate) fn user_of(&self, jobs: &JobTable, job: &JobId) -> Option<Arc<str>> {
         let queue = jobs.queue_of(job)?;
         Some(self.accounts.settings().user_of(&queue))
     }
 
-    /// A unit's order within its priority.
+    /// Returns a unit's order within its priority.
     pub(crate) fn order_key(&self, jobs: &JobTable, unit: &Unit) -> u64 {
         match self.user_of(jobs, &unit.id.step.job) {
             Some(user) => self.accounts.order_key(&user, unit.priority, unit.order),
@@ -104,7 +104,7 @@
         }
     }
 
-    /// A run has been allocated its capacity.
+    /// Starts charging a run that has been allocated its capacity.
     pub(crate) fn on_run_started(
         &mut self,
         now: Millis,
@@ -118,8 +118,8 @@
         }
     }
 
-    /// A worker reports that a run has finished. To be called before the job table learns of it, as the state of the job
-    /// up to then decides whether the user pays.
+    /// Charges a run that a worker has reported as finished. Must be called before the job table processes
+    /// the outcome, because the job's state before it decides whether the user is charged.
     pub(crate) fn on_run_finished(
         &mut self,
         now: Millis,
@@ -132,7 +132,7 @@
         let is_job_over = matches!(state, Some(JobState::Cancelled | JobState::Failed));
         let charge = match outcome {
             RunEnd::Done | RunEnd::Failed => UsageCharge::Full,
-            // The user had it stopped, its own job failed, or nothing of its work is lost.
+            // The user cancelled the job, the job itself failed, or a checkpoint preserves the work.
             RunEnd::Stopped if is_job_over || !checkpoint.is_empty() => UsageCharge::Full,
             RunEnd::Stopped
             | RunEnd::LeaseExpired
@@ -143,14 +143,16 @@
         self.accounts.on_run_finished(now, run, charge);
     }
 
-    /// A run's capacity is released. One that was not reported as finished is not charged.
+    /// Ends the charging of a run whose capacity is released. A run that was not reported as finished is not
+    /// charged.
     pub(crate) fn on_run_released(&mut self, now: Millis, run: &RunId) {
         self.accounts
             .on_run_finished(now, run, UsageCharge::Nothing);
     }
 
-    /// Makes a new ranking version where one is due; returns its writes. A pass over the pending units begins with it,
-    /// unless one is under way: that one goes to its end first, or the last units of a long queue would never be reached.
+    /// Creates a new ranking version if one is due, and returns its writes. A pass over the pending units
+    /// starts with it, unless one is in progress. That pass finishes first, because restarting it would never
+    /// reach the last units of a long queue.
     pub(crate) fn publish_ranking(&mut self, now: Millis) -> Vec<Write> {
         let writes = self.accounts.publish_if_due(now);
         if !writes.is_empty() && self.pass.is_none() {
@@ -162,7 +164,7 @@
         writes
     }
 
-    /// The next units of the pass, with their order by the newest ranking.
+    /// Returns the next units of the pass, with their order by the newest ranking.
     pub(crate) fn next_reordered_units(
         &mut self,
         jobs: &JobTable,
@@ -195,7 +197,7 @@
         units
     }
 
-    /// A pending unit is reordered when its order has changed by more than this.
+    /// Difference in order, in milliseconds, above which a pending unit is reordered.
     pub(crate) fn min_shift_ms(&self) -> Millis {
         self.accounts.settings().max_delay_ms / MIN_SHIFT_DIVISOR
     }
--- a/crates/scheduler/src/hedging.rs
+++ b/crates/scheduler/src/hedging.rs
@@ -1,8 +1,9 @@
-//! Speculative second runs of hedged tasks.
+//! Hedging: speculative second runs of hedged tasks.
 //!
-//! A hedged task may run twice at once, and whichever run finishes first counts. The second run takes only capacity that
-//! is free, so it costs others nothing. It is requested as soon as the first one looks as if it would finish late: its
-//! worker or agent is unresponsive, it has not started, it has stalled, or its worker is slow.
+//! A hedged task may have two concurrent runs, and the first one to finish counts. The second run uses only
+//! free capacity, so it does not delay other tasks. It is requested as soon as the first run is expected to
+//! finish late: its worker or agent is unresponsive, it has not started, it has stalled, or its worker is
+//! slow.
 
 use crate::cluster_state::ClusterState;
 use crate::runs::{ActiveRun, RunPhase, MIN_PERCENT_TO_EXTRAPOLATE};
@@ -10,16 +11,17 @@
 use streamusher_placement::Mechanism;
 use streamusher_protocol::Millis;
 
-/// A run usually starts within 0.1 s of its command, and within 0.6 s where many are started at once.
+/// A run usually starts within 0.1 s of its command, and within 0.6 s when many are started at once.
 const START_TIMEOUT_MS: Millis = 800;
-/// A run whose progress does not rise for so long, at three reports a second, is not merely slow.
+/// Minimum time without progress after which a run counts as stalled. At three progress reports per second, a
+/// run without progress for this long is not merely slow.
 const MIN_STALL_TIMEOUT_MS: Millis = 900;
-/// Workers differ by a quarter in speed, and estimates are rough: from this factor on a worker counts as slow.
+/// Worker speeds differ by a quarter and estimates are rough. A worker counts as slow from this factor on.
 const SLOW_FACTOR: f64 = 2.0;
-/// What a second run takes beyond the task's work: to be commanded, and to start.
+/// Time that a second run needs in addition to the task's work: until it is commanded and has started.
 const SECOND_RUN_START_DELAY_MS: f64 = 200.0;
 
-/// Requests speculative second runs of the hedged runs that look late; once for each.
+/// Requests a speculative second run for each hedged run that is expected to finish late, once per run.
 pub(crate) fn request_second_runs(state: &mut ClusterState, now: Millis) {
     if !state.settings.policy.is_enabled(Mechanism::Hedging) {
         return;
@@ -33,7 +35,7 @@
         }
         if state.jobs.hedge(&id) {
             log::debug!(
-                "run {} of task {} looks late: requesting a speculative second run",
+                "run {} of task {} is expected to finish late; requesting a speculative second run",
                 id.run,
                 id.task
             );
@@ -49,7 +51,7 @@
     let heartbeat_age_ms = heartbeat_age_ms(&state.workers, &state.agents, now, &run.worker);
     let phase_age_ms = run.phase_duration_ms(now);
     if is_terminated || heartbeat_age_ms > HEARTBEAT_TIMEOUT_MS {
-        // A new primary hears all agents before it takes any run for late.
+        // A new primary must have received reports from all agents before it considers a run late.
         return phase_age_ms > HEARTBEAT_TIMEOUT_MS;
     }
     match run.phase {
@@ -62,7 +64,7 @@
     run.stalled_ms(now) > MIN_STALL_TIMEOUT_MS.max(run.max_ms_per_percent())
 }
 
-/// Whether a worker of usual speed would finish sooner, though it would start now.
+/// Whether a worker of usual speed would finish the task sooner even if it started it now.
 fn is_slow(state: &ClusterState, now: Millis, run: &ActiveRun) -> bool {
     if run.percent < MIN_PERCENT_TO_EXTRAPOLATE {
         return false;
--- a/crates/scheduler/src/json_body.rs
+++ b/crates/scheduler/src/json_body.rs
@@ -3,17 +3,17 @@
 use serde::Serialize;
 use std::sync::Arc;
 
-/// The body of an error.
+/// Body of an error response.
 #[derive(Serialize)]
 pub(crate) struct ErrorBody<'a> {
-    /// What is wrong.
+    /// Description of the error.
     pub(crate) error: &'a str,
-    /// The current version of the configuration, where the request named another one.
+    /// Current version of the configuration, if the request named a different one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(crate) version: Option<u64>,
 }
 
-/// The JSON text of a body.
+/// Encodes a response body as JSON.
 pub(crate) fn to_json(body: &impl Serialize) -> Arc<str> {
     serde_json::to_string(body).unwrap_or_default().into()
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,11 +1,13 @@
 //! The control plane's scheduler: the state machine of the elected primary.
 //!
-//! [`Scheduler`] joins jobs, placement, the configuration, workers' leases and fair share. It performs no I/O and takes
-//! the current time as an argument. Each [`Event`] yields [`Effects`]: changes of the replicated state, and responses
-//! that may be sent only when all changes up to them are committed and the primary's lease is valid. That rule is the
-//! caller's. With it, nothing that was told to anyone can be lost, and no task is started twice by two primaries.
+//! [`Scheduler`] combines jobs, placement, the configuration, worker leases and fair share. It performs no
+//! I/O and takes the current time as an argument. Each [`Event`] yields [`Effects`]: changes of the
+//! replicated state, and responses that may be sent only when all changes up to them are committed and the
+//! primary's lease is valid. The caller must enforce this rule. It guarantees that nothing a response has
+//! acknowledged is lost, and that no task is started twice by two primaries.
 //!
-//! A primary begins with [`Scheduler::recover`] from the replicated state, and learns the rest from agents' reports.
+//! A new primary starts with [`Scheduler::recover`] from the replicated state, and learns the rest from
+//! agents' reports.
 //!
 //! ```
 //! use streamusher_protocol::internal::{ClientMethod, ClientRequest};
@@ -40,17 +42,17 @@
 //!
 //! # Modules
 //!
-//! Each layer uses only those below it:
+//! Each layer uses only the layers below it:
 //!
 //! - `scheduler`: dispatches events.
-//! - `client_requests`, `operator_requests`, `agent_sync`, `worker_report`, `commands`: one kind of request each, and
-//!   the responses.
-//! - `worker_liveness`, `run_timeouts`, `hedging`: what happens as time passes.
-//! - `recovery`, `explain`, `long_running_report`: takeover by a new primary; explanations for operators; log lines of
-//!   long-running tasks that are not at work.
+//! - `client_requests`, `operator_requests`, `agent_sync`, `worker_report`, `commands`: each handles one kind
+//!   of request and its responses.
+//! - `worker_liveness`, `run_timeouts`, `hedging`: periodic checks and time-outs.
+//! - `recovery`, `explain`, `long_running_report`: takeover by a new primary, explanations for operators, and
+//!   log lines about long-running tasks that are not running.
 //! - `cluster_state`: the state, and the transitions that keep its parts consistent.
-//! - `runs`, `workers`, `agents`, `fair_share`, `penalty_store`, `objective_report`: the parts of the state, each with
-//!   what it owns.
+//! - `runs`, `workers`, `agents`, `fair_share`, `penalty_store`, `objective_report`: the individual parts of
+//!   the state.
 //! - `event`, `settings`, `status`, `json_body`: types of the interface.
 
 mod agent_sync;
--- a/crates/scheduler/src/long_running_report.rs
+++ b/crates/scheduler/src/long_running_report.rs
@@ -1,7 +1,8 @@
-//! Log lines of long-running jobs with tasks that are not at work, and what those tasks wait for.
+//! Log lines about long-running jobs with tasks that are not running, and the reasons why those tasks wait.
 //!
-//! Such a job never completes, so that it has no latency breakdown: without these lines nothing tells that it runs at a
-//! part of its width. One line holds all jobs, as lines of one call site are limited.
+//! A long-running job never completes, so it has no latency breakdown. Without these lines nothing shows that
+//! it runs with only a part of its tasks. One line contains all jobs, because the number of lines from one
+//! call site is limited.
 
 use crate::cluster_state::ClusterState;
 use crate::run_timeouts::{has_started_up, is_heartbeat_overdue};
@@ -15,59 +16,59 @@
 use streamusher_protocol::unit::{StepId, UnitId};
 use streamusher_protocol::{Millis, Now};
 
-/// Precedes the JSON of a list of [`LongRunningShortfall`] in a log line. Tools parse the line.
+/// Prefix of the log line, followed by a JSON list of [`LongRunningShortfall`]. Tools parse the line.
 pub const LONG_RUNNING_SHORTFALL_PREFIX: &str = "long-running tasks not at work: ";
 
-/// Between two reports.
+/// Interval between two reports.
 const REPORT_INTERVAL_MS: Millis = 2_000;
-/// A job is reported while less than this share of its tasks is at work.
+/// A job is reported while less than this fraction of its tasks is running.
 const MIN_RUNNING_FRACTION: f64 = 0.9;
-/// A job is not reported in its first moments: its tasks start up.
+/// Time after submission during which a job is not reported, because its tasks are starting.
 const STARTUP_GRACE_MS: Millis = 2_000;
-/// Pending units of a job that are explained; the others are counted.
+/// Maximum number of pending units per job that are explained. The others are only counted.
 const MAX_EXPLAINED_UNITS: usize = 16;
-/// Jobs in one line: those with the smallest share of tasks at work.
+/// Maximum number of jobs in one line. Those with the smallest fraction of running tasks are reported.
 const MAX_REPORTED_JOBS: usize = 10;
 
-/// A long-running job of which tasks are not at work.
+/// A long-running job with tasks that are not running.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LongRunningShortfall {
-    /// The job.
+    /// Identifier of the job.
     pub job: JobId,
-    /// Its queue.
+    /// Queue that the job was submitted to.
     pub queue: Arc<str>,
-    /// Time since it was submitted or due, in milliseconds.
+    /// Time since the job was submitted or due, in milliseconds.
     pub age_ms: Millis,
-    /// Its tasks.
+    /// Number of the job's tasks.
     pub tasks: u32,
-    /// Tasks that are at work, at workers that are heard.
+    /// Tasks that are running on responsive workers.
     #[serde(rename = "at_work")]
     pub running: u32,
-    /// Tasks that are at work by the last report of a worker that is not heard now.
+    /// Tasks that were running according to the last report of a worker that is now unresponsive.
     #[serde(rename = "unheard")]
     pub unresponsive: u32,
-    /// Tasks whose start was commanded and that have not started up yet.
+    /// Tasks whose start has been commanded and that have not finished starting up.
     pub starting: u32,
     /// Tasks whose run is to be stopped.
     pub stopping: u32,
-    /// Tasks that wait for the end of the backoff before a restart.
+    /// Tasks in the backoff before a restart.
     pub backing_off: u32,
     /// Tasks that wait for placement.
     pub pending: u32,
-    /// Pending units that were explained, by their reason.
+    /// Number of explained pending units for each wait reason.
     pub reasons: BTreeMap<WaitReason, u32>,
-    /// The explanation of the one among these that has waited longest.
+    /// Explanation of the longest wait among the explained pending units.
     pub longest_wait: Option<WaitExplanation>,
 }
 
-/// When the next report is due.
+/// Schedules the periodic report.
 #[derive(Debug, Default)]
 pub(crate) struct LongRunningReport {
     next_at: Millis,
 }
 
 impl LongRunningReport {
-    /// Logs the long-running jobs with tasks that are not at work, where a report is due.
+    /// Logs the long-running jobs with tasks that are not running, if a report is due.
     pub(crate) fn log_if_due(&mut self, state: &ClusterState, now: Now) {
         if now.steady_ms < self.next_at {
             return;
@@ -93,7 +94,7 @@
     }
 }
 
-/// The shortfall of a job that is to be reported.
+/// Returns the shortfall of a job that must be reported.
 fn reported_shortfall(
     state: &ClusterState,
     now: Now,
@@ -161,7 +162,7 @@
 }
 
 impl LongRunningShortfall {
-    /// Share of the tasks that is at work.
+    /// Fraction of the job's tasks that are running on responsive workers.
     pub fn running_fraction(&self) -> f64 {
         f64::from(self.running) / f64::from(self.tasks.max(1))
     }
--- a/crates/scheduler/src/objective_report.rs
+++ b/crates/scheduler/src/objective_report.rs
@@ -1,10 +1,10 @@
-//! Log lines of jobs that missed their latency objective, and the stages by which they account for the time.
+//! Log lines about jobs that missed their latency objective, with the breakdown of their latency into stages.
 
 use streamusher_jobs::{Completion, LatencyBreakdown, LatencyStage};
 use streamusher_placement::{TimeWaited, WaitReason};
 
-/// Precedes the JSON of a [`Completion`] in the log line of a job that failed or ended later than its queue's objective.
-/// Tools parse the line.
+/// Prefix of the log line for a job that failed or finished later than its queue's objective, followed by the
+/// JSON of a [`Completion`]. Tools parse the line.
 pub const OBJECTIVE_MISSED_PREFIX: &str = "objective missed: ";
 
 /// Logs a job that missed its objective.
@@ -23,7 +23,7 @@
     }
 }
 
-/// The latency breakdown of what a unit waited for.
+/// Converts the reasons for which a unit waited into a latency breakdown.
 pub(crate) fn latency_of_waits(waits: &[TimeWaited]) -> LatencyBreakdown {
     let mut breakdown = LatencyBreakdown::default();
     for wait in waits {
--- a/crates/scheduler/src/operator_requests.rs
+++ b/crates/scheduler/src/operator_requests.rs
@@ -1,4 +1,4 @@
-//! Operators' requests about the configuration.
+//! Handles operator requests about the configuration.
 
 use crate::client_requests::queue_policy;
 use crate::event::{OperatorRequest, OperatorRequestKind, OperatorResponse};
@@ -8,15 +8,15 @@
 use streamusher_jobs::JobTable;
 use streamusher_protocol::store::Write;
 
-/// The JSON body of a change that is or was applied.
+/// JSON body of the response to a change that has been applied, now or earlier.
 #[derive(Serialize)]
 struct VersionBody {
     version: u64,
 }
 
-/// What a request leads to.
+/// Result of an operator's request.
 pub(crate) struct OperatorOutcome {
-    /// To be sent once the writes are committed.
+    /// Response, to be sent once the writes are committed.
     pub(crate) response: OperatorResponse,
     /// Changes of the replicated state.
     pub(crate) writes: Vec<Write>,
@@ -31,7 +31,7 @@
     }
 }
 
-/// Carries out an operator's request.
+/// Executes an operator's request.
 pub(crate) fn on_operator_request(
     configuration: &mut ConfigurationStore,
     jobs: &mut JobTable,
@@ -39,7 +39,7 @@
 ) -> OperatorOutcome {
     let outcome = match (request.kind, request.base) {
         (OperatorRequestKind::Read, _) => {
-            return OperatorOutcome::without_writes(read(configuration));
+            return OperatorOutcome::without_writes(read_configuration(configuration));
         }
         (_, None) => {
             let error = "the header Streamusher-Base-Version must name the current version";
@@ -56,7 +56,7 @@
     outcome
 }
 
-fn read(configuration: &ConfigurationStore) -> OperatorResponse {
+fn read_configuration(configuration: &ConfigurationStore) -> OperatorResponse {
     match configuration.text() {
         Some(body) => OperatorResponse { status: 200, body },
         None => error_response(404, "no configuration was taken yet", None),
--- a/crates/scheduler/src/penalty_store.rs
+++ b/crates/scheduler/src/penalty_store.rs
@@ -1,8 +1,8 @@
-//! Workers' penalties in the replicated state: a new primary need not learn them anew.
+//! Workers' penalties in the replicated state, so that a new primary inherits them.
 //!
-//! Placement adds a penalty to a worker's rank for each run that fails or stalls there, and the penalty decays within
-//! seconds. One that matters is written once a second at most, and again when it has changed by a quarter. The stored
-//! value is the penalty in tenths of a task.
+//! Placement adds a penalty to a worker's rank for each run that fails or stalls there, and the penalty
+//! decays within seconds. A penalty above a threshold is written at most once per second, and again when it
+//! has changed by a quarter. The stored value is the penalty in tenths of a task.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,18 +10,19 @@
 use streamusher_protocol::unit::WorkerId;
 use streamusher_protocol::Millis;
 
-/// Keys of the replicated state that hold a penalty; the worker's identifier follows.
+/// Prefix of the replicated keys that store a penalty. The worker's identifier follows the prefix.
 pub(crate) const KEY_PREFIX: &str = "judgement/";
 
-/// Between two comparisons of stored and present penalties.
+/// Interval between two comparisons of stored and current penalties.
 const UPDATE_INTERVAL_MS: Millis = 1_000;
-/// Penalties from here on are written: half of what makes a worker run one task at a time.
+/// Penalties from this value on are written. It is half of the penalty that limits a worker to one task at a
+/// time.
 const MIN_WRITTEN_TENTHS: u32 = 15;
-/// Below this a stored one is removed.
+/// Stored penalties below this value are removed.
 const MIN_RETAINED_TENTHS: u32 = 10;
-/// A penalty is written again when it has changed by this part.
+/// A penalty is written again if it has changed by more than the stored value divided by this.
 const MIN_CHANGE_DIVISOR: u32 = 4;
-/// Penalties of workers that a new primary has not heard for so long are removed.
+/// Time after which a new primary removes stored penalties of workers that have not been reported to it.
 const RECOVERY_GRACE_MS: Millis = 10_000;
 
 /// The penalties that the replicated state holds.
@@ -29,35 +30,35 @@
 pub(crate) struct PenaltyStore {
     stored_tenths: BTreeMap<WorkerId, u32>,
     next_update_at: Millis,
-    /// Until then a worker that is not known may still be reported.
+    /// End of the time during which penalties of workers that are not reported yet are kept.
     grace_ends_at: Millis,
 }
 
 impl PenaltyStore {
-    /// The penalties of a former primary; records that cannot be read are ignored.
+    /// Reads the stored penalties of the former primary. Unreadable records are ignored.
     pub(crate) fn recover(
         now: Millis,
         records: impl Iterator<Item = (Arc<str>, Arc<str>)>,
     ) -> PenaltyStore {
-        let read = |(key, value): (Arc<str>, Arc<str>)| {
+        let parse = |(key, value): (Arc<str>, Arc<str>)| {
             let worker: WorkerId = key.strip_prefix(KEY_PREFIX)?.into();
             Some((worker, value.parse().ok()?))
         };
         PenaltyStore {
-            stored_tenths: records.filter_map(read).collect(),
+            stored_tenths: records.filter_map(parse).collect(),
             next_update_at: now,
             grace_ends_at: now + RECOVERY_GRACE_MS,
         }
     }
 
-    /// The stored penalties, in tasks.
+    /// Iterates over the stored penalties, in tasks.
     pub(crate) fn penalties(&self) -> impl Iterator<Item = (&WorkerId, f64)> {
         self.stored_tenths
             .iter()
             .map(|(worker, tenths)| (worker, f64::from(*tenths) / 10.0))
     }
 
-    /// Removes the penalty of a worker that is removed.
+    /// Removes the penalty of a worker that is being removed, and returns the write.
     pub(crate) fn remove(&mut self, worker: &WorkerId) -> Option<Write> {
         self.stored_tenths.remove(worker).map(|_| removal(worker))
     }
@@ -67,19 +68,19 @@
         now >= self.next_update_at
     }
 
-    /// Follows the present penalties, in tasks; returns the writes.
+    /// Updates the stored penalties to the current ones, in tasks, and returns the writes.
     pub(crate) fn update<'a>(
         &mut self,
         now: Millis,
         penalties: impl Iterator<Item = (&'a WorkerId, f64)>,
     ) -> Vec<Write> {
         self.next_update_at = now + UPDATE_INTERVAL_MS;
-        let present_tenths: BTreeMap<&WorkerId, u32> = penalties
+        let current_tenths: BTreeMap<&WorkerId, u32> = penalties
             .map(|(worker, penalty)| (worker, to_tenths(penalty)))
             .filter(|(_, tenths)| *tenths > 0)
             .collect();
-        let mut writes = self.remove_decayed(now, &present_tenths);
-        for (worker, tenths) in present_tenths {
+        let mut writes = self.remove_decayed(now, &current_tenths);
+        for (worker, tenths) in current_tenths {
             let stored = self.stored_tenths.get(worker).copied().unwrap_or(0);
             let has_changed = stored.abs_diff(tenths) * MIN_CHANGE_DIVISOR > stored;
             if tenths >= MIN_WRITTEN_TENTHS && has_changed {
@@ -91,11 +92,11 @@
         writes
     }
 
-    fn remove_decayed(&mut self, now: Millis, present: &BTreeMap<&WorkerId, u32>) -> Vec<Write> {
+    fn remove_decayed(&mut self, now: Millis, current: &BTreeMap<&WorkerId, u32>) -> Vec<Write> {
         let within_grace_period = now < self.grace_ends_at;
         let mut writes = Vec::new();
         self.stored_tenths.retain(|worker, _| {
-            let keep = present
+            let keep = current
                 .get(worker)
                 .map_or(within_grace_period, |tenths| *tenths >= MIN_RETAINED_TENTHS);
             if !keep {
@@ -109,7 +110,7 @@
 
 #[expect(
     clippy::cast_possible_truncation,
-    reason = "`as` saturates, and penalties are some tasks"
+    reason = "`as` saturates, and a penalty is only a few tasks"
 )]
 fn to_tenths(penalty: f64) -> u32 {
     (penalty * 10.0).round() as u32
--- a/crates/scheduler/src/recovery.rs
+++ b/crates/scheduler/src/recovery.rs
@@ -1,7 +1,7 @@
-//! Takeover by a new primary, from the replicated state.
+//! Recovery of the scheduler's state when a new primary takes over.
 //!
-//! The replicated state holds jobs, tasks with their assigned runs, the configuration, the agents of workers that run
-//! something, penalties and users' usage. All else is learnt from agents' reports.
+//! The replicated state holds jobs, tasks with their assigned runs, the configuration, the agents of workers
+//! that have runs, penalties and users' usage. Everything else is learned from agents' reports.
 
 use crate::cluster_state::{ClusterState, WORKER_KEY_PREFIX};
 use crate::fair_share::{self, FairShare};
@@ -16,28 +16,29 @@
 use streamusher_protocol::unit::WorkerId;
 use streamusher_protocol::{Millis, Now};
 
-/// Keys of the replicated state that belong to the job table.
+/// Prefixes of the replicated keys that belong to the job table.
 const JOB_KEY_PREFIXES: &[&str] = &["job/", "task/"];
-/// Keys of the replicated state that belong to the configuration.
+/// Prefixes of the replicated keys that belong to the configuration.
 const CONFIGURATION_KEY_PREFIXES: &[&str] = &["config/", "order/", "refused/"];
-/// The first command revision of each agent: the commands of a new primary leave out at once what is to be stopped.
+/// Command revision of an agent's first commands. A new primary's first commands already omit the runs that
+/// are to be stopped.
 const FIRST_REVISION: u64 = 1;
 
 /// The replicated state cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum RecoverError {
-    /// The record of a job or task.
+    /// The record of a job or task is unreadable.
     #[error("job record: {0}")]
     Jobs(#[from] streamusher_jobs::RecordError),
-    /// A record of the configuration.
+    /// A record of the configuration is unreadable.
     #[error("configuration: {0}")]
     Configuration(#[from] streamusher_configuration::RecordError),
 }
 
-/// A key and its value.
+/// Key and value of a replicated record.
 type Record = (Arc<str>, Arc<str>);
 
-/// Reads the replicated state, and enqueues all that is pending.
+/// Restores the state from the replicated records, and enqueues all pending units.
 pub(crate) fn recover(
     settings: SchedulerSettings,
     epoch: u64,
@@ -67,7 +68,8 @@
     }
     restore_workers(&mut state, now.steady_ms, records);
     restore_runs(&mut state, now);
-    // All that is pending is enqueued here: recovery runs beside the event loop, the first event does not.
+    // Pending units are enqueued here because recovery runs outside the event loop, while the first event is
+    // handled inside it.
     state.apply_job_changes(now);
     Ok((state, configuration))
 }
@@ -83,7 +85,7 @@
         .cloned()
 }
 
-/// When the leases that former primaries granted have expired at the latest.
+/// Latest time at which the leases granted by former primaries expire.
 fn former_leases_expire_at(state: &ClusterState, now: Millis) -> Millis {
     if cfg!(feature = "mutant-takeover-wait") {
         now
@@ -92,7 +94,7 @@
     }
 }
 
-/// Workers that had runs: the agent of each is known, all else will be reported.
+/// Restores the workers that had runs. Only the agent of each is known; everything else will be reported.
 fn restore_workers(state: &mut ClusterState, now: Millis, records: &[Record]) {
     let lease_expires_at = former_leases_expire_at(state, now);
     for (key, value) in records {
--- a/crates/scheduler/src/run_timeouts.rs
+++ b/crates/scheduler/src/run_timeouts.rs
@@ -1,4 +1,5 @@
-//! Runs that are stopped to be rescheduled: they stall, do not start in time, or would outlast their worker.
+//! Stops runs that must be rescheduled: they have stalled, have not started in time, or would outlast their
+//! worker.
 
 use crate::cluster_state::ClusterState;
 use crate::runs::{ActiveRun, RunPhase};
@@ -9,18 +10,20 @@
 use streamusher_protocol::unit::WorkerId;
 use streamusher_protocol::Millis;
 
-/// A run whose progress does not rise for so long is stalled, where its estimate does not allow more: progress is
-/// reported three times a second.
+/// Minimum time without progress after which a run counts as stalled; the run's estimate may allow more.
+/// Progress is reported three times per second.
 const MIN_STALL_TIMEOUT_MS: Millis = 1_500;
-/// A long-running task has started up from here on and reports no more progress. Rounding may leave it a little below
-/// 100.
+/// Progress from which on a long-running task counts as started up; it reports no further progress. Rounding
+/// may leave it slightly below 100.
 const STARTED_UP_PERCENT: f64 = 95.0;
-/// A run that has not started after so long is withdrawn: agents forward commands within a second.
+/// Time after which the start command of an unstarted run is withdrawn. Agents forward commands within a
+/// second.
 const START_TIMEOUT_MS: Millis = 2_000;
-/// Kept between the expected end of a run and the time at which its worker leaves.
+/// Minimum time between the expected end of a run and the departure of its draining worker.
 const DRAIN_MARGIN_MS: Millis = 300;
 
-/// Stops stalled runs. While a worker is not heard nothing is known of its runs: that time does not count as stalled.
+/// Stops stalled runs. While a worker is unresponsive, the progress of its runs is unknown, so that time does
+/// not count as stalled.
 pub(crate) fn check_stalled(state: &mut ClusterState, now: Millis) {
     exclude_time_without_heartbeats(state, now);
     let stalled = state.runs.ids_where(|run| is_stalled(state, now, run));
@@ -43,7 +46,7 @@
     }
 }
 
-/// Whether the worker has not been heard for so long that nothing is known of its runs.
+/// Whether the worker's last heartbeat is so old that the state of its runs is unknown.
 pub(crate) fn is_heartbeat_overdue(state: &ClusterState, now: Millis, worker: &WorkerId) -> bool {
     heartbeat_age_ms(&state.workers, &state.agents, now, worker) > HEARTBEAT_TIMEOUT_MS
 }
@@ -58,13 +61,14 @@
     may_stall && !has_started_up(run) && run.stalled_ms(now) > stall_timeout_ms(state, run)
 }
 
-/// Whether a long-running task is at work.
+/// Whether a long-running task has finished starting up.
 pub(crate) fn has_started_up(run: &ActiveRun) -> bool {
     let runs = run.phase == RunPhase::Running;
     runs && run.profile.long_running && run.percent >= STARTED_UP_PERCENT
 }
 
-/// Longest time without progress: by the estimate, and with the time that is spent before the first progress.
+/// Maximum time without progress: derived from the estimate, plus the time that passes before the first
+/// progress.
 fn stall_timeout_ms(state: &ClusterState, run: &ActiveRun) -> Millis {
     let limits = &state.settings.limits;
     let gang_ms = if run.profile.in_gang {
@@ -83,7 +87,7 @@
 fn on_run_stalled(state: &mut ClusterState, now: Millis, id: &RunId) {
     if let Some(run) = state.runs.get(id) {
         log::warn!(
-            "run {} of task {} stalled at worker {}: stopping it to reschedule",
+            "run {} of task {} stalled at worker {}; stopping it to reschedule",
             id.run,
             id.task,
             run.worker
@@ -94,15 +98,16 @@
     state.stop_run(id);
 }
 
-/// Withdraws what has not started at an unresponsive worker or in time. It is rescheduled as soon as the agent confirms
-/// that it will not start there. While the agent itself is not heard nothing is known: the run may well have started.
+/// Withdraws the start commands of runs that have not started in time or whose worker is unresponsive. Such a
+/// run is rescheduled as soon as the agent confirms that it will not start there. While the agent itself is
+/// unresponsive the command is not withdrawn, because the run may have started.
 pub(crate) fn check_unstarted(state: &mut ClusterState, now: Millis) {
     let unstarted = state.runs.ids_where(|run| {
         run.phase == RunPhase::Starting && !run.is_stopping() && is_start_overdue(state, now, run)
     });
     for id in unstarted {
         log::debug!(
-            "run {} of task {} has not started: withdrawing its start command",
+            "run {} of task {} has not started; withdrawing its start command",
             id.run,
             id.task
         );
@@ -118,12 +123,12 @@
         Responsiveness::AgentUnresponsive => false,
         Responsiveness::WorkerUnresponsive => true,
         Responsiveness::Responsive => {
-            worker.terminated || now > run.phase_began_at + START_TIMEOUT_MS
+            worker.terminated || now > run.phase_started_at + START_TIMEOUT_MS
         }
     }
 }
 
-/// Stops runs that would outlast their draining worker.
+/// Stops runs that would outlast their draining worker, so that they are rescheduled.
 pub(crate) fn check_draining(state: &mut ClusterState, now: Millis) {
     if !state.settings.policy.is_enabled(Mechanism::Migration) {
         return;
@@ -133,7 +138,7 @@
         .ids_where(|run| !run.is_stopping() && outlasts_worker(state, now, run));
     for id in outlasting {
         log::info!(
-            "run {} of task {} would outlast its draining worker: stopping it to reschedule",
+            "run {} of task {} would outlast its draining worker; stopping it to reschedule",
             id.run,
             id.task
         );
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -1,4 +1,4 @@
-//! Runs that hold capacity of a worker: from the start command to the proof that they are over.
+//! Active runs, which hold capacity of a worker from the start command until they are proven to be over.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -6,28 +6,28 @@
 use streamusher_protocol::unit::WorkerId;
 use streamusher_protocol::Millis;
 
-/// Progress from which on the remaining time is extrapolated from it; below, the estimate is the better guide.
+/// Progress from which on the remaining time is extrapolated. Below it, the estimate is more accurate.
 pub(crate) const MIN_PERCENT_TO_EXTRAPOLATE: f64 = 8.0;
-/// Progress is reported in percent: a slow run may take this many hundredths of its estimate for one percent.
+/// Progress is reported in percent. A slow run may take this many hundredths of its estimate for one percent.
 const SLOW_RUN_HUNDREDTHS_PER_PERCENT: Millis = 12;
 
-/// How far a run is known to be.
+/// The phase of a run, as far as the primary knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunPhase {
-    /// The start command is issued; the worker has not reported the run yet.
+    /// The start command has been issued, and the worker has not reported the run yet.
     Starting,
     /// The worker has reported the run as running.
     Running,
 }
 
-/// What is known of a run from its unit.
+/// Properties of a run that derive from its unit.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RunProfile {
-    /// Estimated duration; 0 where there is none.
+    /// Estimated duration; 0 if there is no estimate.
     pub(crate) estimated_ms: Millis,
     pub(crate) long_running: bool,
     pub(crate) in_gang: bool,
-    /// A speculative second run may be requested; each run requests one at most.
+    /// Whether a speculative second run may be requested. Each run requests at most one.
     pub(crate) may_hedge: bool,
 }
 
@@ -36,24 +36,25 @@
 pub(crate) struct ActiveRun {
     pub(crate) worker: WorkerId,
     pub(crate) phase: RunPhase,
-    /// Sent to the worker with the start command.
+    /// Task specification, sent to the worker with the start command.
     pub(crate) spec: Arc<str>,
-    /// The checkpoint to continue from; empty for none. Sent with the start command.
+    /// Checkpoint to continue from, sent with the start command; empty if there is none.
     pub(crate) checkpoint: Arc<str>,
     pub(crate) profile: RunProfile,
-    /// Set once the run is to be stopped: the agent's commands from this revision on no longer contain its start.
+    /// Set once the run is to be stopped. From this revision on, the agent's commands no longer contain the
+    /// run's start.
     pub(crate) stop_revision: Option<u64>,
-    /// When the phase began.
-    pub(crate) phase_began_at: Millis,
+    /// Time at which the current phase began.
+    pub(crate) phase_started_at: Millis,
     pub(crate) percent: f64,
-    /// When `percent` last rose, or the time up to which nothing could be known of it.
+    /// Time at which `percent` last rose, or up to which the progress could not be known.
     pub(crate) progressed_at: Millis,
-    /// Consecutive reports that should have contained the run and did not.
+    /// Number of consecutive reports that should have contained the run and did not.
     pub(crate) missed_reports: u8,
 }
 
 impl ActiveRun {
-    /// A run whose start command is issued now.
+    /// Creates a run whose start command is issued at `now`.
     pub(crate) fn starting(
         now: Millis,
         worker: WorkerId,
@@ -68,16 +69,16 @@
             checkpoint,
             profile,
             stop_revision: None,
-            phase_began_at: now,
+            phase_started_at: now,
             percent: 0.0,
             progressed_at: now,
             missed_reports: 0,
         }
     }
 
-    /// The time up to now does not count: no agent could read a command in it.
+    /// Excludes the time before `now` from all time-outs, because no agent could read a command during it.
     pub(crate) fn reset_timers(&mut self, now: Millis) {
-        self.phase_began_at = now;
+        self.phase_started_at = now;
         self.progressed_at = now;
     }
 
@@ -86,9 +87,9 @@
         self.stop_revision.is_some()
     }
 
-    /// Time since the phase began.
+    /// Time since the current phase began.
     pub(crate) fn phase_duration_ms(&self, now: Millis) -> Millis {
-        now.saturating_sub(self.phase_began_at)
+        now.saturating_sub(self.phase_started_at)
     }
 
     /// Time without progress.
@@ -96,22 +97,23 @@
         now.saturating_sub(self.progressed_at)
     }
 
-    /// Longest time that a slow run may take for one percent.
+    /// Maximum time that a slow run may take for one percent of progress.
     pub(crate) fn max_ms_per_percent(&self) -> Millis {
         self.profile.estimated_ms * SLOW_RUN_HUNDREDTHS_PER_PERCENT / 100
     }
 
-    /// Takes note that the worker has reported the run as running.
+    /// Records that the worker has reported the run as running.
     pub(crate) fn on_reported_running(&mut self, now: Millis) {
         self.missed_reports = 0;
         if self.phase == RunPhase::Starting {
             self.phase = RunPhase::Running;
-            self.phase_began_at = now;
+            self.phase_started_at = now;
             self.progressed_at = now;
         }
     }
 
-    /// Expected time until the run ends: extrapolated from its progress, or from its estimate while progress is small.
+    /// Expected time until the run ends: extrapolated from its progress, or based on the estimate while
+    /// progress is small.
     #[expect(
         clippy::cast_possible_truncation,
         reason = "`as` saturates, and fractions of a millisecond do not matter"
@@ -126,7 +128,7 @@
     }
 }
 
-/// All active runs, by identifier and by worker.
+/// All active runs, indexed by identifier and by worker.
 #[derive(Default)]
 pub(crate) struct RunTable {
     runs: BTreeMap<RunId, ActiveRun>,
@@ -142,7 +144,7 @@
         self.runs.insert(id, run);
     }
 
-    /// Restarts the clocks of all runs ([`ActiveRun::reset_timers`]).
+    /// Resets the timers of all runs; see [`ActiveRun::reset_timers`].
     pub(crate) fn reset_timers(&mut self, now: Millis) {
         for run in self.runs.values_mut() {
             run.reset_timers(now);
@@ -168,7 +170,7 @@
         Some(run)
     }
 
-    /// The runs at a worker.
+    /// Iterates over the runs at a worker.
     pub(crate) fn at_worker(
         &self,
         worker: &WorkerId,
@@ -177,13 +179,13 @@
         ids.filter_map(|id| Some((id, self.runs.get(id)?)))
     }
 
-    /// Identifiers of the runs at a worker.
+    /// Returns the identifiers of the runs at a worker.
     pub(crate) fn ids_at_worker(&self, worker: &WorkerId) -> Vec<RunId> {
         let ids = self.by_worker.get(worker);
         ids.into_iter().flatten().cloned().collect()
     }
 
-    /// The run of a task at a worker.
+    /// Returns the run of a task at a worker.
     pub(crate) fn find_at_worker(&self, task: &TaskId, worker: &WorkerId) -> Option<RunId> {
         let run_of_task = |run| RunId {
             task: task.clone(),
@@ -195,7 +197,7 @@
             .map(|(id, _)| id.clone())
     }
 
-    /// The runs of a job.
+    /// Iterates over the runs of a job.
     pub(crate) fn of_job(&self, job: &JobId) -> impl Iterator<Item = (&RunId, &ActiveRun)> {
         let first_task = TaskId {
             job: job.clone(),
@@ -217,7 +219,7 @@
         self.runs.iter()
     }
 
-    /// Identifiers of the runs that a condition holds for, in order.
+    /// Returns the identifiers of the runs that satisfy a condition, in order.
     pub(crate) fn ids_where(&self, mut condition: impl FnMut(&ActiveRun) -> bool) -> Vec<RunId> {
         self.iter()
             .filter(|(_, run)| condition(run))
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -19,12 +19,13 @@
 use streamusher_protocol::unit::WorkerId;
 use streamusher_protocol::{Millis, Now};
 
-/// Between two checks of workers and runs.
+/// Interval between two checks of workers and runs.
 const CHECK_INTERVAL_MS: Millis = 100;
 
-/// The primary's state machine.
+/// State machine of the primary.
 ///
-/// It performs no I/O and takes the current time as an argument, so the same events give the same effects.
+/// It performs no I/O and takes the current time as an argument, so the same events always produce the same
+/// effects.
 pub struct Scheduler {
     state: ClusterState,
     configuration: ConfigurationStore,
@@ -33,8 +34,8 @@
 }
 
 impl Scheduler {
-    /// Takes over from a former primary, or begins with an empty state. Leases that a former primary granted expire
-    /// [`max_lease_ms`](crate::SchedulerLimits::max_lease_ms) from now at the latest.
+    /// Recovers the state of a former primary, or starts with an empty one. Leases granted by a former
+    /// primary expire at most [`max_lease_ms`](crate::SchedulerLimits::max_lease_ms) after `now`.
     ///
     /// # Errors
     /// A record of a job, a task or the configuration cannot be read.
@@ -54,13 +55,13 @@
         })
     }
 
-    /// The recovery has ended and events come from now on. With a large state that is seconds after it began, in which no
-    /// agent could read a command: time-outs of runs count from here.
+    /// Must be called when the recovery has ended and events are about to arrive. Recovering a large state
+    /// takes seconds, during which no agent can read a command, so the time-outs of runs start here.
     pub fn on_recovered(&mut self, now: Now) {
         self.state.runs.reset_timers(now.steady_ms);
     }
 
-    /// Handles an event.
+    /// Handles an event and returns the effects that the caller must carry out.
     pub fn handle(&mut self, now: Now, event: Event) -> Effects {
         match event {
             Event::ClientRequest { id, request } => {
@@ -122,12 +123,12 @@
         }
     }
 
-    /// The configuration and its history.
+    /// Returns the configuration and its history.
     pub fn configuration(&self) -> &ConfigurationStore {
         &self.configuration
     }
 
-    /// The scheduler's status, for operators.
+    /// Returns the scheduler's status for operators.
     pub fn status(&self, now: Millis) -> SchedulerStatus {
         let current = self.configuration.current();
         let fair_share = self.state.fair_share.as_ref();
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Pending jobs of each queue that has any.
+    /// Counts the pending jobs of each queue that has any.
     fn pending_jobs(&self) -> BTreeMap<Arc<str>, u64> {
         let Some(configuration) = self.configuration.current() else {
             return BTreeMap::new();
@@ -177,12 +178,12 @@
         pending
     }
 
-    /// Where a job stands; none if it is not known.
+    /// Explains the state of a job; `None` if the job is unknown.
     pub fn explain_job(&self, now: Millis, id: &JobId) -> Option<JobExplanation> {
         explain::explain_job(&self.state, now, id)
     }
 
-    /// A user's decayed usage; none where fair share is switched off.
+    /// Returns a user's decayed usage; `None` if fair share is disabled.
     pub fn explain_user(&self, now: Millis, user: &Arc<str>) -> Option<UserUsage> {
         explain::explain_user(&self.state, now, user)
     }
--- a/crates/scheduler/src/settings.rs
+++ b/crates/scheduler/src/settings.rs
@@ -1,24 +1,25 @@
-//! Settings of the scheduler, and those that it derives for its parts.
+//! Settings of the scheduler, and the settings that it derives for its components.
 
 use streamusher_fair_share::FairShareSettings;
 use streamusher_jobs::JobSettings;
 use streamusher_placement::{PlacementSettings, Policy};
 use streamusher_protocol::Millis;
 
-/// Time limits and cost factors of the deployment.
+/// Time limits and cost factors of a deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct SchedulerLimits {
-    /// Longest time for which a worker may run tasks without contact; also the length of an agent's lease.
+    /// Maximum time for which a worker may run tasks without contact, in milliseconds. Also the duration of
+    /// an agent's lease.
     pub max_lease_ms: Millis,
-    /// Longest time that a worker takes to stop a run.
+    /// Maximum time that a worker takes to stop a run, in milliseconds.
     pub max_stop_ms: Millis,
-    /// Longest time that a gang's member waits for the other members.
+    /// Maximum time that a gang member waits for the other members, in milliseconds.
     pub gang_timeout_ms: Millis,
-    /// For how long the state of an ended job can be read.
+    /// Time for which the state of a finished job can be queried, in milliseconds.
     pub status_retention_ms: Millis,
-    /// Factor by which a run takes longer at a worker that is remote from its data.
+    /// Factor by which a run takes longer on a worker that is remote from its data.
     pub remote_slowdown: f64,
-    /// Time that a run takes to continue from a checkpoint.
+    /// Time that a run takes to continue from a checkpoint, in milliseconds.
     pub checkpoint_restore_ms: Millis,
 }
 
@@ -39,13 +40,14 @@
 /// Settings of a [`Scheduler`](crate::Scheduler).
 #[derive(Clone, Debug)]
 pub struct SchedulerSettings {
-    /// Limits of the deployment.
+    /// Time limits and cost factors of the deployment.
     pub limits: SchedulerLimits,
     /// Seed of all random choices.
     pub random_seed: u64,
-    /// Orders units of one priority by their users' decayed usage; none: by submission time alone.
+    /// Settings of fair share, which orders units of equal priority by their users' decayed usage. `None`
+    /// orders them by submission time alone.
     pub fair_share: Option<FairShareSettings>,
-    /// The scheduling mechanisms in use.
+    /// The scheduling mechanisms that are enabled.
     pub policy: Policy,
 }
 
--- a/crates/scheduler/src/status.rs
+++ b/crates/scheduler/src/status.rs
@@ -1,4 +1,4 @@
-//! The scheduler's status, as operators read it.
+//! Status of the scheduler, for operators.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -8,67 +8,67 @@
 use streamusher_protocol::unit::WorkerId;
 use streamusher_protocol::Millis;
 
-/// State of the whole scheduler. The JSON keys are an interface of operators' tools.
+/// Status of the whole scheduler. The JSON keys are an interface for operator tools.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct SchedulerStatus {
-    /// Version of the current configuration.
+    /// Version of the current configuration; `None` before the first one.
     pub configuration: Option<u64>,
-    /// The primary's epoch.
+    /// Epoch of the primary.
     pub epoch: u64,
-    /// Pending jobs of each queue that has any.
+    /// Number of pending jobs for each queue that has any.
     #[serde(rename = "queues")]
     pub pending_jobs: BTreeMap<Arc<str>, u64>,
-    /// Runs that hold capacity of a worker.
+    /// Number of runs that hold capacity of a worker.
     pub runs: usize,
-    /// Users' decayed usage; none where fair share is switched off.
+    /// Users' decayed usage; `None` if fair share is disabled.
     #[serde(rename = "share_debt")]
     pub fair_share: Option<FairShareStatus>,
-    /// Units that are ready and have no worker.
+    /// Number of units that are ready and have no worker.
     #[serde(rename = "waiting")]
     pub pending_units: usize,
-    /// All known workers, by identifier.
+    /// All known workers, ordered by identifier.
     pub workers: Vec<WorkerStatus>,
 }
 
-/// State of one worker.
+/// Status of one worker.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct WorkerStatus {
-    /// The agent that reports it; none before any has.
+    /// Agent that reports the worker; `None` before any agent has reported it.
     pub agent: Option<Arc<str>>,
-    /// It has deregistered, or its lease expired without a heartbeat.
+    /// Whether the worker has deregistered, or its lease has expired without a heartbeat.
     #[serde(rename = "gone")]
     pub terminated: bool,
-    /// Its identifier.
+    /// Identifier of the worker.
     pub id: WorkerId,
-    /// Time until its lease expires, in milliseconds.
+    /// Time until the worker's lease expires, in milliseconds.
     #[serde(rename = "lease_left_ms")]
     pub lease_remaining_ms: Millis,
-    /// It may be given work.
+    /// Whether the worker may be assigned new runs.
     #[serde(rename = "open")]
     pub schedulable: bool,
-    /// Runs that hold capacity of it.
+    /// Number of runs that hold capacity of the worker.
     pub runs: usize,
-    /// The service whose tasks it runs.
+    /// Service whose tasks the worker runs.
     pub service: Arc<str>,
-    /// It, or its agent, has not been heard for too long.
+    /// Whether the worker or its agent has exceeded its unresponsiveness time-out.
     #[serde(rename = "silent")]
     pub unresponsive: bool,
-    /// As it reported itself.
+    /// State that the worker last reported.
     pub state: WorkerState,
-    /// Its zone.
+    /// Zone of the worker.
     pub zone: Arc<str>,
 }
 
-/// Decayed usage of the users that used most.
+/// Decayed usage of the users with the largest usage.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct FairShareStatus {
-    /// Age of the version, in milliseconds.
+    /// Age of the newest ranking version, in milliseconds.
     pub age_ms: Millis,
     /// Number of all users with usage.
     #[serde(rename = "count")]
     pub user_count: usize,
-    /// Users with the largest usage, largest first.
+    /// Users with the largest usage, in descending order; at most 100 are listed.
     pub users: Vec<UserUsage>,
-    /// The newest ranking version.
+    /// Identifies the newest ranking version.
     pub version: RankingVersion,
 }
--- a/crates/scheduler/src/worker_liveness.rs
+++ b/crates/scheduler/src/worker_liveness.rs
@@ -1,4 +1,4 @@
-//! Liveness of workers: expired leases, and agents that have stopped calling.
+//! Checks the liveness of workers: expired leases, and agents that have stopped calling.
 
 use crate::agents::AgentTable;
 use crate::cluster_state::ClusterState;
@@ -6,14 +6,17 @@
 use streamusher_protocol::unit::WorkerId;
 use streamusher_protocol::{Millis, Now};
 
-/// Added to the end of a lease: both sides round to milliseconds and count in steps.
+/// Safety margin after the end of a lease. Both sides round to milliseconds and advance their clocks in
+/// steps.
 const LEASE_MARGIN_MS: Millis = 60;
-/// An agent calls several times a second; without a call for so long its worker is unschedulable.
+/// Time without a call from the agent after which its worker is unschedulable. An agent calls several times
+/// per second.
 const AGENT_UNRESPONSIVE_TIMEOUT_MS: Millis = 1_800;
-/// Agents report at least three times a second: after this time nothing is known of a worker's runs.
+/// Heartbeat age from which on the state of a worker's runs is unknown. Agents report at least three times
+/// per second.
 pub(crate) const HEARTBEAT_TIMEOUT_MS: Millis = 800;
 
-/// Removes workers whose lease has expired, and marks those unschedulable whose agent is unresponsive.
+/// Removes workers whose lease has expired, and marks workers with an unresponsive agent as unschedulable.
 pub(crate) fn check_workers(state: &mut ClusterState, now: Now) {
     let expired = state
         .workers
@@ -33,10 +36,10 @@
     }
 }
 
-/// Nothing can run any more at a worker whose agent has not called for a whole lease.
+/// Removes a worker whose agent has not called for a whole lease: nothing can be running there any more.
 fn on_lease_expired(state: &mut ClusterState, now: Now, id: &WorkerId) {
     if state.runs.at_worker(id).next().is_some() {
-        log::warn!("worker {id} lost: lease expired, rescheduling its runs");
+        log::warn!("worker {id} lost: lease expired; rescheduling its runs");
     }
     state.remove_worker(now, id);
 }
@@ -49,7 +52,7 @@
         })
 }
 
-/// Age of the newest known heartbeat of a worker; `Millis::MAX` where none is known.
+/// Age of a worker's newest known heartbeat; `Millis::MAX` if none is known.
 pub(crate) fn heartbeat_age_ms(
     workers: &WorkerTable,
     agents: &AgentTable,
--- a/crates/scheduler/src/worker_report.rs
+++ b/crates/scheduler/src/worker_report.rs
@@ -1,4 +1,4 @@
-//! Reports of workers, and which runs they prove to be over.
+//! Applies worker reports, and determines which runs they prove to be over.
 
 use crate::agents::AgentSession;
 use crate::cluster_state::ClusterState;
@@ -12,15 +12,15 @@
 use streamusher_protocol::unit::WorkerId;
 use streamusher_protocol::{Millis, Now};
 
-/// A running run that so many consecutive reports do not contain is lost.
+/// Number of consecutive reports without a running run after which the run is lost.
 const MAX_MISSED_REPORTS: u8 = 3;
-/// A worker reports so many finished runs at most: a list of this length may be truncated.
+/// Maximum number of finished runs in a worker's report. A list of this length may be truncated.
 const MAX_REPORTED_FINISHED: usize = 500;
-/// A worker that its agent has not heard for so long is unschedulable. Agents hold its requests for 0.65 s at most and
-/// expect the next one within a fraction of a second.
+/// Time without a heartbeat from the worker to its agent after which the worker is unschedulable. Agents
+/// defer its requests for at most 0.65 s and expect the next request within a fraction of a second.
 const WORKER_UNRESPONSIVE_TIMEOUT_MS: Millis = 1_300;
 
-/// Takes an agent's report of its worker.
+/// Applies an agent's report of its worker.
 pub(crate) fn on_worker_report(
     state: &mut ClusterState,
     now: Now,
@@ -42,7 +42,7 @@
     update.apply();
 }
 
-/// A machine has one worker at a time: another one there proves that the former one is lost.
+/// A machine has one worker at a time, so a report of another worker proves that the former one is lost.
 fn supersede_former_workers(
     state: &mut ClusterState,
     now: Now,
@@ -63,20 +63,20 @@
         .cloned()
         .collect();
     for id in former {
-        log::info!("worker {id} lost: worker {worker} has started in its place at {agent}");
+        log::info!("worker {id} lost: replaced by worker {worker} at {agent}");
         state.remove_worker(now, &id);
         state.workers.mark_superseded(id);
     }
 }
 
-/// Whether a report is based on a heartbeat that is newer than those reported before.
+/// Whether a report is based on a newer heartbeat than the reports before it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Freshness {
-    /// Of a newer heartbeat.
+    /// Based on a newer heartbeat.
     New,
-    /// Of the same heartbeat.
+    /// Based on the newest heartbeat that is already known.
     Repeated,
-    /// Of an earlier heartbeat.
+    /// Based on an earlier heartbeat.
     Outdated,
 }
 
@@ -120,8 +120,9 @@
         }
     }
 
-    /// An agent that has heard no heartbeat of its worker since it started reports that nothing can run there any more:
-    /// the report has no heartbeat's sequence number and no description. It counts only from the agent's present start.
+    /// Applies an outdated report. An agent that has received no heartbeat from its worker since it started
+    /// may report that nothing can run there any more; such a report has neither a heartbeat sequence number
+    /// nor a description. It is accepted only from the current process of the agent.
     fn apply_outdated(&mut self) {
         let session = self.state.agents.get(self.agent);
         if !self.report.gone || !session.is_some_and(AgentSession::is_confirmed_by_current_process)
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Processes the finished runs that were not processed before.
+    /// Processes the finished runs that have not been processed before.
     fn apply_finished(&mut self) {
         let worker = self.state.workers.get(&self.worker);
         let processed = worker.map_or(0, |worker| worker.last_finished);
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Updates the runs that the worker reports as running; those that are not active are to be stopped.
+    /// Updates the runs that the worker reports as running. Runs that are not active are to be stopped.
     fn apply_running(&mut self) {
         let mut unknown_runs = Vec::new();
         for running in &self.report.running {
@@ -205,7 +206,7 @@
         }
     }
 
-    /// Updates a run; false if it is not active at the worker.
+    /// Updates a run. Returns false if it is not active at the worker.
     fn update_running(&mut self, running: &RunningTask) -> bool {
         let RunningTask {
             task,
@@ -236,7 +237,8 @@
         true
     }
 
-    /// Processes the active runs that the report does not contain: withdrawn before they started, or over.
+    /// Processes the active runs that the report does not contain: they were withdrawn before they started,
+    /// or are over.
     fn apply_absent(&mut self, freshness: Freshness) {
         let reported = reported_runs(self.report);
         let session = self
@@ -272,7 +274,8 @@
     }
 }
 
-/// All runs that a report contains: running, finished, or in a response on its way to the worker.
+/// Collects all runs that a report contains: running, finished, or offered in a response that is being sent
+/// to the worker.
 fn reported_runs(report: &WorkerReport) -> BTreeSet<(&TaskId, u32)> {
     let running = report.running.iter().map(|run| (&run.task, run.run));
     let finished = report.finished.iter().map(|run| (&run.task, run.run));
@@ -280,7 +283,7 @@
     running.chain(finished).chain(offered).collect()
 }
 
-/// One line for a worker that is heard for the first time, and one when it begins to drain.
+/// Logs a worker that is reported for the first time, and a worker that begins to drain.
 fn log_changes(agent: &str, worker: &Worker, report: &WorkerReport) {
     let id = &report.instance;
     if worker.agent.is_none() {
--- a/crates/scheduler/src/workers.rs
+++ b/crates/scheduler/src/workers.rs
@@ -1,6 +1,7 @@
 //! Workers as this primary knows them.
 //!
-//! Only the agent of a worker that runs something is replicated; a new primary learns all else from agents' reports.
+//! Only the agent of a worker with runs is replicated. A new primary learns everything else from agents'
+//! reports.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -9,51 +10,52 @@
 use streamusher_protocol::unit::WorkerId;
 use streamusher_protocol::Millis;
 
-/// Superseded workers that are remembered: late reports of them are ignored.
+/// Maximum number of superseded workers that are remembered, so that late reports about them are ignored.
 const MAX_SUPERSEDED: usize = 1_000;
 
-/// Whether a worker and its agent are heard.
+/// Whether a worker and its agent are responsive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Responsiveness {
-    /// Both are heard.
+    /// Both the worker and its agent are responsive.
     Responsive,
-    /// The agent reports that it has not heard the worker for too long.
+    /// The agent reports that the worker has not sent a heartbeat for too long.
     WorkerUnresponsive,
-    /// The agent has not been heard for too long, or never by this primary.
+    /// The agent has not called for too long, or has never called this primary.
     AgentUnresponsive,
 }
 
-/// A worker.
+/// What this primary knows about a worker.
 #[derive(Debug)]
 pub(crate) struct Worker {
-    /// The agent that reports it; none while it is known only from a task's record.
+    /// Agent that reports the worker; `None` while the worker is known only from a task's record.
     pub(crate) agent: Option<Arc<str>>,
     pub(crate) service: Arc<str>,
     pub(crate) zone: Arc<str>,
     pub(crate) labels: Vec<Arc<str>>,
     pub(crate) capacity: Resources,
     pub(crate) state: WorkerState,
-    /// Sequence number of the newest heartbeat that was reported.
+    /// Sequence number of the newest heartbeat that has been reported.
     pub(crate) heartbeat_sequence: u64,
-    /// While it drains: the earliest time at which it may leave.
+    /// Earliest time at which a draining worker may leave.
     pub(crate) leaves_at: Option<Millis>,
-    /// It has deregistered, or its lease expired without a heartbeat: nothing runs there any more.
+    /// Whether the worker has deregistered, or its lease has expired without a heartbeat. Nothing runs there
+    /// any more.
     pub(crate) terminated: bool,
     pub(crate) responsiveness: Responsiveness,
-    /// Time since its last heartbeat, as of the newest report.
+    /// Time since the worker's last heartbeat, as of the newest report.
     pub(crate) reported_heartbeat_age_ms: Millis,
-    /// Finished runs up to this sequence number are processed.
+    /// All finished runs up to this sequence number have been processed.
     pub(crate) last_finished: u64,
-    /// From then on nothing runs there, unless its agent calls before.
+    /// Time from which on nothing runs there, unless the agent calls before it.
     pub(crate) lease_expires_at: Millis,
-    /// Runs that it reports and that are not, or no longer, active: to be stopped.
+    /// Runs that the worker reports although they are not, or no longer, active. They are to be stopped.
     pub(crate) unknown_runs: Vec<StopCommand>,
-    /// Whether placement may use it; follows [`Worker::is_schedulable`] with each update of placement.
+    /// Whether placement may use the worker. Set from [`Worker::is_schedulable`] on each update of placement.
     pub(crate) schedulable: bool,
 }
 
 impl Worker {
-    /// A worker of which nothing is known but how long its lease may last.
+    /// Creates a worker of which only the latest expiry of its lease is known.
     pub(crate) fn new(lease_expires_at: Millis) -> Worker {
         Worker {
             agent: None,
@@ -74,7 +76,7 @@
         }
     }
 
-    /// A worker of which the replicated state holds the agent, and whose agent this primary has not heard yet.
+    /// Creates a worker whose agent is known from the replicated state and has not called this primary yet.
     pub(crate) fn recorded(agent: Arc<str>, lease_expires_at: Millis) -> Worker {
         Worker {
             agent: Some(agent),
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Takes over the description in a report. True where placement needs to be updated.
+    /// Applies the description in a report. Returns true if placement must be updated.
     pub(crate) fn update_description(&mut self, now: Millis, report: &WorkerReport) -> bool {
         let changed = self.service != report.service
             || self.zone != report.zone
@@ -103,7 +105,7 @@
         changed
     }
 
-    /// Whether it may be given new work.
+    /// Whether the worker may be assigned new runs.
     pub(crate) fn is_schedulable(&self) -> bool {
         self.agent.is_some()
             && self.responsiveness == Responsiveness::Responsive
@@ -112,11 +114,11 @@
     }
 }
 
-/// All known workers, and those that others have superseded on their machines.
+/// All known workers, and the workers that have been superseded on their machines.
 #[derive(Default)]
 pub(crate) struct WorkerTable {
     workers: BTreeMap<WorkerId, Worker>,
-    /// Oldest first.
+    /// Ordered from the oldest to the newest.
     superseded: VecDeque<WorkerId>,
 }
 
@@ -133,7 +135,7 @@
         self.workers.insert(id, worker);
     }
 
-    /// The worker; a new one with this lease where it is not known.
+    /// Returns the worker, inserting a new one with this lease if it is unknown.
     pub(crate) fn get_or_insert(&mut self, id: &WorkerId, lease_expires_at: Millis) -> &mut Worker {
         self.workers
             .entry(id.clone())
@@ -148,7 +150,7 @@
         self.workers.iter()
     }
 
-    /// Identifiers of the workers that a condition holds for, in order.
+    /// Returns the identifiers of the workers that satisfy a condition, in order.
     pub(crate) fn ids_where(&self, mut condition: impl FnMut(&Worker) -> bool) -> Vec<WorkerId> {
         self.iter()
             .filter(|(_, worker)| condition(worker))
@@ -156,12 +158,13 @@
             .collect()
     }
 
-    /// The agent of a worker.
+    /// Returns the agent of a worker, if one is known.
     pub(crate) fn agent_of(&self, id: &WorkerId) -> Option<&Arc<str>> {
         self.get(id)?.agent.as_ref()
     }
 
-    /// The workers of an agent: its present one, and former ones that it has not reported yet.
+    /// Iterates over the workers of an agent: the current one, and former ones that the agent has not
+    /// reported yet.
     pub(crate) fn ids_of_agent<'a>(
         &'a self,
         agent: &'a Arc<str>,
@@ -171,7 +174,7 @@
             .map(|(id, _)| id)
     }
 
-    /// Remembers that another worker has taken a worker's place on its machine.
+    /// Records that another worker has replaced a worker on its machine.
     pub(crate) fn mark_superseded(&mut self, id: WorkerId) {
         self.superseded.push_back(id);
         if self.superseded.len() > MAX_SUPERSEDED {
@@ -179,7 +182,7 @@
         }
     }
 
-    /// Whether another worker has taken a worker's place.
+    /// Whether another worker has replaced a worker on its machine.
     pub(crate) fn is_superseded(&self, id: &WorkerId) -> bool {
         self.superseded.contains(id)
     }
