--- a/crates/fair-share/src/accounts.rs
+++ b/crates/fair-share/src/accounts.rs
@@ -1,4 +1,4 @@
-//! The primary's accounts of all users: what their runs use, and the ranking versions made of it.
+//! The primary's accounts of all users: the usage of their runs, and the ranking versions derived from it.
 
 use crate::cluster_clock::ClusterClock;
 use crate::decayed_usage::DecayedUsage;
@@ -17,36 +17,38 @@
 use streamusher_protocol::task::RunId;
 use streamusher_protocol::Millis;
 
-/// Usage below one core-second that delays by less than a millisecond is dropped once it has decayed for a half-life
-/// without new use: not earlier, or small uses would never add up.
+/// A user whose usage is below one core-second and causes a delay of less than a millisecond is dropped once
+/// that usage has decayed for a half-life without new use. Dropping users earlier would prevent small uses
+/// from adding up.
 const MIN_KEPT_CORE_MS: u64 = 1_000;
-/// Users that are checked for being dropped, for each version: bounded work, and all within some versions.
+/// Users that are checked for removal with each version. This bounds the work, and all users are checked
+/// within a few versions.
 const USERS_CHECKED_PER_VERSION: usize = 2_000;
 
-/// Which part of a finished run's usage its user is charged.
+/// The part of a finished run's usage that its user is charged for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UsageCharge {
-    /// All of it: the run did what the user asked, or failed.
+    /// All of it: the run did what the user asked for, or failed.
     Full,
-    /// Its first milliseconds: the work that a checkpoint kept.
+    /// The first milliseconds of the run: the work that a checkpoint preserved.
     UpTo(Millis),
-    /// Nothing: the system wasted its work.
+    /// Nothing: the system wasted the run's work.
     Nothing,
 }
 
-/// A user's usage as operators see it. The JSON keys are an interface of operators' tools.
+/// A user's usage, for operators. The JSON keys are an interface for operator tools.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct UserUsage {
-    /// The user.
+    /// Name of the user.
     pub user: Arc<str>,
-    /// Its usage in the newest version, in core-milliseconds.
+    /// Usage in the newest version, in core-milliseconds.
     #[serde(rename = "debt_core_ms")]
     pub ranked_core_ms: u64,
-    /// How far its units are delayed in the order, in milliseconds.
+    /// Delay of the user's units in the order, in milliseconds.
     pub delay_ms: Millis,
-    /// Its usage now, with what has accrued since that version, in core-milliseconds.
+    /// Current usage, including what has accrued since the newest version, in core-milliseconds.
     pub present_core_ms: u64,
-    /// What its runs take now, in thousandths of a core.
+    /// Rate at which the user's runs are currently charged, in thousandths of a core.
     pub rate_millicores: u64,
     /// The newest version.
     pub version: RankingVersion,
@@ -54,8 +56,9 @@
 
 /// The primary's state machine of users' usage.
 ///
-/// Takes the steady time of the process as an argument, which may come late: time never goes back. All that it wants
-/// replicated is returned as writes; a version counts once they are committed.
+/// Takes the steady time of the process as an argument. A time that is earlier than a previous one does not
+/// turn the clock back. Everything that must be replicated is returned as writes; a version is valid once
+/// they are committed.
 #[derive(Clone, Debug)]
 pub struct FairShareAccounts {
     settings: Arc<FairShareSettings>,
@@ -66,19 +69,20 @@
     /// Users whose usage differs from the newest version.
     changed: BTreeSet<Arc<str>>,
     history: VersionHistory,
-    /// The last user that was checked for being dropped; none at the beginning of a pass.
+    /// Last user that was checked for removal; `None` at the beginning of a pass.
     last_checked: Option<Arc<str>>,
     unreadable_users: Vec<Arc<str>>,
 }
 
 impl FairShareAccounts {
-    /// Accounts without usage; the cluster time is 0 at the steady time `now`.
+    /// Creates accounts without usage. The cluster time is 0 at the steady time `now`.
     pub fn new(settings: FairShareSettings, epoch: u64, now: Millis) -> FairShareAccounts {
         FairShareAccounts::recover(settings, epoch, now, [])
     }
 
-    /// A new primary's accounts, from the replicated records; records of others are ignored. They continue from the
-    /// newest committed version; call [`FairShareAccounts::on_run_started`] for all that runs.
+    /// Restores a new primary's accounts from the replicated records; records of other components are
+    /// ignored. The accounts continue from the newest committed version. The caller must call
+    /// [`FairShareAccounts::on_run_started`] for every active run.
     pub fn recover(
         settings: FairShareSettings,
         epoch: u64,
@@ -90,7 +94,7 @@
         let half_life = stored.half_life_ms().unwrap_or(settings.half_life_ms);
         let time = recovered_time(&stored, half_life);
         let is_half_life_unchanged = half_life == settings.half_life_ms;
-        let carry_over = |usage: DecayedUsage| {
+        let convert = |usage: DecayedUsage| {
             if is_half_life_unchanged {
                 return usage;
             }
@@ -99,7 +103,7 @@
         let usage_by_user: UsageByUser = stored
             .users
             .into_iter()
-            .map(|(user, usage)| (user, carry_over(usage)))
+            .map(|(user, usage)| (user, convert(usage)))
             .collect();
         let changed = if is_half_life_unchanged {
             BTreeSet::new()
@@ -121,7 +125,8 @@
         }
     }
 
-    /// A run has been allocated its resources. A repeated call for the same run changes nothing.
+    /// Starts charging a run that has been allocated its resources. A repeated call for the same run has no
+    /// effect.
     pub fn on_run_started(
         &mut self,
         now: Millis,
@@ -142,7 +147,7 @@
         self.running.insert(run, metered);
     }
 
-    /// A run's resources are released. One that is not known changes nothing.
+    /// Stops charging a run whose resources are released. A call for an unknown run has no effect.
     pub fn on_run_finished(&mut self, now: Millis, run: &RunId, charge: UsageCharge) {
         let Some(user) = self.running.user_of(run) else {
             return;
@@ -167,8 +172,8 @@
         }
     }
 
-    /// Makes a new version where one is due: all that has accrued is charged, and the changes are to be replicated in
-    /// one batch. Empty where none is due.
+    /// Creates a new version if one is due: charges all accrued usage and returns the changes, to be
+    /// replicated in one batch. Returns nothing if no version is due.
     pub fn publish_if_due(&mut self, now: Millis) -> Vec<Write> {
         let time = self.clock.advance_to(now);
         let age = time.saturating_sub(self.ranking().created_at());
@@ -184,17 +189,17 @@
         for user in &users {
             self.charge_running(user, time);
         }
-        self.drop_decayed(time);
-        self.drop_surplus(time);
+        self.drop_decayed_users(time);
+        self.drop_excess_users(time);
         self.create_version(time)
     }
 
-    /// The order by the newest version.
+    /// Returns the order by the newest version.
     pub fn ranking(&self) -> &FairShareRanking {
         self.history.newest()
     }
 
-    /// The newest version.
+    /// Returns the newest version.
     pub fn version(&self) -> RankingVersion {
         self.ranking().version()
     }
@@ -205,40 +210,40 @@
             .saturating_sub(self.ranking().created_at())
     }
 
-    /// The cluster time, in milliseconds.
+    /// Cluster time at the steady time `now`, in milliseconds.
     pub fn cluster_time(&self, now: Millis) -> Millis {
         self.clock.read(now)
     }
 
-    /// The place of a unit by the newest version: see [`FairShareRanking::order_key`].
+    /// Order key of a unit by the newest version; see [`FairShareRanking::order_key`].
     pub fn order_key(&self, user: &str, priority: u32, submitted_at: Millis) -> u64 {
         self.ranking().order_key(user, priority, submitted_at)
     }
 
-    /// What brings a node that holds a version, or none, to the newest one.
+    /// Returns the update that brings a node from the version it holds, if any, to the newest one.
     pub fn update_since(&self, now: Millis, held: Option<RankingVersion>) -> RankingUpdate {
         self.history.update_since(held, self.age_ms(now))
     }
 
-    /// A user's usage, for operators.
+    /// Returns a user's usage, for operators.
     pub fn usage_of(&self, now: Millis, user: &Arc<str>) -> UserUsage {
         let time = self.cluster_time(now);
         let half_life = self.settings.half_life_ms;
-        let mut present = self.usage_by_user.get(user).cloned().unwrap_or_default();
+        let mut current = self.usage_by_user.get(user).cloned().unwrap_or_default();
         let meter = self.running.meter(user);
-        present.add(half_life, meter.rate, meter.charged_until, time);
+        current.add(half_life, meter.rate, meter.charged_until, time);
         let ranked_core_ms = self.ranking().usage_core_ms(user);
         UserUsage {
             user: user.clone(),
             ranked_core_ms,
             delay_ms: delay_ms(&self.settings, user, ranked_core_ms),
-            present_core_ms: present.value_at(half_life, time),
+            present_core_ms: current.value_at(half_life, time),
             rate_millicores: meter.rate,
             version: self.version(),
         }
     }
 
-    /// Every user that has used or runs something.
+    /// Iterates over all users with usage or running tasks.
     pub fn users(&self) -> impl Iterator<Item = &Arc<str>> {
         let only_running = self
             .running
@@ -247,17 +252,17 @@
         self.usage_by_user.keys().chain(only_running)
     }
 
-    /// Users whose record could not be read; they started without usage.
+    /// Users whose record could not be read. They started without usage.
     pub fn unreadable_users(&self) -> &[Arc<str>] {
         &self.unreadable_users
     }
 
-    /// The settings.
+    /// Returns the settings, with times limited to the supported ranges.
     pub fn settings(&self) -> &FairShareSettings {
         &self.settings
     }
 
-    /// Charges what a user's runs have used up to `until`.
+    /// Charges the usage of a user's runs up to `until`.
     fn charge_running(&mut self, user: &Arc<str>, until: Millis) {
         let Some(span) = self.running.take_uncharged(user, until) else {
             return;
@@ -278,8 +283,8 @@
         self.changed.insert(user.clone());
     }
 
-    /// Drops users whose usage has decayed, among the next ones in order.
-    fn drop_decayed(&mut self, time: Millis) {
+    /// Checks the next users in order, and drops those whose usage has decayed.
+    fn drop_decayed_users(&mut self, time: Millis) {
         let after_last = self.last_checked.take().map_or(Unbounded, Excluded);
         let next: Vec<Arc<str>> = self
             .usage_by_user
@@ -315,13 +320,13 @@
         core_ms < MIN_KEPT_CORE_MS && delay_ms(&self.settings, user, core_ms) == 0
     }
 
-    /// Drops the users with the least usage beyond the largest number of users.
-    fn drop_surplus(&mut self, time: Millis) {
-        let surplus = self
+    /// Drops the users with the least usage that exceed the maximum number of users.
+    fn drop_excess_users(&mut self, time: Millis) {
+        let excess = self
             .usage_by_user
             .len()
             .saturating_sub(self.settings.max_users);
-        if surplus == 0 {
+        if excess == 0 {
             return;
         }
         let half_life = self.settings.half_life_ms;
@@ -330,8 +335,8 @@
             .iter()
             .map(|(user, usage)| (usage.value_at(half_life, time), user.clone()))
             .collect();
-        users.select_nth_unstable(surplus - 1);
-        for (_, user) in users.into_iter().take(surplus) {
+        users.select_nth_unstable(excess - 1);
+        for (_, user) in users.into_iter().take(excess) {
             self.drop_user(user);
         }
     }
@@ -367,7 +372,8 @@
     }
 }
 
-/// The cluster time to continue from. Where the version's record is lost, the latest usage tells it, to a half-life.
+/// Cluster time to continue from. If the version's record is lost, the latest usage determines it to within a
+/// half-life.
 fn recovered_time(stored: &StoredState, half_life: Millis) -> Millis {
     if stored.half_life_ms().is_some() {
         return stored.version.created_at;
--- a/crates/fair-share/src/cluster_clock.rs
+++ b/crates/fair-share/src/cluster_clock.rs
@@ -1,18 +1,19 @@
-//! Cluster time: the primary's steady time, carried on by each new primary.
+//! Cluster time: the primary's steady time, continued by each new primary.
 
 use streamusher_protocol::Millis;
 
-/// A clock that counts milliseconds since the first primary's start, without the time in which there was no primary.
+/// A clock that counts milliseconds since the first primary's start, excluding the time without a primary.
 ///
-/// It never goes back and has no relation to the time of day, so stepped clocks do not matter. A new primary continues
-/// from the newest committed ranking version: nothing later was ever published.
+/// It never goes back and is independent of the time of day, so adjustments of the system clock do not affect
+/// it. A new primary continues from the newest committed ranking version, because no later time has been
+/// published.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClusterClock {
     /// Cluster time at `started_at`.
     base: Millis,
-    /// Steady time of this process at which it continued from `base`.
+    /// Steady time of this process at which the clock continued from `base`.
     started_at: Millis,
-    /// The latest cluster time that was taken note of.
+    /// Latest cluster time returned by [`ClusterClock::advance_to`], initially `base`.
     latest: Millis,
 }
 
@@ -26,15 +27,16 @@
         }
     }
 
-    /// The cluster time at a steady time. Later readings never give an earlier time.
+    /// Returns the cluster time at a steady time, and records it. Later readings never return an earlier
+    /// time.
     pub(crate) fn advance_to(&mut self, now: Millis) -> Millis {
         self.latest = self.latest.max(self.read(now));
         self.latest
     }
 
-    /// The cluster time at a steady time, without taking note of it.
+    /// Returns the cluster time at a steady time without recording it.
     pub(crate) fn read(&self, now: Millis) -> Millis {
-        let passed = now.saturating_sub(self.started_at);
-        self.base.saturating_add(passed).max(self.latest)
+        let elapsed = now.saturating_sub(self.started_at);
+        self.base.saturating_add(elapsed).max(self.latest)
     }
 }
--- a/crates/fair-share/src/decay.rs
+++ b/crates/fair-share/src/decay.rs
@@ -1,6 +1,7 @@
-//! Powers of two in fixed point, and the weight of a span of time under exponential decay.
+//! Powers of two in fixed point, and the weight of a time span under exponential decay.
 //!
-//! Integers only, so every machine computes the same. Times and half-lives have 32 bits at most.
+//! All arithmetic is in integers, so every machine computes the same results. Times and half-lives have at
+//! most 32 bits.
 
 use streamusher_protocol::Millis;
 
@@ -10,7 +11,7 @@
 pub(crate) const WEIGHT_BITS: u32 = 10;
 /// Fractional bits of a decay factor.
 pub(crate) const FACTOR_BITS: u32 = 32;
-/// Fractional bits of the growth that a weight is computed from.
+/// Fractional bits of the growth from which a weight is computed.
 const GROWTH_BITS: u32 = 48;
 /// Fractional bits of [`LOG2_E`].
 const LOG2_E_BITS: u32 = 32;
@@ -53,19 +54,21 @@
     0x4000_0000_2c5c_85fe,
 ];
 
-/// 2 to the power of `part / whole`, from 1 up to 2, with [`POWER_BITS`] fractional bits. `whole` has at most 32 bits.
+/// 2 to the power of `numerator / denominator`, from 1 up to 2, with [`POWER_BITS`] fractional bits.
+/// `denominator` has at most 32 bits.
 ///
-/// Never falls as `part` rises: steps of the 32-bit fraction are 2^29 units at least, and roundings some 32.
+/// The result never decreases as `numerator` increases: a step of the 32-bit fraction changes it by at least 2^29
+/// units, and rounding errors are about 32 units.
 #[expect(
     clippy::cast_possible_truncation,
     reason = "the fraction is below 2^32, and the power below 2^63"
 )]
-pub(crate) fn power_of_two(part: Millis, whole: Millis) -> u64 {
-    let whole = whole.max(1);
-    if part >= whole {
+pub(crate) fn power_of_two(numerator: Millis, denominator: Millis) -> u64 {
+    let denominator = denominator.max(1);
+    if numerator >= denominator {
         return 2 << POWER_BITS;
     }
-    let fraction = ((u128::from(part) << 32) / u128::from(whole)) as u64;
+    let fraction = ((u128::from(numerator) << 32) / u128::from(denominator)) as u64;
     let mut power = 1u128 << POWER_BITS;
     for (index, root) in ROOTS_OF_TWO.iter().enumerate() {
         if (fraction >> (31 - index)) & 1 == 1 {
@@ -75,19 +78,20 @@
     power as u64
 }
 
-/// The integral of 2^(t / half-life) over the first `part` milliseconds of a half-life, in milliseconds with
-/// [`WEIGHT_BITS`] fractional bits. Differences of it add up without error, wherever a span is cut.
-pub(crate) fn weight_up_to(part: Millis, half_life: Millis) -> u64 {
-    let growth = u128::from(power_of_two(part, half_life)) - (1 << POWER_BITS);
-    // 32 bits of milliseconds, 48 of growth and 33 of the constant: below 2^113.
+/// The integral of 2^(t / half-life) over the first `offset` milliseconds of a half-life, in milliseconds with
+/// [`WEIGHT_BITS`] fractional bits. Differences between its values add up exactly, wherever a span is cut.
+pub(crate) fn weight_up_to(offset: Millis, half_life: Millis) -> u64 {
+    let growth = u128::from(power_of_two(offset, half_life)) - (1 << POWER_BITS);
+    // 32 bits for milliseconds, 48 for growth and 33 for the constant: below 2^113.
     let scaled = u128::from(half_life) * (growth >> (POWER_BITS - GROWTH_BITS));
     ((scaled * LOG2_E) >> (GROWTH_BITS + LOG2_E_BITS - WEIGHT_BITS)) as u64
 }
 
-/// 2^-(part / whole), from 1 down to 1/2, with [`FACTOR_BITS`] fractional bits.
-pub(crate) fn decay_factor(part: Millis, whole: Millis) -> u64 {
+/// 2^-(numerator / denominator), from 1 down to 1/2, with [`FACTOR_BITS`] fractional bits.
+pub(crate) fn decay_factor(numerator: Millis, denominator: Millis) -> u64 {
     if cfg!(feature = "mutant-fade") {
         return 1 << FACTOR_BITS;
     }
-    power_of_two(whole.saturating_sub(part), whole) >> (POWER_BITS + 1 - FACTOR_BITS)
+    power_of_two(denominator.saturating_sub(numerator), denominator)
+        >> (POWER_BITS + 1 - FACTOR_BITS)
 }
--- a/crates/fair-share/src/decayed_usage.rs
+++ b/crates/fair-share/src/decayed_usage.rs
@@ -1,4 +1,4 @@
-//! A user's usage under exponential decay: one sum for each half-life, at that half-life's beginning.
+//! A user's usage under exponential decay: one sum per half-life, weighted as of the half-life's beginning.
 
 use crate::decay::{
     decay_factor, power_of_two, weight_up_to, FACTOR_BITS, POWER_BITS, WEIGHT_BITS,
@@ -6,18 +6,19 @@
 use serde::{Deserialize, Serialize};
 use streamusher_protocol::Millis;
 
-/// Half-lives after which usage is forgotten: a 65,536th of it is left by then.
+/// Number of half-lives after which usage is discarded. It has decayed to 1/65,536 by then.
 pub const MAX_HALF_LIVES: u64 = 16;
-/// A merged part may be so many half-lives ahead of the time that is asked for.
+/// Maximum number of half-lives by which a merged part may be ahead of the queried time.
 const MAX_HALF_LIVES_AHEAD: u64 = 8;
-/// Sums in one usage: those of [`MAX_HALF_LIVES`], what is ahead, and those at both ends. Only a damaged record has more.
+/// Maximum number of sums in one usage: those of [`MAX_HALF_LIVES`], those ahead of the time, and those at
+/// both ends. Only a damaged record has more.
 const MAX_SUMS: usize = 32;
-/// Thousandths of a core for one millisecond, in a core-millisecond.
+/// Divisor that converts thousandths of a core times milliseconds into core-milliseconds.
 const MILLICORES_PER_CORE: u128 = 1_000;
-/// Fractional bits of a value without those that align sums: of the factor and of the weights.
+/// Fractional bits of a value apart from those that align sums: the bits of the factor and of the weights.
 const VALUE_BITS: u32 = FACTOR_BITS + WEIGHT_BITS;
 
-/// The usage within one half-life, weighted as of its beginning.
+/// Usage within one half-life, weighted as of its beginning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct HalfLifeSum {
     /// Number of the half-life, counted from the cluster time 0.
@@ -25,13 +26,14 @@
     sum: u64,
 }
 
-/// What a user used in each of the last half-lives, as a weighted sum at that half-life's beginning.
+/// A user's usage in each of the last half-lives, as a weighted sum as of that half-life's beginning.
 ///
-/// Half-lives are counted from the cluster time 0. Usage at time `t` of half-life `n` weighs 2^(t / half-life - n). Sums
-/// saturate; so adding is exact, commutative and associative, and nothing is rounded before a value is read. Usage is
-/// forgotten by its half-life alone, so it does not matter whether that is before or after a merge.
+/// Half-lives are counted from the cluster time 0. Usage at time `t` in half-life `n` has the weight 2^(t /
+/// half-life - n). Sums saturate, so addition is exact, commutative and associative, and nothing is rounded
+/// until a value is read. Usage is discarded by its half-life alone, so it does not matter whether that
+/// happens before or after a merge.
 ///
-/// All rates are in thousandths of a core. Encoded as a list of pairs: number of the half-life and its sum.
+/// All rates are in thousandths of a core. Encoded as a list of pairs: the number of a half-life and its sum.
 ///
 /// ```
 /// use streamusher_fair_share::DecayedUsage;
@@ -46,12 +48,12 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Vec<(u64, u64)>", into = "Vec<(u64, u64)>")]
 pub struct DecayedUsage {
-    /// By half-life, none twice.
+    /// Ordered by half-life, without duplicates.
     sums: Vec<HalfLifeSum>,
 }
 
 impl DecayedUsage {
-    /// Adds usage at a rate, from one cluster time to another.
+    /// Adds usage at a constant rate between two cluster times.
     pub fn add(&mut self, half_life: Millis, rate: u64, from: Millis, to: Millis) {
         for_each_half_life(half_life, from, to, |number, weight| {
             let sum = self.sum_mut(number);
@@ -59,7 +61,7 @@
         });
     }
 
-    /// Takes back what [`DecayedUsage::add`] added with the same arguments.
+    /// Reverts [`DecayedUsage::add`] with the same arguments.
     pub fn subtract(&mut self, half_life: Millis, rate: u64, from: Millis, to: Millis) {
         for_each_half_life(half_life, from, to, |number, weight| {
             let sum = self.sum_mut(number);
@@ -80,24 +82,25 @@
         }
     }
 
-    /// Forgets usage that is older than [`MAX_HALF_LIVES`] at a cluster time.
+    /// Discards usage that is older than [`MAX_HALF_LIVES`] at a cluster time.
     pub fn discard_expired(&mut self, half_life: Millis, now: Millis) {
         let oldest = (now / half_life.max(1)).saturating_sub(MAX_HALF_LIVES);
         self.sums.retain(|entry| entry.half_life >= oldest);
     }
 
-    /// The value at a cluster time, in core-milliseconds; rounded down once.
+    /// Value at a cluster time, in core-milliseconds, rounded down once.
     pub fn value_at(&self, half_life: Millis, now: Millis) -> u64 {
         let half_life = half_life.max(1);
-        let present = now / half_life;
-        let total: u128 = self.sums.iter().map(|entry| entry.aligned(present)).sum();
-        // Below 2^91 with all sums at their largest: 32 more bits are room enough.
+        let current = now / half_life;
+        let total: u128 = self.sums.iter().map(|entry| entry.aligned(current)).sum();
+        // Below 2^91 with all sums at their maximum, so there is enough space for 32 more bits.
         let scaled = total * u128::from(decay_factor(now % half_life, half_life));
         let millicore_ms = (scaled >> MAX_HALF_LIVES) >> VALUE_BITS;
         u64::try_from(millicore_ms / MILLICORES_PER_CORE).unwrap_or(u64::MAX)
     }
 
-    /// Usage with a value in core-milliseconds at a cluster time, rounded; to carry usage over to another half-life.
+    /// Creates usage with a given value in core-milliseconds at a cluster time, rounded. Used to convert
+    /// usage to another half-life.
     pub(crate) fn from_value(core_ms: u64, half_life: Millis, now: Millis) -> DecayedUsage {
         let half_life = half_life.max(1);
         let growth =
@@ -117,7 +120,7 @@
         self.sums.last().map(|entry| entry.half_life)
     }
 
-    /// Whether there is no usage.
+    /// Whether no half-life has a sum.
     pub fn is_empty(&self) -> bool {
         self.sums.is_empty()
     }
@@ -135,12 +138,12 @@
 }
 
 impl HalfLifeSum {
-    /// The sum as it counts in half-life `present`, with [`MAX_HALF_LIVES`] fractional bits.
-    fn aligned(&self, present: u64) -> u128 {
-        let age = present.saturating_sub(self.half_life);
+    /// The sum as it counts in the half-life `current`, with [`MAX_HALF_LIVES`] fractional bits.
+    fn aligned(&self, current: u64) -> u128 {
+        let age = current.saturating_sub(self.half_life);
         let ahead = self
             .half_life
-            .saturating_sub(present)
+            .saturating_sub(current)
             .min(MAX_HALF_LIVES_AHEAD);
         if age > MAX_HALF_LIVES {
             return 0;
@@ -155,15 +158,16 @@
 }
 
 impl From<Vec<(u64, u64)>> for DecayedUsage {
-    /// From sums in any order; those of one half-life are added, and only the latest are kept.
+    /// Decodes sums in any order. Sums of the same half-life are added, and only the latest half-lives are
+    /// kept.
     fn from(sums: Vec<(u64, u64)>) -> DecayedUsage {
         let mut usage = DecayedUsage::default();
         for (half_life, added) in sums {
             let sum = usage.sum_mut(half_life);
             *sum = sum.saturating_add(added);
         }
-        let surplus = usage.sums.len().saturating_sub(MAX_SUMS);
-        usage.sums.drain(..surplus);
+        let excess = usage.sums.len().saturating_sub(MAX_SUMS);
+        usage.sums.drain(..excess);
         usage
     }
 }
@@ -178,8 +182,8 @@
     }
 }
 
-/// Calls with the number of each half-life that a span touches, and the span's weight in it. Of a span longer than
-/// [`MAX_HALF_LIVES`] only the end counts.
+/// Calls `on_half_life` for each half-life that a span overlaps, with its number and the span's weight in it.
+/// If a span is longer than [`MAX_HALF_LIVES`], only its end counts.
 fn for_each_half_life(
     half_life: Millis,
     from: Millis,
--- a/crates/fair-share/src/lib.rs
+++ b/crates/fair-share/src/lib.rs
@@ -1,18 +1,18 @@
-//! Fair share between users: decayed usage of each user, and the order of pending units that follows from it.
+//! Fair share between users: the decayed usage of each user, and the resulting order of pending units.
 //!
-//! A user is a team, a tenant or, where nothing else is configured, a queue. Its usage grows while its tasks run and
-//! decays to one half in each half-life. Among units of one priority, a unit's submission time is delayed by its user's
-//! usage; so whoever has used less goes first, and nobody starves.
+//! A user is a team, a tenant or, if nothing else is configured, a queue. Its usage grows while its tasks
+//! run, and decays to one half in each half-life. Among units of equal priority, the user's usage delays a
+//! unit's submission time. Users with less usage are therefore ordered first, and no user starves.
 //!
-//! - [`FairShareAccounts`] is the primary's state machine: from which runs start and finish it makes writes of the
-//!   replicated state and a sequence of ranking versions.
-//! - [`FairShareRanking`] orders units by one version and names it.
-//! - [`RankingReplica`] holds the newest version that reached another node, by updates that may be lost, late or
-//!   repeated.
-//! - [`max_inversion_ms`] bounds by how much an order may be wrong, by the age of its version.
+//! - [`FairShareAccounts`] is the primary's state machine: from the starts and ends of runs it derives writes
+//!   of the replicated state and a sequence of ranking versions.
+//! - [`FairShareRanking`] orders units by one version and states which one.
+//! - [`RankingReplica`] holds the newest version that another node has received, through updates that may be
+//!   lost, late or duplicated.
+//! - [`max_inversion_ms`] bounds the ordering error as a function of the version's age.
 //!
-//! The package performs no I/O and takes the current time as an argument. All arithmetic is in integers, so every
-//! machine computes the same. The design is described in `docs/design/share-debt.md`.
+//! The package performs no I/O and takes the current time as an argument. All arithmetic is in integers, so
+//! every machine computes the same results. The design is described in `docs/design/share-debt.md`.
 //!
 //! ```
 //! use streamusher_fair_share::{FairShareAccounts, FairShareSettings, UsageCharge};
@@ -35,15 +35,15 @@
 //! # Modules
 //!
 //! - [`settings`]: half-life, weights, limits.
-//! - `decay`: powers of two in fixed point, and the weight of a span of time.
-//! - [`decayed_usage`]: a user's usage as sums by half-life; merging is addition.
-//! - `cluster_clock`: the time by which usage decays.
-//! - `running_usage`: meters of what runs.
+//! - `decay`: powers of two in fixed point, and the weight of a time span.
+//! - [`decayed_usage`]: a user's usage as one sum per half-life; merging is addition.
+//! - `cluster_clock`: the time base of the decay.
+//! - `running_usage`: metering of running tasks.
 //! - [`accounts`]: charges, refunds, dropped users, new versions.
 //! - `stored_state`: the replicated form.
-//! - [`version`], `version_history`, [`ranking`], [`ranking_replica`]: versions, the order by one, and how they are
-//!   transmitted.
-//! - [`inversion_bound`]: how wrong an order may be by a version's age.
+//! - [`version`], `version_history`, [`ranking`], [`ranking_replica`]: versions, the order that a version
+//!   defines, and their transmission.
+//! - [`inversion_bound`]: the ordering error as a function of a version's age.
 
 pub mod accounts;
 mod cluster_clock;
--- a/crates/fair-share/src/ranking.rs
+++ b/crates/fair-share/src/ranking.rs
@@ -6,16 +6,16 @@
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// Usage of all users, cheap to copy.
+/// Usage of all users. Copies are cheap, because they share their structure.
 pub(crate) type UsageByUser = im::OrdMap<Arc<str>, DecayedUsage>;
 
-/// Bits of an order key that hold the time; above them is the priority.
+/// Number of bits of an order key that hold the time. The bits above them hold the priority.
 const TIME_BITS: u32 = 48;
 const MAX_TIME: u64 = (1 << TIME_BITS) - 1;
 const MAX_PRIORITY: u32 = (1 << (u64::BITS - TIME_BITS)) - 1;
 const MS_PER_SECOND: u64 = 1_000;
 
-/// Orders units by one version, which it names. Nodes with the same version and settings give the same order.
+/// Orders units by one version. Nodes with the same version and settings produce the same order.
 #[derive(Clone, Debug)]
 pub struct FairShareRanking {
     settings: Arc<FairShareSettings>,
@@ -39,33 +39,34 @@
         }
     }
 
-    /// The version by which it orders.
+    /// The version that defines the order.
     pub fn version(&self) -> RankingVersion {
         self.version
     }
 
-    /// The cluster time at which the version was made.
+    /// Cluster time at which the version was created.
     pub fn created_at(&self) -> Millis {
         self.created_at
     }
 
-    /// A user's usage in this version, in core-milliseconds; 0 for one that is not known.
+    /// A user's usage in this version, in core-milliseconds; 0 for an unknown user.
     pub fn usage_core_ms(&self, user: &str) -> u64 {
         self.usage_by_user.get(user).map_or(0, |usage| {
             usage.value_at(self.settings.half_life_ms, self.created_at)
         })
     }
 
-    /// How far a user's units are delayed in the order, in milliseconds; less than the largest delay.
+    /// Delay of a user's units in the order, in milliseconds. Less than the largest delay.
     pub fn delay_ms(&self, user: &str) -> Millis {
         delay_ms(&self.settings, user, self.usage_core_ms(user))
     }
 
-    /// The place of a unit in the order: smaller first.
+    /// Order key of a unit; units with smaller keys are ordered first.
     ///
-    /// Priority goes first, those from 65,535 on being one; within it the time of submission, delayed by the user's
-    /// usage. The key does not change while the unit is pending, but for its own user's usage. So a unit that was
-    /// submitted the largest delay later never goes before it, whatever the usage.
+    /// The priority is compared first; values of 65,535 and above are treated as equal. Units of equal
+    /// priority are ordered by their submission time, delayed by the user's usage. While a unit is pending,
+    /// its key changes only with its own user's usage. A unit that was submitted later by the largest delay
+    /// or more is therefore never ordered first, whatever the usage.
     pub fn order_key(&self, user: &str, priority: u32, submitted_at: Millis) -> u64 {
         let time = submitted_at
             .saturating_add(self.delay_ms(user))
@@ -73,7 +74,7 @@
         u64::from(priority.min(MAX_PRIORITY)) << TIME_BITS | time
     }
 
-    /// Number of users with usage.
+    /// Number of users with usage in this version.
     pub fn user_count(&self) -> usize {
         self.usage_by_user.len()
     }
@@ -83,7 +84,8 @@
     }
 }
 
-/// The delay by a usage in core-milliseconds: half of the largest at `half_delay_core_s`, rising ever more slowly.
+/// Delay for a usage in core-milliseconds. It is half of the largest delay at `half_delay_core_s`, and its
+/// slope decreases as usage grows.
 #[expect(
     clippy::cast_possible_truncation,
     reason = "below the largest delay, which has 64 bits"
--- a/crates/fair-share/src/ranking_replica.rs
+++ b/crates/fair-share/src/ranking_replica.rs
@@ -1,4 +1,4 @@
-//! A node's replica of the newest ranking version that reached it.
+//! A node's replica of the newest ranking version that it has received.
 
 use crate::ranking::{FairShareRanking, UsageByUser};
 use crate::settings::FairShareSettings;
@@ -7,52 +7,55 @@
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// Steady clocks may differ in speed by this part: an age is counted longer by it.
+/// Steady clocks may differ in speed by one part in this many. Ages are extended accordingly.
 const MAX_CLOCK_DRIFT_DIVISOR: Millis = 32;
 
-/// What became of an update.
+/// Result of applying an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateOutcome {
-    /// The node ranks by its version from now on, or has ranked by it and now knows its age better.
+    /// The node ranks by the update's version from now on, or already did and may now have a tighter bound of
+    /// its age.
     Applied,
     /// The node holds a newer version.
     Outdated,
-    /// It is relative to a version that the node does not hold: ask again and name the one held.
+    /// The update is relative to a version that the node does not hold. The node must request another one and
+    /// name the version it holds.
     UnknownBase,
 }
 
-/// An upper bound of a version's age.
+/// Upper bound of a version's age.
 #[derive(Clone, Copy, Debug, Default)]
 struct AgeBound {
     age_ms: Millis,
-    /// The node's steady time at which the version was at most so old.
+    /// Steady time of the node at which the bound applied.
     as_of: Millis,
 }
 
 impl AgeBound {
     /// The bound at a later steady time.
     fn at(self, now: Millis) -> Millis {
-        let passed_ms = now.saturating_sub(self.as_of);
-        let drift_ms = passed_ms / MAX_CLOCK_DRIFT_DIVISOR + u64::from(passed_ms > 0);
+        let elapsed_ms = now.saturating_sub(self.as_of);
+        let drift_ms = elapsed_ms / MAX_CLOCK_DRIFT_DIVISOR + u64::from(elapsed_ms > 0);
         self.age_ms
-            .saturating_add(passed_ms)
+            .saturating_add(elapsed_ms)
             .saturating_add(drift_ms)
     }
 }
 
-/// Ranks units at a node by the newest version that reached it; it may send it on to other nodes.
+/// Ranks units at a node by the newest version that it has received, and can send that version to other
+/// nodes.
 ///
-/// Updates may be lost, late, repeated or out of order.
+/// Updates may be lost, late, duplicated or out of order.
 #[derive(Clone, Debug)]
 pub struct RankingReplica {
     settings: Arc<FairShareSettings>,
-    /// None before the first version came.
+    /// `None` until the first version is received.
     history: Option<VersionHistory>,
     age: AgeBound,
 }
 
 impl RankingReplica {
-    /// A node that has no version yet.
+    /// Creates a replica without a version.
     pub fn new(settings: FairShareSettings) -> RankingReplica {
         RankingReplica {
             settings: Arc::new(settings.clamped()),
@@ -61,8 +64,8 @@
         }
     }
 
-    /// Applies an update that answers a request sent at the node's steady time `requested_at`. The time in transit is
-    /// unknown, so the version is taken to be as old as if the answer had been sent at once.
+    /// Applies an update that answers a request sent at the node's steady time `requested_at`. The transit
+    /// time is unknown, so the age counts as if the response had been sent at that time.
     pub fn apply(&mut self, requested_at: Millis, update: &RankingUpdate) -> UpdateOutcome {
         let held = self.version();
         let is_outdated = held.is_some_and(|held| update.version < held);
@@ -86,34 +89,34 @@
         UpdateOutcome::Applied
     }
 
-    /// The version held, to be named in requests.
+    /// The version that the node holds, to be named in requests.
     pub fn version(&self) -> Option<RankingVersion> {
         self.ranking().map(FairShareRanking::version)
     }
 
-    /// The order by the version held; none before the first one came. Also when it is stale: a node that receives
-    /// nothing goes on with what it has.
+    /// The order by the version that the node holds; `None` until the first one is received. A stale version
+    /// is returned as well, because a node that receives no updates continues with the last one.
     pub fn ranking(&self) -> Option<&FairShareRanking> {
         self.history.as_ref().map(VersionHistory::newest)
     }
 
-    /// An upper bound of the version's age, in milliseconds.
+    /// Upper bound of the version's age, in milliseconds.
     pub fn age_ms(&self, now: Millis) -> Millis {
         self.age.at(now)
     }
 
-    /// Whether the version is older than it should be, or there is none: to be reported with each decision.
+    /// Whether the version exceeds the maximum age, or there is none. Should be reported with each decision.
     pub fn is_stale(&self, now: Millis) -> bool {
         self.history.is_none() || self.age_ms(now) > self.settings.max_age_ms
     }
 
-    /// What brings another node to the version held here.
+    /// Returns the update that brings another node to the version held here; `None` if there is no version.
     pub fn update_since(&self, now: Millis, held: Option<RankingVersion>) -> Option<RankingUpdate> {
         let history = self.history.as_ref()?;
         Some(history.update_since(held, self.age_ms(now)))
     }
 
-    /// The same version again: the lower of both bounds holds.
+    /// Applies another age bound of the same version. The lower of both bounds holds.
     fn tighten_age(&mut self, age: AgeBound) {
         let now = age.as_of.max(self.age.as_of);
         if age.at(now) < self.age.at(now) {
--- a/crates/fair-share/src/running_usage.rs
+++ b/crates/fair-share/src/running_usage.rs
@@ -1,11 +1,11 @@
-//! Meters of what runs: which rate each user's runs take together, and up to when it is charged.
+//! Meters of running tasks: the total rate of each user's runs, and the time up to which it has been charged.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use streamusher_protocol::task::RunId;
 use streamusher_protocol::Millis;
 
-/// Usage at one rate, in thousandths of a core, over a span of cluster time.
+/// Usage at a constant rate, in thousandths of a core, over a span of cluster time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct UsageSpan {
     pub(crate) rate: u64,
@@ -13,7 +13,7 @@
     pub(crate) until: Millis,
 }
 
-/// A run that is metered.
+/// A run that is being metered. The rate is in thousandths of a core, the start a cluster time.
 #[derive(Clone, Debug)]
 pub(crate) struct MeteredRun {
     pub(crate) user: Arc<str>,
@@ -21,16 +21,16 @@
     pub(crate) started_at: Millis,
 }
 
-/// What a user's runs take together.
+/// Meter of all runs of one user.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct UserMeter {
-    /// In thousandths of a core.
+    /// Total rate of the user's runs, in thousandths of a core.
     pub(crate) rate: u64,
-    /// Usage up to this cluster time is charged.
+    /// Cluster time up to which the usage has been charged.
     pub(crate) charged_until: Millis,
 }
 
-/// All running runs. A user has a meter while its runs take anything.
+/// All running runs. A user has a meter while the total rate of its runs is above zero.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RunningUsage {
     runs: BTreeMap<RunId, MeteredRun>,
@@ -42,7 +42,7 @@
         self.runs.contains_key(run)
     }
 
-    /// Adds a run; its user's usage must be charged up to its start.
+    /// Adds a run. The user's usage must have been charged up to the start of the run.
     pub(crate) fn insert(&mut self, id: RunId, run: MeteredRun) {
         let meter = self.meters.entry(run.user.clone()).or_default();
         meter.charged_until = run.started_at;
@@ -50,12 +50,12 @@
         self.runs.insert(id, run);
     }
 
-    /// The user of a run.
+    /// Returns the user of a run, if the run is known.
     pub(crate) fn user_of(&self, run: &RunId) -> Option<Arc<str>> {
         Some(self.runs.get(run)?.user.clone())
     }
 
-    /// Removes a run; its user's usage must be charged up to its end.
+    /// Removes a run. The user's usage must have been charged up to the end of the run.
     pub(crate) fn remove(&mut self, id: &RunId) -> Option<MeteredRun> {
         let run = self.runs.remove(id)?;
         if let Some(meter) = self.meters.get_mut(&run.user) {
@@ -67,7 +67,7 @@
         Some(run)
     }
 
-    /// Takes what a user's runs have used since they were last charged; none where that is nothing.
+    /// Takes the usage of a user's runs since they were last charged; `None` if there is none.
     pub(crate) fn take_uncharged(&mut self, user: &str, until: Millis) -> Option<UsageSpan> {
         let meter = self.meters.get_mut(user)?;
         let span = UsageSpan {
@@ -79,7 +79,7 @@
         (span.rate > 0 && span.from < until).then_some(span)
     }
 
-    /// A user's meter; an empty one where nothing of it runs.
+    /// Returns a user's meter, or an empty one if the user has no runs.
     pub(crate) fn meter(&self, user: &str) -> UserMeter {
         self.meters.get(user).copied().unwrap_or_default()
     }
@@ -88,7 +88,7 @@
         self.meters.contains_key(user)
     }
 
-    /// Users of which something runs, in order.
+    /// Iterates over the users with running tasks, in order.
     pub(crate) fn users(&self) -> impl Iterator<Item = &Arc<str>> {
         self.meters.keys()
     }
--- a/crates/fair-share/src/settings.rs
+++ b/crates/fair-share/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of fair share, and their check.
+//! Settings of fair share, and their validation.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -6,88 +6,91 @@
 use streamusher_protocol::heartbeat::Resources;
 use streamusher_protocol::Millis;
 
-/// Shortest half-life: versions come a second apart, and usage should outlast several.
+/// Minimum half-life. Versions are created at intervals of a second, and usage should last for several of
+/// them.
 pub const MIN_HALF_LIFE_MS: Millis = 10_000;
-/// Longest half-life, 30 days: spans within it have 32 bits, which the fixed-point arithmetic requires.
+/// Maximum half-life, 30 days. Time spans within it fit into 32 bits, which the fixed-point arithmetic
+/// requires.
 pub const MAX_HALF_LIFE_MS: Millis = 30 * 24 * 3_600_000;
-/// Shortest interval between versions: each is a batch of writes.
+/// Minimum interval between versions. Each version causes a batch of writes.
 pub const MIN_VERSION_INTERVAL_MS: Millis = 1_000;
-/// Longest delay by usage, 30 days; with the time of day it fits into the order key.
+/// Maximum delay caused by usage, 30 days. Together with the time of day it fits into the order key.
 pub const MAX_DELAY_MS: Millis = MAX_HALF_LIFE_MS;
-/// Largest number of users that may be kept.
+/// Maximum number of users that may be kept.
 pub const MAX_USERS: usize = 1_000_000;
 /// Weight of a user whose usage counts in full, in thousandths.
 pub const DEFAULT_WEIGHT: u32 = 1_000;
-/// What a GPU counts by default, in thousandths of a core: eight cores.
+/// Default charge for a GPU, in thousandths of a core: equivalent to eight cores.
 const DEFAULT_GPU_MILLICORES: u64 = 8_000;
-/// What a gigabyte of memory counts by default, in thousandths of a core: the usual machine has 4 GB for each core, so a
-/// task that takes all memory of a machine is charged half of what one that takes all its cores is charged.
+/// Default charge for a gigabyte of memory, in thousandths of a core. A typical machine has 4 GB per core, so
+/// a task that takes all memory of a machine is charged half as much as a task that takes all of its cores.
 const DEFAULT_GB_MILLICORES: u64 = 125;
-/// A user that takes so many cores without a pause gets half of the largest delay, by default.
+/// A user that continuously uses this many cores gets half of the largest delay, by default.
 const DEFAULT_HALF_DELAY_CORES: u64 = 10;
-/// Default of the largest number of users kept.
+/// Default maximum number of users.
 const DEFAULT_MAX_USERS: usize = 100_000;
-/// Default of the largest rate of one user, in cores.
+/// Default maximum rate of one user, in cores.
 const DEFAULT_MAX_RATE_CORES: u64 = 1_000;
 
-/// Settings of fair share; the same on every node. The keys are those of the settings file.
+/// Settings of fair share. All nodes must use the same settings. The keys are those of the settings file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FairShareSettings {
-    /// Usage decays to one half in this time, in milliseconds.
+    /// Time in which usage decays to one half, in milliseconds.
     pub half_life_ms: Millis,
-    /// What a GPU counts, in thousandths of a core.
+    /// Charge for a GPU, in thousandths of a core.
     pub gpu_millicores: u64,
-    /// What a gigabyte of memory counts, in thousandths of a core.
+    /// Charge for a gigabyte of memory, in thousandths of a core.
     pub gb_millicores: u64,
-    /// The largest delay that usage may cause, in milliseconds: no unit is ordered behind one that was submitted so much
-    /// later.
+    /// Maximum delay that usage may cause, in milliseconds. No unit is ordered after one that was submitted
+    /// later by more than this.
     #[serde(rename = "most_delay_ms")]
     pub max_delay_ms: Millis,
-    /// The usage that causes half of the largest delay, in core-seconds.
+    /// Usage that causes half of the largest delay, in core-seconds.
     pub half_delay_core_s: u64,
-    /// Shortest interval between two versions, in milliseconds.
+    /// Minimum interval between two versions, in milliseconds.
     #[serde(rename = "version_every_ms")]
     pub version_interval_ms: Millis,
-    /// A node's version that is older counts as stale, in milliseconds.
+    /// Age above which a node's version counts as stale, in milliseconds.
     #[serde(rename = "most_age_ms")]
     pub max_age_ms: Millis,
-    /// The largest rate of one user that the bound on inversions allows for, in cores: the cluster's size.
+    /// Maximum rate of one user that the bound on inversions assumes, in cores: the size of the cluster.
     #[serde(rename = "largest_rate_cores")]
     pub max_rate_cores: u64,
-    /// Largest number of users kept; beyond it those with the least usage are dropped.
+    /// Maximum number of users kept. The users with the least usage are dropped if there are more.
     #[serde(rename = "most_users")]
     pub max_users: usize,
-    /// Users' weights, in thousandths: their usage counts divided by it. Others have 1,000.
+    /// Weights of users, in thousandths. A user's usage is divided by its weight. The default is 1,000.
     #[serde(default)]
     pub weights: BTreeMap<Arc<str>, u32>,
-    /// The user, a team or tenant, of a queue; other queues are users of their own.
+    /// The user, such as a team or tenant, that a queue is charged to. Queues that are not listed are users
+    /// of their own.
     #[serde(default)]
     pub user_of_queue: BTreeMap<Arc<str>, Arc<str>>,
 }
 
-/// A setting that is out of its range.
+/// A setting that is out of range.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// Out of its range.
+    /// A numeric setting is out of its range.
     #[error("share_debt: {key} is {value}: give {min} to {max}")]
     Range {
-        /// Its key.
+        /// Key of the setting in the settings file.
         key: &'static str,
-        /// Its value.
+        /// The value that was given.
         value: u64,
-        /// Its smallest value.
+        /// Minimum permitted value.
         min: u64,
-        /// Its largest value.
+        /// Maximum permitted value.
         max: u64,
     },
-    /// A user's weight is zero.
+    /// The weight of the named user is zero.
     #[error("share_debt: the weight of {0:?} is 0: give 1 or more, 1000 is usual")]
     Weight(Arc<str>),
 }
 
 impl FairShareSettings {
-    /// The defaults for a half-life in milliseconds.
+    /// Creates the default settings for a half-life in milliseconds.
     pub fn with_half_life(half_life_ms: Millis) -> FairShareSettings {
         FairShareSettings {
             half_life_ms,
@@ -106,10 +109,10 @@
         }
     }
 
-    /// Checks every setting.
+    /// Validates every setting.
     ///
     /// # Errors
-    /// The first setting that is out of its range.
+    /// The first setting that is out of range.
     pub fn check(&self) -> Result<(), SettingsError> {
         check_range(
             "half_life_ms",
@@ -141,19 +144,19 @@
         }
     }
 
-    /// With the times that the arithmetic requires brought into their ranges; unchanged where `check` finds no fault.
+    /// Limits the times to the ranges that the arithmetic requires. Settings that pass `check` are unchanged.
     pub(crate) fn clamped(mut self) -> FairShareSettings {
         self.half_life_ms = self.half_life_ms.clamp(MIN_HALF_LIFE_MS, MAX_HALF_LIFE_MS);
         self.max_delay_ms = self.max_delay_ms.min(MAX_DELAY_MS);
         self
     }
 
-    /// The user that a queue's work is charged to.
+    /// Returns the user that a queue's runs are charged to.
     pub fn user_of(&self, queue: &Arc<str>) -> Arc<str> {
         self.user_of_queue.get(queue).unwrap_or(queue).clone()
     }
 
-    /// The rate at which a run with these resources is charged, in thousandths of a core.
+    /// Returns the rate at which a run with these resources is charged, in thousandths of a core.
     pub fn rate_of(&self, resources: &Resources) -> u64 {
         const MB_PER_GB: u64 = 1_024;
         let gpu = resources.gpu.saturating_mul(self.gpu_millicores);
@@ -161,7 +164,7 @@
         resources.cpu.saturating_add(gpu).saturating_add(memory)
     }
 
-    /// A user's weight, in thousandths.
+    /// Returns a user's weight, in thousandths.
     pub(crate) fn weight_of(&self, user: &str) -> u32 {
         self.weights
             .get(user)
--- a/crates/fair-share/src/stored_state.rs
+++ b/crates/fair-share/src/stored_state.rs
@@ -1,4 +1,4 @@
-//! The replicated form: a record for each user, and one for the newest version.
+//! Replicated form of the accounts: a record for each user, and one for the newest version.
 
 use crate::decayed_usage::DecayedUsage;
 use crate::version::RankingVersion;
@@ -7,19 +7,19 @@
 use streamusher_protocol::store::Write;
 use streamusher_protocol::Millis;
 
-/// Keys of users' records; the user's name follows.
+/// Prefix of the keys of users' records. The user's name follows the prefix.
 const USER_KEY_PREFIX: &str = "debt/";
 /// Key of the newest version's record.
 const VERSION_KEY: &str = "debt-version";
 
-/// The newest version, and what is needed to read users' records.
+/// Record of the newest version, and of what is needed to read users' records.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct VersionRecord {
     pub(crate) version: RankingVersion,
-    /// The cluster time at which it was made.
+    /// Cluster time at which the version was created.
     #[serde(rename = "time")]
     pub(crate) created_at: Millis,
-    /// Users' records count by this half-life; 0 where there is no version.
+    /// Half-life that the users' records are based on; 0 if there is no version.
     pub(crate) half_life_ms: Millis,
 }
 
@@ -28,7 +28,7 @@
     Write::set(VERSION_KEY, value)
 }
 
-/// The write of a user's record; of none, its removal.
+/// Returns the write of a user's record, or its removal if there is no usage.
 pub(crate) fn user_write(user: &str, usage: Option<&DecayedUsage>) -> Write {
     let key = format!("{USER_KEY_PREFIX}{user}");
     match usage {
@@ -37,18 +37,18 @@
     }
 }
 
-/// The replicated records, as far as they can be read.
+/// The readable part of the replicated records.
 #[derive(Debug, Default)]
 pub(crate) struct StoredState {
     pub(crate) version: VersionRecord,
     pub(crate) users: Vec<(Arc<str>, DecayedUsage)>,
-    /// Users, or the version's key, whose record cannot be read.
+    /// Users whose record is unreadable, or the version's key if the version's record is.
     pub(crate) unreadable: Vec<Arc<str>>,
 }
 
 impl StoredState {
-    /// Reads records; other keys are ignored. A record that cannot be read is listed, never an error: its user only
-    /// starts without usage.
+    /// Reads records; other keys are ignored. An unreadable record is not an error: its key is listed, and
+    /// its user starts without usage.
     pub(crate) fn read(records: impl IntoIterator<Item = (Arc<str>, Arc<str>)>) -> StoredState {
         let mut state = StoredState::default();
         for (key, value) in records {
@@ -67,7 +67,7 @@
         state
     }
 
-    /// The half-life by which users' records count, where there is a version.
+    /// Half-life that the users' records are based on, if there is a version.
     pub(crate) fn half_life_ms(&self) -> Option<Millis> {
         Some(self.version.half_life_ms).filter(|half_life| *half_life > 0)
     }
--- a/crates/fair-share/src/version.rs
+++ b/crates/fair-share/src/version.rs
@@ -1,37 +1,38 @@
-//! Names of ranking versions, and how they are transmitted.
+//! Identifiers of ranking versions, and the form in which versions are transmitted.
 
 use crate::decayed_usage::DecayedUsage;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// Names one state of all users' usage.
+/// Identifies one state of all users' usage.
 ///
-/// The order is epoch first: a later primary's version goes before an earlier one's, whatever their numbers, so what a
-/// deposed primary made and could not commit never wins.
+/// Versions are ordered by epoch first: a later primary's version is newer than an earlier primary's,
+/// whatever their numbers. A version that a deposed primary created but could not commit therefore never
+/// replaces a later one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct RankingVersion {
-    /// Epoch of the primary that made it.
+    /// Epoch of the primary that created the version.
     pub epoch: u64,
-    /// Rises by one from version to version, over all epochs.
+    /// Sequence number, incremented with each version across all epochs.
     pub number: u64,
 }
 
-/// A version as one node sends it to another: whole, or as the difference from another version.
+/// A version as one node sends it to another: complete, or as the difference from another version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RankingUpdate {
-    /// The version that `changes` are relative to; none where all users are listed.
+    /// The version that `changes` are relative to; `None` if all users are listed.
     pub base: Option<RankingVersion>,
     /// The version that is sent.
     pub version: RankingVersion,
-    /// The cluster time at which it was made.
+    /// Cluster time at which the version was created.
     #[serde(rename = "time")]
     pub created_at: Millis,
-    /// Its age when this update was sent, in milliseconds; an upper bound.
+    /// Upper bound of the version's age when this update was sent, in milliseconds.
     pub age_ms: Millis,
-    /// Users whose usage differs from the base.
+    /// Users whose usage differs from the base, or all users if there is no base.
     #[serde(rename = "debts")]
     pub changes: Vec<UsageChange>,
 }
@@ -43,9 +44,9 @@
     into = "(Arc<str>, Option<DecayedUsage>)"
 )]
 pub struct UsageChange {
-    /// The user.
+    /// Name of the user.
     pub user: Arc<str>,
-    /// Its usage; none where the user is dropped.
+    /// Usage of the user; `None` if the user has been dropped.
     pub usage: Option<DecayedUsage>,
 }
 
--- a/crates/fair-share/src/version_history.rs
+++ b/crates/fair-share/src/version_history.rs
@@ -1,4 +1,5 @@
-//! The newest version, and which users each of the versions before it changed: what is needed to send a difference.
+//! The newest version, and the users that each earlier version changed, from which differences between
+//! versions are built.
 
 use crate::ranking::FairShareRanking;
 use crate::version::{RankingUpdate, RankingVersion, UsageChange};
@@ -6,13 +7,14 @@
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// Versions of which the changes are remembered: a node that lost more is sent the whole.
+/// Maximum number of versions whose changes are kept. A node that is further behind is sent the complete
+/// version.
 const MAX_VERSIONS: usize = 32;
-/// Changed users that are remembered over all versions: beyond it the oldest versions are dropped, as the whole is then
-/// no longer than the difference.
+/// Maximum number of changed users that are kept over all versions. Beyond it the oldest versions are
+/// dropped, because the complete version is then no longer than the difference.
 const MAX_CHANGED_USERS: usize = 100_000;
 
-/// A version that was succeeded, and what its successor changed.
+/// An earlier version, and the changes made by the version after it.
 #[derive(Clone, Debug)]
 struct FormerVersion {
     version: RankingVersion,
@@ -20,18 +22,18 @@
     changed_after: Vec<Arc<str>>,
 }
 
-/// The newest ranking with the changes that led to it.
+/// The newest ranking, and the changes that led to it.
 #[derive(Clone, Debug)]
 pub(crate) struct VersionHistory {
     newest: FairShareRanking,
-    /// Oldest first.
+    /// Ordered from the oldest to the newest.
     former: VecDeque<FormerVersion>,
     /// Number of changed users over all former versions.
     changed_users: usize,
 }
 
 impl VersionHistory {
-    /// A history that begins with this ranking.
+    /// Creates a history that starts with this ranking.
     pub(crate) fn new(ranking: FairShareRanking) -> VersionHistory {
         VersionHistory {
             newest: ranking,
@@ -40,12 +42,12 @@
         }
     }
 
-    /// The newest ranking.
+    /// Returns the newest ranking.
     pub(crate) fn newest(&self) -> &FairShareRanking {
         &self.newest
     }
 
-    /// Adds a ranking that differs from the newest in these users.
+    /// Adds a ranking that differs from the newest one in the given users.
     pub(crate) fn push(&mut self, ranking: FairShareRanking, changed: Vec<Arc<str>>) {
         self.changed_users += changed.len();
         self.former.push_back(FormerVersion {
@@ -61,7 +63,7 @@
         }
     }
 
-    /// What brings a node that holds `held` to the newest version.
+    /// Returns the update that brings a node from the version `held`, if any, to the newest one.
     pub(crate) fn update_since(
         &self,
         held: Option<RankingVersion>,
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -49,7 +49,7 @@
 //!   of request and its responses.
 //! - `worker_liveness`, `run_timeouts`, `hedging`: periodic checks and time-outs.
 //! - `recovery`, `explain`, `long_running_report`: takeover by a new primary, explanations for operators, and
-//!   log lines about long-running tasks that are not running.
+//!   log lines about long-running jobs with tasks that are not running.
 //! - `cluster_state`: the state, and the transitions that keep its parts consistent.
 //! - `runs`, `workers`, `agents`, `fair_share`, `penalty_store`, `objective_report`: the individual parts of
 //!   the state.
