--- a/crates/scheduler/tests/client_requests.rs
+++ b/crates/scheduler/tests/client_requests.rs
@@ -1,4 +1,4 @@
-//! Clients' requests that are invalid.
+//! Tests of the responses to invalid client requests.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
--- a/crates/scheduler/tests/encoded.rs
+++ b/crates/scheduler/tests/encoded.rs
@@ -1,7 +1,8 @@
-//! Every write, reply and answer of a fixed course of events, byte for byte as recorded: an encoded form that changes
-//! would not be understood by another version's nodes, agents, gates and tools.
+//! Compares every write, response and explanation of a fixed sequence of events with a recorded transcript,
+//! byte for byte. Nodes, agents, gates and tools of other versions would not understand a changed encoding.
 //!
-//! `ENCODED_SHOW=1 cargo test -p streamusher-scheduler --test encoded -- --nocapture` prints the present transcript.
+//! `ENCODED_SHOW=1 cargo test -p streamusher-scheduler --test encoded -- --nocapture` prints the current
+//! transcript.
 
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -40,7 +41,7 @@
             Some(value) => writeln!(transcript, "write {} {value}", write.key),
             None => writeln!(transcript, "remove {}", write.key),
         }
-        .expect("a string takes all");
+        .expect("writing to a string succeeds");
     }
     for pending in &effects.responses {
         let request = pending.request;
@@ -55,26 +56,27 @@
                 format!("operator {} {}", response.status, response.body)
             }
         };
-        writeln!(transcript, "reply {request} {shown}").expect("a string takes all");
+        writeln!(transcript, "reply {request} {shown}").expect("writing to a string succeeds");
     }
 }
 
-/// The course of events; what each scene wrote and answered, and what operators are shown after it.
-struct Course {
+/// Runs the sequence of events and records the transcript. Each section lists what was written and answered,
+/// followed by what operators are shown.
+struct TranscriptRecorder {
     cluster: TestCluster,
     transcript: String,
 }
 
-impl Course {
-    fn new(settings: SchedulerSettings) -> Course {
-        Course {
+impl TranscriptRecorder {
+    fn new(settings: SchedulerSettings) -> TranscriptRecorder {
+        TranscriptRecorder {
             cluster: TestCluster::with_settings(settings),
             transcript: String::new(),
         }
     }
 
-    fn end_scene(&mut self, name: &str) {
-        writeln!(self.transcript, "--- {name}").expect("a string takes all");
+    fn end_section(&mut self, name: &str) {
+        writeln!(self.transcript, "--- {name}").expect("writing to a string succeeds");
         for effects in std::mem::take(&mut self.cluster.effects) {
             show_effects(&mut self.transcript, &effects);
         }
@@ -97,7 +99,7 @@
             ("user", serde_json::to_string(&user).expect("JSON")),
             ("state", state.join(" ")),
         ] {
-            writeln!(self.transcript, "{name} {shown}").expect("a string takes all");
+            writeln!(self.transcript, "{name} {shown}").expect("writing to a string succeeds");
         }
     }
 
@@ -114,19 +116,19 @@
     }
 }
 
-fn run_requests_of_clients_and_operators(course: &mut Course) {
+fn run_requests_of_clients_and_operators(recorder: &mut TranscriptRecorder) {
     let update = r#"{"version":2,"upsert":{"services":[{"name":"s","guards":false}]}}"#;
-    course.operator(OperatorRequestKind::Read, None, "");
-    course.operator(OperatorRequestKind::Update, None, update);
-    course.operator(OperatorRequestKind::Update, Some(1), update);
-    course.operator(OperatorRequestKind::Update, Some(1), update);
-    course.operator(OperatorRequestKind::Replace, Some(2), "{");
-    course.operator(
+    recorder.operator(OperatorRequestKind::Read, None, "");
+    recorder.operator(OperatorRequestKind::Update, None, update);
+    recorder.operator(OperatorRequestKind::Update, Some(1), update);
+    recorder.operator(OperatorRequestKind::Update, Some(1), update);
+    recorder.operator(OperatorRequestKind::Replace, Some(2), "{");
+    recorder.operator(
         OperatorRequestKind::Replace,
         Some(9),
         r#"{"version":10,"routes":[],"services":[]}"#,
     );
-    let cluster = &mut course.cluster;
+    let cluster = &mut recorder.cluster;
     cluster.request(ClientMethod::Get, "/nowhere/", "");
     cluster.request(ClientMethod::Get, "/q/", "");
     cluster.request(ClientMethod::Post, "/q/", "");
@@ -139,43 +141,43 @@
         &format!("/q/{JOB}"),
         r#"{"spec":"text","steps":[]}"#,
     );
-    course.end_scene("requests");
+    recorder.end_section("requests");
 }
 
-fn run_job_of_three_steps(course: &mut Course) -> (TestAgent, TestAgent) {
+fn run_job_of_three_steps(recorder: &mut TranscriptRecorder) -> (TestAgent, TestAgent) {
     let mut first = TestAgent::new("side-1", "i-1");
     let mut second = TestAgent::new("side-2", "i-2");
-    course.cluster.settle(&mut first);
-    course.cluster.submit(STEPS);
-    course.cluster.settle(&mut first);
-    course.end_scene("started");
+    recorder.cluster.settle(&mut first);
+    recorder.cluster.submit(STEPS);
+    recorder.cluster.settle(&mut first);
+    recorder.end_section("started");
     first.start_all();
-    course.cluster.settle(&mut first);
-    course.cluster.wait(300);
-    course.cluster.settle(&mut second);
+    recorder.cluster.settle(&mut first);
+    recorder.cluster.wait(300);
+    recorder.cluster.settle(&mut second);
     first.finish_all(RunEnd::Done);
-    course.cluster.settle(&mut first);
+    recorder.cluster.settle(&mut first);
     first.start_all();
     first.report.running[0].checkpoint = "saved".into();
     first.report.running[0].percent = 12.5;
-    course.cluster.settle(&mut first);
-    course.end_scene("second step");
-    course.cluster.wait(1_000);
-    course.cluster.settle(&mut second);
-    course.end_scene("hedged");
+    recorder.cluster.settle(&mut first);
+    recorder.end_section("second step");
+    recorder.cluster.wait(1_000);
+    recorder.cluster.settle(&mut second);
+    recorder.end_section("hedged");
     second.start_all();
-    course.cluster.settle(&mut second);
+    recorder.cluster.settle(&mut second);
     first.finish_all(RunEnd::Done);
-    course.cluster.settle(&mut first);
-    course.cluster.settle(&mut second);
+    recorder.cluster.settle(&mut first);
+    recorder.cluster.settle(&mut second);
     second.finish_all(RunEnd::Stopped);
-    course.cluster.settle(&mut second);
-    course.end_scene("gang");
+    recorder.cluster.settle(&mut second);
+    recorder.end_section("gang");
     (first, second)
 }
 
-fn run_failures_and_a_takeover(course: &mut Course, first: &mut TestAgent) {
-    let cluster = &mut course.cluster;
+fn run_failures_and_a_takeover(recorder: &mut TranscriptRecorder, first: &mut TestAgent) {
+    let cluster = &mut recorder.cluster;
     for number in 1..=3 {
         let body = format!(r#"{{"spec":"text","steps":{FAILING_STEPS}}}"#);
         cluster.request(ClientMethod::Post, &format!("/q/{number:016x}"), &body);
@@ -188,53 +190,57 @@
         }
     }
     cluster.wait(1_100);
-    course.end_scene("penalties");
-    course.cluster.take_over();
-    course.cluster.settle(first);
-    course.end_scene("takeover");
+    recorder.end_section("penalties");
+    recorder.cluster.take_over();
+    recorder.cluster.settle(first);
+    recorder.end_section("takeover");
 }
 
-fn run_losses(course: &mut Course, first: &mut TestAgent, second: &mut TestAgent) {
-    let cluster = &mut course.cluster;
+fn run_worker_losses(
+    recorder: &mut TranscriptRecorder,
+    first: &mut TestAgent,
+    second: &mut TestAgent,
+) {
+    let cluster = &mut recorder.cluster;
     second.report.state = WorkerState::Draining;
     second.report.remaining_ms = Some(200);
     second.report.sequence += 1;
     cluster.settle(second);
     cluster.request(ClientMethod::Delete, &format!("/q/{JOB}"), "");
     cluster.settle(first);
-    course.end_scene("drained and cancelled");
+    recorder.end_section("drained and cancelled");
     first.replace_worker("i-9");
-    course.cluster.settle(first);
-    course.cluster.wait(7_000);
-    course.end_scene("lost");
-    course.cluster.handle(Event::RequestAbandoned { id: 1 });
-    course.cluster.wait(15_000);
-    course.end_scene("all leases expired");
+    recorder.cluster.settle(first);
+    recorder.cluster.wait(7_000);
+    recorder.end_section("lost");
+    recorder.cluster.handle(Event::RequestAbandoned { id: 1 });
+    recorder.cluster.wait(15_000);
+    recorder.end_section("all leases expired");
 }
 
 fn transcript(settings: SchedulerSettings) -> String {
-    let mut course = Course::new(settings);
-    course.end_scene("configured");
-    run_requests_of_clients_and_operators(&mut course);
-    let (mut first, mut second) = run_job_of_three_steps(&mut course);
-    run_failures_and_a_takeover(&mut course, &mut first);
-    run_losses(&mut course, &mut first, &mut second);
-    course.transcript
+    let mut recorder = TranscriptRecorder::new(settings);
+    recorder.end_section("configured");
+    run_requests_of_clients_and_operators(&mut recorder);
+    let (mut first, mut second) = run_job_of_three_steps(&mut recorder);
+    run_failures_and_a_takeover(&mut recorder, &mut first);
+    run_worker_losses(&mut recorder, &mut first, &mut second);
+    recorder.transcript
 }
 
 #[test]
 fn encoded_forms_are_as_recorded() {
-    let present = format!(
+    let actual = format!(
         "=== without fair share\n{}=== with fair share\n{}",
         transcript(settings()),
         transcript(with_fair_share())
     );
     if std::env::var_os("ENCODED_SHOW").is_some() {
-        print!("{present}");
+        print!("{actual}");
         return;
     }
-    for (number, (present, recorded)) in present.lines().zip(RECORDED.lines()).enumerate() {
-        assert_eq!(present, recorded, "line {}", number + 1);
+    for (number, (actual, recorded)) in actual.lines().zip(RECORDED.lines()).enumerate() {
+        assert_eq!(actual, recorded, "line {}", number + 1);
     }
-    assert_eq!(present.len(), RECORDED.len());
+    assert_eq!(actual.len(), RECORDED.len());
 }
--- a/crates/scheduler/tests/explain.rs
+++ b/crates/scheduler/tests/explain.rs
@@ -1,4 +1,4 @@
-//! Explanations for operators.
+//! Tests of the explanations for operators.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
--- a/crates/scheduler/tests/fair_share.rs
+++ b/crates/scheduler/tests/fair_share.rs
@@ -1,4 +1,4 @@
-//! Decayed usage orders work within a priority, where fair share is switched on.
+//! Tests of fair share: decayed usage orders work within a priority if fair share is enabled.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
@@ -14,19 +14,19 @@
 use streamusher_scheduler::{Event, OperatorRequest, OperatorRequestKind, SchedulerSettings};
 use support::{settings, TestAgent, TestCluster, JOB};
 
-/// The status as operators read it.
+/// The scheduler's status as operators read it.
 fn status(cluster: &TestCluster) -> serde_json::Value {
     serde_json::to_value(cluster.scheduler.status(cluster.now)).expect("JSON")
 }
 
-/// A task that takes the whole worker.
-const WHOLE: &str = r#"[{"count":1,"cpu":1000,"mem_mb":10,"estimated_ms":20000}]"#;
+/// Steps of a job with one task that takes the whole worker.
+const WHOLE_WORKER_TASK: &str = r#"[{"count":1,"cpu":1000,"mem_mb":10,"estimated_ms":20000}]"#;
 
-/// A job of the user that has used much.
-const SCANS: &str = "00000000000000a1";
+/// A job of the user with large usage.
+const JOB_OF_HEAVY_USER: &str = "00000000000000a1";
 
-/// A job of the user that has used nothing.
-const CHECK: &str = "00000000000000b1";
+/// A job of the user without usage.
+const JOB_OF_IDLE_USER: &str = "00000000000000b1";
 
 fn with_fair_share() -> SchedulerSettings {
     let fair_share = streamusher_fair_share::FairShareSettings {
@@ -40,7 +40,7 @@
     }
 }
 
-/// A cluster with a worker and a second queue, `/p/`, of this priority.
+/// Creates a cluster with one worker and a second queue, `/p/`, of the given priority.
 fn with_two_queues(settings: SchedulerSettings, priority: u32) -> (TestCluster, TestAgent) {
     let mut cluster = TestCluster::with_settings(settings);
     let body = format!(
@@ -62,12 +62,12 @@
 }
 
 fn submit(cluster: &mut TestCluster, path: &str) {
-    let body = format!(r#"{{"spec":"text","steps":{WHOLE}}}"#);
+    let body = format!(r#"{{"spec":"text","steps":{WHOLE_WORKER_TASK}}}"#);
     assert_eq!(cluster.request(ClientMethod::Post, path, &body).status, 200);
 }
 
-/// Lets time pass while the agent calls and its worker's progress rises.
-fn work(cluster: &mut TestCluster, agent: &mut TestAgent, span: Millis) {
+/// Advances the time while the agent calls and the progress of its worker's runs increases.
+fn run_for(cluster: &mut TestCluster, agent: &mut TestAgent, span: Millis) {
     let until = cluster.now + span;
     while cluster.now < until {
         cluster.wait(250);
@@ -81,17 +81,18 @@
     }
 }
 
-/// A job of queue `/q/` runs; after it one of `/q/` waits, and one of `/p/` that came later.
+/// Creates a cluster in which a job of queue `/q/` is running. Behind it a job of `/q/` is pending, and a job
+/// of `/p/` that was submitted later.
 fn with_heavy_usage_and_two_pending_jobs(settings: SchedulerSettings) -> (TestCluster, TestAgent) {
     let (mut cluster, mut agent) = with_two_queues(settings, 0);
     submit(&mut cluster, &format!("/q/{JOB}"));
     cluster.settle(&mut agent);
     agent.start_all();
-    work(&mut cluster, &mut agent, 1_000);
-    submit(&mut cluster, &format!("/q/{SCANS}"));
-    work(&mut cluster, &mut agent, 8_000);
-    submit(&mut cluster, &format!("/p/{CHECK}"));
-    work(&mut cluster, &mut agent, 1_000);
+    run_for(&mut cluster, &mut agent, 1_000);
+    submit(&mut cluster, &format!("/q/{JOB_OF_HEAVY_USER}"));
+    run_for(&mut cluster, &mut agent, 8_000);
+    submit(&mut cluster, &format!("/p/{JOB_OF_IDLE_USER}"));
+    run_for(&mut cluster, &mut agent, 1_000);
     (cluster, agent)
 }
 
@@ -103,19 +104,19 @@
 }
 
 #[rstest]
-#[case::on(Some(()), CHECK)]
-#[case::off(None, SCANS)]
-fn user_with_less_usage_goes_first_where_fair_share_is_on(
-    #[case] on: Option<()>,
-    #[case] first: &str,
+#[case::enabled(Some(()), JOB_OF_IDLE_USER)]
+#[case::disabled(None, JOB_OF_HEAVY_USER)]
+fn user_with_less_usage_is_ordered_first_if_fair_share_is_enabled(
+    #[case] enabled: Option<()>,
+    #[case] expected_first: &str,
 ) {
-    let settings = if on.is_some() {
+    let settings = if enabled.is_some() {
         with_fair_share()
     } else {
         settings()
     };
     let (mut cluster, mut agent) = with_heavy_usage_and_two_pending_jobs(settings);
-    assert_eq!(next_start(&mut cluster, &mut agent), first);
+    assert_eq!(next_start(&mut cluster, &mut agent), expected_first);
 }
 
 #[test]
@@ -132,25 +133,25 @@
     assert_eq!(
         after["users"][0]["rate_millicores"],
         1_000 + 1,
-        "the run goes on being charged: a core, and 10 MB"
+        "the run continues to be charged for a core and 10 MB"
     );
     cluster.settle(&mut agent);
-    work(&mut cluster, &mut agent, 2_000);
+    run_for(&mut cluster, &mut agent, 2_000);
     assert_eq!(status(&cluster)["share_debt"]["version"]["epoch"], 2);
-    assert_eq!(next_start(&mut cluster, &mut agent), CHECK);
+    assert_eq!(next_start(&mut cluster, &mut agent), JOB_OF_IDLE_USER);
 }
 
 #[test]
-fn priority_goes_before_usage() {
+fn priority_takes_precedence_over_usage() {
     let (mut cluster, mut agent) = with_two_queues(with_fair_share(), 1);
     submit(&mut cluster, &format!("/q/{JOB}"));
     cluster.settle(&mut agent);
     agent.start_all();
-    submit(&mut cluster, &format!("/p/{CHECK}"));
-    work(&mut cluster, &mut agent, 9_000);
-    submit(&mut cluster, &format!("/q/{SCANS}"));
-    work(&mut cluster, &mut agent, 1_000);
-    assert_eq!(next_start(&mut cluster, &mut agent), SCANS);
+    submit(&mut cluster, &format!("/p/{JOB_OF_IDLE_USER}"));
+    run_for(&mut cluster, &mut agent, 9_000);
+    submit(&mut cluster, &format!("/q/{JOB_OF_HEAVY_USER}"));
+    run_for(&mut cluster, &mut agent, 1_000);
+    assert_eq!(next_start(&mut cluster, &mut agent), JOB_OF_HEAVY_USER);
 }
 
 #[test]
@@ -159,7 +160,7 @@
     submit(&mut cluster, &format!("/q/{JOB}"));
     cluster.settle(&mut agent);
     agent.start_all();
-    work(&mut cluster, &mut agent, 9_000);
+    run_for(&mut cluster, &mut agent, 9_000);
     let users = status(&cluster)["share_debt"]["users"].clone();
     assert!(users[0]["debt_core_ms"].as_u64() > Some(7_000), "{users}");
     agent.replace_worker("i-2");
@@ -169,14 +170,14 @@
 }
 
 #[test]
-fn nothing_is_written_or_shown_where_fair_share_is_off() {
+fn nothing_is_written_or_shown_if_fair_share_is_disabled() {
     let (cluster, _) = with_heavy_usage_and_two_pending_jobs(settings());
     assert!(status(&cluster)["share_debt"].is_null());
     assert!(!cluster.state.keys().any(|key| key.starts_with("debt")));
 }
 
 #[test]
-fn one_ranking_version_a_second_is_written_at_most() {
+fn at_most_one_ranking_version_per_second_is_written() {
     let (cluster, _) = with_heavy_usage_and_two_pending_jobs(with_fair_share());
     let number = status(&cluster)["share_debt"]["version"]["number"]
         .as_u64()
--- a/crates/scheduler/tests/hedging.rs
+++ b/crates/scheduler/tests/hedging.rs
@@ -1,4 +1,4 @@
-//! Speculative second runs of hedged tasks.
+//! Tests of speculative second runs of hedged tasks.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
@@ -13,7 +13,7 @@
 const ONE_HEDGED_TASK: &str =
     r#"[{"count":1,"cpu":600,"mem_mb":10,"estimated_ms":500,"hedged":true}]"#;
 
-/// A hedged task runs at the first worker; a second one is idle.
+/// Creates a cluster in which a hedged task runs on the first worker and a second worker is idle.
 fn with_hedged_run_and_idle_worker() -> (TestCluster, TestAgent, TestAgent) {
     let mut cluster = TestCluster::new();
     let (mut first, mut second) = (
@@ -39,7 +39,7 @@
     assert_eq!(
         second.start.len(),
         1,
-        "a second run while the lease of the first lasts"
+        "the second run starts before the lease of the first worker expires"
     );
 
     first.finish_all(RunEnd::Done);
@@ -48,9 +48,12 @@
 
     assert!(
         cluster.job_status().contains("succeeded"),
-        "whichever finishes first counts"
+        "the first run to finish counts"
+    );
+    assert!(
+        second.start.is_empty(),
+        "the start of the other run is withdrawn"
     );
-    assert!(second.start.is_empty(), "the other run is withdrawn");
 }
 
 #[test]
--- a/crates/scheduler/tests/jobs.rs
+++ b/crates/scheduler/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! The course of jobs and runs, and when allocations are released.
+//! Tests of the life cycle of jobs and runs, and of the release of allocations.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
@@ -20,7 +20,7 @@
     agent.finish_all(RunEnd::Done);
     cluster.settle(&mut agent);
     assert!(cluster.job_status().contains("succeeded"));
-    assert_eq!(agent.last_seen, 1, "the outcome is processed");
+    assert_eq!(agent.last_seen, 1, "the outcome has been processed");
     assert!(agent.start.is_empty() && agent.stop.is_empty());
 }
 
@@ -30,10 +30,7 @@
     assert_eq!(cluster.submit(ONE_TASK).status, 200);
     cluster.wait(500);
     cluster.settle(&mut agent);
-    assert!(
-        agent.start.is_empty(),
-        "nothing is started for the second request"
-    );
+    assert!(agent.start.is_empty(), "the second request starts no run");
 }
 
 #[test]
@@ -67,14 +64,14 @@
     cluster.settle(&mut agent);
     assert!(
         agent.start.is_empty(),
-        "600 of 1,000 may be taken: the other task does not fit"
+        "600 of 1,000 millicores may be in use, so the other task does not fit"
     );
     agent.heartbeat_without_starts();
     cluster.settle(&mut agent);
     assert_eq!(
         agent.start.len(),
         1,
-        "the cancelled run never started: its allocation is released"
+        "the cancelled run never started, so its allocation is released"
     );
 }
 
--- a/crates/scheduler/tests/long_running_report.rs
+++ b/crates/scheduler/tests/long_running_report.rs
@@ -1,4 +1,4 @@
-//! Log lines of long-running tasks that are not at work.
+//! Tests of the log lines about long-running tasks that are not running.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
@@ -12,9 +12,9 @@
 use streamusher_scheduler::{LongRunningShortfall, LONG_RUNNING_SHORTFALL_PREFIX};
 use support::{log_capture, TestAgent, TestCluster};
 
-const AT_WORK_PERCENT: f64 = 100.0;
+const STARTED_UP_PERCENT: f64 = 100.0;
 
-/// The newest report.
+/// Returns the newest report that this thread has logged.
 fn reported() -> Option<Vec<LongRunningShortfall>> {
     let lines = log_capture::lines();
     let json = lines
@@ -24,8 +24,9 @@
     Some(serde_json::from_str(json).expect("a list of shortfalls"))
 }
 
-/// A job of three long-running tasks, of which the only worker has capacity for two; both are at work.
-fn with_two_of_three_at_work() -> (TestCluster, TestAgent) {
+/// Creates a cluster with a job of three long-running tasks. The only worker has capacity for two, and both
+/// are running.
+fn with_two_of_three_tasks_running() -> (TestCluster, TestAgent) {
     let mut cluster = TestCluster::new();
     let mut agent = TestAgent::new("side-1", "i-1");
     cluster.settle(&mut agent);
@@ -34,7 +35,7 @@
     cluster.settle(&mut agent);
     agent.start_all();
     for running in &mut agent.report.running {
-        running.percent = AT_WORK_PERCENT;
+        running.percent = STARTED_UP_PERCENT;
     }
     (cluster, agent)
 }
@@ -50,7 +51,7 @@
 #[test]
 fn tasks_that_wait_are_reported_with_their_reason() {
     log_capture::install();
-    let (mut cluster, mut agent) = with_two_of_three_at_work();
+    let (mut cluster, mut agent) = with_two_of_three_tasks_running();
     run_for(&mut cluster, &mut agent, 25);
     let jobs = reported().expect("a report");
     assert_eq!(jobs.len(), 1);
@@ -62,9 +63,9 @@
 }
 
 #[test]
-fn tasks_that_start_back_off_and_are_unheard_are_told_apart() {
+fn starting_and_backing_off_tasks_are_counted_separately() {
     log_capture::install();
-    let (mut cluster, mut agent) = with_two_of_three_at_work();
+    let (mut cluster, mut agent) = with_two_of_three_tasks_running();
     agent.report.running[0].percent = 0.0;
     for _ in 0..12 {
         agent.report.running[0].percent += 5.0;
@@ -73,7 +74,7 @@
     let job = reported().expect("a report").remove(0);
     assert_eq!((job.running, job.starting, job.pending), (1, 1, 1));
 
-    agent.report.running[0].percent = AT_WORK_PERCENT;
+    agent.report.running[0].percent = STARTED_UP_PERCENT;
     for _ in 0..10 {
         agent.finish_all(RunEnd::Failed);
         run_for(&mut cluster, &mut agent, 1);
@@ -85,9 +86,9 @@
 }
 
 #[test]
-fn worker_that_is_not_heard_is_told_from_one_at_work() {
+fn tasks_of_an_unresponsive_worker_are_not_counted_as_running() {
     log_capture::install();
-    let (mut cluster, mut agent) = with_two_of_three_at_work();
+    let (mut cluster, mut agent) = with_two_of_three_tasks_running();
     run_for(&mut cluster, &mut agent, 2);
     cluster.wait(4_000);
     let job = reported().expect("a report").remove(0);
@@ -95,7 +96,7 @@
 }
 
 #[test]
-fn job_whose_tasks_are_all_at_work_is_not_reported() {
+fn job_whose_tasks_are_all_running_is_not_reported() {
     log_capture::install();
     let mut cluster = TestCluster::new();
     let mut agent = TestAgent::new("side-1", "i-1");
@@ -105,7 +106,7 @@
     cluster.settle(&mut agent);
     agent.start_all();
     for running in &mut agent.report.running {
-        running.percent = AT_WORK_PERCENT;
+        running.percent = STARTED_UP_PERCENT;
     }
     run_for(&mut cluster, &mut agent, 25);
     assert_eq!(reported(), None);
--- a/crates/scheduler/tests/objective_report.rs
+++ b/crates/scheduler/tests/objective_report.rs
@@ -1,4 +1,4 @@
-//! Log lines of jobs that missed their objective.
+//! Tests of the log lines about jobs that missed their objective.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
--- a/crates/scheduler/tests/penalties.rs
+++ b/crates/scheduler/tests/penalties.rs
@@ -1,4 +1,5 @@
-//! Workers' penalties outlast a change of primary, decay, and go with the worker.
+//! Tests of workers' penalties: a new primary inherits them, they decay, and they are removed with the
+//! worker.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
@@ -24,7 +25,7 @@
     );
 }
 
-/// A worker at which four runs have failed.
+/// Creates a cluster with one worker on which four runs have failed.
 fn with_failing_worker() -> (TestCluster, TestAgent) {
     let mut cluster = TestCluster::new();
     let mut agent = TestAgent::new("side-1", "i-1");
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn penalty_of_a_worker_that_a_new_primary_never_hears_is_removed() {
+fn penalty_of_a_worker_that_never_reports_to_the_new_primary_is_removed() {
     let (mut cluster, _) = with_failing_worker();
     cluster.wait(1_100);
     cluster.take_over();
--- a/crates/scheduler/tests/preemption_after_takeover.rs
+++ b/crates/scheduler/tests/preemption_after_takeover.rs
@@ -1,15 +1,17 @@
-//! A primary failed while urgent tasks were queueing. For 25 s it had preempted nothing, with 0.93 of the service in use.
-//! Within 2 s its successor preempted 279 runs, 100 of them long-running tasks of eight jobs. In another run of the same
-//! requests such tasks then waited for up to 13 s behind what was more urgent:
+//! Guards against excessive preemption after a takeover. A primary failed while urgent tasks were queued. It
+//! had preempted no run for 25 s, with 0.93 of the service's capacity in use. Within 2 s the new primary
+//! preempted 279 runs, including 100 long-running tasks of eight jobs. In another execution with the same
+//! requests, such tasks then waited for up to 13 s behind more urgent ones:
 //!
 //! ```text
 //! 10.99 primary 1: preempted {}
 //! 14.95 primary 2: preempted {"mailing": 179, "feeds (long-running)": 100}
-//! long-running tasks not at work: tasks 14, at_work 0, pending 14, no_room_is_free, waited_ms 11600, ahead 761
+//! long-running tasks not at work: tasks 14, at_work 0, pending 14, no_room_is_free, waited_ms 11600, ahead
+//! 761
 //! ```
 //!
-//! What a preemption costs is reckoned from how long the run has been at work. The successor counted that time from its
-//! own start, so that all runs were the cheapest possible victims at the same moment.
+//! The cost of a preemption depends on how long the run has been running. The new primary measured that time
+//! from its own start, so all runs became the cheapest victims at the same moment.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
@@ -26,12 +28,12 @@
 const LONG_RUNNING: &str =
     r#"[{"count":1,"cpu":800,"mem_mb":10,"estimated_ms":500,"long_running":true}]"#;
 const URGENT: &str = r#"[{"count":1,"cpu":600,"mem_mb":10,"estimated_ms":500}]"#;
-/// For this long the urgent task waits for capacity: beyond its whole slack.
+/// Time for which the urgent task waits for capacity. Exceeds its whole slack.
 const WAIT_MS: Millis = 3_000;
 
-/// A primary with an urgent queue, `/q/`, and a less urgent one, `/feeds/`, whose long-running task takes most of the only
-/// worker and has been at work for so long.
-fn with_long_running_task(at_work_ms: Millis) -> (TestCluster, TestAgent) {
+/// Creates a cluster with an urgent queue, `/q/`, and a less urgent one, `/feeds/`. A long-running task of
+/// `/feeds/` takes most of the only worker and has been running for the given time.
+fn with_long_running_task(running_ms: Millis) -> (TestCluster, TestAgent) {
     let mut cluster = TestCluster::new();
     let body = r#"{"version":2,"routes":[
         {"name":"r","host":"h","path_prefix":"/q/","timeout_ms":3000,"target_latency_ms":800,
@@ -51,7 +53,7 @@
     cluster.settle(&mut agent);
     agent.start_all();
     agent.report.running[0].percent = 100.0;
-    run_for(&mut cluster, &mut agent, at_work_ms);
+    run_for(&mut cluster, &mut agent, running_ms);
     (cluster, agent)
 }
 
@@ -60,7 +62,7 @@
     assert_eq!(cluster.request(ClientMethod::Post, path, &body).status, 200);
 }
 
-/// Lets time pass while the agent reports its worker's runs.
+/// Advances the time while the agent reports its worker's runs.
 fn run_for(cluster: &mut TestCluster, agent: &mut TestAgent, span_ms: Millis) {
     let until = cluster.now + span_ms;
     while cluster.now < until {
@@ -71,7 +73,7 @@
 }
 
 #[test]
-fn run_that_has_been_at_work_for_long_is_not_preempted() {
+fn run_that_started_long_ago_is_not_preempted() {
     let (mut cluster, mut agent) = with_long_running_task(60_000);
     submit(&mut cluster, "/q/0000000000000002", URGENT);
     run_for(&mut cluster, &mut agent, WAIT_MS);
@@ -87,16 +89,19 @@
 }
 
 #[test]
-fn run_that_has_been_at_work_for_long_is_not_preempted_after_a_takeover() {
+fn run_that_started_long_ago_is_not_preempted_after_a_takeover() {
     let (mut cluster, mut agent) = with_long_running_task(60_000);
     cluster.take_over();
     submit(&mut cluster, "/q/0000000000000002", URGENT);
     run_for(&mut cluster, &mut agent, WAIT_MS);
-    assert!(agent.stop.is_empty(), "its time at work is known");
+    assert!(
+        agent.stop.is_empty(),
+        "the new primary knows how long it has been running"
+    );
 }
 
 #[test]
-fn run_that_has_been_at_work_for_long_is_not_preempted_after_two_takeovers() {
+fn run_that_started_long_ago_is_not_preempted_after_two_takeovers() {
     let (mut cluster, mut agent) = with_long_running_task(60_000);
     for _ in 0..2 {
         cluster.take_over();
@@ -104,7 +109,10 @@
     }
     submit(&mut cluster, "/q/0000000000000002", URGENT);
     run_for(&mut cluster, &mut agent, WAIT_MS);
-    assert!(agent.stop.is_empty(), "its time at work is known");
+    assert!(
+        agent.stop.is_empty(),
+        "the new primary knows how long it has been running"
+    );
 }
 
 #[test]
--- a/crates/scheduler/tests/stalls.rs
+++ b/crates/scheduler/tests/stalls.rs
@@ -1,4 +1,4 @@
-//! Runs without progress.
+//! Tests of the handling of runs without progress.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
@@ -13,8 +13,8 @@
 use support::{TestAgent, TestCluster};
 
 #[rstest]
-#[case::in_its_start(30.0, true)]
-#[case::at_work(99.0, false)]
+#[case::starting_up(30.0, true)]
+#[case::started_up(99.0, false)]
 fn long_running_task_stalls_only_during_its_startup(
     #[case] percent: f64,
     #[case] is_stopped: bool,
@@ -43,12 +43,18 @@
         cluster.settle(&mut agent);
         cluster.wait(200);
     }
-    assert!(agent.stop.is_empty(), "its worker is unresponsive");
+    assert!(
+        agent.stop.is_empty(),
+        "time without heartbeats from the worker does not count"
+    );
     agent.report.silent_ms = 0;
     cluster.settle(&mut agent);
     cluster.wait(1_700);
     cluster.settle(&mut agent);
-    assert!(agent.stop.is_empty(), "its agent was unresponsive");
+    assert!(
+        agent.stop.is_empty(),
+        "time without calls from the agent does not count"
+    );
 }
 
 #[test]
@@ -62,9 +68,16 @@
     }
     cluster.settle(&mut first);
     assert_eq!(first.stop.len(), 1);
-    assert!(second.start.is_empty(), "not before the stop is reported");
+    assert!(
+        second.start.is_empty(),
+        "not before the stopped run is reported as finished"
+    );
     first.finish_all(RunEnd::Stopped);
     cluster.settle(&mut first);
     cluster.settle(&mut second);
-    assert_eq!(second.start.len(), 1, "elsewhere");
+    assert_eq!(
+        second.start.len(),
+        1,
+        "the task is rescheduled at the second worker"
+    );
 }
--- a/crates/scheduler/tests/support/log_capture.rs
+++ b/crates/scheduler/tests/support/log_capture.rs
@@ -1,4 +1,4 @@
-//! Keeps the log lines of each test's thread.
+//! A logger that captures the log lines of each test's thread.
 
 use std::cell::RefCell;
 use std::sync::Once;
@@ -21,7 +21,7 @@
     fn flush(&self) {}
 }
 
-/// To be called at the start of each test that reads lines.
+/// Installs the logger. Must be called at the start of each test that reads lines.
 pub(crate) fn install() {
     static INSTALLED: Once = Once::new();
     INSTALLED.call_once(|| {
@@ -30,7 +30,7 @@
     });
 }
 
-/// The lines that this thread has logged.
+/// Returns the lines that this thread has logged.
 pub(crate) fn lines() -> Vec<String> {
     LINES.with_borrow(Clone::clone)
 }
--- a/crates/scheduler/tests/support/mod.rs
+++ b/crates/scheduler/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A scheduler with agents that tests drive by hand, in virtual time. Its replicated state is a map that a successor
-//! takes over.
+//! A scheduler in virtual time, with agents that the tests control. The replicated state is a map from which
+//! a new primary takes over.
 #![allow(dead_code, reason = "each test file uses a part")]
 #![allow(
     clippy::expect_used,
@@ -27,7 +27,7 @@
 
 pub(crate) const MAX_LEASE_MS: Millis = 6_000;
 pub(crate) const JOB: &str = "5c0e7a21d94b36f8";
-const UNIX_START: Millis = 1_790_000_000_000;
+const UNIX_START_MS: Millis = 1_790_000_000_000;
 
 pub(crate) fn settings() -> SchedulerSettings {
     let limits = SchedulerLimits {
@@ -55,7 +55,7 @@
 }
 
 impl TestCluster {
-    /// A primary with one queue, `/q/` of host `h`, whose tasks run at service `s`.
+    /// Creates a primary with one queue, `/q/` of host `h`, whose tasks run on service `s`.
     pub(crate) fn new() -> TestCluster {
         TestCluster::with_settings(settings())
     }
@@ -107,7 +107,7 @@
             .extend(responses.map(|pending| (pending.request, pending.response)));
     }
 
-    /// Lets time pass, in ticks.
+    /// Advances the time in ticks.
     pub(crate) fn wait(&mut self, span: Millis) {
         let until = self.now + span;
         while self.now < until {
@@ -116,13 +116,13 @@
         }
     }
 
-    /// Another machine becomes primary, with the replicated state alone.
+    /// Replaces the primary by one on another machine, which has only the replicated state.
     pub(crate) fn take_over(&mut self) {
-        self.take_over_within(0);
+        self.take_over_with_recovery_time(0);
     }
 
-    /// The same, and its recovery takes so long.
-    pub(crate) fn take_over_within(&mut self, recovery_ms: Millis) {
+    /// Replaces the primary by one whose recovery takes the given time.
+    pub(crate) fn take_over_with_recovery_time(&mut self, recovery_ms: Millis) {
         self.epoch += 1;
         let state = self.state.clone();
         self.scheduler =
@@ -164,7 +164,7 @@
         response.body.to_string()
     }
 
-    /// An agent's request; the response if it is not deferred.
+    /// Sends an agent's request. Returns the response unless the request is deferred.
     pub(crate) fn sync(&mut self, agent: &mut TestAgent) -> Option<AgentCommands> {
         let id = self.next_request_id();
         let sync = agent.next_request();
@@ -176,7 +176,7 @@
         Some(commands)
     }
 
-    /// The request of an agent that its worker has not called yet.
+    /// Sends the request of an agent that its worker has not called yet.
     pub(crate) fn sync_without_worker(&mut self, agent: &mut TestAgent) -> Option<AgentCommands> {
         let id = self.next_request_id();
         let sync = AgentSync {
@@ -203,11 +203,11 @@
 pub(crate) fn clock(now: Millis) -> Now {
     Now {
         steady_ms: now,
-        unix_ms: UNIX_START + now,
+        unix_ms: UNIX_START_MS + now,
     }
 }
 
-/// An agent and its worker, driven by the test.
+/// An agent and its worker, controlled by the test.
 pub(crate) struct TestAgent {
     name: Arc<str>,
     pub(crate) boot: u64,
@@ -286,7 +286,7 @@
         self.last_seen = commands.last_seen;
     }
 
-    /// The worker's next heartbeat shows all commanded starts as running.
+    /// Makes the worker's next heartbeat report all commanded starts as running.
     pub(crate) fn start_all(&mut self) {
         self.report.sequence += 1;
         self.report.offered.clear();
@@ -300,7 +300,7 @@
         }
     }
 
-    /// The commanded starts are in a response on its way to the worker.
+    /// Puts the commanded starts into a response that is being sent to the worker.
     pub(crate) fn offer_starts(&mut self) {
         self.report.offered = self
             .start
@@ -312,13 +312,13 @@
             .collect();
     }
 
-    /// The worker's next heartbeat: what was on its way did not start.
+    /// Makes the worker's next heartbeat show that the offered starts did not take effect.
     pub(crate) fn heartbeat_without_starts(&mut self) {
         self.report.sequence += 1;
         self.report.offered.clear();
     }
 
-    /// All runs finish.
+    /// Finishes all runs with the given outcome.
     pub(crate) fn finish_all(&mut self, outcome: RunEnd) {
         self.report.sequence += 1;
         for run in std::mem::take(&mut self.report.running) {
@@ -333,7 +333,7 @@
         }
     }
 
-    /// Another instance on the same machine.
+    /// Replaces the worker by another instance on the same machine.
     pub(crate) fn replace_worker(&mut self, instance: &str) {
         let zone = self.report.zone.clone();
         self.report = WorkerReport {
--- a/crates/scheduler/tests/support/scenarios.rs
+++ b/crates/scheduler/tests/support/scenarios.rs
@@ -1,11 +1,11 @@
-//! States in which several tests begin.
+//! Initial states that several tests share.
 
 use super::{TestAgent, TestCluster};
 
-/// The steps of a job of one task.
+/// Steps of a job with one task.
 pub(crate) const ONE_TASK: &str = r#"[{"count":1,"cpu":600,"mem_mb":10,"estimated_ms":500}]"#;
 
-/// A job of one task, whose start is commanded at the only worker.
+/// Creates a cluster with a job of one task, whose start has been commanded at the only worker.
 pub(crate) fn with_commanded_task() -> (TestCluster, TestAgent) {
     let mut cluster = TestCluster::new();
     let mut agent = TestAgent::new("side-1", "i-1");
@@ -16,7 +16,7 @@
     (cluster, agent)
 }
 
-/// The same, and the task runs.
+/// Creates a cluster with a job of one task, which is running on the only worker.
 pub(crate) fn with_running_task() -> (TestCluster, TestAgent) {
     let (mut cluster, mut agent) = with_commanded_task();
     agent.start_all();
--- a/crates/scheduler/tests/takeover.rs
+++ b/crates/scheduler/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! A new primary takes over from the replicated state.
+//! Tests of a new primary that takes over from the replicated state.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
@@ -23,7 +23,7 @@
         cluster.settle(&mut second);
         assert!(
             second.start.is_empty(),
-            "at {} the task may still run at the unresponsive machine",
+            "at {} ms the task may still be running on the unresponsive machine",
             cluster.now
         );
         cluster.wait(100);
@@ -36,7 +36,7 @@
     assert_eq!(
         first.stop.len(),
         1,
-        "a run that the primary gave up is stopped"
+        "a run that the primary considers lost is stopped"
     );
 }
 
@@ -60,7 +60,7 @@
     cluster.settle(&mut agent);
     assert_eq!(
         agent.start, first,
-        "the same run, which was recorded before it was commanded"
+        "the run was recorded before its start was commanded"
     );
 }
 
@@ -74,12 +74,12 @@
 }
 
 #[test]
-fn new_primary_stops_nothing_before_it_hears_the_agents() {
+fn new_primary_stops_no_run_before_agents_report() {
     let (mut cluster, mut agent) = with_running_task();
     cluster.take_over();
     cluster.wait(3_000);
     cluster.settle(&mut agent);
-    assert!(agent.stop.is_empty(), "the task runs");
+    assert!(agent.stop.is_empty(), "the task is running");
     cluster.wait(300);
     cluster.settle(&mut agent);
     assert!(agent.stop.is_empty() && agent.start.is_empty());
@@ -104,32 +104,33 @@
     assert_eq!(
         agent.start.len(),
         1,
-        "the stopped run never started: its allocation is released"
+        "the stopped run never started, so its allocation is released"
     );
 }
 
 #[test]
-fn new_primary_names_the_recorded_worker_to_an_agent_without_one() {
+fn new_primary_sends_the_recorded_worker_to_an_agent_without_a_worker() {
     let (mut cluster, _) = with_running_task();
     cluster.take_over();
     let mut restarted = TestAgent::new("side-1", "i-1");
     restarted.boot = 2;
     let commands = cluster
         .sync_without_worker(&mut restarted)
-        .expect("the agent holds no commands yet");
+        .expect("the agent has no commands yet");
     assert_eq!(commands.instance.as_deref(), Some("i-1"));
 }
 
-/// A state of the design target's size takes seconds to recover: agents read no command in that time.
+/// Recovering a state of the size that the design targets takes seconds, during which agents cannot read
+/// commands. That time must not trigger the start time-out of commanded runs.
 #[test]
-fn time_of_the_recovery_counts_for_no_time_out() {
+fn recovery_time_does_not_count_towards_run_timeouts() {
     let (mut cluster, mut agent) = with_commanded_task();
     let first = agent.start.clone();
-    cluster.take_over_within(6_000);
+    cluster.take_over_with_recovery_time(6_000);
     agent.heartbeat_without_starts();
     cluster.settle(&mut agent);
     cluster.wait(100);
     cluster.settle(&mut agent);
-    assert_eq!(agent.start, first, "the start command is still in force");
+    assert_eq!(agent.start, first, "the start command is still valid");
     assert!(agent.stop.is_empty());
 }
--- a/crates/scheduler/tests/worker_loss.rs
+++ b/crates/scheduler/tests/worker_loss.rs
@@ -1,4 +1,4 @@
-//! Unresponsive and lost workers: when their runs may be started elsewhere.
+//! Tests of unresponsive and lost workers, and of when their runs may be started on other workers.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
@@ -12,8 +12,9 @@
 use support::scenarios::{with_commanded_task, with_running_task};
 use support::{TestAgent, TestCluster, MAX_LEASE_MS};
 
-/// The agent of a running task's worker starts anew, and the worker does not call it.
-fn with_restarted_agent_that_hears_no_worker() -> (TestCluster, TestAgent) {
+/// Creates a cluster in which the agent of a running task's worker has restarted, and the worker does not
+/// call it.
+fn with_restarted_agent_without_heartbeats() -> (TestCluster, TestAgent) {
     let (mut cluster, mut agent) = with_running_task();
     agent.boot = 2;
     cluster.sync_without_worker(&mut agent);
@@ -28,7 +29,7 @@
 
 #[test]
 fn runs_of_a_worker_reported_gone_by_a_restarted_agent_are_rescheduled() {
-    let (mut cluster, mut agent) = with_restarted_agent_that_hears_no_worker();
+    let (mut cluster, mut agent) = with_restarted_agent_without_heartbeats();
     agent.report.gone = true;
     cluster.settle(&mut agent);
 
@@ -38,12 +39,12 @@
     cluster.settle(&mut second);
 
     assert_eq!(second.start.len(), 1);
-    assert_eq!(second.start[0].run, 2, "a new run");
+    assert_eq!(second.start[0].run, 2, "the task gets a new run");
 }
 
 #[test]
-fn late_request_of_an_earlier_agent_start_is_ignored() {
-    let (mut cluster, mut agent) = with_restarted_agent_that_hears_no_worker();
+fn late_request_of_a_former_agent_process_is_ignored() {
+    let (mut cluster, mut agent) = with_restarted_agent_without_heartbeats();
     let mut earlier = TestAgent::new("side-1", "i-1");
     earlier.report = WorkerReport {
         gone: true,
@@ -56,12 +57,19 @@
     cluster.settle(&mut second);
     cluster.wait(300);
     cluster.settle(&mut second);
-    assert!(second.start.is_empty(), "the first worker may still run it");
+    assert!(
+        second.start.is_empty(),
+        "the first worker may still be running the task"
+    );
     agent.report.gone = true;
     cluster.settle(&mut agent);
     cluster.wait(300);
     cluster.settle(&mut second);
-    assert_eq!(second.start.len(), 1, "the present start is heard again");
+    assert_eq!(
+        second.start.len(),
+        1,
+        "the request comes from the current agent process"
+    );
 }
 
 #[test]
@@ -73,7 +81,7 @@
         cluster.settle(&mut second);
         assert!(
             second.start.is_empty(),
-            "at {} the task may still run at the unresponsive machine",
+            "at {} ms the task may still be running on the unresponsive machine",
             cluster.now
         );
         cluster.wait(100);
@@ -81,12 +89,12 @@
     cluster.wait(300);
     cluster.settle(&mut second);
     assert_eq!(second.start.len(), 1);
-    assert_eq!(second.start[0].run, 2, "a new run");
+    assert_eq!(second.start[0].run, 2, "the task gets a new run");
     first.finish_all(RunEnd::Done);
     cluster.settle(&mut first);
     assert!(
         !cluster.job_status().contains("succeeded"),
-        "an outcome from after the lease is ignored"
+        "an outcome reported after the lease expired is ignored"
     );
 }
 
@@ -129,7 +137,7 @@
     assert_eq!(
         second.start.len(),
         1,
-        "the agent holds commands without it and has not offered it"
+        "the agent holds commands without the run and has not offered it to the worker"
     );
 }
 
@@ -155,6 +163,6 @@
     cluster.settle(&mut agent);
     assert!(
         agent.stop.is_empty(),
-        "the worker ran it while its agent was cut off"
+        "the worker ran the task while its agent was disconnected"
     );
 }
