--- a/crates/fair-share/tests/accounts.rs
+++ b/crates/fair-share/tests/accounts.rs
@@ -1,4 +1,4 @@
-//! The primary's accounts: what is charged, versions, recovery, limits of size.
+//! Tests of the primary's accounts: charges, versions, recovery and size limits.
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
 mod support;
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn idle_users_decay_and_are_dropped_while_versions_stay_young() {
+fn idle_users_decay_and_are_dropped_while_versions_stay_fresh() {
     let mut accounts = new_accounts();
     let mut state = State::new();
     accounts.on_run_started(0, &user("a"), run(1), &cores(1));
@@ -142,7 +142,10 @@
                 || accounts.age_ms(now) <= settings().max_age_ms
         );
     }
-    assert!(!state.contains_key("debt/a"), "decayed: {state:?}");
+    assert!(
+        !state.contains_key("debt/a"),
+        "the usage has decayed and must be removed: {state:?}"
+    );
     assert_eq!(accounts.users().count(), 0);
 }
 
@@ -176,34 +179,34 @@
         accounts.version(),
         accounts.cluster_time(20_000),
     );
-    // Another machine: its steady clock began at another time.
-    let mut next = FairShareAccounts::recover(settings(), 2, 777_000_000, records(&state));
+    // Another machine's steady clock has a different origin.
+    let mut successor = FairShareAccounts::recover(settings(), 2, 777_000_000, records(&state));
     assert_eq!(
         (
-            next.ranking().usage_core_ms("a"),
-            next.version(),
-            next.cluster_time(777_000_000)
+            successor.ranking().usage_core_ms("a"),
+            successor.version(),
+            successor.cluster_time(777_000_000)
         ),
         before
     );
-    next.on_run_started(777_000_000, &user("a"), run(1), &cores(3));
-    let writes = next.publish_if_due(777_005_000);
+    successor.on_run_started(777_000_000, &user("a"), run(1), &cores(3));
+    let writes = successor.publish_if_due(777_005_000);
     assert!(!writes.is_empty());
     assert_eq!(
-        next.version(),
+        successor.version(),
         RankingVersion {
             epoch: 2,
             number: before.1.number + 1
         }
     );
-    assert_eq!(next.cluster_time(777_005_000), 25_000);
-    let mut whole = FairShareAccounts::new(settings(), 1, 0);
-    whole.on_run_started(0, &user("a"), run(1), &cores(3));
-    whole.publish_if_due(25_000);
+    assert_eq!(successor.cluster_time(777_005_000), 25_000);
+    let mut uninterrupted = FairShareAccounts::new(settings(), 1, 0);
+    uninterrupted.on_run_started(0, &user("a"), run(1), &cores(3));
+    uninterrupted.publish_if_due(25_000);
     assert_eq!(
-        next.ranking().usage_core_ms("a"),
-        whole.ranking().usage_core_ms("a"),
-        "as if there had been one primary"
+        successor.ranking().usage_core_ms("a"),
+        uninterrupted.ranking().usage_core_ms("a"),
+        "the usage must equal that of a single uninterrupted primary"
     );
 }
 
@@ -227,18 +230,18 @@
     apply(&mut state, accounts.publish_if_due(70_000));
     state.insert("debt/a".into(), "{".into());
     state.insert("job/x".into(), "[1]".into());
-    let next = FairShareAccounts::recover(settings(), 2, 5, records(&state));
-    assert_eq!(next.unreadable_users(), [user("a")]);
-    assert_eq!(next.ranking().usage_core_ms("a"), 0);
+    let successor = FairShareAccounts::recover(settings(), 2, 5, records(&state));
+    assert_eq!(successor.unreadable_users(), [user("a")]);
+    assert_eq!(successor.ranking().usage_core_ms("a"), 0);
     assert_eq!(
-        next.ranking().usage_core_ms("b/c"),
+        successor.ranking().usage_core_ms("b/c"),
         accounts.ranking().usage_core_ms("b/c")
     );
-    // Without the version's record the time is known to a half-life, by the latest usage.
+    // Without the version's record, the latest usage determines the time to within a half-life.
     state.insert("debt-version".into(), "7".into());
-    let next = FairShareAccounts::recover(settings(), 3, 5, records(&state));
-    assert_eq!(next.cluster_time(5), HALF_LIFE);
-    assert!(next.ranking().usage_core_ms("b/c") > 0);
+    let successor = FairShareAccounts::recover(settings(), 3, 5, records(&state));
+    assert_eq!(successor.cluster_time(5), HALF_LIFE);
+    assert!(successor.ranking().usage_core_ms("b/c") > 0);
 }
 
 #[test]
@@ -247,18 +250,21 @@
     let mut accounts = new_accounts();
     accounts.on_run_started(0, &user("a"), run(1), &cores(3));
     apply(&mut state, accounts.publish_if_due(71_234));
-    let mut next = FairShareAccounts::recover(
+    let mut successor = FairShareAccounts::recover(
         FairShareSettings::with_half_life(3 * HALF_LIFE),
         2,
         0,
         records(&state),
     );
-    let (found, wanted) = (
-        next.ranking().usage_core_ms("a"),
+    let (actual, expected) = (
+        successor.ranking().usage_core_ms("a"),
         accounts.ranking().usage_core_ms("a"),
     );
-    assert!(found.abs_diff(wanted) <= 1, "{found}, before {wanted}");
-    let writes = next.publish_if_due(1_000);
+    assert!(
+        actual.abs_diff(expected) <= 1,
+        "got {actual}, {expected} before the change"
+    );
+    let writes = successor.publish_if_due(1_000);
     assert!(
         writes.iter().any(|write| &*write.key == "debt/a"),
         "{writes:?}"
@@ -313,7 +319,7 @@
         let now = 5_000 + 10 * HALF_LIFE + second * 1_000;
         apply(&mut state, accounts.publish_if_due(now));
     }
-    assert_eq!(state.len(), 1, "all have decayed");
+    assert_eq!(state.len(), 1, "all usage has decayed");
 }
 
 #[test]
--- a/crates/fair-share/tests/decayed_usage.rs
+++ b/crates/fair-share/tests/decayed_usage.rs
@@ -1,4 +1,4 @@
-//! Decayed usage against the oracle; merging and cutting in any order.
+//! Compares decayed usage with the oracle, and tests merging and splitting in any order.
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
 mod support;
@@ -40,17 +40,19 @@
         let usage = sum(&spans, half_life);
         for _ in 0..10 {
             let now = half_life * (MAX_HALF_LIVES - 2) + rng.random_range(0..half_life * 2);
-            let (found, wanted) = (
+            let (actual, expected) = (
                 usage.value_at(half_life, now),
                 oracle::value_at(&spans, half_life, now),
             );
-            // A weight is right to a 1,024th of a millisecond and a 2^32th of a half-life at both ends of each part.
+            // A weight is accurate to 1/1,024 of a millisecond and 1/2^32 of a half-life at both ends of each
+            // part.
             let parts = spans.iter().map(|(rate, ..)| rate * 8).sum::<u64>();
-            let allowed = 1 + parts * (half_life / (1 << 31) + 1) / 1_000 + wanted / 1_000_000_000;
-            let apart = found.abs_diff(wanted);
+            let allowed =
+                1 + parts * (half_life / (1 << 31) + 1) / 1_000 + expected / 1_000_000_000;
+            let difference = actual.abs_diff(expected);
             assert!(
-                apart <= allowed,
-                "seed {seed} at {now}: {found}, the oracle says {wanted}, allowed {allowed}"
+                difference <= allowed,
+                "seed {seed} at {now}: got {actual}, the oracle gives {expected}, allowed difference {allowed}"
             );
         }
     }
@@ -64,7 +66,7 @@
     let before = usage.value_at(half_life, 10_000);
     assert!(
         before > 57_000 && before < 58_000,
-        "8 cores for 10 s, decaying meanwhile: {before}"
+        "8 cores for 10 s, decaying during that time: {before}"
     );
     assert_eq!(usage.value_at(half_life, 20_000), before / 2);
     assert_eq!(
@@ -82,7 +84,7 @@
         let whole = sum(&spans, half_life);
         let mut parts: Vec<DecayedUsage> = vec![DecayedUsage::default(); 5];
         for (rate, from, to) in &spans {
-            // Each span is cut at random, and its pieces go to any parts.
+            // Each span is cut at random, and its pieces are added to random parts.
             let cut = rng.random_range(*from..=*to);
             parts[rng.random_range(0..5)].add(half_life, *rate, *from, cut);
             parts[rng.random_range(0..5)].add(half_life, *rate, cut, *to);
@@ -98,7 +100,7 @@
 }
 
 #[test]
-fn forgetting_commutes_with_merging() {
+fn discarding_commutes_with_merging() {
     let half_life = 10_000;
     let now = half_life * 20 + 1_234;
     let (mut first, mut second) = (DecayedUsage::default(), DecayedUsage::default());
--- a/crates/fair-share/tests/encoded.rs
+++ b/crates/fair-share/tests/encoded.rs
@@ -1,4 +1,5 @@
-//! The records, updates and settings are, byte for byte, as recorded: other versions' nodes read them.
+//! Compares the encoded records, updates and settings with recorded ones, byte for byte, because nodes of
+//! other versions read them.
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
 mod support;
@@ -14,7 +15,7 @@
 const RECORDED: &str = include_str!("fixtures/encoded/fair-share.txt");
 const HALF_LIFE: u64 = 60_000;
 
-/// Lines of the transcript; what can be read is read again and compared.
+/// Lines of the transcript. Each value that can be decoded is decoded again and compared.
 #[derive(Default)]
 struct Transcript(Vec<String>);
 
@@ -78,12 +79,12 @@
 
 #[test]
 fn encoded_forms_are_as_recorded() {
-    let present = transcript();
+    let actual = transcript();
     if std::env::var_os("ENCODED_SHOW").is_some() {
-        print!("{present}");
+        print!("{actual}");
         return;
     }
-    assert_eq!(present, RECORDED);
+    assert_eq!(actual, RECORDED);
 }
 
 #[test]
--- a/crates/fair-share/tests/ranking.rs
+++ b/crates/fair-share/tests/ranking.rs
@@ -1,4 +1,4 @@
-//! The order of units: priority first, then age and usage; nobody starves.
+//! Tests of the order of units: priority first, then age and usage. No user starves.
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
 mod support;
@@ -11,7 +11,7 @@
 
 const HALF_LIFE: u64 = 60_000;
 
-/// Accounts in which `a` has used ten times as much as `b`.
+/// Creates accounts in which `a` has ten times as much usage as `b`.
 fn accounts_with_usage(settings: FairShareSettings) -> FairShareAccounts {
     let mut accounts = FairShareAccounts::new(settings, 1, 0);
     accounts.on_run_started(0, &user("a"), run(1), &cores(50));
@@ -21,14 +21,14 @@
 }
 
 #[test]
-fn less_usage_goes_first_within_a_priority() {
+fn user_with_less_usage_is_ordered_first_within_a_priority() {
     let accounts = accounts_with_usage(FairShareSettings::with_half_life(HALF_LIFE));
     let key = |user| accounts.order_key(user, 2, 1_790_000_000_000);
     assert!(key("newcomer") < key("b") && key("b") < key("a"));
 }
 
 #[test]
-fn priority_goes_before_usage() {
+fn priority_takes_precedence_over_usage() {
     let accounts = accounts_with_usage(FairShareSettings::with_half_life(HALF_LIFE));
     assert!(accounts.order_key("a", 0, u64::MAX) < accounts.order_key("newcomer", 1, 0));
     assert!(accounts.order_key("a", 65_534, u64::MAX) < accounts.order_key("newcomer", 65_535, 0));
@@ -39,14 +39,14 @@
 }
 
 #[test]
-fn pending_unit_moves_only_by_its_own_users_usage() {
+fn order_key_of_a_pending_unit_depends_only_on_its_own_users_usage() {
     let mut accounts = accounts_with_usage(FairShareSettings::with_half_life(HALF_LIFE));
     let before = accounts.order_key("newcomer", 1, 5_000);
     accounts.publish_if_due(90_000);
     assert_eq!(
         accounts.order_key("newcomer", 1, 5_000),
         before,
-        "a pending gang keeps its place"
+        "other users' usage does not change the key"
     );
 }
 
@@ -55,17 +55,18 @@
     let mut settings = FairShareSettings::with_half_life(HALF_LIFE);
     settings.weights.insert("a".into(), 10_000);
     let accounts = accounts_with_usage(settings);
-    let apart = accounts
+    let difference = accounts
         .ranking()
         .delay_ms("a")
         .abs_diff(accounts.ranking().delay_ms("b"));
     assert!(
-        apart <= 1,
-        "ten times the debt at ten times the weight: {apart}"
+        difference <= 1,
+        "ten times the usage with ten times the weight gives the same delay; difference: {difference}"
     );
 }
 
-/// One worker; one user with very large usage; others that submit new work all the time and have used nothing.
+/// Simulates one worker, one user with very large usage, and others without usage that continuously submit
+/// new work.
 #[test]
 fn user_with_the_most_usage_does_not_starve() {
     for seed in 0..50 {
@@ -76,24 +77,25 @@
         };
         let mut accounts = FairShareAccounts::new(settings, 1, 0);
         accounts.on_run_started(0, &user("heavy"), run(0), &cores(900));
-        let mut waiting: BTreeSet<(u64, u64, bool)> = BTreeSet::new();
+        let mut pending: BTreeSet<(u64, u64, bool)> = BTreeSet::new();
         let mut starts_of_heavy = 0;
         for now in (0..300_000).step_by(250) {
             accounts.publish_if_due(now);
             let number = now * 2;
-            // As much new work as the worker can do, each from a new user.
+            // As much new work as the worker can execute, each unit from a new user.
             let key = accounts.order_key(&format!("new-{now}"), 1, now);
-            waiting.insert((key, number, false));
+            pending.insert((key, number, false));
             if rng.random_range(0..20) == 0 {
-                waiting.insert((accounts.order_key("heavy", 1, now), number + 1, true));
+                pending.insert((accounts.order_key("heavy", 1, now), number + 1, true));
             }
-            let Some((_, number, is_heavy)) = waiting.pop_first() else {
+            let Some((_, number, is_heavy)) = pending.pop_first() else {
                 continue;
             };
             let submitted_at = number / 2;
             if is_heavy {
                 starts_of_heavy += 1;
-                // Behind at most what was submitted up to the bound later, and the heavy units among that.
+                // The unit waits at most for units submitted up to the largest delay after it, and for the
+                // heavy user's units among them.
                 assert!(
                     now - submitted_at <= 20_000 * 2,
                     "seed {seed}: submitted at {submitted_at}, starts at {now}"
@@ -106,7 +108,7 @@
 }
 
 #[test]
-fn no_unit_passes_one_submitted_the_largest_delay_before() {
+fn no_unit_is_ordered_before_one_submitted_earlier_by_the_largest_delay() {
     let settings = FairShareSettings {
         max_delay_ms: 5_000,
         ..FairShareSettings::with_half_life(HALF_LIFE)
--- a/crates/fair-share/tests/ranking_replica.rs
+++ b/crates/fair-share/tests/ranking_replica.rs
@@ -1,4 +1,4 @@
-//! Versions sent from node to node: lost, late, repeated, on another base; ages.
+//! Tests of versions sent between nodes: lost, late, repeated or relative to another base; and of their ages.
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
 mod support;
@@ -15,7 +15,7 @@
     FairShareSettings::with_half_life(HALF_LIFE)
 }
 
-/// Accounts at their first version, made at 1 s.
+/// Creates accounts at their first version, created at 1 s.
 fn accounts_with_version() -> FairShareAccounts {
     let mut accounts = FairShareAccounts::new(settings(), 1, 0);
     accounts.on_run_started(0, &user("a"), run(1), &cores(3));
@@ -46,7 +46,10 @@
     for now in [2_000, 3_000, 9_000] {
         accounts.publish_if_due(now);
         let update = accounts.update_since(now, replica.version());
-        assert!(update.base.is_some(), "a difference is enough");
+        assert!(
+            update.base.is_some(),
+            "the update should be a difference, not the complete version"
+        );
         assert_eq!(replica.apply(now, &update), UpdateOutcome::Applied);
         let ranking = replica.ranking().expect("a version");
         assert_eq!(ranking.version(), accounts.version());
@@ -91,20 +94,20 @@
 }
 
 #[test]
-fn version_of_a_later_epoch_wins_whatever_its_number() {
+fn version_of_a_later_epoch_is_newer_whatever_its_number() {
     let mut state = State::new();
     let mut accounts = FairShareAccounts::new(settings(), 1, 0);
     accounts.on_run_started(0, &user("a"), run(1), &cores(3));
     apply(&mut state, accounts.publish_if_due(1_000));
-    let mut next = FairShareAccounts::recover(settings(), 2, 0, records(&state));
-    // The deposed primary goes on alone; nothing of it is committed.
+    let mut successor = FairShareAccounts::recover(settings(), 2, 0, records(&state));
+    // The deposed primary continues on its own, and none of its versions are committed.
     (2..9).for_each(|second| drop(accounts.publish_if_due(second * 1_000)));
-    next.on_run_started(0, &user("b"), run(2), &cores(3));
-    next.publish_if_due(1_000);
+    successor.on_run_started(0, &user("b"), run(2), &cores(3));
+    successor.publish_if_due(1_000);
     let mut replica = RankingReplica::new(settings());
     replica.apply(0, &accounts.update_since(9_000, None));
     assert_eq!(
-        replica.apply(0, &next.update_since(1_000, replica.version())),
+        replica.apply(0, &successor.update_since(1_000, replica.version())),
         UpdateOutcome::Applied
     );
     assert_eq!(
@@ -125,13 +128,17 @@
     let mut accounts = accounts_with_version();
     accounts.publish_if_due(2_000);
     let mut replica = RankingReplica::new(settings());
-    // Requested at 10,000 of its own clock; answered at an age of 400; received any time later.
+    // Requested at 10,000 ms of the replica's clock, answered at an age of 400 ms, and received at any later
+    // time.
     replica.apply(10_000, &accounts.update_since(2_400, None));
     assert_eq!(replica.age_ms(10_000), 400);
     assert!(replica.age_ms(12_000) >= 2_400 && replica.age_ms(12_000) < 2_500);
     assert!(!replica.is_stale(12_000) && replica.is_stale(15_000));
-    assert!(replica.ranking().is_some(), "it ranks by the last version");
-    // The same version from a node that knows its age less well, and from one that knows it better.
+    assert!(
+        replica.ranking().is_some(),
+        "a stale replica continues to rank by its last version"
+    );
+    // The same version from a node with a looser age bound, and then with a tighter one.
     replica.apply(
         11_000,
         &streamusher_fair_share::RankingUpdate {
@@ -162,7 +169,7 @@
 }
 
 #[test]
-fn replica_far_behind_is_sent_the_whole() {
+fn replica_far_behind_is_sent_the_complete_version() {
     let mut accounts = accounts_with_version();
     let mut replica = RankingReplica::new(settings());
     replica.apply(0, &accounts.update_since(1_000, None));
--- a/crates/fair-share/tests/support/mod.rs
+++ b/crates/fair-share/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Runs, resources and replicated state that the tests share.
+//! Helpers for runs, resources and replicated state.
 #![allow(dead_code, reason = "each test file uses a part")]
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
--- a/crates/fair-share/tests/support/oracle.rs
+++ b/crates/fair-share/tests/support/oracle.rs
@@ -1,12 +1,13 @@
-//! The oracle: values from the list of all usage, in integers with 60 fractional bits, by square roots and a closed form.
-//! Shares nothing with the package's arithmetic: no sums by half-life, no table, no window.
+//! The oracle: computes values from the list of all usage, in integers with 60 fractional bits, by square
+//! roots and a closed form. It shares nothing with the package's arithmetic: no sums by half-life, no table,
+//! no window.
 
 const BITS: u32 = 60;
 const ONE: u128 = 1 << BITS;
-/// ln 2 with 60 fractional bits.
+/// ln 2, with 60 fractional bits.
 const LN_2: u128 = 799_144_290_325_165_979;
 
-/// Usage: a rate in thousandths of a core, from, to.
+/// Usage as a rate in thousandths of a core, a start and an end.
 pub(crate) type UsageSpan = (u64, u64, u64);
 
 fn square_root(value: u128) -> u128 {
@@ -41,7 +42,8 @@
     power >> whole
 }
 
-/// The value at `now`, in core-milliseconds: the sum of rate x half-life / ln 2 x (2^-(now-to) - 2^-(now-from)).
+/// The value at `now`, in core-milliseconds: the sum of rate x half-life / ln 2 x (2^-(now-to) -
+/// 2^-(now-from)).
 pub(crate) fn value_at(spans: &[UsageSpan], half_life: u64, now: u64) -> u64 {
     let mut total = 0u128;
     for &(rate, from, to) in spans {
--- a/crates/fair-share/tests/support/simulation.rs
+++ b/crates/fair-share/tests/support/simulation.rs
@@ -1,4 +1,5 @@
-//! A simulated day: a primary; a relay that loses, delays, repeats and reorders; nodes that start units.
+//! Simulates a primary, a relay that loses, delays, duplicates and reorders messages, and nodes that start
+//! units.
 
 use super::{apply, cores, records, run, State};
 use rand::{Rng, SeedableRng};
@@ -11,22 +12,22 @@
 };
 
 const STEP_MS: u64 = 100;
-const DAY_MS: u64 = 90_000;
+const SIMULATION_MS: u64 = 90_000;
 const NODES: usize = 4;
 const USERS: u64 = 6;
-/// Of the whole cluster.
+/// Number of cores of the whole cluster.
 const MAX_CORES: u64 = 60;
-/// Both sides round their keys to milliseconds.
+/// Both keys are rounded to milliseconds.
 const ROUNDING_MS: f64 = 2.0;
 
-/// Usage as the oracle sees it, in cluster time.
+/// Usage as the oracle records it, in cluster time.
 struct Usage {
     user: usize,
     cores: u64,
     from: u64,
-    /// None: the run goes on.
+    /// `None` while the run continues.
     to: Option<u64>,
-    /// When it was refunded.
+    /// Time of the refund, if the usage was refunded.
     refunded_at: Option<u64>,
 }
 
@@ -45,13 +46,13 @@
 
 struct Node {
     replica: RankingReplica,
-    /// Its steady clock minus the simulation's time.
+    /// Offset of the node's steady clock from the simulation's time.
     clock_offset: u64,
-    /// By how many thousandths its clock is slow.
+    /// How slow the node's clock is, in thousandths.
     clock_lag: u64,
     free_cores: u64,
     runs: Vec<Running>,
-    cut_until: u64,
+    partitioned_until: u64,
     next_request_at: u64,
 }
 
@@ -67,15 +68,15 @@
     update: RankingUpdate,
 }
 
-/// One seeded day.
+/// One simulation, determined by its seed.
 pub(crate) struct Simulation {
     seed: u64,
     rng: Pcg32,
     settings: FairShareSettings,
     now: u64,
-    /// The primary's accounts and the origin of its steady clock; none while there is no primary.
+    /// The primary's accounts and the origin of its steady clock; `None` while there is no primary.
     primary: Option<(FairShareAccounts, u64)>,
-    returns_at: u64,
+    next_primary_starts_at: u64,
     epoch: u64,
     state: State,
     cluster_time: u64,
@@ -85,7 +86,7 @@
     messages: BTreeMap<(u64, u64), Message>,
     messages_sent: u64,
     run_number: u64,
-    /// Cluster time of each version, and its keys as the first node that used it had them.
+    /// Cluster time of each version, and its keys as computed by the first node that used it.
     published: BTreeMap<RankingVersion, (u64, Vec<u64>)>,
     pub(crate) starts: u64,
     pub(crate) stale_starts: u64,
@@ -109,7 +110,7 @@
             clock_lag: rng.random_range(0..20),
             free_cores: MAX_CORES / NODES as u64,
             runs: Vec::new(),
-            cut_until: 0,
+            partitioned_until: 0,
             next_request_at: rng.random_range(0..1_000),
         };
         let nodes = (0..NODES).map(|_| node(&mut rng)).collect();
@@ -121,7 +122,7 @@
             settings,
             now: 0,
             primary: Some((accounts, origin)),
-            returns_at: 0,
+            next_primary_starts_at: 0,
             epoch: 1,
             state: State::new(),
             cluster_time: 0,
@@ -140,7 +141,7 @@
     }
 
     pub(crate) fn run(&mut self) {
-        while self.now < DAY_MS {
+        while self.now < SIMULATION_MS {
             self.now += STEP_MS;
             self.step_primary();
             self.step_clients();
@@ -151,7 +152,7 @@
     }
 
     fn step_primary(&mut self) {
-        if self.primary.is_none() && self.now >= self.returns_at {
+        if self.primary.is_none() && self.now >= self.next_primary_starts_at {
             self.take_over();
         }
         let Some((accounts, origin)) = self.primary.as_mut() else {
@@ -170,11 +171,11 @@
         }
     }
 
-    /// The primary fails. What it charged after its newest committed version is lost.
+    /// Fails the primary. What it charged after its newest committed version is lost.
     fn fail_primary(&mut self) {
         self.primary = None;
         self.failovers += 1;
-        self.returns_at = self.now + self.rng.random_range(0..4_000);
+        self.next_primary_starts_at = self.now + self.rng.random_range(0..4_000);
         let time = self.committed_time();
         self.cluster_time = time;
         for used in &mut self.usages {
@@ -191,7 +192,8 @@
         next.cluster_time(0)
     }
 
-    /// A new primary on another machine: its steady clock has another origin, and it learns anew what runs.
+    /// Starts a new primary on another machine. Its steady clock has a different origin, and it relearns
+    /// which runs are active.
     fn take_over(&mut self) {
         self.epoch += 1;
         let origin = self.rng.random_range(0..1_000_000);
@@ -204,7 +206,8 @@
         );
         let time = self.cluster_time;
         for running in self.nodes.iter_mut().flat_map(|node| &mut node.runs) {
-            // What the former primary charged stays charged; the new one continues at the version's time.
+            // Charges of the former primary remain. The new one continues at the time of the committed
+            // version.
             let former = &mut self.usages[running.usage];
             former.to = Some(time);
             let (user, cores_taken) = (former.user, former.cores);
@@ -222,9 +225,9 @@
     }
 
     fn step_clients(&mut self) {
-        // The first users submit most of the work.
-        let busy = self.rng.random_range(0..10) < 3;
-        if busy {
+        // Users with low numbers submit most of the work.
+        let submits_work = self.rng.random_range(0..10) < 3;
+        if submits_work {
             let user = self
                 .rng
                 .random_range(0..USERS)
@@ -245,14 +248,15 @@
         }
     }
 
-    /// Each node requests updates of the primary or another node; they arrive late, twice, in another order or never.
+    /// Lets each node request updates from the primary or another node. Updates arrive late, twice, out of
+    /// order or never.
     fn step_relay(&mut self) {
         for index in 0..NODES {
             if self.rng.random_range(0..400) == 0 {
-                self.nodes[index].cut_until = self.now + self.rng.random_range(0..15_000);
+                self.nodes[index].partitioned_until = self.now + self.rng.random_range(0..15_000);
             }
             let node = &self.nodes[index];
-            if self.now < node.next_request_at || self.now < node.cut_until {
+            if self.now < node.next_request_at || self.now < node.partitioned_until {
                 continue;
             }
             self.nodes[index].next_request_at = self.now + self.rng.random_range(100..900);
@@ -265,7 +269,7 @@
         {
             let message = message.remove();
             let node = &mut self.nodes[message.to];
-            if self.now >= node.cut_until {
+            if self.now >= node.partitioned_until {
                 node.replica.apply(message.requested_at, &message.update);
             }
         }
@@ -298,11 +302,11 @@
 
     fn finish_runs(&mut self, index: usize) {
         let mut runs = std::mem::take(&mut self.nodes[index].runs);
-        // Now and then the system stops a run and wastes its work.
+        // The system occasionally stops a run and wastes its work.
         let stopped = self.rng.random_range(0..200) == 0;
         let mut kept = Vec::new();
-        for (place, running) in runs.drain(..).enumerate() {
-            let is_wasted = stopped && place == 0;
+        for (position, running) in runs.drain(..).enumerate() {
+            let is_wasted = stopped && position == 0;
             if running.ends_at > self.now && !is_wasted {
                 kept.push(running);
                 continue;
@@ -379,7 +383,8 @@
         node.runs.push(running);
     }
 
-    /// The version is one that the primary made, its keys are the same at every node, and its age is an upper bound.
+    /// Checks that the primary created the version, that its keys are the same at every node, and that its
+    /// age is an upper bound.
     fn check_version(&mut self, index: usize) {
         let node = &self.nodes[index];
         let ranking = node.replica.ranking().expect("a version");
@@ -387,7 +392,7 @@
             .map(|user| ranking.order_key(&name(user_index(user)), 1, 0))
             .collect();
         let version = ranking.version();
-        let (time, known) = self
+        let (time, recorded_keys) = self
             .published
             .get_mut(&version)
             .expect("a version that was made");
@@ -398,11 +403,11 @@
             self.seed,
             self.now
         );
-        if known.is_empty() {
-            known.clone_from(&keys);
+        if recorded_keys.is_empty() {
+            recorded_keys.clone_from(&keys);
         }
         assert_eq!(
-            *known, keys,
+            *recorded_keys, keys,
             "seed {} at {}: {version:?} differs between nodes",
             self.seed, self.now
         );
@@ -421,7 +426,8 @@
         }
     }
 
-    /// By the oracle: no pending unit should have started before the started one by more than the bound.
+    /// Checks with the oracle that no pending unit should have started before the started one by more than
+    /// the bound.
     fn check_order(&mut self, index: usize, started: usize) {
         let node = &self.nodes[index];
         let version_time = node.replica.ranking().expect("a version").created_at();
@@ -433,29 +439,30 @@
             .map(|user| self.delay(user_index(user), self.cluster_time, version_time))
             .collect();
         let bound = max_inversion_ms(&self.settings, age) as f64;
-        let one = &self.pending[started];
+        let started_unit = &self.pending[started];
         for other in &self.pending {
-            let apart = |delays: &[f64]| {
-                one.submitted_at as f64 + delays[one.user]
+            let key_difference = |delays: &[f64]| {
+                started_unit.submitted_at as f64 + delays[started_unit.user]
                     - other.submitted_at as f64
                     - delays[other.user]
             };
-            let by_version = apart(&at_version);
-            let place = format!("seed {} at {}", self.seed, self.now);
+            let by_version = key_difference(&at_version);
+            let context = format!("seed {} at {}", self.seed, self.now);
             assert!(
                 by_version <= ROUNDING_MS,
-                "{place}: not the order of its version, by {by_version} ms"
+                "{context}: the order deviates from the version's by {by_version} ms"
             );
-            let inverted = apart(&at_start);
+            let inversion_ms = key_difference(&at_start);
             assert!(
-                inverted <= bound,
-                "{place}: inversion of {inverted} ms, age {age}, bound {bound}"
+                inversion_ms <= bound,
+                "{context}: inversion of {inversion_ms} ms, age {age}, bound {bound}"
             );
-            self.inversions_within_bound += u64::from(inverted > 0.0);
+            self.inversions_within_bound += u64::from(inversion_ms > 0.0);
         }
     }
 
-    /// A user's delay by all use up to a cluster time. What was given back counts from the version that holds it.
+    /// A user's delay by all usage up to a cluster time. A refund counts from the first version that contains
+    /// it.
     fn delay(&self, user: usize, time: u64, version_time: u64) -> f64 {
         let half_life = self.settings.half_life_ms as f64;
         let mut usage = 0.0;
@@ -470,10 +477,10 @@
                 .map_or(used.from, |at| at.min(time));
             let from = from.max(used.from);
             let to = used.to.unwrap_or(time).min(time);
-            let left = |at: u64| (-((time - at) as f64) / half_life).exp2();
+            let fraction_left = |at: u64| (-((time - at) as f64) / half_life).exp2();
             if from < to {
                 usage += used.cores as f64 * half_life / std::f64::consts::LN_2
-                    * (left(to) - left(from));
+                    * (fraction_left(to) - fraction_left(from));
             }
         }
         let half = self.settings.half_delay_core_s as f64 * 1_000.0;
