--- a/crates/fair-share/src/running_usage.rs
+++ b/crates/fair-share/src/running_usage.rs
@@ -30,7 +30,7 @@
     pub(crate) charged_until: Millis,
 }
 
-/// All running runs. A user has a meter while the total rate of its runs is above zero.
+/// All active runs. A user's meter is removed when the total rate of its runs falls to zero.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RunningUsage {
     runs: BTreeMap<RunId, MeteredRun>,
--- a/crates/fair-share/tests/accounts.rs
+++ b/crates/fair-share/tests/accounts.rs
@@ -107,7 +107,7 @@
     for now in (0..=10_000).step_by(20) {
         let writes = accounts.publish_if_due(now);
         let keys: BTreeSet<_> = writes.iter().map(|write| write.key.clone()).collect();
-        assert_eq!(keys.len(), writes.len(), "a key twice in {writes:?}");
+        assert_eq!(keys.len(), writes.len(), "duplicate key in {writes:?}");
         if !writes.is_empty() {
             assert_eq!(writes.len(), 3);
             versions.push((now, accounts.version().number));
--- a/crates/fair-share/tests/encoded.rs
+++ b/crates/fair-share/tests/encoded.rs
@@ -22,7 +22,7 @@
 impl Transcript {
     fn push<T: Serialize + DeserializeOwned + PartialEq + Debug>(&mut self, name: &str, value: &T) {
         let encoded = serde_json::to_string(value).expect("JSON");
-        let decoded: T = serde_json::from_str(&encoded).expect("what was encoded");
+        let decoded: T = serde_json::from_str(&encoded).expect("an encoded value can be decoded");
         assert_eq!(&decoded, value, "{name}");
         self.0.push(format!("{name} {encoded}"));
     }
--- a/crates/fair-share/tests/support/simulation.rs
+++ b/crates/fair-share/tests/support/simulation.rs
@@ -395,7 +395,7 @@
         let (time, recorded_keys) = self
             .published
             .get_mut(&version)
-            .expect("a version that was made");
+            .expect("a version that the primary created");
         assert_eq!(
             *time,
             ranking.created_at(),
@@ -415,7 +415,7 @@
         let true_age = self.cluster_time.saturating_sub(*time);
         assert!(
             age >= true_age,
-            "seed {} at {}: age {age}, the true one is {true_age}",
+            "seed {} at {}: age bound {age} is below the true age {true_age}",
             self.seed,
             self.now
         );
--- a/crates/scheduler/tests/stalls.rs
+++ b/crates/scheduler/tests/stalls.rs
@@ -70,7 +70,7 @@
     assert_eq!(first.stop.len(), 1);
     assert!(
         second.start.is_empty(),
-        "not before the stopped run is reported as finished"
+        "the task is not rescheduled before the stopped run is reported as finished"
     );
     first.finish_all(RunEnd::Stopped);
     cluster.settle(&mut first);
--- a/crates/scheduler/tests/support/log_capture.rs
+++ b/crates/scheduler/tests/support/log_capture.rs
@@ -25,7 +25,7 @@
 pub(crate) fn install() {
     static INSTALLED: Once = Once::new();
     INSTALLED.call_once(|| {
-        log::set_logger(&Capture).expect("the only logger");
+        log::set_logger(&Capture).expect("no other logger is installed");
         log::set_max_level(log::LevelFilter::Info);
     });
 }
--- a/crates/scheduler/tests/support/mod.rs
+++ b/crates/scheduler/tests/support/mod.rs
@@ -127,7 +127,7 @@
         let state = self.state.clone();
         self.scheduler =
             Scheduler::recover(self.settings.clone(), self.epoch, clock(self.now), state)
-                .expect("own state");
+                .expect("a state that a scheduler wrote");
         self.now += recovery_ms;
         self.scheduler.on_recovered(clock(self.now));
         self.responses.clear();
