--- a/crates/fair-share/tests/encoded.rs
+++ b/crates/fair-share/tests/encoded.rs
@@ -1,4 +1,5 @@
-//! The records, updates and settings are, byte for byte, as recorded: other versions' nodes read them.
+//! Compares the encoded records, updates and settings with recorded ones, byte for byte, because nodes of
+//! other versions read them.
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
 mod support;
@@ -14,14 +15,14 @@
 const RECORDED: &str = include_str!("fixtures/encoded/fair-share.txt");
 const HALF_LIFE: u64 = 60_000;
 
-/// Lines of the transcript; what can be read is read again and compared.
+/// Lines of the transcript. Each value that can be decoded is decoded again and compared.
 #[derive(Default)]
 struct Transcript(Vec<String>);
 
 impl Transcript {
     fn push<T: Serialize + DeserializeOwned + PartialEq + Debug>(&mut self, name: &str, value: &T) {
         let encoded = serde_json::to_string(value).expect("JSON");
-        let decoded: T = serde_json::from_str(&encoded).expect("what was encoded");
+        let decoded: T = serde_json::from_str(&encoded).expect("an encoded value can be decoded");
         assert_eq!(&decoded, value, "{name}");
         self.0.push(format!("{name} {encoded}"));
     }
@@ -78,12 +79,12 @@
 
 #[test]
 fn encoded_forms_are_as_recorded() {
-    let present = transcript();
+    let actual = transcript();
     if std::env::var_os("ENCODED_SHOW").is_some() {
-        print!("{present}");
+        print!("{actual}");
         return;
     }
-    assert_eq!(present, RECORDED);
+    assert_eq!(actual, RECORDED);
 }
 
 #[test]
--- a/crates/scheduler/tests/support/log_capture.rs
+++ b/crates/scheduler/tests/support/log_capture.rs
@@ -1,4 +1,4 @@
-//! Keeps the log lines of each test's thread.
+//! A logger that captures the log lines of each test's thread.
 
 use std::cell::RefCell;
 use std::sync::Once;
@@ -21,16 +21,16 @@
     fn flush(&self) {}
 }
 
-/// To be called at the start of each test that reads lines.
+/// Installs the logger. Must be called at the start of each test that reads lines.
 pub(crate) fn install() {
     static INSTALLED: Once = Once::new();
     INSTALLED.call_once(|| {
-        log::set_logger(&Capture).expect("the only logger");
+        log::set_logger(&Capture).expect("no other logger is installed");
         log::set_max_level(log::LevelFilter::Info);
     });
 }
 
-/// The lines that this thread has logged.
+/// Returns the lines that this thread has logged.
 pub(crate) fn lines() -> Vec<String> {
     LINES.with_borrow(Clone::clone)
 }
