--- a/crates/configuration/src/applied_changes.rs
+++ b/crates/configuration/src/applied_changes.rs
@@ -1,4 +1,4 @@
-//! Records of the changes that were applied, by which a repeated change is acknowledged again.
+//! Records of applied changes, by which a repeated change is acknowledged again.
 
 use crate::change_id::ChangeId;
 use crate::error::RecordError;
@@ -7,25 +7,25 @@
 use std::sync::Arc;
 use streamusher_protocol::store::Write;
 
-/// Applied changes that are remembered; the oldest are forgotten. A day has hundreds of changes, and repetitions follow
-/// within minutes.
+/// Maximum number of applied changes whose records are kept; the oldest records are evicted. Operators make
+/// hundreds of changes a day, and repetitions follow within minutes.
 pub const MAX_APPLIED_CHANGES: usize = 4_096;
 
-/// The record of a change that was applied.
+/// Stored record of an applied change.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub(crate) struct AppliedChange {
-    /// The version that it made.
+    /// Version that the change produced.
     pub(crate) version: u64,
-    /// The version on which it built.
+    /// Version on which the change is based.
     #[serde(rename = "base")]
     pub(crate) base_version: u64,
-    /// Length of its body.
+    /// Length of the change's body.
     #[serde(rename = "length")]
     pub(crate) body_bytes: u64,
 }
 
 impl AppliedChange {
-    /// The stored form. The field names and their order are those of all releases.
+    /// Returns the stored form. The field names and their order are the same in all releases.
     fn record(&self) -> String {
         let AppliedChange {
             version,
@@ -36,9 +36,9 @@
     }
 }
 
-/// The applied changes that are remembered, by their key and by the version that they made.
+/// Retained applied changes, by record key and by the version that they produced.
 ///
-/// Both maps hold the same changes. Versions and base versions rise from change to change.
+/// Both maps hold the same changes. Versions and base versions increase from one change to the next.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AppliedChanges {
     by_key: HashMap<Arc<str>, AppliedChange>,
@@ -46,15 +46,15 @@
 }
 
 impl AppliedChanges {
-    /// The newest change: its key and the version that it made.
+    /// Returns the record key of the newest change and the version that it produced.
     pub(crate) fn newest(&self) -> Option<(&Arc<str>, u64)> {
         self.by_version
             .last_key_value()
             .map(|(version, key)| (key, *version))
     }
 
-    /// The version that this change made, where it was applied.
-    pub(crate) fn version_made_by(
+    /// Returns the version that this change produced, if it was applied and its record is retained.
+    pub(crate) fn resulting_version(
         &self,
         id: &ChangeId,
         base_version: u64,
@@ -66,9 +66,10 @@
         is_same.then_some(applied.version)
     }
 
-    /// Whether a change on `base_version` may have been applied and forgotten since. The remembered changes build on rising
-    /// versions, so one that was forgotten built on a lower version than all of them.
-    pub(crate) fn may_have_forgotten(&self, base_version: u64) -> bool {
+    /// Returns whether a change based on `base_version` may have been applied and its record evicted since.
+    /// The retained changes have increasing base versions, so an evicted change has a lower base version than
+    /// all of them.
+    pub(crate) fn may_have_evicted(&self, base_version: u64) -> bool {
         let oldest = self
             .by_version
             .first_key_value()
@@ -77,7 +78,7 @@
             && oldest.is_some_and(|oldest| base_version < oldest.base_version)
     }
 
-    /// Remembers a change; returns the writes for it and for the changes that are forgotten.
+    /// Records an applied change; returns the writes for its record and for the records that are evicted.
     pub(crate) fn add(&mut self, id: &ChangeId, change: AppliedChange) -> Vec<Write> {
         let key = id.applied_key();
         let mut writes = vec![Write::set(key.clone(), change.record())];
@@ -92,10 +93,10 @@
         writes
     }
 
-    /// Takes over a stored record.
+    /// Restores a stored record.
     ///
     /// # Errors
-    /// [`RecordError::Corrupt`] where it cannot be read.
+    /// [`RecordError::Corrupt`] if the record cannot be parsed.
     pub(crate) fn recover(&mut self, key: Arc<str>, value: &str) -> Result<(), RecordError> {
         let change = serde_json::from_str(value).map_err(|error| RecordError::Corrupt {
             key: key.to_string(),
--- a/crates/configuration/src/change_id.rs
+++ b/crates/configuration/src/change_id.rs
@@ -1,38 +1,40 @@
-//! Identity of a change: the same for the same kind, base version and body, on every machine and in every release.
+//! Identity of a change: equal for the same kind, base version and body, on every machine and in every
+//! release.
 //!
-//! The keys of the stored records are made from it, so neither the digest nor the prefixes can ever change.
+//! The keys of the stored records are derived from it, so neither the digest nor the prefixes may ever
+//! change.
 
 use sha2::{Digest, Sha256};
 use std::fmt::Write as _;
 use std::sync::Arc;
 
-/// Prefix of the keys of applied changes.
+/// Prefix of the record keys of applied changes.
 pub const APPLIED_KEY_PREFIX: &str = "order/";
 
-/// Prefix of the keys of rejected changes.
+/// Prefix of the record keys of rejected changes.
 pub const REJECTED_KEY_PREFIX: &str = "refused/";
 
-/// Bytes of the digest in an identity: 128 bits do not collide by chance, and keys stay short.
+/// Bytes of the digest in an identity. Digests of 128 bits do not collide by chance, and the keys stay short.
 const DIGEST_BYTES: usize = 16;
 
-/// The two kinds of change.
+/// Kind of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeKind {
-    /// A whole configuration.
+    /// Replacement of the whole configuration.
     Replace,
     /// An update of named items.
     Update,
 }
 
-/// Identity of a change, from which the keys of its stored records are made.
+/// Identity of a change, from which the keys of its stored records are derived.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChangeId {
-    /// First [`DIGEST_BYTES`] of a SHA-256 digest, in hexadecimal digits.
+    /// First [`DIGEST_BYTES`] bytes of a SHA-256 digest, in hexadecimal digits.
     hex: String,
 }
 
 impl ChangeId {
-    /// The identity of the change with this body that builds on `base_version`.
+    /// Computes the identity of a change with this body, based on `base_version`.
     pub fn new(kind: ChangeKind, base_version: u64, body: &str) -> ChangeId {
         let kind = match kind {
             ChangeKind::Replace => b"r",
@@ -51,12 +53,12 @@
         ChangeId { hex }
     }
 
-    /// Key of the record that the change was applied.
+    /// Returns the key of the record that the change was applied.
     pub fn applied_key(&self) -> Arc<str> {
         format!("{APPLIED_KEY_PREFIX}{}", self.hex).into()
     }
 
-    /// Key of the record that the change was rejected.
+    /// Returns the key of the record that the change was rejected.
     pub fn rejected_key(&self) -> Arc<str> {
         format!("{REJECTED_KEY_PREFIX}{}", self.hex).into()
     }
--- a/crates/configuration/src/error.rs
+++ b/crates/configuration/src/error.rs
@@ -1,13 +1,13 @@
-//! Why a configuration, a stored record or a configuration file is rejected. Every message names the remedy, and the
-//! operators' pages quote them.
+//! Errors of rejected configurations, stored records and configuration files. Every message states the
+//! remedy, and the operators' documentation quotes the messages.
 
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a configuration or an update is invalid.
+/// Reason why a configuration or an update is rejected as invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigurationError {
-    /// It is not JSON (or TOML, in a file), or it is truncated.
+    /// The text is truncated or is not JSON (or TOML, in a file).
     #[error("cannot be read: {cause}; send it whole and well-formed")]
     Malformed {
         /// The parser's error, with line and column.
@@ -18,12 +18,12 @@
     InvalidField {
         /// Path of the field, such as `routes[3].timeout_ms`.
         field: String,
-        /// Its value, shortened.
+        /// Value of the field, shortened.
         value: String,
         /// The parser's error.
         cause: String,
     },
-    /// A field that must not be empty is.
+    /// A field that must not be empty is empty.
     #[error("{field} is \"\": it must not be empty; give it a value")]
     EmptyField {
         /// Path of the field.
@@ -35,14 +35,15 @@
         /// Path of the field.
         field: String,
     },
-    /// A number is above [`MAX_EXACT_NUMBER`](crate::MAX_EXACT_NUMBER), which every JSON reader holds exactly.
+    /// A number is greater than [`MAX_EXACT_NUMBER`](crate::MAX_EXACT_NUMBER), up to which every JSON reader
+    /// represents integers exactly.
     #[error("{field} is {value}: the greatest number allowed is {max}; choose a smaller one")]
     TooLarge {
         /// Path of the field.
         field: String,
-        /// Its value.
+        /// Value of the field.
         value: u64,
-        /// The greatest value allowed.
+        /// Maximum allowed value.
         max: u64,
     },
     /// A factor is negative or not finite.
@@ -50,7 +51,7 @@
     InvalidFactor {
         /// Path of the field.
         field: String,
-        /// Its value.
+        /// Value of the field.
         value: String,
     },
     /// A path prefix does not begin with a slash.
@@ -58,29 +59,29 @@
     MissingLeadingSlash {
         /// Path of the field.
         field: String,
-        /// Its value.
+        /// Value of the field.
         value: String,
     },
     /// Two items of one list have the same name.
     #[error("{field} is \"{value}\", which {first} has as well; rename one of them")]
     DuplicateName {
-        /// Path of the later item's name.
+        /// Path of the name in the later item.
         field: String,
-        /// The name.
+        /// The duplicate name.
         value: String,
         /// Path of the earlier item.
         first: String,
     },
-    /// Two routes have the same host and prefix.
+    /// Two routes have the same host and path prefix.
     #[error("{field} has host \"{host}\" and path_prefix \"{prefix}\", and so has {first}; change or remove one of them")]
     DuplicateRoute {
-        /// The later route.
+        /// Path of the later route.
         field: String,
-        /// Host of both, without port and in lower case.
+        /// Host of both routes, without port and in lower case.
         host: String,
-        /// Prefix of both.
+        /// Path prefix of both routes.
         prefix: String,
-        /// The earlier route.
+        /// Path of the earlier route.
         first: String,
     },
     /// A route names a service that does not exist.
@@ -90,17 +91,17 @@
     UnknownService {
         /// Path of the field.
         field: String,
-        /// The name.
+        /// Name of the unknown service.
         value: String,
     },
-    /// The version is not above the current one.
+    /// The version is not greater than the current one.
     #[error(
         "version is {version}: it must be above the current one, {current_version}; choose a higher number"
     )]
     VersionNotIncreased {
-        /// The version of the change.
+        /// Version of the rejected configuration.
         version: u64,
-        /// The current version.
+        /// Version of the current configuration; 0 if there is none.
         current_version: u64,
     },
     /// An update upserts and removes the same item.
@@ -108,49 +109,50 @@
         "remove.{list} names \"{value}\", which upsert.{list} adds; leave it out of one of them"
     )]
     UpsertedAndRemoved {
-        /// The list.
+        /// Name of the list.
         list: String,
-        /// The name.
+        /// Name of the item.
         value: String,
     },
-    /// The file cannot be opened.
+    /// The file cannot be read.
     #[error("{}: {cause}; name a file that this user can read", path.display())]
     UnreadableFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The operating system's error.
+        /// The I/O error.
         cause: String,
     },
-    /// The file's extension is that of no known format.
+    /// The file extension does not denote a supported format.
     #[error("{}: its format is not known; name it *.json or *.toml", path.display())]
     UnknownFileFormat {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
     },
 }
 
-/// Why the stored records cannot be used. Something else than this crate, or a fault of the disk, has changed them.
+/// Reason why the stored records cannot be used. Something other than this crate, or a disk fault, has
+/// changed them.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RecordError {
-    /// A record cannot be read.
+    /// A record cannot be parsed.
     #[error("record {key} is damaged: {cause}; start this machine with an empty disk, so that it gets a whole copy")]
     Corrupt {
-        /// Its key.
+        /// Key of the record.
         key: String,
         /// The parser's error.
         cause: String,
     },
-    /// An applied change is newer than the stored configuration.
+    /// The record of an applied change has a newer version than the stored configuration.
     #[error(
         "record {key} is of version {version}, above config/current ({current_version}); \
          start this machine with an empty disk, so that it gets a whole copy"
     )]
     NewerThanConfiguration {
-        /// The key of the change's record.
+        /// Key of the change's record.
         key: String,
-        /// The version that the change made.
+        /// Version that the change produced.
         version: u64,
-        /// The stored configuration's version; 0 for none.
+        /// Version of the stored configuration; 0 if there is none.
         current_version: u64,
     },
 }
--- a/crates/configuration/src/file.rs
+++ b/crates/configuration/src/file.rs
@@ -1,4 +1,4 @@
-//! Validation of a configuration file, in JSON or TOML, that is named on the command line.
+//! Validation of a JSON or TOML configuration file that is named on the command line.
 
 use crate::error::ConfigurationError;
 use crate::invalid_field::locate_invalid_field;
@@ -8,10 +8,11 @@
 use std::path::Path;
 use streamusher_protocol::config::Configuration;
 
-/// Reads and validates a configuration file, `*.json` or `*.toml`, by the same checks as an operator's change.
+/// Reads a configuration file, `*.json` or `*.toml`, and validates it by the same checks as an operator's
+/// change.
 ///
 /// # Errors
-/// Where it cannot be read or is invalid.
+/// If the file cannot be read or is invalid.
 pub fn check_file(path: &Path) -> Result<Configuration, ConfigurationError> {
     let text =
         std::fs::read_to_string(path).map_err(|error| ConfigurationError::UnreadableFile {
@@ -40,11 +41,13 @@
 }
 
 fn extract(figment: &Figment) -> Result<Configuration, ConfigurationError> {
-    figment.extract().map_err(|error| explain(figment, &error))
+    figment
+        .extract()
+        .map_err(|error| to_configuration_error(figment, &error))
 }
 
-/// Names the invalid field, where the text could be read at all.
-fn explain(figment: &Figment, error: &figment::Error) -> ConfigurationError {
+/// Returns the error that names the invalid field, or a general one if the text cannot be parsed at all.
+fn to_configuration_error(figment: &Figment, error: &figment::Error) -> ConfigurationError {
     let malformed = || ConfigurationError::Malformed {
         cause: error.to_string(),
     };
--- a/crates/configuration/src/invalid_field.rs
+++ b/crates/configuration/src/invalid_field.rs
@@ -1,5 +1,5 @@
-//! Finds the invalid field of a body that is JSON but not a configuration. Runs only after parsing has failed, as the
-//! parser's own error does not name the path.
+//! Locates the invalid field of a body that is JSON but not a valid configuration. Runs only after parsing
+//! has failed, because the parser's own error does not contain the path of the field.
 //!
 //! A field is invalid if an otherwise valid item cannot be parsed with it.
 
@@ -9,10 +9,12 @@
 use serde_json::{Map, Value};
 use streamusher_protocol::config::{Configuration, Limits, Route, Service};
 
-/// Longest value or cause in a message, in characters: messages go into answers and logs.
+/// Maximum length of a value or cause in an error message, in characters. Messages are included in responses
+/// and logs.
 const MAX_SHOWN_CHARS: usize = 160;
 
-/// The error for the first invalid field of a configuration or an update; none where no single field is invalid.
+/// Returns the error for the first invalid field of a configuration or an update, or `None` if no single
+/// field is invalid.
 pub(crate) fn locate_invalid_field(body: &Value) -> Option<ConfigurationError> {
     let Value::Object(fields) = body else {
         return Some(not_an_object("the body", &body.to_string()));
@@ -23,7 +25,7 @@
         .or_else(|| locate_in_fields::<Configuration>("", fields))
 }
 
-/// The error for a text that should be an object.
+/// Returns the error for a text that should be an object.
 pub(crate) fn not_an_object(field: &str, text: &str) -> ConfigurationError {
     ConfigurationError::InvalidField {
         field: shortened(field),
@@ -32,7 +34,7 @@
     }
 }
 
-/// A value as it is shown in a message.
+/// Truncates a text to the length at which error messages show it.
 pub(crate) fn shortened(text: &str) -> String {
     match text.char_indices().nth(MAX_SHOWN_CHARS) {
         Some((end, _)) => format!("{}...", &text[..end]),
@@ -102,7 +104,7 @@
     })
 }
 
-/// The parser's error for a valid `T` in which this field has this value.
+/// Returns the parser's error for an otherwise valid `T` in which this field has this value.
 fn field_error<T: DeserializeOwned + Serialize + Default>(
     name: &str,
     value: &Value,
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,12 +1,14 @@
 //! The operators' configuration: validation, versions, idempotent changes, and the relay tree that distributes it.
 //!
-//! The primary holds the configuration in a [`ConfigurationStore`]. An operator either replaces it whole or updates named
-//! items of it, and names the version on which the change builds (optimistic concurrency: one change wins a base version).
-//! The store decides whether a change is applied, and returns what has to be written to the replicated state for that, with
-//! records by which a repeated change gets the same answer after a failover. Once committed, the configuration goes down
-//! the relay tree ([`relay`]) to every process of the data plane.
+//! The primary holds the configuration in a [`ConfigurationStore`]. An operator either replaces the whole
+//! configuration or updates named items, and states the base version of the change (optimistic concurrency:
+//! only one change succeeds on a base version). The store decides whether a change is applied, and returns
+//! the writes to the replicated state. They include records by which a repeated change gets the same answer
+//! after a failover. Once committed, the configuration is distributed to every process of the data plane
+//! through the relay tree ([`relay`]).
 //!
-//! The crate does no I/O (but for [`check_file`], which reads its file) and takes the current time as an argument.
+//! The crate performs no I/O, except that [`check_file`] reads its file, and takes the current time as an
+//! argument.
 //!
 //! ```
 //! use streamusher_configuration::{ChangeOutcome, ConfigurationStore};
@@ -14,21 +16,21 @@
 //! let mut store = ConfigurationStore::new();
 //! let first = r#"{"version": 1, "services": [{"name": "scans"}]}"#;
 //! let ChangeOutcome::Applied { version, writes } = store.replace(0, first) else {
-//!     panic!("a first configuration builds on version 0");
+//!     panic!("the first configuration is based on version 0");
 //! };
-//! // The new configuration, and the record by which a repetition is recognized: to be committed as one batch.
+//! // The new configuration and the record that identifies a repeated change, to be committed as one batch.
 //! assert_eq!((version, writes.len()), (1, 2));
 //!
-//! // The answer was lost and the operator sends the change again.
+//! // The response was lost and the operator sends the change again.
 //! assert_eq!(store.replace(0, first), ChangeOutcome::AlreadyApplied { version: 1 });
 //!
 //! // An update of named items.
 //! let update = r#"{"version": 2, "remove": {"services": ["scans"]}}"#;
 //! assert!(matches!(store.update(1, update), ChangeOutcome::Applied { version: 2, .. }));
 //!
-//! // Another change on version 1 comes too late.
-//! let late = store.update(1, r#"{"version": 3}"#);
-//! assert!(matches!(late, ChangeOutcome::VersionConflict { current_version: 2, .. }));
+//! // Another change based on version 1 conflicts with the update.
+//! let conflicting = store.update(1, r#"{"version": 3}"#);
+//! assert!(matches!(conflicting, ChangeOutcome::VersionConflict { current_version: 2, .. }));
 //! ```
 
 mod applied_changes;
--- a/crates/configuration/src/published.rs
+++ b/crates/configuration/src/published.rs
@@ -1,23 +1,24 @@
-//! A configuration as the store hands it over to the relay tree.
+//! Configuration in the form in which the store passes it to the relay tree.
 
 use std::sync::Arc;
 
-/// A configuration, and the update that made it.
+/// A configuration and the update that produced it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PublishedConfiguration {
-    /// Its version.
+    /// Version of the configuration.
     pub version: u64,
-    /// Its JSON text.
+    /// JSON text of the configuration.
     pub text: Arc<str>,
-    /// The update that made it; none where it was replaced whole, or where that is not known after a failover.
+    /// Update that produced the configuration; `None` if the whole configuration was replaced, or if the
+    /// update is not known after a failover.
     pub update: Option<PublishedUpdate>,
 }
 
 /// An operator's update that was applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PublishedUpdate {
-    /// The version on which it builds.
+    /// Version on which the update is based.
     pub base_version: u64,
-    /// Its JSON text, as the operator sent it.
+    /// JSON text of the update, as the operator sent it.
     pub text: Arc<str>,
 }
--- a/crates/configuration/src/rejected_changes.rs
+++ b/crates/configuration/src/rejected_changes.rs
@@ -1,7 +1,7 @@
-//! Records of the changes that were rejected because they build on a version to come.
+//! Records of changes that were rejected because their base version was newer than the current version.
 //!
-//! The first final answer to a change holds: when that version becomes current, a copy of the rejected change that was
-//! delayed on its way must be rejected again.
+//! The first final answer to a change is binding: when that base version becomes current, a delayed copy of
+//! the rejected change must be rejected again.
 
 use crate::change_id::ChangeId;
 use crate::error::RecordError;
@@ -10,23 +10,24 @@
 use std::sync::Arc;
 use streamusher_protocol::store::Write;
 
-/// Rejected changes that are remembered at once. Beyond this a change on a version to come is not rejected but left
-/// undecided: an operator has at most eight changes in flight.
+/// Maximum number of rejected changes whose records are kept at a time. Beyond it, a change based on a future
+/// version is not rejected but left undecided. An operator has at most eight changes in flight.
 pub const MAX_REJECTED_CHANGES: usize = 1_024;
 
-/// Rejected changes on versions to come: the base version of each, by the key of its record.
+/// Rejected changes based on future versions: the base version of each, by record key.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RejectedChanges {
     base_versions: BTreeMap<Arc<str>, u64>,
 }
 
 impl RejectedChanges {
-    /// Whether this change was rejected.
+    /// Returns whether the rejection of this change is recorded.
     pub(crate) fn contains(&self, id: &ChangeId) -> bool {
         self.base_versions.contains_key(&id.rejected_key())
     }
 
-    /// Remembers a rejected change; returns the writes for it, or none where too many are remembered.
+    /// Records the rejection of a change; returns the writes for it, or `None` if the maximum number of
+    /// records is reached.
     pub(crate) fn add(&mut self, id: &ChangeId, base_version: u64) -> Option<Vec<Write>> {
         let key = id.rejected_key();
         if self.base_versions.contains_key(&key) {
@@ -39,8 +40,9 @@
         Some(vec![Write::set(key, base_version.to_string())])
     }
 
-    /// Forgets the changes on versions below the current one, as these are rejected for that alone; returns the writes.
-    pub(crate) fn forget_below(&mut self, current_version: u64) -> Vec<Write> {
+    /// Removes the records of changes based on versions below the current one, which are rejected without a
+    /// record; returns the writes.
+    pub(crate) fn remove_below(&mut self, current_version: u64) -> Vec<Write> {
         let mut writes = Vec::new();
         self.base_versions.retain(|key, base_version| {
             let is_kept = *base_version >= current_version;
@@ -52,10 +54,10 @@
         writes
     }
 
-    /// Takes over a stored record.
+    /// Restores a stored record.
     ///
     /// # Errors
-    /// [`RecordError::Corrupt`] where it cannot be read.
+    /// [`RecordError::Corrupt`] if the record cannot be parsed.
     pub(crate) fn recover(&mut self, key: Arc<str>, value: &str) -> Result<(), RecordError> {
         let base_version = value
             .parse()
--- a/crates/configuration/src/relay/address_hash.rs
+++ b/crates/configuration/src/relay/address_hash.rs
@@ -1,6 +1,7 @@
-//! The hash of a member's address, by which members are ordered and their time-outs spread.
+//! Hash of a member's address, which orders the members and spreads their time-outs.
 
-/// A hash that is the same on all machines and in all releases: FNV-1a, mixed by the finalizer of `MurmurHash3`.
+/// Computes a hash that is the same on all machines and in all releases: FNV-1a, mixed by the finalizer of
+/// `MurmurHash3`.
 pub(super) fn stable_hash(text: &str) -> u64 {
     let mut hash: u64 = 0xcbf2_9ce4_8422_2325;
     for byte in text.bytes() {
--- a/crates/configuration/src/relay/ancestor_search.rs
+++ b/crates/configuration/src/relay/ancestor_search.rs
@@ -1,20 +1,20 @@
-//! Requests to one ancestor after the other, until one of them turns out to be connected to the root.
+//! Search for an ancestor that is connected to the root, by requests to one ancestor after the other.
 
 use super::message::RelayPeer;
 use super::timing::{MAX_SEARCH_BACKOFF_MS, MIN_SEARCH_BACKOFF_MS, REQUEST_TIMEOUT_MS};
 use streamusher_protocol::Millis;
 
-/// A search that is going on.
+/// State of a search in progress.
 #[derive(Clone, Debug)]
 pub(super) struct AncestorSearch {
-    /// Index of the ancestor that is tried next; beyond the last one for a pause.
+    /// Index of the ancestor that is tried next; past the last ancestor if a pause is next.
     next_index: usize,
     due_at: Millis,
     backoff_ms: Millis,
 }
 
 impl AncestorSearch {
-    /// A search that begins now, with the ancestor of this index.
+    /// Starts a search at `now`, with the ancestor at `first_index`.
     pub(super) fn new(first_index: usize, now: Millis) -> AncestorSearch {
         AncestorSearch {
             next_index: first_index,
@@ -23,13 +23,13 @@
         }
     }
 
-    /// When [`AncestorSearch::take_due`] has to be called next.
+    /// Returns when [`AncestorSearch::take_due`] has to be called next.
     pub(super) fn due_at(&self) -> Millis {
         self.due_at
     }
 
-    /// The ancestor to which a request has to be sent now. After the last one comes a pause, which doubles from round to
-    /// round, and then the parent again.
+    /// Returns the ancestor to which a request has to be sent now. The last ancestor is followed by a pause,
+    /// which doubles from round to round, and then by the parent again.
     pub(super) fn take_due(&mut self, now: Millis, ancestors: &[RelayPeer]) -> Option<RelayPeer> {
         if now < self.due_at {
             return None;
--- a/crates/configuration/src/relay/distributor.rs
+++ b/crates/configuration/src/relay/distributor.rs
@@ -1,4 +1,5 @@
-//! The sending side that the root and the members have in common: what they have, and to whom they send it.
+//! Sending side that the root and the members share: the newest configuration and the peers to which it is
+//! sent.
 
 use super::message::{ConfigurationDelta, OutboundMessage, RelayMessage, RelayPeer, RootHeartbeat};
 use super::receivers::Receivers;
@@ -15,7 +16,7 @@
 }
 
 impl Distributor {
-    /// One without a configuration and receivers; heartbeats begin at `first_heartbeat_at`.
+    /// Creates a distributor without a configuration or receivers; heartbeats begin at `first_heartbeat_at`.
     pub(super) fn new(first_heartbeat_at: Millis) -> Distributor {
         Distributor {
             log: UpdateLog::default(),
@@ -23,53 +24,54 @@
         }
     }
 
-    /// The newest version; 0 for none.
+    /// Returns the newest version; 0 if there is none.
     pub(super) fn version(&self) -> u64 {
         self.log.version()
     }
 
-    /// The newest configuration's text.
+    /// Returns the JSON text of the newest configuration.
     pub(super) fn text(&self) -> Option<&Arc<RawValue>> {
         self.log.text()
     }
 
-    /// Replaces the configuration.
+    /// Replaces the whole configuration.
     pub(super) fn set_snapshot(&mut self, version: u64, text: Arc<RawValue>) {
         self.log.reset(version, text);
     }
 
-    /// Takes an update of the newest configuration, and the text that it makes.
+    /// Appends an update of the newest configuration, and the text that it produces.
     pub(super) fn append_update(&mut self, update: ConfigurationDelta, text: Arc<RawValue>) {
         self.log.append(update, text);
     }
 
-    /// Takes the children of a new membership.
+    /// Sets the children according to a new membership.
     pub(super) fn set_children(&mut self, children: Vec<Arc<str>>) {
         self.receivers.set_children(children);
     }
 
-    /// All receivers.
+    /// Returns the children and temporary children.
     pub(super) fn receivers(&self) -> impl Iterator<Item = &RelayPeer> {
         self.receivers.iter()
     }
 
-    /// When heartbeats are due; never while there is no receiver.
+    /// Returns when heartbeats are due; `Millis::MAX` while there is no receiver.
     pub(super) fn next_heartbeat_at(&self) -> Millis {
         self.receivers.next_heartbeat_at()
     }
 
-    /// Whether heartbeats are due; the next ones are due an interval later.
+    /// Returns whether heartbeats are due. If so, the next ones are due one interval later.
     pub(super) fn take_due_heartbeat(&mut self, now: Millis) -> bool {
         self.receivers.take_due_heartbeat(now)
     }
 
-    /// Regular heartbeats to all receivers.
+    /// Returns the regular heartbeats to all receivers.
     pub(super) fn heartbeats(&self, root_heartbeat: RootHeartbeat) -> Vec<OutboundMessage> {
         self.receivers
             .heartbeats(self.version(), root_heartbeat, false)
     }
 
-    /// Answers a request: with a heartbeat, and with what is newer than `known_version`.
+    /// Answers a request with a heartbeat and, if there is a newer version than `known_version`, the message
+    /// that leads to it.
     pub(super) fn on_request(
         &mut self,
         now: Millis,
@@ -90,8 +92,9 @@
             .collect()
     }
 
-    /// Sends on what leads from `former_version` to the newest one, or announces it where that is too long. Nothing where the
-    /// version has not risen.
+    /// Sends the message that leads from `former_version` to the newest version to all receivers but
+    /// `except`, or announces the version to all receivers if the message is too long. Sends nothing if the
+    /// version has not increased.
     pub(super) fn forward(
         &self,
         former_version: u64,
--- a/crates/configuration/src/relay/member_leases.rs
+++ b/crates/configuration/src/relay/member_leases.rs
@@ -1,6 +1,7 @@
-//! The membership of the relay tree, by leases that each member renews at the primary.
+//! Membership of the relay tree, determined by leases that each member renews at the primary.
 //!
-//! Leases are kept in memory only: members renew theirs at a new primary, which waits [`MEMBERSHIP_WARM_UP_MS`] for them.
+//! Leases are kept in memory only: members renew theirs at a new primary, which waits
+//! [`MEMBERSHIP_WARM_UP_MS`] for the renewals.
 
 use super::membership::RelayMembership;
 use super::timing::{LEASE_MS, MEMBERSHIP_INTERVAL_MS, MEMBERSHIP_WARM_UP_MS};
@@ -8,21 +9,22 @@
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// Bits of a membership's version below the epoch: a primary would make that many changes in thirty years.
+/// Bits of a membership's version below the epoch. A primary would need thirty years for that many changes.
 const EPOCH_SHIFT: u32 = 32;
 
-/// The leases at one primary, and the membership that follows from them.
+/// Leases held at one primary, and the resulting membership.
 #[derive(Clone, Debug)]
 pub struct MemberLeases {
-    /// When each lease expires.
+    /// Expiry time of each lease, by the member's address.
     expirations: BTreeMap<Arc<str>, Millis>,
     membership: RelayMembership,
-    /// When the membership may change next.
+    /// Earliest time of the next change of the membership.
     next_membership_at: Millis,
 }
 
 impl MemberLeases {
-    /// The leases of a primary that was elected in `epoch`. Its memberships are newer than those of any earlier epoch.
+    /// Creates the leases at a primary that was elected in `epoch`. Its memberships are newer than those of
+    /// any earlier epoch.
     pub fn new(epoch: u64, now: Millis) -> MemberLeases {
         let version = epoch.saturating_add(1) << EPOCH_SHIFT;
         MemberLeases {
@@ -35,17 +37,17 @@
         }
     }
 
-    /// Renews a member's lease, or grants it one.
+    /// Renews the lease of a member, or grants one.
     pub fn renew(&mut self, now: Millis, address: &Arc<str>) {
         self.expirations.insert(address.clone(), now + LEASE_MS);
     }
 
-    /// The newest membership; none before the first one.
+    /// Returns the newest membership; `None` while it has no members.
     pub fn membership(&self) -> Option<&RelayMembership> {
         (!self.membership.members.is_empty()).then_some(&self.membership)
     }
 
-    /// Ends leases that have expired; returns the membership where it has changed.
+    /// Removes expired leases; returns the membership if it has changed.
     pub fn tick(&mut self, now: Millis) -> Option<&RelayMembership> {
         if now < self.next_membership_at {
             return None;
--- a/crates/configuration/src/relay/message.rs
+++ b/crates/configuration/src/relay/message.rs
@@ -1,25 +1,26 @@
-//! Messages between the members of the relay tree. The names in their JSON are those of all releases.
+//! Messages between the processes of the relay tree. Their names in JSON are the same in all releases.
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 use std::sync::Arc;
 
-/// One end of a message.
+/// Sender or receiver of a message.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RelayPeer {
-    /// The primary, on whichever machine it is.
+    /// The primary, on whichever machine it runs.
     #[serde(rename = "Core")]
     Primary,
-    /// A member, by its address.
+    /// A member, identified by its address.
     Member(Arc<str>),
 }
 
-/// Rises with each heartbeat of the root and is passed down: a member that receives a newer one is connected to the root.
+/// Heartbeat counter of the root, which is passed down the tree: a member that receives a newer one is
+/// connected to the root.
 ///
-/// The order of the fields is that in which heartbeats are compared.
+/// The field order is the order in which heartbeats are compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RootHeartbeat {
-    /// The primary's epoch.
+    /// Epoch of the primary.
     pub epoch: u64,
     /// Number of the heartbeat within the epoch.
     pub count: u64,
@@ -28,74 +29,75 @@
 /// An operator's update that was applied.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ConfigurationDelta {
-    /// The version on which it builds.
+    /// Version on which the update is based.
     #[serde(rename = "base")]
     pub base_version: u64,
-    /// The version that it makes.
+    /// Version that the update produces.
     pub version: u64,
     /// The update as the operator sent it; see [`crate::apply_update`].
     pub update: Arc<RawValue>,
 }
 
-/// A message. Messages are not acknowledged: an answer is a message of its own.
+/// A message between two peers. Messages are not acknowledged: an answer is a separate message.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum RelayMessage {
-    /// Down the tree, at regular intervals and as the first answer to a request.
+    /// Sent down the tree at regular intervals and as the first answer to a request.
     Heartbeat {
-        /// The sender's version; 0 for none.
+        /// Version of the sender; 0 if it has none.
         version: u64,
-        /// The newest heartbeat of the root that the sender knows.
+        /// Newest root heartbeat known to the sender.
         #[serde(rename = "pulse")]
         root_heartbeat: RootHeartbeat,
-        /// The receiver is not a child by the sender's membership: it has to renew its request within
+        /// Whether the receiver is only a temporary child, as it is not a child according to the sender's
+        /// membership: it has to renew its request within
         /// [`TEMPORARY_CHILD_TIMEOUT_MS`](super::TEMPORARY_CHILD_TIMEOUT_MS).
         #[serde(rename = "adopted")]
         is_temporary: bool,
-        /// The sender will not send this version without a request, as it is too long.
+        /// Whether the sender sends this version on request only, because it is too long.
         #[serde(rename = "ask")]
         request_required: bool,
     },
-    /// Down the tree: updates, each of which builds on the one before.
+    /// Sent down the tree: updates, each of which is based on the version of the one before.
     #[serde(rename = "Changes")]
     Deltas(Vec<ConfigurationDelta>),
-    /// Down the tree: a whole configuration.
+    /// Sent down the tree: a whole configuration.
     #[serde(rename = "Whole")]
     Snapshot {
-        /// Its version.
+        /// Version of the configuration.
         version: u64,
-        /// Its JSON text.
+        /// JSON text of the configuration.
         text: Arc<RawValue>,
     },
-    /// Up the tree: a request for what is newer, and for heartbeats.
+    /// Sent up the tree: a request for newer versions and for heartbeats.
     #[serde(rename = "Ask")]
     Request {
-        /// The version that the sender has; 0 to get a snapshot of the newest one.
+        /// Version of the sender; 0 requests a snapshot of the newest version.
         #[serde(rename = "have")]
         known_version: u64,
     },
 }
 
-/// The body of an HTTP request: messages of one sender, in the order in which they were sent.
+/// Body of an HTTP request: messages of one sender, in the order in which they were sent.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RelayEnvelope {
-    /// The sender.
+    /// Peer that sends the messages.
     #[serde(rename = "from")]
     pub sender: RelayPeer,
-    /// Its messages.
+    /// Messages, in the order in which they were sent.
     pub messages: Vec<RelayMessage>,
 }
 
-/// A message to be sent to each of its receivers. One that cannot be delivered is dropped.
+/// A message to be sent to each of its receivers. A message that cannot be delivered is dropped.
 #[derive(Clone, Debug)]
 pub struct OutboundMessage {
-    /// The receivers.
+    /// Peers to which the message is sent.
     pub receivers: Vec<RelayPeer>,
-    /// The message.
+    /// The message, which is the same for all receivers.
     pub message: RelayMessage,
 }
 
 impl OutboundMessage {
-    /// A message to a single receiver.
+    /// Creates a message to a single receiver.
     pub(super) fn to_peer(receiver: RelayPeer, message: RelayMessage) -> OutboundMessage {
         OutboundMessage {
             receivers: vec![receiver],
--- a/crates/configuration/src/relay/missing_version.rs
+++ b/crates/configuration/src/relay/missing_version.rs
@@ -1,15 +1,15 @@
-//! Requests for a version that a member has learned of and does not have.
+//! Requests for a version that was announced to a member and that the member lacks.
 
 use super::message::RelayPeer;
 use super::timing::{DELIVERY_GRACE_MS, VERSION_RETRY_INTERVAL_MS};
 use streamusher_protocol::Millis;
 
-/// How a version that was announced reaches the member.
+/// How an announced version reaches the member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Delivery {
-    /// It should be on its way.
+    /// The version is sent without a request and should arrive soon.
     Pushed,
-    /// It comes on request only.
+    /// The version is sent on request only.
     OnRequest,
 }
 
@@ -22,19 +22,19 @@
     }
 }
 
-/// A version that was announced and has not come yet.
+/// An announced version that has not arrived yet.
 #[derive(Clone, Debug)]
 pub(super) struct MissingVersion {
     version: u64,
-    /// A peer that has it and sends it on request, where one is known.
+    /// Peer that has the version and sends it on request, if one is known.
     source: Option<RelayPeer>,
-    /// Requests so far.
+    /// Number of requests sent so far.
     request_count: usize,
     due_at: Millis,
 }
 
 impl MissingVersion {
-    /// A version that was announced now.
+    /// Records a version that was announced at `now`.
     pub(super) fn new(
         now: Millis,
         version: u64,
@@ -49,17 +49,17 @@
         }
     }
 
-    /// The version.
     pub(super) fn version(&self) -> u64 {
         self.version
     }
 
-    /// When [`MissingVersion::take_due`] has to be called next.
+    /// Returns when [`MissingVersion::take_due`] has to be called next.
     pub(super) fn due_at(&self) -> Millis {
         self.due_at
     }
 
-    /// Takes note that `source` has this version too. Before the first request, it may go to one that waits for a request.
+    /// Handles another announcement of this version. If no request was sent yet and the announcing peer sends
+    /// the version on request only, a request to that peer is due at once.
     pub(super) fn on_announced_again(
         &mut self,
         now: Millis,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The peer to which a request has to be sent now: first the source, then the ancestors in turn.
+    /// Returns the peer to which a request has to be sent now: first the source, then the ancestors in turn.
     pub(super) fn take_due(&mut self, now: Millis, ancestors: &[RelayPeer]) -> Option<RelayPeer> {
         if now < self.due_at {
             return None;
--- a/crates/configuration/src/relay/mod.rs
+++ b/crates/configuration/src/relay/mod.rs
@@ -1,22 +1,26 @@
-//! The relay tree: how the newest configuration reaches every process of the data plane.
+//! Relay tree, which distributes the newest configuration to every process of the data plane.
 //!
-//! The primary ([`RelayRoot`]) sends to [`FAN_OUT`] members, and each of these ([`RelayNode`]) to as many more. Processes
-//! with the same membership compute the same tree ([`RelayTree`]). A change goes down as the operator's update, or as the
-//! whole configuration where the receiver lacks the version on which the update builds. Three mechanisms make up for members
-//! that are dead, frozen or partitioned:
+//! The primary ([`RelayRoot`]) sends to [`FAN_OUT`] members, and each member ([`RelayNode`]) sends to as many
+//! more. Processes with the same membership compute the same tree ([`RelayTree`]). A change is sent down the
+//! tree as the operator's update, or as the whole configuration if the receiver lacks the base version of the
+//! update. Three mechanisms compensate for members that have failed, are frozen or are partitioned:
 //!
-//! - Each member sends heartbeats to its children, with its version and the newest [`RootHeartbeat`] that it knows. A member
-//!   that receives none for [`HEARTBEAT_TIMEOUT_MS`], or no newer root heartbeat for [`ROOT_TIMEOUT_MS`], sends requests to
-//!   its ancestors one after the other, the primary last.
-//! - A member that answers a request becomes the requester's temporary parent: it sends it heartbeats and updates too, until
-//!   the requester hears from its own parent and lets this lapse.
+//! - Each member sends heartbeats to its children, with its version and the newest [`RootHeartbeat`] that it
+//!   has received. A member that receives no heartbeat for [`HEARTBEAT_TIMEOUT_MS`], or no newer root
+//!   heartbeat for [`ROOT_TIMEOUT_MS`], sends requests to its ancestors one after the other, the primary
+//!   last.
+//! - A member that answers a request becomes the requester's temporary parent: it also sends heartbeats and
+//!   updates to the requester, until the requester receives heartbeats from its own parent and stops renewing
+//!   the request.
 //! - A member that learns of a newer version and does not receive it requests it.
 //!
-//! The members are the processes that renew a lease at the primary ([`MemberLeases`]); its responses carry the membership.
-//! [`ConfigurationPublisher`] joins root and leases for the time of one primary.
+//! The members are the processes that renew a lease at the primary ([`MemberLeases`]); the responses to lease
+//! requests carry the membership. [`ConfigurationPublisher`] combines the root and the leases for the term of
+//! one primary.
 //!
-//! Invariant: a member's version only rises as long as its process lives. The state machines take the current time as an
-//! argument, draw no random numbers and do no I/O: messages to send are returned.
+//! Invariant: the version of a member only increases during the lifetime of its process. The state machines
+//! take the current time as an argument, use no random numbers and perform no I/O: they return the messages
+//! to be sent.
 //!
 //! ```
 //! use std::sync::Arc;
--- a/crates/configuration/src/relay/node.rs
+++ b/crates/configuration/src/relay/node.rs
@@ -1,5 +1,5 @@
-//! A member of the relay tree: receives versions from above, sends them on, and looks for another sender when its parent is
-//! silent.
+//! Member of the relay tree: receives versions from its parent, forwards them to its children, and searches
+//! for another sender when its parent stops sending heartbeats.
 
 use super::address_hash::stable_hash;
 use super::distributor::Distributor;
@@ -15,34 +15,35 @@
 use streamusher_protocol::config::Configuration;
 use streamusher_protocol::Millis;
 
-/// Bound of what is added to the members' time-outs, so that not all send their requests at the same moment.
+/// Upper bound of the jitter added to the members' time-outs, so that they do not all send their requests at
+/// the same moment.
 const MAX_JITTER_MS: Millis = 300;
 
-/// What the process has to do now.
+/// Actions that the process has to take.
 #[derive(Debug, Default)]
 pub struct RelayActions {
-    /// Messages to send.
+    /// Messages to be sent.
     pub messages: Vec<OutboundMessage>,
-    /// A newer configuration, which is in force from now on.
+    /// A newer configuration, which is in force from now on; `None` if nothing has changed.
     pub configuration: Option<Arc<Configuration>>,
 }
 
-/// The state machine of one process of the data plane.
+/// State machine of one process of the data plane.
 #[derive(Clone, Debug)]
 pub struct RelayNode {
     address: Arc<str>,
     membership_version: Option<u64>,
     parent_selection: ParentSelection,
     distributor: Distributor,
-    /// An update did not fit the text that this member has: it requests a snapshot next.
+    /// Set when an update could not be applied to this member's text: the next request asks for a snapshot.
     needs_snapshot: bool,
-    /// When the node was to be called at the latest; a much later call shows that the process was frozen.
+    /// Latest time at which the node should be called; a much later call shows that the process was frozen.
     expected_call_at: Millis,
 }
 
 impl RelayNode {
-    /// A member that has just started. It requests the configuration once it knows its membership, or after
-    /// [`HEARTBEAT_TIMEOUT_MS`].
+    /// Creates a member that has just started. It requests the configuration when it gets its first
+    /// membership, or after [`HEARTBEAT_TIMEOUT_MS`].
     pub fn new(address: Arc<str>, now: Millis) -> RelayNode {
         let hash = stable_hash(&address);
         RelayNode {
@@ -55,48 +56,48 @@
         }
     }
 
-    /// The version that it has; 0 for none.
+    /// Returns the version of this member's configuration; 0 if it has none.
     pub fn version(&self) -> u64 {
         self.distributor.version()
     }
 
-    /// The JSON text of the configuration that it has.
+    /// Returns the JSON text of this member's configuration.
     pub fn text(&self) -> Option<&Arc<RawValue>> {
         self.distributor.text()
     }
 
-    /// Its address.
+    /// Returns the address of this member.
     pub fn address(&self) -> &Arc<str> {
         &self.address
     }
 
-    /// Version of the membership that it knows; 0 for none.
+    /// Returns the version of the newest membership that this member has received; 0 if there is none.
     pub fn membership_version(&self) -> u64 {
         self.membership_version.unwrap_or_default()
     }
 
-    /// Its parent by the membership.
+    /// Returns the parent according to the membership; the primary while there is none.
     pub fn parent(&self) -> Option<&RelayPeer> {
         self.parent_selection.parent()
     }
 
-    /// The peer that sends it heartbeats and updates because it has sent that one a request.
+    /// Returns the peer that sends heartbeats and updates to this member because of a request.
     pub fn temporary_parent(&self) -> Option<&RelayPeer> {
         self.parent_selection.temporary_parent()
     }
 
-    /// The peers to which it sends heartbeats and updates.
+    /// Returns the peers to which this member sends heartbeats and updates.
     pub fn receivers(&self) -> impl Iterator<Item = &RelayPeer> {
         self.distributor.receivers()
     }
 
-    /// When [`RelayNode::tick`] has to be called next.
+    /// Returns when [`RelayNode::tick`] has to be called next.
     pub fn next_tick(&self) -> Millis {
         let requests_due_at = self.parent_selection.next_due_at();
         requests_due_at.min(self.distributor.next_heartbeat_at())
     }
 
-    /// Takes a membership; one that is not newer than the last one is ignored.
+    /// Applies a membership; one that is not newer than the last one is ignored.
     pub fn set_membership(&mut self, now: Millis, membership: &RelayMembership) -> RelayActions {
         if self.membership_version >= Some(membership.version) {
             return RelayActions::default();
@@ -109,16 +110,17 @@
             self.parent_selection.search_now(now);
         }
         self.membership_version = Some(membership.version);
-        self.finish(now, RelayActions::default())
+        self.with_due_messages(now, RelayActions::default())
     }
 
-    /// Takes note that this version exists, as learned elsewhere (in the primary's response to a lease).
+    /// Handles an announcement of this version from outside the tree (in the primary's response to a lease
+    /// request).
     pub fn on_version_announced(&mut self, now: Millis, version: u64) -> RelayActions {
         if version > self.version() {
             self.parent_selection
                 .on_version_announced(now, version, None, Delivery::Pushed);
         }
-        self.finish(now, RelayActions::default())
+        self.with_due_messages(now, RelayActions::default())
     }
 
     /// Sends the requests and heartbeats that are due.
@@ -127,7 +129,7 @@
             messages: self.requests_after_freeze(now),
             configuration: None,
         };
-        self.finish(now, actions)
+        self.with_due_messages(now, actions)
     }
 
     /// Handles a message.
@@ -140,7 +142,7 @@
         let requests_after_freeze = self.requests_after_freeze(now);
         let mut actions = self.handle(now, sender, message);
         actions.messages.extend(requests_after_freeze);
-        self.finish(now, actions)
+        self.with_due_messages(now, actions)
     }
 
     fn handle(&mut self, now: Millis, sender: &RelayPeer, message: RelayMessage) -> RelayActions {
@@ -174,8 +176,8 @@
         }
     }
 
-    /// Sends a request to the parent at once after the process was frozen. This comes before a heartbeat that was queued
-    /// meanwhile is handled, as that one would make the parent seem alive.
+    /// Sends a request to the parent at once if the process was frozen. This precedes the handling of a
+    /// heartbeat that was queued in the meantime, which would make the parent seem alive.
     fn requests_after_freeze(&mut self, now: Millis) -> Vec<OutboundMessage> {
         if now <= self.expected_call_at + HEARTBEAT_TIMEOUT_MS {
             return Vec::new();
@@ -184,8 +186,8 @@
         self.due_requests(now).into_iter().collect()
     }
 
-    /// Adds the requests and heartbeats that are due.
-    fn finish(&mut self, now: Millis, mut actions: RelayActions) -> RelayActions {
+    /// Adds the requests and heartbeats that are due to `actions`.
+    fn with_due_messages(&mut self, now: Millis, mut actions: RelayActions) -> RelayActions {
         actions.messages.extend(self.due_requests(now));
         if self.distributor.take_due_heartbeat(now) {
             let root_heartbeat = self.parent_selection.root_heartbeat();
@@ -250,7 +252,8 @@
         self.forward(sender, former_version, configuration)
     }
 
-    /// Applies an update; none where this member does not have its base version, or where it does not fit the text.
+    /// Applies an update; returns `None` if this member lacks its base version, or if it cannot be applied to
+    /// the text.
     fn apply_delta(&mut self, delta: &ConfigurationDelta) -> Option<Arc<Configuration>> {
         if delta.base_version != self.version() {
             return None;
@@ -274,7 +277,8 @@
         if version <= former_version {
             return RelayActions::default();
         }
-        // One that cannot be read is dropped. It is requested again elsewhere, as heartbeats announce it.
+        // An unreadable snapshot is dropped. The version is requested elsewhere, because heartbeats announce
+        // it.
         let Ok(parsed) = ParsedConfiguration::parse(text, version) else {
             return RelayActions::default();
         };
@@ -283,7 +287,8 @@
         self.forward(sender, former_version, Some(parsed.configuration))
     }
 
-    /// Sends on what brought this member from `former_version` to the present one.
+    /// Forwards the updates or the snapshot that led this member from `former_version` to its current
+    /// version.
     fn forward(
         &mut self,
         sender: &RelayPeer,
--- a/crates/configuration/src/relay/parent_selection.rs
+++ b/crates/configuration/src/relay/parent_selection.rs
@@ -1,5 +1,5 @@
-//! From whom a member gets heartbeats and versions: detects that the parent is silent or partitioned, and tells to which
-//! peers requests have to be sent.
+//! Selection of the peers from which a member receives heartbeats and versions: detects that the parent is
+//! silent or partitioned, and determines the peers to which requests have to be sent.
 
 use super::ancestor_search::AncestorSearch;
 use super::message::{RelayPeer, RootHeartbeat};
@@ -8,28 +8,29 @@
 use super::timing::{HEARTBEAT_TIMEOUT_MS, ROOT_TIMEOUT_MS};
 use streamusher_protocol::Millis;
 
-/// Heartbeats that are further behind the newest root heartbeat come from a member that is partitioned, and are ignored.
+/// Maximum lag behind the newest root heartbeat. A heartbeat with a greater lag comes from a partitioned
+/// member and is ignored.
 const MAX_ROOT_HEARTBEAT_LAG: u64 = 5;
 
 /// Index of the parent among the ancestors.
-const PARENT: usize = 0;
+const PARENT_INDEX: usize = 0;
 
-/// Index of the ancestor that is tried first once the parent was found silent.
-const GRANDPARENT: usize = 1;
+/// Index of the ancestor that is tried first after a heartbeat time-out.
+const GRANDPARENT_INDEX: usize = 1;
 
-/// A member's view of those above it in the tree.
+/// A member's view of its ancestors in the tree.
 #[derive(Clone, Debug)]
 pub(super) struct ParentSelection {
-    /// The parent first, the primary last; never empty.
+    /// Parent first, primary last; never empty.
     ancestors: Vec<RelayPeer>,
-    /// Added to [`ROOT_TIMEOUT_MS`], so that not all members send their requests at the same moment.
+    /// Added to [`ROOT_TIMEOUT_MS`], so that the members do not all send their requests at the same moment.
     jitter_ms: Millis,
     root_heartbeat: RootHeartbeat,
-    /// When the root heartbeat last rose.
+    /// Time at which the root heartbeat last increased.
     root_heartbeat_at: Millis,
-    /// Last heartbeat of any peer that is not partitioned.
+    /// Time of the last heartbeat from any peer that is not partitioned.
     heartbeat_at: Millis,
-    /// Last heartbeat of a peer that counts this member as its child.
+    /// Time of the last heartbeat from a peer that regards this member as its child.
     parent_heartbeat_at: Option<Millis>,
     temporary_parent: Option<TemporaryParent>,
     search: Option<AncestorSearch>,
@@ -37,7 +38,7 @@
 }
 
 impl ParentSelection {
-    /// One that knows of the primary only.
+    /// Creates a selection in which the primary is the only ancestor.
     pub(super) fn new(now: Millis, jitter_ms: Millis) -> ParentSelection {
         ParentSelection {
             ancestors: vec![RelayPeer::Primary],
@@ -52,36 +53,35 @@
         }
     }
 
-    /// The parent by the newest membership; the primary while there is none.
+    /// Returns the parent according to the newest membership; the primary while there is none.
     pub(super) fn parent(&self) -> Option<&RelayPeer> {
         self.ancestors.first()
     }
 
-    /// The temporary parent, where there is one.
     pub(super) fn temporary_parent(&self) -> Option<&RelayPeer> {
         self.temporary_parent.as_ref().map(TemporaryParent::peer)
     }
 
-    /// The newest root heartbeat.
     pub(super) fn root_heartbeat(&self) -> RootHeartbeat {
         self.root_heartbeat
     }
 
-    /// Takes the ancestors of a new membership. The new parent gets the usual time for its first heartbeat.
+    /// Sets the ancestors according to a new membership. The new parent gets the full time-out for its first
+    /// heartbeat.
     pub(super) fn set_ancestors(&mut self, now: Millis, ancestors: Vec<RelayPeer>) {
         self.ancestors = ancestors;
         self.heartbeat_at = now;
         if self.search.is_some() {
-            self.start_search(PARENT, now);
+            self.start_search(PARENT_INDEX, now);
         }
     }
 
-    /// Starts a search at once, with the parent: after a start, or after the process was frozen.
+    /// Starts a search at once, beginning with the parent: after the process has started or was frozen.
     pub(super) fn search_now(&mut self, now: Millis) {
-        self.start_search(PARENT, now);
+        self.start_search(PARENT_INDEX, now);
     }
 
-    /// Takes note of a heartbeat. `is_temporary` tells that its sender does not count this member as its child.
+    /// Handles a heartbeat. `is_temporary` means that its sender does not regard this member as its child.
     pub(super) fn on_heartbeat(
         &mut self,
         now: Millis,
@@ -105,7 +105,8 @@
         }
     }
 
-    /// Takes note of a version that is newer than this member's, and of a peer that has it.
+    /// Handles the announcement of a version that is newer than this member's, by a peer that has it if one
+    /// is known.
     pub(super) fn on_version_announced(
         &mut self,
         now: Millis,
@@ -121,16 +122,16 @@
         }
     }
 
-    /// Takes note that the member has this version now.
+    /// Handles the receipt of a version, which ends the requests for it and for older ones.
     pub(super) fn on_version_received(&mut self, version: u64) {
         self.missing_version
             .take_if(|missing| missing.version() <= version);
     }
 
-    /// The peers to which a request has to be sent now, sorted.
+    /// Returns the peers to which a request has to be sent now, sorted.
     pub(super) fn take_due(&mut self, now: Millis) -> Vec<RelayPeer> {
         if self.search.is_none() && now >= self.timeout_at() {
-            self.start_search(GRANDPARENT, now);
+            self.start_search(GRANDPARENT_INDEX, now);
         }
         let mut peers = Vec::new();
         if let Some(search) = &mut self.search {
@@ -145,7 +146,7 @@
         peers
     }
 
-    /// When [`ParentSelection::take_due`] has to be called next.
+    /// Returns when [`ParentSelection::take_due`] has to be called next.
     pub(super) fn next_due_at(&self) -> Millis {
         let search = self.search.as_ref().map(AncestorSearch::due_at);
         let missing = self.missing_version.as_ref().map(MissingVersion::due_at);
@@ -157,7 +158,7 @@
         missing.into_iter().chain(renewal).fold(search, Millis::min)
     }
 
-    /// Whether the sender of this root heartbeat is partitioned from the root.
+    /// Returns whether the sender of this root heartbeat is partitioned from the root.
     fn is_stale(&self, root_heartbeat: RootHeartbeat) -> bool {
         let newest_if_connected = RootHeartbeat {
             epoch: root_heartbeat.epoch,
@@ -166,14 +167,15 @@
         newest_if_connected < self.root_heartbeat
     }
 
-    /// When the member looks for another sender if nothing comes until then.
+    /// Returns when the member starts to search for another sender, if it receives no heartbeat until then.
     fn timeout_at(&self) -> Millis {
         let heartbeat_timeout_at = self.heartbeat_at + HEARTBEAT_TIMEOUT_MS;
         let root_timeout_at = self.root_heartbeat_at + ROOT_TIMEOUT_MS + self.jitter_ms;
         heartbeat_timeout_at.min(root_timeout_at)
     }
 
-    /// A temporary parent is replaced by another one only once it is silent.
+    /// Handles a heartbeat from a peer that answers a request. It replaces another temporary parent only if
+    /// that one is silent.
     fn on_temporary_heartbeat(&mut self, now: Millis, sender: &RelayPeer) {
         match &mut self.temporary_parent {
             Some(parent) if parent.peer() == sender => parent.on_heartbeat(now),
@@ -187,7 +189,8 @@
         self.search = Some(AncestorSearch::new(first_index, now));
     }
 
-    /// The temporary parent, where the request to it has to be renewed. It is dropped once it is silent, or the parent is not.
+    /// Returns the temporary parent if the request to it has to be renewed. Removes it if it is silent, or if
+    /// the parent is not.
     fn take_due_renewal(&mut self, now: Millis) -> Option<RelayPeer> {
         let temporary_parent = self.temporary_parent.as_mut()?;
         if now < temporary_parent.renewal_due_at() {
--- a/crates/configuration/src/relay/parsed_configuration.rs
+++ b/crates/configuration/src/relay/parsed_configuration.rs
@@ -1,4 +1,4 @@
-//! A configuration as a member receives it: its text, which it sends on, and what the text means.
+//! Configuration that a member has received: its text, which the member forwards, and its parsed form.
 
 use super::message::ConfigurationDelta;
 use crate::error::ConfigurationError;
@@ -8,17 +8,17 @@
 use std::sync::Arc;
 use streamusher_protocol::config::Configuration;
 
-/// A configuration and its text.
+/// A configuration and its JSON text.
 pub(super) struct ParsedConfiguration {
     pub(super) text: Arc<RawValue>,
     pub(super) configuration: Arc<Configuration>,
 }
 
 impl ParsedConfiguration {
-    /// Parses a configuration that is to be of this version.
+    /// Parses a configuration that must have this version.
     ///
     /// # Errors
-    /// Where it cannot be read or is of another version.
+    /// If the text cannot be parsed or has another version.
     pub(super) fn parse(
         text: Arc<RawValue>,
         version: u64,
@@ -35,10 +35,10 @@
         })
     }
 
-    /// The configuration that an update makes of `base`.
+    /// Applies an update to `base` and parses the resulting configuration.
     ///
     /// # Errors
-    /// Where the update or its result cannot be read, or the result is of another version.
+    /// If the update or its result cannot be parsed, or the result has another version.
     pub(super) fn apply(
         base: &RawValue,
         delta: &ConfigurationDelta,
--- a/crates/configuration/src/relay/publisher.rs
+++ b/crates/configuration/src/relay/publisher.rs
@@ -1,4 +1,4 @@
-//! The primary's end of the relay tree for the time of one primary: the root, and the members' leases.
+//! The primary's side of the relay tree for the term of one primary: the root and the members' leases.
 
 use super::member_leases::MemberLeases;
 use super::message::{ConfigurationDelta, OutboundMessage, RelayEnvelope};
@@ -9,7 +9,7 @@
 use streamusher_protocol::internal::{GateLeaseRequest, GateLeaseResponse};
 use streamusher_protocol::Millis;
 
-/// Root and leases of one primary.
+/// Root of the relay tree and members' leases of one primary.
 #[derive(Clone, Debug)]
 pub struct ConfigurationPublisher {
     root: RelayRoot,
@@ -17,7 +17,7 @@
 }
 
 impl ConfigurationPublisher {
-    /// The publisher of a primary that was elected in `epoch`.
+    /// Creates the publisher of a primary that was elected in `epoch`.
     pub fn new(epoch: u64, now: Millis) -> ConfigurationPublisher {
         ConfigurationPublisher {
             root: RelayRoot::new(epoch, now),
@@ -25,22 +25,23 @@
         }
     }
 
-    /// The version that was published last; 0 for none.
+    /// Returns the version that was published last; 0 if there is none.
     pub fn version(&self) -> u64 {
         self.root.version()
     }
 
-    /// The root of the tree.
+    /// Returns the root of the relay tree.
     pub fn root(&self) -> &RelayRoot {
         &self.root
     }
 
-    /// The leases of the members.
+    /// Returns the leases of the members.
     pub fn leases(&self) -> &MemberLeases {
         &self.leases
     }
 
-    /// Renews a member's lease. The response carries the membership where the member does not know the newest one.
+    /// Renews the lease of a member. The response contains the members only if the request names another
+    /// membership version than the newest one.
     pub fn renew_lease(&mut self, now: Millis, request: &GateLeaseRequest) -> GateLeaseResponse {
         self.leases.renew(now, &request.address);
         let configuration_version = self.version();
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Publishes a committed configuration. One whose text is not JSON was never committed, and is ignored.
+    /// Publishes a committed configuration. A text that is not JSON was never committed, and is ignored.
     pub fn publish(&mut self, published: &PublishedConfiguration) -> Vec<OutboundMessage> {
         let Some(text) = raw_json(&published.text) else {
             return Vec::new();
@@ -67,14 +68,14 @@
         let delta = published
             .update
             .as_ref()
-            .and_then(|update| delta(version, update));
+            .and_then(|update| to_delta(version, update));
         match delta {
             Some(delta) => self.root.publish_update(delta, text),
             None => self.root.publish(version, text),
         }
     }
 
-    /// Handles the messages of a member.
+    /// Handles the messages of a member; returns the answers.
     pub fn on_envelope(&mut self, now: Millis, envelope: RelayEnvelope) -> Vec<OutboundMessage> {
         let RelayEnvelope { sender, messages } = envelope;
         let mut answers = Vec::new();
@@ -84,7 +85,7 @@
         answers
     }
 
-    /// Ends leases that have expired, and sends the heartbeats that are due.
+    /// Removes expired leases, and returns the heartbeats that are due.
     pub fn tick(&mut self, now: Millis) -> Vec<OutboundMessage> {
         if let Some(membership) = self.leases.tick(now) {
             self.root.set_membership(membership);
@@ -93,8 +94,8 @@
     }
 }
 
-/// The update as it goes down the tree; none where its text is not JSON.
-fn delta(version: u64, update: &PublishedUpdate) -> Option<ConfigurationDelta> {
+/// Converts an update to the form in which it is sent down the tree; `None` if its text is not JSON.
+fn to_delta(version: u64, update: &PublishedUpdate) -> Option<ConfigurationDelta> {
     Some(ConfigurationDelta {
         base_version: update.base_version,
         version,
--- a/crates/configuration/src/relay/receivers.rs
+++ b/crates/configuration/src/relay/receivers.rs
@@ -1,5 +1,5 @@
-//! The peers to which a process sends heartbeats and updates: its children by the membership, and temporary children, which
-//! have sent it a request.
+//! Peers to which a process sends heartbeats and updates: its children according to the membership, and
+//! temporary children, which have sent it a request.
 
 use super::message::{OutboundMessage, RelayMessage, RelayPeer, RootHeartbeat};
 use super::timing::{HEARTBEAT_INTERVAL_MS, TEMPORARY_CHILD_TIMEOUT_MS};
@@ -7,17 +7,17 @@
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// Children and temporary children.
+/// Children and temporary children of a process.
 #[derive(Clone, Debug)]
 pub(super) struct Receivers {
     children: Vec<RelayPeer>,
-    /// When each temporary child expires. None of them is among the children.
+    /// Expiry time of each temporary child. A peer is never both a child and a temporary child.
     temporary_children: BTreeMap<RelayPeer, Millis>,
     next_heartbeat_at: Millis,
 }
 
 impl Receivers {
-    /// Nobody yet; heartbeats begin at `first_heartbeat_at`.
+    /// Creates a set without receivers; heartbeats begin at `first_heartbeat_at`.
     pub(super) fn new(first_heartbeat_at: Millis) -> Receivers {
         Receivers {
             children: Vec::new(),
@@ -26,19 +26,20 @@
         }
     }
 
-    /// Takes the children of a new membership. Former children send a request if nobody else sends them heartbeats.
+    /// Sets the children according to a new membership. Former children send a request if no other peer sends
+    /// them heartbeats.
     pub(super) fn set_children(&mut self, children: Vec<Arc<str>>) {
         self.children = children.into_iter().map(RelayPeer::Member).collect();
         self.temporary_children
             .retain(|peer, _| !self.children.contains(peer));
     }
 
-    /// All receivers.
+    /// Returns the children and temporary children.
     pub(super) fn iter(&self) -> impl Iterator<Item = &RelayPeer> {
         self.children.iter().chain(self.temporary_children.keys())
     }
 
-    /// Makes a requester a temporary child, unless it is a child; returns whether it is a temporary one.
+    /// Makes the requester a temporary child, unless it is a child; returns whether it is a temporary child.
     pub(super) fn on_request(&mut self, now: Millis, peer: &RelayPeer) -> bool {
         if self.children.contains(peer) {
             return false;
@@ -48,8 +49,8 @@
         true
     }
 
-    /// Whether heartbeats are due. If so, the next ones are due an interval later, and temporary children that have expired
-    /// are removed.
+    /// Returns whether heartbeats are due. If so, the next ones are due one interval later, and temporary
+    /// children that have expired are removed.
     pub(super) fn take_due_heartbeat(&mut self, now: Millis) -> bool {
         if now < self.next_heartbeat_at() {
             return false;
@@ -60,7 +61,7 @@
         true
     }
 
-    /// When heartbeats are due; never while there is no receiver.
+    /// Returns when heartbeats are due; `Millis::MAX` while there is no receiver.
     pub(super) fn next_heartbeat_at(&self) -> Millis {
         if self.children.is_empty() && self.temporary_children.is_empty() {
             return Millis::MAX;
@@ -68,7 +69,8 @@
         self.next_heartbeat_at
     }
 
-    /// A heartbeat to each receiver. `request_required` tells that this version will not be sent without a request.
+    /// Creates heartbeats to all receivers. `request_required` means that this version is sent on request
+    /// only.
     pub(super) fn heartbeats(
         &self,
         version: u64,
@@ -93,7 +95,7 @@
         heartbeats
     }
 
-    /// A message to all receivers but one.
+    /// Creates a message to all receivers except one; `None` if there are no others.
     pub(super) fn broadcast(
         &self,
         message: RelayMessage,
--- a/crates/configuration/src/relay/root.rs
+++ b/crates/configuration/src/relay/root.rs
@@ -1,4 +1,4 @@
-//! The root of the relay tree, at the primary. A new primary makes a new one.
+//! Root of the relay tree, at the primary. Each new primary creates a new root.
 
 use super::distributor::Distributor;
 use super::membership::RelayMembership;
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// The state machine of the root.
+/// State machine of the root.
 #[derive(Clone, Debug)]
 pub struct RelayRoot {
     heartbeat: RootHeartbeat,
@@ -17,32 +17,32 @@
 }
 
 impl RelayRoot {
-    /// The root of a primary that was elected in `epoch`. Its heartbeats begin at once.
+    /// Creates the root of a primary that was elected in `epoch`. Its heartbeats begin at once.
     pub fn new(epoch: u64, now: Millis) -> RelayRoot {
         RelayRoot {
-            // Above that of members which have received none, also in epoch 0.
+            // Greater than the initial value of members that have received no heartbeat, also in epoch 0.
             heartbeat: RootHeartbeat { epoch, count: 1 },
             membership_version: None,
             distributor: Distributor::new(now),
         }
     }
 
-    /// The version that was published last; 0 for none.
+    /// Returns the version that was published last; 0 if there is none.
     pub fn version(&self) -> u64 {
         self.distributor.version()
     }
 
-    /// The peers to which it sends.
+    /// Returns the peers to which the root sends heartbeats and updates.
     pub fn receivers(&self) -> impl Iterator<Item = &RelayPeer> {
         self.distributor.receivers()
     }
 
-    /// When [`RelayRoot::tick`] has to be called next.
+    /// Returns when [`RelayRoot::tick`] has to be called next.
     pub fn next_tick(&self) -> Millis {
         self.distributor.next_heartbeat_at()
     }
 
-    /// Takes a membership; one that is not newer than the last one is ignored.
+    /// Applies a membership; one that is not newer than the last one is ignored.
     pub fn set_membership(&mut self, membership: &RelayMembership) {
         if self.membership_version >= Some(membership.version) {
             return;
@@ -52,7 +52,7 @@
         self.membership_version = Some(membership.version);
     }
 
-    /// Publishes a configuration that is committed; one that is not newer than the last one is ignored.
+    /// Publishes a committed configuration; one that is not newer than the last one is ignored.
     pub fn publish(&mut self, version: u64, text: Arc<RawValue>) -> Vec<OutboundMessage> {
         let former_version = self.version();
         if version > former_version {
@@ -61,7 +61,7 @@
         self.forward(former_version)
     }
 
-    /// Publishes an update that is committed, with the text that it made.
+    /// Publishes a committed update, with the text that it produced.
     pub fn publish_update(
         &mut self,
         update: ConfigurationDelta,
@@ -77,7 +77,7 @@
         self.forward(former_version)
     }
 
-    /// Sends the heartbeats that are due.
+    /// Returns the heartbeats that are due.
     pub fn tick(&mut self, now: Millis) -> Vec<OutboundMessage> {
         if !self.distributor.take_due_heartbeat(now) {
             return Vec::new();
@@ -86,7 +86,7 @@
         self.distributor.heartbeats(self.heartbeat)
     }
 
-    /// Handles a message; only requests come up the tree, others are ignored.
+    /// Handles a message. Only requests are sent up the tree; other messages are ignored.
     pub fn on_message(
         &mut self,
         now: Millis,
--- a/crates/configuration/src/relay/temporary_parent.rs
+++ b/crates/configuration/src/relay/temporary_parent.rs
@@ -1,10 +1,10 @@
-//! The peer that sends heartbeats and updates to a member because the member has sent it a request.
+//! Peer that sends heartbeats and updates to a member because the member has sent it a request.
 
 use super::message::RelayPeer;
 use super::timing::{HEARTBEAT_TIMEOUT_MS, TEMPORARY_PARENT_RENEWAL_INTERVAL_MS};
 use streamusher_protocol::Millis;
 
-/// A temporary parent.
+/// A temporary parent, with the times of its last heartbeat and of the last request to it.
 #[derive(Clone, Debug)]
 pub(super) struct TemporaryParent {
     peer: RelayPeer,
@@ -13,7 +13,7 @@
 }
 
 impl TemporaryParent {
-    /// One whose first heartbeat has come now, in answer to a request.
+    /// Creates a temporary parent whose first heartbeat, in answer to a request, arrived at `now`.
     pub(super) fn new(now: Millis, peer: &RelayPeer) -> TemporaryParent {
         TemporaryParent {
             peer: peer.clone(),
@@ -22,27 +22,26 @@
         }
     }
 
-    /// The peer.
     pub(super) fn peer(&self) -> &RelayPeer {
         &self.peer
     }
 
-    /// Takes note of a heartbeat of this peer.
+    /// Records a heartbeat from this peer.
     pub(super) fn on_heartbeat(&mut self, now: Millis) {
         self.heartbeat_at = now;
     }
 
-    /// Takes note that the request was renewed.
+    /// Records that the request to this peer was renewed.
     pub(super) fn on_renewed(&mut self, now: Millis) {
         self.renewed_at = now;
     }
 
-    /// Whether its heartbeats have stopped.
+    /// Returns whether the heartbeats from this peer have timed out.
     pub(super) fn is_silent(&self, now: Millis) -> bool {
         now >= self.heartbeat_at + HEARTBEAT_TIMEOUT_MS
     }
 
-    /// When the request has to be renewed.
+    /// Returns when the request to this peer has to be renewed.
     pub(super) fn renewal_due_at(&self) -> Millis {
         self.renewed_at + TEMPORARY_PARENT_RENEWAL_INTERVAL_MS
     }
--- a/crates/configuration/src/relay/timing.rs
+++ b/crates/configuration/src/relay/timing.rs
@@ -1,47 +1,52 @@
-//! Time-outs and intervals of the relay tree. All processes must agree on them.
+//! Time-outs and intervals of the relay tree. All processes must use the same values.
 
 use streamusher_protocol::Millis;
 
-/// Interval of heartbeats to a child.
+/// Interval of the heartbeats to a child.
 pub const HEARTBEAT_INTERVAL_MS: Millis = 200;
 
-/// Without any heartbeat for so long, a member looks for another sender: three intervals, so that one heartbeat may be late.
+/// Time without any heartbeat after which a member searches for another sender: three intervals, so that one
+/// heartbeat may be late.
 pub const HEARTBEAT_TIMEOUT_MS: Millis = 600;
 
-/// Without a newer heartbeat of the root for so long, a member looks for another sender: its own one is partitioned itself.
-/// Longer than [`HEARTBEAT_TIMEOUT_MS`], so that a member leaves it to its parent to recover from what fails above.
+/// Time without a newer root heartbeat after which a member searches for another sender, because its current
+/// sender is partitioned itself. Longer than [`HEARTBEAT_TIMEOUT_MS`], so that a member leaves the recovery
+/// from faults further up the tree to its parent.
 pub const ROOT_TIMEOUT_MS: Millis = 1_200;
 
-/// How long an ancestor may take to answer a request before the next one is tried.
+/// Time within which an ancestor has to answer a request before the next one is tried.
 pub const REQUEST_TIMEOUT_MS: Millis = 150;
 
-/// First pause after all ancestors were tried in vain; it doubles up to [`MAX_SEARCH_BACKOFF_MS`].
+/// First pause after all ancestors were tried without success; it doubles up to [`MAX_SEARCH_BACKOFF_MS`].
 pub const MIN_SEARCH_BACKOFF_MS: Millis = 250;
 
-/// Longest pause between two rounds of requests: so often members try the control machines while there is no primary.
+/// Maximum pause between two rounds of requests: the interval at which members try the control machines while
+/// there is no primary.
 pub const MAX_SEARCH_BACKOFF_MS: Millis = 1_000;
 
-/// How long a version that was announced may be on its way before it is requested.
+/// Time within which an announced version may still arrive before it is requested.
 pub const DELIVERY_GRACE_MS: Millis = 100;
 
-/// Interval of requests for the same version: a whole configuration takes its time, and must not be sent twice.
+/// Interval of requests for the same version: the transfer of a whole configuration takes time, and must not
+/// be repeated.
 pub const VERSION_RETRY_INTERVAL_MS: Millis = 500;
 
-/// How long a requester stays a temporary child after its last request.
+/// Time for which a requester remains a temporary child after its last request.
 pub const TEMPORARY_CHILD_TIMEOUT_MS: Millis = 2_500;
 
-/// Interval of the requests by which a member stays a temporary child.
+/// Interval of the requests by which a member remains a temporary child.
 pub const TEMPORARY_PARENT_RENEWAL_INTERVAL_MS: Millis = 1_000;
 
 /// Interval at which a member renews its lease.
 pub const LEASE_RENEWAL_INTERVAL_MS: Millis = 1_000;
 
-/// A member whose lease was not renewed for so long leaves the membership: three renewals, so that two may be lost.
+/// Time without a renewal after which a member's lease expires and the member leaves the membership: three
+/// renewal intervals, so that two renewals may be lost.
 pub const LEASE_MS: Millis = 3_000;
 
-/// A new primary waits so long before its first membership, so that every member has renewed its lease and the tree is not
-/// rebuilt for each: a renewal interval, and time to discover the primary.
+/// Time that a new primary waits before its first membership, so that every member has renewed its lease and
+/// the tree is not rebuilt for each of them: a renewal interval, and time to discover the primary.
 pub const MEMBERSHIP_WARM_UP_MS: Millis = 1_500;
 
-/// Least interval between two memberships: members that come and go together make one change.
+/// Minimum interval between two memberships, so that members that join or leave together cause one change.
 pub const MEMBERSHIP_INTERVAL_MS: Millis = 250;
--- a/crates/configuration/src/relay/tree.rs
+++ b/crates/configuration/src/relay/tree.rs
@@ -1,24 +1,25 @@
-//! The tree that every process computes from the membership.
+//! Tree that every process computes from the membership.
 //!
-//! Members are ordered by a hash of their address. The first [`FAN_OUT`] are the children of the root, the next ones are the
-//! children of the first member, and so on.
+//! Members are ordered by a hash of their address. The first [`FAN_OUT`] members are the children of the
+//! root, the next ones are the children of the first member, and so on.
 
 use super::address_hash::stable_hash;
 use super::membership::RelayMembership;
 use super::message::RelayPeer;
 use std::sync::Arc;
 
-/// Children of a member: four levels reach 4,680 members, and a member sends 40 heartbeats a second.
+/// Maximum number of children of a member: four levels reach 4,680 members, and a member sends 40 heartbeats
+/// per second.
 pub const FAN_OUT: usize = 8;
 
-/// The tree of one membership.
+/// Relay tree of one membership.
 #[derive(Clone, Debug, Default)]
 pub struct RelayTree {
     /// Sorted by hash, then by address.
     members: Vec<HashedMember>,
 }
 
-/// The order of the fields is that in which members are compared.
+/// The field order is the order in which members are compared.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct HashedMember {
     hash: u64,
@@ -26,7 +27,7 @@
 }
 
 impl RelayTree {
-    /// The tree of a membership. Addresses that occur twice count once.
+    /// Computes the tree of a membership. Duplicate addresses count once.
     pub fn new(membership: &RelayMembership) -> RelayTree {
         let mut members: Vec<HashedMember> = membership
             .members
@@ -41,12 +42,12 @@
         RelayTree { members }
     }
 
-    /// The children of the root.
+    /// Returns the children of the root.
     pub fn children_of_root(&self) -> Vec<Arc<str>> {
         self.children_from(0)
     }
 
-    /// The children of a member; none where the address is not a member's.
+    /// Returns the children of a member; empty if the address does not belong to the membership.
     pub fn children(&self, address: &str) -> Vec<Arc<str>> {
         match self.search(address) {
             Ok(index) => self.children_from(FAN_OUT * (index + 1)),
@@ -54,10 +55,12 @@
         }
     }
 
-    /// The peers to which a member sends its requests, in this order: parent, grandparent and so on, the primary last.
+    /// Returns the peers to which a member sends its requests, in this order: parent, grandparent and so on,
+    /// the primary last.
     ///
-    /// One that is not in the membership yet gets the ancestors that it would have if it were. An ancestor therefore always
-    /// has a lower hash, and members with different memberships never send their requests in a circle.
+    /// An address that is not in the membership yet gets the ancestors that it would have as a member.
+    /// Therefore an ancestor always has a lower hash, and requests between members with different memberships
+    /// never form a cycle.
     pub fn ancestors(&self, address: &str) -> Vec<RelayPeer> {
         let mut ancestors = Vec::new();
         let mut index = self.search(address).unwrap_or_else(|insertion| insertion);
@@ -70,7 +73,7 @@
         ancestors
     }
 
-    /// The index of a member, or that at which it would be inserted.
+    /// Returns the index of a member, or as an error the index at which it would be inserted.
     fn search(&self, address: &str) -> Result<usize, usize> {
         let wanted = (stable_hash(address), address);
         self.members
--- a/crates/configuration/src/relay/update_log.rs
+++ b/crates/configuration/src/relay/update_log.rs
@@ -1,41 +1,41 @@
-//! The newest configuration as text, with the latest updates for receivers that lack only these.
+//! The newest configuration as text, and the latest updates for receivers that lack only these.
 
 use super::message::{ConfigurationDelta, RelayMessage};
 use serde_json::value::RawValue;
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Updates that are kept; together they are no longer than the whole configuration.
+/// Maximum number of updates that are kept; together they are no longer than the whole configuration.
 const MAX_UPDATES: usize = 16;
 
-/// A whole configuration up to this size is pushed. A longer one is only announced, and receivers that lack it request it,
-/// so that it is not sent to a receiver that has it already.
+/// Maximum size of a whole configuration that is pushed. A longer one is only announced, and receivers that
+/// lack it request it, so that it is not sent to a receiver that already has it.
 const MAX_PUSHED_BYTES: usize = 65_536;
 
-/// A configuration and the updates that led to it.
+/// A configuration and the latest updates that led to it.
 ///
-/// Invariant: each update builds on the one before, and the last one made the text.
+/// Invariant: each update is based on the version of the one before, and the last one produced the text.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UpdateLog {
     version: u64,
     text: Option<Arc<RawValue>>,
     updates: VecDeque<ConfigurationDelta>,
-    /// Length of the updates' texts together.
+    /// Total length of the updates' texts.
     update_bytes: usize,
 }
 
 impl UpdateLog {
-    /// The newest version; 0 for none.
+    /// Returns the newest version; 0 if there is none.
     pub(super) fn version(&self) -> u64 {
         self.version
     }
 
-    /// The newest configuration's text.
+    /// Returns the JSON text of the newest configuration.
     pub(super) fn text(&self) -> Option<&Arc<RawValue>> {
         self.text.as_ref()
     }
 
-    /// Replaces the configuration, and drops the updates, as none of them leads to it.
+    /// Replaces the configuration and drops the updates, as none of them leads to it.
     pub(super) fn reset(&mut self, version: u64, text: Arc<RawValue>) {
         *self = UpdateLog {
             version,
@@ -44,7 +44,7 @@
         };
     }
 
-    /// Appends an update to the newest version, and the text that it made.
+    /// Appends an update of the newest version, and the text that it produced.
     pub(super) fn append(&mut self, update: ConfigurationDelta, text: Arc<RawValue>) {
         self.version = update.version;
         self.update_bytes += update.update.get().len();
@@ -58,7 +58,8 @@
         self.text = Some(text);
     }
 
-    /// The message that brings a receiver from `known_version` to the newest one; none where nothing is newer.
+    /// Returns the message that brings a receiver from `known_version` to the newest version; `None` if there
+    /// is no newer one.
     pub(super) fn message_since(&self, known_version: u64) -> Option<RelayMessage> {
         let text = self.text.as_ref()?;
         if known_version >= self.version {
@@ -77,7 +78,8 @@
         })
     }
 
-    /// As [`UpdateLog::message_since`], but none where the message is too long to be sent without a request.
+    /// The same as [`UpdateLog::message_since`], but `None` if the message is too long to be sent without a
+    /// request.
     pub(super) fn pushed_message_since(&self, known_version: u64) -> Option<RelayMessage> {
         let message = self.message_since(known_version)?;
         match &message {
--- a/crates/configuration/src/route_table.rs
+++ b/crates/configuration/src/route_table.rs
@@ -1,32 +1,32 @@
-//! Look-up of the route of a request: by host, then by the longest prefix of its path.
+//! Lookup of the route of a request: by host, then by the longest prefix of its path.
 
 use std::borrow::Cow;
 use std::collections::HashMap;
 use std::sync::Arc;
 use streamusher_protocol::config::{Configuration, Route};
 
-/// The routes of one configuration, indexed by host. A look-up is a binary search among the routes of its host.
+/// Routes of one configuration, indexed by host. A lookup is a binary search among the routes of its host.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     configuration: Arc<Configuration>,
     hosts: HashMap<Box<str>, Vec<Entry>>,
 }
 
-/// The route of a request.
+/// Result of a lookup for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RouteMatch<'table, 'path> {
-    /// The route.
+    /// Route with the longest prefix that matches the request's path.
     pub route: &'table Route,
-    /// What follows its prefix in the request's path.
+    /// Part of the request's path that follows the route's prefix.
     pub remaining_path: &'path str,
 }
 
-/// A route of a host. The entries of a host are sorted by their prefixes.
+/// Index entry of a route. The entries of a host are sorted by path prefix.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
-    /// Its index in the configuration.
+    /// Index of the route in the configuration.
     route: usize,
-    /// Index among the host's entries of the longest other prefix with which this one begins.
+    /// Index, among the host's entries, of the longest other prefix with which this entry's prefix begins.
     parent: Option<usize>,
 }
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The route of a request. Port and case of the host do not matter.
+    /// Looks up the route of a request. The port and the letter case of the host are ignored.
     pub fn lookup<'table, 'path>(
         &'table self,
         host: &str,
@@ -59,7 +59,8 @@
         let entries = self.hosts.get(&*normalized_host(host))?;
         let end = entries.partition_point(|entry| self.prefix(entry) <= path.as_bytes());
         let mut entry = entries.get(end.checked_sub(1)?)?;
-        // Every prefix of the path in this table is also a prefix of this entry's, and so among the entry's ancestors.
+        // Every prefix in this table that matches the path is also a prefix of this entry's prefix, and
+        // therefore belongs to one of the entry's ancestors.
         let common = common_prefix_bytes(self.prefix(entry), path.as_bytes());
         while self.prefix(entry).len() > common {
             entry = entries.get(entry.parent?)?;
@@ -79,7 +80,8 @@
     }
 }
 
-/// Sorts a host's routes by prefix and links each to the longest other prefix with which it begins.
+/// Sorts the routes of a host by prefix and links each route to the longest other prefix with which its own
+/// begins.
 fn entries_of_host(configuration: &Configuration, mut routes: Vec<usize>) -> Vec<Entry> {
     let prefix = |route: usize| configuration.routes[route].path_prefix.as_bytes();
     routes.sort_by_key(|&route| prefix(route));
@@ -104,7 +106,7 @@
         .count()
 }
 
-/// A host without its port and in lower case, as hosts are compared.
+/// Normalizes a host for comparison: removes the port and converts it to lower case.
 pub fn normalized_host(host: &str) -> Cow<'_, str> {
     let end_of_address = host.rfind(']').unwrap_or(0);
     let port = host[end_of_address..]
--- a/crates/configuration/src/store.rs
+++ b/crates/configuration/src/store.rs
@@ -1,4 +1,5 @@
-//! The primary's configuration: decides which changes are applied, and returns what to write for each.
+//! Configuration store of the primary: decides which changes are applied, and returns the writes for each
+//! decision.
 
 use crate::applied_changes::{AppliedChange, AppliedChanges};
 use crate::change_id::{ChangeId, ChangeKind, APPLIED_KEY_PREFIX, REJECTED_KEY_PREFIX};
@@ -16,48 +17,50 @@
 /// Key of the newest configuration.
 pub const CURRENT_KEY: &str = "config/current";
 
-/// The configuration on which the first update builds.
+/// Base of the first update, while there is no configuration.
 const EMPTY_CONFIGURATION: &str = "{}";
 
-/// The decision on a change.
+/// Decision on a change, with the HTTP status of its response.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChangeOutcome {
-    /// It is applied: 200, once the writes are committed.
+    /// The change is applied: 200, once the writes are committed.
     Applied {
-        /// The version that it made.
+        /// Version that the change produced.
         version: u64,
-        /// To be committed as one batch.
+        /// Writes to be committed as one batch.
         writes: Vec<Write>,
     },
-    /// This very change was applied before: 200, once the batch that applied it is committed.
+    /// The identical change was applied before: 200, once the batch that applied it is committed.
     AlreadyApplied {
-        /// The version that it made.
+        /// Version that the change produced.
         version: u64,
     },
-    /// It builds on another version than the current one: 412, once the writes are committed.
+    /// The change is not based on the current version, or was rejected before for that reason: 412, once the
+    /// writes are committed.
     VersionConflict {
-        /// The current version; 0 for none.
+        /// The current version; 0 if there is none.
         current_version: u64,
-        /// The record by which it stays rejected when the version on which it builds becomes current.
+        /// Record that keeps the change rejected when its base version becomes current; empty if no new
+        /// record is needed.
         writes: Vec<Write>,
     },
-    /// It is neither acknowledged nor rejected: 503. It builds on a version so old that it is no longer known whether it was
-    /// applied.
+    /// The change is neither acknowledged nor rejected: 503. Its base version is so old that the store no
+    /// longer knows whether the change was applied.
     HistoryTruncated {
-        /// The current version; 0 for none.
+        /// The current version; 0 if there is none.
         current_version: u64,
     },
-    /// It is neither acknowledged nor rejected: 503. It builds on a version to come, and no more rejections of such changes
-    /// can be remembered ([`MAX_REJECTED_CHANGES`](crate::MAX_REJECTED_CHANGES)).
+    /// The change is neither acknowledged nor rejected: 503. It is based on a future version, and no more
+    /// rejections of such changes can be recorded ([`MAX_REJECTED_CHANGES`](crate::MAX_REJECTED_CHANGES)).
     RejectionLimitReached {
-        /// The current version; 0 for none.
+        /// The current version; 0 if there is none.
         current_version: u64,
     },
-    /// It is invalid: 400.
+    /// The change is invalid: 400.
     Invalid(ConfigurationError),
 }
 
-/// The newest configuration, and the decisions on changes that must hold when a change is repeated.
+/// The newest configuration, and records of the decisions that must stay the same when a change is repeated.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationStore {
     current: Option<CurrentConfiguration>,
@@ -70,22 +73,23 @@
 struct CurrentConfiguration {
     configuration: Arc<Configuration>,
     text: Arc<str>,
-    /// The update that made it, where one did and that is known.
+    /// Update that produced the configuration; `None` if there was none or it is not known.
     update: Option<PublishedUpdate>,
 }
 
 impl ConfigurationStore {
-    /// A store without any configuration.
+    /// Creates a store without a configuration.
     pub fn new() -> ConfigurationStore {
         ConfigurationStore::default()
     }
 
-    /// The store that the committed records describe; keys of others are skipped.
+    /// Recovers a store from the committed records; keys that do not belong to the configuration are skipped.
     ///
-    /// The configuration is not validated again: stricter checks of a later release must not lose one that is in force.
+    /// The configuration is not validated again: stricter checks of a later release must not discard a
+    /// configuration that is in force.
     ///
     /// # Errors
-    /// Where a record is corrupt, or the records contradict each other.
+    /// If a record is corrupt, or the records contradict each other.
     pub fn recover(
         records: impl Iterator<Item = (Arc<str>, Arc<str>)>,
     ) -> Result<Self, RecordError> {
@@ -103,27 +107,27 @@
         Ok(store)
     }
 
-    /// Decides on a whole configuration that builds on `base_version` (0 for none).
+    /// Decides on the replacement of the whole configuration, based on `base_version` (0 if there is none).
     pub fn replace(&mut self, base_version: u64, body: &str) -> ChangeOutcome {
         self.decide(ChangeKind::Replace, base_version, body)
     }
 
-    /// Decides on an update of named items that builds on `base_version` (0 for none).
+    /// Decides on an update of named items, based on `base_version` (0 if there is none).
     pub fn update(&mut self, base_version: u64, body: &str) -> ChangeOutcome {
         self.decide(ChangeKind::Update, base_version, body)
     }
 
-    /// The newest configuration.
+    /// Returns the newest configuration.
     pub fn current(&self) -> Option<&Arc<Configuration>> {
         self.current.as_ref().map(|current| &current.configuration)
     }
 
-    /// The newest configuration's JSON text.
+    /// Returns the JSON text of the newest configuration.
     pub fn text(&self) -> Option<Arc<str>> {
         self.current.as_ref().map(|current| current.text.clone())
     }
 
-    /// The newest configuration as the relay tree distributes it.
+    /// Returns the newest configuration in the form in which the relay tree distributes it.
     pub fn published(&self) -> Option<PublishedConfiguration> {
         let current = self.current.as_ref()?;
         Some(PublishedConfiguration {
@@ -133,13 +137,13 @@
         })
     }
 
-    /// The newest version; 0 for none.
+    /// Returns the newest version; 0 if there is none.
     pub fn version(&self) -> u64 {
         self.current()
             .map_or(0, |configuration| configuration.version)
     }
 
-    /// The newest configuration's routes.
+    /// Returns the routes of the newest configuration.
     pub fn routes(&self) -> &RouteTable {
         &self.routes
     }
@@ -148,7 +152,7 @@
         let id = ChangeId::new(kind, base_version, body);
         let applied = self
             .applied
-            .version_made_by(&id, base_version, body)
+            .resulting_version(&id, base_version, body)
             .filter(|_| !cfg!(feature = "mutant-repeats"));
         if let Some(version) = applied {
             return ChangeOutcome::AlreadyApplied { version };
@@ -162,11 +166,11 @@
         }
     }
 
-    /// Rejects a change that does not build on the current version. A copy that comes late must be rejected as well, so a
-    /// change on a version to come is remembered.
+    /// Rejects a change. A copy that arrives later must be rejected as well, so the rejection of a change
+    /// based on a future version is recorded.
     fn reject(&mut self, id: &ChangeId, base_version: u64) -> ChangeOutcome {
         let current_version = self.version();
-        if base_version < current_version && self.applied.may_have_forgotten(base_version) {
+        if base_version < current_version && self.applied.may_have_evicted(base_version) {
             return ChangeOutcome::HistoryTruncated { current_version };
         }
         if base_version <= current_version || cfg!(feature = "mutant-refusals") {
@@ -184,7 +188,7 @@
         }
     }
 
-    /// The configuration that a change makes, validated.
+    /// Returns the configuration that a change produces, validated.
     fn resulting_configuration(
         &self,
         kind: ChangeKind,
@@ -226,7 +230,7 @@
             body_bytes: body.len() as u64,
         };
         let mut writes = self.applied.add(id, change);
-        writes.extend(self.rejected.forget_below(version));
+        writes.extend(self.rejected.remove_below(version));
         writes.push(Write::set(CURRENT_KEY, next.text.clone()));
         self.set_current(next);
         ChangeOutcome::Applied { version, writes }
--- a/crates/configuration/src/update.rs
+++ b/crates/configuration/src/update.rs
@@ -1,22 +1,23 @@
-//! The text of the configuration that an update makes.
+//! Application of an update to the text of a configuration.
 //!
-//! Works on the JSON text and not on parsed items: an item that the update does not name is carried over as it was written,
-//! so that fields and numbers that this release does not know come back unchanged.
+//! Operates on JSON text and not on parsed items: an item that the update does not name is copied unchanged,
+//! so that fields and numbers that this release does not support are preserved.
 
 use crate::error::ConfigurationError;
 use crate::invalid_field::{not_an_object, shortened};
-use crate::json::{explain, parse_update};
+use crate::json::{parse_update, to_configuration_error};
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// The configuration that `update` makes of `base`, as JSON. The same texts always give the same result.
+/// Applies `update` to `base` and returns the resulting configuration as JSON. The same texts always give the
+/// same result.
 ///
-/// Replaced items keep their place, new ones go to the end. A field of `upsert` that is not a list replaces the field of
-/// that name whole. Names to remove that do not exist are skipped. Whether the result is valid is not checked.
+/// Replaced items keep their position, new ones are appended. A field of `upsert` that is not a list replaces
+/// the whole field of that name. Names to remove that do not exist are skipped. The result is not validated.
 ///
 /// # Errors
-/// Where the update cannot be read, names an item twice, or upserts and removes the same one.
+/// If the update cannot be parsed, names an item twice, or upserts and removes the same item.
 pub fn apply_update(base: &str, update: &str) -> Result<String, ConfigurationError> {
     parse_update(update)?;
     let update: RawUpdate<'_> = parse(update)?;
@@ -48,12 +49,12 @@
     }
 }
 
-/// The top-level fields of a configuration.
+/// Top-level fields of a configuration.
 struct Document<'a> {
     fields: BTreeMap<String, FieldValue<'a>>,
 }
 
-/// A top-level field: as it was written, until the update touches it.
+/// Value of a top-level field: the original text until the update changes it.
 #[derive(Serialize)]
 #[serde(untagged)]
 enum FieldValue<'a> {
@@ -98,7 +99,7 @@
         Ok(())
     }
 
-    /// Replaces a field, or where it is a list, the items that `text` names. `null` changes nothing.
+    /// Replaces a field or, if `text` is a list, the items that it names. `null` changes nothing.
     fn upsert(
         &mut self,
         field: &str,
@@ -139,7 +140,7 @@
         Ok(())
     }
 
-    /// The items of a list; none where it does not exist.
+    /// Returns the items of a list; empty if the list does not exist.
     fn items(&self, list: &str) -> Result<Vec<&'a RawValue>, ConfigurationError> {
         match self.fields.get(list) {
             None => Ok(Vec::new()),
@@ -164,7 +165,7 @@
     Ok(positions)
 }
 
-/// Checks that an update does not name an item twice and does not remove it as well.
+/// Checks that an update neither upserts an item twice nor upserts and removes it.
 fn check_upserted(
     list: &str,
     name: &str,
@@ -202,7 +203,7 @@
     Ok(item.name)
 }
 
-/// The error for a field that is not a list of named items.
+/// Returns the error for a field that is not a list of named items.
 fn not_a_list(field: &str, value: &str, cause: &str) -> ConfigurationError {
     ConfigurationError::InvalidField {
         field: shortened(field),
@@ -212,5 +213,5 @@
 }
 
 fn parse<'a, T: Deserialize<'a>>(text: &'a str) -> Result<T, ConfigurationError> {
-    serde_json::from_str(text).map_err(|error| explain(text, &error))
+    serde_json::from_str(text).map_err(|error| to_configuration_error(text, &error))
 }
--- a/crates/configuration/src/validation.rs
+++ b/crates/configuration/src/validation.rs
@@ -1,4 +1,4 @@
-//! What must hold between the fields of a configuration, whether an operator sent it or it was read from a file.
+//! Constraints on the fields of a configuration, whether an operator sent it or it was read from a file.
 
 use crate::error::ConfigurationError;
 use crate::invalid_field::shortened;
@@ -6,13 +6,14 @@
 use std::collections::{HashMap, HashSet};
 use streamusher_protocol::config::{Configuration, Limits, Route};
 
-/// The greatest integer that every JSON reader holds exactly, as a double. It also keeps sums of times far from overflow.
+/// Maximum integer that every JSON reader represents exactly, as a double. It also keeps sums of times far
+/// from overflow.
 pub const MAX_EXACT_NUMBER: u64 = (1 << 53) - 1;
 
-/// Validates a whole configuration that is to follow `current_version` (0 for none).
+/// Validates a whole configuration that is to succeed `current_version` (0 if there is none).
 ///
 /// # Errors
-/// The first fault found, in the order of the checks below.
+/// The first error found, in the order of the checks below.
 pub(crate) fn validate(
     configuration: &Configuration,
     current_version: u64,
