--- a/crates/configuration/tests/changes.rs
+++ b/crates/configuration/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Which changes are applied, acknowledged again or rejected as conflicting, also after a failover.
+//! Outcome of changes: applied, acknowledged again or rejected as conflicting, also after a failover.
 
 #![allow(
     clippy::expect_used,
@@ -11,7 +11,10 @@
 use serde_json::json;
 use streamusher_configuration::{ChangeId, ChangeKind, MAX_APPLIED_CHANGES, MAX_REJECTED_CHANGES};
 use streamusher_configuration::{ChangeOutcome, ConfigurationStore};
-use support::{applied, conflicting, read, route, sample, service, store_with, Records};
+use support::{
+    commit_applied, commit_conflict, current_configuration, route, sample, service, store_with,
+    Records,
+};
 
 fn conflict(current_version: u64) -> ChangeOutcome {
     ChangeOutcome::VersionConflict {
@@ -32,7 +35,7 @@
         panic!("not applied")
     };
     assert_eq!((version, store.version()), (5, 5));
-    assert_eq!(read(&store), sample(5));
+    assert_eq!(current_configuration(&store), sample(5));
     assert!(writes
         .iter()
         .any(|write| &*write.key == "config/current" && write.value == store.text()));
@@ -45,22 +48,22 @@
     let (mut store, mut records) = store_with(5);
     for base in [0, 4, 6, u64::MAX] {
         assert_eq!(
-            conflicting(store.replace(base, &sample(9).to_string()), &mut records),
+            commit_conflict(store.replace(base, &sample(9).to_string()), &mut records),
             5
         );
         assert_eq!(
-            conflicting(store.update(base, r#"{"version":9}"#), &mut records),
+            commit_conflict(store.update(base, r#"{"version":9}"#), &mut records),
             5
         );
     }
-    assert_eq!(read(&store), sample(5));
+    assert_eq!(current_configuration(&store), sample(5));
 }
 
 #[test]
 fn change_on_a_version_conflicts_while_there_is_no_configuration() {
     let mut store = ConfigurationStore::new();
     assert_eq!(
-        conflicting(
+        commit_conflict(
             store.replace(3, &sample(9).to_string()),
             &mut Records::default()
         ),
@@ -77,7 +80,7 @@
         ChangeOutcome::Applied { version: 2, .. }
     ));
     assert_eq!(
-        read(&store),
+        current_configuration(&store),
         json!({"version": 2, "services": [service("a")], "routes": [route("r", "h", "/", "a")]})
     );
 }
@@ -85,7 +88,7 @@
 #[test]
 fn first_of_two_changes_on_one_base_version_wins() {
     let (mut store, mut records) = store_with(5);
-    applied(store.update(5, r#"{"version":7}"#), &mut records);
+    commit_applied(store.update(5, r#"{"version":7}"#), &mut records);
     assert_eq!(store.update(5, r#"{"version":8}"#), conflict(7));
     assert_eq!(store.replace(5, &sample(9).to_string()), conflict(7));
 }
@@ -95,9 +98,9 @@
     let (mut store, mut records) = store_with(5);
     let first = json!({"version": 7, "remove": {"routes": ["r-one"]}}).to_string();
     let second = json!({"version": 7, "remove": {"routes": ["r-two"]}}).to_string();
-    applied(store.update(5, &first), &mut records);
+    commit_applied(store.update(5, &first), &mut records);
     assert_eq!(store.update(5, &second), conflict(7));
-    assert_eq!(read(&store)["routes"][0]["name"], "r-two");
+    assert_eq!(current_configuration(&store)["routes"][0]["name"], "r-two");
     assert_eq!(
         store.update(5, &first),
         ChangeOutcome::AlreadyApplied { version: 7 }
@@ -108,7 +111,7 @@
 fn repeated_change_is_acknowledged_after_many_newer_ones() {
     let (mut store, mut records) = store_with(5);
     for version in 6..300 {
-        applied(
+        commit_applied(
             store.update(version - 1, &format!(r#"{{"version":{version}}}"#)),
             &mut records,
         );
@@ -127,7 +130,7 @@
 #[test]
 fn repeated_change_is_acknowledged_after_failover() {
     let (mut store, mut records) = store_with(5);
-    applied(
+    commit_applied(
         store.update(5, r#"{"version":7,"remove":{"routes":["r-one"]}}"#),
         &mut records,
     );
@@ -171,7 +174,7 @@
 fn kind_base_version_and_every_byte_identify_a_change() {
     let (mut store, mut records) = store_with(5);
     let body = r#"{"version":7}"#;
-    applied(store.update(5, body), &mut records);
+    commit_applied(store.update(5, body), &mut records);
     assert_eq!(store.replace(5, body), conflict(7));
     assert_eq!(store.update(4, body), conflict(7));
     assert_eq!(store.update(5, r#"{"version":7} "#), conflict(7));
@@ -181,13 +184,13 @@
 fn rejected_change_stays_rejected_when_its_base_version_becomes_current() {
     let (mut store, mut records) = store_with(5);
     let early = r#"{"version":9}"#;
-    assert_eq!(conflicting(store.update(7, early), &mut records), 5);
-    applied(store.update(5, r#"{"version":7}"#), &mut records);
+    assert_eq!(commit_conflict(store.update(7, early), &mut records), 5);
+    commit_applied(store.update(5, r#"{"version":7}"#), &mut records);
     let mut successor = records.recover();
     assert_eq!(store.update(7, early), conflict(7));
     assert_eq!(successor.update(7, early), conflict(7));
-    // Another change on that version is applied, and the record of the rejection is removed with it.
-    applied(successor.update(7, r#"{"version":8}"#), &mut records);
+    // Another change based on that version is applied, and the record of the rejection is removed with it.
+    commit_applied(successor.update(7, r#"{"version":8}"#), &mut records);
     assert!(records.0.keys().all(|key| !key.starts_with("refused/")));
     assert_eq!(successor.update(7, early), conflict(8));
 }
@@ -200,9 +203,9 @@
         ChangeOutcome::VersionConflict { .. }
     ));
     let mut successor = records.recover();
-    applied(successor.update(5, r#"{"version":7}"#), &mut records);
+    commit_applied(successor.update(5, r#"{"version":7}"#), &mut records);
     assert_eq!(
-        applied(successor.update(7, r#"{"version":9}"#), &mut records),
+        commit_applied(successor.update(7, r#"{"version":9}"#), &mut records),
         9
     );
 }
@@ -212,7 +215,7 @@
     let (mut store, mut records) = store_with(5);
     for base in 0..MAX_REJECTED_CHANGES as u64 {
         assert_eq!(
-            conflicting(
+            commit_conflict(
                 store.update(100 + base, r#"{"version":9999}"#),
                 &mut records
             ),
@@ -226,26 +229,26 @@
     assert_eq!(
         store.update(100, r#"{"version":9999}"#),
         conflict(5),
-        "one that is remembered is rejected again"
+        "a change whose rejection is recorded is rejected again"
     );
     assert_eq!(
         store.update(4, r#"{"version":9999}"#),
         conflict(5),
-        "one on an earlier version needs no record"
+        "a change on an earlier version needs no record"
     );
-    applied(store.update(5, r#"{"version":101}"#), &mut records);
+    commit_applied(store.update(5, r#"{"version":101}"#), &mut records);
     assert_eq!(
-        conflicting(store.update(2_000, r#"{"version":9999}"#), &mut records),
+        commit_conflict(store.update(2_000, r#"{"version":9999}"#), &mut records),
         101,
-        "rejections of passed versions are forgotten"
+        "rejections on earlier versions are removed"
     );
 }
 
 #[test]
-fn oldest_applied_change_is_forgotten_in_the_records_too() {
+fn oldest_record_of_applied_changes_is_evicted() {
     let (mut store, mut records) = store_with(1);
     for version in 2..=(MAX_APPLIED_CHANGES as u64 + 1) {
-        applied(
+        commit_applied(
             store.update(version - 1, &format!(r#"{{"version":{version}}}"#)),
             &mut records,
         );
@@ -253,7 +256,7 @@
     assert_eq!(
         records.0.len(),
         MAX_APPLIED_CHANGES + 1,
-        "the changes and the configuration"
+        "one record per retained change, and the configuration"
     );
     assert_eq!(
         store.replace(0, &sample(1).to_string()),
@@ -271,7 +274,7 @@
         ChangeOutcome::AlreadyApplied { version: 2 }
     );
     let next = MAX_APPLIED_CHANGES as u64 + 2;
-    applied(
+    commit_applied(
         successor.update(next - 1, &format!(r#"{{"version":{next}}}"#)),
         &mut records,
     );
@@ -284,7 +287,7 @@
     assert_eq!(records.0.len(), MAX_APPLIED_CHANGES + 1);
 }
 
-/// Expected digests were computed by another implementation (Python's hashlib) over kind, base and body.
+/// The expected digests were computed with Python's hashlib over kind, base version and body.
 #[test]
 fn change_ids_are_sha_256_digests_for_all_paddings() {
     let known = [
@@ -306,7 +309,7 @@
 }
 
 #[test]
-fn recovery_skips_records_of_others() {
+fn recovery_skips_records_of_other_subsystems() {
     let (store, mut records) = store_with(5);
     records.0.insert("job/5c0e7a21d94b36f8".into(), "{}".into());
     records.0.insert("config/other".into(), "nonsense".into());
--- a/crates/configuration/tests/changes_model.rs
+++ b/crates/configuration/tests/changes_model.rs
@@ -1,8 +1,10 @@
-//! Changes of two operators, model checked: every interleaving of requests, repetitions, arrivals, commits, lost answers and
-//! failovers within the bounds below. The primary is [`ConfigurationStore`] itself; its writes are replicated, and its answers
-//! leave when these are committed, as the control plane's driver does.
+//! Model check of two operators' changes: every interleaving of requests, repetitions, arrivals, commits,
+//! lost answers and failovers within the bounds below. The primary is [`ConfigurationStore`] itself; its
+//! writes are replicated, and its answers are sent when these are committed, as in the driver of the control
+//! plane.
 //!
-//! The model leaves out that a primary is partitioned while another one acts: the lease excludes it (`coordination`).
+//! The model leaves out that a primary is partitioned while another one is active: the lease excludes this
+//! case (see the `coordination` package).
 
 #![allow(
     clippy::expect_used,
@@ -27,7 +29,8 @@
     body: &'static str,
 }
 
-/// Two operators choose the same version for different changes, one builds on a version to come, one change is invalid.
+/// Two operators choose the same version for different changes, two changes are based on a future version,
+/// and one change is invalid.
 const CHANGES: [Change; 5] = [
     Change {
         is_update: true,
@@ -56,8 +59,8 @@
     },
 ];
 
-/// Index of the change that is invalid on the version on which it builds.
-const INVALID: usize = 4;
+/// Index of the change that is invalid on its base version.
+const INVALID_CHANGE: usize = 4;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Reply {
@@ -66,7 +69,7 @@
     Undecided,
 }
 
-/// What a primary appended at once, and the change that it applied by that.
+/// Batch that a primary appended, and the change that the batch applies.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Batch {
     applied: Option<usize>,
@@ -75,44 +78,46 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    /// Keys and values on all replicas.
+    /// Keys and values that are committed on all replicas.
     committed: Vec<(Arc<str>, Arc<str>)>,
-    /// Changes applied by committed batches, in their order.
+    /// Changes applied by committed batches, in commit order.
     in_force: Vec<usize>,
-    /// Batches that the primary has appended and that are not committed.
+    /// Batches that the primary has appended and that are not committed yet.
     appended: Vec<Batch>,
-    /// Replies that wait until this number of the batches above is committed; each may leave at any time after, or never.
+    /// Replies, each with the number of the above batches that must be committed before it is sent, and its
+    /// change. A reply that is ready may be delivered at any later time, or never.
     pending_replies: BTreeSet<(usize, usize, Reply)>,
     sent: Vec<u8>,
     in_flight: Vec<u8>,
     repetitions: u8,
-    /// Answers that have reached the operators.
+    /// Answers that the operators have received.
     answers: BTreeSet<(usize, Reply)>,
     failovers: u8,
 }
 
 impl State {
-    fn has(&self, number: usize, reply: Reply) -> bool {
+    fn has_answer(&self, number: usize, reply: Reply) -> bool {
         self.answers.contains(&(number, reply))
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
-    /// An operator sends a change, or sends it again as it has no final answer.
+    /// An operator sends a change, or repeats one for which it has no final answer.
     Send(usize),
-    /// A copy of a change reaches the primary.
+    /// The primary receives a copy of a change.
     Arrive(usize),
-    /// The oldest batch that is not committed is.
+    /// The oldest uncommitted batch is committed.
     Commit,
-    /// A reply whose batches are committed reaches its operator.
+    /// An operator receives a reply whose batches are committed.
     Answer(usize, Reply),
-    /// Another primary takes over, with this number of the batches that were not committed.
+    /// Another primary takes over. This number of the uncommitted batches survives.
     FailOver(usize),
 }
 
-/// Bounds: the changes that are sent, how often any of them is repeated, and how often the primary fails over.
-struct Operators {
+/// Bounds of the model: the changes that are sent, the total number of repetitions, and the number of
+/// failovers.
+struct OperatorsModel {
     changes: &'static [usize],
     max_repetitions: u8,
     max_failovers: u8,
@@ -148,11 +153,13 @@
     let pending_replies = std::mem::take(&mut state.pending_replies);
     state.pending_replies = pending_replies
         .into_iter()
-        .map(|(waits, number, reply)| (waits.saturating_sub(1), number, reply))
+        .map(|(uncommitted_batches, number, reply)| {
+            (uncommitted_batches.saturating_sub(1), number, reply)
+        })
         .collect();
 }
 
-fn arrive(state: &mut State, number: usize) {
+fn handle_arrival(state: &mut State, number: usize) {
     let mut store: ConfigurationStore = records(state).recover();
     let change = &CHANGES[number];
     let outcome = if change.is_update {
@@ -183,14 +190,14 @@
     }
 }
 
-impl Model for Operators {
+impl Model for OperatorsModel {
     type State = State;
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
         let mut records = Records::default();
         let first = r#"{"version":1,"routes":[],"services":[]}"#;
-        support::applied(ConfigurationStore::new().replace(0, first), &mut records);
+        support::commit_applied(ConfigurationStore::new().replace(0, first), &mut records);
         vec![State {
             committed: records.0.into_iter().collect(),
             in_force: Vec::new(),
@@ -223,7 +230,7 @@
         let ready = state
             .pending_replies
             .iter()
-            .filter(|(waits, _, _)| *waits == 0);
+            .filter(|(uncommitted_batches, _, _)| *uncommitted_batches == 0);
         steps.extend(ready.map(|(_, number, reply)| Step::Answer(*number, *reply)));
         if state.failovers < self.max_failovers {
             steps.extend((0..=state.appended.len()).map(Step::FailOver));
@@ -240,7 +247,7 @@
             }
             Step::Arrive(number) => {
                 state.in_flight[number] -= 1;
-                arrive(&mut state, number);
+                handle_arrival(&mut state, number);
             }
             Step::Commit => commit(&mut state),
             Step::Answer(number, reply) => {
@@ -261,58 +268,63 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("what was acknowledged is in force", |_, state: &State| {
+            Property::always("each acknowledged change is applied", |_, state: &State| {
                 (0..CHANGES.len()).all(|number| {
-                    !state.has(number, Reply::Acknowledged) || state.in_force.contains(&number)
+                    !state.has_answer(number, Reply::Acknowledged)
+                        || state.in_force.contains(&number)
                 })
             }),
-            Property::always("what was rejected is not in force", |_, state: &State| {
+            Property::always("no rejected change is applied", |_, state: &State| {
                 state
                     .in_force
                     .iter()
-                    .all(|number| !state.has(*number, Reply::Rejected))
+                    .all(|number| !state.has_answer(*number, Reply::Rejected))
             }),
             Property::always(
-                "no order is both acknowledged and rejected",
+                "no change is both acknowledged and rejected",
                 |_, state: &State| {
                     (0..CHANGES.len()).all(|number| {
-                        !(state.has(number, Reply::Acknowledged)
-                            && state.has(number, Reply::Rejected))
+                        !(state.has_answer(number, Reply::Acknowledged)
+                            && state.has_answer(number, Reply::Rejected))
                     })
                 },
             ),
-            Property::always("each version is built upon once", |_, state: &State| {
-                let bases: BTreeSet<u64> = state
-                    .in_force
-                    .iter()
-                    .map(|number| CHANGES[*number].base_version)
-                    .collect();
-                bases.len() == state.in_force.len()
-            }),
-            Property::always("what is invalid is never in force", |_, state: &State| {
-                !state.in_force.contains(&INVALID)
+            Property::always(
+                "each version is the base of at most one change",
+                |_, state: &State| {
+                    let bases: BTreeSet<u64> = state
+                        .in_force
+                        .iter()
+                        .map(|number| CHANGES[*number].base_version)
+                        .collect();
+                    bases.len() == state.in_force.len()
+                },
+            ),
+            Property::always("no invalid change is applied", |_, state: &State| {
+                !state.in_force.contains(&INVALID_CHANGE)
             }),
             Property::sometimes(
-                "two changes on each other are acknowledged",
+                "two consecutive changes are acknowledged",
                 |_, state: &State| {
-                    state.has(0, Reply::Acknowledged) && state.has(2, Reply::Acknowledged)
+                    state.has_answer(0, Reply::Acknowledged)
+                        && state.has_answer(2, Reply::Acknowledged)
                 },
             ),
         ]
     }
 }
 
-/// Bounds, and what has to be met within them.
+/// Each case gives the changes and bounds of one exhaustive search.
 #[rstest]
-#[case::one_number_twice_and_a_successor(&[0, 1, 2], 3, 2)]
-#[case::two_on_a_version_to_come(&[0, 2, 3], 3, 2)]
-#[case::an_invalid_one_between(&[0, 2, INVALID], 3, 2)]
+#[case::same_version_twice_and_a_successor(&[0, 1, 2], 3, 2)]
+#[case::two_changes_on_a_future_version(&[0, 2, 3], 3, 2)]
+#[case::with_an_invalid_change(&[0, 2, INVALID_CHANGE], 3, 2)]
 fn each_change_has_one_final_answer_in_every_interleaving(
     #[case] changes: &'static [usize],
     #[case] max_repetitions: u8,
     #[case] max_failovers: u8,
 ) {
-    let model = Operators {
+    let model = OperatorsModel {
         changes,
         max_repetitions,
         max_failovers,
--- a/crates/configuration/tests/encoded.rs
+++ b/crates/configuration/tests/encoded.rs
@@ -1,7 +1,8 @@
-//! Encoded forms, byte for byte: messages of the relay tree, stored records, and the messages of errors.
+//! Encoded forms, byte for byte: messages of the relay tree, stored records, and error messages.
 //!
-//! Members of different releases exchange these messages, a new release reads the records of the one before, and operators'
-//! pages quote the errors. The fixtures were written by an earlier release; they are never written anew.
+//! Members of different releases exchange these messages, a new release reads the records of the previous
+//! one, and the operators' documentation quotes the errors. The fixtures were written by an earlier release
+//! and must never be regenerated.
 
 #![allow(
     clippy::expect_used,
@@ -30,12 +31,13 @@
     RawValue::from_string(text.to_owned()).expect("JSON").into()
 }
 
-/// Compares values with the lines of a fixture, both ways. Values that hold raw texts are compared as `Debug` shows them.
+/// Compares values with the lines of a fixture, encoded and decoded. Decoded values are compared by their
+/// `Debug` output, as some hold raw JSON texts.
 fn check_lines<T: Serialize + DeserializeOwned + Debug>(values: &[T], lines: &[&str]) {
     assert_eq!(values.len(), lines.len());
     for (value, line) in values.iter().zip(lines) {
         assert_eq!(serde_json::to_string(value).expect("JSON"), *line);
-        let decoded: T = serde_json::from_str(line).expect("it is read");
+        let decoded: T = serde_json::from_str(line).expect("a decodable line");
         assert_eq!(format!("{decoded:?}"), format!("{value:?}"));
     }
 }
@@ -96,7 +98,8 @@
     check_lines(&memberships, membership_lines);
 }
 
-/// What a store writes for a replacement, two rejected changes, an update that makes the first of these stale, and a repeat.
+/// Returns the writes of a store for a replacement, two rejected changes, an update that makes the first of
+/// these stale, and a repetition of the update.
 fn recorded_batches() -> Vec<Vec<Write>> {
     let mut store = ConfigurationStore::new();
     let outcomes = [
@@ -124,14 +127,14 @@
     let mut records = std::collections::BTreeMap::new();
     for write in lines
         .iter()
-        .flat_map(|line| serde_json::from_str::<Vec<Write>>(line).expect("it is read"))
+        .flat_map(|line| serde_json::from_str::<Vec<Write>>(line).expect("a decodable line"))
     {
         match write.value {
             Some(value) => records.insert(write.key, value),
             None => records.remove(&write.key),
         };
     }
-    let mut store = ConfigurationStore::recover(records.into_iter()).expect("it is whole");
+    let mut store = ConfigurationStore::recover(records.into_iter()).expect("consistent records");
     assert_eq!(store.version(), 7);
     assert_eq!(
         store.replace(0, r#"{"version":5,"services":[{"name":"a"}]}"#),
@@ -143,7 +146,7 @@
             current_version: 7,
             writes: Vec::new()
         },
-        "its rejection is known"
+        "the rejection is recorded"
     );
 }
 
--- a/crates/configuration/tests/files.rs
+++ b/crates/configuration/tests/files.rs
@@ -1,4 +1,4 @@
-//! Validation of configuration files, JSON and TOML, by the same checks as changes.
+//! Validation of JSON and TOML configuration files by the same checks as changes.
 
 #![allow(
     clippy::expect_used,
@@ -13,10 +13,10 @@
 use streamusher_configuration::{check_file, ConfigurationError};
 use support::sample;
 
-/// Writes a file into the tests' own folder.
+/// Writes a file into the temporary folder of the tests.
 fn file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&path, text).expect("the folder can be written");
+    std::fs::write(&path, text).expect("a writable temporary folder");
     path
 }
 
@@ -42,14 +42,17 @@
 "#;
 
 #[test]
-fn json_file_is_read_whole() {
-    let read = check_file(&file("good.json", &sample(5).to_string())).expect("it is good");
-    assert_eq!(read, serde_json::from_value(sample(5)).expect("it is good"));
+fn json_file_is_read() {
+    let read = check_file(&file("valid.json", &sample(5).to_string())).expect("a valid file");
+    assert_eq!(
+        read,
+        serde_json::from_value(sample(5)).expect("a valid configuration")
+    );
 }
 
 #[test]
-fn toml_file_is_read_whole() {
-    let read = check_file(&file("good.toml", TOML)).expect("it is good");
+fn toml_file_is_read() {
+    let read = check_file(&file("valid.toml", TOML)).expect("a valid file");
     assert_eq!(
         (read.version, &*read.routes[0].name, read.routes[0].stretch),
         (5, "r-one", 2.5)
@@ -103,37 +106,38 @@
     "limits.max_body_bytes is -1: "
 )]
 #[case("[limits]", "[limits", "cannot be read: ")]
-fn invalid_toml_field_is_named(#[case] good: &str, #[case] bad: &str, #[case] message: &str) {
+fn invalid_toml_field_is_named(#[case] valid: &str, #[case] invalid: &str, #[case] message: &str) {
     let name = format!(
-        "bad-{}.toml",
-        bad.bytes()
+        "invalid-{}.toml",
+        invalid
+            .bytes()
             .fold(7u32, |sum, byte| sum.wrapping_mul(31) + u32::from(byte))
     );
-    let error = check_file(&file(&name, &TOML.replace(good, bad)))
-        .expect_err("it is bad")
+    let error = check_file(&file(&name, &TOML.replace(valid, invalid)))
+        .expect_err("an invalid file")
         .to_string();
     assert!(error.starts_with(message), "{error}");
 }
 
 #[test]
 fn invalid_json_field_is_named() {
-    let mut bad = sample(5);
-    bad["routes"][1]["priority"] = serde_json::json!("high");
-    let error = check_file(&file("bad.json", &bad.to_string()))
-        .expect_err("it is bad")
+    let mut invalid = sample(5);
+    invalid["routes"][1]["priority"] = serde_json::json!("high");
+    let error = check_file(&file("invalid.json", &invalid.to_string()))
+        .expect_err("an invalid file")
         .to_string();
     assert!(
         error.starts_with("routes[1].priority is \"high\": "),
         "{error}"
     );
     for text in ["", "[]", "[5]", "5", "{\"version\":5", "null"] {
-        assert!(check_file(&file("worse.json", text)).is_err(), "{text}");
+        assert!(check_file(&file("malformed.json", text)).is_err(), "{text}");
     }
 }
 
 #[test]
-fn missing_file_and_unknown_format_name_the_remedy() {
-    let missing = check_file(&PathBuf::from("no-such-folder/x.toml")).expect_err("it is missing");
+fn errors_for_missing_file_and_unknown_format_state_the_remedy() {
+    let missing = check_file(&PathBuf::from("no-such-folder/x.toml")).expect_err("a missing file");
     assert!(matches!(missing, ConfigurationError::UnreadableFile { .. }));
     assert!(
         missing
@@ -142,7 +146,7 @@
         "{missing}"
     );
     let unknown =
-        check_file(&file("configuration.yaml", "version: 5")).expect_err("its format is unknown");
+        check_file(&file("configuration.yaml", "version: 5")).expect_err("an unknown format");
     assert!(matches!(
         unknown,
         ConfigurationError::UnknownFileFormat { .. }
--- a/crates/configuration/tests/random_histories.rs
+++ b/crates/configuration/tests/random_histories.rs
@@ -1,4 +1,5 @@
-//! Random histories of changes, with repetitions, races, invalid ones and failovers, against a model that keeps everything.
+//! Random histories of changes, with repetitions, conflicts, invalid changes and failovers, compared with a
+//! reference model that retains all decisions.
 
 #![allow(
     clippy::expect_used,
@@ -10,18 +11,18 @@
 
 use serde_json::{json, Map, Value};
 use streamusher_configuration::{ChangeOutcome, ConfigurationStore};
-use support::{route, sample, service, Numbers, Records};
+use support::{route, sample, service, Records, TestRng};
 
 const HISTORIES: u64 = 150;
 const CHANGES_PER_HISTORY: usize = 120;
 
 #[derive(Clone, Debug, PartialEq)]
 struct Change {
-    is_whole: bool,
+    is_replacement: bool,
     base_version: u64,
     body: String,
-    /// The change as a value, where it is well-formed; the model never parses the body.
-    meaning: Option<Value>,
+    /// The change as a value, or `None` if the body is malformed; the model never parses the body.
+    body_value: Option<Value>,
 }
 
 #[derive(Debug, PartialEq)]
@@ -32,7 +33,7 @@
     Invalid,
 }
 
-/// All changes that were ever applied or rejected, and the newest configuration as a value.
+/// Reference model: all changes that were ever applied or rejected, and the newest configuration as a value.
 #[derive(Default)]
 struct Model {
     current: Option<Value>,
@@ -55,7 +56,10 @@
             self.rejected.push(change.clone());
             return Decision::Conflict(self.version());
         }
-        let Some(next) = self.result_of(change).filter(|next| self.is_valid(next)) else {
+        let Some(next) = self
+            .resulting_configuration(change)
+            .filter(|next| self.is_valid(next))
+        else {
             return Decision::Invalid;
         };
         let version = next["version"].as_u64().expect("a number");
@@ -64,27 +68,27 @@
         Decision::Applied(version)
     }
 
-    fn result_of(&self, change: &Change) -> Option<Value> {
-        let meaning = change.meaning.clone()?;
-        if change.is_whole {
-            return Some(meaning);
+    fn resulting_configuration(&self, change: &Change) -> Option<Value> {
+        let body_value = change.body_value.clone()?;
+        if change.is_replacement {
+            return Some(body_value);
         }
         let mut next = self.current.clone().unwrap_or_else(|| json!({}));
-        next["version"] = meaning["version"].clone();
+        next["version"] = body_value["version"].clone();
         for list in ["routes", "services"] {
             let mut items = next[list].as_array().cloned().unwrap_or_default();
-            let removed = meaning["remove"][list]
+            let removed = body_value["remove"][list]
                 .as_array()
                 .cloned()
                 .unwrap_or_default();
             items.retain(|item| !removed.contains(&item["name"]));
-            for item in meaning["upsert"][list].as_array().into_iter().flatten() {
+            for item in body_value["upsert"][list].as_array().into_iter().flatten() {
                 match items.iter_mut().find(|other| other["name"] == item["name"]) {
                     Some(other) => *other = item.clone(),
                     None => items.push(item.clone()),
                 }
             }
-            if next.get(list).is_some() || meaning["upsert"].get(list).is_some() {
+            if next.get(list).is_some() || body_value["upsert"].get(list).is_some() {
                 next[list] = Value::Array(items);
             }
         }
@@ -98,10 +102,10 @@
             .map(|service| service["name"].clone())
             .collect();
         let routes = list("routes");
-        let have_services = routes
+        let all_services_exist = routes
             .iter()
             .all(|route| services.contains(&route["service"]));
-        let have_timeouts = routes.iter().all(|route| route["timeout_ms"] != json!(0));
+        let all_timeouts_are_positive = routes.iter().all(|route| route["timeout_ms"] != json!(0));
         let keys: Vec<_> = routes
             .iter()
             .map(|route| (&route["host"], &route["path_prefix"]))
@@ -111,8 +115,8 @@
             .as_u64()
             .is_some_and(|version| version > self.version());
         is_newer
-            && have_services
-            && have_timeouts
+            && all_services_exist
+            && all_timeouts_are_positive
             && distinct(&keys)
             && distinct(&names)
             && distinct(&services.iter().collect::<Vec<_>>())
@@ -126,68 +130,66 @@
         .all(|(index, item)| !items[..index].contains(item))
 }
 
-/// A random change: mostly well-formed, on the current version or near it, at times a repetition.
-fn random_change(numbers: &mut Numbers, version: u64, sent: &[Change]) -> Change {
-    if !sent.is_empty() && numbers.below(4) == 0 {
-        return numbers.one_of(sent).clone();
+/// Returns a random change: usually well-formed, based on the current version or one close to it, sometimes a
+/// repetition.
+fn random_change(rng: &mut TestRng, version: u64, sent: &[Change]) -> Change {
+    if !sent.is_empty() && rng.below(4) == 0 {
+        return rng.one_of(sent).clone();
     }
-    let base_version = if numbers.below(5) == 0 {
-        numbers.below(version + 3)
+    let base_version = if rng.below(5) == 0 {
+        rng.below(version + 3)
     } else {
         version
     };
-    let next = if numbers.below(6) == 0 {
-        numbers.below(version + 1)
+    let next = if rng.below(6) == 0 {
+        rng.below(version + 1)
     } else {
-        version + 1 + numbers.below(3)
+        version + 1 + rng.below(3)
     };
-    let is_whole = numbers.below(3) == 0;
-    let meaning = if is_whole {
-        random_whole(numbers, next)
+    let is_replacement = rng.below(3) == 0;
+    let body_value = if is_replacement {
+        random_replacement(rng, next)
     } else {
-        random_update(numbers, next)
+        random_update(rng, next)
     };
-    let mut body = meaning.to_string();
-    if numbers.below(12) == 0 {
-        body.truncate(numbers.index(body.len()));
+    let mut body = body_value.to_string();
+    if rng.below(12) == 0 {
+        body.truncate(rng.index(body.len()));
         return Change {
-            is_whole,
+            is_replacement,
             base_version,
             body,
-            meaning: None,
+            body_value: None,
         };
     }
     Change {
-        is_whole,
+        is_replacement,
         base_version,
         body,
-        meaning: Some(meaning),
+        body_value: Some(body_value),
     }
 }
 
-fn random_whole(numbers: &mut Numbers, version: u64) -> Value {
+fn random_replacement(rng: &mut TestRng, version: u64) -> Value {
     let mut whole = sample(version);
-    whole["services"] = random_services(numbers, 3);
-    whole["routes"] = random_routes(numbers, 3);
-    whole["note"] = json!(numbers.below(100));
+    whole["services"] = random_services(rng, 3);
+    whole["routes"] = random_routes(rng, 3);
+    whole["note"] = json!(rng.below(100));
     whole
 }
 
-fn random_update(numbers: &mut Numbers, version: u64) -> Value {
+fn random_update(rng: &mut TestRng, version: u64) -> Value {
     let mut update = json!({"version": version});
     let (mut upsert, mut remove) = (Map::new(), Map::new());
-    if numbers.below(2) == 0 {
-        upsert.insert("routes".into(), distinct_names(&random_routes(numbers, 3)));
+    if rng.below(2) == 0 {
+        upsert.insert("routes".into(), distinct_names(&random_routes(rng, 3)));
     }
-    if numbers.below(2) == 0 {
-        upsert.insert(
-            "services".into(),
-            distinct_names(&random_services(numbers, 3)),
-        );
+    if rng.below(2) == 0 {
+        upsert.insert("services".into(), distinct_names(&random_services(rng, 3)));
     }
     for list in ["routes", "services"] {
-        if numbers.below(3) == 0 {
-            let name = format!("{list}-{}", numbers.below(5));
+        if rng.below(3) == 0 {
+            let name = format!("{list}-{}", rng.below(5));
             let added = upsert
                 .get(list)
                 .and_then(Value::as_array)
@@ -202,23 +204,23 @@
     update
 }
 
-fn random_services(numbers: &mut Numbers, max_count: u64) -> Value {
-    (0..=numbers.below(max_count))
-        .map(|_| service(&format!("services-{}", numbers.below(5))))
+fn random_services(rng: &mut TestRng, max_count: u64) -> Value {
+    (0..=rng.below(max_count))
+        .map(|_| service(&format!("services-{}", rng.below(5))))
         .collect()
 }
 
-fn random_routes(numbers: &mut Numbers, max_count: u64) -> Value {
-    let routes = (0..numbers.below(max_count)).map(|_| {
-        let prefix = format!("/p{}/", numbers.below(6));
-        let service = format!("services-{}", numbers.below(5));
+fn random_routes(rng: &mut TestRng, max_count: u64) -> Value {
+    let routes = (0..rng.below(max_count)).map(|_| {
+        let prefix = format!("/p{}/", rng.below(6));
+        let service = format!("services-{}", rng.below(5));
         let mut route = route(
-            &format!("routes-{}", numbers.below(5)),
+            &format!("routes-{}", rng.below(5)),
             "host.example",
             &prefix,
             &service,
         );
-        if numbers.below(25) == 0 {
+        if rng.below(25) == 0 {
             route["timeout_ms"] = json!(0);
         }
         route
@@ -237,7 +239,7 @@
 }
 
 fn submit(store: &mut ConfigurationStore, records: &mut Records, change: &Change) -> Decision {
-    let outcome = if change.is_whole {
+    let outcome = if change.is_replacement {
         store.replace(change.base_version, &change.body)
     } else {
         store.update(change.base_version, &change.body)
@@ -267,7 +269,7 @@
 fn store_agrees_with_model_after_each_change() {
     let mut counts = [0usize; 4];
     for seed in 0..HISTORIES {
-        let mut numbers = Numbers(seed);
+        let mut rng = TestRng(seed);
         let (mut store, mut records, mut model) = (
             ConfigurationStore::new(),
             Records::default(),
@@ -275,15 +277,15 @@
         );
         let mut sent: Vec<Change> = Vec::new();
         for step in 0..CHANGES_PER_HISTORY {
-            let change = random_change(&mut numbers, model.version(), &sent);
+            let change = random_change(&mut rng, model.version(), &sent);
             let (expected, found) = (
                 model.decide(&change),
                 submit(&mut store, &mut records, &change),
             );
             assert_eq!(found, expected, "seed {seed}, step {step}, {change:?}");
-            counts[kind(&found)] += 1;
+            counts[decision_index(&found)] += 1;
             sent.push(change);
-            if numbers.below(20) == 0 {
+            if rng.below(20) == 0 {
                 store = records.recover();
             }
             assert_agreement(&store, &model, seed, step);
@@ -291,11 +293,11 @@
     }
     assert!(
         counts.iter().all(|&count| count > 1_000),
-        "every outcome is met often: {counts:?}"
+        "each decision occurs more than 1,000 times: {counts:?}"
     );
 }
 
-fn kind(outcome: &Decision) -> usize {
+fn decision_index(outcome: &Decision) -> usize {
     match outcome {
         Decision::Applied(_) => 0,
         Decision::AlreadyApplied(_) => 1,
--- a/crates/configuration/tests/recovery.rs
+++ b/crates/configuration/tests/recovery.rs
@@ -1,4 +1,5 @@
-//! Corrupt stored records are named, and none is used in part.
+//! Recovery from corrupt stored records: the error names the record, and no store is recovered from the other
+//! records.
 
 #![allow(
     clippy::expect_used,
@@ -11,15 +12,15 @@
 use rstest::rstest;
 use std::sync::Arc;
 use streamusher_configuration::{ChangeOutcome, ConfigurationStore, RecordError};
-use support::{read, store_with};
+use support::{current_configuration, store_with};
 
 #[test]
-fn truncated_configuration_record_is_named_with_the_remedy() {
+fn error_for_truncated_configuration_record_states_key_and_remedy() {
     let (store, _) = store_with(5);
     let text = store.text().expect("a configuration");
     for end in 0..text.len() {
         let records: [(Arc<str>, Arc<str>); 1] = [("config/current".into(), text[..end].into())];
-        let error = ConfigurationStore::recover(records.into_iter()).expect_err("it is corrupt");
+        let error = ConfigurationStore::recover(records.into_iter()).expect_err("a corrupt record");
         let RecordError::Corrupt { key, .. } = &error else {
             panic!("{error}")
         };
@@ -42,7 +43,7 @@
 fn corrupt_change_record_is_named(#[case] value: &str) {
     let (_, mut records) = store_with(5);
     records.0.insert("order/00".into(), value.into());
-    let error = ConfigurationStore::recover(records.0.into_iter()).expect_err("it is corrupt");
+    let error = ConfigurationStore::recover(records.0.into_iter()).expect_err("a corrupt record");
     assert!(
         error
             .to_string()
@@ -59,7 +60,7 @@
         r#"{"version":6,"base":5,"length":3}"#.into(),
     );
     let error = ConfigurationStore::recover(records.0.clone().into_iter())
-        .expect_err("they do not belong together");
+        .expect_err("contradictory records");
     assert_eq!(
         error,
         RecordError::NewerThanConfiguration {
@@ -76,12 +77,15 @@
 fn recovered_configuration_is_not_validated_again() {
     let text = r#"{"version":5,"routes":[{"name":"r","host":"h","path_prefix":"/","timeout_ms":0,"service":"x"}]}"#;
     let records: [(Arc<str>, Arc<str>); 1] = [("config/current".into(), text.into())];
-    let mut store = ConfigurationStore::recover(records.into_iter()).expect("it can be read");
+    let mut store = ConfigurationStore::recover(records.into_iter()).expect("a readable record");
     assert_eq!(store.text().as_deref(), Some(text));
     let repaired = r#"{"version":6,"remove":{"routes":["r"]}}"#;
     assert!(matches!(
         store.update(5, repaired),
         ChangeOutcome::Applied { .. }
     ));
-    assert_eq!(read(&store)["routes"], serde_json::json!([]));
+    assert_eq!(
+        current_configuration(&store)["routes"],
+        serde_json::json!([])
+    );
 }
--- a/crates/configuration/tests/relay.rs
+++ b/crates/configuration/tests/relay.rs
@@ -1,4 +1,5 @@
-//! Updates on their way down the relay tree while all is well, and what odd messages do, in virtual time.
+//! Distribution of configurations through the relay tree without faults, and the handling of irregular
+//! messages, in virtual time.
 
 #![allow(
     clippy::expect_used,
@@ -104,7 +105,7 @@
     fleet.replace(2, 5_000);
     fleet.run_for(APPLY_BOUND);
     assert_eq!(fleet.lagging_members(2), [] as [Arc<str>; 0]);
-    // Announcement, request and snapshot for each of two levels.
+    // An announcement, a request and a snapshot for each of two levels.
     assert_eq!(fleet.last_applied(2) - start, 2 * 3 * DELAY);
     let length = fleet.texts[&2].get().len() as u64;
     let traffic = fleet.take_traffic();
@@ -137,7 +138,7 @@
 }
 
 #[test]
-fn delta_that_does_not_fit_leads_to_request_for_snapshot() {
+fn inapplicable_delta_leads_to_request_for_snapshot() {
     let mut fleet = settled_fleet(30, 15, 3);
     let member = fleet.membership.members[9].clone();
     fleet.partitioned.insert(member.clone());
@@ -183,7 +184,7 @@
     assert_eq!(
         requests(&node.tick(600).messages),
         [0],
-        "again while nothing came"
+        "the request is repeated until a snapshot arrives"
     );
     node.on_message(
         610,
@@ -201,7 +202,7 @@
     assert_eq!(requests(&node.tick(720).messages), [2]);
 }
 
-/// The versions given in requests.
+/// Returns the known versions stated in requests.
 fn requests(messages: &[OutboundMessage]) -> Vec<u64> {
     let versions = messages
         .iter()
@@ -245,7 +246,7 @@
     assert_eq!(
         receiver_counts,
         [FAN_OUT],
-        "heartbeats to its children by the newer one"
+        "heartbeats to its children according to the newer membership"
     );
 }
 
@@ -312,7 +313,7 @@
 #[test]
 fn duplicated_messages_cause_no_requests() {
     let mut fleet = settled_fleet(60, 18, 3);
-    fleet.repeats = 1_000;
+    fleet.duplication_permille = 1_000;
     for version in 2..20 {
         fleet.update(version);
         fleet.run_for(60);
@@ -328,7 +329,7 @@
 }
 
 #[test]
-fn messages_survive_a_round_trip() {
+fn messages_round_trip_through_json() {
     let raw =
         |text: &str| -> Arc<RawValue> { RawValue::from_string(text.into()).expect("JSON").into() };
     let change = ConfigurationDelta {
@@ -352,7 +353,7 @@
     ];
     for message in messages {
         let text = serde_json::to_string(&message).expect("JSON");
-        let again: RelayMessage = serde_json::from_str(&text).expect("it is read");
+        let again: RelayMessage = serde_json::from_str(&text).expect("a decodable message");
         assert_eq!(serde_json::to_string(&again).expect("JSON"), text);
     }
     for text in [
--- a/crates/configuration/tests/relay_faults.rs
+++ b/crates/configuration/tests/relay_faults.rs
@@ -1,4 +1,5 @@
-//! Updates on their way down the relay tree in virtual time, while members die, freeze, are partitioned or get memberships late.
+//! Distribution of updates through the relay tree in virtual time, while members crash, freeze, are
+//! partitioned or receive memberships late.
 
 #![allow(
     clippy::expect_used,
@@ -26,19 +27,20 @@
         let mut fleet = settled_fleet(size, seed, 3);
         let inner = fleet.inner_members();
         let third = inner.len().div_ceil(3);
-        let lost = fleet.choose(inner, third);
-        // Half of them die before the update is published, the others while it is on its way.
-        let (before, during) = lost.split_at(third / 2 + (seed % 2) as usize * (third % 2));
-        let lead = fleet.numbers.below(700);
+        let killed = fleet.choose_random(inner, third);
+        // Half of the killed members crash before the update is published, the others while it is being
+        // distributed.
+        let (before, during) = killed.split_at(third / 2 + (seed % 2) as usize * (third % 2));
+        let lead_time = fleet.rng.below(700);
         for member in before {
             fleet.kill(member);
         }
-        fleet.run_for(lead);
+        fleet.run_for(lead_time);
         fleet.take_traffic();
         let start = fleet.now;
         fleet.update(2);
         for member in during {
-            let step = fleet.numbers.below(4);
+            let step = fleet.rng.below(4);
             fleet.run_for(step);
             fleet.kill(member);
         }
@@ -51,7 +53,8 @@
                 fleet.take_traffic()
             );
         }
-        // Adopted members stay served: the next update is as fast as in calm.
+        // Orphaned members remain temporary children: they must receive the next update within the same
+        // bound.
         let start = fleet.now;
         fleet.update(3);
         fleet.run_until(start + APPLY_BOUND);
@@ -90,29 +93,29 @@
     for seed in 0..(200 / size as u64) {
         let mut fleet = settled_fleet(size, seed, 40);
         let members = fleet.membership.members.clone();
-        let cut = fleet.choose(members, size / 4);
-        fleet.partitioned.extend(cut.iter().cloned());
+        let partitioned = fleet.choose_random(members, size / 4);
+        fleet.partitioned.extend(partitioned.iter().cloned());
         fleet.update(2);
         fleet.run_for(2_500);
         fleet.update(4);
         fleet.run_for(2_500);
-        let mut lacking = fleet.lagging_members(4);
-        lacking.sort();
-        let mut expected = cut.clone();
+        let mut lagging = fleet.lagging_members(4);
+        lagging.sort();
+        let mut expected = partitioned.clone();
         expected.sort();
         assert_eq!(
-            lacking, expected,
-            "seed {seed}: all others have it, and none of the cut ones can"
+            lagging, expected,
+            "seed {seed}: exactly the partitioned members lack the version"
         );
         fleet.partitioned.clear();
         fleet.take_traffic();
         fleet.run_for(APPLY_BOUND);
         assert_eq!(fleet.lagging_members(4), [] as [Arc<str>; 0], "seed {seed}");
-        let whole = fleet.texts[&4].get().len() as u64;
+        let snapshot_bytes = fleet.texts[&4].get().len() as u64;
         let traffic = fleet.take_traffic();
         assert!(
-            traffic.updates.bytes < whole * cut.len() as u64 / 2,
-            "seed {seed}: {traffic:?}, whole {whole}"
+            traffic.updates.bytes < snapshot_bytes * partitioned.len() as u64 / 2,
+            "seed {seed}: {traffic:?}, whole {snapshot_bytes}"
         );
     }
 }
@@ -121,16 +124,20 @@
 fn versions_only_rise_and_arrive_under_loss_duplication_and_reordering() {
     for seed in 0..12 {
         let mut fleet = settled_fleet(60, seed, 3);
-        (fleet.loss, fleet.repeats, fleet.jitter) = (150, 200, 120);
+        (
+            fleet.loss_permille,
+            fleet.duplication_permille,
+            fleet.max_jitter,
+        ) = (150, 200, 120);
         let mut version = 1;
         for _ in 0..40 {
-            version += 1 + fleet.numbers.below(3);
-            if fleet.numbers.below(4) == 0 {
+            version += 1 + fleet.rng.below(3);
+            if fleet.rng.below(4) == 0 {
                 fleet.replace(version, 3);
             } else {
                 fleet.update(version);
             }
-            let pause = fleet.numbers.below(300);
+            let pause = fleet.rng.below(300);
             fleet.run_for(pause);
         }
         fleet.run_for(4_000);
@@ -154,7 +161,7 @@
             inject_random_fault(&mut fleet);
             version += 1;
             fleet.update(version);
-            let pause = fleet.numbers.below(900);
+            let pause = fleet.rng.below(900);
             fleet.run_for(pause);
         }
         fleet.partitioned.clear();
@@ -174,17 +181,17 @@
     }
 }
 
-/// Something happens to a random member.
+/// Injects a random fault: a crash, restart, partition, healing, freeze, membership change or failover.
 fn inject_random_fault(fleet: &mut Fleet) {
     let all: Vec<Arc<str>> = fleet.members.keys().cloned().collect();
-    let member = fleet.numbers.one_of(&all).clone();
-    match fleet.numbers.below(7) {
+    let member = fleet.rng.one_of(&all).clone();
+    match fleet.rng.below(7) {
         0 => fleet.kill(&member),
         1 => fleet.start(&member),
         2 => drop(fleet.partitioned.insert(member)),
         3 => fleet.partitioned.clear(),
         4 => {
-            let until = fleet.now + fleet.numbers.below(3_000);
+            let until = fleet.now + fleet.rng.below(3_000);
             fleet.freeze(&member, until);
         }
         5 => {
@@ -194,7 +201,7 @@
         }
         _ => {
             let epoch = fleet.roots.len() as u64;
-            let former = fleet.acting;
+            let former = fleet.acting_root;
             fleet.partitioned_roots.insert(former);
             fleet.fail_over(epoch);
         }
@@ -207,7 +214,7 @@
         let mut fleet = settled_fleet(200, seed, 3);
         fleet.membership_delay = 3_000;
         let members = fleet.membership.members.clone();
-        let kept = fleet.choose(members, 150);
+        let kept = fleet.choose_random(members, 150);
         let added: Vec<Arc<str>> = (0..40)
             .map(|index| format!("10.250.0.{index}:7381").into())
             .collect();
@@ -252,7 +259,8 @@
     fleet.update(2);
     fleet.run_until(start + APPLY_BOUND);
     assert_eq!(fleet.lagging_members(2), std::slice::from_ref(&parent));
-    // They stay temporary children elsewhere, though their own parent goes on sending heartbeats.
+    // The children remain temporary children of other peers, although their own parent continues to send
+    // heartbeats.
     for version in 3..33 {
         fleet.update(version);
         fleet.run_for(100);
@@ -265,12 +273,12 @@
 }
 
 #[test]
-fn frozen_member_sends_request_at_once_when_it_wakes() {
+fn frozen_member_sends_request_at_once_when_it_resumes() {
     let mut fleet = settled_fleet(100, 11, 3);
     let member = fleet.inner_members()[0].clone();
     let until = fleet.now + 5_000;
     fleet.freeze(&member, until);
-    // What waits at it is lost, as after a reset of its connections.
+    // Messages sent to the frozen member are lost, as after a reset of its connections.
     fleet.partitioned.insert(member.clone());
     fleet.update(2);
     fleet.run_until(until - 1);
@@ -289,7 +297,7 @@
         fleet.update(2);
         fleet.run_for(APPLY_BOUND);
         assert_eq!(fleet.lagging_members(2), [] as [Arc<str>; 0], "seed {seed}");
-        // Whatever the former one says is older.
+        // The members must ignore the former primary, whose heartbeats have an older epoch.
         fleet.run_for(5_000);
         assert_eq!(fleet.lagging_members(2), [] as [Arc<str>; 0], "seed {seed}");
     }
--- a/crates/configuration/tests/relay_publisher.rs
+++ b/crates/configuration/tests/relay_publisher.rs
@@ -1,4 +1,4 @@
-//! Leases of members, the memberships that follow from them, and the primary's end of the relay tree.
+//! Leases of members, the resulting memberships, and the primary's side of the relay tree.
 
 #![allow(
     clippy::expect_used,
@@ -40,7 +40,8 @@
     }
 }
 
-/// The publisher of a primary at which members 1 and 2 hold leases, and the time at which it is ready.
+/// Creates the publisher of a primary at which members 1 and 2 hold leases; returns it with the time of the
+/// first membership.
 fn publisher_with_two_members() -> (ConfigurationPublisher, Millis) {
     let mut publisher = ConfigurationPublisher::new(3, START);
     publisher.renew_lease(START, &lease_request(1, 0));
@@ -141,7 +142,7 @@
 }
 
 #[test]
-fn known_membership_is_not_sent_again() {
+fn members_are_omitted_if_the_requester_has_the_newest_membership() {
     let (mut publisher, now) = publisher_with_two_members();
 
     let first = publisher.renew_lease(now, &lease_request(1, 0));
@@ -154,8 +155,9 @@
     );
 }
 
+/// The member keeps the membership that it received from the former primary.
 #[test]
-fn former_membership_stays_in_use_during_warm_up() {
+fn no_membership_is_sent_during_warm_up() {
     let mut publisher = ConfigurationPublisher::new(3, START);
 
     let response = publisher.renew_lease(START, &lease_request(1, 77));
@@ -209,7 +211,7 @@
 }
 
 #[test]
-fn request_is_answered_with_heartbeat_and_what_is_newer() {
+fn request_is_answered_with_heartbeat_and_newer_configuration() {
     let (mut publisher, now) = publisher_with_two_members();
     publisher.publish(&published(5, None));
     let request = |known_version| RelayEnvelope {
--- a/crates/configuration/tests/relay_tree.rs
+++ b/crates/configuration/tests/relay_tree.rs
@@ -1,4 +1,4 @@
-//! The tree that all compute alike from the same membership.
+//! Relay tree computed from a membership: its shape, and that all processes compute the same one.
 
 #![allow(
     clippy::expect_used,
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use streamusher_configuration::relay::{RelayMembership, RelayPeer, RelayTree, FAN_OUT};
-use support::Numbers;
+use support::TestRng;
 
 fn membership(size: usize) -> RelayMembership {
     RelayMembership {
@@ -67,7 +67,7 @@
         assert!(tree.children(member).len() <= FAN_OUT);
         for pair in ancestors.windows(2) {
             let RelayPeer::Member(nearer) = &pair[0] else {
-                panic!("the primary is the last")
+                panic!("only the last ancestor is the primary")
             };
             assert_eq!(parents[nearer], pair[1]);
         }
@@ -82,16 +82,16 @@
 
 #[test]
 fn tree_does_not_depend_on_order_or_duplicates() {
-    let straight = membership(100);
-    let mut mixed = straight.clone();
-    mixed.members.extend(straight.members[..20].to_vec());
-    let mut numbers = Numbers(1);
-    for index in 0..mixed.members.len() {
-        let other = numbers.index(mixed.members.len());
-        mixed.members.swap(index, other);
+    let ordered = membership(100);
+    let mut shuffled = ordered.clone();
+    shuffled.members.extend(ordered.members[..20].to_vec());
+    let mut rng = TestRng(1);
+    for index in 0..shuffled.members.len() {
+        let other = rng.index(shuffled.members.len());
+        shuffled.members.swap(index, other);
     }
-    let (one, other) = (RelayTree::new(&straight), RelayTree::new(&mixed));
-    for member in &straight.members {
+    let (one, other) = (RelayTree::new(&ordered), RelayTree::new(&shuffled));
+    for member in &ordered.members {
         assert_eq!(one.ancestors(member), other.ancestors(member));
         assert_eq!(one.children(member), other.children(member));
     }
@@ -114,7 +114,8 @@
     );
 }
 
-/// Processes of different releases must agree. Computed by another implementation of the hash, in Python.
+/// Processes of different releases must compute the same order. The expected order was computed by a separate
+/// implementation of the hash, in Python.
 #[test]
 fn order_of_members_is_that_of_all_releases() {
     let tree = RelayTree::new(&membership(12));
@@ -138,17 +139,18 @@
     );
 }
 
-/// Members with different memberships can therefore never be each other's ancestors, and requests never go in a circle.
+/// Two members with different memberships must never be each other's ancestors, or their requests could form
+/// a cycle.
 #[test]
 fn ancestry_is_never_reversed_between_memberships() {
     let all = membership(60).members;
     let mut above = std::collections::BTreeSet::new();
     for seed in 0..200 {
-        let mut numbers = Numbers(seed);
-        let share = 20 + numbers.below(80);
+        let mut rng = TestRng(seed);
+        let share = 20 + rng.below(80);
         let members = all
             .iter()
-            .filter(|_| numbers.below(100) < share)
+            .filter(|_| rng.below(100) < share)
             .cloned()
             .collect();
         let tree = RelayTree::new(&RelayMembership {
--- a/crates/configuration/tests/route_table.rs
+++ b/crates/configuration/tests/route_table.rs
@@ -1,4 +1,5 @@
-//! The route of a request: host without port and case, longest prefix.
+//! Lookup of the route of a request: the host is compared without port and letter case, and the longest
+//! matching prefix wins.
 
 #![allow(
     clippy::expect_used,
@@ -13,7 +14,7 @@
 use streamusher_configuration::normalized_host;
 use streamusher_configuration::RouteTable;
 use streamusher_protocol::config::{Configuration, Route};
-use support::Numbers;
+use support::TestRng;
 
 fn table(routes: &[(&str, &str)]) -> RouteTable {
     let routes = routes.iter().map(|(host, prefix)| Route {
@@ -89,10 +90,10 @@
 #[test]
 fn lookup_agrees_with_linear_search() {
     for seed in 0..300 {
-        let mut numbers = Numbers(seed);
+        let mut rng = TestRng(seed);
         let mut routes: Vec<(String, String)> = Vec::new();
-        for _ in 0..numbers.below(40) {
-            let candidate = (host(&mut numbers), path(&mut numbers, 5));
+        for _ in 0..rng.below(40) {
+            let candidate = (host(&mut rng), path(&mut rng, 5));
             if !routes.contains(&candidate) {
                 routes.push(candidate);
             }
@@ -103,7 +104,7 @@
             .collect();
         let table = table(&borrowed);
         for _ in 0..100 {
-            let (host, path) = (host(&mut numbers), path(&mut numbers, 8));
+            let (host, path) = (host(&mut rng), path(&mut rng, 8));
             let fitting = borrowed
                 .iter()
                 .filter(|(other, prefix)| *other == host && path.starts_with(prefix));
@@ -119,12 +120,12 @@
     }
 }
 
-fn host(numbers: &mut Numbers) -> String {
-    (*numbers.one_of(&["g", "h"])).to_owned()
+fn host(rng: &mut TestRng) -> String {
+    (*rng.one_of(&["g", "h"])).to_owned()
 }
 
-fn path(numbers: &mut Numbers, max_length: u64) -> String {
-    let length = numbers.below(max_length);
-    let tail = (0..length).map(|_| *numbers.one_of(&["a", "b", "/", "\u{e9}"]));
+fn path(rng: &mut TestRng, max_length: u64) -> String {
+    let length = rng.below(max_length);
+    let tail = (0..length).map(|_| *rng.one_of(&["a", "b", "/", "\u{e9}"]));
     std::iter::once("/").chain(tail).collect()
 }
--- a/crates/configuration/tests/support/mod.rs
+++ b/crates/configuration/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! Shared by the tests: sample configurations, seeded random numbers, the committed records of a store.
+//! Helpers shared by the tests: sample configurations, a seeded random number generator, the committed
+//! records of a store.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 pub(crate) mod fleet;
@@ -10,11 +11,11 @@
 use streamusher_configuration::{ChangeOutcome, ConfigurationStore};
 use streamusher_protocol::store::Write;
 
-/// Random numbers from a seed (`SplitMix64`).
-pub(crate) struct Numbers(pub(crate) u64);
+/// Seeded random number generator (`SplitMix64`).
+pub(crate) struct TestRng(pub(crate) u64);
 
-impl Numbers {
-    /// A number below `bound`.
+impl TestRng {
+    /// Returns a random number below `bound`.
     pub(crate) fn below(&mut self, bound: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
@@ -23,18 +24,18 @@
         (mixed ^ (mixed >> 31)) % bound
     }
 
-    /// An index into a list of this length.
+    /// Returns a random index into a list of this length.
     pub(crate) fn index(&mut self, length: usize) -> usize {
-        usize::try_from(self.below(length as u64)).expect("it is below a usize")
+        usize::try_from(self.below(length as u64)).expect("an index that fits usize")
     }
 
-    /// One of `choices`.
+    /// Returns a random element of `choices`.
     pub(crate) fn one_of<'a, T>(&mut self, choices: &'a [T]) -> &'a T {
         &choices[self.index(choices.len())]
     }
 }
 
-/// A route with all fields that operators send.
+/// Returns a route with all fields that operators send.
 pub(crate) fn route(name: &str, host: &str, prefix: &str, service: &str) -> Value {
     json!({
         "name": name, "host": host, "path_prefix": prefix, "kind": "unsafe", "timeout_ms": 3000,
@@ -42,7 +43,7 @@
     })
 }
 
-/// A service with all fields that operators send.
+/// Returns a service with all fields that operators send.
 pub(crate) fn service(name: &str) -> Value {
     json!({
         "name": name, "health_path": "/health", "max_connections": 64, "protocol": "h1", "tls": false,
@@ -50,7 +51,7 @@
     })
 }
 
-/// Two routes and two services.
+/// Returns a configuration with two routes and two services.
 pub(crate) fn sample(version: u64) -> Value {
     json!({
         "version": version,
@@ -62,12 +63,12 @@
     })
 }
 
-/// The committed records of a store, as replicas hold them.
+/// Committed records of a store, as replicas hold them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Records(pub(crate) BTreeMap<Arc<str>, Arc<str>>);
 
 impl Records {
-    /// Commits a batch.
+    /// Commits a batch of writes.
     pub(crate) fn commit(&mut self, writes: Vec<Write>) {
         for Write { key, value } in writes {
             match value {
@@ -77,14 +78,14 @@
         }
     }
 
-    /// The store of a primary that takes over.
+    /// Recovers the store of a primary that takes over.
     pub(crate) fn recover(&self) -> ConfigurationStore {
-        ConfigurationStore::recover(self.0.clone().into_iter()).expect("records are whole")
+        ConfigurationStore::recover(self.0.clone().into_iter()).expect("consistent records")
     }
 }
 
-/// Commits a change that must be applied; returns the version that it made.
-pub(crate) fn applied(outcome: ChangeOutcome, records: &mut Records) -> u64 {
+/// Commits a change that must be applied; returns the version that it produced.
+pub(crate) fn commit_applied(outcome: ChangeOutcome, records: &mut Records) -> u64 {
     let ChangeOutcome::Applied { version, writes } = outcome else {
         panic!("not applied: {outcome:?}")
     };
@@ -92,8 +93,9 @@
     version
 }
 
-/// Commits the rejection of a change that must conflict with the current version; returns that version.
-pub(crate) fn conflicting(outcome: ChangeOutcome, records: &mut Records) -> u64 {
+/// Commits the rejection of a change that must conflict with the current version; returns the current
+/// version.
+pub(crate) fn commit_conflict(outcome: ChangeOutcome, records: &mut Records) -> u64 {
     let ChangeOutcome::VersionConflict {
         current_version,
         writes,
@@ -105,14 +107,14 @@
     current_version
 }
 
-/// A store that holds `sample(version)`, and its records.
+/// Creates a store that holds `sample(version)`, and its records.
 pub(crate) fn store_with(version: u64) -> (ConfigurationStore, Records) {
     let (mut store, mut records) = (ConfigurationStore::new(), Records::default());
-    applied(store.replace(0, &sample(version).to_string()), &mut records);
+    commit_applied(store.replace(0, &sample(version).to_string()), &mut records);
     (store, records)
 }
 
-/// The newest configuration of a store, as a JSON value.
-pub(crate) fn read(store: &ConfigurationStore) -> Value {
+/// Returns the newest configuration of a store as a JSON value.
+pub(crate) fn current_configuration(store: &ConfigurationStore) -> Value {
     serde_json::from_str(&store.text().expect("a configuration")).expect("JSON")
 }
--- a/crates/configuration/tests/support/network.rs
+++ b/crates/configuration/tests/support/network.rs
@@ -1,4 +1,4 @@
-//! How a fleet's events are played and its messages carried.
+//! Event handling and message delivery of a simulated fleet.
 
 use super::fleet::{Event, Fleet, DELAY};
 use std::sync::Arc;
@@ -6,12 +6,12 @@
 use streamusher_protocol::Millis;
 
 impl Fleet {
-    pub(super) fn push(&mut self, due_at: Millis, event: Event) {
-        self.sent += 1;
-        self.events.insert((due_at, self.sent), event);
+    pub(super) fn schedule_event(&mut self, due_at: Millis, event: Event) {
+        self.event_count += 1;
+        self.events.insert((due_at, self.event_count), event);
     }
 
-    pub(super) fn play(&mut self, event: Event) {
+    pub(super) fn handle_event(&mut self, event: Event) {
         let owner = match &event {
             Event::Deliver {
                 to: RelayPeer::Member(address),
@@ -22,14 +22,14 @@
             _ => None,
         };
         let Some(address) = owner else {
-            return self.play_at_root(event);
+            return self.handle_root_event(event);
         };
         let Some(member) = self.members.get_mut(&address).filter(|member| member.alive) else {
             return;
         };
         if member.frozen_until > self.now {
             let until = member.frozen_until;
-            return self.push(until, event);
+            return self.schedule_event(until, event);
         }
         let now = self.now;
         let actions = match event {
@@ -38,22 +38,22 @@
             }
             Event::Membership(_, membership) => member.node.set_membership(now, &membership),
             Event::Tick(_) => {
-                member.scheduled = Millis::MAX;
+                member.next_tick_at = Millis::MAX;
                 member.node.tick(now)
             }
             Event::RootTick(_) => return,
         };
-        self.act(&address, actions);
+        self.apply_actions(&address, actions);
     }
 
-    fn play_at_root(&mut self, event: Event) {
+    fn handle_root_event(&mut self, event: Event) {
         match event {
             Event::RootTick(index) => {
                 let now = self.now;
                 let messages = self.roots[index].tick(now);
                 self.send(&RelayPeer::Primary, index, messages);
                 let next = self.roots[index].next_tick().min(now + 100).max(now + 1);
-                self.push(next, Event::RootTick(index));
+                self.schedule_event(next, Event::RootTick(index));
             }
             Event::Deliver {
                 from,
@@ -68,37 +68,34 @@
         }
     }
 
-    pub(super) fn act(&mut self, address: &Arc<str>, actions: RelayActions) {
+    pub(super) fn apply_actions(&mut self, address: &Arc<str>, actions: RelayActions) {
         let member = self.members.get_mut(address).expect("a member");
         if let Some(configuration) = actions.configuration {
             let version = configuration.version;
             let last = member.applied.last().map_or(0, |(version, _)| *version);
-            assert!(
-                version > last,
-                "{address} goes back from {last} to {version}"
-            );
-            let text = member.node.text().expect("it has one").get();
+            assert!(version > last, "{address} reverts from {last} to {version}");
+            let text = member.node.text().expect("a configuration").get();
             assert_eq!(
                 text,
                 self.texts[&version].get(),
-                "{address} has another version {version}"
+                "{address} has another text for version {version}"
             );
             member.applied.push((version, self.now));
         }
         self.send(
             &RelayPeer::Member(address.clone()),
-            self.acting,
+            self.acting_root,
             actions.messages,
         );
-        self.schedule(address);
+        self.schedule_tick(address);
     }
 
-    pub(super) fn schedule(&mut self, address: &Arc<str>) {
+    pub(super) fn schedule_tick(&mut self, address: &Arc<str>) {
         let member = self.members.get_mut(address).expect("a member");
         let next = member.node.next_tick().max(self.now);
-        if next < member.scheduled {
-            member.scheduled = next;
-            self.push(next, Event::Tick(address.clone()));
+        if next < member.next_tick_at {
+            member.next_tick_at = next;
+            self.schedule_event(next, Event::Tick(address.clone()));
         }
     }
 
@@ -133,18 +130,18 @@
         root: usize,
         message: &Arc<RelayMessage>,
     ) {
-        if !self.is_linked(from, to, root) || self.numbers.below(1_000) < self.loss {
+        if !self.is_linked(from, to, root) || self.rng.below(1_000) < self.loss_permille {
             return;
         }
-        let copies = if self.numbers.below(1_000) < self.repeats {
+        let copies = if self.rng.below(1_000) < self.duplication_permille {
             2
         } else {
             1
         };
         for _ in 0..copies {
-            let arrives_at = self.now + DELAY + self.numbers.below(self.jitter + 1);
+            let arrives_at = self.now + DELAY + self.rng.below(self.max_jitter + 1);
             let (to, from, message) = (to.clone(), from.clone(), message.clone());
-            self.push(
+            self.schedule_event(
                 arrives_at,
                 Event::Deliver {
                     to,
--- a/crates/configuration/tests/updates.rs
+++ b/crates/configuration/tests/updates.rs
@@ -1,4 +1,5 @@
-//! What an update makes of a configuration, and that what is not known here comes back as it was sent.
+//! Results of updates: changed items, and fields and numbers that this release does not support, which must
+//! be preserved as they were sent.
 
 #![allow(
     clippy::expect_used,
@@ -11,17 +12,17 @@
 use serde_json::{json, Value};
 use streamusher_configuration::apply_update;
 use streamusher_configuration::{ChangeOutcome, ConfigurationStore};
-use support::{applied, read, route, sample, service, store_with, Records};
+use support::{commit_applied, current_configuration, route, sample, service, store_with, Records};
 
 fn updated(update: &Value) -> Value {
     let (mut store, mut records) = store_with(5);
-    applied(store.update(5, &update.to_string()), &mut records);
+    commit_applied(store.update(5, &update.to_string()), &mut records);
     assert_eq!(
-        read(&records.recover()),
-        read(&store),
-        "what is stored is what is read"
+        current_configuration(&records.recover()),
+        current_configuration(&store),
+        "the recovered store holds the same configuration"
     );
-    read(&store)
+    current_configuration(&store)
 }
 
 fn names(list: &Value) -> Vec<&str> {
@@ -76,11 +77,11 @@
 
 #[test]
 fn prefix_may_move_to_another_route() {
-    let heir = route("r-heir", "host.example", "/one/", "scans");
+    let successor = route("r-successor", "host.example", "/one/", "scans");
     let result = updated(
-        &json!({"version": 7, "upsert": {"routes": [heir]}, "remove": {"routes": ["r-one"]}}),
+        &json!({"version": 7, "upsert": {"routes": [successor]}, "remove": {"routes": ["r-one"]}}),
     );
-    assert_eq!(names(&result["routes"]), ["r-two", "r-heir"]);
+    assert_eq!(names(&result["routes"]), ["r-two", "r-successor"]);
 }
 
 #[test]
@@ -118,13 +119,13 @@
         json!([{"name": "a", "x": 1}, {"name": "b", "x": {"deep": [null, -1.5e-7]}}]);
     whole["note"] = json!("kept");
     whole["routes"][0]["colour"] = json!({"hue": 3});
-    applied(store.replace(0, &whole.to_string()), &mut records);
-    assert_eq!(read(&store), whole);
+    commit_applied(store.replace(0, &whole.to_string()), &mut records);
+    assert_eq!(current_configuration(&store), whole);
     let update = json!({"version": 2, "upsert": {"regions": [{"name": "c"}, {"name": "a", "x": 2}]}, "remove": {"regions": ["b"]}});
-    applied(store.update(1, &update.to_string()), &mut records);
+    commit_applied(store.update(1, &update.to_string()), &mut records);
     whole["version"] = json!(2);
     whole["regions"] = json!([{"name": "a", "x": 2}, {"name": "c"}]);
-    assert_eq!(read(&store), whole);
+    assert_eq!(current_configuration(&store), whole);
 }
 
 #[test]
@@ -161,7 +162,7 @@
         ChangeOutcome::Applied { .. }
     ));
     assert_eq!(
-        read(&store),
+        current_configuration(&store),
         json!({"version": 2, "services": [{"name": "a", "x": 1}]})
     );
 }
@@ -183,9 +184,9 @@
         .collect();
     whole["routes"] = json!(routes);
     let (mut store, mut records) = (ConfigurationStore::new(), Records::default());
-    applied(store.replace(0, &whole.to_string()), &mut records);
+    commit_applied(store.replace(0, &whole.to_string()), &mut records);
     let changed = route("r4321", "h", "/changed/", "scans");
-    applied(
+    commit_applied(
         store.update(
             1,
             &json!({"version": 2, "upsert": {"routes": [changed]}}).to_string(),
@@ -194,7 +195,7 @@
     );
     whole["version"] = json!(2);
     whole["routes"][4321] = changed;
-    assert_eq!(read(&store), whole);
+    assert_eq!(current_configuration(&store), whole);
     assert_eq!(
         store
             .routes()
--- a/crates/configuration/tests/validation.rs
+++ b/crates/configuration/tests/validation.rs
@@ -1,4 +1,5 @@
-//! Invalid configurations and updates are rejected with field, value and remedy, and change nothing.
+//! Rejection of invalid configurations and updates: the error names field, value and remedy, and the stored
+//! configuration does not change.
 
 #![allow(
     clippy::expect_used,
@@ -11,10 +12,10 @@
 use rstest::rstest;
 use serde_json::{json, Value};
 use streamusher_configuration::{ChangeOutcome, ConfigurationStore};
-use support::{read, sample, store_with};
+use support::{current_configuration, sample, store_with};
 
-/// Sets one field of a configuration, named by a JSON pointer.
-fn with(mut configuration: Value, pointer: &str, value: Value) -> Value {
+/// Sets the field of a configuration at a JSON pointer.
+fn with_field(mut configuration: Value, pointer: &str, value: Value) -> Value {
     let (parent, name) = pointer.rsplit_once('/').expect("a pointer");
     match configuration
         .pointer_mut(parent)
@@ -86,11 +87,11 @@
     #[case] message: &str,
 ) {
     let (mut store, _) = store_with(5);
-    let body = with(sample(9), pointer, value).to_string();
+    let body = with_field(sample(9), pointer, value).to_string();
     let error = rejection(store.replace(5, &body));
     assert!(error.starts_with(message), "{error}");
-    assert!(error.contains("; "), "names the remedy: {error}");
-    assert_eq!(read(&store), sample(5));
+    assert!(error.contains("; "), "the error states the remedy: {error}");
+    assert_eq!(current_configuration(&store), sample(5));
     assert_eq!(
         rejection(store.replace(5, &body)),
         error,
@@ -126,8 +127,8 @@
 
 #[test]
 fn hosts_that_differ_in_case_or_port_are_the_same() {
-    let clash = with(sample(9), "/routes/1/path_prefix", json!("/one/"));
-    let clash = with(clash, "/routes/1/host", json!("HOST.example:8080"));
+    let clash = with_field(sample(9), "/routes/1/path_prefix", json!("/one/"));
+    let clash = with_field(clash, "/routes/1/host", json!("HOST.example:8080"));
     let error = rejection(ConfigurationStore::new().replace(0, &clash.to_string()));
     assert!(
         error.starts_with("routes[1] has host \"host.example\""),
@@ -180,7 +181,7 @@
     let (mut store, _) = store_with(5);
     rejection(store.replace(5, body));
     rejection(store.update(5, body));
-    assert_eq!(read(&store), sample(5));
+    assert_eq!(current_configuration(&store), sample(5));
 }
 
 #[test]
@@ -195,7 +196,7 @@
             &format!(r#"{{"version":9,"upsert":{{"x":{open}{close}}}}}"#),
         ));
         rejection(store.update(5, &format!(r#"{{"version":9,"upsert":{open}{close}}}"#)));
-        assert_eq!(read(&store), sample(5));
+        assert_eq!(current_configuration(&store), sample(5));
     }
 }
 
@@ -224,7 +225,7 @@
     let (mut store, _) = store_with(5);
     let error = rejection(store.update(5, &update.to_string()));
     assert!(error.starts_with(message), "{error}");
-    assert_eq!(read(&store), sample(5));
+    assert_eq!(current_configuration(&store), sample(5));
 }
 
 #[rstest]
@@ -235,7 +236,7 @@
 #[case("/routes")]
 #[case("/version")]
 fn error_of_huge_value_stays_short(#[case] pointer: &str) {
-    let huge = with(sample(9), pointer, json!("é".repeat(100_000)));
+    let huge = with_field(sample(9), pointer, json!("é".repeat(100_000)));
     let (mut store, _) = store_with(5);
     let error = rejection(store.replace(5, &huge.to_string()));
     assert!(error.contains("éé"), "{}", error.len());
