--- a/crates/configuration/src/change_id.rs
+++ b/crates/configuration/src/change_id.rs
@@ -14,7 +14,7 @@
 /// Prefix of the record keys of rejected changes.
 pub const REJECTED_KEY_PREFIX: &str = "refused/";
 
-/// Bytes of the digest in an identity. Digests of 128 bits do not collide by chance, and the keys stay short.
+/// Number of digest bytes in an identity: 128 bits do not collide by chance, and the keys stay short.
 const DIGEST_BYTES: usize = 16;
 
 /// Kind of a change.
--- a/crates/configuration/tests/support/network.rs
+++ b/crates/configuration/tests/support/network.rs
@@ -99,18 +99,23 @@
         }
     }
 
-    pub(super) fn send(&mut self, from: &RelayPeer, root: usize, messages: Vec<OutboundMessage>) {
+    pub(super) fn send(
+        &mut self,
+        from: &RelayPeer,
+        root_index: usize,
+        messages: Vec<OutboundMessage>,
+    ) {
         for OutboundMessage { receivers, message } in messages {
             let bytes = serde_json::to_string(&message).expect("JSON").len() as u64;
             let message = Arc::new(message);
             for receiver in receivers {
-                self.count(&message, bytes);
-                self.transmit(from, &receiver, root, &message);
+                self.record_traffic(&message, bytes);
+                self.transmit(from, &receiver, root_index, &message);
             }
         }
     }
 
-    fn count(&mut self, message: &RelayMessage, bytes: u64) {
+    fn record_traffic(&mut self, message: &RelayMessage, bytes: u64) {
         let traffic = match message {
             RelayMessage::Heartbeat {
                 request_required: false,
@@ -127,10 +132,10 @@
         &mut self,
         from: &RelayPeer,
         to: &RelayPeer,
-        root: usize,
+        root_index: usize,
         message: &Arc<RelayMessage>,
     ) {
-        if !self.is_linked(from, to, root) || self.rng.below(1_000) < self.loss_permille {
+        if !self.is_linked(from, to, root_index) || self.rng.below(1_000) < self.loss_permille {
             return;
         }
         let copies = if self.rng.below(1_000) < self.duplication_permille {
@@ -146,16 +151,16 @@
                 Event::Deliver {
                     to,
                     from,
-                    from_root: root,
+                    from_root: root_index,
                     message,
                 },
             );
         }
     }
 
-    fn is_linked(&self, from: &RelayPeer, to: &RelayPeer, root: usize) -> bool {
+    fn is_linked(&self, from: &RelayPeer, to: &RelayPeer, root_index: usize) -> bool {
         let is_partitioned = |peer: &RelayPeer| match peer {
-            RelayPeer::Primary => self.partitioned_roots.contains(&root),
+            RelayPeer::Primary => self.partitioned_roots.contains(&root_index),
             RelayPeer::Member(address) => self.partitioned.contains(address),
         };
         let pair = |one: &RelayPeer, other: &RelayPeer| {
