--- a/crates/fleet/src/allowance.rs
+++ b/crates/fleet/src/allowance.rs
@@ -1,23 +1,24 @@
-//! Where the data path acquires units of a quota, while the state's thread adds and reclaims them: one atomic word that
-//! both exchange.
+//! The allowance of one quota: the data path acquires units from it while the state thread adds and reclaims
+//! them. Both exchange one atomic word.
 //!
-//! The word holds the own units, the borrowed ones, and those in use, so that a unit in use cannot be reclaimed and a
-//! reclaimed one cannot be acquired. Borrowed units expire at a time that each acquisition compares with its clock: a
-//! process that was stopped past the end of its lease acquires none of them, whatever it had before.
+//! The word holds the own units, the borrowed units and the units in use, so that a unit in use cannot be
+//! reclaimed and a reclaimed one cannot be acquired. Borrowed units expire at a time that each acquisition
+//! compares with its clock: a process that was stopped past the end of its lease acquires none of them,
+//! however many it held before.
 
 use crate::incarnation::Micros;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// Bits of the word that hold the units in use.
+/// Bits of the word for the units in use.
 const IN_USE_BITS: u32 = 24;
-/// Bits of the word that hold the own units, and as many for the borrowed ones.
+/// Bits of the word for the own units, and for the borrowed units.
 const HELD_BITS: u32 = 20;
 const MAX_IN_USE: u64 = (1 << IN_USE_BITS) - 1;
 /// The most units that a quota may have.
 pub const MAX_QUOTA_UNITS: u64 = (1 << HELD_BITS) - 1;
 
-/// Units that a member holds of a quota, in use or not.
+/// Units of a quota that a member holds, whether in use or not.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HeldUnits {
     /// Units of the member's share that are not lent.
@@ -33,33 +34,34 @@
     }
 }
 
-/// What [`QuotaLeases`](crate::quota::QuotaLeases) need of the place where units are acquired. [`QuotaAllowance`] is the
-/// one of the data path; a model checker has one without atomics.
+/// The operations that [`QuotaLeases`](crate::quota::QuotaLeases) needs from the store of units. The data
+/// path uses [`QuotaAllowance`]; the model checker uses an implementation without atomics.
 pub trait Allowance {
     /// Units in use.
     fn in_use(&self) -> u64;
-    /// Units held.
+    /// Units held, whether in use or not.
     fn held(&self) -> HeldUnits;
-    /// Sets the units held, none of which may decrease, and when the borrowed ones expire.
+    /// Sets the units held, none of which may decrease, and the expiry of the borrowed ones.
     fn grow(&mut self, held: HeldUnits, borrowed_until: Micros);
-    /// Takes away up to so many own units that are not in use; returns how many.
+    /// Removes up to `max_units` own units that are not in use; returns how many.
     fn reclaim_own(&mut self, max_units: u64) -> u64;
-    /// Takes away up to so many borrowed units that are not in use; returns how many.
+    /// Removes up to `max_units` borrowed units that are not in use; returns how many.
     fn reclaim_borrowed(&mut self, max_units: u64) -> u64;
-    /// Leaves so many borrowed units, which expire then; the others have expired, in use or not.
+    /// Keeps `remaining` borrowed units, which expire at `borrowed_until`; the others have expired, even if
+    /// in use.
     fn expire_borrowed(&mut self, remaining: u64, borrowed_until: Micros);
 }
 
-/// The units of one quota at one member, shared by the data path and the state's thread.
+/// The units of one quota at one member, shared by the data path and the state thread.
 #[derive(Debug, Default)]
 pub struct QuotaAllowance {
-    /// [`Units`], packed: in use in the low 24 bits, borrowed in the next 20, own in the next 20.
+    /// Packed [`Units`]: in use in the low 24 bits, borrowed in the next 20, own in the next 20.
     packed: AtomicU64,
-    /// When the borrowed units expire; only raised while no borrowed unit expires earlier.
+    /// Expiry of the borrowed units; raised only while no borrowed unit expires earlier.
     borrowed_until: AtomicU64,
-    /// Nothing is acquired from then on, until the state's thread has extended it.
+    /// No unit can be acquired from this time on, until the state thread extends it.
     valid_until: AtomicU64,
-    /// Failed acquisitions since they were last taken.
+    /// Failed acquisitions since the last call of `take_denied`.
     denied: AtomicU64,
 }
 
@@ -88,7 +90,7 @@
 }
 
 impl QuotaAllowance {
-    /// Takes one unit into use; returns whether there was one at this time.
+    /// Acquires one unit; returns false if none is available at this time.
     pub fn try_acquire(&self, now: Micros) -> bool {
         let acquired = self.update(|mut units| {
             if units.in_use >= self.usable(now, units.held) {
@@ -103,22 +105,22 @@
         acquired
     }
 
-    /// Takes a unit out of use that was acquired before.
+    /// Releases an acquired unit.
     pub fn release(&self) {
         let released = self.update(|mut units| {
             units.in_use = units.in_use.checked_sub(1)?;
             Some(units)
         });
-        debug_assert!(released, "a unit was released that was never acquired");
+        debug_assert!(released, "release without a matching acquisition");
     }
 
-    /// Units that could be acquired at this time.
+    /// Units that can be acquired at this time.
     pub fn available(&self, now: Micros) -> u64 {
         let units = self.load();
         self.usable(now, units.held).saturating_sub(units.in_use)
     }
 
-    /// Units of those held that may be in use at this time.
+    /// Number of the held units that may be in use at this time.
     fn usable(&self, now: Micros, held: HeldUnits) -> u64 {
         if cfg!(feature = "mutant-lease") {
             return held.total();
@@ -133,12 +135,12 @@
         }
     }
 
-    /// Allows acquisitions before this time: the state's thread runs, and will run again before then.
+    /// Allows acquisitions until this time; the state thread must run again before then to extend it.
     pub fn set_valid_until(&self, until: Micros) {
         self.valid_until.store(until, Ordering::Release);
     }
 
-    /// Failed acquisitions since this was last called.
+    /// Returns the number of failed acquisitions since the previous call.
     pub fn take_denied(&self) -> u64 {
         self.denied.swap(0, Ordering::AcqRel)
     }
@@ -148,7 +150,7 @@
         self.load().in_use
     }
 
-    /// Units held.
+    /// Units held, whether in use or not.
     pub fn held(&self) -> HeldUnits {
         self.load().held
     }
@@ -168,7 +170,8 @@
         });
     }
 
-    /// See [`Allowance::reclaim_own`]. Borrowed units expire, so own ones must cover all that is in use.
+    /// See [`Allowance::reclaim_own`]. Because borrowed units expire, the remaining own units must cover all
+    /// units in use.
     pub fn reclaim_own(&self, max_units: u64) -> u64 {
         let mut reclaimed = 0;
         self.update(|mut units| {
@@ -204,8 +207,8 @@
         Units::unpack(self.packed.load(Ordering::Acquire))
     }
 
-    /// Replaces the units by what `change` makes of them, tried again while others change them; returns whether it made
-    /// anything of them.
+    /// Applies `change` to the units atomically, with retries under contention; returns whether `change`
+    /// returned a new value.
     fn update(&self, mut change: impl FnMut(Units) -> Option<Units>) -> bool {
         self.packed
             .fetch_update(Ordering::AcqRel, Ordering::Acquire, |packed| {
--- a/crates/fleet/src/datagram.rs
+++ b/crates/fleet/src/datagram.rs
@@ -1,7 +1,8 @@
-//! The datagrams that members exchange over UDP: a version, the fleet's tag, a MAC, and a body in postcard.
+//! The datagrams that members exchange over UDP: a header with version, fleet tag and MAC, and a body in
+//! postcard.
 //!
-//! A datagram has at most [`MAX_DATAGRAM_BYTES`]. What is larger goes in parts: each [`Delta`] is of use by itself, and
-//! what got lost is sent again after the next digest, so nothing here needs a stream.
+//! A datagram has at most [`MAX_DATAGRAM_BYTES`]. Larger content is split: each [`Delta`] can be merged on
+//! its own, and a lost one is sent again after the next digest, so no stream is needed.
 
 use crate::incarnation::is_valid_name;
 use crate::membership::Member;
@@ -13,7 +14,7 @@
 
 /// The most bytes of a datagram: what a network path carries without fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
-/// The version of the format that this program speaks. Datagrams of another one are rejected.
+/// The version of the datagram format. Datagrams of any other version are rejected.
 pub const PROTOCOL_VERSION: u8 = 1;
 
 const MAGIC: &[u8; 2] = b"SU";
@@ -24,25 +25,25 @@
 const HEADER_BYTES: usize = MAC_START + MAC_BYTES;
 const MAX_TENANT_BYTES: usize = 128;
 const MAX_WORKER_NAME_BYTES: usize = 128;
-/// A base has fewer rows than this.
+/// Exclusive upper limit of the number of rows in a base.
 const MAX_BASE_ROWS: u64 = 1 << 24;
 
-/// The body of a datagram. Encoded by position: the order of variants is part of the format.
+/// The body of a datagram. It is encoded by position: the order of the variants is part of the format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DatagramBody {
-    /// A new member that knows the receiver's address only.
+    /// Sent by a new member that knows only the receiver's address.
     Hello,
-    /// Membership: a message of the `foca` crate.
+    /// A membership message, encoded by the `foca` crate.
     Membership(Vec<u8>),
-    /// What the sender holds of the usage counters.
+    /// The versions of the usage counters that the sender holds.
     UsageDigest(UsageDigest),
-    /// Usage counters.
+    /// Changes of usage counters.
     UsageDeltas(Vec<Delta>),
-    /// Up to which version the sender holds the receiver's own counters.
+    /// The version of the receiver's own counters that the sender holds.
     UsageAcknowledged(u64),
-    /// Units of a quota are wanted.
+    /// Requests units of a quota.
     LeaseRequest(LeaseRequest),
-    /// Units of a quota are lent.
+    /// Grants units of a quota.
     LeaseGrant(LeaseGrant),
     /// Observations of workers.
     Observations(Vec<Observation>),
@@ -51,34 +52,34 @@
 /// A datagram without its header.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// Who sent it.
+    /// The member that sent the datagram.
     pub sender: Member,
-    /// What it says.
+    /// The message.
     pub body: DatagramBody,
 }
 
-/// Why a datagram was rejected. The texts are keys of the operators' JSON.
+/// Why a datagram was rejected. The texts are keys of the JSON for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum DatagramError {
     /// Too short or too long.
     #[error("cut")]
     Truncated,
-    /// Of another fleet, or not a datagram of any fleet.
+    /// From another fleet, or not a datagram of any fleet.
     #[error("foreign")]
     ForeignFleet,
-    /// Of another version of the format.
+    /// Another version of the format.
     #[error("version")]
     UnsupportedVersion(u8),
-    /// Its MAC does not match.
+    /// The MAC does not match.
     #[error("spoilt")]
     BadMac,
-    /// Its body cannot be decoded, or a value in it is out of bounds.
+    /// The body cannot be decoded, or one of its values is out of bounds.
     #[error("unreadable")]
     Malformed,
-    /// From an earlier incarnation of its sender.
+    /// From an earlier incarnation of the sender.
     #[error("earlier life")]
     StaleIncarnation,
-    /// From a member whose clock is far ahead.
+    /// From a member whose clock is too far ahead.
     #[error("clock")]
     ClockAhead,
 }
@@ -91,7 +92,7 @@
 }
 
 impl DatagramCodec {
-    /// The codec of the fleet with this key.
+    /// Creates the codec of the fleet with this key.
     pub fn new(key: [u8; 32]) -> DatagramCodec {
         let derived = blake3::derive_key("streamusher fleet mark 1", &key);
         let mut fleet_tag = [0; TAG_BYTES];
@@ -107,7 +108,7 @@
         mac
     }
 
-    /// The bytes of a datagram; none if they are more than [`MAX_DATAGRAM_BYTES`].
+    /// Encodes a datagram; returns `None` if it would be longer than [`MAX_DATAGRAM_BYTES`].
     pub fn encode(&self, datagram: &Datagram) -> Option<Vec<u8>> {
         let body = postcard::to_stdvec(datagram).ok()?;
         let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
@@ -119,7 +120,8 @@
         (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
-    /// Decodes a datagram. The body is decoded only after the length, the fleet, the MAC and the version are right.
+    /// Decodes a datagram. The body is decoded only after the length, the fleet tag, the MAC and the version
+    /// have been checked.
     ///
     /// # Errors
     /// The first of these checks that fails, or [`DatagramError::Malformed`] for the body.
@@ -146,7 +148,7 @@
     }
 }
 
-/// Compares two MACs by their hashes, which `blake3` compares in constant time.
+/// Compares two MACs by their hashes, because `blake3` compares hashes in constant time.
 fn macs_match(expected: &[u8], found: &[u8]) -> bool {
     let hash = |mac| blake3::Hash::from_bytes(blake3::derive_key("streamusher mac", mac));
     hash(expected) == hash(found)
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,19 +1,22 @@
-//! What the dispatchers of one fleet share, as pure state machines: they take the current time and the datagrams that
-//! came, and return those that are to be sent. They open no socket, read no clock, and draw random numbers from a seed.
+//! State shared by the dispatchers of one fleet, as pure state machines: they take the current time and
+//! received datagrams as arguments and return the datagrams to send. They open no socket, read no clock, and
+//! draw random numbers from a seed.
 //!
-//! - [`incarnation`]: a member's name, and which of its processes.
-//! - [`membership`]: which members there are, by name and incarnation (SWIM with suspicion, the `foca` crate).
-//! - [`usage`], [`usage_counters`]: what is counted, in grow-only counters that converge at every member;
-//!   [`usage_totals`] are their sums.
-//! - [`quota`]: quotas over the whole fleet, divided into shares that members lend to each other for a time.
-//! - [`allowance`]: where the data path acquires units of a quota, with one atomic exchange.
-//! - [`outlier`]: members' observations of workers, and when they are believed.
-//! - [`datagram`]: what goes over the wire, under a MAC.
-//! - [`node`]: one member, all of these together, with its [`settings`], its [`status`] for operators, and in [`outbox`]
-//!   what it wants sent.
+//! - [`incarnation`]: a member's name and the number of its current process.
+//! - [`membership`]: the known members, by name and incarnation (SWIM with suspicion, the `foca` crate).
+//! - [`usage`], [`usage_counters`]: usage metrics in grow-only counters that converge at every member;
+//!   [`usage_totals`] holds their sums.
+//! - [`quota`]: quotas over the whole fleet, divided into shares that members lend to each other under
+//!   leases.
+//! - [`allowance`]: the data path's side of a quota, which acquires units with one atomic exchange.
+//! - [`outlier`]: members' observations of workers, and the rules for ejecting a worker on them.
+//! - [`datagram`]: the wire format, authenticated by a MAC.
+//! - [`node`]: one member, which combines all of these, with its [`settings`], its [`status`] for operators,
+//!   and its outbound datagrams in [`outbox`].
 //!
-//! The program around it calls [`FleetNode::receive`](node::FleetNode::receive) for each datagram and
-//! [`FleetNode::tick`](node::FleetNode::tick) when its deadline has come, and sends what waits after both:
+//! The embedding program calls [`FleetNode::receive`](node::FleetNode::receive) for each datagram and
+//! [`FleetNode::tick`](node::FleetNode::tick) when its deadline is reached, and sends the outbound datagrams
+//! after both:
 //!
 //! ```
 //! use std::sync::Arc;
@@ -50,7 +53,7 @@
 //! let outbound = node.take_outbound();
 //! assert_eq!(outbound[0].to, "127.0.0.1:7001".parse().unwrap());
 //!
-//! // The share comes in once an earlier incarnation's loans must have ended.
+//! The member receives its share once the loans of an earlier incarnation must have ended.
 //! assert!(!allowance.try_acquire(0));
 //! for second in 1..=5 {
 //!     node.tick(second * SECOND, (1_790_000_000 + second) * SECOND);
@@ -58,7 +61,7 @@
 //! assert!(allowance.try_acquire(5 * SECOND));
 //! ```
 //!
-//! The bounds and how they are proved stand in `docs/design/shared-state.md`.
+//! The bounds and their proofs are in `docs/design/shared-state.md`.
 
 pub mod allowance;
 pub mod datagram;
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -1,6 +1,6 @@
-//! Which members there are: SWIM with suspicion and indirect probes (Das and others: SWIM, sections 3 and 4), as the
-//! `foca` crate has it. This module adds timers that take the current time as an argument, and the rule that of two
-//! incarnations of one name the later one counts.
+//! The members of the fleet: SWIM with suspicion and indirect probes (Das and others: SWIM, sections 3 and
+//! 4), as implemented by the `foca` crate. This module adds timers that take the current time as an argument,
+//! and the rule that the later of two incarnations of a name wins.
 
 use crate::incarnation::{Incarnation, Micros};
 use foca::{
@@ -18,35 +18,35 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Members that are asked to probe one that did not answer.
+/// Members that are asked to probe a member that did not answer directly.
 const INDIRECT_PROBES: NonZeroUsize = NonZeroUsize::new(3).unwrap();
-/// How often an update is sent along with other messages.
+/// How many times an update is piggybacked on other messages.
 const MAX_TRANSMISSIONS: NonZeroU8 = NonZeroU8::new(10).unwrap();
-/// The most bytes of one membership message, so that it fits a datagram.
+/// The most bytes of one membership message, so that it fits into a datagram.
 const MAX_MESSAGE_BYTES: NonZeroUsize = NonZeroUsize::new(1_100).unwrap();
 const ONE_MEMBER: NonZeroUsize = NonZeroUsize::new(1).unwrap();
 const TWO_MEMBERS: NonZeroUsize = NonZeroUsize::new(2).unwrap();
-/// Probe periods after which a suspected member is declared dead.
+/// Probe periods from suspicion to the declaration of death.
 const SUSPICION_PERIODS: u32 = 5;
-/// How long a member that is down stays known. Those are announced to now and then, so that two halves of a partitioned
-/// fleet find each other again.
+/// How long a member that is down stays known. This member announces itself to such members periodically, so
+/// that the two halves of a partitioned fleet find each other again.
 const DOWN_RETENTION: Duration = Duration::from_hours(24);
 
-/// A member as others know it: an incarnation, and where it is reached.
+/// A member as known to others: an incarnation and its address.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// The member's name.
     pub name: Arc<str>,
-    /// The number of its incarnation.
+    /// The number of the incarnation.
     pub number: u64,
-    /// Where it is reached.
+    /// The UDP address at which the member receives datagrams.
     pub address: SocketAddr,
-    /// How often it renewed its identity because it was declared dead.
+    /// How often the member renewed its identity because it was declared dead.
     pub renewals: u32,
 }
 
 impl Member {
-    /// A member that was never declared dead.
+    /// Creates a member that was never declared dead.
     pub fn new(name: &str, number: u64, address: SocketAddr) -> Member {
         Member {
             name: Arc::from(name),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Its incarnation.
+    /// The member's incarnation.
     pub fn incarnation(&self) -> Incarnation {
         Incarnation {
             name: self.name.clone(),
@@ -84,10 +84,10 @@
     }
 }
 
-/// What became known of the fleet's members.
+/// A change in the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipEvent {
-    /// A member is there.
+    /// A member came up.
     Up(Member),
     /// A member was declared dead.
     Down(Member),
@@ -101,37 +101,37 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberHealth {
-    /// It answers.
+    /// The member answers probes.
     Alive,
-    /// It did not answer, neither directly nor through others.
+    /// The member did not answer, neither directly nor through others.
     Suspect,
-    /// It was declared dead.
+    /// The member was declared dead.
     Down,
 }
 
-/// A membership message, and to whom it is to be sent.
+/// A membership message and its receiver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipMessage {
     /// The receiver.
     pub to: Member,
-    /// The message, opaque.
+    /// The message, opaque to this crate.
     pub bytes: Vec<u8>,
 }
 
-/// What the membership protocol wants done, and what became known.
+/// Messages to send and changes of the membership.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MembershipOutput {
-    /// To be sent, in this order.
+    /// Messages, in the order in which they must be sent.
     pub messages: Vec<MembershipMessage>,
-    /// In the order in which they happened.
+    /// Changes, in the order in which they occurred.
     pub events: Vec<MembershipEvent>,
 }
 
-/// The members that one of them knows.
+/// The membership of the fleet, as known to one member.
 pub struct Membership {
     foca: Foca<Member, PostcardCodec, Pcg64Mcg, NoCustomBroadcast>,
     runtime: AccumulatingRuntime<Member>,
-    /// When timers are due, with their numbers.
+    /// The due times of the timers, with the timers' numbers.
     deadlines: BinaryHeap<Reverse<(Micros, u64)>>,
     timers: BTreeMap<u64, Timer<Member>>,
     last_timer: u64,
@@ -161,8 +161,8 @@
 }
 
 impl Membership {
-    /// A member that knows no other. One member is probed every `probe_period`, and declared dead after five more
-    /// without an answer.
+    /// Creates a member that knows no other. One member is probed every `probe_period`, and declared dead
+    /// after five more without an answer.
     pub fn new(local: Member, probe_period: Micros, seed: u64) -> Membership {
         let rng = Pcg64Mcg::seed_from_u64(seed);
         let config = config(Duration::from_micros(probe_period));
@@ -176,29 +176,29 @@
         }
     }
 
-    /// This member, as others know it.
+    /// This member, as known to others.
     pub fn local(&self) -> &Member {
         self.foca.identity()
     }
 
-    /// Takes another member's message. One that cannot be used changes nothing.
+    /// Handles another member's message. A message that cannot be used is ignored.
     pub fn on_message(&mut self, bytes: &[u8]) {
         let _ = self.foca.handle_data(bytes, &mut self.runtime);
     }
 
-    /// Announces this member to another.
+    /// Announces this member to another member.
     pub fn announce(&mut self, other: Member) {
         if other.name != self.foca.identity().name {
             let _ = self.foca.announce(other, &mut self.runtime);
         }
     }
 
-    /// Leaves, so that others need not wait until they find out.
+    /// Announces that this member leaves, so that the others need not detect it by probes.
     pub fn leave(&mut self) {
         let _ = self.foca.leave_cluster(&mut self.runtime);
     }
 
-    /// Takes the current time: timers that are due run.
+    /// Runs the timers that are due at the current time.
     pub fn tick(&mut self, now: Micros) {
         while let Some(Reverse((due, number))) = self.deadlines.peek().copied() {
             if due > now {
@@ -222,7 +222,7 @@
         }
     }
 
-    /// What is to be sent and what became known since this was last called.
+    /// Takes the messages and the changes that have accumulated since the previous call.
     pub fn take_output(&mut self, now: Micros) -> MembershipOutput {
         self.start_timers(now);
         let mut output = MembershipOutput::default();
@@ -242,24 +242,24 @@
         output
     }
 
-    /// When [`Membership::tick`] is to be called next.
+    /// The latest time for the next call of [`Membership::tick`]; `None` if no timer is set.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.deadlines.peek().map(|Reverse((due, _))| *due)
     }
 
-    /// Others that are there, those suspected included.
+    /// Other members that are up, including suspected ones.
     pub fn alive(&self) -> impl Iterator<Item = &Member> {
         self.foca.iter_members().map(foca::Member::id)
     }
 
-    /// All others that are known.
+    /// All other members that are known, including those that are down.
     pub fn all(&self) -> impl Iterator<Item = (&Member, MemberHealth)> {
         self.foca
             .iter_membership_state()
             .map(|member| (member.id(), health(member.state())))
     }
 
-    /// How many members were seen to come up or go down.
+    /// Number of times that members came up or went down.
     pub fn changes(&self) -> u64 {
         self.changes
     }
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -1,10 +1,11 @@
-//! One member of a fleet: membership, usage counters, quota leases and outlier detection together. It takes the current
-//! time and the datagrams that came, and returns those that are to be sent.
+//! One member of a fleet: membership, usage counters, quota leases and outlier detection together. It takes
+//! the current time and received datagrams as arguments and returns the datagrams to send.
 //!
-//! In each gossip round it sends a digest to two members at random, and answers theirs with what they lack. Own usage
-//! counters go at once to the members that succeed it in the ring of names, one more than the required copies; they
-//! acknowledge how much they hold. A member whose process was stopped for longer than half a lease lets nothing be
-//! acquired until it has heard the others again.
+//! In each gossip round the member sends a digest to two random members, and answers a received digest with
+//! the deltas that its sender lacks. The member's own usage counters are sent immediately to its successors
+//! in the ring of names, one more than the required copies; the receivers acknowledge the version that they
+//! hold. A member whose process was stopped for longer than half a lease blocks all acquisitions until it
+//! receives a datagram from another member.
 
 use crate::allowance::QuotaAllowance;
 use crate::datagram::{Datagram, DatagramBody, DatagramCodec, DatagramError};
@@ -26,21 +27,21 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How far ahead of this one's Unix time another member's may be.
+/// The largest accepted lead of another member's Unix time over the local one.
 const MAX_CLOCK_AHEAD: Micros = 24 * 3_600 * 1_000_000;
 /// The shortest time between two probes of the membership protocol.
 const MIN_PROBE_PERIOD: Micros = 100_000;
 /// Gossip intervals between two probes of the membership protocol.
 const GOSSIP_INTERVALS_PER_PROBE: u64 = 5;
-/// Members that are sent a digest in each round.
+/// Members that receive a digest in each round.
 const DIGEST_RECEIVERS: usize = 2;
-/// Observations sent along with a digest.
+/// The most observations sent along with a digest.
 const OBSERVATIONS_PER_MESSAGE: usize = 6;
-/// A member that knows others calls a missing address of the settings once in so many rounds.
+/// A member that knows other members sends a hello to a missing join address once in this many rounds.
 const HELLO_INTERVAL_ROUNDS: u64 = 4;
-/// Rounds between two looks for incarnations to compact.
+/// Rounds between two searches for incarnations to compact.
 const COMPACTION_INTERVAL_ROUNDS: u64 = 10;
-/// Separates the random numbers of gossip from those of the membership protocol.
+/// XORed into the seed so that gossip and the membership protocol draw different random numbers.
 const GOSSIP_SEED: u64 = 0x5eed;
 
 /// One member of a fleet. See the module's documentation.
@@ -49,10 +50,10 @@
     codec: DatagramCodec,
     membership: Membership,
     usage: UsageReplication,
-    /// Observations of workers.
+    /// Observations of workers, by this member and by others.
     pub outliers: OutlierDetector,
     quota_leases: QuotaLeases<Arc<QuotaAllowance>>,
-    /// By quota, how many units the data path would have in use.
+    /// By quota index, the number of units that the data path would use if it had them.
     wanted_units: Vec<u64>,
     outbox: Outbox,
     rejected_datagrams: BTreeMap<DatagramError, u64>,
@@ -60,7 +61,7 @@
     next_gossip: Micros,
     gossip_rounds: u64,
     last_tick: Micros,
-    /// Since when this member does not rely on what it holds: it was stopped, and has not heard the others since.
+    /// Since when this member has been stale: its process was stopped, and it has received no datagram since.
     stale_since: Option<Micros>,
     wall_time: Micros,
     declared_dead: u64,
@@ -69,7 +70,7 @@
 }
 
 impl FleetNode {
-    /// An incarnation that starts now and knows nothing of others, with an allowance for each quota. `wall_time` is Unix
+    /// Starts an incarnation that knows no other members, with one allowance per quota. `wall_time` is Unix
     /// time.
     pub fn new(
         settings: FleetSettings,
@@ -109,7 +110,7 @@
         }
     }
 
-    /// The period that a moment of Unix time falls into.
+    /// The usage period that contains a point of Unix time.
     #[expect(
         clippy::cast_possible_truncation,
         reason = "periods are hours at least"
@@ -118,12 +119,12 @@
         (wall_time / self.settings.period) as u32
     }
 
-    /// Increments own usage counters; returns the version that includes it.
+    /// Increments the member's own usage counters; returns the version that includes the increment.
     pub fn increment(&mut self, key: UsageKey, values: &UsageValues) -> u64 {
         self.usage.increment(key, values)
     }
 
-    /// Takes a datagram. `wall_time` is Unix time.
+    /// Handles a received datagram. `wall_time` is Unix time.
     pub fn receive(&mut self, now: Micros, wall_time: Micros, bytes: &[u8]) {
         self.wall_time = wall_time;
         let accepted = self
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Checks the sender's incarnation.
+    /// Rejects a datagram from a stale incarnation or from a member whose clock is too far ahead.
     fn admit(
         &mut self,
         now: Micros,
@@ -186,7 +187,8 @@
         self.process_membership(now);
     }
 
-    /// Answers a digest with what its sender lacks, and with a digest of the same interval if that is wanted.
+    /// Answers a digest with the deltas that its sender lacks, and with a digest of the same interval if one
+    /// is requested.
     fn on_usage_digest(&mut self, sender: &Member, digest: UsageDigest) {
         let answer = self.usage.on_digest(&sender.name, digest);
         self.send_deltas(sender, answer.deltas);
@@ -198,7 +200,9 @@
     /// Merges deltas, and acknowledges those of the sender's own counters.
     fn on_usage_deltas(&mut self, sender: &Member, deltas: &[Delta]) {
         let local = &self.settings.local;
-        self.replaced |= deltas.iter().any(|delta| is_of_later(delta, local));
+        self.replaced |= deltas
+            .iter()
+            .any(|delta| is_from_later_incarnation(delta, local));
         let newest_period = self.period(self.wall_time) + 1;
         let acknowledged = self
             .usage
@@ -208,7 +212,7 @@
         }
     }
 
-    /// Takes the current time; `wall_time` is Unix time.
+    /// Advances the member to the current time; `wall_time` is Unix time.
     pub fn tick(&mut self, now: Micros, wall_time: Micros) {
         self.wall_time = wall_time;
         self.update_staleness(now);
@@ -231,8 +235,8 @@
         self.process_membership(now);
     }
 
-    /// A member that was stopped may be declared dead by the others, so it is stale until it hears them again. One that
-    /// hears nobody goes on alone after a lease, with its own units.
+    /// Marks the member stale after a pause: the others may have declared it dead, so it stays stale until it
+    /// receives a datagram. A member that receives none continues alone after one lease, with its own units.
     fn update_staleness(&mut self, now: Micros) {
         let lease = self.settings.terms.lease;
         if now.saturating_sub(self.last_tick) > lease / 2 {
@@ -245,7 +249,7 @@
         }
     }
 
-    /// Sends what the membership protocol has to send, and takes its events.
+    /// Sends the messages of the membership protocol, and handles its events.
     fn process_membership(&mut self, now: Micros) {
         let output = self.membership.take_output(now);
         for message in output.messages {
@@ -270,7 +274,7 @@
             self.send(receiver, DatagramBody::UsageDigest(digest));
             self.send_observations(now, receiver);
         }
-        self.call_missing_address(&alive);
+        self.send_hello_to_missing_address(&alive);
         let names: Vec<Arc<str>> = alive.iter().map(|member| member.name.clone()).collect();
         for quota in 0..self.wanted_units.len() {
             self.update_demand(quota);
@@ -296,8 +300,8 @@
         }
     }
 
-    /// Calls one address of the settings at which no member is known.
-    fn call_missing_address(&mut self, alive: &[Member]) {
+    /// Sends a hello to one join address at which no member is known.
+    fn send_hello_to_missing_address(&mut self, alive: &[Member]) {
         let own = self.settings.address;
         let is_known = |address: &SocketAddr| {
             *address == own || alive.iter().any(|member| member.address == *address)
@@ -316,8 +320,9 @@
         }
     }
 
-    /// Estimates how many units of a quota the data path would have in use: more by what was denied, at most by half of
-    /// what is held at a time; else what is in use, approached by a tenth at a time.
+    /// Estimates how many units of a quota the data path would use. Denied acquisitions raise the estimate,
+    /// by at most half of the held units plus 4 at a time; without any it falls towards the units in use by a
+    /// tenth at a time.
     fn update_demand(&mut self, quota: usize) {
         let allowance = &self.quota_leases.allowances[quota];
         let held = allowance.held().total();
@@ -341,14 +346,15 @@
         }
     }
 
-    /// Sends own usage counters to the members that are to hold them, as far as those lack any.
+    /// Sends the member's own usage counters to those of its ring successors that lack any.
     pub fn send_own_usage(&mut self, now: Micros) {
         for outbound in self.usage.own_deltas_to_send(now, &self.membership) {
             self.send_deltas(&outbound.to, outbound.deltas);
         }
     }
 
-    /// The version of the own usage counters that enough other members hold, of those not declared dead.
+    /// The version of the own usage counters that the required number of other members hold, not counting
+    /// members declared dead.
     pub fn replicated_version(&self) -> u64 {
         self.usage.replicated_version(&self.membership)
     }
@@ -363,50 +369,52 @@
         self.outbox.send(sender, to.address, body);
     }
 
-    /// Takes the datagrams that are to be sent.
+    /// Takes the datagrams to send, in the order in which they were queued.
     pub fn take_outbound(&mut self) -> Vec<OutboundDatagram> {
         self.outbox.take()
     }
 
-    /// Takes a member for one that was not heard for [`FleetSettings::forget_after`].
+    /// Treats a member as not heard for [`FleetSettings::forget_after`], so that it no longer delays
+    /// compaction.
     pub fn forget_member(&mut self, name: &str) {
         self.usage.forget_member(name);
     }
 
-    /// This incarnation is about to end: its counters go to another member, whether copies are required or not.
+    /// Prepares for the end of this incarnation: its counters are replicated to another member even if no
+    /// copies are required.
     pub fn start_handover(&mut self) {
         self.usage.start_handover();
     }
 
-    /// Whether enough other members hold all own counters, or there is none that could.
+    /// Whether enough other members hold all own counters, or no other member is alive.
     pub fn handover_complete(&self) -> bool {
         self.usage.handover_complete(&self.membership)
     }
 
-    /// Leaves the fleet.
+    /// Leaves the fleet; queues the messages that announce it.
     pub fn leave(&mut self, now: Micros) {
         self.membership.leave();
         self.process_membership(now);
     }
 
-    /// When [`FleetNode::tick`] is to be called at the latest.
+    /// The latest time for the next call of [`FleetNode::tick`].
     pub fn next_deadline(&self) -> Micros {
         self.membership
             .next_deadline()
             .map_or(self.next_gossip, |due| due.min(self.next_gossip))
     }
 
-    /// Whether a later incarnation of this name is there: this process is not to go on.
+    /// Whether a later incarnation of this name has been seen: this process must not continue.
     pub fn is_replaced(&self) -> bool {
         self.replaced
     }
 
-    /// The usage totals of the fleet, as this member has them.
+    /// The usage totals of the fleet, as held by this member.
     pub fn totals(&self) -> UsageTotals {
         self.usage.counters().totals()
     }
 
-    /// The state of this member, for operators.
+    /// The state of this member, in the form shown to operators.
     pub fn status(&self, now: Micros) -> FleetStatus {
         let counters = self.usage.counters();
         let size = counters.size();
@@ -476,8 +484,8 @@
     }
 }
 
-/// Whether a delta is of a later incarnation of this name.
-fn is_of_later(delta: &Delta, local: &Incarnation) -> bool {
+/// Whether a delta belongs to a later incarnation of the local name.
+fn is_from_later_incarnation(delta: &Delta, local: &Incarnation) -> bool {
     match delta {
         Delta::Incarnation { incarnation, .. } => {
             incarnation.name == local.name && incarnation.number > local.number
--- a/crates/fleet/src/outbox.rs
+++ b/crates/fleet/src/outbox.rs
@@ -1,4 +1,4 @@
-//! Datagrams that wait to be sent, and the limits of what fits into one.
+//! Queue of outbound datagrams, and the splitting of content into datagrams.
 
 use crate::datagram::{Datagram, DatagramBody, DatagramCodec, MAX_DATAGRAM_BYTES};
 use crate::membership::Member;
@@ -6,22 +6,22 @@
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// Bytes of a datagram that its body may have, beside the header and the sender.
+/// The most bytes of a datagram's content, without the header and the sender.
 const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - 200;
 
-/// An encoded datagram, and where it is to be sent.
+/// An encoded datagram and its destination.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutboundDatagram {
     /// The receiver's address.
     pub to: SocketAddr,
-    /// The bytes.
+    /// The encoded datagram.
     pub bytes: Vec<u8>,
 }
 
-/// Datagrams that wait to be sent.
+/// Outbound datagrams that have not been taken for sending.
 pub(crate) struct Outbox {
     codec: DatagramCodec,
-    waiting: Vec<OutboundDatagram>,
+    queued: Vec<OutboundDatagram>,
     sent_bytes: u64,
     sent_datagrams: u64,
 }
@@ -30,13 +30,13 @@
     pub(crate) fn new(codec: DatagramCodec) -> Outbox {
         Outbox {
             codec,
-            waiting: Vec::new(),
+            queued: Vec::new(),
             sent_bytes: 0,
             sent_datagrams: 0,
         }
     }
 
-    /// Adds a datagram; one that is too long is dropped.
+    /// Encodes and queues a datagram; one that is too long is dropped.
     pub(crate) fn send(&mut self, sender: &Member, to: SocketAddr, body: DatagramBody) {
         let datagram = Datagram {
             sender: sender.clone(),
@@ -45,11 +45,11 @@
         if let Some(bytes) = self.codec.encode(&datagram) {
             self.sent_bytes += bytes.len() as u64;
             self.sent_datagrams += 1;
-            self.waiting.push(OutboundDatagram { to, bytes });
+            self.queued.push(OutboundDatagram { to, bytes });
         }
     }
 
-    /// Adds deltas, as many as fit to a datagram.
+    /// Queues deltas, with as many in one datagram as fit.
     pub(crate) fn send_deltas(&mut self, sender: &Member, to: SocketAddr, deltas: Vec<Delta>) {
         let mut batch = Vec::new();
         let mut batch_bytes = 0;
@@ -68,23 +68,23 @@
         }
     }
 
-    /// Takes all that waits.
+    /// Takes all queued datagrams.
     pub(crate) fn take(&mut self) -> Vec<OutboundDatagram> {
-        std::mem::take(&mut self.waiting)
+        std::mem::take(&mut self.queued)
     }
 
-    /// Bytes of all datagrams so far.
+    /// Total bytes of all datagrams queued so far.
     pub(crate) fn sent_bytes(&self) -> u64 {
         self.sent_bytes
     }
 
-    /// Datagrams so far.
+    /// Number of datagrams queued so far.
     pub(crate) fn sent_datagrams(&self) -> u64 {
         self.sent_datagrams
     }
 }
 
-/// Leaves as many summaries as fit into a datagram; returns whether all did.
+/// Truncates the summaries to as many as fit into a datagram; returns whether all did.
 pub(crate) fn truncate_to_datagram(summaries: &mut Vec<VersionSummary>) -> bool {
     let mut bytes = 0;
     let fits = |summary: &&VersionSummary| {
--- a/crates/fleet/src/outlier/mod.rs
+++ b/crates/fleet/src/outlier/mod.rs
@@ -1,8 +1,9 @@
-//! Outlier detection: members' observations of one worker are merged so that no member counts twice, few members cannot
-//! have a worker ejected, and all of them together eject no more than a fraction of a zone.
+//! Outlier detection: observations of one worker by several members are merged so that no member counts
+//! twice, a few members cannot have a worker ejected, and all of them together eject at most a fraction of a
+//! zone.
 //!
-//! An observation expires by itself; only its observer renews it. A member's own evidence takes precedence: a worker that
-//! has just served this member is not ejected here, whatever the others report.
+//! An observation expires unless its observer renews it. A member's own evidence takes precedence: a worker
+//! that has recently served this member is not ejected here, whatever the others report.
 
 mod observation;
 
@@ -12,41 +13,41 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The longest time that an observation holds, whatever its observer says.
+/// The longest lifetime of an observation; longer ones are capped.
 pub const MAX_OBSERVATION_LIFETIME: Micros = 30_000_000;
-/// The most observations that are kept; beyond it those that expire first are dropped.
+/// The most observations that are kept; when there are more, those that expire first are dropped.
 pub const MAX_OBSERVATIONS: usize = 4_096;
-/// The weight with which an observation is taken back.
+/// The weight of the observation that retracts an earlier one.
 const RETRACTION_WEIGHT: u8 = 1;
 
-/// When members together are believed.
+/// Conditions for an ejection.
 #[derive(Clone, Copy, Debug)]
 pub struct EjectionPolicy {
-    /// At least so many members must observe the same fault.
+    /// The number of members that must observe the same fault.
     pub min_observers: usize,
-    /// At most this fraction of a zone's workers is ejected.
+    /// The largest fraction of a zone's workers that is ejected.
     pub max_ejected_fraction: f64,
 }
 
-/// A worker that takes work, and its zone.
+/// A worker that accepts work, and its zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZonedWorker {
-    /// The worker.
+    /// The worker's current incarnation.
     pub worker: WorkerIncarnation,
-    /// Its zone.
+    /// The worker's zone.
     pub zone: Arc<str>,
 }
 
-/// A worker that members together found faulty.
+/// A worker that enough members have observed as faulty.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct Ejection {
     /// The worker's name in discovery.
     pub worker: Arc<str>,
-    /// The fault that weighs most.
+    /// The fault with the most weight.
     pub fault: WorkerFault,
-    /// The sum of its observers' weights.
+    /// The sum of the weights of all observers of the fault.
     pub weight: u32,
-    /// How many members observed it.
+    /// The number of members that observed the fault.
     #[serde(rename = "authors")]
     pub observers: usize,
 }
@@ -60,29 +61,29 @@
     expires_at: Micros,
 }
 
-/// What the observers of one fault come to.
+/// The total weight and the number of the observers of one fault.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct Support {
     weight: u32,
     observers: usize,
 }
 
-/// All observations that one member knows.
+/// All observations that one member holds.
 #[derive(Clone, Debug)]
 pub struct OutlierDetector {
     local: Incarnation,
     sequence: u64,
-    /// By worker, then by observer's name: no member counts twice, not even by two incarnations.
+    /// By worker, then by observer's name: no member counts twice, even with two incarnations.
     observations: BTreeMap<WorkerIncarnation, BTreeMap<Arc<str>, RecordedObservation>>,
     count: usize,
-    /// Workers that served this member itself, and until when that takes precedence.
+    /// Workers that have served this member, and until when that takes precedence over others' observations.
     exonerated_until: BTreeMap<WorkerIncarnation, Micros>,
-    /// The last observation that was shared.
+    /// The last observation that was sent, from which the next selection continues.
     cursor: Option<(WorkerIncarnation, Arc<str>)>,
 }
 
 impl OutlierDetector {
-    /// A detector that knows no observation.
+    /// Creates a detector without observations.
     pub fn new(local: Incarnation) -> OutlierDetector {
         OutlierDetector {
             local,
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Takes this member's own observation, which holds for `lifetime`.
+    /// Records this member's own observation of a fault, which expires after `lifetime`.
     pub fn on_fault(
         &mut self,
         now: Micros,
@@ -107,14 +108,20 @@
         self.record_own(now, worker, Some(fault), weight, lifetime);
     }
 
-    /// The worker has served this member: its own observation, if it had one, is taken back, and others' do not count
-    /// here for `lifetime`.
+    /// Records that the worker has served this member: the member's own observation, if there is one, is
+    /// retracted, and others' observations are ignored here for `lifetime`.
     pub fn on_success(&mut self, now: Micros, worker: WorkerIncarnation, lifetime: Micros) {
         let observers = self.observations.get(&worker);
         let own = observers.and_then(|by_observer| by_observer.get(&self.local.name));
         if own.is_some_and(|own| own.fault.is_some() && own.expires_at > now) {
-            let lasting = MAX_OBSERVATION_LIFETIME;
-            self.record_own(now, worker.clone(), None, RETRACTION_WEIGHT, lasting);
+            let retraction_lifetime = MAX_OBSERVATION_LIFETIME;
+            self.record_own(
+                now,
+                worker.clone(),
+                None,
+                RETRACTION_WEIGHT,
+                retraction_lifetime,
+            );
         }
         self.exonerated_until
             .insert(worker, now.saturating_add(lifetime));
@@ -139,7 +146,8 @@
         self.record(worker, self.local.name.clone(), observation);
     }
 
-    /// Takes others' observations. Those that name this member as the observer are not taken: it makes its own.
+    /// Records other members' observations. Those that name this member as the observer are ignored: a member
+    /// makes its own.
     pub fn on_observations(&mut self, now: Micros, observations: &[Observation]) {
         let own_name = self.local.name.clone();
         for observation in observations {
@@ -159,7 +167,7 @@
         }
     }
 
-    /// Keeps the later observation of one observer; the same one again does not hold longer.
+    /// Keeps the newest observation of each observer; a repeated one does not extend the lifetime.
     fn record(&mut self, worker: WorkerIncarnation, observer: Arc<str>, new: RecordedObservation) {
         let by_observer = self.observations.entry(worker).or_default();
         let Some(old) = by_observer.get_mut(&observer) else {
@@ -172,7 +180,7 @@
         }
     }
 
-    /// Drops what has expired, and what is too much.
+    /// Drops expired observations, and those above [`MAX_OBSERVATIONS`].
     pub fn tick(&mut self, now: Micros) {
         self.exonerated_until.retain(|_, until| *until > now);
         self.drop_expired(now);
@@ -187,7 +195,7 @@
         }
     }
 
-    /// Drops observations that expire at this time or before.
+    /// Drops observations that expire at or before this time.
     fn drop_expired(&mut self, time: Micros) {
         self.observations.retain(|_, by_observer| {
             by_observer.retain(|_, observation| observation.expires_at > time);
@@ -196,7 +204,7 @@
         self.count = self.observations.values().map(BTreeMap::len).sum();
     }
 
-    /// At most `limit` observations for another member, others each time.
+    /// Selects at most `limit` observations for another member; successive calls cycle through all of them.
     pub fn observations_to_share(&mut self, now: Micros, limit: usize) -> Vec<Observation> {
         let is_shared = |worker: &WorkerIncarnation, observer: &Arc<str>| {
             let cursor = self.cursor.as_ref();
@@ -222,8 +230,9 @@
         chosen
     }
 
-    /// Which of these workers are ejected: the worst first, and of each zone no more than the policy allows. A worker
-    /// that has served this member lately is not among them; a member's own observation counts as little as any other's.
+    /// The workers to eject, out of those given: the worst first, and in each zone no more than the policy
+    /// allows. A worker that has recently served this member is excluded; a member's own observation counts
+    /// as much as any other's.
     pub fn ejections(
         &self,
         now: Micros,
@@ -287,18 +296,18 @@
         })
     }
 
-    /// Observations held.
+    /// Number of observations held.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// Whether no observation is held.
+    /// Whether no observations are held.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 }
 
-/// How many workers of each zone may be ejected.
+/// The number of workers of each zone that may be ejected.
 fn allowed_ejections(
     policy: EjectionPolicy,
     workers: &[ZonedWorker],
@@ -327,7 +336,7 @@
     ) -> Observation {
         #[expect(
             clippy::cast_possible_truncation,
-            reason = "30 seconds at most, see the bound"
+            reason = "MAX_OBSERVATION_LIFETIME is 30 seconds"
         )]
         let remaining_ms = (self.expires_at.saturating_sub(now) / 1_000) as u32;
         Observation {
--- a/crates/fleet/src/outlier/observation.rs
+++ b/crates/fleet/src/outlier/observation.rs
@@ -1,4 +1,4 @@
-//! What members tell each other of workers.
+//! Observations of workers, as members exchange them.
 //!
 //! Observations are encoded by position: the order of fields and variants is part of the datagram format.
 
@@ -6,27 +6,27 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// What is wrong with a worker.
+/// The kind of a worker's fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WorkerFault {
-    /// It takes longer than others of its kind.
+    /// The worker takes longer than others of its kind.
     Slow,
-    /// Attempts fail there.
+    /// Attempts at the worker fail.
     Failing,
-    /// It has just started.
+    /// The worker has just started.
     Cold,
-    /// It rejects requests because of overload.
+    /// The worker rejects requests because of overload.
     Full,
 }
 
-/// One incarnation of a worker. Encoded as a pair.
+/// One incarnation of a worker. It is encoded as a pair.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "(Arc<str>, u64)", into = "(Arc<str>, u64)")]
 pub struct WorkerIncarnation {
-    /// Its name in discovery.
+    /// The worker's name in discovery.
     pub name: Arc<str>,
-    /// When it started, Unix time in milliseconds.
+    /// The start of the worker's process, Unix time in milliseconds.
     pub started_ms: u64,
 }
 
@@ -45,16 +45,16 @@
 /// One member's observation of one worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observation {
-    /// The worker.
+    /// The worker incarnation that was observed.
     pub worker: WorkerIncarnation,
     /// The member that made the observation.
     pub observer: Incarnation,
     /// Increases with each observation of the observer: a later one of the same worker replaces the earlier.
     pub sequence: u64,
-    /// The fault; none takes an earlier observation back.
+    /// The fault; `None` retracts an earlier observation.
     pub fault: Option<WorkerFault>,
-    /// How sure the observer is, 1 to 100.
+    /// The observer's confidence, 1 to 100.
     pub weight: u8,
-    /// How much longer the observation holds, in milliseconds.
+    /// The remaining lifetime of the observation, in milliseconds.
     pub remaining_ms: u32,
 }
--- a/crates/fleet/src/peers.rs
+++ b/crates/fleet/src/peers.rs
@@ -1,41 +1,41 @@
-//! What a member knows of each other one beside its membership: when it was last heard, and how much of the own usage
-//! counters it holds.
+//! Per-member state beside the membership protocol: when a member was last heard, and which version of the
+//! local usage counters it holds.
 
 use crate::incarnation::Micros;
 use crate::membership::Member;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What is known of one other member.
+/// Replication state of one other member.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Peer {
-    /// The number of its incarnation.
+    /// The number of the member's incarnation.
     pub(crate) incarnation: u64,
-    /// When a datagram of it was last received; 0 if none ever was.
+    /// When a datagram was last received from the member; 0 if none was.
     pub(crate) last_heard: Micros,
-    /// Up to which version it holds the own counters, as far as it has said.
+    /// The highest version of the local counters that the member has acknowledged.
     pub(crate) acknowledged_version: u64,
-    /// Up to which version the own counters were sent to it.
+    /// The version of the local counters up to which they were sent to the member.
     sent_version: u64,
     sent_at: Micros,
 }
 
 impl Peer {
-    /// Takes what the peer says it holds.
+    /// Records a version that the peer has acknowledged.
     pub(crate) fn on_acknowledged(&mut self, version: u64) {
         self.acknowledged_version = self.acknowledged_version.max(version);
     }
 
-    /// From which version the own counters are to be sent, if the peer lacks any. What was sent is not sent again before
-    /// `answer_time` has passed, in which it could have been acknowledged.
+    /// The version after which the local counters must be sent, if the peer lacks any. Sent counters are not
+    /// sent again until `ack_timeout` has passed without an acknowledgement.
     pub(crate) fn version_to_send_from(
         &mut self,
         now: Micros,
-        answer_time: Micros,
+        ack_timeout: Micros,
         own_version: u64,
     ) -> Option<u64> {
-        let awaits_answer = now.saturating_sub(self.sent_at) < answer_time;
-        let from = if awaits_answer {
+        let awaits_ack = now.saturating_sub(self.sent_at) < ack_timeout;
+        let from = if awaits_ack {
             self.acknowledged_version.max(self.sent_version)
         } else {
             self.acknowledged_version
@@ -49,7 +49,7 @@
     }
 }
 
-/// All other members that were heard of, by name.
+/// All other members that are known, by name.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
     by_name: BTreeMap<Arc<str>, Peer>,
@@ -64,7 +64,7 @@
         self.by_name.entry(name.clone()).or_default()
     }
 
-    /// Notes that a datagram came; false if it is from an earlier incarnation than the one that is known.
+    /// Records a received datagram; returns false if it is from an earlier incarnation than the known one.
     pub(crate) fn on_datagram(&mut self, now: Micros, sender: &Member) -> bool {
         let peer = self.entry(&sender.name);
         if sender.number < peer.incarnation {
@@ -80,8 +80,8 @@
         true
     }
 
-    /// Notes a member that is up. A new incarnation begins from nothing: it holds no copy of the own counters, and what
-    /// it lent before ends by itself.
+    /// Records a member that is up. A new incarnation starts with empty state: it holds no copy of the local
+    /// counters, and the loans of its predecessor expire by themselves.
     pub(crate) fn on_member_up(&mut self, now: Micros, member: &Member) {
         let peer = self.entry(&member.name);
         if member.number > peer.incarnation {
@@ -97,7 +97,7 @@
         self.by_name.remove(name);
     }
 
-    /// The names of members that were heard within this time.
+    /// The names of members that were heard within the last `time`.
     pub(crate) fn heard_within(&self, now: Micros, time: Micros) -> Vec<Arc<str>> {
         let heard = |peer: &Peer| now.saturating_sub(peer.last_heard) < time;
         self.by_name
@@ -107,8 +107,8 @@
             .collect()
     }
 
-    /// The highest version of the own counters that at least `copies` of the peers hold for which `is_alive` holds;
-    /// `copies` is above 0.
+    /// The highest version of the local counters that at least `copies` of the peers selected by `is_alive`
+    /// hold; `copies` is above 0.
     pub(crate) fn replicated_version(
         &self,
         copies: usize,
--- a/crates/fleet/src/quota/loans.rs
+++ b/crates/fleet/src/quota/loans.rs
@@ -1,4 +1,4 @@
-//! The loans of one quota, as one member knows them: what it has lent, and what it has borrowed.
+//! The loans of one quota at one member, both lent and borrowed.
 
 use super::messages::{LeaseGrant, LeaseRequest};
 use crate::incarnation::{Incarnation, Micros};
@@ -9,20 +9,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct OutstandingGrant {
     units: u64,
-    /// When the units come back, on the lender's clock.
+    /// When the lender recovers the units, on the lender's clock.
     returns_at: Micros,
 }
 
-/// What is lent to one incarnation.
+/// Units lent to one incarnation.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Loan {
-    /// The last request that was answered.
+    /// The sequence number of the last request that was answered.
     pub(super) sequence: u64,
     grants: Vec<OutstandingGrant>,
 }
 
 impl Loan {
-    /// Units that the borrower may have in use. Each grant stands for all it may use, so this is the largest.
+    /// Units that the borrower may have in use. Each grant covers all units that the borrower may use, so the
+    /// largest grant counts.
     pub(super) fn outstanding(&self) -> u64 {
         self.grants
             .iter()
@@ -31,7 +32,7 @@
             .unwrap_or(0)
     }
 
-    /// The borrower uses no more than this from now on; earlier grants are void.
+    /// Caps the loan: the borrower uses at most `kept_units` from now on, and earlier grants are void.
     pub(super) fn limit_to(&mut self, kept_units: u64) {
         for grant in &mut self.grants {
             grant.units = grant.units.min(kept_units);
@@ -39,8 +40,8 @@
         self.grants.retain(|grant| grant.units > 0);
     }
 
-    /// Notes a grant. A grant of nothing is noted if it is the only one: the request's sequence number must stay known
-    /// for as long as the request may be repeated.
+    /// Records a grant. A grant of 0 units is recorded if it is the only one: the request's sequence number
+    /// must be remembered as long as the request may be repeated.
     pub(super) fn add_grant(&mut self, units: u64, returns_at: Micros) {
         if units > 0 || self.grants.is_empty() {
             self.grants.push(OutstandingGrant { units, returns_at });
@@ -48,27 +49,27 @@
     }
 }
 
-/// What is borrowed from one member.
+/// Units borrowed from one member.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct BorrowedUnits {
     pub(super) units: u64,
     pub(super) until: Micros,
-    /// The last request, and when it was sent.
+    /// The sequence number of the last request.
     pub(super) sequence: u64,
     pub(super) requested_at: Micros,
     pub(super) answered: bool,
-    /// What the lender last said it could lend besides.
+    /// Further units that the lender could lend, according to its last grant.
     pub(super) spare_units: Option<u64>,
 }
 
 impl BorrowedUnits {
-    /// Whether a grant answers the last request, for the first time.
+    /// Whether a grant is the first answer to the last request.
     pub(super) fn is_answered_by(&self, grant: &LeaseGrant) -> bool {
         self.sequence == grant.sequence && self.requested_at == grant.sent_at && !self.answered
     }
 }
 
-/// What is to be asked of one lender.
+/// The content of a request to one lender.
 pub(super) struct RequestDraft {
     pub(super) lender: Arc<str>,
     pub(super) kept_units: u64,
@@ -80,7 +81,7 @@
 pub(super) struct QuotaLoans {
     pub(super) lent: BTreeMap<Incarnation, Loan>,
     pub(super) borrowed: BTreeMap<Arc<str>, BorrowedUnits>,
-    /// What the data path would have in use if it could.
+    /// The number of units that the data path would use if it had them.
     pub(super) wanted_units: u64,
 }
 
@@ -95,7 +96,7 @@
         self.borrowed.values().map(|borrowed| borrowed.units).sum()
     }
 
-    /// The earliest end of what is borrowed; as late as can be if nothing is.
+    /// The earliest expiry of the borrowed units; `Micros::MAX` if none are borrowed.
     pub(super) fn earliest_expiry(&self) -> Micros {
         self.borrowed
             .values()
@@ -105,7 +106,7 @@
             .unwrap_or(Micros::MAX)
     }
 
-    /// Drops grants whose time is over; returns how many units came back.
+    /// Drops grants that have ended; returns how many units were recovered.
     pub(super) fn recover_lent(&mut self, now: Micros) -> u64 {
         let before = self.lent_units();
         for loan in self.lent.values_mut() {
@@ -127,8 +128,8 @@
         expired
     }
 
-    /// Requests to lenders: to give units back, to renew loans that end soon, and to borrow more of the same lenders.
-    /// `to_return` units go back, and `missing` is reduced by what is asked for.
+    /// Requests to present lenders: to return units, to renew loans that expire soon, and to borrow more.
+    /// `to_return` units are returned, and `missing` is reduced by the additional units requested.
     pub(super) fn renewals(
         &mut self,
         now: Micros,
@@ -144,10 +145,10 @@
             let returned = borrowed.units.min(to_return);
             borrowed.units -= returned;
             to_return -= returned;
-            let ends_soon = borrowed.until.saturating_sub(now) < lease * 2 / 3;
+            let expires_soon = borrowed.until.saturating_sub(now) < lease * 2 / 3;
             let since_request = now.saturating_sub(borrowed.requested_at);
-            let awaits_answer = !borrowed.answered && since_request < lease / 6;
-            if returned > 0 || ends_soon && !awaits_answer {
+            let awaits_grant = !borrowed.answered && since_request < lease / 6;
+            if returned > 0 || expires_soon && !awaits_grant {
                 let more = (*missing).min(borrowed.spare_units.unwrap_or(0));
                 *missing -= more;
                 drafts.push(RequestDraft {
@@ -160,7 +161,8 @@
         drafts
     }
 
-    /// Units that a member with this share may have to lend, as far as is known; 0 if it was asked a moment ago.
+    /// Estimated number of units that a member with this share can lend; 0 if it was asked within the last
+    /// twelfth of a lease.
     pub(super) fn expected_spare(
         &self,
         now: Micros,
@@ -175,14 +177,14 @@
         if since_request < lease / 12 {
             return 0;
         }
-        // What a lender said holds for a while; then it may have more.
+        // A lender's last report is used for a third of a lease; after that it may have more.
         if since_request > lease / 3 {
             return share;
         }
         borrowed.spare_units.unwrap_or(0)
     }
 
-    /// Notes that a request was sent.
+    /// Records that a request was sent.
     pub(super) fn on_request_sent(&mut self, lender: &Arc<str>, request: &LeaseRequest) {
         let borrowed = self.borrowed.entry(lender.clone()).or_default();
         borrowed.sequence = request.sequence;
--- a/crates/fleet/src/quota/messages.rs
+++ b/crates/fleet/src/quota/messages.rs
@@ -4,41 +4,42 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A borrower asks a lender for units.
+/// A borrower's request for units of one lender.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// The fingerprint of the borrower's [`QuotaTerms`](super::QuotaTerms).
     pub terms: u64,
-    /// The quota's index.
+    /// The quota's index in the terms.
     pub quota: u16,
-    /// Increases with each request of the borrower: a grant for an earlier one is void.
+    /// Increases with each request of the borrower: a grant for an earlier request is void.
     pub sequence: u64,
-    /// On the borrower's clock; returned with the grant.
+    /// When the request was sent, on the borrower's clock; the grant returns it.
     pub sent_at: Micros,
-    /// Units of this lender that the borrower keeps: it uses no more than these until the grant comes.
+    /// Units of this lender that the borrower keeps: it uses no more than these until it receives the grant.
     pub kept_units: u64,
-    /// Units that it would have from this lender in all.
+    /// Total number of units that the borrower wants from this lender.
     pub wanted_units: u64,
 }
 
 /// A lender's answer to a [`LeaseRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// As in the request.
+    /// The fingerprint from the request.
     pub terms: u64,
-    /// As in the request.
+    /// The quota's index from the request.
     pub quota: u16,
-    /// As in the request.
+    /// The sequence number from the request.
     pub sequence: u64,
-    /// As in the request.
+    /// The send time from the request, on the borrower's clock.
     pub sent_at: Micros,
-    /// Units that the borrower may use in all, until the lease's length after it sent the request.
+    /// Total number of units that the borrower may use, for the length of the lease after it sent the
+    /// request.
     pub units: u64,
-    /// Units that the lender could lend besides.
+    /// Further units that the lender could lend.
     pub spare_units: u64,
 }
 
-/// A request, and to whom it is to be sent.
+/// A request and its receiver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutboundRequest {
     /// The lender's name.
--- a/crates/fleet/src/quota/mod.rs
+++ b/crates/fleet/src/quota/mod.rs
@@ -1,23 +1,25 @@
-//! Quotas over the whole fleet, as leases on units: the escrow of bounded counters (Balegas and others: Extending eventually
-//! consistent cloud databases for enforcing numeric invariants, section 3), with an end to each loan.
+//! Quotas over the whole fleet, as leases on units: the escrow of bounded counters (Balegas and others:
+//! Extending eventually consistent cloud databases for enforcing numeric invariants, section 3), extended by
+//! an expiry of each loan.
 //!
-//! A quota's units are divided among the members listed in the settings, the same list at each: a member's **share** is
-//! its own for good, and nobody else can create units. What a member does not need it lends; a loan ends by itself. So no
-//! agreement is needed, and no part of a partitioned fleet can use what another may.
+//! The units of a quota are divided among the members listed in the settings, which are the same at each
+//! member: a member owns its **share** permanently, and no other member can create units. A member lends
+//! units that it does not need; a loan expires by itself. Therefore no agreement is needed, and no side of a
+//! partition can use units that the other side may use.
 //!
-//! | who | may use | until |
+//! | member | may use | bound |
 //! | --- | --- | --- |
-//! | a listed member | its share less what it has lent; it never lends its last units (`unlent_floor`) | it ends |
-//! | a borrower | what was granted | its own clock shows `lease` after it *sent the request* |
-//! | the lender again | what it lent | its own clock shows `lease`, drift, `max_use` and `margin` after it *granted* |
-//! | a new incarnation | nothing at first | the same time after its start, as its earlier one may have lent |
+//! | a listed member | its share less what it has lent; it never lends its last units (`unlent_floor`) | until its process ends |
+//! | a borrower | what was granted | until its own clock shows `lease` after it *sent the request* |
+//! | the lender, after a loan | what it lent | once its own clock shows `lease`, drift, `max_use` and `margin` after it *granted* |
+//! | a new incarnation | nothing at first | until that same time has passed after its start, as its predecessor may have lent |
 //!
-//! A unit stays in use for `max_use` at most, so one acquired at the end of a lease is free again when the lender takes the
-//! loan back. The borrower sent its request before the lender granted, and clocks drift by less than the bound: the
-//! borrower's time ends first, however long datagrams took.
+//! A unit stays in use for `max_use` at most, so one acquired at the end of a lease is free again when the
+//! lender recovers the loan. The borrower sent its request before the lender granted it, and clocks drift by
+//! less than the bound: the borrower's time ends first, however long the datagrams took.
 //!
-//! Invariant, asserted in `tests/simulated_fleet.rs` and model checked in `tests/quota_model.rs`: what all incarnations
-//! together have in use never exceeds the quota. There is no slack beyond it.
+//! Invariant, asserted in `tests/simulated_fleet.rs` and model checked in `tests/quota_model.rs`: the units
+//! in use at all incarnations together never exceed the quota. No tolerance is added.
 
 mod loans;
 mod messages;
@@ -32,16 +34,16 @@
 use std::cmp::Reverse;
 use std::sync::Arc;
 
-/// Requests to new lenders for one quota in one round.
+/// The most requests to new lenders for one quota in one round.
 const REQUESTS_PER_ROUND: usize = 4;
 
-/// Units on loan with one member, for operators. In JSON: a pair.
+/// Units on loan with one member, for operators. In JSON a pair.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(into = "(String, u64)")]
 pub struct LoanStatus {
     /// The borrower's incarnation, or the lender's name.
     pub member: String,
-    /// Units.
+    /// The number of units on loan.
     pub units: u64,
 }
 
@@ -61,12 +63,12 @@
     share_received: bool,
     sequence: u64,
     loans: Vec<QuotaLoans>,
-    /// Where units are acquired, by the quota's index.
+    /// The stores from which units are acquired, by the quota's index.
     pub allowances: Vec<A>,
 }
 
 impl<A: Allowance> QuotaLeases<A> {
-    /// The leases of an incarnation that starts now, with empty allowances.
+    /// Creates the leases of an incarnation that starts now, with empty allowances.
     pub fn new(
         local: Incarnation,
         terms: Arc<QuotaTerms>,
@@ -86,8 +88,8 @@
         }
     }
 
-    /// Takes the current time: the own share comes in once no earlier incarnation can have lent it, loans come back, and
-    /// what was borrowed expires.
+    /// Advances to the current time: the own share is received once no loan of an earlier incarnation can be
+    /// outstanding, lent units are recovered, and borrowed units expire.
     pub fn tick(&mut self, now: Micros) {
         if !self.share_received && now >= self.started_at + self.terms.loan_recovery_time() {
             self.share_received = true;
@@ -111,9 +113,9 @@
         }
     }
 
-    /// Takes how many units of a quota the data path would have in use, and the names of the other live members. Gives
-    /// back what is not needed, and returns requests for what is missing. To be called in even rounds; each round makes a
-    /// few requests at most.
+    /// Takes the number of units of a quota that the data path would use, and the names of the other live
+    /// members. Returns units that are not needed, and builds requests for missing ones. The caller calls
+    /// this at regular intervals; each call makes a few requests at most.
     pub fn request_units(
         &mut self,
         now: Micros,
@@ -137,7 +139,7 @@
         requests
     }
 
-    /// Requests to members that are not asked anyway, those with the most to lend first.
+    /// Requests to members to which `drafts` has no request, those with the most spare units first.
     fn requests_to_new_lenders(
         &self,
         now: Micros,
@@ -208,8 +210,8 @@
         requests
     }
 
-    /// Takes another incarnation's request; returns what it is granted. None for a request of other terms, and for one
-    /// that is answered already or older: its answer is void or on its way.
+    /// Handles a request of another incarnation and returns the grant. Returns `None` for a request with
+    /// other terms, and for one that is already answered or older: its answer is void or in flight.
     pub fn on_lease_request(
         &mut self,
         now: Micros,
@@ -232,8 +234,8 @@
             return None;
         }
         loan.sequence = request.sequence;
-        // From this request on the borrower uses no more than it keeps. What it says it keeps beyond what it was granted
-        // was never this lender's.
+        // From this request on the borrower uses no more than it keeps. Kept units beyond the granted ones do
+        // not come from this lender.
         let before = loan.outstanding();
         loan.limit_to(request.kept_units);
         let kept = loan.outstanding();
@@ -252,7 +254,8 @@
         })
     }
 
-    /// Takes a lender's answer. Only that to the last request counts, once, and not when its time has passed on the way.
+    /// Handles a lender's grant. Only the first grant for the last request is applied, and only if it has not
+    /// expired in flight.
     pub fn on_lease_grant(&mut self, now: Micros, lender: &Arc<str>, grant: &LeaseGrant) {
         self.tick(now);
         let Some(quota) = self.quota_index(grant.terms, grant.quota) else {
@@ -276,7 +279,7 @@
             borrowed.until = until;
             held.borrowed = held.borrowed.max(loans.borrowed_units());
         } else {
-            // Less is renewed: what is in use of the rest ends with the earlier lease.
+            // The renewed loan is smaller: units of the rest that are in use expire with the earlier lease.
             borrowed.units -= allowance.reclaim_borrowed(borrowed.units - units);
             if borrowed.units == units {
                 borrowed.until = until;
@@ -286,13 +289,13 @@
         allowance.grow(held, loans.earliest_expiry());
     }
 
-    /// The index of a quota that a message names, if it is of the same terms.
+    /// The index of a quota that a message refers to, if the message has the same terms.
     fn quota_index(&self, fingerprint: u64, quota: u16) -> Option<usize> {
         let index = usize::from(quota);
         (fingerprint == self.fingerprint && index < self.loans.len()).then_some(index)
     }
 
-    /// Units of a quota that are lent, by incarnation.
+    /// Units of a quota that are lent, by the borrower's incarnation.
     pub fn lent(&self, quota: usize) -> Vec<LoanStatus> {
         let loans = self.loans[quota].lent.iter();
         loans
@@ -304,7 +307,7 @@
             .collect()
     }
 
-    /// Units of a quota that are borrowed, by member.
+    /// Units of a quota that are borrowed, by the lender's name.
     pub fn borrowed(&self, quota: usize) -> Vec<LoanStatus> {
         let loans = self.loans[quota].borrowed.iter();
         loans
@@ -316,7 +319,7 @@
             .collect()
     }
 
-    /// Whether the member's own share has come in.
+    /// Whether the member has received its own share.
     pub fn share_received(&self) -> bool {
         self.share_received
     }
@@ -336,8 +339,8 @@
     allowance.grow(grown, borrowed_until);
 }
 
-/// Takes borrowed units away that are to go back; returns how many. A quarter more than is wanted stays, so that units do
-/// not swing between members.
+/// Removes borrowed units that are to be returned; returns how many. A quarter more than `wanted_units`, plus
+/// one, is kept, so that units do not oscillate between members.
 fn reclaim_excess(allowance: &mut impl Allowance, held: HeldUnits, wanted_units: u64) -> u64 {
     let kept = wanted_units + wanted_units / 4 + 1;
     let excess = held.total().saturating_sub(kept).min(held.borrowed);
@@ -347,8 +350,9 @@
     allowance.reclaim_borrowed(excess)
 }
 
-/// How many units a borrower is granted in all that keeps `kept` of this lender and wants `wanted`, taken out of the
-/// allowance as far as they are more. The lender itself needs `needed`: if it has less, less is renewed.
+/// The total number of units to grant to a borrower that keeps `kept` units of this lender and wants
+/// `wanted`; additional units are taken from the allowance. The lender itself needs `needed` units: if it has
+/// fewer, the grant is reduced.
 fn units_to_grant(allowance: &mut impl Allowance, kept: u64, needed: u64, wanted: u64) -> u64 {
     let own = allowance.held().own;
     if own < needed {
--- a/crates/fleet/src/quota/terms.rs
+++ b/crates/fleet/src/quota/terms.rs
@@ -1,34 +1,35 @@
-//! What all members have in common: the quotas, among whom they are divided, and the times of loans.
+//! The terms common to all members: the quotas, the members that share them, and the durations of loans.
 
 use crate::incarnation::Micros;
 use std::sync::Arc;
 
-/// Clocks of two members drift apart by no more than one part in so many. Crystal clocks keep to one in 10,000.
+/// The clocks of two members drift apart by at most one part in this many. Crystal clocks keep to one in
+/// 10,000.
 const CLOCK_DRIFT_DIVISOR: u64 = 1_000;
 
-/// One quota: how many requests of a tenant may be in progress at once, over the whole fleet.
+/// One quota: how many requests of a tenant may be in progress at once over the whole fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Quota {
-    /// The tenant.
+    /// The tenant's name.
     pub name: Arc<str>,
     /// Units over the whole fleet.
     pub units: u64,
 }
 
-/// The terms of all quotas, the same at each member.
+/// The terms of all quotas, equal at all members.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QuotaTerms {
-    /// The members among whom the quotas are divided, in order.
+    /// The members among which the quotas are divided; the order decides which of them get a remainder.
     pub member_names: Vec<Arc<str>>,
-    /// The quotas, in order; messages name them by their index.
+    /// The quotas; messages refer to them by index.
     pub quotas: Vec<Quota>,
-    /// So many units of each quota, at most its share, a member never lends.
+    /// Units of each quota that a member never lends, at most its share.
     pub unlent_floor: u64,
     /// How long a loan lasts.
     pub lease: Micros,
-    /// The longest time that an acquired unit is in use.
+    /// The longest time for which an acquired unit is in use.
     pub max_use: Micros,
-    /// Added for delays within the two processes.
+    /// Allowance for delays within the lender's and the borrower's process.
     pub margin: Micros,
 }
 
@@ -48,12 +49,12 @@
         units / members + u64::from(has_remainder)
     }
 
-    /// After granting a loan, how long a lender must take its units for in use elsewhere.
+    /// How long after granting a loan a lender must assume that the units are in use elsewhere.
     pub fn loan_recovery_time(&self) -> Micros {
         with_drift(self.lease) + with_drift(self.max_use) + self.margin
     }
 
-    /// A fingerprint of these terms: members of other terms neither lend to each other nor borrow.
+    /// A fingerprint of these terms: members with different terms do not lend to each other.
     pub fn fingerprint(&self) -> u64 {
         let mut hash = blake3::Hasher::new();
         for name in &self.member_names {
@@ -72,7 +73,7 @@
     }
 }
 
-/// A time on another member's clock, at its longest on this one's.
+/// The longest that a duration on another member's clock can take on the local clock.
 fn with_drift(time: Micros) -> Micros {
     time + time / CLOCK_DRIFT_DIVISOR
 }
--- a/crates/fleet/src/replication.rs
+++ b/crates/fleet/src/replication.rs
@@ -1,5 +1,5 @@
-//! Replication of the usage counters: which digests and deltas go to whom, and how much of the own counters other members
-//! hold.
+//! Replication of the usage counters: the receivers of digests and deltas, and the version of the local
+//! counters that other members hold.
 
 use crate::incarnation::{Incarnation, Micros};
 use crate::membership::{Member, Membership};
@@ -10,30 +10,30 @@
 use crate::usage_counters::{Delta, UsageCounters, UsageDigest, VersionSummary};
 use std::sync::Arc;
 
-/// Deltas sent in answer to one digest.
+/// The most deltas sent in answer to one digest.
 const DELTAS_PER_REPLY: usize = 32;
-/// Summaries in one digest.
+/// The most summaries in one digest.
 const SUMMARIES_PER_DIGEST: usize = 64;
-/// So many more summaries than the peer's go with the answer to a digest.
+/// A reply to a digest has at most this many more summaries than the digest.
 const EXTRA_SUMMARIES: usize = 8;
 /// Gossip intervals after which a superseded incarnation may be compacted.
 const COMPACTION_DELAY_INTERVALS: u64 = 100;
 
-/// What is sent in answer to a digest, in this order.
+/// The answer to a digest, sent in the order of the fields.
 pub(crate) struct DigestAnswer {
-    /// What its sender lacks.
+    /// Deltas that the sender of the digest lacks.
     pub(crate) deltas: Vec<Delta>,
-    /// A digest of the same interval, if it is wanted.
+    /// A digest of the same interval, if it is requested.
     pub(crate) reply: Option<UsageDigest>,
 }
 
-/// Deltas of the own counters that a member lacks.
+/// Deltas of the local counters that a member lacks.
 pub(crate) struct OutboundDeltas {
     pub(crate) to: Member,
     pub(crate) deltas: Vec<Delta>,
 }
 
-/// The usage counters, and what other members hold of the own ones.
+/// The usage counters, and the versions of the local ones that other members hold.
 pub(crate) struct UsageReplication {
     local: Incarnation,
     required_copies: usize,
@@ -41,9 +41,9 @@
     forget_after: Micros,
     counters: UsageCounters,
     peers: Peers,
-    /// The name behind which the next digest begins.
+    /// The next digest starts after this name.
     digest_cursor: Option<Arc<str>>,
-    handing_over: bool,
+    handover_started: bool,
 }
 
 impl UsageReplication {
@@ -56,7 +56,7 @@
             counters: UsageCounters::new(settings.local.clone()),
             peers: Peers::default(),
             digest_cursor: None,
-            handing_over: false,
+            handover_started: false,
         }
     }
 
@@ -68,33 +68,33 @@
         self.peers.get(name)
     }
 
-    /// Increments own counters; returns the version that includes it.
+    /// Increments the local counters; returns the version that includes the increment.
     pub(crate) fn increment(&mut self, key: UsageKey, values: &UsageValues) -> u64 {
         self.counters.increment(key, values)
     }
 
-    /// Notes that a datagram came; false if it is from an earlier incarnation than the one that is known.
+    /// Records a received datagram; returns false if it is from an earlier incarnation than the known one.
     pub(crate) fn on_datagram(&mut self, now: Micros, sender: &Member) -> bool {
         self.peers.on_datagram(now, sender)
     }
 
-    /// Notes a member that is up.
+    /// Records a member that is up.
     pub(crate) fn on_member_up(&mut self, now: Micros, member: &Member) {
         self.peers.on_member_up(now, member);
     }
 
-    /// Takes a member for one that was not heard for a long time.
+    /// Treats a member as not heard for `forget_after`.
     pub(crate) fn forget_member(&mut self, name: &str) {
         self.peers.remove(name);
     }
 
-    /// Takes up to which version a peer holds the own counters: no more than there is.
+    /// Records the version of the local counters that a peer acknowledged, capped at the current version.
     pub(crate) fn on_acknowledged(&mut self, peer: &Arc<str>, version: u64) {
         let version = version.min(self.counters.own_version());
         self.peers.entry(peer).on_acknowledged(version);
     }
 
-    /// Takes a peer's digest.
+    /// Handles a peer's digest.
     pub(crate) fn on_digest(&mut self, peer: &Arc<str>, digest: UsageDigest) -> DigestAnswer {
         let deltas = self.counters.deltas_for(peer, &digest, DELTAS_PER_REPLY);
         let reply = digest.reply_wanted.then(|| UsageDigest {
@@ -105,7 +105,7 @@
         DigestAnswer { deltas, reply }
     }
 
-    /// What this member holds of the names that another's digest covers.
+    /// Summaries of the local state for the names that a peer's digest covers.
     fn summaries_within(&self, digest: &UsageDigest) -> Vec<VersionSummary> {
         let limit = digest.summaries.len() + EXTRA_SUMMARIES;
         let mut summaries = self.counters.summaries(digest.after.as_ref(), limit);
@@ -114,7 +114,7 @@
         summaries
     }
 
-    /// Merges deltas; returns the version to acknowledge, if any of them are of the sender's own counters.
+    /// Merges deltas; returns the version to acknowledge if any of them belong to the sender's own counters.
     pub(crate) fn on_deltas(
         &mut self,
         sender: &Incarnation,
@@ -131,7 +131,7 @@
         has_rows_of_sender.then(|| self.counters.version_of(sender))
     }
 
-    /// A digest of the names behind the cursor, which moves on.
+    /// Builds a digest of the names after the cursor, and advances the cursor.
     pub(crate) fn next_digest(&mut self) -> UsageDigest {
         let after = self.digest_cursor.take();
         let mut summaries = self
@@ -150,22 +150,22 @@
         }
     }
 
-    /// The own counters for the members that are to hold them, as far as those lack any.
+    /// Deltas of the local counters for the ring successors that lack any.
     pub(crate) fn own_deltas_to_send(
         &mut self,
         now: Micros,
         membership: &Membership,
     ) -> Vec<OutboundDeltas> {
         let own_version = self.counters.own_version();
-        let needs_copies = self.required_copies > 0 || self.handing_over;
+        let needs_copies = self.required_copies > 0 || self.handover_started;
         if own_version == 0 || !needs_copies {
             return Vec::new();
         }
-        let answer_time = self.gossip_interval / 2;
+        let ack_timeout = self.gossip_interval / 2;
         let mut outbound = Vec::new();
         for to in self.ring_successors(membership) {
             let peer = self.peers.entry(&to.name);
-            if let Some(from) = peer.version_to_send_from(now, answer_time, own_version) {
+            if let Some(from) = peer.version_to_send_from(now, ack_timeout, own_version) {
                 let deltas = self.counters.own_deltas_since(from);
                 outbound.push(OutboundDeltas { to, deltas });
             }
@@ -173,7 +173,7 @@
         outbound
     }
 
-    /// The members that succeed this one in the ring of names, one more than the required copies.
+    /// The members that follow this one in the ring of names, one more than the required copies.
     fn ring_successors(&self, membership: &Membership) -> Vec<Member> {
         let mut alive: Vec<&Member> = membership.alive().collect();
         alive.sort_by(|a, b| a.name.cmp(&b.name));
@@ -187,7 +187,8 @@
             .collect()
     }
 
-    /// The version of the own counters that enough other members hold, of those not declared dead.
+    /// The version of the local counters that the required number of other members hold, not counting members
+    /// declared dead.
     pub(crate) fn replicated_version(&self, membership: &Membership) -> u64 {
         let copies = if cfg!(feature = "mutant-copies") {
             0
@@ -201,12 +202,12 @@
         self.peers.replicated_version(copies, is_alive)
     }
 
-    /// From now on the own counters go to another member, whether copies are required or not.
+    /// Replicates the local counters to another member from now on, even if no copies are required.
     pub(crate) fn start_handover(&mut self) {
-        self.handing_over = true;
+        self.handover_started = true;
     }
 
-    /// Whether enough other members hold all own counters, or there is none that could.
+    /// Whether enough other members hold all local counters, or no other member is alive.
     pub(crate) fn handover_complete(&self, membership: &Membership) -> bool {
         let own_version = self.counters.own_version();
         if own_version == 0 {
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -8,24 +8,24 @@
 /// The settings of one member.
 #[derive(Clone, Debug)]
 pub struct FleetSettings {
-    /// Its incarnation.
+    /// The identity of this process.
     pub local: Incarnation,
-    /// Where others reach it.
+    /// The address at which other members reach this one.
     pub address: SocketAddr,
-    /// Where some of the others are reached.
+    /// Addresses of other members, to which a new member sends its first messages.
     pub join_addresses: Vec<SocketAddr>,
-    /// The fleet's key.
+    /// The key that all members of the fleet share; it authenticates datagrams.
     pub key: [u8; 32],
-    /// The seed of random numbers.
+    /// The seed of all random numbers of this member.
     pub seed: u64,
     /// The mean time between two gossip rounds.
     pub gossip_interval: Micros,
-    /// Other members that must hold a usage count before it counts as replicated.
+    /// Number of other members that must hold a usage count before it is considered replicated.
     pub required_copies: usize,
-    /// The quotas, and among whom they are divided.
+    /// The quotas and the members among which they are divided.
     pub terms: Arc<QuotaTerms>,
-    /// A member that was not heard for so long no longer delays the compaction of incarnations that have ended.
+    /// A member that was not heard for this long no longer delays the compaction of ended incarnations.
     pub forget_after: Micros,
-    /// The length of a period of usage.
+    /// The length of a usage period.
     pub period: Micros,
 }
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -1,83 +1,83 @@
-//! The state of one member, for operators. The JSON keys are those of the operators' pages.
+//! The state of one member, for operators. The JSON keys are those documented for operators.
 
 use crate::membership::MemberHealth;
 use crate::quota::LoanStatus;
 use std::collections::BTreeMap;
 
-/// Another member, as this one sees it.
+/// Another member, as seen by this one.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct MemberStatus {
-    /// Its name.
+    /// The member's name.
     pub name: String,
-    /// The number of its incarnation.
+    /// The number of the member's incarnation.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Whether it answers.
+    /// The member's health according to the membership protocol.
     #[serde(rename = "standing")]
     pub health: MemberHealth,
-    /// For how long nothing was received from it; none if nothing ever was.
+    /// Milliseconds since the last datagram from the member; `None` if none was received.
     pub silent_ms: Option<u64>,
-    /// Changes of own usage counters that it is not known to hold.
+    /// Changes of the local usage counters that the member has not acknowledged.
     pub lag: u64,
 }
 
 /// The units of one quota at this member.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct QuotaStatus {
-    /// The tenant.
+    /// The tenant's name.
     pub name: String,
     /// Units over the whole fleet.
     pub units: u64,
-    /// Units of the own share, without those lent.
+    /// Units of the own share that are not lent.
     pub own: u64,
-    /// Units borrowed.
+    /// Units borrowed from other members.
     pub borrowed: u64,
-    /// Units in use.
+    /// Units in use, own or borrowed.
     #[serde(rename = "used")]
     pub in_use: u64,
-    /// Units lent, by incarnation.
+    /// Units lent, by the borrower's incarnation.
     pub lent: Vec<LoanStatus>,
-    /// Units borrowed, by member.
+    /// Units borrowed, by the lender's name.
     #[serde(rename = "from")]
     pub borrowed_from: Vec<LoanStatus>,
 }
 
-/// One member's state.
+/// The state of one member.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct FleetStatus {
-    /// Its name.
+    /// The member's name.
     pub name: String,
-    /// The number of its incarnation.
+    /// The number of the member's incarnation.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// A later incarnation of its name is there.
+    /// A later incarnation of the member's name has been seen.
     pub replaced: bool,
-    /// It was stopped, and has not received anything of the others since.
+    /// The process was stopped, and has received no datagram from other members since.
     pub stale: bool,
-    /// How often it learned that it was declared dead.
+    /// How often the member learned that it was declared dead.
     #[serde(rename = "thought_dead")]
     pub declared_dead: u64,
-    /// Members that it saw come up or go down.
+    /// Number of times that other members came up or went down.
     pub membership_changes: u64,
-    /// The others.
+    /// The other members.
     pub members: Vec<MemberStatus>,
-    /// The quotas.
+    /// The quotas, with the member's units of each.
     #[serde(rename = "budgets")]
     pub quotas: Vec<QuotaStatus>,
-    /// Its own share of the quotas has come in.
+    /// The member has received its own share of the quotas.
     #[serde(rename = "seated")]
     pub share_received: bool,
-    /// The digest of the usage totals.
+    /// The digest of the usage totals; equal for members with equal rows.
     pub digest: String,
     /// Incarnations whose counters are not compacted.
     #[serde(rename = "lives")]
     pub incarnations: usize,
-    /// Rows of usage counters.
+    /// Rows of usage counters, compacted or not.
     pub rows: usize,
-    /// Deltas of compacted incarnations that came late and were rejected.
+    /// Deltas of incarnations that arrived after their compaction and were rejected.
     #[serde(rename = "refused_late")]
     pub rejected_late: u64,
-    /// Observations of workers, its own and others'.
+    /// Observations of workers, by this member and by others.
     pub observations: usize,
     /// Datagrams received and accepted.
     #[serde(rename = "frames")]
--- a/crates/fleet/src/usage.rs
+++ b/crates/fleet/src/usage.rs
@@ -1,10 +1,10 @@
-//! The metrics of usage, their values, and the rows by tenant and period in which they are counted.
+//! Usage metrics, their values, and the key of the rows that hold them.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A metric of usage. The order is that of the values on the wire.
+/// A usage metric. The order of the variants is the order of the values on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum UsageMetric {
@@ -14,25 +14,25 @@
     Refused,
     /// Requests that failed.
     Failed,
-    /// Requests whose clients left before the answer.
+    /// Requests whose client disconnected before the answer.
     Gone,
-    /// Attempts at workers.
+    /// Attempts sent to workers.
     Attempts,
-    /// Worker time of the attempts that gave the answers, in microseconds.
+    /// Worker time of the attempts that produced the answers, in microseconds.
     UsedUs,
     /// Worker time of all other attempts, in microseconds.
     WastedUs,
-    /// Served answers written to the last byte.
+    /// Served answers written to the client completely.
     Written,
-    /// Served answers that could not be written, as their clients had left.
+    /// Served answers that could not be written because the client had disconnected.
     Unwritten,
-    /// Answers that were sent before enough other members held their count.
+    /// Answers released before the required number of other members held their count.
     Unreplicated,
 }
 
-/// How many metrics there are.
+/// Number of metrics.
 pub const METRIC_COUNT: usize = 10;
-/// The metrics' names in the operators' JSON, in the order of [`UsageMetric`].
+/// Names of the metrics in the JSON for operators, in the order of [`UsageMetric`].
 pub const METRIC_NAMES: [&str; METRIC_COUNT] = [
     "served",
     "refused",
@@ -46,31 +46,32 @@
     "unsure",
 ];
 
-/// A value for each metric, in the order of [`UsageMetric`].
+/// One value per metric, in the order of [`UsageMetric`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageValues(pub [u64; METRIC_COUNT]);
 
 impl UsageValues {
-    /// A value of one metric, and zero for all others.
+    /// The value of one metric, with zero for all others.
     pub fn single(metric: UsageMetric, value: u64) -> UsageValues {
         let mut values = UsageValues::default();
         values.0[metric as usize] = value;
         values
     }
 
-    /// The value of a metric.
+    /// The value of one metric.
     pub fn get(&self, metric: UsageMetric) -> u64 {
         self.0[metric as usize]
     }
 
-    /// Adds metric by metric. It saturates, so that a member that sends false values cannot make a sum wrap around.
+    /// Adds the values of each metric. Sums saturate, so that a member that sends wrong values cannot make
+    /// one wrap around.
     pub fn add(&mut self, other: &UsageValues) {
         for (value, added) in self.0.iter_mut().zip(other.0) {
             *value = value.saturating_add(added);
         }
     }
 
-    /// The lattice join: the larger value of each metric. Returns whether that changed anything.
+    /// The lattice join: the larger value of each metric. Returns whether any value changed.
     pub(crate) fn join(&mut self, other: &UsageValues) -> bool {
         let before = *self;
         for (value, joined) in self.0.iter_mut().zip(other.0) {
@@ -83,11 +84,11 @@
 /// The key of a usage row.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct UsageKey {
-    /// The period's number: Unix time divided by the period's length.
+    /// Number of the usage period: Unix time divided by the period's length.
     pub period: u32,
-    /// The tenant.
+    /// The tenant's name.
     pub tenant: Arc<str>,
 }
 
-/// Usage by tenant and period.
+/// Usage values by period and tenant.
 pub type UsageRows = BTreeMap<UsageKey, UsageValues>;
--- a/crates/fleet/src/usage_counters/compaction.rs
+++ b/crates/fleet/src/usage_counters/compaction.rs
@@ -1,30 +1,31 @@
-//! Which superseded incarnations are final, so that their rows can be compacted.
+//! Tracks which superseded incarnations are final, so that their rows can be compacted.
 
 use super::delta::VersionSummary;
 use crate::incarnation::{Incarnation, Micros};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// When compaction is allowed.
+/// Conditions for compaction.
 pub(super) struct CompactionRule<'a> {
     pub(super) now: Micros,
-    /// Time after an incarnation was superseded in which the last datagrams about it arrive.
+    /// Time after an incarnation was superseded within which the last datagrams about it arrive.
     pub(super) delay: Micros,
-    /// Other members, each of which must have acknowledged all that is held.
+    /// Other members, each of which must have acknowledged all changes held locally.
     pub(super) others: &'a [Arc<str>],
 }
 
-/// What is known of superseded incarnations.
+/// Acknowledgements and supersession times of superseded incarnations.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CompactionTracker {
-    /// The versions that members reported to hold, by incarnation and member. `u64::MAX`: compacted there.
+    /// The versions that members reported, by incarnation and member. `u64::MAX`: the member has compacted
+    /// the incarnation.
     acknowledged: BTreeMap<Incarnation, BTreeMap<Arc<str>, u64>>,
-    /// When an incarnation was first seen as superseded here.
+    /// When this member first saw that an incarnation was superseded.
     superseded_at: BTreeMap<Incarnation, Micros>,
 }
 
 impl CompactionTracker {
-    /// Notes what a peer holds of a superseded incarnation.
+    /// Records the version of a superseded incarnation that a peer holds.
     pub(super) fn on_summary(&mut self, peer: &Arc<str>, summary: &VersionSummary, number: u64) {
         let version = if summary.compacted_up_to >= number {
             u64::MAX
@@ -45,12 +46,12 @@
             .insert(peer.clone(), version);
     }
 
-    /// Notes that a newer incarnation of the name is known.
+    /// Records that a newer incarnation of the name is known.
     pub(super) fn on_superseded(&mut self, incarnation: Incarnation, now: Micros) {
         self.superseded_at.entry(incarnation).or_insert(now);
     }
 
-    /// Whether nobody can hold more of a superseded incarnation than this member, which holds `version`.
+    /// Whether no member can hold more of a superseded incarnation than this member, which holds `version`.
     pub(super) fn is_final(
         &self,
         incarnation: &Incarnation,
@@ -70,13 +71,13 @@
         })
     }
 
-    /// Drops what is known of an incarnation that was compacted.
+    /// Drops the state of an incarnation that was compacted.
     pub(super) fn forget(&mut self, incarnation: &Incarnation) {
         self.acknowledged.remove(incarnation);
         self.superseded_at.remove(incarnation);
     }
 
-    /// Drops what is known of a name's incarnations up to a number.
+    /// Drops the state of a name's incarnations up to a number.
     pub(super) fn forget_up_to(&mut self, name: &Arc<str>, up_to: u64) {
         let is_later =
             |incarnation: &Incarnation| incarnation.name != *name || incarnation.number > up_to;
--- a/crates/fleet/src/usage_counters/delta.rs
+++ b/crates/fleet/src/usage_counters/delta.rs
@@ -1,4 +1,4 @@
-//! What members exchange of usage counters: version summaries, digests made of them, and deltas.
+//! Messages about usage counters: version summaries, digests composed of them, and deltas.
 //!
 //! These types are encoded by position: the order of fields and variants is part of the datagram format.
 
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Up to which version one incarnation is held.
+/// The version up to which one incarnation is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IncarnationVersion {
     /// The incarnation's number.
@@ -16,29 +16,29 @@
     pub version: u64,
 }
 
-/// What one member holds of one name: its entry of the version vector.
+/// The state that one member holds of one name: an entry of the version vector.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionSummary {
-    /// The name.
+    /// The member name that the counters belong to.
     pub name: Arc<str>,
-    /// The last incarnation compacted into the base; 0 if none is.
+    /// The number of the last incarnation compacted into the base; 0 if none is.
     pub compacted_up_to: u64,
-    /// A checksum of the base's rows: two bases up to one incarnation may differ for a while.
+    /// A checksum of the base's rows: two bases up to the same incarnation may differ temporarily.
     pub base_checksum: u32,
-    /// Incarnations that are not compacted.
+    /// Versions of the incarnations that are not compacted.
     pub incarnations: Vec<IncarnationVersion>,
 }
 
-/// A digest of the names in an interval, to which a peer answers with the deltas that the sender lacks (anti-entropy).
+/// A digest of the names in an interval; a peer answers with the deltas that the sender lacks (anti-entropy).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageDigest {
-    /// The interval begins behind this name; at the first one if none is given.
+    /// The interval starts after this name, or with the first name if this is `None`.
     pub after: Option<Arc<str>>,
-    /// The interval has no end; else it ends with the last summary's name.
+    /// Whether the interval has no end; otherwise it ends with the last summary's name.
     pub last: bool,
-    /// What the sender holds, by name. A name of the interval that is missing here is unknown to the sender.
+    /// The sender's state, by name. A name of the interval that is missing here is unknown to the sender.
     pub summaries: Vec<VersionSummary>,
-    /// The sender wants the receiver's digest of the same interval.
+    /// The sender requests the receiver's digest of the same interval.
     pub reply_wanted: bool,
 }
 
@@ -55,48 +55,49 @@
 /// A row of one incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionedRow {
-    /// Tenant and period.
+    /// Period and tenant of the row.
     pub key: UsageKey,
-    /// The version of the incarnation that changed the row last.
+    /// The version of the incarnation that last changed the row.
     pub version: u64,
-    /// The counters.
+    /// The counters of the row.
     pub values: UsageValues,
 }
 
 /// A row of a compacted base.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BaseRow {
-    /// Tenant and period.
+    /// Period and tenant of the row.
     pub key: UsageKey,
     /// Sums over the compacted incarnations.
     pub values: UsageValues,
 }
 
-/// A part of one member's counters, useful by itself.
+/// A part of one member's counters that can be merged on its own.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Delta {
     /// All rows of an incarnation that changed after one version, up to another.
     Incarnation {
-        /// Whose rows.
+        /// The incarnation to which the rows belong.
         incarnation: Incarnation,
-        /// Advances the version of a receiver that holds the incarnation up to here or further.
+        /// The version after which changes are included: a receiver that holds at least this version
+        /// advances.
         after: u64,
-        /// The version that the receiver then holds.
+        /// The version that the receiver holds after merging.
         up_to: u64,
-        /// The rows.
+        /// Rows that changed after `after`.
         rows: Vec<VersionedRow>,
     },
-    /// A part of a name's compacted base. The base is taken once all its rows are there.
+    /// A part of a name's compacted base. The receiver adopts the base once it has all rows.
     Base {
-        /// Whose base.
+        /// The member name to which the base belongs.
         name: Arc<str>,
-        /// The earliest incarnation ever heard of.
+        /// The number of the earliest known incarnation.
         first_incarnation: u64,
-        /// The last incarnation compacted.
+        /// The number of the last compacted incarnation.
         up_to: u64,
-        /// How many rows the whole base has.
+        /// The number of rows in the whole base.
         total_rows: u64,
-        /// Some of them.
+        /// The rows of this part.
         rows: Vec<BaseRow>,
     },
 }
--- a/crates/fleet/src/usage_counters/member_usage.rs
+++ b/crates/fleet/src/usage_counters/member_usage.rs
@@ -1,4 +1,4 @@
-//! The counters of one member name: its incarnations, and the compacted base of those before.
+//! The counters of one member name: its incarnations, and the compacted base of the earlier ones.
 
 use super::delta::{BaseRow, Delta, IncarnationVersion, VersionSummary, VersionedRow};
 use crate::incarnation::Incarnation;
@@ -7,19 +7,19 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The most rows in one [`Delta`]: with their names and sums they fit one datagram.
+/// The most rows in one [`Delta`], so that it fits into a datagram with its names and values.
 const ROWS_PER_DELTA: usize = 4;
-/// The most incarnations in a [`VersionSummary`]. The rest go with a later one, as compaction frees the earliest first.
+/// The most incarnations in a [`VersionSummary`]. Later ones follow once compaction has removed the earliest.
 const MAX_INCARNATIONS_PER_SUMMARY: usize = 24;
 
-/// The counters of a row, and the version that changed them last.
+/// The counters of a row, and the version that last changed them.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct VersionedValues {
     version: u64,
     values: UsageValues,
 }
 
-/// The rows of one incarnation, all of which are held up to `version`.
+/// The rows of one incarnation, complete up to `version`.
 #[derive(Clone, Debug, Default)]
 pub(super) struct IncarnationRows {
     pub(super) version: u64,
@@ -27,7 +27,7 @@
 }
 
 impl IncarnationRows {
-    /// Adds to a row under the next version, which is returned.
+    /// Adds to a row under the next version, and returns that version.
     pub(super) fn increment(&mut self, key: UsageKey, values: &UsageValues) -> u64 {
         self.version += 1;
         let row = self.rows.entry(key).or_default();
@@ -52,7 +52,7 @@
         advances
     }
 
-    /// Appends the deltas of what changed after a version.
+    /// Appends the deltas of the changes after a version.
     pub(super) fn deltas_since(
         &self,
         incarnation: &Incarnation,
@@ -63,8 +63,9 @@
         let mut after = version;
         let mut chunks = rows.chunks(ROWS_PER_DELTA).peekable();
         while let Some(chunk) = chunks.next() {
-            // Each version is of one row, so a delta leads up to the version of its last row. Rows that overtook others
-            // may be of later versions than the one held: they lead no further.
+            // Each version changes one row, so a delta covers the versions up to that of its last row. Rows
+            // that arrived out of order may have later versions than the one held: they do not advance the
+            // delta further.
             let up_to = match (chunks.peek(), chunk.last()) {
                 (Some(_), Some(last)) => last.version.min(self.version),
                 _ => self.version,
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Rows that changed after a version, in the order of their versions.
+    /// Rows that changed after a version, ordered by version.
     fn rows_since(&self, version: u64) -> Vec<VersionedRow> {
         let mut rows: Vec<VersionedRow> = self
             .rows
@@ -111,7 +112,7 @@
     }
 }
 
-/// The sums of a name's incarnations up to a number.
+/// The sums of a name's incarnations up to `up_to`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct CompactedBase {
     pub(super) up_to: u64,
@@ -136,7 +137,7 @@
     }
 }
 
-/// A base that comes in parts: which one it is, and the rows that are there.
+/// A base received in parts: its identity and the rows received so far.
 #[derive(Clone, Debug, Default)]
 struct IncomingBase {
     up_to: u64,
@@ -144,7 +145,7 @@
     rows: UsageRows,
 }
 
-/// A part of a base, as it came from a peer.
+/// A part of a base, as received from a peer.
 pub(super) struct BasePart<'a> {
     pub(super) first_incarnation: u64,
     pub(super) up_to: u64,
@@ -152,18 +153,19 @@
     pub(super) rows: &'a [BaseRow],
 }
 
-/// The counters of one name. Invariant: all `incarnations` are later than `base.up_to`, so no row counts twice.
+/// The counters of one name. Invariant: all `incarnations` are later than `base.up_to`, so no row is counted
+/// twice.
 #[derive(Clone, Debug, Default)]
 pub(super) struct MemberUsage {
     pub(super) base: CompactedBase,
     pub(super) incarnations: BTreeMap<u64, IncarnationRows>,
-    /// The earliest incarnation ever heard of; 0 before any is.
+    /// The number of the earliest known incarnation; 0 if none is known.
     pub(super) first_incarnation: u64,
     incoming_base: Option<IncomingBase>,
 }
 
 impl MemberUsage {
-    /// Notes that an incarnation was heard of.
+    /// Records that an incarnation is known.
     pub(super) fn note_incarnation(&mut self, number: u64) {
         self.first_incarnation = if self.first_incarnation == 0 {
             number
@@ -172,18 +174,18 @@
         };
     }
 
-    /// The newest incarnation that is not compacted.
+    /// The number of the newest incarnation that is not compacted.
     pub(super) fn newest(&self) -> Option<u64> {
         self.incarnations.keys().next_back().copied()
     }
 
-    /// The numbers of incarnations that a newer one has superseded, the earliest first.
+    /// The numbers of incarnations that a newer one has superseded, earliest first.
     pub(super) fn superseded(&self) -> impl Iterator<Item = u64> + '_ {
         let count = self.incarnations.len().saturating_sub(1);
         self.incarnations.keys().take(count).copied()
     }
 
-    /// What is held, for a digest.
+    /// The versions held, for a digest.
     pub(super) fn summary(&self, name: &Arc<str>) -> VersionSummary {
         let incarnations = self.incarnations.iter().take(MAX_INCARNATIONS_PER_SUMMARY);
         VersionSummary {
@@ -199,7 +201,8 @@
         }
     }
 
-    /// Appends the deltas that a member lacks that holds what `remote` says; nothing, if there is none.
+    /// Appends the deltas that a peer with the state `remote` lacks; `None` means that the peer holds nothing
+    /// of this name.
     pub(super) fn deltas_for(
         &self,
         name: &Arc<str>,
@@ -249,15 +252,17 @@
         }));
     }
 
-    /// Takes a part of a peer's base whose rows are of no later period than `newest_period`. Once it is whole it replaces
-    /// the own base and the incarnations it covers; then, returns whether anything changed by that.
+    /// Merges a part of a peer's base, without rows of periods later than `newest_period`. Once the base is
+    /// complete it replaces the local base and the incarnations that it covers, and the result is whether
+    /// that changed anything; `None` before that.
     pub(super) fn merge_base(&mut self, part: &BasePart<'_>, newest_period: u32) -> Option<bool> {
         if part.up_to < self.base.up_to {
             return None;
         }
         self.note_incarnation(part.first_incarnation);
         let incoming = self.collect_base(part, newest_period)?;
-        // The own sums over the same incarnations are never more than what those counted, so neither is the join.
+        // Local sums over the same incarnations never exceed what those incarnations counted, so the join
+        // does not either.
         let mut own = self.base.rows.clone();
         let later = match part.up_to.checked_add(1) {
             Some(first) => self.incarnations.split_off(&first),
@@ -279,7 +284,7 @@
         Some(changed)
     }
 
-    /// Adds a part to the base that is coming in; returns its rows once all of them are there.
+    /// Adds a part to the incoming base; returns its rows once all of them have arrived.
     fn collect_base(&mut self, part: &BasePart<'_>, newest_period: u32) -> Option<UsageRows> {
         let is_same = |incoming: &IncomingBase| {
             incoming.up_to == part.up_to && incoming.total_rows == part.total_rows
@@ -336,7 +341,7 @@
         }
     }
 
-    /// Rows held, in the base and by incarnation.
+    /// Rows held, in the base and in incarnations.
     pub(super) fn row_count(&self) -> usize {
         let detailed = self.incarnations.values().map(|rows| rows.rows.len());
         self.base.rows.len() + detailed.sum::<usize>()
--- a/crates/fleet/src/usage_counters/mod.rs
+++ b/crates/fleet/src/usage_counters/mod.rs
@@ -1,18 +1,21 @@
-//! Usage counters by incarnation, tenant, period and metric that converge at every member: a delta-state grow-only
-//! counter (Almeida, Shoker, Baquero: Delta state replicated data types, section 5), carried by the reconciliation of
-//! Scuttlebutt (van Renesse and others: Efficient reconciliation and flow control for anti-entropy protocols, section 3).
+//! Usage counters by incarnation, tenant, period and metric that converge at every member: a delta-state
+//! grow-only counter (Almeida, Shoker, Baquero: Delta state replicated data types, section 5), disseminated
+//! by the reconciliation of Scuttlebutt (van Renesse and others: Efficient reconciliation and flow control
+//! for anti-entropy protocols, section 3).
 //!
-//! Only an incarnation itself increments its counters. Each change gets the next version of that incarnation, and each
-//! row keeps the version that changed it last; so a member that holds an incarnation up to version v lacks just the rows
-//! above v. Rows are merged by the larger value, metric by metric: in any order, any number of times, with one result.
+//! Only an incarnation itself increments its counters. Each change gets the next version of that incarnation,
+//! and each row keeps the version that last changed it; so a member that holds an incarnation up to version v
+//! lacks exactly the rows above v. Rows are merged by taking the larger value of each metric: the result is
+//! the same in any order and with any repetition.
 //!
-//! **Compaction.** All incarnations of a name but the newest have ended. Once every member that is not forgotten has
-//! reported that it holds such an incarnation up to the same version as this one, nobody can hold more: the rows are
-//! final and are added to the name's base, with the number of the last incarnation compacted. Invariant, asserted: no row
-//! of an incarnation stands beside a base that includes it, so none counts twice. A base is a join of its own: the larger
-//! number wins, and of equal ones the larger sums, which are sums over the same incarnations. A member that missed the
-//! compaction drops its rows of those incarnations as it takes the base, and rows of compacted incarnations that others
-//! still send are rejected.
+//! **Compaction.** All incarnations of a name except the newest have ended. Once every member that is not
+//! forgotten has reported the same version of such an incarnation as this member holds, no member can hold
+//! more: the rows are final and are added to the name's base, together with the number of the last
+//! incarnation compacted. Invariant, asserted: no row of an incarnation exists beside a base that includes
+//! it, so none is counted twice. A base is itself merged by a join: the larger number wins, and for equal
+//! numbers the larger sums, which are sums over the same incarnations. A member that missed the compaction
+//! drops its rows of those incarnations when it adopts the base, and rows of compacted incarnations that
+//! other members still send are rejected.
 
 mod compaction;
 mod delta;
@@ -29,10 +32,10 @@
 use std::ops::Bound;
 use std::sync::Arc;
 
-/// Periods kept behind the newest one seen.
+/// Periods kept before the newest one seen.
 const RETAINED_PERIODS: u32 = 64;
 
-/// How much is held.
+/// Size of the stored counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UsageSize {
     /// Incarnations that are not compacted.
@@ -52,7 +55,7 @@
 }
 
 impl UsageCounters {
-    /// The counters of an incarnation that starts now and has heard of no other.
+    /// Creates the counters of an incarnation that starts now and knows no other.
     pub fn new(local: Incarnation) -> UsageCounters {
         let mut own = MemberUsage::default();
         own.note_incarnation(local.number);
@@ -67,7 +70,7 @@
         }
     }
 
-    /// Increments own counters; returns the version that includes it.
+    /// Increments the local counters; returns the version that includes the increment.
     pub fn increment(&mut self, key: UsageKey, values: &UsageValues) -> u64 {
         self.newest_period = self.newest_period.max(key.period);
         self.members
@@ -79,12 +82,12 @@
             .increment(key, values)
     }
 
-    /// The version of the own counters.
+    /// The version of the local incarnation's counters.
     pub fn own_version(&self) -> u64 {
         self.version_of(&self.local)
     }
 
-    /// Up to which version an incarnation is held; `u64::MAX` if it is compacted.
+    /// The version up to which an incarnation is held; `u64::MAX` if it is compacted.
     pub fn version_of(&self, incarnation: &Incarnation) -> u64 {
         let Some(usage) = self.members.get(&incarnation.name) else {
             return 0;
@@ -98,7 +101,7 @@
             .map_or(0, |rows| rows.version)
     }
 
-    /// What is held of at most `limit` names behind `after`.
+    /// Summaries of at most `limit` names after `after`.
     pub fn summaries(&self, after: Option<&Arc<str>>, limit: usize) -> Vec<VersionSummary> {
         let start = after.map_or(Bound::Unbounded, |name| Bound::Excluded(name.clone()));
         self.members
@@ -108,7 +111,8 @@
             .collect()
     }
 
-    /// The deltas that a peer lacks which sent this digest, at most `max_deltas`. Notes, besides, what the peer holds.
+    /// The deltas that the peer with this digest lacks, at most `max_deltas`. Also records the versions that
+    /// the peer holds.
     pub fn deltas_for(
         &mut self,
         peer: &Arc<str>,
@@ -131,7 +135,7 @@
                 break;
             }
         }
-        // Deltas are in the order of versions: what is cut goes with the next answer.
+        // Deltas are ordered by version: the ones cut off are sent with the next answer.
         deltas.truncate(max_deltas);
         deltas
     }
@@ -147,7 +151,7 @@
         }
     }
 
-    /// What changed of the own counters after a version.
+    /// The changes of the local counters after a version.
     pub fn own_deltas_since(&self, version: u64) -> Vec<Delta> {
         let mut deltas = Vec::new();
         let own = self.members.get(&self.local.name);
@@ -157,8 +161,8 @@
         deltas
     }
 
-    /// Merges a delta of another member; returns whether anything changed. Rows of later periods than `newest_period`
-    /// are left out: it bounds what a member with a wrong clock can do to others.
+    /// Merges a delta of another member; returns whether anything changed. Rows of periods later than
+    /// `newest_period` are ignored: this limits the effect of a member with a wrong clock.
     pub fn merge(&mut self, delta: &Delta, newest_period: u32) -> bool {
         match delta {
             Delta::Incarnation {
@@ -198,10 +202,11 @@
         }
     }
 
-    /// The rows of an incarnation into which a delta may be merged.
+    /// The rows of an incarnation into which a delta may be merged; `None` for the local incarnation and for
+    /// compacted ones.
     fn rows_to_merge(&mut self, incarnation: &Incarnation) -> Option<&mut IncarnationRows> {
         if *incarnation == self.local {
-            return None; // only this incarnation increments its counters
+            return None; // no other member may change the local counters
         }
         let usage = self.members.entry(incarnation.name.clone()).or_default();
         if incarnation.number <= usage.base.up_to && !cfg!(feature = "mutant-fold") {
@@ -214,7 +219,7 @@
 
     fn merge_base(&mut self, name: &Arc<str>, part: &BasePart<'_>, newest_period: u32) -> bool {
         if *name == self.local.name && part.up_to >= self.local.number {
-            return false; // nobody compacts an incarnation that runs
+            return false; // a running incarnation is never compacted
         }
         let usage = self.members.entry(name.clone()).or_default();
         let Some(changed) = usage.merge_base(part, newest_period) else {
@@ -224,9 +229,9 @@
         changed
     }
 
-    /// Compacts the earliest incarnations of each name that are final: superseded for `delay`, in which the last
-    /// datagrams about them arrive, and held at one version by every one of `others`, the members that are not
-    /// forgotten. Returns how many were compacted.
+    /// Compacts the earliest incarnations of each name that are final: superseded for `delay`, within which
+    /// the last datagrams about them arrive, and held at the same version by each of `others`, the members
+    /// that are not forgotten. Returns how many were compacted.
     pub fn compact(&mut self, now: Micros, delay: Micros, others: &[Arc<str>]) -> usize {
         let rule = CompactionRule { now, delay, others };
         let mut compacted = 0;
@@ -253,7 +258,7 @@
         compacted
     }
 
-    /// Drops periods far behind the newest one.
+    /// Drops periods far before the newest one.
     pub fn drop_old_periods(&mut self) {
         let oldest = self.newest_period.saturating_sub(RETAINED_PERIODS);
         for usage in self.members.values_mut() {
@@ -261,7 +266,7 @@
         }
     }
 
-    /// How much is held.
+    /// The size of the stored counters.
     pub fn size(&self) -> UsageSize {
         let usages = self.members.values();
         UsageSize {
@@ -270,12 +275,12 @@
         }
     }
 
-    /// Deltas of compacted incarnations that came late and were rejected.
+    /// Number of deltas that arrived after the compaction of their incarnation and were rejected.
     pub fn rejected_late(&self) -> u64 {
         self.rejected_late
     }
 
-    /// The totals of all incarnations of all names, by tenant and period.
+    /// The totals over all incarnations of all names, by tenant and period.
     pub fn totals(&self) -> UsageTotals {
         let since = self
             .members
--- a/crates/fleet/src/usage_totals.rs
+++ b/crates/fleet/src/usage_totals.rs
@@ -1,37 +1,38 @@
-//! Usage totals by tenant and period over all members, with a digest by which members are compared.
+//! Usage totals by tenant and period over all members, with a digest for comparing members.
 
 use crate::usage::{UsageKey, UsageMetric, UsageValues};
 use std::collections::BTreeMap;
 
-/// Characters of the digest that are shown.
+/// Hexadecimal characters kept of the digest.
 const DIGEST_CHARACTERS: usize = 16;
 
-/// The sum of one row over all incarnations.
+/// The sum of one usage row over all incarnations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UsageTotal {
     /// The sum of each metric.
     pub values: UsageValues,
-    /// Served answers of ended incarnations, neither known to be written nor known not to be: their clients may have
-    /// them or not.
+    /// Served answers of ended incarnations that were counted neither as written nor as unwritten: it is
+    /// unknown whether their clients received them.
     pub doubtful: u64,
 }
 
-/// Usage totals as one member has them.
+/// Usage totals as held by one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsageTotals {
-    /// The start of the earliest incarnation counted, Unix time in microseconds: nothing before it is in the totals.
+    /// The start of the earliest incarnation counted, Unix time in microseconds: usage before it is not
+    /// included.
     pub since: u64,
-    /// The same at each member whose rows are the same.
+    /// Hash of the rows: equal for members with equal rows.
     pub digest: String,
     /// Totals by tenant and period.
     pub rows: BTreeMap<UsageKey, UsageTotal>,
 }
 
-/// What one incarnation, or the compacted base of several, contributes to a row.
+/// The contribution of one incarnation, or of a compacted base, to a row.
 pub(crate) struct Contribution<'a> {
     pub(crate) key: &'a UsageKey,
     pub(crate) values: &'a UsageValues,
-    /// The incarnation has ended: what it has not reported as written never will be.
+    /// The incarnation has ended: answers that it has not reported as written will never be reported.
     pub(crate) ended: bool,
 }
 
@@ -57,7 +58,7 @@
     }
 }
 
-/// Served answers of which it was counted neither that they were written nor that they were not.
+/// Served answers that were counted neither as written nor as unwritten.
 fn unresolved_answers(values: &UsageValues) -> u64 {
     values
         .get(UsageMetric::Served)
