--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -4,15 +4,14 @@
 //! the event loop, which waits for neither. The loop pushes counts into a ring, spends rights by one atomic exchange,
 //! and reads what operators ask for from one immutable view (`arc-swap`).
 
-mod books;
+mod step_observer;
 mod threads;
-mod witness;
+mod usage_recorder;
 
 use crate::config::operators::FleetConfig;
 use crate::interface::Micros;
 use crate::runtime::Hub;
 use arc_swap::ArcSwap;
-use books::Books;
 use serde_json::json;
 use slog::{info, Logger};
 use std::net::UdpSocket;
@@ -20,6 +19,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 use std::thread::{JoinHandle, Thread};
+use step_observer::Eyes;
 use streamusher_fleet::node::FleetNode;
 use streamusher_fleet::outlier::{Ejection, ZonedWorker};
 use streamusher_fleet::quota::{Quota, QuotaTerms};
@@ -28,7 +28,7 @@
 use streamusher_fleet::usage::METRIC_NAMES;
 use streamusher_fleet::usage_totals::UsageTotals;
 use streamusher_fleet::Incarnation;
-use witness::Eyes;
+use usage_recorder::Books;
 
 /// What operators are shown, made by the state's thread.
 pub(super) struct View {
@@ -144,7 +144,7 @@
         judged: AtomicBool::new(false),
         roster: ArcSwap::default(),
     });
-    let (notes, noted) = rtrb::RingBuffer::new(books::NOTES);
+    let (notes, noted) = rtrb::RingBuffer::new(usage_recorder::NOTES);
     let (wake, woken) = async_channel::bounded(1);
     let (threads, state) = threads::start(
         node,
--- a/src/fleet/witness.rs
+++ b/src/fleet/step_observer.rs
@@ -1,7 +1,7 @@
 //! What this dispatcher has seen of its workers, for the others: three ends in a row that speak against a worker make an
 //! observation, and a result takes it back.
 
-use super::books::{Books, Note};
+use super::usage_recorder::{Books, Note};
 use super::Common;
 use crate::core::{PoolMember, StepObserver, StepOutcome};
 use crate::interface::Micros;
--- a/src/fleet/threads.rs
+++ b/src/fleet/threads.rs
@@ -1,7 +1,7 @@
 //! The two threads beside the event loop: one hears the socket, one keeps the state.
 
-use super::books::{Note, NOTES};
-use super::witness::HOLDS;
+use super::step_observer::HOLDS;
+use super::usage_recorder::{Note, NOTES};
 use super::{Common, View};
 use crate::interface::Micros;
 use async_channel::Sender;
