--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,8 +1,9 @@
-//! What this dispatcher shares with the others of its fleet: `[fleet]` in the operators' file.
+//! State that this dispatcher shares with the others of its fleet: `[fleet]` in the operators' file.
 //!
-//! Three threads, joined by bounded rings (`rtrb`): one hears the socket, one keeps the state (`streamusher_fleet`), and
-//! the event loop, which waits for neither. The loop pushes counts into a ring, spends rights by one atomic exchange,
-//! and reads what operators ask for from one immutable view (`arc-swap`).
+//! Three threads are connected by bounded rings (`rtrb`): one receives from the socket, one runs the state
+//! machine (`streamusher_fleet`), and the event loop blocks on neither. The event loop pushes counts into a
+//! ring, acquires quota units by one atomic exchange, and reads the operators' view from an immutable
+//! snapshot (`arc-swap`).
 
 mod step_observer;
 mod threads;
@@ -19,7 +20,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 use std::thread::{JoinHandle, Thread};
-use step_observer::Eyes;
+use step_observer::WorkerObserver;
 use streamusher_fleet::node::FleetNode;
 use streamusher_fleet::outlier::{Ejection, ZonedWorker};
 use streamusher_fleet::quota::{Quota, QuotaTerms};
@@ -28,53 +29,53 @@
 use streamusher_fleet::usage::METRIC_NAMES;
 use streamusher_fleet::usage_totals::UsageTotals;
 use streamusher_fleet::Incarnation;
-use usage_recorder::Books;
+use usage_recorder::FleetUsageRecorder;
 
-/// What operators are shown, made by the state's thread.
+/// The state shown to operators, a snapshot made by the state thread.
 pub(super) struct View {
-    /// The number of the last answer that it counts.
-    upto: u64,
+    /// Number of the last answer included in the totals.
+    last_answer: u64,
     status: FleetStatus,
     totals: UsageTotals,
     ejections: Vec<Ejection>,
 }
 
-/// The workers that take work, and their zones.
+/// The workers that accept work, and their zones.
 type Roster = Vec<ZonedWorker>;
 
-/// What the threads have in common.
-pub(super) struct Common {
-    /// Answers wait for their counts to be safe.
-    waited_for: bool,
-    /// The number of the last answer whose count is safe.
-    safe: AtomicU64,
+/// State shared by the threads.
+pub(super) struct Shared {
+    /// Whether answers wait until their usage counts are replicated.
+    answers_wait: bool,
+    /// Number of the last answer whose usage count is replicated.
+    replicated_answer: AtomicU64,
     stop: AtomicBool,
-    /// Frames that found the ring full.
-    dropped: AtomicU64,
+    /// Datagrams dropped because the ring from the socket was full.
+    dropped_datagrams: AtomicU64,
     view: ArcSwap<View>,
-    /// The verdicts of the view are others than those that the loop has taken.
-    judged: AtomicBool,
+    /// The view contains other ejections than the event loop has applied.
+    ejections_changed: AtomicBool,
     roster: ArcSwap<Roster>,
 }
 
-/// The fleet's part of a running program.
+/// The fleet's part of a running dispatcher.
 pub(crate) struct Fleet {
-    common: Arc<Common>,
-    books: Rc<Books>,
+    shared: Arc<Shared>,
+    recorder: Rc<FleetUsageRecorder>,
     period: Micros,
     copies: usize,
-    state: Thread,
+    state_thread: Thread,
     threads: Vec<JoinHandle<()>>,
 }
 
-/// Attaches it: answers are counted from now on, and the tenants' quotas hold. `longest` is the longest time that an
-/// operation may be in hand.
+/// Starts the fleet's threads and attaches them to the event loop: from now on answers are counted and the
+/// tenants' quotas are enforced. `max_operation_time` is the longest time that an operation may be in flight.
 pub(crate) fn attach(
     hub: &Rc<Hub>,
     config: FleetConfig,
     name: &str,
     seed: u64,
-    longest: Micros,
+    max_operation_time: Micros,
 ) -> Result<Fleet, String> {
     let name = config.name.clone().unwrap_or_else(|| name.to_string());
     if !streamusher_fleet::incarnation::is_valid_name(&name) {
@@ -97,14 +98,14 @@
         quotas: config
             .limits
             .iter()
-            .map(|(t, n)| Quota {
-                name: Arc::from(t.as_str()),
-                units: *n,
+            .map(|(tenant, units)| Quota {
+                name: Arc::from(tenant.as_str()),
+                units: *units,
             })
             .collect(),
         unlent_floor: config.floor,
         lease: config.lease_us,
-        max_use: longest,
+        max_use: max_operation_time,
         margin: 50_000,
     });
     let clock = hub.clock();
@@ -121,7 +122,7 @@
         forget_after: config.forget_us,
         period: config.period_us,
     };
-    info!(hub.log, "the fleet"; "name" => &name, "udp" => %addr, "advertised" => %settings.address,
+    info!(hub.log, "joining the fleet"; "name" => &name, "udp" => %addr, "advertised" => %settings.address,
         "life" => settings.local.number, "copies" => config.copies, "limits" => terms.quotas.len());
     let node = FleetNode::new(
         settings,
@@ -130,88 +131,102 @@
         crate::billing::wall(),
     );
     let view = View {
-        upto: 0,
+        last_answer: 0,
         status: node.status(clock()),
         totals: node.totals(),
         ejections: Vec::new(),
     };
-    let common = Arc::new(Common {
-        waited_for: config.copies > 0,
-        safe: AtomicU64::new(0),
+    let shared = Arc::new(Shared {
+        answers_wait: config.copies > 0,
+        replicated_answer: AtomicU64::new(0),
         stop: AtomicBool::new(false),
-        dropped: AtomicU64::new(0),
+        dropped_datagrams: AtomicU64::new(0),
         view: ArcSwap::from_pointee(view),
-        judged: AtomicBool::new(false),
+        ejections_changed: AtomicBool::new(false),
         roster: ArcSwap::default(),
     });
-    let (notes, noted) = rtrb::RingBuffer::new(usage_recorder::NOTES);
-    let (wake, woken) = async_channel::bounded(1);
-    let (threads, state) = threads::start(
+    let (update_producer, update_consumer) =
+        rtrb::RingBuffer::new(usage_recorder::UPDATE_RING_CAPACITY);
+    let (wake_sender, wake_receiver) = async_channel::bounded(1);
+    let (threads, state_thread) = threads::start(
         node,
         socket,
-        common.clone(),
-        noted,
-        wake,
+        shared.clone(),
+        update_consumer,
+        wake_sender,
         clock,
         hub.log.clone(),
     )
     .map_err(|e| format!("fleet: no thread for it: {e}"))?;
-    let books = Rc::new(Books::new(notes, state.clone(), terms, allowances, &config));
-    let keeper = hub.with(|core, _| {
+    let recorder = Rc::new(FleetUsageRecorder::new(
+        update_producer,
+        state_thread.clone(),
+        terms,
+        allowances,
+        &config,
+    ));
+    let recorder_id = hub.with(|core, _| {
         if !config.limits.is_empty() {
-            core.attach_quotas(books.clone());
+            core.attach_quotas(recorder.clone());
         }
-        core.attach_observer(Rc::new(Eyes::new(books.clone(), common.clone())));
-        core.attach_recorder(books.clone())
+        core.attach_observer(Rc::new(WorkerObserver::new(
+            recorder.clone(),
+            shared.clone(),
+        )));
+        core.attach_recorder(recorder.clone())
     });
-    let (heard, safe, again) = (hub.clone(), common.clone(), books.clone());
+    let (task_hub, task_shared, task_recorder) = (hub.clone(), shared.clone(), recorder.clone());
     hub.spawn(async move {
-        while woken.recv().await.is_ok() {
-            again.push();
-            let upto = safe.safe.load(Ordering::Acquire);
-            heard.with(|core, _| core.on_durable(keeper, upto));
-            if safe.judged.swap(false, Ordering::AcqRel) {
-                let view = safe.view.load();
+        while wake_receiver.recv().await.is_ok() {
+            task_recorder.flush_usage();
+            let last_answer = task_shared.replicated_answer.load(Ordering::Acquire);
+            task_hub.with(|core, _| core.on_durable(recorder_id, last_answer));
+            if task_shared.ejections_changed.swap(false, Ordering::AcqRel) {
+                let view = task_shared.view.load();
                 let ejections: Vec<(&str, u32)> = view
                     .ejections
                     .iter()
                     .map(|ejection| (&*ejection.worker, ejection.weight))
                     .collect();
-                heard.with(|core, _| core.peer_observations(&ejections));
+                task_hub.with(|core, _| core.peer_observations(&ejections));
             }
         }
     });
     Ok(Fleet {
-        common,
-        books,
+        shared,
+        recorder,
         period: config.period_us,
         copies: config.copies,
-        state,
+        state_thread,
         threads,
     })
 }
 
 impl Fleet {
-    /// What operators are told by `fleet`.
+    /// The JSON for the operators' command `fleet`.
     pub(crate) fn status_json(&self) -> String {
-        let view = self.common.view.load();
-        let mut show = serde_json::to_value(&view.status).unwrap_or_default();
-        show["frames_dropped"] = self.common.dropped.load(Ordering::Relaxed).into();
-        show["verdicts"] = serde_json::to_value(&view.ejections).unwrap_or_default();
-        show["copies"] = self.copies.into();
-        show["uncounted"] = self.books.last().saturating_sub(view.upto).into();
-        show.to_string()
+        let view = self.shared.view.load();
+        let mut status = serde_json::to_value(&view.status).unwrap_or_default();
+        status["frames_dropped"] = self.shared.dropped_datagrams.load(Ordering::Relaxed).into();
+        status["verdicts"] = serde_json::to_value(&view.ejections).unwrap_or_default();
+        status["copies"] = self.copies.into();
+        status["uncounted"] = self
+            .recorder
+            .last_answer()
+            .saturating_sub(view.last_answer)
+            .into();
+        status.to_string()
     }
 
-    /// What operators are told by `tally`: a row for each period and tenant, the same at each member that has the same
-    /// digest.
+    /// The JSON for the operators' command `tally`: a row for each period and tenant, equal at all members
+    /// with the same digest.
     pub(crate) fn usage_json(&self) -> String {
-        let view = self.common.view.load();
+        let view = self.shared.view.load();
         let rows = view.totals.rows.iter().map(|(key, total)| {
             let mut row = json!({"from": u64::from(key.period) * self.period / 1_000_000, "tenant": &*key.tenant,
                 "doubtful": total.doubtful});
-            for (name, n) in METRIC_NAMES.iter().zip(total.values.0) {
-                row[*name] = n.into();
+            for (name, value) in METRIC_NAMES.iter().zip(total.values.0) {
+                row[*name] = value.into();
             }
             row
         });
@@ -221,14 +236,15 @@
         .to_string()
     }
 
-    /// The program ends: what was counted is handed over to others, if there are any, and the fleet is told good-bye.
+    /// Shuts down the threads: replicates the remaining counts to other members, if there are any, and leaves
+    /// the fleet.
     pub(crate) fn shut_down(self, log: &Logger) {
-        self.books.push();
-        self.common.stop.store(true, Ordering::Release);
-        self.state.unpark();
+        self.recorder.flush_usage();
+        self.shared.stop.store(true, Ordering::Release);
+        self.state_thread.unpark();
         for thread in self.threads {
             let _ = thread.join();
         }
-        info!(log, "the fleet is left"; "uncounted" => self.books.last() - self.common.view.load().upto);
+        info!(log, "left the fleet"; "uncounted" => self.recorder.last_answer() - self.shared.view.load().last_answer);
     }
 }
--- a/src/fleet/step_observer.rs
+++ b/src/fleet/step_observer.rs
@@ -1,8 +1,8 @@
-//! What this dispatcher has seen of its workers, for the others: three ends in a row that speak against a worker make an
-//! observation, and a result takes it back.
+//! Turns the outcomes of this dispatcher's route steps into observations for the other members: three faults
+//! of one worker in a row make an observation, and a success retracts it.
 
-use super::usage_recorder::{Books, Note};
-use super::Common;
+use super::usage_recorder::{FleetUsageRecorder, StateUpdate};
+use super::Shared;
 use crate::core::{PoolMember, StepObserver, StepOutcome};
 use crate::interface::Micros;
 use std::cell::RefCell;
@@ -11,51 +11,51 @@
 use std::sync::Arc;
 use streamusher_fleet::outlier::{WorkerFault, WorkerIncarnation, ZonedWorker};
 
-/// Ends in a row that make an observation: one may be chance.
-const ROW: u32 = 3;
-/// How sure each further one makes, of 100.
-const SURE: u32 = 20;
-/// How long an observation holds: about as long as the decisions keep what they see themselves.
-pub(super) const HOLDS: Micros = 10_000_000;
-/// A worker that goes on serving is told of as good no more often than this many results.
-const AGAIN: u32 = 50;
+/// Consecutive faults that make an observation: a single one may be chance.
+const OBSERVATION_THRESHOLD: u32 = 3;
+/// Confidence that each consecutive fault adds, out of 100.
+const WEIGHT_PER_FAULT: u32 = 20;
+/// Lifetime of an observation: about as long as the dispatch decisions keep their own observations.
+pub(super) const OBSERVATION_LIFETIME: Micros = 10_000_000;
+/// A worker that keeps serving requests is reported as good at most once in this many successes.
+const SUCCESSES_PER_REPORT: u32 = 50;
 
-/// What was last seen of one worker's life.
+/// Recent outcomes at one worker incarnation.
 #[derive(Default)]
-struct Seen {
-    since: Micros,
+struct RecentOutcomes {
+    started_at: Micros,
     fault: Option<WorkerFault>,
-    row: u32,
-    served: u32,
+    consecutive_faults: u32,
+    successes: u32,
 }
 
-/// Hears how route steps end.
-pub(super) struct Eyes {
-    books: Rc<Books>,
-    common: Arc<Common>,
-    seen: RefCell<HashMap<String, Seen>>,
+/// Receives the outcomes of route steps.
+pub(super) struct WorkerObserver {
+    recorder: Rc<FleetUsageRecorder>,
+    shared: Arc<Shared>,
+    outcomes_by_worker: RefCell<HashMap<String, RecentOutcomes>>,
 }
 
-impl Eyes {
-    pub(super) fn new(books: Rc<Books>, common: Arc<Common>) -> Eyes {
-        Eyes {
-            books,
-            common,
-            seen: RefCell::default(),
+impl WorkerObserver {
+    pub(super) fn new(recorder: Rc<FleetUsageRecorder>, shared: Arc<Shared>) -> WorkerObserver {
+        WorkerObserver {
+            recorder,
+            shared,
+            outcomes_by_worker: RefCell::default(),
         }
     }
 }
 
-fn worker(m: &PoolMember) -> WorkerIncarnation {
+fn worker_incarnation(member: &PoolMember) -> WorkerIncarnation {
     WorkerIncarnation {
-        name: Arc::from(m.name.as_str()),
-        started_ms: m.started_at_us / 1_000,
+        name: Arc::from(member.name.as_str()),
+        started_ms: member.started_at_us / 1_000,
     }
 }
 
-/// What an end says against a worker; none where it says nothing.
-fn against(ending: &StepOutcome) -> Option<WorkerFault> {
-    match ending {
+/// The worker's fault that an outcome indicates; `None` if it indicates no fault.
+fn fault_of(outcome: &StepOutcome) -> Option<WorkerFault> {
+    match outcome {
         StepOutcome::WorkerFailed
         | StepOutcome::Lost
         | StepOutcome::ConnectRefused
@@ -70,45 +70,53 @@
     }
 }
 
-impl StepObserver for Eyes {
-    fn step_ended(&self, m: &PoolMember, ending: &StepOutcome) {
-        let mut all = self.seen.borrow_mut();
-        if !all.contains_key(&m.name) {
-            all.insert(m.name.clone(), Seen::default());
+impl StepObserver for WorkerObserver {
+    fn step_ended(&self, member: &PoolMember, outcome: &StepOutcome) {
+        let mut outcomes_by_worker = self.outcomes_by_worker.borrow_mut();
+        if !outcomes_by_worker.contains_key(&member.name) {
+            outcomes_by_worker.insert(member.name.clone(), RecentOutcomes::default());
         }
-        let seen = all.get_mut(&m.name).expect("just there");
-        if seen.since != m.started_at_us {
-            *seen = Seen {
-                since: m.started_at_us,
-                ..Seen::default()
-            }; // another life: nothing was seen of it
+        let outcomes = outcomes_by_worker
+            .get_mut(&member.name)
+            .expect("the entry was inserted above");
+        if outcomes.started_at != member.started_at_us {
+            *outcomes = RecentOutcomes {
+                started_at: member.started_at_us,
+                ..RecentOutcomes::default()
+            }; // a new incarnation has no outcomes yet
         }
-        match (against(ending), ending) {
+        match (fault_of(outcome), outcome) {
             (Some(fault), _) => {
-                seen.row = if seen.fault == Some(fault) {
-                    seen.row + 1
+                outcomes.consecutive_faults = if outcomes.fault == Some(fault) {
+                    outcomes.consecutive_faults + 1
                 } else {
                     1
                 };
-                (seen.fault, seen.served) = (Some(fault), 0);
-                if seen.row >= ROW {
-                    let weight = (SURE * seen.row).min(100) as u8;
-                    self.books.saw(Note::Saw {
-                        worker: worker(m),
+                (outcomes.fault, outcomes.successes) = (Some(fault), 0);
+                if outcomes.consecutive_faults >= OBSERVATION_THRESHOLD {
+                    let weight = (WEIGHT_PER_FAULT * outcomes.consecutive_faults).min(100) as u8;
+                    self.recorder.send_observation(StateUpdate::WorkerObserved {
+                        worker: worker_incarnation(member),
                         fault: Some(fault),
                         weight,
                     });
                 }
             }
             (None, StepOutcome::Served(_)) => {
-                if seen.row >= ROW || seen.served.is_multiple_of(AGAIN) {
-                    self.books.saw(Note::Saw {
-                        worker: worker(m),
+                if outcomes.consecutive_faults >= OBSERVATION_THRESHOLD
+                    || outcomes.successes.is_multiple_of(SUCCESSES_PER_REPORT)
+                {
+                    self.recorder.send_observation(StateUpdate::WorkerObserved {
+                        worker: worker_incarnation(member),
                         fault: None,
                         weight: 1,
                     });
                 }
-                (seen.fault, seen.row, seen.served) = (None, 0, seen.served.wrapping_add(1));
+                (
+                    outcomes.fault,
+                    outcomes.consecutive_faults,
+                    outcomes.successes,
+                ) = (None, 0, outcomes.successes.wrapping_add(1));
             }
             (None, _) => {}
         }
@@ -116,11 +124,11 @@
 
     fn workers_changed(&self, workers: &mut dyn Iterator<Item = &PoolMember>) {
         let roster = workers
-            .map(|m| ZonedWorker {
-                worker: worker(m),
-                zone: Arc::from(m.zone.as_str()),
+            .map(|member| ZonedWorker {
+                worker: worker_incarnation(member),
+                zone: Arc::from(member.zone.as_str()),
             })
             .collect();
-        self.common.roster.store(Arc::new(roster));
+        self.shared.roster.store(Arc::new(roster));
     }
 }
--- a/src/fleet/usage_recorder.rs
+++ b/src/fleet/usage_recorder.rs
@@ -1,4 +1,5 @@
-//! The event loop's side: final answers are counted, and tenants' rights are spent.
+//! The event loop's part of the fleet: counts final answers, and acquires and releases units of the tenants'
+//! quotas.
 
 use crate::config::operators::FleetConfig;
 use crate::core::{
@@ -15,178 +16,192 @@
 use streamusher_fleet::quota::QuotaTerms;
 use streamusher_fleet::usage::{UsageKey, UsageMetric, UsageValues};
 
-/// Notes that fit the ring to the state's thread.
-pub(super) const NOTES: usize = 4_096;
-/// Under which name operations are counted where no tenants are listed.
-const NOBODY: &str = "unassigned";
-
-/// News for the state's thread.
-pub(super) enum Note {
-    /// Counts up to a number.
-    Counts {
-        /// Of an answer.
-        upto: u64,
-        /// What was counted since the note before.
+/// Capacity of the ring from the event loop to the state thread.
+pub(super) const UPDATE_RING_CAPACITY: usize = 4_096;
+/// Tenant name under which operations are counted if no tenants are configured.
+const UNASSIGNED_TENANT: &str = "unassigned";
+
+/// A message from the event loop to the state thread.
+pub(super) enum StateUpdate {
+    /// Usage counts.
+    Usage {
+        /// Number of the last answer that the counts include.
+        last_answer: u64,
+        /// Usage counted since the previous update.
         rows: Vec<(UsageKey, UsageValues)>,
     },
-    /// Something was seen of a worker: a fault, or that it serves.
-    Saw {
-        /// Of whom.
+    /// An observation of a worker: a fault, or a success.
+    WorkerObserved {
+        /// The worker incarnation that was observed.
         worker: WorkerIncarnation,
-        /// None: it serves.
+        /// The kind of fault; `None` if the worker served a request.
         fault: Option<WorkerFault>,
-        /// How sure, of 100.
+        /// Confidence in the fault, 1 to 100.
         weight: u8,
     },
 }
 
-/// Counts answers and spends rights. Invariant: what did not fit the ring waits in sums, and goes with the next note,
-/// at the latest when the state's thread says that there is room again.
-pub(super) struct Books {
-    notes: RefCell<Producer<Note>>,
-    state: Thread,
-    waiting: RefCell<BTreeMap<UsageKey, UsageValues>>,
-    last: Cell<u64>,
-    /// Answers that are not written yet: whose they are, and whether they were served.
-    out: RefCell<HashMap<u64, (UsageKey, bool)>>,
-    budgets: HashMap<Arc<str>, usize>,
+/// Counts answers, and acquires units of quotas. Invariant: usage that does not fit into the ring is kept in
+/// `unsent_usage` and sent with the next update, at the latest when the state thread signals free space.
+pub(super) struct FleetUsageRecorder {
+    updates: RefCell<Producer<StateUpdate>>,
+    state_thread: Thread,
+    unsent_usage: RefCell<BTreeMap<UsageKey, UsageValues>>,
+    last_answer: Cell<u64>,
+    /// Answers that have not been written yet: the usage row of each, and whether it was served.
+    unwritten_answers: RefCell<HashMap<u64, (UsageKey, bool)>>,
+    quota_indices: HashMap<Arc<str>, usize>,
     allowances: Vec<Arc<QuotaAllowance>>,
     copies: usize,
-    hold: Micros,
+    max_hold: Micros,
     period: Micros,
-    nobody: Arc<str>,
+    unassigned_tenant: Arc<str>,
 }
 
-impl Books {
+impl FleetUsageRecorder {
     pub(super) fn new(
-        notes: Producer<Note>,
-        state: Thread,
+        updates: Producer<StateUpdate>,
+        state_thread: Thread,
         terms: Arc<QuotaTerms>,
         allowances: Vec<Arc<QuotaAllowance>>,
         config: &FleetConfig,
-    ) -> Books {
-        Books {
-            notes: RefCell::new(notes),
-            state,
-            waiting: RefCell::default(),
-            last: Cell::new(0),
-            out: RefCell::default(),
-            budgets: terms
+    ) -> FleetUsageRecorder {
+        FleetUsageRecorder {
+            updates: RefCell::new(updates),
+            state_thread,
+            unsent_usage: RefCell::default(),
+            last_answer: Cell::new(0),
+            unwritten_answers: RefCell::default(),
+            quota_indices: terms
                 .quotas
                 .iter()
                 .enumerate()
-                .map(|(i, b)| (b.name.clone(), i))
+                .map(|(index, quota)| (quota.name.clone(), index))
                 .collect(),
             allowances,
             copies: config.copies,
-            hold: config.hold_us,
+            max_hold: config.hold_us,
             period: config.period_us,
-            nobody: Arc::from(NOBODY),
+            unassigned_tenant: Arc::from(UNASSIGNED_TENANT),
         }
     }
 
-    /// The number of the last answer counted.
-    pub(super) fn last(&self) -> u64 {
-        self.last.get()
+    /// Number of the last answer counted.
+    pub(super) fn last_answer(&self) -> u64 {
+        self.last_answer.get()
     }
 
-    fn count(&self, key: UsageKey, units: &UsageValues) {
-        self.waiting.borrow_mut().entry(key).or_default().add(units);
-        self.push();
+    fn count(&self, usage_key: UsageKey, values: &UsageValues) {
+        self.unsent_usage
+            .borrow_mut()
+            .entry(usage_key)
+            .or_default()
+            .add(values);
+        self.flush_usage();
     }
 
-    /// Hands over what waits, if the ring has room.
-    pub(super) fn push(&self) {
-        let mut waiting = self.waiting.borrow_mut();
-        let mut notes = self.notes.borrow_mut();
-        if waiting.is_empty() || notes.is_full() {
+    /// Sends the accumulated usage to the state thread, if the ring has free space.
+    pub(super) fn flush_usage(&self) {
+        let mut unsent_usage = self.unsent_usage.borrow_mut();
+        let mut updates = self.updates.borrow_mut();
+        if unsent_usage.is_empty() || updates.is_full() {
             return;
         }
-        let rows = std::mem::take(&mut *waiting).into_iter().collect();
-        if notes
-            .push(Note::Counts {
-                upto: self.last.get(),
+        let rows = std::mem::take(&mut *unsent_usage).into_iter().collect();
+        if updates
+            .push(StateUpdate::Usage {
+                last_answer: self.last_answer.get(),
                 rows,
             })
             .is_ok()
         {
-            // Where nobody waits for them, counts are taken as the state's thread next looks: waking it for each one
-            // cost a third of an operation's processor time.
-            if self.copies > 0 || notes.slots() < NOTES / 2 {
-                self.state.unpark();
+            // If no answer waits for replication, the state thread takes the counts when it next wakes up by
+            // itself: a wake-up for each answer cost a third of an operation's processor time.
+            if self.copies > 0 || updates.slots() < UPDATE_RING_CAPACITY / 2 {
+                self.state_thread.unpark();
             }
         }
     }
 
-    /// An observation goes on, if there is room: it is a hint, and is made again.
-    pub(super) fn saw(&self, note: Note) {
-        if self.notes.borrow_mut().push(note).is_ok() {
-            self.state.unpark();
+    /// Sends an observation, or drops it if the ring is full: it is only a hint, and is made again.
+    pub(super) fn send_observation(&self, update: StateUpdate) {
+        if self.updates.borrow_mut().push(update).is_ok() {
+            self.state_thread.unpark();
         }
     }
 
-    fn key(&self, tenant: Option<&Arc<str>>) -> UsageKey {
+    fn usage_key(&self, tenant: Option<&Arc<str>>) -> UsageKey {
         let period = (crate::billing::wall() / self.period) as u32;
         UsageKey {
             period,
-            tenant: tenant.unwrap_or(&self.nobody).clone(),
+            tenant: tenant.unwrap_or(&self.unassigned_tenant).clone(),
         }
     }
 }
 
-impl UsageRecorder for Books {
+impl UsageRecorder for FleetUsageRecorder {
     fn accepts_operations(&self) -> bool {
         true
     }
 
-    fn record(&self, now: Micros, by: Micros, a: &UsageRecord) -> RecordStatus {
-        let (key, number) = (self.key(a.tenant), self.last.get() + 1);
-        self.last.set(number);
-        let ended = match a.outcome {
+    fn record(&self, now: Micros, deadline: Micros, usage: &UsageRecord) -> RecordStatus {
+        let (usage_key, number) = (self.usage_key(usage.tenant), self.last_answer.get() + 1);
+        self.last_answer.set(number);
+        let metric = match usage.outcome {
             OperationOutcome::Served => UsageMetric::Served,
             OperationOutcome::Busy => UsageMetric::Refused,
             OperationOutcome::Failed => UsageMetric::Failed,
             OperationOutcome::Gone => UsageMetric::Gone,
         };
-        let mut units = UsageValues::single(ended, 1);
-        units.add(&UsageValues::single(
+        let mut values = UsageValues::single(metric, 1);
+        values.add(&UsageValues::single(
             UsageMetric::Attempts,
-            a.attempts.into(),
+            usage.attempts.into(),
         ));
-        units.add(&UsageValues::single(UsageMetric::UsedUs, a.run_us));
-        units.add(&UsageValues::single(UsageMetric::WastedUs, a.wasted_us));
-        if a.outcome != OperationOutcome::Gone {
-            self.out
-                .borrow_mut()
-                .insert(number, (key.clone(), a.outcome == OperationOutcome::Served));
+        values.add(&UsageValues::single(UsageMetric::UsedUs, usage.run_us));
+        values.add(&UsageValues::single(UsageMetric::WastedUs, usage.wasted_us));
+        if usage.outcome != OperationOutcome::Gone {
+            self.unwritten_answers.borrow_mut().insert(
+                number,
+                (usage_key.clone(), usage.outcome == OperationOutcome::Served),
+            );
         }
-        self.count(key, &units);
+        self.count(usage_key, &values);
         match self.copies {
             0 => RecordStatus::Open { number },
             _ => RecordStatus::Hold {
                 number,
-                until: now.saturating_add(self.hold).min(by.max(now)),
+                until: now.saturating_add(self.max_hold).min(deadline.max(now)),
             },
         }
     }
 
-    /// Counts are a tally and no bill: an answer that is not copied in time is counted as unsure, and goes out.
-    fn on_overdue(&self, number: u64, _ended: OperationOutcome) -> OverdueAction {
-        let key = self.out.borrow().get(&number).map(|o| o.0.clone());
-        key.into_iter()
-            .for_each(|key| self.count(key, &UsageValues::single(UsageMetric::Unreplicated, 1)));
+    /// These counts are statistics, not a bill: an answer that is not replicated in time is counted as
+    /// unreplicated and released.
+    fn on_overdue(&self, number: u64, _outcome: OperationOutcome) -> OverdueAction {
+        let usage_key = self
+            .unwritten_answers
+            .borrow()
+            .get(&number)
+            .map(|o| o.0.clone());
+        usage_key.into_iter().for_each(|usage_key| {
+            self.count(
+                usage_key,
+                &UsageValues::single(UsageMetric::Unreplicated, 1),
+            )
+        });
         OverdueAction::Release
     }
 
-    fn written(&self, number: u64, whole: bool) {
-        let Some((key, served)) = self.out.borrow_mut().remove(&number) else {
+    fn written(&self, number: u64, complete: bool) {
+        let Some((usage_key, served)) = self.unwritten_answers.borrow_mut().remove(&number) else {
             return;
         };
         if served {
             self.count(
-                key,
+                usage_key,
                 &UsageValues::single(
-                    if whole {
+                    if complete {
                         UsageMetric::Written
                     } else {
                         UsageMetric::Unwritten
@@ -198,9 +213,9 @@
     }
 }
 
-impl Quotas for Books {
+impl Quotas for FleetUsageRecorder {
     fn acquire(&self, now: Micros, tenant: Option<&str>) -> QuotaGrant {
-        let Some(budget) = tenant.and_then(|t| self.budgets.get(t)).copied() else {
+        let Some(budget) = tenant.and_then(|t| self.quota_indices.get(t)).copied() else {
             return QuotaGrant::Unlimited;
         };
         let allowance = &self.allowances[budget];
