--- a/src/state/hash_ring.rs
+++ b/src/state/hash_ring.rs
@@ -1,12 +1,12 @@
-//! Consistent hashing: the workers that requests of one subject prefer.
+//! Consistent hashing: maps the key of a request's subject to its preferred workers.
 
 use super::Worker;
 use crate::interface::WorkerId;
 
-/// Points of a worker on the ring: enough that keys spread about evenly.
+/// Points of each worker on the ring, enough to distribute keys about evenly.
 const POINTS_PER_WORKER: usize = 8;
 
-/// A consistent-hash ring of workers, the same at every dispatcher with the same list.
+/// A consistent-hash ring of workers, equal at every dispatcher with the same worker list.
 pub(super) struct HashRing {
     points: Vec<(u64, WorkerId)>,
 }
@@ -22,7 +22,7 @@
         HashRing { points }
     }
 
-    /// The first `count` workers that follow a key on the ring.
+    /// The first `count` distinct workers that follow a key on the ring.
     pub(super) fn successors(&self, key: u64, count: usize) -> Vec<WorkerId> {
         let hash = mix(key, 0);
         let start = self.points.partition_point(|point| point.0 < hash);
--- a/src/state/job.rs
+++ b/src/state/job.rs
@@ -7,15 +7,16 @@
 #[derive(Default)]
 pub(crate) struct Attempt {
     pub(crate) worker: WorkerId,
-    /// The worker's incarnation that it was sent to.
+    /// The worker's incarnation to which the attempt was sent.
     pub(crate) incarnation: u32,
     pub(crate) sent_at: Micros,
-    /// When it began to run, where the worker notified that.
+    /// When the attempt started to run, if the worker sent a start notification.
     pub(crate) started_at: Option<Micros>,
-    /// Its running time can be measured: starts are notified, or nothing was known to wait at the worker.
+    /// Whether the running time can be measured: the worker notifies starts, or no job was known to wait at
+    /// the worker.
     pub(crate) is_measurable: bool,
     pub(crate) cancelled: bool,
-    /// How it ended; `None` while it is in flight.
+    /// How the attempt ended; `None` while it is in flight.
     pub(crate) outcome: Option<AttemptOutcome>,
 }
 
@@ -29,7 +30,7 @@
         self.started_at.is_none() && self.is_in_flight()
     }
 
-    /// Cancelled before it was known to run, and ended so.
+    /// Cancelled before it was known to run, and ended as cancelled or not sent.
     fn was_withdrawn_unstarted(&self) -> bool {
         let ended_cancelled = matches!(
             self.outcome,
@@ -47,39 +48,40 @@
 /// An attempt that has ended.
 pub(crate) struct EndedAttempt {
     pub(crate) worker: WorkerId,
-    /// The worker's incarnation that it was sent to.
+    /// The worker's incarnation to which the attempt was sent.
     pub(crate) incarnation: u32,
     /// Index of the job's class.
     pub(crate) class: usize,
     pub(crate) outcome: AttemptOutcome,
-    /// It was known to run.
+    /// Whether the attempt was known to run.
     pub(crate) was_running: bool,
-    /// Its running time, where that can be measured.
+    /// The running time, if it can be measured.
     pub(crate) running_time_us: Option<Micros>,
-    /// The client's hint.
+    /// The expected work from the client's hint.
     pub(crate) expected_work_us: Option<Micros>,
 }
 
-/// A request that this dispatcher has to serve. It stays known until each of its attempts has ended, for the counts.
+/// A request that this dispatcher serves. It is kept until each of its attempts has ended, so that the
+/// attempts are counted correctly.
 #[derive(Default)]
 pub(crate) struct Job {
     pub(crate) request: Request,
-    /// Index of its class.
+    /// Index of the job's class.
     pub(crate) class: usize,
-    /// The workers that placement permits.
+    /// Placement group, which determines the workers that the job may be sent to.
     pub(crate) placement: PlacementGroup,
     pub(crate) arrived_at: Micros,
-    /// The workers that jobs of the same subject prefer; none if it has no subject.
+    /// The workers that jobs of the same subject prefer; empty if the job has no subject.
     pub(crate) affinity_workers: Vec<WorkerId>,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) answered: bool,
-    /// A streamed answer has begun.
+    /// Whether a streamed answer has begun.
     pub(crate) streaming: bool,
-    /// Its tenant was beyond its share when it arrived.
+    /// Whether the tenant exceeded its share when the job arrived.
     pub(crate) over_share: bool,
-    /// How often it was found still waiting.
+    /// Number of rechecks that found the job still waiting.
     pub(crate) missed_starts: u32,
-    /// Before this time a recheck finds nothing new.
+    /// A recheck before this time finds nothing new.
     pub(crate) recheck_at: Micros,
 }
 
@@ -88,7 +90,7 @@
         self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// The dispatcher owes a final answer: none was given, and no stream runs.
+    /// Whether a final answer is still due: none was given, and no streamed answer is in progress.
     pub(crate) fn owes_answer(&self) -> bool {
         !(self.answered || self.streaming && self.is_in_flight())
     }
@@ -97,8 +99,9 @@
         now >= self.arrived_at.saturating_add(self.request.expires_in_us)
     }
 
-    /// Whether it had an attempt at this incarnation of a worker that is more than a copy which was withdrawn unstarted: that
-    /// one tells nothing against the worker, which may be the only one left for a retry.
+    /// Whether the job had an attempt at this incarnation of a worker, other than a copy that was withdrawn
+    /// before it started: such a copy is no evidence against the worker, which may be the only one left for a
+    /// retry.
     pub(crate) fn has_tried(&self, worker: WorkerId, incarnation: u32) -> bool {
         self.attempts.iter().any(|attempt| {
             attempt.worker == worker
@@ -107,7 +110,7 @@
         })
     }
 
-    /// The workers of its attempts in flight, in the order of the attempts.
+    /// The workers of the attempts in flight, in the order of the attempts.
     pub(crate) fn workers_in_flight(&self) -> Vec<WorkerId> {
         self.attempts
             .iter()
@@ -116,7 +119,7 @@
             .collect()
     }
 
-    /// Records the end of an attempt; `None` if there is no such attempt in flight.
+    /// Records the end of an attempt; returns `None` if no such attempt is in flight.
     pub(crate) fn end_attempt(&mut self, now: Micros, end: &AttemptEnd) -> Option<EndedAttempt> {
         let attempt = self.attempts.get_mut(end.attempt as usize)?;
         if !attempt.is_in_flight() {
@@ -136,7 +139,7 @@
         })
     }
 
-    /// Cancels the attempts in flight that are selected by their numbers, where attempts may be cancelled.
+    /// Cancels the attempts in flight whose numbers are selected, unless cancellation is disabled.
     pub(crate) fn cancel_attempts(
         &mut self,
         settings: &Settings,
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! Records of workers and jobs that the decision module keeps. Nothing here decides; that is `src/balance/`.
+//! State of workers and jobs that the decision module keeps. No decisions are made here; see `src/balance/`.
 
 mod hash_ring;
 mod job;
--- a/src/state/observation.rs
+++ b/src/state/observation.rs
@@ -1,18 +1,18 @@
-//! Observed values that lose their meaning with time.
+//! Observed values that decay over time.
 
 use crate::interface::Micros;
 
-/// A value, and when it was observed.
+/// A value and the time of its observation.
 #[derive(Clone, Copy)]
 pub(crate) struct Observation {
-    /// When.
+    /// When the value was observed.
     pub(crate) at: Micros,
-    /// The value.
+    /// The observed value.
     pub(crate) value: f64,
 }
 
-/// What an observation is worth now: it decays exponentially to the baseline, by a factor e per time constant. Without
-/// an observation it is the baseline.
+/// The current value of an observation: it decays exponentially to the baseline, by a factor e per time
+/// constant. Without an observation the result is the baseline.
 pub(crate) fn decayed(
     observation: Option<Observation>,
     baseline: f64,
--- a/src/state/rates.rs
+++ b/src/state/rates.rs
@@ -1,13 +1,13 @@
-//! Recent rates of this dispatcher: arrivals by tenant, and work sent.
+//! Recent rates of this dispatcher: requests by tenant, and work sent to workers.
 
 use crate::interface::Micros;
 
-/// Time constant of the rates: many jobs even at one per second.
+/// Time constant of the rates: it covers many jobs even at one job per second.
 pub(crate) const RATE_TIME_CONSTANT_US: f64 = 10e6;
 
-/// What this dispatcher has recently received from each tenant, in requests, and sent out, in work; both decay.
+/// Requests recently received from each tenant, and work recently sent to workers. Both decay exponentially.
 pub(crate) struct RecentRates {
-    /// Requests by tenant.
+    /// Requests received, by tenant.
     pub(crate) tenants: Vec<f64>,
     /// Work sent, in microseconds on a standard core.
     pub(crate) work: f64,
@@ -23,14 +23,14 @@
         }
     }
 
-    /// Lets the rates decay until now.
+    /// Applies the decay up to the current time.
     pub(crate) fn decay(&mut self, now: Micros) {
         let age_us = now.saturating_sub(self.updated_at) as f64;
-        let kept = (-age_us / RATE_TIME_CONSTANT_US).exp();
+        let decay_factor = (-age_us / RATE_TIME_CONSTANT_US).exp();
         for requests in &mut self.tenants {
-            *requests *= kept;
+            *requests *= decay_factor;
         }
-        self.work *= kept;
+        self.work *= decay_factor;
         self.updated_at = now;
     }
 }
--- a/src/state/timer.rs
+++ b/src/state/timer.rs
@@ -1,23 +1,24 @@
-//! Timers of the decision module, and the tokens by which they come back.
+//! Timers of the decision module, encoded as the tokens by which the caller reports their expiry.
 
 use crate::interface::{Action, JobId, Micros};
 
-/// Token of the discovery timer; those of jobs are twice the job's number, plus one for a recheck.
+/// Token of the discovery timer. The tokens of a job's timers are twice the job's number, plus one for a
+/// recheck.
 const DISCOVERY_TOKEN: u64 = u64::MAX;
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy)]
 pub(crate) enum Timer {
     /// Poll the endpoint list.
     Discovery,
-    /// The client's deadline.
+    /// The client's deadline for the job has passed.
     Deadline(JobId),
-    /// See whether a job that is held or has not begun to run needs another attempt.
+    /// Check whether a job that is held, or has not started to run, needs another attempt.
     Recheck(JobId),
 }
 
 impl Timer {
-    /// The action that sets this timer.
+    /// The action that starts this timer.
     pub(crate) fn after(self, delay_us: Micros) -> Action {
         Action::Schedule {
             delay_us,
--- a/src/state/worker.rs
+++ b/src/state/worker.rs
@@ -1,31 +1,31 @@
-//! Workers, as one dispatcher sees them.
+//! Workers, as seen by one dispatcher.
 
 use super::{EndedAttempt, MovingAverage, Observation};
 use crate::interface::{AttemptOutcome, Endpoint, Micros, Settings};
 
-/// A worker.
+/// A worker and this dispatcher's knowledge of it.
 #[derive(Default)]
 pub(crate) struct Worker {
     pub(crate) endpoint: Endpoint,
-    /// Counts restarts: attempts sent to an earlier incarnation count for nothing.
+    /// Counts restarts: attempts sent to an earlier incarnation are ignored.
     pub(crate) incarnation: u32,
-    /// This dispatcher's attempts there.
+    /// Attempts of this dispatcher in flight at the worker.
     pub(crate) in_flight: u32,
-    /// Those of them that are known to run.
+    /// Attempts of this dispatcher that are known to run.
     pub(crate) running: u32,
-    /// Connections of this dispatcher there, as far as known.
+    /// Estimated number of this dispatcher's connections to the worker.
     connections: u32,
     connection_used_at: Micros,
-    /// Penalties in jobs: one for each class and, last, one for all classes; none while nothing was observed.
+    /// Penalties in jobs: one for each class and, last, one for all classes; `None` if nothing was observed.
     pub(crate) penalties: Vec<Option<Observation>>,
-    /// Load by others, in jobs.
+    /// Load that this dispatcher did not send, in jobs.
     pub(crate) observed_load: Option<Observation>,
-    /// Logarithm of the running time there over the usual running time.
+    /// Logarithm of the running time at the worker relative to the usual running time.
     pub(crate) log_slowness: MovingAverage,
 }
 
 impl Worker {
-    /// A new process at a worker whose speed is known from former ones.
+    /// Creates a new incarnation of a worker, with the slowness measured for earlier ones.
     pub(crate) fn new(incarnation: u32, log_slowness: MovingAverage, classes: usize) -> Worker {
         Worker {
             incarnation,
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Attempts that the open connections can carry. Connections that were idle for long are closed, but for those that
-    /// carry an attempt.
+    /// Attempts that the open connections can carry. Connections that were idle for too long are closed,
+    /// except those that carry an attempt.
     pub(crate) fn connection_capacity(&self, now: Micros, settings: &Settings) -> u32 {
         let idle_us = now.saturating_sub(self.connection_used_at);
         if idle_us >= settings.connection_idle_timeout_us {
@@ -57,8 +57,8 @@
         self.connection_used_at = now;
     }
 
-    /// Counts the end of an attempt, if it was sent to this incarnation. One that found no connection had counted one
-    /// that does not exist.
+    /// Counts the end of an attempt, if it was sent to this incarnation. If the connection attempt failed,
+    /// the connection counted for it is removed.
     pub(crate) fn on_attempt_ended(&mut self, now: Micros, ended: &EndedAttempt) {
         if self.incarnation != ended.incarnation {
             return;
--- a/src/state/worker_pools.rs
+++ b/src/state/worker_pools.rs
@@ -1,28 +1,28 @@
-//! The ready workers, grouped so that a search for one costs as little as the group is large.
+//! The ready workers, grouped so that the cost of a search is proportional to the size of a group.
 
 use super::hash_ring::HashRing;
 use super::Worker;
 use crate::interface::{Endpoint, EndpointState, WorkerId, ZoneId};
 use std::collections::BTreeMap;
 
-/// The classes that are permitted the same workers by placement.
+/// The classes for which placement permits the same workers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum PlacementGroup {
     /// All classes without a constraint: they may be sent to any worker.
     #[default]
     Unconstrained,
-    /// One class with a constraint of its own, by index.
+    /// One class with its own constraint, by index.
     Class(usize),
 }
 
-/// A pool of ready workers: those permitted to a placement group, of the whole fleet, one zone or one cell.
+/// A pool of ready workers: those that a placement group permits, in the whole fleet, one zone or one cell.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum PoolKey {
-    /// Of the whole fleet.
+    /// All permitted workers of the fleet.
     Fleet(PlacementGroup),
-    /// Of one zone.
+    /// The permitted workers of one zone.
     Zone(PlacementGroup, ZoneId),
-    /// Of one cell.
+    /// The permitted workers of one cell.
     Cell(PlacementGroup, u32),
 }
 
@@ -31,12 +31,12 @@
 pub(crate) struct WorkerPools {
     pools: BTreeMap<PoolKey, Vec<WorkerId>>,
     mean_weight: f64,
-    /// Made when first asked for.
+    /// Hash rings by placement group, created on first use.
     rings: BTreeMap<PlacementGroup, HashRing>,
 }
 
 impl WorkerPools {
-    /// Fills the pools anew.
+    /// Rebuilds the pools from the current workers.
     pub(crate) fn rebuild(
         &mut self,
         workers: &[Worker],
@@ -83,7 +83,7 @@
             .len()
     }
 
-    /// Listed weight over the mean weight.
+    /// A worker's configured weight relative to the mean weight of the ready workers.
     pub(crate) fn relative_weight(&self, worker: &Worker) -> f64 {
         worker.endpoint.weight / self.mean_weight
     }
@@ -93,7 +93,7 @@
         self.pools.get(&key).map_or(&[], |workers| workers)
     }
 
-    /// The ready workers that follow a key on the hash ring.
+    /// The first `count` ready workers that follow a key on the hash ring.
     pub(crate) fn ring_successors(
         &mut self,
         workers: &[Worker],
