--- a/crates/fleet/benches/size.rs
+++ b/crates/fleet/benches/size.rs
@@ -1,5 +1,6 @@
-//! What a fleet costs by its size, in virtual time: bytes a second for each member, quiet and at work, by members and
-//! tenants; and the time from the healing of a partition until all have the same totals, in gossip intervals.
+//! The cost of a fleet by its size, in virtual time: bytes per second and member, idle and under load, by
+//! members and tenants; and the time from the end of a partition until all members have the same totals, in
+//! gossip intervals.
 //!
 //!     cargo bench -p streamusher-fleet --bench size -- 3 12 100 300
 #![allow(
@@ -16,10 +17,10 @@
 use std::time::Instant;
 use streamusher_fleet::usage::{UsageKey, UsageMetric, UsageValues};
 
-const GOSSIP: u64 = 100 * MS;
+const GOSSIP_INTERVAL: u64 = 100 * MS;
 
-/// So many answers of so many tenants at each member in a second.
-fn work(simulation: &mut Simulation, seconds: u64, tenants: u64, answers: u64) {
+/// Counts `answers` answers of `tenants` tenants at each member in each second.
+fn count_usage(simulation: &mut Simulation, seconds: u64, tenants: u64, answers: u64) {
     for second in 0..seconds {
         for slice in 0..10 {
             for i in 0..simulation.members.len() {
@@ -39,9 +40,9 @@
     }
 }
 
-fn rate(simulation: &mut Simulation, what: impl FnOnce(&mut Simulation), seconds: u64) -> u64 {
+fn rate(simulation: &mut Simulation, action: impl FnOnce(&mut Simulation), seconds: u64) -> u64 {
     let before = simulation.sent_bytes;
-    what(simulation);
+    action(simulation);
     (simulation.sent_bytes - before) / simulation.members.len() as u64 / seconds
 }
 
@@ -56,30 +57,31 @@
         sizes
     };
     println!(
-        "members  tenants  bytes/s quiet  bytes/s at work  to one tally: p50 p99 gossip periods  real s"
+        "members  tenants   bytes/s idle   bytes/s loaded     converged: p50 p99 intervals       real s"
     );
     for &n in &sizes {
         for tenants in [4, 64] {
-            let begun = Instant::now();
+            let started_at = Instant::now();
             let mut simulation = Simulation::new(n, 0, 3);
             simulation.run(3 * SECOND, &[], 0.0);
-            let quiet = rate(&mut simulation, |w| w.run(3 * SECOND, &[], 0.0), 3);
-            let at_work = rate(&mut simulation, |w| work(w, 3, tenants, 20), 3);
-            let mut took: Vec<u64> = Vec::new();
+            let idle_rate = rate(&mut simulation, |w| w.run(3 * SECOND, &[], 0.0), 3);
+            let loaded_rate = rate(&mut simulation, |w| count_usage(w, 3, tenants, 20), 3);
+            let mut convergence_intervals: Vec<u64> = Vec::new();
             for round in 0..if n > 50 { 3 } else { 20 } {
                 let half: Vec<usize> = (0..n).filter(|i| (i + round) % 2 == 0).collect();
                 simulation.partition(&half);
-                work(&mut simulation, 1, tenants, 20);
+                count_usage(&mut simulation, 1, tenants, 20);
                 simulation.slow_links.clear();
-                took.push(simulation.run_until_converged() / GOSSIP);
+                convergence_intervals.push(simulation.run_until_converged() / GOSSIP_INTERVAL);
             }
-            took.sort_unstable();
-            let at = |p: usize| took[(took.len() - 1) * p / 100];
+            convergence_intervals.sort_unstable();
+            let percentile =
+                |p: usize| convergence_intervals[(convergence_intervals.len() - 1) * p / 100];
             println!(
-                "{n:>7}  {tenants:>7}  {quiet:>13}  {at_work:>15}  {:>17} {:>3}  {:>21.1}",
-                at(50),
-                at(99),
-                begun.elapsed().as_secs_f64()
+                "{n:>7}  {tenants:>7}  {idle_rate:>13}  {loaded_rate:>15}  {:>17} {:>3}  {:>21.1}",
+                percentile(50),
+                percentile(99),
+                started_at.elapsed().as_secs_f64()
             );
         }
     }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -53,7 +53,7 @@
 //! let outbound = node.take_outbound();
 //! assert_eq!(outbound[0].to, "127.0.0.1:7001".parse().unwrap());
 //!
-//! The member receives its share once the loans of an earlier incarnation must have ended.
+//! // The member receives its share once the loans of an earlier incarnation must have ended.
 //! assert!(!allowance.try_acquire(0));
 //! for second in 1..=5 {
 //!     node.tick(second * SECOND, (1_790_000_000 + second) * SECOND);
--- a/crates/fleet/tests/allowance.rs
+++ b/crates/fleet/tests/allowance.rs
@@ -22,7 +22,7 @@
     assert_eq!(allowance.available(999), 1);
     assert!(
         !allowance.try_acquire(1_000),
-        "the lease has ended: one own unit, and two are in use"
+        "the lease has expired: two units are in use, and only one is own"
     );
     allowance.release();
     allowance.release();
@@ -42,7 +42,7 @@
     assert_eq!(
         allowance.reclaim_own(3),
         0,
-        "four are in use, and what is borrowed will expire"
+        "four units are in use, and the borrowed ones will expire"
     );
     assert_eq!(allowance.reclaim_borrowed(2), 1);
     allowance.release();
@@ -51,7 +51,7 @@
     assert_eq!(allowance.held(), held(2, 1));
 }
 
-/// What one thread acquires and another reclaims never comes to more than there was.
+/// Units acquired by one thread and reclaimed by another never add up to more than the units held.
 #[test]
 fn acquiring_and_reclaiming_at_once_never_exceed_the_units() {
     for _ in 0..50 {
--- a/crates/fleet/tests/datagram.rs
+++ b/crates/fleet/tests/datagram.rs
@@ -1,4 +1,4 @@
-//! Datagrams: encoded, decoded, and rejected each by its cause.
+//! Encoding and decoding of datagrams, and the error for each kind of invalid datagram.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
@@ -11,10 +11,10 @@
 };
 use streamusher_fleet::membership::Member;
 
-/// Bytes before the body: two letters, the version, the fleet's tag, the MAC.
+/// Bytes before the body: the two magic bytes, the version, the fleet tag and the MAC.
 const HEADER_BYTES: usize = 2 + 1 + 4 + 16;
 
-/// The MAC as the format has it.
+/// Computes the MAC as the format specifies it.
 fn mac(key: [u8; 32], version: u8, body: &[u8]) -> [u8; 16] {
     let mut hash = blake3::Hasher::new_keyed(&key);
     hash.update(&[version]).update(body);
@@ -32,43 +32,46 @@
 }
 
 #[test]
-fn each_rejected_datagram_has_its_cause() {
-    let (ours, remote) = (DatagramCodec::new([1; 32]), DatagramCodec::new([2; 32]));
-    let good = ours.encode(&datagram()).expect("small");
-    assert_eq!(ours.decode(&good), Ok(datagram()));
-    assert_eq!(remote.decode(&good), Err(DatagramError::ForeignFleet));
-    assert_eq!(ours.decode(&good[..10]), Err(DatagramError::Truncated));
+fn invalid_datagrams_are_rejected_with_their_error() {
+    let (codec, foreign_codec) = (DatagramCodec::new([1; 32]), DatagramCodec::new([2; 32]));
+    let valid = codec.encode(&datagram()).expect("small");
+    assert_eq!(codec.decode(&valid), Ok(datagram()));
     assert_eq!(
-        ours.decode(&good[..good.len() - 1]),
+        foreign_codec.decode(&valid),
+        Err(DatagramError::ForeignFleet)
+    );
+    assert_eq!(codec.decode(&valid[..10]), Err(DatagramError::Truncated));
+    assert_eq!(
+        codec.decode(&valid[..valid.len() - 1]),
         Err(DatagramError::BadMac)
     );
-    let mut other = good.clone();
-    other[2] = 9;
+    let mut altered = valid.clone();
+    altered[2] = 9;
     assert_eq!(
-        ours.decode(&other),
+        codec.decode(&altered),
         Err(DatagramError::BadMac),
-        "the version stands under the MAC"
+        "the MAC covers the version"
     );
-    other[7..23].copy_from_slice(&mac([1; 32], 9, &good[HEADER_BYTES..]));
+    altered[7..23].copy_from_slice(&mac([1; 32], 9, &valid[HEADER_BYTES..]));
     assert_eq!(
-        ours.decode(&other),
+        codec.decode(&altered),
         Err(DatagramError::UnsupportedVersion(9))
     );
 }
 
 proptest! {
     #[test]
-    fn no_bytes_break_the_decoder(bytes in proptest::collection::vec(any::<u8>(), 0..200), at in 0usize..60, bit in 0u8..8) {
-        let ours = DatagramCodec::new([1; 32]);
-        prop_assert!(ours.decode(&bytes).is_err());
-        let mut good = ours.encode(&datagram()).expect("small");
-        let at = at % good.len();
-        good[at] ^= 1 << bit;
-        prop_assert!(ours.decode(&good).is_err());
-        // Bytes under a true MAC, as a member gone wrong would send them.
-        let mut sealed = ours.encode(&datagram()).expect("small")[..7].to_vec();
-        sealed.extend(mac([1; 32], PROTOCOL_VERSION, &bytes));
-        sealed.extend(&bytes);
-        let _ = ours.decode(&sealed);
+    fn decoder_handles_arbitrary_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..200), at in 0usize..60, bit in 0u8..8) {
+        let codec = DatagramCodec::new([1; 32]);
+        prop_assert!(codec.decode(&bytes).is_err());
+        let mut valid = codec.encode(&datagram()).expect("small");
+        let at = at % valid.len();
+        valid[at] ^= 1 << bit;
+        prop_assert!(codec.decode(&valid).is_err());
+        // Arbitrary bytes with a valid MAC, as a faulty member would send them.
+        let mut authenticated = codec.encode(&datagram()).expect("small")[..7].to_vec();
+        authenticated.extend(mac([1; 32], PROTOCOL_VERSION, &bytes));
+        authenticated.extend(&bytes);
+        let _ = codec.decode(&authenticated);
     }
 }
--- a/crates/fleet/tests/encoded.rs
+++ b/crates/fleet/tests/encoded.rs
@@ -1,7 +1,8 @@
-//! The encoded forms of this crate, held byte for byte: datagrams, status JSON, digests, and all that a fleet sends in a
-//! simulated run. A changed byte is a new version of the datagram format, or a changed key of the operators' JSON.
+//! The encoded forms of this crate, byte for byte: datagrams, status JSON, digests, and all datagrams of a
+//! simulated run. A changed byte requires a new version of the datagram format, or is a changed key of the
+//! JSON for operators.
 //!
-//! Datagrams are encoded by position (postcard), so the order of fields and variants is part of the form.
+//! Datagrams are encoded by position (postcard), so the order of fields and variants is part of the format.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
@@ -90,7 +91,7 @@
 }
 
 fn deltas() -> Vec<(&'static str, DatagramBody)> {
-    let of_incarnation = Delta::Incarnation {
+    let incarnation_delta = Delta::Incarnation {
         incarnation: Incarnation::new("c", 7),
         after: 1,
         up_to: 300,
@@ -100,7 +101,7 @@
             values: values(),
         }],
     };
-    let of_base = Delta::Base {
+    let base_delta = Delta::Base {
         name: name("c"),
         first_incarnation: 5,
         up_to: 6,
@@ -113,9 +114,12 @@
     vec![
         (
             "rows_of_a_life",
-            DatagramBody::UsageDeltas(vec![of_incarnation]),
+            DatagramBody::UsageDeltas(vec![incarnation_delta]),
+        ),
+        (
+            "rows_of_a_base",
+            DatagramBody::UsageDeltas(vec![base_delta]),
         ),
-        ("rows_of_a_base", DatagramBody::UsageDeltas(vec![of_base])),
     ]
 }
 
@@ -142,7 +146,7 @@
     ]
 }
 
-/// Each variant, under the label that it has in the fixture.
+/// Each variant, under its label in the fixture.
 fn bodies() -> Vec<(&'static str, DatagramBody)> {
     let observations = vec![
         observation(1, None),
@@ -304,7 +308,8 @@
     .fingerprint()
 }
 
-/// Counters of two incarnations of `a` and one of `b`, the first of `a` compacted into its base.
+/// Counters of two incarnations of `a` and one of `b`; the first incarnation of `a` is compacted into its
+/// base.
 fn compacted_counters() -> UsageCounters {
     let mut first = UsageCounters::new(Incarnation::new("a", 1));
     first.increment(
@@ -336,7 +341,7 @@
 fn status_and_digests_are_as_recorded() {
     let counters = compacted_counters();
     let totals = counters.totals();
-    let verdict = Ejection {
+    let ejection = Ejection {
         worker: name("worker-1"),
         fault: WorkerFault::Failing,
         weight: 150,
@@ -351,7 +356,7 @@
     let lines = [
         json(&status(vec![], vec![], BTreeMap::new())),
         json(&full_status()),
-        json(&verdict),
+        json(&ejection),
         json(&faults),
         json(&observation(1, None).worker),
         json(&METRIC_NAMES),
@@ -363,7 +368,7 @@
     assert_eq!(lines.join("\n") + "\n", STATUS);
 }
 
-/// All datagrams of a fleet under load, in order: each decision and each random draw shows in them.
+/// All datagrams of a fleet under load, in order: they reflect each decision and each random draw.
 #[test]
 fn datagrams_of_a_simulated_fleet_are_as_recorded() {
     let mut simulation = Simulation::new(5, 1, 21);
--- a/crates/fleet/tests/quota_model.rs
+++ b/crates/fleet/tests/quota_model.rs
@@ -1,6 +1,6 @@
-//! Quota leases, model checked: every order of requests, grants, losses, repetitions, acquisitions and ticks of a small
-//! fleet, with one crash and one pause. The model's members are [`QuotaLeases`] themselves: model and program share the
-//! transitions.
+//! Model check of quota leases: every order of requests, grants, losses, repetitions, acquisitions and ticks
+//! of a small fleet, with one crash and one pause. The model's members are [`QuotaLeases`] values, so the
+//! model and the program share the transitions.
 #![allow(clippy::expect_used, reason = "a test fails by panicking")]
 
 use stateright::{Checker, Model, Property};
@@ -14,11 +14,11 @@
 
 const MEMBERS: usize = 3;
 const QUOTAS: usize = 2;
-/// Messages on their way for which a member sends no further request.
-const MAX_TRAVELLING: usize = 2;
-/// Messages older than this are lost, to keep the space small.
+/// A member sends no further request while this many messages are in flight.
+const MAX_IN_FLIGHT: usize = 2;
+/// Messages older than this are lost, which keeps the state space small.
 const MESSAGE_LIFETIME: Micros = 3;
-const QUOTA_HOLDS: &str = "no quota is exceeded";
+const QUOTA_NOT_EXCEEDED: &str = "no quota is exceeded";
 
 /// An allowance without atomics.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -84,7 +84,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct Travelling {
+struct InFlight {
     from: usize,
     to: usize,
     sender: Incarnation,
@@ -94,7 +94,7 @@
 /// A job at a worker, which holds one unit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Job {
-    /// Who started it; none if that incarnation has crashed.
+    /// The member that started the job; `None` if that incarnation has crashed.
     member: Option<usize>,
     quota: usize,
     ends_at: Micros,
@@ -104,10 +104,10 @@
 struct State {
     now: Micros,
     members: Vec<QuotaLeases<PlainAllowance>>,
-    /// All jobs that run, whoever lives.
+    /// All running jobs, including those of crashed members.
     jobs: Vec<Job>,
-    /// Messages stay on their way: each may come late, again, or never.
-    travelling: BTreeSet<Travelling>,
+    /// Messages stay in flight after delivery: each may be delivered late, repeatedly, or never.
+    in_flight: BTreeSet<InFlight>,
     incarnations: Vec<u64>,
     paused: Option<usize>,
     crashes: u8,
@@ -127,32 +127,33 @@
         let requests = self.members[from].request_units(self.now, quota, units, &others);
         for OutboundRequest { lender, request } in requests {
             let to = (0..MEMBERS).find(|i| name(*i) == lender);
-            let travelling = Travelling {
+            let in_flight = InFlight {
                 from,
                 to: to.expect("a member"),
                 sender: self.incarnation(from),
                 message: Message::Request(request),
             };
-            self.travelling.insert(travelling);
+            self.in_flight.insert(in_flight);
         }
     }
 
-    /// Returns none if nothing comes of it.
-    fn deliver(&mut self, delivered: Travelling) -> Option<()> {
-        let Travelling { from, to, .. } = delivered;
+    /// Returns `None` if the delivery has no effect.
+    fn deliver(&mut self, delivered: InFlight) -> Option<()> {
+        let InFlight { from, to, .. } = delivered;
         match delivered.message {
             Message::Request(request) => {
                 let member = &mut self.members[to];
                 let grant = member.on_lease_request(self.now, &delivered.sender, &request)?;
-                let answer = Travelling {
+                let answer = InFlight {
                     from: to,
                     to: from,
                     sender: self.incarnation(to),
                     message: Message::Grant(grant),
                 };
-                self.travelling.insert(answer);
+                self.in_flight.insert(answer);
             }
-            // A grant goes to the incarnation that lives now: its requests count anew, and the time on it is another's.
+            // A grant is delivered to the current incarnation: its sequence numbers start again, and the
+            // grant's send time belongs to another incarnation.
             Message::Grant(grant) => {
                 self.members[to].on_lease_grant(self.now, &name(from), &grant);
             }
@@ -163,7 +164,7 @@
     fn tick(&mut self) {
         self.now += 1;
         let now = self.now;
-        // Jobs end at the workers; a member that runs hears of it.
+        // Jobs end at the workers; a running member is notified.
         for job in self.jobs.iter().filter(|job| job.ends_at <= now) {
             if let Some(member) = job.member {
                 self.members[member].allowances[job.quota].in_use -= 1;
@@ -175,8 +176,8 @@
                 self.members[member].tick(now);
             }
         }
-        self.travelling
-            .retain(|travelling| travelling.message.sent_at() + MESSAGE_LIFETIME > now);
+        self.in_flight
+            .retain(|in_flight| in_flight.message.sent_at() + MESSAGE_LIFETIME > now);
     }
 }
 
@@ -187,12 +188,12 @@
         quota: usize,
         units: u64,
     },
-    Deliver(Travelling),
+    Deliver(InFlight),
     Acquire {
         member: usize,
         quota: usize,
     },
-    /// The time goes on by one; members that run look at their clocks.
+    /// Time advances by one; running members read their clocks.
     Tick,
     Crash(usize),
     Pause(usize),
@@ -202,8 +203,8 @@
 struct Fleet {
     terms: Arc<QuotaTerms>,
     until: Micros,
-    /// Leases do not expire at the borrower: this must be found. To go deep enough one quota is looked at alone, and
-    /// nobody crashes.
+    /// Borrowed units do not expire at the borrower, which the model checker must detect. To reach the
+    /// required depth, only one quota is modelled and no member crashes.
     without_lease: bool,
 }
 
@@ -241,7 +242,7 @@
         QuotaLeases::new(local, self.terms.clone(), allowances, now)
     }
 
-    /// Member 2 has no share, all it uses is borrowed; member 1 only lends, and member 0 does both.
+    /// Member 2 has no share and borrows all units that it uses; member 1 only lends, and member 0 does both.
     fn requests_of(&self, member: usize) -> Vec<Step> {
         let request = |quota, units| Step::Request {
             member,
@@ -256,7 +257,7 @@
         }
     }
 
-    /// Returns none if there is no unit.
+    /// Returns `None` if no unit is available.
     fn acquire(&self, state: &mut State, member: usize, quota: usize) -> Option<()> {
         let allowance = &mut state.members[member].allowances[quota];
         let is_lease_valid = self.without_lease || state.now < allowance.borrowed_until;
@@ -295,7 +296,7 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        // As if all had started long ago: the shares are in.
+        // As if all members had started long ago: they have received their shares.
         let now = self.terms.loan_recovery_time();
         let mut members: Vec<QuotaLeases<PlainAllowance>> =
             (0..MEMBERS).map(|i| self.start_member(i, 1, 0)).collect();
@@ -306,7 +307,7 @@
             now,
             members,
             jobs: Vec::new(),
-            travelling: BTreeSet::new(),
+            in_flight: BTreeSet::new(),
             incarnations: vec![1; MEMBERS],
             paused: None,
             crashes: 0,
@@ -315,12 +316,12 @@
     }
 
     fn actions(&self, state: &State, steps: &mut Vec<Step>) {
-        let runs = |member: usize| state.paused != Some(member);
+        let is_running = |member: usize| state.paused != Some(member);
         if state.now < self.terms.loan_recovery_time() + self.until {
             steps.push(Step::Tick);
         }
-        for member in (0..MEMBERS).filter(|member| runs(*member)) {
-            if state.travelling.len() < MAX_TRAVELLING {
+        for member in (0..MEMBERS).filter(|member| is_running(*member)) {
+            if state.in_flight.len() < MAX_IN_FLIGHT {
                 steps.extend(self.requests_of(member));
             }
             let quotas = QUOTAS - usize::from(self.without_lease);
@@ -333,7 +334,10 @@
             }
         }
         steps.extend(state.paused.map(|_| Step::Resume));
-        let deliverable = state.travelling.iter().filter(|message| runs(message.to));
+        let deliverable = state
+            .in_flight
+            .iter()
+            .filter(|message| is_running(message.to));
         steps.extend(deliverable.cloned().map(Step::Deliver));
     }
 
@@ -345,7 +349,7 @@
                 quota,
                 units,
             } => state.request(member, quota, units),
-            Step::Deliver(travelling) => state.deliver(travelling)?,
+            Step::Deliver(in_flight) => state.deliver(in_flight)?,
             Step::Acquire { member, quota } => self.acquire(&mut state, member, quota)?,
             Step::Tick => state.tick(),
             Step::Crash(member) => self.crash(&mut state, member),
@@ -353,7 +357,7 @@
                 state.pauses += 1;
                 state.paused = Some(member);
             }
-            // It acquires before it looks at anything: the allowance's own time has to hold.
+            // The member acquires units before it ticks: the expiry in the allowance has to prevent it.
             Step::Resume => state.paused = None,
         }
         Some(state)
@@ -361,7 +365,7 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::<Self>::always(QUOTA_HOLDS, |fleet, state| {
+            Property::<Self>::always(QUOTA_NOT_EXCEEDED, |fleet, state| {
                 let in_use = |quota| state.jobs.iter().filter(|job| job.quota == quota).count();
                 let quotas = fleet.terms.quotas.iter().enumerate();
                 quotas
@@ -397,14 +401,14 @@
         .spawn_bfs()
         .join();
     println!(
-        "{} states, {} of them different",
+        "{} states, {} of them unique",
         checker.state_count(),
         checker.unique_state_count()
     );
     checker.assert_properties();
 }
 
-/// A test for the test: without the lease the model finds the schedule that overspends.
+/// Checks the model itself: without lease expiry it finds a schedule that exceeds the quota.
 #[test]
 fn without_lease_expiry_the_model_finds_an_exceeded_quota() {
     let found = Fleet::new(8, true)
@@ -413,10 +417,10 @@
         .target_max_depth(14)
         .spawn_bfs()
         .join();
-    assert!(found.discovery(QUOTA_HOLDS).is_some());
+    assert!(found.discovery(QUOTA_NOT_EXCEEDED).is_some());
 }
 
-/// The largest time that a peer can name is no reason to panic, and lends nothing.
+/// The largest time that a peer can send causes no panic, and the grant lends nothing.
 #[test]
 fn grant_sent_at_the_largest_time_is_ignored() {
     let fleet = Fleet::new(5, false);
--- a/crates/fleet/tests/simulated_fleet.rs
+++ b/crates/fleet/tests/simulated_fleet.rs
@@ -1,7 +1,8 @@
-//! Fleets in virtual time, see `simulation`. After each step no quota is exceeded; once the load ends all members have the
-//! same totals, and exact ones.
+//! Fleets in virtual time, see `simulation`. No quota is exceeded after any step; once the load ends, all
+//! members converge to the same, exact totals.
 //!
-//! `STREAMUSHER_SEED` and `STREAMUSHER_ROUNDS` make it another run, or a longer one; a failing seed is printed.
+//! `STREAMUSHER_SEED` sets the first seed and `STREAMUSHER_ROUNDS` the number of seeds; a failing seed is
+//! printed.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
@@ -23,7 +24,7 @@
     })
 }
 
-/// Units flow to where the demand is: one of twelve members with all the traffic.
+/// Units move to the member with the demand: one of twelve members receives all the traffic.
 #[test]
 fn one_loaded_member_borrows_nine_tenths_of_the_quota_in_two_seconds() {
     let mut simulation = Simulation::new(12, 0, 5);
@@ -40,7 +41,7 @@
         bytes_per_second < 40_000,
         "{bytes_per_second} bytes a second for each member"
     );
-    // And on, when the traffic moves.
+    // Units also follow when the traffic moves to another member.
     simulation.run(4 * SECOND, &[8], 3.0);
     assert!(
         simulation.used() >= UNITS * 9 / 10,
@@ -49,7 +50,8 @@
     );
 }
 
-/// The smaller side serves what it holds, then its own share; after the partition all have the same totals.
+/// The smaller side serves with the units that it holds, then with its own share; after the partition all
+/// members converge to the same totals.
 #[test]
 fn a_partition_keeps_the_quota_and_serves_the_floor() {
     let mut simulation = Simulation::new(6, 1, 6);
@@ -71,7 +73,8 @@
     assert!(convergence_time < 20 * SECOND, "{convergence_time}");
 }
 
-/// Paused past its lease with traffic waiting: it acquires nothing until it has heard the others.
+/// A member is paused past the end of its lease while traffic waits: it acquires nothing until it has
+/// received a datagram from another member.
 #[test]
 fn a_resumed_member_acquires_nothing_on_expired_leases() {
     let mut simulation = Simulation::new(4, 0, 7);
@@ -82,23 +85,25 @@
         "it has borrowed"
     );
     simulation.members[2].paused_until = simulation.now + 5 * SECOND;
-    // The others use what comes back to them.
+    // The other members use the units that they recover.
     simulation.run(5 * SECOND - MS, &[0, 1, 3], 3.0);
-    // It resumes: its jobs have ended, and a burst that waited in its sockets comes before any datagram.
+    // The member resumes: its jobs have ended, and a burst of requests in its sockets is handled before any
+    // datagram.
     let acquired = simulation.burst(2, 300);
     assert_eq!(
         acquired, 0,
-        "it acquires units before it has heard the others"
+        "the member acquires units before it has received a datagram"
     );
     assert!(simulation.used() <= UNITS, "{}", simulation.used());
     simulation.run(3 * SECOND, &[0, 1, 2, 3], 2.0);
     assert!(
         simulation.members[2].allowances[0].in_use() > 0,
-        "then it serves again"
+        "the member serves again afterwards"
     );
 }
 
-/// A member that nobody hears takes work and crashes: all that its clients were answered is in the totals.
+/// A member that is cut off serves requests and crashes: all answers that its clients received are in the
+/// totals.
 #[test]
 fn answers_wait_until_their_count_is_replicated() {
     let mut simulation = Simulation::new(4, 2, 12);
@@ -121,7 +126,7 @@
     );
 }
 
-/// A member that had lent and one that had borrowed crash at once; both restart.
+/// A member that had lent units and one that had borrowed units crash at the same time; both restart.
 #[test]
 fn units_of_crashed_members_come_back_after_the_recovery_time() {
     let mut simulation = Simulation::new(4, 0, 8);
@@ -141,12 +146,12 @@
     simulation.run(5 * SECOND, &[2], 3.0);
     assert!(
         simulation.used() >= UNITS * 9 / 10,
-        "all is back: {}",
+        "units in use after the recovery: {}",
         simulation.used()
     );
 }
 
-/// A hears B, B does not hear A: the members stay as they are.
+/// A one-way cut: datagrams from one member to another are lost. The membership stays stable.
 #[test]
 fn a_one_way_cut_does_not_flap_membership() {
     let mut simulation = Simulation::new(5, 0, 9);
@@ -164,7 +169,7 @@
     }
 }
 
-/// One slow link does not slow the others down.
+/// One slow member does not delay the replication between the others.
 #[test]
 fn a_slow_member_does_not_delay_the_others() {
     let mut simulation = Simulation::new(8, 1, 10);
@@ -187,8 +192,8 @@
     assert_eq!(simulation.served(7), simulation.counted);
 }
 
-/// Restarts without end: incarnations are compacted, memory stays bounded, and nothing counts twice; also for a member
-/// that was away during the compaction and comes back with the rows of before.
+/// Repeated restarts: incarnations are compacted, memory stays bounded, and nothing is counted twice. This
+/// also holds for a member that missed the compaction and returns with the old rows.
 #[test]
 fn compacted_incarnations_count_once_for_a_member_that_missed_the_compaction() {
     let mut simulation = Simulation::new(4, 2, 11);
@@ -200,7 +205,7 @@
         let i = round % 3;
         simulation.crash(i);
         simulation.restart(i);
-        // The one that is away is forgotten here, as it would be after ten minutes.
+        // The others forget the member that is cut off, as they would after ten minutes.
         for member in simulation.members.iter_mut().take(3) {
             member.node.forget_member("m3");
         }
@@ -226,7 +231,7 @@
     }
 }
 
-/// Runs without load until no member but the last holds answers.
+/// Runs without load until no member except the last holds answers.
 fn release_answers(simulation: &mut Simulation) {
     for _ in 0..5_000 {
         let mut members = simulation.members.iter().take(3);
@@ -235,14 +240,15 @@
         }
         simulation.step(&[], 0.0);
     }
-    panic!("answers are held for good");
+    panic!("answers are still held after 5,000 steps");
 }
 
-/// Injects one fault, drawn at random, while the members `loaded` are under load.
+/// Injects one random fault while the members in `loaded` are under load.
 fn inject_fault(simulation: &mut Simulation, rng: &mut Pcg64, loaded: &[usize]) {
     match rng.random_range(0..7) {
         0 => {
-            // One at a time, as one required copy bears, and given time to spread.
+            // One crash at a time, because one required copy tolerates no more, with time for replication in
+            // between.
             let member = rng.random_range(0..5);
             if !simulation.members[member].crashed {
                 simulation.crash(member);
@@ -274,7 +280,8 @@
     simulation.delay = 2 * MS;
 }
 
-/// Random faults from seeds: no quota is ever exceeded, and all that was answered is in the same totals at the end.
+/// Random faults from seeds: no quota is ever exceeded, and all answered requests are in the converged
+/// totals.
 #[test]
 fn random_faults_from_seeds() {
     let first_seed = number_from_environment("STREAMUSHER_SEED", 1);
@@ -289,7 +296,8 @@
             inject_fault(&mut simulation, &mut rng, &loaded);
             let time = rng.random_range(50..1_500) * MS;
             simulation.run(time, &loaded, rng.random_range(0.0..2.0));
-            // Heal before the next crash, as the copies of two crashes at once are one too few.
+            // Heals the network before the next crash: one required copy is not enough for two crashes at
+            // once.
             heal_network(&mut simulation);
             let resume_by = simulation.now + 10 * MS;
             for member in &mut simulation.members {
--- a/crates/fleet/tests/simulation/mod.rs
+++ b/crates/fleet/tests/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: members, a network that loses, delays, repeats and partitions, and members that crash, pause
-//! and restart. After each millisecond no quota may be exceeded.
+//! A fleet in virtual time: members, a network that loses, delays, repeats and partitions, and members that
+//! crash, pause and restart. Each simulated millisecond asserts that no quota is exceeded.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use rand::{Rng, RngExt, SeedableRng};
@@ -18,13 +18,13 @@
 
 pub(crate) const MS: Micros = 1_000;
 pub(crate) const SECOND: Micros = 1_000_000;
-/// Unix time when the simulated clock stands at 0.
+/// Unix time at the start of the simulated clock.
 pub(crate) const UNIX_START: Micros = 1_790_000_000 * SECOND;
-/// Units of quota 0, the one that is under load.
+/// Units of quota 0, which is under load.
 pub(crate) const UNITS: u64 = 240;
-/// Datagrams that wait at a paused member; more are lost.
+/// Datagrams buffered for a paused member; further ones are lost.
 const SOCKET_BUFFER: usize = 500;
-/// The longest time in which totals may converge.
+/// The longest time within which the totals must converge.
 const CONVERGENCE_TIMEOUT: Micros = 120 * SECOND;
 
 /// A job at a worker, which holds one unit.
@@ -33,7 +33,7 @@
     pub(crate) quota: usize,
 }
 
-/// Answers that wait until their usage count is replicated.
+/// Answers held until their usage count is replicated.
 pub(crate) struct HeldAnswers {
     pub(crate) version: u64,
     pub(crate) count: u64,
@@ -46,19 +46,19 @@
     pub(crate) crashed: bool,
     pub(crate) jobs: VecDeque<Job>,
     pub(crate) held_answers: VecDeque<HeldAnswers>,
-    /// How fast its clock runs.
+    /// Rate of the member's clock relative to the simulated clock.
     pub(crate) clock_rate: f64,
-    /// Datagrams in its socket.
+    /// Datagrams in the member's socket buffer.
     pub(crate) received: Vec<Vec<u8>>,
 }
 
 impl SimulatedMember {
-    /// The time on its own clock.
+    /// The time on the member's own clock.
     fn local_time(&self, now: Micros) -> Micros {
         scaled(now, self.clock_rate)
     }
 
-    /// Ends jobs whose time is up.
+    /// Ends jobs that are due.
     fn end_jobs(&mut self, now: Micros) {
         while self.jobs.front().is_some_and(|job| job.ends_at <= now) {
             let job = self.jobs.pop_front().expect("just seen");
@@ -86,9 +86,9 @@
     (time as f64 * rate) as Micros
 }
 
-/// A datagram on its way. Ordered by arrival, then by its number.
+/// A datagram in flight. Ordered by arrival time, then by number.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Travelling {
+struct InFlight {
     arrives_at: Micros,
     number: u64,
     to: usize,
@@ -101,21 +101,21 @@
     pub(crate) members: Vec<SimulatedMember>,
     terms: Arc<QuotaTerms>,
     required_copies: usize,
-    travelling: BinaryHeap<Reverse<Travelling>>,
+    in_flight: BinaryHeap<Reverse<InFlight>>,
     last_datagram: u64,
     /// The fraction of datagrams that are lost.
     pub(crate) loss: f64,
-    /// The longest time that a datagram travels.
+    /// The longest transmission delay of a datagram.
     pub(crate) delay: Micros,
-    /// By sender and receiver: the extra delay of a link; [`Micros::MAX`] if it is cut.
+    /// Extra delay of a link, by sender and receiver; [`Micros::MAX`] if the link is cut.
     pub(crate) slow_links: BTreeMap<(usize, usize), Micros>,
-    /// Requests whose answers were sent.
+    /// Requests whose answers were released.
     pub(crate) answered: u64,
     /// Requests that were counted.
     pub(crate) counted: u64,
     jobs_of_crashed: Vec<Job>,
     pub(crate) sent_bytes: u64,
-    /// Over all datagrams sent, with their senders and receivers.
+    /// Hash over all datagrams sent, with their senders and receivers.
     pub(crate) sent_digest: blake3::Hasher,
 }
 
@@ -148,7 +148,7 @@
             members: Vec::new(),
             terms: terms(members),
             required_copies,
-            travelling: BinaryHeap::new(),
+            in_flight: BinaryHeap::new(),
             last_datagram: 0,
             loss: 0.0,
             delay: 2 * MS,
@@ -181,7 +181,7 @@
             forget_after: 600 * SECOND,
             period: 3_600 * SECOND,
         };
-        // Clocks of members run at different speeds and from different moments.
+        // The clocks of the members run at different rates and show different times.
         let clock_rate = 1.0 + self.rng.random_range(-4e-4..4e-4);
         let local_time = scaled(self.now, clock_rate);
         SimulatedMember {
@@ -197,7 +197,7 @@
     }
 
     pub(crate) fn crash(&mut self, index: usize) {
-        // The jobs of a crashed member run on at the workers until their time is up.
+        // The jobs of a crashed member continue at the workers until they end.
         let jobs = std::mem::take(&mut self.members[index].jobs);
         self.jobs_of_crashed.extend(jobs);
         self.members[index].crashed = true;
@@ -223,10 +223,10 @@
             };
             for _ in 0..=u32::from(self.rng.random_bool(self.loss / 2.0)) {
                 if !self.rng.random_bool(self.loss) {
-                    let travel_time = self.rng.random_range(100..=self.delay);
+                    let transmission_delay = self.rng.random_range(100..=self.delay);
                     self.last_datagram += 1;
-                    self.travelling.push(Reverse(Travelling {
-                        arrives_at: self.now + extra_delay + travel_time,
+                    self.in_flight.push(Reverse(InFlight {
+                        arrives_at: self.now + extra_delay + transmission_delay,
                         number: self.last_datagram,
                         to,
                         bytes: bytes.clone(),
@@ -236,12 +236,13 @@
         }
     }
 
-    /// A millisecond passes; `load` jobs of quota 0 come to each of the members `loaded`.
+    /// Advances the time by one millisecond; `load` jobs of quota 0 arrive at each of the members in
+    /// `loaded`.
     pub(crate) fn step(&mut self, loaded: &[usize], load: f64) {
         self.now += MS;
         self.deliver();
         for index in 0..self.members.len() {
-            // Jobs end at the workers whether their dispatcher runs or not.
+            // Jobs end at the workers whether the dispatcher runs or not.
             let member = &self.members[index];
             if !member.crashed && self.now >= member.paused_until {
                 self.step_member(index, loaded.contains(&index), load);
@@ -259,11 +260,11 @@
     }
 
     fn deliver(&mut self) {
-        while let Some(Reverse(first)) = self.travelling.peek() {
+        while let Some(Reverse(first)) = self.in_flight.peek() {
             if first.arrives_at > self.now {
                 break;
             }
-            let Reverse(datagram) = self.travelling.pop().expect("just seen");
+            let Reverse(datagram) = self.in_flight.pop().expect("just seen");
             let member = &mut self.members[datagram.to];
             if !member.crashed && member.received.len() < SOCKET_BUFFER {
                 member.received.push(datagram.bytes);
@@ -278,7 +279,7 @@
         let member = &mut self.members[index];
         let local_time = member.local_time(now);
         member.end_jobs(now);
-        // Traffic that waited while it was paused comes before anything else.
+        // Requests that waited during a pause are handled before anything else.
         let arrivals = if is_loaded {
             scaled(1, load.floor()) + u64::from(self.rng.random_bool(load.fract()))
         } else {
@@ -314,7 +315,7 @@
         }
     }
 
-    /// Units of quota 0 that are truly in use: jobs that have not ended at the workers.
+    /// Units of quota 0 that are actually in use: jobs that have not ended at the workers.
     pub(crate) fn used(&self) -> u64 {
         let running: usize = self
             .members
@@ -335,7 +336,7 @@
         }
     }
 
-    /// A member acquires as many units as it can at this moment, at most `limit`; returns how many.
+    /// A member acquires as many units as it can at once, at most `limit`; returns how many.
     pub(crate) fn burst(&mut self, index: usize, limit: u64) -> u64 {
         let now = self.now;
         let max_use = self.terms.max_use;
@@ -355,7 +356,7 @@
         acquired
     }
 
-    /// Cuts all links between these members and the others.
+    /// Cuts all links between the members in `side` and the others.
     pub(crate) fn partition(&mut self, side: &[usize]) {
         for from in 0..self.members.len() {
             for to in 0..self.members.len() {
@@ -366,7 +367,8 @@
         }
     }
 
-    /// Runs without load until all members have the same totals; returns how long it took.
+    /// Runs without load until all members have the same totals and no held answers; returns the simulated
+    /// time needed.
     pub(crate) fn run_until_converged(&mut self) -> Micros {
         let start = self.now;
         loop {
@@ -391,7 +393,7 @@
         }
     }
 
-    /// Served requests in the totals of a member.
+    /// Number of served requests in the totals of a member.
     pub(crate) fn served(&self, index: usize) -> u64 {
         self.members[index]
             .node
--- a/crates/fleet/tests/usage_counters.rs
+++ b/crates/fleet/tests/usage_counters.rs
@@ -1,4 +1,4 @@
-//! Usage counters: they converge whatever is lost or reordered, and no row counts twice.
+//! Usage counters converge despite lost and reordered deltas, and no row is counted twice.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -7,7 +7,7 @@
 use streamusher_fleet::usage_counters::{Delta, UsageCounters, UsageDigest};
 use streamusher_fleet::Incarnation;
 
-/// A digest of all that a member holds.
+/// A digest of all names that a member holds.
 fn whole_digest(counters: &UsageCounters) -> UsageDigest {
     UsageDigest {
         after: None,
@@ -23,7 +23,8 @@
     }
 }
 
-/// Rows of an incarnation that come late, after all members have compacted it, count for nothing: the base holds them.
+/// Rows of an incarnation that arrive after all members have compacted it are not counted again: the base
+/// includes them.
 #[test]
 fn late_rows_of_a_compacted_incarnation_count_once() {
     let name = |text: &str| -> Arc<str> { Arc::from(text) };
@@ -39,7 +40,7 @@
     let mut second = UsageCounters::new(Incarnation::new("a", 2));
     second.increment(key.clone(), &UsageValues::single(UsageMetric::Served, 3));
     merge_all(&mut other, &second.own_deltas_since(0));
-    // The new incarnation hears of its first from the other member, and acknowledges it.
+    // The new incarnation receives the rows of its predecessor from the other member, and acknowledges them.
     let remote = whole_digest(&second);
     let deltas = other.deltas_for(&name("a"), &remote, 9);
     merge_all(&mut second, &deltas);
@@ -48,16 +49,16 @@
     assert_eq!(
         other.compact(0, 0, &[name("a")]),
         1,
-        "final: superseded, and held by all to the same version"
+        "final: superseded, and held at the same version by all members"
     );
     merge_all(&mut other, &late);
     assert_eq!(other.totals().rows[&key].values.get(UsageMetric::Served), 8);
     assert_eq!(other.rejected_late(), 1);
 }
 
-/// Deltas are lost and overtake each other on their way through members that only pass them on: a member that holds an
-/// incarnation up to its last version has all of its rows. (A row that overtook others was once passed on under too low a
-/// version.)
+/// Deltas are lost and reordered on their way through members that only relay them: a member that holds an
+/// incarnation up to its last version has all of its rows. Guards against a relayed row with too low a
+/// version, which happened when the row had arrived out of order.
 #[test]
 fn counters_converge_when_deltas_are_lost_and_reordered() {
     for seed in 0..40 {
@@ -66,7 +67,7 @@
             .map(|i| UsageCounters::new(Incarnation::new(&format!("m{i}"), 1)))
             .collect();
         let name = |i: usize| -> Arc<str> { Arc::from(format!("m{i}")) };
-        let mut travelling: Vec<(usize, Delta)> = Vec::new();
+        let mut in_flight: Vec<(usize, Delta)> = Vec::new();
         for _ in 0..400 {
             let (i, j) = (rng.random_range(0..4), rng.random_range(0..4));
             if rng.random_bool(0.5) {
@@ -79,17 +80,17 @@
             if i != j {
                 let remote = whole_digest(&all[j]);
                 let deltas = all[i].deltas_for(&name(j), &remote, 9);
-                travelling.extend(deltas.into_iter().map(|delta| (j, delta)));
+                in_flight.extend(deltas.into_iter().map(|delta| (j, delta)));
             }
-            while travelling.len() > 40 || !travelling.is_empty() && rng.random_bool(0.6) {
-                let next = rng.random_range(0..travelling.len());
-                let (to, delta) = travelling.swap_remove(next);
+            while in_flight.len() > 40 || !in_flight.is_empty() && rng.random_bool(0.6) {
+                let next = rng.random_range(0..in_flight.len());
+                let (to, delta) = in_flight.swap_remove(next);
                 if rng.random_bool(0.7) {
                     all[to].merge(&delta, 9);
                 }
             }
         }
-        // Now nothing is lost, and only neighbours talk.
+        // Now no delta is lost, and only neighbours exchange deltas.
         for _ in 0..400 {
             let i = rng.random_range(0..3);
             for (from, to) in [(i, i + 1), (i + 1, i)] {
@@ -107,7 +108,7 @@
     }
 }
 
-/// The largest number that a peer can name is no reason to panic.
+/// A base up to the largest incarnation number that a peer can send causes no panic.
 #[test]
 fn base_up_to_the_largest_incarnation_is_merged() {
     let mut counters = UsageCounters::new(Incarnation::new("a", 1));
@@ -127,5 +128,9 @@
         rows: Vec::new(),
     };
     counters.merge(&later, 9);
-    assert_eq!(counters.rejected_late(), 1, "the base holds all of it");
+    assert_eq!(
+        counters.rejected_late(),
+        1,
+        "the base includes the incarnation"
+    );
 }
