--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -41,7 +41,7 @@
 const HELLO_INTERVAL_ROUNDS: u64 = 4;
 /// Rounds between two searches for incarnations to compact.
 const COMPACTION_INTERVAL_ROUNDS: u64 = 10;
-/// XORed into the seed so that gossip and the membership protocol draw different random numbers.
+/// Combined with the seed (exclusive or) so that gossip and the membership protocol draw different numbers.
 const GOSSIP_SEED: u64 = 0x5eed;
 
 /// One member of a fleet. See the module's documentation.
@@ -374,7 +374,7 @@
         self.outbox.take()
     }
 
-    /// Treats a member as not heard for [`FleetSettings::forget_after`], so that it no longer delays
+    /// Treats a member as silent for longer than [`FleetSettings::forget_after`], so that it no longer delays
     /// compaction.
     pub fn forget_member(&mut self, name: &str) {
         self.usage.forget_member(name);
@@ -449,13 +449,15 @@
         let mut members = Vec::new();
         for (member, health) in self.membership.all() {
             let peer = self.usage.peer(&member.name);
-            let last_heard = peer.map(|peer| peer.last_heard).filter(|time| *time > 0);
+            let last_received_at = peer
+                .map(|peer| peer.last_received_at)
+                .filter(|time| *time > 0);
             let acknowledged = peer.map_or(0, |peer| peer.acknowledged_version);
             members.push(MemberStatus {
                 name: member.name.to_string(),
                 incarnation: member.number,
                 health,
-                silent_ms: last_heard.map(|time| now.saturating_sub(time) / 1_000),
+                silent_ms: last_received_at.map(|time| now.saturating_sub(time) / 1_000),
                 lag: own_version.saturating_sub(acknowledged),
             });
         }
--- a/crates/fleet/src/peers.rs
+++ b/crates/fleet/src/peers.rs
@@ -1,4 +1,4 @@
-//! Per-member state beside the membership protocol: when a member was last heard, and which version of the
+//! Per-member state beside the membership protocol: when a datagram was last received, and which version of the
 //! local usage counters it holds.
 
 use crate::incarnation::Micros;
@@ -11,8 +11,8 @@
 pub(crate) struct Peer {
     /// The number of the member's incarnation.
     pub(crate) incarnation: u64,
-    /// When a datagram was last received from the member; 0 if none was.
-    pub(crate) last_heard: Micros,
+    /// When a datagram was last received from the member, or a new incarnation of it came up; 0 if neither happened.
+    pub(crate) last_received_at: Micros,
     /// The highest version of the local counters that the member has acknowledged.
     pub(crate) acknowledged_version: u64,
     /// The version of the local counters up to which they were sent to the member.
@@ -76,7 +76,7 @@
                 ..Peer::default()
             };
         }
-        peer.last_heard = now;
+        peer.last_received_at = now;
         true
     }
 
@@ -87,7 +87,7 @@
         if member.number > peer.incarnation {
             *peer = Peer {
                 incarnation: member.number,
-                last_heard: now,
+                last_received_at: now,
                 ..Peer::default()
             };
         }
@@ -97,12 +97,12 @@
         self.by_name.remove(name);
     }
 
-    /// The names of members that were heard within the last `time`.
-    pub(crate) fn heard_within(&self, now: Micros, time: Micros) -> Vec<Arc<str>> {
-        let heard = |peer: &Peer| now.saturating_sub(peer.last_heard) < time;
+    /// The names of members from which a datagram was received within the last `time`.
+    pub(crate) fn received_within(&self, now: Micros, time: Micros) -> Vec<Arc<str>> {
+        let is_recent = |peer: &Peer| now.saturating_sub(peer.last_received_at) < time;
         self.by_name
             .iter()
-            .filter(|(_, peer)| heard(peer))
+            .filter(|(_, peer)| is_recent(peer))
             .map(|(name, _)| name.clone())
             .collect()
     }
--- a/crates/fleet/src/replication.rs
+++ b/crates/fleet/src/replication.rs
@@ -83,7 +83,7 @@
         self.peers.on_member_up(now, member);
     }
 
-    /// Treats a member as not heard for `forget_after`.
+    /// Treats a member as silent for longer than `forget_after`.
     pub(crate) fn forget_member(&mut self, name: &str) {
         self.peers.remove(name);
     }
@@ -226,7 +226,7 @@
 
     /// Compacts incarnations that have ended, and drops old periods.
     pub(crate) fn compact(&mut self, now: Micros) {
-        let others = self.peers.heard_within(now, self.forget_after);
+        let others = self.peers.received_within(now, self.forget_after);
         let delay = self.gossip_interval * COMPACTION_DELAY_INTERVALS;
         self.counters.compact(now, delay, &others);
         self.counters.drop_old_periods();
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -24,7 +24,7 @@
     pub required_copies: usize,
     /// The quotas and the members among which they are divided.
     pub terms: Arc<QuotaTerms>,
-    /// A member that was not heard for this long no longer delays the compaction of ended incarnations.
+    /// A member from which nothing was received for this long no longer delays the compaction of ended incarnations.
     pub forget_after: Micros,
     /// The length of a usage period.
     pub period: Micros,
