--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -65,7 +65,7 @@
 
 /// Descriptors that are always taken or must stay free: standard streams, the event loop, signals, listeners,
 /// discovery, operators' calls, and a new connection on its way in or out.
-const OWN: usize = 24 + crate::net::mgmt::CALLERS;
+const OWN: usize = 24 + crate::net::mgmt::MAX_OPERATOR_CONNECTIONS;
 
 impl Limits {
     /// So many sixteenths of the descriptors that are not taken by files, listeners and the event loop. Front
--- a/src/config/operators.rs
+++ b/src/config/operators.rs
@@ -4,7 +4,7 @@
 use super::fleet::FleetFile;
 use super::{address, keyed, one_line, Config, Drmaa};
 use crate::core::tenants::Tenants;
-use crate::net::http::ONCE;
+use crate::net::http::UNIQUE_HEADERS;
 use crate::servers;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -266,7 +266,7 @@
     fn check(self) -> Result<TenantsConfig, String> {
         let token = |b: u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b);
         // Headers that mean something else already.
-        let taken = ONCE
+        let taken = UNIQUE_HEADERS
             .iter()
             .chain(&["host", "connection"])
             .any(|t| t.eq_ignore_ascii_case(&self.header));
--- a/src/drmaa/front/mod.rs
+++ b/src/drmaa/front/mod.rs
@@ -13,7 +13,7 @@
 use super::{from_hex, Error, JobInfo, JobState, JobTemplate, SessionMessage};
 use crate::core::{Answer, Front, Operation, Receipt, SubmitError};
 use crate::interface::{JobId, Micros};
-use crate::net::http::BODY;
+use crate::net::http::MAX_BODY_BYTES;
 use crate::runtime::Hub;
 use async_channel::{bounded, Receiver, Sender};
 use async_io::Timer;
@@ -196,7 +196,7 @@
         let name = template.job_name.clone();
         let number = self.next.get();
         let operation = self.operation(template, number)?;
-        if !self.make_room(BODY) {
+        if !self.make_room(MAX_BODY_BYTES) {
             return refuse(Error::TryLater, "too many jobs");
         }
         self.next.set(number + 1);
@@ -326,7 +326,7 @@
             },
             (None, None) => Vec::new(),
         };
-        if body.len() > BODY {
+        if body.len() > MAX_BODY_BYTES {
             return refuse(Error::OutOfResource, "the input is over 64 KiB");
         }
         Ok(Operation {
--- a/src/drmaa/front/session.rs
+++ b/src/drmaa/front/session.rs
@@ -120,7 +120,9 @@
             let call = async {
                 match conn.line(LINE).await {
                     Ok(line) => Turn::Call(line),
-                    Err(crate::net::http::Bad::TooLarge) => Turn::End(Some("the line is too long")),
+                    Err(crate::net::http::ReadError::TooLarge) => {
+                        Turn::End(Some("the line is too long"))
+                    }
                     Err(_) => Turn::End(None),
                 }
             };
--- a/src/drmaa/worker.rs
+++ b/src/drmaa/worker.rs
@@ -5,8 +5,8 @@
 };
 use crate::core::{Driver, Operation, PoolMember, StepEvent, StepId, StepOutcome};
 use crate::interface::{Micros, WorkerId};
-use crate::net::http::BODY;
-use crate::net::pool::{Pool, PooledConnection, Use};
+use crate::net::http::MAX_BODY_BYTES;
+use crate::net::pool::{ConnectionPurpose, Pool, PooledConnection};
 use crate::runtime::Hub;
 use async_channel::{bounded, Receiver, Sender};
 use async_io::Timer;
@@ -48,7 +48,7 @@
         pooled: &mut Option<PooledConnection>,
         job: &mut Option<String>,
     ) -> StepOutcome {
-        let mut taken = match self.pool.take(addr, Use::Work).await {
+        let mut taken = match self.pool.take(addr, ConnectionPurpose::Work).await {
             Ok(taken) => taken,
             Err(ending) => return ending,
         };
@@ -210,7 +210,7 @@
 /// What the end of a job means.
 fn ended(info: JobInfo) -> StepOutcome {
     match (info.job_state, info.output, info.error) {
-        (JobState::Done, Some(output), _) if output.len() <= BODY => {
+        (JobState::Done, Some(output), _) if output.len() <= MAX_BODY_BYTES => {
             StepOutcome::Served(output.into_bytes().into())
         }
         (JobState::Failed, _, Some(error)) => turned_down(error),
--- a/src/middleware.rs
+++ b/src/middleware.rs
@@ -20,7 +20,7 @@
 use crate::core::tenants::Tenant;
 use crate::core::Operation;
 use crate::handle::Handle;
-use crate::net::http::BODY;
+use crate::net::http::MAX_BODY_BYTES;
 use crate::net::request::{self, Reply};
 use http::{Request, Response};
 use http_body::Body;
@@ -111,14 +111,13 @@
         head.uri.path_and_query().map_or("/", |t| t.as_str()),
     );
     request::check(&dispatcher.classes, method, target)?;
-    let body =
-        Limited::new(body, BODY)
-            .collect()
-            .await
-            .map_err(|e| match e.is::<LengthLimitError>() {
-                true => Reply::plain(413, "the body is over 64 KiB"),
-                false => Reply::plain(400, "the body broke off"),
-            })?;
+    let body = Limited::new(body, MAX_BODY_BYTES)
+        .collect()
+        .await
+        .map_err(|e| match e.is::<LengthLimitError>() {
+            true => Reply::plain(413, "the body is over 64 KiB"),
+            false => Reply::plain(400, "the body broke off"),
+        })?;
     let tenant = match head.extensions.get::<Tenant>() {
         Some(Tenant(name)) => Some(name.clone()),
         None => tenant(dispatcher, &head.headers)?,
--- a/src/net/close.rs
+++ b/src/net/close.rs
@@ -18,13 +18,13 @@
         let mut closing = closing.told(0);
         while let Closing::Draining { until, .. } = closing {
             // What has come already is read first, whatever the time; with no time to linger nothing is waited for.
-            let there = future::poll_once(self.throw_away()).await;
+            let there = future::poll_once(self.discard_input()).await;
             closing = there.map_or(closing.quiet(now()), |bytes| closing.read(bytes));
             match (there, closing) {
                 // Guards against a sender at full speed that would keep all others waiting.
                 (Some(_), _) => future::yield_now().await,
                 (None, Closing::Draining { .. }) => {
-                    let more = async { Some(self.throw_away().await) };
+                    let more = async { Some(self.discard_input().await) };
                     let late = async {
                         Timer::after(Duration::from_micros(until.saturating_sub(now()))).await;
                         None
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,8 +1,8 @@
 //! The pool config: discovery's list, watched from the process's start, and moved to another address when a new
 //! configuration says so. When it is called and what is given up is [`ListClock`]'s to say.
 
-use super::http::{Bad, Conn};
-use super::lists::{Said, Splitter};
+use super::http::{Conn, ReadError};
+use super::lists::{Splitter, WatchItem};
 use super::pool::dial;
 use crate::core::{PoolMember, PoolSource};
 use crate::interface::EndpointState;
@@ -140,14 +140,14 @@
             let (before, lists) = (self.version.get(), Cell::new(0u64));
             let watch = async {
                 self.due().await;
-                self.clock.borrow_mut().call(self.hub.now());
+                self.clock.borrow_mut().call_started(self.hub.now());
                 self.watch(addr, &lists).await.err()
             };
             let Some(why) = future::or(moved, watch).await else {
                 info!(self.hub.log, "the watch moves"; "from" => %addr, "to" => ?self.addr.get());
                 continue;
             };
-            let pause_us = self.clock.borrow_mut().ended(self.hub.now());
+            let pause_us = self.clock.borrow_mut().call_ended(self.hub.now());
             warn!(self.hub.log, "the watch on discovery broke"; "why" => why, "lists" => lists.get(),
                 "version" => before, "pause_ms" => pause_us / 1_000);
             self.hub.with(|core, _| {
@@ -203,7 +203,7 @@
         if head.status != 200 {
             return Err(format!("status {}", head.status));
         }
-        self.clock.borrow_mut().opened(self.hub.now());
+        self.clock.borrow_mut().watch_opened(self.hub.now());
         let (mut splitter, mut said) = (Splitter::new(), Vec::new());
         loop {
             let piece = self
@@ -213,11 +213,11 @@
                 .feed(&piece.ok_or("it was ended")?, &mut said)
                 .map_err(|e| format!("not a list: {e:?}"))?;
             for said in said.drain(..) {
-                if let Said::Object(text) = said {
+                if let WatchItem::Object(text) = said {
                     self.take(&text)?;
                     lists.set(lists.get() + 1);
                 }
-                self.clock.borrow_mut().heard(self.hub.now());
+                self.clock.borrow_mut().received(self.hub.now());
             }
         }
     }
@@ -236,7 +236,7 @@
     }
 }
 
-fn say(bad: Bad) -> String {
+fn say(bad: ReadError) -> String {
     format!("{bad:?}")
 }
 
@@ -254,7 +254,7 @@
     }
 
     fn expedite(&self) {
-        self.clock.borrow_mut().hurry(self.hub.now());
+        self.clock.borrow_mut().expedite(self.hub.now());
         let _ = self.hurried.0.try_send(());
     }
 }
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -1,8 +1,8 @@
 //! The front: clients' operations, workers' call-backs, `GET /up` and `GET /counters` on one listener.
 
 use super::connections::{after, Activity, BodyReservation, ClientConnection, ClientConnections};
-use super::http::{self, Bad, Conn, Head};
-use super::pool::no_descriptors;
+use super::http::{self, Conn, Head, ReadError};
+use super::pool::is_out_of_resources;
 use super::request::{self, busy, path, Reply};
 use crate::closing::Closing;
 use crate::config::Limits;
@@ -80,7 +80,7 @@
                 }
                 // Out of descriptors: guards against a busy loop, and makes room for those that wait.
                 Err(e) => {
-                    if no_descriptors(&e) {
+                    if is_out_of_resources(&e) {
                         all.free_one();
                     }
                     warn!(hub.log, "a front socket could not be accepted"; "error" => %e);
@@ -120,7 +120,7 @@
     hub: &Hub,
     conn: &mut Conn,
     socket: &ClientConnection,
-) -> Result<Result<Received, Reply>, Bad> {
+) -> Result<Result<Received, Reply>, ReadError> {
     let head = conn.request().await?;
     let mut reservation = None;
     if is_operation(&head) {
@@ -136,7 +136,7 @@
     if is_operation(&head) && conn.has_input() {
         // Guards against requests hidden behind a wrong length, and against hundreds in one go: a client sends
         // one at a time.
-        return Err(Bad::Malformed("more than one request at a time"));
+        return Err(ReadError::Malformed("more than one request at a time"));
     }
     Ok(Ok(Received {
         head,
@@ -156,11 +156,11 @@
         socket.set_activity(Activity::Reading);
         let late = async {
             Timer::at(by).await;
-            Err(Bad::Late)
+            Err(ReadError::Late)
         };
         let given_up = async {
             socket.given_up().await;
-            Err(Bad::Ended)
+            Err(ReadError::Ended)
         };
         let read = future::or(
             receive(&hub, &mut conn, &socket),
@@ -186,10 +186,10 @@
                 }
             }
             Ok(Err(reply)) => (reply, true),
-            Err(Bad::Ended) => return,
-            Err(Bad::Late) => (Reply::plain(408, "it did not come in time"), true),
-            Err(Bad::TooLarge) => (Reply::plain(413, "the body is over 64 KiB"), true),
-            Err(Bad::Malformed(why)) => (Reply::plain(400, why), true),
+            Err(ReadError::Ended) => return,
+            Err(ReadError::Late) => (Reply::plain(408, "it did not come in time"), true),
+            Err(ReadError::TooLarge) => (Reply::plain(413, "the body is over 64 KiB"), true),
+            Err(ReadError::Malformed(why)) => (Reply::plain(400, why), true),
         };
         // What was wrong once is not waited for again: guards against bad clients that stay.
         let bad = matches!(reply.status, 400 | 404 | 405 | 408 | 409 | 413);
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -8,12 +8,12 @@
 /// The longest head.
 const HEAD: usize = 16 << 10;
 /// The longest body.
-pub const BODY: usize = 64 << 10;
+pub const MAX_BODY_BYTES: usize = 64 << 10;
 const HEADERS: usize = 64;
 /// The longest chunk of an answer without end, such as a watch.
 const CHUNK: usize = 4 << 20;
 /// Headers that must not come twice, as the two could be read in two ways.
-pub(crate) const ONCE: [&str; 6] = [
+pub(crate) const UNIQUE_HEADERS: [&str; 6] = [
     "content-length",
     "transfer-encoding",
     "x-correlation-id",
@@ -24,7 +24,7 @@
 
 /// Why a message cannot be read.
 #[derive(Debug)]
-pub enum Bad {
+pub enum ReadError {
     /// The connection ended or broke.
     Ended,
     /// It is not HTTP as it should be.
@@ -35,9 +35,9 @@
     Late,
 }
 
-impl From<io::Error> for Bad {
-    fn from(_: io::Error) -> Bad {
-        Bad::Ended
+impl From<io::Error> for ReadError {
+    fn from(_: io::Error) -> ReadError {
+        ReadError::Ended
     }
 }
 
@@ -118,7 +118,7 @@
                 }
             } else {
                 self.overrun = true;
-                if self.throw_away().await == 0 {
+                if self.discard_input().await == 0 {
                     return;
                 }
             }
@@ -133,7 +133,7 @@
     }
 
     /// Reads some of what comes, for nothing; how much it was, and 0 at the end.
-    pub async fn throw_away(&mut self) -> usize {
+    pub async fn discard_input(&mut self) -> usize {
         let mut part = [0u8; 8 << 10];
         self.stream.read(&mut part).await.unwrap_or(0)
     }
@@ -151,15 +151,15 @@
     }
 
     /// Waits until something of the next message is there. An error at the end.
-    pub async fn wait_input(&mut self) -> Result<(), Bad> {
+    pub async fn wait_input(&mut self) -> Result<(), ReadError> {
         if self.buf.is_empty() && !matches!(self.fill().await, Ok(n) if n > 0) {
-            return Err(Bad::Ended);
+            return Err(ReadError::Ended);
         }
         Ok(())
     }
 
     /// Reads one line, without its end.
-    pub async fn line(&mut self, most: usize) -> Result<Vec<u8>, Bad> {
+    pub async fn line(&mut self, most: usize) -> Result<Vec<u8>, ReadError> {
         let mut seen = 0;
         loop {
             if let Some(end) = self.buf[seen..].iter().position(|&b| b == b'\n') {
@@ -169,10 +169,10 @@
             }
             seen = self.buf.len();
             if seen > most {
-                return Err(Bad::TooLarge);
+                return Err(ReadError::TooLarge);
             }
             if self.fill().await? == 0 {
-                return Err(Bad::Ended);
+                return Err(ReadError::Ended);
             }
         }
     }
@@ -183,7 +183,7 @@
     }
 
     /// Reads the head of a request.
-    pub async fn request(&mut self) -> Result<Head, Bad> {
+    pub async fn request(&mut self) -> Result<Head, ReadError> {
         loop {
             let mut headers = [httparse::EMPTY_HEADER; HEADERS];
             let mut request = httparse::Request::new(&mut headers);
@@ -193,7 +193,7 @@
                         (request.method.unwrap_or(""), request.path.unwrap_or(""));
                     // Passed on as it is: guards against a target that a worker could not read.
                     if !target.bytes().all(|b| b.is_ascii_graphic()) {
-                        return Err(Bad::Malformed("the target is not plain ASCII"));
+                        return Err(ReadError::Malformed("the target is not plain ASCII"));
                     }
                     let (method, target) = (method.to_string(), target.to_string());
                     let head = Head {
@@ -208,23 +208,23 @@
                             .count()
                             > 1
                     };
-                    if ONCE.iter().any(twice) {
-                        return Err(Bad::Malformed("a header that must not come twice"));
+                    if UNIQUE_HEADERS.iter().any(twice) {
+                        return Err(ReadError::Malformed("a header that must not come twice"));
                     }
                     if request.version == Some(0) && head.get("transfer-encoding").is_some() {
-                        return Err(Bad::Malformed("Transfer-Encoding in HTTP/1.0"));
+                        return Err(ReadError::Malformed("Transfer-Encoding in HTTP/1.0"));
                     }
                     self.buf.drain(..length);
                     return Ok(head);
                 }
                 Ok(httparse::Status::Partial) => self.more().await?,
-                Err(_) => return Err(Bad::Malformed("not an HTTP/1.1 request")),
+                Err(_) => return Err(ReadError::Malformed("not an HTTP/1.1 request")),
             }
         }
     }
 
     /// Reads the head of an answer, past those that only say to go on.
-    pub async fn answer(&mut self) -> Result<Head, Bad> {
+    pub async fn answer(&mut self) -> Result<Head, ReadError> {
         loop {
             let mut headers = [httparse::EMPTY_HEADER; HEADERS];
             let mut response = httparse::Response::new(&mut headers);
@@ -241,25 +241,25 @@
                     }
                 }
                 Ok(httparse::Status::Partial) => self.more().await?,
-                Err(_) => return Err(Bad::Malformed("not an HTTP/1.1 answer")),
+                Err(_) => return Err(ReadError::Malformed("not an HTTP/1.1 answer")),
             }
         }
     }
 
-    async fn more(&mut self) -> Result<(), Bad> {
+    async fn more(&mut self) -> Result<(), ReadError> {
         if self.buf.len() > HEAD {
-            return Err(Bad::Malformed("the head is too long"));
+            return Err(ReadError::Malformed("the head is too long"));
         }
         match self.fill().await {
             Ok(n) if n > 0 => Ok(()),
-            _ => Err(Bad::Ended),
+            _ => Err(ReadError::Ended),
         }
     }
 
     /// Reads the body that belongs to a head.
-    pub async fn body(&mut self, head: &Head) -> Result<Vec<u8>, Bad> {
+    pub async fn body(&mut self, head: &Head) -> Result<Vec<u8>, ReadError> {
         match framing(head)? {
-            Framing::Length(n) if n > BODY => Err(Bad::TooLarge),
+            Framing::Length(n) if n > MAX_BODY_BYTES => Err(ReadError::TooLarge),
             Framing::Length(n) => {
                 if n > self.buf.len()
                     && head
@@ -270,22 +270,22 @@
                 }
                 while self.buf.len() < n {
                     if self.fill().await? == 0 {
-                        return Err(Bad::Ended);
+                        return Err(ReadError::Ended);
                     }
                 }
                 Ok(self.buf.drain(..n).collect())
             }
             Framing::Chunked => {
                 let mut body = Vec::new();
-                while let Some(part) = self.chunk_of(BODY - body.len()).await? {
+                while let Some(part) = self.chunk_of(MAX_BODY_BYTES - body.len()).await? {
                     body.extend_from_slice(&part);
                 }
                 Ok(body)
             }
             Framing::ToEnd => {
                 while self.fill().await? > 0 {
-                    if self.buf.len() > BODY {
-                        return Err(Bad::TooLarge);
+                    if self.buf.len() > MAX_BODY_BYTES {
+                        return Err(ReadError::TooLarge);
                     }
                 }
                 Ok(std::mem::take(&mut self.buf))
@@ -294,45 +294,48 @@
     }
 
     /// Reads one chunk of an answer without end; none at its end.
-    pub async fn chunk(&mut self) -> Result<Option<Vec<u8>>, Bad> {
+    pub async fn chunk(&mut self) -> Result<Option<Vec<u8>>, ReadError> {
         self.chunk_of(CHUNK).await
     }
 
     /// Reads one chunk; none at the last. Guards against one that says it is huge: nothing of it is kept.
-    async fn chunk_of(&mut self, most: usize) -> Result<Option<Vec<u8>>, Bad> {
+    async fn chunk_of(&mut self, most: usize) -> Result<Option<Vec<u8>>, ReadError> {
         loop {
             match httparse::parse_chunk_size(&self.buf) {
                 Ok(httparse::Status::Complete((start, size))) => {
                     let size = usize::try_from(size)
                         .ok()
                         .filter(|&s| s <= most)
-                        .ok_or(Bad::TooLarge)?;
+                        .ok_or(ReadError::TooLarge)?;
                     while self.buf.len() < start + size + 2 {
                         if self.fill().await? == 0 {
-                            return Err(Bad::Ended);
+                            return Err(ReadError::Ended);
                         }
                     }
                     if &self.buf[start + size..start + size + 2] != b"\r\n" {
-                        return Err(Bad::Malformed("a chunk without its end"));
+                        return Err(ReadError::Malformed("a chunk without its end"));
                     }
                     let part = self.buf[start..start + size].to_vec();
                     self.buf.drain(..start + size + 2);
                     return Ok((size > 0).then_some(part));
                 }
                 Ok(httparse::Status::Partial) => self.more().await?,
-                Err(_) => return Err(Bad::Malformed("not a chunk")),
+                Err(_) => return Err(ReadError::Malformed("not a chunk")),
             }
         }
     }
 }
 
-fn head(headers: &[httparse::Header], version: Option<u8>) -> Result<Head, Bad> {
+fn head(headers: &[httparse::Header], version: Option<u8>) -> Result<Head, ReadError> {
     let text = |h: &httparse::Header| {
         let value = std::str::from_utf8(h.value)
-            .map_err(|_| Bad::Malformed("a header that is not text"))?;
+            .map_err(|_| ReadError::Malformed("a header that is not text"))?;
         Ok((h.name.to_string(), value.trim().to_string()))
     };
-    let headers = headers.iter().map(text).collect::<Result<Vec<_>, Bad>>()?;
+    let headers = headers
+        .iter()
+        .map(text)
+        .collect::<Result<Vec<_>, ReadError>>()?;
     let mut head = Head {
         headers,
         ..Head::default()
@@ -348,28 +351,30 @@
 }
 
 /// How long the body of a request may be, by its head.
-pub(crate) fn body_length(head: &Head) -> Result<usize, Bad> {
+pub(crate) fn body_length(head: &Head) -> Result<usize, ReadError> {
     match framing(head)? {
-        Framing::Length(n) if n > BODY => Err(Bad::TooLarge),
+        Framing::Length(n) if n > MAX_BODY_BYTES => Err(ReadError::TooLarge),
         Framing::Length(n) => Ok(n),
-        Framing::Chunked | Framing::ToEnd => Ok(BODY),
+        Framing::Chunked | Framing::ToEnd => Ok(MAX_BODY_BYTES),
     }
 }
 
-fn framing(head: &Head) -> Result<Framing, Bad> {
+fn framing(head: &Head) -> Result<Framing, ReadError> {
     let lengths = head
         .headers
         .iter()
         .filter(|(n, _)| n.eq_ignore_ascii_case("content-length"));
     let mut lengths = lengths.map(|(_, v)| v.as_str());
     match (head.get("transfer-encoding"), lengths.next()) {
-        (Some(_), Some(_)) => Err(Bad::Malformed("both Content-Length and Transfer-Encoding")),
+        (Some(_), Some(_)) => Err(ReadError::Malformed(
+            "both Content-Length and Transfer-Encoding",
+        )),
         (Some(t), None) if t.eq_ignore_ascii_case("chunked") => Ok(Framing::Chunked),
-        (Some(_), None) => Err(Bad::Malformed("an unknown Transfer-Encoding")),
+        (Some(_), None) => Err(ReadError::Malformed("an unknown Transfer-Encoding")),
         (None, Some(n)) => {
             let digits = !n.is_empty() && n.bytes().all(|b| b.is_ascii_digit());
             if !digits || lengths.any(|other| other != n) {
-                return Err(Bad::Malformed("Content-Length"));
+                return Err(ReadError::Malformed("Content-Length"));
             }
             Ok(Framing::Length(n.parse().unwrap_or(usize::MAX)))
         }
--- a/src/net/lists.rs
+++ b/src/net/lists.rs
@@ -1,24 +1,24 @@
 //! Takes a watch apart: JSON objects, indented or not, in pieces of any size, and the empty lines between them.
 
 /// The longest object.
-const LONGEST: usize = 4 << 20;
+const MAX_OBJECT_BYTES: usize = 4 << 20;
 
 /// What a watch says.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum WatchItem {
     /// Nothing changed.
-    Nothing,
+    Unchanged,
     /// The text of one object.
     Object(Vec<u8>),
 }
 
 /// Why what came is no watch.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Spoilt {
+pub enum SplitError {
     /// Something stands where an object should begin.
-    NoObject,
+    NotAnObject,
     /// An object without end.
-    Endless,
+    ObjectTooLong,
 }
 
 /// Finds where objects end, looking at each byte once. Line ends inside an object are part of it.
@@ -26,56 +26,56 @@
 pub struct Splitter {
     object: Vec<u8>,
     depth: usize,
-    text: bool,
+    in_string: bool,
     escaped: bool,
     /// Nothing has come on this line yet.
-    blank: bool,
+    line_is_empty: bool,
 }
 
 impl Splitter {
     /// At the beginning of a watch.
     pub fn new() -> Splitter {
         Splitter {
-            blank: true,
+            line_is_empty: true,
             ..Splitter::default()
         }
     }
 
     /// Takes a piece; what it completes is added to `out`.
-    pub fn feed(&mut self, piece: &[u8], out: &mut Vec<Said>) -> Result<(), Spoilt> {
+    pub fn feed(&mut self, piece: &[u8], out: &mut Vec<WatchItem>) -> Result<(), SplitError> {
         for &byte in piece {
             if self.depth == 0 {
                 match byte {
                     b'{' => {
-                        (self.depth, self.blank) = (1, false);
+                        (self.depth, self.line_is_empty) = (1, false);
                         self.object.push(byte);
                     }
                     b'\n' => {
                         // The end of a line that held an object says nothing of its own.
-                        if std::mem::replace(&mut self.blank, true) {
-                            out.push(Said::Nothing);
+                        if std::mem::replace(&mut self.line_is_empty, true) {
+                            out.push(WatchItem::Unchanged);
                         }
                     }
                     b if b.is_ascii_whitespace() => {}
-                    _ => return Err(Spoilt::NoObject),
+                    _ => return Err(SplitError::NotAnObject),
                 }
                 continue;
             }
             self.object.push(byte);
-            match (self.text, byte) {
+            match (self.in_string, byte) {
                 (true, _) if self.escaped => self.escaped = false,
                 (true, b'\\') => self.escaped = true,
-                (true, b'"') => self.text = false,
+                (true, b'"') => self.in_string = false,
                 (true, _) => {}
-                (false, b'"') => self.text = true,
+                (false, b'"') => self.in_string = true,
                 (false, b'{' | b'[') => self.depth += 1,
                 (false, b'}' | b']') => self.depth -= 1,
                 (false, _) => {}
             }
             if self.depth == 0 {
-                out.push(Said::Object(std::mem::take(&mut self.object)));
-            } else if self.object.len() > LONGEST {
-                return Err(Spoilt::Endless);
+                out.push(WatchItem::Object(std::mem::take(&mut self.object)));
+            } else if self.object.len() > MAX_OBJECT_BYTES {
+                return Err(SplitError::ObjectTooLong);
             }
         }
         Ok(())
--- a/src/net/mgmt.rs
+++ b/src/net/mgmt.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Callers served at once; one more is turned away at once. Their descriptors are kept aside by the limits.
-pub(crate) const CALLERS: usize = 16;
+pub(crate) const MAX_OPERATOR_CONNECTIONS: usize = 16;
 /// A caller who has not finished its line by then is ended: callers wait 1 s, and some say nothing for 4 s.
 const CALL: Duration = Duration::from_millis(1_500);
 /// How long an answer may take to be written, and what comes after it to be read.
@@ -26,7 +26,7 @@
     hub.spawn(async move {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) if callers.get() >= CALLERS => drop(stream),
+                Ok((stream, _)) if callers.get() >= MAX_OPERATOR_CONNECTIONS => drop(stream),
                 Ok((stream, _)) => {
                     callers.set(callers.get() + 1);
                     let (hub, callers) = (spawner.clone(), callers.clone());
@@ -72,7 +72,7 @@
         &call,
         hub.readiness(),
         || hub.figures(),
-        |call| hub.of_the_fleet(call),
+        |call| hub.fleet_report(call),
     );
     let written = async { stream.write_all(text.as_bytes()).await.is_ok() };
     if !future::or(written, after(AFTER, false)).await {
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -24,7 +24,7 @@
 
 /// What a connection is wanted for.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Use {
+pub(crate) enum ConnectionPurpose {
     /// A route step, or a probe.
     Work,
     /// The end of one: it may use what is set aside.
@@ -109,7 +109,7 @@
     pub(crate) async fn take(
         &self,
         addr: SocketAddr,
-        what: Use,
+        what: ConnectionPurpose,
     ) -> Result<PooledConnection, StepOutcome> {
         let counted = |open: &Rc<Cell<usize>>| {
             open.set(open.get() + 1);
@@ -123,7 +123,7 @@
         }
         let idle: usize = self.idle.borrow().values().map(Vec::len).sum();
         let most = self.figures.sockets
-            + if what == Use::Cancel {
+            + if what == ConnectionPurpose::Cancel {
                 self.figures.reserve
             } else {
                 0
@@ -147,7 +147,7 @@
                 })
             }
             Ok(None) => Err(StepOutcome::ConnectTimedOut),
-            Err(e) if no_descriptors(&e) => Err(StepOutcome::NotSent),
+            Err(e) if is_out_of_resources(&e) => Err(StepOutcome::NotSent),
             Err(_) => Err(StepOutcome::ConnectRefused),
         }
     }
@@ -191,7 +191,7 @@
 /// it is tried once more; no more than one, as memory or ports may be short too, which no client frees.
 pub(crate) async fn dial(hub: &Hub, addr: SocketAddr) -> io::Result<Async<TcpStream>> {
     match Async::<TcpStream>::connect(addr).await {
-        Err(e) if no_descriptors(&e) && hub.free_client_connection() => {
+        Err(e) if is_out_of_resources(&e) && hub.free_client_connection() => {
             Timer::after(FREED_CONNECTION_CLOSE_TIME).await;
             Async::<TcpStream>::connect(addr).await
         }
@@ -200,6 +200,6 @@
 }
 
 /// Out of descriptors (EMFILE, ENFILE), memory for sockets, or local ports.
-pub(crate) fn no_descriptors(e: &io::Error) -> bool {
+pub(crate) fn is_out_of_resources(e: &io::Error) -> bool {
     matches!(e.raw_os_error(), Some(23 | 24 | 12 | 105 | 99))
 }
--- a/src/net/route.rs
+++ b/src/net/route.rs
@@ -1,7 +1,7 @@
 //! Route steps over HTTP: one exchange that hands a job to a worker, and the cancel.
 
-use super::http::{Bad, Head};
-use super::pool::{Pool, PooledConnection, Use};
+use super::http::{Head, ReadError};
+use super::pool::{ConnectionPurpose, Pool, PooledConnection};
 use super::{load_from_header, load_from_json};
 use crate::core::{Driver, Operation, PoolMember, StepEvent, StepId, StepOutcome};
 use crate::interface::{LoadReport, Micros, WorkerId};
@@ -110,7 +110,7 @@
         self.cancel_over(addr, operation).await;
         let mut taken = self
             .pool
-            .take(addr, Use::Work)
+            .take(addr, ConnectionPurpose::Work)
             .await
             .map_err(|e| (e, None))?;
         // The connection may have come up late: guards against an attempt for a client that has gone, at a worker
@@ -183,13 +183,13 @@
         self.ask(
             addr,
             format!("DELETE /jobs/{id} HTTP/1.1\r\nHost: {addr}\r\n\r\n"),
-            Use::Cancel,
+            ConnectionPurpose::Cancel,
         )
         .await;
     }
 
     /// Reads one answer whole.
-    async fn exchange(&self, pooled: &mut PooledConnection) -> Result<(Head, Vec<u8>), Bad> {
+    async fn exchange(&self, pooled: &mut PooledConnection) -> Result<(Head, Vec<u8>), ReadError> {
         let head = pooled.conn.answer().await?;
         let body = pooled.conn.body(&head).await?;
         Ok((head, body))
@@ -212,13 +212,18 @@
     }
 
     /// A small request of our own: a cancel or a probe.
-    async fn ask(&self, addr: SocketAddr, request: String, what: Use) -> Option<(Head, Vec<u8>)> {
+    async fn ask(
+        &self,
+        addr: SocketAddr,
+        request: String,
+        what: ConnectionPurpose,
+    ) -> Option<(Head, Vec<u8>)> {
         let asked = async {
             let mut pooled = loop {
                 match self.pool.take(addr, what).await {
                     Ok(pooled) => break pooled,
                     // A cancel is owed: it waits for a descriptor. A probe is not.
-                    Err(StepOutcome::NotSent) if what == Use::Cancel => {
+                    Err(StepOutcome::NotSent) if what == ConnectionPurpose::Cancel => {
                         Timer::after(AGAIN).await;
                     }
                     Err(_) => return None,
@@ -327,7 +332,7 @@
         let me = self.me();
         self.hub.spawn(async move {
             let answer = me
-                .ask(addr, request, Use::Work)
+                .ask(addr, request, ConnectionPurpose::Work)
                 .await
                 .filter(|(head, _)| head.status == 200);
             let report = answer
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -76,7 +76,7 @@
     }
 
     /// What operators are told of the fleet, as one line; none, where this dispatcher is alone.
-    pub(crate) fn of_the_fleet(&self, call: &crate::telemetry::Call) -> Option<String> {
+    pub(crate) fn fleet_report(&self, call: &crate::telemetry::Call) -> Option<String> {
         let fleet = self.fleet.borrow();
         fleet.as_ref().map(|f| {
             if *call == crate::telemetry::Call::Tally {
@@ -236,7 +236,7 @@
     let source = if config.setup.discovery == "pushed" {
         Source::Pushed
     } else {
-        Source::Asked
+        Source::OnRequest
     };
     let list_clock = ListClock::new(source, fleet, within, config.seed, base);
     let site = Site::new(config.setup);
--- a/tests/list_clock.rs
+++ b/tests/list_clock.rs
@@ -7,23 +7,23 @@
 const S: Micros = 1_000_000;
 
 #[rstest]
-#[case::written_on_a_watch(Source::Asked, Event::Written(9 * S), 10 * S, 9 * S)]
+#[case::written_on_a_watch(Source::OnRequest, Event::Written(9 * S), 10 * S, 9 * S)]
 #[case::written_by_the_agent(Source::Pushed, Event::Written(9 * S), 10 * S, 9 * S)]
-#[case::reachable(Source::Asked, Event::Reachable(9 * S), 10 * S, 15 * S)]
+#[case::reachable(Source::OnRequest, Event::Reachable(9 * S), 10 * S, 15 * S)]
 #[case::the_agent_has_it(Source::Pushed, Event::Reachable(9 * S), 10 * S, 9 * S)]
-#[case::unasked_for_long(Source::Asked, Event::Unasked(9 * S, 1), 10 * S, 15 * S)]
-#[case::unasked_for_a_short_time(Source::Asked, Event::Unasked(9 * S, 1), 2 * S, 11 * S)]
-#[case::a_failed_call_bears_no_more(Source::Asked, Event::Unasked(9 * S, 4), 2 * S, 15 * S)]
-#[case::a_failed_call_of_a_quick_site(Source::Asked, Event::Unasked(9 * S, 4), S, 13 * S)]
-#[case::settings_without_a_time(Source::Asked, Event::Unasked(9 * S, 4), 0, 15 * S)]
-#[case::unasked_but_pushed(Source::Pushed, Event::Unasked(9 * S, 4), 10 * S, 9 * S)]
-#[case::silent(Source::Asked, Event::Silent(9 * S), 10 * S, 15 * S)]
+#[case::unasked_for_long(Source::OnRequest, Event::Unreachable(9 * S, 1), 10 * S, 15 * S)]
+#[case::unasked_for_a_short_time(Source::OnRequest, Event::Unreachable(9 * S, 1), 2 * S, 11 * S)]
+#[case::a_failed_call_bears_no_more(Source::OnRequest, Event::Unreachable(9 * S, 4), 2 * S, 15 * S)]
+#[case::a_failed_call_of_a_quick_site(Source::OnRequest, Event::Unreachable(9 * S, 4), S, 13 * S)]
+#[case::settings_without_a_time(Source::OnRequest, Event::Unreachable(9 * S, 4), 0, 15 * S)]
+#[case::unasked_but_pushed(Source::Pushed, Event::Unreachable(9 * S, 4), 10 * S, 9 * S)]
+#[case::silent(Source::OnRequest, Event::Silent(9 * S), 10 * S, 15 * S)]
 #[case::silent_agent(Source::Pushed, Event::Silent(9 * S), 10 * S, 15 * S)]
-#[case::moved(Source::Asked, Event::Moved(9 * S), 10 * S, 13 * S)]
+#[case::moved(Source::OnRequest, Event::Moved(9 * S), 10 * S, 13 * S)]
 #[case::moved_agent(Source::Pushed, Event::Moved(9 * S), 10 * S, 13 * S)]
 #[case::the_end_of_time(
-    Source::Asked,
-    Event::Unasked(Micros::MAX, 4),
+    Source::OnRequest,
+    Event::Unreachable(Micros::MAX, 4),
     Micros::MAX,
     Micros::MAX
 )]
@@ -33,16 +33,16 @@
     #[case] within: Micros,
     #[case] want: Micros,
 ) {
-    assert_eq!(told_at(source, event, within), want);
+    assert_eq!(effective_at(source, event, within), want);
 }
 
 #[rstest]
-#[case(Source::Asked, 1, 10 * S, S)]
-#[case(Source::Asked, 40, 10 * S, 1_600_000)]
-#[case(Source::Asked, 300, 20 * S, 2 * S)]
-#[case(Source::Asked, 300, 0, 2 * S)]
-#[case(Source::Asked, 300, S, 500_000)]
-#[case(Source::Asked, 0, 1, 100_000)]
+#[case(Source::OnRequest, 1, 10 * S, S)]
+#[case(Source::OnRequest, 40, 10 * S, 1_600_000)]
+#[case(Source::OnRequest, 300, 20 * S, 2 * S)]
+#[case(Source::OnRequest, 300, 0, 2 * S)]
+#[case(Source::OnRequest, 300, S, 500_000)]
+#[case(Source::OnRequest, 0, 1, 100_000)]
 #[case(Source::Pushed, 300, 20 * S, 100_000)]
 fn the_longest_pause_follows_the_fleet_and_leaves_time_for_a_call(
     #[case] source: Source,
@@ -54,8 +54,8 @@
     assert_eq!(clock.ceiling_us(), want);
     let mut now = clock.due();
     for _ in 0..40 {
-        clock.call(now);
-        let pause = clock.ended(now);
+        clock.call_started(now);
+        let pause = clock.call_ended(now);
         assert!(pause <= want && pause > 0, "{pause}");
         now += pause;
     }
@@ -63,11 +63,11 @@
 
 #[test]
 fn failures_grow_the_pause_and_a_word_or_another_address_starts_it_anew() {
-    let mut clock = ListClock::new(Source::Asked, 300, 10 * S, 7, 0);
+    let mut clock = ListClock::new(Source::OnRequest, 300, 10 * S, 7, 0);
     let mut now = clock.due();
     let fail = |clock: &mut ListClock, now: &mut Micros| {
-        clock.call(*now);
-        let pause = clock.ended(*now);
+        clock.call_started(*now);
+        let pause = clock.call_ended(*now);
         *now += pause;
         pause
     };
@@ -77,11 +77,11 @@
         pauses[6..].iter().any(|p| *p > clock.ceiling_us() / 2),
         "spread over all of it: {pauses:?}"
     );
-    clock.call(now);
+    clock.call_started(now);
     clock.connected(now);
-    clock.opened(now);
-    clock.heard(now);
-    assert!(clock.ended(now) <= 100_000, "it had something to say");
+    clock.watch_opened(now);
+    clock.received(now);
+    assert!(clock.call_ended(now) <= 100_000, "it had something to say");
     now = clock.due();
     assert!(fail(&mut clock, &mut now) <= clock.ceiling_us() / 4);
     for _ in 0..8 {
@@ -99,13 +99,13 @@
     let mut calls = vec![0u32; 60];
     let mut first = Vec::new();
     for seed in 0..100 {
-        let mut clock = ListClock::new(Source::Asked, 100, 10 * S, seed, 0);
+        let mut clock = ListClock::new(Source::OnRequest, 100, 10 * S, seed, 0);
         first.push(clock.due());
         while clock.due() < 60 * S {
             let now = clock.due();
-            clock.call(now);
+            clock.call_started(now);
             calls[(now / S) as usize] += 1;
-            clock.ended(now + S); // discovery's own time-out
+            clock.call_ended(now + S); // discovery's own time-out
         }
     }
     assert!(
@@ -147,7 +147,7 @@
 #[case(Trouble::Reset)]
 fn the_list_is_heard_in_time(
     #[case] trouble: Trouble,
-    #[values(Source::Asked, Source::Pushed)] source: Source,
+    #[values(Source::OnRequest, Source::Pushed)] source: Source,
     #[values(1, 30, 300)] fleet: u32,
     #[values(2 * S, 10 * S)] within: Micros,
 ) {
@@ -161,22 +161,22 @@
         };
         let heard = loop {
             let now = clock.due();
-            clock.call(now);
+            clock.call_started(now);
             let silent_watch = matches!(trouble, Trouble::Silence) && now < back;
             if silent_watch || now >= back {
                 clock.connected(now + way);
-                clock.opened(now + 2 * way);
-                clock.heard(now + 2 * way);
+                clock.watch_opened(now + 2 * way);
+                clock.received(now + 2 * way);
                 if now >= back {
                     break now + 2 * way;
                 }
                 let mut at = now + 2 * way;
                 while at + 2 * S < back {
                     at += 2 * S;
-                    clock.heard(at);
+                    clock.received(at);
                 }
                 let due = clock.due();
-                clock.ended(due);
+                clock.call_ended(due);
                 continue;
             }
             let ends = match trouble {
@@ -192,24 +192,24 @@
                 }
                 Trouble::Mute => {
                     clock.connected(now + way);
-                    clock.opened(now + 2 * way);
+                    clock.watch_opened(now + 2 * way);
                     clock.due()
                 }
                 Trouble::Reset => {
                     clock.connected(now + way);
-                    clock.opened(now + 2 * way);
+                    clock.watch_opened(now + 2 * way);
                     now + 3 * way
                 }
             };
-            clock.ended(ends);
+            clock.call_ended(ends);
         };
         // A mute watch is opened before discovery is back and breaks by its silence, which has its own row.
         let told = match trouble {
-            Trouble::Mute => told_at(source, Event::Silent(back), within),
-            _ => told_at(source, event, within),
+            Trouble::Mute => effective_at(source, Event::Silent(back), within),
+            _ => effective_at(source, event, within),
         };
         // Eight tenths of the grace: the strictest that any deployment here names.
-        let by = told + GRACE_US / 10 * 8;
+        let by = told + DRAIN_GRACE_US / 10 * 8;
         assert!(
             heard <= by,
             "{trouble:?} {source:?} seed {seed}: heard {} us after {by}",
@@ -220,28 +220,28 @@
 
 #[rstest]
 fn operations_wait_for_the_first_list_and_hurry_its_call(
-    #[values(Source::Asked, Source::Pushed)] source: Source,
+    #[values(Source::OnRequest, Source::Pushed)] source: Source,
     #[values(true, false)] comes: bool,
 ) {
     let mut clock = ListClock::new(source, 300, 10 * S, 7, S);
     assert!(clock.awaits_first());
-    clock.hurry(S + 1);
+    clock.expedite(S + 1);
     assert!(clock.due() <= S + 1, "the first call begins at once");
-    clock.call(S + 1);
+    clock.call_started(S + 1);
     clock.connected(S + 2);
-    clock.hurry(S + 2);
+    clock.expedite(S + 2);
     assert!(clock.due() > S + 2, "a call in hand is not given up");
     if comes {
-        clock.opened(S + 3);
+        clock.watch_opened(S + 3);
         assert!(clock.awaits_first(), "an open watch has said nothing yet");
-        clock.heard(S + 4);
+        clock.received(S + 4);
         assert!(!clock.awaits_first());
     }
-    let pause = clock.ended(S + 5);
+    let pause = clock.call_ended(S + 5);
     assert!(
         !clock.awaits_first(),
         "there is a list, or none is to be had"
     );
-    clock.hurry(S + 6);
+    clock.expedite(S + 6);
     assert_eq!(clock.due(), S + 5 + pause, "a later call takes its pause");
 }
