--- a/crates/dataplane/src/agent/commands.rs
+++ b/crates/dataplane/src/agent/commands.rs
@@ -1,4 +1,4 @@
-//! The commands of the primary that are in force, and the lease that came with them.
+//! The primary's commands in force, and the lease that was granted with them.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -7,28 +7,30 @@
 use streamusher_protocol::task::TaskId;
 use streamusher_protocol::Millis;
 
-/// What became of commands that arrived.
+/// Outcome of handling received commands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CommandsUpdate {
-    /// Fenced: their epoch is lower than that of the commands in force. Neither commands nor lease count.
+    /// Rejected: their epoch is lower than that of the commands in force. Both commands and lease are
+    /// ignored.
     Fenced,
-    /// An older revision of the same epoch: only the lease counts.
+    /// An older revision of the same epoch: only the lease is used.
     LeaseOnly,
-    /// They replace the commands in force.
+    /// The commands replace those in force.
     Applied {
-        /// A start command of the former ones is missing: the primary waits for a report that it was not handed out.
+        /// A previous start command is missing from the new ones: the primary waits for a report that it was
+        /// not sent to the worker.
         withdrew_start: bool,
     },
 }
 
 /// The newest commands accepted.
 ///
-/// Invariant: epoch and revision never go back.
+/// Invariant: epoch and revision, compared as a pair, never decrease.
 #[derive(Debug, Default)]
 pub(super) struct CurrentCommands {
     commands: Option<AgentCommands>,
     lease_until: Millis,
-    /// Start commands count only in responses to syncs from this sequence on.
+    /// Start commands are accepted only in responses to syncs with this sequence number or a higher one.
     accept_starts_from: u64,
 }
 
@@ -43,17 +45,18 @@
             .map_or(0, |commands| commands.revision)
     }
 
-    /// The end of the lease on the agent's own clock.
+    /// End of the lease on the agent's clock.
     pub(super) fn lease_until(&self) -> Millis {
         self.lease_until
     }
 
-    /// The worker that the primary addresses.
+    /// Instance id of the worker to which the commands are addressed.
     pub(super) fn instance(&self) -> Option<&Arc<str>> {
         self.commands.as_ref()?.instance.as_ref()
     }
 
-    /// Takes the response to the sync with this `sequence`. The lease counts from `sent_at`, when the sync was sent.
+    /// Handles the response to the sync with number `sequence`. The lease counts from `sent_at`, the time
+    /// when the sync was sent.
     pub(super) fn on_response(
         &mut self,
         sent_at: Millis,
@@ -79,8 +82,8 @@
         CommandsUpdate::Applied { withdrew_start }
     }
 
-    /// Drops the start commands in force, and those in responses to syncs before `sequence`: the primary may give these
-    /// runs to other workers once it learns that the worker is gone.
+    /// Drops the start commands in force, and from now on those in responses to syncs before `sequence`: the
+    /// primary may assign these runs to other workers once it learns that the worker is gone.
     pub(super) fn drop_starts_before(&mut self, sequence: u64) {
         self.accept_starts_from = sequence;
         if let Some(commands) = &mut self.commands {
@@ -88,19 +91,20 @@
         }
     }
 
-    /// Start commands for this worker.
+    /// Start commands in force for the worker `instance`.
     pub(super) fn starts(&self, instance: &str) -> &[StartCommand] {
         self.addressed_to(instance)
             .map_or(&[], |commands| &commands.start)
     }
 
-    /// Stop commands for this worker.
+    /// Stop commands in force for the worker `instance`.
     pub(super) fn stops(&self, instance: &str) -> &[StopCommand] {
         self.addressed_to(instance)
             .map_or(&[], |commands| &commands.stop)
     }
 
-    /// The newest end of a run of this worker that the primary has recorded.
+    /// Number of the newest finished run of the worker `instance` that the primary has recorded; `None` if it
+    /// has recorded none.
     pub(super) fn last_seen(&self, instance: &str) -> Option<u64> {
         let commands = self.addressed_to(instance)?;
         Some(commands.last_seen).filter(|last_seen| *last_seen > 0)
--- a/crates/dataplane/src/agent/former_instances.rs
+++ b/crates/dataplane/src/agent/former_instances.rs
@@ -1,12 +1,13 @@
-//! Instances that another one has replaced at this agent.
+//! Worker instances that a newer instance has replaced at this agent.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Instances remembered: a late request of one must not be taken for a new worker.
+/// Number of replaced instances that are remembered, so that a late request of one is not taken for a new
+/// worker.
 const MAX_FORMER_INSTANCES: usize = 8;
 
-/// The newest former instances, oldest first.
+/// The most recently replaced instances, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct FormerInstances {
     instances: VecDeque<Arc<str>>,
--- a/crates/dataplane/src/agent/heartbeat_response.rs
+++ b/crates/dataplane/src/agent/heartbeat_response.rs
@@ -1,4 +1,5 @@
-//! The response to a worker's heartbeat: its hold, its commands, and when the next heartbeat is due.
+//! The response to a worker's heartbeat: the hold that it grants, its commands, and when the next heartbeat
+//! is due.
 
 use super::commands::CurrentCommands;
 use super::hold;
@@ -7,22 +8,28 @@
 use streamusher_protocol::heartbeat::{HeartbeatResponse, StartCommand, StopCommand};
 use streamusher_protocol::Millis;
 
-/// A start command needs at least this hold, or the run's lease would expire before the next heartbeat.
+/// Shortest hold with which start commands are sent: with a shorter one, the run's lease would expire before
+/// the next heartbeat.
 const MIN_HOLD_FOR_START_MS: Millis = 500;
 
-/// A worker drops a response later than a second after its heartbeat; the rest of the second is for the way.
+/// Longest time after receipt of a heartbeat for which its response may carry start commands. A worker
+/// discards a response that arrives more than a second after its heartbeat; the rest of the second allows for
+/// network delay.
 const MAX_START_DELAY_MS: Millis = 900;
 
-/// Start commands in one response: with the longest specs well below the 4 MiB that a response may have.
+/// Maximum number of start commands in one response: even with the longest specs, they stay well below the
+/// limit of 4 MiB for a response.
 const MAX_STARTS: usize = 400;
 
-/// Next heartbeat while runs are at work or were just started: commands wait for it, and so does the report of an end.
+/// Delay until the next heartbeat while runs are executing or were just started: commands and the reports of
+/// finished runs wait for that heartbeat.
 const BUSY_RETRY_MS: Millis = 20;
 
-/// Next heartbeat after a long poll without commands: the waiting happens at the agent.
+/// Delay until the next heartbeat after a long poll without commands: the long poll itself is the waiting
+/// time.
 const IDLE_RETRY_MS: Millis = 20;
 
-/// Next heartbeat while the agent has no lease, or while a draining worker has no runs.
+/// Delay until the next heartbeat while the agent has no lease, or while a draining worker has no runs.
 const NO_CONTACT_RETRY_MS: Millis = 300;
 
 /// Whether a response may carry start commands.
@@ -32,7 +39,7 @@
     Withhold,
 }
 
-/// Whether a response now would carry any command.
+/// Whether a response sent now would carry any command.
 pub(super) fn has_commands(
     settings: &AgentSettings,
     commands: &CurrentCommands,
@@ -54,7 +61,8 @@
     has_starts || has_stops()
 }
 
-/// The response to the worker's newest heartbeat. Records at the worker which hold and commands it carries.
+/// Builds the response to the worker's newest heartbeat and records in `worker` which hold and commands it
+/// carries.
 pub(super) fn respond(
     settings: &AgentSettings,
     commands: &CurrentCommands,
@@ -87,7 +95,8 @@
     }
 }
 
-/// The response to a heartbeat that is not the newest, or not of this worker: without hold and commands.
+/// Builds the response to a heartbeat that is not the newest or not from the current worker: without hold and
+/// commands.
 pub(super) fn respond_superseded(commands: &CurrentCommands) -> HeartbeatResponse {
     HeartbeatResponse {
         fence_token: commands.epoch(),
@@ -95,8 +104,8 @@
     }
 }
 
-/// The hold that a response to the newest heartbeat may grant. The worker counts it from the sending of that heartbeat,
-/// which was before its receipt.
+/// The hold that a response to the newest heartbeat may grant; `None` if the lease does not suffice for any.
+/// The worker counts the hold from when it sent that heartbeat, which is before the agent received it.
 fn grantable_hold_ms(
     settings: &AgentSettings,
     commands: &CurrentCommands,
--- a/crates/dataplane/src/agent/mod.rs
+++ b/crates/dataplane/src/agent/mod.rs
@@ -1,17 +1,19 @@
-//! The agent's state machine, between the heartbeats of one worker and the commands of the primary.
+//! The agent's state machine, which mediates between the heartbeats of one worker and the commands of the
+//! primary.
 //!
-//! An agent runs beside each worker. It syncs with the primary: each [`AgentSync`] reports the worker, and each response
-//! brings a lease and the commands that are in force. From that lease it grants the worker a *hold*: the time for which the
-//! worker may go on running tasks without contact. The worker's heartbeats are long polls, answered as soon as there are
-//! commands for it.
+//! One agent runs beside each worker. It syncs with the primary: each [`AgentSync`] reports the worker's
+//! state, and each response carries a lease and the commands in force. From that lease the agent grants the
+//! worker a *hold*: the time for which the worker may continue to run tasks without contact. The worker's
+//! heartbeats are long polls, answered as soon as there are commands for the worker.
 //!
-//! Invariants, on which the scheduler's promise rests that no task runs twice:
-//! - no hold outlasts the lease from which it was granted, whatever the worker's clock does within its tolerance;
-//! - no start command is handed to the worker that the next sync does not report as offered;
-//! - a worker is reported as gone only once nothing can run there any more.
+//! The scheduler's guarantee that no task runs twice depends on these invariants:
+//! - no hold outlasts the lease from which it was granted, whatever the worker's clock does within its
+//!   tolerance;
+//! - no start command is sent to the worker that the next sync does not report as offered;
+//! - a worker is reported as gone only when no run can be executing on it any more.
 //!
-//! [`Agent`] does no I/O and takes the current time as an argument; [`crate::agent_process`] drives it over HTTP, and the
-//! emulator in virtual time.
+//! [`Agent`] does no I/O and takes the current time as an argument. [`crate::agent_process`] drives it over
+//! HTTP, the emulator in virtual time.
 //!
 //! [`AgentSync`]: streamusher_protocol::internal::AgentSync
 //!
--- a/crates/dataplane/src/agent/settings.rs
+++ b/crates/dataplane/src/agent/settings.rs
@@ -1,28 +1,28 @@
-//! What an agent is given at its start.
+//! Settings of an agent, fixed when it starts.
 
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// The longest hold granted at once. Above the time that an agent's restart or a failover of the primary takes, and not
-/// longer, since the runs of a worker that is lost for good are waited for so long. A lease of the primary lasts
-/// `hold_max_ms`.
+/// Longest hold granted at once. It exceeds the time that a restart of the agent or a failover of the primary
+/// takes. It is no longer than that because the scheduler waits this long for the runs of a worker that is
+/// permanently lost. A lease of the primary lasts `hold_max_ms`.
 const MAX_GRANTED_HOLD_MS: Millis = 4_000;
 
-/// What an agent is given at its start.
+/// Settings of an agent, fixed when it starts.
 #[derive(Clone, Debug)]
 pub struct AgentSettings {
-    /// Name of its machine.
+    /// Name of the agent's machine.
     pub name: Arc<str>,
-    /// Random number that tells this start from others.
+    /// Random number that distinguishes this start of the agent from others.
     pub boot: u64,
-    /// The longest hold that workers accept.
+    /// Longest hold that workers accept.
     pub hold_max_ms: Millis,
-    /// Interval of a worker's heartbeats where the responses ask for no other.
+    /// Interval of a worker's heartbeats, unless a response requests another.
     pub heartbeat_ms: Millis,
 }
 
 impl AgentSettings {
-    /// The longest hold that this or an earlier start of the agent grants.
+    /// Longest hold that the agent grants, before and after a restart.
     pub(super) fn max_granted_hold_ms(&self) -> Millis {
         self.hold_max_ms.min(MAX_GRANTED_HOLD_MS)
     }
--- a/crates/dataplane/src/agent/state_machine.rs
+++ b/crates/dataplane/src/agent/state_machine.rs
@@ -1,4 +1,4 @@
-//! The agent itself: events in, actions out.
+//! The agent's state machine: handles events and returns actions.
 
 use super::commands::{CommandsUpdate, CurrentCommands};
 use super::former_instances::FormerInstances;
@@ -11,13 +11,15 @@
 use streamusher_protocol::internal::{AgentCommands, AgentSync};
 use streamusher_protocol::Millis;
 
-/// How long an idle worker's heartbeat waits for commands: with both ways within the second that the worker waits.
+/// How long an idle worker's heartbeat waits for commands. Together with the network delay both ways, this
+/// stays within the second for which the worker waits.
 const LONG_POLL_MS: Millis = 650;
 
-/// How long the primary may hold a sync. Checkpoints are reported this often, and a silent primary is noticed this soon.
+/// How long the primary may hold a sync. It determines how often checkpoints are reported and how soon an
+/// unresponsive primary is detected.
 const SYNC_HOLD_MS: Millis = 350;
 
-/// A heartbeat that is not answered yet.
+/// A heartbeat that has not been answered yet.
 #[derive(Clone, Copy, Debug)]
 struct LongPoll {
     request_id: u64,
@@ -37,7 +39,7 @@
 }
 
 impl Agent {
-    /// An agent that has just started: without lease, commands and worker.
+    /// Creates an agent that has just started: without lease, commands and worker.
     pub fn new(settings: AgentSettings, now: Millis) -> Agent {
         Agent {
             settings,
@@ -50,8 +52,8 @@
         }
     }
 
-    /// Handles an event and gives the actions that follow, in their order. Between calls `now` must not
-    /// decrease.
+    /// Handles an event and returns the resulting actions in order of execution. `now` must not decrease
+    /// between calls.
     pub fn handle(&mut self, now: Millis, event: AgentEvent) -> Vec<AgentAction> {
         let mut actions = Vec::new();
         match event {
@@ -76,7 +78,8 @@
         actions
     }
 
-    /// The time by which [`AgentEvent::Tick`] is needed, unless another event comes before.
+    /// Time by which [`AgentEvent::Tick`] is needed unless another event occurs first; `None` if no time-out
+    /// is pending.
     pub fn next_wakeup(&self) -> Option<Millis> {
         let long_poll = self.long_poll.map(|long_poll| long_poll.deadline);
         [long_poll, self.syncs.next_sync_at(), self.worker_gone_at()]
@@ -85,14 +88,14 @@
             .min()
     }
 
-    /// The process is about to end: answers the long poll, without start commands.
+    /// Answers the long poll without start commands, because the process is about to exit.
     pub fn shut_down(&mut self, now: Millis) -> Vec<AgentAction> {
         let mut actions = Vec::new();
         self.answer_long_poll(now, StartCommands::Withhold, &mut actions);
         actions
     }
 
-    /// The agent's part of the status document.
+    /// The agent's section of the status document.
     pub fn status(&self, now: Millis) -> AgentStatus {
         let worker = self.worker.as_ref();
         AgentStatus {
@@ -139,7 +142,8 @@
         });
     }
 
-    /// Whether a heartbeat is of a former instance, of one that has deregistered, or not newer than the newest.
+    /// Whether a heartbeat comes from a replaced or deregistered instance, or is not newer than the newest
+    /// one received.
     fn is_stale(&self, instance: &Arc<str>, sequence: u64) -> bool {
         if self.former_instances.contains(instance) {
             return true;
@@ -171,7 +175,7 @@
             .filter(|worker| worker.instance == *instance)
     }
 
-    /// The latest end of a hold that an earlier start of this agent has granted.
+    /// Latest time at which a hold granted before this agent's restart can end.
     fn earlier_hold_until(&self) -> Millis {
         let max_hold_ms = self.settings.max_granted_hold_ms();
         self.started_at
@@ -184,7 +188,7 @@
         }
     }
 
-    /// Whether the newest heartbeat may wait for commands: nothing runs there, and commands can come.
+    /// Whether the newest heartbeat may wait for commands: the worker is idle, and the agent has a lease.
     fn may_wait(&self, now: Millis) -> bool {
         self.worker.as_ref().is_some_and(Worker::is_idle) && self.commands.lease_until() > now
     }
@@ -210,7 +214,8 @@
         self.on_worker_leaving();
     }
 
-    /// The primary may give the worker's start commands to others once it learns of this.
+    /// Drops the start commands and requests a sync: the primary may assign them to other workers once it
+    /// learns that this worker is leaving or gone.
     fn on_worker_leaving(&mut self) {
         self.commands.drop_starts_before(self.syncs.next_sequence());
         self.syncs.request_sync();
@@ -232,13 +237,14 @@
         }
     }
 
-    /// When the worker counts as gone unless it sends another heartbeat.
+    /// Time at which the worker counts as gone unless it sends another heartbeat; `None` if there is no
+    /// worker or it already counts as gone.
     fn worker_gone_at(&self) -> Option<Millis> {
         let heartbeat_ms = self.settings.heartbeat_ms;
         if let Some(worker) = &self.worker {
             return worker.gone_at(heartbeat_ms);
         }
-        // The primary names a worker that has sent no heartbeat since this agent started.
+        // The primary's commands name a worker that has sent no heartbeat since this agent started.
         self.commands.instance()?;
         let silent_at = self
             .started_at
@@ -261,7 +267,7 @@
         self.on_worker_leaving();
     }
 
-    /// Answers the long poll when its time is over or there are commands.
+    /// Answers the long poll if its deadline has passed or there are commands for the worker.
     fn finish_long_poll(&mut self, now: Millis, actions: &mut Vec<AgentAction>) {
         let (Some(long_poll), Some(worker)) = (self.long_poll, &self.worker) else {
             return;
@@ -288,7 +294,7 @@
         });
     }
 
-    /// A newer request has come: the long poll is answered without hold and commands.
+    /// Answers the long poll without hold and commands, because a newer request has arrived.
     fn supersede_long_poll(&mut self, actions: &mut Vec<AgentAction>) {
         if let Some(long_poll) = self.long_poll.take() {
             actions.push(AgentAction::Respond {
--- a/crates/dataplane/src/agent/status.rs
+++ b/crates/dataplane/src/agent/status.rs
@@ -1,33 +1,33 @@
-//! What an operator sees of an agent.
+//! Status of an agent for operators.
 
 use serde::Serialize;
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// An agent's part of the status document.
+/// The agent's section of the status document.
 #[derive(Clone, Debug, Serialize)]
 pub struct AgentStatus {
-    /// Name of its machine.
+    /// Name of the agent's machine.
     pub name: Arc<str>,
-    /// Random number that tells this start from others.
+    /// Random number that distinguishes this start of the agent from others.
     pub boot: u64,
-    /// The highest epoch of which it accepted commands.
+    /// Highest epoch of the commands accepted; 0 before the first.
     pub epoch: u64,
     /// Revision of the commands in force.
     pub revision: u64,
-    /// What is left of its lease.
+    /// Remaining time of the lease.
     pub lease_left_ms: Millis,
-    /// Its worker's instance id.
+    /// Instance id of the worker; `None` while no worker is known.
     pub instance: Option<Arc<str>>,
-    /// Whether it reports its worker as gone.
+    /// Whether the agent reports its worker as gone.
     pub gone: bool,
-    /// Runs that the newest heartbeat names.
+    /// Number of runs listed in the newest heartbeat.
     pub running: usize,
-    /// Runs whose start commands were handed to the worker since its newest heartbeat.
+    /// Number of runs whose start commands were sent to the worker since its newest heartbeat.
     pub offered: usize,
-    /// Syncs in flight.
+    /// Number of syncs in flight.
     #[serde(rename = "syncs_under_way")]
     pub syncs_in_flight: usize,
-    /// Syncs since its start.
+    /// Number of syncs sent since the agent started.
     pub syncs: u64,
 }
--- a/crates/dataplane/src/agent/sync_schedule.rs
+++ b/crates/dataplane/src/agent/sync_schedule.rs
@@ -1,20 +1,22 @@
-//! When the agent syncs with the primary.
+//! Schedule of the agent's syncs with the primary.
 //!
-//! A sync is a long poll: one always waits at the primary. News about the worker makes a second one, which ends the first.
+//! A sync is a long poll: the primary always holds one. A change at the worker triggers a second one, which
+//! ends the first.
 
 use streamusher_protocol::Millis;
 
-/// Shortest time between two syncs: each waits for a commit of about 13 ms anyway.
+/// Shortest time between two syncs: each waits for a commit of about 13 ms in any case.
 const MIN_SYNC_INTERVAL_MS: Millis = 15;
 
-/// Syncs in flight at once: the one that waits, the one that ends it, and one whose response was lost.
+/// Maximum number of syncs in flight: the one that the primary holds, the one that ends it, and one whose
+/// response was lost.
 const MAX_SYNCS_IN_FLIGHT: usize = 3;
 
-/// Backoff after a failed sync, doubled with each further failure up to the maximum.
+/// Backoff after a failed sync; it doubles with each further failure, up to the maximum.
 const INITIAL_BACKOFF_MS: Millis = 50;
 const MAX_BACKOFF_MS: Millis = 200;
 
-/// Exponent at which doubling ends, far above the maximum.
+/// Exponent at which doubling stops, far above the one at which the maximum applies.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 
 #[derive(Clone, Copy, Debug)]
@@ -26,7 +28,7 @@
 /// The syncs in flight, and when the next one is due.
 #[derive(Debug, Default)]
 pub(super) struct SyncSchedule {
-    /// Sequence of the newest sync; 0 before the first.
+    /// Sequence number of the newest sync; 0 before the first.
     newest: u64,
     in_flight: Vec<InFlightSync>,
     last_sent_at: Option<Millis>,
@@ -36,17 +38,17 @@
 }
 
 impl SyncSchedule {
-    /// There is something that the primary must learn now.
+    /// Requests a sync as soon as the schedule allows, because the primary must receive a change immediately.
     pub(super) fn request_sync(&mut self) {
         self.has_news = true;
     }
 
-    /// The sequence that the next sync will have.
+    /// Sequence number of the next sync.
     pub(super) fn next_sequence(&self) -> u64 {
         self.newest + 1
     }
 
-    /// Syncs since the start.
+    /// Number of syncs sent since the agent started.
     pub(super) fn sent_count(&self) -> u64 {
         self.newest
     }
@@ -55,7 +57,8 @@
         self.in_flight.len()
     }
 
-    /// When the next sync is due; none while the newest one waits at the primary and there is no news.
+    /// Time at which the next sync is due. `None` while the maximum number is in flight, or while the newest
+    /// sync is in flight and none was requested.
     pub(super) fn next_sync_at(&self) -> Option<Millis> {
         let is_full = self.in_flight.len() >= MAX_SYNCS_IN_FLIGHT;
         let newest_waits = self.position_of(self.newest).is_some();
@@ -68,7 +71,7 @@
         Some(paced.max(self.retry_at))
     }
 
-    /// Begins a sync and gives its sequence.
+    /// Records a new sync as in flight and returns its sequence number.
     pub(super) fn begin(&mut self, now: Millis) -> u64 {
         self.newest += 1;
         self.has_news = false;
@@ -80,7 +83,8 @@
         self.newest
     }
 
-    /// A sync got its response. Gives when it was sent; none where it is not in flight.
+    /// Records the response to a sync. Returns the time when the sync was sent; `None` if it is not in
+    /// flight.
     pub(super) fn on_response(&mut self, sequence: u64) -> Option<Millis> {
         let sync = self.remove(sequence)?;
         self.consecutive_failures = 0;
@@ -88,7 +92,8 @@
         Some(sync.sent_at)
     }
 
-    /// A sync failed. Its report is sent again after a backoff, unless a newer sync carries it already.
+    /// Records that a sync failed. Its report is sent again after a backoff, unless a newer sync already
+    /// carries it.
     pub(super) fn on_failed(&mut self, now: Millis, sequence: u64) {
         if self.remove(sequence).is_none() || sequence != self.newest {
             return;
--- a/crates/dataplane/src/agent/worker.rs
+++ b/crates/dataplane/src/agent/worker.rs
@@ -1,4 +1,5 @@
-//! What the agent knows of its worker: its newest heartbeat, what it was handed since, and whether it is gone.
+//! The agent's record of its worker: the newest heartbeat, the commands sent since, and whether the worker is
+//! gone.
 
 use super::hold;
 use std::collections::BTreeSet;
@@ -12,37 +13,37 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Presence {
-    /// It sends heartbeats.
+    /// The worker sends heartbeats.
     Active,
-    /// It has been silent for so long that nothing can run there. It may come back.
+    /// Silent for so long that no run can be executing on the worker. The instance may send heartbeats again.
     Silent,
-    /// It has deregistered, and its hold is not over: its process may end later.
+    /// Deregistered, but the hold has not ended: the worker's process may still be running.
     Leaving,
-    /// It has deregistered, and nothing can run there. Only a new instance can follow.
+    /// Deregistered, and no run can be executing on the worker. Only a new instance can follow.
     Departed,
 }
 
-/// Whether the primary must learn of a heartbeat at once.
+/// Whether the primary must receive the contents of a heartbeat immediately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Urgency {
     Immediate,
-    /// With the next sync: only progress and checkpoints have changed.
+    /// Reported with the next sync: only progress and checkpoints have changed.
     NextSync,
 }
 
 /// One instance of the worker.
 ///
-/// Invariant: `hold_until` is not before the end of any hold that a response to this instance has granted, counted by the
-/// slowest clock, as long as the worker may have used that hold.
+/// Invariant: `hold_until` is not before the end of any hold that a response to this instance has granted,
+/// counted by the slowest clock, as long as the worker may be using that hold.
 #[derive(Debug)]
 pub(super) struct Worker {
     pub(super) instance: Arc<str>,
-    /// The newest heartbeat, and when it was received.
+    /// The newest heartbeat; `received_at` is the time of its receipt.
     pub(super) heartbeat: Heartbeat,
     pub(super) received_at: Millis,
-    /// After this no run can go on there.
+    /// Time after which no run can be executing on the worker.
     hold_until: Millis,
-    /// Runs whose start commands were sent since the newest heartbeat.
+    /// Runs whose start commands were sent since the newest heartbeat was received.
     offered: Vec<RunId>,
     /// Stop commands that were sent and are still in force.
     sent_stops: BTreeSet<StopCommand>,
@@ -50,7 +51,8 @@
 }
 
 impl Worker {
-    /// A worker whose first heartbeat has come. `earlier_hold_until` bounds a hold granted by an earlier start of this agent.
+    /// Creates a worker from its first heartbeat. `earlier_hold_until` is the latest end of a hold granted
+    /// before this agent's restart.
     pub(super) fn new(
         instance: Arc<str>,
         heartbeat: Heartbeat,
@@ -73,15 +75,15 @@
         }
     }
 
-    /// A worker of which only the instance id is known, and that nothing can run there any more.
+    /// Creates a worker of which only the instance id is known and on which no run can be executing any more.
     pub(super) fn known_silent(instance: Arc<str>, now: Millis) -> Worker {
         let mut worker = Worker::new(instance, Heartbeat::default(), now, now);
         worker.presence = Presence::Silent;
         worker
     }
 
-    /// A worker of which only its deregistration has come. `earlier_hold_until` bounds a hold granted by an earlier start
-    /// of this agent.
+    /// Creates a worker of which only the deregistration has been received. `earlier_hold_until` is the
+    /// latest end of a hold granted before this agent's restart.
     pub(super) fn known_leaving(
         instance: Arc<str>,
         now: Millis,
@@ -93,13 +95,14 @@
         worker
     }
 
-    /// Takes a newer heartbeat of the same instance.
+    /// Records a newer heartbeat of the same instance; returns how soon the primary must receive it.
     pub(super) fn on_heartbeat(&mut self, now: Millis, heartbeat: Heartbeat) -> Urgency {
         let is_urgent = self.is_gone()
             || !self.offered.is_empty()
             || differs_in_substance(&self.heartbeat, &heartbeat);
         if heartbeat.running.is_empty() {
-            // Nothing runs, and start commands of earlier responses are too late: holds that they granted are unused.
+            // Nothing is running, and start commands in earlier responses arrive too late: the holds granted
+            // with them are unused.
             self.hold_until = now;
         }
         self.offered.clear();
@@ -113,12 +116,12 @@
         }
     }
 
-    /// Whether it takes new runs.
+    /// Whether the worker accepts new runs.
     pub(super) fn is_ready(&self) -> bool {
         self.heartbeat.state == WorkerState::Ready && self.presence == Presence::Active
     }
 
-    /// Whether its newest heartbeat says that it is ready and runs nothing.
+    /// Whether the newest heartbeat reports that the worker is ready and has no runs.
     pub(super) fn is_idle(&self) -> bool {
         self.heartbeat.state == WorkerState::Ready && self.heartbeat.running.is_empty()
     }
@@ -127,7 +130,7 @@
         self.heartbeat.state == WorkerState::Draining
     }
 
-    /// Whether nothing can run there any more.
+    /// Whether no run can be executing on the worker any more.
     pub(super) fn is_gone(&self) -> bool {
         matches!(self.presence, Presence::Silent | Presence::Departed)
     }
@@ -136,7 +139,8 @@
         matches!(self.presence, Presence::Leaving | Presence::Departed)
     }
 
-    /// It deregisters. It is not known when its process ends: runs there, or offered, may go on until the hold is over.
+    /// Records the deregistration. It is unknown when the worker's process ends: runs that are executing or
+    /// offered may continue until the hold ends.
     pub(super) fn on_deregister(&mut self) {
         let may_run = !self.heartbeat.running.is_empty() || !self.offered.is_empty();
         self.presence = if may_run {
@@ -146,14 +150,14 @@
         };
     }
 
-    /// Whether a start command is still to be sent.
+    /// Whether a start command must still be sent.
     pub(super) fn needs_start(&self, command: &StartCommand) -> bool {
         let StartCommand { task, run, .. } = command;
         !self.is_running(task, *run) && !self.has_finished(task, *run)
     }
 
-    /// Whether a stop command is still to be sent: until the run is no longer at work, and once if it never was, so that
-    /// the worker rejects a start command that is on its way.
+    /// Whether a stop command must still be sent: until the run is no longer executing, and once if it never
+    /// was, so that the worker rejects a start command that is in transit.
     pub(super) fn needs_stop(&self, command: &StopCommand) -> bool {
         let StopCommand { task, run } = command;
         let is_unsent = !self.sent_stops.contains(command) && !self.has_finished(task, *run);
@@ -174,7 +178,7 @@
             .any(|finished| finished.run == run && finished.task == *task)
     }
 
-    /// A response to the newest heartbeat carries these commands.
+    /// Records the commands that a response to the newest heartbeat carries.
     pub(super) fn on_commands_sent(&mut self, starts: &[StartCommand], stops: &[StopCommand]) {
         let offered = starts.iter().map(|command| RunId {
             task: command.task.clone(),
@@ -184,14 +188,14 @@
         self.sent_stops.extend(stops.iter().cloned());
     }
 
-    /// Forgets the sent stop commands that are not in force any more.
+    /// Discards the sent stop commands that are no longer in force.
     pub(super) fn retain_sent_stops(&mut self, in_force: &[StopCommand]) {
         if !self.sent_stops.is_empty() {
             self.sent_stops.retain(|command| in_force.contains(command));
         }
     }
 
-    /// A response to the newest heartbeat grants this hold.
+    /// Records the hold that a response to the newest heartbeat grants.
     pub(super) fn on_hold_granted(&mut self, hold_ms: Millis) {
         let ends_at = self
             .received_at
@@ -199,12 +203,13 @@
         self.hold_until = self.hold_until.max(ends_at);
     }
 
-    /// Runs whose start commands were sent since the newest heartbeat.
+    /// Runs whose start commands were sent since the newest heartbeat was received.
     pub(super) fn offered(&self) -> &[RunId] {
         &self.offered
     }
 
-    /// When it counts as gone unless it sends another heartbeat; none where it does already.
+    /// Time at which the worker counts as gone unless it sends another heartbeat; `None` if it already counts
+    /// as gone.
     pub(super) fn gone_at(&self, heartbeat_ms: Millis) -> Option<Millis> {
         let silence_timeout_ms = hold::silence_timeout_ms(heartbeat_ms);
         let silent_at = self.received_at.saturating_add(silence_timeout_ms);
@@ -215,7 +220,8 @@
         }
     }
 
-    /// The time of [`Worker::gone_at`] has come: nothing can run there, and responses that it has not received are too late.
+    /// Marks the worker as gone once the time of [`Worker::gone_at`] is reached: no run can be executing on
+    /// it, and responses that it has not received arrive too late.
     pub(super) fn on_gone(&mut self) {
         self.offered.clear();
         self.presence = if self.has_deregistered() {
@@ -225,7 +231,7 @@
         };
     }
 
-    /// What a sync reports of it.
+    /// The worker's state as a sync reports it.
     pub(super) fn report(&self, now: Millis) -> WorkerReport {
         let heartbeat = &self.heartbeat;
         let state = if self.has_deregistered() {
@@ -271,7 +277,7 @@
     if former.len() != current.len() {
         return false;
     }
-    // Usually in the same order, which costs one pass.
+    // Both are usually in the same order, which one pass confirms.
     let mut pairs = former.iter().zip(current);
     if pairs.all(|(one, other)| is_same(one, other)) {
         return true;
--- a/crates/dataplane/src/agent_process/driver.rs
+++ b/crates/dataplane/src/agent_process/driver.rs
@@ -1,4 +1,4 @@
-//! Drives the agent's state machine: passes events to it, executes its actions, and wakes it in time.
+//! Drives the agent's state machine: passes events to it, executes its actions and runs its timer.
 
 use super::pending_requests::{Completion, PendingRequests};
 use super::sync;
@@ -21,10 +21,11 @@
 use streamusher_runtime::settings::{self, ProcessSettings};
 use tokio::sync::Notify;
 
-/// Connections kept to each member while idle: a sync waits at the primary, and news takes a second one.
+/// Idle connections kept to each member: the primary holds one sync, and a change at the worker is sent in a
+/// second one.
 const MAX_IDLE_CONNECTIONS: usize = 2;
 
-/// The agent with its timer and its requests. Clones share one state.
+/// The agent's state machine with its timer and its pending requests. Clones share their state.
 #[derive(Clone)]
 pub struct AgentProcess {
     shared: Rc<Shared>,
@@ -34,7 +35,7 @@
     agent: RefCell<Agent>,
     client: ControlPlaneClient,
     pending_requests: PendingRequests,
-    /// Notified when the state machine wants to be woken earlier than before.
+    /// Notified when the state machine's next wake-up is earlier than before.
     earlier_wakeup: Notify,
 }
 
@@ -48,7 +49,7 @@
 }
 
 impl AgentProcess {
-    /// An agent that knows the settings' seeds; [`AgentProcess::start`] sets it to work.
+    /// Creates an agent that knows only the seeds of the settings; [`AgentProcess::start`] starts it.
     pub fn new(settings: &ProcessSettings) -> AgentProcess {
         let boot = process::random_number();
         let agent_settings = AgentSettings {
@@ -69,7 +70,8 @@
         }
     }
 
-    /// Starts discovery, syncs and the timer, and serves the status at `status_address`. Within a `LocalSet`.
+    /// Starts discovery, syncs and the timer, and serves the status document at `status_address`. Must be
+    /// called within a `LocalSet`.
     pub fn start(&self, status_address: SocketAddr) {
         let client = self.shared.client.clone();
         tokio::task::spawn_local(async move { client.run().await });
@@ -80,7 +82,7 @@
         tokio::task::spawn_local(process::serve_status(status_address, status));
     }
 
-    /// Responds to a request of the worker.
+    /// Handles a request from the worker.
     pub async fn respond(self, request: Request) -> Response {
         let result = match parse(&request) {
             Ok(WorkerRequest::Heartbeat(instance)) => self.on_heartbeat(instance, &request).await,
@@ -90,13 +92,13 @@
         result.unwrap_or_else(|error| error.response())
     }
 
-    /// Answers the long poll: the process is about to end.
+    /// Answers the long poll, because the process is about to exit.
     pub fn shut_down(&self) {
         let actions = self.shared.agent.borrow_mut().shut_down(clock::steady());
         self.execute(actions);
     }
 
-    /// Takes the seeds of the settings file over.
+    /// Reloads the seeds from the settings file.
     pub fn reload(&self) {
         settings::reload(|settings| {
             let seeds = settings.core_addresses_of_seeds();
@@ -133,7 +135,7 @@
         empty(StatusCode::OK)
     }
 
-    /// Passes a request to the state machine and waits for its answer.
+    /// Passes a request to the state machine and waits for its answer; `None` if there will be none.
     async fn request(&self, event: impl FnOnce(u64) -> AgentEvent) -> Option<Completion> {
         let (request_id, completion) = self.shared.pending_requests.begin();
         self.handle(event(request_id));
@@ -193,7 +195,7 @@
             let now = clock::steady();
             if next_wakeup.is_some_and(|at| at <= now) {
                 self.handle(AgentEvent::Tick);
-                // Lets other tasks run, even if the state machine should want to be woken at once again and again.
+                // Lets other tasks run even if the state machine's next wake-up is always due.
                 tokio::task::yield_now().await;
                 continue;
             }
--- a/crates/dataplane/src/agent_process/mod.rs
+++ b/crates/dataplane/src/agent_process/mod.rs
@@ -1,4 +1,5 @@
-//! The agent as a process: carries the worker's HTTP requests to the state machine, and its syncs to the primary.
+//! The agent process: passes the worker's HTTP requests to the state machine and sends the agent's syncs to
+//! the primary.
 
 mod driver;
 mod pending_requests;
@@ -16,10 +17,11 @@
 use streamusher_runtime::settings::ProcessSettings;
 use streamusher_runtime::signals::{Signal, Signals};
 
-/// How long responses in flight have at the end. The worker's hold goes on without this process.
+/// Time allowed for responses in flight during shutdown. The worker's hold remains in force without this
+/// process.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The worker's requests: long lists of runs, on few connections.
+/// Limits of the listener for the worker: long lists of runs, few connections.
 const WORKER_SERVER_LIMITS: ServerLimits = ServerLimits {
     max_body_bytes: 8 << 20,
     max_header_bytes: 8_192,
@@ -36,7 +38,7 @@
     worker_address(settings).map(|_address| ())
 }
 
-/// The address at which the worker sends its heartbeats.
+/// Address to which the worker sends its heartbeats.
 fn worker_address(settings: &ProcessSettings) -> Result<SocketAddr, RoleSettingsError> {
     require_party(settings, "agent", "side")?;
     require_address(
--- a/crates/dataplane/src/agent_process/pending_requests.rs
+++ b/crates/dataplane/src/agent_process/pending_requests.rs
@@ -1,4 +1,4 @@
-//! HTTP requests of the worker that wait for the state machine's answer.
+//! HTTP requests of the worker that wait for an answer from the state machine.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -8,13 +8,13 @@
 /// The state machine's answer to a request of the worker.
 #[derive(Debug)]
 pub(super) enum Completion {
-    /// To a heartbeat.
+    /// Response to a heartbeat.
     Heartbeat(HeartbeatResponse),
-    /// To a deregistration.
+    /// Acknowledgement of a deregistration.
     Deregistered,
 }
 
-/// The requests without an answer, by their numbers.
+/// The requests without an answer, by request id.
 #[derive(Default)]
 pub(super) struct PendingRequests {
     senders: RefCell<BTreeMap<u64, oneshot::Sender<Completion>>>,
@@ -22,7 +22,7 @@
 }
 
 impl PendingRequests {
-    /// Numbers a request; the receiver gets its completion.
+    /// Assigns an id to a request; the receiver gets the request's completion.
     pub(super) fn begin(&self) -> (u64, oneshot::Receiver<Completion>) {
         let request_id = self.last_id.get() + 1;
         self.last_id.set(request_id);
@@ -31,10 +31,11 @@
         (request_id, receiver)
     }
 
-    /// Hands the answer to the request's task.
+    /// Passes the answer to the task that serves the request.
     pub(super) fn complete(&self, request_id: u64, completion: Completion) {
         if let Some(sender) = self.senders.borrow_mut().remove(&request_id) {
-            // A worker that has closed the connection sends another heartbeat by itself.
+            // Sending fails if the worker has closed the connection; the worker then sends another heartbeat
+            // by itself.
             let _ = sender.send(completion);
         }
     }
--- a/crates/dataplane/src/agent_process/sync.rs
+++ b/crates/dataplane/src/agent_process/sync.rs
@@ -1,4 +1,4 @@
-//! Sending a sync to the primary.
+//! Sends syncs to the primary.
 
 use crate::control_plane::{ControlPlaneClient, Endpoint, RequestOutcome};
 use std::time::Duration;
@@ -7,11 +7,12 @@
 use streamusher_runtime::http::parse_json;
 use tokio::time::Instant;
 
-/// Beyond the time for which the primary may hold a sync: for the way and a busy primary.
+/// Time-out of a sync in addition to the time for which the primary may hold it: allows for network delay and
+/// a busy primary.
 const SYNC_SLACK_MS: Millis = 700;
 
-/// Sends a sync to the primary. Where that gives no usable response and another primary is known by then, sends it there
-/// once.
+/// Sends a sync to the primary. If there is no usable response and another primary is known by then, sends
+/// the sync once to that primary.
 pub(super) async fn send(client: &ControlPlaneClient, sync: &AgentSync) -> Option<AgentCommands> {
     let deadline = Instant::now() + Duration::from_millis(sync.wait_ms);
     let primary = client.wait_for_primary(deadline).await?;
--- a/crates/dataplane/src/agent_process/worker_request.rs
+++ b/crates/dataplane/src/agent_process/worker_request.rs
@@ -1,30 +1,31 @@
-//! The worker's HTTP requests: `POST` to the heartbeat's or the deregistration's path, followed by an instance id.
+//! Parses the worker's HTTP requests: `POST` to the heartbeat or deregistration path, followed by an instance
+//! id.
 
 use http::{Method, StatusCode};
 use std::sync::Arc;
 use streamusher_protocol::heartbeat::{Heartbeat, DEREGISTER_PATH, HEARTBEAT_PATH};
 use streamusher_runtime::http::{parse_json, text, BodyError, Request, Response};
 
-/// Longest instance id.
+/// Longest instance id accepted.
 const MAX_INSTANCE_BYTES: usize = 200;
 
-/// What a worker's request is about, and its instance id.
+/// A worker's request, with the instance id from its path.
 #[derive(Debug)]
 pub(super) enum WorkerRequest {
     Heartbeat(Arc<str>),
     Deregister(Arc<str>),
 }
 
-/// Why a request is not a worker's.
+/// Reasons for which a request at the worker's listener is rejected.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum WorkerRequestError {
-    /// 405.
+    /// 405 Method Not Allowed.
     #[error("heartbeats are sent with POST")]
     Method,
-    /// 404.
+    /// 404 Not Found.
     #[error("post to {HEARTBEAT_PATH}ID or {DEREGISTER_PATH}ID")]
     Path,
-    /// 400.
+    /// 400 Bad Request.
     #[error("heartbeat: {0}")]
     Heartbeat(BodyError),
 }
@@ -40,7 +41,7 @@
     }
 }
 
-/// Reads method and path of a request.
+/// Parses method and path of a request.
 pub(super) fn parse(request: &Request) -> Result<WorkerRequest, WorkerRequestError> {
     if request.method() != Method::POST {
         return Err(WorkerRequestError::Method);
@@ -55,7 +56,7 @@
     }
 }
 
-/// Reads the body of a heartbeat.
+/// Parses the body of a heartbeat.
 pub(super) fn parse_heartbeat(request: &Request) -> Result<Heartbeat, WorkerRequestError> {
     parse_json(request.body()).map_err(WorkerRequestError::Heartbeat)
 }
--- a/crates/dataplane/src/control_plane/client.rs
+++ b/crates/dataplane/src/control_plane/client.rs
@@ -1,4 +1,4 @@
-//! Discovery over HTTP, and requests to the primary whose outcomes it learns from.
+//! Discovery of the primary over HTTP, and requests to the primary, whose outcomes update the discovery.
 
 use super::cluster_view::{post_request, probe, watch};
 use super::connections::{Connections, Endpoint};
@@ -16,25 +16,26 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Pause before another member is watched.
+/// Pause after a failed watch before another member is watched.
 const WATCH_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Shortest sleep between two looks at what is due: a round without an address to probe is due again at once.
+/// Shortest sleep between two rounds of probes: after a round in which no address could be probed, the next
+/// one may be due immediately.
 const MIN_SLEEP_MS: Millis = 1;
 
-/// What became of a request to the primary.
+/// Outcome of a request to the primary.
 #[derive(Debug)]
 pub enum RequestOutcome {
-    /// It responded, with any status but 421 and 504.
+    /// The primary responded, with any status except 421 and 504.
     Responded(Response),
-    /// The request was surely not executed: the member is not the primary (421), or no byte reached it. It may be sent to
-    /// another primary.
+    /// The request was certainly not executed: the member is not the primary (421), or no byte of the request
+    /// reached it. It may be sent to another primary.
     NotExecuted,
     /// The request may have been executed.
     Unknown,
 }
 
-/// Finds and follows the primary, and sends requests to it. Clones share one state.
+/// Finds and tracks the primary, and sends requests to it. Clones share their state.
 #[derive(Clone)]
 pub struct ControlPlaneClient {
     shared: Rc<Shared>,
@@ -43,16 +44,17 @@
 struct Shared {
     discovery: RefCell<PrimaryDiscovery>,
     connections: Connections,
-    /// Since when no primary has been known; none while one is.
+    /// Time since which no primary has been known; `None` while one is known.
     unavailable_since: Cell<Option<Millis>>,
     /// Notified of each change of the discovery's state.
     changed: Notify,
 }
 
 impl ControlPlaneClient {
-    /// A client that knows the seeds; [`ControlPlaneClient::run`] makes it find the primary.
+    /// Creates a client that knows only the seeds; [`ControlPlaneClient::run`] finds the primary.
     ///
-    /// `max_idle_connections` is kept to each member while there are no requests: each costs a descriptor there too.
+    /// `max_idle_connections` is the number of idle connections kept to each member; each also costs the
+    /// member a file descriptor.
     pub fn new(
         seeds: Vec<CoreAddress>,
         jitter_seed: u64,
@@ -69,8 +71,8 @@
         }
     }
 
-    /// Sends probes as they become due, and watches one member for the next epoch. Never returns; runs within a
-    /// `LocalSet`.
+    /// Sends probes when they are due, and watches one member for the next epoch. Never returns; must run
+    /// within a `LocalSet`.
     pub async fn run(&self) {
         tokio::join!(self.send_probes(), self.watch_member());
     }
@@ -106,7 +108,8 @@
         });
     }
 
-    /// A primary that hangs notifies no one: another member announces the next epoch sooner than a time-out would.
+    /// Watches a member other than the primary. A primary that hangs sends no notification: another member
+    /// announces the next epoch before a time-out would expire.
     async fn watch_member(&self) {
         loop {
             let changed = self.shared.changed.notified();
@@ -129,7 +132,7 @@
         }
     }
 
-    /// The primary, where one is known.
+    /// The primary; `None` if none is known or the known one is suspected.
     pub fn primary(&self) -> Option<Endpoint> {
         let address = {
             let discovery = self.shared.discovery.borrow();
@@ -146,7 +149,7 @@
             .map_or(0, |since| clock::steady().saturating_sub(since))
     }
 
-    /// Waits for a primary, until `deadline` at the latest.
+    /// Waits until a primary is known; returns `None` if there is none by `deadline`.
     pub async fn wait_for_primary(&self, deadline: Instant) -> Option<Endpoint> {
         let primary = async {
             loop {
@@ -166,12 +169,12 @@
         discovery.is_fresh(clock::steady(), max_age_ms)
     }
 
-    /// Replaces the seeds.
+    /// Replaces the seeds, for example after a reload of the settings.
     pub fn set_seeds(&self, seeds: Vec<CoreAddress>) {
         self.update(|discovery, _now| discovery.set_seeds(seeds));
     }
 
-    /// What is known of the cluster, for the status document.
+    /// The known state of the cluster, for the status document.
     pub fn view(&self) -> ClusterView {
         let discovery = self.shared.discovery.borrow();
         ClusterView {
@@ -181,12 +184,12 @@
         }
     }
 
-    /// Takes in a view that came with a response from `endpoint`.
+    /// Updates the discovery with a view that a response from `endpoint` carried.
     pub fn on_view(&self, endpoint: &Endpoint, view: &ClusterView) {
         self.update(|discovery, now| discovery.on_view(now, endpoint.address(), view));
     }
 
-    /// Posts `body` as JSON to `endpoint`, and updates the discovery by the outcome.
+    /// Posts `body` as JSON to `endpoint`, and updates the discovery with the outcome.
     ///
     /// The request is abandoned once another member is the primary, since a former primary may never respond.
     pub async fn post<T: Serialize>(
@@ -210,7 +213,7 @@
         }
     }
 
-    /// Returns once another member than `endpoint` is the primary.
+    /// Completes once a member other than `endpoint` is the primary.
     async fn superseded(&self, endpoint: &Endpoint) {
         loop {
             let changed = self.shared.changed.notified();
@@ -236,7 +239,8 @@
                 });
                 RequestOutcome::NotExecuted
             }
-            // It could not commit and is about to step down. Suspected until it responds again.
+            // The primary could not commit and is about to step down. It is suspected until it responds
+            // again.
             StatusCode::GATEWAY_TIMEOUT => {
                 self.update(|discovery, now| discovery.on_request_failed(now, address));
                 RequestOutcome::Unknown
@@ -258,7 +262,8 @@
         }
     }
 
-    /// The usual case: wakes no task unless the primary was suspected or unknown.
+    /// Records a response of the primary. Wakes no task, except if the primary was suspected or unknown,
+    /// which is rare.
     fn on_primary_responded(&self, address: &str) {
         let was_known = self.is_primary_known();
         self.shared
--- a/crates/dataplane/src/control_plane/cluster_view.rs
+++ b/crates/dataplane/src/control_plane/cluster_view.rs
@@ -1,4 +1,4 @@
-//! The requests for a member's view of the cluster: a probe, and a long poll for the next epoch.
+//! Requests for a member's view of the cluster: a probe, and a long poll for the next epoch.
 
 use bytes::Bytes;
 use http::header::CONTENT_TYPE;
@@ -8,20 +8,21 @@
 use streamusher_protocol::Millis;
 use streamusher_runtime::http::{parse_json, Client, Request};
 
-/// How long a probe may take.
+/// Time-out of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long a member holds a watch without a newer epoch, and how much later its response may arrive.
+/// How long a member holds a watch while there is no newer epoch, and how much later its response may arrive.
 const WATCH_HOLD_MS: Millis = 3_000;
 const WATCH_SLACK_MS: Millis = 400;
 
-/// Asks a member for its view; none where it fails or is slow.
+/// Requests a member's view; `None` if the request fails or times out.
 pub(super) async fn probe(client: &Client) -> Option<ClusterView> {
     let request = http::Request::get(CLUSTER_PATH).body(Bytes::new()).ok()?;
     fetch(client, request, PROBE_TIMEOUT).await
 }
 
-/// Waits until a member's view is newer than `epoch`, or until its hold is over; none where it fails or is slow.
+/// Waits until a member's view is newer than `epoch` or its hold time has elapsed; `None` if the request
+/// fails or times out.
 pub(super) async fn watch(client: &Client, epoch: u64) -> Option<ClusterView> {
     let watch = ClusterWatch {
         epoch,
@@ -32,7 +33,7 @@
     fetch(client, request, timeout).await
 }
 
-/// A POST with a JSON body.
+/// Builds a POST request with a JSON body.
 pub(super) fn post_request<T: Serialize>(path: &str, body: &T) -> Result<Request, http::Error> {
     let body = serde_json::to_vec(body).unwrap_or_default();
     http::Request::post(path)
--- a/crates/dataplane/src/control_plane/connections.rs
+++ b/crates/dataplane/src/control_plane/connections.rs
@@ -1,4 +1,4 @@
-//! One HTTP client for each member, created when it is first needed.
+//! One HTTP client per member, created on first use.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use streamusher_runtime::http::{Client, ClientLimits};
 
-/// A member of the control plane and the client that reaches it.
+/// A member of the control plane, with the HTTP client for it.
 #[derive(Clone)]
 pub struct Endpoint {
     address: Arc<str>,
@@ -14,7 +14,7 @@
 }
 
 impl Endpoint {
-    /// Its internal address.
+    /// The member's internal address, as `ip:port`.
     pub fn address(&self) -> &Arc<str> {
         &self.address
     }
@@ -24,7 +24,7 @@
     }
 }
 
-/// The clients of all members that requests were sent to.
+/// HTTP clients of all members to which requests were sent.
 pub(super) struct Connections {
     limits: ClientLimits,
     clients: RefCell<BTreeMap<Arc<str>, Client>>,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The endpoint at an internal address; none where that is not of the form `ip:port`.
+    /// The endpoint at an internal address; `None` if the address does not have the form `ip:port`.
     pub(super) fn endpoint(&self, address: &Arc<str>) -> Option<Endpoint> {
         let mut clients = self.clients.borrow_mut();
         let client = if let Some(client) = clients.get(address) {
@@ -58,7 +58,7 @@
         })
     }
 
-    /// Drops the clients of other addresses, with their idle connections.
+    /// Drops the clients of all addresses for which `is_known` is false, with their idle connections.
     pub(super) fn retain(&self, is_known: impl Fn(&str) -> bool) {
         let mut clients = self.clients.borrow_mut();
         clients.retain(|address, _| is_known(address));
--- a/crates/dataplane/src/control_plane/discovery.rs
+++ b/crates/dataplane/src/control_plane/discovery.rs
@@ -1,4 +1,5 @@
-//! The state of discovery: who the primary is, from the views that members send and from requests that fail.
+//! State machine of the discovery: determines the primary from the views that members send and from failed
+//! requests.
 
 use super::jitter::Jitter;
 use super::probes::ProbeRotation;
@@ -7,22 +8,23 @@
 use streamusher_protocol::internal::{ClusterView, CoreAddress};
 use streamusher_protocol::Millis;
 
-/// Between two rounds of probes while no primary is known. Each process draws its own pauses, so that they do not probe
-/// in step.
+/// Range of the pause between two rounds of probes while no primary is known. Each process draws random
+/// pauses, so that processes do not probe in lockstep.
 const PROBE_ROUND_INTERVAL_MS: Range<Millis> = 100..200;
 
-/// A primary that has not responded for this long is probed, so that its loss is noticed without requests. Above the time
-/// for which it holds an agent's sync, since a response to that shows as much.
+/// A primary that has not responded for this long is probed, so that its failure is detected even without
+/// requests. The interval exceeds the time for which the primary holds an agent's sync, since the response to
+/// a sync also shows that the primary responds.
 const PRIMARY_PROBE_INTERVAL_MS: Millis = 500;
 
-/// Members remembered: more than any cluster has.
+/// Maximum number of members stored: more than any cluster has.
 const MAX_MEMBERS: usize = 64;
 
 /// Finds the primary and tracks how recently it responded.
 ///
-/// A view counts unless its epoch is older than the newest one seen. A primary that fails a request becomes *suspected*:
-/// [`PrimaryDiscovery::primary`] gives none until that primary itself responds, or a newer epoch names another. What other
-/// members say of the same epoch does not clear the suspicion.
+/// A view is ignored if its epoch is older than the newest one seen. A primary that fails a request becomes
+/// *suspected*: [`PrimaryDiscovery::primary`] then returns `None` until that primary itself responds or a
+/// newer epoch names another. Views that other members send for the same epoch do not clear the suspicion.
 ///
 /// ```
 /// use streamusher_dataplane::control_plane::PrimaryDiscovery;
@@ -46,18 +48,18 @@
     members: Vec<CoreAddress>,
     epoch: u64,
     primary: Option<CoreAddress>,
-    /// Internal address of the primary of `epoch`, where it failed a request.
+    /// Internal address of the primary of `epoch`, if it is suspected.
     suspected: Option<Arc<str>>,
     last_response_at: Option<Millis>,
     probes: ProbeRotation,
     next_round_at: Millis,
-    /// Chooses the member to watch: an index, modulo their number, into the members that are not the primary.
+    /// Selects the member to watch: an index, modulo their number, into the members other than the primary.
     watch_index: usize,
     jitter: Jitter,
 }
 
 impl PrimaryDiscovery {
-    /// A discovery that knows the seeds only. `jitter_seed` differs between processes.
+    /// Creates a discovery that knows only the seeds. `jitter_seed` differs between processes.
     pub fn new(seeds: Vec<CoreAddress>, jitter_seed: u64) -> PrimaryDiscovery {
         let mut jitter = Jitter::new(jitter_seed);
         let watch_index = jitter.index(MAX_MEMBERS);
@@ -77,13 +79,13 @@
         discovery
     }
 
-    /// Replaces the seeds, as after a reload of the settings.
+    /// Replaces the seeds, for example after a reload of the settings.
     pub fn set_seeds(&mut self, seeds: Vec<CoreAddress>) {
         self.seeds = seeds;
         self.reset_probes();
     }
 
-    /// The primary, where one is known and not suspected.
+    /// The primary; `None` if none is known or the known one is suspected.
     pub fn primary(&self) -> Option<&CoreAddress> {
         self.primary
             .as_ref()
@@ -95,7 +97,7 @@
         self.epoch
     }
 
-    /// The members that the newest view named.
+    /// The members listed in the newest view.
     pub fn members(&self) -> &[CoreAddress] {
         &self.members
     }
@@ -108,7 +110,7 @@
         responded && self.primary().is_some()
     }
 
-    /// The member at the internal address `from` sent its view.
+    /// Handles the view sent by the member at the internal address `from`.
     pub fn on_view(&mut self, now: Millis, from: &str, view: &ClusterView) {
         self.probes.on_completed(from);
         let is_kept = cfg!(feature = "mutant-not-primary") && self.primary().is_some();
@@ -122,12 +124,13 @@
             Some(primary) => self.update_primary(now, from, primary, is_newer),
             None if is_newer => self.primary = None,
             None if self.is_current_primary(from) => self.suspected = Some(from.into()),
-            // Another member that has lost sight of the primary: failed requests decide, not its suspicion.
+            // Another member no longer knows the primary. Failed requests of this process decide, not that
+            // member's suspicion.
             None => {}
         }
     }
 
-    /// The member at `address` responded to a request that only a primary accepts.
+    /// Handles a response of the member at `address` to a request that only a primary accepts.
     pub fn on_response(&mut self, now: Millis, address: &str) {
         self.probes.on_completed(address);
         if self.is_current_primary(address) {
@@ -136,7 +139,8 @@
         }
     }
 
-    /// A request or probe to `address` failed. Where that is the primary, a round of probes is due at once.
+    /// Handles the failure of a request or probe to `address`. If this is the primary's address, a round of
+    /// probes is due immediately.
     pub fn on_request_failed(&mut self, now: Millis, address: &str) {
         self.probes.on_completed(address);
         if self.is_current_primary(address) && self.suspected.as_deref() != Some(address) {
@@ -145,7 +149,8 @@
         }
     }
 
-    /// The member at `address` rejected a request as it is not the primary; `view` came with the rejection.
+    /// Handles the rejection of a request by the member at `address`, which is not the primary. `view` is
+    /// part of the rejection.
     pub fn on_not_primary(&mut self, now: Millis, address: &str, view: &ClusterView) {
         if cfg!(feature = "mutant-not-primary") {
             return;
@@ -158,13 +163,14 @@
         }
     }
 
-    /// Whether a request to `address` is to be abandoned: another member is the primary by now.
+    /// Whether a request to `address` must be abandoned because another member is now the primary.
     pub fn is_superseded(&self, address: &str) -> bool {
         self.primary()
             .is_some_and(|primary| *primary.internal != *address)
     }
 
-    /// The member to watch for the next epoch: not the primary, as a primary that is lost cannot announce its successor.
+    /// The member to watch for the next epoch: not the primary, since a failed primary cannot announce its
+    /// successor.
     pub fn watch_target(&self) -> Option<Arc<str>> {
         let candidates: Vec<&CoreAddress> = self
             .members
@@ -175,13 +181,14 @@
         Some(Arc::clone(&candidates[index].internal))
     }
 
-    /// Goes on to the next member: the watched one does not respond, or its epoch is older than [`Self::epoch`].
+    /// Selects the next member to watch, because the current one does not respond or its epoch is older than
+    /// [`Self::epoch`].
     pub fn advance_watch_target(&mut self) {
         self.watch_index = self.watch_index.wrapping_add(1);
     }
 
-    /// Begins the probes that are due and gives their addresses. Each must be ended by [`Self::on_view`] or
-    /// [`Self::on_request_failed`]; until then its address is not probed again.
+    /// Starts the probes that are due and returns their addresses. Each probe must be completed by
+    /// [`Self::on_view`] or [`Self::on_request_failed`]; until then its address is not probed again.
     pub fn take_due_probes(&mut self, now: Millis) -> Vec<Arc<str>> {
         if now < self.next_probe_at() {
             return Vec::new();
@@ -194,7 +201,7 @@
         }
     }
 
-    /// When [`Self::take_due_probes`] has some.
+    /// Time at which the next round of [`Self::take_due_probes`] is due.
     pub fn next_probe_at(&self) -> Millis {
         match (self.primary(), self.last_response_at) {
             (Some(_), Some(at)) => {
@@ -241,7 +248,7 @@
         self.reset_probes();
     }
 
-    /// All known addresses, members before seeds, from a random one on.
+    /// Resets the rotation to all known addresses, members before seeds, and starts at a random one.
     fn reset_probes(&mut self) {
         let known = self.members.iter().chain(&self.seeds);
         let addresses = known.map(|member| &member.internal);
--- a/crates/dataplane/src/control_plane/jitter.rs
+++ b/crates/dataplane/src/control_plane/jitter.rs
@@ -1,10 +1,10 @@
-//! Random numbers that keep the processes of a cluster from acting in step.
+//! Random numbers that prevent the processes of a cluster from acting in lockstep.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::ops::Range;
 use streamusher_protocol::Millis;
 
-/// A generator that is deterministic for its seed. Nothing depends on the quality of its numbers.
+/// Pseudo-random generator, deterministic for its seed. Nothing depends on the quality of its numbers.
 #[derive(Debug)]
 pub(super) struct Jitter {
     state: u64,
@@ -15,13 +15,13 @@
         Jitter { state: seed }
     }
 
-    /// A span within `range`; its start where the range is empty.
+    /// A random duration within `range`; its start if the range is empty.
     pub(super) fn span(&mut self, range: &Range<Millis>) -> Millis {
         let width = range.end.saturating_sub(range.start).max(1);
         range.start + self.next() % width
     }
 
-    /// An index below `len`; 0 where `len` is 0.
+    /// A random index below `len`; 0 if `len` is 0.
     pub(super) fn index(&mut self, len: usize) -> usize {
         let width = u64::try_from(len.max(1)).unwrap_or(u64::MAX);
         usize::try_from(self.next() % width).unwrap_or_default()
--- a/crates/dataplane/src/control_plane/probes.rs
+++ b/crates/dataplane/src/control_plane/probes.rs
@@ -1,14 +1,15 @@
-//! Which addresses are probed next, and which probes are in flight.
+//! Selects the addresses to probe next and tracks the probes in flight.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// Probes sent in one round: more than one, as some members may be down; few, as every gate and agent probes.
+/// Maximum number of probes started in one round: more than one, since some members may be down; few, since
+/// every gate and agent sends probes.
 const MAX_PROBES_PER_ROUND: usize = 3;
 
 /// A rotation over all known addresses.
 ///
-/// Invariant: at most one probe to an address is in flight. The owner reports the end of each by
+/// Invariant: at most one probe per address is in flight. The caller reports the end of each probe with
 /// [`ProbeRotation::on_completed`].
 #[derive(Debug, Default)]
 pub(super) struct ProbeRotation {
@@ -17,8 +18,8 @@
 }
 
 impl ProbeRotation {
-    /// Replaces the addresses, each kept once, and begins at the one that `first` chooses for their number. Probes in
-    /// flight stay so.
+    /// Replaces the addresses, without duplicates, and starts the rotation at the index that `first` returns
+    /// for their number. Probes in flight are not affected.
     pub(super) fn reset<'a>(
         &mut self,
         addresses: impl Iterator<Item = &'a Arc<str>>,
@@ -33,7 +34,7 @@
         self.rotation.rotate_left(first(self.rotation.len()));
     }
 
-    /// Begins probes to the next addresses that have none in flight.
+    /// Starts probes to the next addresses that have none in flight, and returns these addresses.
     pub(super) fn begin_round(&mut self) -> Vec<Arc<str>> {
         let mut begun = Vec::new();
         for _ in 0..self.rotation.len() {
@@ -49,14 +50,14 @@
         begun
     }
 
-    /// Begins a probe to `address` unless one is in flight there.
+    /// Starts a probe to `address` unless one is in flight; returns the address if it does.
     pub(super) fn begin(&mut self, address: Arc<str>) -> Option<Arc<str>> {
         self.in_flight
             .insert(Arc::clone(&address))
             .then_some(address)
     }
 
-    /// The probe to `address` got a response or failed.
+    /// Records that the probe to `address` received a response or failed.
     pub(super) fn on_completed(&mut self, address: &str) {
         self.in_flight.remove(address);
     }
--- a/crates/dataplane/src/gate/client_limits.rs
+++ b/crates/dataplane/src/gate/client_limits.rs
@@ -1,4 +1,5 @@
-//! What the gate accepts of its clients: by the configuration, within what the machine can bear.
+//! Limits of the gate's listener for clients: those of the configuration, capped by what the machine can
+//! support.
 
 use super::relay::RelayMember;
 use std::time::Duration;
@@ -6,17 +7,18 @@
 use streamusher_runtime::http::{ServerHandle, ServerLimits};
 use streamusher_runtime::settings::ProcessSettings;
 
-/// Descriptors that are not for clients: the 200 that the operators' pages keep, and this process's own connections and
-/// listeners.
+/// File descriptors not available to clients: the 200 that the operators' documentation reserves, and this
+/// process's own connections and listeners.
 const RESERVED_DESCRIPTORS: u64 = 300;
 
-/// Longest body, whatever the configuration allows: a gate has little memory, and the primary accepts no more.
+/// Longest request body, whatever the configuration allows: a gate has little memory, and the primary accepts
+/// no longer bodies.
 const MAX_BODY_BYTES: u64 = 8 << 20;
 
-/// Longest head, whatever the configuration allows: each connection may hold one.
+/// Longest request header, whatever the configuration allows: each connection may buffer one.
 const MAX_HEADER_BYTES: u64 = 1 << 20;
 
-/// The limits of the listener for clients.
+/// Derives the limits of the listener for clients from the settings and the configuration.
 pub(super) fn server_limits(settings: &ProcessSettings, limits: &Limits) -> ServerLimits {
     ServerLimits {
         max_body_bytes: size(limits.max_body_bytes.min(MAX_BODY_BYTES)),
@@ -31,7 +33,7 @@
     usize::try_from(bytes).unwrap_or(usize::MAX)
 }
 
-/// Applies the limits of each configuration that arrives. Never returns.
+/// Applies the limits of each configuration that the gate receives. Never returns.
 pub(super) async fn follow_configuration(
     relay: RelayMember,
     server: ServerHandle,
--- a/crates/dataplane/src/gate/client_request.rs
+++ b/crates/dataplane/src/gate/client_request.rs
@@ -1,4 +1,4 @@
-//! A client's HTTP request as it is forwarded to the primary.
+//! Parses a client's HTTP request into the request that is forwarded to the primary.
 
 use http::header::{HeaderValue, ALLOW, HOST};
 use http::{Method, StatusCode};
@@ -6,19 +6,20 @@
 use streamusher_protocol::internal::{ClientMethod, ClientRequest};
 use streamusher_runtime::http::{text, Request, Response};
 
-/// The header that says how long the client waits, in milliseconds from its sending.
+/// Request header that states how long the client waits for the response, in milliseconds from when it sends
+/// the request.
 pub const DEADLINE_HEADER: &str = "streamusher-deadline-ms";
 
-/// How long clients wait that send no such header.
+/// How long a client waits if its request lacks [`DEADLINE_HEADER`].
 const DEFAULT_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why the gate itself rejects a request.
+/// Reasons for which the gate itself rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum ClientRequestError {
-    /// 405.
+    /// 405 Method Not Allowed.
     #[error("use POST, GET or DELETE")]
     Method,
-    /// 400.
+    /// 400 Bad Request.
     #[error("the body is not UTF-8: send JSON")]
     BodyNotText,
 }
@@ -38,7 +39,8 @@
     }
 }
 
-/// Reads a client's request. `configuration_version` is the version of the gate's copy; the primary decides by its own.
+/// Parses a client's request. `configuration_version` is the version of the gate's copy of the configuration;
+/// the primary decides by its own copy.
 pub(super) fn parse(
     request: &Request,
     configuration_version: u64,
@@ -68,7 +70,7 @@
     })
 }
 
-/// How long the client waits for its response.
+/// How long the client waits for the response.
 pub(super) fn client_timeout(request: &Request) -> Duration {
     let header = request.headers().get(DEADLINE_HEADER);
     let text = header.and_then(|value| value.to_str().ok());
--- a/crates/dataplane/src/gate/client_response.rs
+++ b/crates/dataplane/src/gate/client_response.rs
@@ -1,4 +1,4 @@
-//! What clients are answered: the primary's response, or why there is none.
+//! Converts the primary's responses, and failures to obtain one, into responses for clients.
 
 use http::header::{HeaderValue, CONTENT_TYPE, RETRY_AFTER};
 use http::StatusCode;
@@ -6,12 +6,13 @@
 use streamusher_protocol::Millis;
 use streamusher_runtime::http::{parse_json, text, Response};
 
-/// Bounds of `Retry-After` while no primary is known. At first the usual rest of a failover; later as long as the outage
-/// has lasted, so that a client's few retries reach beyond a long one.
+/// Bounds of `Retry-After` while no primary is known. The minimum is the usual remaining time of a failover.
+/// The value then grows with the duration of the outage, so that a client with few retries outlasts a long
+/// outage.
 const MIN_RETRY_AFTER_MS: Millis = 250;
 const MAX_RETRY_AFTER_MS: Millis = 2_000;
 
-/// The response for the client from the primary's response to the gate; 502 where that cannot be read.
+/// Converts the primary's response to the gate into the response for the client; 502 if it cannot be parsed.
 pub(super) fn from_primary(response: &Response) -> Response {
     let status = response.status();
     if !status.is_success() {
@@ -44,7 +45,8 @@
     response
 }
 
-/// 503: the request was not executed, and will not be. `outage_ms` is how long no primary has been known.
+/// 503: the request was not executed and will not be. `outage_ms` is the time for which no primary has been
+/// known.
 pub(super) fn unavailable(outage_ms: Millis) -> Response {
     log::info!("client request rejected with 503: no primary available");
     let body = "no primary takes calls now: come back\n";
@@ -53,7 +55,7 @@
     response
 }
 
-/// When a client is to retry while no primary has been known for `outage_ms`.
+/// Delay before a client should retry, if no primary has been known for `outage_ms`.
 pub fn retry_after_outage_ms(outage_ms: Millis) -> Millis {
     outage_ms.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS)
 }
@@ -64,13 +66,14 @@
     text(StatusCode::BAD_GATEWAY, body)
 }
 
-/// 502: the primary's response cannot be read.
+/// 502: the primary's response cannot be parsed.
 fn malformed() -> Response {
     let body = "the primary's reply was not understood: send the same id again\n";
     text(StatusCode::BAD_GATEWAY, body)
 }
 
-/// In seconds, with decimals where they are not whole, as the operators' pages have it.
+/// Sets `Retry-After` in seconds, with decimals if the value is not whole, as the operators' documentation
+/// specifies.
 fn set_retry_after(response: &mut Response, retry_after_ms: Millis) {
     let seconds = retry_after_ms.max(1) as f64 / 1_000.0;
     if let Ok(value) = HeaderValue::try_from(seconds.to_string()) {
--- a/crates/dataplane/src/gate/forwarding.rs
+++ b/crates/dataplane/src/gate/forwarding.rs
@@ -1,9 +1,9 @@
-//! Forwarding a client's request to the primary: attempts, their time-outs, and retries.
+//! Forwarding of a client's request to the primary: attempts, time-outs and retries.
 //!
-//! What is retried depends on what is known of the attempt before:
-//! - surely not executed: once more, where another primary is known by then; else 503 with `Retry-After`;
-//! - perhaps executed, GET or DELETE: again while the client waits, as both may be executed twice;
-//! - perhaps executed, POST: not again; 502, and the client submits the same job id again.
+//! Whether a request is retried depends on the outcome of the previous attempt:
+//! - certainly not executed: one retry if another primary is known by then; otherwise 503 with `Retry-After`;
+//! - possibly executed, GET or DELETE: retried while the client waits, since both may be executed twice;
+//! - possibly executed, POST: not retried; 502, and the client submits the same job id again.
 
 use super::{client_request, client_response};
 use crate::control_plane::{ControlPlaneClient, Endpoint, RequestOutcome};
@@ -12,24 +12,26 @@
 use streamusher_runtime::http::{Request, Response};
 use tokio::time::Instant;
 
-/// Kept of the client's time for the response's way back.
+/// Part of the client's time-out reserved for sending the response back.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(150);
 
-/// Longest time-out of an attempt: a committed change takes far less.
+/// Longest time-out of one attempt: committing a change takes far less.
 const MAX_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Shortest time-out of an attempt, however little time the client gives.
+/// Shortest time-out of one attempt, however little time the client allows.
 const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// A retry needs as much time left.
+/// Shortest remaining time in which a retry is started.
 const MIN_TIME_FOR_RETRY: Duration = Duration::from_millis(100);
 
-/// Retries of a request whose outcome is unknown: more would only add to the load of a primary in trouble.
+/// Maximum number of retries of a request whose outcome is unknown: more would only add load to a primary in
+/// trouble.
 const MAX_RETRIES: u32 = 3;
 
-/// Forwards a client's request and gives the response for the client.
+/// Forwards a client's request and returns the response for the client.
 ///
-/// `configuration_version` is the version of the gate's copy; the primary decides by its own.
+/// `configuration_version` is the version of the gate's copy of the configuration; the primary decides by its
+/// own copy.
 pub(super) async fn forward(
     client: &ControlPlaneClient,
     configuration_version: u64,
@@ -84,7 +86,7 @@
     }
 }
 
-/// The primary, where that is another than `former`.
+/// The current primary, if its address differs from that of `former`.
 fn successor_of(client: &ControlPlaneClient, former: &Endpoint) -> Option<Endpoint> {
     client
         .primary()
@@ -104,7 +106,7 @@
     }
 }
 
-/// Retries a request that may be executed twice, whenever a primary is known.
+/// Retries a request that may be executed twice, each time as soon as a primary is known.
 async fn retry(
     client: &ControlPlaneClient,
     request: &ClientRequest,
--- a/crates/dataplane/src/gate/handler.rs
+++ b/crates/dataplane/src/gate/handler.rs
@@ -1,4 +1,5 @@
-//! A gate's state and its HTTP handlers: for clients, for the platform's readiness probe, and for other processes.
+//! A gate's state and its HTTP handlers: for clients, for the platform's readiness probe and for other
+//! processes.
 
 use super::forwarding;
 use super::relay::RelayMember;
@@ -16,16 +17,17 @@
 use streamusher_runtime::logs;
 use streamusher_runtime::settings::{self, ProcessSettings};
 
-/// The path of the platform's readiness probe, which comes each second.
+/// Path of the platform's readiness probe, which is sent once a second.
 pub const READINESS_PATH: &str = "/streamusher/readiness";
 
-/// A gate is ready while its primary responded within this span.
+/// Longest time since the primary's last response for which a gate is ready.
 const MAX_PRIMARY_AGE_MS: Millis = 1_500;
 
-/// Connections kept to each member while idle: clients' requests come several at once.
+/// Idle connections kept to each member: several client requests arrive at the same time.
 const MAX_IDLE_CONNECTIONS: usize = 8;
 
-/// Messages of the relay tree hold whole configurations with thousands of routes.
+/// Limits of the internal listener: messages of the relay tree carry whole configurations with thousands of
+/// routes.
 const INTERNAL_SERVER_LIMITS: ServerLimits = ServerLimits {
     max_body_bytes: 16 << 20,
     max_header_bytes: 8_192,
@@ -34,7 +36,7 @@
     max_connections: 32,
 };
 
-/// A gate. Clones share one state.
+/// A gate. Clones share their state.
 #[derive(Clone)]
 pub struct Gate {
     shared: Rc<Shared>,
@@ -49,7 +51,7 @@
 }
 
 impl Gate {
-    /// A gate that knows the settings' seeds; [`Gate::start`] sets it to work.
+    /// Creates a gate that knows only the seeds of the settings; [`Gate::start`] starts it.
     pub fn new(settings: &ProcessSettings) -> Gate {
         let client = ControlPlaneClient::new(
             settings.core_addresses_of_seeds(),
@@ -69,8 +71,9 @@
         }
     }
 
-    /// Starts discovery, and serves status and relay messages at `internal_address`. Within a `LocalSet`. The gate becomes
-    /// a member of the relay tree only by [`RelayMember::run`].
+    /// Starts discovery of the primary, and serves the status document and relay messages at
+    /// `internal_address`. Must be called within a `LocalSet`. The gate joins the relay tree only through
+    /// [`RelayMember::run`].
     pub fn start(&self, internal_address: SocketAddr) {
         let client = self.shared.client.clone();
         tokio::task::spawn_local(async move { client.run().await });
@@ -91,7 +94,7 @@
             .await;
     }
 
-    /// Responds to a request of another process: a relay message, or one for the status.
+    /// Handles a request of another process: a relay message or a request for the status document.
     pub fn respond_internal(&self, request: &Request) -> Response {
         match request.uri().path() {
             RELAY_PATH => self.shared.relay.respond(request),
@@ -104,12 +107,12 @@
         &self.shared.relay
     }
 
-    /// The client of the control plane.
+    /// The client for requests to the control plane's primary.
     pub fn control_plane(&self) -> &ControlPlaneClient {
         &self.shared.client
     }
 
-    /// Responds to a client.
+    /// Handles a client's request by forwarding it to the primary.
     pub async fn respond(self, request: Request) -> Response {
         let configuration_version = self.shared.relay.version();
         let response =
@@ -123,7 +126,7 @@
         response
     }
 
-    /// Responds to the platform's readiness probe: whether clients may be sent here.
+    /// Handles the platform's readiness probe: 200 if clients may be routed to this gate, otherwise 503.
     pub fn respond_readiness(&self, request: &Request) -> Response {
         if request.method() != Method::GET || request.uri().path() != READINESS_PATH {
             let body = format!("only GET {READINESS_PATH} is here\n");
@@ -136,12 +139,12 @@
         }
     }
 
-    /// From now on the gate is not ready.
+    /// Starts the shutdown: from now on the gate reports that it is not ready.
     pub fn leave(&self) {
         self.shared.is_leaving.set(true);
     }
 
-    /// Takes the seeds of the settings file over.
+    /// Reloads the seeds from the settings file.
     pub fn reload(&self) {
         settings::reload(|settings| {
             let seeds = settings.core_addresses_of_seeds();
--- a/crates/dataplane/src/gate/mod.rs
+++ b/crates/dataplane/src/gate/mod.rs
@@ -1,8 +1,9 @@
-//! The gate: takes clients' requests on front machines and forwards them to the primary.
+//! The gate: accepts clients' requests on front machines and forwards them to the primary.
 //!
-//! A gate decides nothing and keeps nothing but a copy of the configuration, which it receives as a member of the relay
-//! tree ([`relay`]). It is ready while a primary is known that responded a short while ago. On SIGTERM it first reports
-//! that it is not ready, then closes its connections as their requests are answered, so that no client loses one.
+//! A gate makes no decisions and stores only a copy of the configuration, which it receives as a member of
+//! the relay tree ([`relay`]). It is ready while a primary is known that responded recently. On SIGTERM it
+//! first reports that it is not ready and then closes its connections as their requests are answered, so that
+//! no client loses a request.
 
 mod client_limits;
 mod client_request;
--- a/crates/dataplane/src/gate/relay.rs
+++ b/crates/dataplane/src/gate/relay.rs
@@ -1,8 +1,9 @@
-//! The gate as a member of the relay tree, which brings it the configuration.
+//! The gate as a member of the relay tree, through which it receives the configuration.
 //!
-//! A member renews its lease at the primary, which answers with the version of the committed configuration and, where it
-//! has changed, with the membership. The state machine [`RelayNode`] derives the tree from that and decides what is sent to
-//! whom; this module carries its messages over HTTP and wakes it in time.
+//! A member renews its lease at the primary. The response carries the version of the committed configuration
+//! and, if it has changed, the membership. The state machine [`RelayNode`] derives the tree from that and
+//! decides which messages to send to which peers. This module sends and receives the messages over HTTP and
+//! runs the state machine's timer.
 
 use crate::control_plane::{ControlPlaneClient, RequestOutcome};
 use http::{Method, StatusCode};
@@ -26,16 +27,17 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// As long as an attempt of a client's request: a slow primary must not be taken for lost over a lease.
+/// Time-out of requests to the primary: as long as one attempt to forward a client's request, so that a slow
+/// response to a lease renewal does not make the primary suspected.
 const PRIMARY_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Bound of one wait for a primary; when it is over, the next one begins.
+/// Longest single wait for a primary; the next wait begins after it.
 const PRIMARY_WAIT: Duration = Duration::from_hours(1);
 
-/// Shortest sleep between two ticks, so that other tasks run whatever is due.
+/// Shortest sleep between two ticks, so that other tasks run even if a tick is always due.
 const MIN_SLEEP_MS: Millis = 1;
 
-/// A member of the relay tree. Clones share one state.
+/// A member of the relay tree. Clones share their state.
 #[derive(Clone)]
 pub struct RelayMember {
     shared: Rc<Shared>,
@@ -46,15 +48,15 @@
     node: RefCell<RelayNode>,
     outbox: RefCell<Outbox<RelayMessage>>,
     configuration: RefCell<Option<Arc<Configuration>>>,
-    /// Notified when a newer configuration has arrived.
+    /// Notified when a newer configuration has been received.
     configuration_changed: Notify,
-    /// Until when the timer sleeps.
+    /// Time until which the timer sleeps.
     next_wakeup: Cell<Millis>,
-    /// Notified when the timer is to wake earlier than that.
+    /// Notified when the timer must wake up before `next_wakeup`.
     earlier_wakeup: Notify,
 }
 
-/// A member's part of the status document.
+/// The relay tree's section of a gate's status document.
 #[derive(Serialize)]
 pub struct RelayStatus {
     address: Arc<str>,
@@ -70,7 +72,8 @@
 }
 
 impl RelayMember {
-    /// A member that others reach at `address`; [`RelayMember::run`] makes it one.
+    /// Creates a member that other members reach at `address`. It joins the relay tree through
+    /// [`RelayMember::run`].
     pub fn new(client: ControlPlaneClient, address: SocketAddr) -> RelayMember {
         let address: Arc<str> = address.to_string().into();
         let sender = RelayPeer::Member(address.clone());
@@ -95,22 +98,22 @@
         }
     }
 
-    /// The newest configuration that has arrived.
+    /// The newest configuration received; `None` before the first.
     pub fn configuration(&self) -> Option<Arc<Configuration>> {
         self.shared.configuration.borrow().clone()
     }
 
-    /// The version of the newest configuration; 0 for none.
+    /// Version of the newest configuration received; 0 before the first.
     pub fn version(&self) -> u64 {
         self.shared.node.borrow().version()
     }
 
-    /// Returns when a newer configuration has arrived.
+    /// Completes when a newer configuration has been received.
     pub async fn changed(&self) {
         self.shared.configuration_changed.notified().await;
     }
 
-    /// The member's part of the status document.
+    /// The relay tree's section of the status document.
     pub fn status(&self) -> RelayStatus {
         let node = self.shared.node.borrow();
         RelayStatus {
@@ -123,7 +126,7 @@
         }
     }
 
-    /// Responds to a request at [`RELAY_PATH`]: messages of another member or of the primary.
+    /// Handles a request to [`RELAY_PATH`], which carries messages from another member or from the primary.
     pub fn respond(&self, request: &Request) -> Response {
         if request.method() != Method::POST {
             return text(StatusCode::METHOD_NOT_ALLOWED, "use POST\n");
@@ -143,7 +146,7 @@
         }
     }
 
-    /// Renews the lease and wakes the state machine. Never returns; within a `LocalSet`.
+    /// Renews the lease and runs the state machine's timer. Never returns; must run within a `LocalSet`.
     pub async fn run(&self) {
         tokio::join!(self.renew_lease(), self.run_timer());
     }
@@ -203,7 +206,7 @@
         }
     }
 
-    /// Changes the state machine and executes the actions that follow.
+    /// Applies `change` to the state machine and executes the resulting actions.
     fn update(&self, change: impl FnOnce(&mut RelayNode, Millis) -> RelayActions) {
         let (actions, next_tick) = {
             let mut node = self.shared.node.borrow_mut();
@@ -250,7 +253,7 @@
         };
         let client = self.shared.client.clone();
         tokio::task::spawn_local(async move {
-            // The primary answers by a message of its own.
+            // The response is ignored: the primary answers with a separate message.
             let _ = client
                 .post(&primary, RELAY_PATH, &envelope, PRIMARY_TIMEOUT)
                 .await;
--- a/crates/dataplane/src/gate/server.rs
+++ b/crates/dataplane/src/gate/server.rs
@@ -1,4 +1,4 @@
-//! The gate as a process: its listeners, and its shutdown.
+//! The gate process: its listeners and its graceful shutdown.
 
 use super::client_limits::{follow_configuration, server_limits};
 use super::Gate;
@@ -13,17 +13,18 @@
 use streamusher_runtime::signals::{Signal, Signals};
 use tokio::task::{spawn_local, JoinHandle};
 
-/// From SIGTERM to `Connection: close` on responses: the platform misses two of its readiness probes, one a second, and
-/// sends no new clients.
+/// Time from SIGTERM until responses carry `Connection: close`. In this time two of the platform's readiness
+/// probes, sent once a second, fail, and the platform stops routing new clients to this gate.
 const LEAVE_AFTER: Duration = Duration::from_secs(2);
 
-/// From SIGTERM to the end of accepting: clients that were sent before the second miss have arrived.
+/// Time from SIGTERM until the gate stops accepting connections: clients routed here before the second failed
+/// probe have connected by then.
 const CLOSE_AFTER: Duration = Duration::from_millis(3_500);
 
-/// Kept of `grace_s` for the exit itself.
+/// Part of `grace_s` reserved for the exit of the process itself.
 const EXIT_MARGIN: Duration = Duration::from_millis(500);
 
-/// The readiness probe: nothing but a head.
+/// Limits of the listener for readiness probes, which consist of a request header only.
 const READINESS_SERVER_LIMITS: ServerLimits = ServerLimits {
     max_body_bytes: 1_024,
     max_header_bytes: 8_192,
@@ -32,7 +33,7 @@
     max_connections: 32,
 };
 
-/// Where a gate listens.
+/// Addresses at which a gate listens.
 #[derive(Clone, Copy, Debug)]
 struct GateAddresses {
     front: SocketAddr,
@@ -62,7 +63,8 @@
     GateAddresses::from_settings(settings).map(|_addresses| ())
 }
 
-/// Runs the gate until SIGTERM or SIGINT, and then until its clients are served; SIGHUP reloads the seeds.
+/// Runs the gate until SIGTERM or SIGINT, and then until the requests of its clients are answered. SIGHUP
+/// reloads the seeds.
 ///
 /// # Errors
 /// The settings are not a gate's, an address cannot be bound, or signals cannot be received.
@@ -93,14 +95,14 @@
     Ok(())
 }
 
-/// Makes the gate a member of the relay tree, whose configurations set the limits for clients.
+/// Joins the relay tree. The configurations received through it set the limits of the listener for clients.
 fn start_relay(gate: &Gate, front: ServerHandle, settings: ProcessSettings) {
     let relay = gate.relay().clone();
     spawn_local(follow_configuration(relay.clone(), front, settings));
     spawn_local(async move { relay.run().await });
 }
 
-/// Closes the listener for clients without losing a request; returns before `grace` is over.
+/// Closes the listener for clients without losing a request; returns before `grace` has elapsed.
 async fn shut_down(front: &ServerHandle, grace: Duration, serving: JoinHandle<()>) {
     let deadline = grace.saturating_sub(EXIT_MARGIN);
     let close_after = CLOSE_AFTER.min(deadline / 2);
--- a/crates/dataplane/src/gate/status.rs
+++ b/crates/dataplane/src/gate/status.rs
@@ -5,16 +5,16 @@
 use streamusher_protocol::internal::ClusterView;
 use streamusher_runtime::logs::LastError;
 
-/// The status document of a gate.
 #[derive(Serialize)]
 pub(super) struct GateStatus {
     pub(super) role: &'static str,
     pub(super) ready: bool,
     pub(super) leaving: bool,
-    /// Requests that were answered, by the primary or with a client's error.
+    /// Client requests answered with any status other than a server error, by the primary or by the gate
+    /// itself.
     #[serde(rename = "passed")]
     pub(super) forwarded: u64,
-    /// Requests that were answered with a server's error.
+    /// Client requests answered with a server error (5xx).
     #[serde(rename = "refused")]
     pub(super) failed: u64,
     pub(super) control_plane: ClusterView,
--- a/crates/dataplane/src/main.rs
+++ b/crates/dataplane/src/main.rs
@@ -1,7 +1,8 @@
-//! The binary `streamusher-data`: `gate` on front machines, `agent` beside a worker.
+//! The binary `streamusher-data`: the command `gate` runs on front machines, the command `agent` beside a
+//! worker.
 //!
-//! Exit codes: 0 after SIGTERM or SIGINT and for settings that a check accepts, 1 for a failure while running, 2 for a wrong command
-//! line or wrong settings.
+//! Exit codes: 0 after SIGTERM or SIGINT and if a check accepts the settings, 1 for a failure while running,
+//! 2 for an invalid command line or invalid settings.
 
 use std::process::ExitCode;
 use streamusher_dataplane::role_settings::RoleSettingsError;
@@ -22,11 +23,11 @@
     commands: &[
         CommandDescription {
             name: GATE_COMMAND,
-            summary: "takes clients' calls on front machines",
+            summary: "accepts clients' requests on front machines",
         },
         CommandDescription {
             name: AGENT_COMMAND,
-            summary: "stands beside a worker on its side machine",
+            summary: "runs beside a worker on its side machine",
         },
     ],
 };
@@ -44,7 +45,7 @@
     }
 }
 
-/// The process that a command starts.
+/// Process that a command starts.
 #[derive(Clone, Copy)]
 enum Role {
     Gate,
--- a/crates/dataplane/src/process/listener.rs
+++ b/crates/dataplane/src/process/listener.rs
@@ -1,11 +1,11 @@
-//! Binding an address that a former process may not have released yet.
+//! Binds listeners to addresses that a previous process may not have released yet.
 
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 use streamusher_runtime::http::{Server, ServerLimits};
 
-/// Attempts to bind, and the pause between two: two seconds in all.
+/// Number of attempts to bind an address, and the pause between two attempts: two seconds in total.
 const MAX_BIND_ATTEMPTS: u32 = 20;
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
@@ -14,11 +14,12 @@
 #[error("listening at {address} failed: {reason}: free the port or change the settings")]
 pub struct BindError {
     address: SocketAddr,
-    /// Part of the text, and so not its source: a chain of errors would print it twice.
+    /// Part of the message and therefore not the error's source: printing the chain of errors would repeat
+    /// it.
     reason: io::Error,
 }
 
-/// Listens at `address`. Tries for two seconds.
+/// Listens at `address`. Retries for two seconds if the address cannot be bound.
 ///
 /// # Errors
 /// The address could not be bound.
--- a/crates/dataplane/src/process/mod.rs
+++ b/crates/dataplane/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What the gate and the agent share as processes: listeners, the status document, the event loop.
+//! Functions shared by the gate and agent processes: listeners, the status document, the event loop.
 
 mod listener;
 mod status;
@@ -11,20 +11,20 @@
 use std::hash::BuildHasher;
 use std::time::Duration;
 
-/// Waits for `future`, at most for `timeout`. Whether it completed.
+/// Waits for `future` for at most `timeout`; returns whether it completed.
 pub async fn completes_within(timeout: Duration, future: impl Future) -> bool {
     tokio::time::timeout(timeout, future).await.is_ok()
 }
 
-/// A number that differs from start to start.
+/// A random number, different each time that a process starts.
 pub fn random_number() -> u64 {
     RandomState::new().hash_one(std::process::id())
 }
 
-/// Runs a process's future on this thread until it is ready.
+/// Runs a process's future to completion on this thread.
 ///
 /// # Errors
-/// The event loop could not be created, or the future's own error.
+/// The event loop could not be created, or the future returned an error.
 pub fn run(process: impl Future<Output = anyhow::Result<()>>) -> anyhow::Result<()> {
     streamusher_runtime::event_loop::block_on(process)?
 }
--- a/crates/dataplane/src/process/status.rs
+++ b/crates/dataplane/src/process/status.rs
@@ -8,7 +8,7 @@
 use streamusher_protocol::internal::STATUS_PATH;
 use streamusher_runtime::http::{json, text, Request, Response, ServerLimits};
 
-/// Small bodies from few clients.
+/// Limits of the status listener: small bodies from few clients.
 const STATUS_SERVER_LIMITS: ServerLimits = ServerLimits {
     max_body_bytes: 4_096,
     max_header_bytes: 8_192,
@@ -17,8 +17,8 @@
     max_connections: 8,
 };
 
-/// Serves `GET /internal/status` with what `status` gives. A process does its work without it, so an address that cannot be
-/// bound is only logged.
+/// Serves the document that `status` returns at `GET /internal/status`. The process works without this
+/// listener, so a failure to bind the address is only logged.
 pub async fn serve_status<T, S>(address: SocketAddr, status: S)
 where
     T: Serialize + 'static,
@@ -31,7 +31,8 @@
     }
 }
 
-/// Responds to `GET /internal/status` with what `status` gives, and to other requests with 404.
+/// Responds to `GET /internal/status` with the document that `status` returns, and to all other requests with
+/// 404.
 pub fn respond_status<T: Serialize>(request: &Request, status: impl Fn() -> T) -> Response {
     let is_status = request.method() == Method::GET && request.uri().path() == STATUS_PATH;
     if !is_status {
--- a/crates/dataplane/src/role_settings.rs
+++ b/crates/dataplane/src/role_settings.rs
@@ -1,28 +1,28 @@
-//! Whether a settings file fits the process that reads it.
+//! Checks that the settings suit the process that reads them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use streamusher_runtime::settings::ProcessSettings;
 
-/// Why settings do not fit a process. The texts name key, value and remedy.
+/// Reasons for which settings do not suit a process. The messages name the key, its value and the remedy.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RoleSettingsError {
-    /// The role does not serve the party that the process is for.
+    /// The configured role does not serve the party that the process is for.
     #[error("key serves = {serves:?}: run the {process} in a role that serves {party:?}")]
     WrongRole {
-        /// The process.
+        /// Name of the process.
         process: &'static str,
-        /// The party that it serves.
+        /// Party that the process serves.
         party: &'static str,
-        /// The parties in the settings.
+        /// Parties that the configured role serves.
         serves: Vec<Arc<str>>,
     },
     /// An address to listen at is missing.
     #[error("key {key} is missing: give the address that {used_by}")]
     MissingAddress {
-        /// The key.
+        /// The missing key.
         key: &'static str,
-        /// Who uses the address, as a clause.
+        /// User of the address, as a clause that completes the message.
         used_by: &'static str,
     },
 }
@@ -43,7 +43,7 @@
     })
 }
 
-/// The address of `key`, where there is one.
+/// Returns `address`, or an error that names `key` if the address is missing.
 pub(crate) fn require_address(
     address: Option<SocketAddr>,
     key: &'static str,
