--- a/crates/dataplane/src/agent/commands.rs
+++ b/crates/dataplane/src/agent/commands.rs
@@ -77,7 +77,7 @@
         let withdrew_start = self
             .commands
             .as_ref()
-            .is_some_and(|former| lacks_a_start(&former.start, &commands.start));
+            .is_some_and(|former| is_start_missing(&former.start, &commands.start));
         self.commands = Some(commands);
         CommandsUpdate::Applied { withdrew_start }
     }
@@ -117,16 +117,16 @@
     }
 }
 
-fn lacks_a_start(former: &[StartCommand], current: &[StartCommand]) -> bool {
+fn is_start_missing(former: &[StartCommand], current: &[StartCommand]) -> bool {
     if former.is_empty() {
         return false;
     }
-    let current: HashSet<(&TaskId, u32)> = current.iter().map(run_of).collect();
+    let current: HashSet<(&TaskId, u32)> = current.iter().map(run_key).collect();
     former
         .iter()
-        .any(|command| !current.contains(&run_of(command)))
+        .any(|command| !current.contains(&run_key(command)))
 }
 
-fn run_of(command: &StartCommand) -> (&TaskId, u32) {
+fn run_key(command: &StartCommand) -> (&TaskId, u32) {
     (&command.task, command.run)
 }
--- a/crates/dataplane/src/agent/state_machine.rs
+++ b/crates/dataplane/src/agent/state_machine.rs
@@ -209,7 +209,7 @@
             worker.on_deregister();
         } else {
             let hold_until = self.earlier_hold_until();
-            self.replace_worker(Worker::known_leaving(instance, now, hold_until));
+            self.replace_worker(Worker::new_leaving(instance, now, hold_until));
         }
         self.on_worker_leaving();
     }
@@ -260,7 +260,7 @@
         match (&mut self.worker, self.commands.instance()) {
             (Some(worker), _) => worker.on_gone(),
             (None, Some(instance)) => {
-                self.worker = Some(Worker::known_silent(Arc::clone(instance), now));
+                self.worker = Some(Worker::new_silent(Arc::clone(instance), now));
             }
             (None, None) => return,
         }
@@ -272,8 +272,8 @@
         let (Some(long_poll), Some(worker)) = (self.long_poll, &self.worker) else {
             return;
         };
-        let is_over = now >= long_poll.deadline;
-        if is_over || has_commands(&self.settings, &self.commands, worker, now) {
+        let has_expired = now >= long_poll.deadline;
+        if has_expired || has_commands(&self.settings, &self.commands, worker, now) {
             self.answer_long_poll(now, StartCommands::Include, actions);
         }
     }
--- a/crates/dataplane/src/agent/sync_schedule.rs
+++ b/crates/dataplane/src/agent/sync_schedule.rs
@@ -29,10 +29,10 @@
 #[derive(Debug, Default)]
 pub(super) struct SyncSchedule {
     /// Sequence number of the newest sync; 0 before the first.
-    newest: u64,
+    newest_sequence: u64,
     in_flight: Vec<InFlightSync>,
     last_sent_at: Option<Millis>,
-    has_news: bool,
+    is_sync_requested: bool,
     consecutive_failures: u32,
     retry_at: Millis,
 }
@@ -40,17 +40,17 @@
 impl SyncSchedule {
     /// Requests a sync as soon as the schedule allows, because the primary must receive a change immediately.
     pub(super) fn request_sync(&mut self) {
-        self.has_news = true;
+        self.is_sync_requested = true;
     }
 
     /// Sequence number of the next sync.
     pub(super) fn next_sequence(&self) -> u64 {
-        self.newest + 1
+        self.newest_sequence + 1
     }
 
     /// Number of syncs sent since the agent started.
     pub(super) fn sent_count(&self) -> u64 {
-        self.newest
+        self.newest_sequence
     }
 
     pub(super) fn in_flight_count(&self) -> usize {
@@ -61,26 +61,26 @@
     /// sync is in flight and none was requested.
     pub(super) fn next_sync_at(&self) -> Option<Millis> {
         let is_full = self.in_flight.len() >= MAX_SYNCS_IN_FLIGHT;
-        let newest_waits = self.position_of(self.newest).is_some();
-        if is_full || (newest_waits && !self.has_news) {
+        let newest_is_in_flight = self.position_of(self.newest_sequence).is_some();
+        if is_full || (newest_is_in_flight && !self.is_sync_requested) {
             return None;
         }
-        let paced = self
+        let earliest_at = self
             .last_sent_at
             .map_or(0, |at| at.saturating_add(MIN_SYNC_INTERVAL_MS));
-        Some(paced.max(self.retry_at))
+        Some(earliest_at.max(self.retry_at))
     }
 
     /// Records a new sync as in flight and returns its sequence number.
     pub(super) fn begin(&mut self, now: Millis) -> u64 {
-        self.newest += 1;
-        self.has_news = false;
+        self.newest_sequence += 1;
+        self.is_sync_requested = false;
         self.last_sent_at = Some(now);
         self.in_flight.push(InFlightSync {
-            sequence: self.newest,
+            sequence: self.newest_sequence,
             sent_at: now,
         });
-        self.newest
+        self.newest_sequence
     }
 
     /// Records the response to a sync. Returns the time when the sync was sent; `None` if it is not in
@@ -95,7 +95,7 @@
     /// Records that a sync failed. Its report is sent again after a backoff, unless a newer sync already
     /// carries it.
     pub(super) fn on_failed(&mut self, now: Millis, sequence: u64) {
-        if self.remove(sequence).is_none() || sequence != self.newest {
+        if self.remove(sequence).is_none() || sequence != self.newest_sequence {
             return;
         }
         let doublings = self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
@@ -104,7 +104,7 @@
             .min(MAX_BACKOFF_MS);
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         self.retry_at = now.saturating_add(backoff_ms);
-        self.has_news = true;
+        self.is_sync_requested = true;
     }
 
     fn remove(&mut self, sequence: u64) -> Option<InFlightSync> {
--- a/crates/dataplane/src/agent/worker.rs
+++ b/crates/dataplane/src/agent/worker.rs
@@ -76,7 +76,7 @@
     }
 
     /// Creates a worker of which only the instance id is known and on which no run can be executing any more.
-    pub(super) fn known_silent(instance: Arc<str>, now: Millis) -> Worker {
+    pub(super) fn new_silent(instance: Arc<str>, now: Millis) -> Worker {
         let mut worker = Worker::new(instance, Heartbeat::default(), now, now);
         worker.presence = Presence::Silent;
         worker
@@ -84,7 +84,7 @@
 
     /// Creates a worker of which only the deregistration has been received. `earlier_hold_until` is the
     /// latest end of a hold granted before this agent's restart.
-    pub(super) fn known_leaving(
+    pub(super) fn new_leaving(
         instance: Arc<str>,
         now: Millis,
         earlier_hold_until: Millis,
@@ -99,7 +99,7 @@
     pub(super) fn on_heartbeat(&mut self, now: Millis, heartbeat: Heartbeat) -> Urgency {
         let is_urgent = self.is_gone()
             || !self.offered.is_empty()
-            || differs_in_substance(&self.heartbeat, &heartbeat);
+            || has_significant_change(&self.heartbeat, &heartbeat);
         if heartbeat.running.is_empty() {
             // Nothing is running, and start commands in earlier responses arrive too late: the holds granted
             // with them are unused.
@@ -258,16 +258,16 @@
 }
 
 /// Whether two heartbeats differ in more than progress and checkpoints.
-fn differs_in_substance(former: &Heartbeat, current: &Heartbeat) -> bool {
+fn has_significant_change(former: &Heartbeat, current: &Heartbeat) -> bool {
     former.state != current.state
         || former.capacity != current.capacity
         || former.labels != current.labels
         || former.service != current.service
-        || newest_end(&current.finished) > newest_end(&former.finished)
+        || newest_finished_number(&current.finished) > newest_finished_number(&former.finished)
         || !are_same_runs(&former.running, &current.running)
 }
 
-fn newest_end(finished: &[FinishedRun]) -> u64 {
+fn newest_finished_number(finished: &[FinishedRun]) -> u64 {
     finished.iter().map(|run| run.number).max().unwrap_or(0)
 }
 
--- a/crates/dataplane/src/control_plane/client.rs
+++ b/crates/dataplane/src/control_plane/client.rs
@@ -205,7 +205,7 @@
         let result = tokio::select! {
             biased;
             result = endpoint.client().send(request, timeout) => result,
-            () = self.superseded(endpoint) => return RequestOutcome::Unknown,
+            () = self.wait_until_superseded(endpoint) => return RequestOutcome::Unknown,
         };
         match result {
             Ok(response) => self.on_response(endpoint, response),
@@ -214,7 +214,7 @@
     }
 
     /// Completes once a member other than `endpoint` is the primary.
-    async fn superseded(&self, endpoint: &Endpoint) {
+    async fn wait_until_superseded(&self, endpoint: &Endpoint) {
         loop {
             let changed = self.shared.changed.notified();
             if self.is_superseded(endpoint) {
--- a/crates/dataplane/src/control_plane/discovery.rs
+++ b/crates/dataplane/src/control_plane/discovery.rs
@@ -113,8 +113,8 @@
     /// Handles the view sent by the member at the internal address `from`.
     pub fn on_view(&mut self, now: Millis, from: &str, view: &ClusterView) {
         self.probes.on_completed(from);
-        let is_kept = cfg!(feature = "mutant-not-primary") && self.primary().is_some();
-        if view.epoch < self.epoch || is_kept {
+        let keeps_primary = cfg!(feature = "mutant-not-primary") && self.primary().is_some();
+        if view.epoch < self.epoch || keeps_primary {
             return;
         }
         let is_newer = view.epoch > self.epoch;
@@ -193,7 +193,7 @@
         if now < self.next_probe_at() {
             return Vec::new();
         }
-        let pause = self.jitter.span(&PROBE_ROUND_INTERVAL_MS);
+        let pause = self.jitter.duration_ms(&PROBE_ROUND_INTERVAL_MS);
         self.next_round_at = now.saturating_add(pause);
         match self.primary().map(|primary| Arc::clone(&primary.internal)) {
             Some(primary) => self.probes.begin(primary).into_iter().collect(),
--- a/crates/dataplane/src/control_plane/jitter.rs
+++ b/crates/dataplane/src/control_plane/jitter.rs
@@ -16,7 +16,7 @@
     }
 
     /// A random duration within `range`; its start if the range is empty.
-    pub(super) fn span(&mut self, range: &Range<Millis>) -> Millis {
+    pub(super) fn duration_ms(&mut self, range: &Range<Millis>) -> Millis {
         let width = range.end.saturating_sub(range.start).max(1);
         range.start + self.next() % width
     }
--- a/crates/dataplane/src/gate/client_limits.rs
+++ b/crates/dataplane/src/gate/client_limits.rs
@@ -21,15 +21,15 @@
 /// Derives the limits of the listener for clients from the settings and the configuration.
 pub(super) fn server_limits(settings: &ProcessSettings, limits: &Limits) -> ServerLimits {
     ServerLimits {
-        max_body_bytes: size(limits.max_body_bytes.min(MAX_BODY_BYTES)),
-        max_header_bytes: size(limits.max_header_bytes.min(MAX_HEADER_BYTES)),
+        max_body_bytes: saturating_usize(limits.max_body_bytes.min(MAX_BODY_BYTES)),
+        max_header_bytes: saturating_usize(limits.max_header_bytes.min(MAX_HEADER_BYTES)),
         body_timeout: Duration::from_millis(limits.header_timeout_ms),
         idle_timeout: Duration::from_millis(limits.idle_timeout_ms),
         max_connections: settings.limits.max_connections(RESERVED_DESCRIPTORS),
     }
 }
 
-fn size(bytes: u64) -> usize {
+fn saturating_usize(bytes: u64) -> usize {
     usize::try_from(bytes).unwrap_or(usize::MAX)
 }
 
--- a/crates/dataplane/src/gate/client_response.rs
+++ b/crates/dataplane/src/gate/client_response.rs
@@ -28,18 +28,18 @@
     }
 }
 
-fn decode(from_primary: &ClientResponse) -> Response {
-    let Ok(status) = StatusCode::from_u16(from_primary.status) else {
+fn decode(client_response: &ClientResponse) -> Response {
+    let Ok(status) = StatusCode::from_u16(client_response.status) else {
         return malformed();
     };
-    let body = bytes::Bytes::copy_from_slice(from_primary.body.as_bytes());
+    let body = bytes::Bytes::copy_from_slice(client_response.body.as_bytes());
     let mut response = Response::new(body);
     *response.status_mut() = status;
-    if !from_primary.body.is_empty() {
+    if !client_response.body.is_empty() {
         let json = HeaderValue::from_static("application/json");
         response.headers_mut().insert(CONTENT_TYPE, json);
     }
-    if let Some(retry_after_ms) = from_primary.retry_after_ms {
+    if let Some(retry_after_ms) = client_response.retry_after_ms {
         set_retry_after(&mut response, retry_after_ms);
     }
     response
--- a/crates/dataplane/src/gate/forwarding.rs
+++ b/crates/dataplane/src/gate/forwarding.rs
@@ -72,8 +72,8 @@
     request: &ClientRequest,
     deadline: Instant,
 ) -> Attempt {
-    let left = deadline.saturating_duration_since(Instant::now());
-    let timeout = left.clamp(MIN_ATTEMPT_TIMEOUT, MAX_ATTEMPT_TIMEOUT);
+    let remaining = deadline.saturating_duration_since(Instant::now());
+    let timeout = remaining.clamp(MIN_ATTEMPT_TIMEOUT, MAX_ATTEMPT_TIMEOUT);
     let outcome = client
         .post(primary, CLIENT_REQUEST_PATH, request, timeout)
         .await;
--- a/crates/dataplane/src/gate/handler.rs
+++ b/crates/dataplane/src/gate/handler.rs
@@ -45,7 +45,7 @@
 struct Shared {
     client: ControlPlaneClient,
     relay: RelayMember,
-    is_leaving: Cell<bool>,
+    is_shutting_down: Cell<bool>,
     forwarded: Cell<u64>,
     failed: Cell<u64>,
 }
@@ -62,7 +62,7 @@
         let shared = Shared {
             relay: RelayMember::new(client.clone(), relay_address),
             client,
-            is_leaving: Cell::default(),
+            is_shutting_down: Cell::default(),
             forwarded: Cell::default(),
             failed: Cell::default(),
         };
@@ -140,8 +140,8 @@
     }
 
     /// Starts the shutdown: from now on the gate reports that it is not ready.
-    pub fn leave(&self) {
-        self.shared.is_leaving.set(true);
+    pub fn begin_shutdown(&self) {
+        self.shared.is_shutting_down.set(true);
     }
 
     /// Reloads the seeds from the settings file.
@@ -153,14 +153,14 @@
     }
 
     fn is_ready(&self) -> bool {
-        !self.shared.is_leaving.get() && self.shared.client.is_fresh(MAX_PRIMARY_AGE_MS)
+        !self.shared.is_shutting_down.get() && self.shared.client.is_fresh(MAX_PRIMARY_AGE_MS)
     }
 
     fn status(&self) -> GateStatus {
         GateStatus {
             role: "gate",
             ready: self.is_ready(),
-            leaving: self.shared.is_leaving.get(),
+            leaving: self.shared.is_shutting_down.get(),
             forwarded: self.shared.forwarded.get(),
             failed: self.shared.failed.get(),
             control_plane: self.shared.client.view(),
--- a/crates/dataplane/src/gate/server.rs
+++ b/crates/dataplane/src/gate/server.rs
@@ -15,11 +15,11 @@
 
 /// Time from SIGTERM until responses carry `Connection: close`. In this time two of the platform's readiness
 /// probes, sent once a second, fail, and the platform stops routing new clients to this gate.
-const LEAVE_AFTER: Duration = Duration::from_secs(2);
+const CONNECTION_CLOSE_DELAY: Duration = Duration::from_secs(2);
 
 /// Time from SIGTERM until the gate stops accepting connections: clients routed here before the second failed
 /// probe have connected by then.
-const CLOSE_AFTER: Duration = Duration::from_millis(3_500);
+const LISTENER_CLOSE_DELAY: Duration = Duration::from_millis(3_500);
 
 /// Part of `grace_s` reserved for the exit of the process itself.
 const EXIT_MARGIN: Duration = Duration::from_millis(500);
@@ -78,9 +78,9 @@
     let gate = Gate::new(&settings);
     gate.start(settings.internal_address(GATE_PORT_OFFSET));
     start_relay(&gate, front.handle(), settings);
-    let probed = gate.clone();
+    let probed_gate = gate.clone();
     spawn_local(
-        readiness.run(move |request| std::future::ready(probed.respond_readiness(&request))),
+        readiness.run(move |request| std::future::ready(probed_gate.respond_readiness(&request))),
     );
     let front_handle = front.handle();
     let handler = gate.clone();
@@ -90,7 +90,7 @@
         gate.reload();
     }
     log::info!("shutting down: gate not ready, draining client connections");
-    gate.leave();
+    gate.begin_shutdown();
     shut_down(&front_handle, grace, serving).await;
     Ok(())
 }
@@ -105,13 +105,13 @@
 /// Closes the listener for clients without losing a request; returns before `grace` has elapsed.
 async fn shut_down(front: &ServerHandle, grace: Duration, serving: JoinHandle<()>) {
     let deadline = grace.saturating_sub(EXIT_MARGIN);
-    let close_after = CLOSE_AFTER.min(deadline / 2);
-    let leave_after = LEAVE_AFTER.min(close_after / 2);
-    tokio::time::sleep(leave_after).await;
+    let listener_close_delay = LISTENER_CLOSE_DELAY.min(deadline / 2);
+    let connection_close_delay = CONNECTION_CLOSE_DELAY.min(listener_close_delay / 2);
+    tokio::time::sleep(connection_close_delay).await;
     front.leave();
-    tokio::time::sleep(close_after.saturating_sub(leave_after)).await;
+    tokio::time::sleep(listener_close_delay.saturating_sub(connection_close_delay)).await;
     front.close();
-    if !completes_within(deadline.saturating_sub(close_after), serving).await {
+    if !completes_within(deadline.saturating_sub(listener_close_delay), serving).await {
         log::warn!(
             "shutdown deadline reached with requests in flight: they took longer than grace_s"
         );
--- a/crates/dataplane/src/main.rs
+++ b/crates/dataplane/src/main.rs
@@ -41,7 +41,7 @@
             ExitCode::SUCCESS
         }
         Ok(ParsedCommandLine::Run(options)) => check_and_run(options),
-        Err(error) => misuse(&error),
+        Err(error) => exit_with_misuse(&error),
     }
 }
 
@@ -79,11 +79,11 @@
     logs::start(options.log_level);
     let settings = match settings::load() {
         Ok(settings) => settings,
-        Err(error) => return misuse(&error),
+        Err(error) => return exit_with_misuse(&error),
     };
     let role = Role::from_command(options.command);
     match role.check(&settings) {
-        Err(error) => misuse(&error),
+        Err(error) => exit_with_misuse(&error),
         Ok(()) if options.check => ExitCode::SUCCESS,
         Ok(()) => run(role, settings),
     }
@@ -99,7 +99,7 @@
     }
 }
 
-fn misuse(error: &dyn std::error::Error) -> ExitCode {
+fn exit_with_misuse(error: &dyn std::error::Error) -> ExitCode {
     eprintln!("{}: {error}", PROGRAM.name);
     ExitCode::from(EXIT_MISUSE)
 }
--- a/crates/dataplane/tests/encoded_forms.rs
+++ b/crates/dataplane/tests/encoded_forms.rs
@@ -328,7 +328,7 @@
         let gate = Gate::new(&settings(address(7_300)));
         let status = gate.respond_internal(&request("GET", STATUS_PATH, ""));
         recorded.line("gate", std::str::from_utf8(status.body()).unwrap());
-        gate.leave();
+        gate.begin_shutdown();
         let _refused = gate.clone().respond(request("GET", "/", "")).await;
         let _refused = gate.clone().respond(request("PUT", "/", "")).await;
         gate.control_plane().set_seeds(vec![core(address(1))]);
--- a/crates/dataplane/tests/gate.rs
+++ b/crates/dataplane/tests/gate.rs
@@ -354,7 +354,7 @@
 
         let before = alone.respond_readiness(&question).status();
         let ready = gate.respond_readiness(&question).status();
-        gate.leave();
+        gate.begin_shutdown();
         let leaving = gate.respond_readiness(&question).status();
         let elsewhere = gate.respond_readiness(&request("GET", "/", "")).status();
 
