--- a/crates/dataplane/tests/agent/commands.rs
+++ b/crates/dataplane/tests/agent/commands.rs
@@ -1,8 +1,8 @@
-//! Commands: which are handed to the worker, how often, and which are fenced.
+//! Commands: which ones the agent sends to the worker, how often, and which ones it rejects by their epoch.
 
 use super::simulation::{
-    at_work, commands, draining, ended, heartbeat, response_to, running, start, stop, task,
-    Simulation,
+    busy_heartbeat, commands, draining_heartbeat, finished_run, heartbeat, response_to, running,
+    start, stop, task, Simulation,
 };
 use rstest::rstest;
 use streamusher_protocol::heartbeat::{Heartbeat, WorkerState};
@@ -17,7 +17,7 @@
 
     simulation.advance(50);
     let offered = simulation.newest_sync().worker.clone().unwrap().offered;
-    simulation.heartbeat(at_work(2, &[running(1, 1)]));
+    simulation.heartbeat(busy_heartbeat(2, &[running(1, 1)]));
     simulation.advance(50);
 
     assert_eq!(
@@ -47,9 +47,9 @@
 }
 
 #[rstest]
-#[case::running(at_work(2, &[running(1, 1)]))]
-#[case::ended(Heartbeat {
-    finished: vec![ended(1, 1, 1)], running: vec![running(9, 1)], ..heartbeat(2) })]
+#[case::running(busy_heartbeat(2, &[running(1, 1)]))]
+#[case::finished_run(Heartbeat {
+    finished: vec![finished_run(1, 1, 1)], running: vec![running(9, 1)], ..heartbeat(2) })]
 fn start_that_the_worker_has_is_not_sent_again(
     #[case] next: streamusher_protocol::heartbeat::Heartbeat,
 ) {
@@ -74,7 +74,7 @@
     simulation.respond_to_sync(commands(1, 3, &[start(1, 1)]));
     simulation.now += 50;
 
-    let response = simulation.heartbeat(draining(2)).unwrap();
+    let response = simulation.heartbeat(draining_heartbeat(2)).unwrap();
 
     assert!(response.start.is_empty());
     let report = simulation.newest_sync().worker.clone().unwrap();
@@ -87,10 +87,10 @@
     let mut simulation = Simulation::with_lease();
     simulation.heartbeat(heartbeat(1));
     simulation.advance(60);
-    simulation.heartbeat(draining(2));
+    simulation.heartbeat(draining_heartbeat(2));
 
     simulation.respond_to_sync(commands(1, 2, &[start(1, 1)]));
-    let response = simulation.heartbeat(draining(3)).unwrap();
+    let response = simulation.heartbeat(draining_heartbeat(3)).unwrap();
 
     assert!(response.start.is_empty());
 }
@@ -98,7 +98,7 @@
 #[test]
 fn commands_of_an_earlier_epoch_change_neither_lease_nor_commands() {
     let mut simulation = Simulation::with_lease();
-    simulation.heartbeat(at_work(1, &[running(1, 1)]));
+    simulation.heartbeat(busy_heartbeat(1, &[running(1, 1)]));
     simulation.advance(50);
     simulation.respond_to_sync(AgentCommands {
         lease_ms: 1_000,
@@ -117,7 +117,9 @@
         (status.epoch, status.revision, status.lease_left_ms),
         (3, 1, lease_before)
     );
-    let response = simulation.heartbeat(at_work(2, &[running(2, 1)])).unwrap();
+    let response = simulation
+        .heartbeat(busy_heartbeat(2, &[running(2, 1)]))
+        .unwrap();
     assert_eq!((response.fence_token, response.start.len()), (3, 0));
 }
 
@@ -146,7 +148,9 @@
         ..commands(1, 2, &[start(1, 1)])
     });
 
-    let response = simulation.heartbeat(at_work(1, &[running(2, 1)])).unwrap();
+    let response = simulation
+        .heartbeat(busy_heartbeat(1, &[running(2, 1)]))
+        .unwrap();
 
     assert_eq!(
         (
@@ -161,7 +165,7 @@
 #[test]
 fn stop_is_repeated_while_the_run_is_at_work() {
     let mut simulation = Simulation::with_lease();
-    simulation.heartbeat(at_work(1, &[running(1, 1)]));
+    simulation.heartbeat(busy_heartbeat(1, &[running(1, 1)]));
     simulation.now += 50;
     simulation.respond_to_sync(AgentCommands {
         stop: vec![stop(1, 1)],
@@ -169,8 +173,12 @@
         ..commands(1, 2, &[])
     });
 
-    let first = simulation.heartbeat(at_work(2, &[running(1, 1)])).unwrap();
-    let second = simulation.heartbeat(at_work(3, &[running(1, 1)])).unwrap();
+    let first = simulation
+        .heartbeat(busy_heartbeat(2, &[running(1, 1)]))
+        .unwrap();
+    let second = simulation
+        .heartbeat(busy_heartbeat(3, &[running(1, 1)]))
+        .unwrap();
     let third = simulation.heartbeat(heartbeat(4));
 
     assert_eq!((first.stop.len(), second.stop.len()), (1, 1));
--- a/crates/dataplane/tests/agent/hold.rs
+++ b/crates/dataplane/tests/agent/hold.rs
@@ -1,7 +1,7 @@
-//! Holds: what an agent grants its worker of the lease.
+//! Holds: how much of its lease an agent grants to its worker.
 
 use super::simulation::{
-    at_work, commands, running, start, Simulation, LEASE_LEFT_MS, LEASE_MS, LONGEST_GRANT_MS,
+    busy_heartbeat, commands, running, start, Simulation, LEASE_LEFT_MS, LEASE_MS, LONGEST_GRANT_MS,
 };
 use streamusher_protocol::heartbeat::HeartbeatResponse;
 use streamusher_protocol::internal::AgentCommands;
@@ -10,7 +10,9 @@
 fn heartbeat_without_a_lease_is_answered_at_once_without_a_hold() {
     let mut simulation = Simulation::start();
 
-    let response = simulation.heartbeat(at_work(1, &[running(1, 1)])).unwrap();
+    let response = simulation
+        .heartbeat(busy_heartbeat(1, &[running(1, 1)]))
+        .unwrap();
 
     assert_eq!(
         response,
@@ -26,7 +28,9 @@
     let mut simulation = Simulation::with_lease();
     simulation.now += 1_000;
 
-    let response = simulation.heartbeat(at_work(1, &[running(1, 1)])).unwrap();
+    let response = simulation
+        .heartbeat(busy_heartbeat(1, &[running(1, 1)]))
+        .unwrap();
 
     assert_eq!(response.hold_ms, Some((LEASE_LEFT_MS - 1_000) * 97 / 100));
     assert_eq!(response.fence_token, 1);
@@ -42,7 +46,9 @@
         ..commands(1, 2, &[])
     });
 
-    let response = simulation.heartbeat(at_work(1, &[running(1, 1)])).unwrap();
+    let response = simulation
+        .heartbeat(busy_heartbeat(1, &[running(1, 1)]))
+        .unwrap();
 
     assert_eq!(response.hold_ms, Some(LONGEST_GRANT_MS));
 }
@@ -54,7 +60,9 @@
     simulation.respond_to_sync(commands(1, 2, &[start(1, 1)]));
     simulation.now += LEASE_MS;
 
-    let response = simulation.heartbeat(at_work(1, &[running(2, 1)])).unwrap();
+    let response = simulation
+        .heartbeat(busy_heartbeat(1, &[running(2, 1)]))
+        .unwrap();
 
     assert_eq!(
         (
@@ -73,7 +81,9 @@
     simulation.now += LEASE_MS - 100;
     simulation.respond_to_sync(commands(1, 1, &[start(1, 1)]));
 
-    let response = simulation.heartbeat(at_work(1, &[running(2, 1)])).unwrap();
+    let response = simulation
+        .heartbeat(busy_heartbeat(1, &[running(2, 1)]))
+        .unwrap();
 
     assert_eq!((response.hold_ms, response.start.len()), (Some(97), 0));
 }
--- a/crates/dataplane/tests/agent/long_poll.rs
+++ b/crates/dataplane/tests/agent/long_poll.rs
@@ -1,6 +1,8 @@
-//! Heartbeats as long polls: when they are answered, and what late ones are answered.
+//! Heartbeats as long polls: when they are answered, and the responses to late ones.
 
-use super::simulation::{at_work, commands, heartbeat, response_to, running, start, Simulation};
+use super::simulation::{
+    busy_heartbeat, commands, heartbeat, response_to, running, start, Simulation,
+};
 use streamusher_dataplane::agent::{AgentAction, AgentEvent};
 use streamusher_protocol::heartbeat::HeartbeatResponse;
 
@@ -48,7 +50,7 @@
 #[test]
 fn stale_heartbeat_changes_nothing() {
     let mut simulation = Simulation::with_lease();
-    simulation.heartbeat(at_work(5, &[running(1, 1)]));
+    simulation.heartbeat(busy_heartbeat(5, &[running(1, 1)]));
     simulation.advance(60);
 
     let response = simulation.heartbeat(heartbeat(4)).unwrap();
--- a/crates/dataplane/tests/agent/main.rs
+++ b/crates/dataplane/tests/agent/main.rs
@@ -1,4 +1,4 @@
-//! The agent's state machine in virtual time.
+//! Tests of the agent's state machine in virtual time.
 
 #![allow(
     clippy::expect_used,
--- a/crates/dataplane/tests/agent/presence.rs
+++ b/crates/dataplane/tests/agent/presence.rs
@@ -1,8 +1,8 @@
-//! When a worker is reported as gone.
+//! When an agent reports its worker as gone.
 
 use super::simulation::{
-    at_work, commands, draining, heartbeat, response_to, running, settings, start, Simulation,
-    HEARTBEAT_MS, LONGEST_GRANT_MS, SYNC_INTERVAL_MS,
+    busy_heartbeat, commands, draining_heartbeat, heartbeat, response_to, running, settings, start,
+    Simulation, HEARTBEAT_MS, LONGEST_GRANT_MS, SYNC_INTERVAL_MS,
 };
 use streamusher_dataplane::agent::{Agent, AgentAction, AgentEvent};
 use streamusher_protocol::heartbeat::WorkerState;
@@ -14,15 +14,19 @@
     simulation.heartbeat(heartbeat(1));
     simulation.respond_to_sync(commands(1, 2, &[start(1, 1)]));
     simulation.agent = Agent::new(settings(), simulation.now);
-    simulation.unanswered.clear();
+    simulation.pending_syncs.clear();
 
-    let response = simulation.heartbeat(at_work(2, &[running(1, 1)])).unwrap();
+    let response = simulation
+        .heartbeat(busy_heartbeat(2, &[running(1, 1)]))
+        .unwrap();
 
     assert_eq!(response.hold_ms, None);
     let report = simulation.newest_sync().worker.clone().unwrap();
     assert_eq!((report.running.len(), report.gone), (1, false));
     simulation.respond_to_sync(commands(1, 2, &[start(1, 1)]));
-    let response = simulation.heartbeat(at_work(3, &[running(1, 1)])).unwrap();
+    let response = simulation
+        .heartbeat(busy_heartbeat(3, &[running(1, 1)]))
+        .unwrap();
     assert!(response.hold_ms.is_some() && response.start.is_empty());
 }
 
@@ -30,11 +34,13 @@
 fn silent_worker_is_gone_once_its_hold_is_over_on_a_slow_clock() {
     let mut simulation = Simulation::with_lease();
     simulation.heartbeat(heartbeat(1));
-    let response = simulation.heartbeat(at_work(2, &[running(1, 1)])).unwrap();
-    let hold_over = response.hold_ms.unwrap() * 1_000 / 980 + 50;
-    assert!(hold_over > HEARTBEAT_MS * 5 / 2);
+    let response = simulation
+        .heartbeat(busy_heartbeat(2, &[running(1, 1)]))
+        .unwrap();
+    let max_hold_duration_ms = response.hold_ms.unwrap() * 1_000 / 980 + 50;
+    assert!(max_hold_duration_ms > HEARTBEAT_MS * 5 / 2);
 
-    simulation.advance(hold_over);
+    simulation.advance(max_hold_duration_ms);
     let before = simulation.agent.status(simulation.now).gone;
     simulation.fail_older_syncs();
     simulation.advance(50);
@@ -63,14 +69,14 @@
     simulation.heartbeat(heartbeat(1));
     let received = simulation.now;
     simulation.advance(60);
-    let sequence = simulation.unanswered.pop().unwrap();
-    let long = AgentCommands {
+    let sequence = simulation.pending_syncs.pop().unwrap();
+    let commands_with_long_lease = AgentCommands {
         lease_ms: 60_000,
         ..commands(1, 2, &[start(1, 1)])
     };
     simulation.handle(AgentEvent::SyncResponse {
         sequence,
-        commands: long,
+        commands: commands_with_long_lease,
     });
 
     simulation.now = received;
@@ -87,19 +93,19 @@
     let mut simulation = Simulation::with_lease();
     simulation.heartbeat(heartbeat(1));
     simulation.advance(60);
-    let early = simulation.unanswered.pop().unwrap();
+    let earlier_sequence = simulation.pending_syncs.pop().unwrap();
     simulation.advance(HEARTBEAT_MS * 5 / 2 + 50);
     assert!(simulation.agent.status(simulation.now).gone);
 
-    // The response to an earlier sync was on its way while the worker was reported as gone.
+    // The response to an earlier sync was in transit while the worker was reported as gone.
     simulation.heartbeat(heartbeat(2));
-    let late = AgentCommands {
+    let late_commands = AgentCommands {
         lease_ms: 60_000,
         ..commands(1, 2, &[start(1, 1)])
     };
     let actions = simulation.handle(AgentEvent::SyncResponse {
-        sequence: early,
-        commands: late,
+        sequence: earlier_sequence,
+        commands: late_commands,
     });
 
     assert!(!simulation.agent.status(simulation.now).gone);
@@ -136,7 +142,7 @@
 #[test]
 fn deregistered_worker_without_runs_is_gone_at_once() {
     let mut simulation = Simulation::with_lease();
-    simulation.heartbeat(draining(1));
+    simulation.heartbeat(draining_heartbeat(1));
     simulation.advance(60);
 
     let actions = simulation.deregister("i-1");
@@ -155,11 +161,13 @@
 fn deregistered_worker_with_runs_is_gone_once_its_hold_is_over() {
     let mut simulation = Simulation::with_lease();
     simulation.heartbeat(heartbeat(1));
-    let response = simulation.heartbeat(at_work(2, &[running(1, 1)])).unwrap();
-    let hold_over = response.hold_ms.unwrap() * 1_000 / 980 + 50;
+    let response = simulation
+        .heartbeat(busy_heartbeat(2, &[running(1, 1)]))
+        .unwrap();
+    let max_hold_duration_ms = response.hold_ms.unwrap() * 1_000 / 980 + 50;
 
     let actions = simulation.deregister("i-1");
-    simulation.advance(hold_over);
+    simulation.advance(max_hold_duration_ms);
     let before = simulation.newest_sync().worker.clone().unwrap();
     simulation.fail_older_syncs();
     simulation.advance(50);
@@ -194,14 +202,18 @@
 fn heartbeats_after_deregistration_are_ignored() {
     let mut simulation = Simulation::with_lease();
     simulation.heartbeat(heartbeat(1));
-    simulation.heartbeat(at_work(2, &[running(1, 1)]));
+    simulation.heartbeat(busy_heartbeat(2, &[running(1, 1)]));
     simulation.deregister("i-1");
 
-    let while_leaving = simulation.heartbeat(at_work(3, &[running(1, 1)])).unwrap();
+    let while_leaving = simulation
+        .heartbeat(busy_heartbeat(3, &[running(1, 1)]))
+        .unwrap();
     simulation.advance(LONGEST_GRANT_MS * 1_000 / 980 + 51);
-    let late = simulation.heartbeat(at_work(4, &[running(1, 1)])).unwrap();
+    let late_response = simulation
+        .heartbeat(busy_heartbeat(4, &[running(1, 1)]))
+        .unwrap();
 
-    assert_eq!((while_leaving.hold_ms, late.hold_ms), (None, None));
+    assert_eq!((while_leaving.hold_ms, late_response.hold_ms), (None, None));
     assert!(simulation.agent.status(simulation.now).gone);
 }
 
@@ -229,16 +241,19 @@
 #[test]
 fn new_instance_replaces_the_former_one() {
     let mut simulation = Simulation::with_lease();
-    simulation.heartbeat(at_work(7, &[running(1, 1)]));
+    simulation.heartbeat(busy_heartbeat(7, &[running(1, 1)]));
     simulation.advance(60);
 
     simulation.heartbeat_of("i-2", heartbeat(1));
-    let late = simulation
-        .heartbeat_of("i-1", at_work(8, &[running(1, 1)]))
+    let late_response = simulation
+        .heartbeat_of("i-1", busy_heartbeat(8, &[running(1, 1)]))
         .unwrap();
     simulation.advance(50);
 
-    assert_eq!((late.hold_ms, late.start.len()), (None, 0));
+    assert_eq!(
+        (late_response.hold_ms, late_response.start.len()),
+        (None, 0)
+    );
     let report = simulation.newest_sync().worker.clone().unwrap();
     assert_eq!(
         (&*report.instance, report.running.len(), report.gone),
@@ -247,7 +262,7 @@
 }
 
 #[test]
-fn worker_that_never_calls_a_restarted_agent_is_gone_after_earlier_holds() {
+fn worker_without_heartbeats_to_a_restarted_agent_is_gone_after_earlier_holds() {
     let mut simulation = Simulation::with_lease();
 
     simulation.advance(LONGEST_GRANT_MS * 1_000 / 980 + 50 - 2 * SYNC_INTERVAL_MS);
@@ -262,7 +277,7 @@
 #[test]
 fn silence_at_a_restarted_agent_waits_for_earlier_holds() {
     let mut simulation = Simulation::start();
-    simulation.heartbeat(at_work(3, &[running(1, 1)]));
+    simulation.heartbeat(busy_heartbeat(3, &[running(1, 1)]));
 
     simulation.advance(LONGEST_GRANT_MS);
     let before = simulation.agent.status(simulation.now).gone;
--- a/crates/dataplane/tests/agent/simulation.rs
+++ b/crates/dataplane/tests/agent/simulation.rs
@@ -1,4 +1,4 @@
-//! An agent in virtual time, and builders for what happens to it.
+//! An agent in virtual time, and builders for its events.
 
 use streamusher_dataplane::agent::{Agent, AgentAction, AgentEvent, AgentSettings};
 use streamusher_protocol::heartbeat::{
@@ -10,11 +10,11 @@
 
 pub(crate) const LEASE_MS: Millis = 4_000;
 pub(crate) const HOLD_MAX_MS: Millis = 6_000;
-/// The longest hold that an agent grants.
+/// Longest hold that an agent grants.
 pub(crate) const LONGEST_GRANT_MS: Millis = 4_000;
-/// Longer than the shortest time between two syncs.
+/// Longer than the minimum interval between two syncs.
 pub(crate) const SYNC_INTERVAL_MS: Millis = 40;
-/// What is left of the lease in a simulation that is in contact.
+/// Remaining lease in a simulation created by [`Simulation::with_lease`].
 pub(crate) const LEASE_LEFT_MS: Millis = LEASE_MS - 2 * SYNC_INTERVAL_MS;
 pub(crate) const HEARTBEAT_MS: Millis = 1_500;
 
@@ -49,7 +49,7 @@
     }
 }
 
-pub(crate) fn ended(number: u64, index: u32, run: u32) -> FinishedRun {
+pub(crate) fn finished_run(number: u64, index: u32, run: u32) -> FinishedRun {
     FinishedRun {
         number,
         task: task(index),
@@ -74,14 +74,14 @@
     }
 }
 
-pub(crate) fn at_work(sequence: u64, runs: &[RunningTask]) -> Heartbeat {
+pub(crate) fn busy_heartbeat(sequence: u64, runs: &[RunningTask]) -> Heartbeat {
     Heartbeat {
         running: runs.to_vec(),
         ..heartbeat(sequence)
     }
 }
 
-pub(crate) fn draining(sequence: u64) -> Heartbeat {
+pub(crate) fn draining_heartbeat(sequence: u64) -> Heartbeat {
     Heartbeat {
         state: WorkerState::Draining,
         remaining_ms: Some(9_000),
@@ -100,13 +100,13 @@
     }
 }
 
-/// One agent, its clock, and the syncs that it has sent.
+/// An agent, its clock, and the syncs that it has sent.
 pub(crate) struct Simulation {
     pub(crate) agent: Agent,
     pub(crate) now: Millis,
     last_request_id: u64,
-    /// Sequences of the syncs without a response, oldest first.
-    pub(crate) unanswered: Vec<u64>,
+    /// Sequence numbers of the syncs without a response, oldest first.
+    pub(crate) pending_syncs: Vec<u64>,
     pub(crate) syncs: Vec<AgentSync>,
 }
 
@@ -117,13 +117,13 @@
             agent: Agent::new(settings(), now),
             now,
             last_request_id: 0,
-            unanswered: Vec::new(),
+            pending_syncs: Vec::new(),
             syncs: Vec::new(),
         }
     }
 
-    /// An agent whose first sync the primary of epoch 1 has answered, without commands for worker `i-1`. Its next sync
-    /// waits there, and another may be sent at once.
+    /// An agent whose first sync was answered by the primary of epoch 1, without commands for worker `i-1`.
+    /// The primary holds the agent's next sync, and another may be sent immediately.
     pub(crate) fn with_lease() -> Simulation {
         let mut simulation = Simulation::start();
         simulation.tick();
@@ -136,7 +136,7 @@
         let actions = self.agent.handle(self.now, event);
         for action in &actions {
             if let AgentAction::SendSync(sync) = action {
-                self.unanswered.push(sync.sequence);
+                self.pending_syncs.push(sync.sequence);
                 self.syncs.push(sync.clone());
             }
         }
@@ -147,7 +147,7 @@
         self.handle(AgentEvent::Tick)
     }
 
-    /// Lets `span` pass with a tick at each wake-up; gives all actions.
+    /// Advances the clock by `span` with a tick at each wake-up; returns all actions.
     pub(crate) fn advance(&mut self, span: Millis) -> Vec<AgentAction> {
         let end = self.now + span;
         let mut actions = Vec::new();
@@ -159,7 +159,7 @@
         actions
     }
 
-    /// Sends a heartbeat; gives the response where it comes at once.
+    /// Sends a heartbeat; returns the response if it is immediate.
     pub(crate) fn heartbeat_of(
         &mut self,
         instance: &str,
@@ -189,19 +189,19 @@
 
     /// Answers the newest sync.
     pub(crate) fn respond_to_sync(&mut self, commands: AgentCommands) -> Vec<AgentAction> {
-        let sequence = self.unanswered.pop().expect("a sync is in flight");
+        let sequence = self.pending_syncs.pop().expect("a sync is in flight");
         self.handle(AgentEvent::SyncResponse { sequence, commands })
     }
 
     pub(crate) fn fail_sync(&mut self) -> Vec<AgentAction> {
-        let sequence = self.unanswered.pop().expect("a sync is in flight");
+        let sequence = self.pending_syncs.pop().expect("a sync is in flight");
         self.handle(AgentEvent::SyncFailed { sequence })
     }
 
-    /// Fails all syncs but the newest, as when the primary ends them.
+    /// Fails all syncs except the newest, as if the primary had ended them.
     pub(crate) fn fail_older_syncs(&mut self) {
-        while self.unanswered.len() > 1 {
-            let sequence = self.unanswered.remove(0);
+        while self.pending_syncs.len() > 1 {
+            let sequence = self.pending_syncs.remove(0);
             self.handle(AgentEvent::SyncFailed { sequence });
         }
     }
@@ -216,7 +216,7 @@
     }
 }
 
-/// The response to a request among `actions`.
+/// The response to the request `wanted` among `actions`.
 pub(crate) fn response_to(actions: &[AgentAction], wanted: u64) -> Option<HeartbeatResponse> {
     actions.iter().find_map(|action| match action {
         AgentAction::Respond {
--- a/crates/dataplane/tests/agent/syncs.rs
+++ b/crates/dataplane/tests/agent/syncs.rs
@@ -1,7 +1,8 @@
-//! When syncs are sent, and what becomes of their responses.
+//! When an agent sends syncs, and how it handles their responses.
 
 use super::simulation::{
-    at_work, commands, draining, ended, heartbeat, running, start, task, Simulation,
+    busy_heartbeat, commands, draining_heartbeat, finished_run, heartbeat, running, start, task,
+    Simulation,
 };
 use streamusher_dataplane::agent::AgentEvent;
 use streamusher_protocol::heartbeat::{Heartbeat, RunningTask};
@@ -22,14 +23,14 @@
 #[test]
 fn withdrawn_start_is_reported_while_another_sync_waits() {
     let mut simulation = Simulation::with_lease();
-    simulation.heartbeat(at_work(1, &[running(9, 1)]));
+    simulation.heartbeat(busy_heartbeat(1, &[running(9, 1)]));
     simulation.respond_to_sync(commands(1, 2, &[start(1, 1)]));
     simulation.advance(100);
-    simulation.heartbeat(draining(2));
+    simulation.heartbeat(draining_heartbeat(2));
     simulation.advance(100);
-    let older = simulation.unanswered.remove(0);
+    let older = simulation.pending_syncs.remove(0);
     let before = simulation.newest_sync().sequence;
-    assert!(older < before && simulation.unanswered.contains(&before));
+    assert!(older < before && simulation.pending_syncs.contains(&before));
 
     simulation.handle(AgentEvent::SyncResponse {
         sequence: older,
@@ -45,7 +46,7 @@
 fn checkpoints_are_reported_within_400_ms() {
     let mut simulation = Simulation::with_lease();
 
-    simulation.heartbeat(at_work(
+    simulation.heartbeat(busy_heartbeat(
         1,
         &[RunningTask {
             task: task(1),
@@ -62,11 +63,11 @@
 #[test]
 fn progress_alone_begins_no_second_sync() {
     let mut simulation = Simulation::with_lease();
-    simulation.heartbeat(at_work(1, &[running(1, 1)]));
+    simulation.heartbeat(busy_heartbeat(1, &[running(1, 1)]));
     simulation.advance(60);
     let before = simulation.syncs.len();
 
-    simulation.heartbeat(at_work(
+    simulation.heartbeat(busy_heartbeat(
         2,
         &[RunningTask {
             task: task(1),
@@ -83,11 +84,11 @@
 #[test]
 fn ended_run_is_reported_by_a_second_sync_at_once() {
     let mut simulation = Simulation::with_lease();
-    simulation.heartbeat(at_work(1, &[running(1, 1)]));
+    simulation.heartbeat(busy_heartbeat(1, &[running(1, 1)]));
     simulation.advance(100);
     let before = simulation.newest_sync().sequence;
 
-    let finished = vec![ended(1, 1, 1)];
+    let finished = vec![finished_run(1, 1, 1)];
     simulation.heartbeat(Heartbeat {
         finished,
         ..heartbeat(2)
@@ -104,10 +105,10 @@
     let before = simulation.syncs.len();
 
     for sequence in 1..=200_u32 {
-        simulation.heartbeat(at_work(u64::from(sequence), &[running(sequence, 1)]));
+        simulation.heartbeat(busy_heartbeat(u64::from(sequence), &[running(sequence, 1)]));
         simulation.advance(5);
-        while simulation.unanswered.len() > 1 {
-            let sequence = simulation.unanswered.remove(0);
+        while simulation.pending_syncs.len() > 1 {
+            let sequence = simulation.pending_syncs.remove(0);
             let commands = commands(1, 2, &[]);
             simulation.handle(AgentEvent::SyncResponse { sequence, commands });
         }
@@ -123,7 +124,7 @@
 #[test]
 fn failed_syncs_back_off_to_200_ms_and_report_again() {
     let mut simulation = Simulation::start();
-    simulation.heartbeat(at_work(1, &[running(1, 1)]));
+    simulation.heartbeat(busy_heartbeat(1, &[running(1, 1)]));
     let mut pauses = Vec::new();
 
     for _ in 0..5 {
@@ -143,7 +144,7 @@
     let mut simulation = Simulation::with_lease();
 
     for sequence in 1..=20_u32 {
-        simulation.heartbeat(at_work(u64::from(sequence), &[running(sequence, 1)]));
+        simulation.heartbeat(busy_heartbeat(u64::from(sequence), &[running(sequence, 1)]));
         simulation.advance(60);
     }
 
@@ -161,7 +162,7 @@
             .next_wakeup()
             .map_or(simulation.now + 50, |at| at.max(simulation.now));
         simulation.tick();
-        if simulation.unanswered.len() > 1 {
+        if simulation.pending_syncs.len() > 1 {
             simulation.fail_sync();
         }
         assert!(simulation
--- a/crates/dataplane/tests/agent_process.rs
+++ b/crates/dataplane/tests/agent_process.rs
@@ -1,4 +1,4 @@
-//! The agent's process over loopback, with a stand-in for the primary.
+//! The agent process over loopback, with a simulated primary.
 
 #![allow(
     clippy::expect_used,
@@ -10,7 +10,7 @@
 mod primary;
 
 use http::StatusCode;
-use primary::{request, run, settings, Primary, SOON};
+use primary::{request, run, settings, Primary, TEST_TIMEOUT};
 use std::net::SocketAddr;
 use std::time::Instant;
 use streamusher_dataplane::agent_process::{check, AgentProcess};
@@ -24,13 +24,13 @@
 const LEASE_MS: u64 = 4_000;
 const HEARTBEAT: &str = "/streamusher/Instances.Heartbeat/i-1";
 
-/// An agent that serves its worker here.
-fn agent_of(primary: SocketAddr) -> Client {
-    let program = AgentProcess::new(&settings(primary));
-    program.start("127.0.0.1:0".parse().unwrap());
+/// Starts an agent with a listener for its worker; returns the worker's HTTP client.
+fn start_agent(primary: SocketAddr) -> Client {
+    let agent = AgentProcess::new(&settings(primary));
+    agent.start("127.0.0.1:0".parse().unwrap());
     let server = Server::bind("127.0.0.1:0".parse().unwrap(), ServerLimits::default()).unwrap();
     let address = server.local_address().unwrap();
-    tokio::task::spawn_local(server.run(move |request| program.clone().respond(request)));
+    tokio::task::spawn_local(server.run(move |request| agent.clone().respond(request)));
     Client::new(address)
 }
 
@@ -43,8 +43,8 @@
     }
 }
 
-/// Answers a sync with one start command for the worker that it reports.
-fn command_a_start(request: &Request) -> Response {
+/// Responds to a sync with one start command for the worker in its report.
+fn respond_with_start(request: &Request) -> Response {
     if request.uri().path() != AGENT_SYNC_PATH {
         return empty(StatusCode::NOT_FOUND);
     }
@@ -64,7 +64,7 @@
 
 async fn heartbeat(worker: &Client, body: String) -> Response {
     worker
-        .send(request("POST", HEARTBEAT, body), SOON)
+        .send(request("POST", HEARTBEAT, body), TEST_TIMEOUT)
         .await
         .unwrap()
 }
@@ -72,14 +72,14 @@
 #[test]
 fn start_command_reaches_the_worker_with_a_hold() {
     run(async {
-        let primary = Primary::start(|request| std::future::ready(command_a_start(&request)));
-        let worker = agent_of(primary.address);
+        let primary = Primary::start(|request| std::future::ready(respond_with_start(&request)));
+        let worker = start_agent(primary.address);
 
         let mut response = HeartbeatResponse::default();
-        let mut called_at = Instant::now();
+        let mut sent_at = Instant::now();
         for sequence in 1.. {
             let body = format!("{{\"service\":\"app\",\"sequence\":{sequence}}}");
-            called_at = Instant::now();
+            sent_at = Instant::now();
             response = parse_json(heartbeat(&worker, body).await.body()).unwrap();
             if !response.start.is_empty() {
                 break;
@@ -88,12 +88,13 @@
 
         assert_eq!(response.start, [start_command()]);
         assert_eq!(response.fence_token, 4);
-        // The lease begins with a sync, which may be sent while the request is held; the hold begins with the request.
-        let lease_over = u128::from(LEASE_MS) + called_at.elapsed().as_millis();
-        let most = lease_over * 97 / 100;
+        // The lease begins when a sync is sent, which may be while the agent holds the heartbeat; the hold
+        // begins when the heartbeat is sent.
+        let max_lease_ms = u128::from(LEASE_MS) + sent_at.elapsed().as_millis();
+        let max_hold_ms = max_lease_ms * 97 / 100;
         assert!(
-            (500..=most).contains(&u128::from(response.hold_ms.unwrap())),
-            "{response:?}, at most {most}"
+            (500..=max_hold_ms).contains(&u128::from(response.hold_ms.unwrap())),
+            "{response:?}, at most {max_hold_ms}"
         );
     });
 }
@@ -102,7 +103,7 @@
 fn malformed_heartbeat_is_rejected_naming_the_field() {
     run(async {
         let primary = Primary::start(|_request| std::future::pending::<Response>());
-        let worker = agent_of(primary.address);
+        let worker = start_agent(primary.address);
 
         let missing = heartbeat(&worker, "{\"service\":\"app\"}".to_owned()).await;
         let wrong = heartbeat(&worker, "{\"service\":\"app\",\"sequence\":-1}".to_owned()).await;
@@ -123,17 +124,17 @@
 #[test]
 fn draining_and_deregistration_need_no_primary() {
     run(async {
-        let free = std::net::TcpListener::bind("127.0.0.1:0")
+        let unused_address = std::net::TcpListener::bind("127.0.0.1:0")
             .unwrap()
             .local_addr()
             .unwrap();
-        let worker = agent_of(free);
+        let worker = start_agent(unused_address);
 
         let body =
             "{\"service\":\"app\",\"sequence\":1,\"state\":\"draining\",\"remaining_ms\":4000}";
         let drained = heartbeat(&worker, body.to_owned()).await;
         let end = request("POST", "/streamusher/Instances.Deregister/i-1", "");
-        let ended = worker.send(end, SOON).await.unwrap();
+        let ended = worker.send(end, TEST_TIMEOUT).await.unwrap();
 
         assert_eq!(
             (drained.status(), ended.status()),
@@ -146,17 +147,17 @@
 fn unknown_path_or_method_is_rejected() {
     run(async {
         let primary = Primary::start(|_request| std::future::pending::<Response>());
-        let worker = agent_of(primary.address);
+        let worker = start_agent(primary.address);
 
         let path = worker
             .send(
                 request("POST", "/streamusher/Instances.Heartbeat/", ""),
-                SOON,
+                TEST_TIMEOUT,
             )
             .await
             .unwrap();
         let method = worker
-            .send(request("GET", HEARTBEAT, ""), SOON)
+            .send(request("GET", HEARTBEAT, ""), TEST_TIMEOUT)
             .await
             .unwrap();
 
--- a/crates/dataplane/tests/discovery.rs
+++ b/crates/dataplane/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery in virtual time: who the primary is, and whom to probe.
+//! Discovery in virtual time: which member is the primary, and which addresses to probe.
 
 #![allow(
     clippy::expect_used,
@@ -11,7 +11,7 @@
 use streamusher_protocol::internal::{ClusterView, CoreAddress};
 use streamusher_protocol::Millis;
 
-fn core(number: u8) -> CoreAddress {
+fn core_address(number: u8) -> CoreAddress {
     CoreAddress {
         internal: format!("10.0.0.{number}:7300").into(),
         control: format!("10.0.0.{number}:8100").into(),
@@ -19,22 +19,22 @@
 }
 
 fn internal(number: u8) -> Arc<str> {
-    core(number).internal
+    core_address(number).internal
 }
 
 fn view(epoch: u64, primary: Option<u8>, members: &[u8]) -> ClusterView {
     ClusterView {
         epoch,
-        primary: primary.map(core),
-        members: members.iter().map(|number| core(*number)).collect(),
+        primary: primary.map(core_address),
+        members: members.iter().map(|number| core_address(*number)).collect(),
     }
 }
 
 fn discovery() -> PrimaryDiscovery {
-    PrimaryDiscovery::new(vec![core(1), core(2), core(3)], 42)
+    PrimaryDiscovery::new(vec![core_address(1), core_address(2), core_address(3)], 42)
 }
 
-/// All addresses probed until `end`, where every probe fails.
+/// All addresses probed from `from` to `end` while every probe fails.
 fn probed_until(discovery: &mut PrimaryDiscovery, from: Millis, end: Millis) -> Vec<Arc<str>> {
     let mut probed = Vec::new();
     let mut now = from;
@@ -64,7 +64,7 @@
 
     discovery.on_view(10, &internal(2), &view(4, Some(7), &[1, 2, 7]));
 
-    assert_eq!(discovery.primary(), Some(&core(7)));
+    assert_eq!(discovery.primary(), Some(&core_address(7)));
     assert!(discovery.is_known(&internal(7)));
     assert!(!discovery.is_fresh(10, 1_500));
     assert_eq!(discovery.take_due_probes(10_000), [internal(7)]);
@@ -92,7 +92,7 @@
     discovery.on_view(140, &internal(1), &view(3, Some(1), &[1, 2, 3]));
 
     assert_eq!(suspected, None);
-    assert_eq!(discovery.primary(), Some(&core(1)));
+    assert_eq!(discovery.primary(), Some(&core_address(1)));
 }
 
 #[test]
@@ -103,7 +103,7 @@
 
     discovery.on_view(400, &internal(3), &view(4, Some(2), &[2, 3]));
 
-    assert_eq!(discovery.primary(), Some(&core(2)));
+    assert_eq!(discovery.primary(), Some(&core_address(2)));
     assert_eq!(discovery.epoch(), 4);
 }
 
@@ -114,7 +114,7 @@
 
     discovery.on_view(10, &internal(1), &view(3, Some(1), &[1]));
 
-    assert_eq!(discovery.primary(), Some(&core(2)));
+    assert_eq!(discovery.primary(), Some(&core_address(2)));
     assert_eq!(discovery.members().len(), 3);
 }
 
@@ -125,7 +125,7 @@
 
     discovery.on_not_primary(100, &internal(1), &view(5, Some(2), &[1, 2, 3]));
 
-    assert_eq!(discovery.primary(), Some(&core(2)));
+    assert_eq!(discovery.primary(), Some(&core_address(2)));
 }
 
 #[test]
@@ -185,7 +185,7 @@
 #[test]
 fn replaced_seeds_are_probed() {
     let mut discovery = discovery();
-    discovery.set_seeds(vec![core(9)]);
+    discovery.set_seeds(vec![core_address(9)]);
 
     assert_eq!(discovery.take_due_probes(0), [internal(9)]);
 }
@@ -201,7 +201,11 @@
 #[test]
 fn each_member_but_the_primary_is_watched_in_turn() {
     let mut discovery = discovery();
-    assert_eq!(discovery.watch_target(), None, "no member is known yet");
+    assert_eq!(
+        discovery.watch_target(),
+        None,
+        "no member is known before the first view"
+    );
     discovery.on_view(0, &internal(1), &view(1, Some(1), &[1, 2, 3]));
 
     let first = discovery.watch_target();
--- a/crates/dataplane/tests/encoded_forms.rs
+++ b/crates/dataplane/tests/encoded_forms.rs
@@ -1,5 +1,5 @@
-//! Encoded forms that others depend on, byte for byte: messages between data plane and control plane, heartbeats, status
-//! documents, and the responses that gate and agent give by themselves.
+//! Encoded forms that other programs depend on, byte for byte: messages between data plane and control plane,
+//! heartbeats, status documents, and the responses that gate and agent generate themselves.
 
 #![allow(
     clippy::expect_used,
@@ -9,17 +9,17 @@
 
 #[path = "support/primary.rs"]
 mod primary;
-#[allow(dead_code, reason = "only a part is used here")]
+#[allow(dead_code, reason = "this test uses only some of the helpers")]
 #[path = "agent/simulation.rs"]
 mod simulation;
 
 use http::header::{HeaderName, ALLOW, CONTENT_TYPE, RETRY_AFTER};
 use http::StatusCode;
-use primary::{core, request, run, settings, view, Primary};
+use primary::{core_address, request, run, settings, view, Primary};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::Value;
-use simulation::{at_work, commands, running, start, stop, task, Simulation};
+use simulation::{busy_heartbeat, commands, running, start, stop, task, Simulation};
 use std::fmt::{Debug, Write};
 use std::net::SocketAddr;
 use streamusher_dataplane::agent_process::{self, AgentProcess};
@@ -40,15 +40,15 @@
 const STATUS: &str = include_str!("fixtures/encoded/status.tsv");
 const RESPONSES: &str = include_str!("fixtures/encoded/responses.tsv");
 
-/// Lines of a fixture, each a name, a tab and the encoded form.
-struct Recorded {
+/// Encoded forms, compared with a fixture. Each line consists of a name, a tab and the encoded form.
+struct EncodedForms {
     fixture: &'static str,
     encoded: String,
 }
 
-impl Recorded {
-    fn new(fixture: &'static str) -> Recorded {
-        Recorded {
+impl EncodedForms {
+    fn new(fixture: &'static str) -> EncodedForms {
+        EncodedForms {
             fixture,
             encoded: String::new(),
         }
@@ -58,7 +58,8 @@
         writeln!(self.encoded, "{name}\t{encoded}").unwrap();
     }
 
-    /// Encodes `value`, and decodes what was recorded under `name`.
+    /// Encodes `value` as the line `name`, and checks that the fixture's line of that name decodes to
+    /// `value`.
     fn value<T: Serialize + DeserializeOwned + PartialEq + Debug>(
         &mut self,
         name: &str,
@@ -194,7 +195,7 @@
 
 #[test]
 fn encoded_forms_of_messages_are_as_recorded() {
-    let mut recorded = Recorded::new(MESSAGES);
+    let mut recorded = EncodedForms::new(MESSAGES);
     worker_messages(&mut recorded);
     agent_messages(&mut recorded);
     client_messages(&mut recorded);
@@ -202,7 +203,7 @@
     recorded.check();
 }
 
-fn worker_messages(recorded: &mut Recorded) {
+fn worker_messages(recorded: &mut EncodedForms) {
     recorded.value("heartbeat", &full_heartbeat());
     recorded.value("heartbeat default", &Heartbeat::default());
     recorded.value(
@@ -219,7 +220,7 @@
     recorded.value("heartbeat response default", &HeartbeatResponse::default());
 }
 
-fn agent_messages(recorded: &mut Recorded) {
+fn agent_messages(recorded: &mut EncodedForms) {
     recorded.value("agent sync", &full_sync());
     recorded.value(
         "agent sync without worker",
@@ -245,7 +246,7 @@
     recorded.value("agent commands default", &AgentCommands::default());
 }
 
-fn client_messages(recorded: &mut Recorded) {
+fn client_messages(recorded: &mut EncodedForms) {
     for method in [ClientMethod::Get, ClientMethod::Post, ClientMethod::Delete] {
         let request = ClientRequest {
             method,
@@ -275,7 +276,7 @@
     );
 }
 
-fn cluster_messages(recorded: &mut Recorded) {
+fn cluster_messages(recorded: &mut EncodedForms) {
     recorded.value(
         "cluster watch",
         &ClusterWatch {
@@ -311,7 +312,7 @@
 
 #[test]
 fn encoded_forms_of_status_documents_are_as_recorded() {
-    let mut recorded = Recorded::new(STATUS);
+    let mut recorded = EncodedForms::new(STATUS);
     let mut simulation = Simulation::start();
     let encode = |simulation: &Simulation| {
         serde_json::to_string(&simulation.agent.status(simulation.now)).unwrap()
@@ -319,7 +320,7 @@
     recorded.line("new agent", &encode(&simulation));
     simulation.tick();
     simulation.respond_to_sync(full_commands());
-    simulation.heartbeat(at_work(1, &[running(1, 1), running(2, 1)]));
+    simulation.heartbeat(busy_heartbeat(1, &[running(1, 1), running(2, 1)]));
     simulation.now += 10;
     recorded.line("agent with worker", &encode(&simulation));
     simulation.advance(20_000);
@@ -329,9 +330,10 @@
         let status = gate.respond_internal(&request("GET", STATUS_PATH, ""));
         recorded.line("gate", std::str::from_utf8(status.body()).unwrap());
         gate.begin_shutdown();
-        let _refused = gate.clone().respond(request("GET", "/", "")).await;
-        let _refused = gate.clone().respond(request("PUT", "/", "")).await;
-        gate.control_plane().set_seeds(vec![core(address(1))]);
+        let _rejected = gate.clone().respond(request("GET", "/", "")).await;
+        let _rejected = gate.clone().respond(request("PUT", "/", "")).await;
+        gate.control_plane()
+            .set_seeds(vec![core_address(address(1))]);
         let status = gate.respond_internal(&request("GET", STATUS_PATH, ""));
         recorded.line(
             "gate that leaves",
@@ -342,18 +344,18 @@
     });
 }
 
-/// The status of an agent's process, with zeros for what differs from start to start.
+/// The status document of an agent process, with zeros for the values that differ between runs of the test.
 async fn status_of_agent_process() -> String {
-    let free = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let status_address = free.local_addr().unwrap();
-    drop(free);
-    let program = AgentProcess::new(&settings(address(1)));
-    program.start(status_address);
+    let free_listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let status_address = free_listener.local_addr().unwrap();
+    drop(free_listener);
+    let agent_process = AgentProcess::new(&settings(address(1)));
+    agent_process.start(status_address);
     tokio::task::yield_now().await;
     let client = Client::new(status_address);
     let response = loop {
         let sent = client
-            .send(request("GET", STATUS_PATH, ""), primary::SOON)
+            .send(request("GET", STATUS_PATH, ""), primary::TEST_TIMEOUT)
             .await;
         match sent {
             Ok(response) => break response,
@@ -372,9 +374,9 @@
 }
 
 #[test]
-fn responses_that_gate_and_agent_give_by_themselves_are_as_recorded() {
+fn responses_generated_by_gate_and_agent_are_as_recorded() {
     run(async {
-        let mut recorded = Recorded::new(RESPONSES);
+        let mut recorded = EncodedForms::new(RESPONSES);
         gate_responses(&mut recorded).await;
         agent_responses(&mut recorded).await;
         settings_errors(&mut recorded);
@@ -382,7 +384,7 @@
     });
 }
 
-async fn gate_responses(recorded: &mut Recorded) {
+async fn gate_responses(recorded: &mut EncodedForms) {
     let gate = Gate::new(&settings(address(1)));
     let wrong_method = gate.clone().respond(request("PUT", "/", "")).await;
     recorded.response("gate: method", &wrong_method);
@@ -418,36 +420,36 @@
         let primary = Primary::responding(response);
         recorded.response(
             &format!("gate: primary says {status}"),
-            &forwarded(&primary).await,
+            &forward_request(&primary).await,
         );
     }
     let primary = Primary::start(|_request| std::future::ready(json(StatusCode::OK, &0)));
-    recorded.response("gate: not understood", &forwarded(&primary).await);
+    recorded.response("gate: not understood", &forward_request(&primary).await);
     let primary = Primary::start(|_request: Request| std::future::pending::<Response>());
-    let gate = found(&primary).await;
+    let gate = gate_with_primary(&primary).await;
     let silent = gate
         .respond(primary::request_with_deadline("POST", "/a", 600))
         .await;
     recorded.response("gate: primary is silent", &silent);
 }
 
-async fn found(primary: &Primary) -> Gate {
+async fn gate_with_primary(primary: &Primary) -> Gate {
     let gate = Gate::new(&settings(primary.address));
     gate.start("127.0.0.1:0".parse().unwrap());
-    let until = tokio::time::Instant::now() + primary::SOON;
+    let until = tokio::time::Instant::now() + primary::TEST_TIMEOUT;
     gate.control_plane().wait_for_primary(until).await.unwrap();
     gate
 }
 
-async fn forwarded(primary: &Primary) -> Response {
-    found(primary)
+async fn forward_request(primary: &Primary) -> Response {
+    gate_with_primary(primary)
         .await
         .respond(request("POST", "/a", "{}"))
         .await
 }
 
-async fn agent_responses(recorded: &mut Recorded) {
-    let program = AgentProcess::new(&settings(address(1)));
+async fn agent_responses(recorded: &mut EncodedForms) {
+    let agent_process = AgentProcess::new(&settings(address(1)));
     let requests = [
         ("GET", "/streamusher/Instances.Heartbeat/i-1", ""),
         ("POST", "/streamusher/Instances.Heartbeat/", "{}"),
@@ -466,12 +468,15 @@
         ("POST", "/streamusher/Instances.Deregister/i-1", ""),
     ];
     for (method, path, body) in requests {
-        let response = program.clone().respond(request(method, path, body)).await;
+        let response = agent_process
+            .clone()
+            .respond(request(method, path, body))
+            .await;
         recorded.response(&format!("agent: {method} {path} {body}"), &response);
     }
 }
 
-fn settings_errors(recorded: &mut Recorded) {
+fn settings_errors(recorded: &mut EncodedForms) {
     let serving = |party: &str| ProcessSettings {
         serves: vec![party.into()],
         ..ProcessSettings::default()
--- a/crates/dataplane/tests/failover.rs
+++ b/crates/dataplane/tests/failover.rs
@@ -1,4 +1,4 @@
-//! What gates and agents do when the primary hangs and another member knows its successor.
+//! Behaviour of gates and agents when the primary hangs and another member announces its successor.
 
 #![allow(
     clippy::expect_used,
@@ -10,7 +10,7 @@
 mod primary;
 
 use http::StatusCode;
-use primary::{core, run, SOON};
+use primary::{core_address, run, TEST_TIMEOUT};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,9 +22,9 @@
 
 const REQUEST_PATH: &str = "/called";
 /// Longer than any test takes.
-const NEVER: Duration = Duration::from_hours(1);
+const UNREACHED_TIMEOUT: Duration = Duration::from_hours(1);
 
-/// A control machine that answers watches when its view is newer, and no other requests.
+/// A control machine that answers probes immediately, watches once its view is newer, and other requests never.
 #[derive(Clone)]
 struct Member {
     address: SocketAddr,
@@ -70,29 +70,32 @@
     }
 
     fn set_view(&self, epoch: u64, primary: &Member, members: &[&Member]) {
-        let members = members.iter().map(|member| core(member.address)).collect();
+        let members = members
+            .iter()
+            .map(|member| core_address(member.address))
+            .collect();
         *self.view.borrow_mut() = ClusterView {
             epoch,
-            primary: Some(core(primary.address)),
+            primary: Some(core_address(primary.address)),
             members,
         };
         self.changed.notify_waiters();
     }
 }
 
-/// A primary, another member, and a process that has found the primary.
+/// Starts a primary, another member, and a client that has discovered the primary.
 async fn start_with_known_primary() -> (Member, Member, ControlPlaneClient) {
     let (first, second) = (Member::start(), Member::start());
     for member in [&first, &second] {
         member.set_view(1, &first, &[&first, &second]);
     }
-    let client = ControlPlaneClient::new(vec![core(first.address)], 1, 2);
+    let client = ControlPlaneClient::new(vec![core_address(first.address)], 1, 2);
     let running = client.clone();
     tokio::task::spawn_local(async move { running.run().await });
     client
-        .wait_for_primary(tokio::time::Instant::now() + SOON)
+        .wait_for_primary(tokio::time::Instant::now() + TEST_TIMEOUT)
         .await
-        .expect("a primary");
+        .expect("the client discovers the primary");
     (first, second, client)
 }
 
@@ -102,17 +105,17 @@
         let (first, second, client) = start_with_known_primary().await;
         let target = client.primary().unwrap();
         let requested = first.requested.clone();
-        let takeover = async {
+        let announce_successor = async {
             requested.notified().await;
             second.set_view(2, &second, &[&first, &second]);
         };
 
-        let request = client.post(&target, REQUEST_PATH, &(), NEVER);
-        let (outcome, ()) = tokio::join!(request, takeover);
+        let request = client.post(&target, REQUEST_PATH, &(), UNREACHED_TIMEOUT);
+        let (outcome, ()) = tokio::join!(request, announce_successor);
 
         assert!(
             matches!(outcome, RequestOutcome::Unknown),
-            "it may have been carried out: {outcome:?}"
+            "the request may have been executed: {outcome:?}"
         );
         assert_eq!(
             **client.primary().unwrap().address(),
@@ -122,7 +125,7 @@
 }
 
 #[test]
-fn new_epoch_of_the_same_primary_leaves_its_requests() {
+fn new_epoch_of_the_same_primary_does_not_abandon_its_requests() {
     run(async {
         let (first, second, client) = start_with_known_primary().await;
         let target = client.primary().unwrap();
@@ -136,7 +139,7 @@
         };
 
         let ended = tokio::select! {
-            outcome = client.post(&target, REQUEST_PATH, &(), NEVER) => Some(outcome),
+            outcome = client.post(&target, REQUEST_PATH, &(), UNREACHED_TIMEOUT) => Some(outcome),
             () = change => None,
         };
 
--- a/crates/dataplane/tests/gate.rs
+++ b/crates/dataplane/tests/gate.rs
@@ -1,4 +1,4 @@
-//! The gate over loopback, with a stand-in for the primary.
+//! The gate over loopback, with a simulated primary.
 
 #![allow(
     clippy::expect_used,
@@ -11,7 +11,7 @@
 
 use http::StatusCode;
 use primary::{
-    client_response, request, request_with_deadline, run, settings, view, Primary, SOON,
+    client_response, request, request_with_deadline, run, settings, view, Primary, TEST_TIMEOUT,
 };
 use rstest::rstest;
 use std::cell::Cell;
@@ -26,14 +26,14 @@
 
 const PATH: &str = "/lohu930/5c0e7a21d94b36f8";
 
-/// A gate that has found the primary.
-async fn gate_of(primary: SocketAddr) -> Gate {
+/// Starts a gate and waits until it has discovered the primary.
+async fn start_gate(primary: SocketAddr) -> Gate {
     let gate = Gate::new(&settings(primary));
     gate.start("127.0.0.1:0".parse().unwrap());
     gate.control_plane()
-        .wait_for_primary(tokio::time::Instant::now() + SOON)
+        .wait_for_primary(tokio::time::Instant::now() + TEST_TIMEOUT)
         .await
-        .expect("a primary");
+        .expect("the gate discovers the primary");
     gate
 }
 
@@ -58,8 +58,9 @@
         .unwrap()
 }
 
-/// A primary that drops the first connection on which a client's request came whole, and answers later requests.
-async fn breaking_primary() -> (SocketAddr, Rc<Cell<u32>>) {
+/// Starts a primary that closes the connection after receiving the first client request completely, and
+/// answers later requests.
+async fn start_disconnecting_primary() -> (SocketAddr, Rc<Cell<u32>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let requests = Rc::new(Cell::new(0));
@@ -110,7 +111,7 @@
 fn submitted_job_is_forwarded_with_host_path_and_body_unchanged() {
     run(async {
         let primary = Primary::responding(client_response(200, "{}"));
-        let gate = gate_of(primary.address).await;
+        let gate = start_gate(primary.address).await;
 
         let response = gate
             .respond(request(
@@ -153,7 +154,7 @@
             retry_after_ms: Some(given),
             ..client_response(429, "")
         });
-        let gate = gate_of(primary.address).await;
+        let gate = start_gate(primary.address).await;
 
         let response = gate.respond(request("POST", PATH, "{}")).await;
 
@@ -195,9 +196,11 @@
 fn rejected_request_is_sent_to_the_successor_once(#[case] method: &str) {
     run(async {
         let second = Primary::responding(client_response(200, "{}"));
-        let there = second.address;
-        let first = Primary::start(move |_request| std::future::ready(misdirected(Some(there))));
-        let gate = gate_of(first.address).await;
+        let successor_address = second.address;
+        let first = Primary::start(move |_request| {
+            std::future::ready(misdirected(Some(successor_address)))
+        });
+        let gate = start_gate(first.address).await;
 
         let response = gate.respond(request(method, PATH, "{}")).await;
 
@@ -216,7 +219,7 @@
 fn rejection_without_a_successor_is_answered_503() {
     run(async {
         let first = Primary::start(|_request| std::future::ready(misdirected(None)));
-        let gate = gate_of(first.address).await;
+        let gate = start_gate(first.address).await;
 
         let response = gate.respond(request("POST", PATH, "{}")).await;
 
@@ -229,9 +232,11 @@
 #[test]
 fn unreachable_successor_is_answered_503() {
     run(async {
-        let dead = free_address();
-        let first = Primary::start(move |_request| std::future::ready(misdirected(Some(dead))));
-        let gate = gate_of(first.address).await;
+        let unreachable_address = free_address();
+        let first = Primary::start(move |_request| {
+            std::future::ready(misdirected(Some(unreachable_address)))
+        });
+        let gate = start_gate(first.address).await;
 
         let response = gate.respond(request("POST", PATH, "{}")).await;
 
@@ -243,7 +248,7 @@
 fn silent_primary_is_answered_502_without_retry() {
     run(async {
         let primary = Primary::start(|_request| std::future::pending::<Response>());
-        let gate = gate_of(primary.address).await;
+        let gate = start_gate(primary.address).await;
 
         let response = gate.respond(request_with_deadline("POST", PATH, 300)).await;
 
@@ -265,8 +270,8 @@
     #[case] wanted_requests: u32,
 ) {
     run(async {
-        let (address, requests) = breaking_primary().await;
-        let gate = gate_of(address).await;
+        let (address, requests) = start_disconnecting_primary().await;
+        let gate = start_gate(address).await;
 
         let response = gate
             .respond(request_with_deadline(method, PATH, 15_000))
@@ -298,7 +303,7 @@
             };
             std::future::ready(json(status, &client_response(200, "{}")))
         });
-        let gate = gate_of(primary.address).await;
+        let gate = start_gate(primary.address).await;
 
         let response = gate
             .respond(request_with_deadline(method, PATH, 15_000))
@@ -318,7 +323,7 @@
     run(async {
         let status = StatusCode::from_u16(status).unwrap();
         let primary = Primary::start(move |_request| std::future::ready(json(status, &0)));
-        let gate = gate_of(primary.address).await;
+        let gate = start_gate(primary.address).await;
 
         let response = gate.respond(request("GET", PATH, "")).await;
 
@@ -330,7 +335,7 @@
 fn wrong_method_or_body_is_rejected_without_the_primary() {
     run(async {
         let primary = Primary::responding(client_response(200, "{}"));
-        let gate = gate_of(primary.address).await;
+        let gate = start_gate(primary.address).await;
 
         let method = gate.clone().respond(request("PUT", PATH, "")).await;
         let body = gate.respond(request("POST", PATH, vec![0xff, 0xfe])).await;
@@ -345,22 +350,22 @@
 }
 
 #[test]
-fn gate_is_ready_with_a_primary_until_it_leaves() {
+fn gate_is_ready_with_a_primary_until_its_shutdown() {
     run(async {
-        let question = request("GET", "/streamusher/readiness", "");
-        let alone = Gate::new(&settings(free_address()));
+        let probe = request("GET", "/streamusher/readiness", "");
+        let gate_without_primary = Gate::new(&settings(free_address()));
         let primary = Primary::responding(client_response(200, "{}"));
-        let gate = gate_of(primary.address).await;
+        let gate = start_gate(primary.address).await;
 
-        let before = alone.respond_readiness(&question).status();
-        let ready = gate.respond_readiness(&question).status();
+        let before = gate_without_primary.respond_readiness(&probe).status();
+        let ready = gate.respond_readiness(&probe).status();
         gate.begin_shutdown();
-        let leaving = gate.respond_readiness(&question).status();
+        let after_shutdown = gate.respond_readiness(&probe).status();
         let elsewhere = gate.respond_readiness(&request("GET", "/", "")).status();
 
         let unavailable = StatusCode::SERVICE_UNAVAILABLE;
         assert_eq!(
-            [before, ready, leaving],
+            [before, ready, after_shutdown],
             [unavailable, StatusCode::OK, unavailable]
         );
         assert_eq!(elsewhere, StatusCode::NOT_FOUND);
--- a/crates/dataplane/tests/process.rs
+++ b/crates/dataplane/tests/process.rs
@@ -1,5 +1,5 @@
-//! The binary: its command lines, and a gate from its start to its end. The lines that it logs tell when the next step can
-//! be taken.
+//! The binary: its exit codes, and a gate from start to exit. The test waits for lines of the gate's log
+//! before each next step.
 
 #![allow(
     clippy::expect_used,
@@ -11,7 +11,7 @@
 mod primary;
 
 use http::StatusCode;
-use primary::{client_response, request, run, Primary, SOON};
+use primary::{client_response, request, run, Primary, TEST_TIMEOUT};
 use rstest::rstest;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_streamusher-data");
 
-/// A settings file that is removed in the end.
+/// A settings file that is deleted when dropped.
 struct SettingsFile(PathBuf);
 
 impl SettingsFile {
@@ -78,7 +78,7 @@
 
 type Lines = tokio::sync::mpsc::UnboundedReceiver<String>;
 
-/// The process's log, line by line; read on a thread, as the stand-in serves on this one.
+/// Reads the process's log line by line. A thread reads it, since the test's primary runs on this thread.
 fn spawn_log(log: impl std::io::Read + Send + 'static) -> Lines {
     let (sender, lines) = tokio::sync::mpsc::unbounded_channel();
     std::thread::spawn(move || {
@@ -89,7 +89,7 @@
     lines
 }
 
-/// Waits until the log has lines with all that is wanted.
+/// Waits until each of the `wanted` texts has occurred in a line of the log.
 async fn wait_on(lines: &mut Lines, wanted: &[&str]) {
     let mut missing = wanted.to_vec();
     while !missing.is_empty() {
@@ -145,37 +145,37 @@
             &["accepting client requests", "the primary of epoch"],
         )
         .await;
-        let question = request("GET", "/streamusher/readiness", "");
+        let probe = request("GET", "/streamusher/readiness", "");
 
-        let served = Client::new(front)
-            .send(request("POST", "/a/5c0e", "{}"), SOON)
+        let response_before = Client::new(front)
+            .send(request("POST", "/a/5c0e", "{}"), TEST_TIMEOUT)
             .await
             .unwrap();
         let ready_before = Client::new(ready)
-            .send(question.clone(), SOON)
+            .send(probe.clone(), TEST_TIMEOUT)
             .await
             .unwrap();
         send_signal(&child, "-TERM");
         wait_on(&mut log, &["shutting down: gate not ready"]).await;
-        let ready_after = Client::new(ready).send(question, SOON).await.unwrap();
-        let served_after = Client::new(front)
-            .send(request("POST", "/a/5c0e", "{}"), SOON)
+        let ready_after = Client::new(ready).send(probe, TEST_TIMEOUT).await.unwrap();
+        let response_after = Client::new(front)
+            .send(request("POST", "/a/5c0e", "{}"), TEST_TIMEOUT)
             .await
             .unwrap();
-        let ended = tokio::task::spawn_blocking(move || child.wait().unwrap())
+        let exit_status = tokio::task::spawn_blocking(move || child.wait().unwrap())
             .await
             .unwrap();
-        let after_the_end = Client::new(front)
-            .send(request("POST", "/a/5c0e", "{}"), SOON)
+        let response_after_exit = Client::new(front)
+            .send(request("POST", "/a/5c0e", "{}"), TEST_TIMEOUT)
             .await;
 
         assert_eq!(
-            (served.status(), served_after.status()),
+            (response_before.status(), response_after.status()),
             (StatusCode::OK, StatusCode::OK)
         );
         assert_eq!(ready_before.status(), StatusCode::OK);
         assert_eq!(ready_after.status(), StatusCode::SERVICE_UNAVAILABLE);
-        assert_eq!(ended.code(), Some(0));
-        assert!(matches!(after_the_end, Err(RequestError::NotSent(_))));
+        assert_eq!(exit_status.code(), Some(0));
+        assert!(matches!(response_after_exit, Err(RequestError::NotSent(_))));
     });
 }
--- a/crates/dataplane/tests/relay.rs
+++ b/crates/dataplane/tests/relay.rs
@@ -1,4 +1,5 @@
-//! Gates as members of the relay tree over loopback, with the root's state machine at a stand-in for the primary.
+//! Gates as members of the relay tree over loopback. A simulated primary runs the state machine of the tree's
+//! root.
 
 #![allow(
     clippy::expect_used,
@@ -33,10 +34,10 @@
 };
 use tokio::task::{spawn_local, JoinHandle};
 
-/// Interval of the ticks of the stand-in's state machine.
-const TICK: Duration = Duration::from_millis(20);
+/// Interval between ticks of the simulated primary's state machine.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A control machine that is the primary until it hands over.
+/// A control machine that is the primary until [`ControlMachine::hand_over`].
 #[derive(Clone)]
 struct ControlMachine {
     address: SocketAddr,
@@ -45,7 +46,7 @@
 
 struct State {
     epoch: u64,
-    distribution: RefCell<ConfigurationPublisher>,
+    publisher: RefCell<ConfigurationPublisher>,
     outbox: RefCell<Outbox<RelayMessage>>,
     successor: RefCell<Option<ClusterView>>,
 }
@@ -63,27 +64,27 @@
         };
         let state = State {
             epoch,
-            distribution: RefCell::new(ConfigurationPublisher::new(epoch, clock::steady())),
+            publisher: RefCell::new(ConfigurationPublisher::new(epoch, clock::steady())),
             outbox: RefCell::new(Outbox::new(RELAY_PATH, body)),
             successor: RefCell::default(),
         };
-        let core = ControlMachine {
+        let machine = ControlMachine {
             address,
             state: Rc::new(state),
         };
-        let serving = core.clone();
+        let serving = machine.clone();
         spawn_local(server.run(move |request| std::future::ready(serving.respond(&request))));
-        let ticking = core.clone();
+        let ticking = machine.clone();
         spawn_local(async move { ticking.tick().await });
-        core
+        machine
     }
 
     async fn tick(&self) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         while self.state.successor.borrow().is_none() {
             ticks.tick().await;
-            let sends = self.state.distribution.borrow_mut().tick(clock::steady());
-            self.send(sends);
+            let messages = self.state.publisher.borrow_mut().tick(clock::steady());
+            self.send(messages);
         }
     }
 
@@ -100,24 +101,16 @@
                 let lease = parse_json(request.body()).unwrap();
                 json_response(
                     StatusCode::OK,
-                    &self
-                        .state
-                        .distribution
-                        .borrow_mut()
-                        .renew_lease(now, &lease),
+                    &self.state.publisher.borrow_mut().renew_lease(now, &lease),
                 )
             }
             (RELAY_PATH, _) => {
                 let envelope = parse_json(request.body()).unwrap();
-                let sends = self
-                    .state
-                    .distribution
-                    .borrow_mut()
-                    .on_envelope(now, envelope);
-                self.send(sends);
+                let messages = self.state.publisher.borrow_mut().on_envelope(now, envelope);
+                self.send(messages);
                 empty(StatusCode::NO_CONTENT)
             }
-            _ => text(StatusCode::NOT_FOUND, "not here\n"),
+            _ => text(StatusCode::NOT_FOUND, "not found\n"),
         }
     }
 
@@ -134,24 +127,24 @@
             text: text.into(),
             update,
         };
-        let sends = self.state.distribution.borrow_mut().publish(&published);
-        self.send(sends);
+        let messages = self.state.publisher.borrow_mut().publish(&published);
+        self.send(messages);
     }
 
     fn hand_over(&self, to: &ControlMachine) {
         *self.state.successor.borrow_mut() = Some(view(to.state.epoch, Some(to.address)));
     }
 
-    fn send(&self, sends: Vec<OutboundMessage>) {
-        for send in sends {
-            for to in &send.receivers {
-                let RelayPeer::Member(address) = to else {
-                    panic!("the core tells members only")
+    fn send(&self, messages: Vec<OutboundMessage>) {
+        for outbound in messages {
+            for receiver in &outbound.receivers {
+                let RelayPeer::Member(address) = receiver else {
+                    panic!("the primary sends to members only")
                 };
                 self.state
                     .outbox
                     .borrow_mut()
-                    .send(address, send.message.clone());
+                    .send(address, outbound.message.clone());
             }
         }
     }
@@ -165,10 +158,10 @@
 }
 
 impl Member {
-    fn start(core: &ControlMachine) -> Member {
+    fn start(machine: &ControlMachine) -> Member {
         let server = Server::bind("127.0.0.1:0".parse().unwrap(), ServerLimits::default()).unwrap();
         let client =
-            ControlPlaneClient::new(settings(core.address).core_addresses_of_seeds(), 7, 2);
+            ControlPlaneClient::new(settings(machine.address).core_addresses_of_seeds(), 7, 2);
         let relay = RelayMember::new(client.clone(), server.local_address().unwrap());
         let handle = server.handle();
         let (serving, member) = (relay.clone(), relay.clone());
@@ -184,14 +177,15 @@
         }
     }
 
-    /// Waits for a version; none that arrives meanwhile may be older than the one before.
-    async fn until(&self, wanted: u64) {
+    /// Waits until the member has the version `wanted`, and checks that its version never decreases
+    /// meanwhile.
+    async fn wait_for_version(&self, wanted: u64) {
         while self.relay.version() < wanted {
             self.relay.changed().await;
             let version = self.relay.version();
             assert!(
                 version >= self.newest.get(),
-                "from {} back to {version}",
+                "version decreased from {} to {version}",
                 self.newest.get()
             );
             self.newest.set(version);
@@ -212,26 +206,27 @@
         self.status()["told"].as_array().map_or(0, Vec::len)
     }
 
-    /// Ends as a process does: it neither answers nor tells anyone.
-    fn die(&self) {
+    /// Stops abruptly: the member neither responds to nor notifies any peer.
+    fn stop_abruptly(&self) {
         self.server.close();
         self.running.abort();
     }
 }
 
-async fn all_have(members: &[Member], version: u64) {
+async fn wait_for_version(members: &[Member], version: u64) {
     for member in members {
-        member.until(version).await;
+        member.wait_for_version(version).await;
     }
 }
 
-/// Waits until all know the roster that names all of them.
-async fn all_are_in(members: &[Member], core: &ControlMachine) {
+/// Waits until all members know the membership that contains all of them.
+async fn wait_for_membership(members: &[Member], machine: &ControlMachine) {
     let is_known = |member: &Member| {
-        let distribution = core.state.distribution.borrow();
-        let roster = distribution.leases().membership();
-        roster.is_some_and(|roster| {
-            roster.members.len() == members.len() && member.status()["roster"] == roster.version
+        let publisher = machine.state.publisher.borrow();
+        let membership = publisher.leases().membership();
+        membership.is_some_and(|membership| {
+            membership.members.len() == members.len()
+                && member.status()["roster"] == membership.version
         })
     };
     while !members.iter().all(is_known) {
@@ -242,15 +237,15 @@
 #[test]
 fn published_changes_reach_all_gates() {
     run(async {
-        let core = ControlMachine::start(1);
-        let members: Vec<Member> = (0..3).map(|_| Member::start(&core)).collect();
-        core.publish(5, None);
-        all_have(&members, 5).await;
-        all_are_in(&members, &core).await;
+        let machine = ControlMachine::start(1);
+        let members: Vec<Member> = (0..3).map(|_| Member::start(&machine)).collect();
+        machine.publish(5, None);
+        wait_for_version(&members, 5).await;
+        wait_for_membership(&members, &machine).await;
 
-        core.publish(9, Some(5));
+        machine.publish(9, Some(5));
 
-        all_have(&members, 9).await;
+        wait_for_version(&members, 9).await;
         for member in &members {
             assert_eq!(member.status()["parent"], "Core");
             assert_eq!(
@@ -262,36 +257,36 @@
 }
 
 #[test]
-fn changes_get_past_a_dead_inner_gate() {
+fn changes_reach_all_gates_after_an_inner_gate_fails() {
     run(async {
-        let core = ControlMachine::start(1);
-        let mut members: Vec<Member> = (0..12).map(|_| Member::start(&core)).collect();
-        core.publish(5, None);
-        all_have(&members, 5).await;
-        all_are_in(&members, &core).await;
+        let machine = ControlMachine::start(1);
+        let mut members: Vec<Member> = (0..12).map(|_| Member::start(&machine)).collect();
+        machine.publish(5, None);
+        wait_for_version(&members, 5).await;
+        wait_for_membership(&members, &machine).await;
         let inner = members
             .iter()
             .position(|member| member.children() >= 4)
-            .expect("an inner member");
+            .expect("a member with at least 4 children");
 
-        members.swap_remove(inner).die();
-        core.publish(9, Some(5));
+        members.swap_remove(inner).stop_abruptly();
+        machine.publish(9, Some(5));
 
-        all_have(&members, 9).await;
-        all_are_in(&members, &core).await;
-        core.publish(11, Some(9));
-        all_have(&members, 11).await;
+        wait_for_version(&members, 9).await;
+        wait_for_membership(&members, &machine).await;
+        machine.publish(11, Some(9));
+        wait_for_version(&members, 11).await;
     });
 }
 
 #[test]
-fn gates_follow_a_new_primary_and_never_go_back() {
+fn gates_follow_a_new_primary_and_never_apply_an_older_version() {
     run(async {
         let first = ControlMachine::start(1);
         let members: Vec<Member> = (0..3).map(|_| Member::start(&first)).collect();
         first.publish(5, None);
-        all_have(&members, 5).await;
-        all_are_in(&members, &first).await;
+        wait_for_version(&members, 5).await;
+        wait_for_membership(&members, &first).await;
 
         let second = ControlMachine::start(2);
         second.publish(5, None);
@@ -299,18 +294,18 @@
         first.publish(3, None);
         second.publish(8, Some(5));
 
-        all_have(&members, 8).await;
-        all_are_in(&members, &second).await;
+        wait_for_version(&members, 8).await;
+        wait_for_membership(&members, &second).await;
         second.publish(12, None);
-        all_have(&members, 12).await;
+        wait_for_version(&members, 12).await;
     });
 }
 
 #[test]
 fn malformed_relay_requests_are_rejected() {
     run(async {
-        let core = ControlMachine::start(1);
-        let member = Member::start(&core);
+        let machine = ControlMachine::start(1);
+        let member = Member::start(&machine);
 
         let malformed = member
             .relay
@@ -323,10 +318,10 @@
 }
 
 #[test]
-fn status_shows_the_place_in_the_tree() {
+fn status_reports_the_position_in_the_relay_tree() {
     run(async {
-        let core = ControlMachine::start(1);
-        let gate = Gate::new(&settings(core.address));
+        let machine = ControlMachine::start(1);
+        let gate = Gate::new(&settings(machine.address));
 
         let status = gate.respond_internal(&request("GET", STATUS_PATH, ""));
         let elsewhere = gate.respond_internal(&request("GET", "/internal/other", ""));
--- a/crates/dataplane/tests/reload.rs
+++ b/crates/dataplane/tests/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the data plane's processes take over the seeds of the settings file.
+//! SIGHUP: gates and agents reload the seeds from the settings file.
 
 #![allow(
     clippy::expect_used,
@@ -15,19 +15,19 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_streamusher-data");
 
-/// A process on addresses that only this test uses.
+/// A process on loopback addresses that no other test uses.
 struct Process {
     child: Child,
-    net: String,
+    network: String,
     command: &'static str,
     settings: PathBuf,
 }
 
 impl Process {
-    fn start(net: String, command: &'static str, seeds: &str) -> Process {
+    fn start(network: String, command: &'static str, seeds: &str) -> Process {
         let name = format!("streamusher-reload-{}-{command}.toml", std::process::id());
         let settings = std::env::temp_dir().join(name);
-        write_settings(&settings, &net, command, seeds);
+        write_settings(&settings, &network, command, seeds);
         let mut program = Command::new(PROGRAM);
         program
             .arg(command)
@@ -36,14 +36,14 @@
         let child = program.stderr(Stdio::piped()).spawn().unwrap();
         Process {
             child,
-            net,
+            network,
             command,
             settings,
         }
     }
 
     fn reload(&self, seeds: &str) {
-        write_settings(&self.settings, &self.net, self.command, seeds);
+        write_settings(&self.settings, &self.network, self.command, seeds);
         let sent = Command::new("kill")
             .args(["-HUP", &self.child.id().to_string()])
             .status()
@@ -60,11 +60,11 @@
     }
 }
 
-fn write_settings(path: &PathBuf, net: &str, command: &str, seeds: &str) {
-    let served = if command == "gate" { "front" } else { "side" };
+fn write_settings(path: &PathBuf, network: &str, command: &str, seeds: &str) {
+    let party = if command == "gate" { "front" } else { "side" };
     let text = format!(
-        "node_name = \"n\"\nserves = [\"{served}\"]\nip = \"{net}.1\"\nport_range = [7300, 7315]\nseeds = [{seeds}]\n\
-         [listen]\nfront = \"{net}.1:8149\"\nready = \"{net}.1:8141\"\ncontrol = \"{net}.1:8144\"\n"
+        "node_name = \"n\"\nserves = [\"{party}\"]\nip = \"{network}.1\"\nport_range = [7300, 7315]\nseeds = [{seeds}]\n\
+         [listen]\nfront = \"{network}.1:8149\"\nready = \"{network}.1:8141\"\ncontrol = \"{network}.1:8144\"\n"
     );
     fs::write(path, text).unwrap();
 }
@@ -79,25 +79,25 @@
 #[rstest]
 #[case("gate", 130)]
 #[case("agent", 155)]
-fn sighup_takes_new_seeds_over_and_ignores_a_wrong_file(
+fn sighup_reloads_the_seeds_and_ignores_an_invalid_file(
     #[case] command: &'static str,
-    #[case] first: u32,
+    #[case] base_octet: u32,
 ) {
     let pid = std::process::id();
-    let net = format!("127.{}.{}", first + pid % 25, pid / 25 % 250);
-    let former = TcpListener::bind(format!("{net}.2:7300")).unwrap();
-    let newer = TcpListener::bind(format!("{net}.3:7300")).unwrap();
-    let mut process = Process::start(net.clone(), command, &format!("\"{net}.2:8144\""));
+    let network = format!("127.{}.{}", base_octet + pid % 25, pid / 25 % 250);
+    let first_seed = TcpListener::bind(format!("{network}.2:7300")).unwrap();
+    let second_seed = TcpListener::bind(format!("{network}.3:7300")).unwrap();
+    let mut process = Process::start(network.clone(), command, &format!("\"{network}.2:8144\""));
     let mut lines = BufReader::new(process.child.stderr.take().unwrap())
         .lines()
         .map_while(Result::ok);
-    // Both accepts wait until the process connects.
-    former.accept().unwrap();
+    // `accept` blocks until the process connects.
+    first_seed.accept().unwrap();
 
     process.reload("\"nowhere\"");
     wait_for(&mut lines, "settings not reloaded, keeping the former ones");
-    process.reload(&format!("\"{net}.3:8144\""));
+    process.reload(&format!("\"{network}.3:8144\""));
     wait_for(&mut lines, "settings reloaded");
 
-    newer.accept().unwrap();
+    second_seed.accept().unwrap();
 }
--- a/crates/dataplane/tests/support/primary.rs
+++ b/crates/dataplane/tests/support/primary.rs
@@ -1,6 +1,6 @@
-//! A stand-in for the primary on loopback.
+//! A simulated primary on loopback.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use bytes::Bytes;
 use http::StatusCode;
@@ -17,19 +17,19 @@
 };
 use streamusher_runtime::settings::ProcessSettings;
 
-/// Bound of what should happen at once.
-pub(crate) const SOON: Duration = Duration::from_secs(20);
+/// Upper bound for operations that complete quickly unless they fail.
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub(crate) fn run<F: Future<Output = ()>>(future: F) {
     let bounded = async {
-        tokio::time::timeout(SOON, future)
+        tokio::time::timeout(TEST_TIMEOUT, future)
             .await
-            .expect("it ends in time");
+            .expect("the test completes within TEST_TIMEOUT");
     };
     streamusher_runtime::event_loop::block_on(bounded).unwrap();
 }
 
-pub(crate) fn core(address: SocketAddr) -> CoreAddress {
+pub(crate) fn core_address(address: SocketAddr) -> CoreAddress {
     CoreAddress {
         internal: address.to_string().into(),
         control: "127.0.0.1:1".into(),
@@ -39,8 +39,8 @@
 pub(crate) fn view(epoch: u64, primary: Option<SocketAddr>) -> ClusterView {
     ClusterView {
         epoch,
-        primary: primary.map(core),
-        members: primary.map(core).into_iter().collect(),
+        primary: primary.map(core_address),
+        members: primary.map(core_address).into_iter().collect(),
     }
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-/// A control machine that says it is the primary and answers requests by a script.
+/// A control machine that claims to be the primary and answers requests with a closure.
 pub(crate) struct Primary {
     pub(crate) address: SocketAddr,
     pub(crate) handle: ServerHandle,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// One that gives every client the same response.
+    /// Starts a primary that gives the same response to every client request.
     pub(crate) fn responding(response: ClientResponse) -> Primary {
         Primary::start(move |_request| std::future::ready(json(StatusCode::OK, &response)))
     }
@@ -116,7 +116,7 @@
     request.body(body.into()).unwrap()
 }
 
-/// The same with a client's deadline.
+/// A request without body whose header states how long the client waits.
 pub(crate) fn request_with_deadline(method: &str, path: &str, deadline_ms: u64) -> Request {
     let mut request = request(method, path, "");
     request
