--- a/crates/dataplane/src/agent/state_machine.rs
+++ b/crates/dataplane/src/agent/state_machine.rs
@@ -214,7 +214,7 @@
         self.on_worker_leaving();
     }
 
-    /// Drops the start commands and requests a sync: the primary may assign them to other workers once it
+    /// Drops the start commands and requests a sync: the primary may assign the runs to other workers once it
     /// learns that this worker is leaving or gone.
     fn on_worker_leaving(&mut self) {
         self.commands.drop_starts_before(self.syncs.next_sequence());
--- a/crates/dataplane/src/agent/worker.rs
+++ b/crates/dataplane/src/agent/worker.rs
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub(super) struct Worker {
     pub(super) instance: Arc<str>,
-    /// The newest heartbeat; `received_at` is the time of its receipt.
+    /// The newest heartbeat; the agent received it at `received_at`.
     pub(super) heartbeat: Heartbeat,
     pub(super) received_at: Millis,
     /// Time after which no run can be executing on the worker.
--- a/crates/dataplane/src/agent_process/driver.rs
+++ b/crates/dataplane/src/agent_process/driver.rs
@@ -135,7 +135,7 @@
         empty(StatusCode::OK)
     }
 
-    /// Passes a request to the state machine and waits for its answer; `None` if there will be none.
+    /// Passes a request to the state machine and waits for its answer; `None` if it is dropped unanswered.
     async fn request(&self, event: impl FnOnce(u64) -> AgentEvent) -> Option<Completion> {
         let (request_id, completion) = self.shared.pending_requests.begin();
         self.handle(event(request_id));
--- a/crates/dataplane/src/control_plane/probes.rs
+++ b/crates/dataplane/src/control_plane/probes.rs
@@ -50,7 +50,7 @@
         begun
     }
 
-    /// Starts a probe to `address` unless one is in flight; returns the address if it does.
+    /// Starts a probe to `address` unless one is in flight; returns the address if the probe is started.
     pub(super) fn begin(&mut self, address: Arc<str>) -> Option<Arc<str>> {
         self.in_flight
             .insert(Arc::clone(&address))
