--- a/crates/ledger/benches/scale.rs
+++ b/crates/ledger/benches/scale.rs
@@ -83,7 +83,7 @@
 
 fn export_all(root: &Path) {
     each_instance(|i| {
-        let store = Store::command(&dir(root, i), KEY).unwrap();
+        let store = Store::open_for_command(&dir(root, i), KEY).unwrap();
         for seal in store.seals().unwrap() {
             export(&store, seal.period, &root.join("out"), |_| true).unwrap();
         }
--- a/crates/ledger/benches/stores.rs
+++ b/crates/ledger/benches/stores.rs
@@ -35,7 +35,7 @@
 fn block(entries: &[Entry]) -> Vec<u8> {
     let (mut bytes, mut before) = (Vec::new(), (entries[0].seq, DECEMBER));
     for e in entries {
-        let row = Row::of(e, 1, 2);
+        let row = Row::from_entry(e, 1, 2);
         pack(&row, before, &mut bytes);
         before = (row.seq, row.time_us);
     }
@@ -116,7 +116,7 @@
             (0..count / size).for_each(|n| store.commit(&entries(1 + n * size, size)));
             drop(store);
             if kind == "sqlite" {
-                Store::command(dir.path(), KEY)
+                Store::open_for_command(dir.path(), KEY)
                     .unwrap()
                     .checkpoint()
                     .unwrap();
--- a/crates/ledger/src/correction.rs
+++ b/crates/ledger/src/correction.rs
@@ -7,9 +7,10 @@
 /// What a correction is about.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum About {
-    /// A tenant's use as a whole.
-    Use,
+pub enum Subject {
+    /// A tenant's usage as a whole.
+    #[serde(rename = "use")]
+    Usage,
     /// An entry in doubt that was billed, as the client has its answer.
     Billed {
         /// The entry's epoch.
@@ -32,9 +33,11 @@
     /// When it was made.
     pub time_us: Micros,
     /// The period that it is about, which may be closed.
-    pub of: Period,
+    #[serde(rename = "of")]
+    pub corrected_period: Period,
     /// What it is about.
-    pub about: About,
+    #[serde(rename = "about")]
+    pub subject: Subject,
     /// Whose use.
     pub tenant: String,
     /// Of which class.
@@ -50,7 +53,7 @@
 }
 
 /// The longest author, reason, tenant or class, in bytes.
-pub const TEXT: usize = 1 << 10;
+pub const MAX_TEXT_BYTES: usize = 1 << 10;
 
 /// Why a correction cannot be booked.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -59,7 +62,7 @@
     #[error("{0}: must not be empty")]
     Empty(&'static str),
     /// A text is too long for a table, or holds control characters.
-    #[error("{0}: at most {TEXT} bytes, without control characters")]
+    #[error("{0}: at most {MAX_TEXT_BYTES} bytes, without control characters")]
     Unprintable(&'static str),
 }
 
@@ -80,7 +83,7 @@
             if text.trim().is_empty() {
                 return Err(CorrectionError::Empty(name));
             }
-            if text.len() > TEXT || text.chars().any(char::is_control) {
+            if text.len() > MAX_TEXT_BYTES || text.chars().any(char::is_control) {
                 return Err(CorrectionError::Unprintable(name));
             }
         }
--- a/crates/ledger/src/entry.rs
+++ b/crates/ledger/src/entry.rs
@@ -138,7 +138,7 @@
     }
 
     /// A row of an entry, with the numbers of its names.
-    pub fn of(e: &Entry, tenant: u32, class: u32) -> Row {
+    pub fn from_entry(e: &Entry, tenant: u32, class: u32) -> Row {
         Row {
             seq: e.seq,
             time_us: e.time_us,
@@ -185,7 +185,7 @@
 }
 
 /// Reads the rows of a block one by one; the first that is not what was written ends it with its place.
-pub struct Unpack<'a> {
+pub struct RowReader<'a> {
     rest: &'a [u8],
     before: (u64, Micros),
     index: u64,
@@ -193,12 +193,12 @@
 
 /// A row of a block is not what was written: the one at this place, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BadRow(pub u64);
+pub struct DamagedRow(pub u64);
 
-impl<'a> Unpack<'a> {
+impl<'a> RowReader<'a> {
     /// Over a block's bytes; `before` as in [`pack`] for its first row.
-    pub fn new(block: &'a [u8], before: (u64, Micros)) -> Unpack<'a> {
-        Unpack {
+    pub fn new(block: &'a [u8], before: (u64, Micros)) -> RowReader<'a> {
+        RowReader {
             rest: block,
             before,
             index: 0,
@@ -234,8 +234,8 @@
     }
 }
 
-impl Iterator for Unpack<'_> {
-    type Item = Result<Row, BadRow>;
+impl Iterator for RowReader<'_> {
+    type Item = Result<Row, DamagedRow>;
 
     fn next(&mut self) -> Option<Self::Item> {
         if self.rest.is_empty() {
@@ -243,7 +243,7 @@
         }
         let index = self.index;
         self.index += 1;
-        let row = self.row().ok_or(BadRow(index));
+        let row = self.row().ok_or(DamagedRow(index));
         if row.is_err() {
             self.rest = &[];
         }
--- a/crates/ledger/src/export/manifest.rs
+++ b/crates/ledger/src/export/manifest.rs
@@ -2,7 +2,7 @@
 
 use crate::period::Period;
 use crate::store::Lines;
-use crate::sums::Use;
+use crate::sums::Usage;
 use serde::{Deserialize, Serialize};
 use std::fs::File;
 use std::io::{self, Read, Write};
@@ -53,7 +53,7 @@
     /// Of which class.
     pub class: String,
     /// The sums.
-    pub sums: Use,
+    pub sums: Usage,
 }
 
 /// What stands beside an exported file.
--- a/crates/ledger/src/export/mod.rs
+++ b/crates/ledger/src/export/mod.rs
@@ -99,7 +99,7 @@
     let files = ExportFiles::new(folder, store.instance(), period);
     std::fs::create_dir_all(folder).map_err(|why| file_error(folder, why))?;
     // Only the names that the period's entries use: the store's other names do not belong to it.
-    let (sums, names) = store.survey(period)?;
+    let (sums, names) = store.sums_and_names(period)?;
     let head = head(store, &seal, names)?;
     let (file, hashes) = write_content(store, period, &head, &files.partial_content)?;
     if !proceed(Stage::Writing) {
--- a/crates/ledger/src/gate.rs
+++ b/crates/ledger/src/gate.rs
@@ -34,7 +34,7 @@
 
 /// What to do with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum BookingDecision {
     /// Book it under this number and hold it until then at the latest.
     Hold {
         /// The entry's number.
@@ -63,7 +63,7 @@
     }
 
     /// Whether new work is taken.
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         self.trusted || self.on_failure == OnFailure::ServeUnbilled
     }
 
@@ -80,12 +80,12 @@
     /// An answer that must be out `by` then. While the disk fails entries still go to the writer, which books them
     /// when it can. Answers no longer wait for it where they may be released all the same; where they may not, waiting
     /// is their only way to the client.
-    pub fn book(&mut self, now: Micros, by: Micros) -> Verdict {
+    pub fn book(&mut self, now: Micros, by: Micros) -> BookingDecision {
         // Counted first: what is not booked leaves a gap in the numbers, which a reconciliation shows.
         self.last += 1;
         if self.waiting >= self.most {
             self.unbooked += 1;
-            return Verdict::Unbooked;
+            return BookingDecision::Unbooked;
         }
         self.waiting += 1;
         let waits = self.trusted || !self.releases_unbooked();
@@ -94,24 +94,27 @@
         } else {
             now
         };
-        Verdict::Hold {
+        BookingDecision::Hold {
             seq: self.last,
             until,
         }
     }
 
     /// So many more entries, up to this number, are durable.
-    pub fn durable(&mut self, upto: u64, entries: usize) {
-        assert!(upto <= self.last, "only what was booked can become durable");
-        assert!(upto >= self.durable, "what is durable stays so");
+    pub fn on_durable(&mut self, up_to: u64, entries: usize) {
+        assert!(
+            up_to <= self.last,
+            "only what was booked can become durable"
+        );
+        assert!(up_to >= self.durable, "what is durable stays so");
         assert!(entries <= self.waiting, "an entry becomes durable once");
         self.waiting -= entries;
-        self.durable = upto;
+        self.durable = up_to;
         self.trusted = true;
     }
 
     /// The time of an answer is up. True if its entry is not known to be durable.
-    pub fn overdue(&mut self, seq: u64) -> bool {
+    pub fn on_overdue(&mut self, seq: u64) -> bool {
         let late = seq > self.durable;
         if late {
             self.late += 1;
@@ -121,12 +124,12 @@
     }
 
     /// The store is open.
-    pub fn works(&mut self) {
+    pub fn on_opened(&mut self) {
         self.trusted = true;
     }
 
     /// The writer could not write.
-    pub fn failed(&mut self) {
+    pub fn on_failed(&mut self) {
         self.trusted = false;
     }
 }
--- a/crates/ledger/src/key.rs
+++ b/crates/ledger/src/key.rs
@@ -70,7 +70,7 @@
 /// # Errors
 ///
 /// [`KeyError::NoRandomNumbers`] if the system gives none, [`KeyError::Io`] if the file cannot be written.
-pub fn make(path: &Path) -> Result<(), KeyError> {
+pub fn create(path: &Path) -> Result<(), KeyError> {
     let mut key = [0; KEY_BYTES];
     getrandom::fill(&mut key).map_err(|error| KeyError::NoRandomNumbers {
         path: path.to_path_buf(),
--- a/crates/ledger/src/marks.rs
+++ b/crates/ledger/src/marks.rs
@@ -36,7 +36,7 @@
     }
 
     /// Whether the number is in it.
-    pub fn has(&self, n: u64) -> bool {
+    pub fn contains(&self, n: u64) -> bool {
         self.0
             .range(..=n)
             .next_back()
@@ -86,7 +86,8 @@
     /// Written to the last byte.
     pub written: Ranges,
     /// Could not be written: the client had left.
-    pub broke: Ranges,
+    #[serde(rename = "broke")]
+    pub undelivered: Ranges,
 }
 
 /// Whether an answer reached its client, as far as is known.
@@ -95,18 +96,18 @@
     /// It was written to the last byte.
     Written,
     /// It could not be written.
-    Broke,
+    Undelivered,
     /// Nobody can tell: the instance ended between its commit and the client.
     InDoubt,
 }
 
 impl Marks {
     /// What is known of one answer.
-    pub fn of(&self, seq: u64) -> Delivery {
-        if self.written.has(seq) {
+    pub fn delivery(&self, seq: u64) -> Delivery {
+        if self.written.contains(seq) {
             Delivery::Written
-        } else if self.broke.has(seq) {
-            Delivery::Broke
+        } else if self.undelivered.contains(seq) {
+            Delivery::Undelivered
         } else {
             Delivery::InDoubt
         }
--- a/crates/ledger/src/period.rs
+++ b/crates/ledger/src/period.rs
@@ -90,7 +90,7 @@
 }
 
 /// A moment in the form of RFC 3339, in whole seconds.
-pub fn moment(time_us: Micros) -> String {
+pub fn format_timestamp(time_us: Micros) -> String {
     let at = Timestamp::from_microsecond(i64::try_from(time_us).unwrap_or(i64::MAX));
     let at = at.and_then(|t| t.round(Unit::Second));
     at.map_or_else(|_| "later than calendars go".into(), |t| t.to_string())
--- a/crates/ledger/src/receipts.rs
+++ b/crates/ledger/src/receipts.rs
@@ -23,7 +23,7 @@
 /// # Errors
 ///
 /// [`ReceiptsError::File`] if the file cannot be read, is no CSV, or has no column `operation`.
-pub fn found(path: &Path, doubts: &[Doubt]) -> Result<HashSet<String>, ReceiptsError> {
+pub fn find_receipts(path: &Path, doubts: &[Doubt]) -> Result<HashSet<String>, ReceiptsError> {
     let at = path.display();
     let bad = |why: String| ReceiptsError::File(format!("{at}: {why}"));
     let sought: HashSet<&str> = doubts.iter().map(|d| d.row.operation.as_str()).collect();
--- a/crates/ledger/src/reconcile.rs
+++ b/crates/ledger/src/reconcile.rs
@@ -3,17 +3,17 @@
 //! [`Merged`] is a set of exported periods by their ids: merging is commutative, associative and idempotent, as it is
 //! a union. It performs no I/O; [`crate::scan`] reads the files.
 
-use crate::correction::About;
+use crate::correction::Subject;
 use crate::marks::Ranges;
 use crate::period::Period;
 use crate::store::Lines;
-use crate::sums::{Overflow, Use};
+use crate::sums::{Overflow, Usage};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// An entry of one instance.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub struct Place {
+pub struct EntryId {
     /// The instance.
     pub instance: String,
     /// The epoch.
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct OpenDoubt {
     /// Where it stands.
-    pub place: Place,
+    pub place: EntryId,
     /// Its period.
     pub period: Period,
     /// The operation's id.
@@ -61,7 +61,7 @@
     /// Its doubts.
     pub doubts: Vec<OpenDoubt>,
     /// What its corrections settle.
-    pub settles: Vec<About>,
+    pub settles: Vec<Subject>,
 }
 
 /// See the module's own page.
@@ -109,14 +109,14 @@
         /// The key's hash.
         key: String,
         /// The entries.
-        places: Vec<Place>,
+        places: Vec<EntryId>,
     },
     /// A doubt that no correction has settled.
     Doubt(OpenDoubt),
 }
 
 /// The bill: by tenant, class and period.
-pub type Bill = BTreeMap<(String, String, Period), Use>;
+pub type Bill = BTreeMap<(String, String, Period), Usage>;
 
 const ZEROS: &str = "0000000000000000000000000000000000000000000000000000000000000000";
 
@@ -209,9 +209,9 @@
                 part.numbers
                     .iter()
                     .for_each(|(e, n)| numbers.entry(*e).or_default().merge(n));
-                settled.extend(part.settles.iter().filter_map(|about| match about {
-                    About::Use => None,
-                    About::Billed { epoch, seq } | About::Waived { epoch, seq } => {
+                settled.extend(part.settles.iter().filter_map(|subject| match subject {
+                    Subject::Usage => None,
+                    Subject::Billed { epoch, seq } | Subject::Waived { epoch, seq } => {
                         Some((*epoch, *seq))
                     }
                 }));
--- a/crates/ledger/src/scan/part_reader.rs
+++ b/crates/ledger/src/scan/part_reader.rs
@@ -2,16 +2,16 @@
 
 use super::spilled_keys::{SpilledKey, SpilledKeys};
 use crate::correction::Correction;
-use crate::entry::{to_hex, Answer, Micros, Row, Unpack};
+use crate::entry::{to_hex, Answer, Micros, Row, RowReader};
 use crate::export::{
     lines, read_block, read_head, BlockHead, ContentError, Hashing, Head, Manifest,
 };
 use crate::marks::{Delivery, Marks};
 use crate::period::{ParsePeriodError, Period};
-use crate::reconcile::{OpenDoubt, Part, Place};
+use crate::reconcile::{EntryId, OpenDoubt, Part};
 use crate::seal;
 use crate::store::Lines;
-use crate::sums::{Overflow, Use};
+use crate::sums::{Overflow, Usage};
 use std::collections::{BTreeMap, HashMap};
 use std::fs::File;
 use std::io::{self, BufReader};
@@ -133,7 +133,7 @@
     index: u32,
     marks: &'a BTreeMap<u64, Marks>,
     chain: seal::Chain,
-    sums: HashMap<(u32, u32), Use>,
+    sums: HashMap<(u32, u32), Usage>,
     part: Part,
 }
 
@@ -173,14 +173,14 @@
         let mut served = Vec::new();
         let mut count = 0;
         let mut run: Option<Run> = None;
-        for row in Unpack::new(body, self.base(block)) {
+        for row in RowReader::new(body, self.base(block)) {
             let row = row.map_err(|bad| PartError::Entry {
                 epoch: block.epoch,
                 seq: block.first + bad.0,
             })?;
             count += 1;
             run = Some(self.extend_run(block.epoch, run, row.seq));
-            let delivery = marks.map_or(Delivery::InDoubt, |marks| marks.of(row.seq));
+            let delivery = marks.map_or(Delivery::InDoubt, |marks| marks.delivery(row.seq));
             served.extend(self.add_row(block.epoch, row, delivery)?);
         }
         self.add_numbers(block.epoch, run);
@@ -195,7 +195,7 @@
     }
 
     fn chain_block(&mut self, block: &BlockHead, body: &[u8]) {
-        let place = seal::Place {
+        let place = seal::BlockPosition {
             period: self.part.period,
             epoch: block.epoch,
             first: block.first,
@@ -256,7 +256,7 @@
 
     fn add_doubt(&mut self, epoch: u64, row: Row) -> Result<(), PartError> {
         let doubt = OpenDoubt {
-            place: Place {
+            place: EntryId {
                 instance: self.part.instance.clone(),
                 epoch,
                 seq: row.seq,
@@ -294,7 +294,7 @@
         self.chain.correction(number, bytes);
         let correction: Correction =
             postcard::from_bytes(bytes).map_err(|_| PartError::Correction(number))?;
-        self.part.settles.push(correction.about);
+        self.part.settles.push(correction.subject);
         let line = (correction.tenant, correction.class);
         let sums = self.part.lines.entry(line).or_default();
         sums.correct(correction.operations, correction.slot_us)?;
--- a/crates/ledger/src/scan/spilled_keys.rs
+++ b/crates/ledger/src/scan/spilled_keys.rs
@@ -2,7 +2,7 @@
 //! memory holds.
 
 use crate::entry::{to_hex, KeyHash};
-use crate::reconcile::{Finding, Place};
+use crate::reconcile::{EntryId, Finding};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::fs::File;
@@ -108,9 +108,9 @@
         repeats.unlisted += 1;
         return;
     }
-    let places: BTreeSet<Place> = same_key
+    let places: BTreeSet<EntryId> = same_key
         .iter()
-        .map(|spilled| Place {
+        .map(|spilled| EntryId {
             instance: instance(spilled).into(),
             epoch: spilled.epoch,
             seq: spilled.seq,
--- a/crates/ledger/src/seal.rs
+++ b/crates/ledger/src/seal.rs
@@ -5,7 +5,7 @@
 
 /// Where a block stands and what it holds.
 #[derive(Clone, Copy, Debug)]
-pub struct Place {
+pub struct BlockPosition {
     /// The period that it is booked in.
     pub period: Period,
     /// The epoch of its entries.
@@ -19,7 +19,7 @@
 }
 
 /// The hash of a block's bytes and place, 16 bytes.
-pub fn block(at: &Place, body: &[u8]) -> [u8; 16] {
+pub fn block(at: &BlockPosition, body: &[u8]) -> [u8; 16] {
     let mut hash = blake3::Hasher::new();
     hash.update(b"streamusher block 1");
     hash.update(&at.period.start_s().to_le_bytes());
--- a/crates/ledger/src/store/mod.rs
+++ b/crates/ledger/src/store/mod.rs
@@ -30,7 +30,7 @@
 /// Marks a file as a ledger of this program, as `PRAGMA application_id`.
 const APPLICATION: i64 = 0x5354_4c47;
 /// The file inside the ledger's folder.
-pub const FILE: &str = "ledger.db";
+pub const DATABASE_FILE: &str = "ledger.db";
 /// Held by the dispatcher that writes.
 const LOCK: &str = "ledger.lock";
 /// How long one process waits for another's commit.
@@ -64,7 +64,7 @@
     /// The key of MACs and of idempotency keys' hashes.
     pub key: [u8; 32],
     /// The store's file holds no more bytes than this; a commit beyond it fails as on a full disk.
-    pub most_bytes: Option<u64>,
+    pub max_bytes: Option<u64>,
 }
 
 /// An open ledger.
@@ -100,10 +100,12 @@
         let lock = lock.map_err(|e| io(&lock_at, &e))?;
         match lock.try_lock() {
             Ok(()) => {}
-            Err(TryLockError::WouldBlock) => return Err(StoreError::InUse(options.dir.join(FILE))),
+            Err(TryLockError::WouldBlock) => {
+                return Err(StoreError::InUse(options.dir.join(DATABASE_FILE)))
+            }
             Err(TryLockError::Error(e)) => return Err(io(&lock_at, &e)),
         }
-        no_commits_lost(&options.dir.join(FILE))?;
+        no_commits_lost(&options.dir.join(DATABASE_FILE))?;
         let mut store = Store::at(
             options,
             OpenFlags::SQLITE_OPEN_READ_WRITE | OpenFlags::SQLITE_OPEN_CREATE,
@@ -112,7 +114,7 @@
         store.checkpoint()?;
         cut_off(&store.path)?;
         store.make(options)?;
-        store.check_about(options)?;
+        store.check_metadata(options)?;
         store.begin_epoch(now)?;
         Ok(store)
     }
@@ -124,8 +126,8 @@
     ///
     /// [`StoreError::Missing`] if there is none, [`StoreError::Newer`] or [`StoreError::Damaged`] if it cannot be
     /// used; else what the system reports.
-    pub fn command(dir: &Path, key: [u8; 32]) -> Result<Store, StoreError> {
-        let path = dir.join(FILE);
+    pub fn open_for_command(dir: &Path, key: [u8; 32]) -> Result<Store, StoreError> {
+        let path = dir.join(DATABASE_FILE);
         if !path.exists() {
             return Err(StoreError::Missing(path));
         }
@@ -138,16 +140,16 @@
             instance: String::new(),
             span: Span::Month,
             key,
-            most_bytes: None,
+            max_bytes: None,
         };
         let mut store = Store::at(&options, OpenFlags::SQLITE_OPEN_READ_WRITE)?;
-        store.instance = store.about("instance")?;
-        store.span = span(&store.about("span")?).ok_or_else(|| store.damaged("about: span"))?;
+        store.instance = store.metadata("instance")?;
+        store.span = span(&store.metadata("span")?).ok_or_else(|| store.damaged("about: span"))?;
         Ok(store)
     }
 
     fn at(options: &Options, flags: OpenFlags) -> Result<Store, StoreError> {
-        let path = options.dir.join(FILE);
+        let path = options.dir.join(DATABASE_FILE);
         cut_off(&path)?;
         let failed = |e| StoreError::of(&path, e);
         let flags = flags | OpenFlags::SQLITE_OPEN_NO_MUTEX;
@@ -177,7 +179,7 @@
             "PRAGMA journal_mode = WAL; PRAGMA synchronous = FULL; PRAGMA cache_size = -2048;",
         )
         .map_err(failed)?;
-        if let Some(most) = options.most_bytes {
+        if let Some(most) = options.max_bytes {
             let page: i64 = db
                 .pragma_query_value(None, "page_size", |r| r.get(0))
                 .map_err(failed)?;
@@ -207,11 +209,11 @@
             }
             let whole = db.transaction()?;
             whole.execute_batch(FORM)?;
-            let mut about = whole.prepare("INSERT INTO about VALUES(?1, ?2)")?;
-            about.execute(("instance", &options.instance))?;
-            about.execute(("span", span_name(options.span)))?;
-            about.execute(("key", key_name(&options.key)))?;
-            drop(about);
+            let mut metadata = whole.prepare("INSERT INTO about VALUES(?1, ?2)")?;
+            metadata.execute(("instance", &options.instance))?;
+            metadata.execute(("span", span_name(options.span)))?;
+            metadata.execute(("key", key_name(&options.key)))?;
+            drop(metadata);
             whole.pragma_update(None, "application_id", APPLICATION)?;
             whole.pragma_update(None, "user_version", VERSION)?;
             whole.commit()
@@ -219,7 +221,7 @@
         make(&mut self.db).map_err(|e| StoreError::of(&path, e))
     }
 
-    fn about(&self, name: &str) -> Result<String, StoreError> {
+    fn metadata(&self, name: &str) -> Result<String, StoreError> {
         let found = self
             .db
             .query_row("SELECT value FROM about WHERE name = ?1", [name], |r| {
@@ -232,13 +234,13 @@
     }
 
     /// Guards against sums over two lengths of period, two instances' numbers, or MACs that nobody can check.
-    fn check_about(&self, options: &Options) -> Result<(), StoreError> {
+    fn check_metadata(&self, options: &Options) -> Result<(), StoreError> {
         for (name, ours) in [
             ("instance", options.instance.clone()),
             ("span", span_name(options.span).to_string()),
             ("key", key_name(&options.key)),
         ] {
-            let theirs = self.about(name)?;
+            let theirs = self.metadata(name)?;
             if theirs != ours {
                 let what = format!("this ledger was made for {name} {theirs}, not {ours}");
                 return Err(StoreError::Other {
@@ -265,7 +267,7 @@
     ///
     /// [`StoreError::Damaged`] if what is stored is not what was written; else what the database reports.
     pub fn has_key(&self) -> Result<bool, StoreError> {
-        Ok(self.about("key")? == key_name(&self.key))
+        Ok(self.metadata("key")? == key_name(&self.key))
     }
 
     /// The instance's name.
--- a/crates/ledger/src/store/read.rs
+++ b/crates/ledger/src/store/read.rs
@@ -1,12 +1,12 @@
 //! What is read from a store: periods, blocks, sums, doubts and corrections. Nothing here writes.
 
 use super::{lock_held, marked, Store, StoreError};
-use crate::correction::{About, Correction};
-use crate::entry::{Answer, Micros, Row, Unpack};
+use crate::correction::{Correction, Subject};
+use crate::entry::{Answer, Micros, Row, RowReader};
 use crate::marks::{Delivery, Marks};
 use crate::period::Period;
 use crate::seal;
-use crate::sums::Use;
+use crate::sums::Usage;
 use rusqlite::OptionalExtension;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -30,8 +30,8 @@
 
 impl<'a> Block<'a> {
     /// Its entries.
-    pub fn rows(&self) -> Unpack<'a> {
-        Unpack::new(self.body, self.base)
+    pub fn rows(&self) -> RowReader<'a> {
+        RowReader::new(self.body, self.base)
     }
 }
 
@@ -84,7 +84,7 @@
 pub type RawCorrection = (u64, Vec<u8>);
 
 /// Sums by tenant and class.
-pub type Lines = BTreeMap<(String, String), Use>;
+pub type Lines = BTreeMap<(String, String), Usage>;
 
 impl Store {
     /// The closed periods, the oldest first.
@@ -293,7 +293,7 @@
             ..
         } = block;
         if seal::block(
-            &seal::Place {
+            &seal::BlockPosition {
                 period,
                 epoch,
                 first,
@@ -335,9 +335,9 @@
     ///
     /// # Errors
     ///
-    /// As for [`Store::survey`].
+    /// As for [`Store::sums_and_names`].
     pub fn sums(&self, period: Period) -> Result<Lines, StoreError> {
-        Ok(self.survey(period)?.0)
+        Ok(self.sums_and_names(period)?.0)
     }
 
     /// The same, and the names that the period's entries use by their numbers, in one pass.
@@ -346,14 +346,17 @@
     ///
     /// [`StoreError::Damaged`] if an entry, a name or a correction is not what was written, or a sum overflows;
     /// else what the database reports.
-    pub fn survey(&self, period: Period) -> Result<(Lines, BTreeMap<u32, String>), StoreError> {
+    pub fn sums_and_names(
+        &self,
+        period: Period,
+    ) -> Result<(Lines, BTreeMap<u32, String>), StoreError> {
         let (mut names, marks) = (self.names()?, self.marks(period)?);
-        let mut by_number: HashMap<(u32, u32), Use> = HashMap::new();
+        let mut by_number: HashMap<(u32, u32), Usage> = HashMap::new();
         self.blocks(period, |block| {
             let marks = marks.get(&block.epoch);
             for row in block.rows() {
                 let row = row.map_err(|bad| self.bad_row(&block, bad.0))?;
-                let delivery = marks.map_or(Delivery::InDoubt, |m| m.of(row.seq));
+                let delivery = marks.map_or(Delivery::InDoubt, |m| m.delivery(row.seq));
                 let line = by_number.entry((row.tenant, row.class)).or_default();
                 line.count(&row, delivery)
                     .map_err(|e| self.damaged(e.to_string()))?;
@@ -467,8 +470,8 @@
                 }
                 for row in block.rows() {
                     let row = row.map_err(|bad| self.bad_row(&block, bad.0))?;
-                    let open =
-                        row.answer == Answer::Served && known.of(row.seq) == Delivery::InDoubt;
+                    let open = row.answer == Answer::Served
+                        && known.delivery(row.seq) == Delivery::InDoubt;
                     if open && self.settled(block.epoch, row.seq)?.is_none() {
                         let (tenant, class) = (name(row.tenant)?, name(row.class)?);
                         doubts.push(Doubt {
@@ -501,18 +504,18 @@
     /// The correction that settles it.
     pub fn settle(&self, how: Settle, now: Micros, author: &str, reason: &str) -> Correction {
         let (epoch, seq) = (self.epoch, self.row.seq);
-        let (about, operations, slot_us) = match how {
+        let (subject, operations, slot_us) = match how {
             Settle::Bill => (
-                About::Billed { epoch, seq },
+                Subject::Billed { epoch, seq },
                 1,
                 i128::from(self.row.slot_us()),
             ),
-            Settle::Waive => (About::Waived { epoch, seq }, 0, 0),
+            Settle::Waive => (Subject::Waived { epoch, seq }, 0, 0),
         };
         Correction {
             time_us: now,
-            of: self.period,
-            about,
+            corrected_period: self.period,
+            subject,
             tenant: self.tenant.clone(),
             class: self.class.clone(),
             operations,
--- a/crates/ledger/src/store/write.rs
+++ b/crates/ledger/src/store/write.rs
@@ -1,7 +1,7 @@
 //! What changes a store: epochs, commits, closings and corrections. Each is one transaction.
 
 use super::{marked, Store, StoreError};
-use crate::correction::{About, Correction};
+use crate::correction::{Correction, Subject};
 use crate::entry::{pack, Entry, Micros, Row};
 use crate::marks::Marks;
 use crate::period::{Period, Span};
@@ -72,7 +72,7 @@
         &mut self,
         entries: &[Entry],
         written: &[u64],
-        broke: &[u64],
+        undelivered: &[u64],
     ) -> Result<(), StoreError> {
         let span = self.span;
         let (epoch, last, old) = self
@@ -81,7 +81,7 @@
             .ok_or_else(|| self.damaged("opened for commands"))?;
         let mut marks = old;
         written.iter().for_each(|n| marks.written.add(*n));
-        broke.iter().for_each(|n| marks.broke.add(*n));
+        undelivered.iter().for_each(|n| marks.undelivered.add(*n));
         let last = entries.last().map_or(last, |e| e.seq).max(last);
         let bytes = marked::to_bytes(epoch, &marks);
         self.whole(|t, names| {
@@ -91,7 +91,7 @@
                 let period = booked_in(span, entry.time_us, first_open);
                 let tenant = number(t, names, &entry.tenant)?;
                 let class = number(t, names, &entry.class)?;
-                let row = Row::of(entry, tenant, class);
+                let row = Row::from_entry(entry, tenant, class);
                 by_period.entry(period).or_default().push(row);
             }
             for (period, rows) in by_period {
@@ -153,7 +153,7 @@
     fn seal(&mut self, period: Period, now: Micros) -> Result<[u8; 32], StoreError> {
         let instance = self.instance.clone();
         // Read first: what is damaged is not sealed.
-        let (_, names) = self.survey(period)?;
+        let (_, names) = self.sums_and_names(period)?;
         self.whole(|t, _| {
             let before = t.query_row("SELECT hash FROM seals ORDER BY period DESC LIMIT 1", [], |r| r.get(0));
             let before: Vec<u8> = match before {
@@ -220,7 +220,7 @@
                     1 + t.query_row("SELECT coalesce(max(no), 0) FROM corrections", [], |r| {
                         r.get::<_, i64>(0)
                     })?;
-                if let About::Billed { epoch, seq } | About::Waived { epoch, seq } = c.about {
+                if let Subject::Billed { epoch, seq } | Subject::Waived { epoch, seq } = c.subject {
                     let new = t.execute(
                         "INSERT OR IGNORE INTO settled VALUES(?1, ?2, ?3)",
                         params![epoch as i64, seq as i64, no],
@@ -291,7 +291,7 @@
 fn insert_block(t: &Transaction, period: Period, epoch: u64, rows: &[Row]) -> rusqlite::Result<()> {
     let (first, last) = (rows[0].seq, rows[rows.len() - 1].seq);
     let body = pack_all(rows, (first, period.start_s() as u64 * 1_000_000));
-    let place = seal::Place {
+    let place = seal::BlockPosition {
         period,
         epoch,
         first,
--- a/crates/ledger/src/sums.rs
+++ b/crates/ledger/src/sums.rs
@@ -6,7 +6,7 @@
 
 /// What was used, in one class by one tenant. All of it counts operations but for the two that name their unit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Use {
+pub struct Usage {
     /// Served, and the answer written.
     pub served: u64,
     /// What was served, in slot-microseconds.
@@ -34,7 +34,7 @@
 #[error("a sum grew beyond what can be counted")]
 pub struct Overflow;
 
-impl Use {
+impl Usage {
     /// Counts one entry.
     ///
     /// # Errors
@@ -47,7 +47,7 @@
             (Answer::Served, Delivery::InDoubt) => {
                 (&mut self.doubts, Some(&mut self.doubt_slot_us))
             }
-            (Answer::Served, Delivery::Broke) | (Answer::Gone, _) => (&mut self.gone, None),
+            (Answer::Served, Delivery::Undelivered) | (Answer::Gone, _) => (&mut self.gone, None),
             (Answer::Busy, _) => (&mut self.busy, None),
             (Answer::Failed, _) => (&mut self.failed, None),
         };
@@ -81,10 +81,10 @@
     /// # Errors
     ///
     /// [`Overflow`] if a sum grows beyond what its number holds.
-    pub fn add(&mut self, o: &Use) -> Result<(), Overflow> {
+    pub fn add(&mut self, o: &Usage) -> Result<(), Overflow> {
         let n = |a: u64, b: u64| a.checked_add(b).ok_or(Overflow);
         let w = |a: u128, b: u128| a.checked_add(b).ok_or(Overflow);
-        *self = Use {
+        *self = Usage {
             served: n(self.served, o.served)?,
             slot_us: w(self.slot_us, o.slot_us)?,
             busy: n(self.busy, o.busy)?,
--- a/crates/ledger/src/writer/mod.rs
+++ b/crates/ledger/src/writer/mod.rs
@@ -19,7 +19,7 @@
     /// The answer of this number was written to the last byte.
     Written(u64),
     /// The answer of this number could not be written.
-    Broke(u64),
+    Undelivered(u64),
 }
 
 /// What the writer reports, on its own thread.
@@ -33,7 +33,7 @@
     /// More entries are durable; none more after a failure that is over.
     Durable {
         /// All that were handed over up to this number.
-        upto: u64,
+        up_to: u64,
         /// How many.
         entries: usize,
     },
--- a/crates/ledger/src/writer/thread.rs
+++ b/crates/ledger/src/writer/thread.rs
@@ -30,7 +30,7 @@
 struct Batch {
     entries: Vec<Entry>,
     written: Vec<u64>,
-    broke: Vec<u64>,
+    undelivered: Vec<u64>,
 }
 
 impl Batch {
@@ -38,12 +38,12 @@
         match record {
             Record::Entry(entry) => self.entries.push(entry),
             Record::Written(number) => self.written.push(number),
-            Record::Broke(number) => self.broke.push(number),
+            Record::Undelivered(number) => self.undelivered.push(number),
         }
     }
 
     fn is_empty(&self) -> bool {
-        self.entries.is_empty() && self.written.is_empty() && self.broke.is_empty()
+        self.entries.is_empty() && self.written.is_empty() && self.undelivered.is_empty()
     }
 }
 
@@ -63,7 +63,7 @@
     send_event: T,
     store: Option<Store>,
     /// The last number that is durable.
-    upto: u64,
+    up_to: u64,
     /// Why it failed last; empty while it works.
     why: String,
     /// Since when another process keeps it from being written.
@@ -86,7 +86,7 @@
             wall,
             send_event,
             store: None,
-            upto: 0,
+            up_to: 0,
             why: String::new(),
             locked_since: None,
             unsettled: Vec::new(),
@@ -198,7 +198,7 @@
         let Some(store) = self.store() else {
             return Attempt::Failed;
         };
-        match store.commit(&batch.entries, &batch.written, &batch.broke) {
+        match store.commit(&batch.entries, &batch.written, &batch.undelivered) {
             Ok(()) => {
                 self.on_committed(std::mem::take(batch));
                 Attempt::Done
@@ -215,10 +215,10 @@
     fn on_committed(&mut self, batch: Batch) {
         self.locked_since = None;
         let had_failed = !std::mem::take(&mut self.why).is_empty();
-        self.upto = batch.entries.last().map_or(self.upto, |entry| entry.seq);
+        self.up_to = batch.entries.last().map_or(self.up_to, |entry| entry.seq);
         if had_failed || !batch.entries.is_empty() {
             (self.send_event)(WriterEvent::Durable {
-                upto: self.upto,
+                up_to: self.up_to,
                 entries: batch.entries.len(),
             });
         }
@@ -229,9 +229,12 @@
         let Some(store) = &mut self.store else {
             return;
         };
-        if store.commit(&[], &batch.written, &batch.broke).is_ok() {
+        if store
+            .commit(&[], &batch.written, &batch.undelivered)
+            .is_ok()
+        {
             batch.written.clear();
-            batch.broke.clear();
+            batch.undelivered.clear();
         }
     }
 
--- a/crates/ledger/tests/common/mod.rs
+++ b/crates/ledger/tests/common/mod.rs
@@ -19,7 +19,7 @@
         instance: instance.into(),
         span: Span::Hour,
         key: KEY,
-        most_bytes: None,
+        max_bytes: None,
     }
 }
 
--- a/crates/ledger/tests/pure.rs
+++ b/crates/ledger/tests/pure.rs
@@ -6,12 +6,12 @@
 use proptest::prelude::*;
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
-use streamusher_ledger::entry::{pack, Answer, BadRow, Row, Unpack};
-use streamusher_ledger::gate::{Gate, OnFailure, Verdict};
+use streamusher_ledger::entry::{pack, Answer, DamagedRow, Row, RowReader};
+use streamusher_ledger::gate::{BookingDecision, Gate, OnFailure};
 use streamusher_ledger::marks::Ranges;
 use streamusher_ledger::period::{Period, Span};
 use streamusher_ledger::reconcile::{Merged, Part};
-use streamusher_ledger::sums::Use;
+use streamusher_ledger::sums::Usage;
 
 #[rstest]
 #[case::month("2026-12", 1_796_083_200, "2027-01")]
@@ -105,7 +105,7 @@
     #[test]
     fn a_block_gives_back_its_rows(rows in rows()) {
         let (bytes, _) = block(&rows);
-        let read: Result<Vec<Row>, BadRow> = Unpack::new(&bytes, (rows[0].seq, DECEMBER)).collect();
+        let read: Result<Vec<Row>, DamagedRow> = RowReader::new(&bytes, (rows[0].seq, DECEMBER)).collect();
         prop_assert_eq!(read, Ok(rows));
     }
 
@@ -115,8 +115,8 @@
         let at = at.index(bytes.len());
         bytes[at] ^= 1 << bit;
         let changed = ends.iter().position(|end| at < *end).unwrap();
-        let bad = Unpack::new(&bytes, (rows[0].seq, DECEMBER)).find_map(Result::err);
-        prop_assert_eq!(bad, Some(BadRow(changed as u64)));
+        let bad = RowReader::new(&bytes, (rows[0].seq, DECEMBER)).find_map(Result::err);
+        prop_assert_eq!(bad, Some(DamagedRow(changed as u64)));
     }
 
     #[test]
@@ -126,7 +126,7 @@
             ranges.add_range(first, first + more);
             set.extend(first..=first + more);
         }
-        prop_assert!((0..90).all(|n| ranges.has(n) == set.contains(&n)));
+        prop_assert!((0..90).all(|n| ranges.contains(n) == set.contains(&n)));
         let listed: Vec<(u64, u64)> = ranges.iter().collect();
         prop_assert!(listed.windows(2).all(|w| w[0].1 + 1 < w[1].0), "they neither touch nor overlap: {listed:?}");
         let gaps: BTreeSet<u64> = ranges.gaps(1).into_iter().flat_map(|(a, b)| a..=b).collect();
@@ -166,23 +166,23 @@
             let due: Vec<u64> = held.iter().filter(|(_, until)| **until <= now).map(|(n, _)| *n).collect();
             for seq in due {
                 held.remove(&seq);
-                prop_assert!(gate.overdue(seq), "what is held is not durable");
-                prop_assert!(!gate.takes_work(), "a disk that does not keep up is not trusted");
+                prop_assert!(gate.on_overdue(seq), "what is held is not durable");
+                prop_assert!(!gate.accepts_work(), "a disk that does not keep up is not trusted");
             }
             match what {
                 0 | 1 => {
                     numbers += 1;
                     match gate.book(now, now + 1_000) {
-                        Verdict::Hold { seq, until } => {
+                        BookingDecision::Hold { seq, until } => {
                             prop_assert_eq!(seq, numbers, "numbers go up without gaps");
                             prop_assert!(until <= now + 1_000);
                             prop_assert!(until > now || !gate.is_trusted());
                             held.insert(seq, until);
                         }
-                        Verdict::Unbooked => {}
+                        BookingDecision::Unbooked => {}
                     }
                 }
-                2 => gate.failed(),
+                2 => gate.on_failed(),
                 _ => {
                     let first = held.keys().next().copied();
                     if let Some(seq) = first {
@@ -195,9 +195,9 @@
 }
 
 fn part(instance: u8, period: u8, id: u8) -> Part {
-    let sums = Use {
+    let sums = Usage {
         served: 1,
-        ..Use::default()
+        ..Usage::default()
     };
     Part {
         instance: format!("n{instance}"),
@@ -216,19 +216,19 @@
 #[test]
 fn a_disk_that_comes_back_is_trusted_again() {
     let mut gate = Gate::new(OnFailure::Refuse, 2_000, 3);
-    gate.failed();
-    assert!(!gate.takes_work() && !gate.releases_unbooked());
+    gate.on_failed();
+    assert!(!gate.accepts_work() && !gate.releases_unbooked());
     assert_eq!(
         gate.book(10, 9_000),
-        Verdict::Hold {
+        BookingDecision::Hold {
             seq: 1,
             until: 2_010
         },
         "a result that may not be released waits for the disk"
     );
-    assert!(gate.overdue(1));
-    gate.durable(1, 1);
-    assert!(gate.takes_work() && !gate.overdue(1));
+    assert!(gate.on_overdue(1));
+    gate.on_durable(1, 1);
+    assert!(gate.accepts_work() && !gate.on_overdue(1));
     assert_eq!(gate.late, 1);
 }
 
@@ -237,26 +237,33 @@
     let mut gate = Gate::new(OnFailure::ServeUnbilled, 2_000, 3);
     assert_eq!(
         gate.book(0, 9_000),
-        Verdict::Hold {
+        BookingDecision::Hold {
             seq: 1,
             until: 2_000
         }
     );
-    gate.failed();
-    assert!(gate.takes_work() && gate.releases_unbooked() && !gate.is_trusted());
+    gate.on_failed();
+    assert!(gate.accepts_work() && gate.releases_unbooked() && !gate.is_trusted());
     assert_eq!(
         gate.book(10, 9_000),
-        Verdict::Hold { seq: 2, until: 10 },
+        BookingDecision::Hold { seq: 2, until: 10 },
         "what is in hand does not wait for it"
     );
-    assert!(gate.overdue(2));
-    assert_eq!(gate.book(20, 9_000), Verdict::Hold { seq: 3, until: 20 });
-    assert_eq!(gate.book(30, 9_000), Verdict::Unbooked, "no more are kept");
-    gate.durable(3, 3);
-    assert!(gate.is_trusted() && !gate.overdue(3));
+    assert!(gate.on_overdue(2));
+    assert_eq!(
+        gate.book(20, 9_000),
+        BookingDecision::Hold { seq: 3, until: 20 }
+    );
+    assert_eq!(
+        gate.book(30, 9_000),
+        BookingDecision::Unbooked,
+        "no more are kept"
+    );
+    gate.on_durable(3, 3);
+    assert!(gate.is_trusted() && !gate.on_overdue(3));
     assert_eq!(
         gate.book(40, 9_000),
-        Verdict::Hold {
+        BookingDecision::Hold {
             seq: 5,
             until: 2_040
         },
@@ -267,14 +274,14 @@
 
 #[test]
 fn sums_do_not_overflow_in_silence() {
-    let mut most = Use {
+    let mut most = Usage {
         slot_us: u128::MAX,
-        ..Use::default()
+        ..Usage::default()
     };
     assert!(most
-        .add(&Use {
+        .add(&Usage {
             slot_us: 1,
-            ..Use::default()
+            ..Usage::default()
         })
         .is_err());
     assert!(most.billed_slot_us().is_err());
--- a/crates/ledger/tests/receipts.rs
+++ b/crates/ledger/tests/receipts.rs
@@ -1,13 +1,13 @@
 //! Files of receipts, as they are read.
 
-use streamusher_ledger::receipts::found;
+use streamusher_ledger::receipts::find_receipts;
 
 #[test]
 fn a_quote_without_its_end_is_refused_with_its_line() {
     let dir = tempfile::tempdir().expect("a folder");
     let file = dir.path().join("receipts.csv");
     std::fs::write(&file, "operation,tenant\na,t1\n\"b,t1\nc,t1\n").expect("written");
-    let why = found(&file, &[]).expect_err("refused").to_string();
+    let why = find_receipts(&file, &[]).expect_err("refused").to_string();
     assert!(
         why.ends_with("receipts.csv: line 3: a quote without its end"),
         "{why}"
--- a/crates/ledger/tests/recorded.rs
+++ b/crates/ledger/tests/recorded.rs
@@ -12,15 +12,15 @@
 use rusqlite::Connection;
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
-use streamusher_ledger::correction::{About, Correction};
-use streamusher_ledger::entry::{key_hash, pack, Answer, Entry, Row, Unpack};
+use streamusher_ledger::correction::{Correction, Subject};
+use streamusher_ledger::entry::{key_hash, pack, Answer, Entry, Row, RowReader};
 use streamusher_ledger::export::{export, Manifest};
 use streamusher_ledger::gate::OnFailure;
 use streamusher_ledger::marks::{Marks, Ranges};
 use streamusher_ledger::period::{Period, Span};
-use streamusher_ledger::reconcile::{Finding, OpenDoubt, Place};
+use streamusher_ledger::reconcile::{EntryId, Finding, OpenDoubt};
 use streamusher_ledger::scan::scan;
-use streamusher_ledger::store::{Settle, Store, FILE};
+use streamusher_ledger::store::{Settle, Store, DATABASE_FILE};
 use streamusher_ledger::{key, receipts, seal};
 use tempfile::tempdir;
 
@@ -50,11 +50,11 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn correction(about: About, operations: i64, slot_us: i128) -> Correction {
+fn correction(subject: Subject, operations: i64, slot_us: i128) -> Correction {
     Correction {
         time_us: DECEMBER + 50 * SECOND,
-        of: Period::of(Span::Hour, DECEMBER),
-        about,
+        corrected_period: Period::of(Span::Hour, DECEMBER),
+        subject,
         tenant: "hydrology".into(),
         class: "depth-log".into(),
         operations,
@@ -94,7 +94,9 @@
     let served = entry(1, DECEMBER + 40 * SECOND, "hydrology", Answer::Served);
     let unknown = entry(2, DECEMBER + 41 * SECOND, "hydrology", Answer::Served);
     store.commit(&[served, unknown], &[1], &[]).unwrap();
-    store.correct(&correction(About::Use, -1, -300)).unwrap();
+    store
+        .correct(&correction(Subject::Usage, -1, -300))
+        .unwrap();
     settle_by_receipts(&mut store, dir);
     store.close_due(DECEMBER + HOUR, 0).unwrap();
     let late = entry(3, DECEMBER + HOUR + SECOND, "geology", Answer::Served);
@@ -109,7 +111,7 @@
     let file = dir.join("receipts.csv");
     let operation = &doubts[0].row.operation;
     std::fs::write(&file, format!("tenant,operation\nhydrology,{operation}\n")).unwrap();
-    let found = receipts::found(&file, &doubts).unwrap();
+    let found = receipts::find_receipts(&file, &doubts).unwrap();
     std::fs::remove_file(&file).unwrap();
     let settled = receipts::settle(
         store,
@@ -128,7 +130,7 @@
 
 /// Every row of every table, blobs as hex digits.
 fn tables(dir: &Path) -> Value {
-    let database = Connection::open(dir.join(FILE)).unwrap();
+    let database = Connection::open(dir.join(DATABASE_FILE)).unwrap();
     let mut tables = serde_json::Map::new();
     for (table, order) in TABLES {
         let sql = format!("SELECT * FROM {table} ORDER BY {order}");
@@ -232,7 +234,7 @@
 fn encoded_forms() -> Value {
     let moment = DECEMBER + 11 * HOUR;
     let periods = [Span::Hour, Span::Day, Span::Month].map(|span| Period::of(span, moment));
-    let place = Place {
+    let place = EntryId {
         instance: "n1".into(),
         epoch: 7,
         seq: 9,
@@ -274,21 +276,21 @@
     written.add(8);
     let marks = Marks {
         written,
-        broke: Ranges::default(),
+        undelivered: Ranges::default(),
     };
     let abouts = [
-        About::Use,
-        About::Billed { epoch: 7, seq: 9 },
-        About::Waived { epoch: 7, seq: 10 },
+        Subject::Usage,
+        Subject::Billed { epoch: 7, seq: 9 },
+        Subject::Waived { epoch: 7, seq: 10 },
     ];
-    let corrections = abouts.map(|about| {
-        let correction = correction(about, -2, -600_000);
+    let corrections = abouts.map(|subject| {
+        let correction = correction(subject, -2, -600_000);
         let bytes = correction.bytes();
         let mac = Correction::mac(&bytes, &KEY, "n1", 3);
         json!([correction, hex(&bytes), hex(&mac)])
     });
     let block = packed_rows();
-    let block_place = seal::Place {
+    let block_place = seal::BlockPosition {
         period: periods[0],
         epoch: 7,
         first: 1,
@@ -320,7 +322,7 @@
     entries()
         .iter()
         .enumerate()
-        .map(|(index, entry)| Row::of(entry, index as u32, 300 + index as u32))
+        .map(|(index, entry)| Row::from_entry(entry, index as u32, 300 + index as u32))
         .collect()
 }
 
@@ -336,14 +338,14 @@
 
 fn copied_store() -> tempfile::TempDir {
     let dir = tempdir().unwrap();
-    std::fs::copy(fixture(FILE), dir.path().join(FILE)).unwrap();
+    std::fs::copy(fixture(DATABASE_FILE), dir.path().join(DATABASE_FILE)).unwrap();
     dir
 }
 
 #[test]
 fn a_recorded_store_is_read_as_it_was_written() {
     let dir = copied_store();
-    let store = Store::command(dir.path(), KEY).unwrap();
+    let store = Store::open_for_command(dir.path(), KEY).unwrap();
     assert_eq!(content(&store), recorded("content.json"));
     drop(store);
     assert_eq!(tables(dir.path()), recorded("tables.json"));
@@ -365,14 +367,14 @@
     let dir = tempdir().unwrap();
     write_store(dir.path());
     assert_eq!(tables(dir.path()), recorded("tables.json"));
-    let store = Store::command(dir.path(), KEY).unwrap();
+    let store = Store::open_for_command(dir.path(), KEY).unwrap();
     assert_eq!(content(&store), recorded("content.json"));
 }
 
 #[test]
 fn an_export_is_written_as_recorded() {
     let (dir, out) = (copied_store(), tempdir().unwrap());
-    let store = Store::command(dir.path(), KEY).unwrap();
+    let store = Store::open_for_command(dir.path(), KEY).unwrap();
     let period = Period::of(Span::Hour, DECEMBER);
     let manifest = export(&store, period, out.path(), |_| true).unwrap();
     for name in [MANIFEST, EXPORT] {
@@ -404,7 +406,7 @@
     let forms = recorded("encoded.json");
     assert_eq!(encoded_forms(), forms);
     let block = packed_rows();
-    let read: Vec<Row> = Unpack::new(&block, (1, DECEMBER))
+    let read: Vec<Row> = RowReader::new(&block, (1, DECEMBER))
         .map(Result::unwrap)
         .collect();
     assert_eq!(read, rows());
@@ -419,7 +421,7 @@
     let dir = tempdir().unwrap();
     assert_eq!(key::load(&fixture("ledger.key")).unwrap(), KEY);
     let made = dir.path().join("ledger.key");
-    key::make(&made).unwrap();
+    key::create(&made).unwrap();
     let text = std::fs::read_to_string(&made).unwrap();
     assert_eq!(text, hex(&key::load(&made).unwrap()) + "\n");
 }
@@ -451,17 +453,17 @@
     let manifest = |name: &str| told(Manifest::load(&at(name)).expect_err("refused").to_string());
     let empty = Correction {
         tenant: " ".into(),
-        ..correction(About::Use, 0, 0)
+        ..correction(Subject::Usage, 0, 0)
     };
     let long = Correction {
         reason: "x".repeat(1_025),
-        ..correction(About::Use, 0, 0)
+        ..correction(Subject::Usage, 0, 0)
     };
     vec![
         told(key::load(&at("none.key")).expect_err("missing").to_string()),
         told(key::load(&at("bad.key")).expect_err("refused").to_string()),
         told(
-            key::make(&at("bad.key/x"))
+            key::create(&at("bad.key/x"))
                 .expect_err("no folder")
                 .to_string(),
         ),
--- a/crates/ledger/tests/store.rs
+++ b/crates/ledger/tests/store.rs
@@ -7,18 +7,18 @@
 use std::path::Path;
 use std::sync::mpsc::channel;
 use std::time::Duration;
-use streamusher_ledger::correction::{About, Correction};
+use streamusher_ledger::correction::{Correction, Subject};
 use streamusher_ledger::entry::{key_hash, Answer};
 use streamusher_ledger::export::{export, ExportError, Stage};
 use streamusher_ledger::period::Period;
 use streamusher_ledger::reconcile::Finding;
 use streamusher_ledger::scan::{scan, Scanned};
-use streamusher_ledger::store::{Settle, Store, StoreError, FILE, VERSION};
-use streamusher_ledger::sums::Use;
+use streamusher_ledger::store::{Settle, Store, StoreError, DATABASE_FILE, VERSION};
+use streamusher_ledger::sums::Usage;
 use streamusher_ledger::writer::{ClosingRules, Record, Writer, WriterEvent};
 use tempfile::tempdir;
 
-fn line(store: &Store, period: Period, tenant: &str, class: &str) -> Use {
+fn line(store: &Store, period: Period, tenant: &str, class: &str) -> Usage {
     store
         .sums(period)
         .unwrap()
@@ -35,8 +35,8 @@
     let (author, reason) = ("A. Weir".into(), "ticket 12".into());
     Correction {
         time_us,
-        of,
-        about: About::Use,
+        corrected_period: of,
+        subject: Subject::Usage,
         tenant,
         class,
         operations,
@@ -149,7 +149,7 @@
         .bill(str::to_string)
         .unwrap()
         .values()
-        .map(Use::billed)
+        .map(Usage::billed)
         .sum();
     assert_eq!(billed, 8);
 }
@@ -205,7 +205,7 @@
     fill(&mut store, 1..=5, DECEMBER);
     store.checkpoint().unwrap();
     drop(store);
-    let path = dir.path().join(FILE);
+    let path = dir.path().join(DATABASE_FILE);
     let mut bytes = std::fs::read(&path).unwrap();
     let id = 4u64.wrapping_mul(0x9e37_79b9_7f4a_7c15).to_be_bytes(); // hex digits take half their bytes
     let at = bytes
@@ -214,7 +214,7 @@
         .expect("entry 4 lies there");
     bytes[at] ^= 1;
     std::fs::write(&path, bytes).unwrap();
-    let store = Store::command(dir.path(), KEY).unwrap();
+    let store = Store::open_for_command(dir.path(), KEY).unwrap();
     let why = store.verify(|_| {}).unwrap_err().to_string();
     assert!(why.contains("damaged: entry 4 of epoch"), "{why}");
     assert!(
@@ -248,10 +248,10 @@
         .unwrap();
     store.checkpoint().unwrap();
     drop(store);
-    let path = dir.path().join(FILE);
+    let path = dir.path().join(DATABASE_FILE);
     let whole = std::fs::read(&path).unwrap();
     let count = || -> Result<Vec<_>, String> {
-        let store = Store::command(dir.path(), KEY).map_err(|e| e.to_string())?;
+        let store = Store::open_for_command(dir.path(), KEY).map_err(|e| e.to_string())?;
         let periods = store.periods().map_err(|e| e.to_string())?;
         let sums = periods
             .into_iter()
@@ -292,7 +292,7 @@
     }
     // As a crash leaves it: the log holds what the file does not.
     let left = tempdir().unwrap();
-    for name in [FILE, "ledger.db-wal"] {
+    for name in [DATABASE_FILE, "ledger.db-wal"] {
         std::fs::copy(dir.path().join(name), left.path().join(name)).unwrap();
     }
     let log = left.path().join("ledger.db-wal");
@@ -315,7 +315,7 @@
         "{why}"
     );
     // A command does not open it either: closing it would write back what is left, and the rest would be gone.
-    let why = Store::command(left.path(), KEY)
+    let why = Store::open_for_command(left.path(), KEY)
         .err()
         .expect("an error")
         .to_string();
@@ -334,29 +334,29 @@
     (0..20).for_each(|n| fill(&mut store, n * 100 + 1..=n * 100 + 100, DECEMBER));
     let log = std::fs::read(dir.path().join("ledger.db-wal")).unwrap();
     store.checkpoint().unwrap();
-    let whole = std::fs::read(dir.path().join(FILE)).unwrap();
+    let whole = std::fs::read(dir.path().join(DATABASE_FILE)).unwrap();
     // The head is written first: for a moment the file is shorter than it says.
     let left = tempdir().unwrap();
     std::fs::write(
-        left.path().join(FILE),
+        left.path().join(DATABASE_FILE),
         &whole[..whole.len() / 2 / 4_096 * 4_096],
     )
     .unwrap();
     std::fs::write(left.path().join("ledger.db-wal"), log).unwrap();
-    let sums = Store::command(left.path(), KEY)
+    let sums = Store::open_for_command(left.path(), KEY)
         .unwrap()
         .sums(period("2026-12-01T00"))
         .unwrap();
-    assert_eq!(sums.values().map(Use::entries).sum::<u64>(), 2_000);
+    assert_eq!(sums.values().map(Usage::entries).sum::<u64>(), 2_000);
     assert_eq!(open(left.path()).verify(|_| {}).unwrap().entries, 2_000);
     // Without its log the same file is cut off.
     std::fs::write(
-        left.path().join(FILE),
+        left.path().join(DATABASE_FILE),
         &whole[..whole.len() / 2 / 4_096 * 4_096],
     )
     .unwrap();
     std::fs::remove_file(left.path().join("ledger.db-wal")).ok();
-    assert!(Store::command(left.path(), KEY).is_err());
+    assert!(Store::open_for_command(left.path(), KEY).is_err());
 }
 
 #[test]
@@ -373,7 +373,7 @@
         (checked.entries, checked.corrections, checked.seals),
         (5, 1, 1)
     );
-    let other = Store::command(dir.path(), [8; 32]).unwrap();
+    let other = Store::open_for_command(dir.path(), [8; 32]).unwrap();
     assert!(!other.has_key().unwrap());
     let why = other.verify(|_| {}).unwrap_err().to_string();
     assert!(
@@ -382,7 +382,7 @@
     );
     drop(other);
     drop(store);
-    let path = dir.path().join(FILE);
+    let path = dir.path().join(DATABASE_FILE);
     let mut bytes = std::fs::read(&path).unwrap();
     let at = bytes
         .windows(9)
@@ -390,7 +390,7 @@
         .expect("the reason lies there");
     bytes[at + 8] = b'3';
     std::fs::write(&path, bytes).unwrap();
-    let why = Store::command(dir.path(), KEY)
+    let why = Store::open_for_command(dir.path(), KEY)
         .unwrap()
         .verify(|_| {})
         .unwrap_err()
@@ -402,7 +402,7 @@
 fn what_cannot_be_used_is_told_in_one_clear_line() {
     let dir = tempdir().unwrap();
     let told = |e: Result<Store, StoreError>| e.err().expect("an error").to_string();
-    let missing = told(Store::command(dir.path(), KEY));
+    let missing = told(Store::open_for_command(dir.path(), KEY));
     assert!(missing.ends_with("there is no ledger here"), "{missing}");
     let mut store = open(dir.path());
     let second = told(Store::open(&options(dir.path(), "n1"), DECEMBER));
@@ -415,7 +415,7 @@
     drop(store);
     let other = told(Store::open(&options(dir.path(), "n2"), DECEMBER));
     assert!(other.contains("made for instance n1, not n2"), "{other}");
-    let path = dir.path().join(FILE);
+    let path = dir.path().join(DATABASE_FILE);
     let whole = std::fs::read(&path).unwrap();
     for (bytes, what) in [
         (whole[..whole.len() / 2].to_vec(), "damaged: it has"),
@@ -451,7 +451,7 @@
 fn a_full_disk_is_told_once_and_nothing_is_lost_or_doubled_when_there_is_room_again() {
     let dir = tempdir().unwrap();
     let mut small = options(dir.path(), "n1");
-    small.most_bytes = Some(64 << 10);
+    small.max_bytes = Some(64 << 10);
     let (tell, told) = channel();
     let closing = ClosingRules {
         lateness_us: HOUR,
@@ -475,8 +475,8 @@
     let why = (1..).find_map(|n| {
         writer.write(Record::Entry(wide(n)));
         match next() {
-            WriterEvent::Durable { upto, .. } => {
-                durable = upto;
+            WriterEvent::Durable { up_to, .. } => {
+                durable = up_to;
                 None
             }
             WriterEvent::Failed(why) => Some(why),
@@ -490,7 +490,7 @@
         s.sums(period("2026-12-01T00"))
             .unwrap()
             .values()
-            .map(Use::entries)
+            .map(Usage::entries)
             .sum::<u64>()
     };
     assert_eq!(count(&store), durable, "a commit is whole or not there");
@@ -517,7 +517,7 @@
     let next = |wait| told.recv_timeout(wait);
     let long = Duration::from_secs(20);
     assert!(matches!(next(long), Ok(WriterEvent::Opened { .. })));
-    let database = rusqlite::Connection::open(dir.path().join(FILE)).unwrap();
+    let database = rusqlite::Connection::open(dir.path().join(DATABASE_FILE)).unwrap();
     let note = |n| {
         writer.write(Record::Entry(entry(
             n,
@@ -533,7 +533,7 @@
     database.execute_batch("COMMIT").unwrap();
     assert!(matches!(
         next(long),
-        Ok(WriterEvent::Durable { upto: 1, .. })
+        Ok(WriterEvent::Durable { up_to: 1, .. })
     ));
 
     database.execute_batch("BEGIN IMMEDIATE").unwrap();
@@ -543,7 +543,7 @@
     let took = begun.elapsed();
     assert!(took < Duration::from_secs(4), "{took:?}");
     database.execute_batch("COMMIT").unwrap();
-    let store = Store::command(dir.path(), KEY).unwrap();
+    let store = Store::open_for_command(dir.path(), KEY).unwrap();
     assert_eq!(store.doubts().unwrap().len(), 1, "only the first one");
 }
 
@@ -580,7 +580,7 @@
         });
     assert_eq!(closed.unwrap()[0].period, period("2026-12-01T00"));
     drop(writer);
-    let store = Store::command(dir.path(), KEY).unwrap();
+    let store = Store::open_for_command(dir.path(), KEY).unwrap();
     assert_eq!(store.doubts().unwrap(), vec![]);
     let first = line(&store, period("2026-12-01T00"), "hydrology", "depth-log");
     let next = line(&store, period("2026-12-01T03"), "hydrology", "depth-log");
@@ -604,7 +604,7 @@
         doubts: Some(Settle::Bill),
     };
     let later = || DECEMBER + 3 * HOUR;
-    let path = dir.path().join(FILE);
+    let path = dir.path().join(DATABASE_FILE);
     let (send, locks) = channel();
     let writer = Writer::start(options(dir.path(), "n1"), closing, later, move |event| {
         // Called between the close and the settlement.
@@ -616,7 +616,7 @@
     })
     .unwrap();
     let lock = locks.recv_timeout(Duration::from_secs(20)).unwrap();
-    let unsettled = Store::command(dir.path(), KEY).unwrap();
+    let unsettled = Store::open_for_command(dir.path(), KEY).unwrap();
     // Longer than one attempt to settle lasts.
     assert!(locks.recv_timeout(Duration::from_secs(1)).is_err());
     assert_eq!(unsettled.doubts().unwrap().len(), 1);
@@ -645,13 +645,13 @@
             Answer::Served,
         )));
         writer.write(if n == 50 {
-            Record::Broke(n)
+            Record::Undelivered(n)
         } else {
             Record::Written(n)
         });
     }
     drop(writer);
-    let store = Store::command(dir.path(), KEY).unwrap();
+    let store = Store::open_for_command(dir.path(), KEY).unwrap();
     assert_eq!(store.doubts().unwrap(), vec![]);
     let sums = store.sums(period("2026-12-01T00")).unwrap();
     assert_eq!(
--- a/src/billing.rs
+++ b/src/billing.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 use streamusher_ledger::entry::{key_hash, Answer, Entry};
-use streamusher_ledger::gate::{Gate, Verdict};
+use streamusher_ledger::gate::{BookingDecision, Gate};
 use streamusher_ledger::store::Options;
 use streamusher_ledger::writer::{ClosingRules, Record, Writer, WriterEvent};
 
@@ -36,7 +36,7 @@
 }
 
 /// Unix time by the system's clock, in microseconds. Entries are booked by it, and it may step.
-pub(crate) fn wall() -> Micros {
+pub(crate) fn unix_time_us() -> Micros {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |d| d.as_micros() as Micros)
@@ -56,7 +56,7 @@
         instance,
         span: config.period,
         key,
-        most_bytes: (config.max_mb > 0).then_some(config.max_mb << 20),
+        max_bytes: (config.max_mb > 0).then_some(config.max_mb << 20),
     };
     let closing = ClosingRules {
         lateness_us: config.lateness_s * 1_000_000,
@@ -64,7 +64,7 @@
     };
     let (sender, events) = async_channel::unbounded();
     let send_event = move |event| drop(sender.try_send(event)); // nobody listens once the event loop has ended
-    let writer = Writer::start(options, closing, wall, send_event);
+    let writer = Writer::start(options, closing, unix_time_us, send_event);
     let writer = writer.map_err(|e| format!("[ledger]: no thread for it: {e}"))?;
     let billing = Rc::new(Billing {
         gate: RefCell::new(Gate::new(
@@ -102,10 +102,10 @@
     fn on_writer_event(&self, hub: &Hub, event: WriterEvent) {
         match event {
             WriterEvent::Opened { epoch } => {
-                self.gate.borrow_mut().works();
+                self.gate.borrow_mut().on_opened();
                 info!(self.log, "the ledger is open"; "epoch" => epoch);
             }
-            WriterEvent::Durable { upto, entries } => self.on_durable(hub, upto, entries),
+            WriterEvent::Durable { up_to, entries } => self.on_durable(hub, up_to, entries),
             WriterEvent::Failed(why) => self.on_failed(hub, &why),
             WriterEvent::Closed(closed) => {
                 for closed in closed {
@@ -115,17 +115,17 @@
         }
     }
 
-    fn on_durable(&self, hub: &Hub, upto: u64, entries: usize) {
+    fn on_durable(&self, hub: &Hub, up_to: u64, entries: usize) {
         let was_trusted = self.gate.borrow().is_trusted();
-        self.gate.borrow_mut().durable(upto, entries);
+        self.gate.borrow_mut().on_durable(up_to, entries);
         if !was_trusted {
-            info!(self.log, "the ledger is written again"; "upto" => upto);
+            info!(self.log, "the ledger is written again"; "upto" => up_to);
         }
-        hub.with(|core, _| core.on_durable(self.number.get(), upto));
+        hub.with(|core, _| core.on_durable(self.number.get(), up_to));
     }
 
     fn on_failed(&self, hub: &Hub, why: &str) {
-        self.gate.borrow_mut().failed();
+        self.gate.borrow_mut().on_failed();
         warn!(self.log, "the ledger cannot be written"; "why" => why);
         if self.gate.borrow().releases_unbooked() {
             hub.with(|core, _| core.expire_held_answers(self.number.get()));
@@ -133,7 +133,7 @@
     }
 
     /// Has all that was booked written, as far as the disk allows. Nothing is booked after it.
-    pub(crate) fn end(&self) {
+    pub(crate) fn shutdown(&self) {
         drop(self.writer.borrow_mut().take());
     }
 
@@ -166,21 +166,21 @@
 
 impl UsageRecorder for Billing {
     fn accepts_operations(&self) -> bool {
-        self.gate.borrow().takes_work()
+        self.gate.borrow().accepts_work()
     }
 
     fn record(&self, now: Micros, by: Micros, account: &UsageRecord) -> RecordStatus {
         let verdict = self.gate.borrow_mut().book(now, by);
         let (seq, until) = match verdict {
-            Verdict::Hold { seq, until } => (seq, until),
-            Verdict::Unbooked if self.may_release(account.outcome) => {
+            BookingDecision::Hold { seq, until } => (seq, until),
+            BookingDecision::Unbooked if self.may_release(account.outcome) => {
                 return RecordStatus::Unbooked
             }
-            Verdict::Unbooked => return RecordStatus::Refused,
+            BookingDecision::Unbooked => return RecordStatus::Refused,
         };
         self.write(Record::Entry(Entry {
             seq,
-            time_us: wall(),
+            time_us: unix_time_us(),
             operation: account.operation.to_string(),
             tenant: account.tenant.unwrap_or(&self.unassigned).clone(),
             class: self.class(account.class.0 as usize),
@@ -201,7 +201,7 @@
     }
 
     fn on_overdue(&self, number: u64, ended: OperationOutcome) -> OverdueAction {
-        let is_late = self.gate.borrow_mut().overdue(number);
+        let is_late = self.gate.borrow_mut().on_overdue(number);
         if is_late && !self.may_release(ended) {
             warn!(self.log, "a result was withheld: it could not be booked in time"; "number" => number);
             return OverdueAction::Withhold;
@@ -216,7 +216,7 @@
         self.write(if whole {
             Record::Written(number)
         } else {
-            Record::Broke(number)
+            Record::Undelivered(number)
         });
     }
 }
--- a/src/command/ledger.rs
+++ b/src/command/ledger.rs
@@ -3,7 +3,7 @@
 use super::report::{finding, use_cells, USE};
 use super::table::{plain, table};
 use super::Failure;
-use crate::billing::wall;
+use crate::billing::unix_time_us;
 use crate::config::operators::Operators;
 use clap::{Args, Subcommand, ValueEnum};
 use indicatif::{ProgressBar, ProgressStyle};
@@ -11,11 +11,11 @@
 use serde_json::json;
 use std::path::PathBuf;
 use streamusher_inventory::KnownNames;
-use streamusher_ledger::correction::{About, Correction};
+use streamusher_ledger::correction::{Correction, Subject};
 use streamusher_ledger::export::{export, lines, Line};
-use streamusher_ledger::period::{moment, Period};
+use streamusher_ledger::period::{format_timestamp, Period};
 use streamusher_ledger::store::{Settle, Store};
-use streamusher_ledger::sums::Use;
+use streamusher_ledger::sums::Usage;
 use streamusher_ledger::{key, receipts, scan};
 
 type Done = Result<(), Failure>;
@@ -161,7 +161,7 @@
                 .ledger
                 .ok_or("the operators' file has no table [ledger]")?;
             return Ok((
-                Store::command(&config.dir, config.key(false)?)?,
+                Store::open_for_command(&config.dir, config.key(false)?)?,
                 config.lateness_s * 1_000_000,
             ));
         }
@@ -173,7 +173,10 @@
             .key_file
             .clone()
             .unwrap_or_else(|| dir.join("ledger.key"));
-        Ok((Store::command(dir, key::load(&key_file)?)?, 300_000_000))
+        Ok((
+            Store::open_for_command(dir, key::load(&key_file)?)?,
+            300_000_000,
+        ))
     }
 
     /// JSON for programs, text for people.
@@ -212,13 +215,13 @@
                 by,
             } => {
                 let By { author, reason } = by;
-                let (time_us, about) = (wall(), About::Use);
+                let (time_us, subject) = (unix_time_us(), Subject::Usage);
                 correct(
                     place,
                     Correction {
                         time_us,
-                        of,
-                        about,
+                        corrected_period: of,
+                        subject,
                         tenant,
                         class,
                         operations,
@@ -300,10 +303,10 @@
 fn correct(place: &Place, correction: Correction) -> Done {
     correction.check()?;
     let (mut store, _) = place.open()?;
-    if correction.of.span() != store.span() {
+    if correction.corrected_period.span() != store.span() {
         return Err(format!(
             "--of: this ledger's periods are not of that length: {}",
-            correction.of
+            correction.corrected_period
         )
         .into());
     }
@@ -331,8 +334,8 @@
                 format!("--through: this ledger's periods are not of that length: {last}").into(),
             )
         }
-        Some(last) => store.close_through(last, wall())?,
-        None => store.close_due(wall(), lateness)?,
+        Some(last) => store.close_through(last, unix_time_us())?,
+        None => store.close_due(unix_time_us(), lateness)?,
     };
     let names: Vec<String> = closed.iter().map(|c| c.period.to_string()).collect();
     place.say(&json!({"closed": names}), || match names.is_empty() {
@@ -358,14 +361,14 @@
                 .iter()
                 .map(|d| {
                     json!({"period": d.period, "epoch": d.epoch, "seq": d.row.seq, "operation": d.row.operation,
-                        "tenant": d.tenant, "class": d.class, "time": moment(d.row.time_us),
+                        "tenant": d.tenant, "class": d.class, "time": format_timestamp(d.row.time_us),
                         "slot_us": d.row.slot_us()})
                 })
                 .collect();
             let rows = doubts.iter().map(|d| {
                 vec![
                     d.period.to_string(),
-                    moment(d.row.time_us),
+                    format_timestamp(d.row.time_us),
                     d.row.operation.clone(),
                     d.tenant.clone(),
                     d.class.clone(),
@@ -383,17 +386,17 @@
         Some(_) if author.trim().is_empty() => return Err("--author: must not be empty".into()),
         Some(Judge::Rule(how)) => {
             checked_key(&store)?;
-            receipts::settle(&mut store, &doubts, wall(), author, reason, |_| how)?
+            receipts::settle(&mut store, &doubts, unix_time_us(), author, reason, |_| how)?
         }
         Some(Judge::Receipts(file)) => {
             checked_key(&store)?;
-            let found = receipts::found(&file, &doubts)?;
+            let found = receipts::find_receipts(&file, &doubts)?;
             let how = |d: &streamusher_ledger::store::Doubt| match found.contains(&d.row.operation)
             {
                 true => Settle::Bill,
                 false => Settle::Waive,
             };
-            receipts::settle(&mut store, &doubts, wall(), author, reason, how)?
+            receipts::settle(&mut store, &doubts, unix_time_us(), author, reason, how)?
         }
     };
     place.say(&settled, || {
@@ -450,7 +453,7 @@
     tenant: String,
     class: String,
     period: Period,
-    sums: Use,
+    sums: Usage,
 }
 
 fn reconcile(place: &Place, dirs: &[PathBuf], threads: usize) -> Done {
--- a/src/command/report.rs
+++ b/src/command/report.rs
@@ -1,7 +1,7 @@
 //! How the ledger's sums and findings look to people.
 
 use streamusher_ledger::reconcile::Finding;
-use streamusher_ledger::sums::Use;
+use streamusher_ledger::sums::Usage;
 
 /// Headings of the sums.
 pub(super) const USE: [&str; 10] = [
@@ -18,7 +18,7 @@
 ];
 
 /// The sums of a line, below those headings.
-pub(super) fn use_cells(u: &Use) -> Vec<String> {
+pub(super) fn use_cells(u: &Usage) -> Vec<String> {
     let billed = u
         .billed_slot_us()
         .map_or_else(|e| e.to_string(), |b| b.to_string());
--- a/src/config/operators.rs
+++ b/src/config/operators.rs
@@ -332,7 +332,7 @@
             .clone()
             .unwrap_or_else(|| self.dir.join("ledger.key"));
         if make && self.key_file.is_none() && !path.exists() {
-            streamusher_ledger::key::make(&path).map_err(|error| error.to_string())?;
+            streamusher_ledger::key::create(&path).map_err(|error| error.to_string())?;
         }
         streamusher_ledger::key::load(&path).map_err(|error| error.to_string())
     }
--- a/src/fleet/books.rs
+++ b/src/fleet/books.rs
@@ -126,7 +126,7 @@
     }
 
     fn key(&self, tenant: Option<&Arc<str>>) -> UsageKey {
-        let period = (crate::billing::wall() / self.period) as u32;
+        let period = (crate::billing::unix_time_us() / self.period) as u32;
         UsageKey {
             period,
             tenant: tenant.unwrap_or(&self.nobody).clone(),
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -110,7 +110,7 @@
     let clock = hub.clock();
     let allowances: Vec<_> = terms.quotas.iter().map(|_| Arc::default()).collect();
     let settings = FleetSettings {
-        local: Incarnation::new(&name, crate::billing::wall()),
+        local: Incarnation::new(&name, crate::billing::unix_time_us()),
         address: config.advertise.unwrap_or(addr),
         join_addresses: config.join.clone(),
         key: config.key.0,
@@ -127,7 +127,7 @@
         settings,
         allowances.clone(),
         clock(),
-        crate::billing::wall(),
+        crate::billing::unix_time_us(),
     );
     let view = View {
         upto: 0,
--- a/src/fleet/threads.rs
+++ b/src/fleet/threads.rs
@@ -101,7 +101,7 @@
         let mut versions: VecDeque<(u64, u64)> = VecDeque::new();
         let (mut taken, mut viewed, mut replaced, mut end) = (0, 0, false, None);
         loop {
-            let (now, wall) = ((self.clock)(), crate::billing::wall());
+            let (now, wall) = ((self.clock)(), crate::billing::unix_time_us());
             for _ in 0..AT_ONCE {
                 let Ok(bytes) = self.heard.pop() else { break };
                 self.node.receive(now, wall, &bytes);
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -337,7 +337,7 @@
     };
     let done = async_io::block_on(executor.run(main));
     drop(executor); // its tasks' answers that are not written yet are noted as such
-    billing.iter().for_each(|b| b.end());
+    billing.iter().for_each(|b| b.shutdown());
     hub.fleet
         .take()
         .into_iter()
--- a/tests/support/ledger_store.rs
+++ b/tests/support/ledger_store.rs
@@ -11,7 +11,7 @@
 /// The same; none where the dispatcher writes, or makes the store, at this moment.
 pub fn try_lock(dir: &Path) -> Option<rusqlite::Connection> {
     let flags = rusqlite::OpenFlags::SQLITE_OPEN_READ_WRITE;
-    let lock = rusqlite::Connection::open_with_flags(dir.join(store::FILE), flags).ok()?;
+    let lock = rusqlite::Connection::open_with_flags(dir.join(store::DATABASE_FILE), flags).ok()?;
     lock.execute_batch("BEGIN IMMEDIATE").ok()?;
     Some(lock)
 }
@@ -24,7 +24,7 @@
         instance,
         span: Span::Hour,
         key,
-        most_bytes: None,
+        max_bytes: None,
     };
     let now = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
@@ -50,7 +50,7 @@
         let numbers: Vec<u64> = (first..first + 100).collect();
         store.commit(&entries, &numbers, &[]).unwrap();
         store.checkpoint().unwrap();
-        if dir.join(store::FILE).metadata().unwrap().len() > bytes {
+        if dir.join(store::DATABASE_FILE).metadata().unwrap().len() > bytes {
             return;
         }
     }
