--- a/crates/ledger/src/correction.rs
+++ b/crates/ledger/src/correction.rs
@@ -1,77 +1,79 @@
-//! Corrections: signed amounts with author and reason, under a MAC. A closed period is never touched by one.
+//! Corrections: signed amounts with an author and a reason, authenticated by a MAC. A correction never
+//! changes a closed period.
 
 use crate::entry::Micros;
 use crate::period::Period;
 use serde::{Deserialize, Serialize};
 
-/// What a correction is about.
+/// What a correction applies to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Subject {
-    /// A tenant's usage as a whole.
+    /// The tenant's usage in general, not a particular entry.
     #[serde(rename = "use")]
     Usage,
-    /// An entry in doubt that was billed, as the client has its answer.
+    /// An entry in doubt that is billed because the client has its answer.
     Billed {
-        /// The entry's epoch.
+        /// Epoch of the entry.
         epoch: u64,
-        /// Its number.
+        /// Sequence number of the entry in its epoch.
         seq: u64,
     },
-    /// An entry in doubt that was waived.
+    /// An entry in doubt that is not billed.
     Waived {
-        /// The entry's epoch.
+        /// Epoch of the entry.
         epoch: u64,
-        /// Its number.
+        /// Sequence number of the entry in its epoch.
         seq: u64,
     },
 }
 
-/// A correction.
+/// A signed change to the usage of one tenant in one class.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Correction {
-    /// When it was made.
+    /// When the correction was made, in Unix time.
     pub time_us: Micros,
-    /// The period that it is about, which may be closed.
+    /// The period whose usage is corrected, which may be closed. The correction itself is booked in an open
+    /// period.
     #[serde(rename = "of")]
     pub corrected_period: Period,
-    /// What it is about.
+    /// What the correction applies to.
     #[serde(rename = "about")]
     pub subject: Subject,
-    /// Whose use.
+    /// Tenant whose usage is corrected.
     pub tenant: String,
-    /// Of which class.
+    /// Service class whose usage is corrected.
     pub class: String,
-    /// Operations added, or taken away.
+    /// Number of operations added, or removed if negative.
     pub operations: i64,
-    /// Slot-microseconds added, or taken away.
+    /// Slot-microseconds added, or removed if negative.
     pub slot_us: i128,
-    /// Who made it.
+    /// Person or program that made the correction.
     pub author: String,
-    /// Why.
+    /// Reason given by the author.
     pub reason: String,
 }
 
-/// The longest author, reason, tenant or class, in bytes.
+/// Maximum length of author, reason, tenant and class, in bytes.
 pub const MAX_TEXT_BYTES: usize = 1 << 10;
 
-/// Why a correction cannot be booked.
+/// Reason for which a correction is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CorrectionError {
-    /// A text is empty or blank.
+    /// The named field is empty or blank.
     #[error("{0}: must not be empty")]
     Empty(&'static str),
-    /// A text is too long for a table, or holds control characters.
+    /// The named field is too long for a table, or contains control characters.
     #[error("{0}: at most {MAX_TEXT_BYTES} bytes, without control characters")]
     Unprintable(&'static str),
 }
 
 impl Correction {
-    /// Guards against texts that could not be shown in a table, or not be found again.
+    /// Rejects fields that could not be displayed in a table or found again.
     ///
     /// # Errors
     ///
-    /// The first text that is blank, too long or holds control characters.
+    /// [`CorrectionError`] for the first field that is blank, too long or contains control characters.
     pub fn check(&self) -> Result<(), CorrectionError> {
         let fields = [
             ("tenant", &self.tenant),
@@ -90,12 +92,13 @@
         Ok(())
     }
 
-    /// Its bytes, as they are stored and sealed.
+    /// Encodes the correction in the form that is stored and sealed.
     pub fn bytes(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).expect("plain data")
+        postcard::to_stdvec(self).expect("a plain struct can always be encoded")
     }
 
-    /// Its MAC under the ledger's key, for this instance and number.
+    /// Computes the MAC of an encoded correction under the ledger's key, bound to the instance and the
+    /// correction's number.
     pub fn mac(bytes: &[u8], key: &[u8; 32], instance: &str, no: u64) -> [u8; 32] {
         let mut mac = blake3::Hasher::new_keyed(key);
         mac.update(b"streamusher correction 1");
--- a/crates/ledger/src/entry.rs
+++ b/crates/ledger/src/entry.rs
@@ -1,82 +1,86 @@
-//! What is booked: one entry for each final answer, and the bytes that it takes in a block.
+//! Ledger entries and their encoding. Each final answer is recorded as one entry.
 //!
-//! A block is a run of entries of one epoch and one period, as one commit wrote them. Each entry carries a checksum of
-//! its own, so that a changed byte can be laid at one entry's door.
+//! A block holds consecutive entries of one epoch and one period, written by one commit. Each entry has its
+//! own checksum, so a changed byte can be attributed to a single entry.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Microseconds: of Unix time for points in time, plain for spans.
+/// Microseconds: Unix time for points in time, a plain duration otherwise.
 pub type Micros = u64;
 
-/// How an operation was answered.
+/// Outcome of an operation, as answered to its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Answer {
-    /// With a worker's result.
+    /// Answered with a worker's result.
     Served,
-    /// With a busy reply: nothing that ran counts.
+    /// Answered with a busy reply. Attempts that ran are not billed.
     Busy,
-    /// It failed.
+    /// Answered with a failure.
     Failed,
-    /// Its client had gone away before there was an answer.
+    /// The client disconnected before there was an answer.
     Gone,
 }
 
-/// The keyed hash of an idempotency key: the key itself enters no ledger.
+/// Keyed hash of an idempotency key. The key itself is never stored in a ledger.
 pub type KeyHash = [u8; 16];
 
-/// One final answer.
+/// Record of one final answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Its number in its epoch, from 1.
+    /// Sequence number within the epoch, starting at 1.
     pub seq: u64,
-    /// When it was answered, in Unix time by the system's clock.
+    /// System clock time of the answer, in microseconds of Unix time.
     pub time_us: Micros,
-    /// The operation's id, as its client chose it.
+    /// Operation id chosen by the client.
     pub operation: String,
-    /// Whose it was.
+    /// Tenant that the operation is billed to.
     pub tenant: Arc<str>,
-    /// Its class.
+    /// Service class of the operation.
     pub class: Arc<str>,
-    /// How it was answered.
+    /// Outcome of the operation.
     pub answer: Answer,
-    /// It was a repeat that took the answer of an earlier operation; nothing ran for it.
+    /// Whether this was a repeated request that received the answer of an earlier operation. No attempt ran
+    /// for it.
     pub joined: bool,
-    /// Thousandths of slots.
+    /// Slots used by the operation, in thousandths.
     pub slots_milli: u32,
-    /// How long the attempt ran that gave the answer.
+    /// Running time of the attempt that gave the answer.
     pub run_us: Micros,
-    /// How long all its other attempts ran.
+    /// Total running time of all other attempts.
     pub wasted_us: Micros,
-    /// Attempts sent.
+    /// Number of attempts sent to workers.
     pub attempts: u32,
-    /// What it has in common with its repeats.
+    /// Hash of the idempotency key, which identifies repeats of the same request. `None` if the client sent
+    /// no key.
     pub key: Option<KeyHash>,
 }
 
-/// Thousandths of slots times microseconds, in slot-microseconds, rounded to the nearest.
+/// Converts thousandths of slots times microseconds to slot-microseconds, rounded to the nearest.
 fn slot_us(slots_milli: u32, run_us: Micros) -> u64 {
     let exact = u128::from(slots_milli) * u128::from(run_us);
     u64::try_from((exact + 500) / 1_000).unwrap_or(u64::MAX)
 }
 
-/// The hash of an idempotency key under the ledger's key. Instances that share the key find each other's repeats.
+/// Hashes an idempotency key under the ledger's key. Instances that share the ledger's key get the same hash
+/// for the same idempotency key.
 pub fn key_hash(ledger_key: &[u8; 32], idempotency_key: &str) -> KeyHash {
-    let whole = blake3::keyed_hash(ledger_key, idempotency_key.as_bytes());
-    let mut short = KeyHash::default();
-    short.copy_from_slice(&whole.as_bytes()[..16]);
-    short
+    let full_hash = blake3::keyed_hash(ledger_key, idempotency_key.as_bytes());
+    let mut hash = KeyHash::default();
+    hash.copy_from_slice(&full_hash.as_bytes()[..16]);
+    hash
 }
 
-/// An operation's id in a block: most are hex digits, which take half their bytes.
+/// Encoded operation id. Most ids are hex digits, which are stored in half as many bytes.
 #[derive(Serialize, Deserialize)]
 enum Id<'a> {
     Hex(#[serde(borrow)] &'a [u8]),
     Text(&'a str),
 }
 
-/// An entry in a block, by differences to the one before. Names are numbers.
+/// Encoded entry. Sequence number and time are differences to the preceding entry; tenant and class are ids
+/// from the table of names.
 #[derive(Serialize, Deserialize)]
 struct Packed<'a> {
     seq_step: u64,
@@ -93,21 +97,21 @@
     key: Option<KeyHash>,
 }
 
-/// Set in `Packed::answer` for a joined repeat.
+/// Bit of `Packed::answer` that marks a repeated request (`Entry::joined`).
 const JOINED: u8 = 0x80;
 
 const ANSWERS: [Answer; 4] = [Answer::Served, Answer::Busy, Answer::Failed, Answer::Gone];
 
-/// An entry of a block with its names still numbers, as sums need it.
+/// A decoded entry whose tenant and class are still numeric ids, which suffices to compute totals.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
     /// See [`Entry::seq`].
     pub seq: u64,
     /// See [`Entry::time_us`].
     pub time_us: Micros,
-    /// The number of the tenant's name.
+    /// Id of the tenant's name.
     pub tenant: u32,
-    /// The number of the class's name.
+    /// Id of the class's name.
     pub class: u32,
     /// See [`Entry::answer`].
     pub answer: Answer,
@@ -128,7 +132,7 @@
 }
 
 impl Row {
-    /// What is billed for it, in slot-microseconds, rounded to the nearest: nothing unless it was served.
+    /// Billable usage in slot-microseconds, rounded to the nearest. 0 unless the operation was served.
     pub fn slot_us(&self) -> u64 {
         if self.answer == Answer::Served {
             slot_us(self.slots_milli, self.run_us)
@@ -137,32 +141,32 @@
         }
     }
 
-    /// A row of an entry, with the numbers of its names.
-    pub fn from_entry(e: &Entry, tenant: u32, class: u32) -> Row {
+    /// Creates the row for an entry whose names have the ids `tenant` and `class`.
+    pub fn from_entry(entry: &Entry, tenant: u32, class: u32) -> Row {
         Row {
-            seq: e.seq,
-            time_us: e.time_us,
+            seq: entry.seq,
+            time_us: entry.time_us,
             tenant,
             class,
-            answer: e.answer,
-            joined: e.joined,
-            slots_milli: e.slots_milli,
-            run_us: e.run_us,
-            wasted_us: e.wasted_us,
-            attempts: e.attempts,
-            operation: e.operation.clone(),
-            key: e.key,
+            answer: entry.answer,
+            joined: entry.joined,
+            slots_milli: entry.slots_milli,
+            run_us: entry.run_us,
+            wasted_us: entry.wasted_us,
+            attempts: entry.attempts,
+            operation: entry.operation.clone(),
+            key: entry.key,
         }
     }
 }
 
-/// Appends one row to a block. `before` is the row in front of it: its number and time.
-pub fn pack(row: &Row, before: (u64, Micros), out: &mut Vec<u8>) {
-    let mut half = [0; 64];
+/// Appends the encoding of one row to `out`. `previous` is the sequence number and time of the preceding row.
+pub fn pack(row: &Row, previous: (u64, Micros), out: &mut Vec<u8>) {
+    let mut hex_buffer = [0; 64];
     let answer = ANSWERS.iter().position(|a| *a == row.answer).unwrap_or(0) as u8;
     let packed = Packed {
-        seq_step: row.seq - before.0,
-        time_step: row.time_us.wrapping_sub(before.1) as i64,
+        seq_step: row.seq - previous.0,
+        time_step: row.time_us.wrapping_sub(previous.1) as i64,
         tenant: row.tenant,
         class: row.class,
         answer: answer | if row.joined { JOINED } else { 0 },
@@ -170,7 +174,7 @@
         run_us: row.run_us,
         wasted_us: row.wasted_us,
         attempts: row.attempts,
-        id: match from_hex(&row.operation, &mut half) {
+        id: match from_hex(&row.operation, &mut hex_buffer) {
             Some(bytes) => Id::Hex(bytes),
             None => Id::Text(&row.operation),
         },
@@ -179,57 +183,59 @@
     let start = out.len();
     out.extend_from_slice(&[0; 4]);
     let bytes = postcard::to_extend(&packed, std::mem::take(out));
-    *out = bytes.expect("a vector takes all of it");
-    let sum = crc32fast::hash(&out[start + 4..]);
-    out[start..start + 4].copy_from_slice(&sum.to_le_bytes());
+    *out = bytes.expect("appending to a vector cannot fail");
+    let checksum = crc32fast::hash(&out[start + 4..]);
+    out[start..start + 4].copy_from_slice(&checksum.to_le_bytes());
 }
 
-/// Reads the rows of a block one by one; the first that is not what was written ends it with its place.
+/// Decodes the rows of a block. Iteration ends after the first damaged row, which is returned as an error
+/// with its index.
 pub struct RowReader<'a> {
     rest: &'a [u8],
-    before: (u64, Micros),
+    previous: (u64, Micros),
     index: u64,
 }
 
-/// A row of a block is not what was written: the one at this place, from 0.
+/// A row does not match its checksum or cannot be decoded. Holds the index of the row in its block, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DamagedRow(pub u64);
 
 impl<'a> RowReader<'a> {
-    /// Over a block's bytes; `before` as in [`pack`] for its first row.
-    pub fn new(block: &'a [u8], before: (u64, Micros)) -> RowReader<'a> {
+    /// Reads the encoded `block`. `previous` is the sequence number and time that its first row is relative to,
+    /// as in [`pack`].
+    pub fn new(block: &'a [u8], previous: (u64, Micros)) -> RowReader<'a> {
         RowReader {
             rest: block,
-            before,
+            previous,
             index: 0,
         }
     }
 
     fn row(&mut self) -> Option<Row> {
-        let (sum, rest) = self.rest.split_first_chunk::<4>()?;
-        let (p, left) = postcard::take_from_bytes::<Packed>(rest).ok()?;
-        if crc32fast::hash(&rest[..rest.len() - left.len()]) != u32::from_le_bytes(*sum) {
+        let (checksum, rest) = self.rest.split_first_chunk::<4>()?;
+        let (packed, remaining) = postcard::take_from_bytes::<Packed>(rest).ok()?;
+        if crc32fast::hash(&rest[..rest.len() - remaining.len()]) != u32::from_le_bytes(*checksum) {
             return None;
         }
-        self.rest = left;
+        self.rest = remaining;
         let row = Row {
-            seq: self.before.0.checked_add(p.seq_step)?,
-            time_us: self.before.1.wrapping_add(p.time_step as u64),
-            tenant: p.tenant,
-            class: p.class,
-            answer: *ANSWERS.get(usize::from(p.answer & !JOINED))?,
-            joined: p.answer & JOINED != 0,
-            slots_milli: p.slots_milli,
-            run_us: p.run_us,
-            wasted_us: p.wasted_us,
-            attempts: p.attempts,
-            operation: match p.id {
+            seq: self.previous.0.checked_add(packed.seq_step)?,
+            time_us: self.previous.1.wrapping_add(packed.time_step as u64),
+            tenant: packed.tenant,
+            class: packed.class,
+            answer: *ANSWERS.get(usize::from(packed.answer & !JOINED))?,
+            joined: packed.answer & JOINED != 0,
+            slots_milli: packed.slots_milli,
+            run_us: packed.run_us,
+            wasted_us: packed.wasted_us,
+            attempts: packed.attempts,
+            operation: match packed.id {
                 Id::Hex(bytes) => to_hex(bytes),
                 Id::Text(text) => text.to_string(),
             },
-            key: p.key,
+            key: packed.key,
         };
-        self.before = (row.seq, row.time_us);
+        self.previous = (row.seq, row.time_us);
         Some(row)
     }
 }
@@ -251,8 +257,9 @@
     }
 }
 
-/// The bytes of lower-case hex digits; none if these are not, or too many.
-fn from_hex<'b>(text: &str, into: &'b mut [u8; 64]) -> Option<&'b [u8]> {
+/// Decodes lower-case hex digits. Returns `None` if `text` is empty, has other characters, an odd length or
+/// more than 128 digits.
+fn from_hex<'b>(text: &str, buffer: &'b mut [u8; 64]) -> Option<&'b [u8]> {
     let digit = |b: u8| match b {
         b'0'..=b'9' => Some(b - b'0'),
         b'a'..=b'f' => Some(b - b'a' + 10),
@@ -262,13 +269,13 @@
     if text.is_empty() || !text.len().is_multiple_of(2) || text.len() > 128 {
         return None;
     }
-    for (pair, byte) in text.chunks(2).zip(into.iter_mut()) {
+    for (pair, byte) in text.chunks(2).zip(buffer.iter_mut()) {
         *byte = digit(pair[0])? << 4 | digit(pair[1])?;
     }
-    Some(&into[..text.len() / 2])
+    Some(&buffer[..text.len() / 2])
 }
 
-/// Lower-case hex digits.
+/// Encodes bytes as lower-case hex digits.
 pub(crate) fn to_hex(bytes: &[u8]) -> String {
     const DIGITS: &[u8; 16] = b"0123456789abcdef";
     let mut text = String::with_capacity(bytes.len() * 2);
--- a/crates/ledger/src/export/content.rs
+++ b/crates/ledger/src/export/content.rs
@@ -147,7 +147,7 @@
 }
 
 fn write_head(content: &mut impl Write, head: &Head) -> io::Result<()> {
-    let bytes = postcard::to_stdvec(head).expect("plain data");
+    let bytes = postcard::to_stdvec(head).expect("a plain struct can always be encoded");
     content.write_all(MAGIC)?;
     content.write_all(&(bytes.len() as u64).to_le_bytes())?;
     content.write_all(&bytes)
@@ -161,7 +161,7 @@
         entries: block.entries,
         bytes: block.body.len() as u64,
     };
-    let head = postcard::to_stdvec(&head).expect("plain data");
+    let head = postcard::to_stdvec(&head).expect("a plain struct can always be encoded");
     content.write_all(&[head.len() as u8])?;
     content.write_all(&head)?;
     content.write_all(block.body)
--- a/crates/ledger/src/export/manifest.rs
+++ b/crates/ledger/src/export/manifest.rs
@@ -120,7 +120,9 @@
 
     /// Writes the manifest and waits until it is on the disk.
     pub(super) fn write(&self, path: &Path) -> io::Result<()> {
-        let text = serde_json::to_string_pretty(self).expect("plain data") + "\n";
+        let text = serde_json::to_string_pretty(self)
+            .expect("a plain struct can always be encoded")
+            + "\n";
         let mut file = File::create(path)?;
         file.write_all(text.as_bytes())?;
         file.sync_all()
--- a/crates/ledger/src/gate.rs
+++ b/crates/ledger/src/gate.rs
@@ -1,59 +1,61 @@
-//! Keeps answers back until their entries are durable, and says what to do when the disk does not keep up.
+//! Holds answers until their entries are durable, and decides what happens when the disk does not keep up.
 //!
-//! A state machine without I/O, told the time. Invariants: numbers are given out upwards and without gaps; an entry
-//! is let go once, as durable or as unbooked; new work is refused only while the ledger is not trusted; with
-//! [`OnFailure::Refuse`] no result is released whose entry is not durable.
+//! A state machine without I/O; callers pass the time. Invariants: sequence numbers are assigned in ascending
+//! order without gaps; an entry is released once, either as durable or as unbooked; new work is refused only
+//! while the ledger is not trusted; with [`OnFailure::Refuse`] no result is released whose entry is not
+//! durable.
 
 use crate::entry::Micros;
 
-/// What becomes of work while nothing can be booked.
+/// Policy for new work and pending results while entries cannot be booked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OnFailure {
     /// New work gets a busy reply, and a result that cannot be booked in time is withheld.
     Refuse,
-    /// New work is served, and results are released without waiting; what a crash then loses is not billed.
+    /// New work is served, and results are released without waiting. Entries lost in a crash are not billed.
     ServeUnbilled,
 }
 
-/// See the module's own page.
+/// Assigns sequence numbers to answers and decides how long each is held. See the module documentation.
 #[derive(Debug)]
 pub struct Gate {
     on_failure: OnFailure,
     hold_us: Micros,
-    most: usize,
-    last: u64,
+    max_waiting: usize,
+    last_seq: u64,
     durable: u64,
     waiting: usize,
     trusted: bool,
-    /// Answers whose time was up before their entries were known to be durable.
+    /// Number of answers whose deadline passed before their entries were confirmed durable.
     pub late: u64,
-    /// Answers that were not booked at all.
+    /// Number of answers that were not booked.
     pub unbooked: u64,
 }
 
 /// What to do with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BookingDecision {
-    /// Book it under this number and hold it until then at the latest.
+    /// Book the answer under `seq` and hold it at most until `until`.
     Hold {
-        /// The entry's number.
+        /// Sequence number assigned to the entry.
         seq: u64,
-        /// When the client is answered, whether the entry is durable or not.
+        /// Deadline at which the answer is due, whether or not the entry is durable.
         until: Micros,
     },
-    /// It cannot be booked: too many entries wait already.
+    /// The answer cannot be booked because too many entries are waiting already.
     Unbooked,
 }
 
 impl Gate {
-    /// `hold_us`: how long an answer may wait for the disk; `most`: entries that may wait at once.
-    pub fn new(on_failure: OnFailure, hold_us: Micros, most: usize) -> Gate {
+    /// `hold_us` is how long an answer may wait for the disk, `max_waiting` how many entries may wait at
+    /// once.
+    pub fn new(on_failure: OnFailure, hold_us: Micros, max_waiting: usize) -> Gate {
         Gate {
             on_failure,
             hold_us,
-            most,
-            last: 0,
+            max_waiting,
+            last_seq: 0,
             durable: 0,
             waiting: 0,
             trusted: true,
@@ -62,28 +64,29 @@
         }
     }
 
-    /// Whether new work is taken.
+    /// Whether new work is accepted.
     pub fn accepts_work(&self) -> bool {
         self.trusted || self.on_failure == OnFailure::ServeUnbilled
     }
 
-    /// Whether a result may be released whose entry is not known to be durable.
+    /// Whether a result may be released before its entry is confirmed durable.
     pub fn releases_unbooked(&self) -> bool {
         self.on_failure == OnFailure::ServeUnbilled || cfg!(feature = "mutant-release-unbooked")
     }
 
-    /// Whether entries are written as they come.
+    /// Whether entries are currently being written without delay.
     pub fn is_trusted(&self) -> bool {
         self.trusted
     }
 
-    /// An answer that must be out `by` then. While the disk fails entries still go to the writer, which books them
-    /// when it can. Answers no longer wait for it where they may be released all the same; where they may not, waiting
-    /// is their only way to the client.
+    /// Books an answer that must be sent by the time `by`. While the disk fails, entries still go to the
+    /// writer, which books them when it can. If the policy allows unbooked results to be released, answers do
+    /// not wait during that time. Otherwise they do, because a durable entry is the only way to release them.
     pub fn book(&mut self, now: Micros, by: Micros) -> BookingDecision {
-        // Counted first: what is not booked leaves a gap in the numbers, which a reconciliation shows.
-        self.last += 1;
-        if self.waiting >= self.most {
+        // Incremented first, so that an answer that is not booked leaves a gap in the numbers, which
+        // reconciliation reports.
+        self.last_seq += 1;
+        if self.waiting >= self.max_waiting {
             self.unbooked += 1;
             return BookingDecision::Unbooked;
         }
@@ -95,25 +98,31 @@
             now
         };
         BookingDecision::Hold {
-            seq: self.last,
+            seq: self.last_seq,
             until,
         }
     }
 
-    /// So many more entries, up to this number, are durable.
+    /// Records that `entries` more entries are durable, all up to the number `up_to`.
     pub fn on_durable(&mut self, up_to: u64, entries: usize) {
         assert!(
-            up_to <= self.last,
-            "only what was booked can become durable"
+            up_to <= self.last_seq,
+            "an entry that was never booked was reported durable"
+        );
+        assert!(
+            up_to >= self.durable,
+            "the last durable number went backwards"
+        );
+        assert!(
+            entries <= self.waiting,
+            "more entries were reported durable than are waiting"
         );
-        assert!(up_to >= self.durable, "what is durable stays so");
-        assert!(entries <= self.waiting, "an entry becomes durable once");
         self.waiting -= entries;
         self.durable = up_to;
         self.trusted = true;
     }
 
-    /// The time of an answer is up. True if its entry is not known to be durable.
+    /// Handles the deadline of an answer. Returns true if its entry is not confirmed durable.
     pub fn on_overdue(&mut self, seq: u64) -> bool {
         let late = seq > self.durable;
         if late {
@@ -123,12 +132,12 @@
         late
     }
 
-    /// The store is open.
+    /// Marks the ledger as trusted: the store was opened.
     pub fn on_opened(&mut self) {
         self.trusted = true;
     }
 
-    /// The writer could not write.
+    /// Marks the ledger as not trusted: the store could not be opened or written.
     pub fn on_failed(&mut self) {
         self.trusted = false;
     }
--- a/crates/ledger/src/key.rs
+++ b/crates/ledger/src/key.rs
@@ -1,4 +1,5 @@
-//! The ledger's key: 64 hex digits in a file. Instances that share it find each other's repeats.
+//! The ledger's secret key, stored as 64 hex digits in a file. Instances that share the key produce the same
+//! hash for the same idempotency key, so requests repeated at another instance can be found.
 
 use crate::entry::to_hex;
 use std::io::{self, Write};
@@ -7,26 +8,26 @@
 const KEY_BYTES: usize = 32;
 const HEX_DIGITS: usize = 2 * KEY_BYTES;
 
-/// Why a key file could not be read or made. The message names the file and never its content.
+/// Error from reading or creating a key file. The message names the file and never includes its content.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyError {
-    /// The file could not be read or written.
+    /// Reading or writing the file failed.
     #[error("{}: {source}", path.display())]
     Io {
-        /// The key file.
+        /// Path of the key file.
         path: PathBuf,
-        /// What the system reports.
+        /// Error returned by the operating system.
         source: io::Error,
     },
-    /// The file holds something other than a key.
+    /// The file does not contain exactly 64 hex digits.
     #[error("{}: not a key: 64 hex digits are wanted", .0.display())]
     Malformed(PathBuf),
-    /// The system gave no random numbers for a new key.
+    /// The operating system supplied no random bytes for a new key.
     #[error("{}: no random numbers: {error}", path.display())]
     NoRandomNumbers {
-        /// The key file.
+        /// Path of the key file.
         path: PathBuf,
-        /// What the system reports.
+        /// Error returned by the random number generator.
         error: getrandom::Error,
     },
 }
@@ -40,7 +41,7 @@
     }
 }
 
-/// Reads a key.
+/// Reads the key from a file. White space around the digits is ignored.
 ///
 /// # Errors
 ///
@@ -50,7 +51,7 @@
     parse(text.trim()).ok_or_else(|| KeyError::Malformed(path.to_path_buf()))
 }
 
-/// The bytes of exactly 64 hex digits of either case.
+/// Decodes exactly 64 hex digits of either case.
 fn parse(text: &str) -> Option<[u8; KEY_BYTES]> {
     if text.len() != HEX_DIGITS || !text.is_ascii() {
         return None;
@@ -63,13 +64,15 @@
     Some(key)
 }
 
-/// Makes a new random key in a file that its owner alone can read.
+/// Creates a file with a new random key that only its owner can read.
 ///
-/// The file is written beside its place and renamed: half a key would lock its ledger.
+/// The key is written to a temporary file in the same folder and then renamed, because a truncated key would
+/// make its ledger inaccessible.
 ///
 /// # Errors
 ///
-/// [`KeyError::NoRandomNumbers`] if the system gives none, [`KeyError::Io`] if the file cannot be written.
+/// [`KeyError::NoRandomNumbers`] if the operating system supplies no random bytes, [`KeyError::Io`] if the
+/// file cannot be written.
 pub fn create(path: &Path) -> Result<(), KeyError> {
     let mut key = [0; KEY_BYTES];
     getrandom::fill(&mut key).map_err(|error| KeyError::NoRandomNumbers {
@@ -82,7 +85,7 @@
 fn write(path: &Path, key: &[u8; KEY_BYTES]) -> io::Result<()> {
     let folder = path.parent().unwrap_or(Path::new("."));
     std::fs::create_dir_all(folder)?;
-    let mut file = tempfile::NamedTempFile::new_in(folder)?; // readable by its owner alone
+    let mut file = tempfile::NamedTempFile::new_in(folder)?; // created with owner-only permissions
     writeln!(file, "{}", to_hex(key))?;
     file.as_file().sync_all()?;
     file.persist(path).map_err(|failed| failed.error)?;
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,12 +1,15 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
-//! A ledger of use: one entry for each final answer, booked durably by tenant and period, corrected in the open,
-//! exported exactly once and reconciled among instances.
+//! Usage ledger. Each final answer is recorded durably as one entry by tenant and period. Corrections are
+//! separate signed records, closed periods are exported exactly once, and the exports of several instances
+//! are reconciled.
 //!
-//! What it settles performs no I/O and is told the time: [`period`] (which one a moment falls into), [`gate`] (when an
-//! answer may go out), [`marks`] (which answers reached their clients), [`sums`], [`correction`], [`seal`] and
-//! [`reconcile::Merged`]. [`store`] keeps it in SQLite, [`writer`] runs that on a thread of its own, [`export`] and
-//! [`reconcile`] move closed periods about. `docs/design/ledger.md` tells why, `docs/ledger.md` how it is run.
+//! These modules perform no I/O and take the time as an argument: [`period`] (the period that contains a
+//! point in time), [`gate`] (when an answer may be released), [`marks`] (which answers reached their
+//! clients), [`sums`], [`correction`], [`seal`] and [`reconcile::Merged`]. [`store`] keeps the entries in
+//! SQLite, [`writer`] writes to the store on a thread of its own, [`export`] writes closed periods to files,
+//! and [`scan`] reads them back for [`reconcile`]. `docs/design/ledger.md` gives the design reasons,
+//! `docs/ledger.md` describes operation.
 
 pub mod correction;
 pub mod entry;
--- a/crates/ledger/src/period.rs
+++ b/crates/ledger/src/period.rs
@@ -1,4 +1,5 @@
-//! Periods: hours, days or months in UTC, half-open. Pure arithmetic on Unix time.
+//! Billing periods: hours, days or months in UTC. A period includes its start and excludes its end. Computed
+//! from Unix time, without I/O.
 
 use crate::entry::Micros;
 use jiff::{civil, tz::TimeZone, Timestamp, Unit};
@@ -6,19 +7,19 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// How long periods are.
+/// Length of the periods of a ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Span {
     /// From one full hour to the next.
     Hour,
-    /// From one midnight to the next.
+    /// From midnight UTC to the next midnight.
     Day,
-    /// From the first of a month to that of the next.
+    /// From the first day of a month to the first day of the next.
     Month,
 }
 
-/// One period: a span and the second of Unix time at which it begins.
+/// One period, given by its length and the Unix time in seconds at which it starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct Period {
@@ -26,70 +27,72 @@
     span: Span,
 }
 
-/// The last second that a period may hold: the end of the year 9000 guards the arithmetic of calendars.
-const LAST_S: i64 = 221_845_392_000;
+/// Latest start of a period, in seconds of Unix time. Times are limited to the end of the year 9000 so that
+/// calendar arithmetic cannot overflow.
+const MAX_SECOND: i64 = 221_845_392_000;
 
 impl Period {
-    /// The period that a moment falls into.
+    /// Returns the period that contains a point in time.
     pub fn of(span: Span, time_us: Micros) -> Period {
-        let s = ((time_us / 1_000_000) as i64).min(LAST_S);
+        let second = ((time_us / 1_000_000) as i64).min(MAX_SECOND);
         let start_s = match span {
-            Span::Hour => s - s.rem_euclid(3_600),
-            Span::Day => s - s.rem_euclid(86_400),
+            Span::Hour => second - second.rem_euclid(3_600),
+            Span::Day => second - second.rem_euclid(86_400),
             Span::Month => {
-                let day = civil_of(s).date().first_of_month();
-                seconds(day)
+                let day = utc_datetime(second).date().first_of_month();
+                midnight_utc(day)
             }
         };
         Period { start_s, span }
     }
 
-    /// The period of this span that begins at this second; none if none does.
+    /// Returns the period of this length that starts at `start_s`, or `None` if no period starts at that
+    /// second.
     pub fn starting(span: Span, start_s: i64) -> Option<Period> {
         let at = u64::try_from(start_s).ok()?.checked_mul(1_000_000)?;
-        Some(Period::of(span, at)).filter(|p| p.start_s == start_s)
+        Some(Period::of(span, at)).filter(|period| period.start_s == start_s)
     }
 
-    /// Its length's name.
+    /// Length of the period.
     pub fn span(self) -> Span {
         self.span
     }
 
-    /// Its first second.
+    /// Start of the period, in seconds of Unix time.
     pub fn start_s(self) -> i64 {
         self.start_s
     }
 
-    /// The period after it.
+    /// Returns the period that follows this one.
     pub fn next(self) -> Period {
         let start_s = match self.span {
             Span::Hour => self.start_s + 3_600,
             Span::Day => self.start_s + 86_400,
             Span::Month => {
-                let day = civil_of(self.start_s).date().last_of_month();
-                seconds(day) + 86_400
+                let day = utc_datetime(self.start_s).date().last_of_month();
+                midnight_utc(day) + 86_400
             }
         };
         Period { start_s, ..self }
     }
 
-    /// The first moment after it.
+    /// End of the period (exclusive), in microseconds of Unix time.
     pub fn end_us(self) -> Micros {
         self.next().start_s as u64 * 1_000_000
     }
 }
 
-fn civil_of(s: i64) -> civil::DateTime {
-    let at = Timestamp::from_second(s.clamp(0, LAST_S)).unwrap_or(Timestamp::UNIX_EPOCH);
+fn utc_datetime(second: i64) -> civil::DateTime {
+    let at = Timestamp::from_second(second.clamp(0, MAX_SECOND)).unwrap_or(Timestamp::UNIX_EPOCH);
     TimeZone::UTC.to_datetime(at)
 }
 
-fn seconds(day: civil::Date) -> i64 {
+fn midnight_utc(day: civil::Date) -> i64 {
     let at = TimeZone::UTC.to_timestamp(day.at(0, 0, 0, 0));
     at.map_or(0, Timestamp::as_second)
 }
 
-/// A moment in the form of RFC 3339, in whole seconds.
+/// Formats a point in time according to RFC 3339, rounded to whole seconds.
 pub fn format_timestamp(time_us: Micros) -> String {
     let at = Timestamp::from_microsecond(i64::try_from(time_us).unwrap_or(i64::MAX));
     let at = at.and_then(|t| t.round(Unit::Second));
@@ -98,7 +101,7 @@
 
 impl fmt::Display for Period {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let at = civil_of(self.start_s);
+        let at = utc_datetime(self.start_s);
         match self.span {
             Span::Hour => write!(
                 f,
@@ -115,12 +118,12 @@
 }
 
 impl From<Period> for String {
-    fn from(p: Period) -> String {
-        p.to_string()
+    fn from(period: Period) -> String {
+        period.to_string()
     }
 }
 
-/// A text that names no period.
+/// The text is not the name of a period.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not a period: {0:?}; a month is 2026-12, a day 2026-12-01, an hour 2026-12-01T13")]
 pub struct ParsePeriodError(String);
@@ -136,19 +139,19 @@
 impl FromStr for Period {
     type Err = ParsePeriodError;
 
-    /// `2026-12` is a month, `2026-12-01` a day, `2026-12-01T13` an hour.
+    /// Parses a month (`2026-12`), a day (`2026-12-01`) or an hour (`2026-12-01T13`).
     fn from_str(text: &str) -> Result<Period, ParsePeriodError> {
-        let malformed = || ParsePeriodError(text.to_string());
-        let (span, whole) = match text.len() {
+        let parse_error = || ParsePeriodError(text.to_string());
+        let (span, timestamp_text) = match text.len() {
             7 => (Span::Month, format!("{text}-01T00:00:00Z")),
             10 => (Span::Day, format!("{text}T00:00:00Z")),
             13 => (Span::Hour, format!("{text}:00:00Z")),
-            _ => return Err(malformed()),
+            _ => return Err(parse_error()),
         };
-        let start: Timestamp = whole.parse().map_err(|_| malformed())?;
+        let start: Timestamp = timestamp_text.parse().map_err(|_| parse_error())?;
         let found = Period::starting(span, start.as_second());
         found
             .filter(|period| period.to_string() == text)
-            .ok_or_else(malformed)
+            .ok_or_else(parse_error)
     }
 }
--- a/crates/ledger/src/receipts.rs
+++ b/crates/ledger/src/receipts.rs
@@ -1,4 +1,5 @@
-//! Clients' receipts: the operations whose answers they have, by id, from a CSV file with a heading.
+//! Client receipts: a CSV file with a header row that lists, by id, the operations whose answers the client
+//! has.
 
 use crate::entry::Micros;
 use crate::store::{Doubt, Settle, Store, StoreError};
@@ -6,73 +7,75 @@
 use std::path::Path;
 use streamusher_csv_quotes::{QuoteTracker, TrackedReader};
 
-/// Why doubts could not be settled.
+/// Reason for which doubts could not be settled.
 #[derive(Debug, thiserror::Error)]
 pub enum ReceiptsError {
-    /// The file cannot be used.
+    /// The receipts file cannot be used. Holds the path and the problem.
     #[error("{0}")]
     File(String),
-    /// The store.
+    /// Reading or writing the store failed.
     #[error(transparent)]
     Store(#[from] StoreError),
 }
 
-/// Which of these doubts the file holds a receipt for, by operation. Reads it row by row: it may be far larger than
-/// the doubts.
+/// Returns the operation ids of those `doubts` for which the file holds a receipt. Reads the file row by row,
+/// because it may be far larger than the list of doubts.
 ///
 /// # Errors
 ///
-/// [`ReceiptsError::File`] if the file cannot be read, is no CSV, or has no column `operation`.
+/// [`ReceiptsError::File`] if the file cannot be read, is not valid CSV, or has no column `operation`.
 pub fn find_receipts(path: &Path, doubts: &[Doubt]) -> Result<HashSet<String>, ReceiptsError> {
-    let at = path.display();
-    let bad = |why: String| ReceiptsError::File(format!("{at}: {why}"));
-    let sought: HashSet<&str> = doubts.iter().map(|d| d.row.operation.as_str()).collect();
-    let file = std::fs::File::open(path).map_err(|e| bad(e.to_string()))?;
+    let path_text = path.display();
+    let file_error = |why: String| ReceiptsError::File(format!("{path_text}: {why}"));
+    let wanted: HashSet<&str> = doubts.iter().map(|d| d.row.operation.as_str()).collect();
+    let file = std::fs::File::open(path).map_err(|e| file_error(e.to_string()))?;
     let (file, quotes) = TrackedReader::new(file, QuoteTracker::new(b',', None));
     let mut rows = csv::ReaderBuilder::new()
         .trim(csv::Trim::All)
         .flexible(false)
         .from_reader(file);
-    let heading = rows.headers().map_err(|e| bad(e.to_string()))?;
-    let column = heading
+    let header = rows.headers().map_err(|e| file_error(e.to_string()))?;
+    let column = header
         .iter()
         .position(|h| h.trim_start_matches('\u{feff}') == "operation");
-    let column = column.ok_or_else(|| bad("line 1: no column 'operation'".into()))?;
+    let column = column.ok_or_else(|| file_error("line 1: no column 'operation'".into()))?;
     let mut found = HashSet::new();
     let mut row = csv::StringRecord::new();
-    // A quote left open swallows the rest: its place is the mistake, not what the reader makes of the row.
-    let open = || {
+    // An unterminated quote swallows the rest of the file, so its line is reported instead of the CSV
+    // reader's error.
+    let unterminated_quote_error = || {
         quotes
             .borrow()
             .unterminated_quote()
-            .map(|p| bad(format!("line {}: a quote without its end", p.line)))
+            .map(|p| file_error(format!("line {}: unterminated quote", p.line)))
     };
     while rows
         .read_record(&mut row)
-        .map_err(|e| open().unwrap_or_else(|| bad(e.to_string())))?
+        .map_err(|e| unterminated_quote_error().unwrap_or_else(|| file_error(e.to_string())))?
     {
         let operation = row.get(column).unwrap_or_default();
-        if sought.contains(operation) {
+        if wanted.contains(operation) {
             found.insert(operation.to_string());
         }
     }
-    open().map_or(Ok(found), Err)
+    unterminated_quote_error().map_or(Ok(found), Err)
 }
 
-/// How many doubts were settled.
+/// Number of doubts settled by one call, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Settled {
-    /// As served.
+    /// Doubts settled as served.
     pub billed: usize,
-    /// As not served.
+    /// Doubts settled as not served.
     pub waived: usize,
 }
 
-/// Settles doubts, each by `how`, in one commit. Those that another has settled meanwhile stay as they are.
+/// Settles each doubt as `how` decides, in one commit. Doubts that were settled in the meantime are left
+/// unchanged.
 ///
 /// # Errors
 ///
-/// What [`Store::correct_all`] reports; then none is settled.
+/// Any error of [`Store::correct_all`]; in that case no doubt is settled.
 pub fn settle(
     store: &mut Store,
     doubts: &[Doubt],
@@ -85,13 +88,13 @@
         .iter()
         .map(|d| d.settle(how(d), now, author, reason))
         .collect();
-    let mut done = Settled::default();
-    for (doubt, no) in doubts.iter().zip(store.correct_all(&corrections)?) {
-        match (no, how(doubt)) {
+    let mut counts = Settled::default();
+    for (doubt, number) in doubts.iter().zip(store.correct_all(&corrections)?) {
+        match (number, how(doubt)) {
             (0, _) => {}
-            (_, Settle::Bill) => done.billed += 1,
-            (_, Settle::Waive) => done.waived += 1,
+            (_, Settle::Bill) => counts.billed += 1,
+            (_, Settle::Waive) => counts.waived += 1,
         }
     }
-    Ok(done)
+    Ok(counts)
 }
--- a/crates/ledger/src/reconcile.rs
+++ b/crates/ledger/src/reconcile.rs
@@ -1,7 +1,7 @@
-//! Merges exports of any instances in any order, and tells what does not fit.
+//! Merges exports of any instances in any order, and reports inconsistencies.
 //!
-//! [`Merged`] is a set of exported periods by their ids: merging is commutative, associative and idempotent, as it is
-//! a union. It performs no I/O; [`crate::scan`] reads the files.
+//! [`Merged`] is a set of exported periods identified by their ids. Merging is a set union, and therefore
+//! commutative, associative and idempotent. This module performs no I/O; [`crate::scan`] reads the files.
 
 use crate::correction::Subject;
 use crate::marks::Ranges;
@@ -11,126 +11,126 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An entry of one instance.
+/// Identifies one entry across instances.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct EntryId {
-    /// The instance.
+    /// Name of the instance that recorded the entry.
     pub instance: String,
-    /// The epoch.
+    /// Epoch of the instance.
     pub epoch: u64,
-    /// The number in it.
+    /// Sequence number of the entry in its epoch.
     pub seq: u64,
 }
 
-/// A doubt as an export shows it.
+/// A served operation in an export for which it is unknown whether the client received the answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct OpenDoubt {
-    /// Where it stands.
+    /// The entry in doubt.
     pub place: EntryId,
-    /// Its period.
+    /// Period that holds the entry.
     pub period: Period,
-    /// The operation's id.
+    /// Operation id chosen by the client.
     pub operation: String,
-    /// Whose.
+    /// Tenant that the operation would be billed to.
     pub tenant: String,
-    /// Its class.
+    /// Service class of the operation.
     pub class: String,
-    /// What it would be billed, in slot-microseconds.
+    /// Slot-microseconds that would be billed.
     pub slot_us: u64,
 }
 
-/// One exported period of one instance, read and found whole.
+/// One exported period of one instance, after its integrity was verified.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// The instance.
+    /// Name of the instance.
     pub instance: String,
-    /// The period.
+    /// The exported period.
     pub period: Period,
-    /// The content's hash.
+    /// Id of the export: the hash of its content, in hex digits.
     pub id: String,
-    /// Its seal.
+    /// Seal of the period, in hex digits.
     pub seal: String,
-    /// The seal before it.
+    /// Seal of the preceding period, in hex digits.
     pub before: String,
-    /// Its entries.
+    /// Number of entries in the period.
     pub entries: u64,
-    /// Its sums.
+    /// Usage totals by tenant and class.
     pub lines: Lines,
-    /// The numbers in it, by epoch.
+    /// Sequence numbers in the period, by epoch.
     pub numbers: BTreeMap<u64, Ranges>,
-    /// Its doubts.
+    /// Entries in doubt.
     pub doubts: Vec<OpenDoubt>,
-    /// What its corrections settle.
+    /// Subjects of the corrections booked in the period.
     pub settles: Vec<Subject>,
 }
 
-/// See the module's own page.
+/// The union of exported periods. See the module documentation.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Merged(BTreeMap<(String, Period), BTreeMap<String, Part>>);
 
-/// What does not fit.
+/// An inconsistency found while reading or merging exports.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum Finding {
-    /// A file is not what its manifest says, or cannot be read. Nothing of it is counted.
+    /// A file does not match its manifest or cannot be read. None of its content is counted.
     Changed {
-        /// The file and what is wrong with it.
+        /// The file and the problem.
         why: String,
     },
-    /// Two exports of one instance and period differ. Neither is counted.
+    /// Several exports of the same instance and period differ. None of them is counted.
     Conflict {
-        /// The instance.
+        /// Name of the instance.
         instance: String,
-        /// The period.
+        /// The exported period.
         period: Period,
-        /// Their ids.
+        /// Ids of the conflicting exports.
         ids: Vec<String>,
     },
-    /// A period's seal chains to one that is not here: an export is missing.
+    /// The seal that a period's seal chains to is not among the exports, so an export is missing.
     Missing {
-        /// The instance.
+        /// Name of the instance.
         instance: String,
-        /// The period after the missing one.
+        /// The period that follows the missing one.
         before: Period,
     },
-    /// Numbers that no export holds: answers that were not booked, or entries that were lost.
+    /// Sequence numbers that no export contains: answers that were not booked, or entries that were lost.
     Gap {
-        /// The instance.
+        /// Name of the instance.
         instance: String,
-        /// The epoch.
+        /// Epoch of the instance.
         epoch: u64,
-        /// The first number.
+        /// First missing number.
         first: u64,
-        /// The last one.
+        /// Last missing number, inclusive.
         last: u64,
     },
-    /// One idempotency key was answered by several instances.
+    /// Several instances answered requests with the same idempotency key.
     Repeated {
-        /// The key's hash.
+        /// Hash of the idempotency key, in hex digits.
         key: String,
-        /// The entries.
+        /// The entries with this key.
         places: Vec<EntryId>,
     },
-    /// A doubt that no correction has settled.
+    /// An entry in doubt that no correction has settled.
     Doubt(OpenDoubt),
 }
 
-/// The bill: by tenant, class and period.
+/// Usage to be billed, by tenant, class and period.
 pub type Bill = BTreeMap<(String, String, Period), Usage>;
 
 const ZEROS: &str = "0000000000000000000000000000000000000000000000000000000000000000";
 
 impl Merged {
-    /// Adds one exported period. Adding it again changes nothing.
+    /// Adds one exported period. Adding the same period again has no effect.
     pub fn add(&mut self, part: Part) {
-        let same = self
+        let candidates = self
             .0
             .entry((part.instance.clone(), part.period))
             .or_default();
-        same.entry(part.id.clone()).or_insert(part);
+        candidates.entry(part.id.clone()).or_insert(part);
     }
 
-    /// Adds all of another one.
+    /// Adds all exported periods of another set.
     pub fn merge(&mut self, other: Merged) {
         other
             .0
@@ -139,40 +139,41 @@
             .for_each(|p| self.add(p));
     }
 
-    /// Exported periods in it.
+    /// Number of exported periods, including conflicting ones.
     pub fn len(&self) -> usize {
         self.0.values().map(BTreeMap::len).sum()
     }
 
-    /// Whether nothing is in it.
+    /// Whether there are no exported periods.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Entries in it.
+    /// Number of entries in all periods that are not in conflict.
     pub fn entries(&self) -> u64 {
-        self.parts().map(|p| p.entries).sum()
+        self.parts().map(|part| part.entries).sum()
     }
 
-    /// Those that stand alone for their instance and period.
+    /// Exported periods without a conflicting export of the same instance and period.
     fn parts(&self) -> impl Iterator<Item = &Part> {
         self.0
             .values()
-            .filter(|same| same.len() == 1)
+            .filter(|candidates| candidates.len() == 1)
             .flat_map(BTreeMap::values)
     }
 
-    /// The bill of all that fits. `now_called` gives a tenant's present name.
+    /// Computes the bill over all periods that are not in conflict. `current_name` maps a tenant to its
+    /// present name.
     ///
     /// # Errors
     ///
-    /// [`Overflow`] if a sum grows beyond what its number holds.
-    pub fn bill(&self, now_called: impl Fn(&str) -> String) -> Result<Bill, Overflow> {
+    /// [`Overflow`] if a total exceeds the range of its integer type.
+    pub fn bill(&self, current_name: impl Fn(&str) -> String) -> Result<Bill, Overflow> {
         let mut bill = Bill::new();
         for part in self.parts() {
             for ((tenant, class), sums) in &part.lines {
                 let line = bill
-                    .entry((now_called(tenant), class.clone(), part.period))
+                    .entry((current_name(tenant), class.clone(), part.period))
                     .or_default();
                 line.add(sums)?;
             }
@@ -180,11 +181,14 @@
         Ok(bill)
     }
 
-    /// What does not fit, but for what only files show.
+    /// Returns the inconsistencies between the merged exports. Problems of individual files are reported by
+    /// [`crate::scan`].
     pub fn findings(&self) -> Vec<Finding> {
         let mut findings = Vec::new();
-        for ((instance, period), same) in self.0.iter().filter(|(_, same)| same.len() > 1) {
-            let (instance, ids) = (instance.clone(), same.keys().cloned().collect());
+        for ((instance, period), candidates) in
+            self.0.iter().filter(|(_, candidates)| candidates.len() > 1)
+        {
+            let (instance, ids) = (instance.clone(), candidates.keys().cloned().collect());
             findings.push(Finding::Conflict {
                 instance,
                 period: *period,
@@ -208,7 +212,7 @@
                 before = &part.seal;
                 part.numbers
                     .iter()
-                    .for_each(|(e, n)| numbers.entry(*e).or_default().merge(n));
+                    .for_each(|(epoch, ranges)| numbers.entry(*epoch).or_default().merge(ranges));
                 settled.extend(part.settles.iter().filter_map(|subject| match subject {
                     Subject::Usage => None,
                     Subject::Billed { epoch, seq } | Subject::Waived { epoch, seq } => {
--- a/crates/ledger/src/scan/part_reader.rs
+++ b/crates/ledger/src/scan/part_reader.rs
@@ -287,7 +287,7 @@
         for (number, bytes) in &self.head.corrections {
             self.add_correction(*number, bytes)?;
         }
-        Ok((self.part, self.chain.end()))
+        Ok((self.part, self.chain.finish()))
     }
 
     fn add_correction(&mut self, number: u64, bytes: &[u8]) -> Result<(), PartError> {
--- a/crates/ledger/src/scan/spilled_keys.rs
+++ b/crates/ledger/src/scan/spilled_keys.rs
@@ -50,7 +50,8 @@
     /// Writes keys to the files of their first bytes.
     pub(super) fn spill(&self, keys: Vec<SpilledKey>) -> io::Result<()> {
         for spilled in keys {
-            let bytes = postcard::to_stdvec(&spilled).expect("plain data");
+            let bytes =
+                postcard::to_stdvec(&spilled).expect("a plain struct can always be encoded");
             let mut file = self.0[usize::from(spilled.key[0])]
                 .lock()
                 .expect("no thread panics with it");
--- a/crates/ledger/src/store/marked.rs
+++ b/crates/ledger/src/store/marked.rs
@@ -13,7 +13,7 @@
 }
 
 pub(super) fn to_bytes(epoch: u64, marks: &Marks) -> Vec<u8> {
-    let mut bytes = postcard::to_stdvec(marks).expect("plain data");
+    let mut bytes = postcard::to_stdvec(marks).expect("a plain struct can always be encoded");
     bytes.extend_from_slice(&sum(epoch, &bytes));
     bytes
 }
--- a/crates/ledger/src/store/verify.rs
+++ b/crates/ledger/src/store/verify.rs
@@ -64,7 +64,7 @@
                 done.corrections += 1;
             }
             if let Some(s) = sealed {
-                if s.before != before || s.entries != entries || chain.end()[..] != s.hash[..] {
+                if s.before != before || s.entries != entries || chain.finish()[..] != s.hash[..] {
                     return Err(self.damaged(format!("the seal of {period} does not hold")));
                 }
                 before.clone_from(&s.hash);
--- a/crates/ledger/src/store/write.rs
+++ b/crates/ledger/src/store/write.rs
@@ -175,7 +175,7 @@
                     new.insert(all_marks(t, epoch)?);
                 }
             }
-            let marks = postcard::to_stdvec(&marks).expect("plain data");
+            let marks = postcard::to_stdvec(&marks).expect("a plain struct can always be encoded");
             chain.names(&names);
             chain.marks(&marks);
             let mut corrections =
@@ -185,7 +185,7 @@
                 let no: i64 = row.get(0)?;
                 chain.correction(no as u64, row.get_ref(1)?.as_blob().unwrap_or(&[]));
             }
-            let hash = chain.end();
+            let hash = chain.finish();
             t.execute(
                 "INSERT INTO seals(period, closed, entries, marks, before, hash) VALUES(?1, ?2, ?3, ?4, ?5, ?6)",
                 params![period.start_s(), now as i64, entries, marks, before, &hash[..]],
--- a/crates/ledger/src/sums.rs
+++ b/crates/ledger/src/sums.rs
@@ -1,45 +1,46 @@
-//! Sums by tenant and class: whole numbers only, and never a silent overflow.
+//! Usage totals by tenant and class. All arithmetic uses integers and reports overflow.
 
 use crate::entry::{Answer, Row};
 use crate::marks::Delivery;
 use serde::{Deserialize, Serialize};
 
-/// What was used, in one class by one tenant. All of it counts operations but for the two that name their unit.
+/// Usage of one tenant in one class. Fields without a unit suffix count operations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Served, and the answer written.
+    /// Served operations whose answer was written to the client in full.
     pub served: u64,
-    /// What was served, in slot-microseconds.
+    /// Billable usage of the operations in `served`, in slot-microseconds.
     pub slot_us: u128,
-    /// Busy replies.
+    /// Operations answered with a busy reply.
     pub busy: u64,
-    /// Failed.
+    /// Operations that failed.
     pub failed: u64,
-    /// The client had gone, before there was an answer or while it was written.
+    /// Operations whose client disconnected before there was an answer or while it was being written.
     pub gone: u64,
-    /// Running time of attempts that gave no answer, in microseconds: not billed.
+    /// Running time of attempts that gave no answer, in microseconds. Not billed.
     pub wasted_us: u128,
-    /// Served, but nobody can tell whether the client has it: apart from `served`.
+    /// Served operations for which it is unknown whether the client received the answer. Not included in
+    /// `served`.
     pub doubts: u64,
-    /// What those used, in slot-microseconds: apart from `slot_us`.
+    /// Usage of the operations in `doubts`, in slot-microseconds. Not included in `slot_us`.
     pub doubt_slot_us: u128,
-    /// Operations that corrections added or took away.
+    /// Net number of operations added (positive) or removed (negative) by corrections.
     pub corrected: i64,
-    /// Slot-microseconds that corrections added or took away.
+    /// Net slot-microseconds added (positive) or removed (negative) by corrections.
     pub corrected_slot_us: i128,
 }
 
-/// A sum grew beyond what its number holds.
+/// A total exceeds the range of its integer type.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a sum grew beyond what can be counted")]
+#[error("a usage total exceeds the range of its integer type")]
 pub struct Overflow;
 
 impl Usage {
-    /// Counts one entry.
+    /// Adds one entry to the totals.
     ///
     /// # Errors
     ///
-    /// [`Overflow`] if a sum grows beyond what its number holds.
+    /// [`Overflow`] if a total exceeds the range of its integer type.
     pub fn count(&mut self, row: &Row, delivery: Delivery) -> Result<(), Overflow> {
         let slot_us = u128::from(row.slot_us());
         let (count, amount) = match (row.answer, delivery) {
@@ -62,11 +63,11 @@
         Ok(())
     }
 
-    /// Counts a correction.
+    /// Adds the signed amounts of one correction to the totals.
     ///
     /// # Errors
     ///
-    /// [`Overflow`] if a sum grows beyond what its number holds.
+    /// [`Overflow`] if a total exceeds the range of its integer type.
     pub fn correct(&mut self, operations: i64, slot_us: i128) -> Result<(), Overflow> {
         self.corrected = self.corrected.checked_add(operations).ok_or(Overflow)?;
         self.corrected_slot_us = self
@@ -76,42 +77,45 @@
         Ok(())
     }
 
-    /// Adds another sum.
+    /// Adds all totals of `other`.
     ///
     /// # Errors
     ///
-    /// [`Overflow`] if a sum grows beyond what its number holds.
-    pub fn add(&mut self, o: &Usage) -> Result<(), Overflow> {
-        let n = |a: u64, b: u64| a.checked_add(b).ok_or(Overflow);
-        let w = |a: u128, b: u128| a.checked_add(b).ok_or(Overflow);
+    /// [`Overflow`] if a total exceeds the range of its integer type.
+    pub fn add(&mut self, other: &Usage) -> Result<(), Overflow> {
+        let add_count = |a: u64, b: u64| a.checked_add(b).ok_or(Overflow);
+        let add_amount = |a: u128, b: u128| a.checked_add(b).ok_or(Overflow);
         *self = Usage {
-            served: n(self.served, o.served)?,
-            slot_us: w(self.slot_us, o.slot_us)?,
-            busy: n(self.busy, o.busy)?,
-            failed: n(self.failed, o.failed)?,
-            gone: n(self.gone, o.gone)?,
-            wasted_us: w(self.wasted_us, o.wasted_us)?,
-            doubts: n(self.doubts, o.doubts)?,
-            doubt_slot_us: w(self.doubt_slot_us, o.doubt_slot_us)?,
-            corrected: self.corrected.checked_add(o.corrected).ok_or(Overflow)?,
+            served: add_count(self.served, other.served)?,
+            slot_us: add_amount(self.slot_us, other.slot_us)?,
+            busy: add_count(self.busy, other.busy)?,
+            failed: add_count(self.failed, other.failed)?,
+            gone: add_count(self.gone, other.gone)?,
+            wasted_us: add_amount(self.wasted_us, other.wasted_us)?,
+            doubts: add_count(self.doubts, other.doubts)?,
+            doubt_slot_us: add_amount(self.doubt_slot_us, other.doubt_slot_us)?,
+            corrected: self
+                .corrected
+                .checked_add(other.corrected)
+                .ok_or(Overflow)?,
             corrected_slot_us: self
                 .corrected_slot_us
-                .checked_add(o.corrected_slot_us)
+                .checked_add(other.corrected_slot_us)
                 .ok_or(Overflow)?,
         };
         Ok(())
     }
 
-    /// Operations to be billed, corrections included.
+    /// Number of operations to bill, corrections included. Operations in doubt are not billed.
     pub fn billed(&self) -> i128 {
         i128::from(self.served) + i128::from(self.corrected)
     }
 
-    /// Slot-microseconds to be billed, corrections included.
+    /// Slot-microseconds to bill, corrections included.
     ///
     /// # Errors
     ///
-    /// [`Overflow`] if a sum grows beyond what its number holds.
+    /// [`Overflow`] if the total exceeds the range of its integer type.
     pub fn billed_slot_us(&self) -> Result<i128, Overflow> {
         i128::try_from(self.slot_us)
             .ok()
@@ -119,7 +123,7 @@
             .ok_or(Overflow)
     }
 
-    /// Entries counted.
+    /// Number of entries counted, including those in doubt. Corrections are not counted.
     pub fn entries(&self) -> u64 {
         self.served + self.busy + self.failed + self.gone + self.doubts
     }
--- a/crates/ledger/tests/receipts.rs
+++ b/crates/ledger/tests/receipts.rs
@@ -9,7 +9,7 @@
     std::fs::write(&file, "operation,tenant\na,t1\n\"b,t1\nc,t1\n").expect("written");
     let why = find_receipts(&file, &[]).expect_err("refused").to_string();
     assert!(
-        why.ends_with("receipts.csv: line 3: a quote without its end"),
+        why.ends_with("receipts.csv: line 3: unterminated quote"),
         "{why}"
     );
 }
--- a/crates/ledger/tests/recorded.rs
+++ b/crates/ledger/tests/recorded.rs
@@ -314,7 +314,7 @@
         "key_hash": hex(&key_hash(&KEY, "idempotency key")),
         "block": hex(&block),
         "block_hash": hex(&block_hash),
-        "seal": hex(&chain.end()),
+        "seal": hex(&chain.finish()),
     })
 }
 
