--- a/crates/ledger/src/export/content.rs
+++ b/crates/ledger/src/export/content.rs
@@ -1,4 +1,4 @@
-//! The content of an exported file: a head, then the period's blocks, compressed.
+//! Content of an exported file: a header followed by the period's blocks, compressed with zstd.
 
 use crate::entry::to_hex;
 use crate::marks::Marks;
@@ -10,13 +10,13 @@
 use std::io::{self, BufWriter, Read, Write};
 
 const MAGIC: &[u8; 8] = b"SLEDGER1";
-/// Compression: zstd's own choice.
+/// Compression level: zstd's default.
 const COMPRESSION_LEVEL: i32 = 3;
 const WRITE_BUFFER_BYTES: usize = 1 << 16;
-/// The longest head or block that is read: guards against a length that is junk.
+/// Maximum length of a header or block that is read. Guards against invalid lengths in a damaged file.
 const MAX_PART_BYTES: u64 = 64 << 20;
 
-/// Why content could not be written.
+/// Reason for which content could not be written.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum WriteError {
     /// The store could not be read.
@@ -27,7 +27,7 @@
     Io(#[from] io::Error),
 }
 
-/// Why content could not be read.
+/// Reason for which content could not be read.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ContentError {
     #[error("it is cut off")]
@@ -35,18 +35,18 @@
     #[error("not an export of a ledger")]
     NotAnExport,
     #[error("its head cannot be read")]
-    Head,
-    #[error("a block's head cannot be read")]
-    BlockHead,
+    Header,
+    #[error("a block's header cannot be decoded")]
+    BlockHeader,
     #[error("a length in it is not what was written")]
     Length,
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// The head of a file's content.
+/// Header of a file's content.
 #[derive(Serialize, Deserialize)]
-pub(crate) struct Head {
+pub(crate) struct Header {
     pub(crate) instance: String,
     pub(crate) period: String,
     pub(crate) before: Vec<u8>,
@@ -56,15 +56,15 @@
     pub(crate) corrections: Vec<(u64, Vec<u8>)>,
 }
 
-impl Head {
+impl Header {
     pub(crate) fn marks(&self) -> Option<BTreeMap<u64, Marks>> {
         postcard::from_bytes(&self.marks).ok()
     }
 }
 
-/// The head of a block in a file's content, before its bytes.
+/// Header of one block, which precedes the block's encoded entries.
 #[derive(Serialize, Deserialize)]
-pub(crate) struct BlockHead {
+pub(crate) struct BlockHeader {
     pub(crate) epoch: u64,
     pub(crate) first: u64,
     pub(crate) last: u64,
@@ -72,31 +72,31 @@
     pub(crate) bytes: u64,
 }
 
-/// Hashes what passes through it.
-pub(crate) struct Hashing<T> {
+/// Hashes all bytes that are read or written through it.
+pub(crate) struct HashingStream<T> {
     pub(crate) inner: T,
     hash: blake3::Hasher,
 }
 
-impl<T> Hashing<T> {
-    pub(crate) fn new(inner: T) -> Hashing<T> {
-        Hashing {
+impl<T> HashingStream<T> {
+    pub(crate) fn new(inner: T) -> HashingStream<T> {
+        HashingStream {
             inner,
             hash: blake3::Hasher::new(),
         }
     }
 
-    /// The hash of what has passed so far, as hex digits.
+    /// Returns the hash of the bytes so far, as hex digits.
     pub(crate) fn hex(&self) -> String {
         to_hex(self.hash.finalize().as_bytes())
     }
 }
 
-impl<T: Write> Write for Hashing<T> {
+impl<T: Write> Write for HashingStream<T> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let n = self.inner.write(bytes)?;
-        self.hash.update(&bytes[..n]);
-        Ok(n)
+        let count = self.inner.write(bytes)?;
+        self.hash.update(&bytes[..count]);
+        Ok(count)
     }
 
     fn flush(&mut self) -> io::Result<()> {
@@ -104,31 +104,31 @@
     }
 }
 
-impl<T: Read> Read for Hashing<T> {
-    fn read(&mut self, into: &mut [u8]) -> io::Result<usize> {
-        let n = self.inner.read(into)?;
-        self.hash.update(&into[..n]);
-        Ok(n)
+impl<T: Read> Read for HashingStream<T> {
+    fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
+        let count = self.inner.read(buffer)?;
+        self.hash.update(&buffer[..count]);
+        Ok(count)
     }
 }
 
-/// The hashes of a file's content before and after compression.
+/// Hashes of a file's content before and after compression.
 pub(super) struct Hashes {
     pub(super) content: String,
     pub(super) file: String,
 }
 
-/// Writes the head and the period's blocks. The file is not synced.
+/// Writes the header and the period's blocks to `file`. The file is not synced.
 pub(super) fn write(
     store: &Store,
     period: Period,
-    head: &Head,
+    header: &Header,
     file: File,
 ) -> Result<(File, Hashes), WriteError> {
     let buffered = BufWriter::with_capacity(WRITE_BUFFER_BYTES, file);
-    let compressed = zstd::Encoder::new(Hashing::new(buffered), COMPRESSION_LEVEL)?;
-    let mut content = Hashing::new(compressed);
-    write_head(&mut content, head)?;
+    let compressed = zstd::Encoder::new(HashingStream::new(buffered), COMPRESSION_LEVEL)?;
+    let mut content = HashingStream::new(compressed);
+    write_header(&mut content, header)?;
     store.blocks(period, |block| -> Result<(), WriteError> {
         write_block(&mut content, &block)?;
         Ok(())
@@ -146,29 +146,29 @@
     Ok((file, hashes))
 }
 
-fn write_head(content: &mut impl Write, head: &Head) -> io::Result<()> {
-    let bytes = postcard::to_stdvec(head).expect("a plain struct can always be encoded");
+fn write_header(content: &mut impl Write, header: &Header) -> io::Result<()> {
+    let bytes = postcard::to_stdvec(header).expect("a plain struct can always be encoded");
     content.write_all(MAGIC)?;
     content.write_all(&(bytes.len() as u64).to_le_bytes())?;
     content.write_all(&bytes)
 }
 
 fn write_block(content: &mut impl Write, block: &Block) -> io::Result<()> {
-    let head = BlockHead {
+    let header = BlockHeader {
         epoch: block.epoch,
         first: block.first,
         last: block.last,
         entries: block.entries,
         bytes: block.body.len() as u64,
     };
-    let head = postcard::to_stdvec(&head).expect("a plain struct can always be encoded");
-    content.write_all(&[head.len() as u8])?;
-    content.write_all(&head)?;
+    let header = postcard::to_stdvec(&header).expect("a plain struct can always be encoded");
+    content.write_all(&[header.len() as u8])?;
+    content.write_all(&header)?;
     content.write_all(block.body)
 }
 
-/// Reads the magic, the length and the head of a file's content.
-pub(crate) fn read_head(content: &mut impl Read) -> Result<Head, ContentError> {
+/// Reads the magic bytes, the header's length and the header.
+pub(crate) fn read_header(content: &mut impl Read) -> Result<Header, ContentError> {
     let mut magic = [0; MAGIC.len()];
     let mut length = [0; 8];
     content
@@ -179,24 +179,25 @@
         return Err(ContentError::NotAnExport);
     }
     let bytes = read_bytes(content, u64::from_le_bytes(length))?;
-    postcard::from_bytes(&bytes).map_err(|_| ContentError::Head)
+    postcard::from_bytes(&bytes).map_err(|_| ContentError::Header)
 }
 
-/// Reads the next block's head and body; none at the end of the content.
+/// Reads the next block's header and body, or `None` at the end of the content.
 pub(crate) fn read_block(
     content: &mut impl Read,
-) -> Result<Option<(BlockHead, Vec<u8>)>, ContentError> {
+) -> Result<Option<(BlockHeader, Vec<u8>)>, ContentError> {
     let mut length = [0; 1];
     if content.read(&mut length)? == 0 {
         return Ok(None);
     }
-    let head = read_bytes(content, u64::from(length[0]))?;
-    let head: BlockHead = postcard::from_bytes(&head).map_err(|_| ContentError::BlockHead)?;
-    let body = read_bytes(content, head.bytes)?;
-    Ok(Some((head, body)))
+    let header = read_bytes(content, u64::from(length[0]))?;
+    let header: BlockHeader =
+        postcard::from_bytes(&header).map_err(|_| ContentError::BlockHeader)?;
+    let body = read_bytes(content, header.bytes)?;
+    Ok(Some((header, body)))
 }
 
-/// Reads so many bytes; grows only as they come, so that a length that is junk costs no memory.
+/// Reads `length` bytes. The buffer grows only as data arrives, so an invalid length costs no memory.
 fn read_bytes(content: &mut impl Read, length: u64) -> Result<Vec<u8>, ContentError> {
     if length > MAX_PART_BYTES {
         return Err(ContentError::Length);
--- a/crates/ledger/src/export/manifest.rs
+++ b/crates/ledger/src/export/manifest.rs
@@ -1,4 +1,4 @@
-//! The manifest beside an exported file: what the file holds, and the hashes to check it by.
+//! Manifest of an exported file: a summary of the content and the hashes to verify it.
 
 use crate::period::Period;
 use crate::store::Lines;
@@ -8,88 +8,90 @@
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// The version of the form of exports.
+/// Version of the export format.
 pub const VERSION: u32 = 1;
-/// A manifest is read up to here: guards against a file that is something else.
+/// Maximum number of bytes read from a manifest. Guards against large files that are not manifests.
 const MAX_MANIFEST_BYTES: u64 = 64 << 20;
 
-/// Why a manifest could not be read.
+/// Reason for which a manifest could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ManifestError {
-    /// The file could not be read.
+    /// Reading the file failed.
     #[error("{}: {source}", path.display())]
     Io {
-        /// The manifest.
+        /// Path of the manifest.
         path: PathBuf,
-        /// What the system reports.
+        /// Error returned by the operating system.
         source: io::Error,
     },
-    /// The file holds no manifest.
+    /// The file does not contain a valid manifest.
     #[error("{}: {source}", path.display())]
     Malformed {
-        /// The manifest.
+        /// Path of the manifest.
         path: PathBuf,
-        /// What does not fit.
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
-    /// The export has another form than this program knows.
+    /// The export has a format version that this program does not support.
     #[error("{}: version {found}, and this program knows {VERSION}", path.display())]
     UnknownVersion {
-        /// The manifest.
+        /// Path of the manifest.
         path: PathBuf,
-        /// Its version.
+        /// Version given in the manifest.
         found: u32,
     },
-    /// The name of the exported file leads out of the manifest's folder, or is hidden.
+    /// The name of the exported file contains a path separator or starts with a dot. Holds the path of the
+    /// manifest.
     #[error("{}: file: not a plain name", .0.display())]
     FileName(PathBuf),
 }
 
-/// One line of a manifest.
+/// Usage of one tenant in one class.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Line {
-    /// Whose use.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Of which class.
+    /// Name of the service class.
     pub class: String,
-    /// The sums.
+    /// Usage totals of the period.
     pub sums: Usage,
 }
 
-/// What stands beside an exported file.
+/// Summary of an exported file, stored as JSON in the same folder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Manifest {
-    /// The version of the form.
+    /// Version of the export format, see [`VERSION`].
     pub version: u32,
-    /// The hash of the file's content, uncompressed: what a consumer keeps.
+    /// Id of the export: the hash of the uncompressed content, in hex digits. Consumers keep it to recognize
+    /// exports that they have already counted.
     pub id: String,
-    /// The instance.
+    /// Name of the instance that recorded the entries.
     pub instance: String,
-    /// The period.
+    /// The exported period.
     pub period: Period,
-    /// The file's name.
+    /// Name of the exported file, without a path.
     pub file: String,
-    /// The hash of the file as it lies.
+    /// Hash of the compressed file, in hex digits.
     pub file_hash: String,
-    /// Entries in it.
+    /// Number of entries in the file.
     pub entries: u64,
-    /// Corrections in it.
+    /// Number of corrections in the file.
     pub corrections: u64,
-    /// The period's seal.
+    /// Seal of the period, in hex digits.
     pub seal: String,
-    /// The seal of the period before, zeros for the first.
+    /// Seal of the preceding period in hex digits, all zeros for the first one.
     pub before: String,
-    /// The sums by tenant and class.
+    /// Usage totals by tenant and class.
     pub lines: Vec<Line>,
 }
 
 impl Manifest {
-    /// Reads a manifest.
+    /// Reads a manifest and checks its version and file name.
     ///
     /// # Errors
     ///
-    /// See [`ManifestError`].
+    /// [`ManifestError`] if the file cannot be read or is rejected by the checks.
     pub fn load(path: &Path) -> Result<Manifest, ManifestError> {
         let text = read_text(path).map_err(|source| ManifestError::Io {
             path: path.to_path_buf(),
@@ -111,14 +113,14 @@
                 found: self.version,
             });
         }
-        // Guards against a name that leads out of the folder.
+        // Guards against a name that refers to a file outside the folder.
         if self.file.contains(['/', '\\']) || self.file.starts_with('.') {
             return Err(ManifestError::FileName(path.to_path_buf()));
         }
         Ok(())
     }
 
-    /// Writes the manifest and waits until it is on the disk.
+    /// Writes the manifest and syncs it to disk.
     pub(super) fn write(&self, path: &Path) -> io::Result<()> {
         let text = serde_json::to_string_pretty(self)
             .expect("a plain struct can always be encoded")
@@ -136,7 +138,7 @@
     Ok(text)
 }
 
-/// The lines of a manifest.
+/// Converts usage totals to the lines of a manifest.
 pub fn lines(sums: Lines) -> Vec<Line> {
     sums.into_iter()
         .map(|((tenant, class), sums)| Line {
--- a/crates/ledger/src/export/mod.rs
+++ b/crates/ledger/src/export/mod.rs
@@ -1,14 +1,16 @@
-//! Closed periods as files: one compressed file for each instance and period, and a manifest beside it.
+//! Exports closed periods to files: one compressed file with a manifest for each instance and period.
 //!
-//! A file's content depends on the closed period alone, so an export that was interrupted and runs again gives the
-//! same content and the same id, which is the content's hash. Files are written beside their place, synced and
-//! renamed, the manifest last: where a manifest stands, the export is whole. A consumer that keeps ids counts no
-//! period twice.
+//! The content of a file depends only on the closed period. An export that is interrupted and repeated
+//! therefore has the same content and the same id, which is the hash of the content. Files are written under
+//! a temporary name, synced and renamed, the manifest last. If a manifest exists, its export is complete. A
+//! consumer that keeps the ids counts no period twice.
 
 mod content;
 mod manifest;
 
-pub(crate) use content::{read_block, read_head, BlockHead, ContentError, Hashing, Head};
+pub(crate) use content::{
+    read_block, read_header, BlockHeader, ContentError, HashingStream, Header,
+};
 pub use manifest::{lines, Line, Manifest, ManifestError, VERSION};
 
 use crate::entry::to_hex;
@@ -20,7 +22,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Why an export failed.
+/// Reason for which an export failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ExportError {
     /// The store could not be read.
@@ -32,31 +34,32 @@
     /// A file could not be written.
     #[error("{path}: {why}")]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system reports.
+        /// Error returned by the operating system.
         #[source]
         why: io::Error,
     },
-    /// The folder holds another export of this instance and period.
-    #[error("{0}: another export of this period stands here already, with other content")]
+    /// The folder already holds a different export of this instance and period. Holds the path of its
+    /// manifest.
+    #[error("{0}: this folder already holds an export of the period with different content")]
     Differs(PathBuf),
 }
 
-/// Where in an export something may be interrupted, for tests.
+/// Points at which a test can interrupt an export.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// The file is being written beside its place.
+    /// The content was written to the temporary file, which is not synced yet.
     Writing,
-    /// The file is written and synced, not yet in its place.
+    /// The temporary file is synced but not yet renamed.
     Written,
-    /// The file is in its place, the manifest is not.
+    /// The file has its final name; the manifest is not written yet.
     Placed,
-    /// The manifest is written and synced, not yet in its place.
+    /// The manifest is written and synced under its temporary name but not yet renamed.
     ManifestWritten,
 }
 
-/// The files of one export. Each is written under its partial name first.
+/// Paths of the files of one export. Each file is first written under its partial name.
 struct ExportFiles {
     folder: PathBuf,
     name: String,
@@ -81,14 +84,15 @@
     }
 }
 
-/// Exports a closed period into a folder, and returns the manifest. Run again it changes nothing.
+/// Exports a closed period into a folder and returns the manifest. Repeating an export has no effect.
 ///
-/// `proceed` is called after each stage; if it returns false the export ends there, without a manifest.
+/// `proceed` is called after each stage. If it returns false, the export stops there and returns `None`,
+/// without a complete manifest.
 ///
 /// # Errors
 ///
-/// [`ExportError::Open`] if the period is not closed, [`ExportError::Differs`] if the folder holds another export of
-/// it; else what the store or the system reports.
+/// [`ExportError::Open`] if the period is not closed, [`ExportError::Differs`] if the folder holds a
+/// different export of it, otherwise the error of the store or the operating system.
 pub fn export(
     store: &Store,
     period: Period,
@@ -98,10 +102,11 @@
     let seal = store.seal_of(period)?.ok_or(ExportError::Open(period))?;
     let files = ExportFiles::new(folder, store.instance(), period);
     std::fs::create_dir_all(folder).map_err(|why| file_error(folder, why))?;
-    // Only the names that the period's entries use: the store's other names do not belong to it.
+    // Includes only the names that the period's entries use: the content must not depend on the store's other
+    // names.
     let (sums, names) = store.sums_and_names(period)?;
-    let head = head(store, &seal, names)?;
-    let (file, hashes) = write_content(store, period, &head, &files.partial_content)?;
+    let header = header(store, &seal, names)?;
+    let (file, hashes) = write_content(store, period, &header, &files.partial_content)?;
     if !proceed(Stage::Writing) {
         return Ok(None);
     }
@@ -111,11 +116,11 @@
     if !proceed(Stage::Written) {
         return Ok(None);
     }
-    let manifest = manifest(&seal, head, hashes, &files.name, lines(sums));
+    let manifest = manifest(&seal, header, hashes, &files.name, lines(sums));
     if let Ok(existing) = Manifest::load(&files.manifest) {
         return keep_existing(existing, &manifest, files).map(Some);
     }
-    place(&files, manifest, proceed)
+    rename_into_place(&files, manifest, proceed)
 }
 
 fn file_error(path: &Path, why: io::Error) -> ExportError {
@@ -125,8 +130,8 @@
     }
 }
 
-fn head(store: &Store, seal: &Seal, names: BTreeMap<u32, String>) -> Result<Head, StoreError> {
-    Ok(Head {
+fn header(store: &Store, seal: &Seal, names: BTreeMap<u32, String>) -> Result<Header, StoreError> {
+    Ok(Header {
         instance: store.instance().to_string(),
         period: seal.period.to_string(),
         before: seal.before.clone(),
@@ -140,33 +145,34 @@
 fn write_content(
     store: &Store,
     period: Period,
-    head: &Head,
+    header: &Header,
     path: &Path,
 ) -> Result<(File, Hashes), ExportError> {
     let file = File::create(path).map_err(|why| file_error(path, why))?;
-    content::write(store, period, head, file).map_err(|error| match error {
+    content::write(store, period, header, file).map_err(|error| match error {
         WriteError::Store(error) => ExportError::Store(error),
         WriteError::Io(why) => file_error(path, why),
     })
 }
 
-fn manifest(seal: &Seal, head: Head, hashes: Hashes, file: &str, lines: Vec<Line>) -> Manifest {
+fn manifest(seal: &Seal, header: Header, hashes: Hashes, file: &str, lines: Vec<Line>) -> Manifest {
     Manifest {
         version: VERSION,
         id: hashes.content,
-        instance: head.instance,
+        instance: header.instance,
         period: seal.period,
         file: file.to_string(),
         file_hash: hashes.file,
         entries: seal.entries,
-        corrections: head.corrections.len() as u64,
+        corrections: header.corrections.len() as u64,
         seal: to_hex(&seal.hash),
         before: to_hex(&seal.before),
         lines,
     }
 }
 
-/// The period was exported here before: that export stays byte for byte, and the new content is dropped.
+/// Handles a period that was exported to this folder before: the existing export stays byte for byte, and the
+/// new content is deleted.
 fn keep_existing(
     existing: Manifest,
     manifest: &Manifest,
@@ -179,8 +185,8 @@
     Ok(existing)
 }
 
-/// Moves the content to its place, then the manifest: where a manifest stands, the export is whole.
-fn place(
+/// Renames the content to its final name, then the manifest. If a manifest exists, its export is complete.
+fn rename_into_place(
     files: &ExportFiles,
     manifest: Manifest,
     mut proceed: impl FnMut(Stage) -> bool,
--- a/crates/ledger/src/gate.rs
+++ b/crates/ledger/src/gate.rs
@@ -79,10 +79,10 @@
         self.trusted
     }
 
-    /// Books an answer that must be sent by the time `by`. While the disk fails, entries still go to the
+    /// Books an answer that must be sent by `deadline`. While the disk fails, entries still go to the
     /// writer, which books them when it can. If the policy allows unbooked results to be released, answers do
     /// not wait during that time. Otherwise they do, because a durable entry is the only way to release them.
-    pub fn book(&mut self, now: Micros, by: Micros) -> BookingDecision {
+    pub fn book(&mut self, now: Micros, deadline: Micros) -> BookingDecision {
         // Incremented first, so that an answer that is not booked leaves a gap in the numbers, which
         // reconciliation reports.
         self.last_seq += 1;
@@ -93,7 +93,7 @@
         self.waiting += 1;
         let waits = self.trusted || !self.releases_unbooked();
         let until = if waits {
-            now.saturating_add(self.hold_us).min(by.max(now))
+            now.saturating_add(self.hold_us).min(deadline.max(now))
         } else {
             now
         };
--- a/crates/ledger/src/scan/folder.rs
+++ b/crates/ledger/src/scan/folder.rs
@@ -1,4 +1,4 @@
-//! Finds the exports in folders by their manifests.
+//! Finds the exports in a list of folders by their manifests.
 
 use crate::export::Manifest;
 use crate::period::Period;
@@ -7,26 +7,26 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// An exported file, and what its manifest says of it.
+/// Path of an exported file and its manifest.
 pub(super) struct FoundExport {
     pub(super) path: PathBuf,
     pub(super) manifest: Manifest,
 }
 
-/// What tells one export from another: instance, period, and the hashes of the content and the file.
+/// Distinguishes exports: instance, period, and the hashes of the content and the compressed file.
 type Identity = (String, Period, String, String);
 
-/// The names in one folder that matter.
+/// Files of one folder that belong to exports.
 #[derive(Default)]
 struct Listing {
-    /// Paths of manifests, in order.
+    /// Paths of the manifests, sorted.
     manifests: Vec<PathBuf>,
-    /// Names of exported files.
+    /// Names of the exported files.
     contents: BTreeSet<String>,
 }
 
-/// Finds all exports. The same export in two folders is found once; manifests that cannot be read and files without
-/// one become findings.
+/// Finds all exports. An export that is present in several folders is returned once. Unreadable manifests and
+/// files without a manifest become findings.
 pub(super) fn find_exports(
     folders: &[PathBuf],
     findings: &mut Vec<Finding>,
--- a/crates/ledger/src/scan/mod.rs
+++ b/crates/ledger/src/scan/mod.rs
@@ -1,4 +1,4 @@
-//! Reads exports, several at a time, in memory that does not grow with their entries.
+//! Reads exports on several threads. Memory use does not grow with the number of entries.
 
 mod folder;
 mod part_reader;
@@ -14,51 +14,55 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// What was read.
+/// Result of reading a set of exports.
 #[derive(Debug, Default)]
 pub struct Scanned {
-    /// All that fits by itself.
+    /// Exports that passed verification.
     pub merged: Merged,
-    /// What does not.
+    /// Problems of individual files and inconsistencies between exports.
     pub findings: Vec<Finding>,
-    /// Repeated keys beyond those told.
+    /// Number of repeated idempotency keys beyond those in `findings`.
     pub more_repeats: u64,
 }
 
-/// Reads all exports in these folders with so many threads. `each` is called after every file, with how many there
-/// are.
+/// Reads all exports in the folders on up to `threads` threads. `on_file` is called after each file with the
+/// total number of files.
 ///
 /// # Errors
 ///
-/// A folder that cannot be read, or a temporary file that cannot be written. An export that cannot be read is a
+/// Fails if a folder cannot be read or a temporary file cannot be written. An export that cannot be read is a
 /// finding, not an error.
-pub fn scan(dirs: &[PathBuf], threads: usize, each: impl Fn(usize) + Sync) -> io::Result<Scanned> {
+pub fn scan(
+    dirs: &[PathBuf],
+    threads: usize,
+    on_file: impl Fn(usize) + Sync,
+) -> io::Result<Scanned> {
     let mut scanned = Scanned::default();
     let found = find_exports(dirs, &mut scanned.findings)?;
     let keys = SpilledKeys::new()?;
-    let parts = read_parts(&found, threads, &keys, each);
-    let whole = add_parts(&mut scanned, &found, parts);
+    let parts = read_parts(&found, threads, &keys, on_file);
+    let valid = add_parts(&mut scanned, &found, parts);
     let instances: Vec<&str> = found
         .iter()
         .map(|export| export.manifest.instance.as_str())
         .collect();
-    let repeats = keys.repeats(&whole, &instances)?;
+    let repeats = keys.repeats(&valid, &instances)?;
     scanned.findings.extend(repeats.listed);
     scanned.more_repeats = repeats.unlisted;
     scanned.findings.extend(scanned.merged.findings());
     Ok(scanned)
 }
 
-/// Reads each export on one of the threads. The parts are in the order of the exports.
+/// Reads the exports on several threads. The result has the order of `found`.
 fn read_parts(
     found: &[FoundExport],
     threads: usize,
     keys: &SpilledKeys,
-    each: impl Fn(usize) + Sync,
+    on_file: impl Fn(usize) + Sync,
 ) -> Vec<Result<Part, PartError>> {
     let next = AtomicUsize::new(0);
     let parts = Mutex::new(Vec::new());
-    let read_in_turn = || loop {
+    let read_until_done = || loop {
         let index = next.fetch_add(1, Ordering::Relaxed);
         let Some(export) = found.get(index) else {
             return;
@@ -66,31 +70,33 @@
         let part = read_part(&export.path, &export.manifest, index as u32, keys);
         parts
             .lock()
-            .expect("no thread panics with it")
+            .expect("no thread panics while it holds the lock")
             .push((index, part));
-        each(found.len());
+        on_file(found.len());
     };
     std::thread::scope(|scope| {
         for _ in 0..threads.clamp(1, found.len().max(1)) {
-            scope.spawn(read_in_turn);
+            scope.spawn(read_until_done);
         }
     });
-    let mut parts = parts.into_inner().expect("no thread panics with it");
+    let mut parts = parts
+        .into_inner()
+        .expect("no thread panics while it holds the lock");
     parts.sort_by_key(|(index, _)| *index);
     parts.into_iter().map(|(_, part)| part).collect()
 }
 
-/// Adds the parts that are whole, and returns their indices. Those that are not become findings.
+/// Adds the exports that passed verification and returns their indices. All others become findings.
 fn add_parts(
     scanned: &mut Scanned,
     found: &[FoundExport],
     parts: Vec<Result<Part, PartError>>,
 ) -> BTreeSet<u32> {
-    let mut whole = BTreeSet::new();
+    let mut valid = BTreeSet::new();
     for (index, (export, part)) in found.iter().zip(parts).enumerate() {
         match part {
             Ok(part) => {
-                whole.insert(index as u32);
+                valid.insert(index as u32);
                 scanned.merged.add(part);
             }
             Err(error) => {
@@ -99,5 +105,5 @@
             }
         }
     }
-    whole
+    valid
 }
--- a/crates/ledger/src/scan/part_reader.rs
+++ b/crates/ledger/src/scan/part_reader.rs
@@ -1,10 +1,10 @@
-//! Reads one export whole and checks it against its manifest and its own seal.
+//! Reads one export completely and verifies it against its manifest and its seal.
 
 use super::spilled_keys::{SpilledKey, SpilledKeys};
 use crate::correction::Correction;
 use crate::entry::{to_hex, Answer, Micros, Row, RowReader};
 use crate::export::{
-    lines, read_block, read_head, BlockHead, ContentError, Hashing, Head, Manifest,
+    lines, read_block, read_header, BlockHeader, ContentError, HashingStream, Header, Manifest,
 };
 use crate::marks::{Delivery, Marks};
 use crate::period::{ParsePeriodError, Period};
@@ -19,7 +19,7 @@
 
 const READ_BUFFER_BYTES: usize = 1 << 16;
 
-/// Why an export is not what was written.
+/// Reason for which an export is rejected.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum PartError {
     #[error(transparent)]
@@ -30,27 +30,28 @@
     Period(#[from] ParsePeriodError),
     #[error(transparent)]
     Overflow(#[from] Overflow),
-    #[error("its marks cannot be read")]
+    #[error("the delivery marks cannot be decoded")]
     Marks,
     #[error("entry {seq} of epoch {epoch} is not what was written")]
     Entry { epoch: u64, seq: u64 },
     #[error("a block holds {found} entries, not {recorded}")]
     EntryCount { found: u64, recorded: u64 },
-    #[error("no name {0}")]
+    #[error("an entry refers to name {0}, which does not exist")]
     Name(u32),
-    #[error("correction {0} cannot be read")]
+    #[error("correction {0} cannot be decoded")]
     Correction(u64),
     #[error("{0} is not what the manifest says")]
     Differs(&'static str),
 }
 
-/// The content of an export, hashed before and after it is decompressed.
-type Content = BufReader<Hashing<zstd::Decoder<'static, BufReader<Hashing<File>>>>>;
+/// Content of an export, hashed before and after decompression.
+type Content = BufReader<HashingStream<zstd::Decoder<'static, BufReader<HashingStream<File>>>>>;
 
-/// The first and the last of numbers without a gap.
+/// First and last number of a sequence without gaps.
 type Run = (u64, u64);
 
-/// Reads an export whole. `index` is its place among the exports that are read; keys of served entries go to `keys`.
+/// Reads and verifies an export. `index` is its position in the list of exports. The idempotency keys of
+/// served entries are written to `keys`.
 pub(super) fn read_part(
     path: &Path,
     manifest: &Manifest,
@@ -58,23 +59,23 @@
     keys: &SpilledKeys,
 ) -> Result<Part, PartError> {
     let mut content = open(path)?;
-    let head = read_head(&mut content)?;
-    let period = head.period.parse()?;
-    let marks = head.marks().ok_or(PartError::Marks)?;
-    let mut reader = PartReader::new(&head, period, &marks, manifest, index);
+    let header = read_header(&mut content)?;
+    let period = header.period.parse()?;
+    let marks = header.marks().ok_or(PartError::Marks)?;
+    let mut reader = PartReader::new(&header, period, &marks, manifest, index);
     while let Some((block, body)) = read_block(&mut content)? {
         let served = reader.add_block(&block, &body)?;
         keys.spill(served)?;
     }
     let (part, seal) = reader.finish()?;
     let hashes = finish_content(content)?;
-    check(&part, &head, manifest, seal, &hashes)?;
+    check(&part, &header, manifest, seal, &hashes)?;
     Ok(part)
 }
 
 fn open(path: &Path) -> io::Result<Content> {
-    let file = Hashing::new(File::open(path)?);
-    let content = Hashing::new(zstd::Decoder::new(file)?);
+    let file = HashingStream::new(File::open(path)?);
+    let content = HashingStream::new(zstd::Decoder::new(file)?);
     Ok(BufReader::with_capacity(READ_BUFFER_BYTES, content))
 }
 
@@ -83,7 +84,8 @@
     file: String,
 }
 
-/// Reads the file to its end: bytes after the last frame count too, as the file's hash is that of all its bytes.
+/// Reads the file to its end and returns the hashes. Bytes after the last compressed frame are included,
+/// because the file's hash covers all its bytes.
 fn finish_content(content: Content) -> io::Result<Hashes> {
     let content = content.into_inner();
     let content_hash = content.hex();
@@ -97,7 +99,7 @@
 
 fn check(
     part: &Part,
-    head: &Head,
+    header: &Header,
     manifest: &Manifest,
     seal: [u8; 32],
     hashes: &Hashes,
@@ -107,7 +109,7 @@
         ("its content", hashes.content == manifest.id),
         (
             "its seal",
-            seal[..] == head.seal[..] && part.seal == manifest.seal,
+            seal[..] == header.seal[..] && part.seal == manifest.seal,
         ),
         ("the seal before", part.before == manifest.before),
         (
@@ -117,7 +119,7 @@
         ("its count", part.entries == manifest.entries),
         (
             "its corrections",
-            head.corrections.len() as u64 == manifest.corrections,
+            header.corrections.len() as u64 == manifest.corrections,
         ),
         ("its sums", lines(part.lines.clone()) == manifest.lines),
     ];
@@ -127,9 +129,9 @@
     }
 }
 
-/// Sums up one export, block by block.
+/// Accumulates the totals of one export, block by block.
 struct PartReader<'a> {
-    head: &'a Head,
+    header: &'a Header,
     index: u32,
     marks: &'a BTreeMap<u64, Marks>,
     chain: seal::Chain,
@@ -139,24 +141,24 @@
 
 impl<'a> PartReader<'a> {
     fn new(
-        head: &'a Head,
+        header: &'a Header,
         period: Period,
         marks: &'a BTreeMap<u64, Marks>,
         manifest: &Manifest,
         index: u32,
     ) -> PartReader<'a> {
         PartReader {
-            head,
+            header,
             index,
             marks,
-            chain: seal::Chain::new(&head.before, &head.instance, period),
+            chain: seal::Chain::new(&header.before, &header.instance, period),
             sums: HashMap::new(),
             part: Part {
-                instance: head.instance.clone(),
+                instance: header.instance.clone(),
                 period,
                 id: manifest.id.clone(),
-                seal: to_hex(&head.seal),
-                before: to_hex(&head.before),
+                seal: to_hex(&header.seal),
+                before: to_hex(&header.before),
                 entries: 0,
                 lines: Lines::new(),
                 numbers: BTreeMap::new(),
@@ -166,8 +168,12 @@
         }
     }
 
-    /// Counts the entries of a block, and returns the keys of those that were served.
-    fn add_block(&mut self, block: &BlockHead, body: &[u8]) -> Result<Vec<SpilledKey>, PartError> {
+    /// Adds the entries of a block to the totals, and returns the idempotency keys of those that were served.
+    fn add_block(
+        &mut self,
+        block: &BlockHeader,
+        body: &[u8],
+    ) -> Result<Vec<SpilledKey>, PartError> {
         self.chain_block(block, body);
         let marks = self.marks.get(&block.epoch);
         let mut served = Vec::new();
@@ -194,7 +200,7 @@
         Ok(served)
     }
 
-    fn chain_block(&mut self, block: &BlockHead, body: &[u8]) {
+    fn chain_block(&mut self, block: &BlockHeader, body: &[u8]) {
         let place = seal::BlockPosition {
             period: self.part.period,
             epoch: block.epoch,
@@ -206,13 +212,14 @@
         self.chain.block(block.epoch, block.first, &hash);
     }
 
-    /// The number and time that a block's first entry counts from.
-    fn base(&self, block: &BlockHead) -> (u64, Micros) {
+    /// Returns the sequence number and time that a block's first entry is relative to.
+    fn base(&self, block: &BlockHeader) -> (u64, Micros) {
         let start_us = self.part.period.start_s() as u64 * 1_000_000;
         (block.first, start_us)
     }
 
-    /// Continues a run of numbers, or books it and begins another one.
+    /// Extends the run of sequence numbers by `seq`. If `seq` does not follow it, stores the run and starts a
+    /// new one.
     fn extend_run(&mut self, epoch: u64, run: Option<Run>, seq: u64) -> Run {
         match run {
             Some((first, last)) if last + 1 == seq => (first, seq),
@@ -230,7 +237,7 @@
         }
     }
 
-    /// Counts one entry. Its key, if it was served and has one.
+    /// Adds one entry to the totals. Returns its idempotency key if it was served and has one.
     fn add_row(
         &mut self,
         epoch: u64,
@@ -272,19 +279,19 @@
     }
 
     fn name(&self, number: u32) -> Result<String, PartError> {
-        let name = self.head.names.get(&number);
+        let name = self.header.names.get(&number);
         name.cloned().ok_or(PartError::Name(number))
     }
 
-    /// The whole part, and the seal that its content has.
+    /// Completes the part, and computes the seal of its content.
     fn finish(mut self) -> Result<(Part, [u8; 32]), PartError> {
-        self.chain.names(&self.head.names);
-        self.chain.marks(&self.head.marks);
+        self.chain.names(&self.header.names);
+        self.chain.marks(&self.header.marks);
         for ((tenant, class), sum) in std::mem::take(&mut self.sums) {
             let line = (self.name(tenant)?, self.name(class)?);
             self.part.lines.insert(line, sum);
         }
-        for (number, bytes) in &self.head.corrections {
+        for (number, bytes) in &self.header.corrections {
             self.add_correction(*number, bytes)?;
         }
         Ok((self.part, self.chain.finish()))
--- a/crates/ledger/src/scan/spilled_keys.rs
+++ b/crates/ledger/src/scan/spilled_keys.rs
@@ -1,5 +1,5 @@
-//! The idempotency keys of served entries, kept in temporary files while exports are read: they may be more than the
-//! memory holds.
+//! Stores the idempotency keys of served entries in temporary files while exports are read, because they may
+//! not fit in memory.
 
 use crate::entry::{to_hex, KeyHash};
 use crate::reconcile::{EntryId, Finding};
@@ -9,32 +9,32 @@
 use std::io::{self, BufWriter, Read, Seek, Write};
 use std::sync::Mutex;
 
-/// Files that keys are spread over, so that each can be looked at in memory alone.
+/// Number of files that the keys are distributed over, so that the keys of one file fit in memory.
 const BUCKETS: usize = 256;
 const BUCKET_BUFFER_BYTES: usize = 8 << 10;
-/// Most repeated keys that are listed one by one.
+/// Maximum number of repeated keys that are reported individually.
 const MAX_LISTED_REPEATS: usize = 1_000;
 
-/// The key of one served entry, and where that entry stands.
+/// Idempotency key of one served entry, and the position of the entry.
 #[derive(Serialize, Deserialize)]
 pub(super) struct SpilledKey {
     pub(super) key: KeyHash,
-    /// The index of the export that holds the entry.
+    /// Index of the export that holds the entry.
     pub(super) export: u32,
     pub(super) epoch: u64,
     pub(super) seq: u64,
 }
 
-/// Keys that several instances answered.
+/// Idempotency keys that several instances answered.
 #[derive(Default)]
 pub(super) struct Repeats {
-    /// Findings, up to [`MAX_LISTED_REPEATS`].
+    /// One finding for each repeated key, at most [`MAX_LISTED_REPEATS`].
     pub(super) listed: Vec<Finding>,
-    /// Repeated keys beyond those listed.
+    /// Number of repeated keys beyond those in `listed`.
     pub(super) unlisted: u64,
 }
 
-/// The keys, spread over files that are gone when this is dropped.
+/// Temporary files with idempotency keys. The files are deleted when this is dropped.
 pub(super) struct SpilledKeys(Vec<Mutex<BufWriter<File>>>);
 
 impl SpilledKeys {
@@ -47,27 +47,29 @@
         Ok(SpilledKeys(buckets.collect::<io::Result<_>>()?))
     }
 
-    /// Writes keys to the files of their first bytes.
+    /// Writes each key to the file selected by the key's first byte.
     pub(super) fn spill(&self, keys: Vec<SpilledKey>) -> io::Result<()> {
         for spilled in keys {
             let bytes =
                 postcard::to_stdvec(&spilled).expect("a plain struct can always be encoded");
             let mut file = self.0[usize::from(spilled.key[0])]
                 .lock()
-                .expect("no thread panics with it");
+                .expect("no thread panics while it holds the lock");
             file.write_all(&[bytes.len() as u8])?;
             file.write_all(&bytes)?;
         }
         Ok(())
     }
 
-    /// Keys with entries of several instances, among the exports that are whole. `instances` names the instance of
-    /// each export.
-    pub(super) fn repeats(self, whole: &BTreeSet<u32>, instances: &[&str]) -> io::Result<Repeats> {
+    /// Returns the keys that occur in entries of several instances. Only the exports in `valid` are
+    /// considered. `instances` gives the instance of each export by index.
+    pub(super) fn repeats(self, valid: &BTreeSet<u32>, instances: &[&str]) -> io::Result<Repeats> {
         let mut repeats = Repeats::default();
         for bucket in self.0 {
-            let writer = bucket.into_inner().expect("no thread panics with it");
-            let mut keys = read_keys(writer.into_inner()?, whole)?;
+            let writer = bucket
+                .into_inner()
+                .expect("no thread panics while it holds the lock");
+            let mut keys = read_keys(writer.into_inner()?, valid)?;
             keys.sort_by_key(|spilled| (spilled.key, spilled.export, spilled.epoch, spilled.seq));
             for same_key in keys.chunk_by(|a, b| a.key == b.key) {
                 add_if_repeated(&mut repeats, same_key, instances);
@@ -77,7 +79,7 @@
     }
 }
 
-fn read_keys(mut file: File, whole: &BTreeSet<u32>) -> io::Result<Vec<SpilledKey>> {
+fn read_keys(mut file: File, valid: &BTreeSet<u32>) -> io::Result<Vec<SpilledKey>> {
     file.rewind()?;
     let mut bytes = Vec::new();
     file.read_to_end(&mut bytes)?;
@@ -87,7 +89,7 @@
         let length = usize::from(*length).min(after_length.len());
         let (encoded, after_key) = after_length.split_at(length);
         if let Ok(spilled) = postcard::from_bytes::<SpilledKey>(encoded) {
-            if whole.contains(&spilled.export) {
+            if valid.contains(&spilled.export) {
                 keys.push(spilled);
             }
         }
--- a/crates/ledger/src/store/error.rs
+++ b/crates/ledger/src/store/error.rs
@@ -1,83 +1,84 @@
-//! Everything that can be wrong with a store, as one value. Messages are one line and name the file.
+//! Errors of the store. Each message is a single line that names the file.
 
 use rusqlite::ErrorCode;
 use std::path::PathBuf;
 
-/// Why a store could not be opened, read or written.
+/// Reason for which a store could not be opened, read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// There is no such store.
+    /// No store exists at this path.
     #[error("{0}: there is no ledger here")]
     Missing(PathBuf),
-    /// Another dispatcher writes to it.
+    /// Another process is writing to the store.
     #[error("{0}: another process writes to this ledger")]
     InUse(PathBuf),
-    /// The disk is full.
+    /// The disk is full, or the size limit of the store is reached.
     #[error("{0}: the disk is full")]
     Full(PathBuf),
-    /// It may not be written.
-    #[error("{0}: it may not be written")]
+    /// The store is read-only, or access to it is denied.
+    #[error("{0}: not writable (read-only or access denied)")]
     ReadOnly(PathBuf),
-    /// It is of a newer version than this program.
-    #[error("{path}: it is of version {found}, and this program knows versions up to {known}")]
+    /// The store was written by a newer version of this program.
+    #[error("{path}: format version {found} is newer than {known}, the latest version that this program supports")]
     Newer {
-        /// The store.
+        /// Path of the store.
         path: PathBuf,
-        /// Its version.
+        /// Format version of the store.
         found: i64,
-        /// The newest that is known.
+        /// Latest format version that this program supports.
         known: i64,
     },
-    /// It is not what was written.
+    /// The stored data differs from what was written.
     #[error("{path}: damaged: {what}")]
     Damaged {
-        /// The store.
+        /// Path of the store.
         path: PathBuf,
-        /// What does not fit.
+        /// The damaged part and the problem.
         what: String,
     },
-    /// It was made for something else.
+    /// The store belongs to another instance, period length or key, or is not a ledger of this program.
     #[error("{path}: {what}")]
     Other {
-        /// The store.
+        /// Path of the store.
         path: PathBuf,
-        /// What it was made for.
+        /// The property that does not match.
         what: String,
     },
-    /// It could not be read or written, for another reason.
+    /// Reading or writing failed for a reason that has no variant of its own.
     #[error("{path}: {why}")]
     Io {
-        /// The store.
+        /// Path of the store.
         path: PathBuf,
-        /// What the system says.
+        /// Message of the operating system or the database.
         why: String,
     },
 }
 
 impl StoreError {
-    /// What an error of the database means. The one place that maps them.
-    pub(super) fn of(path: &std::path::Path, e: rusqlite::Error) -> StoreError {
+    /// Maps a database error to a [`StoreError`]. This is the only place that does so.
+    pub(super) fn from_database(path: &std::path::Path, error: rusqlite::Error) -> StoreError {
         let path = path.to_path_buf();
-        match e.sqlite_error_code() {
+        match error.sqlite_error_code() {
             Some(ErrorCode::DiskFull) => StoreError::Full(path),
             Some(ErrorCode::ReadOnly | ErrorCode::PermissionDenied | ErrorCode::CannotOpen) => {
                 StoreError::ReadOnly(path)
             }
             Some(ErrorCode::DatabaseCorrupt | ErrorCode::NotADatabase) => StoreError::Damaged {
                 path,
-                what: one_line(&e),
+                what: one_line(&error),
             },
             Some(ErrorCode::DatabaseBusy | ErrorCode::DatabaseLocked) => StoreError::InUse(path),
             _ => StoreError::Io {
                 path,
-                why: one_line(&e),
+                why: one_line(&error),
             },
         }
     }
 }
 
-fn one_line(e: &impl std::fmt::Display) -> String {
-    e.to_string()
+fn one_line(error: &impl std::fmt::Display) -> String {
+    error
+        .to_string()
         .split_whitespace()
         .collect::<Vec<_>>()
         .join(" ")
--- a/crates/ledger/src/store/marked.rs
+++ b/crates/ledger/src/store/marked.rs
@@ -1,33 +1,34 @@
-//! What is known of answers, as bytes under a checksum: a changed bit would move sums between served and in doubt.
+//! Encodes delivery marks with a checksum. Without it, a flipped bit would move usage between the totals of
+//! served operations and those in doubt.
 
 use crate::marks::Marks;
 
-const SUM: usize = 16;
+const CHECKSUM_BYTES: usize = 16;
 
-fn sum(epoch: u64, body: &[u8]) -> [u8; SUM] {
+fn checksum(epoch: u64, body: &[u8]) -> [u8; CHECKSUM_BYTES] {
     let mut hash = blake3::Hasher::new();
     hash.update(&epoch.to_le_bytes()).update(body);
-    let mut short = [0; SUM];
-    short.copy_from_slice(&hash.finalize().as_bytes()[..SUM]);
-    short
+    let mut truncated = [0; CHECKSUM_BYTES];
+    truncated.copy_from_slice(&hash.finalize().as_bytes()[..CHECKSUM_BYTES]);
+    truncated
 }
 
 pub(super) fn to_bytes(epoch: u64, marks: &Marks) -> Vec<u8> {
     let mut bytes = postcard::to_stdvec(marks).expect("a plain struct can always be encoded");
-    bytes.extend_from_slice(&sum(epoch, &bytes));
+    bytes.extend_from_slice(&checksum(epoch, &bytes));
     bytes
 }
 
-/// None if these are not the bytes that were written.
+/// Decodes delivery marks. Returns `None` if the checksum does not match or the bytes cannot be decoded.
 pub(super) fn from_bytes(epoch: u64, bytes: &[u8]) -> Option<Marks> {
-    let (body, found) = bytes.split_at(bytes.len().checked_sub(SUM)?);
-    (sum(epoch, body) == *found).then(|| postcard::from_bytes(body).ok())?
+    let (body, stored) = bytes.split_at(bytes.len().checked_sub(CHECKSUM_BYTES)?);
+    (checksum(epoch, body) == *stored).then(|| postcard::from_bytes(body).ok())?
 }
 
-/// The checksum of a name and its number.
-pub(super) fn name(id: u32, name: &str) -> u32 {
-    let mut sum = crc32fast::Hasher::new();
-    sum.update(&id.to_le_bytes());
-    sum.update(name.as_bytes());
-    sum.finalize()
+/// Computes the checksum of a name and its id.
+pub(super) fn name_checksum(id: u32, name: &str) -> u32 {
+    let mut checksum = crc32fast::Hasher::new();
+    checksum.update(&id.to_le_bytes());
+    checksum.update(name.as_bytes());
+    checksum.finalize()
 }
--- a/crates/ledger/src/store/mod.rs
+++ b/crates/ledger/src/store/mod.rs
@@ -1,7 +1,9 @@
-//! Where entries lie: one SQLite file for each instance, written by one dispatcher, read by any number of commands.
+//! Storage of ledger entries: one SQLite file for each instance, written by one dispatcher and read by any
+//! number of commands.
 //!
-//! A commit adds one row for each period that it touches, a block of entries, and is on the disk when it returns
-//! (write-ahead log, `synchronous = FULL`). `docs/design/ledger.md` has the figures that led here.
+//! A commit adds one row, which holds a block of entries, for each period that it touches. The commit is on
+//! disk when it returns (write-ahead log, `synchronous = FULL`). `docs/design/ledger.md` has the measurements
+//! behind this design.
 
 mod error;
 mod marked;
@@ -25,18 +27,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The version of the form in which entries lie, as `PRAGMA user_version`.
+/// Version of the storage format, stored as `PRAGMA user_version`.
 pub const VERSION: i64 = 1;
-/// Marks a file as a ledger of this program, as `PRAGMA application_id`.
-const APPLICATION: i64 = 0x5354_4c47;
-/// The file inside the ledger's folder.
+/// Identifies a file as a ledger of this program, stored as `PRAGMA application_id`.
+const APPLICATION_ID: i64 = 0x5354_4c47;
+/// Name of the database file in the ledger's folder.
 pub const DATABASE_FILE: &str = "ledger.db";
-/// Held by the dispatcher that writes.
-const LOCK: &str = "ledger.lock";
+/// Name of the lock file, which is locked by the dispatcher that writes to the store.
+const LOCK_FILE: &str = "ledger.lock";
 /// How long one process waits for another's commit.
 pub(crate) const LOCK_TIMEOUT: Duration = Duration::from_secs(5);
 
-const FORM: &str = "
+const SCHEMA: &str = "
     CREATE TABLE about(name TEXT PRIMARY KEY, value TEXT NOT NULL) WITHOUT ROWID;
     CREATE TABLE names(id INTEGER PRIMARY KEY, name TEXT NOT NULL UNIQUE, sum INTEGER NOT NULL);
     CREATE TABLE epochs(epoch INTEGER PRIMARY KEY, started INTEGER NOT NULL, last INTEGER NOT NULL,
@@ -52,22 +54,23 @@
         entries INTEGER NOT NULL, marks BLOB NOT NULL, before BLOB NOT NULL, hash BLOB NOT NULL);
 ";
 
-/// What a store is opened with.
+/// Parameters for opening a store.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The ledger's folder.
+    /// Folder of the ledger.
     pub dir: PathBuf,
-    /// The instance's name: it stands in every export.
+    /// Name of the instance, which is written to every export.
     pub instance: String,
-    /// How long periods are.
+    /// Length of the ledger's billing periods.
     pub span: Span,
-    /// The key of MACs and of idempotency keys' hashes.
+    /// Secret key for MACs of corrections and hashes of idempotency keys.
     pub key: [u8; 32],
-    /// The store's file holds no more bytes than this; a commit beyond it fails as on a full disk.
+    /// Maximum size of the database file in bytes. A commit that would exceed it fails as on a full disk.
+    /// `None` for no limit.
     pub max_bytes: Option<u64>,
 }
 
-/// An open ledger.
+/// An open ledger store.
 pub struct Store {
     db: Connection,
     path: PathBuf,
@@ -75,65 +78,68 @@
     span: Span,
     key: [u8; 32],
     names: HashMap<Arc<str>, u32>,
-    /// The epoch that this process writes, and what is known of its answers.
+    /// The epoch that this process writes, the last sequence number in it, and its delivery marks. `None` if
+    /// opened for a command.
     epoch: Option<(u64, u64, Marks)>,
-    /// Keeps other writers away.
+    /// Lock file that keeps other writers out while the store is open.
     _lock: Option<File>,
 }
 
 impl Store {
-    /// Opens it to write entries: one process at a time, in an epoch of its own, larger than any before.
+    /// Opens the store for writing entries. Only one process at a time can do so. It writes in a new epoch,
+    /// whose number is greater than any before.
     ///
     /// # Errors
     ///
-    /// [`StoreError::InUse`] if another process writes to it, [`StoreError::Other`] if it was made for another
-    /// instance, length of periods or key, [`StoreError::Newer`] or [`StoreError::Damaged`] if it cannot be used;
-    /// else what the system reports.
+    /// [`StoreError::InUse`] if another process writes to it, [`StoreError::Other`] if it was made for
+    /// another instance, period length or key, [`StoreError::Newer`] or [`StoreError::Damaged`] if it cannot
+    /// be used, otherwise the error of the operating system or the database.
     pub fn open(options: &Options, now: Micros) -> Result<Store, StoreError> {
-        let lock_at = options.dir.join(LOCK);
-        std::fs::create_dir_all(&options.dir).map_err(|e| io(&options.dir, &e))?;
+        let lock_path = options.dir.join(LOCK_FILE);
+        std::fs::create_dir_all(&options.dir).map_err(|e| io_error(&options.dir, &e))?;
         let lock = File::options()
             .create(true)
             .truncate(false)
             .write(true)
-            .open(&lock_at);
-        let lock = lock.map_err(|e| io(&lock_at, &e))?;
+            .open(&lock_path);
+        let lock = lock.map_err(|e| io_error(&lock_path, &e))?;
         match lock.try_lock() {
             Ok(()) => {}
             Err(TryLockError::WouldBlock) => {
                 return Err(StoreError::InUse(options.dir.join(DATABASE_FILE)))
             }
-            Err(TryLockError::Error(e)) => return Err(io(&lock_at, &e)),
+            Err(TryLockError::Error(e)) => return Err(io_error(&lock_path, &e)),
         }
-        no_commits_lost(&options.dir.join(DATABASE_FILE))?;
-        let mut store = Store::at(
+        check_no_lost_commits(&options.dir.join(DATABASE_FILE))?;
+        let mut store = Store::connect(
             options,
             OpenFlags::SQLITE_OPEN_READ_WRITE | OpenFlags::SQLITE_OPEN_CREATE,
         )?;
         store._lock = Some(lock);
         store.checkpoint()?;
-        cut_off(&store.path)?;
-        store.make(options)?;
+        check_not_truncated(&store.path)?;
+        store.create_tables(options)?;
         store.check_metadata(options)?;
         store.begin_epoch(now)?;
         Ok(store)
     }
 
-    /// Opens one that is there, for commands: it may be written by a dispatcher meanwhile. Its name and its periods'
-    /// length are the store's own.
+    /// Opens an existing store for a command. A dispatcher may be writing to it. The instance name and the
+    /// period length are read from the store.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Missing`] if there is none, [`StoreError::Newer`] or [`StoreError::Damaged`] if it cannot be
-    /// used; else what the system reports.
+    /// [`StoreError::Missing`] if there is no store, [`StoreError::Newer`] or [`StoreError::Damaged`] if it
+    /// cannot be used, otherwise the error of the operating system or the database.
     pub fn open_for_command(dir: &Path, key: [u8; 32]) -> Result<Store, StoreError> {
         let path = dir.join(DATABASE_FILE);
         if !path.exists() {
             return Err(StoreError::Missing(path));
         }
-        // Before it is opened: closing it writes the log back, and what cannot be read of it would be gone for good.
+        // Checked before the database is opened: closing it checkpoints the write-ahead log, and unreadable
+        // commits in the log would be lost for good.
         if !lock_held(&path) {
-            no_commits_lost(&path)?;
+            check_no_lost_commits(&path)?;
         }
         let options = Options {
             dir: dir.into(),
@@ -142,25 +148,26 @@
             key,
             max_bytes: None,
         };
-        let mut store = Store::at(&options, OpenFlags::SQLITE_OPEN_READ_WRITE)?;
+        let mut store = Store::connect(&options, OpenFlags::SQLITE_OPEN_READ_WRITE)?;
         store.instance = store.metadata("instance")?;
-        store.span = span(&store.metadata("span")?).ok_or_else(|| store.damaged("about: span"))?;
+        store.span = span(&store.metadata("span")?)
+            .ok_or_else(|| store.damaged("table about has an unknown span"))?;
         Ok(store)
     }
 
-    fn at(options: &Options, flags: OpenFlags) -> Result<Store, StoreError> {
+    fn connect(options: &Options, flags: OpenFlags) -> Result<Store, StoreError> {
         let path = options.dir.join(DATABASE_FILE);
-        cut_off(&path)?;
-        let failed = |e| StoreError::of(&path, e);
+        check_not_truncated(&path)?;
+        let database_error = |e| StoreError::from_database(&path, e);
         let flags = flags | OpenFlags::SQLITE_OPEN_NO_MUTEX;
-        let db = Connection::open_with_flags(&path, flags).map_err(failed)?;
-        db.busy_timeout(LOCK_TIMEOUT).map_err(failed)?;
+        let db = Connection::open_with_flags(&path, flags).map_err(database_error)?;
+        db.busy_timeout(LOCK_TIMEOUT).map_err(database_error)?;
         let found: i64 = db
             .pragma_query_value(None, "user_version", |r| r.get(0))
-            .map_err(failed)?;
-        let whose: i64 = db
+            .map_err(database_error)?;
+        let application_id: i64 = db
             .pragma_query_value(None, "application_id", |r| r.get(0))
-            .map_err(failed)?;
+            .map_err(database_error)?;
         if found > VERSION {
             return Err(StoreError::Newer {
                 path,
@@ -168,24 +175,24 @@
                 known: VERSION,
             });
         }
-        if found > 0 && whose != APPLICATION {
+        if found > 0 && application_id != APPLICATION_ID {
             return Err(StoreError::Other {
                 path,
                 what: "not a ledger of this program".into(),
             });
         }
-        // 2 MB of pages: the process's memory must not grow with the ledger.
+        // 2 MB of pages: the memory of the process must not grow with the ledger.
         db.execute_batch(
             "PRAGMA journal_mode = WAL; PRAGMA synchronous = FULL; PRAGMA cache_size = -2048;",
         )
-        .map_err(failed)?;
-        if let Some(most) = options.max_bytes {
+        .map_err(database_error)?;
+        if let Some(max_bytes) = options.max_bytes {
             let page: i64 = db
                 .pragma_query_value(None, "page_size", |r| r.get(0))
-                .map_err(failed)?;
-            let pages = (most / page.max(1) as u64).max(1);
+                .map_err(database_error)?;
+            let pages = (max_bytes / page.max(1) as u64).max(1);
             db.query_row(&format!("PRAGMA max_page_count = {pages}"), [], |_| Ok(()))
-                .map_err(failed)?;
+                .map_err(database_error)?;
         }
         Ok(Store {
             db,
@@ -199,26 +206,26 @@
         })
     }
 
-    /// Makes the tables of a new store, whole or not at all.
-    fn make(&mut self, options: &Options) -> Result<(), StoreError> {
+    /// Creates the tables of a new store in one transaction. Has no effect on an existing store.
+    fn create_tables(&mut self, options: &Options) -> Result<(), StoreError> {
         let path = self.path.clone();
-        let make = |db: &mut Connection| -> rusqlite::Result<()> {
+        let create_tables = |db: &mut Connection| -> rusqlite::Result<()> {
             let found: i64 = db.pragma_query_value(None, "user_version", |r| r.get(0))?;
             if found == VERSION {
                 return Ok(());
             }
-            let whole = db.transaction()?;
-            whole.execute_batch(FORM)?;
-            let mut metadata = whole.prepare("INSERT INTO about VALUES(?1, ?2)")?;
+            let transaction = db.transaction()?;
+            transaction.execute_batch(SCHEMA)?;
+            let mut metadata = transaction.prepare("INSERT INTO about VALUES(?1, ?2)")?;
             metadata.execute(("instance", &options.instance))?;
             metadata.execute(("span", span_name(options.span)))?;
             metadata.execute(("key", key_name(&options.key)))?;
             drop(metadata);
-            whole.pragma_update(None, "application_id", APPLICATION)?;
-            whole.pragma_update(None, "user_version", VERSION)?;
-            whole.commit()
+            transaction.pragma_update(None, "application_id", APPLICATION_ID)?;
+            transaction.pragma_update(None, "user_version", VERSION)?;
+            transaction.commit()
         };
-        make(&mut self.db).map_err(|e| StoreError::of(&path, e))
+        create_tables(&mut self.db).map_err(|e| StoreError::from_database(&path, e))
     }
 
     fn metadata(&self, name: &str) -> Result<String, StoreError> {
@@ -229,20 +236,21 @@
             });
         found
             .optional()
-            .map_err(self.failed())?
-            .ok_or_else(|| self.damaged(format!("about: no {name}")))
+            .map_err(self.database_error())?
+            .ok_or_else(|| self.damaged(format!("table about has no value for {name}")))
     }
 
-    /// Guards against sums over two lengths of period, two instances' numbers, or MACs that nobody can check.
+    /// Guards against totals over two period lengths, sequence numbers of two instances, and MACs that nobody
+    /// can verify.
     fn check_metadata(&self, options: &Options) -> Result<(), StoreError> {
-        for (name, ours) in [
+        for (name, expected) in [
             ("instance", options.instance.clone()),
             ("span", span_name(options.span).to_string()),
             ("key", key_name(&options.key)),
         ] {
-            let theirs = self.metadata(name)?;
-            if theirs != ours {
-                let what = format!("this ledger was made for {name} {theirs}, not {ours}");
+            let stored = self.metadata(name)?;
+            if stored != expected {
+                let what = format!("this ledger was made for {name} {stored}, not {expected}");
                 return Err(StoreError::Other {
                     path: self.path.clone(),
                     what,
@@ -252,41 +260,41 @@
         Ok(())
     }
 
-    /// Each call waits for so long for another process's commit, and then fails as [`StoreError::InUse`].
+    /// Sets how long each call waits for another process's commit before it fails with [`StoreError::InUse`].
     ///
     /// # Errors
     ///
-    /// What the database reports.
+    /// [`StoreError`] if the database rejects the setting.
     pub fn set_lock_timeout(&self, timeout: Duration) -> Result<(), StoreError> {
-        self.db.busy_timeout(timeout).map_err(self.failed())
+        self.db.busy_timeout(timeout).map_err(self.database_error())
     }
 
-    /// Whether this key is the one that the ledger was made with.
+    /// Whether this store was opened with the key that the ledger was created with.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Damaged`] if what is stored is not what was written; else what the database reports.
+    /// [`StoreError::Damaged`] if the stored key name is missing, otherwise the database error.
     pub fn has_key(&self) -> Result<bool, StoreError> {
         Ok(self.metadata("key")? == key_name(&self.key))
     }
 
-    /// The instance's name.
+    /// Name of the instance whose entries the store holds.
     pub fn instance(&self) -> &str {
         &self.instance
     }
 
-    /// How long its periods are.
+    /// Length of the ledger's billing periods.
     pub fn span(&self) -> Span {
         self.span
     }
 
-    /// The epoch that this process writes; 0 for a command.
+    /// Epoch that this process writes, or 0 if the store was opened for a command.
     pub fn epoch(&self) -> u64 {
         self.epoch.as_ref().map_or(0, |(epoch, ..)| *epoch)
     }
 
-    fn failed(&self) -> impl Fn(rusqlite::Error) -> StoreError + '_ {
-        |e| StoreError::of(&self.path, e)
+    fn database_error(&self) -> impl Fn(rusqlite::Error) -> StoreError + '_ {
+        |e| StoreError::from_database(&self.path, e)
     }
 
     fn damaged(&self, what: impl Into<String>) -> StoreError {
@@ -302,12 +310,12 @@
     }
 }
 
-fn io(path: &Path, e: &std::io::Error) -> StoreError {
-    use std::io::ErrorKind as K;
+fn io_error(path: &Path, e: &std::io::Error) -> StoreError {
+    use std::io::ErrorKind as Kind;
     let path = path.to_path_buf();
     match e.kind() {
-        K::PermissionDenied | K::ReadOnlyFilesystem => StoreError::ReadOnly(path),
-        K::StorageFull | K::QuotaExceeded => StoreError::Full(path),
+        Kind::PermissionDenied | Kind::ReadOnlyFilesystem => StoreError::ReadOnly(path),
+        Kind::StorageFull | Kind::QuotaExceeded => StoreError::Full(path),
         _ => StoreError::Io {
             path,
             why: e.to_string(),
@@ -315,69 +323,74 @@
     }
 }
 
-/// The log of changes beside a store.
-fn log_of(path: &Path) -> PathBuf {
-    let mut log = path.as_os_str().to_owned();
-    log.push("-wal");
-    log.into()
+/// Path of the write-ahead log of a database file.
+fn wal_path(path: &Path) -> PathBuf {
+    let mut wal = path.as_os_str().to_owned();
+    wal.push("-wal");
+    wal.into()
 }
 
-/// Guards against a file that was cut off: the database itself notices only when it reads what is missing. While its
-/// log holds anything a file may be shorter than its head says: a crash in the middle of writing the log back leaves
-/// it so, and the log mends it.
-fn cut_off(path: &Path) -> Result<(), StoreError> {
+/// Guards against a truncated file, which the database itself notices only when it reads the missing part.
+/// While its write-ahead log is not empty, a file may be shorter than its header says: a crash in the middle
+/// of a checkpoint leaves it so, and replaying the log repairs it.
+fn check_not_truncated(path: &Path) -> Result<(), StoreError> {
     use std::io::Read;
-    if std::fs::metadata(log_of(path)).is_ok_and(|log| log.len() > 0) {
+    if std::fs::metadata(wal_path(path)).is_ok_and(|wal| wal.len() > 0) {
         return Ok(());
     }
     let Ok(mut file) = File::open(path) else {
         return Ok(());
     };
-    let length = file.metadata().map_err(|e| io(path, &e))?.len();
+    let length = file.metadata().map_err(|e| io_error(path, &e))?.len();
     if length == 0 {
         return Ok(());
     }
-    let mut head = [0u8; 100];
+    let mut header = [0u8; 100];
     let damaged = |what: String| StoreError::Damaged {
         path: path.to_path_buf(),
         what,
     };
-    file.read_exact(&mut head)
-        .map_err(|_| damaged(format!("it has {length} bytes")))?;
-    if !head.starts_with(b"SQLite format 3\0") {
+    file.read_exact(&mut header).map_err(|_| {
+        damaged(format!(
+            "the file has {length} bytes, less than a database header"
+        ))
+    })?;
+    if !header.starts_with(b"SQLite format 3\0") {
         return Err(damaged("not a database".into()));
     }
-    let page = u64::from(u16::from_be_bytes([head[16], head[17]]));
+    let page = u64::from(u16::from_be_bytes([header[16], header[17]]));
     let page = if page == 1 { 65_536 } else { page };
-    let pages = u64::from(u32::from_be_bytes([head[28], head[29], head[30], head[31]]));
+    let pages = u64::from(u32::from_be_bytes([
+        header[28], header[29], header[30], header[31],
+    ]));
     if length < page * pages {
         return Err(damaged(format!(
-            "it has {length} bytes of {}",
+            "the file has {length} bytes, its header says {}",
             page * pages
         )));
     }
     Ok(())
 }
 
-/// Whether a dispatcher writes to this store now: its log grows meanwhile.
+/// Whether a dispatcher is writing to this store. In that case its write-ahead log is still growing.
 fn lock_held(path: &Path) -> bool {
-    let lock = File::open(path.with_file_name(LOCK));
+    let lock = File::open(path.with_file_name(LOCK_FILE));
     lock.is_ok_and(|lock| matches!(lock.try_lock_shared(), Err(TryLockError::WouldBlock)))
 }
 
-/// Guards against commits that were answered for and that the database would leave out without a word.
-fn no_commits_lost(path: &Path) -> Result<(), StoreError> {
-    match wal::commits_cut_off(&log_of(path)) {
+/// Guards against acknowledged commits that the database would silently omit when it recovers the write-ahead
+/// log.
+fn check_no_lost_commits(path: &Path) -> Result<(), StoreError> {
+    match wal::ignored_commits(&wal_path(path)) {
         Ok(0 | 1) => Ok(()),
-        Ok(n) => {
-            let what =
-                format!("its log of changes is not what was written, {n} commits would be lost");
+        Ok(count) => {
+            let what = format!("the write-ahead log is damaged, {count} commits would be lost");
             Err(StoreError::Damaged {
                 path: path.to_path_buf(),
                 what,
             })
         }
-        Err(e) => Err(io(path, &e)),
+        Err(e) => Err(io_error(path, &e)),
     }
 }
 
@@ -395,7 +408,7 @@
         .find(|s| span_name(*s) == name)
 }
 
-/// Names a key without telling it.
+/// Derives a short identifier of a key that does not reveal the key.
 fn key_name(key: &[u8; 32]) -> String {
     crate::entry::to_hex(&blake3::derive_key("streamusher ledger 2026 name of a key", key)[..8])
 }
--- a/crates/ledger/src/store/read.rs
+++ b/crates/ledger/src/store/read.rs
@@ -1,4 +1,4 @@
-//! What is read from a store: periods, blocks, sums, doubts and corrections. Nothing here writes.
+//! Read access to a store: periods, blocks, totals, doubts and corrections. Nothing in this module writes.
 
 use super::{lock_held, marked, Store, StoreError};
 use crate::correction::{Correction, Subject};
@@ -10,102 +10,106 @@
 use rusqlite::OptionalExtension;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A block as it lies in the store.
+/// A block of entries as stored.
 pub struct Block<'a> {
-    /// The epoch of its entries.
+    /// Epoch of the block's entries.
     pub epoch: u64,
-    /// The number of its first entry.
+    /// Sequence number of the first entry.
     pub first: u64,
-    /// The number of its last one.
+    /// Sequence number of the last entry.
     pub last: u64,
-    /// How many it holds.
+    /// Number of entries in the block.
     pub entries: u64,
-    /// The hash that it was written with.
+    /// Hash of the block, computed when it was written.
     pub hash: &'a [u8],
-    /// Its bytes.
+    /// Encoded entries.
     pub body: &'a [u8],
-    /// The number and time that its first entry counts from.
+    /// Sequence number and time that the first entry is relative to.
     pub base: (u64, Micros),
 }
 
 impl<'a> Block<'a> {
-    /// Its entries.
+    /// Decodes the entries of the block.
     pub fn rows(&self) -> RowReader<'a> {
         RowReader::new(self.body, self.base)
     }
 }
 
-/// A closed period.
+/// A closed period with its seal.
 #[derive(Clone, Debug)]
 pub struct Seal {
-    /// The period.
+    /// The period that is closed.
     pub period: Period,
-    /// When it was closed.
+    /// When the period was closed, in Unix time.
     pub closed: Micros,
-    /// Its entries.
+    /// Number of entries in the period.
     pub entries: u64,
-    /// What was known then of the answers, by epoch.
+    /// Delivery marks at the time of closing, by epoch.
     pub marks: BTreeMap<u64, Marks>,
-    /// The same, as it was sealed.
+    /// The encoded `marks`, as covered by the seal.
     pub marks_bytes: Vec<u8>,
-    /// The seal before it.
+    /// Seal of the preceding period, all zeros for the first one.
     pub before: Vec<u8>,
-    /// Its seal.
+    /// Seal of this period.
     pub hash: Vec<u8>,
 }
 
-/// One life of the dispatcher.
+/// One run of the dispatcher, from opening the store until it ends.
 #[derive(Clone, Debug)]
 pub struct Epoch {
-    /// Its number.
+    /// Number of the epoch, greater than that of any earlier one.
     pub epoch: u64,
-    /// The last number given to an entry that is in the store.
+    /// Highest sequence number of an entry in the store, 0 if there is none.
     pub last: u64,
-    /// What is known of its answers.
+    /// Delivery marks of the epoch's answers.
     pub marks: Marks,
 }
 
-/// Served, and nobody can tell whether the client has the answer.
+/// A served entry for which it is unknown whether the client received the answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Doubt {
-    /// The period that holds it.
+    /// Period that holds the entry.
     pub period: Period,
-    /// Its epoch.
+    /// Epoch of the entry.
     pub epoch: u64,
-    /// The entry.
+    /// The entry in doubt.
     pub row: Row,
-    /// Its tenant.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Its class.
+    /// Name of the service class.
     pub class: String,
 }
 
-/// A correction's number and its bytes.
+/// Number and encoded form of a correction.
 pub type RawCorrection = (u64, Vec<u8>);
 
-/// Sums by tenant and class.
+/// Usage totals by tenant and class.
 pub type Lines = BTreeMap<(String, String), Usage>;
 
 impl Store {
-    /// The closed periods, the oldest first.
+    /// Returns all closed periods, the oldest first.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Damaged`] if what is stored is not what was written; else what the database reports.
+    /// [`StoreError::Damaged`] if the stored data is damaged, otherwise the database error.
     pub fn seals(&self) -> Result<Vec<Seal>, StoreError> {
-        let failed = self.failed();
+        let database_error = self.database_error();
         let sql = "SELECT period, closed, entries, marks, before, hash FROM seals ORDER BY period";
-        let mut found = self.db.prepare_cached(sql).map_err(&failed)?;
-        let mut rows = found.query([]).map_err(&failed)?;
+        let mut statement = self.db.prepare_cached(sql).map_err(&database_error)?;
+        let mut rows = statement.query([]).map_err(&database_error)?;
         let mut seals = Vec::new();
-        while let Some(row) = rows.next().map_err(&failed)? {
-            let start = row.get(0).map_err(&failed)?;
+        while let Some(row) = rows.next().map_err(&database_error)? {
+            let start = row.get(0).map_err(&database_error)?;
             let period = self.period(start)?;
-            let marks_bytes: Vec<u8> = row.get(3).map_err(&failed)?;
+            let marks_bytes: Vec<u8> = row.get(3).map_err(&database_error)?;
             let marks = postcard::from_bytes(&marks_bytes)
-                .map_err(|_| self.damaged(format!("the seal of {period} cannot be read")))?;
-            let number = |n| row.get::<_, i64>(n).map(|n| n as u64).map_err(&failed);
-            let bytes = |n| row.get(n).map_err(&failed);
+                .map_err(|_| self.damaged(format!("the seal of {period} cannot be decoded")))?;
+            let number = |column| {
+                row.get::<_, i64>(column)
+                    .map(|value| value as u64)
+                    .map_err(&database_error)
+            };
+            let bytes = |column| row.get(column).map_err(&database_error);
             let (closed, entries, before, hash) = (number(1)?, number(2)?, bytes(4)?, bytes(5)?);
             seals.push(Seal {
                 period,
@@ -120,79 +124,81 @@
         Ok(seals)
     }
 
-    /// The seal of a period; none if it is not closed.
+    /// Returns the seal of a period, or `None` if the period is not closed.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Damaged`] if what is stored is not what was written; else what the database reports.
+    /// [`StoreError::Damaged`] if the stored data is damaged, otherwise the database error.
     pub fn seal_of(&self, period: Period) -> Result<Option<Seal>, StoreError> {
         Ok(self.seals()?.into_iter().find(|s| s.period == period))
     }
 
-    /// The periods with entries or corrections that are not closed, the oldest first.
+    /// Returns the open periods that have entries or corrections, the oldest first.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Damaged`] if what is stored is not what was written; else what the database reports.
+    /// [`StoreError::Damaged`] if the stored data is damaged, otherwise the database error.
     pub fn open_periods(&self) -> Result<Vec<Period>, StoreError> {
         let sql =
             "SELECT DISTINCT period FROM (SELECT period FROM blocks WHERE period > ?1 UNION ALL
             SELECT period FROM corrections WHERE period > ?1) ORDER BY period";
-        let failed = self.failed();
+        let database_error = self.database_error();
         let sealed = self
             .db
             .query_row("SELECT max(period) FROM seals", [], |r| r.get(0));
-        let sealed: Option<i64> = sealed.map_err(&failed)?;
-        let mut found = self.db.prepare_cached(sql).map_err(&failed)?;
-        let starts = found
+        let sealed: Option<i64> = sealed.map_err(&database_error)?;
+        let mut statement = self.db.prepare_cached(sql).map_err(&database_error)?;
+        let starts = statement
             .query_map([sealed.unwrap_or(-1)], |r| r.get::<_, i64>(0))
-            .map_err(&failed)?;
-        starts.map(|s| self.period(s.map_err(&failed)?)).collect()
+            .map_err(&database_error)?;
+        starts
+            .map(|s| self.period(s.map_err(&database_error)?))
+            .collect()
     }
 
-    /// All periods with anything in them, closed or not, the oldest first.
+    /// Returns all periods that have entries or corrections, closed or open, the oldest first.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Damaged`] if what is stored is not what was written; else what the database reports.
+    /// [`StoreError::Damaged`] if the stored data is damaged, otherwise the database error.
     pub fn periods(&self) -> Result<Vec<Period>, StoreError> {
         let all: BTreeSet<Period> = self.seals()?.into_iter().map(|s| s.period).collect();
         Ok(all.into_iter().chain(self.open_periods()?).collect())
     }
 
-    /// All entries in it, by the blocks' own counts.
+    /// Returns the number of entries in the store, by the counts stored with the blocks.
     ///
     /// # Errors
     ///
-    /// What the database reports.
+    /// [`StoreError`] if the database cannot be read.
     pub fn entries(&self) -> Result<u64, StoreError> {
         let all = self
             .db
             .query_row("SELECT coalesce(sum(entries), 0) FROM blocks", [], |r| {
                 r.get::<_, i64>(0)
             });
-        Ok(all.map_err(self.failed())? as u64)
+        Ok(all.map_err(self.database_error())? as u64)
     }
 
-    /// The epochs, the oldest first.
+    /// Returns all epochs, the oldest first.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Damaged`] if what is stored is not what was written; else what the database reports.
+    /// [`StoreError::Damaged`] if the stored data is damaged, otherwise the database error.
     pub fn epochs(&self) -> Result<Vec<Epoch>, StoreError> {
-        let failed = self.failed();
+        let database_error = self.database_error();
         let sql = "SELECT epoch, last, marks FROM epochs ORDER BY epoch";
-        let mut found = self.db.prepare_cached(sql).map_err(&failed)?;
-        let mut rows = found.query([]).map_err(&failed)?;
+        let mut statement = self.db.prepare_cached(sql).map_err(&database_error)?;
+        let mut rows = statement.query([]).map_err(&database_error)?;
         let mut epochs = Vec::new();
-        while let Some(row) = rows.next().map_err(&failed)? {
-            let read = || -> rusqlite::Result<(i64, i64, Vec<u8>)> {
+        while let Some(row) = rows.next().map_err(&database_error)? {
+            let decode = || -> rusqlite::Result<(i64, i64, Vec<u8>)> {
                 Ok((row.get(0)?, row.get(1)?, row.get(2)?))
             };
-            let (epoch, last, marks) = read().map_err(&failed)?;
+            let (epoch, last, marks) = decode().map_err(&database_error)?;
             let marks = marked::from_bytes(epoch as u64, &marks).ok_or_else(|| {
                 self.damaged(format!(
-                    "the marks of epoch {epoch} are not what was written"
+                    "the delivery marks of epoch {epoch} do not match their checksum"
                 ))
             })?;
             epochs.push(Epoch {
@@ -204,11 +210,12 @@
         Ok(epochs)
     }
 
-    /// The epoch that a dispatcher writes now: what it has not marked yet is in hand, not in doubt.
+    /// Returns the epoch that a running dispatcher writes, if any. Its answers without a delivery mark are in
+    /// flight, not in doubt.
     ///
     /// # Errors
     ///
-    /// What the database reports.
+    /// [`StoreError`] if the database cannot be read.
     pub fn live_epoch(&self) -> Result<Option<u64>, StoreError> {
         let held = lock_held(&self.path);
         let last = self
@@ -216,55 +223,62 @@
             .query_row("SELECT max(epoch) FROM epochs WHERE ended = 0", [], |r| {
                 r.get(0)
             });
-        let last: Option<i64> = last.map_err(self.failed())?;
+        let last: Option<i64> = last.map_err(self.database_error())?;
         Ok(last.filter(|_| held).map(|e| e as u64))
     }
 
-    /// The names by their numbers.
+    /// Returns the names of tenants and classes by their ids.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Damaged`] if what is stored is not what was written; else what the database reports.
+    /// [`StoreError::Damaged`] if the stored data is damaged, otherwise the database error.
     pub fn names(&self) -> Result<BTreeMap<u32, String>, StoreError> {
-        let failed = self.failed();
-        let mut found = self
+        let database_error = self.database_error();
+        let mut statement = self
             .db
             .prepare_cached("SELECT id, name, sum FROM names")
-            .map_err(&failed)?;
-        let rows = found
+            .map_err(&database_error)?;
+        let rows = statement
             .query_map([], |r| Ok((r.get(0)?, r.get(1)?, r.get(2)?)))
-            .map_err(&failed)?;
+            .map_err(&database_error)?;
         let checked = |row: rusqlite::Result<(u32, String, u32)>| {
-            let (n, name, sum) = row.map_err(&failed)?;
-            match marked::name(n, &name) == sum {
-                true => Ok((n, name)),
-                false => Err(self.damaged(format!("name {n} is not what was written"))),
+            let (id, name, checksum) = row.map_err(&database_error)?;
+            match marked::name_checksum(id, &name) == checksum {
+                true => Ok((id, name)),
+                false => Err(self.damaged(format!("name {id} does not match its checksum"))),
             }
         };
         rows.map(checked).collect()
     }
 
-    /// Goes through the blocks of a period in order. Each is checked first: no sum is made over what was changed.
+    /// Passes the blocks of a period to `on_block` in order. Each block is verified first, so no total is
+    /// computed over changed data.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Damaged`] at the first block that is not what was written, what the database reports, and what
-    /// `each` returns.
+    /// [`StoreError::Damaged`] at the first damaged block, the database error, or the error that `on_block`
+    /// returns.
     pub fn blocks<E: From<StoreError>>(
         &self,
         period: Period,
-        mut each: impl FnMut(Block) -> Result<(), E>,
+        mut on_block: impl FnMut(Block) -> Result<(), E>,
     ) -> Result<(), E> {
-        let failed = self.failed();
+        let database_error = self.database_error();
         let sql = "SELECT epoch, first, last, entries, hash, body FROM blocks WHERE period = ?1
             ORDER BY epoch, first";
-        let mut found = self.db.prepare_cached(sql).map_err(&failed)?;
-        let mut rows = found.query([period.start_s()]).map_err(&failed)?;
-        while let Some(row) = rows.next().map_err(&failed)? {
-            let read = || -> rusqlite::Result<Block> {
+        let mut statement = self.db.prepare_cached(sql).map_err(&database_error)?;
+        let mut rows = statement
+            .query([period.start_s()])
+            .map_err(&database_error)?;
+        while let Some(row) = rows.next().map_err(&database_error)? {
+            let decode = || -> rusqlite::Result<Block> {
                 let (epoch, first, last, entries): (i64, i64, i64, i64) =
                     (row.get(0)?, row.get(1)?, row.get(2)?, row.get(3)?);
-                let blob = |n| row.get_ref(n)?.as_blob().map_err(rusqlite::Error::from);
+                let blob = |column| {
+                    row.get_ref(column)?
+                        .as_blob()
+                        .map_err(rusqlite::Error::from)
+                };
                 let base = (first as u64, period.start_s() as u64 * 1_000_000);
                 let (hash, body) = (blob(4)?, blob(5)?);
                 Ok(Block {
@@ -277,9 +291,9 @@
                     base,
                 })
             };
-            let block = read().map_err(&failed)?;
+            let block = decode().map_err(&database_error)?;
             self.check_block(period, &block)?;
-            each(block)?;
+            on_block(block)?;
         }
         Ok(())
     }
@@ -310,16 +324,17 @@
             Some(bad) => Err(self.bad_row(block, bad.0)),
             None => {
                 let what = format!("the block of entries {first} to {last} of epoch {epoch}");
-                Err(self.damaged(format!("{what} is not what was written")))
+                Err(self.damaged(format!("{what} does not match its hash")))
             }
         }
     }
 
-    /// What is known of the answers in a period, by epoch: as its seal has it, or as it stands now.
+    /// Returns the delivery marks of a period by epoch: those in its seal if it is closed, otherwise the
+    /// current ones.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Damaged`] if what is stored is not what was written; else what the database reports.
+    /// [`StoreError::Damaged`] if the stored data is damaged, otherwise the database error.
     pub fn marks(&self, period: Period) -> Result<BTreeMap<u64, Marks>, StoreError> {
         Ok(match self.seal_of(period)? {
             Some(seal) => seal.marks,
@@ -331,21 +346,22 @@
         })
     }
 
-    /// The sums of a period, by tenant and class. What is served and not known to be written is kept apart.
+    /// Returns the usage totals of a period by tenant and class. Served entries without a delivery mark are
+    /// totalled separately as doubts.
     ///
     /// # Errors
     ///
-    /// As for [`Store::sums_and_names`].
+    /// Same as for [`Store::sums_and_names`].
     pub fn sums(&self, period: Period) -> Result<Lines, StoreError> {
         Ok(self.sums_and_names(period)?.0)
     }
 
-    /// The same, and the names that the period's entries use by their numbers, in one pass.
+    /// Returns the usage totals of a period together with the names that its entries use, by id, in one pass.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Damaged`] if an entry, a name or a correction is not what was written, or a sum overflows;
-    /// else what the database reports.
+    /// [`StoreError::Damaged`] if an entry, a name or a correction is damaged, or a total overflows,
+    /// otherwise the database error.
     pub fn sums_and_names(
         &self,
         period: Period,
@@ -369,109 +385,119 @@
             .collect();
         let mut lines = Lines::new();
         for ((tenant, class), sum) in by_number {
-            let name = |n| {
-                names
-                    .get(&n)
-                    .cloned()
-                    .ok_or_else(|| self.damaged(format!("no name {n}")))
+            let name = |id| {
+                names.get(&id).cloned().ok_or_else(|| {
+                    self.damaged(format!(
+                        "an entry refers to name {id}, which does not exist"
+                    ))
+                })
             };
             lines.insert((name(tenant)?, name(class)?), sum);
         }
-        for (_, c) in self.corrections(period)? {
-            let line = lines.entry((c.tenant, c.class)).or_default();
-            line.correct(c.operations, c.slot_us)
+        for (_, correction) in self.corrections(period)? {
+            let line = lines
+                .entry((correction.tenant, correction.class))
+                .or_default();
+            line.correct(correction.operations, correction.slot_us)
                 .map_err(|e| self.damaged(e.to_string()))?;
         }
-        names.retain(|n, _| used.contains(n));
+        names.retain(|id, _| used.contains(id));
         Ok((lines, names))
     }
 
     pub(crate) fn bad_row(&self, block: &Block, index: u64) -> StoreError {
         self.damaged(format!(
-            "entry {} of epoch {} is not what was written",
+            "entry {} of epoch {} is corrupt",
             block.first.saturating_add(index),
             block.epoch
         ))
     }
 
-    /// The corrections that stand in a period, with their numbers.
+    /// Returns the corrections booked in a period, with their numbers.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Damaged`] if what is stored is not what was written; else what the database reports.
+    /// [`StoreError::Damaged`] if the stored data is damaged, otherwise the database error.
     pub fn corrections(&self, period: Period) -> Result<Vec<(u64, Correction)>, StoreError> {
         let raw = self.raw_corrections(period)?;
         raw.into_iter()
-            .map(|(no, body)| {
-                let c = postcard::from_bytes(&body);
-                c.map(|c| (no, c))
-                    .map_err(|_| self.damaged(format!("correction {no} cannot be read")))
+            .map(|(number, body)| {
+                let correction = postcard::from_bytes(&body);
+                correction
+                    .map(|correction| (number, correction))
+                    .map_err(|_| self.damaged(format!("correction {number} cannot be decoded")))
             })
             .collect()
     }
 
-    /// The same as bytes, their MACs checked.
+    /// Returns the encoded corrections booked in a period, with their numbers, after verifying their MACs.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Damaged`] if what is stored is not what was written; else what the database reports.
+    /// [`StoreError::Damaged`] if the stored data is damaged, otherwise the database error.
     pub fn raw_corrections(&self, period: Period) -> Result<Vec<RawCorrection>, StoreError> {
-        let failed = self.failed();
+        let database_error = self.database_error();
         let sql = "SELECT no, body, mac FROM corrections WHERE period = ?1 ORDER BY no";
-        let mut found = self.db.prepare_cached(sql).map_err(&failed)?;
-        let read = |r: &rusqlite::Row| Ok((r.get::<_, i64>(0)? as u64, r.get(1)?, r.get(2)?));
-        let rows = found.query_map([period.start_s()], read).map_err(&failed)?;
+        let mut statement = self.db.prepare_cached(sql).map_err(&database_error)?;
+        let decode = |r: &rusqlite::Row| Ok((r.get::<_, i64>(0)? as u64, r.get(1)?, r.get(2)?));
+        let rows = statement
+            .query_map([period.start_s()], decode)
+            .map_err(&database_error)?;
         let checked = |row: rusqlite::Result<(u64, Vec<u8>, Vec<u8>)>| {
-            let (no, body, mac) = row.map_err(&failed)?;
-            match Correction::mac(&body, &self.key, &self.instance, no)[..] == mac[..] {
-                true => Ok((no, body)),
-                false => Err(self.damaged(format!("correction {no} is not what was written"))),
+            let (number, body, mac) = row.map_err(&database_error)?;
+            match Correction::mac(&body, &self.key, &self.instance, number)[..] == mac[..] {
+                true => Ok((number, body)),
+                false => Err(self.damaged(format!("correction {number} does not match its MAC"))),
             }
         };
         rows.map(checked).collect()
     }
 
-    /// The correction that settled a doubt, if one has.
+    /// Returns the number of the correction that settled the doubt about an entry, if there is one.
     ///
     /// # Errors
     ///
-    /// What the database reports.
+    /// [`StoreError`] if the database cannot be read.
     pub fn settled(&self, epoch: u64, seq: u64) -> Result<Option<u64>, StoreError> {
         let sql = "SELECT correction FROM settled WHERE epoch = ?1 AND seq = ?2";
-        let mut found = self.db.prepare_cached(sql).map_err(self.failed())?;
-        let no = found
+        let mut statement = self.db.prepare_cached(sql).map_err(self.database_error())?;
+        let number = statement
             .query_row([epoch as i64, seq as i64], |r| r.get::<_, i64>(0))
             .optional();
-        Ok(no.map_err(self.failed())?.map(|n| n as u64))
+        Ok(number
+            .map_err(self.database_error())?
+            .map(|value| value as u64))
     }
 
-    /// Served entries that nobody can tell of whether their clients have the answers, and that no correction has
-    /// settled. Those that a running dispatcher has in hand are not among them.
+    /// Returns the served entries that have neither a delivery mark nor a correction that settles them.
+    /// Entries whose answers are in flight in a running dispatcher are excluded.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Damaged`] if what is stored is not what was written; else what the database reports.
+    /// [`StoreError::Damaged`] if the stored data is damaged, otherwise the database error.
     pub fn doubts(&self) -> Result<Vec<Doubt>, StoreError> {
         let (names, live) = (self.names()?, self.live_epoch()?);
-        let name = |n: u32| {
-            names
-                .get(&n)
-                .cloned()
-                .ok_or_else(|| self.damaged(format!("no name {n}")))
+        let name = |id: u32| {
+            names.get(&id).cloned().ok_or_else(|| {
+                self.damaged(format!(
+                    "an entry refers to name {id}, which does not exist"
+                ))
+            })
         };
         let mut doubts = Vec::new();
         for period in self.periods()? {
             let marks = self.marks(period)?;
             self.blocks(period, |block| {
-                let none = Marks::default();
-                let known = marks.get(&block.epoch).unwrap_or(&none);
-                if Some(block.epoch) == live || known.written.covers(block.first, block.last) {
+                let no_marks = Marks::default();
+                let block_marks = marks.get(&block.epoch).unwrap_or(&no_marks);
+                if Some(block.epoch) == live || block_marks.written.covers(block.first, block.last)
+                {
                     return Ok(());
                 }
                 for row in block.rows() {
                     let row = row.map_err(|bad| self.bad_row(&block, bad.0))?;
                     let open = row.answer == Answer::Served
-                        && known.delivery(row.seq) == Delivery::InDoubt;
+                        && block_marks.delivery(row.seq) == Delivery::InDoubt;
                     if open && self.settled(block.epoch, row.seq)?.is_none() {
                         let (tenant, class) = (name(row.tenant)?, name(row.class)?);
                         doubts.push(Doubt {
@@ -490,18 +516,18 @@
     }
 }
 
-/// How a doubt is settled.
+/// Outcome to which a doubt is settled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Settle {
-    /// As served: the client is taken to have its answer.
+    /// Billed as served, on the assumption that the client received the answer.
     Bill,
-    /// As not served.
+    /// Not billed.
     Waive,
 }
 
 impl Doubt {
-    /// The correction that settles it.
+    /// Creates the correction that settles this doubt.
     pub fn settle(&self, how: Settle, now: Micros, author: &str, reason: &str) -> Correction {
         let (epoch, seq) = (self.epoch, self.row.seq);
         let (subject, operations, slot_us) = match how {
--- a/crates/ledger/src/store/verify.rs
+++ b/crates/ledger/src/store/verify.rs
@@ -1,47 +1,48 @@
-//! Checks that a store still holds what was written: every block, every correction, every seal, the chain of seals.
+//! Verifies the integrity of a store: all blocks, corrections and seals, and the chain of seals.
 
 use super::{Store, StoreError};
 use crate::seal;
 use std::collections::BTreeSet;
 
-/// What was checked.
+/// Number of items that were verified.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Verified {
     /// Entries read.
     pub entries: u64,
-    /// Closed periods whose seals hold.
+    /// Closed periods whose seals match.
     pub seals: u64,
-    /// Corrections whose MACs hold.
+    /// Corrections whose MACs match.
     pub corrections: u64,
 }
 
 impl Store {
-    /// Checks all of it. `each` hears of every block, with its entries. The first thing that does not hold is the
-    /// error, and names the entry if it is one.
+    /// Verifies the whole store. `on_block` is called after each block with the number of its entries. Stops
+    /// at the first mismatch; the error names the entry if it concerns one.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Damaged`] for the first thing that is not what was written; else what the database reports.
-    pub fn verify(&self, mut each: impl FnMut(u64)) -> Result<Verified, StoreError> {
-        let sound: String = self
+    /// [`StoreError::Damaged`] for the first mismatch, otherwise the database error.
+    pub fn verify(&self, mut on_block: impl FnMut(u64)) -> Result<Verified, StoreError> {
+        let integrity: String = self
             .db
             .query_row("PRAGMA integrity_check(1)", [], |r| r.get(0))
-            .map_err(self.failed())?;
-        let mut done = Verified::default();
+            .map_err(self.database_error())?;
+        let mut verified = Verified::default();
         let names = self.names()?;
-        let mut before = vec![0u8; 32];
+        let mut previous_seal = vec![0u8; 32];
         let seals = self.seals()?;
         for period in self.periods()? {
-            let sealed = seals.iter().find(|s| s.period == period);
-            let mut chain = seal::Chain::new(&before, &self.instance, period);
-            let (mut entries, mut used) = (0, BTreeSet::new());
+            let period_seal = seals.iter().find(|sealed| sealed.period == period);
+            let mut chain = seal::Chain::new(&previous_seal, &self.instance, period);
+            let (mut entries, mut used_names) = (0, BTreeSet::new());
             self.blocks(period, |block| {
                 let mut count = 0;
                 for row in block.rows() {
                     let row = row.map_err(|bad| self.bad_row(&block, bad.0))?;
-                    let named = names.contains_key(&row.tenant) && names.contains_key(&row.class);
-                    used.extend([row.tenant, row.class]);
-                    if !named || !(block.first..=block.last).contains(&row.seq) {
+                    let has_names =
+                        names.contains_key(&row.tenant) && names.contains_key(&row.class);
+                    used_names.extend([row.tenant, row.class]);
+                    if !has_names || !(block.first..=block.last).contains(&row.seq) {
                         return Err(self.bad_row(&block, count));
                     }
                     count += 1;
@@ -50,31 +51,36 @@
                     return Err(self.bad_row(&block, count));
                 }
                 chain.block(block.epoch, block.first, block.hash);
-                each(block.entries);
+                on_block(block.entries);
                 entries += count;
                 Ok::<(), StoreError>(())
             })?;
-            if let Some(s) = sealed {
-                let in_use = names.iter().filter(|(n, _)| used.contains(n));
-                chain.names(&in_use.map(|(n, name)| (*n, name.clone())).collect());
-                chain.marks(&s.marks_bytes);
+            if let Some(sealed) = period_seal {
+                let in_use = names.iter().filter(|(id, _)| used_names.contains(id));
+                chain.names(&in_use.map(|(id, name)| (*id, name.clone())).collect());
+                chain.marks(&sealed.marks_bytes);
             }
-            for (no, body) in self.raw_corrections(period)? {
-                chain.correction(no, &body);
-                done.corrections += 1;
+            for (number, body) in self.raw_corrections(period)? {
+                chain.correction(number, &body);
+                verified.corrections += 1;
             }
-            if let Some(s) = sealed {
-                if s.before != before || s.entries != entries || chain.finish()[..] != s.hash[..] {
-                    return Err(self.damaged(format!("the seal of {period} does not hold")));
+            if let Some(sealed) = period_seal {
+                if sealed.before != previous_seal
+                    || sealed.entries != entries
+                    || chain.finish()[..] != sealed.hash[..]
+                {
+                    return Err(
+                        self.damaged(format!("the seal of {period} does not match its content"))
+                    );
                 }
-                before.clone_from(&s.hash);
-                done.seals += 1;
+                previous_seal.clone_from(&sealed.hash);
+                verified.seals += 1;
             }
-            done.entries += entries;
+            verified.entries += entries;
         }
-        if sound != "ok" {
-            return Err(self.damaged(sound.replace('\n', " ")));
+        if integrity != "ok" {
+            return Err(self.damaged(integrity.replace('\n', " ")));
         }
-        Ok(done)
+        Ok(verified)
     }
 }
--- a/crates/ledger/src/writer/thread.rs
+++ b/crates/ledger/src/writer/thread.rs
@@ -1,4 +1,4 @@
-//! The writer's thread: commits in batches, retries, and the closing of periods that are due.
+//! The writer thread: commits records in batches, retries after failures, and closes periods that are due.
 
 use super::{ClosingRules, Record, WriterEvent};
 use crate::correction::Correction;
@@ -8,20 +8,22 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant};
 
-/// Most entries of one commit.
+/// Maximum number of entries in one commit.
 const MAX_COMMIT_ENTRIES: usize = 4_096;
-/// How long marks may wait for entries to be committed with: a mark that is lost with the process is a doubt more,
+/// Maximum time that delivery marks wait for entries to be committed with. A mark lost in a crash adds a
+/// doubt, but never makes a total wrong.
 /// never a wrong sum.
 const MAX_MARK_DELAY: Duration = Duration::from_millis(20);
-/// How often a store that fails is tried again.
+/// Time between attempts to write to a store that fails.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// How long one attempt waits for another process's commit: short, as the end of the process waits for it too.
+/// Time that one attempt waits for another process's commit. Short, because the shutdown of the process waits
+/// for it too.
 const LOCK_ATTEMPT: Duration = Duration::from_millis(200);
-/// How often it is looked whether a period is to be closed.
+/// Interval between checks for periods to close.
 const CLOSE_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a store that fails is tried again at the end of the process.
+/// Maximum time during which a failing store is retried at shutdown.
 const MAX_FINAL_RETRIES: Duration = Duration::from_secs(1);
-/// Author and reason of settlements by the rule for doubts.
+/// Author and reason of corrections that settle doubts by the configured rule.
 const SETTLED_BY: &str = "streamusher";
 const SETTLED_BY_RULE: &str = "the rule for doubts";
 
@@ -47,11 +49,12 @@
     }
 }
 
-/// How an attempt to write went.
+/// Result of an attempt to write.
 #[derive(Clone, Copy, PartialEq)]
 enum Attempt {
     Done,
-    /// Another process's commit kept it waiting, not for long yet; it has waited already.
+    /// The store is locked by another process's commit, for less than [`LOCK_TIMEOUT`]. The attempt has
+    /// already waited, so no further pause is needed.
     Locked,
     Failed,
 }
@@ -59,54 +62,54 @@
 pub(super) struct WriterThread<W, T> {
     options: Options,
     closing: ClosingRules,
-    wall: W,
+    wall_clock: W,
     send_event: T,
     store: Option<Store>,
-    /// The last number that is durable.
+    /// Last sequence number that is durable.
     up_to: u64,
-    /// Why it failed last; empty while it works.
-    why: String,
-    /// Since when another process keeps it from being written.
+    /// Message of the last failure, empty while the store works.
+    last_error: String,
+    /// When the store was first found locked by another process, `None` if it is not.
     locked_since: Option<Instant>,
     /// Closed periods whose doubts are not settled by the rule yet.
     unsettled: Vec<Period>,
 }
 
 impl<W: Fn() -> Micros, T: Fn(WriterEvent)> WriterThread<W, T> {
-    /// `wall` reads Unix time in microseconds.
+    /// `wall_clock` returns Unix time in microseconds.
     pub(super) fn new(
         options: Options,
         closing: ClosingRules,
-        wall: W,
+        wall_clock: W,
         send_event: T,
     ) -> WriterThread<W, T> {
         WriterThread {
             options,
             closing,
-            wall,
+            wall_clock,
             send_event,
             store: None,
             up_to: 0,
-            why: String::new(),
+            last_error: String::new(),
             locked_since: None,
             unsettled: Vec::new(),
         }
     }
 
-    /// Writes until nothing more will come.
+    /// Writes records until the sender is dropped and all records are written or given up.
     pub(super) fn run(&mut self, records: &Receiver<Record>) {
         let mut batch = Batch::default();
         let mut last_close = Instant::now();
-        let mut ends: Option<Instant> = None;
-        self.store(); // before anything comes, so that a store that cannot be opened is told at once
+        let mut ended_at: Option<Instant> = None;
+        self.store(); // opened before the first record arrives, so that a failure is reported immediately
         loop {
-            ends = ends.or_else(|| self.receive(records, &mut batch));
+            ended_at = ended_at.or_else(|| self.receive(records, &mut batch));
             let attempt = match (batch.is_empty(), self.store().is_some()) {
                 (true, true) => Attempt::Done,
-                (_, false) => Attempt::Failed, // opened here: guards against one that nobody would try again
+                (_, false) => Attempt::Failed, // also retries the opening while there is nothing to write
                 (false, true) => self.commit(&mut batch),
             };
-            if let Some(since) = ends {
+            if let Some(since) = ended_at {
                 if batch.is_empty()
                     || attempt != Attempt::Done && since.elapsed() > MAX_FINAL_RETRIES
                 {
@@ -122,30 +125,30 @@
             }
         }
         if let Some(mut store) = self.store.take() {
-            // In this order; a process that ends between them has its epoch ended by the next one.
+            // In this order: if the process ends in between, the next one ends the epoch.
             let _ = store
-                .end_epoch((self.wall)())
+                .end_epoch((self.wall_clock)())
                 .and_then(|()| store.checkpoint());
         }
     }
 
-    /// Waits for something to write and takes what is there. Some once nothing more will come.
+    /// Waits for records and moves them to the batch. Returns the current time once the sender is dropped.
     fn receive(&self, records: &Receiver<Record>, batch: &mut Batch) -> Option<Instant> {
         let mut wait = if batch.is_empty() {
             CLOSE_INTERVAL
         } else {
             Duration::ZERO
         };
-        let mut by = None;
+        let mut deadline = None;
         loop {
             match records.recv_timeout(wait) {
                 Ok(record) => batch.add(record),
                 Err(RecvTimeoutError::Timeout) => return None,
                 Err(RecvTimeoutError::Disconnected) => return Some(Instant::now()),
             }
-            let by = *by.get_or_insert_with(|| Instant::now() + MAX_MARK_DELAY);
+            let deadline = *deadline.get_or_insert_with(|| Instant::now() + MAX_MARK_DELAY);
             wait = if batch.entries.is_empty() {
-                by.saturating_duration_since(Instant::now())
+                deadline.saturating_duration_since(Instant::now())
             } else {
                 Duration::ZERO
             };
@@ -155,10 +158,10 @@
         }
     }
 
-    /// The store, opened if it is not.
+    /// Returns the store, opening it if necessary. Returns `None` if it cannot be opened.
     fn store(&mut self) -> Option<&mut Store> {
         if self.store.is_none() {
-            let opened = Store::open(&self.options, (self.wall)());
+            let opened = Store::open(&self.options, (self.wall_clock)());
             let opened = opened.and_then(|store| {
                 store.set_lock_timeout(LOCK_ATTEMPT)?;
                 Ok(store)
@@ -169,7 +172,7 @@
                         epoch: store.epoch(),
                     });
                     self.store = Some(store);
-                    self.why.clear();
+                    self.last_error.clear();
                 }
                 Err(error) => self.on_failed(&error),
             }
@@ -177,7 +180,7 @@
         self.store.as_mut()
     }
 
-    /// Whether another process's commit may still be waited for.
+    /// Whether to keep waiting for another process's commit.
     fn is_waiting_for_lock(&mut self, error: &StoreError) -> bool {
         if !matches!(error, StoreError::InUse(_)) {
             return false;
@@ -187,10 +190,10 @@
     }
 
     fn on_failed(&mut self, error: &StoreError) {
-        let why = error.to_string();
-        if why != self.why {
-            (self.send_event)(WriterEvent::Failed(why.clone()));
-            self.why = why;
+        let last_error = error.to_string();
+        if last_error != self.last_error {
+            (self.send_event)(WriterEvent::Failed(last_error.clone()));
+            self.last_error = last_error;
         }
     }
 
@@ -214,7 +217,7 @@
 
     fn on_committed(&mut self, batch: Batch) {
         self.locked_since = None;
-        let had_failed = !std::mem::take(&mut self.why).is_empty();
+        let had_failed = !std::mem::take(&mut self.last_error).is_empty();
         self.up_to = batch.entries.last().map_or(self.up_to, |entry| entry.seq);
         if had_failed || !batch.entries.is_empty() {
             (self.send_event)(WriterEvent::Durable {
@@ -224,7 +227,8 @@
         }
     }
 
-    /// Marks take no room: guards against doubts about answers that were written before the disk was full.
+    /// Commits the marks alone. They need no additional space, so this works on a full disk and avoids doubts
+    /// about answers that were written before the disk was full.
     fn commit_marks(&mut self, batch: &mut Batch) {
         let Some(store) = &mut self.store else {
             return;
@@ -239,7 +243,7 @@
     }
 
     fn close(&mut self) {
-        let now = (self.wall)();
+        let now = (self.wall_clock)();
         let Some(store) = self.store.as_mut() else {
             return;
         };
@@ -256,7 +260,8 @@
         }
     }
 
-    /// Settles the doubts of the periods that were closed, where there is a rule; tried again with the next look if it fails.
+    /// Settles the doubts of closed periods if a rule is configured. After a failure this is retried at the
+    /// next check.
     fn settle_closed(&mut self, now: Micros) -> Result<(), StoreError> {
         let (Some(rule), Some(store)) = (self.closing.doubts, self.store.as_mut()) else {
             return Ok(());
@@ -275,7 +280,8 @@
         Ok(())
     }
 
-    /// Periods are looked at again soon; what another process's commit keeps waiting is no failure.
+    /// Reports the error unless the store was only locked by another process's commit. The closing is retried
+    /// at the next check.
     fn on_close_failed(&mut self, error: &StoreError) {
         if !matches!(error, StoreError::InUse(_)) {
             self.on_failed(error);
--- a/crates/ledger/tests/store.rs
+++ b/crates/ledger/tests/store.rs
@@ -311,7 +311,7 @@
     middle[bytes.len() / 2] ^= 1;
     let why = opened(&middle).unwrap_err();
     assert!(
-        why.contains("its log of changes is not what was written") && why.contains("would be lost"),
+        why.contains("the write-ahead log is damaged") && why.contains("would be lost"),
         "{why}"
     );
     // A command does not open it either: closing it would write back what is left, and the rest would be gone.
@@ -376,10 +376,7 @@
     let other = Store::open_for_command(dir.path(), [8; 32]).unwrap();
     assert!(!other.has_key().unwrap());
     let why = other.verify(|_| {}).unwrap_err().to_string();
-    assert!(
-        why.contains("correction 1 is not what was written"),
-        "{why}"
-    );
+    assert!(why.contains("correction 1 does not match its MAC"), "{why}");
     drop(other);
     drop(store);
     let path = dir.path().join(DATABASE_FILE);
@@ -418,8 +415,8 @@
     let path = dir.path().join(DATABASE_FILE);
     let whole = std::fs::read(&path).unwrap();
     for (bytes, what) in [
-        (whole[..whole.len() / 2].to_vec(), "damaged: it has"),
-        (whole[..50].to_vec(), "damaged: it has 50 bytes"),
+        (whole[..whole.len() / 2].to_vec(), "damaged: the file has"),
+        (whole[..50].to_vec(), "damaged: the file has 50 bytes"),
         (vec![b'x'; 5_000], "damaged: not a database"),
     ] {
         std::fs::write(&path, bytes).unwrap();
@@ -431,7 +428,9 @@
     std::fs::write(&path, newer).unwrap();
     let why = told(Store::open(&options(dir.path(), "n1"), DECEMBER));
     assert!(
-        why.ends_with("it is of version 2, and this program knows versions up to 1"),
+        why.ends_with(
+            "format version 2 is newer than 1, the latest version that this program supports"
+        ),
         "{why}"
     );
     std::fs::write(&path, whole).unwrap();
@@ -441,7 +440,10 @@
         &options(Path::new("/sys/streamusher-ledger"), "n1"),
         DECEMBER,
     ));
-    assert!(why.ends_with("it may not be written"), "{why}");
+    assert!(
+        why.ends_with("not writable (read-only or access denied)"),
+        "{why}"
+    );
     // A file where the folder should be: no folder can be made there.
     let why = told(Store::open(&options(&path, "n1"), DECEMBER));
     assert!(why.contains("ledger.db") && !why.contains('\n'), "{why}");
