--- a/src/billing.rs
+++ b/src/billing.rs
@@ -1,6 +1,7 @@
-//! The ledger beside the core: final answers become entries, and are released once the writer reports these as durable.
+//! Connects the dispatcher core to the ledger. Final answers become ledger entries, and are released once the
+//! writer reports the entries as durable.
 //!
-//! All that is decided stands in `streamusher_ledger::gate`; the disk is touched on the writer's thread alone.
+//! The decisions are made in `streamusher_ledger::gate`. Only the writer's thread accesses the disk.
 
 use crate::config::operators::LedgerConfig;
 use crate::core::{OperationOutcome, OverdueAction, RecordStatus, UsageRecord, UsageRecorder};
@@ -16,33 +17,34 @@
 use streamusher_ledger::store::Options;
 use streamusher_ledger::writer::{ClosingRules, Record, Writer, WriterEvent};
 
-/// Entries that may wait to be written: some 6 MB.
+/// Maximum number of entries that wait to be written, about 6 MB of memory.
 const MAX_WAITING_ENTRIES: usize = 16_384;
-/// Under which name operations are booked where no tenants are listed.
+/// Tenant name for operations if no tenants are configured.
 const UNASSIGNED_TENANT: &str = "unassigned";
 
-/// Books final answers in a ledger.
+/// Records final answers in a ledger.
 pub(crate) struct Billing {
     gate: RefCell<Gate>,
     writer: RefCell<Option<Writer>>,
     key: [u8; 32],
-    /// Class names by number; those that a retuning adds are named as they are first booked.
+    /// Class names by class number. Names of classes added at run time are appended when such
+    /// a class is first booked.
     classes: RefCell<Vec<Arc<str>>>,
     hub: std::rc::Weak<Hub>,
-    /// Which of the core's bookkeepers it is.
+    /// Number that the core assigned to this usage recorder.
     number: std::cell::Cell<usize>,
     unassigned: Arc<str>,
     log: Logger,
 }
 
-/// Unix time by the system's clock, in microseconds. Entries are booked by it, and it may step.
+/// Returns the system clock's Unix time in microseconds. Entries are booked by this time, and it may step.
 pub(crate) fn unix_time_us() -> Micros {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .map_or(0, |d| d.as_micros() as Micros)
+        .map_or(0, |elapsed| elapsed.as_micros() as Micros)
 }
 
-/// Has all final answers booked from now on.
+/// Opens the ledger and registers it with the core, which from then on records all final answers in it.
 pub(crate) fn attach(
     hub: &Rc<Hub>,
     config: LedgerConfig,
@@ -63,9 +65,10 @@
         doubts: config.doubts.rule(),
     };
     let (sender, events) = async_channel::unbounded();
-    let send_event = move |event| drop(sender.try_send(event)); // nobody listens once the event loop has ended
+    let send_event = move |event| drop(sender.try_send(event)); // the receiver is dropped when the event loop ends
     let writer = Writer::start(options, closing, unix_time_us, send_event);
-    let writer = writer.map_err(|e| format!("[ledger]: no thread for it: {e}"))?;
+    let writer =
+        writer.map_err(|error| format!("[ledger]: cannot start the writer thread: {error}"))?;
     let billing = Rc::new(Billing {
         gate: RefCell::new(Gate::new(
             config.on_failure,
@@ -89,10 +92,10 @@
     billing
         .number
         .set(hub.with(|core, _| core.attach_recorder(billing.clone())));
-    let (listening, receiver) = (hub.clone(), billing.clone());
+    let (event_hub, receiver) = (hub.clone(), billing.clone());
     hub.spawn(async move {
         while let Ok(event) = events.recv().await {
-            receiver.on_writer_event(&listening, event);
+            receiver.on_writer_event(&event_hub, event);
         }
     });
     Ok(billing)
@@ -109,7 +112,7 @@
             WriterEvent::Failed(why) => self.on_failed(hub, &why),
             WriterEvent::Closed(closed) => {
                 for closed in closed {
-                    info!(self.log, "a period was closed"; "period" => %closed.period);
+                    info!(self.log, "closed a ledger period"; "period" => %closed.period);
                 }
             }
         }
@@ -132,7 +135,8 @@
         }
     }
 
-    /// Has all that was booked written, as far as the disk allows. Nothing is booked after it.
+    /// Writes all booked entries, as far as the disk allows, and stops the writer. Later entries are
+    /// discarded.
     pub(crate) fn shutdown(&self) {
         drop(self.writer.borrow_mut().take());
     }
@@ -145,17 +149,22 @@
 }
 
 impl Billing {
-    /// Whether an answer may go out that is not booked. Only results are billed.
-    fn may_release(&self, ended: OperationOutcome) -> bool {
-        ended != OperationOutcome::Served || self.gate.borrow().releases_unbooked()
+    /// Whether an answer may be released without being booked. Only results are billed, so any other answer
+    /// may.
+    fn may_release(&self, outcome: OperationOutcome) -> bool {
+        outcome != OperationOutcome::Served || self.gate.borrow().releases_unbooked()
     }
 
     fn class(&self, number: usize) -> Arc<str> {
         let mut classes = self.classes.borrow_mut();
         if let Some(hub) = self.hub.upgrade().filter(|_| classes.len() <= number) {
-            let infos = hub.classes.borrow();
-            let known = classes.len().min(infos.len());
-            classes.extend(infos[known..].iter().map(|c| Arc::from(c.name.as_str())));
+            let class_infos = hub.classes.borrow();
+            let known = classes.len().min(class_infos.len());
+            classes.extend(
+                class_infos[known..]
+                    .iter()
+                    .map(|c| Arc::from(c.name.as_str())),
+            );
         }
         classes
             .get(number)
@@ -169,11 +178,11 @@
         self.gate.borrow().accepts_work()
     }
 
-    fn record(&self, now: Micros, by: Micros, account: &UsageRecord) -> RecordStatus {
-        let verdict = self.gate.borrow_mut().book(now, by);
+    fn record(&self, now: Micros, deadline: Micros, usage: &UsageRecord) -> RecordStatus {
+        let verdict = self.gate.borrow_mut().book(now, deadline);
         let (seq, until) = match verdict {
             BookingDecision::Hold { seq, until } => (seq, until),
-            BookingDecision::Unbooked if self.may_release(account.outcome) => {
+            BookingDecision::Unbooked if self.may_release(usage.outcome) => {
                 return RecordStatus::Unbooked
             }
             BookingDecision::Unbooked => return RecordStatus::Refused,
@@ -181,29 +190,29 @@
         self.write(Record::Entry(Entry {
             seq,
             time_us: unix_time_us(),
-            operation: account.operation.to_string(),
-            tenant: account.tenant.unwrap_or(&self.unassigned).clone(),
-            class: self.class(account.class.0 as usize),
-            answer: match account.outcome {
+            operation: usage.operation.to_string(),
+            tenant: usage.tenant.unwrap_or(&self.unassigned).clone(),
+            class: self.class(usage.class.0 as usize),
+            answer: match usage.outcome {
                 OperationOutcome::Served => Answer::Served,
                 OperationOutcome::Busy => Answer::Busy,
                 OperationOutcome::Failed => Answer::Failed,
                 OperationOutcome::Gone => Answer::Gone,
             },
-            joined: account.joined,
-            slots_milli: (account.slots * 1_000.0).round() as u32, // saturates
-            run_us: account.run_us,
-            wasted_us: account.wasted_us,
-            attempts: account.attempts,
-            key: account.idempotency_key.map(|k| key_hash(&self.key, k)),
+            joined: usage.joined,
+            slots_milli: (usage.slots * 1_000.0).round() as u32, // out-of-range values saturate
+            run_us: usage.run_us,
+            wasted_us: usage.wasted_us,
+            attempts: usage.attempts,
+            key: usage.idempotency_key.map(|k| key_hash(&self.key, k)),
         }));
         RecordStatus::Hold { number: seq, until }
     }
 
-    fn on_overdue(&self, number: u64, ended: OperationOutcome) -> OverdueAction {
+    fn on_overdue(&self, number: u64, outcome: OperationOutcome) -> OverdueAction {
         let is_late = self.gate.borrow_mut().on_overdue(number);
-        if is_late && !self.may_release(ended) {
-            warn!(self.log, "a result was withheld: it could not be booked in time"; "number" => number);
+        if is_late && !self.may_release(outcome) {
+            warn!(self.log, "withheld a result that could not be booked in time"; "number" => number);
             return OverdueAction::Withhold;
         }
         if is_late {
@@ -212,8 +221,8 @@
         OverdueAction::Release
     }
 
-    fn written(&self, number: u64, whole: bool) {
-        self.write(if whole {
+    fn written(&self, number: u64, complete: bool) {
+        self.write(if complete {
             Record::Written(number)
         } else {
             Record::Undelivered(number)
