--- a/crates/ledger/benches/scale.rs
+++ b/crates/ledger/benches/scale.rs
@@ -1,5 +1,5 @@
-//! How exports and reconciliation grow: entries of 16 instances and 1,000 tenants, each phase in a process of its own,
-//! so that its peak memory can be told.
+//! Measures how export and reconciliation scale, with entries of 16 instances and 1,000 tenants. Each phase
+//! runs in a process of its own, so that its peak memory can be measured.
 //!
 //! `cargo bench -p streamusher-ledger --bench scale -- 10000 100000 1000000 10000000`
 
@@ -18,15 +18,15 @@
 
 const INSTANCES: u64 = 16;
 const TENANTS: u64 = 1_000;
-const COMMIT: u64 = 4_096;
+const COMMIT_ENTRIES: u64 = 4_096;
 const THREADS: usize = 4;
 
 fn dir(root: &Path, instance: u64) -> PathBuf {
     root.join(format!("n{instance}"))
 }
 
-/// A number that looks random and is the same each time.
-fn mix(n: u64) -> u64 {
+/// Deterministic hash that serves as a reproducible random number.
+fn hash(n: u64) -> u64 {
     let n = (n ^ n >> 31).wrapping_mul(0x7fb5_d329_728e_a185);
     let n = (n ^ n >> 27).wrapping_mul(0x81da_def4_bc2d_d44d);
     n ^ n >> 33
@@ -34,26 +34,26 @@
 
 fn generate(root: &Path, entries: u64) {
     let tenants: Vec<String> = (0..TENANTS).map(|t| format!("tenant-{t}")).collect();
-    each_instance(|i| {
+    for_each_instance(|i| {
         let mut store = Store::open(&options(&dir(root, i), &format!("n{i}")), DECEMBER).unwrap();
         let mine = entries / INSTANCES;
         let mut seq = 0;
         while seq < mine {
-            let last = (seq + COMMIT).min(mine);
+            let last = (seq + COMMIT_ENTRIES).min(mine);
             let batch: Vec<Entry> = (seq + 1..=last)
                 .map(|n| {
-                    let r = mix(i << 40 | n);
+                    let r = hash(i << 40 | n);
                     let mut e = entry(
                         n,
                         DECEMBER + n * 180 + r % 90,
                         &tenants[(r % TENANTS) as usize],
                         Answer::Served,
                     );
-                    e.operation = format!("{:016x}", mix(r));
+                    e.operation = format!("{:016x}", hash(r));
                     e.run_us = 100_000 + r % 300_000;
                     e.slots_milli = 1_000 * (1 + (r >> 20) as u32 % 2);
                     e.wasted_us = 0;
-                    // 12 of 100 carry a key, as on the platform.
+                    // 12% of the entries carry an idempotency key, as on the platform.
                     e.key = (r % 100 < 12).then(|| key_hash(&KEY, &r.to_string()));
                     e
                 })
@@ -67,7 +67,7 @@
     });
 }
 
-fn each_instance(f: impl Fn(u64) + Sync) {
+fn for_each_instance(f: impl Fn(u64) + Sync) {
     let next = AtomicU64::new(0);
     std::thread::scope(|s| {
         for _ in 0..THREADS {
@@ -82,7 +82,7 @@
 }
 
 fn export_all(root: &Path) {
-    each_instance(|i| {
+    for_each_instance(|i| {
         let store = Store::open_for_command(&dir(root, i), KEY).unwrap();
         for seal in store.seals().unwrap() {
             export(&store, seal.period, &root.join("out"), |_| true).unwrap();
--- a/crates/ledger/benches/stores.rs
+++ b/crates/ledger/benches/stores.rs
@@ -1,7 +1,8 @@
-//! One commit of the ledger's work, by entries in it: the store as it is, and the two that were weighed against it.
+//! Measures one commit of ledger entries by number of entries, for the ledger's SQLite store and the two
+//! alternatives that it was compared with.
 //!
-//! Each commit is on the disk before it counts. `cargo bench -p streamusher-ledger --bench stores`; bytes for each
-//! entry are printed first.
+//! Each commit is on disk before it counts. Run with `cargo bench -p streamusher-ledger --bench stores`; the
+//! bytes stored per entry are printed first.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -20,7 +21,7 @@
 const MARKS: TableDefinition<u64, &[u8]> = TableDefinition::new("marks");
 const SIZES: [u64; 4] = [1, 16, 256, 4_096];
 
-/// A store of the ledger's work: blocks of entries, and a small record that each commit replaces.
+/// Storage operations of the ledger: blocks of entries, and a small record that each commit replaces.
 trait Commits {
     fn commit(&mut self, entries: &[Entry]);
 }
@@ -73,7 +74,7 @@
     }
 }
 
-fn make(kind: &str, dir: &Path) -> Box<dyn Commits> {
+fn create_store(kind: &str, dir: &Path) -> Box<dyn Commits> {
     match kind {
         "sqlite" => Box::new(open(dir)),
         "redb" => Box::new(Redb(redb::Database::create(dir.join("redb")).unwrap())),
@@ -106,12 +107,12 @@
         .collect()
 }
 
-fn sizes() {
-    println!("bytes for each entry, 20,000 entries (the log of changes written back):");
+fn print_sizes() {
+    println!("bytes for each entry, 20,000 entries (write-ahead log checkpointed):");
     for kind in ["sqlite", "redb", "fjall"] {
         for size in [1, 16, 256] {
             let dir: TempDir = tempdir().unwrap();
-            let mut store = make(kind, dir.path());
+            let mut store = create_store(kind, dir.path());
             let count = if size == 1 { 4_000 } else { 20_000 };
             (0..count / size).for_each(|n| store.commit(&entries(1 + n * size, size)));
             drop(store);
@@ -135,7 +136,7 @@
 }
 
 fn commits(c: &mut Criterion) {
-    sizes();
+    print_sizes();
     let mut group = c.benchmark_group("commit");
     group
         .sample_size(20)
@@ -145,7 +146,7 @@
         group.throughput(Throughput::Elements(size));
         for kind in ["sqlite", "redb", "fjall"] {
             let dir = tempdir().unwrap();
-            let (mut store, mut next) = (make(kind, dir.path()), 1);
+            let (mut store, mut next) = (create_store(kind, dir.path()), 1);
             group.bench_function(BenchmarkId::new(kind, size), |b| {
                 b.iter_batched(
                     || {
--- a/crates/ledger/tests/common/mod.rs
+++ b/crates/ledger/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests have in common: a folder, a store in it, and entries.
+//! Helpers shared by the tests and benchmarks: store options, a store in a folder, and entries.
 #![allow(dead_code)]
 
 use std::path::Path;
@@ -50,8 +50,8 @@
     }
 }
 
-/// Entries of one tenant, all served and written.
-pub fn fill(store: &mut Store, numbers: std::ops::RangeInclusive<u64>, time_us: Micros) {
+/// Commits entries of one tenant, all served and delivered.
+pub fn commit_served(store: &mut Store, numbers: std::ops::RangeInclusive<u64>, time_us: Micros) {
     let entries: Vec<Entry> = numbers
         .map(|n| entry(n, time_us + n, "hydrology", Answer::Served))
         .collect();
--- a/crates/ledger/tests/pure.rs
+++ b/crates/ledger/tests/pure.rs
@@ -1,4 +1,4 @@
-//! What needs no disk: periods, numbers, blocks, the gate and merging.
+//! Tests of the modules that need no disk: periods, ranges, block encoding, the gate and merging.
 
 mod common;
 
@@ -18,7 +18,7 @@
 #[case::leap_february("2028-02", 1_832_976_000, "2028-03")]
 #[case::day("2026-12-31", 1_798_675_200, "2027-01-01")]
 #[case::hour("2026-12-31T23", 1_798_758_000, "2027-01-01T00")]
-fn a_period_has_a_name_a_start_and_a_next_one(
+fn period_parses_its_name_and_yields_start_and_successor(
     #[case] name: &str,
     #[case] start: i64,
     #[case] next: &str,
@@ -31,12 +31,12 @@
     assert_eq!(
         Period::of(period.span(), period.end_us() - 1),
         period,
-        "half-open: its last moment"
+        "the last microsecond belongs to the period"
     );
     assert_eq!(
         Period::of(period.span(), period.end_us()),
         period.next(),
-        "half-open: the first one after"
+        "the end belongs to the next period"
     );
 }
 
@@ -47,7 +47,7 @@
 #[case("1969-12")]
 #[case("2026-1-1")]
 #[case("")]
-fn what_is_no_period_is_told(#[case] name: &str) {
+fn invalid_period_name_is_rejected(#[case] name: &str) {
     let why = name.parse::<Period>().unwrap_err().to_string();
     assert!(why.starts_with("not a period"), "{why}");
 }
@@ -70,7 +70,7 @@
                     [Answer::Served, Answer::Busy, Answer::Failed, Answer::Gone][answer as usize];
                 let (tenant, class, slots_milli) = (n, n % 5, n);
                 let (run_us, wasted_us, attempts) = (u64::from(n) * 3, u64::from(n), n % 5);
-                // Times go back too: the clock may.
+                // Times may decrease, because the system clock may step back.
                 let time_us = DECEMBER.wrapping_add_signed(i64::from(n as i32));
                 Row {
                     seq,
@@ -103,14 +103,14 @@
 
 proptest! {
     #[test]
-    fn a_block_gives_back_its_rows(rows in rows()) {
+    fn encoded_block_decodes_to_its_rows(rows in rows()) {
         let (bytes, _) = block(&rows);
         let read: Result<Vec<Row>, DamagedRow> = RowReader::new(&bytes, (rows[0].seq, DECEMBER)).collect();
         prop_assert_eq!(read, Ok(rows));
     }
 
     #[test]
-    fn a_changed_byte_is_laid_at_the_door_of_its_entry(rows in rows(), at in any::<prop::sample::Index>(), bit in 0..8u8) {
+    fn flipped_bit_is_attributed_to_its_row(rows in rows(), at in any::<prop::sample::Index>(), bit in 0..8u8) {
         let (mut bytes, ends) = block(&rows);
         let at = at.index(bytes.len());
         bytes[at] ^= 1 << bit;
@@ -120,7 +120,7 @@
     }
 
     #[test]
-    fn ranges_are_the_set_of_what_was_added(numbers in prop::collection::vec((1u64..80, 0u64..6), 0..40)) {
+    fn ranges_equal_the_set_of_added_numbers(numbers in prop::collection::vec((1u64..80, 0u64..6), 0..40)) {
         let (mut ranges, mut set) = (Ranges::default(), BTreeSet::new());
         for (first, more) in numbers {
             ranges.add_range(first, first + more);
@@ -128,14 +128,14 @@
         }
         prop_assert!((0..90).all(|n| ranges.contains(n) == set.contains(&n)));
         let listed: Vec<(u64, u64)> = ranges.iter().collect();
-        prop_assert!(listed.windows(2).all(|w| w[0].1 + 1 < w[1].0), "they neither touch nor overlap: {listed:?}");
+        prop_assert!(listed.windows(2).all(|w| w[0].1 + 1 < w[1].0), "ranges are adjacent or overlap: {listed:?}");
         let gaps: BTreeSet<u64> = ranges.gaps(1).into_iter().flat_map(|(a, b)| a..=b).collect();
         let missing: BTreeSet<u64> = (1..set.last().copied().unwrap_or(1)).filter(|n| !set.contains(n)).collect();
         prop_assert_eq!(gaps, missing);
     }
 
     #[test]
-    fn merging_minds_neither_order_nor_repeats(picks in prop::collection::vec((0u8..3, 0u8..3, 0u8..2), 0..12), cut in any::<prop::sample::Index>()) {
+    fn merging_is_commutative_idempotent_and_associative(picks in prop::collection::vec((0u8..3, 0u8..3, 0u8..2), 0..12), cut in any::<prop::sample::Index>()) {
         let parts: Vec<Part> = picks.iter().map(|&(i, p, id)| part(i, p, id)).collect();
         let merge = |parts: &mut dyn Iterator<Item = &Part>| {
             let mut all = Merged::default();
@@ -146,10 +146,10 @@
         prop_assert_eq!(&merge(&mut parts.iter().rev()), &forward, "commutative");
         prop_assert_eq!(&merge(&mut parts.iter().chain(&parts)), &forward, "idempotent");
         let (a, b) = parts.split_at(if parts.is_empty() { 0 } else { cut.index(parts.len()) });
-        let mut halves = merge(&mut a.iter());
-        halves.merge(merge(&mut b.iter()));
-        prop_assert_eq!(&halves, &forward, "associative");
-        // What conflicts is in no bill.
+        let mut merged_halves = merge(&mut a.iter());
+        merged_halves.merge(merge(&mut b.iter()));
+        prop_assert_eq!(&merged_halves, &forward, "associative");
+        // Conflicting periods are not billed.
         let counted: BTreeSet<(u8, u8)> = picks.iter().map(|p| (p.0, p.1)).collect();
         let alone = counted.iter().filter(|&&(i, p)| !(picks.contains(&(i, p, 0)) && picks.contains(&(i, p, 1))));
         let served: u64 = forward.bill(str::to_string).unwrap().values().map(|u| u.served).sum();
@@ -157,36 +157,36 @@
     }
 
     #[test]
-    fn the_gate_lets_each_answer_go_once_and_in_time(steps in prop::collection::vec((0u8..4, 1u64..3_000), 1..200)) {
+    fn gate_holds_each_answer_at_most_until_its_deadline(steps in prop::collection::vec((0u8..4, 1u64..3_000), 1..200)) {
         let mut gate = Gate::new(OnFailure::Refuse, 2_000, 8);
-        let (mut now, mut held) = (0u64, BTreeMap::<u64, u64>::new());
+        let (mut now, mut held_until) = (0u64, BTreeMap::<u64, u64>::new());
         let mut numbers = 0;
-        for (what, wait) in steps {
-            now += wait;
-            let due: Vec<u64> = held.iter().filter(|(_, until)| **until <= now).map(|(n, _)| *n).collect();
+        for (action, elapsed) in steps {
+            now += elapsed;
+            let due: Vec<u64> = held_until.iter().filter(|(_, until)| **until <= now).map(|(n, _)| *n).collect();
             for seq in due {
-                held.remove(&seq);
-                prop_assert!(gate.on_overdue(seq), "what is held is not durable");
-                prop_assert!(!gate.accepts_work(), "a disk that does not keep up is not trusted");
+                held_until.remove(&seq);
+                prop_assert!(gate.on_overdue(seq), "a held entry is not durable");
+                prop_assert!(!gate.accepts_work(), "no new work is accepted while the disk does not keep up");
             }
-            match what {
+            match action {
                 0 | 1 => {
                     numbers += 1;
                     match gate.book(now, now + 1_000) {
                         BookingDecision::Hold { seq, until } => {
-                            prop_assert_eq!(seq, numbers, "numbers go up without gaps");
+                            prop_assert_eq!(seq, numbers, "sequence numbers ascend without gaps");
                             prop_assert!(until <= now + 1_000);
                             prop_assert!(until > now || !gate.is_trusted());
-                            held.insert(seq, until);
+                            held_until.insert(seq, until);
                         }
                         BookingDecision::Unbooked => {}
                     }
                 }
                 2 => gate.on_failed(),
                 _ => {
-                    let first = held.keys().next().copied();
+                    let first = held_until.keys().next().copied();
                     if let Some(seq) = first {
-                        held.remove(&seq);
+                        held_until.remove(&seq);
                     }
                 }
             }
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_disk_that_comes_back_is_trusted_again() {
+fn gate_trusts_the_disk_again_once_entries_become_durable() {
     let mut gate = Gate::new(OnFailure::Refuse, 2_000, 3);
     gate.on_failed();
     assert!(!gate.accepts_work() && !gate.releases_unbooked());
@@ -224,7 +224,7 @@
             seq: 1,
             until: 2_010
         },
-        "a result that may not be released waits for the disk"
+        "a result that must not be released unbooked waits for the disk"
     );
     assert!(gate.on_overdue(1));
     gate.on_durable(1, 1);
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn what_may_be_released_does_not_wait_for_a_disk_that_fails() {
+fn releasable_answers_do_not_wait_for_a_failing_disk() {
     let mut gate = Gate::new(OnFailure::ServeUnbilled, 2_000, 3);
     assert_eq!(
         gate.book(0, 9_000),
@@ -247,7 +247,7 @@
     assert_eq!(
         gate.book(10, 9_000),
         BookingDecision::Hold { seq: 2, until: 10 },
-        "what is in hand does not wait for it"
+        "answers do not wait while the disk fails"
     );
     assert!(gate.on_overdue(2));
     assert_eq!(
@@ -257,7 +257,7 @@
     assert_eq!(
         gate.book(30, 9_000),
         BookingDecision::Unbooked,
-        "no more are kept"
+        "the limit of waiting entries is reached"
     );
     gate.on_durable(3, 3);
     assert!(gate.is_trusted() && !gate.on_overdue(3));
@@ -267,13 +267,13 @@
             seq: 5,
             until: 2_040
         },
-        "the unbooked one leaves a gap"
+        "the unbooked answer leaves a gap in the numbers"
     );
     assert_eq!((gate.late, gate.unbooked), (1, 1));
 }
 
 #[test]
-fn sums_do_not_overflow_in_silence() {
+fn overflow_of_totals_is_an_error() {
     let mut most = Usage {
         slot_us: u128::MAX,
         ..Usage::default()
--- a/crates/ledger/tests/receipts.rs
+++ b/crates/ledger/tests/receipts.rs
@@ -1,9 +1,9 @@
-//! Files of receipts, as they are read.
+//! Reading of receipts files.
 
 use streamusher_ledger::receipts::find_receipts;
 
 #[test]
-fn a_quote_without_its_end_is_refused_with_its_line() {
+fn unterminated_quote_is_rejected_with_its_line_number() {
     let dir = tempfile::tempdir().expect("a folder");
     let file = dir.path().join("receipts.csv");
     std::fs::write(&file, "operation,tenant\na,t1\n\"b,t1\nc,t1\n").expect("written");
--- a/crates/ledger/tests/recorded.rs
+++ b/crates/ledger/tests/recorded.rs
@@ -1,4 +1,4 @@
-//! Recorded forms: a data directory, an export and the bytes of keys, MACs and seals, as they were first written.
+//! Compatibility with recorded formats: a data directory, an export, and the encoded keys, MACs and seals.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
@@ -64,7 +64,7 @@
     }
 }
 
-/// Entries with each kind of answer, both kinds of ids, with and without keys.
+/// Entries with each outcome, hex and text ids, with and without idempotency keys.
 fn entries() -> Vec<Entry> {
     let answers = [Answer::Served, Answer::Busy, Answer::Failed, Answer::Gone];
     let mut entries: Vec<Entry> = (1..=20u64)
@@ -80,8 +80,8 @@
     entries
 }
 
-/// Writes two periods, the first of them closed: entries of two epochs, marks of each kind, corrections of each kind,
-/// and a doubt left open.
+/// Writes two periods, the first of them closed: entries of two epochs, delivery marks of each kind,
+/// corrections of each kind, and one open doubt.
 fn write_store(dir: &Path) {
     let mut store = Store::open(&options(dir, "n1"), DECEMBER).unwrap();
     let entries = entries();
@@ -104,7 +104,7 @@
     store.end_epoch(DECEMBER + HOUR + 2 * SECOND).unwrap();
 }
 
-/// Bills the first of the first epoch's doubts, as its client has a receipt for it, and waives the second.
+/// Bills the first doubt of the first epoch, for which there is a receipt, and waives the second.
 fn settle_by_receipts(store: &mut Store, dir: &Path) {
     let doubts = store.doubts().unwrap();
     assert_eq!(doubts.len(), 3, "{doubts:?}");
@@ -128,7 +128,7 @@
     assert_eq!((settled.billed, settled.waived), (1, 1));
 }
 
-/// Every row of every table, blobs as hex digits.
+/// Returns all rows of all tables, with blobs as hex digits.
 fn tables(dir: &Path) -> Value {
     let database = Connection::open(dir.join(DATABASE_FILE)).unwrap();
     let mut tables = serde_json::Map::new();
@@ -180,7 +180,7 @@
     json!({ "period": period, "entries": rows, "sums": sums, "corrections": corrections })
 }
 
-/// What a store says of itself when it is read.
+/// Returns all data that can be read from a store.
 fn content(store: &Store) -> Value {
     let seals: Vec<Value> = store
         .seals()
@@ -230,7 +230,7 @@
     })
 }
 
-/// The encoded forms that do not lie in a store.
+/// Returns the encoded forms that are not part of a store.
 fn encoded_forms() -> Value {
     let moment = DECEMBER + 11 * HOUR;
     let periods = [Span::Hour, Span::Day, Span::Month].map(|span| Period::of(span, moment));
@@ -343,7 +343,7 @@
 }
 
 #[test]
-fn a_recorded_store_is_read_as_it_was_written() {
+fn recorded_store_can_be_read() {
     let dir = copied_store();
     let store = Store::open_for_command(dir.path(), KEY).unwrap();
     assert_eq!(content(&store), recorded("content.json"));
@@ -352,7 +352,7 @@
 }
 
 #[test]
-fn a_recorded_store_is_continued_in_a_new_epoch() {
+fn recorded_store_can_be_continued_in_a_new_epoch() {
     let dir = copied_store();
     let mut store = Store::open(&options(dir.path(), "n1"), DECEMBER).unwrap();
     assert_eq!(store.epoch(), DECEMBER + 30 * SECOND + 1);
@@ -363,7 +363,7 @@
 }
 
 #[test]
-fn a_store_is_written_as_recorded() {
+fn written_store_matches_the_recorded_one() {
     let dir = tempdir().unwrap();
     write_store(dir.path());
     assert_eq!(tables(dir.path()), recorded("tables.json"));
@@ -372,7 +372,7 @@
 }
 
 #[test]
-fn an_export_is_written_as_recorded() {
+fn written_export_matches_the_recorded_one() {
     let (dir, out) = (copied_store(), tempdir().unwrap());
     let store = Store::open_for_command(dir.path(), KEY).unwrap();
     let period = Period::of(Span::Hour, DECEMBER);
@@ -387,7 +387,7 @@
 }
 
 #[test]
-fn a_recorded_export_is_read_whole() {
+fn recorded_export_can_be_read() {
     let scanned = scan(&[fixture("export")], 2, |_| {}).unwrap();
     let lines: Vec<_> = scanned
         .merged
@@ -402,7 +402,7 @@
 }
 
 #[test]
-fn encoded_forms_are_as_recorded() {
+fn encoded_forms_match_the_recorded_ones() {
     let forms = recorded("encoded.json");
     assert_eq!(encoded_forms(), forms);
     let block = packed_rows();
@@ -417,30 +417,30 @@
 }
 
 #[test]
-fn a_recorded_key_file_is_read_and_a_new_one_has_its_form() {
+fn recorded_key_file_can_be_read_and_a_new_one_has_the_same_format() {
     let dir = tempdir().unwrap();
     assert_eq!(key::load(&fixture("ledger.key")).unwrap(), KEY);
-    let made = dir.path().join("ledger.key");
-    key::create(&made).unwrap();
-    let text = std::fs::read_to_string(&made).unwrap();
-    assert_eq!(text, hex(&key::load(&made).unwrap()) + "\n");
+    let new_key_file = dir.path().join("ledger.key");
+    key::create(&new_key_file).unwrap();
+    let text = std::fs::read_to_string(&new_key_file).unwrap();
+    assert_eq!(text, hex(&key::load(&new_key_file).unwrap()) + "\n");
 }
 
 #[test]
-fn error_texts_are_as_recorded() {
+fn error_messages_match_the_recorded_ones() {
     assert_eq!(json!(error_texts()), recorded("errors.json"));
 }
 
 #[test]
-fn unreadable_exports_are_found_as_recorded() {
+fn findings_for_invalid_exports_match_the_recorded_ones() {
     assert_eq!(json!(unreadable_exports()), recorded("findings.json"));
 }
 
-/// What each kind of unusable input is refused with.
+/// Returns the error message for each kind of invalid input.
 fn error_texts() -> Vec<String> {
     let dir = tempdir().unwrap();
     let at = |name: &str| dir.path().join(name);
-    let told = |text: String| text.replace(&dir.path().display().to_string(), "DIR");
+    let without_path = |text: String| text.replace(&dir.path().display().to_string(), "DIR");
     std::fs::write(at("bad.key"), "xyz").unwrap();
     let good = std::fs::read_to_string(fixture("export").join(MANIFEST)).unwrap();
     std::fs::write(at("junk.json"), "{").unwrap();
@@ -450,7 +450,8 @@
     )
     .unwrap();
     std::fs::write(at("outside.json"), good.replace(EXPORT, "../x")).unwrap();
-    let manifest = |name: &str| told(Manifest::load(&at(name)).expect_err("refused").to_string());
+    let manifest =
+        |name: &str| without_path(Manifest::load(&at(name)).expect_err("refused").to_string());
     let empty = Correction {
         tenant: " ".into(),
         ..correction(Subject::Usage, 0, 0)
@@ -460,9 +461,9 @@
         ..correction(Subject::Usage, 0, 0)
     };
     vec![
-        told(key::load(&at("none.key")).expect_err("missing").to_string()),
-        told(key::load(&at("bad.key")).expect_err("refused").to_string()),
-        told(
+        without_path(key::load(&at("none.key")).expect_err("missing").to_string()),
+        without_path(key::load(&at("bad.key")).expect_err("refused").to_string()),
+        without_path(
             key::create(&at("bad.key/x"))
                 .expect_err("no folder")
                 .to_string(),
@@ -483,7 +484,7 @@
     ]
 }
 
-/// What is found in exports that are not what their manifests say.
+/// Returns the findings for exports that do not match their manifests.
 fn unreadable_exports() -> Vec<Value> {
     let manifest = std::fs::read_to_string(fixture("export").join(MANIFEST)).unwrap();
     let whole = std::fs::read(fixture("export").join(EXPORT)).unwrap();
@@ -532,6 +533,6 @@
     }
     let scanned = scan(&[dir.path().into()], 1, |_| {}).unwrap();
     let findings = serde_json::to_string(&scanned.findings).unwrap();
-    let told = findings.replace(&dir.path().display().to_string(), "DIR");
-    serde_json::from_str(&told).unwrap()
+    let without_path = findings.replace(&dir.path().display().to_string(), "DIR");
+    serde_json::from_str(&without_path).unwrap()
 }
--- a/crates/ledger/tests/store.rs
+++ b/crates/ledger/tests/store.rs
@@ -1,4 +1,5 @@
-//! The store and its exports under failure: what is cut off, flipped, interrupted, late or full.
+//! Tests of the store and its exports under faults: truncation, flipped bits, interruption, late data and a
+//! full disk.
 
 mod common;
 
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn an_entry_outlives_its_process_and_is_in_doubt_until_it_is_known_to_be_written() {
+fn entry_survives_its_process_and_stays_in_doubt_until_settled() {
     let dir = tempdir().unwrap();
     let mut store = open(dir.path());
     let two = [
@@ -68,7 +69,7 @@
     assert_eq!(
         store.doubts().unwrap(),
         vec![],
-        "a running dispatcher has it in hand"
+        "its answer is in flight in a running dispatcher"
     );
     drop(store);
     let mut store = open(dir.path());
@@ -84,7 +85,7 @@
     assert_eq!(
         store.correct_all(&[bill.clone(), bill]).unwrap(),
         [1, 0],
-        "settled once"
+        "a doubt is settled only once"
     );
     assert_eq!(store.doubts().unwrap(), vec![]);
     let sums = line(&store, hour, "hydrology", "depth-log");
@@ -95,14 +96,14 @@
 }
 
 #[test]
-fn a_clock_that_steps_back_opens_no_closed_period() {
+fn clock_stepping_back_does_not_reopen_a_closed_period() {
     let dir = tempdir().unwrap();
     let mut store = open(dir.path());
-    fill(&mut store, 1..=10, DECEMBER + HOUR - 5 * SECOND);
+    commit_served(&mut store, 1..=10, DECEMBER + HOUR - 5 * SECOND);
     let closed = store
         .close_due(DECEMBER + HOUR + 9 * SECOND, 10 * SECOND)
         .unwrap();
-    assert_eq!(closed, vec![], "the lateness allowance is not over");
+    assert_eq!(closed, vec![], "the lateness allowance has not passed");
     let closed = store
         .close_due(DECEMBER + HOUR + 10 * SECOND, 10 * SECOND)
         .unwrap();
@@ -111,7 +112,7 @@
         [period("2026-12-01T00")]
     );
     let sealed = store.sums(period("2026-12-01T00")).unwrap();
-    fill(&mut store, 11..=15, DECEMBER + 10 * SECOND); // an hour back
+    commit_served(&mut store, 11..=15, DECEMBER + 10 * SECOND); // the clock has stepped back by an hour
     assert_eq!(store.sums(period("2026-12-01T00")).unwrap(), sealed);
     let next = store.sums(period("2026-12-01T01")).unwrap();
     assert_eq!(next.values().map(|u| u.served).sum::<u64>(), 5);
@@ -119,10 +120,10 @@
 }
 
 #[test]
-fn a_late_correction_leaves_a_closed_and_exported_period_untouched() {
+fn late_correction_does_not_change_a_closed_and_exported_period() {
     let (dir, out) = (tempdir().unwrap(), tempdir().unwrap());
     let mut store = open(dir.path());
-    fill(&mut store, 1..=10, DECEMBER);
+    commit_served(&mut store, 1..=10, DECEMBER);
     store.close_due(DECEMBER + 2 * HOUR, 0).unwrap();
     let first = period("2026-12-01T00");
     export(&store, first, out.path(), |_| true).unwrap();
@@ -159,10 +160,10 @@
 #[case(Stage::Written)]
 #[case(Stage::Placed)]
 #[case(Stage::ManifestWritten)]
-fn an_export_that_was_interrupted_gives_the_same_when_it_runs_again(#[case] stage: Stage) {
+fn interrupted_export_is_identical_when_repeated(#[case] stage: Stage) {
     let (dir, cut, whole) = (tempdir().unwrap(), tempdir().unwrap(), tempdir().unwrap());
     let mut store = open(dir.path());
-    fill(&mut store, 1..=500, DECEMBER);
+    commit_served(&mut store, 1..=500, DECEMBER);
     let hour = period("2026-12-01T00");
     assert!(matches!(
         export(&store, hour, cut.path(), |_| true),
@@ -178,7 +179,7 @@
     );
     assert!(
         !cut.path().join("n1_2026-12-01T00.json").exists(),
-        "a manifest stands only where all is whole"
+        "a manifest exists only for a complete export"
     );
     assert!(reconcile(&[cut.path()]).merged.is_empty());
     assert_eq!(
@@ -193,25 +194,25 @@
         let read = |d: &tempfile::TempDir| std::fs::read(d.path().join(name)).unwrap();
         assert_eq!(read(&cut), read(&whole), "{name}");
     }
-    // The same period twice is counted once.
+    // The same period exported to several folders is counted once.
     let both = reconcile(&[cut.path(), whole.path(), whole.path()]);
     assert_eq!((both.merged.entries(), both.findings), (500, vec![]));
 }
 
 #[test]
-fn a_changed_byte_is_found_and_its_entry_named() {
+fn changed_byte_is_detected_and_its_entry_named() {
     let dir = tempdir().unwrap();
     let mut store = open(dir.path());
-    fill(&mut store, 1..=5, DECEMBER);
+    commit_served(&mut store, 1..=5, DECEMBER);
     store.checkpoint().unwrap();
     drop(store);
     let path = dir.path().join(DATABASE_FILE);
     let mut bytes = std::fs::read(&path).unwrap();
-    let id = 4u64.wrapping_mul(0x9e37_79b9_7f4a_7c15).to_be_bytes(); // hex digits take half their bytes
+    let id = 4u64.wrapping_mul(0x9e37_79b9_7f4a_7c15).to_be_bytes(); // ids of hex digits are stored as bytes
     let at = bytes
         .windows(8)
         .position(|w| w == id)
-        .expect("entry 4 lies there");
+        .expect("the file contains entry 4");
     bytes[at] ^= 1;
     std::fs::write(&path, bytes).unwrap();
     let store = Store::open_for_command(dir.path(), KEY).unwrap();
@@ -219,16 +220,17 @@
     assert!(why.contains("damaged: entry 4 of epoch"), "{why}");
     assert!(
         store.sums(period("2026-12-01T00")).is_err(),
-        "no sum over what was changed"
+        "no total is computed over changed data"
     );
 }
 
-/// Every byte of a small ledger's file, changed in turn: either nothing that is counted differs, or it is told.
+/// Flips one bit of each byte of a small ledger file in turn. Guards against a changed byte that alters a
+/// total without an error.
 #[test]
-fn no_changed_byte_makes_a_wrong_sum() {
+fn no_changed_byte_alters_a_total_undetected() {
     let dir = tempdir().unwrap();
     let mut store = open(dir.path());
-    fill(&mut store, 1..=6, DECEMBER);
+    commit_served(&mut store, 1..=6, DECEMBER);
     store
         .commit(
             &[entry(7, DECEMBER, "foundations", Answer::Served)],
@@ -237,7 +239,7 @@
         )
         .unwrap();
     store.close_due(DECEMBER + 2 * HOUR, 0).unwrap();
-    fill(&mut store, 8..=12, DECEMBER + 3 * HOUR);
+    commit_served(&mut store, 8..=12, DECEMBER + 3 * HOUR);
     store
         .correct(&correction(
             period("2026-12-01T00"),
@@ -260,8 +262,8 @@
             .map_err(|e| e.to_string())
     };
     let right = count().unwrap();
-    let (mut told, mut harmless) = (0, 0);
-    // Pages are mostly empty: bytes that hold nothing are changed too, but only each 31st of them.
+    let (mut detected, mut harmless) = (0, 0);
+    // Pages are mostly empty. Of the bytes that are zero, only every 31st is changed.
     for at in (0..whole.len()).filter(|at| whole[*at] != 0 || at % 31 == 0) {
         let mut bytes = whole.clone();
         bytes[at] ^= 1 << (at % 8);
@@ -273,24 +275,24 @@
             }
             Err(why) => {
                 assert!(!why.contains('\n'), "{why}");
-                told += 1;
+                detected += 1;
             }
         }
     }
     assert!(
-        told > harmless / 10,
-        "{told} were told, {harmless} did no harm"
+        detected > harmless / 10,
+        "{detected} changes were detected, {harmless} had no effect"
     );
 }
 
 #[test]
-fn a_byte_changed_in_the_log_of_changes_loses_no_commit_in_silence() {
+fn damaged_write_ahead_log_is_rejected_instead_of_losing_commits() {
     let dir = tempdir().unwrap();
     let mut store = open(dir.path());
     for n in 0..5 {
-        fill(&mut store, n * 10 + 1..=n * 10 + 10, DECEMBER);
+        commit_served(&mut store, n * 10 + 1..=n * 10 + 10, DECEMBER);
     }
-    // As a crash leaves it: the log holds what the file does not.
+    // The state after a crash: the write-ahead log holds commits that the database file does not.
     let left = tempdir().unwrap();
     for name in [DATABASE_FILE, "ledger.db-wal"] {
         std::fs::copy(dir.path().join(name), left.path().join(name)).unwrap();
@@ -314,7 +316,8 @@
         why.contains("the write-ahead log is damaged") && why.contains("would be lost"),
         "{why}"
     );
-    // A command does not open it either: closing it would write back what is left, and the rest would be gone.
+    // Opening it for a command must fail too: closing the database would checkpoint the readable part of the
+    // log, and the rest would be lost.
     let why = Store::open_for_command(left.path(), KEY)
         .err()
         .expect("an error")
@@ -323,19 +326,19 @@
         why.contains("would be lost") && std::fs::read(&log).unwrap() == middle,
         "{why}"
     );
-    // What a crash cuts off in the middle of the last commit was never answered for.
+    // A commit that is truncated by a crash was never acknowledged.
     assert_eq!(opened(&bytes[..bytes.len() - 100]), Ok(40));
 }
 
 #[test]
-fn a_crash_in_the_middle_of_writing_the_log_back_is_mended() {
+fn crash_during_a_checkpoint_is_recovered() {
     let dir = tempdir().unwrap();
     let mut store = open(dir.path());
-    (0..20).for_each(|n| fill(&mut store, n * 100 + 1..=n * 100 + 100, DECEMBER));
+    (0..20).for_each(|n| commit_served(&mut store, n * 100 + 1..=n * 100 + 100, DECEMBER));
     let log = std::fs::read(dir.path().join("ledger.db-wal")).unwrap();
     store.checkpoint().unwrap();
     let whole = std::fs::read(dir.path().join(DATABASE_FILE)).unwrap();
-    // The head is written first: for a moment the file is shorter than it says.
+    // A checkpoint writes the file header first, so the file is temporarily shorter than its header says.
     let left = tempdir().unwrap();
     std::fs::write(
         left.path().join(DATABASE_FILE),
@@ -349,7 +352,7 @@
         .unwrap();
     assert_eq!(sums.values().map(Usage::entries).sum::<u64>(), 2_000);
     assert_eq!(open(left.path()).verify(|_| {}).unwrap().entries, 2_000);
-    // Without its log the same file is cut off.
+    // Without its write-ahead log the same file counts as truncated.
     std::fs::write(
         left.path().join(DATABASE_FILE),
         &whole[..whole.len() / 2 / 4_096 * 4_096],
@@ -360,10 +363,10 @@
 }
 
 #[test]
-fn a_changed_correction_or_seal_is_found() {
+fn changed_correction_or_wrong_key_is_detected() {
     let dir = tempdir().unwrap();
     let mut store = open(dir.path());
-    fill(&mut store, 1..=5, DECEMBER);
+    commit_served(&mut store, 1..=5, DECEMBER);
     store
         .correct(&correction(period("2026-12-01T00"), DECEMBER, 3, 3))
         .unwrap();
@@ -384,7 +387,7 @@
     let at = bytes
         .windows(9)
         .position(|w| w == b"ticket 12")
-        .expect("the reason lies there");
+        .expect("the file contains the reason");
     bytes[at + 8] = b'3';
     std::fs::write(&path, bytes).unwrap();
     let why = Store::open_for_command(dir.path(), KEY)
@@ -396,21 +399,21 @@
 }
 
 #[test]
-fn what_cannot_be_used_is_told_in_one_clear_line() {
+fn unusable_store_is_rejected_with_a_single_line_message() {
     let dir = tempdir().unwrap();
-    let told = |e: Result<Store, StoreError>| e.err().expect("an error").to_string();
-    let missing = told(Store::open_for_command(dir.path(), KEY));
+    let error_text = |e: Result<Store, StoreError>| e.err().expect("an error").to_string();
+    let missing = error_text(Store::open_for_command(dir.path(), KEY));
     assert!(missing.ends_with("there is no ledger here"), "{missing}");
     let mut store = open(dir.path());
-    let second = told(Store::open(&options(dir.path(), "n1"), DECEMBER));
+    let second = error_text(Store::open(&options(dir.path(), "n1"), DECEMBER));
     assert!(
         second.ends_with("another process writes to this ledger"),
         "{second}"
     );
-    fill(&mut store, 1..=2_000, DECEMBER);
+    commit_served(&mut store, 1..=2_000, DECEMBER);
     store.checkpoint().unwrap();
     drop(store);
-    let other = told(Store::open(&options(dir.path(), "n2"), DECEMBER));
+    let other = error_text(Store::open(&options(dir.path(), "n2"), DECEMBER));
     assert!(other.contains("made for instance n1, not n2"), "{other}");
     let path = dir.path().join(DATABASE_FILE);
     let whole = std::fs::read(&path).unwrap();
@@ -420,13 +423,13 @@
         (vec![b'x'; 5_000], "damaged: not a database"),
     ] {
         std::fs::write(&path, bytes).unwrap();
-        let why = told(Store::open(&options(dir.path(), "n1"), DECEMBER));
+        let why = error_text(Store::open(&options(dir.path(), "n1"), DECEMBER));
         assert!(why.contains(what) && !why.contains('\n'), "{why}");
     }
     let mut newer = whole.clone();
     newer[60..64].copy_from_slice(&(VERSION as u32 + 1).to_be_bytes());
     std::fs::write(&path, newer).unwrap();
-    let why = told(Store::open(&options(dir.path(), "n1"), DECEMBER));
+    let why = error_text(Store::open(&options(dir.path(), "n1"), DECEMBER));
     assert!(
         why.ends_with(
             "format version 2 is newer than 1, the latest version that this program supports"
@@ -435,8 +438,8 @@
     );
     std::fs::write(&path, whole).unwrap();
     assert_eq!(open(dir.path()).verify(|_| {}).unwrap().entries, 2_000);
-    // A file system where nobody may write.
-    let why = told(Store::open(
+    // A file system that does not allow writing.
+    let why = error_text(Store::open(
         &options(Path::new("/sys/streamusher-ledger"), "n1"),
         DECEMBER,
     ));
@@ -444,17 +447,17 @@
         why.ends_with("not writable (read-only or access denied)"),
         "{why}"
     );
-    // A file where the folder should be: no folder can be made there.
-    let why = told(Store::open(&options(&path, "n1"), DECEMBER));
+    // A file in place of the folder, so that no folder can be created.
+    let why = error_text(Store::open(&options(&path, "n1"), DECEMBER));
     assert!(why.contains("ledger.db") && !why.contains('\n'), "{why}");
 }
 
 #[test]
-fn a_full_disk_is_told_once_and_nothing_is_lost_or_doubled_when_there_is_room_again() {
+fn full_disk_is_reported_and_entries_are_neither_lost_nor_duplicated() {
     let dir = tempdir().unwrap();
     let mut small = options(dir.path(), "n1");
     small.max_bytes = Some(64 << 10);
-    let (tell, told) = channel();
+    let (event_sender, events) = channel();
     let closing = ClosingRules {
         lateness_us: HOUR,
         doubts: None,
@@ -463,14 +466,15 @@
         small,
         closing.clone(),
         || DECEMBER,
-        move |t| drop(tell.send(t)),
+        move |t| drop(event_sender.send(t)),
     )
     .unwrap();
     let long = "x".repeat(100);
     let wide = |n| entry(n, DECEMBER, &format!("{long}{n}"), Answer::Served);
     let next = || {
-        told.recv_timeout(Duration::from_secs(20))
-            .expect("it is told")
+        events
+            .recv_timeout(Duration::from_secs(20))
+            .expect("the writer sends an event")
     };
     assert!(matches!(next(), WriterEvent::Opened { .. }));
     let mut durable = 0;
@@ -486,7 +490,7 @@
         }
     });
     assert!(why.unwrap().ends_with("the disk is full"));
-    drop(writer); // it gives up on what does not fit
+    drop(writer); // entries that do not fit are given up
     let mut store = open(dir.path());
     let count = |s: &Store| {
         s.sums(period("2026-12-01T00"))
@@ -495,28 +499,33 @@
             .map(Usage::entries)
             .sum::<u64>()
     };
-    assert_eq!(count(&store), durable, "a commit is whole or not there");
-    // With room again the same entries go in once, in an epoch of their own.
+    assert_eq!(
+        count(&store),
+        durable,
+        "a commit is stored completely or not at all"
+    );
+    // Once there is space again, the same entries are written once, in a new epoch.
     store.commit(&[wide(1), wide(2)], &[1, 2], &[]).unwrap();
     assert_eq!(count(&store), durable + 2);
     store.verify(|_| {}).unwrap();
 }
 
-/// Guards against a process that cannot end for many seconds, and is killed then, as another one's commit lasts.
+/// Guards against a process that cannot shut down for many seconds, and is killed then, because another
+/// process's commit takes long.
 #[test]
-fn writer_waits_for_another_commit_without_failing_and_ends_although_that_lasts() {
+fn writer_waits_for_a_locked_store_and_shuts_down_while_it_is_locked() {
     let dir = tempdir().unwrap();
-    let (tell, told) = channel();
+    let (event_sender, events) = channel();
     let closing = ClosingRules {
         lateness_us: HOUR,
         doubts: None,
     };
     let now = || DECEMBER;
     let writer = Writer::start(options(dir.path(), "n1"), closing, now, move |t| {
-        drop(tell.send(t))
+        drop(event_sender.send(t))
     })
     .unwrap();
-    let next = |wait| told.recv_timeout(wait);
+    let next = |wait| events.recv_timeout(wait);
     let long = Duration::from_secs(20);
     assert!(matches!(next(long), Ok(WriterEvent::Opened { .. })));
     let database = rusqlite::Connection::open(dir.path().join(DATABASE_FILE)).unwrap();
@@ -546,7 +555,11 @@
     assert!(took < Duration::from_secs(4), "{took:?}");
     database.execute_batch("COMMIT").unwrap();
     let store = Store::open_for_command(dir.path(), KEY).unwrap();
-    assert_eq!(store.doubts().unwrap().len(), 1, "only the first one");
+    assert_eq!(
+        store.doubts().unwrap().len(),
+        1,
+        "only the first entry was written"
+    );
 }
 
 #[rstest]
@@ -561,19 +574,19 @@
     store
         .commit(&[entry(1, DECEMBER, "hydrology", Answer::Served)], &[], &[])
         .unwrap();
-    drop(store); // as a crash leaves it
-    let (tell, told) = channel();
+    drop(store); // leaves the entry without a delivery mark, as a crash does
+    let (event_sender, events) = channel();
     let closing = ClosingRules {
         lateness_us: HOUR,
         doubts: Some(rule),
     };
     let later = || DECEMBER + 3 * HOUR;
     let writer = Writer::start(options(dir.path(), "n1"), closing, later, move |t| {
-        drop(tell.send(t))
+        drop(event_sender.send(t))
     })
     .unwrap();
     let closed =
-        std::iter::from_fn(|| told.recv_timeout(Duration::from_secs(20)).ok()).find_map(|t| {
+        std::iter::from_fn(|| events.recv_timeout(Duration::from_secs(20)).ok()).find_map(|t| {
             if let WriterEvent::Closed(closed) = t {
                 Some(closed)
             } else {
@@ -592,15 +605,15 @@
     );
 }
 
-/// Guards against doubts that stay for good, as the store was locked when the rule was to settle them.
+/// Guards against doubts that are never settled because the store was locked when the rule was applied.
 #[test]
-fn doubts_are_settled_by_the_rule_although_the_store_is_locked_at_first() {
+fn doubts_are_settled_by_the_rule_after_the_store_was_locked() {
     let dir = tempdir().unwrap();
     let mut store = open(dir.path());
     store
         .commit(&[entry(1, DECEMBER, "hydrology", Answer::Served)], &[], &[])
         .unwrap();
-    drop(store); // as a crash leaves it
+    drop(store); // leaves the entry without a delivery mark, as a crash does
     let closing = ClosingRules {
         lateness_us: HOUR,
         doubts: Some(Settle::Bill),
@@ -609,7 +622,7 @@
     let path = dir.path().join(DATABASE_FILE);
     let (send, locks) = channel();
     let writer = Writer::start(options(dir.path(), "n1"), closing, later, move |event| {
-        // Called between the close and the settlement.
+        // Called between the closing and the settlement.
         if matches!(event, WriterEvent::Closed(_)) {
             let lock = rusqlite::Connection::open(&path).unwrap();
             lock.execute_batch("BEGIN IMMEDIATE").unwrap();
@@ -619,20 +632,23 @@
     .unwrap();
     let lock = locks.recv_timeout(Duration::from_secs(20)).unwrap();
     let unsettled = Store::open_for_command(dir.path(), KEY).unwrap();
-    // Longer than one attempt to settle lasts.
+    // Longer than one attempt to settle takes.
     assert!(locks.recv_timeout(Duration::from_secs(1)).is_err());
     assert_eq!(unsettled.doubts().unwrap().len(), 1);
     drop(lock);
     let by = std::time::Instant::now() + Duration::from_secs(20);
     while !unsettled.doubts().unwrap().is_empty() {
-        assert!(std::time::Instant::now() < by, "it is tried again");
+        assert!(
+            std::time::Instant::now() < by,
+            "the settlement is not retried"
+        );
         std::thread::yield_now();
     }
     drop(writer);
 }
 
 #[test]
-fn a_writer_that_ends_in_order_leaves_no_doubt() {
+fn orderly_shutdown_of_the_writer_leaves_no_doubts() {
     let dir = tempdir().unwrap();
     let closing = ClosingRules {
         lateness_us: HOUR,
@@ -665,7 +681,7 @@
 }
 
 #[test]
-fn one_of_a_thousand_tenants_sends_nine_tenths_and_all_are_counted_to_the_unit() {
+fn totals_are_exact_with_one_tenant_sending_90_percent_of_20000_entries() {
     let dir = tempdir().unwrap();
     let mut store = open(dir.path());
     let tenant = |n: u64| {
@@ -693,7 +709,8 @@
     assert!((0..1_000).all(|n| of(&format!("t{n}")) == 2));
 }
 
-/// Two instances that closed one period; the second was asked again for what the first had answered when it died.
+/// Exports the same period from two instances. Both answered a request with the same idempotency key: it was
+/// repeated at the second instance after the first one had crashed.
 fn two_instances(out: &Path) {
     for (name, numbers, key) in [("n1", 1..=30u64, "retried"), ("n2", 1..=20, "retried")] {
         let dir = tempdir().unwrap();
@@ -707,7 +724,7 @@
         let last = entries.last_mut().unwrap();
         last.key = Some(key_hash(&KEY, key));
         let last = last.seq;
-        entries.retain(|e| e.seq != 7); // it was never booked
+        entries.retain(|e| e.seq != 7); // an answer that was never booked
         let written: Vec<u64> = (1..=last).filter(|n| name == "n2" || *n < last).collect();
         store.commit(&entries, &written, &[]).unwrap();
         drop(store);
@@ -718,7 +735,7 @@
 }
 
 #[test]
-fn reconciling_shows_gaps_doubts_and_what_two_instances_answered() {
+fn reconciliation_reports_gaps_doubts_and_repeated_keys() {
     let out = tempdir().unwrap();
     two_instances(out.path());
     let all = reconcile(&[out.path()]);
@@ -759,14 +776,18 @@
         .values()
         .map(|u| u.served)
         .sum();
-    assert_eq!(served, 28 + 19, "the doubt is in no sum");
+    assert_eq!(
+        served,
+        28 + 19,
+        "an entry in doubt is not counted as served"
+    );
 }
 
 #[rstest]
 #[case::flipped("n1_2026-12-01T00.ledger.zst", "")]
 #[case::no_manifest("", "n1_2026-12-01T00.json")]
 #[case::manifest_junk("n1_2026-12-01T00.json", "")]
-fn what_was_changed_is_told_and_not_counted(#[case] flip: &str, #[case] remove: &str) {
+fn changed_exports_are_reported_and_not_counted(#[case] flip: &str, #[case] remove: &str) {
     let out = tempdir().unwrap();
     two_instances(out.path());
     if !flip.is_empty() {
@@ -797,11 +818,11 @@
 }
 
 #[test]
-fn a_missing_period_shows_in_the_chain() {
+fn missing_period_is_found_by_the_chain_of_seals() {
     let (dir, out) = (tempdir().unwrap(), tempdir().unwrap());
     let mut store = open(dir.path());
     for hour in 0..3 {
-        fill(
+        commit_served(
             &mut store,
             hour * 10 + 1..=hour * 10 + 10,
             DECEMBER + hour * HOUR,
