--- a/crates/ledger/src/period.rs
+++ b/crates/ledger/src/period.rs
@@ -49,8 +49,8 @@
     /// Returns the period of this length that starts at `start_s`, or `None` if no period starts at that
     /// second.
     pub fn starting(span: Span, start_s: i64) -> Option<Period> {
-        let at = u64::try_from(start_s).ok()?.checked_mul(1_000_000)?;
-        Some(Period::of(span, at)).filter(|period| period.start_s == start_s)
+        let start_us = u64::try_from(start_s).ok()?.checked_mul(1_000_000)?;
+        Some(Period::of(span, start_us)).filter(|period| period.start_s == start_s)
     }
 
     /// Length of the period.
@@ -83,36 +83,43 @@
 }
 
 fn utc_datetime(second: i64) -> civil::DateTime {
-    let at = Timestamp::from_second(second.clamp(0, MAX_SECOND)).unwrap_or(Timestamp::UNIX_EPOCH);
-    TimeZone::UTC.to_datetime(at)
+    let timestamp =
+        Timestamp::from_second(second.clamp(0, MAX_SECOND)).unwrap_or(Timestamp::UNIX_EPOCH);
+    TimeZone::UTC.to_datetime(timestamp)
 }
 
 fn midnight_utc(day: civil::Date) -> i64 {
-    let at = TimeZone::UTC.to_timestamp(day.at(0, 0, 0, 0));
-    at.map_or(0, Timestamp::as_second)
+    let timestamp = TimeZone::UTC.to_timestamp(day.at(0, 0, 0, 0));
+    timestamp.map_or(0, Timestamp::as_second)
 }
 
 /// Formats a point in time according to RFC 3339, rounded to whole seconds.
 pub fn format_timestamp(time_us: Micros) -> String {
-    let at = Timestamp::from_microsecond(i64::try_from(time_us).unwrap_or(i64::MAX));
-    let at = at.and_then(|t| t.round(Unit::Second));
-    at.map_or_else(|_| "later than calendars go".into(), |t| t.to_string())
+    let timestamp = Timestamp::from_microsecond(i64::try_from(time_us).unwrap_or(i64::MAX));
+    let timestamp = timestamp.and_then(|t| t.round(Unit::Second));
+    timestamp.map_or_else(|_| "later than calendars go".into(), |t| t.to_string())
 }
 
 impl fmt::Display for Period {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let at = utc_datetime(self.start_s);
+        let datetime = utc_datetime(self.start_s);
         match self.span {
             Span::Hour => write!(
                 f,
                 "{:04}-{:02}-{:02}T{:02}",
-                at.year(),
-                at.month(),
-                at.day(),
-                at.hour()
+                datetime.year(),
+                datetime.month(),
+                datetime.day(),
+                datetime.hour()
             ),
-            Span::Day => write!(f, "{:04}-{:02}-{:02}", at.year(), at.month(), at.day()),
-            Span::Month => write!(f, "{:04}-{:02}", at.year(), at.month()),
+            Span::Day => write!(
+                f,
+                "{:04}-{:02}-{:02}",
+                datetime.year(),
+                datetime.month(),
+                datetime.day()
+            ),
+            Span::Month => write!(f, "{:04}-{:02}", datetime.year(), datetime.month()),
         }
     }
 }
--- a/crates/ledger/src/store/mod.rs
+++ b/crates/ledger/src/store/mod.rs
@@ -240,8 +240,8 @@
             .ok_or_else(|| self.damaged(format!("table about has no value for {name}")))
     }
 
-    /// Guards against totals over two period lengths, sequence numbers of two instances, and MACs that nobody
-    /// can verify.
+    /// Guards against totals over two period lengths, sequence numbers of two instances, and MACs that cannot
+    /// be verified.
     fn check_metadata(&self, options: &Options) -> Result<(), StoreError> {
         for (name, expected) in [
             ("instance", options.instance.clone()),
@@ -310,15 +310,15 @@
     }
 }
 
-fn io_error(path: &Path, e: &std::io::Error) -> StoreError {
+fn io_error(path: &Path, error: &std::io::Error) -> StoreError {
     use std::io::ErrorKind as Kind;
     let path = path.to_path_buf();
-    match e.kind() {
+    match error.kind() {
         Kind::PermissionDenied | Kind::ReadOnlyFilesystem => StoreError::ReadOnly(path),
         Kind::StorageFull | Kind::QuotaExceeded => StoreError::Full(path),
         _ => StoreError::Io {
             path,
-            why: e.to_string(),
+            why: error.to_string(),
         },
     }
 }
--- a/crates/ledger/src/store/write.rs
+++ b/crates/ledger/src/store/write.rs
@@ -24,16 +24,16 @@
 }
 
 impl Store {
-    /// Runs `f` in one transaction. Acquires the write lock at the start, so that the transaction cannot fail
+    /// Runs `operation` in one transaction. Acquires the write lock at the start, so that the transaction cannot fail
     /// for lack of it only at its end.
     fn in_transaction<T>(
         &mut self,
-        f: impl FnOnce(&Transaction, &mut HashMap<Arc<str>, u32>) -> rusqlite::Result<T>,
+        operation: impl FnOnce(&Transaction, &mut HashMap<Arc<str>, u32>) -> rusqlite::Result<T>,
     ) -> Result<T, StoreError> {
         let (db, names, path) = (&mut self.db, &mut self.names, &self.path);
         let run = || {
             let transaction = db.transaction_with_behavior(TransactionBehavior::Immediate)?;
-            let outcome = f(&transaction, names)?;
+            let outcome = operation(&transaction, names)?;
             transaction.commit()?;
             Ok(outcome)
         };
@@ -84,8 +84,10 @@
             .clone()
             .ok_or_else(|| self.damaged("opened for a command, not for writing entries"))?;
         let mut marks = previous_marks;
-        written.iter().for_each(|id| marks.written.add(*id));
-        undelivered.iter().for_each(|id| marks.undelivered.add(*id));
+        written.iter().for_each(|seq| marks.written.add(*seq));
+        undelivered
+            .iter()
+            .for_each(|seq| marks.undelivered.add(*seq));
         let last = entries.last().map_or(last, |e| e.seq).max(last);
         let bytes = marked::to_bytes(epoch, &marks);
         self.in_transaction(|transaction, names| {
