--- a/crates/ledger/tests/recorded.rs
+++ b/crates/ledger/tests/recorded.rs
@@ -1,4 +1,4 @@
-//! Recorded forms: a data directory, an export and the bytes of keys, MACs and seals, as they were first written.
+//! Compatibility with recorded formats: a data directory, an export, and the encoded keys, MACs and seals.
 #![allow(
     clippy::expect_used,
     clippy::unwrap_used,
@@ -12,15 +12,15 @@
 use rusqlite::Connection;
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
-use streamusher_ledger::correction::{About, Correction};
-use streamusher_ledger::entry::{key_hash, pack, Answer, Entry, Row, Unpack};
+use streamusher_ledger::correction::{Correction, Subject};
+use streamusher_ledger::entry::{key_hash, pack, Answer, Entry, Row, RowReader};
 use streamusher_ledger::export::{export, Manifest};
 use streamusher_ledger::gate::OnFailure;
 use streamusher_ledger::marks::{Marks, Ranges};
 use streamusher_ledger::period::{Period, Span};
-use streamusher_ledger::reconcile::{Finding, OpenDoubt, Place};
+use streamusher_ledger::reconcile::{EntryId, Finding, OpenDoubt};
 use streamusher_ledger::scan::scan;
-use streamusher_ledger::store::{Settle, Store, FILE};
+use streamusher_ledger::store::{Settle, Store, DATABASE_FILE};
 use streamusher_ledger::{key, receipts, seal};
 use tempfile::tempdir;
 
@@ -50,11 +50,11 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn correction(about: About, operations: i64, slot_us: i128) -> Correction {
+fn correction(subject: Subject, operations: i64, slot_us: i128) -> Correction {
     Correction {
         time_us: DECEMBER + 50 * SECOND,
-        of: Period::of(Span::Hour, DECEMBER),
-        about,
+        corrected_period: Period::of(Span::Hour, DECEMBER),
+        subject,
         tenant: "hydrology".into(),
         class: "depth-log".into(),
         operations,
@@ -64,7 +64,7 @@
     }
 }
 
-/// Entries with each kind of answer, both kinds of ids, with and without keys.
+/// Entries with each outcome, hex and text ids, with and without idempotency keys.
 fn entries() -> Vec<Entry> {
     let answers = [Answer::Served, Answer::Busy, Answer::Failed, Answer::Gone];
     let mut entries: Vec<Entry> = (1..=20u64)
@@ -80,8 +80,8 @@
     entries
 }
 
-/// Writes two periods, the first of them closed: entries of two epochs, marks of each kind, corrections of each kind,
-/// and a doubt left open.
+/// Writes two periods, the first of them closed: entries of two epochs, delivery marks of each kind,
+/// corrections of each kind, and one open doubt.
 fn write_store(dir: &Path) {
     let mut store = Store::open(&options(dir, "n1"), DECEMBER).unwrap();
     let entries = entries();
@@ -94,7 +94,9 @@
     let served = entry(1, DECEMBER + 40 * SECOND, "hydrology", Answer::Served);
     let unknown = entry(2, DECEMBER + 41 * SECOND, "hydrology", Answer::Served);
     store.commit(&[served, unknown], &[1], &[]).unwrap();
-    store.correct(&correction(About::Use, -1, -300)).unwrap();
+    store
+        .correct(&correction(Subject::Usage, -1, -300))
+        .unwrap();
     settle_by_receipts(&mut store, dir);
     store.close_due(DECEMBER + HOUR, 0).unwrap();
     let late = entry(3, DECEMBER + HOUR + SECOND, "geology", Answer::Served);
@@ -102,14 +104,14 @@
     store.end_epoch(DECEMBER + HOUR + 2 * SECOND).unwrap();
 }
 
-/// Bills the first of the first epoch's doubts, as its client has a receipt for it, and waives the second.
+/// Bills the first doubt of the first epoch, for which there is a receipt, and waives the second.
 fn settle_by_receipts(store: &mut Store, dir: &Path) {
     let doubts = store.doubts().unwrap();
     assert_eq!(doubts.len(), 3, "{doubts:?}");
     let file = dir.join("receipts.csv");
     let operation = &doubts[0].row.operation;
     std::fs::write(&file, format!("tenant,operation\nhydrology,{operation}\n")).unwrap();
-    let found = receipts::found(&file, &doubts).unwrap();
+    let found = receipts::find_receipts(&file, &doubts).unwrap();
     std::fs::remove_file(&file).unwrap();
     let settled = receipts::settle(
         store,
@@ -126,9 +128,9 @@
     assert_eq!((settled.billed, settled.waived), (1, 1));
 }
 
-/// Every row of every table, blobs as hex digits.
+/// Returns all rows of all tables, with blobs as hex digits.
 fn tables(dir: &Path) -> Value {
-    let database = Connection::open(dir.join(FILE)).unwrap();
+    let database = Connection::open(dir.join(DATABASE_FILE)).unwrap();
     let mut tables = serde_json::Map::new();
     for (table, order) in TABLES {
         let sql = format!("SELECT * FROM {table} ORDER BY {order}");
@@ -178,7 +180,7 @@
     json!({ "period": period, "entries": rows, "sums": sums, "corrections": corrections })
 }
 
-/// What a store says of itself when it is read.
+/// Returns all data that can be read from a store.
 fn content(store: &Store) -> Value {
     let seals: Vec<Value> = store
         .seals()
@@ -228,11 +230,11 @@
     })
 }
 
-/// The encoded forms that do not lie in a store.
+/// Returns the encoded forms that are not part of a store.
 fn encoded_forms() -> Value {
     let moment = DECEMBER + 11 * HOUR;
     let periods = [Span::Hour, Span::Day, Span::Month].map(|span| Period::of(span, moment));
-    let place = Place {
+    let place = EntryId {
         instance: "n1".into(),
         epoch: 7,
         seq: 9,
@@ -274,21 +276,21 @@
     written.add(8);
     let marks = Marks {
         written,
-        broke: Ranges::default(),
+        undelivered: Ranges::default(),
     };
     let abouts = [
-        About::Use,
-        About::Billed { epoch: 7, seq: 9 },
-        About::Waived { epoch: 7, seq: 10 },
+        Subject::Usage,
+        Subject::Billed { epoch: 7, seq: 9 },
+        Subject::Waived { epoch: 7, seq: 10 },
     ];
-    let corrections = abouts.map(|about| {
-        let correction = correction(about, -2, -600_000);
+    let corrections = abouts.map(|subject| {
+        let correction = correction(subject, -2, -600_000);
         let bytes = correction.bytes();
         let mac = Correction::mac(&bytes, &KEY, "n1", 3);
         json!([correction, hex(&bytes), hex(&mac)])
     });
     let block = packed_rows();
-    let block_place = seal::Place {
+    let block_place = seal::BlockPosition {
         period: periods[0],
         epoch: 7,
         first: 1,
@@ -312,7 +314,7 @@
         "key_hash": hex(&key_hash(&KEY, "idempotency key")),
         "block": hex(&block),
         "block_hash": hex(&block_hash),
-        "seal": hex(&chain.end()),
+        "seal": hex(&chain.finish()),
     })
 }
 
@@ -320,7 +322,7 @@
     entries()
         .iter()
         .enumerate()
-        .map(|(index, entry)| Row::of(entry, index as u32, 300 + index as u32))
+        .map(|(index, entry)| Row::from_entry(entry, index as u32, 300 + index as u32))
         .collect()
 }
 
@@ -336,21 +338,21 @@
 
 fn copied_store() -> tempfile::TempDir {
     let dir = tempdir().unwrap();
-    std::fs::copy(fixture(FILE), dir.path().join(FILE)).unwrap();
+    std::fs::copy(fixture(DATABASE_FILE), dir.path().join(DATABASE_FILE)).unwrap();
     dir
 }
 
 #[test]
-fn a_recorded_store_is_read_as_it_was_written() {
+fn recorded_store_can_be_read() {
     let dir = copied_store();
-    let store = Store::command(dir.path(), KEY).unwrap();
+    let store = Store::open_for_command(dir.path(), KEY).unwrap();
     assert_eq!(content(&store), recorded("content.json"));
     drop(store);
     assert_eq!(tables(dir.path()), recorded("tables.json"));
 }
 
 #[test]
-fn a_recorded_store_is_continued_in_a_new_epoch() {
+fn recorded_store_can_be_continued_in_a_new_epoch() {
     let dir = copied_store();
     let mut store = Store::open(&options(dir.path(), "n1"), DECEMBER).unwrap();
     assert_eq!(store.epoch(), DECEMBER + 30 * SECOND + 1);
@@ -361,18 +363,18 @@
 }
 
 #[test]
-fn a_store_is_written_as_recorded() {
+fn written_store_matches_the_recorded_one() {
     let dir = tempdir().unwrap();
     write_store(dir.path());
     assert_eq!(tables(dir.path()), recorded("tables.json"));
-    let store = Store::command(dir.path(), KEY).unwrap();
+    let store = Store::open_for_command(dir.path(), KEY).unwrap();
     assert_eq!(content(&store), recorded("content.json"));
 }
 
 #[test]
-fn an_export_is_written_as_recorded() {
+fn written_export_matches_the_recorded_one() {
     let (dir, out) = (copied_store(), tempdir().unwrap());
-    let store = Store::command(dir.path(), KEY).unwrap();
+    let store = Store::open_for_command(dir.path(), KEY).unwrap();
     let period = Period::of(Span::Hour, DECEMBER);
     let manifest = export(&store, period, out.path(), |_| true).unwrap();
     for name in [MANIFEST, EXPORT] {
@@ -385,7 +387,7 @@
 }
 
 #[test]
-fn a_recorded_export_is_read_whole() {
+fn recorded_export_can_be_read() {
     let scanned = scan(&[fixture("export")], 2, |_| {}).unwrap();
     let lines: Vec<_> = scanned
         .merged
@@ -400,11 +402,11 @@
 }
 
 #[test]
-fn encoded_forms_are_as_recorded() {
+fn encoded_forms_match_the_recorded_ones() {
     let forms = recorded("encoded.json");
     assert_eq!(encoded_forms(), forms);
     let block = packed_rows();
-    let read: Vec<Row> = Unpack::new(&block, (1, DECEMBER))
+    let read: Vec<Row> = RowReader::new(&block, (1, DECEMBER))
         .map(Result::unwrap)
         .collect();
     assert_eq!(read, rows());
@@ -415,30 +417,30 @@
 }
 
 #[test]
-fn a_recorded_key_file_is_read_and_a_new_one_has_its_form() {
+fn recorded_key_file_can_be_read_and_a_new_one_has_the_same_format() {
     let dir = tempdir().unwrap();
     assert_eq!(key::load(&fixture("ledger.key")).unwrap(), KEY);
-    let made = dir.path().join("ledger.key");
-    key::make(&made).unwrap();
-    let text = std::fs::read_to_string(&made).unwrap();
-    assert_eq!(text, hex(&key::load(&made).unwrap()) + "\n");
+    let new_key_file = dir.path().join("ledger.key");
+    key::create(&new_key_file).unwrap();
+    let text = std::fs::read_to_string(&new_key_file).unwrap();
+    assert_eq!(text, hex(&key::load(&new_key_file).unwrap()) + "\n");
 }
 
 #[test]
-fn error_texts_are_as_recorded() {
+fn error_messages_match_the_recorded_ones() {
     assert_eq!(json!(error_texts()), recorded("errors.json"));
 }
 
 #[test]
-fn unreadable_exports_are_found_as_recorded() {
+fn findings_for_invalid_exports_match_the_recorded_ones() {
     assert_eq!(json!(unreadable_exports()), recorded("findings.json"));
 }
 
-/// What each kind of unusable input is refused with.
+/// Returns the error message for each kind of invalid input.
 fn error_texts() -> Vec<String> {
     let dir = tempdir().unwrap();
     let at = |name: &str| dir.path().join(name);
-    let told = |text: String| text.replace(&dir.path().display().to_string(), "DIR");
+    let without_path = |text: String| text.replace(&dir.path().display().to_string(), "DIR");
     std::fs::write(at("bad.key"), "xyz").unwrap();
     let good = std::fs::read_to_string(fixture("export").join(MANIFEST)).unwrap();
     std::fs::write(at("junk.json"), "{").unwrap();
@@ -448,20 +450,21 @@
     )
     .unwrap();
     std::fs::write(at("outside.json"), good.replace(EXPORT, "../x")).unwrap();
-    let manifest = |name: &str| told(Manifest::load(&at(name)).expect_err("refused").to_string());
+    let manifest =
+        |name: &str| without_path(Manifest::load(&at(name)).expect_err("refused").to_string());
     let empty = Correction {
         tenant: " ".into(),
-        ..correction(About::Use, 0, 0)
+        ..correction(Subject::Usage, 0, 0)
     };
     let long = Correction {
         reason: "x".repeat(1_025),
-        ..correction(About::Use, 0, 0)
+        ..correction(Subject::Usage, 0, 0)
     };
     vec![
-        told(key::load(&at("none.key")).expect_err("missing").to_string()),
-        told(key::load(&at("bad.key")).expect_err("refused").to_string()),
-        told(
-            key::make(&at("bad.key/x"))
+        without_path(key::load(&at("none.key")).expect_err("missing").to_string()),
+        without_path(key::load(&at("bad.key")).expect_err("refused").to_string()),
+        without_path(
+            key::create(&at("bad.key/x"))
                 .expect_err("no folder")
                 .to_string(),
         ),
@@ -481,7 +484,7 @@
     ]
 }
 
-/// What is found in exports that are not what their manifests say.
+/// Returns the findings for exports that do not match their manifests.
 fn unreadable_exports() -> Vec<Value> {
     let manifest = std::fs::read_to_string(fixture("export").join(MANIFEST)).unwrap();
     let whole = std::fs::read(fixture("export").join(EXPORT)).unwrap();
@@ -530,6 +533,6 @@
     }
     let scanned = scan(&[dir.path().into()], 1, |_| {}).unwrap();
     let findings = serde_json::to_string(&scanned.findings).unwrap();
-    let told = findings.replace(&dir.path().display().to_string(), "DIR");
-    serde_json::from_str(&told).unwrap()
+    let without_path = findings.replace(&dir.path().display().to_string(), "DIR");
+    serde_json::from_str(&without_path).unwrap()
 }
--- a/src/fleet/threads.rs
+++ b/src/fleet/threads.rs
@@ -109,7 +109,7 @@
         let (mut last_counted, mut last_view, mut replacement_logged, mut handover_deadline) =
             (0, 0, false, None);
         loop {
-            let (now, wall_time) = ((self.clock)(), crate::billing::wall());
+            let (now, wall_time) = ((self.clock)(), crate::billing::unix_time_us());
             for _ in 0..DATAGRAMS_PER_PASS {
                 let Ok(bytes) = self.datagrams.pop() else {
                     break;
--- a/src/fleet/usage_recorder.rs
+++ b/src/fleet/usage_recorder.rs
@@ -131,7 +131,7 @@
     }
 
     fn usage_key(&self, tenant: Option<&Arc<str>>) -> UsageKey {
-        let period = (crate::billing::wall() / self.period) as u32;
+        let period = (crate::billing::unix_time_us() / self.period) as u32;
         UsageKey {
             period,
             tenant: tenant.unwrap_or(&self.unassigned_tenant).clone(),
