--- a/crates/controlplane/src/store/database.rs
+++ b/crates/controlplane/src/store/database.rs
@@ -1,4 +1,5 @@
-//! The database under the store: opened with the settings for a small disk, marked with the store's format.
+//! The fjall database that holds the store: configured for a small disk, and marked with the store's format
+//! version.
 
 use super::error::StoreError;
 use super::torn_journal;
@@ -10,16 +11,16 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// Format of the store; rises when older programs cannot read it any more.
+/// Format version of the store; increased when older releases can no longer read the store.
 pub const FORMAT: u32 = 1;
 
-/// The state is read once, at the start, and then held in memory: the cache only serves compactions.
+/// The state is read once at startup and then kept in memory, so the cache only serves compactions.
 const CACHE_BYTES: u64 = 1 << 20;
-/// What was written is held here until it goes to a table; memory is priced.
+/// Writes stay in the memtable until it is flushed to a table; small because memory has a cost.
 const MEMTABLE_BYTES: u64 = 2 << 20;
-/// The least that fjall accepts.
+/// The minimum that fjall accepts.
 const JOURNAL_BYTES: u64 = 64 << 20;
-/// Threads for flushes and compactions; fjall needs one.
+/// Threads for flushes and compactions; fjall requires at least one.
 const WORKER_THREADS: usize = 1;
 
 const KEYSPACE: &str = "control";
@@ -27,8 +28,8 @@
 
 /// An open database with its only keyspace.
 ///
-/// All is in one keyspace, so that a change is one batch, and the loss of the keyspace's files is the loss of everything,
-/// never of a part.
+/// A single keyspace holds all data, so that each change is one batch, and losing the keyspace's files loses
+/// everything and never a part.
 pub(super) struct StoreDatabase {
     folder: PathBuf,
     database: Database,
@@ -36,8 +37,8 @@
 }
 
 impl StoreDatabase {
-    /// Opens a marked database, or creates one. A new one is opened twice, as the second opening gives back the 64 MB that
-    /// fjall reserves for a new journal.
+    /// Opens a marked database, or creates one. A new database is opened twice: the second opening releases
+    /// the 64 MB that fjall reserves for a new journal.
     pub(super) fn open(folder: &Path) -> Result<StoreDatabase, StoreError> {
         let database = StoreDatabase::open_unmarked(folder)?;
         if database.check_format()? {
@@ -61,7 +62,7 @@
         })
     }
 
-    /// Whether the database is marked with a format; one that is not must be new.
+    /// Whether the database is marked with a format version. An unmarked database must be new.
     fn check_format(&self) -> Result<bool, StoreError> {
         let Some(found) = self.read::<u32>(FORMAT_KEY)? else {
             return Ok(false);
@@ -77,7 +78,8 @@
         }
     }
 
-    /// Marks a new database. The mark is its first batch, so that one that holds anything has a mark.
+    /// Marks a new database with the format version. This is the first batch, so every database that holds
+    /// data is marked.
     fn mark_format(&self) -> Result<(), StoreError> {
         let is_empty = self
             .keyspace
@@ -94,17 +96,17 @@
         self.commit(batch)
     }
 
-    /// An empty batch, which is synced by its commit.
+    /// An empty batch that is synced when it is committed.
     pub(super) fn batch(&self, durability: PersistMode) -> OwnedWriteBatch {
         self.database.batch().durability(Some(durability))
     }
 
-    /// Commits a batch and syncs it. Blocks while the disk works.
+    /// Commits a batch and syncs it. Blocks until the disk has finished.
     pub(super) fn commit(&self, batch: OwnedWriteBatch) -> Result<(), StoreError> {
         batch.commit().map_err(|error| self.error(&error))
     }
 
-    /// Length of the journals. A system call.
+    /// Total length of the journals on disk. Costs a system call.
     pub(super) fn journal_bytes(&self) -> Result<u64, StoreError> {
         self.database
             .journal_disk_space()
@@ -121,7 +123,7 @@
         target.commit(batch)
     }
 
-    /// The value of a key, from JSON; none where there is none.
+    /// The value of a key, decoded from JSON; `None` if the key does not exist.
     pub(super) fn read<T: DeserializeOwned>(&self, key: &[u8]) -> Result<Option<T>, StoreError> {
         let value = self.keyspace.get(key).map_err(|error| self.error(&error))?;
         let Some(value) = value else {
@@ -133,31 +135,32 @@
             .map_err(|error| StoreError::damaged(&self.folder, format!("{name}: {error}")))
     }
 
-    /// A value as JSON.
+    /// Encodes a value as JSON.
     pub(super) fn encode<T: Serialize>(&self, value: &T) -> Result<Vec<u8>, StoreError> {
         serde_json::to_vec(value)
             .map_err(|error| StoreError::damaged(&self.folder, error.to_string()))
     }
 
-    /// Bytes as text.
+    /// Decodes bytes as UTF-8 text.
     pub(super) fn decode_text(&self, bytes: &[u8]) -> Result<Arc<str>, StoreError> {
         std::str::from_utf8(bytes)
             .map(Arc::from)
             .map_err(|_| StoreError::damaged(&self.folder, "not a text"))
     }
 
-    /// This database is damaged.
+    /// An error that reports damage to this database.
     pub(super) fn damaged(&self, reason: &str) -> StoreError {
         StoreError::damaged(&self.folder, reason)
     }
 
-    /// A failure of this database.
+    /// Converts a failure of this database to a [`StoreError`].
     pub(super) fn error(&self, error: &fjall::Error) -> StoreError {
         StoreError::from_database(&self.folder, error)
     }
 }
 
-/// Opens the database; a journal whose last batch is torn is truncated first.
+/// Opens the database. If the journal cannot be recovered, truncates its torn last batch and opens the
+/// database again.
 fn open_or_repair(folder: &Path) -> Result<Database, StoreError> {
     let opened = match open_database(folder) {
         Err(fjall::Error::JournalRecovery(reason)) => {
--- a/crates/controlplane/src/store/error.rs
+++ b/crates/controlplane/src/store/error.rs
@@ -1,43 +1,46 @@
-//! Why the store on disk cannot be used.
+//! Errors of the store on disk.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// A failure of the store. Each kind asks for a remedy of its own.
+/// A failure of the store. Each kind requires a different remedy.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The disk refuses or fails for now; what is on it is not in doubt.
-    #[error("store {folder}: {reason}: free space or mend the disk; it is tried again")]
+    /// A disk operation failed, possibly temporarily; the data on disk is not in doubt.
+    #[error(
+        "store {folder}: {reason}: free disk space or repair the disk; the operation is retried"
+    )]
     Unavailable {
         /// The store's folder.
         folder: PathBuf,
-        /// What failed.
+        /// The operation's failure.
         reason: String,
     },
-    /// Files of the store are missing or do not hold what was written.
+    /// Files of the store are missing or contain something other than what was written.
     #[error(
-        "store {folder} is damaged: {reason}: it is emptied, and the machine joins as one with an empty disk"
+        "store {folder} is damaged: {reason}: the store is emptied, and the machine joins as one with an empty disk"
     )]
     Damaged {
         /// The store's folder.
         folder: PathBuf,
-        /// What is wrong.
+        /// The damage that was found.
         reason: String,
     },
-    /// A newer program wrote the store.
-    #[error("store {folder} has format {found}, this program knows up to {known}: run the newer program, or empty the folder to join as a new machine")]
+    /// A newer release wrote the store.
+    #[error("store {folder} has format {found}, this program supports up to {known}: run a newer release, or empty the folder to join as a new machine")]
     NewerFormat {
         /// The store's folder.
         folder: PathBuf,
-        /// The format on disk.
+        /// The format version on disk.
         found: u32,
-        /// The newest format known here.
+        /// The newest format version that this program supports.
         known: u32,
     },
 }
 
 impl StoreError {
-    /// The same error of a store at `folder`, as for a copy that stands for its original.
+    /// Returns this error with another folder, for example to report the original folder for an error in its
+    /// copy.
     #[must_use]
     pub fn at_folder(self, folder: PathBuf) -> StoreError {
         match self {
@@ -51,7 +54,7 @@
         }
     }
 
-    /// A failure of a file operation at `folder`.
+    /// Converts the failure of a file operation at `folder`.
     pub(super) fn from_io(folder: &Path, error: &io::Error) -> StoreError {
         let reason = error.to_string();
         if is_content_error(error) {
@@ -61,7 +64,7 @@
         }
     }
 
-    /// A failure reported by the database at `folder`.
+    /// Converts a failure reported by the database at `folder`.
     pub(super) fn from_database(folder: &Path, error: &fjall::Error) -> StoreError {
         use fjall::Error;
         let reason = error.to_string();
@@ -94,7 +97,8 @@
     }
 }
 
-/// Whether an error says that a file is missing, too short or holds something else, rather than that the disk fails.
+/// Whether an error means that a file is missing, too short or has unexpected content, rather than a failure
+/// of the disk.
 fn is_content_error(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/crates/controlplane/src/store/folders.rs
+++ b/crates/controlplane/src/store/folders.rs
@@ -1,7 +1,7 @@
-//! The store's folders: created, synced, replaced and removed as a whole.
+//! The store's folders: creation, syncing, replacement and removal.
 //!
-//! Whatever the moment at which a process or the machine stops, [`prepare`] finds either the present store or the former
-//! one, complete.
+//! If a process or machine stops at any moment, [`prepare`] afterwards finds either the current store or the
+//! former one, complete.
 
 use std::fs::{self, File};
 use std::io;
@@ -9,22 +9,23 @@
 
 /// The store's folder under `data_dir`.
 pub const STORE_FOLDER: &str = "control";
-/// Where a smaller store is written that is to replace the present one.
+/// The folder in which compaction writes the smaller store that replaces the current one.
 pub const REPLACEMENT_FOLDER: &str = "control.next";
-/// Where the present store is moved before the smaller one takes its place.
+/// The folder to which the current store is moved before its replacement takes its place.
 pub const FORMER_FOLDER: &str = "control.former";
-/// Where a damaged store is moved before it is removed, so that a half-removed one is never opened.
+/// The folder to which a damaged store is moved before it is removed, so that a partially removed store is
+/// never opened.
 pub const DISCARDED_FOLDER: &str = "control.discarded";
 
-/// The file that fjall syncs once the rest of a new database is there.
+/// The file that fjall syncs after all other files of a new database.
 const COMPLETE_MARKER: &str = "version";
 const JOURNAL_EXTENSION: &str = "jnl";
 
-/// Creates `data_dir`, completes an interrupted replacement, and removes what an interrupted run left: a discarded store,
-/// and one that was not yet complete (nothing was ever stored in it).
+/// Creates `data_dir`, completes an interrupted replacement, and removes the remains of an interrupted run: a
+/// discarded store, and an incompletely created store, in which nothing was ever stored.
 ///
 /// # Errors
-/// The disk refuses, or a complete store has lost its journal.
+/// A disk operation failed, or a complete store has lost its journal.
 pub(super) fn prepare(data_dir: &Path) -> io::Result<()> {
     fs::create_dir_all(data_dir)?;
     remove_if_present(&data_dir.join(DISCARDED_FOLDER))?;
@@ -39,15 +40,17 @@
     if has_journal(&folder)? {
         return Ok(());
     }
-    // The database would silently begin a new journal, and so lose what the former one held.
+    // The database would create a new journal without an error, and the content of the lost journal would be
+    // missing.
     Err(io::Error::new(
         io::ErrorKind::NotFound,
         "the journal is missing",
     ))
 }
 
-/// Whichever store is at [`STORE_FOLDER`] counts. Where there is none, the replacement was cut short between its two
-/// renames; the former store holds everything then, as nothing is stored in the replacement before both are synced.
+/// The store at [`STORE_FOLDER`] takes precedence. If there is none, the replacement was interrupted between
+/// its two renames; the former store then holds everything, as nothing is stored in the replacement before
+/// both renames are synced.
 fn complete_replacement(data_dir: &Path) -> io::Result<()> {
     let former = data_dir.join(FORMER_FOLDER);
     let folder = data_dir.join(STORE_FOLDER);
@@ -59,8 +62,8 @@
     remove_if_present(&data_dir.join(REPLACEMENT_FOLDER))
 }
 
-/// Puts the store at [`REPLACEMENT_FOLDER`], which is complete and closed, in the place of the present one, which is closed
-/// as well.
+/// Replaces the current store by the one at [`REPLACEMENT_FOLDER`]. Both must be closed, and the replacement
+/// complete.
 pub(super) fn replace(data_dir: &Path) -> io::Result<()> {
     sync_all(data_dir)?;
     let folder = data_dir.join(STORE_FOLDER);
@@ -71,7 +74,7 @@
     remove_if_present(&data_dir.join(FORMER_FOLDER))
 }
 
-/// Moves the store away under a synced name and removes it.
+/// Renames the store, syncs the new name, and then removes the store.
 pub(super) fn discard(data_dir: &Path) -> io::Result<()> {
     let discarded = data_dir.join(DISCARDED_FOLDER);
     remove_if_present(&discarded)?;
@@ -83,7 +86,7 @@
     remove_if_present(&discarded)
 }
 
-/// Syncs `data_dir` and every folder below it, so that all names in them last.
+/// Syncs `data_dir` and every folder below it, so that all directory entries are durable.
 pub(super) fn sync_all(data_dir: &Path) -> io::Result<()> {
     for entry in fs::read_dir(data_dir)? {
         let entry = entry?;
--- a/crates/controlplane/src/store/mod.rs
+++ b/crates/controlplane/src/store/mod.rs
@@ -1,11 +1,13 @@
-//! What a control machine keeps on disk: the witness's state, and its replica of the state with the log position.
+//! The state that a control machine keeps on disk: the witness's state, and its replica of the state with the
+//! log position.
 //!
-//! All of it is in a fjall database in the folder [`STORE_FOLDER`] under `data_dir`. A change is one batch, and is synced
-//! before the next one begins; hence a loss of power can tear at most the last batch of the journal, which is dropped.
+//! It is stored in a fjall database in the folder [`STORE_FOLDER`] under `data_dir`. Each change is one batch
+//! and is synced before the next batch begins. A power loss can therefore tear at most the last batch of the
+//! journal, which is then dropped.
 //!
-//! - `database`: the database with its format; `torn_journal`: its repair.
-//! - `folders`: the folders, and how one store replaces another.
-//! - `writer`: the thread that writes.
+//! - `database`: the database with its format version; `torn_journal`: repair of its journal.
+//! - `folders`: the folders, and the replacement of one store by another.
+//! - `writer`: the writer thread.
 
 mod database;
 mod error;
@@ -27,37 +29,39 @@
 use streamusher_coordination::{DiskChange, DiskImage, LogPosition, StateMap, WitnessState};
 use streamusher_protocol::store::Write;
 
-/// fjall keeps up to 64 MB of journal, reserves as much again for the next, and reads all of it at a start. A store with
-/// more than this is rewritten while the process runs: disks are small, and rewriting it delays one change.
+/// fjall keeps up to 64 MB of journal, reserves the same amount for the next journal, and reads all of it at
+/// startup. A store with a longer journal than this limit is compacted while the process runs: disks are
+/// small, and compaction delays only one change.
 const MAX_JOURNAL_BYTES: u64 = 40 << 20;
-/// At a start, when nobody waits for the disk yet, the store is rewritten earlier.
+/// At startup, when no change waits for the disk yet, the store is compacted earlier.
 const MAX_JOURNAL_BYTES_AT_START: u64 = 8 << 20;
 
-/// What a journal adds to the key and the value of each entry.
+/// Bytes that a journal adds to the key and the value of each entry.
 const ENTRY_OVERHEAD_BYTES: usize = 22;
-/// What the rest of a batch takes in a journal, its position included.
+/// Bytes that the rest of a batch takes in a journal, including the log position.
 const BATCH_OVERHEAD_BYTES: usize = 100;
 
-/// Pause before a store that cannot be opened is opened again.
+/// Pause before opening a store again after a failure.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 const WITNESS_KEY: &[u8] = b"m/witness";
 const POSITION_KEY: &[u8] = b"m/position";
-/// Before each key of the replicated state.
+/// Prefix of each key of the replicated state.
 const STATE_PREFIX: &[u8] = b"s/";
 
-/// The opened store.
+/// The open store of a control machine.
 pub struct Store {
     database: StoreDatabase,
-    /// About the length of the journals. Asking the database costs a system call for each change.
+    /// Approximate length of the journals, tracked here because asking the database costs a system call per
+    /// change.
     journal_bytes: Cell<u64>,
 }
 
 impl Store {
-    /// Opens the store under `data_dir`, or creates an empty one, and reads all that it holds.
+    /// Opens the store under `data_dir`, or creates an empty one, and reads its content.
     ///
     /// # Errors
-    /// See [`StoreError`]; a damaged store is left as it is, for [`Store::discard`].
+    /// See [`StoreError`]; a damaged store is left unchanged, for [`Store::discard`].
     pub fn open(data_dir: &Path) -> Result<(Store, DiskImage), StoreError> {
         let folder = data_dir.join(STORE_FOLDER);
         let io_error = |error: io::Error| StoreError::from_io(&folder, &error);
@@ -71,11 +75,11 @@
         Ok((store, image))
     }
 
-    /// Opens the store at the start of the process. A damaged one is logged and emptied. An unavailable one is opened again
-    /// and again, as the process can do nothing without it. Blocks.
+    /// Opens the store at process startup. A damaged store is logged and emptied. An unavailable store is
+    /// retried until it opens, as the process cannot work without it. Blocks.
     ///
     /// # Errors
-    /// [`StoreError::NewerFormat`]: a newer program wrote the store.
+    /// [`StoreError::NewerFormat`]: a newer release wrote the store.
     pub fn open_at_startup(data_dir: &Path) -> Result<(Store, DiskImage), StoreError> {
         loop {
             let error = match Store::open(data_dir) {
@@ -99,10 +103,10 @@
         self.journal_bytes.get() > MAX_JOURNAL_BYTES
     }
 
-    /// Rewrites the store with the newest value of each key alone, and puts the result in the place of this one.
+    /// Rewrites the store with only the newest value of each key, and replaces this store by the result.
     ///
     /// # Errors
-    /// See [`StoreError`]; the store must be opened anew, and holds all that it held.
+    /// See [`StoreError`]; the store must then be reopened, and has kept its content.
     pub fn compact(self, data_dir: &Path) -> Result<Store, StoreError> {
         let folder = data_dir.join(STORE_FOLDER);
         let io_error = |error: io::Error| StoreError::from_io(&folder, &error);
@@ -118,16 +122,16 @@
     /// Empties `data_dir`, so that the machine starts as one with an empty disk.
     ///
     /// # Errors
-    /// The disk refuses; the store is there still, or gone as a whole.
+    /// A disk operation failed; the store is either still present or removed as a whole.
     pub fn discard(data_dir: &Path) -> Result<(), StoreError> {
         folders::discard(data_dir)
             .map_err(|error| StoreError::from_io(&data_dir.join(STORE_FOLDER), &error))
     }
 
-    /// Writes a change and syncs it. Blocks while the disk works.
+    /// Writes a change and syncs it. Blocks until the disk has finished.
     ///
     /// # Errors
-    /// The change is on disk as a whole or not at all, and the store must be opened anew.
+    /// The change is on disk completely or not at all, and the store must be reopened.
     pub fn apply(&self, change: &DiskChange) -> Result<(), StoreError> {
         let mut batch = self.database.batch(PersistMode::SyncData);
         let mut bytes = BATCH_OVERHEAD_BYTES;
@@ -165,7 +169,7 @@
         if witness.is_none() && (position.is_some() || !state.is_empty()) {
             return Err(self
                 .database
-                .damaged("there is state, but no witness's record"));
+                .damaged("there is state, but no witness record"));
         }
         Ok(DiskImage {
             witness,
@@ -186,7 +190,7 @@
         Ok(state)
     }
 
-    /// Adds the removal of the whole state to a batch; returns the bytes that it adds to the journal.
+    /// Adds the removal of the whole state to a batch. Returns the number of bytes added to the journal.
     fn remove_state(&self, batch: &mut OwnedWriteBatch) -> Result<usize, StoreError> {
         let mut bytes = 0;
         for guard in self.database.keyspace.prefix(STATE_PREFIX) {
@@ -197,7 +201,7 @@
         Ok(bytes)
     }
 
-    /// Adds a write of the state to a batch; returns the bytes that it adds to the journal.
+    /// Adds a write of the state to a batch. Returns the number of bytes added to the journal.
     fn add_write(&self, batch: &mut OwnedWriteBatch, write: &Write) -> usize {
         let key = [STATE_PREFIX, write.key.as_bytes()].concat();
         let value_bytes = write.value.as_ref().map_or(0, |value| value.len());
@@ -209,7 +213,7 @@
         bytes
     }
 
-    /// Adds the witness's state to a batch; returns the bytes that it adds to the journal.
+    /// Adds the witness's state to a batch. Returns the number of bytes added to the journal.
     fn add_witness(
         &self,
         batch: &mut OwnedWriteBatch,
--- a/crates/controlplane/src/store/torn_journal.rs
+++ b/crates/controlplane/src/store/torn_journal.rs
@@ -1,24 +1,25 @@
 //! Repair of a journal whose last batch is torn.
 //!
-//! A batch is written in several steps and then synced. After a loss of power each step of an unsynced batch is there,
-//! torn or missing. fjall drops a batch whose end is missing, but refuses a journal whose last batch has its end and not
-//! all of its middle. Cutting the last byte of that end turns the second case into the first. Only the last batch can be
-//! meant, as each one before it was synced; where an earlier one is damaged the journal is refused again.
+//! A batch is written in several steps and then synced. After a power loss, each step of an unsynced batch
+//! may be present, torn or missing. fjall drops a batch whose end marker is missing, but rejects a journal
+//! whose last batch has its end marker and lacks some of its middle. Truncating the last byte of that marker
+//! turns the second case into the first. Only the last batch can be affected, as every batch before it was
+//! synced; if an earlier batch is damaged, fjall rejects the journal again.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom};
 use std::path::{Path, PathBuf};
 
-/// How each batch ends in fjall's journals of format 3.
+/// The end marker of each batch in fjall's journals of format 3.
 const BATCH_END: &[u8] = b"FJL\x03";
 /// A journal is searched backwards in chunks of this size.
 const CHUNK_BYTES: u64 = 64 << 10;
 const JOURNAL_SUFFIX: &str = ".jnl";
 
-/// Cuts the last byte of the last batch in the newest journal, and syncs it.
+/// Truncates the last byte of the last batch in the newest journal, and syncs the file.
 ///
 /// # Errors
-/// The disk refuses, or there is no batch to cut.
+/// A disk operation failed, or no batch was found.
 pub(super) fn truncate_last_batch(folder: &Path) -> io::Result<()> {
     let journal = newest_journal(folder)?.ok_or(io::ErrorKind::NotFound)?;
     let mut file = OpenOptions::new().read(true).write(true).open(journal)?;
@@ -44,13 +45,14 @@
     Ok(newest.map(|(_, path)| path))
 }
 
-/// The number in a journal's name, `NUMBER.jnl`; none for other files.
+/// The number in a journal's name, `NUMBER.jnl`; `None` for other files.
 fn journal_number(path: &Path) -> Option<u64> {
     let name = path.file_name()?.to_str()?;
     name.strip_suffix(JOURNAL_SUFFIX)?.parse().ok()
 }
 
-/// Position just after the last batch's end, searched from the file's end in overlapping chunks.
+/// The position just after the last batch's end marker, searched backwards from the end of the file in
+/// overlapping chunks.
 fn last_batch_end(file: &mut File) -> io::Result<Option<u64>> {
     let mut end = file.metadata()?.len();
     let overlap = BATCH_END.len() as u64 - 1;
--- a/crates/controlplane/src/store/writer.rs
+++ b/crates/controlplane/src/store/writer.rs
@@ -1,4 +1,5 @@
-//! The thread that owns the store: it writes one change after the other, so that the event loop never waits for the disk.
+//! The thread that owns the store. It writes one change at a time, so that the event loop never waits for the
+//! disk.
 
 use super::{Store, StoreError, RETRY_PAUSE};
 use std::io;
@@ -8,22 +9,23 @@
 use streamusher_coordination::DiskChange;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// A report of the thread.
+/// A report of the writer thread.
 #[derive(Debug)]
 pub(crate) enum DiskEvent {
-    /// The change is synced.
+    /// The change is written and synced.
     Persisted {
-        /// Its ticket.
+        /// Identifies the change, as given to [`StoreWriter::persist`].
         ticket: u64,
     },
     /// The change was not written, or it is unknown whether it was; it may be requested again.
     Failed {
-        /// Its ticket.
+        /// Identifies the change, as given to [`StoreWriter::persist`].
         ticket: u64,
     },
-    /// The store was lost while the process ran: the process has to start anew, as a machine with an empty disk.
+    /// The store became unusable while the process ran: the process must be restarted, as a machine with an
+    /// empty disk.
     Lost {
-        /// Why.
+        /// The store's failure.
         error: StoreError,
     },
 }
@@ -34,13 +36,13 @@
     change: DiskChange,
 }
 
-/// Hands changes to the thread, which ends with this value.
+/// Sends changes to the writer thread, which exits when this value is dropped.
 pub(crate) struct StoreWriter {
     requests: mpsc::Sender<WriteRequest>,
 }
 
 impl StoreWriter {
-    /// Starts the thread; its reports come through `events`.
+    /// Starts the writer thread; its reports are sent to `events`.
     ///
     /// # Errors
     /// The thread could not be started.
@@ -61,17 +63,17 @@
         Ok(StoreWriter { requests })
     }
 
-    /// Requests a change; its result comes as a [`DiskEvent`].
+    /// Requests a change; its result is reported as a [`DiskEvent`].
     pub(crate) fn persist(&self, ticket: u64, change: DiskChange) {
         if self.requests.send(WriteRequest { ticket, change }).is_err() {
-            log::error!("store: the writer thread has exited: change {ticket} is not written");
+            log::error!("store: the writer thread has exited; change {ticket} is not written");
         }
     }
 }
 
 struct WriterThread {
     data_dir: PathBuf,
-    /// None after a failure: it is opened anew with the next change.
+    /// `None` after a failure; the next change reopens the store.
     store: Option<Store>,
     events: UnboundedSender<DiskEvent>,
 }
