--- a/crates/controlplane/src/control_machine/explain.rs
+++ b/crates/controlplane/src/control_machine/explain.rs
@@ -1,4 +1,4 @@
-//! What the primary knows of one job or user.
+//! Explanations of one job or one user, given by the acting primary.
 
 use serde_json::{json, Value};
 use streamusher_protocol::internal::ExplainRequest;
@@ -12,15 +12,15 @@
 /// The outcome of an [`ExplainRequest`].
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum ExplainOutcome {
-    /// What is known.
+    /// The explanation as JSON.
     Known(Value),
-    /// Nothing is known, and why.
+    /// There is no information about the subject; the text states the reason.
     Unknown(&'static str),
-    /// This machine is not the primary, and only the primary knows.
+    /// This machine is not the acting primary; only the primary can answer.
     NotPrimary,
 }
 
-/// Explains a job or a user by the scheduler of the acting primary.
+/// Explains a job or a user with the scheduler of the acting primary.
 pub(super) fn explain(
     scheduler: &Scheduler,
     now: Millis,
--- a/crates/controlplane/src/control_machine/mod.rs
+++ b/crates/controlplane/src/control_machine/mod.rs
@@ -1,7 +1,8 @@
-//! A control machine at work: the driver with its queues, shared by the servers and the event loop of one process.
+//! A running control machine: the driver with its queues, shared by the servers and the event loop of one
+//! process.
 //!
-//! - `state`: the driver, and where its actions go.
-//! - `explain`: what the primary knows of one job or user.
+//! - `state`: the driver, and the receivers of its actions.
+//! - `explain`: explanations of one job or one user, given by the acting primary.
 
 pub(crate) mod explain;
 mod state;
@@ -26,21 +27,22 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// The longest time for which a caller is let wait for the next epoch.
+/// Upper bound of the time for which a caller waits for the next epoch, in milliseconds.
 const MAX_WATCH_MS: Millis = 10_000;
 
-/// This machine is not the acting primary, so that nothing was done.
+/// The request was not executed: this machine is not the acting primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct NotActing;
 
-/// A handle to a control machine; clones share the machine. Each borrow ends before anything is awaited.
+/// A handle to a control machine; clones share the machine. Each borrow of the state ends before an await
+/// point.
 #[derive(Clone)]
 pub(crate) struct ControlMachine {
     state: SharedState,
 }
 
 impl ControlMachine {
-    /// Joins the parts.
+    /// Combines the driver with the queue to each peer and the store's writer.
     pub(crate) fn new(
         driver: Driver<Coordinator, Scheduler>,
         peers: PeerQueues,
@@ -51,8 +53,8 @@
         }
     }
 
-    /// Executes a request and waits for its outcome. Dropping the future tells the scheduler that the caller has
-    /// disconnected.
+    /// Executes a request and waits for its outcome. Dropping the future reports to the scheduler that the
+    /// caller has disconnected.
     pub(crate) async fn execute(&self, request: ControlRequest) -> ControlOutcome {
         let (sender, receiver) = oneshot::channel();
         let id = self.state.borrow_mut().start_request(request, sender);
@@ -65,12 +67,12 @@
         outcome.unwrap_or(ControlOutcome::Unknown)
     }
 
-    /// Handles an input of replication.
+    /// Passes an input to replication.
     pub(crate) fn handle_input(&self, input: Input) {
         self.state.borrow_mut().handle_input(input);
     }
 
-    /// Handles messages of another control machine; `from` is its internal `ip:port`.
+    /// Handles messages from another control machine; `from` is its internal `ip:port`.
     pub(crate) fn on_peer_messages(&self, from: &Arc<str>, messages: Vec<Message>) {
         let mut state = self.state.borrow_mut();
         for message in messages {
@@ -100,7 +102,7 @@
         Ok(state.relay.renew_lease(now, epoch, lease))
     }
 
-    /// Handles messages of a member of the relay tree.
+    /// Handles messages from a member of the relay tree.
     ///
     /// # Errors
     /// This machine is not the acting primary.
@@ -112,27 +114,28 @@
         Ok(())
     }
 
-    /// The control plane as this machine knows it.
+    /// The epoch, primary and members of the control plane as known to this machine.
     pub(crate) fn view(&self) -> ClusterView {
         let state = self.state.borrow();
         state.driver.replication().view(clock::steady())
     }
 
-    /// The same, once a newer epoch is known than the caller knows, or when its time is over.
+    /// Returns [`ControlMachine::view`] once an epoch newer than the caller's is known, or when the caller's
+    /// wait time has elapsed.
     pub(crate) async fn view_after(&self, watch: ClusterWatch) -> ClusterView {
         let mut newest_epoch = self.state.borrow().subscribe_epoch();
         let wait = Duration::from_millis(watch.wait_ms.min(MAX_WATCH_MS));
-        // Whichever comes first: the view is the response in either case.
+        // The result does not matter: the current view is returned after a new epoch and after a timeout.
         let _ = timeout(wait, newest_epoch.wait_for(|epoch| *epoch > watch.epoch)).await;
         self.view()
     }
 
-    /// Replaces the seeds, as after a change of the settings file.
+    /// Replaces the seeds, for example after the settings file has changed.
     pub(crate) fn set_seeds(&self, seeds: Vec<CoreAddress>) {
         self.state.borrow_mut().driver.set_seeds(seeds);
     }
 
-    /// Whether nothing is lost when the process ends now, after [`Input::Leave`].
+    /// Whether the process may exit without loss, after [`Input::Leave`].
     pub(crate) fn may_leave(&self) -> bool {
         self.state.borrow().driver.replication().may_leave()
     }
@@ -153,7 +156,7 @@
         })
     }
 
-    /// What is known of one job or user.
+    /// Explains one job or one user, if this machine is the acting primary.
     pub(crate) fn explain(&self, request: &ExplainRequest) -> ExplainOutcome {
         let now = clock::steady();
         let state = self.state.borrow();
@@ -165,7 +168,7 @@
     }
 }
 
-/// The version of the configuration in a replica of the state; a witness has none.
+/// The version of the configuration in a replica of the state; `None` on a witness, which has no state.
 fn configuration_version(state: &StateMap) -> Option<u64> {
     #[derive(serde::Deserialize)]
     struct Versioned {
@@ -176,7 +179,7 @@
     Some(current.version)
 }
 
-/// Reports that the caller of a request has disconnected, if it is dropped before the outcome has come.
+/// Reports that the caller of a request has disconnected, if the guard is dropped before the outcome arrives.
 struct RequestGuard<'a> {
     state: &'a SharedState,
     request: Option<RequestId>,
--- a/crates/controlplane/src/control_machine/state.rs
+++ b/crates/controlplane/src/control_machine/state.rs
@@ -1,4 +1,4 @@
-//! The state of a control machine: its driver, and the queues that the driver's actions go to.
+//! The state of a control machine: its driver, and the queues that receive the driver's actions.
 
 use crate::driver::{Action, ControlOutcome, ControlRequest, Driver, Recovery};
 use crate::peer_messages::PeerQueues;
@@ -15,21 +15,21 @@
 /// The state, shared by the servers and the event loop of one process.
 pub(super) type SharedState = Rc<RefCell<MachineState>>;
 
-/// Driver and queues.
+/// The driver of a control machine and the queues that receive its actions.
 pub(super) struct MachineState {
-    /// Itself, for recoveries that come back from other threads.
+    /// A weak reference to this value, with which a recovery on another thread returns its result.
     own_handle: Weak<RefCell<MachineState>>,
     pub(super) driver: Driver<Coordinator, Scheduler>,
     pub(super) relay: PrimaryRelay,
     waiting_callers: HashMap<RequestId, oneshot::Sender<ControlOutcome>>,
     peers: PeerQueues,
     store_writer: StoreWriter,
-    /// The newest epoch known, for callers that wait for the next one.
+    /// The newest known epoch; callers that wait for the next epoch subscribe to it.
     newest_epoch: watch::Sender<u64>,
 }
 
 impl MachineState {
-    /// Joins the parts.
+    /// Combines the driver with its queues.
     pub(super) fn shared(
         driver: Driver<Coordinator, Scheduler>,
         peers: PeerQueues,
@@ -49,7 +49,7 @@
         })
     }
 
-    /// Hands a request to the driver; the outcome goes to `caller`, perhaps at once.
+    /// Passes a request to the driver. The outcome is sent to `caller`, possibly before this method returns.
     pub(super) fn start_request(
         &mut self,
         request: ControlRequest,
@@ -61,14 +61,14 @@
         id
     }
 
-    /// The caller of a request has disconnected.
+    /// Reports that the caller of a request has disconnected.
     pub(super) fn on_caller_disconnected(&mut self, request: RequestId) {
         self.waiting_callers.remove(&request);
         let actions = self.driver.on_caller_disconnected(clock::now(), request);
         self.perform(actions);
     }
 
-    /// Handles an input of replication.
+    /// Passes an input to replication.
     pub(super) fn handle_input(&mut self, input: Input) {
         let actions = self.driver.handle_input(clock::now(), input);
         self.perform(actions);
@@ -83,7 +83,7 @@
         self.relay.tick(now.steady_ms, epoch);
     }
 
-    /// Follows the newest epoch.
+    /// Subscribes to changes of the newest known epoch.
     pub(super) fn subscribe_epoch(&self) -> watch::Receiver<u64> {
         self.newest_epoch.subscribe()
     }
@@ -101,7 +101,7 @@
         self.notify_epoch();
     }
 
-    /// Recovers the scheduler on a thread of its own: keepalives go on here.
+    /// Recovers the scheduler on another thread, so that this thread continues to send keepalives.
     fn start_recovery(&self, recovery: Recovery) {
         let handle = self.own_handle.clone();
         let epoch = recovery.epoch;
@@ -137,7 +137,7 @@
 
     fn respond(&mut self, request: RequestId, outcome: ControlOutcome) {
         if let Some(caller) = self.waiting_callers.remove(&request) {
-            // A caller that has disconnected needs no response.
+            // A caller that has disconnected receives no response.
             let _ = caller.send(outcome);
         }
     }
--- a/crates/controlplane/src/driver/action.rs
+++ b/crates/controlplane/src/driver/action.rs
@@ -1,4 +1,4 @@
-//! What the driver wants done by its embedder.
+//! The actions that the driver requests from the code that embeds it.
 
 use super::recovery::Recovery;
 use crate::requests::ControlOutcome;
@@ -6,34 +6,34 @@
 use streamusher_coordination::{DiskChange, Message};
 use streamusher_scheduler::RequestId;
 
-/// An effect that the embedder has to carry out, in the given order.
+/// An action that the embedding code performs; actions are performed in the given order.
 #[derive(Debug)]
 pub enum Action {
-    /// Send a message to a control machine; it may be lost.
+    /// Send a message to a control machine; delivery is not guaranteed.
     Send {
         /// Internal `ip:port` of the receiver.
         to: Arc<str>,
-        /// The message.
+        /// The message of the coordination protocol.
         message: Message,
     },
-    /// Write a change to disk and sync it, and report [`Input::Persisted`] or [`Input::PersistFailed`].
+    /// Write a change to disk and sync it, then report [`Input::Persisted`] or [`Input::PersistFailed`].
     ///
     /// [`Input::Persisted`]: streamusher_coordination::Input::Persisted
     /// [`Input::PersistFailed`]: streamusher_coordination::Input::PersistFailed
     Persist {
         /// Identifies the change in the report.
         ticket: u64,
-        /// The change.
+        /// The change to write.
         change: DiskChange,
     },
-    /// Recover the state machine concurrently to everything else, and hand it to
+    /// Recover the state machine concurrently with all other work, and pass the result to
     /// [`Driver::on_recovered`](super::Driver::on_recovered).
     Recover(Recovery),
-    /// Respond to a request.
+    /// Send the response to a request.
     Respond {
-        /// The request's number.
+        /// The number that [`Driver::on_request`](super::Driver::on_request) returned for the request.
         request: RequestId,
-        /// Its outcome.
+        /// The outcome to send to the request's caller.
         outcome: ControlOutcome,
     },
 }
--- a/crates/controlplane/src/driver/in_flight.rs
+++ b/crates/controlplane/src/driver/in_flight.rs
@@ -1,17 +1,19 @@
-//! Requests that the scheduler has and whose outcome has not left yet, and the responses that wait for their commit.
+//! Requests passed to the scheduler whose outcome is not released yet, and the responses that wait for their
+//! commit.
 
 use crate::requests::{is_rejection, ControlRequest};
 use std::collections::{BTreeMap, VecDeque};
 use streamusher_scheduler::{RequestId, SchedulerResponse};
 
-/// What a request may have done to the replicated state, as far as its caller has to know when this machine steps down.
+/// What a request may have done to the replicated state. Determines the outcome that its caller receives when
+/// this machine steps down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestEffect {
-    /// Nothing: it only reads.
+    /// Nothing: the request only reads.
     ReadOnly,
-    /// The change that it asks for may take effect, also under the next primary.
+    /// The requested change may take effect, possibly under the next primary.
     Mutating,
-    /// Nothing: the change was rejected, and the rejection rests on no write of this request.
+    /// Nothing: the change was rejected, and the rejection depends on no write of this request.
     Rejected,
 }
 
@@ -21,14 +23,14 @@
     agent_epoch: Option<u64>,
 }
 
-/// A response of the scheduler that may leave when the batch `sequence` is committed.
+/// A response of the scheduler that may be released once batch `sequence` is committed.
 #[derive(Debug)]
 pub(super) struct UncommittedResponse {
     pub(super) request: RequestId,
     pub(super) response: SchedulerResponse,
-    /// The newest batch at the time of the response.
+    /// Sequence of the newest batch at the time of the response.
     pub(super) sequence: u64,
-    /// Whether the event that brought the response was this request, and wrote something.
+    /// Whether the event that produced the response was this request itself, and it wrote something.
     pub(super) has_own_writes: bool,
 }
 
@@ -37,7 +39,7 @@
 pub(super) struct CommittedResponse {
     pub(super) request: RequestId,
     pub(super) response: SchedulerResponse,
-    /// The epoch that the requesting agent knows; none for other callers.
+    /// The epoch that the requesting agent knows; `None` for other callers.
     pub(super) agent_epoch: Option<u64>,
 }
 
@@ -50,7 +52,8 @@
 
 /// All requests in flight.
 ///
-/// Responses leave in the order in which the scheduler gave them: `sequence` never falls from one to the next.
+/// Responses are released in the order in which the scheduler produced them: `sequence` never decreases from
+/// one response to the next.
 #[derive(Debug, Default)]
 pub(super) struct InFlightRequests {
     requests: BTreeMap<RequestId, InFlightRequest>,
@@ -58,7 +61,7 @@
 }
 
 impl InFlightRequests {
-    /// Adds a request that is about to be handed to the scheduler.
+    /// Adds a request that is about to be passed to the scheduler.
     pub(super) fn insert(&mut self, id: RequestId, request: &ControlRequest) {
         let effect = if request.is_mutating() {
             RequestEffect::Mutating
@@ -72,17 +75,17 @@
         self.requests.insert(id, in_flight);
     }
 
-    /// Removes a request whose caller has disconnected; whether there was one.
+    /// Removes a request whose caller has disconnected. Returns whether the request was in flight.
     pub(super) fn remove(&mut self, id: RequestId) -> bool {
         self.requests.remove(&id).is_some()
     }
 
-    /// How many requests are in flight.
+    /// Number of requests in flight.
     pub(super) fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Adds a response; one to a request that is not in flight is dropped.
+    /// Adds a response. A response to a request that is not in flight is dropped.
     pub(super) fn add_response(&mut self, uncommitted: UncommittedResponse) {
         let Some(in_flight) = self.requests.get_mut(&uncommitted.request) else {
             return;
@@ -104,13 +107,13 @@
         !self.responses.is_empty()
     }
 
-    /// Takes out the next response whose batch is committed, with its request.
+    /// Removes and returns the next response whose batch is committed, and removes its request.
     pub(super) fn pop_committed(&mut self, committed: u64) -> Option<CommittedResponse> {
         loop {
             let uncommitted = self
                 .responses
                 .pop_front_if(|uncommitted| uncommitted.sequence <= committed)?;
-            // A caller that has disconnected needs no response.
+            // A caller that has disconnected receives no response.
             if let Some(in_flight) = self.requests.remove(&uncommitted.request) {
                 return Some(CommittedResponse {
                     request: uncommitted.request,
@@ -121,7 +124,7 @@
         }
     }
 
-    /// Takes out all requests, and drops the responses that wait.
+    /// Removes and returns all requests, and drops the pending responses.
     pub(super) fn interrupt_all(&mut self) -> Vec<InterruptedRequest> {
         self.responses.clear();
         std::mem::take(&mut self.requests)
--- a/crates/controlplane/src/driver/mod.rs
+++ b/crates/controlplane/src/driver/mod.rs
@@ -1,8 +1,10 @@
-//! The control machine as a pure state machine: it joins replication and scheduler, and decides when a response may leave.
+//! The control machine as a pure state machine: it connects replication and scheduler, and decides when a
+//! response may be released.
 //!
-//! A response rests on all batches appended up to its own event. It is released when these are committed and the
-//! primary's lease is valid at that moment. A primary that steps down before responds [`ControlOutcome::NotPrimary`] where
-//! surely nothing was done, and [`ControlOutcome::Unknown`] where the change may take effect all the same.
+//! A response depends on all batches appended up to the event that produced it. It is released once these
+//! batches are committed and the primary's lease is valid at that moment. A primary that steps down earlier
+//! responds [`ControlOutcome::NotPrimary`] if it is certain that nothing was changed, and
+//! [`ControlOutcome::Unknown`] if the change may still take effect.
 
 mod action;
 mod in_flight;
@@ -32,13 +34,13 @@
 pub struct CommittedConfigurations {
     /// The epoch in which this primary was elected.
     pub epoch: u64,
-    /// The configurations, in the order of their versions.
+    /// The configurations, in version order.
     pub configurations: Vec<PublishedConfiguration>,
 }
 
 /// One control machine: replication, and the scheduler while this machine is the primary.
 ///
-/// Each method takes the current time as an argument and returns what has to be done.
+/// Each method takes the current time as an argument and returns the actions to perform.
 pub struct Driver<R = Coordinator, S = Scheduler> {
     settings: SchedulerSettings,
     replication: R,
@@ -55,7 +57,7 @@
 }
 
 impl<R: Replication, S: StateMachine> Driver<R, S> {
-    /// A machine that is not primary yet.
+    /// Creates the driver of a machine that is not the primary.
     pub fn new(settings: SchedulerSettings, replication: R) -> Driver<R, S> {
         Driver {
             settings,
@@ -71,7 +73,8 @@
         }
     }
 
-    /// Takes a request and gives it a number, which comes back in [`Action::Respond`], perhaps at once.
+    /// Accepts a request and assigns it a number. [`Action::Respond`] refers to that number; it may already
+    /// be among the returned actions.
     pub fn on_request(&mut self, now: Now, request: ControlRequest) -> (RequestId, Vec<Action>) {
         let id = self.next_request;
         self.next_request += 1;
@@ -85,7 +88,8 @@
         (id, self.take_actions())
     }
 
-    /// The caller of a request has disconnected: nothing is done of a request that is still queued, and no response is made.
+    /// Reports that the caller of a request has disconnected. A request that is still queued is not executed,
+    /// and no response is sent.
     pub fn on_caller_disconnected(&mut self, now: Now, request: RequestId) -> Vec<Action> {
         self.deferred.remove(request);
         if self.in_flight.remove(request) {
@@ -94,7 +98,7 @@
         self.take_actions()
     }
 
-    /// Handles an input of replication.
+    /// Passes an input to replication and processes the result.
     pub fn handle_input(&mut self, now: Now, input: Input) -> Vec<Action> {
         let outputs = self.replication.handle(now.steady_ms, input);
         self.apply_outputs(now, outputs);
@@ -103,7 +107,7 @@
         self.take_actions()
     }
 
-    /// Advances to the current time; expected about every 20 ms.
+    /// Advances to the current time; expected to be called about every 20 ms.
     pub fn tick(&mut self, now: Now) -> Vec<Action> {
         let outputs = self.replication.handle(now.steady_ms, Input::Tick);
         self.apply_outputs(now, outputs);
@@ -115,7 +119,7 @@
         self.take_actions()
     }
 
-    /// A recovery has ended. Its result is dropped if this machine has stepped down meanwhile.
+    /// Completes a recovery. The result is dropped if this machine has stepped down in the meantime.
     pub fn on_recovered(
         &mut self,
         now: Now,
@@ -130,7 +134,7 @@
                     self.start_scheduler(epoch, scheduler);
                 }
                 Err(error) => {
-                    log::error!("epoch {epoch}: recovering the scheduler's state failed: {error}");
+                    log::error!("epoch {epoch}: cannot recover the scheduler's state: {error}");
                 }
             }
             self.release_committed(now);
@@ -139,23 +143,24 @@
         self.take_actions()
     }
 
-    /// The replication, for its status.
+    /// The replication layer, for status reports.
     pub fn replication(&self) -> &R {
         &self.replication
     }
 
-    /// The scheduler, while this machine is the primary.
+    /// The scheduler; `None` unless this machine is the primary and recovery has finished.
     pub fn scheduler(&self) -> Option<&S> {
         self.scheduler.as_ref()
     }
 
-    /// The epoch in which this machine was elected, while it may act as primary.
+    /// The epoch in which this machine was elected; `None` while it may not act as primary.
     pub fn acting_epoch(&self, now: Millis) -> Option<u64> {
         let is_acting = self.scheduler.is_some() && self.replication.may_act(now);
         is_acting.then_some(self.scheduler_epoch)
     }
 
-    /// Configurations that were committed since the last call. They are kept while this machine may not act as primary.
+    /// Returns the configurations committed since the last call. They are retained while this machine may not
+    /// act as primary.
     pub fn take_committed_configurations(
         &mut self,
         now: Millis,
@@ -171,7 +176,7 @@
         })
     }
 
-    /// Number of requests that the scheduler has and whose outcome has not left yet.
+    /// Number of requests passed to the scheduler whose outcome is not released yet.
     pub fn in_flight_requests(&self) -> usize {
         self.in_flight.len()
     }
@@ -184,8 +189,8 @@
         self.scheduler.is_some() && self.may_respond(now.steady_ms)
     }
 
-    /// Whether requests may be executed and responses may leave: checked when a request is read, and again at the release
-    /// of its response.
+    /// Whether requests may be executed and responses released. Checked when a request arrives, and again
+    /// when its response is released.
     fn may_respond(&self, now: Millis) -> bool {
         self.replication.may_act(now) || cfg!(feature = "mutant-release")
     }
@@ -195,7 +200,7 @@
         self.actions.push(Action::Respond { request, outcome });
     }
 
-    /// Executes the deferred requests once this machine acts as primary, and rejects those that have expired.
+    /// Executes the deferred requests once this machine acts as primary, and rejects expired ones.
     fn process_deferred(&mut self, now: Now) {
         loop {
             let becoming_primary = !self.is_serving(now) && self.replication.is_becoming_primary();
@@ -220,7 +225,7 @@
         self.run_event(now, event, Some(id));
     }
 
-    /// Lets the scheduler handle an event; `cause` is the request that it stems from.
+    /// Passes an event to the scheduler; `cause` is the request that the event originates from.
     fn run_event(&mut self, now: Now, event: Event, cause: Option<RequestId>) {
         let Some(scheduler) = &mut self.scheduler else {
             return;
@@ -245,7 +250,7 @@
         self.release_committed(now);
     }
 
-    /// Notes the scheduler's newest configuration, with the newest batch as the one that it rests on.
+    /// Records the scheduler's newest configuration, with the newest batch as the one that it depends on.
     fn observe_configuration(&mut self) {
         let Some(scheduler) = &self.scheduler else {
             return;
@@ -282,7 +287,8 @@
         }));
     }
 
-    /// Nothing was appended since the election, as only the scheduler writes.
+    /// Starts to serve with a recovered scheduler. Nothing was appended since the election, as only the
+    /// scheduler writes.
     fn start_scheduler(&mut self, epoch: u64, scheduler: S) {
         self.scheduler_epoch = epoch;
         self.scheduler = Some(scheduler);
@@ -293,7 +299,7 @@
         self.recovering_epoch = None;
         if self.scheduler.take().is_some() {
             log::info!(
-                "stepped down as primary: failing {} in-flight requests",
+                "stepped down as primary; interrupting {} in-flight requests",
                 self.in_flight.len()
             );
         }
@@ -330,7 +336,7 @@
     fn respond(&mut self, now: Now, committed: CommittedResponse) {
         let mut response = committed.response;
         if let SchedulerResponse::Agent(commands) = &mut response {
-            // An agent that knows an older epoch may know older members.
+            // An agent that knows an older epoch may also know an outdated list of members.
             let is_behind = committed
                 .agent_epoch
                 .is_some_and(|epoch| epoch < commands.epoch);
@@ -346,7 +352,7 @@
 }
 
 impl<S> Driver<Coordinator, S> {
-    /// Replaces the seeds, as after a change of the settings file.
+    /// Replaces the seeds, for example after the settings file has changed.
     pub fn set_seeds(&mut self, seeds: Vec<CoreAddress>) {
         self.replication.set_seeds(seeds);
     }
--- a/crates/controlplane/src/driver/replication.rs
+++ b/crates/controlplane/src/driver/replication.rs
@@ -1,27 +1,27 @@
-//! What the driver needs of replication, and how the coordinator provides it.
+//! The interface that the driver requires of replication, and its implementation by the coordinator.
 
 use streamusher_coordination::{Coordinator, Input, Output, StateMap};
 use streamusher_protocol::internal::ClusterView;
 use streamusher_protocol::store::Write;
 use streamusher_protocol::Millis;
 
-/// Replication as the driver sees it; [`Coordinator`] implements it. `now` is steady time.
+/// Replication as seen by the driver, implemented by [`Coordinator`]. `now` is the time of the steady clock.
 pub trait Replication {
-    /// Handles an input.
+    /// Handles an input and returns the outputs to process.
     fn handle(&mut self, now: Millis, input: Input) -> Vec<Output>;
-    /// Appends writes as the next batch. Only at a primary.
+    /// Appends writes as the next batch. Must be called only on a primary.
     fn append(&mut self, now: Millis, writes: Vec<Write>) -> Vec<Output>;
     /// Whether this machine may act as primary now: it is the primary and holds a valid lease.
     fn may_act(&self, now: Millis) -> bool;
-    /// Whether this machine was elected and is about to act as primary.
+    /// Whether this machine is elected but may not act as primary yet.
     fn is_becoming_primary(&self) -> bool;
     /// Sequence of the newest batch.
     fn last_appended(&self) -> u64;
-    /// Sequence up to which batches are committed.
+    /// Sequence of the newest committed batch.
     fn last_committed(&self) -> u64;
-    /// The replicated state, batches that are not committed included.
+    /// The replicated state, including batches that are not committed.
     fn state(&self) -> StateMap;
-    /// The control plane as this machine knows it.
+    /// The epoch, primary and members of the control plane as known to this machine.
     fn view(&self, now: Millis) -> ClusterView;
 }
 
--- a/crates/controlplane/src/driver/state_machine.rs
+++ b/crates/controlplane/src/driver/state_machine.rs
@@ -1,13 +1,14 @@
-//! What the driver needs of the replicated state machine, and how the scheduler provides it.
+//! The interface that the driver requires of the replicated state machine, and its implementation by the
+//! scheduler.
 
 use streamusher_configuration::PublishedConfiguration;
 use streamusher_coordination::StateMap;
 use streamusher_protocol::Now;
 use streamusher_scheduler::{Effects, Event, RecoverError, Scheduler, SchedulerSettings};
 
-/// The state machine as the driver sees it; [`Scheduler`] implements it.
+/// The replicated state machine as seen by the driver, implemented by [`Scheduler`].
 pub trait StateMachine: Sized {
-    /// Recovers from the replicated state, as the primary elected in `epoch`.
+    /// Recovers the state machine from the replicated state, on the primary elected in `epoch`.
     ///
     /// # Errors
     /// The state cannot be decoded.
@@ -17,15 +18,15 @@
         now: Now,
         state: StateMap,
     ) -> Result<Self, RecoverError>;
-    /// The recovery has ended: events come from now on.
+    /// Reports the end of the recovery; events follow from now on.
     fn on_recovered(&mut self, _now: Now) {}
-    /// Handles an event.
+    /// Handles an event and returns the writes and responses that it produces.
     fn handle(&mut self, now: Now, event: Event) -> Effects;
-    /// Version of the newest configuration, committed or not; 0 for none.
+    /// Version of the newest configuration, committed or not; 0 if there is none.
     fn configuration_version(&self) -> u64 {
         0
     }
-    /// The newest configuration, committed or not.
+    /// The newest configuration, committed or not; `None` if there is none.
     fn newest_configuration(&self) -> Option<PublishedConfiguration> {
         None
     }
