--- a/crates/controlplane/src/options/mod.rs
+++ b/crates/controlplane/src/options/mod.rs
@@ -16,68 +16,69 @@
 
 const MILLIS_PER_SECOND: u64 = 1_000;
 
-/// Where the settings of fair share come from.
+/// The source of the fair-share settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FairShareSource {
-    /// From the command line: a half-life, and defaults for it.
+    /// From `--share-debt`: a half-life, and defaults for the other settings.
     CommandLine(FairShareSettings),
-    /// From a file.
+    /// From the file named by `--share-debt-settings`.
     File(PathBuf),
 }
 
-/// Which processes are asked first for the state of the cluster.
+/// The processes that are queried first for the state of the cluster.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ClusterAddresses {
-    /// Their internal addresses; with none, those of the settings' seeds.
+    /// Internal addresses of the processes; if empty, those of the seeds in the settings file.
     pub addresses: Vec<SocketAddr>,
-    /// The settings file that names the seeds, where it is not the default one.
+    /// The settings file that names the seeds; `None` for the default file.
     pub settings: Option<PathBuf>,
 }
 
-/// The format in which the status is printed.
+/// The output format of `status`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatusFormat {
-    /// Tables for people.
+    /// Tables for reading.
     Tables,
-    /// JSON for programs.
+    /// JSON for processing by other programs.
     Json,
 }
 
-/// What the program is to do.
+/// The operation that the command line requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Run until a signal ends it.
+    /// Run the control machine process until a signal ends it.
     Run {
-        /// The log level, where one is given.
+        /// The log level; `None` if the command line gives none.
         log_level: Option<LevelFilter>,
-        /// Work is ordered by recent use by these settings; without them it is not.
+        /// Source of the settings by which work is ordered by recent use; without it the order ignores recent
+        /// use.
         fair_share: Option<FairShareSource>,
     },
-    /// Check the settings file, and that of fair share where one is named.
+    /// Check the settings file, and the fair-share settings if a source is given.
     CheckSettings(Option<FairShareSource>),
-    /// Check an operator's configuration.
+    /// Check an operator's configuration file.
     CheckConfiguration(PathBuf),
     /// Print the status of the whole cluster.
     Status {
-        /// Which processes are asked.
+        /// The processes that are queried first.
         cluster: ClusterAddresses,
-        /// How it is printed.
+        /// The output format.
         format: StatusFormat,
     },
-    /// Ask the primary about one job or user.
+    /// Query the primary about one job or one user.
     Explain {
-        /// The question.
+        /// The subject of the query.
         request: ExplainRequest,
-        /// Which processes are asked.
+        /// The processes that are queried first.
         cluster: ClusterAddresses,
     },
-    /// Check and show a data folder.
+    /// Check a data folder and print its content.
     ShowDisk(PathBuf),
-    /// Print this text.
+    /// Print the given text, for `--help` and `--version`.
     Print(String),
 }
 
-/// Parses the command line, without the program's own name.
+/// Parses the command line; `arguments` excludes the program's name.
 ///
 /// # Errors
 /// See [`OptionsError`].
@@ -209,7 +210,7 @@
     }
 }
 
-/// Settings by a half-life in whole seconds.
+/// Settings for a half-life given in whole seconds.
 fn fair_share_by_half_life(half_life: String) -> Result<FairShareSettings, OptionsError> {
     let Ok(seconds) = half_life.parse::<u64>() else {
         return Err(OptionsError::HalfLife(half_life));
--- a/crates/controlplane/src/options/usage.rs
+++ b/crates/controlplane/src/options/usage.rs
@@ -1,4 +1,4 @@
-//! The options of the program and its help.
+//! The options of the program and its help text.
 
 use getopts::Options;
 use streamusher_runtime::options::add_log_level;
@@ -25,7 +25,7 @@
 primary acts; explain: no primary acts, or nothing is known; show-disk: the store is damaged), and with 2 for a wrong
 command line, settings, configuration or store format.";
 
-/// All options, also those that only one command takes.
+/// All options of all commands.
 pub(super) fn options() -> Options {
     let mut options = Options::new();
     options.optflag("h", "help", "print this text");
--- a/crates/controlplane/src/show_disk/copy.rs
+++ b/crates/controlplane/src/show_disk/copy.rs
@@ -5,14 +5,14 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Distinguishes the copies that one process makes.
+/// Makes the names of copies made by one process unique.
 static NEXT_COPY: AtomicU64 = AtomicU64::new(0);
 
-/// A folder that is removed when the value is dropped.
+/// A temporary folder that is removed when the value is dropped.
 pub(super) struct TemporaryFolder(PathBuf);
 
 impl TemporaryFolder {
-    /// Copies a folder with all that is below it.
+    /// Copies a folder with everything below it.
     pub(super) fn copy_of(folder: &Path) -> io::Result<TemporaryFolder> {
         let number = NEXT_COPY.fetch_add(1, Ordering::Relaxed);
         let name = format!("streamusher-show-disk-{}-{number}", std::process::id());
@@ -30,12 +30,12 @@
 
 impl Drop for TemporaryFolder {
     fn drop(&mut self) {
-        // What cannot be removed lies in the system's temporary folder.
+        // A failed removal is ignored: the files are in the system's temporary folder.
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-/// Bytes of all files below a folder.
+/// Total size of all files below a folder, in bytes.
 pub(super) fn total_bytes(folder: &Path) -> io::Result<u64> {
     let mut bytes = 0;
     for entry in fs::read_dir(folder)? {
--- a/crates/controlplane/src/show_disk/mod.rs
+++ b/crates/controlplane/src/show_disk/mod.rs
@@ -1,7 +1,7 @@
-//! `streamusher-control show-disk DIR`: checks and shows the data folder of a process that does not run.
+//! `streamusher-control show-disk DIR`: checks and shows the data folder of a stopped process.
 //!
-//! Opening a store repairs it: torn journals are truncated, interrupted replacements completed. Therefore a copy in a
-//! temporary folder is opened, and the folder itself is only read.
+//! Opening a store repairs it: torn journals are truncated and interrupted replacements completed. The
+//! command therefore opens a copy in a temporary folder, and only reads the folder itself.
 
 mod copy;
 mod report;
@@ -15,23 +15,23 @@
 /// The file that the database locks while it is open.
 const LOCK_FILE: &str = "lock";
 
-/// Why a data folder cannot be shown.
+/// An error for which a data folder cannot be shown.
 #[derive(Debug, thiserror::Error)]
 pub enum ShowDiskError {
-    /// The folder holds no store.
-    #[error("{0} holds no store: name the folder that data_dir names in the settings")]
+    /// The folder contains no store.
+    #[error("{0} contains no store: give the folder that is set as data_dir in the settings")]
     NoStore(PathBuf),
-    /// A process has it open.
-    #[error("{0} is in use: stop the process first, or ask it with the command status")]
+    /// A running process has the store open.
+    #[error("{0} is in use: stop the process first, or query it with the command status")]
     InUse(PathBuf),
-    /// It cannot be read, or there is no space for the copy.
+    /// The folder cannot be read, or there is no space for the copy.
     #[error(
-        "{folder}: {error}: see that it can be read, and that the temporary folder has room for a copy"
+        "{folder}: {error}: check that it is readable, and that the temporary folder has space for a copy"
     )]
     Unreadable {
         /// The data folder.
         folder: PathBuf,
-        /// What the system said.
+        /// The error reported by the operating system.
         error: io::Error,
     },
     /// The store is damaged or of a newer format.
@@ -52,19 +52,19 @@
         folder: data_dir.to_owned(),
         error,
     };
-    // Held until the copy is made: a process that starts meanwhile waits for them.
+    // Held until the copy is complete: a process that starts meanwhile waits for the locks.
     let locks = lock_all(data_dir, &folders)?;
     let bytes = total_bytes(data_dir).map_err(unreadable)?;
     let copy = TemporaryFolder::copy_of(data_dir).map_err(unreadable)?;
     drop(locks);
-    // An error names the folder itself, not the copy.
+    // An error must name the folder itself, not the copy.
     let (store, image) =
         Store::open(copy.path()).map_err(|error| error.at_folder(data_dir.join(STORE_FOLDER)))?;
     drop(store);
     Ok(report::render(data_dir, bytes, &image))
 }
 
-/// Locks the databases as a process does that opens them.
+/// Locks the databases, as a process does that opens them.
 fn lock_all(data_dir: &Path, folders: &[PathBuf]) -> Result<Vec<File>, ShowDiskError> {
     let mut locks = Vec::new();
     for folder in folders {
@@ -76,7 +76,7 @@
             Err(TryLockError::WouldBlock) => {
                 return Err(ShowDiskError::InUse(data_dir.to_owned()));
             }
-            // A file system without locks: nothing can be said.
+            // A file system without locks: it is unknown whether the store is in use.
             Err(TryLockError::Error(_)) => {}
         }
     }
--- a/crates/controlplane/src/show_disk/report.rs
+++ b/crates/controlplane/src/show_disk/report.rs
@@ -1,19 +1,19 @@
-//! The content of a store as lines of text.
+//! Renders the content of a store as text.
 
 use crate::store::FORMAT;
 use std::collections::BTreeMap;
 use std::path::Path;
 use streamusher_coordination::{DiskImage, EpochRecord, StateMap, WitnessState};
 
-/// Keys of the replicated state that share a prefix.
+/// Totals of the keys of the replicated state that share a prefix.
 #[derive(Clone, Copy, Debug, Default)]
 struct KeyGroup {
     keys: usize,
-    /// Of keys and values.
+    /// Total size of keys and values.
     bytes: usize,
 }
 
-/// Lines with a name and a value in columns.
+/// Lines of text, each with a name and a value in columns.
 struct Lines(Vec<String>);
 
 impl Lines {
@@ -22,7 +22,7 @@
     }
 }
 
-/// Renders the store under `data_dir`, whose files have `bytes` bytes.
+/// Renders the store under `data_dir`; `bytes` is the total size of its files.
 pub(super) fn render(data_dir: &Path, bytes: u64, image: &DiskImage) -> String {
     let mut lines = Lines(vec![format!(
         "{}: format {FORMAT}, {bytes} bytes, good\n",
@@ -78,7 +78,7 @@
     )
 }
 
-/// The keys by their prefix up to the first slash, which is shown with them.
+/// Groups the keys by their prefix up to and including the first slash.
 fn groups_by_prefix(state: &StateMap) -> BTreeMap<&str, KeyGroup> {
     let mut groups: BTreeMap<&str, KeyGroup> = BTreeMap::new();
     for (key, value) in state {
