--- a/crates/controlplane/src/cluster_status/mod.rs
+++ b/crates/controlplane/src/cluster_status/mod.rs
@@ -1,8 +1,8 @@
-//! `streamusher-control status` and `explain`: queries every control machine and prints the whole cluster, or what the
-//! primary knows of one job or user.
+//! `streamusher-control status` and `explain`: `status` queries every control machine and prints the whole
+//! cluster; `explain` prints the primary's explanation of one job or user.
 //!
-//! - [`query`]: the queries.
-//! - [`report`], [`table`]: the responses as tables.
+//! - [`query`]: sends the queries.
+//! - [`report`], [`table`]: render the responses as tables.
 
 pub mod query;
 pub mod report;
@@ -13,31 +13,31 @@
 use std::net::SocketAddr;
 use streamusher_protocol::internal::ExplainRequest;
 
-/// The health of the cluster, for the exit code.
+/// The health of the cluster, which determines the exit code of `status`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// All processes that were found responded, and one of them acts as primary.
+    /// All known processes responded, and one of them is the acting primary.
     Good,
-    /// A process did not respond, or none acts as primary.
+    /// A process did not respond, or none is the acting primary.
     Impaired,
 }
 
-/// Asks the acting primary about one job or user; returns the text to print. `addresses` are those of
-/// [`query::query_all`]. Within a `LocalSet`.
+/// Queries the acting primary about one job or user and returns the text to print. `addresses` are passed to
+/// [`query::query_all`]. Must be called within a `LocalSet`.
 ///
 /// # Errors
-/// No process acts as primary, or it knows nothing of the subject.
+/// No process is the acting primary, or it has no information about the subject.
 pub async fn explain(
     addresses: Vec<SocketAddr>,
-    question: &ExplainRequest,
+    explain_request: &ExplainRequest,
 ) -> Result<String, ExplainError> {
     let responses = query::query_all(addresses).await;
     let primary = acting_primary(&responses).ok_or(ExplainError::NoPrimary)?;
-    let explanation = query::explain(primary, question).await?;
+    let explanation = query::explain(primary, explain_request).await?;
     Ok(format!("{explanation:#}\n"))
 }
 
-/// Whether all processes responded and one acts as primary.
+/// Returns [`Health::Good`] if all processes responded and one is the acting primary.
 pub fn health(responses: &StatusResponses) -> Health {
     let all_responded = !responses.is_empty() && responses.values().all(Result::is_ok);
     if all_responded && acting_primary(responses).is_some() {
--- a/crates/controlplane/src/cluster_status/query.rs
+++ b/crates/controlplane/src/cluster_status/query.rs
@@ -1,4 +1,4 @@
-//! Queries for the status of processes; further control machines are found from the responses.
+//! Queries for the status of processes. Responses name further control machines, which are queried in turn.
 
 use bytes::Bytes;
 use http::{Method, StatusCode, Uri};
@@ -10,18 +10,19 @@
 use streamusher_runtime::http::{Client, Request, RequestError, Response};
 use tokio::task::JoinSet;
 
-/// How long a response may take: a machine that is up responds within milliseconds, also when it is busy.
+/// Timeout of a response: a running machine responds within milliseconds, also under load.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Addresses come from responses; there are never so many control machines.
+/// Maximum number of queried processes. Addresses come from responses, and no cluster has this many control
+/// machines.
 const MAX_QUERIED: usize = 64;
 
-/// Why a process gave no status. The text is part of `status --json`.
+/// An error for which a process returned no status. The text is part of the output of `status --json`.
 #[derive(Debug, thiserror::Error)]
 pub enum QueryError {
-    /// There was no response.
+    /// No response was received.
     #[error(transparent)]
     Request(#[from] RequestError),
-    /// The response is no success.
+    /// The response has an HTTP status that is not a success.
     #[error("answered {0}: name the internal ip:port of a process")]
     Status(StatusCode),
     /// The response is not JSON.
@@ -29,50 +30,53 @@
     Body(serde_json::Error),
 }
 
-/// Why the primary explained nothing.
+/// An error for which the primary returned no explanation.
 #[derive(Debug, thiserror::Error)]
 pub enum ExplainError {
-    /// No process acts as primary.
-    #[error("no primary acts: look at the status")]
+    /// No process is the acting primary.
+    #[error("no acting primary: run the command status")]
     NoPrimary,
-    /// The question cannot be encoded.
-    #[error("the question cannot be encoded: {0}")]
+    /// The request cannot be encoded.
+    #[error("cannot encode the request: {0}")]
     Encoding(serde_json::Error),
-    /// There was no response.
+    /// No response was received.
     #[error(transparent)]
     Request(#[from] RequestError),
-    /// The primary knows nothing of it; the text is its reason.
+    /// The primary has no information about the subject; the text is the reason that it gave.
     #[error("{0}")]
     Unknown(String),
     /// The response is not JSON.
-    #[error("the answer is not understood: {0}")]
+    #[error("cannot decode the response: {0}")]
     Body(serde_json::Error),
 }
 
-/// The status of each process by its internal address, or why there is none.
+/// The status of each process by its internal address, or the error of its query.
 pub type StatusResponses = BTreeMap<SocketAddr, Result<Value, QueryError>>;
 
-/// Queries the processes at `addresses` and all control machines that their responses name. Within a `LocalSet`.
+/// Queries the processes at `addresses` and all control machines that their responses name. Must be called
+/// within a `LocalSet`.
 pub async fn query_all(addresses: Vec<SocketAddr>) -> StatusResponses {
     let mut responses = StatusResponses::new();
-    let mut next: BTreeSet<SocketAddr> = addresses.into_iter().collect();
-    while !next.is_empty() {
+    let mut pending_addresses: BTreeSet<SocketAddr> = addresses.into_iter().collect();
+    while !pending_addresses.is_empty() {
         let mut queries = JoinSet::new();
-        for address in std::mem::take(&mut next) {
+        for address in std::mem::take(&mut pending_addresses) {
             queries.spawn_local(async move { (address, query(address).await) });
         }
         while let Some(finished) = queries.join_next().await {
-            // A task that panicked is one without a response.
+            // A query task that panicked counts as one without a response.
             let Ok((address, response)) = finished else {
                 continue;
             };
             if let Ok(status) = &response {
-                next.extend(control_machines_in(status));
+                pending_addresses.extend(control_machines_in(status));
             }
             responses.insert(address, response);
         }
-        next.retain(|address| !responses.contains_key(address));
-        while next.len() + responses.len() > MAX_QUERIED && next.pop_last().is_some() {}
+        pending_addresses.retain(|address| !responses.contains_key(address));
+        while pending_addresses.len() + responses.len() > MAX_QUERIED
+            && pending_addresses.pop_last().is_some()
+        {}
     }
     responses
 }
@@ -85,15 +89,15 @@
     serde_json::from_slice(response.body()).map_err(QueryError::Body)
 }
 
-/// What the primary at `address` knows of one job or user.
+/// Queries the primary at `address` for its explanation of one job or user.
 ///
 /// # Errors
 /// See [`ExplainError`].
 pub async fn explain(
     address: SocketAddr,
-    question: &ExplainRequest,
+    explain_request: &ExplainRequest,
 ) -> Result<Value, ExplainError> {
-    let body = serde_json::to_vec(question).map_err(ExplainError::Encoding)?;
+    let body = serde_json::to_vec(explain_request).map_err(ExplainError::Encoding)?;
     let response = send(address, Method::POST, EXPLAIN_PATH, Bytes::from(body)).await?;
     if !response.status().is_success() {
         let reason = String::from_utf8_lossy(response.body());
@@ -114,8 +118,8 @@
     Client::new(address).send(request, RESPONSE_TIMEOUT).await
 }
 
-/// Internal addresses of the control machines that a status names: those in a control machine's record, or those that a
-/// process of the data plane knows.
+/// Internal addresses of the control machines that a status names: the members in a control machine's record,
+/// or those that a data plane process knows.
 fn control_machines_in(status: &Value) -> Vec<SocketAddr> {
     let recorded = addresses_at(status, "/core/record/members", "/address/internal");
     let viewed = addresses_at(status, "/control_plane/members", "/internal");
--- a/crates/controlplane/src/cluster_status/report/fields.rs
+++ b/crates/controlplane/src/cluster_status/report/fields.rs
@@ -1,13 +1,14 @@
-//! Fields of a status as text. Statuses come from processes of any release: what is missing is shown as empty.
+//! Fields of a status as text. Statuses may come from processes of any release, so missing fields are shown
+//! as empty.
 
 use serde_json::Value;
 
-/// The value at a JSON pointer as text; empty where there is none.
+/// The value at a JSON pointer as text; empty if it does not exist.
 pub(super) fn text(value: &Value, pointer: &str) -> String {
     value.pointer(pointer).map_or_else(String::new, plain)
 }
 
-/// A value as text, strings without quotes.
+/// A value as text; strings are without quotes.
 pub(super) fn plain(value: &Value) -> String {
     match value {
         Value::Null => String::new(),
@@ -16,7 +17,7 @@
     }
 }
 
-/// The items of the list at a JSON pointer; none where there is no list.
+/// The items of the list at a JSON pointer; empty if there is no list.
 pub(super) fn list<'a>(value: &'a Value, pointer: &str) -> impl Iterator<Item = &'a Value> {
     value
         .pointer(pointer)
@@ -25,7 +26,7 @@
         .flatten()
 }
 
-/// Whether the field is `true`.
+/// Whether the field `key` is `true`.
 pub(super) fn is_true(value: &Value, key: &str) -> bool {
     value.get(key).and_then(Value::as_bool) == Some(true)
 }
@@ -38,7 +39,7 @@
     format!("{}/{}", text(value, "/epoch"), text(value, "/sequence"))
 }
 
-/// A disk's id as the logs write it.
+/// A disk's id in hexadecimal digits, as in the logs.
 pub(super) fn disk_id(id: &str) -> String {
     id.parse::<u64>()
         .map_or_else(|_| id.to_owned(), |id| format!("{id:016x}"))
--- a/crates/controlplane/src/cluster_status/report/mod.rs
+++ b/crates/controlplane/src/cluster_status/report/mod.rs
@@ -1,4 +1,4 @@
-//! The status of the whole cluster as tables.
+//! Renders the status of the whole cluster as tables.
 
 mod fields;
 mod primary;
@@ -7,7 +7,7 @@
 use super::query::StatusResponses;
 use serde_json::Value;
 
-/// The whole cluster: all processes, and what the acting primary knows.
+/// Renders all processes, and the acting primary's view of the cluster.
 pub fn render(responses: &StatusResponses) -> String {
     let processes = processes::table(responses);
     let acting = responses
@@ -22,7 +22,7 @@
     }
 }
 
-/// Whether a status is that of the primary, with a valid lease.
+/// Whether a status comes from the primary and it holds a valid lease.
 pub fn is_acting(status: &Value) -> bool {
     status
         .pointer("/core/acting")
--- a/crates/controlplane/src/cluster_status/report/primary.rs
+++ b/crates/controlplane/src/cluster_status/report/primary.rs
@@ -1,4 +1,4 @@
-//! What the acting primary knows: members, queues and workers.
+//! The acting primary's view of members, queues and workers.
 
 use super::fields::{disk_id, is_true, list, log_position, plain, text};
 use crate::cluster_status::table::Table;
@@ -17,7 +17,7 @@
     "LEASE LEFT MS",
 ];
 
-/// The report of the acting primary.
+/// Renders the report of the acting primary.
 pub(super) fn render(status: &Value) -> String {
     let summary = summary(status);
     let members = members(status);
--- a/crates/controlplane/src/cluster_status/report/processes.rs
+++ b/crates/controlplane/src/cluster_status/report/processes.rs
@@ -20,7 +20,7 @@
 
 const MILLIS_PER_SECOND: u64 = 1_000;
 
-/// The cells of a process after its address.
+/// The cells of a process's row after its address.
 #[derive(Default)]
 struct ProcessRow {
     role: String,
@@ -33,7 +33,7 @@
     last_error: String,
 }
 
-/// All processes, whether they responded or not.
+/// Renders all processes, including those that did not respond.
 pub(super) fn table(responses: &StatusResponses) -> String {
     let mut table = Table::new(&COLUMNS);
     for (address, response) in responses {
@@ -90,7 +90,7 @@
     }
 }
 
-/// A gate's readiness, or an agent's lease.
+/// The readiness of a gate, or the lease and runs of an agent.
 fn data_plane_state(status: &Value) -> String {
     let flag = |key: &str| status.get(key).and_then(Value::as_bool);
     if flag("leaving") == Some(true) {
@@ -116,7 +116,7 @@
     }
 }
 
-/// Address of the primary in the newest record that a control machine knows.
+/// Address of the primary in the newest epoch record that a control machine knows.
 fn recorded_primary(status: &Value) -> String {
     let primary = status
         .pointer("/core/record/primary")
@@ -129,7 +129,7 @@
     member.map_or_else(String::new, |member| text(member, "/address/internal"))
 }
 
-/// The newest warning or error line of the process, with its age.
+/// The newest warning or error in the log of the process, with its age.
 fn last_error(status: &Value) -> String {
     let Some(error) = status.get("last_error").filter(|error| !error.is_null()) else {
         return String::new();
--- a/crates/controlplane/src/cluster_status/table.rs
+++ b/crates/controlplane/src/cluster_status/table.rs
@@ -1,10 +1,10 @@
-//! Text tables: a header, and columns as wide as their widest cell.
+//! Text tables: a header row, and columns as wide as their widest cell.
 
-/// Stands for an empty cell.
+/// Shown in place of an empty cell.
 const EMPTY_CELL: &str = "-";
 const COLUMN_SEPARATOR: &str = "  ";
 
-/// A table of texts.
+/// A table of text cells.
 #[derive(Clone, Debug)]
 pub struct Table {
     header: Vec<String>,
@@ -12,7 +12,7 @@
 }
 
 impl Table {
-    /// A table with this header.
+    /// Creates a table without rows.
     pub fn new(header: &[&str]) -> Table {
         Table {
             header: header.iter().map(|cell| (*cell).to_owned()).collect(),
@@ -32,7 +32,7 @@
         self.rows.push(row.collect());
     }
 
-    /// The table as lines; one without rows says so in a line.
+    /// Renders the table as lines. A table without rows is rendered as one line that says `none`.
     pub fn render(&self) -> String {
         if self.rows.is_empty() {
             let title = self.header.first().map_or("", String::as_str);
