--- a/crates/controlplane/src/component_settings.rs
+++ b/crates/controlplane/src/component_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of replication and scheduler, from those of the process.
+//! Derives the settings of the coordinator and the scheduler from the process settings.
 
 use std::collections::hash_map::RandomState;
 use std::hash::{BuildHasher, Hash, Hasher};
@@ -10,11 +10,11 @@
 use streamusher_runtime::settings::ProcessSettings;
 use streamusher_scheduler::{Policy, SchedulerLimits, SchedulerSettings};
 
-/// How long a replica's acknowledgement binds it: some forty messages of a calm network, and a fraction of the second
-/// that callers wait.
+/// Duration of the lease that a replica's acknowledgement grants: about 40 message delays of an unloaded
+/// network, and a fraction of the one second that callers wait.
 const LEASE_MS: Millis = 600;
 
-/// Settings of replication; `address` is where the others reach this machine.
+/// Settings of the coordinator; `address` is where the other control machines reach this one.
 pub(crate) fn coordinator_settings(
     settings: &ProcessSettings,
     address: CoreAddress,
@@ -30,7 +30,7 @@
     }
 }
 
-/// Settings of the scheduler; without `fair_share` work is not ordered by recent use.
+/// Settings of the scheduler. Without `fair_share` it does not order work by recent use.
 pub(crate) fn scheduler_settings(
     settings: &ProcessSettings,
     random_seed: u64,
@@ -53,7 +53,8 @@
     }
 }
 
-/// A new seed for each start: a disk's id is drawn from it, so no two starts may draw the same.
+/// Draws a new seed at each start. The id of a disk is derived from it, so two starts must not draw the same
+/// seed.
 pub(crate) fn draw_random_seed() -> u64 {
     let mut hasher = RandomState::new().build_hasher();
     SystemTime::now().hash(&mut hasher);
@@ -63,7 +64,7 @@
 
 #[expect(
     clippy::cast_possible_truncation,
-    reason = "a cast from a float saturates, and settings are far below that"
+    reason = "a cast from a float saturates, and settings are far below the limit"
 )]
 fn milliseconds(seconds: f64) -> Millis {
     (seconds.max(0.0) * 1_000.0).round() as Millis
--- a/crates/controlplane/src/control_api.rs
+++ b/crates/controlplane/src/control_api.rs
@@ -1,4 +1,5 @@
-//! The control interface, for operators. The primary executes their requests; the other machines redirect to it.
+//! The HTTP control interface for operators. The primary executes their requests; other machines redirect to
+//! the primary.
 
 use crate::control_machine::ControlMachine;
 use crate::driver::{ControlOutcome, ControlRequest};
@@ -13,7 +14,7 @@
     OperatorRequest, OperatorRequestKind, OperatorResponse, SchedulerResponse,
 };
 
-/// Why a request of an operator is malformed; the text is the response's body.
+/// The reason for which an operator's request is rejected as malformed; the text is the body of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum OperatorRequestError {
     #[error(
@@ -24,7 +25,7 @@
     Encoding,
 }
 
-/// Serves a request on the control port; `own_address` is this machine's control `ip:port`.
+/// Handles a request to the control port; `own_address` is this machine's control `ip:port`.
 pub(crate) async fn serve(
     machine: ControlMachine,
     own_address: Arc<str>,
@@ -46,7 +47,8 @@
     response_to(outcome, &own_address, &path)
 }
 
-/// The HTTP response to the outcome of an operator's request for `path`; `own_address` is this machine's control `ip:port`.
+/// The HTTP response for the outcome of an operator's request to `path`; `own_address` is this machine's
+/// control `ip:port`.
 pub fn response_to(outcome: ControlOutcome, own_address: &str, path: &str) -> Response {
     match outcome {
         ControlOutcome::Response(SchedulerResponse::Operator(response)) => to_http(&response),
@@ -98,7 +100,7 @@
     })
 }
 
-/// The version that a change builds on; none where the header is missing, doubled or not a number.
+/// The version that a change is based on; `None` if the header is missing, repeated or not a number.
 fn base_version(request: &Request) -> Option<u64> {
     let mut values = request.headers().get_all(BASE_VERSION_HEADER).iter();
     let value = values.next()?.to_str().ok()?.trim().parse().ok()?;
@@ -114,7 +116,8 @@
     http_response
 }
 
-/// Redirects to the primary, where it is known and another machine: a primary without a lease must not name itself.
+/// Redirects to the primary if it is known and is another machine: a primary without a lease must not
+/// redirect to itself.
 fn redirect_to_primary(view: &ClusterView, own_address: &str, path: &str) -> Response {
     let Some(location) = primary_location(view, own_address, path) else {
         return no_primary();
--- a/crates/controlplane/src/deferred.rs
+++ b/crates/controlplane/src/deferred.rs
@@ -1,31 +1,31 @@
-//! Requests that reach a machine between its election and the moment from which it may act as primary.
+//! Requests that arrive between a machine's election and the time from which it may act as primary.
 //!
-//! They are queued: nothing of them has been done, and a caller that was rejected would have to look for the primary
-//! again, which takes longer than the wait.
+//! Such requests are queued: nothing has been executed for them, and rejecting one would make its caller
+//! search for the primary again, which takes longer than the wait.
 
 use crate::requests::ControlRequest;
 use std::collections::VecDeque;
 use streamusher_protocol::Millis;
 use streamusher_scheduler::RequestId;
 
-/// How long a request waits at most: one round of commits, with margin for a slow disk.
+/// Maximum wait of a request: one round of commits, with margin for a slow disk.
 const MAX_WAIT_MS: Millis = 400;
 
-/// Length of the queue; every agent and gate turns to a newly elected primary.
+/// Maximum queue length: every agent and gate contacts a newly elected primary.
 const MAX_REQUESTS: usize = 4_096;
 
 /// A queued request.
 #[derive(Debug)]
 pub(crate) struct DeferredRequest {
-    /// Its number.
+    /// The number under which the request's outcome is returned.
     pub(crate) id: RequestId,
-    /// The request.
+    /// The request as it arrived.
     pub(crate) request: ControlRequest,
     deadline: Millis,
 }
 
 impl DeferredRequest {
-    /// Whether it has waited for as long as it may.
+    /// Whether the request has waited for [`MAX_WAIT_MS`].
     pub(crate) fn is_expired(&self, now: Millis) -> bool {
         now >= self.deadline
     }
@@ -43,7 +43,7 @@
         self.queue.len() < MAX_REQUESTS
     }
 
-    /// Queues a request.
+    /// Queues a request, with a deadline [`MAX_WAIT_MS`] from now.
     pub(crate) fn push(&mut self, now: Millis, id: RequestId, request: ControlRequest) {
         self.queue.push_back(DeferredRequest {
             id,
@@ -57,7 +57,8 @@
         self.queue.retain(|deferred| deferred.id != id);
     }
 
-    /// The first request. While the machine is still becoming primary, only one that has expired.
+    /// Removes and returns the first request. While the machine is becoming primary, only an expired request
+    /// is returned.
     pub(crate) fn pop(&mut self, now: Millis, becoming_primary: bool) -> Option<DeferredRequest> {
         self.queue
             .pop_front_if(|deferred| !becoming_primary || deferred.is_expired(now))
--- a/crates/controlplane/src/fair_share_file.rs
+++ b/crates/controlplane/src/fair_share_file.rs
@@ -1,4 +1,4 @@
-//! The settings file of fair share: `half_life_ms`, and whatever is not to have its default.
+//! The fair-share settings file: `half_life_ms` is required, other keys override defaults.
 
 use figment::providers::{Format, Serialized, Toml};
 use figment::Figment;
@@ -8,30 +8,30 @@
 
 const HALF_LIFE_KEY: &str = "half_life_ms";
 
-/// The file cannot be used.
+/// The fair-share settings file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum FairShareFileError {
-    /// It cannot be read, or a key is missing, unknown or of another type.
+    /// The file cannot be read, or a key is missing, unknown or of the wrong type.
     #[error("{path}: {reason}: correct the file, docs/design/share-debt.md lists its keys")]
     Unreadable {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// What is wrong, with the key, on one line.
+        /// The problem and the key, on one line.
         reason: String,
     },
     /// A value is out of its range.
     #[error("{path}: {error}")]
     OutOfRange {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// Which value, and its range.
+        /// The value and its allowed range.
         error: SettingsError,
     },
 }
 
 impl FairShareFileError {
     fn unreadable(path: &Path, error: &figment::Error) -> FairShareFileError {
-        // The parser's own text may have several lines.
+        // The parser's message may span several lines.
         let text = error.to_string();
         let words: Vec<&str> = text.split_whitespace().collect();
         FairShareFileError::Unreadable {
@@ -41,7 +41,7 @@
     }
 }
 
-/// Reads and checks the file. Keys that it does not have get the defaults for its half-life.
+/// Reads and validates the file. Missing keys get the defaults for the given half-life.
 ///
 /// # Errors
 /// See [`FairShareFileError`].
@@ -58,7 +58,7 @@
 
 #[expect(
     clippy::result_large_err,
-    reason = "the error of the library, turned into a small one by the caller"
+    reason = "the caller converts the library's error into a small one"
 )]
 fn read(path: &Path) -> Result<FairShareSettings, figment::Error> {
     let half_life_ms: Millis =
--- a/crates/controlplane/src/internal_api.rs
+++ b/crates/controlplane/src/internal_api.rs
@@ -1,4 +1,4 @@
-//! The internal interface, for control machines, agents and gates.
+//! The internal HTTP interface, for control machines, agents and gates.
 
 use crate::control_machine::explain::ExplainOutcome;
 use crate::control_machine::ControlMachine;
@@ -14,7 +14,7 @@
 use streamusher_runtime::http::{empty, json, parse_json, text, BodyError, Request, Response};
 use streamusher_scheduler::SchedulerResponse;
 
-/// Serves a request on the internal port.
+/// Handles a request to the internal port.
 pub(crate) async fn serve(machine: ControlMachine, request: Request) -> Response {
     let served = match (request.method(), request.uri().path()) {
         (&Method::POST, COORDINATION_PATH) => peer_messages(&machine, &request),
@@ -63,15 +63,15 @@
 }
 
 fn explain(machine: &ControlMachine, request: &Request) -> Result<Response, BodyError> {
-    let question: ExplainRequest = parse_json(request.body())?;
-    Ok(match machine.explain(&question) {
+    let explain_request: ExplainRequest = parse_json(request.body())?;
+    Ok(match machine.explain(&explain_request) {
         ExplainOutcome::Known(value) => json(StatusCode::OK, &value),
         ExplainOutcome::Unknown(reason) => text(StatusCode::NOT_FOUND, format!("{reason}\n")),
         ExplainOutcome::NotPrimary => not_primary(machine.view()),
     })
 }
 
-/// Lets the primary execute a request of a gate or an agent.
+/// Passes a request from a gate or an agent to the scheduler, if this machine is the acting primary.
 async fn execute<T: DeserializeOwned>(
     machine: &ControlMachine,
     request: &Request,
@@ -82,7 +82,7 @@
     Ok(response_to(outcome))
 }
 
-/// The HTTP response to the outcome of a gate's or an agent's request.
+/// The HTTP response for the outcome of a request from a gate or an agent.
 pub fn response_to(outcome: ControlOutcome) -> Response {
     match outcome {
         ControlOutcome::Response(SchedulerResponse::Agent(commands)) => {
--- a/crates/controlplane/src/lib.rs
+++ b/crates/controlplane/src/lib.rs
@@ -1,32 +1,35 @@
-//! The control plane: the process of a control machine, which is primary, replica or witness.
+//! The control plane: the process of a control machine, which acts as primary, replica or witness.
 //!
-//! The machines elect a primary and replicate its state ([`streamusher_coordination`]). The primary runs the scheduler
-//! ([`streamusher_scheduler`]) on that state and serves gates, agents and operators; a response leaves only when the writes
-//! that it rests on are committed.
+//! The control machines elect a primary and replicate its state ([`streamusher_coordination`]). The primary
+//! runs the scheduler ([`streamusher_scheduler`]) on that state and serves gates, agents and operators. It
+//! sends a response only after the writes that the response depends on are committed.
 //!
-//! The rule of release is the pure state machine [`driver::Driver`], which the emulator of the whole system embeds as well:
+//! A pure state machine, [`driver::Driver`], decides when a response is released. The emulator of the whole
+//! system embeds the same state machine:
 //!
-//! - [`driver`]: joins replication and scheduler; `requests`, `deferred`: its requests, and those queued until the machine
-//!   acts as primary.
-//! - [`pending_configurations`]: configurations that may be published once they are committed.
+//! - [`driver`]: connects replication and scheduler; `requests`, `deferred`: the requests it handles, and
+//!   those queued until the machine acts as primary.
+//! - [`pending_configurations`]: configurations that are published to the relay tree once they are committed.
 //!
-//! Around it is the process:
+//! The process that runs the driver:
 //!
-//! - [`process`]: start, event loop and shutdown; `servers`: its HTTP servers.
-//! - `control_machine`: the driver with the queues that its actions go to, shared by servers and event loop.
-//! - [`internal_api`], [`control_api`]: the two interfaces.
-//! - [`peer_messages`], `primary_relay`: messages to other control machines, and to the relay tree.
-//! - [`store`]: what is kept on disk, and the thread that writes it.
+//! - [`process`]: startup, event loop and shutdown; `servers`: its HTTP servers.
+//! - `control_machine`: the driver with the queues that receive its actions, shared by servers and event
+//!   loop.
+//! - [`internal_api`], [`control_api`]: the HTTP interfaces for other processes and for operators.
+//! - [`peer_messages`], `primary_relay`: messages to other control machines and to the relay tree.
+//! - [`store`]: the state on disk, and the thread that writes it.
 //! - [`machine_settings`], `component_settings`, [`fair_share_file`]: settings.
 //!
-//! And the operators' program:
+//! The operators' commands of the same program:
 //!
 //! - [`options`]: the command line.
-//! - [`cluster_status`], [`show_disk`]: its commands.
+//! - [`cluster_status`], [`show_disk`]: the commands `status`, `explain` and `show-disk`.
 //!
 //! # Example
 //!
-//! A driver without network and disk: a machine on an empty disk, whose seeds it cannot reach, is no primary.
+//! A driver without network and disk: a machine with an empty disk that cannot reach its seeds does not
+//! become primary.
 //!
 //! ```
 //! use streamusher_controlplane::driver::{Action, ControlOutcome, ControlRequest, Driver};
--- a/crates/controlplane/src/machine_settings.rs
+++ b/crates/controlplane/src/machine_settings.rs
@@ -1,22 +1,22 @@
-//! What a control machine needs of its process's settings: its addresses and its data folder.
+//! The process settings that a control machine requires: its addresses and its data folder.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use streamusher_protocol::internal::{CoreAddress, CONTROL_PORT_OFFSET};
 use streamusher_runtime::settings::ProcessSettings;
 
-/// Addresses and data folder of a control machine.
+/// The addresses and the data folder of a control machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MachineSettings {
-    /// Address of the internal interface.
+    /// Listen address of the internal interface.
     pub internal_address: SocketAddr,
-    /// Address of the control interface.
+    /// Listen address of the control interface.
     pub control_address: SocketAddr,
-    /// The folder that holds the store.
+    /// The folder that contains the store.
     pub data_dir: PathBuf,
 }
 
-/// A key that a control machine needs is missing in the settings.
+/// A key that a control machine requires is missing in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("settings: key {key} is missing: {remedy}")]
 pub struct MissingSetting {
@@ -34,10 +34,10 @@
 };
 
 impl MachineSettings {
-    /// Takes them from the settings of the process.
+    /// Extracts them from the process settings.
     ///
     /// # Errors
-    /// A key is missing.
+    /// A required key is missing.
     pub fn from_process(settings: &ProcessSettings) -> Result<MachineSettings, MissingSetting> {
         Ok(MachineSettings {
             internal_address: settings.internal_address(CONTROL_PORT_OFFSET),
@@ -46,7 +46,7 @@
         })
     }
 
-    /// The machine as others reach it.
+    /// The addresses at which other processes reach this machine.
     pub fn core_address(&self) -> CoreAddress {
         CoreAddress {
             internal: self.internal_address.to_string().into(),
--- a/crates/controlplane/src/main.rs
+++ b/crates/controlplane/src/main.rs
@@ -1,6 +1,7 @@
-//! `streamusher-control`: the control plane's process on a control machine, and its operators' commands.
+//! `streamusher-control`: the process of a control machine, and the operators' commands.
 //!
-//! Exit codes: 0 for success, 1 for a failure, 2 for a wrong command line, settings, configuration or store format.
+//! Exit codes: 0 for success, 1 for a failure, 2 for an invalid command line, settings, configuration or
+//! store format.
 
 use anyhow::anyhow;
 use log::LevelFilter;
@@ -22,11 +23,11 @@
 use streamusher_runtime::settings::{self, ProcessSettings};
 use streamusher_runtime::{event_loop, logs};
 
-/// Why the program ends without success.
+/// An error that ends the program, by exit code.
 enum Failure {
-    /// Something outside went wrong.
+    /// An operation failed at run time; exit code 1.
     Failed(anyhow::Error),
-    /// The command line, the settings, a configuration or the store's format are wrong.
+    /// The command line, the settings, a configuration or the store's format is invalid; exit code 2.
     Misuse(anyhow::Error),
 }
 
@@ -85,7 +86,7 @@
     })
 }
 
-/// Loads the settings of the process, and checks that they have what a control machine needs.
+/// Loads the process settings and checks that they contain what a control machine needs.
 fn load_settings() -> Result<ProcessSettings, Failure> {
     let settings = settings::load().map_err(misuse)?;
     MachineSettings::from_process(&settings).map_err(misuse)?;
@@ -128,7 +129,7 @@
     Ok(())
 }
 
-/// The addresses given, or those of the seeds in the settings file.
+/// Returns the given addresses, or the seeds in the settings file if none were given.
 fn addresses_to_query(cluster: ClusterAddresses) -> Result<Vec<SocketAddr>, Failure> {
     if !cluster.addresses.is_empty() {
         return Ok(cluster.addresses);
--- a/crates/controlplane/src/peer_messages.rs
+++ b/crates/controlplane/src/peer_messages.rs
@@ -1,4 +1,5 @@
-//! Messages to the other control machines: one queue and one connection for each, and everything queued in one request.
+//! Messages to the other control machines. Each peer has one queue and one connection; a request carries a
+//! batch of queued messages.
 
 use bytes::Bytes;
 use http::header::CONTENT_TYPE;
@@ -13,34 +14,36 @@
 use streamusher_runtime::http::{Client, ClientLimits, Request};
 use tokio::sync::mpsc;
 
-/// A machine that is up accepts the connection within a round trip.
+/// A running machine accepts a connection within one round trip.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// About a lease: an older response is of no use.
+/// About the duration of a lease: a later response has no value.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
-/// Messages that wait for one peer; more are dropped, as the sender repeats what matters.
+/// Maximum number of messages queued for one peer. Further messages are dropped; replication resends what was
+/// not acknowledged.
 const MAX_QUEUED_MESSAGES: usize = 1_024;
-/// Messages in one request.
+/// Maximum number of messages in one request.
 const MAX_MESSAGES_PER_REQUEST: usize = 128;
-/// Peers at once; control machines are few, and addresses come from messages.
+/// Maximum number of peers. A cluster has few control machines, but the addresses come from received
+/// messages.
 const MAX_PEERS: usize = 64;
 
-/// Messages of one control machine to another.
+/// The body of a request that carries messages from one control machine to another.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct PeerEnvelope {
     /// Internal `ip:port` of the sender.
     pub from: Arc<str>,
-    /// In the order in which they were sent.
+    /// The messages in sending order.
     pub messages: Vec<Message>,
 }
 
-/// The queues to the other control machines.
+/// The outbound queues to the other control machines.
 pub(crate) struct PeerQueues {
     own_address: Arc<str>,
     queues: HashMap<Arc<str>, mpsc::Sender<Message>>,
 }
 
 impl PeerQueues {
-    /// No queues yet; `own_address` is this machine's internal `ip:port`.
+    /// Starts without queues; `own_address` is this machine's internal `ip:port`.
     pub(crate) fn new(own_address: Arc<str>) -> PeerQueues {
         PeerQueues {
             own_address,
@@ -48,21 +51,22 @@
         }
     }
 
-    /// Queues a message; it is dropped where the peer is not reachable. Within a `LocalSet`.
+    /// Queues a message. It is dropped if the queue is full or the address is invalid. Must be called within
+    /// a `LocalSet`.
     pub(crate) fn send(&mut self, to: &Arc<str>, message: Message) {
         if !self.queues.contains_key(to) && !self.add_peer(to) {
             return;
         }
         if let Some(queue) = self.queues.get(to) {
-            // A full queue drops: replication repeats what was not acknowledged.
+            // Dropping on a full queue is safe: replication resends what was not acknowledged.
             let _ = queue.try_send(message);
         }
     }
 
-    /// Starts a queue; whether the address can be used.
+    /// Creates a peer's queue and its sender task. Returns false if the address is invalid.
     fn add_peer(&mut self, to: &Arc<str>) -> bool {
         let Ok(address) = to.parse::<SocketAddr>() else {
-            log::warn!("control machine {to:?}: not an ip:port address: sending nothing to it");
+            log::warn!("control machine {to:?}: not an ip:port address; dropping messages to it");
             return false;
         };
         if self.queues.len() >= MAX_PEERS {
@@ -75,7 +79,7 @@
     }
 }
 
-/// Sends what comes through `messages`, until the queue is dropped.
+/// Sends the messages received from `messages`, until the queue is dropped.
 async fn deliver(from: Arc<str>, address: SocketAddr, mut messages: mpsc::Receiver<Message>) {
     let limits = ClientLimits {
         max_requests: 1,
@@ -93,13 +97,13 @@
             continue;
         };
         if let Err(error) = client.send(request, REQUEST_TIMEOUT).await {
-            log::debug!("control machine {address}: {error}");
+            log::debug!("sending messages to control machine {address} failed: {error}");
             discard_queued(&mut messages);
         }
     }
 }
 
-/// A message with those that are queued after it.
+/// Returns `first` together with the messages queued behind it.
 fn batch_of(first: Message, messages: &mut mpsc::Receiver<Message>) -> Vec<Message> {
     let mut batch = vec![first];
     while batch.len() < MAX_MESSAGES_PER_REQUEST {
@@ -111,7 +115,8 @@
     batch
 }
 
-/// What was queued during a failed request is as old as that request; the next messages are of more use.
+/// Messages queued during a failed request are as old as that request; newer messages are more useful to the
+/// peer.
 fn discard_queued(messages: &mut mpsc::Receiver<Message>) {
     while messages.try_recv().is_ok() {}
 }
--- a/crates/controlplane/src/pending_configurations.rs
+++ b/crates/controlplane/src/pending_configurations.rs
@@ -1,26 +1,28 @@
-//! Configurations on their way to the relay tree: one may be published only when it is committed. Pure.
+//! Configurations to publish to the relay tree. A configuration is published only after its commit. This
+//! module is a pure state machine.
 
 use std::collections::VecDeque;
 use streamusher_configuration::PublishedConfiguration;
 
 #[derive(Debug)]
 struct PendingConfiguration {
-    /// The batch that holds it.
+    /// Sequence of the batch that contains the configuration.
     sequence: u64,
     configuration: PublishedConfiguration,
 }
 
-/// Configurations of one term that are not published yet, in the order of their versions.
+/// The unpublished configurations of one term, in version order.
 #[derive(Debug, Default)]
 pub struct PendingConfigurations {
-    /// The newest version seen.
+    /// The newest version observed.
     newest_version: u64,
     uncommitted: VecDeque<PendingConfiguration>,
     committed: Vec<PublishedConfiguration>,
 }
 
 impl PendingConfigurations {
-    /// Records that `version` is the newest after batch `sequence`. `newest` is called only where that is a new version.
+    /// Records that `version` is the newest after batch `sequence`. Calls `newest` only if this version was
+    /// not observed before.
     pub fn observe(
         &mut self,
         sequence: u64,
@@ -39,7 +41,7 @@
         }
     }
 
-    /// Whether a configuration waits for its commit.
+    /// Whether a configuration is not committed yet.
     pub fn has_uncommitted(&self) -> bool {
         !self.uncommitted.is_empty()
     }
@@ -59,7 +61,7 @@
         !self.committed.is_empty()
     }
 
-    /// The configurations that were committed since the last call.
+    /// Returns the configurations that were committed since the last call, and clears them.
     pub fn take_committed(&mut self) -> Vec<PublishedConfiguration> {
         std::mem::take(&mut self.committed)
     }
--- a/crates/controlplane/src/primary_relay.rs
+++ b/crates/controlplane/src/primary_relay.rs
@@ -1,4 +1,4 @@
-//! The primary's end of the relay tree: the leases of gates, and the configurations sent down the tree.
+//! The primary's end of the relay tree: leases of gates, and configurations sent down the tree.
 
 use serde_json::{json, Value};
 use streamusher_configuration::relay::{
@@ -9,16 +9,16 @@
 use streamusher_protocol::Millis;
 use streamusher_runtime::http::Outbox;
 
-/// The publisher of one term.
+/// The configuration publisher for one term of the primary.
 struct TermPublisher {
     /// The epoch in which the primary was elected.
     epoch: u64,
     publisher: ConfigurationPublisher,
 }
 
-/// Root and leases while this machine is the primary, and the queues to the members.
+/// The publisher while this machine is the acting primary, and the outbound queues to the tree's members.
 pub(crate) struct PrimaryRelay {
-    /// None while this machine is not the acting primary.
+    /// `None` while this machine is not the acting primary.
     current: Option<TermPublisher>,
     outbox: Outbox<RelayMessage>,
 }
@@ -33,8 +33,8 @@
 }
 
 impl PrimaryRelay {
-    /// Advances to the current time. `acting_epoch` is the epoch in which this machine was elected; none where it is not the
-    /// acting primary.
+    /// Advances to the current time. `acting_epoch` is the epoch in which this machine was elected, or `None`
+    /// if it is not the acting primary.
     pub(crate) fn tick(&mut self, now: Millis, acting_epoch: Option<u64>) {
         let Some(epoch) = acting_epoch else {
             self.current = None;
@@ -44,7 +44,7 @@
         self.send(messages);
     }
 
-    /// Publishes a configuration that was committed in this term.
+    /// Publishes a configuration that was committed in the term of `epoch`.
     pub(crate) fn publish(
         &mut self,
         now: Millis,
@@ -65,13 +65,13 @@
         self.publisher(now, epoch).renew_lease(now, lease)
     }
 
-    /// Handles messages of a member.
+    /// Handles messages from a member of the relay tree.
     pub(crate) fn receive(&mut self, now: Millis, epoch: u64, envelope: RelayEnvelope) {
         let messages = self.publisher(now, epoch).on_envelope(now, envelope);
         self.send(messages);
     }
 
-    /// Status for operators, as JSON; null while this machine is not the acting primary.
+    /// Status for operators as JSON; null while this machine is not the acting primary.
     pub(crate) fn status(&self) -> Value {
         let Some(TermPublisher { publisher, .. }) = &self.current else {
             return Value::Null;
@@ -84,7 +84,7 @@
         })
     }
 
-    /// The publisher of the term that began in `epoch`; a new one where the term is new.
+    /// Returns the publisher of the term that began in `epoch`, creating one for a new term.
     fn publisher(&mut self, now: Millis, epoch: u64) -> &mut ConfigurationPublisher {
         let current = self
             .current
--- a/crates/controlplane/src/process.rs
+++ b/crates/controlplane/src/process.rs
@@ -1,4 +1,4 @@
-//! The process of a control machine, from its start to its end.
+//! The process of a control machine, from startup to shutdown.
 
 use crate::component_settings::{coordinator_settings, draw_random_seed, scheduler_settings};
 use crate::control_machine::ControlMachine;
@@ -20,44 +20,44 @@
 use tokio::task::spawn_local;
 use tokio::time::{interval, Interval, MissedTickBehavior};
 
-/// Interval of the state machines' ticks: a lease has thirty of them, and each one costs a wake-up.
+/// Interval between ticks of the state machines: 30 ticks fit into a lease, and each tick costs a wake-up.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// How long the leadership transfer may take after SIGTERM.
+/// Upper bound of the leadership transfer after SIGTERM, in milliseconds.
 const MAX_LEADERSHIP_TRANSFER_MS: Millis = 3_000;
-/// Descriptors for the store, the other control machines and the rest of the process.
+/// File descriptors reserved for the store, the other control machines and the rest of the process.
 const OTHER_DESCRIPTORS: u64 = 300;
 
-/// Why a control machine's process cannot start or has to end.
+/// An error at startup or at run time that ends the process.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
-    /// The event loop cannot be made.
+    /// The event loop cannot be created.
     #[error("cannot start the event loop")]
     EventLoop(#[source] io::Error),
-    /// The handlers of signals cannot be installed.
+    /// The signal handlers cannot be installed.
     #[error("cannot install the signal handlers")]
     Signals(#[source] io::Error),
-    /// A key is missing in the settings.
+    /// A required settings key is missing.
     #[error(transparent)]
     Settings(#[from] MissingSetting),
-    /// The store cannot be used.
+    /// The store cannot be opened.
     #[error(transparent)]
     Store(StoreError),
-    /// The store's thread cannot be started.
+    /// The store's writer thread cannot be started.
     #[error("cannot start the store's writer thread")]
     WriterThread(#[source] io::Error),
     /// An address cannot be bound.
     #[error(transparent)]
     Bind(#[from] BindError),
-    /// The store was lost while the process ran.
+    /// The store became unusable while the process ran.
     #[error("lost the store: restart the process")]
     StoreLost(#[source] StoreError),
-    /// The store's thread has ended by itself.
+    /// The store's writer thread exited unexpectedly.
     #[error("the store's writer thread has exited: restart the process")]
     WriterThreadExited,
 }
 
 impl ProcessError {
-    /// Whether a newer program wrote the store: a failure that no restart of this program mends.
+    /// Whether a newer release wrote the store; restarting this release does not resolve such an error.
     pub fn is_newer_format(&self) -> bool {
         matches!(
             self,
@@ -67,10 +67,11 @@
     }
 }
 
-/// Runs the process until a signal ends it. Without `fair_share` work is not ordered by recent use.
+/// Runs the process until a signal ends it. Without `fair_share` the scheduler does not order work by recent
+/// use.
 ///
 /// # Errors
-/// It cannot start, or its store was lost.
+/// The process cannot start, or its store is lost.
 pub fn run(
     settings: &ProcessSettings,
     fair_share: Option<FairShareSettings>,
@@ -95,7 +96,7 @@
     process.run(receiver).await
 }
 
-/// A control machine's process at work, within a `LocalSet`.
+/// A running control machine process. Must be used within a `LocalSet`.
 pub struct ControlProcess {
     machine: ControlMachine,
     servers: Servers,
@@ -104,10 +105,10 @@
 }
 
 impl ControlProcess {
-    /// Opens the store and listens.
+    /// Opens the store and starts listening.
     ///
     /// # Errors
-    /// A setting is missing, a newer program wrote the store, or an address cannot be bound.
+    /// A setting is missing, a newer release wrote the store, or an address cannot be bound.
     pub async fn start(
         settings: &ProcessSettings,
         fair_share: Option<FairShareSettings>,
@@ -129,10 +130,10 @@
         })
     }
 
-    /// Runs until a signal ends the process, which transfers the leadership first.
+    /// Runs until a signal ends the process. Leadership is transferred before it exits.
     ///
     /// # Errors
-    /// The store was lost.
+    /// The store is lost.
     pub async fn run(
         mut self,
         mut signals: mpsc::UnboundedReceiver<Signal>,
@@ -169,7 +170,7 @@
         Ok(())
     }
 
-    /// Begins the leadership transfer; returns the time at which the process ends at the latest.
+    /// Starts the leadership transfer and returns the deadline by which the process exits.
     fn begin_shutdown(&self) -> Millis {
         log::info!("shutting down: transferring leadership");
         self.machine.handle_input(Input::Leave);
@@ -182,7 +183,8 @@
     }
 }
 
-/// Opens the store, starts its thread, and makes the machine. The thread's reports go to `disk_events`.
+/// Opens the store, starts its writer thread and creates the machine. The thread sends its reports through
+/// `disk_events`.
 fn start_machine(
     settings: &ProcessSettings,
     machine_settings: &MachineSettings,
@@ -214,8 +216,8 @@
     ticks
 }
 
-/// Reads the settings again and applies the seeds. Addresses and bounds hold for a process's life; a file that is wrong is
-/// logged and changes nothing.
+/// Reads the settings again and applies the seeds. Addresses and bounds are fixed for the lifetime of the
+/// process. An invalid file is logged and changes nothing.
 fn reload_settings(machine: &ControlMachine) {
     settings::reload(|settings| machine.set_seeds(settings.core_addresses_of_seeds()));
 }
--- a/crates/controlplane/src/requests.rs
+++ b/crates/controlplane/src/requests.rs
@@ -3,19 +3,19 @@
 use streamusher_protocol::internal::{AgentSync, ClientMethod, ClientRequest, ClusterView};
 use streamusher_scheduler::{OperatorRequest, OperatorRequestKind, SchedulerResponse};
 
-/// A request from outside the control plane.
+/// A request from a process outside the control plane, or from an operator.
 #[derive(Clone, Debug)]
 pub enum ControlRequest {
     /// A client's request, forwarded by a gate.
     Client(ClientRequest),
-    /// A sync of an agent.
+    /// A periodic sync from an agent.
     Agent(AgentSync),
-    /// A request of an operator.
+    /// A read or a change of the configuration from an operator.
     Operator(OperatorRequest),
 }
 
 impl ControlRequest {
-    /// Whether it asks for a change of the replicated state that its caller would have to know of.
+    /// Whether the request changes replicated state in a way whose outcome its caller needs to know.
     pub(crate) fn is_mutating(&self) -> bool {
         match self {
             ControlRequest::Client(client) => client.method != ClientMethod::Get,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// The epoch that the requesting agent knows; none for other callers.
+    /// The epoch that the requesting agent knows; `None` for other callers.
     pub(crate) fn agent_epoch(&self) -> Option<u64> {
         match self {
             ControlRequest::Agent(sync) => Some(sync.epoch),
@@ -33,18 +33,18 @@
     }
 }
 
-/// The outcome of a request.
+/// The outcome of a [`ControlRequest`].
 #[derive(Clone, Debug)]
 pub enum ControlOutcome {
-    /// The scheduler's response; everything that it rests on is committed.
+    /// The scheduler's response; all writes that it depends on are committed.
     Response(SchedulerResponse),
-    /// Nothing was done: this machine is not the primary.
+    /// The request was not executed: this machine is not the primary.
     NotPrimary(ClusterView),
-    /// The change may take effect, or may not.
+    /// The primary stepped down before the commit: the change may or may not take effect.
     Unknown,
 }
 
-/// Whether a response says that nothing was changed.
+/// Whether a response states that nothing was changed.
 pub(crate) fn is_rejection(response: &SchedulerResponse) -> bool {
     let status = match response {
         SchedulerResponse::Client(client) => client.status,
--- a/crates/controlplane/src/servers.rs
+++ b/crates/controlplane/src/servers.rs
@@ -1,4 +1,4 @@
-//! The HTTP servers of a control machine: that of the internal interface and that of the control interface.
+//! The HTTP servers of a control machine, for the internal interface and the control interface.
 
 use crate::control_machine::ControlMachine;
 use crate::machine_settings::MachineSettings;
@@ -10,21 +10,21 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, timeout};
 
-/// Attempts to bind an address: a former process may still be closing.
+/// Attempts to bind an address: the previous process may still be closing its socket.
 const BIND_ATTEMPTS: u32 = 20;
 const BIND_RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// How long responses that are being sent may take after the servers are closed.
+/// How long in-progress responses may take after the servers are closed.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Connections to the control interface: of operators, and of workers that were redirected.
+/// Maximum number of connections to the control interface, from operators and from redirected workers.
 pub(crate) const MAX_CONTROL_CONNECTIONS: usize = 256;
-/// A snapshot comes in parts; a configuration with thousands of routes in one piece.
+/// A snapshot is sent in parts, but a configuration with thousands of routes in one body.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// An address cannot be bound.
+/// A listen address cannot be bound.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot listen at {address}: free the port")]
 pub struct BindError {
-    /// The address.
+    /// The address that cannot be bound.
     pub address: SocketAddr,
     source: io::Error,
 }
@@ -34,14 +34,14 @@
     task: JoinHandle<()>,
 }
 
-/// Both servers at work.
+/// The two running servers.
 pub(crate) struct Servers {
     internal: RunningServer,
     control: RunningServer,
 }
 
 impl Servers {
-    /// Binds both addresses and serves `machine`. Within a `LocalSet`.
+    /// Binds both addresses and serves `machine`. Must be called within a `LocalSet`.
     pub(crate) async fn start(
         machine: &ControlMachine,
         settings: &MachineSettings,
@@ -55,22 +55,22 @@
         })
     }
 
-    /// Lets callers know with every response that they should connect elsewhere.
+    /// Makes every response ask its caller to connect to another machine.
     pub(crate) fn begin_shutdown(&self) {
         self.internal.handle.leave();
         self.control.handle.leave();
     }
 
-    /// Closes both servers; responses that are being sent get a short time.
+    /// Closes both servers; in-progress responses may complete within [`CLOSE_TIMEOUT`].
     pub(crate) async fn close(self) {
         self.internal.handle.close();
         self.control.handle.close();
         let all_closed = async {
-            // A server that panicked is closed as well.
+            // A server task that panicked counts as closed.
             let _ = self.internal.task.await;
             let _ = self.control.task.await;
         };
-        // Callers that keep their connection busy do not keep the process.
+        // A caller that keeps its connection busy must not delay the exit of the process.
         let _ = timeout(CLOSE_TIMEOUT, all_closed).await;
     }
 }
