--- a/crates/controlplane/examples/cluster/client.rs
+++ b/crates/controlplane/examples/cluster/client.rs
@@ -1,4 +1,4 @@
-//! A client of the gates, and an operator.
+//! A client of the gates, and an operator that replaces the configuration.
 
 use anyhow::{bail, Result};
 use bytes::Bytes;
@@ -14,10 +14,11 @@
 use streamusher_runtime::http::{Client, Request, RequestError, Response, UnknownReason};
 
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause before a request without a clear response is repeated.
+/// Pause before a request without a conclusive response is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// A request that was sent whole and whose connection ended without a response. Times are of the steady clock.
+/// A request that was sent completely, and whose connection ended without a response. Times are of the steady
+/// clock.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct UnansweredRequest {
     pub(crate) gate: SocketAddr,
@@ -25,11 +26,12 @@
     pub(crate) ended_ms: Millis,
 }
 
-/// Sends each request to the gates in turn, until one gives a clear response. Connections are kept while they stay open.
+/// Sends each request to the gates in turn until one returns a conclusive response. Connections are reused
+/// while they stay open.
 pub(crate) struct JobClient {
     gates: Vec<Client>,
     unanswered: Vec<UnansweredRequest>,
-    next: usize,
+    next_gate: usize,
     host: &'static str,
     prefix: &'static str,
 }
@@ -40,23 +42,23 @@
         JobClient {
             gates,
             unanswered: Vec::new(),
-            next: 0,
+            next_gate: 0,
             host,
             prefix,
         }
     }
 
-    /// The requests that got no response so far.
+    /// The requests that received no response.
     pub(crate) fn into_unanswered(self) -> Vec<UnansweredRequest> {
         self.unanswered
     }
 
-    /// Submits a job. The id makes it idempotent, so that it is repeated where there was no response.
+    /// Submits a job. The id makes the request idempotent, so it is repeated if there was no response.
     pub(crate) async fn submit(&mut self, id: &str, job: &Value) -> Result<()> {
         let response = self.request(Method::POST, id, &job.to_string()).await?;
         if !response.status().is_success() {
             let reason = String::from_utf8_lossy(response.body());
-            bail!("job {id}: {} {reason}", response.status());
+            bail!("submitting job {id}: {} {reason}", response.status());
         }
         Ok(())
     }
@@ -72,15 +74,15 @@
     pub(crate) async fn state(&mut self, id: &str) -> Result<JobState> {
         let response = self.request(Method::GET, id, "").await?;
         if !response.status().is_success() {
-            bail!("job {id}: {}", response.status());
+            bail!("querying job {id}: {}", response.status());
         }
         Ok(serde_json::from_slice::<JobStatus>(response.body())?.state)
     }
 
     async fn request(&mut self, method: Method, id: &str, body: &str) -> Result<Response> {
         loop {
-            let gate = self.gates[self.next % self.gates.len()].clone();
-            self.next += 1;
+            let gate = self.gates[self.next_gate % self.gates.len()].clone();
+            self.next_gate += 1;
             let request = http::Request::builder()
                 .method(method.clone())
                 .uri(format!("{}{id}", self.prefix))
@@ -104,14 +106,15 @@
     }
 }
 
-/// Sends a configuration that builds on a version to any control machine; one that is not the primary redirects to it.
+/// Sends a configuration based on `base_version` to a control machine. A machine that is not the primary
+/// redirects to the primary.
 pub(crate) async fn configure(
     machines: &[SocketAddr],
     base_version: u64,
     configuration: &Value,
 ) -> Result<()> {
-    let mut turn = machines.iter().copied().cycle();
-    let mut target = turn.next();
+    let mut machine_cycle = machines.iter().copied().cycle();
+    let mut target = machine_cycle.next();
     while let Some(address) = target {
         let response = Client::new(address)
             .send(
@@ -126,17 +129,17 @@
             }
             Ok(response) if response.status().is_client_error() => {
                 bail!(
-                    "the configuration is refused: {}",
+                    "the configuration was rejected: {}",
                     String::from_utf8_lossy(response.body())
                 )
             }
             _ => {
                 tokio::time::sleep(RETRY_PAUSE).await;
-                turn.next()
+                machine_cycle.next()
             }
         };
     }
-    bail!("no control machine to send it to")
+    bail!("no control machine to send the configuration to")
 }
 
 fn replace_request(base_version: u64, configuration: &Value) -> Result<Request> {
@@ -148,7 +151,7 @@
     Ok(request)
 }
 
-/// The address in `Location: http://ADDRESS/path`.
+/// Returns the address in `Location: http://ADDRESS/path`.
 fn redirect_target(response: &Response) -> Option<SocketAddr> {
     let location = response.headers().get(LOCATION)?.to_str().ok()?;
     location
--- a/crates/controlplane/examples/cluster/execution_log.rs
+++ b/crates/controlplane/examples/cluster/execution_log.rs
@@ -1,4 +1,4 @@
-//! What the simulated workers run, held against the rule that a task never runs twice at once.
+//! A log of the tasks that the simulated workers run, to check that no task runs twice at once.
 
 use anyhow::{bail, Result};
 use std::cell::RefCell;
@@ -7,31 +7,31 @@
 use streamusher_protocol::task::TaskId;
 use streamusher_protocol::Millis;
 
-/// The log that all workers share.
+/// The log, shared by all workers.
 pub(crate) type SharedExecutionLog = Rc<RefCell<ExecutionLog>>;
 
-/// Which task runs where, and what broke the rule.
+/// The workers that run each task, and the violations found.
 #[derive(Debug, Default)]
 pub(crate) struct ExecutionLog {
     running: BTreeMap<TaskId, BTreeSet<String>>,
-    /// Until when each worker may run what it has started, by the steady clock.
+    /// The time of the steady clock until which each worker may run the tasks it has started.
     leases: BTreeMap<String, Millis>,
     started: u64,
     violations: Vec<String>,
 }
 
 impl ExecutionLog {
-    /// A worker's lease holds until a time.
+    /// Records that a worker's lease is valid until a time.
     pub(crate) fn on_lease(&mut self, worker: &str, until: Millis) {
         self.leases.insert(worker.to_owned(), until);
     }
 
-    /// A worker starts a task.
+    /// Records that a worker starts a task.
     pub(crate) fn on_start(&mut self, now: Millis, task: &TaskId, worker: &str) {
         self.started += 1;
         let others = self.running.entry(task.clone()).or_default();
         for other in others.iter() {
-            // What a worker runs beyond its lease does not count: it stops that at its next step.
+            // A run that outlasts its worker's lease does not count: the worker stops it at its next step.
             if self.leases.get(other).is_some_and(|until| *until > now) {
                 let violation = format!("task {task} started at {worker} while it ran at {other}");
                 self.violations.push(violation);
@@ -40,14 +40,14 @@
         others.insert(worker.to_owned());
     }
 
-    /// A run of a task is over.
+    /// Records the end of a task's run on a worker.
     pub(crate) fn on_end(&mut self, task: &TaskId, worker: &str) {
         if let Some(workers) = self.running.get_mut(task) {
             workers.remove(worker);
         }
     }
 
-    /// Fails where a task ran twice at once. Returns the number of starts.
+    /// Fails if a task ran twice at once. Returns the number of starts.
     pub(crate) fn check(&self) -> Result<u64> {
         match self.violations.first() {
             Some(first) => bail!("{} violations, the first: {first}", self.violations.len()),
--- a/crates/controlplane/examples/cluster/machines.rs
+++ b/crates/controlplane/examples/cluster/machines.rs
@@ -1,4 +1,4 @@
-//! The machines: an address, a settings file and a process for each.
+//! The machines of an example: each has an address, a settings file and a process.
 
 use anyhow::{bail, Context, Result};
 use std::fs;
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::process::{Child, Command, ExitStatus};
 
-/// Control machines, the least that can lose one.
+/// Number of control machines; three is the minimum that tolerates the loss of one.
 const CONTROL_MACHINES: u8 = 3;
 
 const CONTROL_PORT: u16 = 8_144;
@@ -14,7 +14,7 @@
 const READY_PORT: u16 = 8_141;
 const INTERNAL_PORT: u16 = 7_300;
 
-/// What a process does.
+/// The role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Role {
     Control,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The last number of the role's first address.
+    /// The last byte of the address of the role's first machine.
     fn first_host(self) -> u8 {
         match self {
             Role::Control => 1,
@@ -47,16 +47,16 @@
     }
 }
 
-/// How many machines of each role there are, beside the control machines.
+/// Number of machines of each role other than control machines.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MachineCounts {
-    /// Machines with a gate, ten at most.
+    /// Machines with a gate; at most 10.
     pub(crate) gates: u8,
-    /// Machines with an agent and a worker, 200 at most.
+    /// Machines with an agent and a worker; at most 200.
     pub(crate) agents: u8,
 }
 
-/// A signal to a process.
+/// A signal sent to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Signal {
     Terminate,
@@ -82,14 +82,14 @@
     process: Child,
 }
 
-/// All machines; the processes are killed and the folder removed with the value.
+/// All machines. Dropping the value kills the processes and removes their folder.
 pub(crate) struct Machines {
     folder: PathBuf,
     machines: Vec<Machine>,
 }
 
 impl Machines {
-    /// Starts all processes, on empty disks.
+    /// Starts all processes with empty disks.
     pub(crate) fn start(counts: MachineCounts) -> Result<Machines> {
         let folder =
             std::env::temp_dir().join(format!("streamusher-cluster-{}", std::process::id()));
@@ -181,24 +181,24 @@
         self.addresses(Role::Control, INTERNAL_PORT)
     }
 
-    /// Addresses for operators.
+    /// Control addresses of the control machines, for operators.
     pub(crate) fn control_addresses(&self) -> Vec<SocketAddr> {
         self.addresses(Role::Control, CONTROL_PORT)
     }
 
-    /// Addresses for clients.
+    /// Addresses of the gates, for clients.
     pub(crate) fn gates(&self) -> Vec<SocketAddr> {
         self.addresses(Role::Gate, FRONT_PORT)
     }
 
-    /// The name of the machine with the gate at this address.
+    /// The name of the machine whose gate has this address.
     pub(crate) fn gate_name(&self, address: SocketAddr) -> Option<&str> {
         self.with_role(Role::Gate)
             .find(|machine| machine.address == address.ip())
             .map(|machine| machine.name.as_str())
     }
 
-    /// Addresses for workers, of an agent each.
+    /// Addresses of the agents, for workers.
     pub(crate) fn agents(&self) -> Vec<SocketAddr> {
         self.addresses(Role::Agent, CONTROL_PORT)
     }
@@ -217,7 +217,7 @@
         send_signal(&machine.process, signal)
     }
 
-    /// How the process of a machine has ended; none while it runs.
+    /// The exit status of a machine's process; `None` while it runs.
     pub(crate) fn exit_status(&mut self, name: &str) -> Result<Option<ExitStatus>> {
         let mut machines = self.machines.iter_mut();
         let machine = machines.find(|machine| machine.name == name);
@@ -225,7 +225,7 @@
         Ok(machine.process.try_wait()?)
     }
 
-    /// Starts a machine again whose process has ended, with its disk.
+    /// Restarts a machine whose process has ended, with its existing disk.
     pub(crate) fn restart(&mut self, name: &str) -> Result<()> {
         let index = self
             .machines
@@ -236,7 +236,7 @@
         self.start_one(ended.role, ended.number)
     }
 
-    /// Kills the process of a control machine and removes it from the list.
+    /// Kills the process of a control machine and removes the machine from the list.
     pub(crate) fn kill(&mut self, internal: SocketAddr) -> Result<String> {
         let found = self
             .machines
@@ -251,11 +251,11 @@
         Ok(machine.name)
     }
 
-    /// Ends all processes with SIGTERM and waits for them: gates and agents, and then the control machines one after the
-    /// other, so that the primary can transfer the leadership.
+    /// Ends all processes with SIGTERM and waits for them: first gates and agents, then the control machines
+    /// one at a time, so that the primary can transfer its leadership.
     ///
     /// # Errors
-    /// One of them did not end with 0.
+    /// A process did not exit with 0.
     pub(crate) fn stop(&mut self) -> Result<()> {
         self.terminate(|machine| machine.role != Role::Control)?;
         let control_machines: Vec<Ipv4Addr> = self
@@ -289,7 +289,7 @@
 impl Drop for Machines {
     fn drop(&mut self) {
         for machine in &mut self.machines {
-            // Those that have ended cannot be killed.
+            // Killing a process that has already ended fails, which is ignored.
             let _ = machine.process.kill();
             let _ = machine.process.wait();
         }
@@ -305,7 +305,7 @@
     Ok(())
 }
 
-/// An address that only this run of the example uses.
+/// Returns an address that only this run of the example uses.
 fn loopback_address(host: u8) -> Ipv4Addr {
     let id = std::process::id();
     let [_, _, _, second] = (100 + id % 80).to_be_bytes();
--- a/crates/controlplane/examples/cluster/main.rs
+++ b/crates/controlplane/examples/cluster/main.rs
@@ -1,11 +1,12 @@
-//! The whole system on loopback, for a look at it: three control machines, two gates and three agents as processes of their
-//! own, with simulated workers. It applies a first configuration, submits jobs, cancels one, kills the primary while tasks
-//! run, and prints every change. It ends by itself, with exit code 0 where all went as expected.
+//! A demonstration of the whole system on loopback: three control machines, two gates and three agents as
+//! separate processes, with simulated workers. It applies a first configuration, submits jobs, cancels one,
+//! kills the primary while tasks run, and prints every change. It ends by itself; the exit code is 0 if
+//! everything went as expected.
 //!
 //!     cargo run --profile system -p streamusher-controlplane --example cluster
 //!
-//! Linux only, as each machine has an address of its own in 127.0.0.0/8. `STREAMUSHER_LOG=info` shows what the processes
-//! log.
+//! Linux only: each machine uses its own address in 127.0.0.0/8. `STREAMUSHER_LOG=info` shows the logs of the
+//! processes.
 
 #[allow(dead_code, reason = "the example `soak` uses all of it")]
 mod client;
@@ -22,7 +23,7 @@
 use streamusher_dataplane::{agent_process, gate, process};
 use streamusher_runtime::{clock, event_loop, logs, settings};
 
-/// The scenario takes some ten seconds; a busy machine may need longer.
+/// The scenario takes about 10 s; a busy machine may need longer.
 const MAX_DURATION: Duration = Duration::from_secs(90);
 
 fn main() -> ExitCode {
@@ -44,7 +45,7 @@
     }
 }
 
-/// One machine's process: the example starts itself for each.
+/// Runs the process of one machine. The example starts itself once for each machine.
 fn run_process(role: Role) -> Result<()> {
     logs::start(None);
     let settings = settings::load()?;
--- a/crates/controlplane/examples/cluster/scenario.rs
+++ b/crates/controlplane/examples/cluster/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenario, step by step.
+//! The stages of the demonstration.
 
 use crate::client::{configure, JobClient};
 use crate::execution_log::SharedExecutionLog;
@@ -29,10 +29,10 @@
 const CANCELLED: &str = "00000000000000c3";
 const ACROSS_FAILOVER: &str = "00000000000000d4";
 
-/// Pause between two queries.
+/// Pause between two queries of a state.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Runs the whole scenario.
+/// Runs all stages of the demonstration.
 pub(crate) async fn run() -> Result<()> {
     print_step("starting 3 control machines, 2 gates and 3 agents on loopback");
     let mut machines = Machines::start(MACHINES)?;
@@ -64,7 +64,7 @@
     Ok(())
 }
 
-/// Starts a worker at each agent; returns the switch that makes the last one drain.
+/// Starts a worker for each agent. Returns the switch that makes the last worker drain.
 fn start_workers(machines: &Machines, executions: &SharedExecutionLog) -> Rc<Cell<bool>> {
     let mut drain_last = Rc::default();
     for (index, agent) in machines.agents().into_iter().enumerate() {
@@ -83,7 +83,7 @@
     let gang = json!({ "spec": "700", "steps": [
         { "count": 3, "cpu": 2_000, "mem_mb": 256, "estimated_ms": 700, "gang": true },
     ]});
-    let lasting = json!({ "spec": "600000", "steps": [
+    let long_running = json!({ "spec": "600000", "steps": [
         { "count": 1, "cpu": 500, "mem_mb": 64, "long_running": true },
     ]});
     watcher
@@ -94,7 +94,7 @@
         .submit(
             CANCELLED,
             "a task that lasts until it is cancelled",
-            &lasting,
+            &long_running,
         )
         .await?;
     watcher.wait_for(CANCELLED, JobState::Running).await?;
@@ -105,7 +105,7 @@
     watcher.wait_for(GANG, JobState::Succeeded).await
 }
 
-/// An accepted job survives the loss of the primary.
+/// Kills the primary while a job runs, and checks that the accepted job still succeeds.
 async fn fail_over(
     machines: &mut Machines,
     watcher: &mut JobWatcher,
@@ -143,7 +143,7 @@
     })
 }
 
-/// Waits until a control machine acts as primary, other than `former`.
+/// Waits until a control machine other than `former` acts as primary.
 async fn wait_for_primary(machines: &Machines, former: Option<SocketAddr>) -> SocketAddr {
     loop {
         let responses: StatusResponses = query_all(machines.control_internal()).await;
@@ -157,7 +157,7 @@
     }
 }
 
-/// Waits until the primary shows a draining worker.
+/// Waits until the primary's status shows a draining worker.
 async fn wait_for_drain(machines: &Machines) {
     while !render(&query_all(machines.control_internal()).await).contains("draining") {
         tokio::time::sleep(POLL_INTERVAL).await;
@@ -178,7 +178,7 @@
         Ok(())
     }
 
-    /// Polls all jobs until one has reached `expected`.
+    /// Polls all jobs until the job `id` has reached `expected`.
     async fn wait_for(&mut self, id: &str, expected: JobState) -> Result<()> {
         loop {
             let ids: Vec<String> = self.states.keys().cloned().collect();
@@ -187,7 +187,9 @@
             }
             match self.states.get(id) {
                 Some(state) if *state == expected => return Ok(()),
-                Some(state) if state.is_final() => bail!("job {id} is {state:?}, not {expected:?}"),
+                Some(state) if state.is_final() => {
+                    bail!("job {id} is {state:?}, expected {expected:?}")
+                }
                 _ => tokio::time::sleep(POLL_INTERVAL).await,
             }
         }
--- a/crates/controlplane/examples/cluster/worker.rs
+++ b/crates/controlplane/examples/cluster/worker.rs
@@ -1,5 +1,5 @@
-//! A simulated worker: it sends heartbeats to its agent, and "works" by waiting. A task's spec is the time that it takes, in
-//! milliseconds.
+//! A simulated worker: it sends heartbeats to its agent, and simulates work by waiting. A task's spec is its
+//! duration in milliseconds.
 
 use crate::execution_log::SharedExecutionLog;
 use bytes::Bytes;
@@ -19,15 +19,15 @@
 use streamusher_runtime::clock;
 use streamusher_runtime::http::{parse_json, Client};
 
-/// A response that takes longer is not used.
+/// A response that takes longer is ignored.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Interval of heartbeats, where the agent gives none.
+/// Interval of heartbeats if the agent's response contains none.
 const HEARTBEAT_INTERVAL_MS: Millis = 200;
 /// Delay between the end of a run and the heartbeat that reports it.
 const REPORT_DELAY_MS: Millis = 50;
-/// How long a draining worker stays.
+/// How long a draining worker remains available.
 const DRAIN_MS: Millis = 20_000;
-/// Duration of a task whose spec is no number.
+/// Duration of a task whose spec is not a number.
 const DEFAULT_WORK_MS: Millis = 500;
 const CAPACITY: Resources = Resources {
     cpu: 8_000,
@@ -42,7 +42,7 @@
     run: u32,
 }
 
-/// A run that "works".
+/// A simulated run.
 struct Run {
     started_at: Millis,
     duration_ms: Millis,
@@ -59,12 +59,12 @@
     }
 }
 
-/// The worker.
+/// A worker that simulates its runs by waiting.
 pub(crate) struct SimulatedWorker {
     id: String,
     service: Arc<str>,
     agent: Client,
-    drains: Rc<Cell<bool>>,
+    is_draining: Rc<Cell<bool>>,
     sequence: u64,
     fence_token: u64,
     lease_until: Millis,
@@ -85,7 +85,7 @@
             id: format!("worker-{}", index + 1),
             service: service.into(),
             agent: Client::new(agent),
-            drains: Rc::default(),
+            is_draining: Rc::default(),
             sequence: 0,
             fence_token: 0,
             lease_until: 0,
@@ -96,12 +96,12 @@
         }
     }
 
-    /// Set to true, it makes the worker drain.
+    /// Returns a switch; setting it to true makes the worker drain.
     pub(crate) fn drain_switch(&self) -> Rc<Cell<bool>> {
-        self.drains.clone()
+        self.is_draining.clone()
     }
 
-    /// Runs until the task is dropped.
+    /// Sends heartbeats until the future is dropped.
     pub(crate) async fn run(mut self) {
         loop {
             let sent_at = clock::steady();
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Ends the runs that are done, and all of them where the lease has expired.
+    /// Ends the runs that are complete, or all runs if the lease has expired.
     fn finish_due_runs(&mut self, now: Millis) {
         let lease_expired = now >= self.lease_until;
         let mut finished = Vec::new();
@@ -162,8 +162,8 @@
     }
 
     fn heartbeat_body(&self, now: Millis) -> Heartbeat {
-        let drains = self.drains.get();
-        let state = if drains {
+        let is_draining = self.is_draining.get();
+        let state = if is_draining {
             WorkerState::Draining
         } else {
             WorkerState::Ready
@@ -181,7 +181,7 @@
             labels: vec!["a".into(), "r-1".into()],
             clock_ms: now,
             state,
-            remaining_ms: drains.then_some(DRAIN_MS),
+            remaining_ms: is_draining.then_some(DRAIN_MS),
             sequence: self.sequence,
             running: running.collect(),
             finished: self.finished.clone(),
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Starts a run; one that was started before is not started again.
+    /// Starts a run, unless it was started before.
     fn start(&mut self, command: StartCommand) {
         let is_finished = self
             .finished
@@ -247,7 +247,7 @@
         );
     }
 
-    /// Time until the next heartbeat: `interval_ms`, or less where a run ends before.
+    /// Time until the next heartbeat: `interval_ms`, or less if a run ends earlier.
     fn pause_ms(&self, interval_ms: Millis) -> Millis {
         let now = clock::steady();
         let next_report = self
--- a/crates/controlplane/examples/soak/disruptions.rs
+++ b/crates/controlplane/examples/soak/disruptions.rs
@@ -1,4 +1,5 @@
-//! Random disruptions: signals to processes, restarts, and changes of the configuration. Several are under way at once.
+//! Random disruptions: signals to processes, restarts, and configuration changes. Several can be in progress
+//! at once.
 
 use crate::machines::{Machines, Role, Signal};
 use anyhow::{bail, Result};
@@ -10,23 +11,24 @@
 use streamusher_protocol::Millis;
 use streamusher_runtime::clock;
 
-/// A process that was started less than so long ago may not handle signals yet: it gets none, or may end by one.
+/// A process started less than this time ago may not have installed its signal handlers. It gets no signal,
+/// as one might end it.
 const STARTUP_MS: Millis = 2_000;
-/// Clients see the end of a killed process's connections within this time, also on a busy machine.
+/// After a kill, clients see the process's connections close within this time, even on a busy machine.
 const KILL_EFFECT_MS: Millis = 2_000;
-/// For how long a machine is down.
+/// Range of the time for which a machine stays down.
 const DOWN_MS: std::ops::Range<Millis> = 50..1_500;
 
-/// Where a machine is between its signal and its next start.
+/// The progress of a machine between its signal and its next start.
 #[derive(Clone, Copy, Debug)]
 enum Outage {
-    /// Its process was told to end.
+    /// A signal that ends the process was sent.
     Ending { signal: Signal },
-    /// It starts again at this time.
+    /// The process has exited; the machine starts again at this time of the steady clock.
     Down { until: Millis },
 }
 
-/// The disruptions of one soak.
+/// The disruptions of one soak run.
 pub(crate) struct Disruptions {
     random: Pcg32,
     outages: BTreeMap<String, Outage>,
@@ -35,7 +37,7 @@
     sent: u64,
 }
 
-/// A process that was killed.
+/// A process that was killed, and when.
 #[derive(Clone, Debug)]
 struct Kill {
     machine: String,
@@ -53,24 +55,25 @@
         }
     }
 
-    /// Whether a machine's process was killed at about this time: its connections ended then, whatever they carried.
+    /// Whether a machine's process was killed shortly before `at_ms`, so that its connections closed with
+    /// requests in flight.
     pub(crate) fn was_killed(&self, machine: &str, at_ms: Millis) -> bool {
         self.kills.iter().any(|kill| {
             kill.machine == machine && (kill.at_ms..kill.at_ms + KILL_EFFECT_MS).contains(&at_ms)
         })
     }
 
-    /// Signals that were sent.
+    /// Number of signals sent.
     pub(crate) fn sent(&self) -> u64 {
         self.sent
     }
 
     /// Whether all machines are up.
-    pub(crate) fn are_over(&self) -> bool {
+    pub(crate) fn are_all_machines_up(&self) -> bool {
         self.outages.is_empty()
     }
 
-    /// Sends a random signal to a random machine, where that leaves enough machines of its role.
+    /// Sends a random signal to a random machine, unless too few machines of its role would remain up.
     pub(crate) fn disrupt(&mut self, machines: &Machines) -> Result<()> {
         let roles = [Role::Control, Role::Gate, Role::Agent];
         let role = roles[self.random.random_range(0..roles.len())];
@@ -112,8 +115,8 @@
         !self.outages.contains_key(name) && now >= started_at + STARTUP_MS
     }
 
-    /// Starts machines again whose time has come. Fails where a process has ended that was not told to, or not with 0 where
-    /// it was asked to.
+    /// Restarts machines whose down time has elapsed. Fails if a process ended without a signal, or did not
+    /// exit with 0 after SIGTERM.
     pub(crate) fn advance(&mut self, machines: &mut Machines) -> Result<()> {
         let now = clock::steady();
         for role in [Role::Control, Role::Gate, Role::Agent] {
@@ -126,7 +129,7 @@
 
     fn advance_one(&mut self, now: Millis, machines: &mut Machines, name: &str) -> Result<()> {
         match (self.outages.get(name).copied(), machines.exit_status(name)?) {
-            (None, Some(status)) => bail!("{name} ended by itself with {status}"),
+            (None, Some(status)) => bail!("{name} ended without a signal, with {status}"),
             (Some(Outage::Ending { signal }), Some(status)) => {
                 check_status(name, signal, status)?;
                 let until = now + self.random.random_range(DOWN_MS);
@@ -145,12 +148,13 @@
 
 fn check_status(name: &str, signal: Signal, status: ExitStatus) -> Result<()> {
     if signal == Signal::Terminate && !status.success() {
-        bail!("{name} was terminated and ended with {status}");
+        bail!("{name} ended after SIGTERM with {status}");
     }
     Ok(())
 }
 
-/// How many machines of a role may be down at once: one control machine is tolerated; half of the others.
+/// Maximum number of machines of a role that may be down at once: the cluster tolerates the loss of one
+/// control machine, and half of the other machines may be down.
 fn max_down(role: Role, count: usize) -> usize {
     match role {
         Role::Control => 1,
--- a/crates/controlplane/examples/soak/job_stream.rs
+++ b/crates/controlplane/examples/soak/job_stream.rs
@@ -1,4 +1,4 @@
-//! Clients that submit one job after the other and follow each to its end.
+//! Clients that submit jobs one at a time and poll each until it reaches its expected state.
 
 use crate::client::{JobClient, UnansweredRequest};
 use anyhow::{bail, Result};
@@ -12,25 +12,25 @@
 
 /// Pause between two queries of a job's state.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// One job in this many is long-running, and cancelled once it runs.
+/// One job in this many is long-running; it is cancelled once it runs.
 const LONG_RUNNING_EVERY: u64 = 8;
 
-/// What a client did.
+/// The totals of one client, or of all clients.
 #[derive(Debug, Default)]
 pub(crate) struct JobStreamReport {
     pub(crate) jobs: u64,
     pub(crate) unanswered: Vec<UnansweredRequest>,
 }
 
-/// Submits jobs until told to end; then follows the last one to its end.
+/// Submits jobs until `stop_requested` is set, then follows the last job to its end.
 pub(crate) async fn run(
     mut client: JobClient,
     number: u64,
     mut random: Pcg32,
-    is_over: Rc<Cell<bool>>,
+    stop_requested: Rc<Cell<bool>>,
 ) -> Result<JobStreamReport> {
     let mut jobs = 0;
-    while !is_over.get() {
+    while !stop_requested.get() {
         jobs += 1;
         let id = format!("{number:08x}{jobs:08x}");
         if jobs % LONG_RUNNING_EVERY == 0 {
@@ -69,7 +69,8 @@
     ]})
 }
 
-/// Polls a job until it has the expected state. An accepted job is known from then on, and never goes back.
+/// Polls a job until it has the expected state. An accepted job must stay known, and must not leave a final
+/// state.
 async fn wait_for(client: &mut JobClient, id: &str, expected: JobState) -> Result<()> {
     loop {
         let state = client.state(id).await?;
@@ -77,7 +78,7 @@
             return Ok(());
         }
         if state.is_final() {
-            bail!("job {id} is {state:?}, not {expected:?}");
+            bail!("job {id} is {state:?}, expected {expected:?}");
         }
         tokio::time::sleep(POLL_INTERVAL).await;
     }
--- a/crates/controlplane/examples/soak/main.rs
+++ b/crates/controlplane/examples/soak/main.rs
@@ -1,11 +1,12 @@
-//! A soak of the whole system with real processes on loopback: clients keep submitting jobs over connections that stay
-//! open, while processes are terminated, killed, reloaded and started again and the configuration changes, in series that
-//! overlap. It ends with exit code 0 where each accepted job has succeeded, no task ran twice at once, and no process
-//! ended by itself.
+//! A soak test of the whole system with real processes on loopback. Clients keep submitting jobs over
+//! persistent connections, while overlapping disruptions terminate, kill, reload and restart processes and
+//! change the configuration. The exit code is 0 if each accepted job reached its expected state, no task ran
+//! twice at once, and no process ended without a signal.
 //!
-//!     cargo run --profile system -p streamusher-controlplane --example soak -- --seed 7 --seconds 20 --agents 6
+//!     cargo run --profile system -p streamusher-controlplane --example soak -- --seed 7 --seconds 20
+//!     --agents 6
 //!
-//! Linux only, as each machine has an address of its own in 127.0.0.0/8.
+//! Linux only: each machine uses its own address in 127.0.0.0/8.
 
 #[path = "../cluster/client.rs"]
 mod client;
@@ -48,7 +49,7 @@
     }
 }
 
-/// One machine's process: the example starts itself for each.
+/// Runs the process of one machine. The example starts itself once for each machine.
 fn run_process(role: Role) -> Result<()> {
     logs::start(None);
     let settings = settings::load()?;
--- a/crates/controlplane/examples/soak/options.rs
+++ b/crates/controlplane/examples/soak/options.rs
@@ -1,15 +1,15 @@
-//! The soak's command line.
+//! The command line of the soak.
 
 use anyhow::{bail, Context, Result};
 
-/// What a soak does.
+/// The options of a soak run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SoakOptions {
     /// Seed of all random choices.
     pub(crate) seed: u64,
-    /// For how long there are disruptions.
+    /// Duration of the disruptions, in seconds.
     pub(crate) seconds: u64,
-    /// Machines with an agent and a worker.
+    /// Number of machines with an agent and a worker.
     pub(crate) agents: u8,
 }
 
@@ -34,7 +34,7 @@
                 "--seed" => options.seed = number()?,
                 "--seconds" => options.seconds = number()?,
                 "--agents" => options.agents = number()?.try_into()?,
-                _ => bail!("{name}: the options are --seed, --seconds and --agents"),
+                _ => bail!("unknown option {name}: give --seed, --seconds and --agents"),
             }
         }
         Ok(options)
--- a/crates/controlplane/examples/soak/soak.rs
+++ b/crates/controlplane/examples/soak/soak.rs
@@ -1,4 +1,4 @@
-//! The soak, step by step.
+//! The stages of a soak run.
 
 use crate::client::{configure, JobClient, UnansweredRequest};
 use crate::disruptions::Disruptions;
@@ -23,16 +23,17 @@
 const SERVICE: &str = "soak-service";
 const GATES: u8 = 3;
 const CLIENTS: u64 = 8;
-/// Between two looks at the processes.
+/// Interval between two checks of the processes.
 const STEP: Duration = Duration::from_millis(50);
-/// Mean number of steps between two signals, and between two changes of the configuration.
+/// Mean number of steps between two signals, and between two configuration changes.
 const STEPS_PER_SIGNAL: u32 = 6;
 const STEPS_PER_CHANGE: u32 = 30;
-/// After the last disruption, all that was accepted ends within this time, also on a busy machine.
+/// After the last disruption, all accepted jobs must end within this time, even on a busy machine.
 const MAX_SETTLING: Duration = Duration::from_secs(90);
-/// A request may cross the close of an idle connection; one whose connection ends later was read.
+/// A request may be sent while the gate closes the idle connection. If the connection ends later than this,
+/// the gate has read the request.
 const MAX_CROSSING_MS: Millis = 200;
-/// A change of the configuration is acknowledged within this time, whatever happens.
+/// A configuration change must be acknowledged within this time, regardless of disruptions.
 const MAX_CHANGE: Duration = Duration::from_mins(1);
 
 /// Runs a soak to its end.
@@ -48,11 +49,11 @@
         let worker = SimulatedWorker::new(index, SERVICE, agent, executions.clone());
         spawn_local(worker.run());
     }
-    let is_over = Rc::new(Cell::new(false));
-    let clients = start_clients(&machines, &mut random, &is_over);
+    let stop_requested = Rc::new(Cell::new(false));
+    let clients = start_clients(&machines, &mut random, &stop_requested);
     let mut disruptions = Disruptions::new(Pcg32::seed_from_u64(random.random()));
     let changes = disrupt(&options, &mut random, &mut machines, &mut disruptions).await?;
-    is_over.set(true);
+    stop_requested.set(true);
     let report = settle(clients, &mut machines, &mut disruptions).await?;
     check_unanswered(&report.unanswered, &machines, &disruptions)?;
     let starts = executions.borrow().check()?;
@@ -70,19 +71,24 @@
 fn start_clients(
     machines: &Machines,
     random: &mut Pcg32,
-    is_over: &Rc<Cell<bool>>,
+    stop_requested: &Rc<Cell<bool>>,
 ) -> Vec<JoinHandle<Result<JobStreamReport>>> {
     let gates = machines.gates();
     (0..CLIENTS)
         .map(|number| {
             let client = JobClient::new(&gates, HOST, PREFIX);
             let random = Pcg32::seed_from_u64(random.random());
-            spawn_local(job_stream::run(client, number, random, is_over.clone()))
+            spawn_local(job_stream::run(
+                client,
+                number,
+                random,
+                stop_requested.clone(),
+            ))
         })
         .collect()
 }
 
-/// A gate that is not killed answers each request that it has read, also while it shuts down.
+/// Checks that gates that were not killed responded to each request they had read, also during shutdown.
 fn check_unanswered(
     unanswered: &[UnansweredRequest],
     machines: &Machines,
@@ -92,13 +98,14 @@
         let gate = machines.gate_name(request.gate).unwrap_or_default();
         let waited_ms = request.ended_ms - request.sent_ms;
         if !disruptions.was_killed(gate, request.ended_ms) && waited_ms > MAX_CROSSING_MS {
-            bail!("{gate} was not killed and left a request unanswered, after {waited_ms} ms");
+            bail!("{gate} was not killed, but closed a connection without a response after {waited_ms} ms");
         }
     }
     Ok(())
 }
 
-/// Sends signals and changes the configuration for the time of the soak. Returns the number of changes.
+/// Sends signals and changes the configuration for the duration of the soak. Returns the number of
+/// configuration changes.
 async fn disrupt(
     options: &SoakOptions,
     random: &mut Pcg32,
@@ -148,24 +155,27 @@
     let change = configure(&machines, base_version, &configuration);
     match tokio::time::timeout(MAX_CHANGE, change).await {
         Ok(changed) => changed,
-        Err(_) => bail!("change {} was not acknowledged", base_version + 1),
+        Err(_) => bail!(
+            "configuration change {} was not acknowledged in time",
+            base_version + 1
+        ),
     }
 }
 
-/// Lets all machines come back and all jobs end. Returns what all clients did.
+/// Waits until all machines are up and all jobs have ended. Returns the totals of all clients.
 async fn settle(
     clients: Vec<JoinHandle<Result<JobStreamReport>>>,
     machines: &mut Machines,
     disruptions: &mut Disruptions,
 ) -> Result<JobStreamReport> {
     let ends_at = Instant::now() + MAX_SETTLING;
-    while !(disruptions.are_over() && clients.iter().all(JoinHandle::is_finished)) {
+    while !(disruptions.are_all_machines_up() && clients.iter().all(JoinHandle::is_finished)) {
         if Instant::now() >= ends_at {
             let open = clients
                 .iter()
                 .filter(|client| !client.is_finished())
                 .count();
-            bail!("{open} clients still wait for their jobs");
+            bail!("{open} clients still wait for their jobs {MAX_SETTLING:?} after the last disruption");
         }
         disruptions.advance(machines)?;
         tokio::time::sleep(STEP).await;
