--- a/crates/controlplane/src/cluster_status/mod.rs
+++ b/crates/controlplane/src/cluster_status/mod.rs
@@ -17,9 +17,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
     /// All known processes responded, and one of them is the acting primary.
-    Good,
+    Healthy,
     /// A process did not respond, or none is the acting primary.
-    Impaired,
+    Degraded,
 }
 
 /// Queries the acting primary about one job or user and returns the text to print. `addresses` are passed to
@@ -37,13 +37,13 @@
     Ok(format!("{explanation:#}\n"))
 }
 
-/// Returns [`Health::Good`] if all processes responded and one is the acting primary.
+/// Returns [`Health::Healthy`] if all processes responded and one is the acting primary.
 pub fn health(responses: &StatusResponses) -> Health {
     let all_responded = !responses.is_empty() && responses.values().all(Result::is_ok);
     if all_responded && acting_primary(responses).is_some() {
-        Health::Good
+        Health::Healthy
     } else {
-        Health::Impaired
+        Health::Degraded
     }
 }
 
--- a/crates/controlplane/src/main.rs
+++ b/crates/controlplane/src/main.rs
@@ -115,8 +115,8 @@
         StatusFormat::Json => print!("{}", cluster_status::to_json(&responses)),
     }
     Ok(match cluster_status::health(&responses) {
-        Health::Good => ExitCode::SUCCESS,
-        Health::Impaired => ExitCode::FAILURE,
+        Health::Healthy => ExitCode::SUCCESS,
+        Health::Degraded => ExitCode::FAILURE,
     })
 }
 
--- a/crates/controlplane/tests/cluster_status.rs
+++ b/crates/controlplane/tests/cluster_status.rs
@@ -1,4 +1,4 @@
-//! The command `status` over a cluster on loopback, and over responses that are not a status.
+//! The command `status` with a cluster on loopback, and with responses that are not a valid status.
 
 #![allow(
     clippy::expect_used,
@@ -37,7 +37,7 @@
     run_bounded(async {
         let mut cluster = Cluster::start().await;
         let primary = cluster.primary().await;
-        let taken = cluster
+        let change_response = cluster
             .operator_request(
                 primary,
                 "/streamusher/Config.Replace",
@@ -45,7 +45,7 @@
                 CONFIGURATION,
             )
             .await;
-        assert!(is_ok(&taken));
+        assert!(is_ok(&change_response));
 
         let mut responses = query_all(vec![cluster.internal(0)]).await;
         while !responses.values().flatten().any(is_acting) {
@@ -54,7 +54,7 @@
         let text = render(&responses);
 
         assert_eq!(responses.len(), 3);
-        assert_eq!(health(&responses), Health::Good);
+        assert_eq!(health(&responses), Health::Healthy);
         assert_eq!(
             roles(&responses)
                 .iter()
@@ -86,7 +86,7 @@
         let responses = query_all(vec![cluster.internal(primary)]).await;
 
         assert!(responses[&cluster.internal(other)].is_err());
-        assert_eq!(health(&responses), Health::Impaired);
+        assert_eq!(health(&responses), Health::Degraded);
         assert!(render(&responses).contains("no response"));
         cluster.stop_all().await;
     });
