--- a/crates/controlplane/tests/cluster.rs
+++ b/crates/controlplane/tests/cluster.rs
@@ -1,4 +1,5 @@
-//! Three control machines over loopback: primary, operators, jobs, leadership transfer, restart.
+//! Three control machines over loopback: elections, operators' requests, jobs, leadership transfer and
+//! restart.
 
 #![allow(
     clippy::expect_used,
@@ -63,7 +64,7 @@
     status["state"].as_str().unwrap_or_default().to_owned()
 }
 
-/// The client's status inside a gate's response.
+/// The status code for the client, as forwarded in the response to a gate.
 fn client_status(response: &Response) -> u64 {
     let forwarded: Value = serde_json::from_slice(response.body()).unwrap_or_default();
     forwarded["status"].as_u64().unwrap_or_default()
--- a/crates/controlplane/tests/cluster_example.rs
+++ b/crates/controlplane/tests/cluster_example.rs
@@ -1,4 +1,4 @@
-//! The example that newcomers start first: it must play to its end.
+//! Runs the example `cluster`, which newcomers start first: it must finish successfully.
 
 #![allow(
     clippy::expect_used,
@@ -13,7 +13,7 @@
 
 #[test]
 fn cluster_example_runs_to_its_end_with_exit_code_0() {
-    // Cargo builds examples beside the programs before it runs all tests of a package, though not for `--test NAME`.
+    // Cargo builds the examples before it runs all tests of a package, but not for `--test NAME`.
     let example = Path::new(PROGRAM)
         .with_file_name("examples")
         .join("cluster");
@@ -22,7 +22,7 @@
         .env("STREAMUSHER_LOG", "info")
         .output();
     let output =
-        output.expect("build it first: cargo build -p streamusher-controlplane --example cluster");
+        output.expect("cannot start the example, build it first: cargo build -p streamusher-controlplane --example cluster");
 
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert_eq!(
@@ -55,6 +55,6 @@
     }
     assert!(
         !log.contains("fjall") && !log.contains("lsm_tree"),
-        "libraries are quiet: {log}"
+        "libraries must not write to the log: {log}"
     );
 }
--- a/crates/controlplane/tests/command_line.rs
+++ b/crates/controlplane/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The program's command line: checks, exit codes, and its end by SIGTERM.
+//! The program's command line: argument checks, exit codes, and termination by SIGTERM.
 
 #![allow(
     clippy::expect_used,
@@ -39,7 +39,8 @@
     command
 }
 
-/// Settings of a lone machine, on an address that only this process uses.
+/// Writes settings for a single machine, on an address that only this process uses. Leaves out lines that
+/// start with `without`.
 fn settings_file(folder: &TestFolder, without: &str) -> (PathBuf, String) {
     let pid = std::process::id();
     let ip = format!("127.{}.{}.1", 221 + pid % 30, pid / 30 % 250);
@@ -122,11 +123,14 @@
 #[case(&["explain", "user", "scans", "somewhere"], "somewhere")]
 #[case(&["show-disk"], "data folder")]
 #[case(&["show-disk", "a", "b"], "\"b\"")]
-fn wrong_arguments_are_named_with_exit_code_2(#[case] arguments: &[&str], #[case] named: &str) {
+fn invalid_argument_is_reported_with_exit_code_2(
+    #[case] arguments: &[&str],
+    #[case] expected_text: &str,
+) {
     let output = run(arguments, None);
 
     assert_eq!(output.status.code(), Some(2));
-    assert!(only_line(&output).contains(named));
+    assert!(only_line(&output).contains(expected_text));
 }
 
 #[test]
@@ -152,7 +156,7 @@
 #[case("data_dir")]
 #[case("listen.control")]
 #[case("seeds")]
-fn missing_setting_is_named_with_exit_code_2(#[case] key: &str) {
+fn missing_setting_is_reported_with_exit_code_2(#[case] key: &str) {
     let folder = TestFolder::new();
     let (settings, _) = settings_file(&folder, key);
 
@@ -227,11 +231,11 @@
     while TcpStream::connect(address).is_err() {
         assert!(
             process.try_wait().unwrap().is_none(),
-            "the process has ended"
+            "the process ended before it listened"
         );
         assert!(
             started.elapsed() < MAX_WAIT,
-            "it does not listen at {address}"
+            "the process does not listen at {address} within {MAX_WAIT:?}"
         );
         std::thread::yield_now();
     }
--- a/crates/controlplane/tests/driver/deferral.rs
+++ b/crates/controlplane/tests/driver/deferral.rs
@@ -1,4 +1,4 @@
-//! Requests that arrive between the election and the moment from which the machine may act.
+//! Requests that arrive between the election and the time from which the machine may act as primary.
 
 use crate::fixture::{
     agent_response, agent_sync, becoming_primary, becoming_primary_with_request, client_request,
--- a/crates/controlplane/tests/driver/fixture.rs
+++ b/crates/controlplane/tests/driver/fixture.rs
@@ -1,4 +1,4 @@
-//! A driver over a scripted replication and a state machine that records its events.
+//! A driver on top of a scripted replication, with a state machine that records its events.
 
 use std::cell::{RefCell, RefMut};
 use std::collections::VecDeque;
@@ -17,7 +17,7 @@
     RecoverError, RequestId, SchedulerLimits, SchedulerResponse, SchedulerSettings,
 };
 
-/// What the replication under the driver says.
+/// The values that the scripted replication returns to the driver.
 #[derive(Default)]
 pub(crate) struct ReplicationScript {
     pub(crate) has_lease: bool,
@@ -81,7 +81,7 @@
 }
 
 thread_local! {
-    /// Effects of the next events, and the events that came.
+    /// The effects that the next events return, and the events recorded so far.
     static EFFECTS: RefCell<VecDeque<Effects>> = RefCell::default();
     static EVENTS: RefCell<Vec<String>> = RefCell::default();
 }
@@ -160,7 +160,7 @@
     TestMachine { script, driver }
 }
 
-/// The primary of epoch 3, with a valid lease.
+/// Creates the primary of epoch 3, with a valid lease.
 pub(crate) fn primary() -> TestMachine {
     let mut machine = replica();
     machine.set_lease(true);
@@ -172,12 +172,12 @@
 }
 
 impl TestMachine {
-    /// The script of the replication, to change it.
+    /// Borrows the script of the replication, to change it.
     pub(crate) fn script(&self) -> RefMut<'_, ReplicationScript> {
         self.script.0.borrow_mut()
     }
 
-    /// Handles an input for which the replication returns `output`, and runs the recoveries that follow.
+    /// Handles an input for which the replication returns `output`, and runs the recoveries that it causes.
     pub(crate) fn apply_output(&mut self, output: Output) -> Vec<(RequestId, ControlOutcome)> {
         let (outcomes, recoveries) = self.apply_output_without_recovery(output);
         for recovery in recoveries {
@@ -186,7 +186,8 @@
         outcomes
     }
 
-    /// The same, with the recoveries in place of their run.
+    /// Handles an input for which the replication returns `output`. Returns the recoveries that it causes
+    /// instead of running them.
     pub(crate) fn apply_output_without_recovery(
         &mut self,
         output: Output,
@@ -300,7 +301,8 @@
     matches!(outcome, ControlOutcome::Response(_))
 }
 
-/// Elected, with its scheduler recovered, and its first batch on the way to the replicas.
+/// Creates a machine that is elected and has recovered its scheduler, but whose first batch is not committed
+/// yet.
 pub(crate) fn becoming_primary() -> TestMachine {
     let mut machine = replica();
     machine.set_becoming_primary(true);
--- a/crates/controlplane/tests/driver/main.rs
+++ b/crates/controlplane/tests/driver/main.rs
@@ -1,4 +1,5 @@
-//! The rule of release: nothing leaves before its commit or without a lease, and interrupted requests get a truthful outcome.
+//! Tests of the release of responses: none is released before its commit or without a lease, and interrupted
+//! requests get a correct outcome.
 
 #![allow(
     clippy::expect_used,
--- a/crates/controlplane/tests/driver/not_primary.rs
+++ b/crates/controlplane/tests/driver/not_primary.rs
@@ -1,4 +1,4 @@
-//! What is not done without a lease.
+//! Operations that a machine does not perform without a lease.
 
 use crate::fixture::{
     address, agent_sync, client_request, events, operator_request, primary, replica,
--- a/crates/controlplane/tests/driver/release.rs
+++ b/crates/controlplane/tests/driver/release.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn late_response_waits_for_commit_of_the_event_that_made_it() {
+fn late_response_waits_for_commit_of_the_event_that_produced_it() {
     let mut machine = primary();
     script_effects(&[], Vec::new());
     machine.request(agent_sync());
--- a/crates/controlplane/tests/encoded_forms.rs
+++ b/crates/controlplane/tests/encoded_forms.rs
@@ -1,8 +1,8 @@
-//! Encoded forms that other programs, other releases and operators' scripts read: the store on disk, messages between
-//! control machines, the responses of both ports, and the output of `show-disk` and `status --json`.
+//! Encoded forms that other programs, other releases and operators' scripts read: the store on disk, messages
+//! between control machines, the responses of both ports, and the output of `show-disk` and `status --json`.
 //!
-//! The fixtures were written by the code of release 0.1.0. `RECORD_FIXTURES=1 cargo test ... --test encoded_forms` writes
-//! the texts anew; that is right only for a form that is new.
+//! The fixtures were written by release 0.1.0. `RECORD_FIXTURES=1 cargo test ... --test encoded_forms`
+//! overwrites the texts; use it only for a form that is new.
 
 #![allow(
     clippy::expect_used,
@@ -41,7 +41,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures")
 }
 
-/// Compares a text with its fixture, byte for byte.
+/// Compares a text with its fixture byte by byte.
 fn assert_recorded(name: &str, encoded: &str) {
     let path = fixtures().join("encoded").join(name);
     if std::env::var_os("RECORD_FIXTURES").is_some() {
@@ -80,7 +80,7 @@
     }
 }
 
-/// The changes that the store in `fixtures/store` was written with.
+/// The changes with which the store in `fixtures/store` was written.
 fn stored_changes() -> [DiskChange; 3] {
     let witness = |accepted| WitnessState {
         id: DiskId(0xab),
@@ -118,7 +118,8 @@
     ]
 }
 
-/// A copy of the recorded store. Git keeps no empty folders, so the database's are listed here.
+/// Copies the recorded store. Git does not track empty folders, so the copy creates the database's empty
+/// folders.
 fn copy_of_recorded_store() -> TestFolder {
     let copy = TestFolder::copy_of(&fixtures().join("store"));
     for folder in EMPTY_FOLDERS {
@@ -154,7 +155,7 @@
     );
 }
 
-/// Every key of the database with its value, read without the store's own code.
+/// Compares all keys and values of the database with the fixture. Reads them without the store's own code.
 #[test]
 fn keys_and_values_on_disk_are_as_recorded() {
     let written = TestFolder::new();
@@ -235,7 +236,8 @@
     }
 }
 
-/// The keys of a JSON value and the types of what they hold; equal neighbours in lists are shown once.
+/// Reduces a JSON value to its keys and the types of its values. Equal adjacent items of a list are shown
+/// once.
 fn shape(value: &Value) -> Value {
     match value {
         Value::Object(fields) => fields
@@ -255,7 +257,7 @@
     }
 }
 
-/// Headers of a response, without those that differ from run to run.
+/// The headers of a response, except those that differ between runs.
 fn headers_of(headers: &HeaderMap) -> String {
     let mut lines: Vec<String> = headers
         .iter()
@@ -268,7 +270,7 @@
     lines.concat()
 }
 
-/// Responses one after the other, with the addresses of the test's machines by their part.
+/// Records responses in order, with the addresses of the test's machines replaced by names of their roles.
 struct Transcript<'a> {
     cluster: &'a mut Cluster,
     text: String,
@@ -530,7 +532,8 @@
     assert_eq!(output.status.code(), Some(1));
 }
 
-/// Responses that a cluster gives only by rare chance: to an unknown outcome, and to one of another kind of caller.
+/// Responses that a cluster rarely returns: to a request with an unknown outcome, and to a scheduler response
+/// of the wrong type.
 #[test]
 fn responses_to_rare_outcomes_are_as_recorded() {
     let operator_response = OperatorResponse {
--- a/crates/controlplane/tests/fair_share_file.rs
+++ b/crates/controlplane/tests/fair_share_file.rs
@@ -1,4 +1,4 @@
-//! The settings file of fair share: missing keys get defaults, wrong ones are named.
+//! The fair-share settings file: missing keys get defaults, and errors name the invalid key or value.
 
 #![allow(
     clippy::expect_used,
@@ -14,7 +14,7 @@
 use streamusher_fair_share::FairShareSettings;
 use support::TestFolder;
 
-fn loaded(text: &str) -> Result<FairShareSettings, String> {
+fn load_text(text: &str) -> Result<FairShareSettings, String> {
     let folder = TestFolder::new();
     let path = folder.path().join("debts.toml");
     fs::write(&path, text).unwrap();
@@ -24,7 +24,7 @@
 #[test]
 fn half_life_alone_gives_defaults_for_it() {
     assert_eq!(
-        loaded("half_life_ms = 600000\n"),
+        load_text("half_life_ms = 600000\n"),
         Ok(FairShareSettings::with_half_life(600_000))
     );
 }
@@ -33,7 +33,7 @@
 fn weights_and_teams_replace_defaults() {
     let text = "half_life_ms = 600000\ngpu_millicores = 4000\n[weights]\nlogs = 2000\n[user_of_queue]\nr-1 = \"logs\"\n";
 
-    let settings = loaded(text).unwrap();
+    let settings = load_text(text).unwrap();
 
     assert_eq!(
         (settings.gpu_millicores, settings.weights["logs"]),
@@ -52,11 +52,11 @@
 #[case::wrong_type("half_life_ms = \"soon\"\n", "half_life_ms")]
 #[case::negative("half_life_ms = -1\n", "half_life_ms")]
 #[case::out_of_range("half_life_ms = 9000\n", "give 10000")]
-#[case::weight_of_nothing("half_life_ms = 600000\n[weights]\nlogs = 0\n", "logs")]
+#[case::zero_weight("half_life_ms = 600000\n[weights]\nlogs = 0\n", "logs")]
 #[case::not_toml("half_life_ms", "debts.toml")]
-fn wrong_key_or_value_is_named(#[case] text: &str, #[case] named: &str) {
-    let error = loaded(text).unwrap_err();
+fn invalid_key_or_value_is_reported(#[case] text: &str, #[case] expected_text: &str) {
+    let error = load_text(text).unwrap_err();
 
-    assert!(error.contains(named), "{error}");
+    assert!(error.contains(expected_text), "{error}");
     assert!(error.contains("debts.toml"), "{error}");
 }
--- a/crates/controlplane/tests/pending_configurations.rs
+++ b/crates/controlplane/tests/pending_configurations.rs
@@ -1,4 +1,4 @@
-//! Configurations are published once they are committed, in order.
+//! Configurations are published in version order, and only once they are committed.
 
 #![allow(
     clippy::expect_used,
@@ -52,11 +52,11 @@
 }
 
 #[test]
-fn configuration_rests_on_its_first_batch() {
+fn configuration_is_published_with_its_first_batch() {
     let mut configurations = PendingConfigurations::default();
     configurations.observe(7, 5, || Some(configuration(5)));
 
-    configurations.observe(12, 5, || panic!("asked again"));
+    configurations.observe(12, 5, || panic!("the configuration was requested again"));
     configurations.on_committed(7);
 
     assert_eq!(versions(&mut configurations), [5]);
--- a/crates/controlplane/tests/relay.rs
+++ b/crates/controlplane/tests/relay.rs
@@ -25,7 +25,7 @@
 
 const MAX_WAIT: Duration = Duration::from_mins(1);
 
-/// A member of the relay tree that records the messages that it receives.
+/// A member of the relay tree that records the messages it receives.
 struct Member {
     address: SocketAddr,
     received: Rc<RefCell<Vec<RelayMessage>>>,
@@ -53,15 +53,15 @@
         }
     }
 
-    fn lease(&self, membership_version: u64) -> GateLeaseRequest {
+    fn lease_request(&self, membership_version: u64) -> GateLeaseRequest {
         GateLeaseRequest {
             address: self.address.to_string().into(),
             membership_version,
         }
     }
 
-    /// Waits for a message that is expected.
-    async fn until(&self, expected: impl Fn(&RelayMessage) -> bool) {
+    /// Waits until a message that satisfies `expected` has been received.
+    async fn wait_for_message(&self, expected: impl Fn(&RelayMessage) -> bool) {
         let waiting = async {
             while !self.received.borrow().iter().any(&expected) {
                 self.notify.notified().await;
@@ -69,7 +69,7 @@
         };
         tokio::time::timeout(MAX_WAIT, waiting)
             .await
-            .expect("the message did not come in time");
+            .expect("the expected message was not received in time");
     }
 }
 
@@ -90,11 +90,11 @@
     move |message| matches!(message, RelayMessage::Heartbeat { version, .. } if *version == expected)
 }
 
-/// Renews a member's lease until a roster names it.
+/// Renews a member's lease until the membership in the response contains it.
 async fn join(cluster: &mut Cluster, member: &Member, roster: u64) -> GateLeaseResponse {
     let address = member.address.to_string();
     let response = cluster
-        .post_until(GATE_LEASE_PATH, &member.lease(roster), |response| {
+        .post_until(GATE_LEASE_PATH, &member.lease_request(roster), |response| {
             let lease = parse_json::<GateLeaseResponse>(response.body()).unwrap_or_default();
             let members = lease.members.unwrap_or_default();
             members.iter().any(|member| **member == *address)
@@ -121,19 +121,19 @@
         assert_eq!(lease.configuration_version, 0);
 
         replace(&mut cluster, "0", 5).await;
-        member.until(is_snapshot(5)).await;
+        member.wait_for_message(is_snapshot(5)).await;
         let primary = cluster.primary().await;
         let update = cluster
             .operator_request(primary, UPDATE_PATH, Some("5"), r#"{"version":8}"#)
             .await;
 
         assert!(is_ok(&update));
-        member.until(is_delta(8)).await;
+        member.wait_for_message(is_delta(8)).await;
         let response = cluster
             .post(
                 primary,
                 GATE_LEASE_PATH,
-                &member.lease(lease.membership_version),
+                &member.lease_request(lease.membership_version),
             )
             .await;
         let renewed: GateLeaseResponse = parse_json(response.body()).unwrap();
@@ -148,27 +148,27 @@
         let member = Member::start();
         let before = join(&mut cluster, &member, 0).await;
         replace(&mut cluster, "0", 5).await;
-        member.until(is_snapshot(5)).await;
+        member.wait_for_message(is_snapshot(5)).await;
 
         let former = cluster.primary().await;
         cluster.stop_machine(former).await;
-        let late = Member::start();
+        let new_member = Member::start();
         join(&mut cluster, &member, before.membership_version).await;
-        let after = join(&mut cluster, &late, 0).await;
+        let after = join(&mut cluster, &new_member, 0).await;
 
         assert!(after.membership_version > before.membership_version);
         assert_eq!(after.configuration_version, 5);
-        late.until(is_heartbeat(5)).await;
-        let question = json!({"from": {"Member": late.address.to_string()}, "messages": [{"Ask": {"have": 0}}]});
+        new_member.wait_for_message(is_heartbeat(5)).await;
+        let envelope = json!({"from": {"Member": new_member.address.to_string()}, "messages": [{"Ask": {"have": 0}}]});
         cluster
-            .post_until(RELAY_PATH, &question, |response| {
+            .post_until(RELAY_PATH, &envelope, |response| {
                 response.status() == StatusCode::NO_CONTENT
             })
             .await;
-        late.until(is_snapshot(5)).await;
+        new_member.wait_for_message(is_snapshot(5)).await;
         replace(&mut cluster, "5", 9).await;
-        member.until(is_snapshot(9)).await;
-        late.until(is_snapshot(9)).await;
+        member.wait_for_message(is_snapshot(9)).await;
+        new_member.wait_for_message(is_snapshot(9)).await;
     });
 }
 
@@ -179,10 +179,12 @@
         let member = Member::start();
         let primary = cluster.primary().await;
         let other = (primary + 1) % 3;
-        let question = json!({"from": {"Member": member.address.to_string()}, "messages": []});
+        let envelope = json!({"from": {"Member": member.address.to_string()}, "messages": []});
 
-        let lease = cluster.post(other, GATE_LEASE_PATH, &member.lease(0)).await;
-        let relay = cluster.post(other, RELAY_PATH, &question).await;
+        let lease = cluster
+            .post(other, GATE_LEASE_PATH, &member.lease_request(0))
+            .await;
+        let relay = cluster.post(other, RELAY_PATH, &envelope).await;
         let malformed = cluster
             .post(primary, GATE_LEASE_PATH, &json!({"address": 7}))
             .await;
--- a/crates/controlplane/tests/reload.rs
+++ b/crates/controlplane/tests/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the control plane's process takes over the seeds of the settings file.
+//! SIGHUP: the control machine process applies the seeds of the changed settings file.
 
 #![allow(
     clippy::expect_used,
@@ -16,31 +16,32 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_streamusher-control");
 
-/// A machine that is no member and asks its seeds to be let in; its addresses are this process's alone.
-struct Newcomer {
-    net: String,
+/// A machine that is not a member of the cluster and asks its seeds to join. Its addresses are used by this
+/// test process only.
+struct JoiningMachine {
+    network_prefix: String,
     folder: TestFolder,
 }
 
-impl Newcomer {
-    fn new() -> Newcomer {
+impl JoiningMachine {
+    fn new() -> JoiningMachine {
         let pid = std::process::id();
-        Newcomer {
-            net: format!("127.{}.{}", 180 + pid % 30, pid / 30 % 250),
+        JoiningMachine {
+            network_prefix: format!("127.{}.{}", 180 + pid % 30, pid / 30 % 250),
             folder: TestFolder::new(),
         }
     }
 
     fn internal(&self, machine: u8) -> String {
-        format!("{}.{machine}:7300", self.net)
+        format!("{}.{machine}:7300", self.network_prefix)
     }
 
     fn write_settings(&self, seeds: &str) {
-        let net = &self.net;
+        let network_prefix = &self.network_prefix;
         let data = self.folder.path().join("data");
         let text = format!(
-            "ip = \"{net}.1\"\nport_range = [7300, 7315]\nseeds = [{seeds}]\nbootstrap = false\n\
-             data_dir = \"{}\"\nlisten.control = \"{net}.1:8144\"\n",
+            "ip = \"{network_prefix}.1\"\nport_range = [7300, 7315]\nseeds = [{seeds}]\nbootstrap = false\n\
+             data_dir = \"{}\"\nlisten.control = \"{network_prefix}.1:8144\"\n",
             data.display()
         );
         fs::write(self.folder.path().join("settings.toml"), text).unwrap();
@@ -59,7 +60,7 @@
 struct Process(Child);
 
 impl Process {
-    fn hang_up(&self) {
+    fn send_sighup(&self) {
         let sent = Command::new("kill")
             .args(["-HUP", &self.0.id().to_string()])
             .status()
@@ -84,22 +85,22 @@
 
 #[test]
 fn sighup_applies_new_seeds_and_ignores_a_wrong_file() {
-    let machine = Newcomer::new();
+    let machine = JoiningMachine::new();
     let first = TcpListener::bind(machine.internal(2)).unwrap();
     let second = TcpListener::bind(machine.internal(3)).unwrap();
-    machine.write_settings(&format!("\"{}.2:8144\"", machine.net));
+    machine.write_settings(&format!("\"{}.2:8144\"", machine.network_prefix));
     let mut process = machine.start();
     let mut lines = BufReader::new(process.0.stderr.take().unwrap())
         .lines()
         .map_while(Result::ok);
-    // Both accepts wait until the process connects.
+    // Both calls of `accept` wait until the process connects.
     first.accept().unwrap();
 
     machine.write_settings("\"nowhere\"");
-    process.hang_up();
+    process.send_sighup();
     wait_for(&mut lines, "settings not reloaded, keeping the former ones");
-    machine.write_settings(&format!("\"{}.3:8144\"", machine.net));
-    process.hang_up();
+    machine.write_settings(&format!("\"{}.3:8144\"", machine.network_prefix));
+    process.send_sighup();
     wait_for(&mut lines, "settings reloaded");
 
     second.accept().unwrap();
--- a/crates/controlplane/tests/show_disk.rs
+++ b/crates/controlplane/tests/show_disk.rs
@@ -1,4 +1,4 @@
-//! The command `show-disk`: what it shows, what it refuses, and that it changes nothing.
+//! The command `show-disk`: its output, the folders it rejects, and that it changes nothing.
 
 #![allow(
     clippy::expect_used,
@@ -19,7 +19,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_streamusher-control");
 
-fn filled() -> TestFolder {
+fn folder_with_store() -> TestFolder {
     let folder = TestFolder::new();
     let (store, _) = Store::open(folder.path()).unwrap();
     let decided = EpochRecord {
@@ -69,7 +69,7 @@
 
 #[test]
 fn store_is_shown_and_no_byte_is_changed() {
-    let folder = filled();
+    let folder = folder_with_store();
     let before = contents(folder.path());
 
     let output = run(folder.path());
@@ -91,14 +91,14 @@
 }
 
 #[test]
-fn store_in_use_is_refused() {
-    let folder = filled();
+fn store_in_use_is_rejected() {
+    let folder = folder_with_store();
     let (store, _) = Store::open(folder.path()).unwrap();
 
-    let refused = show(folder.path()).unwrap_err();
+    let error = show(folder.path()).unwrap_err();
     drop(store);
 
-    assert!(matches!(refused, ShowDiskError::InUse(_)), "{refused}");
+    assert!(matches!(error, ShowDiskError::InUse(_)), "{error}");
     assert!(show(folder.path()).is_ok());
 }
 
@@ -118,7 +118,7 @@
 
 #[test]
 fn torn_journal_is_shown_without_its_last_batch_and_not_repaired() {
-    let folder = filled();
+    let folder = folder_with_store();
     let journal = journal_of(folder.path());
     let whole = written_bytes(&journal);
     fs::write(&journal, &whole[..whole.len() - 5]).unwrap();
@@ -135,7 +135,7 @@
 
 #[test]
 fn damaged_store_is_reported_with_exit_code_1() {
-    let folder = filled();
+    let folder = folder_with_store();
     fs::remove_file(journal_of(folder.path())).unwrap();
 
     let output = run(folder.path());
@@ -149,8 +149,8 @@
 }
 
 #[test]
-fn newer_format_is_named() {
-    let folder = filled();
+fn newer_format_is_reported() {
+    let folder = folder_with_store();
     let database = fjall::Database::builder(folder.path().join(STORE_FOLDER))
         .open()
         .unwrap();
@@ -162,13 +162,13 @@
     drop(keyspace);
     drop(database);
 
-    let refused = show(folder.path()).unwrap_err();
+    let error = show(folder.path()).unwrap_err();
 
     assert!(
         matches!(
-            refused,
+            error,
             ShowDiskError::Store(StoreError::NewerFormat { found: 2, .. })
         ),
-        "{refused}"
+        "{error}"
     );
 }
--- a/crates/controlplane/tests/store/compaction.rs
+++ b/crates/controlplane/tests/store/compaction.rs
@@ -1,4 +1,4 @@
-//! Compaction, and its interruption.
+//! Compaction, and interrupted compactions.
 
 use crate::fixture::{bytes_below, change, is_same, numbered_change, reopen, store_with, witness};
 use crate::support::TestFolder;
@@ -67,7 +67,7 @@
 #[case::only_former_store_left(&[(1, FORMER_FOLDER)], 1)]
 fn interrupted_replacement_leaves_exactly_one_store(
     #[case] stores: &[(u64, &str)],
-    #[case] counts: u64,
+    #[case] expected_sequence: u64,
 ) {
     let folder = TestFolder::new();
     for (sequence, name) in stores {
@@ -77,7 +77,7 @@
 
     let image = reopen(folder.path());
 
-    assert_eq!(image.position.sequence, counts);
+    assert_eq!(image.position.sequence, expected_sequence);
     assert!(!folder.path().join(REPLACEMENT_FOLDER).exists());
     assert!(!folder.path().join(FORMER_FOLDER).exists());
 }
--- a/crates/controlplane/tests/store/content.rs
+++ b/crates/controlplane/tests/store/content.rs
@@ -1,4 +1,4 @@
-//! What a store holds after changes.
+//! The content of a store after changes.
 
 use crate::fixture::{
     change, is_same, numbered_change, reopen, set_format, state, store_with, witness,
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn last_write_of_a_key_in_one_change_counts() {
+fn last_write_of_a_key_in_one_change_wins() {
     let folder = store_with(&[change(
         1,
         vec![
@@ -59,7 +59,7 @@
 
 #[test]
 fn replacing_the_state_keeps_the_witness() {
-    let whole = DiskChange {
+    let replacement = DiskChange {
         witness: None,
         position: Some(LogPosition {
             epoch: 5,
@@ -71,7 +71,7 @@
 
     let folder = store_with(&[
         change(1, vec![Write::set("a", "old"), Write::set("b", "old")]),
-        whole,
+        replacement,
     ]);
 
     let image = reopen(folder.path());
--- a/crates/controlplane/tests/store/damage.rs
+++ b/crates/controlplane/tests/store/damage.rs
@@ -1,4 +1,4 @@
-//! Files that are missing or damaged.
+//! Stores with missing or damaged files.
 
 use crate::fixture::{is_same, numbered_change, reopen, store_with};
 use crate::support::{files_below, journal_of, written_bytes, TestFolder};
@@ -52,14 +52,14 @@
 }
 
 #[test]
-fn store_with_any_file_missing_starts_with_all_or_nothing() {
+fn store_with_any_file_missing_opens_with_full_content_or_empty() {
     let folder = TestFolder::new();
     let (store, _) = Store::open(folder.path()).unwrap();
     for sequence in 1..=50 {
         store.apply(&numbered_change(sequence, 50_000)).unwrap();
     }
     drop(store);
-    let whole = reopen(folder.path());
+    let full_image = reopen(folder.path());
     let files = files_below(folder.path());
     for file in &files {
         let copy = TestFolder::copy_of(folder.path());
@@ -69,10 +69,10 @@
         let (store, image) = Store::open_at_startup(copy.path()).unwrap();
         drop(store);
 
-        let is_all = is_same(&image, &whole);
-        let is_nothing = is_same(&image, &DiskImage::default());
+        let is_full = is_same(&image, &full_image);
+        let is_empty = is_same(&image, &DiskImage::default());
         assert!(
-            is_all || is_nothing,
+            is_full || is_empty,
             "without {}: {:?}",
             relative.display(),
             image.position
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn refusing_disk_makes_store_unavailable() {
+fn failing_disk_operation_makes_store_unavailable() {
     let folder = TestFolder::new();
     let file = folder.path().join("file");
     fs::write(&file, "not a folder").unwrap();
--- a/crates/controlplane/tests/store/fixture.rs
+++ b/crates/controlplane/tests/store/fixture.rs
@@ -1,4 +1,4 @@
-//! Changes, stores that were written with them, and what is read from them.
+//! Test changes, stores written with them, and the images read back from those stores.
 
 use crate::support::{files_below, journal_of, written_bytes, TestFolder};
 use std::fs;
@@ -10,7 +10,7 @@
 };
 use streamusher_protocol::store::Write;
 
-/// Larger than fjall's buffer, so that a batch is written in several steps.
+/// Larger than fjall's write buffer, so that a batch is written in several steps.
 pub(crate) const LARGE_VALUE: usize = 20_000;
 
 pub(crate) fn witness(starts: u64) -> WitnessState {
@@ -57,7 +57,7 @@
         .collect()
 }
 
-/// A store that was closed after `changes`.
+/// Creates a store and closes it after `changes`.
 pub(crate) fn store_with(changes: &[DiskChange]) -> TestFolder {
     let folder = TestFolder::new();
     let (store, _) = Store::open(folder.path()).unwrap();
@@ -67,7 +67,8 @@
     folder
 }
 
-/// Journal bytes before and after a last change, and the images that go with them.
+/// The journal's length before and its bytes after a last change, and the images read from the store at both
+/// times.
 pub(crate) struct LastChange {
     pub(crate) folder: TestFolder,
     pub(crate) before: DiskImage,
@@ -95,7 +96,7 @@
 }
 
 impl LastChange {
-    /// What is read where the journal holds `bytes`.
+    /// Returns the image read from a copy of the store whose journal contains `bytes`.
     pub(crate) fn reopen_with_journal(&self, bytes: &[u8]) -> DiskImage {
         let copy = TestFolder::copy_of(self.folder.path());
         fs::write(journal_of(copy.path()), bytes).unwrap();
@@ -103,7 +104,7 @@
         let again = reopen(copy.path());
         assert!(
             is_same(&image, &again),
-            "a second start finds something else"
+            "the second open returns a different image"
         );
         image
     }
--- a/crates/controlplane/tests/store/main.rs
+++ b/crates/controlplane/tests/store/main.rs
@@ -1,4 +1,5 @@
-//! The store on disk: what is synced stays, what is torn is dropped as a whole, what is damaged is reported.
+//! Tests of the store on disk: synced changes persist, a torn change is dropped as a whole, and damage is
+//! reported.
 
 #![allow(
     clippy::expect_used,
--- a/crates/controlplane/tests/store/power_loss.rs
+++ b/crates/controlplane/tests/store/power_loss.rs
@@ -1,4 +1,4 @@
-//! What is left of a store after a loss of power.
+//! The content of a store after a power loss.
 
 use crate::fixture::{
     is_same, numbered_change, reopen, store_with, store_with_last_change, LARGE_VALUE,
@@ -27,10 +27,7 @@
 #[rstest]
 #[case::written_in_one_step(60, 7)]
 #[case::written_in_several_steps(LARGE_VALUE, 3_001)]
-fn last_change_cut_anywhere_is_dropped_as_a_whole(
-    #[case] value_bytes: usize,
-    #[case] stride: usize,
-) {
+fn truncated_last_change_is_dropped_as_a_whole(#[case] value_bytes: usize, #[case] stride: usize) {
     let last = store_with_last_change(value_bytes);
     for end in (last.synced..last.journal.len()).step_by(stride) {
         let image = last.reopen_with_journal(&last.journal[..end]);
@@ -105,7 +102,7 @@
 }
 
 #[test]
-fn half_created_store_is_created_anew() {
+fn incompletely_created_store_is_recreated() {
     let folder = TestFolder::new();
     drop(Store::open(folder.path()).unwrap());
     fs::remove_file(folder.path().join(STORE_FOLDER).join("version")).unwrap();
@@ -114,7 +111,7 @@
 }
 
 #[test]
-fn rest_of_half_removed_store_is_removed() {
+fn remains_of_discarded_store_are_removed() {
     let folder = store_with(&[numbered_change(1, 10)]);
     fs::rename(
         folder.path().join(STORE_FOLDER),
--- a/crates/controlplane/tests/support/cluster.rs
+++ b/crates/controlplane/tests/support/cluster.rs
@@ -1,4 +1,4 @@
-//! Three control machines on loopback addresses of their own, in the test's thread.
+//! Three control machines with their own loopback addresses, run in the test's thread.
 
 use super::TestFolder;
 use bytes::Bytes;
@@ -21,16 +21,16 @@
 
 const MACHINES: u8 = 3;
 const CONTROL_PORT: u16 = 8_144;
-/// Bound of one request: only a failure takes it, also on a busy machine.
+/// Timeout of one request. Only a failure exhausts it, even on a busy machine.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// Bound of every wait; calm elections take about a second.
+/// Timeout of each wait. An undisturbed election takes about one second.
 const MAX_WAIT: Duration = Duration::from_mins(1);
-/// Bound of a whole test.
+/// Timeout of a whole test.
 const MAX_TEST_TIME: Duration = Duration::from_mins(3);
 
 static NEXT_NET: AtomicU8 = AtomicU8::new(1);
 
-/// The cluster; machines are numbered from 0.
+/// Three control machines, numbered from 0, of which some may be stopped.
 pub(crate) struct Cluster {
     net: [u8; 3],
     folders: Vec<TestFolder>,
@@ -43,15 +43,18 @@
     task: JoinHandle<Result<(), ProcessError>>,
 }
 
-/// Runs a test within the runtime that the programs have, for a bounded time.
+/// Runs a test within the runtime that the programs use. Fails if it exceeds `MAX_TEST_TIME`.
 pub(crate) fn run_bounded<F: Future<Output = ()>>(test: F) {
     let bounded = async { tokio::time::timeout(MAX_TEST_TIME, test).await };
     let result = event_loop::block_on(bounded).unwrap();
-    assert!(result.is_ok(), "the test took too long");
+    assert!(
+        result.is_ok(),
+        "the test did not finish within {MAX_TEST_TIME:?}"
+    );
 }
 
 impl Cluster {
-    /// Starts three machines on empty disks.
+    /// Starts three machines with empty disks.
     pub(crate) async fn start() -> Cluster {
         let mut cluster = Cluster::without_machines();
         for machine in 0..usize::from(MACHINES) {
@@ -60,7 +63,7 @@
         cluster
     }
 
-    /// Addresses and empty disks for three machines, none of which runs.
+    /// Allocates addresses and empty disks for three machines without starting them.
     pub(crate) fn without_machines() -> Cluster {
         let pid = std::process::id();
         let net = [
@@ -139,7 +142,7 @@
         SocketAddr::new(self.ip(machine), 7_300)
     }
 
-    /// Waits until a machine acts as primary for operators, and gives its number.
+    /// Waits until a machine responds to operators as the primary, and returns its number.
     pub(crate) async fn primary(&mut self) -> usize {
         let waiting = async {
             loop {
@@ -151,7 +154,7 @@
         };
         tokio::time::timeout(MAX_WAIT, waiting)
             .await
-            .expect("no primary in time")
+            .expect("no machine became primary in time")
     }
 
     async fn find_primary(&mut self) -> Option<usize> {
@@ -183,7 +186,7 @@
         serde_json::from_slice(response.body()).unwrap()
     }
 
-    /// A request of an operator at the control port of a machine.
+    /// Sends an operator's request to the control port of a machine. An empty body makes it a GET request.
     pub(crate) async fn operator_request(
         &mut self,
         machine: usize,
@@ -201,7 +204,7 @@
             .unwrap()
     }
 
-    /// A request without a body.
+    /// Sends a request without a body.
     pub(crate) async fn send(
         &mut self,
         address: SocketAddr,
@@ -213,12 +216,12 @@
             .unwrap()
     }
 
-    /// A caller with a connection of its own, which waits for the next epoch at a machine.
+    /// Creates a caller with its own connection that waits for the next epoch at a machine.
     pub(crate) fn watcher(&self, machine: usize) -> Watcher {
         Watcher(Client::new(self.internal(machine)))
     }
 
-    /// A request of a gate or an agent at the internal port of a machine.
+    /// Sends a request to the internal port of a machine, as a gate or an agent does.
     pub(crate) async fn post<T: Serialize>(
         &mut self,
         machine: usize,
@@ -231,7 +234,8 @@
             .unwrap()
     }
 
-    /// Repeats a request of a gate or an agent at the acting primary, until the response is the expected one.
+    /// Repeats a request of a gate or an agent to the acting primary, until the response satisfies
+    /// `is_expected`.
     pub(crate) async fn post_until<T: Serialize>(
         &mut self,
         path: &str,
@@ -253,7 +257,7 @@
         };
         tokio::time::timeout(MAX_WAIT, waiting)
             .await
-            .expect("the response did not come in time")
+            .expect("no expected response was received in time")
     }
 
     async fn send_request(
@@ -285,7 +289,7 @@
 pub(crate) struct Watcher(Client);
 
 impl Watcher {
-    /// Watches until there is one.
+    /// Repeats the watch until the machine knows a newer epoch.
     pub(crate) async fn watch(&mut self, watch: &ClusterWatch) -> ClusterView {
         loop {
             let mut request = Request::new(Bytes::from(serde_json::to_vec(watch).unwrap()));
--- a/crates/controlplane/tests/support/mod.rs
+++ b/crates/controlplane/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Folders for tests, and images of a store as a loss of power leaves them.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Folders for tests, and copies of a store as a power loss leaves them.
+#![allow(dead_code, reason = "each test file uses only some of the items")]
 
 pub(crate) mod cluster;
 
@@ -11,7 +11,7 @@
 
 static NEXT_FOLDER: AtomicU64 = AtomicU64::new(0);
 
-/// A folder that is removed with the value.
+/// A temporary folder that is removed when the value is dropped.
 pub(crate) struct TestFolder(PathBuf);
 
 impl TestFolder {
@@ -27,8 +27,8 @@
         &self.0
     }
 
-    /// Copies all files, without the zeros at the ends of journals: what a database reserves and has not written. A copy
-    /// during which files changed is made again, as it shows no moment that ever was.
+    /// Copies all files, without the zeros at the end of journals, which the database has reserved but not
+    /// written. The copy is repeated if files changed meanwhile, as it would mix states of different times.
     pub(crate) fn copy_of(original: &Path) -> TestFolder {
         for _ in 0..MAX_COPIES {
             let before = listing(original);
@@ -47,7 +47,7 @@
     }
 }
 
-/// Flushes and compactions of a small store end within a few copies.
+/// A small store finishes its flushes and compactions within a few copies.
 const MAX_COPIES: usize = 1_000;
 
 impl Drop for TestFolder {
@@ -72,7 +72,7 @@
     Ok(())
 }
 
-/// Each file with its length and the time of its last change.
+/// All files below a folder with their lengths and modification times.
 fn listing(folder: &Path) -> io::Result<Vec<(PathBuf, u64, SystemTime)>> {
     let mut files = Vec::new();
     for file in files_in(folder)? {
@@ -82,7 +82,7 @@
     Ok(files)
 }
 
-/// All files below a folder, in the order of their names.
+/// All files below a folder, sorted by name.
 pub(crate) fn files_below(folder: &Path) -> Vec<PathBuf> {
     files_in(folder).unwrap()
 }
@@ -101,7 +101,7 @@
     Ok(files)
 }
 
-/// The only journal of a small store.
+/// The journal of a store that has only one.
 pub(crate) fn journal_of(data_dir: &Path) -> PathBuf {
     files_below(data_dir)
         .into_iter()
@@ -109,7 +109,8 @@
         .unwrap()
 }
 
-/// The bytes of a journal, without the zeros that are reserved at its end. Nothing written holds as long a run of them.
+/// The bytes of a journal without the zeros that are reserved at its end. No written content contains an
+/// equally long run of zeros.
 pub(crate) fn written_bytes(journal: &Path) -> Vec<u8> {
     written_part(journal).unwrap()
 }
