--- a/crates/controlplane/src/cluster_status/report/fields.rs
+++ b/crates/controlplane/src/cluster_status/report/fields.rs
@@ -5,11 +5,11 @@
 
 /// The value at a JSON pointer as text; empty if it does not exist.
 pub(super) fn text(value: &Value, pointer: &str) -> String {
-    value.pointer(pointer).map_or_else(String::new, plain)
+    value.pointer(pointer).map_or_else(String::new, value_text)
 }
 
 /// A value as text; strings are without quotes.
-pub(super) fn plain(value: &Value) -> String {
+pub(super) fn value_text(value: &Value) -> String {
     match value {
         Value::Null => String::new(),
         Value::String(text) => text.clone(),
--- a/crates/controlplane/src/cluster_status/report/primary.rs
+++ b/crates/controlplane/src/cluster_status/report/primary.rs
@@ -1,6 +1,6 @@
 //! The acting primary's view of members, queues and workers.
 
-use super::fields::{disk_id, is_true, list, log_position, plain, text};
+use super::fields::{disk_id, is_true, list, log_position, text, value_text};
 use crate::cluster_status::table::Table;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -39,7 +39,9 @@
 
 fn members(status: &Value) -> String {
     let own_id = text(status, "/core/id");
-    let replicas: Vec<String> = list(status, "/core/record/replicas").map(plain).collect();
+    let replicas: Vec<String> = list(status, "/core/record/replicas")
+        .map(value_text)
+        .collect();
     let peers: BTreeMap<String, &Value> = list(status, "/core/peers")
         .map(|peer| (text(peer, "/id"), peer))
         .collect();
@@ -74,7 +76,7 @@
         .and_then(Value::as_object);
     let mut table = Table::new(&QUEUE_COLUMNS);
     for (name, pending) in queues.into_iter().flatten() {
-        table.add_row([name.clone(), plain(pending)]);
+        table.add_row([name.clone(), value_text(pending)]);
     }
     table.render()
 }
--- a/crates/controlplane/src/cluster_status/report/processes.rs
+++ b/crates/controlplane/src/cluster_status/report/processes.rs
@@ -40,7 +40,7 @@
         let row = match response {
             Ok(status) if status.get("core").is_some() => control_machine(status),
             Ok(status) => data_plane_process(status),
-            Err(error) => without_response(error),
+            Err(error) => unresponsive_process(error),
         };
         table.add_row([
             address.to_string(),
@@ -107,7 +107,7 @@
     }
 }
 
-fn without_response(error: &QueryError) -> ProcessRow {
+fn unresponsive_process(error: &QueryError) -> ProcessRow {
     ProcessRow {
         role: "?".to_owned(),
         state: "no response".to_owned(),
--- a/crates/controlplane/src/store/database.rs
+++ b/crates/controlplane/src/store/database.rs
@@ -16,7 +16,7 @@
 
 /// The state is read once at startup and then kept in memory, so the cache only serves compactions.
 const CACHE_BYTES: u64 = 1 << 20;
-/// Writes stay in the memtable until it is flushed to a table; small because memory has a cost.
+/// Writes stay in the memtable until it is flushed to a table; small because memory has a price.
 const MEMTABLE_BYTES: u64 = 2 << 20;
 /// The minimum that fjall accepts.
 const JOURNAL_BYTES: u64 = 64 << 20;
