--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -1,49 +1,49 @@
-//! What a dispatcher wants done.
+//! Actions that a dispatcher requests from its embedder.
 
 use super::{JobId, Micros, WorkerId};
 
 /// An action that the embedder carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt. Attempts of a request are numbered from 0 in the order of these actions; an attempt may last
-    /// until the client gives up.
+    /// Send an attempt to a worker. The attempts of a request are numbered from 0 in the order of these
+    /// actions. An attempt has no timeout of its own: it may last until the client gives up.
     Send {
-        /// The request.
+        /// The request to send.
         job: JobId,
         /// The worker to send it to.
         worker: WorkerId,
     },
-    /// Cancel an attempt.
+    /// Cancel a running attempt.
     Cancel {
-        /// The request.
+        /// The request that the attempt belongs to.
         job: JobId,
-        /// The attempt.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// Final answer: rejected; the client may safely try again.
+    /// Final answer: the request is rejected; the client may safely retry it.
     Reject {
-        /// The request.
+        /// The rejected request.
         job: JobId,
-        /// Advice to the client to wait this long; 0 for none.
+        /// Time that the client is advised to wait before it retries; 0 for no advice.
         retry_after_us: Micros,
     },
-    /// Final answer: failed.
+    /// Final answer: the request has failed.
     Fail {
-        /// The request.
+        /// The failed request.
         job: JobId,
     },
-    /// Set a timer: asks for an [`Event::Timer`](super::Event::Timer).
+    /// Set a timer that triggers an [`Event::Timer`](super::Event::Timer).
     Schedule {
-        /// After this long.
+        /// Time until the timer expires.
         delay_us: Micros,
-        /// To be given back with the event.
+        /// Returned unchanged in the event.
         token: u64,
     },
-    /// Ask a worker for its load.
+    /// Probe a worker for its load.
     Probe {
-        /// The worker.
+        /// The worker to probe.
         worker: WorkerId,
     },
-    /// Subscribe to the endpoint list, missed changes first.
+    /// Subscribe to the endpoint list. Missed changes are delivered first.
     Subscribe,
 }
--- a/src/interface/attempt.rs
+++ b/src/interface/attempt.rs
@@ -1,40 +1,40 @@
-//! How an attempt of a request at one worker ends.
+//! Outcomes of attempts: one attempt sends a request to one worker.
 
 use super::{JobId, LoadReport};
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The worker served it.
+    /// The worker served the request.
     Succeeded,
-    /// The worker returned an error; it may have run.
+    /// The worker returned an error; the request may have run.
     WorkerError,
-    /// Load shedding: the worker rejected it as full. It never ran, unless
-    /// [`Settings::shed_may_have_run`](super::Settings::shed_may_have_run) is set.
+    /// Load shedding: the worker rejected the request because it is at capacity. The request has not run,
+    /// unless [`Settings::shed_may_have_run`](super::Settings::shed_may_have_run) is set.
     Shed,
-    /// No answer in time; it may have run.
+    /// No answer arrived in time; the request may have run.
     TimedOut,
-    /// No connection was made: it never ran.
+    /// No connection was established; the request has not run.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have run.
     ConnectionLost,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; the request may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
 }
 
-/// The end of an attempt.
+/// Report that an attempt has ended.
 #[derive(Clone, Debug)]
 pub struct AttemptEnd {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub job: JobId,
-    /// The attempt, from 0.
+    /// Number of the attempt, from 0.
     pub attempt: u32,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
-    /// The request has its final answer.
+    /// Whether the request now has its final answer.
     pub is_final: bool,
-    /// What the worker reported of its load.
+    /// Load report of the worker; `None` if it sent none.
     pub report: Option<LoadReport>,
 }
--- a/src/interface/class.rs
+++ b/src/interface/class.rs
@@ -1,72 +1,72 @@
-//! Request classes: how a request may be repeated, what it is worth, and where it may run.
+//! Request classes: how often a request may run, its value, and its placement.
 
 use super::{Endpoint, KindId, Micros, ZoneId};
 
-/// Latency target of a class that has no other.
+/// Latency target of a class without a configured one.
 pub(super) const DEFAULT_LATENCY_TARGET_US: Micros = 100_000;
 
-/// The workers that recognise each other's repeats of a request by its idempotency key, and drop them.
+/// Group of workers within which repeats of a request are recognised by its idempotency key and dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All workers.
+    /// All workers of the fleet.
     All,
-    /// The workers of one zone.
+    /// Workers of the same zone.
     Zone,
-    /// The workers of one cell.
+    /// Workers of the same cell.
     Cell,
 }
 
-/// How often a request of a class may take effect, and so how it may be repeated.
+/// How often a request of a class may take effect, and so whether and where it may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeatability {
-    /// Safe to repeat at any worker.
+    /// Safe to retry at any worker.
     Idempotent,
-    /// Workers drop repeats by the idempotency key: inside the scope, for the window that begins with the first attempt
-    /// that may have run.
+    /// Workers drop repeats by the idempotency key: within the scope, and during a window that begins with
+    /// the first attempt that may have run.
     IdempotentByKey {
-        /// The workers that drop each other's repeats.
+        /// Workers that drop each other's repeats.
         scope: DeduplicationScope,
-        /// How long they remember a key.
+        /// How long the workers remember a key.
         window_us: Micros,
     },
-    /// Must never run twice.
+    /// Must never run twice, so an attempt that may have run is not retried.
     AtMostOnce,
 }
 
-/// A request class.
+/// Settings shared by all requests of one class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// How its requests may be repeated.
+    /// Whether and where its requests may be retried.
     pub repeatability: Repeatability,
-    /// An answer within this time, plus the stretch, earns the whole value.
+    /// An answer within this time, plus the stretch, earns the full value.
     pub latency_target_us: Micros,
-    /// The latency target grows by this multiple of the request's own running time.
+    /// Multiple of the request's own running time that is added to the latency target.
     pub latency_target_stretch: f64,
-    /// How long the client waits at most.
+    /// Longest time that the client waits.
     pub deadline_us: Micros,
-    /// Value of an answer in time.
+    /// Value of an answer within the latency target.
     pub value: f64,
-    /// Part of the value that a late answer still earns, 0 to 1.
+    /// Share of the value that a late answer still earns, 0 to 1.
     pub late_value_share: f64,
-    /// The only kind of machine that runs it, if there is one.
+    /// The only kind of machine that can run the class; `None` if every kind can.
     pub required_kind: Option<KindId>,
-    /// Placement: the only kinds of machine that it may be sent to, on any attempt; `None` permits all.
+    /// Placement: kinds of machine that any attempt may be sent to; `None` permits all.
     pub permitted_kinds: Option<Vec<KindId>>,
-    /// Placement: the only zones that it may be sent to, on any attempt; `None` permits all.
+    /// Placement: zones that any attempt may be sent to; `None` permits all.
     pub permitted_zones: Option<Vec<ZoneId>>,
-    /// Priority in a worker's queue, where the queue has priorities.
+    /// Priority in a worker's queue, for workers whose queue has priorities.
     pub priority: i64,
 }
 
 impl Class {
-    /// Whether placement excludes some workers.
+    /// Whether placement rules exclude some workers.
     pub fn is_constrained(&self) -> bool {
         self.required_kind.is_some()
             || self.permitted_kinds.is_some()
             || self.permitted_zones.is_some()
     }
 
-    /// Whether placement permits the endpoint, whatever state it is in.
+    /// Whether placement permits the endpoint, regardless of its state.
     pub fn permits(&self, endpoint: &Endpoint) -> bool {
         self.required_kind.is_none_or(|kind| kind == endpoint.kind)
             && self
--- a/src/interface/endpoint.rs
+++ b/src/interface/endpoint.rs
@@ -1,36 +1,37 @@
-//! The endpoint list of discovery: one entry for each worker.
+//! Entries of the endpoint list that discovery provides: one for each worker.
 
 use super::{KindId, Micros, WorkerId, ZoneId};
 
 /// State of a worker in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It accepts requests.
+    /// The worker accepts requests.
     #[default]
     Ready,
-    /// It finishes what it has and accepts nothing more.
+    /// The worker finishes its current requests and accepts no new ones.
     Draining,
-    /// It is gone.
+    /// The worker has left.
     Gone,
 }
 
-/// One entry of the endpoint list.
+/// Entry of the endpoint list.
 #[derive(Clone, Debug, Default)]
 pub struct Endpoint {
-    /// The worker.
+    /// Identifier that this dispatcher assigned to the worker.
     pub worker: WorkerId,
-    /// Its state.
+    /// Whether the worker accepts requests.
     pub state: EndpointState,
-    /// When its process last started; 0 for long ago. A new value means a new process, which remembers nothing.
+    /// Start time of the worker's process; 0 if it started long ago. A new value means a new process, which
+    /// has no state of the previous one.
     pub started_at_us: Micros,
-    /// Its zone.
+    /// Zone that the worker runs in.
     pub zone: ZoneId,
-    /// Its cell.
+    /// Cell that the worker runs in.
     pub cell: u32,
-    /// Its kind of machine.
+    /// Kind of machine that the worker runs on.
     pub kind: KindId,
-    /// Its weight; [`WeightMeaning`](super::WeightMeaning) tells what that stands for.
+    /// Weight of the worker; [`WeightMeaning`](super::WeightMeaning) defines how it is interpreted.
     pub weight: f64,
-    /// A hash of its address, the same at every dispatcher.
+    /// Hash of the worker's address, identical at all dispatchers.
     pub hash: u64,
 }
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -1,75 +1,75 @@
-//! What a dispatcher is told.
+//! Events that the embedder passes to a dispatcher.
 
 use super::{AttemptEnd, Endpoint, JobId, LoadReport, Request, WorkerId};
 
-/// An event for a dispatcher.
+/// Input of a dispatcher.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// An endpoint list: the whole of it, or only what changed.
+    /// An update of the endpoint list: the complete list or only the changed entries.
     EndpointUpdate {
-        /// The list is whole: workers that it does not name are gone.
+        /// Whether the list is complete: workers that it does not contain have left.
         complete: bool,
-        /// The entries.
+        /// Entries of the list, or those that changed.
         endpoints: Vec<Endpoint>,
     },
-    /// Polling the endpoint list failed, or the subscription broke.
+    /// A poll of the endpoint list failed, or the subscription broke.
     DiscoveryFailed,
-    /// A request has arrived; it is owed exactly one final answer.
+    /// A request arrived. It must receive exactly one final answer.
     Arrived(Request),
-    /// An attempt has begun to run.
+    /// An attempt started to run.
     Started {
-        /// The request.
+        /// The request that the attempt belongs to.
         job: JobId,
-        /// The attempt.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// An attempt runs and has done part of its work.
+    /// A running attempt reported progress.
     Progress {
-        /// The request.
+        /// The request that the attempt belongs to.
         job: JobId,
-        /// The attempt.
+        /// Number of the attempt, from 0.
         attempt: u32,
-        /// The part done, 0 to 1.
+        /// Completed share of the work, 0 to 1.
         done: f64,
     },
-    /// A streamed answer has begun: from now on the client depends on this attempt.
+    /// The worker began to stream the answer: from now on the client depends on this attempt.
     StreamBegan {
-        /// The request.
+        /// The request that the attempt belongs to.
         job: JobId,
-        /// The attempt.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// An attempt has ended.
+    /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// The client is gone; it is owed nothing any more.
+    /// The client disconnected and no longer needs an answer.
     ClientGone {
-        /// The request.
+        /// The client's request.
         job: JobId,
     },
-    /// A timer has come due.
+    /// A timer expired.
     Timer {
-        /// As given to [`Action::Schedule`](super::Action::Schedule).
+        /// The token given to [`Action::Schedule`](super::Action::Schedule).
         token: u64,
     },
-    /// A probe has ended.
+    /// A probe ended.
     ProbeEnded {
-        /// The worker.
+        /// The probed worker.
         worker: WorkerId,
-        /// It answered.
+        /// Whether the worker answered.
         answered: bool,
-        /// What it reported of its load.
+        /// Load report of the worker; `None` if it sent none.
         report: Option<LoadReport>,
     },
-    /// What the other dispatchers together have observed against a worker. Not used by the decisions yet: a dispatcher
-    /// trusts its own observations first.
+    /// Aggregated observations of the other dispatchers about a faulty worker. The decisions do not use them
+    /// yet: a dispatcher trusts its own observations first.
     PeerObservation {
-        /// The worker.
+        /// The observed worker.
         worker: WorkerId,
-        /// Sum of the observers' confidence, each 1 to 100; 0 once nothing is held against it any more.
+        /// Sum of the observers' confidence, each 1 to 100; 0 once no observation against the worker remains.
         confidence: u32,
     },
-    /// Another dispatcher sent a message. Its content is not used.
+    /// Another dispatcher sent a message. Its content is ignored.
     PeerMessage,
-    /// All events of this moment have been handed over.
+    /// All events of the current batch have been passed in.
     BatchEnd,
 }
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,8 +1,8 @@
-//! Input and output of the decision module ([`crate::Balancer`]): identifiers, settings, events and actions. Nothing
-//! here decides.
+//! Input and output types of the decision module ([`crate::Balancer`]): identifiers, settings, events and
+//! actions. They contain no decision logic.
 //!
-//! Times are microseconds of a steady clock that the embedder chooses. Identifiers are small numbers that the embedder
-//! assigns **per dispatcher**, in the order in which that dispatcher first hears of a thing.
+//! Times are microseconds of a monotonic clock that the embedder chooses. Identifiers are small numbers that
+//! the embedder assigns **per dispatcher**, in the order in which that dispatcher first encounters an object.
 
 mod action;
 mod attempt;
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,96 +1,98 @@
-//! Settings of a dispatcher.
+//! Settings of a dispatcher, which the embedder provides.
 
 use super::class::DEFAULT_LATENCY_TARGET_US;
 use super::{Class, Micros, ZoneId};
 
-/// A tenant.
+/// A tenant, to which a share of the service is assigned.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests per second within its share, over all dispatchers together; 0 where unknown.
+    /// Requests per second within the tenant's share, over all dispatchers together; 0 if unknown.
     pub quota_rps: f64,
-    /// Its share of the service.
+    /// Share of the service that the tenant is entitled to.
     pub share: f64,
 }
 
-/// What a worker's listed weight stands for.
+/// How the weights in the endpoint list are interpreted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightMeaning {
-    /// Nothing: weights are ignored.
+    /// Weights are ignored.
     Off,
-    /// Its size, exactly or roughly.
+    /// The weight is the size of the worker, exactly or approximately.
     Size,
-    /// Its size, lowered by the requests that it holds; changes from list to list.
+    /// The weight is the size of the worker, reduced by its current requests; it changes from list to list.
     Live,
 }
 
-/// Settings of a dispatcher.
+/// Configuration of one dispatcher and of the site that it runs in.
 #[derive(Clone, Debug)]
 #[allow(
     clippy::struct_excessive_bools,
-    reason = "abilities of a site, each independent of the others"
+    reason = "capabilities of a site, each independent of the others"
 )]
 pub struct Settings {
-    /// How many dispatchers there are.
+    /// Number of dispatchers in the fleet.
     pub dispatchers: u32,
-    /// This dispatcher's zone.
+    /// Zone that this dispatcher runs in.
     pub local_zone: ZoneId,
-    /// Shortest time between two batches of events.
+    /// Minimum time between two batches of events.
     pub batch_interval_us: Micros,
-    /// The classes.
+    /// Request classes; [`ClassId`](super::ClassId) is the index.
     pub classes: Vec<Class>,
-    /// The tenants; may be empty.
+    /// Tenants, which may be empty; [`TenantId`](super::TenantId) is the index.
     pub tenants: Vec<Tenant>,
-    /// Value of a request beyond its tenant's share, as a part of the usual value.
+    /// Value of a request beyond its tenant's share, as a fraction of its normal value.
     pub over_share_value: f64,
-    /// Value is counted per unit of work, not per request.
+    /// Whether value is counted per unit of work instead of per request.
     pub value_by_work: bool,
-    /// The endpoint list must be polled: it announces no changes.
+    /// Whether the endpoint list has to be polled because changes are not announced.
     pub discovery_must_be_polled: bool,
-    /// Load reports come only with the answers to probes, and probes may be sent.
+    /// Whether load reports arrive only in answers to probes, and probes may be sent.
     pub reports_only_on_probe: bool,
-    /// Load reports count the jobs at the worker, those waiting or all.
+    /// Whether load reports count the jobs at the worker, either the queued ones or all.
     pub reports_count_jobs: bool,
-    /// Workers notify the dispatcher when a job starts.
+    /// Whether workers notify the dispatcher when a job starts.
     pub notifies_start: bool,
-    /// Time between progress notifications; 0 for none.
+    /// Time between progress notifications; 0 if there are none.
     pub progress_interval_us: Micros,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// Two attempts of one request may be in flight together.
+    /// Whether two attempts of one request may be in flight at the same time.
     pub may_duplicate: bool,
-    /// Most attempts of one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Attempts that share one connection.
+    /// Number of attempts that can share one connection.
     pub streams_per_connection: u32,
-    /// An idle connection is closed after this long.
+    /// Time after which an idle connection is closed.
     pub connection_idle_timeout_us: Micros,
-    /// Cost of a new connection, as a part of the value of a request.
+    /// Cost of a new connection, as a fraction of the value of a request.
     pub connection_cost: f64,
-    /// The longest retry-after advice that clients honour; 0 where they get none.
+    /// Longest retry-after advice that clients follow; 0 if they receive none.
     pub max_retry_after_us: Micros,
-    /// How long after the client's deadline a final answer still counts.
+    /// Time after the client's deadline during which a final answer still counts.
     pub answer_slack_us: Micros,
-    /// Longest time between two polls of the endpoint list, where it must be polled.
+    /// Maximum time between two polls of an endpoint list that has to be polled.
     pub max_discovery_interval_us: Micros,
-    /// Workers also shed work that they had begun: a shed attempt may have run.
+    /// Whether workers also shed requests that they have started: a shed attempt may have run.
     pub shed_may_have_run: bool,
-    /// A draining worker may be sent nothing any more this long after its drain was announced; the decisions send it
-    /// nothing from the announcement on.
+    /// Time after the announcement of a worker's drain from which nothing may be sent to it. The decisions
+    /// send it nothing from the announcement on.
     pub drain_grace_us: Micros,
-    /// Slow start: the least part of its capacity that a worker has when it starts, 0 to 1.
+    /// Slow start: share of its capacity that a worker has when it starts, 0 to 1.
     pub start_capacity: f64,
-    /// Slow start: the age at which a worker has its whole capacity.
+    /// Slow start: age at which a worker reaches its full capacity.
     pub warm_up_us: Micros,
-    /// Slow start: a worker that warms up is overloaded by this multiple of its present capacity,
+    /// Slow start: a worker that is warming up is overloaded at this multiple of its present capacity if the
+    /// load lasts for `overload_tolerance_us`.
     pub overload_multiple: f64,
-    /// when that lasts this long.
+    /// Slow start: time above `overload_multiple` after which a worker that is warming up counts as
+    /// overloaded.
     pub overload_tolerance_us: Micros,
-    /// The meaning of the listed weights.
+    /// How the weights in the endpoint list are interpreted.
     pub weight_meaning: WeightMeaning,
 }
 
 impl Settings {
-    /// The shortest latency target of any class: the time scale of the requests.
+    /// The shortest latency target of all classes, at least 1: the time scale of the requests.
     pub fn shortest_latency_target_us(&self) -> Micros {
         self.classes
             .iter()
@@ -102,7 +104,7 @@
 }
 
 impl Default for Settings {
-    /// One dispatcher with no classes, which may make one attempt per request and nothing else.
+    /// One dispatcher without classes, limited to one attempt per request and without optional capabilities.
     fn default() -> Self {
         Settings {
             dispatchers: 1,
--- a/src/list_clock.rs
+++ b/src/list_clock.rs
@@ -1,108 +1,120 @@
-//! The list's clock: when discovery is called, when a call or a watch that says nothing is broken, and by when a change
-//! of the list counts as told. Pure: told the time and what happened, random from a seed; nothing else keeps such a
-//! clock.
+//! Timing of endpoint-list discovery: when discovery is called, when a call or a silent watch is abandoned,
+//! and from when a change of the list counts as effective, that is, as known to this dispatcher. The module
+//! is pure: its callers pass in the time and the events, and randomness comes from a seed. No other module
+//! keeps these times.
 //!
-//! | source | event | a change counts as told |
+//! | source | event | the change is effective |
 //! | --- | --- | --- |
-//! | asked | it is written on the watch, or in an answer | when it is written |
-//! | asked | no watch is open and no call succeeds, for whatever reason | [`EFFECTIVE_DELAY_US`] after discovery had it and could be reached; after `askWithinUs` if that is sooner |
-//! | pushed | the agent has it, whether or not a watch is open, from a process's first moment | at once |
-//! | pushed | discovery was down; the agent gets it at the return | at the return |
-//! | both | the watch has fallen silent | [`EFFECTIVE_DELAY_US`] after it fell silent |
+//! | on request | it is written on the watch or in a response | when it is written |
+//! | on request | no watch is open and no call succeeds, for whatever reason | [`EFFECTIVE_DELAY_US`] after
+//! discovery had it and was reachable; after `askWithinUs` if that is sooner |
+//! | pushed | the agent has it, whether or not a watch is open, from the start of the process on | at once |
+//! | pushed | discovery was down, and the agent receives the change when it recovers | at the recovery |
+//! | both | the watch has become silent | [`EFFECTIVE_DELAY_US`] after it became silent |
 //! | both | SIGHUP names another discovery | [`MOVE_EFFECTIVE_DELAY_US`] after the signal |
 //!
-//! [`effective_at`] is that table. From [`DRAIN_GRACE_US`] after it no new work may go to a worker that leaves, so all waits below
-//! are cut so that a call that can succeed has succeeded by then: a silent watch is broken after [`SILENCE_TIMEOUT_US`], a call
-//! is given up after [`HEAD_TIMEOUT_US`], and the longest pause between two calls leaves room for one more.
+//! [`effective_at`] implements this table. [`DRAIN_GRACE_US`] after that time no new work may go to a worker
+//! that leaves. All timeouts below are short enough that a call that can succeed has succeeded by then: a
+//! silent watch is closed after [`SILENCE_TIMEOUT_US`], a call is abandoned after [`HEAD_TIMEOUT_US`], and
+//! the longest pause between two calls leaves time for one more call.
 //!
-//! A new process knows the list that its earlier life had, which may name workers that left since and are back at their
-//! addresses, not listed yet: the times above began with the change, not with the process. So operations wait for the
-//! first list ([`ListClock::awaits_first`]), and the first call begins as soon as one waits. When that call ends without
-//! a list the waiting is over: the old list is all that there is then.
+//! A new process starts with the list of its previous run. That list may name workers that have left since
+//! and whose addresses are in use again, by processes that are not listed yet: the times above begin with the
+//! change, not with the start of the process. So operations wait for the first list
+//! ([`ListClock::awaits_first`]), and the first call begins as soon as an operation waits. If that call ends
+//! without a list, the wait ends too: the old list is then the only one available.
 //!
-//! Where the list is asked for, discovery is one service for the whole fleet and works through its calls in turn. Each
-//! dispatcher that asks again at once after a failed call is harmless alone; when a hundred do, the calls that time out
-//! keep the queue full and none gets through. So the pause grows with each failure that heard nothing, up to a ceiling
-//! that scales with the fleet, and is drawn at random below it (full jitter). Where it is pushed, the agent is this
-//! dispatcher's own, what it has binds at once, and it is called again at once.
+//! A discovery that is called on request is one service for the whole fleet and processes its calls one after
+//! the other. A dispatcher that retries immediately after a failed call does no harm alone; when a hundred
+//! dispatchers do so, the calls that time out keep the queue full and none succeeds. So the pause grows with
+//! each failed call that received nothing, up to a ceiling that scales with the fleet, and is drawn at random
+//! below that value (full jitter). A pushed list comes from an agent that serves this dispatcher alone and
+//! whose changes are effective at once, so the agent is called again with hardly any pause.
 
 use crate::interface::Micros;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// After this long a change counts as told, whatever became of the calls.
+/// Delay after which a change is effective even if every call has failed.
 pub const EFFECTIVE_DELAY_US: Micros = 6_000_000;
-/// After this long a change counts as told that a new discovery has, from SIGHUP.
+/// Delay from SIGHUP after which a change at the newly configured discovery is effective.
 pub const MOVE_EFFECTIVE_DELAY_US: Micros = 4_000_000;
-/// From so long after the telling no new work goes to a worker that leaves.
+/// Time from when a change is effective until new work to a leaving worker is forbidden.
 pub const DRAIN_GRACE_US: Micros = 1_000_000;
-/// An empty line comes every 2 s: a watch that says nothing for longer is broken.
+/// Time without data after which a watch is abandoned. Discovery sends an empty line every 2 s.
 pub const SILENCE_TIMEOUT_US: Micros = 3_000_000;
-/// Longest wait for a connection.
+/// Time limit for connecting to an on-request discovery.
 pub const CONNECT_TIMEOUT_US: Micros = 1_000_000;
-/// Longest wait for an answer's head: past discovery's own time-out of a call, which then says 503, since a call given
-/// up while queued there still takes its turn, and the next is queued behind it.
+/// Time limit for the head of a response. It is longer than the time after which discovery itself answers a
+/// queued call with 503: a call abandoned while queued there is still processed in its turn, with the next
+/// call queued behind it.
 pub const HEAD_TIMEOUT_US: Micros = 3_000_000;
-/// Longest wait for a connection to the agent, which is near; with a lost first packet a second try comes before the
-/// system's own.
+/// Time limit for connecting to the agent, which is nearby. If the first packet is lost, the dispatcher
+/// connects again before the system retransmits.
 pub const AGENT_CONNECT_TIMEOUT_US: Micros = 250_000;
-/// Longest wait for the agent's head: it answers from what it has and queues nobody. What it gets at the return from an
-/// outage counts at once, so a call that hangs since before must be given up and made anew within the grace.
+/// Time limit for the head of the agent's response: the agent answers from what it has and queues no calls. A
+/// change that it receives when discovery recovers is effective at once, so a call that has been hanging
+/// since before the recovery must be abandoned and repeated within the grace period.
 pub const AGENT_HEAD_TIMEOUT_US: Micros = 600_000;
 
-/// The pause after a call that heard something, before it is spread.
+/// Pause after a call that received something, before jitter.
 const INITIAL_BACKOFF_US: Micros = 100_000;
-/// The longest pause before the agent is called again.
+/// Longest pause before the agent is called again.
 const MAX_AGENT_BACKOFF_US: Micros = 100_000;
-/// Time of discovery's that one dispatcher's call is reckoned to take: the fleet's ceiling is so many of them.
+/// Share of the backoff ceiling for each dispatcher of the fleet: the assumed processing time of one call at
+/// discovery.
 const CEILING_PER_DISPATCHER_US: Micros = 40_000;
-/// The ceiling of a lone dispatcher, or a small fleet.
+/// Smallest backoff ceiling, for a single dispatcher or a small fleet.
 const MIN_CEILING_US: Micros = 1_000_000;
-/// The longest ceiling, however large the fleet: a call that is given up, this pause and one more call stay within
+/// Largest backoff ceiling, however large the fleet: an abandoned call, this pause and one more call fit into
 /// [`EFFECTIVE_DELAY_US`].
 const MAX_CEILING_US: Micros = 2_000_000;
-/// Failures after which the pause stops doubling; far past any ceiling.
+/// Number of failures after which the pause stops doubling; the ceiling is reached long before.
 const MAX_DOUBLINGS: u32 = 16;
-/// The first call of a fleet that is started at once is spread over this part of the time allowed for asking, and over
-/// this long at most.
+/// The first calls of a fleet whose dispatchers start together are spread over the permitted call interval
+/// divided by this value, at most over `MAX_FIRST_CALL_SPREAD_US`.
 const FIRST_CALL_SPREAD_DIVISOR: Micros = 8;
 const MAX_FIRST_CALL_SPREAD_US: Micros = 1_250_000;
 
-/// How the list comes.
+/// How the endpoint list reaches the dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// An agent of this dispatcher's own has it.
+    /// From an agent that serves this dispatcher alone and receives the list from discovery.
     Pushed,
-    /// One service for the whole fleet, which must be asked.
+    /// From one discovery service for the whole fleet, which the dispatcher has to call.
     OnRequest,
 }
 
-/// What happened to a change of the list, or to the way by which it would come.
+/// What happened to a change of the list or to the connection to discovery. Times are on the dispatcher's
+/// clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// It was written to this dispatcher, on a watch or in an answer.
+    /// The change was written to this dispatcher, on a watch or in a response, at this time.
     Written(Micros),
-    /// Discovery has it and can be reached since then; there is no watch, or none that says anything.
+    /// Discovery has the change and is reachable since this time; no watch is open, or the open one is
+    /// silent.
     Reachable(Micros),
-    /// The last call began then and discovery could not be asked since; it was this many times the usual wait.
+    /// The last call began at this time and discovery has been unreachable since. The permitted call interval
+    /// is multiplied by the second value.
     Unreachable(Micros, u64),
-    /// The watch fell silent then, and what was made later is not heard on it.
+    /// The watch became silent at this time and does not deliver later changes.
     Silent(Micros),
-    /// A signal named another discovery then.
+    /// A signal named another discovery at this time.
     Moved(Micros),
 }
 
-/// When a change counts as told. `max_call_interval_us`: what the settings allow between two calls; 0 where they say nothing.
+/// Time from which a change is effective. `max_call_interval_us` is the longest time between two calls that
+/// the settings permit; 0 if they set none.
 pub fn effective_at(source: Source, event: Event, max_call_interval_us: Micros) -> Micros {
     match (source, event) {
         (_, Event::Written(at)) | (Source::Pushed, Event::Reachable(at)) => at,
         (Source::OnRequest, Event::Reachable(at)) => at.saturating_add(EFFECTIVE_DELAY_US),
         (Source::Pushed, Event::Unreachable(at, _)) => at,
-        (Source::OnRequest, Event::Unreachable(at, times)) => {
+        (Source::OnRequest, Event::Unreachable(at, multiple)) => {
             let within = if max_call_interval_us == 0 {
                 EFFECTIVE_DELAY_US
             } else {
-                max_call_interval_us.saturating_mul(times)
+                max_call_interval_us.saturating_mul(multiple)
             };
             at.saturating_add(within.min(EFFECTIVE_DELAY_US))
         }
@@ -113,32 +125,33 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Between calls: the next begins then.
+    /// Between calls, until this time.
     Waiting(Micros),
-    /// A connection is being opened since then.
+    /// Connecting since this time.
     Connecting(Micros),
-    /// The call is written, its head has not come.
+    /// The request is being sent or has been sent, and its response head is awaited, since this time.
     AwaitingHead(Micros),
-    /// The watch is open; something was heard then.
+    /// The watch is open, and its last input arrived at this time.
     Watching(Micros),
 }
 
-/// The clock of one dispatcher's list.
+/// State and timers of one dispatcher's calls to discovery.
 #[derive(Debug)]
 pub struct ListClock {
     source: Source,
     state: State,
     ceiling_us: Micros,
     failures: u32,
-    /// This call has brought something.
+    /// The current call has received a list or an empty line.
     received: bool,
-    /// Nothing was heard yet, and no call has ended.
+    /// No call has received anything or ended so far.
     awaiting_first: bool,
     rng: Pcg64Mcg,
 }
 
 impl ListClock {
-    /// For one of `fleet` dispatchers that starts now, whose settings allow `max_call_interval_us` between two calls.
+    /// Starts the timers of one of `fleet` dispatchers, whose settings permit `max_call_interval_us` between
+    /// two calls.
     pub fn new(
         source: Source,
         fleet: u32,
@@ -146,24 +159,24 @@
         seed: u64,
         now: Micros,
     ) -> ListClock {
-        let by_fleet = CEILING_PER_DISPATCHER_US * Micros::from(fleet.max(1));
-        let in_time = if max_call_interval_us == 0 {
+        let fleet_ceiling = CEILING_PER_DISPATCHER_US * Micros::from(fleet.max(1));
+        let interval_ceiling = if max_call_interval_us == 0 {
             MAX_CEILING_US
         } else {
             max_call_interval_us / 2
         };
         let ceiling_us = match source {
             Source::Pushed => MAX_AGENT_BACKOFF_US,
-            Source::OnRequest => by_fleet
+            Source::OnRequest => fleet_ceiling
                 .clamp(MIN_CEILING_US, MAX_CEILING_US)
-                .min(in_time)
+                .min(interval_ceiling)
                 .max(INITIAL_BACKOFF_US),
         };
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x9e37_79b9_7f4a_7c15);
         let first_delay = match source {
-            // What the agent has binds from the first moment.
+            // A change that the agent has is effective from the start of the process on.
             Source::Pushed => 0,
-            // A fleet started at once does not call at once.
+            // Dispatchers that start together do not call discovery at the same moment.
             Source::OnRequest => {
                 let allowed = if max_call_interval_us == 0 {
                     MAX_FIRST_CALL_SPREAD_US
@@ -186,7 +199,7 @@
         }
     }
 
-    /// When something is to be done: the next call begun, or this one given up.
+    /// Time of the next timer: the start of the next call, or the timeout of the current one.
     pub fn due(&self) -> Micros {
         match self.state {
             State::Waiting(until) => until,
@@ -202,7 +215,7 @@
         }
     }
 
-    /// A call begins: a connection is opened.
+    /// Starts a call, which first connects to discovery.
     pub fn call_started(&mut self, now: Micros) {
         debug_assert!(
             matches!(self.state, State::Waiting(_)),
@@ -211,19 +224,19 @@
         (self.state, self.received) = (State::Connecting(now), false);
     }
 
-    /// The connection is there, and the call goes out on it.
+    /// The connection is established, and the request can be sent.
     pub fn connected(&mut self, now: Micros) {
         debug_assert!(matches!(self.state, State::Connecting(_)), "{self:?}");
         self.state = State::AwaitingHead(now);
     }
 
-    /// The call is answered, and its answer stays open.
+    /// The response head has arrived, and the response stays open as a watch.
     pub fn watch_opened(&mut self, now: Micros) {
         debug_assert!(matches!(self.state, State::AwaitingHead(_)), "{self:?}");
         self.state = State::Watching(now);
     }
 
-    /// A list came on the watch, or the empty line that stands for none.
+    /// A list arrived on the watch, or an empty line, which means that nothing has changed.
     pub fn received(&mut self, now: Micros) {
         debug_assert!(matches!(self.state, State::Watching(_)), "{self:?}");
         (
@@ -234,7 +247,7 @@
         ) = (State::Watching(now), true, 0, false);
     }
 
-    /// The call failed or was given up, or the watch broke; gives the pause until the next call.
+    /// The call failed or was abandoned, or the watch broke. Returns the pause until the next call.
     pub fn call_ended(&mut self, now: Micros) -> Micros {
         self.awaiting_first = false;
         let pause = if self.received {
@@ -242,7 +255,8 @@
             self.jittered(INITIAL_BACKOFF_US.min(self.ceiling_us), 0.5)
         } else {
             self.failures = (self.failures + 1).min(MAX_DOUBLINGS);
-            // The first pause is a quarter of the ceiling: a fleet whose calls fail together must spread at once.
+            // The first pause is a quarter of the ceiling: the calls of a fleet that fail together must be
+            // spread at once.
             let grown = (self.ceiling_us / 4)
                 .max(INITIAL_BACKOFF_US)
                 .saturating_mul(1 << (self.failures - 1));
@@ -253,31 +267,32 @@
         pause
     }
 
-    /// Discovery is elsewhere now: it is called at once, and its first failure counts as the first.
+    /// Discovery has another address now: it is called at once, and the backoff starts again.
     pub fn moved(&mut self, now: Micros) {
         (self.state, self.failures, self.received) = (State::Waiting(now), 0, false);
     }
 
-    /// Whether operations are to wait for the first list.
+    /// Whether operations have to wait for the first list.
     pub fn awaits_first(&self) -> bool {
         self.awaiting_first
     }
 
-    /// An operation waits for the first list: the first call begins now. Those of a fleet that starts as one are spread
-    /// by what their clients ask then, and else by chance.
+    /// An operation is waiting for the first list, so the first call begins now. In a fleet whose dispatchers
+    /// start together these calls are spread by the arrival times of the clients' operations, and the others
+    /// by jitter.
     pub fn expedite(&mut self, now: Micros) {
         if let (true, State::Waiting(until)) = (self.awaiting_first, self.state) {
             self.state = State::Waiting(until.min(now));
         }
     }
 
-    /// The longest pause that this dispatcher takes.
+    /// Longest pause between two calls of this dispatcher, in microseconds.
     pub fn ceiling_us(&self) -> Micros {
         self.ceiling_us
     }
 
-    /// Never quite at once, and never past what is given.
-    fn jittered(&mut self, most: Micros, least_part: f64) -> Micros {
-        (most as f64 * (least_part + (1.0 - least_part) * self.rng.random::<f64>())) as Micros
+    /// A random value between `min_share` of `max_us` and `max_us`.
+    fn jittered(&mut self, max_us: Micros, min_share: f64) -> Micros {
+        (max_us as f64 * (min_share + (1.0 - min_share) * self.rng.random::<f64>())) as Micros
     }
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,6 +1,7 @@
-//! The adapter: batches of JSON lines in, actions as JSON lines out. It translates and decides nothing.
+//! Adapter for the JSON-lines protocol: reads batches of messages, passes them to the dispatchers and writes
+//! their actions. It translates messages and makes no scheduling decisions.
 //!
-//! Many dispatchers may share one process, but nothing else: each has its own tables of names and workers.
+//! Several dispatchers may run in one process but share no state: each has its own tables of names and workers.
 
 use crate::interface::{
     Action, AttemptEnd, AttemptOutcome, ClassId, Endpoint, EndpointState, Event, JobId, Request,
@@ -14,9 +15,10 @@
 use std::io::{BufRead, Write};
 use std::sync::Arc;
 
-type Res<T> = Result<T, String>;
+type AdapterResult<T> = Result<T, String>;
 
-/// One incoming line: all fields of all messages; what a message lacks stays empty, the unknown is skipped.
+/// An incoming line, with the fields of all message types. Fields that a message lacks are `None`; unknown
+/// fields are ignored.
 #[derive(Deserialize, Default)]
 #[serde(default, rename_all = "camelCase")]
 struct Line<'a> {
@@ -65,7 +67,7 @@
     power_hint: Option<f64>,
 }
 
-/// One outgoing line.
+/// An outgoing line.
 #[derive(Serialize)]
 #[serde(
     tag = "type",
@@ -119,27 +121,29 @@
         Instance { site, balancer }
     }
 
-    fn entry(&mut self, e: &ListLine) -> Res<Endpoint> {
-        if e.worker.is_empty() {
+    fn entry(&mut self, element: &ListLine) -> AdapterResult<Endpoint> {
+        if element.worker.is_empty() {
             return Err("a list line without worker".into());
         }
         let entry = Endpoint {
-            state: match e.stage_state.as_str() {
+            state: match element.stage_state.as_str() {
                 "ready" => EndpointState::Ready,
                 "draining" => EndpointState::Draining,
                 "gone" => EndpointState::Gone,
                 other => return Err(format!("unknown stageState {other}")),
             },
-            started_at_us: e.since_us,
-            cell: e.pod as u32,
-            weight: e.power_hint.unwrap_or(1.0),
+            started_at_us: element.since_us,
+            cell: element.pod as u32,
+            weight: element.power_hint.unwrap_or(1.0),
             ..Endpoint::default()
         };
-        Ok(self.site.entry(&e.worker, &e.zone, &e.model, entry))
+        Ok(self
+            .site
+            .entry(&element.worker, &element.zone, &element.model, entry))
     }
 }
 
-/// All dispatchers of one process.
+/// All dispatchers of one process, by their number in the protocol.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u64, Instance>,
@@ -149,37 +153,37 @@
     actions: Vec<Action>,
 }
 
-/// Runs the adapter until the input ends. An error names the line and what is wrong with it.
-pub fn run(input: impl BufRead, mut output: impl Write) -> Res<()> {
+/// Runs the adapter until the input ends. An error gives the number of the line and the cause.
+pub fn run(input: impl BufRead, mut output: impl Write) -> AdapterResult<()> {
     let mut host = Host::default();
     let mut reply = Vec::new();
-    let mut number = 0u64;
+    let mut line_number = 0u64;
     for line in input.split(b'\n') {
-        number += 1;
-        let line = line.map_err(|e| format!("line {number}: cannot be read: {e}"))?;
-        let over = host
+        line_number += 1;
+        let line = line.map_err(|e| format!("line {line_number}: cannot be read: {e}"))?;
+        let is_batch_end = host
             .line(&line, &mut reply)
-            .map_err(|e| format!("line {number}: {e}"))?;
-        if over {
+            .map_err(|e| format!("line {line_number}: {e}"))?;
+        if is_batch_end {
             if output
                 .write_all(&reply)
                 .and_then(|()| output.flush())
                 .is_err()
             {
-                return Ok(()); // nobody listens any more
+                return Ok(()); // the reader has closed the output
             }
             reply.clear();
         }
     }
     match host.now {
-        Some(_) => Err(format!("line {number}: the input ends inside a batch")),
+        Some(_) => Err(format!("line {line_number}: the input ends inside a batch")),
         None => Ok(()),
     }
 }
 
 impl Host {
-    /// Takes one line; replies are added to `reply`. True when the batch is over.
-    pub fn line(&mut self, text: &[u8], reply: &mut Vec<u8>) -> Res<bool> {
+    /// Processes one line and appends the replies to `reply`. Returns true at the end of a batch.
+    pub fn line(&mut self, text: &[u8], reply: &mut Vec<u8>) -> AdapterResult<bool> {
         if text.iter().all(u8::is_ascii_whitespace) {
             return Ok(false);
         }
@@ -201,9 +205,9 @@
                 return Ok(true);
             }
             ("LIST", Some(_)) => {
-                let number = line.roster_id.ok_or("LIST without rosterId")?;
+                let roster_id = line.roster_id.ok_or("LIST without rosterId")?;
                 self.lists.insert(
-                    number,
+                    roster_id,
                     Arc::new(line.elements.ok_or("LIST without elements")?),
                 );
             }
@@ -212,7 +216,7 @@
         Ok(false)
     }
 
-    fn message(&mut self, line: Line, now: u64, reply: &mut Vec<u8>) -> Res<()> {
+    fn message(&mut self, line: Line, now: u64, reply: &mut Vec<u8>) -> AdapterResult<()> {
         let kind = line.kind.as_ref();
         let id = line
             .dispatcher
@@ -240,7 +244,7 @@
             line.round_no
                 .ok_or_else(|| format!("{kind} without roundNo"))
         };
-        let Some(it) = self.instances.get_mut(&id) else {
+        let Some(instance) = self.instances.get_mut(&id) else {
             return Err(format!(
                 "{kind} for dispatcher {id}, which was not configured"
             ));
@@ -249,12 +253,15 @@
             "DISCOVERY" => match line.scope.as_deref() {
                 Some("Error") => Event::DiscoveryFailed,
                 Some(scope @ ("Partial" | "Complete" | "Persisted")) => {
-                    let number = line.roster_id.ok_or("DISCOVERY without rosterId")?;
+                    let roster_id = line.roster_id.ok_or("DISCOVERY without rosterId")?;
                     let list = self
                         .lists
-                        .get(&number)
-                        .ok_or_else(|| format!("no LIST {number}"))?;
-                    let entries = list.iter().map(|e| it.entry(e)).collect::<Res<Vec<_>>>()?;
+                        .get(&roster_id)
+                        .ok_or_else(|| format!("no LIST {roster_id}"))?;
+                    let entries = list
+                        .iter()
+                        .map(|e| instance.entry(e))
+                        .collect::<AdapterResult<Vec<_>>>()?;
                     Event::EndpointUpdate {
                         complete: scope != "Partial",
                         endpoints: entries,
@@ -264,7 +271,7 @@
             },
             "KNOCK" => {
                 let profile = line.profile.as_deref().ok_or("KNOCK without profile")?;
-                let class = it
+                let class = instance
                     .site
                     .classes
                     .known(profile)
@@ -273,7 +280,7 @@
                     .account
                     .as_ref()
                     .and_then(|a| a.as_str())
-                    .and_then(|a| it.site.tenants.known(a));
+                    .and_then(|a| instance.site.tenants.known(a));
                 let wait = line.expires_in_us.ok_or("KNOCK without expiresInUs")?;
                 let hinted = line.attrs.is_none_or(|a| a & 1 != 0);
                 Event::Arrived(Request {
@@ -304,36 +311,36 @@
                     attempt: attempt()?,
                     done: line.level.unwrap_or(0.0),
                 },
-                _ => return Ok(()), // a note of a kind to come
+                _ => return Ok(()), // status notes of unknown kinds are ignored
             },
             "OUTCOME" => Event::AttemptEnded(AttemptEnd {
                 job: job()?,
                 attempt: attempt()?,
-                outcome: code(
+                outcome: parse_outcome(
                     line.state_code
                         .as_deref()
                         .ok_or("OUTCOME without stateCode")?,
                 )?,
                 is_final: line.complete.unwrap_or(false),
-                report: line.usage.as_ref().map(|u| it.site.report(u)),
+                report: line.usage.as_ref().map(|u| instance.site.report(u)),
             }),
             "CLIENT_GONE" => Event::ClientGone { job: job()? },
             "TIMER" => match line.ctx.as_deref().ok_or("TIMER without ctx")?.parse() {
                 Ok(token) => Event::Timer { token },
-                Err(_) => return Ok(()), // not one of ours
+                Err(_) => return Ok(()), // not a token of this adapter
             },
             "CHECK_RESULT" => {
                 let name = line
                     .worker
                     .as_deref()
                     .ok_or("CHECK_RESULT without worker")?;
-                let Some(worker) = it.site.workers.known(name) else {
+                let Some(worker) = instance.site.workers.known(name) else {
                     return Ok(());
                 };
                 Event::ProbeEnded {
                     worker: WorkerId(worker),
                     answered: line.state_code.as_deref() == Some("delivered"),
-                    report: line.usage.as_ref().map(|u| it.site.report(u)),
+                    report: line.usage.as_ref().map(|u| instance.site.report(u)),
                 }
             }
             "MAIL" => Event::PeerMessage,
@@ -343,18 +350,18 @@
         self.event(id, now, event, reply)
     }
 
-    fn event(&mut self, id: u64, now: u64, event: Event, reply: &mut Vec<u8>) -> Res<()> {
-        let Some(it) = self.instances.get_mut(&id) else {
+    fn event(&mut self, id: u64, now: u64, event: Event, reply: &mut Vec<u8>) -> AdapterResult<()> {
+        let Some(instance) = self.instances.get_mut(&id) else {
             return Ok(());
         };
-        it.balancer.handle(now, event, &mut self.actions);
+        instance.balancer.handle(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
             let dispatcher = id;
             let line = match action {
                 Action::Send { job, worker } => Reply::Send {
                     dispatcher,
                     job: job.0,
-                    worker: it.site.workers.name(worker.0),
+                    worker: instance.site.workers.name(worker.0),
                 },
                 Action::Cancel { job, attempt } => Reply::Abandon {
                     dispatcher,
@@ -383,7 +390,7 @@
                 },
                 Action::Probe { worker } => Reply::AskLoad {
                     dispatcher,
-                    worker: it.site.workers.name(worker.0),
+                    worker: instance.site.workers.name(worker.0),
                 },
                 Action::Subscribe => Reply::Listen {
                     dispatcher,
@@ -397,7 +404,7 @@
     }
 }
 
-fn code(text: &str) -> Res<AttemptOutcome> {
+fn parse_outcome(text: &str) -> AdapterResult<AttemptOutcome> {
     Ok(match text {
         "delivered" => AttemptOutcome::Succeeded,
         "app_error" => AttemptOutcome::WorkerError,
