--- a/src/middleware.rs
+++ b/src/middleware.rs
@@ -110,7 +110,7 @@
         head.method.as_str(),
         head.uri.path_and_query().map_or("/", |t| t.as_str()),
     );
-    request::check(&dispatcher.classes, method, target)?;
+    request::check_target(&dispatcher.classes, method, target)?;
     let body = Limited::new(body, MAX_BODY_BYTES)
         .collect()
         .await
@@ -131,7 +131,7 @@
             ..operation
         })
         .await;
-    Ok(answer.map_or_else(request::not_taken, request::reply))
+    Ok(answer.map_or_else(request::submit_error_reply, request::reply))
 }
 
 /// Whose a request is, by the header that the operators' file names.
--- a/src/net/callback.rs
+++ b/src/net/callback.rs
@@ -1,5 +1,5 @@
-//! Workers' call-backs: matched to route steps by id and `from`, or passed to the other process that shares the
-//! address while one replaces the other.
+//! Call-backs of workers. They are matched to route steps by `id` and `from`, or passed on to the other
+//! process that shares the address while one replaces the other.
 
 use super::handover;
 use super::load_from_json;
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 #[derive(Deserialize)]
-struct CallBack {
+struct Callback {
     id: String,
     from: String,
     #[serde(flatten)]
@@ -32,51 +32,56 @@
     Lost,
 }
 
-/// How often the mailbox is read while another process shares the address; ten times as seldom while none does,
-/// as one that starts beside this one may post before this one hears of it.
-const MAIL: Duration = Duration::from_millis(10);
+/// Interval at which the mailbox is read while another process shares the address. While none is known the
+/// interval is ten times as long: a process that starts beside this one may post before this one detects it.
+const MAILBOX_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Reads what the other process posts while it lives: call-backs for this process's steps that reached it. Without
-/// `$TMPDIR` there is no mailbox, and nothing wakes this process to read it.
-pub(crate) fn hear_the_other(hub: &Rc<Hub>) {
+/// Reads the call-backs for this process's steps that the other process received and posted here. Without
+/// `$TMPDIR` there is no mailbox, and no timer is started.
+pub(crate) fn poll_mailbox(hub: &Rc<Hub>) {
     if !handover::is_possible() {
         return;
     }
-    let hub_ = hub.clone();
+    let task_hub = hub.clone();
     hub.spawn(async move {
         loop {
-            let other = hub_.other.get();
-            Timer::after(if other.is_some() { MAIL } else { MAIL * 10 }).await;
-            for body in handover::collect() {
-                call_back(&hub_, &body, false);
+            let other = task_hub.other.get();
+            Timer::after(if other.is_some() {
+                MAILBOX_INTERVAL
+            } else {
+                MAILBOX_INTERVAL * 10
+            })
+            .await;
+            for body in handover::take_callbacks() {
+                handle_callback(&task_hub, &body, false);
             }
-            if other.is_some_and(|pid| !handover::alive(pid)) {
-                hub_.other.set(None);
+            if other.is_some_and(|pid| !handover::is_running(pid)) {
+                task_hub.other.set(None);
             }
         }
     });
 }
 
-/// A worker's call-back. It may come before the 202, again, or after the end: it counts once, and is answered 204 all
-/// the same. One that matches no step here is posted to the other process, if one shares the address
-/// and `pass_on` allows: it is that one's.
-pub(crate) fn call_back(hub: &Hub, body: &[u8], pass_on: bool) -> Reply {
-    let call: CallBack = match serde_json::from_slice(body) {
+/// Processes a worker's call-back. It may arrive before the 202, repeatedly, or after the end of the step:
+/// only the first one counts, and all are answered 204. A call-back that matches no step here is posted to
+/// the other process, if one shares the address and `may_forward` is set.
+pub(crate) fn handle_callback(hub: &Hub, body: &[u8], may_forward: bool) -> Reply {
+    let call: Callback = match serde_json::from_slice(body) {
         Ok(call) => call,
         Err(e) => return Reply::plain(400, &format!("not a call-back: {e}")),
     };
     hub.with(|core, _| {
         core.counters.callbacks += 1;
         let Some(step) = core.find_step(&call.id, &call.from) else {
-            match hub.other.get().filter(|_| pass_on) {
-                Some(other) if handover::post(other, body).is_ok() => {
+            match hub.other.get().filter(|_| may_forward) {
+                Some(other) if handover::post_callback(other, body).is_ok() => {
                     core.counters.callbacks_passed_on += 1
                 }
                 _ => core.counters.callbacks_unmatched += 1,
             }
             return;
         };
-        let ending = match call.state {
+        let outcome = match call.state {
             JobState::Started => return core.step_event(step, StepEvent::Started),
             JobState::Running { share } => {
                 return core.step_event(step, StepEvent::Progress(share))
@@ -87,7 +92,7 @@
             JobState::Lost => StepOutcome::Lost,
         };
         let report = call.load.map(|l| core.report(&load_from_json(&l)));
-        core.step_event(step, StepEvent::Ended(ending, report));
+        core.step_event(step, StepEvent::Ended(outcome, report));
     });
     Reply::plain(204, "")
 }
--- a/src/net/close.rs
+++ b/src/net/close.rs
@@ -1,5 +1,5 @@
-//! Closes a connection as [`Closing`] says. It takes the connection whole: nothing that is read after the shutdown can
-//! reach anything that would send it on.
+//! Closes connections as [`Closing`] prescribes. Closing consumes the connection, so that no data read after
+//! the shutdown can be processed or forwarded.
 
 use super::http::Conn;
 use crate::closing::Closing;
@@ -10,26 +10,28 @@
 use std::time::{Duration, Instant};
 
 impl Conn {
-    /// Closes the connection.
+    /// Shuts down the sending side and then reads and discards input until `closing` says that the connection
+    /// may be closed.
     pub(crate) async fn close(mut self, closing: Closing) {
         let begun = Instant::now();
         let now = || begun.elapsed().as_micros() as Micros;
         let _ = self.stream().get_ref().shutdown(Shutdown::Write);
         let mut closing = closing.told(0);
         while let Closing::Draining { until, .. } = closing {
-            // What has come already is read first, whatever the time; with no time to linger nothing is waited for.
-            let there = future::poll_once(self.discard_input()).await;
-            closing = there.map_or(closing.quiet(now()), |bytes| closing.read(bytes));
-            match (there, closing) {
-                // Guards against a sender at full speed that would keep all others waiting.
+            // Input that has already arrived is read first, regardless of the time limit. If the limit is
+            // zero nothing is waited for.
+            let available = future::poll_once(self.discard_input()).await;
+            closing = available.map_or(closing.quiet(now()), |bytes| closing.read(bytes));
+            match (available, closing) {
+                // Guards against a sender at full speed that would starve the other tasks.
                 (Some(_), _) => future::yield_now().await,
                 (None, Closing::Draining { .. }) => {
-                    let more = async { Some(self.discard_input().await) };
-                    let late = async {
+                    let input = async { Some(self.discard_input().await) };
+                    let timeout = async {
                         Timer::after(Duration::from_micros(until.saturating_sub(now()))).await;
                         None
                     };
-                    let read = future::or(more, late).await;
+                    let read = future::or(input, timeout).await;
                     closing = read.map_or(closing.quiet(now()), |bytes| closing.read(bytes));
                 }
                 (None, _) => {}
--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -1,6 +1,8 @@
-//! Clients' connections: what each is at, which give way to new ones, and the memory that bodies take.
+//! Client connections: their activity, the order in which they are evicted for new ones, and the memory
+//! reserved for request bodies.
 //!
-//! Workers' call-backs come on such connections too; one that brought a call-back counts as a worker's.
+//! Workers send call-backs over such connections too; a connection that has carried a call-back counts as a
+//! worker's.
 
 use super::http::Conn;
 use crate::config::Limits;
@@ -12,25 +14,26 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Longest time for a connection to stay silent after it is there: a usual client opens one to ask at once.
+/// Time limit for the first input of a new connection: a normal client opens one to send a request at once.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest time between requests for a connection that has asked, but for no operation that was taken: guards
-/// against hundreds that ask whether the program is up, and stay.
+/// Time limit between requests for a connection that has not carried an accepted operation or call-back.
+/// Guards against hundreds of clients that poll `GET /up` and stay connected.
 const NO_WORK_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// What a connection is at, in the order in which they give way to new ones.
+/// Activity of a connection, in the order in which connections are evicted for new ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Activity {
-    /// It was answered and is closed; what still comes is thrown away.
-    Leaving,
+    /// The response is sent and the connection is being closed; further input is discarded.
+    Closing,
     /// Between requests, none of which was an operation or a call-back so far.
-    Asked,
-    /// Nothing has come yet.
+    Unproven,
+    /// No input has arrived yet.
     Silent,
-    /// A request is coming in.
+    /// A request is being received.
     Reading,
-    /// Between requests, with an operation or a call-back among them. These are usual clients' and go last.
+    /// Between requests, at least one of which was an operation or a call-back. These connections belong to
+    /// normal clients and are evicted last.
     Idle,
-    /// A request is in hand.
+    /// A request is being processed; the connection is not evicted.
     Busy,
 }
 
@@ -38,44 +41,44 @@
     activity: Activity,
     since: Instant,
     worker: bool,
-    /// It stands in the reserve: see [`ClientConnection::reserved`].
+    /// Whether the connection counts towards the reserve: see [`ClientConnection::reserved`].
     reserved: bool,
-    /// Dropping it closes the connection, unless a request is in hand.
-    _keep: Sender<()>,
+    /// Dropping it closes the connection, unless a request is being processed.
+    _close_on_drop: Sender<()>,
 }
 
-/// All connections, and what each is at. Any without a request in hand can be closed to make room.
+/// All client connections with their activity. Any connection without a request in process can be evicted.
 pub(crate) struct ClientConnections {
     open: Cell<usize>,
     workers: Cell<usize>,
-    /// Open connections in the reserve.
+    /// Open connections that count towards the reserve.
     reserved: Cell<usize>,
     entries: RefCell<BTreeMap<u64, Entry>>,
-    next: Cell<u64>,
+    next_number: Cell<u64>,
     closing: Cell<(bool, bool)>,
-    /// Bytes of bodies that are coming in or in hand, and their bound.
-    bodies: Rc<Cell<usize>>,
+    /// Total length of the request bodies being received or processed, in bytes; bounded by `max_body_bytes`.
+    body_bytes: Rc<Cell<usize>>,
     max_body_bytes: usize,
     max_idle: usize,
-    /// Connections beside those in the reserve, at most.
+    /// Maximum number of connections outside the reserve.
     max_unreserved: usize,
-    /// Connections in the reserve, at most.
+    /// Maximum number of connections in the reserve.
     max_reserved: usize,
-    /// Closed when a successor takes the clients' address over.
+    /// Closed when a successor takes over the clients' address.
     hand_over: (Sender<()>, Receiver<()>),
 }
 
 impl ClientConnections {
-    /// No connection yet; the limits bound idle ones and the memory of bodies.
+    /// Creates an empty set; the limits bound the connections and the memory for bodies.
     pub(crate) fn new(limits: &Limits) -> ClientConnections {
         ClientConnections {
             open: Cell::default(),
             workers: Cell::default(),
             reserved: Cell::default(),
             entries: RefCell::default(),
-            next: Cell::default(),
+            next_number: Cell::default(),
             closing: Cell::default(),
-            bodies: Rc::default(),
+            body_bytes: Rc::default(),
             max_body_bytes: limits.body_bytes(),
             max_idle: limits.idle_front_sockets(),
             max_unreserved: limits.front_sockets(),
@@ -84,7 +87,7 @@
         }
     }
 
-    /// Comes back once another process serves at the same address.
+    /// Completes once another process serves at the same address.
     pub(super) async fn handed_over(&self) {
         let _ = self.hand_over.1.recv().await;
     }
@@ -94,58 +97,63 @@
         self.hand_over.1.is_closed()
     }
 
-    /// Whether clients' connections are closed once they are between requests.
+    /// Whether clients' connections are closed as soon as they are between requests.
     pub(super) fn is_closing(&self) -> bool {
         self.closing.get().0
     }
 
-    /// Connections that are open.
+    /// Number of open connections.
     pub(super) fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// Another process serves at the same address: the listener takes what waits for it, and closes.
+    /// Another process serves at the same address: the listener accepts its queued connections and closes.
     pub(crate) fn hand_over(&self) {
         self.hand_over.0.close();
     }
 
-    /// Connections that are not known to be workers'.
+    /// Number of connections that have not carried a call-back.
     pub(crate) fn clients(&self) -> usize {
         self.open.get() - self.workers.get()
     }
 
-    /// Closes all clients' that are between requests, now and from now on; workers' too if told so. One that has
-    /// sent nothing yet is nobody's so far and stays: guards against turning away call-backs during a stop, as
-    /// workers open connections for them.
+    /// Closes all clients' connections that are between requests, now and later, and with `workers` those of
+    /// workers too. A connection without any input so far cannot be attributed and stays open unless
+    /// `workers` is set: guards against rejecting call-backs during a stop, as workers open connections for
+    /// them.
     pub(crate) fn close_idle(&self, workers: bool) {
         self.closing.set((true, workers));
-        self.entries.borrow_mut().retain(|_, e| match e.activity {
-            Activity::Idle | Activity::Asked => e.worker && !workers,
-            Activity::Silent => !workers,
-            _ => true,
-        });
+        self.entries
+            .borrow_mut()
+            .retain(|_, entry| match entry.activity {
+                Activity::Idle | Activity::Unproven => entry.worker && !workers,
+                Activity::Silent => !workers,
+                _ => true,
+            });
     }
 
-    /// Closes the one that can best be done without, if there is any: of the first kind in the order of [`Activity`] the
-    /// oldest. Guards against floods of connections that never say anything, or never end it, in the place of
-    /// those that usual clients keep.
-    pub(crate) fn free_one(&self) -> bool {
-        self.close_least_needed(|_, _| true)
+    /// Evicts the least needed connection, if there is a candidate: the oldest one with the first activity in
+    /// the order of [`Activity`]. Guards against floods of connections that never send anything, or never
+    /// complete a request, in place of the connections that normal clients keep.
+    pub(crate) fn evict_one(&self) -> bool {
+        self.evict_least_needed(|_, _| true)
     }
 
-    /// Makes room for a connection that was just accepted; whether it is to be asked again, once the one that gives way has
-    /// closed. The new one does not give way to itself, nor do those in the reserve while that has room: their requests
-    /// may be on their way, and a worker's call-back among them is what frees the others.
-    pub(super) fn free_one_for(&self, accepted: &ClientConnection) -> bool {
+    /// Evicts a connection if there are too many after an accept. Returns whether one was evicted, in which
+    /// case the caller tries again once it has closed. The new connection is not evicted, nor are those in
+    /// the reserve unless the reserve is full: their requests may be in flight, and a worker's call-back
+    /// among them is what ends the work of other connections.
+    pub(super) fn evict_for(&self, accepted: &ClientConnection) -> bool {
         let is_other = |number| number != accepted.number;
         if self.open() > self.max_unreserved + self.max_reserved {
-            return self.close_least_needed(|number, _| is_other(number));
+            return self.evict_least_needed(|number, _| is_other(number));
         }
         self.unreserved() > self.max_unreserved
-            && self.close_least_needed(|number, entry| is_other(number) && !entry.reserved)
+            && self.evict_least_needed(|number, entry| is_other(number) && !entry.reserved)
     }
 
-    /// Puts a new connection for which no room could be made into the reserve; false where that is full too.
+    /// Assigns a new connection to the reserve if no other could be evicted for it. Returns false if the
+    /// reserve is full too.
     pub(super) fn admit(&self, accepted: &mut ClientConnection) -> bool {
         if self.unreserved() > self.max_unreserved {
             accepted.reserved = true;
@@ -157,51 +165,53 @@
         self.open() <= self.max_unreserved + self.max_reserved
     }
 
-    /// Connections that are open beside those in the reserve.
+    /// Number of open connections outside the reserve.
     fn unreserved(&self) -> usize {
         self.open() - self.reserved.get()
     }
 
-    fn close_least_needed(&self, is_candidate: impl Fn(u64, &Entry) -> bool) -> bool {
+    fn evict_least_needed(&self, is_candidate: impl Fn(u64, &Entry) -> bool) -> bool {
         let mut entries = self.entries.borrow_mut();
-        let gives_way = |e: &Entry| match e.activity {
+        let is_evictable = |entry: &Entry| match entry.activity {
             Activity::Busy => false,
-            Activity::Reading => !e.worker, // the oldest: a usual client's comes in at once
+            Activity::Reading => !entry.worker, // the oldest first: a normal client's request arrives at once
             _ => true,
         };
         let least_needed = entries
             .iter()
-            .filter(|(number, e)| gives_way(e) && is_candidate(**number, e))
-            .min_by_key(|(_, e)| (e.activity, e.since))
+            .filter(|(number, entry)| is_evictable(entry) && is_candidate(**number, entry))
+            .min_by_key(|(_, entry)| (entry.activity, entry.since))
             .map(|(number, _)| *number);
         least_needed.is_some_and(|number| entries.remove(&number).is_some())
     }
 
-    /// Closes the clients' that are idle for longest, of more than may be kept. Guards against clients that open a
-    /// connection for each request and keep them all: they may hold so many in all, and could open no more.
+    /// Closes the clients' connections that have been idle longest, beyond the number that may be kept.
+    /// Guards against clients that open a connection for each request and keep all of them: they may hold a
+    /// limited total and could then open no more.
     fn trim_idle(&self) {
         let mut entries = self.entries.borrow_mut();
         let idle = entries
             .iter()
-            .filter(|(_, e)| e.activity == Activity::Idle && !e.worker);
-        let mut idle: Vec<(Instant, u64)> = idle.map(|(number, e)| (e.since, *number)).collect();
+            .filter(|(_, entry)| entry.activity == Activity::Idle && !entry.worker);
+        let mut idle: Vec<(Instant, u64)> =
+            idle.map(|(number, entry)| (entry.since, *number)).collect();
         idle.sort_unstable();
         for (_, number) in &idle[..idle.len().saturating_sub(self.max_idle)] {
             entries.remove(number);
         }
     }
 
-    /// Sets memory aside for a body; none if there is no more.
+    /// Reserves memory for a body; `None` if the limit would be exceeded.
     pub(super) fn reserve_body(&self, length: usize) -> Option<BodyReservation> {
-        let reserved = self.bodies.get() + length;
+        let reserved = self.body_bytes.get() + length;
         (reserved <= self.max_body_bytes).then(|| {
-            self.bodies.set(reserved);
-            BodyReservation(self.bodies.clone(), length)
+            self.body_bytes.set(reserved);
+            BodyReservation(self.body_bytes.clone(), length)
         })
     }
 }
 
-/// Memory set aside, until it is dropped.
+/// Reserved memory, released on drop.
 pub(super) struct BodyReservation(Rc<Cell<usize>>, usize);
 
 impl Drop for BodyReservation {
@@ -210,28 +220,28 @@
     }
 }
 
-/// One connection, counted while it is open.
+/// One open connection, counted until it is dropped.
 pub(super) struct ClientConnection {
     pub(super) all: Rc<ClientConnections>,
     number: u64,
     closed: Receiver<()>,
     pub(super) worker: bool,
-    /// An operation or a call-back came on it and was taken.
+    /// Whether an operation or a call-back was accepted on this connection.
     pub(super) proven: bool,
-    /// It stands in the reserve, which is for workers' call-backs.
+    /// Whether the connection counts towards the reserve, which is intended for workers' call-backs.
     pub(super) reserved: bool,
 }
 
 impl ClientConnection {
     pub(super) fn new(all: &Rc<ClientConnections>) -> ClientConnection {
-        let (keep, closed) = bounded::<()>(1);
-        let number = all.next.replace(all.next.get() + 1);
+        let (close_on_drop, closed) = bounded::<()>(1);
+        let number = all.next_number.replace(all.next_number.get() + 1);
         let entry = Entry {
             activity: Activity::Silent,
             since: Instant::now(),
             worker: false,
             reserved: false,
-            _keep: keep,
+            _close_on_drop: close_on_drop,
         };
         all.entries.borrow_mut().insert(number, entry);
         all.open.set(all.open.get() + 1);
@@ -258,17 +268,17 @@
         }
     }
 
-    /// Whether the connection is to be closed to make room, or at the end.
-    pub(super) fn is_given_up(&self) -> bool {
+    /// Whether the connection is to be closed, to make room or because of a stop.
+    pub(super) fn is_evicted(&self) -> bool {
         self.closed.is_closed()
     }
 
-    /// Comes back when the connection is to be closed to make room, or at the end.
-    pub(super) async fn given_up(&self) {
+    /// Completes when the connection is to be closed, to make room or because of a stop.
+    pub(super) async fn evicted(&self) {
         let _ = self.closed.recv().await;
     }
 
-    /// Waits for the next request; false if the connection is to be closed instead.
+    /// Waits for the next request. Returns false if the connection is to be closed instead.
     pub(super) async fn next_request(&self, conn: &mut Conn, first: bool) -> bool {
         if conn.has_input() {
             return true;
@@ -281,22 +291,23 @@
             self.set_activity(if self.proven {
                 Activity::Idle
             } else {
-                Activity::Asked
+                Activity::Unproven
             });
             self.all.trim_idle();
         }
-        // A usual client keeps its connection for as long as it likes; one that never asked for work is not one.
-        let time = match (first, self.proven) {
+        // A normal client may keep its connection as long as it likes; one that never sent an accepted
+        // operation or call-back may not.
+        let limit = match (first, self.proven) {
             (true, _) => FIRST_REQUEST_TIMEOUT,
             (false, true) => Duration::MAX,
             (false, false) => NO_WORK_TIMEOUT,
         };
         let input = async { conn.wait_input().await.is_ok() };
         let closed = async {
-            future::or(self.given_up(), after(time)).await;
+            future::or(self.evicted(), after(limit)).await;
             false
         };
-        future::or(input, closed).await // in this order: what has come already is not given up
+        future::or(input, closed).await // in this order, so that input that has already arrived is not lost
     }
 }
 
@@ -313,9 +324,9 @@
     }
 }
 
-/// Comes back after a time; never where that is beyond the clock.
-pub(super) async fn after(time: Duration) {
-    match Instant::now().checked_add(time) {
+/// Completes after a time; never if the time exceeds the range of the clock.
+pub(super) async fn after(delay: Duration) {
+    match Instant::now().checked_add(delay) {
         Some(when) => drop(Timer::at(when).await),
         None => future::pending().await,
     }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,5 +1,6 @@
-//! The pool config: discovery's list, watched from the process's start, and moved to another address when a new
-//! configuration says so. When it is called and what is given up is [`ListClock`]'s to say.
+//! Pool configuration: watches discovery's endpoint list from the start of the process on, and moves the
+//! watch to another address when a new configuration names one. [`ListClock`] decides when discovery is
+//! called and when a call is abandoned.
 
 use super::http::{Conn, ReadError};
 use super::lists::{Splitter, WatchItem};
@@ -20,7 +21,7 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-/// A list, or the changes to one.
+/// An endpoint list or the changes to one.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct List {
@@ -29,7 +30,7 @@
     pub(crate) servers: Vec<Server>,
 }
 
-/// A line of a list.
+/// One worker in a list.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct Server {
     id: String,
@@ -41,13 +42,13 @@
     #[serde(default)]
     cell: u32,
     state: State,
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     weight: f64,
     #[serde(default)]
     started_ms: u64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
@@ -60,7 +61,8 @@
 }
 
 impl Server {
-    /// The core's clock reads Unix time, so a start time needs no more than its unit changed.
+    /// Converts an entry for the core. The core's clock reads Unix time, so only the unit of the start time
+    /// changes.
     pub(crate) fn member(&self) -> PoolMember {
         PoolMember {
             name: self.id.clone(),
@@ -79,16 +81,16 @@
     }
 }
 
-/// The watch on discovery, wherever that is now.
+/// The watch on discovery, at whatever address discovery currently has.
 pub(crate) struct Watch {
-    me: Weak<Watch>,
+    weak_self: Weak<Watch>,
     hub: Rc<Hub>,
-    /// None until a configuration names one.
+    /// Address of discovery; `None` until a configuration names one.
     addr: Cell<Option<SocketAddr>>,
-    /// Wakes a watch that runs, or waits to be made anew, when the address has changed.
+    /// Wakes the watch, or the pause before it is reopened, when the address changes.
     moved: (Sender<()>, Receiver<()>),
-    /// Wakes a watch that rests when it is due sooner.
-    hurried: (Sender<()>, Receiver<()>),
+    /// Wakes the pause before a call when the call is due earlier.
+    expedited: (Sender<()>, Receiver<()>),
     source: usize,
     version: Cell<u64>,
     running: Cell<bool>,
@@ -104,13 +106,13 @@
         clock: ListClock,
     ) -> Rc<Watch> {
         let (version, running, addr) = (Cell::new(version), Cell::new(false), Cell::new(addr));
-        let (moved, hurried, clock) = (bounded(1), bounded(1), RefCell::new(clock));
-        Rc::new_cyclic(|me| Watch {
-            me: me.clone(),
+        let (moved, expedited, clock) = (bounded(1), bounded(1), RefCell::new(clock));
+        Rc::new_cyclic(|weak_self| Watch {
+            weak_self: weak_self.clone(),
             hub,
             addr,
             moved,
-            hurried,
+            expedited,
             source,
             version,
             running,
@@ -118,38 +120,38 @@
         })
     }
 
-    /// Discovery is at another address from now on. Guards against a watch on the old one, which may look alive
-    /// for a while though nothing that is told there counts: its connection is given up at once.
+    /// Moves the watch to another address. Guards against a watch on the old address that still looks alive
+    /// although its changes no longer count: its connection is closed at once.
     pub(crate) fn move_to(&self, addr: SocketAddr) {
         if self.addr.replace(Some(addr)) == Some(addr) {
             return;
         }
-        // Another address may count its versions anew: the whole list is asked for.
+        // Discovery at another address may number its versions differently, so the whole list is requested.
         self.version.set(0);
         self.clock.borrow_mut().moved(self.hub.now());
         let _ = self.moved.0.try_send(());
         self.subscribe();
     }
 
-    async fn keep(&self) {
+    async fn run(&self) {
         while let Some(addr) = self.addr.get() {
             let moved = async {
                 let _ = self.moved.1.recv().await;
                 None
             };
-            let (before, lists) = (self.version.get(), Cell::new(0u64));
+            let (version_before, list_count) = (self.version.get(), Cell::new(0u64));
             let watch = async {
-                self.due().await;
+                self.wait_until_due().await;
                 self.clock.borrow_mut().call_started(self.hub.now());
-                self.watch(addr, &lists).await.err()
+                self.watch(addr, &list_count).await.err()
             };
             let Some(why) = future::or(moved, watch).await else {
-                info!(self.hub.log, "the watch moves"; "from" => %addr, "to" => ?self.addr.get());
+                info!(self.hub.log, "moving the watch to another discovery address"; "from" => %addr, "to" => ?self.addr.get());
                 continue;
             };
             let pause_us = self.clock.borrow_mut().call_ended(self.hub.now());
-            warn!(self.hub.log, "the watch on discovery broke"; "why" => why, "lists" => lists.get(),
-                "version" => before, "pause_ms" => pause_us / 1_000);
+            warn!(self.hub.log, "the watch on discovery broke"; "why" => why, "lists" => list_count.get(),
+                "version" => version_before, "pause_ms" => pause_us / 1_000);
             self.hub.with(|core, _| {
                 core.counters.watches_broken += 1;
                 core.pool_config_failed();
@@ -157,72 +159,75 @@
         }
     }
 
-    /// Comes back when the clock wants something done.
-    async fn due(&self) {
+    /// Completes when the next timer of the clock expires.
+    async fn wait_until_due(&self) {
         loop {
             let at = self.clock.borrow().due();
             let left = at.saturating_sub(self.hub.now());
             if left == 0 {
                 return;
             }
-            let hurried = async {
-                let _ = self.hurried.1.recv().await;
+            let expedited = async {
+                let _ = self.expedited.1.recv().await;
             };
             let timer = async {
                 Timer::after(Duration::from_micros(left)).await;
             };
-            future::or(timer, hurried).await;
+            future::or(timer, expedited).await;
         }
     }
 
-    /// Waits for this step of the call for as long as the clock allows.
-    async fn within<T>(&self, what: impl Future<Output = Result<T, String>>) -> Result<T, String> {
-        let late = async {
-            self.due().await;
+    /// Runs one step of a call, with the time limit that the clock sets.
+    async fn with_timeout<T>(
+        &self,
+        step: impl Future<Output = Result<T, String>>,
+    ) -> Result<T, String> {
+        let timeout = async {
+            self.wait_until_due().await;
             Err("nothing came in time".into())
         };
-        future::or(what, late).await
+        future::or(step, timeout).await
     }
 
-    async fn watch(&self, addr: SocketAddr, lists: &Cell<u64>) -> Result<Infallible, String> {
+    async fn watch(&self, addr: SocketAddr, list_count: &Cell<u64>) -> Result<Infallible, String> {
         let dial = async { dial(&self.hub, addr).await.map_err(|e| e.to_string()) };
-        let mut conn = Conn::new(self.within(dial).await?);
+        let mut conn = Conn::new(self.with_timeout(dial).await?);
         self.clock.borrow_mut().connected(self.hub.now());
         let query = format!(
             "GET /discovery/hosts?watch=1&after={} HTTP/1.1\r\nHost: {}\r\n\r\n",
             self.version.get(),
             addr
         );
-        let head = self.within(async {
+        let head = self.with_timeout(async {
             conn.write(query.as_bytes())
                 .await
                 .map_err(|e| e.to_string())?;
-            conn.answer().await.map_err(say)
+            conn.response().await.map_err(describe)
         });
         let head = head.await?;
         if head.status != 200 {
             return Err(format!("status {}", head.status));
         }
         self.clock.borrow_mut().watch_opened(self.hub.now());
-        let (mut splitter, mut said) = (Splitter::new(), Vec::new());
+        let (mut splitter, mut items) = (Splitter::new(), Vec::new());
         loop {
             let piece = self
-                .within(async { conn.chunk().await.map_err(say) })
+                .with_timeout(async { conn.chunk().await.map_err(describe) })
                 .await?;
             splitter
-                .feed(&piece.ok_or("it was ended")?, &mut said)
+                .feed(&piece.ok_or("it was ended")?, &mut items)
                 .map_err(|e| format!("not a list: {e:?}"))?;
-            for said in said.drain(..) {
-                if let WatchItem::Object(text) = said {
-                    self.take(&text)?;
-                    lists.set(lists.get() + 1);
+            for item in items.drain(..) {
+                if let WatchItem::Object(text) = item {
+                    self.apply(&text)?;
+                    list_count.set(list_count.get() + 1);
                 }
                 self.clock.borrow_mut().received(self.hub.now());
             }
         }
     }
 
-    fn take(&self, text: &[u8]) -> Result<(), String> {
+    fn apply(&self, text: &[u8]) -> Result<(), String> {
         let list: List = serde_json::from_slice(text).map_err(|e| format!("not a list: {e}"))?;
         self.version.set(list.version);
         info!(self.hub.log, "pool config"; "version" => list.version, "full" => list.full,
@@ -236,16 +241,17 @@
     }
 }
 
-fn say(bad: ReadError) -> String {
+fn describe(bad: ReadError) -> String {
     format!("{bad:?}")
 }
 
 impl PoolSource for Watch {
-    /// Once begun the watch keeps itself up; asked again, as the decisions do, it has nothing to do.
+    /// The watch reopens itself once it has been started. Further calls, which the decisions make, have no
+    /// effect.
     fn subscribe(&self) {
         if self.addr.get().is_some() && !self.running.replace(true) {
-            let me = self.me.upgrade().expect("called through an Rc");
-            self.hub.spawn(async move { me.keep().await });
+            let watch = self.weak_self.upgrade().expect("called through an Rc");
+            self.hub.spawn(async move { watch.run().await });
         }
     }
 
@@ -255,6 +261,6 @@
 
     fn expedite(&self) {
         self.clock.borrow_mut().expedite(self.hub.now());
-        let _ = self.hurried.0.try_send(());
+        let _ = self.expedited.0.try_send(());
     }
 }
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -1,4 +1,4 @@
-//! The front: clients' operations, workers' call-backs, `GET /up` and `GET /counters` on one listener.
+//! HTTP server on one listener: clients' operations, workers' call-backs, `GET /up` and `GET /counters`.
 
 use super::connections::{after, Activity, BodyReservation, ClientConnection, ClientConnections};
 use super::http::{self, Conn, Head, ReadError};
@@ -16,20 +16,20 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Longest time for a request to come in whole, once begun; for the first one of a connection, from the moment the
-/// connection is there. Guards against silent connections, half requests and heads that come in drop by drop: each
-/// holds a descriptor. A bad client is owed an end within 3 s.
-const REQUEST: Duration = Duration::from_millis(2_500);
-/// Longest time for a client to read its answer.
-const ANSWER: Duration = Duration::from_secs(5);
-/// Connections that may wait to be accepted. Guards against floods of hundreds at once: what finds no place, usual
-/// clients and call-backs among them, would be tried again by its system a second later.
-const BACKLOG: i32 = 1_024;
-/// Load shedding: sent to a connection for which there is no room.
+/// Time limit for reading a complete request once it has begun; for the first request of a connection it runs
+/// from the accept. Guards against silent connections, incomplete requests and heads that arrive byte by
+/// byte: each holds a descriptor. A bad client must be disconnected within 3 s.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Time limit for a client to read its response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Length of the accept queue. Guards against bursts of hundreds of connections: those that exceed the queue,
+/// normal clients and call-backs among them, would be retried by their system only a second later.
+const ACCEPT_QUEUE_LENGTH: i32 = 1_024;
+/// Load shedding: response to a connection that exceeds the limits.
 const SHED_RESPONSE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-/// Listens and serves from now on.
+/// Opens the listener and starts to serve.
 pub(crate) fn listen(
     hub: &Rc<Hub>,
     addr: SocketAddr,
@@ -47,7 +47,8 @@
             };
             match future::or(listener.accept(), handed_over).await {
                 Err(e) if e.kind() == io::ErrorKind::ConnectionAborted && all.is_handed_over() => {
-                    // What waits in the queue is taken, then the listener closes: later ones reach the successor.
+                    // Accepts the connections that are already queued and then closes the listener, so that
+                    // later ones reach the successor.
                     while let Ok((stream, _)) = listener.get_ref().accept() {
                         let Ok(stream) = Async::new(stream) else {
                             continue;
@@ -61,27 +62,28 @@
                 }
                 Ok((stream, _)) => {
                     let mut socket = ClientConnection::new(&all);
-                    while all.free_one_for(&socket) {
-                        future::yield_now().await; // lets the one given up close
+                    while all.evict_for(&socket) {
+                        future::yield_now().await; // lets the evicted connection close
                     }
                     hub.with(|core, _| core.counters.front_sockets += 1);
                     if !all.admit(&mut socket) {
-                        // Guards against connections that queue up outside, where they would hear nothing.
+                        // Guards against connections that wait in the accept queue without any response.
                         hub.with(|core, _| core.counters.front_sockets_refused += 1);
                         let conn = Conn::new(stream);
                         let _ = conn.stream().get_ref().write(SHED_RESPONSE);
                         hub.spawn(async move { conn.close(Closing::at_once()).await });
-                        future::yield_now().await; // lets it close
+                        future::yield_now().await; // lets the connection close
                         continue;
                     }
                     let served = hub.clone();
                     hub.spawn(async move { serve(served, stream, socket).await });
-                    future::yield_now().await; // guards against a flood that keeps all else waiting
+                    future::yield_now().await; // guards against a flood of connections that starves other tasks
                 }
-                // Out of descriptors: guards against a busy loop, and makes room for those that wait.
+                // Out of descriptors: guards against a busy loop, and frees a descriptor for the queued
+                // connections.
                 Err(e) => {
                     if is_out_of_resources(&e) {
-                        all.free_one();
+                        all.evict_one();
                     }
                     warn!(hub.log, "a front socket could not be accepted"; "error" => %e);
                     Timer::after(Duration::from_millis(20)).await;
@@ -92,7 +94,8 @@
     Ok((connections, addr))
 }
 
-/// A listener that a second process of the same user may share while it replaces this one.
+/// Opens a listener on an address that a second process of the same user may share while it replaces this
+/// one.
 fn shared_listener(addr: SocketAddr) -> io::Result<TcpListener> {
     use rustix::net::{sockopt, AddressFamily, SocketFlags, SocketType};
     let family = if addr.is_ipv4() {
@@ -104,18 +107,18 @@
     sockopt::set_socket_reuseaddr(&fd, true)?;
     sockopt::set_socket_reuseport(&fd, true)?;
     rustix::net::bind(&fd, &addr)?;
-    rustix::net::listen(&fd, BACKLOG)?;
+    rustix::net::listen(&fd, ACCEPT_QUEUE_LENGTH)?;
     Ok(TcpListener::from(fd))
 }
 
-/// A request that was read whole.
+/// A request that was read completely.
 struct Received {
     head: Head,
     body: Vec<u8>,
     _reservation: Option<BodyReservation>,
 }
 
-/// Reads a request. An error that its head alone shows is told before its body is read.
+/// Reads a request. An error that the head alone reveals is reported before the body is read.
 async fn receive(
     hub: &Hub,
     conn: &mut Conn,
@@ -124,7 +127,8 @@
     let head = conn.request().await?;
     let mut reservation = None;
     if is_operation(&head) {
-        if let Err(reply) = request::check(&hub.classes.borrow(), &head.method, &head.target) {
+        if let Err(reply) = request::check_target(&hub.classes.borrow(), &head.method, &head.target)
+        {
             return Ok(Err(reply));
         }
         reservation = socket.all.reserve_body(http::body_length(&head)?);
@@ -134,8 +138,8 @@
     }
     let body = conn.body(&head).await?;
     if is_operation(&head) && conn.has_input() {
-        // Guards against requests hidden behind a wrong length, and against hundreds in one go: a client sends
-        // one at a time.
+        // Guards against requests hidden behind a wrong length and against hundreds of pipelined requests: a
+        // client sends one request at a time.
         return Err(ReadError::Malformed("more than one request at a time"));
     }
     Ok(Ok(Received {
@@ -147,24 +151,24 @@
 
 async fn serve(hub: Rc<Hub>, stream: Async<TcpStream>, mut socket: ClientConnection) {
     let mut conn = Conn::new(stream);
-    let mut by = Instant::now() + REQUEST;
-    let mut first = true;
-    while socket.next_request(&mut conn, first).await {
-        if !std::mem::take(&mut first) {
-            by = Instant::now() + REQUEST;
+    let mut deadline = Instant::now() + REQUEST_TIMEOUT;
+    let mut is_first = true;
+    while socket.next_request(&mut conn, is_first).await {
+        if !std::mem::take(&mut is_first) {
+            deadline = Instant::now() + REQUEST_TIMEOUT;
         }
         socket.set_activity(Activity::Reading);
-        let late = async {
-            Timer::at(by).await;
+        let timeout = async {
+            Timer::at(deadline).await;
             Err(ReadError::Late)
         };
-        let given_up = async {
-            socket.given_up().await;
+        let evicted = async {
+            socket.evicted().await;
             Err(ReadError::Ended)
         };
         let read = future::or(
             receive(&hub, &mut conn, &socket),
-            future::or(late, given_up),
+            future::or(timeout, evicted),
         )
         .await;
         socket.set_activity(Activity::Busy);
@@ -176,32 +180,34 @@
                 _reservation,
             })) => {
                 match respond(&hub, &mut conn, &mut socket, &head, body).await {
-                    // More that has come before the answer would have to wait: it is not taken up.
-                    Some((reply, booked)) => {
-                        receipt = booked;
-                        let more = conn.has_input() && !socket.worker || conn.is_overrun();
-                        (reply, head.close || more)
+                    // Further input that arrived before the response would have to wait: it is not processed,
+                    // and the connection is closed.
+                    Some((reply, answer_receipt)) => {
+                        receipt = answer_receipt;
+                        let has_more_input =
+                            conn.has_input() && !socket.worker || conn.is_overrun();
+                        (reply, head.close || has_more_input)
                     }
-                    None => return, // the client has gone away
+                    None => return, // the client has disconnected
                 }
             }
             Ok(Err(reply)) => (reply, true),
             Err(ReadError::Ended) => return,
             Err(ReadError::Late) => (Reply::plain(408, "it did not come in time"), true),
             Err(ReadError::TooLarge) => (Reply::plain(413, "the body is over 64 KiB"), true),
-            Err(ReadError::Malformed(why)) => (Reply::plain(400, why), true),
+            Err(ReadError::Malformed(error)) => (Reply::plain(400, error), true),
         };
-        // What was wrong once is not waited for again: guards against bad clients that stay.
+        // The connection is closed after a bad request: guards against bad clients that stay connected.
         let bad = matches!(reply.status, 400 | 404 | 405 | 408 | 409 | 413);
         if bad {
             hub.with(|core, _| core.counters.bad_requests += 1);
         }
         let close = close || bad || socket.all.is_closing() && !socket.worker;
-        // Guards against a client that does not read: it would hold its socket for ever.
+        // Guards against a client that does not read: it would hold its socket indefinitely.
         let written = future::or(
-            async { conn.write(&bytes(&reply, close)).await.is_ok() },
+            async { conn.write(&encode(&reply, close)).await.is_ok() },
             async {
-                after(ANSWER).await;
+                after(RESPONSE_TIMEOUT).await;
                 false
             },
         );
@@ -210,21 +216,22 @@
         }
         receipt.written();
         if close {
-            socket.set_activity(Activity::Leaving);
-            return future::or(conn.close(Closing::in_order()), socket.given_up()).await;
+            socket.set_activity(Activity::Closing);
+            return future::or(conn.close(Closing::in_order()), socket.evicted()).await;
         }
     }
-    // Between requests, or before the first. Bytes may come in this very moment, a request among them: it is not taken, and
-    // its client sends it once more elsewhere. One that gives way to others has no time to linger.
-    socket.set_activity(Activity::Leaving);
+    // Between requests, or before the first one. A request may be arriving at this very moment: it is not
+    // processed, and its client sends it again elsewhere. A connection that was evicted to make room is
+    // closed without lingering.
+    socket.set_activity(Activity::Closing);
     let stopping = socket.all.is_closing();
-    match socket.is_given_up() && !stopping {
+    match socket.is_evicted() && !stopping {
         true => conn.close(Closing::at_once()).await,
         false => conn.close(Closing::resting()).await,
     }
 }
 
-fn bytes(reply: &Reply, close: bool) -> Vec<u8> {
+fn encode(reply: &Reply, close: bool) -> Vec<u8> {
     let reason = match reply.status {
         200 => "OK",
         204 => "No Content",
@@ -257,13 +264,13 @@
     bytes
 }
 
-const CALL_BACKS: &str = "/v1/job-events";
+const CALLBACK_PATH: &str = "/v1/job-events";
 
 fn is_operation(head: &Head) -> bool {
-    !matches!(path(&head.target), CALL_BACKS | "/up" | "/counters")
+    !matches!(path(&head.target), CALLBACK_PATH | "/up" | "/counters")
 }
 
-/// Answers one request; none if its client has gone away.
+/// Produces the response to one request; `None` if its client has disconnected.
 async fn respond(
     hub: &Rc<Hub>,
     conn: &mut Conn,
@@ -272,15 +279,15 @@
     body: Vec<u8>,
 ) -> Option<(Reply, Receipt)> {
     let reply = match (path(&head.target), head.method.as_str()) {
-        (CALL_BACKS, "POST") => {
+        (CALLBACK_PATH, "POST") => {
             socket.mark_worker();
-            super::callback::call_back(hub, &body, true)
+            super::callback::handle_callback(hub, &body, true)
         }
-        (CALL_BACKS, _) => Reply::only("POST"),
+        (CALLBACK_PATH, _) => Reply::method_not_allowed("POST"),
         ("/up", "GET") if hub.stopping.get() => Reply::plain(503, "stopping"),
         ("/up", "GET") => Reply::plain(200, "up"),
         ("/counters", "GET") => Reply::plain(200, &hub.with(|core, _| core.counters.line())),
-        ("/up" | "/counters", _) => Reply::only("GET"),
+        ("/up" | "/counters", _) => Reply::method_not_allowed("GET"),
         _ => match operation(hub, head, body) {
             Ok(operation) => return dispatch(hub, conn, socket, operation).await,
             Err(reply) => reply,
@@ -314,7 +321,7 @@
     operation: Operation,
 ) -> Option<(Reply, Receipt)> {
     let class = operation.class.0 as usize;
-    let told = |reply: &Reply| {
+    let count_response = |reply: &Reply| {
         hub.with(|core, _| {
             core.counters
                 .responded(&hub.classes.borrow()[class].name, reply.status)
@@ -322,20 +329,20 @@
     };
     let pending = match hub.submit(operation) {
         Ok(pending) => pending,
-        Err(why) => {
-            let reply = request::not_taken(why);
-            told(&reply);
+        Err(error) => {
+            let reply = request::submit_error_reply(error);
+            count_response(&reply);
             return Some((reply, Receipt::default()));
         }
     };
     socket.proven = true;
     let answer = future::or(async { Some(pending.answer().await) }, async {
-        conn.ended().await;
+        conn.closed_by_peer().await;
         None
     });
     let (reply, receipt) = answer
         .await
         .map(|(answer, receipt)| (request::reply(answer), receipt))?;
-    told(&reply);
+    count_response(&reply);
     Some((reply, receipt))
 }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -1,81 +1,83 @@
-//! What two processes of one dispatcher share while one replaces the other: `$TMPDIR`, private to the dispatcher.
+//! State shared by two processes of one dispatcher while one replaces the other. It is kept in `$TMPDIR`,
+//! which is private to the dispatcher.
 //!
-//! Each process that serves writes its pid in a note named by its clients' address; the one that is being replaced
-//! learns of its successor there, and the successor of its predecessor before it writes its own. Call-backs reach
-//! either process, as both listen at one address: one that matches nothing here is posted to the other's mailbox,
-//! a folder of whole files that the other reads while both live.
+//! Each serving process writes its pid to a file named after the address that it listens at for clients. The
+//! process that is being replaced finds its successor there, and the successor reads the pid of its
+//! predecessor before it writes its own. Both processes listen at the same address, so a call-back may reach
+//! either one. A call-back that matches no step of the receiving process is posted to the mailbox of the
+//! other, a folder of complete files that the other process reads while both are running.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-fn tmp() -> Option<PathBuf> {
+fn shared_dir() -> Option<PathBuf> {
     std::env::var_os("TMPDIR")
         .filter(|d| !d.is_empty())
         .map(PathBuf::from)
 }
 
-/// Whether there is a place that two processes share.
+/// Whether `$TMPDIR` is set, so that two processes can share state.
 pub(crate) fn is_possible() -> bool {
-    tmp().is_some()
+    shared_dir().is_some()
 }
 
-fn note(listen: SocketAddr) -> Option<PathBuf> {
+fn announcement_file(listen: SocketAddr) -> Option<PathBuf> {
     let name = listen.to_string().replace([':', '[', ']'], "_");
-    Some(tmp()?.join(format!("streamusher-{name}.serving")))
+    Some(shared_dir()?.join(format!("streamusher-{name}.serving")))
 }
 
 fn mailbox(pid: u32) -> Option<PathBuf> {
-    Some(tmp()?.join(format!("streamusher-mail-{pid}")))
+    Some(shared_dir()?.join(format!("streamusher-mail-{pid}")))
 }
 
-/// Whether a process of this pid lives.
-pub(crate) fn alive(pid: u32) -> bool {
+/// Whether a process with this pid is running.
+pub(crate) fn is_running(pid: u32) -> bool {
     PathBuf::from(format!("/proc/{pid}")).exists()
 }
 
-/// The living process other than this one that the note names.
-fn named(listen: SocketAddr) -> Option<u32> {
-    let text = std::fs::read_to_string(note(listen)?).ok()?;
+/// Pid in the file for this address, if it belongs to another process that is running.
+fn announced_process(listen: SocketAddr) -> Option<u32> {
+    let text = std::fs::read_to_string(announcement_file(listen)?).ok()?;
     text.trim()
         .parse::<u32>()
         .ok()
-        .filter(|&pid| pid != std::process::id() && alive(pid))
+        .filter(|&pid| pid != std::process::id() && is_running(pid))
 }
 
-/// This process serves at `listen` from now on; gives the process that served there before, if it lives. Without
-/// `$TMPDIR` there is nowhere to say so, and nothing is said.
+/// Announces that this process serves at `listen` from now on. Returns the pid of the process that served
+/// there before, if it is still running. Does nothing without `$TMPDIR`.
 pub(crate) fn announce(listen: SocketAddr) -> std::io::Result<Option<u32>> {
-    let Some(path) = note(listen) else {
+    let Some(path) = announcement_file(listen) else {
         return Ok(None);
     };
-    let before = named(listen);
-    if let Some(own) = mailbox(std::process::id()) {
-        std::fs::create_dir_all(own)?;
+    let before = announced_process(listen);
+    if let Some(own_mailbox) = mailbox(std::process::id()) {
+        std::fs::create_dir_all(own_mailbox)?;
     }
-    let part = path.with_extension("part");
-    std::fs::write(&part, std::process::id().to_string())?;
-    std::fs::rename(part, path)?; // whole or not at all: the other process may read it at any moment
+    let partial = path.with_extension("part");
+    std::fs::write(&partial, std::process::id().to_string())?;
+    std::fs::rename(partial, path)?; // atomic: the other process may read the file at any moment
     Ok(before)
 }
 
-/// Another living process has announced itself at `listen` since this one did.
+/// Pid of another running process that has announced itself at `listen` after this one.
 pub(crate) fn successor(listen: SocketAddr) -> Option<u32> {
-    named(listen)
+    announced_process(listen)
 }
 
-/// Posts a call-back to the other process's mailbox, whole.
-pub(crate) fn post(to: u32, body: &[u8]) -> std::io::Result<()> {
+/// Posts a call-back to the mailbox of the other process as one complete file.
+pub(crate) fn post_callback(to: u32, body: &[u8]) -> std::io::Result<()> {
     thread_local!(static NEXT: Cell<u64> = const { Cell::new(0) });
-    let n = NEXT.with(|n| n.replace(n.get() + 1));
+    let sequence = NEXT.with(|sequence| sequence.replace(sequence.get() + 1));
     let dir = mailbox(to).ok_or_else(|| std::io::Error::other("no TMPDIR"))?;
-    let part = dir.join(format!("{}-{n}.part", std::process::id()));
-    std::fs::write(&part, body)?;
-    std::fs::rename(&part, part.with_extension("json"))
+    let partial = dir.join(format!("{}-{sequence}.part", std::process::id()));
+    std::fs::write(&partial, body)?;
+    std::fs::rename(&partial, partial.with_extension("json"))
 }
 
-/// Takes what was posted to this process, oldest first as far as names tell.
-pub(crate) fn collect() -> Vec<Vec<u8>> {
+/// Removes and returns the call-backs posted to this process, in the order of their file names.
+pub(crate) fn take_callbacks() -> Vec<Vec<u8>> {
     let Some(dir) = mailbox(std::process::id()) else {
         return Vec::new();
     };
@@ -98,7 +100,7 @@
         .collect()
 }
 
-/// Removes this process's mailbox at its end.
+/// Removes the mailbox of this process when it ends.
 pub(crate) fn close() {
     if let Some(dir) = mailbox(std::process::id()) {
         let _ = std::fs::remove_dir_all(dir);
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -1,18 +1,19 @@
-//! HTTP/1.1 over one TCP connection, for both sides: heads by httparse, bodies by length or in chunks.
+//! HTTP/1.1 over one TCP connection, for servers and clients. Heads are parsed by httparse; bodies are framed
+//! by length or chunks.
 
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::io;
 use std::net::TcpStream;
 
-/// The longest head.
-const HEAD: usize = 16 << 10;
-/// The longest body.
+/// Maximum length of a message head in bytes.
+const MAX_HEAD_BYTES: usize = 16 << 10;
+/// Maximum length of a message body in bytes.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
-const HEADERS: usize = 64;
-/// The longest chunk of an answer without end, such as a watch.
-const CHUNK: usize = 4 << 20;
-/// Headers that must not come twice, as the two could be read in two ways.
+const MAX_HEADERS: usize = 64;
+/// Maximum length in bytes of one chunk of an unbounded response, such as a watch.
+const MAX_CHUNK_BYTES: usize = 4 << 20;
+/// Headers that may occur only once, as recipients could interpret two of them differently.
 pub(crate) const UNIQUE_HEADERS: [&str; 6] = [
     "content-length",
     "transfer-encoding",
@@ -22,16 +23,16 @@
     "x-facts",
 ];
 
-/// Why a message cannot be read.
+/// Reason why a message could not be read.
 #[derive(Debug)]
 pub enum ReadError {
-    /// The connection ended or broke.
+    /// The connection was closed or broke.
     Ended,
-    /// It is not HTTP as it should be.
+    /// The message violates HTTP or the rules of this server.
     Malformed(&'static str),
-    /// Its body is over the limit.
+    /// The message exceeds a length limit.
     TooLarge,
-    /// It did not come in whole in time.
+    /// The message did not arrive completely in time.
     Late,
 }
 
@@ -41,27 +42,27 @@
     }
 }
 
-/// The head of a request or an answer.
+/// Head of a request or a response.
 #[derive(Debug, Default)]
 pub struct Head {
-    /// The method; empty for an answer.
+    /// Method of a request; empty for a response.
     pub method: String,
-    /// Path and query.
+    /// Path and query of a request; empty for a response.
     pub target: String,
-    /// The status; 0 for a request.
+    /// Status of a response; 0 for a request.
     pub status: u16,
-    /// The sender closes after this message.
+    /// Whether the sender closes the connection after this message.
     pub close: bool,
     headers: Vec<(String, String)>,
 }
 
 impl Head {
-    /// The value of a header; the first, if there are several.
+    /// The first value of a header, if there is any.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.all(name).next()
     }
 
-    /// The values of a header.
+    /// All values of a header, in the order of the message.
     pub fn all<'a, 'n>(&'a self, name: &'n str) -> impl Iterator<Item = &'a str> + use<'a, 'n> {
         self.headers
             .iter()
@@ -73,46 +74,47 @@
 enum Framing {
     Length(usize),
     Chunked,
-    ToEnd,
+    UntilClose,
 }
 
-/// A connection, and what has been read from it but not used.
+/// A connection with its unprocessed input.
 pub struct Conn {
     stream: Async<TcpStream>,
-    buf: Vec<u8>,
+    buffer: Vec<u8>,
     overrun: bool,
 }
 
 impl Conn {
     /// Wraps a connected stream.
     pub fn new(stream: Async<TcpStream>) -> Conn {
-        // Guards against small answers waiting for acknowledgements.
+        // Guards against small messages that wait for acknowledgements (Nagle's algorithm).
         let _ = stream.get_ref().set_nodelay(true);
         Conn {
             stream,
-            buf: Vec::new(),
+            buffer: Vec::new(),
             overrun: false,
         }
     }
 
-    /// The stream below.
+    /// The underlying TCP stream.
     pub fn stream(&self) -> &Async<TcpStream> {
         &self.stream
     }
 
     async fn fill(&mut self) -> io::Result<usize> {
-        let mut part = [0u8; 8 << 10];
-        let n = self.stream.read(&mut part).await?;
-        self.buf.extend_from_slice(&part[..n]);
+        let mut bytes = [0u8; 8 << 10];
+        let n = self.stream.read(&mut bytes).await?;
+        self.buffer.extend_from_slice(&bytes[..n]);
         Ok(n)
     }
 
-    /// Comes back when the other side has ended the connection, never otherwise. What it sends meanwhile is
-    /// kept, up to a little; the rest is thrown away, and the connection is fit for nothing but to be closed. Guards
-    /// against a client that sends much at once and goes: its end stands behind what it sent.
-    pub async fn ended(&mut self) {
+    /// Completes when the peer has closed the connection, and never otherwise. Input that arrives in the
+    /// meantime is kept up to a limit; beyond that it is discarded, and the connection can then only be
+    /// closed. Guards against a client that sends much data at once and disconnects: the end of the stream is
+    /// only seen after that data.
+    pub async fn closed_by_peer(&mut self) {
         loop {
-            if self.buf.len() < HEAD {
+            if self.buffer.len() < MAX_HEAD_BYTES {
                 if !matches!(self.fill().await, Ok(n) if n > 0) {
                     return;
                 }
@@ -122,53 +124,54 @@
                     return;
                 }
             }
-            // Guards against a client that sends at full speed and keeps all others waiting.
+            // Guards against a client that sends at full speed and would starve the other tasks.
             futures_lite::future::yield_now().await;
         }
     }
 
-    /// Whether some of what came was thrown away.
+    /// Whether some input was discarded.
     pub fn is_overrun(&self) -> bool {
         self.overrun
     }
 
-    /// Reads some of what comes, for nothing; how much it was, and 0 at the end.
+    /// Reads some input and discards it. Returns its length, or 0 at the end of the stream.
     pub async fn discard_input(&mut self) -> usize {
-        let mut part = [0u8; 8 << 10];
-        self.stream.read(&mut part).await.unwrap_or(0)
+        let mut bytes = [0u8; 8 << 10];
+        self.stream.read(&mut bytes).await.unwrap_or(0)
     }
 
-    /// Whether the connection can carry another request: nothing has come unasked, the end neither.
-    pub fn is_quiet(&self) -> bool {
+    /// Whether the connection can carry another request: there is no unexpected input, and the peer has not
+    /// closed it.
+    pub fn is_reusable(&self) -> bool {
         let mut one = [0u8; 1];
         let peeked = self.stream.get_ref().peek(&mut one);
-        self.buf.is_empty() && matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
+        self.buffer.is_empty() && matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Whether anything of a next message has come already.
+    /// Whether input of a next message has already been read.
     pub fn has_input(&self) -> bool {
-        !self.buf.is_empty()
+        !self.buffer.is_empty()
     }
 
-    /// Waits until something of the next message is there. An error at the end.
+    /// Waits until input of the next message is available. Fails at the end of the stream.
     pub async fn wait_input(&mut self) -> Result<(), ReadError> {
-        if self.buf.is_empty() && !matches!(self.fill().await, Ok(n) if n > 0) {
+        if self.buffer.is_empty() && !matches!(self.fill().await, Ok(n) if n > 0) {
             return Err(ReadError::Ended);
         }
         Ok(())
     }
 
-    /// Reads one line, without its end.
-    pub async fn line(&mut self, most: usize) -> Result<Vec<u8>, ReadError> {
-        let mut seen = 0;
+    /// Reads one line and returns it without its line feed. Fails if it is longer than `max_bytes`.
+    pub async fn line(&mut self, max_bytes: usize) -> Result<Vec<u8>, ReadError> {
+        let mut scanned = 0;
         loop {
-            if let Some(end) = self.buf[seen..].iter().position(|&b| b == b'\n') {
-                let mut line: Vec<u8> = self.buf.drain(..=seen + end).collect();
+            if let Some(end) = self.buffer[scanned..].iter().position(|&b| b == b'\n') {
+                let mut line: Vec<u8> = self.buffer.drain(..=scanned + end).collect();
                 line.pop();
                 return Ok(line);
             }
-            seen = self.buf.len();
-            if seen > most {
+            scanned = self.buffer.len();
+            if scanned > max_bytes {
                 return Err(ReadError::TooLarge);
             }
             if self.fill().await? == 0 {
@@ -177,7 +180,7 @@
         }
     }
 
-    /// Writes all of it.
+    /// Writes all bytes.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await
     }
@@ -185,13 +188,13 @@
     /// Reads the head of a request.
     pub async fn request(&mut self) -> Result<Head, ReadError> {
         loop {
-            let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+            let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut request = httparse::Request::new(&mut headers);
-            match request.parse(&self.buf) {
+            match request.parse(&self.buffer) {
                 Ok(httparse::Status::Complete(length)) => {
                     let (method, target) =
                         (request.method.unwrap_or(""), request.path.unwrap_or(""));
-                    // Passed on as it is: guards against a target that a worker could not read.
+                    // The target is forwarded unchanged: guards against one that a worker could not parse.
                     if !target.bytes().all(|b| b.is_ascii_graphic()) {
                         return Err(ReadError::Malformed("the target is not plain ASCII"));
                     }
@@ -201,53 +204,53 @@
                         target,
                         ..head(request.headers, request.version)?
                     };
-                    let twice = |n: &&str| {
+                    let is_repeated = |n: &&str| {
                         head.headers
                             .iter()
                             .filter(|(h, _)| h.eq_ignore_ascii_case(n))
                             .count()
                             > 1
                     };
-                    if UNIQUE_HEADERS.iter().any(twice) {
+                    if UNIQUE_HEADERS.iter().any(is_repeated) {
                         return Err(ReadError::Malformed("a header that must not come twice"));
                     }
                     if request.version == Some(0) && head.get("transfer-encoding").is_some() {
                         return Err(ReadError::Malformed("Transfer-Encoding in HTTP/1.0"));
                     }
-                    self.buf.drain(..length);
+                    self.buffer.drain(..length);
                     return Ok(head);
                 }
-                Ok(httparse::Status::Partial) => self.more().await?,
+                Ok(httparse::Status::Partial) => self.read_more_head().await?,
                 Err(_) => return Err(ReadError::Malformed("not an HTTP/1.1 request")),
             }
         }
     }
 
-    /// Reads the head of an answer, past those that only say to go on.
-    pub async fn answer(&mut self) -> Result<Head, ReadError> {
+    /// Reads the head of a response and skips interim (1xx) responses.
+    pub async fn response(&mut self) -> Result<Head, ReadError> {
         loop {
-            let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+            let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut response = httparse::Response::new(&mut headers);
-            match response.parse(&self.buf) {
+            match response.parse(&self.buffer) {
                 Ok(httparse::Status::Complete(length)) => {
                     let status = response.code.unwrap_or(0);
                     let head = Head {
                         status,
                         ..head(response.headers, response.version)?
                     };
-                    self.buf.drain(..length);
+                    self.buffer.drain(..length);
                     if status >= 200 {
                         return Ok(head);
                     }
                 }
-                Ok(httparse::Status::Partial) => self.more().await?,
+                Ok(httparse::Status::Partial) => self.read_more_head().await?,
                 Err(_) => return Err(ReadError::Malformed("not an HTTP/1.1 answer")),
             }
         }
     }
 
-    async fn more(&mut self) -> Result<(), ReadError> {
-        if self.buf.len() > HEAD {
+    async fn read_more_head(&mut self) -> Result<(), ReadError> {
+        if self.buffer.len() > MAX_HEAD_BYTES {
             return Err(ReadError::Malformed("the head is too long"));
         }
         match self.fill().await {
@@ -261,65 +264,66 @@
         match framing(head)? {
             Framing::Length(n) if n > MAX_BODY_BYTES => Err(ReadError::TooLarge),
             Framing::Length(n) => {
-                if n > self.buf.len()
+                if n > self.buffer.len()
                     && head
                         .get("expect")
                         .is_some_and(|e| e.eq_ignore_ascii_case("100-continue"))
                 {
                     self.write(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
                 }
-                while self.buf.len() < n {
+                while self.buffer.len() < n {
                     if self.fill().await? == 0 {
                         return Err(ReadError::Ended);
                     }
                 }
-                Ok(self.buf.drain(..n).collect())
+                Ok(self.buffer.drain(..n).collect())
             }
             Framing::Chunked => {
                 let mut body = Vec::new();
-                while let Some(part) = self.chunk_of(MAX_BODY_BYTES - body.len()).await? {
-                    body.extend_from_slice(&part);
+                while let Some(bytes) = self.chunk_up_to(MAX_BODY_BYTES - body.len()).await? {
+                    body.extend_from_slice(&bytes);
                 }
                 Ok(body)
             }
-            Framing::ToEnd => {
+            Framing::UntilClose => {
                 while self.fill().await? > 0 {
-                    if self.buf.len() > MAX_BODY_BYTES {
+                    if self.buffer.len() > MAX_BODY_BYTES {
                         return Err(ReadError::TooLarge);
                     }
                 }
-                Ok(std::mem::take(&mut self.buf))
+                Ok(std::mem::take(&mut self.buffer))
             }
         }
     }
 
-    /// Reads one chunk of an answer without end; none at its end.
+    /// Reads one chunk of an unbounded response; `None` at its end.
     pub async fn chunk(&mut self) -> Result<Option<Vec<u8>>, ReadError> {
-        self.chunk_of(CHUNK).await
+        self.chunk_up_to(MAX_CHUNK_BYTES).await
     }
 
-    /// Reads one chunk; none at the last. Guards against one that says it is huge: nothing of it is kept.
-    async fn chunk_of(&mut self, most: usize) -> Result<Option<Vec<u8>>, ReadError> {
+    /// Reads one chunk; `None` for the last one. Guards against a chunk that announces a huge size: none of
+    /// it is kept.
+    async fn chunk_up_to(&mut self, max_bytes: usize) -> Result<Option<Vec<u8>>, ReadError> {
         loop {
-            match httparse::parse_chunk_size(&self.buf) {
+            match httparse::parse_chunk_size(&self.buffer) {
                 Ok(httparse::Status::Complete((start, size))) => {
                     let size = usize::try_from(size)
                         .ok()
-                        .filter(|&s| s <= most)
+                        .filter(|&s| s <= max_bytes)
                         .ok_or(ReadError::TooLarge)?;
-                    while self.buf.len() < start + size + 2 {
+                    while self.buffer.len() < start + size + 2 {
                         if self.fill().await? == 0 {
                             return Err(ReadError::Ended);
                         }
                     }
-                    if &self.buf[start + size..start + size + 2] != b"\r\n" {
+                    if &self.buffer[start + size..start + size + 2] != b"\r\n" {
                         return Err(ReadError::Malformed("a chunk without its end"));
                     }
-                    let part = self.buf[start..start + size].to_vec();
-                    self.buf.drain(..start + size + 2);
-                    return Ok((size > 0).then_some(part));
+                    let bytes = self.buffer[start..start + size].to_vec();
+                    self.buffer.drain(..start + size + 2);
+                    return Ok((size > 0).then_some(bytes));
                 }
-                Ok(httparse::Status::Partial) => self.more().await?,
+                Ok(httparse::Status::Partial) => self.read_more_head().await?,
                 Err(_) => return Err(ReadError::Malformed("not a chunk")),
             }
         }
@@ -340,22 +344,23 @@
         headers,
         ..Head::default()
     };
-    let says = |word: &str| {
-        let has = |c: &str| c.split(',').any(|w| w.trim().eq_ignore_ascii_case(word));
+    let has_connection_option = |word: &str| {
+        let contains = |c: &str| c.split(',').any(|w| w.trim().eq_ignore_ascii_case(word));
         head.headers
             .iter()
-            .any(|(n, v)| n.eq_ignore_ascii_case("connection") && has(v))
+            .any(|(n, v)| n.eq_ignore_ascii_case("connection") && contains(v))
     };
-    head.close = says("close") || version == Some(0) && !says("keep-alive");
+    head.close = has_connection_option("close")
+        || version == Some(0) && !has_connection_option("keep-alive");
     Ok(head)
 }
 
-/// How long the body of a request may be, by its head.
+/// Upper bound of a request's body length, according to its head.
 pub(crate) fn body_length(head: &Head) -> Result<usize, ReadError> {
     match framing(head)? {
         Framing::Length(n) if n > MAX_BODY_BYTES => Err(ReadError::TooLarge),
         Framing::Length(n) => Ok(n),
-        Framing::Chunked | Framing::ToEnd => Ok(MAX_BODY_BYTES),
+        Framing::Chunked | Framing::UntilClose => Ok(MAX_BODY_BYTES),
     }
 }
 
@@ -381,6 +386,6 @@
         (None, None) if head.status == 0 || head.status == 204 || head.status == 304 => {
             Ok(Framing::Length(0))
         }
-        (None, None) => Ok(Framing::ToEnd),
+        (None, None) => Ok(Framing::UntilClose),
     }
 }
--- a/src/net/lists.rs
+++ b/src/net/lists.rs
@@ -1,39 +1,40 @@
-//! Takes a watch apart: JSON objects, indented or not, in pieces of any size, and the empty lines between them.
+//! Splits the body of a discovery watch into JSON objects, indented or not, and the empty lines between them.
+//! The input arrives in pieces of any size.
 
-/// The longest object.
+/// Maximum length of one object in bytes.
 const MAX_OBJECT_BYTES: usize = 4 << 20;
 
-/// What a watch says.
+/// One item of a watch.
 #[derive(Debug, PartialEq, Eq)]
 pub enum WatchItem {
-    /// Nothing changed.
+    /// An empty line: the list has not changed.
     Unchanged,
-    /// The text of one object.
+    /// The text of one JSON object.
     Object(Vec<u8>),
 }
 
-/// Why what came is no watch.
+/// Reason why the input is not a valid watch.
 #[derive(Debug, PartialEq, Eq)]
 pub enum SplitError {
-    /// Something stands where an object should begin.
+    /// A character other than `{` where an object should begin.
     NotAnObject,
-    /// An object without end.
+    /// An object longer than 4 MiB.
     ObjectTooLong,
 }
 
-/// Finds where objects end, looking at each byte once. Line ends inside an object are part of it.
+/// Finds the ends of objects and reads each byte only once. Line ends inside an object belong to it.
 #[derive(Debug, Default)]
 pub struct Splitter {
     object: Vec<u8>,
     depth: usize,
     in_string: bool,
     escaped: bool,
-    /// Nothing has come on this line yet.
+    /// The current line contains no object so far.
     line_is_empty: bool,
 }
 
 impl Splitter {
-    /// At the beginning of a watch.
+    /// A splitter at the beginning of a watch.
     pub fn new() -> Splitter {
         Splitter {
             line_is_empty: true,
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Takes a piece; what it completes is added to `out`.
+    /// Processes one piece and appends the items that it completes to `out`.
     pub fn feed(&mut self, piece: &[u8], out: &mut Vec<WatchItem>) -> Result<(), SplitError> {
         for &byte in piece {
             if self.depth == 0 {
@@ -51,7 +52,7 @@
                         self.object.push(byte);
                     }
                     b'\n' => {
-                        // The end of a line that held an object says nothing of its own.
+                        // The end of a line that contained an object is not an item of its own.
                         if std::mem::replace(&mut self.line_is_empty, true) {
                             out.push(WatchItem::Unchanged);
                         }
--- a/src/net/mgmt.rs
+++ b/src/net/mgmt.rs
@@ -1,4 +1,5 @@
-//! Where operators call: one line a connection, one answer, then the end. The calls are `crate::telemetry`'s.
+//! Listener for operators' calls. Each connection carries one line and one answer, and is then closed.
+//! `crate::telemetry` implements the calls.
 
 use crate::runtime::Hub;
 use crate::telemetry::{self, Call, LineReader, Read};
@@ -11,32 +12,33 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Callers served at once; one more is turned away at once. Their descriptors are kept aside by the limits.
+/// Maximum number of connections served at the same time; further ones are closed at once. The limits reserve
+/// their descriptors.
 pub(crate) const MAX_OPERATOR_CONNECTIONS: usize = 16;
-/// A caller who has not finished its line by then is ended: callers wait 1 s, and some say nothing for 4 s.
-const CALL: Duration = Duration::from_millis(1_500);
-/// How long an answer may take to be written, and what comes after it to be read.
-const AFTER: Duration = Duration::from_millis(500);
+/// Time limit for a caller to send its line: callers wait for 1 s, and some send nothing for 4 s.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Time limit for writing an answer, and again for reading the input that follows it.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Listens at `addr`; gives the address that was bound.
+/// Listens at `addr` and returns the bound address.
 pub(crate) fn listen(hub: &Rc<Hub>, addr: SocketAddr) -> io::Result<SocketAddr> {
     let listener = Async::<TcpListener>::bind(addr)?;
     let addr = listener.get_ref().local_addr()?;
-    let (spawner, callers) = (hub.clone(), Rc::new(Cell::new(0usize)));
+    let (spawner, connections) = (hub.clone(), Rc::new(Cell::new(0usize)));
     hub.spawn(async move {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) if callers.get() >= MAX_OPERATOR_CONNECTIONS => drop(stream),
+                Ok((stream, _)) if connections.get() >= MAX_OPERATOR_CONNECTIONS => drop(stream),
                 Ok((stream, _)) => {
-                    callers.set(callers.get() + 1);
-                    let (hub, callers) = (spawner.clone(), callers.clone());
+                    connections.set(connections.get() + 1);
+                    let (hub, connections) = (spawner.clone(), connections.clone());
                     spawner.spawn(async move {
                         call(&hub, stream).await;
-                        callers.set(callers.get() - 1);
+                        connections.set(connections.get() - 1);
                     });
                 }
                 Err(e) => {
-                    warn!(spawner.log, "an operator's call could not be accepted"; "error" => %e);
+                    warn!(spawner.log, "cannot accept an operator connection"; "error" => %e);
                     Timer::after(Duration::from_millis(20)).await;
                 }
             }
@@ -49,11 +51,11 @@
 async fn call(hub: &Hub, mut stream: Async<TcpStream>) {
     let mut reader = LineReader::default();
     let read = async {
-        let mut piece = [0u8; 256];
+        let mut chunk = [0u8; 256];
         loop {
-            match stream.read(&mut piece).await {
+            match stream.read(&mut chunk).await {
                 Ok(0) => return reader.end(),
-                Ok(n) => match reader.feed(&piece[..n]) {
+                Ok(n) => match reader.feed(&chunk[..n]) {
                     Read::More => {}
                     Read::Line(call) => return Some(call),
                     Read::TooLong => return Some(Call::Unknown("the call is too long".into())),
@@ -62,11 +64,11 @@
             }
         }
     };
-    let Some(call) = future::or(read, after(CALL, None)).await else {
+    let Some(call) = future::or(read, value_after(REQUEST_TIMEOUT, None)).await else {
         return;
     };
     if let Call::Unknown(why) = &call {
-        slog::info!(hub.log, "an operator's call is not known"; "why" => why);
+        slog::info!(hub.log, "unknown operator call"; "why" => why);
     }
     let text = telemetry::answer(
         &call,
@@ -75,19 +77,20 @@
         |call| hub.fleet_report(call),
     );
     let written = async { stream.write_all(text.as_bytes()).await.is_ok() };
-    if !future::or(written, after(AFTER, false)).await {
+    if !future::or(written, value_after(RESPONSE_TIMEOUT, false)).await {
         return;
     }
-    // Told the end, then read: closing with bytes unread would reset the connection and lose the answer.
+    // Shuts down the sending side and reads the remaining input: closing with unread input would reset the
+    // connection and lose the answer.
     let _ = stream.get_ref().shutdown(Shutdown::Write);
-    let rest = async {
-        let mut piece = [0u8; 256];
-        while matches!(stream.read(&mut piece).await, Ok(n) if n > 0) {}
+    let remaining_input = async {
+        let mut chunk = [0u8; 256];
+        while matches!(stream.read(&mut chunk).await, Ok(n) if n > 0) {}
     };
-    future::or(rest, after(AFTER, ())).await;
+    future::or(remaining_input, value_after(RESPONSE_TIMEOUT, ())).await;
 }
 
-async fn after<T>(wait: Duration, value: T) -> T {
+async fn value_after<T>(wait: Duration, value: T) -> T {
     Timer::after(wait).await;
     value
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,5 @@
-//! The platform's front: front sockets, route steps with a connection pool, pool config.
+//! Network side of the dispatcher: client connections, route steps over a connection pool, and the pool
+//! configuration from discovery.
 
 pub(crate) mod callback;
 mod close;
@@ -18,31 +19,32 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// What the settings say of connections to workers.
+/// Settings of the connections to workers.
 #[derive(Clone, Copy)]
-pub(crate) struct Figures {
+pub(crate) struct WorkerConnectionSettings {
     pub(crate) connect_timeout: Duration,
-    pub(crate) idle: Duration,
-    pub(crate) sockets: usize,
-    /// Beside these, for cancels.
-    pub(crate) reserve: usize,
+    pub(crate) idle_timeout: Duration,
+    pub(crate) max_sockets: usize,
+    /// Additional connections that only cancels may use.
+    pub(crate) cancel_reserve: usize,
 }
 
-impl Figures {
-    pub(crate) fn new(site: &Site, limits: &Limits) -> Figures {
-        Figures {
+impl WorkerConnectionSettings {
+    pub(crate) fn new(site: &Site, limits: &Limits) -> WorkerConnectionSettings {
+        WorkerConnectionSettings {
             connect_timeout: Duration::from_micros(site.connect_timeout_us),
-            // Well before the worker's machine closes: a request written after that would be lost.
-            idle: Duration::from_micros(site.settings.connection_idle_timeout_us / 10 * 8),
-            sockets: limits.worker_sockets(),
-            reserve: limits.cancel_reserve(),
+            // Well before the worker's machine closes idle connections: a request written after that would be
+            // lost.
+            idle_timeout: Duration::from_micros(site.settings.connection_idle_timeout_us / 10 * 8),
+            max_sockets: limits.worker_sockets(),
+            cancel_reserve: limits.cancel_reserve(),
         }
     }
 }
 
-/// The settings' word for a value of a load report, which has another one on the sockets.
-fn settings_word(on_socket: &str) -> &str {
-    match on_socket {
+/// Maps the name of a load report value on the wire to its name in the settings.
+fn settings_name(wire_name: &str) -> &str {
+    match wire_name {
         "inflight" => "active",
         "queue" => "waiting",
         "util" => "cpu",
@@ -53,21 +55,21 @@
     }
 }
 
-/// Reads a load report of the form `inflight=7,eps=0.5`; what is no number is skipped.
+/// Parses a load report of the form `inflight=7,eps=0.5`. Values that are not numbers are skipped.
 pub(crate) fn load_from_header(text: &str) -> HashMap<String, f64> {
-    let pair = |p: &str| {
-        let (name, value) = p.split_once('=')?;
+    let pair = |part: &str| {
+        let (name, value) = part.split_once('=')?;
         Some((
-            settings_word(name.trim()).to_string(),
+            settings_name(name.trim()).to_string(),
             value.trim().parse().ok()?,
         ))
     };
     text.split(',').filter_map(pair).collect()
 }
 
-/// Reads a load report that is a JSON object.
+/// Converts a load report that was sent as a JSON object.
 pub(crate) fn load_from_json(load: &HashMap<String, f64>) -> HashMap<String, f64> {
     load.iter()
-        .map(|(name, value)| (settings_word(name).to_string(), *value))
+        .map(|(name, value)| (settings_name(name).to_string(), *value))
         .collect()
 }
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -1,7 +1,7 @@
-//! Connections to workers, kept for the next route step.
+//! Pool of connections to workers, which are kept open and reused for later route steps.
 
 use super::http::Conn;
-use super::Figures;
+use super::WorkerConnectionSettings;
 use crate::closing::Closing;
 use crate::core::StepOutcome;
 use crate::runtime::Hub;
@@ -14,58 +14,58 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a connection rests after an answer before it carries the next request. Guards against a worker that answers
-/// twice: the second answer comes some milliseconds later, and would be read as that to the next request, which might
-/// say of a job that runs that it never began.
-const REST: Duration = Duration::from_millis(20);
+/// Time after a response until a connection may carry the next request. Guards against a worker that responds
+/// twice: the second response arrives some milliseconds later and would be read as the response to the next
+/// request. It could then report that a running job never started.
+const REUSE_DELAY: Duration = Duration::from_millis(20);
 
-/// Time for a client's connection that gives way to close.
+/// Time for a client's connection to close after it was closed to free its descriptor.
 const FREED_CONNECTION_CLOSE_TIME: Duration = Duration::from_millis(2);
 
-/// What a connection is wanted for.
+/// Purpose for which a connection is requested; it decides which limit applies.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ConnectionPurpose {
-    /// A route step, or a probe.
+    /// A route step or a probe.
     Work,
-    /// The end of one: it may use what is set aside.
+    /// The cancel of a route step, which may use the reserved connections.
     Cancel,
 }
 
-/// Idle connections by worker, and how many connections there are in all.
+/// Idle connections by worker, and the number of connections in use.
 pub(crate) struct Pool {
     hub: Rc<Hub>,
-    figures: Figures,
+    settings: WorkerConnectionSettings,
     idle: RefCell<HashMap<SocketAddr, Vec<(Instant, Conn)>>>,
     open: Rc<Cell<usize>>,
 }
 
-/// A connection in use; dropping it closes it.
+/// A connection in use. Dropping it closes the connection.
 pub(crate) struct PooledConnection {
     pub(crate) conn: Conn,
-    _counted: Counted,
+    _open_count: OpenCount,
 }
 
-struct Counted(Rc<Cell<usize>>);
+struct OpenCount(Rc<Cell<usize>>);
 
-impl Drop for Counted {
+impl Drop for OpenCount {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 impl Pool {
-    pub(crate) fn new(hub: Rc<Hub>, figures: Figures) -> Rc<Pool> {
+    pub(crate) fn new(hub: Rc<Hub>, settings: WorkerConnectionSettings) -> Rc<Pool> {
         let pool = Rc::new(Pool {
             hub,
-            figures,
+            settings,
             idle: RefCell::default(),
             open: Rc::default(),
         });
-        let kept = Rc::downgrade(&pool);
+        let weak_pool = Rc::downgrade(&pool);
         pool.hub.spawn(async move {
-            // Guards against a request written to a connection that the other side has just closed as idle.
-            while let Some(pool) = kept.upgrade() {
-                pool.retire();
+            // Guards against writing a request to a connection that the worker has just closed as idle.
+            while let Some(pool) = weak_pool.upgrade() {
+                pool.close_expired();
                 drop(pool);
                 Timer::after(Duration::from_secs(1)).await;
             }
@@ -73,31 +73,39 @@
         pool
     }
 
-    fn retire(&self) {
+    fn close_expired(&self) {
         let mut idle = self.idle.borrow_mut();
-        let limit = self.figures.idle;
-        let mut over = Vec::new();
+        let limit = self.settings.idle_timeout;
+        let mut expired = Vec::new();
         for conns in idle.values_mut() {
-            let fit = |(since, conn): &(Instant, Conn)| since.elapsed() < limit && conn.is_quiet();
-            over.extend(conns.extract_if(.., |c| !fit(c)).map(|(_, conn)| conn));
+            let is_usable =
+                |(since, conn): &(Instant, Conn)| since.elapsed() < limit && conn.is_reusable();
+            expired.extend(
+                conns
+                    .extract_if(.., |c| !is_usable(c))
+                    .map(|(_, conn)| conn),
+            );
         }
         idle.retain(|_, c| !c.is_empty());
         drop(idle);
-        over.into_iter().for_each(|conn| self.close(conn));
+        expired.into_iter().for_each(|conn| self.close(conn));
     }
 
-    /// Closes a connection in order.
+    /// Starts an orderly close of the connection.
     fn close(&self, conn: Conn) {
         self.hub.spawn(conn.close(Closing::resting()));
     }
 
-    /// A connection that stands idle, has rested, and is fit for use: the one used last.
-    fn rested(&self, addr: SocketAddr) -> Option<Conn> {
+    /// Takes the most recently used idle connection whose reuse delay has passed and that is still usable.
+    fn take_idle(&self, addr: SocketAddr) -> Option<Conn> {
         let mut idle = self.idle.borrow_mut();
         let conns = idle.get_mut(&addr)?;
-        while let Some(at) = conns.iter().rposition(|(since, _)| since.elapsed() >= REST) {
+        while let Some(at) = conns
+            .iter()
+            .rposition(|(since, _)| since.elapsed() >= REUSE_DELAY)
+        {
             let (since, conn) = conns.remove(at);
-            if since.elapsed() < self.figures.idle && conn.is_quiet() {
+            if since.elapsed() < self.settings.idle_timeout && conn.is_reusable() {
                 return Some(conn);
             }
             self.close(conn);
@@ -105,45 +113,45 @@
         None
     }
 
-    /// A connection that stands idle, or a new one.
+    /// Takes an idle connection or opens a new one.
     pub(crate) async fn take(
         &self,
         addr: SocketAddr,
-        what: ConnectionPurpose,
+        purpose: ConnectionPurpose,
     ) -> Result<PooledConnection, StepOutcome> {
-        let counted = |open: &Rc<Cell<usize>>| {
+        let open_count = |open: &Rc<Cell<usize>>| {
             open.set(open.get() + 1);
-            Counted(open.clone())
+            OpenCount(open.clone())
         };
-        if let Some(conn) = self.rested(addr) {
+        if let Some(conn) = self.take_idle(addr) {
             return Ok(PooledConnection {
                 conn,
-                _counted: counted(&self.open),
+                _open_count: open_count(&self.open),
             });
         }
         let idle: usize = self.idle.borrow().values().map(Vec::len).sum();
-        let most = self.figures.sockets
-            + if what == ConnectionPurpose::Cancel {
-                self.figures.reserve
+        let max_open = self.settings.max_sockets
+            + if purpose == ConnectionPurpose::Cancel {
+                self.settings.cancel_reserve
             } else {
                 0
             };
-        if self.open.get() + idle >= most && !self.drop_oldest() {
-            return Err(StepOutcome::NotSent); // no descriptor to spare; another worker would need one too
+        if self.open.get() + idle >= max_open && !self.drop_oldest() {
+            return Err(StepOutcome::NotSent); // no descriptor left; another worker would need one too
         }
-        let counted = counted(&self.open);
+        let open_count = open_count(&self.open);
         let dial = async { dial(&self.hub, addr).await.map(Some) };
-        let late = async {
-            Timer::after(self.figures.connect_timeout).await;
+        let timeout = async {
+            Timer::after(self.settings.connect_timeout).await;
             Ok(None)
         };
-        match future::or(dial, late).await {
+        match future::or(dial, timeout).await {
             Ok(Some(stream)) => {
                 self.hub
                     .with(|core, _| core.counters.worker_connections += 1);
                 Ok(PooledConnection {
                     conn: Conn::new(stream),
-                    _counted: counted,
+                    _open_count: open_count,
                 })
             }
             Ok(None) => Err(StepOutcome::ConnectTimedOut),
@@ -152,16 +160,16 @@
         }
     }
 
-    /// Ends a connection on which an answer is still owed by the worker: that gives the job up.
+    /// Closes a connection on which the worker still owes a response, which abandons the job.
     pub(crate) fn end(&self, pooled: PooledConnection) {
-        let PooledConnection { conn, _counted } = pooled;
+        let PooledConnection { conn, _open_count } = pooled;
         self.hub.spawn(async move {
             conn.close(Closing::resting()).await;
-            drop(_counted);
+            drop(_open_count);
         });
     }
 
-    /// Takes a connection back after a whole exchange.
+    /// Returns a connection to the pool after a complete exchange.
     pub(crate) fn give_back(&self, addr: SocketAddr, pooled: PooledConnection) {
         self.idle
             .borrow_mut()
@@ -182,13 +190,14 @@
         let Some(conns) = idle.get_mut(&addr) else {
             return false;
         };
-        conns.remove(0); // its descriptor is wanted at once
+        conns.remove(0); // closed immediately because its descriptor is needed now
         true
     }
 }
 
-/// Opens a connection. Where the system gives fewer descriptors than were promised one client that rests gives way, and
-/// it is tried once more; no more than one, as memory or ports may be short too, which no client frees.
+/// Opens a connection. If the system grants fewer descriptors than its limits promise, one idle client's
+/// connection is closed and the connect is repeated once. It is not repeated more often, as memory or local
+/// ports may be exhausted too, which closing clients' connections does not free.
 pub(crate) async fn dial(hub: &Hub, addr: SocketAddr) -> io::Result<Async<TcpStream>> {
     match Async::<TcpStream>::connect(addr).await {
         Err(e) if is_out_of_resources(&e) && hub.free_client_connection() => {
@@ -199,7 +208,7 @@
     }
 }
 
-/// Out of descriptors (EMFILE, ENFILE), memory for sockets, or local ports.
+/// Whether the system is out of descriptors (EMFILE, ENFILE), memory for sockets, or local ports.
 pub(crate) fn is_out_of_resources(e: &io::Error) -> bool {
     matches!(e.raw_os_error(), Some(23 | 24 | 12 | 105 | 99))
 }
--- a/src/net/request.rs
+++ b/src/net/request.rs
@@ -1,26 +1,27 @@
-//! What an HTTP request to a front means, and how an answer looks: for front sockets and the middleware.
+//! Conversion between HTTP requests and operations, and between answers and HTTP responses, for client
+//! connections and the middleware.
 
 use crate::core::{Answer, Operation, SubmitError};
 use crate::interface::{ClassId, Micros};
 use std::sync::Arc;
 
-/// What a front needs to know of a class.
+/// Properties of a class that the front ends need.
 #[derive(Clone, Debug)]
 pub(crate) struct ClassInfo {
     pub(crate) name: String,
     pub(crate) deadline_us: Micros,
     pub(crate) keyed: bool,
-    /// Retuned away: operations open under it keep its rules; new ones find it no longer.
+    /// A reload removed the class: its open operations keep its rules, and new operations are rejected.
     pub(crate) retired: bool,
 }
 
-/// The longest idempotency key: keys are remembered for a while.
-const KEY: usize = 1 << 10;
+/// Maximum length of an idempotency key in bytes. It is bounded because keys are remembered for a while.
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 1 << 10;
 
-/// The answer to one HTTP request.
+/// Response to one HTTP request.
 pub(crate) struct Reply {
     pub(crate) status: u16,
-    /// At most one header beside those of the framing.
+    /// At most one header, besides those that frame the message.
     pub(crate) header: Option<(&'static str, String)>,
     pub(crate) body: Arc<[u8]>,
 }
@@ -44,33 +45,37 @@
         self
     }
 
-    /// A method other than the one that a path bears.
-    pub(crate) fn only(method: &str) -> Reply {
+    /// Response to a method other than the one that the path supports.
+    pub(crate) fn method_not_allowed(method: &str) -> Reply {
         Reply::plain(405, &format!("only {method}")).with("Allow", method.to_string())
     }
 }
 
-/// The path of a request's target.
+/// Path of a request target, without the query.
 pub(crate) fn path(target: &str) -> &str {
     target.split('?').next().unwrap_or("")
 }
 
-/// The class that a target names by its first part.
+/// Index of the class named by the first segment of a target.
 pub(crate) fn class(classes: &[ClassInfo], target: &str) -> Option<usize> {
     let name = path(target).split('/').nth(1).unwrap_or("");
     classes.iter().rposition(|c| c.name == name && !c.retired)
 }
 
-/// What method and target alone show to be wrong, before a body is read for nothing.
-pub(crate) fn check(classes: &[ClassInfo], method: &str, target: &str) -> Result<usize, Reply> {
+/// Checks that need only the method and the target, so that no body is read in vain.
+pub(crate) fn check_target(
+    classes: &[ClassInfo],
+    method: &str,
+    target: &str,
+) -> Result<usize, Reply> {
     let class = class(classes, target).ok_or_else(|| Reply::plain(404, "no such class"))?;
     if method != "POST" {
-        return Err(Reply::only("POST"));
+        return Err(Reply::method_not_allowed("POST"));
     }
     Ok(class)
 }
 
-/// The operation that a request asks for.
+/// Parses the operation that a request asks for.
 pub(crate) fn operation<'a>(
     classes: &[ClassInfo],
     method: &str,
@@ -78,11 +83,11 @@
     get: impl Fn(&str) -> Option<&'a str>,
     body: Vec<u8>,
 ) -> Result<Operation, Reply> {
-    let class = check(classes, method, target)?;
+    let class = check_target(classes, method, target)?;
     let info = &classes[class];
     let bad = |why: &str| Reply::plain(400, why);
     let id = get("x-correlation-id").ok_or_else(|| bad("no X-Correlation-Id"))?;
-    if !is_id(id) {
+    if !is_valid_id(id) {
         return Err(bad("X-Correlation-Id: not an id"));
     }
     let remaining_us = match get("x-time-left-ms") {
@@ -95,10 +100,13 @@
         None => info.deadline_us / 1_000,
     };
     let idempotency_key = get("idempotency-key").map(str::to_string);
-    if idempotency_key.as_ref().is_some_and(|k| k.len() > KEY) {
+    if idempotency_key
+        .as_ref()
+        .is_some_and(|k| k.len() > MAX_IDEMPOTENCY_KEY_BYTES)
+    {
         return Err(bad("Idempotency-Key: too long"));
     }
-    // Passed on as it is: guards against a key that a worker could not read.
+    // The key is forwarded unchanged: guards against a key that a worker could not parse.
     if idempotency_key
         .as_ref()
         .is_some_and(|k| !k.bytes().all(|b| b.is_ascii_graphic()))
@@ -109,12 +117,12 @@
         return Err(bad("no Idempotency-Key"));
     }
     let mut slots = 1.0;
-    for fact in get("x-facts")
+    for field in get("x-facts")
         .unwrap_or("")
         .split(',')
         .filter(|f| !f.trim().is_empty())
     {
-        let (name, value) = fact
+        let (name, value) = field
             .split_once('=')
             .ok_or_else(|| bad("X-Facts: not name=value"))?;
         let value = value
@@ -127,7 +135,7 @@
             slots = value;
         }
     }
-    let parts: Vec<&str> = path(target)
+    let segments: Vec<&str> = path(target)
         .split('/')
         .skip(2)
         .filter(|p| !p.is_empty())
@@ -137,7 +145,7 @@
         class: ClassId(class as u32),
         target: target.to_string(),
         tenant: None,
-        subject: parts.last().map(|p| p.to_string()),
+        subject: segments.last().map(|p| p.to_string()),
         idempotency_key,
         slots,
         remaining_us: remaining_us.min(86_400_000).saturating_mul(1_000),
@@ -145,7 +153,7 @@
     })
 }
 
-/// Whose an operation is, by the values of the header that names it.
+/// The tenant of an operation, from the values of the header that names it.
 pub(crate) fn tenant<'a>(
     mut values: impl Iterator<Item = &'a str>,
 ) -> Result<Option<Arc<str>>, Reply> {
@@ -156,8 +164,8 @@
     }
 }
 
-/// How it looks that an operation was not taken.
-pub(crate) fn not_taken(why: SubmitError) -> Reply {
+/// Response to an operation that was not accepted.
+pub(crate) fn submit_error_reply(why: SubmitError) -> Reply {
     match why {
         SubmitError::DuplicateId => Reply::plain(409, "an operation of this id is in hand"),
         SubmitError::AtCapacity => busy("too many operations"),
@@ -172,8 +180,9 @@
     Reply::plain(503, why).with("Retry-After", "1".into())
 }
 
-/// Ids stand in paths of cancels and in call-backs: guards against one that would mean something else there.
-fn is_id(id: &str) -> bool {
+/// Whether an id is valid. Ids appear in the paths of cancels and in call-backs: guards against one that
+/// would have another meaning there.
+fn is_valid_id(id: &str) -> bool {
     !id.is_empty()
         && id.len() <= 128
         && id
@@ -181,7 +190,8 @@
             .all(|b| b.is_ascii_alphanumeric() || b"-._~:".contains(&b))
 }
 
-/// How a final answer looks. Busy replies are the only 429s, and 503 stands for nothing that may have run.
+/// Response for a final answer. Only busy answers are sent as 429, and 503 is never sent for an operation
+/// that may have run.
 pub(crate) fn reply(answer: Answer) -> Reply {
     match answer {
         Answer::Served(body) => Reply {
--- a/src/net/route.rs
+++ b/src/net/route.rs
@@ -1,4 +1,4 @@
-//! Route steps over HTTP: one exchange that hands a job to a worker, and the cancel.
+//! Route steps over HTTP: the exchange that passes a job to a worker, and the request that cancels the job.
 
 use super::http::{Head, ReadError};
 use super::pool::{ConnectionPurpose, Pool, PooledConnection};
@@ -18,36 +18,38 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a cancel or a probe may take: long enough for a worker that stands still for a moment.
-const SHORT: Duration = Duration::from_secs(2);
+/// Time limit for a cancel or a probe: long enough for a worker that stalls for a moment.
+const CONTROL_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How soon a cancel that found no descriptor asks for one again.
-const AGAIN: Duration = Duration::from_millis(20);
+/// Interval at which a cancel that found no free descriptor retries.
+const CANCEL_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long a 202 is waited for that may be on its way: a few times the way between buildings.
-const ON_ITS_WAY: Duration = Duration::from_millis(30);
+/// Time for which the driver waits for a 202 that may already be in flight: a few times the latency between
+/// buildings.
+const ACCEPTANCE_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// Carries route steps to workers that speak the platform's protocol.
+/// Sends route steps to workers that speak the platform's protocol.
 pub(crate) struct HttpDriver {
-    me: Weak<HttpDriver>,
+    weak_self: Weak<HttpDriver>,
     hub: Rc<Hub>,
     pool: Rc<Pool>,
-    /// Steps not taken by their worker yet; handing one its cancel ends its exchange and closes the connection.
-    handing: RefCell<BTreeMap<StepId, Sender<PendingCancel>>>,
-    /// Cancels that are on their way. A worker gets one attempt of an operation at a time, and a cancel names the operation
-    /// alone: a later attempt at the same worker waits until the cancel of the earlier one is over.
+    /// Steps that their worker has not accepted yet. Sending a cancel on a step's channel ends its exchange
+    /// and closes the connection.
+    unaccepted: RefCell<BTreeMap<StepId, Sender<PendingCancel>>>,
+    /// Cancels in flight. A worker receives one attempt of an operation at a time, and a cancel names only
+    /// the operation: a later attempt at the same worker waits until the cancel of the earlier one has ended.
     cancels: RefCell<HashMap<CancelKey, Receiver<()>>>,
 }
 
-/// The address of a worker and the id of an operation.
+/// Address of the worker and id of the operation.
 type CancelKey = (SocketAddr, String);
 
-/// Lasts as long as a cancel is on its way.
+/// Exists while a cancel is in flight.
 struct PendingCancel {
     driver: Rc<HttpDriver>,
     key: CancelKey,
-    /// Dropping it wakes those that wait for the end of the cancel.
-    _over: Sender<()>,
+    /// Dropping it wakes the attempts that wait for the end of the cancel.
+    _ended: Sender<()>,
 }
 
 impl Drop for PendingCancel {
@@ -58,129 +60,132 @@
 
 impl HttpDriver {
     pub(crate) fn new(hub: Rc<Hub>, pool: Rc<Pool>) -> Rc<HttpDriver> {
-        Rc::new_cyclic(|me| HttpDriver {
-            me: me.clone(),
+        Rc::new_cyclic(|weak_self| HttpDriver {
+            weak_self: weak_self.clone(),
             hub,
             pool,
-            handing: RefCell::default(),
+            unaccepted: RefCell::default(),
             cancels: RefCell::default(),
         })
     }
 
-    /// A cancel begins, which is over when what is returned is dropped. None where the address is none, or where an earlier
-    /// cancel is on its way: the attempt waits behind that one, and the worker has not heard of it.
+    /// Registers a cancel, which ends when the returned value is dropped. Returns `None` if the worker's
+    /// address is invalid, or if an earlier cancel is in flight: the attempt waits for the end of that one,
+    /// so the worker has not received it.
     fn begin_cancel(&self, operation: &Operation, worker: &PoolMember) -> Option<PendingCancel> {
         let key = (worker.addr.parse().ok()?, operation.id.clone());
-        let (over, is_over) = bounded(1);
+        let (cancel_ended, ended_signal) = bounded(1);
         match self.cancels.borrow_mut().entry(key.clone()) {
             Entry::Occupied(_) => return None,
-            Entry::Vacant(vacant) => vacant.insert(is_over),
+            Entry::Vacant(vacant) => vacant.insert(ended_signal),
         };
         Some(PendingCancel {
-            driver: self.me(),
+            driver: self.shared_self(),
             key,
-            _over: over,
+            _ended: cancel_ended,
         })
     }
 
-    /// Waits until no cancel of the operation is on its way to this worker.
-    async fn cancel_over(&self, addr: SocketAddr, operation: &Operation) {
+    /// Waits until no cancel of the operation is in flight to this worker.
+    async fn wait_for_cancel(&self, addr: SocketAddr, operation: &Operation) {
         let pending = self
             .cancels
             .borrow()
             .get(&(addr, operation.id.clone()))
             .cloned();
-        if let Some(is_over) = pending {
-            let _ = is_over.recv().await; // nothing is sent on it: it ends with the cancel
+        if let Some(ended_signal) = pending {
+            let _ = ended_signal.recv().await; // no value is ever sent: the channel closes with the cancel
         }
     }
 
-    fn me(&self) -> Rc<HttpDriver> {
-        self.me.upgrade().expect("called through an Rc")
+    fn shared_self(&self) -> Rc<HttpDriver> {
+        self.weak_self.upgrade().expect("called through an Rc")
     }
 
-    /// Hands the job over. `Ok` when the worker has taken it. `pooled` holds the connection once all is written.
-    async fn hand_over(
+    /// Sends the job to the worker and returns `Ok` when the worker has accepted it. `pooled` holds the
+    /// connection once the request is written.
+    async fn send_job(
         &self,
         step: StepId,
         addr: SocketAddr,
         operation: &Operation,
         pooled: &mut Option<PooledConnection>,
     ) -> Result<(), (StepOutcome, Option<LoadReport>)> {
-        self.cancel_over(addr, operation).await;
-        let mut taken = self
+        self.wait_for_cancel(addr, operation).await;
+        let mut connection = self
             .pool
             .take(addr, ConnectionPurpose::Work)
             .await
             .map_err(|e| (e, None))?;
-        // The connection may have come up late: guards against an attempt for a client that has gone, at a worker
-        // that leaves, or past a key's window.
+        // Establishing the connection may have taken long: guards against an attempt for a client that has
+        // disconnected, at a worker that is leaving, or after the window of the idempotency key.
         let Some(remaining_us) = self.hub.with(|core, now| core.begin(now, step)) else {
-            self.pool.give_back(addr, taken);
+            self.pool.give_back(addr, connection);
             return Err((StepOutcome::NotSent, None));
         };
         let request = request(operation, addr, remaining_us);
         let class = self.hub.classes.borrow()[operation.class.0 as usize]
             .name
             .clone();
-        // Nothing is sent again from here: whether there is another attempt is not decided here.
-        taken
+        // This function never resends a request: the decisions determine whether another attempt follows.
+        connection
             .conn
             .write(&request)
             .await
             .map_err(|_| (StepOutcome::ConnectionLostBeforeSend, None))?;
         self.hub.with(|core, _| core.counters.tried(&class));
-        drop(request); // the wait may be long
+        drop(request); // frees the memory, as the response may take long
         let (head, _) = self
-            .exchange(pooled.insert(taken))
+            .exchange(pooled.insert(connection))
             .await
             .map_err(|_| (StepOutcome::ConnectionLostAfterSend, None))?;
         let report = head
             .get("x-backend-load")
             .map(|l| self.report(load_from_header(l)));
-        let taken = match head.status {
+        let result = match head.status {
             202 => Ok(()),
             503 | 504 if head.get("x-unprocessed") == Some("1") => {
                 Err((StepOutcome::Rejected, report))
             }
             _ => Err((StepOutcome::WorkerFailed, report)),
         };
-        self.keep(addr, pooled, &head);
-        taken
+        self.return_if_reusable(addr, pooled, &head);
+        result
     }
 
-    /// Gives up a job that is handed over and whose 202 has not come. Closing the connection is a cancel only
-    /// as long as the worker has not answered: guards against closing while the 202 is on its way, which would
-    /// leave the job to run for nothing.
-    async fn take_back(
+    /// Abandons a job that was sent and whose 202 has not arrived. Closing the connection cancels the job
+    /// only if the worker has not responded yet: guards against closing it while the 202 is in flight, which
+    /// would leave the job running in vain.
+    async fn abandon_job(
         &self,
         addr: SocketAddr,
         id: &str,
         mut pooled: PooledConnection,
     ) -> Option<()> {
-        let taken = async { self.exchange(&mut pooled).await.ok() };
-        let head = future::or(taken, async {
-            Timer::after(ON_ITS_WAY).await;
+        let response = async { self.exchange(&mut pooled).await.ok() };
+        let head = future::or(response, async {
+            Timer::after(ACCEPTANCE_TIMEOUT).await;
             None
         });
         let Some((head, _)) = head.await else {
-            // The 202 may have been on its way for longer: the closing alone would leave the job to run.
+            // The 202 may have been in flight for longer than this: closing the connection alone would leave
+            // the job running.
             self.pool.end(pooled);
-            self.cancel_taken(addr, id).await;
+            self.send_cancel(addr, id).await;
             return None;
         };
-        // Any whole answer leaves the connection fit for use: guards against a new one for each job that a
-        // crowded worker turns away just after its cancel.
-        self.keep(addr, &mut Some(pooled), &head);
+        // After any complete response the connection can be reused: guards against a new connection for each
+        // job that an overloaded worker rejects just after its cancel.
+        self.return_if_reusable(addr, &mut Some(pooled), &head);
         if head.status == 202 {
-            self.cancel_taken(addr, id).await;
+            self.send_cancel(addr, id).await;
         }
         Some(())
     }
 
-    async fn cancel_taken(&self, addr: SocketAddr, id: &str) {
+    async fn send_cancel(&self, addr: SocketAddr, id: &str) {
         self.hub.with(|core, _| core.counters.cancels += 1);
-        self.ask(
+        self.send_control_request(
             addr,
             format!("DELETE /jobs/{id} HTTP/1.1\r\nHost: {addr}\r\n\r\n"),
             ConnectionPurpose::Cancel,
@@ -188,15 +193,20 @@
         .await;
     }
 
-    /// Reads one answer whole.
+    /// Reads one complete response.
     async fn exchange(&self, pooled: &mut PooledConnection) -> Result<(Head, Vec<u8>), ReadError> {
-        let head = pooled.conn.answer().await?;
+        let head = pooled.conn.response().await?;
         let body = pooled.conn.body(&head).await?;
         Ok((head, body))
     }
 
-    /// Gives a connection back if it can carry another request after this answer.
-    fn keep(&self, addr: SocketAddr, pooled: &mut Option<PooledConnection>, head: &Head) {
+    /// Returns the connection to the pool if it can carry another request after this response.
+    fn return_if_reusable(
+        &self,
+        addr: SocketAddr,
+        pooled: &mut Option<PooledConnection>,
+        head: &Head,
+    ) {
         let framed = head.status == 204
             || head
                 .get("content-length")
@@ -211,31 +221,32 @@
         self.hub.with(|core, _| core.report(&load))
     }
 
-    /// A small request of our own: a cancel or a probe.
-    async fn ask(
+    /// Sends a short control request, that is, a cancel or a probe, and reads its response. Returns `None` on
+    /// failure or timeout.
+    async fn send_control_request(
         &self,
         addr: SocketAddr,
         request: String,
-        what: ConnectionPurpose,
+        purpose: ConnectionPurpose,
     ) -> Option<(Head, Vec<u8>)> {
-        let asked = async {
+        let exchange = async {
             let mut pooled = loop {
-                match self.pool.take(addr, what).await {
+                match self.pool.take(addr, purpose).await {
                     Ok(pooled) => break pooled,
-                    // A cancel is owed: it waits for a descriptor. A probe is not.
-                    Err(StepOutcome::NotSent) if what == ConnectionPurpose::Cancel => {
-                        Timer::after(AGAIN).await;
+                    // A cancel must be delivered, so it waits for a descriptor. A probe may be skipped.
+                    Err(StepOutcome::NotSent) if purpose == ConnectionPurpose::Cancel => {
+                        Timer::after(CANCEL_RETRY_INTERVAL).await;
                     }
                     Err(_) => return None,
                 }
             };
             pooled.conn.write(request.as_bytes()).await.ok()?;
-            let said = self.exchange(&mut pooled).await.ok()?;
-            self.keep(addr, &mut Some(pooled), &said.0);
-            Some(said)
+            let response = self.exchange(&mut pooled).await.ok()?;
+            self.return_if_reusable(addr, &mut Some(pooled), &response.0);
+            Some(response)
         };
-        future::or(asked, async {
-            Timer::after(SHORT).await;
+        future::or(exchange, async {
+            Timer::after(CONTROL_REQUEST_TIMEOUT).await;
             None
         })
         .await
@@ -267,60 +278,62 @@
         worker: &PoolMember,
         remaining_us: Micros,
     ) {
-        let (give_up, given_up) = bounded(1);
-        self.handing.borrow_mut().insert(step, give_up);
-        let (me, operation, addr) = (
-            self.me(),
+        let (cancel_sender, cancel_receiver) = bounded(1);
+        self.unaccepted.borrow_mut().insert(step, cancel_sender);
+        let (driver, operation, addr) = (
+            self.shared_self(),
             operation.clone(),
             worker.addr.parse::<SocketAddr>(),
         );
         self.hub.spawn(async move {
             let Ok(addr) = addr else {
-                me.handing.borrow_mut().remove(&step);
-                return me.hub.with(|core, _| {
+                driver.unaccepted.borrow_mut().remove(&step);
+                return driver.hub.with(|core, _| {
                     core.step_event(step, StepEvent::Ended(StepOutcome::ConnectRefused, None))
                 });
             };
             let mut pooled = None;
-            let handed = async { Some(me.hand_over(step, addr, &operation, &mut pooled).await) };
+            let sent = async { Some(driver.send_job(step, addr, &operation, &mut pooled).await) };
             let mut pending_cancel = None;
             let cancelled = async {
-                pending_cancel = given_up.recv().await.ok();
+                pending_cancel = cancel_receiver.recv().await.ok();
                 None
             };
-            // A call-back may have ended the step before any answer: the connection is not kept for ever.
-            let never = async {
+            // A call-back may have ended the step before any response arrived: the connection is not kept
+            // indefinitely.
+            let timeout = async {
                 Timer::after(Duration::from_micros(remaining_us) + Duration::from_secs(1)).await;
                 None
             };
-            let handed = future::or(handed, future::or(cancelled, never)).await;
-            let given_up = me.handing.borrow_mut().remove(&step).is_none();
-            match (handed, pooled) {
-                // The 202 came in the moment in which the step was given up: it was left to this task to see to it.
-                (Some(Ok(())), _) if given_up => me.cancel_taken(addr, &operation.id).await,
+            let sent = future::or(sent, future::or(cancelled, timeout)).await;
+            let was_cancelled = driver.unaccepted.borrow_mut().remove(&step).is_none();
+            match (sent, pooled) {
+                // The 202 arrived at the moment when the step was cancelled, so this task has to send the
+                // cancel.
+                (Some(Ok(())), _) if was_cancelled => driver.send_cancel(addr, &operation.id).await,
                 (Some(Ok(())), _) => {}
-                (Some(Err((ending, report))), _) => me
+                (Some(Err((outcome, report))), _) => driver
                     .hub
-                    .with(|core, _| core.step_event(step, StepEvent::Ended(ending, report))),
-                (None, Some(pooled)) => drop(me.take_back(addr, &operation.id, pooled).await),
-                (None, None) => {} // not written whole: the worker never began it
+                    .with(|core, _| core.step_event(step, StepEvent::Ended(outcome, report))),
+                (None, Some(pooled)) => drop(driver.abandon_job(addr, &operation.id, pooled).await),
+                (None, None) => {} // the request was not written completely: the worker never started the job
             }
-            drop(pending_cancel); // over only now: an attempt that waits for it may begin
+            drop(pending_cancel); // the cancel ends only here: an attempt that waits for it may begin
         });
     }
 
     fn cancel(&self, step: StepId, operation: &Arc<Operation>, worker: &PoolMember) {
-        let handing = self.handing.borrow_mut().remove(&step); // dropping it ends the hand-over
+        let unaccepted = self.unaccepted.borrow_mut().remove(&step); // dropping it ends the exchange
         let Some(pending) = self.begin_cancel(operation, worker) else {
             return;
         };
-        if let Some(give_up) = handing {
-            let _ = give_up.try_send(pending); // the task that hands the job over sees to the cancel
+        if let Some(cancel_sender) = unaccepted {
+            let _ = cancel_sender.try_send(pending); // the task that sends the job also handles the cancel
             return;
         }
         self.hub.spawn(async move {
             let (addr, id) = &pending.key;
-            pending.driver.cancel_taken(*addr, id).await;
+            pending.driver.send_cancel(*addr, id).await;
         });
     }
 
@@ -329,10 +342,10 @@
             return;
         };
         let request = format!("GET /metrics/load HTTP/1.1\r\nHost: {addr}\r\n\r\n");
-        let me = self.me();
+        let driver = self.shared_self();
         self.hub.spawn(async move {
-            let answer = me
-                .ask(addr, request, ConnectionPurpose::Work)
+            let answer = driver
+                .send_control_request(addr, request, ConnectionPurpose::Work)
                 .await
                 .filter(|(head, _)| head.status == 200);
             let report = answer
@@ -341,8 +354,9 @@
                     Ok(load) => load_from_json(&load),
                     Err(_) => load_from_header(&String::from_utf8_lossy(body)),
                 });
-            let report = report.map(|load| me.report(load));
-            me.hub
+            let report = report.map(|load| driver.report(load));
+            driver
+                .hub
                 .with(|core, _| core.probe_ended(worker, answer.is_some(), report));
         });
     }
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -90,7 +90,10 @@
     /// Has a client's connection that can best be done without closed; false if there is none. Guards against idle
     /// clients that hold all descriptors while discovery, a worker or a cancel needs one.
     pub(crate) fn free_client_connection(&self) -> bool {
-        self.sockets.borrow().as_ref().is_some_and(|s| s.free_one())
+        self.sockets
+            .borrow()
+            .as_ref()
+            .is_some_and(|s| s.evict_one())
     }
 
     /// When this process began, in microseconds of Unix time.
@@ -241,7 +244,7 @@
     let list_clock = ListClock::new(source, fleet, within, config.seed, base);
     let site = Site::new(config.setup);
     let classes = site.class_infos();
-    let net = net::Figures::new(&site, &config.limits);
+    let net = net::WorkerConnectionSettings::new(&site, &config.limits);
     // Off the platform workers may not drop repeats of keyed jobs for each other, so the core does.
     let joins_repeats = config.drmaa.is_some();
     let max_open = site.max_open;
@@ -318,7 +321,7 @@
             Ok(before) => hub.other.set(before),
             Err(e) => warn!(log, "a successor's note could not be left"; "error" => %e),
         }
-        net::callback::hear_the_other(&hub);
+        net::callback::poll_mailbox(&hub);
         let drained = drain(&hub, &sockets, addr, jobs.as_deref());
         match (calls, signals) {
             (Some(calls), _) => {
