--- a/src/net/callback.rs
+++ b/src/net/callback.rs
@@ -45,8 +45,8 @@
     let task_hub = hub.clone();
     hub.spawn(async move {
         loop {
-            let other = task_hub.other.get();
-            Timer::after(if other.is_some() {
+            let other_process = task_hub.other_process.get();
+            Timer::after(if other_process.is_some() {
                 MAILBOX_INTERVAL
             } else {
                 MAILBOX_INTERVAL * 10
@@ -55,8 +55,8 @@
             for body in handover::take_callbacks() {
                 handle_callback(&task_hub, &body, false);
             }
-            if other.is_some_and(|pid| !handover::is_running(pid)) {
-                task_hub.other.set(None);
+            if other_process.is_some_and(|pid| !handover::is_running(pid)) {
+                task_hub.other_process.set(None);
             }
         }
     });
@@ -73,8 +73,8 @@
     hub.with(|core, _| {
         core.counters.callbacks += 1;
         let Some(step) = core.find_step(&call.id, &call.from) else {
-            match hub.other.get().filter(|_| may_forward) {
-                Some(other) if handover::post_callback(other, body).is_ok() => {
+            match hub.other_process.get().filter(|_| may_forward) {
+                Some(other_process) if handover::post_callback(other_process, body).is_ok() => {
                     core.counters.callbacks_passed_on += 1
                 }
                 _ => core.counters.callbacks_unmatched += 1,
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -1,4 +1,4 @@
-//! What runs the core: one thread, its clock, the batch loop, signals and the orderly end.
+//! Runs the core in one thread: clock, batch loop, signal handling and graceful shutdown.
 
 use crate::config::{Config, Reload};
 use crate::core::{Answer, Core, Front, Operation, PoolMember, Receipt, SubmitError};
@@ -19,48 +19,52 @@
 use std::rc::{Rc, Weak};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// After SIGTERM new connections keep coming for up to 0.4 s; idle ones stay open longer than that.
-const STILL_COMING: Duration = Duration::from_millis(600);
-/// SIGKILL comes no sooner after SIGTERM than the longest deadline, or this if that is longer, and the rest.
-const LONGEST: Duration = Duration::from_secs(3);
-const THE_REST: Duration = Duration::from_millis(700);
-/// Before that all is answered, with time for a slow moment of this machine.
-const SPARE: Duration = Duration::from_millis(350);
-/// Clients may use the connections that they have until so long before all is to be answered: about the time
+/// Time for which new connections may arrive after SIGTERM: they do so for up to 0.4 s, and idle ones stay
+/// open longer than that.
+const CONNECTION_ARRIVAL_TIME: Duration = Duration::from_millis(600);
+/// SIGKILL follows SIGTERM no sooner than after the longest deadline of a class, limited to this time, plus
+/// `KILL_MARGIN`.
+const MAX_DEADLINE: Duration = Duration::from_secs(3);
+const KILL_MARGIN: Duration = Duration::from_millis(700);
+/// All operations must be answered this long before the SIGKILL, which allows for a short stall of the
+/// machine.
+const ANSWER_MARGIN: Duration = Duration::from_millis(350);
+/// Clients may use their connections until this long before all operations must be answered: about the time
 /// that most operations take.
-const LAST_ONES: Duration = Duration::from_millis(750);
+const CONNECTION_CLOSE_MARGIN: Duration = Duration::from_millis(750);
 /// Time for the last cancels to reach their workers.
-const LAST_CANCELS: Duration = Duration::from_millis(300);
+const CANCEL_FLUSH_TIME: Duration = Duration::from_millis(300);
 
-/// A steady clock that reads Unix time in microseconds at its start, so that start times told by discovery
-/// fall on it without a second clock.
+/// A monotonic clock that starts at the Unix time in microseconds, so that the start times in discovery's
+/// list are on the same scale and no second clock is needed.
 #[derive(Clone, Copy)]
 struct Clock {
     base: Micros,
     start: Instant,
 }
 
-/// What fronts, drivers and sources share: the core, the clock, the executor and the log.
+/// State shared by front ends, drivers and sources: the core, the clock, the executor and the log.
 pub(crate) struct Hub {
     core: RefCell<Core>,
     wake: (Sender<()>, Receiver<()>),
     clock: Clock,
-    /// Weak, as its tasks hold this: at the end they are dropped with it.
+    /// Weak because the executor's tasks hold the hub: they are dropped together with the executor at the
+    /// end.
     executor: Weak<LocalExecutor<'static>>,
     pub(crate) log: Logger,
-    /// Retuned at SIGHUP; retired entries stay, as open operations are of them.
+    /// Replaced by a reload on SIGHUP. Retired classes stay in the list, as open operations refer to them.
     pub(crate) classes: RefCell<Vec<ClassInfo>>,
-    /// The header that names an operation's tenant, where that matters.
+    /// Name of the header that identifies an operation's tenant; `None` if there are no configured tenants.
     pub(crate) tenant_header: Option<String>,
-    /// SIGTERM has come.
+    /// Whether SIGTERM has arrived.
     pub(crate) stopping: Cell<bool>,
-    /// Front sockets are taken and the batch loop runs.
+    /// Whether the listener is open and the batch loop runs.
     serving: Cell<bool>,
-    /// The other process that listens at the same address while one replaces the other.
-    pub(crate) other: Cell<Option<u32>>,
-    /// The clients' connections.
+    /// Pid of the other process that listens at the same address while one replaces the other.
+    pub(crate) other_process: Cell<Option<u32>>,
+    /// The clients' connections; `None` until the listener is open.
     sockets: RefCell<Option<Rc<net::connections::ClientConnections>>>,
-    /// What is shared with other dispatchers, where anything is.
+    /// State shared with other dispatchers; `None` if none is configured.
     fleet: RefCell<Option<fleet::Fleet>>,
 }
 
@@ -69,13 +73,14 @@
         self.clock.base + self.clock.start.elapsed().as_micros() as Micros
     }
 
-    /// The same clock, for another thread.
+    /// A copy of the clock for another thread.
     pub(crate) fn clock(&self) -> impl Fn() -> Micros + Send + Clone + 'static {
         let clock = self.clock;
         move || clock.base + clock.start.elapsed().as_micros() as Micros
     }
 
-    /// What operators are told of the fleet, as one line; none, where this dispatcher is alone.
+    /// Status or usage of the fleet for operators, as one line; `None` if this dispatcher is not part of a
+    /// fleet.
     pub(crate) fn fleet_report(&self, call: &crate::telemetry::Call) -> Option<String> {
         let fleet = self.fleet.borrow();
         fleet.as_ref().map(|f| {
@@ -87,8 +92,8 @@
         })
     }
 
-    /// Has a client's connection that can best be done without closed; false if there is none. Guards against idle
-    /// clients that hold all descriptors while discovery, a worker or a cancel needs one.
+    /// Closes the least needed client connection; false if none can be closed. Guards against idle clients
+    /// that hold all descriptors while discovery, a worker or a cancel needs one.
     pub(crate) fn free_client_connection(&self) -> bool {
         self.sockets
             .borrow()
@@ -96,12 +101,12 @@
             .is_some_and(|s| s.evict_one())
     }
 
-    /// When this process began, in microseconds of Unix time.
+    /// Start time of this process in microseconds of Unix time.
     pub(crate) fn start(&self) -> Micros {
         self.clock.base
     }
 
-    /// Where this process stands, for operators.
+    /// State of this process as reported to operators.
     pub(crate) fn readiness(&self) -> Readiness {
         match (self.serving.get(), self.stopping.get()) {
             (_, true) => Readiness::Stopping,
@@ -110,7 +115,7 @@
         }
     }
 
-    /// The figures that operators are told; every class of the settings is there, if only with nothing.
+    /// Metrics for operators. Every class of the settings is included, even with zero counts.
     pub(crate) fn figures(&self) -> Figures {
         let core = self.core.borrow();
         let mut responses = core.counters.classes.clone();
@@ -129,7 +134,7 @@
         }
     }
 
-    /// Hands something to the core; the batch loop then takes a turn. Not to be called from within one.
+    /// Runs `f` on the core and wakes the batch loop afterwards. Must not be called from within a batch.
     pub(crate) fn with<R>(&self, f: impl FnOnce(&mut Core, Micros) -> R) -> R {
         let done = f(&mut self.core.borrow_mut(), self.now());
         let _ = self.wake.0.try_send(());
@@ -142,10 +147,10 @@
         }
     }
 
-    /// Hands in an operation whose answer is waited for in one place.
+    /// Submits an operation whose answer is awaited by one caller.
     pub(crate) fn submit(self: &Rc<Self>, operation: Operation) -> Result<Pending, SubmitError> {
         let (tx, answer) = bounded(1);
-        let front: Rc<dyn Front> = Rc::new(Waiting(tx));
+        let front: Rc<dyn Front> = Rc::new(AnswerChannel(tx));
         let job = self.with(|core, now| core.submit(now, operation, front.clone(), 0))?;
         Ok(Pending {
             hub: self.clone(),
@@ -155,8 +160,8 @@
         })
     }
 
-    /// Batches: as soon as something has come in, or a timer is due.
-    async fn batches(&self) {
+    /// Runs the core in batches: as soon as input has arrived or a timer has expired.
+    async fn run_batches(&self) {
         loop {
             let now = self.now();
             let next = {
@@ -183,15 +188,15 @@
     }
 }
 
-struct Waiting(Sender<(Answer, Receipt)>);
+struct AnswerChannel(Sender<(Answer, Receipt)>);
 
-impl Front for Waiting {
+impl Front for AnswerChannel {
     fn answer(&self, _ticket: u64, answer: &Answer, receipt: Receipt) {
-        let _ = self.0.try_send((answer.clone(), receipt)); // the receipt of one who has left is dropped
+        let _ = self.0.try_send((answer.clone(), receipt)); // the receipt is dropped if the caller no longer waits
     }
 }
 
-/// An operation in hand. Dropping it unanswered tells the core that the client has gone away.
+/// A submitted operation. Dropping it before the answer reports to the core that the client has disconnected.
 pub(crate) struct Pending {
     hub: Rc<Hub>,
     job: JobId,
@@ -200,7 +205,7 @@
 }
 
 impl Pending {
-    /// The answer, and the receipt that is to be told when it is written.
+    /// The answer, and the receipt that must be notified when the answer has been written.
     pub(crate) async fn answer(&self) -> (Answer, Receipt) {
         self.answer
             .recv()
@@ -216,12 +221,13 @@
     }
 }
 
-/// Runs the dispatcher until SIGTERM or SIGINT and all that it has taken is answered.
+/// Runs the dispatcher until SIGTERM or SIGINT, and then until all accepted operations are answered.
 pub fn run(config: Config, log: Logger) -> Result<(), String> {
     start(config, log, None)
 }
 
-/// The same, with a channel for operations from inside the process; it ends when the channel is closed.
+/// Runs the dispatcher like [`run`]. With a channel for operations from inside the process it runs until that
+/// channel is closed.
 pub(crate) fn start(
     config: Config,
     log: Logger,
@@ -245,7 +251,7 @@
     let site = Site::new(config.setup);
     let classes = site.class_infos();
     let net = net::WorkerConnectionSettings::new(&site, &config.limits);
-    // Off the platform workers may not drop repeats of keyed jobs for each other, so the core does.
+    // Outside the platform, workers may not deduplicate keyed jobs for each other, so the core does.
     let joins_repeats = config.drmaa.is_some();
     let max_open = site.max_open;
     let core = Core::new(site, max_open, joins_repeats, config.seed, base);
@@ -259,7 +265,7 @@
         tenant_header: config.tenants.as_ref().map(|t| t.header.clone()),
         stopping: Cell::new(false),
         serving: Cell::new(false),
-        other: Cell::new(None),
+        other_process: Cell::new(None),
         sockets: RefCell::new(None),
         fleet: RefCell::new(None),
     });
@@ -271,37 +277,43 @@
         .map(|l| billing::attach(&hub, l, &config.name))
         .transpose()?;
     if let Some(f) = config.fleet {
-        let longest = hub
+        let longest_deadline_us = hub
             .classes
             .borrow()
             .iter()
             .map(|c| c.deadline_us)
             .max()
             .unwrap_or(0);
-        *hub.fleet.borrow_mut() = Some(fleet::attach(&hub, f, &config.name, config.seed, longest)?);
+        *hub.fleet.borrow_mut() = Some(fleet::attach(
+            &hub,
+            f,
+            &config.name,
+            config.seed,
+            longest_deadline_us,
+        )?);
     }
     let main = async {
-        // Inside another program signals are that program's own.
+        // Inside another program, signals belong to that program.
         let signals = match calls {
             Some(_) => None,
             None => Some(Signals::new()),
         };
         let signals = signals
             .transpose()
-            .map_err(|e| format!("signals cannot be heard: {e}"))?;
+            .map_err(|e| format!("cannot install signal handlers: {e}"))?;
         let pool = net::pool::Pool::new(hub.clone(), net);
         let driver = hub.with(|core, _| {
             core.attach_driver(net::route::HttpDriver::new(hub.clone(), pool.clone()))
         });
         let known: Vec<PoolMember> = config.known.servers.iter().map(|s| s.member()).collect();
         hub.with(|core, _| core.pool_config(driver, true, known));
-        info!(log, "discovery's calls"; "source" => ?source, "fleet" => fleet, "ask_within_ms" => within / 1_000,
+        info!(log, "discovery call timing"; "source" => ?source, "fleet" => fleet, "ask_within_ms" => within / 1_000,
             "longest_pause_ms" => list_clock.ceiling_us() / 1_000);
         let version = config.known.version;
         let watch =
             net::discovery::Watch::new(hub.clone(), config.discovery, driver, version, list_clock);
         hub.with(|core, _| core.attach_source(watch.clone()));
-        crate::core::PoolSource::subscribe(&*watch); // a change may count as told from the first moment
+        crate::core::PoolSource::subscribe(&*watch); // a change may be effective from the start of the process on
         let jobs = match config.drmaa {
             Some(d) => drmaa::attach(&hub, d, pool, config.limits.sessions())?,
             None => None,
@@ -314,12 +326,12 @@
             let mgmt = net::mgmt::listen(&hub, mgmt).map_err(|e| format!("mgmt: {mgmt}: {e}"))?;
             info!(log, "operators' calls"; "mgmt" => %mgmt);
         }
-        let batches = hub.clone();
-        hub.spawn(async move { batches.batches().await });
+        let batch_hub = hub.clone();
+        hub.spawn(async move { batch_hub.run_batches().await });
         hub.serving.set(true);
         match net::handover::announce(addr) {
-            Ok(before) => hub.other.set(before),
-            Err(e) => warn!(log, "a successor's note could not be left"; "error" => %e),
+            Ok(before) => hub.other_process.set(before),
+            Err(e) => warn!(log, "cannot announce this process to its successor"; "error" => %e),
         }
         net::callback::poll_mailbox(&hub);
         let drained = drain(&hub, &sockets, addr, jobs.as_deref());
@@ -329,9 +341,9 @@
                 drained.await;
             }
             (None, Some(mut signals)) => {
-                heed(&hub, &mut signals, &watch, false).await;
-                // Guards against a signal that ends the program while it still owes answers.
-                future::or(drained, heed(&hub, &mut signals, &watch, true)).await;
+                handle_signals(&hub, &mut signals, &watch, false).await;
+                // Guards against a signal that would end the program before all answers are sent.
+                future::or(drained, handle_signals(&hub, &mut signals, &watch, true)).await;
             }
             (None, None) => {}
         }
@@ -339,7 +351,7 @@
         Ok(())
     };
     let done = async_io::block_on(executor.run(main));
-    drop(executor); // its tasks' answers that are not written yet are noted as such
+    drop(executor); // answers that its tasks have not written yet are recorded as such
     billing.iter().for_each(|b| b.end());
     hub.fleet
         .take()
@@ -349,9 +361,14 @@
     done
 }
 
-/// Does what signals ask for, until one of them asks for the stop. Once that is under way it never comes back.
+/// Handles signals until one of them requests the stop. Never returns once `stopping` is set.
 #[allow(clippy::never_loop)]
-async fn heed(hub: &Rc<Hub>, signals: &mut Signals, watch: &net::discovery::Watch, stopping: bool) {
+async fn handle_signals(
+    hub: &Rc<Hub>,
+    signals: &mut Signals,
+    watch: &net::discovery::Watch,
+    stopping: bool,
+) {
     loop {
         match signals.next().await {
             Ok(Signal::Usr1) => {
@@ -360,13 +377,13 @@
             Ok(Signal::Hup) => reload(hub, watch),
             Ok(_) if !stopping => return,
             Ok(signal) => info!(hub.log, "stopping already"; "signal" => ?signal),
-            Err(e) => warn!(hub.log, "a signal could not be read"; "error" => %e),
+            Err(e) => warn!(hub.log, "cannot read a signal"; "error" => %e),
         }
     }
 }
 
-/// A new configuration: the watch moves, operations and connections are untouched. A file that cannot be used
-/// changes nothing.
+/// Applies a new configuration: the watch moves, operations and connections are not affected. A file that
+/// cannot be used changes nothing.
 fn reload(hub: &Rc<Hub>, watch: &net::discovery::Watch) {
     match Reload::load(|name| std::env::var(name).ok()) {
         Ok(new) => match hub.with(|core, _| core.update_settings(new.setup)) {
@@ -389,54 +406,60 @@
     }
 }
 
-/// Operations still come in, on new connections for a while and on those that clients have for as long as these stay
-/// open: until shortly before the end, as a client that loses its connection finds nobody here until the restart.
-/// All that is taken is answered before the end.
+/// Shuts down gracefully. Operations are still accepted: on new connections for a while, and on existing
+/// connections until shortly before the end, as a client that loses its connection finds no server here until
+/// the restart. All accepted operations are answered before the end.
 async fn drain(
     hub: &Rc<Hub>,
     sockets: &net::connections::ClientConnections,
     addr: std::net::SocketAddr,
     jobs: Option<&drmaa::front::JobTable>,
 ) {
-    let longest = hub
+    let longest_deadline_us = hub
         .classes
         .borrow()
         .iter()
         .map(|c| c.deadline_us)
         .max()
         .unwrap_or(0);
-    let kill = Duration::from_micros(longest).min(LONGEST) + THE_REST;
-    let begun = Instant::now();
-    let last_call = kill.saturating_sub(SPARE).max(STILL_COMING);
-    let close_at = last_call.saturating_sub(LAST_ONES).max(STILL_COMING);
+    let kill_after = Duration::from_micros(longest_deadline_us).min(MAX_DEADLINE) + KILL_MARGIN;
+    let started_at = Instant::now();
+    let answer_by = kill_after
+        .saturating_sub(ANSWER_MARGIN)
+        .max(CONNECTION_ARRIVAL_TIME);
+    let close_at = answer_by
+        .saturating_sub(CONNECTION_CLOSE_MARGIN)
+        .max(CONNECTION_ARRIVAL_TIME);
     let successor = net::handover::successor(addr);
     let replaced = successor.is_some();
     info!(hub.log, "stopping"; "owed" => hub.core.borrow().unanswered(), "replaced" => replaced);
     hub.stopping.set(true);
     if replaced {
-        hub.other.set(successor);
+        hub.other_process.set(successor);
         sockets.hand_over(); // new connections reach the successor
     }
-    hub.with(|core, now| core.answer_all_by(now.saturating_add(last_call.as_micros() as Micros)));
-    while begun.elapsed() < close_at {
+    hub.with(|core, now| core.answer_all_by(now.saturating_add(answer_by.as_micros() as Micros)));
+    while started_at.elapsed() < close_at {
         if sockets.clients() == 0
-            && begun.elapsed() >= STILL_COMING
+            && started_at.elapsed() >= CONNECTION_ARRIVAL_TIME
             && hub.core.borrow().unanswered() == 0
         {
-            break; // nobody is left who could send anything
+            break; // no client is left that could send anything
         }
         Timer::after(Duration::from_millis(20)).await;
     }
     loop {
         sockets.close_idle(false);
-        let waited_for = sockets.clients() > 0 || jobs.is_some_and(|j| j.busy());
+        let has_open_work = sockets.clients() > 0 || jobs.is_some_and(|j| j.busy());
         Timer::after(Duration::from_millis(20)).await;
-        // Guards against a client that never reads its answer, or never ends its request.
-        let late = begun.elapsed() > last_call;
-        if hub.core.borrow().unanswered() == 0 && (late || !waited_for && sockets.clients() == 0) {
+        // Guards against a client that never reads its response or never completes its request.
+        let is_late = started_at.elapsed() > answer_by;
+        if hub.core.borrow().unanswered() == 0
+            && (is_late || !has_open_work && sockets.clients() == 0)
+        {
             break;
         }
     }
     sockets.close_idle(true);
-    Timer::after(LAST_CANCELS).await;
+    Timer::after(CANCEL_FLUSH_TIME).await;
 }
