--- a/tests/list_clock.rs
+++ b/tests/list_clock.rs
@@ -1,69 +1,70 @@
-//! The list's clock by row of its table, and played against discoveries that fail in every way: pure, in virtual time.
+//! Timing of endpoint-list discovery: each row of the table in `list_clock`, and simulated discoveries that
+//! fail in different ways. Runs in virtual time.
 
 use rstest::rstest;
 use streamusher::interface::Micros;
 use streamusher::list_clock::*;
 
-const S: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
 
 #[rstest]
-#[case::written_on_a_watch(Source::OnRequest, Event::Written(9 * S), 10 * S, 9 * S)]
-#[case::written_by_the_agent(Source::Pushed, Event::Written(9 * S), 10 * S, 9 * S)]
-#[case::reachable(Source::OnRequest, Event::Reachable(9 * S), 10 * S, 15 * S)]
-#[case::the_agent_has_it(Source::Pushed, Event::Reachable(9 * S), 10 * S, 9 * S)]
-#[case::unasked_for_long(Source::OnRequest, Event::Unreachable(9 * S, 1), 10 * S, 15 * S)]
-#[case::unasked_for_a_short_time(Source::OnRequest, Event::Unreachable(9 * S, 1), 2 * S, 11 * S)]
-#[case::a_failed_call_bears_no_more(Source::OnRequest, Event::Unreachable(9 * S, 4), 2 * S, 15 * S)]
-#[case::a_failed_call_of_a_quick_site(Source::OnRequest, Event::Unreachable(9 * S, 4), S, 13 * S)]
-#[case::settings_without_a_time(Source::OnRequest, Event::Unreachable(9 * S, 4), 0, 15 * S)]
-#[case::unasked_but_pushed(Source::Pushed, Event::Unreachable(9 * S, 4), 10 * S, 9 * S)]
-#[case::silent(Source::OnRequest, Event::Silent(9 * S), 10 * S, 15 * S)]
-#[case::silent_agent(Source::Pushed, Event::Silent(9 * S), 10 * S, 15 * S)]
-#[case::moved(Source::OnRequest, Event::Moved(9 * S), 10 * S, 13 * S)]
-#[case::moved_agent(Source::Pushed, Event::Moved(9 * S), 10 * S, 13 * S)]
-#[case::the_end_of_time(
+#[case::written_on_a_watch(Source::OnRequest, Event::Written(9 * SECOND), 10 * SECOND, 9 * SECOND)]
+#[case::written_by_the_agent(Source::Pushed, Event::Written(9 * SECOND), 10 * SECOND, 9 * SECOND)]
+#[case::reachable(Source::OnRequest, Event::Reachable(9 * SECOND), 10 * SECOND, 15 * SECOND)]
+#[case::reachable_agent(Source::Pushed, Event::Reachable(9 * SECOND), 10 * SECOND, 9 * SECOND)]
+#[case::unreachable_for_a_long_interval(Source::OnRequest, Event::Unreachable(9 * SECOND, 1), 10 * SECOND, 15 * SECOND)]
+#[case::unreachable_for_a_short_interval(Source::OnRequest, Event::Unreachable(9 * SECOND, 1), 2 * SECOND, 11 * SECOND)]
+#[case::unreachable_for_four_intervals_is_capped(Source::OnRequest, Event::Unreachable(9 * SECOND, 4), 2 * SECOND, 15 * SECOND)]
+#[case::unreachable_for_four_short_intervals(Source::OnRequest, Event::Unreachable(9 * SECOND, 4), SECOND, 13 * SECOND)]
+#[case::unreachable_without_a_configured_interval(Source::OnRequest, Event::Unreachable(9 * SECOND, 4), 0, 15 * SECOND)]
+#[case::unreachable_agent(Source::Pushed, Event::Unreachable(9 * SECOND, 4), 10 * SECOND, 9 * SECOND)]
+#[case::silent(Source::OnRequest, Event::Silent(9 * SECOND), 10 * SECOND, 15 * SECOND)]
+#[case::silent_agent(Source::Pushed, Event::Silent(9 * SECOND), 10 * SECOND, 15 * SECOND)]
+#[case::moved(Source::OnRequest, Event::Moved(9 * SECOND), 10 * SECOND, 13 * SECOND)]
+#[case::moved_agent(Source::Pushed, Event::Moved(9 * SECOND), 10 * SECOND, 13 * SECOND)]
+#[case::saturates_at_the_maximum_time(
     Source::OnRequest,
     Event::Unreachable(Micros::MAX, 4),
     Micros::MAX,
     Micros::MAX
 )]
-fn a_change_counts_as_told(
+fn a_change_is_effective_at(
     #[case] source: Source,
     #[case] event: Event,
-    #[case] within: Micros,
-    #[case] want: Micros,
+    #[case] max_call_interval: Micros,
+    #[case] expected: Micros,
 ) {
-    assert_eq!(effective_at(source, event, within), want);
+    assert_eq!(effective_at(source, event, max_call_interval), expected);
 }
 
 #[rstest]
-#[case(Source::OnRequest, 1, 10 * S, S)]
-#[case(Source::OnRequest, 40, 10 * S, 1_600_000)]
-#[case(Source::OnRequest, 300, 20 * S, 2 * S)]
-#[case(Source::OnRequest, 300, 0, 2 * S)]
-#[case(Source::OnRequest, 300, S, 500_000)]
+#[case(Source::OnRequest, 1, 10 * SECOND, SECOND)]
+#[case(Source::OnRequest, 40, 10 * SECOND, 1_600_000)]
+#[case(Source::OnRequest, 300, 20 * SECOND, 2 * SECOND)]
+#[case(Source::OnRequest, 300, 0, 2 * SECOND)]
+#[case(Source::OnRequest, 300, SECOND, 500_000)]
 #[case(Source::OnRequest, 0, 1, 100_000)]
-#[case(Source::Pushed, 300, 20 * S, 100_000)]
-fn the_longest_pause_follows_the_fleet_and_leaves_time_for_a_call(
+#[case(Source::Pushed, 300, 20 * SECOND, 100_000)]
+fn the_longest_pause_scales_with_the_fleet_and_leaves_time_for_a_call(
     #[case] source: Source,
     #[case] fleet: u32,
-    #[case] within: Micros,
-    #[case] want: Micros,
+    #[case] max_call_interval: Micros,
+    #[case] expected: Micros,
 ) {
-    let mut clock = ListClock::new(source, fleet, within, 1, 0);
-    assert_eq!(clock.ceiling_us(), want);
+    let mut clock = ListClock::new(source, fleet, max_call_interval, 1, 0);
+    assert_eq!(clock.ceiling_us(), expected);
     let mut now = clock.due();
     for _ in 0..40 {
         clock.call_started(now);
         let pause = clock.call_ended(now);
-        assert!(pause <= want && pause > 0, "{pause}");
+        assert!(pause <= expected && pause > 0, "{pause}");
         now += pause;
     }
 }
 
 #[test]
-fn failures_grow_the_pause_and_a_word_or_another_address_starts_it_anew() {
-    let mut clock = ListClock::new(Source::OnRequest, 300, 10 * S, 7, 0);
+fn failures_increase_the_pause_and_input_or_a_new_address_resets_it() {
+    let mut clock = ListClock::new(Source::OnRequest, 300, 10 * SECOND, 7, 0);
     let mut now = clock.due();
     let fail = |clock: &mut ListClock, now: &mut Micros| {
         clock.call_started(*now);
@@ -81,167 +82,181 @@
     clock.connected(now);
     clock.watch_opened(now);
     clock.received(now);
-    assert!(clock.call_ended(now) <= 100_000, "it had something to say");
+    assert!(
+        clock.call_ended(now) <= 100_000,
+        "the call received something"
+    );
     now = clock.due();
     assert!(fail(&mut clock, &mut now) <= clock.ceiling_us() / 4);
     for _ in 0..8 {
         fail(&mut clock, &mut now);
     }
     clock.moved(now);
-    assert_eq!(clock.due(), now, "another address is called at once");
+    assert_eq!(clock.due(), now, "a new address is called at once");
     assert!(fail(&mut clock, &mut now) <= clock.ceiling_us() / 4);
 }
 
-/// Guards against a fleet that calls as one: what a hundred ask of discovery in a second, once their calls fail, stays
-/// far below a hundred.
+/// Guards against synchronised retries: once the calls of a hundred dispatchers fail, the number of calls per
+/// second must stay well below a hundred.
 #[test]
 fn a_failing_fleet_spreads_its_calls() {
     let mut calls = vec![0u32; 60];
     let mut first = Vec::new();
     for seed in 0..100 {
-        let mut clock = ListClock::new(Source::OnRequest, 100, 10 * S, seed, 0);
+        let mut clock = ListClock::new(Source::OnRequest, 100, 10 * SECOND, seed, 0);
         first.push(clock.due());
-        while clock.due() < 60 * S {
+        while clock.due() < 60 * SECOND {
             let now = clock.due();
             clock.call_started(now);
-            calls[(now / S) as usize] += 1;
-            clock.call_ended(now + S); // discovery's own time-out
+            calls[(now / SECOND) as usize] += 1;
+            clock.call_ended(now + SECOND); // the timeout of discovery itself
         }
     }
     assert!(
-        first.iter().max().unwrap() - first.iter().min().unwrap() > S,
+        first.iter().max().unwrap() - first.iter().min().unwrap() > SECOND,
         "the first calls are spread"
     );
     let most = calls[20..50].iter().max().unwrap();
     assert!(*most < 75, "calls a second: {calls:?}");
 }
 
-/// How calls end before discovery is back, or answers again.
+/// Failure of the calls before discovery recovers.
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
-    /// A watch that stays open and says nothing, after its last line.
+enum CallFailure {
+    /// The watch stays open and sends nothing after its last line.
     Silence,
-    /// Nobody answers a dial.
-    NoDial,
+    /// Connection attempts are not answered.
+    ConnectTimeout,
     Refused,
-    /// A dial comes up, and no head ever comes.
-    NoHead,
-    /// 503 after so long.
+    /// The connection is established, but no response head arrives.
+    HeadTimeout,
+    /// Discovery responds 503 after this time.
     Busy(Micros),
-    /// The watch is answered, and nothing is said on it.
+    /// The watch is opened, but nothing arrives on it.
     Mute,
-    /// The watch is answered and reset at once.
+    /// The watch is opened and reset immediately.
     Reset,
 }
 
-/// Whatever became of the calls before, once each call succeeds the list is there before new work to a worker that
-/// leaves would break the rule.
+/// Regardless of how earlier calls failed, once calls succeed the list arrives before new work for a leaving
+/// worker would violate the drain grace period.
 #[rstest]
-#[case(Trouble::Silence)]
-#[case(Trouble::NoDial)]
-#[case(Trouble::Refused)]
-#[case(Trouble::NoHead)]
-#[case(Trouble::Busy(S))]
-#[case(Trouble::Busy(2 * S))]
-#[case(Trouble::Mute)]
-#[case(Trouble::Reset)]
-fn the_list_is_heard_in_time(
-    #[case] trouble: Trouble,
+#[case(CallFailure::Silence)]
+#[case(CallFailure::ConnectTimeout)]
+#[case(CallFailure::Refused)]
+#[case(CallFailure::HeadTimeout)]
+#[case(CallFailure::Busy(SECOND))]
+#[case(CallFailure::Busy(2 * SECOND))]
+#[case(CallFailure::Mute)]
+#[case(CallFailure::Reset)]
+fn the_list_arrives_within_the_drain_grace(
+    #[case] failure: CallFailure,
     #[values(Source::OnRequest, Source::Pushed)] source: Source,
     #[values(1, 30, 300)] fleet: u32,
-    #[values(2 * S, 10 * S)] within: Micros,
+    #[values(2 * SECOND, 10 * SECOND)] max_call_interval: Micros,
 ) {
     for seed in 0..400u64 {
-        let mut clock = ListClock::new(source, fleet, within, seed, 0);
-        let (back, way) = (20 * S + seed * 23_456, 5_000);
-        // A watch that falls silent at the moment of the change; the other troubles end at that moment.
-        let event = match trouble {
-            Trouble::Silence => Event::Silent(back),
-            _ => Event::Reachable(back),
+        let mut clock = ListClock::new(source, fleet, max_call_interval, seed, 0);
+        let (recovery, latency) = (20 * SECOND + seed * 23_456, 5_000);
+        // Silence starts at the moment of the change; all other faults end at that moment.
+        let event = match failure {
+            CallFailure::Silence => Event::Silent(recovery),
+            _ => Event::Reachable(recovery),
         };
-        let heard = loop {
+        let received_at = loop {
             let now = clock.due();
             clock.call_started(now);
-            let silent_watch = matches!(trouble, Trouble::Silence) && now < back;
-            if silent_watch || now >= back {
-                clock.connected(now + way);
-                clock.watch_opened(now + 2 * way);
-                clock.received(now + 2 * way);
-                if now >= back {
-                    break now + 2 * way;
+            let silent_watch = matches!(failure, CallFailure::Silence) && now < recovery;
+            if silent_watch || now >= recovery {
+                clock.connected(now + latency);
+                clock.watch_opened(now + 2 * latency);
+                clock.received(now + 2 * latency);
+                if now >= recovery {
+                    break now + 2 * latency;
                 }
-                let mut at = now + 2 * way;
-                while at + 2 * S < back {
-                    at += 2 * S;
+                let mut at = now + 2 * latency;
+                while at + 2 * SECOND < recovery {
+                    at += 2 * SECOND;
                     clock.received(at);
                 }
                 let due = clock.due();
                 clock.call_ended(due);
                 continue;
             }
-            let ends = match trouble {
-                Trouble::Silence | Trouble::NoDial => clock.due(),
-                Trouble::Refused => now + way,
-                Trouble::NoHead => {
-                    clock.connected(now + way);
+            let ended_at = match failure {
+                CallFailure::Silence | CallFailure::ConnectTimeout => clock.due(),
+                CallFailure::Refused => now + latency,
+                CallFailure::HeadTimeout => {
+                    clock.connected(now + latency);
                     clock.due()
                 }
-                Trouble::Busy(after) => {
-                    clock.connected(now + way);
-                    clock.due().min(now + way + after)
+                CallFailure::Busy(after) => {
+                    clock.connected(now + latency);
+                    clock.due().min(now + latency + after)
                 }
-                Trouble::Mute => {
-                    clock.connected(now + way);
-                    clock.watch_opened(now + 2 * way);
+                CallFailure::Mute => {
+                    clock.connected(now + latency);
+                    clock.watch_opened(now + 2 * latency);
                     clock.due()
                 }
-                Trouble::Reset => {
-                    clock.connected(now + way);
-                    clock.watch_opened(now + 2 * way);
-                    now + 3 * way
+                CallFailure::Reset => {
+                    clock.connected(now + latency);
+                    clock.watch_opened(now + 2 * latency);
+                    now + 3 * latency
                 }
             };
-            clock.call_ended(ends);
+            clock.call_ended(ended_at);
         };
-        // A mute watch is opened before discovery is back and breaks by its silence, which has its own row.
-        let told = match trouble {
-            Trouble::Mute => effective_at(source, Event::Silent(back), within),
-            _ => effective_at(source, event, within),
+        // A mute watch is opened before discovery recovers and fails by silence, which has its own row in the
+        // table.
+        let effective = match failure {
+            CallFailure::Mute => effective_at(source, Event::Silent(recovery), max_call_interval),
+            _ => effective_at(source, event, max_call_interval),
         };
-        // Eight tenths of the grace: the strictest that any deployment here names.
-        let by = told + DRAIN_GRACE_US / 10 * 8;
+        // Eight tenths of the grace period: the strictest limit in any deployment here.
+        let deadline = effective + DRAIN_GRACE_US / 10 * 8;
         assert!(
-            heard <= by,
-            "{trouble:?} {source:?} seed {seed}: heard {} us after {by}",
-            heard - by
+            received_at <= deadline,
+            "{failure:?} {source:?} seed {seed}: heard {} us after {deadline}",
+            received_at - deadline
         );
     }
 }
 
 #[rstest]
-fn operations_wait_for_the_first_list_and_hurry_its_call(
+fn operations_wait_for_the_first_list_and_expedite_its_call(
     #[values(Source::OnRequest, Source::Pushed)] source: Source,
-    #[values(true, false)] comes: bool,
+    #[values(true, false)] list_arrives: bool,
 ) {
-    let mut clock = ListClock::new(source, 300, 10 * S, 7, S);
+    let mut clock = ListClock::new(source, 300, 10 * SECOND, 7, SECOND);
     assert!(clock.awaits_first());
-    clock.expedite(S + 1);
-    assert!(clock.due() <= S + 1, "the first call begins at once");
-    clock.call_started(S + 1);
-    clock.connected(S + 2);
-    clock.expedite(S + 2);
-    assert!(clock.due() > S + 2, "a call in hand is not given up");
-    if comes {
-        clock.watch_opened(S + 3);
-        assert!(clock.awaits_first(), "an open watch has said nothing yet");
-        clock.received(S + 4);
+    clock.expedite(SECOND + 1);
+    assert!(clock.due() <= SECOND + 1, "the first call begins at once");
+    clock.call_started(SECOND + 1);
+    clock.connected(SECOND + 2);
+    clock.expedite(SECOND + 2);
+    assert!(
+        clock.due() > SECOND + 2,
+        "a call in progress is not abandoned"
+    );
+    if list_arrives {
+        clock.watch_opened(SECOND + 3);
+        assert!(
+            clock.awaits_first(),
+            "nothing has arrived on the open watch yet"
+        );
+        clock.received(SECOND + 4);
         assert!(!clock.awaits_first());
     }
-    let pause = clock.call_ended(S + 5);
+    let pause = clock.call_ended(SECOND + 5);
     assert!(
         !clock.awaits_first(),
-        "there is a list, or none is to be had"
+        "a list has arrived, or the first call has failed"
+    );
+    clock.expedite(SECOND + 6);
+    assert_eq!(
+        clock.due(),
+        SECOND + 5 + pause,
+        "a later call waits for its pause"
     );
-    clock.expedite(S + 6);
-    assert_eq!(clock.due(), S + 5 + pause, "a later call takes its pause");
 }
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -1,5 +1,5 @@
-//! Pool configs over real connections from discoveries that fail: silent, reset, stalled, refusing, indented, in each
-//! way by which a list may come.
+//! Endpoint lists over real connections from a discovery that fails: silent, reset, stalled, refusing or
+//! sending indented lists. Covers both kinds of discovery.
 
 mod support;
 
@@ -9,20 +9,20 @@
 use std::net::TcpStream;
 use support::*;
 
-/// A program that knows `old`, and hears at this discovery.
-fn begin(mode: &str, discovery: &Discovery, old: &Worker, new: &Worker) -> Program {
+/// Starts a program that knows `old` and watches this discovery.
+fn start_program(mode: &str, discovery: &Discovery, old: &Worker, new: &Worker) -> Program {
     let mut config = config(&[old]);
     config["discovery"] = discovery.addr().into();
     config["settings"]["discovery"] = mode.into();
     Program::with(Files::new(), &config, None, &[old, new])
 }
 
-fn handed_on(old: &Worker, new: &Worker, version: u64) -> Value {
+fn replacement_list(old: &Worker, new: &Worker, version: u64) -> Value {
     json!({"version": version, "full": false, "servers": [old.line("draining"), new.line("ready")]})
 }
 
-/// From here on all work goes to the new worker, none to the one that leaves.
-fn is_told(program: &Program, old: &Worker) {
+/// Checks that from here on all work goes to the new worker and none to the leaving one.
+fn assert_list_is_applied(program: &Program, old: &Worker) {
     program.logged("pool config");
     for n in 0..6 {
         assert_eq!(
@@ -36,22 +36,22 @@
     }
     assert!(
         old.sent.try_recv().is_err(),
-        "new work to a worker that leaves"
+        "new work for a leaving worker"
     );
 }
 
-/// Guards against a list that is not listened to until something asks for it: what the agent has counts as told from a
-/// process's first moment, and no operation has come yet.
+/// Guards against a program that opens the watch only when the first operation arrives: changes that the
+/// agent has are effective from the start of the process, when no operation has arrived yet.
 #[rstest]
-fn the_list_is_watched_from_the_first_moment(#[values("pushed", "on_request")] mode: &str) {
+fn the_list_is_watched_from_process_start(#[values("pushed", "on_request")] mode: &str) {
     let (old, new) = (Worker::start("s-1", SERVES), Worker::start("s-2", SERVES));
     let discovery = Discovery::start();
-    let program = begin(mode, &discovery, &old, &new);
-    let _watch = discovery.watch(1, &[handed_on(&old, &new, 2)]);
-    is_told(&program, &old);
+    let program = start_program(mode, &discovery, &old, &new);
+    let _watch = discovery.watch(1, &[replacement_list(&old, &new, 2)]);
+    assert_list_is_applied(&program, &old);
 }
 
-/// Guards against taking a line for an object: lists may come indented, and in pieces of any size.
+/// Guards against treating each line as an object: lists may be indented and arrive in pieces of any size.
 #[rstest]
 fn an_indented_list_is_read(
     #[values("pushed", "on_request")] mode: &str,
@@ -59,104 +59,109 @@
 ) {
     let (old, new) = (Worker::start("s-1", SERVES), Worker::start("s-2", SERVES));
     let discovery = Discovery::start();
-    let program = begin(mode, &discovery, &old, &new);
+    let program = start_program(mode, &discovery, &old, &new);
     let mut watch = discovery.watch(1, &[]);
     let mut text =
         serde_json::to_string_pretty(&json!({"version": 2, "full": false, "servers": [],
         "note": "a brace } and a \" quote\n"}))
         .unwrap();
     text += "\n\n\r\n";
-    text += &serde_json::to_string_pretty(&handed_on(&old, &new, 3)).unwrap();
+    text += &serde_json::to_string_pretty(&replacement_list(&old, &new, 3)).unwrap();
     text += "\n";
     text.as_bytes()
         .chunks(piece)
         .for_each(|p| write_chunk(&mut watch, p));
     assert!(program.logged("pool config").contains("version: 2"));
-    is_told(&program, &old);
+    assert_list_is_applied(&program, &old);
 }
 
-/// What a discovery does to a call or watch before it is well again.
+/// Fault of a call or watch before discovery recovers.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
-    /// The watch is open and says nothing more.
+    /// The watch stays open and sends nothing more.
     Silent,
     /// The watch is reset.
     Reset,
-    /// The watch is ended in order.
-    Ended,
-    /// The call is taken and never answered.
+    /// The watch is closed in order.
+    Closed,
+    /// The call is accepted and never answered.
     Stalled,
-    /// The call is answered 503.
+    /// The call is answered with 503.
     Refused,
     /// The call is reset.
     CallReset,
-    /// Half an object, and nothing more.
-    Half,
-    /// What is no list.
-    NoList,
-    /// A chunk that says it is huge.
-    Huge,
+    /// The watch sends half an object and nothing more.
+    Truncated,
+    /// The watch sends an object that is not a list.
+    InvalidList,
+    /// The watch sends a chunk header that announces a huge size.
+    HugeChunk,
 }
 
-/// Guards against a dispatcher that holds to a watch or call that will never say anything again, or leaves it at one.
+/// Guards against a dispatcher that keeps a dead watch or call open, or does not call again after a failure.
 #[rstest]
-fn a_failing_discovery_is_asked_anew(
+fn a_failing_discovery_is_called_again(
     #[values("pushed", "on_request")] mode: &str,
     #[values(
         Fault::Silent,
         Fault::Reset,
-        Fault::Ended,
+        Fault::Closed,
         Fault::Stalled,
         Fault::Refused,
         Fault::CallReset,
-        Fault::Half,
-        Fault::NoList,
-        Fault::Huge
+        Fault::Truncated,
+        Fault::InvalidList,
+        Fault::HugeChunk
     )]
     fault: Fault,
 ) {
     let (old, new) = (Worker::start("s-1", SERVES), Worker::start("s-2", SERVES));
     let discovery = Discovery::start();
-    let program = begin(mode, &discovery, &old, &new);
-    let mut held = Vec::new();
+    let program = start_program(mode, &discovery, &old, &new);
+    let mut open_connections = Vec::new();
     let mut after = 1;
     match fault {
-        Fault::Silent | Fault::Reset | Fault::Ended | Fault::Half | Fault::NoList | Fault::Huge => {
+        Fault::Silent
+        | Fault::Reset
+        | Fault::Closed
+        | Fault::Truncated
+        | Fault::InvalidList
+        | Fault::HugeChunk => {
             let mut watch =
                 discovery.watch(1, &[json!({"version": 2, "full": false, "servers": []})]);
             program.logged("pool config");
             after = 2;
             match fault {
                 Fault::Reset => reset(watch),
-                Fault::Ended => drop(watch),
+                Fault::Closed => drop(watch),
                 _ => {
                     match fault {
-                        Fault::Half => {
+                        Fault::Truncated => {
                             write_chunk(&mut watch, b"{\"version\": 9, \"full\": true, \"ser")
                         }
-                        Fault::NoList => write_chunk(&mut watch, b"{\"version\": \"none\"}\n"),
-                        Fault::Huge => watch.write_all(b"ffffffff\r\n").unwrap(),
+                        Fault::InvalidList => write_chunk(&mut watch, b"{\"version\": \"none\"}\n"),
+                        Fault::HugeChunk => watch.write_all(b"ffffffff\r\n").unwrap(),
                         _ => {}
                     }
-                    held.push(watch);
+                    open_connections.push(watch);
                 }
             }
         }
-        Fault::Stalled => held.push(discovery.call().0),
+        Fault::Stalled => open_connections.push(discovery.call().0),
         Fault::Refused => {
             let (mut call, _) = discovery.call();
             call.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
                 .unwrap();
-            held.push(call);
+            open_connections.push(call);
         }
         Fault::CallReset => reset(discovery.call().0),
     }
-    held.push(discovery.watch(after, &[handed_on(&old, &new, 3)]));
-    is_told(&program, &old);
+    open_connections.push(discovery.watch(after, &[replacement_list(&old, &new, 3)]));
+    assert_list_is_applied(&program, &old);
     assert_eq!(program.counters()["watches_broken"], 1);
 }
 
-/// Guards against a list of a discovery that is no longer the one: the old watch still says something after SIGHUP.
+/// Guards against accepting a list of the previous discovery: the old watch still sends one after SIGHUP.
 #[rstest]
 fn a_signal_moves_the_watch_at_once(#[values("pushed", "on_request")] mode: &str) {
     let (old, new) = (Worker::start("s-1", SERVES), Worker::start("s-2", SERVES));
@@ -165,7 +170,7 @@
     config["discovery"] = before.addr().into();
     config["settings"]["discovery"] = mode.into();
     let program = Program::with(Files::new(), &config, None, &[&old, &new]);
-    let mut alive = before.watch(1, &[json!({"version": 7, "full": false, "servers": []})]);
+    let mut old_watch = before.watch(1, &[json!({"version": 7, "full": false, "servers": []})]);
     program.logged("pool config");
     config["discovery"] = after.addr().into();
     program.reload(&config.to_string());
@@ -175,7 +180,7 @@
     );
     program.logged("pool config");
     let line = json!({"version": 8, "full": true, "servers": [old.line("ready")]}).to_string();
-    let _ = alive.write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes());
+    let _ = old_watch.write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes());
     for n in 0..6 {
         assert_eq!(
             ask(
@@ -188,12 +193,12 @@
     }
     assert!(
         old.sent.try_recv().is_err(),
-        "the old discovery's list still counts"
+        "a list of the previous discovery was applied"
     );
 }
 
-/// Guards against processes that are not ready until they have a list: thirty begin at once, with discovery full, and each
-/// serves before a single call is answered.
+/// Guards against processes that become ready only with their first list: thirty start at the same time while
+/// discovery answers no call, and each must serve before any call is answered.
 #[test]
 fn processes_are_ready_while_discovery_answers_nobody() {
     let worker = Worker::start(
@@ -207,7 +212,7 @@
     let discovery = Discovery::start();
     let (addr, site) = (discovery.addr(), config(&[&worker]));
     let ready: Vec<Program> = std::thread::scope(|scope| {
-        let begun: Vec<_> = (0..30)
+        let threads: Vec<_> = (0..30)
             .map(|n| {
                 let (addr, site) = (&addr, &site);
                 scope.spawn(move || {
@@ -224,12 +229,12 @@
                 })
             })
             .collect();
-        begun
+        threads
             .into_iter()
             .map(|b| b.join().expect("ready"))
             .collect()
     });
-    // They serve from the list that they were given, too.
+    // They also serve operations, with the list from their configuration.
     for (n, program) in ready.iter().enumerate() {
         let id = format!("a{n}");
         let mut client = connect(program.addr);
@@ -246,9 +251,13 @@
     }
 }
 
-/// A program that knows `old` from its earlier life and has taken an operation, `a1`, before it has heard anything; and the
-/// client that waits for its answer. Nothing may be sent yet.
-fn asked_early(discovery: &str, old: &Worker, new: &Worker) -> (Program, TcpStream) {
+/// Starts a program that knows `old` from a previous run and has accepted operation `a1` before its first
+/// list arrived. Also returns the client that waits for the answer. The program may not send any work yet.
+fn start_with_waiting_operation(
+    discovery: &str,
+    old: &Worker,
+    new: &Worker,
+) -> (Program, TcpStream) {
     let mut config = config(&[old]);
     config["discovery"] = discovery.into();
     config["settings"]["discovery"] = "on_request".into();
@@ -261,26 +270,26 @@
     (program, client)
 }
 
-fn answered(client: TcpStream) -> Message {
+fn read_answer(client: TcpStream) -> Message {
     read_message(&mut BufReader::new(client)).expect("an answer")
 }
 
-/// Guards against work sent by an earlier life's list: a worker that left since then may be up at its address again, not
-/// listed yet, and discovery has had the change for long.
+/// Guards against work that is sent according to the list of a previous run: a worker that has left since may
+/// be up at its address again without being listed, and discovery may have had the change for a long time.
 #[test]
 fn a_new_process_sends_nothing_before_its_first_list() {
     let (old, new) = (Worker::start("s-1", SERVES), Worker::start("s-2", SERVES));
     let discovery = Discovery::start();
-    let (program, client) = asked_early(&discovery.addr(), &old, &new);
+    let (program, client) = start_with_waiting_operation(&discovery.addr(), &old, &new);
     assert_eq!(
         program.counters()["steps"],
         0,
-        "sent by the list of an earlier life"
+        "sent according to the list of a previous run"
     );
-    let mut left = handed_on(&old, &new, 2);
+    let mut left = replacement_list(&old, &new, 2);
     left["servers"][0]["state"] = "gone".into();
     let _watch = discovery.watch(1, &[left]);
-    assert_eq!(answered(client).body, "log of a1");
+    assert_eq!(read_answer(client).body, "log of a1");
     assert_eq!(
         new.next(),
         Sent::Job {
@@ -291,30 +300,30 @@
     );
     assert!(
         old.sent.try_recv().is_err(),
-        "new work to a worker that has left"
+        "new work for a worker that has left"
     );
 }
 
-/// Guards against operations that wait for a list that is not to be had: the first call's end is the end of the waiting,
-/// and the list that is known serves.
+/// Guards against operations that wait for a list that does not arrive: the wait ends with the first call,
+/// and the known list is used.
 #[rstest]
-fn a_first_call_that_fails_ends_the_waiting(
+fn a_failed_first_call_ends_the_wait(
     #[values(
         Fault::Refused,
         Fault::CallReset,
         Fault::Stalled,
         Fault::Reset,
-        Fault::NoList
+        Fault::InvalidList
     )]
     fault: Fault,
 ) {
     let (old, new) = (Worker::start("s-1", SERVES), Worker::start("s-2", SERVES));
     let discovery = Discovery::start();
-    let (program, client) = asked_early(&discovery.addr(), &old, &new);
+    let (program, client) = start_with_waiting_operation(&discovery.addr(), &old, &new);
     assert_eq!(
         program.counters()["steps"],
         0,
-        "sent by the list of an earlier life"
+        "sent according to the list of a previous run"
     );
     let (mut call, _) = discovery.call();
     match fault {
@@ -322,7 +331,7 @@
             .write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
             .unwrap(),
         Fault::CallReset => reset(call.try_clone().unwrap()),
-        Fault::NoList => {
+        Fault::InvalidList => {
             call.write_all(WATCHED.as_bytes()).unwrap();
             write_chunk(&mut call, b"{\"version\": \"none\"}\n");
         }
@@ -335,18 +344,19 @@
     if matches!(fault, Fault::CallReset | Fault::Reset) {
         drop(call);
     }
-    assert_eq!(answered(client).body, "log of a1");
+    assert_eq!(read_answer(client).body, "log of a1");
     assert!(
         matches!(old.next(), Sent::Job { .. }),
-        "the list that is known serves"
+        "the known list is used"
     );
 }
 
-/// The same where nobody listens at discovery's address.
+/// Guards against a dispatcher that keeps operations waiting for a first list while nothing listens at the
+/// address of discovery.
 #[test]
-fn a_discovery_that_is_down_holds_nothing_up() {
+fn a_discovery_that_is_down_does_not_block_operations() {
     let (old, new) = (Worker::start("s-1", SERVES), Worker::start("s-2", SERVES));
-    let addr = Discovery::start().addr(); // closed again
-    let (_program, client) = asked_early(&addr, &old, &new);
-    assert_eq!(answered(client).body, "log of a1");
+    let addr = Discovery::start().addr(); // dropped at once, so that nothing listens at its address
+    let (_program, client) = start_with_waiting_operation(&addr, &old, &new);
+    assert_eq!(read_answer(client).body, "log of a1");
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The adapter: shapes of the wire, bad input, and independence of how dispatchers share processes.
+//! Adapter for the JSON-lines protocol: message formats, malformed input, and independence from how
+//! dispatchers share processes.
 
 use streamusher::wire::run;
 
@@ -28,7 +29,7 @@
     )
 }
 
-fn begin(dispatcher: u32, number: u32) -> Vec<String> {
+fn configure_lines(dispatcher: u32, number: u32) -> Vec<String> {
     vec![
         format!(
             r#"{{"type":"CONFIGURE","dispatcher":{dispatcher},"rngSeed":{},"setup":{SETUP}}}"#,
@@ -40,26 +41,26 @@
     ]
 }
 
-fn knock(dispatcher: u32, job: u64, profile: &str) -> String {
+fn knock_line(dispatcher: u32, job: u64, profile: &str) -> String {
     format!(
         r#"{{"type":"KNOCK","dispatcher":{dispatcher},"job":{job},"profile":"{profile}","account":"t","targetKey":"k","expiresInUs":5000000,"slots":1,"mem":0.5,"attrs":4}}"#
     )
 }
 
-fn outcome(dispatcher: u32, job: u64, code: &str, complete: bool) -> String {
+fn outcome_line(dispatcher: u32, job: u64, code: &str, complete: bool) -> String {
     let complete = if complete { r#","complete":true"# } else { "" };
     format!(
         r#"{{"type":"OUTCOME","dispatcher":{dispatcher},"job":{job},"elapsedUs":18500,"worker":"10.0.0.1:9000","stateCode":"{code}","roundNo":0{complete},"usage":{{"active":2,"x0":0.4,"unheard_of":3}}}}"#
     )
 }
 
-fn ok(input: &str) -> String {
+fn run_ok(input: &str) -> String {
     let mut out = Vec::new();
     run(input.as_bytes(), &mut out).expect("well-formed input");
     String::from_utf8(out).expect("text")
 }
 
-fn fails(input: &str) -> String {
+fn run_error(input: &str) -> String {
     run(input.as_bytes(), &mut Vec::new()).expect_err("malformed input")
 }
 
@@ -67,18 +68,18 @@
     let mut first = vec![list(number, workers)];
     dispatchers
         .iter()
-        .for_each(|&d| first.extend(begin(d, number)));
+        .for_each(|&dispatcher| first.extend(configure_lines(dispatcher, number)));
     let mut text = batch(1_000, &first);
     for job in 0..40u64 {
         let lines: Vec<String> = dispatchers
             .iter()
-            .flat_map(|&d| {
-                let id = job * 10 + u64::from(d);
+            .flat_map(|&dispatcher| {
+                let id = job * 10 + u64::from(dispatcher);
                 let profile = ["free", "keyed", "once"][job as usize % 3];
-                let mut lines = vec![knock(d, id, profile)];
+                let mut lines = vec![knock_line(dispatcher, id, profile)];
                 if job % 2 == 1 {
-                    lines.push(outcome(
-                        d,
+                    lines.push(outcome_line(
+                        dispatcher,
                         id - 10,
                         ["shed", "delivered"][job as usize / 2 % 2],
                         job % 4 == 3,
@@ -92,23 +93,23 @@
     text
 }
 
-fn of(out: &str, dispatcher: u32) -> Vec<&str> {
+fn lines_of(out: &str, dispatcher: u32) -> Vec<&str> {
     let mark = format!("\"dispatcher\":{dispatcher},");
     out.lines().filter(|l| l.contains(&mark)).collect()
 }
 
 #[test]
 fn an_empty_batch_is_answered() {
-    assert_eq!(ok(&batch(5, &[])), "{\"type\":\"READY\"}\n");
-    assert_eq!(ok(""), "");
+    assert_eq!(run_ok(&batch(5, &[])), "{\"type\":\"READY\"}\n");
+    assert_eq!(run_ok(""), "");
 }
 
 #[test]
-fn a_request_goes_out_as_the_wire_has_it() {
+fn a_request_is_sent_in_the_wire_format() {
     let mut lines = vec![list(0, &[1])];
-    lines.extend(begin(3, 0));
-    lines.push(knock(3, 4_049_554_428_826_052, "free"));
-    let out = ok(&batch(1_000, &lines));
+    lines.extend(configure_lines(3, 0));
+    lines.push(knock_line(3, 4_049_554_428_826_052, "free"));
+    let out = run_ok(&batch(1_000, &lines));
     let want = r#"{"type":"SEND","dispatcher":3,"job":4049554428826052,"worker":"10.0.0.1:9000"}"#;
     assert!(out.lines().any(|l| l == want), "{out}");
     assert!(
@@ -123,8 +124,8 @@
 #[test]
 fn every_message_is_read_and_unknown_keys_are_skipped() {
     let mut lines = vec![list(0, &[1, 2])];
-    lines.extend(begin(3, 0));
-    lines.push(knock(3, 1, "free"));
+    lines.extend(configure_lines(3, 0));
+    lines.push(knock_line(3, 1, "free"));
     lines.extend(
         [
             r#"{"type":"HEADERS","dispatcher":3,"job":1,"worker":"10.0.0.1:9000","elapsedUs":5,"roundNo":0,"later":{}}"#,
@@ -142,42 +143,53 @@
         ]
         .map(String::from),
     );
-    lines.extend(begin(3, 0));
-    lines.push(knock(3, 2, "once"));
-    let out = ok(&batch(1_000, &lines));
+    lines.extend(configure_lines(3, 0));
+    lines.push(knock_line(3, 2, "once"));
+    let out = run_ok(&batch(1_000, &lines));
     assert_eq!(out.matches("\"SEND\"").count(), 2, "{out}");
 }
 
 #[test]
 fn a_list_number_may_be_used_again_within_a_batch() {
     let mut lines = vec![list(0, &[1])];
-    lines.extend(begin(3, 0));
+    lines.extend(configure_lines(3, 0));
     lines.push(list(0, &[2]));
-    lines.extend(begin(4, 0));
-    lines.extend([knock(3, 1, "free"), knock(4, 2, "free")]);
-    let out = ok(&batch(1_000, &lines));
-    assert!(of(&out, 3).iter().any(|l| l.contains("10.0.0.1:9000")));
-    assert!(of(&out, 4).iter().any(|l| l.contains("10.0.0.2:9000")));
-    assert!(!of(&out, 4).iter().any(|l| l.contains("10.0.0.1:9000")));
+    lines.extend(configure_lines(4, 0));
+    lines.extend([knock_line(3, 1, "free"), knock_line(4, 2, "free")]);
+    let out = run_ok(&batch(1_000, &lines));
+    assert!(lines_of(&out, 3)
+        .iter()
+        .any(|l| l.contains("10.0.0.1:9000")));
+    assert!(lines_of(&out, 4)
+        .iter()
+        .any(|l| l.contains("10.0.0.2:9000")));
+    assert!(!lines_of(&out, 4)
+        .iter()
+        .any(|l| l.contains("10.0.0.1:9000")));
 }
 
 #[test]
 fn dispatchers_act_alike_alone_and_together() {
     let workers: Vec<u32> = (0..12).collect();
-    let together = ok(&session(&[0, 1, 2], 0, &workers));
+    let together = run_ok(&session(&[0, 1, 2], 0, &workers));
     assert!(together.matches("\"SEND\"").count() > 60);
-    for d in 0..3 {
-        // Alone, with another list number, after lists that only others were sent in another order.
+    for dispatcher in 0..3 {
+        // Alone, with another list number, and after a list in another order that this dispatcher does not use.
         let other: Vec<u32> = (0..12).rev().collect();
-        let input = batch(1, &[list(9, &other)]) + &session(&[d], 5, &workers);
-        assert_eq!(of(&together, d), of(&ok(&input), d), "dispatcher {d}");
+        let input = batch(1, &[list(9, &other)]) + &session(&[dispatcher], 5, &workers);
+        assert_eq!(
+            lines_of(&together, dispatcher),
+            lines_of(&run_ok(&input), dispatcher),
+            "dispatcher {dispatcher}"
+        );
     }
 }
 
 #[test]
-fn bad_lines_are_named() {
+fn errors_name_the_malformed_line() {
     let start = "{\"type\":\"SYNC\",\"atTimeUs\":5}\n";
-    let configured = start.to_string() + &list(0, &[1]) + "\n" + &begin(3, 0).join("\n") + "\n";
+    let configured =
+        start.to_string() + &list(0, &[1]) + "\n" + &configure_lines(3, 0).join("\n") + "\n";
     for (input, reason) in [
         (start.to_string() + "nonsense\n", "line 2: not a message"),
         (
@@ -199,11 +211,11 @@
         ),
         (start.to_string(), "line 1: the input ends inside a batch"),
         (
-            configured.clone() + &knock(3, 1, "unheard"),
+            configured.clone() + &knock_line(3, 1, "unheard"),
             "line 5: no class unheard",
         ),
         (
-            configured.clone() + &outcome(3, 1, "odd", false),
+            configured.clone() + &outcome_line(3, 1, "odd", false),
             "line 5: unknown outcome odd",
         ),
         (
@@ -211,14 +223,14 @@
             "line 5: not a message",
         ),
     ] {
-        let error = fails(&input);
+        let error = run_error(&input);
         assert!(error.starts_with(reason), "{error}, wanted {reason}");
     }
 }
 
-struct Closed;
+struct ClosedOutput;
 
-impl std::io::Write for Closed {
+impl std::io::Write for ClosedOutput {
     fn write(&mut self, _: &[u8]) -> std::io::Result<usize> {
         Err(std::io::ErrorKind::BrokenPipe.into())
     }
@@ -228,12 +240,12 @@
 }
 
 #[test]
-fn a_closed_output_ends_it_quietly() {
-    assert_eq!(run(batch(5, &[]).as_bytes(), Closed), Ok(()));
+fn a_closed_output_ends_the_adapter_without_error() {
+    assert_eq!(run(batch(5, &[]).as_bytes(), ClosedOutput), Ok(()));
 }
 
 #[test]
-fn the_adapter_exits_with_a_plain_line_on_bad_input() {
+fn the_adapter_exits_with_one_error_line_on_malformed_input() {
     use std::io::Write;
     use std::process::{Command, Stdio};
     for (input, good) in [("nonsense\n", false), ("", true)] {
@@ -249,27 +261,31 @@
             .unwrap()
             .write_all(input.as_bytes())
             .expect("written");
-        let done = child.wait_with_output().expect("it ends");
-        let said = String::from_utf8_lossy(&done.stderr).into_owned();
-        assert_eq!(done.status.success(), good, "{said}");
-        assert_eq!(said.lines().count(), usize::from(!good), "{said}");
-        assert!(good || said.contains("line 1"), "{said}");
+        let done = child.wait_with_output().expect("the adapter exits");
+        let error_output = String::from_utf8_lossy(&done.stderr).into_owned();
+        assert_eq!(done.status.success(), good, "{error_output}");
+        assert_eq!(
+            error_output.lines().count(),
+            usize::from(!good),
+            "{error_output}"
+        );
+        assert!(good || error_output.contains("line 1"), "{error_output}");
     }
 }
 
-/// Settings of the further rules, as they stand on the wire, reach the module.
+/// The settings `zonesAllowed`, `servedOn` and `fullMayHaveRun` are passed from the wire to the decisions.
 #[test]
-fn placement_and_full_that_proves_nothing_are_passed_on() {
+fn placement_and_full_may_have_run_are_passed_on() {
     let with = |change: [(&str, &str); 2]| {
         let mut lines = vec![list(0, &[1, 2, 4, 6])];
-        lines.extend(begin(3, 0));
+        lines.extend(configure_lines(3, 0));
         change
             .iter()
             .for_each(|(from, to)| lines[1] = lines[1].replacen(from, to, 1));
-        lines.extend((0..12).map(|job| knock(3, job, "free")));
-        let more: Vec<String> = vec![knock(3, 90, "once")];
-        let shed = vec![outcome(3, 90, "shed", false)];
-        ok(&(batch(1_000, &lines) + &batch(9_000, &more) + &batch(19_000, &shed)))
+        lines.extend((0..12).map(|job| knock_line(3, job, "free")));
+        let more: Vec<String> = vec![knock_line(3, 90, "once")];
+        let shed = vec![outcome_line(3, 90, "shed", false)];
+        run_ok(&(batch(1_000, &lines) + &batch(9_000, &more) + &batch(19_000, &shed)))
     };
     let free = |placement: &str| {
         let out = with([
@@ -312,16 +328,16 @@
 }
 
 #[test]
-fn ill_typed_settings_end_it_with_a_reason() {
+fn settings_of_the_wrong_type_are_rejected_with_a_reason() {
     for (from, to) in [
         ("\"worth\":5", "\"worth\":5,\"servedOn\":\"a\""),
         ("\"worth\":5", "\"worth\":5,\"zonesAllowed\":[1]"),
         ("\"fallUs\"", "\"fullMayHaveRun\":\"yes\",\"fallUs\""),
     ] {
         let mut lines = vec![list(0, &[1])];
-        lines.extend(begin(3, 0));
+        lines.extend(configure_lines(3, 0));
         lines[1] = lines[1].replacen(from, to, 1);
-        let error = fails(&batch(1_000, &lines));
+        let error = run_error(&batch(1_000, &lines));
         assert!(error.starts_with("line 3: not a message"), "{error}");
     }
 }
