--- a/src/list_clock.rs
+++ b/src/list_clock.rs
@@ -6,8 +6,7 @@
 //! | source | event | the change is effective |
 //! | --- | --- | --- |
 //! | on request | it is written on the watch or in a response | when it is written |
-//! | on request | no watch is open and no call succeeds, for whatever reason | [`EFFECTIVE_DELAY_US`] after
-//! discovery had it and was reachable; after `askWithinUs` if that is sooner |
+//! | on request | no watch is open and no call succeeds, for whatever reason | [`EFFECTIVE_DELAY_US`] after discovery had it and was reachable; after `askWithinUs` if that is sooner |
 //! | pushed | the agent has it, whether or not a watch is open, from the start of the process on | at once |
 //! | pushed | discovery was down, and the agent receives the change when it recovers | at the recovery |
 //! | both | the watch has become silent | [`EFFECTIVE_DELAY_US`] after it became silent |
