--- a/src/billing.rs
+++ b/src/billing.rs
@@ -60,7 +60,7 @@
     };
     let closing = ClosingRules {
         lateness_us: config.lateness_s * 1_000_000,
-        doubts: config.doubts.rule(),
+        doubts: config.doubts.settlement(),
     };
     let (sender, events) = async_channel::unbounded();
     let send_event = move |event| drop(sender.try_send(event)); // nobody listens once the event loop has ended
--- a/src/closing.rs
+++ b/src/closing.rs
@@ -11,15 +11,15 @@
 /// How long a connection is read after its end is told, where an answer was just written to it.
 const LINGER_US: Micros = 1_000_000;
 /// The same where the other side has nothing to read: the connection rested, or gives an attempt up.
-const REST_US: Micros = 250_000;
+const IDLE_LINGER_US: Micros = 250_000;
 /// The most that is read of what nobody wants.
-const MOST: usize = 1 << 20;
+const MAX_DISCARDED_BYTES: usize = 1 << 20;
 
 /// Where a close stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Closing {
     /// The end is to be told now.
-    Telling {
+    ShutdownPending {
         /// How long is then read on.
         linger_us: Micros,
     },
@@ -36,47 +36,51 @@
 
 impl Closing {
     /// In order: the other side has time to read what was written last, and to end too.
-    pub fn in_order() -> Closing {
-        Closing::Telling {
+    pub fn graceful() -> Closing {
+        Closing::ShutdownPending {
             linger_us: LINGER_US,
         }
     }
 
     /// Of a connection that rests, or gives an attempt up: there is nothing that the other side has yet to read.
-    pub fn resting() -> Closing {
-        Closing::Telling { linger_us: REST_US }
+    pub fn idle() -> Closing {
+        Closing::ShutdownPending {
+            linger_us: IDLE_LINGER_US,
+        }
     }
 
     /// To make room: only what has come by now is read.
-    pub fn at_once() -> Closing {
-        Closing::Telling { linger_us: 0 }
+    pub fn immediate() -> Closing {
+        Closing::ShutdownPending { linger_us: 0 }
     }
 
     /// The end is told.
-    pub fn told(self, now: Micros) -> Closing {
+    pub fn shutdown_sent(self, now: Micros) -> Closing {
         match self {
-            Closing::Telling { linger_us } => Closing::Draining {
+            Closing::ShutdownPending { linger_us } => Closing::Draining {
                 until: now.saturating_add(linger_us),
-                left: MOST,
+                left: MAX_DISCARDED_BYTES,
             },
             other => other,
         }
     }
 
     /// So much was read: nothing means that the other side has ended.
-    pub fn read(self, bytes: usize) -> Closing {
+    pub fn received(self, bytes: usize) -> Closing {
         match self {
             Closing::Draining { until, left } if bytes > 0 && bytes < left => Closing::Draining {
                 until,
                 left: left - bytes,
             },
-            Closing::Telling { .. } => unreachable!("nothing is read before the end is told"),
+            Closing::ShutdownPending { .. } => {
+                unreachable!("nothing is read before the end is told")
+            }
             _ => Closing::Closed,
         }
     }
 
     /// Nothing is there to be read; the time may be over.
-    pub fn quiet(self, now: Micros) -> Closing {
+    pub fn no_data(self, now: Micros) -> Closing {
         match self {
             Closing::Draining { until, .. } if now >= until => Closing::Closed,
             other => other,
--- a/src/command/ledger.rs
+++ b/src/command/ledger.rs
@@ -4,7 +4,7 @@
 use super::table::{plain, table};
 use super::Failure;
 use crate::billing::wall;
-use crate::config::operators::Operators;
+use crate::config::operators::OperatorsConfig;
 use clap::{Args, Subcommand, ValueEnum};
 use indicatif::{ProgressBar, ProgressStyle};
 use serde::Serialize;
@@ -81,7 +81,7 @@
         through: Option<Period>,
     },
     /// List served operations that nobody can tell of whether their clients have the answers, or settle them.
-    Doubts {
+    DoubtPolicy {
         /// Settle all that are listed the same way.
         #[arg(long, requires = "author", conflicts_with = "receipts")]
         settle: Option<How>,
@@ -146,11 +146,11 @@
 }
 
 impl Place {
-    fn operators(&self) -> Result<Option<Operators>, Failure> {
+    fn operators(&self) -> Result<Option<OperatorsConfig>, Failure> {
         Ok(self
             .config
             .as_deref()
-            .map(|f| Operators::load(f, &KnownNames::default()))
+            .map(|f| OperatorsConfig::load(f, &KnownNames::default()))
             .transpose()?)
     }
 
@@ -229,7 +229,7 @@
                 )
             }
             What::Close { through } => close(place, through),
-            What::Doubts {
+            What::DoubtPolicy {
                 settle,
                 receipts,
                 tenant,
--- a/src/command/mod.rs
+++ b/src/command/mod.rs
@@ -5,7 +5,7 @@
 mod servers;
 mod table;
 
-use crate::config::operators::Operators;
+use crate::config::operators::OperatorsConfig;
 use crate::config::Config;
 use crate::program::log;
 use clap::{Args, Parser, Subcommand};
@@ -73,7 +73,7 @@
         Some(Command::Run(run)) => {
             let mut config = Config::load(env, None)?;
             if let Some(file) = run.config {
-                Operators::load(&file, &config.known_names())?.into(&mut config);
+                OperatorsConfig::load(&file, &config.known_names())?.apply_to(&mut config);
             }
             Ok(crate::runtime::run(config, log())?)
         }
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -39,15 +39,15 @@
     /// How long rights are lent for, in microseconds.
     pub lease_us: u64,
     /// Between two digests, in microseconds.
-    pub gossip_us: u64,
+    pub gossip_interval_us: u64,
     /// Other members that hold the count of an answer before it goes out.
     pub copies: usize,
     /// How long an answer waits for them, in microseconds.
-    pub hold_us: u64,
+    pub max_hold_us: u64,
     /// The length of a period of the tally, in microseconds.
     pub period_us: u64,
     /// A member that is not heard for so long no longer holds up the folding of lives, in microseconds.
-    pub forget_us: u64,
+    pub forget_after_us: u64,
     /// Jobs in hand over the whole fleet, by tenant.
     pub limits: BTreeMap<String, u64>,
 }
@@ -164,14 +164,14 @@
             seats: self.seats,
             floor: self.floor,
             lease_us: within("lease_ms", self.lease_ms, 100, 600_000)? * 1_000,
-            gossip_us: within("gossip_ms", self.gossip_ms, 20, 60_000)? * 1_000,
+            gossip_interval_us: within("gossip_ms", self.gossip_ms, 20, 60_000)? * 1_000,
             copies: within("copies", self.copies as u64, 0, 16)? as usize,
-            hold_us: within("hold_ms", self.hold_ms, 1, 10_000)? * 1_000,
+            max_hold_us: within("hold_ms", self.hold_ms, 1, 10_000)? * 1_000,
             period_us: match self.period {
                 Period::Hour => 3_600,
                 Period::Day => 86_400,
             } * 1_000_000,
-            forget_us: within("forget_s", self.forget_s, 10, 31 * 86_400)? * 1_000_000,
+            forget_after_us: within("forget_s", self.forget_s, 10, 31 * 86_400)? * 1_000_000,
             limits: self.limits,
         })
     }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::core::PoolMember;
 use crate::net::discovery::List;
-use crate::settings::Setup;
+use crate::settings::PlatformSettings;
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -32,10 +32,10 @@
     /// What it may use.
     pub limits: Limits,
     /// The pool config as it was last known.
-    pub(crate) known: List,
-    pub(crate) setup: Setup,
+    pub(crate) initial_list: List,
+    pub(crate) setup: PlatformSettings,
     /// The DRMAA front and its workers, where they are wanted.
-    pub drmaa: Option<Drmaa>,
+    pub drmaa: Option<DrmaaConfig>,
     /// Whose operations are taken, where that matters.
     pub tenants: Option<operators::TenantsConfig>,
     /// Where use is booked, if it is.
@@ -65,13 +65,13 @@
 
 /// Descriptors that are always taken or must stay free: standard streams, the event loop, signals, listeners,
 /// discovery, operators' calls, and a new connection on its way in or out.
-const OWN: usize = 24 + crate::net::mgmt::CALLERS;
+const RESERVED_DESCRIPTORS: usize = 24 + crate::net::mgmt::CALLERS;
 
 impl Limits {
     /// So many sixteenths of the descriptors that are not taken by files, listeners and the event loop. Front
     /// sockets and their reserve, connections to workers, job sessions and cancels have all of them.
     fn share(&self, sixteenths: usize) -> usize {
-        ((self.sockets - OWN) * sixteenths / 16).max(2)
+        ((self.sockets - RESERVED_DESCRIPTORS) * sixteenths / 16).max(2)
     }
 
     /// Bytes of clients' bodies that may be in hand at once. Each may be held a second time while it is written to
@@ -114,7 +114,7 @@
 
 /// The DRMAA front and its workers.
 #[derive(Clone, Debug)]
-pub struct Drmaa {
+pub struct DrmaaConfig {
     /// Where job sessions are accepted; none, where only workers are driven.
     pub listen: Option<SocketAddr>,
     /// Jobs known at once, done ones included.
@@ -135,7 +135,7 @@
     seed: String,
     limits: Limits,
     known: List,
-    settings: Option<Setup>,
+    settings: Option<PlatformSettings>,
 }
 
 impl Config {
@@ -149,7 +149,9 @@
         let text = std::fs::read(&path).map_err(|e| format!("NODE_CONFIG: {path}: {e}"))?;
         let mut config = Config::parse(&text, env)?;
         let known = config.known_names();
-        config.drmaa = drmaa.map(|file| Drmaa::load(file, &known)).transpose()?;
+        config.drmaa = drmaa
+            .map(|file| DrmaaConfig::load(file, &known))
+            .transpose()?;
         Ok(config)
     }
 
@@ -190,7 +192,7 @@
                     .map_err(|_| format!("seed: not a hex number: {hex}"))?,
             },
             limits: file.limits,
-            known: file.known,
+            initial_list: file.known,
             setup,
             drmaa: None,
             tenants: None,
@@ -204,7 +206,7 @@
 pub struct Reload {
     /// Where discovery answers from now on; none, where all workers stand in the inventory.
     pub discovery: Option<SocketAddr>,
-    pub(crate) setup: Setup,
+    pub(crate) setup: PlatformSettings,
 }
 
 impl Reload {
@@ -226,9 +228,9 @@
     }
 }
 
-impl Drmaa {
+impl DrmaaConfig {
     /// Reads the file of the DRMAA front and the inventory that it names, beside it.
-    pub fn load(path: &Path, known: &KnownNames) -> Result<Drmaa, String> {
+    pub fn load(path: &Path, known: &KnownNames) -> Result<DrmaaConfig, String> {
         let file: operators::DrmaaFile = operators::decode(path)?;
         file.check(path, known)
             .map_err(|e| format!("{}: {e}", path.display()))
@@ -236,7 +238,7 @@
 }
 
 /// The settings alone, from their text.
-pub(crate) fn settings(text: &[u8]) -> Result<Setup, String> {
+pub(crate) fn settings(text: &[u8]) -> Result<PlatformSettings, String> {
     let setup = keyed(&mut serde_json::Deserializer::from_slice(text))?;
     check(&setup)?;
     Ok(setup)
@@ -267,7 +269,7 @@
 }
 
 /// What no type says. The decisions divide by some of these and index by others.
-fn check(s: &Setup) -> Result<(), String> {
+fn check(s: &PlatformSettings) -> Result<(), String> {
     let bad = |key: &str, why: &str| Err(format!("settings.{key}: {why}"));
     if s.request_classes.is_empty() {
         return bad("requestClasses", "no class");
--- a/src/config/operators.rs
+++ b/src/config/operators.rs
@@ -2,7 +2,7 @@
 
 pub use super::fleet::FleetConfig;
 use super::fleet::FleetFile;
-use super::{address, keyed, one_line, Config, Drmaa};
+use super::{address, keyed, one_line, Config, DrmaaConfig};
 use crate::core::tenants::Tenants;
 use crate::net::http::ONCE;
 use crate::servers;
@@ -16,9 +16,9 @@
 
 /// All that the file says.
 #[derive(Clone, Debug, Default)]
-pub struct Operators {
+pub struct OperatorsConfig {
     /// The DRMAA front and its workers.
-    pub drmaa: Option<Drmaa>,
+    pub drmaa: Option<DrmaaConfig>,
     /// Whose operations are taken.
     pub tenants: Option<TenantsConfig>,
     /// Where use is booked.
@@ -50,7 +50,7 @@
     /// What becomes of new work while nothing can be booked.
     pub on_failure: OnFailure,
     /// How doubts are settled when their period is closed.
-    pub doubts: Doubts,
+    pub doubts: DoubtPolicy,
     /// How long an answer waits for the disk, in milliseconds.
     pub hold_ms: u64,
     /// The most that the store's file may take, in MB; 0 for no bound.
@@ -61,7 +61,7 @@
 /// How doubts are settled when their period is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Doubts {
+pub enum DoubtPolicy {
     /// They wait for the operators.
     Hold,
     /// As served.
@@ -70,13 +70,13 @@
     Waive,
 }
 
-impl Doubts {
+impl DoubtPolicy {
     /// The rule, if there is one.
-    pub fn rule(self) -> Option<Settle> {
+    pub fn settlement(self) -> Option<Settle> {
         match self {
-            Doubts::Hold => None,
-            Doubts::Bill => Some(Settle::Bill),
-            Doubts::Waive => Some(Settle::Waive),
+            DoubtPolicy::Hold => None,
+            DoubtPolicy::Bill => Some(Settle::Bill),
+            DoubtPolicy::Waive => Some(Settle::Waive),
         }
     }
 }
@@ -155,7 +155,7 @@
     #[serde(default = "refuse_work")]
     on_failure: OnFailure,
     #[serde(default = "hold")]
-    doubts: Doubts,
+    doubts: DoubtPolicy,
     #[serde(default = "hold_ms")]
     hold_ms: u64,
     #[serde(default)]
@@ -175,8 +175,8 @@
     OnFailure::Refuse
 }
 
-fn hold() -> Doubts {
-    Doubts::Hold
+fn hold() -> DoubtPolicy {
+    DoubtPolicy::Hold
 }
 
 /// Beyond most syncs of a disk that works, so that few results are withheld.
@@ -194,12 +194,12 @@
     file.map_err(|e| format!("{at}: {}", one_line(&e)))
 }
 
-impl Operators {
+impl OperatorsConfig {
     /// Reads it, and the files that it names beside it.
-    pub fn load(path: &Path, known: &KnownNames) -> Result<Operators, String> {
+    pub fn load(path: &Path, known: &KnownNames) -> Result<OperatorsConfig, String> {
         let file: OperatorsFile = decode(path)?;
         let at = |table: &str, e: String| format!("{}: {table}.{e}", path.display());
-        Ok(Operators {
+        Ok(OperatorsConfig {
             drmaa: file
                 .drmaa
                 .map(|d| d.check(path, known))
@@ -224,7 +224,7 @@
     }
 
     /// What it says, in a configuration.
-    pub fn into(self, config: &mut Config) {
+    pub fn apply_to(self, config: &mut Config) {
         config.drmaa = self.drmaa;
         config.tenants = self.tenants;
         config.ledger = self.ledger;
@@ -237,7 +237,7 @@
 }
 
 impl DrmaaFile {
-    pub(super) fn check(self, path: &Path, known: &KnownNames) -> Result<Drmaa, String> {
+    pub(super) fn check(self, path: &Path, known: &KnownNames) -> Result<DrmaaConfig, String> {
         let listen = self.listen.map(|l| address("listen", &l)).transpose()?;
         if self.max_jobs == 0 {
             return Err("max_jobs: must be above 0".into());
@@ -253,7 +253,7 @@
             .transpose()
             .map_err(|e| format!("inventory: {e}"))?
             .unwrap_or_default();
-        Ok(Drmaa {
+        Ok(DrmaaConfig {
             listen,
             max_jobs: self.max_jobs,
             keep_s: self.keep_s,
--- a/src/core/booking.rs
+++ b/src/core/booking.rs
@@ -390,7 +390,7 @@
         answer: &Answer,
         receipt: Receipt,
     ) {
-        self.counters.answer(answer);
+        self.counters.record_answer(answer);
         front.answer(ticket, answer, receipt);
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -80,7 +80,7 @@
 
 use crate::counters::Counters;
 use crate::interface::{Class, ClassId, JobId, LoadReport, Micros, Repeatability, WorkerId};
-use crate::settings::Site;
+use crate::settings::SiteSettings;
 use crate::Balancer;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -151,7 +151,7 @@
 /// Tracks operations from submission to their final answer; see the [module documentation](self).
 pub struct Core {
     balancer: Balancer,
-    site: Site,
+    site: SiteSettings,
     max_open: usize,
     /// Whether repeats of keyed operations are joined here, as not all workers drop them.
     joins_repeats: bool,
@@ -186,14 +186,14 @@
     /// A core without workers, from the text of the platform's settings. All later times share the origin of
     /// `now`. Error messages name the faulty key.
     pub fn from_settings(text: &[u8], seed: u64, now: Micros) -> Result<Core, String> {
-        let site = Site::new(crate::config::settings(text)?);
+        let site = SiteSettings::new(crate::config::settings(text)?);
         let max_open = site.max_open;
         Ok(Core::new(site, max_open, false, seed, now))
     }
 
     /// A core without workers; [`crate::config`] describes `joins_repeats`.
     pub(crate) fn new(
-        mut site: Site,
+        mut site: SiteSettings,
         max_open: usize,
         joins_repeats: bool,
         seed: u64,
@@ -242,10 +242,10 @@
     /// Invalid settings change nothing.
     pub(crate) fn update_settings(
         &mut self,
-        setup: crate::settings::Setup,
+        setup: crate::settings::PlatformSettings,
     ) -> Result<usize, String> {
         let known = self.site.settings.classes.len();
-        let added = self.site.retune(setup)?;
+        let added = self.site.apply_reload(setup)?;
         if self.joins_repeats {
             let keyed =
                 |c: &&mut Class| matches!(c.repeatability, Repeatability::IdempotentByKey { .. });
@@ -281,7 +281,7 @@
 
     /// The class with this name, if the settings have one.
     pub fn class(&self, name: &str) -> Option<ClassId> {
-        self.site.classes.known(name).map(ClassId)
+        self.site.classes.find(name).map(ClassId)
     }
 
     /// The settings of a class.
--- a/src/core/repeats.rs
+++ b/src/core/repeats.rs
@@ -41,7 +41,7 @@
         };
         // The window runs from the first attempt that may have run, and an attempt may run on for as long as
         // its client would have waited.
-        let window = self.site.windows[key.0 as usize];
+        let window = self.site.deduplication_windows[key.0 as usize];
         keyed.until = first.sent_at.saturating_add(window).max(now);
         let served = matches!(&answer, Answer::Served(r) if self.retained_bytes + r.len() <= MAX_RETAINED_BYTES);
         let answer = if served {
--- a/src/core/steps.rs
+++ b/src/core/steps.rs
@@ -32,7 +32,7 @@
                 if matches!(outcome, StepOutcome::Served(_)) {
                     open.winning_step = Some(attempt as usize);
                 }
-                self.counters.ending(&outcome);
+                self.counters.record_step_outcome(&outcome);
                 let worker = &self.workers[state.worker.0 as usize].member;
                 self.observer
                     .iter()
--- a/src/core/turn.rs
+++ b/src/core/turn.rs
@@ -2,7 +2,7 @@
 
 use super::{Answer, Core, Input, QuotaGrant, StepEvent, StepId, StepOutcome, TimerKind};
 use crate::interface::{Action, Event, JobId, Micros, Request, TenantId};
-use crate::settings::mark;
+use crate::settings::name_hash;
 use std::cmp::Reverse;
 
 impl Core {
@@ -100,13 +100,13 @@
                     tenant: operation
                         .tenant
                         .as_deref()
-                        .and_then(|t| self.site.tenants.known(t))
+                        .and_then(|t| self.site.tenants.find(t))
                         .map(TenantId),
                     free_quota_share: quota_free,
                     expires_in_us: open.deadline.saturating_sub(now),
                     expected_work_us: None,
                     slots: operation.slots,
-                    affinity_key: operation.subject.as_deref().map(mark),
+                    affinity_key: operation.subject.as_deref().map(name_hash),
                 })
             }
             Input::Disconnected(job) => {
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -57,7 +57,7 @@
     /// Operations whose clients went away.
     pub clients_gone: u64,
     /// Route steps by how they ended.
-    pub endings: Endings,
+    pub endings: StepOutcomeCounts,
     /// Answers and attempts by class.
     pub classes: BTreeMap<String, Responses>,
 }
@@ -78,7 +78,7 @@
 /// Route steps by how they ended.
 #[derive(Clone, Debug, Default, Serialize)]
 #[allow(missing_docs)]
-pub struct Endings {
+pub struct StepOutcomeCounts {
     pub served: u64,
     pub worker_failed: u64,
     pub turned_away: u64,
@@ -90,7 +90,7 @@
 }
 
 impl Counters {
-    pub(crate) fn answer(&mut self, answer: &Answer) {
+    pub(crate) fn record_answer(&mut self, answer: &Answer) {
         *match answer {
             Answer::Served(_) => &mut self.served,
             Answer::Busy { .. } => &mut self.busy_replies,
@@ -100,9 +100,9 @@
         } += 1;
     }
 
-    pub(crate) fn ending(&mut self, ending: &StepOutcome) {
+    pub(crate) fn record_step_outcome(&mut self, outcome: &StepOutcome) {
         let e = &mut self.endings;
-        *match ending.attempt_outcome() {
+        *match outcome.attempt_outcome() {
             AttemptOutcome::Succeeded => &mut e.served,
             AttemptOutcome::WorkerError => &mut e.worker_failed,
             AttemptOutcome::Shed => &mut e.turned_away,
@@ -115,8 +115,8 @@
     }
 
     /// An answer of this status is given to a client of this class.
-    pub fn responded(&mut self, class: &str, status: u16) {
-        let r = self.of(class);
+    pub fn record_response(&mut self, class: &str, status: u16) {
+        let r = self.class_counts(class);
         *match status {
             200 => &mut r.ok,
             429 | 503 => &mut r.shed,
@@ -125,11 +125,11 @@
     }
 
     /// An attempt of this class is written whole.
-    pub fn tried(&mut self, class: &str) {
-        self.of(class).tries += 1;
+    pub fn record_attempt(&mut self, class: &str) {
+        self.class_counts(class).tries += 1;
     }
 
-    fn of(&mut self, class: &str) -> &mut Responses {
+    fn class_counts(&mut self, class: &str) -> &mut Responses {
         if !self.classes.contains_key(class) {
             self.classes.insert(class.to_owned(), Responses::default());
         }
@@ -137,7 +137,7 @@
     }
 
     /// One line of JSON.
-    pub fn line(&self) -> String {
+    pub fn to_json(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 }
--- a/src/drmaa/front/session.rs
+++ b/src/drmaa/front/session.rs
@@ -2,7 +2,7 @@
 
 use super::receipt::SharedReceipt;
 use super::{refuse, JobTable, Outgoing, Reply};
-use crate::config::Drmaa;
+use crate::config::DrmaaConfig;
 use crate::drmaa::{line, Call, CallKind, Error, SessionMessage, LINE};
 use crate::interface::Micros;
 use crate::net::http::Conn;
@@ -186,7 +186,7 @@
 pub(crate) fn listen(
     hub: &Rc<Hub>,
     addr: SocketAddr,
-    drmaa: &Drmaa,
+    drmaa: &DrmaaConfig,
     most: usize,
 ) -> Result<Rc<JobTable>, String> {
     let listener =
--- a/src/drmaa/mod.rs
+++ b/src/drmaa/mod.rs
@@ -6,7 +6,7 @@
 pub(crate) mod front;
 pub(crate) mod worker;
 
-use crate::config::Drmaa;
+use crate::config::DrmaaConfig;
 use crate::core::PoolMember;
 use crate::net::pool::Pool;
 use crate::runtime::Hub;
@@ -19,7 +19,7 @@
 /// Attaches the driver and its workers, and the front if it is to listen.
 pub(crate) fn attach(
     hub: &Rc<Hub>,
-    drmaa: Drmaa,
+    drmaa: DrmaaConfig,
     pool: Rc<Pool>,
     sessions: usize,
 ) -> Result<Option<Rc<front::JobTable>>, String> {
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -116,10 +116,10 @@
         join_addresses: config.join.clone(),
         key: config.key.0,
         seed,
-        gossip_interval: config.gossip_us,
+        gossip_interval: config.gossip_interval_us,
         required_copies: config.copies,
         terms: terms.clone(),
-        forget_after: config.forget_us,
+        forget_after: config.forget_after_us,
         period: config.period_us,
     };
     info!(hub.log, "joining the fleet"; "name" => &name, "udp" => %addr, "advertised" => %settings.address,
--- a/src/fleet/usage_recorder.rs
+++ b/src/fleet/usage_recorder.rs
@@ -80,7 +80,7 @@
                 .collect(),
             allowances,
             copies: config.copies,
-            max_hold: config.hold_us,
+            max_hold: config.max_hold_us,
             period: config.period_us,
             unassigned_tenant: Arc::from(UNASSIGNED_TENANT),
         }
--- a/src/handle.rs
+++ b/src/handle.rs
@@ -4,7 +4,7 @@
 use crate::core::{Answer, Operation, SubmitError};
 use crate::net::request::ClassInfo;
 use crate::runtime::{start, Hub};
-use crate::settings::Site;
+use crate::settings::SiteSettings;
 use async_channel::{bounded, Receiver, Sender};
 use futures_lite::future;
 use slog::Logger;
@@ -36,7 +36,7 @@
         config: Config,
         log: Logger,
     ) -> io::Result<(Handle, JoinHandle<Result<(), String>>)> {
-        let classes = Site::new(config.setup.clone()).class_infos().into();
+        let classes = SiteSettings::new(config.setup.clone()).class_infos().into();
         let tenant_header = config
             .tenants
             .as_ref()
--- a/src/net/close.rs
+++ b/src/net/close.rs
@@ -15,11 +15,11 @@
         let begun = Instant::now();
         let now = || begun.elapsed().as_micros() as Micros;
         let _ = self.stream().get_ref().shutdown(Shutdown::Write);
-        let mut closing = closing.told(0);
+        let mut closing = closing.shutdown_sent(0);
         while let Closing::Draining { until, .. } = closing {
             // What has come already is read first, whatever the time; with no time to linger nothing is waited for.
             let there = future::poll_once(self.throw_away()).await;
-            closing = there.map_or(closing.quiet(now()), |bytes| closing.read(bytes));
+            closing = there.map_or(closing.no_data(now()), |bytes| closing.received(bytes));
             match (there, closing) {
                 // Guards against a sender at full speed that would keep all others waiting.
                 (Some(_), _) => future::yield_now().await,
@@ -30,7 +30,7 @@
                         None
                     };
                     let read = future::or(more, late).await;
-                    closing = read.map_or(closing.quiet(now()), |bytes| closing.read(bytes));
+                    closing = read.map_or(closing.no_data(now()), |bytes| closing.received(bytes));
                 }
                 (None, _) => {}
             }
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -70,7 +70,7 @@
                         hub.with(|core, _| core.counters.front_sockets_refused += 1);
                         let conn = Conn::new(stream);
                         let _ = conn.stream().get_ref().write(SHED_RESPONSE);
-                        hub.spawn(async move { conn.close(Closing::at_once()).await });
+                        hub.spawn(async move { conn.close(Closing::immediate()).await });
                         future::yield_now().await; // lets it close
                         continue;
                     }
@@ -211,7 +211,7 @@
         receipt.written();
         if close {
             socket.set_activity(Activity::Leaving);
-            return future::or(conn.close(Closing::in_order()), socket.given_up()).await;
+            return future::or(conn.close(Closing::graceful()), socket.given_up()).await;
         }
     }
     // Between requests, or before the first. Bytes may come in this very moment, a request among them: it is not taken, and
@@ -219,8 +219,8 @@
     socket.set_activity(Activity::Leaving);
     let stopping = socket.all.is_closing();
     match socket.is_given_up() && !stopping {
-        true => conn.close(Closing::at_once()).await,
-        false => conn.close(Closing::resting()).await,
+        true => conn.close(Closing::immediate()).await,
+        false => conn.close(Closing::idle()).await,
     }
 }
 
@@ -279,7 +279,7 @@
         (CALL_BACKS, _) => Reply::only("POST"),
         ("/up", "GET") if hub.stopping.get() => Reply::plain(503, "stopping"),
         ("/up", "GET") => Reply::plain(200, "up"),
-        ("/counters", "GET") => Reply::plain(200, &hub.with(|core, _| core.counters.line())),
+        ("/counters", "GET") => Reply::plain(200, &hub.with(|core, _| core.counters.to_json())),
         ("/up" | "/counters", _) => Reply::only("GET"),
         _ => match operation(hub, head, body) {
             Ok(operation) => return dispatch(hub, conn, socket, operation).await,
@@ -317,7 +317,7 @@
     let told = |reply: &Reply| {
         hub.with(|core, _| {
             core.counters
-                .responded(&hub.classes.borrow()[class].name, reply.status)
+                .record_response(&hub.classes.borrow()[class].name, reply.status)
         })
     };
     let pending = match hub.submit(operation) {
--- a/src/net/mgmt.rs
+++ b/src/net/mgmt.rs
@@ -1,7 +1,7 @@
 //! Where operators call: one line a connection, one answer, then the end. The calls are `crate::telemetry`'s.
 
 use crate::runtime::Hub;
-use crate::telemetry::{self, Call, LineReader, Read};
+use crate::telemetry::{self, Call, LineReader, ReadStatus};
 use async_io::{Async, Timer};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use slog::warn;
@@ -54,9 +54,11 @@
             match stream.read(&mut piece).await {
                 Ok(0) => return reader.end(),
                 Ok(n) => match reader.feed(&piece[..n]) {
-                    Read::More => {}
-                    Read::Line(call) => return Some(call),
-                    Read::TooLong => return Some(Call::Unknown("the call is too long".into())),
+                    ReadStatus::Incomplete => {}
+                    ReadStatus::Line(call) => return Some(call),
+                    ReadStatus::TooLong => {
+                        return Some(Call::Unknown("the call is too long".into()))
+                    }
                 },
                 Err(_) => return None,
             }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -14,13 +14,13 @@
 pub(crate) mod route;
 
 use crate::config::Limits;
-use crate::settings::Site;
+use crate::settings::SiteSettings;
 use std::collections::HashMap;
 use std::time::Duration;
 
 /// What the settings say of connections to workers.
 #[derive(Clone, Copy)]
-pub(crate) struct Figures {
+pub(crate) struct Metrics {
     pub(crate) connect_timeout: Duration,
     pub(crate) idle: Duration,
     pub(crate) sockets: usize,
@@ -28,9 +28,9 @@
     pub(crate) reserve: usize,
 }
 
-impl Figures {
-    pub(crate) fn new(site: &Site, limits: &Limits) -> Figures {
-        Figures {
+impl Metrics {
+    pub(crate) fn new(site: &SiteSettings, limits: &Limits) -> Metrics {
+        Metrics {
             connect_timeout: Duration::from_micros(site.connect_timeout_us),
             // Well before the worker's machine closes: a request written after that would be lost.
             idle: Duration::from_micros(site.settings.connection_idle_timeout_us / 10 * 8),
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -1,7 +1,7 @@
 //! Connections to workers, kept for the next route step.
 
 use super::http::Conn;
-use super::Figures;
+use super::Metrics;
 use crate::closing::Closing;
 use crate::core::StepOutcome;
 use crate::runtime::Hub;
@@ -34,7 +34,7 @@
 /// Idle connections by worker, and how many connections there are in all.
 pub(crate) struct Pool {
     hub: Rc<Hub>,
-    figures: Figures,
+    figures: Metrics,
     idle: RefCell<HashMap<SocketAddr, Vec<(Instant, Conn)>>>,
     open: Rc<Cell<usize>>,
 }
@@ -54,7 +54,7 @@
 }
 
 impl Pool {
-    pub(crate) fn new(hub: Rc<Hub>, figures: Figures) -> Rc<Pool> {
+    pub(crate) fn new(hub: Rc<Hub>, figures: Metrics) -> Rc<Pool> {
         let pool = Rc::new(Pool {
             hub,
             figures,
@@ -88,7 +88,7 @@
 
     /// Closes a connection in order.
     fn close(&self, conn: Conn) {
-        self.hub.spawn(conn.close(Closing::resting()));
+        self.hub.spawn(conn.close(Closing::idle()));
     }
 
     /// A connection that stands idle, has rested, and is fit for use: the one used last.
@@ -156,7 +156,7 @@
     pub(crate) fn end(&self, pooled: PooledConnection) {
         let PooledConnection { conn, _counted } = pooled;
         self.hub.spawn(async move {
-            conn.close(Closing::resting()).await;
+            conn.close(Closing::idle()).await;
             drop(_counted);
         });
     }
--- a/src/net/route.rs
+++ b/src/net/route.rs
@@ -129,7 +129,8 @@
             .write(&request)
             .await
             .map_err(|_| (StepOutcome::ConnectionLostBeforeSend, None))?;
-        self.hub.with(|core, _| core.counters.tried(&class));
+        self.hub
+            .with(|core, _| core.counters.record_attempt(&class));
         drop(request); // the wait may be long
         let (head, _) = self
             .exchange(pooled.insert(taken))
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -5,9 +5,9 @@
 use crate::interface::{JobId, Micros};
 use crate::list_clock::{ListClock, Source};
 use crate::net::request::ClassInfo;
-use crate::settings::Site;
+use crate::settings::SiteSettings;
 use crate::signals::{Signal, Signals};
-use crate::telemetry::{Figures, Readiness};
+use crate::telemetry::{Metrics, Readiness};
 use crate::{billing, drmaa, fleet, net};
 use async_channel::{bounded, Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -108,14 +108,14 @@
     }
 
     /// The figures that operators are told; every class of the settings is there, if only with nothing.
-    pub(crate) fn figures(&self) -> Figures {
+    pub(crate) fn figures(&self) -> Metrics {
         let core = self.core.borrow();
         let mut responses = core.counters.classes.clone();
         for class in self.classes.borrow().iter().filter(|c| !c.retired) {
             responses.entry(class.name.clone()).or_default();
         }
         let (pool_size, pool_ejected) = core.worker_counts();
-        Figures {
+        Metrics {
             tries: responses.values().map(|r| r.tries).sum(),
             responses,
             active: core.unanswered(),
@@ -239,9 +239,9 @@
         Source::Asked
     };
     let list_clock = ListClock::new(source, fleet, within, config.seed, base);
-    let site = Site::new(config.setup);
+    let site = SiteSettings::new(config.setup);
     let classes = site.class_infos();
-    let net = net::Figures::new(&site, &config.limits);
+    let net = net::Metrics::new(&site, &config.limits);
     // Off the platform workers may not drop repeats of keyed jobs for each other, so the core does.
     let joins_repeats = config.drmaa.is_some();
     let max_open = site.max_open;
@@ -290,11 +290,16 @@
         let driver = hub.with(|core, _| {
             core.attach_driver(net::route::HttpDriver::new(hub.clone(), pool.clone()))
         });
-        let known: Vec<PoolMember> = config.known.servers.iter().map(|s| s.member()).collect();
+        let known: Vec<PoolMember> = config
+            .initial_list
+            .servers
+            .iter()
+            .map(|s| s.member())
+            .collect();
         hub.with(|core, _| core.pool_config(driver, true, known));
         info!(log, "discovery's calls"; "source" => ?source, "fleet" => fleet, "ask_within_ms" => within / 1_000,
             "longest_pause_ms" => list_clock.ceiling_us() / 1_000);
-        let version = config.known.version;
+        let version = config.initial_list.version;
         let watch =
             net::discovery::Watch::new(hub.clone(), config.discovery, driver, version, list_clock);
         hub.with(|core, _| core.attach_source(watch.clone()));
@@ -332,7 +337,7 @@
             }
             (None, None) => {}
         }
-        info!(log, "counters"; "counters" => hub.core.borrow().counters.line());
+        info!(log, "counters"; "counters" => hub.core.borrow().counters.to_json());
         Ok(())
     };
     let done = async_io::block_on(executor.run(main));
@@ -352,7 +357,7 @@
     loop {
         match signals.next().await {
             Ok(Signal::Usr1) => {
-                info!(hub.log, "counters"; "counters" => hub.core.borrow().counters.line())
+                info!(hub.log, "counters"; "counters" => hub.core.borrow().counters.to_json())
             }
             Ok(Signal::Hup) => reload(hub, watch),
             Ok(_) if !stopping => return,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -13,7 +13,7 @@
 
 #[derive(Clone, Deserialize, Default)]
 #[serde(default, rename_all = "camelCase")]
-pub(crate) struct Setup {
+pub(crate) struct PlatformSettings {
     pub(crate) balancers: u32,
     pub(crate) costs: Costs,
     pub(crate) discovery: String,
@@ -110,15 +110,15 @@
 
 /// Names in the order first met: the position is the id.
 #[derive(Default)]
-pub(crate) struct Names(HashMap<Arc<str>, u32>, Vec<Arc<str>>);
+pub(crate) struct NameTable(HashMap<Arc<str>, u32>, Vec<Arc<str>>);
 
-impl Names {
-    pub(crate) fn known(&self, name: &str) -> Option<u32> {
+impl NameTable {
+    pub(crate) fn find(&self, name: &str) -> Option<u32> {
         self.0.get(name).copied()
     }
 
     pub(crate) fn id(&mut self, name: &str) -> u32 {
-        if let Some(id) = self.known(name) {
+        if let Some(id) = self.find(name) {
             return id;
         }
         let (id, name) = (self.1.len() as u32, Arc::<str>::from(name));
@@ -144,8 +144,8 @@
         &self.1[id as usize]
     }
 
-    pub(crate) fn of<'a>(names: impl IntoIterator<Item = &'a String>) -> Names {
-        let mut all = Names::default();
+    pub(crate) fn of<'a>(names: impl IntoIterator<Item = &'a String>) -> NameTable {
+        let mut all = NameTable::default();
         names.into_iter().for_each(|n| {
             all.id(n);
         });
@@ -154,41 +154,41 @@
 }
 
 /// The settings decoded, with the names behind the module's ids.
-pub(crate) struct Site {
+pub(crate) struct SiteSettings {
     pub(crate) settings: Settings,
-    pub(crate) workers: Names,
-    pub(crate) classes: Names,
-    pub(crate) tenants: Names,
-    zones: Names,
-    kinds: Names,
+    pub(crate) workers: NameTable,
+    pub(crate) classes: NameTable,
+    pub(crate) tenants: NameTable,
+    zones: NameTable,
+    kinds: NameTable,
     pub(crate) connect_timeout_us: Micros,
     /// Most requests in hand at once.
     pub(crate) max_open: usize,
     /// Which classes are keyed, and for how long repeats are dropped.
     pub(crate) keyed: Vec<bool>,
-    pub(crate) windows: Vec<Micros>,
+    pub(crate) deduplication_windows: Vec<Micros>,
     /// `x0` counts free slots here.
     x0_is_free: bool,
 }
 
 /// Class entries at most since the start, retired ones included: each retuning adds those that changed.
-const MOST_CLASSES: usize = 256;
+const MAX_CLASSES: usize = 256;
 
 /// A number for a name, the same everywhere (FNV-1a).
-pub(crate) fn mark(name: &str) -> u64 {
+pub(crate) fn name_hash(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
         (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)
     })
 }
 
 /// A list of the only permitted ones; an empty list restricts nothing.
-fn some<T>(list: Vec<T>) -> Option<Vec<T>> {
+fn non_empty<T>(list: Vec<T>) -> Option<Vec<T>> {
     (!list.is_empty()).then_some(list)
 }
 
-impl Site {
-    pub(crate) fn new(setup: Setup) -> Site {
-        let (mut zones, mut kinds) = (Names::of(&setup.zones), Names::of(&setup.kinds));
+impl SiteSettings {
+    pub(crate) fn new(setup: PlatformSettings) -> SiteSettings {
+        let (mut zones, mut kinds) = (NameTable::of(&setup.zones), NameTable::of(&setup.kinds));
         let fam = &setup.family_info;
         let mut class = |(i, c): (usize, &RequestClass)| Class {
             repeatability: match (c.semantics.as_str(), c.key_scope.as_str()) {
@@ -213,8 +213,8 @@
                 .get(i)
                 .and_then(|&k| u32::try_from(k).ok())
                 .map(KindId),
-            permitted_kinds: some(c.served_on.iter().map(|k| KindId(kinds.id(k))).collect()),
-            permitted_zones: some(
+            permitted_kinds: non_empty(c.served_on.iter().map(|k| KindId(kinds.id(k))).collect()),
+            permitted_zones: non_empty(
                 c.zones_allowed
                     .iter()
                     .map(|z| ZoneId(zones.id(z)))
@@ -278,12 +278,12 @@
                 _ => WeightMeaning::Off,
             },
         };
-        Site {
-            classes: Names::of(setup.request_classes.iter().map(|c| &c.name)),
-            tenants: Names::of(setup.realms.iter().map(|r| &r.name)),
+        SiteSettings {
+            classes: NameTable::of(setup.request_classes.iter().map(|c| &c.name)),
+            tenants: NameTable::of(setup.realms.iter().map(|r| &r.name)),
             kinds,
             zones,
-            workers: Names::default(),
+            workers: NameTable::default(),
             connect_timeout_us: if setup.limits.connect_timeout_us > 0 {
                 setup.limits.connect_timeout_us
             } else {
@@ -299,7 +299,7 @@
                 .iter()
                 .map(|c| c.semantics == "guarded")
                 .collect(),
-            windows: setup.request_classes.iter().map(|c| c.window_us).collect(),
+            deduplication_windows: setup.request_classes.iter().map(|c| c.window_us).collect(),
             x0_is_free: setup.feedback.via != "off" && fam.report_x0.contains("slots"),
             settings,
         }
@@ -308,8 +308,8 @@
     /// Takes new settings at SIGHUP. Classes are matched by name: one unchanged keeps its number; one new or changed
     /// gets the next number, and the one it had is retired with those of dropped classes, so that operations open
     /// under it keep its rules. Zones and kinds take a restart. Gives the classes that got a number.
-    pub(crate) fn retune(&mut self, setup: Setup) -> Result<usize, String> {
-        let fresh = Site::new(setup);
+    pub(crate) fn apply_reload(&mut self, setup: PlatformSettings) -> Result<usize, String> {
+        let fresh = SiteSettings::new(setup);
         if fresh.zones.1 != self.zones.1 || fresh.kinds.1 != self.kinds.1 {
             return Err("settings.zones, settings.kinds: a change takes a restart".into());
         }
@@ -317,28 +317,29 @@
             .classes
             .0
             .keys()
-            .filter(|n| fresh.classes.known(n).is_none())
+            .filter(|n| fresh.classes.find(n).is_none())
             .cloned()
             .collect();
-        if self.settings.classes.len() + fresh.settings.classes.len() > MOST_CLASSES {
+        if self.settings.classes.len() + fresh.settings.classes.len() > MAX_CLASSES {
             return Err(format!(
-                "settings.requestClasses: more than {MOST_CLASSES} classes since the start"
+                "settings.requestClasses: more than {MAX_CLASSES} classes since the start"
             ));
         }
         let mut added = 0;
         for (i, class) in fresh.settings.classes.iter().enumerate() {
             let name = fresh.classes.name(i as u32);
-            let same = self.classes.known(name).is_some_and(|j| {
+            let same = self.classes.find(name).is_some_and(|j| {
                 let j = j as usize;
                 self.settings.classes[j] == *class
                     && self.keyed[j] == fresh.keyed[i]
-                    && self.windows[j] == fresh.windows[i]
+                    && self.deduplication_windows[j] == fresh.deduplication_windows[i]
             });
             if !same {
                 self.classes.renumber(name);
                 self.settings.classes.push(class.clone());
                 self.keyed.push(fresh.keyed[i]);
-                self.windows.push(fresh.windows[i]);
+                self.deduplication_windows
+                    .push(fresh.deduplication_windows[i]);
                 added += 1;
             }
         }
@@ -362,7 +363,7 @@
             name: self.classes.name(i as u32).to_string(),
             deadline_us: c.deadline_us,
             keyed: self.keyed[i],
-            retired: self.classes.known(self.classes.name(i as u32)) != Some(i as u32),
+            retired: self.classes.find(self.classes.name(i as u32)) != Some(i as u32),
         };
         self.settings.classes.iter().enumerate().map(info).collect()
     }
@@ -379,7 +380,7 @@
             worker: WorkerId(self.workers.id(worker)),
             zone: ZoneId(self.zones.id(zone)),
             kind: KindId(self.kinds.id(kind)),
-            hash: mark(worker),
+            hash: name_hash(worker),
             ..entry
         }
     }
--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -5,11 +5,11 @@
 use std::collections::BTreeMap;
 
 /// The longest call that is read: the calls are single words.
-pub const LONGEST_CALL: usize = 512;
+pub const MAX_CALL_BYTES: usize = 512;
 
 /// What operators are told by `telemetry`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Figures {
+pub struct Metrics {
     /// Answers and attempts by class.
     pub responses: BTreeMap<String, Responses>,
     /// Attempts written whole to workers, of all classes.
@@ -73,7 +73,7 @@
 pub fn answer(
     call: &Call,
     ready: Readiness,
-    figures: impl FnOnce() -> Figures,
+    figures: impl FnOnce() -> Metrics,
     fleet: impl FnOnce(&Call) -> Option<String>,
 ) -> String {
     match (call, ready) {
@@ -100,27 +100,27 @@
 
 /// What is known after a piece.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Read {
+pub enum ReadStatus {
     /// More is needed.
-    More,
+    Incomplete,
     /// The call, whole.
     Line(Call),
-    /// Over [`LONGEST_CALL`] without an end.
+    /// Over [`MAX_CALL_BYTES`] without an end.
     TooLong,
 }
 
 impl LineReader {
     /// Takes the next piece; anything after the end of the line is not looked at.
-    pub fn feed(&mut self, piece: &[u8]) -> Read {
+    pub fn feed(&mut self, piece: &[u8]) -> ReadStatus {
         let end = piece.iter().position(|&b| b == b'\n');
         let take = end.map_or(piece.len(), |e| e);
-        if self.line.len() + take > LONGEST_CALL {
-            return Read::TooLong;
+        if self.line.len() + take > MAX_CALL_BYTES {
+            return ReadStatus::TooLong;
         }
         self.line.extend_from_slice(&piece[..take]);
         match end {
-            Some(_) => Read::Line(Call::parse(&self.line)),
-            None => Read::More,
+            Some(_) => ReadStatus::Line(Call::parse(&self.line)),
+            None => ReadStatus::Incomplete,
         }
     }
 
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -6,7 +6,7 @@
     Action, AttemptEnd, AttemptOutcome, ClassId, Endpoint, EndpointState, Event, JobId, Request,
     TenantId, WorkerId,
 };
-use crate::settings::{mark, Setup, Site};
+use crate::settings::{name_hash, PlatformSettings, SiteSettings};
 use crate::Balancer;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
@@ -25,7 +25,7 @@
     at_time_us: Option<u64>,
     dispatcher: Option<u64>,
     rng_seed: Option<u64>,
-    setup: Option<Setup>,
+    setup: Option<PlatformSettings>,
     roster_id: Option<u64>,
     elements: Option<Vec<ListLine>>,
     #[serde(borrow)]
@@ -108,13 +108,13 @@
 }
 
 struct Instance {
-    site: Site,
+    site: SiteSettings,
     balancer: Balancer,
 }
 
 impl Instance {
-    fn new(setup: Setup, seed: u64, now: u64) -> Instance {
-        let site = Site::new(setup);
+    fn new(setup: PlatformSettings, seed: u64, now: u64) -> Instance {
+        let site = SiteSettings::new(setup);
         let balancer = Balancer::new(site.settings.clone(), seed, now);
         Instance { site, balancer }
     }
@@ -267,13 +267,13 @@
                 let class = it
                     .site
                     .classes
-                    .known(profile)
+                    .find(profile)
                     .ok_or_else(|| format!("no class {profile}"))?;
                 let tenant = line
                     .account
                     .as_ref()
                     .and_then(|a| a.as_str())
-                    .and_then(|a| it.site.tenants.known(a));
+                    .and_then(|a| it.site.tenants.find(a));
                 let wait = line.expires_in_us.ok_or("KNOCK without expiresInUs")?;
                 let hinted = line.attrs.is_none_or(|a| a & 1 != 0);
                 Event::Arrived(Request {
@@ -287,7 +287,7 @@
                         .filter(|&h| hinted && h > 0.0)
                         .map(|h| h as u64),
                     slots: line.slots.unwrap_or(1.0),
-                    affinity_key: line.target_key.as_deref().map(mark),
+                    affinity_key: line.target_key.as_deref().map(name_hash),
                 })
             }
             "HEADERS" => Event::StreamBegan {
@@ -327,7 +327,7 @@
                     .worker
                     .as_deref()
                     .ok_or("CHECK_RESULT without worker")?;
-                let Some(worker) = it.site.workers.known(name) else {
+                let Some(worker) = it.site.workers.find(name) else {
                     return Ok(());
                 };
                 Event::ProbeEnded {
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -391,25 +391,35 @@
 
 #[test]
 fn a_close_tells_its_end_and_then_reads_for_a_bounded_time_and_length() {
-    let told = Closing::in_order().told(5);
+    let told = Closing::graceful().shutdown_sent(5);
     let Closing::Draining { until, left } = told else {
         panic!("{told:?}")
     };
     assert!(until > 5 && left > 64 << 10);
-    assert_eq!(told.quiet(until - 1), told);
-    assert_eq!(told.quiet(until), Closing::Closed);
-    assert_eq!(told.read(0), Closing::Closed, "the other side has ended");
-    assert_eq!(told.read(left), Closing::Closed, "a flood has an end");
+    assert_eq!(told.no_data(until - 1), told);
+    assert_eq!(told.no_data(until), Closing::Closed);
     assert_eq!(
-        told.read(1),
+        told.received(0),
+        Closing::Closed,
+        "the other side has ended"
+    );
+    assert_eq!(told.received(left), Closing::Closed, "a flood has an end");
+    assert_eq!(
+        told.received(1),
         Closing::Draining {
             until,
             left: left - 1
         }
     );
     // To make room nothing is waited for, but what has come is read.
-    let room = Closing::at_once().told(5);
-    assert!(matches!(room.read(100), Closing::Draining { until: 5, .. }));
-    assert_eq!(room.quiet(5), Closing::Closed);
-    assert_eq!(Closing::Closed.read(1).told(1).quiet(1), Closing::Closed);
+    let room = Closing::immediate().shutdown_sent(5);
+    assert!(matches!(
+        room.received(100),
+        Closing::Draining { until: 5, .. }
+    ));
+    assert_eq!(room.no_data(5), Closing::Closed);
+    assert_eq!(
+        Closing::Closed.received(1).shutdown_sent(1).no_data(1),
+        Closing::Closed
+    );
 }
--- a/tests/middleware.rs
+++ b/tests/middleware.rs
@@ -6,7 +6,7 @@
 use http::{Request, StatusCode};
 use http_body_util::BodyExt;
 use rstest::rstest;
-use streamusher::config::{operators::TenantsConfig, Config, Drmaa};
+use streamusher::config::{operators::TenantsConfig, Config, DrmaaConfig};
 use streamusher::core::tenants::{Tenant, Tenants};
 use streamusher::{handle::Handle, middleware::DispatchLayer, servers};
 use streamusher_inventory::KnownNames;
@@ -25,7 +25,7 @@
     let workers = servers::load(&files.add("workers.csv", &row), &KnownNames::default()).unwrap();
     let mut config = Config::parse(config(&[]).to_string().as_bytes(), |_| None).unwrap();
     config.tenants = tenants;
-    config.drmaa = Some(Drmaa {
+    config.drmaa = Some(DrmaaConfig {
         listen: None,
         max_jobs: 10,
         keep_s: 1.0,
