--- a/src/drmaa/front/mod.rs
+++ b/src/drmaa/front/mod.rs
@@ -1,8 +1,8 @@
-//! The DRMAA front: job sessions of batch tools. Jobs outlive the connection that ran them.
+//! The DRMAA front: serves job sessions of batch tools. Jobs outlive the connection that submitted them.
 //!
-//! - `session`: connections and their calls.
-//! - `receipt`: which replies carry a job's result, and when one of them is written.
-//! - `template`: what a job is asked for with.
+//! - `session`: connections of batch tools and their calls.
+//! - `receipt`: tracks which replies carry a job's result, and whether one of them was written.
+//! - `template`: validation of job templates.
 
 mod receipt;
 mod session;
@@ -24,18 +24,18 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-/// The longest name, path or key: they are kept with each job.
-const NAME: usize = 1 << 10;
-/// Most bytes kept of inputs and outputs of all jobs.
-const KEPT_BYTES: usize = 32 << 20;
+/// Maximum length in bytes of a name, path or key; they are stored with each job.
+const MAX_NAME_BYTES: usize = 1 << 10;
+/// Maximum total size in bytes of the inputs and outputs stored for all jobs.
+const MAX_STORED_BYTES: usize = 32 << 20;
 
 struct Job {
     info: JobInfo,
-    /// The core's number; none before it is taken.
+    /// Id of the operation in the core; none until the core has accepted it.
     operation: Option<JobId>,
-    /// Dropped and made anew at each change of state, which wakes all who wait.
+    /// Replaced at each change of state; dropping the previous channel wakes all tasks that wait on it.
     changed: (Sender<()>, Receiver<()>),
-    /// The session that ran it, for notifications.
+    /// Session that submitted the job, which receives its notifications.
     session: Sender<Outgoing>,
     bytes: usize,
     receipt: SharedReceipt,
@@ -44,7 +44,7 @@
 /// A message to a session.
 struct Outgoing {
     message: SessionMessage,
-    /// To be told once the message is written, where it says how a job ended.
+    /// Receipt to confirm once the message is written, if the message reports how the job ended.
     receipt: Option<SharedReceipt>,
 }
 
@@ -58,11 +58,11 @@
 }
 
 impl Job {
-    fn is_over(&self) -> bool {
+    fn has_ended(&self) -> bool {
         matches!(self.info.job_state, JobState::Done | JobState::Failed)
     }
 
-    fn enter(&mut self, state: JobState) {
+    fn set_state(&mut self, state: JobState) {
         self.info.job_state = state;
         self.changed = bounded(1);
         let message = SessionMessage {
@@ -71,17 +71,17 @@
             job_state: Some(state),
             ..SessionMessage::default()
         };
-        let _ = self.session.try_send(message.into()); // a session that does not read misses it
+        let _ = self.session.try_send(message.into()); // dropped if the session's queue is full
     }
 
-    /// What is known of it, for a reply.
-    fn describe(&self) -> Outgoing {
+    /// Job information as a reply.
+    fn info_reply(&self) -> Outgoing {
         Outgoing {
             message: SessionMessage {
                 job_info: Some(self.info.clone()),
                 ..SessionMessage::default()
             },
-            receipt: self.is_over().then(|| self.receipt.clone()),
+            receipt: self.has_ended().then(|| self.receipt.clone()),
         }
     }
 }
@@ -92,18 +92,18 @@
     hub: Rc<Hub>,
     jobs: RefCell<BTreeMap<u64, Job>>,
     next: Cell<u64>,
-    /// Answers that sessions still wait for.
+    /// Number of `waitStarted` and `waitTerminated` calls not yet answered.
     waits: Cell<usize>,
     sessions: Cell<usize>,
     max_jobs: usize,
-    keep_us: Micros,
+    retention_us: Micros,
 }
 
 impl Front for JobTable {
     fn answer(&self, ticket: u64, answer: &Answer, receipt: Receipt) {
-        let now = self.seconds();
+        let now = self.now_s();
         let mut jobs = self.jobs.borrow_mut();
-        let Some(job) = jobs.get_mut(&ticket).filter(|j| !j.is_over()) else {
+        let Some(job) = jobs.get_mut(&ticket).filter(|j| !j.has_ended()) else {
             return;
         };
         job.receipt = SharedReceipt::new(receipt);
@@ -137,52 +137,53 @@
                 JobState::Failed
             }
         };
-        job.enter(state);
+        job.set_state(state);
     }
 
     fn started(&self, ticket: u64) {
-        let now = self.seconds();
+        let now = self.now_s();
         let mut jobs = self.jobs.borrow_mut();
         if let Some(job) = jobs
             .get_mut(&ticket)
             .filter(|j| j.info.job_state == JobState::Queued)
         {
             job.info.dispatch_time = Some(now);
-            job.enter(JobState::Running);
+            job.set_state(JobState::Running);
         }
     }
 }
 
 type Reply = Result<Outgoing, (Error, String)>;
 
-fn refuse<T>(error: Error, why: impl Into<String>) -> Result<T, (Error, String)> {
+fn reject<T>(error: Error, why: impl Into<String>) -> Result<T, (Error, String)> {
     Err((error, why.into()))
 }
 
 impl JobTable {
-    /// Whether answers are still on their way to sessions.
-    pub(crate) fn busy(&self) -> bool {
+    /// Returns whether wait calls are still unanswered.
+    pub(crate) fn has_pending_waits(&self) -> bool {
         self.waits.get() > 0
     }
 
-    fn seconds(&self) -> f64 {
+    fn now_s(&self) -> f64 {
         self.hub.now() as f64 / 1e6
     }
 
-    /// Makes room for another job: what is over for long goes first, then what is over the longest.
-    fn make_room(&self, bytes: usize) -> bool {
+    /// Evicts ended jobs until another job fits: first those past the retention period, then the one that
+    /// ended earliest. Returns whether the job fits.
+    fn evict_for(&self, bytes: usize) -> bool {
         let mut jobs = self.jobs.borrow_mut();
-        let long_ago = (self.hub.now().saturating_sub(self.keep_us)) as f64 / 1e6;
-        let over = |j: &Job| j.is_over().then_some(j.info.finish_time.unwrap_or(0.0));
-        jobs.retain(|_, j| over(j).is_none_or(|at| at > long_ago));
+        let expired_before = (self.hub.now().saturating_sub(self.retention_us)) as f64 / 1e6;
+        let ended_at = |j: &Job| j.has_ended().then_some(j.info.finish_time.unwrap_or(0.0));
+        jobs.retain(|_, j| ended_at(j).is_none_or(|at| at > expired_before));
         loop {
-            let held: usize = jobs.values().map(|j| j.bytes).sum();
-            if jobs.len() < self.max_jobs && held + bytes <= KEPT_BYTES {
+            let stored_bytes: usize = jobs.values().map(|j| j.bytes).sum();
+            if jobs.len() < self.max_jobs && stored_bytes + bytes <= MAX_STORED_BYTES {
                 return true;
             }
             let oldest = jobs
                 .iter()
-                .filter_map(|(n, j)| Some((over(j)?, *n)))
+                .filter_map(|(n, j)| Some((ended_at(j)?, *n)))
                 .min_by(|a, b| a.0.total_cmp(&b.0));
             let Some((_, number)) = oldest else {
                 return false;
@@ -196,8 +197,8 @@
         let name = template.job_name.clone();
         let number = self.next.get();
         let operation = self.operation(template, number)?;
-        if !self.make_room(BODY) {
-            return refuse(Error::TryLater, "too many jobs");
+        if !self.evict_for(BODY) {
+            return reject(Error::TryLater, "too many jobs");
         }
         self.next.set(number + 1);
         let job_id = number.to_string();
@@ -208,7 +209,7 @@
             exit_status: None,
             terminating_signal: None,
             annotation: None,
-            submission_time: Some(self.seconds()),
+            submission_time: Some(self.now_s()),
             dispatch_time: None,
             finish_time: None,
             output: None,
@@ -245,17 +246,17 @@
                 self.jobs.borrow_mut().remove(&number);
                 match why {
                     SubmitError::DuplicateId | SubmitError::AtCapacity => {
-                        refuse(Error::TryLater, "too many operations")
+                        reject(Error::TryLater, "too many operations")
                     }
                     SubmitError::BillingUnavailable => {
-                        refuse(Error::TryLater, "use cannot be booked now")
+                        reject(Error::TryLater, "use cannot be booked now")
                     }
-                    SubmitError::Stopping => refuse(Error::TryLater, "this dispatcher ends"),
+                    SubmitError::Stopping => reject(Error::TryLater, "this dispatcher ends"),
                     SubmitError::InvalidTenant => {
-                        refuse(Error::InvalidArgument, "accountingId: no name")
+                        reject(Error::InvalidArgument, "accountingId: no name")
                     }
                     SubmitError::Unlisted => {
-                        refuse(Error::DeniedByDrms, "accountingId: no such tenant")
+                        reject(Error::DeniedByDrms, "accountingId: no such tenant")
                     }
                 }
             }
@@ -267,23 +268,27 @@
     }
 
     fn operation(&self, t: JobTemplate, number: u64) -> Result<Operation, (Error, String)> {
-        if t.job_name.as_ref().is_some_and(|n| n.len() > NAME) {
-            return refuse(Error::InvalidArgument, "jobName: too long");
+        if t.job_name
+            .as_ref()
+            .is_some_and(|n| n.len() > MAX_NAME_BYTES)
+        {
+            return reject(Error::InvalidArgument, "jobName: too long");
         }
-        let visible = |s: &str| s.len() <= NAME && s.bytes().all(|b| b.is_ascii_graphic());
+        let visible =
+            |s: &str| s.len() <= MAX_NAME_BYTES && s.bytes().all(|b| b.is_ascii_graphic());
         if !t.remote_command.starts_with('/') || !visible(&t.remote_command) {
-            return refuse(Error::InvalidArgument, "remoteCommand: not a path");
+            return reject(Error::InvalidArgument, "remoteCommand: not a path");
         }
         let path = t.remote_command.split('?').next().unwrap_or("");
         let mut parts = path.split('/').skip(1);
-        let named = parts.next().unwrap_or("");
-        let category = t.job_category.as_deref().unwrap_or(named);
+        let path_class = parts.next().unwrap_or("");
+        let category = t.job_category.as_deref().unwrap_or(path_class);
         let class = self
             .hub
             .with(|core, _| core.class(category))
-            .filter(|_| category == named);
+            .filter(|_| category == path_class);
         let Some(class) = class else {
-            return refuse(
+            return reject(
                 Error::InvalidArgument,
                 "jobCategory: no such class, or not that of remoteCommand",
             );
@@ -293,32 +298,32 @@
             .with(|core, _| (core.is_keyed(class), core.class_settings(class).deadline_us));
         let key = t.idempotency_key.filter(|k| !k.is_empty());
         if key.as_deref().map_or(keyed, |k| !visible(k)) {
-            return refuse(
+            return reject(
                 Error::InvalidArgument,
                 "streamusher_idempotencyKey: missing, or not visible text",
             );
         }
         let slots = t.min_slots.unwrap_or(1.0);
         if !(slots.is_finite() && slots > 0.0) {
-            return refuse(Error::InvalidArgument, "minSlots: must be above 0");
+            return reject(Error::InvalidArgument, "minSlots: must be above 0");
         }
         let remaining_us = match t.deadline_time {
             Some(at) if !at.is_finite() => {
-                return refuse(Error::InvalidArgument, "deadlineTime: not a time")
+                return reject(Error::InvalidArgument, "deadlineTime: not a time")
             }
-            Some(at) => ((at - self.seconds()).clamp(0.0, 86_400.0) * 1e6) as Micros,
+            Some(at) => ((at - self.now_s()).clamp(0.0, 86_400.0) * 1e6) as Micros,
             None => deadline_us,
         };
         if remaining_us == 0 {
-            return refuse(Error::InvalidArgument, "deadlineTime: is over");
+            return reject(Error::InvalidArgument, "deadlineTime: is over");
         }
         let body = match (t.input, t.input_hex) {
-            (Some(_), Some(_)) => return refuse(Error::InvalidArgument, "two inputs"),
+            (Some(_), Some(_)) => return reject(Error::InvalidArgument, "two inputs"),
             (Some(text), None) => text.into_bytes(),
             (None, Some(hex)) => match from_hex(&hex) {
                 Some(bytes) => bytes,
                 None => {
-                    return refuse(
+                    return reject(
                         Error::InvalidArgument,
                         "streamusher_inputHex: not hex digits",
                     )
@@ -327,10 +332,10 @@
             (None, None) => Vec::new(),
         };
         if body.len() > BODY {
-            return refuse(Error::OutOfResource, "the input is over 64 KiB");
+            return reject(Error::OutOfResource, "the input is over 64 KiB");
         }
         Ok(Operation {
-            // Apart from what clients of the other front choose.
+            // The prefix keeps these ids apart from those that clients of the HTTP front choose.
             id: format!("drmaa-{:x}-{number}", self.hub.start()),
             class,
             tenant: t.accounting_id.map(Into::into),
@@ -343,7 +348,7 @@
         })
     }
 
-    fn look<T>(&self, id: &str, at: impl FnOnce(&mut Job) -> T) -> Result<T, (Error, String)> {
+    fn with_job<T>(&self, id: &str, at: impl FnOnce(&mut Job) -> T) -> Result<T, (Error, String)> {
         let mut jobs = self.jobs.borrow_mut();
         let job = id
             .parse()
@@ -353,21 +358,21 @@
             .ok_or((Error::InvalidArgument, "jobId: no such job".to_string()))
     }
 
-    /// A job that is over cannot be terminated; one that is not gets its one end here.
+    /// Terminates a job and sets its final state. Fails with `InvalidState` for a job that has already ended.
     fn terminate(&self, id: &str) -> Reply {
-        let now = self.seconds();
-        let operation = self.look(id, |job| {
-            if job.is_over() {
+        let now = self.now_s();
+        let operation = self.with_job(id, |job| {
+            if job.has_ended() {
                 return None;
             }
             job.info.finish_time = Some(now);
             job.info.terminating_signal = Some("SIGTERM".into());
             job.info.annotation = Some("terminated".into());
-            job.enter(JobState::Failed);
+            job.set_state(JobState::Failed);
             job.operation
         })?;
         let (Some(operation), Ok(number)) = (operation, id.parse()) else {
-            return refuse(Error::InvalidState, "the job is over");
+            return reject(Error::InvalidState, "the job is over");
         };
         let front = self.front();
         self.hub
@@ -375,31 +380,31 @@
         Ok(SessionMessage::default().into())
     }
 
-    /// Waits until a job is over, or has started.
+    /// Waits until a job has ended or, with `until_started`, is running.
     async fn wait(&self, id: &str, timeout: f64, until_started: bool) -> Reply {
         let reached = async {
             loop {
-                let there = self.look(id, |job| {
+                let outcome = self.with_job(id, |job| {
                     let started = until_started && job.info.job_state == JobState::Running;
-                    if job.is_over() || started {
-                        Ok(job.describe())
+                    if job.has_ended() || started {
+                        Ok(job.info_reply())
                     } else {
                         Err(job.changed.1.clone())
                     }
                 })?;
-                match there {
+                match outcome {
                     Ok(description) => return Ok(description),
                     Err(changed) => drop(changed.recv().await),
                 }
             }
         };
-        let late = async {
+        let timed_out = async {
             match Duration::try_from_secs_f64(timeout) {
                 Ok(limit) => Timer::after(limit.min(Duration::from_secs(86_400))).await,
                 Err(_) => future::pending().await,
             };
-            refuse(Error::Timeout, "not yet")
+            reject(Error::Timeout, "not yet")
         };
-        future::or(reached, late).await
+        future::or(reached, timed_out).await
     }
 }
--- a/src/drmaa/front/receipt.rs
+++ b/src/drmaa/front/receipt.rs
@@ -1,12 +1,12 @@
-//! The receipt of a job's answer. A job may be removed while replies with its result still wait to be written: whoever
-//! reads one of them has the result.
+//! The receipt of a job's answer, shared by all replies that carry it. A job may be removed while such
+//! replies are still to be written: a client that reads any of them has the result.
 
 use crate::core::Receipt;
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Shared by a job and by the replies that say how it ended. It tells that the result was written as soon as one of these
-/// is, and that it was not once the job and all of them are gone.
+/// Receipt shared by a job and the replies that report its end. Reports the result as written as soon as one
+/// of these replies is written, and as not written once the job and all of them are dropped.
 #[derive(Clone, Default)]
 pub(super) struct SharedReceipt(Rc<Cell<Receipt>>);
 
@@ -15,7 +15,7 @@
         SharedReceipt(Rc::new(Cell::new(receipt)))
     }
 
-    /// A reply was written to the last byte.
+    /// Records that a reply was written completely.
     pub(super) fn written(&self) {
         self.0.take().written();
     }
--- a/src/drmaa/front/session.rs
+++ b/src/drmaa/front/session.rs
@@ -1,9 +1,9 @@
-//! Sessions of batch tools: one connection each, with calls that are answered at once or later.
+//! Sessions of batch tools: one connection each, with calls that are answered immediately or later.
 
 use super::receipt::SharedReceipt;
-use super::{refuse, JobTable, Outgoing, Reply};
+use super::{reject, JobTable, Outgoing, Reply};
 use crate::config::DrmaaConfig;
-use crate::drmaa::{line, Call, CallKind, Error, SessionMessage, LINE};
+use crate::drmaa::{encode_line, Call, CallKind, Error, SessionMessage, MAX_LINE_BYTES};
 use crate::interface::Micros;
 use crate::net::http::Conn;
 use crate::runtime::Hub;
@@ -16,12 +16,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Answers and notifications that may wait for a slow session.
-const QUEUE: usize = 256;
-/// Waits that one session may have running.
-const WAITS: usize = 256;
+/// Maximum number of messages queued for a slow session.
+const MAX_QUEUED_MESSAGES: usize = 256;
+/// Maximum number of unanswered wait calls of one session.
+const MAX_WAITS: usize = 256;
 impl JobTable {
-    /// One call; those that wait are answered from a task of their own.
+    /// Handles one call. Returns none for a wait call, which a separate task answers.
     fn call(
         &self,
         call: Call,
@@ -33,7 +33,7 @@
             CallKind::RunJob { job_template } => self.run_job(job_template, session),
             CallKind::Terminate { job_id } => self.terminate(&job_id),
             CallKind::GetState { job_id } => {
-                let state = self.look(&job_id, |job| job.info.job_state);
+                let state = self.with_job(&job_id, |job| job.info.job_state);
                 state.map(|state| {
                     let message = SessionMessage {
                         job_state: Some(state),
@@ -42,8 +42,8 @@
                     message.into()
                 })
             }
-            CallKind::GetInfo { job_id } => self.look(&job_id, |job| job.describe()),
-            CallKind::Reap { job_id } => match self.look(&job_id, |job| job.is_over()) {
+            CallKind::GetInfo { job_id } => self.with_job(&job_id, |job| job.info_reply()),
+            CallKind::Reap { job_id } => match self.with_job(&job_id, |job| job.has_ended()) {
                 Ok(true) => {
                     job_id
                         .parse()
@@ -51,13 +51,13 @@
                         .and_then(|n: u64| self.jobs.borrow_mut().remove(&n));
                     Ok(SessionMessage::default().into())
                 }
-                Ok(false) => refuse(Error::InvalidState, "the job is not over"),
+                Ok(false) => reject(Error::InvalidState, "the job is not over"),
                 Err(e) => Err(e),
             },
             CallKind::WaitStarted { .. } | CallKind::WaitTerminated { .. }
-                if waits.get() >= WAITS =>
+                if waits.get() >= MAX_WAITS =>
             {
-                refuse(Error::OutOfResource, "too many waits")
+                reject(Error::OutOfResource, "too many waits")
             }
             CallKind::WaitStarted { job_id, timeout } => {
                 self.answer_later(call.seq, job_id, timeout, true, session, ended, waits);
@@ -70,7 +70,7 @@
             CallKind::Suspend { .. }
             | CallKind::Resume { .. }
             | CallKind::Hold { .. }
-            | CallKind::Release { .. } => refuse(
+            | CallKind::Release { .. } => reject(
                 Error::UnsupportedOperation,
                 "jobs are neither held nor suspended here",
             ),
@@ -107,61 +107,62 @@
     }
 
     async fn session(&self, stream: Async<TcpStream>) {
-        enum Turn {
+        enum Next {
             Call(Vec<u8>),
-            Say(Box<Outgoing>),
+            Send(Box<Outgoing>),
             End(Option<&'static str>),
         }
         let mut conn = Conn::new(stream);
-        let (say, to_say) = bounded::<Outgoing>(QUEUE);
+        let (outgoing_tx, outgoing_rx) = bounded::<Outgoing>(MAX_QUEUED_MESSAGES);
         let (_open, ended) = bounded::<()>(1);
         let waits = Rc::new(Cell::new(0));
         loop {
             let call = async {
-                match conn.line(LINE).await {
-                    Ok(line) => Turn::Call(line),
-                    Err(crate::net::http::Bad::TooLarge) => Turn::End(Some("the line is too long")),
-                    Err(_) => Turn::End(None),
+                match conn.line(MAX_LINE_BYTES).await {
+                    Ok(line) => Next::Call(line),
+                    Err(crate::net::http::Bad::TooLarge) => Next::End(Some("the line is too long")),
+                    Err(_) => Next::End(None),
                 }
             };
             let turn = future::or(
                 async {
-                    to_say
+                    outgoing_rx
                         .recv()
                         .await
-                        .map_or(Turn::End(None), |s| Turn::Say(Box::new(s)))
+                        .map_or(Next::End(None), |s| Next::Send(Box::new(s)))
                 },
                 call,
             )
             .await;
             let text = match turn {
-                Turn::Say(text) => *text,
-                Turn::End(None) => return,
-                Turn::End(Some(why)) => {
-                    let refusal = reply_message(0, refuse(Error::InvalidArgument, why));
-                    let _ = conn.write(&line(&refusal.message)).await;
+                Next::Send(text) => *text,
+                Next::End(None) => return,
+                Next::End(Some(why)) => {
+                    let rejection = reply_message(0, reject(Error::InvalidArgument, why));
+                    let _ = conn.write(&encode_line(&rejection.message)).await;
                     return;
                 }
-                Turn::Call(text) => match serde_json::from_slice::<Call>(&text) {
+                Next::Call(text) => match serde_json::from_slice::<Call>(&text) {
                     Ok(call) => {
                         let seq = call.seq;
-                        match self.call(call, &say, &ended, &waits) {
+                        match self.call(call, &outgoing_tx, &ended, &waits) {
                             Some(reply) => reply_message(seq, reply),
                             None => continue,
                         }
                     }
                     Err(e) => {
-                        // Guards against a silent end: a caller is told which of its calls was not understood.
+                        // Answers with the sequence number of the malformed call, so that the caller does not
+                        // wait for it in vain.
                         let seq = serde_json::from_slice::<serde_json::Value>(&text).ok();
                         let seq = seq.and_then(|v| v.get("seq")?.as_u64()).unwrap_or(0);
                         reply_message(
                             seq,
-                            refuse(Error::InvalidArgument, format!("not a call: {e}")),
+                            reject(Error::InvalidArgument, format!("not a call: {e}")),
                         )
                     }
                 },
             };
-            if conn.write(&line(&text.message)).await.is_err() {
+            if conn.write(&encode_line(&text.message)).await.is_err() {
                 return;
             }
             text.receipt.iter().for_each(SharedReceipt::written);
@@ -182,12 +183,12 @@
     outgoing
 }
 
-/// Listens and serves from now on.
+/// Binds the listener and spawns the task that accepts sessions.
 pub(crate) fn listen(
     hub: &Rc<Hub>,
     addr: SocketAddr,
     drmaa: &DrmaaConfig,
-    most: usize,
+    max_sessions: usize,
 ) -> Result<Rc<JobTable>, String> {
     let listener =
         Async::<TcpListener>::bind(addr).map_err(|e| format!("drmaa listen: {addr}: {e}"))?;
@@ -204,28 +205,29 @@
         waits: Cell::new(0),
         sessions: Cell::new(0),
         max_jobs: drmaa.max_jobs,
-        keep_us: (drmaa.keep_s * 1e6) as Micros,
+        retention_us: (drmaa.keep_s * 1e6) as Micros,
     });
-    let served = table.clone();
+    let accepting = table.clone();
     hub.spawn(async move {
         loop {
             match listener.accept().await {
-                // Over its share of descriptors the front turns sessions away, so that the rest is served.
-                Ok((stream, _)) if served.sessions.get() >= most => {
-                    let refusal = reply_message(0, refuse(Error::TryLater, "too many sessions"));
-                    let text = line(&refusal.message);
+                // Above the session limit new connections are rejected, which leaves file descriptors for the
+                // other sockets.
+                Ok((stream, _)) if accepting.sessions.get() >= max_sessions => {
+                    let rejection = reply_message(0, reject(Error::TryLater, "too many sessions"));
+                    let text = encode_line(&rejection.message);
                     let _ = futures_lite::AsyncWriteExt::write(&mut &stream, &text).await;
                 }
                 Ok((stream, _)) => {
-                    let table = served.clone();
+                    let table = accepting.clone();
                     table.sessions.set(table.sessions.get() + 1);
-                    served.hub.spawn(async move {
+                    accepting.hub.spawn(async move {
                         table.session(stream).await;
                         table.sessions.set(table.sessions.get() - 1);
                     });
                 }
                 Err(e) => {
-                    warn!(served.hub.log, "a job session could not be accepted"; "error" => %e);
+                    warn!(accepting.hub.log, "accepting a DRMAA session failed"; "error" => %e);
                     Timer::after(Duration::from_millis(20)).await;
                 }
             }
--- a/src/drmaa/front/template.rs
+++ b/src/drmaa/front/template.rs
@@ -1,9 +1,9 @@
-//! Job templates as batch tools send them.
+//! Validation of the job templates that batch tools send.
 
-use super::refuse;
+use super::reject;
 use crate::drmaa::{Error, JobTemplate};
 
-/// Attributes that DRMAA v2 has and this front does not bear.
+/// Attributes defined by DRMAA v2 that this front does not support.
 const UNSUPPORTED: [&str; 21] = [
     "args",
     "submitAsHold",
@@ -28,7 +28,7 @@
     "resourceLimits",
 ];
 
-/// Reads a template. What this front does not support is refused by name.
+/// Decodes a template. An unsupported or unknown attribute is rejected with an error that names it.
 pub(super) fn read_template(template: serde_json::Value) -> Result<JobTemplate, (Error, String)> {
     let known = [
         "remoteCommand",
@@ -40,7 +40,7 @@
     ];
     for name in template.as_object().into_iter().flat_map(|t| t.keys()) {
         if UNSUPPORTED.contains(&name.as_str()) {
-            return refuse(Error::UnsupportedAttribute, name.clone());
+            return reject(Error::UnsupportedAttribute, name.clone());
         }
         let ours = [
             "streamusher_idempotencyKey",
@@ -48,7 +48,7 @@
             "streamusher_inputHex",
         ];
         if !known.contains(&name.as_str()) && !ours.contains(&name.as_str()) {
-            return refuse(Error::InvalidArgument, format!("{name}: no such attribute"));
+            return reject(Error::InvalidArgument, format!("{name}: no such attribute"));
         }
     }
     serde_json::from_value(template).map_err(|e| (Error::InvalidArgument, e.to_string()))
--- a/src/drmaa/mod.rs
+++ b/src/drmaa/mod.rs
@@ -1,7 +1,9 @@
-//! DRMAA-style batch submission: a front for batch tools, and the driver of workers that speak the same.
+//! DRMAA-style batch submission: a front for batch tools, and a driver for workers that use the same
+//! protocol.
 //!
-//! DRMAA v2 fixes an interface and no wire. This one is lines of JSON over TCP in its terms; `docs/drmaa.md`
-//! has every call. What DRMAA leaves to the implementation is named with the prefix `streamusher_`.
+//! DRMAA v2 defines an interface but no wire protocol. This one exchanges lines of JSON over TCP in DRMAA
+//! terms; `docs/drmaa.md` describes every call. Attributes that DRMAA leaves to the implementation have the
+//! prefix `streamusher_`.
 
 pub(crate) mod front;
 pub(crate) mod worker;
@@ -13,10 +15,10 @@
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// The longest line: a body of 64 KiB, each byte escaped, and room for the rest.
-pub(crate) const LINE: usize = 7 * (64 << 10);
+/// Maximum length of a line in bytes: a body of 64 KiB with every byte escaped, plus the other fields.
+pub(crate) const MAX_LINE_BYTES: usize = 7 * (64 << 10);
 
-/// Attaches the driver and its workers, and the front if it is to listen.
+/// Attaches the driver and its workers to the core, and starts the front if a listen address is configured.
 pub(crate) fn attach(
     hub: &Rc<Hub>,
     drmaa: DrmaaConfig,
@@ -33,7 +35,7 @@
         .transpose()
 }
 
-/// The states of a job.
+/// DRMAA job states.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub(crate) enum JobState {
@@ -48,7 +50,7 @@
     Failed,
 }
 
-/// The errors of a call.
+/// DRMAA error codes returned for a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub(crate) enum Error {
@@ -67,18 +69,18 @@
     ImplementationSpecific,
 }
 
-/// What is to be run.
+/// A DRMAA job template: the description of a job to run.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub(crate) struct JobTemplate {
-    /// What the job is about, as a path; its first part is the class.
+    /// Request path of the job; its first segment is the class.
     pub(crate) remote_command: String,
-    /// The class.
+    /// Class of the job; must match the first segment of `remote_command`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(crate) job_category: Option<String>,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(crate) job_name: Option<String>,
-    /// Whose it is.
+    /// Tenant that the job is accounted to.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(crate) accounting_id: Option<String>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -93,7 +95,7 @@
     pub(crate) idempotency_key: Option<String>,
     #[serde(rename = "streamusher_input", skip_serializing_if = "Option::is_none")]
     pub(crate) input: Option<String>,
-    /// The input in hex digits, where it is not text.
+    /// Input in hex digits, for input that is not valid UTF-8.
     #[serde(
         rename = "streamusher_inputHex",
         skip_serializing_if = "Option::is_none"
@@ -101,7 +103,7 @@
     pub(crate) input_hex: Option<String>,
 }
 
-/// What is known of a job.
+/// DRMAA job information: state, times and result of a job.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct JobInfo {
@@ -115,7 +117,7 @@
     pub(crate) terminating_signal: Option<String>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub(crate) annotation: Option<String>,
-    /// Unix time in seconds, as the two that follow.
+    /// Unix time in seconds, as in `dispatch_time` and `finish_time`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub(crate) submission_time: Option<f64>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -128,14 +130,14 @@
         skip_serializing_if = "Option::is_none"
     )]
     pub(crate) output: Option<String>,
-    /// Why it failed.
+    /// Error code of a failed job.
     #[serde(
         default,
         rename = "streamusher_error",
         skip_serializing_if = "Option::is_none"
     )]
     pub(crate) error: Option<Error>,
-    /// Seconds to stay away for, where it was turned away unstarted.
+    /// Seconds to wait before a retry, if the job was rejected without having been started.
     #[serde(
         default,
         rename = "streamusher_retryAfter",
@@ -144,7 +146,7 @@
     pub(crate) retry_after: Option<f64>,
 }
 
-/// A call.
+/// A request from a session, identified by its sequence number.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Call {
@@ -153,7 +155,7 @@
     pub(crate) kind: CallKind,
 }
 
-/// What is called for. `timeout` is in seconds; below 0, without end.
+/// Operation of a call. `timeout` is in seconds; a negative value waits indefinitely.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(
     tag = "call",
@@ -174,7 +176,7 @@
     Release { job_id: String },
 }
 
-/// An answer to a call, or, without `seq`, a notification.
+/// Response to a call, or a notification if it has no `seq`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub(crate) struct SessionMessage {
@@ -194,11 +196,11 @@
     pub(crate) message: Option<String>,
 }
 
-/// A line for the wire.
-pub(crate) fn line(message: &impl Serialize) -> Vec<u8> {
-    let mut line = serde_json::to_vec(message).expect("plain data");
-    line.push(b'\n');
-    line
+/// Encodes a message as one line of JSON.
+pub(crate) fn encode_line(message: &impl Serialize) -> Vec<u8> {
+    let mut encoded = serde_json::to_vec(message).expect("plain data");
+    encoded.push(b'\n');
+    encoded
 }
 
 pub(crate) fn to_hex(bytes: &[u8]) -> String {
--- a/src/drmaa/worker.rs
+++ b/src/drmaa/worker.rs
@@ -1,7 +1,9 @@
-//! Route steps to workers that speak DRMAA: `runJob`, then `waitTerminated`, and `terminate` as the cancel.
+//! Runs route steps on workers that use the DRMAA protocol: `runJob`, then `waitTerminated`; `terminate`
+//! cancels.
 
 use super::{
-    line, to_hex, Call, CallKind, Error, JobInfo, JobState, JobTemplate, SessionMessage, LINE,
+    encode_line, to_hex, Call, CallKind, Error, JobInfo, JobState, JobTemplate, SessionMessage,
+    MAX_LINE_BYTES,
 };
 use crate::core::{Driver, Operation, PoolMember, StepEvent, StepId, StepOutcome};
 use crate::interface::{Micros, WorkerId};
@@ -18,15 +20,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a worker may take to accept a cancel.
-const CANCEL: Duration = Duration::from_secs(2);
+/// Maximum time for a worker to acknowledge a cancellation.
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Carries route steps to workers that speak DRMAA, one job at a time on a connection.
+/// Runs route steps on DRMAA workers, one job at a time per connection.
 pub(crate) struct DrmaaDriver {
     me: Weak<DrmaaDriver>,
     hub: Rc<Hub>,
     pool: Rc<Pool>,
-    out: RefCell<BTreeMap<StepId, Sender<()>>>,
+    cancel_senders: RefCell<BTreeMap<StepId, Sender<()>>>,
 }
 
 impl DrmaaDriver {
@@ -35,11 +37,11 @@
             me: me.clone(),
             hub,
             pool,
-            out: RefCell::default(),
+            cancel_senders: RefCell::default(),
         })
     }
 
-    /// One job from hand-over to end. `job` is filled once the worker has named it.
+    /// Runs one job from submission to its end. Sets `job` once the worker has returned the job id.
     async fn run(
         &self,
         step: StepId,
@@ -48,32 +50,32 @@
         pooled: &mut Option<PooledConnection>,
         job: &mut Option<String>,
     ) -> StepOutcome {
-        let mut taken = match self.pool.take(addr, Use::Work).await {
-            Ok(taken) => taken,
+        let mut connection = match self.pool.take(addr, Use::Work).await {
+            Ok(connection) => connection,
             Err(ending) => return ending,
         };
-        // The connection may have come up late: see the platform's driver.
+        // Connecting may have taken long: the remaining time is checked again before the job is sent.
         let Some(deadline) = self
             .hub
             .with(|core, now| core.begin(now, step).map(|left| now + left))
         else {
-            self.pool.give_back(addr, taken);
+            self.pool.give_back(addr, connection);
             return StepOutcome::NotSent;
         };
         let job_template =
             serde_json::to_value(template(operation, deadline as f64 / 1e6)).expect("plain data");
-        let call = line(&Call {
+        let call = encode_line(&Call {
             seq: 1,
             kind: CallKind::RunJob { job_template },
         });
-        if taken.conn.write(&call).await.is_err() {
+        if connection.conn.write(&call).await.is_err() {
             return StepOutcome::ConnectionLostBeforeSend;
         }
-        let conn = &mut pooled.insert(taken).conn;
-        let mut early = None;
+        let conn = &mut pooled.insert(connection).conn;
+        let mut started_job = None;
         loop {
             let message = match conn
-                .line(LINE)
+                .line(MAX_LINE_BYTES)
                 .await
                 .map(|l| serde_json::from_slice::<SessionMessage>(&l))
             {
@@ -82,15 +84,15 @@
             };
             match (message.seq, message.error) {
                 (None, _) if message.event.as_deref() == Some("NEW_STATE") => {
-                    // Guards against the last words on the job before, on a connection that is used again.
+                    // Ignores late notifications about the previous job on a reused connection.
                     match message.job_state == Some(JobState::Running) {
                         true if job.is_some() && message.job_id == *job => self.started(step),
-                        true if job.is_none() => early = message.job_id,
+                        true if job.is_none() => started_job = message.job_id,
                         _ => {}
                     }
                 }
                 (None, _) => {}
-                (Some(1), Some(error)) => return turned_down(error),
+                (Some(1), Some(error)) => return rejection_outcome(error),
                 (Some(1), None) => {
                     let Some(id) = message.job_id else {
                         return StepOutcome::WorkerFailed;
@@ -99,12 +101,12 @@
                         job_id: id.clone(),
                         timeout: -1.0,
                     };
-                    if early.as_ref() == Some(&id) {
+                    if started_job.as_ref() == Some(&id) {
                         self.started(step);
                     }
                     *job = Some(id);
                     if conn
-                        .write(&line(&Call { seq: 2, kind: wait }))
+                        .write(&encode_line(&Call { seq: 2, kind: wait }))
                         .await
                         .is_err()
                     {
@@ -112,7 +114,9 @@
                     }
                 }
                 (Some(2), None) => {
-                    return message.job_info.map_or(StepOutcome::WorkerFailed, ended)
+                    return message
+                        .job_info
+                        .map_or(StepOutcome::WorkerFailed, job_outcome)
                 }
                 (Some(2), Some(_)) => return StepOutcome::Lost,
                 (Some(_), _) => {}
@@ -125,7 +129,8 @@
             .with(|core, _| core.step_event(step, StepEvent::Started));
     }
 
-    /// Terminates a job on its own connection; one that the worker has not named yet is waited for.
+    /// Terminates a job on its own connection. If the worker has not returned the job id yet, waits for it
+    /// first.
     async fn terminate(
         &self,
         pooled: &mut PooledConnection,
@@ -133,7 +138,7 @@
     ) -> Option<()> {
         while job.is_none() {
             let message: SessionMessage =
-                serde_json::from_slice(&pooled.conn.line(LINE).await.ok()?).ok()?;
+                serde_json::from_slice(&pooled.conn.line(MAX_LINE_BYTES).await.ok()?).ok()?;
             if message.seq == Some(1) {
                 job = Some(message.job_id?);
             }
@@ -143,10 +148,10 @@
             seq: 3,
             kind: CallKind::Terminate { job_id: job? },
         };
-        pooled.conn.write(&line(&call)).await.ok()?;
+        pooled.conn.write(&encode_line(&call)).await.ok()?;
         loop {
             let message: SessionMessage =
-                serde_json::from_slice(&pooled.conn.line(LINE).await.ok()?).ok()?;
+                serde_json::from_slice(&pooled.conn.line(MAX_LINE_BYTES).await.ok()?).ok()?;
             if message.seq == Some(3) {
                 return Some(());
             }
@@ -158,7 +163,7 @@
         step: StepId,
         addr: SocketAddr,
         operation: Arc<Operation>,
-        given_up: Receiver<()>,
+        cancelled_rx: Receiver<()>,
     ) {
         let (mut pooled, mut job) = (None, None);
         let run = async {
@@ -168,18 +173,18 @@
             )
         };
         let cancelled = async {
-            let _ = given_up.recv().await;
+            let _ = cancelled_rx.recv().await;
             None
         };
-        let ended = future::or(run, cancelled).await;
-        self.out.borrow_mut().remove(&step);
-        match (ended, pooled) {
+        let outcome = future::or(run, cancelled).await;
+        self.cancel_senders.borrow_mut().remove(&step);
+        match (outcome, pooled) {
             (Some(ending), pooled) => {
-                let whole = matches!(
+                let reusable = matches!(
                     ending,
                     StepOutcome::Served(_) | StepOutcome::WorkerFailed | StepOutcome::Rejected
                 );
-                if let Some(pooled) = pooled.filter(|_| whole) {
+                if let Some(pooled) = pooled.filter(|_| reusable) {
                     self.pool.give_back(addr, pooled);
                 }
                 self.hub
@@ -190,30 +195,31 @@
                     self.terminate(&mut pooled, job).await;
                 };
                 let late = async {
-                    Timer::after(CANCEL).await;
+                    Timer::after(CANCEL_TIMEOUT).await;
                 };
                 future::or(terminate, late).await;
             }
-            (None, None) => {} // given up before the worker heard of it
+            (None, None) => {} // cancelled before the job was sent to the worker
         }
     }
 }
 
-/// What an error of `runJob` means: the first three come before anything has run.
-fn turned_down(error: Error) -> StepOutcome {
+/// Maps an error of `runJob` to a step outcome. `TryLater`, `DeniedByDrms` and `OutOfResource` are returned
+/// before anything has run.
+fn rejection_outcome(error: Error) -> StepOutcome {
     match error {
         Error::TryLater | Error::DeniedByDrms | Error::OutOfResource => StepOutcome::Rejected,
         _ => StepOutcome::WorkerFailed,
     }
 }
 
-/// What the end of a job means.
-fn ended(info: JobInfo) -> StepOutcome {
+/// Maps the information of a terminated job to a step outcome.
+fn job_outcome(info: JobInfo) -> StepOutcome {
     match (info.job_state, info.output, info.error) {
         (JobState::Done, Some(output), _) if output.len() <= BODY => {
             StepOutcome::Served(output.into_bytes().into())
         }
-        (JobState::Failed, _, Some(error)) => turned_down(error),
+        (JobState::Failed, _, Some(error)) => rejection_outcome(error),
         (JobState::Failed, ..) if info.terminating_signal.is_some() => StepOutcome::Lost,
         _ => StepOutcome::WorkerFailed,
     }
@@ -242,13 +248,13 @@
         worker: &PoolMember,
         _left_us: Micros,
     ) {
-        let (give_up, given_up) = bounded::<()>(1);
-        self.out.borrow_mut().insert(step, give_up);
+        let (cancel_tx, cancelled_rx) = bounded::<()>(1);
+        self.cancel_senders.borrow_mut().insert(step, cancel_tx);
         let me = self.me.upgrade().expect("called through an Rc");
         let (operation, addr) = (operation.clone(), worker.addr.parse::<SocketAddr>());
         self.hub.spawn(async move {
             match addr {
-                Ok(addr) => me.step(step, addr, operation, given_up).await,
+                Ok(addr) => me.step(step, addr, operation, cancelled_rx).await,
                 Err(_) => me.hub.with(|core, _| {
                     core.step_event(step, StepEvent::Ended(StepOutcome::ConnectRefused, None))
                 }),
@@ -257,10 +263,10 @@
     }
 
     fn cancel(&self, step: StepId, _operation: &Arc<Operation>, _worker: &PoolMember) {
-        self.out.borrow_mut().remove(&step);
+        self.cancel_senders.borrow_mut().remove(&step);
     }
 
-    /// DRMAA knows no probe: the answer is that there is none.
+    /// DRMAA has no health probe: the probe ends immediately as not answered.
     fn probe(&self, worker: WorkerId, _member: &PoolMember) {
         let hub = self.hub.clone();
         self.hub
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -431,7 +431,7 @@
     }
     loop {
         sockets.close_idle(false);
-        let waited_for = sockets.clients() > 0 || jobs.is_some_and(|j| j.busy());
+        let waited_for = sockets.clients() > 0 || jobs.is_some_and(|j| j.has_pending_waits());
         Timer::after(Duration::from_millis(20)).await;
         // Guards against a client that never reads its answer, or never ends its request.
         let late = begun.elapsed() > last_call;
--- a/tests/drmaa.rs
+++ b/tests/drmaa.rs
@@ -1,4 +1,5 @@
-//! The DRMAA front and its worker driver: the real program between stand-in sessions and workers of both wires.
+//! The DRMAA front and its worker driver: the real program between simulated sessions and simulated workers of
+//! both protocols, the platform's and DRMAA.
 
 mod support;
 
@@ -12,11 +13,11 @@
 
 const LISTEN: &str = "listen = \"127.0.0.1:0\"\n";
 
-/// A batch tool's session.
+/// A batch tool's session. `notifications` collects messages that are not the response to a call.
 struct Session {
     stream: BufReader<TcpStream>,
     seq: u64,
-    told: Vec<Value>,
+    notifications: Vec<Value>,
 }
 
 impl Session {
@@ -25,11 +26,11 @@
         Session {
             stream,
             seq: 0,
-            told: Vec::new(),
+            notifications: Vec::new(),
         }
     }
 
-    fn say(&mut self, call: Value) -> u64 {
+    fn send(&mut self, call: Value) -> u64 {
         self.seq += 1;
         let mut call = call;
         call["seq"] = self.seq.into();
@@ -40,30 +41,30 @@
         self.seq
     }
 
-    fn hear(&mut self) -> Value {
+    fn receive(&mut self) -> Value {
         let mut line = String::new();
         self.stream.read_line(&mut line).expect("a line");
         serde_json::from_str(&line).expect("JSON")
     }
 
     fn call(&mut self, call: Value) -> Value {
-        let seq = self.say(call);
+        let seq = self.send(call);
         loop {
-            let said = self.hear();
-            if said["seq"] == seq {
-                return said;
+            let message = self.receive();
+            if message["seq"] == seq {
+                return message;
             }
-            self.told.push(said);
+            self.notifications.push(message);
         }
     }
 
     fn run(&mut self, command: &str, key: &str) -> String {
         let template = json!({"remoteCommand": command, "streamusher_input": "core",
             "streamusher_idempotencyKey": key});
-        let said = self.call(json!({"call": "runJob", "jobTemplate": template}));
-        said["jobId"]
+        let message = self.call(json!({"call": "runJob", "jobTemplate": template}));
+        message["jobId"]
             .as_str()
-            .unwrap_or_else(|| panic!("{said}"))
+            .unwrap_or_else(|| panic!("{message}"))
             .to_string()
     }
 
@@ -72,7 +73,8 @@
     }
 }
 
-/// Starts the program with the DRMAA front, workers of the platform's wire, and others from an inventory.
+/// Starts the program with the DRMAA front, `workers` that use the platform's protocol, and DRMAA workers
+/// (`sheds`) from an inventory.
 fn program(workers: &[&Worker], sheds: &[&Shed]) -> Program {
     let files = Files::new();
     let rows = sheds
@@ -88,7 +90,7 @@
 }
 
 #[test]
-fn a_job_is_run_waited_for_and_told_of() {
+fn job_runs_and_its_states_are_notified() {
     let worker = Worker::start("s-1", SERVES);
     let program = program(&[&worker], &[]);
     let mut session = Session::open(&program);
@@ -106,7 +108,7 @@
             .starts_with("log of drmaa-"),
         "{info}"
     );
-    // Another session may ask too, until the job is reaped.
+    // Other sessions may query the job until it is reaped.
     let mut other = Session::open(&program);
     assert_eq!(
         other.call(json!({"call": "getState", "jobId": job}))["jobState"],
@@ -126,7 +128,11 @@
         other.call(json!({"call": "getInfo", "jobId": job}))["error"],
         "INVALID_ARGUMENT"
     );
-    let states: Vec<&Value> = session.told.iter().map(|t| &t["jobState"]).collect();
+    let states: Vec<&Value> = session
+        .notifications
+        .iter()
+        .map(|t| &t["jobState"])
+        .collect();
     assert_eq!(states, [&json!("RUNNING"), &json!("DONE")]);
 }
 
@@ -135,12 +141,12 @@
 #[case::other_class(json!({"remoteCommand": "/depth-log/x", "jobCategory": "layer-view"}), "INVALID_ARGUMENT")]
 #[case::no_path(json!({"remoteCommand": "depth log"}), "INVALID_ARGUMENT")]
 #[case::no_key(json!({"remoteCommand": "/sample-entry/x"}), "INVALID_ARGUMENT")]
-#[case::over(json!({"remoteCommand": "/depth-log/x", "deadlineTime": 1}), "INVALID_ARGUMENT")]
+#[case::past_deadline(json!({"remoteCommand": "/depth-log/x", "deadlineTime": 1}), "INVALID_ARGUMENT")]
 #[case::long_name(json!({"remoteCommand": "/depth-log/x", "jobName": "x".repeat(2000)}), "INVALID_ARGUMENT")]
-#[case::unheard(json!({"remoteCommand": "/depth-log/x", "colour": "blue"}), "INVALID_ARGUMENT")]
+#[case::unknown_attribute(json!({"remoteCommand": "/depth-log/x", "colour": "blue"}), "INVALID_ARGUMENT")]
 #[case::unsupported(json!({"remoteCommand": "/depth-log/x", "workingDirectory": "/"}), "UNSUPPORTED_ATTRIBUTE")]
 #[case::large(json!({"remoteCommand": "/depth-log/x", "streamusher_input": "x".repeat(65537)}), "OUT_OF_RESOURCE")]
-fn templates_are_checked(#[case] template: Value, #[case] error: &str) {
+fn invalid_template_is_rejected(#[case] template: Value, #[case] error: &str) {
     let program = program(&[], &[]);
     let mut session = Session::open(&program);
     assert_eq!(
@@ -162,7 +168,7 @@
 #[case::silent(RUNS_ON, 0.4, &["TIMEOUT", "TRY_LATER"])]
 #[case::turned_away(BUSY, 0.4, &["TRY_LATER"])]
 #[case::failed(Manner { answer: Some(TAKEN), early: &[], then: &["started", "failed"] }, 0.4, &["TRY_LATER"])]
-fn a_job_that_is_not_served_fails_in_time(
+fn unserved_job_fails_by_its_deadline(
     #[case] manner: Manner,
     #[case] left: f64,
     #[case] errors: &[&str],
@@ -187,7 +193,7 @@
 #[rstest]
 #[case::platform(true)]
 #[case::drmaa(false)]
-fn a_cancel_after_the_start_ends_in_exactly_one_answer(#[case] platform: bool) {
+fn job_cancelled_while_running_ends_exactly_once(#[case] platform: bool) {
     let (worker, shed) = (Worker::start("s-1", RUNS_ON), Shed::start("runs on"));
     let program = if platform {
         program(&[&worker], &[])
@@ -208,7 +214,7 @@
         None
     );
     assert_eq!(sent.recv_timeout(LONG).unwrap(), Sent::Cancel(id.clone()));
-    assert_eq!(call_back(program.addr, &id, "s-1", "done"), 204); // too late: it changes nothing
+    assert_eq!(call_back(program.addr, &id, "s-1", "done"), 204); // a call-back after the cancellation has no effect
     let info = session.wait(&job, "waitTerminated");
     assert_eq!(
         (&info["jobState"], &info["terminatingSignal"]),
@@ -219,14 +225,15 @@
         "INVALID_STATE"
     );
     let ends = session
-        .told
+        .notifications
         .iter()
         .filter(|t| t["jobState"] == "FAILED" || t["jobState"] == "DONE");
     assert_eq!(ends.count(), 1);
     assert_eq!(program.counters()["served"], 0);
 }
 
-/// Both fronts, workers of both wires, good ones and bad: every job ends once, and none is lost.
+/// With both fronts, workers of both protocols, and workers that fail in several ways, every job ends exactly once
+/// and none is lost.
 #[test]
 fn both_fronts_give_every_job_one_final_answer() {
     let workers = [Worker::start("s-1", SERVES), Worker::start("s-2", BUSY)];
@@ -259,10 +266,10 @@
         .collect();
     let statuses = http.join().expect("the client");
     let mut ends: HashMap<String, usize> = HashMap::new();
-    for told in &session.told {
-        if told["jobState"] == "DONE" || told["jobState"] == "FAILED" {
+    for notifications in &session.notifications {
+        if notifications["jobState"] == "DONE" || notifications["jobState"] == "FAILED" {
             *ends
-                .entry(told["jobId"].as_str().unwrap().to_string())
+                .entry(notifications["jobId"].as_str().unwrap().to_string())
                 .or_default() += 1;
         }
     }
@@ -286,7 +293,8 @@
     assert!(served > 0 && infos.iter().any(|i| i["jobState"] == "DONE"));
 }
 
-/// A keyed job that is handed in twice runs once, whichever way it comes; the second gets the first's result.
+/// A keyed job submitted twice runs once, whichever fronts it is submitted to; the second submission gets the result
+/// of the first.
 #[rstest]
 #[case::drmaa_then_platform(false)]
 #[case::platform_then_drmaa(true)]
@@ -320,11 +328,12 @@
     assert_eq!(program.counters()["repeats_joined"], 2);
 }
 
-/// While the first runs a repeat waits for it; after a failure that may have run it is not run again.
+/// A repeat waits for the result of the first submission while that runs. After a failure in which the job may have
+/// run, a repeat is not run again.
 #[rstest]
 #[case::served("done", "DONE")]
 #[case::lost("lost", "FAILED")]
-fn a_repeat_joins_the_one_in_hand(#[case] state: &str, #[case] want: &str) {
+fn repeat_joins_the_operation_in_flight(#[case] state: &str, #[case] want: &str) {
     let worker = Worker::start("s-1", RUNS_ON);
     let program = program(&[&worker], &[]);
     let mut session = Session::open(&program);
@@ -336,7 +345,7 @@
     let Sent::Job { id, .. } = worker.next() else {
         panic!("a job")
     };
-    // One that joined may leave again: the other goes on.
+    // Terminating a joined repeat does not end the first submission.
     session.call(json!({"call": "terminate", "jobId": two}));
     let three = session.run("/sample-entry/b", "k");
     assert_eq!(call_back(program.addr, &id, "s-1", state), 204);
@@ -348,7 +357,7 @@
 }
 
 #[test]
-fn a_stop_answers_jobs_in_hand() {
+fn shutdown_answers_jobs_in_flight() {
     let worker = Worker::start("s-1", RUNS_ON);
     let mut program = program(&[&worker], &[]);
     let mut session = Session::open(&program);
@@ -356,22 +365,22 @@
     let Sent::Job { id, .. } = worker.next() else {
         panic!("a job")
     };
-    let wait = session.say(json!({"call": "waitTerminated", "jobId": job, "timeout": -1}));
+    let wait = session.send(json!({"call": "waitTerminated", "jobId": job, "timeout": -1}));
     program.signal("TERM");
     program.logged("stopping");
     let late = session.run("/layer-view/bh-8", "");
     let Sent::Job { id: second, .. } = worker.next() else {
         panic!("a job")
     };
-    let wait_late = session.say(json!({"call": "waitTerminated", "jobId": late, "timeout": -1}));
+    let wait_late = session.send(json!({"call": "waitTerminated", "jobId": late, "timeout": -1}));
     [id, second]
         .iter()
         .for_each(|id| assert_eq!(call_back(program.addr, id, "s-1", "done"), 204));
     let mut done = 0;
     while done < 2 {
-        let said = session.hear();
-        if said["seq"] == wait || said["seq"] == wait_late {
-            assert_eq!(said["jobInfo"]["jobState"], "DONE");
+        let message = session.receive();
+        if message["seq"] == wait || message["seq"] == wait_late {
+            assert_eq!(message["jobInfo"]["jobState"], "DONE");
             done += 1;
         }
     }
@@ -381,7 +390,7 @@
 const YAML: &str = "all:\n  vars: {zone: pump-house, kind: standard}\n  children:\n    sheds:\n      vars:\n        drmaa_port: PORT\n      hosts:\n        shed-a:\n          ansible_host: 127.0.0.1\n";
 
 #[test]
-fn workers_come_from_a_yaml_inventory_too() {
+fn workers_are_read_from_a_yaml_inventory() {
     let shed = Shed::start("serves");
     let files = Files::new();
     files.add(
@@ -417,17 +426,17 @@
     "host shed-a: "
 )]
 #[case::no_yaml("workers.yml", "all: [\n", "workers.yml:1:6: ")]
-fn a_bad_inventory_names_its_row(#[case] name: &str, #[case] text: &str, #[case] want: &str) {
+fn inventory_error_names_its_row(#[case] name: &str, #[case] text: &str, #[case] want: &str) {
     let files = Files::new();
     files.add(name, text);
     let drmaa = format!("{LISTEN}inventory = \"{name}\"\n");
     let done = command(&files, &config(&[]), Some(&drmaa))
         .output()
         .unwrap();
-    let said = String::from_utf8(done.stderr).unwrap();
+    let message = String::from_utf8(done.stderr).unwrap();
     assert!(
-        !done.status.success() && said.lines().count() == 1 && said.contains(want),
-        "{said}"
+        !done.status.success() && message.lines().count() == 1 && message.contains(want),
+        "{message}"
     );
 }
 
@@ -435,12 +444,12 @@
 #[case("listen = 5\n", "listen: ")]
 #[case("max_jobs = 0\n", "max_jobs: ")]
 #[case("lsiten = \"127.0.0.1:0\"\n", "lsiten")]
-fn a_bad_drmaa_file_names_its_key(#[case] text: &str, #[case] want: &str) {
+fn drmaa_file_error_names_its_key(#[case] text: &str, #[case] want: &str) {
     let files = Files::new();
     let done = command(&files, &config(&[]), Some(text)).output().unwrap();
-    let said = String::from_utf8(done.stderr).unwrap();
+    let message = String::from_utf8(done.stderr).unwrap();
     assert!(
-        !done.status.success() && said.lines().count() == 1 && said.contains(want),
-        "{said}"
+        !done.status.success() && message.lines().count() == 1 && message.contains(want),
+        "{message}"
     );
 }
