--- a/src/command/ledger.rs
+++ b/src/command/ledger.rs
@@ -1,7 +1,8 @@
-//! `streamusher ledger`: what operators do with the ledger. A dispatcher may write to it meanwhile.
+//! `streamusher ledger`: the operators' commands on the ledger. A dispatcher may write to the ledger at the
+//! same time.
 
-use super::report::{finding, use_cells, USE};
-use super::table::{plain, table};
+use super::report::{describe_finding, use_cells, USE_HEADINGS};
+use super::table::{escape_control, table};
 use super::Failure;
 use crate::billing::wall;
 use crate::config::operators::OperatorsConfig;
@@ -18,134 +19,137 @@
 use streamusher_ledger::sums::Use;
 use streamusher_ledger::{key, receipts, scan};
 
-type Done = Result<(), Failure>;
+type CommandResult = Result<(), Failure>;
 
 #[derive(Args)]
 pub(super) struct Ledger {
     #[command(flatten)]
-    place: Place,
+    place: LedgerLocation,
     #[command(subcommand)]
-    what: What,
+    what: LedgerCommand,
 }
 
-/// Which ledger: the one of the operators' file, or one in a folder.
+/// Selects a ledger: that of the operators' file, or one in a folder.
 #[derive(Args)]
-struct Place {
-    /// The operators' file, whose [ledger] it is.
+struct LedgerLocation {
+    /// The operators' file, whose table [ledger] is used.
     #[arg(long, value_name = "FILE", global = true)]
     config: Option<PathBuf>,
-    /// The ledger's folder, without an operators' file.
+    /// The ledger's folder, instead of an operators' file.
     #[arg(long, value_name = "DIR", global = true, conflicts_with = "config")]
     dir: Option<PathBuf>,
-    /// The ledger's key; ledger.key in its folder, if none is named.
+    /// The file with the ledger's key; default: ledger.key in its folder.
     #[arg(long, value_name = "FILE", global = true, conflicts_with = "config")]
     key_file: Option<PathBuf>,
-    /// Print JSON for programs.
+    /// Print JSON.
     #[arg(long, global = true)]
     json: bool,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// The sums by period, tenant and class.
+enum LedgerCommand {
+    /// Show the sums by period, tenant and class.
     Show {
-        /// One period alone: 2026-12, 2026-12-01 or 2026-12-01T13.
+        /// Show only this period: 2026-12, 2026-12-01 or 2026-12-01T13.
         #[arg(long)]
         period: Option<Period>,
-        /// One tenant alone.
+        /// Show only this tenant.
         #[arg(long)]
         tenant: Option<String>,
     },
-    /// Add to a tenant's use, or take away from it. It stands in the first open period.
+    /// Add to or subtract from a tenant's usage. The correction is entered in the first open period.
     Correct {
-        /// The period that it is about, which may be closed.
+        /// The period to which the correction applies; it may be closed.
         #[arg(long)]
         of: Period,
         #[arg(long)]
         tenant: String,
         #[arg(long)]
         class: String,
-        /// Operations to add, or take away.
+        /// Operations to add; negative to subtract.
         #[arg(long, default_value_t = 0, allow_hyphen_values = true)]
         operations: i64,
-        /// Slot-microseconds to add, or take away.
+        /// Slot-microseconds to add; negative to subtract.
         #[arg(long, default_value_t = 0, allow_hyphen_values = true)]
         slot_us: i128,
         #[command(flatten)]
-        by: By,
+        by: Attribution,
     },
-    /// Close the periods that are due. A running dispatcher does so by itself.
+    /// Close the periods that are due. A running dispatcher does this automatically.
     Close {
-        /// Close all up to this one, even before it has ended. No dispatcher may write to the ledger meanwhile.
+        /// Close all periods up to this one, even before it has ended. No dispatcher may write to the ledger
+        /// at the same time.
         #[arg(long)]
         through: Option<Period>,
     },
-    /// List served operations that nobody can tell of whether their clients have the answers, or settle them.
+    /// List or settle doubtful entries: served operations for which it is unknown whether the clients
+    /// received the answers.
     DoubtPolicy {
-        /// Settle all that are listed the same way.
+        /// Settle all listed entries in the same way.
         #[arg(long, requires = "author", conflicts_with = "receipts")]
-        settle: Option<How>,
-        /// Settle by a client's receipts, a CSV file with a column `operation`: those in it are billed, others waived.
+        settle: Option<Settlement>,
+        /// Settle by a client's receipts, a CSV file with a column `operation`: operations in it are billed,
+        /// others waived.
         #[arg(long, value_name = "FILE", requires = "author")]
         receipts: Option<PathBuf>,
-        /// One tenant's alone.
+        /// Select only this tenant's entries.
         #[arg(long)]
         tenant: Option<String>,
-        /// Who settles them.
+        /// The person who settles the entries.
         #[arg(long)]
         author: Option<String>,
-        /// Why.
+        /// The reason for the settlement.
         #[arg(long, default_value = "settled by the operators")]
         reason: String,
     },
-    /// Check that the ledger still holds what was written.
+    /// Verify that the ledger is unchanged since it was written.
     Verify,
-    /// Write closed periods into a folder. Run again it changes nothing.
+    /// Write closed periods into a folder. A second run changes nothing.
     Export {
-        /// One period alone; all closed ones, if none is named.
+        /// Export only this period; default: all closed ones.
         #[arg(long)]
         period: Option<Period>,
-        /// The folder.
+        /// The destination folder.
         #[arg(long, value_name = "DIR")]
         to: PathBuf,
     },
-    /// Merge exports of any instances, and tell the bill and what does not fit.
+    /// Merge exports of any instances; print the bill and all inconsistencies.
     Reconcile {
         /// Folders with exports.
         #[arg(required = true, value_name = "DIR")]
         dirs: Vec<PathBuf>,
-        /// Files read at the same time.
+        /// Number of files read concurrently.
         #[arg(long, default_value_t = 4)]
         threads: usize,
     },
 }
 
 #[derive(Args)]
-struct By {
-    /// Who corrects.
+struct Attribution {
+    /// The person who makes the correction.
     #[arg(long)]
     author: String,
-    /// Why.
+    /// The reason for the correction.
     #[arg(long)]
     reason: String,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum How {
+enum Settlement {
     Bill,
     Waive,
 }
 
-impl From<How> for Settle {
-    fn from(how: How) -> Settle {
+impl From<Settlement> for Settle {
+    fn from(how: Settlement) -> Settle {
         match how {
-            How::Bill => Settle::Bill,
-            How::Waive => Settle::Waive,
+            Settlement::Bill => Settle::Bill,
+            Settlement::Waive => Settle::Waive,
         }
     }
 }
 
-impl Place {
+impl LedgerLocation {
     fn operators(&self) -> Result<Option<OperatorsConfig>, Failure> {
         Ok(self
             .config
@@ -154,7 +158,7 @@
             .transpose()?)
     }
 
-    /// The store, and how long after its end a period may be closed.
+    /// Opens the store. Also returns how long after its end a period is closed, in microseconds.
     fn open(&self) -> Result<(Store, u64), Failure> {
         if let Some(operators) = self.operators()? {
             let config = operators
@@ -168,7 +172,7 @@
         let dir = self
             .dir
             .as_ref()
-            .ok_or("which ledger? --config FILE or --dir DIR")?;
+            .ok_or("no ledger given: use --config FILE or --dir DIR")?;
         let key_file = self
             .key_file
             .clone()
@@ -176,8 +180,8 @@
         Ok((Store::command(dir, key::load(&key_file)?)?, 300_000_000))
     }
 
-    /// JSON for programs, text for people.
-    fn say(&self, json: &impl Serialize, text: impl FnOnce() -> String) {
+    /// Prints JSON or text, as selected by `--json`.
+    fn print_result(&self, json: &impl Serialize, text: impl FnOnce() -> String) {
         match self.json {
             true => println!("{}", serde_json::to_string(json).unwrap_or_default()),
             false => println!("{}", text()),
@@ -187,23 +191,23 @@
 
 fn progress(steps: u64, what: &'static str) -> ProgressBar {
     let style = ProgressStyle::with_template("{msg} {bar:30} {pos}/{len} {eta}");
-    let bar = ProgressBar::new(steps).with_message(what); // draws on a terminal alone
+    let bar = ProgressBar::new(steps).with_message(what); // drawn only on a terminal
     style.map_or(bar.clone(), |s| bar.with_style(s))
 }
 
 #[derive(Serialize)]
-struct Shown {
+struct PeriodSums {
     period: Period,
     closed: bool,
     lines: Vec<Line>,
 }
 
 impl Ledger {
-    pub(super) fn run(self) -> Done {
+    pub(super) fn run(self) -> CommandResult {
         let place = &self.place;
         match self.what {
-            What::Show { period, tenant } => show(place, period, tenant),
-            What::Correct {
+            LedgerCommand::Show { period, tenant } => show(place, period, tenant),
+            LedgerCommand::Correct {
                 of,
                 tenant,
                 class,
@@ -211,7 +215,7 @@
                 slot_us,
                 by,
             } => {
-                let By { author, reason } = by;
+                let Attribution { author, reason } = by;
                 let (time_us, about) = (wall(), About::Use);
                 correct(
                     place,
@@ -228,8 +232,8 @@
                     },
                 )
             }
-            What::Close { through } => close(place, through),
-            What::DoubtPolicy {
+            LedgerCommand::Close { through } => close(place, through),
+            LedgerCommand::DoubtPolicy {
                 settle,
                 receipts,
                 tenant,
@@ -237,26 +241,26 @@
                 reason,
             } => {
                 let how = match (settle, receipts) {
-                    (Some(how), _) => Some(Judge::Rule(how.into())),
-                    (None, Some(file)) => Some(Judge::Receipts(file)),
+                    (Some(how), _) => Some(SettlementSource::Rule(how.into())),
+                    (None, Some(file)) => Some(SettlementSource::Receipts(file)),
                     (None, None) => None,
                 };
                 doubts(place, how, tenant, &author.unwrap_or_default(), &reason)
             }
-            What::Verify => verify(place),
-            What::Export { period, to } => export_to(place, period, &to),
-            What::Reconcile { dirs, threads } => reconcile(place, &dirs, threads),
+            LedgerCommand::Verify => verify(place),
+            LedgerCommand::Export { period, to } => export_to(place, period, &to),
+            LedgerCommand::Reconcile { dirs, threads } => reconcile(place, &dirs, threads),
         }
     }
 }
 
-/// What doubts are settled by.
-enum Judge {
+/// How the doubtful entries are settled.
+enum SettlementSource {
     Rule(Settle),
     Receipts(PathBuf),
 }
 
-fn show(place: &Place, period: Option<Period>, tenant: Option<String>) -> Done {
+fn show(place: &LedgerLocation, period: Option<Period>, tenant: Option<String>) -> CommandResult {
     let (store, _) = place.open()?;
     let mut shown = Vec::new();
     for p in store
@@ -267,14 +271,14 @@
         let closed = store.seal_of(p)?.is_some();
         let mut all = lines(store.sums(p)?);
         all.retain(|l| tenant.as_ref().is_none_or(|t| *t == l.tenant));
-        shown.push(Shown {
+        shown.push(PeriodSums {
             period: p,
             closed,
             lines: all,
         });
     }
     let rows = || {
-        let row = |s: &Shown, l: &Line| {
+        let row = |s: &PeriodSums, l: &Line| {
             let state = if s.closed { "closed" } else { "open" };
             [
                 vec![
@@ -290,52 +294,53 @@
         let rows = shown
             .iter()
             .flat_map(|s| s.lines.iter().map(move |l| row(s, l)));
-        let head = [&["period", "state", "tenant", "class"][..], &USE].concat();
+        let head = [&["period", "state", "tenant", "class"][..], &USE_HEADINGS].concat();
         table(&head, rows)
     };
-    place.say(&shown, rows);
+    place.print_result(&shown, rows);
     Ok(())
 }
 
-fn correct(place: &Place, correction: Correction) -> Done {
+fn correct(place: &LedgerLocation, correction: Correction) -> CommandResult {
     correction.check()?;
     let (mut store, _) = place.open()?;
     if correction.of.span() != store.span() {
         return Err(format!(
-            "--of: this ledger's periods are not of that length: {}",
+            "--of: {} does not have the length of this ledger's periods",
             correction.of
         )
         .into());
     }
-    checked_key(&store)?;
+    check_key(&store)?;
     let no = store.correct(&correction)?;
-    place.say(&json!({"correction": no}), || {
+    place.print_result(&json!({"correction": no}), || {
         format!("correction {no} is booked")
     });
     Ok(())
 }
 
-/// Guards against MACs that `verify` would find wrong.
-fn checked_key(store: &Store) -> Done {
+/// Checks the key before anything is written: `verify` rejects MACs made with another key.
+fn check_key(store: &Store) -> CommandResult {
     match store.has_key()? {
         true => Ok(()),
-        false => Err("the key is not the one that this ledger was made with".into()),
+        false => Err("the key is not the one with which this ledger was created".into()),
     }
 }
 
-fn close(place: &Place, through: Option<Period>) -> Done {
+fn close(place: &LedgerLocation, through: Option<Period>) -> CommandResult {
     let (mut store, lateness) = place.open()?;
     let closed = match through {
         Some(last) if last.span() != store.span() => {
-            return Err(
-                format!("--through: this ledger's periods are not of that length: {last}").into(),
+            return Err(format!(
+                "--through: {last} does not have the length of this ledger's periods"
             )
+            .into())
         }
         Some(last) => store.close_through(last, wall())?,
         None => store.close_due(wall(), lateness)?,
     };
     let names: Vec<String> = closed.iter().map(|c| c.period.to_string()).collect();
-    place.say(&json!({"closed": names}), || match names.is_empty() {
+    place.print_result(&json!({"closed": names}), || match names.is_empty() {
         true => "no period is due".into(),
         false => format!("closed: {}", names.join(", ")),
     });
@@ -343,12 +348,12 @@
 }
 
 fn doubts(
-    place: &Place,
-    how: Option<Judge>,
+    place: &LedgerLocation,
+    how: Option<SettlementSource>,
     tenant: Option<String>,
     author: &str,
     reason: &str,
-) -> Done {
+) -> CommandResult {
     let (mut store, _) = place.open()?;
     let mut doubts = store.doubts()?;
     doubts.retain(|d| tenant.as_ref().is_none_or(|t| *t == d.tenant));
@@ -372,7 +377,7 @@
                     d.row.slot_us().to_string(),
                 ]
             });
-            place.say(&listed, || {
+            place.print_result(&listed, || {
                 table(
                     &["period", "time", "operation", "tenant", "class", "slot-us"],
                     rows,
@@ -381,12 +386,12 @@
             return Ok(());
         }
         Some(_) if author.trim().is_empty() => return Err("--author: must not be empty".into()),
-        Some(Judge::Rule(how)) => {
-            checked_key(&store)?;
+        Some(SettlementSource::Rule(how)) => {
+            check_key(&store)?;
             receipts::settle(&mut store, &doubts, wall(), author, reason, |_| how)?
         }
-        Some(Judge::Receipts(file)) => {
-            checked_key(&store)?;
+        Some(SettlementSource::Receipts(file)) => {
+            check_key(&store)?;
             let found = receipts::found(&file, &doubts)?;
             let how = |d: &streamusher_ledger::store::Doubt| match found.contains(&d.row.operation)
             {
@@ -396,20 +401,20 @@
             receipts::settle(&mut store, &doubts, wall(), author, reason, how)?
         }
     };
-    place.say(&settled, || {
+    place.print_result(&settled, || {
         format!("billed {}, waived {}", settled.billed, settled.waived)
     });
     Ok(())
 }
 
-fn verify(place: &Place) -> Done {
+fn verify(place: &LedgerLocation) -> CommandResult {
     let (store, _) = place.open()?;
-    checked_key(&store)?;
+    check_key(&store)?;
     let bar = progress(store.entries()?, "verifying");
     let done = store.verify(|entries| bar.inc(entries));
     bar.finish_and_clear();
     let done = done?;
-    place.say(&done, || {
+    place.print_result(&done, || {
         format!(
             "{} entries, {} corrections, {} closed periods: all as written",
             done.entries, done.corrections, done.seals
@@ -418,7 +423,11 @@
     Ok(())
 }
 
-fn export_to(place: &Place, period: Option<Period>, to: &std::path::Path) -> Done {
+fn export_to(
+    place: &LedgerLocation,
+    period: Option<Period>,
+    to: &std::path::Path,
+) -> CommandResult {
     let (store, _) = place.open()?;
     let periods = match period {
         Some(p) => vec![p],
@@ -439,7 +448,7 @@
             m.id.clone(),
         ]
     });
-    place.say(&manifests, || {
+    place.print_result(&manifests, || {
         table(&["period", "entries", "file", "id"], rows)
     });
     Ok(())
@@ -453,7 +462,7 @@
     sums: Use,
 }
 
-fn reconcile(place: &Place, dirs: &[PathBuf], threads: usize) -> Done {
+fn reconcile(place: &LedgerLocation, dirs: &[PathBuf], threads: usize) -> CommandResult {
     let tenants = place.operators()?.and_then(|o| o.tenants);
     let bar = progress(0, "reading");
     let all = scan::scan(dirs, threads, |files| {
@@ -479,7 +488,8 @@
     let said = json!({"exports": all.merged.len(), "entries": all.merged.entries(), "more_repeats": all.more_repeats,
         "findings": serde_json::to_value(&all.findings)?});
     if place.json {
-        // Sums may be wider than JSON values of the library, so the lines are written as they are.
+        // The sums may exceed the integers of JSON values in the library, so the lines are serialized
+        // directly.
         println!(
             "{{\"bill\":{},\"report\":{said}}}",
             serde_json::to_string(&bill)?
@@ -495,7 +505,7 @@
         println!(
             "{}",
             table(
-                &[&["tenant", "class", "period"][..], &USE].concat(),
+                &[&["tenant", "class", "period"][..], &USE_HEADINGS].concat(),
                 bill.iter().map(row)
             )
         );
@@ -506,7 +516,7 @@
         );
         all.findings
             .iter()
-            .for_each(|f| println!("! {}", plain(&finding(f))));
+            .for_each(|f| println!("! {}", escape_control(&describe_finding(f))));
         if all.more_repeats > 0 {
             println!(
                 "! {} more keys were answered by several instances",
--- a/src/command/mod.rs
+++ b/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The command line. `streamusher` alone is the platform's start, to the letter.
+//! The command line. `streamusher` without a command starts exactly as the platform starts it.
 
 mod ledger;
 mod report;
@@ -11,13 +11,13 @@
 use clap::{Args, Parser, Subcommand};
 use std::path::PathBuf;
 
-/// What went wrong, and the exit code that says so.
+/// Reason why a command did not succeed, which determines the exit code.
 pub(crate) enum Failure {
-    /// Something could not be read, written or used: 1.
+    /// Something could not be read, written or used: exit code 1.
     Error(String),
-    /// The arguments are off, or help was asked for: clap's own words, and 2 or 0.
+    /// Invalid arguments or a request for help, reported in clap's words: exit code 2 or 0.
     Usage(clap::Error),
-    /// What was checked has findings, which are printed: 3.
+    /// A check has findings, which have been printed: exit code 3.
     Findings,
 }
 
@@ -29,27 +29,27 @@
 
 /// A job dispatcher that sits beside each client process.
 ///
-/// Without a command it starts as the platform starts it: from the JSON file that NODE_CONFIG names.
+/// Without a command it starts as the platform starts it, from the JSON file that NODE_CONFIG names.
 #[derive(Parser)]
-#[command(name = "streamusher", version, args_conflicts_with_subcommands = true, after_help = CODES)]
-struct Line {
-    /// Serve the DRMAA front that this file names.
+#[command(name = "streamusher", version, args_conflicts_with_subcommands = true, after_help = EXIT_CODES)]
+struct CommandLine {
+    /// Serve the DRMAA front configured in this file.
     #[arg(long, value_name = "FILE")]
     drmaa: Option<PathBuf>,
     #[command(subcommand)]
     command: Option<Command>,
 }
 
-const CODES: &str =
-    "Exit codes: 0 done, 1 it could not be done, 2 the arguments are off, 3 a check has findings.";
+const EXIT_CODES: &str =
+    "Exit codes: 0 success, 1 the command failed, 2 invalid arguments, 3 a check has findings.";
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve, with the subsystems that the operators' file turns on.
+    /// Serve, with the subsystems that the operators' file enables.
     Run(Run),
-    /// Look at the ledger of use, correct it, close and export its periods, reconcile exports.
+    /// Show and correct the usage ledger, close and export its periods, reconcile exports.
     Ledger(ledger::Ledger),
-    /// Check, show, compare and convert inventories of workers.
+    /// Check, show, compare and convert worker inventories.
     Servers(servers::Servers),
 }
 
@@ -63,7 +63,7 @@
 /// Runs the program with these arguments.
 pub(crate) fn main(arguments: impl Iterator<Item = String>) -> Result<(), Failure> {
     let name = std::iter::once("streamusher".to_string());
-    let line = Line::try_parse_from(name.chain(arguments)).map_err(Failure::Usage)?;
+    let line = CommandLine::try_parse_from(name.chain(arguments)).map_err(Failure::Usage)?;
     let env = |name: &str| std::env::var(name).ok();
     match line.command {
         None => {
--- a/src/command/report.rs
+++ b/src/command/report.rs
@@ -1,10 +1,10 @@
-//! How the ledger's sums and findings look to people.
+//! Formats the ledger's sums and findings as text for people.
 
 use streamusher_ledger::reconcile::Finding;
 use streamusher_ledger::sums::Use;
 
-/// Headings of the sums.
-pub(super) const USE: [&str; 10] = [
+/// Column headings of the usage sums.
+pub(super) const USE_HEADINGS: [&str; 10] = [
     "served",
     "slot-us",
     "corrected",
@@ -17,7 +17,7 @@
     "gone",
 ];
 
-/// The sums of a line, below those headings.
+/// The cells of a row of usage sums, in the order of [`USE_HEADINGS`].
 pub(super) fn use_cells(u: &Use) -> Vec<String> {
     let billed = u
         .billed_slot_us()
@@ -36,8 +36,8 @@
     ]
 }
 
-/// One line for what does not fit.
-pub(super) fn finding(f: &Finding) -> String {
+/// Describes a finding of the reconciliation in one line.
+pub(super) fn describe_finding(f: &Finding) -> String {
     match f {
         Finding::Changed { why } => format!("not counted: {why}"),
         Finding::Conflict {
--- a/src/command/servers.rs
+++ b/src/command/servers.rs
@@ -1,6 +1,6 @@
-//! `streamusher servers`: inventories checked, shown, compared and converted, before a dispatcher reads them.
+//! `streamusher servers`: checks, shows, compares and converts inventories before a dispatcher reads them.
 
-use super::table::{plain, table};
+use super::table::{escape_control, table};
 use super::Failure;
 use crate::config::Config;
 use clap::{Args, Subcommand, ValueEnum};
@@ -15,57 +15,57 @@
 
 #[derive(Args)]
 pub(super) struct Servers {
-    /// The platform's configuration, whose settings list the zones and machine kinds that there are.
+    /// The platform's configuration, whose settings list the valid zones and machine kinds.
     #[arg(long, value_name = "FILE", global = true)]
     settings: Option<PathBuf>,
-    /// Print JSON for programs.
+    /// Print JSON.
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
-    what: What,
+    what: ServersCommand,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Tell every mistake in these files.
+enum ServersCommand {
+    /// Report every mistake in these files.
     Check {
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
-    /// The workers that a file names.
+    /// Show the workers in a file.
     Show { file: PathBuf },
-    /// What a change from one file to the other means.
+    /// Show what a change from one file to the other would do.
     Diff { old: PathBuf, new: PathBuf },
-    /// A file in another form, on standard output.
+    /// Print a file in another format on standard output.
     Convert {
         file: PathBuf,
-        /// The form.
+        /// The output format.
         #[arg(long)]
-        to: Form,
+        to: Format,
     },
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Form {
+enum Format {
     Csv,
     Yaml,
     Ini,
     Json,
 }
 
-impl From<Form> for OutputFormat {
-    fn from(form: Form) -> OutputFormat {
+impl From<Format> for OutputFormat {
+    fn from(form: Format) -> OutputFormat {
         match form {
-            Form::Csv => OutputFormat::Csv,
-            Form::Yaml => OutputFormat::Yaml,
-            Form::Ini => OutputFormat::Ini,
-            Form::Json => OutputFormat::Json,
+            Format::Csv => OutputFormat::Csv,
+            Format::Yaml => OutputFormat::Yaml,
+            Format::Ini => OutputFormat::Ini,
+            Format::Json => OutputFormat::Json,
         }
     }
 }
 
 #[derive(Serialize)]
-struct Checked {
+struct CheckResult {
     file: String,
     hosts: usize,
     notes: Vec<String>,
@@ -86,21 +86,21 @@
             }
         };
         match &self.what {
-            What::Check { files } => self.check(files, &known),
-            What::Show { file } => {
-                let roster = self.read(file, &known)?;
-                self.say(&roster.hosts, || hosts(&roster.hosts));
+            ServersCommand::Check { files } => self.check(files, &known),
+            ServersCommand::Show { file } => {
+                let inventory = self.read(file, &known)?;
+                self.print_result(&inventory.hosts, || hosts(&inventory.hosts));
                 Ok(())
             }
-            What::Diff { old, new } => {
+            ServersCommand::Diff { old, new } => {
                 let diff = InventoryDiff::between(
                     &self.read(old, &known)?.hosts,
                     &self.read(new, &known)?.hosts,
                 );
-                self.say(&diff, || differences(&diff));
+                self.print_result(&diff, || diff_text(&diff));
                 Ok(())
             }
-            What::Convert { file, to } => {
+            ServersCommand::Convert { file, to } => {
                 print!(
                     "{}",
                     write_inventory(&self.read(file, &known)?.hosts, (*to).into())
@@ -114,22 +114,22 @@
         let mut all = Vec::new();
         for file in files {
             let name = file.display().to_string();
-            let (roster, problems) = match read_inventory(&FileSystem, file, known) {
-                Ok(roster) => (Some(roster), Diagnostics::default()),
+            let (inventory, problems) = match read_inventory(&FileSystem, file, known) {
+                Ok(inventory) => (Some(inventory), Diagnostics::default()),
                 Err(problems) => (None, problems),
             };
             if !self.json {
-                match &roster {
+                match &inventory {
                     Some(r) => println!("{name}: {} workers", r.hosts.len()),
-                    None => eprintln!("{}", shown(&problems)),
+                    None => eprintln!("{}", render_problems(&problems)),
                 }
-                roster
+                inventory
                     .iter()
                     .flat_map(|r| &r.notes)
-                    .for_each(|n| println!("{name}: {}", plain(n)));
+                    .for_each(|n| println!("{name}: {}", escape_control(n)));
             }
-            let (hosts, notes) = roster.map_or((0, Vec::new()), |r| (r.hosts.len(), r.notes));
-            all.push(Checked {
+            let (hosts, notes) = inventory.map_or((0, Vec::new()), |r| (r.hosts.len(), r.notes));
+            all.push(CheckResult {
                 file: name,
                 hosts,
                 notes,
@@ -146,7 +146,7 @@
         }
     }
 
-    /// A roster that is good; else every mistake is told.
+    /// Reads an inventory; if it has mistakes, prints them all.
     fn read(&self, file: &Path, known: &KnownNames) -> Result<Inventory, Failure> {
         read_inventory(&FileSystem, file, known).map_err(|problems| {
             match self.json {
@@ -154,13 +154,13 @@
                     "{}",
                     json!({"problems": problems.list, "more": problems.omitted})
                 ),
-                false => eprintln!("{}", shown(&problems)),
+                false => eprintln!("{}", render_problems(&problems)),
             }
             Failure::Findings
         })
     }
 
-    fn say(&self, json: &impl Serialize, text: impl FnOnce() -> String) {
+    fn print_result(&self, json: &impl Serialize, text: impl FnOnce() -> String) {
         match self.json {
             true => println!("{}", serde_json::to_string(json).unwrap_or_default()),
             false => println!("{}", text()),
@@ -168,7 +168,7 @@
     }
 }
 
-fn shown(problems: &Diagnostics) -> String {
+fn render_problems(problems: &Diagnostics) -> String {
     problems.render(std::io::stderr().is_terminal() && std::env::var_os("NO_COLOR").is_none())
 }
 
@@ -190,7 +190,7 @@
     )
 }
 
-fn differences(diff: &InventoryDiff) -> String {
+fn diff_text(diff: &InventoryDiff) -> String {
     let all = [
         ("added", &diff.added),
         ("drained", &diff.drained),
--- a/src/command/table.rs
+++ b/src/command/table.rs
@@ -1,8 +1,8 @@
-//! Tables for people: plain lines, with what would break them escaped.
+//! Text tables for people, with control characters escaped.
 
 use comfy_table::{presets, CellAlignment, ContentArrangement, Table};
 
-/// A table with these headings; numbers go to the right.
+/// Formats a table with these headings; columns that hold only numbers are right-aligned.
 pub(super) fn table(headings: &[&str], rows: impl IntoIterator<Item = Vec<String>>) -> String {
     let mut table = Table::new();
     table
@@ -11,7 +11,7 @@
     table.set_header(headings);
     let mut numbers = vec![true; headings.len()];
     for row in rows {
-        let row: Vec<String> = row.iter().map(|c| plain(c)).collect();
+        let row: Vec<String> = row.iter().map(|c| escape_control(c)).collect();
         for (number, cell) in numbers.iter_mut().zip(&row) {
             *number &= cell
                 .trim_start_matches('-')
@@ -28,8 +28,8 @@
     table.to_string()
 }
 
-/// Text without control characters: an export may come from anywhere.
-pub(super) fn plain(text: &str) -> String {
+/// Escapes control characters: an export may come from an untrusted source.
+pub(super) fn escape_control(text: &str) -> String {
     let escape = |c: char| match c.is_control() {
         true => c.escape_default().to_string(),
         false => c.to_string(),
