--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -1,7 +1,7 @@
-//! The table `[fleet]` of the operators' file: what this dispatcher shares with others.
+//! The table `[fleet]` of the operators' file: what this dispatcher shares with other dispatchers.
 
 use super::address;
-use super::operators::beside;
+use super::operators::relative_to;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use streamusher_fleet::allowance::MAX_QUOTA_UNITS;
 use streamusher_fleet::incarnation::is_valid_name;
 
-/// The fleet's key; it is not to stand in a log.
+/// The fleet's key. Its `Debug` output hides the bytes, so that the key is not logged.
 #[derive(Clone)]
 pub struct Secret(pub [u8; 32]);
 
@@ -19,36 +19,37 @@
     }
 }
 
-/// The table, checked.
+/// The table `[fleet]` after validation.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
-    /// Where frames are heard (UDP).
+    /// UDP address on which frames are received.
     pub listen: SocketAddr,
-    /// Where others reach it, if that is another address.
+    /// Address that other members send to, if it differs from `listen`.
     pub advertise: Option<SocketAddr>,
-    /// Where some of the others are reached.
+    /// Addresses of some other members, contacted to join the fleet.
     pub join: Vec<SocketAddr>,
-    /// The fleet's key.
+    /// Key shared by all members.
     pub key: Secret,
-    /// This member's name; the program's own, if none is given.
+    /// Name of this member; the program's own name if absent.
     pub name: Option<String>,
-    /// Among whom the budgets are divided: the same list at each member.
+    /// Names of the members among which the budgets are divided; the list is the same at each member.
     pub seats: Vec<String>,
     /// Units of each budget that a seat never lends.
     pub floor: u64,
-    /// How long rights are lent for, in microseconds.
+    /// Duration for which budget units are lent, in microseconds.
     pub lease_us: u64,
-    /// Between two digests, in microseconds.
+    /// Interval between two digests, in microseconds.
     pub gossip_interval_us: u64,
-    /// Other members that hold the count of an answer before it goes out.
+    /// Number of other members that must hold the count of an answer before the answer is sent.
     pub copies: usize,
-    /// How long an answer waits for them, in microseconds.
+    /// Maximum time that an answer waits for these copies, in microseconds.
     pub max_hold_us: u64,
-    /// The length of a period of the tally, in microseconds.
+    /// Length of an accounting period of the usage tally, in microseconds.
     pub period_us: u64,
-    /// A member that is not heard for so long no longer holds up the folding of lives, in microseconds.
+    /// Time without a message after which a member no longer delays the compaction of incarnations, in
+    /// microseconds.
     pub forget_after_us: u64,
-    /// Jobs in hand over the whole fleet, by tenant.
+    /// Maximum number of jobs in flight over the whole fleet, by tenant.
     pub limits: BTreeMap<String, u64>,
 }
 
@@ -114,11 +115,11 @@
 
 impl FleetFile {
     pub(super) fn check(self, path: &Path) -> Result<FleetConfig, String> {
-        let within =
-            |key: &str, value: u64, least: u64, most: u64| match (least..=most).contains(&value) {
-                true => Ok(value),
-                false => Err(format!("{key}: must lie between {least} and {most}")),
-            };
+        let within = |key: &str, value: u64, min: u64, max: u64| match (min..=max).contains(&value)
+        {
+            true => Ok(value),
+            false => Err(format!("{key}: must lie between {min} and {max}")),
+        };
         let join = self
             .join
             .iter()
@@ -126,30 +127,30 @@
             .map(|(i, a)| address(&format!("join[{i}]"), a));
         for (i, seat) in self.seats.iter().enumerate() {
             if !is_valid_name(seat) || self.seats[..i].contains(seat) {
-                return Err(format!("seats[{i}]: no name, or given twice: {seat:?}"));
+                return Err(format!(
+                    "seats[{i}]: not a valid name, or listed twice: {seat:?}"
+                ));
             }
         }
         if let Some(name) = self.name.as_ref().filter(|n| !is_valid_name(n)) {
             return Err(format!(
-                "name: 1 to 64 letters, digits, '-', '_' and '.': {name:?}"
+                "name: must consist of 1 to 64 letters, digits, '-', '_' and '.': {name:?}"
             ));
         }
         if !self.limits.is_empty() && self.seats.is_empty() {
-            return Err(
-                "seats: missing, and there are limits: they are divided among the seats".into(),
-            );
+            return Err("seats: missing; the limits are divided among the seats".into());
         }
         for (tenant, units) in &self.limits {
             within(&format!("limits.{tenant}"), *units, 1, MAX_QUOTA_UNITS)?;
-            // The floors come to the budget at most: each is no more than the seat's part.
-            let part = units / self.seats.len() as u64;
-            if self.floor > part.max(1) {
+            // The sum of the floors stays within the budget: each floor is at most the seat's share.
+            let share = units / self.seats.len() as u64;
+            if self.floor > share.max(1) {
                 return Err(format!(
-                    "floor: over a seat's part of limits.{tenant}, which is {part}"
+                    "floor: exceeds a seat's share of limits.{tenant}, which is {share}"
                 ));
             }
         }
-        let key = streamusher_ledger::key::load(&beside(path, &self.key_file));
+        let key = streamusher_ledger::key::load(&relative_to(path, &self.key_file));
         let key = key.map_err(|e| format!("key_file: {e}"))?;
         Ok(FleetConfig {
             listen: address("listen", &self.listen)?,
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,9 +1,9 @@
-//! The one place where configuration is read, checked and given its defaults. Messages name the faulty key.
+//! Reads and validates all configuration and applies its defaults. Error messages name the faulty key.
 //!
 //! The platform's configuration is the JSON file that `NODE_CONFIG` names; `NODE_NAME`, `NODE_LISTEN` and
-//! `NODE_DISCOVERY` go before its `name`, `listen` and `discovery`. On SIGHUP the file is read again, and its
-//! `discovery` goes first. What else there is stands in the operators' file, TOML: see [`operators`]. The DRMAA front
-//! may have a file of its own, which is that file's table.
+//! `NODE_DISCOVERY` override its `name`, `listen` and `discovery`. On SIGHUP the file is read again, and its
+//! `discovery` then takes precedence. All other settings are in the operators' file, in TOML: see
+//! [`operators`]. The DRMAA front may have its own file, with the contents of the table `[drmaa]`.
 
 pub mod fleet;
 pub mod operators;
@@ -17,40 +17,40 @@
 use std::path::Path;
 use streamusher_inventory::KnownNames;
 
-/// Everything that the program is told at its start.
+/// The configuration of the program at its start.
 pub struct Config {
-    /// Its name.
+    /// Name of this dispatcher.
     pub name: String,
-    /// Where front sockets are accepted.
+    /// Address on which the front accepts connections.
     pub listen: SocketAddr,
-    /// Where discovery answers; none, where all workers stand in the inventory.
+    /// Address of the discovery service; none if all workers are in the inventory.
     pub discovery: Option<SocketAddr>,
-    /// Where operators call (`readyz`, `telemetry`); none, where nobody does.
+    /// Address for the operators' calls (`readyz`, `telemetry`); none disables them.
     pub mgmt: Option<SocketAddr>,
-    /// For random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// What it may use.
+    /// Resource limits of the process.
     pub limits: Limits,
-    /// The pool config as it was last known.
+    /// The last known pool configuration, used at the start.
     pub(crate) initial_list: List,
     pub(crate) setup: PlatformSettings,
-    /// The DRMAA front and its workers, where they are wanted.
+    /// The DRMAA front and its workers, if enabled.
     pub drmaa: Option<DrmaaConfig>,
-    /// Whose operations are taken, where that matters.
+    /// The tenants whose operations are accepted, if tenants are distinguished.
     pub tenants: Option<operators::TenantsConfig>,
-    /// Where use is booked, if it is.
+    /// The ledger in which usage is recorded, if enabled.
     pub ledger: Option<operators::LedgerConfig>,
-    /// What is shared with other dispatchers, if anything is.
+    /// What is shared with other dispatchers, if enabled.
     pub fleet: Option<fleet::FleetConfig>,
 }
 
-/// What the program may use.
+/// Resource limits of the process.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// File descriptors.
+    /// Maximum number of file descriptors.
     pub sockets: usize,
-    /// Memory in MB.
+    /// Maximum memory in MB.
     pub memory_mb: usize,
 }
 
@@ -63,65 +63,67 @@
     }
 }
 
-/// Descriptors that are always taken or must stay free: standard streams, the event loop, signals, listeners,
-/// discovery, operators' calls, and a new connection on its way in or out.
+/// File descriptors that are always in use or must stay free: standard streams, the event loop, signals,
+/// listeners, discovery, operators' calls, and a new connection being accepted or opened.
 const RESERVED_DESCRIPTORS: usize = 24 + crate::net::mgmt::CALLERS;
 
 impl Limits {
-    /// So many sixteenths of the descriptors that are not taken by files, listeners and the event loop. Front
-    /// sockets and their reserve, connections to workers, job sessions and cancels have all of them.
+    /// A share, in sixteenths, of the descriptors that are not reserved for files, listeners and the event
+    /// loop. Front sockets and their reserve, connections to workers, job sessions and cancellations together
+    /// use all sixteen.
     fn share(&self, sixteenths: usize) -> usize {
         ((self.sockets - RESERVED_DESCRIPTORS) * sixteenths / 16).max(2)
     }
 
-    /// Bytes of clients' bodies that may be in hand at once. Each may be held a second time while it is written to
-    /// a worker; half of the memory stays for all else.
+    /// Maximum total size of the client bodies in flight, in bytes. Each body may be held a second time while
+    /// it is written to a worker; half of the memory is left for everything else.
     pub(crate) fn body_bytes(&self) -> usize {
         (self.memory_mb << 20) / 4
     }
 
-    /// Front sockets that are accepted although all others are busy: workers' call-backs end what they wait for.
+    /// Front sockets accepted although all others are busy: call-backs from workers end the operations that
+    /// the others wait for.
     pub fn front_reserve(&self) -> usize {
         self.share(1)
     }
 
-    /// Front sockets at most, beside the reserve.
+    /// Maximum number of front sockets, without the reserve.
     pub fn front_sockets(&self) -> usize {
         self.share(7)
     }
 
-    /// Front sockets that clients may keep between requests. Clients hold a third of the descriptors at most, and
-    /// must be able to open more.
+    /// Maximum number of front sockets that clients may keep open between requests. Clients hold at most a
+    /// third of the descriptors, and must be able to open more.
     pub fn idle_front_sockets(&self) -> usize {
         self.share(2)
     }
 
-    /// Job sessions of the DRMAA front at most.
+    /// Maximum number of job sessions of the DRMAA front.
     pub fn sessions(&self) -> usize {
         self.share(1)
     }
 
-    /// Connections to workers at most.
+    /// Maximum number of connections to workers.
     pub fn worker_sockets(&self) -> usize {
         self.share(6)
     }
 
-    /// Connections beside these that cancels may open while all others are in use: the last sixteenth.
+    /// Additional connections that cancellations may open while all others are in use: the last sixteenth.
     pub fn cancel_reserve(&self) -> usize {
         self.share(1)
     }
 }
 
-/// The DRMAA front and its workers.
+/// Configuration of the DRMAA front and its workers.
 #[derive(Clone, Debug)]
 pub struct DrmaaConfig {
-    /// Where job sessions are accepted; none, where only workers are driven.
+    /// Address on which job sessions are accepted; none if only the worker driver is used.
     pub listen: Option<SocketAddr>,
-    /// Jobs known at once, done ones included.
+    /// Maximum number of jobs stored, including ended ones.
     pub max_jobs: usize,
     /// How long a job's information is kept after its end, in seconds.
     pub keep_s: f64,
-    /// The workers to be driven.
+    /// Workers that the DRMAA driver uses.
     pub workers: Vec<PoolMember>,
 }
 
@@ -139,13 +141,14 @@
 }
 
 impl Config {
-    /// Reads all of it. `env` looks up a variable of the environment; `drmaa` names the file of that front.
+    /// Reads the whole configuration. `env` looks up an environment variable; `drmaa` is the path of the
+    /// DRMAA front's file.
     pub fn load(
         env: impl Fn(&str) -> Option<String>,
         drmaa: Option<&Path>,
     ) -> Result<Config, String> {
-        let path =
-            env("NODE_CONFIG").ok_or("NODE_CONFIG: not set; it names the configuration file")?;
+        let path = env("NODE_CONFIG")
+            .ok_or("NODE_CONFIG: not set; set it to the path of the configuration file")?;
         let text = std::fs::read(&path).map_err(|e| format!("NODE_CONFIG: {path}: {e}"))?;
         let mut config = Config::parse(&text, env)?;
         let known = config.known_names();
@@ -155,7 +158,7 @@
         Ok(config)
     }
 
-    /// The zones and machine kinds that the settings list.
+    /// The zones and machine kinds listed in the settings.
     pub fn known_names(&self) -> KnownNames {
         KnownNames {
             zones: self.setup.zones.clone(),
@@ -163,19 +166,19 @@
         }
     }
 
-    /// The platform's part, from the text of its file.
+    /// Parses the platform's configuration from the text of its file.
     pub fn parse(text: &[u8], env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
-        let file: ConfigFile = keyed(&mut serde_json::Deserializer::from_slice(text))?;
+        let file: ConfigFile = decode_with_path(&mut serde_json::Deserializer::from_slice(text))?;
         let or = |key: &str, value: String| env(key).filter(|v| !v.is_empty()).unwrap_or(value);
         let discovery = or("NODE_DISCOVERY", file.discovery);
         let mgmt = or("NODE_MGMT", file.mgmt);
         let setup = file.settings.ok_or("settings: missing")?;
         check(&setup)?;
         if file.limits.sockets < 64 {
-            return Err("limits.sockets: at least 64 are needed".into());
+            return Err("limits.sockets: must be at least 64".into());
         }
         if !(16..=1 << 20).contains(&file.limits.memory_mb) {
-            return Err("limits.memory_mb: at least 16 are needed, at most 1048576".into());
+            return Err("limits.memory_mb: must lie between 16 and 1048576".into());
         }
         Ok(Config {
             name: or("NODE_NAME", file.name),
@@ -202,21 +205,21 @@
     }
 }
 
-/// What a new configuration changes in a program that runs.
+/// The parts of a new configuration that a running program applies.
 pub struct Reload {
-    /// Where discovery answers from now on; none, where all workers stand in the inventory.
+    /// New address of the discovery service; none if all workers are in the inventory.
     pub discovery: Option<SocketAddr>,
     pub(crate) setup: PlatformSettings,
 }
 
 impl Reload {
-    /// Reads the file that `NODE_CONFIG` names once more, and checks all of it. Its `discovery` goes before
-    /// `NODE_DISCOVERY`, which still says what was true at the start.
+    /// Reads the file that `NODE_CONFIG` names again and validates all of it. Its `discovery` overrides
+    /// `NODE_DISCOVERY`, which still has the value from the start of the process.
     pub fn load(env: impl Fn(&str) -> Option<String>) -> Result<Reload, String> {
-        let told_at_start = env("NODE_DISCOVERY");
+        let initial_discovery = env("NODE_DISCOVERY");
         let config = Config::load(|key| env(key).filter(|_| key != "NODE_DISCOVERY"), None)?;
-        let told_at_start = told_at_start.filter(|a| !a.is_empty());
-        let discovery = match (config.discovery, told_at_start) {
+        let initial_discovery = initial_discovery.filter(|a| !a.is_empty());
+        let discovery = match (config.discovery, initial_discovery) {
             (Some(addr), _) => Some(addr),
             (None, Some(addr)) => Some(address("NODE_DISCOVERY", &addr)?),
             (None, None) => None,
@@ -229,7 +232,7 @@
 }
 
 impl DrmaaConfig {
-    /// Reads the file of the DRMAA front and the inventory that it names, beside it.
+    /// Reads the DRMAA front's file and the inventory that it names, relative to the file's folder.
     pub fn load(path: &Path, known: &KnownNames) -> Result<DrmaaConfig, String> {
         let file: operators::DrmaaFile = operators::decode(path)?;
         file.check(path, known)
@@ -237,15 +240,15 @@
     }
 }
 
-/// The settings alone, from their text.
+/// Parses and validates the settings alone.
 pub(crate) fn settings(text: &[u8]) -> Result<PlatformSettings, String> {
-    let setup = keyed(&mut serde_json::Deserializer::from_slice(text))?;
+    let setup = decode_with_path(&mut serde_json::Deserializer::from_slice(text))?;
     check(&setup)?;
     Ok(setup)
 }
 
-/// Decodes with the path of the key that does not fit.
-fn keyed<'de, T: DeserializeOwned, D>(d: D) -> Result<T, String>
+/// Decodes a value; the error names the path of the key that is invalid.
+fn decode_with_path<'de, T: DeserializeOwned, D>(d: D) -> Result<T, String>
 where
     D: serde::Deserializer<'de>,
 {
@@ -268,34 +271,38 @@
         .map_err(|_| format!("{key}: not an address and port: {text:?}"))
 }
 
-/// What no type says. The decisions divide by some of these and index by others.
+/// Checks that the types cannot express. The balancer divides by some of these values and uses others as
+/// indexes.
 fn check(s: &PlatformSettings) -> Result<(), String> {
-    let bad = |key: &str, why: &str| Err(format!("settings.{key}: {why}"));
+    let invalid = |key: &str, why: &str| Err(format!("settings.{key}: {why}"));
     if s.request_classes.is_empty() {
-        return bad("requestClasses", "no class");
+        return invalid("requestClasses", "must list at least one class");
     }
     for (i, c) in s.request_classes.iter().enumerate() {
         if c.name.is_empty() || s.request_classes[..i].iter().any(|d| d.name == c.name) {
-            return bad(&format!("requestClasses[{i}].name"), "empty or given twice");
+            return invalid(
+                &format!("requestClasses[{i}].name"),
+                "must be neither empty nor repeated",
+            );
         }
         if c.deadline_us == 0 {
-            return bad(
+            return invalid(
                 &format!("requestClasses[{i}].deadlineUs"),
                 "must be above 0",
             );
         }
         if !["free", "guarded", "single_shot"].contains(&c.semantics.as_str()) {
-            return bad(
+            return invalid(
                 &format!("requestClasses[{i}].semantics"),
-                "neither free, guarded nor single_shot",
+                "must be free, guarded or single_shot",
             );
         }
     }
     if s.my_zone.is_empty() {
-        return bad("myZone", "missing");
+        return invalid("myZone", "missing");
     }
     if s.limits.max_attempts == 0 {
-        return bad("limits.maxAttempts", "must be above 0");
+        return invalid("limits.maxAttempts", "must be above 0");
     }
     Ok(())
 }
--- a/src/config/operators.rs
+++ b/src/config/operators.rs
@@ -1,8 +1,8 @@
-//! The operators' file: a table for each optional subsystem. What a table does not name is off.
+//! The operators' file: a table for each optional subsystem. A subsystem without a table is off.
 
 pub use super::fleet::FleetConfig;
 use super::fleet::FleetFile;
-use super::{address, keyed, one_line, Config, DrmaaConfig};
+use super::{address, decode_with_path, one_line, Config, DrmaaConfig};
 use crate::core::tenants::Tenants;
 use crate::net::http::ONCE;
 use crate::servers;
@@ -14,14 +14,14 @@
 use streamusher_ledger::period::Span;
 use streamusher_ledger::store::Settle;
 
-/// All that the file says.
+/// The contents of the operators' file, checked.
 #[derive(Clone, Debug, Default)]
 pub struct OperatorsConfig {
     /// The DRMAA front and its workers.
     pub drmaa: Option<DrmaaConfig>,
-    /// Whose operations are taken.
+    /// The tenants whose operations are accepted.
     pub tenants: Option<TenantsConfig>,
-    /// Where use is booked.
+    /// The ledger in which usage is recorded.
     pub ledger: Option<LedgerConfig>,
     /// What is shared with other dispatchers.
     pub fleet: Option<FleetConfig>,
@@ -32,46 +32,46 @@
 pub struct TenantsConfig {
     /// The HTTP header that names an operation's tenant.
     pub header: String,
-    /// The names.
+    /// The listed and renamed tenants, and the tenant for all others, if any.
     pub tenants: Tenants,
 }
 
 /// The table `[ledger]`, checked.
 #[derive(Clone, Debug)]
 pub struct LedgerConfig {
-    /// Its folder.
+    /// Folder of the ledger.
     pub dir: PathBuf,
-    /// The instance's name in exports; the program's own name, if none is given.
+    /// Name of this instance in exports; the program's own name if absent.
     pub instance: Option<String>,
-    /// How long periods are.
+    /// Length of an accounting period.
     pub period: Span,
-    /// A period is closed so many seconds after its end.
+    /// Seconds after its end at which a period is closed.
     pub lateness_s: u64,
-    /// What becomes of new work while nothing can be booked.
+    /// How new work is treated while no usage can be recorded.
     pub on_failure: OnFailure,
-    /// How doubts are settled when their period is closed.
+    /// How doubtful entries are settled when their period is closed.
     pub doubts: DoubtPolicy,
-    /// How long an answer waits for the disk, in milliseconds.
+    /// Maximum time that an answer waits for the disk, in milliseconds.
     pub hold_ms: u64,
-    /// The most that the store's file may take, in MB; 0 for no bound.
+    /// Maximum size of the store's file in MB; 0 for no limit.
     pub max_mb: u64,
     key_file: Option<PathBuf>,
 }
 
-/// How doubts are settled when their period is closed.
+/// How doubtful entries are settled when their period is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DoubtPolicy {
-    /// They wait for the operators.
+    /// Left for the operators to settle.
     Hold,
-    /// As served.
+    /// Settled as served.
     Bill,
-    /// As not served.
+    /// Settled as not served.
     Waive,
 }
 
 impl DoubtPolicy {
-    /// The rule, if there is one.
+    /// The settlement to apply automatically; none if the operators settle.
     pub fn settlement(self) -> Option<Settle> {
         match self {
             DoubtPolicy::Hold => None,
@@ -179,23 +179,23 @@
     DoubtPolicy::Hold
 }
 
-/// Beyond most syncs of a disk that works, so that few results are withheld.
+/// Longer than most disk syncs take on a working disk, so that few results are withheld.
 fn hold_ms() -> u64 {
     3_000
 }
 
-/// A table of the file, decoded; messages name file and key.
+/// Decodes a TOML file; error messages name the file and the key.
 pub(super) fn decode<T: serde::de::DeserializeOwned>(path: &Path) -> Result<T, String> {
     let at = path.display();
     let text = std::fs::read_to_string(path).map_err(|e| format!("{at}: {e}"))?;
     let file = toml::Deserializer::parse(&text)
         .map_err(|e| e.to_string())
-        .and_then(keyed);
+        .and_then(decode_with_path);
     file.map_err(|e| format!("{at}: {}", one_line(&e)))
 }
 
 impl OperatorsConfig {
-    /// Reads it, and the files that it names beside it.
+    /// Reads the operators' file and the files that it names, relative to its folder.
     pub fn load(path: &Path, known: &KnownNames) -> Result<OperatorsConfig, String> {
         let file: OperatorsFile = decode(path)?;
         let at = |table: &str, e: String| format!("{}: {table}.{e}", path.display());
@@ -223,7 +223,7 @@
         })
     }
 
-    /// What it says, in a configuration.
+    /// Sets the optional subsystems of `config`.
     pub fn apply_to(self, config: &mut Config) {
         config.drmaa = self.drmaa;
         config.tenants = self.tenants;
@@ -232,7 +232,7 @@
     }
 }
 
-pub(super) fn beside(path: &Path, name: &Path) -> PathBuf {
+pub(super) fn relative_to(path: &Path, name: &Path) -> PathBuf {
     path.parent().unwrap_or(Path::new(".")).join(name)
 }
 
@@ -248,7 +248,7 @@
         let workers = self
             .inventory
             .as_ref()
-            .map(|n| servers::load(&beside(path, Path::new(n)), known));
+            .map(|n| servers::load(&relative_to(path, Path::new(n)), known));
         let workers = workers
             .transpose()
             .map_err(|e| format!("inventory: {e}"))?
@@ -264,13 +264,13 @@
 
 impl TenantsFile {
     fn check(self) -> Result<TenantsConfig, String> {
-        let token = |b: u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b);
-        // Headers that mean something else already.
-        let taken = ONCE
+        let is_token = |b: u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b);
+        // Headers that already have another meaning.
+        let reserved = ONCE
             .iter()
             .chain(&["host", "connection"])
             .any(|t| t.eq_ignore_ascii_case(&self.header));
-        if self.header.is_empty() || !self.header.bytes().all(token) || taken {
+        if self.header.is_empty() || !self.header.bytes().all(is_token) || reserved {
             return Err(format!(
                 "header: not the name of a free header: {:?}",
                 self.header
@@ -286,14 +286,17 @@
     }
 }
 
-/// Instances' names stand in names of files.
+/// Checks the name of an instance, which is used in file names.
 pub(crate) fn check_instance(name: &str) -> Result<(), String> {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b"-.".contains(&b);
-    match !name.is_empty() && name.len() <= 64 && !name.starts_with('.') && name.bytes().all(plain)
+    let is_permitted = |b: u8| b.is_ascii_alphanumeric() || b"-.".contains(&b);
+    match !name.is_empty()
+        && name.len() <= 64
+        && !name.starts_with('.')
+        && name.bytes().all(is_permitted)
     {
         true => Ok(()),
         false => Err(format!(
-            "ledger.instance: letters, digits, '-' and '.' alone, 64 at most: {name:?}"
+            "ledger.instance: must consist of 1 to 64 letters, digits, '-' and '.', and not begin with '.': {name:?}"
         )),
     }
 }
@@ -310,7 +313,7 @@
             return Err("hold_ms: must lie between 1 and 10000".into());
         }
         Ok(LedgerConfig {
-            dir: beside(path, &self.dir),
+            dir: relative_to(path, &self.dir),
             instance: self.instance,
             period: self.period,
             lateness_s: self.lateness_s,
@@ -318,14 +321,14 @@
             doubts: self.doubts,
             hold_ms: self.hold_ms,
             max_mb: self.max_mb,
-            key_file: self.key_file.map(|k| beside(path, &k)),
+            key_file: self.key_file.map(|k| relative_to(path, &k)),
         })
     }
 }
 
 impl LedgerConfig {
-    /// The key of MACs and of idempotency keys' hashes. One that no file is named for lies in the ledger's folder,
-    /// and is made at the first start.
+    /// The key for MACs and for hashes of idempotency keys. Without a configured file the key is `ledger.key`
+    /// in the ledger's folder, and `make` creates it there if it does not exist, as at the first start.
     pub fn key(&self, make: bool) -> Result<[u8; 32], String> {
         let path = self
             .key_file
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,6 +1,6 @@
-//! The settings as the platform words them, decoded once for the adapter and the daemon.
+//! The settings in the platform's format, decoded once for the adapter and the daemon.
 //!
-//! Both are handed the same object: the adapter in its first message, the daemon in its configuration.
+//! Both receive the same object: the adapter in its first message, the daemon in its configuration.
 
 use crate::interface::{
     Class, DeduplicationScope, Endpoint, KindId, LoadReport, Micros, Repeatability, Settings,
@@ -108,7 +108,7 @@
     pub(crate) warm_after_us: u64,
 }
 
-/// Names in the order first met: the position is the id.
+/// Maps names to ids, which are assigned in the order of first use.
 #[derive(Default)]
 pub(crate) struct NameTable(HashMap<Arc<str>, u32>, Vec<Arc<str>>);
 
@@ -127,7 +127,7 @@
         id
     }
 
-    /// A new number for a name that had one: what is found by the name from now on.
+    /// Assigns a new id to a known name; lookups by the name return the new id from now on.
     pub(crate) fn renumber(&mut self, name: &str) -> u32 {
         let (id, name) = (self.1.len() as u32, Arc::<str>::from(name));
         self.1.push(name.clone());
@@ -135,7 +135,7 @@
         id
     }
 
-    /// The name is no longer found; its numbers keep it.
+    /// Removes a name from lookups; its ids still resolve to the name.
     pub(crate) fn retire(&mut self, name: &str) {
         self.0.remove(name);
     }
@@ -153,7 +153,7 @@
     }
 }
 
-/// The settings decoded, with the names behind the module's ids.
+/// The decoded settings, and the names behind the ids that the balancer uses.
 pub(crate) struct SiteSettings {
     pub(crate) settings: Settings,
     pub(crate) workers: NameTable,
@@ -162,26 +162,28 @@
     zones: NameTable,
     kinds: NameTable,
     pub(crate) connect_timeout_us: Micros,
-    /// Most requests in hand at once.
+    /// Maximum number of requests in flight.
     pub(crate) max_open: usize,
-    /// Which classes are keyed, and for how long repeats are dropped.
+    /// Whether each class is keyed; `deduplication_windows` gives how long its repeats are dropped, in
+    /// microseconds.
     pub(crate) keyed: Vec<bool>,
     pub(crate) deduplication_windows: Vec<Micros>,
-    /// `x0` counts free slots here.
+    /// Whether the report field `x0` counts free slots.
     x0_is_free: bool,
 }
 
-/// Class entries at most since the start, retired ones included: each retuning adds those that changed.
+/// Maximum number of class entries since the start, retired ones included: each reload adds the classes that
+/// changed.
 const MAX_CLASSES: usize = 256;
 
-/// A number for a name, the same everywhere (FNV-1a).
+/// FNV-1a hash of a name; the same in every process.
 pub(crate) fn name_hash(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
         (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)
     })
 }
 
-/// A list of the only permitted ones; an empty list restricts nothing.
+/// A list of permitted items; an empty list means no restriction.
 fn non_empty<T>(list: Vec<T>) -> Option<Vec<T>> {
     (!list.is_empty()).then_some(list)
 }
@@ -189,7 +191,7 @@
 impl SiteSettings {
     pub(crate) fn new(setup: PlatformSettings) -> SiteSettings {
         let (mut zones, mut kinds) = (NameTable::of(&setup.zones), NameTable::of(&setup.kinds));
-        let fam = &setup.family_info;
+        let family = &setup.family_info;
         let mut class = |(i, c): (usize, &RequestClass)| Class {
             repeatability: match (c.semantics.as_str(), c.key_scope.as_str()) {
                 ("free", _) => Repeatability::Idempotent,
@@ -204,11 +206,15 @@
                 _ => Repeatability::AtMostOnce,
             },
             latency_target_us: c.on_time_us,
-            latency_target_stretch: fam.class_stretch.get(i).copied().unwrap_or(c.aim_stretch),
+            latency_target_stretch: family
+                .class_stretch
+                .get(i)
+                .copied()
+                .unwrap_or(c.aim_stretch),
             deadline_us: c.deadline_us,
             value: c.worth,
             late_value_share: c.late_share,
-            required_kind: fam
+            required_kind: family
                 .class_kind
                 .get(i)
                 .and_then(|&k| u32::try_from(k).ok())
@@ -220,7 +226,7 @@
                     .map(|z| ZoneId(zones.id(z)))
                     .collect(),
             ),
-            priority: fam.class_priority.get(i).copied().unwrap_or(0),
+            priority: family.class_priority.get(i).copied().unwrap_or(0),
         };
         let classes = setup
             .request_classes
@@ -251,8 +257,8 @@
                 .fields
                 .iter()
                 .any(|f| f == "active" || f == "waiting"),
-            notifies_start: fam.tells_start,
-            progress_interval_us: fam.progress_us,
+            notifies_start: family.tells_start,
+            progress_interval_us: family.progress_us,
             may_cancel: setup.limits.cancel,
             may_duplicate: setup.limits.may_duplicate,
             max_attempts: setup.limits.max_attempts.max(1),
@@ -300,18 +306,19 @@
                 .map(|c| c.semantics == "guarded")
                 .collect(),
             deduplication_windows: setup.request_classes.iter().map(|c| c.window_us).collect(),
-            x0_is_free: setup.feedback.via != "off" && fam.report_x0.contains("slots"),
+            x0_is_free: setup.feedback.via != "off" && family.report_x0.contains("slots"),
             settings,
         }
     }
 
-    /// Takes new settings at SIGHUP. Classes are matched by name: one unchanged keeps its number; one new or changed
-    /// gets the next number, and the one it had is retired with those of dropped classes, so that operations open
-    /// under it keep its rules. Zones and kinds take a restart. Gives the classes that got a number.
+    /// Applies new settings at SIGHUP. Classes are matched by name: an unchanged class keeps its id; a new or
+    /// changed one gets the next id, and its former id is retired along with those of removed classes, so
+    /// that operations in flight keep the rules they started with. A change of zones or kinds needs a
+    /// restart. Returns the number of classes that got a new id.
     pub(crate) fn apply_reload(&mut self, setup: PlatformSettings) -> Result<usize, String> {
         let fresh = SiteSettings::new(setup);
         if fresh.zones.1 != self.zones.1 || fresh.kinds.1 != self.kinds.1 {
-            return Err("settings.zones, settings.kinds: a change takes a restart".into());
+            return Err("settings.zones, settings.kinds: a change requires a restart".into());
         }
         let dropped: Vec<Arc<str>> = self
             .classes
@@ -357,7 +364,7 @@
         Ok(added)
     }
 
-    /// What fronts need to know of the classes.
+    /// Class information that the fronts need.
     pub(crate) fn class_infos(&self) -> Vec<ClassInfo> {
         let info = |(i, c): (usize, &Class)| ClassInfo {
             name: self.classes.name(i as u32).to_string(),
@@ -368,7 +375,7 @@
         self.settings.classes.iter().enumerate().map(info).collect()
     }
 
-    /// A line of a list with its names turned into ids; a worker that is new gets the next one.
+    /// Converts a list entry's names to ids; a new worker gets the next id.
     pub(crate) fn entry(
         &mut self,
         worker: &str,
@@ -385,7 +392,7 @@
         }
     }
 
-    /// A load report by the names that the settings use.
+    /// Decodes a load report from the field names that the settings use.
     pub(crate) fn report(&self, u: &HashMap<String, f64>) -> LoadReport {
         let get = |name: &str| u.get(name).copied();
         LoadReport {
