--- a/src/closing.rs
+++ b/src/closing.rs
@@ -1,60 +1,62 @@
-//! The close of a connection, for both sides: nothing more is read for work, what is owed has been written, the end is
-//! told, what still comes is read and thrown away for a bounded time, and only then the descriptor is given up. Pure:
-//! told the time and what was read.
+//! The closing sequence of a connection, for both sides. No more data is read for processing and all pending
+//! output has been written; the write side is shut down, incoming data is read and discarded for a bounded
+//! time, and only then the descriptor is closed. A state machine without I/O: the caller supplies the time
+//! and the number of bytes read.
 //!
-//! A close over unread bytes resets the connection, and what was last written to it may be lost with it. So the end is
-//! told first, and the rest read. `Conn::close` takes the connection whole: nothing that is read after the shutdown can
-//! reach anything that would send it on.
+//! Closing a socket with unread bytes resets the connection, and the last data written may be lost. Therefore
+//! the write side is shut down first, and the remaining input is read. `Conn::close` consumes the connection,
+//! so that nothing read after the shutdown can be processed.
 
 use crate::interface::Micros;
 
-/// How long a connection is read after its end is told, where an answer was just written to it.
+/// How long input is discarded after the shutdown if an answer was just written.
 const LINGER_US: Micros = 1_000_000;
-/// The same where the other side has nothing to read: the connection rested, or gives an attempt up.
+/// How long input is discarded after the shutdown if the peer has nothing left to read: the connection was
+/// idle, or its attempt is cancelled.
 const IDLE_LINGER_US: Micros = 250_000;
-/// The most that is read of what nobody wants.
+/// Maximum number of bytes read and discarded.
 const MAX_DISCARDED_BYTES: usize = 1 << 20;
 
-/// Where a close stands.
+/// State of a closing connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Closing {
-    /// The end is to be told now.
+    /// The write side is to be shut down now.
     ShutdownPending {
-        /// How long is then read on.
+        /// How long input is then discarded, in microseconds.
         linger_us: Micros,
     },
-    /// It is told; what comes until then, and up to so many bytes, is thrown away.
+    /// The write side is shut down; input is discarded up to a time and a number of bytes.
     Draining {
-        /// Until then.
+        /// Time at which the descriptor is closed.
         until: Micros,
-        /// So many bytes more.
+        /// Number of bytes that may still be discarded.
         left: usize,
     },
-    /// The descriptor is to be given up.
+    /// The descriptor is to be closed.
     Closed,
 }
 
 impl Closing {
-    /// In order: the other side has time to read what was written last, and to end too.
+    /// Graceful close: leaves the peer time to read the last data written and to close its side.
     pub fn graceful() -> Closing {
         Closing::ShutdownPending {
             linger_us: LINGER_US,
         }
     }
 
-    /// Of a connection that rests, or gives an attempt up: there is nothing that the other side has yet to read.
+    /// Close of an idle connection, or of one whose attempt is cancelled: the peer has nothing left to read.
     pub fn idle() -> Closing {
         Closing::ShutdownPending {
             linger_us: IDLE_LINGER_US,
         }
     }
 
-    /// To make room: only what has come by now is read.
+    /// Close to free a socket: only input that has already arrived is read.
     pub fn immediate() -> Closing {
         Closing::ShutdownPending { linger_us: 0 }
     }
 
-    /// The end is told.
+    /// Records that the write side was shut down.
     pub fn shutdown_sent(self, now: Micros) -> Closing {
         match self {
             Closing::ShutdownPending { linger_us } => Closing::Draining {
@@ -65,7 +67,7 @@
         }
     }
 
-    /// So much was read: nothing means that the other side has ended.
+    /// Records the number of bytes read; 0 means that the peer has closed its side.
     pub fn received(self, bytes: usize) -> Closing {
         match self {
             Closing::Draining { until, left } if bytes > 0 && bytes < left => Closing::Draining {
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Nothing is there to be read; the time may be over.
+    /// Records that no input is available; closes if the time has passed.
     pub fn no_data(self, now: Micros) -> Closing {
         match self {
             Closing::Draining { until, .. } if now >= until => Closing::Closed,
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -1,28 +1,28 @@
-//! Counters of what is taken in, sent and answered.
+//! Counters of accepted requests, of steps sent to workers and of answers.
 
 use crate::core::{Answer, StepOutcome};
 use crate::interface::AttemptOutcome;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// All counters since the start.
+/// All counters since the start of the process.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Counters {
-    /// Front sockets accepted.
+    /// Connections accepted at the front.
     pub front_sockets: u64,
-    /// Front sockets turned away, as all others were busy.
+    /// Connections rejected at the front because all sockets were busy.
     pub front_sockets_refused: u64,
-    /// Operations taken in.
+    /// Operations accepted.
     pub operations: u64,
-    /// Keyed operations joined to an earlier one.
+    /// Repeats of a keyed operation joined to the earlier one.
     pub repeats_joined: u64,
-    /// Requests turned away as malformed, too large or misdirected.
+    /// Requests rejected as malformed, too large or misdirected.
     pub bad_requests: u64,
     /// Call-backs from workers.
     pub callbacks: u64,
-    /// Call-backs that matched no route step still out.
+    /// Call-backs that matched no route step in flight.
     pub callbacks_unmatched: u64,
-    /// Call-backs passed on to the other process that shares the address.
+    /// Call-backs forwarded to the other process that shares the address.
     pub callbacks_passed_on: u64,
     /// Route steps sent.
     pub steps: u64,
@@ -30,13 +30,13 @@
     pub worker_connections: u64,
     /// Cancels sent.
     pub cancels: u64,
-    /// New configurations taken on.
+    /// Configurations applied at a reload.
     pub reloads: u64,
-    /// New configurations that could not be used.
+    /// Configurations rejected at a reload.
     pub reloads_refused: u64,
-    /// Lines of pool config read.
+    /// Pool configuration lines read.
     pub pool_configs: u64,
-    /// Watches that failed or broke.
+    /// Watches that failed or were disconnected.
     pub watches_broken: u64,
     /// Operations answered with a result.
     pub served: u64,
@@ -44,38 +44,38 @@
     pub busy_replies: u64,
     /// Operations failed.
     pub failed: u64,
-    /// Operations failed as their time was up.
+    /// Operations failed because their deadline passed.
     pub failed_late: u64,
-    /// Operations not taken as answers could not be booked.
+    /// Operations rejected because their usage could not be recorded.
     pub refused_unbilled: u64,
-    /// Answers that went out before they were known to be booked.
+    /// Answers sent before their usage was known to be recorded.
     pub answers_before_booked: u64,
-    /// Results that were withheld, as they could not be booked in time.
+    /// Results withheld because their usage could not be recorded in time.
     pub answers_withheld: u64,
-    /// Answers that were not booked.
+    /// Answers whose usage was not recorded.
     pub answers_unbooked: u64,
-    /// Operations whose clients went away.
+    /// Operations whose clients disconnected.
     pub clients_gone: u64,
-    /// Route steps by how they ended.
+    /// Route steps by outcome.
     pub endings: StepOutcomeCounts,
     /// Answers and attempts by class.
     pub classes: BTreeMap<String, Responses>,
 }
 
-/// What became of the operations of one class, as their clients were told, and its attempts.
+/// Responses to the operations of one class, and its attempts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Responses {
-    /// Served: 200.
+    /// Responses with status 200.
     pub ok: u64,
-    /// Refused: 429 or 503.
+    /// Rejected: responses with status 429 or 503.
     pub shed: u64,
-    /// Failed: any other answer.
+    /// Failed: responses with any other status.
     pub errors: u64,
-    /// Attempts written whole to workers.
+    /// Attempts written completely to workers.
     pub tries: u64,
 }
 
-/// Route steps by how they ended.
+/// Number of route steps by outcome.
 #[derive(Clone, Debug, Default, Serialize)]
 #[allow(missing_docs)]
 pub struct StepOutcomeCounts {
@@ -114,7 +114,7 @@
         } += 1;
     }
 
-    /// An answer of this status is given to a client of this class.
+    /// Counts a response of this status to a client for this class.
     pub fn record_response(&mut self, class: &str, status: u16) {
         let r = self.class_counts(class);
         *match status {
@@ -124,7 +124,7 @@
         } += 1;
     }
 
-    /// An attempt of this class is written whole.
+    /// Counts an attempt of this class that was written completely.
     pub fn record_attempt(&mut self, class: &str) {
         self.class_counts(class).tries += 1;
     }
@@ -136,7 +136,7 @@
         self.classes.get_mut(class).expect("inserted")
     }
 
-    /// One line of JSON.
+    /// The counters as one line of JSON.
     pub fn to_json(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
--- a/src/handle.rs
+++ b/src/handle.rs
@@ -1,4 +1,4 @@
-//! A dispatcher inside another program: it runs on a thread of its own, operations come in over a channel.
+//! Embeds a dispatcher in another program: it runs on its own thread and receives operations over a channel.
 
 use crate::config::Config;
 use crate::core::{Answer, Operation, SubmitError};
@@ -13,16 +13,17 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// Operations that may wait to be taken in; more wait at their callers.
-const QUEUE: usize = 1_024;
+/// Capacity of the channel of operations; when it is full, callers wait.
+const MAX_QUEUED_CALLS: usize = 1_024;
 
-/// One operation and where its answer goes; none, if it was not taken.
+/// An operation and the channel for its answer, or for the reason why it was not accepted.
 pub(crate) struct Call {
     operation: Operation,
     answer: Sender<Result<Answer, SubmitError>>,
 }
 
-/// A way to a running dispatcher. Clones lead to the same one; it ends in order once all are dropped.
+/// A handle to a running dispatcher. Clones refer to the same dispatcher, which shuts down cleanly once all
+/// are dropped.
 #[derive(Clone)]
 pub struct Handle {
     calls: Sender<Call>,
@@ -31,7 +32,7 @@
 }
 
 impl Handle {
-    /// Starts a dispatcher on a thread of its own. The thread ends with an error if it cannot serve.
+    /// Starts a dispatcher on its own thread. The thread ends with an error if the dispatcher cannot serve.
     pub fn start(
         config: Config,
         log: Logger,
@@ -41,9 +42,9 @@
             .tenants
             .as_ref()
             .map(|t| Arc::from(t.header.as_str()));
-        let (calls, taken) = bounded(QUEUE);
+        let (calls, call_rx) = bounded(MAX_QUEUED_CALLS);
         let thread = std::thread::Builder::new().name("streamusher".into());
-        let thread = thread.spawn(move || start(config, log, Some(taken)))?;
+        let thread = thread.spawn(move || start(config, log, Some(call_rx)))?;
         Ok((
             Handle {
                 calls,
@@ -54,29 +55,29 @@
         ))
     }
 
-    /// Has an operation done. None if it was not taken: nothing of it has run. Dropping the future gives the
-    /// operation up, as a client does that closes its connection.
+    /// Runs an operation. Returns none if the operation was not accepted; then no part of it has run.
+    /// Dropping the future cancels the operation, like a client that closes its connection.
     pub async fn call(&self, operation: Operation) -> Option<Answer> {
         self.try_call(operation).await.ok()
     }
 
-    /// The same, with the reason why an operation was not taken; [`SubmitError::AtCapacity`] also once the dispatcher has
-    /// ended.
+    /// Runs an operation like [`Handle::call`], and returns the reason if it was not accepted. Returns
+    /// [`SubmitError::AtCapacity`] also after the dispatcher has ended.
     pub async fn try_call(&self, operation: Operation) -> Result<Answer, SubmitError> {
-        let (answer, answered) = bounded(1);
+        let (answer, answer_rx) = bounded(1);
         self.calls
             .send(Call { operation, answer })
             .await
             .map_err(|_| SubmitError::AtCapacity)?;
-        // A dispatcher that ends without an answer may have had the operation run.
-        answered
+        // A dispatcher that ends without an answer may have run the operation.
+        answer_rx
             .recv()
             .await
             .unwrap_or(Ok(Answer::Failed { late: false }))
     }
 }
 
-/// Takes calls until all handles are dropped.
+/// Accepts calls until all handles are dropped.
 pub(crate) async fn serve(hub: &Rc<Hub>, calls: Receiver<Call>) {
     while let Ok(Call { operation, answer }) = calls.recv().await {
         let pending = match hub.submit(operation) {
@@ -88,14 +89,14 @@
         };
         hub.spawn(async move {
             let caller = answer.clone();
-            let answered = async {
-                let (given, receipt) = pending.answer().await;
-                // What is handed to the host is written, as far as can be known here.
-                if answer.try_send(Ok(given)).is_ok() {
+            let delivery = async {
+                let (result, receipt) = pending.answer().await;
+                // An answer handed to the host counts as written: what the host does with it is unknown here.
+                if answer.try_send(Ok(result)).is_ok() {
                     receipt.written();
                 }
             };
-            future::or(answered, caller.closed()).await;
+            future::or(delivery, caller.closed()).await;
         });
     }
 }
--- a/src/middleware.rs
+++ b/src/middleware.rs
@@ -1,6 +1,6 @@
-//! The dispatcher as a tower layer, and so for axum: requests for a class of the settings are dispatched, all
-//! others go on to the service below. Whose a request is says a [`Tenant`] in its extensions, or the header that the
-//! operators' file names.
+//! The dispatcher as a tower layer, and thereby for axum: requests for a class of the settings are
+//! dispatched, all others are passed to the inner service. A [`Tenant`] in a request's extensions names its
+//! tenant; without one, the header that the operators' file configures does.
 //!
 //! ```no_run
 //! # use streamusher::{config::Config, handle::Handle, middleware::DispatchLayer, program};
@@ -33,12 +33,12 @@
 use tower_layer::Layer;
 use tower_service::Service;
 
-/// Puts a dispatcher before a service.
+/// Layer that puts a dispatcher in front of a service.
 #[derive(Clone)]
 pub struct DispatchLayer(Handle);
 
 impl DispatchLayer {
-    /// The layer for a running dispatcher.
+    /// Creates the layer for a running dispatcher.
     pub fn new(dispatcher: Handle) -> DispatchLayer {
         DispatchLayer(dispatcher)
     }
@@ -55,7 +55,7 @@
     }
 }
 
-/// A service with a dispatcher before it.
+/// A service with a dispatcher in front of it.
 #[derive(Clone)]
 pub struct Dispatch<S> {
     dispatcher: Handle,
@@ -79,14 +79,14 @@
         self.inner.poll_ready(cx)
     }
 
-    fn call(&mut self, asked: Request<B>) -> Self::Future {
-        let target = asked.uri().path_and_query().map_or("/", |t| t.as_str());
+    fn call(&mut self, request: Request<B>) -> Self::Future {
+        let target = request.uri().path_and_query().map_or("/", |t| t.as_str());
         if request::class(&self.dispatcher.classes, target).is_none() {
-            return Box::pin(self.inner.call(asked));
+            return Box::pin(self.inner.call(request));
         }
         let dispatcher = self.dispatcher.clone();
         Box::pin(async move {
-            let reply = dispatch(&dispatcher, asked)
+            let reply = dispatch(&dispatcher, request)
                 .await
                 .unwrap_or_else(|reply| reply);
             let mut response = Response::new(R::from(reply.body.to_vec()));
@@ -100,12 +100,12 @@
     }
 }
 
-async fn dispatch<B>(dispatcher: &Handle, asked: Request<B>) -> Result<Reply, Reply>
+async fn dispatch<B>(dispatcher: &Handle, request: Request<B>) -> Result<Reply, Reply>
 where
     B: Body,
     B::Error: Into<Box<dyn Error + Send + Sync>>,
 {
-    let (head, body) = asked.into_parts();
+    let (head, body) = request.into_parts();
     let (method, target) = (
         head.method.as_str(),
         head.uri.path_and_query().map_or("/", |t| t.as_str()),
@@ -135,7 +135,7 @@
     Ok(answer.map_or_else(request::not_taken, request::reply))
 }
 
-/// Whose a request is, by the header that the operators' file names.
+/// Reads the tenant of a request from the header that the operators' file configures.
 fn tenant(dispatcher: &Handle, headers: &http::HeaderMap) -> Result<Option<Arc<str>>, Reply> {
     let Some(name) = dispatcher.tenant_header.as_deref() else {
         return Ok(None);
--- a/src/program.rs
+++ b/src/program.rs
@@ -1,22 +1,23 @@
-//! The program around the library: arguments, configuration, log and exit code.
+//! Entry point of the program: arguments, configuration, log and exit code.
 
 use crate::command::{self, Failure};
 use slog::{o, Drain, Logger};
 use std::process::ExitCode;
 
-/// A log on standard error, a line a record.
+/// Creates a logger that writes one line per record to standard error.
 pub fn log() -> Logger {
     let plain = slog_term::PlainSyncDecorator::new(std::io::stderr());
     Logger::root(slog_term::FullFormat::new(plain).build().fuse(), o!())
 }
 
-/// Runs the program. A mistake in arguments or configuration ends it with one line that names it.
+/// Runs the program and returns its exit code. An error in the arguments or the configuration is printed as
+/// one line that names it.
 pub fn main(arguments: impl Iterator<Item = String>) -> ExitCode {
     match command::main(arguments) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Failure::Usage(told)) => {
-            let _ = told.print(); // help goes to standard output, mistakes to standard error
-            ExitCode::from(told.exit_code() as u8)
+        Err(Failure::Usage(error)) => {
+            let _ = error.print(); // help goes to standard output, errors to standard error
+            ExitCode::from(error.exit_code() as u8)
         }
         Err(Failure::Error(why)) => {
             eprintln!("streamusher: {why}");
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -1,7 +1,9 @@
-//! Signals heard on the event loop through pipes: a handler writes a byte, the loop reads it.
+//! Receives Unix signals on the event loop through pipes: a signal handler writes a byte, the event loop
+//! reads it.
 //!
-//! Pipes rather than a pair of Unix sockets, as the platform's fleet refuses those: `signal-hook`'s pipe handler,
-//! weighed against `async-signal`, which needs such a pair. One pipe a signal, as its handler writes one byte.
+//! Uses the pipe handler of `signal-hook`, because the platform's fleet does not permit the pair of Unix
+//! sockets that the alternative, `async-signal`, needs. Each signal has its own pipe, as its handler writes
+//! one byte that does not identify the signal.
 
 use async_io::Async;
 use futures_lite::future;
@@ -9,7 +11,7 @@
 use std::io;
 use std::os::fd::OwnedFd;
 
-/// The signals that the program heeds.
+/// Signals that the program handles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Signal {
     Term,
@@ -18,24 +20,24 @@
     Hup,
 }
 
-const ALL: [(Signal, libc::c_int); 4] = [
+const HANDLED: [(Signal, libc::c_int); 4] = [
     (Signal::Term, libc::SIGTERM),
     (Signal::Int, libc::SIGINT),
     (Signal::Usr1, libc::SIGUSR1),
     (Signal::Hup, libc::SIGHUP),
 ];
 
-/// The read ends of the pipes, one a signal; the write ends are the handlers'.
+/// The read ends of the pipes, one per signal; the signal handlers own the write ends.
 pub(crate) struct Signals {
     pipes: Vec<(Signal, Async<OwnedFd>)>,
 }
 
 impl Signals {
-    /// Heeds all of [`Signal`] from now on. Once in a process: handlers are not taken back.
+    /// Installs the handlers for every [`Signal`]. Call once per process: the handlers are not removed.
     pub(crate) fn new() -> io::Result<Signals> {
         use rustix::pipe::{pipe_with, PipeFlags};
-        let mut pipes = Vec::with_capacity(ALL.len());
-        for (signal, number) in ALL {
+        let mut pipes = Vec::with_capacity(HANDLED.len());
+        for (signal, number) in HANDLED {
             let (read, write) = pipe_with(PipeFlags::CLOEXEC | PipeFlags::NONBLOCK)?;
             signal_hook::low_level::pipe::register(number, write)?;
             pipes.push((signal, Async::new(read)?));
@@ -43,9 +45,9 @@
         Ok(Signals { pipes })
     }
 
-    /// The next signal that came. Several of one kind that come together count as one.
+    /// Waits for the next signal. Several signals of one kind that arrive together count as one.
     pub(crate) async fn next(&mut self) -> io::Result<Signal> {
-        let heard = self.pipes.iter().map(|(signal, pipe)| {
+        let pending = self.pipes.iter().map(|(signal, pipe)| {
             Box::pin(async move {
                 pipe.readable().await?;
                 let mut bytes = [0u8; 16];
@@ -53,7 +55,7 @@
                 Ok(*signal)
             })
         });
-        let mut all: Vec<_> = heard.collect();
+        let mut all: Vec<_> = pending.collect();
         future::poll_fn(move |cx| {
             let mut all = all.iter_mut();
             all.find_map(|f| match f.as_mut().poll(cx) {
--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -1,48 +1,49 @@
-//! Operators' calls: a line in, an answer out. Pure: the socket side is `net::mgmt`, the figures are told.
+//! Parsing of and responses to the operators' management calls. No I/O: `net::mgmt` owns the sockets, and the
+//! caller supplies the metrics.
 
 use crate::counters::Responses;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// The longest call that is read: the calls are single words.
+/// Maximum length of a call in bytes: the calls are single words.
 pub const MAX_CALL_BYTES: usize = 512;
 
-/// What operators are told by `telemetry`.
+/// Metrics returned for the call `telemetry`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Metrics {
     /// Answers and attempts by class.
     pub responses: BTreeMap<String, Responses>,
-    /// Attempts written whole to workers, of all classes.
+    /// Attempts of all classes written completely to workers.
     pub tries: u64,
-    /// Operations taken and not yet answered.
+    /// Operations accepted and not yet answered.
     pub active: usize,
-    /// Workers on the list that are not gone.
+    /// Workers on the list, without those that have left.
     pub pool_size: usize,
-    /// Workers on the list that are avoided.
+    /// Workers on the list that are currently avoided.
     pub pool_ejected: usize,
-    /// Configurations taken at SIGHUP.
+    /// Configurations applied at SIGHUP.
     pub config_applied: u64,
-    /// Configurations refused at SIGHUP.
+    /// Configurations rejected at SIGHUP.
     pub config_rejected: u64,
 }
 
-/// A call as it was read.
+/// A decoded management call.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Can this process serve?
+    /// Readiness check (`readyz`).
     Ready,
-    /// The figures.
+    /// Request for the metrics (`telemetry`).
     Telemetry,
-    /// The fleet as this member sees it.
+    /// Request for this member's view of the fleet (`fleet`).
     Fleet,
-    /// The tenants' tally as this member has it.
+    /// Request for this member's copy of the tenants' usage tally (`tally`).
     Tally,
-    /// Not a call that is known, or not text; the reason.
+    /// Unknown call or invalid UTF-8, with the reason.
     Unknown(String),
 }
 
 impl Call {
-    /// One line without its end.
+    /// Decodes one line, without its line end.
     pub fn parse(line: &[u8]) -> Call {
         match std::str::from_utf8(line).map(str::trim) {
             Ok("readyz") => Call::Ready,
@@ -56,24 +57,24 @@
     }
 }
 
-/// Where this process stands, for `readyz`.
+/// State of the process, as `readyz` reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
     /// Not serving yet.
     Starting,
     /// Serving.
     Serving,
-    /// SIGTERM has come.
+    /// SIGTERM has been received.
     Stopping,
 }
 
-/// The whole answer to a call: a line that begins with YES or NO; for `telemetry` the figures as one line of JSON,
-/// then a line `END`; for `fleet` and `tally` the same with what `fleet` says, or NO where nothing is shared. `figures`
-/// is asked only for `telemetry`.
+/// Returns the whole response to a call: for `readyz` a line that begins with YES or NO; for `telemetry` the
+/// metrics as one line of JSON, then a line `END`; for `fleet` and `tally` the JSON from `fleet` in the same
+/// form, or a line with NO if nothing is shared. `metrics` is called only for `telemetry`.
 pub fn answer(
     call: &Call,
     ready: Readiness,
-    figures: impl FnOnce() -> Metrics,
+    metrics: impl FnOnce() -> Metrics,
     fleet: impl FnOnce(&Call) -> Option<String>,
 ) -> String {
     match (call, ready) {
@@ -81,7 +82,7 @@
         (Call::Ready, Readiness::Starting) => "NO starting\n".into(),
         (Call::Ready, Readiness::Stopping) => "NO stopping\n".into(),
         (Call::Telemetry, _) => {
-            let json = serde_json::to_string(&figures()).unwrap_or_else(|_| "{}".into());
+            let json = serde_json::to_string(&metrics()).unwrap_or_else(|_| "{}".into());
             format!("{json}\nEND\n")
         }
         (Call::Fleet | Call::Tally, _) => match fleet(call) {
@@ -92,39 +93,40 @@
     }
 }
 
-/// Gathers one call from pieces of any size.
+/// Assembles one call from chunks of any size.
 #[derive(Default)]
 pub struct LineReader {
     line: Vec<u8>,
 }
 
-/// What is known after a piece.
+/// State of the reader after a chunk.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ReadStatus {
-    /// More is needed.
+    /// The line is not complete yet.
     Incomplete,
-    /// The call, whole.
+    /// The complete call.
     Line(Call),
-    /// Over [`MAX_CALL_BYTES`] without an end.
+    /// More than [`MAX_CALL_BYTES`] without a line end.
     TooLong,
 }
 
 impl LineReader {
-    /// Takes the next piece; anything after the end of the line is not looked at.
-    pub fn feed(&mut self, piece: &[u8]) -> ReadStatus {
-        let end = piece.iter().position(|&b| b == b'\n');
-        let take = end.map_or(piece.len(), |e| e);
-        if self.line.len() + take > MAX_CALL_BYTES {
+    /// Adds the next chunk; anything after the line end is ignored.
+    pub fn feed(&mut self, chunk: &[u8]) -> ReadStatus {
+        let end = chunk.iter().position(|&b| b == b'\n');
+        let line_bytes = end.map_or(chunk.len(), |e| e);
+        if self.line.len() + line_bytes > MAX_CALL_BYTES {
             return ReadStatus::TooLong;
         }
-        self.line.extend_from_slice(&piece[..take]);
+        self.line.extend_from_slice(&chunk[..line_bytes]);
         match end {
             Some(_) => ReadStatus::Line(Call::parse(&self.line)),
             None => ReadStatus::Incomplete,
         }
     }
 
-    /// The peer ended its side: what came counts as the line, if anything came.
+    /// Handles the end of the peer's input: the bytes received so far count as the line, unless there are
+    /// none.
     pub fn end(&self) -> Option<Call> {
         (!self.line.iter().all(u8::is_ascii_whitespace)).then(|| Call::parse(&self.line))
     }
--- a/tests/middleware.rs
+++ b/tests/middleware.rs
@@ -1,4 +1,4 @@
-//! The dispatcher as a layer before an axum service, with a stand-in worker behind it.
+//! The dispatcher as a layer in front of an axum service, with a simulated worker.
 
 mod support;
 
@@ -43,12 +43,12 @@
 
 #[rstest]
 #[case::dispatched("/depth-log/bh-7", "a1", 4, 200, "log of a1")]
-#[case::below("/help", "a1", 4, 200, "help")]
-#[case::nowhere("/render/x", "a1", 4, 404, "")]
+#[case::inner_service("/help", "a1", 4, 200, "help")]
+#[case::unknown_path("/render/x", "a1", 4, 404, "")]
 #[case::no_id("/depth-log/bh-7", "", 4, 400, "X-Correlation-Id: not an id\n")]
 #[case::large("/depth-log/bh-7", "a1", 65537, 413, "the body is over 64 KiB\n")]
 #[tokio::test]
-async fn requests_for_a_class_are_dispatched_and_others_go_on(
+async fn requests_for_a_class_are_dispatched_and_others_reach_inner_service(
     #[case] path: &str,
     #[case] id: &str,
     #[case] length: usize,
@@ -67,7 +67,7 @@
         .unwrap();
     assert_eq!(answer.status(), StatusCode::from_u16(status).unwrap());
     assert_eq!(answer.into_body().collect().await.unwrap().to_bytes(), body);
-    // With its last handle gone the dispatcher ends in order.
+    // The dispatcher shuts down cleanly once its last handle is dropped.
     assert_eq!(thread.join().unwrap(), Ok(()));
 }
 
@@ -80,7 +80,7 @@
 #[case::none(None, None, 403)]
 #[case::no_name(Some("a\tb"), None, 400)]
 #[tokio::test]
-async fn a_host_names_the_tenant_and_goes_before_the_header(
+async fn tenant_extension_takes_precedence_over_the_header(
     #[case] header: Option<&str>,
     #[case] extension: Option<&str>,
     #[case] status: u16,
@@ -97,25 +97,29 @@
     let app = Router::new()
         .route("/help", get(|| async { "help" }))
         .layer(DispatchLayer::new(handle));
-    let mut asked = request("/depth-log/bh-7", "a1", "core".into());
+    let mut request_with_tenant = request("/depth-log/bh-7", "a1", "core".into());
     if let Some(name) = header {
-        asked.headers_mut().insert("x-dept", name.parse().unwrap());
+        request_with_tenant
+            .headers_mut()
+            .insert("x-dept", name.parse().unwrap());
     }
     if let Some(name) = extension {
-        asked.extensions_mut().insert(Tenant(name.into()));
+        request_with_tenant
+            .extensions_mut()
+            .insert(Tenant(name.into()));
     }
-    let answer = app.oneshot(asked).await.unwrap();
+    let answer = app.oneshot(request_with_tenant).await.unwrap();
     assert_eq!(answer.status(), StatusCode::from_u16(status).unwrap());
     assert_eq!(
         shed.sent.try_recv().is_ok(),
         status == 200,
-        "what is refused does not run"
+        "a rejected request must not run"
     );
     assert_eq!(thread.join().unwrap(), Ok(()));
 }
 
 #[tokio::test]
-async fn a_dropped_call_is_cancelled_at_its_worker() {
+async fn dropped_call_is_cancelled_at_its_worker() {
     let shed = Shed::start("runs on");
     let (handle, thread) = dispatcher(&shed, None);
     let app = Router::new()
--- a/tests/telemetry.rs
+++ b/tests/telemetry.rs
@@ -1,4 +1,4 @@
-//! Operators' calls, as they are read and answered.
+//! Parsing of and responses to the operators' management calls.
 
 use rstest::rstest;
 use streamusher::telemetry::*;
@@ -8,12 +8,13 @@
 #[case(&["re", "ad", "yz\r\n"], ReadStatus::Line(Call::Ready))]
 #[case(&["t", "elemetry", "\nreadyz\n"], ReadStatus::Line(Call::Telemetry))]
 #[case(&["stop\n"], ReadStatus::Line(Call::Unknown("unknown call \"stop\"".into())))]
-fn lines_in_pieces(#[case] pieces: &[&str], #[case] last: ReadStatus) {
+fn call_is_assembled_from_chunks(#[case] chunks: &[&str], #[case] status: ReadStatus) {
     let mut reader = LineReader::default();
-    let (init, tail) = pieces.split_at(pieces.len() - 1);
-    init.iter()
+    let (incomplete, rest) = chunks.split_at(chunks.len() - 1);
+    incomplete
+        .iter()
         .for_each(|p| assert_eq!(reader.feed(p.as_bytes()), ReadStatus::Incomplete));
-    assert_eq!(reader.feed(tail[0].as_bytes()), last);
+    assert_eq!(reader.feed(rest[0].as_bytes()), status);
     assert_eq!(
         LineReader::default().feed(b"\xff\n"),
         ReadStatus::Line(Call::Unknown("not text".into()))
@@ -21,28 +22,28 @@
 }
 
 #[test]
-fn a_long_line_is_refused() {
+fn too_long_line_is_rejected() {
     let mut reader = LineReader::default();
     assert_eq!(reader.feed(&[b'a'; MAX_CALL_BYTES]), ReadStatus::Incomplete);
     assert_eq!(reader.feed(b"a"), ReadStatus::TooLong);
 }
 
 #[test]
-fn answers_begin_with_yes_or_no() {
-    let figures = || Metrics {
+fn readiness_response_begins_with_yes_or_no() {
+    let metrics = || Metrics {
         active: 3,
         ..Metrics::default()
     };
     assert_eq!(
-        answer(&Call::Ready, Readiness::Serving, figures, |_| None),
+        answer(&Call::Ready, Readiness::Serving, metrics, |_| None),
         "YES\n"
     );
     assert_eq!(
-        answer(&Call::Ready, Readiness::Stopping, figures, |_| None),
+        answer(&Call::Ready, Readiness::Stopping, metrics, |_| None),
         "NO stopping\n"
     );
-    let told = answer(&Call::Telemetry, Readiness::Starting, figures, |_| None);
-    let lines: Vec<&str> = told.lines().collect();
+    let response = answer(&Call::Telemetry, Readiness::Starting, metrics, |_| None);
+    let lines: Vec<&str> = response.lines().collect();
     assert_eq!((lines[1], lines.len()), ("END", 2));
     let json: serde_json::Value = serde_json::from_str(lines[0]).expect("json");
     assert_eq!(json["active"], 3);
