--- a/src/command/ledger.rs
+++ b/src/command/ledger.rs
@@ -84,7 +84,7 @@
     },
     /// List or settle doubtful entries: served operations for which it is unknown whether the clients
     /// received the answers.
-    DoubtPolicy {
+    Doubts {
         /// Settle all listed entries in the same way.
         #[arg(long, requires = "author", conflicts_with = "receipts")]
         settle: Option<Settlement>,
@@ -233,7 +233,7 @@
                 )
             }
             LedgerCommand::Close { through } => close(place, through),
-            LedgerCommand::DoubtPolicy {
+            LedgerCommand::Doubts {
                 settle,
                 receipts,
                 tenant,
--- a/src/config/operators.rs
+++ b/src/config/operators.rs
@@ -296,7 +296,7 @@
     {
         true => Ok(()),
         false => Err(format!(
-            "ledger.instance: must consist of 1 to 64 letters, digits, '-' and '.', and not begin with '.': {name:?}"
+            "ledger.instance: letters, digits, '-' and '.' alone, 64 at most: {name:?}"
         )),
     }
 }
