--- a/src/bin/streamusher-benchlink.rs
+++ b/src/bin/streamusher-benchlink.rs
@@ -1,4 +1,5 @@
-//! The adapter on standard input and output. Malformed input ends it with a plain line on standard error.
+//! Runs the benchmark adapter on standard input and output. Malformed input ends it with an error message on
+//! standard error.
 #![forbid(unsafe_code)]
 
 use std::io::{stdin, stdout, BufWriter};
--- a/src/command/ledger.rs
+++ b/src/command/ledger.rs
@@ -95,7 +95,7 @@
         /// Select only this tenant's entries.
         #[arg(long)]
         tenant: Option<String>,
-        /// The person who settles the entries.
+        /// Author of the settlement.
         #[arg(long)]
         author: Option<String>,
         /// The reason for the settlement.
@@ -126,7 +126,7 @@
 
 #[derive(Args)]
 struct Attribution {
-    /// The person who makes the correction.
+    /// Author of the correction.
     #[arg(long)]
     author: String,
     /// The reason for the correction.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,19 +2,20 @@
 #![warn(missing_docs)]
 //! A job dispatcher that sits beside each submitter and pushes jobs to workers.
 //!
-//! It forks each repeatable job into copies queued at the workers with the fewest own waiting jobs, more copies
-//! as queues build, and cancels the other copies as soon as one starts running: the (n, 1) fork-early-cancel
-//! system of Joshi, Soljanin and Wornell, "Queues with Redundancy: Latency-Cost Analysis". `docs/design.md`
-//! tells what was kept, what was changed and why. All decisions stand in `src/balance/`.
+//! It forks each repeatable job into copies queued at the workers with the fewest of its own waiting jobs,
+//! more copies as queues grow, and cancels the other copies as soon as one starts running: the (n, 1)
+//! fork-early-cancel system of Joshi, Soljanin and Wornell, "Queues with Redundancy: Latency-Cost Analysis".
+//! `docs/design.md` describes what was kept, what was changed and why. All decisions are made in
+//! `src/balance/`.
 //!
 //! There are four ways to embed it:
 //!
-//! - [`run`] is the whole daemon, on the calling thread, until SIGTERM;
-//! - [`handle::Handle`] runs it on a thread of its own and takes operations from inside the process, and
-//!   [`middleware::DispatchLayer`] puts that before a tower or axum service;
-//! - [`core::Core`] keeps the books for fronts and drivers of the embedder's own;
-//! - [`Balancer`] is the decisions alone. It has no clock, threads, sockets or global state: the embedder hands
-//!   it events with the time and carries out the actions it gets back, as here:
+//! - [`run`] is the whole daemon; it runs on the calling thread until SIGTERM;
+//! - [`handle::Handle`] runs the daemon on its own thread and accepts operations from inside the process, and
+//!   [`middleware::DispatchLayer`] puts it in front of a tower or axum service;
+//! - [`core::Core`] manages operations and their state for fronts and drivers that the embedder supplies;
+//! - [`Balancer`] contains only the decisions. It has no clock, threads, sockets or global state: the
+//!   embedder passes it events with their times and executes the actions it returns, for example:
 //!
 //! ```
 //! use streamusher::interface::{
@@ -34,7 +35,7 @@
 //! let mut balancer = Balancer::new(settings, 42, 0);
 //! let mut actions = Vec::new();
 //!
-//! // The list: one worker. Ids count from 0 in the order in which this dispatcher meets the workers.
+//! // A list with one worker. Ids are assigned from 0, in the order in which this dispatcher first sees the workers.
 //! let entry = Endpoint {
 //!     worker: WorkerId(0),
 //!     state: EndpointState::Ready,
@@ -47,7 +48,7 @@
 //! };
 //! balancer.handle(0, Event::EndpointUpdate { complete: true, endpoints: vec![entry] }, &mut actions);
 //!
-//! // A job arrives and goes out.
+//! // A job arrives and is sent.
 //! let job = JobId(7);
 //! let arrived = Event::Arrived(Request {
 //!     job,
@@ -63,7 +64,7 @@
 //! balancer.handle(1_000, Event::BatchEnd, &mut actions);
 //! assert!(actions.contains(&Action::Send { job, worker: WorkerId(0) }));
 //!
-//! // Its answer arrives; the embedder hands it to the client, and nothing more is owed.
+//! // Its answer arrives; the embedder returns it to the client, and no action is left to execute.
 //! actions.clear();
 //! let outcome =
 //!     Event::AttemptEnded(AttemptEnd { job, attempt: 0, outcome: AttemptOutcome::Succeeded, is_final: true, report: None });
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The dispatcher as a program. What it reads: `src/config.rs`.
+//! The dispatcher as a program. `src/config/mod.rs` describes the configuration that it reads.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
