--- a/src/net/close.rs
+++ b/src/net/close.rs
@@ -16,12 +16,12 @@
         let begun = Instant::now();
         let now = || begun.elapsed().as_micros() as Micros;
         let _ = self.stream().get_ref().shutdown(Shutdown::Write);
-        let mut closing = closing.told(0);
+        let mut closing = closing.shutdown_sent(0);
         while let Closing::Draining { until, .. } = closing {
             // Input that has already arrived is read first, regardless of the time limit. If the limit is
             // zero nothing is waited for.
             let available = future::poll_once(self.discard_input()).await;
-            closing = available.map_or(closing.quiet(now()), |bytes| closing.read(bytes));
+            closing = available.map_or(closing.no_data(now()), |bytes| closing.received(bytes));
             match (available, closing) {
                 // Guards against a sender at full speed that would starve the other tasks.
                 (Some(_), _) => future::yield_now().await,
@@ -32,7 +32,7 @@
                         None
                     };
                     let read = future::or(input, timeout).await;
-                    closing = read.map_or(closing.quiet(now()), |bytes| closing.read(bytes));
+                    closing = read.map_or(closing.no_data(now()), |bytes| closing.received(bytes));
                 }
                 (None, _) => {}
             }
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -71,7 +71,7 @@
                         hub.with(|core, _| core.counters.front_sockets_refused += 1);
                         let conn = Conn::new(stream);
                         let _ = conn.stream().get_ref().write(SHED_RESPONSE);
-                        hub.spawn(async move { conn.close(Closing::at_once()).await });
+                        hub.spawn(async move { conn.close(Closing::immediate()).await });
                         future::yield_now().await; // lets the connection close
                         continue;
                     }
@@ -217,7 +217,7 @@
         receipt.written();
         if close {
             socket.set_activity(Activity::Closing);
-            return future::or(conn.close(Closing::in_order()), socket.evicted()).await;
+            return future::or(conn.close(Closing::graceful()), socket.evicted()).await;
         }
     }
     // Between requests, or before the first one. A request may be arriving at this very moment: it is not
@@ -226,8 +226,8 @@
     socket.set_activity(Activity::Closing);
     let stopping = socket.all.is_closing();
     match socket.is_evicted() && !stopping {
-        true => conn.close(Closing::at_once()).await,
-        false => conn.close(Closing::resting()).await,
+        true => conn.close(Closing::immediate()).await,
+        false => conn.close(Closing::idle()).await,
     }
 }
 
@@ -286,7 +286,7 @@
         (CALLBACK_PATH, _) => Reply::method_not_allowed("POST"),
         ("/up", "GET") if hub.stopping.get() => Reply::plain(503, "stopping"),
         ("/up", "GET") => Reply::plain(200, "up"),
-        ("/counters", "GET") => Reply::plain(200, &hub.with(|core, _| core.counters.line())),
+        ("/counters", "GET") => Reply::plain(200, &hub.with(|core, _| core.counters.to_json())),
         ("/up" | "/counters", _) => Reply::method_not_allowed("GET"),
         _ => match operation(hub, head, body) {
             Ok(operation) => return dispatch(hub, conn, socket, operation).await,
@@ -324,7 +324,7 @@
     let count_response = |reply: &Reply| {
         hub.with(|core, _| {
             core.counters
-                .responded(&hub.classes.borrow()[class].name, reply.status)
+                .record_response(&hub.classes.borrow()[class].name, reply.status)
         })
     };
     let pending = match hub.submit(operation) {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -15,7 +15,7 @@
 pub(crate) mod route;
 
 use crate::config::Limits;
-use crate::settings::Site;
+use crate::settings::SiteSettings;
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -30,7 +30,7 @@
 }
 
 impl WorkerConnectionSettings {
-    pub(crate) fn new(site: &Site, limits: &Limits) -> WorkerConnectionSettings {
+    pub(crate) fn new(site: &SiteSettings, limits: &Limits) -> WorkerConnectionSettings {
         WorkerConnectionSettings {
             connect_timeout: Duration::from_micros(site.connect_timeout_us),
             // Well before the worker's machine closes idle connections: a request written after that would be
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -93,7 +93,7 @@
 
     /// Starts an orderly close of the connection.
     fn close(&self, conn: Conn) {
-        self.hub.spawn(conn.close(Closing::resting()));
+        self.hub.spawn(conn.close(Closing::idle()));
     }
 
     /// Takes the most recently used idle connection whose reuse delay has passed and that is still usable.
@@ -164,7 +164,7 @@
     pub(crate) fn end(&self, pooled: PooledConnection) {
         let PooledConnection { conn, _open_count } = pooled;
         self.hub.spawn(async move {
-            conn.close(Closing::resting()).await;
+            conn.close(Closing::idle()).await;
             drop(_open_count);
         });
     }
--- a/src/net/route.rs
+++ b/src/net/route.rs
@@ -133,7 +133,8 @@
             .write(&request)
             .await
             .map_err(|_| (StepOutcome::ConnectionLostBeforeSend, None))?;
-        self.hub.with(|core, _| core.counters.tried(&class));
+        self.hub
+            .with(|core, _| core.counters.record_attempt(&class));
         drop(request); // frees the memory, as the response may take long
         let (head, _) = self
             .exchange(pooled.insert(connection))
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -5,9 +5,9 @@
 use crate::interface::{JobId, Micros};
 use crate::list_clock::{ListClock, Source};
 use crate::net::request::ClassInfo;
-use crate::settings::Site;
+use crate::settings::SiteSettings;
 use crate::signals::{Signal, Signals};
-use crate::telemetry::{Figures, Readiness};
+use crate::telemetry::{Metrics, Readiness};
 use crate::{billing, drmaa, fleet, net};
 use async_channel::{bounded, Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -116,14 +116,14 @@
     }
 
     /// Metrics for operators. Every class of the settings is included, even with zero counts.
-    pub(crate) fn figures(&self) -> Figures {
+    pub(crate) fn figures(&self) -> Metrics {
         let core = self.core.borrow();
         let mut responses = core.counters.classes.clone();
         for class in self.classes.borrow().iter().filter(|c| !c.retired) {
             responses.entry(class.name.clone()).or_default();
         }
         let (pool_size, pool_ejected) = core.worker_counts();
-        Figures {
+        Metrics {
             tries: responses.values().map(|r| r.tries).sum(),
             responses,
             active: core.unanswered(),
@@ -248,7 +248,7 @@
         Source::OnRequest
     };
     let list_clock = ListClock::new(source, fleet, within, config.seed, base);
-    let site = Site::new(config.setup);
+    let site = SiteSettings::new(config.setup);
     let classes = site.class_infos();
     let net = net::WorkerConnectionSettings::new(&site, &config.limits);
     // Outside the platform, workers may not deduplicate keyed jobs for each other, so the core does.
@@ -305,11 +305,16 @@
         let driver = hub.with(|core, _| {
             core.attach_driver(net::route::HttpDriver::new(hub.clone(), pool.clone()))
         });
-        let known: Vec<PoolMember> = config.known.servers.iter().map(|s| s.member()).collect();
+        let known: Vec<PoolMember> = config
+            .initial_list
+            .servers
+            .iter()
+            .map(|s| s.member())
+            .collect();
         hub.with(|core, _| core.pool_config(driver, true, known));
         info!(log, "discovery call timing"; "source" => ?source, "fleet" => fleet, "ask_within_ms" => within / 1_000,
             "longest_pause_ms" => list_clock.ceiling_us() / 1_000);
-        let version = config.known.version;
+        let version = config.initial_list.version;
         let watch =
             net::discovery::Watch::new(hub.clone(), config.discovery, driver, version, list_clock);
         hub.with(|core, _| core.attach_source(watch.clone()));
@@ -347,7 +352,7 @@
             }
             (None, None) => {}
         }
-        info!(log, "counters"; "counters" => hub.core.borrow().counters.line());
+        info!(log, "counters"; "counters" => hub.core.borrow().counters.to_json());
         Ok(())
     };
     let done = async_io::block_on(executor.run(main));
@@ -372,7 +377,7 @@
     loop {
         match signals.next().await {
             Ok(Signal::Usr1) => {
-                info!(hub.log, "counters"; "counters" => hub.core.borrow().counters.line())
+                info!(hub.log, "counters"; "counters" => hub.core.borrow().counters.to_json())
             }
             Ok(Signal::Hup) => reload(hub, watch),
             Ok(_) if !stopping => return,
@@ -450,7 +455,7 @@
     }
     loop {
         sockets.close_idle(false);
-        let has_open_work = sockets.clients() > 0 || jobs.is_some_and(|j| j.busy());
+        let has_open_work = sockets.clients() > 0 || jobs.is_some_and(|j| j.has_pending_waits());
         Timer::after(Duration::from_millis(20)).await;
         // Guards against a client that never reads its response or never completes its request.
         let is_late = started_at.elapsed() > answer_by;
