--- a/crates/inventory/src/ansible/host_range.rs
+++ b/crates/inventory/src/ansible/host_range.rs
@@ -1,47 +1,46 @@
-//! Host ranges as Ansible writes them: `core[01:20]`, `core[a:f]`, with a step `[1:9:2]`, several in one name.
+//! Expands host ranges in Ansible's notation: `core[01:20]`, `core[a:f]`, with a step `[1:9:2]`, and several
+//! in one name.
 
 use thiserror::Error;
 
-/// Hosts for which one pattern stands, at most.
+/// Maximum number of hosts in the expansion of one pattern.
 const MAX_HOSTS_PER_PATTERN: usize = 20_000;
 
-/// Digits of a number in a range, at most.
+/// Maximum number of digits of a number in a range.
 const MAX_DIGITS: usize = 9;
 
-/// Why a pattern stands for no hosts.
+/// Reason why a host pattern cannot be expanded.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum HostRangeError {
-    /// A range is not closed.
+    /// An opening bracket has no closing bracket.
     #[error("a range without its ']'")]
     Unclosed,
-    /// A range is closed that was not opened.
+    /// A closing bracket has no opening bracket.
     #[error("a ']' without its range")]
     Unopened,
-    /// It stands for too many hosts.
+    /// The expansion exceeds the maximum number of hosts.
     #[error("more than {MAX_HOSTS_PER_PATTERN} hosts in one name")]
     TooManyHosts,
-    /// What stands between the brackets is not a range.
+    /// The text between the brackets is not a range.
     #[error("not a range: [{0}]")]
     Invalid(String),
-    /// One end has leading zeros, and the other has another number of digits.
+    /// The start has leading zeros, and the end has a different number of digits.
     #[error("its ends are not of one length: [{0}]")]
     UnequalWidths(String),
-    /// The end lies before the start.
+    /// The end is less than the start, or one is an upper-case and the other a lower-case letter.
     #[error("it runs backwards: [{0}]")]
     Reversed(String),
 }
 
-/// The names for which a pattern stands.
+/// Returns the names to which a pattern expands. A pattern without a range expands to itself.
 ///
 /// # Errors
-/// Where a range in it is invalid, or it stands for too many names.
+/// If a range in the pattern is invalid, or the pattern expands to too many names.
 pub fn expand_host_range(pattern: &str) -> Result<Vec<String>, HostRangeError> {
     let mut names = vec![String::new()];
     let mut rest = pattern;
-    while let Some((literal, behind_open)) = rest.split_once('[') {
-        let (range, behind_close) = behind_open
-            .split_once(']')
-            .ok_or(HostRangeError::Unclosed)?;
+    while let Some((literal, after_open)) = rest.split_once('[') {
+        let (range, after_close) = after_open.split_once(']').ok_or(HostRangeError::Unclosed)?;
         let values = range_values(range)?;
         if names.len() * values.len() > MAX_HOSTS_PER_PATTERN {
             return Err(HostRangeError::TooManyHosts);
@@ -54,7 +53,7 @@
                     .map(move |value| format!("{name}{literal}{value}"))
             })
             .collect();
-        rest = behind_close;
+        rest = after_close;
     }
     if rest.contains(']') {
         return Err(HostRangeError::Unopened);
@@ -65,7 +64,7 @@
     Ok(names)
 }
 
-/// The values of a range, without its brackets.
+/// Returns the values of a range, given without its brackets.
 fn range_values(range: &str) -> Result<Vec<String>, HostRangeError> {
     let invalid = || HostRangeError::Invalid(range.to_owned());
     let mut parts = range.split(':');
@@ -78,7 +77,7 @@
     if step == 0 || parts.next().is_some() {
         return Err(invalid());
     }
-    // As in Ansible, a range starts at 0 by default; its end has to be given.
+    // As in Ansible, the start defaults to 0 and the end is required.
     let first = if first.is_empty() { "0" } else { first };
     if is_number(first) && is_number(last) {
         return number_values(range, first, last, step);
--- a/crates/inventory/src/ansible/ini.rs
+++ b/crates/inventory/src/ansible/ini.rs
@@ -1,17 +1,18 @@
-//! The INI form: `[group]`, `[group:children]`, `[group:vars]`, and hosts with `key=value` behind them.
+//! Reads Ansible's INI format: `[group]`, `[group:children]` and `[group:vars]` sections, and hosts followed
+//! by `key=value` variables.
 
 use super::host_range::expand_host_range;
 use super::inventory::{AnsibleInventory, Vars};
 use crate::diagnostics::{Finding, Findings};
 use crate::source_text::{Scalar, SourcePosition, SourceText};
 
-/// The group of hosts in front of any heading.
+/// Group of the hosts that precede the first heading.
 const UNGROUPED: &str = "ungrouped";
 
 /// Characters that start a comment.
 const COMMENT_STARTS: [char; 2] = ['#', ';'];
 
-/// Reads an inventory.
+/// Reads an inventory in INI format.
 pub(crate) fn read_ini(source: SourceText<'_>, findings: &mut Findings) -> AnsibleInventory {
     let mut reader = IniReader {
         findings,
@@ -25,19 +26,19 @@
     reader.inventory
 }
 
-/// What the lines below a heading are.
+/// Kind of the lines below a heading.
 enum Section {
     Hosts,
     Children,
     Vars,
 }
 
-/// A line without the blanks around it.
+/// A line, with and without surrounding whitespace.
 struct Line<'a> {
     source: SourceText<'a>,
     number: u32,
     untrimmed: &'a str,
-    /// Bytes in front of the text.
+    /// Number of bytes of whitespace before the text.
     indent: usize,
     text: &'a str,
 }
@@ -53,7 +54,7 @@
         }
     }
 
-    /// The position at a byte offset in the text.
+    /// Returns the position at a byte offset in the trimmed text.
     fn position(&self, offset: usize) -> SourcePosition {
         let before = self.untrimmed.get(..self.indent + offset);
         let column = before.map_or(1, |before| before.chars().count() + 1);
@@ -61,7 +62,7 @@
         self.source.position(self.number, column)
     }
 
-    /// The text up to a comment.
+    /// Returns the text before the first comment character.
     fn without_comment(&self) -> &'a str {
         without_comment(self.text)
     }
@@ -178,28 +179,28 @@
     }
 }
 
-/// A word of a line.
+/// A word of a line, after splitting.
 struct Word {
-    /// Its offset in the line, in bytes.
+    /// Byte offset of the word in the line.
     offset: usize,
-    /// Its text without quotes.
+    /// Text of the word without quotes.
     text: String,
 }
 
-/// A quote is not closed.
+/// Error: a quote is not closed.
 struct UnterminatedQuote {
-    /// Where it was opened.
+    /// Byte offset of the opening quote in the line.
     offset: usize,
 }
 
-/// An opening quote.
+/// The opening quote of the text that is being read.
 #[derive(Clone, Copy)]
 struct Quote {
     character: char,
     offset: usize,
 }
 
-/// Splits a line into words as a shell does, up to a comment.
+/// Splits a line into words as a shell does, and stops at a comment.
 fn split_words(line: &str) -> Result<Vec<Word>, UnterminatedQuote> {
     let mut words = Vec::new();
     let mut current: Option<Word> = None;
--- a/crates/inventory/src/ansible/inventory.rs
+++ b/crates/inventory/src/ansible/inventory.rs
@@ -1,8 +1,9 @@
-//! Groups, hosts and variables as an inventory has them, and their resolution by Ansible's precedence.
+//! Groups, hosts and variables of an Ansible inventory, and their resolution by Ansible's variable
+//! precedence.
 //!
-//! Variables are applied by Ansible's published precedence, the lowest first: group variables of the inventory (`all`, then by
-//! depth, priority and name), `group_vars/all`, `group_vars/*` in the same order, the host's own in the inventory,
-//! `host_vars/*`.
+//! Variables are applied in Ansible's documented order of precedence, lowest first: group variables in the
+//! inventory (`all`, then by depth, priority and name), `group_vars/all`, `group_vars/*` in the same order of
+//! groups, variables of the host in the inventory, `host_vars/*`.
 
 use crate::diagnostics::{Finding, Findings};
 use crate::field::{FieldAlias, HostField};
@@ -10,51 +11,51 @@
 use crate::source_text::{Scalar, SourcePosition};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Groups inside each other, at most: guards against an inventory that nests without end.
+/// Maximum nesting depth of groups. Protects against inventories with unbounded nesting.
 pub(super) const MAX_GROUP_DEPTH: usize = 16;
 
-/// The group to which every host belongs.
+/// The implicit group that contains every host.
 const ALL: &str = "all";
 
-/// Variables by their names.
+/// Variables by name.
 pub(crate) type Vars = BTreeMap<String, Scalar>;
 
-/// A group.
+/// A group with its hosts, child groups and variables.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Group {
     pub(super) hosts: BTreeSet<String>,
     pub(super) children: BTreeSet<String>,
     pub(super) vars: Vars,
-    /// Where it is named first.
+    /// Position of the group's first occurrence.
     position: SourcePosition,
 }
 
-/// A host before resolution.
+/// A host before its variables are resolved.
 #[derive(Clone, Debug)]
 struct InventoryHost {
-    /// Where it is named first.
+    /// Position of the host's first occurrence.
     position: SourcePosition,
     vars: Vars,
 }
 
-/// An inventory as it is read.
+/// The groups and hosts of an inventory before variables are resolved.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AnsibleInventory {
     groups: BTreeMap<String, Group>,
     hosts: BTreeMap<String, InventoryHost>,
 }
 
-/// Variables from the directories beside an inventory.
+/// Variables from the `group_vars` and `host_vars` directories next to an inventory.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AdjacentVars {
-    /// `group_vars`, by group.
+    /// Variables from `group_vars`, by group.
     pub(crate) groups: BTreeMap<String, Vars>,
-    /// `host_vars`, by host.
+    /// Variables from `host_vars`, by host.
     pub(crate) hosts: BTreeMap<String, Vars>,
 }
 
 impl AnsibleInventory {
-    /// The group of this name, which is created where it does not exist.
+    /// Returns the group with this name, creating it if necessary.
     pub(super) fn group(&mut self, name: &str, position: SourcePosition) -> &mut Group {
         self.groups.entry(name.to_owned()).or_insert_with(|| Group {
             position,
@@ -62,7 +63,7 @@
         })
     }
 
-    /// Adds a host to a group, with variables of its own. Of several values of a variable the first one counts.
+    /// Adds a host to a group and sets host variables. If a variable is already set, the first value is kept.
     pub(super) fn add_host(
         &mut self,
         group: &str,
@@ -84,27 +85,27 @@
         }
     }
 
-    /// The hosts with their variables by Ansible's precedence.
+    /// Resolves the variables of each host by Ansible's precedence.
     pub(crate) fn resolve(&self, adjacent: &AdjacentVars, findings: &mut Findings) -> Vec<RawHost> {
         let groups_by_precedence = self.groups_by_precedence(findings);
         let groups_of_hosts = self.groups_of_hosts();
         let no_groups = BTreeSet::new();
         let mut hosts = Vec::new();
         for (name, host) in &self.hosts {
-            let of_host = groups_of_hosts.get(name.as_str()).unwrap_or(&no_groups);
+            let host_groups = groups_of_hosts.get(name.as_str()).unwrap_or(&no_groups);
             let groups: Vec<&str> = groups_by_precedence
                 .iter()
                 .copied()
-                .filter(|group| of_host.contains(group) || *group == ALL)
+                .filter(|group| host_groups.contains(group) || *group == ALL)
                 .collect();
-            let in_inventory = groups
+            let inventory_layers = groups
                 .iter()
                 .filter_map(|group| self.groups.get(*group).map(|group| &group.vars));
-            let in_directory = groups
+            let directory_layers = groups
                 .iter()
                 .filter_map(|group| adjacent.groups.get(*group));
-            let layers = in_inventory
-                .chain(in_directory)
+            let layers = inventory_layers
+                .chain(directory_layers)
                 .chain([&host.vars])
                 .chain(adjacent.hosts.get(name));
             let mut vars: BTreeMap<&str, &Scalar> = BTreeMap::new();
@@ -122,7 +123,7 @@
         hosts
     }
 
-    /// The groups from the lowest precedence to the highest.
+    /// Returns the groups in order of precedence, lowest first.
     fn groups_by_precedence(&self, findings: &mut Findings) -> Vec<&str> {
         let depths = self.depths(findings);
         let mut groups: Vec<&str> = depths.keys().copied().collect();
@@ -139,9 +140,11 @@
             .unwrap_or(DEFAULT_PRIORITY)
     }
 
-    /// The depth of each group below `all`, by the longest path to it. A cycle is reported, and its groups left out.
+    /// Computes the depth of each group below `all` as the length of the longest path to it. Reports a cycle,
+    /// and omits groups deeper than the limit.
     ///
-    /// The longest paths are found by relaxation as in the algorithm of Bellman and Ford, which does not settle on a cycle.
+    /// The longest paths are computed by relaxation as in the Bellman-Ford algorithm, which does not converge
+    /// on a cycle.
     fn depths(&self, findings: &mut Findings) -> BTreeMap<&str, usize> {
         let names = self.groups.keys().map(String::as_str);
         let mut depths: BTreeMap<&str, usize> = names.map(|name| (name, 1)).collect();
@@ -163,7 +166,8 @@
         depths
     }
 
-    /// Makes each group at least one deeper than those it is in; returns the last one whose depth has changed.
+    /// Makes each group at least one level deeper than its parents. Returns the last group whose depth
+    /// changed.
     fn relax<'a>(&'a self, depths: &mut BTreeMap<&'a str, usize>) -> Option<&'a str> {
         let mut last_relaxed = None;
         for (name, group) in self.groups.iter().filter(|(name, _)| *name != ALL) {
@@ -179,7 +183,7 @@
         last_relaxed
     }
 
-    /// The groups of each host: those that name it, and those around these.
+    /// Returns the groups of each host: those that list it, and all their ancestors.
     fn groups_of_hosts(&self) -> BTreeMap<&str, BTreeSet<&str>> {
         let parents = self.parents();
         let mut groups_of_hosts: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
@@ -192,7 +196,7 @@
         groups_of_hosts
     }
 
-    /// The groups of which each group is a child.
+    /// Returns the parents of each group.
     fn parents(&self) -> BTreeMap<&str, Vec<&str>> {
         let mut parents: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
         for (name, group) in &self.groups {
@@ -204,7 +208,7 @@
     }
 }
 
-/// A group, those around it, and `all`.
+/// Returns a group, all its ancestors, and `all`.
 fn enclosing_groups<'a>(
     group: &'a str,
     parents: &BTreeMap<&'a str, Vec<&'a str>>,
@@ -215,14 +219,15 @@
         let is_new = enclosing.insert(group);
         let is_last_and_all = group == ALL && remaining.is_empty();
         if is_new || is_last_and_all {
-            let around = parents.get(group).into_iter().flatten();
-            remaining.extend(around.filter(|parent| !enclosing.contains(*parent)));
+            let parent_groups = parents.get(group).into_iter().flatten();
+            remaining.extend(parent_groups.filter(|parent| !enclosing.contains(*parent)));
         }
     }
     enclosing
 }
 
-/// The variables that are fields of a host. Of several names for one field the one that ranks first counts.
+/// Returns the variables that are host fields. If several variables name the same field, the name with the
+/// lowest rank takes precedence.
 fn host_fields(vars: &BTreeMap<&str, &Scalar>) -> BTreeMap<HostField, Scalar> {
     struct RankedValue<'a> {
         rank: usize,
--- a/crates/inventory/src/ansible/mod.rs
+++ b/crates/inventory/src/ansible/mod.rs
@@ -1,5 +1,5 @@
-//! Inventories as Ansible keeps them: YAML, INI and the JSON of `ansible-inventory --list`, with `group_vars` and
-//! `host_vars` beside them.
+//! Reads Ansible inventories: YAML, INI and the JSON of `ansible-inventory --list`, with the variables in
+//! `group_vars` and `host_vars` next to them.
 
 mod host_range;
 mod ini;
--- a/crates/inventory/src/ansible/yaml.rs
+++ b/crates/inventory/src/ansible/yaml.rs
@@ -1,5 +1,5 @@
-//! The YAML form, and the JSON of `ansible-inventory --list`, which is YAML too. Anchors and merge keys are resolved by the
-//! parser, within its budget.
+//! Reads Ansible's YAML format, and the JSON of `ansible-inventory --list`, which is valid YAML. The parser
+//! resolves anchors and merge keys, within its resource budget.
 
 use super::host_range::expand_host_range;
 use super::inventory::{AnsibleInventory, Vars, MAX_GROUP_DEPTH};
@@ -9,13 +9,14 @@
 use serde_saphyr::{Location, Spanned};
 use std::fmt;
 
-/// Levels of a document, of which each group takes two: guards against one that nests until the stack overflows.
+/// Maximum nesting depth of a document; each group takes two levels. Protects against nesting that overflows
+/// the stack.
 const MAX_DOCUMENT_DEPTH: usize = 2 * MAX_GROUP_DEPTH + 8;
 
-/// Entries of a map, in their order.
+/// Entries of a mapping, in document order.
 type Entries = Vec<(Spanned<String>, Spanned<Node>)>;
 
-/// A node of a document.
+/// A node of a YAML document. Scalars are kept as text.
 enum Node {
     Null,
     Scalar(String),
@@ -87,7 +88,7 @@
     }
 }
 
-/// Reads an inventory.
+/// Reads an inventory in YAML or JSON format.
 pub(crate) fn read_yaml(source: SourceText<'_>, findings: &mut Findings) -> AnsibleInventory {
     let Some(document) = parse(source, findings) else {
         return AnsibleInventory::default();
@@ -105,7 +106,7 @@
     reader.inventory
 }
 
-/// Reads the variables of a file of `group_vars` or `host_vars`.
+/// Reads the variables of a file in `group_vars` or `host_vars`.
 pub(crate) fn read_vars(source: SourceText<'_>, findings: &mut Findings) -> Vars {
     let Some(document) = parse(source, findings) else {
         return Vars::new();
@@ -121,7 +122,7 @@
     }
 }
 
-/// Parses a file; an error is reported.
+/// Parses a file. If this fails, reports an error and returns `None`.
 fn parse(source: SourceText<'_>, findings: &mut Findings) -> Option<Spanned<Node>> {
     let budget = serde_saphyr::budget! { max_depth: MAX_DOCUMENT_DEPTH };
     let options = serde_saphyr::options! { budget: budget };
@@ -139,7 +140,7 @@
     }
 }
 
-/// The first line of the parser's error, without the position that it starts with.
+/// Returns the first line of the parser's error message, without the leading position.
 fn parser_message(error: &str) -> &str {
     let first_line = error.lines().next().unwrap_or("it cannot be read");
     let message = first_line.trim_start_matches("error: ");
@@ -154,7 +155,7 @@
     source.position(number(location.line()), number(location.column()))
 }
 
-/// The variables that are scalars: lists and maps have no meaning here.
+/// Returns the variables with scalar values. Lists and mappings are ignored, since no host field takes them.
 fn scalar_vars(source: SourceText<'_>, entries: Entries) -> Vars {
     let mut vars = Vars::new();
     for (key, node) in entries {
@@ -166,11 +167,11 @@
     vars
 }
 
-/// A group whose parts are read.
+/// The group whose contents are being read.
 struct GroupScope<'a> {
     name: &'a str,
     position: SourcePosition,
-    /// Groups around it.
+    /// Number of enclosing groups.
     depth: usize,
 }
 
@@ -218,7 +219,7 @@
         }
         match node.value {
             Node::Null => {}
-            // The JSON form may give a group as the list of its hosts.
+            // The JSON format may give a group as a list of its hosts.
             Node::List(hosts) => self.read_host_list(&group, hosts),
             Node::Scalar(_) => self.report_key(node.referenced, group.name, "not a group"),
             Node::Map(parts) => {
@@ -310,7 +311,7 @@
         }
     }
 
-    /// `_meta.hostvars`, where `ansible-inventory --list` has the hosts' variables.
+    /// Reads `_meta.hostvars`, which holds the host variables in the output of `ansible-inventory --list`.
     fn read_meta(&mut self, node: Spanned<Node>) {
         let Node::Map(parts) = node.value else {
             return;
--- a/crates/inventory/src/csv_reader.rs
+++ b/crates/inventory/src/csv_reader.rs
@@ -1,4 +1,5 @@
-//! CSV as spreadsheets and tools write it: comma, semicolon or tab, quoted fields, comments, columns in any order.
+//! Reads CSV as written by spreadsheets and other tools: delimited by comma, semicolon or tab, with quoted
+//! fields, comments, and columns in any order.
 
 use crate::diagnostics::{Finding, Findings};
 use crate::field::{FieldAlias, HostField};
@@ -9,10 +10,10 @@
 use std::collections::BTreeMap;
 use streamusher_csv_quotes::find_unterminated_quote;
 
-/// Rows that start with it are comments.
+/// First byte of a comment row.
 const COMMENT: u8 = b'#';
 
-/// Reads the hosts of a file. Columns without any meaning here are named in `notes`.
+/// Reads the hosts of a CSV file. Adds a message to `notes` for each column that names no host field.
 pub(crate) fn read_csv(
     source: SourceText<'_>,
     findings: &mut Findings,
@@ -26,7 +27,7 @@
         return Vec::new();
     };
     let delimiter = detect_delimiter(heading);
-    // The parser would take all rows behind it for one field.
+    // The parser would read the rest of the file as one field.
     if let Some(opened_at) = find_unterminated_quote(text.as_bytes(), delimiter, Some(COMMENT)) {
         let position = source.position(opened_at.line, opened_at.column);
         findings.add(Finding::new(position, "a quote without its end"));
@@ -44,7 +45,8 @@
     reader.hosts
 }
 
-/// The one of comma, semicolon and tab that occurs most often outside quotes.
+/// Returns the one of comma, semicolon and tab that occurs most often outside quotes; comma in case of a tie
+/// with the others.
 fn detect_delimiter(heading: &str) -> u8 {
     let mut best = b',';
     for candidate in [b';', b'\t'] {
@@ -69,7 +71,7 @@
     count
 }
 
-/// A field's value, and the rank of the column's name: the lower one counts.
+/// Value of a field, with the rank of the column name. The lowest rank takes precedence.
 struct RankedValue {
     rank: usize,
     value: Scalar,
@@ -80,7 +82,7 @@
     delimiter: u8,
     findings: &'a mut Findings,
     notes: &'a mut Vec<String>,
-    /// The field of each column, where it has one; none before the heading was read.
+    /// Field of each column, or `None` for a column that names no field. Unset until the heading is read.
     columns: Option<Vec<Option<FieldAlias>>>,
     hosts: Vec<RawHost>,
 }
@@ -110,7 +112,7 @@
     }
 
     fn read_record(&mut self, text: &str, record: &StringRecord) {
-        // Spreadsheets leave rows of bare delimiters.
+        // Spreadsheets may write rows that contain only delimiters.
         if record.iter().all(str::is_empty) {
             return;
         }
@@ -143,7 +145,7 @@
         for (index, heading) in record.iter().enumerate() {
             match columns[index] {
                 None if !heading.is_empty() => {
-                    let note = format!("column {heading:?} means nothing here");
+                    let note = format!("column {heading:?} ignored: not a host field");
                     self.notes.push(note);
                 }
                 Some(alias) if columns[..index].contains(&Some(alias)) => {
@@ -195,7 +197,8 @@
     }
 }
 
-/// The fields of a row that are not empty. Of several columns for one field the one whose name ranks first counts.
+/// Returns the non-empty fields of a row. If several columns name the same field, the name with the lowest
+/// rank takes precedence.
 fn row_fields(
     columns: &[Option<FieldAlias>],
     record: &StringRecord,
@@ -224,7 +227,8 @@
         .collect()
 }
 
-/// Lines beyond what a position holds are not read: files are no larger than [`crate::MAX_FILE_BYTES`].
+/// Converts a line number, limiting it to the range of `u32`. Files are at most [`crate::MAX_FILE_BYTES`]
+/// long, so the limit is not reached.
 fn line_number(line: u64) -> u32 {
     u32::try_from(line).unwrap_or(u32::MAX)
 }
--- a/crates/inventory/src/diagnostics.rs
+++ b/crates/inventory/src/diagnostics.rs
@@ -1,32 +1,33 @@
-//! Errors in an inventory, each with file, line, column, host and key.
+//! Errors in an inventory, each with its file, line, column, host and key.
 
 use crate::render::render;
 use crate::source_text::{SourceFiles, SourcePosition};
 use serde::Serialize;
 use std::fmt;
 
-/// Errors that are kept: guards against a file of junk, whose errors would fill a log.
+/// Maximum number of errors that are kept. Protects the log against input that contains an error in nearly
+/// every line.
 pub const MAX_DIAGNOSTICS: usize = 100;
 
-/// One error. The names in its JSON are those of all releases.
+/// An error in an inventory. The field names of its JSON encoding are stable across releases.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Diagnostic {
-    /// The file.
+    /// Name of the file that contains the error.
     pub file: String,
-    /// The line, from 1; 0 for the file as a whole.
+    /// Line number from 1; 0 if the error concerns the file as a whole.
     pub line: u32,
-    /// The column in characters, from 1.
+    /// Column in characters, from 1.
     pub column: u32,
-    /// The host that it concerns, if any.
+    /// Name of the affected host, if any.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub host: Option<String>,
-    /// The key that it concerns, if any.
+    /// Name of the affected field, variable or group, if any.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub key: Option<String>,
-    /// What is wrong.
+    /// Description of the error.
     #[serde(rename = "why")]
     pub message: String,
-    /// How it may be corrected.
+    /// Hint on how to correct the error, if there is one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub help: Option<String>,
 }
@@ -51,18 +52,19 @@
     }
 }
 
-/// All errors of an inventory, in the order of files and positions.
+/// The errors of an inventory, sorted by file and position.
 #[derive(Clone, Debug, Default)]
 pub struct Diagnostics {
-    /// The first [`MAX_DIAGNOSTICS`] that were found.
+    /// The first [`MAX_DIAGNOSTICS`] errors in the order in which they were detected, sorted by position.
     pub list: Vec<Diagnostic>,
-    /// How many more there are.
+    /// Number of further errors that were not kept.
     pub omitted: usize,
     files: SourceFiles,
 }
 
 impl Diagnostics {
-    /// The errors as a compiler shows them: each with its line, and a mark below it.
+    /// Formats the errors in the style of a compiler, each with its source line and the invalid value
+    /// underlined.
     pub fn render(&self, use_colors: bool) -> String {
         let mut parts: Vec<String> = self
             .list
@@ -77,7 +79,7 @@
 }
 
 impl fmt::Display for Diagnostics {
-    /// One line: the first error, and how many more there are.
+    /// Writes one line: the first error and the number of further errors.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Some(first) = self.list.first() else {
             return Ok(());
@@ -92,7 +94,7 @@
 
 impl std::error::Error for Diagnostics {}
 
-/// An error as it is found.
+/// An error whose file is still given by index.
 #[derive(Debug)]
 pub(crate) struct Finding {
     position: SourcePosition,
@@ -141,7 +143,7 @@
     }
 }
 
-/// Collects errors while files are read.
+/// Collects errors while files are read and validated.
 #[derive(Debug, Default)]
 pub(crate) struct Findings {
     list: Vec<Finding>,
@@ -157,7 +159,7 @@
         self.list.push(finding);
     }
 
-    /// How many were found.
+    /// Returns the number of errors, including those that were not kept.
     pub(crate) fn count(&self) -> usize {
         self.list.len() + self.omitted
     }
@@ -166,7 +168,8 @@
         self.list.is_empty()
     }
 
-    /// All errors in order. Those of one position stay in the order in which they were found.
+    /// Sorts the errors by position. Errors at the same position stay in the order in which they were
+    /// detected.
     pub(crate) fn into_diagnostics(mut self, files: SourceFiles) -> Diagnostics {
         self.list.sort_by_key(|finding| finding.position);
         let list = self.list.into_iter();
--- a/crates/inventory/src/diff.rs
+++ b/crates/inventory/src/diff.rs
@@ -1,26 +1,26 @@
-//! The difference between two inventories.
+//! Comparison of two inventories.
 
 use crate::host::Host;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// The hosts that differ between two inventories, by their names.
+/// Names of the hosts that differ between two inventories, by kind of difference.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct InventoryDiff {
-    /// In the new inventory only.
+    /// Hosts that only the new inventory contains.
     pub added: Vec<String>,
-    /// In the old inventory only: they are drained.
+    /// Hosts that only the old inventory contains; they are drained.
     pub drained: Vec<String>,
-    /// At another address: they start anew, without warm caches.
+    /// Hosts with a new address. They are treated as newly started, with cold caches.
     pub moved: Vec<String>,
-    /// Of another weight alone.
+    /// Hosts of which only the weight changed.
     pub reweighted: Vec<String>,
-    /// In another zone or cell, or of another kind.
+    /// Hosts whose zone, cell or machine kind changed.
     pub changed: Vec<String>,
 }
 
 impl InventoryDiff {
-    /// Compares two inventories.
+    /// Compares the hosts of two inventories by name.
     pub fn between(old: &[Host], new: &[Host]) -> InventoryDiff {
         let (old, new) = (by_name(old), by_name(new));
         let mut diff = InventoryDiff::default();
@@ -34,12 +34,12 @@
         diff
     }
 
-    /// Whether the inventories are the same.
+    /// Whether the inventories have equal hosts.
     pub fn is_empty(&self) -> bool {
         *self == InventoryDiff::default()
     }
 
-    /// The list to which a host of the new inventory belongs; none where it is the same.
+    /// Returns the list that a host of the new inventory belongs to; `None` if the host is unchanged.
     #[expect(
         clippy::float_cmp,
         reason = "a weight that is read from the same text is the same number"
--- a/crates/inventory/src/field.rs
+++ b/crates/inventory/src/field.rs
@@ -1,4 +1,4 @@
-//! The fields of a host, and the names that tools give them.
+//! Host fields and the names by which inventories refer to them.
 
 /// A field of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -12,15 +12,15 @@
     Weight,
 }
 
-/// A field and its names.
+/// A field and the names under which inventories may contain it.
 struct FieldNames {
     field: HostField,
-    /// In lower case and with `_` for blanks and hyphens. The first is the field's own name; of several in one place the one
-    /// that comes first here counts.
+    /// Names in lower case, with `_` in place of spaces and hyphens. The first is the canonical name. If
+    /// several names of a field occur in one row or host, the one listed first takes precedence.
     names: &'static [&'static str],
 }
 
-/// The names that `docs/servers.md` lists.
+/// Accepted field names, as documented in `docs/servers.md`.
 const FIELD_NAMES: [FieldNames; 7] = [
     FieldNames {
         field: HostField::Name,
@@ -58,16 +58,17 @@
     },
 ];
 
-/// One of the names of a field.
+/// A field, as identified by one of its accepted names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FieldAlias {
     pub(crate) field: HostField,
-    /// Index among the field's names: the lower one counts.
+    /// Index of the name among the field's names. The lowest rank takes precedence.
     pub(crate) rank: usize,
 }
 
 impl FieldAlias {
-    /// The field that a heading or variable names.
+    /// Looks up the field by a column heading or variable name, ignoring case and treating spaces and hyphens
+    /// as `_`.
     pub(crate) fn parse(text: &str) -> Option<FieldAlias> {
         let normalized: String = text.trim().chars().map(normalized_char).collect();
         FIELD_NAMES.iter().find_map(|FieldNames { field, names }| {
@@ -81,7 +82,7 @@
 }
 
 impl HostField {
-    /// Its own name.
+    /// Returns the canonical name of the field.
     pub(crate) fn name(self) -> &'static str {
         FIELD_NAMES
             .iter()
--- a/crates/inventory/src/field_positions.rs
+++ b/crates/inventory/src/field_positions.rs
@@ -1,15 +1,16 @@
-//! Where the fields of a CSV record start, which the `csv` crate does not tell.
+//! Computes the positions at which the fields of a CSV record start, since the `csv` crate reports only that
+//! of the record.
 
 use crate::source_text::{SourcePosition, SourceText};
 
-/// The positions of a record's fields.
+/// Positions of a record and of its fields.
 pub(crate) struct FieldPositions {
     record: SourcePosition,
     fields: Vec<SourcePosition>,
 }
 
 impl FieldPositions {
-    /// Scans `text`, which starts at the record, for `field_count` fields.
+    /// Scans `text`, which starts at the record, for the positions of `field_count` fields.
     pub(crate) fn scan(
         source: SourceText<'_>,
         text: &str,
@@ -24,7 +25,7 @@
             column: 1,
             at_field_start: true,
             is_quoted: false,
-            // Comments and blank lines in front of the record belong to no field.
+            // Comments and blank lines before the record belong to no field.
             is_skipping: text.starts_with(['#', '\n', '\r']),
             field_count,
             fields: Vec::with_capacity(field_count),
@@ -40,7 +41,7 @@
         }
     }
 
-    /// The position of a field; that of the record where it has none.
+    /// Returns the position of a field, or that of the record if the record has no such field.
     pub(crate) fn field(&self, index: usize) -> SourcePosition {
         self.fields.get(index).copied().unwrap_or(self.record)
     }
@@ -52,7 +53,7 @@
     Done,
 }
 
-/// Follows the characters of a record. Quoted fields may contain line breaks.
+/// Scanner over the characters of a record. Quoted fields may contain line breaks.
 struct Scanner<'a> {
     source: SourceText<'a>,
     delimiter: char,
@@ -60,7 +61,7 @@
     column: u32,
     at_field_start: bool,
     is_quoted: bool,
-    /// In a line in front of the record.
+    /// Whether the scanner is in a comment or blank line before the record.
     is_skipping: bool,
     field_count: usize,
     fields: Vec<SourcePosition>,
--- a/crates/inventory/src/file_system.rs
+++ b/crates/inventory/src/file_system.rs
@@ -1,17 +1,18 @@
-//! Files of the operating system as a [`FileSource`].
+//! [`FileSource`] for the files of the operating system.
 
 use crate::read::{FileSource, MAX_FILE_BYTES};
 use std::fs::File;
 use std::io::{self, Read};
 use std::path::{Path, PathBuf};
 
-/// The file system.
+/// Reads inventory files from the local file system.
 #[derive(Clone, Copy, Debug)]
 pub struct FileSystem;
 
 impl FileSource for FileSystem {
     fn read(&self, path: &Path) -> io::Result<Vec<u8>> {
-        // Checked before it is opened: opening a FIFO would wait for its other end.
+        // The file type is checked before the file is opened, since opening a FIFO blocks until a writer
+        // opens it.
         if !std::fs::metadata(path)?.is_file() {
             return Err(invalid_file("not a file".to_owned()));
         }
--- a/crates/inventory/src/host.rs
+++ b/crates/inventory/src/host.rs
@@ -1,4 +1,4 @@
-//! Hosts: as they are read, and as they are once they have been validated.
+//! Host records before and after validation.
 
 use crate::field::HostField;
 use crate::source_text::Scalar;
@@ -6,41 +6,41 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The port of a host that gives none.
+/// Port of a host for which the inventory gives no port.
 pub const DEFAULT_PORT: u16 = 6_444;
 
-/// Hosts of one inventory, at most.
+/// Maximum number of hosts in one inventory.
 pub const MAX_HOSTS: usize = 100_000;
 
-/// One worker.
+/// A worker as described by an inventory.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Host {
-    /// Its name, the same everywhere.
+    /// Name of the worker, unique within an inventory.
     pub name: String,
-    /// The address at which it listens.
+    /// Address and port on which the worker listens.
     pub addr: SocketAddr,
-    /// Its zone: the building.
+    /// Zone of the worker: the building that it is in.
     pub zone: String,
-    /// Its machine kind.
+    /// Machine kind. Empty if the inventory gives none, which is valid only if the site lists no kinds.
     pub kind: String,
-    /// Its cell; 0 for none.
+    /// Cell of the worker; 0 if it belongs to no cell.
     pub cell: u32,
-    /// Its weight, above 0.
+    /// Relative weight, greater than 0; 1 if the inventory gives none.
     pub weight: f64,
 }
 
-/// A host as it was read, before validation.
+/// A host as read from a file, before validation.
 #[derive(Clone, Debug)]
 pub(crate) struct RawHost {
     pub(crate) name: Scalar,
     pub(crate) fields: BTreeMap<HostField, Scalar>,
 }
 
-/// The names that the site uses. An empty list allows any name.
+/// Names that the site allows. An empty list allows any name.
 #[derive(Clone, Debug, Default)]
 pub struct KnownNames {
-    /// Zones.
+    /// Allowed zones.
     pub zones: Vec<String>,
-    /// Machine kinds.
+    /// Allowed machine kinds.
     pub kinds: Vec<String>,
 }
--- a/crates/inventory/src/host_check.rs
+++ b/crates/inventory/src/host_check.rs
@@ -1,4 +1,5 @@
-//! Validation of hosts, each by itself and against each other. Nothing is guessed, and every error is reported.
+//! Validates each host on its own and against the other hosts. Invalid values are never corrected, and every
+//! error is reported.
 
 use crate::diagnostics::{Finding, Findings};
 use crate::field::HostField;
@@ -11,16 +12,16 @@
 const MAX_WEIGHT: f64 = 1e6;
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// The cell that stands for none.
+/// Cell number of a host that belongs to no cell.
 const NO_CELL: u32 = 0;
 
-/// A valid host and the position of its name.
+/// A host that is valid on its own, and the position of its name.
 struct CheckedHost {
     position: SourcePosition,
     host: Host,
 }
 
-/// Validates all hosts; returns those that are valid by themselves.
+/// Validates all hosts and returns those that are valid on their own.
 pub(crate) fn check_hosts(
     raw_hosts: &[RawHost],
     known: &KnownNames,
@@ -38,12 +39,12 @@
             checked.push(CheckedHost { position, host });
         }
     }
-    check_against_each_other(&checked, findings);
+    check_across_hosts(&checked, findings);
     checked.into_iter().map(|checked| checked.host).collect()
 }
 
-/// Checks that names and addresses are unique, and that a cell is in one zone.
-fn check_against_each_other(checked: &[CheckedHost], findings: &mut Findings) {
+/// Checks that names and addresses are unique, and that all hosts of a cell are in one zone.
+fn check_across_hosts(checked: &[CheckedHost], findings: &mut Findings) {
     let mut names: HashMap<&str, SourcePosition> = HashMap::new();
     let mut addresses: HashMap<SocketAddr, &str> = HashMap::new();
     let mut zones_of_cells: HashMap<u32, &str> = HashMap::new();
@@ -66,7 +67,7 @@
     }
 }
 
-/// Validates one host by itself.
+/// Validates a host on its own; returns `None` if it has any error.
 fn check_host(raw: &RawHost, known: &KnownNames, findings: &mut Findings) -> Option<Host> {
     let findings_before = findings.count();
     let mut checker = HostChecker { raw, findings };
@@ -90,14 +91,14 @@
     })
 }
 
-/// Validates the fields of one host. Where one is invalid, the error is reported and a default returned.
+/// Validates the fields of one host. For an invalid field, reports an error and returns a default.
 struct HostChecker<'a> {
     raw: &'a RawHost,
     findings: &'a mut Findings,
 }
 
 impl<'a> HostChecker<'a> {
-    /// The value of a field that is there and not empty.
+    /// Returns the value of a field; `None` if it is missing or empty.
     fn value(&self, field: HostField) -> Option<&'a Scalar> {
         let value = self.raw.fields.get(&field);
         value.filter(|value| !value.text.is_empty())
@@ -128,7 +129,8 @@
         }
     }
 
-    /// The address, or the name where there is none: there is no DNS.
+    /// Parses the address field, or the host's name if there is no address. Names are not resolved through
+    /// DNS.
     fn ip_address(&mut self) -> Option<IpAddr> {
         let address = self.value(HostField::Address);
         let value = address.unwrap_or(&self.raw.name);
@@ -186,7 +188,7 @@
         }
     }
 
-    /// The machine kind, which a host need not name where the site lists none.
+    /// Returns the machine kind. It may be missing if the site lists no kinds.
     fn kind(&mut self, known_kinds: &[String]) -> String {
         if known_kinds.is_empty() && self.value(HostField::Kind).is_none() {
             return String::new();
@@ -194,7 +196,7 @@
         self.known_name(HostField::Kind, known_kinds)
     }
 
-    /// A name that has to be there, and has to be among the known ones where there are any.
+    /// Returns a required name. It must be one of the known names, unless that list is empty.
     fn known_name(&mut self, field: HostField, known: &[String]) -> String {
         let Some(value) = self.value(field) else {
             self.report(field, self.raw.name.position, "missing".to_owned(), None);
@@ -210,7 +212,7 @@
     }
 }
 
-/// The known name that may have been meant.
+/// Returns a hint with the most similar known name, if one is similar enough.
 fn similar_name(text: &str, known: &[String]) -> Option<String> {
     let distance =
         |name: &String| strsim::damerau_levenshtein(&text.to_lowercase(), &name.to_lowercase());
--- a/crates/inventory/src/lib.rs
+++ b/crates/inventory/src/lib.rs
@@ -1,10 +1,12 @@
-//! Inventories of workers: CSV as spreadsheets write it, and YAML, INI and JSON as Ansible keeps hosts and groups.
+//! Inventories of workers in CSV as written by spreadsheets, and in the YAML, INI and JSON formats of
+//! Ansible.
 //!
-//! [`read_inventory`] reads a file and what belongs to it. Either every host is valid, or it returns [`Diagnostics`] with
-//! every error, each with its position. [`InventoryDiff`] compares two inventories, [`write_inventory`] converts one, and
-//! [`membership`] merges the inventories of several sources and drains the workers that none of them names any more.
+//! [`read_inventory`] reads an inventory file and the variable files next to it. It returns either only valid
+//! hosts, or [`Diagnostics`] with every error and its position. [`InventoryDiff`] compares two inventories,
+//! [`write_inventory`] converts an inventory to another format, and [`membership`] merges the inventories of
+//! several sources and drains workers that no source lists any longer.
 //!
-//! The crate does no I/O but in [`FileSystem`]: files come from a [`FileSource`].
+//! Only [`FileSystem`] performs I/O; all files are read through a [`FileSource`].
 //!
 //! ```
 //! use std::{io, path::{Path, PathBuf}};
--- a/crates/inventory/src/membership.rs
+++ b/crates/inventory/src/membership.rs
@@ -1,13 +1,15 @@
-//! The workers of all sources together, and their drains. No I/O; takes the current time as an argument.
+//! Merges the workers of all inventory sources and tracks which of them drain. Performs no I/O; the current
+//! time is passed in.
 //!
-//! Sources are merged by precedence: the first one that names a worker describes it. A worker that no source names any more
-//! is drained, and removed once its jobs must have ended.
+//! Sources have an order of precedence: the first source that lists a worker supplies its description. A
+//! worker that no source lists any longer is drained, and removed after the drain time, when its jobs must
+//! have ended.
 //!
-//! Invariants, asserted after each change:
-//! - the generation rises with every change and only then;
-//! - a worker is ready exactly if a source names it;
-//! - a draining worker that is named again at its address keeps its start time. One at a new address starts anew, and its
-//!   caches are cold.
+//! Invariants, the second of which is asserted after each update in debug builds:
+//! - the generation increases with every change and only then;
+//! - a worker is ready if and only if a source lists it;
+//! - a draining worker that is listed again at the same address keeps its start time. At a new address it
+//!   gets a new start time, and its caches are cold.
 
 use crate::host::Host;
 use imbl::OrdMap;
@@ -15,109 +17,112 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Microseconds, as a point in time or a span.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// Hosts of a source, by name.
+/// Hosts of one source, by name.
 type HostsByName = BTreeMap<Arc<str>, Arc<Host>>;
 
-/// What one update may do, and how long a drain lasts.
+/// Limits on a single update, and the drain time.
 #[derive(Clone, Debug)]
 pub struct MembershipPolicy {
-    /// Time from the last update that named a worker until it is removed: the longest deadline of a job.
+    /// Time between the last update that listed a worker and the worker's removal: the longest deadline of a
+    /// job.
     pub drain_us: Micros,
-    /// Fraction of a zone's ready workers that one update may drain; it always may drain one.
+    /// Maximum fraction of a zone's ready workers that one update may drain. One worker per zone may always
+    /// be drained.
     pub max_drained_fraction: f64,
-    /// Whether an update may name no worker.
+    /// Whether an update without any worker is accepted.
     pub allow_empty: bool,
 }
 
-/// Whether a worker gets work.
+/// Whether a worker receives new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerState {
-    /// It gets work.
+    /// The worker receives new work.
     Ready,
-    /// It finishes its work, since this time.
+    /// The worker finishes its current work and receives no more. Holds the time at which the drain started.
     Draining(Micros),
 }
 
-/// A worker.
+/// A worker and its membership state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerEntry {
-    /// Its description by its source.
+    /// Description from the source with the highest precedence that lists the worker.
     pub host: Arc<Host>,
-    /// Index of the source that names it.
+    /// Index of the source that supplied the description.
     pub source: usize,
-    /// Whether it gets work.
+    /// Whether the worker receives new work.
     pub state: WorkerState,
-    /// When it started, as far as known; 0 for those that were named at the start.
+    /// Time at which the worker started, as far as known; 0 for workers listed in the first update.
     pub since: Micros,
 }
 
-/// All workers at one time. A clone is cheap and never changes.
+/// An immutable snapshot of all workers. Cloning is cheap.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WorkerSet {
-    /// Rises with every change.
+    /// Version number; increases with every change.
     pub generation: u64,
-    /// The workers by name.
+    /// Workers by name.
     pub workers: OrdMap<Arc<str>, WorkerEntry>,
 }
 
-/// Why an update was rejected. The worker set stays as it was.
+/// Reason why an update was rejected. A rejected update leaves the worker set unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum UpdateRejected {
-    /// It names no worker.
-    #[error("it names nobody")]
+    /// The update lists no worker, and the policy does not allow an empty update.
+    #[error("update lists no worker")]
     Empty,
-    /// It would drain too many workers of a zone at once.
-    #[error("it would drain {drained} of {ready} workers of {zone} at once")]
+    /// The update would drain more workers of a zone than the policy allows.
+    #[error("update would drain {drained} of {ready} workers of {zone} at once")]
     TooManyDrained {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
-        /// Workers that it would drain.
+        /// Number of the zone's ready workers that the update would drain.
         drained: usize,
-        /// Ready workers of the zone.
+        /// Number of ready workers in the zone before the update.
         ready: usize,
     },
 }
 
-/// Whether an update may drain any number of workers.
+/// Whether the policy's limit on drained workers applies to an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainLimit {
-    /// No more than the policy allows.
+    /// The limit of the policy applies.
     Enforced,
-    /// Any number: an operator has confirmed it.
+    /// The limit does not apply, because an operator confirmed the update.
     Overridden,
 }
 
-/// What a source has said.
+/// The last valid update of a source, and its status.
 #[derive(Clone, Debug, Default)]
 struct SourceState {
-    /// The hosts of its last valid update.
+    /// Hosts of the last valid update.
     hosts: HostsByName,
-    /// Why its newest update is not in force, if so.
+    /// Reason why the latest update is not in effect; `None` if it is.
     stale_reason: Option<String>,
     has_reported: bool,
 }
 
-/// Ready workers of a zone, and those of them that an update would drain.
+/// Number of ready workers in a zone, and how many of them an update would drain.
 #[derive(Default)]
 struct ZoneDrain {
     drained: usize,
     ready: usize,
 }
 
-/// Merges the inventories of several sources.
+/// Merges the inventories of several sources into one worker set.
 #[derive(Clone, Debug)]
 pub struct Membership {
     policy: MembershipPolicy,
-    /// The one of highest precedence first.
+    /// Sources in order of precedence, highest first.
     sources: Vec<SourceState>,
     set: WorkerSet,
 }
 
 impl Membership {
-    /// A membership of this number of sources, none of which has reported yet. The first source takes precedence.
+    /// Creates a membership for the given number of sources, none of which has reported yet. Sources with a
+    /// lower index take precedence.
     pub fn new(policy: MembershipPolicy, source_count: usize) -> Membership {
         Membership {
             policy,
@@ -126,26 +131,27 @@
         }
     }
 
-    /// The workers.
+    /// Returns the current workers, both ready and draining.
     pub fn worker_set(&self) -> &WorkerSet {
         &self.set
     }
 
-    /// Why the newest update of a source is not in force; none if it is.
+    /// Returns the reason why the latest update of a source is not in effect; `None` if it is.
     ///
     /// # Panics
-    /// Where there is no such source.
+    /// If there is no source with this index.
     pub fn stale_reason(&self, source: usize) -> Option<&str> {
         self.sources[source].stale_reason.as_deref()
     }
 
-    /// Applies the hosts that a source names now, whole or not at all. Returns whether the workers have changed.
+    /// Replaces the hosts of a source. The update is applied as a whole or rejected. Returns whether the
+    /// worker set changed.
     ///
     /// # Errors
-    /// Where the policy forbids it.
+    /// If the update violates the policy.
     ///
     /// # Panics
-    /// Where there is no such source.
+    /// If there is no source with this index.
     pub fn update(
         &mut self,
         now: Micros,
@@ -161,7 +167,7 @@
             self.sources[source].stale_reason = Some(rejected.to_string());
             return Err(rejected);
         }
-        // The workers of the first update were there before this process: none of them is cold.
+        // Workers of the first update were running before this process started, so that none of them is cold.
         let has_any_reported = self.sources.iter().any(|source| source.has_reported);
         let started_at = if has_any_reported { now } else { 0 };
         let differing = differing_names(&self.sources[source].hosts, &hosts);
@@ -173,15 +179,15 @@
         Ok(self.reconcile(now, started_at, &differing))
     }
 
-    /// Takes note that a source could not be read or was invalid. Its last valid update stays in force.
+    /// Records that a source could not be read or was invalid. Its last valid update stays in effect.
     ///
     /// # Panics
-    /// Where there is no such source.
+    /// If there is no source with this index.
     pub fn on_source_failed(&mut self, source: usize, reason: impl Into<String>) {
         self.sources[source].stale_reason = Some(reason.into());
     }
 
-    /// Removes workers whose drain is over. Returns whether the workers have changed.
+    /// Removes workers whose drain time has passed. Returns whether the worker set changed.
     pub fn tick(&mut self, now: Micros) -> bool {
         let drain_us = self.policy.drain_us;
         let is_over =
@@ -201,7 +207,7 @@
         has_changed
     }
 
-    /// When the next drain is over.
+    /// Returns the time at which the next drain ends; `None` if no worker is draining.
     pub fn next_due(&self) -> Option<Micros> {
         let workers = self.set.workers.values();
         workers
@@ -209,7 +215,7 @@
             .min()
     }
 
-    /// Whether each worker is ready exactly if a source names it.
+    /// Checks that each worker is ready if and only if a source lists it.
     pub fn is_consistent(&self) -> bool {
         let all_named = self.sources.iter().flat_map(|source| source.hosts.keys());
         let mut all_named = all_named.into_iter();
@@ -266,7 +272,7 @@
         fraction.max(1)
     }
 
-    /// What an update of a source would drain.
+    /// Counts, per zone, the ready workers and those that the given hosts of a source would drain.
     fn drains_by_zone(&self, source: usize, hosts: &HostsByName) -> BTreeMap<&str, ZoneDrain> {
         let mut zones: BTreeMap<&str, ZoneDrain> = BTreeMap::new();
         for (name, worker) in &self.set.workers {
@@ -282,7 +288,7 @@
         zones
     }
 
-    /// Brings these workers in line with what the sources say. Returns whether any of them has changed.
+    /// Updates the named workers from the current sources. Returns whether any of them changed.
     fn reconcile(&mut self, now: Micros, started_at: Micros, names: &[Arc<str>]) -> bool {
         let mut has_changed = false;
         for name in names {
@@ -298,12 +304,12 @@
         self.set.generation += u64::from(has_changed);
         debug_assert!(
             self.is_consistent(),
-            "a worker is ready exactly if a source names it"
+            "a worker is ready if and only if a source lists it"
         );
         has_changed
     }
 
-    /// A worker by what the sources say of it; none where it stays as it is.
+    /// Computes the entry of a worker from the current sources; `None` if the entry does not change.
     fn next_entry(
         &self,
         now: Micros,
@@ -337,7 +343,7 @@
     }
 }
 
-/// When a worker's drain is over; none where it is not draining.
+/// Returns the time at which a worker's drain ends; `None` if the worker is not draining.
 fn drain_end(worker: &WorkerEntry, drain_us: Micros) -> Option<Micros> {
     match worker.state {
         WorkerState::Ready => None,
@@ -345,7 +351,8 @@
     }
 }
 
-/// The names whose hosts differ: one change among thousands costs little.
+/// Returns the names of hosts that were added, removed or changed, so that an update with few changes is
+/// cheap.
 fn differing_names(old: &HostsByName, new: &HostsByName) -> Vec<Arc<str>> {
     let added = new.keys().filter(|name| !old.contains_key(*name));
     old.keys()
--- a/crates/inventory/src/read.rs
+++ b/crates/inventory/src/read.rs
@@ -1,4 +1,4 @@
-//! Reading of an inventory from its files, and of the variables beside them.
+//! Reads an inventory file and, for Ansible formats, the `group_vars` and `host_vars` directories next to it.
 
 use crate::ansible::{read_ini, read_vars, read_yaml, AdjacentVars, Vars};
 use crate::csv_reader::read_csv;
@@ -11,39 +11,40 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The largest file that is read: guards against junk.
+/// Largest file that is read, in bytes. Larger files are rejected, which protects against reading arbitrary
+/// data.
 pub const MAX_FILE_BYTES: u64 = 16 << 20;
 
-/// Where files come from.
+/// Access to inventory files. Implementations supply the I/O, so that the rest of the crate needs none.
 pub trait FileSource {
-    /// The bytes of a file.
+    /// Reads the contents of a file.
     ///
     /// # Errors
-    /// Where it cannot be read, or is larger than [`MAX_FILE_BYTES`].
+    /// If the file cannot be read or is larger than [`MAX_FILE_BYTES`].
     fn read(&self, path: &Path) -> io::Result<Vec<u8>>;
 
-    /// The paths of files and directories in a directory; none where the directory does not exist.
+    /// Returns the paths of the files and directories in a directory; empty if the directory does not exist.
     ///
     /// # Errors
-    /// Where it cannot be read.
+    /// If the directory cannot be read.
     fn list(&self, directory: &Path) -> io::Result<Vec<PathBuf>>;
 }
 
-/// A valid inventory.
+/// The contents of an inventory that passed validation.
 #[derive(Clone, Debug)]
 pub struct Inventory {
-    /// Its hosts, sorted by name.
+    /// Hosts, sorted by name.
     pub hosts: Vec<Host>,
-    /// What the files contain without any meaning here.
+    /// Messages about content that was ignored, such as columns that name no host field.
     pub notes: Vec<String>,
-    /// The BLAKE3 hash of all files that were read, with their names.
+    /// BLAKE3 hash over the names and contents of all files that were read.
     pub hash: [u8; 32],
 }
 
-/// Reads an inventory with `group_vars` and `host_vars` beside it, and validates all of it.
+/// Reads an inventory and the `group_vars` and `host_vars` directories next to it, and validates all of it.
 ///
 /// # Errors
-/// All errors, where there is any: an inventory is used whole or not at all.
+/// If there is any error. Returns every error found; a partially valid inventory is never returned.
 pub fn read_inventory(
     source: &impl FileSource,
     path: &Path,
@@ -69,18 +70,18 @@
     })
 }
 
-/// The formats of inventories.
+/// Input format of an inventory file.
 enum InputFormat {
-    /// Rows with a heading.
+    /// Delimited rows below a heading row.
     Csv,
-    /// Ansible's YAML, and its JSON.
+    /// Ansible's YAML format, or the JSON of `ansible-inventory --list`.
     Yaml,
-    /// Ansible's INI.
+    /// Ansible's INI format.
     Ini,
 }
 
 impl InputFormat {
-    /// The format of a file: by its extension, or by how it starts.
+    /// Selects the format by the file's extension, or by its first line if the extension is not known.
     fn detect(path: &Path, text: &str) -> InputFormat {
         let extension = path.extension().and_then(|extension| extension.to_str());
         match extension.map(str::to_ascii_lowercase).as_deref() {
@@ -109,12 +110,12 @@
 
 /// A file of `group_vars` or `host_vars`.
 struct VarsFile {
-    /// The group or host whose variables it holds.
+    /// Name of the group or host to which the variables belong.
     owner: String,
     path: PathBuf,
 }
 
-/// What one reading of an inventory collects.
+/// State that accumulates while an inventory is read.
 struct InventoryReader<'a, S> {
     source: &'a S,
     files: SourceFiles,
@@ -142,7 +143,7 @@
         inventory.resolve(&adjacent, &mut self.findings)
     }
 
-    /// The variables in `group_vars` or `host_vars`, by group or host.
+    /// Reads the variables in a `group_vars` or `host_vars` directory, by name of the group or host.
     fn read_vars_directory(&mut self, directory: &Path) -> BTreeMap<String, Vars> {
         let mut by_owner: BTreeMap<String, Vars> = BTreeMap::new();
         for VarsFile { owner, path } in self.list_vars_files(directory) {
@@ -154,7 +155,8 @@
         by_owner
     }
 
-    /// The files in `group_vars` or `host_vars`, in order: `NAME`, `NAME.yml` and the like, or any in a directory `NAME`.
+    /// Lists the files in a `group_vars` or `host_vars` directory in the order in which they are applied:
+    /// `NAME`, `NAME.yml`, `NAME.yaml`, `NAME.json`, or every file in a directory `NAME`.
     fn list_vars_files(&mut self, directory: &Path) -> Vec<VarsFile> {
         let mut files = Vec::new();
         for path in self.list_visible(directory) {
@@ -176,7 +178,7 @@
         files
     }
 
-    /// The paths in a directory that are not hidden, sorted.
+    /// Lists the paths in a directory, sorted, without those whose name starts with a dot.
     fn list_visible(&mut self, directory: &Path) -> Vec<PathBuf> {
         let mut paths = self.source.list(directory).unwrap_or_else(|error| {
             let message = format!("{}: {error}", directory.display());
@@ -189,7 +191,7 @@
         paths
     }
 
-    /// Reads one file as text.
+    /// Reads a file as text. If this fails, reports an error and returns `None`.
     fn read_file(&mut self, path: &Path) -> Option<FileId> {
         let name = path.display().to_string();
         match self.read_text(path, &name) {
@@ -222,7 +224,7 @@
     }
 }
 
-/// Why a file cannot be read as text.
+/// Reason why a file cannot be read as text.
 #[derive(Debug, Error)]
 enum FileError {
     #[error(transparent)]
--- a/crates/inventory/src/render.rs
+++ b/crates/inventory/src/render.rs
@@ -1,13 +1,13 @@
-//! Errors as a compiler shows them.
+//! Formats errors in the style of a compiler.
 
 use crate::diagnostics::Diagnostic;
 use annotate_snippets::{AnnotationKind, Level, Renderer, Snippet};
 use std::ops::Range;
 
-/// Characters that end the word that is marked.
+/// Characters that end the underlined word.
 const WORD_ENDS: [char; 7] = [' ', ',', ';', '\t', ':', '\r', '#'];
 
-/// An error with its line of `text`, and a mark below it.
+/// Formats an error with its line of `text`, and the word at its position underlined.
 pub(crate) fn render(diagnostic: &Diagnostic, text: &str, use_colors: bool) -> String {
     if diagnostic.line == 0 {
         return format!("error: {diagnostic}");
@@ -38,7 +38,7 @@
     parts.join(": ")
 }
 
-/// The bytes of the word at a position.
+/// Returns the byte range of the word at a position.
 fn word_at(text: &str, line: u32, column: u32) -> Range<usize> {
     let line_start: usize = text
         .split_inclusive('\n')
@@ -52,7 +52,7 @@
         .map_or(line_text.len(), |(index, _)| index);
     let rest = &line_text[word_start..];
     let length = match rest.find(WORD_ENDS).unwrap_or(rest.len()) {
-        // The position is that of a separator.
+        // The position is at one of `WORD_ENDS`: underline that character.
         0 => rest.chars().next().map_or(0, char::len_utf8),
         length => length,
     };
--- a/crates/inventory/src/source_text.rs
+++ b/crates/inventory/src/source_text.rs
@@ -1,27 +1,27 @@
-//! The texts of the files that are read, and positions in them.
+//! Contents of the files that were read, and positions within them.
 
-/// Number of a file among those that are read.
+/// Index of a file in [`SourceFiles`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct FileId(usize);
 
-/// A position in a file. Positions are ordered by file, line and column.
+/// A position in a file. Positions are ordered by file, then line, then column.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SourcePosition {
     pub(crate) file: FileId,
-    /// From 1; 0 for the file as a whole.
+    /// Line number from 1; 0 stands for the file as a whole.
     pub(crate) line: u32,
-    /// In characters, from 1.
+    /// Column in characters, from 1.
     pub(crate) column: u32,
 }
 
-/// A value and its position.
+/// A value as text, with its position in the file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Scalar {
     pub(crate) text: String,
     pub(crate) position: SourcePosition,
 }
 
-/// The text of one file.
+/// The contents of one file.
 #[derive(Clone, Copy)]
 pub(crate) struct SourceText<'a> {
     pub(crate) file: FileId,
@@ -29,7 +29,7 @@
 }
 
 impl<'a> SourceText<'a> {
-    /// A position in this file.
+    /// Returns a position in this file.
     pub(crate) fn position(&self, line: u32, column: u32) -> SourcePosition {
         SourcePosition {
             file: self.file,
@@ -38,13 +38,13 @@
         }
     }
 
-    /// The text without its byte order mark.
+    /// Returns the text without a leading byte order mark.
     pub(crate) fn without_byte_order_mark(&self) -> &'a str {
         self.text.strip_prefix('\u{feff}').unwrap_or(self.text)
     }
 }
 
-/// The files that were read.
+/// Names and contents of all files that were read.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SourceFiles {
     files: Vec<SourceFile>,
@@ -57,7 +57,7 @@
 }
 
 impl SourceFiles {
-    /// Adds a file.
+    /// Adds a file and returns its index.
     pub(crate) fn add(&mut self, name: &str, text: String) -> FileId {
         let id = FileId(self.files.len());
         self.files.push(SourceFile {
@@ -67,18 +67,18 @@
         id
     }
 
-    /// The text of a file.
+    /// Returns the contents of a file; empty for an unknown index.
     pub(crate) fn source_text(&self, file: FileId) -> SourceText<'_> {
         let text = self.files.get(file.0).map_or("", |file| &*file.text);
         SourceText { file, text }
     }
 
-    /// The name of a file.
+    /// Returns the name of a file; empty for an unknown index.
     pub(crate) fn name(&self, file: FileId) -> &str {
         self.files.get(file.0).map_or("", |file| &*file.name)
     }
 
-    /// The text of the first file of this name.
+    /// Returns the contents of the first file with this name; empty if there is none.
     pub(crate) fn text_of(&self, name: &str) -> &str {
         let file = self.files.iter().find(|file| file.name == name);
         file.map_or("", |file| &*file.text)
--- a/crates/inventory/src/write.rs
+++ b/crates/inventory/src/write.rs
@@ -1,9 +1,10 @@
-//! Inventories as text, in each format that is read, without loss.
+//! Serialization of inventories in each of the supported formats. Reading the output back gives the same
+//! hosts.
 
 use crate::host::Host;
 use serde_json::{json, Map, Value};
 
-/// The formats that are written.
+/// Output formats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutputFormat {
     /// Comma-separated rows with a heading.
@@ -16,7 +17,7 @@
     Json,
 }
 
-/// The text of an inventory.
+/// Serializes an inventory in the given format.
 pub fn write_inventory(hosts: &[Host], format: OutputFormat) -> String {
     match format {
         OutputFormat::Csv => write_csv(hosts).unwrap_or_default(),
@@ -26,7 +27,7 @@
     }
 }
 
-/// The rows; none where the writer fails, which writing to memory does not.
+/// Returns the CSV text, or `None` if the writer fails, which does not happen when it writes to memory.
 fn write_csv(hosts: &[Host]) -> Option<String> {
     let mut writer = csv::Writer::from_writer(Vec::new());
     let heading = ["name", "address", "port", "zone", "kind", "cell", "weight"];
@@ -63,7 +64,7 @@
     )
 }
 
-/// A text quoted as in JSON, which YAML reads the same.
+/// Quotes a text as a JSON string, which YAML parses identically.
 fn json_quoted(text: &str) -> String {
     serde_json::to_string(text).unwrap_or_default()
 }
@@ -78,7 +79,8 @@
     )
 }
 
-/// A text quoted as for a shell: in single quotes it is taken literally.
+/// Quotes a text as in a shell. Single quotes are used, since the text between them is literal, unless the
+/// text contains one itself.
 fn shell_quoted(text: &str) -> String {
     if text.contains('\'') {
         format!("\"{text}\"")
