--- a/crates/csv-quotes/src/lib.rs
+++ b/crates/csv-quotes/src/lib.rs
@@ -1,9 +1,10 @@
-//! Finds the unterminated quote of a CSV text.
+//! Detects unterminated quotes in CSV text.
 //!
-//! The `csv` crate takes a quote that is never closed for one field up to the end of the text: it swallows all rows behind
-//! it and reports no error, and its public interface does not tell that this happened. [`QuoteTracker`] follows the same
-//! grammar byte by byte, in constant memory, and knows where the quote was opened. Use [`find_unterminated_quote`] for a text
-//! in memory, and [`TrackedReader`] for one that another parser reads from a stream.
+//! The `csv` crate reads a quoted field that is never closed as one field up to the end of the text. It
+//! consumes all rows after the quote without reporting an error, and its public interface does not expose
+//! this condition. [`QuoteTracker`] follows the same grammar byte by byte, in constant memory, and records
+//! where the quote was opened. Use [`find_unterminated_quote`] for a text in memory, and [`TrackedReader`]
+//! for one that another parser reads from a stream.
 //!
 //! ```
 //! use streamusher_csv_quotes::{find_unterminated_quote, TextPosition};
--- a/crates/csv-quotes/src/reader.rs
+++ b/crates/csv-quotes/src/reader.rs
@@ -1,13 +1,13 @@
-//! Tracking of a stream that another parser reads.
+//! Tracks quotes in a stream while another parser reads it.
 
 use crate::tracker::QuoteTracker;
 use std::cell::RefCell;
 use std::io::{self, Read};
 use std::rc::Rc;
 
-/// Reads from another reader, and feeds all that is read to a [`QuoteTracker`].
+/// Reader that passes all bytes read from an inner reader to a [`QuoteTracker`].
 ///
-/// The tracker is shared, as a CSV parser takes ownership of its reader:
+/// The tracker is reference-counted, since a CSV parser takes ownership of its reader:
 ///
 /// ```
 /// use std::io::Read;
@@ -24,7 +24,8 @@
 }
 
 impl<R: Read> TrackedReader<R> {
-    /// Wraps a reader. The tracker tells of an unterminated quote once all is read.
+    /// Wraps a reader and also returns its tracker, which reports an unterminated quote once the whole stream
+    /// is read.
     pub fn new(inner: R, tracker: QuoteTracker) -> (TrackedReader<R>, Rc<RefCell<QuoteTracker>>) {
         let tracker = Rc::new(RefCell::new(tracker));
         let reader = TrackedReader {
--- a/crates/csv-quotes/src/tracker.rs
+++ b/crates/csv-quotes/src/tracker.rs
@@ -1,38 +1,39 @@
-//! The state machine that follows the quotes of a CSV text.
+//! State machine that tracks the quotes of a CSV text.
 
 /// A position in a text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TextPosition {
-    /// The line, from 1.
+    /// Line number from 1.
     pub line: u32,
     /// The column in characters, from 1.
     pub column: u32,
 }
 
-/// Where in the grammar the next byte stands.
+/// Position in the CSV grammar, before the next byte.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// At the start of a row, where a comment may start as well.
+    /// At the start of a row, where a comment may start.
     RowStart,
-    /// In a comment, up to the line feed.
+    /// In a comment, which ends at the line feed.
     Comment,
-    /// At the start of a field: only here does a quote open a quoted field.
+    /// At the start of a field. A quote opens a quoted field only here and at the start of a row.
     FieldStart,
-    /// In a field without quotes, or behind the closing quote of a field.
+    /// In an unquoted field, or after the closing quote of a field.
     Unquoted,
     /// In a quoted field.
     Quoted {
         /// Position of the opening quote.
         opened_at: TextPosition,
     },
-    /// Behind a quote within a quoted field: it closes the field, or is the first one of an escaped quote.
+    /// After a quote within a quoted field: it either closes the field or is the first byte of an escaped
+    /// quote.
     QuoteInQuoted {
         /// Position of the opening quote.
         opened_at: TextPosition,
     },
 }
 
-/// Follows a CSV text byte by byte.
+/// Tracks the quotes of a CSV text byte by byte.
 #[derive(Clone)]
 pub struct QuoteTracker {
     delimiter: u8,
@@ -43,7 +44,8 @@
 }
 
 impl QuoteTracker {
-    /// A tracker at the start of a text with this delimiter. Rows that start with the byte `comment` are comments.
+    /// Creates a tracker for a text with this delimiter. Rows that start with the byte `comment` are
+    /// comments.
     pub fn new(delimiter: u8, comment: Option<u8>) -> QuoteTracker {
         QuoteTracker {
             delimiter,
@@ -53,20 +55,20 @@
         }
     }
 
-    /// Takes the next byte of the text.
+    /// Processes the next byte of the text.
     pub fn feed(&mut self, byte: u8) {
         self.state = self.next_state(byte);
         self.advance(byte);
     }
 
-    /// Takes the next bytes of the text.
+    /// Processes the next bytes of the text.
     pub fn feed_all(&mut self, bytes: &[u8]) {
         for byte in bytes {
             self.feed(*byte);
         }
     }
 
-    /// Where the quote was opened within which the text taken so far ends.
+    /// Returns the position of the opening quote if the text processed so far ends within a quoted field.
     pub fn unterminated_quote(&self) -> Option<TextPosition> {
         match self.state {
             State::Quoted { opened_at } => Some(opened_at),
@@ -98,14 +100,14 @@
                     column: 1,
                 }
             }
-            // A continuation byte of a UTF-8 character.
+            // Continuation bytes of a UTF-8 character do not count as columns.
             0x80..=0xbf => {}
             _ => self.position.column += 1,
         }
     }
 }
 
-/// Where a text opens a quote that it never closes.
+/// Returns the position of the opening quote if the text ends within a quoted field.
 pub fn find_unterminated_quote(
     text: &[u8],
     delimiter: u8,
