--- a/crates/inventory/benches/inventory.rs
+++ b/crates/inventory/benches/inventory.rs
@@ -1,4 +1,5 @@
-//! Reading of 5,000 hosts in each format, and the cost of a change: of 1 worker, and of all of them.
+//! Time to read 5,000 hosts in each format, and time to apply an update that changes one worker or all of
+//! them.
 //!
 //! `cargo bench -p streamusher-inventory`
 
--- a/crates/inventory/src/ansible/inventory.rs
+++ b/crates/inventory/src/ansible/inventory.rs
@@ -140,8 +140,8 @@
             .unwrap_or(DEFAULT_PRIORITY)
     }
 
-    /// Computes the depth of each group below `all` as the length of the longest path to it. Reports a cycle,
-    /// and omits groups deeper than the limit.
+    /// Computes the depth of each group below `all` as the length of the longest path to it. Reports a cycle
+    /// or excessive nesting; its groups, whose depth exceeds the limit, are omitted.
     ///
     /// The longest paths are computed by relaxation as in the Bellman-Ford algorithm, which does not converge
     /// on a cycle.
--- a/crates/inventory/src/csv_reader.rs
+++ b/crates/inventory/src/csv_reader.rs
@@ -45,8 +45,8 @@
     reader.hosts
 }
 
-/// Returns the one of comma, semicolon and tab that occurs most often outside quotes; comma in case of a tie
-/// with the others.
+/// Returns the one of comma, semicolon and tab that occurs most often outside quotes. Ties are resolved in
+/// this order.
 fn detect_delimiter(heading: &str) -> u8 {
     let mut best = b',';
     for candidate in [b';', b'\t'] {
--- a/crates/inventory/tests/encoded.rs
+++ b/crates/inventory/tests/encoded.rs
@@ -1,7 +1,8 @@
-//! Encoded forms, byte for byte: inventories as they are written, and the JSON of hosts, differences and errors.
+//! Encoded forms, byte for byte: inventories in each output format, and the JSON of hosts, differences and
+//! errors.
 //!
-//! Operators keep these files and programs read `servers ... --json`. The fixtures were written by an earlier release; they
-//! are never written anew.
+//! Operators store these files, and programs parse the output of `servers ... --json`. The fixtures were
+//! written by an earlier release and are never regenerated.
 
 #![allow(
     clippy::expect_used,
@@ -21,7 +22,7 @@
 const HOSTS_JSON: &str = include_str!("fixtures/encoded/hosts.json");
 const REPORTS: &str = include_str!("fixtures/encoded/reports.jsonl");
 
-/// One file in memory.
+/// File source with one file in memory, which is returned for every path.
 struct OneFile(&'static str);
 
 impl FileSource for OneFile {
--- a/crates/inventory/tests/formats.rs
+++ b/crates/inventory/tests/formats.rs
@@ -1,4 +1,4 @@
-//! Inventories, valid and invalid, as tools write them: each with the expected hosts or errors.
+//! Valid and invalid inventories in the formats that other tools write, with the expected hosts or errors.
 
 #![allow(
     clippy::expect_used,
@@ -17,7 +17,7 @@
     InventoryDiff, KnownNames, OutputFormat,
 };
 
-/// Files in memory.
+/// File source with files in memory.
 struct Files(BTreeMap<PathBuf, Vec<u8>>);
 
 impl Files {
@@ -39,12 +39,14 @@
             .ok_or_else(|| io::Error::new(io::ErrorKind::NotFound, "no such file"))
     }
 
-    fn list(&self, dir: &Path) -> io::Result<Vec<PathBuf>> {
-        let inside = |p: &PathBuf| Some(dir.join(p.strip_prefix(dir).ok()?.components().next()?));
+    fn list(&self, directory: &Path) -> io::Result<Vec<PathBuf>> {
+        let inside = |path: &PathBuf| {
+            Some(directory.join(path.strip_prefix(directory).ok()?.components().next()?))
+        };
         let mut all: Vec<PathBuf> = self
             .0
             .keys()
-            .filter(|p| *p != dir)
+            .filter(|path| *path != directory)
             .filter_map(inside)
             .collect();
         all.dedup();
@@ -106,7 +108,8 @@
         ("d/host_vars/c.yml", "weight: 10\nlist: [1, 2]\n"),
     ];
     let inventory = read_files(&files).unwrap_or_else(|errors| panic!("{}", errors.render(false)));
-    // Group variables of the inventory, then group_vars, then the host's own, then host_vars.
+    // Expected order of precedence: group variables in the inventory, group_vars, host variables in the
+    // inventory, host_vars.
     assert_eq!(
         summaries(&inventory.hosts),
         [
@@ -144,34 +147,34 @@
 const HEAD: &str = "name,address,zone,kind,cell,weight,port\n";
 
 #[rstest]
-#[case::no_building("a.csv", &format!("{HEAD}core-1,10.0.0.1,,standard,,,\n"), &["a.csv:2:1: host core-1: zone: missing"])]
+#[case::missing_zone("a.csv", &format!("{HEAD}core-1,10.0.0.1,,standard,,,\n"), &["a.csv:2:1: host core-1: zone: missing"])]
 #[case::unknown_kind("a.csv", &format!("{HEAD}core-1,10.0.0.1,north-yard,standart,,,\n"), &["a.csv:2:28: host core-1: kind: unknown: \"standart\" (did you mean \"standard\"?)"])]
-#[case::far_off("a.csv", &format!("{HEAD}core-1,10.0.0.1,north-yard,vax,,,\n"), &["a.csv:2:28: host core-1: kind: unknown: \"vax\""])]
+#[case::no_similar_kind("a.csv", &format!("{HEAD}core-1,10.0.0.1,north-yard,vax,,,\n"), &["a.csv:2:28: host core-1: kind: unknown: \"vax\""])]
 #[case::weight("a.csv", &format!("{HEAD}core-1,10.0.0.1,north-yard,older,,\"1,5\",\n"), &["a.csv:2:35: host core-1: weight: not a number above 0: \"1,5\" (a decimal point is wanted)"])]
 #[case::port("a.csv", &format!("{HEAD}core-1,10.0.0.1,north-yard,older,,,70000\n"), &["a.csv:2:36: host core-1: port: not a port, 1 to 65535: \"70000\""])]
-#[case::twice("a.csv", &format!("{HEAD}a,10.0.0.1,north-yard,older,,,\na,10.0.0.2,north-yard,older,,,\n"), &["a.csv:3:1: host a: named twice, first in line 2"])]
-#[case::one_address("a.csv", &format!("{HEAD}a,10.0.0.1,north-yard,older,,,\nb,10.0.0.1,north-yard,older,,,\n"), &["a.csv:3:1: host b: address: 10.0.0.1:6444 is the address of a too"])]
-#[case::cell("a.csv", &format!("{HEAD}a,10.0.0.1,north-yard,older,4,,\nb,10.0.0.2,pump-house,older,4,,\n"), &["a.csv:3:1: host b: cell: cell 4 is in north-yard and in pump-house"])]
-#[case::all_of_them("a.csv", &format!("{HEAD}a,10.0.0,north-yard,older,x,-1,\n,10.0.0.2,pump-house,older,,,\nb,10.0.0.2,pump-huose,older,,,\n"), &[
+#[case::duplicate_name("a.csv", &format!("{HEAD}a,10.0.0.1,north-yard,older,,,\na,10.0.0.2,north-yard,older,,,\n"), &["a.csv:3:1: host a: named twice, first in line 2"])]
+#[case::duplicate_address("a.csv", &format!("{HEAD}a,10.0.0.1,north-yard,older,,,\nb,10.0.0.1,north-yard,older,,,\n"), &["a.csv:3:1: host b: address: 10.0.0.1:6444 is the address of a too"])]
+#[case::cell_in_two_zones("a.csv", &format!("{HEAD}a,10.0.0.1,north-yard,older,4,,\nb,10.0.0.2,pump-house,older,4,,\n"), &["a.csv:3:1: host b: cell: cell 4 is in north-yard and in pump-house"])]
+#[case::several_errors("a.csv", &format!("{HEAD}a,10.0.0,north-yard,older,x,-1,\n,10.0.0.2,pump-house,older,,,\nb,10.0.0.2,pump-huose,older,,,\n"), &[
     "a.csv:2:3: host a: address: not an IP address: \"10.0.0\"",
     "a.csv:2:27: host a: cell: not a whole number: \"x\"",
     "a.csv:2:29: host a: weight: not a number above 0: \"-1\"",
     "a.csv:3:1: name: a row without a name",
     "a.csv:4:12: host b: zone: unknown: \"pump-huose\" (did you mean \"pump-house\"?)",
 ])]
-#[case::behind_a_break_in_quotes("a.csv", "note,name,address,zone,kind\n\"two\nlines\",a,10.0.0.1,north-yard,odd\n", &["a.csv:3:30: host a: kind: unknown: \"odd\""])]
-#[case::open_quote("a.csv", &format!("{HEAD}a,10.0.0.1,north-yard,\"older,,,\nb,10.0.0.2,pump-house,older,,,\n"), &["a.csv:2:23: a quote without its end"])]
+#[case::after_quoted_line_break("a.csv", "note,name,address,zone,kind\n\"two\nlines\",a,10.0.0.1,north-yard,odd\n", &["a.csv:3:30: host a: kind: unknown: \"odd\""])]
+#[case::unterminated_quote("a.csv", &format!("{HEAD}a,10.0.0.1,north-yard,\"older,,,\nb,10.0.0.2,pump-house,older,,,\n"), &["a.csv:2:23: a quote without its end"])]
 #[case::too_many_fields("a.csv", "name,zone\na,north-yard,x\n", &["a.csv:2:14: 3 fields, and the heading has 2"])]
 #[case::no_name_column("a.csv", "zone,kind\nnorth-yard,older\n", &["a.csv:1:1: name: no such column in the heading", "a.csv:2:1: name: a row without a name"])]
-#[case::yaml_place("a.yml", "all:\n  hosts:\n    a:\n      ansible_host: 10.0.0.1\n      zone: north-yard\n      kind: standard\n      weight: heavy\n", &["a.yml:7:15: host a: weight: not a number above 0: \"heavy\""])]
-#[case::ini_place("hosts", "[yard]\na ansible_host=10.0.0.1 zone=north-yard kind=older weight=0\nb oops\n", &[
+#[case::yaml_position("a.yml", "all:\n  hosts:\n    a:\n      ansible_host: 10.0.0.1\n      zone: north-yard\n      kind: standard\n      weight: heavy\n", &["a.yml:7:15: host a: weight: not a number above 0: \"heavy\""])]
+#[case::ini_position("hosts", "[yard]\na ansible_host=10.0.0.1 zone=north-yard kind=older weight=0\nb oops\n", &[
     "hosts:2:59: host a: weight: not a number above 0: \"0\"",
     "hosts:3:1: host b: zone: missing",
     "hosts:3:1: host b: kind: missing",
     "hosts:3:1: host b: address: not an IP address: \"b\" (without an address the name has to be one)",
     "hosts:3:3: host b: not key=value: \"oops\"",
 ])]
-#[case::circle("a.yml", "a:\n  children: {b: }\nb:\n  children: {a: }\n", &["a.yml:1:1: a: it is inside itself, or more than 16 groups deep"])]
+#[case::group_cycle("a.yml", "a:\n  children: {b: }\nb:\n  children: {a: }\n", &["a.yml:1:1: a: it is inside itself, or more than 16 groups deep"])]
 #[case::unknown_part("a.yml", "all:\n  host: {}\n", &["a.yml:2:3: host: neither hosts, children nor vars"])]
 fn every_error_is_reported_with_its_position(
     #[case] name: &str,
@@ -181,36 +184,36 @@
     let errors = read_files(&[(name, text)]).expect_err("errors");
     let mut lines: Vec<String> = errors.list.iter().map(ToString::to_string).collect();
     let mut expected: Vec<String> = expected.iter().map(ToString::to_string).collect();
-    // Errors at one position come in any order.
+    // Errors at the same position may be reported in any order.
     lines.sort();
     expected.sort();
     assert_eq!(lines, expected);
 }
 
 #[test]
-fn error_is_rendered_with_its_line_and_a_mark() {
+fn rendered_error_underlines_the_invalid_value() {
     let text = format!("{HEAD}core-1,10.0.0.1,north-yard,standart,,,\n");
     let rendered = read_files(&[("a.csv", &text)]).unwrap_err().render(false);
-    let wanted = [
+    let expected = [
         "error: host core-1: kind: unknown: \"standart\"",
         " --> a.csv:2:28",
         "2 | core-1,10.0.0.1,north-yard,standart,,,",
         "  |                            ^^^^^^^^ did you mean \"standard\"?",
     ];
-    for line in wanted {
+    for line in expected {
         assert!(rendered.contains(line), "{rendered}");
     }
 }
 
 #[rstest]
-#[case::nest("a.yml", &(0..200).map(|n| format!("{}g{n}:\n{}children:\n", " ".repeat(n * 4), " ".repeat(n * 4 + 2))).collect::<String>())]
-#[case::bomb("a.yml", &format!("a: &a [x,x,x,x,x,x,x,x,x]\n{}", (b'b'..=b'l').map(|c| format!("{0}: &{0} [{1}]\n", char::from(c), vec![format!("*{}", char::from(c - 1)); 9].join(","))).collect::<String>()))]
+#[case::deep_nesting("a.yml", &(0..200).map(|n| format!("{}g{n}:\n{}children:\n", " ".repeat(n * 4), " ".repeat(n * 4 + 2))).collect::<String>())]
+#[case::alias_expansion("a.yml", &format!("a: &a [x,x,x,x,x,x,x,x,x]\n{}", (b'b'..=b'l').map(|c| format!("{0}: &{0} [{1}]\n", char::from(c), vec![format!("*{}", char::from(c - 1)); 9].join(","))).collect::<String>()))]
 #[case::broken_yaml("a.yml", "all: {hosts: [a\n")]
 #[case::not_a_map("a.yml", "- a\n- b\n")]
 #[case::scalar_group("a.yml", "all: 7\n")]
-#[case::control("a.csv", "name,zone\n\u{1},north-yard\n")]
-#[case::quote("hosts", "a zone='north-yard\n")]
-#[case::heading("hosts", "[yard\n")]
+#[case::control_character("a.csv", "name,zone\n\u{1},north-yard\n")]
+#[case::unterminated_quote("hosts", "a zone='north-yard\n")]
+#[case::unterminated_heading("hosts", "[yard\n")]
 #[case::junk("a.csv", &"\u{7f}\"x,".repeat(300_000))]
 fn malformed_input_is_rejected(#[case] name: &str, #[case] text: &str) {
     let errors = read_files(&[(name, text)]).expect_err("errors");
@@ -232,19 +235,19 @@
 }
 
 #[test]
-fn diff_tells_what_a_change_means() {
+fn diff_classifies_changed_hosts() {
     let old = read_files(&[("a.csv", &format!("{HEAD}a,10.0.0.1,north-yard,older,,,\nb,10.0.0.2,north-yard,older,,,\nc,10.0.0.3,north-yard,older,,,\nd,10.0.0.4,north-yard,older,,,\n"))]).unwrap();
     let new = read_files(&[("a.csv", &format!("{HEAD}a,10.0.0.1,north-yard,older,,2,\nb,10.0.0.9,north-yard,older,,,\nc,10.0.0.3,pump-house,older,,,\ne,10.0.0.5,north-yard,older,,,\n"))]).unwrap();
     let diff = InventoryDiff::between(&old.hosts, &new.hosts);
-    let names = |n: &[&str]| n.iter().map(ToString::to_string).collect::<Vec<_>>();
-    let wanted = InventoryDiff {
+    let names = |names: &[&str]| names.iter().map(ToString::to_string).collect::<Vec<_>>();
+    let expected = InventoryDiff {
         added: names(&["e"]),
         drained: names(&["d"]),
         moved: names(&["b"]),
         reweighted: names(&["a"]),
         changed: names(&["c"]),
     };
-    assert_eq!(diff, wanted);
+    assert_eq!(diff, expected);
     assert!(InventoryDiff::between(&new.hosts, &new.hosts).is_empty());
     assert_ne!(old.hash, new.hash);
 }
@@ -261,11 +264,11 @@
         1u32..4_000,
     );
     prop::collection::vec(one, 0..20).prop_map(|all| {
-        let host = |(n, (ip, port, zone, kind, cell, weight)): (usize, HostParts)| {
+        let host = |(number, (ip, port, zone, kind, cell, weight)): (usize, HostParts)| {
             Host {
-                name: format!("core-{n:02}"),
+                name: format!("core-{number:02}"),
                 addr: (ip, port).into(),
-                // A cell is in one zone.
+                // All hosts of a cell must be in one zone.
                 zone: if cell == 0 {
                     zone.trim().to_string()
                 } else {
@@ -287,12 +290,12 @@
     #![proptest_config(ProptestConfig { cases: 64, ..ProptestConfig::default() })]
     #[test]
     fn written_inventory_is_read_back_the_same(hosts in hosts()) {
-        for (to, name) in [(OutputFormat::Csv, "a.csv"), (OutputFormat::Yaml, "a.yml"), (OutputFormat::Ini, "a.ini"), (OutputFormat::Json, "a.json")] {
-            let text = write_inventory(&hosts, to);
+        for (format, name) in [(OutputFormat::Csv, "a.csv"), (OutputFormat::Yaml, "a.yml"), (OutputFormat::Ini, "a.ini"), (OutputFormat::Json, "a.json")] {
+            let text = write_inventory(&hosts, format);
             let files = Files::new(&[(name, &text)]);
-            let back = read_inventory(&files, Path::new(name), &KnownNames::default());
-            let back = back.map_err(|p| TestCaseError::fail(format!("{text}\n{}", p.render(false))))?;
-            prop_assert_eq!(&back.hosts, &hosts, "{}", text);
+            let result = read_inventory(&files, Path::new(name), &KnownNames::default());
+            let inventory = result.map_err(|errors| TestCaseError::fail(format!("{text}\n{}", errors.render(false))))?;
+            prop_assert_eq!(&inventory.hosts, &hosts, "{}", text);
         }
     }
 
--- a/crates/inventory/tests/membership.rs
+++ b/crates/inventory/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Membership: drains, returns, restarts, precedence and rejected updates, by example and against a simple model.
+//! Membership: drains, returns, restarts, precedence and rejected updates, by example and against a simple
+//! model.
 
 #![allow(
     clippy::expect_used,
@@ -15,17 +16,17 @@
 
 const SECOND: u64 = 1_000_000;
 
-/// The address 10.0.x.y of a host.
-fn ipv4_address(n: u32) -> [u8; 4] {
-    let [_, _, high, low] = n.to_be_bytes();
+/// The address 10.0.x.y of the host with this number.
+fn ipv4_address(number: u32) -> [u8; 4] {
+    let [_, _, high, low] = number.to_be_bytes();
     [10, 0, high, low]
 }
 
-fn host(n: u32, port: u16, weight: f64) -> Host {
-    let zone = ["harbour-st", "pump-house", "north-yard"][n as usize % 3].to_string();
-    let addr = (ipv4_address(n), port).into();
+fn host(number: u32, port: u16, weight: f64) -> Host {
+    let zone = ["harbour-st", "pump-house", "north-yard"][number as usize % 3].to_string();
+    let addr = (ipv4_address(number), port).into();
     Host {
-        name: format!("core-{n}"),
+        name: format!("core-{number}"),
         addr,
         zone,
         kind: "standard".into(),
@@ -35,7 +36,10 @@
 }
 
 fn hosts(numbers: impl IntoIterator<Item = u32>) -> Vec<Host> {
-    numbers.into_iter().map(|n| host(n, 6_444, 1.0)).collect()
+    numbers
+        .into_iter()
+        .map(|number| host(number, 6_444, 1.0))
+        .collect()
 }
 
 fn policy() -> MembershipPolicy {
@@ -46,16 +50,16 @@
     }
 }
 
-fn state_and_start(membership: &Membership, n: u32) -> Option<(WorkerState, u64)> {
+fn state_and_start(membership: &Membership, number: u32) -> Option<(WorkerState, u64)> {
     membership
         .worker_set()
         .workers
-        .get(format!("core-{n}").as_str())
-        .map(|s| (s.state, s.since))
+        .get(format!("core-{number}").as_str())
+        .map(|worker| (worker.state, worker.since))
 }
 
 #[test]
-fn worker_that_is_no_longer_named_drains_and_is_removed() {
+fn worker_that_is_no_longer_listed_drains_and_is_removed() {
     let mut membership = Membership::new(policy(), 1);
     assert_eq!(
         membership.update(SECOND, 0, hosts(0..9), DrainLimit::Enforced),
@@ -86,12 +90,12 @@
     assert_eq!(
         state_and_start(&membership, 8),
         Some((WorkerState::Ready, 8 * SECOND)),
-        "it comes back with a new start, and is cold"
+        "a worker that returns after its removal has a new start time"
     );
 }
 
 #[test]
-fn draining_worker_that_returns_keeps_its_start_only_at_its_address() {
+fn draining_worker_that_returns_keeps_its_start_only_at_the_same_address() {
     let mut membership = Membership::new(policy(), 1);
     membership
         .update(SECOND, 0, hosts(0..9), DrainLimit::Enforced)
@@ -99,22 +103,22 @@
     membership
         .update(2 * SECOND, 0, hosts(2..9), DrainLimit::Enforced)
         .unwrap();
-    let mut back = hosts(1..9);
-    back.push(host(0, 7_000, 1.0));
+    let mut returned = hosts(1..9);
+    returned.push(host(0, 7_000, 1.0));
     membership
-        .update(3 * SECOND, 0, back, DrainLimit::Enforced)
+        .update(3 * SECOND, 0, returned, DrainLimit::Enforced)
         .unwrap();
     assert_eq!(
         state_and_start(&membership, 1),
         Some((WorkerState::Ready, 0)),
-        "the same start"
+        "at the same address the start time is kept"
     );
     assert_eq!(
         state_and_start(&membership, 0),
         Some((WorkerState::Ready, 3 * SECOND)),
-        "a new one"
+        "at a new address the start time is new"
     );
-    assert!(!membership.tick(60 * SECOND), "nothing drains any more");
+    assert!(!membership.tick(60 * SECOND), "no worker is draining");
 }
 
 #[test]
@@ -126,10 +130,12 @@
     membership
         .update(9 * SECOND, 0, hosts(0..39), DrainLimit::Enforced)
         .unwrap();
+    assert!((9..39).all(
+        |number| state_and_start(&membership, number) == Some((WorkerState::Ready, 9 * SECOND))
+    ));
     assert!(
-        (9..39).all(|n| state_and_start(&membership, n) == Some((WorkerState::Ready, 9 * SECOND)))
+        (0..9).all(|number| state_and_start(&membership, number) == Some((WorkerState::Ready, 0)))
     );
-    assert!((0..9).all(|n| state_and_start(&membership, n) == Some((WorkerState::Ready, 0))));
 }
 
 #[test]
@@ -147,8 +153,8 @@
             DrainLimit::Enforced,
         )
         .unwrap();
-    let weight = |membership: &Membership, n: u32| {
-        membership.worker_set().workers[format!("core-{n}").as_str()]
+    let weight = |membership: &Membership, number: u32| {
+        membership.worker_set().workers[format!("core-{number}").as_str()]
             .host
             .weight
     };
@@ -162,7 +168,7 @@
             state_and_start(&membership, 1).unwrap().0
         ),
         (2.0, WorkerState::Ready),
-        "the other source names it still"
+        "the other source still lists the worker"
     );
     membership.on_source_failed(1, "no such file");
     assert_eq!(
@@ -172,12 +178,12 @@
     assert_eq!(
         state_and_start(&membership, 2).unwrap().0,
         WorkerState::Ready,
-        "its last update stays in force"
+        "the last valid update stays in effect"
     );
 }
 
 #[test]
-fn update_that_drains_too_many_or_names_no_worker_is_rejected_whole() {
+fn update_that_drains_too_many_or_lists_no_worker_is_rejected() {
     let mut membership = Membership::new(policy(), 1);
     membership
         .update(0, 0, hosts(0..18), DrainLimit::Enforced)
@@ -187,11 +193,14 @@
         membership.update(SECOND, 0, Vec::new(), DrainLimit::Overridden),
         Err(UpdateRejected::Empty)
     );
-    // Three of six in one zone, and a new one that must not come in either.
-    let fewer: Vec<u32> = (0..19).filter(|n| ![0, 3, 6].contains(n)).collect();
+    // The update drains three of the six workers in one zone. It also adds a worker, which must not be added
+    // either.
+    let remaining: Vec<u32> = (0..19)
+        .filter(|number| ![0, 3, 6].contains(number))
+        .collect();
     let zone = "harbour-st".to_string();
     assert_eq!(
-        membership.update(SECOND, 0, hosts(fewer.clone()), DrainLimit::Enforced),
+        membership.update(SECOND, 0, hosts(remaining.clone()), DrainLimit::Enforced),
         Err(UpdateRejected::TooManyDrained {
             zone,
             drained: 3,
@@ -204,7 +213,7 @@
         .unwrap()
         .contains("3 of 6 workers of harbour-st"));
     assert_eq!(
-        membership.update(SECOND, 0, hosts(fewer), DrainLimit::Overridden),
+        membership.update(SECOND, 0, hosts(remaining), DrainLimit::Overridden),
         Ok(true)
     );
     assert_eq!(
@@ -217,7 +226,7 @@
 }
 
 #[test]
-fn repeated_update_changes_nothing_and_a_clone_stays_as_it_was() {
+fn repeated_update_changes_nothing_and_clones_stay_unchanged() {
     let mut membership = Membership::new(policy(), 1);
     membership
         .update(0, 0, hosts(0..5_000), DrainLimit::Enforced)
@@ -228,36 +237,37 @@
         Ok(false)
     );
     assert_eq!(membership.worker_set().generation, old.generation);
-    let mut one = hosts(0..5_000);
-    one[77].weight = 2.0;
+    let mut one_changed = hosts(0..5_000);
+    one_changed[77].weight = 2.0;
     assert_eq!(
-        membership.update(SECOND, 0, one, DrainLimit::Enforced),
+        membership.update(SECOND, 0, one_changed, DrainLimit::Enforced),
         Ok(true)
     );
-    let weight = |s: &WorkerSet| s.workers["core-77"].host.weight;
+    let weight = |set: &WorkerSet| set.workers["core-77"].host.weight;
     assert_eq!((weight(&old), weight(membership.worker_set())), (1.0, 2.0));
-    let all: Vec<Host> = (0..5_000).map(|n| host(n, 7_000, 3.0)).collect();
+    let all_changed: Vec<Host> = (0..5_000).map(|number| host(number, 7_000, 3.0)).collect();
     membership
-        .update(2 * SECOND, 0, all, DrainLimit::Enforced)
+        .update(2 * SECOND, 0, all_changed, DrainLimit::Enforced)
         .unwrap();
     assert!(membership
         .worker_set()
         .workers
         .values()
-        .all(|s| s.since == 2 * SECOND && s.state == WorkerState::Ready));
+        .all(|worker| worker.since == 2 * SECOND && worker.state == WorkerState::Ready));
 }
 
 proptest! {
-    /// Against a model that keeps, for each worker, only who names it and since when nobody does.
+    /// Compares with a model that stores, for each worker, only the sources that list it and the time since
+    /// which none does.
     #[test]
     fn membership_agrees_with_model(steps in prop::collection::vec((0usize..2, 1u64..3_000_000, prop::collection::btree_set(0u32..12, 0..12), any::<bool>()), 1..40)) {
         let mut membership = Membership::new(MembershipPolicy { max_drained_fraction: 0.5, ..policy() }, 2);
-        let (mut named, mut gone_since) = (vec![Vec::<u32>::new(); 2], BTreeMap::<u32, u64>::new());
+        let (mut named, mut unlisted_since) = (vec![Vec::<u32>::new(); 2], BTreeMap::<u32, u64>::new());
         let (mut now, mut generation) = (0, 0);
         for (source, wait, numbers, force) in steps {
             now += wait;
             membership.tick(now);
-            gone_since.retain(|_, since| now < *since + 5 * SECOND);
+            unlisted_since.retain(|_, since| now < *since + 5 * SECOND);
             let before = membership.worker_set().clone();
             let drain_limit = if force { DrainLimit::Overridden } else { DrainLimit::Enforced };
             if let Ok(changed) = membership.update(now, source, hosts(numbers.clone()), drain_limit) {
@@ -266,20 +276,20 @@
                 named[source] = numbers.into_iter().collect();
                 let new = named.concat();
                 for number in old.iter().filter(|number| !new.contains(number)) {
-                    gone_since.entry(*number).or_insert(now);
+                    unlisted_since.entry(*number).or_insert(now);
                 }
-                gone_since.retain(|number, _| !new.contains(number));
+                unlisted_since.retain(|number, _| !new.contains(number));
             } else {
-                prop_assert_eq!(&before, membership.worker_set(), "whole or not at all");
+                prop_assert_eq!(&before, membership.worker_set(), "a rejected update changes nothing");
             }
             prop_assert!(membership.is_consistent());
             prop_assert!(membership.worker_set().generation >= generation);
             generation = membership.worker_set().generation;
-            for n in 0..12 {
-                let state = state_and_start(&membership, n).map(|(state, _)| state);
-                let ready = named.concat().contains(&n);
-                let wanted = if ready { Some(WorkerState::Ready) } else { gone_since.get(&n).map(|s| WorkerState::Draining(*s)) };
-                prop_assert_eq!(state, wanted, "core-{} at {}", n, now);
+            for number in 0..12 {
+                let state = state_and_start(&membership, number).map(|(state, _)| state);
+                let ready = named.concat().contains(&number);
+                let expected = if ready { Some(WorkerState::Ready) } else { unlisted_since.get(&number).map(|since| WorkerState::Draining(*since)) };
+                prop_assert_eq!(state, expected, "core-{} at {}", number, now);
             }
         }
     }
