--- a/crates/inventory/src/csv_reader.rs
+++ b/crates/inventory/src/csv_reader.rs
@@ -145,7 +145,7 @@
         for (index, heading) in record.iter().enumerate() {
             match columns[index] {
                 None if !heading.is_empty() => {
-                    let note = format!("column {heading:?} ignored: not a host field");
+                    let note = format!("column {heading:?} means nothing here");
                     self.notes.push(note);
                 }
                 Some(alias) if columns[..index].contains(&Some(alias)) => {
