--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -1,10 +1,11 @@
-//! The clocks of a process: a steady one, and a time of day that no later step of the machine's clock changes.
+//! The clocks of a process: a monotonic clock, and a time of day that is unaffected by later steps of the
+//! machine's clock.
 
 use std::sync::OnceLock;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use streamusher_protocol::{Millis, Now};
 
-/// Both clocks at the first reading.
+/// The values of both clocks when the process first read one of them.
 struct ClockStart {
     steady: Instant,
     unix_ms: Millis,
@@ -12,13 +13,13 @@
 
 static START: OnceLock<ClockStart> = OnceLock::new();
 
-/// Milliseconds since the process first read a clock. Never steps.
+/// Returns the milliseconds since the process first read a clock. Monotonic: it never steps.
 pub fn steady() -> Millis {
     steady_since(start())
 }
 
-/// Both clocks. The time of day is the machine's at the first reading plus the steady time since: later steps of the
-/// machine's clock have no effect.
+/// Reads both clocks. The time of day is the machine's time of day at the first reading plus the monotonic
+/// time elapsed since then, so later steps of the machine's clock have no effect.
 pub fn now() -> Now {
     let start = start();
     let steady_ms = steady_since(start);
--- a/crates/runtime/src/event_loop.rs
+++ b/crates/runtime/src/event_loop.rs
@@ -1,13 +1,13 @@
-//! The single-threaded runtime of a process.
+//! The single-threaded event loop of a process.
 
 use std::future::Future;
 use std::io;
 use tokio::task::LocalSet;
 
-/// Runs `future` and the local tasks that it spawns on this thread, until the future is ready.
+/// Runs `future` and the local tasks that it spawns on the current thread until `future` completes.
 ///
 /// # Errors
-/// The runtime could not be built, as when there are no descriptors left.
+/// Returns an error if the runtime cannot be built, for example because no file descriptors are left.
 pub fn block_on<F: Future>(future: F) -> io::Result<F::Output> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_io()
--- a/crates/runtime/src/http/body.rs
+++ b/crates/runtime/src/http/body.rs
@@ -1,24 +1,26 @@
-//! Reading JSON bodies, with errors that name the field.
+//! Decodes JSON request bodies, with errors that name the invalid field.
 
 use serde::de::{DeserializeOwned, IgnoredAny};
 
-/// The longest key that is shown in an error, in characters: bodies come from outside.
+/// Maximum length, in characters, of a key quoted in an error. Bodies come from outside and may hold keys of
+/// any length.
 const MAX_KEY_CHARS: usize = 60;
 
-/// Why a body is not what was expected.
+/// A request body that cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("field {field}: {reason}: send JSON as the interface describes it")]
 pub struct BodyError {
-    /// The field, or `(body)` for the whole.
+    /// Name of the invalid field, or `(body)` if the error concerns the whole body.
     pub field: String,
-    /// What is wrong, with line and column.
+    /// Message of the JSON decoder, with line and column.
     pub reason: String,
 }
 
-/// Reads a JSON body.
+/// Decodes a JSON body.
 ///
 /// # Errors
-/// The body is not JSON, or a field is missing or of another type. The error names the field.
+/// Returns an error that names the field if the body is not valid JSON, or if a field is missing or has the
+/// wrong type.
 pub fn parse_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, BodyError> {
     serde_json::from_slice(body).map_err(|error| body_error(body, &error))
 }
@@ -36,7 +38,8 @@
     }
 }
 
-/// Whether a whole JSON value stands at the beginning and something else behind it: then no field of it is wrong.
+/// Returns true if the body starts with a complete JSON value that other bytes follow. In that case no field
+/// of the value is at fault.
 fn is_followed_by_other_bytes(body: &[u8]) -> bool {
     let mut values = serde_json::Deserializer::from_slice(body).into_iter::<IgnoredAny>();
     let has_value = matches!(values.next(), Some(Ok(_)));
@@ -44,14 +47,14 @@
     has_value && !rest.iter().all(u8::is_ascii_whitespace)
 }
 
-/// The name in "missing field `NAME`".
+/// Extracts the name from a message of the form "missing field `NAME`".
 fn quoted_field(reason: &str) -> Option<String> {
     let (_, rest) = reason.split_once("field `")?;
     let (name, _) = rest.split_once('`')?;
     Some(name.to_owned())
 }
 
-/// The last key that stands before the position of the error.
+/// Returns the last key that precedes the position of the error.
 fn last_key_before(body: &[u8], error: &serde_json::Error) -> Option<String> {
     let line_start = start_of_line(body, error.line())?;
     let end = line_start.saturating_add(error.column()).min(body.len());
@@ -61,7 +64,7 @@
     Some(key.chars().take(MAX_KEY_CHARS).collect())
 }
 
-/// The index of the first byte of a line, which is counted from 1.
+/// Returns the index of the first byte of `line`. Line numbers start at 1.
 fn start_of_line(body: &[u8], line: usize) -> Option<usize> {
     let lines_before = line.checked_sub(1)?;
     if lines_before == 0 {
--- a/crates/runtime/src/http/client.rs
+++ b/crates/runtime/src/http/client.rs
@@ -1,4 +1,4 @@
-//! The client: requests to one address over persistent connections.
+//! HTTP client that sends requests to one address over persistent connections.
 
 use super::client_error::{NotSentReason, RequestError, UnknownReason};
 use super::connection_pool::{ConnectionPool, Generation, PooledConnection, Sender};
@@ -17,13 +17,13 @@
 /// Limits of a client.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLimits {
-    /// Requests at once, each on a connection of its own; further ones wait.
+    /// Maximum number of requests in flight, each on a connection of its own. Further requests wait.
     pub max_requests: usize,
-    /// Idle connections that are kept.
+    /// Maximum number of idle connections kept open.
     pub max_idle_connections: usize,
-    /// Longest body of a response, in bytes.
+    /// Maximum length of a response body, in bytes.
     pub max_body_bytes: usize,
-    /// How long connecting may take.
+    /// Maximum time for establishing a connection.
     pub connect_timeout: Duration,
 }
 
@@ -33,13 +33,13 @@
             max_requests: 32,
             max_idle_connections: 8,
             max_body_bytes: 8 << 20,
-            // A machine that is up answers in a round trip; a dead one never does.
+            // A running machine accepts a connection within one round trip; a failed one never does.
             connect_timeout: Duration::from_millis(300),
         }
     }
 }
 
-/// Sends requests to one address. Clones share the connections.
+/// Sends requests to one address. Clones share their connections.
 #[derive(Clone)]
 pub struct Client {
     shared: Rc<Shared>,
@@ -54,12 +54,12 @@
 }
 
 impl Client {
-    /// A client with the usual limits. It connects with the first request.
+    /// Creates a client with the default limits. It connects when the first request is sent.
     pub fn new(address: SocketAddr) -> Client {
         Client::with_limits(address, ClientLimits::default())
     }
 
-    /// A client with limits of its own.
+    /// Creates a client with the given limits.
     pub fn with_limits(address: SocketAddr, limits: ClientLimits) -> Client {
         let max_requests = limits.max_requests.clamp(1, Semaphore::MAX_PERMITS);
         Client {
@@ -77,16 +77,17 @@
         }
     }
 
-    /// The address.
+    /// Returns the address that requests are sent to.
     pub fn address(&self) -> SocketAddr {
         self.shared.pool.address()
     }
 
-    /// Sends a request and waits for the whole response, for `timeout` at most. A request whose future is dropped closes its
-    /// connection.
+    /// Sends a request and waits at most `timeout` for the complete response. Dropping the future of a
+    /// request closes its connection.
     ///
     /// # Errors
-    /// There is no response; see [`RequestError`] for whether the request may have been executed.
+    /// Returns an error if there is no response; [`RequestError`] tells whether the request may have been
+    /// executed.
     pub async fn send(
         &self,
         request: Request,
@@ -99,16 +100,16 @@
         self.shared.send(request, deadline).await
     }
 
-    /// Closes the idle connections, and those in use once their responses have come.
+    /// Closes the idle connections, and each connection in use once its response has been received.
     pub fn reset(&self) {
         self.shared.pool.reset();
     }
 }
 
-/// What became of a request on one connection.
+/// Outcome of sending a request on one connection.
 enum Exchange {
     Response(::http::Response<Incoming>, Sender),
-    /// The request came back: the connection broke before it was written.
+    /// The connection broke before the request was written; hyper returned the request.
     Returned(::http::Request<Full<Bytes>>, hyper::Error),
 }
 
@@ -129,7 +130,7 @@
                 Ok(Exchange::Returned(_, error)) if is_new => {
                     return Err(RequestError::NotSent(NotSentReason::Http(error)));
                 }
-                // An idle connection that the peer has closed: the next one may do.
+                // The peer had closed this idle connection; another connection may work.
                 Ok(Exchange::Returned(returned, _)) => request = returned,
                 Err(reason) => return Err(RequestError::Unknown(reason)),
             }
@@ -145,7 +146,7 @@
         (request, id)
     }
 
-    /// Reads the body, and keeps the connection.
+    /// Reads the response body and returns the connection to the pool.
     async fn read(
         &self,
         response: ::http::Response<Incoming>,
@@ -165,7 +166,7 @@
     }
 }
 
-/// Writes a request on a connection and reads the head of its response.
+/// Writes a request to a connection and reads the head of its response.
 async fn exchange(
     mut sender: Sender,
     request: ::http::Request<Full<Bytes>>,
@@ -180,7 +181,7 @@
         Ok(Err(error)) => error,
         Err(_) => return Err(UnknownReason::Timeout),
     };
-    // Only a request that hyper hands back was surely not written.
+    // Only a request that hyper returns is certain not to have been written.
     match error.take_message() {
         Some(request) => Ok(Exchange::Returned(request, error.into_error())),
         None => Err(UnknownReason::Http(error.into_error())),
--- a/crates/runtime/src/http/connection_pool.rs
+++ b/crates/runtime/src/http/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Persistent connections to one address.
+//! Pool of persistent connections to one address.
 
 use super::client_error::NotSentReason;
 use super::hyper_io::Stream;
@@ -12,20 +12,21 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// The most bytes that a connection buffers; bodies stream through it.
+/// Maximum number of bytes that a connection buffers. Longer bodies are streamed through the buffer.
 const MAX_BUFFER_BYTES: usize = 32_768;
 
-/// A connection that takes one request at a time.
+/// Sends requests on a connection, one at a time.
 pub(super) type Sender = SendRequest<Full<Bytes>>;
 
-/// Which connections may be kept: a reset begins a new generation.
+/// Generation of the pool, which each reset increments. Only connections of the current generation are
+/// returned to the pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Generation(u64);
 
 /// A connection taken from the pool.
 pub(super) struct PooledConnection {
     pub(super) sender: Sender,
-    /// Whether it was opened for this request, and not idle before.
+    /// True if the connection was opened for this request, false if it was idle in the pool.
     pub(super) is_new: bool,
 }
 
@@ -65,7 +66,7 @@
         self.state.borrow().generation
     }
 
-    /// An idle connection that still takes a request, or a new one.
+    /// Takes an idle connection that still accepts a request, or opens a new one.
     pub(super) async fn take(&self, deadline: Instant) -> Result<PooledConnection, NotSentReason> {
         if let Some(sender) = self.take_idle(deadline).await {
             return Ok(PooledConnection {
@@ -93,17 +94,17 @@
         }
     }
 
-    /// Keeps a connection for the next request, unless the pool was reset since `generation`, is full, or the connection is
-    /// closed.
+    /// Returns a connection to the pool for the next request. The connection is dropped instead if the pool
+    /// was reset since `generation`, if the pool is full, or if the connection is closed.
     pub(super) fn put_back(&self, sender: Sender, generation: Generation) {
         let mut state = self.state.borrow_mut();
-        let has_room = state.idle.len() < self.max_idle_connections;
-        if state.generation == generation && has_room && !sender.is_closed() {
+        let has_capacity = state.idle.len() < self.max_idle_connections;
+        if state.generation == generation && has_capacity && !sender.is_closed() {
             state.idle.push(sender);
         }
     }
 
-    /// Closes the idle connections; those in use are not kept.
+    /// Closes the idle connections. Connections in use are not returned to the pool.
     pub(super) fn reset(&self) {
         let mut state = self.state.borrow_mut();
         state.generation.0 += 1;
@@ -118,7 +119,7 @@
         .handshake(Stream(stream));
     let (sender, connection) = handshake.await.map_err(io::Error::other)?;
     tokio::task::spawn_local(async move {
-        // Its errors are returned to the request in flight.
+        // The request in flight receives the connection's errors.
         let _ = connection.await;
     });
     Ok(sender)
--- a/crates/runtime/src/http/hyper_io.rs
+++ b/crates/runtime/src/http/hyper_io.rs
@@ -1,4 +1,4 @@
-//! Adapters from tokio to hyper: a byte stream and a timer.
+//! Adapters that let hyper use tokio's TCP streams and timers.
 
 use hyper::rt::{ReadBufCursor, Sleep, Timer};
 use std::future::Future;
@@ -9,10 +9,10 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Bytes of one read: the size of hyper's own first buffer.
+/// Maximum number of bytes per read: the size of hyper's initial buffer.
 const READ_BYTES: usize = 8_192;
 
-/// A TCP connection as hyper reads and writes it.
+/// Implements hyper's read and write traits for a TCP connection.
 pub(super) struct Stream(pub(super) TcpStream);
 
 impl hyper::rt::Read for Stream {
@@ -21,7 +21,7 @@
         context: &mut Context<'_>,
         mut cursor: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        // Zeroed, so that no unsafe code is needed; the buffers are small.
+        // The buffer is zeroed so that no unsafe code is needed. The cost is low because the buffer is small.
         let mut chunk = [0_u8; READ_BYTES];
         let wanted = cursor.remaining().min(READ_BYTES);
         let mut buffer = ReadBuf::new(&mut chunk[..wanted]);
@@ -61,7 +61,7 @@
     }
 }
 
-/// The event loop's timer, for hyper's time-outs.
+/// Runs hyper's time-outs on the timer of the event loop.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LoopTimer;
 
--- a/crates/runtime/src/http/mod.rs
+++ b/crates/runtime/src/http/mod.rs
@@ -1,10 +1,10 @@
-//! HTTP/1.1 with whole bodies, on both sides, on one thread.
+//! HTTP/1.1 client and server that handle complete bodies on a single thread.
 //!
-//! - [`Client`] sends requests to one address over persistent connections, and distinguishes requests that were surely not
-//!   executed from those that may have been ([`RequestError`]).
-//! - [`Server`] answers whole requests within [`ServerLimits`], and closes without losing one.
+//! - [`Client`] sends requests to one address over persistent connections. Its [`RequestError`] distinguishes
+//!   requests that were certainly not executed from those that may have been.
+//! - [`Server`] answers complete requests within [`ServerLimits`], and shuts down without losing one.
 //! - [`Outbox`] sends messages that may be lost, in batches.
-//! - [`json`], [`text`], [`empty`] build responses; [`parse_json`] reads a body.
+//! - [`json`], [`text`] and [`empty`] build responses; [`parse_json`] decodes a body.
 
 mod body;
 mod client;
@@ -31,8 +31,8 @@
 
 use bytes::Bytes;
 
-/// A request with its whole body.
+/// A request with its complete body.
 pub type Request = ::http::Request<Bytes>;
 
-/// A response with its whole body.
+/// A response with its complete body.
 pub type Response = ::http::Response<Bytes>;
--- a/crates/runtime/src/http/outbox.rs
+++ b/crates/runtime/src/http/outbox.rs
@@ -1,4 +1,5 @@
-//! Messages that may be lost: a queue and a connection for each receiver, and a batch of messages in each request.
+//! Sends messages that may be lost. Each receiver has a queue and a connection, and each request carries a
+//! batch of messages.
 
 use super::{Client, ClientLimits, Request};
 use ::http::header::CONTENT_TYPE;
@@ -11,23 +12,23 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// A machine that is up accepts a connection within a round trip.
+/// A running machine accepts a connection within one round trip.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// A later response is of no use, since the sender repeats what matters.
+/// A later response is of no use, because the sender repeats the messages that matter.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
-/// Messages that wait for one receiver; more are dropped.
+/// Maximum number of messages queued for one receiver. Further messages are dropped.
 const MAX_QUEUED_MESSAGES: usize = 64;
-/// Messages in one request.
+/// Maximum number of messages per request.
 const MAX_MESSAGES_PER_REQUEST: usize = 16;
-/// Receivers at once; beyond that all queues are dropped and begin anew.
+/// Maximum number of receivers. When it is reached, all queues are dropped and created again on demand.
 const MAX_RECEIVERS: usize = 1_024;
-/// A receiver without messages for this long loses its queue and its connection.
+/// After this long without a message, a receiver's queue and connection are closed.
 const RECEIVER_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Encodes a batch as the body of a request.
+/// Encodes a batch of messages as a request body.
 type Encode<T> = dyn Fn(Vec<T>) -> Vec<u8>;
 
-/// The queues of all receivers.
+/// Holds one message queue per receiver.
 pub struct Outbox<T> {
     path: Uri,
     encode: Rc<Encode<T>>,
@@ -35,7 +36,7 @@
 }
 
 impl<T: 'static> Outbox<T> {
-    /// An outbox whose requests go to `path`, with the JSON that `encode` makes of a batch.
+    /// Creates an outbox that posts each batch to `path`, encoded as JSON by `encode`.
     pub fn new(path: &'static str, encode: impl Fn(Vec<T>) -> Vec<u8> + 'static) -> Outbox<T> {
         Outbox {
             path: Uri::from_static(path),
@@ -44,8 +45,8 @@
         }
     }
 
-    /// Queues a message for the receiver at `address`, an `ip:port`. It is lost where the receiver is not reached or its queue
-    /// is full. Within a `LocalSet`.
+    /// Queues a message for the receiver at `address`, which has the form `ip:port`. The message is lost if
+    /// the receiver cannot be reached or its queue is full. Must be called within a `LocalSet`.
     pub fn send(&mut self, address: &Arc<str>, message: T) {
         let queue = self
             .queues
@@ -55,13 +56,15 @@
         let Some(queue) = queue.or_else(|| self.add_receiver(address)) else {
             return;
         };
-        // A full queue drops the message: its receiver is slow or gone.
+        // A full queue drops the message: the receiver is slow or disconnected.
         let _ = queue.try_send(message);
     }
 
     fn add_receiver(&mut self, address: &Arc<str>) -> Option<mpsc::Sender<T>> {
         let Ok(socket_address) = address.parse::<SocketAddr>() else {
-            log::warn!("invalid address {address:?}, expected ip:port: messages to it are dropped");
+            log::warn!(
+                "invalid receiver address {address:?}, expected ip:port; dropping its messages"
+            );
             return None;
         };
         if self.queues.len() >= MAX_RECEIVERS {
@@ -80,7 +83,7 @@
     }
 }
 
-/// Sends the messages of one queue.
+/// Sends the queued messages of one receiver.
 struct Delivery<T> {
     address: SocketAddr,
     path: Uri,
@@ -89,7 +92,7 @@
 }
 
 impl<T> Delivery<T> {
-    /// Ends when the outbox is dropped, or when there are no messages for a while.
+    /// Runs until the outbox is dropped or no message arrives within [`RECEIVER_IDLE_TIMEOUT`].
     async fn run(mut self) {
         let limits = ClientLimits {
             max_requests: 1,
@@ -101,14 +104,18 @@
         while let Some(batch) = self.next_batch().await {
             let request = post(&self.path, (self.encode)(batch));
             if let Err(error) = client.send(request, REQUEST_TIMEOUT).await {
-                log::debug!("sending messages to {} failed: {error}", self.address);
-                // What was queued meanwhile is as old; the next messages are of more use.
+                log::debug!(
+                    "sending a batch of messages to {} failed: {error}",
+                    self.address
+                );
+                // Messages queued in the meantime are as outdated as the failed batch; later messages are of
+                // more use.
                 while self.messages.try_recv().is_ok() {}
             }
         }
     }
 
-    /// Waits for a message; gives it with those that are queued behind it.
+    /// Waits for a message and returns it together with the messages queued after it.
     async fn next_batch(&mut self) -> Option<Vec<T>> {
         let first = tokio::time::timeout(RECEIVER_IDLE_TIMEOUT, self.messages.recv()).await;
         let mut batch = vec![first.ok()??];
--- a/crates/runtime/src/http/request_id.rs
+++ b/crates/runtime/src/http/request_id.rs
@@ -1,22 +1,24 @@
-//! Ties a response to its request: each request carries a number, and its response must return it.
+//! Matches responses to requests: each request carries an ID in a header, and its response must return that
+//! ID.
 //!
-//! Without it the next response on a kept connection would be taken for the one that is awaited, even where the peer has
-//! answered an earlier request twice.
+//! Without the ID, a client would take the next response on a persistent connection for the one it awaits,
+//! even if the peer had answered an earlier request twice.
 
 use ::http::header::{HeaderMap, HeaderName, HeaderValue};
 use std::cell::Cell;
 
-/// The header that carries the number, both ways. Peers of an earlier release do not return it.
+/// The header that carries the request ID in requests and responses. Peers of an earlier release do not
+/// return it.
 pub const REQUEST_ID_HEADER: HeaderName = HeaderName::from_static("streamusher-call");
 
-/// Numbers the requests of one client, and so those of each of its connections.
+/// Generates request IDs that are unique within one client, and so within each of its connections.
 #[derive(Debug, Default)]
 pub(super) struct RequestIds {
     last: Cell<u64>,
 }
 
 impl RequestIds {
-    /// Gives a request the next number.
+    /// Inserts the next ID into the request's headers and returns it.
     pub(super) fn stamp(&self, request: &mut HeaderMap) -> HeaderValue {
         let next = self.last.get().wrapping_add(1);
         self.last.set(next);
@@ -26,7 +28,8 @@
     }
 }
 
-/// Whether a response may be the one to the request with this number: it returns that number, or none.
+/// Returns true if the response may belong to the request with this ID: it returns the same ID, or none at
+/// all.
 pub(super) fn matches(response: &HeaderMap, id: &HeaderValue) -> bool {
     cfg!(feature = "mutant-call-id")
         || response
@@ -34,7 +37,7 @@
             .is_none_or(|returned| returned == id)
 }
 
-/// Returns the number of a request with its response.
+/// Copies the ID of a request, if it has one, to its response.
 pub(super) fn return_id(id: Option<HeaderValue>, response: &mut HeaderMap) {
     if let Some(id) = id {
         response.insert(REQUEST_ID_HEADER, id);
--- a/crates/runtime/src/http/responses.rs
+++ b/crates/runtime/src/http/responses.rs
@@ -1,4 +1,4 @@
-//! The usual responses.
+//! Constructors for common HTTP responses.
 
 use super::Response;
 use ::http::header::{HeaderValue, CONTENT_TYPE};
@@ -6,14 +6,14 @@
 use bytes::Bytes;
 use serde::Serialize;
 
-/// A response without a body.
+/// Creates a response without a body.
 pub fn empty(status: StatusCode) -> Response {
     let mut response = Response::new(Bytes::new());
     *response.status_mut() = status;
     response
 }
 
-/// A plain text.
+/// Creates a plain-text response.
 pub fn text(status: StatusCode, body: impl Into<String>) -> Response {
     with_body(
         status,
@@ -22,7 +22,8 @@
     )
 }
 
-/// A value as JSON; 500 where it cannot be encoded.
+/// Creates a JSON response. If the value cannot be encoded, the response has status 500 and a plain-text
+/// body.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response {
     match serde_json::to_vec(value) {
         Ok(body) => with_body(status, "application/json", Bytes::from(body)),
--- a/crates/runtime/src/http/server.rs
+++ b/crates/runtime/src/http/server.rs
@@ -1,4 +1,4 @@
-//! The server: accepts connections within its limits, and closes without losing a request.
+//! HTTP server: accepts connections within its limits, and shuts down without losing a request.
 
 use super::server_connection::ServerConnection;
 use super::server_limits::{ServerLimits, SharedLimits};
@@ -13,13 +13,14 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{watch, OwnedSemaphorePermit, Semaphore};
 
-/// Pause after a failed accept, as for want of descriptors: the next would fail as well.
+/// Pause after a failed accept. When the cause persists, for example a lack of file descriptors, an immediate
+/// retry would fail as well.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Bound of `max_connections`; beyond any machine's descriptors.
+/// Upper bound for `max_connections`, beyond the number of file descriptors of any machine.
 const MAX_CONNECTIONS: u32 = 1 << 20;
 
-/// Closes a server, and changes its limits. Clones are of the same server.
+/// Closes a server and changes its limits. Clones control the same server.
 #[derive(Clone, Debug)]
 pub struct ServerHandle {
     phase: Rc<watch::Sender<Phase>>,
@@ -27,19 +28,19 @@
 }
 
 impl ServerHandle {
-    /// From now on responses say `Connection: close`; connections are still accepted.
+    /// From now on, responses carry `Connection: close`. The server still accepts connections.
     pub fn leave(&self) {
         self.advance(Phase::Leaving);
     }
 
-    /// Accepts no more connections, answers the requests that have been read, and closes idle connections; then
-    /// [`Server::run`] returns.
+    /// Stops accepting connections, answers the requests that have been read, and closes idle connections.
+    /// After that, [`Server::run`] returns.
     pub fn close(&self) {
         self.advance(Phase::Closed);
     }
 
-    /// Changes the limits: for bodies from the next request on, for heads and idle time with new connections.
-    /// `max_connections` stays.
+    /// Replaces the limits. Limits for bodies apply from the next request on; limits for heads and idle time
+    /// apply to new connections. `max_connections` cannot be changed.
     pub fn set_limits(&self, limits: ServerLimits) {
         self.limits.replace(limits);
     }
@@ -55,7 +56,7 @@
     }
 }
 
-/// A bound server.
+/// A server that is bound to an address but does not accept connections until [`Server::run`] is called.
 pub struct Server {
     listener: TcpListener,
     limits: SharedLimits,
@@ -64,10 +65,10 @@
 }
 
 impl Server {
-    /// Listens at `address`; port 0 takes a free one. Within the event loop.
+    /// Binds to `address` and listens; port 0 selects a free port. Must be called within the event loop.
     ///
     /// # Errors
-    /// The address is not this machine's, or is taken.
+    /// Returns an error if the address does not belong to this machine or is in use.
     pub fn bind(address: SocketAddr, limits: ServerLimits) -> io::Result<Server> {
         let (sender, phase) = watch::channel(Phase::Serving);
         let limits = SharedLimits::new(limits);
@@ -83,20 +84,21 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     ///
     /// # Errors
-    /// The system does not report it.
+    /// Returns an error if the operating system does not report the address.
     pub fn local_address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// A handle that closes it.
+    /// Returns a handle that closes the server and changes its limits.
     pub fn handle(&self) -> ServerHandle {
         self.handle.clone()
     }
 
-    /// Serves on local tasks until it was closed and every connection has ended. Within a `LocalSet`.
+    /// Serves connections on local tasks until the server has been closed and every connection has ended.
+    /// Must be called within a `LocalSet`.
     pub async fn run<H, F>(self, handler: H)
     where
         H: Fn(Request) -> F + Clone + 'static,
@@ -137,7 +139,7 @@
         match listener.accept().await {
             Ok((stream, _peer)) => return (stream, permit),
             Err(error) => {
-                log::warn!("accepting a connection failed: {error}");
+                log::warn!("accept failed: {error}; retrying in {ACCEPT_RETRY_INTERVAL:?}");
                 tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
             }
         }
--- a/crates/runtime/src/http/server_connection.rs
+++ b/crates/runtime/src/http/server_connection.rs
@@ -1,4 +1,5 @@
-//! One connection of a server: reads whole requests, passes them to the handler, and ends with the server.
+//! One connection of a server: reads complete requests, passes them to the handler, and closes when the
+//! server does.
 
 use super::hyper_io::{LoopTimer, Stream};
 use super::request_id::{return_id, REQUEST_ID_HEADER};
@@ -18,10 +19,10 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// The smallest buffer that hyper accepts.
+/// The smallest buffer size that hyper accepts.
 const MIN_BUFFER_BYTES: usize = 8_192;
 
-/// What a connection has of its server.
+/// The parts of a server that one of its connections uses.
 pub(super) struct ServerConnection<H> {
     pub(super) limits: SharedLimits,
     pub(super) phase: watch::Receiver<Phase>,
@@ -33,7 +34,8 @@
     H: Fn(Request) -> F + Clone + 'static,
     F: Future<Output = Response> + 'static,
 {
-    /// Serves until the client closes, is idle too long, or the server closes.
+    /// Serves requests until the client closes the connection, the idle time-out expires, or the server
+    /// closes.
     pub(super) async fn serve(self, stream: TcpStream) {
         if sockets::configure(&stream).is_err() {
             return;
@@ -54,7 +56,8 @@
             () = reached(&mut phase, Phase::Closed) => {}
         }
         connection.as_mut().graceful_shutdown();
-        // An error here is the client's: it broke off, sent what is not HTTP, or was idle too long.
+        // An error here is caused by the client: it disconnected, sent something other than HTTP, or exceeded
+        // the idle time-out.
         let _ = connection.await;
     }
 }
@@ -91,7 +94,7 @@
     response.map(Full::new)
 }
 
-/// Why a request's body was not read.
+/// Reason why a request body could not be read.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 enum ReadError {
     #[error("the body is longer than the limit: send less")]
@@ -103,7 +106,7 @@
 }
 
 impl ReadError {
-    /// The rest of the body may still come, so the connection is not used again.
+    /// Closes the connection after the response, because the rest of the body may still arrive on it.
     fn response(self) -> Response {
         let status = match self {
             ReadError::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
--- a/crates/runtime/src/http/server_limits.rs
+++ b/crates/runtime/src/http/server_limits.rs
@@ -1,21 +1,21 @@
-//! What a server accepts of its clients.
+//! Limits that a server enforces on its clients.
 
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What a server accepts of its clients.
+/// Limits that a server enforces on its clients.
 #[derive(Clone, Debug)]
 pub struct ServerLimits {
-    /// Longest body in bytes; a longer one is answered with 413.
+    /// Maximum length of a request body in bytes. A longer body is rejected with status 413.
     pub max_body_bytes: usize,
-    /// Longest head of a request in bytes, at least 8192; a longer one is answered with 431.
+    /// Maximum length of a request head in bytes, at least 8192. A longer head is rejected with status 431.
     pub max_header_bytes: usize,
-    /// How long a body may take to come; then 408.
+    /// Maximum time for receiving a request body. After that, the request is rejected with status 408.
     pub body_timeout: Duration,
-    /// How long a connection may be idle before the next head has come.
+    /// Maximum time that a connection may wait until the next request head has been received.
     pub idle_timeout: Duration,
-    /// Connections at once; further ones wait in the kernel's queue.
+    /// Maximum number of concurrent connections. Further connections wait in the kernel's accept queue.
     pub max_connections: usize,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Limits that may change while the server runs.
+/// Limits that can be replaced while the server runs. Clones share the same limits.
 #[derive(Clone, Debug)]
 pub(super) struct SharedLimits {
     current: Rc<RefCell<Rc<ServerLimits>>>,
--- a/crates/runtime/src/http/sockets.rs
+++ b/crates/runtime/src/http/sockets.rs
@@ -6,24 +6,25 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Connections that may wait to be accepted. A full queue drops the SYN, which is sent again only after seconds, and after
-/// a failover all agents connect at once.
+/// Maximum number of connections that wait to be accepted. A full queue drops the SYN, which the client
+/// resends only after seconds, and after a failover all agents connect at once.
 const LISTEN_BACKLOG: i32 = 4_096;
 
-/// How long data may stay unacknowledged before the connection is closed (`TCP_USER_TIMEOUT`): a dead machine sends no reset.
-/// Above the first two retransmissions of a lost packet.
+/// How long sent data may stay unacknowledged before the connection is closed (`TCP_USER_TIMEOUT`), because a
+/// machine that has failed sends no reset. The value is above the first two retransmissions of a lost packet.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Idle time before a connection is probed, so that the connection of a dead peer does not stay.
+/// Idle time before the first keep-alive probe. Probes close connections to peers that have failed.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(3);
 
-/// Interval of probes.
+/// Interval between keep-alive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Unanswered probes that close a connection.
+/// Number of unanswered keep-alive probes after which the connection is closed.
 const KEEPALIVE_PROBES: u32 = 2;
 
-/// Listens at `address`, also right after an earlier process there has ended.
+/// Listens on `address`. `SO_REUSEADDR` lets this succeed right after an earlier process on that address has
+/// ended.
 pub(super) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(
         Domain::for_address(address),
@@ -37,14 +38,15 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Connects to `address`.
+/// Connects to `address` and sets the options of [`configure`].
 pub(super) async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let stream = TcpStream::connect(address).await?;
     configure(&stream)?;
     Ok(stream)
 }
 
-/// Sets the options of both sides: small writes leave at once, and dead peers are detected.
+/// Sets the options that both sides of a connection use: no delay of small writes, and detection of failed
+/// peers.
 pub(super) fn configure(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,17 +1,18 @@
-//! What each process of the scheduler needs of its machine: settings, command line, logs, clocks, signals, and HTTP on both
-//! sides.
+//! Process infrastructure shared by the programs of the scheduler: settings, command line, logs, clocks,
+//! signals, and an HTTP client and server.
 //!
-//! A process has one thread. [`event_loop`] runs its tasks there, and nothing in this crate starts another thread or
-//! process. Signals come through pipes, since the platform refuses the Unix sockets of `tokio::signal`.
+//! Each process has one thread. [`event_loop`] runs its tasks on that thread, and nothing in this crate
+//! starts another thread or process. Signals arrive through pipes, because the platform does not permit the
+//! Unix sockets that `tokio::signal` needs.
 //!
 //! | module | provides |
 //! | --- | --- |
-//! | [`clock`] | a steady clock, and a time of day that never steps |
+//! | [`clock`] | a monotonic clock, and a time of day that never steps |
 //! | [`event_loop`] | the single-threaded runtime |
 //! | [`http`] | [`http::Client`], [`http::Server`], [`http::Outbox`] for messages that may be lost |
 //! | [`logs`] | the logger, with rate limits for each call site |
-//! | [`options`] | the command line of programs with commands |
-//! | [`settings`] | the settings file |
+//! | [`options`] | command-line parsing for programs with commands |
+//! | [`settings`] | loading and validation of the settings file |
 //! | [`signals`] | SIGTERM, SIGINT and SIGHUP on the event loop |
 //!
 //! ```
--- a/crates/runtime/src/logs/last_error.rs
+++ b/crates/runtime/src/logs/last_error.rs
@@ -1,4 +1,4 @@
-//! The newest warning or error of the process, for the status document.
+//! Keeps the most recent warning or error of the process for the status document.
 
 use crate::clock;
 use log::Record;
@@ -6,32 +6,32 @@
 use std::sync::{Mutex, PoisonError};
 use streamusher_protocol::Millis;
 
-/// The longest text that is kept, in bytes.
+/// Maximum length of the stored text, in bytes.
 const MAX_TEXT_BYTES: usize = 400;
 
-static NEWEST: Mutex<Option<KeptLine>> = Mutex::new(None);
+static MOST_RECENT: Mutex<Option<StoredLine>> = Mutex::new(None);
 
-struct KeptLine {
+struct StoredLine {
     written_at: Millis,
     level: &'static str,
     text: String,
 }
 
-/// The newest warning or error of this process.
+/// The most recent warning or error of this process, as the status document shows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct LastError {
-    /// Milliseconds since it was written.
+    /// Milliseconds since the line was logged.
     pub age_ms: Millis,
-    /// `ERROR` or `WARN`.
+    /// Level of the line, `ERROR` or `WARN`.
     pub level: &'static str,
-    /// The line, cut where it is long.
+    /// Text of the line, truncated if it is long.
     pub text: String,
 }
 
-/// The newest warning or error of this process.
+/// Returns the most recent warning or error of this process, or `None` if there has been none.
 pub fn last_error() -> Option<LastError> {
-    let newest = NEWEST.lock().unwrap_or_else(PoisonError::into_inner);
-    let line = newest.as_ref()?;
+    let most_recent = MOST_RECENT.lock().unwrap_or_else(PoisonError::into_inner);
+    let line = most_recent.as_ref()?;
     let age_ms = clock::steady().saturating_sub(line.written_at);
     Some(LastError {
         age_ms,
@@ -40,18 +40,18 @@
     })
 }
 
-/// Keeps a line if it is a warning or an error.
-pub(super) fn keep(record: &Record<'_>) {
+/// Stores a line if it is a warning or an error.
+pub(super) fn store_if_warning_or_error(record: &Record<'_>) {
     if record.level() > log::Level::Warn {
         return;
     }
     let mut text = record.args().to_string();
     let end = text.floor_char_boundary(MAX_TEXT_BYTES);
     text.truncate(end);
-    let line = KeptLine {
+    let line = StoredLine {
         written_at: clock::steady(),
         level: record.level().as_str(),
         text,
     };
-    *NEWEST.lock().unwrap_or_else(PoisonError::into_inner) = Some(line);
+    *MOST_RECENT.lock().unwrap_or_else(PoisonError::into_inner) = Some(line);
 }
--- a/crates/runtime/src/logs/layout.rs
+++ b/crates/runtime/src/logs/layout.rs
@@ -1,4 +1,5 @@
-//! The form of a line: `2026-12-02T05:52:34.123Z INFO streamusher_scheduler::operators: configuration 1 taken`.
+//! Format of a log line: `2026-12-02T05:52:34.123Z INFO streamusher_scheduler::operators: configuration 1
+//! taken`.
 
 use logforth::record::Record;
 use logforth::{Diagnostic, Error, Layout};
@@ -6,7 +7,7 @@
 
 const SECONDS_PER_DAY: u64 = 86_400;
 
-/// Time of day in UTC, level, module, text.
+/// Formats a record as time of day in UTC, level, module and text.
 #[derive(Debug)]
 pub(super) struct LineLayout;
 
@@ -18,13 +19,13 @@
     ) -> Result<Vec<u8>, Error> {
         let time = utc(record.time());
         let level = record.level().name();
-        // One line for each record: a text must not break it.
+        // Each record is one line, so line breaks in its text are replaced by spaces.
         let text = record.payload().to_string().replace('\n', " ");
         Ok(format!("{time} {level} {}: {text}", record.target()).into_bytes())
     }
 }
 
-/// A time as ISO 8601 in UTC, with milliseconds; a time before 1970 as 1970.
+/// Formats a time as ISO 8601 in UTC with milliseconds. A time before 1970 is formatted as the start of 1970.
 pub fn utc(time: SystemTime) -> String {
     let since_epoch = time.duration_since(UNIX_EPOCH).unwrap_or_default();
     let seconds = since_epoch.as_secs();
@@ -40,10 +41,10 @@
     day: u64,
 }
 
-/// The Gregorian date of a day counted from 1970-01-01.
+/// Returns the Gregorian date of a day, given as the number of days since 1970-01-01.
 ///
-/// Counts in eras of 400 years and in years that begin in March, so that a leap day is the last day of its year (H. Hinnant,
-/// "chrono-Compatible Low-Level Date Algorithms").
+/// The computation uses eras of 400 years and years that begin in March, so that a leap day is the last day
+/// of its year (H. Hinnant, "chrono-Compatible Low-Level Date Algorithms").
 fn date_of(days_since_1970: u64) -> Date {
     const DAYS_PER_ERA: u64 = 146_097;
     const DAYS_FROM_MARCH_0000_TO_1970: u64 = 719_468;
--- a/crates/runtime/src/logs/logger.rs
+++ b/crates/runtime/src/logs/logger.rs
@@ -1,4 +1,5 @@
-//! The logger behind the `log` facade: filters by level and origin, limits each call site, and passes lines to logforth.
+//! The logger behind the `log` facade: filters lines by level and target, limits the rate of each call site,
+//! and passes lines to logforth.
 
 use super::layout::LineLayout;
 use super::rate_limit::{CallSite, CallSiteLimiter};
@@ -9,15 +10,16 @@
 use std::fmt::Arguments;
 use std::sync::{Mutex, PoisonError};
 
-/// The level without option and variable: one line for each change that operators watch. What happens for each run or
-/// request is at `debug`, since lines cost processor time, which is priced.
+/// The level if neither the option nor the variable sets one. At this level there is one line for each change
+/// that operators watch; events of each run or request are logged at `debug`, because lines cost processor
+/// time, which is priced.
 const DEFAULT_LEVEL: LevelFilter = LevelFilter::Info;
 
-/// The prefix of the targets of this project's lines.
+/// Prefix of the log targets of this project.
 const OWN_TARGET_PREFIX: &str = "streamusher";
 
-/// Sends the lines of this process to standard error, at `level`, or else at the level of [`LEVEL_VARIABLE`]. Further calls
-/// have no effect.
+/// Starts logging to standard error at `level`, or at the level of [`LEVEL_VARIABLE`] if `level` is `None`.
+/// Further calls have no effect.
 pub fn start(level: Option<LevelFilter>) {
     let variable = std::env::var(LEVEL_VARIABLE)
         .ok()
@@ -50,7 +52,8 @@
         }
     }
 
-    /// How many lines of the same call site were suppressed before this one; none where this one is suppressed too.
+    /// Returns how many lines of the same call site were suppressed since its last written line, or `None` if
+    /// this line is to be suppressed too.
     fn suppressed_before(&self, record: &Record<'_>) -> Option<u64> {
         if record.level() > log::Level::Info {
             return Some(0);
@@ -85,7 +88,7 @@
         if !self.enabled(record.metadata()) {
             return;
         }
-        last_error::keep(record);
+        last_error::store_if_warning_or_error(record);
         match self.suppressed_before(record) {
             None => {}
             Some(0) => self.write(record, *record.args()),
@@ -101,7 +104,7 @@
     }
 }
 
-/// Whether a line is this project's, or a library's warning or error.
+/// Returns true for lines of this project, and for warnings and errors of libraries.
 fn is_wanted(metadata: &Metadata<'_>) -> bool {
     metadata.level() <= log::Level::Warn || metadata.target().starts_with(OWN_TARGET_PREFIX)
 }
--- a/crates/runtime/src/logs/mod.rs
+++ b/crates/runtime/src/logs/mod.rs
@@ -1,7 +1,9 @@
-//! Logs: the `log` facade, written to standard error by logforth. A line below the level costs one comparison.
+//! Logging through the `log` facade; logforth writes the lines to standard error. A line below the level
+//! costs one comparison.
 //!
-//! Lines at `info` and above are for operators. Each call site that writes them is limited ([`rate_limit`]), and the newest
-//! warning or error is kept for the status document ([`last_error`]). What libraries log below `warn` is not written.
+//! Lines at `info` and above are for operators. [`rate_limit`] limits each call site that writes them, and
+//! [`last_error`] keeps the most recent warning or error for the status document. Lines of libraries below
+//! `warn` are discarded.
 
 mod last_error;
 mod layout;
@@ -12,6 +14,6 @@
 pub use layout::utc;
 pub use logger::start;
 
-/// The variable that sets the level: `off`, `error`, `warn`, `info`, `debug` or `trace`. The option `--log-level` takes
-/// precedence.
+/// The environment variable that sets the log level: `off`, `error`, `warn`, `info`, `debug` or `trace`. The
+/// option `--log-level` takes precedence.
 pub const LEVEL_VARIABLE: &str = "STREAMUSHER_LOG";
--- a/crates/runtime/src/logs/rate_limit.rs
+++ b/crates/runtime/src/logs/rate_limit.rs
@@ -1,24 +1,25 @@
-//! Rate limits of log lines, so that a storm of one kind costs little and hides no other kind.
+//! Rate limits for log lines, so that a flood of one kind of line costs little and does not hide other kinds.
 
 use std::cell::Cell;
 use std::collections::HashMap;
 use streamusher_protocol::Millis;
 
-/// Lines that one call site may write within [`CALL_SITE_WINDOW_MS`]: a burst of real changes passes, a storm does not.
+/// Maximum number of lines per call site within [`CALL_SITE_WINDOW_MS`]. It admits a burst of real changes
+/// and stops a flood.
 const MAX_LINES_PER_CALL_SITE: u32 = 20;
-/// The window in which a call site's lines are counted.
+/// Length of the window in which the lines of a call site are counted.
 const CALL_SITE_WINDOW_MS: Millis = 10_000;
 
-/// A place in the source that writes lines.
+/// A place in the source that writes log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct CallSite {
-    /// Path of its module.
+    /// Path of the module that contains the call site.
     pub module: &'static str,
-    /// Its line in the file.
+    /// Line number within the source file.
     pub line: u32,
 }
 
-/// Limits the lines of each call site to a number in a window of time.
+/// Limits the number of lines that each call site writes per window of time.
 #[derive(Debug, Default)]
 pub struct CallSiteLimiter {
     windows: HashMap<CallSite, Window>,
@@ -32,7 +33,8 @@
 }
 
 impl CallSiteLimiter {
-    /// Whether a line of `call_site` may be written at `now`: if so, how many were suppressed since its last one.
+    /// Returns `None` if a line of `call_site` must be suppressed at `now`. Otherwise returns how many lines
+    /// of the call site were suppressed since the last one that was written.
     pub fn allow(&mut self, now: Millis, call_site: CallSite) -> Option<u64> {
         let window = self.windows.entry(call_site).or_default();
         if now >= window.ends_at {
@@ -48,7 +50,7 @@
     }
 }
 
-/// Limits one kind of line to one in an interval, and counts those suppressed.
+/// Limits one kind of line to one per interval, and counts the suppressed lines.
 #[derive(Debug)]
 pub struct RateLimiter {
     interval_ms: Millis,
@@ -57,7 +59,7 @@
 }
 
 impl RateLimiter {
-    /// At most one line in `interval_ms`.
+    /// Creates a limiter that permits one line per `interval_ms`.
     pub const fn new(interval_ms: Millis) -> RateLimiter {
         RateLimiter {
             interval_ms,
@@ -66,7 +68,8 @@
         }
     }
 
-    /// Whether a line may be written at `now`: if so, how many were suppressed since the last one.
+    /// Returns `None` if a line must be suppressed at `now`. Otherwise returns how many were suppressed since
+    /// the last one that was written.
     pub fn allow(&self, now: Millis) -> Option<u64> {
         if now < self.next_at.get() {
             self.suppressed.set(self.suppressed.get() + 1);
--- a/crates/runtime/src/options.rs
+++ b/crates/runtime/src/options.rs
@@ -1,4 +1,4 @@
-//! Command lines of programs with commands: `PROGRAM [options] [COMMAND]`.
+//! Command-line parsing for programs with commands: `PROGRAM [options] [COMMAND]`.
 //!
 //! ```
 //! use streamusher_runtime::options::{parse, CommandDescription, ParsedCommandLine, ProgramDescription};
@@ -18,77 +18,77 @@
 use log::LevelFilter;
 use std::fmt::Write;
 
-/// Exit code for a wrong command line or wrong settings.
+/// Exit code for an invalid command line or invalid settings.
 pub const EXIT_MISUSE: u8 = 2;
 
-/// A program, as its help describes it.
+/// Description of a program for its command line and help text.
 #[derive(Clone, Copy, Debug)]
 pub struct ProgramDescription {
-    /// Its name, as typed.
+    /// Program name, as typed on the command line.
     pub name: &'static str,
-    /// One line on what it does.
+    /// One-line description of the program.
     pub summary: &'static str,
-    /// Its version.
+    /// Version of the program, as `--version` prints it.
     pub version: &'static str,
-    /// Its commands. Where there are any, one must be given.
+    /// Commands of the program. If there are any, exactly one must be given.
     pub commands: &'static [CommandDescription],
 }
 
-/// A command of a program.
+/// Description of a command of a program.
 #[derive(Clone, Copy, Debug)]
 pub struct CommandDescription {
-    /// Its name, as typed.
+    /// Command name, as typed on the command line.
     pub name: &'static str,
-    /// One line on what it does.
+    /// One-line description of the command.
     pub summary: &'static str,
 }
 
-/// How the program is to be run.
+/// Options for running the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunOptions {
-    /// The command; none for programs without commands.
+    /// The selected command; `None` for programs without commands.
     pub command: Option<&'static str>,
-    /// Only check the settings.
+    /// If true, the program only checks its settings.
     pub check: bool,
-    /// The log level, where one is given.
+    /// The level given by `--log-level`, if present.
     pub log_level: Option<LevelFilter>,
 }
 
-/// What a command line asks for.
+/// Result of parsing a command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ParsedCommandLine {
-    /// Run the program, or check its settings.
+    /// Run the program, or only check its settings.
     Run(RunOptions),
-    /// Print this text and exit with success.
+    /// Print this text and exit successfully.
     Print(String),
 }
 
-/// Why a command line is wrong. The texts say what to write.
+/// An invalid command line. The messages say what to write instead.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OptionsError {
-    /// An option that does not exist or is malformed.
+    /// An option is unknown or malformed.
     #[error("{0}: see --help for the options")]
     Option(String),
-    /// No command, or an unknown one.
+    /// The command is missing or unknown.
     #[error("{found}: give one of these commands: {known}")]
     Command {
-        /// What was found.
+        /// Description of what was found in place of a command.
         found: String,
-        /// The known commands.
+        /// The available commands, separated by commas.
         known: String,
     },
-    /// An unknown log level.
+    /// The log level is unknown.
     #[error("--log-level {0:?}: write off, error, warn, info, debug or trace")]
     LogLevel(String),
-    /// More than a command.
+    /// There are more arguments than one command.
     #[error("unexpected argument {0:?}: give at most one command")]
     Extra(String),
 }
 
-/// Parses a command line, given without the program's own name.
+/// Parses a command line. `arguments` does not include the program's own name.
 ///
 /// # Errors
-/// See [`OptionsError`].
+/// Returns an [`OptionsError`] if the command line is invalid.
 pub fn parse(
     program: &ProgramDescription,
     arguments: &[String],
@@ -113,7 +113,7 @@
     }))
 }
 
-/// Adds the option `--log-level`, for programs with options of their own.
+/// Adds the option `--log-level`, for programs that define their own options.
 pub fn add_log_level(options: &mut Options) {
     options.optopt(
         "",
@@ -123,10 +123,10 @@
     );
 }
 
-/// The level that `--log-level` gives, where it is present.
+/// Returns the level that `--log-level` gives, or `None` if the option is absent.
 ///
 /// # Errors
-/// There is no such level.
+/// Returns an error if the level is unknown.
 pub fn log_level(matches: &Matches) -> Result<Option<LevelFilter>, OptionsError> {
     let Some(text) = matches.opt_str("log-level") else {
         return Ok(None);
--- a/crates/runtime/src/settings/deployment_limits.rs
+++ b/crates/runtime/src/settings/deployment_limits.rs
@@ -1,11 +1,11 @@
-//! Time limits of the operators' rules.
+//! Time limits that the operators' rules set for a deployment.
 
 use super::time_span::{deserialize_millis, round_to_millis};
 use serde::Deserialize;
 use streamusher_protocol::Millis;
 
-/// Limits of the operators' rules, under the names of their pages, which explain them. In milliseconds where the name ends in
-/// `_ms`, in seconds where it ends in `_s`; `far_x` is a factor.
+/// Limits of the operators' rules. The field names are those of the operators' pages, which explain them.
+/// Names ending in `_ms` are in milliseconds, names ending in `_s` in seconds; `far_x` is a factor.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 #[expect(
@@ -83,7 +83,7 @@
 }
 
 impl DeploymentLimits {
-    /// `grace_s` in milliseconds: from SIGTERM to SIGKILL.
+    /// Returns `grace_s` in milliseconds: the time from SIGTERM to SIGKILL.
     pub fn grace_ms(&self) -> Millis {
         round_to_millis(self.grace_s * 1_000.0)
     }
--- a/crates/runtime/src/settings/error.rs
+++ b/crates/runtime/src/settings/error.rs
@@ -1,37 +1,38 @@
-//! Why a settings file cannot be used. The texts name file, key, value and remedy.
+//! Errors in settings files. The messages name the file, the key, its value and a remedy.
 
 use super::PATH_VARIABLE;
 use std::io;
 
-/// Why there are no settings.
+/// Reason why the settings could not be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The file cannot be read.
+    /// The settings file cannot be read.
     #[error("settings file {path}: {reason}: name a file that can be read in {PATH_VARIABLE}")]
     Unreadable {
-        /// The file.
+        /// Path of the settings file.
         path: String,
-        /// What the system said. Part of the text, and so not its source.
+        /// Error of the operating system. The message includes it, so it is not exposed as the error's
+        /// source.
         reason: io::Error,
     },
-    /// The file is not TOML.
+    /// The settings file is not valid TOML.
     #[error("settings file {path}: {reason}: write it as TOML")]
     Syntax {
-        /// The file.
+        /// Path of the settings file.
         path: String,
-        /// What is wrong, and where.
+        /// Description and position of the syntax error.
         reason: String,
     },
-    /// A key is missing, or its value cannot be used.
+    /// A key is missing or has an invalid value.
     #[error("settings file {path}: key {key} = {value}: {remedy}")]
     Key {
-        /// The file.
+        /// Path of the settings file.
         path: String,
-        /// The key, with its table.
+        /// The key, prefixed with its table.
         key: String,
-        /// Its value, as it is written in the file.
+        /// Value of the key, as written in the file.
         value: String,
-        /// What to do.
+        /// Instruction for correcting the file.
         remedy: String,
     },
 }
--- a/crates/runtime/src/settings/file.rs
+++ b/crates/runtime/src/settings/file.rs
@@ -1,27 +1,27 @@
-//! The settings file on disk: loading it at the start, and reloading it.
+//! Loads the settings file at start-up and reloads it on request.
 
 use super::{parse, ProcessSettings, SettingsError};
 use std::path::{Path, PathBuf};
 
-/// The variable that names the file.
+/// The environment variable that names the settings file.
 pub const PATH_VARIABLE: &str = "STREAMUSHER_SETTINGS";
 
-/// Where the file is without the variable.
+/// Path of the settings file if the environment variable is not set.
 pub const DEFAULT_PATH: &str = "/etc/streamusher/settings.toml";
 
-/// Reads the file that [`PATH_VARIABLE`] names.
+/// Loads the settings file that [`PATH_VARIABLE`] names, or else the one at [`DEFAULT_PATH`].
 ///
 /// # Errors
-/// See [`SettingsError`].
+/// Returns a [`SettingsError`] if the file cannot be read or its content is invalid.
 pub fn load() -> Result<ProcessSettings, SettingsError> {
     let path = std::env::var_os(PATH_VARIABLE).map_or(PathBuf::from(DEFAULT_PATH), PathBuf::from);
     load_from(&path)
 }
 
-/// Reads the file at `path`.
+/// Loads the settings file at `path`.
 ///
 /// # Errors
-/// See [`SettingsError`].
+/// Returns a [`SettingsError`] if the file cannot be read or its content is invalid.
 pub fn load_from(path: &Path) -> Result<ProcessSettings, SettingsError> {
     let name = path.display().to_string();
     match std::fs::read_to_string(path) {
@@ -30,13 +30,16 @@
     }
 }
 
-/// Reads the file again, as after SIGHUP, and passes it to `apply`. A file that cannot be used is logged and has no effect.
+/// Reloads the settings file, for example after SIGHUP, and passes the settings to `apply`. If the file is
+/// invalid, the error is logged and the current settings stay in effect.
 pub fn reload(apply: impl FnOnce(&ProcessSettings)) {
     match load() {
         Ok(settings) => {
             log::info!("settings reloaded: seeds {:?}", settings.seeds);
             apply(&settings);
         }
-        Err(error) => log::error!("settings not reloaded, keeping the former ones: {error}"),
+        Err(error) => {
+            log::error!("settings not reloaded, keeping the former ones: {error}")
+        }
     }
 }
--- a/crates/runtime/src/settings/machine_limits.rs
+++ b/crates/runtime/src/settings/machine_limits.rs
@@ -1,30 +1,32 @@
-//! What the machine offers the process.
+//! Resource limits that the machine sets for the process.
 
 use serde::Deserialize;
 
-/// Connections that a server may hold, however few descriptors there are.
+/// Minimum number of connections that a server may hold, regardless of how few file descriptors are
+/// available.
 const MIN_CONNECTIONS: u64 = 16;
 
-/// What the machine offers the process.
+/// Resource limits that the machine sets for the process.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct MachineLimits {
-    /// Share of one core.
+    /// Share of one core that the process may use.
     pub cpu_share: f64,
-    /// Speed of the core, in multiples of the usual one.
+    /// Speed of the core, as a multiple of the usual speed.
     pub cores: f64,
-    /// Memory above which the process is killed.
+    /// Memory in megabytes above which the process is killed.
     pub memory_mb: f64,
-    /// Descriptors, of which 200 are kept for files outside the data directory.
+    /// Maximum number of file descriptors, of which 200 are reserved for files outside the data directory.
     pub max_fds: u64,
-    /// Bandwidth of the machine's link.
+    /// Bandwidth of the machine's network link, in megabits per second.
     pub link_mbps: f64,
-    /// Size of the disk; 0 without one.
+    /// Size of the disk in megabytes; 0 if the machine has no disk.
     pub disk_mb: f64,
 }
 
 impl MachineLimits {
-    /// Connections that a server may hold, where the process needs `reserved_descriptors` for other things.
+    /// Returns the maximum number of connections for a server, given that the process reserves
+    /// `reserved_descriptors` file descriptors for other purposes.
     pub fn max_connections(&self, reserved_descriptors: u64) -> usize {
         let connections = self
             .max_fds
--- a/crates/runtime/src/settings/mod.rs
+++ b/crates/runtime/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The settings file of a process, as the platform writes it (TOML). Fields that are not known here are ignored.
+//! The settings file of a process, a TOML file that the platform writes. Unknown fields are ignored.
 //!
 //! ```
 //! let file = r#"
--- a/crates/runtime/src/settings/parsing.rs
+++ b/crates/runtime/src/settings/parsing.rs
@@ -1,4 +1,4 @@
-//! Parsing a settings file, with errors that name key, value and remedy.
+//! Parses a settings file, with errors that name the key, its value and a remedy.
 
 use super::validation::validate;
 use super::{ProcessSettings, SettingsError};
@@ -7,10 +7,10 @@
 use figment::value::{Num, Value};
 use figment::Figment;
 
-/// Parses the text of a settings file; `path` is its name in errors.
+/// Parses the text of a settings file. `path` identifies the file in error messages.
 ///
 /// # Errors
-/// See [`SettingsError`].
+/// Returns a [`SettingsError`] if the text is not valid TOML, or if a key is missing or has an invalid value.
 pub fn parse(text: &str, path: &str) -> Result<ProcessSettings, SettingsError> {
     let figment = Figment::from(Toml::string(text));
     let settings = figment
@@ -55,7 +55,7 @@
     }
 }
 
-/// The value at a path of keys and, in arrays, indexes.
+/// Returns the value at a path of table keys and array indexes.
 fn value_at(figment: &Figment, path: &[String]) -> Option<Value> {
     let (first, rest) = path.split_first()?;
     let mut value = figment.find_value(first).ok()?;
@@ -69,7 +69,7 @@
     Some(value)
 }
 
-/// A value as it is written in the file.
+/// Formats a value as it is written in the file.
 fn display(value: &Value) -> String {
     match value {
         Value::String(_, text) => format!("{text:?}"),
--- a/crates/runtime/src/settings/process_settings.rs
+++ b/crates/runtime/src/settings/process_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a process.
+//! The settings of a process and their defaults.
 
 use super::time_span::deserialize_millis;
 use super::{DeploymentLimits, MachineLimits};
@@ -10,106 +10,108 @@
 use streamusher_protocol::internal::{CoreAddress, CONTROL_PORT_OFFSET};
 use streamusher_protocol::Millis;
 
-/// The settings of a process.
+/// The settings of a process, as its settings file gives them.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct ProcessSettings {
-    /// Name of the machine.
+    /// Name of the machine that the process runs on.
     #[serde(default)]
     pub node_name: Arc<str>,
-    /// The role, as the deploy file names it.
+    /// Role of the process, as the deploy file names it.
     #[serde(default)]
     pub role: Arc<str>,
-    /// `front`, `core` or `side`.
+    /// Class of the machine: `front`, `core` or `side`.
     #[serde(default)]
     pub machine_class: Arc<str>,
-    /// Which outside parties may call this process: `front` (clients), `side` (the worker on its machine), `control`
-    /// (workers and operators).
+    /// External parties that may call this process: `front` (clients), `side` (the worker on its machine),
+    /// `control` (workers and operators).
     #[serde(default)]
     pub serves: Vec<Arc<str>>,
-    /// The machine's address.
+    /// IP address of the machine.
     pub ip: IpAddr,
-    /// The machine's zone.
+    /// Zone of the machine.
     #[serde(default)]
     pub zone: Arc<str>,
-    /// The zone's region.
+    /// Region of the zone.
     #[serde(default)]
     pub region: Arc<str>,
     /// First and last port for messages between processes of the system.
     pub port_range: [u16; 2],
-    /// Control addresses of up to three machines, to join the cluster by.
+    /// Control addresses of up to three machines, used to join the cluster.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Whether this is the very first start of the whole system, on empty disks.
+    /// True only for the very first start of the whole system, on empty disks.
     #[serde(default)]
     pub bootstrap: bool,
-    /// Whether the machine counts in `fault_tolerance`.
+    /// Whether the machine counts towards `fault_tolerance`.
     #[serde(default)]
     pub counts_for_quorum: bool,
-    /// Directory for files; none on machines without a disk.
+    /// Directory for files; `None` on machines without a disk.
     #[serde(default, deserialize_with = "deserialize_optional_path")]
     pub data_dir: Option<PathBuf>,
-    /// Interval of the workers' heartbeats.
+    /// Interval between the heartbeats of a worker, in milliseconds.
     #[serde(
         default = "default_heartbeat_ms",
         deserialize_with = "deserialize_millis"
     )]
     pub heartbeat_ms: Millis,
-    /// Parts of the operators' rules that are in force.
+    /// The parts of the operators' rules that are in force.
     #[serde(default)]
     pub contracts: Vec<Arc<str>>,
     /// How workers receive commands: `rpc` or `heartbeat`.
     #[serde(default)]
     pub commands: Arc<str>,
-    /// Region of each zone.
+    /// Maps each zone to its region.
     #[serde(default)]
     pub zones: BTreeMap<Arc<str>, Arc<str>>,
-    /// Addresses to listen at.
+    /// Addresses that the process listens on.
     #[serde(default)]
     pub listen: ListenAddresses,
-    /// What the machine offers the process.
+    /// Resource limits that the machine sets for the process.
     #[serde(default)]
     pub limits: MachineLimits,
-    /// What may be lost at a time.
+    /// Failures that the deployment tolerates at a time.
     #[serde(default)]
     pub fault_tolerance: FaultTolerance,
-    /// Time limits of the rules.
+    /// Time limits of the operators' rules.
     #[serde(default)]
     pub bounds: DeploymentLimits,
 }
 
-/// Addresses to listen at.
+/// Addresses that a process listens on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 pub struct ListenAddresses {
-    /// For clients.
+    /// Address for clients.
     #[serde(default)]
     pub front: Option<SocketAddr>,
-    /// For the platform's readiness probe.
+    /// Address for the platform's readiness probe.
     #[serde(default)]
     pub ready: Option<SocketAddr>,
-    /// For workers and operators.
+    /// Address for workers and operators.
     #[serde(default)]
     pub control: Option<SocketAddr>,
 }
 
-/// What may be lost at a time while all rules are kept.
+/// Numbers of simultaneous failures under which all rules still hold.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct FaultTolerance {
-    /// Machines whose `counts_for_quorum` is true.
+    /// Number of machines that may fail, among those whose `counts_for_quorum` is true.
     pub machines: u32,
-    /// Zones.
+    /// Number of zones that may fail.
     pub zones: u32,
-    /// Regions.
+    /// Number of regions that may fail.
     pub regions: u32,
 }
 
 impl ProcessSettings {
-    /// The address of this machine for messages between processes, at `offset` above the first port of the range.
+    /// Returns this machine's address for messages between processes, on the port at `offset` from the start
+    /// of the port range.
     pub fn internal_address(&self, offset: u16) -> SocketAddr {
         SocketAddr::new(self.ip, self.internal_port(offset))
     }
 
-    /// Each seed as a control machine, with its control address and its internal one. Ports are alike on all machines.
+    /// Returns the control and internal addresses of each seed. The internal port is derived from this
+    /// machine's port range, because all machines use the same ports.
     pub fn core_addresses_of_seeds(&self) -> Vec<CoreAddress> {
         let port = self.internal_port(CONTROL_PORT_OFFSET);
         let core_address = |seed: &SocketAddr| CoreAddress {
@@ -119,7 +121,7 @@
         self.seeds.iter().map(core_address).collect()
     }
 
-    /// Whether an outside party may call this process.
+    /// Returns true if the external party may call this process; see the field `serves`.
     pub fn serves(&self, party: &str) -> bool {
         self.serves.iter().any(|served| &**served == party)
     }
@@ -130,7 +132,7 @@
 }
 
 impl Default for ProcessSettings {
-    /// Settings of a lone process on the local machine, for tests.
+    /// Settings of a single process on the local machine, for tests.
     fn default() -> ProcessSettings {
         ProcessSettings {
             node_name: "node".into(),
@@ -161,7 +163,7 @@
     1_500
 }
 
-/// A path; none for an empty text.
+/// Decodes a path; an empty string gives `None`.
 fn deserialize_optional_path<'de, D: serde::Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Option<PathBuf>, D::Error> {
--- a/crates/runtime/src/settings/time_span.rs
+++ b/crates/runtime/src/settings/time_span.rs
@@ -1,10 +1,10 @@
-//! Time spans in settings: whole numbers or fractions.
+//! Decodes time spans in settings, which may be integers or fractions.
 
 use serde::de::Error;
 use serde::{Deserialize, Deserializer};
 use streamusher_protocol::Millis;
 
-/// Milliseconds from a whole number or a fraction, rounded.
+/// Decodes a number of milliseconds, which may have a fraction, and rounds it to an integer.
 pub(super) fn deserialize_millis<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Millis, D::Error> {
@@ -15,7 +15,7 @@
     Ok(round_to_millis(value))
 }
 
-/// The nearest whole number of milliseconds; 0 for a negative number.
+/// Rounds to the nearest integer number of milliseconds; a negative number gives 0.
 #[expect(
     clippy::cast_possible_truncation,
     reason = "the value is whole and not negative, and `as` saturates at the largest integer"
--- a/crates/runtime/src/settings/validation.rs
+++ b/crates/runtime/src/settings/validation.rs
@@ -1,8 +1,8 @@
-//! Checks that go beyond a key's type.
+//! Checks of settings beyond the types of their keys.
 
 use super::{DeploymentLimits, ProcessSettings, SettingsError};
 
-/// Checks settings that were parsed; `path` is the file's name in errors.
+/// Validates parsed settings. `path` identifies the file in error messages.
 pub(super) fn validate(settings: &ProcessSettings, path: &str) -> Result<(), SettingsError> {
     let [first, last] = settings.port_range;
     if first == 0 || last < first {
@@ -40,7 +40,8 @@
     validate_bounds(&settings.bounds, path)
 }
 
-/// Times are finite and not negative; those in `_ms` are whole numbers by their type.
+/// Checks that time limits in seconds are finite and not negative. Limits in milliseconds are integers by
+/// their type.
 fn validate_bounds(bounds: &DeploymentLimits, path: &str) -> Result<(), SettingsError> {
     let seconds = [
         ("bounds.seed_lag_s", bounds.seed_lag_s),
--- a/crates/runtime/src/signals.rs
+++ b/crates/runtime/src/signals.rs
@@ -1,7 +1,8 @@
-//! Signals on the event loop, through pipes: a handler writes a byte, and the loop reads it.
+//! Receives signals on the event loop through pipes: a signal handler writes one byte, and the event loop
+//! reads it.
 //!
-//! Pipes, since the platform refuses the Unix sockets of `tokio::signal`. One pipe for each signal, since a handler writes
-//! one byte that does not name it.
+//! Pipes are used because the platform does not permit the Unix sockets that `tokio::signal` needs. Each
+//! signal has a pipe of its own, because the byte that a handler writes does not identify the signal.
 
 use rustix::pipe::{pipe_with, PipeFlags};
 use std::future::poll_fn;
@@ -11,19 +12,19 @@
 use tokio::io::{AsyncRead, ReadBuf};
 use tokio::net::unix::pipe::Receiver;
 
-/// The signals that a process handles.
+/// A signal that the process handles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// SIGTERM: shut down within the platform's `grace_s`.
+    /// SIGTERM: the process shuts down within the platform's grace period, `grace_s`.
     Terminate,
-    /// SIGINT: as SIGTERM, from a terminal.
+    /// SIGINT: handled like SIGTERM; sent from a terminal.
     Interrupt,
-    /// SIGHUP: the settings file has changed.
+    /// SIGHUP: the settings file has changed and is to be reloaded.
     Reload,
 }
 
 impl Signal {
-    /// Whether it requests a shutdown.
+    /// Returns true if the signal requests a shutdown.
     pub fn is_shutdown(self) -> bool {
         self != Signal::Reload
     }
@@ -35,16 +36,17 @@
     (Signal::Reload, signal_hook::consts::SIGHUP),
 ];
 
-/// Receives the signals of the process: the read ends of the pipes, whose write ends the handlers have.
+/// Receives the signals of the process. Holds the read ends of the pipes; the signal handlers hold the write
+/// ends.
 pub struct Signals {
     pipes: Vec<(Signal, Receiver)>,
 }
 
 impl Signals {
-    /// Handles each [`Signal`] from now on. Once in a process, within its event loop.
+    /// Registers a handler for each [`Signal`]. Call it once per process, within the event loop.
     ///
     /// # Errors
-    /// A pipe or a handler could not be set up.
+    /// Returns an error if a pipe or a handler cannot be set up.
     pub fn new() -> io::Result<Signals> {
         let mut pipes = Vec::with_capacity(HANDLED_SIGNALS.len());
         for (signal, number) in HANDLED_SIGNALS {
@@ -55,10 +57,10 @@
         Ok(Signals { pipes })
     }
 
-    /// The next signal. Several of one kind that come together count as one.
+    /// Waits for the next signal. Several signals of one kind that arrive before a read are reported as one.
     ///
     /// # Errors
-    /// A pipe could not be read.
+    /// Returns an error if a pipe cannot be read.
     pub async fn next(&mut self) -> io::Result<Signal> {
         poll_fn(|context| self.poll_next(context)).await
     }
