--- a/crates/protocol/src/config.rs
+++ b/crates/protocol/src/config.rs
@@ -1,63 +1,65 @@
-//! The operators' configuration as it is sent. The configuration package checks it and compares versions.
+//! The operators' configuration in its wire format. The configuration package validates it and compares
+//! versions.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Header with the version on which a change is based.
+/// Header that carries the version on which a change is based.
 pub const BASE_VERSION_HEADER: &str = "streamusher-base-version";
-/// Path of a whole configuration.
+/// Path of the request that replaces the whole configuration.
 pub const REPLACE_PATH: &str = "/streamusher/Config.Replace";
-/// Path of a change of named items.
+/// Path of the request that changes named items.
 pub const UPDATE_PATH: &str = "/streamusher/Config.Update";
-/// Path of the newest committed configuration.
+/// Path of the request that reads the most recent committed configuration.
 pub const READ_PATH: &str = "/streamusher/Config.Read";
 
-/// A whole configuration. Fields that this release does not know are kept in `other`, so that a read returns what was sent.
+/// A complete configuration. Fields unknown to this release are preserved in `other`, so that a read returns
+/// what was sent.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Rises from change to change.
+    /// Version number, which increases with each change.
     pub version: u64,
     /// The queues.
     #[serde(default)]
     pub routes: Vec<Route>,
-    /// The services whose workers run the queues' tasks.
+    /// The services whose workers run the tasks of the queues.
     #[serde(default)]
     pub services: Vec<Service>,
-    /// Limits for clients' connections.
+    /// Limits for client connections.
     #[serde(default)]
     pub limits: Limits,
-    /// Fields not known here.
+    /// Fields unknown to this release.
     #[serde(flatten)]
     pub other: serde_json::Map<String, serde_json::Value>,
 }
 
-/// A queue, chosen by host and the longest prefix of the path.
+/// A queue. A request is assigned to it by its host and the longest matching path prefix.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name, unique.
+    /// Name of the queue, unique among the queues.
     pub name: Arc<str>,
-    /// Host header of its requests.
+    /// Value of the `Host` header of the queue's requests.
     pub host: Arc<str>,
-    /// How the path of its requests begins.
+    /// Path prefix of the queue's requests.
     pub path_prefix: Arc<str>,
-    /// How long a request may take.
+    /// Time limit for a request.
     pub timeout_ms: Millis,
-    /// Constant part of the latency objective of its jobs.
+    /// Constant part of the latency objective for the queue's jobs.
     #[serde(default)]
     pub target_latency_ms: Millis,
-    /// Priority of its jobs: 0 is the most urgent and may preempt the others.
+    /// Priority of the queue's jobs: 0 is the most urgent and may preempt the others.
     #[serde(default)]
     pub priority: u32,
-    /// The service whose workers run its tasks.
+    /// The service whose workers run the queue's tasks.
     pub service: Arc<str>,
-    /// Failed runs after which a task is given up.
+    /// Number of failed runs after which a task is not retried any more.
     #[serde(default = "default_max_attempts")]
     pub max_attempts: u32,
-    /// Part of the latency objective that grows with the job: factor on its critical path.
+    /// Factor on a job's critical path: the part of the latency objective that grows with the job.
     #[serde(default)]
     pub stretch: f64,
-    /// Fields not known here.
+    /// Fields unknown to this release.
     #[serde(flatten)]
     pub other: serde_json::Map<String, serde_json::Value>,
 }
@@ -65,32 +67,32 @@
 /// A kind of worker.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name, unique.
+    /// Name of the service, unique among the services.
     pub name: Arc<str>,
-    /// Path of its workers' health checks.
+    /// Path of the health checks of the service's workers.
     #[serde(default)]
     pub health_path: Arc<str>,
-    /// Whether its workers reject runs that do not fit into their capacity.
+    /// Whether the service's workers reject runs that exceed their capacity.
     #[serde(default)]
     pub guards: bool,
-    /// Fields not known here.
+    /// Fields unknown to this release.
     #[serde(flatten)]
     pub other: serde_json::Map<String, serde_json::Value>,
 }
 
-/// Limits for clients' connections.
+/// Limits for client connections.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// The longest head of a request, in bytes.
+    /// Maximum length of a request head, in bytes.
     pub max_header_bytes: u64,
-    /// The longest body of a request, in bytes.
+    /// Maximum length of a request body, in bytes.
     pub max_body_bytes: u64,
-    /// How long the head of a request may take to arrive.
+    /// Maximum time for receiving a request head.
     pub header_timeout_ms: Millis,
-    /// How long a connection may be idle between requests.
+    /// Maximum time that a connection may be idle between requests.
     pub idle_timeout_ms: Millis,
-    /// Fields not known here.
+    /// Fields unknown to this release.
     #[serde(flatten)]
     pub other: serde_json::Map<String, serde_json::Value>,
 }
@@ -107,40 +109,40 @@
     }
 }
 
-/// A change of named items.
+/// A change of named configuration items.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct Update {
-    /// The version of the configuration after the change.
+    /// Version of the configuration after the change.
     pub version: u64,
-    /// Items to add, or to replace by name.
+    /// Items to add, or to replace if an item of that name exists.
     #[serde(default)]
     pub upsert: Upsert,
-    /// Names of items to remove.
+    /// Names of the items to remove.
     #[serde(default)]
     pub remove: Remove,
 }
 
-/// Items to add or replace.
+/// Configuration items to add or replace.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct Upsert {
-    /// Queues.
+    /// Queues to add or replace.
     #[serde(default)]
     pub routes: Vec<Route>,
-    /// Services.
+    /// Services to add or replace.
     #[serde(default)]
     pub services: Vec<Service>,
-    /// All limits; none keeps the present ones.
+    /// Replaces all limits; `None` keeps the current ones.
     #[serde(default)]
     pub limits: Option<Limits>,
 }
 
-/// Names of items to remove.
+/// Names of configuration items to remove.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct Remove {
-    /// Queues.
+    /// Names of the queues to remove.
     #[serde(default)]
     pub routes: Vec<Arc<str>>,
-    /// Services.
+    /// Names of the services to remove.
     #[serde(default)]
     pub services: Vec<Arc<str>>,
 }
--- a/crates/protocol/src/heartbeat.rs
+++ b/crates/protocol/src/heartbeat.rs
@@ -1,36 +1,36 @@
-//! A worker's heartbeat and the response to it (`Instances.Heartbeat` and `Instances.Deregister`).
+//! The heartbeat of a worker and the response to it (`Instances.Heartbeat` and `Instances.Deregister`).
 
 use crate::task::{RunEnd, TaskId};
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Path of a heartbeat, before the worker's id.
+/// Path of the heartbeat request; the worker's ID is appended.
 pub const HEARTBEAT_PATH: &str = "/streamusher/Instances.Heartbeat/";
-/// Path of a worker's deregistration, before its id.
+/// Path of the deregistration request; the worker's ID is appended.
 pub const DEREGISTER_PATH: &str = "/streamusher/Instances.Deregister/";
 
-/// Amounts of a worker's capacity, or of what a task takes of it.
+/// Resource amounts: the capacity of a worker, or the demand of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resources {
-    /// Thousandths of a processor core.
+    /// Processor capacity in thousandths of a core.
     #[serde(default)]
     pub cpu: u64,
-    /// Megabytes of memory.
+    /// Memory in megabytes.
     #[serde(default)]
     pub mem_mb: u64,
-    /// Accelerators.
+    /// Number of accelerators.
     #[serde(default)]
     pub gpu: u64,
 }
 
 impl Resources {
-    /// Whether all of `wanted` fits into this.
+    /// Returns true if each amount is at least the one in `wanted`.
     pub fn covers(&self, wanted: &Resources) -> bool {
         self.cpu >= wanted.cpu && self.mem_mb >= wanted.mem_mb && self.gpu >= wanted.gpu
     }
 
-    /// The sum of both, at most the highest number for each kind.
+    /// Adds each amount, saturating at the largest integer.
     #[must_use]
     pub fn saturating_add(&self, other: &Resources) -> Resources {
         Resources {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// What is left after `other` is taken away, at least 0 for each kind.
+    /// Subtracts each amount, saturating at 0.
     #[must_use]
     pub fn saturating_sub(&self, other: &Resources) -> Resources {
         Resources {
@@ -51,127 +51,129 @@
     }
 }
 
-/// Whether a worker takes new runs.
+/// Whether a worker accepts new runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WorkerState {
-    /// It takes new runs.
+    /// The worker accepts new runs.
     #[default]
     Ready,
-    /// It will leave and takes no new runs.
+    /// The worker will shut down and accepts no new runs.
     Draining,
 }
 
-/// A run that is being executed; on the wire the array `[task, run, checkpoint, percent]`.
+/// A run in progress. On the wire it is the array `[task, run, checkpoint, percent]`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "array::RunningTask", into = "array::RunningTask")]
 pub struct RunningTask {
-    /// The task.
+    /// The task that is run.
     pub task: TaskId,
-    /// Which start of the task.
+    /// Number of the run among the starts of the task, from 1.
     pub run: u32,
-    /// The newest checkpoint that the run has saved; empty for none.
+    /// The most recent checkpoint that the run has saved; empty if there is none.
     pub checkpoint: Arc<str>,
-    /// Progress, from 0 to 100.
+    /// Progress of the run, from 0 to 100.
     pub percent: f64,
 }
 
-/// A run that has ended; on the wire the array `[number, task, run, end, checkpoint]`.
+/// A run that has ended. On the wire it is the array `[number, task, run, end, checkpoint]`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "array::FinishedRun", into = "array::FinishedRun")]
 pub struct FinishedRun {
-    /// Position in the worker's list of ended runs, from 1; acknowledged by [`HeartbeatResponse::last_seen`].
+    /// Position in the worker's list of ended runs, from 1. [`HeartbeatResponse::last_seen`] acknowledges it.
     pub number: u64,
-    /// The task.
+    /// The task that was run.
     pub task: TaskId,
-    /// Which start of the task.
+    /// Number of the run among the starts of the task, from 1.
     pub run: u32,
-    /// How the run ended.
+    /// Outcome of the run.
     pub end: RunEnd,
-    /// The newest checkpoint that the run has saved; empty for none.
+    /// The most recent checkpoint that the run has saved; empty if there is none.
     pub checkpoint: Arc<str>,
 }
 
-/// A worker's heartbeat.
+/// A heartbeat, which reports the state of a worker.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The service whose tasks it runs.
+    /// The service whose tasks the worker runs.
     pub service: Arc<str>,
-    /// Where it listens; only its own machine can reach it.
+    /// Address that the worker listens on; only its own machine can reach it.
     #[serde(default)]
     pub address: Arc<str>,
-    /// Its zone.
+    /// Zone of the worker.
     #[serde(default)]
     pub zone: Arc<str>,
-    /// Version of its software.
+    /// Version of the worker's software.
     #[serde(default)]
     pub version: Arc<str>,
-    /// How many tasks it runs at once.
+    /// Maximum number of concurrent tasks on the worker.
     #[serde(default)]
     pub slots: u32,
-    /// Whether it takes new runs.
+    /// Whether the worker accepts new runs.
     #[serde(default)]
     pub state: WorkerState,
-    /// How much longer it is slower than usual after its start.
+    /// Remaining time in which the worker is slower than usual after its start.
     #[serde(default)]
     pub warmup_left_ms: Millis,
-    /// Its whole capacity.
+    /// Total capacity of the worker.
     #[serde(default)]
     pub capacity: Resources,
-    /// Labels by which steps select workers: its kind and its rack.
+    /// Labels by which steps select workers: the worker's kind and its rack.
     #[serde(default)]
     pub labels: Vec<Arc<str>>,
-    /// Its own steady clock, in milliseconds.
+    /// Monotonic clock of the worker, in milliseconds.
     #[serde(default)]
     pub clock_ms: Millis,
-    /// Rises with each heartbeat; a lower one that arrives later is ignored.
+    /// Sequence number, which increases with each heartbeat. A heartbeat that arrives after one with a higher
+    /// number is ignored.
     pub sequence: u64,
-    /// While it drains: for how long it will still run, at least.
+    /// While the worker drains: the minimum time for which it continues to run.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub remaining_ms: Option<Millis>,
-    /// Runs that are being executed.
+    /// Runs in progress.
     #[serde(default)]
     pub running: Vec<RunningTask>,
-    /// Runs that have ended and are not acknowledged by [`HeartbeatResponse::last_seen`] yet.
+    /// Runs that have ended and that [`HeartbeatResponse::last_seen`] has not acknowledged yet.
     #[serde(default)]
     pub finished: Vec<FinishedRun>,
 }
 
-/// Command to start a run; on the wire the array `[task, run, spec, checkpoint]`.
+/// Command to start a run. On the wire it is the array `[task, run, spec, checkpoint]`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "array::StartCommand", into = "array::StartCommand")]
 pub struct StartCommand {
-    /// The task.
+    /// The task to run.
     pub task: TaskId,
-    /// Which start of the task.
+    /// Number of the run among the starts of the task, from 1.
     pub run: u32,
-    /// What to run, as the client submitted it.
+    /// Description of the work, as the client submitted it.
     pub spec: Arc<str>,
-    /// The checkpoint to continue from; empty to start from the beginning.
+    /// The checkpoint to resume from; empty to start from the beginning.
     pub checkpoint: Arc<str>,
 }
 
-/// Command to stop a run; on the wire the array `[task, run]`.
+/// Command to stop a run. On the wire it is the array `[task, run]`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "array::StopCommand", into = "array::StopCommand")]
 pub struct StopCommand {
-    /// The task.
+    /// The task whose run is to be stopped.
     pub task: TaskId,
-    /// Which start of the task.
+    /// Number of the run among the starts of the task, from 1.
     pub run: u32,
 }
 
 /// The response to a heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// Lease: for how long runs may go on without contact, counted from the sending of the heartbeat. Without it no lease is
-    /// extended and nothing may be started.
+    /// Lease: how long runs may continue without contact, counted from the time the heartbeat was sent. If it
+    /// is absent, no lease is extended and no run may be started.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub hold_ms: Option<Millis>,
-    /// Ended runs up to this number are acknowledged: the worker may forget them.
+    /// Acknowledges the ended runs up to this number, which the worker may then discard.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub last_seen: Option<u64>,
-    /// Fencing token: the epoch of the primary. A worker ignores a response with a lower one than it has seen.
+    /// Fencing token: the epoch of the primary. A worker ignores a response with a token lower than one it
+    /// has already received.
     #[serde(default)]
     pub fence_token: u64,
     /// Runs to start.
@@ -180,13 +182,13 @@
     /// Runs to stop.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub stop: Vec<StopCommand>,
-    /// After how long the next heartbeat is wanted.
+    /// Time after which the next heartbeat is expected.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<Millis>,
 }
 
-/// The encoded form of the structs that workers list as arrays: tuple structs of the same names, so that a decoding error
-/// names the message.
+/// Wire format of the structs that workers send and receive as arrays. These tuple structs have the same
+/// names as the public structs, so that decoding errors name the message.
 mod array {
     use crate::task::{RunEnd, TaskId};
     use serde::{Deserialize, Serialize};
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,22 +1,24 @@
-//! Typed messages of the scheduler: what workers, clients, operators and its own processes send to each other, as JSON.
+//! Typed messages of the scheduler: the JSON that workers, clients, operators and the scheduler's own
+//! processes exchange.
 //!
 //! # Modules
 //!
-//! - [`task`]: identifiers of jobs, tasks and runs, and how a run ends.
-//! - [`heartbeat`]: a worker's heartbeat and the response to it.
-//! - [`job`]: what a client submits, and the states that it is shown.
+//! - [`task`]: identifiers of jobs, tasks and runs, and the outcome of a run.
+//! - [`heartbeat`]: the heartbeat of a worker and the response to it.
+//! - [`job`]: jobs as clients submit them, and the job states reported to clients.
 //! - [`config`]: the operators' configuration.
 //! - [`internal`]: requests of gates and agents to the control plane.
-//! - [`mod@unit`]: what is placed at once.
+//! - [`mod@unit`]: units of placement.
 //! - [`store`]: changes to the replicated state, as keys and values.
 //!
-//! Times are milliseconds. Field names on the wire are part of the contract with workers, clients and other releases:
-//! `tests/encoded.rs` pins every message. Where a Rust name differs, `#[serde(rename)]` holds the encoded one. Unknown fields
-//! are ignored, but for those of a configuration, which are kept.
+//! Times are in milliseconds. Field names on the wire are part of the contract with workers, clients and
+//! other releases; `tests/encoded.rs` fixes the encoding of every message. Where a Rust name differs from the
+//! encoded one, `#[serde(rename)]` gives the encoded name. Unknown fields are ignored, except in
+//! configurations, where they are preserved.
 //!
 //! # Example
 //!
-//! A worker reports a run, and is told to stop it:
+//! A worker reports a run and receives the command to stop it:
 //!
 //! ```
 //! use streamusher_protocol::heartbeat::{Heartbeat, HeartbeatResponse, StopCommand};
@@ -46,14 +48,14 @@
 pub mod task;
 pub mod unit;
 
-/// A point on a process's own steady clock, or a span of it, in milliseconds.
+/// A point in time on a process's own monotonic clock, or a time span, in milliseconds.
 pub type Millis = u64;
 
-/// The two clocks of a process, read at one moment.
+/// The two clocks of a process, read at the same moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Now {
-    /// Steady clock since some start of its own; never steps.
+    /// Monotonic clock, counted from an arbitrary start; never steps.
     pub steady_ms: Millis,
-    /// Time of day since 1970, as derived by the caller; may be wrong by seconds.
+    /// Time of day in milliseconds since 1970, as derived by the caller. It may be wrong by seconds.
     pub unix_ms: Millis,
 }
--- a/crates/protocol/src/task.rs
+++ b/crates/protocol/src/task.rs
@@ -1,30 +1,30 @@
-//! Identifiers of jobs, tasks and runs, and how a run ends.
+//! Identifiers of jobs, tasks and runs, and the outcome of a run.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// Hexadecimal digits of a job's identifier.
+/// Number of hexadecimal digits in a job ID.
 pub const JOB_ID_DIGITS: usize = 16;
 
-/// Why a text is not an identifier.
+/// Error for a text that is not a valid identifier.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum IdError {
-    /// The text is not a job's identifier.
+    /// The text is not a valid job ID.
     #[error("job id {0:?} is not {JOB_ID_DIGITS} hexadecimal digits: send the id that the client chose, in lower case")]
     Job(String),
-    /// The text is not a task's identifier.
+    /// The text is not a valid task ID.
     #[error("task name {0:?} is not ID.TIME.STEP.INDEX")]
     Task(String),
 }
 
-/// A job's identifier, chosen by the client: 16 hexadecimal digits.
+/// ID of a job, chosen by the client: 16 hexadecimal digits.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(Arc<str>);
 
 impl JobId {
-    /// The identifier as text.
+    /// Returns the job ID as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -34,7 +34,7 @@
     type Err = IdError;
 
     fn from_str(text: &str) -> Result<JobId, IdError> {
-        let is_hexadecimal = text.bytes().all(|b| b.is_ascii_hexdigit());
+        let is_hexadecimal = text.bytes().all(|byte| byte.is_ascii_hexdigit());
         if text.len() != JOB_ID_DIGITS || !is_hexadecimal {
             return Err(IdError::Job(text.chars().take(40).collect()));
         }
@@ -48,16 +48,16 @@
     }
 }
 
-/// One task of one iteration of a job; on the wire `ID.ITERATION.STEP.INDEX`.
+/// ID of one task in one iteration of a job. On the wire it is the text `ID.ITERATION.STEP.INDEX`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The job.
+    /// The job that the task belongs to.
     pub job: JobId,
-    /// Which iteration of the job, from 0.
+    /// Index of the job's iteration, from 0.
     pub iteration: u32,
-    /// Which step, from 0.
+    /// Index of the step within the job, from 0.
     pub step: u32,
-    /// Which task of the step, from 0.
+    /// Index of the task within the step, from 0.
     pub index: u32,
 }
 
@@ -65,23 +65,23 @@
     type Err = IdError;
 
     fn from_str(text: &str) -> Result<TaskId, IdError> {
-        let bad = || IdError::Task(text.chars().take(80).collect());
+        let invalid_task_id = || IdError::Task(text.chars().take(80).collect());
         let mut parts = text.split('.');
-        let job = parts.next().ok_or_else(bad)?.parse()?;
-        let mut number = || {
+        let job = parts.next().ok_or_else(invalid_task_id)?.parse()?;
+        let mut next_number = || {
             parts
                 .next()
-                .and_then(|p| p.parse::<u32>().ok())
-                .ok_or_else(bad)
+                .and_then(|part| part.parse::<u32>().ok())
+                .ok_or_else(invalid_task_id)
         };
         let task = TaskId {
             job,
-            iteration: number()?,
-            step: number()?,
-            index: number()?,
+            iteration: next_number()?,
+            step: next_number()?,
+            index: next_number()?,
         };
         match parts.next() {
-            Some(_) => Err(bad()),
+            Some(_) => Err(invalid_task_id()),
             None => Ok(task),
         }
     }
@@ -97,40 +97,40 @@
     }
 }
 
-/// One start of a task. All members of a gang carry the same run number.
+/// Identifies one start of a task. All members of a gang have the same run number.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RunId {
-    /// The task.
+    /// The task that is run.
     pub task: TaskId,
-    /// Counts the task's starts, from 1.
+    /// Number of the run among the starts of the task, from 1.
     pub run: u32,
 }
 
-/// Outcome of a run, as its worker reports it.
+/// Outcome of a run, as reported by the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RunEnd {
-    /// It succeeded.
+    /// The run succeeded.
     Done,
-    /// It failed, through a fault of the task or of the worker; counts as an attempt.
+    /// The run failed because of a fault of the task or the worker. It counts as an attempt.
     Failed,
-    /// It was stopped by a command.
+    /// A command stopped the run.
     Stopped,
-    /// The worker's lease expired.
+    /// The worker's lease expired during the run.
     #[serde(rename = "lapsed")]
     LeaseExpired,
-    /// Another member of its gang ended.
+    /// Another member of the gang ended.
     #[serde(rename = "broken")]
     GangBroken,
-    /// The other members of its gang did not start in time.
+    /// The other members of the gang did not start in time.
     #[serde(rename = "alone")]
     GangIncomplete,
-    /// The worker rejected it; it was not started.
+    /// The worker rejected the run without starting it.
     #[serde(rename = "refused")]
     Rejected,
 }
 
-macro_rules! as_text {
+macro_rules! impl_serde_as_text {
     ($name:ty) => {
         impl Serialize for $name {
             fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
@@ -147,5 +147,5 @@
     };
 }
 
-as_text!(JobId);
-as_text!(TaskId);
+impl_serde_as_text!(JobId);
+impl_serde_as_text!(TaskId);
