--- a/crates/runtime/src/http/hyper_io.rs
+++ b/crates/runtime/src/http/hyper_io.rs
@@ -23,8 +23,8 @@
     ) -> Poll<io::Result<()>> {
         // The buffer is zeroed so that no unsafe code is needed. The cost is low because the buffer is small.
         let mut chunk = [0_u8; READ_BYTES];
-        let wanted = cursor.remaining().min(READ_BYTES);
-        let mut buffer = ReadBuf::new(&mut chunk[..wanted]);
+        let max_bytes = cursor.remaining().min(READ_BYTES);
+        let mut buffer = ReadBuf::new(&mut chunk[..max_bytes]);
         ready!(Pin::new(&mut self.0).poll_read(context, &mut buffer))?;
         cursor.put_slice(buffer.filled());
         Poll::Ready(Ok(()))
--- a/crates/runtime/src/http/request_id.rs
+++ b/crates/runtime/src/http/request_id.rs
@@ -19,7 +19,7 @@
 
 impl RequestIds {
     /// Inserts the next ID into the request's headers and returns it.
-    pub(super) fn stamp(&self, request: &mut HeaderMap) -> HeaderValue {
+    pub(super) fn insert_next(&self, request: &mut HeaderMap) -> HeaderValue {
         let next = self.last.get().wrapping_add(1);
         self.last.set(next);
         let id = HeaderValue::from(next);
@@ -30,7 +30,7 @@
 
 /// Returns true if the response may belong to the request with this ID: it returns the same ID, or none at
 /// all.
-pub(super) fn matches(response: &HeaderMap, id: &HeaderValue) -> bool {
+pub(super) fn is_response_to(response: &HeaderMap, id: &HeaderValue) -> bool {
     cfg!(feature = "mutant-call-id")
         || response
             .get(REQUEST_ID_HEADER)
@@ -38,7 +38,7 @@
 }
 
 /// Copies the ID of a request, if it has one, to its response.
-pub(super) fn return_id(id: Option<HeaderValue>, response: &mut HeaderMap) {
+pub(super) fn copy_id_to_response(id: Option<HeaderValue>, response: &mut HeaderMap) {
     if let Some(id) = id {
         response.insert(REQUEST_ID_HEADER, id);
     }
--- a/crates/runtime/src/http/server.rs
+++ b/crates/runtime/src/http/server.rs
@@ -2,7 +2,7 @@
 
 use super::server_connection::ServerConnection;
 use super::server_limits::{ServerLimits, SharedLimits};
-use super::server_phase::{reached, Phase};
+use super::server_phase::{wait_for_phase, Phase};
 use super::{sockets, Request, Response};
 use std::future::Future;
 use std::io;
@@ -112,7 +112,7 @@
         loop {
             let (stream, permit) = tokio::select! {
                 biased;
-                () = reached(&mut phase, Phase::Closed) => break,
+                () = wait_for_phase(&mut phase, Phase::Closed) => break,
                 next = next_connection(&self.listener, &permits) => next,
             };
             let connection = ServerConnection {
--- a/crates/runtime/src/http/server_connection.rs
+++ b/crates/runtime/src/http/server_connection.rs
@@ -2,9 +2,9 @@
 //! server does.
 
 use super::hyper_io::{LoopTimer, Stream};
-use super::request_id::{return_id, REQUEST_ID_HEADER};
+use super::request_id::{copy_id_to_response, REQUEST_ID_HEADER};
 use super::server_limits::{ServerLimits, SharedLimits};
-use super::server_phase::{reached, Phase};
+use super::server_phase::{wait_for_phase, Phase};
 use super::{sockets, text, Request, Response};
 use ::http::header::{HeaderValue, CONNECTION};
 use ::http::StatusCode;
@@ -53,7 +53,7 @@
         tokio::select! {
             biased;
             _ended = connection.as_mut() => return,
-            () = reached(&mut phase, Phase::Closed) => {}
+            () = wait_for_phase(&mut phase, Phase::Closed) => {}
         }
         connection.as_mut().graceful_shutdown();
         // An error here is caused by the client: it disconnected, sent something other than HTTP, or exceeded
@@ -83,11 +83,11 @@
     F: Future<Output = Response>,
 {
     let id = request.headers().get(REQUEST_ID_HEADER).cloned();
-    let mut response = match read_whole(limits, request).await {
+    let mut response = match read_request(limits, request).await {
         Ok(request) => handler(request).await,
         Err(error) => error.response(),
     };
-    return_id(id, response.headers_mut());
+    copy_id_to_response(id, response.headers_mut());
     if *phase.borrow() >= Phase::Leaving {
         set_connection_close(&mut response);
     }
@@ -119,7 +119,7 @@
     }
 }
 
-async fn read_whole(
+async fn read_request(
     limits: &ServerLimits,
     request: ::http::Request<Incoming>,
 ) -> Result<Request, ReadError> {
--- a/crates/runtime/src/http/server_phase.rs
+++ b/crates/runtime/src/http/server_phase.rs
@@ -14,7 +14,7 @@
 
 /// Waits until the server reaches `phase` or a later one. If all handles of the server have been dropped, its
 /// phase can no longer change, and this waits forever.
-pub(super) async fn reached(current: &mut watch::Receiver<Phase>, phase: Phase) {
+pub(super) async fn wait_for_phase(current: &mut watch::Receiver<Phase>, phase: Phase) {
     if current.wait_for(|current| *current >= phase).await.is_err() {
         std::future::pending::<()>().await;
     }
--- a/crates/runtime/src/logs/logger.rs
+++ b/crates/runtime/src/logs/logger.rs
@@ -81,7 +81,7 @@
 
 impl Log for ProcessLogger {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
-        metadata.level() <= log::max_level() && is_wanted(metadata)
+        metadata.level() <= log::max_level() && is_own_line_or_warning(metadata)
     }
 
     fn log(&self, record: &Record<'_>) {
@@ -105,7 +105,7 @@
 }
 
 /// Returns true for lines of this project, and for warnings and errors of libraries.
-fn is_wanted(metadata: &Metadata<'_>) -> bool {
+fn is_own_line_or_warning(metadata: &Metadata<'_>) -> bool {
     metadata.level() <= log::Level::Warn || metadata.target().starts_with(OWN_TARGET_PREFIX)
 }
 
