--- a/crates/runtime/src/http/client.rs
+++ b/crates/runtime/src/http/client.rs
@@ -2,7 +2,7 @@
 
 use super::client_error::{NotSentReason, RequestError, UnknownReason};
 use super::connection_pool::{ConnectionPool, Generation, PooledConnection, Sender};
-use super::request_id::{is_response_to, RequestIds};
+use super::request_id::{may_be_response_to, RequestIds};
 use super::{Request, Response};
 use ::http::header::{HeaderValue, HOST};
 use bytes::Bytes;
@@ -174,7 +174,7 @@
     deadline: Instant,
 ) -> Result<Exchange, UnknownReason> {
     let mut error = match timeout_at(deadline, sender.try_send_request(request)).await {
-        Ok(Ok(response)) if is_response_to(response.headers(), id) => {
+        Ok(Ok(response)) if may_be_response_to(response.headers(), id) => {
             return Ok(Exchange::Response(response, sender));
         }
         Ok(Ok(_)) => return Err(UnknownReason::MismatchedResponse),
--- a/crates/runtime/src/http/request_id.rs
+++ b/crates/runtime/src/http/request_id.rs
@@ -30,7 +30,7 @@
 
 /// Returns true if the response may belong to the request with this ID: it returns the same ID, or none at
 /// all.
-pub(super) fn is_response_to(response: &HeaderMap, id: &HeaderValue) -> bool {
+pub(super) fn may_be_response_to(response: &HeaderMap, id: &HeaderValue) -> bool {
     cfg!(feature = "mutant-call-id")
         || response
             .get(REQUEST_ID_HEADER)
--- a/crates/runtime/src/settings/file.rs
+++ b/crates/runtime/src/settings/file.rs
@@ -38,8 +38,6 @@
             log::info!("settings reloaded: seeds {:?}", settings.seeds);
             apply(&settings);
         }
-        Err(error) => {
-            log::error!("settings not reloaded, keeping the former ones: {error}")
-        }
+        Err(error) => log::error!("settings not reloaded, keeping the former ones: {error}"),
     }
 }
