--- a/crates/runtime/tests/encoded_forms.rs
+++ b/crates/runtime/tests/encoded_forms.rs
@@ -1,5 +1,5 @@
-//! What operators and peers read and write, byte for byte: settings files and their errors, command lines, log lines, and
-//! what the HTTP server answers by itself.
+//! Texts that operators and peers read and write, compared byte for byte: settings files and their errors,
+//! command lines, log lines, and the responses that the HTTP server generates itself.
 
 #![allow(
     clippy::expect_used,
@@ -46,8 +46,8 @@
     ],
 };
 
-/// Each key of the settings with its value, and what is derived from several.
-fn values(settings: &ProcessSettings) -> String {
+/// Formats each key of the settings with its value, followed by values derived from several keys.
+fn format_settings(settings: &ProcessSettings) -> String {
     let ProcessSettings {
         node_name,
         role,
@@ -101,13 +101,18 @@
 
 #[test]
 fn settings_files_have_the_recorded_values() {
-    let mut found = String::new();
+    let mut actual = String::new();
     for (name, file) in SETTINGS {
         let settings = settings::parse(file, name).unwrap();
-        write!(found, "{name}:\n{}", values(&settings)).unwrap();
+        write!(actual, "{name}:\n{}", format_settings(&settings)).unwrap();
     }
-    write!(found, "default:\n{}", values(&ProcessSettings::default())).unwrap();
-    assert_eq!(found, include_str!("fixtures/settings/values.txt"));
+    write!(
+        actual,
+        "default:\n{}",
+        format_settings(&ProcessSettings::default())
+    )
+    .unwrap();
+    assert_eq!(actual, include_str!("fixtures/settings/values.txt"));
 }
 
 #[test]
@@ -141,21 +146,21 @@
         ("early_ms = 250", "early_ms = -0.1"),
         ("ip = \"10.1.0.38\"", "ip = ["),
     ];
-    let mut found = String::new();
-    for (former, instead) in changes {
-        let text = file.replacen(former, instead, 1);
+    let mut actual = String::new();
+    for (original, replacement) in changes {
+        let text = file.replacen(original, replacement, 1);
         assert_ne!(text, file);
         let error = settings::parse(&text, "settings.toml").unwrap_err();
-        writeln!(found, "{instead}\t{error}").unwrap();
+        writeln!(actual, "{replacement}\t{error}").unwrap();
     }
     let no_seeds = "ip = \"127.0.0.1\"\nport_range = [1, 2]\n";
     let error = settings::parse(no_seeds, "settings.toml").unwrap_err();
-    writeln!(found, "no seeds\t{error}").unwrap();
+    writeln!(actual, "no seeds\t{error}").unwrap();
     let path = std::path::Path::new("/nonexistent/settings.toml");
     let error = settings::load_from(path).unwrap_err();
-    writeln!(found, "no file\t{error}").unwrap();
-    writeln!(found, "{PATH_VARIABLE} {}", settings::DEFAULT_PATH).unwrap();
-    assert_eq!(found, include_str!("fixtures/settings/errors.txt"));
+    writeln!(actual, "no file\t{error}").unwrap();
+    writeln!(actual, "{PATH_VARIABLE} {}", settings::DEFAULT_PATH).unwrap();
+    assert_eq!(actual, include_str!("fixtures/settings/errors.txt"));
 }
 
 #[test]
@@ -173,7 +178,7 @@
         "--version",
         "--help",
     ];
-    let mut found = String::new();
+    let mut actual = String::new();
     let without_commands = ProgramDescription {
         commands: &[],
         ..PROGRAM
@@ -182,24 +187,24 @@
         for line in lines {
             let arguments: Vec<String> = line.split_whitespace().map(str::to_owned).collect();
             match options::parse(&program, &arguments) {
-                Ok(ParsedCommandLine::Print(text)) => writeln!(found, "{line}: {text}"),
+                Ok(ParsedCommandLine::Print(text)) => writeln!(actual, "{line}: {text}"),
                 Ok(ParsedCommandLine::Run(run)) => writeln!(
-                    found,
+                    actual,
                     "{line}: {:?} {:?} {:?}",
                     run.command.unwrap_or(""),
                     run.check,
                     run.log_level
                 ),
-                Err(error) => writeln!(found, "{line}: {error}"),
+                Err(error) => writeln!(actual, "{line}: {error}"),
             }
             .unwrap();
         }
     }
-    writeln!(found, "{}", options::EXIT_MISUSE).unwrap();
-    assert_eq!(found, include_str!("fixtures/encoded/command_lines.txt"));
+    writeln!(actual, "{}", options::EXIT_MISUSE).unwrap();
+    assert_eq!(actual, include_str!("fixtures/encoded/command_lines.txt"));
 }
 
-fn shown(response: &Response) -> String {
+fn format_response(response: &Response) -> String {
     let mut headers: Vec<String> = response
         .headers()
         .iter()
@@ -218,13 +223,28 @@
 
 #[test]
 fn responses_and_body_errors_have_the_recorded_forms() {
-    let mut found = String::new();
+    let mut actual = String::new();
     let not_found = StatusCode::NOT_FOUND;
-    writeln!(found, "{}", shown(&empty(StatusCode::NO_CONTENT))).unwrap();
-    writeln!(found, "{}", shown(&text(not_found, "none\n"))).unwrap();
-    writeln!(found, "{}", shown(&json(StatusCode::OK, &[1, 2]))).unwrap();
+    writeln!(
+        actual,
+        "{}",
+        format_response(&empty(StatusCode::NO_CONTENT))
+    )
+    .unwrap();
+    writeln!(actual, "{}", format_response(&text(not_found, "none\n"))).unwrap();
+    writeln!(
+        actual,
+        "{}",
+        format_response(&json(StatusCode::OK, &[1, 2]))
+    )
+    .unwrap();
     let no_key = std::collections::BTreeMap::from([((1, 2), 3)]);
-    writeln!(found, "{}", shown(&json(StatusCode::OK, &no_key))).unwrap();
+    writeln!(
+        actual,
+        "{}",
+        format_response(&json(StatusCode::OK, &no_key))
+    )
+    .unwrap();
     let long_key = format!("{{\"{}\":x", "k".repeat(90));
     let bodies = [
         "",
@@ -240,23 +260,23 @@
     ];
     for body in bodies {
         let error = parse_json::<Body>(body.as_bytes()).unwrap_err();
-        writeln!(found, "{body:?}\t{error}").unwrap();
+        writeln!(actual, "{body:?}\t{error}").unwrap();
     }
     let last_error = LastError {
         age_ms: 12,
         level: "WARN",
         text: "a \"line\"".to_owned(),
     };
-    writeln!(found, "{}", serde_json::to_string(&last_error).unwrap()).unwrap();
-    assert_eq!(found, include_str!("fixtures/encoded/responses.txt"));
+    writeln!(actual, "{}", serde_json::to_string(&last_error).unwrap()).unwrap();
+    assert_eq!(actual, include_str!("fixtures/encoded/responses.txt"));
 }
 
-/// Writes `request` on a connection of its own; gives the whole response.
-async fn raw(server: std::net::SocketAddr, request: &[u8]) -> String {
+/// Writes `request` to a new connection and returns the complete response.
+async fn send_raw(server: std::net::SocketAddr, request: &[u8]) -> String {
     let mut stream = TcpStream::connect(server).await.unwrap();
     stream.write_all(request).await.unwrap();
     let mut response = Vec::new();
-    // The server may close with bytes of the request unread, which resets the connection after its response.
+    // If the server closes with bytes of the request unread, the connection is reset after the response.
     let _reset = stream.read_to_end(&mut response).await;
     String::from_utf8(response).unwrap()
 }
@@ -273,17 +293,17 @@
         let address = server.local_address().unwrap();
         let echo = |request: Request| {
             let header = |name| request.headers().get(name).map(|value| format!("{value:?}"));
-            let shown = format!(
+            let description = format!(
                 "{} {} {:?} {:?}",
                 request.method(),
                 request.uri(),
                 header("x-a"),
                 header(REQUEST_ID_HEADER.as_str())
             );
-            std::future::ready(text(StatusCode::OK, shown))
+            std::future::ready(text(StatusCode::OK, description))
         };
         tokio::task::spawn_local(server.run(echo));
-        let mut found = String::new();
+        let mut actual = String::new();
         let long_head = format!("GET / HTTP/1.1\r\nx-a: {}\r\n\r\n", "a".repeat(20_000));
         let requests = [
             "GET /a?b=%20 HTTP/1.1\r\nx-a: 1\r\nconnection: close\r\n\r\n",
@@ -296,23 +316,23 @@
             "no http\r\n\r\n",
         ];
         for request in requests {
-            let response = raw(address, request.as_bytes()).await;
+            let response = send_raw(address, request.as_bytes()).await;
             let request: String = request.chars().take(60).collect();
-            writeln!(found, "{request:?}\t{response:?}").unwrap();
+            writeln!(actual, "{request:?}\t{response:?}").unwrap();
         }
         let client = Client::new(address);
         for path in ["/first", "/second"] {
             let request = http::Request::get(path).body(Bytes::new()).unwrap();
             let response = client.send(request, Duration::from_secs(20)).await.unwrap();
-            writeln!(found, "{}", shown(&response)).unwrap();
+            writeln!(actual, "{}", format_response(&response)).unwrap();
         }
         for error in [
             RequestError::NotSent(NotSentReason::Connect(std::io::Error::other("why"))),
             RequestError::Unknown(UnknownReason::Body("why".into())),
         ] {
-            writeln!(found, "{error}").unwrap();
+            writeln!(actual, "{error}").unwrap();
         }
-        assert_eq!(found, include_str!("fixtures/encoded/connections.txt"));
+        assert_eq!(actual, include_str!("fixtures/encoded/connections.txt"));
     })
     .unwrap();
 }
--- a/crates/runtime/tests/http.rs
+++ b/crates/runtime/tests/http.rs
@@ -1,4 +1,4 @@
-//! Server and client over loopback. Timeouts here only bound what should happen at once.
+//! Server and client over loopback. The time-outs only bound operations that should complete at once.
 
 #![allow(
     clippy::expect_used,
@@ -21,11 +21,15 @@
 use tokio::sync::Notify;
 use tokio::task::JoinHandle;
 
-const SOON: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn run<F: Future<Output = ()>>(future: F) {
-    event_loop::block_on(async { tokio::time::timeout(SOON, future).await.expect("bounded") })
-        .unwrap();
+    event_loop::block_on(async {
+        tokio::time::timeout(TEST_TIMEOUT, future)
+            .await
+            .expect("the test exceeded its time limit")
+    })
+    .unwrap();
 }
 
 fn get(path: &str) -> Request {
@@ -68,7 +72,10 @@
         let client = Client::new(address);
         let body = vec![b'x'; 300_000];
 
-        let response = client.send(post("/a", body.clone()), SOON).await.unwrap();
+        let response = client
+            .send(post("/a", body.clone()), TEST_TIMEOUT)
+            .await
+            .unwrap();
 
         assert_eq!(response.status(), StatusCode::OK);
         assert_eq!(response.body(), &Bytes::from(body));
@@ -86,7 +93,7 @@
         let client = Client::new(address);
 
         let response = client
-            .send(post("/a", vec![b'x'; 101]), SOON)
+            .send(post("/a", vec![b'x'; 101]), TEST_TIMEOUT)
             .await
             .unwrap();
 
@@ -105,7 +112,7 @@
         let client = Client::new(address);
 
         for _ in 0..20 {
-            client.send(get("/"), SOON).await.unwrap();
+            client.send(get("/"), TEST_TIMEOUT).await.unwrap();
         }
     });
 }
@@ -113,12 +120,15 @@
 #[test]
 fn request_to_a_closed_port_is_not_sent() {
     run(async {
-        let free = std::net::TcpListener::bind("127.0.0.1:0")
+        let unused_address = std::net::TcpListener::bind("127.0.0.1:0")
             .unwrap()
             .local_addr()
             .unwrap();
 
-        let error = Client::new(free).send(get("/"), SOON).await.unwrap_err();
+        let error = Client::new(unused_address)
+            .send(get("/"), TEST_TIMEOUT)
+            .await
+            .unwrap_err();
 
         assert!(matches!(error, RequestError::NotSent(_)), "{error}");
     });
@@ -141,15 +151,15 @@
 }
 
 #[test]
-fn request_to_a_closed_server_on_a_kept_connection_is_not_sent() {
+fn request_to_a_closed_server_on_a_persistent_connection_is_not_sent() {
     run(async {
         let (address, handle, running) = serve(ServerLimits::default(), echo);
         let client = Client::new(address);
-        client.send(get("/"), SOON).await.unwrap();
+        client.send(get("/"), TEST_TIMEOUT).await.unwrap();
         handle.close();
         running.await.unwrap();
 
-        let error = client.send(get("/"), SOON).await.unwrap_err();
+        let error = client.send(get("/"), TEST_TIMEOUT).await.unwrap_err();
 
         assert!(matches!(error, RequestError::NotSent(_)), "{error}");
     });
@@ -158,20 +168,23 @@
 #[test]
 fn closing_server_answers_the_request_in_flight_first() {
     run(async {
-        let (begun, release) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
-        let (begun_there, release_there) = (Rc::clone(&begun), Rc::clone(&release));
+        let (handler_started, release) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
+        let (handler_started_clone, release_clone) =
+            (Rc::clone(&handler_started), Rc::clone(&release));
         let (address, handle, running) = serve(ServerLimits::default(), move |_request| {
-            let (begun, release) = (Rc::clone(&begun_there), Rc::clone(&release_there));
+            let (handler_started, release) =
+                (Rc::clone(&handler_started_clone), Rc::clone(&release_clone));
             async move {
-                begun.notify_one();
+                handler_started.notify_one();
                 release.notified().await;
                 text(StatusCode::OK, "late")
             }
         });
         let client = Client::new(address);
         let caller = client.clone();
-        let request = tokio::task::spawn_local(async move { caller.send(get("/"), SOON).await });
-        begun.notified().await;
+        let request =
+            tokio::task::spawn_local(async move { caller.send(get("/"), TEST_TIMEOUT).await });
+        handler_started.notified().await;
 
         handle.close();
         release.notify_one();
@@ -188,7 +201,10 @@
         let (address, handle, _running) = serve(ServerLimits::default(), echo);
         handle.leave();
 
-        let response = Client::new(address).send(get("/"), SOON).await.unwrap();
+        let response = Client::new(address)
+            .send(get("/"), TEST_TIMEOUT)
+            .await
+            .unwrap();
 
         assert_eq!(response.status(), StatusCode::OK);
         assert_eq!(response.headers().get("connection").unwrap(), "close");
@@ -208,7 +224,10 @@
             .map(|_| {
                 let answered = Rc::clone(&answered);
                 tokio::task::spawn_local(async move {
-                    Client::new(address).send(get("/"), SOON).await.unwrap();
+                    Client::new(address)
+                        .send(get("/"), TEST_TIMEOUT)
+                        .await
+                        .unwrap();
                     answered.set(answered.get() + 1);
                 })
             })
@@ -223,14 +242,14 @@
 }
 
 #[test]
-fn missing_field_is_named() {
+fn error_names_the_missing_field() {
     let error = parse_json::<Body>(b"{\"other\":1}").unwrap_err();
 
     assert_eq!(error.field, "sequence");
 }
 
 #[test]
-fn field_of_another_type_is_named() {
+fn error_names_the_field_of_the_wrong_type() {
     let error =
         parse_json::<Body>(b"{\"other\":\n1,\n\"sequence\":\"four\",\"more\":2}").unwrap_err();
 
@@ -263,7 +282,7 @@
 }
 
 #[test]
-fn new_limits_hold_from_the_next_request_on() {
+fn new_limits_apply_from_the_next_request_on() {
     run(async {
         let limits = ServerLimits {
             max_body_bytes: 100,
@@ -273,7 +292,7 @@
         let client = Client::new(address);
         assert_eq!(
             client
-                .send(post("/a", vec![b'x'; 101]), SOON)
+                .send(post("/a", vec![b'x'; 101]), TEST_TIMEOUT)
                 .await
                 .unwrap()
                 .status(),
@@ -287,7 +306,7 @@
 
         assert_eq!(
             client
-                .send(post("/a", vec![b'x'; 200]), SOON)
+                .send(post("/a", vec![b'x'; 200]), TEST_TIMEOUT)
                 .await
                 .unwrap()
                 .status(),
@@ -295,7 +314,7 @@
         );
         assert_eq!(
             client
-                .send(post("/a", vec![b'x'; 201]), SOON)
+                .send(post("/a", vec![b'x'; 201]), TEST_TIMEOUT)
                 .await
                 .unwrap()
                 .status(),
--- a/crates/runtime/tests/log_lines.rs
+++ b/crates/runtime/tests/log_lines.rs
@@ -1,4 +1,4 @@
-//! Rate limits of log lines, and their time.
+//! Rate limits and time format of log lines.
 
 #![allow(
     clippy::expect_used,
@@ -9,7 +9,7 @@
 use rstest::rstest;
 use streamusher_runtime::logs::rate_limit::{CallSite, CallSiteLimiter, RateLimiter};
 
-fn here(line: u32) -> CallSite {
+fn call_site(line: u32) -> CallSite {
     CallSite {
         module: "here",
         line,
@@ -32,12 +32,12 @@
     let mut limiter = CallSiteLimiter::default();
 
     let passed = (0..50)
-        .filter(|now| limiter.allow(*now, here(1)).is_some())
+        .filter(|now| limiter.allow(*now, call_site(1)).is_some())
         .count();
-    let other = limiter.allow(50, here(2));
+    let other = limiter.allow(50, call_site(2));
     let later = [
-        limiter.allow(10_000, here(1)),
-        limiter.allow(10_001, here(1)),
+        limiter.allow(10_000, call_site(1)),
+        limiter.allow(10_001, call_site(1)),
     ];
 
     assert_eq!(passed, 20);
--- a/crates/runtime/tests/logs.rs
+++ b/crates/runtime/tests/logs.rs
@@ -1,4 +1,5 @@
-//! The logger of a process: what is written, and what is kept for the status. One test, as a process has one logger.
+//! The logger of a process: which lines it writes, and which line it keeps for the status document. There is
+//! only one test, because a process has only one logger.
 
 #![allow(
     clippy::expect_used,
@@ -10,17 +11,20 @@
 use streamusher_runtime::logs;
 
 #[test]
-fn newest_warning_is_kept_and_libraries_are_quiet() {
+fn last_error_is_the_most_recent_one_and_library_info_lines_are_disabled() {
     logs::start(Some(LevelFilter::Info));
-    let none_yet = logs::last_error();
+    let before_any_error = logs::last_error();
 
     log::warn!("first");
     log::error!("second {}", 2);
     log::info!("third");
 
-    let kept = logs::last_error().unwrap();
-    assert_eq!(none_yet, None);
-    assert_eq!((kept.level, &*kept.text), ("ERROR", "second 2"));
+    let most_recent = logs::last_error().unwrap();
+    assert_eq!(before_any_error, None);
+    assert_eq!(
+        (most_recent.level, &*most_recent.text),
+        ("ERROR", "second 2")
+    );
     assert!(log::log_enabled!(target: "streamusher_scheduler", log::Level::Info));
     assert!(!log::log_enabled!(target: "fjall::journal", log::Level::Info));
     assert!(log::log_enabled!(target: "lsm_tree", log::Level::Warn));
--- a/crates/runtime/tests/options.rs
+++ b/crates/runtime/tests/options.rs
@@ -1,4 +1,4 @@
-//! Command lines.
+//! Parsing of command lines.
 
 #![allow(
     clippy::expect_used,
@@ -49,7 +49,7 @@
 #[case("three")]
 #[case("one two")]
 #[case("--fast one")]
-fn wrong_command_line_is_an_error_with_a_remedy(#[case] line: &str) {
+fn invalid_command_line_is_an_error_with_a_remedy(#[case] line: &str) {
     let error: OptionsError = parse(&PROGRAM, &arguments(line)).unwrap_err();
 
     assert!(error.to_string().contains(": "), "{error}");
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn program_without_commands_needs_none() {
+fn program_without_commands_runs_without_a_command() {
     let program = ProgramDescription {
         commands: &[],
         ..PROGRAM
--- a/crates/runtime/tests/outbox.rs
+++ b/crates/runtime/tests/outbox.rs
@@ -1,4 +1,4 @@
-//! Messages that may be lost, over loopback.
+//! Delivery of messages by the outbox over loopback.
 
 #![allow(
     clippy::expect_used,
@@ -16,18 +16,18 @@
 use streamusher_runtime::http::{empty, parse_json, Outbox, Request, Server, ServerLimits};
 use tokio::sync::Notify;
 
-const SOON: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn run<F: std::future::Future<Output = ()>>(future: F) {
     let bounded = async {
-        tokio::time::timeout(SOON, future)
+        tokio::time::timeout(TEST_TIMEOUT, future)
             .await
-            .expect("it ends in time");
+            .expect("the test exceeded its time limit");
     };
     event_loop::block_on(bounded).unwrap();
 }
 
-/// Receives lists of numbers.
+/// Server that records the batches of numbers it receives.
 struct Receiver {
     address: Arc<str>,
     received: Rc<RefCell<Vec<Vec<u32>>>>,
@@ -56,7 +56,7 @@
         }
     }
 
-    async fn until(&self, count: usize) -> Vec<Vec<u32>> {
+    async fn wait_for_messages(&self, count: usize) -> Vec<Vec<u32>> {
         while self.received.borrow().iter().flatten().count() < count {
             self.arrived.notified().await;
         }
@@ -77,7 +77,7 @@
             outbox.send(&receiver.address, number);
         }
 
-        let batches = receiver.until(20).await;
+        let batches = receiver.wait_for_messages(20).await;
 
         assert_eq!(batches.concat(), (0..20).collect::<Vec<_>>());
         assert_eq!(batches.len(), 2);
@@ -85,20 +85,20 @@
 }
 
 #[test]
-fn unreachable_receivers_do_not_stop_others() {
+fn unreachable_receivers_do_not_block_others() {
     run(async {
         let receiver = Receiver::start();
-        let gone: SocketAddr = std::net::TcpListener::bind("127.0.0.1:0")
+        let unreachable: SocketAddr = std::net::TcpListener::bind("127.0.0.1:0")
             .unwrap()
             .local_addr()
             .unwrap();
         let mut outbox = outbox();
 
-        outbox.send(&gone.to_string().into(), 1);
+        outbox.send(&unreachable.to_string().into(), 1);
         outbox.send(&"nowhere".into(), 2);
         outbox.send(&receiver.address, 3);
 
-        assert_eq!(receiver.until(1).await, [[3]]);
+        assert_eq!(receiver.wait_for_messages(1).await, [[3]]);
     });
 }
 
@@ -111,7 +111,7 @@
             outbox.send(&receiver.address, number);
         }
 
-        let batches = receiver.until(64).await;
+        let batches = receiver.wait_for_messages(64).await;
 
         assert_eq!(batches.concat(), (0..64).collect::<Vec<_>>());
     });
--- a/crates/runtime/tests/process.rs
+++ b/crates/runtime/tests/process.rs
@@ -1,4 +1,4 @@
-//! Clocks and signals.
+//! The clocks and signals of a process.
 
 #![allow(
     clippy::expect_used,
@@ -10,7 +10,7 @@
 use streamusher_runtime::signals::{Signal, Signals};
 
 #[test]
-fn clocks_never_go_back_and_keep_their_distance() {
+fn clocks_are_monotonic_and_their_difference_is_constant() {
     let (first, second) = (clock::now(), clock::now());
 
     assert!(second.steady_ms >= first.steady_ms);
--- a/crates/runtime/tests/responses.rs
+++ b/crates/runtime/tests/responses.rs
@@ -1,4 +1,5 @@
-//! Responses of peers that misbehave: each request gets its own response or none, and none is sent twice.
+//! Responses of misbehaving peers: each request receives its own response or none, and no request is sent
+//! twice.
 
 #![allow(
     clippy::expect_used,
@@ -18,22 +19,22 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Bounds what should happen at once.
-const SOON: Duration = Duration::from_secs(20);
-/// Timeout of a request that is abandoned.
-const SHORT: Duration = Duration::from_millis(50);
+/// Upper bound for operations that should complete at once.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time-out of a request that the client abandons.
+const SHORT_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Paths of the requests that a peer has read, in their order.
-type Seen = Rc<RefCell<Vec<String>>>;
+/// Paths of the requests that the peer has read, in order of arrival.
+type SeenPaths = Rc<RefCell<Vec<String>>>;
 
-/// A connection at a scripted peer.
+/// A connection accepted by the scripted peer.
 struct Connection {
     stream: TcpStream,
-    seen: Seen,
+    seen_paths: SeenPaths,
 }
 
 impl Connection {
-    /// Reads one request without a body; gives its path and its id.
+    /// Reads one request without a body and returns its path and its request ID.
     async fn read_request(&mut self) -> (String, String) {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
@@ -41,7 +42,7 @@
             assert_eq!(
                 self.stream.read(&mut byte).await.unwrap(),
                 1,
-                "the caller closed"
+                "the client closed the connection"
             );
             head.push(byte[0]);
         }
@@ -52,7 +53,7 @@
             .find_map(|line| line.strip_prefix("streamusher-call: "))
             .unwrap()
             .to_owned();
-        self.seen.borrow_mut().push(path.clone());
+        self.seen_paths.borrow_mut().push(path.clone());
         (path, id)
     }
 
@@ -61,8 +62,8 @@
         self.stream.flush().await.unwrap();
     }
 
-    /// Ends once the caller has closed.
-    async fn closed(&mut self) {
+    /// Waits until the client has closed the connection.
+    async fn wait_until_closed(&mut self) {
         let mut rest = Vec::new();
         let _ = self.stream.read_to_end(&mut rest).await;
     }
@@ -83,8 +84,8 @@
     String::from_utf8(response.unwrap().into_body().to_vec()).unwrap()
 }
 
-/// Runs a peer that gives each connection, counted from 0, to `script`, beside a caller.
-fn run<P, F, C>(script: P, caller: impl FnOnce(Client, Seen) -> C + 'static)
+/// Runs a client against a peer that passes each connection, with its number from 0, to `script`.
+fn run<P, F, C>(script: P, caller: impl FnOnce(Client, SeenPaths) -> C + 'static)
 where
     P: Fn(usize, Connection) -> F + 'static,
     F: Future<Output = ()> + 'static,
@@ -93,8 +94,8 @@
     event_loop::block_on(async move {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address: SocketAddr = listener.local_addr().unwrap();
-        let seen = Seen::default();
-        let noted = seen.clone();
+        let seen_paths = SeenPaths::default();
+        let peer_seen_paths = seen_paths.clone();
         tokio::task::spawn_local(async move {
             for number in 0.. {
                 let (stream, _) = listener.accept().await.unwrap();
@@ -102,20 +103,20 @@
                     number,
                     Connection {
                         stream,
-                        seen: noted.clone(),
+                        seen_paths: peer_seen_paths.clone(),
                     },
                 ));
             }
         });
-        tokio::time::timeout(SOON, caller(Client::new(address), seen))
+        tokio::time::timeout(TEST_TIMEOUT, caller(Client::new(address), seen_paths))
             .await
-            .expect("bounded");
+            .expect("the test exceeded its time limit");
     })
     .unwrap();
 }
 
-/// Answers every request of a connection as it should.
-async fn serve_well(mut connection: Connection) {
+/// Answers every request on a connection correctly.
+async fn serve_correctly(mut connection: Connection) {
     loop {
         let (path, id) = connection.read_request().await;
         connection.write(&response(&path, &id)).await;
@@ -126,26 +127,32 @@
 fn repeated_response_is_not_taken_for_the_next_requests() {
     let script = |number, mut connection: Connection| async move {
         if number > 0 {
-            return serve_well(connection).await;
+            return serve_correctly(connection).await;
         }
         let (path, id) = connection.read_request().await;
         connection.write(&response(&path, &id)).await;
         connection.read_request().await;
         connection.write(&response(&path, &id)).await;
-        connection.closed().await;
+        connection.wait_until_closed().await;
     };
-    run(script, |client, seen| async move {
-        assert_eq!(body_of(client.send(get("/one"), SOON).await), "/one");
-        let second = client.send(get("/two"), SOON).await;
+    run(script, |client, seen_paths| async move {
+        assert_eq!(
+            body_of(client.send(get("/one"), TEST_TIMEOUT).await),
+            "/one"
+        );
+        let second = client.send(get("/two"), TEST_TIMEOUT).await;
         assert!(
             matches!(second, Err(RequestError::Unknown(_))),
             "{second:?}"
         );
-        assert_eq!(body_of(client.send(get("/three"), SOON).await), "/three");
         assert_eq!(
-            *seen.borrow(),
+            body_of(client.send(get("/three"), TEST_TIMEOUT).await),
+            "/three"
+        );
+        assert_eq!(
+            *seen_paths.borrow(),
             ["/one", "/two", "/three"],
-            "none was sent twice"
+            "a request was sent twice"
         );
     });
 }
@@ -154,24 +161,33 @@
 fn second_of_two_responses_is_not_taken_for_the_next_requests() {
     let script = |number, mut connection: Connection| async move {
         if number > 0 {
-            return serve_well(connection).await;
+            return serve_correctly(connection).await;
         }
         let (path, id) = connection.read_request().await;
         connection
             .write(&(response(&path, &id) + &response("/wrong", &id)))
             .await;
-        connection.closed().await;
+        connection.wait_until_closed().await;
     };
-    run(script, |client, seen| async move {
-        assert_eq!(body_of(client.send(get("/one"), SOON).await), "/one");
-        // Whether the second response has arrived yet or arrives after the request, it is never that request's.
-        match client.send(get("/two"), SOON).await {
+    run(script, |client, seen_paths| async move {
+        assert_eq!(
+            body_of(client.send(get("/one"), TEST_TIMEOUT).await),
+            "/one"
+        );
+        // The second response may arrive before or after the request for /two; in neither case is it the
+        // response to that request.
+        match client.send(get("/two"), TEST_TIMEOUT).await {
             Ok(response) => assert_eq!(response.body(), "/two"),
             Err(error) => assert!(matches!(error, RequestError::Unknown(_)), "{error}"),
         }
         assert!(
-            seen.borrow().iter().filter(|path| *path == "/two").count() <= 1,
-            "it was sent twice"
+            seen_paths
+                .borrow()
+                .iter()
+                .filter(|path| *path == "/two")
+                .count()
+                <= 1,
+            "the request for /two was sent twice"
         );
     });
 }
@@ -180,19 +196,25 @@
 fn unsolicited_response_on_an_idle_connection_is_dropped() {
     let script = |number, mut connection: Connection| async move {
         if number > 0 {
-            return serve_well(connection).await;
+            return serve_correctly(connection).await;
         }
         let (path, id) = connection.read_request().await;
         connection.write(&response(&path, &id)).await;
         connection.write(&response("/wrong", "77")).await;
-        connection.closed().await;
+        connection.wait_until_closed().await;
     };
-    run(script, |client, seen| async move {
-        assert_eq!(body_of(client.send(get("/one"), SOON).await), "/one");
-        // The connection's task reads what has come, and closes it.
-        tokio::time::sleep(SHORT).await;
-        assert_eq!(body_of(client.send(get("/two"), SOON).await), "/two");
-        assert_eq!(*seen.borrow(), ["/one", "/two"]);
+    run(script, |client, seen_paths| async move {
+        assert_eq!(
+            body_of(client.send(get("/one"), TEST_TIMEOUT).await),
+            "/one"
+        );
+        // In the meantime, the connection's task reads the unsolicited response and closes the connection.
+        tokio::time::sleep(SHORT_TIMEOUT).await;
+        assert_eq!(
+            body_of(client.send(get("/two"), TEST_TIMEOUT).await),
+            "/two"
+        );
+        assert_eq!(*seen_paths.borrow(), ["/one", "/two"]);
     });
 }
 
@@ -200,63 +222,75 @@
 fn response_to_an_abandoned_request_is_dropped() {
     let script = |number, mut connection: Connection| async move {
         if number > 0 {
-            return serve_well(connection).await;
+            return serve_correctly(connection).await;
         }
         let (path, id) = connection.read_request().await;
-        tokio::time::sleep(SHORT * 2).await;
-        // The caller may have closed: then there is nobody to answer.
+        tokio::time::sleep(SHORT_TIMEOUT * 2).await;
+        // The write fails if the client has already closed the connection.
         let _ = connection
             .stream
             .write_all(response(&path, &id).as_bytes())
             .await;
-        connection.closed().await;
+        connection.wait_until_closed().await;
     };
-    run(script, |client, seen| async move {
-        let first = client.send(get("/one"), SHORT).await;
+    run(script, |client, seen_paths| async move {
+        let first = client.send(get("/one"), SHORT_TIMEOUT).await;
         assert!(matches!(first, Err(RequestError::Unknown(_))), "{first:?}");
-        assert_eq!(body_of(client.send(get("/two"), SOON).await), "/two");
-        tokio::time::sleep(SHORT * 3).await;
-        assert_eq!(body_of(client.send(get("/three"), SOON).await), "/three");
-        assert_eq!(*seen.borrow(), ["/one", "/two", "/three"]);
+        assert_eq!(
+            body_of(client.send(get("/two"), TEST_TIMEOUT).await),
+            "/two"
+        );
+        tokio::time::sleep(SHORT_TIMEOUT * 3).await;
+        assert_eq!(
+            body_of(client.send(get("/three"), TEST_TIMEOUT).await),
+            "/three"
+        );
+        assert_eq!(*seen_paths.borrow(), ["/one", "/two", "/three"]);
     });
 }
 
 #[test]
-fn early_response_counts_and_its_connection_is_not_reused() {
+fn connection_of_an_early_response_is_not_reused() {
     let script = |number, mut connection: Connection| async move {
         if number > 0 {
-            return serve_well(connection).await;
+            return serve_correctly(connection).await;
         }
         let (path, id) = connection.read_request().await;
         let early = response(&path, &id).replace("\r\n\r\n", "\r\nconnection: close\r\n\r\n");
         connection.write(&early).await;
     };
-    run(script, |client, seen| async move {
+    run(script, |client, seen_paths| async move {
         let request = http::Request::post("/one")
             .body(Bytes::from(vec![b'x'; 4_000]))
             .unwrap();
-        let first = client.send(request, SOON).await;
+        let first = client.send(request, TEST_TIMEOUT).await;
         assert!(
             first.is_ok() || matches!(first, Err(RequestError::Unknown(_))),
             "{first:?}"
         );
-        assert_eq!(body_of(client.send(get("/two"), SOON).await), "/two");
-        assert_eq!(*seen.borrow(), ["/one", "/two"]);
+        assert_eq!(
+            body_of(client.send(get("/two"), TEST_TIMEOUT).await),
+            "/two"
+        );
+        assert_eq!(*seen_paths.borrow(), ["/one", "/two"]);
     });
 }
 
 #[test]
-fn response_in_pieces_is_read_whole() {
+fn response_in_single_bytes_is_reassembled() {
     let script = |_, mut connection: Connection| async move {
         let (path, id) = connection.read_request().await;
         for byte in response(&path, &id).as_bytes() {
             connection.stream.write_all(&[*byte]).await.unwrap();
             tokio::task::yield_now().await;
         }
-        connection.closed().await;
+        connection.wait_until_closed().await;
     };
     run(script, |client, _seen| async move {
-        assert_eq!(body_of(client.send(get("/one"), SOON).await), "/one");
+        assert_eq!(
+            body_of(client.send(get("/one"), TEST_TIMEOUT).await),
+            "/one"
+        );
     });
 }
 
@@ -266,21 +300,24 @@
 fn request_on_a_broken_connection_is_unknown_and_sent_once(#[case] reset: bool) {
     let script = move |number, mut connection: Connection| async move {
         if number > 0 {
-            return serve_well(connection).await;
+            return serve_correctly(connection).await;
         }
         connection.read_request().await;
         if reset {
             connection.stream.set_zero_linger().unwrap();
         }
     };
-    run(script, |client, seen| async move {
-        let first = client.send(get("/one"), SOON).await;
+    run(script, |client, seen_paths| async move {
+        let first = client.send(get("/one"), TEST_TIMEOUT).await;
         assert!(matches!(first, Err(RequestError::Unknown(_))), "{first:?}");
-        assert_eq!(body_of(client.send(get("/two"), SOON).await), "/two");
         assert_eq!(
-            *seen.borrow(),
+            body_of(client.send(get("/two"), TEST_TIMEOUT).await),
+            "/two"
+        );
+        assert_eq!(
+            *seen_paths.borrow(),
             ["/one", "/two"],
-            "the first was not sent again"
+            "the request for /one was sent again"
         );
     });
 }
@@ -291,26 +328,38 @@
         let (path, id) = connection.read_request().await;
         connection.write(&response(&path, &id)).await;
     };
-    run(script, |client, seen| async move {
+    run(script, |client, seen_paths| async move {
         let mut answered = 0;
         for number in 0..200 {
             let path = format!("/{number}");
-            match client.send(get(&path), SOON).await {
+            match client.send(get(&path), TEST_TIMEOUT).await {
                 Ok(response) => {
                     assert_eq!(response.body(), path.as_bytes());
                     answered += 1;
                 }
                 Err(error) => {
-                    let times = seen.borrow().iter().filter(|seen| **seen == path).count();
-                    let is_told = matches!(error, RequestError::Unknown(_)) || times == 0;
-                    assert!(is_told, "{path}, carried out {times} times: {error}");
+                    let times = seen_paths
+                        .borrow()
+                        .iter()
+                        .filter(|seen_path| **seen_path == path)
+                        .count();
+                    let is_unknown_or_not_executed =
+                        matches!(error, RequestError::Unknown(_)) || times == 0;
+                    assert!(
+                        is_unknown_or_not_executed,
+                        "{path}, executed {times} times: {error}"
+                    );
                 }
             }
         }
         assert!(answered >= 100, "{answered} of 200 were answered");
-        let seen = seen.borrow();
-        let distinct: std::collections::BTreeSet<&String> = seen.iter().collect();
-        assert_eq!(distinct.len(), seen.len(), "a request was executed twice");
+        let seen_paths = seen_paths.borrow();
+        let distinct: std::collections::BTreeSet<&String> = seen_paths.iter().collect();
+        assert_eq!(
+            distinct.len(),
+            seen_paths.len(),
+            "a request was executed twice"
+        );
     });
 }
 
@@ -325,7 +374,13 @@
         }
     };
     run(script, |client, _seen| async move {
-        assert_eq!(body_of(client.send(get("/one"), SOON).await), "/one");
-        assert_eq!(body_of(client.send(get("/two"), SOON).await), "/two");
+        assert_eq!(
+            body_of(client.send(get("/one"), TEST_TIMEOUT).await),
+            "/one"
+        );
+        assert_eq!(
+            body_of(client.send(get("/two"), TEST_TIMEOUT).await),
+            "/two"
+        );
     });
 }
--- a/crates/runtime/tests/settings.rs
+++ b/crates/runtime/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file: what is read, what is ignored, and what errors say.
+//! Settings files: the fields that are read, those that are ignored, and the error messages.
 
 #![allow(
     clippy::expect_used,
@@ -9,7 +9,7 @@
 use rstest::rstest;
 use streamusher_runtime::settings::{parse, MachineLimits, ProcessSettings, SettingsError};
 
-const GIVEN: &str = r#"
+const SETTINGS_FILE: &str = r#"
 node_name = "front-1"
 role = "gate"
 machine_class = "front"
@@ -42,14 +42,14 @@
 a_new_bound = true
 "#;
 
-fn read(text: &str) -> Result<ProcessSettings, SettingsError> {
+fn parse_settings(text: &str) -> Result<ProcessSettings, SettingsError> {
     parse(text, "settings.toml")
 }
 
 #[expect(clippy::float_cmp, reason = "0.25 is exact in binary")]
 #[test]
 fn every_field_is_read_and_unknown_ones_are_ignored() {
-    let settings = read(GIVEN).unwrap();
+    let settings = parse_settings(SETTINGS_FILE).unwrap();
 
     assert_eq!(&*settings.node_name, "front-1");
     assert_eq!(
@@ -65,7 +65,7 @@
 
 #[test]
 fn missing_bounds_have_defaults() {
-    let settings = read(GIVEN).unwrap();
+    let settings = parse_settings(SETTINGS_FILE).unwrap();
 
     assert_eq!(settings.bounds.contact_ms, 3_000);
     assert_eq!(settings.fault_tolerance.machines, 0);
@@ -74,7 +74,7 @@
 
 #[test]
 fn internal_addresses_use_the_first_ports_of_the_range() {
-    let settings = read(GIVEN).unwrap();
+    let settings = parse_settings(SETTINGS_FILE).unwrap();
 
     let seeds = settings.core_addresses_of_seeds();
 
@@ -93,32 +93,32 @@
     "heartbeat_ms",
     "\"soon\""
 )]
-#[case::no_address("ip = \"10.1.0.38\"", "ip = \"here\"", "ip", "\"here\"")]
+#[case::invalid_ip("ip = \"10.1.0.38\"", "ip = \"here\"", "ip", "\"here\"")]
 #[case::missing("ip = \"10.1.0.38\"", "", "ip", "(missing)")]
 #[case::in_a_table("grace_s = 6.5", "grace_s = [6]", "bounds.grace_s", "[6]")]
 #[case::below_zero("early_ms = 250", "early_ms = -1", "bounds.early_ms", "-1")]
 #[case::seconds_below_zero("grace_s = 6.5", "grace_s = -0.5", "bounds.grace_s", "-0.5")]
-#[case::endless_seconds("grace_s = 6.5", "status_s = inf", "bounds.status_s", "inf")]
+#[case::infinite_seconds("grace_s = 6.5", "status_s = inf", "bounds.status_s", "inf")]
 #[case::no_seeds(
     "seeds = [\"10.1.0.43:8144\", \"10.2.0.45:8144\"]",
     "seeds = []",
     "seeds",
     "[]"
 )]
-#[case::bad_seed("\"10.2.0.45:8144\"", "\"elsewhere\"", "seeds.1", "\"elsewhere\"")]
-#[case::turned_range("[7380, 7395]", "[7395, 7380]", "port_range", "[7395, 7380]")]
+#[case::invalid_seed("\"10.2.0.45:8144\"", "\"elsewhere\"", "seeds.1", "\"elsewhere\"")]
+#[case::reversed_range("[7380, 7395]", "[7395, 7380]", "port_range", "[7395, 7380]")]
 #[case::no_heartbeat("heartbeat_ms = 1500", "heartbeat_ms = 0", "heartbeat_ms", "0")]
 #[case::no_hold("hold_max_ms = 6000.0", "hold_max_ms = 0", "bounds.hold_max_ms", "0")]
-fn wrong_key_is_an_error_with_value_and_remedy(
-    #[case] found: &str,
-    #[case] instead: &str,
-    #[case] wanted_key: &str,
-    #[case] wanted_value: &str,
+fn invalid_key_is_an_error_with_value_and_remedy(
+    #[case] original: &str,
+    #[case] replacement: &str,
+    #[case] expected_key: &str,
+    #[case] expected_value: &str,
 ) {
-    let text = GIVEN.replacen(found, instead, 1);
-    assert_ne!(text, GIVEN);
+    let text = SETTINGS_FILE.replacen(original, replacement, 1);
+    assert_ne!(text, SETTINGS_FILE);
 
-    let error = read(&text).unwrap_err();
+    let error = parse_settings(&text).unwrap_err();
 
     let SettingsError::Key {
         key, value, remedy, ..
@@ -126,13 +126,19 @@
     else {
         panic!("{error}")
     };
-    assert_eq!((key.as_str(), value.as_str()), (wanted_key, wanted_value));
+    assert_eq!(
+        (key.as_str(), value.as_str()),
+        (expected_key, expected_value)
+    );
     assert!(!remedy.is_empty() && error.to_string().contains(remedy));
 }
 
 #[test]
 fn malformed_toml_is_a_syntax_error() {
-    assert!(matches!(read("ip = ["), Err(SettingsError::Syntax { .. })));
+    assert!(matches!(
+        parse_settings("ip = ["),
+        Err(SettingsError::Syntax { .. })
+    ));
 }
 
 #[test]
@@ -152,9 +158,9 @@
 #[case::usual(4_096, 556, 3_540)]
 #[case::few(600, 556, 44)]
 #[case::too_few(256, 556, 16)]
-fn connections_are_the_descriptors_that_are_left(
+fn max_connections_is_the_number_of_unreserved_descriptors(
     #[case] max_fds: u64,
-    #[case] besides: u64,
+    #[case] reserved_descriptors: u64,
     #[case] connections: usize,
 ) {
     let limits = MachineLimits {
@@ -162,5 +168,5 @@
         ..MachineLimits::default()
     };
 
-    assert_eq!(limits.max_connections(besides), connections);
+    assert_eq!(limits.max_connections(reserved_descriptors), connections);
 }
