--- a/crates/protocol/tests/encoded.rs
+++ b/crates/protocol/tests/encoded.rs
@@ -1,4 +1,5 @@
-//! Every message of the protocol, byte for byte: other releases and programs in other languages read and write these texts.
+//! Every message of the protocol, compared byte for byte: other releases and programs in other languages read
+//! and write these texts.
 
 #![allow(
     clippy::expect_used,
@@ -25,26 +26,26 @@
 use streamusher_protocol::store::Write;
 use streamusher_protocol::task::{JobId, RunEnd, RunId, TaskId};
 
-/// Texts as they are written, and as they come back after reading. Each line is a name and a text.
+/// The encoded messages. Each line holds a name and the JSON text of a value that decodes to the same value.
 #[derive(Default)]
 struct Encoded {
     lines: String,
 }
 
 impl Encoded {
-    /// Adds a value, and checks that its text is read as the same value.
+    /// Adds a value, and checks that its encoding decodes to the same value.
     fn add<T: Serialize + DeserializeOwned + PartialEq + Debug>(&mut self, name: &str, value: &T) {
         let text = serde_json::to_string(value).unwrap();
-        let read: T = serde_json::from_str(&text).unwrap();
-        assert_eq!(&read, value, "{name}");
+        let decoded: T = serde_json::from_str(&text).unwrap();
+        assert_eq!(&decoded, value, "{name}");
         writeln!(self.lines, "{name} {text}").unwrap();
     }
 }
 
-/// Checks that a text is read as this value.
+/// Checks that a text decodes to the expected value.
 fn assert_decodes<T: DeserializeOwned + PartialEq + Debug>(text: &str, expected: &T) {
-    let read: T = serde_json::from_str(text).unwrap();
-    assert_eq!(&read, expected, "{text}");
+    let decoded: T = serde_json::from_str(text).unwrap();
+    assert_eq!(&decoded, expected, "{text}");
 }
 
 fn job() -> JobId {
@@ -60,7 +61,7 @@
     }
 }
 
-fn core(index: u32) -> CoreAddress {
+fn core_address(index: u32) -> CoreAddress {
     CoreAddress {
         internal: format!("10.0.0.{index}:7000").into(),
         control: format!("10.0.0.{index}:8000").into(),
@@ -70,12 +71,12 @@
 fn view() -> ClusterView {
     ClusterView {
         epoch: 7,
-        primary: Some(core(1)),
-        members: vec![core(1), core(2)],
+        primary: Some(core_address(1)),
+        members: vec![core_address(1), core_address(2)],
     }
 }
 
-fn extra() -> Map<String, Value> {
+fn unknown_fields() -> Map<String, Value> {
     let text = r#"{"zeta":[1,{"b":null}],"alpha":"\u00e9\"","Mixed":1.5}"#;
     serde_json::from_str(text).unwrap()
 }
@@ -123,7 +124,7 @@
     }
 }
 
-const ENDS: [RunEnd; 7] = [
+const RUN_ENDS: [RunEnd; 7] = [
     RunEnd::Done,
     RunEnd::Failed,
     RunEnd::Stopped,
@@ -154,7 +155,7 @@
     }
 }
 
-fn report_of_little() -> WorkerReport {
+fn minimal_report() -> WorkerReport {
     WorkerReport {
         remaining_ms: None,
         gone: false,
@@ -179,7 +180,7 @@
         service: "render".into(),
         max_attempts: 3,
         stretch: 1.25,
-        other: extra(),
+        other: unknown_fields(),
     }
 }
 
@@ -188,7 +189,7 @@
         name: "render".into(),
         health_path: "/health".into(),
         guards: true,
-        other: extra(),
+        other: unknown_fields(),
     }
 }
 
@@ -198,7 +199,7 @@
         max_body_bytes: 2,
         header_timeout_ms: 3,
         idle_timeout_ms: 4,
-        other: extra(),
+        other: unknown_fields(),
     }
 }
 
@@ -212,7 +213,7 @@
             run: 1,
         },
     );
-    for end in ENDS {
+    for end in RUN_ENDS {
         encoded.add("run-end", &end);
     }
     encoded.add("write-set", &Write::set("job/1", "{\"a\":1}"));
@@ -224,7 +225,7 @@
     encoded.add("worker-state", &WorkerState::Ready);
     encoded.add("worker-state", &WorkerState::Draining);
     encoded.add("running-task", &running());
-    for (number, end) in (1..).zip(ENDS) {
+    for (number, end) in (1..).zip(RUN_ENDS) {
         encoded.add("finished-run", &finished(number, end));
     }
     encoded.add("start-command", &start());
@@ -261,7 +262,7 @@
 
 fn add_agents(encoded: &mut Encoded) {
     encoded.add("worker-report-full", &report());
-    encoded.add("worker-report-least", &report_of_little());
+    encoded.add("worker-report-least", &minimal_report());
     let sync = |worker: Option<WorkerReport>| AgentSync {
         agent: "m1".into(),
         boot: 99,
@@ -288,7 +289,7 @@
 }
 
 fn add_cluster(encoded: &mut Encoded) {
-    encoded.add("core-address", &core(1));
+    encoded.add("core-address", &core_address(1));
     encoded.add("cluster-view-full", &view());
     encoded.add("cluster-view-least", &ClusterView::default());
     let watch = ClusterWatch {
@@ -354,11 +355,11 @@
         interval_ms: 60_000,
     };
     encoded.add("job-request-full", &full);
-    let least = JobRequest {
+    let minimal = JobRequest {
         steps: vec![StepRequest::default()],
         ..JobRequest::default()
     };
-    encoded.add("job-request-least", &least);
+    encoded.add("job-request-least", &minimal);
     for state in [
         JobState::Pending,
         JobState::Running,
@@ -377,7 +378,7 @@
         routes: vec![route(), Route::default()],
         services: vec![service(), Service::default()],
         limits: limits(),
-        other: extra(),
+        other: unknown_fields(),
     };
     encoded.add("configuration-full", &full);
     encoded.add("configuration-least", &Configuration::default());
@@ -401,28 +402,28 @@
 
 #[test]
 fn absent_fields_take_their_defaults() {
-    let least = Heartbeat {
+    let minimal = Heartbeat {
         service: "render".into(),
         sequence: 1,
         ..Heartbeat::default()
     };
-    assert_decodes(r#"{"service":"render","sequence":1}"#, &least);
+    assert_decodes(r#"{"service":"render","sequence":1}"#, &minimal);
     assert_decodes("{}", &HeartbeatResponse::default());
     assert_decodes("{}", &Resources::default());
-    let least = JobRequest {
+    let minimal = JobRequest {
         steps: vec![StepRequest {
             count: 1,
             ..StepRequest::default()
         }],
         ..JobRequest::default()
     };
-    assert_decodes(r#"{"steps":[{"count":1}]}"#, &least);
-    let least = Configuration {
+    assert_decodes(r#"{"steps":[{"count":1}]}"#, &minimal);
+    let minimal = Configuration {
         version: 1,
         ..Configuration::default()
     };
-    assert_decodes(r#"{"version":1}"#, &least);
-    let least = Route {
+    assert_decodes(r#"{"version":1}"#, &minimal);
+    let minimal = Route {
         name: "a".into(),
         host: "h".into(),
         path_prefix: "/".into(),
@@ -432,17 +433,17 @@
         ..Route::default()
     };
     let text = r#"{"name":"a","host":"h","path_prefix":"/","timeout_ms":5,"service":"s"}"#;
-    assert_decodes(text, &least);
-    let least = ClientResponse {
+    assert_decodes(text, &minimal);
+    let minimal = ClientResponse {
         status: 200,
         body: "".into(),
         retry_after_ms: None,
     };
-    assert_decodes(r#"{"status":200}"#, &least);
+    assert_decodes(r#"{"status":200}"#, &minimal);
 }
 
 #[test]
-fn changes_of_named_items_are_read_whole_and_in_part() {
+fn updates_are_decoded_with_and_without_optional_fields() {
     let text = r#"{"version":5,"upsert":{"routes":[{"name":"a","host":"h","path_prefix":"/","timeout_ms":5,"service":"s"}],
         "services":[{"name":"s"}],"limits":{"max_header_bytes":9}},"remove":{"routes":["b"],"services":["t","u"]}}"#;
     let whole = Update {
@@ -472,19 +473,19 @@
         },
     };
     assert_decodes(text, &whole);
-    let least = Update {
+    let minimal = Update {
         version: 5,
         ..Update::default()
     };
-    assert_decodes(r#"{"version":5}"#, &least);
-    assert_decodes(r#"{"version":5,"upsert":{},"remove":{}}"#, &least);
+    assert_decodes(r#"{"version":5}"#, &minimal);
+    assert_decodes(r#"{"version":5,"upsert":{},"remove":{}}"#, &minimal);
 }
 
 #[test]
-fn unknown_fields_are_kept_in_configurations_and_passed_over_elsewhere() {
+fn unknown_fields_are_preserved_in_configurations_and_ignored_elsewhere() {
     let text = r#"{"version":1,"routes":[],"services":[{"name":"s","health_path":"","guards":false,"later":[1]}],"limits":{"max_header_bytes":1,"max_body_bytes":2,"header_timeout_ms":3,"idle_timeout_ms":4,"later":null},"later":{"a":"b"}}"#;
-    let read: Configuration = serde_json::from_str(text).unwrap();
-    assert_eq!(serde_json::to_string(&read).unwrap(), text);
+    let decoded: Configuration = serde_json::from_str(text).unwrap();
+    assert_eq!(serde_json::to_string(&decoded).unwrap(), text);
     assert_decodes(r#"{"waiting":3,"later":1}"#, &QueueStatus { waiting: 3 });
     assert_decodes(
         r#"{"fence_token":0,"later":1}"#,
