--- a/crates/runtime/tests/http.rs
+++ b/crates/runtime/tests/http.rs
@@ -27,7 +27,7 @@
     event_loop::block_on(async {
         tokio::time::timeout(TEST_TIMEOUT, future)
             .await
-            .expect("the test exceeded its time limit")
+            .expect("the test exceeded its time limit");
     })
     .unwrap();
 }
