--- a/crates/protocol/src/heartbeat.rs
+++ b/crates/protocol/src/heartbeat.rs
@@ -25,9 +25,9 @@
 }
 
 impl Resources {
-    /// Returns true if each amount is at least the one in `wanted`.
-    pub fn covers(&self, wanted: &Resources) -> bool {
-        self.cpu >= wanted.cpu && self.mem_mb >= wanted.mem_mb && self.gpu >= wanted.gpu
+    /// Returns true if each amount is at least the one in `demand`.
+    pub fn covers(&self, demand: &Resources) -> bool {
+        self.cpu >= demand.cpu && self.mem_mb >= demand.mem_mb && self.gpu >= demand.gpu
     }
 
     /// Adds each amount, saturating at the largest integer.
--- a/crates/protocol/tests/encoded.rs
+++ b/crates/protocol/tests/encoded.rs
@@ -446,7 +446,7 @@
 fn updates_are_decoded_with_and_without_optional_fields() {
     let text = r#"{"version":5,"upsert":{"routes":[{"name":"a","host":"h","path_prefix":"/","timeout_ms":5,"service":"s"}],
         "services":[{"name":"s"}],"limits":{"max_header_bytes":9}},"remove":{"routes":["b"],"services":["t","u"]}}"#;
-    let whole = Update {
+    let complete = Update {
         version: 5,
         upsert: Upsert {
             routes: vec![Route {
@@ -472,7 +472,7 @@
             services: vec!["t".into(), "u".into()],
         },
     };
-    assert_decodes(text, &whole);
+    assert_decodes(text, &complete);
     let minimal = Update {
         version: 5,
         ..Update::default()
--- a/crates/runtime/src/logs/mod.rs
+++ b/crates/runtime/src/logs/mod.rs
@@ -2,7 +2,7 @@
 //! costs one comparison.
 //!
 //! Lines at `info` and above are for operators. [`rate_limit`] limits each call site that writes them, and
-//! [`last_error`] keeps the most recent warning or error for the status document. Lines of libraries below
+//! [`last_error()`] keeps the most recent warning or error for the status document. Lines of libraries below
 //! `warn` are discarded.
 
 mod last_error;
