--- a/crates/emulator/src/lost_value/missed.rs
+++ b/crates/emulator/src/lost_value/missed.rs
@@ -1,4 +1,4 @@
-//! The log lines of jobs that missed their objectives.
+//! Parses the log lines of jobs that missed their objectives.
 
 use super::report::RequestClass;
 use crate::cast::whole;
@@ -6,32 +6,33 @@
 use streamusher_jobs::{Completion, LatencyStage};
 use streamusher_scheduler::OBJECTIVE_MISSED_PREFIX;
 
-/// Two stretches that differ by less are the same: they pass through text.
+/// Tolerance for comparing stretches, which are printed and parsed again as text.
 const STRETCH_TOLERANCE: f64 = 1e-6;
 const MILLIS_PER_SECOND: f64 = 1_000.0;
-/// Ends a line that says how many lines the log has suppressed before it.
+/// Suffix of a log line that states how many earlier lines were suppressed by rate limiting.
 const SUPPRESSED_SUFFIX: &str = " more since)";
 
 /// A job that missed its objective.
 #[derive(Clone, Debug)]
 pub struct MissedObjective {
-    /// When it was due, in seconds from the start of the benchmark run.
+    /// Due time of the job, in seconds from the start of the benchmark run.
     pub due_s: f64,
-    /// What the line says of the job.
+    /// Completion record of the job, as logged.
     pub completion: Completion,
-    /// How many misses it stands for: itself, and its part of those whose lines the log suppressed about then.
-    pub stands_for: f64,
+    /// Number of misses that this entry represents: itself plus its share of the misses whose log lines were
+    /// suppressed around that time.
+    pub represented_misses: f64,
 }
 
-/// A line of the log.
+/// A parsed log line.
 struct MissedLine {
     missed: MissedObjective,
-    /// Lines that the log suppressed before this one.
+    /// Number of lines that the log suppressed before this one.
     suppressed: u32,
 }
 
 impl MissedObjective {
-    /// Whether it is a job of a class.
+    /// Returns whether the priority, target latency and stretch of the job are those of the class.
     pub(super) fn is_of(&self, class: &RequestClass) -> bool {
         let completion = &self.completion;
         completion.priority == class.priority
@@ -39,7 +40,7 @@
             && (completion.stretch - class.jobs.stretch).abs() < STRETCH_TOLERANCE
     }
 
-    /// The part of its loss that falls to each stage: by the time that was not work.
+    /// Share of the loss per latency stage, in proportion to the time spent in each stage other than work.
     pub(super) fn parts_by_stage(&self) -> BTreeMap<LatencyStage, f64> {
         let breakdown = &self.completion.breakdown;
         let lost_ms = breakdown.total_ms() - breakdown.in_stage(LatencyStage::Worked);
@@ -52,9 +53,9 @@
     }
 }
 
-/// The jobs that missed their objectives, from the log of a benchmark run: each line begins with the second of the run. Logs
-/// limit the lines of one place, and the first after a pause says how many were suppressed: the lines before it stand for
-/// these too.
+/// Parses the missed objectives from the log of a benchmark run. Each line begins with its time in seconds
+/// from the start of the run. Logging is rate-limited per call site, and the first line after a pause states
+/// how many lines were suppressed; these are distributed evenly over the lines of the burst before it.
 pub fn parse_missed_objectives(log: &str) -> Vec<MissedObjective> {
     let mut all: Vec<MissedObjective> = Vec::new();
     let mut first_of_burst = 0;
@@ -63,7 +64,7 @@
         if line.suppressed > 0 && !burst.is_empty() {
             let part = f64::from(line.suppressed) / burst.len() as f64;
             for missed in burst {
-                missed.stands_for += part;
+                missed.represented_misses += part;
             }
             first_of_burst = all.len();
         }
@@ -82,7 +83,7 @@
     let missed = MissedObjective {
         due_s,
         completion,
-        stands_for: 1.0,
+        represented_misses: 1.0,
     };
     Some(MissedLine {
         missed,
--- a/crates/emulator/src/lost_value/mod.rs
+++ b/crates/emulator/src/lost_value/mod.rs
@@ -1,9 +1,9 @@
-//! Where a benchmark run lost its value: its report and the log lines of the jobs that missed their objectives, joined to a
-//! table by cause whose rows add up to what was lost.
+//! Attributes the value lost in a benchmark run to causes. The report of the run is combined with the log
+//! lines of the jobs that missed their objectives; the rows of the resulting table add up to the total loss.
 //!
-//! - `report`: the report, and the classes of the deployment's site file.
-//! - `missed`: the log lines.
-//! - `table`: the table.
+//! - `report`: the benchmark report, and the request classes of the deployment's site file.
+//! - `missed`: parser of the log lines.
+//! - `table`: lost value by cause.
 
 mod missed;
 mod report;
--- a/crates/emulator/src/lost_value/report.rs
+++ b/crates/emulator/src/lost_value/report.rs
@@ -1,11 +1,11 @@
-//! The report of a benchmark run and the classes of a deployment, as far as the table needs them.
+//! The fields of a benchmark report and of a deployment's request classes that the table of lost value needs.
 
 use serde::Deserialize;
 
-/// Windows that count among the worst.
+/// Number of windows that the score counts as the worst.
 const WORST_WINDOWS: usize = 2;
 
-/// The parts of the score that the table divides by cause.
+/// Components of the score whose loss the table attributes to causes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PartName {
     WholeDay,
@@ -14,7 +14,7 @@
 }
 
 impl PartName {
-    /// Its name in reports.
+    /// Name of the component in benchmark reports.
     fn name(self) -> &'static str {
         match self {
             PartName::WholeDay => "whole day",
@@ -24,15 +24,15 @@
     }
 }
 
-/// A part of the score.
+/// A weighted component of the score, encoded as an array of name, weight and value.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(from = "(String, f64, f64)")]
 pub struct ScorePart {
-    /// Its name.
+    /// Name of the component in the report.
     pub name: String,
-    /// Its weight in the score.
+    /// Weight of the component in the score.
     pub weight: f64,
-    /// Its value, from 0 to 1.
+    /// Value of the component, from 0 to 1.
     pub value: f64,
 }
 
@@ -46,15 +46,15 @@
     }
 }
 
-/// Something that is taken off the score.
+/// A deduction from the score, encoded as an array of name, amount and price.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(from = "(String, f64, f64)")]
 pub struct ScorePrice {
-    /// What costs.
+    /// Name of what is charged for.
     pub name: String,
-    /// How much of it was used.
+    /// Amount that was charged for.
     pub amount: f64,
-    /// What that costs.
+    /// Deduction from the score for this amount.
     pub price: f64,
 }
 
@@ -68,37 +68,37 @@
     }
 }
 
-/// The report of a benchmark run.
+/// Report of a benchmark run.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Report {
-    /// The score.
+    /// Final score, after deductions.
     #[serde(rename = "G")]
     pub score: f64,
-    /// What the score is made of.
+    /// Weighted components of the score.
     pub parts: Vec<ScorePart>,
-    /// What is taken off.
+    /// Deductions from the score.
     pub prices: Vec<ScorePrice>,
-    /// Requests by class.
+    /// Request counts by class.
     pub classes: Vec<RequestGroup>,
-    /// Requests by the window in which they were submitted, named by its first second.
+    /// Request counts by submission window; a window's name is its first second.
     pub windows: Vec<RequestGroup>,
 }
 
 impl Report {
-    /// What a part has cost; nothing where the score does not have it.
+    /// Loss in the score due to a component; 0 if the report lacks the component.
     pub(super) fn loss_of(&self, part: PartName) -> f64 {
         let found = self.parts.iter().find(|found| found.name == part.name());
         found.map_or(0.0, |found| found.weight * (1.0 - found.value))
     }
 
-    /// The class that earned the smallest part of its value.
+    /// Returns the class with the smallest earned share of its value.
     pub(super) fn worst_class(&self) -> Option<&RequestGroup> {
         self.classes
             .iter()
             .min_by(|a, b| a.earned_part.total_cmp(&b.earned_part))
     }
 
-    /// The windows that earned the smallest part of their value.
+    /// Returns the windows with the smallest earned shares of their value.
     pub(super) fn worst_windows(&self) -> Vec<&RequestGroup> {
         let mut windows: Vec<&RequestGroup> = self.windows.iter().collect();
         windows.sort_by(|a, b| a.earned_part.total_cmp(&b.earned_part));
@@ -106,7 +106,7 @@
         windows
     }
 
-    /// The length of a window, in seconds.
+    /// Length of a window in seconds: the smallest difference between the starts of consecutive windows.
     pub(super) fn window_length_s(&self) -> f64 {
         let starts: Vec<f64> = self
             .windows
@@ -118,61 +118,61 @@
     }
 }
 
-/// The requests of a class or a window.
+/// Request counts of a class or a window.
 #[derive(Clone, Debug, Deserialize)]
 pub struct RequestGroup {
-    /// Its name.
+    /// Name of the class, or the first second of the window.
     pub name: String,
-    /// All requests.
+    /// All requests of the group.
     #[serde(rename = "n")]
     pub count: u32,
-    /// Answered late.
+    /// Requests that were answered late.
     pub late: u32,
-    /// Rejected.
+    /// Requests that were rejected.
     #[serde(rename = "refused")]
     pub rejected: u32,
-    /// Failed.
+    /// Requests that failed.
     pub failed: u32,
-    /// Not owed a response.
+    /// Requests for which no response was owed.
     pub not_owed: u32,
-    /// The part that was earned of the value that was owed.
+    /// Earned value divided by owed value.
     #[serde(rename = "worth")]
     pub earned_part: f64,
 }
 
 impl RequestGroup {
-    /// Requests that missed their objective.
+    /// Number of requests that missed their objective.
     pub(super) fn missed(&self) -> u32 {
         self.late + self.rejected + self.failed
     }
 
-    /// The first second of a window.
+    /// First second of a window; `None` if the name is not a number.
     pub(super) fn starts_at_s(&self) -> Option<f64> {
         self.name.parse().ok()
     }
 }
 
-/// A class of requests, as a deployment's site file defines it.
+/// A class of requests, as defined in a deployment's site file.
 #[derive(Clone, Debug, Deserialize)]
 pub struct RequestClass {
-    /// Its name.
+    /// Name of the class, as used in the report.
     pub name: String,
-    /// The value of a request that is answered in time.
+    /// Value of a request that is answered in time.
     #[serde(rename = "worth")]
     pub value: f64,
-    /// The part of the objective that does not depend on the work.
+    /// Part of the objective that does not depend on the amount of work, in milliseconds.
     #[serde(rename = "aim_ms")]
     pub target_latency_ms: f64,
-    /// Its queues' priority.
+    /// Priority of the queues of this class; 0 if not set.
     #[serde(default)]
     pub priority: u32,
-    /// How its jobs are made.
+    /// Parameters of the jobs of this class.
     pub jobs: JobShape,
 }
 
-/// How the jobs of a class are made.
+/// Parameters of the jobs of a class.
 #[derive(Clone, Debug, Deserialize)]
 pub struct JobShape {
-    /// Factor of the objective on the work.
+    /// Factor by which the amount of work enters the objective.
     pub stretch: f64,
 }
--- a/crates/emulator/src/lost_value/table.rs
+++ b/crates/emulator/src/lost_value/table.rs
@@ -1,4 +1,4 @@
-//! The table of lost value by cause.
+//! Table of lost value by cause.
 
 use super::missed::MissedObjective;
 use super::report::{PartName, Report, RequestClass, RequestGroup};
@@ -6,17 +6,18 @@
 use std::fmt;
 use streamusher_jobs::LatencyStage;
 
-/// Why value was lost.
+/// Cause of lost value.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LossCause {
-    /// A job that was accepted spent time in a stage.
+    /// An accepted job missed its objective and spent time in this stage.
     Stage(LatencyStage),
-    /// No line says why: rejected, not accepted in time, never ended, or a long-running job's tasks did not run.
+    /// No log line explains the loss: the request was rejected, was not accepted in time or never ended, or
+    /// tasks of a long-running job did not run.
     Unknown,
-    /// A price.
+    /// A deduction from the score, by the name in the report.
     Price(String),
-    /// What rounding and the differing values of the jobs of a class leave over.
-    Rest,
+    /// Remainder, due to rounding and to value differences between the jobs of a class.
+    Remainder,
 }
 
 impl fmt::Display for LossCause {
@@ -28,7 +29,7 @@
             }
             LossCause::Unknown => write!(f, "refused, not accepted, not ended, or lasting"),
             LossCause::Price(name) => write!(f, "price: {name}"),
-            LossCause::Rest => write!(f, "rest"),
+            LossCause::Remainder => write!(f, "rest"),
         }
     }
 }
@@ -36,12 +37,12 @@
 /// Lost value by cause.
 #[derive(Clone, Debug, Default)]
 pub struct LostValue {
-    /// What each cause has cost, as a part of the score.
+    /// Loss per cause, as a fraction of the score.
     pub by_cause: BTreeMap<LossCause, f64>,
 }
 
 impl LostValue {
-    /// The table of a benchmark run. Its rows add up to 1 less the score.
+    /// Builds the table of a benchmark run. Its rows add up to 1 minus the score.
     pub fn of(report: &Report, classes: &[RequestClass], missed: &[MissedObjective]) -> LostValue {
         let mut lost = LostValue::default();
         let groups: Vec<&RequestGroup> = report.classes.iter().collect();
@@ -58,7 +59,7 @@
             lost.add(LossCause::Price(price.name.clone()), price.price);
         }
         let explained = lost.total();
-        lost.add(LossCause::Rest, 1.0 - report.score - explained);
+        lost.add(LossCause::Remainder, 1.0 - report.score - explained);
         lost
     }
 
@@ -68,7 +69,8 @@
         }
     }
 
-    /// Divides a loss among classes by what each has lost, and within each by its jobs' lines.
+    /// Divides a loss among classes in proportion to the value each has lost, and within each class by the
+    /// log lines of its jobs.
     fn add_groups(
         &mut self,
         groups: &[&RequestGroup],
@@ -110,27 +112,29 @@
         self.add_lines(&lines, count, report.loss_of(PartName::WorstWindows));
     }
 
-    /// Lines explain as many misses as they stand for; the loss of further ones is unknown.
+    /// Attributes a loss to stages. The lines explain as many of the `count` misses as they represent; the
+    /// loss of the other misses is of unknown cause.
     fn add_lines(&mut self, lines: &[&MissedObjective], count: u32, loss: f64) {
-        let explained_count: f64 = lines.iter().map(|line| line.stands_for).sum();
+        let explained_count: f64 = lines.iter().map(|line| line.represented_misses).sum();
         let explained = explained_count / f64::from(count).max(explained_count).max(1.0);
         self.add(LossCause::Unknown, loss * (1.0 - explained));
         for line in lines {
             for (stage, part) in line.parts_by_stage() {
-                let stage_loss = loss * explained * part * line.stands_for / explained_count;
+                let stage_loss =
+                    loss * explained * part * line.represented_misses / explained_count;
                 self.add(LossCause::Stage(stage), stage_loss);
             }
         }
     }
 
-    /// Adds a part of the losses of another benchmark run.
+    /// Adds the losses of another benchmark run, multiplied by `part`.
     pub fn add_part(&mut self, other: &LostValue, part: f64) {
         for (cause, loss) in &other.by_cause {
             self.add(cause.clone(), loss * part);
         }
     }
 
-    /// The whole loss.
+    /// Sum of the losses of all causes.
     pub fn total(&self) -> f64 {
         self.by_cause.values().sum()
     }
--- a/crates/emulator/src/value.rs
+++ b/crates/emulator/src/value.rs
@@ -1,5 +1,5 @@
-//! The value that the jobs of a workload earn: objectives, lateness and value as the deployments' pages define them, by what
-//! really ended when. Prices are left out.
+//! Value that the jobs of a workload earn. Objectives, lateness and value follow the definitions of the
+//! deployments' pages and are computed from the actual end times of the jobs. Prices are not included.
 
 use crate::cast::index_u32;
 use crate::checker::{Checker, TaskRecord};
@@ -10,43 +10,44 @@
 use streamusher_protocol::task::{JobId, TaskId};
 use streamusher_protocol::Millis;
 
-/// How often a long-running job earns value for the share of its tasks that run.
+/// Interval at which a long-running job earns value in proportion to the share of its tasks that are running.
 pub(crate) const SAMPLE_INTERVAL_MS: Millis = 2_000;
-/// A long-running job owes nothing for its first moments.
+/// No value is owed for a long-running job within this time after its submission.
 const LONG_RUNNING_GRACE_MS: Millis = 2_000;
-/// Up to so many times its objective a job counts as late, then as failed.
+/// A job that takes longer than its objective is late up to this multiple of the objective, and failed beyond
+/// it.
 const LATE_FACTOR: f64 = 3.0;
-/// This part of a job's value does not depend on its work.
+/// Fraction of a job's value that does not depend on its amount of work.
 const FIXED_PART: f64 = 0.3;
-/// A job's value is at most so many times that of a mean job of its class.
+/// Upper bound of a job's value, as a multiple of the value of a mean job of its class.
 const MAX_VALUE_FACTOR: f64 = 4.0;
-/// A step wider than this share of its service's capacity runs in waves.
+/// A step that requests more than this share of its service's capacity runs in several waves.
 const WAVE_SHARE: f64 = 0.25;
-/// A failing run ends after this part of its work.
+/// Fraction of its work after which a failing run ends.
 const FAILS_AFTER: f64 = 0.5;
 const WINDOW_MS: Millis = 2_000;
-/// How many of the worst windows count.
+/// Number of windows that enter the score: those with the lowest value ratio.
 const WORST_WINDOWS: usize = 2;
-/// Weights of the parts of the score.
+/// Weights of the components of the score.
 const WHOLE_WEIGHT: f64 = 0.6;
 const WORST_WINDOWS_WEIGHT: f64 = 0.25;
 const WORST_CLASS_WEIGHT: f64 = 0.15;
 
-/// How much of a long-running job ran at a moment.
+/// Share of a long-running job's tasks that were running at a sampling time.
 #[derive(Clone, Debug)]
 pub(crate) struct LongRunningSample {
     job: JobId,
     taken_at: Millis,
-    /// The share of its tasks.
+    /// Running tasks divided by requested tasks.
     share: f64,
 }
 
-/// Value that was earned of what was owed.
+/// Earned value compared with owed value.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ValueRatio {
-    /// Earned value.
+    /// Sum of the value earned.
     pub earned: f64,
-    /// Owed value.
+    /// Sum of the value that would be earned if every objective were met.
     pub owed: f64,
 }
 
@@ -56,7 +57,7 @@
         self.owed += owed;
     }
 
-    /// Earned over owed; 1 where nothing is owed.
+    /// Earned divided by owed value; 1 if nothing is owed.
     pub fn value(&self) -> f64 {
         if self.owed > 0.0 {
             self.earned / self.owed
@@ -66,19 +67,19 @@
     }
 }
 
-/// The value that a simulation has earned.
+/// Value earned in one simulation.
 #[derive(Clone, Debug, Default)]
 pub struct EarnedValue {
-    /// Over the whole time.
+    /// Over the whole simulation.
     pub whole: ValueRatio,
-    /// By class, in the workload's order.
+    /// Per class, in the order of the workload's classes.
     pub classes: Vec<ValueRatio>,
-    /// By the number of the window in which a job was due.
+    /// Per window, keyed by the due time divided by the window length.
     windows: BTreeMap<u64, ValueRatio>,
 }
 
 impl EarnedValue {
-    /// The mean of the worst windows.
+    /// Mean value ratio of the windows with the lowest ratios.
     pub fn worst_windows(&self) -> f64 {
         let mut values: Vec<f64> = self.windows.values().map(ValueRatio::value).collect();
         values.sort_by(f64::total_cmp);
@@ -86,7 +87,7 @@
         values.iter().sum::<f64>() / values.len().max(1) as f64
     }
 
-    /// The weighted sum of the whole time, the worst windows and the worst class.
+    /// Weighted sum of the value ratios of the whole simulation, the worst windows and the worst class.
     pub fn score(&self) -> f64 {
         let worst_class = self
             .classes
@@ -109,14 +110,14 @@
     }
 }
 
-/// A job of a workload.
+/// A submitted job that belongs to a class of the workload.
 struct WorkloadJob<'a> {
     id: &'a JobId,
     job: &'a SubmittedJob,
     submission: Submission,
 }
 
-/// The value that the jobs of a workload have earned.
+/// Computes the value earned by all jobs of a workload.
 pub(crate) fn earned_value(
     workload: &Workload,
     submitted_jobs: &SubmittedJobs,
@@ -160,7 +161,7 @@
     jobs
 }
 
-/// Adds each iteration of a job.
+/// Adds the owed and the earned value of every iteration of a job.
 fn add_job(
     earned: &mut EarnedValue,
     workload: &Workload,
@@ -182,7 +183,7 @@
     }
 }
 
-/// How much of each long-running job runs now.
+/// Samples the share of running tasks of every long-running job whose grace period is over.
 pub(crate) fn sample_long_running(
     now: Millis,
     submitted_jobs: &SubmittedJobs,
@@ -221,7 +222,7 @@
     due.max(job.submission.sent_at)
 }
 
-/// When the last step of an iteration was done.
+/// Time at which the last step of an iteration was done; `None` if a step is not done.
 fn ended_at(checker: &Checker, job: &WorkloadJob<'_>, iteration: u32) -> Option<Millis> {
     let mut last = 0;
     for (step, request) in job.job.request.steps.iter().enumerate() {
@@ -237,8 +238,9 @@
     Some(last)
 }
 
-/// `stretch` times the longest chain of work, with runs that fail through their own fault and waves of wide steps, and the
-/// target latency.
+/// Objective of a job: the class's `stretch` times the sum over its steps of the longest task's work, plus
+/// the target latency. Work includes the repetition after a scheduled failure and the number of waves of wide
+/// steps.
 fn objective_ms(workload: &Workload, class: &Class, job: &SubmittedJob) -> f64 {
     let capacity = workload.cpu_of(class.service);
     let wave = (capacity * WAVE_SHARE).max(1.0);
@@ -265,7 +267,7 @@
     }
 }
 
-/// A job's work, in thousandths of a core times milliseconds.
+/// Work of a job, in milliseconds times thousandths of a core.
 fn total_work(job: &SubmittedJob) -> f64 {
     let steps = job.request.steps.iter().enumerate();
     let work = steps.map(|(step, request)| {
--- a/crates/emulator/src/workers/effect.rs
+++ b/crates/emulator/src/workers/effect.rs
@@ -1,4 +1,4 @@
-//! What simulated workers do to the outside, and the timers they set.
+//! Externally visible effects of simulated workers, and their timers.
 
 use std::sync::Arc;
 use streamusher_protocol::heartbeat::{Heartbeat, Resources};
@@ -8,46 +8,46 @@
 /// Index of a worker within the fleet.
 pub(crate) type WorkerIndex = usize;
 
-/// What a worker waits for.
+/// Timer of a worker.
 #[derive(Clone, Debug)]
 pub(crate) enum WorkerTimer {
-    /// A heartbeat is due; ignored unless `plan` is still the newest plan.
+    /// A heartbeat is due. Ignored unless `plan` is still the latest plan.
     HeartbeatDue { plan: u64 },
-    /// The response to this heartbeat takes too long.
+    /// The response to this heartbeat has timed out.
     ResponseTimeout { sequence: u64 },
     /// The lease may have expired.
     LeaseExpiry,
-    /// A run completes or fails; ignored unless `plan` is still the run's newest plan.
+    /// A run completes or fails. Ignored unless `plan` is still the latest plan of the run.
     RunOutcome { run: RunId, plan: u64 },
-    /// A run that is being stopped has stopped.
+    /// A run that was being stopped has stopped.
     StopCompleted { run: RunId },
-    /// A gang's member has waited long enough for the others.
+    /// A gang member has reached the end of its waiting time for the other members.
     GangTimeout { run: RunId },
     /// A draining worker leaves.
     Departure,
 }
 
-/// Something that a worker did, in the order in which it happened.
+/// Effect of a worker, in the order of occurrence.
 #[derive(Clone, Debug)]
 pub(crate) enum WorkerEffect {
-    /// Fire this timer at this time.
+    /// Schedules a timer.
     SetTimer {
         due: Millis,
         worker: WorkerIndex,
         incarnation: u32,
         timer: WorkerTimer,
     },
-    /// Send a heartbeat to the worker's agent.
+    /// Sends a heartbeat to the worker's agent.
     SendHeartbeat {
         worker: WorkerIndex,
         heartbeat: Box<Heartbeat>,
     },
-    /// Send a deregistration to the worker's agent.
+    /// Sends a deregistration to the worker's agent.
     Deregister {
         worker: WorkerIndex,
         instance: Arc<str>,
     },
-    /// A run has begun; `used` is what then runs there, the new run included.
+    /// A run has started. `used` is the resource usage of the worker including this run.
     RunStarted {
         worker: WorkerIndex,
         run: RunId,
@@ -55,7 +55,7 @@
         checkpoint: Arc<str>,
         used: Resources,
     },
-    /// A run has ended and is reported under this number.
+    /// A run has ended; the worker reports the end under this number.
     RunEnded {
         worker: WorkerIndex,
         run: RunId,
@@ -66,11 +66,12 @@
     EndsAcknowledged { worker: WorkerIndex, up_to: u64 },
     /// The lease has expired.
     LeaseExpired { worker: WorkerIndex },
-    /// The worker is down; its runs are over without a reported end. Its lease would have lasted until then.
+    /// The worker has crashed. Its runs are over without a reported end. The lease would have lasted until
+    /// the given time.
     Crashed {
         worker: WorkerIndex,
         leased_until: Millis,
     },
-    /// A heartbeat that said that the worker drains was answered.
+    /// A heartbeat that announced draining was answered.
     DrainAcknowledged { worker: WorkerIndex },
 }
--- a/crates/emulator/src/workers/executor.rs
+++ b/crates/emulator/src/workers/executor.rs
@@ -1,4 +1,4 @@
-//! Starts, paces, stops and ends runs at all workers, gangs included.
+//! Starts, paces, stops and ends the runs of all workers, including gangs.
 
 use super::effect::{WorkerEffect, WorkerIndex, WorkerTimer};
 use super::gang::Gangs;
@@ -12,34 +12,34 @@
 use streamusher_protocol::task::{RunEnd, RunId};
 use streamusher_protocol::Millis;
 
-/// The present time and the jobs that were submitted so far.
+/// Current time and the jobs submitted so far.
 #[derive(Clone, Copy)]
 pub(crate) struct Moment<'a> {
-    /// True time.
+    /// Current time, in true time.
     pub(crate) now: Millis,
-    /// What the tasks of runs are.
+    /// Jobs submitted so far, which define the tasks of the runs.
     pub(crate) submitted_jobs: &'a SubmittedJobs,
 }
 
-/// A start that the control plane commands.
+/// Command of the control plane to start a run.
 #[derive(Clone, Copy)]
 pub(crate) struct RunStart<'a> {
-    /// The run.
+    /// Id of the run.
     pub(crate) run: &'a RunId,
-    /// The job's own text.
+    /// Specification of the job, as submitted by the client.
     pub(crate) spec: &'a Arc<str>,
-    /// What to continue from; empty where it starts anew.
+    /// Checkpoint to restore; empty if the run starts from the beginning.
     pub(crate) checkpoint: &'a Arc<str>,
 }
 
-/// All workers with what runs there. Effects are kept until they are taken.
+/// All workers and their runs. Effects are collected until they are taken.
 pub(crate) struct Executor {
     pub(super) workers: Vec<Worker>,
     gangs: Gangs,
     pub(super) limits: DeploymentLimits,
     pub(super) random: Random,
     pub(super) effects: Vec<WorkerEffect>,
-    /// Whether a repeated start of a run that has ended is reported as rejected.
+    /// Whether a repeated start of a run that has ended is reported as rejected; otherwise it is ignored.
     pub(super) reports_repeated_starts: bool,
 }
 
@@ -69,7 +69,7 @@
         self.set_timer(due, worker, WorkerTimer::HeartbeatDue { plan });
     }
 
-    /// Starts a run, or reports it as rejected.
+    /// Starts a run or reports it as rejected.
     pub(super) fn start(&mut self, moment: Moment<'_>, worker: WorkerIndex, start: RunStart<'_>) {
         let run = start.run;
         let state = &self.workers[worker];
@@ -129,7 +129,7 @@
         ActiveRun::new(moment.now, moment.submitted_jobs, start.run, plan)
     }
 
-    /// Begins to stop a run; one that has not come yet will not be started.
+    /// Starts to stop a run. If its start has not arrived yet, the run will not be started.
     pub(super) fn stop(&mut self, now: Millis, worker: WorkerIndex, run: &RunId) {
         let state = &mut self.workers[worker];
         let Some(active) = state.running.get_mut(run) else {
@@ -144,7 +144,7 @@
         self.set_timer(due, worker, WorkerTimer::StopCompleted { run: run.clone() });
     }
 
-    /// Ends a run and reports its end; the other members of its gang end too.
+    /// Ends a run and reports its end. The end of a gang member also ends the other members.
     pub(super) fn end(
         &mut self,
         moment: Moment<'_>,
@@ -194,7 +194,7 @@
         }
     }
 
-    /// A run completes or fails, if the plan of its end still holds.
+    /// Completes or fails a run, if the plan of its end is still current.
     pub(super) fn on_run_outcome(
         &mut self,
         moment: Moment<'_>,
@@ -218,7 +218,8 @@
         }
     }
 
-    /// How fast a worker does this work by itself; away from its data it takes `far_x` times as long.
+    /// Rate of a run by itself, without regard to its gang. Away from its data, a task takes `far_x` times as
+    /// long.
     fn own_rate(&self, moment: Moment<'_>, worker: WorkerIndex, run: &RunId) -> f64 {
         let worker = &self.workers[worker];
         let step = moment.submitted_jobs.step(&run.task);
@@ -228,7 +229,7 @@
         worker.kind.speed * worker.health.speed / factor
     }
 
-    /// Sets how fast a run progresses, and plans its end.
+    /// Sets the rate of a run and plans its end.
     fn set_rate(&mut self, now: Millis, worker: WorkerIndex, run: &RunId, rate: f64) {
         let Some(active) = self.workers[worker].running.get_mut(run) else {
             return;
@@ -242,7 +243,7 @@
         }
     }
 
-    /// Changes the speed of a worker and of everything that runs there.
+    /// Changes the speed of a worker and the rate of its runs.
     pub(super) fn set_speed(&mut self, moment: Moment<'_>, worker: WorkerIndex, speed: f64) {
         let state = &mut self.workers[worker];
         state.health.speed = speed;
@@ -269,7 +270,7 @@
         }
     }
 
-    /// Sets all members of a complete gang to the rate of the slowest.
+    /// Sets the rate of all members of a complete gang to that of the slowest member.
     fn pace_gang(&mut self, moment: Moment<'_>, run: &RunId) {
         let Some(members) = self.gangs.members_of_complete(run) else {
             return;
@@ -294,7 +295,7 @@
         }
     }
 
-    /// A gang's member has waited long enough: it ends if the gang is still incomplete.
+    /// Ends a member of a gang that is still incomplete when its waiting time is over.
     pub(super) fn on_gang_timeout(&mut self, moment: Moment<'_>, worker: WorkerIndex, run: &RunId) {
         let active = self.workers[worker].running.get(run);
         let is_waiting = active.is_some_and(|active| !active.is_stopping());
@@ -303,7 +304,7 @@
         }
     }
 
-    /// A member of a gang is no longer there: the others, unless they are being stopped, end as broken.
+    /// Removes a member from its gang. The other members, unless they are being stopped, end as broken.
     pub(super) fn leave_gang(
         &mut self,
         moment: Moment<'_>,
--- a/crates/emulator/src/workers/gang.rs
+++ b/crates/emulator/src/workers/gang.rs
@@ -1,4 +1,4 @@
-//! Gangs: runs that make progress only while all members are present.
+//! Gangs: groups of runs that make progress only while all members are present.
 
 use super::effect::WorkerIndex;
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
     pub(crate) run: RunId,
 }
 
-/// All members of a gang's start share the step and the number of the run.
+/// Key of a gang: its members share the step and the run number.
 type GangKey = (StepId, u32);
 
 fn key(run: &RunId) -> GangKey {
@@ -21,7 +21,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Gang {
-    /// By the index of the task.
+    /// Members by task index.
     members: BTreeMap<u32, GangMember>,
     complete: bool,
 }
@@ -32,14 +32,14 @@
     }
 }
 
-/// The gangs of all workers.
+/// Gangs of all workers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Gangs {
     gangs: BTreeMap<GangKey, Gang>,
 }
 
 impl Gangs {
-    /// Adds a member to its gang of `size`; returns whether the gang is complete.
+    /// Adds a member to its gang of `size` members. Returns whether the gang is complete.
     pub(crate) fn join(&mut self, worker: WorkerIndex, run: &RunId, size: usize) -> bool {
         let gang = self.gangs.entry(key(run)).or_default();
         let member = GangMember {
@@ -54,7 +54,7 @@
         false
     }
 
-    /// The members of a run's gang, if it is complete.
+    /// Returns the members of a run's gang if the gang is complete.
     pub(crate) fn members_of_complete(&self, run: &RunId) -> Option<Vec<GangMember>> {
         let gang = self.gangs.get(&key(run)).filter(|gang| gang.complete);
         gang.map(Gang::members)
@@ -66,13 +66,13 @@
         gang.is_some_and(|gang| !gang.complete)
     }
 
-    /// Removes a gang that is done and returns its members.
+    /// Removes a finished gang and returns its members.
     pub(crate) fn finish(&mut self, run: &RunId) -> Vec<GangMember> {
         let gang = self.gangs.remove(&key(run));
         gang.map_or_else(Vec::new, |gang| gang.members())
     }
 
-    /// A member is no longer there. Returns the other members, whose gang is broken by that.
+    /// Removes a member, which breaks its gang. Returns the other members.
     pub(crate) fn leave(
         &mut self,
         worker: WorkerIndex,
--- a/crates/emulator/src/workers/heartbeat.rs
+++ b/crates/emulator/src/workers/heartbeat.rs
@@ -1,51 +1,52 @@
-//! When a worker sends heartbeats, and which response it waits for.
+//! Schedule of a worker's heartbeats and tracking of the awaited response.
 
 use streamusher_protocol::Millis;
 
-/// A response that takes longer is ignored.
+/// Timeout of a heartbeat; a later response is ignored.
 pub(crate) const RESPONSE_TIMEOUT_MS: Millis = 1_000;
-/// From the end of a run, or from a lost response, to the next heartbeat.
+/// Delay of the next heartbeat after the end of a run or a lost response.
 pub(crate) const PROMPT_HEARTBEAT_MS: Millis = 50;
-/// Between attempts while no agent listens.
+/// Retry interval while no agent accepts connections.
 pub(crate) const REFUSED_RETRY_MS: Millis = 200;
 
 /// A heartbeat whose response is awaited.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AwaitedResponse {
-    /// The heartbeat's sequence number.
+    /// Sequence number of the heartbeat.
     pub(crate) sequence: u64,
-    /// When it was sent.
+    /// Time at which the heartbeat was sent.
     pub(crate) sent_at: Millis,
-    /// Whether it said that the worker drains.
+    /// Whether the heartbeat announced draining.
     pub(crate) draining: bool,
 }
 
-/// A worker's heartbeats. At most one response is awaited at a time.
+/// Heartbeat schedule of a worker. At most one response is awaited at a time.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HeartbeatSchedule {
     sequence: u64,
-    /// Numbers the plans, so that timers of former plans are ignored.
+    /// Number of the current plan; timers of earlier plans are ignored.
     plan: u64,
     next_at: Millis,
     awaited: Option<AwaitedResponse>,
-    /// Something happened since the last heartbeat that the next one should report soon.
+    /// Whether an event since the last heartbeat should be reported soon.
     report_soon: bool,
 }
 
 impl HeartbeatSchedule {
-    /// The sequence number of the last heartbeat.
+    /// Sequence number of the last heartbeat.
     pub(crate) fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// Plans the next heartbeat and returns the number of this plan.
+    /// Plans the next heartbeat and returns the number of the plan.
     pub(crate) fn plan(&mut self, due: Millis) -> u64 {
         self.plan += 1;
         self.next_at = due;
         self.plan
     }
 
-    /// Begins the heartbeat of a plan and returns its sequence number; none if the plan is outdated or a response is awaited.
+    /// Starts the heartbeat of a plan and returns its sequence number; `None` if the plan is outdated or a
+    /// response is awaited.
     pub(crate) fn begin(&mut self, now: Millis, plan: u64, draining: bool) -> Option<u64> {
         if self.plan != plan || self.awaited.is_some() {
             return None;
@@ -60,12 +61,12 @@
         Some(self.sequence)
     }
 
-    /// Stops waiting for the response to a heartbeat; none if that response is not awaited.
+    /// Stops waiting for the response to a heartbeat; `None` if that response is not awaited.
     pub(crate) fn take_awaited(&mut self, sequence: u64) -> Option<AwaitedResponse> {
         self.awaited.take_if(|awaited| awaited.sequence == sequence)
     }
 
-    /// Asks for a heartbeat as soon as the awaited response is there. Returns whether one is awaited.
+    /// Requests a heartbeat right after the awaited response. Returns whether a response is awaited.
     pub(crate) fn report_after_response(&mut self) -> bool {
         if self.awaited.is_some() {
             self.report_soon = true;
@@ -73,12 +74,12 @@
         self.awaited.is_some()
     }
 
-    /// Whether the next heartbeat is planned for later than this.
+    /// Whether the next heartbeat is planned for later than `due`.
     pub(crate) fn is_later_than(&self, due: Millis) -> bool {
         self.next_at > due
     }
 
-    /// When the next heartbeat is due after a response.
+    /// Time of the next heartbeat after a response.
     pub(crate) fn next_after_response(
         &self,
         now: Millis,
--- a/crates/emulator/src/workers/lease.rs
+++ b/crates/emulator/src/workers/lease.rs
@@ -1,22 +1,22 @@
-//! The lease under which a worker may run tasks without contact to the control plane.
+//! Lease under which a worker may run tasks without contact to the control plane.
 
 use streamusher_protocol::Millis;
 
-/// A worker's lease, in true time.
+/// Lease of a worker, in true time.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WorkerLease {
     until: Millis,
-    /// A lease was granted and its expiry has not been handled yet.
+    /// Whether a lease was granted whose expiry has not been handled yet.
     active: bool,
 }
 
 impl WorkerLease {
-    /// Until when the worker may run tasks.
+    /// Time until which the worker may run tasks.
     pub(crate) fn until(&self) -> Millis {
         self.until
     }
 
-    /// Extends the lease; returns whether it now lasts longer than before.
+    /// Extends the lease. Returns whether it now lasts longer than before.
     pub(crate) fn extend(&mut self, now: Millis, until: Millis) -> bool {
         let is_longer = until > self.until && until > now;
         if is_longer {
@@ -26,7 +26,7 @@
         is_longer
     }
 
-    /// Ends the lease if its time is over; returns whether it has expired just now.
+    /// Ends the lease if it is over. Returns whether it has expired with this call.
     pub(crate) fn expire(&mut self, now: Millis) -> bool {
         let expires = self.active && self.until <= now;
         if expires {
--- a/crates/emulator/src/workers/mod.rs
+++ b/crates/emulator/src/workers/mod.rs
@@ -1,8 +1,8 @@
-//! Simulated workers, as the operators' protocol describes them: they send heartbeats, follow the commands in the responses,
-//! and report the ends of runs.
+//! Simulated workers, following the operators' protocol: they send heartbeats, execute the commands in the
+//! responses, and report the ends of runs.
 //!
-//! - `effect`: what workers do to the outside.
-//! - `worker`: one worker, made of its `heartbeat` schedule, its `lease`, its `run`s and its `run_history`.
+//! - `effect`: externally visible effects of workers, and their timers.
+//! - `worker`: a worker, with its `heartbeat` schedule, its `lease`, its `run`s and its `run_history`.
 //! - `gang`: runs that make progress only together.
 //! - `executor`: starts, paces, stops and ends runs.
 
@@ -27,16 +27,16 @@
 
 pub(crate) use executor::Moment;
 
-/// A worker comes up within this time.
+/// Maximum time that a worker takes to come up.
 const MAX_STARTUP_MS: Millis = 200;
 
-/// All workers of a fleet. What they do is kept as effects until `take_effects`.
+/// All workers of a fleet. Their effects are collected until `take_effects`.
 pub(crate) struct SimulatedWorkers {
     executor: Executor,
 }
 
 impl SimulatedWorkers {
-    /// Workers that are not up yet.
+    /// Creates workers that are not up yet.
     pub(crate) fn new(
         workers: Vec<Worker>,
         limits: DeploymentLimits,
@@ -48,27 +48,27 @@
         }
     }
 
-    /// Decides whether a repeated start of a run that has ended is reported as rejected, or ignored.
+    /// Sets whether a repeated start of a run that has ended is reported as rejected or ignored.
     pub(crate) fn set_reports_repeated_starts(&mut self, reports: bool) {
         self.executor.reports_repeated_starts = reports;
     }
 
-    /// All workers.
+    /// All workers, by index.
     pub(crate) fn all(&self) -> &[Worker] {
         &self.executor.workers
     }
 
-    /// One worker.
+    /// Returns a worker by index.
     pub(crate) fn worker(&self, worker: WorkerIndex) -> &Worker {
         &self.executor.workers[worker]
     }
 
-    /// What was done since the last call.
+    /// Returns the effects since the last call.
     pub(crate) fn take_effects(&mut self) -> Vec<WorkerEffect> {
         std::mem::take(&mut self.executor.effects)
     }
 
-    /// A worker comes up in a new incarnation.
+    /// Starts a worker in a new incarnation.
     pub(crate) fn start_worker(&mut self, now: Millis, worker: WorkerIndex) {
         let executor = &mut self.executor;
         executor.workers[worker] = executor.workers[worker].restarted();
@@ -76,7 +76,7 @@
         executor.plan_heartbeat(worker, due);
     }
 
-    /// A worker goes down without a word.
+    /// Crashes a worker without a deregistration.
     pub(crate) fn crash_worker(&mut self, moment: Moment<'_>, worker: WorkerIndex) {
         let state = &mut self.executor.workers[worker];
         if !state.up {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// A worker drains, and leaves after this time.
+    /// Drains a worker, which leaves after `after_ms`.
     pub(crate) fn drain_worker(&mut self, now: Millis, worker: WorkerIndex, after_ms: Millis) {
         let state = &mut self.executor.workers[worker];
         if !state.up || state.state == WorkerState::Draining {
@@ -114,12 +114,12 @@
         }
     }
 
-    /// A worker becomes slower or faster, or makes no progress at a speed of 0.
+    /// Changes the speed factor of a worker; it makes no progress at 0.
     pub(crate) fn set_speed(&mut self, moment: Moment<'_>, worker: WorkerIndex, speed: f64) {
         self.executor.set_speed(moment, worker, speed);
     }
 
-    /// A worker fails this share of the runs that it starts.
+    /// Sets the share of started runs that fail at a worker.
     pub(crate) fn set_failure_rate(&mut self, worker: WorkerIndex, failure_rate: f64) {
         self.executor.workers[worker].health.failure_rate = failure_rate;
     }
@@ -129,7 +129,7 @@
         state.up && state.incarnation == incarnation
     }
 
-    /// A timer fires; those of former incarnations are ignored.
+    /// Handles a timer. Timers of earlier incarnations are ignored.
     pub(crate) fn on_timer(
         &mut self,
         moment: Moment<'_>,
@@ -180,7 +180,7 @@
         executor.set_timer(moment.now + timeout_ms + 1, worker, timer);
     }
 
-    /// No agent listened, or the connection broke.
+    /// Handles a failed heartbeat: no agent accepted the connection, or the connection broke.
     pub(crate) fn on_heartbeat_failed(
         &mut self,
         now: Millis,
@@ -200,7 +200,7 @@
         }
     }
 
-    /// The response to a heartbeat has come.
+    /// Handles the response to a heartbeat.
     pub(crate) fn on_heartbeat_response(
         &mut self,
         moment: Moment<'_>,
@@ -234,7 +234,8 @@
         self.executor.plan_heartbeat(worker, next_at);
     }
 
-    /// Acknowledgements first, then the lease, stops, and starts if the lease holds.
+    /// Executes the commands of a response: first acknowledgements, then the lease and stops, and starts only
+    /// if the lease holds.
     fn follow_commands(
         &mut self,
         moment: Moment<'_>,
@@ -286,7 +287,7 @@
             .push(WorkerEffect::EndsAcknowledged { worker, up_to });
     }
 
-    /// The lease counts from the sending of the heartbeat, by the worker's own clock.
+    /// Extends the lease, counted from the sending of the heartbeat by the worker's own clock.
     fn extend_lease(&mut self, now: Millis, worker: WorkerIndex, sent_at: Millis, hold_ms: Millis) {
         let hold_ms = hold_ms.min(self.executor.limits.hold_max_ms);
         let state = &mut self.executor.workers[worker];
--- a/crates/emulator/src/workers/run.rs
+++ b/crates/emulator/src/workers/run.rs
@@ -1,4 +1,4 @@
-//! A run at a worker: its progress, its checkpoints and when it ends.
+//! Run of a task at a worker: its progress, its checkpoints and its end.
 
 use crate::cast::whole;
 use crate::submitted_jobs::SubmittedJobs;
@@ -7,66 +7,67 @@
 use streamusher_protocol::task::{RunId, TaskId};
 use streamusher_protocol::Millis;
 
-/// A failing run fails after this part of its remaining work.
+/// Fraction of its remaining work after which a failing run fails.
 pub(crate) const FAILS_AFTER: f64 = 0.5;
-/// A failing long-running task fails after this much work.
+/// Work after which a failing long-running task fails.
 const LONG_RUNNING_FAILS_AFTER_MS: f64 = 3_000.0;
 
-/// How a run is to go.
+/// Parameters of a new run.
 #[derive(Clone, Debug)]
 pub(crate) struct RunPlan {
-    /// The checkpoint that it continues from; empty where it starts anew.
+    /// Checkpoint to restore; empty if the run starts from the beginning.
     pub(crate) checkpoint: Arc<str>,
-    /// Time that continuing takes.
+    /// Time that restoring the checkpoint takes.
     pub(crate) restore_ms: Millis,
-    /// Whether it fails.
+    /// Whether the run fails.
     pub(crate) fails: bool,
 }
 
-/// When and how a run ends if its rate does not change.
+/// Expected end of a run if its rate does not change.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ExpectedEnd {
-    /// In true time.
+    /// Time of the end, in true time.
     pub(crate) due: Millis,
-    /// Whether it fails then.
+    /// Whether the run fails at that time.
     pub(crate) fails: bool,
 }
 
-/// What a run does.
+/// Phase of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RunPhase {
     Working,
     Stopping,
 }
 
-/// A run in progress. Work is in milliseconds of a sound worker near the data.
+/// A run in progress. Work is measured in milliseconds on a healthy worker near the data.
 #[derive(Clone, Debug)]
 pub(crate) struct ActiveRun {
-    /// The resources that it takes.
+    /// Resources allocated to the run.
     pub(crate) resources: Resources,
     phase: RunPhase,
-    /// Whether it is a member of a gang.
+    /// Whether the run is a member of a gang.
     pub(crate) in_gang: bool,
-    /// What it was told to continue from.
+    /// Checkpoint from which the run was started; may be empty.
     checkpoint: Arc<str>,
     writes_checkpoints: bool,
     long_running: bool,
     total_work_ms: f64,
-    /// Work at which a heartbeat reports 100%: that of its start for a long-running task, the total of others.
+    /// Amount of work that a heartbeat reports as 100%: the work at the start for long-running tasks, the
+    /// total work for others.
     reported_work_ms: f64,
     restored_work_ms: f64,
-    /// Work done by `updated_at`.
+    /// Work done until `updated_at`.
     done_work_ms: f64,
     updated_at: Millis,
-    /// Work done in a millisecond.
+    /// Work done per millisecond.
     rate: f64,
     fails_at_work_ms: Option<f64>,
-    /// Numbers the plans of its end, so that timers of former plans are ignored.
+    /// Number of the current plan of the run's end; timers of earlier plans are ignored.
     plan: u64,
 }
 
 impl ActiveRun {
-    /// A run that begins now and makes no progress yet.
+    /// Creates a run that starts now and makes no progress until its rate is set.
     pub(crate) fn new(
         now: Millis,
         submitted_jobs: &SubmittedJobs,
@@ -101,12 +102,12 @@
         }
     }
 
-    /// Whether it is being stopped.
+    /// Whether the run is being stopped.
     pub(crate) fn is_stopping(&self) -> bool {
         self.phase == RunPhase::Stopping
     }
 
-    /// Begins to stop it: it makes no more progress.
+    /// Starts to stop the run, which makes no further progress.
     pub(crate) fn begin_stop(&mut self, now: Millis) {
         self.set_rate(now, 0.0);
         self.phase = RunPhase::Stopping;
@@ -117,7 +118,7 @@
         (self.done_work_ms + elapsed_ms * self.rate).min(self.total_work_ms)
     }
 
-    /// Progress as heartbeats report it, in whole percent.
+    /// Progress as reported in heartbeats, in whole percent.
     pub(crate) fn percent(&self, now: Millis) -> f64 {
         if self.reported_work_ms <= 0.0 {
             return 0.0;
@@ -126,7 +127,7 @@
         percent.floor().min(100.0)
     }
 
-    /// The newest checkpoint; a new one is written after every `save_ms` of work.
+    /// Latest periodic checkpoint; one is written after every `save_ms` of work.
     pub(crate) fn last_checkpoint(
         &self,
         now: Millis,
@@ -147,7 +148,7 @@
         }
     }
 
-    /// The checkpoint that is written when the run is stopped.
+    /// Checkpoint written when the run is stopped.
     pub(crate) fn checkpoint_at_stop(
         &self,
         now: Millis,
@@ -162,7 +163,7 @@
         }
     }
 
-    /// When the run ends at its present rate; none if it does not.
+    /// Expected end of the run at its current rate; `None` if it does not end.
     pub(crate) fn expected_end(&self) -> Option<ExpectedEnd> {
         let fails = self.fails_at_work_ms.is_some();
         if self.rate <= 0.0 || self.long_running && !fails {
@@ -177,12 +178,13 @@
         })
     }
 
-    /// Whether a plan of its end still holds.
+    /// Whether a plan of the run's end is still the current one.
     pub(crate) fn follows_plan(&self, plan: u64) -> bool {
         self.plan == plan && !self.is_stopping()
     }
 
-    /// Changes the rate, unless the run is being stopped, and makes a new plan of its end. Returns its number.
+    /// Changes the rate, unless the run is being stopped, and plans the end anew. Returns the number of the
+    /// plan.
     pub(crate) fn set_rate(&mut self, now: Millis, rate: f64) -> Option<u64> {
         if self.is_stopping() {
             return None;
--- a/crates/emulator/src/workers/run_history.rs
+++ b/crates/emulator/src/workers/run_history.rs
@@ -1,23 +1,23 @@
-//! What a worker remembers of runs that are over: the ends it still reports, and which runs it must not start any more.
+//! Finished runs of a worker: the ends to report, and the runs that must not be started any more.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use streamusher_protocol::heartbeat::FinishedRun;
 use streamusher_protocol::task::{RunEnd, RunId, TaskId};
 
-/// Ends that one heartbeat reports at most.
+/// Maximum number of ends in one heartbeat.
 const MAX_REPORTED_ENDS: usize = 500;
 
-/// The highest run of a task that has ended or was stopped at a worker.
+/// Highest run of a task that has ended or was stopped at a worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RunWatermark {
-    /// The run's number.
+    /// Number of the run.
     pub(crate) run: u32,
-    /// The stop came before the start.
+    /// Whether the stop command arrived before the start.
     pub(crate) stopped_before_start: bool,
 }
 
-/// The runs of one incarnation of a worker that are over.
+/// Finished runs of one incarnation of a worker.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RunHistory {
     unacknowledged: VecDeque<FinishedRun>,
@@ -26,7 +26,7 @@
 }
 
 impl RunHistory {
-    /// Adds the end of a run and returns the number under which it is reported.
+    /// Records the end of a run and returns the number under which it is reported.
     pub(crate) fn record_end(&mut self, run: &RunId, outcome: RunEnd, checkpoint: Arc<str>) -> u64 {
         self.last_number += 1;
         self.unacknowledged.push_back(FinishedRun {
@@ -46,7 +46,7 @@
         self.last_number
     }
 
-    /// Remembers that a run was stopped that had not come yet.
+    /// Records the stop of a run whose start has not arrived yet.
     pub(crate) fn record_early_stop(&mut self, run: &RunId) {
         let is_higher = self
             .watermarks
@@ -67,13 +67,13 @@
         );
     }
 
-    /// The watermark that keeps a run from starting, if there is one.
+    /// Returns the watermark that prevents a run from being started, if any.
     pub(crate) fn watermark_against(&self, run: &RunId) -> Option<RunWatermark> {
         let watermark = self.watermarks.get(&run.task).copied();
         watermark.filter(|watermark| run.run <= watermark.run)
     }
 
-    /// Forgets reported ends up to a number.
+    /// Drops the reported ends up to an acknowledged number.
     pub(crate) fn acknowledge(&mut self, up_to: u64) {
         while self
             .unacknowledged
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The ends that the next heartbeat reports.
+    /// Ends to report in the next heartbeat.
     pub(crate) fn reported(&self) -> Vec<FinishedRun> {
         let oldest = self.unacknowledged.iter().take(MAX_REPORTED_ENDS);
         oldest.cloned().collect()
--- a/crates/emulator/src/workers/worker.rs
+++ b/crates/emulator/src/workers/worker.rs
@@ -1,4 +1,4 @@
-//! One worker: what it is, and its state in its present incarnation.
+//! A simulated worker: its fixed properties and the state of its current incarnation.
 
 use super::effect::WorkerIndex;
 use super::heartbeat::HeartbeatSchedule;
@@ -13,36 +13,36 @@
 use streamusher_protocol::task::RunId;
 use streamusher_protocol::Millis;
 
-/// Slots that heartbeats name; the scheduler goes by resources.
+/// Number of slots in heartbeats. The scheduler places tasks by resources instead.
 const SLOTS: u32 = 8;
 
-/// What a worker is.
+/// Fixed properties of a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct WorkerKind {
-    /// Its service.
+    /// Name of the service.
     pub(crate) service: Arc<str>,
-    /// Its zone.
+    /// Name of the zone.
     pub(crate) zone: Arc<str>,
-    /// Its rack, which is one of its labels.
+    /// Name of the rack, which is also one of the labels.
     pub(crate) rack: Arc<str>,
-    /// All its labels.
+    /// All labels, including the rack.
     pub(crate) labels: Vec<Arc<str>>,
-    /// Its resources.
+    /// Resource capacity.
     pub(crate) capacity: Resources,
-    /// Whether it rejects runs that exceed its capacity.
+    /// Whether the worker rejects runs that exceed its capacity.
     pub(crate) rejects_overload: bool,
-    /// Work that it does in a millisecond while it is sound, in milliseconds of work.
+    /// Speed of a healthy worker: milliseconds of work done per millisecond.
     pub(crate) speed: f64,
-    /// Its steady clock.
+    /// Monotonic clock of the worker.
     pub(crate) clock: WorkerClock,
 }
 
-/// How well a worker does its work.
+/// Current performance of a worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Health {
-    /// Factor on its speed; 0 makes no progress.
+    /// Factor on the worker's speed; 0 means no progress.
     pub(crate) speed: f64,
-    /// Share of the starts that fail.
+    /// Share of started runs that fail.
     pub(crate) failure_rate: f64,
 }
 
@@ -55,42 +55,42 @@
     }
 }
 
-/// One worker. Everything but `index` and `kind` begins anew with each incarnation.
+/// A worker. All fields but `index` and `kind` are reset with each incarnation.
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
-    /// Its place among the workers of the fleet.
+    /// Index of the worker in the fleet.
     pub(crate) index: WorkerIndex,
-    /// What it is.
+    /// Fixed properties.
     pub(crate) kind: WorkerKind,
-    /// Whether it is up.
+    /// Whether the worker's process is up.
     pub(crate) up: bool,
-    /// Counts its starts.
+    /// Number of the incarnation; incremented with each start.
     pub(crate) incarnation: u32,
-    /// How it works.
+    /// Current performance.
     pub(crate) health: Health,
-    /// Whether it takes work.
+    /// State in heartbeats: whether the worker accepts work.
     pub(crate) state: WorkerState,
-    /// While it drains: when it leaves.
+    /// Time at which a draining worker leaves; `None` if it does not drain.
     pub(crate) leaves_at: Option<Millis>,
-    /// The highest fencing token seen.
+    /// Highest fencing token seen.
     pub(crate) fence: u64,
-    /// Its lease.
+    /// Current lease.
     pub(crate) lease: WorkerLease,
-    /// What runs.
+    /// Runs in progress.
     pub(crate) running: BTreeMap<RunId, ActiveRun>,
-    /// What has run.
+    /// Runs that are over.
     pub(crate) history: RunHistory,
-    /// Its heartbeats.
+    /// Schedule of the heartbeats.
     pub(crate) heartbeats: HeartbeatSchedule,
 }
 
-/// A worker's id in one of its incarnations.
+/// Instance id of a worker in an incarnation.
 pub(crate) fn instance_id(index: WorkerIndex, incarnation: u32) -> Arc<str> {
     format!("i-{index:03}-{incarnation}").into()
 }
 
 impl Worker {
-    /// A worker that is not up yet.
+    /// Creates a worker that is not up yet.
     pub(crate) fn new(index: WorkerIndex, kind: WorkerKind) -> Worker {
         Worker {
             index,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// The same worker in its next incarnation, up and empty.
+    /// Returns the worker in its next incarnation: up and without runs.
     pub(crate) fn restarted(&self) -> Worker {
         Worker {
             up: true,
@@ -117,12 +117,12 @@
         }
     }
 
-    /// Its id in this incarnation.
+    /// Instance id of the current incarnation.
     pub(crate) fn instance(&self) -> Arc<str> {
         instance_id(self.index, self.incarnation)
     }
 
-    /// Resources of all runs there, those that are being stopped included.
+    /// Resources of all runs in progress, including runs that are being stopped.
     pub(crate) fn used(&self) -> Resources {
         let running = self.running.values();
         running.fold(Resources::default(), |sum, run| {
@@ -130,13 +130,13 @@
         })
     }
 
-    /// Whether a run of these resources fits beside what runs there.
+    /// Whether the free capacity suffices for these resources.
     pub(crate) fn fits(&self, resources: &Resources) -> bool {
         let needed = self.used().saturating_add(resources);
         self.kind.capacity.covers(&needed)
     }
 
-    /// The heartbeat that it would send now.
+    /// Builds the heartbeat for the current state.
     pub(crate) fn heartbeat(
         &self,
         now: Millis,
--- a/crates/emulator/src/workload/draw.rs
+++ b/crates/emulator/src/workload/draw.rs
@@ -1,4 +1,5 @@
-//! Draws jobs of a class. The order of the draws is part of what a seed means.
+//! Draws random jobs of a class. The order of the draws determines the workload of a seed and must stay
+//! stable.
 
 use super::model::{Class, LogNormalSize, Workload};
 use crate::cast::{index_u32, whole, whole_u32};
@@ -11,17 +12,17 @@
 use streamusher_protocol::job::{JobRequest, StepRequest};
 use streamusher_protocol::Millis;
 
-/// Sizes are at most so many times their mean.
+/// Upper bound of a drawn size, as a multiple of its mean.
 const MAX_TIMES_MEAN: f64 = 5.0;
-/// The widest step.
+/// Maximum number of tasks of a step.
 const MAX_TASKS: f64 = 200.0;
-/// The longest chain.
+/// Maximum number of consecutive steps of a job.
 const MAX_STEPS: f64 = 5.0;
-/// How long before its first iteration a timed job is submitted.
+/// Time from the submission of a timed job to its first iteration.
 const TIMED_AHEAD_MS: Millis = 2_000;
-/// How often a timed job runs.
+/// Number of iterations of a timed job.
 const TIMED_ITERATIONS: u32 = 4;
-/// From one iteration to the next.
+/// Time between consecutive iterations of a timed job.
 const TIMED_INTERVAL_MS: Millis = 3_000;
 
 impl LogNormalSize {
@@ -30,14 +31,14 @@
     }
 }
 
-/// The tasks of a step, as their client and the workers know them.
+/// Request and actual work of the tasks of a step.
 struct DrawnStep {
     request: StepRequest,
-    /// The work of a task, in milliseconds.
+    /// Actual work of each task, in milliseconds.
     work_ms: f64,
 }
 
-/// The work of the tasks of a job.
+/// Actual work of the tasks of a job.
 #[derive(Default)]
 struct DrawnWork {
     step_work_ms: Vec<Millis>,
@@ -46,7 +47,7 @@
 }
 
 impl DrawnWork {
-    /// Draws the work of a step's tasks, and which of them fail once.
+    /// Draws the actual work of a step's tasks, and which of them fail once.
     fn add_step(&mut self, class: &Class, random: &mut Random, drawn: &DrawnStep) {
         let step = index_u32(self.step_work_ms.len());
         let deviation = if drawn.request.gang {
@@ -69,7 +70,7 @@
     }
 }
 
-/// A job of a class that is submitted now.
+/// Draws a job of a class, submitted now.
 pub(crate) fn draw_job(
     workload: &Workload,
     class_index: usize,
@@ -110,7 +111,7 @@
     }
 }
 
-/// The path prefix of a class's queue.
+/// Path prefix of the queue of a class.
 pub(crate) fn queue_prefix(class: &Class) -> String {
     format!("/{}/", class.name)
 }
--- a/crates/emulator/src/workload/mod.rs
+++ b/crates/emulator/src/workload/mod.rs
@@ -1,8 +1,8 @@
-//! Workloads for experiments: what a deployment's workers are like, and which jobs its clients submit.
+//! Workloads for experiments: the properties of a deployment's workers and the jobs that its clients submit.
 //!
-//! - `model`: workers, classes of jobs, and their sizes.
-//! - `draw`: draws jobs of a class.
-//! - [`presets`]: workloads that differ from each other.
+//! - `model`: worker groups, job classes and their size distributions.
+//! - `draw`: draws random jobs of a class.
+//! - [`presets`]: predefined workloads with different characteristics.
 
 mod draw;
 mod model;
--- a/crates/emulator/src/workload/model.rs
+++ b/crates/emulator/src/workload/model.rs
@@ -1,4 +1,4 @@
-//! What a deployment runs on and what it runs.
+//! Model of a deployment: its workers and the classes of jobs that they run.
 
 use crate::cast::whole;
 use crate::clock::WorkerClock;
@@ -8,125 +8,125 @@
 use streamusher_protocol::heartbeat::Resources;
 use streamusher_protocol::Millis;
 
-/// The zones over which workers are spread.
+/// Number of zones over which workers are spread.
 const ZONES: usize = 3;
-/// Workers' clocks run slow by up to so many parts of a thousand.
+/// Maximum rate by which a worker's clock runs slow, in parts per thousand.
 const MAX_SLOW_PER_MILLE: u64 = 20;
 
-/// Workers of one service that are alike but for their sizes and speeds.
+/// Workers of one service that differ only in kind, size and speed.
 #[derive(Clone, Debug)]
 pub struct WorkerGroup {
-    /// Their service.
+    /// Name of the service.
     pub service: &'static str,
-    /// How many there are.
+    /// Number of workers.
     pub count: usize,
-    /// Resources of one of size 1.
+    /// Resources of a worker of size 1.
     pub capacity: Resources,
-    /// Kinds, as labels, one after the other.
+    /// Kinds of the workers, used as labels and assigned cyclically; `a` if empty.
     pub kinds: Vec<&'static str>,
-    /// Sizes, as factors on the resources, one after the other.
+    /// Sizes of the workers, as factors of `capacity`, assigned cyclically; 1 if empty.
     pub sizes: Vec<f64>,
-    /// Speeds, one after the other.
+    /// Speed factors of the workers, assigned cyclically; 1 if empty.
     pub speeds: Vec<f64>,
-    /// Workers of a rack.
+    /// Number of workers per rack.
     pub rack_size: usize,
 }
 
-/// A random size: its logarithm is normally distributed.
+/// Log-normal distribution of a size.
 #[derive(Clone, Copy, Debug)]
 pub struct LogNormalSize {
-    /// Its mean.
+    /// Mean of the distribution.
     pub mean: f64,
-    /// Standard deviation of its logarithm.
+    /// Standard deviation of the logarithm of the size.
     pub deviation: f64,
 }
 
-/// What is special about the tasks of a class; shares are of its jobs.
+/// Special properties of the tasks of a class. Numbers are shares of the class's jobs.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traits {
-    /// Steps are gangs.
+    /// Whether the steps are gangs.
     pub gang: bool,
-    /// Gangs that want one rack.
+    /// Share of jobs whose gangs request placement on one rack.
     pub same_rack: f64,
-    /// Tasks run until the traffic ends.
+    /// Whether tasks run until the traffic ends.
     pub long_running: bool,
-    /// At most one task of a step on a worker.
+    /// Share of jobs with at most one task of a step per worker.
     pub anti_affinity: f64,
-    /// Tasks whose data is on one rack.
+    /// Share of jobs whose data is on one rack.
     pub affinity: f64,
-    /// Tasks that need workers of one kind.
+    /// Share of jobs that need workers of one kind.
     pub node_selector: f64,
-    /// Tasks that write checkpoints.
+    /// Share of jobs whose tasks write checkpoints.
     pub checkpoints: f64,
-    /// Tasks that may have a speculative second run.
+    /// Share of jobs whose tasks may have a speculative second run.
     pub hedged: f64,
-    /// Jobs that run several times, by the clock.
+    /// Share of jobs that have several scheduled iterations.
     pub timed: f64,
 }
 
-/// Jobs of one queue.
+/// A class of jobs, submitted to a queue of its own.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name, and that of its queue.
+    /// Name of the class and of its queue.
     pub name: &'static str,
-    /// The service that runs it.
+    /// Service that runs the jobs.
     pub service: &'static str,
-    /// 0 is the most urgent.
+    /// Priority of the queue; 0 is the most urgent.
     pub priority: u32,
-    /// Factor of the objective on the longest chain of work.
+    /// Factor by which the longest chain of work enters the objective.
     pub stretch: f64,
-    /// The rest of the objective.
+    /// Part of the objective that does not depend on the work.
     pub target_latency_ms: Millis,
-    /// Attempts of a task.
+    /// Maximum number of attempts per task.
     pub max_attempts: u32,
-    /// The value of a mean job that ends in time.
+    /// Value of a mean job that ends in time.
     pub value: f64,
-    /// The part of it that a late one earns.
+    /// Fraction of the value that a late job earns.
     pub late_part: f64,
-    /// Jobs a second.
+    /// Jobs submitted per second.
     pub rate: f64,
-    /// Steps of a job, one after the other.
+    /// Number of consecutive steps of a job.
     pub steps: LogNormalSize,
-    /// Tasks of a step.
+    /// Number of tasks of a step.
     pub width: LogNormalSize,
     /// Work of a task, in milliseconds.
     pub work_ms: LogNormalSize,
-    /// Thousandths of a core that a task takes.
+    /// CPU request of a task, in thousandths of a core.
     pub cpu: LogNormalSize,
-    /// Memory of a task.
+    /// Memory request of a task, in MB.
     pub mem_mb: u64,
-    /// Accelerators of a task: one of these counts for each job.
+    /// Possible numbers of accelerators per task; one of them is drawn for each job. Empty for none.
     pub gpus: Vec<u64>,
     /// Standard deviation of the logarithm of the work of a step's tasks.
     pub work_deviation: f64,
-    /// Standard deviation of the logarithm of the estimate over the work.
+    /// Standard deviation of the logarithm of the ratio of estimated to actual work.
     pub estimate_deviation: f64,
     /// Share of the tasks that fail once through their own fault.
     pub failure_rate: f64,
-    /// What is special about its tasks.
+    /// Special properties of the tasks.
     pub traits: Traits,
 }
 
-/// What a deployment runs on and what it runs.
+/// A deployment's workers and the jobs that its clients submit.
 #[derive(Clone, Debug)]
 pub struct Workload {
-    /// Its name.
+    /// Name by which `presets::named` finds the workload.
     pub name: &'static str,
-    /// Its workers.
+    /// Groups of workers.
     pub groups: Vec<WorkerGroup>,
-    /// The jobs that clients submit.
+    /// Classes of jobs.
     pub classes: Vec<Class>,
-    /// A task away from its data takes so many times as long.
+    /// Factor by which a task takes longer on a worker away from its data.
     pub far_x: f64,
 }
 
 impl Workload {
-    /// All workers.
+    /// Total number of workers.
     pub fn worker_count(&self) -> usize {
         self.groups.iter().map(|group| group.count).sum()
     }
 
-    /// The workers, not up yet.
+    /// Creates the workers; none of them is up yet.
     pub(crate) fn workers(&self, random: &mut Random) -> Vec<Worker> {
         let mut workers = Vec::new();
         for group in &self.groups {
@@ -138,12 +138,12 @@
         workers
     }
 
-    /// The first group of a service.
+    /// Returns the first group of a service.
     pub(super) fn group_of(&self, service: &str) -> Option<&WorkerGroup> {
         self.groups.iter().find(|group| group.service == service)
     }
 
-    /// Names of the services, each once.
+    /// Names of the services, sorted and without duplicates.
     pub fn services(&self) -> Vec<&'static str> {
         let mut names: Vec<_> = self.groups.iter().map(|group| group.service).collect();
         names.sort_unstable();
@@ -151,7 +151,7 @@
         names
     }
 
-    /// Capacity of a service, in thousandths of a core.
+    /// CPU capacity of a service, in thousandths of a core.
     pub fn cpu_of(&self, service: &str) -> f64 {
         let of_service = self.groups.iter().filter(|group| group.service == service);
         of_service.map(WorkerGroup::total_cpu).sum()
@@ -198,7 +198,7 @@
         format!("{}-r{}", self.service, index / self.rack_size.max(1))
     }
 
-    /// One of its racks.
+    /// Draws one of the group's racks.
     pub(super) fn draw_rack(&self, random: &mut Random) -> Arc<str> {
         self.rack_name(random.below(self.count)).into()
     }
--- a/crates/emulator/src/workload/presets.rs
+++ b/crates/emulator/src/workload/presets.rs
@@ -1,4 +1,5 @@
-//! Workloads that differ from each other. None is that of a deployment: each tests another part of the decisions.
+//! Predefined workloads with different characteristics. None of them models a particular deployment; each
+//! exercises another part of the scheduling decisions.
 
 use super::model::{Class, LogNormalSize, Traits, WorkerGroup, Workload};
 use streamusher_protocol::heartbeat::Resources;
@@ -39,7 +40,7 @@
     }
 }
 
-/// Short and frequent jobs that somebody waits for.
+/// Short, frequent, latency-sensitive jobs.
 fn lookups(priority: u32, rate: f64) -> Class {
     Class {
         name: "lookup",
@@ -123,7 +124,7 @@
     }
 }
 
-/// Single tasks on one accelerator each.
+/// Jobs of independent tasks that need one accelerator each.
 fn images(priority: u32, rate: f64) -> Class {
     Class {
         name: "image",
@@ -149,7 +150,7 @@
     }
 }
 
-/// Tasks that run until the traffic ends.
+/// Long-running tasks that run until the traffic ends.
 fn listeners(priority: u32, rate: f64) -> Class {
     Class {
         name: "listener",
@@ -189,22 +190,22 @@
     }
 }
 
-/// Short jobs are the most urgent.
+/// Short jobs have the highest priority.
 pub fn short_first() -> Workload {
     mixed("short-first", [0, 2, 1, 1, 2])
 }
 
-/// Long and wide jobs are the most urgent, the short and frequent ones the least.
+/// Long, wide jobs have the highest priority, and short, frequent jobs the lowest.
 pub fn long_first() -> Workload {
     mixed("long-first", [2, 0, 1, 1, 0])
 }
 
-/// All jobs are equally urgent.
+/// All jobs have the same priority.
 pub fn level() -> Workload {
     mixed("level", [0; 5])
 }
 
-/// Workers that differ much in size and speed.
+/// Workers differ widely in size and speed.
 pub fn unlike_workers() -> Workload {
     let mut workload = mixed("unlike-workers", [0, 2, 1, 1, 2]);
     for group in &mut workload.groups {
@@ -214,7 +215,7 @@
     workload
 }
 
-/// Most tasks have data, and take three times as long away from it.
+/// Most tasks have data on a rack and take three times as long on other racks.
 pub fn far_data() -> Workload {
     let mut workload = mixed("far-data", [0, 2, 1, 1, 2]);
     workload.far_x = 3.0;
@@ -226,7 +227,7 @@
     workload
 }
 
-/// Hardly anything but gangs, of two priorities.
+/// Almost all jobs are gangs, of two priorities.
 pub fn gangs_only() -> Workload {
     let wide = Class {
         name: "wide",
@@ -241,7 +242,7 @@
     }
 }
 
-/// Long chains of narrow steps near their data, beside wide single steps.
+/// Long chains of narrow steps near their data, next to single wide steps.
 pub fn chains() -> Workload {
     let chain = Class {
         name: "chain",
@@ -272,7 +273,7 @@
     }
 }
 
-/// Long-running tasks take most of the capacity, and short tasks of the least priority run beside them.
+/// Long-running tasks take most of the capacity; short tasks of the lowest priority run beside them.
 pub fn standing() -> Workload {
     Workload {
         name: "standing",
@@ -282,7 +283,7 @@
     }
 }
 
-/// All workloads. The last two were held back: no decision was based on them.
+/// All workloads. The last two are a hold-out set: no scheduling decision was based on them.
 pub fn all() -> Vec<Workload> {
     vec![
         short_first(),
@@ -296,7 +297,7 @@
     ]
 }
 
-/// The workload of a name.
+/// Returns the workload with this name.
 pub fn named(name: &str) -> Option<Workload> {
     all().into_iter().find(|workload| workload.name == name)
 }
--- a/crates/emulator/tests/lost_value.rs
+++ b/crates/emulator/tests/lost_value.rs
@@ -132,11 +132,11 @@
         late(16.0),
         late(16.1)
     );
-    let stands_for: Vec<f64> = parse_missed_objectives(&log)
+    let represented_misses: Vec<f64> = parse_missed_objectives(&log)
         .iter()
-        .map(|missed| missed.stands_for)
+        .map(|missed| missed.represented_misses)
         .collect();
-    assert_eq!(stands_for, vec![4.0, 4.0, 1.0, 1.0]);
+    assert_eq!(represented_misses, vec![4.0, 4.0, 1.0, 1.0]);
 }
 
 #[rstest]
