--- a/crates/emulator/src/cast.rs
+++ b/crates/emulator/src/cast.rs
@@ -1,6 +1,6 @@
-//! Conversions between numbers that cannot fail for the sizes that occur in a simulation, and saturate beyond.
+//! Numeric conversions that are exact for the sizes that occur in a simulation and saturate beyond them.
 
-/// The whole part of a number that is not negative.
+/// Truncates a non-negative number to an integer.
 #[expect(
     clippy::cast_possible_truncation,
     reason = "the whole part is wanted, and `as` saturates"
@@ -9,12 +9,12 @@
     number as u64
 }
 
-/// The whole part of a small number that is not negative.
+/// Truncates a small non-negative number to an integer.
 pub(crate) fn whole_u32(number: f64) -> u32 {
     u32::try_from(whole(number)).unwrap_or(u32::MAX)
 }
 
-/// An index or a count as the protocol encodes it.
+/// Converts an index or a count to the protocol's type.
 pub(crate) fn index_u32(index: usize) -> u32 {
     u32::try_from(index).unwrap_or(u32::MAX)
 }
--- a/crates/emulator/src/checker/configuration_rules.rs
+++ b/crates/emulator/src/checker/configuration_rules.rs
@@ -1,4 +1,4 @@
-//! CONFIG, and the part of ACKS on changes: by which configuration operators and clients are answered.
+//! Rule CONFIG, and rule ACKS for changes, on the configuration by which operators and clients are answered.
 
 use super::configurations::{has_queue, ChangeRecord, SentChange};
 use super::state::Checker;
@@ -7,21 +7,22 @@
 use streamusher_protocol::config::Configuration;
 use streamusher_protocol::Millis;
 
-/// A response of a reachable gate to a job's submission.
+/// Response of a reachable gate to the submission of a job.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QueueResponse<'a> {
-    /// The host of the queue.
+    /// Host of the queue.
     pub(crate) host: &'a str,
-    /// The path prefix of the queue.
+    /// Path prefix of the queue.
     pub(crate) prefix: &'a str,
-    /// When the request was sent.
+    /// Time at which the request was sent.
     pub(crate) sent_at: Millis,
-    /// The status of the response.
+    /// HTTP status of the response.
     pub(crate) status: u16,
 }
 
 impl Checker {
-    /// An operator sends a change for the first time. Returns the number by which its responses are reported.
+    /// Records a change that an operator sends for the first time. Returns the number under which its
+    /// responses are reported.
     pub(crate) fn on_change_sent(&mut self, now: Millis, change: SentChange) -> usize {
         let record = ChangeRecord {
             change,
@@ -34,7 +35,7 @@
         self.configurations.changes.len() - 1
     }
 
-    /// A change was answered.
+    /// Handles the response to a change.
     pub(crate) fn on_change_response(&mut self, now: Millis, number: usize, status: u16) {
         let Some(record) = self.configurations.changes.get(number).cloned() else {
             return;
@@ -45,7 +46,7 @@
                 self.configurations.changes[number].rejected = true;
                 if record.acknowledged_at.is_some() {
                     let text =
-                        format!("change {number}, already acknowledged, is rejected with {status}");
+                        format!("change {number} was rejected with status {status} after it was acknowledged");
                     self.report(now, Rule::Config, text);
                 }
             }
@@ -55,29 +56,30 @@
 
     fn on_change_acknowledged(&mut self, now: Millis, number: usize, record: &ChangeRecord) {
         if record.change.result.is_none() {
-            let text = format!("invalid change {number} is acknowledged");
+            let text = format!("invalid change {number} was acknowledged");
             self.report(now, Rule::Config, text);
         }
         if record.rejected && record.acknowledged_at.is_none() {
-            let text = format!("change {number} is acknowledged after it was rejected");
+            let text = format!("change {number} was acknowledged after it was rejected");
             self.report(now, Rule::Config, text);
         }
         let base = record.change.base;
-        let is_rival = |(other, change): &(usize, &ChangeRecord)| {
+        let is_conflicting = |(other, change): &(usize, &ChangeRecord)| {
             *other != number && change.change.base == base && change.acknowledged_at.is_some()
         };
         let mut changes = self.configurations.changes.iter().enumerate();
-        if let Some((other, _)) = changes.find(is_rival) {
-            let text =
-                format!("changes {number} and {other} of version {base} are both acknowledged");
+        if let Some((other, _)) = changes.find(is_conflicting) {
+            let text = format!(
+                "changes {number} and {other}, both based on version {base}, were acknowledged"
+            );
             self.report(now, Rule::Config, text);
         }
         let record = &mut self.configurations.changes[number];
         record.acknowledged_at.get_or_insert(now);
     }
 
-    /// Looks for changes that are not acknowledged in time. There have been no faults since `stable_since`; none while there
-    /// are.
+    /// Reports changes that are not acknowledged in time. There have been no faults since `stable_since`;
+    /// `None` while there are faults.
     pub(crate) fn check_acknowledgements(&mut self, now: Millis, stable_since: Option<Millis>) {
         let Some(stable_since) = stable_since else {
             return;
@@ -104,13 +106,14 @@
         }
     }
 
-    /// The configuration was read, at any machine, by a call sent at `sent_at`: whatever was acknowledged before is in it.
+    /// Handles a configuration read from any machine by a call sent at `sent_at`. It must include every
+    /// change acknowledged before.
     pub(crate) fn on_configuration_read(&mut self, now: Millis, sent_at: Millis, body: &str) {
         let Ok(read) = serde_json::from_str::<Configuration>(body) else {
             self.report(
                 now,
                 Rule::Config,
-                "what was read is no configuration".into(),
+                "the response to a configuration read is not a valid configuration".into(),
             );
             return;
         };
@@ -120,7 +123,9 @@
             .newest_acknowledged(sent_at)
             .unwrap_or(0);
         if version < newest {
-            let text = format!("version {version} is read, {newest} was acknowledged before");
+            let text = format!(
+                "configuration version {version} was read after version {newest} was acknowledged"
+            );
             self.report(now, Rule::Config, text);
         }
         let read = sorted(&read);
@@ -129,20 +134,21 @@
             .candidates()
             .any(|sent| sorted(sent) == read);
         if !was_sent {
-            let text = format!("version {version} is read, which was not sent so or was rejected");
+            let text =
+                format!("configuration version {version} was read, but matches no accepted change");
             self.report(now, Rule::Config, text);
         }
     }
 
-    /// The configuration could not be read at the end of the simulation.
+    /// Handles a failure to read the configuration at the end of the simulation.
     pub(crate) fn on_configuration_unreadable(&mut self, now: Millis) {
         if self.configurations.newest_acknowledged(now).is_some() {
-            let text = "the configuration cannot be read at the end".into();
+            let text = "the configuration cannot be read at the end of the simulation".into();
             self.report(now, Rule::Config, text);
         }
     }
 
-    /// A reachable gate has answered a job's submission.
+    /// Handles the response of a reachable gate to the submission of a job.
     pub(crate) fn on_queue_response(&mut self, now: Millis, response: QueueResponse<'_>) {
         let QueueResponse {
             host,
@@ -162,16 +168,18 @@
             .map(|configuration| has_queue(configuration, host, prefix))
             .collect();
         if status == 404 && has_queue.iter().all(|has_queue| *has_queue) {
-            let text = format!("{host}{prefix} is answered 404, but is there since {oldest}");
+            let text = format!(
+                "{host}{prefix} was answered with status 404, but exists since version {oldest}"
+            );
             self.report(now, Rule::Config, text);
         }
         if (200..300).contains(&status) && !has_queue.contains(&true) {
-            let text = format!("{host}{prefix} is served, but was dropped by {oldest}");
+            let text = format!("{host}{prefix} was served, but version {oldest} had removed it");
             self.report(now, Rule::Config, text);
         }
     }
 
-    /// Whether a configuration that may be in force lacks a queue.
+    /// Whether a configuration that may be in effect lacks a queue.
     pub(crate) fn may_lack_queue(&self, host: &str, prefix: &str) -> bool {
         let newest = self
             .configurations
--- a/crates/emulator/src/checker/configurations.rs
+++ b/crates/emulator/src/checker/configurations.rs
@@ -1,4 +1,4 @@
-//! The configurations that operators have sent, and which of them may be in force.
+//! Configurations that operators have sent, and which of them may be in effect.
 
 use crate::submitted_jobs::SubmittedJobs;
 use std::sync::Arc;
@@ -6,15 +6,15 @@
 use streamusher_protocol::task::JobId;
 use streamusher_protocol::Millis;
 
-/// From the moment at which a worker observes the effect of a version until nobody may act by an older one.
+/// Time from a worker's observation of the effect of a version until no process may use an older version.
 const ROLLBACK_SLACK_MS: Millis = 250;
 
-/// An operator's change as it was sent.
+/// A configuration change as sent by an operator.
 #[derive(Clone, Debug)]
 pub(crate) struct SentChange {
-    /// The version on which it builds.
+    /// Version on which the change is based.
     pub(crate) base: u64,
-    /// The configuration that it makes; none where it is invalid.
+    /// Resulting configuration; `None` if it is invalid.
     pub(crate) result: Option<Arc<Configuration>>,
 }
 
@@ -25,12 +25,12 @@
     pub(super) sent_at: Millis,
     pub(super) acknowledged_at: Option<Millis>,
     pub(super) rejected: bool,
-    /// That it is not acknowledged in time was reported.
+    /// Whether the missing acknowledgement was already reported.
     pub(super) late: bool,
 }
 
 impl ChangeRecord {
-    /// The configuration, unless it certainly is not in force.
+    /// Returns the configuration unless it is certainly not in effect.
     fn candidate(&self) -> Option<&Arc<Configuration>> {
         let result = self.change.result.as_ref()?;
         (self.acknowledged_at.is_some() || !self.rejected).then_some(result)
@@ -49,12 +49,12 @@
     version: u64,
 }
 
-/// Whether a route is that of a queue.
+/// Whether a route belongs to a queue.
 pub(super) fn is_of_queue(route: &Route, host: &str, prefix: &str) -> bool {
     &*route.host == host && &*route.path_prefix == prefix
 }
 
-/// Whether a configuration has a queue.
+/// Whether a configuration contains a queue.
 pub(super) fn has_queue(configuration: &Configuration, host: &str, prefix: &str) -> bool {
     let mut routes = configuration.routes.iter();
     routes.any(|route| is_of_queue(route, host, prefix))
@@ -68,7 +68,7 @@
 }
 
 impl Configurations {
-    /// Configurations that may be in force now or later, or were.
+    /// Configurations that are, were or may come into effect.
     pub(super) fn candidates(&self) -> impl Iterator<Item = &Arc<Configuration>> {
         self.changes.iter().filter_map(ChangeRecord::candidate)
     }
@@ -86,7 +86,7 @@
         routes.any(|route| &*route.service == service)
     }
 
-    /// The most attempts that a job's tasks may have.
+    /// Maximum number of attempts that the tasks of a job may have.
     pub(super) fn max_attempts(&self, submitted_jobs: &SubmittedJobs, job: &JobId) -> u32 {
         let Some(job) = submitted_jobs.job(job) else {
             return u32::MAX;
@@ -97,13 +97,13 @@
         attempts.max().unwrap_or(u32::MAX)
     }
 
-    /// The fewest attempts that tasks of a queue may have.
+    /// Minimum number of attempts that tasks of a queue may have.
     pub(super) fn min_attempts(&self, host: &str, prefix: &str) -> u32 {
         let attempts = self.routes(host, prefix).map(|route| route.max_attempts);
         attempts.min().unwrap_or(0)
     }
 
-    /// The service of a queue in the newest acknowledged configuration, if no newer one may be in force.
+    /// Service of a queue in the newest acknowledged configuration, unless a newer one may be in effect.
     pub(super) fn newest_service(&self, host: &str, prefix: &str) -> Option<Arc<str>> {
         let candidates = self
             .changes
@@ -116,7 +116,7 @@
         Some(route.service.clone())
     }
 
-    /// The newest version that was acknowledged by a time.
+    /// Newest version acknowledged by a time.
     pub(super) fn newest_acknowledged(&self, by: Millis) -> Option<u64> {
         let is_acknowledged = |change: &&ChangeRecord| {
             change
@@ -127,7 +127,8 @@
         acknowledged.map(ChangeRecord::version).max()
     }
 
-    /// A worker was sent work of a queue, which shows that some version is in force that lets it run that.
+    /// Records that a worker received work of a queue, which shows that a version is in effect that allows
+    /// this.
     pub(super) fn on_queue_served(&mut self, now: Millis, host: &str, prefix: &str, service: &str) {
         let allows = |configuration: &&Arc<Configuration>| {
             let mut routes = configuration.routes.iter();
@@ -144,7 +145,7 @@
         }
     }
 
-    /// The oldest version by which a request sent at this time may be handled.
+    /// Oldest version by which a request sent at this time may be handled.
     pub(super) fn oldest_allowed(&self, sent_at: Millis, apply_ms: Millis) -> u64 {
         let applied_by = sent_at.saturating_sub(apply_ms);
         let acknowledged = self.newest_acknowledged(applied_by).unwrap_or(0);
--- a/crates/emulator/src/checker/end_rules.rs
+++ b/crates/emulator/src/checker/end_rules.rs
@@ -1,4 +1,4 @@
-//! TWICE, BUDGET and GANG: ends of runs, and what is known once they are acknowledged.
+//! Rules TWICE, BUDGET and GANG on ends of runs and their acknowledgements.
 
 use super::records::{EndNumber, EndPosition, EndRecord, WorkerInstance};
 use super::start_rules::WorkerView;
@@ -14,12 +14,13 @@
 pub(crate) struct EndedRun<'a> {
     pub(crate) run: &'a RunId,
     pub(crate) outcome: RunEnd,
-    /// The number under which the worker reports the end.
+    /// Number under which the worker reports the end.
     pub(crate) number: u64,
 }
 
 impl Checker {
-    /// A run has ended. There have been no faults since `fault_free_since`; none while there are.
+    /// Handles the end of a run. There have been no faults since `fault_free_since`; `None` while there are
+    /// faults.
     pub(crate) fn on_run_ended(
         &mut self,
         now: Millis,
@@ -47,7 +48,7 @@
             run: run.run,
             outcome,
             acknowledged_at: None,
-            void: false,
+            discarded: false,
         });
         let position = EndPosition {
             task: run.task.clone(),
@@ -55,18 +56,22 @@
         };
         self.unacknowledged_ends
             .insert(EndNumber { instance, number }, position);
-        // No faults while it waited, and for as long before as a machine takes to be reachable.
+        // GANG applies only without faults while the member waited and during the preceding `contact_ms`,
+        // within which a machine becomes reachable.
         let contact_ms = self.limits.contact_ms;
         let was_stable = fault_free_since.is_some_and(|since| started_at >= since + contact_ms);
         let job = self.jobs.get(&run.task.job);
-        let is_excused = job.is_some_and(|job| job.cancel_sent_at.is_some() || job.hopeless);
+        let is_excused = job.is_some_and(|job| job.cancel_sent_at.is_some() || job.cannot_succeed);
         if outcome == RunEnd::GangIncomplete && was_stable && worker.is_reachable && !is_excused {
-            let text = format!("{} run {} waited alone", run.task, run.run);
+            let text = format!(
+                "{} run {} waited for the other members of its gang until it timed out",
+                run.task, run.run
+            );
             self.report(now, Rule::Gang, text);
         }
     }
 
-    /// A worker was told that its ends up to a number are acknowledged.
+    /// Handles the acknowledgement of a worker's reported ends up to a number.
     pub(crate) fn on_ends_acknowledged(
         &mut self,
         now: Millis,
@@ -107,7 +112,7 @@
         let Some(end) = record.and_then(|record| record.ends.get_mut(position.index)) else {
             return;
         };
-        if end.void {
+        if end.discarded {
             return;
         }
         end.acknowledged_at = Some(now);
@@ -140,7 +145,7 @@
             if let Some(later) = later {
                 let run = later.run;
                 let text = format!(
-                    "{member} run {run} began after its done end, which was then acknowledged"
+                    "{member} run {run} was started after the end of a completed run that is now acknowledged"
                 );
                 self.report(now, Rule::Twice, text);
             }
@@ -158,14 +163,14 @@
             if failed >= attempts {
                 let run = start.run;
                 let text = format!(
-                    "{task} run {run} began after {failed} failed runs, acknowledged by now"
+                    "{task} run {run} was started after {failed} failed runs that are now acknowledged"
                 );
                 self.report(now, Rule::Budget, text);
             }
         }
     }
 
-    /// A worker's lease has expired: ends that are not acknowledged by now do not count any more.
+    /// Handles the expiry of a worker's lease: ends that are not acknowledged yet no longer count.
     pub(crate) fn on_lease_expired(&mut self, worker: WorkerIndex, incarnation: u32) {
         let instance = WorkerInstance {
             worker,
@@ -185,12 +190,12 @@
         {
             let record = self.tasks.get_mut(&position.task);
             if let Some(end) = record.and_then(|record| record.ends.get_mut(position.index)) {
-                end.void = true;
+                end.discarded = true;
             }
         }
     }
 
-    /// A worker is down; its lease would have lasted until a time.
+    /// Handles the crash of a worker whose lease would have lasted until `leased_until`.
     pub(crate) fn on_worker_crashed(
         &mut self,
         worker: WorkerIndex,
@@ -213,7 +218,7 @@
         }
     }
 
-    /// A reachable machine has acknowledged that a worker drains.
+    /// Handles the acknowledgement of a worker's draining by a reachable machine.
     pub(crate) fn on_drain_acknowledged(
         &mut self,
         now: Millis,
--- a/crates/emulator/src/checker/fencing_rule.rs
+++ b/crates/emulator/src/checker/fencing_rule.rs
@@ -1,7 +1,9 @@
-//! DUTY: a process that was refused because another one has used a higher fencing token does not go on with a lower one.
+//! Rule DUTY: a process whose fencing token was refused, because another process has used a higher one, must
+//! not continue to use it.
 //!
-//! Three calls, and any within a lease of the refusal, may be on their way; more are a breach (the operators' rule). Tokens are
-//! compared within one matter and one life of the calling process.
+//! Three calls, and all calls within a lease of the refusal, may have been in flight; further calls are a
+//! violation (the operators' rule). Tokens are compared within one scope and one lifetime of the calling
+//! process.
 
 use super::state::Checker;
 use super::violation::Rule;
@@ -11,28 +13,28 @@
 use streamusher_coordination::{Message, ProposalNumber};
 use streamusher_protocol::Millis;
 
-/// So many calls with a refused token are no breach.
+/// Number of calls with a refused token that are not a violation.
 const MAX_CALLS_AFTER_REFUSAL: u32 = 3;
 
-/// One life of a machine's process.
+/// One lifetime of a machine's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct FencedCaller {
     pub(crate) machine: MachineId,
     pub(crate) boot: u64,
 }
 
-/// What tokens are about.
+/// Scope within which fencing tokens are compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Matter {
-    /// Keepalives, data and proposals of a control machine, by the epoch of its newest record.
+    /// Keepalives, data and proposals of a control machine; the token is the epoch of its newest record.
     Record,
-    /// Proposals of the record of this epoch, by their numbers.
+    /// Proposals of the record of this epoch; the token is the proposal number.
     Proposal { epoch: u64 },
-    /// Requests of a gate or an agent to the primary, by the newest epoch that it knows.
+    /// Requests of a gate or an agent to the primary; the token is the newest epoch known to the sender.
     PrimaryRequest,
 }
 
-/// A fencing token. Tokens of one matter are of one kind.
+/// A fencing token. All tokens of one scope are of the same variant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum FencingToken {
     Epoch(u64),
@@ -48,17 +50,17 @@
     }
 }
 
-/// A higher token of another process became known to the caller.
+/// Observation by the caller of another process's token.
 #[derive(Clone, Copy, Debug)]
 struct Refusal {
     token: FencingToken,
     learned_at: Millis,
 }
 
-/// The refusals of one caller on one matter, and what it has done since.
+/// Refusals of one caller in one scope, and its calls since then.
 #[derive(Debug, Default)]
 struct RefusedCaller {
-    /// In the order of their times and of their tokens.
+    /// Refusals in ascending order of both time and token.
     refusals: Vec<Refusal>,
     late_calls: u32,
 }
@@ -74,7 +76,7 @@
         }
     }
 
-    /// When a token above this one became known.
+    /// Time at which a higher token became known to the caller.
     fn refused_at(&self, token: FencingToken) -> Option<Millis> {
         let refusal = self.refusals.iter().find(|refusal| refusal.token > token);
         refusal.map(|refusal| refusal.learned_at)
@@ -88,7 +90,7 @@
 }
 
 impl Checker {
-    /// A process learns that another one has used this token.
+    /// Records that a process learns of a token used by another process.
     pub(crate) fn on_token_refused(
         &mut self,
         now: Millis,
@@ -105,7 +107,7 @@
         refused.on_refused(refusal);
     }
 
-    /// A process calls or commands with this token.
+    /// Handles a call or command with a fencing token.
     pub(crate) fn on_fenced_call(
         &mut self,
         now: Millis,
@@ -125,14 +127,14 @@
         refused.late_calls += 1;
         if refused.late_calls > MAX_CALLS_AFTER_REFUSAL {
             let text = format!(
-                "machine {} goes on with {token} of {matter:?}, refused at {refused_at} ms",
+                "machine {} still uses {token} of {matter:?}, which was refused at {refused_at} ms",
                 caller.machine
             );
             self.report(now, Rule::Duty, text);
         }
     }
 
-    /// A control machine sends a message to another one.
+    /// Handles a message sent from a control machine to another.
     pub(crate) fn on_control_message_sent(
         &mut self,
         now: Millis,
@@ -158,7 +160,7 @@
         self.on_fenced_call(now, caller, Matter::Record, FencingToken::Epoch(epoch));
     }
 
-    /// A control machine receives a message of another one.
+    /// Handles a message received by a control machine from another.
     pub(crate) fn on_control_message_received(
         &mut self,
         now: Millis,
--- a/crates/emulator/src/checker/idle_rule.rs
+++ b/crates/emulator/src/checker/idle_rule.rs
@@ -1,4 +1,5 @@
-//! LOST: a job with nothing running although a task's turn has come and there is capacity for it.
+//! Rule LOST: a job must not be without running tasks while one of its tasks is ready and there is capacity
+//! for it.
 
 use super::state::Checker;
 use super::violation::Rule;
@@ -12,13 +13,14 @@
 use streamusher_protocol::task::{JobId, TaskId};
 use streamusher_protocol::Millis;
 
-/// How long a job may have nothing running.
+/// Maximum time for which a job may have no running task.
 const MAX_IDLE_MS: Millis = 3_000;
-/// From the end of a lost worker's lease until its runs are placed anew.
+/// Time from the end of a lost worker's lease until its runs are placed again.
 const LOSS_NOTICED_MS: Millis = 500;
-/// Places for tasks that need none of a resource: more than any sum of places reaches, and far from overflow.
+/// Number of fitting tasks if a task requests none of a resource: larger than any sum of such numbers, and
+/// far from overflow.
 const UNBOUNDED_PLACES: u64 = u64::MAX / 64;
-/// The least that must be free beside half of a service.
+/// Minimum that must be free, in addition to half of a service's capacity.
 const SMALLEST_TASK: Resources = Resources {
     cpu: 1,
     mem_mb: 1,
@@ -26,7 +28,8 @@
 };
 
 impl Checker {
-    /// Looks at all jobs; to be called regularly. `is_stable` says that there have been no faults for `contact_ms`.
+    /// Checks all jobs; must be called regularly. `is_stable` states that there have been no faults for
+    /// `contact_ms`.
     pub(crate) fn check_idle_jobs(
         &mut self,
         now: Millis,
@@ -53,12 +56,12 @@
         }
         for id in lost {
             let text =
-                format!("job {id} has had nothing running for {MAX_IDLE_MS} ms without faults");
+                format!("job {id} has had no running task for {MAX_IDLE_MS} ms despite free capacity and no faults");
             self.report(now, Rule::Lost, text);
         }
     }
 
-    /// Jobs with nothing running that could run.
+    /// Jobs without running tasks that have a startable task.
     fn idle_jobs(
         &self,
         now: Millis,
@@ -79,12 +82,13 @@
             return false;
         };
         let is_wanted = record.accepted_at.is_some() && record.cancel_sent_at.is_none();
-        is_wanted && !record.hopeless && !record.is_shown_final()
+        is_wanted && !record.cannot_succeed && !record.is_shown_final()
     }
 
     fn could_run(&self, now: Millis, id: &JobId, job: &SubmittedJob, workers: &[Worker]) -> bool {
         let is_timed = job.request.start_at_ms > 0;
-        // A process that started while its clock was off goes by that: as much as ORDER allows then.
+        // A process that started while its wall clock was off keeps the offset, hence the same tolerance as
+        // for ORDER.
         let tolerance_ms = self.clock_tolerance_ms();
         let is_due = |iteration: u32| {
             !is_timed || UNIX_START_MS + now >= job.due_unix_ms(iteration) + tolerance_ms
@@ -99,7 +103,7 @@
         })
     }
 
-    /// Whether a task of a step could be started.
+    /// Whether a task of the job could be started.
     fn has_startable_task(
         &self,
         now: Millis,
@@ -122,7 +126,8 @@
         };
         let mut tasks = job.tasks_of_step(id, iteration, step);
         if request.gang {
-            // One member whose run may go on elsewhere keeps the whole gang from starting.
+            // A single member whose earlier run may still be in progress prevents the start of the whole
+            // gang.
             let tasks: Vec<TaskId> = tasks.collect();
             let is_open = |task: &TaskId| request.long_running || !self.is_done(task);
             return !tasks.iter().any(may_be_running) && tasks.iter().any(is_open);
@@ -130,7 +135,8 @@
         tasks.any(|task| !may_be_running(&task) && (request.long_running || !self.is_done(&task)))
     }
 
-    /// Whether there is twice the capacity that a task, or the gang, needs, and less than half of the service is in use.
+    /// Whether there is twice the capacity that the task or gang needs, and less than half of the service is
+    /// in use.
     fn has_capacity(&self, job: &SubmittedJob, step: &StepRequest, workers: &[Worker]) -> bool {
         let Some(service) = self.configurations.newest_service(&job.host, &job.prefix) else {
             return false;
@@ -155,7 +161,7 @@
     resources.fold(Resources::default(), |sum, each| sum.saturating_add(&each))
 }
 
-/// How many tasks of a step fit at a worker.
+/// Number of tasks of a step that fit at a worker.
 fn places_at(worker: &Worker, step: &StepRequest) -> u64 {
     let selects = step.node_selector.as_ref();
     if selects.is_some_and(|label| !worker.kind.labels.contains(label)) {
--- a/crates/emulator/src/checker/job_rules.rs
+++ b/crates/emulator/src/checker/job_rules.rs
@@ -1,4 +1,5 @@
-//! REFUSED, MIXED, LOST and the end of UNASKED: what clients are told about their jobs.
+//! Rules REFUSED, MIXED, LOST and the final check of UNASKED, on the responses that clients receive about
+//! their jobs.
 
 use super::state::Checker;
 use super::violation::Rule;
@@ -9,29 +10,29 @@
 use streamusher_protocol::task::{JobId, TaskId};
 use streamusher_protocol::Millis;
 
-/// A response to the query of a job.
+/// Response to a query of a job.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StatusResponse {
-    /// The status of the response.
+    /// HTTP status of the response.
     pub(crate) status: u16,
-    /// The state in which the job is shown.
+    /// Reported state of the job.
     pub(crate) state: Option<JobState>,
-    /// When the query was sent.
+    /// Time at which the query was sent.
     pub(crate) sent_at: Millis,
-    /// Whether the machine that was asked was reachable throughout.
+    /// Whether the queried machine was reachable for the whole duration of the query.
     pub(crate) was_reachable: bool,
 }
 
 impl Checker {
-    /// A client sends a job.
-    pub(crate) fn on_submit_sent(&mut self, id: &JobId, hopeless: bool) {
+    /// Records an attempt to submit a job.
+    pub(crate) fn on_submit_sent(&mut self, id: &JobId, cannot_succeed: bool) {
         let record = self.jobs.entry(id.clone()).or_default();
         record.attempts += 1;
         record.open_attempts += 1;
-        record.hopeless = hopeless;
+        record.cannot_succeed = cannot_succeed;
     }
 
-    /// An attempt to submit a job was answered. Only 429, 503 and 404 say that it was not accepted.
+    /// Handles the response to a submission. Only 429, 503 and 404 state that the job was not accepted.
     pub(crate) fn on_submit_response(&mut self, now: Millis, id: &JobId, status: u16) {
         let record = self.jobs.entry(id.clone()).or_default();
         match status {
@@ -40,26 +41,26 @@
             }
             404 | 429 | 503 => record.open_attempts = record.open_attempts.saturating_sub(1),
             400 => {
-                let text = format!("job {id} is valid and is answered 400");
+                let text = format!("valid job {id} was rejected with status 400");
                 self.report(now, Rule::Acks, text);
             }
             _ => {}
         }
     }
 
-    /// A client cancels a job.
+    /// Records a client's request to cancel a job.
     pub(crate) fn on_cancel_sent(&mut self, now: Millis, id: &JobId) {
         let record = self.jobs.entry(id.clone()).or_default();
         record.cancel_sent_at.get_or_insert(now);
     }
 
-    /// A cancellation was acknowledged.
+    /// Records the acknowledgement of a cancellation.
     pub(crate) fn on_cancel_acknowledged(&mut self, now: Millis, id: &JobId) {
         let record = self.jobs.entry(id.clone()).or_default();
         record.cancel_acknowledged_at.get_or_insert(now);
     }
 
-    /// The query of a job was answered.
+    /// Handles the response to a query of a job.
     pub(crate) fn on_status_response(
         &mut self,
         now: Millis,
@@ -77,20 +78,24 @@
             .is_some_and(|accepted_at| response.sent_at > accepted_at + visible_ms);
         let was_cancelled = record.cancel_sent_at.is_some();
         if response.status == 410 && response.was_reachable && must_be_known && !was_cancelled {
-            let text = format!("job {id} was accepted and is answered 410");
+            let text = format!("job {id} was accepted but a query was answered with status 410");
             self.report(now, Rule::Lost, text);
         }
         match response.state {
             Some(JobState::Succeeded) if !self.is_all_done(submitted_jobs, id) => {
-                let text = format!("job {id} is shown as succeeded");
+                let text = format!(
+                    "job {id} is reported as succeeded although some of its tasks are not done"
+                );
                 self.report(now, Rule::Mixed, text);
             }
             Some(JobState::Failed) if !self.has_failed_task(submitted_jobs, id) => {
-                let text = format!("job {id} is shown as failed without a cause");
+                let text = format!("job {id} is reported as failed although no task has failed in all its attempts");
                 self.report(now, Rule::Lost, text);
             }
             Some(JobState::Cancelled) if !was_cancelled => {
-                let text = format!("job {id} is shown as cancelled without a cause");
+                let text = format!(
+                    "job {id} is reported as cancelled although no cancellation was requested"
+                );
                 self.report(now, Rule::Lost, text);
             }
             _ => {}
@@ -138,20 +143,22 @@
         failed_runs.any(|runs| runs.len() >= attempts)
     }
 
-    /// The final query of a job is over; `answered` says that its state came in time.
+    /// Handles the end of the final query of a job; `answered` says whether its state arrived in time.
     pub(crate) fn on_final_query_over(&mut self, now: Millis, id: &JobId, answered: bool) {
         let Some(record) = self.jobs.get(id) else {
             return;
         };
         let is_owed = record.accepted_at.is_some() && record.cancel_sent_at.is_none();
         if is_owed && !answered {
-            let text = format!("job {id} was accepted and is not known at the end");
+            let text = format!(
+                "job {id} was accepted but its state is unknown at the end of the simulation"
+            );
             self.report(now, Rule::Lost, text);
         }
     }
 
-    /// Looks for tasks that still run long after their job's cancellation was acknowledged. Only to be called while there
-    /// are no faults.
+    /// Reports tasks that still run after the time limit for an acknowledged cancellation of their job. Must
+    /// only be called while there are no faults.
     pub(crate) fn check_cancelled_jobs(&mut self, now: Millis) {
         let limit_ms = self.limits.cancel_ms + self.limits.stop_ms;
         let must_be_over = |id: &JobId| {
@@ -164,13 +171,14 @@
         let overdue: Vec<TaskId> = overdue.map(|(task, _)| task.clone()).collect();
         for task in overdue {
             if self.overdue.insert(task.clone()) {
-                let text = format!("{task} still runs after its job was cancelled");
+                let text = format!("{task} still runs {limit_ms} ms after the acknowledged cancellation of its job");
                 self.report(now, Rule::Unasked, text);
             }
         }
     }
 
-    /// Looks, at the end of the simulation, for jobs that ran although every attempt to submit them was rejected.
+    /// Reports, at the end of the simulation, jobs that ran although every attempt to submit them was
+    /// rejected.
     pub(crate) fn check_rejected_jobs(&mut self, now: Millis) {
         let started = self
             .tasks
--- a/crates/emulator/src/checker/mod.rs
+++ b/crates/emulator/src/checker/mod.rs
@@ -1,13 +1,13 @@
-//! Checks the rules of the deployment against what workers, clients and operators observe.
+//! Checks the rules of the deployment against the observations of workers, clients and operators.
 //!
-//! - `violation`: the rules, and breaches of them.
-//! - `records`, `configurations`: what was observed.
+//! - `violation`: the rules and their violations.
+//! - `records`, `configurations`: recorded observations.
 //! - `state`: the checker with all its records.
-//! - `start_rules`, `end_rules`: starts and ends of runs.
-//! - `job_rules`: what clients are told about their jobs.
-//! - `idle_rule`: jobs with nothing running although there is capacity.
-//! - `fencing_rule`: processes that go on with a fencing token that was refused.
-//! - `configuration_rules`: by which configuration operators and clients are answered.
+//! - `start_rules`, `end_rules`: rules on starts and ends of runs.
+//! - `job_rules`: rules on the responses that clients receive about their jobs.
+//! - `idle_rule`: jobs without running tasks although there is capacity.
+//! - `fencing_rule`: processes that continue to use a refused fencing token.
+//! - `configuration_rules`: rules on the configuration by which operators and clients are answered.
 
 mod configuration_rules;
 mod configurations;
--- a/crates/emulator/src/checker/records.rs
+++ b/crates/emulator/src/checker/records.rs
@@ -1,4 +1,4 @@
-//! What was observed of tasks and jobs.
+//! Recorded observations of tasks and jobs.
 
 use crate::cast::index_u32;
 use crate::workers::effect::WorkerIndex;
@@ -13,21 +13,21 @@
     pub(super) incarnation: u32,
 }
 
-/// The number under which a worker reports an end.
+/// Number under which a worker reports the end of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EndNumber {
     pub(super) instance: WorkerInstance,
     pub(super) number: u64,
 }
 
-/// The place of an end in its task's record.
+/// Position of an end in the record of its task.
 #[derive(Clone, Debug)]
 pub(super) struct EndPosition {
     pub(super) task: TaskId,
     pub(super) index: usize,
 }
 
-/// The start of a run.
+/// Start of a run.
 #[derive(Clone, Debug)]
 pub(super) struct StartRecord {
     pub(super) started_at: Millis,
@@ -35,35 +35,36 @@
     pub(super) run: u32,
 }
 
-/// The end of a run.
+/// End of a run.
 #[derive(Clone, Debug)]
 pub(super) struct EndRecord {
     pub(super) ended_at: Millis,
     pub(super) run: u32,
     pub(super) outcome: RunEnd,
     pub(super) acknowledged_at: Option<Millis>,
-    /// The lease expired before the end was acknowledged: it does not count any more.
-    pub(super) void: bool,
+    /// Whether the lease expired before the end was acknowledged; such an end no longer counts.
+    pub(super) discarded: bool,
 }
 
-/// All that was observed of a task.
+/// All observations of a task.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TaskRecord {
-    /// Starts of the runs that go on.
+    /// Starts of the runs that are in progress.
     pub(super) running: Vec<StartRecord>,
     pub(super) starts: Vec<StartRecord>,
     pub(super) ends: Vec<EndRecord>,
-    /// A run was lost with its worker, whose lease would have lasted until then: before that nobody can know.
+    /// Time until which the lease of a lost worker with a run of this task would have lasted; the loss cannot
+    /// be known earlier.
     pub(super) leased_until: Millis,
 }
 
 impl TaskRecord {
-    /// Whether a run of it goes on.
+    /// Whether a run of the task is in progress.
     pub(crate) fn is_running(&self) -> bool {
         !self.running.is_empty()
     }
 
-    /// When its first run was done.
+    /// Time at which the first run of the task was done.
     pub(crate) fn done_at(&self) -> Option<Millis> {
         let done = self.ends.iter().filter(|end| end.outcome == RunEnd::Done);
         done.map(|end| end.ended_at).min()
@@ -73,7 +74,7 @@
         self.done_at().is_some()
     }
 
-    /// How many failed ends before a time are acknowledged.
+    /// Number of failed ends before a time that are acknowledged.
     pub(super) fn acknowledged_failures(&self, before: Millis) -> u32 {
         let counts = |end: &&EndRecord| {
             end.outcome == RunEnd::Failed && end.acknowledged_at.is_some() && end.ended_at < before
@@ -87,25 +88,25 @@
     }
 }
 
-/// What happened to a job, as its client observes it.
+/// Observations of a job by its client.
 #[derive(Clone, Debug, Default)]
 pub(super) struct JobRecord {
-    /// Attempts to submit it that were not rejected.
+    /// Submission attempts that were not rejected.
     pub(super) open_attempts: u32,
     pub(super) attempts: u32,
     pub(super) accepted_at: Option<Millis>,
     pub(super) cancel_sent_at: Option<Millis>,
     pub(super) cancel_acknowledged_at: Option<Millis>,
-    /// It can never succeed.
-    pub(super) hopeless: bool,
-    /// The state in which it was shown last.
+    /// Whether the job can never succeed.
+    pub(super) cannot_succeed: bool,
+    /// State in the latest response to a query of the job.
     pub(super) shown: Option<JobState>,
-    /// Since when nothing of it has run although something could; `Millis::MAX` once that was reported.
+    /// Time since which no task has run although one could; `Millis::MAX` after this was reported.
     pub(super) idle_since: Option<Millis>,
 }
 
 impl JobRecord {
-    /// Whether it was shown in a final state.
+    /// Whether the latest reported state is final.
     pub(super) fn is_shown_final(&self) -> bool {
         self.shown.is_some_and(JobState::is_final)
     }
--- a/crates/emulator/src/checker/start_rules.rs
+++ b/crates/emulator/src/checker/start_rules.rs
@@ -1,4 +1,4 @@
-//! TWICE, LIMIT, ORDER, ROUTE, BUDGET, UNASKED and DRAIN: starts of runs.
+//! Rules TWICE, LIMIT, ORDER, ROUTE, BUDGET, UNASKED and DRAIN on starts of runs.
 
 use super::records::{StartRecord, WorkerInstance};
 use super::state::Checker;
@@ -15,18 +15,18 @@
 use streamusher_protocol::unit::StepId;
 use streamusher_protocol::Millis;
 
-/// From the acknowledgement of an end until no start may ignore it.
+/// Time after the acknowledgement of an end from which every start must take the end into account.
 const END_KNOWN_AFTER_MS: Millis = 1_000;
 
-/// A worker at the moment of an observation.
+/// A worker at the time of an observation.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WorkerView<'a> {
     pub(crate) index: WorkerIndex,
     pub(crate) incarnation: u32,
     pub(crate) kind: &'a WorkerKind,
-    /// Resources of what runs there now.
+    /// Resources of the runs in progress.
     pub(crate) used: Resources,
-    /// Whether its machine is reachable.
+    /// Whether the worker's machine is reachable.
     pub(crate) is_reachable: bool,
 }
 
@@ -39,17 +39,17 @@
     }
 }
 
-/// A run that a worker has begun.
+/// A run started by a worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StartedRun<'a> {
     pub(crate) run: &'a RunId,
-    /// The job's own text, as the worker was told it.
+    /// Specification of the job as received by the worker.
     pub(crate) spec: &'a Arc<str>,
-    /// What the worker was told to continue from.
+    /// Checkpoint received by the worker; empty if the run starts from the beginning.
     pub(crate) checkpoint: &'a Arc<str>,
 }
 
-/// A start with what clients have submitted.
+/// A start, together with the job as submitted by the client.
 #[derive(Clone, Copy)]
 struct Start<'a> {
     now: Millis,
@@ -71,7 +71,7 @@
 }
 
 impl Checker {
-    /// A worker has begun a run. `worker.used` includes it.
+    /// Handles the start of a run. `worker.used` includes this run.
     pub(crate) fn on_run_started(
         &mut self,
         now: Millis,
@@ -120,22 +120,23 @@
             return;
         }
         let text = format!(
-            "{} run {} fills worker {} to {:?}",
+            "{} run {} raises the usage of worker {} above its capacity to {:?}",
             run.task, run.run, worker.index, worker.used
         );
         self.report(now, Rule::Limit, text);
     }
 
-    /// The task is started as its client wants, and its job is not cancelled.
+    /// Checks that the task is started as submitted and that its job is not cancelled.
     fn check_wanted(&mut self, start: Start<'_>) {
         let task = start.task();
         if *start.started.spec != start.job.request.spec {
-            let text = format!("{task} was started with another spec");
+            let text =
+                format!("{task} was started with a spec that differs from the submitted one");
             self.report(start.now, Rule::Unasked, text);
         }
         let checkpoint = start.started.checkpoint;
         if !checkpoint.is_empty() && start.submitted_jobs.progress_of(task, checkpoint).is_none() {
-            let text = format!("{task} was started with checkpoint {checkpoint}");
+            let text = format!("{task} was started with unknown checkpoint {checkpoint}");
             self.report(start.now, Rule::Unasked, text);
         }
         let cancel_ms = self.limits.cancel_ms;
@@ -144,12 +145,13 @@
             .cancel_acknowledged_at
             .is_some_and(|acknowledged_at| start.now > acknowledged_at + cancel_ms);
         if must_be_over && start.worker.is_reachable {
-            let text = format!("{task} was started after its job was cancelled");
+            let text =
+                format!("{task} was started after the cancellation of its job was acknowledged");
             self.report(start.now, Rule::Unasked, text);
         }
     }
 
-    /// No other run of the task goes on, unless it is hedged.
+    /// Checks that no other run of the task is in progress, unless the task is hedged.
     fn check_not_running(&mut self, start: Start<'_>) {
         if start.step.hedged {
             return;
@@ -159,7 +161,7 @@
             return;
         };
         let text = format!(
-            "{} run {} at worker {} while run {} is at {}",
+            "{} run {} was started at worker {} while run {} is in progress at worker {}",
             start.task(),
             start.run(),
             start.worker.index,
@@ -169,7 +171,7 @@
         self.report(start.now, Rule::Twice, text);
     }
 
-    /// The task is not done, and has attempts left.
+    /// Checks that the task is not done and has attempts left.
     fn check_not_over(&mut self, start: Start<'_>) {
         if start.step.long_running {
             return;
@@ -181,7 +183,9 @@
             start.now > done_at + END_KNOWN_AFTER_MS && start.worker.is_reachable
         });
         if is_known_late || done_at.is_some() && !start.step.hedged {
-            let text = format!("{task} run {run} was started after its done end was acknowledged");
+            let text = format!(
+                "{task} run {run} was started after the completion of the task was acknowledged"
+            );
             self.report(start.now, Rule::Twice, text);
         }
         let attempts = self
@@ -194,7 +198,7 @@
         }
     }
 
-    /// When a done end of a task, or of another member of its gang, was first acknowledged.
+    /// Earliest acknowledgement of a completed run of the task or of another member of its gang.
     fn done_acknowledged_at(
         &self,
         submitted_jobs: &SubmittedJobs,
@@ -207,7 +211,7 @@
         done.filter_map(|end| end.acknowledged_at).min()
     }
 
-    /// The steps before are done, and the time of a timed job has come.
+    /// Checks that the dependencies are done and that the scheduled time of a timed job is reached.
     fn check_order(&mut self, start: Start<'_>) {
         let task = start.task();
         for earlier in &start.step.depends_on {
@@ -224,12 +228,12 @@
         let due_unix_ms = start.job.due_unix_ms(task.iteration);
         let early_ms = due_unix_ms.saturating_sub(UNIX_START_MS + start.now);
         if early_ms > self.limits.early_ms + self.clock_tolerance_ms() {
-            let text = format!("{task} was started {early_ms} ms before its time");
+            let text = format!("{task} was started {early_ms} ms before its scheduled time");
             self.report(start.now, Rule::Order, text);
         }
     }
 
-    /// The worker may run the task.
+    /// Checks that the task may run at the worker.
     fn check_place(&mut self, start: Start<'_>) {
         let task = start.task();
         let kind = start.worker.kind;
@@ -240,14 +244,16 @@
             .may_run(&job.host, &job.prefix, &kind.service)
         {
             let text = format!(
-                "{task} was started at worker {worker} of service {}",
+                "{task} was started at worker {worker} of service {}, which its queue is not routed to",
                 kind.service
             );
             self.report(start.now, Rule::Route, text);
         }
         let selects = start.step.node_selector.as_ref();
         if selects.is_some_and(|label| !kind.labels.contains(label)) {
-            let text = format!("{task} was started at worker {worker} without its label");
+            let text = format!(
+                "{task} was started at worker {worker}, which lacks the label of its node selector"
+            );
             self.report(start.now, Rule::Route, text);
         }
         if start.step.anti_affinity > 0 {
@@ -257,7 +263,7 @@
         let must_be_empty =
             drains_since.is_some_and(|since| start.now > since + self.limits.drain_ms);
         if start.worker.is_reachable && must_be_empty {
-            let text = format!("{task} was started at worker {worker}, which drains");
+            let text = format!("{task} was started at worker {worker}, which is draining");
             self.report(start.now, Rule::Drain, text);
         }
     }
@@ -275,7 +281,7 @@
         if count > start.step.anti_affinity {
             let worker = start.worker.index;
             let text = format!(
-                "{} is one of {count} of its step at worker {worker}",
+                "{} is one of {count} tasks of its step at worker {worker}, more than its anti-affinity allows",
                 start.task()
             );
             self.report(start.now, Rule::Route, text);
--- a/crates/emulator/src/checker/state.rs
+++ b/crates/emulator/src/checker/state.rs
@@ -1,4 +1,4 @@
-//! The checker with all that it has observed.
+//! The checker with its recorded observations.
 
 use super::configurations::Configurations;
 use super::fencing_rule::FencingHistory;
@@ -10,33 +10,34 @@
 use streamusher_protocol::task::{JobId, TaskId};
 use streamusher_protocol::Millis;
 
-/// A timed task may start so much earlier in simulations whose clocks jump.
+/// Tolerance for an early start of a timed task in simulations whose wall clocks jump.
 const CLOCK_STEP_TOLERANCE_MS: Millis = 5_000;
 
-/// How many jobs clients have had.
+/// Numbers of submitted jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JobCounts {
     /// Jobs that were accepted.
     pub accepted: usize,
-    /// Accepted jobs that were shown in a final state.
+    /// Accepted jobs that were reported in a final state.
     pub ended: usize,
 }
 
-/// What was observed in a simulation, and which rules were broken. The rules are in the other modules.
+/// Observations of a simulation and the violations of rules found so far. The rules are implemented in the
+/// other modules.
 pub struct Checker {
     pub(super) limits: DeploymentLimits,
-    /// Whether times of day jump in this simulation.
+    /// Whether wall clocks jump in this simulation.
     pub(super) clocks_step: bool,
-    /// For how long a call may go on after its token was refused.
+    /// Time after the refusal of a token during which calls with it are allowed.
     pub(super) lease_ms: Millis,
     pub(super) tasks: BTreeMap<TaskId, TaskRecord>,
-    /// Ends that were reported and not acknowledged yet.
+    /// Ends that were reported but not acknowledged yet.
     pub(super) unacknowledged_ends: BTreeMap<EndNumber, EndPosition>,
-    /// When it was acknowledged that a worker drains.
+    /// Time at which the draining of a worker was acknowledged.
     pub(super) drains: BTreeMap<WorkerInstance, Millis>,
     pub(super) jobs: BTreeMap<JobId, JobRecord>,
     pub(super) configurations: Configurations,
-    /// Tasks of cancelled jobs that were reported as still running.
+    /// Tasks of cancelled jobs that were already reported as still running.
     pub(super) overdue: BTreeSet<TaskId>,
     pub(super) fencing: FencingHistory,
     pub(super) starts: u64,
@@ -44,7 +45,7 @@
 }
 
 impl Checker {
-    /// Nothing observed yet.
+    /// Creates a checker without observations.
     pub(crate) fn new(limits: DeploymentLimits, clocks_step: bool, lease_ms: Millis) -> Checker {
         Checker {
             limits,
@@ -62,17 +63,17 @@
         }
     }
 
-    /// All breaches so far.
+    /// All violations found so far.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
-    /// Runs that were started.
+    /// Number of runs that were started.
     pub fn starts(&self) -> u64 {
         self.starts
     }
 
-    /// How many jobs were accepted and ended.
+    /// Numbers of accepted and of ended jobs.
     pub fn job_counts(&self) -> JobCounts {
         let accepted = self
             .jobs
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Accepted jobs that were not shown in a final state, with the state in which they were shown last.
+    /// Accepted jobs that were not reported in a final state, with their latest reported state.
     pub fn open_jobs(&self) -> Vec<(JobId, Option<JobState>)> {
         let is_open = |record: &JobRecord| record.accepted_at.is_some() && !record.is_shown_final();
         let open = self.jobs.iter().filter(|(_, record)| is_open(record));
@@ -93,7 +94,7 @@
             .collect()
     }
 
-    /// What was observed of a task.
+    /// Returns the observations of a task.
     pub(crate) fn task(&self, task: &TaskId) -> Option<&TaskRecord> {
         self.tasks.get(task)
     }
@@ -102,13 +103,13 @@
         self.task(task).is_some_and(TaskRecord::is_done)
     }
 
-    /// How many failed ends of a task before a time are acknowledged.
+    /// Number of failed ends of a task before a time that are acknowledged.
     pub(super) fn acknowledged_failures(&self, task: &TaskId, before: Millis) -> u32 {
         let record = self.task(task);
         record.map_or(0, |record| record.acknowledged_failures(before))
     }
 
-    /// By how much times of day may be off.
+    /// Maximum error of wall clocks.
     pub(super) fn clock_tolerance_ms(&self) -> Millis {
         if self.clocks_step {
             CLOCK_STEP_TOLERANCE_MS
--- a/crates/emulator/src/checker/violation.rs
+++ b/crates/emulator/src/checker/violation.rs
@@ -1,38 +1,38 @@
-//! The rules of the deployment, by the names that the operators' pages use, and breaches of them.
+//! The rules of the deployment, named as in the operators' documentation, and their violations.
 
 use std::fmt;
 use streamusher_protocol::Millis;
 
-/// A rule that was broken.
+/// A rule of the deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rule {
-    /// One task runs twice at once, or is started again after it was done.
+    /// A task runs twice at the same time, or is started again after it was done.
     Twice,
-    /// A worker is filled beyond its capacity.
+    /// The runs at a worker exceed its capacity.
     Limit,
-    /// A task is started before its turn.
+    /// A task is started before its dependencies are done or before its scheduled time.
     Order,
-    /// A task is started where it may not run.
+    /// A task is started at a worker on which it must not run.
     Route,
     /// A task is started after its last attempt.
     Budget,
-    /// A gang's member has waited in vain for the others.
+    /// A gang member waited in vain for the other members.
     Gang,
-    /// Something is started that nobody wants.
+    /// A run is started that no client requested.
     Unasked,
     /// A task is started although its job was rejected.
     Refused,
-    /// A task is started on a worker that drains.
+    /// A task is started on a draining worker.
     Drain,
-    /// A job is shown as succeeded although it has not.
+    /// A job is reported as succeeded although it has not succeeded.
     Mixed,
-    /// Something acknowledged is no longer known, or makes no progress.
+    /// Something that was acknowledged is no longer known or makes no progress.
     Lost,
-    /// Something is handled by a wrong configuration.
+    /// A request is handled by a wrong configuration.
     Config,
     /// A valid request is not acknowledged although there are no faults.
     Acks,
-    /// A process goes on with a fencing token that was refused.
+    /// A process continues to use a refused fencing token.
     Duty,
 }
 
@@ -42,14 +42,14 @@
     }
 }
 
-/// One breach of a rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// When it was noticed, in true time.
+    /// Time of detection, in true time.
     pub noticed_at: Millis,
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// What happened.
+    /// Description of the violation.
     pub text: String,
 }
 
--- a/crates/emulator/src/event_queue.rs
+++ b/crates/emulator/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of events that drives virtual time.
+//! Queue of the events that drive virtual time.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -30,7 +30,7 @@
     }
 }
 
-/// Events by the time at which they are due; those of one time in the order in which they were added.
+/// Events ordered by due time. Events of the same time keep their order of insertion.
 pub(crate) struct EventQueue<T> {
     heap: BinaryHeap<Reverse<Entry<T>>>,
     last_order: u64,
@@ -56,7 +56,7 @@
         }));
     }
 
-    /// Takes the next event that is due by `until`, with its time.
+    /// Removes the next event due by `until` and returns it with its due time.
     pub(crate) fn pop(&mut self, until: Millis) -> Option<(Millis, T)> {
         if self.heap.peek()?.0.due > until {
             return None;
--- a/crates/emulator/src/experiment/estimate.rs
+++ b/crates/emulator/src/experiment/estimate.rs
@@ -5,14 +5,14 @@
 /// A mean with its standard error.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
-    /// The mean.
+    /// Arithmetic mean.
     pub mean: f64,
-    /// Its standard error; 0 for a single value.
+    /// Standard error of the mean; 0 for a single value.
     pub error: f64,
 }
 
 impl Estimate {
-    /// The estimate from some values.
+    /// Computes the estimate from a sample.
     pub fn of(values: &[f64]) -> Estimate {
         let count = values.len().max(1) as f64;
         let mean = values.iter().sum::<f64>() / count;
@@ -25,7 +25,7 @@
         Estimate { mean, error }
     }
 
-    /// The estimate of a difference, from pairs of values.
+    /// Computes the estimate of the mean difference from paired values.
     pub fn of_pairs(before: &[f64], after: &[f64]) -> Estimate {
         let pairs = before.iter().zip(after);
         let differences: Vec<f64> = pairs.map(|(before, after)| after - before).collect();
--- a/crates/emulator/src/experiment/fault_profile.rs
+++ b/crates/emulator/src/experiment/fault_profile.rs
@@ -1,4 +1,4 @@
-//! The kinds of faults that experiments are simulated with.
+//! Fault profiles of experiments.
 
 use crate::faults::{
     ControlOutage, ControlTarget, Fault, FaultSchedule, PlannedFault, WorkerFault,
@@ -9,34 +9,34 @@
 use std::str::FromStr;
 use streamusher_protocol::Millis;
 
-/// Faults begin in this part of the traffic.
+/// Time range in which faults begin.
 const FAULTS_BEGIN_MS: Range<Millis> = 9_000..20_000;
-/// How long faults of workers last.
+/// Duration of worker faults.
 const WORKER_FAULT_MS: Millis = 6_000;
-/// Kinds of faults of workers.
+/// Number of kinds of worker faults.
 const WORKER_FAULT_KINDS: usize = 5;
-/// One in so many workers is struck.
+/// One fault is drawn per this many workers.
 const WORKERS_PER_FAULT: usize = 8;
 const PRIMARY_DOWN_MS: Millis = 2_000;
 const DRAIN_MS: Millis = 2_500;
 const SLOW_SPEED: f64 = 0.15;
 
-/// Which faults strike.
+/// Set of faults to inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultProfile {
-    /// None.
+    /// No faults.
     Calm,
-    /// Workers crash, fail the runs that they start, make no progress, turn slow, and drain.
+    /// Worker faults: crashes, failing runs, no progress, slowness and draining.
     Workers,
-    /// The same, and the primary is killed.
+    /// Worker faults, and a kill of the primary.
     Failover,
 }
 
-/// A name that is none of a fault profile.
+/// Error for a name that belongs to no fault profile.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no days are called {name}")]
+#[error("unknown fault profile {name}")]
 pub struct UnknownFaultProfile {
-    /// The name.
+    /// The unknown name.
     pub name: String,
 }
 
@@ -48,7 +48,7 @@
         FaultProfile::Failover,
     ];
 
-    /// Its name on the command line.
+    /// Name on the command line.
     pub fn name(self) -> &'static str {
         match self {
             FaultProfile::Calm => "calm",
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Draws the faults of a seed for a number of workers.
+    /// Draws the faults of a seed for a fleet with this number of workers.
     pub(crate) fn draw_schedule(self, seed: u64, workers: usize) -> FaultSchedule {
         let mut random = Random::new(seed, Stream::Faults);
         let mut schedule = FaultSchedule::default();
@@ -100,7 +100,7 @@
     random.between(FAULTS_BEGIN_MS.start, FAULTS_BEGIN_MS.end)
 }
 
-/// One fault for each eighth of the workers, another kind each time, and each kind once at least.
+/// Draws one fault per eight workers, but at least one of each kind. The kinds alternate.
 fn draw_worker_faults(random: &mut Random, workers: usize) -> Vec<PlannedFault> {
     let count = (workers / WORKERS_PER_FAULT).max(WORKER_FAULT_KINDS);
     let mut faults = Vec::new();
--- a/crates/emulator/src/experiment/mod.rs
+++ b/crates/emulator/src/experiment/mod.rs
@@ -1,8 +1,8 @@
-//! Experiments: several policies on the same workload and the same faults, what each earns, and the paired differences with
-//! their standard errors.
+//! Experiments that run several policies on the same workloads and faults. They report the value that each
+//! policy earns, and paired differences with standard errors.
 //!
-//! - `fault_profile`: the kinds of faults, by the names of `--days`.
-//! - `estimate`: means and their standard errors.
+//! - `fault_profile`: fault profiles, by their names in the option `--days`.
+//! - `estimate`: means with standard errors.
 
 mod estimate;
 mod fault_profile;
@@ -22,26 +22,26 @@
 use streamusher_protocol::Millis;
 use streamusher_scheduler::Policy;
 
-/// Traffic begins once the fleet has come up.
+/// Start of the traffic, when the fleet has come up.
 const TRAFFIC_STARTS_AT_MS: Millis = 3_000;
-/// As long as in the benchmark runs of the deployments.
+/// Duration of the traffic, as in the benchmark runs of the deployments.
 const TRAFFIC_MS: Millis = 34_000;
 const GATES: usize = 3;
 
-/// One simulation under one policy.
+/// Result of one simulation under one policy.
 #[derive(Clone, Debug)]
 pub struct PolicyOutcome {
-    /// Its seed.
+    /// Seed of the faults and the traffic.
     pub seed: u64,
-    /// The value that it earned.
+    /// Value that the jobs earned.
     pub earned: EarnedValue,
-    /// Rules that were broken.
+    /// Violations of rules.
     pub violations: Vec<Violation>,
-    /// Runs that were started.
+    /// Number of runs that were started.
     pub starts: u64,
 }
 
-/// Simulates a workload with the faults and the traffic of a seed, under a policy.
+/// Simulates a workload under a policy, with the faults and the traffic of a seed.
 pub fn simulate(
     workload: &Arc<Workload>,
     profile: FaultProfile,
@@ -67,7 +67,7 @@
     }
 }
 
-/// Simulates all seeds under all policies. Returns one list for each policy, in the order of the seeds.
+/// Simulates all seeds under all policies. Returns one list per policy, in the order of the seeds.
 pub fn simulate_all(
     workload: &Arc<Workload>,
     profile: FaultProfile,
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,24 +1,27 @@
-//! The whole cluster scheduler in one process and in virtual time: the real state machines of every role, with stand-ins for
-//! workers, clients, operators, network, disks and clocks, faults from a seed, and a checker of the deployment's rules.
+//! Emulates the whole cluster scheduler in one process and in virtual time. The emulator runs the real state
+//! machines of every role against simulated workers, clients, operators, network, disks and clocks, injects
+//! faults drawn from a seed, and checks the rules of the deployment.
 //!
-//! It finds faults of the protocols that tests of single parts do not reach, and repeats them from their seeds. A simulation
-//! takes well under a second, has no threads or sockets, and draws all that is left to chance from its seed: it gives the same
-//! result on every machine.
+//! It finds protocol errors that tests of single components do not reach, and reproduces them from their
+//! seeds. A simulation takes well under a second, uses no threads or sockets, and draws every random choice
+//! from its seed, so that it gives the same result on every machine.
 //!
-//! - [`fleet`]: the machines with the real state machines, and all stand-ins joined: [`fleet::Fleet`].
-//! - [`faults`]: faults, and schedules of them.
-//! - [`checker`]: the rules.
-//! - [`limits`]: limits of the deployment.
-//! - [`scenario`]: fleets and faults drawn from seeds, for the search for broken rules.
-//! - [`workload`], [`value`], [`experiment`]: what clients submit, what it earns, and policies compared by that.
+//! - [`fleet`]: the machines with their real state machines, and the simulated environment: [`fleet::Fleet`].
+//! - [`faults`]: faults and schedules of faults.
+//! - [`checker`]: the rules of the deployment.
+//! - [`limits`]: time limits and other limits of the deployment.
+//! - [`scenario`]: fleets and faults drawn from seeds, to search for violations of rules.
+//! - [`workload`], [`value`], [`experiment`]: the jobs that clients submit, the value that they earn, and
+//!   comparisons of policies by this value.
 //! - [`submitted_jobs`]: the jobs of a simulation.
-//! - [`lost_value`]: where a benchmark run lost its value, by the log lines of jobs that missed their objectives. This part
-//!   takes no part in simulations.
-//! - `workers`, `network`, `clock`, `event_queue`, `random`: stand-ins, virtual time and repeatable chance.
+//! - [`lost_value`]: attribution of a benchmark run's lost value to causes, based on the log lines of jobs
+//!   that missed their objectives. Not used in simulations.
+//! - `workers`, `network`, `clock`, `event_queue`, `random`: simulated workers and network, virtual time and
+//!   reproducible random numbers.
 //!
 //! # Example
 //!
-//! The primary is killed six seconds after the start. No rule may be broken:
+//! Kills the primary six seconds after the start. No rule may be violated:
 //!
 //! ```
 //! use streamusher_emulator::faults::{ControlOutage, ControlTarget, FaultSchedule};
--- a/crates/emulator/src/limits.rs
+++ b/crates/emulator/src/limits.rs
@@ -1,45 +1,46 @@
-//! Limits of the emulated deployment, by their keys in the settings file.
+//! Limits of the emulated deployment, named by their keys in the settings file.
 
 use streamusher_protocol::Millis;
 
-/// Limits that the operators promise or set; times are in milliseconds.
+/// Limits that the operators promise or configure; times are in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct DeploymentLimits {
-    /// How long a machine must have been without faults until promises with a time hold for it.
+    /// Time without faults after which timed guarantees hold for a machine.
     pub contact_ms: Millis,
-    /// How long an acknowledgement may take while there are no faults.
+    /// Maximum time until an acknowledgement while there are no faults.
     pub ack_timeout_ms: Millis,
-    /// How long a machine that returned still counts as lost.
+    /// Time for which a returned machine still counts as lost.
     pub catch_up_ms: Millis,
-    /// After more machines were lost at once than is tolerated, service may rest for so long after all are back.
+    /// Maximum interruption of service after the return of all machines, if more machines were lost at once
+    /// than is tolerated.
     pub recovery_ms: Millis,
-    /// From the acknowledgement that a worker drains to the last start there.
+    /// Time from the acknowledged draining of a worker to the last start there.
     pub drain_ms: Millis,
-    /// From a configuration's acknowledgement until it is followed.
+    /// Time from the acknowledgement of a configuration until it is in effect.
     pub config_apply_ms: Millis,
-    /// The longest lease of a worker.
+    /// Maximum lease of a worker.
     pub hold_max_ms: Millis,
-    /// The longest time that stopping a run takes.
+    /// Maximum time that stopping a run takes.
     pub stop_ms: Millis,
-    /// How long a gang's member waits for the others.
+    /// Time for which a gang member waits for the other members.
     pub gang_ms: Millis,
-    /// From a cancellation's acknowledgement to the last start of the job's tasks.
+    /// Time from the acknowledgement of a cancellation to the last start of the job's tasks.
     pub cancel_ms: Millis,
-    /// From a job's acknowledgement until every gate knows it.
+    /// Time from the acknowledgement of a job until every gate knows it.
     pub visible_ms: Millis,
-    /// How much too early a timed job may start.
+    /// Maximum time by which a timed job may start too early.
     pub early_ms: Millis,
-    /// From the end of the traffic until the final query of every job.
+    /// Time from the end of the traffic to the final query of every job.
     pub finish_ms: Millis,
-    /// How long the state of an ended job is kept.
+    /// Retention time of the state of an ended job.
     pub status_ms: Millis,
-    /// Factor on the time of tasks that run away from their data.
+    /// Factor by which tasks away from their data take longer.
     pub far_x: f64,
-    /// Work between two checkpoints.
+    /// Amount of work between two checkpoints, in milliseconds.
     pub save_ms: Millis,
-    /// Time that continuing from a checkpoint takes.
+    /// Time that restoring a checkpoint takes.
     pub restore_ms: Millis,
-    /// Between two heartbeats of an idle worker.
+    /// Interval between heartbeats of an idle worker.
     pub heartbeat_ms: Millis,
 }
 
--- a/crates/emulator/src/network.rs
+++ b/crates/emulator/src/network.rs
@@ -1,4 +1,4 @@
-//! The network between emulated machines: delays, blocked links in one direction or both, and message loss.
+//! Simulated network between machines: delays, links blocked in one or both directions, and message loss.
 
 use crate::random::{Random, Stream};
 use std::collections::BTreeMap;
@@ -10,27 +10,27 @@
 const MAX_JITTER_MS: Millis = 3;
 const MIN_DELAY_MS: Millis = 1;
 
-/// A link in one direction.
+/// A unidirectional link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Link {
     pub(crate) sender: MachineId,
     pub(crate) receiver: MachineId,
 }
 
-/// Which links are blocked, and how long messages take.
+/// Blocked links and message delays.
 #[derive(Debug)]
 pub(crate) struct Network {
-    /// How many faults block a link at present.
+    /// Number of current faults that block each link.
     blocked: BTreeMap<Link, u32>,
-    /// Added delay on all links of a machine.
+    /// Additional delay on all links of a machine.
     added_delay_ms: BTreeMap<MachineId, Millis>,
-    /// Share of the one-way messages that are lost.
+    /// Probability of losing a one-way message.
     pub(crate) loss_rate: f64,
     random: Random,
 }
 
 impl Network {
-    /// A network without faults.
+    /// Creates a network without faults.
     pub(crate) fn new(seed: u64) -> Network {
         Network {
             blocked: BTreeMap::new(),
@@ -40,12 +40,12 @@
         }
     }
 
-    /// Blocks a link. Each block is to be taken back by itself.
+    /// Blocks a link. Blocks are counted; each needs its own `unblock`.
     pub(crate) fn block(&mut self, link: Link) {
         *self.blocked.entry(link).or_default() += 1;
     }
 
-    /// Takes one block of a link back.
+    /// Removes one block of a link.
     pub(crate) fn unblock(&mut self, link: Link) {
         if let Some(count) = self.blocked.get_mut(&link) {
             *count -= 1;
@@ -55,12 +55,12 @@
         }
     }
 
-    /// Adds a delay to all links of a machine; 0 takes it back.
+    /// Sets the additional delay on all links of a machine; 0 removes it.
     pub(crate) fn set_added_delay(&mut self, machine: MachineId, delay_ms: Millis) {
         self.added_delay_ms.insert(machine, delay_ms);
     }
 
-    /// Whether messages pass in this direction.
+    /// Whether messages pass from the sender to the receiver.
     pub(crate) fn is_open(&self, sender: MachineId, receiver: MachineId) -> bool {
         sender == receiver || !self.blocked.contains_key(&Link { sender, receiver })
     }
@@ -70,7 +70,7 @@
         self.is_open(one, other) && self.is_open(other, one)
     }
 
-    /// How long a message takes; none where the link is blocked.
+    /// Draws the delay of a message; `None` if the link is blocked.
     pub(crate) fn draw_delay(&mut self, sender: MachineId, receiver: MachineId) -> Option<Millis> {
         if sender == receiver {
             return Some(0);
@@ -83,7 +83,7 @@
         Some(base_ms + self.random.between(0, MAX_JITTER_MS))
     }
 
-    /// Whether a one-way message is lost although its link is open.
+    /// Draws whether a one-way message is lost although its link is open.
     pub(crate) fn draw_loss(&mut self) -> bool {
         self.loss_rate > 0.0 && self.random.chance(self.loss_rate)
     }
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios drawn from seeds: the same seed gives the same fleet, traffic and faults.
+//! Scenarios drawn from seeds: a seed determines the fleet, the traffic and the faults.
 
 use crate::checker::{JobCounts, Violation};
 use crate::faults::{
@@ -10,32 +10,34 @@
 use std::fmt;
 use streamusher_protocol::Millis;
 
-/// Faults begin so long after the start.
+/// Time of the earliest fault after the start.
 const FIRST_FAULT_AT_MS: Millis = 2_500;
-/// So much longer does the traffic last with severe faults of the control plane: time for a cut of twenty seconds.
+/// Extension of the traffic in scenarios with severe control plane faults, so that a network partition of 20
+/// s fits in.
 const ADDED_TRAFFIC_MS: Millis = 12_000;
 
-/// Which scenarios are drawn.
+/// Kind of the scenarios to draw.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ScenarioKind {
-    /// Faults of all kinds, within the tolerance.
+    /// Faults of all kinds, within the tolerance of the deployment.
     Ordinary,
-    /// Severe faults of the control plane among them, which may overlap beyond the tolerance without more lost disks.
+    /// Also severe faults of the control plane, which may overlap beyond the tolerance but lose no further
+    /// disks.
     Control,
 }
 
-/// How a simulation went.
+/// Result of a simulation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
-    /// The seed that gives it again.
+    /// Seed that reproduces the simulation.
     pub seed: u64,
-    /// Its faults.
+    /// Faults that were injected.
     pub schedule: FaultSchedule,
-    /// The rules that were broken.
+    /// Violations of rules.
     pub violations: Vec<Violation>,
-    /// Runs that were started.
+    /// Number of runs that were started.
     pub starts: u64,
-    /// Jobs that were accepted, and that ended.
+    /// Numbers of accepted and of ended jobs.
     pub jobs: JobCounts,
 }
 
@@ -54,7 +56,7 @@
     }
 }
 
-/// The fleet and the faults of a seed.
+/// Draws the fleet and the faults of a seed.
 fn draw(seed: u64, kind: ScenarioKind) -> (FleetSettings, FaultSchedule) {
     let mut settings = FleetSettings::drawn(seed);
     if kind == ScenarioKind::Control {
@@ -75,7 +77,7 @@
     (settings, schedule)
 }
 
-/// Simulates the scenario of a seed, and prints what happens if `verbose` is set.
+/// Simulates the scenario of a seed; prints its events if `verbose` is set.
 pub fn simulate(seed: u64, kind: ScenarioKind, verbose: bool) -> Outcome {
     let (settings, schedule) = draw(seed, kind);
     let mut fleet = Fleet::new(settings, schedule.clone());
@@ -92,7 +94,7 @@
     }
 }
 
-/// Simulates the scenario of a seed. Returns a digest of all that was sent and stored.
+/// Simulates the scenario of a seed and returns a digest of all messages sent and data stored.
 pub fn digest(seed: u64, kind: ScenarioKind) -> TrafficDigest {
     let (settings, schedule) = draw(seed, kind);
     let mut fleet = Fleet::new(settings, schedule);
--- a/crates/emulator/src/submitted_jobs.rs
+++ b/crates/emulator/src/submitted_jobs.rs
@@ -1,4 +1,4 @@
-//! The jobs that emulated clients submit, and how long their tasks really take.
+//! Jobs submitted by emulated clients, with the actual work of their tasks.
 
 use crate::cast::index_u32;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,38 +8,38 @@
 use streamusher_protocol::unit::StepId;
 use streamusher_protocol::Millis;
 
-/// One job, as its client knows it.
+/// A job as known to its client.
 #[derive(Clone, Debug)]
 pub struct SubmittedJob {
-    /// The request that was submitted.
+    /// Request as submitted.
     pub request: Arc<JobRequest>,
-    /// Host header of its queue.
+    /// Host header of the queue.
     pub host: Arc<str>,
-    /// Path prefix of its queue.
+    /// Path prefix of the queue.
     pub prefix: Arc<str>,
-    /// The work of a task of each step, on a sound worker near its data.
+    /// Work per task of each step, on a healthy worker near its data.
     pub step_work_ms: Vec<Millis>,
-    /// The work of each task, by step and index, where the tasks of a step differ; else empty.
+    /// Work of each task, by step and index, if the tasks of a step differ; otherwise empty.
     pub task_work_ms: Vec<Vec<Millis>>,
-    /// How many of its first runs each task fails through its own fault; `u32::MAX` for all.
+    /// Number of initial runs of each task that fail through the task's own fault; `u32::MAX` for all.
     pub failing_runs: u32,
-    /// Tasks that fail in their first run, by step and index.
+    /// Tasks whose first run fails, by step and index.
     pub failing_once: BTreeSet<(u32, u32)>,
-    /// How it came about, if it belongs to a workload.
+    /// Submission of the job; `None` if it does not belong to a workload.
     pub submission: Option<Submission>,
 }
 
-/// When a job of a workload was submitted, and for which class.
+/// Submission time and class of a job of a workload.
 #[derive(Clone, Copy, Debug)]
 pub struct Submission {
-    /// Index of its class.
+    /// Index of the class in the workload.
     pub class: usize,
-    /// When it was sent first, in true time.
+    /// Time of the first submission attempt, in true time.
     pub sent_at: Millis,
 }
 
 impl SubmittedJob {
-    /// The work of a task, in milliseconds.
+    /// Work of a task, in milliseconds.
     pub fn task_work_ms(&self, step: u32, index: u32) -> Millis {
         let tasks = self.task_work_ms.get(step as usize);
         let own = tasks.and_then(|tasks| tasks.get(index as usize));
@@ -47,17 +47,17 @@
         work_ms.copied().unwrap_or(0)
     }
 
-    /// Whether tasks of it run until the job is cancelled.
+    /// Whether the job's tasks run until the job is cancelled.
     pub fn is_long_running(&self) -> bool {
         self.request.steps.iter().any(|step| step.long_running)
     }
 
-    /// How often the job runs: once, unless it is timed.
+    /// Number of iterations: 1 unless the job is timed.
     pub fn iterations(&self) -> u32 {
         self.request.repeat_count.max(1)
     }
 
-    /// All its tasks.
+    /// All tasks of the job.
     pub(crate) fn tasks<'a>(&'a self, id: &'a JobId) -> impl Iterator<Item = TaskId> + 'a {
         let iterations = 0..self.iterations();
         iterations.flat_map(move |iteration| {
@@ -66,7 +66,7 @@
         })
     }
 
-    /// The tasks of a step in an iteration; none if there is no such step.
+    /// Tasks of a step in an iteration; empty if there is no such step.
     pub(crate) fn tasks_of_step(
         &self,
         id: &JobId,
@@ -84,35 +84,35 @@
         })
     }
 
-    /// When an iteration is due by the client's wish, in milliseconds of the Unix epoch.
+    /// Requested start time of an iteration, in Unix milliseconds.
     pub(crate) fn due_unix_ms(&self, iteration: u32) -> Millis {
         self.request.start_at_ms + u64::from(iteration) * self.request.interval_ms
     }
 }
 
-/// All jobs that were submitted in a simulation.
+/// All jobs submitted in a simulation.
 #[derive(Debug, Default)]
 pub struct SubmittedJobs {
     jobs: BTreeMap<JobId, SubmittedJob>,
 }
 
 impl SubmittedJobs {
-    /// Adds a job.
+    /// Adds a job under its id.
     pub fn add(&mut self, id: JobId, job: SubmittedJob) {
         self.jobs.insert(id, job);
     }
 
-    /// A job.
+    /// Returns a job by id.
     pub fn job(&self, id: &JobId) -> Option<&SubmittedJob> {
         self.jobs.get(id)
     }
 
-    /// All jobs.
+    /// All jobs with their ids.
     pub fn jobs(&self) -> impl Iterator<Item = (&JobId, &SubmittedJob)> {
         self.jobs.iter()
     }
 
-    /// The step of a task, if a client submitted such a task.
+    /// Returns the step of a task; `None` if no client submitted such a task.
     pub fn step(&self, task: &TaskId) -> Option<&StepRequest> {
         let job = self.jobs.get(&task.job)?;
         let step = job.request.steps.get(task.step as usize)?;
@@ -120,7 +120,7 @@
         exists.then_some(step)
     }
 
-    /// The tasks of a task's gang, or the task alone.
+    /// Tasks of the gang of a task, or the task alone if it has no gang.
     pub(crate) fn gang_members(&self, task: &TaskId) -> impl Iterator<Item = TaskId> {
         let gang = self.step(task).filter(|step| step.gang);
         let indexes = match gang {
@@ -134,7 +134,7 @@
         })
     }
 
-    /// A task's work.
+    /// Work of a task, in milliseconds.
     pub fn work_ms(&self, task: &TaskId) -> Millis {
         let job = self.jobs.get(&task.job);
         job.map_or(0, |job| job.task_work_ms(task.step, task.index))
@@ -149,7 +149,7 @@
         run <= job.failing_runs || run == 1 && fails_first_run
     }
 
-    /// The name under which checkpoints of a task, or of its gang, are known.
+    /// Prefix of the checkpoints of a task or of its gang.
     fn checkpoint_owner(&self, task: &TaskId) -> String {
         let in_gang = self.step(task).is_some_and(|step| step.gang);
         let step = StepId::of_task(task);
@@ -161,12 +161,12 @@
         format!("{}.{}.{}.{index}", step.job, step.iteration, step.step)
     }
 
-    /// A checkpoint's text.
+    /// Encoded checkpoint of a task with this progress.
     pub fn checkpoint(&self, task: &TaskId, progress_ms: Millis) -> Arc<str> {
         format!("{}@{progress_ms}", self.checkpoint_owner(task)).into()
     }
 
-    /// The progress that a checkpoint holds, if it is one of this task or its gang.
+    /// Progress in a checkpoint; `None` if it belongs neither to the task nor to its gang.
     pub fn progress_of(&self, task: &TaskId, checkpoint: &str) -> Option<Millis> {
         let (owner, progress_ms) = checkpoint.split_once('@')?;
         if owner != self.checkpoint_owner(task) {
