--- a/crates/emulator/examples/losses.rs
+++ b/crates/emulator/examples/losses.rs
@@ -1,7 +1,8 @@
-//! Prints where benchmark runs lost their value, by cause; the rows add up to 1 less the score.
+//! Prints the value that benchmark runs lost, by cause; the rows add up to 1 minus the score.
 //!
-//! `cargo run -p streamusher-emulator --example losses -- --site SITE.toml REPORT LOG [REPORT LOG ...]`: the report of each run
-//! and what it printed with the logs of all machines. The table is the mean of the runs.
+//! `cargo run -p streamusher-emulator --example losses -- --site SITE.toml REPORT LOG [REPORT LOG ...]`:
+//! takes the report of each run, and its output with the logs of all machines. The table is the mean of the
+//! runs.
 
 use figment::providers::{Format, Toml};
 use figment::Figment;
@@ -10,7 +11,7 @@
 use std::process::ExitCode;
 use streamusher_emulator::lost_value::{parse_missed_objectives, LostValue, Report, RequestClass};
 
-/// Why there is no table.
+/// Error that prevents the table from being built.
 #[derive(Debug, thiserror::Error)]
 enum TableError {
     #[error("{source}\n{usage}")]
@@ -18,7 +19,7 @@
         source: getopts::Fail,
         usage: String,
     },
-    #[error("a log belongs to each report\n{usage}")]
+    #[error("each report requires a log\n{usage}")]
     ReportWithoutLog { usage: String },
     #[error("{path}: {source}")]
     Unreadable {
@@ -56,9 +57,14 @@
 
 fn table(arguments: &[String]) -> Result<LostValue, TableError> {
     let mut options = Options::new();
-    options.reqopt("", "site", "the deployment that was played", "FILE");
+    options.reqopt(
+        "",
+        "site",
+        "site file of the deployment used in the runs",
+        "FILE",
+    );
     let usage = || {
-        options.usage("losses --site FILE REPORT LOG [REPORT LOG ...]: where plays' worth was lost")
+        options.usage("losses --site FILE REPORT LOG [REPORT LOG ...]: value lost in benchmark runs, by cause")
     };
     let matches = options
         .parse(arguments)
--- a/crates/emulator/examples/policies.rs
+++ b/crates/emulator/examples/policies.rs
@@ -1,7 +1,8 @@
-//! Simulates policies on the same workloads, faults and seeds, and prints what each earns, with paired differences to the
-//! first.
+//! Simulates policies on the same workloads, faults and seeds, and prints the value that each earns, with
+//! paired differences to the first policy.
 //!
-//! `cargo run --profile system -p streamusher-emulator --example policies -- --workload long-first --seeds 40 --without headroom`
+//! `cargo run --profile system -p streamusher-emulator --example policies -- --workload long-first --seeds 40
+//! --without headroom`
 
 use getopts::{Matches, Options};
 use std::process::ExitCode;
@@ -14,13 +15,13 @@
 use streamusher_emulator::workload::Workload;
 use streamusher_scheduler::{Mechanism, Policy};
 
-/// Seeds where no number is given.
+/// Number of seeds if none is given.
 const DEFAULT_SEEDS: u64 = 20;
-/// Threads where no number is given.
+/// Number of threads if none is given.
 const DEFAULT_THREADS: usize = 4;
 const FIRST_SEED: u64 = 1;
 
-/// Why there is no plan.
+/// Error in the command line arguments.
 #[derive(Debug, thiserror::Error)]
 enum ArgumentError {
     #[error("{source}\n{usage}")]
@@ -28,17 +29,17 @@
         source: getopts::Fail,
         usage: String,
     },
-    #[error("--{option} wants a number, not {text}")]
+    #[error("--{option} requires a number, but got {text}")]
     NotANumber { option: &'static str, text: String },
-    #[error("no workload is called {0}")]
+    #[error("unknown workload {0}")]
     UnknownWorkload(String),
     #[error(transparent)]
     UnknownFaultProfile(#[from] UnknownFaultProfile),
-    #[error("no mechanism is called {0}")]
+    #[error("unknown mechanism {0}")]
     UnknownMechanism(String),
 }
 
-/// A policy and how it is called in the output.
+/// A policy with its name in the output.
 struct NamedPolicy {
     name: String,
     policy: Policy,
@@ -53,7 +54,7 @@
     }
 }
 
-/// What is simulated.
+/// Simulations to run, as given on the command line.
 struct Plan {
     workloads: Vec<Workload>,
     profiles: Vec<FaultProfile>,
@@ -80,27 +81,36 @@
     options.optmulti(
         "",
         "workload",
-        "a workload; all where none is given",
+        "a workload; all workloads if not given",
         "NAME",
     );
     options.optmulti(
         "",
         "days",
-        "calm, workers or failover; all where none is given",
+        "fault profile: calm, workers or failover; all profiles if not given",
         "KIND",
     );
     options.optmulti(
         "",
         "without",
-        "a policy without this mechanism",
+        "adds the policy without this mechanism",
         "MECHANISM",
     );
-    options.optflag("", "ablation", "a policy for each mechanism, without it");
-    options.optflag("", "simplest", "the policy without any mechanism");
-    options.optopt("", "seeds", "days of each kind", "COUNT");
+    options.optflag(
+        "",
+        "ablation",
+        "adds, for each mechanism, the policy without it",
+    );
+    options.optflag("", "simplest", "adds the policy without any mechanism");
+    options.optopt(
+        "",
+        "seeds",
+        "simulations per workload and fault profile",
+        "COUNT",
+    );
     options.optopt("", "from", "first seed", "SEED");
-    options.optflag("", "each-day", "print the figure of each day too");
-    options.optopt("", "threads", "days played at once", "COUNT");
+    options.optflag("", "each-day", "also print the score of each simulation");
+    options.optopt("", "threads", "simulations to run in parallel", "COUNT");
     options
 }
 
@@ -110,7 +120,7 @@
         .parse(arguments)
         .map_err(|source| ArgumentError::Options {
             source,
-            usage: options.usage("policies: what mechanisms of placement are worth"),
+            usage: options.usage("policies: measures the value of placement mechanisms"),
         })?;
     Ok(Plan {
         workloads: workloads(&matches)?,
@@ -176,39 +186,39 @@
 }
 
 fn run(plan: &Plan) -> ExitCode {
-    let mut broken = 0;
+    let mut violating = 0;
     for workload in &plan.workloads {
         let workload = Arc::new(workload.clone());
         for profile in &plan.profiles {
-            broken += run_profile(plan, &workload, *profile);
+            violating += run_profile(plan, &workload, *profile);
         }
     }
-    if broken > 0 {
-        eprintln!("{broken} days broke a rule");
+    if violating > 0 {
+        eprintln!("{violating} simulations violated a rule");
         return ExitCode::FAILURE;
     }
     ExitCode::SUCCESS
 }
 
-/// Returns in how many simulations a rule was broken.
+/// Returns the number of simulations that violated a rule.
 fn run_profile(plan: &Plan, workload: &Arc<Workload>, profile: FaultProfile) -> usize {
     let policies: Vec<Policy> = plan.policies.iter().map(|named| named.policy).collect();
     let seeds = plan.first_seed..plan.first_seed + plan.seeds;
     let outcomes = simulate_all(workload, profile, &policies, seeds, plan.threads);
-    println!("{} {profile}, {} days", workload.name, plan.seeds);
-    let mut broken = 0;
-    for (named, of_policy) in plan.policies.iter().zip(&outcomes) {
-        print_line(workload, &named.name, &outcomes[0], of_policy);
-        broken += print_violations(of_policy);
+    println!("{} {profile}, {} simulations", workload.name, plan.seeds);
+    let mut violating = 0;
+    for (named, policy_outcomes) in plan.policies.iter().zip(&outcomes) {
+        print_line(workload, &named.name, &outcomes[0], policy_outcomes);
+        violating += print_violations(policy_outcomes);
         if plan.prints_each_seed {
-            let scores: Vec<String> = scores(of_policy)
+            let scores: Vec<String> = scores(policy_outcomes)
                 .iter()
                 .map(|score| format!("{score:.4}"))
                 .collect();
-            println!("    each day: {}", scores.join(" "));
+            println!("    each simulation: {}", scores.join(" "));
         }
     }
-    broken
+    violating
 }
 
 fn scores(outcomes: &[PolicyOutcome]) -> Vec<f64> {
@@ -240,12 +250,12 @@
 }
 
 fn print_violations(outcomes: &[PolicyOutcome]) -> usize {
-    let mut broken = 0;
+    let mut violating = 0;
     for outcome in outcomes {
         if let Some(violation) = outcome.violations.first() {
             println!("    seed {}: {violation}", outcome.seed);
-            broken += 1;
+            violating += 1;
         }
     }
-    broken
+    violating
 }
--- a/crates/emulator/src/checker/configuration_rules.rs
+++ b/crates/emulator/src/checker/configuration_rules.rs
@@ -134,8 +134,9 @@
             .candidates()
             .any(|sent| sorted(sent) == read);
         if !was_sent {
-            let text =
-                format!("configuration version {version} was read, but matches no accepted change");
+            let text = format!(
+                "configuration version {version} was read, but was never sent or was rejected"
+            );
             self.report(now, Rule::Config, text);
         }
     }
--- a/crates/emulator/tests/control_plane.rs
+++ b/crates/emulator/tests/control_plane.rs
@@ -1,5 +1,6 @@
-//! Severe faults of the control plane: docs/design/control-state.md names the point that each test belongs to. The
-//! configuration is read at any control machine several times a second, and whatever was acknowledged before must be in it.
+//! Severe faults of the control plane; the numbered sections correspond to the points in
+//! docs/design/control-state.md. Each simulation reads the configuration from any control machine several
+//! times a second; it must contain every change acknowledged before.
 
 mod common;
 
@@ -11,10 +12,10 @@
 use streamusher_emulator::fleet::settings::FleetSettings;
 use streamusher_protocol::Millis;
 
-/// Far above every lease, hold and time-out.
-const CUT_MS: Millis = 20_000;
+/// Duration of an isolation, far longer than every lease, hold and time-out.
+const ISOLATION_MS: Millis = 20_000;
 
-/// A small fleet with so many control machines, whose traffic lasts through a cut of twenty seconds.
+/// Small fleet with this many control machines, whose traffic outlasts an isolation of 20 s.
 fn long_traffic(seed: u64, control_machines: usize, tolerance: usize) -> FleetSettings {
     FleetSettings {
         control_machines,
@@ -24,10 +25,10 @@
     }
 }
 
-// 1. A member cut off.
+// 1. Isolated member.
 
 #[rstest]
-fn isolated_member_answers_nothing_outdated(
+fn isolated_member_gives_no_stale_response(
     #[values(
         ControlTarget::Primary,
         ControlTarget::Index(0),
@@ -44,7 +45,7 @@
             ControlDegradation::Isolate {
                 target,
                 one_way,
-                for_ms: CUT_MS,
+                for_ms: ISOLATION_MS,
             },
         )
         .with(
@@ -67,7 +68,7 @@
             4_000,
             ControlDegradation::IsolateFromAll {
                 target,
-                for_ms: CUT_MS,
+                for_ms: ISOLATION_MS,
             },
         )
         .with(
@@ -81,7 +82,7 @@
 }
 
 #[rstest]
-fn partitioned_halves_answer_nothing_outdated(
+fn partitioned_halves_give_no_stale_response(
     #[values(3, 4, 5, 6)] control_machines: usize,
     #[values(310, 311, 312, 314, 318)] seed: u64,
 ) {
@@ -132,7 +133,7 @@
     simulate(small(seed), schedule);
 }
 
-// 3. A second loss after a repair.
+// 3. Second loss after a repair.
 
 #[rstest]
 fn disk_lost_after_acknowledgement_loses_nothing(
--- a/crates/emulator/tests/cpu_quota.rs
+++ b/crates/emulator/tests/cpu_quota.rs
@@ -1,4 +1,4 @@
-//! Processors whose share is a quota: all processes stand still for the rest of each tenth of a second.
+//! Fleets under a CPU quota, which suspends all processes for the rest of each period of 100 ms.
 
 mod common;
 
@@ -18,29 +18,32 @@
     }
 }
 
-/// A process that stands still for under a tenth of a second is well: nobody replaces it.
+/// A process that is suspended for less than 100 ms is healthy and must not be replaced.
 #[rstest]
-fn standing_still_for_the_rest_of_a_period_changes_no_member(
+fn suspension_within_a_period_changes_no_member(
     #[values(901, 902, 903)] seed: u64,
     #[values(50, 25, 12, 7)] slice_ms: Millis,
     #[values((3, 1), (5, 1), (7, 2))] shape: (usize, usize),
 ) {
-    let ordinary = FleetSettings {
+    let without_quota = FleetSettings {
         cpu_quota: None,
         ..fleet(seed, slice_ms, shape.0, shape.1)
     };
-    let undisturbed = simulate(ordinary, no_faults()).newest_epoch();
+    let epoch_without_quota = simulate(without_quota, no_faults()).newest_epoch();
     let fleet = simulate(fleet(seed, slice_ms, shape.0, shape.1), no_faults());
-    println!("EPOCH {slice_ms} {} {undisturbed}", fleet.newest_epoch());
+    println!(
+        "EPOCH {slice_ms} {} {epoch_without_quota}",
+        fleet.newest_epoch()
+    );
     assert!(
-        fleet.newest_epoch() <= undisturbed + 2,
-        "{} epochs for {undisturbed}",
+        fleet.newest_epoch() <= epoch_without_quota + 2,
+        "{} epochs, {epoch_without_quota} without a quota",
         fleet.newest_epoch()
     );
 }
 
 #[rstest]
-fn failover_under_a_quota_breaks_no_rule(
+fn failover_under_a_quota_violates_no_rule(
     #[values(911, 912, 913)] seed: u64,
     #[values(50, 25, 12)] slice_ms: Millis,
     #[values((3, 1), (5, 1))] shape: (usize, usize),
--- a/crates/emulator/tests/decisions.rs
+++ b/crates/emulator/tests/decisions.rs
@@ -1,8 +1,9 @@
-//! What the whole scheduler decides on fixed days is the same to the last byte, in all that it sends and stores.
+//! Compares the decisions of the whole scheduler in fixed scenarios with recorded digests of everything that
+//! it sends and stores.
 //!
-//! A step that only renames, moves or documents keeps these digests. A step that changes a decision or an encoded form on
-//! purpose says so in its commit, and replaces them: `DECISIONS_SHOW=1 cargo test -p streamusher-emulator --test
-//! decisions -- --nocapture` prints the new ones.
+//! A commit that only renames, moves or documents code must keep these digests. A commit that changes a
+//! decision or an encoded form on purpose must say so and replace them: `DECISIONS_SHOW=1 cargo test -p
+//! streamusher-emulator --test decisions -- --nocapture` prints the new digests.
 
 #![allow(
     clippy::expect_used,
@@ -18,27 +19,27 @@
 use streamusher_emulator::workload::presets;
 use streamusher_scheduler::Policy;
 
-/// Days of each kind.
+/// Number of scenarios of each kind.
 const SEEDS: u64 = 25;
-/// Days played at once.
+/// Number of simulations run in parallel.
 const THREADS: usize = 3;
-/// The recorded digests, a line a day.
+/// Recorded digests, one line per scenario.
 const RECORDED: &str = include_str!("decisions/days.txt");
-/// The recorded figures of policies, a line a day.
+/// Recorded results of policies, one line per simulation.
 const RECORDED_POLICIES: &str = include_str!("decisions/policies.txt");
 
-fn compare(name: &str, played: &str, recorded: &str) {
+fn compare(name: &str, simulated: &str, recorded: &str) {
     if std::env::var_os("DECISIONS_SHOW").is_some() {
-        println!("--- {name}\n{played}---");
+        println!("--- {name}\n{simulated}---");
         return;
     }
-    for (played, recorded) in played.lines().zip(recorded.lines()) {
+    for (simulated, recorded) in simulated.lines().zip(recorded.lines()) {
         assert_eq!(
-            played, recorded,
-            "another decision or another encoded form than recorded"
+            simulated, recorded,
+            "a decision or an encoded form differs from the recorded one"
         );
     }
-    assert_eq!(played.lines().count(), recorded.lines().count());
+    assert_eq!(simulated.lines().count(), recorded.lines().count());
 }
 
 fn digests() -> Vec<String> {
@@ -52,11 +53,11 @@
                     break;
                 }
                 let seed = number / 2;
-                let (name, days) = match number % 2 {
+                let (name, kind) = match number % 2 {
                     0 => ("ordinary", ScenarioKind::Ordinary),
                     _ => ("control", ScenarioKind::Control),
                 };
-                let digest = digest(seed, days);
+                let digest = digest(seed, kind);
                 let line = format!("{name} {seed:02} {} {}", digest.entries, digest.shown());
                 lines.lock().expect("no thread panics").push((number, line));
             });
@@ -68,27 +69,27 @@
 }
 
 #[test]
-fn all_that_is_sent_and_stored_on_fixed_days_is_as_recorded() {
+fn digests_of_fixed_scenarios_are_as_recorded() {
     compare("days", &digests().concat(), RECORDED);
 }
 
 #[test]
-fn policies_start_and_earn_the_same_on_fixed_days_as_recorded() {
+fn starts_and_scores_of_policies_are_as_recorded() {
     let policies = [Policy::default(), Policy::first_fit()];
     let mut lines = String::new();
     for name in ["short-first", "far-data"] {
-        let workload = Arc::new(presets::named(name).expect("a workload of ours"));
-        for (number, days) in
+        let workload = Arc::new(presets::named(name).expect("a predefined workload"));
+        for (number, outcomes) in
             simulate_all(&workload, FaultProfile::Workers, &policies, 0..3, THREADS)
                 .iter()
                 .enumerate()
         {
-            for day in days {
-                let figure = day.earned.score();
+            for outcome in outcomes {
+                let score = outcome.earned.score();
                 writeln!(
                     lines,
-                    "{name} {number} {} {} {figure:?}",
-                    day.seed, day.starts
+                    "{name} {number} {} {} {score:?}",
+                    outcome.seed, outcome.starts
                 )
                 .expect("writing to a string");
             }
--- a/crates/emulator/tests/fault_free.rs
+++ b/crates/emulator/tests/fault_free.rs
@@ -5,7 +5,8 @@
 use common::{no_faults, simulate, small};
 use streamusher_emulator::scenario::{self, ScenarioKind};
 
-/// The queues of the first configuration, which stay without faults. Clients now and then name another one.
+/// Queues of the initial configuration, which remain in place without faults. Clients occasionally submit to
+/// other queues.
 const QUEUES: [&str; 5] = ["/quick/", "/log/", "/gang/", "/lasting/", "/image/"];
 
 #[test]
@@ -22,7 +23,7 @@
     assert_eq!(
         fleet.checker().job_counts().accepted,
         to_known_queues,
-        "all but those to queues that never were"
+        "every job ends except those submitted to queues that never existed"
     );
     assert_eq!(fleet.checker().open_jobs(), Vec::new());
 }
--- a/crates/emulator/tests/faults.rs
+++ b/crates/emulator/tests/faults.rs
@@ -1,4 +1,5 @@
-//! Faults that strike a whole fleet. The numbers are those of the questions in docs/design/system.md.
+//! Faults that affect a whole fleet. The numbered sections correspond to the questions in
+//! docs/design/system.md.
 
 #![allow(
     clippy::expect_used,
@@ -16,7 +17,7 @@
 use streamusher_emulator::fleet::settings::FleetSettings;
 use streamusher_emulator::limits::DeploymentLimits;
 
-/// A small fleet with so many jobs in its ordinary traffic.
+/// Small fleet with this many jobs in its ordinary traffic.
 fn with_jobs(seed: u64, job_count: usize) -> FleetSettings {
     FleetSettings {
         job_count,
@@ -174,7 +175,7 @@
     simulate(with_jobs(51, 60), schedule);
 }
 
-// 7. Acceptance.
+// 7. Acceptance of jobs.
 
 #[test]
 fn other_gate_answers_for_accepted_jobs() {
--- a/crates/emulator/tests/fencing.rs
+++ b/crates/emulator/tests/fencing.rs
@@ -1,5 +1,5 @@
-//! DUTY: who was refused because another one has used a higher fencing token does not go on with the lower one.
-//! `docs/design/control-state.md` has the table of callers and tokens.
+//! Rule DUTY: a process whose fencing token was refused because another process has used a higher one must
+//! not continue to use it. `docs/design/control-state.md` has the table of callers and tokens.
 
 mod common;
 
--- a/crates/emulator/tests/lost_value.rs
+++ b/crates/emulator/tests/lost_value.rs
@@ -1,4 +1,5 @@
-//! The table of a benchmark run's lost value: its rows add up, and each loss stands by the cause that the jobs' lines give.
+//! Table of a benchmark run's lost value: its rows add up to the loss, and each loss is attributed to the
+//! cause given by the log lines of the jobs.
 
 #![allow(
     clippy::expect_used,
@@ -17,7 +18,7 @@
     {"name": "batch", "worth": 3.0, "aim_ms": 4000, "priority": 2, "jobs": {"stretch": 4.0}}
 ]"#;
 
-/// Ten checks of which two were late, ten batches of which one was refused.
+/// Ten requests of class `check`, two of them late, and ten of class `batch`, one of them rejected.
 fn report() -> Report {
     let classes = r#"[
         {"name": "check", "n": 10, "late": 2, "refused": 0, "failed": 0, "not_owed": 0, "worth": 0.9},
@@ -32,11 +33,11 @@
         r#"{{"G": 0.82, "parts": {parts}, "prices": [["machine-seconds", 1.0, 0.03], ["bytes", 0.0, 0.0]],
             "classes": {classes}, "windows": {windows}}}"#
     );
-    serde_json::from_str(&text).expect("a report")
+    serde_json::from_str(&text).expect("a valid report")
 }
 
 fn classes() -> Vec<RequestClass> {
-    serde_json::from_str(CLASSES).expect("classes")
+    serde_json::from_str(CLASSES).expect("valid request classes")
 }
 
 fn line(ended_s: f64, took_ms: u64, spent: &str) -> String {
@@ -45,7 +46,7 @@
     )
 }
 
-fn near(a: f64, b: f64) -> bool {
+fn approx_eq(a: f64, b: f64) -> bool {
     (a - b).abs() < 1e-9
 }
 
@@ -65,7 +66,7 @@
     let report = report();
     let lost_value = LostValue::of(&report, &classes(), &parse_missed_objectives(log));
     assert!(
-        near(lost_value.total(), 1.0 - report.score),
+        approx_eq(lost_value.total(), 1.0 - report.score),
         "{lost_value:?}"
     );
     assert!(
@@ -89,32 +90,33 @@
         &classes(),
         &parse_missed_objectives(&log.join("\n")),
     );
-    // Of the whole day's 0.07 a quarter is the checks', by worth; of the worst windows' 0.06 and three misses two are known.
-    let of_lines = 0.07 / 4.0 + 0.06 * 2.0 / 3.0 + 0.015;
-    let lost = of_lines / 2.0 * (1_000.0 / 1_500.0);
+    // The class `check` accounts for a quarter of the whole day's loss of 0.07, by value. Of the three misses
+    // in the worst windows, which lose 0.06, the log lines explain two.
+    let explained_loss = 0.07 / 4.0 + 0.06 * 2.0 / 3.0 + 0.015;
+    let lost = explained_loss / 2.0 * (1_000.0 / 1_500.0);
     assert!(
-        near(
+        approx_eq(
             loss(&lost_value, &LossCause::Stage(LatencyStage::Lost)),
             lost
         ),
         "{lost_value:?}"
     );
     assert!(
-        near(
+        approx_eq(
             loss(
                 &lost_value,
                 &LossCause::Stage(LatencyStage::WaitedForCapacity)
             ),
-            of_lines - lost
+            explained_loss - lost
         ),
         "{lost_value:?}"
     );
     assert!(
-        near(loss(&lost_value, &LossCause::Unknown), 0.07 * 0.75 + 0.02),
+        approx_eq(loss(&lost_value, &LossCause::Unknown), 0.07 * 0.75 + 0.02),
         "{lost_value:?}"
     );
     assert!(
-        near(
+        approx_eq(
             loss(&lost_value, &LossCause::Price("machine-seconds".into())),
             0.03
         ),
@@ -123,7 +125,7 @@
 }
 
 #[rstest]
-fn lines_stand_for_suppressed_ones() {
+fn lines_represent_suppressed_lines() {
     let late = |ended_s| line(ended_s, 2_500, r#"{"worked":1000,"unknown":1500}"#);
     let log = format!(
         "{}\n{}\n{} (6 more since)\n{}",
@@ -147,5 +149,5 @@
     );
     let missed = parse_missed_objectives(&log);
     assert_eq!(missed.len(), 1);
-    assert!(near(missed[0].due_s, 2.5));
+    assert!(approx_eq(missed[0].due_s, 2.5));
 }
--- a/crates/emulator/tests/many_at_once.rs
+++ b/crates/emulator/tests/many_at_once.rs
@@ -1,4 +1,5 @@
-//! Many processes go at the same moment, by a kill or a loss of power: nothing is lost, and work goes on.
+//! Simultaneous failure of many processes, by kills or a power loss: nothing acknowledged is lost, and work
+//! continues.
 
 mod common;
 
@@ -8,7 +9,7 @@
 use streamusher_emulator::fleet::settings::FleetSettings;
 use streamusher_protocol::Millis;
 
-/// Enough gates and agents for halves of them.
+/// Fleet with enough gates and agents to take down half of them.
 fn fleet(seed: u64, (control_machines, tolerance): (usize, usize)) -> FleetSettings {
     FleetSettings {
         control_machines,
@@ -22,7 +23,7 @@
 }
 
 #[rstest]
-fn nothing_is_lost_when_many_processes_go_at_once(
+fn nothing_is_lost_when_many_processes_fail_at_once(
     #[values(801, 802)] seed: u64,
     #[values((3, 1), (5, 2))] shape: (usize, usize),
     #[values(Portion::None, Portion::Half, Portion::All)] gates: Portion,
--- a/crates/emulator/tests/policy.rs
+++ b/crates/emulator/tests/policy.rs
@@ -1,4 +1,5 @@
-//! What decisions earn in a few simulations: the policy is no worse than the simplest one, whatever is urgent.
+//! Value that policies earn in a few simulations: the default policy must not be worse than first fit,
+//! whatever the priorities.
 
 #![allow(
     clippy::expect_used,
@@ -12,11 +13,11 @@
 use streamusher_emulator::workload::{presets, Workload};
 use streamusher_scheduler::{Mechanism, Policy};
 
-/// Simulations of each kind.
+/// Seeds of the simulations of each workload.
 const SEEDS: std::ops::Range<u64> = 1..5;
 const THREADS: usize = 3;
-/// By how much the mean of a few simulations may be off by chance.
-const CHANCE: f64 = 0.04;
+/// Tolerance for the random error of the mean of a few simulations.
+const RANDOM_ERROR: f64 = 0.04;
 
 fn simulated(
     workload: Workload,
@@ -54,7 +55,7 @@
     )]
     name: &str,
 ) {
-    let workload = presets::named(name).expect("a workload of ours");
+    let workload = presets::named(name).expect("a predefined workload");
     let outcomes = simulated(
         workload,
         FaultProfile::Workers,
@@ -62,13 +63,13 @@
     );
     let gain = Estimate::of_pairs(&scores(&outcomes[1]), &scores(&outcomes[0]));
     assert!(
-        gain.mean > -CHANCE,
-        "{name}: {gain} against the simplest policy"
+        gain.mean > -RANDOM_ERROR,
+        "{name}: {gain} compared with first fit"
     );
 }
 
 #[test]
-fn urgent_long_jobs_and_impatient_short_jobs_are_in_time() {
+fn urgent_long_jobs_and_low_priority_short_jobs_are_in_time() {
     let without = Policy::default().without(Mechanism::Headroom);
     let outcomes = simulated(
         presets::long_first(),
--- a/crates/emulator/tests/search.rs
+++ b/crates/emulator/tests/search.rs
@@ -1,16 +1,17 @@
-//! Scenarios drawn from seeds keep every rule. `EMULATOR_SEEDS=n` simulates n of them, `EMULATOR_FROM=n` begins at another
-//! seed, and `EMULATOR_SEED=n` simulates one and prints what happens.
+//! Simulates scenarios drawn from seeds and checks that no rule is violated. `EMULATOR_SEEDS=n` sets their
+//! number, `EMULATOR_FROM=n` sets the first seed, and `EMULATOR_SEED=n` simulates a single scenario and
+//! prints its events.
 
 use rstest::rstest;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 use streamusher_emulator::scenario::{self, Outcome, ScenarioKind};
 
-/// Scenarios that are simulated without being asked for more.
+/// Number of scenarios simulated by default.
 const DEFAULT_COUNT: u64 = 200;
-/// Simulations at a time.
+/// Number of simulations run in parallel.
 const THREADS: usize = 3;
-/// Failing scenarios that are printed.
+/// Maximum number of failing scenarios to print.
 const MAX_PRINTED: usize = 10;
 
 fn number(name: &str) -> Option<u64> {
@@ -39,8 +40,8 @@
     outcomes
 }
 
-/// Scenarios that broke a rule once; `docs/incidents/` says why. What a seed draws may change with the emulator: the cause of
-/// each is tested by itself in `faults.rs`.
+/// Seeds whose scenarios once violated a rule; `docs/incidents/` explains the causes. Changes of the emulator
+/// may change what a seed draws, so `faults.rs` has a separate test for each cause.
 #[rstest]
 #[case::worker_and_agent_lost_together(1992)]
 #[case::call_of_a_dead_start(3669)]
@@ -85,12 +86,12 @@
     let accepted: usize = outcomes.iter().map(|outcome| outcome.jobs.accepted).sum();
     let ended: usize = outcomes.iter().map(|outcome| outcome.jobs.ended).sum();
     println!(
-        "{count} days: {starts} starts, {ended} of {accepted} jobs ended, {} days failed",
+        "{count} scenarios: {starts} starts, {ended} of {accepted} jobs ended, {} scenarios failed",
         failed.len()
     );
     let seeds: Vec<u64> = failed.iter().map(|outcome| outcome.seed).collect();
     assert!(
         failed.is_empty(),
-        "rules were broken in the days of seeds {seeds:?}"
+        "rules were violated in the scenarios of seeds {seeds:?}"
     );
 }
