--- a/crates/emulator/examples/policies.rs
+++ b/crates/emulator/examples/policies.rs
@@ -1,8 +1,7 @@
 //! Simulates policies on the same workloads, faults and seeds, and prints the value that each earns, with
 //! paired differences to the first policy.
 //!
-//! `cargo run --profile system -p streamusher-emulator --example policies -- --workload long-first --seeds 40
-//! --without headroom`
+//! `cargo run --profile system -p streamusher-emulator --example policies -- --workload long-first --seeds 40 --without headroom`
 
 use getopts::{Matches, Options};
 use std::process::ExitCode;
--- a/crates/emulator/src/random.rs
+++ b/crates/emulator/src/random.rs
@@ -22,7 +22,7 @@
     WorkerKinds = 4,
     /// Sizes of a fleet.
     Settings = 5,
-    /// Faults of the ordinary schedule.
+    /// Faults, except the additional faults of the control plane.
     Faults = 7,
     /// Additional faults of the control plane.
     ControlFaults = 8,
