--- a/crates/ledger/src/export/content.rs
+++ b/crates/ledger/src/export/content.rs
@@ -36,7 +36,7 @@
     NotAnExport,
     #[error("its head cannot be read")]
     Header,
-    #[error("a block's header cannot be decoded")]
+    #[error("a block's head cannot be read")]
     BlockHeader,
     #[error("a length in it is not what was written")]
     Length,
--- a/crates/ledger/src/export/mod.rs
+++ b/crates/ledger/src/export/mod.rs
@@ -42,7 +42,7 @@
     },
     /// The folder already holds a different export of this instance and period. Holds the path of its
     /// manifest.
-    #[error("{0}: this folder already holds an export of the period with different content")]
+    #[error("{0}: another export of this period stands here already, with other content")]
     Differs(PathBuf),
 }
 
--- a/crates/ledger/src/scan/part_reader.rs
+++ b/crates/ledger/src/scan/part_reader.rs
@@ -38,7 +38,7 @@
     EntryCount { found: u64, recorded: u64 },
     #[error("an entry refers to name {0}, which does not exist")]
     Name(u32),
-    #[error("correction {0} cannot be decoded")]
+    #[error("correction {0} cannot be read")]
     Correction(u64),
     #[error("{0} is not what the manifest says")]
     Differs(&'static str),
--- a/crates/ledger/src/store/read.rs
+++ b/crates/ledger/src/store/read.rs
@@ -245,7 +245,7 @@
             let (id, name, checksum) = row.map_err(&database_error)?;
             match marked::name_checksum(id, &name) == checksum {
                 true => Ok((id, name)),
-                false => Err(self.damaged(format!("name {id} does not match its checksum"))),
+                false => Err(self.damaged(format!("name {id} is not what was written"))),
             }
         };
         rows.map(checked).collect()
@@ -324,7 +324,7 @@
             Some(bad) => Err(self.bad_row(block, bad.0)),
             None => {
                 let what = format!("the block of entries {first} to {last} of epoch {epoch}");
-                Err(self.damaged(format!("{what} does not match its hash")))
+                Err(self.damaged(format!("{what} is not what was written")))
             }
         }
     }
@@ -407,7 +407,7 @@
 
     pub(crate) fn bad_row(&self, block: &Block, index: u64) -> StoreError {
         self.damaged(format!(
-            "entry {} of epoch {} is corrupt",
+            "entry {} of epoch {} is not what was written",
             block.first.saturating_add(index),
             block.epoch
         ))
@@ -425,7 +425,7 @@
                 let correction = postcard::from_bytes(&body);
                 correction
                     .map(|correction| (number, correction))
-                    .map_err(|_| self.damaged(format!("correction {number} cannot be decoded")))
+                    .map_err(|_| self.damaged(format!("correction {number} cannot be read")))
             })
             .collect()
     }
@@ -447,7 +447,7 @@
             let (number, body, mac) = row.map_err(&database_error)?;
             match Correction::mac(&body, &self.key, &self.instance, number)[..] == mac[..] {
                 true => Ok((number, body)),
-                false => Err(self.damaged(format!("correction {number} does not match its MAC"))),
+                false => Err(self.damaged(format!("correction {number} is not what was written"))),
             }
         };
         rows.map(checked).collect()
