--- a/crates/ledger/src/gate.rs
+++ b/crates/ledger/src/gate.rs
@@ -1,9 +1,9 @@
 //! Holds answers until their entries are durable, and decides what happens when the disk does not keep up.
 //!
 //! A state machine without I/O; callers pass the time. Invariants: sequence numbers are assigned in ascending
-//! order without gaps; an entry is released once, either as durable or as unbooked; new work is refused only
-//! while the ledger is not trusted; with [`OnFailure::Refuse`] no result is released whose entry is not
-//! durable.
+//! order without gaps; an answer is released once, either with a durable entry or as unbooked; new work is
+//! refused only while the ledger is not trusted; with [`OnFailure::Refuse`] no result is released whose entry
+//! is not durable.
 
 use crate::entry::Micros;
 
@@ -74,7 +74,8 @@
         self.on_failure == OnFailure::ServeUnbilled || cfg!(feature = "mutant-release-unbooked")
     }
 
-    /// Whether entries are currently being written without delay.
+    /// Whether the ledger is trusted: false after a failure or an overdue entry, until the store is opened
+    /// again or a further entry is reported durable. True at the start.
     pub fn is_trusted(&self) -> bool {
         self.trusted
     }
--- a/crates/ledger/src/receipts.rs
+++ b/crates/ledger/src/receipts.rs
@@ -41,8 +41,8 @@
     let column = column.ok_or_else(|| file_error("line 1: no column 'operation'".into()))?;
     let mut found = HashSet::new();
     let mut row = csv::StringRecord::new();
-    // An unterminated quote swallows the rest of the file, so its line is reported instead of the CSV
-    // reader's error.
+    // The CSV reader takes everything after an unterminated quote as one field, so the line of the quote is
+    // reported instead of the reader's error.
     let unterminated_quote_error = || {
         quotes
             .borrow()
--- a/crates/ledger/src/store/mod.rs
+++ b/crates/ledger/src/store/mod.rs
@@ -35,7 +35,7 @@
 pub const DATABASE_FILE: &str = "ledger.db";
 /// Name of the lock file, which is locked by the dispatcher that writes to the store.
 const LOCK_FILE: &str = "ledger.lock";
-/// How long one process waits for another's commit.
+/// Maximum time that a call waits for the commit of another process.
 pub(crate) const LOCK_TIMEOUT: Duration = Duration::from_secs(5);
 
 const SCHEMA: &str = "
@@ -240,8 +240,8 @@
             .ok_or_else(|| self.damaged(format!("table about has no value for {name}")))
     }
 
-    /// Guards against totals over two period lengths, sequence numbers of two instances, and MACs that cannot
-    /// be verified.
+    /// Checks that the store was made for this instance, period length and key. Guards against totals over
+    /// two period lengths, sequence numbers of two instances, and MACs that cannot be verified.
     fn check_metadata(&self, options: &Options) -> Result<(), StoreError> {
         for (name, expected) in [
             ("instance", options.instance.clone()),
@@ -330,9 +330,9 @@
     wal.into()
 }
 
-/// Guards against a truncated file, which the database itself notices only when it reads the missing part.
-/// While its write-ahead log is not empty, a file may be shorter than its header says: a crash in the middle
-/// of a checkpoint leaves it so, and replaying the log repairs it.
+/// Rejects a truncated database file, which SQLite itself notices only when it reads the missing part. While
+/// the write-ahead log is not empty, the file may be shorter than its header says: a crash during a
+/// checkpoint has this effect, and replaying the log repairs the file.
 fn check_not_truncated(path: &Path) -> Result<(), StoreError> {
     use std::io::Read;
     if std::fs::metadata(wal_path(path)).is_ok_and(|wal| wal.len() > 0) {
--- a/crates/ledger/src/store/write.rs
+++ b/crates/ledger/src/store/write.rs
@@ -24,8 +24,8 @@
 }
 
 impl Store {
-    /// Runs `operation` in one transaction. Acquires the write lock at the start, so that the transaction cannot fail
-    /// for lack of it only at its end.
+    /// Runs `operation` in one transaction. Acquires the write lock at the start; otherwise the transaction
+    /// could fail to get the lock only at its end.
     fn in_transaction<T>(
         &mut self,
         operation: impl FnOnce(&Transaction, &mut HashMap<Arc<str>, u32>) -> rusqlite::Result<T>,
--- a/crates/ledger/src/writer/thread.rs
+++ b/crates/ledger/src/writer/thread.rs
@@ -10,9 +10,8 @@
 
 /// Maximum number of entries in one commit.
 const MAX_COMMIT_ENTRIES: usize = 4_096;
-/// Maximum time that delivery marks wait for entries to be committed with. A mark lost in a crash adds a
+/// Maximum time that delivery marks wait to be committed together with entries. A mark lost in a crash adds a
 /// doubt, but never makes a total wrong.
-/// never a wrong sum.
 const MAX_MARK_DELAY: Duration = Duration::from_millis(20);
 /// Time between attempts to write to a store that fails.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
@@ -49,7 +48,7 @@
     }
 }
 
-/// Result of an attempt to write.
+/// Result of one attempt to commit a batch.
 #[derive(Clone, Copy, PartialEq)]
 enum Attempt {
     Done,
@@ -69,7 +68,8 @@
     up_to: u64,
     /// Message of the last failure, empty while the store works.
     last_error: String,
-    /// When the store was first found locked by another process, `None` if it is not.
+    /// When a commit first found the store locked by another process, `None` if none has since the last
+    /// successful commit.
     locked_since: Option<Instant>,
     /// Closed periods whose doubts are not settled by the rule yet.
     unsettled: Vec<Period>,
--- a/src/billing.rs
+++ b/src/billing.rs
@@ -27,8 +27,8 @@
     gate: RefCell<Gate>,
     writer: RefCell<Option<Writer>>,
     key: [u8; 32],
-    /// Class names by class number. Names of classes added at run time are appended when such
-    /// a class is first booked.
+    /// Class names by class number. Names of classes added at run time are appended when an entry of such a
+    /// class is first booked.
     classes: RefCell<Vec<Arc<str>>>,
     hub: std::rc::Weak<Hub>,
     /// Number that the core assigned to this usage recorder.
@@ -37,7 +37,7 @@
     log: Logger,
 }
 
-/// Returns the system clock's Unix time in microseconds. Entries are booked by this time, and it may step.
+/// Returns the system clock's Unix time in microseconds. Entries are booked by this clock, which may step.
 pub(crate) fn unix_time_us() -> Micros {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -67,8 +67,7 @@
     let (sender, events) = async_channel::unbounded();
     let send_event = move |event| drop(sender.try_send(event)); // the receiver is dropped when the event loop ends
     let writer = Writer::start(options, closing, unix_time_us, send_event);
-    let writer =
-        writer.map_err(|error| format!("[ledger]: cannot start the writer thread: {error}"))?;
+    let writer = writer.map_err(|error| format!("[ledger]: no thread for it: {error}"))?;
     let billing = Rc::new(Billing {
         gate: RefCell::new(Gate::new(
             config.on_failure,
@@ -149,8 +148,8 @@
 }
 
 impl Billing {
-    /// Whether an answer may be released without being booked. Only results are billed, so any other answer
-    /// may.
+    /// Whether an answer may be released although it is not booked. Only results are billed, so answers other
+    /// than results always may.
     fn may_release(&self, outcome: OperationOutcome) -> bool {
         outcome != OperationOutcome::Served || self.gate.borrow().releases_unbooked()
     }
@@ -179,8 +178,8 @@
     }
 
     fn record(&self, now: Micros, deadline: Micros, usage: &UsageRecord) -> RecordStatus {
-        let verdict = self.gate.borrow_mut().book(now, deadline);
-        let (seq, until) = match verdict {
+        let decision = self.gate.borrow_mut().book(now, deadline);
+        let (seq, until) = match decision {
             BookingDecision::Hold { seq, until } => (seq, until),
             BookingDecision::Unbooked if self.may_release(usage.outcome) => {
                 return RecordStatus::Unbooked
