--- a/crates/emulator/src/faults/draw.rs
+++ b/crates/emulator/src/faults/draw.rs
@@ -1,4 +1,4 @@
-//! Draws a schedule of faults from random numbers. The order of the draws is part of what a seed means.
+//! Draws a fault schedule from a seed. The order of the draws determines which schedule a seed gives.
 
 use super::kinds::{
     ClientAction, ControlDegradation, ControlOutage, ControlTarget, DataPlaneFault, OperatorAction,
@@ -8,16 +8,16 @@
 use crate::random::{Random, Stream};
 use streamusher_protocol::Millis;
 
-/// Kinds among which a fault of the control plane is drawn; some count twice.
+/// Number of kinds from which a fault of the control plane is drawn; some kinds count twice.
 const CONTROL_KINDS: usize = 15;
-/// Kinds among which another fault is drawn; some count twice.
+/// Number of kinds from which any other fault is drawn; some kinds count twice.
 const OTHER_KINDS: usize = 16;
-/// Kinds among which an action of clients or operators is drawn; one counts twice.
+/// Number of kinds from which an action of clients or operators is drawn; one kind counts twice.
 const ACTION_KINDS: usize = 8;
-/// How far a time of day jumps.
+/// Size of the jump of a wall clock.
 const CLOCK_STEP_MS: i64 = 4_000;
 
-/// Draws the faults of a seed, within the tolerance of the fleet.
+/// Draws the faults of a seed, within the fault tolerance of the fleet.
 pub fn draw_schedule(seed: u64, scope: ScheduleScope) -> FaultSchedule {
     let random = Random::new(seed, Stream::Faults);
     let mut draw = ScheduleDraw::new(random, scope, FaultSchedule::default());
@@ -27,7 +27,7 @@
     draw.finish()
 }
 
-/// A schedule that is being drawn.
+/// Builder of a schedule that is drawn from random numbers.
 pub(super) struct ScheduleDraw {
     pub(super) random: Random,
     scope: ScheduleScope,
@@ -35,7 +35,7 @@
 }
 
 impl ScheduleDraw {
-    /// Adds to a schedule.
+    /// Creates a builder that adds faults to `schedule`.
     pub(super) fn new(
         random: Random,
         scope: ScheduleScope,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The schedule in the order of its times.
+    /// Returns the schedule sorted by time.
     pub(super) fn finish(mut self) -> FaultSchedule {
         self.schedule.sort();
         self.schedule
@@ -58,7 +58,7 @@
         self.schedule.faults.push(PlannedFault { due, fault });
     }
 
-    /// A time at which a fault of this length may begin.
+    /// Draws a start time for a fault of this length.
     pub(super) fn draw_time(&mut self, length_ms: Millis) -> Millis {
         let latest = self.scope.ends_at.saturating_sub(length_ms);
         let latest = latest.max(self.scope.starts_at);
@@ -80,8 +80,8 @@
         ControlTarget::Index(self.random.below(self.scope.control_machines))
     }
 
-    /// Either some faults that keep all disks, which may overlap, or one that loses a disk, which overlaps with no other
-    /// machine's loss: more is not tolerated.
+    /// Adds either several faults that preserve all disks and may overlap, or one that loses a disk and
+    /// overlaps with no loss of another machine: the fleet does not tolerate more.
     fn add_control_faults(&mut self) {
         if self.random.chance(0.4) {
             self.add_disk_loss();
@@ -141,7 +141,7 @@
             self.add(due + down_ms + soon_ms, fault.clone());
         }
         self.add(due, fault);
-        // Another machine's fault comes once the first has caught up.
+        // Injects a fault of another machine only after the first machine has caught up.
         let caught_up_at = due + 2 * (down_ms + 2_000) + self.scope.catch_up_ms + 3_000;
         if caught_up_at < self.scope.ends_at && self.random.chance(0.5) {
             let fault = self.draw_control_fault();
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Faults of gates, agents and workers, of all processes, and of the primary's clock.
+    /// Adds faults of gates, agents and workers, of all processes, and of the primary's clock.
     fn add_other_faults(&mut self) {
         for _ in 0..self.random.below(5) {
             let due = self.draw_time(2_000);
@@ -289,7 +289,7 @@
         }
     }
 
-    /// What clients and operators do beside the ordinary traffic.
+    /// Adds actions of clients and operators in addition to the regular traffic.
     fn add_client_and_operator_actions(&mut self) {
         for _ in 0..self.random.below(6) {
             let due = self.draw_time(1_000);
--- a/crates/emulator/src/faults/draw_control.rs
+++ b/crates/emulator/src/faults/draw_control.rs
@@ -1,4 +1,5 @@
-//! Severe faults of the control plane: halves, long cuts, hundreds of changes, requests that arrive late or too early.
+//! Severe faults of the control plane: partitions, long isolation, series of changes, and requests that
+//! arrive late or out of order.
 
 use super::draw::{draw_schedule, ScheduleDraw};
 use super::kinds::{ControlDegradation, ControlOutage, OperatorAction};
@@ -7,15 +8,16 @@
 use std::ops::RangeInclusive;
 use streamusher_protocol::Millis;
 
-/// A long cut: far above every lease, hold and time-out.
+/// Duration of a long isolation: far longer than any lease, hold or time-out.
 const LONG_CUT_MS: RangeInclusive<Millis> = 12_000..=20_000;
-/// What a fault that does not say its length may take.
-const ORDINARY_LENGTH_MS: Millis = 5_000;
+/// Assumed duration of a fault that carries none of its own.
+const DEFAULT_LENGTH_MS: Millis = 5_000;
 const MAX_FAULTS: usize = 4;
-/// Kinds among which a fault is drawn; one counts twice.
+/// Number of kinds from which a fault is drawn; one kind counts twice.
 const KINDS: usize = 9;
 
-/// Draws the faults of a seed and further, severe ones of the control plane, which may overlap beyond the tolerance.
+/// Draws the faults of a seed, and further severe faults of the control plane, which may overlap beyond the
+/// tolerance.
 pub fn draw_schedule_with_control_faults(seed: u64, scope: ScheduleScope) -> FaultSchedule {
     let random = Random::new(seed, Stream::ControlFaults);
     let mut draw = ScheduleDraw::new(random, scope, draw_schedule(seed, scope));
@@ -80,6 +82,6 @@
             ControlDegradation::Isolate { for_ms, .. }
             | ControlDegradation::IsolateFromAll { for_ms, .. },
         ) => *for_ms,
-        _ => ORDINARY_LENGTH_MS,
+        _ => DEFAULT_LENGTH_MS,
     }
 }
--- a/crates/emulator/src/faults/kinds.rs
+++ b/crates/emulator/src/faults/kinds.rs
@@ -1,229 +1,232 @@
-//! The kinds of faults, by what they strike. The table in `docs/design/troubles.md` says which promise each attacks.
+//! The kinds of faults, grouped by the component that they affect. The table in `docs/design/troubles.md`
+//! lists the guarantee that each one attacks.
 
 use streamusher_protocol::Millis;
 
-/// Which control machine is meant.
+/// Selects a control machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlTarget {
-    /// The one that is primary when the fault is injected.
+    /// The machine that is primary when the fault is injected.
     Primary,
-    /// One by its place among those in use.
+    /// The machine at this index among the control machines in use.
     Index(usize),
 }
 
-/// Takes processes of control machines down.
+/// Takes control machine processes down.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ControlOutage {
-    /// A process is killed; its disk stays as it was.
+    /// Kills a process; its disk keeps its state.
     Kill {
-        /// The machine.
+        /// The affected machine.
         target: ControlTarget,
-        /// Time until it is started again.
+        /// Time until the restart.
         down_ms: Millis,
     },
-    /// A machine loses power: what was not synced may be lost.
+    /// A machine loses power: data that was not synced may be lost.
     PowerLoss {
-        /// The machine.
+        /// The affected machine.
         target: ControlTarget,
-        /// Time until it is started again.
+        /// Time until the restart.
         down_ms: Millis,
     },
     /// A machine loses power and its disk.
     Wipe {
-        /// The machine.
+        /// The affected machine.
         target: ControlTarget,
-        /// Time until it is started again.
+        /// Time until the restart.
         down_ms: Millis,
     },
     /// All processes of the control plane are killed.
     KillAll {
-        /// Time until they are started again.
+        /// Time until the restart.
         down_ms: Millis,
     },
     /// All control machines lose power.
     PowerLossAll {
-        /// Time until they are started again.
+        /// Time until the restart.
         down_ms: Millis,
-        /// The one that loses its disk too.
+        /// The control machine that also loses its disk.
         wipe: Option<ControlTarget>,
     },
     /// All machines of the fleet lose power.
     PowerLossEverywhere {
-        /// Time until they are started again.
+        /// Time until the restart.
         down_ms: Millis,
-        /// The control machine that loses its disk too.
+        /// The control machine that also loses its disk.
         wipe: Option<ControlTarget>,
     },
-    /// A machine leaves for good, and another one joins at a new address.
+    /// A machine leaves permanently, and another one joins at a new address.
     Replace {
         /// The machine that leaves.
         target: ControlTarget,
-        /// Time until the new one joins.
+        /// Time until the new machine joins.
         after_ms: Millis,
     },
-    /// The machines are told to leave and are started again, one after the other.
+    /// Each machine is asked to leave and is restarted, one after the other.
     RollingRestart {
-        /// From the start of one to the leaving of the next.
+        /// Time from the start of one machine until the next one is asked to leave.
         gap_ms: Millis,
     },
 }
 
-/// Disturbs control machines that go on running.
+/// Disturbs control machines that keep running.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ControlDegradation {
-    /// A machine freezes and wakes.
+    /// The process of a machine is suspended and resumes later.
     Freeze {
-        /// The machine.
+        /// The affected machine.
         target: ControlTarget,
-        /// How long.
+        /// Duration of the fault.
         for_ms: Millis,
     },
-    /// A machine is cut off from the other control machines.
+    /// A machine is isolated from the other control machines.
     Isolate {
-        /// The machine.
+        /// The affected machine.
         target: ControlTarget,
-        /// Only messages from it are blocked, those to it pass.
+        /// Only messages from the machine are blocked; messages to it pass.
         one_way: bool,
-        /// How long.
+        /// Duration of the fault.
         for_ms: Millis,
     },
-    /// A machine is cut off from everybody.
+    /// A machine is isolated from all other machines.
     IsolateFromAll {
-        /// The machine.
+        /// The affected machine.
         target: ControlTarget,
-        /// How long.
+        /// Duration of the fault.
         for_ms: Millis,
     },
-    /// The control plane is split into two halves, the primary in the smaller one; all other machines reach both.
+    /// The control plane is partitioned into two halves, with the primary in the smaller one; all other
+    /// machines reach both.
     Partition {
-        /// How long.
+        /// Duration of the fault.
         for_ms: Millis,
     },
-    /// A machine's disk takes longer.
+    /// Disk syncs of a machine take longer.
     SlowDisk {
-        /// The machine.
+        /// The affected machine.
         target: ControlTarget,
-        /// Added to each sync.
+        /// Delay added to each sync.
         by_ms: Millis,
-        /// How long.
+        /// Duration of the fault.
         for_ms: Millis,
     },
-    /// A machine's disk hangs.
+    /// The disk of a machine stops completing syncs.
     StallDisk {
-        /// The machine.
+        /// The affected machine.
         target: ControlTarget,
-        /// How long.
+        /// Duration of the fault.
         for_ms: Millis,
     },
-    /// A machine's disk refuses writes.
+    /// The disk of a machine rejects writes.
     FullDisk {
-        /// The machine.
+        /// The affected machine.
         target: ControlTarget,
-        /// How long.
+        /// Duration of the fault.
         for_ms: Millis,
     },
-    /// A machine's time of day jumps, and back.
+    /// The wall clock of a machine jumps, and later jumps back.
     StepClock {
-        /// The machine.
+        /// The affected machine.
         target: ControlTarget,
-        /// How far.
+        /// Size of the jump; negative moves the clock back.
         by_ms: i64,
         /// Time until it jumps back.
         for_ms: Millis,
     },
-    /// Some messages between control machines are lost.
+    /// A share of the messages between control machines is lost.
     DropMessages {
-        /// Share of the messages.
+        /// Share of the messages that is lost, from 0 to 1.
         share: f64,
-        /// How long.
+        /// Duration of the fault.
         for_ms: Millis,
     },
-    /// All links of a machine are slow.
+    /// All links of a machine have added latency.
     SlowLinks {
-        /// The machine.
+        /// The affected machine.
         target: ControlTarget,
-        /// Added to each message.
+        /// Latency added to each message.
         by_ms: Millis,
-        /// How long.
+        /// Duration of the fault.
         for_ms: Millis,
     },
 }
 
-/// Strikes gates, agents, or all processes.
+/// Affects gates, agents, or all processes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DataPlaneFault {
-    /// A gate's process is killed.
+    /// Kills the process of a gate.
     KillGate {
-        /// Its place among the gates.
+        /// Index among the gates.
         gate: usize,
-        /// Time until it is started again.
+        /// Time until the restart.
         down_ms: Millis,
     },
-    /// A gate freezes.
+    /// The process of a gate is suspended and resumes later.
     FreezeGate {
-        /// Its place among the gates.
+        /// Index among the gates.
         gate: usize,
-        /// How long.
+        /// Duration of the fault.
         for_ms: Millis,
     },
-    /// A gate is cut off from the control plane.
+    /// A gate is isolated from the control plane.
     IsolateGate {
-        /// Its place among the gates.
+        /// Index among the gates.
         gate: usize,
-        /// How long.
+        /// Duration of the fault.
         for_ms: Millis,
     },
-    /// An agent's process is killed.
+    /// Kills the process of an agent.
     KillAgent {
-        /// The agent's worker.
+        /// Index of the agent's worker.
         worker: usize,
-        /// Time until it is started again.
+        /// Time until the restart.
         down_ms: Millis,
     },
-    /// An agent freezes.
+    /// The process of an agent is suspended and resumes later.
     FreezeAgent {
-        /// The agent's worker.
+        /// Index of the agent's worker.
         worker: usize,
-        /// How long.
+        /// Duration of the fault.
         for_ms: Millis,
     },
-    /// A worker's machine is cut off from the control plane; the worker goes on.
+    /// The machine of a worker is isolated from the control plane; the worker keeps running.
     IsolateAgent {
-        /// The agent's worker.
+        /// Index of the agent's worker.
         worker: usize,
-        /// Only messages from it are blocked, those to it pass.
+        /// Only messages from the machine are blocked; messages to it pass.
         one_way: bool,
-        /// How long.
+        /// Duration of the fault.
         for_ms: Millis,
     },
     /// All processes of the fleet are killed at once.
     KillEverything {
-        /// Time until they are started again.
+        /// Time until the restart.
         down_ms: Millis,
     },
-    /// Many processes go at the same moment.
+    /// Takes many processes down at the same moment.
     TakeManyDown {
-        /// Which.
+        /// The processes that go down, by role.
         targets: ManyTargets,
-        /// Whether their machines lose power, so that nobody is told; else the processes are killed.
+        /// Whether the machines lose power, so that no other machine is notified; otherwise the processes are
+        /// killed.
         power_loss: bool,
-        /// Time until they are started again.
+        /// Time until the restart.
         down_ms: Millis,
     },
 }
 
-/// Processes that go at once, by role.
+/// Processes that go down at the same moment, by role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ManyTargets {
-    /// Of the gates.
+    /// Portion of the gates.
     pub gates: Portion,
-    /// Of the agents.
+    /// Portion of the agents.
     pub agents: Portion,
-    /// Of the control machines, the primary first.
+    /// Portion of the control machines; the primary is selected first.
     pub control_machines: Portion,
 }
 
-/// How many of several machines.
+/// Portion of a group of machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Portion {
     /// None of them.
@@ -237,7 +240,7 @@
 }
 
 impl Portion {
-    /// How many of `count`.
+    /// Number of machines that the portion covers out of `count`.
     pub fn of(self, count: usize) -> usize {
         match self {
             Portion::None => 0,
@@ -248,82 +251,82 @@
     }
 }
 
-/// Strikes a worker.
+/// Affects a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WorkerFault {
-    /// It crashes.
+    /// The worker crashes.
     Crash {
-        /// The worker.
+        /// Index of the worker.
         worker: usize,
-        /// Time until it comes back; none if it does not.
+        /// Time until the worker restarts; `None` if it stays down.
         back_ms: Option<Millis>,
     },
-    /// It works at another speed.
+    /// The worker runs at another speed.
     Slow {
-        /// The worker.
+        /// Index of the worker.
         worker: usize,
-        /// Factor on its speed; 0 makes no progress.
+        /// Factor on the worker's speed; 0 stops all progress.
         speed: f64,
-        /// How long.
+        /// Duration of the fault.
         for_ms: Millis,
     },
-    /// It fails some of the runs that it starts.
+    /// The worker fails a share of the runs that it starts.
     FailRuns {
-        /// The worker.
+        /// Index of the worker.
         worker: usize,
-        /// Share of the runs.
+        /// Share of the runs that fail, from 0 to 1.
         share: f64,
-        /// How long.
+        /// Duration of the fault.
         for_ms: Millis,
     },
-    /// It drains and leaves; another incarnation of it comes later.
+    /// The worker drains and leaves; a new incarnation of it joins later.
     Drain {
-        /// The worker.
+        /// Index of the worker.
         worker: usize,
-        /// Time until it leaves.
+        /// Time until the worker leaves.
         after_ms: Millis,
-        /// From its leaving until it comes back.
+        /// Time from the worker's leaving until its new incarnation joins.
         back_ms: Millis,
     },
 }
 
-/// What clients do beside the ordinary traffic.
+/// Actions of clients in addition to the regular traffic.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ClientAction {
-    /// They submit many jobs at once.
+    /// Clients submit many jobs at once.
     SubmitBurst {
-        /// How many.
+        /// Number of jobs.
         jobs: usize,
     },
-    /// They submit jobs that can never succeed.
+    /// Clients submit jobs that can never succeed.
     SubmitHopeless {
-        /// How many.
+        /// Number of jobs.
         jobs: usize,
     },
-    /// They cancel jobs that are not over.
+    /// Clients cancel jobs that are not finished.
     Cancel {
-        /// How many.
+        /// Number of jobs.
         jobs: usize,
     },
 }
 
-/// What operators do, and what happens to their requests.
+/// Actions of operators, and faults that affect their requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum OperatorAction {
     /// An operator changes the configuration.
     Change,
-    /// Two operators change the same version.
+    /// Two operators change the same version concurrently.
     Race,
-    /// An operator makes one change after another.
+    /// An operator makes a series of changes.
     ChangeSeries {
-        /// How many.
+        /// Number of changes.
         count: usize,
-        /// From one to the next.
+        /// Time from one change to the next.
         gap_ms: Millis,
     },
-    /// An operator sends a change and, without waiting for its response, one that builds on it.
+    /// An operator sends a change and, without waiting for the response, another change that builds on it.
     ChangeChain,
-    /// Copies of operators' requests are delayed on their way, and arrive all the same.
+    /// Copies of operator requests are delayed in the network and still arrive.
     DelayRequestCopies {
         /// The longest delay.
         max_delay_ms: Millis,
@@ -332,9 +335,9 @@
     },
     /// An operator sends an invalid change.
     InvalidChange,
-    /// Responses to operators are lost on their way.
+    /// Responses to operators are lost in the network.
     LoseResponses {
-        /// How long.
+        /// Duration of the fault.
         for_ms: Millis,
     },
 }
--- a/crates/emulator/src/faults/mod.rs
+++ b/crates/emulator/src/faults/mod.rs
@@ -1,8 +1,8 @@
-//! Faults, and schedules of them: written by hand for a test, or drawn from a seed.
+//! Faults and fault schedules, which are written by hand for a test or drawn from a seed.
 //!
 //! - `kinds`: the kinds of faults.
-//! - `schedule`: faults and their times.
-//! - `draw`, `draw_control`: schedules from seeds.
+//! - `schedule`: faults and the times at which they are injected.
+//! - `draw`, `draw_control`: schedules drawn from a seed.
 
 mod draw;
 mod draw_control;
--- a/crates/emulator/src/faults/schedule.rs
+++ b/crates/emulator/src/faults/schedule.rs
@@ -1,4 +1,4 @@
-//! A schedule of faults.
+//! Fault schedules.
 
 use super::kinds::{
     ClientAction, ControlDegradation, ControlOutage, DataPlaneFault, OperatorAction, WorkerFault,
@@ -6,28 +6,28 @@
 use std::fmt;
 use streamusher_protocol::Millis;
 
-/// A fault, or another event that is planned like one.
+/// A fault, or a client or operator action that is scheduled like one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// Processes of control machines go down.
+    /// Takes processes of control machines down.
     Outage(ControlOutage),
-    /// Control machines that go on running are disturbed.
+    /// Disturbs control machines that keep running.
     Degradation(ControlDegradation),
-    /// Gates and agents.
+    /// Affects gates, agents, or all processes.
     DataPlane(DataPlaneFault),
-    /// Workers.
+    /// Affects a worker.
     Worker(WorkerFault),
-    /// Clients.
+    /// An action of clients.
     Client(ClientAction),
-    /// Operators.
+    /// An action of operators, or a fault that affects their requests.
     Operator(OperatorAction),
-    /// This happens right after the next acknowledged change, to the machine that acknowledged it where the fault strikes
-    /// the primary.
+    /// Injects the fault right after the next acknowledged change. Where the fault targets the primary, it
+    /// affects the machine that acknowledged the change.
     AfterAcknowledgement(Box<Fault>),
 }
 
 impl Fault {
-    /// The same, right after the next acknowledged change.
+    /// Defers the fault until right after the next acknowledged change.
     #[must_use]
     pub fn after_acknowledgement(self) -> Fault {
         Fault::AfterAcknowledgement(Box::new(self))
@@ -84,21 +84,22 @@
     }
 }
 
-/// A fault and its time.
+/// A fault and the time at which it is injected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedFault {
-    /// When it is injected, in true time.
+    /// Time of the injection, in true time.
     pub due: Millis,
-    /// The fault.
+    /// The fault to inject.
     pub fault: Fault,
 }
 
 /// All faults of a simulation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FaultSchedule {
-    /// In the order of their times.
+    /// Faults sorted by time.
     pub faults: Vec<PlannedFault>,
-    /// More machines may be lost at once than is tolerated, without more lost disks: service may rest then.
+    /// Whether more machines may be lost at once than the fleet tolerates, though no more disks. Service may
+    /// be unavailable then.
     pub allows_overlaps: bool,
 }
 
@@ -111,25 +112,25 @@
     }
 }
 
-/// The fleet and the span of time that a schedule is drawn for.
+/// The fleet and the time span for which a schedule is drawn.
 #[derive(Clone, Copy, Debug)]
 pub struct ScheduleScope {
-    /// Control machines.
+    /// Number of control machines.
     pub control_machines: usize,
-    /// Gates.
+    /// Number of gates.
     pub gates: usize,
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
-    /// The first fault.
+    /// Earliest time of a fault.
     pub starts_at: Millis,
-    /// The end of the last fault.
+    /// Latest end of a fault.
     pub ends_at: Millis,
-    /// For how long a machine that returned counts as lost.
+    /// Time for which a machine that has returned still counts as lost.
     pub catch_up_ms: Millis,
 }
 
 impl FaultSchedule {
-    /// Adds a fault at a time.
+    /// Adds a fault that is injected at `due`.
     #[must_use]
     pub fn with(mut self, due: Millis, fault: impl Into<Fault>) -> FaultSchedule {
         let fault = fault.into();
@@ -138,7 +139,7 @@
         self
     }
 
-    /// The same, where more machines may be lost at once than is tolerated.
+    /// Allows more machines to be lost at once than the fleet tolerates.
     #[must_use]
     pub fn with_overlaps(self) -> FaultSchedule {
         FaultSchedule {
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Whether some time of day jumps.
+    /// Whether the schedule contains a jump of a wall clock.
     pub(crate) fn steps_clocks(&self) -> bool {
         let steps = |planned: &PlannedFault| {
             matches!(
