--- a/crates/emulator/src/fleet/agent.rs
+++ b/crates/emulator/src/fleet/agent.rs
@@ -1,4 +1,4 @@
-//! Workers' machines: the real agent between a simulated worker and the control plane.
+//! Worker machines: the real agent between a simulated worker and the control plane.
 
 use super::discovery;
 use super::environment::Environment;
@@ -17,20 +17,20 @@
 use streamusher_protocol::internal::AgentSync;
 use streamusher_protocol::Millis;
 
-/// Longer than the primary holds a call.
+/// Time-out of a synchronization call; longer than the primary holds one.
 const SYNC_TIMEOUT_MS: Millis = 1_200;
-/// A message inside a machine.
+/// Latency of a message within a machine.
 pub(crate) const LOCAL_DELAY_MS: Millis = 1;
-/// From the response to a worker's deregistration to its end.
-const LEAVES_AFTER_MS: Millis = 50;
+/// Time from the response to a worker's deregistration until the worker ends.
+const LEAVE_DELAY_MS: Millis = 50;
 
-/// The agent does what is due.
+/// Runs the agent's periodic tick.
 pub(crate) fn tick(env: &mut Environment, machine: MachineId) {
     discovery::probe(env, machine);
     handle(env, machine, AgentEvent::Tick);
 }
 
-/// The agent does what is due between two ticks.
+/// Runs the agent at a wake-up that was scheduled between two ticks.
 pub(crate) fn on_wakeup(env: &mut Environment, machine: MachineId, boot: u64) {
     if env.machines[machine].is_boot(boot) {
         handle(env, machine, AgentEvent::Tick);
@@ -46,10 +46,10 @@
     for action in actions {
         perform(env, machine, action);
     }
-    plan_wakeup(env, machine, now);
+    schedule_wakeup(env, machine, now);
 }
 
-fn plan_wakeup(env: &mut Environment, machine: MachineId, now: Millis) {
+fn schedule_wakeup(env: &mut Environment, machine: MachineId, now: Millis) {
     let true_now = env.now;
     let boot = env.machines[machine].boot;
     let Some(agent) = env.machines.agent_mut(machine) else {
@@ -108,7 +108,7 @@
         worker,
         incarnation,
     };
-    env.schedule_in(LEAVES_AFTER_MS, event);
+    env.schedule_in(LEAVE_DELAY_MS, event);
 }
 
 fn send_sync(env: &mut Environment, machine: MachineId, sync: AgentSync) {
@@ -127,7 +127,7 @@
     rpc::call(env, caller, primary, request, SYNC_TIMEOUT_MS);
 }
 
-/// A synchronization with the primary is over.
+/// Handles the outcome of a synchronization call to the primary.
 pub(crate) fn on_call_returned(
     env: &mut Environment,
     machine: MachineId,
@@ -152,7 +152,7 @@
     handle(env, machine, event);
 }
 
-/// A worker's heartbeat arrives.
+/// Handles a heartbeat from a worker.
 pub(crate) fn on_heartbeat(
     env: &mut Environment,
     machine: MachineId,
@@ -183,7 +183,7 @@
     handle(env, machine, event);
 }
 
-/// A worker's deregistration arrives.
+/// Handles a deregistration from a worker.
 pub(crate) fn on_deregistration(
     env: &mut Environment,
     machine: MachineId,
--- a/crates/emulator/src/fleet/builder.rs
+++ b/crates/emulator/src/fleet/builder.rs
@@ -1,4 +1,4 @@
-//! Builds a fleet: its machines, and the events that are planned from the start.
+//! Builds a fleet: its machines, and the events that are scheduled at the start.
 
 use super::clients::{Clients, FINAL_QUERIES_MS};
 use super::environment::Environment;
@@ -23,18 +23,19 @@
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// How often promises with a time are checked.
+/// Interval between two checks of guarantees with a deadline.
 pub(crate) const CHECK_INTERVAL_MS: Millis = 200;
-/// Processes start within this time.
+/// Time within which all processes start.
 const MAX_PROCESS_START_MS: Millis = 300;
-/// When workers come up first.
+/// True time at which workers first start.
 const WORKERS_START_AT_MS: Millis = 500;
-/// From the last query of a client to the end of the simulation.
+/// Time from the last query of a client to the end of the simulation.
 const END_MARGIN_MS: Millis = 500;
 /// Probability that workers report repeated starts of runs that have ended.
-const REPORTS_REPEATED_STARTS: f64 = 0.5;
+const REPEATED_STARTS_REPORTED_PROBABILITY: f64 = 0.5;
 
-/// A fleet that is about to start. The order of what is drawn and planned is part of what a seed means.
+/// Builds a fleet before its start. The order in which values are drawn and events are scheduled determines
+/// which simulation a seed gives.
 pub(crate) fn build(
     settings: FleetSettings,
     schedule: &FaultSchedule,
@@ -43,15 +44,15 @@
 ) -> FleetState {
     let mut env = environment(settings, schedule);
     let mut workers = SimulatedWorkers::new(workers, settings.limits, settings.seed);
-    let reports_repeated_starts = env.random.chance(REPORTS_REPEATED_STARTS);
+    let reports_repeated_starts = env.random.chance(REPEATED_STARTS_REPORTED_PROBABILITY);
     workers.set_reports_repeated_starts(reports_repeated_starts);
     add_machines(&mut env);
-    plan_events(&mut env, schedule);
+    schedule_initial_events(&mut env, schedule);
     match workload {
-        Some(workload) => traffic::plan_workload(&mut env, workload),
-        None => traffic::plan_ordinary(&mut env),
+        Some(workload) => traffic::schedule_workload(&mut env, workload),
+        None => traffic::schedule_regular_traffic(&mut env),
     }
-    Operators::plan(&mut env);
+    Operators::schedule_initial_requests(&mut env);
     FleetState {
         environment: env,
         clients: Clients::new(workload.cloned()),
@@ -73,7 +74,7 @@
     }
 }
 
-fn plan_events(env: &mut Environment, schedule: &FaultSchedule) {
+fn schedule_initial_events(env: &mut Environment, schedule: &FaultSchedule) {
     for machine in env.machines.ids() {
         let due = env.random.between(0, MAX_PROCESS_START_MS);
         env.schedule_at(due, Event::Start { machine });
--- a/crates/emulator/src/fleet/clients.rs
+++ b/crates/emulator/src/fleet/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: they submit jobs, query them, and cancel some.
+//! Clients, which submit jobs, query them, and cancel some of them.
 
 use super::environment::Environment;
 use super::event::{ClientEvent, Event};
@@ -16,33 +16,33 @@
 use streamusher_protocol::task::JobId;
 use streamusher_protocol::Millis;
 
-/// How long clients wait for a response.
+/// Time-out of a client's request.
 const RESPONSE_TIMEOUT_MS: Millis = 3_000;
-/// Attempts to submit a job.
+/// Largest number of attempts to submit a job.
 const MAX_SUBMIT_ATTEMPTS: u32 = 10;
-/// How long a job is queried at the end of the simulation.
+/// Duration of the queries at the end of the simulation.
 pub(crate) const FINAL_QUERIES_MS: Millis = 4_000;
-/// Between two queries at the end of the simulation.
+/// Interval between two queries of a job at the end of the simulation.
 const FINAL_QUERY_INTERVAL_MS: Millis = 400;
-/// Between two queries of a job.
+/// Interval between two queries of a job.
 const QUERY_INTERVAL_MS: Millis = 900;
-/// Share of the jobs that name a queue which was added, removed, or never was.
+/// Share of the jobs that name a queue that was added, was removed, or never existed.
 const OTHER_QUEUE_SHARE: f64 = 0.15;
-/// Share of the jobs that are sent to two gates at once.
-const SENT_TWICE_SHARE: f64 = 0.25;
-/// Share of the jobs that are sent once more after they were accepted.
-const RESUBMITTED_SHARE: f64 = 0.1;
-/// How long after at most.
+/// Share of the jobs that are submitted twice at the same time, each time to a random gate.
+const DUPLICATE_SUBMIT_SHARE: f64 = 0.25;
+/// Share of the jobs that are submitted again after they were accepted.
+const RESUBMIT_SHARE: f64 = 0.1;
+/// Longest time from the acceptance of a job until it is submitted again.
 const MAX_RESUBMIT_DELAY_MS: Millis = 6_000;
 /// Share of the jobs that are cancelled.
 const CANCELLED_SHARE: f64 = 0.1;
-/// How long a job runs at most until it is cancelled.
+/// Longest time from the acceptance of a job until it is cancelled.
 const MAX_CANCEL_DELAY_MS: Millis = 3_000;
-/// How long a job whose tasks run on and on runs at most.
-const MAX_LONG_RUN_MS: Millis = 8_000;
-/// Every run fails.
+/// Longest time from the acceptance of a long-running job until it is cancelled.
+const MAX_LONG_RUNNING_CANCEL_DELAY_MS: Millis = 8_000;
+/// Number of failing runs of a job all of whose runs fail.
 const ALWAYS_FAILS: u32 = u32::MAX;
-/// When an overloaded client comes back, unless it is told.
+/// Pause before an overloaded client retries, unless the response gives one.
 const DEFAULT_RETRY_AFTER_MS: Millis = 500;
 const MIN_RETRY_AFTER_MS: Millis = 100;
 
@@ -54,7 +54,7 @@
     FinalQuery,
 }
 
-/// What a client remembers of a job.
+/// State that a client keeps for a job.
 #[derive(Debug)]
 struct ClientJob {
     id: JobId,
@@ -64,16 +64,16 @@
     submit_attempts: u32,
     accepted: bool,
     cancelled: bool,
-    /// It was shown in a final state.
+    /// Whether a response has reported a final state.
     ended: bool,
-    final_query: FinalQuery,
+    final_query: FinalQueryState,
 }
 
 /// Whether a job is still queried at the end of the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum FinalQuery {
+enum FinalQueryState {
     Pending,
-    Over,
+    Finished,
 }
 
 impl ClientJob {
@@ -88,7 +88,7 @@
             accepted: false,
             cancelled: false,
             ended: false,
-            final_query: FinalQuery::Pending,
+            final_query: FinalQueryState::Pending,
         }
     }
 }
@@ -108,7 +108,7 @@
     jobs: Vec<ClientJob>,
     open_requests: BTreeMap<u64, OpenRequest>,
     last_request: u64,
-    /// Set if the traffic is that of a workload.
+    /// Workload whose traffic the clients generate; `None` for the regular traffic.
     workload: Option<Arc<Workload>>,
 }
 
@@ -120,7 +120,8 @@
         }
     }
 
-    /// Something is due. `other_queues` are queues that operators have added, perhaps removed meanwhile.
+    /// Handles a scheduled event. `other_queues` are queues that operators have added and possibly removed
+    /// since.
     pub(crate) fn on_event(
         &mut self,
         env: &mut Environment,
@@ -134,7 +135,7 @@
             ClientEvent::Resubmit { job } => self.send_submission(env, job),
             ClientEvent::Query { job } => self.query(env, job),
             ClientEvent::Cancel { job } => self.cancel(env, job),
-            ClientEvent::FinalQuery { job } => self.query_finally(env, job),
+            ClientEvent::FinalQuery { job } => self.send_final_query(env, job),
             ClientEvent::RequestArrives { request } => self.on_request_arrives(env, request),
             ClientEvent::ResponseArrives { request, response } => {
                 self.on_response(env, request, response);
@@ -168,17 +169,17 @@
         self.submit_new(env, job);
     }
 
-    /// Submits a job, and plans its final query.
+    /// Submits a job, and schedules its final query.
     fn submit_new(&mut self, env: &mut Environment, job: SubmittedJob) {
         let digits = format!("{:016x}", env.random.next_u64());
         let Ok(id) = digits.parse::<JobId>() else {
-            unreachable!("16 hexadecimal digits are a job's id")
+            unreachable!("16 hexadecimal digits are a valid job id")
         };
         self.jobs.push(ClientJob::new(id.clone(), &job));
         let job_index = self.jobs.len() - 1;
         env.submitted_jobs.add(id, job);
         self.submit(env, job_index);
-        if env.random.chance(SENT_TWICE_SHARE) {
+        if env.random.chance(DUPLICATE_SUBMIT_SHARE) {
             self.submit(env, job_index);
         }
         let due = env.settings.final_queries_at().max(env.now);
@@ -217,7 +218,7 @@
         self.send(env, job, Purpose::Cancel, "".into());
     }
 
-    /// Cancels the newest jobs that are not over.
+    /// Cancels the newest accepted jobs that are neither finished nor cancelled.
     pub(crate) fn cancel_newest(&mut self, env: &mut Environment, count: usize) {
         let is_open = |job: &ClientJob| job.accepted && !job.cancelled && !job.ended;
         let newest_first = (0..self.jobs.len()).rev();
@@ -228,22 +229,22 @@
         }
     }
 
-    fn query_finally(&mut self, env: &mut Environment, job: usize) {
-        if self.jobs[job].final_query == FinalQuery::Over {
+    fn send_final_query(&mut self, env: &mut Environment, job: usize) {
+        if self.jobs[job].final_query == FinalQueryState::Finished {
             return;
         }
         let last_query_at =
             env.settings.final_queries_at() + FINAL_QUERIES_MS - FINAL_QUERY_INTERVAL_MS;
         if env.now > last_query_at {
-            self.settle(env, job, false);
+            self.finish_final_query(env, job, false);
             return;
         }
         self.send(env, job, Purpose::FinalQuery, "".into());
     }
 
-    fn settle(&mut self, env: &mut Environment, job: usize, answered: bool) {
+    fn finish_final_query(&mut self, env: &mut Environment, job: usize, answered: bool) {
         let state = &mut self.jobs[job];
-        state.final_query = FinalQuery::Over;
+        state.final_query = FinalQueryState::Finished;
         env.checker
             .on_final_query_over(env.now, &state.id, answered);
     }
@@ -298,7 +299,7 @@
         gate::on_client_request(env, open.gate, request, open.request.clone());
     }
 
-    /// A gate's process has ended: its clients' connections break.
+    /// Breaks the clients' connections to a gate whose process has ended.
     pub(crate) fn on_gate_ended(&self, env: &mut Environment, gate: MachineId) {
         let requests = self.open_requests.iter();
         for (request, _) in requests.filter(|(_, open)| open.gate == gate) {
@@ -318,7 +319,7 @@
         let status = response.as_ref().map_or(0, |response| response.status);
         env.trace(|| {
             format!(
-                "client {:?} {} answered {status}",
+                "client {:?} {} response status {status}",
                 open.purpose, self.jobs[open.job].id
             )
         });
@@ -375,19 +376,19 @@
         state.accepted = true;
         let submitted = env.submitted_jobs.job(&state.id);
         let long_running = submitted.is_some_and(SubmittedJob::is_long_running);
-        if env.random.chance(RESUBMITTED_SHARE) {
+        if env.random.chance(RESUBMIT_SHARE) {
             let delay_ms = env.random.between(500, MAX_RESUBMIT_DELAY_MS);
             env.schedule_in(delay_ms, Event::Client(ClientEvent::Resubmit { job }));
         }
         let delay_ms = env.random.between(200, QUERY_INTERVAL_MS);
         env.schedule_in(delay_ms, Event::Client(ClientEvent::Query { job }));
-        // The value of a workload's jobs is measured: none is cancelled.
+        // The value of a workload's jobs is measured, so none of them is cancelled.
         if self.workload.is_some() {
             return;
         }
         if long_running || env.random.chance(CANCELLED_SHARE) {
             let max_delay_ms = if long_running {
-                MAX_LONG_RUN_MS
+                MAX_LONG_RUNNING_CANCEL_DELAY_MS
             } else {
                 MAX_CANCEL_DELAY_MS
             };
@@ -425,12 +426,12 @@
             env.schedule_in(QUERY_INTERVAL_MS, Event::Client(ClientEvent::Query { job }));
             return;
         }
-        // The jobs of a queue that was dropped are no longer shown.
+        // The status of jobs whose queue was removed is no longer available.
         let prefix = &self.jobs[job].prefix;
         if state.is_some() {
-            self.settle(env, job, true);
+            self.finish_final_query(env, job, true);
         } else if status == 404 && env.checker.may_lack_queue(job_mix::HOST, prefix) {
-            self.jobs[job].final_query = FinalQuery::Over;
+            self.jobs[job].final_query = FinalQueryState::Finished;
         } else {
             let event = ClientEvent::FinalQuery { job };
             env.schedule_in(FINAL_QUERY_INTERVAL_MS, Event::Client(event));
@@ -448,7 +449,7 @@
     }
 }
 
-/// The prefix of a queue that was added, removed, or never was.
+/// Draws the prefix of a queue that was added, was removed, or never existed.
 fn draw_other_queue(env: &mut Environment, other_queues: &[Arc<str>]) -> Option<Arc<str>> {
     if env.random.chance(0.1) {
         return Some("/never/".into());
--- a/crates/emulator/src/fleet/configuration_changes.rs
+++ b/crates/emulator/src/fleet/configuration_changes.rs
@@ -1,4 +1,4 @@
-//! The configurations that operators send: the first one, and valid and invalid changes drawn at random.
+//! Configurations sent by operators: the first one, and valid and invalid changes drawn at random.
 
 use super::job_mix::{Queue, HOST, QUEUES};
 use super::settings::SERVICES;
@@ -15,21 +15,21 @@
 const STRETCH: f64 = 3.0;
 const ADDED_QUEUE_PRIORITY: u32 = 1;
 const ADDED_QUEUE_MAX_ATTEMPTS: u32 = 2;
-/// The largest step from one version to the next.
+/// Largest increment from one configuration version to the next.
 const MAX_VERSION_STEP: u64 = 4;
 
-/// A change request that is to be sent.
+/// A change request that is not sent yet.
 pub(crate) struct ChangeDraft {
     pub(crate) kind: OperatorRequestKind,
-    /// The version on which it builds.
+    /// Configuration version on which the change builds.
     pub(crate) base: u64,
     pub(crate) body: String,
-    /// The configuration that it makes; none where it is invalid.
+    /// Configuration that results from the change; `None` if the change is invalid.
     pub(crate) result: Option<Arc<Configuration>>,
 }
 
 impl ChangeDraft {
-    /// Replaces the whole configuration.
+    /// Creates a draft that replaces the whole configuration.
     fn replace(base: u64, next: Configuration) -> ChangeDraft {
         ChangeDraft {
             kind: OperatorRequestKind::Replace,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Adds or replaces a route.
+    /// Creates a draft that adds or replaces a route.
     fn upsert(base: u64, next: Configuration, route: &Route) -> ChangeDraft {
         let body = json!({"version": next.version, "upsert": {"routes": [route]}});
         ChangeDraft {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Removes a route.
+    /// Creates a draft that removes a route.
     fn remove(base: u64, next: Configuration, route: Option<&Arc<str>>) -> ChangeDraft {
         let body = json!({"version": next.version, "remove": {"routes": [route]}});
         ChangeDraft {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Replaces the whole configuration by something that must be rejected.
+    /// Creates a draft that replaces the whole configuration with one that must be rejected.
     fn invalid(base: u64, body: String) -> ChangeDraft {
         ChangeDraft {
             kind: OperatorRequestKind::Replace,
@@ -72,13 +72,13 @@
     }
 }
 
-/// The first configuration.
+/// Returns the draft that installs the first configuration.
 pub(crate) fn first_configuration(workload: Option<&Workload>) -> ChangeDraft {
-    let first = workload.map_or_else(ordinary_configuration, workload_configuration);
+    let first = workload.map_or_else(regular_configuration, workload_configuration);
     ChangeDraft::replace(0, first)
 }
 
-fn ordinary_configuration() -> Configuration {
+fn regular_configuration() -> Configuration {
     let route = |queue: &Queue<'_>| {
         let name = format!("r-{}", queue.prefix.trim_matches('/'));
         route(&name, queue)
@@ -109,7 +109,7 @@
     Configuration {
         routes: routes.collect(),
         services: workload.services().into_iter().map(service).collect(),
-        ..ordinary_configuration()
+        ..regular_configuration()
     }
 }
 
@@ -140,17 +140,17 @@
 /// Draws changes of a configuration.
 #[derive(Debug, Default)]
 pub(crate) struct ChangeGenerator {
-    /// Prefixes of all queues that were ever added.
+    /// Prefixes of all queues that this generator has added.
     added_queues: Vec<Arc<str>>,
 }
 
 impl ChangeGenerator {
-    /// Prefixes of all queues that were ever added.
+    /// Prefixes of all queues that this generator has added.
     pub(crate) fn added_queues(&self) -> &[Arc<str>] {
         &self.added_queues
     }
 
-    /// A valid change. Its version is higher by `version_step`, or by a drawn number.
+    /// Draws a valid change. Its version increases by `version_step`, or by a drawn number if that is `None`.
     pub(crate) fn change(
         &mut self,
         random: &mut Random,
@@ -180,7 +180,7 @@
         }
     }
 
-    /// A change, and one that builds on it.
+    /// Draws a change, and a second change that builds on it.
     pub(crate) fn chain(
         &mut self,
         random: &mut Random,
@@ -192,13 +192,14 @@
         let mut second = first.clone();
         second.version += 1;
         self.add_queue(&mut second);
-        // Whole, as another operator may have made another version of that number.
+        // The second change replaces the whole configuration, since another operator may have created a
+        // different configuration with the same version number.
         let second = ChangeDraft::replace(first.version, second);
         let first = ChangeDraft::upsert(known.version, first, &route);
         (first, second)
     }
 
-    /// A change that must be rejected.
+    /// Draws a change that must be rejected.
     pub(crate) fn invalid(random: &mut Random, known: &Configuration) -> ChangeDraft {
         let base = known.version;
         let mut next = known.clone();
--- a/crates/emulator/src/fleet/control.rs
+++ b/crates/emulator/src/fleet/control.rs
@@ -1,4 +1,4 @@
-//! Control machines: joins their processes to disks, network and calls.
+//! Control machines: connects their processes to disks, the network and calls.
 
 use super::disk::PendingWrite;
 use super::environment::Environment;
@@ -13,25 +13,25 @@
 use streamusher_protocol::Millis;
 use streamusher_scheduler::SchedulerResponse;
 
-/// How long a full disk takes to refuse a write.
-const REFUSED_WRITE_MS: Millis = 20;
-/// The longest time that the recovery of a scheduler takes.
+/// Time until a full disk rejects a write.
+const REJECTED_WRITE_MS: Millis = 20;
+/// Longest time that the recovery of a scheduler takes.
 const MAX_SCHEDULER_RECOVERY_MS: Millis = 150;
-/// A sync takes up to so much longer.
+/// Largest random addition to the time of a sync.
 const MAX_SYNC_JITTER_MS: Millis = 4;
 
-/// What a process wants done, in its order.
+/// Actions that a process has requested, in order.
 pub(crate) struct PendingActions {
     machine: MachineId,
     actions: VecDeque<Action>,
 }
 
-/// Why `perform` has returned.
+/// The reason for which `perform` has returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Progress {
-    /// All actions are performed.
+    /// All actions have been performed.
     Done,
-    /// A change was acknowledged; further actions may be left.
+    /// A change was acknowledged; further actions may remain.
     ChangeAcknowledged,
 }
 
@@ -43,34 +43,34 @@
         }
     }
 
-    /// The machine whose process wants them done.
+    /// The machine whose process requested the actions.
     pub(crate) fn machine(&self) -> MachineId {
         self.machine
     }
 }
 
-/// The process does what is due.
+/// Runs the periodic tick of a process.
 pub(crate) fn tick(env: &mut Environment, machine: MachineId) -> Option<PendingActions> {
     let now = env.clocks(machine);
     let actions = env.machines.control_mut(machine)?.tick(now);
     Some(PendingActions::new(machine, actions))
 }
 
-/// Whether a process that was told to leave has left.
+/// Whether a process that was asked to leave has left.
 pub(crate) fn has_left(env: &mut Environment, machine: MachineId) -> bool {
     let now = env.clocks(machine);
     let control = env.machines.control_mut(machine);
     control.is_some_and(|control| control.has_left(now))
 }
 
-/// Tells a process to hand over and leave.
+/// Asks a process to hand over and leave.
 pub(crate) fn leave(env: &mut Environment, machine: MachineId) -> Option<PendingActions> {
     let now = env.clocks(machine);
     let actions = env.machines.control_mut(machine)?.leave(now);
     Some(PendingActions::new(machine, actions))
 }
 
-/// A message of another control machine arrives.
+/// Handles a message from another control machine.
 pub(crate) fn on_message(
     env: &mut Environment,
     machine: MachineId,
@@ -88,7 +88,7 @@
     Some(PendingActions::new(machine, actions))
 }
 
-/// A call arrives.
+/// Handles a call from another process.
 pub(crate) fn on_call(
     env: &mut Environment,
     machine: MachineId,
@@ -105,7 +105,7 @@
     Some(PendingActions::new(machine, actions))
 }
 
-/// A caller has left.
+/// Handles the notification that a caller no longer waits for its call.
 pub(crate) fn on_call_abandoned(
     env: &mut Environment,
     machine: MachineId,
@@ -123,7 +123,7 @@
     Some(PendingActions::new(machine, actions))
 }
 
-/// A new primary's scheduler is recovered.
+/// Handles the completed recovery of a new primary's scheduler.
 pub(crate) fn on_scheduler_recovered(
     env: &mut Environment,
     machine: MachineId,
@@ -141,7 +141,7 @@
     Some(PendingActions::new(machine, actions))
 }
 
-/// A write is synced, or was refused.
+/// Handles the completion of a write, which was synced or rejected.
 pub(crate) fn on_persisted(
     env: &mut Environment,
     machine: MachineId,
@@ -168,7 +168,7 @@
     Some(PendingActions::new(machine, actions))
 }
 
-/// Performs actions until none is left, or until one has acknowledged a change.
+/// Performs actions until none remains, or until one has acknowledged a change.
 pub(crate) fn perform(env: &mut Environment, pending: &mut PendingActions) -> Progress {
     let machine = pending.machine;
     while let Some(action) = pending.actions.pop_front() {
@@ -216,13 +216,13 @@
     let boot = env.machines[machine].boot;
     let disk = &mut env.machines[machine].disk;
     let failed = disk.full;
-    let takes_ms = if failed {
-        REFUSED_WRITE_MS
+    let duration_ms = if failed {
+        REJECTED_WRITE_MS
     } else {
         sync_ms + disk.added_sync_ms
     };
     disk.pending = Some(PendingWrite { ticket, change });
-    let persisted_at = disk.stalled_until.max(env.now) + takes_ms;
+    let persisted_at = disk.stalled_until.max(env.now) + duration_ms;
     let persisted = Event::Persisted {
         machine,
         boot,
@@ -232,7 +232,7 @@
     env.schedule_at(persisted_at, persisted);
 }
 
-/// A scheduler is recovered beside all else, which takes a while.
+/// Starts the recovery of a scheduler, which runs in the background and takes some time.
 fn begin_scheduler_recovery(env: &mut Environment, machine: MachineId, recovery: Recovery) {
     let delay_ms = env.random.between(1, MAX_SCHEDULER_RECOVERY_MS);
     let recovered = Event::SchedulerRecovered {
--- a/crates/emulator/src/fleet/discovery.rs
+++ b/crates/emulator/src/fleet/discovery.rs
@@ -1,4 +1,4 @@
-//! How gates and agents find the primary: the real discovery, over emulated calls.
+//! Primary discovery of gates and agents: the real implementation, over emulated calls.
 
 use super::environment::Environment;
 use super::rpc;
@@ -9,31 +9,31 @@
 use streamusher_protocol::internal::CoreAddress;
 use streamusher_protocol::Millis;
 
-/// How long a response to a probe may take.
+/// Time-out of a probe.
 const PROBE_TIMEOUT_MS: Millis = 500;
 const MAX_SEEDS: usize = 3;
 
-/// The addresses by which processes find the control plane at first.
+/// Addresses that processes use for their first contact with the control plane.
 pub(crate) fn seeds(env: &Environment) -> Vec<CoreAddress> {
     let count = env.settings.control_machines.min(MAX_SEEDS);
     let machines = env.machines.iter().take(count);
     machines.map(|machine| machine.address.clone()).collect()
 }
 
-/// The discovery of a process that starts.
+/// Creates the discovery of a process that is starting.
 pub(crate) fn new_discovery(env: &mut Environment) -> PrimaryDiscovery {
     let random_seed = env.random.next_u64();
     PrimaryDiscovery::new(seeds(env), random_seed)
 }
 
-/// The machine that a gate or agent takes to be the primary.
+/// The machine that a gate or agent currently considers the primary.
 pub(crate) fn suspected_primary(env: &mut Environment, machine: MachineId) -> Option<MachineId> {
     let discovery = env.machines.discovery_mut(machine)?;
     let address = discovery.primary()?.internal.clone();
     env.machines.at_address(&address)
 }
 
-/// Asks control machines who is primary, where the discovery wants to know.
+/// Sends the probes that the discovery requests; they ask control machines for the current primary.
 pub(crate) fn probe(env: &mut Environment, machine: MachineId) {
     let now = env.clocks(machine).steady_ms;
     let Some(discovery) = env.machines.discovery_mut(machine) else {
@@ -49,7 +49,7 @@
     }
 }
 
-/// A probe is over.
+/// Passes the outcome of a probe to the discovery.
 pub(crate) fn on_probe_returned(
     env: &mut Environment,
     machine: MachineId,
@@ -67,7 +67,7 @@
     }
 }
 
-/// A process is about to send a request to the primary that it knows.
+/// Reports to the checker that a process sends a request to the primary that it knows.
 pub(crate) fn on_primary_call(env: &mut Environment, machine: MachineId) {
     let caller = env.fenced_caller(machine);
     let Some(discovery) = env.machines.discovery_mut(machine) else {
@@ -78,7 +78,7 @@
         .on_fenced_call(env.now, caller, Matter::PrimaryRequest, token);
 }
 
-/// A call to the suspected primary is over: what is learnt from that.
+/// Updates the discovery from the outcome of a call to the suspected primary.
 pub(crate) fn on_primary_call_returned(
     env: &mut Environment,
     machine: MachineId,
--- a/crates/emulator/src/fleet/disk.rs
+++ b/crates/emulator/src/fleet/disk.rs
@@ -10,22 +10,22 @@
     pub(crate) change: DiskChange,
 }
 
-/// A disk and its faults. At most one change is under way.
+/// A disk and its faults. At most one change is in flight.
 #[derive(Debug, Default)]
 pub(crate) struct Disk {
-    /// What is synced.
+    /// Synced content of the disk.
     pub(crate) image: DiskImage,
     pub(crate) pending: Option<PendingWrite>,
-    /// Added to each sync.
+    /// Delay added to each sync by a fault.
     pub(crate) added_sync_ms: Millis,
-    /// Nothing is synced before this time.
+    /// True time before which no sync completes.
     pub(crate) stalled_until: Millis,
-    /// Every write is refused.
+    /// Whether the disk rejects every write.
     pub(crate) full: bool,
 }
 
 impl Disk {
-    /// Brings a change to the disk, as a whole.
+    /// Applies a change to the disk atomically.
     pub(crate) fn apply(&mut self, change: &DiskChange) {
         if let Some(witness) = &change.witness {
             self.image.witness = Some(witness.clone());
--- a/crates/emulator/src/fleet/environment.rs
+++ b/crates/emulator/src/fleet/environment.rs
@@ -1,4 +1,4 @@
-//! What all parts of a fleet share: virtual time, machines, network, observations.
+//! State that all parts of a fleet share: virtual time, machines, network and observations.
 
 use super::event::{ClientEvent, Event};
 use super::fault_history::FaultHistory;
@@ -15,14 +15,14 @@
 use streamusher_protocol::internal::ClientResponse;
 use streamusher_protocol::{Millis, Now};
 
-/// How long a message of a client or its response takes, at least and at most.
+/// Shortest and longest latency of a client's request or of its response.
 pub(crate) const CLIENT_DELAY_MS: (Millis, Millis) = (1, 5);
 
 /// The shared state of a fleet.
 pub(crate) struct Environment {
     /// True time.
     pub(crate) now: Millis,
-    /// When the simulation ends.
+    /// True time at which the simulation ends.
     pub(crate) ends_at: Millis,
     pub(crate) settings: FleetSettings,
     pub(crate) queue: EventQueue<Event>,
@@ -30,42 +30,42 @@
     pub(crate) network: Network,
     pub(crate) machines: Machines,
     pub(crate) open_calls: OpenCalls,
-    /// Responses to operators are lost before this time.
+    /// True time before which responses to operators are lost.
     pub(crate) operator_responses_lost_until: Millis,
     pub(crate) fault_history: FaultHistory,
-    /// More control machines may be lost at once than is tolerated.
+    /// Whether more control machines may be lost at once than the fleet tolerates.
     pub(crate) allows_overlaps: bool,
     pub(crate) checker: Checker,
     pub(crate) submitted_jobs: SubmittedJobs,
     pub(crate) traffic_digest: Option<TrafficDigest>,
-    /// Prints what happens.
+    /// Whether events are printed.
     pub(crate) verbose: bool,
 }
 
 impl Environment {
-    /// Plans an event for a time.
+    /// Schedules an event at a time.
     pub(crate) fn schedule_at(&mut self, due: Millis, event: Event) {
         self.queue.push(due, event);
     }
 
-    /// Plans an event for some time from now.
+    /// Schedules an event after a delay.
     pub(crate) fn schedule_in(&mut self, delay_ms: Millis, event: Event) {
         self.queue.push(self.now + delay_ms, event);
     }
 
-    /// Prints a line, if what happens is to be printed.
+    /// Prints a line if events are printed.
     pub(crate) fn trace(&self, text: impl FnOnce() -> String) {
         if self.verbose {
             println!("{:>6} {}", self.now, text());
         }
     }
 
-    /// The clocks as a machine's process reads them.
+    /// The clock readings of a machine's process.
     pub(crate) fn clocks(&self, machine: MachineId) -> Now {
         self.machines[machine].read_clocks(self.now)
     }
 
-    /// The present life of a machine's process.
+    /// Identifies the current incarnation of a machine's process.
     pub(crate) fn fenced_caller(&self, machine: MachineId) -> FencedCaller {
         FencedCaller {
             machine,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The present time and the submitted jobs, for simulated workers.
+    /// The current time and the submitted jobs, for simulated workers.
     pub(crate) fn moment(&self) -> Moment<'_> {
         Moment {
             now: self.now,
@@ -81,23 +81,23 @@
         }
     }
 
-    /// A gate's machine.
+    /// The machine of a gate.
     pub(crate) fn gate_machine(&self, gate: usize) -> MachineId {
         self.settings.control_machines + gate % self.settings.gates
     }
 
-    /// A worker's machine.
+    /// The machine of a worker.
     pub(crate) fn agent_machine(&self, worker: usize) -> MachineId {
         let first = self.settings.control_machines + self.settings.gates;
         first + worker % self.settings.worker_count
     }
 
-    /// Draws how long a client's message takes.
+    /// Draws the latency of a client's message.
     pub(crate) fn draw_client_delay(&mut self) -> Millis {
         self.random.between(CLIENT_DELAY_MS.0, CLIENT_DELAY_MS.1)
     }
 
-    /// Sends a response to a client; none is the news of a broken connection.
+    /// Sends a response to a client; `None` signals a broken connection.
     pub(crate) fn respond_to_client(&mut self, request: u64, response: Option<ClientResponse>) {
         let delay_ms = self.draw_client_delay();
         let event = ClientEvent::ResponseArrives { request, response };
--- a/crates/emulator/src/fleet/event.rs
+++ b/crates/emulator/src/fleet/event.rs
@@ -1,4 +1,4 @@
-//! Events of a fleet.
+//! Events of a fleet's simulation.
 
 use super::rpc_message::{CallId, RpcOutcome, RpcRequest};
 use crate::network::{Link, MachineId};
@@ -10,23 +10,23 @@
 use streamusher_protocol::internal::ClientResponse;
 use streamusher_protocol::Millis;
 
-/// Something that happens at a time.
+/// An event that is processed at a point of true time.
 #[derive(Debug)]
 pub(crate) enum Event {
     /// A machine's process starts.
     Start { machine: MachineId },
-    /// A process does what is due by its clock.
+    /// The periodic tick of a process, by its own clock.
     Tick { machine: MachineId, boot: u64 },
-    /// An agent does what is due, between two ticks.
+    /// A wake-up of an agent between two ticks.
     AgentWakeup { machine: MachineId, boot: u64 },
-    /// A change of the disk is synced, or was refused.
+    /// A write to a disk was synced or rejected.
     Persisted {
         machine: MachineId,
         boot: u64,
         ticket: u64,
         failed: bool,
     },
-    /// A new primary's scheduler is recovered.
+    /// The scheduler of a new primary is recovered.
     SchedulerRecovered {
         machine: MachineId,
         boot: u64,
@@ -44,17 +44,17 @@
         receiver: MachineId,
         request: RpcRequest,
     },
-    /// A delayed copy of a call arrives, whose response nobody waits for.
+    /// A delayed copy of a call arrives; no caller waits for its response.
     CallCopyArrives {
         call: CallId,
         receiver: MachineId,
         request: RpcRequest,
     },
-    /// The response to a call arrives, or the news that the connection broke.
+    /// The response to a call arrives, or the notification that the connection broke.
     CallReturns { call: CallId, outcome: RpcOutcome },
-    /// The caller waits no longer.
+    /// The caller stops waiting.
     CallTimeout { call: CallId },
-    /// The called process learns that the caller has left.
+    /// The called process is notified that the caller no longer waits.
     CallAbandoned {
         machine: MachineId,
         boot: u64,
@@ -74,7 +74,7 @@
         sequence: u64,
         response: Arc<HeartbeatResponse>,
     },
-    /// No agent listened to a heartbeat.
+    /// No agent process was running to receive a heartbeat.
     HeartbeatFailed {
         worker: WorkerIndex,
         incarnation: u32,
@@ -92,28 +92,29 @@
         worker: WorkerIndex,
         incarnation: u32,
     },
-    /// A worker's own timer fires.
+    /// A timer of a worker fires.
     WorkerTimer {
         worker: WorkerIndex,
         incarnation: u32,
         timer: WorkerTimer,
     },
-    /// A worker comes up.
+    /// A worker starts.
     WorkerStart { worker: WorkerIndex },
-    /// A client does something.
+    /// An action of a client, or a message to or from one.
     Client(ClientEvent),
-    /// An operator does something.
+    /// An action of an operator.
     Operator(OperatorEvent),
     /// A fault of the schedule is injected.
     Fault { index: usize },
-    /// The fleet recovers from a fault.
+    /// The fleet recovers from a fault, or takes the next step of a rolling restart.
     Recovery(FaultRecovery),
-    /// Promises with a time are checked.
+    /// The checker checks guarantees with a deadline.
     Check,
 }
 
 impl Event {
-    /// The machine that must be awake for it.
+    /// The machine that must be running to process the event. While the machine is suspended, the event is
+    /// delayed.
     pub(crate) fn machine(&self) -> Option<MachineId> {
         match self {
             Event::Tick { machine, .. }
@@ -134,16 +135,17 @@
     }
 }
 
-/// What a client does. `job` is the job's place among those submitted, `request` numbers the clients' requests.
+/// An event of a client. `job` is the index among the submitted jobs; `request` is the number of a client
+/// request.
 #[derive(Debug)]
 pub(crate) enum ClientEvent {
-    /// Draws and submits a job of the ordinary traffic, perhaps one that can never succeed.
+    /// Draws and submits a job of the regular traffic, or one that can never succeed.
     NewJob { hopeless: bool },
-    /// Draws and submits a job of a workload's class.
+    /// Draws and submits a job of a workload class.
     NewJobOfClass { class: usize },
-    /// Sends a job, again if it was not accepted.
+    /// Submits a job, or retries a submission that was not accepted.
     Submit { job: usize },
-    /// Sends a job once more although it was accepted.
+    /// Submits a job again although it was accepted.
     Resubmit { job: usize },
     /// Queries a job.
     Query { job: usize },
@@ -153,64 +155,64 @@
     FinalQuery { job: usize },
     /// A request reaches a gate.
     RequestArrives { request: u64 },
-    /// A response arrives; none if the connection broke or nothing came in time.
+    /// A response arrives; `None` if the connection broke or the request timed out.
     ResponseArrives {
         request: u64,
         response: Option<ClientResponse>,
     },
 }
 
-/// What an operator does.
+/// An action of an operator.
 #[derive(Debug)]
 pub(crate) enum OperatorEvent {
     /// Sends the first configuration.
     FirstConfiguration,
-    /// Reads the configuration; at the end of the simulation until it succeeds.
+    /// Reads the configuration; the final read at the end of the simulation is retried until it succeeds.
     Read { is_final: bool },
     /// Sends a request again.
     Retry { request: usize },
-    /// Makes one of several changes.
+    /// Makes one random change of the newest known configuration.
     Change,
 }
 
 /// A rolling restart in progress.
 #[derive(Clone, Debug)]
 pub(crate) struct RollingRestart {
-    /// The machine whose turn it is.
+    /// The machine that is restarted now.
     pub(crate) machine: MachineId,
-    /// The machines that follow.
+    /// The machines that are restarted afterwards.
     pub(crate) remaining: Vec<MachineId>,
-    /// From the start of one to the leaving of the next.
+    /// Time from the start of one machine until the next one is asked to leave.
     pub(crate) gap_ms: Millis,
 }
 
-/// What ends a fault.
+/// The end of a fault, or a step of a rolling restart.
 #[derive(Debug)]
 pub(crate) enum FaultRecovery {
-    /// A frozen machine wakes, unless it was frozen again for longer.
+    /// A frozen machine resumes, unless it was frozen again for longer.
     Thaw { machine: MachineId },
-    /// Links of a machine are open again.
+    /// Links of a machine are unblocked.
     UnblockLinks {
         links: Vec<Link>,
         machine: MachineId,
     },
-    /// A disk works as before.
+    /// A disk works normally again.
     RepairDisk { machine: MachineId },
-    /// A time of day that had jumped jumps back.
+    /// A wall clock that was stepped jumps back.
     StepClockBack { machine: MachineId, by_ms: i64 },
-    /// No more messages are lost.
+    /// Messages between control machines are no longer lost.
     EndMessageLoss,
-    /// Links of a machine are as fast as before.
+    /// Links of a machine lose their added latency.
     RestoreLinkSpeed { machine: MachineId },
-    /// A worker is as fast as before.
+    /// A worker runs at its normal speed again.
     RestoreWorkerSpeed { worker: WorkerIndex },
-    /// A worker fails no more runs.
+    /// A worker no longer fails runs.
     EndRunFailures { worker: WorkerIndex },
-    /// A control machine is told to leave, as one of several in turn.
+    /// A control machine is asked to leave, as a step of a rolling restart.
     Leave(RollingRestart),
-    /// It is started again if it has left.
+    /// The machine of a rolling restart is restarted if it has left.
     RestartIfLeft(RollingRestart),
-    /// A machine's process is started again.
+    /// The process of a machine is started again.
     Restart { machine: MachineId },
     /// A control machine joins at a new address.
     AddControlMachine,
--- a/crates/emulator/src/fleet/fault_history.rs
+++ b/crates/emulator/src/fleet/fault_history.rs
@@ -1,4 +1,4 @@
-//! When machines, workers and the control plane were last struck by faults.
+//! Times of the latest faults of machines, workers and the control plane.
 
 use crate::network::MachineId;
 use crate::workers::effect::WorkerIndex;
@@ -8,9 +8,9 @@
 /// The faults of one machine or worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FaultRecord {
-    /// Faults that are not over.
+    /// Number of faults in progress.
     pub(crate) ongoing: u32,
-    /// The last beginning or end of one.
+    /// True time at which a fault last began or ended.
     pub(crate) last_at: Millis,
 }
 
@@ -19,13 +19,14 @@
 pub(crate) struct FaultHistory {
     machines: BTreeMap<MachineId, FaultRecord>,
     workers: BTreeMap<WorkerIndex, FaultRecord>,
-    /// The last beginning or end of a fault in the control plane.
+    /// True time at which a fault of the control plane last began or ended.
     pub(crate) last_control_event_at: Millis,
-    /// That event left the control plane without a connected majority.
+    /// Whether the latest of these events left the control plane without a connected majority.
     pub(crate) majority_lost: bool,
-    /// More control machines than tolerated have been lost at once, and not all have been back for long since.
+    /// Whether more control machines than tolerated were lost at once, and the recovery time since then has
+    /// not yet passed.
     pub(crate) overlapped: bool,
-    /// Faults that slow the whole control plane and are not over.
+    /// Number of faults in progress that slow the whole control plane.
     control_slowdowns: u32,
 }
 
@@ -38,42 +39,43 @@
         self.machines.entry(machine).or_default()
     }
 
-    /// The records of all workers that were ever struck.
+    /// The records of all workers that have had a fault.
     pub(crate) fn workers(&self) -> impl Iterator<Item = &FaultRecord> {
         self.workers.values()
     }
 
-    /// Something happens to a worker and is over at once.
+    /// Records an instantaneous fault of a worker.
     pub(crate) fn on_worker_fault(&mut self, now: Millis, worker: WorkerIndex) {
         self.workers.entry(worker).or_default().last_at = now;
     }
 
-    /// A fault of a worker begins.
+    /// Records the start of a fault of a worker.
     pub(crate) fn begin_worker_fault(&mut self, now: Millis, worker: WorkerIndex) {
         self.on_worker_fault(now, worker);
         self.workers.entry(worker).or_default().ongoing += 1;
     }
 
-    /// A fault of a worker ends.
+    /// Records the end of a fault of a worker.
     pub(crate) fn end_worker_fault(&mut self, now: Millis, worker: WorkerIndex) {
         self.on_worker_fault(now, worker);
         let record = self.workers.entry(worker).or_default();
         record.ongoing = record.ongoing.saturating_sub(1);
     }
 
-    /// A disk, a link or the network is slowed, which concerns all control machines.
+    /// Records the start of a fault that slows a disk, a link or the network, which affects all control
+    /// machines.
     pub(crate) fn begin_control_slowdown(&mut self, now: Millis) {
         self.last_control_event_at = now;
         self.control_slowdowns += 1;
     }
 
-    /// Such a fault ends.
+    /// Records the end of a fault that slowed the control plane.
     pub(crate) fn end_control_slowdown(&mut self, now: Millis) {
         self.last_control_event_at = now;
         self.control_slowdowns = self.control_slowdowns.saturating_sub(1);
     }
 
-    /// Whether the whole control plane is slowed.
+    /// Whether any fault slows the whole control plane.
     pub(crate) fn is_control_slowed(&self) -> bool {
         self.control_slowdowns > 0
     }
--- a/crates/emulator/src/fleet/gate.rs
+++ b/crates/emulator/src/fleet/gate.rs
@@ -1,4 +1,4 @@
-//! Gates: forward clients' requests to the primary.
+//! Gates, which forward client requests to the primary.
 
 use super::discovery;
 use super::environment::Environment;
@@ -9,9 +9,9 @@
 use streamusher_protocol::internal::{ClientRequest, ClientResponse};
 use streamusher_protocol::Millis;
 
-/// How long the primary may take.
+/// Time-out of a request that is forwarded to the primary.
 const FORWARD_TIMEOUT_MS: Millis = 2_500;
-/// When clients are to come back while there is no primary.
+/// Retry-after time sent to clients while no primary is known.
 const RETRY_AFTER_MS: Millis = 300;
 
 fn response(status: u16, retry_after_ms: Option<Millis>) -> ClientResponse {
@@ -26,7 +26,7 @@
     response(503, Some(RETRY_AFTER_MS))
 }
 
-/// A client's request arrives.
+/// Handles a request from a client.
 pub(crate) fn on_client_request(
     env: &mut Environment,
     machine: MachineId,
@@ -64,7 +64,7 @@
     rpc::call(env, caller, primary, request, FORWARD_TIMEOUT_MS);
 }
 
-/// A forwarded request is over.
+/// Handles the outcome of a forwarded request.
 pub(crate) fn on_call_returned(
     env: &mut Environment,
     machine: MachineId,
--- a/crates/emulator/src/fleet/injection/data_plane.rs
+++ b/crates/emulator/src/fleet/injection/data_plane.rs
@@ -1,4 +1,4 @@
-//! Faults of gates and agents, and the end of all processes at once.
+//! Faults of gates and agents, and of all processes at once.
 
 use super::machine::{freeze, isolate, resolve, take_all_down, take_down, Direction};
 use crate::faults::{ControlTarget, DataPlaneFault, ManyTargets};
@@ -62,7 +62,7 @@
     }
 }
 
-/// The machines whose processes go at once. Of the control machines the primary is the first.
+/// The machines whose processes go down at once. The primary is selected first among the control machines.
 fn machines_of(env: &mut Environment, targets: ManyTargets) -> Vec<MachineId> {
     let primary = resolve(env, ControlTarget::Primary, None);
     let mut control_machines = env.machines.control_machines();
--- a/crates/emulator/src/fleet/injection/degradation.rs
+++ b/crates/emulator/src/fleet/injection/degradation.rs
@@ -1,4 +1,4 @@
-//! Disturbances of control machines that go on running.
+//! Disturbances of control machines that keep running.
 
 use super::machine::{freeze, isolate, resolve, Direction};
 use crate::faults::{ControlDegradation, ControlTarget};
@@ -74,7 +74,7 @@
     }
 }
 
-/// The primary is in the smaller half.
+/// Partitions the control plane into two halves, with the primary in the smaller one.
 fn partition(env: &mut Environment, for_ms: Millis) {
     let primary = resolve(env, ControlTarget::Primary, None);
     let all = env.machines.control_machines();
@@ -94,7 +94,7 @@
     }
 }
 
-/// Plans the end of a fault of a disk, and returns the disk that is to be made faulty.
+/// Schedules the end of a disk fault, and returns the disk for the caller to modify.
 fn begin_disk_fault(
     env: &mut Environment,
     target: ControlTarget,
--- a/crates/emulator/src/fleet/injection/machine.rs
+++ b/crates/emulator/src/fleet/injection/machine.rs
@@ -1,4 +1,4 @@
-//! What faults of machines have in common.
+//! Operations on machines that several kinds of faults share.
 
 use crate::faults::ControlTarget;
 use crate::fleet::clients::Clients;
@@ -10,12 +10,12 @@
 use crate::network::{Link, MachineId};
 use streamusher_protocol::Millis;
 
-/// Which links of a machine are blocked.
+/// The links of a machine that are blocked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Direction {
-    /// Those from it.
+    /// Links from the machine to others.
     Outbound,
-    /// Those from and to it.
+    /// Links in both directions.
     Both,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// The machine that is meant. `acknowledged_by` takes the place of the primary.
+/// Returns the machine that a target selects. `acknowledged_by`, if set, takes the place of the primary.
 pub(super) fn resolve(
     env: &mut Environment,
     target: ControlTarget,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Ends a machine's process; it starts again after a time.
+/// Ends the process of a machine, and schedules its restart.
 pub(super) fn take_down(
     env: &mut Environment,
     clients: &Clients,
@@ -61,7 +61,7 @@
     env.schedule_in(down_ms, Event::Recovery(FaultRecovery::Restart { machine }));
 }
 
-/// Takes all machines down that were not removed.
+/// Takes down all machines that are not removed.
 pub(super) fn take_all_down(
     env: &mut Environment,
     clients: &Clients,
--- a/crates/emulator/src/fleet/injection/mod.rs
+++ b/crates/emulator/src/fleet/injection/mod.rs
@@ -1,9 +1,9 @@
 //! Injects faults into a fleet.
 //!
-//! - `outage`, `degradation`: control machines.
-//! - `data_plane`: gates, agents, and all processes at once.
-//! - `worker`: workers.
-//! - `machine`: what these have in common.
+//! - `outage`, `degradation`: faults of control machines.
+//! - `data_plane`: faults of gates, agents, and all processes at once.
+//! - `worker`: faults of workers.
+//! - `machine`: operations that several kinds of faults share.
 
 mod data_plane;
 mod degradation;
@@ -17,22 +17,22 @@
 use crate::network::MachineId;
 use streamusher_protocol::Millis;
 
-/// Between two jobs of a burst.
+/// Time between two jobs of a burst.
 const BURST_GAP_MS: Millis = 10;
 
-/// What is left to do after an injection.
+/// The action that the caller must take after an injection.
 #[must_use]
 pub(crate) enum FollowUp {
-    /// Nothing.
+    /// No further action.
     None,
-    /// This fault is to be injected after the next acknowledged change.
+    /// Injects this fault after the next acknowledged change.
     Arm(Fault),
-    /// A rolling restart is to begin at once.
+    /// Begins a rolling restart at once.
     BeginRollingRestart(RollingRestart),
 }
 
-/// Injects a fault now. `acknowledged_by` is the machine that has just acknowledged a change, if the fault waited for that:
-/// it is then meant by `ControlTarget::Primary`.
+/// Injects a fault now. `acknowledged_by` is the machine that has just acknowledged a change, if the fault
+/// was deferred until then; `ControlTarget::Primary` then refers to this machine.
 pub(crate) fn inject(
     state: &mut FleetState,
     fault: Fault,
--- a/crates/emulator/src/fleet/injection/worker.rs
+++ b/crates/emulator/src/fleet/injection/worker.rs
@@ -5,7 +5,7 @@
 use crate::fleet::state::FleetState;
 use streamusher_protocol::Millis;
 
-/// A drained worker has ended by then, whether its deregistration was acknowledged or not.
+/// Time after which a drained worker has ended, whether or not its deregistration was acknowledged.
 const DRAIN_MARGIN_MS: Millis = 2_500;
 
 pub(super) fn inject(state: &mut FleetState, fault: WorkerFault) {
--- a/crates/emulator/src/fleet/job_mix.rs
+++ b/crates/emulator/src/fleet/job_mix.rs
@@ -1,4 +1,4 @@
-//! The ordinary traffic: queues that are always there, and the jobs that clients draw for them.
+//! The regular traffic: its permanent queues, and the jobs that clients draw for them.
 
 use crate::clock::UNIX_START_MS;
 use crate::random::Random;
@@ -12,7 +12,7 @@
 /// Host of all queues.
 pub(crate) const HOST: &str = "queues.example";
 
-/// Share of the jobs whose tasks run on and on.
+/// Share of the jobs whose tasks run until they are cancelled.
 const LONG_RUNNING_SHARE: f64 = 0.06;
 /// Share of the jobs whose tasks fail once.
 const FAILING_ONCE_SHARE: f64 = 0.1;
@@ -21,7 +21,7 @@
 pub(crate) struct Queue<'a> {
     pub(crate) prefix: &'a str,
     pub(crate) service: &'a str,
-    /// 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub(crate) priority: u32,
     pub(crate) max_attempts: u32,
 }
@@ -40,7 +40,7 @@
     }
 }
 
-/// The queues that are always there.
+/// The queues that exist throughout a simulation.
 pub(crate) const QUEUES: [Queue<'static>; 5] = [
     queue("/quick/", "alpha", 0, 3),
     queue("/log/", "alpha", 1, 2),
@@ -49,10 +49,10 @@
     queue("/image/", "beta", 2, 3),
 ];
 
-/// Kinds of jobs; each has its queue.
+/// Kinds of jobs, each of which belongs to one queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum JobKind {
-    /// Short tasks, in one step or two.
+    /// Short tasks, in one or two steps.
     Quick,
     /// Long tasks with checkpoints, in two steps.
     Log,
@@ -62,16 +62,16 @@
     LongRunning,
     /// Tasks near their data.
     Image,
-    /// Short tasks, several times by the clock.
+    /// Short tasks, repeated on a schedule.
     Timed,
     /// Tasks that may have a speculative second run.
     Hedged,
-    /// Tasks that must not share a worker, and tasks that need workers of one kind.
+    /// Tasks with anti-affinity, and tasks that require workers with a certain label.
     Spread,
 }
 
-/// How often each kind comes, beside the long-running ones.
-const ORDINARY_KINDS: [JobKind; 12] = [
+/// Relative frequency of each kind among the jobs that are not long-running.
+const REGULAR_KINDS: [JobKind; 12] = [
     JobKind::Quick,
     JobKind::Quick,
     JobKind::Quick,
@@ -87,16 +87,16 @@
 ];
 
 impl JobKind {
-    /// A kind of the ordinary traffic.
+    /// Draws a kind of the regular traffic.
     pub(crate) fn draw(random: &mut Random) -> JobKind {
         if random.chance(LONG_RUNNING_SHARE) {
             return JobKind::LongRunning;
         }
-        let kind = random.pick(&ORDINARY_KINDS).copied();
+        let kind = random.pick(&REGULAR_KINDS).copied();
         kind.unwrap_or(JobKind::Quick)
     }
 
-    /// The prefix of its queue.
+    /// Path prefix of the queue for this kind of job.
     pub(crate) fn prefix(self) -> &'static str {
         match self {
             JobKind::Quick | JobKind::Timed | JobKind::Hedged => "/quick/",
@@ -107,7 +107,8 @@
         }
     }
 
-    /// How the text of a job begins. It is part of what is sent and stored, and so of the recorded digests.
+    /// First word of a job's spec. It is part of what is sent and stored, and therefore of the recorded
+    /// digests.
     fn spec_name(self) -> &'static str {
         match self {
             JobKind::Quick => "Quick",
@@ -233,7 +234,7 @@
         request.start_at_ms = UNIX_START_MS + now + random.between(500, 3_000);
         request.interval_ms = random.between(400, 1_500);
     }
-    // The client's estimate is rough.
+    // The actual work differs from the client's estimate by up to 20 percent.
     let steps = request.steps.iter();
     let step_work_ms = steps.map(|step| step.estimated_ms * random.between(80, 120) / 100);
     let step_work_ms = step_work_ms.collect();
--- a/crates/emulator/src/fleet/lifecycle.rs
+++ b/crates/emulator/src/fleet/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Machines join, and their processes start and end.
+//! Adds machines, and starts and ends their processes.
 
 use super::discovery;
 use super::disk::Disk;
@@ -15,25 +15,25 @@
 use streamusher_protocol::Millis;
 use streamusher_scheduler::{SchedulerLimits, SchedulerSettings};
 
-/// How far a time of day is off at most, in either direction.
+/// Largest error of a wall clock, in either direction.
 const MAX_UNIX_ERROR_MS: u64 = 20;
-/// What steady clocks read at the start, at least and at most.
+/// Smallest and largest reading of a steady clock at the start.
 const STEADY_OFFSET_MS: (Millis, Millis) = (1_000, 1_000_000);
-/// A tick comes up to so much too late.
+/// Largest delay of a tick.
 const MAX_TICK_DELAY_MS: Millis = 3;
-/// Probability that a write that was under way is on the disk after its process has ended.
-const UNSYNCED_WRITE_KEPT: f64 = 0.5;
+/// Probability that a write in flight is on the disk after its process has ended.
+const UNSYNCED_WRITE_KEPT_PROBABILITY: f64 = 0.5;
 
-/// How a process ends without a word.
+/// The way in which a process ends abruptly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProcessEnd {
-    /// It is killed: connections break.
+    /// The process is killed: its connections break.
     Killed,
-    /// Its machine loses power: nobody is told.
+    /// The machine loses power: no peer is notified.
     PowerLost,
 }
 
-/// Adds a machine whose process does not run yet. `index` is its place among those of its role.
+/// Adds a machine whose process is not running yet. `index` is the index among the machines of its role.
 pub(crate) fn add_machine(env: &mut Environment, role: Role, index: usize) -> MachineId {
     let id = env.machines.len();
     let unix_error_ms = draw_unix_error(env);
@@ -68,7 +68,7 @@
     from_zero_ms.saturating_sub_unsigned(MAX_UNIX_ERROR_MS)
 }
 
-/// Starts a machine's process, unless it runs or the machine was removed.
+/// Starts the process of a machine, unless it is running or the machine was removed.
 pub(crate) fn start_process(env: &mut Environment, machine: MachineId) {
     let state = &mut env.machines[machine];
     if state.removed || state.process.is_some() {
@@ -134,13 +134,13 @@
     AgentProcess::new(settings, discovery::new_discovery(env), now)
 }
 
-/// Plans a process' next tick.
-pub(crate) fn plan_tick(env: &mut Environment, machine: MachineId, boot: u64) {
+/// Schedules the next tick of a process.
+pub(crate) fn schedule_tick(env: &mut Environment, machine: MachineId, boot: u64) {
     let delay_ms = TICK_MS + env.random.between(0, MAX_TICK_DELAY_MS);
     env.schedule_in(delay_ms, Event::Tick { machine, boot });
 }
 
-/// Ends a machine's process without a word. A write that is not synced may be lost.
+/// Ends the process of a machine abruptly. A write that is not synced may be lost.
 pub(crate) fn end_process(env: &mut Environment, machine: MachineId, end: ProcessEnd) {
     let state = &mut env.machines[machine];
     if state.process.take().is_none() {
@@ -150,7 +150,7 @@
     let pending = state.disk.pending.take();
     env.trace(|| format!("end {} ({end:?})", env.machines[machine].name));
     if let Some(pending) = pending {
-        if env.random.chance(UNSYNCED_WRITE_KEPT) {
+        if env.random.chance(UNSYNCED_WRITE_KEPT_PROBABILITY) {
             env.machines[machine].disk.apply(&pending.change);
         }
     }
--- a/crates/emulator/src/fleet/machine.rs
+++ b/crates/emulator/src/fleet/machine.rs
@@ -11,22 +11,22 @@
 use streamusher_protocol::internal::CoreAddress;
 use streamusher_protocol::{Millis, Now};
 
-/// How often a process does what is due.
+/// Interval between two ticks of a process.
 pub(crate) const TICK_MS: Millis = 25;
 
-/// What runs on a machine.
+/// The component that runs on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Role {
-    /// A control machine.
+    /// A member of the control plane.
     Control,
-    /// A gate's machine.
+    /// A gate.
     Gate,
-    /// A worker's machine, with its agent.
+    /// A worker and its agent.
     Agent,
 }
 
 impl Role {
-    /// The first part of a machine's name. Agents send their names, so they are part of the recorded digests.
+    /// First part of a machine's name. Agents send their names, so they are part of the recorded digests.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Role::Control => "control",
@@ -36,48 +36,49 @@
     }
 }
 
-/// A machine.
+/// An emulated machine and its state.
 pub(crate) struct Machine {
     pub(crate) id: MachineId,
-    /// What runs there.
+    /// The component that runs on the machine.
     pub(crate) role: Role,
     pub(crate) name: Arc<str>,
-    /// Where others reach it.
+    /// Addresses at which other machines reach this one.
     pub(crate) address: CoreAddress,
     pub(crate) clock: MachineClock,
     pub(crate) process: Option<Process>,
-    /// How far the time of day was off when the process started: it counts on from there by the steady clock.
+    /// Error of the wall clock when the process started. From then on, the process derives the time of day
+    /// from the steady clock.
     pub(crate) unix_error_at_start_ms: i64,
-    /// Counts the starts of its process.
+    /// Number of times the process has been started.
     pub(crate) boot: u64,
     pub(crate) frozen_until: Option<Millis>,
     pub(crate) cpu_quota: Option<CpuQuota>,
-    /// It never comes back.
+    /// Whether the machine is permanently removed.
     pub(crate) removed: bool,
     pub(crate) disk: Disk,
-    /// It belongs to the first members, which start on empty disks.
+    /// Whether the machine is one of the initial members, which start with empty disks.
     pub(crate) bootstrap: bool,
 }
 
 impl Machine {
-    /// Whether its process is at work.
+    /// Whether the process is running and not frozen.
     pub(crate) fn is_running(&self) -> bool {
         self.process.is_some() && self.frozen_until.is_none()
     }
 
-    /// Whether its process is still the one of this start.
+    /// Whether the process is still the one that was started as number `boot`.
     pub(crate) fn is_boot(&self, boot: u64) -> bool {
         self.boot == boot && self.process.is_some()
     }
 
-    /// When it wakes, if it is frozen or has spent its processor quota.
+    /// Time at which the machine resumes, if it is frozen or has used up its CPU quota.
     pub(crate) fn wakes_at(&self, now: Millis) -> Option<Millis> {
         let thaws_at = self.frozen_until.filter(|until| *until > now);
         let quota = self.cpu_quota;
         thaws_at.or_else(|| quota.and_then(|quota| quota.resumes_at(self.id, now)))
     }
 
-    /// The clocks as its process reads them.
+    /// The clock readings of the machine's process.
     pub(crate) fn read_clocks(&self, now: Millis) -> Now {
         let clock = MachineClock {
             unix_error_ms: self.unix_error_at_start_ms,
@@ -87,7 +88,7 @@
     }
 }
 
-/// All machines that ever were, by their ids. Control machines that join later come last.
+/// All machines that have ever existed, indexed by id. Control machines that join later are at the end.
 #[derive(Default)]
 pub(crate) struct Machines {
     machines: Vec<Machine>,
@@ -116,7 +117,7 @@
         self.machines.len()
     }
 
-    /// All ids.
+    /// All machine ids.
     pub(crate) fn ids(&self) -> std::ops::Range<MachineId> {
         0..self.machines.len()
     }
@@ -132,7 +133,7 @@
         })
     }
 
-    /// Control machines that were not removed.
+    /// Control machines that are not removed.
     pub(crate) fn control_machines(&self) -> Vec<MachineId> {
         let is_in_use = |id: &MachineId| {
             let machine = &self.machines[*id];
@@ -157,13 +158,13 @@
         self.machines[machine].process.as_mut()?.discovery_mut()
     }
 
-    /// The machine that acts as primary.
+    /// The machine that currently acts as primary.
     pub(crate) fn primary(&self, now: Millis) -> Option<MachineId> {
-        let acts = |id: &MachineId| {
+        let acts_as_primary = |id: &MachineId| {
             let machine = &self.machines[*id];
             let control = machine.process.as_ref().and_then(Process::control);
             control.is_some_and(|control| control.may_act(machine.read_clocks(now)))
         };
-        self.control_machines().into_iter().find(acts)
+        self.control_machines().into_iter().find(acts_as_primary)
     }
 }
--- a/crates/emulator/src/fleet/mod.rs
+++ b/crates/emulator/src/fleet/mod.rs
@@ -1,16 +1,20 @@
-//! The fleet: machines with the real state machines, joined by emulated networks, disks and clocks.
+//! The fleet: machines that run the real state machines, connected by emulated networks, disks and clocks.
 //!
-//! From the outside in:
+//! From the outermost layer to the innermost:
 //!
-//! - [`Fleet`] (`simulation`, built by `builder`): the event loop, which passes each event to the part that it concerns.
-//! - `injection`, `recovery`: what faults do, and how they end.
-//! - `clients` with `traffic` and `job_mix`, `operators` with `configuration_changes`: who uses the fleet.
-//! - `worker_effects`: joins the simulated workers to their agents and to the checker.
+//! - [`Fleet`] (`simulation`, built by `builder`): the event loop, which dispatches each event to the
+//!   responsible module.
+//! - `injection`, `recovery`: inject faults and recover from them.
+//! - `clients` with `traffic` and `job_mix`, `operators` with `configuration_changes`: the users of the
+//!   fleet.
+//! - `worker_effects`: connects the simulated workers to their agents and to the checker.
 //! - `control`, `gate`, `agent` with `discovery`: the three roles of machines.
-//! - `rpc`, `lifecycle`, `reachability`: calls, processes that start and end, machines for which promises with a time hold.
-//! - `environment`: what all of these share. They take it as an argument, and none calls back into the event loop: what they
-//!   want done there is an event in the queue, or a value that they return.
-//! - `machine`, `process`, `disk`, `event`, `rpc_message`, `fault_history`, [`settings`], [`traffic_digest`]: data.
+//! - `rpc`, `lifecycle`, `reachability`: calls, starts and ends of processes, and the machines for which
+//!   guarantees with a deadline hold.
+//! - `environment`: the state that all of these share. They take it as an argument, and none of them calls
+//!   back into the event loop: to trigger an action there, they queue an event or return a value.
+//! - `machine`, `process`, `disk`, `event`, `rpc_message`, `fault_history`, [`settings`], [`traffic_digest`]:
+//!   data.
 
 mod agent;
 mod builder;
--- a/crates/emulator/src/fleet/operators.rs
+++ b/crates/emulator/src/fleet/operators.rs
@@ -1,4 +1,5 @@
-//! Operators: they send configurations, change them, race, err, and repeat what got no clear response.
+//! Operators, which send configurations, change them concurrently, send invalid changes, and retry requests
+//! without a definite response.
 
 use super::configuration_changes::{first_configuration, ChangeDraft, ChangeGenerator};
 use super::environment::Environment;
@@ -15,28 +16,28 @@
 use streamusher_protocol::Millis;
 use streamusher_scheduler::{OperatorRequest, OperatorRequestKind, OperatorResponse};
 
-/// How long an operator waits for a response.
+/// Time-out of an operator's request.
 const RESPONSE_TIMEOUT_MS: Millis = 1_000;
 const FIRST_RETRY_PAUSE_MS: Millis = 50;
 const MAX_RETRY_PAUSE_MS: Millis = 800;
 const MAX_PAUSE_DOUBLINGS: u32 = 5;
-/// Redirects that are followed before an operator pauses.
+/// Number of redirects that an operator follows before it pauses.
 const MAX_REDIRECTS: u32 = 2;
-/// Between two readings of the configuration.
+/// Interval between two reads of the configuration.
 const READ_INTERVAL_MS: Millis = 350;
-/// When the first configuration is sent.
+/// True time at which the first configuration is sent.
 const FIRST_CONFIGURATION_AT_MS: Millis = 600;
-/// The final reading is given up so long before the end of the simulation.
+/// Time before the end of the simulation after which the final read is no longer retried.
 const FINAL_READ_MARGIN_MS: Millis = 600;
 const MIN_COPY_DELAY_MS: Millis = 100;
 
-/// A request of an operator, until it has a clear response.
+/// A request of an operator, and whether it has had a definite response.
 #[derive(Clone, Debug)]
 struct PendingRequest {
     kind: OperatorRequestKind,
-    /// The change's number at the checker; none for a reading.
+    /// Number under which the checker records the change; `None` for a read.
     change: Option<usize>,
-    /// It reads the configuration at the end of the simulation.
+    /// Whether the request reads the configuration at the end of the simulation.
     is_final_read: bool,
     base: Option<u64>,
     body: Arc<str>,
@@ -77,7 +78,7 @@
     }
 }
 
-/// For how long copies of requests are delayed at most, and until when.
+/// Delay of request copies: the longest delay, and the true time until which copies are sent.
 #[derive(Clone, Copy, Debug)]
 struct CopyDelay {
     max_delay_ms: Millis,
@@ -103,8 +104,8 @@
         }
     }
 
-    /// Plans the first configuration, and readings until the end of the simulation.
-    pub(crate) fn plan(env: &mut Environment) {
+    /// Schedules the first configuration, and reads until the end of the simulation.
+    pub(crate) fn schedule_initial_requests(env: &mut Environment) {
         let first = OperatorEvent::FirstConfiguration;
         env.schedule_at(FIRST_CONFIGURATION_AT_MS, Event::Operator(first));
         let ends_at = env.settings.final_queries_at();
@@ -118,12 +119,12 @@
         }
     }
 
-    /// Prefixes of all queues that were ever added.
+    /// Prefixes of all queues that operators have added.
     pub(crate) fn added_queues(&self) -> &[Arc<str>] {
         self.changes.added_queues()
     }
 
-    /// Something is due.
+    /// Handles a scheduled event.
     pub(crate) fn on_event(&mut self, env: &mut Environment, event: &OperatorEvent) {
         match event {
             OperatorEvent::FirstConfiguration => {
@@ -136,7 +137,7 @@
         }
     }
 
-    /// An operator makes one of several changes.
+    /// Makes one random change of the newest known configuration.
     pub(crate) fn change(&mut self, env: &mut Environment, version_step: Option<u64>) {
         let Some(known) = self.known.clone() else {
             return;
@@ -145,14 +146,14 @@
         self.send_change(env, draft);
     }
 
-    /// Two operators change the same version, perhaps under the same number.
+    /// Makes two changes of the same version, possibly with the same new version number.
     pub(crate) fn race(&mut self, env: &mut Environment) {
         let version_step = env.random.chance(0.5).then_some(1);
         self.change(env, version_step);
         self.change(env, version_step);
     }
 
-    /// A change, and one that builds on it and is sent first.
+    /// Sends a change together with a second change that builds on it; the second one is sent first.
     pub(crate) fn change_chain(&mut self, env: &mut Environment) {
         let Some(known) = self.known.clone() else {
             return;
@@ -162,7 +163,7 @@
         self.send_change(env, first);
     }
 
-    /// An operator sends an invalid change.
+    /// Sends an invalid change.
     pub(crate) fn invalid_change(&mut self, env: &mut Environment) {
         let Some(known) = self.known.clone() else {
             return;
@@ -171,7 +172,7 @@
         self.send_change(env, draft);
     }
 
-    /// Copies of requests are delayed for some time, and arrive all the same.
+    /// Sends a delayed copy of each request for some time.
     pub(crate) fn delay_copies(&mut self, now: Millis, max_delay_ms: Millis, for_ms: Millis) {
         self.copy_delay = Some(CopyDelay {
             max_delay_ms,
@@ -180,7 +181,7 @@
     }
 
     fn send_change(&mut self, env: &mut Environment, draft: ChangeDraft) {
-        // The same change of the same version is the same request, whoever sends it.
+        // A change with the same base and body is the same request, regardless of which operator sends it.
         if self.requests.iter().any(|request| request.is_for(&draft)) {
             return;
         }
@@ -195,19 +196,19 @@
                 draft.kind, draft.base, draft.body
             )
         });
-        self.begin(env, PendingRequest::change(draft, number));
+        self.start_request(env, PendingRequest::change(draft, number));
     }
 
     fn read(&mut self, env: &mut Environment, is_final: bool) {
-        self.begin(env, PendingRequest::read(is_final));
+        self.start_request(env, PendingRequest::read(is_final));
     }
 
-    fn begin(&mut self, env: &mut Environment, request: PendingRequest) {
+    fn start_request(&mut self, env: &mut Environment, request: PendingRequest) {
         self.requests.push(request);
         self.send(env, self.requests.len() - 1, None);
     }
 
-    /// Sends a request to a machine, or to any control machine.
+    /// Sends a request to `receiver`, or to a random control machine.
     fn send(&mut self, env: &mut Environment, request: usize, receiver: Option<MachineId>) {
         let control_machines = env.machines.control_machines();
         let any = control_machines[env.random.below(control_machines.len())];
@@ -234,7 +235,7 @@
         rpc::call(env, caller, receiver, message, RESPONSE_TIMEOUT_MS);
     }
 
-    /// A call is over.
+    /// Handles the outcome of a call.
     pub(crate) fn on_call_returned(
         &mut self,
         env: &mut Environment,
@@ -294,7 +295,7 @@
         let state = &mut self.requests[request];
         env.trace(|| {
             format!(
-                "operator: {:?} {:?} answered {} {}",
+                "operator: {:?} {:?} response: {} {}",
                 state.kind, state.change, response.status, response.body
             )
         });
@@ -307,7 +308,7 @@
         env.checker
             .on_change_response(env.now, change, response.status);
         match (response.status, result) {
-            (200, Some(result)) => self.learn(result),
+            (200, Some(result)) => self.update_known(result),
             (409 | 412, _) => self.read(env, false),
             _ => {}
         }
@@ -328,11 +329,11 @@
         env.checker
             .on_configuration_read(env.now, sent_at, &response.body);
         if let Ok(read) = serde_json::from_str::<Configuration>(&response.body) {
-            self.learn(Arc::new(read));
+            self.update_known(Arc::new(read));
         }
     }
 
-    fn learn(&mut self, configuration: Arc<Configuration>) {
+    fn update_known(&mut self, configuration: Arc<Configuration>) {
         let known_version = self.known.as_ref().map_or(0, |known| known.version);
         if configuration.version > known_version {
             self.known = Some(configuration);
--- a/crates/emulator/src/fleet/process/agent.rs
+++ b/crates/emulator/src/fleet/process/agent.rs
@@ -24,10 +24,10 @@
 pub(crate) struct AgentProcess {
     agent: Agent,
     discovery: PrimaryDiscovery,
-    /// By the numbers under which the agent knows them.
+    /// Open requests by the number under which the agent handles them.
     open_requests: HashMap<u64, WorkerRequest>,
     last_request: u64,
-    /// The newest wake-up that was planned, in true time.
+    /// True time of the latest scheduled wake-up.
     wakeup_at: Millis,
 }
 
@@ -54,20 +54,20 @@
         self.agent.handle(now, event)
     }
 
-    /// Numbers a request of the worker.
+    /// Registers a request of the worker and returns its number.
     pub(crate) fn open(&mut self, request: WorkerRequest) -> u64 {
         self.last_request += 1;
         self.open_requests.insert(self.last_request, request);
         self.last_request
     }
 
-    /// The request that a response belongs to.
+    /// Removes and returns the open request to which a response belongs.
     pub(crate) fn close(&mut self, request: u64) -> Option<WorkerRequest> {
         self.open_requests.remove(&request)
     }
 
-    /// The true time at which the agent wants to do something before the next tick, unless that is planned already. `now` is
-    /// by the machine's steady clock.
+    /// Returns the true time at which the agent must run before the next tick, unless a wake-up for that is
+    /// already scheduled. `now` is the reading of the machine's steady clock.
     pub(crate) fn plan_wakeup(
         &mut self,
         now: Millis,
--- a/crates/emulator/src/fleet/process/control.rs
+++ b/crates/emulator/src/fleet/process/control.rs
@@ -1,4 +1,4 @@
-//! A control machine's process: the real driver of replication and scheduler.
+//! The process of a control machine: the real driver of replication and scheduler.
 
 use crate::fleet::rpc_message::CallId;
 use std::collections::HashMap;
@@ -9,28 +9,28 @@
 use streamusher_protocol::{Millis, Now};
 use streamusher_scheduler::{OperatorRequestKind, Scheduler, SchedulerSettings};
 
-/// How long a process may take to hand over when it is told to leave.
+/// Time that a process has for handing over after it was asked to leave.
 const LEAVE_GRACE_MS: Millis = 6_000;
 
-/// A call that the driver works on.
+/// A call that the driver is handling.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OpenRequest {
     pub(crate) call: CallId,
-    /// A success acknowledges a change.
+    /// Whether a success response acknowledges a change.
     pub(crate) acknowledges_change: bool,
 }
 
 /// A control machine's process.
 pub(crate) struct ControlProcess {
     driver: Driver<Coordinator, Scheduler>,
-    /// By the numbers that the driver gave them.
+    /// Open calls by the request number that the driver assigned.
     open_requests: HashMap<u64, OpenRequest>,
-    /// Since when it has been told to leave, by its steady clock.
+    /// Steady clock reading at which the process was asked to leave.
     leaving_since: Option<Millis>,
 }
 
 impl ControlProcess {
-    /// A process that starts from what is on its disk.
+    /// Creates a process that starts from the content of its disk.
     pub(crate) fn new(
         scheduler: SchedulerSettings,
         replication: CoordinatorSettings,
@@ -45,12 +45,12 @@
         }
     }
 
-    /// Who is in the control plane.
+    /// The membership of the control plane as this process knows it.
     pub(crate) fn view(&self, now: Now) -> ClusterView {
         self.driver.replication().view(now.steady_ms)
     }
 
-    /// Whether it acts as primary.
+    /// Whether the process may act as primary.
     pub(crate) fn may_act(&self, now: Now) -> bool {
         self.driver.replication().may_act(now.steady_ms)
     }
@@ -59,7 +59,7 @@
         self.driver.tick(now)
     }
 
-    /// Whether it was told to leave and has handed over, or has taken too long.
+    /// Whether the process was asked to leave and has handed over, or has exceeded the time for that.
     pub(crate) fn has_left(&self, now: Now) -> bool {
         let Some(since) = self.leaving_since else {
             return false;
@@ -67,7 +67,7 @@
         now.steady_ms > since + LEAVE_GRACE_MS || self.driver.replication().may_leave()
     }
 
-    /// Tells it to hand over and leave.
+    /// Asks the process to hand over and leave.
     pub(crate) fn leave(&mut self, now: Now) -> Vec<Action> {
         self.leaving_since.get_or_insert(now.steady_ms);
         self.driver.handle_input(now, Input::Leave)
@@ -100,7 +100,8 @@
         self.driver.on_recovered(now, epoch, recovery.run())
     }
 
-    /// A call arrives. Returns the number that the driver gave it, and what is to be done.
+    /// Passes a call to the driver. Returns the request number that the driver assigned, and the resulting
+    /// actions.
     pub(crate) fn on_call(
         &mut self,
         now: Now,
@@ -121,13 +122,13 @@
         (number, actions)
     }
 
-    /// The caller has left.
+    /// Notifies the driver that the caller no longer waits.
     pub(crate) fn on_call_abandoned(&mut self, now: Now, request: u64) -> Vec<Action> {
         self.open_requests.remove(&request);
         self.driver.on_caller_disconnected(now, request)
     }
 
-    /// The call that a response belongs to, if its caller has not left.
+    /// Removes and returns the call to which a response belongs, if its caller still waits.
     pub(crate) fn take_request(&mut self, request: u64) -> Option<OpenRequest> {
         self.open_requests.remove(&request)
     }
--- a/crates/emulator/src/fleet/process/gate.rs
+++ b/crates/emulator/src/fleet/process/gate.rs
@@ -1,10 +1,11 @@
-//! A gate's process: a stand-in that forwards clients' requests to the primary.
+//! The process of a gate: a substitute for the real one, which forwards client requests to the primary.
 
 use std::collections::BTreeMap;
 use streamusher_dataplane::control_plane::PrimaryDiscovery;
 use streamusher_protocol::internal::ClientRequest;
 
-/// Attempts to forward a request, each to another primary after one has done nothing.
+/// Largest number of attempts to forward a request. Each further attempt follows a response that the called
+/// machine is not the primary.
 const MAX_ATTEMPTS: u32 = 3;
 
 #[derive(Debug)]
@@ -16,7 +17,7 @@
 /// A gate's process.
 pub(crate) struct GateProcess {
     discovery: PrimaryDiscovery,
-    /// By the number of the client's request.
+    /// Open requests by the number of the client request.
     open_requests: BTreeMap<u64, OpenRequest>,
 }
 
@@ -32,7 +33,7 @@
         &mut self.discovery
     }
 
-    /// A client's request has come.
+    /// Registers a client request.
     pub(crate) fn open(&mut self, client_request: u64, request: ClientRequest) {
         let open = OpenRequest {
             request,
@@ -46,7 +47,7 @@
         self.open_requests.contains_key(&client_request)
     }
 
-    /// Counts an attempt and returns what to forward; none after the last attempt.
+    /// Counts an attempt and returns the request to forward; `None` after the last attempt.
     pub(crate) fn next_attempt(&mut self, client_request: u64) -> Option<ClientRequest> {
         let open = self.open_requests.get_mut(&client_request)?;
         open.attempts += 1;
--- a/crates/emulator/src/fleet/process/mod.rs
+++ b/crates/emulator/src/fleet/process/mod.rs
@@ -1,4 +1,5 @@
-//! The processes of the fleet's machines: the real state machines, with the bookkeeping that joins them to the emulator.
+//! The processes of the fleet's machines: the real state machines, and the bookkeeping that connects them to
+//! the emulator.
 
 mod agent;
 mod control;
@@ -10,7 +11,7 @@
 
 use streamusher_dataplane::control_plane::PrimaryDiscovery;
 
-/// A process at work.
+/// A running process of a machine.
 pub(crate) enum Process {
     /// A member of the control plane.
     Control(Box<ControlProcess>),
@@ -49,7 +50,7 @@
         }
     }
 
-    /// How a gate or an agent finds the primary.
+    /// The primary discovery of a gate or agent; `None` for a control machine.
     pub(crate) fn discovery_mut(&mut self) -> Option<&mut PrimaryDiscovery> {
         match self {
             Process::Control(_) => None,
--- a/crates/emulator/src/fleet/reachability.rs
+++ b/crates/emulator/src/fleet/reachability.rs
@@ -1,4 +1,4 @@
-//! Which machines are reachable: promises with a time hold for these only.
+//! Reachability of machines. Guarantees with a deadline hold only for reachable machines.
 //!
 //! A machine is reachable if it and the control plane have been without faults for `contact_ms`.
 
@@ -7,7 +7,7 @@
 use crate::network::MachineId;
 use streamusher_protocol::Millis;
 
-/// A fault of a machine begins or ends.
+/// Records that a fault of a machine begins or ends, or that an instantaneous one occurs.
 pub(crate) fn on_machine_fault(env: &mut Environment, machine: MachineId) {
     let now = env.now;
     env.fault_history.machine_mut(machine).last_at = now;
@@ -30,20 +30,21 @@
     env.fault_history.overlapped = env.allows_overlaps && (still_overlapped || exceeds_tolerance);
 }
 
-/// A fault of a machine begins and lasts.
+/// Records the start of a lasting fault of a machine.
 pub(crate) fn begin_machine_fault(env: &mut Environment, machine: MachineId) {
     on_machine_fault(env, machine);
     env.fault_history.machine_mut(machine).ongoing += 1;
 }
 
-/// A fault of a machine that has lasted ends.
+/// Records the end of a lasting fault of a machine.
 pub(crate) fn end_machine_fault(env: &mut Environment, machine: MachineId) {
     on_machine_fault(env, machine);
     let record = env.fault_history.machine_mut(machine);
     record.ongoing = record.ongoing.saturating_sub(1);
 }
 
-/// Control machines that count as lost: struck now, or so shortly before that they may lack something.
+/// Number of control machines that count as lost: faulty now, or so recently that they may not have caught
+/// up.
 fn lost_control_machines(env: &Environment) -> usize {
     let catch_up_ms = env.settings.limits.catch_up_ms;
     let is_lost = |id: &MachineId| {
@@ -61,7 +62,7 @@
         .count()
 }
 
-/// Whether a fault of any control machine is not over.
+/// Whether any control machine has a fault in progress.
 fn is_any_control_faulty(env: &Environment) -> bool {
     let is_faulty = |id: &MachineId| {
         !env.machines[*id].is_running() || env.fault_history.machine(*id).ongoing > 0
@@ -69,7 +70,8 @@
     env.machines.control_machines().iter().any(is_faulty)
 }
 
-/// Control machines that run, are awake, and reach more than half of the control plane both ways.
+/// Control machines that run, are not frozen, and reach more than half of the control plane in both
+/// directions.
 fn connected_control_machines(env: &Environment) -> Vec<MachineId> {
     let all = env.machines.control_machines();
     let is_running = |id: &MachineId| env.machines[*id].is_running();
@@ -88,7 +90,8 @@
     connected * 2 > env.machines.control_machines().len()
 }
 
-/// Since when the control plane has been without faults; none while it is not connected or is slowed.
+/// Time since which the control plane has been without faults; `None` while it has no connected majority or
+/// is slowed.
 fn control_fault_free_since(env: &Environment) -> Option<Millis> {
     let history = &env.fault_history;
     if history.is_control_slowed() || !control_has_majority(env) {
@@ -107,7 +110,8 @@
     Some(history.last_control_event_at + recovery_ms)
 }
 
-/// Since when a machine has been without faults; none while it does not run or does not reach the control plane.
+/// Time since which a machine has been without faults; `None` while it is not running or does not reach the
+/// control plane.
 fn machine_fault_free_since(env: &Environment, machine: MachineId) -> Option<Millis> {
     if !env.machines[machine].is_running() {
         return None;
@@ -131,7 +135,8 @@
     env.now >= control_since.max(machine_since) + env.settings.limits.contact_ms
 }
 
-/// Since when nothing at all has been faulty. Control machines that are down do not count if most run.
+/// Time since which the whole fleet has been without faults. Control machines that are down do not count
+/// while a majority runs.
 pub(crate) fn fault_free_since(env: &Environment) -> Option<Millis> {
     let mut since = control_fault_free_since(env)?;
     let counts = |machine: &Machine| !machine.removed && machine.role != Role::Control;
--- a/crates/emulator/src/fleet/recovery.rs
+++ b/crates/emulator/src/fleet/recovery.rs
@@ -9,11 +9,11 @@
 use crate::network::{Link, MachineId};
 use streamusher_protocol::Millis;
 
-/// How often it is looked whether a process that was told to leave has left.
+/// Interval between two checks of whether a process that was asked to leave has left.
 const LEAVE_CHECK_INTERVAL_MS: Millis = 300;
 
-/// Recovers from a fault, or takes a step of a rolling restart. `FaultRecovery::Leave` is not handled here but by
-/// `on_told_to_leave`, after the machine was told.
+/// Recovers from a fault, or takes a step of a rolling restart. For `FaultRecovery::Leave`, this only
+/// schedules the check of whether the machine has left; the caller asks the machine to leave.
 pub(crate) fn recover(state: &mut FleetState, recovery: FaultRecovery) {
     let env = &mut state.environment;
     match recovery {
@@ -41,7 +41,7 @@
             env.fault_history.end_worker_fault(env.now, worker);
             state.workers.set_failure_rate(worker, 0.0);
         }
-        FaultRecovery::Leave(restart) => on_told_to_leave(env, restart),
+        FaultRecovery::Leave(restart) => schedule_leave_check(env, restart),
         FaultRecovery::RestartIfLeft(restart) => restart_if_left(env, restart),
         FaultRecovery::Restart { machine } => self::restart(env, machine),
         FaultRecovery::AddControlMachine => add_control_machine(env),
@@ -72,15 +72,16 @@
     env.fault_history.end_control_slowdown(env.now);
 }
 
-/// A control machine was told to leave, as one of several in turn.
-pub(crate) fn on_told_to_leave(env: &mut Environment, restart: RollingRestart) {
+/// Schedules the check of whether a machine has left after it was asked to leave, as a step of a rolling
+/// restart.
+pub(crate) fn schedule_leave_check(env: &mut Environment, restart: RollingRestart) {
     let check = FaultRecovery::RestartIfLeft(restart);
     env.schedule_in(LEAVE_CHECK_INTERVAL_MS, Event::Recovery(check));
 }
 
 fn restart_if_left(env: &mut Environment, rolling: RollingRestart) {
     if env.machines[rolling.machine].process.is_some() {
-        on_told_to_leave(env, rolling);
+        schedule_leave_check(env, rolling);
         return;
     }
     restart(env, rolling.machine);
--- a/crates/emulator/src/fleet/rpc.rs
+++ b/crates/emulator/src/fleet/rpc.rs
@@ -1,4 +1,5 @@
-//! Calls between processes: they arrive or not, are answered, break or time out.
+//! Calls between processes, which can be delivered or lost, and end with a response, a broken connection or a
+//! time-out.
 
 use super::environment::Environment;
 use super::event::Event;
@@ -9,21 +10,21 @@
 use streamusher_protocol::internal::ClusterView;
 use streamusher_protocol::Millis;
 
-/// How long a message of an operator or its response takes, at least and at most.
+/// Shortest and longest latency of an operator's message or of its response.
 const OPERATOR_DELAY_MS: (Millis, Millis) = (1, 4);
 /// Probability that a call whose caller has left meanwhile is still read.
 const READ_AFTER_CALLER_LEFT: f64 = 0.5;
 
-/// A call that is over for its caller.
+/// A call that has ended for its caller.
 pub(crate) struct ReturnedCall {
     pub(crate) caller: Caller,
     pub(crate) receiver: MachineId,
     pub(crate) outcome: RpcOutcome,
-    /// Set if the called process still works on it.
+    /// Set if the called process is still handling the call.
     pub(crate) accepted: Option<AcceptedCall>,
 }
 
-/// Makes a call.
+/// Sends a call.
 pub(crate) fn call(
     env: &mut Environment,
     caller: Caller,
@@ -44,7 +45,7 @@
     env.open_calls.insert(call, caller, receiver);
 }
 
-/// Sends another copy of a call that arrives some time later. Nobody waits for its response.
+/// Sends another copy of a call that arrives after a delay. No caller waits for its response.
 pub(crate) fn send_delayed_copy(
     env: &mut Environment,
     receiver: MachineId,
@@ -86,7 +87,8 @@
     env.random.between(OPERATOR_DELAY_MS.0, OPERATOR_DELAY_MS.1)
 }
 
-/// A call arrives. Returns the request if the primary is meant: the called process is to handle it.
+/// Handles the arrival of a call. Returns the request if the called process must handle it, which holds for
+/// requests to the primary.
 pub(crate) fn on_call_arrives(
     env: &mut Environment,
     call: CallId,
@@ -108,7 +110,7 @@
     }
     let machine = &env.machines[receiver];
     if machine.process.is_none() {
-        // Nothing answers at the address of a removed machine.
+        // The address of a removed machine sends no response.
         if !machine.removed {
             respond(env, call, RpcOutcome::ConnectionRefused);
         }
@@ -124,7 +126,7 @@
     }
 }
 
-/// A delayed copy of a call arrives. Returns the request if the called process is to handle it.
+/// Handles the arrival of a delayed copy of a call. Returns the request if the called process must handle it.
 pub(crate) fn on_copy_arrives(
     env: &Environment,
     receiver: MachineId,
@@ -144,7 +146,7 @@
         .unwrap_or_default()
 }
 
-/// Notes the number that the called process gave to a call.
+/// Records the request number that the called process assigned to a call.
 pub(crate) fn on_accepted(env: &mut Environment, call: CallId, boot: u64, request: u64) {
     if let Some(open) = env.open_calls.get_mut(call) {
         open.accepted = Some(AcceptedCall { boot, request });
@@ -168,7 +170,8 @@
     }
 }
 
-/// A response reaches its caller. Returns the call that is over by that; one to a frozen machine waits until it wakes.
+/// Handles the arrival of a response at its caller. Returns the call that has ended; while the caller's
+/// machine is frozen, the response is delayed until the machine resumes.
 pub(crate) fn on_call_returns(
     env: &mut Environment,
     call: CallId,
@@ -181,7 +184,7 @@
     take_returned(env, call, outcome)
 }
 
-/// A caller waits no longer. Returns the call that is over by that.
+/// Handles the time-out of a call. Returns the call that has ended.
 pub(crate) fn on_call_timeout(env: &mut Environment, call: CallId) -> Option<ReturnedCall> {
     if let Some(wakes_at) = caller_wakes_at(env, call) {
         env.schedule_at(wakes_at, Event::CallTimeout { call });
@@ -205,7 +208,7 @@
     })
 }
 
-/// Tells the called process that the caller waits no longer.
+/// Notifies the called process that the caller no longer waits.
 pub(crate) fn abandon(
     env: &mut Environment,
     caller: &Caller,
@@ -232,7 +235,7 @@
     }
 }
 
-/// A process has ended: what it called learns of it.
+/// Notifies the called processes that a caller's process has ended.
 pub(crate) fn abandon_calls_of(env: &mut Environment, machine: MachineId) {
     for call in env.open_calls.made_by(machine) {
         let Some(open) = env.open_calls.remove(call) else {
@@ -243,7 +246,7 @@
     }
 }
 
-/// A process was killed: the connections of the calls that it worked on break.
+/// Breaks the connections of the calls that a killed process was handling.
 pub(crate) fn break_calls_to(env: &mut Environment, machine: MachineId) {
     for call in env.open_calls.accepted_by(machine) {
         respond(env, call, RpcOutcome::ConnectionBroken);
--- a/crates/emulator/src/fleet/rpc_message.rs
+++ b/crates/emulator/src/fleet/rpc_message.rs
@@ -1,4 +1,4 @@
-//! Calls between processes: who calls, what is requested, and how it ends for the caller.
+//! Calls between processes: the caller, the request, and the outcome for the caller.
 
 use crate::network::MachineId;
 use std::collections::BTreeMap;
@@ -11,29 +11,29 @@
 /// Identifies a call within the fleet.
 pub(crate) type CallId = u64;
 
-/// Who calls. `boot` tells the starts of a machine's process apart.
+/// The caller of a request. `boot` distinguishes the starts of a machine's process.
 #[derive(Clone, Debug)]
 pub(crate) enum Caller {
-    /// An agent, with the sequence number of its synchronization.
+    /// An agent; `sequence` is the sequence number of its synchronization.
     Agent {
         machine: MachineId,
         boot: u64,
         sequence: u64,
     },
-    /// A gate, for a client's request.
+    /// A gate that forwards a client's request.
     Gate {
         machine: MachineId,
         boot: u64,
         client_request: u64,
     },
-    /// A gate or an agent that looks for the primary.
+    /// A gate or an agent that searches for the primary.
     Discovery { machine: MachineId, boot: u64 },
-    /// An operator, for a request that was sent at this time.
+    /// An operator whose request was sent at this time.
     Operator { request: usize, sent_at: Millis },
 }
 
 impl Caller {
-    /// The machine on which the caller runs; operators are outside of the fleet.
+    /// The machine on which the caller runs; `None` for operators, which are outside the fleet.
     pub(crate) fn machine(&self) -> Option<MachineId> {
         match self {
             Caller::Agent { machine, .. }
@@ -44,23 +44,23 @@
     }
 }
 
-/// What is requested of a control machine.
+/// A request to a control machine.
 #[derive(Clone, Debug)]
 pub(crate) enum RpcRequest {
-    /// Something that only the primary does.
+    /// A request that only the primary handles.
     Primary(Box<ControlRequest>),
-    /// Who is in the control plane.
+    /// A request for the membership of the control plane.
     View,
 }
 
 impl RpcRequest {
-    /// A request to the primary.
+    /// Creates a request that only the primary handles.
     pub(crate) fn primary(request: ControlRequest) -> RpcRequest {
         RpcRequest::Primary(Box::new(request))
     }
 }
 
-/// How a call ended for its caller.
+/// The outcome of a call for its caller.
 #[derive(Clone, Debug)]
 pub(crate) enum RpcOutcome {
     /// The response to an agent.
@@ -69,37 +69,37 @@
     Client(ClientResponse),
     /// The response to an operator.
     Operator(OperatorResponse),
-    /// Who is in the control plane.
+    /// The membership of the control plane.
     View(ClusterView),
-    /// The machine is not the primary; nothing was done.
+    /// The machine is not the primary; the request was not executed.
     NotPrimary(ClusterView),
-    /// It may have been done or not.
+    /// It is unknown whether the request was executed.
     Unknown,
-    /// The connection was refused: nothing was done.
+    /// The connection was refused; the request was not executed.
     ConnectionRefused,
-    /// The connection broke.
+    /// The connection broke before a response arrived.
     ConnectionBroken,
-    /// There was no response in time.
+    /// No response arrived within the time-out.
     TimedOut,
 }
 
-/// The number that the called process gave to a call.
+/// Identifies a call at the called process: its boot and the request number that it assigned.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AcceptedCall {
     pub(crate) boot: u64,
     pub(crate) request: u64,
 }
 
-/// A call that is not over for its caller.
+/// A call whose caller still waits.
 #[derive(Debug)]
 pub(crate) struct OpenCall {
     pub(crate) caller: Caller,
     pub(crate) receiver: MachineId,
-    /// Set while the called process works on it.
+    /// Set while the called process handles the call.
     pub(crate) accepted: Option<AcceptedCall>,
 }
 
-/// All calls that are not over for their callers.
+/// All calls whose callers still wait.
 #[derive(Debug, Default)]
 pub(crate) struct OpenCalls {
     calls: BTreeMap<CallId, OpenCall>,
@@ -107,7 +107,7 @@
 }
 
 impl OpenCalls {
-    /// A number for a new call.
+    /// Returns the id for a new call.
     pub(crate) fn next_id(&mut self) -> CallId {
         self.last_id += 1;
         self.last_id
@@ -134,12 +134,12 @@
         self.calls.remove(&id)
     }
 
-    /// The calls of a machine's process.
+    /// The open calls made by a machine's process.
     pub(crate) fn made_by(&self, machine: MachineId) -> Vec<CallId> {
         self.ids(|call| call.caller.machine() == Some(machine))
     }
 
-    /// The calls that a machine's process works on.
+    /// The open calls that a machine's process is handling.
     pub(crate) fn accepted_by(&self, machine: MachineId) -> Vec<CallId> {
         self.ids(|call| call.receiver == machine && call.accepted.is_some())
     }
--- a/crates/emulator/src/fleet/settings.rs
+++ b/crates/emulator/src/fleet/settings.rs
@@ -1,4 +1,4 @@
-//! What a fleet consists of.
+//! Sizes and limits of a fleet.
 
 use crate::clock::WorkerClock;
 use crate::cpu_quota::CpuQuota;
@@ -12,14 +12,15 @@
 
 /// The services of the emulated deployment.
 pub(crate) const SERVICES: [&str; 2] = ["alpha", "beta"];
-/// Control machines, and how many of them may lose their disks at once, in drawn fleets.
+/// Pairs of the number of control machines and the number of them that may lose their disks at once, for
+/// drawn fleets.
 const CONTROL_MACHINES_AND_TOLERANCE: [(usize, usize); 4] = [(3, 1), (5, 1), (5, 2), (7, 2)];
-/// Workers of one rack.
+/// Number of workers per rack.
 const RACK_SIZE: usize = 3;
 const ZONES: usize = 3;
-/// The first workers have the label `a`, the others `b`.
+/// Number of workers with the label `a`; the other workers have the label `b`.
 const WORKERS_OF_KIND_A: usize = 3;
-/// Workers' clocks run slow by up to so many parts of a thousand.
+/// Largest rate by which a worker's clock runs slow, in parts per thousand.
 const MAX_SLOW_PER_MILLE: u64 = 20;
 const PLAIN_CAPACITY: Resources = Resources {
     cpu: 16_000,
@@ -35,38 +36,39 @@
 /// Sizes and limits of a fleet, and its seed.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSettings {
-    /// Decides all that is left to chance.
+    /// Seed of all random decisions.
     pub seed: u64,
-    /// Control machines.
+    /// Number of control machines.
     pub control_machines: usize,
-    /// Gates.
+    /// Number of gates.
     pub gates: usize,
-    /// Workers, each with an agent.
+    /// Number of workers, each of which has an agent.
     pub worker_count: usize,
-    /// Control machines that may lose their disks at once.
+    /// Number of control machines that may lose their disks at once.
     pub tolerance: usize,
-    /// Workers reject runs that exceed their capacity.
+    /// Whether workers reject runs that exceed their capacity.
     pub workers_reject_overload: bool,
-    /// Limits of the deployment.
+    /// Time limits and other parameters of the deployment.
     pub limits: DeploymentLimits,
-    /// When the first jobs are submitted, in true time.
+    /// True time at which the first jobs are submitted.
     pub traffic_starts_at: Millis,
-    /// When the last jobs are submitted.
+    /// True time at which the last jobs are submitted.
     pub traffic_ends_at: Millis,
-    /// Jobs in the ordinary traffic.
+    /// Number of jobs in the regular traffic.
     pub job_count: usize,
-    /// How long a replica's acknowledgement keeps it from standing for election.
+    /// Time during which a replica that has acknowledged the primary does not stand for election.
     pub lease_ms: Millis,
-    /// How long a disk takes to sync.
+    /// Time that a disk takes to sync.
     pub disk_sync_ms: Millis,
-    /// The processors of all machines stand still when this quota is spent, which it always is; none for ordinary ones.
+    /// CPU quota of every machine, which is always used up in each period, so that the machine then stops
+    /// until the next one; `None` for no quota.
     pub cpu_quota: Option<CpuQuota>,
-    /// The mechanisms that take part in the scheduler's decisions.
+    /// Mechanisms that are enabled in the scheduler's decisions.
     pub policy: Policy,
 }
 
 impl FleetSettings {
-    /// A small fleet with three control machines.
+    /// Returns a small fleet with three control machines.
     pub fn small(seed: u64) -> FleetSettings {
         FleetSettings {
             seed,
@@ -86,7 +88,7 @@
         }
     }
 
-    /// The small fleet, with sizes that differ from seed to seed.
+    /// Returns the small fleet with sizes and limits that are drawn from the seed.
     pub fn drawn(seed: u64) -> FleetSettings {
         let mut random = Random::new(seed, Stream::Settings);
         let shape = random.below(CONTROL_MACHINES_AND_TOLERANCE.len());
@@ -116,12 +118,12 @@
         }
     }
 
-    /// When every job is queried for the last time.
+    /// True time at which the final query of every job is sent.
     pub(crate) fn final_queries_at(&self) -> Millis {
         self.traffic_ends_at + self.limits.finish_ms
     }
 
-    /// The workers, not up yet: some of each service, with racks and kinds.
+    /// Creates the workers, which are not started yet and differ in service, rack and capacity.
     pub(crate) fn workers(&self) -> Vec<Worker> {
         let mut random = Random::new(self.seed, Stream::WorkerKinds);
         let indexes = 0..self.worker_count;
--- a/crates/emulator/src/fleet/simulation.rs
+++ b/crates/emulator/src/fleet/simulation.rs
@@ -29,11 +29,11 @@
 use std::sync::Arc;
 use streamusher_protocol::Millis;
 
-/// A fleet, and the simulation of it from its start to its end.
+/// A fleet, and its simulation from start to end.
 pub struct Fleet {
     state: FleetState,
     schedule: FaultSchedule,
-    /// Faults that wait for the next acknowledged change.
+    /// Faults that are injected after the next acknowledged change.
     armed_faults: Vec<Fault>,
     workload: Option<Arc<Workload>>,
     samples: Vec<LongRunningSample>,
@@ -41,12 +41,12 @@
 }
 
 impl Fleet {
-    /// A fleet with the ordinary workers and traffic.
+    /// Creates a fleet with the regular workers and traffic.
     pub fn new(settings: FleetSettings, schedule: FaultSchedule) -> Fleet {
         Fleet::build(settings, schedule, settings.workers(), None)
     }
 
-    /// A fleet with the workers and the traffic of a workload.
+    /// Creates a fleet with the workers and the traffic of a workload.
     pub fn with_workload(
         settings: FleetSettings,
         schedule: FaultSchedule,
@@ -81,22 +81,22 @@
         }
     }
 
-    /// Prints what happens from now on.
+    /// Prints all further events.
     pub fn print_events(&mut self) {
         self.state.environment.verbose = true;
     }
 
-    /// Keeps a digest of all that is sent and stored. To be called before the first event.
+    /// Enables the digest of everything that is sent and stored. To be called before the first event.
     pub fn keep_traffic_digest(&mut self) {
         self.state.environment.traffic_digest = Some(TrafficDigest::default());
     }
 
-    /// The digest of all that was sent and stored, if one was kept.
+    /// The digest of everything that was sent and stored; `None` if it was not enabled.
     pub fn traffic_digest(&self) -> Option<&TrafficDigest> {
         self.state.environment.traffic_digest.as_ref()
     }
 
-    /// Sizes and limits.
+    /// Sizes and limits of the fleet.
     pub fn settings(&self) -> &FleetSettings {
         &self.state.environment.settings
     }
@@ -106,7 +106,7 @@
         &self.state.environment.submitted_jobs
     }
 
-    /// The newest epoch that any control machine knows.
+    /// The newest epoch that any control machine knows, or 0 if no control process is running.
     pub fn newest_epoch(&self) -> u64 {
         let env = &self.state.environment;
         let epochs = env.machines.ids().filter_map(|machine| {
@@ -116,12 +116,12 @@
         epochs.max().unwrap_or(0)
     }
 
-    /// What was observed so far.
+    /// The observations and violations recorded so far.
     pub fn checker(&self) -> &Checker {
         &self.state.environment.checker
     }
 
-    /// The value that the jobs of the workload have earned; nothing without a workload.
+    /// The value that the jobs of the workload have earned; zero without a workload.
     pub fn earned_value(&self) -> EarnedValue {
         let Some(workload) = &self.workload else {
             return EarnedValue::default();
@@ -134,7 +134,7 @@
         )
     }
 
-    /// Simulates to the end, or to the first violation of a rule. Returns the violations.
+    /// Runs the simulation to its end, or to the first violation. Returns the violations.
     pub fn simulate(&mut self) -> &[Violation] {
         let ends_at = self.state.environment.ends_at;
         while self.checker().violations().is_empty() {
@@ -213,7 +213,7 @@
         }
     }
 
-    /// Events of the machines' processes and of the calls between them.
+    /// Dispatches events of machine processes and of the calls between them.
     fn dispatch_to_machine(&mut self, event: Event) {
         let env = &mut self.state.environment;
         match event {
@@ -246,7 +246,7 @@
         }
     }
 
-    /// Events of the control machines' processes.
+    /// Dispatches events of control machine processes.
     fn dispatch_to_control(&mut self, event: Event) {
         let env = &mut self.state.environment;
         let pending = match event {
@@ -288,8 +288,8 @@
         self.perform(pending);
     }
 
-    /// Performs what a control machine's process wants done. Faults that wait for an acknowledged change strike right after
-    /// it, before what is left to do.
+    /// Performs the actions that a control machine's process has requested. Faults deferred until an
+    /// acknowledged change are injected right after it, before the remaining actions.
     fn perform(&mut self, pending: Option<PendingActions>) {
         let Some(mut pending) = pending else {
             return;
@@ -313,7 +313,7 @@
             Role::Gate => discovery::probe(env, machine),
             Role::Agent => agent::tick(env, machine),
         }
-        lifecycle::plan_tick(&mut self.state.environment, machine, boot);
+        lifecycle::schedule_tick(&mut self.state.environment, machine, boot);
     }
 
     fn tick_control(&mut self, machine: MachineId) {
@@ -334,7 +334,7 @@
         rpc::abandon(&mut self.state.environment, &caller, receiver, accepted);
     }
 
-    /// Gives the outcome of a call to its caller, unless that was restarted meanwhile.
+    /// Passes the outcome of a call to its caller, unless the caller was restarted in the meantime.
     fn on_call_returned(&mut self, returned: ReturnedCall) {
         let env = &mut self.state.environment;
         let ReturnedCall {
@@ -386,20 +386,20 @@
             .environment
             .trace(|| format!("recovery {recovery:?}"));
         match recovery {
-            FaultRecovery::Leave(restart) => self.tell_to_leave(restart),
+            FaultRecovery::Leave(restart) => self.ask_to_leave(restart),
             other => recovery::recover(&mut self.state, other),
         }
     }
 
-    fn tell_to_leave(&mut self, restart: RollingRestart) {
+    fn ask_to_leave(&mut self, restart: RollingRestart) {
         let env = &mut self.state.environment;
         reachability::on_machine_fault(env, restart.machine);
         let pending = control::leave(env, restart.machine);
         self.perform(pending);
-        recovery::on_told_to_leave(&mut self.state.environment, restart);
+        recovery::schedule_leave_check(&mut self.state.environment, restart);
     }
 
-    /// Checks promises with a time.
+    /// Checks guarantees with a deadline.
     fn check(&mut self) {
         let env = &mut self.state.environment;
         let contact_ms = env.settings.limits.contact_ms;
--- a/crates/emulator/src/fleet/state.rs
+++ b/crates/emulator/src/fleet/state.rs
@@ -5,7 +5,7 @@
 use super::operators::Operators;
 use crate::workers::SimulatedWorkers;
 
-/// All parts of a fleet. None of them knows another, except that all share the environment.
+/// All parts of a fleet. They do not depend on each other, but share the environment.
 pub(crate) struct FleetState {
     pub(crate) environment: Environment,
     pub(crate) clients: Clients,
--- a/crates/emulator/src/fleet/traffic.rs
+++ b/crates/emulator/src/fleet/traffic.rs
@@ -1,4 +1,4 @@
-//! Plans when clients submit jobs.
+//! Schedules the job submissions of clients.
 
 use super::environment::Environment;
 use super::event::{ClientEvent, Event};
@@ -7,8 +7,8 @@
 
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 
-/// Plans the ordinary traffic: a number of jobs, spread evenly.
-pub(crate) fn plan_ordinary(env: &mut Environment) {
+/// Schedules the regular traffic: a fixed number of jobs at uniformly drawn times.
+pub(crate) fn schedule_regular_traffic(env: &mut Environment) {
     for _ in 0..env.settings.job_count {
         let starts_at = env.settings.traffic_starts_at;
         let due = env.random.between(starts_at, env.settings.traffic_ends_at);
@@ -17,8 +17,8 @@
     }
 }
 
-/// Plans the traffic of a workload: the jobs of each class come independently of each other.
-pub(crate) fn plan_workload(env: &mut Environment, workload: &Workload) {
+/// Schedules the traffic of a workload: the jobs of each class arrive independently of each other.
+pub(crate) fn schedule_workload(env: &mut Environment, workload: &Workload) {
     let ends_at = env.settings.traffic_ends_at as f64;
     for (class, shape) in workload.classes.iter().enumerate() {
         let mut due = env.settings.traffic_starts_at as f64;
--- a/crates/emulator/src/fleet/traffic_digest.rs
+++ b/crates/emulator/src/fleet/traffic_digest.rs
@@ -1,5 +1,5 @@
-//! A digest of everything that the processes of a fleet send, answer and store, to show that two versions of the code
-//! decide the same and encode it the same.
+//! A digest of everything that the processes of a fleet send, respond and store, which shows that two
+//! versions of the code make the same decisions and encode them identically.
 
 use super::event::Event;
 use super::rpc_message::{CallId, RpcOutcome, RpcRequest};
@@ -12,7 +12,7 @@
 use streamusher_protocol::Millis;
 use streamusher_scheduler::{OperatorRequestKind, OperatorResponse};
 
-/// Bytes of the digest that are shown.
+/// Number of digest bytes that `shown` returns.
 const SHOWN_BYTES: usize = 8;
 
 /// The kinds of entries. Their numbers are part of the recorded digests.
@@ -37,16 +37,17 @@
     DiskChange = 30,
 }
 
-/// A running digest of times and encoded messages. Only numbers and encoded forms go in, never names of the code.
+/// A running digest of times and encoded messages. It covers only numbers and encoded forms, never
+/// identifiers of the code.
 #[derive(Clone, Debug, Default)]
 pub struct TrafficDigest {
     hasher: Sha256,
-    /// Messages and disk changes counted so far.
+    /// Number of messages and disk changes added so far.
     pub entries: u64,
 }
 
 impl TrafficDigest {
-    /// The digest so far, in hexadecimal.
+    /// The first bytes of the digest so far, in hexadecimal.
     pub fn shown(&self) -> String {
         let digest = self.hasher.clone().finalize();
         let mut shown = String::new();
@@ -57,7 +58,7 @@
         shown
     }
 
-    /// Adds one encoded message of a kind, sent to or from a numbered party.
+    /// Adds one encoded message. `party` is the number of the sender, receiver or call.
     fn add<T: Serialize>(&mut self, now: Millis, kind: EntryKind, party: u64, message: &T) {
         let encoded = serde_json::to_vec(message).unwrap_or_default();
         self.hasher.update(now.to_be_bytes());
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Adds an event that is about to happen, if something is sent by it.
+    /// Adds the message that an event delivers, if any. To be called before the event is processed.
     pub(crate) fn add_event(&mut self, now: Millis, event: &Event) {
         match event {
             Event::ControlMessage {
--- a/crates/emulator/src/fleet/worker_effects.rs
+++ b/crates/emulator/src/fleet/worker_effects.rs
@@ -1,4 +1,4 @@
-//! Joins simulated workers to their agents and to the checker.
+//! Connects simulated workers to their agents and to the checker.
 
 use super::agent::LOCAL_DELAY_MS;
 use super::environment::Environment;
@@ -12,10 +12,10 @@
 use streamusher_protocol::heartbeat::Resources;
 use streamusher_protocol::Millis;
 
-/// After its deregistration a worker leaves even if nobody acknowledges it.
-const LEAVES_REGARDLESS_MS: Millis = 2_000;
+/// Time after its deregistration at which a worker leaves even without an acknowledgement.
+const UNACKNOWLEDGED_LEAVE_DELAY_MS: Millis = 2_000;
 
-/// Passes on what workers did.
+/// Applies the effects that the workers have produced.
 pub(crate) fn apply_all(env: &mut Environment, workers: &mut SimulatedWorkers) {
     for effect in workers.take_effects() {
         apply(env, workers, effect);
@@ -66,10 +66,10 @@
         worker: worker.index,
         incarnation,
     };
-    env.schedule_in(LEAVES_REGARDLESS_MS, leaves);
+    env.schedule_in(UNACKNOWLEDGED_LEAVE_DELAY_MS, leaves);
 }
 
-/// Tells the checker what happened at a worker.
+/// Reports an effect of a worker to the checker.
 fn observe(env: &mut Environment, workers: &SimulatedWorkers, effect: WorkerEffect) {
     let now = env.now;
     let incarnation = |worker: WorkerIndex| workers.worker(worker).incarnation;
@@ -107,7 +107,7 @@
                 .on_ends_acknowledged(now, jobs, worker, incarnation(worker), up_to);
         }
         WorkerEffect::LeaseExpired { worker } => {
-            env.trace(|| format!("worker {worker}: its lease has expired"));
+            env.trace(|| format!("worker {worker}: lease expired"));
             env.checker.on_lease_expired(worker, incarnation(worker));
         }
         WorkerEffect::Crashed {
@@ -178,14 +178,14 @@
     }
 }
 
-/// A worker comes up, unless it is up.
+/// Starts a worker, unless it is already up.
 pub(crate) fn start_worker(env: &Environment, workers: &mut SimulatedWorkers, worker: WorkerIndex) {
     if !workers.worker(worker).up {
         workers.start_worker(env.now, worker);
     }
 }
 
-/// A worker ends after its deregistration, acknowledged or not.
+/// Ends a worker after its deregistration, whether or not that was acknowledged.
 pub(crate) fn on_worker_leaves(
     env: &Environment,
     workers: &mut SimulatedWorkers,
