--- a/crates/emulator/src/fleet/fault_history.rs
+++ b/crates/emulator/src/fleet/fault_history.rs
@@ -23,8 +23,8 @@
     pub(crate) last_control_event_at: Millis,
     /// Whether the latest of these events left the control plane without a connected majority.
     pub(crate) majority_lost: bool,
-    /// Whether more control machines than tolerated were lost at once, and the recovery time since then has
-    /// not yet passed.
+    /// Whether more control machines than tolerated were lost at once. Cleared at the first event of a control
+    /// machine that follows the previous one by at least the recovery time and does not exceed the tolerance again.
     pub(crate) overlapped: bool,
     /// Number of faults in progress that slow the whole control plane.
     control_slowdowns: u32,
--- a/crates/emulator/src/fleet/rpc.rs
+++ b/crates/emulator/src/fleet/rpc.rs
@@ -12,8 +12,8 @@
 
 /// Shortest and longest latency of an operator's message or of its response.
 const OPERATOR_DELAY_MS: (Millis, Millis) = (1, 4);
-/// Probability that a call whose caller has left meanwhile is still read.
-const READ_AFTER_CALLER_LEFT: f64 = 0.5;
+/// Probability that a call is dropped if its caller no longer waits when it arrives; otherwise it is still read.
+const DROPPED_CALL_PROBABILITY: f64 = 0.5;
 
 /// A call that has ended for its caller.
 pub(crate) struct ReturnedCall {
@@ -104,8 +104,8 @@
         env.schedule_at(wakes_at, arrival);
         return None;
     }
-    let caller_has_left = env.open_calls.get(call).is_none();
-    if caller_has_left && env.random.chance(READ_AFTER_CALLER_LEFT) {
+    let is_abandoned = env.open_calls.get(call).is_none();
+    if is_abandoned && env.random.chance(DROPPED_CALL_PROBABILITY) {
         return None;
     }
     let machine = &env.machines[receiver];
