--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Shared by the tests of the decision module: settings of a small site, a dispatcher under test, and events.
+//! Fixtures for the tests of the decision module: settings of a small site, a dispatcher under test and
+//! constructors of events.
 #![allow(dead_code)]
 
 use streamusher::interface::{
@@ -53,7 +54,7 @@
     }
 }
 
-/// The same with latency targets so wide that no job is ever hopeless.
+/// `settings()` with latency targets so wide that the dispatcher never gives a job up as hopeless.
 pub fn settings_with_wide_targets() -> Settings {
     let mut set = settings();
     set.classes
@@ -62,7 +63,7 @@
     set
 }
 
-/// Worker `id`: zone by its lowest bit, cells of four, two kinds.
+/// Endpoint of worker `id`: the lowest bit selects the zone and the kind, and each cell has four workers.
 pub fn endpoint(id: u32) -> Endpoint {
     Endpoint {
         worker: WorkerId(id),
@@ -74,7 +75,7 @@
     }
 }
 
-/// A dispatcher under test and all that it has been seen to do.
+/// Dispatcher under test with a simulated clock, and a log of all actions that it returned.
 pub struct TestDispatcher {
     pub balancer: Balancer,
     pub now: Micros,
@@ -93,7 +94,7 @@
         dispatcher
     }
 
-    /// Hands over one event and the end of its batch; returns the actions.
+    /// Handles one event and the end of its batch; returns the actions.
     pub fn handle_event(&mut self, event: Event) -> Vec<Action> {
         self.handle_batch(vec![event])
     }
@@ -129,7 +130,7 @@
         ))
     }
 
-    /// Moves the clock on and fires a timer.
+    /// Advances the clock by `after` and fires a timer.
     pub fn fire_timer(&mut self, after: Micros, token: u64) -> Vec<Action> {
         self.now += after;
         self.handle_event(Event::Timer { token })
@@ -163,7 +164,7 @@
     }
 }
 
-/// Workers sent to, in order.
+/// Workers that jobs are sent to, in the order of the actions.
 pub fn sends(actions: &[Action]) -> Vec<u32> {
     let worker = |a: &Action| match a {
         Action::Send { worker, .. } => Some(worker.0),
--- a/tests/support/billing.rs
+++ b/tests/support/billing.rs
@@ -1,4 +1,5 @@
-//! From clients' receipts to the bill: doubts are settled, periods closed, exported and reconciled.
+//! Computes a bill from clients' receipts: settles in-doubt entries, then closes, exports and reconciles the
+//! ledgers.
 
 use super::restarts::{json, Receipt};
 use super::{program, Files};
@@ -10,10 +11,10 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-/// Operations by tenant and class.
+/// Number of operations by tenant and class.
 pub type Operations = BTreeMap<(String, String), i64>;
 
-/// What clients have receipts for.
+/// Number of receipts by tenant and class.
 pub fn received(receipts: &[Receipt]) -> Operations {
     let mut received = Operations::new();
     for (_, tenant, class) in receipts {
@@ -22,7 +23,8 @@
     received
 }
 
-/// What a reconciled bill holds, corrections included.
+/// Number of operations in a reconciled bill by tenant and class, corrections included; zero sums are left
+/// out.
 pub fn billed(bill: &Value) -> Operations {
     let mut billed = Operations::new();
     for line in bill["bill"].as_array().unwrap() {
@@ -35,8 +37,9 @@
     billed
 }
 
-/// Settles the doubts of the ledgers `n0`, `n1`, ... by the receipts, closes and exports each, also interrupted by a kill;
-/// the bill of all.
+/// Settles the in-doubt entries of the ledgers `n0`, `n1`, ... by the receipts, closes each ledger and
+/// exports it. Kills the close and the export once at a random time before the full run. Returns the
+/// reconciled bill over all ledgers.
 pub fn settle_and_export(
     receipts: &[Receipt],
     instances: usize,
@@ -61,7 +64,7 @@
             "instance {n}: doubts {} billed, {} waived",
             settled["billed"], settled["waived"]
         );
-        // A close and an export that are killed wherever they are, then run again.
+        // Kills the close and the export at a random time, then runs each again to completion.
         let close = ["close", "--through", "2999-12-31T23"];
         run_and_kill(&dir, &close, key, rng.random_range(0..10));
         json(&dir, &close, key);
@@ -69,9 +72,14 @@
         let export = ["export", "--to", exports];
         run_and_kill(&dir, &export, key, rng.random_range(0..20));
         let first = json(&dir, &export, key);
-        assert_eq!(json(&dir, &export, key), first, "the same again");
+        assert_eq!(
+            json(&dir, &export, key),
+            first,
+            "a repeated export gives the same result"
+        );
     }
-    // The corrections that settle doubts stand in an open period, or in the closed ones of this export.
+    // Corrections that settle in-doubt entries are in an open period, or in the closed periods of this
+    // export.
     let bill = json(&root.0, &["reconcile", exports], key);
     let findings = bill["report"]["findings"].as_array().unwrap();
     let kinds: BTreeSet<&str> = findings
@@ -85,12 +93,12 @@
     bill
 }
 
-/// Starts a command of the ledger and kills it after so many milliseconds.
-fn run_and_kill(dir: &Path, words: &[&str], key: &str, after_ms: u64) {
+/// Starts a ledger command and kills it after this many milliseconds.
+fn run_and_kill(dir: &Path, arguments: &[&str], key: &str, after_ms: u64) {
     let mut command = program();
     command
         .arg("ledger")
-        .args(words)
+        .args(arguments)
         .args(["--key-file", key, "--dir"])
         .arg(dir);
     let mut child = command.stdout(Stdio::null()).spawn().unwrap();
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -1,5 +1,6 @@
-//! A fleet of real processes on loopback: members with stand-in workers, a relay in front of each member that loses,
-//! delays, repeats and cuts frames by their sender, and clients that keep receipts.
+//! Fleet of real dispatcher processes on loopback: members with simulated workers, a UDP relay in front of
+//! each member that drops, delays, duplicates and blocks frames by sender, and clients that count the
+//! responses they receive.
 #![allow(dead_code)]
 
 use super::*;
@@ -8,22 +9,23 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Instant;
 
-/// What a relay does with frames of one sender to its member.
+/// How a member's relay treats the frames of one sender. The default forwards every frame at once.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Link {
     pub cut: bool,
-    /// Of a thousand frames, so many are lost.
+    /// Frames dropped per thousand.
     pub lost: u64,
-    /// Of a thousand, so many come twice.
+    /// Frames duplicated per thousand.
     pub twice: u64,
-    /// Each is so late, and up to as much more at random: later frames overtake it.
+    /// Delay of each frame. `jitter` is the upper limit of a random delay on top, so that frames can be
+    /// reordered.
     pub late: Duration,
     pub jitter: Duration,
-    /// One frame a second at most.
+    /// Forwards at most one frame per second and drops the rest.
     pub slow: bool,
 }
 
-/// In front of one member: others are told its address.
+/// UDP relay in front of one member. The other members receive the relay's address as the member's own.
 pub struct Relay {
     pub addr: SocketAddr,
     links: Arc<Mutex<BTreeMap<u16, Link>>>,
@@ -31,15 +33,15 @@
 }
 
 impl Relay {
-    /// Passes on to the member's own address.
+    /// Starts a relay that forwards frames to the member's own address.
     fn start(member: SocketAddr, seed: u64) -> Relay {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         let addr = socket.local_addr().unwrap();
         let links: Arc<Mutex<BTreeMap<u16, Link>>> = Arc::default();
-        let (known, passed) = (links.clone(), Arc::new(AtomicU64::new(0)));
+        let (relay_links, passed) = (links.clone(), Arc::new(AtomicU64::new(0)));
         let (late_tx, late_rx) = channel::<(Instant, Vec<u8>)>();
         let (out, count) = (socket.try_clone().unwrap(), passed.clone());
-        let now_out = socket.try_clone().unwrap();
+        let immediate_out = socket.try_clone().unwrap();
         spawn(move || {
             let mut waiting: Vec<(Instant, Vec<u8>)> = Vec::new();
             loop {
@@ -63,20 +65,20 @@
         spawn(move || {
             let (mut bytes, mut random) = ([0u8; 2_048], seed | 1);
             let mut last: BTreeMap<u16, Instant> = BTreeMap::new();
-            let mut dice = move || {
+            let mut next_random = move || {
                 random ^= random << 13;
                 random ^= random >> 7;
                 random ^= random << 17;
                 random
             };
             while let Ok((n, from)) = socket.recv_from(&mut bytes) {
-                let link = known
+                let link = relay_links
                     .lock()
                     .unwrap()
                     .get(&from.port())
                     .copied()
                     .unwrap_or_default();
-                if link.cut || dice() % 1_000 < link.lost {
+                if link.cut || next_random() % 1_000 < link.lost {
                     continue;
                 }
                 if link.slow {
@@ -90,11 +92,13 @@
                     last.insert(from.port(), now);
                 }
                 count.fetch_add(1, Ordering::Relaxed);
-                for _ in 0..1 + u32::from(dice() % 1_000 < link.twice) {
+                for _ in 0..1 + u32::from(next_random() % 1_000 < link.twice) {
                     if link.late.is_zero() && link.jitter.is_zero() {
-                        let _ = now_out.send_to(&bytes[..n], member);
+                        let _ = immediate_out.send_to(&bytes[..n], member);
                     } else {
-                        let jitter = link.jitter.mul_f64((dice() % 1_000) as f64 / 1_000.0);
+                        let jitter = link
+                            .jitter
+                            .mul_f64((next_random() % 1_000) as f64 / 1_000.0);
                         let _ = late_tx
                             .send((Instant::now() + link.late + jitter, bytes[..n].to_vec()));
                     }
@@ -109,28 +113,28 @@
     }
 }
 
-/// How a fleet is made.
+/// Parameters of a fleet.
 #[derive(Clone)]
 pub struct Plan {
     pub members: usize,
     pub copies: usize,
-    /// Jobs in hand over the fleet for tenant `t0`; none, where there is no limit.
+    /// Limit on in-flight jobs over the whole fleet for tenant `t0`; `None` sets no limit.
     pub limit: Option<u64>,
     pub floor: u64,
     pub lease_ms: u64,
     pub gossip_ms: u64,
     pub hold_ms: u64,
-    /// The longest deadline: rights are back so long after a lease.
+    /// Deadline of every request class. Rights of an expired lease return after this time.
     pub deadline_ms: u64,
     pub seed: u64,
-    /// How long stand-in workers take for a job.
+    /// Time that a simulated worker takes for each job.
     pub work: Duration,
     pub ledger: bool,
-    /// The operators' file has `[fleet]`.
+    /// Whether the operators' file has the table `[fleet]`.
     pub on: bool,
-    /// Each member knows the workers of all.
+    /// Whether each member has the workers of all members in its inventory, not only its own.
     pub shared: bool,
-    /// All jobs fail at this member's worker.
+    /// Member at whose worker all jobs fail.
     pub bad: Option<usize>,
 }
 
@@ -159,7 +163,7 @@
     pub program: Option<Program>,
     pub addr: SocketAddr,
     pub mgmt: SocketAddr,
-    /// Where it hears frames itself, and the relay in front.
+    /// Address at which the member itself receives frames; `relay` forwards to it.
     pub udp: SocketAddr,
     pub relay: Relay,
 }
@@ -168,12 +172,12 @@
     pub plan: Plan,
     pub members: Vec<Member>,
     pub files: Files,
-    /// The address of each member's worker, which outlives it.
+    /// Address of each member's worker, which keeps running when the member is killed.
     sheds: Vec<SocketAddr>,
     pub running: Arc<Running>,
 }
 
-/// What the stand-in workers see: jobs in work now, and the most at once.
+/// Counts by the simulated workers: jobs running now, the maximum at any time, and all jobs started.
 #[derive(Default)]
 pub struct Running {
     pub now: AtomicU64,
@@ -181,9 +185,10 @@
     pub jobs: AtomicU64,
 }
 
-/// An address whose port is free for both protocols and not given out before by this process.
+/// Returns a loopback address whose port is free for TCP and UDP and was not returned before by this process.
 fn free_address() -> SocketAddr {
-    // Below the ports that the system gives out itself: one of its sockets may take a port that was free just now.
+    // Ports are below the system's ephemeral range: a port from that range that is free now may be taken by
+    // another socket.
     static NEXT: AtomicU64 = AtomicU64::new(0);
     loop {
         let step = NEXT.fetch_add(1, Ordering::Relaxed) + u64::from(std::process::id()) * 131;
@@ -195,7 +200,8 @@
     }
 }
 
-/// A worker that speaks DRMAA, takes its time for each job, and says how many it has.
+/// Starts a simulated worker that speaks DRMAA, takes `work` for each job and counts its running jobs. With
+/// `bad`, every job fails.
 fn shed(running: Arc<Running>, work: Duration, bad: bool) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
@@ -211,17 +217,17 @@
 fn serve(mut stream: TcpStream, running: &Running, work: Duration, bad: bool) -> Option<()> {
     stream.set_nodelay(true).ok()?;
     let reader = BufReader::new(stream.try_clone().ok()?);
-    let mut named = String::new();
+    let mut job_name = String::new();
     for line in reader.lines().map_while(Result::ok) {
-        let call: Value = serde_json::from_str(&line).expect("a call");
+        let call: Value = serde_json::from_str(&line).expect("the call is not valid JSON");
         let seq = &call["seq"];
-        let said = match call["call"].as_str()? {
+        let replies = match call["call"].as_str()? {
             "runJob" => {
-                named = call["jobTemplate"]["jobName"].as_str()?.to_string();
+                job_name = call["jobTemplate"]["jobName"].as_str()?.to_string();
                 running.jobs.fetch_add(1, Ordering::SeqCst);
                 let n = running.now.fetch_add(1, Ordering::SeqCst) + 1;
                 running.most.fetch_max(n, Ordering::SeqCst);
-                std::thread::sleep(work); // the work itself
+                std::thread::sleep(work); // simulates the job's run time
                 running.now.fetch_sub(1, Ordering::SeqCst);
                 vec![
                     json!({"seq": seq, "jobId": "j"}),
@@ -234,13 +240,14 @@
             "waitTerminated" => {
                 vec![
                     json!({"seq": seq, "jobInfo": {"jobId": "j", "jobState": "DONE",
-                    "streamusher_output": format!("log of {named}")}}),
+                    "streamusher_output": format!("log of {job_name}")}}),
                 ]
             }
             "terminate" => vec![json!({"seq": seq})],
             _ => continue,
         };
-        said.iter()
+        replies
+            .iter()
             .try_for_each(|s| stream.write_all(format!("{s}\n").as_bytes()))
             .ok()?;
     }
@@ -319,17 +326,17 @@
         text
     }
 
-    /// Starts a member, or starts it again under its name.
+    /// Starts a member, or restarts it under the same name.
     pub fn begin(&mut self, i: usize) {
         let files = Files::new();
-        let known = (0..self.sheds.len()).filter(|n| self.plan.shared || *n == i);
+        let relay_links = (0..self.sheds.len()).filter(|n| self.plan.shared || *n == i);
         let row = |n: usize| {
             format!(
                 "shed-{n},127.0.0.1,{},pump-house,standard\n",
                 self.sheds[n].port()
             )
         };
-        let rows: String = known.map(row).collect();
+        let rows: String = relay_links.map(row).collect();
         files.add(
             "workers.csv",
             &format!("name,address,port,zone,kind\n{rows}"),
@@ -346,7 +353,7 @@
         }
         config["operators"] = self.operators(i).into();
         let program = Program::with(files, &config, None, &[]);
-        program.logged("operators' calls"); // they are heard a moment after clients are
+        program.logged("operators' calls"); // the management port opens shortly after the client port
         self.members[i].program = Some(program);
     }
 
@@ -354,9 +361,12 @@
         drop(self.members[i].program.take()); // SIGKILL
     }
 
-    /// SIGTERM, and the wait for the orderly end.
+    /// Sends SIGTERM and waits for a clean exit.
     pub fn stop(&mut self, i: usize) {
-        let mut program = self.members[i].program.take().expect("it runs");
+        let mut program = self.members[i]
+            .program
+            .take()
+            .expect("the member is not running");
         program.signal("TERM");
         assert!(program.child.wait().unwrap().success());
     }
@@ -365,11 +375,11 @@
         self.members[i]
             .program
             .as_ref()
-            .expect("it runs")
+            .expect("the member is not running")
             .signal(name);
     }
 
-    /// What the relay of `to` does with the frames of `from`.
+    /// Sets how the relay of `to` treats the frames of `from`.
     pub fn link(&self, from: usize, to: usize, link: Link) {
         let port = self.members[from].udp.port();
         self.members[to]
@@ -380,7 +390,7 @@
             .insert(port, link);
     }
 
-    /// Cuts these off from all others, both ways.
+    /// Partitions these members from all others, in both directions.
     pub fn part(&self, one: &[usize]) {
         for i in 0..self.members.len() {
             for j in (0..self.members.len()).filter(|j| one.contains(&i) != one.contains(j)) {
@@ -402,27 +412,29 @@
             .for_each(|m| m.relay.links.lock().unwrap().clear());
     }
 
-    /// An operators' call: its line of JSON.
+    /// Sends an operators' command to a member and returns the JSON line of its response.
     pub fn call(&self, i: usize, what: &str) -> Value {
         let mut stream = connect(self.members[i].mgmt);
         stream.write_all(format!("{what}\n").as_bytes()).unwrap();
         let mut answer = String::new();
         stream
             .read_to_string(&mut answer)
-            .expect("an answer and the end");
-        let (json, end) = answer.split_once('\n').expect("two lines");
+            .expect("cannot read the response up to the end of the connection");
+        let (json, end) = answer
+            .split_once('\n')
+            .expect("the response has a line of JSON and a line END");
         assert_eq!(end, "END\n", "{answer}");
-        serde_json::from_str(json).expect("json")
+        serde_json::from_str(json).expect("the response is not valid JSON")
     }
 
-    /// Waits until this holds, told how it looks if it never does.
+    /// Polls until `holds` returns `Ok`; after twice `LONG` panics with the last error.
     pub fn wait(&self, what: &str, mut holds: impl FnMut(&Fleet) -> Result<(), String>) {
         let from = Instant::now();
         loop {
             match holds(self) {
                 Ok(()) => return,
                 Err(why) if from.elapsed() > LONG * 2 => panic!("{what}: {why}"),
-                Err(_) => std::thread::sleep(Duration::from_millis(20)), // asked again, as no event tells of it
+                Err(_) => std::thread::sleep(Duration::from_millis(20)), // polled, as no event signals the change
             }
         }
     }
@@ -433,7 +445,7 @@
             .collect()
     }
 
-    /// Waits until each member that runs sees all others that do.
+    /// Waits until each running member sees all other running members as alive.
     pub fn joined(&self) {
         self.wait("all have joined", |fleet| {
             let live = fleet.live();
@@ -453,7 +465,7 @@
         });
     }
 
-    /// Waits until the parts of the budgets have come in everywhere.
+    /// Waits until each running member reports `seated`, that is, has received its parts of the budgets.
     pub fn seated(&self) {
         self.wait("all are seated", |fleet| {
             let all = fleet
@@ -464,7 +476,7 @@
         });
     }
 
-    /// Waits until all members that run have one tally, and gives it.
+    /// Waits until all running members have the same tally and nothing uncounted, and returns that tally.
     pub fn one_tally(&self) -> Value {
         let mut last = Value::Null;
         self.wait("one tally", |fleet| {
@@ -487,7 +499,7 @@
     }
 }
 
-/// The sum of a unit over the tally's rows; of one tenant, if one is named.
+/// Sums a unit over the rows of a tally, for one tenant if `tenant` is given.
 pub fn sum(tally: &Value, unit: &str, tenant: Option<&str>) -> u64 {
     let rows = tally["rows"].as_array().expect("rows").iter();
     rows.filter(|r| tenant.is_none_or(|t| r["tenant"] == t))
@@ -495,14 +507,15 @@
         .sum()
 }
 
-/// Clients that send one operation after another, each to its own member or to any, and keep receipts.
+/// Clients that send one operation after another, each to one member, and count the responses.
 pub struct Clients {
     stop: Arc<AtomicBool>,
     threads: Vec<std::thread::JoinHandle<Receipts>>,
     pub served: Arc<AtomicU64>,
 }
 
-/// What clients got: answers by tenant and kind.
+/// Responses that clients received: served operations by tenant, rejections (429 and 503), other statuses,
+/// and broken connections.
 #[derive(Clone, Debug, Default)]
 pub struct Receipts {
     pub served: BTreeMap<String, u64>,
@@ -512,7 +525,7 @@
 }
 
 impl Clients {
-    /// `n` clients at each of `at`, for these tenants in turn.
+    /// Starts `n` clients for each member in `at`. Each client goes through the tenants in turn.
     pub fn start(
         fleet: &Fleet,
         at: &[usize],
@@ -559,12 +572,12 @@
                             }
                             Some(429 | 503) => {
                                 got.refused += 1;
-                                std::thread::sleep(Duration::from_millis(3)); // as a client that honours the advice
+                                std::thread::sleep(Duration::from_millis(3)); // like a client that obeys a retry advice
                             }
                             Some(_) => got.failed += 1,
                             None => {
                                 got.broken += 1;
-                                std::thread::sleep(Duration::from_millis(3)); // nobody may be there yet
+                                std::thread::sleep(Duration::from_millis(3)); // the member may not listen yet
                             }
                         }
                         std::thread::sleep(pause);
@@ -580,12 +593,15 @@
         }
     }
 
-    /// Waits until so many more were served.
+    /// Waits until `n` more operations are served.
     pub fn more(&self, n: u64) {
         let (from, begun) = (self.served.load(Ordering::Relaxed), Instant::now());
         while self.served.load(Ordering::Relaxed) < from + n {
-            assert!(begun.elapsed() < LONG * 2, "nothing is served");
-            std::thread::sleep(Duration::from_millis(1)); // the clients' threads count
+            assert!(
+                begun.elapsed() < LONG * 2,
+                "the clients did not receive the expected number of results"
+            );
+            std::thread::sleep(Duration::from_millis(1)); // polled: the client threads update the counter
         }
     }
 
@@ -593,7 +609,7 @@
         self.stop.store(true, Ordering::Relaxed);
         let mut all = Receipts::default();
         for thread in self.threads {
-            let got = thread.join().expect("a client");
+            let got = thread.join().expect("a client thread panicked");
             got.served
                 .into_iter()
                 .for_each(|(t, n)| *all.served.entry(t).or_default() += n);
--- a/tests/support/ledger_store.rs
+++ b/tests/support/ledger_store.rs
@@ -1,14 +1,16 @@
-//! The store of a dispatcher's ledger, made hard to write.
+//! Makes the store of a dispatcher's ledger unavailable for writes: locks its database or fills it.
 
 use std::path::Path;
 use streamusher_ledger::{entry, period::Span, store};
 
-/// Another process's transaction: while it lasts the dispatcher cannot write.
+/// Opens a write transaction on the database from another connection. The dispatcher cannot write until the
+/// connection is dropped. Panics if the store is locked or missing.
 pub fn lock(dir: &Path) -> rusqlite::Connection {
-    try_lock(dir).expect("nobody else writes just now")
+    try_lock(dir).expect("the ledger store is locked or missing")
 }
 
-/// The same; none where the dispatcher writes, or makes the store, at this moment.
+/// Opens a write transaction as `lock` does. Returns `None` while the dispatcher writes to the store or
+/// creates it.
 pub fn try_lock(dir: &Path) -> Option<rusqlite::Connection> {
     let flags = rusqlite::OpenFlags::SQLITE_OPEN_READ_WRITE;
     let lock = rusqlite::Connection::open_with_flags(dir.join(store::DATABASE_FILE), flags).ok()?;
@@ -16,7 +18,7 @@
     Some(lock)
 }
 
-/// A ledger that takes at least so many bytes.
+/// Fills the ledger in this folder until its database file is larger than `bytes`.
 pub fn fill(dir: &Path, bytes: u64) {
     let (instance, key) = ("n1".to_string(), [7; 32]);
     let options = store::Options {
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! Starts the real program and plays its clients, workers and discovery, each on a loopback port of its own.
+//! Test harness: starts the real program as a child process and simulates its clients, workers and discovery
+//! service, each on its own loopback port.
 #![allow(dead_code)]
 
 pub mod billing;
@@ -16,7 +17,7 @@
 use std::thread::spawn;
 use std::time::{Duration, Instant};
 
-/// Longest wait for anything that should come: only a failure takes it.
+/// Time limit for any event that a test waits for. Only a failing test waits this long.
 pub const LONG: Duration = Duration::from_secs(20);
 
 pub struct Message {
@@ -42,7 +43,8 @@
     }
 }
 
-/// Reads one message with its body by length.
+/// Reads one HTTP message; the body length comes from `Content-Length`, and a message without it has an empty
+/// body.
 pub fn read_message(from: &mut impl BufRead) -> Option<Message> {
     let mut next = || {
         let mut line = String::new();
@@ -73,7 +75,7 @@
 }
 
 pub fn connect(addr: SocketAddr) -> TcpStream {
-    let stream = TcpStream::connect(addr).expect("a connection");
+    let stream = TcpStream::connect(addr).expect("the connection is refused");
     stream.set_read_timeout(Some(LONG)).unwrap();
     stream.set_nodelay(true).unwrap();
     stream
@@ -84,7 +86,8 @@
     read_message(&mut BufReader::new(stream))
 }
 
-/// A request for an operation of a class, with an id and a key of the same name.
+/// Builds a request for an operation of `class`. The correlation id is `id` and the idempotency key is
+/// `key-{id}`.
 pub fn operation(class: &str, id: &str, left_ms: u64) -> String {
     format!(
         "POST /{class}/bh-7 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: {id}\r\nX-Time-Left-Ms: {left_ms}\r\n\
@@ -93,10 +96,12 @@
 }
 
 pub fn ask(addr: SocketAddr, text: &str) -> Message {
-    exchange(&mut connect(addr), text).expect("an answer")
+    exchange(&mut connect(addr), text)
+        .expect("the server closed the connection without a complete response")
 }
 
-/// What a worker was sent.
+/// Message from the dispatcher, as a simulated worker records it. A dispatcher that closes the connection to
+/// a worker without an answer counts as a cancellation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Sent {
     Job {
@@ -107,8 +112,10 @@
     Cancel(String),
 }
 
-/// What a worker does with a job: an answer to the hand-over (none: silence; empty: the connection is closed),
-/// then call-backs with these states, `done` with the job's id as the result.
+/// Behavior of a simulated worker for each job. `answer` is the response to the job request: `None` sends
+/// nothing until the dispatcher closes the connection, and an empty text closes the connection. `early` lists
+/// the states reported by callback before the response, `then` those reported after it. A `done` callback
+/// carries a result that contains the job's id.
 #[derive(Clone, Copy)]
 pub struct Manner {
     pub answer: Option<&'static str>,
@@ -138,12 +145,12 @@
     then: &["started"],
 };
 
-/// A stand-in worker of the platform's protocol.
+/// Simulated worker that speaks the platform's worker protocol.
 pub struct Worker {
     pub name: String,
     pub addr: SocketAddr,
     pub sent: Receiver<Sent>,
-    /// States whose call-backs the dispatcher has answered.
+    /// States that the worker reported by callback and the dispatcher acknowledged.
     pub told: Receiver<String>,
     dispatcher: Arc<OnceLock<SocketAddr>>,
 }
@@ -165,15 +172,20 @@
 impl Worker {
     pub fn start(name: &str, manner: Manner) -> Worker {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let (addr, (tell, sent)) = (listener.local_addr().unwrap(), channel());
-        let (tell_told, told) = channel();
+        let (addr, (sender, sent)) = (listener.local_addr().unwrap(), channel());
+        let (callback_sender, told) = channel();
         let dispatcher = Arc::new(OnceLock::new());
-        let (known, me) = (dispatcher.clone(), name.to_string());
+        let (dispatcher_addr, worker_name) = (dispatcher.clone(), name.to_string());
         spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (known, me, tell) =
-                    (known.clone(), me.clone(), (tell.clone(), tell_told.clone()));
-                spawn(move || Worker::serve(stream, &me, manner, &known, &tell));
+                let (dispatcher_addr, worker_name, sender) = (
+                    dispatcher_addr.clone(),
+                    worker_name.clone(),
+                    (sender.clone(), callback_sender.clone()),
+                );
+                spawn(move || {
+                    Worker::serve(stream, &worker_name, manner, &dispatcher_addr, &sender)
+                });
             }
         });
         Worker {
@@ -187,30 +199,36 @@
 
     fn serve(
         mut stream: TcpStream,
-        me: &str,
+        worker_name: &str,
         manner: Manner,
-        known: &OnceLock<SocketAddr>,
-        (tell, told): &(Sender<Sent>, Sender<String>),
+        dispatcher_addr: &OnceLock<SocketAddr>,
+        (sender, told): &(Sender<Sent>, Sender<String>),
     ) -> Option<()> {
         let mut reader = BufReader::new(stream.try_clone().ok()?);
         loop {
             let request = read_message(&mut reader)?;
             if let Some(id) = request.line.strip_prefix("DELETE /jobs/") {
-                tell.send(Sent::Cancel(id.split(' ').next()?.into())).ok()?;
+                sender
+                    .send(Sent::Cancel(id.split(' ').next()?.into()))
+                    .ok()?;
                 stream.write_all(b"HTTP/1.1 204 No Content\r\n\r\n").ok()?;
                 continue;
             }
             let id = request.get("x-correlation-id")?.to_string();
             let key = request.get("idempotency-key").map(String::from);
-            tell.send(Sent::Job {
-                id: id.clone(),
-                key,
-                body: request.body,
-            })
-            .ok()?;
+            sender
+                .send(Sent::Job {
+                    id: id.clone(),
+                    key,
+                    body: request.body,
+                })
+                .ok()?;
             let report = |states: &[&str]| {
                 for state in states {
-                    assert_eq!(call_back(*known.wait(), &id, me, state), 204);
+                    assert_eq!(
+                        call_back(*dispatcher_addr.wait(), &id, worker_name, state),
+                        204
+                    );
                     let _ = told.send(state.to_string());
                 }
             };
@@ -221,7 +239,7 @@
                 None => {
                     let mut rest = Vec::new();
                     reader.read_to_end(&mut rest).ok()?;
-                    tell.send(Sent::Cancel(id)).ok()?; // the dispatcher closed the connection
+                    sender.send(Sent::Cancel(id)).ok()?; // the dispatcher closed the connection
                     return None;
                 }
             }
@@ -230,7 +248,9 @@
     }
 
     pub fn next(&self) -> Sent {
-        self.sent.recv_timeout(LONG).expect("something is sent")
+        self.sent
+            .recv_timeout(LONG)
+            .expect("the dispatcher sent nothing to the worker")
     }
 
     pub fn line(&self, state: &str) -> Value {
@@ -239,7 +259,7 @@
     }
 }
 
-/// Discovery as the dispatcher sees it: takes watches, one after the other.
+/// Simulated discovery service. Accepts the dispatcher's connections one at a time.
 pub struct Discovery(pub TcpListener);
 
 impl Discovery {
@@ -251,27 +271,27 @@
         self.0.local_addr().unwrap().to_string()
     }
 
-    /// Takes a call and reads it; whatever it asks for is not answered yet.
+    /// Accepts the next connection and reads the request head. Sends no response.
     pub fn call(&self) -> (TcpStream, String) {
         let stream = accept(&self.0);
-        let mut asked = String::new();
+        let mut request_head = String::new();
         let mut reader = BufReader::new(stream.try_clone().unwrap());
-        while !asked.ends_with("\r\n\r\n") {
+        while !request_head.ends_with("\r\n\r\n") {
             assert!(
-                reader.read_line(&mut asked).unwrap() > 0,
-                "a call broke off: {asked:?}"
+                reader.read_line(&mut request_head).unwrap() > 0,
+                "connection closed within the request head: {request_head:?}"
             );
         }
-        (stream, asked)
+        (stream, request_head)
     }
 
     pub fn watch(&self, after: u64, lines: &[Value]) -> TcpStream {
-        let (mut stream, asked) = self.call();
+        let (mut stream, request_head) = self.call();
         let line = format!("GET /discovery/hosts?watch=1&after={after} HTTP/1.1\r\n");
-        assert!(asked.starts_with(&line), "{asked}");
+        assert!(request_head.starts_with(&line), "{request_head}");
         stream.write_all(WATCHED.as_bytes()).unwrap();
         for line in lines {
-            // In two chunks, as a line need not come in one.
+            // Splits each line over two chunks: a line need not arrive in one chunk.
             let line = format!("{line}\n");
             let (a, b) = line.split_at(line.len() / 2);
             [a, b]
@@ -282,17 +302,17 @@
     }
 }
 
-/// Takes the next connection; it is a failure if none comes.
+/// Accepts the next connection; panics if none arrives within `LONG`.
 pub fn accept(listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).unwrap();
-    let by = Instant::now() + LONG;
+    let deadline = Instant::now() + LONG;
     let stream = loop {
         match listener.accept() {
             Ok((stream, _)) => break stream,
-            Err(e) if e.kind() == ErrorKind::WouldBlock && Instant::now() < by => {
+            Err(e) if e.kind() == ErrorKind::WouldBlock && Instant::now() < deadline => {
                 std::thread::sleep(Duration::from_millis(2));
             }
-            Err(e) => panic!("no connection came: {e}"),
+            Err(e) => panic!("no connection accepted: {e}"),
         }
     };
     listener.set_nonblocking(false).unwrap();
@@ -302,7 +322,7 @@
     stream
 }
 
-/// The head of a watch.
+/// Response head of a watch; the entries follow as chunks.
 pub const WATCHED: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 pub fn write_chunk(stream: &mut TcpStream, piece: &[u8]) {
@@ -312,12 +332,12 @@
     stream.write_all(&text).unwrap();
 }
 
-/// Resets a connection: the other side's next read fails.
+/// Closes a connection with a TCP reset, so that the peer's next read fails.
 pub fn reset(stream: TcpStream) {
     rustix::net::sockopt::set_socket_linger(&stream, Some(Duration::ZERO)).unwrap();
 }
 
-/// The program, stopped when dropped.
+/// Dispatcher process under test; killed when dropped.
 pub struct Program {
     pub child: Child,
     pub addr: SocketAddr,
@@ -326,7 +346,7 @@
     files: Files,
 }
 
-/// A folder for one test's files, removed when dropped.
+/// Temporary folder for the files of one test; removed when dropped.
 pub struct Files(pub std::path::PathBuf);
 
 impl Files {
@@ -379,15 +399,18 @@
         "known": {"version": 1, "full": true, "servers": servers}, "settings": settings()})
 }
 
-/// The first word to an example that is to be the program itself.
+/// First argument that makes an example act as the dispatcher program.
 pub const AS_DISPATCHER: &str = "as-dispatcher";
 
-/// The program: its own binary in tests, and an example itself, which holds all of it.
+/// Command that runs the program: the built binary in tests. An example contains the whole program and runs
+/// itself with `AS_DISPATCHER`.
 fn program() -> Command {
     match option_env!("CARGO_BIN_EXE_streamusher") {
         Some(program) => Command::new(program),
         None => {
-            let mut command = Command::new(std::env::current_exe().expect("a path"));
+            let mut command = Command::new(
+                std::env::current_exe().expect("the path of the running executable is unknown"),
+            );
             command.arg(AS_DISPATCHER);
             command
         }
@@ -396,12 +419,16 @@
 
 pub fn command(files: &Files, config: &Value, drmaa: Option<&str>) -> Command {
     let mut command = program();
-    // A limit of the system's own, below the one that the program is told.
-    if let Some(most) = config["limits"]["ulimit"].as_u64() {
+    // `ulimit` sets the operating system's limit on open files, below the limit in the program's
+    // configuration.
+    if let Some(max_open_files) = config["limits"]["ulimit"].as_u64() {
         let program = command.get_program().to_owned();
         command = Command::new("sh");
         command
-            .args(["-c", &format!("ulimit -n {most}; exec \"$0\" \"$@\"")])
+            .args([
+                "-c",
+                &format!("ulimit -n {max_open_files}; exec \"$0\" \"$@\""),
+            ])
             .arg(program);
     }
     command.env("NODE_CONFIG", files.add("config.json", &config.to_string()));
@@ -424,7 +451,7 @@
 }
 
 impl Program {
-    /// Starts it with these workers known.
+    /// Starts the program with these workers in its configuration.
     pub fn start(workers: &[&Worker]) -> Program {
         Program::with(Files::new(), &config(workers), None, workers)
     }
@@ -432,14 +459,14 @@
     pub fn with(files: Files, config: &Value, drmaa: Option<&str>, workers: &[&Worker]) -> Program {
         let mut child = command(&files, config, drmaa)
             .spawn()
-            .expect("the program starts");
-        let (tell, log) = channel();
+            .expect("cannot start the program");
+        let (sender, log) = channel();
         let errors = BufReader::new(child.stderr.take().unwrap());
         spawn(move || {
             errors
                 .lines()
                 .map_while(Result::ok)
-                .try_for_each(|l| tell.send(l))
+                .try_for_each(|l| sender.send(l))
         });
         let mut program = Program {
             child,
@@ -454,9 +481,10 @@
                 .unwrap()
                 .trim()
                 .parse()
-                .expect("an address")
+                .expect("the log line ends with a listen address")
         };
-        // [fleet] listens too, but its table stands behind those of fronts in the tests' files.
+        // `[fleet]` also has a `listen` setting. In the tests' files its table follows those of the front
+        // ends, so only the text before it is searched.
         let operators = config["operators"]
             .as_str()
             .and_then(|o| o.split("[fleet]").next());
@@ -476,39 +504,41 @@
         program
     }
 
-    /// Waits for a line of the log.
-    pub fn logged(&self, what: &str) -> String {
+    /// Waits for the next log line that contains this text and returns it.
+    pub fn logged(&self, text_in_line: &str) -> String {
         loop {
             let line = self
                 .log
                 .recv_timeout(LONG)
-                .unwrap_or_else(|e| panic!("not logged: {what}: {e}"));
-            if line.contains(what) {
+                .unwrap_or_else(|e| panic!("no log line contains {text_in_line:?}: {e}"));
+            if line.contains(text_in_line) {
                 return line;
             }
         }
     }
 
-    /// Kills it, and returns what it logged and nobody has read yet, to its last line.
+    /// Kills the process and returns the log lines not read so far, up to the last one.
     pub fn kill(&mut self) -> Vec<String> {
-        self.child.kill().expect("it runs");
-        self.child.wait().expect("it has ended");
+        self.child.kill().expect("cannot kill the program");
+        self.child
+            .wait()
+            .expect("cannot wait for the killed program");
         self.rest_of_log()
     }
 
-    /// What a program that has ended logged and nobody has read yet.
+    /// Returns the log lines not read so far, up to the end of the log. Blocks until the process has ended.
     pub fn rest_of_log(&self) -> Vec<String> {
         self.log.iter().collect()
     }
 
-    /// Waits for the first line of the log that holds any of these.
-    pub fn logged_first(&self, whats: &[&str]) -> String {
+    /// Waits for the next log line that contains any of these texts and returns it.
+    pub fn logged_first(&self, texts: &[&str]) -> String {
         loop {
             let line = self
                 .log
                 .recv_timeout(LONG)
-                .unwrap_or_else(|e| panic!("not logged: {whats:?}: {e}"));
-            if whats.iter().any(|w| line.contains(w)) {
+                .unwrap_or_else(|e| panic!("no log line contains any of {texts:?}: {e}"));
+            if texts.iter().any(|w| line.contains(w)) {
                 return line;
             }
         }
@@ -518,24 +548,27 @@
         let done = Command::new("kill")
             .args(["-s", name, &self.child.id().to_string()])
             .status();
-        assert!(done.expect("kill").success());
+        assert!(done.expect("cannot run the kill command").success());
     }
 
-    /// Replaces the configuration's text and has the program read it.
+    /// Replaces the configuration file and makes the program reload it with SIGHUP.
     pub fn reload(&self, text: &str) {
         self.files.add("config.json", text);
         self.signal("HUP");
     }
 
-    /// Waits until a counter has this value; it is a failure if it never does.
+    /// Waits until a counter has this value; panics if it does not within `LONG`.
     pub fn until(&self, counter: &str, value: u64) {
-        let by = Instant::now() + LONG;
+        let deadline = Instant::now() + LONG;
         loop {
             let counters = self.counters();
             if counters[counter] == value {
                 return;
             }
-            assert!(Instant::now() < by, "{counter} is not {value}: {counters}");
+            assert!(
+                Instant::now() < deadline,
+                "counter {counter} did not reach {value}: {counters}"
+            );
         }
     }
 
@@ -545,16 +578,17 @@
     }
 }
 
-/// Runs `streamusher ledger` on the ledger in this folder; its exit code and what it printed.
-pub fn ledger(dir: &std::path::Path, words: &[&str]) -> (i32, String) {
+/// Runs `streamusher ledger` on the ledger in this folder. Returns the exit code and standard output, or
+/// standard error if standard output is empty.
+pub fn ledger(dir: &std::path::Path, arguments: &[&str]) -> (i32, String) {
     let mut command = program();
     let done = command
         .arg("ledger")
-        .args(words)
+        .args(arguments)
         .arg("--dir")
         .arg(dir)
         .output()
-        .expect("the program starts");
+        .expect("cannot start the program");
     let text = if done.stdout.is_empty() {
         done.stderr
     } else {
@@ -562,7 +596,7 @@
     };
     (
         done.status.code().unwrap_or(-1),
-        String::from_utf8(text).expect("text"),
+        String::from_utf8(text).expect("the program's output is not UTF-8"),
     )
 }
 
@@ -573,7 +607,9 @@
     }
 }
 
-/// A stand-in worker that speaks DRMAA. `manner`: serves, runs on, turns away, breaks, fails or is lost.
+/// Simulated worker that speaks DRMAA. `manner` is "serves" (completes each job), "runs on" (never ends a
+/// job), "turns away" (answers TRY_LATER), "breaks" (closes the connection), "fails" (the job fails) or "is
+/// lost" (SIGKILL ends the job).
 pub struct Shed {
     pub addr: SocketAddr,
     pub sent: Receiver<Sent>,
@@ -582,36 +618,37 @@
 impl Shed {
     pub fn start(manner: &'static str) -> Shed {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let (addr, (tell, sent)) = (listener.local_addr().unwrap(), channel());
+        let (addr, (sender, sent)) = (listener.local_addr().unwrap(), channel());
         spawn(move || {
             for stream in listener.incoming().flatten() {
-                let tell = tell.clone();
-                spawn(move || Shed::serve(stream, manner, &tell));
+                let sender = sender.clone();
+                spawn(move || Shed::serve(stream, manner, &sender));
             }
         });
         Shed { addr, sent }
     }
 
-    fn serve(mut stream: TcpStream, manner: &str, tell: &Sender<Sent>) -> Option<()> {
-        stream.set_nodelay(true).ok()?; // several lines in a row must not wait for each other
+    fn serve(mut stream: TcpStream, manner: &str, sender: &Sender<Sent>) -> Option<()> {
+        stream.set_nodelay(true).ok()?; // consecutive lines are sent without Nagle's delay
         let reader = BufReader::new(stream.try_clone().ok()?);
-        let mut named = String::new();
+        let mut job_name = String::new();
         for line in reader.lines().map_while(Result::ok) {
-            let call: Value = serde_json::from_str(&line).expect("a call");
+            let call: Value = serde_json::from_str(&line).expect("the call is not valid JSON");
             let seq = &call["seq"];
             let info = |state: &str| json!({"jobId": "j", "jobState": state});
-            let said = match (call["call"].as_str()?, manner) {
+            let replies = match (call["call"].as_str()?, manner) {
                 ("runJob", _) => {
                     let t = &call["jobTemplate"];
-                    named = t["jobName"].as_str()?.to_string();
+                    job_name = t["jobName"].as_str()?.to_string();
                     let key = t["streamusher_idempotencyKey"].as_str().map(String::from);
                     let body = t["streamusher_input"].as_str()?.to_string();
-                    tell.send(Sent::Job {
-                        id: named.clone(),
-                        key,
-                        body,
-                    })
-                    .ok()?;
+                    sender
+                        .send(Sent::Job {
+                            id: job_name.clone(),
+                            key,
+                            body,
+                        })
+                        .ok()?;
                     match manner {
                         "breaks" => return None,
                         "turns away" => vec![json!({"seq": seq, "error": "TRY_LATER"})],
@@ -622,12 +659,12 @@
                     }
                 }
                 ("terminate", _) => {
-                    tell.send(Sent::Cancel(named.clone())).ok()?;
+                    sender.send(Sent::Cancel(job_name.clone())).ok()?;
                     vec![json!({"seq": seq})]
                 }
                 ("waitTerminated", "serves") => {
                     let mut info = info("DONE");
-                    info["streamusher_output"] = format!("log of {named}").into();
+                    info["streamusher_output"] = format!("log of {job_name}").into();
                     vec![json!({"seq": seq, "jobInfo": info})]
                 }
                 ("waitTerminated", "fails") => vec![json!({"seq": seq, "jobInfo": info("FAILED")})],
@@ -638,8 +675,9 @@
                 }
                 _ => continue,
             };
-            // A dispatcher that was killed hears no more.
-            said.iter()
+            // If the dispatcher was killed, the write fails and the connection ends.
+            replies
+                .iter()
                 .try_for_each(|s| stream.write_all(format!("{s}\n").as_bytes()))
                 .ok()?;
         }
--- a/tests/support/restarts.rs
+++ b/tests/support/restarts.rs
@@ -1,4 +1,4 @@
-//! Dispatchers with ledgers that are killed and started again, and clients that keep a receipt for each result.
+//! Dispatchers with ledgers that are killed and restarted, and clients that keep a receipt for each result.
 
 use super::{config, exchange, ledger, Files, Program, LONG};
 use rand::Rng;
@@ -10,16 +10,16 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// Dispatchers, each with a ledger of its own.
+/// Number of dispatchers; each has its own ledger.
 pub const INSTANCES: usize = 3;
-/// Clients for each dispatcher.
+/// Number of clients per dispatcher.
 pub const CLIENTS: usize = 4;
 pub const CLASSES: [&str; 3] = ["depth-log", "layer-view", "sample-entry"];
 
-/// What a client got: the operation, its tenant and its class.
+/// Receipt for a result: the operation's id, its tenant and its class.
 pub type Receipt = (String, String, String);
 
-/// What the clients of one run share.
+/// State that the clients of one run share.
 pub struct Shared {
     pub addrs: Vec<SocketAddr>,
     pub next: AtomicU64,
@@ -28,7 +28,7 @@
     pub retried_elsewhere: AtomicU64,
 }
 
-/// A number from the environment.
+/// Reads a number from the environment; `default` applies if the variable is not set.
 pub fn number(name: &str, default: u64) -> u64 {
     std::env::var(name).map_or(default, |v| {
         v.parse()
@@ -36,36 +36,37 @@
     })
 }
 
-/// An address of its own for each instance: it is the same after a restart.
+/// Returns a free address, on a separate loopback IP for each instance. The instance keeps the address after
+/// a restart.
 pub fn free(instance: usize) -> SocketAddr {
-    let listener =
-        TcpListener::bind(format!("127.0.77.{}:0", instance + 1)).expect("a loopback address");
+    let listener = TcpListener::bind(format!("127.0.77.{}:0", instance + 1))
+        .expect("cannot bind the loopback address");
     listener.local_addr().unwrap()
 }
 
-/// Starts an instance whose ledger has the settings that a new operators' file has.
-pub fn start(instance: usize, addr: SocketAddr, root: &Path, shed: SocketAddr) -> Program {
-    start_with(instance, addr, root, shed, "")
+/// Starts an instance whose `[ledger]` table has the settings of a new operators' file.
+pub fn start(instance: usize, addr: SocketAddr, root: &Path, worker_addr: SocketAddr) -> Program {
+    start_with(instance, addr, root, worker_addr, "")
 }
 
-/// Starts an instance with further lines of the table `[ledger]`.
+/// Starts an instance with additional lines in the `[ledger]` table.
 pub fn start_with(
     instance: usize,
     addr: SocketAddr,
     root: &Path,
-    shed: SocketAddr,
+    worker_addr: SocketAddr,
     ledger_settings: &str,
 ) -> Program {
-    let (files, config) = configuration(instance, addr, root, shed, ledger_settings);
+    let (files, config) = configuration(instance, addr, root, worker_addr, ledger_settings);
     Program::with(files, &config, None, &[])
 }
 
-/// An instance's configuration, and the files beside it.
+/// Returns an instance's configuration and the folder with its workers file.
 pub fn configuration(
     instance: usize,
     addr: SocketAddr,
     root: &Path,
-    shed: SocketAddr,
+    worker_addr: SocketAddr,
     ledger_settings: &str,
 ) -> (Files, Value) {
     let files = Files::new();
@@ -73,7 +74,7 @@
         "workers.csv",
         &format!(
             "name,address,port,zone,kind\nshed-a,127.0.0.1,{},pump-house,standard\n",
-            shed.port()
+            worker_addr.port()
         ),
     );
     let mut config = config(&[]);
@@ -90,16 +91,17 @@
     (files, config)
 }
 
-/// One client: sends one operation after another, and what broke once more, by the same key, to another instance.
+/// Runs one client, which sends one operation after another until `stop` is set. An operation whose
+/// connection broke is sent again with its idempotency key to another instance.
 pub fn client(shared: &Shared, mut rng: Pcg64, mut at: usize) {
     let mut stream: Option<TcpStream> = None;
-    let mut again: Option<(String, String, String)> = None;
+    let mut retry: Option<(String, String, String)> = None;
     while !shared.stop.load(Ordering::Relaxed) {
         if rng.random_bool(0.02) {
             (stream, at) = (None, rng.random_range(0..shared.addrs.len()));
         }
         let id = format!("{:016x}", shared.next.fetch_add(1, Ordering::Relaxed));
-        let (tenant, class, key) = again.take().unwrap_or_else(|| {
+        let (tenant, class, key) = retry.take().unwrap_or_else(|| {
             let tenant = if rng.random_bool(0.9) {
                 0
             } else {
@@ -134,33 +136,38 @@
                 assert_eq!(
                     a.body,
                     format!("log of {id}"),
-                    "a result is the worker's own, whole"
+                    "the response body is the worker's complete result"
                 );
                 shared.receipts.lock().unwrap().push((id, tenant, class));
             }
-            // Busy or failed: nothing was got, and nothing may be billed. Another may serve.
+            // Rejected or failed: the client has no result, and the operation must not be billed. Another
+            // instance may accept the next one.
             Some(_) => {
                 stream = None;
                 at = rng.random_range(0..shared.addrs.len());
             }
             None => {
                 at = (at + 1) % shared.addrs.len();
-                again = Some((tenant, class, key));
+                retry = Some((tenant, class, key));
                 shared.retried_elsewhere.fetch_add(1, Ordering::Relaxed);
-                std::thread::sleep(Duration::from_millis(2)); // nobody may be there yet: no busy loop
+                std::thread::sleep(Duration::from_millis(2)); // the instance may not listen yet: avoids a busy loop
             }
         }
     }
 }
 
-/// What a command of the ledger printed.
-pub fn json(dir: &Path, words: &[&str], key: &str) -> Value {
-    let words: Vec<&str> = words
+/// Runs a ledger command with `--json` and returns its output. Exit codes 0 and 3 are accepted.
+pub fn json(dir: &Path, arguments: &[&str], key: &str) -> Value {
+    let arguments: Vec<&str> = arguments
         .iter()
         .copied()
         .chain(["--json", "--key-file", key])
         .collect();
-    let (code, text) = ledger(dir, &words);
-    assert!(code == 0 || code == 3, "{words:?}: {text}");
-    serde_json::from_str(&text).unwrap_or_else(|e| panic!("{words:?}: {e}: {text}"))
+    let (code, text) = ledger(dir, &arguments);
+    assert!(
+        code == 0 || code == 3,
+        "ledger command {arguments:?} exited with code {code}: {text}"
+    );
+    serde_json::from_str(&text)
+        .unwrap_or_else(|e| panic!("ledger command {arguments:?}: output is not JSON: {e}: {text}"))
 }
