--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -329,14 +329,14 @@
     /// Starts a member, or restarts it under the same name.
     pub fn begin(&mut self, i: usize) {
         let files = Files::new();
-        let relay_links = (0..self.sheds.len()).filter(|n| self.plan.shared || *n == i);
+        let inventory_workers = (0..self.sheds.len()).filter(|n| self.plan.shared || *n == i);
         let row = |n: usize| {
             format!(
                 "shed-{n},127.0.0.1,{},pump-house,standard\n",
                 self.sheds[n].port()
             )
         };
-        let rows: String = relay_links.map(row).collect();
+        let rows: String = inventory_workers.map(row).collect();
         files.add(
             "workers.csv",
             &format!("name,address,port,zone,kind\n{rows}"),
--- a/tests/support/soak/client.rs
+++ b/tests/support/soak/client.rs
@@ -1,4 +1,5 @@
-//! A client: one request after the other on a connection that it uses for as long as it stays open.
+//! Client of the soak: sends one request after another on a connection that it keeps for as long as the
+//! connection is open.
 
 use super::super::restarts::{Receipt, CLASSES};
 use super::super::{read_message, Message};
@@ -13,20 +14,22 @@
 use std::time::{Duration, Instant};
 
 const CLIENT_TIME: Duration = Duration::from_secs(3);
-/// An answer that is not there by then, on a busy machine, does not come.
+/// Read time-out. A response that is missing after this time does not arrive any more, even on a busy
+/// machine.
 const MAX_WAIT: Duration = Duration::from_secs(20);
-/// A request may cross the close of an idle connection; one that was sent so long before the end was read.
+/// A request may cross the close of an idle connection. If the connection ends later than this after the
+/// request was sent, the dispatcher had read the request.
 const MAX_CROSSING: Duration = Duration::from_secs(1);
 const TENANTS: u32 = 50;
-/// Between two connections to an address where nobody listens.
+/// Pause after a failed connection attempt.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(5);
 
-/// What became of all requests.
+/// Outcomes of all requests.
 #[derive(Default)]
 pub(super) struct Outcomes {
     pub(super) receipts: Vec<Receipt>,
     pub(super) statuses: BTreeMap<u16, u64>,
-    /// Requests whose connection ended without an answer.
+    /// Number of requests whose connection ended without a response.
     pub(super) broken: u64,
 }
 
@@ -62,7 +65,7 @@
     Some(Connection { stream, opened })
 }
 
-/// One request and its answer; the connection, where it can be used again.
+/// Sends one request and reads the response. Returns the connection if it can be reused.
 fn exchange(
     shared: &Shared,
     instance: &Instance,
@@ -102,14 +105,14 @@
 fn check_answer(shared: &Shared, answer: &Message, id: &str) {
     match answer.status() {
         200 if answer.body == format!("log of {id}") => {}
-        // Busy, failed, not taken, or out of time.
+        // Rejected as busy, failed, not accepted, or timed out.
         429 | 502 | 503 | 504 => {}
         status => shared.fail(format!("{id}: {status} {}", answer.body)),
     }
 }
 
-/// A connection may end without an answer if a process was killed, or if the request crossed the close of a connection that
-/// a process on its end holds open no longer.
+/// A connection may end without a response only if a process was killed, or if the request crossed the close
+/// of a connection by a process that is shutting down.
 fn check_break(
     shared: &Shared,
     instance: &Instance,
--- a/tests/support/soak/disruptions.rs
+++ b/tests/support/soak/disruptions.rs
@@ -1,5 +1,5 @@
-//! Series of disruptions. Each takes an instance at random; several series are under way at once, on different instances
-//! and, where they leave the process alone, on the same one.
+//! Series of disruptions. Each disruption affects a random instance. Several series run concurrently, on
+//! different instances and, if a disruption does not need the process, on the same one.
 
 use super::super::Program;
 use super::instance::Instance;
@@ -9,14 +9,14 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// Longest lock of a store: beyond the instances' hold, and within a client's time.
+/// Longest lock of a store: longer than the `hold_ms` of the instances and shorter than a client's deadline.
 const MAX_LOCK_MS: u64 = 900;
-/// Longest pause within a series, and between two of them.
+/// Longest pause within a disruption and between two disruptions of a series.
 const MAX_PAUSE_MS: u64 = 250;
-/// Longest time between a process and the one after it.
+/// Longest time between the end of a process and the start of the next one.
 const MAX_DOWN_MS: u64 = 200;
 
-/// Disrupts until the soak is over.
+/// Runs one series of disruptions until the soak is over.
 pub(super) fn run(shared: &Shared, mut random: Pcg64) {
     while !shared.is_over() {
         let instance = &shared.instances[random.random_range(0..shared.instances.len())];
@@ -38,14 +38,14 @@
     std::thread::sleep(Duration::from_millis(random.random_range(0..longest_ms)));
 }
 
-/// Keeps the process from writing, whatever else happens to it meanwhile.
+/// Locks the store so that the process cannot write; other series may disrupt the process meanwhile.
 fn lock_store(instance: &Instance, random: &mut Pcg64) {
     let lock = instance.lock_store();
     pause(random, MAX_LOCK_MS);
     drop(lock);
 }
 
-/// Signals that change nothing, or the settings; a file that cannot be used among them.
+/// Sends signals that change nothing or reload the configuration, which may be unusable.
 fn reload(instance: &Instance, random: &mut Pcg64) {
     let Some(program) = instance.try_lock() else {
         return;
@@ -92,7 +92,7 @@
     drop(lock);
 }
 
-/// Asks the process to end, with further signals while it does.
+/// Terminates the process and sends further signals while it shuts down.
 fn terminate(shared: &Shared, instance: &Instance, random: &mut Pcg64) {
     let mut process = instance.lock();
     if let Some(program) = process.take() {
@@ -122,7 +122,7 @@
     *process = Some(instance.start_program());
 }
 
-/// Kills a process that is on its end.
+/// Kills a process during its shutdown.
 fn terminate_and_kill(shared: &Shared, instance: &Instance, random: &mut Pcg64) {
     let mut process = instance.lock();
     if let Some(program) = process.take() {
@@ -133,7 +133,9 @@
     *process = Some(instance.start_program());
 }
 
-/// Starts a successor beside the process, which is then asked to end; at times one of the two is killed meanwhile.
+/// Starts a successor next to the running process, then terminates that process, or kills it with probability
+/// 0.2 after the termination signal. At the same probability the successor is killed and restarted
+/// afterwards.
 fn replace(shared: &Shared, instance: &Instance, random: &mut Pcg64) {
     let mut process = instance.lock();
     let successor = instance.start_program();
--- a/tests/support/soak/instance.rs
+++ b/tests/support/soak/instance.rs
@@ -1,4 +1,4 @@
-//! One dispatcher at an address of its own: its process, and what was done to its processes so far.
+//! One dispatcher instance at a fixed address: its current process and the record of its ended processes.
 
 use super::super::restarts::{configuration, free};
 use super::super::{ledger_store, Files, Program};
@@ -9,19 +9,20 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// So short that a lock of the store outlasts it now and then.
+/// Shorter than the longest lock of the store, so that a lock sometimes outlasts it.
 const LEDGER_SETTINGS: &str = "hold_ms = 300\n";
-/// A process that was asked to end is gone by then, also on a busy machine.
+/// Time limit of an orderly shutdown, also on a busy machine.
 const MAX_STOP: Duration = Duration::from_secs(30);
 
-/// How a process was made to end.
+/// Signal that ended a process: SIGKILL or SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum End {
     Killed,
     Terminated,
 }
 
-/// A process of the instance that was made to end. Until it is gone connections may still come to it.
+/// Record of a process of the instance that was killed or terminated. It may accept connections until `gone`,
+/// the time of its observed exit.
 #[derive(Clone, Copy, Debug)]
 struct Ending {
     process: u32,
@@ -34,7 +35,7 @@
     number: usize,
     root: PathBuf,
     worker: SocketAddr,
-    /// None between two processes.
+    /// `None` between two processes.
     program: Mutex<Option<Program>>,
     endings: Mutex<Vec<Ending>>,
     disruptions: Mutex<usize>,
@@ -56,20 +57,22 @@
         instance
     }
 
-    /// Its process, for as long as one series has it.
+    /// Locks the current process for one disruption and counts the disruption. Waits while another series
+    /// holds the lock.
     pub(super) fn lock(&self) -> MutexGuard<'_, Option<Program>> {
         *self.disruptions.lock().unwrap() += 1;
         self.program.lock().unwrap()
     }
 
-    /// The same, unless another series has it.
+    /// Locks the current process as `lock` does, but returns `None` without a wait if another series holds
+    /// the lock.
     pub(super) fn try_lock(&self) -> Option<MutexGuard<'_, Option<Program>>> {
         let program = self.program.try_lock().ok()?;
         *self.disruptions.lock().unwrap() += 1;
         Some(program)
     }
 
-    /// How many series it had.
+    /// Number of disruptions that locked the process.
     pub(super) fn disruptions(&self) -> usize {
         *self.disruptions.lock().unwrap()
     }
@@ -79,7 +82,7 @@
         Program::with(files, &config, None, &[])
     }
 
-    /// The configuration of its processes, and the files beside it.
+    /// Returns the configuration of the instance's processes and the folder of their files.
     pub(super) fn configuration(&self) -> (Files, Value) {
         let (files, mut config) = configuration(
             self.number,
@@ -88,23 +91,24 @@
             self.worker,
             LEDGER_SETTINGS,
         );
-        let temporary = self.temporary_directory().display().to_string();
-        config["environment"] = serde_json::json!({ "TMPDIR": temporary });
+        let temporary_directory = self.temporary_directory().display().to_string();
+        config["environment"] = serde_json::json!({ "TMPDIR": temporary_directory });
         (files, config)
     }
 
-    /// Shared by a process and its successor.
+    /// Temporary directory that a process and its successor share.
     fn temporary_directory(&self) -> PathBuf {
         self.root.join(format!("tmp{}", self.number))
     }
 
-    /// Another process's transaction on its store; none where the dispatcher is just writing, or opening it.
+    /// Opens a write transaction on the instance's ledger store. Returns `None` while the dispatcher writes
+    /// to the store or opens it.
     pub(super) fn lock_store(&self) -> Option<rusqlite::Connection> {
         ledger_store::try_lock(&self.root.join(format!("n{}", self.number)))
     }
 
-    /// Notes that a process is about to be made to end.
-    fn note(&self, program: &Program, end: End) {
+    /// Records that a process is about to be killed or terminated.
+    fn record_ending(&self, program: &Program, end: End) {
         self.endings.lock().unwrap().push(Ending {
             process: program.child.id(),
             end,
@@ -112,7 +116,7 @@
         });
     }
 
-    fn note_gone(&self, program: &Program) {
+    fn record_exit(&self, program: &Program) {
         let now = Instant::now();
         let mut endings = self.endings.lock().unwrap();
         let process = program.child.id();
@@ -121,7 +125,8 @@
         }
     }
 
-    /// Whether a process of it that was made to end so was there at some time since then.
+    /// Returns whether a process of this instance that was ended in this way was still running at `since` or
+    /// later.
     pub(super) fn has_ended_since(&self, since: Instant, end: End) -> bool {
         let endings = self.endings.lock().unwrap();
         let mut of_this_kind = endings.iter().filter(|ending| ending.end == end);
@@ -129,36 +134,42 @@
     }
 
     pub(super) fn kill(&self, shared: &Shared, mut program: Program) {
-        self.note(&program, End::Killed);
+        self.record_ending(&program, End::Killed);
         let log = program.kill();
-        self.note_gone(&program);
+        self.record_exit(&program);
         self.check_log(shared, &log);
     }
 
-    /// Asks a process to end, without waiting for it.
+    /// Sends SIGTERM without waiting for the process to exit.
     pub(super) fn terminate(&self, program: &Program) {
-        self.note(program, End::Terminated);
+        self.record_ending(program, End::Terminated);
         program.signal("TERM");
     }
 
-    /// Waits for the end of a process that was asked to.
+    /// Waits for the exit of a terminated process; kills it after `MAX_STOP` and records a failure.
     pub(super) fn wait(&self, shared: &Shared, mut program: Program) {
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             match program.child.try_wait().unwrap() {
                 Some(status) if status.success() => break,
                 Some(status) => {
-                    shared.fail(format!("n{}: ended with {status}", self.number));
+                    shared.fail(format!(
+                        "n{}: exited with {status} after SIGTERM",
+                        self.number
+                    ));
                     break;
                 }
-                None if begun.elapsed() > MAX_STOP => {
-                    shared.fail(format!("n{}: does not end", self.number));
+                None if started.elapsed() > MAX_STOP => {
+                    shared.fail(format!(
+                        "n{}: still running {MAX_STOP:?} after SIGTERM",
+                        self.number
+                    ));
                     return self.kill(shared, program);
                 }
                 None => std::thread::sleep(Duration::from_millis(5)),
             }
         }
-        self.note_gone(&program);
+        self.record_exit(&program);
         self.check_log(shared, &program.rest_of_log());
     }
 
@@ -168,16 +179,19 @@
         }
     }
 
-    /// Ends its last process.
-    pub(super) fn end(&self, shared: &Shared, in_order: bool) {
+    /// Ends the instance's last process, by SIGTERM if `gracefully` is set and by SIGKILL otherwise.
+    pub(super) fn end(&self, shared: &Shared, gracefully: bool) {
         let Some(mut program) = self.program.lock().unwrap().take() else {
             return;
         };
         if let Some(status) = program.child.try_wait().unwrap() {
-            shared.fail(format!("n{}: ended by itself with {status}", self.number));
+            shared.fail(format!(
+                "n{}: exited without a signal from the test, with {status}",
+                self.number
+            ));
             return self.check_log(shared, &program.rest_of_log());
         }
-        if in_order {
+        if gracefully {
             self.terminate(&program);
             self.wait(shared, program);
         } else {
--- a/tests/support/soak/mod.rs
+++ b/tests/support/soak/mod.rs
@@ -1,9 +1,10 @@
-//! A soak of dispatchers with ledgers, as real processes: clients use their connections for as long as these stay open,
-//! while series of signals, restarts, replacements, changes and locks of the stores overlap.
+//! Soak test of dispatchers with ledgers, run as real processes. Clients keep their connections open for as
+//! long as possible while series of signals, restarts, replacements, configuration changes and store locks
+//! overlap.
 //!
-//! - `instance`: one dispatcher and what was done to its processes
-//! - `client`: requests one after the other, and what may become of them
-//! - `disruptions`: the series
+//! - `instance`: one dispatcher, its process and the record of ended processes
+//! - `client`: sequential requests and checks of their outcomes
+//! - `disruptions`: the series of disruptions
 
 mod client;
 mod disruptions;
@@ -19,22 +20,22 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// What a soak does.
+/// Parameters of a soak.
 #[derive(Clone, Copy, Debug)]
 pub struct SoakOptions {
     /// Seed of all random choices.
     pub seed: u64,
-    /// For how long there are disruptions.
+    /// Time during which disruptions occur.
     pub duration: Duration,
-    /// Dispatchers.
+    /// Number of dispatchers.
     pub instances: usize,
-    /// Clients for each dispatcher.
+    /// Number of clients per dispatcher.
     pub clients: usize,
-    /// Series of disruptions that are under way at once.
+    /// Number of series of disruptions that run concurrently.
     pub series: usize,
 }
 
-/// What clients, disruptions and the soak itself share.
+/// State shared by the clients, the disruptions and the soak itself.
 struct Shared {
     instances: Vec<Instance>,
     is_over: AtomicBool,
@@ -53,15 +54,15 @@
     }
 }
 
-/// What came of a soak.
+/// Result of a soak.
 pub struct SoakReport {
-    /// What should not have happened; empty in a good run.
+    /// Violations found; empty in a successful run.
     pub failures: Vec<String>,
     pub received: Operations,
     pub billed: Operations,
 }
 
-/// Runs a soak to its end and prints a line of figures.
+/// Runs a soak to its end and prints a summary line.
 pub fn run(options: SoakOptions) -> SoakReport {
     let root = Files::new();
     root.add("shared.key", &"5c".repeat(32));
@@ -94,7 +95,7 @@
         thread.join().unwrap();
     }
     for (number, instance) in shared.instances.iter().enumerate() {
-        // Every other one is asked to end, with what it has in hand; the rest are killed.
+        // Every second instance is terminated and finishes its requests in flight; the others are killed.
         instance.end(&shared, number % 2 == 0);
     }
     drop(drained);
