--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -56,11 +56,12 @@
 
 /// `settings()` with latency targets so wide that the dispatcher never gives a job up as hopeless.
 pub fn settings_with_wide_targets() -> Settings {
-    let mut set = settings();
-    set.classes
+    let mut settings = settings();
+    settings
+        .classes
         .iter_mut()
         .for_each(|c| c.latency_target_stretch = 1e6);
-    set
+    settings
 }
 
 /// Endpoint of worker `id`: the lowest bit selects the zone and the kind, and each cell has four workers.
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -43,17 +43,17 @@
         let (out, count) = (socket.try_clone().unwrap(), passed.clone());
         let immediate_out = socket.try_clone().unwrap();
         spawn(move || {
-            let mut waiting: Vec<(Instant, Vec<u8>)> = Vec::new();
+            let mut delayed: Vec<(Instant, Vec<u8>)> = Vec::new();
             loop {
-                let next = waiting.iter().map(|w| w.0).min();
+                let next = delayed.iter().map(|w| w.0).min();
                 let wait = next.map_or(LONG, |n| n.saturating_duration_since(Instant::now()));
                 match late_rx.recv_timeout(wait) {
-                    Ok(late) => waiting.push(late),
+                    Ok(late) => delayed.push(late),
                     Err(std::sync::mpsc::RecvTimeoutError::Disconnected) => return,
                     Err(_) => {}
                 }
                 let now = Instant::now();
-                waiting.retain(|(at, bytes)| {
+                delayed.retain(|(at, bytes)| {
                     let due = *at <= now;
                     if due {
                         let _ = out.send_to(bytes, member);
@@ -173,7 +173,7 @@
     pub members: Vec<Member>,
     pub files: Files,
     /// Address of each member's worker, which keeps running when the member is killed.
-    sheds: Vec<SocketAddr>,
+    worker_addrs: Vec<SocketAddr>,
     pub running: Arc<Running>,
 }
 
@@ -202,7 +202,7 @@
 
 /// Starts a simulated worker that speaks DRMAA, takes `work` for each job and counts its running jobs. With
 /// `bad`, every job fails.
-fn shed(running: Arc<Running>, work: Duration, bad: bool) -> SocketAddr {
+fn start_worker(running: Arc<Running>, work: Duration, bad: bool) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     spawn(move || {
@@ -271,14 +271,14 @@
                 relay: Relay::start(udp, plan.seed ^ (i as u64 + 1) << 20),
             });
         }
-        let sheds = (0..plan.members)
-            .map(|i| shed(running.clone(), plan.work, plan.bad == Some(i)))
+        let worker_addrs = (0..plan.members)
+            .map(|i| start_worker(running.clone(), plan.work, plan.bad == Some(i)))
             .collect();
         let mut fleet = Fleet {
             plan,
             members,
             files,
-            sheds,
+            worker_addrs,
             running,
         };
         (0..fleet.members.len()).for_each(|i| fleet.begin(i));
@@ -287,7 +287,7 @@
 
     fn operators(&self, i: usize) -> String {
         let (plan, m) = (&self.plan, &self.members[i]);
-        let names: Vec<String> = (0..plan.members).map(|n| format!("'m{n}'")).collect();
+        let member_names: Vec<String> = (0..plan.members).map(|n| format!("'m{n}'")).collect();
         let join: Vec<String> = self
             .members
             .iter()
@@ -312,7 +312,7 @@
                 m.relay.addr,
                 join.join(", "),
                 self.files.0.join("fleet.key").display(),
-                names.join(", "),
+                member_names.join(", "),
                 plan.floor,
                 plan.lease_ms,
                 plan.gossip_ms,
@@ -329,11 +329,12 @@
     /// Starts a member, or restarts it under the same name.
     pub fn begin(&mut self, i: usize) {
         let files = Files::new();
-        let inventory_workers = (0..self.sheds.len()).filter(|n| self.plan.shared || *n == i);
+        let inventory_workers =
+            (0..self.worker_addrs.len()).filter(|n| self.plan.shared || *n == i);
         let row = |n: usize| {
             format!(
                 "shed-{n},127.0.0.1,{},pump-house,standard\n",
-                self.sheds[n].port()
+                self.worker_addrs[n].port()
             )
         };
         let rows: String = inventory_workers.map(row).collect();
@@ -545,7 +546,7 @@
                 let (addr, stop, served) =
                     (fleet.members[member].addr, stop.clone(), served.clone());
                 threads.push(spawn(move || {
-                    let (mut got, mut stream, mut turn) = (Receipts::default(), None::<TcpStream>, c);
+                    let (mut receipts, mut stream, mut turn) = (Receipts::default(), None::<TcpStream>, c);
                     while !stop.load(Ordering::Relaxed) {
                         let id = format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed));
                         let tenant = tenants[turn % tenants.len()];
@@ -567,22 +568,22 @@
                         match answer.as_ref().map(Message::status) {
                             Some(200) => {
                                 assert_eq!(answer.unwrap().body, format!("log of {id}"));
-                                *got.served.entry(tenant.into()).or_default() += 1;
+                                *receipts.served.entry(tenant.into()).or_default() += 1;
                                 served.fetch_add(1, Ordering::Relaxed);
                             }
                             Some(429 | 503) => {
-                                got.refused += 1;
+                                receipts.refused += 1;
                                 std::thread::sleep(Duration::from_millis(3)); // like a client that obeys a retry advice
                             }
-                            Some(_) => got.failed += 1,
+                            Some(_) => receipts.failed += 1,
                             None => {
-                                got.broken += 1;
+                                receipts.broken += 1;
                                 std::thread::sleep(Duration::from_millis(3)); // the member may not listen yet
                             }
                         }
                         std::thread::sleep(pause);
                     }
-                    got
+                    receipts
                 }));
             }
         }
@@ -595,10 +596,10 @@
 
     /// Waits until `n` more operations are served.
     pub fn more(&self, n: u64) {
-        let (from, begun) = (self.served.load(Ordering::Relaxed), Instant::now());
+        let (from, started) = (self.served.load(Ordering::Relaxed), Instant::now());
         while self.served.load(Ordering::Relaxed) < from + n {
             assert!(
-                begun.elapsed() < LONG * 2,
+                started.elapsed() < LONG * 2,
                 "the clients did not receive the expected number of results"
             );
             std::thread::sleep(Duration::from_millis(1)); // polled: the client threads update the counter
@@ -609,12 +610,14 @@
         self.stop.store(true, Ordering::Relaxed);
         let mut all = Receipts::default();
         for thread in self.threads {
-            let got = thread.join().expect("a client thread panicked");
-            got.served
+            let receipts = thread.join().expect("a client thread panicked");
+            receipts
+                .served
                 .into_iter()
                 .for_each(|(t, n)| *all.served.entry(t).or_default() += n);
-            (all.refused, all.failed) = (all.refused + got.refused, all.failed + got.failed);
-            all.broken += got.broken;
+            (all.refused, all.failed) =
+                (all.refused + receipts.refused, all.failed + receipts.failed);
+            all.broken += receipts.broken;
         }
         all
     }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -293,8 +293,8 @@
         for line in lines {
             // Splits each line over two chunks: a line need not arrive in one chunk.
             let line = format!("{line}\n");
-            let (a, b) = line.split_at(line.len() / 2);
-            [a, b]
+            let (first_half, second_half) = line.split_at(line.len() / 2);
+            [first_half, second_half]
                 .iter()
                 .for_each(|p| write_chunk(&mut stream, p.as_bytes()));
         }
@@ -325,9 +325,9 @@
 /// Response head of a watch; the entries follow as chunks.
 pub const WATCHED: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-pub fn write_chunk(stream: &mut TcpStream, piece: &[u8]) {
-    let mut text = format!("{:x}\r\n", piece.len()).into_bytes();
-    text.extend_from_slice(piece);
+pub fn write_chunk(stream: &mut TcpStream, data: &[u8]) {
+    let mut text = format!("{:x}\r\n", data.len()).into_bytes();
+    text.extend_from_slice(data);
     text.extend_from_slice(b"\r\n");
     stream.write_all(&text).unwrap();
 }
@@ -475,7 +475,7 @@
             log,
             files,
         };
-        let at = |line: String| {
+        let parse_listen_addr = |line: String| {
             line.rsplit("listen: ")
                 .next()
                 .unwrap()
@@ -489,7 +489,7 @@
             .as_str()
             .and_then(|o| o.split("[fleet]").next());
         if drmaa.or(operators).is_some_and(|d| d.contains("listen")) {
-            program.drmaa = Some(at(program.logged("serving DRMAA")));
+            program.drmaa = Some(parse_listen_addr(program.logged("serving DRMAA")));
         }
         let serving = program.logged("serving,");
         program.addr = serving
@@ -638,10 +638,12 @@
             let info = |state: &str| json!({"jobId": "j", "jobState": state});
             let replies = match (call["call"].as_str()?, manner) {
                 ("runJob", _) => {
-                    let t = &call["jobTemplate"];
-                    job_name = t["jobName"].as_str()?.to_string();
-                    let key = t["streamusher_idempotencyKey"].as_str().map(String::from);
-                    let body = t["streamusher_input"].as_str()?.to_string();
+                    let template = &call["jobTemplate"];
+                    job_name = template["jobName"].as_str()?.to_string();
+                    let key = template["streamusher_idempotencyKey"]
+                        .as_str()
+                        .map(String::from);
+                    let body = template["streamusher_input"].as_str()?.to_string();
                     sender
                         .send(Sent::Job {
                             id: job_name.clone(),
