--- a/tests/support/billing.rs
+++ b/tests/support/billing.rs
@@ -75,7 +75,7 @@
         assert_eq!(
             json(&dir, &export, key),
             first,
-            "a repeated export gives the same result"
+            "the repeated export differs from the first"
         );
     }
     // Corrections that settle in-doubt entries are in an open period, or in the closed periods of this
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -124,7 +124,7 @@
     pub lease_ms: u64,
     pub gossip_ms: u64,
     pub hold_ms: u64,
-    /// Deadline of every request class. Rights of an expired lease return after this time.
+    /// Deadline of every request class, and thus the longest one; rights return this long after their lease.
     pub deadline_ms: u64,
     pub seed: u64,
     /// Time that a simulated worker takes for each job.
@@ -423,7 +423,7 @@
             .expect("cannot read the response up to the end of the connection");
         let (json, end) = answer
             .split_once('\n')
-            .expect("the response has a line of JSON and a line END");
+            .expect("the response has no line break after the JSON");
         assert_eq!(end, "END\n", "{answer}");
         serde_json::from_str(json).expect("the response is not valid JSON")
     }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -481,7 +481,7 @@
                 .unwrap()
                 .trim()
                 .parse()
-                .expect("the log line ends with a listen address")
+                .expect("no listen address at the end of the log line")
         };
         // `[fleet]` also has a `listen` setting. In the tests' files its table follows those of the front
         // ends, so only the text before it is searched.
--- a/tests/support/restarts.rs
+++ b/tests/support/restarts.rs
@@ -136,7 +136,7 @@
                 assert_eq!(
                     a.body,
                     format!("log of {id}"),
-                    "the response body is the worker's complete result"
+                    "the response body differs from the worker's complete result"
                 );
                 shared.receipts.lock().unwrap().push((id, tenant, class));
             }
--- a/tests/support/soak/disruptions.rs
+++ b/tests/support/soak/disruptions.rs
@@ -133,9 +133,9 @@
     *process = Some(instance.start_program());
 }
 
-/// Starts a successor next to the running process, then terminates that process, or kills it with probability
-/// 0.2 after the termination signal. At the same probability the successor is killed and restarted
-/// afterwards.
+/// Starts a successor next to the running process and sends SIGTERM to that process. With probability 0.2 the
+/// process is then killed instead of awaited; with the same probability the successor is killed and restarted
+/// at the end.
 fn replace(shared: &Shared, instance: &Instance, random: &mut Pcg64) {
     let mut process = instance.lock();
     let successor = instance.start_program();
--- a/tests/support/soak/instance.rs
+++ b/tests/support/soak/instance.rs
@@ -21,13 +21,13 @@
     Terminated,
 }
 
-/// Record of a process of the instance that was killed or terminated. It may accept connections until `gone`,
+/// Record of a process of the instance that was killed or terminated. It may accept connections until `exited_at`,
 /// the time of its observed exit.
 #[derive(Clone, Copy, Debug)]
 struct Ending {
     process: u32,
     end: End,
-    gone: Option<Instant>,
+    exited_at: Option<Instant>,
 }
 
 pub(super) struct Instance {
@@ -112,7 +112,7 @@
         self.endings.lock().unwrap().push(Ending {
             process: program.child.id(),
             end,
-            gone: None,
+            exited_at: None,
         });
     }
 
@@ -121,7 +121,7 @@
         let mut endings = self.endings.lock().unwrap();
         let process = program.child.id();
         for ending in endings.iter_mut().filter(|e| e.process == process) {
-            ending.gone.get_or_insert(now);
+            ending.exited_at.get_or_insert(now);
         }
     }
 
@@ -130,7 +130,7 @@
     pub(super) fn has_ended_since(&self, since: Instant, end: End) -> bool {
         let endings = self.endings.lock().unwrap();
         let mut of_this_kind = endings.iter().filter(|ending| ending.end == end);
-        of_this_kind.any(|ending| ending.gone.is_none_or(|gone| gone >= since))
+        of_this_kind.any(|ending| ending.exited_at.is_none_or(|exited_at| exited_at >= since))
     }
 
     pub(super) fn kill(&self, shared: &Shared, mut program: Program) {
