--- a/crates/coordination/src/election.rs
+++ b/crates/coordination/src/election.rs
@@ -91,8 +91,8 @@
         is_expired || cfg!(feature = "mutant-lease")
     }
 
-    /// Rank of this candidate: the number of replicas that the record names before it, without a primary that
-    /// may have failed. Each of them becomes a candidate earlier.
+    /// Rank of this candidate: the number of replicas that the record lists before this member, not counting
+    /// a primary that may have failed. Each of these replicas becomes a candidate earlier.
     fn rank(&self, core: &CoordinatorCore) -> usize {
         let record = core.record();
         let lost_primary = record.primary.filter(|_| !self.is_term_ended(record.term));
--- a/crates/coordination/src/limits.rs
+++ b/crates/coordination/src/limits.rs
@@ -17,8 +17,8 @@
 pub(crate) const TARGET_BATCH_BYTES: usize = 1 << 20;
 /// Maximum size in bytes of the recent batches that are cached for replicas that lack them.
 pub(crate) const MAX_LOG_CACHE_BYTES: usize = 4 << 20;
-/// Limit as [`MAX_LOG_CACHE_BYTES`] while a snapshot is being sent: the batches after the snapshot's position
-/// are still needed.
+/// Replaces [`MAX_LOG_CACHE_BYTES`] while a snapshot is being sent, because the receiver still needs the
+/// batches after the snapshot's position.
 pub(crate) const MAX_LOG_CACHE_BYTES_DURING_SNAPSHOT: usize = 16 << 20;
 /// Maximum number of batches sent beyond the last acknowledged one.
 pub(crate) const MAX_UNACKNOWLEDGED_BATCHES: u64 = 32;
--- a/crates/coordination/src/pipeline.rs
+++ b/crates/coordination/src/pipeline.rs
@@ -131,7 +131,7 @@
         newest_append
     }
 
-    /// Age of the batch, without time before `stalled_until_ms`; 0 if the batch does not exist yet.
+    /// Age of the batch, not counting the time before `stalled_until_ms`; 0 if the batch does not exist yet.
     pub(crate) fn batch_age_ms(
         &self,
         sequence: u64,
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -1,7 +1,7 @@
 //! Epoch records: the configurations of the cluster, one for each epoch.
 //!
-//! The record of epoch 0 is computed from the seeds. The record of epoch n+1 is decided by single-decree Paxos among the
-//! members of record n.
+//! The record of epoch 0 is computed from the seeds. The record of epoch n+1 is decided by single-decree
+//! Paxos among the members of record n.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -67,7 +67,7 @@
     }
 
     /// Whether the cluster tolerates as many losses with one member less. An unresponsive member should then
-    /// be removed, as it only brings the next loss closer to the majority.
+    /// be removed, because it already counts as one of the tolerated losses.
     pub fn can_spare_member(&self) -> bool {
         can_spare_member(&self.members)
     }
--- a/crates/coordination/src/replication.rs
+++ b/crates/coordination/src/replication.rs
@@ -208,9 +208,9 @@
     }
 
     /// Sends the newest record to the machines that it removed, once more members have the record on disk
-    /// than disks may be lost. A machine that leaves exits when it learns of its removal: before that many
-    /// members have the record, all of them could be lost, and the preceding record requires that machine.
-    /// record before counts on that machine.
+    /// than disks may be lost. A removed machine exits when it learns of its removal. If it exited earlier,
+    /// the loss of all members that have the record could leave only the preceding record, which requires
+    /// that machine.
     pub(crate) fn notify_removed_members(&mut self, core: &mut CoordinatorCore) {
         if self.removed_members.is_empty() {
             return;
--- a/crates/coordination/src/snapshot.rs
+++ b/crates/coordination/src/snapshot.rs
@@ -66,10 +66,10 @@
         }
     }
 
-    /// Handles the receiver's request for its next part. A request for part 0 comes either from a receiver
-    /// that has restarted, so sending restarts at part 0, or it is a delayed acknowledgement. In the second
-    /// case a later request with a higher number is accepted even if fewer parts were sent since: the
-    /// receiver can only have parts of this snapshot.
+    /// Handles the receiver's request for its next part. A request for part 0 after an acknowledgement either
+    /// comes from a receiver that has restarted or is a delayed message; in both cases sending restarts at
+    /// part 0. If the request was delayed, a later request with a higher number is accepted even if fewer
+    /// parts were sent since the restart: the receiver can only have parts of this snapshot.
     pub(crate) fn on_acknowledged(&mut self, next: u64, now_ms: Millis) {
         if next == 0 && self.acknowledged > 0 {
             self.acknowledged = 0;
