--- a/crates/jobs/src/position.rs
+++ b/crates/jobs/src/position.rs
@@ -63,7 +63,7 @@
 pub(crate) enum RunSlot {
     /// The newest run, or the only one.
     Newest,
-    /// Of a hedged task: the run beside which a newer one waits or runs.
+    /// The earlier run of a hedged task, beside which a newer run waits or is assigned.
     Earlier,
 }
 
--- a/crates/jobs/src/record.rs
+++ b/crates/jobs/src/record.rs
@@ -35,15 +35,16 @@
 /// [`QueuePolicy`](crate::QueuePolicy).
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct OpenJobRecord {
-    /// From the queue's policy.
+    /// Service whose workers run the tasks, as in the queue's policy.
     pub(crate) service: Arc<str>,
-    /// From the queue's policy.
+    /// Priority in the queue's policy; 0 is the highest.
     pub(crate) priority: u32,
-    /// From the queue's policy.
+    /// Number of failed attempts that fails the job, as in the queue's policy.
     pub(crate) max_attempts: u32,
-    /// From the queue's policy. Always finite, because JSON cannot represent infinity and NaN.
+    /// Factor of the queue's latency objective on the work. Always finite, because JSON cannot represent
+    /// infinity and NaN.
     pub(crate) stretch: f64,
-    /// From the queue's policy.
+    /// Constant part of the queue's latency objective, in milliseconds.
     pub(crate) target_latency_ms: Millis,
     /// Time of the submission, in milliseconds since 1970.
     #[serde(rename = "submitted_ms")]
--- a/crates/jobs/src/unit.rs
+++ b/crates/jobs/src/unit.rs
@@ -178,8 +178,8 @@
         }
     }
 
-    /// Counts a failed attempt. The tasks of a gang share a run, so its failures count once. Only single
-    /// tasks have an earlier run, so the check is not needed there.
+    /// Counts a failed attempt. The tasks of a gang share a run, so several failures of the newest run count
+    /// once. Failures of an earlier run need no such check, because only single tasks have an earlier run.
     fn count_failure(&mut self, slot: RunSlot) {
         if slot == RunSlot::Newest {
             if self.last_failed_run == self.run {
--- a/crates/jobs/src/views.rs
+++ b/crates/jobs/src/views.rs
@@ -10,8 +10,8 @@
 use streamusher_protocol::unit::{Unit, UnitId};
 use streamusher_protocol::Millis;
 
-/// Added to the order of a speculative run. The run is ordered after all units of its priority that have
-/// waited for less than this.
+/// Added to the order of a speculative run, in milliseconds. The run comes after all units of its priority
+/// whose order is less than this much later than that of its own iteration.
 const SPECULATIVE_DELAY_MS: Millis = 600_000;
 
 /// Describes a unit that waits for placement. Returns `None` if the unit does not wait.
