--- a/crates/placement/src/worker_pool.rs
+++ b/crates/placement/src/worker_pool.rs
@@ -31,7 +31,7 @@
 /// The workers with one label, or all workers of a service.
 #[derive(Debug, Default)]
 pub(crate) struct WorkerPool {
-    /// In no particular order; used for random sampling.
+    /// Workers of the pool, in no particular order; used for random sampling.
     pub(crate) members: Vec<WorkerIndex>,
     by_load: BTreeSet<(LoadLevel, WorkerIndex)>,
 }
