--- a/crates/placement/src/capacity_search.rs
+++ b/crates/placement/src/capacity_search.rs
@@ -33,7 +33,7 @@
 const MAX_COST_FOR_OTHERS: f64 = 0.25;
 const MAX_COST_FOR_GANG: f64 = 1.5;
 
-/// Searches capacity in groups of workers, nearest and cheapest first, and reserves what the first affordable
+/// Searches capacity in groups of workers: tries the scopes in order, and reserves what the first affordable
 /// plan needs.
 pub(crate) fn search_capacity(
     cycle: &mut SchedulingCycle<'_>,
--- a/crates/placement/src/gang_fit/remaining_capacity.rs
+++ b/crates/placement/src/gang_fit/remaining_capacity.rs
@@ -58,7 +58,7 @@
         RemainingCapacity { total, limits }
     }
 
-    /// Counts a run as ended.
+    /// Adds the capacity that a run holds, as if the run had ended.
     pub(crate) fn free(&mut self, run: &Run) {
         let freed = ResourceVector::from(&run.allocation.resources);
         self.total += freed;
--- a/crates/placement/src/headroom.rs
+++ b/crates/placement/src/headroom.rs
@@ -17,9 +17,9 @@
 /// Size of the burst that the headroom covers, in mean deviations above the mean demand, as it applies to a
 /// unit that has used up the share of its slack that it may wait.
 const MIN_DEVIATIONS: f64 = 1.0;
-/// Upper bound of the share of a service that is reserved as headroom. Headroom is needed because work that
-/// cannot wait cannot afford the duration of a preemption. Units that have waited long in a service with much
-/// free capacity may use the headroom regardless.
+/// Upper bound of the share of a service that is reserved as headroom. Headroom is needed because a
+/// preemption takes longer than work with little slack can wait. Units that have waited long in a service
+/// with much free capacity may use the headroom regardless.
 const MAX_RESERVED_SHARE: f64 = 0.6;
 /// Weight of the newest unit in the mean slack of its queue; the mean covers about the tasks of a few wide
 /// steps.
