--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -129,7 +129,8 @@
             .is_some_and(|term| term.may_act(&self.core, now_ms))
     }
 
-    /// Whether this member was elected and the first batch of its term is not committed yet.
+    /// Whether this member was elected, the first batch of its term is not committed yet, and it is not
+    /// stepping down.
     pub fn is_starting_term(&self) -> bool {
         let is_starting =
             |term: &LeaderTerm| !term.is_first_batch_committed() && !term.is_stepping_down;
@@ -314,8 +315,8 @@
         }
     }
 
-    /// Handles messages to itself and effects whose changes are synced, then passes the next change to the
-    /// disk.
+    /// Handles the messages that this member sent to itself and the effects whose changes are synced, then
+    /// passes the next change to the disk.
     fn finish(&mut self) -> Vec<Output> {
         loop {
             if let Some(message) = self.core.outbox.take_loopback() {
@@ -620,8 +621,8 @@
         self.term = Some(term);
     }
 
-    /// Ends the term without a successor and announces it, so that the others do not wait for the lease to
-    /// expire.
+    /// Ends the term without a successor and announces it, so that the other members do not wait for the
+    /// lease to expire.
     fn step_down(&mut self) {
         log::info!("no acknowledgements from a quorum: stepping down");
         self.term = None;
@@ -630,8 +631,8 @@
         self.announce_ended_term();
     }
 
-    /// Announces that the term has ended, if the newest record names this member as the primary but it is
-    /// not, as it has restarted or stepped down. The others then do not wait for the lease to expire.
+    /// Announces that the term has ended, if the newest record names this member as the primary although it
+    /// has restarted or stepped down since. The other members then do not wait for the lease to expire.
     fn announce_ended_term(&mut self) {
         let is_primary = self.term.is_some() || self.elected_epoch.is_some();
         if !self.core.is_named_primary() || is_primary {
--- a/crates/coordination/src/timing.rs
+++ b/crates/coordination/src/timing.rs
@@ -28,8 +28,7 @@
 /// With an even number of members, a member that is unresponsive for this long is removed.
 pub(crate) const MEMBER_TIMEOUT_MS: Millis = 5_000;
 /// A member that is unresponsive for this long is replaced by a machine that asks to join. The replacement
-/// has to be complete before the next loss may come, which is some seconds after the start of the replacing
-/// machine.
+/// has to be complete before the next loss may occur, some seconds after the start of the replacing machine.
 pub(crate) const MEMBER_REPLACEMENT_TIMEOUT_MS: Millis = 1_000;
 /// A join request expires this long after it was last received.
 pub(crate) const JOIN_REQUEST_TIMEOUT_MS: Millis = 1_000;
