--- a/crates/jobs/src/completion.rs
+++ b/crates/jobs/src/completion.rs
@@ -51,7 +51,7 @@
     pub(crate) due_unix_ms: Millis,
     /// End of the iteration, in milliseconds since 1970.
     pub(crate) ended_unix_ms: Millis,
-    /// Estimated work on the critical path.
+    /// Estimated work on the critical path, in milliseconds.
     pub(crate) estimated_work_ms: Millis,
     /// Time that was accounted, by stage.
     pub(crate) breakdown: LatencyBreakdown,
