--- a/crates/coordination/src/disk.rs
+++ b/crates/coordination/src/disk.rs
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DiskQueue {
     in_flight: Option<InFlightChange>,
-    /// All changes that were queued while another one was in flight, merged into one.
+    /// All changes that wait to be written, merged into one.
     queued: Option<DiskChange>,
     last_ticket: u64,
     /// Number of the newest change.
--- a/crates/coordination/src/proposer.rs
+++ b/crates/coordination/src/proposer.rs
@@ -53,7 +53,7 @@
         now_ms < self.paused_until_ms
     }
 
-    /// Delays new proposals at least until this time.
+    /// Delays new proposals until this time, unless they are already delayed for longer.
     pub(crate) fn pause_until(&mut self, until_ms: Millis) {
         self.paused_until_ms = self.paused_until_ms.max(until_ms);
     }
