--- a/crates/placement/src/gang.rs
+++ b/crates/placement/src/gang.rs
@@ -11,7 +11,7 @@
 use crate::unit_view::UnitView;
 use crate::wait_escalation::ANY_WORKER_AFTER_MS;
 
-/// Maximum number of gangs per service that capacity is searched for, the first ones in queue order.
+/// Maximum number of gangs per service for which capacity is searched: the first ones in queue order.
 const MAX_SEARCHING_GANGS: usize = 4;
 
 /// Starts a gang if all members fit, otherwise searches capacity for it.
--- a/crates/placement/src/service.rs
+++ b/crates/placement/src/service.rs
@@ -21,7 +21,7 @@
 const INITIAL_RUN_MS: f64 = 1_000.0;
 /// Share of used capacity below which a unit that has waited long may use any free capacity.
 const LIGHT_USE_SHARE: f64 = 0.6;
-/// Half-life of the largest request.
+/// Half-life of the largest requested share of a worker.
 const LARGEST_REQUEST_HALF_LIFE_MS: f64 = 30_000.0;
 
 /// Largest share of a worker that a unit has recently requested; decays with time.
