--- a/src/core/booking.rs
+++ b/src/core/booking.rs
@@ -1,5 +1,5 @@
 //! Final answers that are recorded before delivery: each is held until all recorders have stored it or its
-//! time is up.
+//! hold time expires.
 //!
 //! Invariants: each waiting client is answered once, and in time. A result is sent before a recorder has
 //! stored it only if that recorder allows it; otherwise the client receives [`Answer::Withheld`] and the
@@ -70,7 +70,7 @@
     Refused,
 }
 
-/// What to do with an answer whose time is up before its entry is known to be stored.
+/// What to do with an answer whose hold time expires before its entry is known to be stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OverdueAction {
     /// Send the answer.
@@ -85,8 +85,8 @@
     fn accepts_operations(&self) -> bool;
     /// Records an answer that must be sent by `answer_by`.
     fn record(&self, now: Micros, answer_by: Micros, usage_record: &UsageRecord) -> RecordStatus;
-    /// The time of an answer is up and its entry is not known to be stored. For a withheld answer `written`
-    /// is also called, as incomplete.
+    /// The hold time of an answer has expired and its entry is not known to be stored. For a withheld answer
+    /// `written` is also called, as incomplete.
     fn on_overdue(&self, number: u64, outcome: OperationOutcome) -> OverdueAction;
     /// The answer with this number was written to its client to the last byte, or, if not `is_complete`,
     /// could not be.
--- a/src/core/intake.rs
+++ b/src/core/intake.rs
@@ -137,8 +137,8 @@
         Ok(job)
     }
 
-    /// Holds an operation until the first pool config, for at most half of its time: guards against sending
-    /// work, by a list of an earlier process, to a worker that has left since.
+    /// Holds an operation until the first pool config, for at most half of its time. The known list may be
+    /// from an earlier process; this guards against sending work to a worker that has left since.
     fn admit_or_wait(&mut self, now: Micros, job: JobId, deadline: Micros) {
         if !self.awaits_pool_config() {
             return self.inputs.push(Input::Arrived(job));
@@ -155,7 +155,8 @@
         self.sources.iter().any(|s| s.awaits_first_config())
     }
 
-    /// Admits the operations that waited for the first pool config once there is one, or none can be had.
+    /// Admits the operations that waited for the first pool config once no source delays operations for it
+    /// any more.
     pub(super) fn admit_waiting(&mut self) {
         if !self.awaiting_pool.is_empty() && !self.awaits_pool_config() {
             self.inputs.extend(
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -116,7 +116,7 @@
 
 struct StepState {
     worker: WorkerId,
-    /// Whether a driver was given the step.
+    /// Whether the step was passed to a driver.
     given_to_driver: bool,
     /// Whether the driver has begun the step.
     begun: bool,
--- a/src/core/operation.rs
+++ b/src/core/operation.rs
@@ -58,7 +58,7 @@
     ConnectionLostAfterSend,
     /// The job was killed, or the worker's process died.
     Lost,
-    /// The time for the step ran out.
+    /// The step timed out.
     TimedOut,
     /// The step was cancelled.
     Cancelled,
--- a/src/core/steps.rs
+++ b/src/core/steps.rs
@@ -161,7 +161,7 @@
         Some(remaining_us)
     }
 
-    /// Cancels a step at its driver, if a driver was given it.
+    /// Cancels a step at its driver, if it was passed to one.
     pub(super) fn cancel_step(&self, step: StepId) {
         let Some(open) = self.operations.get(&step.job) else {
             return;
--- a/src/core/turn.rs
+++ b/src/core/turn.rs
@@ -20,8 +20,7 @@
         self.process_inputs(now, &mut overdue);
         if !overdue.is_empty() {
             // An operation may arrive at its deadline, for which the balancer sets a timer that is due at
-            // once. Guards against failing such an operation, of which nothing has run and which the balancer
-            // rejects.
+            // once. Guards against failing such an operation: it has not run, and the balancer rejects it.
             self.queue_due_timers(now);
             self.process_inputs(now, &mut overdue);
         }
