--- a/crates/configuration/src/store.rs
+++ b/crates/configuration/src/store.rs
@@ -73,7 +73,8 @@
 struct CurrentConfiguration {
     configuration: Arc<Configuration>,
     text: Arc<str>,
-    /// Update that produced the configuration; `None` if there was none or it is not known.
+    /// Update that produced the configuration; `None` if the whole configuration was replaced, or if the
+    /// update is not known.
     update: Option<PublishedUpdate>,
 }
 
--- a/crates/fair-share/src/ranking_replica.rs
+++ b/crates/fair-share/src/ranking_replica.rs
@@ -13,8 +13,8 @@
 /// Result of applying an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateOutcome {
-    /// The node ranks by the update's version from now on, or already did and may now have a tighter bound of
-    /// its age.
+    /// The node ranks by the update's version from now on. If it already did, the bound of the version's age
+    /// may be tighter now.
     Applied,
     /// The node holds a newer version.
     Outdated,
