--- a/crates/configuration/src/relay/parent_selection.rs
+++ b/crates/configuration/src/relay/parent_selection.rs
@@ -174,8 +174,8 @@
         heartbeat_timeout_at.min(root_timeout_at)
     }
 
-    /// Handles a heartbeat from a peer that answers a request. It replaces another temporary parent only if
-    /// that one is silent.
+    /// Handles a heartbeat from a peer that answers a request. The peer becomes the temporary parent, unless
+    /// there is another one that is not silent.
     fn on_temporary_heartbeat(&mut self, now: Millis, sender: &RelayPeer) {
         match &mut self.temporary_parent {
             Some(parent) if parent.peer() == sender => parent.on_heartbeat(now),
@@ -189,8 +189,8 @@
         self.search = Some(AncestorSearch::new(first_index, now));
     }
 
-    /// Returns the temporary parent if the request to it has to be renewed. Removes it if it is silent, or if
-    /// the parent is not.
+    /// Returns the temporary parent if the request to it has to be renewed. If it is silent by then, or the
+    /// parent is not, removes it instead.
     fn take_due_renewal(&mut self, now: Millis) -> Option<RelayPeer> {
         let temporary_parent = self.temporary_parent.as_mut()?;
         if now < temporary_parent.renewal_due_at() {
--- a/crates/scheduler/src/fair_share.rs
+++ b/crates/scheduler/src/fair_share.rs
@@ -96,7 +96,7 @@
         Some(self.accounts.settings().user_of(&queue))
     }
 
-    /// Returns a unit's order within its priority.
+    /// Returns a unit's order key by the newest ranking; the unit's own order if its job is unknown.
     pub(crate) fn order_key(&self, jobs: &JobTable, unit: &Unit) -> u64 {
         match self.user_of(jobs, &unit.id.step.job) {
             Some(user) => self.accounts.order_key(&user, unit.priority, unit.order),
--- a/crates/scheduler/src/workers.rs
+++ b/crates/scheduler/src/workers.rs
@@ -163,8 +163,7 @@
         self.get(id)?.agent.as_ref()
     }
 
-    /// Iterates over the workers of an agent: the current one, and former ones that the agent has not
-    /// reported yet.
+    /// Iterates over the workers of an agent: the current one, and former ones that are not superseded yet.
     pub(crate) fn ids_of_agent<'a>(
         &'a self,
         agent: &'a Arc<str>,
--- a/src/core/booking.rs
+++ b/src/core/booking.rs
@@ -70,7 +70,7 @@
     Refused,
 }
 
-/// What to do with an answer whose hold time expires before its entry is known to be stored.
+/// What to do with an answer whose hold ends before its entry is known to be stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OverdueAction {
     /// Send the answer.
@@ -85,7 +85,7 @@
     fn accepts_operations(&self) -> bool;
     /// Records an answer that must be sent by `answer_by`.
     fn record(&self, now: Micros, answer_by: Micros, usage_record: &UsageRecord) -> RecordStatus;
-    /// The hold time of an answer has expired and its entry is not known to be stored. For a withheld answer
+    /// The hold of an answer has ended and its entry is not known to be stored. For a withheld answer
     /// `written` is also called, as incomplete.
     fn on_overdue(&self, number: u64, outcome: OperationOutcome) -> OverdueAction;
     /// The answer with this number was written to its client to the last byte, or, if not `is_complete`,
--- a/src/core/repeats.rs
+++ b/src/core/repeats.rs
@@ -55,7 +55,8 @@
         keyed.answer = Some(answer);
     }
 
-    /// Bounds the retained keyed operations: evicts those past their window once many are retained.
+    /// Bounds the retained keyed operations: evicts those past their window once many are retained, or once
+    /// the results take half of [`MAX_RETAINED_BYTES`].
     pub(super) fn evict_expired_keys(&mut self, now: Micros) {
         if self.keyed_operations.len() < EVICTION_MIN_KEYS
             && self.retained_bytes < MAX_RETAINED_BYTES / 2
