--- a/src/balance/fan_out.rs
+++ b/src/balance/fan_out.rs
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Schedules the check whether a job in flight still waits; the delay doubles with each missed start.
+    /// Schedules the recheck of a job in flight; the delay doubles with each missed start.
     #[allow(clippy::cast_possible_truncation, reason = "as saturates")]
     fn schedule_recheck(&mut self, now: Micros, id: JobId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&id) else {
@@ -138,8 +138,8 @@
             .and_modify(|job| job.recheck_at = recheck_at);
     }
 
-    /// Time from which a job that has not started only wastes work and delays those behind it; `None` unless a late
-    /// answer is worth nothing, a cancel frees its place, and the client does not retry a failure.
+    /// When an unstarted job begins to only waste work and delay those behind it; `None` unless a late answer is worth
+    /// nothing, a cancel frees its place, and the client does not retry a failure.
     #[allow(clippy::cast_possible_truncation, reason = "as saturates")]
     fn useless_from(&self, job: &Job) -> Option<Micros> {
         let (class, work) = (&self.settings.classes[job.class], self.expected_work(job));
--- a/src/balance/ranking.rs
+++ b/src/balance/ranking.rs
@@ -49,7 +49,7 @@
         decayed(worker.penalties[class], average, now, half_life_us / LN_2)
     }
 
-    /// Load by others: an observed one decays to its kind's average; one average for all would overload fast kinds.
+    /// Load by others: an observed one decays to its kind's average; a fleet average would overload fast kinds.
     pub(super) fn load(&self, now: Micros, worker: &Worker) -> f64 {
         let kind = self.kinds.get(&worker.endpoint.kind);
         let average = kind.map_or(0.0, |kind| kind.load.mean);
@@ -201,8 +201,8 @@
             && others.all(|other| self.permits_repeat(now, job, other, &worker.endpoint))
     }
 
-    /// Slow start: admits no job that alone could overload the worker, and only its present share of what a warm one
-    /// receives from this dispatcher. If all dispatchers do so, its load matches its capacity as a warm one's does.
+    /// Slow start: admits no job that alone could overload the worker, and only its present share of what this
+    /// dispatcher sends a warm one. If all dispatchers do so, its load matches its capacity as a warm one's does.
     fn slow_start_admits(&self, now: Micros, job: &Job, id: WorkerId) -> bool {
         let worker = &self.workers[id.index()];
         let capacity_share = self.capacity_share(now, &worker.endpoint);
--- a/src/balance/slow_start.rs
+++ b/src/balance/slow_start.rs
@@ -26,7 +26,7 @@
 
 impl SlowStartShare {
     /// `capacity` is the work of a warm worker per unit of time, `recent_rate` what each recently received from this
-    /// dispatcher; the fleet's sum is at most the capacity. Traffic is uneven: a dispatcher with little still has its
+    /// dispatcher; the fleet's sum is at most the capacity. Traffic is uneven: a dispatcher with little has its
     /// even share. Both, with the unused part, stay below the multiple of the capacity that overloads a worker.
     pub fn new(
         settings: &Settings,
--- a/src/core/turn.rs
+++ b/src/core/turn.rs
@@ -78,7 +78,7 @@
     fn handle_input(&mut self, now: Micros, input: Input, actions: &mut Vec<Action>) {
         let event = match input {
             Input::Arrived(job) => {
-                // An operation that waited for the first list may have been answered, or its client have
+                // An operation that waited for the first pool config may already be answered, or its client
                 // disconnected.
                 let Some(open) = self
                     .operations
