--- a/src/balance/ranking.rs
+++ b/src/balance/ranking.rs
@@ -49,7 +49,7 @@
         decayed(worker.penalties[class], average, now, half_life_us / LN_2)
     }
 
-    /// Load by others: an observed one decays to its kind's average; a fleet average would overload fast kinds.
+    /// Load by others: an observed one decays to its kind's average; a fleet average overloads fast kinds.
     pub(super) fn load(&self, now: Micros, worker: &Worker) -> f64 {
         let kind = self.kinds.get(&worker.endpoint.kind);
         let average = kind.map_or(0.0, |kind| kind.load.mean);
