--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -1,4 +1,5 @@
-//! The mechanism: ranking, n, early cancel, ties, retries, memory.
+//! Tests of the dispatch mechanism: ranking, number of copies, early cancel, simultaneous starts, retries,
+//! state kept about workers.
 
 mod common;
 use common::{
@@ -10,7 +11,7 @@
 };
 
 #[test]
-fn one_copy_while_nothing_of_ours_waits() {
+fn one_copy_while_no_own_job_waits() {
     let mut dispatcher = TestDispatcher::new(settings_with_wide_targets(), 10);
     for job in 1..8 {
         assert_eq!(sends(&dispatcher.arrive(job, IDEMPOTENT)).len(), 1);
@@ -19,7 +20,7 @@
 }
 
 #[test]
-fn jobs_go_where_fewest_own_jobs_are() {
+fn jobs_are_sent_to_the_worker_with_fewest_own_jobs() {
     let mut dispatcher = TestDispatcher::new(settings_with_wide_targets(), 4);
     let mut seen: Vec<u32> = (1..5)
         .flat_map(|job| sends(&dispatcher.arrive(job, AT_MOST_ONCE)))
@@ -29,16 +30,16 @@
 }
 
 #[test]
-fn copies_grow_with_own_waiting_jobs_up_to_the_limit() {
+fn number_of_copies_grows_with_own_waiting_jobs_up_to_the_limit() {
     let mut dispatcher = TestDispatcher::new(settings_with_wide_targets(), 6);
     for job in 1..7 {
-        dispatcher.arrive(job, AT_MOST_ONCE); // one waits at every worker
+        dispatcher.arrive(job, AT_MOST_ONCE); // one job waits at every worker
     }
     assert_eq!(sends(&dispatcher.arrive(100, IDEMPOTENT)).len(), 2);
     for job in 9..40 {
         dispatcher.arrive(job, AT_MOST_ONCE);
     }
-    // The ceiling is one under the attempt limit, so that a retry is left.
+    // The upper limit is one below the attempt limit, so that one retry is left.
     assert_eq!(sends(&dispatcher.arrive(101, IDEMPOTENT)).len(), 3);
 }
 
@@ -81,12 +82,12 @@
     assert_eq!(cancels(&dispatcher.handle_event(started(100, 1))), [0, 2]);
     assert!(
         cancels(&dispatcher.handle_event(started(100, 0))).is_empty(),
-        "too late: it is called back already"
+        "attempt 0 is cancelled already"
     );
 }
 
 #[test]
-fn of_simultaneous_starts_one_is_kept_at_random() {
+fn one_of_several_simultaneous_starts_is_kept_at_random() {
     let mut kept = [0; 3];
     let mut dispatcher = TestDispatcher::new(settings_with_wide_targets(), 8);
     for worker in 0..8 {
@@ -106,12 +107,14 @@
     for job in 100..160 {
         let n = sends(&dispatcher.arrive(job, IDEMPOTENT)).len() as u32;
         assert_eq!(n, 3);
-        let gone = cancels(&dispatcher.handle_batch((0..n).map(|a| started(job, a)).collect()));
-        assert_eq!(gone.len(), 2);
-        let keep = (0..3).find(|a| !gone.contains(a)).unwrap();
+        let cancelled =
+            cancels(&dispatcher.handle_batch((0..n).map(|a| started(job, a)).collect()));
+        assert_eq!(cancelled.len(), 2);
+        let keep = (0..3).find(|a| !cancelled.contains(a)).unwrap();
         kept[keep as usize] += 1;
         dispatcher.handle_batch(
-            gone.iter()
+            cancelled
+                .iter()
                 .map(|&a| attempt_ended(job, a, AttemptOutcome::NotSent, false))
                 .collect(),
         );
@@ -121,25 +124,25 @@
 }
 
 #[test]
-fn a_job_that_does_not_start_is_forked_further() {
+fn job_that_does_not_start_gets_another_copy() {
     let mut dispatcher = TestDispatcher::new(settings_with_wide_targets(), 8);
     assert_eq!(sends(&dispatcher.arrive(1, IDEMPOTENT)).len(), 1);
     assert_eq!(sends(&dispatcher.fire_timer(SECOND, 3)).len(), 1);
     dispatcher.handle_event(started(1, 1));
     assert!(
         sends(&dispatcher.fire_timer(SECOND, 3)).is_empty(),
-        "it runs"
+        "the job is running"
     );
 }
 
 #[test]
-fn a_full_worker_sheds_a_copy_and_the_job_is_retried_if_all_are_full() {
+fn job_is_retried_once_all_its_copies_are_shed() {
     let mut dispatcher = TestDispatcher::new(settings_with_wide_targets(), 8);
     dispatcher.arrive(1, IDEMPOTENT);
     dispatcher.fire_timer(SECOND, 3);
     assert!(
         sends(&dispatcher.end_attempt(1, 0, AttemptOutcome::Shed)).is_empty(),
-        "one copy is still out"
+        "one copy is still in flight"
     );
     assert_eq!(
         sends(&dispatcher.end_attempt(1, 1, AttemptOutcome::Shed)).len(),
@@ -147,27 +150,27 @@
     );
 }
 
-/// Guards against a refusal while attempts are left and a worker is idle: of two copies the first start withdraws the other,
-/// and the worker that started is lost.
+/// Guards against a rejection while attempts are left and a worker is idle: of two copies, the start of the
+/// first cancels the other, and then the connection to the worker that started is lost.
 #[rstest::rstest]
 #[case::cancelled(AttemptOutcome::Cancelled)]
 #[case::not_sent(AttemptOutcome::NotSent)]
-fn a_worker_whose_copy_was_withdrawn_unstarted_may_get_the_retry(
-    #[case] withdrawn: AttemptOutcome,
+fn worker_whose_copy_was_cancelled_before_its_start_may_get_the_retry(
+    #[case] outcome: AttemptOutcome,
 ) {
     let mut dispatcher = TestDispatcher::new(settings_with_wide_targets(), 2);
     let first = sends(&dispatcher.arrive(1, IDEMPOTENT));
     let second = sends(&dispatcher.fire_timer(SECOND, 3));
     assert_eq!((first.len(), second.len()), (1, 1));
     assert_eq!(cancels(&dispatcher.handle_event(started(1, 0))), [1]);
-    dispatcher.end_attempt(1, 1, withdrawn);
+    dispatcher.end_attempt(1, 1, outcome);
     let actions = dispatcher.end_attempt(1, 0, AttemptOutcome::ConnectionLost);
     assert_eq!(sends(&actions), second);
     assert_eq!((rejected(&actions), failed(&actions)), (0, 0));
 }
 
 #[test]
-fn a_worker_that_lost_a_started_attempt_gets_no_other() {
+fn worker_that_lost_a_started_attempt_gets_no_retry() {
     let mut dispatcher = TestDispatcher::new(settings_with_wide_targets(), 1);
     assert_eq!(sends(&dispatcher.arrive(1, IDEMPOTENT)), [0]);
     dispatcher.handle_event(started(1, 0));
@@ -195,7 +198,7 @@
     assert_eq!(last, 1);
 }
 
-fn about(job: u64, class: u32, key: u64) -> Event {
+fn arrival_with_key(job: u64, class: u32, key: u64) -> Event {
     let Event::Arrived(request) = arrival(job, class) else {
         unreachable!()
     };
@@ -205,8 +208,8 @@
     })
 }
 
-/// Entries as a list would have them: each with a mark of its own.
-fn marked(workers: u32) -> Vec<Endpoint> {
+/// Creates endpoints as a pool list has them, each with its own hash.
+fn endpoints_with_hashes(workers: u32) -> Vec<Endpoint> {
     (0..workers)
         .map(|id| Endpoint {
             hash: u64::from(id) * 77 + 5,
@@ -217,45 +220,45 @@
 
 #[test]
 fn jobs_of_a_subject_go_to_its_affinity_workers_which_all_dispatchers_share() {
-    let mut met: Vec<u32> = Vec::new();
+    let mut chosen: Vec<u32> = Vec::new();
     for order in [0, 1] {
         let mut dispatcher = TestDispatcher::new(settings_with_wide_targets(), 0);
-        let mut list = marked(30);
+        let mut list = endpoints_with_hashes(30);
         if order == 1 {
-            list.reverse(); // another dispatcher met the workers in another order, so its numbers differ
+            list.reverse(); // another dispatcher learned the workers in another order, so its worker ids differ
             list.iter_mut()
                 .enumerate()
                 .for_each(|(i, e)| e.worker = WorkerId(i as u32));
         }
         dispatcher.update_endpoints(true, list);
         for job in 1..60 {
-            let sent = sends(&dispatcher.handle_event(about(job, AT_MOST_ONCE, 1_234)));
-            met.extend(sent.iter().map(|&w| if order == 1 { 29 - w } else { w }));
+            let sent = sends(&dispatcher.handle_event(arrival_with_key(job, AT_MOST_ONCE, 1_234)));
+            chosen.extend(sent.iter().map(|&w| if order == 1 { 29 - w } else { w }));
         }
     }
-    assert_eq!(met.len(), 118);
-    met.sort_unstable();
-    met.dedup();
-    assert_eq!(met.len(), 3, "{met:?}");
+    assert_eq!(chosen.len(), 118);
+    chosen.sort_unstable();
+    chosen.dedup();
+    assert_eq!(chosen.len(), 3, "{chosen:?}");
 }
 
 #[test]
 fn subjects_spread_over_the_workers() {
     let mut dispatcher = TestDispatcher::new(settings_with_wide_targets(), 0);
-    dispatcher.update_endpoints(true, marked(30));
-    let mut met: Vec<u32> = (1..200)
-        .flat_map(|job| sends(&dispatcher.handle_event(about(job, AT_MOST_ONCE, job))))
+    dispatcher.update_endpoints(true, endpoints_with_hashes(30));
+    let mut chosen: Vec<u32> = (1..200)
+        .flat_map(|job| sends(&dispatcher.handle_event(arrival_with_key(job, AT_MOST_ONCE, job))))
         .collect();
-    met.sort_unstable();
-    met.dedup();
-    assert!(met.len() >= 28, "{met:?}");
+    chosen.sort_unstable();
+    chosen.dedup();
+    assert!(chosen.len() >= 28, "{chosen:?}");
 }
 
 #[test]
-fn a_subject_whose_affinity_workers_are_gone_or_full_goes_elsewhere() {
+fn subject_whose_affinity_workers_are_draining_or_full_uses_other_workers() {
     let mut dispatcher = TestDispatcher::new(settings_with_wide_targets(), 0);
-    dispatcher.update_endpoints(true, marked(30));
-    let mut seen = sends(&dispatcher.handle_event(about(1, IDEMPOTENT, 9)));
+    dispatcher.update_endpoints(true, endpoints_with_hashes(30));
+    let mut seen = sends(&dispatcher.handle_event(arrival_with_key(1, IDEMPOTENT, 9)));
     for attempt in 0..3 {
         seen.extend(sends(&dispatcher.end_attempt(
             1,
@@ -263,8 +266,12 @@
             AttemptOutcome::Shed,
         )));
     }
-    assert_eq!(seen.len(), 4, "the last attempt leaves the three homes");
-    let drained: Vec<Endpoint> = marked(30)
+    assert_eq!(
+        seen.len(),
+        4,
+        "the last attempt goes to a worker other than the three affinity workers"
+    );
+    let drained: Vec<Endpoint> = endpoints_with_hashes(30)
         .into_iter()
         .filter(|e| seen[..3].contains(&e.worker.0))
         .collect();
@@ -276,11 +283,12 @@
         })
         .collect();
     dispatcher.update_endpoints(false, drained);
-    let next = sends(&dispatcher.handle_event(about(2, IDEMPOTENT, 9)));
+    let next = sends(&dispatcher.handle_event(arrival_with_key(2, IDEMPOTENT, 9)));
     assert!(next.len() == 1 && !seen[..3].contains(&next[0]));
 }
 
-/// A copy away from home would start first, where the data must be fetched, and cancel the better one.
+/// A copy outside the affinity workers would start first, although the data must be fetched there, and cancel
+/// the better copy.
 #[test]
 fn copies_of_a_subject_stay_at_its_affinity_workers() {
     let mut dispatcher = TestDispatcher::new(
@@ -290,12 +298,12 @@
         },
         0,
     );
-    dispatcher.update_endpoints(true, marked(30));
+    dispatcher.update_endpoints(true, endpoints_with_hashes(30));
     for job in 1..40 {
-        dispatcher.handle_event(about(job, AT_MOST_ONCE, 9));
+        dispatcher.handle_event(arrival_with_key(job, AT_MOST_ONCE, 9));
     }
     assert_eq!(
-        sends(&dispatcher.handle_event(about(100, IDEMPOTENT, 9))).len(),
+        sends(&dispatcher.handle_event(arrival_with_key(100, IDEMPOTENT, 9))).len(),
         3
     );
     assert!(sends(&dispatcher.fire_timer(SECOND, 201)).is_empty());
@@ -310,7 +318,7 @@
 }
 
 #[test]
-fn where_reports_come_only_by_probes_a_few_workers_are_probed_first() {
+fn with_reports_only_on_probe_a_few_workers_are_probed_first() {
     let mut dispatcher = TestDispatcher::new(
         Settings {
             reports_only_on_probe: true,
@@ -320,14 +328,14 @@
     );
     for job in 1..20 {
         let actions = dispatcher.arrive(job, AT_MOST_ONCE);
-        let asked = probes(&actions);
+        let probed = probes(&actions);
         assert_eq!(
-            (asked.len(), sends(&actions).len()),
+            (probed.len(), sends(&actions).len()),
             (4, 0),
-            "asked, and not sent yet"
+            "workers are probed before the job is sent"
         );
-        let idle = asked[job as usize % 4];
-        for &worker in &asked {
+        let idle = probed[job as usize % 4];
+        for &worker in &probed {
             let free_slots = Some(if worker == idle { 8.0 } else { 0.0 });
             let report = Some(LoadReport {
                 free_slots,
@@ -343,7 +351,7 @@
         let actions = dispatcher.fire_timer(10 * MS, 2 * job + 1);
         assert_eq!(sends(&actions).len(), 1);
         if idle.is_multiple_of(2) {
-            assert_eq!(sends(&actions), [idle]); // of the own zone, and known to be idle
+            assert_eq!(sends(&actions), [idle]); // in the dispatcher's zone, and known to be idle
         }
         dispatcher.end_attempt(job, 0, AttemptOutcome::Succeeded);
         dispatcher.now += 60 * SECOND;
@@ -351,7 +359,7 @@
 }
 
 #[test]
-fn a_job_goes_out_though_no_probe_is_answered() {
+fn job_is_sent_although_no_probe_is_answered() {
     let mut dispatcher = TestDispatcher::new(
         Settings {
             reports_only_on_probe: true,
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's front: the real program between stand-in clients, workers and discovery.
+//! Tests of the platform's front end: the real program between simulated clients, workers and discovery.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use support::*;
 
 #[test]
-fn a_result_is_served_whole_and_the_job_passed_on_unchanged() {
+fn result_is_served_complete_and_the_job_forwarded_unchanged() {
     let worker = Worker::start("s-1", SERVES);
     let program = Program::start(&[&worker]);
     let answer = ask(program.addr, &operation("depth-log", "a1", 4000));
@@ -107,11 +107,11 @@
 fn input_is_checked(#[case] text: &str, #[case] status: u16) {
     let program = Program::start(&[]);
     assert_eq!(ask(program.addr, text).status(), status);
-    // Nothing was taken in by it, and the program goes on.
+    // The program accepted nothing from the input and keeps running.
     assert_eq!(program.counters()["operations"], 0);
 }
 
-/// A call-back may come before the 202, and each may come again or from a worker that has nothing to do with it.
+/// A callback may arrive before the 202, and each callback may be repeated or come from an unrelated worker.
 #[test]
 fn call_backs_count_once() {
     let manner = Manner {
@@ -135,12 +135,12 @@
 }
 
 #[rstest]
-#[case::turned_away(BUSY)]
+#[case::rejected(BUSY)]
 #[case::failed(Manner { answer: Some(TAKEN), early: &[], then: &["started", "failed"] })]
 #[case::returned(Manner { answer: Some(TAKEN), early: &[], then: &["returned"] })]
 #[case::lost(Manner { answer: Some(TAKEN), early: &[], then: &["started", "lost"] })]
 #[case::broke(Manner { answer: Some(""), early: &[], then: &[] })]
-fn what_one_worker_does_not_serve_another_may(#[case] manner: Manner) {
+fn operation_not_served_by_one_worker_is_served_by_another(#[case] manner: Manner) {
     let (bad, good) = (Worker::start("s-1", manner), Worker::start("s-2", SERVES));
     let program = Program::start(&[&bad, &good]);
     for n in 0..12 {
@@ -156,15 +156,15 @@
     assert_eq!(program.counters()["served"], 12);
 }
 
-/// A request that a worker was sent, with the connection for its answer.
-struct Asked {
+/// A request received by a worker, with the connection for its response.
+struct ReceivedRequest {
     worker: &'static str,
     line: String,
     connection: TcpStream,
 }
 
-/// A stand-in worker that hands each request to the test, which answers it.
-fn worker_by_hand(name: &'static str, asked: std::sync::mpsc::Sender<Asked>) -> Worker {
+/// Starts a simulated worker that passes each request to the test, which answers it.
+fn manual_worker(name: &'static str, asked: std::sync::mpsc::Sender<ReceivedRequest>) -> Worker {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut worker = Worker::start(name, SERVES);
     worker.addr = listener.local_addr().unwrap();
@@ -174,7 +174,7 @@
             std::thread::spawn(move || {
                 let mut reader = BufReader::new(stream.try_clone().unwrap());
                 while let Some(message) = read_message(&mut reader) {
-                    let _ = asked.send(Asked {
+                    let _ = asked.send(ReceivedRequest {
                         worker: name,
                         line: message.line,
                         connection: stream.try_clone().unwrap(),
@@ -186,14 +186,15 @@
     worker
 }
 
-/// A worker gets one attempt of an operation at a time, and a cancel names the operation alone: guards against a retry that
-/// overtakes the cancel of a withdrawn copy at the same worker, which would then end the retry.
+/// A worker gets one attempt of an operation at a time, and a cancel names only the operation. Guards against
+/// a retry that overtakes the cancel of a withdrawn copy at the same worker, which would then cancel the
+/// retry.
 #[test]
-fn a_retry_waits_for_the_cancel_of_an_earlier_attempt_at_the_same_worker() {
-    let (tell, asked) = std::sync::mpsc::channel();
+fn retry_waits_for_the_cancel_of_an_earlier_attempt_at_the_same_worker() {
+    let (sender, asked) = std::sync::mpsc::channel();
     let workers = [
-        worker_by_hand("s-1", tell.clone()),
-        worker_by_hand("s-2", tell),
+        manual_worker("s-1", sender.clone()),
+        manual_worker("s-2", sender),
     ];
     let program = Program::start(&[&workers[0], &workers[1]]);
     let mut client = connect(program.addr);
@@ -201,13 +202,13 @@
         .write_all(operation("layer-view", "a1", 4000).as_bytes())
         .unwrap();
     let next = || asked.recv_timeout(LONG).expect("a request");
-    let take = |mut asked: Asked| {
+    let accept_job = |mut asked: ReceivedRequest| {
         assert!(asked.line.starts_with("POST "), "{}", asked.line);
         asked.connection.write_all(TAKEN.as_bytes()).unwrap();
         asked.worker
     };
-    let first = take(next());
-    let second = take(next()); // a copy, as the first one does not start
+    let first = accept_job(next());
+    let second = accept_job(next()); // a copy, because the first attempt does not start
     assert_ne!(first, second);
     assert_eq!(call_back(program.addr, "a1", second, "started"), 204);
     let mut cancel = next();
@@ -215,22 +216,26 @@
     assert!(cancel.line.starts_with("DELETE /jobs/a1 "));
     assert_eq!(call_back(program.addr, "a1", second, "lost"), 204);
     let early = asked.recv_timeout(std::time::Duration::from_millis(200));
-    assert!(early.is_err(), "the cancel is not over");
-    // The withdrawn copy began before the cancel came: that tells nothing of the retry, which has not been sent.
+    assert!(
+        early.is_err(),
+        "the retry was sent before the cancel was answered"
+    );
+    // The withdrawn copy started before the cancel arrived. That says nothing about the retry, which has not
+    // been sent.
     assert_eq!(call_back(program.addr, "a1", first, "started"), 204);
     cancel
         .connection
         .write_all(b"HTTP/1.1 204 No Content\r\n\r\n")
         .unwrap();
-    assert_eq!(take(next()), first);
+    assert_eq!(accept_job(next()), first);
     assert_eq!(call_back(program.addr, "a1", first, "done"), 204);
     let answer = read_message(&mut BufReader::new(client)).expect("an answer");
     assert_eq!((answer.status(), answer.body.as_str()), (200, "log of a1"));
 }
 
-/// A refused connection proves that nothing ran; with no other worker the client is told to come back.
+/// A refused connection proves that nothing ran. Without another worker the client is asked to retry later.
 #[test]
-fn nothing_listening_ends_in_a_busy_reply_with_a_hold_off() {
+fn refused_connection_ends_in_a_busy_reply_with_retry_after() {
     let mut gone = Worker::start("s-1", SERVES);
     gone.addr = TcpListener::bind("127.0.0.1:0")
         .unwrap()
@@ -243,15 +248,15 @@
     assert_eq!(program.counters()["endings"]["not_connected"], 1);
 }
 
-/// With no worker known and discovery away an operation is still answered, in time.
+/// An operation is answered in time even if no worker is known and discovery is unavailable.
 #[test]
 fn an_empty_pool_config_ends_in_a_busy_reply() {
     let mut config = config(&[]);
-    let nobody = TcpListener::bind("127.0.0.1:0")
+    let unused_address = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    config["discovery"] = nobody.to_string().into();
+    config["discovery"] = unused_address.to_string().into();
     let program = Program::with(Files::new(), &config, None, &[]);
     program.logged("the watch on discovery broke");
     assert_eq!(
@@ -260,9 +265,9 @@
     );
 }
 
-/// Guards against a stop that waits without end for a client that never ends its request.
+/// Guards against a shutdown that waits for ever for a client that never completes its request.
 #[test]
-fn a_half_request_does_not_hold_up_a_stop() {
+fn incomplete_request_does_not_delay_shutdown() {
     let mut config = config(&[]);
     for class in config["settings"]["requestClasses"].as_array_mut().unwrap() {
         class["deadlineUs"] = 500000.into();
@@ -279,7 +284,7 @@
 #[rstest]
 #[case::silent(SILENT)]
 #[case::runs_on(RUNS_ON)]
-fn a_worker_that_does_not_end_is_cancelled_at_the_deadline(#[case] manner: Manner) {
+fn job_that_does_not_end_is_cancelled_at_the_deadline(#[case] manner: Manner) {
     let worker = Worker::start("s-1", manner);
     let program = Program::start(&[&worker]);
     let answer = ask(program.addr, &operation("depth-log", "a1", 300));
@@ -291,7 +296,7 @@
 #[rstest]
 #[case::before_the_202(SILENT)]
 #[case::after_the_start(RUNS_ON)]
-fn a_client_that_goes_away_has_its_job_cancelled(#[case] manner: Manner) {
+fn job_of_a_disconnected_client_is_cancelled(#[case] manner: Manner) {
     let worker = Worker::start("s-1", manner);
     let program = Program::start(&[&worker]);
     let mut client = connect(program.addr);
@@ -300,7 +305,7 @@
         .unwrap();
     assert!(matches!(worker.next(), Sent::Job { .. }));
     if manner.answer.is_some() {
-        worker.told.recv_timeout(LONG).expect("it has started");
+        worker.told.recv_timeout(LONG).expect("the job has started");
     }
     drop(client);
     assert_eq!(worker.next(), Sent::Cancel("a1".into()));
@@ -310,7 +315,7 @@
 #[rstest]
 #[case("TERM")]
 #[case("INT")]
-fn a_stop_answers_what_was_taken_and_what_still_comes(#[case] signal: &str) {
+fn shutdown_answers_accepted_and_later_operations(#[case] signal: &str) {
     let worker = Worker::start("s-1", RUNS_ON);
     let mut program = Program::start(&[&worker]);
     let (mut first, mut kept) = (connect(program.addr), connect(program.addr));
@@ -342,7 +347,8 @@
             200
         );
     }
-    // Connections that clients have serve on, until they are closed for the end.
+    // Existing client connections continue to serve requests until they are closed at the end of the
+    // shutdown.
     let (mut served, mut n) = (0, 10);
     while first
         .write_all(operation("depth-log", &format!("a{n}"), 4000).as_bytes())
@@ -363,10 +369,10 @@
     assert!(program.child.wait().unwrap().success());
 }
 
-/// Guards against a stop that turns away connections opened late: workers open new ones for their call-backs, and
-/// what they tell ends what is owed.
+/// Guards against a shutdown that rejects new connections: workers open new ones for their callbacks, and
+/// these callbacks complete the operations that are still unanswered.
 #[test]
-fn call_backs_on_new_connections_are_heard_until_the_end_of_a_stop() {
+fn callbacks_on_new_connections_are_accepted_until_the_end_of_shutdown() {
     let worker = Worker::start("s-1", RUNS_ON);
     let mut program = Program::start(&[&worker]);
     let (mut client, mut kept) = (connect(program.addr), connect(program.addr));
@@ -381,7 +387,7 @@
         .unwrap();
     assert!(matches!(worker.next(), Sent::Job { .. }));
     program.signal("TERM");
-    // The end of a connection that stood idle tells that none is waited for on those any more.
+    // The end of an idle connection shows that requests on idle connections are no longer awaited.
     assert_eq!(kept.read(&mut [0]).unwrap(), 0);
     assert_eq!(call_back(program.addr, "a1", "s-1", "done"), 204);
     assert_eq!(
@@ -391,10 +397,10 @@
     assert!(program.child.wait().unwrap().success());
 }
 
-/// Guards against an end that leaves an operation without any answer, as its client would wait for longer than the
-/// program may go on after SIGTERM.
+/// Guards against a shutdown that leaves an operation without an answer because its client would wait for
+/// longer than the program may run after SIGTERM.
 #[test]
-fn a_stop_answers_in_time_what_does_not_end() {
+fn shutdown_answers_unfinished_operations_in_time() {
     let worker = Worker::start("s-1", RUNS_ON);
     let mut program = Program::start(&[&worker]);
     let mut client = connect(program.addr);
@@ -409,21 +415,21 @@
     assert!(program.child.wait().unwrap().success());
 }
 
-/// A cancel that crosses the worker's busy reply costs no connection. The reply may come too late to be waited
-/// for on a busy machine, but not each time.
+/// A cancel that crosses the worker's busy reply must not cost a connection. On a busy machine the reply may
+/// come too late to be awaited, but not every time.
 #[test]
 fn a_busy_reply_that_crosses_a_cancel_keeps_the_connection() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut worker = Worker::start("s-1", SERVES);
     worker.addr = listener.local_addr().unwrap();
-    let (tell, jobs) = std::sync::mpsc::channel();
+    let (sender, jobs) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let tell = tell.clone();
+            let sender = sender.clone();
             std::thread::spawn(move || {
                 let mut reader = BufReader::new(stream.try_clone().unwrap());
                 while read_message(&mut reader).is_some() {
-                    tell.send(stream.try_clone().unwrap()).unwrap();
+                    sender.send(stream.try_clone().unwrap()).unwrap();
                 }
             });
         }
@@ -435,17 +441,17 @@
         client
             .write_all(operation("depth-log", &format!("a{n}"), 4000).as_bytes())
             .unwrap();
-        let mut handed = jobs.recv_timeout(LONG).expect("a job");
+        let mut job_stream = jobs.recv_timeout(LONG).expect("a job");
         drop(client);
         program.until("clients_gone", n + 1);
-        let _ = handed.write_all(BUSY.answer.unwrap().as_bytes());
+        let _ = job_stream.write_all(BUSY.answer.unwrap().as_bytes());
     }
     let opened = program.counters()["worker_connections"].as_u64().unwrap();
     assert!(opened < TRIES, "{opened} connections");
 }
 
 #[test]
-fn the_watch_is_kept_up_and_a_draining_worker_gets_nothing_more() {
+fn watch_is_reopened_and_a_draining_worker_gets_no_new_jobs() {
     let (old, new) = (Worker::start("s-1", SERVES), Worker::start("s-2", SERVES));
     let discovery = Discovery(TcpListener::bind("127.0.0.1:0").unwrap());
     let mut config = config(&[&old]);
@@ -473,24 +479,24 @@
         );
     }
     assert!(old.sent.try_recv().is_err());
-    drop(first); // the watch breaks, and is made anew from the version read last
+    drop(first); // the watch breaks, and is opened again from the last version read
     let silent = discovery.watch(7, &[]);
-    // It says nothing, not even that nothing changes: that too is a broken watch.
+    // The watch sends nothing, not even that nothing changed: that counts as a broken watch too.
     let _third = discovery.watch(7, &[]);
     drop(silent);
 }
 
-/// Guards against a dispatcher that gives up a call which waits its turn at a busy discovery: queued there past
-/// 2 s, below discovery's own time-out, the call is still answered, and the list taken from it.
+/// Guards against a dispatcher that abandons a call queued at a busy discovery service. A call queued there
+/// for more than 2 s, but less than discovery's own time-out, is still answered, and its list is applied.
 #[test]
-fn a_call_that_waits_its_turn_at_discovery_is_not_given_up() {
+fn call_queued_at_discovery_is_not_abandoned() {
     let worker = Worker::start("s-1", SERVES);
     let discovery = Discovery(TcpListener::bind("127.0.0.1:0").unwrap());
     let mut config = config(&[&worker]);
     config["discovery"] = discovery.0.local_addr().unwrap().to_string().into();
     let program = Program::with(Files::new(), &config, None, &[&worker]);
     let (mut queued, _) = discovery.0.accept().unwrap();
-    // Discovery works through the calls before it, as a hundred dispatchers called at once.
+    // Discovery processes the earlier calls first, as if a hundred dispatchers had called at once.
     std::thread::sleep(std::time::Duration::from_millis(2_400));
     let list =
         json!({"version": 2, "full": true, "servers": [worker.line("ready")]}).to_string() + "\n";
@@ -509,7 +515,7 @@
 #[case::listen("/listen", json!("everywhere"), "listen: ")]
 #[case::seed("/seed", json!("xyz"), "seed: ")]
 #[case::known("/known/servers", json!([{"id": "s-1", "addr": "127.0.0.1:1", "state": "asleep"}]), "known.servers[0].state: ")]
-fn a_bad_configuration_names_its_key(
+fn invalid_configuration_error_names_its_key(
     #[case] at: &str,
     #[case] value: serde_json::Value,
     #[case] want: &str,
@@ -525,9 +531,9 @@
     );
 }
 
-/// Idle front sockets give way to new ones, so the limit on descriptors never shuts clients out.
+/// Idle front sockets are closed for new ones, so that the descriptor limit never locks clients out.
 #[test]
-fn more_front_sockets_than_descriptors_are_borne() {
+fn more_front_sockets_than_descriptors_are_handled() {
     let worker = Worker::start("s-1", SERVES);
     let mut config = config(&[&worker]);
     config["limits"]["sockets"] = 64.into();
@@ -543,8 +549,9 @@
     drop(idle);
 }
 
-/// Guards against connections that hold a descriptor without a word, or after one word that is no work. A client whose
-/// operation was taken is not one of them, however long it says nothing after that.
+/// Guards against connections that hold a descriptor without sending anything, or after one request that is
+/// not an operation. A client whose operation was accepted is not one of them, however long it sends nothing
+/// after that.
 #[test]
 fn silent_connections_are_closed_and_idle_ones_kept() {
     let worker = Worker::start("s-1", SERVES);
@@ -573,7 +580,8 @@
     );
 }
 
-/// Guards against a bad client that stays: it may hold its connection no longer than its answer takes.
+/// Guards against a misbehaving client that stays connected: it may hold its connection no longer than its
+/// answer takes.
 #[test]
 fn a_connection_is_closed_after_a_bad_request() {
     let program = Program::start(&[]);
@@ -587,10 +595,10 @@
     assert_eq!(client.read(&mut [0]).unwrap(), 0);
 }
 
-/// Guards against a flood that fills the queue of connections not accepted yet, so that a client's must be tried again:
-/// while the program is held up none is accepted, and all must find a place.
+/// Guards against a burst that fills the accept queue, so that clients must retry. While the program is
+/// stopped it accepts no connection, and all must fit into the queue.
 #[test]
-fn hundreds_of_connections_at_once_find_a_place() {
+fn hundreds_of_simultaneous_connections_are_accepted() {
     let program = Program::start(&[]);
     program.signal("STOP");
     let one = |_| TcpStream::connect_timeout(&program.addr, LONG / 4).expect("a connection");
@@ -600,9 +608,10 @@
     assert_eq!(ask(program.addr, "GET /up HTTP/1.1\r\n\r\n").status(), 200);
 }
 
-/// Guards against bodies that together take more memory than the limits leave for them: 64 of 64 KiB here.
+/// Guards against request bodies that together take more memory than the limits leave for them: here 64
+/// bodies of 64 KiB.
 #[test]
-fn bodies_are_held_up_to_a_bound_on_memory() {
+fn request_bodies_are_limited_by_memory() {
     let mut config = config(&[]);
     config["limits"]["memory_mb"] = 16.into();
     let program = Program::with(Files::new(), &config, None, &[]);
@@ -628,9 +637,9 @@
     assert_eq!(refused, 8);
 }
 
-/// Guards against operations that take the last front sockets from the call-backs that would end them.
+/// Guards against operations that take the last front sockets from the callbacks that would complete them.
 #[test]
-fn the_reserve_is_for_call_backs() {
+fn socket_reserve_is_kept_for_callbacks() {
     let worker = Worker::start("s-1", RUNS_ON);
     let mut config = config(&[&worker]);
     config["limits"]["sockets"] = 64.into();
@@ -662,10 +671,10 @@
     );
 }
 
-/// Guards against call-backs that lose their connections to each other: workers open them at the same time, and what they
-/// send may be on its way when the next one is accepted.
+/// Guards against callbacks that lose their connections to each other: workers open them at the same time,
+/// and the data of one may still be in transit when the next is accepted.
 #[test]
-fn connections_in_the_reserve_do_not_give_way_to_each_other() {
+fn connections_in_the_reserve_do_not_close_each_other() {
     let worker = Worker::start("s-1", RUNS_ON);
     let mut config = config(&[&worker]);
     config["limits"]["sockets"] = 64.into();
@@ -703,9 +712,9 @@
     }
 }
 
-/// Guards against a head without end, which must not be kept.
+/// Guards against a request head of unbounded length, which must not be buffered.
 #[test]
-fn an_endless_head_is_refused() {
+fn oversized_request_head_is_rejected() {
     let program = Program::start(&[]);
     let mut client = connect(program.addr);
     let head = format!(
@@ -718,10 +727,10 @@
     );
 }
 
-/// Guards against clients that keep a connection for each request until they can open no more: the one idle for longest
-/// is closed, the newest serves on.
+/// Guards against clients that keep a connection for each request until they can open no more: the connection
+/// idle for longest is closed, and the newest one keeps serving.
 #[test]
-fn idle_connections_are_kept_up_to_a_bound() {
+fn idle_connections_are_kept_up_to_a_limit() {
     let worker = Worker::start("s-1", SERVES);
     let mut config = config(&[&worker]);
     config["limits"]["sockets"] = 64.into();
@@ -746,13 +755,14 @@
     );
 }
 
-/// Guards against floods in the place of usual clients: a connection that a client keeps outlives hundreds that say
-/// nothing, end nothing or ask for no work; and each of these hears something or the end.
+/// Guards against floods that displace regular clients: a connection that a client keeps outlives hundreds
+/// that send nothing, send incomplete requests or ask for no work. Each of these gets a response or the end
+/// of the connection.
 #[rstest]
 #[case::silent("", "")]
 #[case::half("POST /depth-log/x HTTP/1.1\r\nContent-Le", "HTTP/1.1 408 ")]
 #[case::asked("GET /up HTTP/1.1\r\n\r\n", "HTTP/1.1 200 ")]
-fn a_flood_does_not_cost_a_client_its_connection(#[case] text: &str, #[case] hears: &str) {
+fn flood_does_not_close_a_regular_clients_connection(#[case] text: &str, #[case] response: &str) {
     let worker = Worker::start("s-1", SERVES);
     let mut config = config(&[&worker]);
     config["limits"]["sockets"] = 64.into();
@@ -777,20 +787,24 @@
         200
     );
     for mut one in flood {
-        let mut heard = Vec::new();
-        let end = one.read_to_end(&mut heard).map_err(|e| e.kind());
+        let mut received = Vec::new();
+        let end = one.read_to_end(&mut received).map_err(|e| e.kind());
         assert!(
             end != Err(std::io::ErrorKind::WouldBlock),
-            "neither an answer nor the end"
+            "neither a response nor the end of the connection"
+        );
+        let received = String::from_utf8(received).unwrap();
+        assert!(
+            received.is_empty() || received.starts_with(response),
+            "{received}"
         );
-        let heard = String::from_utf8(heard).unwrap();
-        assert!(heard.is_empty() || heard.starts_with(hears), "{heard}");
     }
 }
 
-/// Guards against a listener that ends, or spins, when the system has no descriptor left for a new connection.
+/// Guards against a listener that terminates, or loops without pause, when the system has no descriptor left
+/// for a new connection.
 #[test]
-fn running_out_of_descriptors_on_accept_is_survived() {
+fn listener_survives_descriptor_exhaustion_on_accept() {
     let worker = Worker::start("s-1", SERVES);
     let mut config = config(&[&worker]);
     config["limits"]["ulimit"] = 40.into();
@@ -804,9 +818,10 @@
     );
 }
 
-/// An answer that only says so cannot end an operation, and a second one in hand of the same id is turned down.
+/// An operation with the id of one in flight is rejected, and the first one is answered exactly
+/// once.
 #[test]
-fn an_id_in_hand_is_not_taken_twice() {
+fn operation_with_an_id_in_flight_is_rejected() {
     let worker = Worker::start("s-1", RUNS_ON);
     let program = Program::start(&[&worker]);
     let mut first = connect(program.addr);
@@ -830,10 +845,10 @@
     assert!(answer.is_empty(), "one answer only");
 }
 
-/// Guards against a program that ends on SIGHUP, stays with the old discovery, or lets `NODE_DISCOVERY`, which was
-/// set at the start, go before the new file.
+/// Guards against a program that terminates on SIGHUP, keeps using the old discovery, or lets
+/// `NODE_DISCOVERY`, which was set at the start, take precedence over the new file.
 #[test]
-fn a_new_configuration_moves_the_watch_and_nothing_else() {
+fn new_configuration_changes_only_the_watch() {
     let (old, new) = (Worker::start("s-1", RUNS_ON), Worker::start("s-2", SERVES));
     let [before, after] = [(); 2].map(|_| Discovery(TcpListener::bind("127.0.0.1:0").unwrap()));
     let addr = |d: &Discovery| d.0.local_addr().unwrap().to_string();
@@ -847,7 +862,7 @@
         .unwrap();
     assert!(matches!(old.next(), Sent::Job { .. }));
 
-    // Files that cannot be used change nothing, and the log names the key.
+    // Invalid files change nothing, and the log names the key.
     for (text, key) in [
         ("{}".to_string(), "settings: missing"),
         ("{".into(), "EOF"),
@@ -877,7 +892,7 @@
             200
         );
     }
-    // What was in hand is untouched.
+    // The operation in flight is unaffected.
     assert_eq!(call_back(program.addr, "a1", "s-1", "done"), 204);
     assert_eq!(
         read_message(&mut BufReader::new(&client)).unwrap().body,
@@ -893,7 +908,7 @@
     assert!(program.child.wait().unwrap().success());
 }
 
-/// Guards against a signal that ends the program while it still owes answers.
+/// Guards against a signal that terminates the program while operations are unanswered.
 #[test]
 fn signals_during_a_stop_are_harmless() {
     let worker = Worker::start("s-1", RUNS_ON);
