--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short soak of dispatchers with ledgers. By hand, with other seeds and sizes:
+//! Short soak test of dispatchers with ledgers. To run it by hand with other seeds and sizes:
 //!
 //!     STREAMUSHER_SEED=7 STREAMUSHER_SECONDS=20 STREAMUSHER_INSTANCES=6 cargo test --release --test soak -- --nocapture
 
@@ -9,12 +9,10 @@
 use support::restarts::number;
 use support::soak::{run, SoakOptions};
 
-/// Guards against results in no bill, requests without their one answer, and processes that do not end in order, whatever
-/// series of disruptions overlap.
+/// Guards against results that are not billed, requests that do not get exactly one answer, and processes
+/// that do not shut down in order, in any overlap of disruption series.
 #[rstest]
-fn results_are_billed_to_the_unit_and_requests_answered_through_a_soak(
-    #[values(1, 2, 3)] seed: u64,
-) {
+fn soak_bills_each_result_exactly_and_answers_each_request(#[values(1, 2, 3)] seed: u64) {
     let instances = number("STREAMUSHER_INSTANCES", 4);
     let report = run(SoakOptions {
         seed: number("STREAMUSHER_SEED", seed),
