--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -1,4 +1,5 @@
-//! The daemon with tenants and a ledger: whose a job is, what is booked, and what happens when nothing can be booked.
+//! Tests of the daemon with tenants and a ledger: the tenant of a job, the recorded entries, and the
+//! behaviour when nothing can be recorded.
 
 mod support;
 
@@ -12,34 +13,34 @@
 const TENANTS: &str =
     "[tenants]\nlist = ['hydrology', 'a, \"b\"']\nrenamed = { water = 'hydrology' }\n";
 
-/// For how long answers wait for the disk, where a test is not about that: longer than a busy machine's disk takes for a
-/// sync, and shorter than clients wait.
-const PATIENT_HOLD_MS: u64 = 3_000;
-/// The same, where the disk is full.
+/// Time for which answers wait for the disk in tests that do not test the hold: longer than a sync takes on a
+/// busy machine, and shorter than clients wait.
+const LONG_HOLD_MS: u64 = 3_000;
+/// Time for which answers wait for the disk in tests of a full disk.
 const SHORT_HOLD_MS: u64 = 250;
-/// How long the client waits for whom the disk stands still.
-const HURRIED_CLIENT_MS: u64 = 600;
+/// Time for which the client waits in tests of a stalled disk.
+const SHORT_CLIENT_TIMEOUT_MS: u64 = 600;
 
-fn operators(dir: &Path, more: &str) -> String {
-    operators_with_hold(dir, PATIENT_HOLD_MS, more)
+fn operators_file(dir: &Path, extra: &str) -> String {
+    operators_file_with_hold(dir, LONG_HOLD_MS, extra)
 }
 
-fn operators_with_hold(dir: &Path, hold_ms: u64, more: &str) -> String {
+fn operators_file_with_hold(dir: &Path, hold_ms: u64, extra: &str) -> String {
     let dir = dir.display();
-    format!("{TENANTS}{more}\n[ledger]\ndir = '{dir}'\nperiod = 'hour'\nhold_ms = {hold_ms}\n")
+    format!("{TENANTS}{extra}\n[ledger]\ndir = '{dir}'\nperiod = 'hour'\nhold_ms = {hold_ms}\n")
 }
 
-fn start(workers: &[&Worker], operators: &str) -> Program {
+fn start(workers: &[&Worker], operators_file: &str) -> Program {
     let mut config = config(workers);
-    config["operators"] = operators.into();
+    config["operators"] = operators_file.into();
     Program::with(Files::new(), &config, None, workers)
 }
 
-fn asked(class: &str, id: &str, tenant: &str) -> String {
+fn operation_of_tenant(class: &str, id: &str, tenant: &str) -> String {
     operation(class, id, 4000).replace("Host: x\r\n", &format!("Host: x\r\nX-Tenant: {tenant}\r\n"))
 }
 
-/// Sums over all periods: what `pick` names, by tenant and class.
+/// Returns the sum named `pick` over all periods, by tenant and class.
 fn sums(dir: &Path, pick: &str) -> Vec<(String, String, u64)> {
     let (code, text) = ledger(dir, &["show", "--json"]);
     assert_eq!(code, 0, "{text}");
@@ -60,20 +61,20 @@
     lines.map(line).filter(|(.., n)| *n > 0).collect()
 }
 
-/// Has the program stop in order: all is booked and marked when this returns.
+/// Shuts the program down in order: when this returns, all entries are written and marked.
 fn stop(mut program: Program) {
     program.signal("TERM");
     assert!(program.child.wait().unwrap().success());
 }
 
 #[test]
-fn each_answer_is_booked_once_under_the_name_that_its_tenant_goes_by() {
+fn each_answer_is_recorded_once_under_its_tenants_current_name() {
     let (worker, files) = (Worker::start("s-1", SERVES), Files::new());
     let dir = files.0.join("ledger");
-    let program = start(&[&worker], &operators(&dir, ""));
+    let program = start(&[&worker], &operators_file(&dir, ""));
     for (id, tenant) in [("a1", "hydrology"), ("a2", "water"), ("a3", "a, \"b\"")] {
         assert_eq!(
-            ask(program.addr, &asked("depth-log", id, tenant)).status(),
+            ask(program.addr, &operation_of_tenant("depth-log", id, tenant)).status(),
             200
         );
     }
@@ -81,7 +82,7 @@
     assert_eq!(
         doubts,
         (0, "[]\n".into()),
-        "what a running dispatcher has in hand is in no doubt"
+        "operations in flight at a running dispatcher are not in doubt"
     );
     stop(program);
     let of = |t: &str, n| (t.to_string(), "depth-log".to_string(), n);
@@ -106,9 +107,12 @@
 #[case::control_of_two_bytes("X-Tenant: a\u{85}b\r\n", 400)]
 #[case::empty("X-Tenant: \r\n", 400)]
 #[case::twice("X-Tenant: hydrology\r\nX-Tenant: water\r\n", 400)]
-fn what_names_no_tenant_is_refused_and_does_not_run(#[case] header: &str, #[case] status: u16) {
+fn job_without_valid_tenant_is_rejected_and_does_not_run(
+    #[case] header: &str,
+    #[case] status: u16,
+) {
     let (worker, files) = (Worker::start("s-1", SERVES), Files::new());
-    let program = start(&[&worker], &operators(&files.0.join("ledger"), ""));
+    let program = start(&[&worker], &operators_file(&files.0.join("ledger"), ""));
     let text =
         operation("depth-log", "a1", 4000).replace("Host: x\r\n", &format!("Host: x\r\n{header}"));
     assert_eq!(ask(program.addr, &text).status(), status);
@@ -117,15 +121,19 @@
 }
 
 #[test]
-fn work_of_others_is_booked_under_the_default_where_the_file_says_so() {
+fn job_of_unlisted_tenant_is_recorded_under_the_default_if_configured() {
     let (worker, files) = (Worker::start("s-1", SERVES), Files::new());
     let dir = files.0.join("ledger");
     let program = start(
         &[&worker],
-        &operators(&dir, "unlisted = 'book'\ndefault = 'rest'"),
+        &operators_file(&dir, "unlisted = 'book'\ndefault = 'rest'"),
     );
     assert_eq!(
-        ask(program.addr, &asked("layer-view", "a1", "render")).status(),
+        ask(
+            program.addr,
+            &operation_of_tenant("layer-view", "a1", "render")
+        )
+        .status(),
         200
     );
     assert_eq!(
@@ -149,7 +157,7 @@
     let dir = files.0.join("ledger");
     let program = start(
         &[&worker],
-        &(operators(&dir, "") + "[drmaa]\nlisten = '127.0.0.1:0'\n"),
+        &(operators_file(&dir, "") + "[drmaa]\nlisten = '127.0.0.1:0'\n"),
     );
     let mut session = BufReader::new(connect(program.drmaa.unwrap()));
     let mut call = |call: Value| {
@@ -160,18 +168,18 @@
         loop {
             let mut line = String::new();
             session.read_line(&mut line).unwrap();
-            let said: Value = serde_json::from_str(&line).unwrap();
-            if said["seq"] == call["seq"] {
-                return said;
+            let reply: Value = serde_json::from_str(&line).unwrap();
+            if reply["seq"] == call["seq"] {
+                return reply;
             }
         }
     };
     let template = json!({"remoteCommand": "/depth-log/bh-7", "streamusher_input": "core", "accountingId": tenant});
-    let said = call(json!({"seq": 1, "call": "runJob", "jobTemplate": template}));
-    assert_eq!(said["error"], error);
+    let reply = call(json!({"seq": 1, "call": "runJob", "jobTemplate": template}));
+    assert_eq!(reply["error"], error);
     if error.is_null() {
         let ended = call(
-            json!({"seq": 2, "call": "waitTerminated", "jobId": said["jobId"], "timeout": 10}),
+            json!({"seq": 2, "call": "waitTerminated", "jobId": reply["jobId"], "timeout": 10}),
         );
         assert_eq!(ended["jobInfo"]["jobState"], "DONE");
         stop(program);
@@ -185,13 +193,13 @@
 }
 
 #[test]
-fn a_client_that_leaves_is_booked_as_gone() {
+fn disconnected_client_is_recorded_as_gone() {
     let (worker, files) = (Worker::start("s-1", RUNS_ON), Files::new());
     let dir = files.0.join("ledger");
-    let program = start(&[&worker], &operators(&dir, ""));
+    let program = start(&[&worker], &operators_file(&dir, ""));
     let mut client = connect(program.addr);
     client
-        .write_all(asked("depth-log", "a1", "hydrology").as_bytes())
+        .write_all(operation_of_tenant("depth-log", "a1", "hydrology").as_bytes())
         .unwrap();
     assert!(matches!(worker.next(), Sent::Job { .. }));
     drop(client);
@@ -207,63 +215,69 @@
 #[rstest]
 #[case::refuse("refuse", 503)]
 #[case::serve("serve_unbilled", 200)]
-fn a_store_that_cannot_be_opened_is_told_and_the_file_says_what_then(
-    #[case] rule: &str,
-    #[case] status: u16,
-) {
+fn unopenable_store_is_logged_and_handled_as_configured(#[case] rule: &str, #[case] status: u16) {
     let (worker, files) = (Worker::start("s-1", SERVES), Files::new());
     let dir = files.0.join("ledger");
     std::fs::create_dir(&dir).unwrap();
     files.add("ledger/ledger.db", &"not a database ".repeat(100));
     let program = start(
         &[&worker],
-        &(operators(&dir, "") + &format!("on_failure = '{rule}'\n")),
+        &(operators_file(&dir, "") + &format!("on_failure = '{rule}'\n")),
     );
-    let told = program.logged("the ledger cannot be written");
+    let line = program.logged("the ledger cannot be written");
     assert!(
-        told.contains("ledger.db: damaged: not a database"),
-        "{told}"
+        line.contains("ledger.db: damaged: not a database"),
+        "{line}"
+    );
+    let answer = ask(
+        program.addr,
+        &operation_of_tenant("depth-log", "a1", "hydrology"),
     );
-    let answer = ask(program.addr, &asked("depth-log", "a1", "hydrology"));
     assert_eq!(answer.status(), status);
     assert_eq!(
         answer.get("retry-after").is_some(),
         status == 503,
-        "a busy reply says when to come back"
+        "a busy reply has a Retry-After header"
     );
     assert_eq!(
         worker.sent.try_recv().is_ok(),
         status == 200,
-        "what is refused does not run"
+        "a rejected job does not run"
     );
 }
 
-/// Locks the store until an operation, whose client waits for a short time only, and one after it are answered; both
-/// answers, and the program that writes again.
+/// Locks the store until two operations are answered: one whose client waits for a short time only, and one
+/// after it. Returns both answers, and the program once it writes to the store again.
 fn ask_while_the_store_is_locked(dir: &Path, on_failure: &str) -> (Message, Message, Program) {
     let worker = Worker::start("s-1", SERVES);
-    let more = format!("on_failure = '{on_failure}'\n");
-    let program = start(&[&worker], &(operators(dir, "") + &more));
+    let extra = format!("on_failure = '{on_failure}'\n");
+    let program = start(&[&worker], &(operators_file(dir, "") + &extra));
     program.logged("the ledger is open");
     let lock = ledger_store::lock(dir);
     let begun = Instant::now();
-    let first = operation("depth-log", "a1", HURRIED_CLIENT_MS)
+    let first = operation("depth-log", "a1", SHORT_CLIENT_TIMEOUT_MS)
         .replace("Host: x\r\n", "Host: x\r\nX-Tenant: hydrology\r\n");
     let first = ask(program.addr, &first);
     let waited = begun.elapsed();
     assert!(
-        waited >= Duration::from_millis(HURRIED_CLIENT_MS / 2),
-        "it was held for the disk: {waited:?}"
+        waited >= Duration::from_millis(SHORT_CLIENT_TIMEOUT_MS / 2),
+        "the answer waited for the disk: {waited:?}"
+    );
+    let second = ask(
+        program.addr,
+        &operation_of_tenant("depth-log", "a2", "hydrology"),
     );
-    let second = ask(program.addr, &asked("depth-log", "a2", "hydrology"));
     drop(lock);
     program.logged("the ledger is written again");
-    let third = ask(program.addr, &asked("depth-log", "a3", "hydrology"));
+    let third = ask(
+        program.addr,
+        &operation_of_tenant("depth-log", "a3", "hydrology"),
+    );
     assert_eq!(third.status(), 200);
     (first, second, program)
 }
 
-fn counted(program: &Program, names: [&str; 3]) -> [u64; 3] {
+fn read_counters(program: &Program, names: [&str; 3]) -> [u64; 3] {
     let counters = program.counters();
     names.map(|name| counters[name].as_u64().unwrap())
 }
@@ -274,10 +288,10 @@
     "refused_unbilled",
 ];
 
-/// Guards against a result that is handed out before its entry is durable, and against one that is waited for longer
-/// than its client waits.
+/// Guards against a result that is sent before its entry is durable, and against an answer that is held for
+/// longer than its client waits.
 #[test]
-fn a_disk_that_stands_still_holds_no_answer_beyond_its_time_and_nothing_is_counted_wrongly() {
+fn stalled_disk_delays_no_answer_beyond_its_hold_and_bill_stays_correct() {
     let files = Files::new();
     let dir = files.0.join("ledger");
     let (first, second, program) = ask_while_the_store_is_locked(&dir, "refuse");
@@ -287,21 +301,21 @@
         (second.status(), second.get("retry-after")),
         (503, Some("1"))
     );
-    assert_eq!(counted(&program, COUNTERS), [1, 0, 1]);
+    assert_eq!(read_counters(&program, COUNTERS), [1, 0, 1]);
     stop(program);
     let one = [("hydrology".to_string(), "depth-log".to_string(), 1)];
     assert_eq!(sums(&dir, "served"), one);
-    assert_eq!(sums(&dir, "gone"), one, "what was withheld is not billed");
+    assert_eq!(sums(&dir, "gone"), one, "a withheld result is not billed");
     assert_eq!(ledger(&dir, &["doubts", "--json"]).1, "[]\n");
 }
 
 #[test]
-fn a_disk_that_stands_still_keeps_no_result_back_where_unbilled_work_is_served() {
+fn stalled_disk_withholds_no_result_if_unbilled_work_is_served() {
     let files = Files::new();
     let dir = files.0.join("ledger");
     let (first, second, program) = ask_while_the_store_is_locked(&dir, "serve_unbilled");
     assert_eq!((first.status(), second.status()), (200, 200));
-    assert_eq!(counted(&program, COUNTERS), [0, 2, 0]);
+    assert_eq!(read_counters(&program, COUNTERS), [0, 2, 0]);
     stop(program);
     assert_eq!(
         sums(&dir, "served"),
@@ -309,9 +323,10 @@
     );
 }
 
-/// Guards against a result that a client has and no bill holds, as its entry found the disk full.
+/// Guards against a result that a client received and no bill contains because the disk was full when its
+/// entry was written.
 #[test]
-fn a_full_disk_ends_no_operation_in_hand_and_new_work_is_refused() {
+fn full_disk_loses_no_served_operation_and_new_work_is_rejected() {
     let (worker, files) = (Worker::start("s-1", SERVES), Files::new());
     let dir = files.0.join("ledger");
     std::fs::create_dir(&dir).unwrap();
@@ -319,14 +334,14 @@
     ledger_store::fill(&dir, 1 << 20);
     let program = start(
         &[&worker],
-        &(operators_with_hold(&dir, SHORT_HOLD_MS, "") + "max_mb = 1\n"),
+        &(operators_file_with_hold(&dir, SHORT_HOLD_MS, "") + "max_mb = 1\n"),
     );
     program.logged("the ledger is open");
     let ask_for = |n| {
-        let text = asked("depth-log", &format!("a{n}"), "hydrology");
+        let text = operation_of_tenant("depth-log", &format!("a{n}"), "hydrology");
         ask(program.addr, &text).status()
     };
-    // What is left of the last pages takes some more.
+    // The free space in the last pages still takes some entries.
     let served = (0..2_000).take_while(|n| ask_for(*n) == 200).count() as u64;
     assert!((1..2_000).contains(&served), "{served}");
     assert!(program
@@ -348,47 +363,67 @@
         .filter(|l| l.0 == "hydrology")
         .map(|l| l.2)
         .sum();
-    assert_eq!(booked, served, "to the unit");
+    assert_eq!(
+        booked, served,
+        "each served operation has exactly one entry"
+    );
     assert_eq!(ledger(&dir, &["verify"]).0, 0);
 }
 
 #[test]
-fn a_second_dispatcher_on_one_store_waits_until_the_first_is_gone() {
+fn second_dispatcher_on_one_store_waits_until_the_first_ends() {
     let (worker, other, files) = (
         Worker::start("s-1", SERVES),
         Worker::start("s-1", SERVES),
         Files::new(),
     );
     let dir = files.0.join("ledger");
-    let first = start(&[&worker], &operators(&dir, ""));
+    let first = start(&[&worker], &operators_file(&dir, ""));
     first.logged("the ledger is open");
-    let second = start(&[&other], &operators(&dir, ""));
+    let second = start(&[&other], &operators_file(&dir, ""));
     second.logged("another process writes to this ledger");
     assert_eq!(
-        ask(second.addr, &asked("depth-log", "a1", "hydrology")).status(),
+        ask(
+            second.addr,
+            &operation_of_tenant("depth-log", "a1", "hydrology")
+        )
+        .status(),
         503
     );
     assert_eq!(
-        ask(first.addr, &asked("depth-log", "a2", "hydrology")).status(),
+        ask(
+            first.addr,
+            &operation_of_tenant("depth-log", "a2", "hydrology")
+        )
+        .status(),
         200
     );
     drop(first); // killed
     second.logged("the ledger is open");
     assert_eq!(
-        ask(second.addr, &asked("depth-log", "a3", "hydrology")).status(),
+        ask(
+            second.addr,
+            &operation_of_tenant("depth-log", "a3", "hydrology")
+        )
+        .status(),
         200
     );
 }
 
 #[test]
-fn what_was_not_known_to_be_written_at_a_crash_is_settled_by_receipts() {
+fn doubtful_entries_after_a_crash_are_settled_by_receipts() {
     let (worker, files) = (Worker::start("s-1", SERVES), Files::new());
     let dir = files.0.join("ledger");
-    let program = start(&[&worker], &operators(&dir, ""));
+    let program = start(&[&worker], &operators_file(&dir, ""));
     program.logged("the ledger is open");
-    // The entry is durable before the answer comes; its mark may or may not be when the kill comes.
+    // The entry is durable before the answer is sent. Its mark may or may not be durable when the process is
+    // killed.
     assert_eq!(
-        ask(program.addr, &asked("depth-log", "a1", "hydrology")).status(),
+        ask(
+            program.addr,
+            &operation_of_tenant("depth-log", "a1", "hydrology")
+        )
+        .status(),
         200
     );
     drop(program);
@@ -414,7 +449,7 @@
     let billed = sums(&dir, "served").len() as u64 + settled["billed"].as_u64().unwrap();
     assert_eq!(
         billed, 1,
-        "billed once, whether the kill came before its mark or after"
+        "billed once, whether the process was killed before or after the mark"
     );
 }
 
@@ -439,23 +474,23 @@
     "tenants.list: \"x\": its present name \"y\""
 )]
 #[case::twice("[tenants]\nlist = ['a', 'a']\n", "tenants.list: \"a\": given twice")]
-fn a_mistake_in_the_operators_file_is_one_line_with_file_and_key(
+fn invalid_operators_file_gives_one_error_line_with_file_and_key(
     #[case] text: &str,
-    #[case] why: &str,
+    #[case] expected_error: &str,
 ) {
     let files = Files::new();
     let mut config = config(&[]);
     config["operators"] = text.into();
     let done = command(&files, &config, None).output().unwrap();
-    let told = String::from_utf8(done.stderr).unwrap();
+    let stderr = String::from_utf8(done.stderr).unwrap();
     assert_eq!(
-        (done.status.code(), told.lines().count()),
+        (done.status.code(), stderr.lines().count()),
         (Some(1), 1),
-        "{told}"
+        "{stderr}"
     );
     assert!(
-        told.contains("streamusher.toml: ") && told.contains(why),
-        "{told}"
+        stderr.contains("streamusher.toml: ") && stderr.contains(expected_error),
+        "{stderr}"
     );
 }
 
@@ -464,14 +499,14 @@
 #[case::bad_period(&["show", "--period", "2026-13"], 2, "not a period")]
 #[case::no_author(&["correct", "--of", "2026-12", "--tenant", "x", "--class", "y", "--author", "", "--reason", "z"], 1, "author: must not be empty")]
 #[case::unknown(&["burn"], 2, "unrecognized subcommand")]
-fn a_command_that_cannot_be_done_says_why(
-    #[case] words: &[&str],
+fn failing_command_reports_the_reason(
+    #[case] arguments: &[&str],
     #[case] code: i32,
-    #[case] why: &str,
+    #[case] expected_error: &str,
 ) {
     let files = Files::new();
     files.add("ledger.key", &"07".repeat(32));
-    let (exit, text) = ledger(&files.0, words);
+    let (exit, text) = ledger(&files.0, arguments);
     assert_eq!(exit, code);
-    assert!(text.contains(why), "{text}");
+    assert!(text.contains(expected_error), "{text}");
 }
--- a/tests/ledger_holds.rs
+++ b/tests/ledger_holds.rs
@@ -1,6 +1,7 @@
-//! Instances killed and restarted at random whose answers hardly wait for the disk: which results may be in no bill.
+//! Tests with instances that are killed and restarted at random and whose answers hardly wait for the disk:
+//! which results may be missing from the bill.
 //!
-//! `STREAMUSHER_SEED` and `STREAMUSHER_ROUNDS` (restarts) make it another run, or a longer one.
+//! `STREAMUSHER_SEED` and `STREAMUSHER_ROUNDS` (number of restarts) select another or a longer run.
 
 mod support;
 
@@ -14,20 +15,20 @@
 use support::restarts::*;
 use support::*;
 
-/// So short a hold that it is over before many syncs are, beside load most of them.
+/// Hold that expires before many syncs are done, and under load before most of them.
 const SHORT_HOLD: &str = "hold_ms = 1\n";
-/// How the log names an answer that did not wait for its entry.
+/// Log text for an answer that did not wait for its entry.
 const ANSWERED_EARLY: &str = "an answer went out before it was known to be booked";
-/// How the log names a ledger that could not be opened or written.
+/// Log text for a ledger that could not be opened or written.
 const FAILED: &str = "the ledger cannot be written";
 
-/// What clients got and what was booked for it, after restarts at random.
+/// Results received by clients and entries billed for them, after random restarts.
 struct Outcome {
     receipts: Vec<Receipt>,
     billed: Operations,
-    /// Answers that did not wait for their entries.
+    /// Number of answers that did not wait for their entries.
     answered_early: usize,
-    /// The log's lines about these, and about ledgers that could not be written.
+    /// Log lines about early answers, and about ledgers that could not be written.
     failures: Vec<String>,
 }
 
@@ -36,8 +37,8 @@
         received(&self.receipts)
     }
 
-    /// Nothing is billed that was not received, and each receipt that is in no bill is of an answer that the log names as
-    /// early: bill and receipts agree to the unit where none was.
+    /// Checks that nothing is billed that was not received, and that at most as many receipts are missing
+    /// from the bill as the log names early answers: without early answers, bill and receipts agree exactly.
     fn assert_only_early_answers_are_missing(&self) {
         let received = self.received();
         for (line, billed) in &self.billed {
@@ -54,18 +55,18 @@
     }
 }
 
-/// Starts instances and clients, kills or stops an instance after each of `rounds` short whiles and starts it again, then
-/// settles what is in doubt by the clients' receipts, closes, exports and reconciles.
+/// Starts instances and clients, kills or stops an instance after each of `rounds` short intervals and starts
+/// it again, then settles doubtful entries by the clients' receipts, closes, exports and reconciles.
 fn restart_at_random(seed: u64, rounds: u64, ledger_settings: &str) -> Outcome {
     let mut rng = Pcg64::seed_from_u64(seed);
     let root = Files::new();
     root.add("shared.key", &"5c".repeat(32));
     let (receipts, logged) = serve_through_restarts(seed, rounds, ledger_settings, &mut rng, &root);
     let bill = settle_and_export(&receipts, INSTANCES, &mut rng, &root);
-    let tells_of_failure = |line: &&String| line.contains(ANSWERED_EARLY) || line.contains(FAILED);
+    let reports_failure = |line: &&String| line.contains(ANSWERED_EARLY) || line.contains(FAILED);
     let failures: Vec<String> = logged
         .into_iter()
-        .filter(|line| tells_of_failure(&line))
+        .filter(|line| reports_failure(&line))
         .collect();
     let answered_early = failures
         .iter()
@@ -84,7 +85,7 @@
     }
 }
 
-/// The clients' receipts, and what all instances logged.
+/// Returns the clients' receipts and the log lines of all instances.
 fn serve_through_restarts(
     seed: u64,
     rounds: u64,
@@ -113,7 +114,7 @@
         .collect();
     let mut logged = Vec::new();
     for _ in 0..rounds {
-        std::thread::sleep(Duration::from_millis(rng.random_range(5..60))); // work goes on meanwhile
+        std::thread::sleep(Duration::from_millis(rng.random_range(5..60))); // the clients keep sending meanwhile
         let n = rng.random_range(0..INSTANCES);
         if rng.random_bool(0.04) {
             programs[n].signal("TERM");
@@ -144,21 +145,20 @@
     )
 }
 
-/// Where unbilled work is served, results may go out early and be lost; the log names each.
+/// Where unbilled work is served, results may be sent early and be lost; the log names each.
 #[rstest]
 #[case::refuse("")]
 #[case::serve("on_failure = 'serve_unbilled'\n")]
-fn only_answers_that_the_log_names_as_early_can_be_missing_after_random_restarts(
-    #[case] on_failure: &str,
-) {
+fn only_answers_logged_as_early_can_be_missing_after_random_restarts(#[case] on_failure: &str) {
     let (seed, rounds) = seed_and_rounds();
     let outcome = restart_at_random(seed, rounds, &format!("{SHORT_HOLD}{on_failure}"));
     outcome.assert_only_early_answers_are_missing();
 }
 
-/// Guards against a result that a client has and no bill holds: it went out when its hold was over.
+/// Guards against a result that a client received and no bill contains because it was sent when its hold
+/// expired.
 #[test]
-fn results_whose_hold_ends_first_are_billed_to_the_unit_after_random_restarts() {
+fn results_whose_hold_expires_are_billed_exactly_after_random_restarts() {
     let (seed, rounds) = seed_and_rounds();
     let outcome = restart_at_random(seed, rounds, SHORT_HOLD);
     assert_eq!(outcome.billed, outcome.received());
