--- a/tests/ledger_kill.rs
+++ b/tests/ledger_kill.rs
@@ -1,5 +1,5 @@
-//! A store that cannot be written for longer than answers wait for it, and a dispatcher that ends meanwhile: each
-//! result that a client has stands in the bill.
+//! Tests with a store that cannot be written for longer than answers wait for it, and a dispatcher that ends
+//! meanwhile: each result that a client received is billed.
 
 mod support;
 
@@ -10,9 +10,9 @@
 use support::*;
 
 const HOLD: Duration = Duration::from_millis(250);
-/// Operations in hand while the store cannot be written.
+/// Operations in flight while the store cannot be written.
 const OPERATIONS: usize = 4;
-const CLIENT_TIME: Duration = Duration::from_secs(4);
+const CLIENT_DEADLINE: Duration = Duration::from_secs(4);
 
 /// When and how the dispatcher ends.
 #[derive(Clone, Copy, PartialEq)]
@@ -36,30 +36,30 @@
     program
 }
 
-/// Asks for operations at once; the ids of those that were answered with a result.
-fn ask_at_once(program: &Program) -> Vec<String> {
+/// Sends operations concurrently and returns the ids of those answered with a result.
+fn ask_concurrently(program: &Program) -> Vec<String> {
     let addr = program.addr;
-    let asked = (0..OPERATIONS).map(|n| {
+    let requests = (0..OPERATIONS).map(|n| {
         std::thread::spawn(move || {
             let id = format!("a{n}");
             let begun = Instant::now();
             let answer = ask(
                 addr,
-                &operation("depth-log", &id, CLIENT_TIME.as_millis() as u64),
+                &operation("depth-log", &id, CLIENT_DEADLINE.as_millis() as u64),
             );
             let waited = begun.elapsed();
-            assert!(HOLD <= waited && waited < CLIENT_TIME, "{waited:?}");
+            assert!(HOLD <= waited && waited < CLIENT_DEADLINE, "{waited:?}");
             (answer.status() == 200).then_some(id)
         })
     });
-    let asked: Vec<_> = asked.collect();
-    asked
+    let requests: Vec<_> = requests.collect();
+    requests
         .into_iter()
-        .filter_map(|one| one.join().unwrap())
+        .filter_map(|request| request.join().unwrap())
         .collect()
 }
 
-/// Operations that are billed, after what is in doubt is settled by the clients' receipts.
+/// Returns the number of billed operations after doubtful entries are settled by the clients' receipts.
 fn billed(files: &Files, dir: &Path, receipts: &[String]) -> i64 {
     let rows: String = receipts.iter().map(|id| format!("{id}\n")).collect();
     let receipts = files.add("receipts.csv", &format!("operation\n{rows}"));
@@ -79,8 +79,8 @@
         .sum()
 }
 
-/// Guards against a result that a client has and no bill holds: the store was locked for longer than the hold, and the
-/// dispatcher ended before the entry was durable.
+/// Guards against a result that a client received and no bill contains: the store was locked for longer than
+/// the hold, and the dispatcher ended before the entry was durable.
 #[rstest]
 #[case::killed_while_locked(End::KilledWhileLocked)]
 #[case::terminated_while_locked(End::TerminatedWhileLocked)]
@@ -92,7 +92,7 @@
     let dir = files.0.join("ledger");
     let mut program = start(&worker, &dir, "");
     let lock = ledger_store::lock(&dir);
-    let receipts = ask_at_once(&program);
+    let receipts = ask_concurrently(&program);
     let mut lock = Some(lock);
     if matches!(
         end,
@@ -116,7 +116,8 @@
     assert_eq!(billed(&files, &dir, &receipts), receipts.len() as i64);
 }
 
-/// Guards against a result that a client has and no bill holds: its entry found the disk full.
+/// Guards against a result that a client received and no bill contains because the disk was full when its
+/// entry was written.
 #[test]
 fn each_result_is_billed_although_the_disk_was_full() {
     let (worker, files) = (Worker::start("s-1", SERVES), Files::new());
@@ -125,14 +126,14 @@
     files.add("ledger/ledger.key", &"07".repeat(32));
     ledger_store::fill(&dir, 1 << 20);
     let mut program = start(&worker, &dir, "max_mb = 1\n");
-    let filled = billed(&files, &dir, &[]);
+    let billed_by_fill = billed(&files, &dir, &[]);
     let ids = (0..2_000).map(|n| format!("a{n}"));
     let receipts: Vec<String> = ids
         .take_while(|id| ask(program.addr, &operation("depth-log", id, 4_000)).status() == 200)
         .collect();
     program.kill();
     assert_eq!(
-        billed(&files, &dir, &receipts) - filled,
+        billed(&files, &dir, &receipts) - billed_by_fill,
         receipts.len() as i64
     );
 }
--- a/tests/ledger_restarts.rs
+++ b/tests/ledger_restarts.rs
@@ -1,7 +1,7 @@
-//! The proof of the ledger: instances killed and restarted at random, clients that keep receipts and try again
-//! elsewhere. What is exported agrees with the receipts to the unit.
+//! Consistency test of the ledger: instances are killed and restarted at random, while clients keep receipts
+//! and retry at other instances. The export agrees exactly with the receipts.
 //!
-//! `STREAMUSHER_SEED` and `STREAMUSHER_ROUNDS` (restarts) make it another run, or a longer one.
+//! `STREAMUSHER_SEED` and `STREAMUSHER_ROUNDS` (number of restarts) select another or a longer run.
 
 mod support;
 
@@ -15,9 +15,10 @@
 use support::restarts::*;
 use support::*;
 
-/// Guards against a result that a client has and no bill holds: it went out before its entry was durable.
+/// Guards against a result that a client received and no bill contains because it was sent before its entry
+/// was durable.
 #[test]
-fn exports_and_receipts_agree_to_the_unit_after_random_restarts() {
+fn exports_and_receipts_agree_exactly_after_random_restarts() {
     let (seed, rounds) = (
         number("STREAMUSHER_SEED", 7),
         number("STREAMUSHER_ROUNDS", 20),
@@ -48,7 +49,7 @@
         })
         .collect();
     for _ in 0..rounds {
-        std::thread::sleep(Duration::from_millis(rng.random_range(5..60))); // work goes on meanwhile
+        std::thread::sleep(Duration::from_millis(rng.random_range(5..60))); // the clients keep sending meanwhile
         let n = rng.random_range(0..INSTANCES);
         if rng.random_bool(0.04) {
             programs[n].signal("TERM");
@@ -61,7 +62,7 @@
     }
     shared.stop.store(true, Ordering::Relaxed);
     clients.into_iter().for_each(|c| c.join().unwrap());
-    drop(programs); // killed too
+    drop(programs); // dropping a program kills it
     drop(drained);
 
     let receipts = shared.receipts.lock().unwrap();
@@ -87,25 +88,27 @@
         );
         settled.0 += done["billed"].as_u64().unwrap();
         settled.1 += done["waived"].as_u64().unwrap();
-        // A close and an export that are killed wherever they are, then run again.
-        let killed = |words: &[&str], after: u64| {
-            let mut cut = Command::new(env!("CARGO_BIN_EXE_streamusher"));
-            cut.arg("ledger")
-                .args(words)
+        // Runs a command that is killed after `after` ms, wherever it is then; close and export are then run
+        // again.
+        let run_and_kill = |arguments: &[&str], after: u64| {
+            let mut child = Command::new(env!("CARGO_BIN_EXE_streamusher"));
+            child
+                .arg("ledger")
+                .args(arguments)
                 .args(["--key-file", key, "--dir"])
                 .arg(&dir);
-            let mut cut = cut.stdout(std::process::Stdio::null()).spawn().unwrap();
+            let mut child = child.stdout(std::process::Stdio::null()).spawn().unwrap();
             std::thread::sleep(Duration::from_millis(after));
-            let _ = cut.kill();
-            let _ = cut.wait();
+            let _ = child.kill();
+            let _ = child.wait();
         };
-        killed(
+        run_and_kill(
             &["close", "--through", "2999-12-31T23"],
             rng.random_range(0..10),
         );
         json(&dir, &["close", "--through", "2999-12-31T23"], key);
         json(&dir, &["verify"], key);
-        killed(
+        run_and_kill(
             &["export", "--to", out.to_str().unwrap()],
             rng.random_range(0..20),
         );
@@ -113,10 +116,11 @@
         assert_eq!(
             json(&dir, &["export", "--to", out.to_str().unwrap()], key),
             first,
-            "the same again"
+            "a repeated export gives the same result"
         );
     }
-    // The corrections that settle doubts stand in an open period, or in the closed ones of this export.
+    // The corrections that settle doubtful entries are in an open period, or in the closed ones of this
+    // export.
     let all = json(&root.0, &["reconcile", out.to_str().unwrap()], key);
     let findings = all["report"]["findings"].as_array().unwrap();
     let kinds: BTreeSet<&str> = findings
@@ -135,10 +139,10 @@
         *billed.entry((text("tenant"), text("class"))).or_default() += n;
     }
     billed.retain(|_, n| *n != 0);
-    let mut got: BTreeMap<(String, String), i64> = BTreeMap::new();
+    let mut received: BTreeMap<(String, String), i64> = BTreeMap::new();
     receipts
         .iter()
-        .for_each(|(_, t, c)| *got.entry((t.clone(), c.clone())).or_default() += 1);
+        .for_each(|(_, t, c)| *received.entry((t.clone(), c.clone())).or_default() += 1);
     println!(
         "seed {seed}, {rounds} restarts: {} receipts, {} entries, {} retried elsewhere, doubts {} billed, {} waived, {} keys \
          answered twice",
@@ -165,5 +169,5 @@
         total("gone")
     );
     assert!(!receipts.is_empty());
-    assert_eq!(billed, got);
+    assert_eq!(billed, received);
 }
--- a/tests/ledger_sessions.rs
+++ b/tests/ledger_sessions.rs
@@ -1,4 +1,4 @@
-//! Results that batch tools get in job sessions, and the bill.
+//! Tests that results received by batch tools in job sessions agree with the bill.
 
 mod support;
 
@@ -10,12 +10,13 @@
 use std::time::Duration;
 use support::*;
 
-/// Calls that do not get on for so long are not read any more.
+/// Time without progress after which the program is taken to read no more calls.
 const STALLED: Duration = Duration::from_millis(500);
 const LAST_SEQ: usize = 6;
-/// Calls of one session after which a task of another one has had its turn.
+/// Number of calls of one session after which a task of another session has had its turn.
 const ROUND_TRIPS: usize = 500;
-/// Replies of about a kilobyte, more than the buffers of a connection whose client does not read them take.
+/// Number of replies, of about a kilobyte each, that exceeds the buffers of a connection whose client does
+/// not read.
 const UNREAD_REPLIES: usize = 30_000;
 
 struct Session(BufReader<TcpStream>);
@@ -30,11 +31,14 @@
         self.0.get_mut().write_all(line.as_bytes()).unwrap();
     }
 
-    /// The reply to a call, past all that comes before it.
+    /// Reads replies until the one to the call `seq`, and returns it.
     fn reply_to(&mut self, seq: usize) -> Value {
         loop {
             let mut line = String::new();
-            assert!(self.0.read_line(&mut line).unwrap() > 0, "it ended");
+            assert!(
+                self.0.read_line(&mut line).unwrap() > 0,
+                "the session ended"
+            );
             let reply: Value = serde_json::from_str(&line).unwrap();
             if reply["seq"] == seq {
                 return reply;
@@ -54,7 +58,8 @@
     }
 }
 
-/// Asks for what is known of a job again and again, and reads no reply; comes back once the program cannot write on.
+/// Queries the state of a job repeatedly without reading the replies. Returns once the program cannot write
+/// any more.
 fn flood(session: &Session, job: &str) -> JoinHandle<()> {
     let mut stream = session.0.get_ref().try_clone().unwrap();
     let call = json!({"seq": 5, "call": "getInfo", "jobId": job});
@@ -68,7 +73,7 @@
         stream.write_all(format!("{last}\n").as_bytes()).unwrap();
     });
     while progress.recv_timeout(STALLED).is_ok() {}
-    // The rest is sent while the replies are read.
+    // The rest is sent while the replies are being read.
     std::thread::spawn(move || while progress.recv().is_ok() {});
     flood
 }
@@ -84,10 +89,10 @@
         .sum()
 }
 
-/// Guards against a result that a session gets and no bill holds: the job was reaped by another session while the reply with
-/// the result still waited for the first one to read.
+/// Guards against a result that a session receives and no bill contains: another session reaped the job while
+/// the reply with the result still waited for the first session to read it.
 #[test]
-fn result_on_its_way_to_a_session_is_billed_although_the_job_is_reaped_meanwhile() {
+fn result_queued_for_a_session_is_billed_although_the_job_is_reaped_meanwhile() {
     let (worker, files) = (Worker::start("s-1", RUNS_ON), Files::new());
     let dir = files.0.join("ledger");
     let mut config = config(&[&worker]);
@@ -124,7 +129,7 @@
     let is_done = |reply: &Value| reply["jobState"] == "DONE";
     let ask_state = json!({"seq": 2, "call": "getState", "jobId": second});
     while !is_done(&other.call(&ask_state)) {}
-    // Lets the reply get into the first session's queue.
+    // Gives the reply time to get into the first session's queue.
     for _ in 0..ROUND_TRIPS {
         other.call(&ask_state);
     }
@@ -134,7 +139,8 @@
     let reply = reader.reply_to(3);
     let result = &reply["jobInfo"]["streamusher_output"];
     let has_result = *result == format!("log of {second_operation}");
-    // The reap may still come first: then the session waits for a job that is no more, and has no result.
+    // The reap may still come first: then the session waits for a job that no longer exists, and gets no
+    // result.
     assert!(
         has_result || reply["error"] == "INVALID_ARGUMENT",
         "{reply}"
