--- a/tests/fleet_faults.rs
+++ b/tests/fleet_faults.rs
@@ -1,7 +1,8 @@
-//! Several real processes of the program with faults between them: what they share holds.
+//! Tests with several real dispatcher processes and faults between them: the shared budget and the shared
+//! tally stay correct.
 //!
-//! `STREAMUSHER_SEED` and `STREAMUSHER_ROUNDS` make the random part another run, or a longer one; a failing seed prints
-//! its schedule.
+//! `STREAMUSHER_SEED` and `STREAMUSHER_ROUNDS` select another or a longer run of the random test. It prints
+//! its seed and schedule.
 
 mod support;
 
@@ -31,26 +32,26 @@
     fleet.joined();
     let clients = Clients::start(&fleet, &[0, 1, 2], 2, &["t0", "t1"], NONE);
     clients.more(300);
-    let got = clients.end();
+    let received = clients.end();
     let tally = fleet.one_tally();
     for tenant in ["t0", "t1"] {
         assert_eq!(
             sum(&tally, "served", Some(tenant)),
-            got.served[tenant],
+            received.served[tenant],
             "{tally}"
         );
     }
-    assert_eq!(sum(&tally, "written", None), got.all());
+    assert_eq!(sum(&tally, "written", None), received.all());
     assert_eq!(
         sum(&tally, "doubtful", None) + sum(&tally, "unsure", None),
         0
     );
-    assert_eq!(sum(&tally, "refused", None), got.refused);
+    assert_eq!(sum(&tally, "refused", None), received.refused);
 }
 
-/// Case 1: Half of the fleet hears nothing under full load of one tenant.
+/// Case 1: a network partition cuts off half of the fleet under full load of one tenant.
 #[test]
-fn a_cut_off_half_serves_its_floor_and_the_budget_holds() {
+fn partitioned_half_serves_its_minimum_and_the_budget_holds() {
     let plan = Plan {
         members: 4,
         limit: Some(24),
@@ -80,21 +81,28 @@
     }
     assert!(
         shares.iter().rev().take(5).any(|&used| used >= 2),
-        "the half that is cut off serves: {shares:?}"
+        "the partitioned half must serve: {shares:?}"
     );
     assert!(clients.served.load(Ordering::Relaxed) > served + 100);
     fleet.heal();
-    let got = clients.end();
-    let most = fleet.running.most.load(Ordering::SeqCst);
-    assert!(most <= 24, "{most} jobs of a budget of 24 ran at once");
-    assert!(got.refused > 0, "the budget was full");
+    let received = clients.end();
+    let peak_running = fleet.running.most.load(Ordering::SeqCst);
+    assert!(
+        peak_running <= 24,
+        "{peak_running} jobs of a budget of 24 ran at once"
+    );
+    assert!(
+        received.refused > 0,
+        "operations must be refused when the budget is full"
+    );
     let tally = fleet.one_tally();
-    assert_eq!(sum(&tally, "served", Some("t0")), got.all());
+    assert_eq!(sum(&tally, "served", Some("t0")), received.all());
 }
 
-/// Case 2: Stopped past its lease with traffic waiting in its sockets: not one job on stale rights.
+/// Case 2: a process is stopped for longer than its lease with traffic waiting in its sockets. No job may run
+/// on expired rights.
 #[test]
-fn a_process_that_wakes_spends_nothing_of_before() {
+fn resumed_process_uses_no_expired_rights() {
     let plan = Plan {
         members: 3,
         limit: Some(12),
@@ -106,7 +114,7 @@
     let fleet = Fleet::start(plan);
     fleet.joined();
     fleet.seated();
-    // Member 0 borrows all it can get.
+    // Member 0 borrows all rights that it can get.
     let first = Clients::start(&fleet, &[0], 12, &["t0"], NONE);
     fleet.wait("rights are borrowed", |f| {
         let held = &f.call(0, "fleet")["budgets"][0];
@@ -117,7 +125,7 @@
         }
     });
     fleet.signal(0, "STOP");
-    // The others have it back and use all of it, while clients wait at the one that is stopped.
+    // The other members regain the rights and use all of them, while clients wait at the stopped member.
     let others = Clients::start(&fleet, &[1, 2], 12, &["t0"], NONE);
     fleet.wait("rights have come back", |f| {
         let own: u64 = [1, 2]
@@ -135,13 +143,16 @@
     others.more(100);
     first.end();
     others.end();
-    let most = fleet.running.most.load(Ordering::SeqCst);
-    assert!(most <= 12, "{most} jobs of a budget of 12 ran at once");
+    let peak_running = fleet.running.most.load(Ordering::SeqCst);
+    assert!(
+        peak_running <= 12,
+        "{peak_running} jobs of a budget of 12 ran at once"
+    );
 }
 
-/// Case 3: A life that had lent and one that had borrowed are killed, both at once, and begin again.
+/// Case 3: a process that had lent rights and one that had borrowed some are killed at once and restarted.
 #[test]
-fn rights_of_killed_processes_come_back_and_never_twice() {
+fn rights_of_killed_processes_return_exactly_once() {
     let plan = Plan {
         members: 3,
         limit: Some(12),
@@ -184,14 +195,18 @@
     });
     all.more(100);
     all.end();
-    let most = fleet.running.most.load(Ordering::SeqCst);
-    assert!(most <= 12, "{most} jobs of a budget of 12 ran at once");
+    let peak_running = fleet.running.most.load(Ordering::SeqCst);
+    assert!(
+        peak_running <= 12,
+        "{peak_running} jobs of a budget of 12 ran at once"
+    );
 }
 
-/// Case 4: Members restarted one after another, no ledger, two copies: the tally equals the receipts to the unit. Where a
-/// process was killed between the count and the answer, the unit is named as in doubt.
+/// Case 4: members are killed and restarted one after another, without a ledger and with two copies. The
+/// tally equals the receipts exactly. An operation whose process was killed between the count and the answer
+/// is reported as in doubt.
 #[test]
-fn restarts_one_after_another_lose_no_unit() {
+fn successive_restarts_lose_no_operation() {
     let (members, rounds) = (6, number("STREAMUSHER_ROUNDS", 2));
     let mut fleet = Fleet::start(Plan {
         members,
@@ -207,39 +222,41 @@
             clients.more(30);
             fleet.kill(i);
             fleet.begin(i);
-            // The next is killed once the one before is there again, as copies = 2 bear two at once.
+            // The next member is killed once the previous one has joined again, because `copies = 2`
+            // tolerates two failures at once.
             fleet.joined();
         }
     }
-    let got = clients.end();
+    let received = clients.end();
     let tally = fleet.one_tally();
     let (served, unwritten) = (sum(&tally, "served", None), sum(&tally, "unwritten", None));
     let doubtful = sum(&tally, "doubtful", None);
     println!(
         "{} receipts, {served} served, {unwritten} unwritten, {doubtful} in doubt, {} unsure",
-        got.all(),
+        received.all(),
         sum(&tally, "unsure", None)
     );
     assert_eq!(
         sum(&tally, "unsure", None),
         0,
-        "no answer went out before its copies were there"
+        "no answer was sent before its copies were stored"
     );
     assert!(
-        got.all() <= served - unwritten,
-        "nothing that was answered is lost: {} {tally}",
-        got.all()
+        received.all() <= served - unwritten,
+        "no answered operation is lost: {} {tally}",
+        received.all()
     );
     assert!(
-        got.all() + doubtful >= served - unwritten,
-        "and each difference is named: {} {tally}",
-        got.all()
+        received.all() + doubtful >= served - unwritten,
+        "each difference is reported as in doubt: {} {tally}",
+        received.all()
     );
 }
 
-/// Case 4b: Stopped in order, one after another: equal to the unit, with nothing in doubt, and without copies.
+/// Case 4b: members are shut down in order, one after another, without copies. The tally equals the receipts
+/// exactly, with nothing in doubt.
 #[test]
-fn orderly_restarts_are_equal_to_the_unit() {
+fn tally_equals_receipts_after_orderly_restarts() {
     let mut fleet = Fleet::start(Plan {
         members: 3,
         deadline_ms: 400,
@@ -253,23 +270,23 @@
         fleet.begin(i);
         fleet.joined();
     }
-    let got = clients.end();
+    let received = clients.end();
     let tally = fleet.one_tally();
     let (served, unwritten) = (sum(&tally, "served", None), sum(&tally, "unwritten", None));
     assert_eq!(
         (served - unwritten, sum(&tally, "doubtful", None)),
-        (got.all(), 0),
+        (received.all(), 0),
         "{tally}"
     );
     assert_eq!(
-        got.failed, 0,
-        "what comes after the last answers gets a busy reply: nothing of it has run"
+        received.failed, 0,
+        "operations that arrive after the last answers get a busy reply and have not run"
     );
 }
 
-/// Case 5: A hears B, B does not hear A: membership stays as it is.
+/// Case 5: frames pass in only one direction between two members. The membership stays as it is.
 #[test]
-fn a_one_way_cut_does_not_flap() {
+fn one_way_cut_does_not_change_membership_repeatedly() {
     let fleet = Fleet::start(Plan {
         members: 4,
         ..Plan::default()
@@ -290,7 +307,7 @@
         },
     );
     let from = fleet.members[1].relay.passed.load(Ordering::Relaxed);
-    fleet.wait("frames go on", |f| {
+    fleet.wait("frames keep flowing", |f| {
         let n = f.members[1].relay.passed.load(Ordering::Relaxed) - from;
         if n > 600 {
             Ok(())
@@ -299,13 +316,17 @@
         }
     });
     for (after, before) in changes(&fleet).into_iter().zip(before) {
-        assert!(after - before <= 2, "{before} changes, then {after}");
+        assert!(
+            after - before <= 2,
+            "{before} membership changes before the cut, {after} after it"
+        );
     }
 }
 
-/// Case 7: All killed at once and begun again: the tally starts anew and says so.
+/// Case 7: all members are killed at once and restarted. The tally starts anew and reports its new start
+/// time.
 #[test]
-fn a_fleet_killed_whole_says_since_when_it_counts() {
+fn tally_reports_its_start_time_after_all_members_are_killed() {
     let mut fleet = Fleet::start(Plan::default());
     fleet.joined();
     let clients = Clients::start(&fleet, &[0, 1, 2], 1, &["t0"], NONE);
@@ -317,18 +338,18 @@
     fleet.joined();
     let clients = Clients::start(&fleet, &[0, 1, 2], 1, &["t0"], NONE);
     clients.more(30);
-    let got = clients.end();
+    let received = clients.end();
     let after = fleet.one_tally();
     assert!(
         after["since_us"].as_u64() > before["since_us"].as_u64(),
         "{before} {after}"
     );
-    assert_eq!(sum(&after, "served", None), got.all());
+    assert_eq!(sum(&after, "served", None), received.all());
 }
 
-/// Case 8: A member whose frames are all 3 s late does not slow the others.
+/// Case 8: a member whose frames are all delayed by 3 s does not slow down the others.
 #[test]
-fn a_slow_peer_does_not_slow_the_others() {
+fn slow_peer_does_not_slow_the_others() {
     let fleet = Fleet::start(Plan {
         members: 4,
         ..Plan::default()
@@ -344,13 +365,13 @@
     }
     let clients = Clients::start(&fleet, &[0, 1, 2], 1, &["t0"], NONE);
     clients.more(100);
-    let got = clients.end();
+    let received = clients.end();
     let from = Instant::now();
     fleet.wait("the three have one tally", |f| {
         let served: Vec<u64> = (0..3)
             .map(|i| sum(&f.call(i, "tally"), "served", None))
             .collect();
-        if served.iter().all(|s| *s == got.all()) {
+        if served.iter().all(|s| *s == received.all()) {
             Ok(())
         } else {
             Err(format!("{served:?}"))
@@ -358,12 +379,13 @@
     });
     let slow = sum(&fleet.call(3, "tally"), "served", None);
     assert!(
-        slow < got.all() || from.elapsed() > ms(2_900),
-        "the slow one cannot know yet: the links are slow"
+        slow < received.all() || from.elapsed() > ms(2_900),
+        "the slow member cannot have the tally yet because its links are delayed"
     );
 }
 
-/// Case 9: Garbage, a foreign fleet's frames, and a flood of them: they are counted by cause, and work goes on.
+/// Case 9: invalid frames, frames of a foreign fleet, and a flood of both are counted by cause, and the fleet
+/// keeps working.
 #[test]
 fn garbage_and_foreign_frames_are_dropped_and_counted() {
     let fleet = Fleet::start(Plan {
@@ -387,7 +409,7 @@
         let _ = socket.send_to(&bytes, to);
     }
     clients.more(50);
-    fleet.wait("they are counted", |f| {
+    fleet.wait("invalid frames are counted", |f| {
         let bad = &f.call(0, "fleet")["bad"];
         if bad["foreign"].as_u64() > Some(100) && bad["cut"].as_u64() > Some(100) {
             Ok(())
@@ -395,14 +417,14 @@
             Err(bad.to_string())
         }
     });
-    let got = clients.end();
-    assert_eq!(sum(&fleet.one_tally(), "served", None), got.all());
+    let received = clients.end();
+    assert_eq!(sum(&fleet.one_tally(), "served", None), received.all());
 }
 
-/// A worker at which all fails: once three members have seen it, each knows, also the one that has seen nothing; two are
-/// not believed.
+/// A worker fails all jobs. Once three members have observed it, each member has the verdict, including the
+/// one that has observed nothing; observations of two members do not suffice.
 #[test]
-fn what_several_have_seen_of_a_worker_all_know() {
+fn observations_of_several_members_give_a_verdict_at_all_members() {
     let fleet = Fleet::start(Plan {
         members: 4,
         shared: true,
@@ -411,10 +433,11 @@
         ..Plan::default()
     });
     fleet.joined();
-    let seen = |f: &Fleet, i: usize| f.call(i, "fleet")["observations"].as_u64().unwrap_or(0);
-    let two = Clients::start(&fleet, &[0, 1], 16, &["t0"], NONE);
-    fleet.wait("two have seen it", |f| {
-        let n = seen(f, 3);
+    let observations =
+        |f: &Fleet, i: usize| f.call(i, "fleet")["observations"].as_u64().unwrap_or(0);
+    let first_two_clients = Clients::start(&fleet, &[0, 1], 16, &["t0"], NONE);
+    fleet.wait("two members have observed the failures", |f| {
+        let n = observations(f, 3);
         if n >= 2 {
             Ok(())
         } else {
@@ -424,10 +447,10 @@
     assert_eq!(
         fleet.call(3, "fleet")["verdicts"],
         serde_json::json!([]),
-        "two are not believed"
+        "observations of two members do not suffice"
     );
-    let third = Clients::start(&fleet, &[2], 16, &["t0"], NONE);
-    fleet.wait("all know", |f| {
+    let third_clients = Clients::start(&fleet, &[2], 16, &["t0"], NONE);
+    fleet.wait("all members have the verdict", |f| {
         let verdicts = f.call(3, "fleet")["verdicts"].clone();
         let known = verdicts[0]["worker"] == "shed-1" && verdicts[0]["fault"] == "failing";
         if known && verdicts[0]["authors"].as_u64() >= Some(3) {
@@ -436,11 +459,11 @@
             Err(verdicts.to_string())
         }
     });
-    two.end();
-    third.end();
+    first_two_clients.end();
+    third_clients.end();
 }
 
-/// With the ledger on as well both have the same answers, to the unit.
+/// With the ledger enabled too, ledger and tally count the same answers exactly.
 #[test]
 fn the_ledger_and_the_tally_agree() {
     let mut fleet = Fleet::start(Plan {
@@ -451,25 +474,25 @@
     fleet.joined();
     let clients = Clients::start(&fleet, &[0, 1, 2], 1, &["t0", "t1"], NONE);
     clients.more(60);
-    let got = clients.end();
+    let received = clients.end();
     let tally = fleet.one_tally();
     (0..3).for_each(|i| fleet.stop(i));
     let key = fleet.files.0.join("ledger.key");
-    let mut booked = 0;
+    let mut recorded = 0;
     for i in 0..3 {
-        let words = ["show", "--json", "--key-file", key.to_str().unwrap()];
-        let (code, text) = support::ledger(&fleet.files.0.join(format!("ledger-m{i}")), &words);
+        let arguments = ["show", "--json", "--key-file", key.to_str().unwrap()];
+        let (code, text) = support::ledger(&fleet.files.0.join(format!("ledger-m{i}")), &arguments);
         assert_eq!(code, 0, "{text}");
         let shown: serde_json::Value = serde_json::from_str(&text).expect("json");
-        booked += served_in(&shown);
+        recorded += served_in(&shown);
     }
     assert_eq!(
-        (booked, sum(&tally, "served", None)),
-        (got.all(), got.all())
+        (recorded, sum(&tally, "served", None)),
+        (received.all(), received.all())
     );
 }
 
-/// The sum of all that is called `served` in what the ledger shows.
+/// Returns the sum of all fields named `served` in the output of `ledger show`.
 fn served_in(shown: &serde_json::Value) -> u64 {
     match shown {
         serde_json::Value::Object(map) => map
@@ -487,7 +510,7 @@
     }
 }
 
-/// Mistakes in `[fleet]` end the program with one line that names file and key.
+/// Errors in `[fleet]` terminate the program with one line that names file and key.
 #[rstest::rstest]
 #[case("listen = 'x'\nkey_file = 'k'", "fleet.listen: not an address")]
 #[case("listen = '127.0.0.1:0'", "missing field `key_file`")]
@@ -512,7 +535,7 @@
     "listen = '127.0.0.1:0'\nkey_file = 'k'\ngossip = 5",
     "unknown field `gossip`"
 )]
-fn mistakes_are_named(#[case] table: &str, #[case] why: &str) {
+fn configuration_errors_name_file_and_key(#[case] table: &str, #[case] expected_error: &str) {
     let files = Files::new();
     files.add("k", &"a7".repeat(32));
     let mut config = support::config(&[]);
@@ -524,7 +547,7 @@
     let last = text.lines().last().unwrap_or_default();
     assert_eq!(done.status.code(), Some(1), "{text}");
     assert!(
-        last.starts_with("streamusher:") && last.contains(why),
+        last.starts_with("streamusher:") && last.contains(expected_error),
         "{last}"
     );
 }
@@ -540,7 +563,7 @@
     Rough(usize, Link),
 }
 
-fn draw(rng: &mut Pcg64, members: usize) -> Fault {
+fn random_fault(rng: &mut Pcg64, members: usize) -> Fault {
     let (i, j) = (rng.random_range(0..members), rng.random_range(0..members));
     match rng.random_range(0..7) {
         0 => Fault::Kill(i),
@@ -572,8 +595,8 @@
     }
 }
 
-/// Random faults from a seed, one after another under load: the budget holds at the workers, and at the end there is one
-/// tally, in which each receipt is counted and each difference named.
+/// Injects random faults from a seed, one after another under load: the budget is kept at the workers, and at
+/// the end there is one tally, in which each receipt is counted and each difference is reported.
 #[test]
 fn random_faults_keep_budget_and_tally() {
     let (seed, rounds) = (
@@ -582,7 +605,9 @@
     );
     let (members, limit) = (5, 30);
     let mut rng = Pcg64::seed_from_u64(seed);
-    let schedule: Vec<Fault> = (0..rounds).map(|_| draw(&mut rng, members)).collect();
+    let schedule: Vec<Fault> = (0..rounds)
+        .map(|_| random_fault(&mut rng, members))
+        .collect();
     println!("seed {seed}: {schedule:?}");
     let plan = Plan {
         members,
@@ -614,7 +639,7 @@
             }
             Fault::Pause(i, time) => {
                 fleet.signal(i, "STOP");
-                std::thread::sleep(ms(time)); // the fault's own length
+                std::thread::sleep(ms(time)); // duration of the fault
                 fleet.signal(i, "CONT");
             }
             Fault::Part(i, j) => fleet.part(&[i, j]),
@@ -633,34 +658,34 @@
         }
         clients.more(60);
         fleet.heal();
-        // Copies = 1 bear one kill at a time: the next comes when what there is has spread.
+        // `copies = 1` tolerates one kill at a time: the next fault is injected once the copies have spread.
         fleet.joined();
-        let most = fleet.running.most.load(Ordering::SeqCst);
+        let peak_running = fleet.running.most.load(Ordering::SeqCst);
         assert!(
-            most <= limit,
-            "seed {seed}, round {round}, {fault:?}: {most} jobs at once"
+            peak_running <= limit,
+            "seed {seed}, round {round}, {fault:?}: {peak_running} jobs ran at once"
         );
     }
-    let got = clients.end();
+    let received = clients.end();
     let tally = fleet.one_tally();
     let of = |unit| sum(&tally, unit, None);
     let (counted, doubtful, unsure) =
         (of("served") - of("unwritten"), of("doubtful"), of("unsure"));
     println!(
         "seed {seed}, {rounds} rounds: {} receipts, {counted} counted, {doubtful} in doubt, {unsure} unsure, {} refused, {} failed",
-        got.all(),
-        got.refused,
-        got.failed
+        received.all(),
+        received.refused,
+        received.failed
     );
-    // An answer that went out unsure may be lost with its process; no other may.
+    // An answer that was sent as unsure may be lost with its process; no other answer may be lost.
     assert!(
-        got.all() <= counted + unsure,
+        received.all() <= counted + unsure,
         "seed {seed}: {} receipts, {tally}",
-        got.all()
+        received.all()
     );
     assert!(
-        got.all() + doubtful >= counted,
+        received.all() + doubtful >= counted,
         "seed {seed}: {} receipts, {tally}",
-        got.all()
+        received.all()
     );
 }
