--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -1,4 +1,5 @@
-//! What sharing costs the data path, and how soon a healed fleet has one tally, with real processes on loopback.
+//! Measures the cost of sharing on the data path, and the time until a healed fleet has one tally, with real
+//! processes on loopback.
 //!
 //!     cargo bench --bench fleet -- LEGS SECONDS
 
@@ -11,7 +12,7 @@
 use support::fleet::{Clients, Fleet, Plan};
 use support::{connect, exchange};
 
-/// Processor time of a process so far, in clock ticks of 10 ms.
+/// Returns the processor time used by a process so far, in clock ticks of 10 ms.
 fn ticks(pid: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("a process");
     let fields: Vec<&str> = stat.rsplit(") ").next().unwrap_or("").split(' ').collect();
@@ -33,7 +34,8 @@
         .unwrap_or(0)
 }
 
-/// One client after another operation for so long; how long each took, in microseconds.
+/// Sends operations one after another from each of `threads` clients for `time`. Returns the latencies in
+/// microseconds.
 fn load(addr: SocketAddr, time: Duration, threads: usize) -> Histogram<u64> {
     let all: Vec<_> = (0..threads)
         .map(|t| {
@@ -78,7 +80,8 @@
         numbers.first().copied().unwrap_or(5),
         numbers.get(1).copied().unwrap_or(2),
     );
-    // The same load in turn at one member of three: nothing shared, shared, and with two copies.
+    // The same load is applied in turn to one member of three fleets: without sharing, with sharing, and with
+    // two copies.
     let variants = [("off", false, 0), ("on", true, 0), ("copies = 2", true, 2)];
     let fleets: Vec<Fleet> = variants
         .iter()
@@ -104,7 +107,7 @@
         .collect();
     for leg in 0..legs as usize {
         for v in 0..3 {
-            let v = (v + leg) % 3; // each goes first as often as the others
+            let v = (v + leg) % 3; // rotates the variant that is measured first
             let pid = fleets[v].members[0]
                 .program
                 .as_ref()
@@ -112,9 +115,9 @@
                 .child
                 .id();
             let before = ticks(pid);
-            let got = load(fleets[v].members[0].addr, Duration::from_secs(seconds), 2);
-            cpu[v].push((ticks(pid) - before) * 10_000.0 / got.len().max(1) as f64);
-            took[v].add(got).expect("same form");
+            let latencies = load(fleets[v].members[0].addr, Duration::from_secs(seconds), 2);
+            cpu[v].push((ticks(pid) - before) * 10_000.0 / latencies.len().max(1) as f64);
+            took[v].add(latencies).expect("same form");
         }
     }
     let base = median(cpu[0].clone());
--- a/benches/ledger.rs
+++ b/benches/ledger.rs
@@ -1,7 +1,7 @@
-//! The daemon with the ledger on against off, in pairs in one run: throughput, latency, memory.
+//! Compares the daemon with the ledger on and off, in pairs within one run: throughput, latency, memory.
 //!
-//! `cargo bench --bench ledger -- [SECONDS] [PAIRS]`. Clients send on a fixed plan whatever the answers do, and
-//! latency counts from the planned time.
+//! `cargo bench --bench ledger -- [SECONDS] [PAIRS]`. Clients send on a fixed schedule regardless of the
+//! answers, and latency counts from the scheduled time.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -22,7 +22,7 @@
     peak_mb: f64,
 }
 
-fn leg(rate: u64, time: Duration, ledger: bool, sheds: &[SocketAddr]) -> Leg {
+fn run_leg(rate: u64, time: Duration, ledger: bool, sheds: &[SocketAddr]) -> Leg {
     let files = Files::new();
     let rows: String = sheds
         .iter()
@@ -46,14 +46,14 @@
         program.logged("the ledger is open");
     }
     let begun = Instant::now() + Duration::from_millis(100);
-    let each = Duration::from_secs_f64(CLIENTS as f64 / rate as f64);
+    let interval = Duration::from_secs_f64(CLIENTS as f64 / rate as f64);
     let clients: Vec<_> = (0..CLIENTS)
         .map(|n| {
             let addr = program.addr;
             std::thread::spawn(move || {
                 let mut latency = Histogram::<u64>::new_with_max(60_000_000, 3).unwrap();
                 let mut stream = connect(addr);
-                let mut due = begun + each.mul_f64(n as f64 / CLIENTS as f64);
+                let mut due = begun + interval.mul_f64(n as f64 / CLIENTS as f64);
                 for i in 0.. {
                     if due > begun + time {
                         break;
@@ -71,7 +71,7 @@
                         Some(_) => {}
                         None => stream = connect(addr),
                     }
-                    due += each;
+                    due += interval;
                 }
                 latency
             })
@@ -96,8 +96,9 @@
     }
 }
 
-/// The 99th percentile of one write of 4 KiB and its sync on this disk, in microseconds, and the median.
-fn one_sync() -> (u64, u64) {
+/// Returns the 99th percentile and the median time of a 4 KiB write with its sync on this disk, in
+/// microseconds.
+fn measure_sync() -> (u64, u64) {
     let files = Files::new();
     let mut file = File::create(files.0.join("sync")).unwrap();
     let mut times = Histogram::<u64>::new_with_max(60_000_000, 3).unwrap();
@@ -111,26 +112,26 @@
 }
 
 fn main() {
-    let words: Vec<u64> = std::env::args().filter_map(|a| a.parse().ok()).collect();
+    let numbers: Vec<u64> = std::env::args().filter_map(|a| a.parse().ok()).collect();
     let (seconds, pairs) = (
-        words.first().copied().unwrap_or(5),
-        words.get(1).copied().unwrap_or(3),
+        numbers.first().copied().unwrap_or(5),
+        numbers.get(1).copied().unwrap_or(3),
     );
     let sheds: Vec<Shed> = (0..WORKERS).map(|_| Shed::start("serves")).collect();
     let addrs: Vec<SocketAddr> = sheds.iter().map(|s| s.addr).collect();
     for shed in sheds {
         std::thread::spawn(move || while shed.sent.recv().is_ok() {});
     }
-    let (p99, p50) = one_sync();
+    let (p99, p50) = measure_sync();
     println!("one sync of this disk: median {p50} us, p99 {p99} us");
     println!("| jobs a second | off, per s | on, per s | ratio | p50 off/on, us | p99 off/on, us | added p99, us | MB off/on |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for rate in [500, 2_000] {
         let (mut off, mut on) = (Vec::new(), Vec::new());
         for pair in 0..pairs {
-            // In turn, so that a drift of the machine falls on both.
+            // The variants alternate, so that a drift of the machine affects both.
             for ledger in [pair % 2 == 1, pair % 2 == 0] {
-                let done = leg(rate, Duration::from_secs(seconds), ledger, &addrs);
+                let done = run_leg(rate, Duration::from_secs(seconds), ledger, &addrs);
                 if ledger { &mut on } else { &mut off }.push(done);
             }
         }
--- a/examples/fleet.rs
+++ b/examples/fleet.rs
@@ -1,9 +1,10 @@
-//! Three dispatchers that share one tally, with stand-in workers and clients: one is cut off and heals, another is killed
-//! and begins again. Prints what is served and each member's tally as it goes.
+//! Runs three dispatchers that share one tally, with simulated workers and clients: one is partitioned and
+//! reconnected, another is killed and restarted. Prints the served operations and each member's tally along
+//! the way.
 //!
 //!     cargo run --release --example fleet
 //!
-//! Ends with 0 where all tallies are one and equal the clients' receipts, otherwise with 1.
+//! Exits with 0 if all tallies are identical and agree with the clients' receipts, otherwise with 1.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -13,9 +14,9 @@
 use std::time::{Duration, Instant};
 use support::fleet::{sum, Clients, Fleet, Plan};
 
-fn show(fleet: &Fleet, clients: &Clients, what: &str, begun: Instant) {
+fn show(fleet: &Fleet, clients: &Clients, label: &str, begun: Instant) {
     println!(
-        "{:>5.1} s  {what}; {} served",
+        "{:>5.1} s  {label}; {} served",
         begun.elapsed().as_secs_f64(),
         clients.served.load(Ordering::Relaxed)
     );
@@ -42,7 +43,7 @@
     }
 }
 
-fn play() -> bool {
+fn run_scenario() -> bool {
     let begun = Instant::now();
     let mut fleet = Fleet::start(Plan {
         copies: 1,
@@ -60,7 +61,7 @@
     show(
         &fleet,
         &clients,
-        "three dispatchers, each with its worker",
+        "three dispatchers, each with its own worker",
         begun,
     );
     fleet.part(&[2]);
@@ -68,12 +69,12 @@
     show(
         &fleet,
         &clients,
-        "m2 hears nobody: its answers wait for a copy, until their time is up",
+        "m2 is partitioned: its answers wait for a copy until their time limit expires",
         begun,
     );
     fleet.heal();
     clients.more(500);
-    show(&fleet, &clients, "healed", begun);
+    show(&fleet, &clients, "m2 is connected again", begun);
     fleet.kill(1);
     clients.more(200);
     fleet.begin(1);
@@ -82,37 +83,38 @@
     show(
         &fleet,
         &clients,
-        "m1 was killed and has begun again, from nothing",
+        "m1 was killed and has restarted without state",
         begun,
     );
-    let got = clients.end();
+    let receipts = clients.end();
     let tally = fleet.one_tally();
     let of = |unit| sum(&tally, unit, None);
     let (counted, doubtful) = (of("served") - of("unwritten"), of("doubtful"));
     println!(
-        "{:>5.1} s  one tally at all members: {}",
+        "{:>5.1} s  identical tally at all members: {}",
         begun.elapsed().as_secs_f64(),
         tally["digest"]
     );
     println!(
         "         {} receipts; {counted} counted, {doubtful} of them in doubt, {} unsure",
-        got.all(),
+        receipts.all(),
         of("unsure")
     );
-    // What is in doubt was counted at a process that was killed: its client may have the answer or not.
-    got.all() <= counted && got.all() + doubtful >= counted
+    // An operation in doubt was counted by a process that was killed: its client may or may not have received
+    // the answer.
+    receipts.all() <= counted && receipts.all() + doubtful >= counted
 }
 
 fn main() -> ExitCode {
-    // The dispatchers are this program again.
-    let mut words = std::env::args().skip(1).peekable();
-    if words.next_if(|w| w == support::AS_DISPATCHER).is_some() {
-        return streamusher::program::main(words);
+    // The dispatchers are further processes of this program.
+    let mut arguments = std::env::args().skip(1).peekable();
+    if arguments.next_if(|w| w == support::AS_DISPATCHER).is_some() {
+        return streamusher::program::main(arguments);
     }
-    match play() {
+    match run_scenario() {
         true => ExitCode::SUCCESS,
         false => {
-            eprintln!("the tally and the receipts differ");
+            eprintln!("the shared tally does not agree with the clients' receipts");
             ExitCode::FAILURE
         }
     }
