--- a/crates/controlplane/src/cluster_status/query.rs
+++ b/crates/controlplane/src/cluster_status/query.rs
@@ -16,7 +16,7 @@
 /// machines.
 const MAX_QUERIED: usize = 64;
 
-/// An error for which a process returned no status. The text is part of the output of `status --json`.
+/// Reason why no status was obtained from a process. The text is part of the output of `status --json`.
 #[derive(Debug, thiserror::Error)]
 pub enum QueryError {
     /// No response was received.
@@ -30,7 +30,7 @@
     Body(serde_json::Error),
 }
 
-/// An error for which the primary returned no explanation.
+/// Reason why no explanation was obtained from the primary.
 #[derive(Debug, thiserror::Error)]
 pub enum ExplainError {
     /// No process is the acting primary.
--- a/crates/controlplane/src/control_api.rs
+++ b/crates/controlplane/src/control_api.rs
@@ -14,7 +14,7 @@
     OperatorRequest, OperatorRequestKind, OperatorResponse, SchedulerResponse,
 };
 
-/// The reason for which an operator's request is rejected as malformed; the text is the body of the response.
+/// Reason why an operator's request is rejected as malformed; the text is the body of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum OperatorRequestError {
     #[error(
--- a/crates/controlplane/src/driver/in_flight.rs
+++ b/crates/controlplane/src/driver/in_flight.rs
@@ -9,11 +9,11 @@
 /// this machine steps down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestEffect {
-    /// Nothing: the request only reads.
+    /// The request only reads and changes nothing.
     ReadOnly,
     /// The requested change may take effect, possibly under the next primary.
     Mutating,
-    /// Nothing: the change was rejected, and the rejection depends on no write of this request.
+    /// The change was rejected and nothing was written; the rejection depends on no write of this request.
     Rejected,
 }
 
--- a/crates/controlplane/src/machine_settings.rs
+++ b/crates/controlplane/src/machine_settings.rs
@@ -34,7 +34,7 @@
 };
 
 impl MachineSettings {
-    /// Extracts them from the process settings.
+    /// Extracts the addresses and the data folder from the process settings.
     ///
     /// # Errors
     /// A required key is missing.
--- a/crates/controlplane/src/options/error.rs
+++ b/crates/controlplane/src/options/error.rs
@@ -30,7 +30,7 @@
     JobId {
         /// The id as given.
         id: String,
-        /// The reason for which the id is invalid.
+        /// The reason why the id is invalid.
         error: IdError,
     },
     /// `check` with an argument.
--- a/crates/controlplane/src/options/mod.rs
+++ b/crates/controlplane/src/options/mod.rs
@@ -81,7 +81,7 @@
 /// Parses the command line; `arguments` excludes the program's name.
 ///
 /// # Errors
-/// See [`OptionsError`].
+/// Returns an [`OptionsError`] if the command line is invalid.
 pub fn parse(arguments: &[String]) -> Result<Command, OptionsError> {
     let options = usage::options();
     let matches = options.parse(arguments)?;
--- a/crates/controlplane/src/show_disk/mod.rs
+++ b/crates/controlplane/src/show_disk/mod.rs
@@ -15,7 +15,7 @@
 /// The file that the database locks while it is open.
 const LOCK_FILE: &str = "lock";
 
-/// An error for which a data folder cannot be shown.
+/// Reason why a data folder cannot be shown.
 #[derive(Debug, thiserror::Error)]
 pub enum ShowDiskError {
     /// The folder contains no store.
@@ -64,7 +64,7 @@
     Ok(report::render(data_dir, bytes, &image))
 }
 
-/// Locks the databases, as a process does that opens them.
+/// Locks the databases in the same way as a process that opens them.
 fn lock_all(data_dir: &Path, folders: &[PathBuf]) -> Result<Vec<File>, ShowDiskError> {
     let mut locks = Vec::new();
     for folder in folders {
