--- a/crates/dataplane/src/agent_process/worker_request.rs
+++ b/crates/dataplane/src/agent_process/worker_request.rs
@@ -16,7 +16,7 @@
     Deregister(Arc<str>),
 }
 
-/// Reasons for which a request at the worker's listener is rejected.
+/// Reasons why a request at the worker's listener is rejected.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum WorkerRequestError {
     /// 405 Method Not Allowed.
--- a/crates/dataplane/src/gate/client_request.rs
+++ b/crates/dataplane/src/gate/client_request.rs
@@ -13,7 +13,7 @@
 /// How long a client waits if its request lacks [`DEADLINE_HEADER`].
 const DEFAULT_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Reasons for which the gate itself rejects a request.
+/// Reasons why the gate itself rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum ClientRequestError {
     /// 405 Method Not Allowed.
--- a/crates/dataplane/src/gate/client_response.rs
+++ b/crates/dataplane/src/gate/client_response.rs
@@ -45,8 +45,8 @@
     response
 }
 
-/// 503: the request was not executed and will not be. `outage_ms` is the time for which no primary has been
-/// known.
+/// Builds the 503 response to a request that was not executed and will not be. `outage_ms` is the time for
+/// which no primary has been known.
 pub(super) fn unavailable(outage_ms: Millis) -> Response {
     log::info!("client request rejected with 503: no primary available");
     let body = "no primary takes calls now: come back\n";
@@ -60,13 +60,13 @@
     outage_ms.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS)
 }
 
-/// 502: the request may have been executed.
+/// Builds the 502 response to a request that may have been executed.
 pub(super) fn unknown_outcome() -> Response {
     let body = "the primary did not answer: send the same id again\n";
     text(StatusCode::BAD_GATEWAY, body)
 }
 
-/// 502: the primary's response cannot be parsed.
+/// Builds the 502 response for a reply of the primary that cannot be parsed.
 fn malformed() -> Response {
     let body = "the primary's reply was not understood: send the same id again\n";
     text(StatusCode::BAD_GATEWAY, body)
--- a/crates/dataplane/src/role_settings.rs
+++ b/crates/dataplane/src/role_settings.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use streamusher_runtime::settings::ProcessSettings;
 
-/// Reasons for which settings do not suit a process. The messages name the key, its value and the remedy.
+/// Reasons why settings do not suit a process. The messages name the key, its value and the remedy.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RoleSettingsError {
     /// The configured role does not serve the party that the process is for.
