--- a/crates/fleet/src/allowance.rs
+++ b/crates/fleet/src/allowance.rs
@@ -15,7 +15,7 @@
 /// Bits of the word for the own units, and for the borrowed units.
 const HELD_BITS: u32 = 20;
 const MAX_IN_USE: u64 = (1 << IN_USE_BITS) - 1;
-/// The most units that a quota may have.
+/// Maximum number of units that a quota may have.
 pub const MAX_QUOTA_UNITS: u64 = (1 << HELD_BITS) - 1;
 
 /// Units of a quota that a member holds, whether in use or not.
--- a/crates/fleet/src/datagram.rs
+++ b/crates/fleet/src/datagram.rs
@@ -12,7 +12,7 @@
 use crate::usage_counters::{Delta, UsageDigest};
 use serde::{Deserialize, Serialize};
 
-/// The most bytes of a datagram: what a network path carries without fragmentation.
+/// Maximum length of a datagram in bytes: what a network path carries without fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 /// The version of the datagram format. Datagrams of any other version are rejected.
 pub const PROTOCOL_VERSION: u8 = 1;
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -9,7 +9,7 @@
 //! - [`quota`]: quotas over the whole fleet, divided into shares that members lend to each other under
 //!   leases.
 //! - [`allowance`]: the data path's side of a quota, which acquires units with one atomic exchange.
-//! - [`outlier`]: members' observations of workers, and the rules for ejecting a worker on them.
+//! - [`outlier`]: members' observations of workers, and the rules for ejecting a worker based on them.
 //! - [`datagram`]: the wire format, authenticated by a MAC.
 //! - [`node`]: one member, which combines all of these, with its [`settings`], its [`status`] for operators,
 //!   and its outbound datagrams in [`outbox`].
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -22,7 +22,7 @@
 const INDIRECT_PROBES: NonZeroUsize = NonZeroUsize::new(3).unwrap();
 /// How many times an update is piggybacked on other messages.
 const MAX_TRANSMISSIONS: NonZeroU8 = NonZeroU8::new(10).unwrap();
-/// The most bytes of one membership message, so that it fits into a datagram.
+/// Maximum length of a membership message in bytes, chosen so that it fits into a datagram.
 const MAX_MESSAGE_BYTES: NonZeroUsize = NonZeroUsize::new(1_100).unwrap();
 const ONE_MEMBER: NonZeroUsize = NonZeroUsize::new(1).unwrap();
 const TWO_MEMBERS: NonZeroUsize = NonZeroUsize::new(2).unwrap();
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -35,7 +35,7 @@
 const GOSSIP_INTERVALS_PER_PROBE: u64 = 5;
 /// Members that receive a digest in each round.
 const DIGEST_RECEIVERS: usize = 2;
-/// The most observations sent along with a digest.
+/// Maximum number of observations sent along with a digest.
 const OBSERVATIONS_PER_MESSAGE: usize = 6;
 /// A member that knows other members sends a hello to a missing join address once in this many rounds.
 const HELLO_INTERVAL_ROUNDS: u64 = 4;
--- a/crates/fleet/src/outbox.rs
+++ b/crates/fleet/src/outbox.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// The most bytes of a datagram's content, without the header and the sender.
+/// Maximum length of a datagram's content in bytes, without the header and the sender.
 const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - 200;
 
 /// An encoded datagram and its destination.
--- a/crates/fleet/src/quota/mod.rs
+++ b/crates/fleet/src/quota/mod.rs
@@ -34,7 +34,7 @@
 use std::cmp::Reverse;
 use std::sync::Arc;
 
-/// The most requests to new lenders for one quota in one round.
+/// Maximum number of requests to new lenders for one quota in one round.
 const REQUESTS_PER_ROUND: usize = 4;
 
 /// Units on loan with one member, for operators. In JSON a pair.
--- a/crates/fleet/src/replication.rs
+++ b/crates/fleet/src/replication.rs
@@ -10,9 +10,9 @@
 use crate::usage_counters::{Delta, UsageCounters, UsageDigest, VersionSummary};
 use std::sync::Arc;
 
-/// The most deltas sent in answer to one digest.
+/// Maximum number of deltas sent in answer to one digest.
 const DELTAS_PER_REPLY: usize = 32;
-/// The most summaries in one digest.
+/// Maximum number of summaries in one digest.
 const SUMMARIES_PER_DIGEST: usize = 64;
 /// A reply to a digest has at most this many more summaries than the digest.
 const EXTRA_SUMMARIES: usize = 8;
