--- a/crates/controlplane/src/cluster_status/query.rs
+++ b/crates/controlplane/src/cluster_status/query.rs
@@ -23,10 +23,10 @@
     #[error(transparent)]
     Request(#[from] RequestError),
     /// The response has an HTTP status that is not a success.
-    #[error("answered {0}: name the internal ip:port of a process")]
+    #[error("responded with status {0}: give the internal ip:port of a process")]
     Status(StatusCode),
     /// The response is not JSON.
-    #[error("the answer is not a status: {0}")]
+    #[error("the response is not a status document: {0}")]
     Body(serde_json::Error),
 }
 
--- a/crates/controlplane/src/driver/in_flight.rs
+++ b/crates/controlplane/src/driver/in_flight.rs
@@ -13,7 +13,7 @@
     ReadOnly,
     /// The requested change may take effect, possibly under the next primary.
     Mutating,
-    /// The change was rejected and nothing was written; the rejection depends on no write of this request.
+    /// The change was rejected and does not take effect; the rejection depends on no write of this request.
     Rejected,
 }
 
--- a/crates/controlplane/src/options/usage.rs
+++ b/crates/controlplane/src/options/usage.rs
@@ -46,21 +46,21 @@
     options.optopt(
         "",
         "settings",
-        "status, explain: the settings file whose seeds are asked",
+        "status, explain: the settings file whose seeds are queried",
         "FILE",
     );
-    options.optflag("", "json", "status: print the answers as JSON");
+    options.optflag("", "json", "status: print the responses as JSON");
     add_log_level(&mut options);
     options.optopt(
         "",
         FAIR_SHARE_OPTION,
-        "order work by recent use, which halves in so many seconds",
+        "order work by recent use, which decays with this half-life in seconds",
         "HALF_LIFE_S",
     );
     options.optopt(
         "",
         FAIR_SHARE_SETTINGS_OPTION,
-        "the same with all settings of the debts, in TOML",
+        "like --share-debt, with all fair-share settings from a TOML file",
         "FILE",
     );
     options
--- a/crates/controlplane/src/process.rs
+++ b/crates/controlplane/src/process.rs
@@ -49,7 +49,7 @@
     #[error(transparent)]
     Bind(#[from] BindError),
     /// The store became unusable while the process ran.
-    #[error("lost the store: restart the process")]
+    #[error("the store has become unusable: restart the process")]
     StoreLost(#[source] StoreError),
     /// The store's writer thread exited unexpectedly.
     #[error("the store's writer thread has exited: restart the process")]
@@ -70,7 +70,7 @@
 /// Runs the process until a signal ends it. Without `fair_share` the scheduler does not order work by recent
 /// use.
 ///
-/// # Errors
+/// The process cannot start, or its store becomes unusable while it runs.
 /// The process cannot start, or its store is lost.
 pub fn run(
     settings: &ProcessSettings,
@@ -130,10 +130,10 @@
         })
     }
 
-    /// Runs until a signal ends the process. Leadership is transferred before it exits.
+    /// Runs until a signal ends the process. Before it exits, it transfers leadership, within a time limit.
     ///
     /// # Errors
-    /// The store is lost.
+    /// The store becomes unusable.
     pub async fn run(
         mut self,
         mut signals: mpsc::UnboundedReceiver<Signal>,
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -5,7 +5,7 @@
 //! the deltas that its sender lacks. The member's own usage counters are sent immediately to its successors
 //! in the ring of names, one more than the required copies; the receivers acknowledge the version that they
 //! hold. A member whose process was stopped for longer than half a lease blocks all acquisitions until it
-//! receives a datagram from another member.
+//! receives a datagram from another member, or until one lease has passed.
 
 use crate::allowance::QuotaAllowance;
 use crate::datagram::{Datagram, DatagramBody, DatagramCodec, DatagramError};
@@ -61,7 +61,8 @@
     next_gossip: Micros,
     gossip_rounds: u64,
     last_tick: Micros,
-    /// Since when this member has been stale: its process was stopped, and it has received no datagram since.
+    /// Since when this member has been stale: its process was stopped, and since then it has received no
+    /// datagram and one lease has not passed.
     stale_since: Option<Micros>,
     wall_time: Micros,
     declared_dead: u64,
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -52,7 +52,8 @@
     pub incarnation: u64,
     /// A later incarnation of the member's name has been seen.
     pub replaced: bool,
-    /// The process was stopped, and has received no datagram from other members since.
+    /// The process was stopped, and since then it has received no datagram from other members and one lease
+    /// has not passed.
     pub stale: bool,
     /// How often the member learned that it was declared dead.
     #[serde(rename = "thought_dead")]
--- a/crates/runtime/src/http/sockets.rs
+++ b/crates/runtime/src/http/sockets.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Maximum number of connections that wait to be accepted. A full queue drops the SYN, which the client
-/// resends only after seconds, and after a failover all agents connect at once.
+/// Maximum number of connections that wait to be accepted. It is large because all agents connect at once
+/// after a failover, and a full queue drops the SYN, which the client resends only after seconds.
 const LISTEN_BACKLOG: i32 = 4_096;
 
 /// How long sent data may stay unacknowledged before the connection is closed (`TCP_USER_TIMEOUT`), because a
