--- a/crates/controlplane/src/peer_messages.rs
+++ b/crates/controlplane/src/peer_messages.rs
@@ -14,17 +14,17 @@
 use streamusher_runtime::http::{Client, ClientLimits, Request};
 use tokio::sync::mpsc;
 
-/// A running machine accepts a connection within one round trip.
+/// Time-out for connecting to a peer: a running machine accepts a connection within one round trip.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// About the duration of a lease: a later response has no value.
+/// Time-out of a request, about the duration of a lease: a later response has no value.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
 /// Maximum number of messages queued for one peer. Further messages are dropped; replication resends what was
 /// not acknowledged.
 const MAX_QUEUED_MESSAGES: usize = 1_024;
 /// Maximum number of messages in one request.
 const MAX_MESSAGES_PER_REQUEST: usize = 128;
-/// Maximum number of peers. A cluster has few control machines, but the addresses come from received
-/// messages.
+/// Maximum number of peers; when it is reached, all queues are dropped. A cluster has few control machines,
+/// but the addresses come from received messages.
 const MAX_PEERS: usize = 64;
 
 /// The body of a request that carries messages from one control machine to another.
@@ -115,8 +115,8 @@
     batch
 }
 
-/// Messages queued during a failed request are as old as that request; newer messages are more useful to the
-/// peer.
+/// Discards the queued messages: those queued during a failed request are as old as that request, and newer
+/// messages are more useful to the peer.
 fn discard_queued(messages: &mut mpsc::Receiver<Message>) {
     while messages.try_recv().is_ok() {}
 }
--- a/crates/controlplane/src/store/folders.rs
+++ b/crates/controlplane/src/store/folders.rs
@@ -48,9 +48,9 @@
     ))
 }
 
-/// The store at [`STORE_FOLDER`] takes precedence. If there is none, the replacement was interrupted between
-/// its two renames; the former store then holds everything, as nothing is stored in the replacement before
-/// both renames are synced.
+/// Completes an interrupted replacement. The store at [`STORE_FOLDER`] takes precedence. If there is none,
+/// the replacement was interrupted between its two renames; the former store then holds everything, as
+/// nothing is stored in the replacement before both renames are synced.
 fn complete_replacement(data_dir: &Path) -> io::Result<()> {
     let former = data_dir.join(FORMER_FOLDER);
     let folder = data_dir.join(STORE_FOLDER);
--- a/crates/controlplane/src/store/mod.rs
+++ b/crates/controlplane/src/store/mod.rs
@@ -29,11 +29,12 @@
 use streamusher_coordination::{DiskChange, DiskImage, LogPosition, StateMap, WitnessState};
 use streamusher_protocol::store::Write;
 
-/// fjall keeps up to 64 MB of journal, reserves the same amount for the next journal, and reads all of it at
-/// startup. A store with a longer journal than this limit is compacted while the process runs: disks are
-/// small, and compaction delays only one change.
+/// Journal length above which the store is compacted while the process runs. fjall keeps up to 64 MB of
+/// journal, reserves the same amount for the next journal, and reads all of it at startup. The limit is lower
+/// because disks are small, and compaction delays only one change.
 const MAX_JOURNAL_BYTES: u64 = 40 << 20;
-/// At startup, when no change waits for the disk yet, the store is compacted earlier.
+/// Journal length above which the store is compacted at startup. It is lower than [`MAX_JOURNAL_BYTES`],
+/// because no change waits for the disk yet.
 const MAX_JOURNAL_BYTES_AT_START: u64 = 8 << 20;
 
 /// Bytes that a journal adds to the key and the value of each entry.
--- a/crates/controlplane/src/store/writer.rs
+++ b/crates/controlplane/src/store/writer.rs
@@ -22,8 +22,8 @@
         /// Identifies the change, as given to [`StoreWriter::persist`].
         ticket: u64,
     },
-    /// The store became unusable while the process ran: the process must be restarted, as a machine with an
-    /// empty disk.
+    /// The store became unusable while the process ran: the process must be restarted. If the store is
+    /// damaged, the restart empties it.
     Lost {
         /// The store's failure.
         error: StoreError,
--- a/crates/runtime/src/http/outbox.rs
+++ b/crates/runtime/src/http/outbox.rs
@@ -12,9 +12,9 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// A running machine accepts a connection within one round trip.
+/// Time-out for connecting to a receiver: a running machine accepts a connection within one round trip.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// A later response is of no use, because the sender repeats the messages that matter.
+/// Time-out of a request: a later response is of no use, because the sender repeats the messages that matter.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
 /// Maximum number of messages queued for one receiver. Further messages are dropped.
 const MAX_QUEUED_MESSAGES: usize = 64;
--- a/crates/runtime/src/logs/layout.rs
+++ b/crates/runtime/src/logs/layout.rs
@@ -1,5 +1,8 @@
-//! Format of a log line: `2026-12-02T05:52:34.123Z INFO streamusher_scheduler::operators: configuration 1
-//! taken`.
+//! Format of a log line, for example:
+//!
+//! ```text
+//! 2026-12-02T05:52:34.123Z INFO streamusher_scheduler::operator_requests: configuration 1 taken
+//! ```
 
 use logforth::record::Record;
 use logforth::{Diagnostic, Error, Layout};
