--- a/crates/dataplane/src/control_plane/client.rs
+++ b/crates/dataplane/src/control_plane/client.rs
@@ -28,8 +28,8 @@
 pub enum RequestOutcome {
     /// The primary responded, with any status except 421 and 504.
     Responded(Response),
-    /// The request was certainly not executed: the member is not the primary (421), or no byte of the request
-    /// reached it. It may be sent to another primary.
+    /// The request was certainly not executed: it could not be encoded, the member is not the primary (421),
+    /// or no byte of the request reached it. It may be sent to another primary.
     NotExecuted,
     /// The request may have been executed.
     Unknown,
--- a/crates/dataplane/src/gate/forwarding.rs
+++ b/crates/dataplane/src/gate/forwarding.rs
@@ -2,7 +2,8 @@
 //!
 //! Whether a request is retried depends on the outcome of the previous attempt:
 //! - certainly not executed: one retry if another primary is known by then; otherwise 503 with `Retry-After`;
-//! - possibly executed, GET or DELETE: retried while the client waits, since both may be executed twice;
+//! - possibly executed, GET or DELETE: retried a few times while the client waits, since both may be executed
+//!   twice;
 //! - possibly executed, POST: not retried; 502, and the client submits the same job id again.
 
 use super::{client_request, client_response};
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -26,7 +26,7 @@
 const MAX_MESSAGE_BYTES: NonZeroUsize = NonZeroUsize::new(1_100).unwrap();
 const ONE_MEMBER: NonZeroUsize = NonZeroUsize::new(1).unwrap();
 const TWO_MEMBERS: NonZeroUsize = NonZeroUsize::new(2).unwrap();
-/// Probe periods from suspicion to the declaration of death.
+/// Number of probe periods between the suspicion of a member and its declaration as dead.
 const SUSPICION_PERIODS: u32 = 5;
 /// How long a member that is down stays known. This member announces itself to such members periodically, so
 /// that the two halves of a partitioned fleet find each other again.
--- a/crates/fleet/src/outlier/mod.rs
+++ b/crates/fleet/src/outlier/mod.rs
@@ -15,7 +15,7 @@
 
 /// The longest lifetime of an observation; longer ones are capped.
 pub const MAX_OBSERVATION_LIFETIME: Micros = 30_000_000;
-/// The most observations that are kept; when there are more, those that expire first are dropped.
+/// Maximum number of observations that are kept; when there are more, those that expire first are dropped.
 pub const MAX_OBSERVATIONS: usize = 4_096;
 /// The weight of the observation that retracts an earlier one.
 const RETRACTION_WEIGHT: u8 = 1;
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Drops expired observations, and those above [`MAX_OBSERVATIONS`].
+    /// Drops expired observations and, if more than [`MAX_OBSERVATIONS`] remain, those that expire first.
     pub fn tick(&mut self, now: Micros) {
         self.exonerated_until.retain(|_, until| *until > now);
         self.drop_expired(now);
--- a/crates/fleet/src/peers.rs
+++ b/crates/fleet/src/peers.rs
@@ -97,7 +97,8 @@
         self.by_name.remove(name);
     }
 
-    /// The names of members from which a datagram was received within the last `time`.
+    /// The names of members from which a datagram was received, or of which a new incarnation came up, within
+    /// the last `time`.
     pub(crate) fn received_within(&self, now: Micros, time: Micros) -> Vec<Arc<str>> {
         let is_recent = |peer: &Peer| now.saturating_sub(peer.last_received_at) < time;
         self.by_name
--- a/crates/fleet/src/usage_counters/member_usage.rs
+++ b/crates/fleet/src/usage_counters/member_usage.rs
@@ -7,9 +7,10 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The most rows in one [`Delta`], so that it fits into a datagram with its names and values.
+/// Maximum number of rows in one [`Delta`], so that it fits into a datagram with its names and values.
 const ROWS_PER_DELTA: usize = 4;
-/// The most incarnations in a [`VersionSummary`]. Later ones follow once compaction has removed the earliest.
+/// Maximum number of incarnations in a [`VersionSummary`]. Later ones follow once compaction has removed the
+/// earliest.
 const MAX_INCARNATIONS_PER_SUMMARY: usize = 24;
 
 /// The counters of a row, and the version that last changed them.
