--- a/crates/controlplane/src/store/writer.rs
+++ b/crates/controlplane/src/store/writer.rs
@@ -23,7 +23,7 @@
         ticket: u64,
     },
     /// The store became unusable while the process ran: the process must be restarted. If the store is
-    /// damaged, the restart empties it.
+    /// damaged, the restart empties it, and the machine starts as one with an empty disk.
     Lost {
         /// The store's failure.
         error: StoreError,
