--- a/crates/controlplane/src/driver/in_flight.rs
+++ b/crates/controlplane/src/driver/in_flight.rs
@@ -9,7 +9,8 @@
 /// this machine steps down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestEffect {
-    /// The request only reads and changes nothing.
+    /// The request only reads, or is an agent's sync: its caller does not need to know the outcome of a
+    /// write.
     ReadOnly,
     /// The requested change may take effect, possibly under the next primary.
     Mutating,
--- a/crates/controlplane/src/driver/mod.rs
+++ b/crates/controlplane/src/driver/mod.rs
@@ -3,8 +3,8 @@
 //!
 //! A response depends on all batches appended up to the event that produced it. It is released once these
 //! batches are committed and the primary's lease is valid at that moment. A primary that steps down earlier
-//! responds [`ControlOutcome::NotPrimary`] if it is certain that nothing was changed, and
-//! [`ControlOutcome::Unknown`] if the change may still take effect.
+//! responds [`ControlOutcome::Unknown`] if a change whose outcome the caller needs to know may still take
+//! effect, and [`ControlOutcome::NotPrimary`] otherwise.
 
 mod action;
 mod in_flight;
--- a/crates/controlplane/src/options/usage.rs
+++ b/crates/controlplane/src/options/usage.rs
@@ -14,15 +14,15 @@
 
 Without a command it runs as the process of a control machine. Commands:
     status [ADDRESS...]             print the whole cluster; ADDRESS is the internal ip:port of any process, and
-                                    without one the seeds of the settings file are asked
-    explain job ID [ADDRESS...]     print where a job stands, and why what waits of it waits
-    explain user NAME [ADDRESS...]  print what a user has lately used
+                                    without one the seeds of the settings file are queried
+    explain job ID [ADDRESS...]     print the state of a job, and why its pending tasks wait
+    explain user NAME [ADDRESS...]  print the recent usage of a user
     check [--configuration FILE]    check the settings file, or an operator's configuration (.json or .toml)
-    show-disk DIR                   check and show the data folder of a process that does not run
+    show-disk DIR                   check and show the data folder of a stopped process
 
 The settings file is named by STREAMUSHER_SETTINGS; STREAMUSHER_LOG sets the level of the logs.
-It ends with 0 after SIGTERM or where all is well, with 1 after a failure (status: a machine does not respond, or no
-primary acts; explain: no primary acts, or nothing is known; show-disk: the store is damaged), and with 2 for a wrong
+Exit code: 0 after SIGTERM or on success; 1 after a failure (status: a machine does not respond, or there is no acting
+primary; explain: there is no acting primary, or nothing is known; show-disk: the store is damaged); 2 for an invalid
 command line, settings, configuration or store format.";
 
 /// All options of all commands.
--- a/crates/controlplane/src/requests.rs
+++ b/crates/controlplane/src/requests.rs
@@ -38,7 +38,8 @@
 pub enum ControlOutcome {
     /// The scheduler's response; all writes that it depends on are committed.
     Response(SchedulerResponse),
-    /// The request was not executed: this machine is not the primary.
+    /// This machine is not the primary or has stepped down. The request made no change whose outcome its
+    /// caller needs to know.
     NotPrimary(ClusterView),
     /// The primary stepped down before the commit: the change may or may not take effect.
     Unknown,
--- a/crates/controlplane/src/servers.rs
+++ b/crates/controlplane/src/servers.rs
@@ -10,14 +10,15 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, timeout};
 
-/// Attempts to bind an address: the previous process may still be closing its socket.
+/// Number of attempts to bind an address: the previous process may still be closing its socket.
 const BIND_ATTEMPTS: u32 = 20;
 const BIND_RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// How long in-progress responses may take after the servers are closed.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Maximum number of connections to the control interface, from operators and from redirected workers.
 pub(crate) const MAX_CONTROL_CONNECTIONS: usize = 256;
-/// A snapshot is sent in parts, but a configuration with thousands of routes in one body.
+/// Maximum length of a request body, in bytes. A snapshot is sent in parts, but a configuration with
+/// thousands of routes in one body.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
 /// A listen address cannot be bound.
@@ -55,7 +56,7 @@
         })
     }
 
-    /// Makes every response ask its caller to connect to another machine.
+    /// Makes every response carry `Connection: close`, so that its caller connects to another machine.
     pub(crate) fn begin_shutdown(&self) {
         self.internal.handle.leave();
         self.control.handle.leave();
--- a/crates/controlplane/src/show_disk/mod.rs
+++ b/crates/controlplane/src/show_disk/mod.rs
@@ -64,7 +64,7 @@
     Ok(report::render(data_dir, bytes, &image))
 }
 
-/// Locks the databases in the same way as a process that opens them.
+/// Takes a shared lock on each database's lock file; fails if a running process holds the lock.
 fn lock_all(data_dir: &Path, folders: &[PathBuf]) -> Result<Vec<File>, ShowDiskError> {
     let mut locks = Vec::new();
     for folder in folders {
