--- a/crates/controlplane/src/store/database.rs
+++ b/crates/controlplane/src/store/database.rs
@@ -88,7 +88,7 @@
         if !is_empty {
             return Err(StoreError::damaged(
                 &self.folder,
-                "the format's mark is missing",
+                "the format marker is missing",
             ));
         }
         let mut batch = self.batch(PersistMode::SyncAll);
@@ -145,7 +145,7 @@
     pub(super) fn decode_text(&self, bytes: &[u8]) -> Result<Arc<str>, StoreError> {
         std::str::from_utf8(bytes)
             .map(Arc::from)
-            .map_err(|_| StoreError::damaged(&self.folder, "not a text"))
+            .map_err(|_| StoreError::damaged(&self.folder, "not valid UTF-8"))
     }
 
     /// An error that reports damage to this database.
--- a/crates/dataplane/src/process/listener.rs
+++ b/crates/dataplane/src/process/listener.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use streamusher_runtime::http::{Server, ServerLimits};
 
-/// Number of attempts to bind an address, and the pause between two attempts: two seconds in total.
+/// Number of attempts to bind an address, and the pause between two attempts: about two seconds in total.
 const MAX_BIND_ATTEMPTS: u32 = 20;
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
@@ -19,7 +19,7 @@
     reason: io::Error,
 }
 
-/// Listens at `address`. Retries for two seconds if the address cannot be bound.
+/// Listens at `address`. Retries for about two seconds if the address cannot be bound.
 ///
 /// # Errors
 /// The address could not be bound.
