--- a/crates/controlplane/src/cluster_status/query.rs
+++ b/crates/controlplane/src/cluster_status/query.rs
@@ -16,21 +16,21 @@
 /// machines.
 const MAX_QUERIED: usize = 64;
 
-/// An error for which a process returned no status. The text is part of the output of `status --json`.
+/// Reason why no status was obtained from a process. The text is part of the output of `status --json`.
 #[derive(Debug, thiserror::Error)]
 pub enum QueryError {
     /// No response was received.
     #[error(transparent)]
     Request(#[from] RequestError),
     /// The response has an HTTP status that is not a success.
-    #[error("answered {0}: name the internal ip:port of a process")]
+    #[error("responded with status {0}: give the internal ip:port of a process")]
     Status(StatusCode),
     /// The response is not JSON.
-    #[error("the answer is not a status: {0}")]
+    #[error("the response is not a status document: {0}")]
     Body(serde_json::Error),
 }
 
-/// An error for which the primary returned no explanation.
+/// Reason why no explanation was obtained from the primary.
 #[derive(Debug, thiserror::Error)]
 pub enum ExplainError {
     /// No process is the acting primary.
--- a/crates/controlplane/src/driver/in_flight.rs
+++ b/crates/controlplane/src/driver/in_flight.rs
@@ -9,11 +9,12 @@
 /// this machine steps down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestEffect {
-    /// Nothing: the request only reads.
+    /// The request only reads, or is an agent's sync: its caller does not need to know the outcome of a
+    /// write.
     ReadOnly,
     /// The requested change may take effect, possibly under the next primary.
     Mutating,
-    /// Nothing: the change was rejected, and the rejection depends on no write of this request.
+    /// The change was rejected and does not take effect; the rejection depends on no write of this request.
     Rejected,
 }
 
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -5,7 +5,7 @@
 //! the deltas that its sender lacks. The member's own usage counters are sent immediately to its successors
 //! in the ring of names, one more than the required copies; the receivers acknowledge the version that they
 //! hold. A member whose process was stopped for longer than half a lease blocks all acquisitions until it
-//! receives a datagram from another member.
+//! receives a datagram from another member, or until one lease has passed.
 
 use crate::allowance::QuotaAllowance;
 use crate::datagram::{Datagram, DatagramBody, DatagramCodec, DatagramError};
@@ -35,7 +35,7 @@
 const GOSSIP_INTERVALS_PER_PROBE: u64 = 5;
 /// Members that receive a digest in each round.
 const DIGEST_RECEIVERS: usize = 2;
-/// The most observations sent along with a digest.
+/// Maximum number of observations sent along with a digest.
 const OBSERVATIONS_PER_MESSAGE: usize = 6;
 /// A member that knows other members sends a hello to a missing join address once in this many rounds.
 const HELLO_INTERVAL_ROUNDS: u64 = 4;
@@ -61,7 +61,8 @@
     next_gossip: Micros,
     gossip_rounds: u64,
     last_tick: Micros,
-    /// Since when this member has been stale: its process was stopped, and it has received no datagram since.
+    /// Since when this member has been stale: its process was stopped, and since then it has received no
+    /// datagram and one lease has not passed.
     stale_since: Option<Micros>,
     wall_time: Micros,
     declared_dead: u64,
