--- a/src/net/callback.rs
+++ b/src/net/callback.rs
@@ -32,8 +32,8 @@
     Lost,
 }
 
-/// Interval at which the mailbox is read while another process shares the address. While none is known the
-/// interval is ten times as long: a process that starts beside this one may post before this one detects it.
+/// Interval at which the mailbox is read while another process shares the address. While no such process is
+/// known, the interval is ten times as long: a process that starts beside this one may post before this one detects it.
 const MAILBOX_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Reads the call-backs for this process's steps that the other process received and posted here. Without
--- a/src/net/close.rs
+++ b/src/net/close.rs
@@ -18,8 +18,8 @@
         let _ = self.stream().get_ref().shutdown(Shutdown::Write);
         let mut closing = closing.shutdown_sent(0);
         while let Closing::Draining { until, .. } = closing {
-            // Input that has already arrived is read first, regardless of the time limit. If the limit is
-            // zero nothing is waited for.
+            // Input that has already arrived is read first, regardless of the time limit. With a
+            // limit of zero the function does not wait for more input.
             let available = future::poll_once(self.discard_input()).await;
             closing = available.map_or(closing.no_data(now()), |bytes| closing.received(bytes));
             match (available, closing) {
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -162,8 +162,8 @@
     /// Completes when the next timer of the clock expires.
     async fn wait_until_due(&self) {
         loop {
-            let at = self.clock.borrow().due();
-            let left = at.saturating_sub(self.hub.now());
+            let due_at = self.clock.borrow().due();
+            let left = due_at.saturating_sub(self.hub.now());
             if left == 0 {
                 return;
             }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -67,10 +67,10 @@
 }
 
 /// Posts a call-back to the mailbox of the other process as one complete file.
-pub(crate) fn post_callback(to: u32, body: &[u8]) -> std::io::Result<()> {
+pub(crate) fn post_callback(recipient_pid: u32, body: &[u8]) -> std::io::Result<()> {
     thread_local!(static NEXT: Cell<u64> = const { Cell::new(0) });
     let sequence = NEXT.with(|sequence| sequence.replace(sequence.get() + 1));
-    let dir = mailbox(to).ok_or_else(|| std::io::Error::other("no TMPDIR"))?;
+    let dir = mailbox(recipient_pid).ok_or_else(|| std::io::Error::other("no TMPDIR"))?;
     let partial = dir.join(format!("{}-{sequence}.part", std::process::id()));
     std::fs::write(&partial, body)?;
     std::fs::rename(&partial, partial.with_extension("json"))
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -103,9 +103,9 @@
 
     async fn fill(&mut self) -> io::Result<usize> {
         let mut bytes = [0u8; 8 << 10];
-        let n = self.stream.read(&mut bytes).await?;
-        self.buffer.extend_from_slice(&bytes[..n]);
-        Ok(n)
+        let read = self.stream.read(&mut bytes).await?;
+        self.buffer.extend_from_slice(&bytes[..read]);
+        Ok(read)
     }
 
     /// Completes when the peer has closed the connection, and never otherwise. Input that arrives in the
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -209,6 +209,6 @@
 }
 
 /// Whether the system is out of descriptors (EMFILE, ENFILE), memory for sockets, or local ports.
-pub(crate) fn is_out_of_resources(e: &io::Error) -> bool {
-    matches!(e.raw_os_error(), Some(23 | 24 | 12 | 105 | 99))
+pub(crate) fn is_out_of_resources(error: &io::Error) -> bool {
+    matches!(error.raw_os_error(), Some(23 | 24 | 12 | 105 | 99))
 }
