--- a/src/command/ledger.rs
+++ b/src/command/ledger.rs
@@ -281,16 +281,16 @@
         });
     }
     let rows = || {
-        let row = |s: &PeriodSums, l: &Line| {
-            let state = if s.closed { "closed" } else { "open" };
+        let row = |sums: &PeriodSums, line: &Line| {
+            let state = if sums.closed { "closed" } else { "open" };
             [
                 vec![
-                    s.period.to_string(),
+                    sums.period.to_string(),
                     state.into(),
-                    l.tenant.clone(),
-                    l.class.clone(),
+                    line.tenant.clone(),
+                    line.class.clone(),
                 ],
-                use_cells(&l.sums),
+                use_cells(&line.sums),
             ]
             .concat()
         };
@@ -315,9 +315,9 @@
         .into());
     }
     check_key(&store)?;
-    let no = store.correct(&correction)?;
-    place.print_result(&json!({"correction": no}), || {
-        format!("correction {no} is booked")
+    let number = store.correct(&correction)?;
+    place.print_result(&json!({"correction": number}), || {
+        format!("correction {number} is booked")
     });
     Ok(())
 }
--- a/src/command/mod.rs
+++ b/src/command/mod.rs
@@ -22,8 +22,8 @@
 }
 
 impl<E: std::fmt::Display> From<E> for Failure {
-    fn from(e: E) -> Failure {
-        Failure::Error(e.to_string())
+    fn from(error: E) -> Failure {
+        Failure::Error(error.to_string())
     }
 }
 
--- a/src/command/report.rs
+++ b/src/command/report.rs
@@ -37,8 +37,8 @@
 }
 
 /// Describes a finding of the reconciliation in one line.
-pub(super) fn describe_finding(f: &Finding) -> String {
-    match f {
+pub(super) fn describe_finding(finding: &Finding) -> String {
+    match finding {
         Finding::Changed { why } => format!("not counted: {why}"),
         Finding::Conflict {
             instance,
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -271,7 +271,7 @@
         .map_err(|_| format!("{key}: not an address and port: {text:?}"))
 }
 
-/// Checks that the types cannot express. The balancer divides by some of these values and uses others as
+/// Validates constraints that the types cannot express. The balancer divides by some of these values and uses others as
 /// indexes.
 fn check(s: &PlatformSettings) -> Result<(), String> {
     let invalid = |key: &str, why: &str| Err(format!("settings.{key}: {why}"));
--- a/src/config/operators.rs
+++ b/src/config/operators.rs
@@ -186,12 +186,12 @@
 
 /// Decodes a TOML file; error messages name the file and the key.
 pub(super) fn decode<T: serde::de::DeserializeOwned>(path: &Path) -> Result<T, String> {
-    let at = path.display();
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{at}: {e}"))?;
+    let file_name = path.display();
+    let text = std::fs::read_to_string(path).map_err(|e| format!("{file_name}: {e}"))?;
     let file = toml::Deserializer::parse(&text)
         .map_err(|e| e.to_string())
         .and_then(decode_with_path);
-    file.map_err(|e| format!("{at}: {}", one_line(&e)))
+    file.map_err(|e| format!("{file_name}: {}", one_line(&e)))
 }
 
 impl OperatorsConfig {
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -53,7 +53,7 @@
     /// Datagrams dropped because the ring from the socket was full.
     dropped_datagrams: AtomicU64,
     view: ArcSwap<View>,
-    /// The view contains other ejections than the event loop has applied.
+    /// Whether the ejections in the view differ from those that the event loop has applied.
     ejections_changed: AtomicBool,
     roster: ArcSwap<Roster>,
 }
