--- a/src/billing.rs
+++ b/src/billing.rs
@@ -148,8 +148,8 @@
 }
 
 impl Billing {
-    /// Whether an answer may be released although it is not booked. Only results are billed, so answers other
-    /// than results always may.
+    /// Whether an answer may be released although it is not booked. Only results are billed, so all other
+    /// answers may always be released.
     fn may_release(&self, outcome: OperationOutcome) -> bool {
         outcome != OperationOutcome::Served || self.gate.borrow().releases_unbooked()
     }
--- a/src/closing.rs
+++ b/src/closing.rs
@@ -75,7 +75,7 @@
                 left: left - bytes,
             },
             Closing::ShutdownPending { .. } => {
-                unreachable!("nothing is read before the end is told")
+                unreachable!("no input is read before the write side is shut down")
             }
             _ => Closing::Closed,
         }
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -101,26 +101,26 @@
     }
 
     pub(crate) fn record_step_outcome(&mut self, outcome: &StepOutcome) {
-        let e = &mut self.endings;
+        let endings = &mut self.endings;
         *match outcome.attempt_outcome() {
-            AttemptOutcome::Succeeded => &mut e.served,
-            AttemptOutcome::WorkerError => &mut e.worker_failed,
-            AttemptOutcome::Shed => &mut e.turned_away,
-            AttemptOutcome::ConnectFailed => &mut e.not_connected,
-            AttemptOutcome::ConnectionLost => &mut e.broken,
-            AttemptOutcome::TimedOut => &mut e.timed_out,
-            AttemptOutcome::Cancelled => &mut e.given_up,
-            AttemptOutcome::NotSent => &mut e.never_sent,
+            AttemptOutcome::Succeeded => &mut endings.served,
+            AttemptOutcome::WorkerError => &mut endings.worker_failed,
+            AttemptOutcome::Shed => &mut endings.turned_away,
+            AttemptOutcome::ConnectFailed => &mut endings.not_connected,
+            AttemptOutcome::ConnectionLost => &mut endings.broken,
+            AttemptOutcome::TimedOut => &mut endings.timed_out,
+            AttemptOutcome::Cancelled => &mut endings.given_up,
+            AttemptOutcome::NotSent => &mut endings.never_sent,
         } += 1;
     }
 
     /// Counts a response of this status to a client for this class.
     pub fn record_response(&mut self, class: &str, status: u16) {
-        let r = self.class_counts(class);
+        let counts = self.class_counts(class);
         *match status {
-            200 => &mut r.ok,
-            429 | 503 => &mut r.shed,
-            _ => &mut r.errors,
+            200 => &mut counts.ok,
+            429 | 503 => &mut counts.shed,
+            _ => &mut counts.errors,
         } += 1;
     }
 
--- a/src/list_clock.rs
+++ b/src/list_clock.rs
@@ -90,8 +90,8 @@
 pub enum Event {
     /// The change was written to this dispatcher, on a watch or in a response, at this time.
     Written(Micros),
-    /// Discovery has the change and is reachable since this time; no watch is open, or the open one is
-    /// silent.
+    /// Discovery has had the change and has been reachable since this time; no watch is open, or the open
+    /// one is silent.
     Reachable(Micros),
     /// The last call began at this time and discovery has been unreachable since. The permitted call interval
     /// is multiplied by the second value.
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -134,9 +134,9 @@
         }
     }
 
-    /// Runs `f` on the core and wakes the batch loop afterwards. Must not be called from within a batch.
-    pub(crate) fn with<R>(&self, f: impl FnOnce(&mut Core, Micros) -> R) -> R {
-        let done = f(&mut self.core.borrow_mut(), self.now());
+    /// Runs `action` on the core and wakes the batch loop afterwards. Must not be called from within a batch.
+    pub(crate) fn with<R>(&self, action: impl FnOnce(&mut Core, Micros) -> R) -> R {
+        let done = action(&mut self.core.borrow_mut(), self.now());
         let _ = self.wake.0.try_send(());
         done
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -335,11 +335,11 @@
         let mut added = 0;
         for (i, class) in fresh.settings.classes.iter().enumerate() {
             let name = fresh.classes.name(i as u32);
-            let same = self.classes.find(name).is_some_and(|j| {
-                let j = j as usize;
-                self.settings.classes[j] == *class
-                    && self.keyed[j] == fresh.keyed[i]
-                    && self.deduplication_windows[j] == fresh.deduplication_windows[i]
+            let same = self.classes.find(name).is_some_and(|known| {
+                let known = known as usize;
+                self.settings.classes[known] == *class
+                    && self.keyed[known] == fresh.keyed[i]
+                    && self.deduplication_windows[known] == fresh.deduplication_windows[i]
             });
             if !same {
                 self.classes.renumber(name);
