--- a/src/drmaa/front/mod.rs
+++ b/src/drmaa/front/mod.rs
@@ -88,7 +88,7 @@
 
 /// All jobs of this front.
 pub(crate) struct JobTable {
-    me: Weak<JobTable>,
+    weak_self: Weak<JobTable>,
     hub: Rc<Hub>,
     jobs: RefCell<BTreeMap<u64, Job>>,
     next: Cell<u64>,
@@ -264,11 +264,12 @@
     }
 
     fn front(&self) -> Rc<dyn Front> {
-        self.me.upgrade().expect("called through an Rc")
+        self.weak_self.upgrade().expect("called through an Rc")
     }
 
-    fn operation(&self, t: JobTemplate, number: u64) -> Result<Operation, (Error, String)> {
-        if t.job_name
+    fn operation(&self, template: JobTemplate, number: u64) -> Result<Operation, (Error, String)> {
+        if template
+            .job_name
             .as_ref()
             .is_some_and(|n| n.len() > MAX_NAME_BYTES)
         {
@@ -276,13 +277,13 @@
         }
         let visible =
             |s: &str| s.len() <= MAX_NAME_BYTES && s.bytes().all(|b| b.is_ascii_graphic());
-        if !t.remote_command.starts_with('/') || !visible(&t.remote_command) {
+        if !template.remote_command.starts_with('/') || !visible(&template.remote_command) {
             return reject(Error::InvalidArgument, "remoteCommand: not a path");
         }
-        let path = t.remote_command.split('?').next().unwrap_or("");
+        let path = template.remote_command.split('?').next().unwrap_or("");
         let mut parts = path.split('/').skip(1);
         let path_class = parts.next().unwrap_or("");
-        let category = t.job_category.as_deref().unwrap_or(path_class);
+        let category = template.job_category.as_deref().unwrap_or(path_class);
         let class = self
             .hub
             .with(|core, _| core.class(category))
@@ -296,28 +297,28 @@
         let (keyed, deadline_us) = self
             .hub
             .with(|core, _| (core.is_keyed(class), core.class_settings(class).deadline_us));
-        let key = t.idempotency_key.filter(|k| !k.is_empty());
+        let key = template.idempotency_key.filter(|k| !k.is_empty());
         if key.as_deref().map_or(keyed, |k| !visible(k)) {
             return reject(
                 Error::InvalidArgument,
                 "streamusher_idempotencyKey: missing, or not visible text",
             );
         }
-        let slots = t.min_slots.unwrap_or(1.0);
+        let slots = template.min_slots.unwrap_or(1.0);
         if !(slots.is_finite() && slots > 0.0) {
             return reject(Error::InvalidArgument, "minSlots: must be above 0");
         }
-        let remaining_us = match t.deadline_time {
-            Some(at) if !at.is_finite() => {
+        let remaining_us = match template.deadline_time {
+            Some(deadline) if !deadline.is_finite() => {
                 return reject(Error::InvalidArgument, "deadlineTime: not a time")
             }
-            Some(at) => ((at - self.now_s()).clamp(0.0, 86_400.0) * 1e6) as Micros,
+            Some(deadline) => ((deadline - self.now_s()).clamp(0.0, 86_400.0) * 1e6) as Micros,
             None => deadline_us,
         };
         if remaining_us == 0 {
             return reject(Error::InvalidArgument, "deadlineTime: is over");
         }
-        let body = match (t.input, t.input_hex) {
+        let body = match (template.input, template.input_hex) {
             (Some(_), Some(_)) => return reject(Error::InvalidArgument, "two inputs"),
             (Some(text), None) => text.into_bytes(),
             (None, Some(hex)) => match from_hex(&hex) {
@@ -338,9 +339,9 @@
             // The prefix keeps these ids apart from those that clients of the HTTP front choose.
             id: format!("drmaa-{:x}-{number}", self.hub.start()),
             class,
-            tenant: t.accounting_id.map(Into::into),
+            tenant: template.accounting_id.map(Into::into),
             subject: parts.filter(|p| !p.is_empty()).last().map(str::to_string),
-            target: t.remote_command,
+            target: template.remote_command,
             idempotency_key: key,
             slots,
             remaining_us,
@@ -348,13 +349,17 @@
         })
     }
 
-    fn with_job<T>(&self, id: &str, at: impl FnOnce(&mut Job) -> T) -> Result<T, (Error, String)> {
+    fn with_job<T>(
+        &self,
+        id: &str,
+        action: impl FnOnce(&mut Job) -> T,
+    ) -> Result<T, (Error, String)> {
         let mut jobs = self.jobs.borrow_mut();
         let job = id
             .parse()
             .ok()
             .and_then(|number: u64| jobs.get_mut(&number));
-        job.map(at)
+        job.map(action)
             .ok_or((Error::InvalidArgument, "jobId: no such job".to_string()))
     }
 
--- a/src/drmaa/front/session.rs
+++ b/src/drmaa/front/session.rs
@@ -88,13 +88,13 @@
         ended: &Receiver<()>,
         waits: &Rc<Cell<usize>>,
     ) {
-        let me = self.me.upgrade().expect("called through an Rc");
+        let this = self.weak_self.upgrade().expect("called through an Rc");
         let (session, ended, waits) = (session.clone(), ended.clone(), waits.clone());
         waits.set(waits.get() + 1);
         self.waits.set(self.waits.get() + 1);
         self.hub.spawn(async move {
             let answered = async {
-                let reply = me.wait(&id, timeout, until_started).await;
+                let reply = this.wait(&id, timeout, until_started).await;
                 let _ = session.send(reply_message(seq, reply)).await;
             };
             let left = async {
@@ -102,7 +102,7 @@
             };
             future::or(answered, left).await;
             waits.set(waits.get() - 1);
-            me.waits.set(me.waits.get() - 1);
+            this.waits.set(this.waits.get() - 1);
         });
     }
 
@@ -199,8 +199,8 @@
         .local_addr()
         .map_err(|e| format!("drmaa listen: {addr}: {e}"))?;
     info!(hub.log, "serving DRMAA"; "listen" => %addr);
-    let table = Rc::new_cyclic(|me| JobTable {
-        me: me.clone(),
+    let table = Rc::new_cyclic(|weak_self| JobTable {
+        weak_self: weak_self.clone(),
         hub: hub.clone(),
         jobs: RefCell::default(),
         next: Cell::new(1),
--- a/src/drmaa/worker.rs
+++ b/src/drmaa/worker.rs
@@ -25,7 +25,7 @@
 
 /// Runs route steps on DRMAA workers, one job at a time per connection.
 pub(crate) struct DrmaaDriver {
-    me: Weak<DrmaaDriver>,
+    weak_self: Weak<DrmaaDriver>,
     hub: Rc<Hub>,
     pool: Rc<Pool>,
     cancel_senders: RefCell<BTreeMap<StepId, Sender<()>>>,
@@ -33,8 +33,8 @@
 
 impl DrmaaDriver {
     pub(crate) fn new(hub: Rc<Hub>, pool: Rc<Pool>) -> Rc<DrmaaDriver> {
-        Rc::new_cyclic(|me| DrmaaDriver {
-            me: me.clone(),
+        Rc::new_cyclic(|weak_self| DrmaaDriver {
+            weak_self: weak_self.clone(),
             hub,
             pool,
             cancel_senders: RefCell::default(),
@@ -250,12 +250,12 @@
     ) {
         let (cancel_tx, cancelled_rx) = bounded::<()>(1);
         self.cancel_senders.borrow_mut().insert(step, cancel_tx);
-        let me = self.me.upgrade().expect("called through an Rc");
+        let this = self.weak_self.upgrade().expect("called through an Rc");
         let (operation, addr) = (operation.clone(), worker.addr.parse::<SocketAddr>());
         self.hub.spawn(async move {
             match addr {
-                Ok(addr) => me.step(step, addr, operation, cancelled_rx).await,
-                Err(_) => me.hub.with(|core, _| {
+                Ok(addr) => this.step(step, addr, operation, cancelled_rx).await,
+                Err(_) => this.hub.with(|core, _| {
                     core.step_event(step, StepEvent::Ended(StepOutcome::ConnectRefused, None))
                 }),
             }
@@ -266,7 +266,7 @@
         self.cancel_senders.borrow_mut().remove(&step);
     }
 
-    /// DRMAA has no health probe: the probe ends immediately as not answered.
+    /// DRMAA has no health probe: every probe ends immediately as unanswered.
     fn probe(&self, worker: WorkerId, _member: &PoolMember) {
         let hub = self.hub.clone();
         self.hub
