--- a/src/command/ledger.rs
+++ b/src/command/ledger.rs
@@ -433,13 +433,13 @@
 ) -> CommandResult {
     let (store, _) = place.open()?;
     let periods = match period {
-        Some(p) => vec![p],
+        Some(period) => vec![period],
         None => store.seals()?.into_iter().map(|s| s.period).collect(),
     };
     let bar = progress(periods.len() as u64, "exporting");
     let mut manifests = Vec::new();
-    for p in periods {
-        manifests.extend(export(&store, p, to, |_| true)?);
+    for period in periods {
+        manifests.extend(export(&store, period, to, |_| true)?);
         bar.inc(1);
     }
     bar.finish_and_clear();
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -273,35 +273,39 @@
 
 /// Validates constraints that the types cannot express. The balancer divides by some of these values and uses others as
 /// indexes.
-fn check(s: &PlatformSettings) -> Result<(), String> {
+fn check(settings: &PlatformSettings) -> Result<(), String> {
     let invalid = |key: &str, why: &str| Err(format!("settings.{key}: {why}"));
-    if s.request_classes.is_empty() {
+    if settings.request_classes.is_empty() {
         return invalid("requestClasses", "must list at least one class");
     }
-    for (i, c) in s.request_classes.iter().enumerate() {
-        if c.name.is_empty() || s.request_classes[..i].iter().any(|d| d.name == c.name) {
+    for (i, class) in settings.request_classes.iter().enumerate() {
+        if class.name.is_empty()
+            || settings.request_classes[..i]
+                .iter()
+                .any(|d| d.name == class.name)
+        {
             return invalid(
                 &format!("requestClasses[{i}].name"),
                 "must be neither empty nor repeated",
             );
         }
-        if c.deadline_us == 0 {
+        if class.deadline_us == 0 {
             return invalid(
                 &format!("requestClasses[{i}].deadlineUs"),
                 "must be above 0",
             );
         }
-        if !["free", "guarded", "single_shot"].contains(&c.semantics.as_str()) {
+        if !["free", "guarded", "single_shot"].contains(&class.semantics.as_str()) {
             return invalid(
                 &format!("requestClasses[{i}].semantics"),
                 "must be free, guarded or single_shot",
             );
         }
     }
-    if s.my_zone.is_empty() {
+    if settings.my_zone.is_empty() {
         return invalid("myZone", "missing");
     }
-    if s.limits.max_attempts == 0 {
+    if settings.limits.max_attempts == 0 {
         return invalid("limits.maxAttempts", "must be above 0");
     }
     Ok(())
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -58,7 +58,7 @@
     roster: ArcSwap<Roster>,
 }
 
-/// The fleet's part of a running dispatcher.
+/// A running dispatcher's membership in its fleet: the shared state and the threads that maintain it.
 pub(crate) struct Fleet {
     shared: Arc<Shared>,
     recorder: Rc<FleetUsageRecorder>,
--- a/src/fleet/step_observer.rs
+++ b/src/fleet/step_observer.rs
@@ -17,7 +17,7 @@
 const WEIGHT_PER_FAULT: u32 = 20;
 /// Lifetime of an observation: about as long as the dispatch decisions keep their own observations.
 pub(super) const OBSERVATION_LIFETIME: Micros = 10_000_000;
-/// A worker that keeps serving requests is reported as good at most once in this many successes.
+/// A worker without a preceding run of faults is reported as good once in this many successes.
 const SUCCESSES_PER_REPORT: u32 = 50;
 
 /// Recent outcomes at one worker incarnation.
--- a/src/fleet/threads.rs
+++ b/src/fleet/threads.rs
@@ -28,7 +28,8 @@
 const SOCKET_READ_TIMEOUT: Duration = Duration::from_millis(200);
 /// The shortest time between two views for operators.
 const VIEW_INTERVAL: Micros = 50_000;
-/// A few members cannot have a worker ejected, and all members together eject at most a third of a zone.
+/// A worker is ejected only on the observations of several members, and all members together eject at most a
+/// third of a zone.
 const EJECTION_POLICY: EjectionPolicy = EjectionPolicy {
     min_observers: 3,
     max_ejected_fraction: 0.34,
--- a/src/net/mgmt.rs
+++ b/src/net/mgmt.rs
@@ -55,7 +55,7 @@
         loop {
             match stream.read(&mut chunk).await {
                 Ok(0) => return reader.end(),
-                Ok(n) => match reader.feed(&chunk[..n]) {
+                Ok(read) => match reader.feed(&chunk[..read]) {
                     ReadStatus::Incomplete => {}
                     ReadStatus::Line(call) => return Some(call),
                     ReadStatus::TooLong => {
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -100,11 +100,11 @@
     fn take_idle(&self, addr: SocketAddr) -> Option<Conn> {
         let mut idle = self.idle.borrow_mut();
         let conns = idle.get_mut(&addr)?;
-        while let Some(at) = conns
+        while let Some(index) = conns
             .iter()
             .rposition(|(since, _)| since.elapsed() >= REUSE_DELAY)
         {
-            let (since, conn) = conns.remove(at);
+            let (since, conn) = conns.remove(index);
             if since.elapsed() < self.settings.idle_timeout && conn.is_reusable() {
                 return Some(conn);
             }
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -171,8 +171,9 @@
             };
             let due = async {
                 match next {
-                    Some(at) => {
-                        Timer::after(Duration::from_micros(at.saturating_sub(self.now()))).await;
+                    Some(due_at) => {
+                        Timer::after(Duration::from_micros(due_at.saturating_sub(self.now())))
+                            .await;
                     }
                     None => future::pending().await,
                 }
@@ -269,14 +270,14 @@
         sockets: RefCell::new(None),
         fleet: RefCell::new(None),
     });
-    if let Some(t) = config.tenants {
-        hub.with(|core, _| core.set_tenants(t.tenants));
+    if let Some(tenants) = config.tenants {
+        hub.with(|core, _| core.set_tenants(tenants.tenants));
     }
     let billing = config
         .ledger
         .map(|l| billing::attach(&hub, l, &config.name))
         .transpose()?;
-    if let Some(f) = config.fleet {
+    if let Some(fleet_config) = config.fleet {
         let longest_deadline_us = hub
             .classes
             .borrow()
@@ -286,7 +287,7 @@
             .unwrap_or(0);
         *hub.fleet.borrow_mut() = Some(fleet::attach(
             &hub,
-            f,
+            fleet_config,
             &config.name,
             config.seed,
             longest_deadline_us,
