--- a/src/drmaa/front/session.rs
+++ b/src/drmaa/front/session.rs
@@ -97,10 +97,10 @@
                 let reply = this.wait(&id, timeout, until_started).await;
                 let _ = session.send(reply_message(seq, reply)).await;
             };
-            let left = async {
+            let disconnected = async {
                 let _ = ended.recv().await;
             };
-            future::or(answered, left).await;
+            future::or(answered, disconnected).await;
             waits.set(waits.get() - 1);
             this.waits.set(this.waits.get() - 1);
         });
--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -142,7 +142,7 @@
     /// Evicts a connection if there are too many after an accept. Returns whether one was evicted, in which
     /// case the caller tries again once it has closed. The new connection is not evicted, nor are those in
     /// the reserve unless the reserve is full: their requests may be in flight, and a worker's call-back
-    /// among them is what ends the work of other connections.
+    /// among them completes operations that other connections wait for.
     pub(super) fn evict_for(&self, accepted: &ClientConnection) -> bool {
         let is_other = |number| number != accepted.number;
         if self.open() > self.max_unreserved + self.max_reserved {
--- a/src/net/mgmt.rs
+++ b/src/net/mgmt.rs
@@ -12,8 +12,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Maximum number of connections served at the same time; further ones are closed at once. The limits reserve
-/// their descriptors.
+/// Maximum number of connections served at the same time; further ones are closed at once. The resource
+/// limits reserve descriptors for these connections.
 pub(crate) const MAX_OPERATOR_CONNECTIONS: usize = 16;
 /// Time limit for a caller to send its line: callers wait for 1 s, and some send nothing for 4 s.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_500);
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -19,7 +19,7 @@
 /// request. It could then report that a running job never started.
 const REUSE_DELAY: Duration = Duration::from_millis(20);
 
-/// Time for a client's connection to close after it was closed to free its descriptor.
+/// Time for an evicted client connection to release its descriptor.
 const FREED_CONNECTION_CLOSE_TIME: Duration = Duration::from_millis(2);
 
 /// Purpose for which a connection is requested; it decides which limit applies.
--- a/src/net/request.rs
+++ b/src/net/request.rs
@@ -15,7 +15,7 @@
     pub(crate) retired: bool,
 }
 
-/// Maximum length of an idempotency key in bytes. It is bounded because keys are remembered for a while.
+/// Maximum length of an idempotency key in bytes. It is bounded because keys are stored for some time.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 1 << 10;
 
 /// Response to one HTTP request.
