--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -19,7 +19,7 @@
 /// request. It could then report that a running job never started.
 const REUSE_DELAY: Duration = Duration::from_millis(20);
 
-/// Time for a client's connection to close after it was closed to free its descriptor.
+/// Time for an evicted client connection to release its descriptor.
 const FREED_CONNECTION_CLOSE_TIME: Duration = Duration::from_millis(2);
 
 /// Purpose for which a connection is requested; it decides which limit applies.
@@ -100,11 +100,11 @@
     fn take_idle(&self, addr: SocketAddr) -> Option<Conn> {
         let mut idle = self.idle.borrow_mut();
         let conns = idle.get_mut(&addr)?;
-        while let Some(at) = conns
+        while let Some(index) = conns
             .iter()
             .rposition(|(since, _)| since.elapsed() >= REUSE_DELAY)
         {
-            let (since, conn) = conns.remove(at);
+            let (since, conn) = conns.remove(index);
             if since.elapsed() < self.settings.idle_timeout && conn.is_reusable() {
                 return Some(conn);
             }
@@ -209,6 +209,6 @@
 }
 
 /// Whether the system is out of descriptors (EMFILE, ENFILE), memory for sockets, or local ports.
-pub(crate) fn is_out_of_resources(e: &io::Error) -> bool {
-    matches!(e.raw_os_error(), Some(23 | 24 | 12 | 105 | 99))
+pub(crate) fn is_out_of_resources(error: &io::Error) -> bool {
+    matches!(error.raw_os_error(), Some(23 | 24 | 12 | 105 | 99))
 }
