--- a/crates/controlplane/src/process.rs
+++ b/crates/controlplane/src/process.rs
@@ -70,8 +70,8 @@
 /// Runs the process until a signal ends it. Without `fair_share` the scheduler does not order work by recent
 /// use.
 ///
+/// # Errors
 /// The process cannot start, or its store becomes unusable while it runs.
-/// The process cannot start, or its store is lost.
 pub fn run(
     settings: &ProcessSettings,
     fair_share: Option<FairShareSettings>,
